--- a/internal/standin/apart_test.go
+++ b/internal/standin/apart_test.go
@@ -17,7 +17,6 @@
 	cancels time.Duration // the first of the jobs is cancelled so long before the outage
 	outage  float64       // times cancel_s
 	old     int           // so many nodes are of the version before: no words, no time in the cancellation's record
-	then    string        // what becomes of the nodes that confirmed
 }
 
 // playApart has the state service refuse the leader alone, other nodes confirm cancellations, and then the
