--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -1,4 +1,4 @@
-// Package emulator runs a cluster on one machine: three controllers as real processes, and
+// Package emulator runs a cluster on one machine: the controllers as real processes, and
 // around them, in this process, the state service, the cloud, the workers and the load
 // balancer, which are the stand-ins of the tests in real time over HTTP on loopback ports.
 package emulator
@@ -22,18 +22,40 @@
 	"dykeledge/internal/standin"
 )
 
-const nodes = 3
-
 // Options say what cluster to run.
 type Options struct {
 	Program  string // the controller
 	Features string // its features file, "" for none
 	Machines int    // that can be rented in all
+	Up       int    // of these, up at the start
 	Seed     uint64
 	Speed    float64 // how many times as fast as stated machines come up, fetch and work
 	Dir      string  // for settings and logs
 	Faults   *Schedule
 	Log      *slog.Logger
+
+	// Deployment is what is played; the zero value stands for Settings().
+	Deployment config.Deployment
+	// Catalog is what the cloud rents; without types it stands for Catalog of the deployment's zones.
+	Catalog protocol.Catalog
+	// Addresses tells where things listen; its fields may be nil.
+	Addresses Addresses
+	// Delay, if set, is how long a message takes between two zones.
+	Delay func(from, to string) time.Duration
+	// SharedTicker is for some hundred workers and more: see standin.World.
+	SharedTicker bool
+}
+
+// Addresses tells where things of a cluster listen, all of them on loopback. What is nil gets ports from the system.
+type Addresses struct {
+	Worker     func(number int) string
+	Controller func(i int) (public, peer string)
+}
+
+// NodeMeters count what passes between one controller and what is around it.
+type NodeMeters struct {
+	State, Cloud, Peers standin.Meter // Peers: of connections that this controller has opened
+	Requests            *standin.StateRequests
 }
 
 // Cluster is a running cluster.
@@ -43,7 +65,10 @@
 	Uploads string   // where descriptions of jobs are put
 	Nodes   []string // the controllers' peer_listen
 	Dir     string
+	Meters  []*NodeMeters // by controller
+	Front   standin.Meter // users' connections to the load balancer
 
+	public []string // the controllers' public_addr
 	procs  []*process
 	ports  *standin.WorkerPorts
 	files  []*os.File
@@ -54,7 +79,7 @@
 
 // Settings is the deployment that the emulator plays.
 func Settings() config.Deployment {
-	return config.Deployment{Nodes: nodes, Zones: []string{"a", "b", "c"}, ClockOffMs: 50,
+	return config.Deployment{Nodes: 3, Zones: []string{"a", "b", "c"}, ClockOffMs: 50,
 		Teams:     []config.Team{{Name: "red", Cpus: 64, CpusMax: 256}, {Name: "blue", Cpus: 64, Gpus: 4}, {Name: "green", Cpus: 16}, {Name: "guest"}},
 		Workers:   config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 4, CancelS: 45},
 		State:     config.State{RPS: 400, WriteRPS: 200, ValueKB: 64, TxnOps: 16},
@@ -89,107 +114,187 @@
 }
 
 func (c *Cluster) start(ctx context.Context, o Options) error {
-	d := Settings()
-	w := standin.NewWorld(ctx, &config.Settings{Deployment: d}, o.Seed)
-	w.Catalog, w.Cap, w.Speed, w.Log = Catalog(d.Zones), o.Machines, o.Speed, o.Log
+	if len(o.Deployment.Zones) == 0 {
+		o.Deployment = Settings()
+	}
+	if len(o.Catalog.Types) == 0 {
+		o.Catalog = Catalog(o.Deployment.Zones)
+	}
+	if o.Faults != nil {
+		if err := o.Faults.fits(&o.Deployment); err != nil {
+			return err
+		}
+	}
+	c.startWorld(ctx, &o)
+	release, err := c.chooseAddresses(&o)
+	if err != nil {
+		return err
+	}
+	files, err := c.startAround(ctx, &o)
+	release() // as late as can be: a controller listens there next, and starts again if it finds a port taken
+	if err != nil {
+		return err
+	}
+	if err := c.startControllers(ctx, &o, files); err != nil {
+		return err
+	}
+	for i := range o.Up {
+		c.World.AddMachine(o.Deployment.Zones[i%len(o.Deployment.Zones)], true)
+	}
+	if o.Faults != nil {
+		c.all.Go(func() { o.Faults.play(ctx, c, o.Log) })
+	}
+	return nil
+}
+
+// startWorld makes the state service, the cloud and the workers' ports.
+func (c *Cluster) startWorld(ctx context.Context, o *Options) {
+	d := &o.Deployment
+	w := standin.NewWorld(ctx, &config.Settings{Deployment: *d}, o.Seed)
+	w.Catalog, w.Cap, w.Speed, w.Log, w.Delay = o.Catalog, o.Machines, o.Speed, o.Log, o.Delay
 	w.LateBoots, w.NeverBoots = lateBoots, neverBoots
 	w.Store.Limit(d.State.RPS, d.State.WriteRPS)
 	w.Store.MaxValue, w.Store.MaxOps = int(d.State.ValueKB*1024), d.State.TxnOps
 	w.LimitCloud(d.Cloud.RPS)
-	c.World, c.ports = w, w.ServeWorkers()
+	workerAddress := o.Addresses.Worker
+	if workerAddress == nil {
+		workerAddress = standin.AnyPort
+	}
+	c.World, c.ports = w, w.ServeWorkers(workerAddress)
+	if o.SharedTicker {
+		w.SharedTicker = true
+		c.all.Go(w.RunTicker)
+	}
+}
 
-	public, peer := make([]string, nodes), make([]string, nodes)
-	for i := range nodes {
-		for _, a := range []*string{&public[i], &peer[i]} {
+// chooseAddresses chooses where the controllers will listen. Ports that the system chose are held until release.
+func (c *Cluster) chooseAddresses(o *Options) (release func(), err error) {
+	n := o.Deployment.Nodes
+	c.public, c.Nodes = make([]string, n), make([]string, n)
+	var held []net.Listener
+	release = func() {
+		for _, ln := range held {
+			_ = ln.Close() // nobody was served
+		}
+	}
+	for i := range n {
+		if o.Addresses.Controller != nil {
+			c.public[i], c.Nodes[i] = o.Addresses.Controller(i)
+			continue
+		}
+		for _, address := range []*string{&c.public[i], &c.Nodes[i]} {
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
 			if err != nil {
-				return err
+				release()
+				return nil, err
 			}
-			*a = ln.Addr().String()
-			defer ln.Close() // kept until all ports are known; a controller listens there next
+			held = append(held, ln)
+			*address = ln.Addr().String()
 		}
 	}
+	return release, nil
+}
+
+// startAround starts what is around the controllers, and writes their settings files.
+func (c *Cluster) startAround(ctx context.Context, o *Options) (files []string, err error) {
 	front := standin.NewFront()
-	var files []string
-	for i := range nodes {
-		n := w.Connect(i, fmt.Sprintf("n%d", i+1), public[i])
-		front.AddNode(n, public[i])
-	}
-	for i := range nodes {
-		n := w.Node(i)
-		s := config.Settings{NodeName: n.Name, Zone: d.Zones[i], PublicAddr: public[i], PeerListen: peer[i], Deployment: d}
-		var err error
-		if s.External.State, err = c.serve(func(ln net.Listener) error { return standin.ServeState(w.Store.Open(n), ln) }); err != nil {
-			return err
-		}
-		if s.External.Cloud, err = c.serve(func(ln net.Listener) error { return w.ServeCloud(n, ln) }); err != nil {
-			return err
-		}
-		for k := range nodes {
-			if k == i {
-				continue
-			}
-			held := func() bool { return n.IsCut(standin.NoPeers) || w.Node(k).IsCut(standin.NoPeers) }
-			addr, err := c.serve(func(ln net.Listener) error { return standin.Relay(ln, peer[k], held) })
-			if err != nil {
-				return err
-			}
-			s.Known = append(s.Known, config.Peer{NodeName: w.Node(k).Name, Zone: d.Zones[k], Address: addr})
+	zones := o.Deployment.Zones
+	for i := range o.Deployment.Nodes {
+		n := c.World.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
+		front.AddNode(n, c.public[i])
+		c.Meters = append(c.Meters, &NodeMeters{})
+	}
+	for i := range o.Deployment.Nodes {
+		s, err := c.settings(i, o)
+		if err != nil {
+			return nil, err
 		}
 		raw, err := toml.Marshal(s)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		file := filepath.Join(o.Dir, n.Name+".toml")
+		file := filepath.Join(o.Dir, s.NodeName+".toml")
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
-			return err
+			return nil, err
 		}
 		files = append(files, file)
 	}
-	var err error
-	if c.Users, err = c.serve(front.Serve); err != nil {
-		return err
+	if c.Users, err = c.serve(&c.Front, front.Serve); err != nil {
+		return nil, err
 	}
-	if c.Uploads, err = c.serve(w.ServeUploads); err != nil {
-		return err
+	if c.Uploads, err = c.serve(nil, c.World.ServeUploads); err != nil {
+		return nil, err
 	}
-	c.Nodes = peer
 	front.Run(ctx)
-	for i := range nodes {
-		name := w.Node(i).Name
+	return files, nil
+}
+
+// settings starts what one controller calls, and returns its settings.
+func (c *Cluster) settings(i int, o *Options) (*config.Settings, error) {
+	w, n, meters := c.World, c.World.Node(i), c.Meters[i]
+	s := &config.Settings{NodeName: n.Name, Zone: n.Zone, PublicAddr: c.public[i], PeerListen: c.Nodes[i], Deployment: o.Deployment}
+	link := w.Store.Open(n)
+	meters.Requests = &link.Requests
+	var err error
+	if s.External.State, err = c.serve(&meters.State, func(ln net.Listener) error { return standin.ServeState(link, ln) }); err != nil {
+		return nil, err
+	}
+	if s.External.Cloud, err = c.serve(&meters.Cloud, func(ln net.Listener) error { return w.ServeCloud(n, ln) }); err != nil {
+		return nil, err
+	}
+	for k := range o.Deployment.Nodes {
+		if k == i {
+			continue
+		}
+		other := w.Node(k)
+		way := standin.Way{Meter: &meters.Peers, Held: func() bool {
+			return n.IsCut(standin.NoPeers) || other.IsCut(standin.NoPeers) || w.ZonesParted(n.Zone, other.Zone)
+		}}
+		if o.Delay != nil {
+			way.Delay = func() time.Duration { return o.Delay(n.Zone, other.Zone) }
+		}
+		address, err := c.serve(nil, func(ln net.Listener) error { return standin.Relay(ln, c.Nodes[k], way) })
+		if err != nil {
+			return nil, err
+		}
+		s.Known = append(s.Known, config.Peer{NodeName: other.Name, Zone: other.Zone, Address: address})
+	}
+	return s, nil
+}
+
+// startControllers starts the controllers' processes.
+func (c *Cluster) startControllers(ctx context.Context, o *Options, files []string) error {
+	for i, file := range files {
+		name := c.World.Node(i).Name
 		out, err := os.OpenFile(filepath.Join(o.Dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 		if err != nil {
 			return err
 		}
 		c.files = append(c.files, out)
-		p := &process{name: name, program: o.Program, args: []string{"--config", files[i]}, output: out, log: o.Log}
+		p := &process{name: name, program: o.Program, args: []string{"--config", file}, output: out, log: o.Log}
 		if o.Features != "" {
 			p.args = append(p.args, "--features", o.Features)
 		}
 		c.procs = append(c.procs, p)
 	}
-	// The ports are given back only now, as late as can be: see the deferred calls. The
-	// processes start a moment later and again if they find one taken.
 	for _, p := range c.procs {
 		c.all.Go(func() {
 			runtime.LockOSThread() // a process that ends with its parent does so with the thread that began it
-			if sleepUntil(ctx, time.Now().Add(50*time.Millisecond)) {
-				p.run(ctx)
-			}
+			p.run(ctx)
 		})
 	}
-	if o.Faults != nil {
-		c.all.Go(func() { o.Faults.play(ctx, c, o.Log) })
-	}
 	return nil
 }
 
-// serve serves on a loopback port until the cluster stops.
-func (c *Cluster) serve(f func(net.Listener) error) (string, error) {
+// serve serves on a loopback port until the cluster stops; what passes there is counted where there is a meter.
+func (c *Cluster) serve(meter *standin.Meter, f func(net.Listener) error) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
+	if meter != nil {
+		ln = meter.Listen(ln)
+	}
 	c.lns = append(c.lns, ln)
 	go func() { _ = f(ln) }() // ends with its listener
 	return ln.Addr().String(), nil
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -24,12 +24,13 @@
 type Fault struct {
 	AtS     float64  `toml:"at_s"`  // after the start
 	Kind    string   `toml:"kind"`  // see kinds
-	Node    string   `toml:"node"`  // n1, n2, n3 or all
+	Node    string   `toml:"node"`  // n1 to n9, or all
 	ForS    float64  `toml:"for_s"` // how long it lasts
 	From    []string `toml:"from"`  // of a cut: state, cloud, users, reports, peers; none: all of them
 	Part    float64  `toml:"part"`  // of the machines that can be met
 	NoticeS float64  `toml:"notice_s"`
-	Zone    string   `toml:"zone"` // only its machines
+	Zone    string   `toml:"zone"`  // only its machines; of zone_cut, the one that is cut off
+	Count   int      `toml:"count"` // machines that are next to one another by their names, in place of part
 }
 
 // cuts are what a node can be cut off from. Direct commands to workers are not among them:
@@ -38,7 +39,7 @@
 	"reports": standin.NoWorkers, "peers": standin.NoPeers}
 
 // What a fault of a kind needs.
-type needs struct{ node, lasts, machines bool }
+type needs struct{ node, lasts, machines, zone bool }
 
 var kinds = map[string]needs{
 	"crash":         {node: true},                  // the process is killed, and started again
@@ -47,6 +48,7 @@
 	"refuse":        {node: true, lasts: true},     // by the state service, alone
 	"outage":        {lasts: true},                 // of the state service
 	"cloud_outage":  {lasts: true},                 //
+	"zone_cut":      {lasts: true, zone: true},     // a zone is cut off from everything
 	"taken":         {machines: true},              // spot machines, by the cloud, with notice_s
 	"machine_dies":  {machines: true},              //
 	"machine_hangs": {machines: true, lasts: true}, //
@@ -68,7 +70,7 @@
 	return s, nil
 }
 
-// ParseSchedule reads and checks a schedule's text, and puts it in the order of time.
+// ParseSchedule reads and checks a schedule's text for the cluster of Settings, and puts it in the order of time.
 func ParseSchedule(raw []byte) (*Schedule, error) {
 	s := &Schedule{}
 	if err := config.Strict(raw, s); err != nil {
@@ -80,13 +82,17 @@
 			return nil, err
 		}
 	}
+	d := Settings()
+	if err := s.fits(&d); err != nil {
+		return nil, err
+	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtS, b.AtS) })
 	return s, nil
 }
 
 func (f *Fault) check(at string) error {
 	want, known := kinds[f.Kind]
-	if want.machines && f.Part == 0 {
+	if want.machines && f.Part == 0 && f.Count == 0 {
 		f.Part = 1
 	}
 	from := ""
@@ -103,12 +109,15 @@
 		{f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400"},
 		{!want.lasts || f.ForS > 0 && f.ForS <= 86400, "for_s", "seconds from above 0 to 86400"},
 		{want.lasts || f.ForS == 0, "for_s", "nothing: it does not last"},
-		{!want.node || nodeIndex(f.Node) != none, "node", "n1, n2, n3 or all"},
+		{!want.node || nodeIndex(f.Node) != none, "node", "n1 to n9, or all"},
 		{want.node || f.Node == "", "node", "nothing: it meets no node"},
 		{from == "" && (f.Kind == "cut" || len(f.From) == 0), "from", "for a cut any of state, cloud, users, reports, peers"},
-		{want.machines && f.Part > 0 && f.Part <= 1 || !want.machines && f.Part == 0, "part", "for machines a part from above 0 to 1"},
+		{f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more"},
+		{want.machines && f.Count > 0 && f.Part == 0 || want.machines && f.Part > 0 && f.Part <= 1 || !want.machines && f.Part == 0, "part",
+			"for machines a part from above 0 to 1, or a count"},
 		{f.NoticeS == 0 || f.Kind == "taken" && f.NoticeS > 0, "notice_s", "for machines that are taken seconds of 0 or more"},
-		{f.Zone == "" || want.machines, "zone", "for machines a zone's name"},
+		{f.Zone == "" || want.machines || want.zone, "zone", "for machines a zone's name"},
+		{f.Zone != "" || !want.zone, "zone", "the name of the zone that is cut off"},
 	} {
 		if !c.ok {
 			return &config.FieldError{Field: at + c.field, Expected: c.expected}
@@ -123,15 +132,29 @@
 )
 
 func nodeIndex(name string) int {
-	switch name {
-	case "all":
+	switch {
+	case name == "all":
 		return all
-	case "n1", "n2", "n3":
+	case len(name) == 2 && name[0] == 'n' && name[1] >= '1' && name[1] <= '9':
 		return int(name[1] - '1')
 	}
 	return none
 }
 
+// fits tells whether a deployment has the nodes and zones that a schedule names.
+func (s *Schedule) fits(d *config.Deployment) error {
+	for i := range s.Faults {
+		f := &s.Faults[i]
+		if nodeIndex(f.Node) >= d.Nodes {
+			return &config.FieldError{Field: fmt.Sprintf("fault[%d].node", i), Expected: fmt.Sprintf("one of %d nodes", d.Nodes)}
+		}
+		if f.Zone != "" && !slices.Contains(d.Zones, f.Zone) {
+			return &config.FieldError{Field: fmt.Sprintf("fault[%d].zone", i), Expected: "one of " + strings.Join(d.Zones, ", ")}
+		}
+	}
+	return nil
+}
+
 // play brings the troubles about, each at its time, until ctx ends.
 func (s *Schedule) play(ctx context.Context, c *Cluster, log *slog.Logger) {
 	began := time.Now()
@@ -171,7 +194,10 @@
 func (f *Fault) begin(c *Cluster) (end func()) {
 	nodes := []int{nodeIndex(f.Node)}
 	if f.Node == "all" {
-		nodes = []int{0, 1, 2}
+		nodes = nodes[:0]
+		for i := range c.procs {
+			nodes = append(nodes, i)
+		}
 	}
 	each := func(do func(i int)) {
 		for _, i := range nodes {
@@ -204,13 +230,11 @@
 	case "cloud_outage":
 		w.SetCloudDown(true)
 		return func() { w.SetCloudDown(false) }
+	case "zone_cut":
+		w.CutZone(f.Zone)
+		return func() { w.CutZone("") }
 	}
-	var met []*standin.Machine
-	for _, m := range w.Machines() {
-		if (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != "taken" || m.Spot) && w.Rand.Float64() < f.Part {
-			met = append(met, m)
-		}
-	}
+	met := f.meets(w)
 	on := func(change func(bool) func(*standin.Machine)) func() {
 		for _, m := range met {
 			w.Set(m, change(true))
@@ -239,3 +263,18 @@
 	}
 	return nil
 }
+
+// meets chooses the machines that a trouble meets.
+func (f *Fault) meets(w *standin.World) []*standin.Machine {
+	var may []*standin.Machine
+	for _, m := range w.Machines() {
+		if (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != "taken" || m.Spot) {
+			may = append(may, m)
+		}
+	}
+	if f.Count > 0 {
+		from := w.Rand.IntN(max(1, len(may)-f.Count+1))
+		return may[from:min(len(may), from+f.Count)]
+	}
+	return slices.DeleteFunc(may, func(*standin.Machine) bool { return w.Rand.Float64() >= f.Part })
+}
--- a/internal/standin/front.go
+++ b/internal/standin/front.go
@@ -177,7 +177,7 @@
 		b.refused = 0
 		b.conns[c] = true
 		f.mu.Unlock()
-		splice(c, to, func() bool { return b.node.cut(NoUsers) })
+		splice(c, to, Way{Held: func() bool { return b.node.cut(NoUsers) }})
 		f.mu.Lock()
 		delete(b.conns, c)
 		f.mu.Unlock()
@@ -185,9 +185,15 @@
 	}
 }
 
-// splice passes on what both sides send until either ends. While held tells so, bytes are
-// held back, and go out in order afterwards.
-func splice(a, b net.Conn, held func() bool) {
+// Way is what lies between two ends of connections.
+type Way struct {
+	Held  func() bool          // whether bytes are held back now; they go out in order afterwards
+	Delay func() time.Duration // how long a piece of bytes takes; nil: no time
+	Meter *Meter               // nil: nothing is counted
+}
+
+// splice passes on what both sides send until either ends.
+func splice(a, b net.Conn, way Way) {
 	var wg sync.WaitGroup
 	pass := func(to, from net.Conn) {
 		defer wg.Done()
@@ -196,7 +202,10 @@
 		buf := make([]byte, 16<<10)
 		for {
 			n, err := from.Read(buf)
-			for held() {
+			if way.Delay != nil {
+				time.Sleep(way.Delay())
+			}
+			for way.Held() {
 				time.Sleep(50 * time.Millisecond)
 			}
 			if n > 0 {
@@ -216,7 +225,7 @@
 }
 
 // Relay passes connections between two nodes on, so that the way between them can be cut.
-func Relay(ln net.Listener, to string, held func() bool) error {
+func Relay(ln net.Listener, to string, way Way) error {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -224,12 +233,17 @@
 		}
 		go func() {
 			defer c.Close()
-			if held() {
+			if way.Held() {
+				return
+			}
+			t, err := net.DialTimeout("tcp4", to, time.Second)
+			if err != nil {
 				return
 			}
-			if t, err := net.DialTimeout("tcp4", to, time.Second); err == nil {
-				splice(c, t, held)
+			if way.Meter != nil {
+				t = way.Meter.Conn(t)
 			}
+			splice(c, t, way)
 		}()
 	}
 }
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -70,6 +70,10 @@
 // ends with the listener.
 func ServeState(l *StoreLink, ln net.Listener) error {
 	app := newApp()
+	app.Use(func(c *fiber.Ctx) error {
+		l.Requests.note(c.Path())
+		return c.Next()
+	})
 	app.Get("/store", func(c *fiber.Ctx) error {
 		limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListed)))
 		if err != nil || limit < 1 || limit > maxListed {
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -21,6 +21,8 @@
 	// After, if set, is called once a transaction is applied, before the caller
 	// learns of it.
 	After func(protocol.Txn)
+	// Requests counts what came over HTTP.
+	Requests StateRequests
 }
 
 // maxPageBytes is about how much one page of a read holds.
--- /dev/null
+++ b/internal/standin/meter.go
@@ -0,0 +1,72 @@
+package standin
+
+import (
+	"net"
+	"strings"
+	"sync/atomic"
+)
+
+// Meter counts what passes over connections of one kind, in bytes of TCP payload: with HTTP's headers, without those of
+// TCP and IP.
+type Meter struct {
+	In, Out  atomic.Int64 // bytes read and written by this process
+	Opened   atomic.Int64 // connections
+	Messages atomic.Int64 // requests, where whoever serves them counts
+}
+
+// Listen meters the connections that a listener accepts.
+func (m *Meter) Listen(ln net.Listener) net.Listener { return &meteredListener{ln, m} }
+
+// Conn meters one connection.
+func (m *Meter) Conn(c net.Conn) net.Conn {
+	m.Opened.Add(1)
+	return &meteredConn{c, m}
+}
+
+type meteredListener struct {
+	net.Listener
+	meter *Meter
+}
+
+func (l *meteredListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return l.meter.Conn(c), nil
+}
+
+type meteredConn struct {
+	net.Conn
+	meter *Meter
+}
+
+func (c *meteredConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.meter.In.Add(int64(n))
+	return n, err
+}
+
+func (c *meteredConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.meter.Out.Add(int64(n))
+	return n, err
+}
+
+// StateRequests counts a node's requests to the state service, by kind.
+type StateRequests struct {
+	Reads, Transactions, Leases, Follows atomic.Int64
+}
+
+func (r *StateRequests) note(path string) {
+	switch {
+	case strings.HasPrefix(path, "/store"):
+		r.Reads.Add(1)
+	case strings.HasPrefix(path, "/txn"):
+		r.Transactions.Add(1)
+	case strings.HasPrefix(path, "/holds"):
+		r.Leases.Add(1)
+	case strings.HasPrefix(path, "/follow"):
+		r.Follows.Add(1)
+	}
+}
--- /dev/null
+++ b/internal/standin/records.go
@@ -0,0 +1,115 @@
+package standin
+
+import (
+	"strings"
+
+	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/protocol"
+)
+
+// placement is where the records say that a task is.
+type placement struct {
+	rack    int
+	machine string
+}
+
+// recordCheck holds every transaction against what the records must never say: a task in two machines' records, an
+// attempt that comes again, a machine in two fleet records. What it costs goes by what a transaction changes.
+type recordCheck struct {
+	world    *World
+	placed   map[string]placement // by task
+	racks    map[int][]string     // by rack: its tasks
+	fleets   map[string][]string  // by fleet record: the machines that it lists
+	listedIn map[string]string    // by machine: the fleet record that lists it
+	used     attempts
+}
+
+func newRecordCheck(w *World) *recordCheck {
+	return &recordCheck{world: w, placed: map[string]placement{}, racks: map[int][]string{}, fleets: map[string][]string{}, listedIn: map[string]string{}}
+}
+
+// note checks a transaction that was applied.
+func (c *recordCheck) note(t protocol.Txn) {
+	c.world.mu.Lock()
+	defer c.world.mu.Unlock()
+	for _, reused := range c.used.note(t) {
+		c.world.fault("%s", reused)
+	}
+	for _, change := range t.Then {
+		if change.Put == bookkeeping.LeaderKey {
+			c.world.newLeader(change.Value)
+		}
+		c.noteFleet(change)
+	}
+	c.noteRacks(t)
+}
+
+func (c *recordCheck) noteFleet(change protocol.Change) {
+	c.forgetFleet(change.Delete)
+	if !strings.HasPrefix(change.Put, bookkeeping.FleetKey("")) {
+		return
+	}
+	f, err := bookkeeping.DecodeFleet(change.Value)
+	if err != nil {
+		c.world.fault("record %s cannot be read", change.Put)
+	}
+	c.forgetFleet(change.Put)
+	for _, m := range f.Machines {
+		if other, twice := c.listedIn[m.Name]; twice {
+			c.world.fault("records: machine %s is in %s and %s", m.Name, other, change.Put)
+		}
+		c.listedIn[m.Name] = change.Put
+		c.fleets[change.Put] = append(c.fleets[change.Put], m.Name)
+	}
+}
+
+func (c *recordCheck) forgetFleet(key string) {
+	for _, name := range c.fleets[key] {
+		if c.listedIn[name] == key {
+			delete(c.listedIn, name)
+		}
+	}
+	delete(c.fleets, key)
+}
+
+// noteRacks takes the racks that a transaction writes as one change: tasks may go from one to another.
+func (c *recordCheck) noteRacks(t protocol.Txn) {
+	written := map[int]bookkeeping.RackRecord{}
+	for _, change := range t.Then {
+		rack, ok := bookkeeping.RackOf(change.Put)
+		if !ok {
+			continue
+		}
+		r, err := bookkeeping.DecodeRack(change.Value)
+		if err != nil {
+			c.world.fault("record %s cannot be read", change.Put)
+		}
+		written[rack] = r
+	}
+	for rack := range written {
+		for _, name := range c.racks[rack] {
+			if c.placed[name].rack == rack {
+				delete(c.placed, name)
+			}
+		}
+		c.racks[rack] = c.racks[rack][:0]
+	}
+	for rack, r := range written {
+		c.place(rack, r)
+	}
+}
+
+func (c *recordCheck) place(rack int, r bookkeeping.RackRecord) {
+	for _, m := range r.Machines {
+		for _, p := range m.Tasks {
+			for i := 0; i+3 < len(p.Numbers); i += 4 {
+				name := protocol.TaskName(p.Job, int(p.Numbers[i]))
+				if other, twice := c.placed[name]; twice {
+					c.world.fault("records: %s is on %s and %s", name, other.machine, m.Name)
+				}
+				c.placed[name] = placement{rack, m.Name}
+				c.racks[rack] = append(c.racks[rack], name)
+			}
+		}
+	}
+}
--- a/internal/standin/remote.go
+++ b/internal/standin/remote.go
@@ -21,28 +21,16 @@
 // four seconds after which it drops it.
 const beatWithin = 3900 * time.Millisecond
 
-// Connect makes node i one that runs elsewhere and listens at an address.
-func (w *World) Connect(i int, name, public string) *Node {
-	client := &fasthttp.Client{MaxConnsPerHost: 4096, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-		Dial: func(a string) (net.Conn, error) { return net.DialTimeout("tcp4", a, time.Second) }}
-	n := &Node{Name: name, world: w, stop: func() {}}
+// Connect makes node i one that runs elsewhere, in a zone, and listens at an address.
+func (w *World) Connect(i int, name, zone, public string) *Node {
+	n := &Node{Name: name, Zone: zone, world: w, stop: func() {}}
+	callers := &workerClients{address: public, meter: &n.Reports, byName: map[string]*fasthttp.HostClient{}}
 	n.beat = func(_ context.Context, r *protocol.Report, reply func(int, any)) {
 		go func() {
-			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-			defer fasthttp.ReleaseRequest(req)
-			defer fasthttp.ReleaseResponse(resp)
-			raw, err := json.Marshal(r)
-			if err != nil {
-				return // a report holds only finite numbers and strings
-			}
-			req.Header.SetMethod(fiber.MethodPost)
-			req.SetRequestURI("http://" + public + "/agent/beat")
-			req.SetBodyRaw(raw)
-			if err := client.DoTimeout(req, resp, beatWithin); err != nil {
-				reply(0, nil)
-				return
-			}
-			reply(resp.StatusCode(), json.RawMessage(append([]byte(nil), resp.Body()...)))
+			w.travel(r.Zone, zone)
+			status, body := callers.report(r)
+			w.travel(zone, r.Zone)
+			reply(status, body)
 		}()
 	}
 	w.mu.Lock()
@@ -54,18 +42,86 @@
 	return n
 }
 
-// WorkerPorts are the loopback ports at which the world's workers take direct commands.
+// travel waits for as long as a message takes between two zones.
+func (w *World) travel(from, to string) {
+	if w.Delay != nil {
+		time.Sleep(w.Delay(from, to))
+	}
+}
+
+// ZonesParted tells whether a cut is between two zones.
+func (w *World) ZonesParted(a, b string) bool { return a != b && (w.cutOff(a) || w.cutOff(b)) }
+
+// Limits of a worker's way to a node.
+const (
+	workerConns    = 2                // a worker has one report in flight; a second connection while the first is given up
+	workerIdle     = 10 * time.Second // a connection that is not used for as long is closed: the worker reports elsewhere
+	workerConnects = time.Second
+)
+
+// workerClients are the workers' connections to one node: each worker has its own, as real ones do.
+type workerClients struct {
+	address string
+	meter   *Meter
+	mu      sync.Mutex
+	byName  map[string]*fasthttp.HostClient
+}
+
+func (c *workerClients) client(worker string) *fasthttp.HostClient {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h := c.byName[worker]
+	if h == nil {
+		h = &fasthttp.HostClient{Addr: c.address, MaxConns: workerConns, MaxIdleConnDuration: workerIdle, MaxIdemponentCallAttempts: 1,
+			NoDefaultUserAgentHeader: true, Dial: c.dial}
+		c.byName[worker] = h
+	}
+	return h
+}
+
+func (c *workerClients) dial(address string) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp4", address, workerConnects)
+	if err != nil {
+		return nil, err
+	}
+	return c.meter.Conn(conn), nil
+}
+
+// report sends a report and returns the answer; status 0: none came.
+func (c *workerClients) report(r *protocol.Report) (int, any) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	raw, err := json.Marshal(r)
+	if err != nil {
+		return 0, nil // a report holds only finite numbers and strings
+	}
+	c.meter.Messages.Add(1)
+	req.Header.SetMethod(fiber.MethodPost)
+	req.SetRequestURI("http://" + c.address + "/agent/beat")
+	req.SetBodyRaw(raw)
+	if err := c.client(r.Machine).DoTimeout(req, resp, beatWithin); err != nil {
+		return 0, nil
+	}
+	return resp.StatusCode(), json.RawMessage(append([]byte(nil), resp.Body()...))
+}
+
+// WorkerPorts are the loopback addresses at which the world's workers take direct commands.
 type WorkerPorts struct {
-	w      *World
-	server *fasthttp.Server
-	mu     sync.Mutex
-	at     map[string]*Machine
+	w       *World
+	address func(number int) string
+	server  *fasthttp.Server
+	mu      sync.Mutex
+	at      map[string]*Machine
 }
 
-// ServeWorkers lets every machine that comes from now on listen on a loopback port of its
-// own. Call Close when the world is over.
-func (w *World) ServeWorkers() *WorkerPorts {
-	p := &WorkerPorts{w: w, at: map[string]*Machine{}}
+// AnyPort lets the system choose each worker's port.
+func AnyPort(int) string { return "127.0.0.1:0" }
+
+// ServeWorkers lets every machine that comes from now on listen at a loopback address of its own, which goes by the
+// machine's number. Call Close when the world is over.
+func (w *World) ServeWorkers(address func(number int) string) *WorkerPorts {
+	p := &WorkerPorts{w: w, address: address, at: map[string]*Machine{}}
 	app := newApp()
 	app.Post("/commands", func(c *fiber.Ctx) error {
 		var in struct {
@@ -77,10 +133,12 @@
 		if err := json.Unmarshal(c.Body(), &in); err != nil || in.Token == nil || in.Session == nil {
 			return malformed(c, "helm or watch is missing")
 		}
+		w.Commands.Messages.Add(1)
 		m := p.machine(c)
 		if !w.reachable(m, true) {
 			return silent(c)
 		}
+		w.travel("", m.Zone) // which zone's node has sent it can't be told
 		w.mu.Lock()
 		r, status := w.obey(m, protocol.DirectCommands{Token: *in.Token, Session: *in.Session, Commands: in.Commands})
 		w.mu.Unlock()
@@ -101,7 +159,7 @@
 }
 
 func (p *WorkerPorts) listen(m *Machine) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	ln, err := net.Listen("tcp4", p.address(p.w.names))
 	if err != nil {
 		p.w.Log.Error("no port for a worker", "machine", m.Name, "err", err)
 		return "127.0.0.1:1" // nobody listens there: it is reached through its reports only
@@ -111,7 +169,7 @@
 	defer p.mu.Unlock()
 	p.at[ln.Addr().String()] = m
 	go func() {
-		if err := p.server.Serve(ln); err != nil && !errors.Is(err, net.ErrClosed) {
+		if err := p.server.Serve(p.w.Commands.Listen(ln)); err != nil && !errors.Is(err, net.ErrClosed) {
 			p.w.Log.Error("a worker's port ended", "machine", m.Name, "err", err)
 		}
 	}()
@@ -141,12 +199,13 @@
 	}
 }
 
-// reachable tells whether a machine answers now. One that hangs carries commands out once it
+// reachable tells whether a machine answers now. In a zone that is cut off none does, not even to a node inside: a port
+// can't tell which node speaks. One that hangs carries commands out once it
 // goes on, when nobody waits for the answer any more.
 func (w *World) reachable(m *Machine, waits bool) bool {
 	for w.ctx.Err() == nil && m != nil {
 		w.mu.Lock()
-		up, hang, cut := m.up && !m.gone, m.hang, m.cut
+		up, hang, cut := m.up && !m.gone, m.hang, m.cut || w.apart != "" && m.Zone == w.apart
 		w.mu.Unlock()
 		switch {
 		case !up || cut:
@@ -178,7 +237,7 @@
 		return errors.New("field run_s is out of range")
 	}
 	j := &Job{ID: sub.ID, Team: sub.Team, Tasks: sub.Tasks, Run: seconds(u.RunS), Cpus: sub.Cpus, Spot: sub.Spot, Broken: u.Fails,
-		done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{}}
+		done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{}, At: time.Now()}
 	if err := json.Unmarshal(u.Spec, &j.Spec); err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/standin/rules.go
@@ -0,0 +1,120 @@
+package standin
+
+import (
+	"time"
+
+	"dykeledge/internal/protocol"
+)
+
+// This file checks the protocol's rules about starting a task, against what really runs.
+
+// usageSlack is by how many CPUs a team's usage may differ from its limit, for rounding.
+const usageSlack = 1e-6
+
+// occupy notes that a job's task runs on a machine, and what its team uses. The world is locked.
+func (w *World) occupy(m *Machine, t *task) {
+	if t.job.on[t.index] == nil {
+		w.used[t.job.Team] += t.job.Cpus
+	}
+	t.job.on[t.index] = m
+}
+
+// leave notes that a task does not run on a machine any more. The world is locked.
+func (w *World) leave(m *Machine, t *task) {
+	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.Exited && t.state != protocol.Fetching {
+		delete(t.job.on, t.index)
+		w.used[t.job.Team] -= t.job.Cpus
+	}
+}
+
+// start notes a task that starts, and every rule that is broken by it. The world is locked.
+func (w *World) start(m *Machine, t *task) {
+	w.Started++
+	j := t.job
+	if o := j.on[t.index]; o != nil && o != m {
+		w.fault("ran_twice: %s/%d on %s and %s", j.ID, t.index, o.Name, m.Name)
+	}
+	w.occupy(m, t)
+	w.checkAwaited(t)
+	w.checkPlace(m, t)
+	w.checkCancelled(t)
+	w.checkAttempt(t)
+	w.checkQuota(j)
+}
+
+func (w *World) checkAwaited(t *task) {
+	for _, o := range t.job.awaits {
+		if len(o.done) < o.Tasks || o.told == protocol.Cancelled {
+			w.fault("too_early: %s/%d starts before %s is done", t.job.ID, t.index, o.ID)
+		}
+	}
+}
+
+func (w *World) checkPlace(m *Machine, t *task) {
+	j := t.job
+	if m.Spot && !j.Spot {
+		w.fault("wrong_place: %s/%d on a spot machine", j.ID, t.index)
+	}
+	if z := j.Spec["berth"]; z != nil && z != m.Zone {
+		w.fault("wrong_place: %s/%d in zone %s", j.ID, t.index, m.Zone)
+	}
+	together, scatter := j.Spec["together"] == true, j.Spec["scatter"] == true
+	if !together && !scatter {
+		return
+	}
+	inZone, total := 0, 0
+	for i, o := range j.on {
+		if i == t.index {
+			continue
+		}
+		total++
+		if o.Zone == m.Zone {
+			inZone++
+		}
+	}
+	if together && inZone != total {
+		w.fault("wrong_place: %s/%d is apart from its job", j.ID, t.index)
+	}
+	if scatter && inZone+1 > (j.Tasks+1)/2 {
+		w.fault("wrong_place: %s has too many tasks in %s", j.ID, m.Zone)
+	}
+}
+
+func (w *World) checkCancelled(t *task) {
+	j := t.job
+	if !j.cancelled.IsZero() && time.Since(j.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS) {
+		w.fault("ran_cancelled: %s/%d starts", j.ID, t.index)
+	}
+	if !j.cancelled.IsZero() {
+		w.StartsAfterCancel++
+	}
+	if j.done[t.index] {
+		w.RanAgain++
+	}
+}
+
+// checkAttempt finds an attempt that begins twice: a worker that has cleared an attempt starts it again if its
+// launch is repeated, or comes late.
+func (w *World) checkAttempt(t *task) {
+	j := t.job
+	if j.began == nil {
+		j.began = map[[2]uint64]bool{}
+	}
+	key := [2]uint64{uint64(t.index), t.attempt}
+	if j.began[key] {
+		w.fault("began again: %s/%d, attempt %d", j.ID, t.index, t.attempt)
+		return
+	}
+	j.began[key] = true
+}
+
+// checkQuota compares what a job's team uses with its limit. The usage is kept up to date as tasks come and go: adding it
+// up at every start costs as much as there are jobs.
+func (w *World) checkQuota(j *Job) {
+	used := w.used[j.Team]
+	for _, team := range w.Cfg.Deployment.Teams {
+		if team.Name == j.Team && team.CpusMax > 0 && used > team.CpusMax+usageSlack {
+			w.fault("quota: %s uses %.1f of %.1f", j.Team, used, team.CpusMax)
+		}
+	}
+}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -115,6 +115,17 @@
 	s.rates = [2]bucket{{rate: rps, burst: rps}, {rate: writes, burst: writes}}
 }
 
+// Size is how many keys the store holds, and the bytes of keys and values.
+func (s *Store) Size() (keys, bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.keys.Scan(func(k string, e entry) bool {
+		bytes += len(k) + len(e.value)
+		return true
+	})
+	return s.keys.Len(), bytes
+}
+
 // over counts a request; called with the lock held.
 func (s *Store) over() bool {
 	s.Requests++
--- /dev/null
+++ b/internal/standin/tasks.go
@@ -0,0 +1,122 @@
+package standin
+
+import (
+	"time"
+
+	"dykeledge/internal/protocol"
+)
+
+// This file runs the tasks on the world's machines.
+
+// tickEvery is how often a machine looks at its tasks.
+const tickEvery = 100 * time.Millisecond
+
+// tasksLoop runs what is on one machine, until the machine is gone.
+func (w *World) tasksLoop(m *Machine) {
+	for w.ctx.Err() == nil {
+		time.Sleep(tickEvery)
+		w.mu.Lock()
+		if !m.gone {
+			w.advance(m, time.Now())
+		}
+		gone := m.gone
+		w.mu.Unlock()
+		if gone {
+			return
+		}
+	}
+}
+
+// RunTicker runs what is on all machines, until the world ends. It is for worlds with SharedTicker: a goroutine and a
+// timer a machine take most of a core at some thousand machines.
+func (w *World) RunTicker() {
+	for w.ctx.Err() == nil {
+		time.Sleep(tickEvery)
+		w.mu.Lock()
+		now := time.Now()
+		for _, m := range w.machines {
+			if m.up && !m.gone {
+				w.advance(m, now)
+			}
+		}
+		w.mu.Unlock()
+	}
+}
+
+// advance brings a machine's tasks up to now. The world is locked.
+func (w *World) advance(m *Machine, now time.Time) {
+	if !m.notice.IsZero() && now.After(m.notice) {
+		w.remove(m)
+		w.charge(m)
+		return
+	}
+	w.checkGone(m, now)
+	if m.hang {
+		return
+	}
+	if now.Sub(m.leaseFrom) > seconds(w.Cfg.Deployment.Workers.LeaseS) {
+		w.expireLease(m, now)
+	}
+	for _, t := range m.tasks {
+		if t.state != protocol.Exited && !now.Before(t.ends) {
+			w.advanceTask(m, t, now)
+			m.wake()
+		}
+	}
+}
+
+// checkGone finds tasks of cancelled jobs that are on a machine for too long.
+func (w *World) checkGone(m *Machine, now time.Time) {
+	for _, t := range m.tasks {
+		if t.job != nil && t.state != protocol.Exited && !t.job.cancelled.IsZero() &&
+			now.Sub(t.job.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS)+time.Second {
+			w.fault("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
+			t.job.cancelled = now
+		}
+	}
+}
+
+// expireLease has a worker kill and forget all its tasks, and begin its next session.
+func (w *World) expireLease(m *Machine, now time.Time) {
+	for _, t := range m.tasks {
+		w.leave(m, t)
+		w.LeaseKills++
+	}
+	m.tasks, m.session, m.leaseFrom = nil, m.session+1, now
+	m.wake()
+}
+
+// advanceTask takes a task whose present state is over to the next one.
+func (w *World) advanceTask(m *Machine, t *task, now time.Time) {
+	switch t.state {
+	case protocol.Fetching:
+		t.state, t.began = protocol.Runs, now
+		t.ends = now.Add(w.fast(t.job.run(t.index) - t.job.saved[t.index]))
+		switch {
+		case t.job.done[t.index]:
+			t.ends = now // its result is kept
+		case t.job.Spec["shape"] == "daemon":
+			t.ends = now.Add(1000 * time.Hour)
+		}
+		w.start(m, t)
+		if m.sick || t.job.Broken {
+			t.ends = now.Add(300 * time.Millisecond)
+		}
+	case protocol.Runs:
+		w.leave(m, t)
+		t.state, t.cause = protocol.Exited, protocol.CauseDone
+		if m.sick || t.job.Broken {
+			t.cause = protocol.CauseError
+			return
+		}
+		t.job.done[t.index] = true
+		t.job.lastDone = now
+		if w.AtEnd != nil && len(t.job.done) == t.job.Tasks {
+			go w.AtEnd(t.job)
+		}
+	case protocol.Saving:
+		w.leave(m, t)
+		t.state, t.cause, t.saved = protocol.Exited, protocol.CauseStopped, true
+		t.job.save(t, now.Sub(t.began)-w.fast(seconds(t.job.spec("markCostS"))), w.speed())
+	}
+}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -57,7 +57,9 @@
 		}
 		m.up, m.session, m.leaseFrom = true, 1, time.Now()
 		w.mu.Unlock()
-		go w.tasksLoop(m)
+		if !w.SharedTicker {
+			go w.tasksLoop(m)
+		}
 		w.reportLoop(m)
 	}()
 }
@@ -100,154 +102,6 @@
 	return func(m *Machine) { m.notice = time.Now().Add(d) }
 }
 
-func (w *World) leave(m *Machine, t *task) {
-	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.Exited && t.state != protocol.Fetching {
-		delete(t.job.on, t.index)
-	}
-}
-
-// start checks every rule about starting a task.
-func (w *World) start(m *Machine, t *task) {
-	w.Started++
-	j := t.job
-	if o := j.on[t.index]; o != nil && o != m {
-		w.fault("ran_twice: %s/%d on %s and %s", j.ID, t.index, o.Name, m.Name)
-	}
-	j.on[t.index] = m
-	for _, o := range j.awaits {
-		if len(o.done) < o.Tasks || o.told == protocol.Cancelled {
-			w.fault("too_early: %s/%d starts before %s is done", j.ID, t.index, o.ID)
-		}
-	}
-	if m.Spot && !j.Spot {
-		w.fault("wrong_place: %s/%d on a spot machine", j.ID, t.index)
-	}
-	if z := j.Spec["berth"]; z != nil && z != m.Zone {
-		w.fault("wrong_place: %s/%d in zone %s", j.ID, t.index, m.Zone)
-	}
-	inZone, total := 0, 0
-	for i, o := range j.on {
-		if i == t.index {
-			continue
-		}
-		total++
-		if o.Zone == m.Zone {
-			inZone++
-		}
-	}
-	if j.Spec["together"] == true && inZone != total {
-		w.fault("wrong_place: %s/%d is apart from its job", j.ID, t.index)
-	}
-	if j.Spec["scatter"] == true && inZone+1 > (j.Tasks+1)/2 {
-		w.fault("wrong_place: %s has too many tasks in %s", j.ID, m.Zone)
-	}
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS) {
-		w.fault("ran_cancelled: %s/%d starts", j.ID, t.index)
-	}
-	if !j.cancelled.IsZero() {
-		w.StartsAfterCancel++
-	}
-	if j.done[t.index] {
-		w.RanAgain++
-	}
-	// A worker that has cleared an attempt starts it again if its launch is repeated, or comes late.
-	if j.began == nil {
-		j.began = map[[2]uint64]bool{}
-	}
-	if key := [2]uint64{uint64(t.index), t.attempt}; j.began[key] {
-		w.fault("began again: %s/%d, attempt %d", j.ID, t.index, t.attempt)
-	} else {
-		j.began[key] = true
-	}
-	used := 0.0
-	for _, o := range w.jobs {
-		if o.Team == j.Team {
-			used += float64(len(o.on)) * o.Cpus
-		}
-	}
-	for _, team := range w.Cfg.Deployment.Teams {
-		if team.Name == j.Team && team.CpusMax > 0 && used > team.CpusMax+1e-6 {
-			w.fault("quota: %s uses %.1f of %.1f", j.Team, used, team.CpusMax)
-		}
-	}
-}
-
-// tasksLoop runs what is on a machine.
-func (w *World) tasksLoop(m *Machine) {
-	for w.ctx.Err() == nil {
-		time.Sleep(100 * time.Millisecond)
-		w.mu.Lock()
-		if m.gone {
-			w.mu.Unlock()
-			return
-		}
-		now := time.Now()
-		if !m.notice.IsZero() && now.After(m.notice) {
-			w.remove(m)
-			w.charge(m)
-			w.mu.Unlock()
-			return
-		}
-		for _, t := range m.tasks {
-			if t.job != nil && t.state != protocol.Exited && !t.job.cancelled.IsZero() &&
-				now.Sub(t.job.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS)+time.Second {
-				w.fault("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
-				t.job.cancelled = now
-			}
-		}
-		if m.hang {
-			w.mu.Unlock()
-			continue
-		}
-		if now.Sub(m.leaseFrom) > seconds(w.Cfg.Deployment.Workers.LeaseS) {
-			for _, t := range m.tasks {
-				w.leave(m, t)
-				w.LeaseKills++
-			}
-			m.tasks, m.session, m.leaseFrom = nil, m.session+1, now
-			m.wake()
-		}
-		for _, t := range m.tasks {
-			if t.state == protocol.Exited || now.Before(t.ends) {
-				continue
-			}
-			switch t.state {
-			case protocol.Fetching:
-				t.state, t.began = protocol.Runs, now
-				t.ends = now.Add(w.fast(t.job.run(t.index) - t.job.saved[t.index]))
-				switch {
-				case t.job.done[t.index]:
-					t.ends = now // its result is kept
-				case t.job.Spec["shape"] == "daemon":
-					t.ends = now.Add(1000 * time.Hour)
-				}
-				w.start(m, t)
-				if m.sick || t.job.Broken {
-					t.ends = now.Add(300 * time.Millisecond)
-				}
-			case protocol.Runs:
-				w.leave(m, t)
-				t.state, t.cause = protocol.Exited, protocol.CauseDone
-				if m.sick || t.job.Broken {
-					t.cause = protocol.CauseError
-				} else {
-					t.job.done[t.index] = true
-					t.job.lastDone = now
-					if w.AtEnd != nil && len(t.job.done) == t.job.Tasks {
-						go w.AtEnd(t.job)
-					}
-				}
-			case protocol.Saving:
-				w.leave(m, t)
-				t.state, t.cause, t.saved = protocol.Exited, protocol.CauseStopped, true
-				t.job.save(t, now.Sub(t.began)-w.fast(seconds(t.job.spec("markCostS"))), w.speed())
-			}
-			m.wake()
-		}
-		w.mu.Unlock()
-	}
-}
-
 func (m *Machine) wake() {
 	select {
 	case m.poke <- struct{}{}:
@@ -302,6 +156,9 @@
 			}
 			if t.state == protocol.Fetching {
 				t.ends = w.fetch(m, j)
+				if w.Launched != nil {
+					w.Launched(j, index)
+				}
 			}
 			m.tasks = append(m.tasks, t)
 			m.wake()
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -32,6 +32,9 @@
 	gone  atomic.Bool
 	cuts  atomic.Uint32
 	still atomic.Int64 // stands still until then
+
+	// Reports meters the workers' connections to a node that speaks HTTP.
+	Reports Meter
 }
 
 // Cuts are what a node is cut off from.
@@ -238,87 +241,28 @@
 	Speed float64
 	// Listen, if set, tells the address at which a new machine's worker will listen.
 	Listen func(m *Machine) string
+	// SharedTicker has one goroutine, RunTicker, run the tasks of all machines.
+	SharedTicker bool
+	// Launched, if set, is called for each launch that a worker takes up, with the world locked.
+	Launched func(j *Job, index int)
+	// Delay, if set, is how long a message takes between two zones of nodes and workers that speak HTTP.
+	Delay    func(from, to string) time.Duration
+	Commands Meter              // the workers' ports
+	used     map[string]float64 // by team: the CPUs of its running tasks
 }
 
 // NewWorld plays a deployment until ctx ends.
 func NewWorld(ctx context.Context, cfg *config.Settings, seed uint64) *World {
 	w := &World{T0: time.Now(), Cfg: cfg, Store: NewStore(), Rand: &Dice{r: rand.New(rand.NewPCG(seed, 7))},
 		machines: map[string]*Machine{}, jobs: map[string]*Job{}, charters: map[string][]string{}, AnswersLost: map[string]int{}, Cap: 6, ctx: ctx,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		used: map[string]float64{},
+		Log:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Catalog: protocol.Catalog{Types: []protocol.MachineType{{Name: "t16", Cpus: 16, MemGB: 64, CacheGB: 30, FetchGBs: 0.5,
 			Price: 1, SpotPrice: 0.3, BootS: 10, Zones: cfg.Deployment.Zones}}}}
-	w.Store.Check = w.checkRecords()
+	w.Store.Check = newRecordCheck(w).note
 	return w
 }
 
-// checkRecords makes a check that no task is ever in two machines' records, no attempt
-// comes again, and no machine is in two fleet records.
-func (w *World) checkRecords() func(protocol.Txn) {
-	placed := map[int]map[string]string{} // by rack: machine by task
-	fleets := map[string][]string{}       // by record: the machines that it lists now
-	var used attempts
-	return func(t protocol.Txn) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for _, reused := range used.note(t) {
-			w.fault("%s", reused)
-		}
-		var changed []int
-		for _, c := range t.Then {
-			if c.Put == bookkeeping.LeaderKey {
-				w.newLeader(c.Value)
-			}
-			delete(fleets, c.Delete)
-			if strings.HasPrefix(c.Put, bookkeeping.FleetKey("")) {
-				f, err := bookkeeping.DecodeFleet(c.Value)
-				if err != nil {
-					w.fault("record %s cannot be read", c.Put)
-				}
-				fleets[c.Put] = nil
-				for _, m := range f.Machines {
-					for k, listed := range fleets {
-						if slices.Contains(listed, m.Name) {
-							w.fault("records: machine %s is in %s and %s", m.Name, k, c.Put)
-						}
-					}
-					fleets[c.Put] = append(fleets[c.Put], m.Name)
-				}
-			}
-			rack, ok := bookkeeping.RackOf(c.Put)
-			if !ok {
-				continue
-			}
-			r, err := bookkeeping.DecodeRack(c.Value)
-			if err != nil {
-				w.fault("record %s cannot be read", c.Put)
-			}
-			tasks := map[string]string{}
-			for _, m := range r.Machines {
-				for _, p := range m.Tasks {
-					for i := 0; i+3 < len(p.Numbers); i += 4 {
-						name := protocol.TaskName(p.Job, int(p.Numbers[i]))
-						if other, twice := tasks[name]; twice {
-							w.fault("records: %s is on %s and %s", name, other, m.Name)
-						}
-						tasks[name] = m.Name
-					}
-				}
-			}
-			placed[rack] = tasks
-			changed = append(changed, rack)
-		}
-		for _, rack := range changed {
-			for other, tasks := range placed {
-				for name, m := range placed[rack] {
-					if o, twice := tasks[name]; other != rack && twice {
-						w.fault("records: %s is on %s and %s", name, m, o)
-					}
-				}
-			}
-		}
-	}
-}
-
 // newLeader delivers what was kept back for the next leader to every node, as it begins. The world is locked.
 func (w *World) newLeader(raw []byte) {
 	var l bookkeeping.LeaderRecord
