--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -84,7 +84,7 @@
 	root.AddCommand(&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version)
 	}}, a.upCommand(), a.loadCommand(), a.submitCommand(), a.statusCommand(), a.cancelCommand(), a.showCommand(), a.consoleCommand(),
-		a.recordCommand(), a.reportCommand(), a.configCommand())
+		a.recordCommand(), a.reportCommand(), a.configCommand(), a.scaleCommand())
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
--- /dev/null
+++ b/cmd/dykectl/scale.go
@@ -0,0 +1,214 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+	"github.com/spf13/cobra"
+
+	"dykeledge/internal/scale"
+)
+
+const cellCommand = "cell" // what `dykectl scale run` starts for each cell
+
+func (a *app) scaleCommand() *cobra.Command {
+	c := &cobra.Command{Use: "scale", Short: "Measure controllers at a size that is yet to come",
+		Long: "Measure controllers at a size that is yet to come: real controllers, everything else hollow, on loopback. See\n" +
+			"docs/CAPACITY.md for what came of it."}
+	c.AddCommand(a.scaleRunCommand(), a.scaleReportCommand(), &cobra.Command{
+		Use: "profile", Short: "Print the profile that is played unless another is named", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return toml.NewEncoder(cmd.OutOrStdout()).Encode(scale.DefaultProfile())
+		},
+	}, &cobra.Command{
+		Use: cellCommand, Short: "Play one cell that is read from standard input", Args: cobra.NoArgs, Hidden: true,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			log := slog.New(slog.NewTextHandler(a.errs, nil))
+			if err := scale.ServeCell(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log); err != nil {
+				return failed(err)
+			}
+			return nil
+		},
+	})
+	return c
+}
+
+// scaleOptions are the flags of a scale run.
+type scaleOptions struct {
+	profile, cut, fraction string
+	program, dir, out      string
+	run, commit            string
+	seed                   uint64
+	warmUp, measure        time.Duration
+}
+
+func (a *app) scaleRunCommand() *cobra.Command {
+	var o scaleOptions
+	c := &cobra.Command{
+		Use: "run", Short: "Play a part of a profile and measure what it costs", Args: cobra.NoArgs,
+		Long: "Play a part of a profile and measure what it costs. Each region is a process with its own controllers, state service,\n" +
+			"cloud, workers and users. Ctrl-C ends all of it. Exit code 1: a rule was broken, a controller ended by itself, or\n" +
+			"nothing was started. A hollow side that could not keep up is told, and its points are marked.\n\n" +
+			"  peak        the largest region with its part of the peak's task starts\n" +
+			"  population  all regions with all workers and running tasks, at a lower start rate\n" +
+			"  troubles    peak with a day's failures pressed into the measured time, a rack, a switch, a zone, ends of controllers",
+		RunE: func(cmd *cobra.Command, _ []string) error { return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &o) },
+	}
+	f := c.Flags()
+	f.StringVar(&o.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
+	f.StringVar(&o.cut, "cut", string(scale.Peak), "peak, population or troubles")
+	f.StringVar(&o.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
+	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	f.StringVar(&o.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
+	f.StringVar(&o.out, "out", "", "`FILE` to which the points are added as lines of JSON")
+	f.StringVar(&o.run, "name", "run", "name of the run in its points")
+	f.StringVar(&o.commit, "commit", "", "commit of the controller that is measured, for the points")
+	f.Uint64Var(&o.seed, "seed", 1, "of the load and the machines")
+	f.DurationVar(&o.warmUp, "warm-up", 40*time.Second, "time before it is measured")
+	f.DurationVar(&o.measure, "measure", time.Minute, "measured time")
+	return c
+}
+
+// parseFraction reads 0.25 or 1/4.
+func parseFraction(text string) (float64, error) {
+	above, below, parted := strings.Cut(text, "/")
+	n, err := strconv.ParseFloat(above, 64)
+	d := 1.0
+	if err == nil && parted {
+		d, err = strconv.ParseFloat(below, 64)
+	}
+	if err != nil || !(n > 0 && d > 0 && n/d <= 1) {
+		return 0, errors.New("--fraction is a part from above 0 to 1, as 0.25 or 1/4")
+	}
+	return n / d, nil
+}
+
+// request checks the flags.
+func (o *scaleOptions) request() (scale.Profile, scale.Request, error) {
+	p, r := scale.DefaultProfile(), scale.Request{Run: o.run, Commit: o.commit, Cut: scale.Cut(o.cut), Seed: o.seed,
+		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
+	var err error
+	if o.profile != "" {
+		if p, err = scale.LoadProfile(o.profile); err != nil {
+			return p, r, err
+		}
+	}
+	if r.Fraction, err = parseFraction(o.fraction); err != nil {
+		return p, r, err
+	}
+	switch {
+	case r.Cut != scale.Peak && r.Cut != scale.Population && r.Cut != scale.Troubles:
+		return p, r, errors.New("--cut is peak, population or troubles")
+	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
+		return p, r, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
+	}
+	r.Program, err = controller(o.program)
+	return p, r, err
+}
+
+func (a *app) scaleRun(ctx context.Context, out io.Writer, o *scaleOptions) (err error) {
+	p, r, err := o.request()
+	if err != nil {
+		return usage(err)
+	}
+	if r.Dir == "" {
+		if r.Dir, err = os.MkdirTemp("", "dykectl-scale-"); err != nil {
+			return failed(err)
+		}
+		defer func() {
+			if err == nil { // what went wrong is in the logs
+				err = os.RemoveAll(r.Dir)
+			}
+		}()
+	}
+	if r.Dir, err = filepath.Abs(r.Dir); err != nil {
+		return failed(err)
+	}
+	self, err := os.Executable()
+	if err != nil {
+		return failed(err)
+	}
+	launcher := scale.Launcher{Errs: a.errs, Command: func(ctx context.Context) *exec.Cmd {
+		return exec.CommandContext(ctx, self, "scale", cellCommand)
+	}}
+	points, err := launcher.Run(ctx, p.Cells(r))
+	if err != nil {
+		err = fmt.Errorf("%w (logs are in %s)", err, r.Dir)
+	}
+	if err = errors.Join(err, o.keep(points), a.printPoints(out, points)); err != nil {
+		return failed(err)
+	}
+	return nil
+}
+
+// keep adds points to the file that was asked for, and tells what is wrong with them.
+func (o *scaleOptions) keep(points []*scale.Point) error {
+	var to io.Writer = io.Discard
+	if o.out != "" {
+		f, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		if err != nil {
+			return err
+		}
+		defer f.Close()
+		to = f
+	}
+	var bad []error
+	for _, p := range points {
+		if p != nil {
+			bad = append(bad, p.Write(to), p.Verdict())
+		}
+	}
+	return errors.Join(bad...)
+}
+
+func (a *app) printPoints(out io.Writer, points []*scale.Point) error {
+	tw := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(tw, "region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
+	for _, p := range points {
+		if p == nil {
+			continue
+		}
+		mark := ""
+		if p.Overloaded {
+			mark = " OVERLOADED"
+		}
+		fmt.Fprintf(tw, "%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", p.Region, p.Up, p.OfferedS, p.StartsPerS, p.Running,
+			p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.WorkerOutBps+p.WorkerInBps, p.LeaseKills, p.HollowCores, p.LatenessMs.P99, mark)
+		for _, c := range p.Controllers {
+			fmt.Fprintf(tw, " %s %.2f, %.0f, %d;", c.Role, c.Cores, c.MemMB, c.Sockets)
+		}
+		fmt.Fprintln(tw, "\t")
+	}
+	return tw.Flush()
+}
+
+func (a *app) scaleReportCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "report [FOLDER]", Short: "Print the tables that come of stored points", Args: cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			dir := "docs/scale"
+			if len(args) > 0 {
+				dir = args[0]
+			}
+			points, err := scale.ReadPoints(dir)
+			if err != nil {
+				return usage(err)
+			}
+			if err := scale.Report(cmd.OutOrStdout(), points); err != nil {
+				return failed(err)
+			}
+			return nil
+		},
+	}
+}
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -86,10 +86,15 @@
 	if err := s.fits(&d); err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtS, b.AtS) })
+	s.Sort()
 	return s, nil
 }
 
+// Sort puts the troubles in the order of time.
+func (s *Schedule) Sort() {
+	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtS, b.AtS) })
+}
+
 func (f *Fault) check(at string) error {
 	want, known := kinds[f.Kind]
 	if want.machines && f.Part == 0 && f.Count == 0 {
--- /dev/null
+++ b/internal/scale/play.go
@@ -0,0 +1,274 @@
+package scale
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/valyala/fasthttp"
+
+	"dykeledge/internal/client"
+	"dykeledge/internal/emulator"
+	"dykeledge/internal/load"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/standin"
+)
+
+// How a run is watched.
+const (
+	readyWithin   = 60 * time.Second
+	sampleEvery   = time.Second
+	peaksEvery    = 5  // samples
+	progressEvery = 10 // samples
+	ticksEvery    = 20 * time.Millisecond
+	// mostLateness is how late the hollow side's timers may be, at the 99th percentile, before its own lateness would count
+	// as the controllers'.
+	mostLateness = 50.0 // milliseconds
+)
+
+// Loopback addresses of a cell: a network for each region. Workers and controllers have fixed ports below those that the
+// system hands out, so that no outgoing connection can take them.
+const (
+	firstNetwork   = 64
+	workerPort     = 9000
+	publicPort     = 8080
+	peerPort       = 8081
+	controllersNet = 255
+)
+
+// ErrOverloaded says that the hollow side could not keep up: the run's figures say nothing of the controllers.
+var ErrOverloaded = errors.New("the hollow side was overloaded")
+
+// watch gathers what a run measures while it goes on.
+type watch struct {
+	cell    *Cell
+	cluster *emulator.Cluster
+	log     *slog.Logger
+
+	mu       sync.Mutex
+	from     time.Time // of the measured time
+	urgent   *hdrhistogram.Histogram
+	launched map[string]bool // urgent tasks that a worker has taken up before
+	lateness *hdrhistogram.Histogram
+
+	peaks    []peaks
+	gap      time.Duration // the longest time without a start
+	started  int
+	lastMove time.Time
+}
+
+// Play plays a cell in this process until its time is over, and returns what it measured. Progress goes to the log.
+func (c *Cell) Play(ctx context.Context, log *slog.Logger) (*Point, error) {
+	dir := filepath.Join(c.Dir, c.Region)
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	cluster, err := emulator.Start(ctx, c.options(dir, log))
+	if err != nil {
+		return nil, err
+	}
+	defer cluster.Stop()
+	w := newWatch(c, cluster, log)
+	within, stop := context.WithTimeout(ctx, readyWithin)
+	defer stop()
+	if err := cluster.Ready(within, isReady); err != nil {
+		return nil, err
+	}
+	done := make(chan load.Result, 1)
+	users := client.New(cluster.Users)
+	runner := &load.Runner{To: users, Upload: w.upload}
+	users.Retried = runner.Retried
+	go func() { done <- runner.Run(ctx, c.Arrivals(), 0) }()
+	go w.measureLateness(ctx)
+	if !sleep(ctx, seconds(c.WarmUpS)) {
+		return nil, ctx.Err()
+	}
+	point, err := w.measure(ctx)
+	if err != nil {
+		return nil, err
+	}
+	cancel()
+	result := <-done
+	point.AcceptMs = Span{result.Accept.Count, float64(result.Accept.P50), float64(result.Accept.P99), float64(result.Accept.Max)}
+	point.Retries = result.Retries
+	point.BrokenRules = append(point.BrokenRules, usersRules(&result)...)
+	return point, nil
+}
+
+// usersRules are the rules whose breach users notice.
+func usersRules(r *load.Result) (broken []string) {
+	if r.WentBack > 0 {
+		broken = append(broken, fmt.Sprintf("went_back: %d jobs", r.WentBack))
+	}
+	if r.Rejected > 0 {
+		broken = append(broken, fmt.Sprintf("%d jobs were rejected", r.Rejected))
+	}
+	return broken
+}
+
+func isReady(address string) bool {
+	status, _, err := fasthttp.GetTimeout(nil, "http://"+address+"/ready", time.Second)
+	return err == nil && status == fasthttp.StatusOK
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+func sleep(ctx context.Context, d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-t.C:
+		return true
+	}
+}
+
+// options is the cluster that a cell plays.
+func (c *Cell) options(dir string, log *slog.Logger) emulator.Options {
+	network := firstNetwork + c.Index
+	o := emulator.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
+		Deployment: c.Deployment(), Catalog: c.Catalog(), SharedTicker: true, Delay: c.delay,
+		Addresses: emulator.Addresses{
+			Worker: func(n int) string { return fmt.Sprintf("127.%d.%d.%d:%d", network, n>>8&0xff, n&0xff, workerPort) },
+			Controller: func(i int) (string, string) {
+				host := fmt.Sprintf("127.%d.%d.%d", network, controllersNet, i+1)
+				return fmt.Sprintf("%s:%d", host, publicPort), fmt.Sprintf("%s:%d", host, peerPort)
+			}}}
+	if c.Cut == Troubles {
+		o.Faults = c.schedule()
+	}
+	return o
+}
+
+// delay is how long a message takes between two zones; one whose sender can't be told takes the longer time.
+func (c *Cell) delay(from, to string) time.Duration {
+	ms := c.Profile.Delays.BetweenZonesMs
+	if from == to {
+		ms = c.Profile.Delays.WithinZoneMs
+	}
+	return time.Duration(ms * float64(time.Millisecond))
+}
+
+func newWatch(c *Cell, cluster *emulator.Cluster, log *slog.Logger) *watch {
+	w := &watch{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
+		peaks: make([]peaks, len(cluster.Nodes))}
+	cluster.World.Launched = w.onLaunch
+	return w
+}
+
+// upload puts a job's description where the hollow workers read it; a job counts as submitted from then on.
+func (w *watch) upload(_ string, description []byte) error {
+	var u standin.Upload
+	if err := json.Unmarshal(description, &u); err != nil {
+		return err
+	}
+	u.Spread = runSpread
+	return w.cluster.World.AddJob(u)
+}
+
+// onLaunch measures urgent tasks from their submission to their first launch. The world is locked.
+func (w *watch) onLaunch(j *standin.Job, index int) {
+	if j.Spec["jobclass"] != urgentClass {
+		return
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	task := protocol.TaskName(j.ID, index)
+	if w.launched[task] {
+		return
+	}
+	w.launched[task] = true
+	if !w.from.IsZero() && j.At.After(w.from) {
+		record(w.urgent, time.Since(j.At))
+	}
+}
+
+// measureLateness finds out by how much this process's timers are late.
+func (w *watch) measureLateness(ctx context.Context) {
+	for ctx.Err() == nil {
+		due := time.Now().Add(ticksEvery)
+		if !sleep(ctx, ticksEvery) {
+			return
+		}
+		w.mu.Lock()
+		record(w.lateness, time.Since(due))
+		w.mu.Unlock()
+	}
+}
+
+// measure watches the cell for its measured time, and makes its point.
+func (w *watch) measure(ctx context.Context) (*Point, error) {
+	w.mu.Lock()
+	w.from = time.Now()
+	w.lateness.Reset()
+	w.mu.Unlock()
+	first := take(w.cluster, w.log)
+	w.started, w.lastMove = first.stats.Started, first.at
+	for n := 1; time.Since(first.at) < seconds(w.cell.MeasureS); n++ {
+		if !sleep(ctx, sampleEvery) {
+			return nil, ctx.Err()
+		}
+		w.watchStarts(n)
+		if n%peaksEvery == 0 {
+			w.notePeaks()
+		}
+	}
+	last := take(w.cluster, w.log)
+	w.notePeaks()
+	return w.point(first, last), nil
+}
+
+func (w *watch) watchStarts(n int) {
+	now, stats := time.Now(), w.cluster.World.Stats()
+	if stats.Started > w.started {
+		w.started, w.lastMove = stats.Started, now
+	}
+	w.gap = max(w.gap, now.Sub(w.lastMove))
+	if n%progressEvery == 0 {
+		w.log.Info("measuring", "region", w.cell.Region, "started", stats.Started, "running", w.cluster.World.Running(), "broken_rules", len(w.cluster.World.Broken()))
+	}
+}
+
+func (w *watch) notePeaks() {
+	for i, pid := range w.cluster.Pids() {
+		if u, err := usageOf(pid); err == nil {
+			w.peaks[i].note(u)
+		}
+	}
+}
+
+// point works out what was measured between two samples.
+func (w *watch) point(a, b sample) *Point {
+	c, world, took := w.cell, w.cluster.World, b.at.Sub(a.at)
+	per := func(n float64) float64 { return n / took.Seconds() }
+	up := len(world.Machines())
+	perWorker := func(n int64) float64 { return per(float64(n)) / float64(max(1, up)) }
+	p := &Point{Run: c.Run, Commit: c.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: c.Cut, Fraction: c.Fraction, Region: c.Region, Seed: c.Seed,
+		Workers: c.Workers, Up: up, OfferedS: c.StartsPerS, MeasureS: took.Seconds(), StartsPerS: per(float64(b.stats.Started - a.stats.Started)),
+		Running: world.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: world.Broken(),
+		HollowCores: per((b.hollow.cpu - a.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
+		WritesPerS: per(float64(b.stats.Writes - a.stats.Writes)), OverPerS: per(float64(b.stats.Over - a.stats.Over)), UserConns: w.cluster.Front.Opened.Load()}
+	p.StateKeys, p.StateBytes = world.Store.Size()
+	// A worker sends reports, and reports as answers to commands; it gets answers, and commands.
+	p.WorkerOutBps = perWorker(b.reports.out - a.reports.out + b.commands.out - a.commands.out)
+	p.WorkerInBps = perWorker(b.reports.in - a.reports.in + b.commands.in - a.commands.in)
+	p.ReportsPerS, p.CommandsPerS = perWorker(b.reports.messages-a.reports.messages), perWorker(b.commands.messages-a.commands.messages)
+	w.mu.Lock()
+	p.UrgentMs, p.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
+	w.mu.Unlock()
+	p.Overloaded = p.LatenessMs.P99 > mostLateness
+	for i := range b.nodes {
+		p.Controllers = append(p.Controllers, between(fmt.Sprintf("n%d", i+1), a.nodes[i], b.nodes[i], w.peaks[i], took))
+	}
+	return p
+}
--- /dev/null
+++ b/internal/scale/sample.go
@@ -0,0 +1,87 @@
+package scale
+
+import (
+	"log/slog"
+	"os"
+	"time"
+
+	"dykeledge/internal/emulator"
+	"dykeledge/internal/standin"
+)
+
+// nodeSample is all that is known of one controller at one moment.
+type nodeSample struct {
+	pid      int // 0: no process runs
+	usage    processUsage
+	counters counters
+	scraped  bool
+
+	reads, txns, leases, follows int64
+	stateIn, stateOut, peerBytes int64
+}
+
+// sample is all that is known of a cell at one moment.
+type sample struct {
+	at       time.Time
+	nodes    []nodeSample
+	hollow   processUsage
+	stats    standin.Stats
+	reports  wire
+	commands wire
+}
+
+// wire is what a meter has counted.
+type wire struct{ in, out, messages int64 }
+
+func read(m *standin.Meter) wire { return wire{m.In.Load(), m.Out.Load(), m.Messages.Load()} }
+
+func (w wire) plus(o wire) wire { return wire{w.in + o.in, w.out + o.out, w.messages + o.messages} }
+
+// take samples a cell. What a controller does not tell now is left out, and logged.
+func take(c *emulator.Cluster, log *slog.Logger) sample {
+	s := sample{at: time.Now(), stats: c.World.Stats(), commands: read(&c.World.Commands)}
+	var err error
+	if s.hollow, err = usageOf(os.Getpid()); err != nil {
+		log.Warn("no figures of the hollow side", "err", err)
+	}
+	for i, pid := range c.Pids() {
+		m := c.Meters[i]
+		n := nodeSample{pid: pid, reads: m.Requests.Reads.Load(), txns: m.Requests.Transactions.Load(), leases: m.Requests.Leases.Load(),
+			follows: m.Requests.Follows.Load(), stateIn: m.State.In.Load(), stateOut: m.State.Out.Load(), peerBytes: m.Peers.In.Load() + m.Peers.Out.Load()}
+		if n.usage, err = usageOf(pid); err != nil {
+			log.Warn("no figures of a controller", "node", i+1, "err", err)
+		}
+		if n.counters, err = scrape(c.Nodes[i]); err != nil {
+			log.Warn("no metrics of a controller", "node", i+1, "err", err)
+		}
+		n.scraped = err == nil
+		s.nodes = append(s.nodes, n)
+		s.reports = s.reports.plus(read(&c.World.Node(i).Reports))
+	}
+	return s
+}
+
+// peaks are the most that a controller held at any time.
+type peaks struct {
+	memMB   float64
+	sockets int
+	threads int
+}
+
+func (p *peaks) note(u processUsage) {
+	p.memMB, p.sockets, p.threads = max(p.memMB, u.memMB), max(p.sockets, u.sockets), max(p.threads, u.threads)
+}
+
+// between works out what a controller cost from one sample to another.
+func between(name string, a, b nodeSample, most peaks, took time.Duration) ControllerPoint {
+	per := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
+	count := func(from, to int64) float64 { return per(float64(from), float64(to)) }
+	return ControllerPoint{Name: name, Role: b.counters.role(), Partitions: b.counters.partitions,
+		Whole: a.pid == b.pid && a.pid != 0 && a.scraped && b.scraped && a.counters.role() == b.counters.role() && a.counters.partitions == b.counters.partitions,
+		Cores: per(a.usage.cpu.Seconds(), b.usage.cpu.Seconds()), PlanCores: per(a.counters.planning, b.counters.planning),
+		MemMB: most.memMB, Sockets: most.sockets, Threads: most.threads,
+		ReportsS: per(a.counters.reports, b.counters.reports), LaunchesS: per(a.counters.launches, b.counters.launches),
+		ReadsS: count(a.reads, b.reads), TxnsS: count(a.txns, b.txns), LeasesS: count(a.leases, b.leases), FollowsS: count(a.follows, b.follows),
+		StateInS: count(a.stateIn, b.stateIn), StateOutS: count(a.stateOut, b.stateOut),
+		CloudS: per(a.counters.cloud, b.counters.cloud), PeerBytesS: count(a.peerBytes, b.peerBytes)}
+}
--- /dev/null
+++ b/internal/scale/scrape.go
@@ -0,0 +1,88 @@
+package scale
+
+import (
+	"bytes"
+	"fmt"
+	"time"
+
+	"github.com/prometheus/common/expfmt"
+	"github.com/prometheus/common/model"
+	"github.com/valyala/fasthttp"
+)
+
+// scrapeWithin is how long a controller may take to tell its metrics.
+const scrapeWithin = 3 * time.Second
+
+// The controllers' metrics that a run reads.
+const (
+	metricLaunches   = "dykeledge_launches_total"
+	metricPlanning   = "dykeledge_plan_seconds"
+	metricReports    = "dykeledge_report_answer_seconds"
+	metricLeader     = "dykeledge_leader"
+	metricPartitions = "dykeledge_shares_owned"
+	metricRequests   = "dykeledge_service_requests_total"
+	labelService     = "service"
+	serviceCloud     = "cloud"
+)
+
+// counters are one controller's metrics at one moment.
+type counters struct {
+	launches, planning, reports, cloud float64
+	leader                             bool
+	partitions                         int
+}
+
+func (c counters) role() Role {
+	switch {
+	case c.leader:
+		return Leader
+	case c.partitions > 0:
+		return Owner
+	}
+	return Member
+}
+
+// scrape asks a controller for its metrics.
+func scrape(address string) (counters, error) {
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", scrapeWithin)
+	if err != nil {
+		return counters{}, fmt.Errorf("metrics of %s: %w", address, err)
+	}
+	if status != fasthttp.StatusOK {
+		return counters{}, fmt.Errorf("metrics of %s: status %d", address, status)
+	}
+	return parseCounters(body)
+}
+
+// parseCounters reads the text of a controller's metrics. What is missing counts as 0.
+func parseCounters(text []byte) (counters, error) {
+	parser := expfmt.NewTextParser(model.UTF8Validation)
+	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
+	if err != nil {
+		return counters{}, fmt.Errorf("metrics: %w", err)
+	}
+	var c counters
+	for name, family := range families {
+		for _, m := range family.GetMetric() {
+			switch name {
+			case metricLaunches:
+				c.launches += m.GetCounter().GetValue()
+			case metricPlanning:
+				c.planning += m.GetHistogram().GetSampleSum()
+			case metricReports:
+				c.reports += float64(m.GetHistogram().GetSampleCount())
+			case metricLeader:
+				c.leader = m.GetGauge().GetValue() > 0
+			case metricPartitions:
+				c.partitions = int(m.GetGauge().GetValue())
+			case metricRequests:
+				for _, label := range m.GetLabel() {
+					if label.GetName() == labelService && label.GetValue() == serviceCloud {
+						c.cloud += m.GetCounter().GetValue()
+					}
+				}
+			}
+		}
+	}
+	return c, nil
+}
--- /dev/null
+++ b/internal/scale/troubles.go
@@ -0,0 +1,45 @@
+package scale
+
+import (
+	"math"
+
+	"dykeledge/internal/emulator"
+)
+
+// Troubles of a run come in the measured time, at these parts of it and for these seconds. A day's failures and replacements
+// are pressed into the measured time.
+const (
+	rackAt, switchAt, zoneAt, oneEndsAt, allEndAt = 0.10, 0.25, 0.40, 0.65, 0.80
+	switchForS, zoneForS                          = 15, 15
+	noticeS                                       = 10
+	switchRacks                                   = 3
+)
+
+// schedule is what befalls a cell in a run with troubles.
+func (c *Cell) schedule() *emulator.Schedule {
+	p := &c.Profile
+	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
+	s := &emulator.Schedule{Faults: []emulator.Fault{
+		{AtS: at(rackAt), Kind: "machine_dies", Count: p.RackWorkers},
+		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.RackWorkers, ForS: switchForS},
+		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: zoneForS},
+		{AtS: at(oneEndsAt), Kind: "crash", Node: "n1"},
+		{AtS: at(allEndAt), Kind: "crash", Node: "all"},
+	}}
+	part := p.Regions[c.Index].Part * c.Fraction
+	s.Faults = append(s.Faults, c.spread(p.FailuresADay*part, emulator.Fault{Kind: "machine_dies", Count: 1})...)
+	s.Faults = append(s.Faults, c.spread(p.ReplacedADay*part, emulator.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
+	s.Sort()
+	return s
+}
+
+// spread has a trouble come so many times, evenly over the measured time.
+func (c *Cell) spread(times float64, f emulator.Fault) []emulator.Fault {
+	n := int(math.Round(times))
+	out := make([]emulator.Fault, n)
+	for i := range out {
+		f.AtS = c.WarmUpS + c.MeasureS*(float64(i)+0.5)/float64(n)
+		out[i] = f
+	}
+	return out
+}
--- a/internal/standin/remote.go
+++ b/internal/standin/remote.go
@@ -222,9 +222,11 @@
 
 // Upload is a job's description as workers need it: what they run, and for how long.
 type Upload struct {
-	Spec  json.RawMessage `json:"spec"` // the submission, as the protocol has it
-	RunS  float64         `json:"run_s"`
-	Fails bool            `json:"fails,omitempty"` // on every machine
+	Spec json.RawMessage `json:"spec"` // the submission, as the protocol has it
+	RunS float64         `json:"run_s"`
+	// Spread has each task run by up to this part longer or shorter.
+	Spread float64 `json:"spread,omitempty"`
+	Fails  bool    `json:"fails,omitempty"` // on every machine
 }
 
 // AddJob takes a job's description. One that was uploaded before stays as it was.
@@ -233,6 +235,9 @@
 	if err != nil {
 		return err
 	}
+	if !(u.Spread >= 0 && u.Spread <= 1) {
+		return errors.New("field spread is not between 0 and 1")
+	}
 	if !(u.RunS >= 0 && u.RunS <= 1e9) {
 		return errors.New("field run_s is out of range")
 	}
@@ -241,6 +246,12 @@
 	if err := json.Unmarshal(u.Spec, &j.Spec); err != nil {
 		return err
 	}
+	if u.Spread > 0 {
+		j.runs = make([]time.Duration, j.Tasks)
+		for i := range j.runs {
+			j.runs[i] = time.Duration(float64(j.Run) * (1 + u.Spread*(2*w.Rand.Float64()-1)))
+		}
+	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.jobs[sub.ID] != nil {
