--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -47,6 +47,7 @@
 // scaleOptions are the flags of a scale run.
 type scaleOptions struct {
 	profile, cut, fraction string
+	regions                string
 	program, dir, out      string
 	run, commit            string
 	seed                   uint64
@@ -60,14 +61,15 @@
 		Long: "Play a part of a profile and measure what it costs. Each region is a process with its own controllers, state service,\n" +
 			"cloud, workers and users. Ctrl-C ends all of it. Exit code 1: a rule was broken, a controller ended by itself, or\n" +
 			"nothing was started. A hollow side that could not keep up is told, and its points are marked.\n\n" +
-			"  peak        the largest region with its part of the peak's task starts\n" +
-			"  population  all regions with all workers and running tasks, at a lower start rate\n" +
+			"  peak        task starts at the rate of the peak\n" +
+			"  population  all workers and running tasks, at a lower start rate\n" +
 			"  troubles    peak with a day's failures pressed into the measured time, a rack, a switch, a zone, ends of controllers",
 		RunE: func(cmd *cobra.Command, _ []string) error { return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &o) },
 	}
 	f := c.Flags()
 	f.StringVar(&o.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
 	f.StringVar(&o.cut, "cut", string(scale.Peak), "peak, population or troubles")
+	f.StringVar(&o.regions, "regions", string(scale.LargestRegion), "largest or all")
 	f.StringVar(&o.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
 	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
 	f.StringVar(&o.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
@@ -96,7 +98,7 @@
 
 // request checks the flags.
 func (o *scaleOptions) request() (scale.Profile, scale.Request, error) {
-	p, r := scale.DefaultProfile(), scale.Request{Run: o.run, Commit: o.commit, Cut: scale.Cut(o.cut), Seed: o.seed,
+	p, r := scale.DefaultProfile(), scale.Request{Run: o.run, Commit: o.commit, Cut: scale.Cut(o.cut), Regions: scale.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
@@ -110,6 +112,8 @@
 	switch {
 	case r.Cut != scale.Peak && r.Cut != scale.Population && r.Cut != scale.Troubles:
 		return p, r, errors.New("--cut is peak, population or troubles")
+	case r.Regions != scale.LargestRegion && r.Regions != scale.AllRegions:
+		return p, r, errors.New("--regions is largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
 		return p, r, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
 	}
--- /dev/null
+++ b/internal/coordination/demands.go
@@ -0,0 +1,227 @@
+package coordination
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/coordination/provision"
+	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/protocol"
+)
+
+// This file works out what room the open work needs, for the leader's rentals.
+
+// demands sums up the open work by what it may run on.
+func (c *Controller) demands(now time.Time) []provision.Demand {
+	type kind struct {
+		spot   bool
+		idle   bool
+		zone   int
+		class  int
+		first  int
+		cpus   float64
+		within int
+	}
+	index := map[kind]int{}
+	var out []provision.Demand
+	var zones *zoneRoom
+	for _, j := range c.book.Jobs {
+		if j == nil || !j.Open() {
+			continue
+		}
+		first := -1
+		if len(j.Types) > 0 {
+			first = j.Types[0]
+		}
+		allow := c.allowance(j, now)
+		idle := allow == 0 && c.idle(j, now)
+		add := func(zone, n int) {
+			k := kind{j.Spot, idle, zone, j.Class, first, j.Cpus, int(allow / (20 * time.Second))}
+			i, ok := index[k]
+			if !ok {
+				i = len(out)
+				index[k] = i
+				out = append(out, provision.Demand{Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
+					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Within: max(5, allow.Seconds())})
+				if allow == 0 {
+					out[i].Within = 120
+				}
+			}
+			d := &out[i]
+			d.Tasks += n
+			if j.Shape == protocol.Service {
+				d.Work += float64(n) * 1e6
+			} else {
+				d.Work += float64(n) * max(j.Estimate, 1)
+			}
+		}
+		if j.Spread && !j.Spot && j.Zone < 0 {
+			if zones == nil {
+				zones = c.zoneRoom(now)
+			}
+			for z, n := range zones.part(c, j, now) {
+				if n > 0 {
+					add(z, n)
+				}
+			}
+			continue
+		}
+		n := j.NPlaced - c.placedAway(j, now) + c.wanting(j)
+		if t := &c.book.Teams[j.Team]; j.Cpus > 0 {
+			if t.CpusMax > 0 {
+				n = min(n, int(t.CpusMax/j.Cpus))
+			}
+			if t.GpusMax > 0 && j.Gpus > 0 {
+				n = min(n, int(t.GpusMax/j.Gpus))
+			}
+		}
+		add(j.Zone, n)
+	}
+	return out
+}
+
+// zoneRoom is what the zones' ordinary machines have for work that is spread over zones, in CPUs as
+// sizes count; below 0 where more is asked for already.
+type zoneRoom struct {
+	free  []float64
+	rents []bool // more can be rented there, as far as is known
+}
+
+func (c *Controller) zoneRoom(now time.Time) *zoneRoom {
+	r := &zoneRoom{free: make([]float64, c.book.Zones.Len()), rents: make([]bool, c.book.Zones.Len())}
+	for i := range c.book.Types {
+		for _, z := range c.book.Types[i].Zones {
+			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.lead.blocked[p]) && !c.zoneAway(z) {
+				r.rents[z] = true
+			}
+		}
+	}
+	for _, m := range c.book.Machines {
+		if m.Gone || m.Closing || m.Spot || m.Sick || m.Drains || c.zoneAway(m.Zone) || c.overdue(m, bootPatience, now) {
+			continue
+		}
+		left := c.book.Types[m.Type].Cpus
+		for _, p := range m.Tasks {
+			if p.Job.Priority.Top() {
+				left -= p.Job.Size
+			}
+		}
+		r.free[m.Zone] += max(0, left)
+	}
+	return r
+}
+
+// part tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
+// where it may have more and there is most. Room in a zone that has its half is of no use to it: services
+// waited for minutes beside free machines in the wrong zone, and nothing was rented.
+func (r *zoneRoom) part(c *Controller, j *bookkeeping.Job, now time.Time) []int {
+	need := make([]int, len(r.free))
+	in := make([]int, len(r.free))
+	for z, n := range j.ByZone {
+		if in[z] = int(n); !c.spared(z, now) {
+			need[z] = int(n)
+		}
+	}
+	for range c.wanting(j) {
+		best := -1
+		for z := range r.free {
+			if in[z] >= j.ZoneMost() || c.zoneAway(z) || r.free[z] < j.Size && !r.rents[z] {
+				continue
+			}
+			if best < 0 || r.free[z] > r.free[best] {
+				best = z
+			}
+		}
+		if best < 0 {
+			break // nowhere for now
+		}
+		in[best]++
+		need[best]++
+		r.free[best] -= j.Size
+	}
+	return need
+}
+
+// nextServices is room for the services that are likely to come before a machine rented for them would
+// be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
+// it each began with a boot once running services had been brought together on few machines.
+func (c *Controller) nextServices(now time.Time) (provision.Demand, bool) {
+	d := provision.Demand{Zone: -1, Within: 5}
+	work, gives := 0.0, 0.0
+	ahead := 0.0
+	for i := range c.book.Types {
+		ahead = max(ahead, 1.5*c.book.Types[i].Boot)
+	}
+	for _, j := range c.book.Jobs {
+		if j == nil || j.Shape != protocol.Service || j.Spot || !j.Open() || len(j.Types) > 0 || j.Zone >= 0 {
+			continue
+		}
+		if age := now.Sub(j.Submitted); age < cameWithin && age >= 0 {
+			work += float64(j.Tasks) * j.Size
+		}
+		if j.Size > d.Cpus {
+			d.Cpus, d.Gpus, d.Mem = j.Size, j.Gpus, j.Mem
+		}
+	}
+	if work == 0 {
+		return d, false
+	}
+	for _, m := range c.book.Machines {
+		if m.Gone || m.Closing || m.Drains || m.Spot || c.zoneAway(m.Zone) {
+			continue
+		}
+		for _, p := range m.Tasks {
+			if !p.Job.Priority.Top() {
+				gives += p.Job.Size
+			}
+		}
+	}
+	d.Tasks = int(math.Ceil((work*min(1, ahead/cameWithin.Seconds()) - gives) / d.Cpus))
+	d.Work = 1e6 * float64(d.Tasks)
+	return d, d.Tasks > 0
+}
+
+// cameWithin is how far back services are counted that came.
+const cameWithin = 2 * time.Minute
+
+// placedAway is how many of a job's tasks run where this node reaches nobody: they need no other room.
+func (c *Controller) placedAway(j *bookkeeping.Job, now time.Time) int {
+	n := 0
+	for z, k := range j.ByZone {
+		if c.spared(z, now) {
+			n += int(k)
+		}
+	}
+	return n
+}
+
+// mayRun is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
+func (c *Controller) mayRun(now time.Time) float64 {
+	may, sum := c.underLimits(), 0.0
+	for _, j := range c.book.Jobs {
+		if j != nil && j.Open() && !c.idle(j, now) {
+			sum += float64(may.start(j)) * j.Size
+		}
+	}
+	return sum
+}
+
+// underLimits deals out what the teams' limits leave.
+type underLimits struct {
+	c    *Controller
+	used []bookkeeping.Usage // by team
+}
+
+func (c *Controller) underLimits() *underLimits { return &underLimits{c, slices.Clone(c.book.Used)} }
+
+// start takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
+func (u *underLimits) start(j *bookkeeping.Job) int {
+	n := u.c.wanting(j)
+	for n > 0 && !schedule.WithinLimit(u.c.book.Teams[j.Team], u.used[j.Team], j, n) {
+		n /= 2 // about as many: sums ask for no more
+	}
+	u.used[j.Team].Add(j, float64(n))
+	return n
+}
--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -35,6 +35,7 @@
 	Run      string
 	Commit   string // of the sources that are measured, for the points
 	Cut      Cut
+	Regions  Regions
 	Fraction float64 // of the profile's figures
 	Seed     uint64
 	WarmUpS  float64
@@ -53,7 +54,7 @@
 			zone++
 			zones = append(zones, fmt.Sprintf("z%02d", zone))
 		}
-		if r.Cut != Population && i != p.largestRegion() {
+		if r.Regions == LargestRegion && i != p.largestRegion() {
 			continue
 		}
 		part := region.Part * r.Fraction
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -50,11 +50,10 @@
 	return u, nil
 }
 
-// cpuOf reads user and system time from the text of /proc/PID/stat, whose second field may hold spaces.
+// cpuOf reads user and system time from the text of /proc/PID/stat, whose second field may hold spaces and brackets.
 func cpuOf(stat []byte) (time.Duration, error) {
 	const userTime, systemTime = 11, 12 // fields after the name
-	_, rest, _ := bytes.Cut(stat, []byte(") "))
-	fields := strings.Fields(string(rest))
+	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= systemTime {
 		return 0, fmt.Errorf("usage of a process: expected %d fields in stat, found %d", systemTime+1, len(fields))
 	}
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -187,10 +187,9 @@
 type Cut string
 
 const (
-	// Peak plays the largest region alone, with its part of the peak's starts.
+	// Peak plays task starts at the rate of the peak.
 	Peak Cut = "peak"
-	// Population plays all regions, with the running tasks and workers of the whole at a start rate that is lower, since
-	// tasks run for longer.
+	// Population plays the running tasks and workers at a start rate that is lower, since tasks run for longer.
 	Population Cut = "population"
 	// Troubles is Peak with failures, a rack, a switch, a zone and ends of controllers.
 	Troubles Cut = "troubles"
@@ -198,3 +197,12 @@
 
 // populationTaskS is how long the tasks of a Population run take, in seconds.
 const populationTaskS = 300
+
+// Regions says which regions a run plays.
+type Regions string
+
+// The regions that a run may play.
+const (
+	LargestRegion Regions = "largest"
+	AllRegions    Regions = "all"
+)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -1,6 +1,181 @@
 package scale
 
-import "io"
+import (
+	"bufio"
+	"cmp"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+)
 
-// Report prints the tables that come of points.
-func Report(w io.Writer, points []Point) error { return nil }
+// Report prints the tables that come of points, as Markdown: the runs, how each role's figures grow over the ladder of the
+// peak, what a worker costs, and what the other cuts showed. Points whose hollow side was overloaded are listed, and left out of
+// the fits.
+func Report(w io.Writer, points []Point) error {
+	out := bufio.NewWriter(w)
+	byCut := map[Cut][]Point{}
+	for _, p := range points {
+		byCut[p.Cut] = append(byCut[p.Cut], p)
+	}
+	for _, list := range byCut {
+		slices.SortStableFunc(list, func(a, b Point) int { return cmp.Or(cmp.Compare(a.Fraction, b.Fraction), cmp.Compare(a.Seed, b.Seed)) })
+	}
+	for _, cut := range []struct {
+		cut   Cut
+		title string
+	}{
+		{Peak, "The ladder: the largest region at its part of the peak"},
+		{Population, "The whole population: all regions, tasks of five minutes"},
+		{Troubles, "Troubles: a day's failures pressed into the measured time"},
+	} {
+		if list := byCut[cut.cut]; len(list) > 0 {
+			fmt.Fprintf(out, "### %s\n\n", cut.title)
+			runsTable(out, list)
+		}
+	}
+	if list := byCut[Peak]; len(list) > 0 {
+		fmt.Fprint(out, "### What a controller costs, by role, over the ladder\n\n")
+		rolesTable(out, list)
+		fmt.Fprint(out, "### What a worker costs, and the state service holds, over the ladder\n\n")
+		workerTable(out, list)
+	}
+	return out.Flush()
+}
+
+// runsTable has a row a point.
+func runsTable(w io.Writer, points []Point) {
+	fmt.Fprintln(w, "| part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
+	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, p := range points {
+		mark := ""
+		if p.Overloaded {
+			mark = " **overloaded: says nothing of controllers**"
+		}
+		fmt.Fprintf(w, "| %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", fractionText(p.Fraction), p.Region,
+			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
+			len(p.BrokenRules), p.Ends, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
+	}
+	fmt.Fprintln(w)
+}
+
+// fractionText writes 0.25 as 1/4.
+func fractionText(f float64) string {
+	if n := 1 / f; f < 1 && n == float64(int(n)) {
+		return fmt.Sprintf("1/%d", int(n))
+	}
+	return fmt.Sprintf("%g", f)
+}
+
+// controllerFigure is one figure of a controller that the tables show.
+type controllerFigure struct {
+	name   string
+	format string
+	of     func(*ControllerPoint) float64
+}
+
+var controllerFigures = []controllerFigure{
+	{"processor, cores", "%.3f", func(c *ControllerPoint) float64 { return c.Cores }},
+	{"of these planning", "%.3f", func(c *ControllerPoint) float64 { return c.PlanCores }},
+	{"memory, MB", "%.0f", func(c *ControllerPoint) float64 { return c.MemMB }},
+	{"connections", "%.0f", func(c *ControllerPoint) float64 { return float64(c.Sockets) }},
+	{"threads", "%.0f", func(c *ControllerPoint) float64 { return float64(c.Threads) }},
+	{"reports answered, 1/s", "%.0f", func(c *ControllerPoint) float64 { return c.ReportsS }},
+	{"tasks placed, 1/s", "%.0f", func(c *ControllerPoint) float64 { return c.LaunchesS }},
+	{"state: transactions, 1/s", "%.1f", func(c *ControllerPoint) float64 { return c.TxnsS }},
+	{"state: follows, 1/s", "%.1f", func(c *ControllerPoint) float64 { return c.FollowsS }},
+	{"state: lease requests, 1/s", "%.2f", func(c *ControllerPoint) float64 { return c.LeasesS }},
+	{"state: bytes sent, KB/s", "%.0f", func(c *ControllerPoint) float64 { return c.StateInS / 1000 }},
+	{"state: bytes received, KB/s", "%.0f", func(c *ControllerPoint) float64 { return c.StateOutS / 1000 }},
+	{"cloud requests, 1/s", "%.2f", func(c *ControllerPoint) float64 { return c.CloudS }},
+	{"to other controllers, KB/s", "%.1f", func(c *ControllerPoint) float64 { return c.PeerBytesS / 1000 }},
+}
+
+const fitHead = "measured at the largest size | a 1,000 workers | at 0 | R² | worst residual | growth | sizes and points |"
+
+// rolesTable has a row for each role and figure. Controllers that changed their process or role meanwhile are left out.
+func rolesTable(w io.Writer, points []Point) {
+	fmt.Fprintf(w, "| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
+	for _, role := range []Role{Leader, Owner, Member} {
+		for _, f := range controllerFigures {
+			var x, y []float64
+			for i := range points {
+				for k := range points[i].Controllers {
+					if c := &points[i].Controllers[k]; c.Whole && c.Role == role && !points[i].Overloaded {
+						x, y = append(x, float64(points[i].Up)), append(y, f.of(c))
+					}
+				}
+			}
+			fitRow(w, string(role)+" | "+f.name, f.format, x, y)
+		}
+	}
+	fmt.Fprintln(w)
+}
+
+// pointFigure is one figure of a cell that the tables show.
+type pointFigure struct {
+	name   string
+	format string
+	of     func(*Point) float64
+}
+
+var pointFigures = []pointFigure{
+	{"worker: bytes sent a second", "%.0f", func(p *Point) float64 { return p.WorkerOutBps }},
+	{"worker: bytes received a second", "%.0f", func(p *Point) float64 { return p.WorkerInBps }},
+	{"worker: both", "%.0f", func(p *Point) float64 { return p.WorkerOutBps + p.WorkerInBps }},
+	{"worker: reports a second", "%.2f", func(p *Point) float64 { return p.ReportsPerS }},
+	{"worker: direct commands a second", "%.2f", func(p *Point) float64 { return p.CommandsPerS }},
+	{"worker: part of a core, % (at most: the whole hollow side by its workers)", "%.3f", func(p *Point) float64 { return 100 * p.HollowCores / float64(max(1, p.Up)) }},
+	{"state service: changes a second", "%.0f", func(p *Point) float64 { return p.WritesPerS }},
+	{"state service: starts a change", "%.2f", func(p *Point) float64 { return p.StartsPerS / max(1, p.WritesPerS) }},
+	{"state service: refused for its rate, 1/s", "%.2f", func(p *Point) float64 { return p.OverPerS }},
+	{"state service: keys", "%.0f", func(p *Point) float64 { return float64(p.StateKeys) }},
+	{"state service: KB", "%.0f", func(p *Point) float64 { return float64(p.StateBytes) / 1000 }},
+	{"urgent: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.UrgentMs.P99 }},
+	{"submissions: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.AcceptMs.P99 }},
+}
+
+func workerTable(w io.Writer, points []Point) {
+	fmt.Fprintf(w, "| figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
+	for _, f := range pointFigures {
+		var x, y []float64
+		for i := range points {
+			if !points[i].Overloaded {
+				x, y = append(x, float64(points[i].Up)), append(y, f.of(&points[i]))
+			}
+		}
+		fitRow(w, f.name, f.format, x, y)
+	}
+	fmt.Fprintln(w)
+}
+
+// fitRow prints a figure's growth; without enough sizes it says so, and without points nothing.
+func fitRow(w io.Writer, name, format string, x, y []float64) {
+	if len(x) == 0 {
+		return
+	}
+	largest, at := slices.Max(x), []float64{}
+	sizes := map[float64]bool{}
+	for i := range x {
+		sizes[x[i]] = true
+		if x[i] == largest {
+			at = append(at, y[i])
+		}
+	}
+	slices.Sort(at)
+	measured := fmt.Sprintf(format, at[0])
+	if last := fmt.Sprintf(format, at[len(at)-1]); last != measured {
+		measured += " to " + last
+	}
+	count := fmt.Sprintf("%d, %d", len(sizes), len(x))
+	l, ok := fitLine(x, y)
+	if !ok {
+		fmt.Fprintf(w, "| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
+		return
+	}
+	per1000, zero := fmt.Sprintf(format, 1000*l.Slope), fmt.Sprintf(format, l.Intercept)
+	if !strings.HasPrefix(l.growth(), "line") {
+		per1000, zero = "", ""
+	}
+	fmt.Fprintf(w, "| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
+}
--- /dev/null
+++ b/internal/scale/scale_test.go
@@ -0,0 +1,158 @@
+package scale
+
+import (
+	"bytes"
+	"math"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"dykeledge/internal/protocol"
+)
+
+func TestProfile(t *testing.T) {
+	for _, c := range []struct{ text, want string }{
+		{"", ""},
+		{"workers = 60\n[[region]]\nname = \"a\"\npart = 0.6\nzones = 2\n", ""},
+		{"workers = 0\n", "workers"},
+		{"workerz = 1\n", "workerz"},
+		{"teams = 1\n", "teams"},
+		{"urgent_part = 1.0\n", "urgent_part"},
+		{"[worker]\nlease_s = 2.0\n", "worker.lease_s"},
+		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 2\n[[region]]\nname = \"a\"\npart = 0.1\nzones = 2\n", "region[1].name"},
+		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 2\n[[region]]\nname = \"b\"\npart = 0.6\nzones = 2\n", "region"},
+		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 0\n", "region[0].zones"},
+	} {
+		_, err := ParseProfile([]byte(c.text))
+		if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+		}
+	}
+}
+
+// TestCells: a run of all regions holds the whole of the profile, each zone once, and one of the largest its part.
+func TestCells(t *testing.T) {
+	p := DefaultProfile()
+	workers, running, zones, starts := 0, 0, map[string]bool{}, 0.0
+	for _, c := range p.Cells(Request{Cut: Peak, Regions: AllRegions, Fraction: 1}) {
+		workers, running, starts = workers+c.Workers, running+c.Running, starts+c.StartsPerS
+		for _, z := range c.Zones {
+			zones[z] = true
+		}
+		limits := 0.0
+		for _, team := range c.teams() {
+			if !team.urgent {
+				limits += team.limit
+			}
+		}
+		if math.Abs(limits/float64(c.Running)-1) > 0.05 {
+			t.Errorf("%s: the teams' limits hold %.0f tasks of %d", c.Region, limits, c.Running)
+		}
+	}
+	if workers != p.Workers || running != p.RunningTasks || len(zones) != 22 || math.Abs(starts-p.StartsPerS) > 1 {
+		t.Errorf("%d workers, %d tasks, %d zones, %.0f starts a second", workers, running, len(zones), starts)
+	}
+	if cells := p.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 0.25}); len(cells) != 1 || cells[0].Workers != 1190 {
+		t.Errorf("the largest region at a quarter: %+v", cells)
+	}
+}
+
+// TestArrivals: the same seed draws the same jobs; all are valid, none is too large, and a tenth of the teams has half of
+// what there is to do at the start.
+func TestArrivals(t *testing.T) {
+	p := DefaultProfile()
+	c := p.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 1, Seed: 3, WarmUpS: 20, MeasureS: 40})[0]
+	jobs := c.Arrivals()
+	if !reflect.DeepEqual(jobs, c.Arrivals()) {
+		t.Error("the same seed draws other jobs")
+	}
+	byTeam, all, ids := map[string]int{}, 0, map[string]bool{}
+	for i, a := range jobs {
+		raw, err := protocol.EncodeSubmission(&a.Job)
+		if err == nil {
+			_, err = protocol.ParseSubmission(raw)
+		}
+		if err != nil || a.Job.Tasks > c.LargestJob || ids[a.Job.ID] || i > 0 && a.At < jobs[i-1].At {
+			t.Fatalf("job %+v: %v", a.Job, err)
+		}
+		ids[a.Job.ID] = true
+		if a.Job.Class == arrayClass && a.At.Seconds() < submitWithinS {
+			byTeam[a.Job.Team] += a.Job.Tasks
+			all += a.Job.Tasks
+		}
+	}
+	hottest := 0
+	for _, team := range c.teams()[:46] {
+		hottest += byTeam[team.name]
+	}
+	if part := float64(hottest) / float64(all); math.Abs(part-p.HottestPart) > 0.05 {
+		t.Errorf("the hottest tenth has %.2f of the work", part)
+	}
+}
+
+func TestFit(t *testing.T) {
+	x := []float64{1, 2, 4, 8, 16}
+	of := func(f func(float64) float64) (y []float64) {
+		for _, v := range x {
+			y = append(y, f(v))
+		}
+		return y
+	}
+	for _, c := range []struct {
+		name   string
+		x, y   []float64
+		ok     bool
+		growth string
+	}{
+		{"line", x, of(func(v float64) float64 { return 3 + 2*v }), true, "line"},
+		{"square", x, of(func(v float64) float64 { return v * v }), true, "no line: power 2.00"},
+		{"root", x, of(math.Sqrt), true, "no line: power 0.50"},
+		{"flat", x, []float64{5, 5.2, 4.9, 5.1, 5}, true, "flat"},
+		{"three sizes", []float64{1, 2, 4, 4}, []float64{1, 2, 4, 4}, false, ""},
+		{"nothing", x, make([]float64, 5), false, ""},
+	} {
+		l, ok := fitLine(c.x, c.y)
+		if ok != c.ok || ok && l.growth() != c.growth {
+			t.Errorf("%s: %+v, %s, %v", c.name, l, l.growth(), ok)
+		}
+		if c.growth == "line" && (math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Intercept-3) > 1e-9) {
+			t.Errorf("%s: %+v", c.name, l)
+		}
+	}
+}
+
+func TestCounters(t *testing.T) {
+	c, err := parseCounters([]byte("# TYPE dykeledge_launches_total counter\ndykeledge_launches_total 7\n# TYPE dykeledge_leader gauge\ndykeledge_leader 1\n" +
+		"# TYPE dykeledge_service_requests_total counter\ndykeledge_service_requests_total{service=\"cloud\",outcome=\"ok\"} 3\n" +
+		"dykeledge_service_requests_total{service=\"state\",outcome=\"ok\"} 9\n"))
+	if want := (counters{launches: 7, cloud: 3, leader: true}); err != nil || c != want || c.role() != Leader {
+		t.Errorf("%+v, %v", c, err)
+	}
+	if _, err := parseCounters([]byte("no metrics {")); err == nil {
+		t.Error("a text that holds no metrics was read")
+	}
+	cpu, err := cpuOf([]byte("12 (a (b) c) S 1 1 1 0 -1 0 0 0 0 0 150 50 0 0 20 0 9 0"))
+	if err != nil || cpu.Seconds() != 2 {
+		t.Errorf("processor time %v, %v", cpu, err)
+	}
+}
+
+// TestPage: the tables of the capacity page are those that come of the stored points.
+func TestPage(t *testing.T) {
+	points, err := ReadPoints("../../docs/scale")
+	if err != nil {
+		t.Fatal(err)
+	}
+	page, err := os.ReadFile("../../docs/CAPACITY.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var tables bytes.Buffer
+	if err := Report(&tables, points); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Contains(page, tables.Bytes()) {
+		t.Error("docs/CAPACITY.md does not hold what `dykectl scale report` prints")
+	}
+}
--- a/internal/scale/troubles.go
+++ b/internal/scale/troubles.go
@@ -10,19 +10,20 @@
 // are pressed into the measured time.
 const (
 	rackAt, switchAt, zoneAt, oneEndsAt, allEndAt = 0.10, 0.25, 0.40, 0.65, 0.80
-	switchForS, zoneForS                          = 15, 15
+	cutForS                                       = 15.0
+	cutPart                                       = 0.15 // and no longer than this part of the measured time
 	noticeS                                       = 10
 	switchRacks                                   = 3
 )
 
 // schedule is what befalls a cell in a run with troubles.
 func (c *Cell) schedule() *emulator.Schedule {
-	p := &c.Profile
+	p, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
 	s := &emulator.Schedule{Faults: []emulator.Fault{
 		{AtS: at(rackAt), Kind: "machine_dies", Count: p.RackWorkers},
-		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.RackWorkers, ForS: switchForS},
-		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: zoneForS},
+		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.RackWorkers, ForS: cutFor},
+		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: cutFor},
 		{AtS: at(oneEndsAt), Kind: "crash", Node: "n1"},
 		{AtS: at(allEndAt), Kind: "crash", Node: "all"},
 	}}
