--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -13,7 +13,9 @@
 
 // This file works out what room the open work needs, for the leader's rentals.
 
-// demands sums up the open work by what it may run on.
+// demands sums up the open work by what it may run on. Of what waits, it counts what the teams' limits let start beside
+// all that runs: counted by each job's own part of its team's limit, a team with many jobs had twice the machines rented
+// that it could use.
 func (c *Controller) demands(now time.Time) []provision.Demand {
 	type kind struct {
 		spot   bool
@@ -27,6 +29,7 @@
 	index := map[kind]int{}
 	var out []provision.Demand
 	var zones *zoneRoom
+	may := c.underLimits()
 	for _, j := range c.book.Jobs {
 		if j == nil || !j.Open() {
 			continue
@@ -61,22 +64,14 @@
 			if zones == nil {
 				zones = c.zoneRoom(now)
 			}
-			for z, n := range zones.part(c, j, now) {
+			for z, n := range zones.part(c, j, may.start(j), now) {
 				if n > 0 {
 					add(z, n)
 				}
 			}
 			continue
 		}
-		n := j.NPlaced - c.placedAway(j, now) + c.wanting(j)
-		if t := &c.book.Teams[j.Team]; j.Cpus > 0 {
-			if t.CpusMax > 0 {
-				n = min(n, int(t.CpusMax/j.Cpus))
-			}
-			if t.GpusMax > 0 && j.Gpus > 0 {
-				n = min(n, int(t.GpusMax/j.Gpus))
-			}
-		}
+		n := j.NPlaced - c.placedAway(j, now) + may.start(j)
 		add(j.Zone, n)
 	}
 	return out
@@ -116,7 +111,7 @@
 // part tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
 // where it may have more and there is most. Room in a zone that has its half is of no use to it: services
 // waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneRoom) part(c *Controller, j *bookkeeping.Job, now time.Time) []int {
+func (r *zoneRoom) part(c *Controller, j *bookkeeping.Job, waiting int, now time.Time) []int {
 	need := make([]int, len(r.free))
 	in := make([]int, len(r.free))
 	for z, n := range j.ByZone {
@@ -124,7 +119,7 @@
 			need[z] = int(n)
 		}
 	}
-	for range c.wanting(j) {
+	for range waiting {
 		best := -1
 		for z := range r.free {
 			if in[z] >= j.ZoneMost() || c.zoneAway(z) || r.free[z] < j.Size && !r.rents[z] {
@@ -218,10 +213,7 @@
 
 // start takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
 func (u *underLimits) start(j *bookkeeping.Job) int {
-	n := u.c.wanting(j)
-	for n > 0 && !schedule.WithinLimit(u.c.book.Teams[j.Team], u.used[j.Team], j, n) {
-		n /= 2 // about as many: sums ask for no more
-	}
+	n := schedule.RoomWithin(u.c.book.Teams[j.Team], u.used[j.Team], j, u.c.wanting(j))
 	u.used[j.Team].Add(j, float64(n))
 	return n
 }
--- a/internal/coordination/schedule/place.go
+++ b/internal/coordination/schedule/place.go
@@ -233,6 +233,16 @@
 		(t.GpusMax <= 0 || u.Gpus+float64(n)*j.Gpus <= t.GpusMax+eps)
 }
 
+// RoomWithin is how many of n more tasks stay under the team's limit.
+func RoomWithin(t config.Team, u bookkeeping.Usage, j *bookkeeping.Job, n int) int {
+	for _, bound := range [...]struct{ limit, used, each float64 }{{t.CpusMax, u.Cpus, j.Cpus}, {t.GpusMax, u.Gpus, j.Gpus}} {
+		if bound.limit > 0 && bound.each > 0 {
+			n = min(n, int((bound.limit-bound.used+eps)/bound.each))
+		}
+	}
+	return max(0, n)
+}
+
 // Allowed tells whether a job's tasks may run on such a machine at all.
 func Allowed(j *bookkeeping.Job, m *bookkeeping.Machine) bool {
 	if m.Spot && !j.Spot {
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -208,3 +208,41 @@
 		t.Errorf("room asked for by zone: %v", need)
 	}
 }
+
+// Renting went by each job's own part of its team's limit: once limits bound, a team with many jobs had several times the
+// machines rented that it could use.
+func TestDemandsKeepToTeamLimits(t *testing.T) {
+	for _, x := range []struct {
+		name          string
+		limit         float64
+		jobs, running int // of six tasks of 4 CPUs each
+		want          int // the hall's own job has two such tasks that wait
+	}{
+		{"no limit", 0, 5, 0, 32},
+		{"one job under the limit", 40, 1, 0, 8},
+		{"many jobs share it", 40, 5, 0, 10},
+		{"what runs counts", 40, 5, 4, 10},
+		{"more runs than may", 12, 5, 4, 4},
+		{"less than a task is left", 19, 5, 4, 4},
+	} {
+		c := hall(t, 4)
+		c.lead.init()
+		c.book.Teams[0].CpusMax = x.limit
+		for i := range x.jobs {
+			var on []string
+			if i == 0 {
+				on = []string{"a0", "b0", "c0", "a1"}[:x.running]
+			}
+			j := c.serve(t, fmt.Sprintf("job-%06d", 10+i), 6, on...)
+			j.Spread = false
+			c.book.Used[j.Team].Add(j, float64(len(on)))
+		}
+		got := 0
+		for _, d := range c.demands(time.Now()) {
+			got += d.Tasks
+		}
+		if got != x.want {
+			t.Errorf("%s: room is asked for %d tasks, want %d", x.name, got, x.want)
+		}
+	}
+}
