--- a/internal/bookkeeping/book.go
+++ b/internal/bookkeeping/book.go
@@ -246,31 +246,34 @@
 	Catalog  Raw
 	Settings Raw
 	Used     []Usage // by team, all shares
-	Usual    Usual
-	Asked    map[Lane]Asked // by all jobs that this process has learned of
-	Revision uint64
-	Layout   Layout
-	Plain    bool // the gate is not looked at, as in the version before
-
-	order    order
-	final    map[string]Final
-	jobByID  map[string]*Job
-	after    map[string][]*Job // by id: open jobs that await it
-	doomed   []*Job
-	readied  []*Job
-	heirs    map[*Job]int // jobs that have inherited
-	inherits bool         // the graph has changed since
-	sets     map[string]map[int]setPart
-	long     map[string]*longText // by job and try
-	byName   map[string]*Machine
-	freeJobs []int32
-	fleets   map[string]*Fleet
-	versions map[string]uint64 // of keys that have no place elsewhere
-	imageGB  []float64         // by image
-	dirty    []*Machine        // changed since they were last asked for
-	ended    []*Job            // became final or complete since then
-	victims  map[victim]bool   // of all evicted sets
-	news     *news             // nil: nobody watches
+	// TeamEntries are the teams whose bounds were changed since the settings file; Teams has these.
+	TeamEntries map[int]TeamEntry
+	Usual       Usual
+	Asked       map[Lane]Asked // by all jobs that this process has learned of
+	Revision    uint64
+	Layout      Layout
+	Plain       bool // the gate is not looked at, as in the version before
+
+	fileTeams []config.Team // as the settings file has them
+	order     order
+	final     map[string]Final
+	jobByID   map[string]*Job
+	after     map[string][]*Job // by id: open jobs that await it
+	doomed    []*Job
+	readied   []*Job
+	heirs     map[*Job]int // jobs that have inherited
+	inherits  bool         // the graph has changed since
+	sets      map[string]map[int]setPart
+	long      map[string]*longText // by job and try
+	byName    map[string]*Machine
+	freeJobs  []int32
+	fleets    map[string]*Fleet
+	versions  map[string]uint64 // of keys that have no place elsewhere
+	imageGB   []float64         // by image
+	dirty     []*Machine        // changed since they were last asked for
+	ended     []*Job            // became final or complete since then
+	victims   map[victim]bool   // of all evicted sets
+	news      *news             // nil: nobody watches
 }
 
 // Layout is the gate between the layouts as the book has it.
@@ -300,7 +303,7 @@
 // NewBook is an empty book.
 func NewBook(s *config.Settings) *Book {
 	b := &Book{
-		Teams: s.Deployment.Teams, TeamIdx: NewNames(), Zones: NewNames(s.Deployment.Zones...),
+		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIdx: NewNames(), Zones: NewNames(s.Deployment.Zones...),
 		TypeIdx: NewNames(), Images: NewNames(), Classes: NewNames(),
 		NShares: ShareCount(&s.Deployment), Nodes: map[string]*Node{}, Evicted: map[string]*Evicted{},
 		final: map[string]Final{}, jobByID: map[string]*Job{}, after: map[string][]*Job{}, sets: map[string]map[int]setPart{}, long: map[string]*longText{},
@@ -451,7 +454,7 @@
 		}
 		return b.applyRack(id, value, version)
 	}
-	if _, ok := suffix(key, oldPrefix); ok && !deleted && key != BarKey {
+	if _, ok := suffix(key, oldPrefix); ok && !deleted && !isBar(key) {
 		return fmt.Errorf("record %s: %w", key, ErrLayout)
 	}
 	if b.versions[key] >= version {
@@ -507,6 +510,9 @@
 		return nil
 	}
 	b.versions[key] = version
+	if escaped, ok := suffix(key, teamPrefix); ok {
+		return b.applyTeam(escaped, value, version, deleted)
+	}
 	switch key {
 	case LeaderKey:
 		b.Leader = Leader{}
--- /dev/null
+++ b/internal/bookkeeping/teams.go
@@ -0,0 +1,84 @@
+package bookkeeping
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/url"
+
+	"dykeledge/internal/config"
+)
+
+// This file owns the records of teams' guarantees and limits that were changed since the settings file. A node of a version
+// before it reads no such key, and would go by the settings file: they are written only once every node that the settings
+// name reads them (LayoutTeams).
+
+const teamPrefix = Root + "team/"
+
+// LayoutTeams is the packed layout with changed teams beside it.
+const LayoutTeams = 3
+
+// BarTeamsKey is written with the first change of a team. Versions that read no changed teams take it for a record of the
+// layout that they refuse, and so do not become ready if they are started later.
+const BarTeamsKey = oldPrefix + "teams"
+
+// isBar tells whether a key only keeps older versions out.
+func isBar(key string) bool { return key == BarKey || key == BarTeamsKey }
+
+// TeamKey holds a team's guarantee and limit, if they were changed since the settings file.
+func TeamKey(name string) string { return teamPrefix + url.PathEscape(name) }
+
+// TeamRecord is a team's guarantee and limit.
+type TeamRecord struct {
+	TeamBounds
+	// Was is the limit that still counts while the team uses more than the new one: nothing more of it starts meanwhile.
+	Was *TeamBounds `json:"was,omitempty"`
+}
+
+// TeamBounds are a team's guarantee and limit; a limit of 0 is none.
+type TeamBounds struct {
+	Cpus    float64 `json:"cpus"`
+	CpusMax float64 `json:"cpus_max"`
+	Gpus    float64 `json:"gpus"`
+	GpusMax float64 `json:"gpus_max"`
+}
+
+// BoundsOf are a team's bounds in the settings file.
+func BoundsOf(t config.Team) TeamBounds { return TeamBounds{t.Cpus, t.CpusMax, t.Gpus, t.GpusMax} }
+
+// Team is a team with these bounds.
+func (b TeamBounds) Team(name string) config.Team {
+	return config.Team{Name: name, Cpus: b.Cpus, CpusMax: b.CpusMax, Gpus: b.Gpus, GpusMax: b.GpusMax}
+}
+
+// TeamEntry is a changed team as the book has it.
+type TeamEntry struct {
+	TeamRecord
+	Version uint64
+}
+
+// applyTeam takes a team's record. One of a team that the settings name no more is left alone.
+func (b *Book) applyTeam(escaped string, value json.RawMessage, version uint64, deleted bool) error {
+	name, err := url.PathUnescape(escaped)
+	if err != nil {
+		return fmt.Errorf("record %s%s: %w", teamPrefix, escaped, err)
+	}
+	team := b.TeamIdx.Find(name)
+	if team < 0 || b.TeamEntries[team].Version >= version {
+		return nil
+	}
+	if deleted {
+		delete(b.TeamEntries, team)
+		b.Teams[team] = b.fileTeams[team]
+		return nil
+	}
+	entry := TeamEntry{Version: version}
+	if err := json.Unmarshal(value, &entry.TeamRecord); err != nil {
+		return fmt.Errorf("record %s%s: %w", teamPrefix, escaped, err)
+	}
+	b.TeamEntries[team] = entry
+	b.Teams[team] = entry.Team(name)
+	return nil
+}
+
+// ChangesTeams tells whether every node reads changed teams, so that there may be some.
+func (b *Book) ChangesTeams() bool { return b.Layout.Version >= LayoutTeams && !b.Plain }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -231,7 +231,7 @@
 	c.hands, c.broke = make([]hand, c.book.NShares), map[string]time.Time{}
 	c.living, c.began = map[string]time.Time{}, time.Now()
 	c.owned, c.waiting, c.edits = make([]uint64, c.book.NShares), make([]int, c.book.NShares), map[int32]*edit{}
-	c.Layout, c.Frames = bookkeeping.LayoutPacked, protocol.FramesWord
+	c.Layout, c.Frames = bookkeeping.LayoutTeams, protocol.FramesWord
 	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
 	c.metrics.Registry.MustRegister(gauges{c})
 	c.blind = blind{since: time.Now(), renewed: map[string]time.Time{}}
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -25,7 +25,7 @@
 		if !c.owns(e.Share) {
 			continue
 		}
-		if j := c.book.Job(id); j == nil || !j.Open() || (c.victimsGone(e) && (j.Waiting() == 0 || c.roomUsed(e, j))) {
+		if c.setServed(id, e) {
 			key := bookkeeping.EvictKey(id)
 			b.put(key, e.Version, protocol.Change{Delete: key})
 			ops--
@@ -86,6 +86,16 @@
 	}
 }
 
+// setServed tells whether an evicted set has served: its victims are gone, and the job that it made room for has it, or is
+// over. One for a team's limit makes room for none.
+func (c *Controller) setServed(id string, e *bookkeeping.Evicted) bool {
+	if _, forLimit := limitSetTeam(id); forLimit {
+		return c.victimsGone(e)
+	}
+	j := c.book.Job(id)
+	return j == nil || !j.Open() || c.victimsGone(e) && (j.Waiting() == 0 || c.roomUsed(e, j))
+}
+
 // sooner tells whether a top-priority job may leave free room alone since room that it evicts serves
 // it sooner. It may do so for a short while only: where no eviction comes of it, what is free is taken.
 func (c *Controller) sooner(j *bookkeeping.Job, now time.Time) bool {
@@ -254,18 +264,7 @@
 			if over && claim {
 				excess[q.Team].Add(q, -1)
 			}
-			ref := dispatch.RefOf(p)
-			ran := 0.0
-			if at, ok := v.started[ref]; ok {
-				ran = now.Sub(at).Seconds()
-			} else if _, ok := v.Seen[ref]; !ok {
-				ran = max(0, float64(now.Unix()-p.At))
-			}
-			if q.Mark > 0 {
-				for ran >= q.Mark {
-					ran -= q.Mark
-				}
-			}
+			ran := lossOf(v, p, now)
 			vic := schedule.Victim{Slot: s, Job: q, Task: p.Task, Attempt: p.Attempt}
 			if q.Shape == protocol.Service {
 				if i, ok := services[q]; ok {
@@ -282,6 +281,22 @@
 	return out
 }
 
+// lossOf is how many seconds of a task's run would be lost if it were stopped now: since its start or its last checkpoint.
+func lossOf(v *machineView, p bookkeeping.Placed, now time.Time) float64 {
+	ref, ran := dispatch.RefOf(p), 0.0
+	if at, ok := v.started[ref]; ok {
+		ran = now.Sub(at).Seconds()
+	} else if _, ok := v.Seen[ref]; !ok {
+		ran = max(0, float64(now.Unix()-p.At))
+	}
+	if p.Job.Mark > 0 {
+		for ran >= p.Job.Mark {
+			ran -= p.Job.Mark
+		}
+	}
+	return ran
+}
+
 // recordEviction writes the whole set as one record, before any stop goes out.
 func (c *Controller) recordEviction(now time.Time, b *batch, j *bookkeeping.Job, chosen []schedule.Candidate, in *schedule.Input, short int) {
 	e := bookkeeping.EvictRecord{Share: j.Share, AtMs: now.UnixMilli()}
--- a/internal/coordination/member_test.go
+++ b/internal/coordination/member_test.go
@@ -27,7 +27,7 @@
 // A transaction of the process before was applied late: the record said what that had been,
 // and vanished with its hold. The node lived on as no member, and the gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
-	own := bookkeeping.NodeRecord{Incarnation: 7, Layout: bookkeeping.LayoutPacked, Frames: protocol.FramesWord}
+	own := bookkeeping.NodeRecord{Incarnation: 7, Layout: bookkeeping.LayoutTeams, Frames: protocol.FramesWord}
 	for _, x := range []struct {
 		name string
 		rec  *bookkeeping.NodeRecord
@@ -38,7 +38,7 @@
 		{"of the process before", &bookkeeping.NodeRecord{Incarnation: 3}, 45, true},
 		{"none", nil, 45, true},
 		{"none yet: the book has not come so far", nil, 39, false},
-		{"unfit, from an attempt with unknown outcome", &bookkeeping.NodeRecord{Incarnation: 7, Layout: bookkeeping.LayoutPacked, Unfit: true}, 45, true},
+		{"unfit, from an attempt with unknown outcome", &bookkeeping.NodeRecord{Incarnation: 7, Layout: bookkeeping.LayoutTeams, Unfit: true}, 45, true},
 		{"of a later process", &bookkeeping.NodeRecord{Incarnation: 9, Layout: bookkeeping.LayoutPacked}, 45, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -169,6 +169,7 @@
 		}
 	}
 	c.planEvictions(now, d.batch, in, res, ops-d.used, d.left)
+	c.planLimits(now, d, in)
 	if len(d.puts) > 0 {
 		for s := range shares {
 			d.when(bookkeeping.ShareKey(s), c.book.Shares[s].Version)
--- a/internal/coordination/schedule/evict.go
+++ b/internal/coordination/schedule/evict.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/config"
 )
 
 // Victim is one task that an eviction stops.
@@ -159,3 +160,22 @@
 	}
 	return total
 }
+
+// EvictExcess takes candidates of one team in rising score until what it uses is within its limit. Tasks that other sets
+// evict already must be left out of the candidates, and count as used until they are gone.
+func EvictExcess(used bookkeeping.Usage, limit config.Team, ordered []Candidate) []Candidate {
+	var chosen []Candidate
+	over := func() bool {
+		return limit.CpusMax > 0 && used.Cpus > limit.CpusMax+eps || limit.GpusMax > 0 && used.Gpus > limit.GpusMax+eps
+	}
+	for _, c := range ordered {
+		if !over() {
+			break
+		}
+		for _, v := range c.Victims {
+			used.Add(v.Job, -1)
+		}
+		chosen = append(chosen, c)
+	}
+	return chosen
+}
--- /dev/null
+++ b/internal/coordination/teams.go
@@ -0,0 +1,362 @@
+package coordination
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"time"
+
+	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/protocol"
+)
+
+// This file owns changes of teams' guarantees and limits while the deployment serves. A change is one conditional write of the
+// team's own record, by any node. A limit that is raised counts at once: an owner that has not seen it places less. A limit
+// that is lowered bounds what starts as soon as the owner of the team's share reads it, and counts only from when that owner
+// says so in the record, since what its records hold is under it; until then the former limit counts, and tasks beyond the new one are evicted by the ranking
+// of all evictions. Only the owner places a team's tasks, and its commits depend on its ownership: so an owner that stands
+// still over a change and wakes later may still place by the former limit, while that one counts, and never after.
+
+// TeamView is a team's guarantee and limit as operators see them.
+type TeamView struct {
+	Name string `json:"name"`
+	bookkeeping.TeamBounds
+	Version  uint64   `json:"version"` // 0: as the settings file has it
+	State    string   `json:"state"`
+	CpusToGo float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
+	GpusToGo float64  `json:"gpus_to_go,omitempty"`
+	Behind   []string `json:"behind,omitempty"` // nodes that have not shown that they go by it
+}
+
+// The states of a team's entry.
+const (
+	TeamFromFile = "settings file"
+	TeamInForce  = "in force"
+	TeamLowering = "being lowered"
+	TeamSpreads  = "not yet in force" // some node has not shown that it goes by it
+)
+
+// GateError says that a change would not be gone by everywhere, and why.
+type GateError struct{ Nodes []string }
+
+func (e *GateError) Error() string {
+	return "not before all nodes read changed teams; missing: " + strings.Join(e.Nodes, ", ")
+}
+
+// ErrNoTeam says that the settings name no such team.
+var ErrNoTeam = errors.New("no such team")
+
+// Teams lists the teams in the settings file's order.
+func (c *Controller) Teams(ctx context.Context) ([]TeamView, error) {
+	var out []TeamView
+	if err := c.Barrier(ctx); err != nil {
+		return nil, ErrUnavailable
+	}
+	err := c.call(ctx, func() {
+		for team := range c.book.Teams {
+			out = append(out, c.teamView(team, time.Now()))
+		}
+	})
+	return out, err
+}
+
+func (c *Controller) teamView(team int, now time.Time) TeamView {
+	t := c.book.Teams[team]
+	v := TeamView{Name: t.Name, TeamBounds: bookkeeping.BoundsOf(t), State: TeamFromFile}
+	entry, changed := c.book.TeamEntries[team]
+	if !changed {
+		return v
+	}
+	v.Version, v.State, v.Behind = entry.Version, TeamInForce, c.behind(entry.Version, now)
+	if len(v.Behind) > 0 {
+		v.State = TeamSpreads
+	}
+	if entry.Was != nil {
+		v.State = TeamLowering
+		v.CpusToGo, v.GpusToGo = excessOf(entry.TeamBounds, c.book.Used[team])
+	}
+	return v
+}
+
+// behind are the living nodes that have not shown that they have read a revision.
+func (c *Controller) behind(revision uint64, now time.Time) []string {
+	var out []string
+	for name := range c.book.Nodes {
+		p, heard := c.peers[name]
+		if name == c.cfg.NodeName || heard && now.Sub(p.at) < peerFresh && p.pulse.Revision >= revision {
+			continue
+		}
+		out = append(out, name)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// excessOf is what a team uses beyond a limit.
+func excessOf(b bookkeeping.TeamBounds, u bookkeeping.Usage) (cpus, gpus float64) {
+	if b.CpusMax > 0 {
+		cpus = max(0, u.Cpus-b.CpusMax)
+	}
+	if b.GpusMax > 0 {
+		gpus = max(0, u.Gpus-b.GpusMax)
+	}
+	return cpus, gpus
+}
+
+// limitSlack is by how much usage may be above a limit, for rounding.
+const limitSlack = 1e-6
+
+func isUnder(b bookkeeping.TeamBounds, u bookkeeping.Usage) bool {
+	cpus, gpus := excessOf(b, u)
+	return cpus <= limitSlack && gpus <= limitSlack
+}
+
+// tighter tells whether some limit of a is lower than that of b.
+func tighter(a, b bookkeeping.TeamBounds) bool {
+	lower := func(x, y float64) bool { return x > 0 && (y <= 0 || x < y) }
+	return lower(a.CpusMax, b.CpusMax) || lower(a.GpusMax, b.GpusMax)
+}
+
+// changeBounds applies a change, given as a JSON object of names and values; the whole of it is checked.
+func changeBounds(b bookkeeping.TeamBounds, raw json.RawMessage) (bookkeeping.TeamBounds, error) {
+	var names map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &names); err != nil || len(names) == 0 {
+		return b, &FieldError{"team", "an object of at least one name and value"}
+	}
+	for name := range names {
+		if !slices.Contains([]string{"cpus", "cpus_max", "gpus", "gpus_max"}, name) {
+			return b, &FieldError{name, "cpus, cpus_max, gpus or gpus_max"}
+		}
+		if bytes.Equal(bytes.TrimSpace(names[name]), []byte("null")) {
+			return b, &FieldError{name, amountExpected}
+		}
+	}
+	if err := json.Unmarshal(raw, &b); err != nil {
+		var wrong *json.UnmarshalTypeError
+		if errors.As(err, &wrong) {
+			return b, &FieldError{wrong.Field, amountExpected}
+		}
+		return b, &FieldError{"team", "an object of names and amounts"}
+	}
+	return b, checkBounds(b)
+}
+
+const amountExpected = "a number of 0 or more; a limit of 0 is none"
+
+func checkBounds(b bookkeeping.TeamBounds) error {
+	for _, x := range []struct {
+		name  string
+		value float64
+	}{{"cpus", b.Cpus}, {"cpus_max", b.CpusMax}, {"gpus", b.Gpus}, {"gpus_max", b.GpusMax}} {
+		if !(x.value >= 0) || math.IsInf(x.value, 0) {
+			return &FieldError{x.name, amountExpected}
+		}
+	}
+	if b.CpusMax > 0 && b.Cpus > b.CpusMax {
+		return &FieldError{"cpus", "a guarantee that is not above the limit"}
+	}
+	if b.GpusMax > 0 && b.Gpus > b.GpusMax {
+		return &FieldError{"gpus", "a guarantee that is not above the limit"}
+	}
+	return nil
+}
+
+// ChangeTeam changes a team's guarantee or limit if version is still that of its entry.
+func (c *Controller) ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (TeamView, error) {
+	var view TeamView
+	if err := c.Barrier(ctx); err != nil {
+		return view, ErrUnavailable
+	}
+	var t protocol.Txn
+	var refused error
+	if err := c.call(ctx, func() { t, refused = c.teamTxn(name, version, change) }); err != nil {
+		return view, err
+	}
+	if refused != nil {
+		return view, refused
+	}
+	rev, failed, err := c.state.Txn(ctx, t, protocol.ForUser)
+	switch {
+	case err != nil:
+		return view, ErrUnavailable // whether it was done shows in the entry's version
+	case len(failed) > 0:
+		return view, ErrVersion
+	}
+	err = c.call(ctx, func() {
+		c.applyTxn(t, rev)
+		c.changed()
+		c.kick()
+		view = c.teamView(c.book.TeamIdx.Find(name), time.Now())
+	})
+	c.log.Info("team changed by an operator", "team", name, "version", rev, "change", string(change))
+	return view, err
+}
+
+// teamTxn is the transaction that changes a team.
+func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
+	var t protocol.Txn
+	team := c.book.TeamIdx.Find(name)
+	if team < 0 {
+		return t, ErrNoTeam
+	}
+	entry := c.book.TeamEntries[team]
+	if version != entry.Version {
+		return t, ErrVersion
+	}
+	if missing := c.notReadingTeams(); len(missing) > 0 {
+		return t, &GateError{missing}
+	}
+	now := bookkeeping.BoundsOf(c.book.Teams[team])
+	next, err := changeBounds(now, change)
+	if err != nil {
+		return t, err
+	}
+	if tighter(next, now) {
+		if err := c.checkAccepted(team, next); err != nil {
+			return t, err
+		}
+	}
+	rec := bookkeeping.TeamRecord{TeamBounds: next}
+	counts := now // the limit that counts now
+	if entry.Was != nil {
+		counts = *entry.Was
+	}
+	if tighter(next, counts) {
+		rec.Was = &counts
+	}
+	t.If = []protocol.Condition{{Key: bookkeeping.TeamKey(name), Version: entry.Version}}
+	t.Then = []protocol.Change{{Put: bookkeeping.TeamKey(name), Value: bookkeeping.Encode(rec)}}
+	if !c.book.ChangesTeams() {
+		gate := bookkeeping.Encode(bookkeeping.LayoutRecord{Version: bookkeeping.LayoutTeams})
+		t.If = append(t.If, protocol.Condition{Key: bookkeeping.LayoutKey, Version: c.book.Layout.Revision})
+		t.Then = append(t.Then, protocol.Change{Put: bookkeeping.LayoutKey, Value: gate}, protocol.Change{Put: bookkeeping.BarTeamsKey, Value: gate})
+	}
+	return t, nil
+}
+
+// notReadingTeams are the nodes that the settings name and that have not shown that they read changed teams. Once a team has
+// been changed no older version becomes ready, so nobody is missing.
+func (c *Controller) notReadingTeams() []string {
+	if c.book.ChangesTeams() {
+		return nil
+	}
+	var missing []string
+	names := []string{c.cfg.NodeName}
+	for _, p := range c.cfg.Known {
+		names = append(names, p.NodeName)
+	}
+	for _, name := range names {
+		if n := c.book.Nodes[name]; n == nil || n.Layout < bookkeeping.LayoutTeams || !c.book.Packed() {
+			missing = append(missing, name)
+		}
+	}
+	slices.Sort(missing)
+	return missing
+}
+
+// checkAccepted refuses a limit under which an accepted job could never run any more.
+func (c *Controller) checkAccepted(team int, b bookkeeping.TeamBounds) error {
+	bounds := b.Team(c.book.Teams[team].Name)
+	for _, j := range c.book.Jobs {
+		if j == nil || j.Team != team || !j.Open() {
+			continue
+		}
+		n := 1
+		if j.Shape == protocol.Service {
+			n = j.Tasks
+		}
+		if !schedule.WithinLimit(bounds, bookkeeping.Usage{}, j, n) {
+			return &FieldError{"cpus_max", fmt.Sprintf("a limit under which the accepted job %s can run", j.ID)}
+		}
+	}
+	return nil
+}
+
+// limitSetPrefix begins the names of evicted sets that bring a team under its limit.
+const limitSetPrefix = "limit:"
+
+func limitSetOf(team int) string { return fmt.Sprintf("%s%d", limitSetPrefix, team) }
+
+// limitSetTeam tells whether an evicted set is for a team's limit.
+func limitSetTeam(id string) (string, bool) { return strings.CutPrefix(id, limitSetPrefix) }
+
+// planLimits works off limits that are being lowered, of teams whose share this node owns: those that the records prove to be
+// kept count from now on, and tasks beyond the others are evicted.
+func (c *Controller) planLimits(now time.Time, d *draft, in *schedule.Input) {
+	for team, entry := range c.book.TeamEntries {
+		if entry.Was == nil || !c.owns(c.book.ShareOf(team)) || d.used >= d.ops {
+			continue
+		}
+		if isUnder(entry.TeamBounds, in.Used[team]) && isUnder(entry.TeamBounds, c.book.Used[team]) {
+			key := bookkeeping.TeamKey(c.book.Teams[team].Name)
+			d.put(key, entry.Version, protocol.Change{Put: key, Value: bookkeeping.Encode(bookkeeping.TeamRecord{TeamBounds: entry.TeamBounds})})
+			d.used++
+			continue
+		}
+		if c.book.Evicted[limitSetOf(team)] == nil {
+			c.evictForLimit(now, d, team, entry.TeamBounds)
+		}
+	}
+}
+
+// evictForLimit names the tasks that have to go for a team to be under its limit, as one record before any stop.
+func (c *Controller) evictForLimit(now time.Time, d *draft, team int, b bookkeeping.TeamBounds) {
+	candidates := c.limitCandidates(now, d, team)
+	schedule.Order(c.alpha, candidates)
+	chosen := schedule.EvictExcess(c.book.Used[team], b.Team(""), candidates)
+	chosen = c.fitRecord(chosen)
+	if len(chosen) == 0 {
+		return
+	}
+	e := bookkeeping.EvictRecord{Share: c.book.ShareOf(team), AtMs: now.UnixMilli()}
+	for _, x := range chosen {
+		for _, v := range x.Victims {
+			e.Victims = append(e.Victims, bookkeeping.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID, Task: v.Task, Attempt: v.Attempt,
+				Score: float64(int(x.Score*10)) / 10})
+		}
+	}
+	c.log.Info("evicting for a limit", "team", c.book.Teams[team].Name, "victims", len(e.Victims))
+	key := bookkeeping.EvictKey(limitSetOf(team))
+	d.put(key, 0, protocol.Change{Put: key, Value: bookkeeping.EncodeEvict(&e, c.book.Packed())})
+	d.used++
+}
+
+// limitCandidates are a team's tasks, wherever they run, that stay with this transaction and that no other set evicts.
+func (c *Controller) limitCandidates(now time.Time, d *draft, team int) []schedule.Candidate {
+	var out []schedule.Candidate
+	services := map[*bookkeeping.Job]int{}
+	for _, m := range c.book.Machines {
+		if m.Gone {
+			continue
+		}
+		tasks, changed := d.left[m.Index]
+		if !changed {
+			tasks = m.Tasks
+		}
+		slot := &schedule.Slot{M: m}
+		for _, p := range tasks {
+			j := p.Job
+			if j.Team != team || !j.Open() || p.Attempt >= c.fresh() || c.book.Victim(p) {
+				continue
+			}
+			ran := lossOf(c.view(m), p, now)
+			victim := schedule.Victim{Slot: slot, Job: j, Task: p.Task, Attempt: p.Attempt}
+			if i, ok := services[j]; ok {
+				out[i].Victims = append(out[i].Victims, victim)
+				out[i].V, out[i].W = out[i].V+ran, max(out[i].W, float64(p.Waited))
+				continue
+			}
+			if j.Shape == protocol.Service {
+				services[j] = len(out)
+			}
+			out = append(out, schedule.Candidate{Victims: []schedule.Victim{victim}, V: ran, W: float64(p.Waited), At: j.At, Top: j.Priority.Top()})
+		}
+	}
+	return out
+}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -352,9 +352,10 @@
 // accepts tells whether this node can accept a job that awaits no other. That takes the
 // machine types, and that the records are of a layout that it reads; whether the id is free
 // is a condition of the commit. So the gate and the catalog are read first, and after an end of
-// all nodes submissions need not wait until each has read every record.
+// all nodes submissions need not wait until each has read every record. Once teams may have been changed it has to
+// have read those, too: it would accept by the settings file what can never run.
 func (c *Controller) accepts() bool {
-	return c.book.HasCatalog() && (c.loaded || c.book.Packed() && !c.stranger)
+	return c.book.HasCatalog() && (c.loaded || c.book.Packed() && !c.book.ChangesTeams() && !c.stranger)
 }
 
 // Ready tells whether this node can take requests. In an outage of the state service all
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -38,13 +38,18 @@
 func (c *Controller) EnableView() {
 	teams := make([]view.Team, len(c.book.Teams))
 	for i, t := range c.book.Teams {
-		teams[i] = view.Team{Name: t.Name, Cpus: milli(t.Cpus), CpusMax: milli(t.CpusMax), Gpus: milli(t.Gpus), GpusMax: milli(t.GpusMax)}
+		teams[i] = teamRow(t)
 	}
 	now := time.Now()
 	c.viewing = &viewing{model: view.NewModel(teams), hub: view.NewHub(), head: view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Node: c.cfg.NodeName}}
 	c.book.Watch()
 }
 
+// teamRow is a team's guarantee and limit.
+func teamRow(t config.Team) view.Team {
+	return view.Team{Name: t.Name, Cpus: milli(t.Cpus), CpusMax: milli(t.CpusMax), Gpus: milli(t.Gpus), GpusMax: milli(t.GpusMax)}
+}
+
 func milli(v float64) uint64 { return uint64(math.Round(1000 * v)) }
 
 // showView brings the model up to date and takes a snapshot, if somebody reads and the book is
@@ -82,6 +87,9 @@
 	for _, id := range evicted {
 		c.showEvicted(id)
 	}
+	for team := range c.book.TeamEntries {
+		v.model.SetTeam(teamRow(c.book.Teams[team]))
+	}
 	if v.whole && now.Sub(v.shown) >= viewGap && v.hub.Wanted(now) {
 		c.publishView(now)
 	}
--- /dev/null
+++ b/internal/standin/limits_test.go
@@ -0,0 +1,159 @@
+package standin
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/config"
+	"dykeledge/internal/coordination"
+	"dykeledge/internal/protocol"
+)
+
+// operator changes a team's limit through any node that lives, until it is done or refused for good.
+func (w *World) operator(t *testing.T, team string, cpusMax float64) {
+	t.Helper()
+	for range 200 {
+		core := w.Node(w.Rand.IntN(3)).Core
+		views, err := core.Teams(w.ctx)
+		for _, v := range views {
+			if v.Name != team {
+				continue
+			}
+			_, err = core.ChangeTeam(w.ctx, team, v.Version, json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpusMax)))
+		}
+		var field *coordination.FieldError
+		if err == nil && views != nil || errors.As(err, &field) {
+			return
+		}
+		time.Sleep(250 * time.Millisecond)
+	}
+	t.Errorf("the limit of %s can't be changed", team)
+}
+
+// stateOf is a team's state as a node tells it, "" where none does.
+func (w *World) stateOf(team string) string {
+	for i := range 3 {
+		views, err := w.Node(i).Core.Teams(w.ctx)
+		if err != nil {
+			continue
+		}
+		for _, v := range views {
+			if v.Name == team {
+				return v.State
+			}
+		}
+	}
+	return ""
+}
+
+// TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any node, while owners end, stand still over
+// a change and wake later, answers get lost and transactions come late. The checker holds every start against the limit that
+// counts, and every limit that is said to be in force against what really runs.
+func TestLimitsChangeWhileItServes(t *testing.T) {
+	for _, x := range []struct {
+		name    string
+		trouble func(w *World, step int)
+	}{
+		{"no trouble", func(*World, int) {}},
+		{"owners end", func(w *World, step int) { w.Again(time.Duration(w.Rand.IntN(4000))*time.Millisecond, step%3) }},
+		{"nodes stand still over changes", func(w *World, step int) {
+			w.Node(step % 3).StandStill(time.Duration(2+w.Rand.IntN(9)) * time.Second)
+		}},
+		{"an outage, and a node refused alone", func(w *World, step int) {
+			if step%2 == 0 {
+				w.Store.SetDown(true)
+				time.Sleep(4 * time.Second)
+				w.Store.SetDown(false)
+				return
+			}
+			w.Store.Refuse(w.Node(step%3).Name, true)
+			time.Sleep(6 * time.Second)
+			w.Store.Refuse(w.Node(step%3).Name, false)
+		}},
+	} {
+		for seed := range uint64(3) {
+			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
+				var evicted, lowered atomic.Int32
+				playDay(t, 700+seed, func(w *World) {
+					w.Cap = 8
+					w.Late = func(string, protocol.Txn) time.Duration {
+						if w.Rand.IntN(60) > 0 {
+							return 0
+						}
+						return time.Duration(500+w.Rand.IntN(8000)) * time.Millisecond
+					}
+					records := w.Store.Check
+					w.Store.Check = func(t protocol.Txn) {
+						records(t)
+						for _, c := range t.Then {
+							if strings.HasPrefix(c.Put, bookkeeping.EvictKey("limit:")) {
+								evicted.Add(1)
+							}
+							var r bookkeeping.TeamRecord
+							if c.Put == bookkeeping.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Was != nil {
+								lowered.Add(1)
+							}
+						}
+					}
+				}, func(w *World) {
+					w.Talk()
+					for step, limit := range []float64{60, 24, 80, 20, 30, 18, 60, 16, 40} {
+						w.operator(t, "red", limit)
+						x.trouble(w, step)
+						time.Sleep(time.Duration(1+w.Rand.IntN(4)) * time.Second)
+					}
+					w.operator(t, "red", 40)
+				}, func(w *World) {
+					if state := w.stateOf("red"); state != coordination.TeamInForce {
+						t.Errorf("the last limit is %q", state)
+					}
+					if lowered.Load() == 0 {
+						t.Error("no limit was lowered")
+					}
+				})
+				t.Logf("%d limits lowered, %d sets evicted for one", lowered.Load(), evicted.Load())
+			})
+		}
+	}
+}
+
+// A limit was counted as kept by a node that saw little of the team running, while the transaction of the share's owner
+// that placed more was on its way: only the owner may say so.
+func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			playDay(t, 760+seed, func(w *World) { w.Cap = 8 }, func(w *World) {
+				w.Talk()
+				share := slices.IndexFunc(w.Cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
+				for range 12 {
+					owner := w.Owner(share)
+					if owner < 0 {
+						time.Sleep(time.Second)
+						continue
+					}
+					slow := w.Node(owner).Name
+					w.Store.Slow = func(node string) time.Duration {
+						if node != slow {
+							return 0
+						}
+						return time.Duration(300+w.Rand.IntN(600)) * time.Millisecond
+					}
+					w.User(Want{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
+					time.Sleep(time.Duration(100+w.Rand.IntN(900)) * time.Millisecond)
+					w.operator(t, "red", 18)
+					time.Sleep(time.Duration(w.Rand.IntN(3000)) * time.Millisecond)
+					w.Store.Slow = nil
+					w.operator(t, "red", 40)
+					time.Sleep(2 * time.Second)
+				}
+			}, nil)
+		})
+	}
+}
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -40,6 +40,7 @@
 			c.world.newLeader(change.Value)
 		}
 		c.noteFleet(change)
+		c.world.noteTeam(change)
 	}
 	c.noteRacks(t)
 }
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -1,8 +1,10 @@
 package standin
 
 import (
+	"encoding/json"
 	"time"
 
+	"dykeledge/internal/bookkeeping"
 	"dykeledge/internal/protocol"
 )
 
@@ -111,10 +113,44 @@
 // checkQuota compares what a job's team uses with its limit. The usage is kept up to date as tasks come and go: adding it
 // up at every start costs as much as there are jobs.
 func (w *World) checkQuota(j *Job) {
-	used := w.used[j.Team]
-	for _, team := range w.Cfg.Deployment.Teams {
-		if team.Name == j.Team && team.CpusMax > 0 && used > team.CpusMax+usageSlack {
-			w.fault("quota: %s uses %.1f of %.1f", j.Team, used, team.CpusMax)
+	w.checkLimit(j.Team, w.limitOf(j.Team))
+}
+
+func (w *World) checkLimit(team string, limit float64) {
+	if used := w.used[team]; limit > 0 && used > limit+usageSlack {
+		w.fault("quota: %s uses %.1f of %.1f", team, used, limit)
+	}
+}
+
+// limitOf is the limit that counts for a team, in CPUs; 0: none.
+func (w *World) limitOf(team string) float64 {
+	if limit, changed := w.limits[team]; changed {
+		return limit
+	}
+	for _, t := range w.Cfg.Deployment.Teams {
+		if t.Name == team {
+			return t.CpusMax
+		}
+	}
+	return 0
+}
+
+// noteTeam takes a change of a team. A limit that is being lowered counts from when the records say that it is kept to; it
+// must be by then. The world is locked.
+func (w *World) noteTeam(change protocol.Change) {
+	for _, t := range w.Cfg.Deployment.Teams {
+		if change.Put != bookkeeping.TeamKey(t.Name) {
+			continue
+		}
+		var r bookkeeping.TeamRecord
+		if err := json.Unmarshal(change.Value, &r); err != nil {
+			w.fault("record %s cannot be read", change.Put)
+		}
+		counts := r.TeamBounds
+		if r.Was != nil {
+			counts = *r.Was
 		}
+		w.limits[t.Name] = counts.CpusMax
+		w.checkLimit(t.Name, counts.CpusMax)
 	}
 }
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -249,14 +249,15 @@
 	Delay    func(from, to string) time.Duration
 	Commands Meter              // the workers' ports
 	used     map[string]float64 // by team: the CPUs of its running tasks
+	limits   map[string]float64 // by team whose entry was changed: the CPUs that it may use; 0: any
 }
 
 // NewWorld plays a deployment until ctx ends.
 func NewWorld(ctx context.Context, cfg *config.Settings, seed uint64) *World {
 	w := &World{T0: time.Now(), Cfg: cfg, Store: NewStore(), Rand: &Dice{r: rand.New(rand.NewPCG(seed, 7))},
 		machines: map[string]*Machine{}, jobs: map[string]*Job{}, charters: map[string][]string{}, AnswersLost: map[string]int{}, Cap: 6, ctx: ctx,
-		used: map[string]float64{},
-		Log:  slog.New(slog.NewTextHandler(io.Discard, nil)),
+		used: map[string]float64{}, limits: map[string]float64{},
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Catalog: protocol.Catalog{Types: []protocol.MachineType{{Name: "t16", Cpus: 16, MemGB: 64, CacheGB: 30, FetchGBs: 0.5,
 			Price: 1, SpotPrice: 0.3, BootS: 10, Zones: cfg.Deployment.Zones}}}}
 	w.Store.Check = newRecordCheck(w).note
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"net"
+	"net/url"
 	"strconv"
 	"strings"
 	"time"
@@ -28,6 +29,8 @@
 	MachineInfos(ctx context.Context, after string, limit int) ([]coordination.MachineInfo, bool, error)
 	MachineInfo(ctx context.Context, name string) (coordination.MachineInfo, bool, error)
 	Evictions(ctx context.Context) ([]coordination.EvictionView, error)
+	Teams(ctx context.Context) ([]coordination.TeamView, error)
+	ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (coordination.TeamView, error)
 	Metrics() *coordination.Metrics
 	ViewCore
 }
@@ -45,6 +48,12 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
+// TeamChange asks for a change of a team, conditional on the version of its entry that was read.
+type TeamChange struct {
+	Version *uint64         `json:"version"`
+	Team    json.RawMessage `json:"team"`
+}
+
 // AdminRefusal is the body of an answer that refuses an operator's request.
 type AdminRefusal struct {
 	Error string `json:"error"`
@@ -92,6 +101,8 @@
 			return send(c, 400, AdminRefusal{err.Error(), fe.Field})
 		case errors.Is(err, coordination.ErrVersion):
 			return send(c, 409, AdminRefusal{Error: err.Error()})
+		case errors.Is(err, coordination.ErrNoTeam):
+			return send(c, 404, AdminRefusal{Error: err.Error()})
 		}
 		c.Set(fiber.HeaderRetryAfter, "1")
 		return send(c, 503, AdminRefusal{Error: err.Error()})
@@ -128,6 +139,30 @@
 		}
 		return send(c, 200, SettingsView{Version: v, Settings: s})
 	})
+	get("/teams", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
+		v, err := core.Teams(ctx)
+		return AdminPage{Items: v}, err
+	})
+	v1.Put("/teams/:name", func(c *fiber.Ctx) error {
+		ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
+		defer cancel()
+		name, err := url.PathUnescape(strings.Clone(c.Params("name")))
+		if err != nil {
+			return fail(c, &coordination.FieldError{Field: "name", Expected: "a team's name, escaped as in a URL"})
+		}
+		var ch TeamChange
+		if err := json.Unmarshal(c.Body(), &ch); err != nil {
+			return fail(c, &coordination.FieldError{Field: "body", Expected: `{"version":N,"team":{...}}`})
+		}
+		if ch.Version == nil {
+			return fail(c, &coordination.FieldError{Field: "version", Expected: "the version that was read"})
+		}
+		v, err := core.ChangeTeam(ctx, name, *ch.Version, ch.Team)
+		if err != nil {
+			return fail(c, err)
+		}
+		return send(c, 200, v)
+	})
 	get("/nodes", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
 		v, err := core.NodeViews(ctx)
 		return AdminPage{Items: v}, err
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -54,6 +54,30 @@
 	return s, at + 1, err
 }
 
+func (f *fakeCore) Teams(context.Context) ([]coordination.TeamView, error) {
+	if f.down {
+		return nil, coordination.ErrUnavailable
+	}
+	return []coordination.TeamView{{Name: "red", Version: f.version, State: coordination.TeamInForce}}, nil
+}
+
+func (f *fakeCore) ChangeTeam(ctx context.Context, name string, v uint64, raw json.RawMessage) (coordination.TeamView, error) {
+	teams, err := f.Teams(ctx)
+	switch {
+	case err != nil:
+		return coordination.TeamView{}, err
+	case name == "old node":
+		return coordination.TeamView{}, &coordination.GateError{Nodes: []string{"n1"}}
+	case name != teams[0].Name:
+		return coordination.TeamView{}, coordination.ErrNoTeam
+	case v != f.version:
+		return coordination.TeamView{}, coordination.ErrVersion
+	case string(raw) != `{"cpus":1}`:
+		return coordination.TeamView{}, &coordination.FieldError{Field: "cpus", Expected: "1"}
+	}
+	return teams[0], nil
+}
+
 func (f *fakeCore) JobViews(context.Context, string, string, int) ([]coordination.JobView, bool, error) {
 	return []coordination.JobView{}, false, nil
 }
@@ -190,6 +214,15 @@
 		{"nothing", "PUT", "/settings", `{"version":7,"settings":{}}`, false, 400, `"field":"settings"`},
 		{"not JSON", "PUT", "/settings", `alpha=1`, false, 400, `"field":"body"`},
 		{"no state service", "PUT", "/settings", `{"version":7,"settings":{"alpha":0.5}}`, true, 503, "state service"},
+		{"teams", "GET", "/teams", "", false, 200, `"state":"in force"`},
+		{"change a team", "PUT", "/teams/red", `{"version":7,"team":{"cpus":1}}`, false, 200, `"name":"red"`},
+		{"old version of a team", "PUT", "/teams/red", `{"version":6,"team":{"cpus":1}}`, false, 409, "changed since"},
+		{"no version of a team", "PUT", "/teams/red", `{"team":{"cpus":1}}`, false, 400, `"field":"version"`},
+		{"bad bounds", "PUT", "/teams/red", `{"version":7,"team":{"cpus":2}}`, false, 400, `"field":"cpus"`},
+		{"a team's change is not JSON", "PUT", "/teams/red", `cpus=1`, false, 400, `"field":"body"`},
+		{"unknown team", "PUT", "/teams/pink", `{"version":7,"team":{"cpus":1}}`, false, 404, "no such team"},
+		{"a node that does not read it", "PUT", "/teams/old%20node", `{"version":7,"team":{"cpus":1}}`, false, 503, "missing: n1"},
+		{"no state service for teams", "PUT", "/teams/red", `{"version":7,"team":{"cpus":1}}`, true, 503, "state service"},
 		{"page too large", "GET", "/jobs?limit=201", "", false, 400, `"field":"limit"`},
 		{"page", "GET", "/jobs?limit=2", "", false, 200, `"items":[]`},
 		{"unknown machine", "GET", "/machines/host-1", "", false, 404, "no such machine"},
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -54,6 +54,14 @@
 	unlisted  Sum    // jobs of teams that are not in the head
 }
 
+// SetTeam takes a team's changed guarantee and limit.
+func (m *Model) SetTeam(t Team) {
+	if i, ok := m.team[t.Name]; ok {
+		t.Sum, t.RateMicro, t.DominantPM = Sum{}, 0, 0
+		m.teams[i] = t
+	}
+}
+
 // NewModel is empty; teams tell guarantees and limits.
 func NewModel(teams []Team) *Model {
 	m := &Model{teams: slices.Clone(teams), team: map[string]int{}, sums: make([]Sum, len(teams)), rates: make([]uint64, len(teams)),
