--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"text/tabwriter"
@@ -63,12 +64,13 @@
 			"nothing was started. A hollow side that could not keep up is told, and its points are marked.\n\n" +
 			"  peak        task starts at the rate of the peak\n" +
 			"  population  all workers and running tasks, at a lower start rate\n" +
-			"  troubles    peak with a day's failures pressed into the measured time, a rack, a switch, a zone, ends of controllers",
+			"  changes     peak with changes of teams' guarantees and limits\n" +
+			"  troubles    changes with a day's failures pressed into the measured time, a rack, a switch, a zone, ends of controllers",
 		RunE: func(cmd *cobra.Command, _ []string) error { return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &o) },
 	}
 	f := c.Flags()
 	f.StringVar(&o.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
-	f.StringVar(&o.cut, "cut", string(scale.Peak), "peak, population or troubles")
+	f.StringVar(&o.cut, "cut", string(scale.Peak), "peak, population, changes or troubles")
 	f.StringVar(&o.regions, "regions", string(scale.LargestRegion), "largest or all")
 	f.StringVar(&o.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
 	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
@@ -110,8 +112,8 @@
 		return p, r, err
 	}
 	switch {
-	case r.Cut != scale.Peak && r.Cut != scale.Population && r.Cut != scale.Troubles:
-		return p, r, errors.New("--cut is peak, population or troubles")
+	case !slices.Contains(scale.Cuts(), r.Cut):
+		return p, r, errors.New("--cut is peak, population, changes or troubles")
 	case r.Regions != scale.LargestRegion && r.Regions != scale.AllRegions:
 		return p, r, errors.New("--regions is largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
--- /dev/null
+++ b/cmd/dykectl/scale_test.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"dykeledge/internal/scale"
+)
+
+const smallProfile = `workers = 60
+running_tasks = 300
+starts_per_s = 40.0
+jobs_per_day = 20000.0
+teams = 20
+failures_a_day = 4.0
+replaced_a_day = 4.0
+rack_workers = 3
+changes_a_day = 60000.0
+
+[[region]]
+name = "large"
+part = 0.6
+zones = 2
+
+[[region]]
+name = "small"
+part = 0.4
+zones = 2
+`
+
+// TestScaleRun plays two regions with real controllers through a rack, a switch and a zone that are lost, ends of
+// controllers, and changes of teams' limits. Its verdict is that of the command: broken rules, controllers that end by themselves, nothing
+// started; no time decides it.
+func TestScaleRun(t *testing.T) {
+	dir := t.TempDir()
+	program, profile, out := filepath.Join(dir, "dykeledge"), filepath.Join(dir, "small.toml"), filepath.Join(dir, "points.jsonl")
+	if raw, err := exec.Command("go", "build", "-o", program, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, raw)
+	}
+	if err := os.WriteFile(profile, []byte(smallProfile), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	p := prog{t, filepath.Join(dir, "dykectl.toml")}
+	text, errs, code := p.run("scale", "run", "--controller", program, "--profile", profile, "--cut", "troubles", "--regions", "all", "--fraction", "1",
+		"--warm-up", "8s", "--measure", "16s", "--out", out)
+	if code != 0 {
+		t.Fatalf("exit code %d\n%s\n%s", code, text, errs)
+	}
+	points, err := scale.ReadPoints(dir)
+	if err != nil || len(points) != 2 {
+		t.Fatalf("%d points, %v", len(points), err)
+	}
+	for _, x := range points {
+		if len(x.Controllers) != 3 || x.StateKeys == 0 || x.WorkerOutBps == 0 || x.ChangesMade == 0 {
+			t.Errorf("measured too little: %+v", x)
+		}
+	}
+	report, errs, code := p.run("scale", "report", dir)
+	if code != 0 || !strings.Contains(report, "| 1 | large |") || !strings.Contains(report, "| 1 | small |") {
+		t.Errorf("exit code %d\n%s\n%s", code, report, errs)
+	}
+}
+
+func TestScaleUse(t *testing.T) {
+	dir := t.TempDir()
+	bad := filepath.Join(dir, "bad.toml")
+	if err := os.WriteFile(bad, []byte("workers = 0\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	p := prog{t, filepath.Join(dir, "dykectl.toml")}
+	for _, c := range []struct{ args, want string }{
+		{"scale run --cut none", "--cut"},
+		{"scale run --regions some", "--regions"},
+		{"scale run --fraction 3/2", "--fraction"},
+		{"scale run --fraction x", "--fraction"},
+		{"scale run --warm-up 0s", "--warm-up"},
+		{"scale run --controller /nowhere", "/nowhere"},
+		{"scale run --profile " + bad, "workers"},
+		{"scale report " + dir, "*.jsonl"},
+	} {
+		if _, errs, code := p.run(strings.Fields(c.args)...); code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
+			t.Errorf("%s: exit code %d, %q, want %q", c.args, code, errs, c.want)
+		}
+	}
+}
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -219,25 +219,17 @@
 
 // teamVersion is the version of a team's entry.
 func (cl *client) teamVersion(name string) (uint64, error) {
-	body, err := cl.call("GET", "/teams", nil)
+	body, err := cl.call("GET", "/teams/"+url.PathEscape(name), nil)
 	if err != nil {
 		return 0, err
 	}
-	var page struct {
-		Items []struct {
-			Name    string `json:"name"`
-			Version uint64 `json:"version"`
-		} `json:"items"`
+	var t struct {
+		Version uint64 `json:"version"`
 	}
-	if err := json.Unmarshal(body, &page); err != nil {
+	if err := json.Unmarshal(body, &t); err != nil {
 		return 0, &exitError{exitFailed, fmt.Errorf("the node's answer cannot be read: %w", err)}
 	}
-	for _, t := range page.Items {
-		if t.Name == name {
-			return t.Version, nil
-		}
-	}
-	return 0, &exitError{exitFailed, fmt.Errorf("no team %q", name)}
+	return t.Version, nil
 }
 
 // parseChange reads NAME=VALUE pairs; what is no number is text.
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -171,7 +171,7 @@
 	descReach    = desc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
 	descAwaiting = desc("awaiting_jobs", "Open jobs that wait for other jobs.")
 	descDoomed   = desc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
-	descLayout   = desc("layout_version", "Layout of the records that is written: 1 plain, 2 packed.")
+	descLayout   = desc("layout_version", "Layout of the records that is written: 1 plain, 2 packed, 3 packed with changed teams.")
 	descLargest  = desc("largest_record_bytes", "Size of the largest rack's record.")
 	descFlood    = desc("flood", "1 while a class of a team has far more open than is usual for it, and more waits on this node than can be in time.")
 	descUsual    = desc("usual_cpus", "CPUs that a class of a team usually keeps busy.", "class", "team")
@@ -251,7 +251,7 @@
 		}
 		revision = float64(c.book.Revision)
 		if c.book.Packed() {
-			layout = bookkeeping.LayoutPacked
+			layout = float64(c.book.Layout.Version)
 		}
 		for _, k := range c.book.Racks {
 			largest = max(largest, float64(k.Size))
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -66,6 +66,24 @@
 	return out, err
 }
 
+// Team tells one team; ErrNoTeam if the settings name none of that name.
+func (c *Controller) Team(ctx context.Context, name string) (TeamView, error) {
+	var v TeamView
+	if err := c.Barrier(ctx); err != nil {
+		return v, ErrUnavailable
+	}
+	known := false
+	err := c.call(ctx, func() {
+		if team := c.book.TeamIdx.Find(name); team >= 0 {
+			v, known = c.teamView(team, time.Now()), true
+		}
+	})
+	if err == nil && !known {
+		err = ErrNoTeam
+	}
+	return v, err
+}
+
 func (c *Controller) teamView(team int, now time.Time) TeamView {
 	t := c.book.Teams[team]
 	v := TeamView{Name: t.Name, TeamBounds: bookkeeping.BoundsOf(t), State: TeamFromFile}
--- /dev/null
+++ b/internal/scale/changes.go
@@ -0,0 +1,178 @@
+package scale
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/url"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/valyala/fasthttp"
+)
+
+// How operators' changes are made and watched.
+const (
+	changeWithin    = 5 * time.Second        // an answer takes no longer
+	forceAskedEvery = 100 * time.Millisecond // of a controller, whether a change is in force
+	forceWithin     = 60 * time.Second       // then a change has failed
+	lowersEach      = 10                     // one change of so many lowers a limit, the others change a guarantee
+)
+
+// operators change teams' bounds through the administration API at the profile's rate, as operators of a fleet do, and
+// measure how long it takes until a change is in force on all controllers of the cell.
+type operators struct {
+	nodes []string
+	teams []team
+	rand  *rand.Rand
+
+	mu     sync.Mutex
+	from   time.Time // changes before are not measured
+	raised *hdrhistogram.Histogram
+	lower  *hdrhistogram.Histogram
+	made   int
+	failed int // never in force, or without an answer
+}
+
+func newOperators(c *Cell, nodes []string) *operators {
+	return &operators{nodes: nodes, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
+}
+
+// changesStream keeps the draws of changes apart from those of jobs.
+const changesStream = 1 << 20
+
+// run makes changes at a rate until ctx ends. None waits for another.
+func (o *operators) run(ctx context.Context, perSecond float64) {
+	var all sync.WaitGroup
+	defer all.Wait()
+	for n := 1; sleep(ctx, seconds(1/perSecond)); n++ {
+		t, node := o.teams[o.rand.IntN(len(o.teams))], o.nodes[o.rand.IntN(len(o.nodes))]
+		all.Go(func() { o.one(ctx, node, t, n%lowersEach == 0) })
+	}
+}
+
+// teamEntry is a team as the administration API tells it.
+type teamEntry struct {
+	Cpus    float64 `json:"cpus"`
+	CpusMax float64 `json:"cpus_max"`
+	Version uint64  `json:"version"`
+	State   string  `json:"state"`
+}
+
+// inForce is the state of a change that all controllers go by, as the administration API words it.
+const inForce = "in force"
+
+// one makes a change and watches it until it is in force. One that lowers a limit is taken back afterwards.
+func (o *operators) one(ctx context.Context, node string, t team, lowers bool) {
+	took, err := o.change(ctx, node, t.name, func(e teamEntry) map[string]float64 {
+		if lowers && e.CpusMax > 2 {
+			return map[string]float64{"cpus_max": e.CpusMax - 1, "cpus": 0}
+		}
+		return map[string]float64{"cpus": float64(int(e.Cpus+1) % int(max(1, e.CpusMax)))}
+	})
+	if ctx.Err() != nil {
+		return
+	}
+	o.note(took, lowers, err)
+	if lowers && err == nil {
+		_, _ = o.change(ctx, node, t.name, func(e teamEntry) map[string]float64 { // as it was: what fails is counted by others
+			return map[string]float64{"cpus_max": t.limit}
+		})
+	}
+}
+
+func (o *operators) note(took time.Duration, lowers bool, err error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.from.IsZero() {
+		return
+	}
+	o.made++
+	switch {
+	case err != nil:
+		o.failed++
+	case lowers:
+		record(o.lower, took)
+	default:
+		record(o.raised, took)
+	}
+}
+
+// errNotInForce says that a change was not in force in time.
+var errNotInForce = errors.New("a change is not in force")
+
+// change reads a team, changes it on the version that was read, and waits until it is in force. What is refused or not
+// answered is tried again, at any controller; the time counts from the first try.
+func (o *operators) change(ctx context.Context, node, name string, to func(teamEntry) map[string]float64) (time.Duration, error) {
+	began, version := time.Now(), uint64(0)
+	for time.Since(began) < forceWithin && ctx.Err() == nil {
+		e, err := readTeam(node, name)
+		switch {
+		case err == nil && version > 0 && e.Version >= version && e.State == inForce:
+			return time.Since(began), nil
+		case err == nil && version == 0:
+			version, err = putTeam(node, name, e.Version, to(e))
+		}
+		if err != nil {
+			node = o.another(node)
+		}
+		sleep(ctx, forceAskedEvery)
+	}
+	return 0, errNotInForce
+}
+
+// another is the next controller.
+func (o *operators) another(node string) string {
+	for i, n := range o.nodes {
+		if n == node {
+			return o.nodes[(i+1)%len(o.nodes)]
+		}
+	}
+	return node
+}
+
+func teamPath(node, name string) string {
+	return "http://" + node + "/admin/v1/teams/" + url.PathEscape(name)
+}
+
+func readTeam(node, name string) (teamEntry, error) {
+	var e teamEntry
+	status, body, err := fasthttp.GetTimeout(nil, teamPath(node, name), changeWithin)
+	if err != nil {
+		return e, err
+	}
+	if status != fasthttp.StatusOK {
+		return e, fmt.Errorf("team %s: status %d", name, status)
+	}
+	return e, json.Unmarshal(body, &e)
+}
+
+func putTeam(node, name string, version uint64, to map[string]float64) (uint64, error) {
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
+	raw, err := json.Marshal(struct {
+		Version uint64             `json:"version"`
+		Team    map[string]float64 `json:"team"`
+	}{version, to})
+	if err != nil {
+		return 0, err
+	}
+	req.Header.SetMethod(fasthttp.MethodPut)
+	req.SetRequestURI(teamPath(node, name))
+	req.SetBodyRaw(raw)
+	if err := fasthttp.DoTimeout(req, resp, changeWithin); err != nil {
+		return 0, err
+	}
+	if resp.StatusCode() != fasthttp.StatusOK {
+		return 0, fmt.Errorf("team %s: status %d", name, resp.StatusCode())
+	}
+	var e teamEntry
+	if err := json.Unmarshal(resp.Body(), &e); err != nil {
+		return 0, err
+	}
+	return e.Version, nil
+}
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"net"
 	"os"
 	"path/filepath"
 	"sync"
@@ -33,16 +34,29 @@
 	mostLateness = 50.0 // milliseconds
 )
 
-// Loopback addresses of a cell: a network for each region. Workers and controllers have fixed ports below those that the
-// system hands out, so that no outgoing connection can take them.
+// Loopback addresses of a cell: a network 127.N.0.0/16 that no other cell on this machine has. Workers and controllers have
+// fixed ports below those that the system hands out, so that no outgoing connection can take them.
 const (
 	firstNetwork   = 64
+	lastNetwork    = 250
 	workerPort     = 9000
 	publicPort     = 8080
 	peerPort       = 8081
+	lockPort       = 8079
 	controllersNet = 255
 )
 
+// reserveNetwork finds a network that no other cell on this machine uses, of this run or another's: two cells at the same addresses would play each
+// other's workers. The network is held until the listener is closed.
+func reserveNetwork() (int, net.Listener, error) {
+	for n := firstNetwork; n <= lastNetwork; n++ {
+		if ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.254:%d", n, controllersNet, lockPort)); err == nil {
+			return n, ln, nil
+		}
+	}
+	return 0, nil, errors.New("no free loopback network for a cell")
+}
+
 // ErrOverloaded says that the hollow side could not keep up: the run's figures say nothing of the controllers.
 var ErrOverloaded = errors.New("the hollow side was overloaded")
 
@@ -58,10 +72,11 @@
 	launched map[string]bool // urgent tasks that a worker has taken up before
 	lateness *hdrhistogram.Histogram
 
-	peaks    []peaks
-	gap      time.Duration // the longest time without a start
-	started  int
-	lastMove time.Time
+	operators *operators // nil: nothing is changed
+	peaks     []peaks
+	gap       time.Duration // the longest time without a start
+	started   int
+	lastMove  time.Time
 }
 
 // Play plays a cell in this process until its time is over, and returns what it measured. Progress goes to the log.
@@ -70,9 +85,14 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
+	network, held, err := reserveNetwork()
+	if err != nil {
+		return nil, err
+	}
+	defer held.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	cluster, err := emulator.Start(ctx, c.options(dir, log))
+	cluster, err := emulator.Start(ctx, c.options(dir, network, log))
 	if err != nil {
 		return nil, err
 	}
@@ -89,6 +109,13 @@
 	users.Retried = runner.Retried
 	go func() { done <- runner.Run(ctx, c.Arrivals(), 0) }()
 	go w.measureLateness(ctx)
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer cancel()
+	if (c.Cut == Changes || c.Cut == Troubles) && c.Profile.ChangesADay > 0 {
+		w.operators = newOperators(c, cluster.Nodes)
+		background.Go(func() { w.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
+	}
 	if !sleep(ctx, seconds(c.WarmUpS)) {
 		return nil, ctx.Err()
 	}
@@ -134,8 +161,7 @@
 }
 
 // options is the cluster that a cell plays.
-func (c *Cell) options(dir string, log *slog.Logger) emulator.Options {
-	network := firstNetwork + c.Index
+func (c *Cell) options(dir string, network int, log *slog.Logger) emulator.Options {
 	o := emulator.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
 		Deployment: c.Deployment(), Catalog: c.Catalog(), SharedTicker: true, Delay: c.delay,
 		Addresses: emulator.Addresses{
@@ -212,6 +238,11 @@
 	w.from = time.Now()
 	w.lateness.Reset()
 	w.mu.Unlock()
+	if o := w.operators; o != nil {
+		o.mu.Lock()
+		o.from = w.from
+		o.mu.Unlock()
+	}
 	first := take(w.cluster, w.log)
 	w.started, w.lastMove = first.stats.Started, first.at
 	for n := 1; time.Since(first.at) < seconds(w.cell.MeasureS); n++ {
@@ -266,6 +297,11 @@
 	w.mu.Lock()
 	p.UrgentMs, p.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
 	w.mu.Unlock()
+	if o := w.operators; o != nil {
+		o.mu.Lock()
+		p.ChangesMade, p.ChangesFailed, p.ChangeMs, p.LowerMs = o.made, o.failed, spanOf(o.raised), spanOf(o.lower)
+		o.mu.Unlock()
+	}
 	p.Overloaded = p.LatenessMs.P99 > mostLateness
 	for i := range b.nodes {
 		p.Controllers = append(p.Controllers, between(fmt.Sprintf("n%d", i+1), a.nodes[i], b.nodes[i], w.peaks[i], took))
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -53,6 +53,11 @@
 	ReportsPerS  float64  `json:"reports_per_s"`  // of one worker
 	CommandsPerS float64  `json:"commands_per_s"` // to one worker
 
+	ChangesMade   int  `json:"changes_made,omitempty"`   // of teams' guarantees and limits
+	ChangesFailed int  `json:"changes_failed,omitempty"` // not in force within a minute
+	ChangeMs      Span `json:"change_ms,omitzero"`       // until a change is in force on all controllers of the cell
+	LowerMs       Span `json:"lower_ms,omitzero"`        // the same of limits that are lowered below what the team may use
+
 	Controllers []ControllerPoint `json:"controllers"`
 }
 
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -26,6 +26,7 @@
 	FailuresADay float64 `toml:"failures_a_day"` // machines that die
 	ReplacedADay float64 `toml:"replaced_a_day"` // machines that are taken with a notice
 	RackWorkers  int     `toml:"rack_workers"`   // machines behind one switch
+	ChangesADay  float64 `toml:"changes_a_day"`  // of the configuration; each cell gets all of them
 
 	Regions    []Region   `toml:"region"`
 	Worker     Worker     `toml:"worker"`
@@ -77,7 +78,7 @@
 // DefaultProfile is the operators' letter, and what had to be assumed beside it: see docs/CAPACITY.md.
 func DefaultProfile() Profile {
 	return Profile{Workers: 17_000, RunningTasks: 110_000, StartsPerS: 7_600, JobsPerDay: 73_000, PeakOfJobs: 20, LargestJob: 100_000,
-		UrgentPart: 0.1, UrgentTasks: 8, Teams: 460, HottestPart: 0.5, FailuresADay: 86, ReplacedADay: 2_900, RackWorkers: 32,
+		UrgentPart: 0.1, UrgentTasks: 8, Teams: 460, HottestPart: 0.5, FailuresADay: 86, ReplacedADay: 2_900, RackWorkers: 32, ChangesADay: 55_000,
 		Regions:    []Region{{"north", 0.28, 4}, {"east", 0.20, 4}, {"south", 0.16, 3}, {"west", 0.13, 3}, {"middle", 0.10, 3}, {"coast", 0.08, 3}, {"islands", 0.05, 2}},
 		Worker:     Worker{Cpus: 8, MemGB: 32, BootS: 12, ReportS: 2.5, LeaseS: 15, CancelS: 45},
 		Controller: Controller{PerRegion: 3, CPU: 2, MemMB: 2_000, MaxConnections: 18_000},
@@ -139,6 +140,7 @@
 		{p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a part from 0.1 to below 1"},
 		{p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more"},
 		{p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more"},
+		{p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more"},
 		{p.RackWorkers >= 1, "rack_workers", "a count above 0"},
 		{len(p.Regions) <= mostRegions, "region", "at most 32 regions"},
 		{p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0"},
@@ -191,13 +193,18 @@
 	Peak Cut = "peak"
 	// Population plays the running tasks and workers at a start rate that is lower, since tasks run for longer.
 	Population Cut = "population"
-	// Troubles is Peak with failures, a rack, a switch, a zone and ends of controllers.
+	// Changes is Peak with changes of the configuration.
+	Changes Cut = "changes"
+	// Troubles is Changes with failures, a rack, a switch, a zone and ends of controllers.
 	Troubles Cut = "troubles"
 )
 
 // populationTaskS is how long the tasks of a Population run take, in seconds.
 const populationTaskS = 300
 
+// Cuts are all of them.
+func Cuts() []Cut { return []Cut{Peak, Population, Changes, Troubles} }
+
 // Regions says which regions a run plays.
 type Regions string
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -27,11 +27,13 @@
 	}{
 		{Peak, "The ladder: the largest region at its part of the peak"},
 		{Population, "The whole population: all regions, tasks of five minutes"},
-		{Troubles, "Troubles: a day's failures pressed into the measured time"},
+		{Changes, "Changes of the configuration at the letter's rate, at the peak"},
+		{Troubles, "Troubles: a day's failures pressed into the measured time, with changes"},
 	} {
 		if list := byCut[cut.cut]; len(list) > 0 {
 			fmt.Fprintf(out, "### %s\n\n", cut.title)
 			runsTable(out, list)
+			changesTable(out, list)
 		}
 	}
 	if list := byCut[Peak]; len(list) > 0 {
@@ -59,6 +61,21 @@
 	fmt.Fprintln(w)
 }
 
+// changesTable has a row a point in which the configuration was changed.
+func changesTable(w io.Writer, points []Point) {
+	points = slices.DeleteFunc(slices.Clone(points), func(p Point) bool { return p.ChangesMade == 0 })
+	if len(points) == 0 {
+		return
+	}
+	fmt.Fprintln(w, "| part of the letter | region | changes made in s | not in force within a minute | in force on all controllers of the cell, ms p50 / p99 / max | limits lowered: count, ms p50 / p99 / max |")
+	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- |")
+	for _, p := range points {
+		fmt.Fprintf(w, "| %s | %s | %d in %.0f | %d | %.0f / %.0f / %.0f | %d, %.0f / %.0f / %.0f |\n", fractionText(p.Fraction), p.Region, p.ChangesMade, p.MeasureS,
+			p.ChangesFailed, p.ChangeMs.P50, p.ChangeMs.P99, p.ChangeMs.Max, p.LowerMs.Count, p.LowerMs.P50, p.LowerMs.P99, p.LowerMs.Max)
+	}
+	fmt.Fprintln(w)
+}
+
 // fractionText writes 0.25 as 1/4.
 func fractionText(f float64) string {
 	if n := 1 / f; f < 1 && n == float64(int(n)) {
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -30,6 +30,7 @@
 	MachineInfo(ctx context.Context, name string) (coordination.MachineInfo, bool, error)
 	Evictions(ctx context.Context) ([]coordination.EvictionView, error)
 	Teams(ctx context.Context) ([]coordination.TeamView, error)
+	Team(ctx context.Context, name string) (coordination.TeamView, error)
 	ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (coordination.TeamView, error)
 	Metrics() *coordination.Metrics
 	ViewCore
@@ -143,12 +144,19 @@
 		v, err := core.Teams(ctx)
 		return AdminPage{Items: v}, err
 	})
+	get("/teams/:name", func(ctx context.Context, c *fiber.Ctx) (any, error) {
+		name, err := teamName(c)
+		if err != nil {
+			return nil, err
+		}
+		return core.Team(ctx, name)
+	})
 	v1.Put("/teams/:name", func(c *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
 		defer cancel()
-		name, err := url.PathUnescape(strings.Clone(c.Params("name")))
+		name, err := teamName(c)
 		if err != nil {
-			return fail(c, &coordination.FieldError{Field: "name", Expected: "a team's name, escaped as in a URL"})
+			return fail(c, err)
 		}
 		var ch TeamChange
 		if err := json.Unmarshal(c.Body(), &ch); err != nil {
@@ -208,6 +216,15 @@
 	return &AdminServer{app}
 }
 
+// teamName is the team that a path names.
+func teamName(c *fiber.Ctx) (string, error) {
+	name, err := url.PathUnescape(strings.Clone(c.Params("name")))
+	if err != nil {
+		return "", &coordination.FieldError{Field: "name", Expected: "a team's name, escaped as in a URL"}
+	}
+	return name, nil
+}
+
 func pageLimit(c *fiber.Ctx) (int, error) {
 	q := c.Query("limit")
 	if q == "" {
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"context"
 	"encoding/json"
 	"io"
@@ -61,6 +62,14 @@
 	return []coordination.TeamView{{Name: "red", Version: f.version, State: coordination.TeamInForce}}, nil
 }
 
+func (f *fakeCore) Team(ctx context.Context, name string) (coordination.TeamView, error) {
+	teams, err := f.Teams(ctx)
+	if err != nil || name != teams[0].Name {
+		return coordination.TeamView{}, cmp.Or(err, coordination.ErrNoTeam)
+	}
+	return teams[0], nil
+}
+
 func (f *fakeCore) ChangeTeam(ctx context.Context, name string, v uint64, raw json.RawMessage) (coordination.TeamView, error) {
 	teams, err := f.Teams(ctx)
 	switch {
@@ -215,6 +224,8 @@
 		{"not JSON", "PUT", "/settings", `alpha=1`, false, 400, `"field":"body"`},
 		{"no state service", "PUT", "/settings", `{"version":7,"settings":{"alpha":0.5}}`, true, 503, "state service"},
 		{"teams", "GET", "/teams", "", false, 200, `"state":"in force"`},
+		{"one team", "GET", "/teams/red", "", false, 200, `"version":7`},
+		{"a team that is not there", "GET", "/teams/pink", "", false, 404, "no such team"},
 		{"change a team", "PUT", "/teams/red", `{"version":7,"team":{"cpus":1}}`, false, 200, `"name":"red"`},
 		{"old version of a team", "PUT", "/teams/red", `{"version":6,"team":{"cpus":1}}`, false, 409, "changed since"},
 		{"no version of a team", "PUT", "/teams/red", `{"team":{"cpus":1}}`, false, 400, `"field":"version"`},
