--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/charmbracelet/x/ansi"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/load"
 	"dykeledge/internal/protocol"
@@ -66,34 +66,34 @@
 // reference is the scheduler's own state, made anew from what the state service holds.
 type reference struct {
 	store *standin.Store
-	book  *bookkeeping.Book
+	cache  *storage.Cache
 }
 
 func (r *reference) advance(t *testing.T, to uint64) {
-	for _, e := range r.store.Changes(r.book.Revision, to) {
-		if err := r.book.Apply(e.Put+e.Delete, e.Value, e.Version, e.Delete != ""); err != nil {
+	for _, e := range r.store.Changes(r.cache.Revision, to) {
+		if err := r.cache.Apply(e.Put+e.Delete, e.Value, e.Version, e.Delete != ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.book.Revision = to
-	r.book.Sweep()
+	r.cache.Revision = to
+	r.cache.Sweep()
 }
 
 // cells are what a job's row must show: team, priority, tasks, done, placed, waiting.
-func (r *reference) cells(j *bookkeeping.Job) []string {
+func (r *reference) cells(j *storage.Job) []string {
 	waits := fmt.Sprint(j.Waiting())
 	if !j.Ready() && j.Open() && !j.Doomed {
 		waits = "-"
 	}
 	prio := j.Own.String()
-	return []string{j.ID, r.book.Teams[j.Team].Name, prio[:min(4, len(prio))], fmt.Sprint(j.Tasks), fmt.Sprint(j.NDone), fmt.Sprint(j.NPlaced), waits}
+	return []string{j.ID, r.cache.Teams[j.Team].Name, prio[:min(4, len(prio))], fmt.Sprint(j.Tasks), fmt.Sprint(j.NDone), fmt.Sprint(j.NPlaced), waits}
 }
 
 // differs tells how a snapshot differs from the reference at its revision, "" if it does not.
 func (r *reference) differs(s *view.Snapshot) string {
-	sums := make([]view.Sum, len(r.book.Teams))
+	sums := make([]view.Sum, len(r.cache.Teams))
 	open := 0
-	for _, j := range r.book.Jobs {
+	for _, j := range r.cache.Jobs {
 		if j == nil {
 			continue
 		}
@@ -114,7 +114,7 @@
 			open++
 		}
 		if row.Status != want || int(row.Placed) != j.NPlaced || int(row.Done) != j.NDone || int(row.Tasks) != j.Tasks || row.Waiting() != uint32(j.Waiting()) ||
-			row.Team != r.book.Teams[j.Team].Name || row.Priority != j.Own {
+			row.Team != r.cache.Teams[j.Team].Name || row.Priority != j.Own {
 			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", j.ID, *row, want, j.NPlaced, j.NDone)
 		}
 		sum := &sums[j.Team]
@@ -131,7 +131,7 @@
 	s.Jobs("", func(j *view.Job) bool {
 		if !j.Status.Final() {
 			shown++
-		} else if f, _ := r.book.FinalState(j.ID); string(f) != j.Status.String() {
+		} else if f, _ := r.cache.FinalState(j.ID); string(f) != j.Status.String() {
 			wrong = fmt.Sprintf("%s is shown %s and is %q", j.ID, j.Status, f)
 		}
 		return wrong == ""
@@ -141,12 +141,12 @@
 	}
 	for i, t := range s.Teams {
 		if t.Queued != sums[i].Queued || t.Running != sums[i].Running || t.Waiting != sums[i].Waiting || t.Placed != sums[i].Placed ||
-			t.UsedCpus != uint64(math.Round(1000*r.book.Used[i].Cpus)) {
-			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Sum, sums[i], r.book.Used[i].Cpus)
+			t.UsedCpus != uint64(math.Round(1000*r.cache.Used[i].Cpus)) {
+			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Sum, sums[i], r.cache.Used[i].Cpus)
 		}
 	}
 	machines := 0
-	for _, m := range r.book.Machines {
+	for _, m := range r.cache.Machines {
 		if m.Gone {
 			continue
 		}
@@ -181,7 +181,7 @@
 		}
 	}
 	queued, running, wait, placed, inQueue, inRunning := 0, 0, 0, 0, 0, 0
-	for _, j := range r.book.Jobs {
+	for _, j := range r.cache.Jobs {
 		if j == nil || !j.Open() || j.Doomed {
 			if j != nil {
 				placed += j.NPlaced // a cancelled job's, until they are gone
@@ -224,7 +224,7 @@
 	}
 	for i := range m.visible() {
 		f := strings.Fields(strings.TrimLeft(lines[4+i], ">!? "))
-		j := r.book.Job(f[0])
+		j := r.cache.Job(f[0])
 		if j == nil {
 			return fmt.Sprintf("%q is of no job", lines[4+i])
 		}
@@ -233,7 +233,7 @@
 			cells = slices.Delete(cells, 4, 5)
 		}
 		if m.width >= 100 { // the class comes third then
-			cells = slices.Insert(cells, 2, r.book.Classes.Name(j.Class))
+			cells = slices.Insert(cells, 2, r.cache.Classes.Name(j.Class))
 		}
 		if len(f) < len(cells) || !slices.Equal(f[:len(cells)], cells) {
 			return fmt.Sprintf("%q, want %v", lines[4+i], cells)
@@ -356,7 +356,7 @@
 				for i := range 45 {
 					w.AddMachine(w.Cfg.Deployment.Zones[i%3], i%2 == 0)
 				}
-				ref := &reference{w.Store, bookkeeping.NewBook(w.Cfg)}
+				ref := &reference{w.Store, storage.NewCache(w.Cfg)}
 				f := viewer.NewFollower(worldSource{w: w, nodes: 3}, view.Operators, 300*time.Millisecond)
 				ended := make(chan error, 1)
 				go func() { ended <- f.Run(ctx) }()
--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -10,7 +10,7 @@
 	"sort"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
 )
@@ -107,19 +107,19 @@
 
 // takeSettings takes up what the state service holds.
 func (c *Controller) takeSettings() {
-	if c.book.Settings.Version == c.settingsAt {
+	if c.cache.Settings.Version == c.settingsAt {
 		return
 	}
 	s := DefaultOperatorSettings()
-	if c.book.Settings.Value != nil {
+	if c.cache.Settings.Value != nil {
 		var err error
-		if s, err = s.Change(c.book.Settings.Value); err != nil {
+		if s, err = s.Change(c.cache.Settings.Value); err != nil {
 			c.log.Error("settings in the state service are not taken up", "err", err)
-			c.settingsAt = c.book.Settings.Version
+			c.settingsAt = c.cache.Settings.Version
 			return
 		}
 	}
-	c.settingsAt = c.book.Settings.Version
+	c.settingsAt = c.cache.Settings.Version
 	c.operator = s
 	c.alpha = s.Alpha
 	c.times.MoveEvery = seconds(s.MoveEveryS)
@@ -136,7 +136,7 @@
 	if err := c.Barrier(ctx); err != nil {
 		return s, 0, ErrUnavailable
 	}
-	err := c.call(ctx, func() { s, v = c.operator, c.book.Settings.Version })
+	err := c.call(ctx, func() { s, v = c.operator, c.cache.Settings.Version })
 	return s, v, err
 }
 
@@ -154,8 +154,8 @@
 		return cur, at, ErrVersion
 	}
 	t := protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.SettingsKey, Version: at}},
-		Then: []protocol.Change{{Put: bookkeeping.SettingsKey, Value: bookkeeping.Encode(next)}},
+		If:   []protocol.Condition{{Key: storage.SettingsKey, Version: at}},
+		Then: []protocol.Change{{Put: storage.SettingsKey, Value: storage.Encode(next)}},
 	}
 	rev, failed, err := c.state.Txn(ctx, t, protocol.ForUser)
 	switch {
@@ -191,11 +191,11 @@
 		slices.Sort(names)
 		for _, n := range names {
 			v := NodeView{Name: n, PulseAgeS: -1, Shares: []int{}}
-			if r := c.book.Nodes[n]; r != nil {
+			if r := c.cache.Nodes[n]; r != nil {
 				v.Alive, v.Incarnation = true, r.Incarnation
 			}
-			v.Leader = c.book.Leader.Version > 0 && c.book.Leader.Node == n
-			for i, s := range c.book.Shares {
+			v.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Node == n
+			for i, s := range c.cache.Shares {
 				if s.Node == n {
 					v.Shares = append(v.Shares, i)
 				}
@@ -231,28 +231,28 @@
 func (c *Controller) ShareViews(ctx context.Context) ([]ShareView, error) {
 	var out []ShareView
 	err := c.call(ctx, func() {
-		out = make([]ShareView, c.book.NShares)
+		out = make([]ShareView, c.cache.NShares)
 		for i := range out {
-			out[i] = ShareView{Share: i, Owner: c.book.Shares[i].Node, Token: c.book.Shares[i].Token, Teams: []string{}}
+			out[i] = ShareView{Share: i, Owner: c.cache.Shares[i].Node, Token: c.cache.Shares[i].Token, Teams: []string{}}
 		}
-		for t, team := range c.book.Teams {
-			s := &out[c.book.ShareOf(t)]
+		for t, team := range c.cache.Teams {
+			s := &out[c.cache.ShareOf(t)]
 			s.Teams = append(s.Teams, team.Name)
 		}
-		for _, m := range c.book.Machines {
+		for _, m := range c.cache.Machines {
 			if m.Gone {
 				continue
 			}
 			s := &out[m.Share]
 			s.Machines++
-			s.Cpus += c.book.Types[m.Type].Cpus
-			s.Gpus += c.book.Types[m.Type].Gpus
+			s.Cpus += c.cache.Types[m.Type].Cpus
+			s.Gpus += c.cache.Types[m.Type].Gpus
 			for _, p := range m.Tasks {
 				s.UsedCpus += p.Job.Cpus
 				s.UsedGpus += p.Job.Gpus
 			}
 		}
-		for _, j := range c.book.Jobs {
+		for _, j := range c.cache.Jobs {
 			if j != nil {
 				out[j.Share].WaitingCpus += float64(j.Waiting()) * j.Cpus
 				out[j.Share].WaitingGpus += float64(j.Waiting()) * j.Gpus
@@ -287,19 +287,19 @@
 	err = c.call(ctx, func() {
 		of := -1
 		if team != "" {
-			if of = c.book.TeamIdx.Find(team); of < 0 {
+			if of = c.cache.TeamIdx.Find(team); of < 0 {
 				return
 			}
 		}
 		kinds := c.kinds()
-		c.book.JobsAfter(of, after, func(j *bookkeeping.Job) bool {
+		c.cache.JobsAfter(of, after, func(j *storage.Job) bool {
 			if !(j.Open() && !j.Doomed || j.NPlaced > 0) {
 				return true
 			}
 			if more = len(out) == limit; more {
 				return false
 			}
-			out = append(out, JobView{ID: j.ID, Class: c.book.Classes.Name(j.Class), Team: c.book.Teams[j.Team].Name,
+			out = append(out, JobView{ID: j.ID, Class: c.cache.Classes.Name(j.Class), Team: c.cache.Teams[j.Team].Name,
 				Share: j.Share, Priority: j.Priority.String(), Status: string(c.statusOf(j).Status), Tasks: j.Tasks,
 				Done: j.NDone, Placed: j.NPlaced, Waiting: j.Waiting(), AgeS: time.Since(j.At).Seconds(), Why: c.whyWaits(j, kinds)})
 			return true
@@ -309,14 +309,14 @@
 }
 
 // kinds are the machines of each share that are alike to a job, one of each.
-func (c *Controller) kinds() []*bookkeeping.Machine {
+func (c *Controller) kinds() []*storage.Machine {
 	type kind struct {
 		share, ty, zone int
 		spot            bool
 	}
 	seen := map[kind]bool{}
-	var out []*bookkeeping.Machine
-	for _, m := range c.book.Machines {
+	var out []*storage.Machine
+	for _, m := range c.cache.Machines {
 		if k := (kind{m.Share, m.Type, m.Zone, m.Spot}); !m.Gone && !seen[k] {
 			seen[k] = true
 			out = append(out, m)
@@ -326,7 +326,7 @@
 }
 
 // whyWaits says why a job's tasks wait, "" if none does; kinds are the machines to look at.
-func (c *Controller) whyWaits(j *bookkeeping.Job, kinds []*bookkeeping.Machine) string {
+func (c *Controller) whyWaits(j *storage.Job, kinds []*storage.Machine) string {
 	now := time.Now()
 	if n := j.Unmet(); n > 0 && j.Open() && !j.Doomed {
 		return fmt.Sprintf("waits for %d other jobs", n)
@@ -335,7 +335,7 @@
 		return ""
 	}
 	if !c.owns(j.Share) {
-		if s := c.book.Shares[j.Share]; s.Node != "" && s.Node != c.cfg.NodeName {
+		if s := c.cache.Shares[j.Share]; s.Node != "" && s.Node != c.cfg.NodeName {
 			return "decided by node " + s.Node
 		}
 		return "its share has no owner"
@@ -352,10 +352,10 @@
 	} else if jv != nil && now.Before(jv.backoff) {
 		return fmt.Sprintf("failed %d times, tried again in %.0f s", jv.fails, jv.backoff.Sub(now).Seconds())
 	}
-	if !schedule.WithinLimit(c.book.Teams[j.Team], c.book.Used[j.Team], j, 1) {
+	if !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return "the team's limit is reached"
 	}
-	if c.book.Evicted[j.ID] != nil {
+	if c.cache.Evicted[j.ID] != nil {
 		return "evicted tasks are still stopping"
 	}
 	for _, m := range kinds {
@@ -394,9 +394,9 @@
 	WaitedS uint64 `json:"waited_s"`
 }
 
-func (c *Controller) machineInfo(m *bookkeeping.Machine, tasks bool) MachineInfo {
-	i := MachineInfo{Name: m.Name, State: c.machineState(m), Share: m.Share, Type: c.book.TypeIdx.Name(m.Type),
-		Zone: c.book.Zones.Name(m.Zone), Spot: m.Spot, Session: m.Session, Token: c.book.Token(m), Tasks: len(m.Tasks), SilentS: -1}
+func (c *Controller) machineInfo(m *storage.Machine, tasks bool) MachineInfo {
+	i := MachineInfo{Name: m.Name, State: c.machineState(m), Share: m.Share, Type: c.cache.TypeIdx.Name(m.Type),
+		Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Session: m.Session, Token: c.cache.Token(m), Tasks: len(m.Tasks), SilentS: -1}
 	for _, p := range m.Tasks {
 		i.UsedCpus += p.Job.Cpus
 		i.UsedGpus += p.Job.Gpus
@@ -414,7 +414,7 @@
 func (c *Controller) MachineInfos(ctx context.Context, after string, limit int) (out []MachineInfo, more bool, err error) {
 	out = []MachineInfo{}
 	err = c.call(ctx, func() {
-		c.book.MachinesAfter(after, func(m *bookkeeping.Machine) bool {
+		c.cache.MachinesAfter(after, func(m *storage.Machine) bool {
 			if more = len(out) == limit; more {
 				return false
 			}
@@ -428,7 +428,7 @@
 // MachineInfo is one machine with its tasks.
 func (c *Controller) MachineInfo(ctx context.Context, name string) (info MachineInfo, known bool, err error) {
 	err = c.call(ctx, func() {
-		if m := c.book.Machine(name); m != nil {
+		if m := c.cache.Machine(name); m != nil {
 			info, known = c.machineInfo(m, true), true
 		}
 	})
@@ -440,14 +440,14 @@
 	Job     string                     `json:"job"`
 	At      time.Time                  `json:"at"`
 	Share   int                        `json:"share"`
-	Victims []bookkeeping.VictimRecord `json:"victims"`
+	Victims []storage.VictimRecord `json:"victims"`
 }
 
 const keptEvictions = 50
 
 // noteEvictions keeps the latest evicted sets for operators.
 func (c *Controller) noteEvictions() {
-	for id, e := range c.book.Evicted {
+	for id, e := range c.cache.Evicted {
 		if c.evictSeen[id] == e.Version {
 			continue
 		}
@@ -459,7 +459,7 @@
 		}
 	}
 	for id := range c.evictSeen {
-		if c.book.Evicted[id] == nil {
+		if c.cache.Evicted[id] == nil {
 			delete(c.evictSeen, id)
 		}
 	}
--- a/internal/coordination/admin_test.go
+++ b/internal/coordination/admin_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // Reading all jobs page by page cost the square of their number, and each page looked at
@@ -21,8 +21,8 @@
 			}
 		}()
 		for i := range 500 {
-			if err := c.book.Apply(bookkeeping.JobKey(fmt.Sprintf("job-%06d", (i*7919)%100_000+10)), bookkeeping.Encode(bookkeeping.JobRecord{Tasks: 1, Team: "red",
-				Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
+			if err := c.cache.Apply(storage.JobKey(fmt.Sprintf("job-%06d", (i*7919)%100_000+10)), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
+				Spec: &storage.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -19,45 +19,45 @@
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
 	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
 	c.loaded, c.incarnation = true, 1
-	c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
+	c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
 	put := func(key string, v any, version uint64) {
-		if err := c.book.Apply(key, bookkeeping.Encode(v), version, false); err != nil {
+		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			b.Fatal(err)
 		}
 	}
-	put(bookkeeping.ShareKey(0), bookkeeping.ShareRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShareKey(0), storage.ShareRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
 	job := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 	for i := range jobs {
-		put(bookkeeping.JobKey(job(i)), bookkeeping.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], AtMs: time.Now().UnixMilli(),
-			Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
+		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], AtMs: time.Now().UnixMilli(),
+			Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
 	}
 	const size = 14
-	f := bookkeeping.FleetRecord{Type: "t", Zone: "a", Token: 4}
+	f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 	for i := range n {
-		f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("m", i), Rack: i / size})
+		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Rack: i / size})
 	}
-	put(bookkeeping.FleetKey("m0"), f, 4)
+	put(storage.FleetKey("m0"), f, 4)
 	for k := 0; k*size < n; k++ {
-		rec := bookkeeping.RackRecord{}
+		rec := storage.RackRecord{}
 		for i := k * size; i < min(n, (k+1)*size); i++ {
-			x := bookkeeping.RackMachine{Name: fmt.Sprint("m", i), Session: 1}
+			x := storage.RackMachine{Name: fmt.Sprint("m", i), Session: 1}
 			for t := range uint64(3 + i%2) {
-				x.Tasks = append(x.Tasks, bookkeeping.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
+				x.Tasks = append(x.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
 			}
 			rec.Machines = append(rec.Machines, x)
 		}
-		put(bookkeeping.RackKey(k), rec, 5)
+		put(storage.RackKey(k), rec, 5)
 	}
-	c.book.Revision, c.maxRev = 5, 5
+	c.cache.Revision, c.maxRev = 5, 5
 	c.owned[0] = 2
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		c.takeReport(m, c.view(m), reportOf(m, 1), 4, false)
 	}
-	c.book.Changed()
+	c.cache.Changed()
 	return c
 }
 
-func reportOf(m *bookkeeping.Machine, seq uint64) *protocol.Report {
+func reportOf(m *storage.Machine, seq uint64) *protocol.Report {
 	r := &protocol.Report{Machine: m.Name, Session: 1, Seq: seq, Token: 4}
 	for _, p := range m.Tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt, State: protocol.Runs})
@@ -90,7 +90,7 @@
 // BenchmarkPlanFull is a pass over a fleet without room: nothing is placed.
 func BenchmarkPlanFull(b *testing.B) {
 	overSizes(b, func(b *testing.B, c *Controller) {
-		for _, m := range c.book.Machines {
+		for _, m := range c.cache.Machines {
 			m.Drains = true
 		}
 		for b.Loop() {
@@ -101,7 +101,7 @@
 
 func BenchmarkReport(b *testing.B) {
 	overSizes(b, func(b *testing.B, c *Controller) {
-		m := c.book.Machines[len(c.book.Machines)/2]
+		m := c.cache.Machines[len(c.cache.Machines)/2]
 		for seq := uint64(2); b.Loop(); seq++ {
 			c.onReport(b.Context(), reportOf(m, seq), func(int, any) {})
 			c.flushHeld(time.Now(), true)
@@ -111,10 +111,10 @@
 
 func BenchmarkChange(b *testing.B) {
 	overSizes(b, func(b *testing.B, c *Controller) {
-		k := c.book.Racks[1]
-		raw := bookkeeping.Encode(c.book.RackRecordOf(k, nil, nil))
+		k := c.cache.Racks[1]
+		raw := storage.Encode(c.cache.RackRecordOf(k, nil, nil))
 		for v := uint64(6); b.Loop(); v++ {
-			if err := c.book.Apply(bookkeeping.RackKey(1), raw, v, false); err != nil {
+			if err := c.cache.Apply(storage.RackKey(1), raw, v, false); err != nil {
 				b.Fatal(err)
 			}
 			c.changed()
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
 )
@@ -51,7 +51,7 @@
 
 // progress is how far a job gets with this batch.
 type progress struct {
-	done bookkeeping.Bitmap
+	done storage.Bitmap
 	n    int
 }
 
@@ -69,7 +69,7 @@
 		c.send(ctx, *c.doubt)
 		return
 	}
-	if c.book.Revision < c.waitRev {
+	if c.cache.Revision < c.waitRev {
 		return // the follow brings what a refused transaction had missed
 	}
 	// A plan that waits for its turn grows stale: it is made when it can go out.
@@ -116,13 +116,13 @@
 func (c *Controller) nextSplit() protocol.Txn {
 	k := c.tight
 	c.tight = nil
-	if !c.book.Packed() {
+	if !c.cache.Packed() {
 		return protocol.Txn{}
 	}
 	if k == nil {
 		limit := c.valueLimit()
-		for _, x := range c.book.Racks {
-			if x.Size > limit && c.owns(x.Share) && len(bookkeeping.EncodeRack(c.book.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
+		for _, x := range c.cache.Racks {
+			if x.Size > limit && c.owns(x.Share) && len(storage.EncodeRack(c.cache.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
 				k = x
 				break
 			}
@@ -164,7 +164,7 @@
 		}
 		for _, j := range c.finishing {
 			jv := c.jobView(j)
-			c.log.Info("job is done", "job", j.ID, "class", c.book.Classes.Name(j.Class), "team", c.book.Teams[j.Team].Name,
+			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
 				"share", j.Share, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Due.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Needs, "ready", j.At.Sub(j.Submitted).Seconds(),
 				"began", jv.since(j, jv.began), "placed", jv.since(j, jv.full), "stopped", jv.victim)
 		}
@@ -198,7 +198,7 @@
 }
 
 // since is how long after a job's submission something was, in seconds; -1: not seen here.
-func (jv *jobView) since(j *bookkeeping.Job, at time.Time) float64 {
+func (jv *jobView) since(j *storage.Job, at time.Time) float64 {
 	if at.IsZero() {
 		return -1
 	}
@@ -208,11 +208,11 @@
 // dispatchDirect sends new launches to workers that are not about to report.
 func (c *Controller) dispatchDirect(t protocol.Txn) {
 	for _, ch := range t.Then {
-		id, ok := bookkeeping.RackOf(ch.Put)
+		id, ok := storage.RackOf(ch.Put)
 		if !ok {
 			continue
 		}
-		for _, m := range c.book.Racks[id].Machines {
+		for _, m := range c.cache.Racks[id].Machines {
 			if m.Gone || !c.owns(m.Share) {
 				continue
 			}
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
@@ -23,20 +23,20 @@
 		State: config.State{TxnOps: 12}}}
 	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
 	c.loaded, c.incarnation = true, 1
-	c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
+	c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 	put := func(key string, v any, version uint64) {
-		if err := c.book.Apply(key, bookkeeping.Encode(v), version, false); err != nil {
+		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(bookkeeping.ShareKey(0), bookkeeping.ShareRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
-	put(bookkeeping.JobKey("job-000001"), bookkeeping.JobRecord{Tasks: 2, Team: "red",
-		Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
-	put(bookkeeping.RackKey(0), bookkeeping.RackRecord{}, 4)
-	put(bookkeeping.FleetKey("m"), bookkeeping.FleetRecord{Type: "t", Zone: "a", Token: 4, Machines: []bookkeeping.FleetMachine{{Name: "m"}}}, 4)
-	c.book.Revision, c.maxRev = 4, 4
+	put(storage.ShareKey(0), storage.ShareRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 2, Team: "red",
+		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
+	put(storage.RackKey(0), storage.RackRecord{}, 4)
+	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", Token: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
+	c.cache.Revision, c.maxRev = 4, 4
 	c.owned[0] = 2
-	m := c.book.Machine("m")
+	m := c.cache.Machine("m")
 	c.takeReport(m, c.view(m), &protocol.Report{Machine: "m", Session: 1, Seq: 1, Token: 4}, 4, false)
 	return c
 }
@@ -47,10 +47,10 @@
 func (idleStore) Pace(int) time.Duration { return 0 }
 
 // machineIn reads machine m from the rack's record in a batch.
-func machineIn(t *testing.T, b *batch) bookkeeping.RackMachine {
+func machineIn(t *testing.T, b *batch) storage.RackMachine {
 	t.Helper()
-	var r bookkeeping.RackRecord
-	if err := json.Unmarshal(b.puts[bookkeeping.RackKey(0)].Value, &r); err != nil {
+	var r storage.RackRecord
+	if err := json.Unmarshal(b.puts[storage.RackKey(0)].Value, &r); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range r.Machines {
@@ -59,14 +59,14 @@
 		}
 	}
 	t.Fatalf("record %+v does not hold the machine", r)
-	return bookkeeping.RackMachine{}
+	return storage.RackMachine{}
 }
 
 func TestPlanConditions(t *testing.T) {
 	c := newCore(t)
-	b, _ := c.plan(c.view(c.book.Machine("m")).heard, 12)
+	b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
 	// A stale owner, a cancelled job or a changed machine must make it fail.
-	want := map[string]uint64{bookkeeping.ShareKey(0): 2, bookkeeping.JobKey("job-000001"): 3, bookkeeping.RackKey(0): 4}
+	want := map[string]uint64{storage.ShareKey(0): 2, storage.JobKey("job-000001"): 3, storage.RackKey(0): 4}
 	if !reflect.DeepEqual(b.conds, want) {
 		t.Fatalf("conditions %v, want %v", b.conds, want)
 	}
@@ -96,7 +96,7 @@
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
-			b, _ := c.plan(c.view(c.book.Machine("m")).heard, 12)
+			b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
 			txn := b.txn()
 			c.directs = maxDirects // no workers here
 			c.sent(txn, x.rev, x.failed, x.err)
@@ -106,7 +106,7 @@
 			if c.doubt != nil && !reflect.DeepEqual(*c.doubt, txn) {
 				t.Fatal("another transaction than the one in doubt")
 			}
-			if n := c.book.Job("job-000001").NPlaced; n != x.placed {
+			if n := c.cache.Job("job-000001").NPlaced; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
 			}
 		})
@@ -120,31 +120,31 @@
 	job := fmt.Sprintf("job-%06d", 7)
 	const racks, tasks = 8, 450
 	apply := func(key string, v any, version uint64) {
-		if err := c.book.Apply(key, bookkeeping.Encode(v), version, false); err != nil {
+		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	apply(bookkeeping.JobKey(job), bookkeeping.JobRecord{Tasks: racks * tasks, Team: "red",
-		Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
-	f := bookkeeping.FleetRecord{Type: "t", Zone: "a", Token: 4}
+	apply(storage.JobKey(job), storage.JobRecord{Tasks: racks * tasks, Team: "red",
+		Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
+	f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 	for i := range racks {
-		f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("x", i), Rack: i + 1})
+		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Rack: i + 1})
 	}
-	apply(bookkeeping.FleetKey("x0"), f, 5)
+	apply(storage.FleetKey("x0"), f, 5)
 	for i := range racks {
 		var p []uint64
 		for k := range tasks {
 			p = append(p, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
 		}
-		apply(bookkeeping.RackKey(i+1), bookkeeping.RackRecord{Machines: []bookkeeping.RackMachine{{Name: fmt.Sprint("x", i), Session: 1,
-			Tasks: []bookkeeping.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
-		m := c.book.Machine(fmt.Sprint("x", i))
+		apply(storage.RackKey(i+1), storage.RackRecord{Machines: []storage.RackMachine{{Name: fmt.Sprint("x", i), Session: 1,
+			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
+		m := c.cache.Machine(fmt.Sprint("x", i))
 		r := reportOf(m, 1)
 		r.Tasks[0].State, r.Tasks[0].Cause = protocol.Exited, protocol.CauseDone // each rack has something to say
 		c.takeReport(m, c.view(m), r, 4, false)
 	}
-	txn, more := c.nextTxn(c.view(c.book.Machine("m")).heard)
-	if n := len(bookkeeping.Encode(txn)); n > 64<<10 || len(txn.Then) == 0 || !more {
+	txn, more := c.nextTxn(c.view(c.cache.Machine("m")).heard)
+	if n := len(storage.Encode(txn)); n > 64<<10 || len(txn.Then) == 0 || !more {
 		t.Errorf("%d bytes, %d changes, more: %v", n, len(txn.Then), more)
 	}
 }
@@ -153,7 +153,7 @@
 // it went on failing tasks: it belongs into the record.
 func TestSickIsRecorded(t *testing.T) {
 	c := newCore(t)
-	m := c.book.Machine("m")
+	m := c.cache.Machine("m")
 	c.view(m).sick = true
 	b, _ := c.plan(c.view(m).heard, 12)
 	if r := machineIn(t, b); !r.Sick || len(r.Tasks) != 0 {
@@ -186,8 +186,8 @@
 		{"late beyond all patience", 140 * time.Second, 90 * time.Second, 0, false, true},
 	} {
 		c := newCore(t)
-		c.book.Types[0].Boot = 30
-		m := c.book.Machine("m")
+		c.cache.Types[0].Boot = 30
+		m := c.cache.Machine("m")
 		v := c.view(m)
 		if v.since = now.Add(-x.known); !x.up {
 			v.Session = 0
@@ -220,14 +220,14 @@
 	} {
 		c := newCore(t)
 		c.applyTxn(protocol.Txn{Then: []protocol.Change{
-			{Put: bookkeeping.JobKey("job-000002"), Value: bookkeeping.Encode(bookkeeping.JobRecord{Tasks: 1, Team: "red",
-				Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 4, Image: "i", Mark: 15, Save: 3}})},
-			{Put: bookkeeping.RackKey(0), Value: bookkeeping.Encode(bookkeeping.RackRecord{Machines: []bookkeeping.RackMachine{{Name: "m", Session: 1,
-				Tasks: []bookkeeping.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
-			{Put: bookkeeping.EvictKey("job-000001"), Value: bookkeeping.Encode(bookkeeping.EvictRecord{
-				Victims: []bookkeeping.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
+			{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
+				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", Mark: 15, Save: 3}})},
+			{Put: storage.RackKey(0), Value: storage.Encode(storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+				Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
+			{Put: storage.EvictKey("job-000001"), Value: storage.Encode(storage.EvictRecord{
+				Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
 		}}, 10)
-		m := c.book.Machine("m")
+		m := c.cache.Machine("m")
 		v, p := c.view(m), m.Tasks[0]
 		v.started[dispatch.RefOf(p)] = time.Now().Add(-x.ran)
 		v.Seen[dispatch.RefOf(p)] = dispatch.Seen{State: x.state}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
@@ -82,7 +82,7 @@
 	done  chan struct{}
 
 	// all below belongs to the core's goroutine
-	book        *bookkeeping.Book
+	cache        *storage.Cache
 	loaded      bool
 	unread      bool   // the records could not be read yet: no answer
 	stranger    bool   // the records are of a layout that this version does not read
@@ -90,12 +90,12 @@
 	incarnation uint64
 	lease       uint64
 	views       map[int32]*machineView
-	jobs        map[*bookkeeping.Job]*jobView
+	jobs        map[*storage.Job]*jobView
 	owned       []uint64 // by share: the version under which it is owned, 0: not
 	dirty       bool
 	next        time.Time // no cycle before
 	inflight    bool
-	finishing   []*bookkeeping.Job // jobs that the latest plan calls done
+	finishing   []*storage.Job // jobs that the latest plan calls done
 	doubt       *protocol.Txn      // sent with unknown outcome: repeated until it is known
 	planned     int                // tasks that the latest plan places
 	lastOps     int                // changes of the latest transaction
@@ -103,7 +103,7 @@
 	idleRuns    bool               // idle-time work is placed on this node's machines
 	edits       map[int32]*edit    // by machine
 	waiting     []int              // by share: tasks that waited when last planned
-	toGreet     []*bookkeeping.Machine
+	toGreet     []*storage.Machine
 	leadVersion uint64 // of the leader's key
 	leadAt      time.Time
 	waitRev     uint64 // no cycle before the follow got here
@@ -118,7 +118,7 @@
 	doomTurn    int
 	tries       uint64 // long descriptions written by this process
 	scratch     scratch
-	tight       *bookkeeping.Rack // its record would be over the limit: it is parted next
+	tight       *storage.Rack // its record would be over the limit: it is parted next
 	shareBusy   bool
 	nodesAt     time.Time // when membership last changed
 	hands       []hand    // by share
@@ -145,7 +145,7 @@
 	probeAt     time.Time
 	probeNext   int
 	goodAt      time.Time // when the state service last served this node
-	readAt      time.Time // the book holds all that was committed until then
+	readAt      time.Time // the cache holds all that was committed until then
 	words       words
 	blind       blind
 	stopping    map[int32]*stopping  // by machine with a cancelled job's task
@@ -184,7 +184,7 @@
 	reported time.Time                     // last report proper: what it is asked for renews no lease
 	notice   time.Time                     // when the cloud takes it; zero: not announced
 	images   []int                         // most recently used last
-	failed   map[*bookkeeping.Job]*failing // since it last completed anything
+	failed   map[*storage.Job]*failing // since it last completed anything
 	sick     bool
 	probes   int                        // unanswered in a row
 	started  map[dispatch.Ref]time.Time // seen running since
@@ -225,13 +225,13 @@
 func New(cfg *config.Settings, state StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, times Times) *Controller {
 	c := &Controller{
 		cfg: cfg, state: state, cloud: cloud, workers: workers, log: log, times: times,
-		inbox: make(chan func(), 1024), done: make(chan struct{}), book: bookkeeping.NewBook(cfg),
-		views: map[int32]*machineView{}, jobs: map[*bookkeeping.Job]*jobView{}, peers: map[string]peer{}, lostPeers: map[string]time.Time{}, alpha: DefaultAlpha,
+		inbox: make(chan func(), 1024), done: make(chan struct{}), cache: storage.NewCache(cfg),
+		views: map[int32]*machineView{}, jobs: map[*storage.Job]*jobView{}, peers: map[string]peer{}, lostPeers: map[string]time.Time{}, alpha: DefaultAlpha,
 	}
-	c.hands, c.broke = make([]hand, c.book.NShares), map[string]time.Time{}
+	c.hands, c.broke = make([]hand, c.cache.NShares), map[string]time.Time{}
 	c.living, c.began = map[string]time.Time{}, time.Now()
-	c.owned, c.waiting, c.edits = make([]uint64, c.book.NShares), make([]int, c.book.NShares), map[int32]*edit{}
-	c.Layout, c.Frames = bookkeeping.LayoutTeams, protocol.FramesWord
+	c.owned, c.waiting, c.edits = make([]uint64, c.cache.NShares), make([]int, c.cache.NShares), map[int32]*edit{}
+	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesWord
 	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
 	c.metrics.Registry.MustRegister(gauges{c})
 	c.blind = blind{since: time.Now(), renewed: map[string]time.Time{}}
@@ -248,7 +248,7 @@
 // Run is the node's life; it ends with ctx.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
-	c.book.Plain = c.Layout < bookkeeping.LayoutPacked
+	c.cache.Plain = c.Layout < storage.LayoutPacked
 	go c.memberLoop(ctx)
 	go c.followLoop(ctx)
 	go c.catalogLoop(ctx)
@@ -311,7 +311,7 @@
 	if !c.loaded {
 		return
 	}
-	c.book.Sweep()
+	c.cache.Sweep()
 	for j := range c.jobs {
 		if !j.Open() && j.NPlaced == 0 {
 			delete(c.jobs, j)
@@ -340,7 +340,7 @@
 // use: in proportion to the machines that it commits for, which every node knows.
 func (c *Controller) setPart() {
 	mine, all := 0, 0
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if !m.Gone {
 			all++
 			if c.owns(m.Share) {
@@ -372,21 +372,21 @@
 // as the record that says so: a leader that gives a share to itself learns of it
 // from its own commit, before it has seen what the former owner committed last.
 func (c *Controller) owns(share int) bool {
-	s := &c.book.Shares[share]
-	return s.Version > 0 && c.book.Revision >= s.Version && c.incarnation > 0 && s.Node == c.cfg.NodeName && s.Incarnation == c.incarnation
+	s := &c.cache.Shares[share]
+	return s.Version > 0 && c.cache.Revision >= s.Version && c.incarnation > 0 && s.Node == c.cfg.NodeName && s.Incarnation == c.incarnation
 }
 
 func (c *Controller) leads() bool {
-	l := &c.book.Leader
+	l := &c.cache.Leader
 	return l.Version > 0 && c.incarnation > 0 && l.Node == c.cfg.NodeName && l.Incarnation == c.incarnation
 }
 
-func (c *Controller) view(m *bookkeeping.Machine) *machineView {
+func (c *Controller) view(m *storage.Machine) *machineView {
 	v := c.views[m.Index]
 	if v == nil {
 		now := time.Now()
 		v = &machineView{View: dispatch.NewView(), since: now, heard: now, reported: reportedAnew(c.cfg.Deployment.Workers, now), idle: now,
-			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, speed: 1, failed: map[*bookkeeping.Job]*failing{}}
+			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, speed: 1, failed: map[*storage.Job]*failing{}}
 		c.views[m.Index] = v
 	}
 	return v
@@ -398,7 +398,7 @@
 	return ok
 }
 
-func (c *Controller) jobView(j *bookkeeping.Job) *jobView {
+func (c *Controller) jobView(j *storage.Job) *jobView {
 	v := c.jobs[j]
 	if v == nil {
 		v = &jobView{queued: map[int]time.Time{}, machines: map[int32]bool{}}
--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/provision"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
@@ -30,7 +30,7 @@
 	var out []provision.Demand
 	var zones *zoneRoom
 	may := c.underLimits()
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() {
 			continue
 		}
@@ -85,19 +85,19 @@
 }
 
 func (c *Controller) zoneRoom(now time.Time) *zoneRoom {
-	r := &zoneRoom{free: make([]float64, c.book.Zones.Len()), rents: make([]bool, c.book.Zones.Len())}
-	for i := range c.book.Types {
-		for _, z := range c.book.Types[i].Zones {
+	r := &zoneRoom{free: make([]float64, c.cache.Zones.Len()), rents: make([]bool, c.cache.Zones.Len())}
+	for i := range c.cache.Types {
+		for _, z := range c.cache.Types[i].Zones {
 			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.lead.blocked[p]) && !c.zoneAway(z) {
 				r.rents[z] = true
 			}
 		}
 	}
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing || m.Spot || m.Sick || m.Drains || c.zoneAway(m.Zone) || c.overdue(m, bootPatience, now) {
 			continue
 		}
-		left := c.book.Types[m.Type].Cpus
+		left := c.cache.Types[m.Type].Cpus
 		for _, p := range m.Tasks {
 			if p.Job.Priority.Top() {
 				left -= p.Job.Size
@@ -111,7 +111,7 @@
 // part tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
 // where it may have more and there is most. Room in a zone that has its half is of no use to it: services
 // waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneRoom) part(c *Controller, j *bookkeeping.Job, waiting int, now time.Time) []int {
+func (r *zoneRoom) part(c *Controller, j *storage.Job, waiting int, now time.Time) []int {
 	need := make([]int, len(r.free))
 	in := make([]int, len(r.free))
 	for z, n := range j.ByZone {
@@ -146,10 +146,10 @@
 	d := provision.Demand{Zone: -1, Within: 5}
 	work, gives := 0.0, 0.0
 	ahead := 0.0
-	for i := range c.book.Types {
-		ahead = max(ahead, 1.5*c.book.Types[i].Boot)
+	for i := range c.cache.Types {
+		ahead = max(ahead, 1.5*c.cache.Types[i].Boot)
 	}
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j == nil || j.Shape != protocol.Service || j.Spot || !j.Open() || len(j.Types) > 0 || j.Zone >= 0 {
 			continue
 		}
@@ -163,7 +163,7 @@
 	if work == 0 {
 		return d, false
 	}
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing || m.Drains || m.Spot || c.zoneAway(m.Zone) {
 			continue
 		}
@@ -182,7 +182,7 @@
 const cameWithin = 2 * time.Minute
 
 // placedAway is how many of a job's tasks run where this node reaches nobody: they need no other room.
-func (c *Controller) placedAway(j *bookkeeping.Job, now time.Time) int {
+func (c *Controller) placedAway(j *storage.Job, now time.Time) int {
 	n := 0
 	for z, k := range j.ByZone {
 		if c.spared(z, now) {
@@ -195,7 +195,7 @@
 // mayRun is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
 func (c *Controller) mayRun(now time.Time) float64 {
 	may, sum := c.underLimits(), 0.0
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() && !c.idle(j, now) {
 			sum += float64(may.start(j)) * j.Size
 		}
@@ -206,14 +206,14 @@
 // underLimits deals out what the teams' limits leave.
 type underLimits struct {
 	c    *Controller
-	used []bookkeeping.Usage // by team
+	used []storage.Usage // by team
 }
 
-func (c *Controller) underLimits() *underLimits { return &underLimits{c, slices.Clone(c.book.Used)} }
+func (c *Controller) underLimits() *underLimits { return &underLimits{c, slices.Clone(c.cache.Used)} }
 
 // start takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
-func (u *underLimits) start(j *bookkeeping.Job) int {
-	n := schedule.RoomWithin(u.c.book.Teams[j.Team], u.used[j.Team], j, u.c.wanting(j))
+func (u *underLimits) start(j *storage.Job) int {
+	n := schedule.RoomWithin(u.c.cache.Teams[j.Team], u.used[j.Team], j, u.c.wanting(j))
 	u.used[j.Team].Add(j, float64(n))
 	return n
 }
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -4,7 +4,7 @@
 package dispatch
 
 import (
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -23,13 +23,13 @@
 
 // Ref names one attempt of a task.
 type Ref struct {
-	Job     *bookkeeping.Job
+	Job     *storage.Job
 	Task    int
 	Attempt uint64
 }
 
 // RefOf names the attempt of a placed task.
-func RefOf(p bookkeeping.Placed) Ref { return Ref{p.Job, p.Task, p.Attempt} }
+func RefOf(p storage.Placed) Ref { return Ref{p.Job, p.Task, p.Attempt} }
 
 // Seen is what a worker last said of an attempt.
 type Seen struct {
@@ -70,7 +70,7 @@
 
 // Take takes a newer report of a machine's worker. token is the one under which
 // the machine is commanded now; reply says that it is the reply to a direct command.
-func (v *View) Take(m *bookkeeping.Machine, r *protocol.Report, token uint64, reply bool, job func(string) *bookkeeping.Job) {
+func (v *View) Take(m *storage.Machine, r *protocol.Report, token uint64, reply bool, job func(string) *storage.Job) {
 	if r.Session != v.Session {
 		clear(v.Sent)
 	}
@@ -130,7 +130,7 @@
 // Absent tells whether an attempt that was never reported can no longer start:
 // the worker has seen the token, and every answer that carried the launch was
 // to an older report than the latest.
-func (v *View) Absent(m *bookkeeping.Machine, ref Ref, token uint64) bool {
+func (v *View) Absent(m *storage.Machine, ref Ref, token uint64) bool {
 	if _, ok := v.Seen[ref]; ok || v.Session != m.Session || v.Token < token || v.Token <= v.Uncertain || v.Direct {
 		return false
 	}
@@ -148,7 +148,7 @@
 // the record wants. Attempts that are wanted no more and can be proved never to
 // have started go into Gone. With answer, the commands go into the answer to the
 // latest report, and launches are noted as sent.
-func (v *View) Commands(m *bookkeeping.Machine, token uint64, wish func(bookkeeping.Placed) Wish, answer bool, limit int) []protocol.Command {
+func (v *View) Commands(m *storage.Machine, token uint64, wish func(storage.Placed) Wish, answer bool, limit int) []protocol.Command {
 	var out []protocol.Command
 	for _, t := range v.Stray {
 		if t.State != protocol.Exited {
@@ -186,7 +186,7 @@
 }
 
 // Settle forgets what has been committed: attempts that the record no longer holds.
-func (v *View) Settle(m *bookkeeping.Machine) {
+func (v *View) Settle(m *storage.Machine) {
 	held := make(map[Ref]bool, len(m.Tasks))
 	for _, p := range m.Tasks {
 		held[RefOf(p)] = true
--- a/internal/coordination/dispatch/dispatch_test.go
+++ b/internal/coordination/dispatch/dispatch_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -61,14 +61,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j := &bookkeeping.Job{ID: "job-000001", Tasks: 1, Machine: []int32{5}, Attempt: []uint64{7}}
-			m := &bookkeeping.Machine{Index: 5, Name: "m", Session: 3, Tasks: []bookkeeping.Placed{{Job: j, Attempt: 7}}}
-			find := func(string) *bookkeeping.Job { return j }
+			j := &storage.Job{ID: "job-000001", Tasks: 1, Machine: []int32{5}, Attempt: []uint64{7}}
+			m := &storage.Machine{Index: 5, Name: "m", Session: 3, Tasks: []storage.Placed{{Job: j, Attempt: 7}}}
+			find := func(string) *storage.Job { return j }
 			v := NewView()
 			if c.view != nil {
 				c.view(v)
 			}
-			want := func(bookkeeping.Placed) Wish { return Wish{} }
+			want := func(storage.Placed) Wish { return Wish{} }
 			for _, s := range c.steps {
 				if !v.Newer(s.report) {
 					t.Fatal("report taken for old")
@@ -78,7 +78,7 @@
 					v.Commands(m, token, want, true, 10)
 				}
 			}
-			cmds := v.Commands(m, token, func(bookkeeping.Placed) Wish { return Wish{Stop: c.stop} }, true, 10)
+			cmds := v.Commands(m, token, func(storage.Placed) Wish { return Wish{Stop: c.stop} }, true, 10)
 			if got := v.Gone[Ref{j, 0, 7}]; got != c.want {
 				t.Errorf("outcome %d, want %d", got, c.want)
 			}
@@ -96,7 +96,7 @@
 // A worker that has forgotten an attempt starts it again when a delayed direct
 // command brings its launch once more.
 func TestClearWaitsForUncertainCommands(t *testing.T) {
-	m := &bookkeeping.Machine{Index: 5, Name: "m", Session: 3}
+	m := &storage.Machine{Index: 5, Name: "m", Session: 3}
 	exited := protocol.TaskReport{Task: "job-000001/0", Attempt: 7, State: protocol.Exited, Cause: protocol.CauseDone}
 	for _, c := range []struct {
 		uncertain uint64
@@ -104,7 +104,7 @@
 	}{{0, 1}, {token - 1, 1}, {token, 0}} {
 		v := NewView()
 		v.Uncertain = c.uncertain
-		v.Take(m, report(1, nil, exited), token, false, func(string) *bookkeeping.Job { return nil })
+		v.Take(m, report(1, nil, exited), token, false, func(string) *storage.Job { return nil })
 		cmds := v.Commands(m, token, nil, true, 10)
 		if len(cmds) != c.clears {
 			t.Errorf("uncertain %d: %v", c.uncertain, cmds)
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -5,13 +5,13 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
 // newcomer is a machine that is to get a record.
 type newcomer struct {
-	kind  bookkeeping.FleetRecord // without machines
+	kind  storage.FleetRecord // without machines
 	name  string
 	addr  string
 	tries int
@@ -37,7 +37,7 @@
 // in one record only rests on three things: only the leader writes them, on the
 // condition that it still leads; it does so once its follow has shown all that
 // former leaders wrote; and a transaction with unknown outcome is repeated until it
-// is known, and the book has come as far, before its machines are looked at again.
+// is known, and the cache has come as far, before its machines are looked at again.
 func (c *Controller) enroll(ctx context.Context) {
 	if c.lead.enrolling || len(c.lead.newcomers) == 0 {
 		return
@@ -51,22 +51,22 @@
 		}
 		return
 	}
-	if c.book.Revision < c.book.Leader.Version {
+	if c.cache.Revision < c.cache.Leader.Version {
 		c.enrollLater(ctx)
 		return
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version}}}
+	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	demand, capacity := c.shareLoad()
-	fill := newRackFill(c.book, c.rackSize())
+	fill := newRackFill(c.cache, c.rackSize())
 	type kind struct {
 		typ, zone string
 		spot      bool
 	}
-	fleets := map[kind]*bookkeeping.FleetRecord{}
-	var order []*bookkeeping.FleetRecord
+	fleets := map[kind]*storage.FleetRecord{}
+	var order []*storage.FleetRecord
 	var batch, rest []*newcomer
 	for _, n := range c.lead.newcomers {
-		if c.book.Known(n.name) {
+		if c.cache.Known(n.name) {
 			batch = append(batch, n)
 			continue
 		}
@@ -83,23 +83,23 @@
 			order = append(order, f)
 		}
 		share := neediest(demand, capacity)
-		if i := c.book.TypeIdx.Find(n.kind.Type); i >= 0 {
-			capacity[share] += c.book.Types[i].Cpus
+		if i := c.cache.TypeIdx.Find(n.kind.Type); i >= 0 {
+			capacity[share] += c.cache.Types[i].Cpus
 		}
 		rack, fresh := fill.take(share, n.kind.Spot)
 		if fresh {
-			key := bookkeeping.RackKey(rack)
+			key := storage.RackKey(rack)
 			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: bookkeeping.EncodeRack(&bookkeeping.RackRecord{Share: share, Token: c.fresh()}, c.book.Packed())})
+			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeRack(&storage.RackRecord{Share: share, Token: c.fresh()}, c.cache.Packed())})
 		}
 		f.Token = max(f.Token, n.kind.Token, c.fresh())
-		f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: n.name, Rack: rack, Addr: n.addr})
+		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Rack: rack, Addr: n.addr})
 		batch = append(batch, n)
 	}
 	for _, f := range order {
-		key := bookkeeping.FleetKey(f.Machines[0].Name)
+		key := storage.FleetKey(f.Machines[0].Name)
 		t.If = append(t.If, protocol.Condition{Key: key})
-		t.Then = append(t.Then, protocol.Change{Put: key, Value: bookkeeping.EncodeFleet(f, c.book.Packed())})
+		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(f, c.cache.Packed())})
 	}
 	c.lead.newcomers = rest
 	c.lead.enrolling = true
@@ -130,8 +130,8 @@
 const maxFleet = 200
 
 // fleetFull tells whether a fleet's record takes no further machine.
-func (c *Controller) fleetFull(f *bookkeeping.FleetRecord) bool {
-	return len(f.Machines) >= maxFleet || len(bookkeeping.EncodeFleet(f, c.book.Packed())) > c.valueLimit()*8/10
+func (c *Controller) fleetFull(f *storage.FleetRecord) bool {
+	return len(f.Machines) >= maxFleet || len(storage.EncodeFleet(f, c.cache.Packed())) > c.valueLimit()*8/10
 }
 
 func (c *Controller) enrollLater(ctx context.Context) {
@@ -139,14 +139,14 @@
 }
 
 // commitSurely repeats a transaction of the leader until its outcome is known; after a
-// refusal for its conditions it waits until the book shows why.
+// refusal for its conditions it waits until the cache shows why.
 func (c *Controller) commitSurely(ctx context.Context, t protocol.Txn, then func(ok bool)) {
 	doubt := false // an earlier try may still be applied: a refusal settles only its own
 	for ctx.Err() == nil {
 		rev, failed, err := c.transact(ctx, t, protocol.ForUser)
 		if doubt && errors.Is(err, protocol.ErrTooLarge) {
 			c.leadAnew(ctx, t.If[0])
-			c.committed(t, 0, false, then) // what became of it, the book shows
+			c.committed(t, 0, false, then) // what became of it, the cache shows
 			return
 		}
 		if err != nil && (doubt || !errors.Is(err, protocol.ErrRefused)) {
@@ -162,11 +162,11 @@
 	}
 }
 
-// followed waits until the book has come as far as a revision.
+// followed waits until the cache has come as far as a revision.
 func (c *Controller) followed(ctx context.Context, rev uint64) {
 	for ctx.Err() == nil {
 		reached := false
-		if c.call(ctx, func() { reached = c.book.Revision >= rev }) != nil || reached {
+		if c.call(ctx, func() { reached = c.cache.Revision >= rev }) != nil || reached {
 			return
 		}
 		sleep(ctx, 100*time.Millisecond)
@@ -175,13 +175,13 @@
 
 // leadAnew settles a leader's transaction in doubt that is refused for its size when it is
 // repeated: it rewrites the leader's key, on which the first copy depends, so that a late
-// copy fails, and waits until the book shows what became of it.
+// copy fails, and waits until the cache shows what became of it.
 func (c *Controller) leadAnew(ctx context.Context, lead protocol.Condition) {
 	for ctx.Err() == nil {
 		t := protocol.Txn{If: []protocol.Condition{lead}}
 		if c.call(ctx, func() {
 			if c.leads() {
-				t.Then = []protocol.Change{{Put: lead.Key, Value: bookkeeping.Encode(c.book.Leader.LeaderRecord), Lease: c.lease}}
+				t.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.lease}}
 			}
 		}) != nil {
 			return
@@ -203,7 +203,7 @@
 // written about once a second with half of the state service's rate of changes.
 func (c *Controller) rackSize() int {
 	n := len(c.lead.newcomers)
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing {
 			n++
 		}
@@ -228,7 +228,7 @@
 	empty, spot bool
 }
 
-func newRackFill(b *bookkeeping.Book, size int) *rackFill {
+func newRackFill(b *storage.Cache, size int) *rackFill {
 	f := &rackFill{size: size, next: len(b.Racks), racks: map[int]*rackRoom{}}
 	for _, k := range b.Racks {
 		if k.Version == 0 {
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
@@ -17,8 +17,8 @@
 
 // planEvictions adds at most one evicted set to a transaction, and drops the
 // records of sets that have served.
-func (c *Controller) planEvictions(now time.Time, b *batch, in *schedule.Input, res schedule.Result, ops int, left map[int32][]bookkeeping.Placed) {
-	for id, e := range c.book.Evicted {
+func (c *Controller) planEvictions(now time.Time, b *batch, in *schedule.Input, res schedule.Result, ops int, left map[int32][]storage.Placed) {
+	for id, e := range c.cache.Evicted {
 		if ops <= 0 {
 			return
 		}
@@ -26,7 +26,7 @@
 			continue
 		}
 		if c.setServed(id, e) {
-			key := bookkeeping.EvictKey(id)
+			key := storage.EvictKey(id)
 			b.put(key, e.Version, protocol.Change{Delete: key})
 			ops--
 		}
@@ -34,7 +34,7 @@
 	if ops <= 0 {
 		return
 	}
-	jobs := make([]*bookkeeping.Job, 0, len(res.Short))
+	jobs := make([]*storage.Job, 0, len(res.Short))
 	until := c.claimsUntil()
 	for j := range res.Short {
 		if !c.mayEvict(j, in, until) {
@@ -45,7 +45,7 @@
 			jv.asked = now
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *bookkeeping.Job) int {
+	slices.SortFunc(jobs, func(a, b *storage.Job) int {
 		if a.Priority != b.Priority {
 			return int(b.Priority) - int(a.Priority)
 		}
@@ -64,7 +64,7 @@
 			continue // nothing may be evicted for its like
 		}
 		jv := c.jobView(j)
-		if c.book.Evicted[j.ID] != nil || now.Before(jv.backoff) || c.suspect(j) {
+		if c.cache.Evicted[j.ID] != nil || now.Before(jv.backoff) || c.suspect(j) {
 			continue // its last set is still being worked off, or it fails everywhere
 		}
 		if now.Sub(jv.asked) < borrowWait && c.othersHaveFree(j) {
@@ -88,17 +88,17 @@
 
 // setServed tells whether an evicted set has served: its victims are gone, and the job that it made room for has it, or is
 // over. One for a team's limit makes room for none.
-func (c *Controller) setServed(id string, e *bookkeeping.Evicted) bool {
+func (c *Controller) setServed(id string, e *storage.Evicted) bool {
 	if _, forLimit := limitSetTeam(id); forLimit {
 		return c.victimsGone(e)
 	}
-	j := c.book.Job(id)
+	j := c.cache.Job(id)
 	return j == nil || !j.Open() || c.victimsGone(e) && (j.Waiting() == 0 || c.roomUsed(e, j))
 }
 
 // sooner tells whether a top-priority job may leave free room alone since room that it evicts serves
 // it sooner. It may do so for a short while only: where no eviction comes of it, what is free is taken.
-func (c *Controller) sooner(j *bookkeeping.Job, now time.Time) bool {
+func (c *Controller) sooner(j *storage.Job, now time.Time) bool {
 	if !j.Priority.Top() || c.suspect(j) {
 		return false
 	}
@@ -124,7 +124,7 @@
 // that needs more evicts again once this set has been worked off.
 func (c *Controller) fitRecord(chosen []schedule.Candidate) []schedule.Candidate {
 	each := victimBytes
-	if c.book.Packed() {
+	if c.cache.Packed() {
 		each = victimBytesPacked
 	}
 	left := c.valueLimit() * 8 / 10 / each
@@ -138,14 +138,14 @@
 
 // mayEvict: a top-priority job may, one that fits into its team's guarantee along
 // with the team's earlier unfinished jobs, and any but the lowest for idle-time work.
-func (c *Controller) mayEvict(j *bookkeeping.Job, in *schedule.Input, until []time.Time) bool {
+func (c *Controller) mayEvict(j *storage.Job, in *schedule.Input, until []time.Time) bool {
 	return j.Priority.Top() || (j.Priority > protocol.Low && c.idleRuns) || claims(j, in, until)
 }
 
 // claims tells whether a job may evict for its team's guarantee: it fits into that along
 // with the team's earlier unfinished jobs. A team with more than that has to wait like
 // others: evicting for it would only swap losses.
-func claims(j *bookkeeping.Job, in *schedule.Input, until []time.Time) bool {
+func claims(j *storage.Job, in *schedule.Input, until []time.Time) bool {
 	return schedule.WithinGuarantee(in.Teams[j.Team], in.Used[j.Team], j) && !j.At.After(until[j.Team])
 }
 
@@ -153,19 +153,19 @@
 // guarantee together. It is worked out once a pass: hundreds of jobs that are short of room
 // each added up all jobs before them.
 func (c *Controller) claimsUntil() []time.Time {
-	until := make([]time.Time, len(c.book.Teams))
-	open := make([][]*bookkeeping.Job, len(c.book.Teams))
-	for _, j := range c.book.Jobs {
+	until := make([]time.Time, len(c.cache.Teams))
+	open := make([][]*storage.Job, len(c.cache.Teams))
+	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() && j.Ready() {
-			if t := &c.book.Teams[j.Team]; t.Cpus > 0 || t.Gpus > 0 {
+			if t := &c.cache.Teams[j.Team]; t.Cpus > 0 || t.Gpus > 0 {
 				open[j.Team] = append(open[j.Team], j)
 			}
 		}
 	}
 	for team, jobs := range open {
-		slices.SortFunc(jobs, func(a, b *bookkeeping.Job) int { return a.At.Compare(b.At) })
-		t := &c.book.Teams[team]
-		var need bookkeeping.Usage
+		slices.SortFunc(jobs, func(a, b *storage.Job) int { return a.At.Compare(b.At) })
+		t := &c.cache.Teams[team]
+		var need storage.Usage
 		for i, j := range jobs {
 			need.Add(j, float64(j.Tasks-j.NDone))
 			if need.Cpus > t.Cpus || need.Gpus > t.Gpus {
@@ -179,9 +179,9 @@
 	return until
 }
 
-func (c *Controller) victimsGone(e *bookkeeping.Evicted) bool {
+func (c *Controller) victimsGone(e *storage.Evicted) bool {
 	for _, x := range e.Victims {
-		m := c.book.Machine(x.Machine)
+		m := c.cache.Machine(x.Machine)
 		if m == nil {
 			continue
 		}
@@ -195,7 +195,7 @@
 }
 
 // slotsLeft is how much of the room that a set freed on a machine its job has not taken.
-func slotsLeft(e *bookkeeping.Evicted, r bookkeeping.RoomRecord, j *bookkeeping.Job, m *bookkeeping.Machine) int {
+func slotsLeft(e *storage.Evicted, r storage.RoomRecord, j *storage.Job, m *storage.Machine) int {
 	n := r.Slots
 	for _, p := range m.Tasks {
 		if p.Job == j && p.Attempt > e.Version {
@@ -206,9 +206,9 @@
 }
 
 // roomUsed tells whether all room that a set freed is taken by its job, or lost.
-func (c *Controller) roomUsed(e *bookkeeping.Evicted, j *bookkeeping.Job) bool {
+func (c *Controller) roomUsed(e *storage.Evicted, j *storage.Job) bool {
 	for _, r := range e.Rooms {
-		m := c.book.Machine(r.Machine)
+		m := c.cache.Machine(r.Machine)
 		if m == nil || m.Closing || m.Share != e.Share {
 			continue
 		}
@@ -223,8 +223,8 @@
 }
 
 // othersHaveFree tells whether other shares have empty machines that would do.
-func (c *Controller) othersHaveFree(j *bookkeeping.Job) bool {
-	for _, m := range c.book.Machines {
+func (c *Controller) othersHaveFree(j *storage.Job) bool {
+	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing && m.Share != j.Share && len(m.Tasks) == 0 && schedule.Allowed(j, m) {
 			return true
 		}
@@ -235,13 +235,13 @@
 // candidates are the tasks that may be evicted for a job: best-effort work for a
 // top-priority job, for a team below its guarantee whatever another team runs
 // beyond its own, and idle-time work for any other.
-func (c *Controller) candidates(now time.Time, j *bookkeeping.Job, in *schedule.Input, left map[int32][]bookkeeping.Placed, until []time.Time) []schedule.Candidate {
+func (c *Controller) candidates(now time.Time, j *storage.Job, in *schedule.Input, left map[int32][]storage.Placed, until []time.Time) []schedule.Candidate {
 	var out []schedule.Candidate
-	services := map[*bookkeeping.Job]int{}
+	services := map[*storage.Job]int{}
 	claim := !j.Priority.Top() && claims(j, in, until)
-	excess := make([]bookkeeping.Usage, len(in.Used)) // by team, beyond its guarantee
+	excess := make([]storage.Usage, len(in.Used)) // by team, beyond its guarantee
 	for t, u := range in.Used {
-		excess[t] = bookkeeping.Usage{Cpus: u.Cpus - in.Teams[t].Cpus, Gpus: u.Gpus - in.Teams[t].Gpus}
+		excess[t] = storage.Usage{Cpus: u.Cpus - in.Teams[t].Cpus, Gpus: u.Gpus - in.Teams[t].Gpus}
 	}
 	for _, s := range in.Slots {
 		if !schedule.Allowed(j, s.M) {
@@ -258,7 +258,7 @@
 			if !(j.Priority.Top() && !q.Priority.Top()) && !(claim && over) && !(j.Priority > q.Priority && c.idle(q, now)) {
 				continue
 			}
-			if !q.Open() || p.Attempt >= c.fresh() || c.book.Victim(p) {
+			if !q.Open() || p.Attempt >= c.fresh() || c.cache.Victim(p) {
 				continue // it goes anyway, or only starts with this transaction
 			}
 			if over && claim {
@@ -282,7 +282,7 @@
 }
 
 // lossOf is how many seconds of a task's run would be lost if it were stopped now: since its start or its last checkpoint.
-func lossOf(v *machineView, p bookkeeping.Placed, now time.Time) float64 {
+func lossOf(v *machineView, p storage.Placed, now time.Time) float64 {
 	ref, ran := dispatch.RefOf(p), 0.0
 	if at, ok := v.started[ref]; ok {
 		ran = now.Sub(at).Seconds()
@@ -298,13 +298,13 @@
 }
 
 // recordEviction writes the whole set as one record, before any stop goes out.
-func (c *Controller) recordEviction(now time.Time, b *batch, j *bookkeeping.Job, chosen []schedule.Candidate, in *schedule.Input, short int) {
-	e := bookkeeping.EvictRecord{Share: j.Share, AtMs: now.UnixMilli()}
-	freed := map[*schedule.Slot]bookkeeping.Usage{}
-	most := 4*c.limits().TxnOps - 2 - c.book.NShares // conditions that a transaction may have
+func (c *Controller) recordEviction(now time.Time, b *batch, j *storage.Job, chosen []schedule.Candidate, in *schedule.Input, short int) {
+	e := storage.EvictRecord{Share: j.Share, AtMs: now.UnixMilli()}
+	freed := map[*schedule.Slot]storage.Usage{}
+	most := 4*c.limits().TxnOps - 2 - c.cache.NShares // conditions that a transaction may have
 	for _, cand := range chosen {
 		for _, v := range cand.Victims {
-			e.Victims = append(e.Victims, bookkeeping.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID,
+			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID,
 				Task: v.Task, Attempt: v.Attempt, Score: float64(int(cand.Score*10)) / 10})
 			f, ok := freed[v.Slot]
 			if !ok {
@@ -313,7 +313,7 @@
 			f.Cpus, f.Gpus, f.Mem = f.Cpus+v.Job.Cpus, f.Gpus+v.Job.Gpus, f.Mem+v.Job.Mem
 			freed[v.Slot] = f
 			k := v.Slot.M.Rack
-			key := bookkeeping.RackKey(k.ID)
+			key := storage.RackKey(k.ID)
 			// That the victims are still there is checked as far as the conditions reach.
 			// One that has ended meanwhile does no harm: its stop finds nothing.
 			if _, ok := b.conds[key]; ok || len(b.conds) < most {
@@ -323,17 +323,17 @@
 	}
 	for s, f := range freed {
 		if n := min(short, schedule.Fits(f, j)); n > 0 {
-			e.Rooms = append(e.Rooms, bookkeeping.RoomRecord{Machine: s.M.Name, Slots: n})
+			e.Rooms = append(e.Rooms, storage.RoomRecord{Machine: s.M.Name, Slots: n})
 			short -= n
 		}
 	}
-	slices.SortFunc(e.Rooms, func(a, b bookkeeping.RoomRecord) int { return strings.Compare(a.Machine, b.Machine) })
+	slices.SortFunc(e.Rooms, func(a, b storage.RoomRecord) int { return strings.Compare(a.Machine, b.Machine) })
 	jv := c.jobView(j)
 	jv.evicted += len(e.Victims)
 	c.log.Info("evicting", "job", j.ID, "victims", len(e.Victims), "slots", len(e.Rooms), "share", j.Share)
-	key := bookkeeping.EvictKey(j.ID)
-	b.when(bookkeeping.JobKey(j.ID), j.Version)
-	raw := bookkeeping.EncodeEvict(&e, c.book.Packed())
+	key := storage.EvictKey(j.ID)
+	b.when(storage.JobKey(j.ID), j.Version)
+	raw := storage.EncodeEvict(&e, c.cache.Packed())
 	if len(raw) > c.valueLimit() {
 		c.log.Error("evicted set does not fit its record", "job", j.ID, "victims", len(e.Victims), "bytes", len(raw))
 		return
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -25,7 +25,7 @@
 
 // noteFailure takes down that an attempt failed by itself: by its machine's fault or
 // by its job's, which only others can tell.
-func (c *Controller) noteFailure(m *bookkeeping.Machine, v *machineView, j *bookkeeping.Job, now time.Time) {
+func (c *Controller) noteFailure(m *storage.Machine, v *machineView, j *storage.Job, now time.Time) {
 	jv := c.jobView(j)
 	f := v.failed[j]
 	if f == nil {
@@ -49,7 +49,7 @@
 }
 
 // noteSuccess clears both of suspicion.
-func (c *Controller) noteSuccess(v *machineView, j *bookkeeping.Job) {
+func (c *Controller) noteSuccess(v *machineView, j *storage.Job) {
 	clear(v.failed)
 	c.jobView(j).clearSuspicion()
 }
@@ -61,7 +61,7 @@
 
 // noteSteady clears a service of suspicion once a replica has run for a while: its
 // replicas never complete.
-func (c *Controller) noteSteady(v *machineView, j *bookkeeping.Job, ran time.Duration) {
+func (c *Controller) noteSteady(v *machineView, j *storage.Job, ran time.Duration) {
 	if j.Shape != protocol.Service || ran < steady || len(v.failed) == 0 && c.jobs[j] == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 // suspect tells whether a job seems to fail wherever it runs: on several machines that
 // are not known to be sick, without a success. From then on it runs one task at a time,
 // and nothing is evicted, rented or moved for it, nor is a machine blamed for it.
-func (c *Controller) suspect(j *bookkeeping.Job) bool {
+func (c *Controller) suspect(j *storage.Job) bool {
 	if j.NDone > 0 {
 		return false
 	}
@@ -89,7 +89,7 @@
 }
 
 // wanting is how many of a job's waiting tasks are worth room now.
-func (c *Controller) wanting(j *bookkeeping.Job) int {
+func (c *Controller) wanting(j *storage.Job) int {
 	n := j.Waiting()
 	if n > 0 && c.suspect(j) {
 		return min(n, max(0, 1-j.NPlaced))
@@ -104,13 +104,13 @@
 		if len(jv.machines) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.NDone > 0 || d.used >= d.ops {
 			continue
 		}
-		key := bookkeeping.JobKey(j.ID)
+		key := storage.JobKey(j.ID)
 		if _, ok := d.puts[key]; ok || d.done[j] != nil {
 			continue
 		}
-		r := c.book.JobRecordOf(j, j.Done, j.NDone, "")
+		r := c.cache.JobRecordOf(j, j.Done, j.NDone, "")
 		r.Suspect = true
-		d.put(key, j.Version, protocol.Change{Put: key, Value: bookkeeping.Encode(r)})
+		d.put(key, j.Version, protocol.Change{Put: key, Value: storage.Encode(r)})
 		d.used++
 	}
 }
@@ -134,7 +134,7 @@
 // judge finds out whether a machine fails its tasks. A job with a mistake fails on
 // every machine; a faulty machine fails every job. One that completes elsewhere, or
 // another job that does not fail elsewhere, tells which.
-func (c *Controller) judge(m *bookkeeping.Machine, v *machineView, now time.Time) {
+func (c *Controller) judge(m *storage.Machine, v *machineView, now time.Time) {
 	if v.sick || len(v.failed) == 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 // probing tells whether a suspect job has its one task out already.
-func (c *Controller) probing(j *bookkeeping.Job) bool { return c.suspect(j) && j.NPlaced > 0 }
+func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.NPlaced > 0 }
 
 // failedRecently counts a machine's failures that may be its own, at most a few.
 func (c *Controller) failedRecently(v *machineView) float64 {
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 )
 
@@ -38,21 +38,21 @@
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
-			f := bookkeeping.FleetRecord{Type: "t", Zone: "a"}
+			f := storage.FleetRecord{Type: "t", Zone: "a"}
 			for i := range 4 {
-				f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("x", i)})
+				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 			}
-			if err := c.book.Apply(bookkeeping.FleetKey("x0"), bookkeeping.Encode(f), 5, false); err != nil {
+			if err := c.cache.Apply(storage.FleetKey("x0"), storage.Encode(f), 5, false); err != nil {
 				t.Fatal(err)
 			}
-			var jobs []*bookkeeping.Job
+			var jobs []*storage.Job
 			for i := range 3 {
 				id := fmt.Sprintf("job-%06d", 100+i)
-				if err := c.book.Apply(bookkeeping.JobKey(id), bookkeeping.Encode(bookkeeping.JobRecord{Tasks: 20, Team: "red",
-					Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
+				if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 20, Team: "red",
+					Spec: &storage.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
 					t.Fatal(err)
 				}
-				jobs = append(jobs, c.book.Job(id))
+				jobs = append(jobs, c.cache.Job(id))
 			}
 			for _, i := range x.done {
 				jobs[i].NDone = 1
@@ -64,12 +64,12 @@
 					f.machine -= 10
 					now = now.Add(2 * maxBackoff)
 				}
-				m := c.book.Machine(fmt.Sprint("x", f.machine))
+				m := c.cache.Machine(fmt.Sprint("x", f.machine))
 				c.noteOutcome(m, c.view(m), dispatch.Ref{Job: jobs[f.job], Task: i}, dispatch.Failed, now)
 			}
 			var got want
 			for i := range 4 {
-				m := c.book.Machine(fmt.Sprint("x", i))
+				m := c.cache.Machine(fmt.Sprint("x", i))
 				v := c.view(m)
 				if c.judge(m, v, start); v.sick {
 					t.Errorf("machine %d is judged before its failures have settled", i)
--- a/internal/coordination/floods.go
+++ b/internal/coordination/floods.go
@@ -5,7 +5,7 @@
 	"maps"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/coordination/usual"
 	"dykeledge/internal/protocol"
@@ -31,7 +31,7 @@
 // learning is the leader's learner, and what it has taken in.
 type learning struct {
 	learner *usual.Learner
-	seen    map[bookkeeping.Lane]bookkeeping.Asked // the book's when last looked at
+	seen    map[storage.Lane]storage.Asked // the cache's when last looked at
 	at      time.Time
 	wrote   time.Time
 	busy    bool
@@ -42,18 +42,18 @@
 // it is not taken for the usual.
 func (c *Controller) learn(ctx context.Context, now time.Time) {
 	l := &c.lead.learning
-	if !c.leads() || !c.book.Packed() || c.book.Revision < c.book.Leader.Version {
+	if !c.leads() || !c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	if l.learner == nil {
-		*l = learning{learner: usual.New(c.book.Usual.Cpus), seen: maps.Clone(c.book.Asked), at: now, busy: l.busy}
+		*l = learning{learner: usual.New(c.cache.Usual.Cpus), seen: maps.Clone(c.cache.Asked), at: now, busy: l.busy}
 		return
 	}
 	if d := now.Sub(l.at); d >= usual.Step {
-		asked := map[bookkeeping.Lane]bookkeeping.Asked{}
-		for x, n := range c.book.Asked {
+		asked := map[storage.Lane]storage.Asked{}
+		for x, n := range c.cache.Asked {
 			if s := l.seen[x]; n.Jobs > s.Jobs {
-				asked[x] = bookkeeping.Asked{Jobs: n.Jobs - s.Jobs, Work: n.Work - s.Work}
+				asked[x] = storage.Asked{Jobs: n.Jobs - s.Jobs, Work: n.Work - s.Work}
 			}
 		}
 		// What is read at once after a pause is no flood: a window in which this node stood
@@ -61,16 +61,16 @@
 		if d < 3*usual.Step && !c.stateBad() {
 			l.learner.Window(d, asked)
 		}
-		l.seen, l.at = maps.Clone(c.book.Asked), now
+		l.seen, l.at = maps.Clone(c.cache.Asked), now
 	}
-	if l.busy || now.Sub(l.wrote) < usualEvery && c.book.Usual.Version > 0 || !l.learner.Differs(c.book.Usual.Cpus) {
+	if l.busy || now.Sub(l.wrote) < usualEvery && c.cache.Usual.Version > 0 || !l.learner.Differs(c.cache.Usual.Cpus) {
 		return
 	}
 	l.busy, l.wrote = true, now
 	c.commitAside(ctx, protocol.Txn{
-		If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version},
-			{Key: bookkeeping.UsualKey, Version: c.book.Usual.Version}},
-		Then: []protocol.Change{{Put: bookkeeping.UsualKey, Value: bookkeeping.Encode(c.book.UsualRecordOf(l.learner.Usual(), c.valueLimit()*8/10))}},
+		If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
+			{Key: storage.UsualKey, Version: c.cache.Usual.Version}},
+		Then: []protocol.Change{{Put: storage.UsualKey, Value: storage.Encode(c.cache.UsualRecordOf(l.learner.Usual(), c.valueLimit()*8/10))}},
 	}, protocol.Background, func(bool) { l.busy = false })
 }
 
@@ -87,13 +87,13 @@
 // flooding is what the classes of the teams may have before others, and what they hold, from
 // the open jobs.
 func (c *Controller) flooding(now time.Time) flooding {
-	f := flooding{lanes: make(schedule.Lanes, bookkeeping.LaneCount(len(c.book.Teams)))}
+	f := flooding{lanes: make(schedule.Lanes, storage.LaneCount(len(c.cache.Teams)))}
 	all := 0.0
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j == nil || j.NPlaced == 0 && !j.Open() {
 			continue
 		}
-		l := f.lanes.Have(bookkeeping.LaneOf(j))
+		l := f.lanes.Have(storage.LaneOf(j))
 		used := float64(j.NPlaced) * j.Size
 		open := used
 		if !j.Suspect {
@@ -110,7 +110,7 @@
 		}
 	}
 	f.busy /= max(1, all)
-	for x, u := range c.book.Usual.Cpus {
+	for x, u := range c.cache.Usual.Cpus {
 		if l := f.lanes.At(x); l != nil {
 			l.Usual, l.Floor = u, floorMargin*u
 			l.Floods = l.Open > floodFrom*u
@@ -119,7 +119,7 @@
 		}
 	}
 	if f.ordinary {
-		for x := range c.book.Usual.Cpus {
+		for x := range c.cache.Usual.Cpus {
 			if l := f.lanes.At(x); l != nil {
 				l.Kept = l.Used >= keptFrom*l.Floor
 			}
@@ -131,7 +131,7 @@
 // overloaded tells whether there is a flood and far more work of some shares waits than can be
 // in time; with what there is room for, the order needs no floors. It stays, in dealt, until
 // no lane floods any more: what is late by then waits for no aim, but goes small first still.
-func (c *Controller) overloaded(f flooding, jobs []*bookkeeping.Job, room schedule.Room, dealt *bool, now time.Time) bool {
+func (c *Controller) overloaded(f flooding, jobs []*storage.Job, room schedule.Room, dealt *bool, now time.Time) bool {
 	if !f.on || *dealt {
 		*dealt = f.on
 		return f.on
@@ -154,9 +154,9 @@
 // noteFlood logs that a flood begins or ends.
 func (c *Controller) noteFlood(f flooding, on bool) {
 	c.log.Info("flood", "on", on, "ordinary", f.ordinary)
-	for x := range c.book.Usual.Cpus {
+	for x := range c.cache.Usual.Cpus {
 		l := f.lanes.Have(x)
-		c.log.Info("lane", "team", c.book.Teams[x.Team].Name, "class", c.book.Classes.Name(x.Class), "usual", c.book.Usual.Cpus[x], "open", l.Open, "used", l.Used)
+		c.log.Info("lane", "team", c.cache.Teams[x.Team].Name, "class", c.cache.Classes.Name(x.Class), "usual", c.cache.Usual.Cpus[x], "open", l.Open, "used", l.Used)
 	}
 }
 
@@ -170,7 +170,7 @@
 
 // waitedTooLong tells whether a job has waited too long and has missed its latest aim, if it has
 // one. From then on it has its turn whatever else is asked, in a part of the room.
-func (c *Controller) waitedTooLong(j *bookkeeping.Job, now time.Time) bool {
+func (c *Controller) waitedTooLong(j *storage.Job, now time.Time) bool {
 	if now.Sub(j.At) < turnAfter {
 		return false
 	}
--- a/internal/coordination/floods_test.go
+++ b/internal/coordination/floods_test.go
@@ -26,7 +26,7 @@
 			c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: x.within}}
 		}
 		now := time.Now()
-		j := c.book.Job("job-000001")
+		j := c.cache.Job("job-000001")
 		j.At, j.Submitted = now.Add(-x.age), now.Add(-x.age)
 		if got := c.waitedTooLong(j, now); got != x.want {
 			t.Errorf("%s: has its turn %v, want %v", x.name, got, x.want)
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -5,26 +5,26 @@
 	"errors"
 	"slices"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
 // This file owns the change from one layout of the records to the next while both
 // versions serve. Until the gate opens everything is written as the version in production
-// writes and reads it; what is only needed for that is what asks book.Packed().
+// writes and reads it; what is only needed for that is what asks cache.Packed().
 
 // openGate is the leader's loop over the gate: it opens once every node that the settings
 // name has shown that it reads the packed layout. Which have is remembered, for one may
 // be down while the last one comes. A leader of the version before does none of it, so
 // the gate waits until a node that knows of it leads.
 func (c *Controller) openGate(ctx context.Context) {
-	if !c.leads() || c.gateBusy || c.Layout < bookkeeping.LayoutPacked || c.book.Packed() || c.book.Revision < c.book.Leader.Version {
+	if !c.leads() || c.gateBusy || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	seen := slices.Clone(c.book.Layout.Nodes)
-	for name, n := range c.book.Nodes {
-		if n.Layout >= bookkeeping.LayoutPacked && !slices.Contains(seen, name) {
+	seen := slices.Clone(c.cache.Layout.Nodes)
+	for name, n := range c.cache.Nodes {
+		if n.Layout >= storage.LayoutPacked && !slices.Contains(seen, name) {
 			seen = append(seen, name)
 		}
 	}
@@ -32,21 +32,21 @@
 	for _, p := range c.cfg.Known {
 		all = all && slices.Contains(seen, p.NodeName)
 	}
-	if !all && len(seen) == len(c.book.Layout.Nodes) {
+	if !all && len(seen) == len(c.cache.Layout.Nodes) {
 		return
 	}
 	slices.Sort(seen)
-	rec := bookkeeping.LayoutRecord{Version: bookkeeping.LayoutPlain, Nodes: seen}
+	rec := storage.LayoutRecord{Version: storage.LayoutPlain, Nodes: seen}
 	if all {
-		rec = bookkeeping.LayoutRecord{Version: bookkeeping.LayoutPacked}
+		rec = storage.LayoutRecord{Version: storage.LayoutPacked}
 	}
 	t := protocol.Txn{
-		If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version},
-			{Key: bookkeeping.LayoutKey, Version: c.book.Layout.Revision}},
-		Then: []protocol.Change{{Put: bookkeeping.LayoutKey, Value: bookkeeping.Encode(rec)}},
+		If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
+			{Key: storage.LayoutKey, Version: c.cache.Layout.Revision}},
+		Then: []protocol.Change{{Put: storage.LayoutKey, Value: storage.Encode(rec)}},
 	}
 	if all {
-		t.Then = append(t.Then, protocol.Change{Put: bookkeeping.BarKey, Value: bookkeeping.Encode(rec)})
+		t.Then = append(t.Then, protocol.Change{Put: storage.BarKey, Value: storage.Encode(rec)})
 	}
 	c.gateBusy = true
 	c.commitAside(ctx, t, protocol.Urgent, func(ok bool) {
@@ -61,7 +61,7 @@
 // the gate on, or from the first refusal for size: they come without notice, and what
 // was written small needs no second thought when they do.
 func (c *Controller) limits() config.State {
-	if c.book.Packed() || c.lowered {
+	if c.cache.Packed() || c.lowered {
 		return c.cfg.Deployment.State.Coming()
 	}
 	return c.cfg.Deployment.State
@@ -90,7 +90,7 @@
 		c.lowered = true
 		c.log.Info("the state service refuses a change for its size")
 	}
-	if (c.lowered || c.book.Packed()) && !c.lowRate {
+	if (c.lowered || c.cache.Packed()) && !c.lowRate {
 		c.lowRate = true
 		c.state.SetLimit(c.limits().WriteRPS)
 	}
@@ -101,11 +101,11 @@
 // under the former limits or be on its way. Rewriting the ownership stamp that it depends
 // on makes a late copy fail; then the records show what became of it.
 func (c *Controller) settling(t protocol.Txn) *protocol.Txn {
-	for s := range c.book.Shares {
-		key := bookkeeping.ShareKey(s)
+	for s := range c.cache.Shares {
+		key := storage.ShareKey(s)
 		if i := slices.IndexFunc(t.If, func(x protocol.Condition) bool { return x.Key == key }); i >= 0 {
 			return &protocol.Txn{If: t.If[i : i+1],
-				Then: []protocol.Change{{Put: key, Value: bookkeeping.Encode(c.book.Shares[s].ShareRecord)}}}
+				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shares[s].ShareRecord)}}}
 		}
 	}
 	return &protocol.Txn{If: t.If[:1]} // every plan depends on a share; a comparison settles nothing, but ends
@@ -119,7 +119,7 @@
 // anew they are mostly within it; what is not goes into small records that supersede the
 // large one's entries, and the large one is deleted when they list all of it.
 func (c *Controller) workOff(ctx context.Context) {
-	if !c.leads() || !c.book.Packed() || c.workingOff || c.book.Revision < c.book.Leader.Version {
+	if !c.leads() || !c.cache.Packed() || c.workingOff || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	t := c.fleetTxn()
@@ -136,26 +136,26 @@
 // fleetTxn is the next step of working off a large fleet record.
 func (c *Controller) fleetTxn() protocol.Txn {
 	limit := c.valueLimit()
-	f, fits := c.book.Oversized(limit)
+	f, fits := c.cache.Oversized(limit)
 	if f == nil {
 		return protocol.Txn{}
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version},
-		{Key: bookkeeping.FleetKey(f.ID), Version: f.Version}}}
+	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
+		{Key: storage.FleetKey(f.ID), Version: f.Version}}}
 	if fits {
-		rec, _ := c.book.FleetWithout(f, nil)
-		t.Then = append(t.Then, protocol.Change{Put: bookkeeping.FleetKey(f.ID), Value: bookkeeping.EncodeFleet(&rec, true)})
+		rec, _ := c.cache.FleetWithout(f, nil)
+		t.Then = append(t.Then, protocol.Change{Put: storage.FleetKey(f.ID), Value: storage.EncodeFleet(&rec, true)})
 	} else {
 		ops := c.limits().TxnOps
-		pieces := c.book.Pieces(f, limit*9/10)
+		pieces := c.cache.Pieces(f, limit*9/10)
 		for _, r := range pieces[:min(len(pieces), ops-1)] {
 			// The large record's own key stays its until it is deleted.
-			key := bookkeeping.FleetKey(r.Machines[0].Name + "+")
+			key := storage.FleetKey(r.Machines[0].Name + "+")
 			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: bookkeeping.EncodeFleet(&r, true)})
+			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(&r, true)})
 		}
 		if len(pieces) < ops {
-			t.Then = append(t.Then, protocol.Change{Delete: bookkeeping.FleetKey(f.ID)})
+			t.Then = append(t.Then, protocol.Change{Delete: storage.FleetKey(f.ID)})
 		}
 	}
 	return t
@@ -166,37 +166,37 @@
 // their fleet's record says, so all in one change each task stays in one rack. If there are
 // more parts than one transaction takes, the old record stays as it is, and its entries
 // of machines that have moved count no more.
-func (c *Controller) splitRack(k *bookkeeping.Rack) protocol.Txn {
+func (c *Controller) splitRack(k *storage.Rack) protocol.Txn {
 	limit, ops := c.valueLimit()*6/10, c.limits().TxnOps
-	rest := c.book.RackRecordOf(k, k.Kept(), func(*bookkeeping.Machine) (bookkeeping.RackMachine, bool) {
-		return bookkeeping.RackMachine{}, false // they are parted below
+	rest := c.cache.RackRecordOf(k, k.Kept(), func(*storage.Machine) (storage.RackMachine, bool) {
+		return storage.RackMachine{}, false // they are parted below
 	})
-	parts := []*bookkeeping.RackRecord{rest}
+	parts := []*storage.RackRecord{rest}
 	for _, m := range k.Machines {
-		x, last := c.book.RackMachineOf(m, m.Tasks), parts[len(parts)-1]
+		x, last := c.cache.RackMachineOf(m, m.Tasks), parts[len(parts)-1]
 		last.Machines = append(last.Machines, x)
-		if len(last.Machines) > 1 && len(bookkeeping.EncodeRack(last, true)) > limit {
+		if len(last.Machines) > 1 && len(storage.EncodeRack(last, true)) > limit {
 			last.Machines = last.Machines[:len(last.Machines)-1]
-			parts = append(parts, &bookkeeping.RackRecord{Share: k.Share, Token: k.Token, Machines: []bookkeeping.RackMachine{x}})
+			parts = append(parts, &storage.RackRecord{Share: k.Share, Token: k.Token, Machines: []storage.RackMachine{x}})
 		}
 	}
 	if len(parts) == 1 {
 		return protocol.Txn{}
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.ShareKey(k.Share), Version: c.book.Shares[k.Share].Version},
-		{Key: bookkeeping.RackKey(k.ID), Version: k.Version}}}
-	fresh := len(c.book.Racks)
+	t := protocol.Txn{If: []protocol.Condition{{Key: storage.ShareKey(k.Share), Version: c.cache.Shares[k.Share].Version},
+		{Key: storage.RackKey(k.ID), Version: k.Version}}}
+	fresh := len(c.cache.Racks)
 	for i := len(parts) - 1; i > 0 && len(t.Then) < ops; i-- {
 		for n := range parts[i].Machines {
 			parts[i].Machines[n].Moved = true
 		}
-		key := bookkeeping.RackKey(fresh)
+		key := storage.RackKey(fresh)
 		fresh++
 		t.If = append(t.If, protocol.Condition{Key: key})
-		t.Then = append(t.Then, protocol.Change{Put: key, Value: bookkeeping.EncodeRack(parts[i], true)})
+		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeRack(parts[i], true)})
 	}
 	if len(parts) <= ops {
-		t.Then = append(t.Then, protocol.Change{Put: bookkeeping.RackKey(k.ID), Value: bookkeeping.EncodeRack(rest, true)})
+		t.Then = append(t.Then, protocol.Change{Put: storage.RackKey(k.ID), Value: storage.EncodeRack(rest, true)})
 	}
 	c.log.Info("rack is parted", "rack", k.ID, "machines", len(k.Machines), "parts", len(parts))
 	return t
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -21,13 +21,13 @@
 // repeated for ever.
 func TestDoubtIsSettled(t *testing.T) {
 	c := newCore(t)
-	b, _ := c.plan(c.view(c.book.Machine("m")).heard, 12)
+	b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
 	txn := b.txn()
 	c.directs = maxDirects
 	c.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
 	c.sent(*c.doubt, 0, nil, tooLarge)
-	if c.doubt == nil || len(c.doubt.Then) != 1 || c.doubt.Then[0].Put != bookkeeping.ShareKey(0) || c.doubt.If[0].Version != 2 {
+	if c.doubt == nil || len(c.doubt.Then) != 1 || c.doubt.Then[0].Put != storage.ShareKey(0) || c.doubt.If[0].Version != 2 {
 		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", c.doubt)
 	}
 	settle := *c.doubt
@@ -37,11 +37,11 @@
 		t.Fatal("given up before it was known")
 	}
 	c.sent(settle, 20, nil, nil)
-	if c.doubt != nil || c.waitRev != 20 || c.book.Shares[0].Version != 20 {
-		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.doubt != nil, c.waitRev, c.book.Shares[0].Version)
+	if c.doubt != nil || c.waitRev != 20 || c.cache.Shares[0].Version != 20 {
+		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.doubt != nil, c.waitRev, c.cache.Shares[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
-		return x.Key == bookkeeping.ShareKey(0) && x.Version == c.book.Shares[0].Version
+		return x.Key == storage.ShareKey(0) && x.Version == c.cache.Shares[0].Version
 	}) {
 		t.Fatal("a late copy would still be carried out")
 	}
@@ -50,7 +50,7 @@
 	}
 	// Without a doubt a refusal for size is definite.
 	c = newCore(t)
-	b, _ = c.plan(c.view(c.book.Machine("m")).heard, 12)
+	b, _ = c.plan(c.view(c.cache.Machine("m")).heard, 12)
 	if c.sent(b.txn(), 0, nil, tooLarge); c.doubt != nil || !c.lowered {
 		t.Errorf("doubt %v, lowered %v", c.doubt != nil, c.lowered)
 	}
@@ -71,10 +71,10 @@
 			version := uint64(10)
 			apply := func(key string, v any) {
 				version++
-				if err := c.book.Apply(key, bookkeeping.Encode(v), version, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 					t.Fatal(err)
 				}
-				c.book.Revision, c.maxRev = version, version
+				c.cache.Revision, c.maxRev = version, version
 			}
 			type place struct {
 				job  string
@@ -90,17 +90,17 @@
 				if i == 0 {
 					n = 100_000
 				}
-				apply(bookkeeping.JobKey(id), bookkeeping.JobRecord{Tasks: n, Team: "red", Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}})
+				apply(storage.JobKey(id), storage.JobRecord{Tasks: n, Team: "red", Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}})
 			}
-			f := bookkeeping.FleetRecord{Type: "t", Zone: "a", Token: 4}
+			f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 			for i := range racks * machines {
-				f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Rack: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
+				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Rack: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
 			}
-			apply(bookkeeping.FleetKey("host"), f)
+			apply(storage.FleetKey("host"), f)
 			for k := range racks {
-				rec := bookkeeping.RackRecord{}
+				rec := storage.RackRecord{}
 				for _, x := range f.Machines[k*machines : (k+1)*machines] {
-					m := bookkeeping.RackMachine{Name: x.Name, Session: 1}
+					m := storage.RackMachine{Name: x.Name, Session: 1}
 					for range tasks {
 						id := jobs[r.IntN(len(jobs))]
 						if next[id] >= 200 {
@@ -112,16 +112,16 @@
 						}
 						next[id]++
 						on[p] = x.Name
-						m.Tasks = append(m.Tasks, bookkeeping.PlacedTasks{Job: id, Numbers: []uint64{uint64(p.task), 5 + r.Uint64N(50_000), 1_700_000_000 + r.Uint64N(300), r.Uint64N(90)}})
+						m.Tasks = append(m.Tasks, storage.PlacedTasks{Job: id, Numbers: []uint64{uint64(p.task), 5 + r.Uint64N(50_000), 1_700_000_000 + r.Uint64N(300), r.Uint64N(90)}})
 					}
 					rec.Machines = append(rec.Machines, m)
 				}
-				apply(bookkeeping.RackKey(k+1), rec)
+				apply(storage.RackKey(k+1), rec)
 			}
-			apply(bookkeeping.LayoutKey, bookkeeping.LayoutRecord{Version: bookkeeping.LayoutPacked})
+			apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
 			c.directs = maxDirects // no workers here
 			c.changed()
-			for _, m := range c.book.Machines {
+			for _, m := range c.cache.Machines {
 				if m.Name != "m" {
 					c.takeReport(m, c.view(m), reportOf(m, 1), 4, false)
 				}
@@ -129,13 +129,13 @@
 			limit, total, steps := 2<<10, len(on), 0
 			for ; steps < 4000; steps++ {
 				if steps == 100*int(seed%2) { // then what is there only runs out
-					for _, j := range c.book.Jobs {
+					for _, j := range c.cache.Jobs {
 						if j != nil {
 							c.jobView(j).backoff = time.Now().Add(time.Hour)
 						}
 					}
 				}
-				for _, m := range c.book.Machines { // some tasks complete
+				for _, m := range c.cache.Machines { // some tasks complete
 					if m.Name == "m" || len(m.Tasks) == 0 || r.IntN(10) > 0 {
 						continue
 					}
@@ -146,12 +146,12 @@
 							rep.Tasks[i].State, rep.Tasks[i].Cause = protocol.Exited, protocol.CauseDone
 						}
 					}
-					c.takeReport(m, v, rep, c.book.Token(m), false)
+					c.takeReport(m, v, rep, c.cache.Token(m), false)
 				}
-				txn, _ := c.nextTxn(c.view(c.book.Machine("m")).heard)
+				txn, _ := c.nextTxn(c.view(c.cache.Machine("m")).heard)
 				if len(txn.Then) == 0 {
 					placed := 0
-					for _, j := range c.book.Jobs {
+					for _, j := range c.cache.Jobs {
 						if j != nil {
 							placed += j.NPlaced
 						}
@@ -171,9 +171,9 @@
 				}
 				version++
 				c.sent(txn, version, nil, nil)
-				c.book.Revision = version
+				c.cache.Revision = version
 				seen := map[place]int32{}
-				for _, m := range c.book.Machines {
+				for _, m := range c.cache.Machines {
 					for _, p := range m.Tasks {
 						at := place{p.Job.ID, p.Task}
 						if o, twice := seen[at]; twice {
@@ -187,9 +187,9 @@
 				}
 				for p, name := range on {
 					m, placed := seen[p]
-					switch j := c.book.Job(p.job); {
-					case placed && c.book.Machines[m].Name != name && m != 0 && j.Attempt[p.task] < 50_100:
-						t.Fatalf("%v is on %s, not %s", p, c.book.Machines[m].Name, name)
+					switch j := c.cache.Job(p.job); {
+					case placed && c.cache.Machines[m].Name != name && m != 0 && j.Attempt[p.task] < 50_100:
+						t.Fatalf("%v is on %s, not %s", p, c.cache.Machines[m].Name, name)
 					case !placed && j != nil && j.Open() && !j.Done.Get(p.task):
 						t.Fatalf("%v is lost", p)
 					case !placed:
@@ -200,12 +200,12 @@
 			if len(on) > 0 {
 				t.Fatalf("%d of %d tasks are still there after %d steps", len(on), total, steps)
 			}
-			for _, k := range c.book.Racks {
+			for _, k := range c.cache.Racks {
 				if k.Size > limit {
 					t.Errorf("rack %d takes %d bytes", k.ID, k.Size)
 				}
 			}
-			t.Logf("%d tasks worked off in %d steps, %d racks", total, steps, len(c.book.Racks))
+			t.Logf("%d tasks worked off in %d steps, %d racks", total, steps, len(c.cache.Racks))
 		})
 	}
 }
@@ -218,20 +218,20 @@
 		c := newCore(t)
 		c.cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
 			Next: &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}}
-		f := bookkeeping.FleetRecord{Type: "t", Zone: "a", Token: 4}
+		f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 		for i := range 200 {
-			f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Rack: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
+			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Rack: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 		}
 		version := uint64(10)
 		apply := func(ch protocol.Change) {
 			key := ch.Put + ch.Delete
-			if err := c.book.Apply(key, ch.Value, version, ch.Delete != ""); err != nil {
+			if err := c.cache.Apply(key, ch.Value, version, ch.Delete != ""); err != nil {
 				t.Fatal(err)
 			}
 		}
-		apply(protocol.Change{Put: bookkeeping.FleetKey("large"), Value: bookkeeping.Encode(f)})
+		apply(protocol.Change{Put: storage.FleetKey("large"), Value: storage.Encode(f)})
 		version++
-		apply(protocol.Change{Put: bookkeeping.LayoutKey, Value: bookkeeping.Encode(bookkeeping.LayoutRecord{Version: bookkeeping.LayoutPacked})})
+		apply(protocol.Change{Put: storage.LayoutKey, Value: storage.Encode(storage.LayoutRecord{Version: storage.LayoutPacked})})
 		steps := 0
 		for ; steps < 100; steps++ {
 			txn := c.fleetTxn()
@@ -249,8 +249,8 @@
 				apply(ch)
 			}
 			there := 0
-			for _, m := range c.book.Machines {
-				if c.book.Known(m.Name) && m.Fleet != nil && m.Listed > 0 && len(m.Rack.Machines) > 0 {
+			for _, m := range c.cache.Machines {
+				if c.cache.Known(m.Name) && m.Fleet != nil && m.Listed > 0 && len(m.Rack.Machines) > 0 {
 					there++
 				}
 			}
@@ -258,10 +258,10 @@
 				t.Fatalf("%d of 201 machines after step %d", there, steps)
 			}
 		}
-		if f, _ := c.book.Oversized(2 << 10); f != nil || steps == 0 {
+		if f, _ := c.cache.Oversized(2 << 10); f != nil || steps == 0 {
 			t.Errorf("width %d: not worked off after %d steps", width, steps)
 		}
-		for _, m := range c.book.Machines {
+		for _, m := range c.cache.Machines {
 			if m.Listed != 1 {
 				t.Fatalf("%s is listed %d times", m.Name, m.Listed)
 			}
@@ -289,7 +289,7 @@
 }
 
 // The leader's transactions in doubt are settled likewise: its key is rewritten, and the
-// book is waited for before anybody looks at what became of them.
+// cache is waited for before anybody looks at what became of them.
 func TestLeadersDoubtIsSettled(t *testing.T) {
 	tooLarge := scriptAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
 	unknown, refused := scriptAnswer{err: protocol.ErrUnknown}, scriptAnswer{err: protocol.ErrRefused}
@@ -317,8 +317,8 @@
 				store := &scriptStore{answers: x.answers}
 				c.state, c.directs, c.lease = store, maxDirects, 7
 				node := map[bool]string{true: "n0", false: "n1"}[x.leads]
-				c.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: bookkeeping.LeaderKey,
-					Value: bookkeeping.Encode(bookkeeping.LeaderRecord{Node: node, Incarnation: 1})}}}, 5)
+				c.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: storage.LeaderKey,
+					Value: storage.Encode(storage.LeaderRecord{Node: node, Incarnation: 1})}}}, 5)
 				go func() {
 					for {
 						select {
@@ -329,21 +329,21 @@
 						}
 					}
 				}()
-				txn := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: 5}},
-					Then: []protocol.Change{{Put: bookkeeping.EvictKey("x"), Value: bookkeeping.Encode(bookkeeping.EvictRecord{})}}}
+				txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: 5}},
+					Then: []protocol.Change{{Put: storage.EvictKey("x"), Value: storage.Encode(storage.EvictRecord{})}}}
 				done, ok := false, false
 				go c.commitSurely(ctx, txn, func(o bool) { done, ok = true, o })
 				time.Sleep(10 * time.Second)
 				if done == x.waits {
 					t.Fatalf("told before the follow came as far: %v", done)
 				}
-				c.post(func() { c.book.Revision = 20 })
+				c.post(func() { c.cache.Revision = 20 })
 				time.Sleep(time.Second)
 				if !done || ok != x.ok || len(store.asked) != len(x.answers) {
 					t.Fatalf("told %v, %v after %d requests", done, ok, len(store.asked))
 				}
 				last := store.asked[len(store.asked)-1]
-				rewrites := len(last.Then) == 1 && last.Then[0].Put == bookkeeping.LeaderKey
+				rewrites := len(last.Then) == 1 && last.Then[0].Put == storage.LeaderKey
 				if rewrites != x.rewrite || rewrites && (last.Then[0].Lease != 7 || last.If[0].Version != 5) {
 					t.Errorf("the last request is %+v", last)
 				}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/provision"
 	"dykeledge/internal/protocol"
 )
@@ -70,11 +70,11 @@
 			continue
 		}
 		c.post(func() {
-			c.book.SetCatalog(cat)
-			if c.leads() && c.loaded && c.book.Catalog.Version == 0 {
+			c.cache.SetCatalog(cat)
+			if c.leads() && c.loaded && c.cache.Catalog.Version == 0 {
 				c.commitAside(ctx, protocol.Txn{
-					If:   []protocol.Condition{{Key: bookkeeping.CatalogKey}},
-					Then: []protocol.Change{{Put: bookkeeping.CatalogKey, Value: bookkeeping.Encode(cat)}},
+					If:   []protocol.Condition{{Key: storage.CatalogKey}},
+					Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(cat)}},
 				}, protocol.Background, func(bool) {})
 			}
 			c.kick()
@@ -86,16 +86,16 @@
 // shareLoad compares each share's work with its machines, in CPUs.
 func (c *Controller) shareLoad() (demand, capacity []float64) {
 	now := time.Now()
-	demand = make([]float64, c.book.NShares)
-	capacity = make([]float64, c.book.NShares)
-	for _, j := range c.book.Jobs {
+	demand = make([]float64, c.cache.NShares)
+	capacity = make([]float64, c.cache.NShares)
+	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() && !c.idle(j, now) {
 			demand[j.Share] += float64(c.wanting(j)+j.NPlaced) * j.Size
 		}
 	}
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing {
-			capacity[m.Share] += c.book.Types[m.Type].Cpus
+			capacity[m.Share] += c.cache.Types[m.Type].Cpus
 		}
 	}
 	return demand, capacity
@@ -117,7 +117,7 @@
 func (c *Controller) leadCloud(ctx context.Context, now time.Time) {
 	// What is asked of the cloud is conditional on no record: a node whose hold may
 	// have ended would rent beside the next leader.
-	if !c.leads() || !c.holds(now) || !c.book.HasCatalog() || c.stateBad() {
+	if !c.leads() || !c.holds(now) || !c.cache.HasCatalog() || c.stateBad() {
 		return
 	}
 	if !c.lead.listing && now.Sub(c.lead.listedAt) > max(3*time.Second, seconds(c.cfg.Deployment.Cloud.ListLagS/2)) {
@@ -167,9 +167,9 @@
 	}
 	now := time.Now()
 	for _, l := range all {
-		m := c.book.Machine(l.ID)
+		m := c.cache.Machine(l.ID)
 		if m == nil {
-			if c.book.Known(l.ID) || c.lead.adopting[l.ID] || c.book.TypeIdx.Find(l.Type) < 0 {
+			if c.cache.Known(l.ID) || c.lead.adopting[l.ID] || c.cache.TypeIdx.Find(l.Type) < 0 {
 				continue
 			}
 			since, ok := c.lead.strangers[l.ID]
@@ -183,7 +183,7 @@
 			}
 			delete(c.lead.strangers, l.ID)
 			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
-			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: bookkeeping.FleetRecord{
+			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: storage.FleetRecord{
 				Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedAt: now.Unix() - int64(l.AgeS)}})
 			continue
 		}
@@ -205,11 +205,11 @@
 	var machines []provision.Machine
 	have := map[provision.Pool]int{}
 	boot := 0.0
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone {
 			continue
 		}
-		ty := &c.book.Types[m.Type]
+		ty := &c.cache.Types[m.Type]
 		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		if !m.Closing {
 			have[p]++
@@ -221,8 +221,8 @@
 		machines = append(machines, provision.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
 	}
 	var offers []provision.Offer
-	for i := range c.book.Types {
-		ty := &c.book.Types[i]
+	for i := range c.cache.Types {
+		ty := &c.cache.Types[i]
 		if ty.Cpus <= 0 {
 			continue
 		}
@@ -252,9 +252,9 @@
 	for _, r := range plan.Rents {
 		// The name is never used again, by any node: it holds this process's own number.
 		c.lead.charters++
-		ty := c.book.TypeIdx.Name(r.Type)
+		ty := c.cache.TypeIdx.Name(r.Type)
 		req := protocol.Rental{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.lead.charters), Type: ty,
-			Zone: c.book.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxRental)}
+			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxRental)}
 		rent := &rental{req: req}
 		c.lead.renting[r.Pool] = rent
 		c.sendRental(ctx, r.Pool, rent)
@@ -304,7 +304,7 @@
 	}
 	renting := c.lead.renting
 	for _, name := range names {
-		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: bookkeeping.FleetRecord{
+		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: storage.FleetRecord{
 			Type: req.Type, Zone: req.Zone, Spot: req.Spot, RentedAt: time.Now().Unix()}, then: func(bool) {
 			if left--; left == 0 {
 				delete(renting, p)
@@ -330,15 +330,15 @@
 // the dearest first.
 func (c *Controller) giveUpIdle(ctx context.Context, now time.Time, plan provision.Plan, keep time.Duration) {
 	type cand struct {
-		m     *bookkeeping.Machine
+		m     *storage.Machine
 		price float64
 	}
 	var cands []cand
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing || len(m.Tasks) > 0 || c.edits[m.Index].off() {
 			continue
 		}
-		ty := &c.book.Types[m.Type]
+		ty := &c.cache.Types[m.Type]
 		price := ty.Price
 		if m.Spot {
 			price = ty.SpotPrice
@@ -392,19 +392,19 @@
 	for _, n := range plan.Spare {
 		spare += n
 	}
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j != nil && !c.idle(j, now) {
 			waiting += float64(c.wanting(j)) * j.Size
 		}
 	}
 	type cand struct {
-		m    *bookkeeping.Machine
+		m    *storage.Machine
 		used float64
 	}
 	var cands []cand
-	var drained []*bookkeeping.Machine
+	var drained []*storage.Machine
 	stuck := c.mayRun(now)
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		e := c.edits[m.Index]
 		if m.Gone || m.Closing || e != nil && e.closing {
 			continue
@@ -419,7 +419,7 @@
 			continue
 		}
 		used, rests := 0.0, true // rests: nothing on it was moved or started a moment ago
-		cpus := c.book.Types[m.Type].Cpus
+		cpus := c.cache.Types[m.Type].Cpus
 		for _, p := range m.Tasks {
 			if m.Spot || !c.idle(p.Job, now) {
 				used += p.Job.Size / cpus
@@ -464,7 +464,7 @@
 }
 
 // emptySince is since when the leader has seen a machine's record unchanged and empty.
-func (c *Controller) emptySince(m *bookkeeping.Machine, now time.Time) time.Time {
+func (c *Controller) emptySince(m *storage.Machine, now time.Time) time.Time {
 	e, ok := c.lead.empty[m.Index]
 	if !ok || e.version != m.Version {
 		e = emptyMark{m.Version, now}
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/provision"
 	"dykeledge/internal/coordination/schedule"
@@ -38,26 +38,26 @@
 				Teams: []config.Team{{Name: "red", Cpus: x.guarantee}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80},
 				Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5}, {Kind: "finished", Class: "c", WithinS: 60}}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
-			c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
+			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 			put := func(key string, v any) {
-				if err := c.book.Apply(key, bookkeeping.Encode(v), 3, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			f := bookkeeping.FleetRecord{Type: "t", Zone: "a"}
+			f := storage.FleetRecord{Type: "t", Zone: "a"}
 			for share, n := range x.machines {
 				for range n {
 					rack := len(f.Machines)
-					put(bookkeeping.RackKey(rack), bookkeeping.RackRecord{Share: share})
-					f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
+					put(storage.RackKey(rack), storage.RackRecord{Share: share})
+					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
 				}
 			}
-			put(bookkeeping.FleetKey("m0"), f)
+			put(storage.FleetKey("m0"), f)
 			for team, n := range x.demand {
-				put(bookkeeping.JobKey(fmt.Sprintf("job-%06d", team)), bookkeeping.JobRecord{Tasks: n, Team: cfg.Deployment.Teams[team].Name, AtMs: time.Now().UnixMilli(),
-					Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 30}})
+				put(storage.JobKey(fmt.Sprintf("job-%06d", team)), storage.JobRecord{Tasks: n, Team: cfg.Deployment.Teams[team].Name, AtMs: time.Now().UnixMilli(),
+					Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 30}})
 			}
-			put(bookkeeping.UsualKey, c.book.UsualRecordOf(map[bookkeeping.Lane]float64{{Team: 0}: x.usual[0], {Team: 1}: x.usual[1]}, 2048))
+			put(storage.UsualKey, c.cache.UsualRecordOf(map[storage.Lane]float64{{Team: 0}: x.usual[0], {Team: 1}: x.usual[1]}, 2048))
 			if moves := movesToFirst(c, allWork); moves != x.moves {
 				t.Errorf("%d racks move to the guaranteed team's share, want %d", moves, x.moves)
 			}
@@ -67,7 +67,7 @@
 
 // movesToFirst is how many racks more move to the first of two shares than from it.
 func movesToFirst(c *Controller, kinds ...workKind) int {
-	mv := mover{c: c, gone: map[*bookkeeping.Rack]bool{}, stuck: map[int]bool{}}
+	mv := mover{c: c, gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
 	for _, k := range kinds {
 		mv.pass(time.Now(), k)
 	}
@@ -99,26 +99,26 @@
 			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a", "b"},
 				Teams: []config.Team{{Name: "blue"}, {Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
-			c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.book.Apply(key, bookkeeping.Encode(v), 3, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
 			job := func(id, zone string, cpus float64) {
-				put(bookkeeping.JobKey(id), bookkeeping.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().Add(-time.Minute).UnixMilli(),
-					Spec: &bookkeeping.SpecRecord{Class: "c", Priority: 1, Cpus: cpus, Mem: 1, Image: "i", Spot: true, Zone: zone, Estimate: 3600}})
+				put(storage.JobKey(id), storage.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().Add(-time.Minute).UnixMilli(),
+					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: cpus, Mem: 1, Image: "i", Spot: true, Zone: zone, Estimate: 3600}})
 			}
 			job("job-000000", "", 2)
 			job("job-000001", x.zone, x.cpus)
 			for rack, zone := range cfg.Deployment.Zones {
 				name := "m" + zone
-				put(bookkeeping.FleetKey(name), bookkeeping.FleetRecord{Type: "t", Zone: zone, Machines: []bookkeeping.FleetMachine{{Name: name, Rack: rack}}})
-				r := bookkeeping.RackRecord{Share: 1 - rack, Machines: []bookkeeping.RackMachine{{Name: name, Session: 1}}}
+				put(storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Rack: rack}}})
+				r := storage.RackRecord{Share: 1 - rack, Machines: []storage.RackMachine{{Name: name, Session: 1}}}
 				if rack == 0 {
-					r.Machines[0].Tasks = []bookkeeping.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0}}}
+					r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0}}}
 				}
-				put(bookkeeping.RackKey(rack), r)
+				put(storage.RackKey(rack), r)
 			}
 			if x.stuck > 0 {
 				c.lead.stuck[1] = time.Now().Add(-x.stuck)
@@ -153,38 +153,38 @@
 			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
-			c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.book.Apply(key, bookkeeping.Encode(v), 3, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
 			job := func(id, team string, tasks int) {
-				put(bookkeeping.JobKey(id), bookkeeping.JobRecord{Tasks: tasks, Team: team, AtMs: time.Now().UnixMilli(),
-					Spec: &bookkeeping.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
+				put(storage.JobKey(id), storage.JobRecord{Tasks: tasks, Team: team, AtMs: time.Now().UnixMilli(),
+					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 			}
 			job("job-000000", "red", x.placed[0]+x.placed[1]+x.placed[2]+x.waits)
 			job("job-000001", "blue", 3)
-			f, task := bookkeeping.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
+			f, task := storage.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
 			for rack, share := range x.share {
 				if share >= 0 {
-					f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
+					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
 				}
 			}
-			put(bookkeeping.FleetKey("m0"), f)
+			put(storage.FleetKey("m0"), f)
 			for rack, share := range x.share {
 				if share < 0 {
 					continue
 				}
-				placed := bookkeeping.PlacedTasks{Job: "job-000000"}
+				placed := storage.PlacedTasks{Job: "job-000000"}
 				for range x.placed[rack] {
 					placed.Numbers = append(placed.Numbers, task, 1, 0, 0)
 					task++
 				}
-				put(bookkeeping.RackKey(rack), bookkeeping.RackRecord{Share: share, Machines: []bookkeeping.RackMachine{
-					{Name: fmt.Sprint("m", rack), Session: 1, Tasks: []bookkeeping.PlacedTasks{placed}}}})
+				put(storage.RackKey(rack), storage.RackRecord{Share: share, Machines: []storage.RackMachine{
+					{Name: fmt.Sprint("m", rack), Session: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
-			mv := mover{c: c, gone: map[*bookkeeping.Rack]bool{}, stuck: map[int]bool{}}
+			mv := mover{c: c, gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
 			if x.stuck > 0 {
 				c.lead.stuck[1] = time.Now().Add(-x.stuck)
 			}
@@ -224,32 +224,32 @@
 			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
-			c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.book.Apply(key, bookkeeping.Encode(v), 3, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			put(bookkeeping.JobKey("job-000000"), bookkeeping.JobRecord{Tasks: 5 + x.waits, Team: "red", AtMs: time.Now().UnixMilli(),
-				Spec: &bookkeeping.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
+			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: 5 + x.waits, Team: "red", AtMs: time.Now().UnixMilli(),
+				Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 			if x.large {
-				put(bookkeeping.JobKey("job-000001"), bookkeeping.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().Add(-x.age).UnixMilli(),
-					Spec: &bookkeeping.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
-				put(bookkeeping.JobKey("job-000002"), bookkeeping.JobRecord{Tasks: 2, Team: "red", AtMs: time.Now().UnixMilli(),
-					Spec: &bookkeeping.SpecRecord{Class: "c", Priority: 1, Cpus: 6, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
-				put(bookkeeping.FleetKey("m2"), bookkeeping.FleetRecord{Type: "t", Zone: "a", Machines: []bookkeeping.FleetMachine{{Name: "m2", Rack: 1}, {Name: "m3", Rack: 1}}})
-				put(bookkeeping.RackKey(1), bookkeeping.RackRecord{Machines: []bookkeeping.RackMachine{
-					{Name: "m2", Session: 1, Tasks: []bookkeeping.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 1, 0, 0}}}},
-					{Name: "m3", Session: 1, Tasks: []bookkeeping.PlacedTasks{{Job: "job-000002", Numbers: []uint64{1, 1, 0, 0}}}}}})
+				put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().Add(-x.age).UnixMilli(),
+					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
+				put(storage.JobKey("job-000002"), storage.JobRecord{Tasks: 2, Team: "red", AtMs: time.Now().UnixMilli(),
+					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 6, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
+				put(storage.FleetKey("m2"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m2", Rack: 1}, {Name: "m3", Rack: 1}}})
+				put(storage.RackKey(1), storage.RackRecord{Machines: []storage.RackMachine{
+					{Name: "m2", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 1, 0, 0}}}},
+					{Name: "m3", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{1, 1, 0, 0}}}}}})
 			}
-			put(bookkeeping.FleetKey("m0"), bookkeeping.FleetRecord{Type: "t", Zone: "a", Machines: []bookkeeping.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
-			put(bookkeeping.RackKey(0), bookkeeping.RackRecord{Machines: []bookkeeping.RackMachine{
-				{Name: "m0", Session: 1, Tasks: []bookkeeping.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
-				{Name: "m1", Session: 1, Draining: true, Tasks: []bookkeeping.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
+			put(storage.FleetKey("m0"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
+			put(storage.RackKey(0), storage.RackRecord{Machines: []storage.RackMachine{
+				{Name: "m0", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
+				{Name: "m1", Session: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
 			c.lead.stuckSince = now.Add(-x.since)
 			c.drain(now, provision.Plan{}, 0)
-			e := c.edits[c.book.Machine("m1").Index]
+			e := c.edits[c.cache.Machine("m1").Index]
 			if back := e != nil && e.drain != nil && !*e.drain; back != x.back {
 				t.Errorf("given back: %v, want %v", back, x.back)
 			}
@@ -277,34 +277,34 @@
 			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "home"}, {Name: "guest"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
-			c.book.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.book.Apply(key, bookkeeping.Encode(v), 3, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			put(bookkeeping.JobKey("job-000000"), bookkeeping.JobRecord{Tasks: max(1, x.firm), Team: "home", AtMs: time.Now().UnixMilli(),
-				Spec: &bookkeeping.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
+			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: max(1, x.firm), Team: "home", AtMs: time.Now().UnixMilli(),
+				Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
 			if x.firm == 0 {
-				c.book.Job("job-000000").NDone = 1
+				c.cache.Job("job-000000").NDone = 1
 			}
-			put(bookkeeping.JobKey("job-000001"), bookkeeping.JobRecord{Tasks: x.idle, Team: "guest", AtMs: time.Now().UnixMilli(),
-				Spec: &bookkeeping.SpecRecord{Class: "g", Priority: x.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
-			f := bookkeeping.FleetRecord{Type: "t", Zone: "a"}
+			put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: x.idle, Team: "guest", AtMs: time.Now().UnixMilli(),
+				Spec: &storage.SpecRecord{Class: "g", Priority: x.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
+			f := storage.FleetRecord{Type: "t", Zone: "a"}
 			for rack := range 8 {
-				f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
+				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
 			}
-			put(bookkeeping.FleetKey("m0"), f)
+			put(storage.FleetKey("m0"), f)
 			for rack := range 8 {
-				r := bookkeeping.RackRecord{Share: rack / 4}
+				r := storage.RackRecord{Share: rack / 4}
 				if rack/4 == 1 && x.placed > 0 {
 					n := uint64(2 * (rack - 4))
-					r.Machines = append(r.Machines, bookkeeping.RackMachine{Name: fmt.Sprint("m", rack), Session: 1,
-						Tasks: []bookkeeping.PlacedTasks{{Job: "job-000001", Numbers: []uint64{n, 1, 0, 0, n + 1, 1, 0, 0}}}})
+					r.Machines = append(r.Machines, storage.RackMachine{Name: fmt.Sprint("m", rack), Session: 1,
+						Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{n, 1, 0, 0, n + 1, 1, 0, 0}}}})
 				}
-				put(bookkeeping.RackKey(rack), r)
+				put(storage.RackKey(rack), r)
 			}
-			if n := c.book.Job("job-000001").NPlaced; n != x.placed {
+			if n := c.cache.Job("job-000001").NPlaced; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
 			}
 			if moves := movesToFirst(c, allWork, idleWork); moves != x.moves {
@@ -340,7 +340,7 @@
 // TestRackFill: newcomers fill the racks of their share, spot and ordinary apart.
 func TestRackFill(t *testing.T) {
 	c := newCore(t) // rack 0 of share 0 holds one ordinary machine
-	f := newRackFill(c.book, 3)
+	f := newRackFill(c.cache, 3)
 	for i, x := range []struct {
 		share int
 		spot  bool
@@ -372,22 +372,22 @@
 		{"on ordinary machines only", false, false, protocol.Normal, 0},
 	} {
 		c := newCore(t)
-		put := func(id string, s bookkeeping.SpecRecord) *bookkeeping.Job {
+		put := func(id string, s storage.SpecRecord) *storage.Job {
 			s.Cpus, s.Mem, s.Image = 4, 1, "i"
-			if err := c.book.Apply(bookkeeping.JobKey(id), bookkeeping.Encode(bookkeeping.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().UnixMilli(), Spec: &s}), 5, false); err != nil {
+			if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().UnixMilli(), Spec: &s}), 5, false); err != nil {
 				t.Fatal(err)
 			}
-			return c.book.Job(id)
+			return c.cache.Job(id)
 		}
 		if x.aim {
 			c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "g", WithinS: 400}}
 		}
-		runs := put("job-000007", bookkeeping.SpecRecord{Class: "g", Spot: x.spot})
-		waits := put("job-000008", bookkeeping.SpecRecord{Class: "h", Spot: true, Priority: uint8(x.waits)})
-		m := c.book.Machine("m")
-		m.Tasks = []bookkeeping.Placed{{Job: runs, Attempt: 1}}
+		runs := put("job-000007", storage.SpecRecord{Class: "g", Spot: x.spot})
+		waits := put("job-000008", storage.SpecRecord{Class: "h", Spot: true, Priority: uint8(x.waits)})
+		m := c.cache.Machine("m")
+		m.Tasks = []storage.Placed{{Job: runs, Attempt: 1}}
 		c.idleRuns = true
-		in := &schedule.Input{Teams: c.book.Teams, Used: c.book.Used, Slots: []*schedule.Slot{{M: m}}}
+		in := &schedule.Input{Teams: c.cache.Teams, Used: c.cache.Used, Slots: []*schedule.Slot{{M: m}}}
 		got := 0
 		if c.mayEvict(waits, in, c.claimsUntil()) {
 			got = len(c.candidates(time.Now(), waits, in, nil, c.claimsUntil()))
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
@@ -19,7 +19,7 @@
 	// waits until two probes have got no answer and the cloud has taken it back.
 	quiet := seconds(1.25*w.ReportS + 0.6)
 	silent, mute, total := 0, 0, 0
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || !c.owns(m.Share) {
 			continue
 		}
@@ -42,7 +42,7 @@
 	c.manyMute = many(mute)
 	names := lost
 	lastUp := c.lastUp()
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || !c.owns(m.Share) {
 			continue
 		}
@@ -103,7 +103,7 @@
 
 // noteMute takes from a worker's message what it says of its reports. A lease that runs out while the worker answers whatever it is
 // asked was kept up by nobody: where few are mute their machines are returned then, before a rack moves on with them.
-func (c *Controller) noteMute(m *bookkeeping.Machine, v *machineView, r *protocol.Report, reply bool, now time.Time) {
+func (c *Controller) noteMute(m *storage.Machine, v *machineView, r *protocol.Report, reply bool, now time.Time) {
 	switch {
 	case !reply:
 		v.reported = now
@@ -149,8 +149,8 @@
 
 // lastUp is when the latest machine of each type was rented that has come up.
 func (c *Controller) lastUp() []int64 {
-	out := make([]int64, len(c.book.Types))
-	for _, m := range c.book.Machines {
+	out := make([]int64, len(c.cache.Types))
+	for _, m := range c.cache.Machines {
 		if !m.Gone && c.cameUp(m) {
 			out[m.Type] = max(out[m.Type], m.Rented)
 		}
@@ -159,33 +159,33 @@
 }
 
 // cameUp tells whether a machine's worker was ever heard, as far as this node knows.
-func (c *Controller) cameUp(m *bookkeeping.Machine) bool {
+func (c *Controller) cameUp(m *storage.Machine) bool {
 	v := c.views[m.Index]
 	return m.Session > 0 || v != nil && v.Session > 0
 }
 
 // booting tells whether a machine comes up and may then take tasks.
-func (c *Controller) booting(m *bookkeeping.Machine, v *machineView, now time.Time) bool {
+func (c *Controller) booting(m *storage.Machine, v *machineView, now time.Time) bool {
 	return !c.cameUp(m) && !c.zoneAway(m.Zone) && !m.Closing && !m.Drains && !v.returned && !c.edits[m.Index].off() && !c.overdue(m, bootPatience, now)
 }
 
 // bootLeft is how many seconds a machine that comes up still takes, as a guess: most are up after
 // about their usual boot time, and the longer one is late, the later it may be.
-func (c *Controller) bootLeft(m *bookkeeping.Machine, v *machineView, now time.Time) float64 {
-	left := c.book.Types[m.Type].Boot - c.bootAge(m, v, now).Seconds()
+func (c *Controller) bootLeft(m *storage.Machine, v *machineView, now time.Time) float64 {
+	left := c.cache.Types[m.Type].Boot - c.bootAge(m, v, now).Seconds()
 	return max(3, left, 3-left/2)
 }
 
 // overdue tells whether a machine takes more than some times its usual boot time.
-func (c *Controller) overdue(m *bookkeeping.Machine, times float64, now time.Time) bool {
+func (c *Controller) overdue(m *storage.Machine, times float64, now time.Time) bool {
 	if c.cameUp(m) {
 		return false
 	}
-	return c.bootAge(m, c.views[m.Index], now) > seconds(times*max(c.book.Types[m.Type].Boot, 10))
+	return c.bootAge(m, c.views[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].Boot, 10))
 }
 
 // bootAge is how long ago a machine was rented, as far as this node knows.
-func (c *Controller) bootAge(m *bookkeeping.Machine, v *machineView, now time.Time) time.Duration {
+func (c *Controller) bootAge(m *storage.Machine, v *machineView, now time.Time) time.Duration {
 	switch {
 	case m.Rented > 0: // whoever owned it since
 		return now.Sub(time.Unix(m.Rented, 0))
@@ -196,7 +196,7 @@
 }
 
 // neverCame tells whether a machine is to be given up since it does not come up.
-func (c *Controller) neverCame(m *bookkeeping.Machine, lastUp int64, now time.Time) bool {
+func (c *Controller) neverCame(m *storage.Machine, lastUp int64, now time.Time) bool {
 	return c.overdue(m, bootPatience, now) && (m.Rented <= lastUp || c.overdue(m, bootPatienceMost, now))
 }
 
@@ -210,11 +210,11 @@
 // off tells whether nothing more may be placed on the machine.
 func (e *edit) off() bool { return e != nil && (e.closing || e.drain != nil && *e.drain) }
 
-func (e *edit) differs(m *bookkeeping.Machine) bool {
+func (e *edit) differs(m *storage.Machine) bool {
 	return (e.closing && !m.Closing) || (e.drain != nil && *e.drain != m.Drains)
 }
 
-func (c *Controller) edit(m *bookkeeping.Machine) *edit {
+func (c *Controller) edit(m *storage.Machine) *edit {
 	e := c.edits[m.Index]
 	if e == nil {
 		e = &edit{}
@@ -228,7 +228,7 @@
 const neverUp = "never came up"
 
 // closeMachine marks a machine as being returned.
-func (c *Controller) closeMachine(m *bookkeeping.Machine, why string) {
+func (c *Controller) closeMachine(m *storage.Machine, why string) {
 	if c.stateBad() || c.edits[m.Index] != nil && c.edits[m.Index].closing {
 		return
 	}
@@ -240,7 +240,7 @@
 }
 
 // setDraining marks a machine to be emptied, or gives it back to use.
-func (c *Controller) setDraining(m *bookkeeping.Machine, on bool) {
+func (c *Controller) setDraining(m *storage.Machine, on bool) {
 	c.log.Info("draining machine", "machine", m.Name, "on", on, "tasks", len(m.Tasks))
 	c.edit(m).drain = &on
 }
@@ -248,9 +248,9 @@
 // flushEdits forgets edits that are done or of no concern to this node, and as
 // the leader commits those of other owners' machines.
 func (c *Controller) flushEdits(ctx context.Context) {
-	racks := map[*bookkeeping.Rack]bool{}
+	racks := map[*storage.Rack]bool{}
 	for i, e := range c.edits {
-		m := c.book.Machines[i]
+		m := c.cache.Machines[i]
 		switch {
 		case m.Gone || !e.differs(m):
 			delete(c.edits, i)
@@ -264,25 +264,25 @@
 	if len(racks) == 0 || c.lead.editing {
 		return
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version}}}
+	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	var done []int32
 	for k := range racks {
 		if len(t.Then) >= c.limits().TxnOps/2 {
 			break
 		}
-		r := c.book.RackRecordOf(k, k.Kept(), func(m *bookkeeping.Machine) (bookkeeping.RackMachine, bool) {
-			x := c.book.RackMachineOf(m, m.Tasks)
+		r := c.cache.RackRecordOf(k, k.Kept(), func(m *storage.Machine) (storage.RackMachine, bool) {
+			x := c.cache.RackMachineOf(m, m.Tasks)
 			if e := c.edits[m.Index]; e != nil {
 				e.change(&x)
 				done = append(done, m.Index)
 			}
 			return x, true
 		})
-		raw := bookkeeping.EncodeRack(r, c.book.Packed())
+		raw := storage.EncodeRack(r, c.cache.Packed())
 		if len(raw) > c.valueLimit() {
 			continue // its owner parts it first
 		}
-		key := bookkeeping.RackKey(k.ID)
+		key := storage.RackKey(k.ID)
 		t.If = append(t.If, protocol.Condition{Key: key, Version: k.Version})
 		t.Then = append(t.Then, protocol.Change{Put: key, Value: raw})
 	}
@@ -298,7 +298,7 @@
 	})
 }
 
-func (e *edit) change(x *bookkeeping.RackMachine) {
+func (e *edit) change(x *storage.RackMachine) {
 	x.Closing = x.Closing || e.closing
 	if e.drain != nil {
 		x.Draining = *e.drain
@@ -323,7 +323,7 @@
 			}
 			now := time.Now()
 			for _, n := range names {
-				m := c.book.Machine(n)
+				m := c.cache.Machine(n)
 				if m == nil || !c.owns(m.Share) {
 					continue
 				}
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/membership"
 	"dykeledge/internal/protocol"
 )
@@ -56,8 +56,8 @@
 
 // membership is the change that says that a node lives, and how it fares.
 func (c *Controller) membership(incarnation, lease uint64, unfit bool) protocol.Change {
-	return protocol.Change{Put: bookkeeping.NodeKey(c.cfg.NodeName), Lease: lease, Value: bookkeeping.Encode(
-		bookkeeping.NodeRecord{Incarnation: incarnation, Public: c.cfg.PublicAddr, Unfit: unfit, Layout: c.Layout, Frames: c.Frames})}
+	return protocol.Change{Put: storage.NodeKey(c.cfg.NodeName), Lease: lease, Value: storage.Encode(
+		storage.NodeRecord{Incarnation: incarnation, Public: c.cfg.PublicAddr, Unfit: unfit, Layout: c.Layout, Frames: c.Frames})}
 }
 
 // keepMembership writes this node's record anew when it does not say what this process wrote: a
@@ -65,10 +65,10 @@
 // With the former process's hold the record then vanished, and a living node was no member any
 // more: it got no share, and the gate between layouts waited for it for ever.
 func (c *Controller) keepMembership(ctx context.Context) {
-	if c.lease == 0 || c.memberBusy || c.book.Revision < c.memberAt {
+	if c.lease == 0 || c.memberBusy || c.cache.Revision < c.memberAt {
 		return
 	}
-	n := c.book.Nodes[c.cfg.NodeName]
+	n := c.cache.Nodes[c.cfg.NodeName]
 	if n != nil && (n.Incarnation > c.incarnation || // a later process of this name: this one is not wanted any more
 		n.Incarnation == c.incarnation && n.Unfit == c.unfit.Load() && n.Layout == c.Layout) {
 		return
@@ -96,7 +96,7 @@
 // tryLead takes the lead if nobody has it, or if its holder was this node before
 // it started anew.
 func (c *Controller) tryLead(ctx context.Context) {
-	l := c.book.Leader
+	l := c.cache.Leader
 	if c.lease == 0 || c.leaderBusy || c.leads() || (c.unfit.Load() && c.othersFit()) {
 		return
 	}
@@ -108,10 +108,10 @@
 		}
 	}
 	c.leaderBusy = true
-	rec := bookkeeping.Encode(bookkeeping.LeaderRecord{Node: c.cfg.NodeName, Incarnation: c.incarnation})
+	rec := storage.Encode(storage.LeaderRecord{Node: c.cfg.NodeName, Incarnation: c.incarnation})
 	c.commitAside(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: l.Version}},
-		Then: []protocol.Change{{Put: bookkeeping.LeaderKey, Value: rec, Lease: c.lease}},
+		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: l.Version}},
+		Then: []protocol.Change{{Put: storage.LeaderKey, Value: rec, Lease: c.lease}},
 	}, protocol.Urgent, func(ok bool) {
 		c.leaderBusy = false
 		if c.noteLead(); ok {
@@ -172,7 +172,7 @@
 	var nodes, all []membership.Node
 	newest := uint64(0)
 	now := time.Now()
-	for name, n := range c.book.Nodes {
+	for name, n := range c.cache.Nodes {
 		node := membership.Node{Name: name, Incarnation: n.Incarnation}
 		all = append(all, node)
 		newest += n.Version
@@ -187,8 +187,8 @@
 		c.lead.nodesSum = newest
 		c.nodesAt = now
 	}
-	owners := make([]membership.Owner, c.book.NShares)
-	for i, s := range c.book.Shares {
+	owners := make([]membership.Owner, c.cache.NShares)
+	for i, s := range c.cache.Shares {
 		owners[i] = membership.Owner{Name: s.Node, Incarnation: s.Incarnation}
 	}
 	settled := now.Sub(c.nodesAt) > balanceAfter
@@ -196,14 +196,14 @@
 		age := now.Sub(c.hands[s].at)
 		return settled || age > firstAnswers && age < firstAnswers+justTaken
 	})
-	t := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version}}}
+	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	for i := range want {
 		if want[i] == owners[i] || want[i].Name == "" {
 			continue
 		}
-		t.If = append(t.If, protocol.Condition{Key: bookkeeping.ShareKey(i), Version: c.book.Shares[i].Version})
-		t.Then = append(t.Then, protocol.Change{Put: bookkeeping.ShareKey(i), Value: bookkeeping.Encode(
-			bookkeeping.ShareRecord{Node: want[i].Name, Incarnation: want[i].Incarnation, Token: c.fresh()})})
+		t.If = append(t.If, protocol.Condition{Key: storage.ShareKey(i), Version: c.cache.Shares[i].Version})
+		t.Then = append(t.Then, protocol.Change{Put: storage.ShareKey(i), Value: storage.Encode(
+			storage.ShareRecord{Node: want[i].Name, Incarnation: want[i].Incarnation, Token: c.fresh()})})
 		c.log.Info("share goes to", "share", i, "node", want[i].Name, "from", owners[i].Name)
 		if len(t.Then) >= c.limits().TxnOps {
 			break
@@ -240,8 +240,8 @@
 
 // noteHands notes when shares change hands. What was read at the start is as old as it likes.
 func (c *Controller) noteHands(now time.Time) {
-	for i := range c.book.Shares {
-		s, h := &c.book.Shares[i], &c.hands[i]
+	for i := range c.cache.Shares {
+		s, h := &c.cache.Shares[i], &c.hands[i]
 		if s.Version == h.version {
 			continue
 		}
@@ -255,7 +255,7 @@
 
 // othersFit tells whether another living node could do this node's work.
 func (c *Controller) othersFit() bool {
-	for name, n := range c.book.Nodes {
+	for name, n := range c.cache.Nodes {
 		if name != c.cfg.NodeName && !n.Unfit {
 			return true
 		}
@@ -285,7 +285,7 @@
 		return
 	}
 	machines := 0
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing && m.Session > 0 && c.owns(m.Share) {
 			machines++
 		}
@@ -307,8 +307,8 @@
 	c.log.Info("fitness changes", "unfit", unfit)
 	var t protocol.Txn
 	if unfit && c.leads() {
-		t.If = []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version}}
-		t.Then = []protocol.Change{{Delete: bookkeeping.LeaderKey}}
+		t.If = []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}
+		t.Then = []protocol.Change{{Delete: storage.LeaderKey}}
 	}
 	c.announce(ctx, t, unfit, func(ok bool) {
 		if !ok {
@@ -319,7 +319,7 @@
 
 // probeAny asks some worker for its report, with a token that commands nothing.
 func (c *Controller) probeAny() {
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing || m.Addr == "" || m.Session == 0 {
 			continue
 		}
@@ -339,7 +339,7 @@
 const askWithin = 900 * time.Millisecond
 
 // ask asks a worker for its report, under a token that commands nothing: whatever comes back is an answer.
-func (c *Controller) ask(m *bookkeeping.Machine, then func(answered bool)) {
+func (c *Controller) ask(m *storage.Machine, then func(answered bool)) {
 	addr, session := m.Addr, m.Session
 	go func() {
 		_, status, err := c.workers.Command(addr, protocol.DirectCommands{Session: session, Commands: []protocol.Command{}}, askWithin)
--- a/internal/coordination/member_test.go
+++ b/internal/coordination/member_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -27,26 +27,26 @@
 // A transaction of the process before was applied late: the record said what that had been,
 // and vanished with its hold. The node lived on as no member, and the gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
-	own := bookkeeping.NodeRecord{Incarnation: 7, Layout: bookkeeping.LayoutTeams, Frames: protocol.FramesWord}
+	own := storage.NodeRecord{Incarnation: 7, Layout: storage.LayoutTeams, Frames: protocol.FramesWord}
 	for _, x := range []struct {
 		name string
-		rec  *bookkeeping.NodeRecord
-		read uint64 // how far the book is; the record was written at 40
+		rec  *storage.NodeRecord
+		read uint64 // how far the cache is; the record was written at 40
 		want bool
 	}{
 		{"its own", &own, 45, false},
-		{"of the process before", &bookkeeping.NodeRecord{Incarnation: 3}, 45, true},
+		{"of the process before", &storage.NodeRecord{Incarnation: 3}, 45, true},
 		{"none", nil, 45, true},
-		{"none yet: the book has not come so far", nil, 39, false},
-		{"unfit, from an attempt with unknown outcome", &bookkeeping.NodeRecord{Incarnation: 7, Layout: bookkeeping.LayoutTeams, Unfit: true}, 45, true},
-		{"of a later process", &bookkeeping.NodeRecord{Incarnation: 9, Layout: bookkeeping.LayoutPacked}, 45, false},
+		{"none yet: the cache has not come so far", nil, 39, false},
+		{"unfit, from an attempt with unknown outcome", &storage.NodeRecord{Incarnation: 7, Layout: storage.LayoutTeams, Unfit: true}, 45, true},
+		{"of a later process", &storage.NodeRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
 			s := putStore{puts: make(chan protocol.Change, 4)}
-			c.state, c.lease, c.incarnation, c.memberAt, c.book.Revision = s, 11, 7, 40, x.read
+			c.state, c.lease, c.incarnation, c.memberAt, c.cache.Revision = s, 11, 7, 40, x.read
 			if x.rec != nil {
-				c.book.Nodes["n0"] = &bookkeeping.Node{NodeRecord: *x.rec, Version: 41}
+				c.cache.Nodes["n0"] = &storage.Node{NodeRecord: *x.rec, Version: 41}
 			}
 			c.keepMembership(t.Context())
 			if c.memberBusy != x.want {
@@ -56,7 +56,7 @@
 				return
 			}
 			put := <-s.puts
-			if string(put.Value) != string(bookkeeping.Encode(own)) || put.Lease != 11 || put.Put != bookkeeping.NodeKey("n0") {
+			if string(put.Value) != string(storage.Encode(own)) || put.Lease != 11 || put.Put != storage.NodeKey("n0") {
 				t.Errorf("%s: %s under hold %d", put.Put, put.Value, put.Lease)
 			}
 			(<-c.inbox)() // its outcome
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -6,7 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 )
 
@@ -78,7 +78,7 @@
 	if class >= maxClasses {
 		return "other"
 	}
-	return c.book.Classes.Name(class)
+	return c.cache.Classes.Name(class)
 }
 
 var outcomeNames = map[dispatch.Outcome]string{dispatch.Completed: "done", dispatch.Stopped: "stopped",
@@ -131,18 +131,18 @@
 	spent := c.state.Spent()
 	if !t.at.IsZero() {
 		machines, jobs := 0, 0
-		for _, m := range c.book.Machines {
+		for _, m := range c.cache.Machines {
 			if !m.Gone && c.owns(m.Share) {
 				machines++
 			}
 		}
-		for _, j := range c.book.Jobs {
+		for _, j := range c.cache.Jobs {
 			if j != nil && j.Open() && c.owns(j.Share) {
 				jobs++
 			}
 		}
 		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", t.passes, "pass_mean_ms", millis(t.all)/float64(max(1, t.passes)),
-			"pass_longest_ms", millis(t.longest), "changes_per_s", float64(int(float64(spent-t.changes)/now.Sub(t.at).Seconds()*10))/10, "revision", c.book.Revision)
+			"pass_longest_ms", millis(t.longest), "changes_per_s", float64(int(float64(spent-t.changes)/now.Sub(t.at).Seconds()*10))/10, "revision", c.cache.Revision)
 	}
 	*t = tallies{at: now, changes: spent}
 }
@@ -195,9 +195,9 @@
 	var rate, leader, revision, shares, suspect, awaiting, doomed, largest, flood float64
 	layout := 1.0
 	if err := c.callWithin(time.Second, func() {
-		for _, j := range c.book.Jobs {
+		for _, j := range c.cache.Jobs {
 			if j != nil && j.Open() {
-				queue[key{c.classLabel(j.Class), c.book.Teams[j.Team].Name}] += float64(j.Waiting())
+				queue[key{c.classLabel(j.Class), c.cache.Teams[j.Team].Name}] += float64(j.Waiting())
 				if c.suspect(j) {
 					suspect++
 				}
@@ -208,23 +208,23 @@
 				}
 			}
 		}
-		for _, m := range c.book.Machines {
+		for _, m := range c.cache.Machines {
 			if m.Gone {
 				continue
 			}
 			machines[c.machineState(m)]++
-			gpus["free"] += c.book.Types[m.Type].Gpus
+			gpus["free"] += c.cache.Types[m.Type].Gpus
 			for _, p := range m.Tasks {
 				gpus["free"] -= p.Job.Gpus
 				gpus["taken"] += p.Job.Gpus
 			}
-			rate += c.cpuPrice(m) * max(c.book.Types[m.Type].Cpus, 1)
+			rate += c.cpuPrice(m) * max(c.cache.Types[m.Type].Cpus, 1)
 		}
 		if c.leads() {
 			leader = 1
 		}
-		for x, u := range c.book.Usual.Cpus {
-			usually[key{c.classLabel(x.Class), c.book.Teams[x.Team].Name}] += u
+		for x, u := range c.cache.Usual.Cpus {
+			usually[key{c.classLabel(x.Class), c.cache.Teams[x.Team].Name}] += u
 		}
 		now := time.Now()
 		if c.flooded {
@@ -237,7 +237,7 @@
 			reach["workers"] = 1
 		}
 		heard, others := 0, 0
-		for name := range c.book.Nodes {
+		for name := range c.cache.Nodes {
 			if name == c.cfg.NodeName {
 				continue
 			}
@@ -249,11 +249,11 @@
 		if others > 0 {
 			reach["nodes"] = float64(heard) / float64(others)
 		}
-		revision = float64(c.book.Revision)
-		if c.book.Packed() {
-			layout = float64(c.book.Layout.Version)
+		revision = float64(c.cache.Revision)
+		if c.cache.Packed() {
+			layout = float64(c.cache.Layout.Version)
 		}
-		for _, k := range c.book.Racks {
+		for _, k := range c.cache.Racks {
 			largest = max(largest, float64(k.Size))
 		}
 		for s := range c.owned {
@@ -298,7 +298,7 @@
 }
 
 // machineState is one word for how a machine stands.
-func (c *Controller) machineState(m *bookkeeping.Machine) string {
+func (c *Controller) machineState(m *storage.Machine) string {
 	v := c.views[m.Index]
 	switch {
 	case m.Closing:
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
@@ -17,11 +17,11 @@
 // owner, and its record moves whole. What may only run on ordinary machines is looked at
 // first and on its own: free spot machines are of no use to it.
 func (c *Controller) moveRoom(ctx context.Context, now time.Time) {
-	if c.lead.moving || c.book.NShares < 2 {
+	if c.lead.moving || c.cache.NShares < 2 {
 		return
 	}
-	mv := mover{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.LeaderKey, Version: c.book.Leader.Version}}},
-		gone: map[*bookkeeping.Rack]bool{}, stuck: map[int]bool{}}
+	mv := mover{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
+		gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
 	mv.pass(now, ordinaryWork)
 	mv.pass(now, allWork)
 	mv.pass(now, idleWork)
@@ -41,10 +41,10 @@
 type mover struct {
 	c    *Controller
 	txn  protocol.Txn
-	gone map[*bookkeeping.Rack]bool // racks that move with this transaction
+	gone map[*storage.Rack]bool // racks that move with this transaction
 	// stuck are the shares that wait, whatever kind of work, although no move evens out loads.
 	stuck map[int]bool
-	rooms []bookkeeping.Usage // free on each machine by the records, worked out once it is asked for
+	rooms []storage.Usage // free on each machine by the records, worked out once it is asked for
 }
 
 // workKind is what a pass looks at.
@@ -58,7 +58,7 @@
 
 // rackSums is what a rack has, in CPUs.
 type rackSums struct {
-	rack           *bookkeeping.Rack
+	rack           *storage.Rack
 	free, capacity float64
 }
 
@@ -79,14 +79,14 @@
 // teams had less than they are guaranteed.
 func (mv *mover) claims(sums []shareSums) {
 	c := mv.c
-	demand := make([]float64, len(c.book.Teams))
-	for _, j := range c.book.Jobs {
+	demand := make([]float64, len(c.cache.Teams))
+	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() {
 			demand[j.Team] += float64(j.NPlaced+c.wanting(j)) * j.Cpus
 		}
 	}
-	for t, team := range c.book.Teams {
-		sums[c.book.ShareOf(t)].claim += min(team.Cpus, claimMargin*demand[t])
+	for t, team := range c.cache.Teams {
+		sums[c.cache.ShareOf(t)].claim += min(team.Cpus, claimMargin*demand[t])
 	}
 }
 
@@ -94,9 +94,9 @@
 // it the share with the flood drew the machines of all others, until those were as late.
 func (mv *mover) floors(sums []shareSums, f flooding) {
 	more, all, left := make([]float64, len(sums)), 0.0, 0.0
-	for x := range mv.c.book.Usual.Cpus {
+	for x := range mv.c.cache.Usual.Cpus {
 		if l := f.lanes.At(x); l != nil {
-			more[mv.c.book.ShareOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
+			more[mv.c.cache.ShareOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
 		}
 	}
 	for i := range sums {
@@ -112,11 +112,11 @@
 
 // allRoom is what all machines have.
 func (c *Controller) allRoom() (r schedule.Room) {
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing {
 			continue
 		}
-		cpus := c.book.Types[m.Type].Cpus
+		cpus := c.cache.Types[m.Type].Cpus
 		if r.All += cpus; !m.Spot {
 			r.Ordinary += cpus
 		}
@@ -146,10 +146,10 @@
 func (mv *mover) pass(now time.Time, kind workKind) {
 	c := mv.c
 	ordinary := kind == ordinaryWork
-	idle := map[*bookkeeping.Job]bool{}
+	idle := map[*storage.Job]bool{}
 	may := c.underLimits() // what is over a team's limit waits for that, not for room
-	sums := make([]shareSums, c.book.NShares)
-	for _, j := range c.book.Jobs {
+	sums := make([]shareSums, c.cache.NShares)
+	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() || (ordinary && j.Spot) {
 			continue
 		}
@@ -177,7 +177,7 @@
 	if kind == allWork && c.guaranteesTimed() {
 		mv.claims(sums)
 	}
-	for _, k := range c.book.Racks {
+	for _, k := range c.cache.Racks {
 		if k.Version == 0 || mv.gone[k] {
 			continue
 		}
@@ -188,7 +188,7 @@
 			if m.Gone || m.Closing || (ordinary && m.Spot) {
 				continue
 			}
-			cpus := c.book.Types[m.Type].Cpus
+			cpus := c.cache.Types[m.Type].Cpus
 			f := cpus
 			for _, p := range m.Tasks {
 				if !idle[p.Job] {
@@ -219,7 +219,7 @@
 		return
 	}
 	if kind == allWork {
-		if f := c.flooding(now); c.overloaded(f, c.book.Jobs, c.allRoom(), &c.lead.flooded, now) {
+		if f := c.flooding(now); c.overloaded(f, c.cache.Jobs, c.allRoom(), &c.lead.flooded, now) {
 			mv.floors(sums, f)
 		}
 	}
@@ -318,16 +318,16 @@
 }
 
 // waitsBeside tells whether a share has a job that has waited for a while, may run, and fits on none of the share's machines.
-func (mv *mover) waitsBeside(share int, idle map[*bookkeeping.Job]bool, now time.Time) bool {
+func (mv *mover) waitsBeside(share int, idle map[*storage.Job]bool, now time.Time) bool {
 	c, looked := mv.c, 0
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j == nil || j.Share != share || idle[j] || now.Sub(j.At) < besideFor || !c.mayStart(j, now) {
 			continue
 		}
 		if looked++; looked > besideJobs {
 			return false // the sums tell enough of so many
 		}
-		if !slices.ContainsFunc(c.book.Machines, func(m *bookkeeping.Machine) bool { return m.Share == share && mv.fitsOn(j, m) }) {
+		if !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return m.Share == share && mv.fitsOn(j, m) }) {
 			return true
 		}
 	}
@@ -335,17 +335,17 @@
 }
 
 // neededOf finds a machine, of those that are drained, on which a job fits that has waited for a while and fits on no other; nil: there is none.
-func (mv *mover) neededOf(drained []*bookkeeping.Machine, now time.Time) *bookkeeping.Machine {
+func (mv *mover) neededOf(drained []*storage.Machine, now time.Time) *storage.Machine {
 	looked := 0
-	for _, j := range mv.c.book.Jobs {
+	for _, j := range mv.c.cache.Jobs {
 		if j == nil || len(drained) == 0 || now.Sub(j.At) < neededFor || !mv.c.mayStart(j, now) {
 			continue
 		}
 		if looked++; looked > besideJobs {
 			break
 		}
-		fits := func(m *bookkeeping.Machine) bool { return mv.fitsOn(j, m) }
-		if i := slices.IndexFunc(drained, func(m *bookkeeping.Machine) bool { return mv.fitsBeside(j, m) }); i >= 0 && !slices.ContainsFunc(mv.c.book.Machines, fits) {
+		fits := func(m *storage.Machine) bool { return mv.fitsOn(j, m) }
+		if i := slices.IndexFunc(drained, func(m *storage.Machine) bool { return mv.fitsBeside(j, m) }); i >= 0 && !slices.ContainsFunc(mv.c.cache.Machines, fits) {
 			return drained[i]
 		}
 	}
@@ -362,8 +362,8 @@
 )
 
 // mayStart tells whether a task of a job waits and its team is under its limit.
-func (c *Controller) mayStart(j *bookkeeping.Job, now time.Time) bool {
-	if !j.Open() || c.wanting(j) == 0 || !schedule.WithinLimit(c.book.Teams[j.Team], c.book.Used[j.Team], j, 1) {
+func (c *Controller) mayStart(j *storage.Job, now time.Time) bool {
+	if !j.Open() || c.wanting(j) == 0 || !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return false
 	}
 	jv := c.jobs[j]
@@ -371,18 +371,18 @@
 }
 
 // fitsOn tells whether a task of a job fits on a machine that takes more, now.
-func (mv *mover) fitsOn(j *bookkeeping.Job, m *bookkeeping.Machine) bool {
+func (mv *mover) fitsOn(j *storage.Job, m *storage.Machine) bool {
 	return !m.Drains && !mv.c.edits[m.Index].off() && mv.fitsBeside(j, m)
 }
 
 // fitsBeside tells whether a task of a job fits on a machine, drained or not, beside what runs there and where its other tasks are.
-func (mv *mover) fitsBeside(j *bookkeeping.Job, m *bookkeeping.Machine) bool {
+func (mv *mover) fitsBeside(j *storage.Job, m *storage.Machine) bool {
 	if m.Gone || m.Closing || m.Sick || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
 		return false
 	}
 	if mv.rooms == nil {
-		mv.rooms = make([]bookkeeping.Usage, len(mv.c.book.Machines))
-		for _, o := range mv.c.book.Machines {
+		mv.rooms = make([]storage.Usage, len(mv.c.cache.Machines))
+		for _, o := range mv.c.cache.Machines {
 			if !o.Gone {
 				mv.rooms[o.Index] = mv.c.restOf(o)
 			}
@@ -392,9 +392,9 @@
 }
 
 // restOf is what is free on a machine by its record.
-func (c *Controller) restOf(m *bookkeeping.Machine) bookkeeping.Usage {
-	ty := &c.book.Types[m.Type]
-	u := bookkeeping.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}
+func (c *Controller) restOf(m *storage.Machine) storage.Usage {
+	ty := &c.cache.Types[m.Type]
+	u := storage.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}
 	for _, p := range m.Tasks {
 		u.Add(p.Job, -1)
 	}
@@ -402,7 +402,7 @@
 }
 
 // inZone tells whether a further task of a job may be in a zone, given where its others are.
-func inZone(j *bookkeeping.Job, zone int) bool {
+func inZone(j *storage.Job, zone int) bool {
 	in := func(z int) int {
 		if z < len(j.ByZone) {
 			return int(j.ByZone[z])
@@ -429,12 +429,12 @@
 // movesAtOnce bounds how many machines move with one look.
 const movesAtOnce = 6
 
-func (mv *mover) move(k *bookkeeping.Rack, to int) {
-	r := mv.c.book.RackRecordOf(k, k.Kept(), nil)
+func (mv *mover) move(k *storage.Rack, to int) {
+	r := mv.c.cache.RackRecordOf(k, k.Kept(), nil)
 	r.Share, r.Token = to, mv.c.fresh()
-	key := bookkeeping.RackKey(k.ID)
+	key := storage.RackKey(k.ID)
 	mv.gone[k] = true
-	raw := bookkeeping.EncodeRack(r, mv.c.book.Packed())
+	raw := storage.EncodeRack(r, mv.c.cache.Packed())
 	if len(raw) > mv.c.valueLimit() {
 		return // its owner parts it first
 	}
@@ -445,17 +445,17 @@
 }
 
 // fitsNow tells whether a waiting task of a share fits beside what runs on one of a rack's machines.
-func (mv *mover) fitsNow(share int, k *bookkeeping.Rack) bool {
+func (mv *mover) fitsNow(share int, k *storage.Rack) bool {
 	now := time.Now()
-	return slices.ContainsFunc(mv.c.book.Jobs, func(j *bookkeeping.Job) bool {
+	return slices.ContainsFunc(mv.c.cache.Jobs, func(j *storage.Job) bool {
 		return j != nil && j.Share == share && mv.c.mayStart(j, now) &&
-			slices.ContainsFunc(k.Machines, func(m *bookkeeping.Machine) bool { return mv.fitsOn(j, m) })
+			slices.ContainsFunc(k.Machines, func(m *storage.Machine) bool { return mv.fitsOn(j, m) })
 	})
 }
 
 // someoneFits tells whether a share has waiting work that a rack's machines could run.
-func (c *Controller) someoneFits(share int, k *bookkeeping.Rack) bool {
-	for _, j := range c.book.Jobs {
+func (c *Controller) someoneFits(share int, k *storage.Rack) bool {
+	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() || j.Share != share || c.wanting(j) == 0 {
 			continue
 		}
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
@@ -28,10 +28,10 @@
 // leaves tells whether a task that saves is stopped on a machine that is drained: not if it will have
 // ended about as soon, and not if its job would be late by that. Two hundred and more such stops a
 // day each fetched 6 GB again, and their jobs were late.
-func (c *Controller) leaves(m *bookkeeping.Machine, v *machineView, p bookkeeping.Placed, now time.Time) bool {
+func (c *Controller) leaves(m *storage.Machine, v *machineView, p storage.Placed, now time.Time) bool {
 	j := p.Job
 	fetch := 0.0
-	if f := c.book.Types[m.Type].Fetch; f > 0 {
+	if f := c.cache.Types[m.Type].Fetch; f > 0 {
 		fetch = j.ImageGB / f
 	}
 	if fetch < longFetch {
@@ -54,8 +54,8 @@
 // moveReplicas decides which replicas leave machines that are drained: one of a service at a time, to
 // a machine that has its image and room, so that it is back within seconds.
 func (c *Controller) moveReplicas(now time.Time) {
-	var free map[int32]bookkeeping.Usage
-	for _, m := range c.book.Machines {
+	var free map[int32]storage.Usage
+	for _, m := range c.cache.Machines {
 		if m.Gone || !m.Drains || m.Closing || !c.owns(m.Share) {
 			continue
 		}
@@ -86,10 +86,10 @@
 }
 
 // freeRoom is what is free on the machines that this node may place tasks on.
-func (c *Controller) freeRoom(now time.Time) map[int32]bookkeeping.Usage {
-	free := map[int32]bookkeeping.Usage{}
+func (c *Controller) freeRoom(now time.Time) map[int32]storage.Usage {
+	free := map[int32]storage.Usage{}
 	held := c.heldRoom()
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || !c.owns(m.Share) || len(held[m.Name]) > 0 || !c.usable(m, c.view(m), now) {
 			continue
 		}
@@ -99,8 +99,8 @@
 }
 
 // goesTo finds a machine with room for a replica that has its image, nil if there is none.
-func (c *Controller) goesTo(j *bookkeeping.Job, from *bookkeeping.Machine, free map[int32]bookkeeping.Usage) *bookkeeping.Machine {
-	for _, m := range c.book.Machines {
+func (c *Controller) goesTo(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
+	for _, m := range c.cache.Machines {
 		u, ok := free[m.Index]
 		if !ok || !schedule.Allowed(j, m) || schedule.Fits(u, j) == 0 || !slices.Contains(c.view(m).images, j.Image) {
 			continue
--- a/internal/coordination/newborn_test.go
+++ b/internal/coordination/newborn_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -29,14 +29,14 @@
 		return protocol.Page{}, protocol.ErrRefused
 	}
 	item := func(v any) (protocol.Page, error) {
-		return protocol.Page{Items: []protocol.Item{{Key: prefix, Value: bookkeeping.Encode(v), Version: 5}}}, nil
+		return protocol.Page{Items: []protocol.Item{{Key: prefix, Value: storage.Encode(v), Version: 5}}}, nil
 	}
 	switch {
-	case prefix == bookkeeping.LayoutKey && s.layout > 0:
-		return item(bookkeeping.LayoutRecord{Version: s.layout})
-	case prefix == bookkeeping.CatalogKey && s.catalog:
+	case prefix == storage.LayoutKey && s.layout > 0:
+		return item(storage.LayoutRecord{Version: s.layout})
+	case prefix == storage.CatalogKey && s.catalog:
 		return item(protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
-	case prefix == bookkeeping.Root:
+	case prefix == storage.Root:
 		<-ctx.Done()
 		return protocol.Page{}, ctx.Err()
 	}
@@ -95,13 +95,13 @@
 		ready  bool
 		status int
 	}{
-		{name: "the gate is open and the catalog recorded", store: slowReader{layout: bookkeeping.LayoutPacked, catalog: true}, ready: true, status: 201},
-		{name: "the catalog comes from the cloud", store: slowReader{layout: bookkeeping.LayoutPacked}, cloud: true, ready: true, status: 201},
-		{name: "no machine type is known", store: slowReader{layout: bookkeeping.LayoutPacked}, status: 503},
-		{name: "the gate is closed: the records may be of a layout before", store: slowReader{layout: bookkeeping.LayoutPlain, catalog: true}, status: 503},
+		{name: "the gate is open and the catalog recorded", store: slowReader{layout: storage.LayoutPacked, catalog: true}, ready: true, status: 201},
+		{name: "the catalog comes from the cloud", store: slowReader{layout: storage.LayoutPacked}, cloud: true, ready: true, status: 201},
+		{name: "no machine type is known", store: slowReader{layout: storage.LayoutPacked}, status: 503},
+		{name: "the gate is closed: the records may be of a layout before", store: slowReader{layout: storage.LayoutPlain, catalog: true}, status: 503},
 		{name: "no gate yet", store: slowReader{catalog: true}, status: 503},
-		{name: "the id is taken", store: slowReader{layout: bookkeeping.LayoutPacked, catalog: true, taken: true}, ready: true, status: 503},
-		{name: "it awaits another", store: slowReader{layout: bookkeeping.LayoutPacked, catalog: true}, awaits: []string{"job-000001"}, ready: true, status: 503},
+		{name: "the id is taken", store: slowReader{layout: storage.LayoutPacked, catalog: true, taken: true}, ready: true, status: 503},
+		{name: "it awaits another", store: slowReader{layout: storage.LayoutPacked, catalog: true}, awaits: []string{"job-000001"}, ready: true, status: 503},
 		{name: "an outage", store: slowReader{down: true}, cloud: true, ready: true, status: 503},
 		{name: "refused alone", store: slowReader{down: true}, cloud: true, served: true, status: 503},
 	} {
@@ -124,7 +124,7 @@
 				if a.Status != x.status || (a.Status == 503 && a.RetryAfter < 1) {
 					t.Errorf("submission: %d (Retry-After %d), want %d", a.Status, a.RetryAfter, x.status)
 				}
-				if committed := slices.Contains(store.puts, bookkeeping.JobKey("job-000007")); committed != (x.status == 201) {
+				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (x.status == 201) {
 					t.Errorf("committed: %v", committed)
 				}
 				// What it has not read it does not speak of.
--- a/internal/coordination/others.go
+++ b/internal/coordination/others.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -23,12 +23,12 @@
 // has ended and nobody has its share yet, or neither it nor the state service is heard. After an
 // end of all nodes workers were sent on to dead owners, and a round of the others later their
 // leases had run out.
-func (c *Controller) standsIn(m *bookkeeping.Machine, now time.Time) bool {
-	s := &c.book.Shares[m.Share]
+func (c *Controller) standsIn(m *storage.Machine, now time.Time) bool {
+	s := &c.cache.Shares[m.Share]
 	if s.Node == "" || m.Closing || !c.knows(now) {
 		return false
 	}
-	if n := c.book.Nodes[s.Node]; n == nil || n.Incarnation != s.Incarnation {
+	if n := c.cache.Nodes[s.Node]; n == nil || n.Incarnation != s.Incarnation {
 		return true
 	}
 	// What is heard under the owner's name may be its successor, newborn in the outage: that owns nothing.
--- a/internal/coordination/others_test.go
+++ b/internal/coordination/others_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -18,7 +18,7 @@
 		name  string
 		age   time.Duration
 		tasks []protocol.TaskReport
-		peer  uint64        // the revision of the other node's book
+		peer  uint64        // the revision of the other node's cache
 		heard time.Duration // and how long ago it was heard; below 0: never
 		again time.Duration // since this node last renewed it; 0: never
 		want  bool
@@ -74,7 +74,7 @@
 		member uint64        // the owner's incarnation as a member; its share names 3
 		served time.Duration // the state service answered this node so long ago
 		heard  time.Duration // and the owner was heard
-		read   time.Duration // and the book was brought up to date
+		read   time.Duration // and the cache was brought up to date
 		want   bool
 	}{
 		{"it lives", 3, 0, 0, 0, false},
@@ -87,15 +87,15 @@
 	} {
 		c := newCore(t) // lease 10 s, cancellations 30 s
 		now := time.Now()
-		c.book.Shares[0].Node, c.book.Shares[0].Incarnation = "n1", 3
+		c.cache.Shares[0].Node, c.cache.Shares[0].Incarnation = "n1", 3
 		if x.member > 0 {
-			c.book.Nodes["n1"] = &bookkeeping.Node{NodeRecord: bookkeeping.NodeRecord{Incarnation: x.member}, Version: 1}
+			c.cache.Nodes["n1"] = &storage.Node{NodeRecord: storage.NodeRecord{Incarnation: x.member}, Version: 1}
 		}
 		c.goodAt, c.readAt, c.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peer{at: now.Add(-x.heard), pulse: protocol.Pulse{Revision: 4}}
 		if x.heard == newborn {
 			c.peers["n1"] = peer{at: now}
 		}
-		if got := c.standsIn(c.book.Machine("m"), now); got != x.want {
+		if got := c.standsIn(c.cache.Machine("m"), now); got != x.want {
 			t.Errorf("%s: stands in %v, want %v", x.name, got, x.want)
 		}
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -24,11 +24,11 @@
 	needs       atomic.Pointer[[]protocol.ShareNeed]
 	incarnation atomic.Uint64
 	word        atomic.Pointer[protocol.Word]
-	readers     atomic.Pointer[map[string]uint64] // how far the books of those are that read words
+	readers     atomic.Pointer[map[string]uint64] // how far the caches of those are that read words
 }
 
 func (c *Controller) publish(now time.Time) {
-	p := protocol.Pulse{StateOK: !c.alone(now) && c.badSince.IsZero() && now.Sub(c.goodAt) < 3*time.Second, Revision: c.book.Revision,
+	p := protocol.Pulse{StateOK: !c.alone(now) && c.badSince.IsZero() && now.Sub(c.goodAt) < 3*time.Second, Revision: c.cache.Revision,
 		Changes: uint32(1000 * c.pace)}
 	for s := range c.owned {
 		if c.owned[s] > 0 && s < 64 {
@@ -52,7 +52,7 @@
 // one of them is not heard: it may make as many as it likes.
 func (c *Controller) othersChanges(now time.Time) float64 {
 	sum := 0.0
-	for name := range c.book.Nodes {
+	for name := range c.cache.Nodes {
 		if name == c.cfg.NodeName {
 			continue
 		}
--- a/internal/coordination/pipelines.go
+++ b/internal/coordination/pipelines.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // Between two jobs of a pipeline lies more than the estimate: the last task's report, the
@@ -17,8 +17,8 @@
 // inherit keeps up what jobs inherit from those that need them, and looks at those that
 // became ready.
 func (c *Controller) inherit() {
-	c.book.Inherit(c.aims, c.length)
-	for _, j := range c.book.Readied() {
+	c.cache.Inherit(c.aims, c.length)
+	for _, j := range c.cache.Readied() {
 		if j.Open() {
 			c.metrics.readied.Inc()
 			c.log.Debug("job is ready", "job", j.ID, "after", j.At.Sub(j.Submitted).Seconds(), "priority", j.Priority.String())
@@ -28,12 +28,12 @@
 
 // aims is when a job should be over by its own deadline, and by the latest of those that
 // count it as nearly in time.
-func (c *Controller) aims(j *bookkeeping.Job) (by, late time.Time) {
+func (c *Controller) aims(j *storage.Job) (by, late time.Time) {
 	if j.Due <= 0 {
 		return by, late
 	}
 	times := 1.0
-	class := c.book.Classes.Name(j.Class)
+	class := c.cache.Classes.Name(j.Class)
 	for _, o := range c.cfg.Deployment.Objectives {
 		if o.Class == class {
 			times = max(times, o.Times)
@@ -43,6 +43,6 @@
 }
 
 // length is how long a job will take once it is ready, as a guess.
-func (c *Controller) length(j *bookkeeping.Job) time.Duration {
+func (c *Controller) length(j *storage.Job) time.Duration {
 	return stepGap + time.Duration(stepMargin*j.Estimate*float64(time.Second))
 }
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
@@ -21,18 +21,18 @@
 	ops   int
 	used  int
 	more  bool
-	left  map[int32][]bookkeeping.Placed // what stays, of machines that change
-	racks map[*bookkeeping.Rack]*rackDraft
-	done  map[*bookkeeping.Job]*progress
-	leave map[*bookkeeping.Fleet]map[*bookkeeping.Machine]bool // machines that leave
+	left  map[int32][]storage.Placed // what stays, of machines that change
+	racks map[*storage.Rack]*rackDraft
+	done  map[*storage.Job]*progress
+	leave map[*storage.Fleet]map[*storage.Machine]bool // machines that leave
 }
 
 type rackDraft struct {
-	ended []bookkeeping.Ended
+	ended []storage.Ended
 }
 
 // rack makes a rack part of the transaction, if there is still room for it.
-func (d *draft) rack(k *bookkeeping.Rack) *rackDraft {
+func (d *draft) rack(k *storage.Rack) *rackDraft {
 	r := d.racks[k]
 	if r == nil && d.used < d.ops {
 		r = &rackDraft{ended: k.Kept()}
@@ -43,7 +43,7 @@
 }
 
 // complete notes that a task has completed.
-func (d *draft) complete(r *rackDraft, p bookkeeping.Placed) {
+func (d *draft) complete(r *rackDraft, p storage.Placed) {
 	// A service's replicas run until it is cancelled: one that ends is started again.
 	if !p.Job.Open() || p.Job.Shape != protocol.Batch || p.Job.Done.Get(p.Task) {
 		return
@@ -56,31 +56,31 @@
 	if !pr.done.Get(p.Task) {
 		pr.done.Set(p.Task)
 		pr.n++
-		r.ended = append(r.ended, bookkeeping.Ended{Job: p.Job, Task: p.Task})
+		r.ended = append(r.ended, storage.Ended{Job: p.Job, Task: p.Task})
 	}
 }
 
 // progressOf is how far a job is with this transaction.
-func (d *draft) progressOf(j *bookkeeping.Job) progress {
+func (d *draft) progressOf(j *storage.Job) progress {
 	if pr := d.done[j]; pr != nil {
 		return *pr
 	}
 	return progress{j.Done, j.NDone}
 }
 
-func (c *Controller) putJob(d *draft, j *bookkeeping.Job, final protocol.JobStatus) {
+func (c *Controller) putJob(d *draft, j *storage.Job, final protocol.JobStatus) {
 	pr := d.progressOf(j)
-	key := bookkeeping.JobKey(j.ID)
+	key := storage.JobKey(j.ID)
 	rec := c.finalRecord(j, pr, final)
-	d.put(key, j.Version, protocol.Change{Put: key, Value: bookkeeping.Encode(rec)})
+	d.put(key, j.Version, protocol.Change{Put: key, Value: storage.Encode(rec)})
 	d.used++
 }
 
 // finalRecord is a job's record, with when it ended if it is final: the times of jobs that await it count from
 // there, and so does the deadline by which what was cancelled must be gone.
-func (c *Controller) finalRecord(j *bookkeeping.Job, pr progress, final protocol.JobStatus) *bookkeeping.JobRecord {
-	rec := c.book.JobRecordOf(j, pr.done, pr.n, final)
-	if final != "" && c.book.Packed() {
+func (c *Controller) finalRecord(j *storage.Job, pr progress, final protocol.JobStatus) *storage.JobRecord {
+	rec := c.cache.JobRecordOf(j, pr.done, pr.n, final)
+	if final != "" && c.cache.Packed() {
 		rec.EndMs = time.Now().UnixMilli()
 	}
 	return rec
@@ -89,11 +89,11 @@
 // planDoomed writes final records of jobs that were cancelled with one that they need,
 // and deletes, as the leader, records that are needed no more.
 func (c *Controller) planDoomed(d *draft, shares map[int]bool, n int) {
-	for _, j := range c.book.Doomed() {
+	for _, j := range c.cache.Doomed() {
 		if n <= 0 || d.used >= d.ops {
 			return
 		}
-		if _, ok := d.puts[bookkeeping.JobKey(j.ID)]; ok || !shares[j.Share] {
+		if _, ok := d.puts[storage.JobKey(j.ID)]; ok || !shares[j.Share] {
 			continue
 		}
 		c.putJob(d, j, protocol.Cancelled)
@@ -102,7 +102,7 @@
 	if !c.leads() || n <= 0 || d.used >= d.ops {
 		return
 	}
-	for _, x := range c.book.Stale(min(n, d.ops-d.used), time.Now()) {
+	for _, x := range c.cache.Stale(min(n, d.ops-d.used), time.Now()) {
 		d.put(x.Key, x.Version, protocol.Change{Delete: x.Key})
 		d.used++
 	}
@@ -110,9 +110,9 @@
 
 // plan works out the next transaction, with at most ops puts and deletes.
 func (c *Controller) plan(now time.Time, ops int) (*batch, bool) {
-	d := &draft{batch: newBatch(), ops: ops, left: map[int32][]bookkeeping.Placed{},
-		racks: map[*bookkeeping.Rack]*rackDraft{}, done: map[*bookkeeping.Job]*progress{},
-		leave: map[*bookkeeping.Fleet]map[*bookkeeping.Machine]bool{}}
+	d := &draft{batch: newBatch(), ops: ops, left: map[int32][]storage.Placed{},
+		racks: map[*storage.Rack]*rackDraft{}, done: map[*storage.Job]*progress{},
+		leave: map[*storage.Fleet]map[*storage.Machine]bool{}}
 	c.planned, c.finishing = 0, c.finishing[:0]
 	shares := map[int]bool{}
 	for s := range c.owned {
@@ -130,7 +130,7 @@
 		c.planDoomed(d, shares, 1)
 	}
 	// Jobs whose last task another owner recorded come first.
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j != nil && shares[j.Share] && c.complete(j, j.NDone) && d.used < max(1, ops/2) {
 			c.finish(d, j)
 		}
@@ -150,20 +150,20 @@
 	in, res := c.planStarts(now, d, shares)
 	c.fold(d)
 	for k, r := range d.racks {
-		key := bookkeeping.RackKey(k.ID)
-		rec := c.book.RackRecordOf(k, r.ended, func(m *bookkeeping.Machine) (bookkeeping.RackMachine, bool) {
+		key := storage.RackKey(k.ID)
+		rec := c.cache.RackRecordOf(k, r.ended, func(m *storage.Machine) (storage.RackMachine, bool) {
 			return c.rackMachine(d, m), !d.leave[m.Fleet][m]
 		})
-		raw := bookkeeping.EncodeRack(rec, c.book.Packed())
+		raw := storage.EncodeRack(rec, c.cache.Packed())
 		if len(raw) > c.valueLimit() && c.tight == nil {
 			c.tight = k
 		}
 		d.put(key, k.Version, protocol.Change{Put: key, Value: raw})
 	}
 	for f, gone := range d.leave {
-		key := bookkeeping.FleetKey(f.ID)
-		if rec, some := c.book.FleetWithout(f, gone); some {
-			d.put(key, f.Version, protocol.Change{Put: key, Value: bookkeeping.EncodeFleet(&rec, c.book.Packed())})
+		key := storage.FleetKey(f.ID)
+		if rec, some := c.cache.FleetWithout(f, gone); some {
+			d.put(key, f.Version, protocol.Change{Put: key, Value: storage.EncodeFleet(&rec, c.cache.Packed())})
 		} else {
 			d.put(key, f.Version, protocol.Change{Delete: key})
 		}
@@ -172,19 +172,19 @@
 	c.planLimits(now, d, in)
 	if len(d.puts) > 0 {
 		for s := range shares {
-			d.when(bookkeeping.ShareKey(s), c.book.Shares[s].Version)
+			d.when(storage.ShareKey(s), c.cache.Shares[s].Version)
 		}
 	}
 	return d.batch, d.more
 }
 
 // complete tells whether all tasks of an array are done.
-func (c *Controller) complete(j *bookkeeping.Job, n int) bool {
+func (c *Controller) complete(j *storage.Job, n int) bool {
 	return j.Open() && j.Shape == protocol.Batch && n == j.Tasks
 }
 
 // finish makes a job done. Its share's owner does so, whoever recorded its tasks.
-func (c *Controller) finish(d *draft, j *bookkeeping.Job) {
+func (c *Controller) finish(d *draft, j *storage.Job) {
 	c.finishing = append(c.finishing, j)
 	c.putJob(d, j, protocol.Done)
 }
@@ -192,7 +192,7 @@
 // planEnds takes what is proved to be gone out of the records, and puts in what
 // has changed of the machines themselves.
 func (c *Controller) planEnds(d *draft, shares map[int]bool) {
-	racks := c.book.Racks
+	racks := c.cache.Racks
 	first := c.rackFrom // not always the same racks when there is no room for all
 	for i := range racks {
 		k := racks[(first+i)%len(racks)]
@@ -222,7 +222,7 @@
 				continue
 			}
 			r := d.rack(k)
-			stay := make([]bookkeeping.Placed, 0, len(m.Tasks))
+			stay := make([]storage.Placed, 0, len(m.Tasks))
 			for _, p := range m.Tasks {
 				out, gone := v.Gone[dispatch.RefOf(p)]
 				if !gone {
@@ -234,7 +234,7 @@
 			d.left[m.Index] = stay
 			if leaves && len(stay) == 0 {
 				if d.leave[m.Fleet] == nil {
-					d.leave[m.Fleet] = map[*bookkeeping.Machine]bool{}
+					d.leave[m.Fleet] = map[*storage.Machine]bool{}
 					d.used++
 				}
 				d.leave[m.Fleet][m] = true
@@ -244,24 +244,24 @@
 }
 
 // changes tells whether a machine's part of the records has to change, tasks aside.
-func (c *Controller) changes(m *bookkeeping.Machine, v *machineView) bool {
+func (c *Controller) changes(m *storage.Machine, v *machineView) bool {
 	e := c.edits[m.Index]
 	return c.bumps(m, v) || (v.returned && m.Closing) || (v.sick && !m.Sick) || (e != nil && e.differs(m))
 }
 
 // bumps tells whether the machine's token must be raised: a direct command under
 // the present one may still be on its way.
-func (c *Controller) bumps(m *bookkeeping.Machine, v *machineView) bool {
-	return v.Uncertain > 0 && v.Uncertain >= c.book.Token(m)
+func (c *Controller) bumps(m *storage.Machine, v *machineView) bool {
+	return v.Uncertain > 0 && v.Uncertain >= c.cache.Token(m)
 }
 
 // rackMachine is a machine's part of its rack's record with this transaction.
-func (c *Controller) rackMachine(d *draft, m *bookkeeping.Machine) bookkeeping.RackMachine {
+func (c *Controller) rackMachine(d *draft, m *storage.Machine) storage.RackMachine {
 	tasks, changed := d.left[m.Index]
 	if !changed {
 		tasks = m.Tasks
 	}
-	x := c.book.RackMachineOf(m, tasks)
+	x := c.cache.RackMachineOf(m, tasks)
 	v := c.views[m.Index]
 	if v == nil {
 		return x
@@ -288,7 +288,7 @@
 	maxConds := 4*c.limits().TxnOps - len(shares)
 	in := c.placement(now, shares, d)
 	hold := in.Hold
-	in.Hold = func(j *bookkeeping.Job) bool {
+	in.Hold = func(j *storage.Job) bool {
 		// a task that completes with this batch must not look like a waiting one
 		return hold(j) || (d.done[j] != nil && j.Waiting() == 0)
 	}
@@ -297,7 +297,7 @@
 	attempt := c.fresh() // never used before, whoever owned the share
 	for _, p := range res.Placed {
 		m := p.Slot.M
-		key := bookkeeping.JobKey(p.Job.ID)
+		key := storage.JobKey(p.Job.ID)
 		if _, ok := d.conds[key]; !ok {
 			if len(d.conds)+len(d.racks)+2 > maxConds {
 				d.more = true
@@ -316,11 +316,11 @@
 		jv := c.jobView(p.Job)
 		if jv.began.IsZero() {
 			jv.began = now
-			c.metrics.wait.WithLabelValues(c.classLabel(p.Job.Class), c.book.Teams[p.Job.Team].Name).Observe(now.Sub(p.Job.At).Seconds())
+			c.metrics.wait.WithLabelValues(c.classLabel(p.Job.Class), c.cache.Teams[p.Job.Team].Name).Observe(now.Sub(p.Job.At).Seconds())
 		}
 		c.planned++
 		jv.full = now
-		d.left[m.Index] = append(tasks, bookkeeping.Placed{Job: p.Job, Task: p.Task, Attempt: attempt,
+		d.left[m.Index] = append(tasks, storage.Placed{Job: p.Job, Task: p.Task, Attempt: attempt,
 			At: now.Unix(), Waited: c.waited(p.Job, p.Task, now)})
 	}
 	return in, res
@@ -330,17 +330,17 @@
 // records, one a rack and transaction: in the packed layout into a part of the job's set.
 func (c *Controller) fold(d *draft) {
 	limit := foldAt
-	keyOf := func(e bookkeeping.Ended) string { return bookkeeping.JobKey(e.Job.ID) }
-	if c.book.Packed() {
+	keyOf := func(e storage.Ended) string { return storage.JobKey(e.Job.ID) }
+	if c.cache.Packed() {
 		limit = min(limit, c.valueLimit()/4/packedSizes.ended)
-		keyOf = func(e bookkeeping.Ended) string { return bookkeeping.SetKey(e.Job.ID, e.Task) }
+		keyOf = func(e storage.Ended) string { return storage.SetKey(e.Job.ID, e.Task) }
 	}
 	for _, r := range d.racks {
 		if len(r.ended) <= limit || d.used >= d.ops {
 			continue
 		}
 		count := map[string]int{}
-		var most bookkeeping.Ended
+		var most storage.Ended
 		key := ""
 		for _, e := range r.ended {
 			k := keyOf(e)
@@ -352,19 +352,19 @@
 		if key == "" {
 			continue
 		}
-		if c.book.Packed() {
-			rec, version := c.book.SetRecordOf(most.Job, d.progressOf(most.Job).done, most.Task)
-			d.put(key, version, protocol.Change{Put: key, Value: bookkeeping.Encode(rec)})
+		if c.cache.Packed() {
+			rec, version := c.cache.SetRecordOf(most.Job, d.progressOf(most.Job).done, most.Task)
+			d.put(key, version, protocol.Change{Put: key, Value: storage.Encode(rec)})
 			d.used++
 		} else {
 			c.putJob(d, most.Job, "")
 		}
-		r.ended = slices.DeleteFunc(r.ended, func(e bookkeeping.Ended) bool { return keyOf(e) == key })
+		r.ended = slices.DeleteFunc(r.ended, func(e storage.Ended) bool { return keyOf(e) == key })
 	}
 }
 
 // waited is how long a task has waited before it starts now, in seconds.
-func (c *Controller) waited(j *bookkeeping.Job, task int, now time.Time) uint64 {
+func (c *Controller) waited(j *storage.Job, task int, now time.Time) uint64 {
 	since := j.At
 	if jv := c.jobs[j]; jv != nil {
 		if q, ok := jv.queued[task]; ok {
@@ -377,16 +377,16 @@
 // placement is the input of a placement pass over the shares that this node owns.
 func (c *Controller) placement(now time.Time, shares map[int]bool, d *draft) *schedule.Input {
 	in := &schedule.Input{
-		Now: now, Teams: c.book.Teams, Used: slices.Clone(c.book.Used), Records: d.ops - d.used, Tasks: maxPlace,
-		Allow:   func(j *bookkeeping.Job) (time.Duration, bool) { return c.aimsLeft(j, now) },
-		Begin:   func(j *bookkeeping.Job) bool { return j.NPlaced+j.NDone == 0 && now.Sub(j.At) >= beginAfter },
-		Overdue: func(j *bookkeeping.Job) bool { return c.waitedTooLong(j, now) },
-		Hold: func(j *bookkeeping.Job) bool {
+		Now: now, Teams: c.cache.Teams, Used: slices.Clone(c.cache.Used), Records: d.ops - d.used, Tasks: maxPlace,
+		Allow:   func(j *storage.Job) (time.Duration, bool) { return c.aimsLeft(j, now) },
+		Begin:   func(j *storage.Job) bool { return j.NPlaced+j.NDone == 0 && now.Sub(j.At) >= beginAfter },
+		Overdue: func(j *storage.Job) bool { return c.waitedTooLong(j, now) },
+		Hold: func(j *storage.Job) bool {
 			jv := c.jobs[j]
 			return jv != nil && now.Before(jv.backoff) || c.probing(j)
 		},
-		Evicts: func(j *bookkeeping.Job) bool { return c.sooner(j, now) },
-		Most: func(j *bookkeeping.Job) int {
+		Evicts: func(j *storage.Job) bool { return c.sooner(j, now) },
+		Most: func(j *storage.Job) int {
 			if c.suspect(j) {
 				return 1
 			}
@@ -394,11 +394,11 @@
 		},
 	}
 	sc := &c.scratch
-	sc.begin(c.book.MachineCount(), len(c.book.Racks), len(c.book.Jobs))
+	sc.begin(c.cache.MachineCount(), len(c.cache.Racks), len(c.cache.Jobs))
 	in.Jobs, in.Scratch = sc.jobs, &sc.place
 	clear(c.waiting)
 	c.idleRuns = false
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j == nil {
 			continue
 		}
@@ -419,7 +419,7 @@
 		in.Ordinary = 6 // jobs that may not use spot machines have come and will again
 	}
 	held := c.heldRoom()
-	for _, k := range c.book.Racks {
+	for _, k := range c.cache.Racks {
 		if k.Version == 0 || !shares[k.Share] {
 			continue
 		}
@@ -439,7 +439,7 @@
 			} else {
 				tasks = m.Tasks
 			}
-			ty := &c.book.Types[m.Type]
+			ty := &c.cache.Types[m.Type]
 			in.Capacity.Cpus += ty.Cpus
 			in.Capacity.Gpus += ty.Gpus
 			in.Capacity.Mem += ty.Mem
@@ -450,15 +450,15 @@
 			if !c.usable(m, v, now) {
 				if c.booting(m, v, now) {
 					sc.booting = append(sc.booting, &schedule.Slot{M: m, Fetch: ty.Fetch, Boots: c.bootLeft(m, v, now),
-						Free: bookkeeping.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}})
+						Free: storage.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}})
 				}
 				continue
 			}
-			s := sc.slot(schedule.Slot{M: m, Record: rec, Fetch: ty.Fetch, Free: bookkeeping.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}})
+			s := sc.slot(schedule.Slot{M: m, Record: rec, Fetch: ty.Fetch, Free: storage.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}})
 			cache := 0.0
 			first := len(sc.images)
 			for i := len(v.images) - 1; i >= 0; i-- {
-				cache += c.book.ImageGB(v.images[i])
+				cache += c.cache.ImageGB(v.images[i])
 				if ty.Cache > 0 && cache > ty.Cache && len(sc.images) > first {
 					break
 				}
@@ -469,7 +469,7 @@
 			for _, p := range tasks {
 				s.Free.Add(p.Job, -1)
 				s.AddFragile(p.Job)
-				if !p.Job.Priority.Top() && p.Job.Open() && !c.book.Victim(p) {
+				if !p.Job.Priority.Top() && p.Job.Open() && !c.cache.Victim(p) {
 					s.Yields.Add(p.Job, 1)
 				}
 				if !slices.Contains(s.Images, p.Job.Image) && !slices.Contains(s.Coming, p.Job.Image) {
@@ -510,7 +510,7 @@
 	booting []*schedule.Slot
 	records []schedule.Record
 	images  []int
-	jobs    []*bookkeeping.Job
+	jobs    []*storage.Job
 	waits   []schedule.Wait
 	place   schedule.Scratch
 }
@@ -544,14 +544,14 @@
 )
 
 // recordRoom is how many more tasks a rack's record can list.
-func (c *Controller) recordRoom(k *bookkeeping.Rack) int {
+func (c *Controller) recordRoom(k *storage.Rack) int {
 	limit, size := c.valueLimit(), plainSizes
-	if c.book.Packed() {
+	if c.cache.Packed() {
 		// What ends needs some room too: a completed task stays listed for a while.
 		limit, size = limit*8/10, packedSizes
 	}
 	used := k.Size
-	if !c.book.Packed() || !k.Packed { // it is not known yet what it will take
+	if !c.cache.Packed() || !k.Packed { // it is not known yet what it will take
 		used = size.base + size.machine*len(k.Machines) + size.ended*len(k.Ended)
 		for _, m := range k.Machines {
 			used += size.task * len(m.Tasks)
@@ -561,8 +561,8 @@
 }
 
 // cpuPrice is what a machine costs for each of its CPUs.
-func (c *Controller) cpuPrice(m *bookkeeping.Machine) float64 {
-	ty := &c.book.Types[m.Type]
+func (c *Controller) cpuPrice(m *storage.Machine) float64 {
+	ty := &c.cache.Types[m.Type]
 	if m.Spot {
 		return ty.SpotPrice / max(ty.Cpus, 1)
 	}
@@ -570,7 +570,7 @@
 }
 
 // usable tells whether a machine may take more tasks.
-func (c *Controller) usable(m *bookkeeping.Machine, v *machineView, now time.Time) bool {
+func (c *Controller) usable(m *storage.Machine, v *machineView, now time.Time) bool {
 	if m.Closing || m.Drains || m.Sick || v.sick || v.Session == 0 || v.Session < m.Session || !v.notice.IsZero() || v.returned ||
 		c.bumps(m, v) || c.edits[m.Index].off() || c.mute(v, now) {
 		return false
@@ -580,13 +580,13 @@
 
 // allowance is how long a job may take in order to meet the tightest aim that
 // its class still can; 0 when there is none.
-func (c *Controller) allowance(j *bookkeeping.Job, now time.Time) time.Duration {
+func (c *Controller) allowance(j *storage.Job, now time.Time) time.Duration {
 	d, _ := c.aimsLeft(j, now)
 	return d
 }
 
 // aimsLeft is allowance, and whether every aim is missed.
-func (c *Controller) aimsLeft(j *bookkeeping.Job, now time.Time) (allow time.Duration, late bool) {
+func (c *Controller) aimsLeft(j *storage.Job, now time.Time) (allow time.Duration, late bool) {
 	age := now.Sub(j.At)
 	best, last := time.Duration(0), time.Duration(0)
 	take := func(d time.Duration) {
@@ -603,7 +603,7 @@
 		take(j.By.Sub(j.At)) // for those that need it
 		take(j.Late.Sub(j.At))
 	}
-	class := c.book.Classes.Name(j.Class)
+	class := c.cache.Classes.Name(j.Class)
 	for _, o := range c.cfg.Deployment.Objectives {
 		if o.Class != class {
 			continue
@@ -630,7 +630,7 @@
 // it, and content with machines that may be taken back. It runs in what others leave:
 // no machine moves or is rented at the full price for it, and any other work may evict
 // it. What has waited far too long is idle no more: an accepted job must run.
-func (c *Controller) idle(j *bookkeeping.Job, now time.Time) bool {
+func (c *Controller) idle(j *storage.Job, now time.Time) bool {
 	return j.Priority == protocol.Low && j.Spot && now.Sub(j.At) < idleFor+4*seconds(j.Estimate) && c.allowance(j, now) == 0
 }
 
@@ -640,13 +640,13 @@
 // heldRoom is the room that evictions freed and that is still kept, by machine.
 func (c *Controller) heldRoom() map[string][]schedule.Held {
 	out := map[string][]schedule.Held{}
-	for id, e := range c.book.Evicted {
-		j := c.book.Job(id)
+	for id, e := range c.cache.Evicted {
+		j := c.cache.Job(id)
 		if j == nil || !j.Open() {
 			continue
 		}
 		for _, r := range e.Rooms {
-			m := c.book.Machine(r.Machine)
+			m := c.cache.Machine(r.Machine)
 			if m == nil {
 				continue
 			}
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -19,7 +19,7 @@
 	}
 }
 
-// followLoop keeps the book like the state service.
+// followLoop keeps the cache like the state service.
 func (c *Controller) followLoop(ctx context.Context) {
 	read := false
 	for ctx.Err() == nil {
@@ -33,7 +33,7 @@
 		}
 		c.post(func() {
 			c.unread = err != nil && !c.loaded
-			if err == nil || errors.Is(err, bookkeeping.ErrLayout) {
+			if err == nil || errors.Is(err, storage.ErrLayout) {
 				c.stranger = err != nil
 			}
 		})
@@ -45,7 +45,7 @@
 		read = true
 		for ctx.Err() == nil {
 			sent := time.Now()
-			ev, err := c.state.Follow(ctx, bookkeeping.Root, rev, c.followWait())
+			ev, err := c.state.Follow(ctx, storage.Root, rev, c.followWait())
 			if errors.Is(err, protocol.ErrTooOld) {
 				c.log.Info("follow is too far behind, reading again", "rev", rev)
 				break
@@ -78,7 +78,7 @@
 	after, began := "", time.Now()
 	seen := map[string]bool{}
 	for {
-		p, err := c.state.List(ctx, bookkeeping.Root, after, 1000)
+		p, err := c.state.List(ctx, storage.Root, after, 1000)
 		if err != nil {
 			return 0, err
 		}
@@ -89,7 +89,7 @@
 		if err := c.call(ctx, func() {
 			for _, it := range p.Items {
 				seen[it.Key] = true
-				if err := c.apply(it.Key, it.Value, it.Version, false); errors.Is(err, bookkeeping.ErrLayout) {
+				if err := c.apply(it.Key, it.Value, it.Version, false); errors.Is(err, storage.ErrLayout) {
 					old = err
 				}
 			}
@@ -105,11 +105,11 @@
 		after = p.Items[len(p.Items)-1].Key
 	}
 	err := c.call(ctx, func() {
-		if err := c.book.Drop(seen, first); err != nil {
+		if err := c.cache.Drop(seen, first); err != nil {
 			c.log.Error("stale record", "err", err)
 		}
-		c.book.Sweep()
-		c.book.Revision = first
+		c.cache.Sweep()
+		c.cache.Revision = first
 		c.maxRev = max(c.maxRev, first)
 		c.loaded = true
 		if c.readAt.Before(began) {
@@ -124,7 +124,7 @@
 
 // readFirst reads what accepting a job takes, before all other records.
 func (c *Controller) readFirst(ctx context.Context) error {
-	for _, key := range []string{bookkeeping.LayoutKey, bookkeeping.CatalogKey} {
+	for _, key := range []string{storage.LayoutKey, storage.CatalogKey} {
 		p, err := c.state.List(ctx, key, "", 1)
 		if err != nil {
 			return err
@@ -142,7 +142,7 @@
 
 func (c *Controller) apply(key string, value []byte, version uint64, deleted bool) error {
 	c.maxRev = max(c.maxRev, version)
-	err := c.book.Apply(key, value, version, deleted)
+	err := c.cache.Apply(key, value, version, deleted)
 	if err != nil {
 		c.log.Error("bad record", "err", err)
 	}
@@ -159,14 +159,14 @@
 			_ = c.apply(e.Put, e.Value, e.Version, false)
 		}
 	}
-	c.book.Revision = max(c.book.Revision, ev.Revision)
+	c.cache.Revision = max(c.cache.Revision, ev.Revision)
 	c.maxRev = max(c.maxRev, ev.Revision)
 	now := time.Now()
 	c.badSince, c.goodAt, c.readAt = time.Time{}, now, latest(c.readAt, sent)
 	c.readWords()
 	keep := c.waiters[:0]
 	for _, w := range c.waiters {
-		if w.rev <= c.book.Revision {
+		if w.rev <= c.cache.Revision {
 			close(w.ch)
 		} else {
 			keep = append(keep, w)
@@ -188,7 +188,7 @@
 		return
 	}
 	now := time.Now()
-	if v := c.book.Leader.Version; v != c.leadVersion {
+	if v := c.cache.Leader.Version; v != c.leadVersion {
 		c.leadVersion, c.leadAt = v, now
 	}
 	c.noteLead()
@@ -197,15 +197,15 @@
 	c.lower(nil)
 	c.noteEvictions()
 	c.inherit()
-	machines, jobs := c.book.Changed()
+	machines, jobs := c.cache.Changed()
 	for s := range c.owned {
 		v := uint64(0)
 		if c.owns(s) {
-			v = c.book.Shares[s].Version
+			v = c.cache.Shares[s].Version
 		}
 		if v != c.owned[s] {
 			c.owned[s] = v
-			c.log.Info("share changed hands", "share", s, "owner", c.book.Shares[s].Node, "own", v > 0)
+			c.log.Info("share changed hands", "share", s, "owner", c.cache.Shares[s].Node, "own", v > 0)
 			c.takeOver(s, v > 0, now)
 		}
 	}
@@ -226,7 +226,7 @@
 
 // takeOver begins or ends this node's ownership of a share.
 func (c *Controller) takeOver(share int, own bool, now time.Time) {
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Share == share {
 			delete(c.views, m.Index) // what an earlier ownership knew is stale
 		}
@@ -236,13 +236,13 @@
 	}
 	c.metrics.takeovers.Inc()
 	c.ownSince, c.placedSince = now, false
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Share != share || m.Gone {
 			continue
 		}
 		mv := c.view(m)
 		mv.since = now
-		if max(m.Token, m.Rack.Token) >= c.book.Shares[share].Token {
+		if max(m.Token, m.Rack.Token) >= c.cache.Shares[share].Token {
 			// raised by the former owner while the share changed
 			// hands: only a higher one proves what it sent is dead
 			mv.Uncertain = max(m.Token, m.Rack.Token)
@@ -254,7 +254,7 @@
 }
 
 // settleView brings a machine's view in line with the records.
-func (c *Controller) settleView(m *bookkeeping.Machine) {
+func (c *Controller) settleView(m *storage.Machine) {
 	v := c.views[m.Index]
 	if v == nil {
 		return
@@ -271,7 +271,7 @@
 	}
 }
 
-// barrier joins readers that need to know that the book is up to date.
+// barrier joins readers that need to know that the cache is up to date.
 type barrier struct {
 	mu      sync.Mutex
 	running bool
@@ -283,7 +283,7 @@
 	err error
 }
 
-// Barrier waits until the book holds everything that had been committed when
+// Barrier waits until the cache holds everything that had been committed when
 // it was called. One read of the revision serves all that wait at a time.
 func (c *Controller) Barrier(ctx context.Context) error {
 	b := &c.barriers
@@ -336,7 +336,7 @@
 	}
 	w := revWaiter{rev, make(chan struct{})}
 	err = c.call(ctx, func() {
-		if c.book.Revision >= rev && c.loaded {
+		if c.cache.Revision >= rev && c.loaded {
 			close(w.ch)
 		} else if len(c.waiters) < 1000 {
 			c.waiters = append(c.waiters, w)
--- a/internal/coordination/schedule/evict.go
+++ b/internal/coordination/schedule/evict.go
@@ -5,14 +5,14 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 )
 
 // Victim is one task that an eviction stops.
 type Victim struct {
 	Slot    *Slot
-	Job     *bookkeeping.Job
+	Job     *storage.Job
 	Task    int
 	Attempt uint64
 }
@@ -54,7 +54,7 @@
 // slots, then drops evictions that turned out unneeded. It returns nil when all
 // of them would not make room for a single task more than fits now; when they
 // make room for fewer than n, it takes what they make (the job waits for the rest).
-func Evict(j *bookkeeping.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+func Evict(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
 	r := newRoom(j, slots)
 	before := r.tasks()
 	for _, c := range ordered {
@@ -98,13 +98,13 @@
 // room counts how many tasks of a job free room takes; each change costs what it
 // changes, not a look at all slots.
 type room struct {
-	job   *bookkeeping.Job
-	free  map[*Slot]bookkeeping.Usage // of the slots that the job may use
+	job   *storage.Job
+	free  map[*Slot]storage.Usage // of the slots that the job may use
 	zones []int                       // tasks that fit, by zone
 }
 
-func newRoom(j *bookkeeping.Job, slots []*Slot) *room {
-	r := &room{job: j, free: make(map[*Slot]bookkeeping.Usage, len(slots))}
+func newRoom(j *storage.Job, slots []*Slot) *room {
+	r := &room{job: j, free: make(map[*Slot]storage.Usage, len(slots))}
 	for _, s := range slots {
 		if !Allowed(j, s.M) {
 			continue
@@ -163,7 +163,7 @@
 
 // EvictExcess takes candidates of one team in rising score until what it uses is within its limit. Tasks that other sets
 // evict already must be left out of the candidates, and count as used until they are gone.
-func EvictExcess(used bookkeeping.Usage, limit config.Team, ordered []Candidate) []Candidate {
+func EvictExcess(used storage.Usage, limit config.Team, ordered []Candidate) []Candidate {
 	var chosen []Candidate
 	over := func() bool {
 		return limit.CpusMax > 0 && used.Cpus > limit.CpusMax+eps || limit.GpusMax > 0 && used.Gpus > limit.GpusMax+eps
--- a/internal/coordination/schedule/find.go
+++ b/internal/coordination/schedule/find.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // This file owns the search for the best slot of a job's next task. A pass over n machines
@@ -26,7 +26,7 @@
 
 // finder holds the options of one job: of the first of a team's queue.
 type finder struct {
-	job     *bookkeeping.Job
+	job     *storage.Job
 	heap    []option
 	bounded bool // there is room for it that only another record would reach
 }
@@ -51,12 +51,12 @@
 
 // kind is machines that are alike to a job, with the largest free rooms that they have.
 type kind struct {
-	m    *bookkeeping.Machine
-	free []bookkeeping.Usage // none is within another
+	m    *storage.Machine
+	free []storage.Usage // none is within another
 }
 
 func newSearch(in *Input) *search {
-	s := &search{in: in, changes: make([]uint32, len(in.Slots)), full: noRoom{in: in, held: map[*bookkeeping.Job]bool{}}}
+	s := &search{in: in, changes: make([]uint32, len(in.Slots)), full: noRoom{in: in, held: map[*storage.Job]bool{}}}
 	for i, x := range in.Slots {
 		x.at = int32(i)
 		for _, h := range x.Held {
@@ -66,7 +66,7 @@
 	return s
 }
 
-func within(a, b bookkeeping.Usage) bool {
+func within(a, b storage.Usage) bool {
 	return a.Cpus <= b.Cpus && a.Gpus <= b.Gpus && a.Mem <= b.Mem
 }
 
@@ -97,20 +97,20 @@
 			c.rest = append(c.rest, kind{m: x.M})
 		}
 		free := c.rest[k].free
-		if slices.ContainsFunc(free, func(f bookkeeping.Usage) bool { return within(x.Free, f) }) {
+		if slices.ContainsFunc(free, func(f storage.Usage) bool { return within(x.Free, f) }) {
 			continue
 		}
-		free = slices.DeleteFunc(free, func(f bookkeeping.Usage) bool { return within(f, x.Free) })
+		free = slices.DeleteFunc(free, func(f storage.Usage) bool { return within(f, x.Free) })
 		c.rest[k].free = append(free, x.Free)
 	}
 	return c
 }
 
 // elsewhere tells whether a job has room on a machine whose record may not be rewritten.
-func (s *search) elsewhere(j *bookkeeping.Job) bool {
+func (s *search) elsewhere(j *storage.Job) bool {
 	for i := range s.closed.rest {
 		k := &s.closed.rest[i]
-		if Allowed(j, k.m) && (k.m.Spot || !s.in.kept(j)) && slices.ContainsFunc(k.free, func(f bookkeeping.Usage) bool { return takes(f, j) }) {
+		if Allowed(j, k.m) && (k.m.Spot || !s.in.kept(j)) && slices.ContainsFunc(k.free, func(f storage.Usage) bool { return takes(f, j) }) {
 			return true
 		}
 	}
@@ -118,12 +118,12 @@
 }
 
 // takes tells whether free room takes one task.
-func takes(free bookkeeping.Usage, j *bookkeeping.Job) bool {
+func takes(free storage.Usage, j *storage.Job) bool {
 	return free.Cpus+eps >= j.Cpus && free.Mem+eps >= j.Mem && free.Gpus+eps >= j.Gpus
 }
 
 // suits tells whether a slot takes one more task of a job, its zones and records aside.
-func suits(in *Input, s *Slot, j *bookkeeping.Job) bool {
+func suits(in *Input, s *Slot, j *storage.Job) bool {
 	return takes(s.Free, j) && Allowed(j, s.M) && (s.M.Spot || !in.kept(j)) && (len(s.Held) == 0 || Fits(FreeFor(s, j), j) > 0)
 }
 
@@ -164,7 +164,7 @@
 }
 
 // begin looks for all slots that a job's task could go to.
-func (s *search) begin(f *finder, j *bookkeeping.Job) {
+func (s *search) begin(f *finder, j *storage.Job) {
 	*f = finder{job: j, heap: f.heap[:0]}
 	if s.in.Records > 0 {
 		s.scans++
