--- a/internal/coordination/schedule/find_test.go
+++ b/internal/coordination/schedule/find_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -62,11 +62,11 @@
 	in := &Input{Now: time.Unix(2000, 0), Records: draw(4), Tasks: 1 + draw(40), Ordinary: float64(draw(3))}
 	for range 1 + draw(3) {
 		in.Teams = append(in.Teams, config.Team{Cpus: float64(draw(3) * 8), CpusMax: float64(draw(2) * 40)})
-		in.Used = append(in.Used, bookkeeping.Usage{Cpus: float64(draw(12))})
+		in.Used = append(in.Used, storage.Usage{Cpus: float64(draw(12))})
 	}
-	var jobs []*bookkeeping.Job
+	var jobs []*storage.Job
 	for i := range 1 + draw(14) {
-		jobs = append(jobs, job(fmt.Sprintf("j%02d", i), 1+draw(7), float64(1+draw(9)), protocol.Priority(draw(4)), func(j *bookkeeping.Job) {
+		jobs = append(jobs, job(fmt.Sprintf("j%02d", i), 1+draw(7), float64(1+draw(9)), protocol.Priority(draw(4)), func(j *storage.Job) {
 			j.Team, j.Class, j.Spot, j.Zone = draw(len(in.Teams)), draw(3), draw(3) > 0, draw(4)-1
 			j.Image, j.ImageGB, j.Estimate = draw(4), float64(1+draw(3)), float64(5+draw(200))
 			j.OneZone, j.Spread = draw(8) == 0, draw(8) == 0
@@ -92,18 +92,18 @@
 			}
 		}))
 	}
-	in.Flood, in.Lanes = draw(2) > 0, make(Lanes, bookkeeping.LaneCount(len(in.Teams)))
+	in.Flood, in.Lanes = draw(2) > 0, make(Lanes, storage.LaneCount(len(in.Teams)))
 	for _, j := range jobs {
-		if x := bookkeeping.LaneOf(j); draw(3) > 0 && in.Lanes.At(x) == nil {
+		if x := storage.LaneOf(j); draw(3) > 0 && in.Lanes.At(x) == nil {
 			*in.Lanes.Have(x) = Lane{Usual: float64(draw(14)), Floor: float64(draw(20)), Used: float64(draw(20)), Floods: draw(2) > 0, Kept: draw(3) == 0}
 		}
 	}
-	in.Allow = func(j *bookkeeping.Job) (time.Duration, bool) {
+	in.Allow = func(j *storage.Job) (time.Duration, bool) {
 		n := int(j.Estimate) + len(j.ID) + j.Tasks
 		return time.Duration(n%3) * 500 * time.Second, n%7 == 0
 	}
-	in.Overdue = func(j *bookkeeping.Job) bool { return j.Tasks%5 == 0 }
-	in.Capacity = bookkeeping.Usage{Cpus: 320, Mem: 1280}
+	in.Overdue = func(j *storage.Job) bool { return j.Tasks%5 == 0 }
+	in.Capacity = storage.Usage{Cpus: 320, Mem: 1280}
 	return in
 }
 
--- a/internal/coordination/schedule/lanes.go
+++ b/internal/coordination/schedule/lanes.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // This file owns lanes: what each stands for, and the order between them.
@@ -23,11 +23,11 @@
 	Kept bool
 }
 
-// Lanes are lanes by bookkeeping.Lane.Index; nil where there is none.
+// Lanes are lanes by storage.Lane.Index; nil where there is none.
 type Lanes []*Lane
 
 // At is a lane, nil if there is none.
-func (l Lanes) At(x bookkeeping.Lane) *Lane {
+func (l Lanes) At(x storage.Lane) *Lane {
 	if i := x.Index(); i < len(l) {
 		return l[i]
 	}
@@ -35,7 +35,7 @@
 }
 
 // Have is a lane, made if there is none.
-func (l Lanes) Have(x bookkeeping.Lane) *Lane {
+func (l Lanes) Have(x storage.Lane) *Lane {
 	i := x.Index()
 	if l[i] == nil {
 		l[i] = &Lane{}
@@ -62,11 +62,11 @@
 func (q *queue) lane(in *Input) *Lane { return in.Lanes.At(q.of) }
 
 // kept tells whether ordinary machines are left to others than a job.
-func (in *Input) kept(j *bookkeeping.Job) bool {
+func (in *Input) kept(j *storage.Job) bool {
 	if !in.Flood || !j.Spot || j.Priority.Top() {
 		return false
 	}
-	l := in.Lanes.At(bookkeeping.LaneOf(j))
+	l := in.Lanes.At(storage.LaneOf(j))
 	return l != nil && l.Kept
 }
 
@@ -89,7 +89,7 @@
 }
 
 // cpus is what is free of a slot, or evicted from it, in CPUs: no more of them than its accelerators stand for.
-func (s *Slot) cpus(u bookkeeping.Usage) float64 {
+func (s *Slot) cpus(u storage.Usage) float64 {
 	if s.PerGpu > 0 {
 		return max(0, min(u.Cpus, u.Gpus*s.PerGpu))
 	}
@@ -159,8 +159,8 @@
 }
 
 // laneOf finds the queue of a job's lane, or makes one.
-func laneOf(queues []*queue, j *bookkeeping.Job) ([]*queue, *queue) {
-	of := bookkeeping.LaneOf(j)
+func laneOf(queues []*queue, j *storage.Job) ([]*queue, *queue) {
+	of := storage.LaneOf(j)
 	for _, q := range queues {
 		if q.of == of {
 			return queues, q
--- a/internal/coordination/schedule/load.go
+++ b/internal/coordination/schedule/load.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // This file owns how much waits against what the machines can do.
@@ -18,18 +18,18 @@
 }
 
 // WaitOf is a job's waiting work; ok: it has an aim that it can still meet.
-func WaitOf(now time.Time, j *bookkeeping.Job, left int, allow time.Duration, late bool) (w Wait, ok bool) {
+func WaitOf(now time.Time, j *storage.Job, left int, allow time.Duration, late bool) (w Wait, ok bool) {
 	slack := slackOf(now, j, j.At.Add(allow))
 	return Wait{slack, workOf(j, left), !j.Spot}, allow > 0 && !late && slack > 0
 }
 
 // slackOf is how many seconds a job has until it must have its room in order to be done by due.
-func slackOf(now time.Time, j *bookkeeping.Job, due time.Time) float64 {
+func slackOf(now time.Time, j *storage.Job, due time.Time) float64 {
 	return due.Sub(now).Seconds() - finishMargin*j.Estimate - finishGap.Seconds()
 }
 
 // workOf is the work of so many of a job's tasks, in seconds of a CPU.
-func workOf(j *bookkeeping.Job, tasks int) float64 {
+func workOf(j *storage.Job, tasks int) float64 {
 	return float64(tasks) * j.Size * max(j.Estimate, 1)
 }
 
--- a/internal/coordination/schedule/order_test.go
+++ b/internal/coordination/schedule/order_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -42,11 +42,11 @@
 		{"one that never began goes first, with one task", 8, 2, []one{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			in := &Input{Now: now, Capacity: bookkeeping.Usage{Cpus: 1000}, Lanes: Lanes{{Late: x.held, Floods: true, Used: x.room}}, Flood: true,
-				Overdue: func(j *bookkeeping.Job) bool { return now.Sub(j.At) > 600*time.Second }}
-			lates := map[*bookkeeping.Job]bool{}
-			in.Begin = func(j *bookkeeping.Job) bool { return strings.HasPrefix(j.ID, "never") }
-			in.Allow = func(j *bookkeeping.Job) (time.Duration, bool) { return 60 * time.Second, lates[j] }
+			in := &Input{Now: now, Capacity: storage.Usage{Cpus: 1000}, Lanes: Lanes{{Late: x.held, Floods: true, Used: x.room}}, Flood: true,
+				Overdue: func(j *storage.Job) bool { return now.Sub(j.At) > 600*time.Second }}
+			lates := map[*storage.Job]bool{}
+			in.Begin = func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") }
+			in.Allow = func(j *storage.Job) (time.Duration, bool) { return 60 * time.Second, lates[j] }
 			q := &queue{}
 			for _, y := range x.jobs {
 				j := job(y.id, y.tasks, 1, protocol.Normal)
@@ -98,17 +98,17 @@
 	r       *rand.Rand
 	in      *Input
 	slots   []*Slot
-	jobs    []*bookkeeping.Job
-	runs    map[*bookkeeping.Job]float64
-	ended   map[*bookkeeping.Job]float64 // when its last task was done
+	jobs    []*storage.Job
+	runs    map[*storage.Job]float64
+	ended   map[*storage.Job]float64 // when its last task was done
 	running []runningTask
-	usual   map[bookkeeping.Lane]float64
+	usual   map[storage.Lane]float64
 	now     float64
 	over    bool // the flood is dealt with
 }
 
 type runningTask struct {
-	job  *bookkeeping.Job
+	job  *storage.Job
 	task int
 	slot *Slot
 	ends float64
@@ -116,7 +116,7 @@
 
 const playAim = 60.0
 
-func (p *player) submit(lane bookkeeping.Lane) {
+func (p *player) submit(lane storage.Lane) {
 	j := job(fmt.Sprintf("j%05d", len(p.jobs)), 1+p.r.IntN(9), float64(1+p.r.IntN(3)), protocol.Normal)
 	j.Team, j.Class, j.At = lane.Team, lane.Class, time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second)))
 	p.runs[j] = 4 * math.Exp(0.8*p.r.NormFloat64()+0.5)
@@ -142,7 +142,7 @@
 	})
 	in := p.in
 	in.Now, in.Jobs, in.Slots, in.Records, in.Tasks = time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second))), in.Jobs[:0], p.slots, 999, 9999
-	in.Lanes, in.Flood, in.Capacity = make(Lanes, bookkeeping.LaneCount(len(in.Teams))), false, bookkeeping.Usage{Cpus: 16 * float64(len(p.slots)), Mem: 1e9}
+	in.Lanes, in.Flood, in.Capacity = make(Lanes, storage.LaneCount(len(in.Teams))), false, storage.Usage{Cpus: 16 * float64(len(p.slots)), Mem: 1e9}
 	for _, s := range p.slots {
 		*s.Record = Record{Room: 100}
 	}
@@ -155,7 +155,7 @@
 			continue
 		}
 		in.Jobs = append(in.Jobs, j)
-		l := in.Lanes.At(bookkeeping.LaneOf(j))
+		l := in.Lanes.At(storage.LaneOf(j))
 		l.Used += float64(j.NPlaced) * j.Cpus
 		l.Open += float64(j.NPlaced+j.Waiting()) * j.Cpus
 		allow, late := in.Allow(j)
@@ -168,7 +168,7 @@
 		l.Floods = l.Open > 3*u
 		in.Flood = in.Flood || l.Floods
 	}
-	in.Used = make([]bookkeeping.Usage, len(in.Teams))
+	in.Used = make([]storage.Usage, len(in.Teams))
 	busy := 0.0
 	for _, x := range p.running {
 		in.Used[x.job.Team].Add(x.job, 1)
@@ -195,9 +195,9 @@
 }
 
 // old are a lane's jobs since a time that are old enough to tell whether they were in time.
-func (p *player) old(lane bookkeeping.Lane, since float64) (out []*bookkeeping.Job) {
+func (p *player) old(lane storage.Lane, since float64) (out []*storage.Job) {
 	for _, j := range p.jobs {
-		if at := float64(j.At.Unix()); bookkeeping.LaneOf(j) == lane && at >= since && at+playAim <= p.now {
+		if at := float64(j.At.Unix()); storage.LaneOf(j) == lane && at >= since && at+playAim <= p.now {
 			out = append(out, j)
 		}
 	}
@@ -205,7 +205,7 @@
 }
 
 // inTime is the part of them that were, and how many they are.
-func (p *player) inTime(jobs []*bookkeeping.Job) (part float64, n int) {
+func (p *player) inTime(jobs []*storage.Job) (part float64, n int) {
 	good := 0
 	for _, j := range jobs {
 		if end, ok := p.ended[j]; ok && end <= float64(j.At.Unix())+playAim {
@@ -217,9 +217,9 @@
 
 // bound is the part that could have been with all that is known only now: the smallest, as many
 // as so much work takes.
-func (p *player) bound(jobs []*bookkeeping.Job, work float64) float64 {
-	size := func(j *bookkeeping.Job) float64 { return float64(j.Tasks) * j.Cpus * p.runs[j] }
-	slices.SortFunc(jobs, func(a, b *bookkeeping.Job) int { return cmp.Compare(size(a), size(b)) })
+func (p *player) bound(jobs []*storage.Job, work float64) float64 {
+	size := func(j *storage.Job) float64 { return float64(j.Tasks) * j.Cpus * p.runs[j] }
+	slices.SortFunc(jobs, func(a, b *storage.Job) int { return cmp.Compare(size(a), size(b)) })
 	n := 0
 	for ; n < len(jobs) && work >= size(jobs[n]); n++ {
 		work -= size(jobs[n])
@@ -234,12 +234,12 @@
 	drawAlike(t, "11", "20")
 	worst, least, all, plays := 1.0, 1.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := &player{r: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), runs: map[*bookkeeping.Job]float64{}, ended: map[*bookkeeping.Job]float64{},
-			usual: map[bookkeeping.Lane]float64{}}
+		p := &player{r: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), runs: map[*storage.Job]float64{}, ended: map[*storage.Job]float64{},
+			usual: map[storage.Lane]float64{}}
 		teams, machines := rapid.IntRange(1, 3).Draw(t, "teams"), rapid.IntRange(18, 36).Draw(t, "machines")
 		factor := rapid.IntRange(4, 20).Draw(t, "factor")
 		lost := rapid.IntRange(0, machines/3).Draw(t, "lost")
-		p.in = &Input{Teams: make([]config.Team, teams), Allow: func(j *bookkeeping.Job) (time.Duration, bool) {
+		p.in = &Input{Teams: make([]config.Team, teams), Allow: func(j *storage.Job) (time.Duration, bool) {
 			d := time.Duration(playAim * float64(time.Second))
 			if p.in.Now.Sub(j.At).Seconds()+j.Estimate > playAim {
 				return d * 3 / 2, true
@@ -249,14 +249,14 @@
 		for i := range machines {
 			p.slots = append(p.slots, slot(fmt.Sprint("m", i), 0, 16))
 		}
-		var lanes []bookkeeping.Lane
+		var lanes []storage.Lane
 		for team := range teams {
 			for class := range 1 + p.r.IntN(3) {
-				lanes = append(lanes, bookkeeping.Lane{Team: team, Class: class})
+				lanes = append(lanes, storage.Lane{Team: team, Class: class})
 			}
 		}
 		if len(lanes) == 1 {
-			lanes = append(lanes, bookkeeping.Lane{Class: 5})
+			lanes = append(lanes, storage.Lane{Class: 5})
 		}
 		const each = 5 * 2 * 4 * 2.3 // work of a job on average
 		for _, x := range lanes {
--- a/internal/coordination/schedule/place.go
+++ b/internal/coordination/schedule/place.go
@@ -1,5 +1,5 @@
 // Package schedule decides what runs where: placement, fair share and
-// eviction, as pure functions over the bookkeeping's view.
+// eviction, as pure functions over the storage's view.
 package schedule
 
 import (
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 )
 
@@ -19,8 +19,8 @@
 
 // Slot is a machine that may take tasks, with what is free on it.
 type Slot struct {
-	M       *bookkeeping.Machine
-	Free    bookkeeping.Usage
+	M       *storage.Machine
+	Free    storage.Usage
 	Images  []int             // images that it has
 	Coming  []int             // images that it is fetching
 	Ready   float64           // seconds until it has those
@@ -30,7 +30,7 @@
 	Held    []Held            // room that is kept for certain jobs
 	Fragile int               // tasks on it that stand to lose much if it is taken
 	Boots   float64           // seconds until it is up, as a guess
-	Yields  bookkeeping.Usage // what its tasks take that top-priority work may evict
+	Yields  storage.Usage // what its tasks take that top-priority work may evict
 	PerGpu  float64           // CPUs for each of its accelerators; 0: it has none
 	Record  *Record           // where it is written down, with other machines
 	at      int32             // its place among all of a pass
@@ -44,7 +44,7 @@
 
 // Held is room on a machine that an eviction freed for a job.
 type Held struct {
-	Job   *bookkeeping.Job
+	Job   *storage.Job
 	Slots int
 }
 
@@ -53,27 +53,27 @@
 	Now      time.Time
 	Slots    []*Slot
 	Booting  []*Slot // machines that come up: nothing goes there yet
-	Jobs     []*bookkeeping.Job
+	Jobs     []*storage.Job
 	Teams    []config.Team
-	Used     []bookkeeping.Usage
-	Capacity bookkeeping.Usage
+	Used     []storage.Usage
+	Capacity storage.Usage
 	// Allow is how long a job may take from its submission, 0: no aim; late: it has missed
 	// all its aims.
-	Allow func(*bookkeeping.Job) (d time.Duration, late bool)
+	Allow func(*storage.Job) (d time.Duration, late bool)
 	// Begin, if set, tells whether a job has waited too long without a task of it placed.
-	Begin func(*bookkeeping.Job) bool
+	Begin func(*storage.Job) bool
 	// Overdue, if set, tells whether a job has waited far too long.
-	Overdue func(*bookkeeping.Job) bool
+	Overdue func(*storage.Job) bool
 	// Lanes are the classes of the teams; what a pass places is added to what they use.
 	Lanes Lanes
 	// Flood tells that their floors count.
 	Flood bool
 	// Hold tells whether a job must not start tasks now.
-	Hold func(*bookkeeping.Job) bool
+	Hold func(*storage.Job) bool
 	// Evicts, if set, tells whether a job may evict best-effort work now.
-	Evicts func(*bookkeeping.Job) bool
+	Evicts func(*storage.Job) bool
 	// Most, if set, is how many of a job's tasks may be placed in this pass.
-	Most func(*bookkeeping.Job) int
+	Most func(*storage.Job) int
 	// Ordinary is what it costs, in seconds, to put work that may use a spot
 	// machine on an ordinary one.
 	Ordinary float64
@@ -90,7 +90,7 @@
 
 // Placement puts a task on a machine.
 type Placement struct {
-	Job  *bookkeeping.Job
+	Job  *storage.Job
 	Task int
 	Slot *Slot
 }
@@ -99,12 +99,12 @@
 type Result struct {
 	Placed []Placement
 	More   bool                     // the bounds ended the pass early
-	Short  map[*bookkeeping.Job]int // tasks that found no room, by job, or that start sooner on room which they evict
+	Short  map[*storage.Job]int // tasks that found no room, by job, or that start sooner on room which they evict
 	Scans  int                      // looks at all machines
 }
 
 type cursor struct {
-	job     *bookkeeping.Job
+	job     *storage.Job
 	next    int
 	left    int
 	placed  []int32   // by zone, in this pass
@@ -118,7 +118,7 @@
 }
 
 type queue struct {
-	of   bookkeeping.Lane
+	of   storage.Lane
 	jobs []*cursor
 	find finder
 }
@@ -154,7 +154,7 @@
 
 // Place decides which waiting tasks start where.
 func Place(in *Input) Result {
-	res := Result{Short: map[*bookkeeping.Job]int{}}
+	res := Result{Short: map[*storage.Job]int{}}
 	live := queues(in)
 	find := newSearch(in)
 	teams := make([]int, len(in.Teams))
@@ -209,7 +209,7 @@
 }
 
 // DominantShare is the largest part of any resource that a team uses.
-func DominantShare(u, capacity bookkeeping.Usage) float64 {
+func DominantShare(u, capacity storage.Usage) float64 {
 	part := func(x, of float64) float64 {
 		if of <= 0 {
 			return 0
@@ -220,7 +220,7 @@
 }
 
 // WithinGuarantee tells whether a team that uses u may claim room for one more task.
-func WithinGuarantee(t config.Team, u bookkeeping.Usage, j *bookkeeping.Job) bool {
+func WithinGuarantee(t config.Team, u storage.Usage, j *storage.Job) bool {
 	if t.Cpus <= 0 && t.Gpus <= 0 {
 		return false
 	}
@@ -228,13 +228,13 @@
 }
 
 // WithinLimit tells whether n more tasks stay under the team's limit.
-func WithinLimit(t config.Team, u bookkeeping.Usage, j *bookkeeping.Job, n int) bool {
+func WithinLimit(t config.Team, u storage.Usage, j *storage.Job, n int) bool {
 	return (t.CpusMax <= 0 || u.Cpus+float64(n)*j.Cpus <= t.CpusMax+eps) &&
 		(t.GpusMax <= 0 || u.Gpus+float64(n)*j.Gpus <= t.GpusMax+eps)
 }
 
 // RoomWithin is how many of n more tasks stay under the team's limit.
-func RoomWithin(t config.Team, u bookkeeping.Usage, j *bookkeeping.Job, n int) int {
+func RoomWithin(t config.Team, u storage.Usage, j *storage.Job, n int) int {
 	for _, bound := range [...]struct{ limit, used, each float64 }{{t.CpusMax, u.Cpus, j.Cpus}, {t.GpusMax, u.Gpus, j.Gpus}} {
 		if bound.limit > 0 && bound.each > 0 {
 			n = min(n, int((bound.limit-bound.used+eps)/bound.each))
@@ -244,7 +244,7 @@
 }
 
 // Allowed tells whether a job's tasks may run on such a machine at all.
-func Allowed(j *bookkeeping.Job, m *bookkeeping.Machine) bool {
+func Allowed(j *storage.Job, m *storage.Machine) bool {
 	if m.Spot && !j.Spot {
 		return false
 	}
@@ -255,7 +255,7 @@
 }
 
 // Fits is how many tasks of a job fit into what is free.
-func Fits(free bookkeeping.Usage, j *bookkeeping.Job) int {
+func Fits(free storage.Usage, j *storage.Job) int {
 	n := math.Inf(1)
 	for _, d := range [...][2]float64{{free.Cpus, j.Cpus}, {free.Gpus, j.Gpus}, {free.Mem, j.Mem}} {
 		if d[1] > 0 {
@@ -266,7 +266,7 @@
 }
 
 // FreeFor is what a job may use on a slot: room kept for other jobs is not free to it.
-func FreeFor(s *Slot, j *bookkeeping.Job) bookkeeping.Usage {
+func FreeFor(s *Slot, j *storage.Job) storage.Usage {
 	f := s.Free
 	for _, h := range s.Held {
 		if h.Job != j {
@@ -307,7 +307,7 @@
 }
 
 // roomiest is the zone with room for the most tasks of a job.
-func roomiest(in *Input, j *bookkeeping.Job) int {
+func roomiest(in *Input, j *storage.Job) int {
 	var room []int
 	best := -1
 	for _, s := range in.Slots {
@@ -330,19 +330,19 @@
 // cost no look at every machine each.
 type noRoom struct {
 	in    *Input
-	sizes []bookkeeping.Job
+	sizes []storage.Job
 	kept  []bool                    // by size: it was looked for on spot machines only
-	held  map[*bookkeeping.Job]bool // they have room of their own
+	held  map[*storage.Job]bool // they have room of their own
 }
 
-func (n *noRoom) note(j *bookkeeping.Job) {
+func (n *noRoom) note(j *storage.Job) {
 	if len(j.Types) == 0 && !j.OneZone && !j.Spread && len(n.sizes) < 16 {
-		n.sizes = append(n.sizes, bookkeeping.Job{Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Spot: j.Spot, Zone: j.Zone})
+		n.sizes = append(n.sizes, storage.Job{Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Spot: j.Spot, Zone: j.Zone})
 		n.kept = append(n.kept, n.in.kept(j))
 	}
 }
 
-func (n *noRoom) covers(j *bookkeeping.Job) bool {
+func (n *noRoom) covers(j *storage.Job) bool {
 	if n.held[j] {
 		return false
 	}
@@ -357,7 +357,7 @@
 
 // cost is what a placement costs in seconds: the fetch with those already
 // waiting, the machine's risk, and little things that only break ties.
-func cost(in *Input, s *Slot, j *bookkeeping.Job) float64 {
+func cost(in *Input, s *Slot, j *storage.Job) float64 {
 	c := s.Risk
 	c += s.fetches(j)
 	switch {
@@ -399,7 +399,7 @@
 // spotLoss is how many seconds a task is expected to lose because its machine is taken:
 // long ones that do not save lose most, and run their whole time again at the end.
 // Many of them on one machine would all be late together.
-func spotLoss(j *bookkeeping.Job) float64 {
+func spotLoss(j *storage.Job) float64 {
 	lost := j.Estimate
 	if j.Mark > 0 {
 		lost = min(lost, j.Mark)
@@ -408,7 +408,7 @@
 }
 
 // AddFragile counts a task that runs on the slot's machine.
-func (s *Slot) AddFragile(j *bookkeeping.Job) {
+func (s *Slot) AddFragile(j *storage.Job) {
 	if spotLoss(j) >= fragileFrom {
 		s.Fragile++
 	}
@@ -432,7 +432,7 @@
 	}
 	c.inZone(s.M.Zone)
 	in.Used[j.Team].Add(j, 1)
-	if l := in.Lanes.At(bookkeeping.LaneOf(j)); l != nil {
+	if l := in.Lanes.At(storage.LaneOf(j)); l != nil {
 		l.Used += j.Size
 	}
 }
--- a/internal/coordination/schedule/schedule_test.go
+++ b/internal/coordination/schedule/schedule_test.go
@@ -6,16 +6,16 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
-func job(id string, tasks int, cpus float64, prio protocol.Priority, change ...func(*bookkeeping.Job)) *bookkeeping.Job {
-	j := &bookkeeping.Job{ID: id, Tasks: tasks, Cpus: cpus, Mem: cpus, Priority: prio, Zone: -1, Spot: true,
-		At: time.Unix(1000, 0), Done: bookkeeping.NewBitmap(tasks), Machine: make([]int32, tasks), Attempt: make([]uint64, tasks)}
+func job(id string, tasks int, cpus float64, prio protocol.Priority, change ...func(*storage.Job)) *storage.Job {
+	j := &storage.Job{ID: id, Tasks: tasks, Cpus: cpus, Mem: cpus, Priority: prio, Zone: -1, Spot: true,
+		At: time.Unix(1000, 0), Done: storage.NewBitmap(tasks), Machine: make([]int32, tasks), Attempt: make([]uint64, tasks)}
 	for i := range j.Machine {
-		j.Machine[i] = bookkeeping.Nowhere
+		j.Machine[i] = storage.Nowhere
 	}
 	for _, f := range change {
 		f(j)
@@ -25,7 +25,7 @@
 }
 
 func slot(name string, zone int, cpus float64, change ...func(*Slot)) *Slot {
-	s := &Slot{M: &bookkeeping.Machine{Name: name, Zone: zone}, Free: bookkeeping.Usage{Cpus: cpus, Mem: 4 * cpus}, Fetch: 1, Record: &Record{Room: 100}}
+	s := &Slot{M: &storage.Machine{Name: name, Zone: zone}, Free: storage.Usage{Cpus: cpus, Mem: 4 * cpus}, Fetch: 1, Record: &Record{Room: 100}}
 	for _, f := range change {
 		f(s)
 	}
@@ -33,13 +33,13 @@
 }
 
 func TestPlace(t *testing.T) {
-	team := func(n int) func(*bookkeeping.Job) { return func(j *bookkeeping.Job) { j.Team = n } }
+	team := func(n int) func(*storage.Job) { return func(j *storage.Job) { j.Team = n } }
 	cases := []struct {
 		name  string
-		jobs  []*bookkeeping.Job
+		jobs  []*storage.Job
 		slots []*Slot
 		teams []config.Team
-		used  []bookkeeping.Usage
+		used  []storage.Usage
 		bound int
 		kept  bool           // the first class leaves ordinary machines to a flood
 		want  map[string]int // tasks placed by job/machine
@@ -47,56 +47,56 @@
 		more  bool
 	}{
 		{name: "fills what fits and reports the rest",
-			jobs: []*bookkeeping.Job{job("a", 3, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 8)},
+			jobs: []*storage.Job{job("a", 3, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 8)},
 			want: map[string]int{"a/m": 2}, short: map[string]int{"a": 1}},
 		{name: "higher priority first",
-			jobs:  []*bookkeeping.Job{job("a", 2, 4, protocol.Normal), job("b", 2, 4, protocol.High)},
+			jobs:  []*storage.Job{job("a", 2, 4, protocol.Normal), job("b", 2, 4, protocol.High)},
 			slots: []*Slot{slot("m", 0, 8)}, want: map[string]int{"b/m": 2}},
 		{name: "a team's limit holds although there is room",
-			jobs: []*bookkeeping.Job{job("a", 5, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 32)},
+			jobs: []*storage.Job{job("a", 5, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 32)},
 			teams: []config.Team{{CpusMax: 9}}, want: map[string]int{"a/m": 2}},
 		{name: "what a team uses elsewhere counts",
-			jobs: []*bookkeeping.Job{job("a", 5, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 32)},
-			teams: []config.Team{{CpusMax: 9}}, used: []bookkeeping.Usage{{Cpus: 4}}, want: map[string]int{"a/m": 1}},
+			jobs: []*storage.Job{job("a", 5, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 32)},
+			teams: []config.Team{{CpusMax: 9}}, used: []storage.Usage{{Cpus: 4}}, want: map[string]int{"a/m": 1}},
 		{name: "a team within its guarantee goes before higher priority of others",
-			jobs:  []*bookkeeping.Job{job("a", 2, 4, protocol.Low, team(1)), job("b", 2, 4, protocol.High)},
+			jobs:  []*storage.Job{job("a", 2, 4, protocol.Low, team(1)), job("b", 2, 4, protocol.High)},
 			slots: []*Slot{slot("m", 0, 8)}, teams: []config.Team{{}, {Cpus: 4}},
 			want: map[string]int{"a/m": 1, "b/m": 1}},
 		{name: "a class with small tasks within the guarantee does not go before its team's higher priority",
-			jobs: []*bookkeeping.Job{job("a", 1, 8, protocol.High),
-				job("b", 4, 2, protocol.Normal, func(j *bookkeeping.Job) { j.Class = 1 })},
+			jobs: []*storage.Job{job("a", 1, 8, protocol.High),
+				job("b", 4, 2, protocol.Normal, func(j *storage.Job) { j.Class = 1 })},
 			slots: []*Slot{slot("m", 0, 8)}, teams: []config.Team{{Cpus: 6}}, want: map[string]int{"a/m": 1}},
 		{name: "a class that leaves ordinary machines to a flood; that says nothing of others",
-			jobs: []*bookkeeping.Job{job("a", 1, 2, protocol.Normal), job("b", 1, 2, protocol.Normal, func(j *bookkeeping.Job) { j.Class = 1 }),
-				job("c", 1, 2, protocol.Normal, func(j *bookkeeping.Job) { j.Spot = false }), job("d", 1, 2, protocol.High)},
+			jobs: []*storage.Job{job("a", 1, 2, protocol.Normal), job("b", 1, 2, protocol.Normal, func(j *storage.Job) { j.Class = 1 }),
+				job("c", 1, 2, protocol.Normal, func(j *storage.Job) { j.Spot = false }), job("d", 1, 2, protocol.High)},
 			slots: []*Slot{slot("m", 0, 16)}, kept: true, want: map[string]int{"b/m": 1, "c/m": 1, "d/m": 1}, short: map[string]int{"a": 1}},
 		{name: "equal teams share",
-			jobs:  []*bookkeeping.Job{job("a", 4, 4, protocol.Normal), job("b", 4, 4, protocol.Normal, team(1))},
+			jobs:  []*storage.Job{job("a", 4, 4, protocol.Normal), job("b", 4, 4, protocol.Normal, team(1))},
 			slots: []*Slot{slot("m", 0, 16)}, teams: []config.Team{{}, {}}, want: map[string]int{"a/m": 2, "b/m": 2}},
 		{name: "no spot machine for a job that forbids it",
-			jobs:  []*bookkeeping.Job{job("a", 1, 4, protocol.Normal, func(j *bookkeeping.Job) { j.Spot = false })},
+			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Spot = false })},
 			slots: []*Slot{slot("m", 0, 8, func(s *Slot) { s.M.Spot = true })}, short: map[string]int{"a": 1}},
 		{name: "only the zone that is asked for",
-			jobs:  []*bookkeeping.Job{job("a", 2, 4, protocol.Normal, func(j *bookkeeping.Job) { j.Zone = 1 })},
+			jobs:  []*storage.Job{job("a", 2, 4, protocol.Normal, func(j *storage.Job) { j.Zone = 1 })},
 			slots: []*Slot{slot("m", 0, 8), slot("n", 1, 4)}, want: map[string]int{"a/n": 1}, short: map[string]int{"a": 1}},
 		{name: "all tasks in one zone, the roomiest",
-			jobs:  []*bookkeeping.Job{job("a", 3, 4, protocol.Normal, func(j *bookkeeping.Job) { j.OneZone = true })},
+			jobs:  []*storage.Job{job("a", 3, 4, protocol.Normal, func(j *storage.Job) { j.OneZone = true })},
 			slots: []*Slot{slot("m", 0, 4), slot("n", 1, 8)}, want: map[string]int{"a/n": 2}, short: map[string]int{"a": 1}},
 		{name: "scattered: at most half, rounded up, in a zone",
-			jobs:  []*bookkeeping.Job{job("a", 5, 4, protocol.Normal, func(j *bookkeeping.Job) { j.Spread = true })},
+			jobs:  []*storage.Job{job("a", 5, 4, protocol.Normal, func(j *storage.Job) { j.Spread = true })},
 			slots: []*Slot{slot("m", 0, 32), slot("n", 1, 4)}, want: map[string]int{"a/m": 3, "a/n": 1}, short: map[string]int{"a": 1}},
 		{name: "the machine with the image",
-			jobs:  []*bookkeeping.Job{job("a", 1, 4, protocol.Normal, func(j *bookkeeping.Job) { j.Image, j.ImageGB = 7, 3 })},
+			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Image, j.ImageGB = 7, 3 })},
 			slots: []*Slot{slot("m", 0, 8), slot("n", 0, 8, func(s *Slot) { s.Images = []int{7} })},
 			want:  map[string]int{"a/n": 1}},
 		{name: "room held for another job is not free",
-			jobs: []*bookkeeping.Job{job("a", 2, 4, protocol.Normal)},
+			jobs: []*storage.Job{job("a", 2, 4, protocol.Normal)},
 			slots: []*Slot{slot("m", 0, 8, func(s *Slot) {
 				s.Held = []Held{{Job: job("x", 1, 4, protocol.High), Slots: 1}}
 			})},
 			want: map[string]int{"a/m": 1}, short: map[string]int{"a": 1}},
 		{name: "no more records than the transaction takes",
-			jobs: []*bookkeeping.Job{job("a", 4, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 4), slot("n", 0, 4)},
+			jobs: []*storage.Job{job("a", 4, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 4), slot("n", 0, 4)},
 			bound: 1, want: map[string]int{"a/m": 1}, more: true},
 	}
 	for _, c := range cases {
@@ -105,15 +105,15 @@
 				c.teams = []config.Team{{}}
 			}
 			if c.used == nil {
-				c.used = make([]bookkeeping.Usage, len(c.teams))
+				c.used = make([]storage.Usage, len(c.teams))
 			}
 			if c.bound == 0 {
 				c.bound = 100
 			}
-			lanes := make(Lanes, bookkeeping.LaneCount(len(c.teams)))
-			lanes.Have(bookkeeping.Lane{}).Kept = c.kept
+			lanes := make(Lanes, storage.LaneCount(len(c.teams)))
+			lanes.Have(storage.Lane{}).Kept = c.kept
 			res := Place(&Input{Slots: c.slots, Jobs: c.jobs, Teams: c.teams, Used: c.used, Lanes: lanes, Flood: c.kept,
-				Capacity: bookkeeping.Usage{Cpus: 100, Mem: 400}, Records: c.bound, Tasks: 100})
+				Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: c.bound, Tasks: 100})
 			got := map[string]int{}
 			seen := map[string]map[int]bool{}
 			for _, p := range res.Placed {
@@ -217,15 +217,15 @@
 		{"long, but saves", 150, 10, true, 40},
 		{"on machines that are not taken", 150, 0, false, 40},
 	} {
-		j := &bookkeeping.Job{ID: "j", Tasks: 40, Cpus: 0.25, Estimate: x.estimate, Mark: x.mark, Spot: true, Zone: -1,
-			Done: bookkeeping.NewBitmap(40), Machine: slices.Repeat([]int32{bookkeeping.Nowhere}, 40)}
-		in := &Input{Now: time.Now(), Jobs: []*bookkeeping.Job{j}, Teams: []config.Team{{}}, Used: make([]bookkeeping.Usage, 1),
-			Capacity: bookkeeping.Usage{Cpus: 64}, Records: 9, Tasks: 100}
+		j := &storage.Job{ID: "j", Tasks: 40, Cpus: 0.25, Estimate: x.estimate, Mark: x.mark, Spot: true, Zone: -1,
+			Done: storage.NewBitmap(40), Machine: slices.Repeat([]int32{storage.Nowhere}, 40)}
+		in := &Input{Now: time.Now(), Jobs: []*storage.Job{j}, Teams: []config.Team{{}}, Used: make([]storage.Usage, 1),
+			Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
 		for i := range 4 {
-			in.Slots = append(in.Slots, &Slot{M: &bookkeeping.Machine{Spot: x.spot}, Free: bookkeeping.Usage{Cpus: 16, Mem: 9},
+			in.Slots = append(in.Slots, &Slot{M: &storage.Machine{Spot: x.spot}, Free: storage.Usage{Cpus: 16, Mem: 9},
 				Images: []int{0}, Rank: float64(i) / 4, Record: &Record{Room: 99}})
 		}
-		in.Slots = append(in.Slots, &Slot{M: &bookkeeping.Machine{}, Free: bookkeeping.Usage{Cpus: 16, Mem: 9},
+		in.Slots = append(in.Slots, &Slot{M: &storage.Machine{}, Free: storage.Usage{Cpus: 16, Mem: 9},
 			Images: []int{0}, Rank: 0.9, Record: &Record{Room: 99}})
 		in.Ordinary = 0.2
 		count, most := map[*Slot]int{}, 0
@@ -244,9 +244,9 @@
 
 // With a full fleet each of hundreds of waiting jobs looked at every machine, each pass.
 func TestFullFleetIsLookedAtOnce(t *testing.T) {
-	in := &Input{Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]bookkeeping.Usage, 2), Capacity: bookkeeping.Usage{Cpus: 64}, Records: 9, Tasks: 100}
+	in := &Input{Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2), Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
 	for range 4 {
-		in.Slots = append(in.Slots, &Slot{M: &bookkeeping.Machine{Spot: true}, Free: bookkeeping.Usage{Cpus: 1, Mem: 64}, Record: &Record{Room: 99}})
+		in.Slots = append(in.Slots, &Slot{M: &storage.Machine{Spot: true}, Free: storage.Usage{Cpus: 1, Mem: 64}, Record: &Record{Room: 99}})
 	}
 	for i := range 500 {
 		j := job(fmt.Sprint("j", i), 3, 2, protocol.Normal)
--- a/internal/coordination/schedule/soonest.go
+++ b/internal/coordination/schedule/soonest.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // This file owns where a task starts soonest: what a machine still has to fetch for it, and
@@ -27,7 +27,7 @@
 )
 
 // fetches is how many seconds a slot's machine needs until it has a job's image.
-func (s *Slot) fetches(j *bookkeeping.Job) float64 {
+func (s *Slot) fetches(j *storage.Job) float64 {
 	if s.Fetch <= 0 || slices.Contains(s.Images, j.Image) {
 		return 0
 	}
@@ -105,7 +105,7 @@
 }
 
 // fetch has a slot's machine fetch a job's image, if it neither has nor fetches it.
-func (s *Slot) fetch(j *bookkeeping.Job) {
+func (s *Slot) fetch(j *storage.Job) {
 	if slices.Contains(s.Images, j.Image) || slices.Contains(s.Coming, j.Image) {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // heldFor is how many tasks of a job the slot's room is kept for.
-func (s *Slot) heldFor(j *bookkeeping.Job) int {
+func (s *Slot) heldFor(j *storage.Job) int {
 	n := 0
 	for _, h := range s.Held {
 		if h.Job == j {
@@ -154,7 +154,7 @@
 // looked at if those before give too little room. Among machines alike the order of the candidates is kept.
 // Where no machine fetches it for long, the score alone decides: on the lifts with pipelines, whose work within guarantees evicts all day,
 // looking first at machines a few seconds nearer lost more than it gained.
-func EvictSoonest(j *bookkeeping.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+func EvictSoonest(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
 	if !slices.ContainsFunc(slots, func(s *Slot) bool { return s.Fetch > 0 && j.ImageGB/s.Fetch > soonerBy }) {
 		return Evict(j, n, slots, ordered)
 	}
--- a/internal/coordination/schedule/soonest_test.go
+++ b/internal/coordination/schedule/soonest_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -17,7 +17,7 @@
 func TestWhereATaskStartsSoonest(t *testing.T) {
 	const img = 7
 	has := func(s *Slot) { s.Images = []int{img} }
-	yields := func(s *Slot) { s.Free.Cpus, s.Yields = 0, bookkeeping.Usage{Cpus: 8, Mem: 32} }
+	yields := func(s *Slot) { s.Free.Cpus, s.Yields = 0, storage.Usage{Cpus: 8, Mem: 32} }
 	boots := func(sec float64) func(*Slot) { return func(s *Slot) { s.Boots = sec } }
 	fetches := func(image int, sec float64) func(*Slot) {
 		return func(s *Slot) { s.Coming, s.Ready = []int{image}, sec }
@@ -40,9 +40,9 @@
 		{"not one behind others' fetches", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, fetches(img, 80))}, nil, "m"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			j := job("a", 1, 4, x.prio, func(j *bookkeeping.Job) { j.Image, j.ImageGB, j.Spot = img, x.gb, false })
-			res := Place(&Input{Now: time.Unix(1000, 0), Slots: x.slots, Booting: x.booting, Jobs: []*bookkeeping.Job{j}, Teams: make([]config.Team, 1), Used: make([]bookkeeping.Usage, 1),
-				Capacity: bookkeeping.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9, Evicts: func(j *bookkeeping.Job) bool { return j.Priority.Top() }})
+			j := job("a", 1, 4, x.prio, func(j *storage.Job) { j.Image, j.ImageGB, j.Spot = img, x.gb, false })
+			res := Place(&Input{Now: time.Unix(1000, 0), Slots: x.slots, Booting: x.booting, Jobs: []*storage.Job{j}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
+				Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9, Evicts: func(j *storage.Job) bool { return j.Priority.Top() }})
 			got := "waits"
 			switch {
 			case len(res.Placed) > 0:
@@ -59,13 +59,13 @@
 
 // A service's replicas part over the machines that have its image: one machine's end took all of them.
 func TestReplicasPart(t *testing.T) {
-	j := job("a", 6, 1, protocol.Production, func(j *bookkeeping.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
+	j := job("a", 6, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
 	var slots []*Slot
 	for i := range 6 {
 		slots = append(slots, slot(fmt.Sprint("m", i), i%2, 8, func(s *Slot) { s.Images, s.Rank = []int{7}, float64(i)/6 }))
 	}
-	res := Place(&Input{Now: time.Unix(1000, 0), Slots: slots, Jobs: []*bookkeeping.Job{j}, Teams: make([]config.Team, 1), Used: make([]bookkeeping.Usage, 1),
-		Capacity: bookkeeping.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9})
+	res := Place(&Input{Now: time.Unix(1000, 0), Slots: slots, Jobs: []*storage.Job{j}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
+		Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9})
 	on := map[string]int{}
 	for _, p := range res.Placed {
 		on[p.Slot.M.Name]++
@@ -82,7 +82,7 @@
 		n    int
 		want string
 	}{{1, "n1"}, {2, "n1 n2"}, {3, "m1 n1 n2"}, {9, "m1 m2 n1 n2"}} {
-		j := job("top", 9, 4, protocol.Production, func(j *bookkeeping.Job) { j.Image, j.ImageGB = 7, 30 })
+		j := job("top", 9, 4, protocol.Production, func(j *storage.Job) { j.Image, j.ImageGB = 7, 30 })
 		m, n := slot("m", 0, 0), slot("n", 0, 0, func(s *Slot) { s.Images = []int{7} })
 		var cands []Candidate
 		for i, s := range []*Slot{m, m, n, n} {
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -74,7 +74,7 @@
 		return false
 	}
 	gone, others := 0, 0
-	for name := range c.book.Nodes {
+	for name := range c.cache.Nodes {
 		if name == c.cfg.NodeName {
 			continue
 		}
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -16,11 +16,11 @@
 func TestStandstillIsNoticed(t *testing.T) {
 	c := newCore(t)
 	c.lease = 1
-	m := c.book.Machine("m")
+	m := c.cache.Machine("m")
 	v := c.view(m)
 	m.Session, v.probes = 1, 5
-	c.book.Nodes["n1"] = &bookkeeping.Node{Version: 1}
-	c.book.Nodes["n0"] = &bookkeeping.Node{Version: 1}
+	c.cache.Nodes["n1"] = &storage.Node{Version: 1}
+	c.cache.Nodes["n0"] = &storage.Node{Version: 1}
 	start := time.Now()
 	woke := start.Add(9 * time.Second)
 	c.renewed, c.goodAt, c.ownSince = start, start, start.Add(-time.Minute)
@@ -79,7 +79,7 @@
 		c := newCore(t)
 		asked := make(chan string, 100)
 		c.cloud = rentCounter{asked: asked}
-		c.book.Leader = bookkeeping.Leader{LeaderRecord: bookkeeping.LeaderRecord{Node: "n0", Incarnation: 1}, Version: 1}
+		c.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Node: "n0", Incarnation: 1}, Version: 1}
 		now := time.Now()
 		c.lease, c.renewed = 1, now.Add(-x.since)
 		c.leadCloud(t.Context(), now)
@@ -148,7 +148,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
 			for _, n := range []string{"n0", "n1", "n2", "n3", "n4"}[:x.nodes] {
-				c.book.Nodes[n] = &bookkeeping.Node{Version: 1}
+				c.cache.Nodes[n] = &storage.Node{Version: 1}
 			}
 			c.lostPeers = x.lost
 			if got := c.lost("n1", now); got != x.want {
@@ -178,15 +178,15 @@
 	} {
 		c := newCore(t)
 		c.state, c.lease = refusingStore{}, 1
-		c.book.Nodes["n1"] = &bookkeeping.Node{Version: 1}
-		f := bookkeeping.FleetRecord{Type: "t", Zone: "a"}
+		c.cache.Nodes["n1"] = &storage.Node{Version: 1}
+		f := storage.FleetRecord{Type: "t", Zone: "a"}
 		for i := range x.machines {
-			f.Machines = append(f.Machines, bookkeeping.FleetMachine{Name: fmt.Sprint("x", i)})
+			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 		}
-		if err := c.book.Apply(bookkeeping.FleetKey("x0"), bookkeeping.Encode(f), 5, false); err != nil {
+		if err := c.cache.Apply(storage.FleetKey("x0"), storage.Encode(f), 5, false); err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range c.book.Machines {
+		for _, m := range c.cache.Machines {
 			m.Session = 1
 		}
 		now := time.Now()
@@ -222,7 +222,7 @@
 		{"a final state never changes", true, "job-000002", 200},
 	} {
 		c := newCore(t)
-		if err := c.book.Apply(bookkeeping.JobKey("job-000002"), bookkeeping.Encode(bookkeeping.JobRecord{Tasks: 1, NDone: 1, Final: "done"}), 5, false); err != nil {
+		if err := c.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, NDone: 1, Final: "done"}), 5, false); err != nil {
 			t.Fatal(err)
 		}
 		c.state = sleepyStore{meanwhile: func() {
--- a/internal/coordination/stops.go
+++ b/internal/coordination/stops.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
@@ -38,14 +38,14 @@
 func stopWithin(w config.Workers) time.Duration { return seconds(w.CancelS / 2) }
 
 // cancelled tells whether a job is cancelled, as its record says or a peer that has confirmed it.
-func (c *Controller) cancelled(j *bookkeeping.Job) bool {
+func (c *Controller) cancelled(j *storage.Job) bool {
 	_, told := c.words.told[j.ID]
 	return told || j.Final == protocol.Cancelled
 }
 
 // cancelledFor is how long ago a job may have been cancelled at most. Where its record doesn't tell, since the version before wrote
 // it or it is not read yet, that counts from when this process learned of it, which is kept in noted.
-func (c *Controller) cancelledFor(j *bookkeeping.Job, now time.Time, noted map[string]time.Time) time.Duration {
+func (c *Controller) cancelledFor(j *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
 	if j.EndMs > 0 {
 		off := time.Duration(2 * c.cfg.Deployment.ClockOffMs * float64(time.Millisecond))
 		return max(0, now.Sub(time.UnixMilli(j.EndMs))+off)
@@ -62,16 +62,16 @@
 func (c *Controller) cancelledOn(now time.Time) map[int32]time.Duration {
 	var ages map[int32]time.Duration
 	noted := map[string]time.Time{}
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j == nil || j.NPlaced == 0 || !c.cancelled(j) {
 			continue
 		}
 		age := c.cancelledFor(j, now, noted)
 		for t, i := range j.Machine {
-			if i == bookkeeping.Nowhere {
+			if i == storage.Nowhere {
 				continue
 			}
-			m := c.book.Machines[i]
+			m := c.cache.Machines[i]
 			if v := c.views[i]; m.Gone || v != nil && c.owns(m.Share) && (v.returned || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.Attempt[t]})) {
 				continue
 			}
@@ -106,7 +106,7 @@
 	hears := c.silentFor(maxTime(c.heardAny, c.reachedAt), now) < peerFresh+seconds(w.ReportS)
 	began := 0
 	for _, i := range order {
-		m, s := c.book.Machines[i], c.stopping[i]
+		m, s := c.cache.Machines[i], c.stopping[i]
 		own := c.owns(m.Share)
 		if !own && !outage && ages[i] < ownersTime {
 			continue
@@ -134,7 +134,7 @@
 			if own {
 				c.direct(m, true)
 			} else {
-				c.stopOn(m, protocol.DirectCommands{Token: c.book.Token(m), Session: m.Session, Commands: c.stops(m)}, true)
+				c.stopOn(m, protocol.DirectCommands{Token: c.cache.Token(m), Session: m.Session, Commands: c.stops(m)}, true)
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 
 // stops are the commands that end what a machine's record still holds of jobs that are over:
 // final states never change, so they are right whoever sends them.
-func (c *Controller) stops(m *bookkeeping.Machine) []protocol.Command {
+func (c *Controller) stops(m *storage.Machine) []protocol.Command {
 	out := []protocol.Command{}
 	for _, p := range m.Tasks {
 		if c.over(p.Job) && len(out) < maxCommands {
@@ -156,7 +156,7 @@
 // stopOn sends stops straight to a worker that this node does not own. If it refuses them since its session or its
 // token is another, its report tells both, and what of the jobs that are over is on it in truth:
 // with again they are sent once more. Stops of what is over are right under any token.
-func (c *Controller) stopOn(m *bookkeeping.Machine, cmd protocol.DirectCommands, again bool) {
+func (c *Controller) stopOn(m *storage.Machine, cmd protocol.DirectCommands, again bool) {
 	if len(cmd.Commands) == 0 || m.Addr == "" {
 		return
 	}
@@ -191,7 +191,7 @@
 		if !ok || t.State == protocol.Exited || len(out) >= maxCommands {
 			continue
 		}
-		f, _ := c.book.FinalState(id)
+		f, _ := c.cache.FinalState(id)
 		if _, told := c.words.told[id]; told || f == protocol.Cancelled {
 			out = append(out, protocol.Command{Op: protocol.Kill, Task: t.Task, Attempt: t.Attempt})
 		}
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
@@ -46,29 +46,29 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t) // cancellations 30 s
-			m := c.book.Machine("m")
+			m := c.cache.Machine("m")
 			now := time.Now()
 			apply := func(key string, v any, version uint64) {
-				if err := c.book.Apply(key, bookkeeping.Encode(v), version, false); err != nil {
+				if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			apply(bookkeeping.RackKey(0), bookkeeping.RackRecord{Machines: []bookkeeping.RackMachine{{Name: "m", Session: 1,
-				Tasks: []bookkeeping.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
-			r := bookkeeping.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", EndMs: now.Add(-x.age).UnixMilli(), Spec: &bookkeeping.SpecRecord{Class: "c", Cpus: 4}}
+			apply(storage.RackKey(0), storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
+			r := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", EndMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
 			if x.is&unknown != 0 {
 				r.EndMs = 0
 			}
 			if x.is&told != 0 {
 				c.words.told["job-000001"] = 9
 			} else {
-				apply(bookkeeping.JobKey("job-000001"), r, 6)
+				apply(storage.JobKey("job-000001"), r, 6)
 			}
 			if x.is&ended != 0 {
 				c.view(m).Gone[dispatch.RefOf(m.Tasks[0])] = dispatch.Stopped
 			}
 			if x.is&others != 0 {
-				c.book.Shares[0].Node = "n1"
+				c.cache.Shares[0].Node = "n1"
 			}
 			c.goodAt = now
 			if x.is&outage != 0 {
@@ -114,14 +114,14 @@
 		{"its tasks are lost", 21 * time.Second, false, true},
 	} {
 		c := newCore(t) // reports 1 s, leases 10 s
-		m := c.book.Machine("m")
+		m := c.cache.Machine("m")
 		v, now := c.view(m), time.Now()
 		v.since, v.reported = now.Add(-time.Minute), now.Add(-x.mute)
 		if i == 0 {
 			c.zone(m.Zone).away, c.zone(m.Zone).heard, c.began = true, now.Add(-21*time.Second), now.Add(-time.Hour)
 			c.cfg.Known = []config.Peer{{NodeName: "n1", Zone: "a"}}
 			c.living["n1"] = now
-			m.Tasks = []bookkeeping.Placed{{Job: &bookkeeping.Job{Shape: protocol.Service}}}
+			m.Tasks = []storage.Placed{{Job: &storage.Job{Shape: protocol.Service}}}
 			v.heard, v.probes = v.reported, 9
 		} else if i > 1 {
 			c.takeReport(m, v, &protocol.Report{Machine: "m", Session: 1, Seq: 9, Token: 4}, 4, true)
@@ -143,7 +143,7 @@
 	c := newCore(t)
 	c.lead.adopting["m9"], c.lead.charters = true, 7
 	lead := func(node string, version uint64) {
-		if err := c.book.Apply(bookkeeping.LeaderKey, bookkeeping.Encode(bookkeeping.LeaderRecord{Node: node, Incarnation: 1}), version, false); err != nil {
+		if err := c.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Node: node, Incarnation: 1}), version, false); err != nil {
 			t.Fatal(err)
 		}
 		c.changed()
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
 )
@@ -26,7 +26,7 @@
 // TeamView is a team's guarantee and limit as operators see them.
 type TeamView struct {
 	Name string `json:"name"`
-	bookkeeping.TeamBounds
+	storage.TeamBounds
 	Version  uint64   `json:"version"` // 0: as the settings file has it
 	State    string   `json:"state"`
 	CpusToGo float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
@@ -59,7 +59,7 @@
 		return nil, ErrUnavailable
 	}
 	err := c.call(ctx, func() {
-		for team := range c.book.Teams {
+		for team := range c.cache.Teams {
 			out = append(out, c.teamView(team, time.Now()))
 		}
 	})
@@ -74,7 +74,7 @@
 	}
 	known := false
 	err := c.call(ctx, func() {
-		if team := c.book.TeamIdx.Find(name); team >= 0 {
+		if team := c.cache.TeamIdx.Find(name); team >= 0 {
 			v, known = c.teamView(team, time.Now()), true
 		}
 	})
@@ -85,9 +85,9 @@
 }
 
 func (c *Controller) teamView(team int, now time.Time) TeamView {
-	t := c.book.Teams[team]
-	v := TeamView{Name: t.Name, TeamBounds: bookkeeping.BoundsOf(t), State: TeamFromFile}
-	entry, changed := c.book.TeamEntries[team]
+	t := c.cache.Teams[team]
+	v := TeamView{Name: t.Name, TeamBounds: storage.BoundsOf(t), State: TeamFromFile}
+	entry, changed := c.cache.TeamEntries[team]
 	if !changed {
 		return v
 	}
@@ -97,7 +97,7 @@
 	}
 	if entry.Was != nil {
 		v.State = TeamLowering
-		v.CpusToGo, v.GpusToGo = excessOf(entry.TeamBounds, c.book.Used[team])
+		v.CpusToGo, v.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
 	}
 	return v
 }
@@ -105,7 +105,7 @@
 // behind are the living nodes that have not shown that they have read a revision.
 func (c *Controller) behind(revision uint64, now time.Time) []string {
 	var out []string
-	for name := range c.book.Nodes {
+	for name := range c.cache.Nodes {
 		p, heard := c.peers[name]
 		if name == c.cfg.NodeName || heard && now.Sub(p.at) < peerFresh && p.pulse.Revision >= revision {
 			continue
@@ -117,7 +117,7 @@
 }
 
 // excessOf is what a team uses beyond a limit.
-func excessOf(b bookkeeping.TeamBounds, u bookkeeping.Usage) (cpus, gpus float64) {
+func excessOf(b storage.TeamBounds, u storage.Usage) (cpus, gpus float64) {
 	if b.CpusMax > 0 {
 		cpus = max(0, u.Cpus-b.CpusMax)
 	}
@@ -130,19 +130,19 @@
 // limitSlack is by how much usage may be above a limit, for rounding.
 const limitSlack = 1e-6
 
-func isUnder(b bookkeeping.TeamBounds, u bookkeeping.Usage) bool {
+func isUnder(b storage.TeamBounds, u storage.Usage) bool {
 	cpus, gpus := excessOf(b, u)
 	return cpus <= limitSlack && gpus <= limitSlack
 }
 
 // tighter tells whether some limit of a is lower than that of b.
-func tighter(a, b bookkeeping.TeamBounds) bool {
+func tighter(a, b storage.TeamBounds) bool {
 	lower := func(x, y float64) bool { return x > 0 && (y <= 0 || x < y) }
 	return lower(a.CpusMax, b.CpusMax) || lower(a.GpusMax, b.GpusMax)
 }
 
 // changeBounds applies a change, given as a JSON object of names and values; the whole of it is checked.
-func changeBounds(b bookkeeping.TeamBounds, raw json.RawMessage) (bookkeeping.TeamBounds, error) {
+func changeBounds(b storage.TeamBounds, raw json.RawMessage) (storage.TeamBounds, error) {
 	var names map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &names); err != nil || len(names) == 0 {
 		return b, &FieldError{"team", "an object of at least one name and value"}
@@ -167,7 +167,7 @@
 
 const amountExpected = "a number of 0 or more; a limit of 0 is none"
 
-func checkBounds(b bookkeeping.TeamBounds) error {
+func checkBounds(b storage.TeamBounds) error {
 	for _, x := range []struct {
 		name  string
 		value float64
@@ -210,7 +210,7 @@
 		c.applyTxn(t, rev)
 		c.changed()
 		c.kick()
-		view = c.teamView(c.book.TeamIdx.Find(name), time.Now())
+		view = c.teamView(c.cache.TeamIdx.Find(name), time.Now())
 	})
 	c.log.Info("team changed by an operator", "team", name, "version", rev, "change", string(change))
 	return view, err
@@ -219,18 +219,18 @@
 // teamTxn is the transaction that changes a team.
 func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
 	var t protocol.Txn
-	team := c.book.TeamIdx.Find(name)
+	team := c.cache.TeamIdx.Find(name)
 	if team < 0 {
 		return t, ErrNoTeam
 	}
-	entry := c.book.TeamEntries[team]
+	entry := c.cache.TeamEntries[team]
 	if version != entry.Version {
 		return t, ErrVersion
 	}
 	if missing := c.notReadingTeams(); len(missing) > 0 {
 		return t, &GateError{missing}
 	}
-	now := bookkeeping.BoundsOf(c.book.Teams[team])
+	now := storage.BoundsOf(c.cache.Teams[team])
 	next, err := changeBounds(now, change)
 	if err != nil {
 		return t, err
@@ -240,7 +240,7 @@
 			return t, err
 		}
 	}
-	rec := bookkeeping.TeamRecord{TeamBounds: next}
+	rec := storage.TeamRecord{TeamBounds: next}
 	counts := now // the limit that counts now
 	if entry.Was != nil {
 		counts = *entry.Was
@@ -248,12 +248,12 @@
 	if tighter(next, counts) {
 		rec.Was = &counts
 	}
-	t.If = []protocol.Condition{{Key: bookkeeping.TeamKey(name), Version: entry.Version}}
-	t.Then = []protocol.Change{{Put: bookkeeping.TeamKey(name), Value: bookkeeping.Encode(rec)}}
-	if !c.book.ChangesTeams() {
-		gate := bookkeeping.Encode(bookkeeping.LayoutRecord{Version: bookkeeping.LayoutTeams})
-		t.If = append(t.If, protocol.Condition{Key: bookkeeping.LayoutKey, Version: c.book.Layout.Revision})
-		t.Then = append(t.Then, protocol.Change{Put: bookkeeping.LayoutKey, Value: gate}, protocol.Change{Put: bookkeeping.BarTeamsKey, Value: gate})
+	t.If = []protocol.Condition{{Key: storage.TeamKey(name), Version: entry.Version}}
+	t.Then = []protocol.Change{{Put: storage.TeamKey(name), Value: storage.Encode(rec)}}
+	if !c.cache.ChangesTeams() {
+		gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
+		t.If = append(t.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
+		t.Then = append(t.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.BarTeamsKey, Value: gate})
 	}
 	return t, nil
 }
@@ -261,7 +261,7 @@
 // notReadingTeams are the nodes that the settings name and that have not shown that they read changed teams. Once a team has
 // been changed no older version becomes ready, so nobody is missing.
 func (c *Controller) notReadingTeams() []string {
-	if c.book.ChangesTeams() {
+	if c.cache.ChangesTeams() {
 		return nil
 	}
 	var missing []string
@@ -270,7 +270,7 @@
 		names = append(names, p.NodeName)
 	}
 	for _, name := range names {
-		if n := c.book.Nodes[name]; n == nil || n.Layout < bookkeeping.LayoutTeams || !c.book.Packed() {
+		if n := c.cache.Nodes[name]; n == nil || n.Layout < storage.LayoutTeams || !c.cache.Packed() {
 			missing = append(missing, name)
 		}
 	}
@@ -279,9 +279,9 @@
 }
 
 // checkAccepted refuses a limit under which an accepted job could never run any more.
-func (c *Controller) checkAccepted(team int, b bookkeeping.TeamBounds) error {
-	bounds := b.Team(c.book.Teams[team].Name)
-	for _, j := range c.book.Jobs {
+func (c *Controller) checkAccepted(team int, b storage.TeamBounds) error {
+	bounds := b.Team(c.cache.Teams[team].Name)
+	for _, j := range c.cache.Jobs {
 		if j == nil || j.Team != team || !j.Open() {
 			continue
 		}
@@ -289,7 +289,7 @@
 		if j.Shape == protocol.Service {
 			n = j.Tasks
 		}
-		if !schedule.WithinLimit(bounds, bookkeeping.Usage{}, j, n) {
+		if !schedule.WithinLimit(bounds, storage.Usage{}, j, n) {
 			return &FieldError{"cpus_max", fmt.Sprintf("a limit under which the accepted job %s can run", j.ID)}
 		}
 	}
@@ -307,49 +307,49 @@
 // planLimits works off limits that are being lowered, of teams whose share this node owns: those that the records prove to be
 // kept count from now on, and tasks beyond the others are evicted.
 func (c *Controller) planLimits(now time.Time, d *draft, in *schedule.Input) {
-	for team, entry := range c.book.TeamEntries {
-		if entry.Was == nil || !c.owns(c.book.ShareOf(team)) || d.used >= d.ops {
+	for team, entry := range c.cache.TeamEntries {
+		if entry.Was == nil || !c.owns(c.cache.ShareOf(team)) || d.used >= d.ops {
 			continue
 		}
-		if isUnder(entry.TeamBounds, in.Used[team]) && isUnder(entry.TeamBounds, c.book.Used[team]) {
-			key := bookkeeping.TeamKey(c.book.Teams[team].Name)
-			d.put(key, entry.Version, protocol.Change{Put: key, Value: bookkeeping.Encode(bookkeeping.TeamRecord{TeamBounds: entry.TeamBounds})})
+		if isUnder(entry.TeamBounds, in.Used[team]) && isUnder(entry.TeamBounds, c.cache.Used[team]) {
+			key := storage.TeamKey(c.cache.Teams[team].Name)
+			d.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
 			d.used++
 			continue
 		}
-		if c.book.Evicted[limitSetOf(team)] == nil {
+		if c.cache.Evicted[limitSetOf(team)] == nil {
 			c.evictForLimit(now, d, team, entry.TeamBounds)
 		}
 	}
 }
 
 // evictForLimit names the tasks that have to go for a team to be under its limit, as one record before any stop.
-func (c *Controller) evictForLimit(now time.Time, d *draft, team int, b bookkeeping.TeamBounds) {
+func (c *Controller) evictForLimit(now time.Time, d *draft, team int, b storage.TeamBounds) {
 	candidates := c.limitCandidates(now, d, team)
 	schedule.Order(c.alpha, candidates)
-	chosen := schedule.EvictExcess(c.book.Used[team], b.Team(""), candidates)
+	chosen := schedule.EvictExcess(c.cache.Used[team], b.Team(""), candidates)
 	chosen = c.fitRecord(chosen)
 	if len(chosen) == 0 {
 		return
 	}
-	e := bookkeeping.EvictRecord{Share: c.book.ShareOf(team), AtMs: now.UnixMilli()}
+	e := storage.EvictRecord{Share: c.cache.ShareOf(team), AtMs: now.UnixMilli()}
 	for _, x := range chosen {
 		for _, v := range x.Victims {
-			e.Victims = append(e.Victims, bookkeeping.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID, Task: v.Task, Attempt: v.Attempt,
+			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID, Task: v.Task, Attempt: v.Attempt,
 				Score: float64(int(x.Score*10)) / 10})
 		}
 	}
-	c.log.Info("evicting for a limit", "team", c.book.Teams[team].Name, "victims", len(e.Victims))
-	key := bookkeeping.EvictKey(limitSetOf(team))
-	d.put(key, 0, protocol.Change{Put: key, Value: bookkeeping.EncodeEvict(&e, c.book.Packed())})
+	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(e.Victims))
+	key := storage.EvictKey(limitSetOf(team))
+	d.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeEvict(&e, c.cache.Packed())})
 	d.used++
 }
 
 // limitCandidates are a team's tasks, wherever they run, that stay with this transaction and that no other set evicts.
 func (c *Controller) limitCandidates(now time.Time, d *draft, team int) []schedule.Candidate {
 	var out []schedule.Candidate
-	services := map[*bookkeeping.Job]int{}
-	for _, m := range c.book.Machines {
+	services := map[*storage.Job]int{}
+	for _, m := range c.cache.Machines {
 		if m.Gone {
 			continue
 		}
@@ -360,7 +360,7 @@
 		slot := &schedule.Slot{M: m}
 		for _, p := range tasks {
 			j := p.Job
-			if j.Team != team || !j.Open() || p.Attempt >= c.fresh() || c.book.Victim(p) {
+			if j.Team != team || !j.Open() || p.Attempt >= c.fresh() || c.cache.Victim(p) {
 				continue
 			}
 			ran := lossOf(c.view(m), p, now)
--- a/internal/coordination/teams_test.go
+++ b/internal/coordination/teams_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/schedule"
 )
@@ -16,8 +16,8 @@
 func newTeamCore(t *testing.T) *Controller {
 	t.Helper()
 	c := newCore(t)
-	c.book.Layout.Version = bookkeeping.LayoutPacked
-	c.book.Nodes["n0"] = &bookkeeping.Node{NodeRecord: bookkeeping.NodeRecord{Incarnation: 1, Layout: bookkeeping.LayoutTeams}, Version: 2}
+	c.cache.Layout.Version = storage.LayoutPacked
+	c.cache.Nodes["n0"] = &storage.Node{NodeRecord: storage.NodeRecord{Incarnation: 1, Layout: storage.LayoutTeams}, Version: 2}
 	return c
 }
 
@@ -43,16 +43,16 @@
 		{name: "below 0", team: "red", change: `{"gpus_max":-1}`, refused: "field gpus_max"},
 		{name: "a guarantee above the limit", team: "red", change: `{"cpus":9,"cpus_max":8}`, refused: "field cpus"},
 		{name: "an accepted job could never run", team: "red", change: `{"cpus_max":3}`, refused: "job-000001"},
-		{name: "a node of the version before", prepare: func(c *Controller) { c.book.Nodes["n0"].Layout = bookkeeping.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
+		{name: "a node of the version before", prepare: func(c *Controller) { c.cache.Nodes["n0"].Layout = storage.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "a node that has not been seen", prepare: func(c *Controller) { c.cfg.Known = []config.Peer{{NodeName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
-		{name: "the gate before is closed", prepare: func(c *Controller) { c.book.Layout.Version = bookkeeping.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
+		{name: "the gate before is closed", prepare: func(c *Controller) { c.cache.Layout.Version = storage.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "raised while it is being lowered", prepare: func(c *Controller) {
-			was := bookkeeping.TeamBounds{CpusMax: 40}
-			applyTeamRecord(t, c, bookkeeping.TeamRecord{TeamBounds: bookkeeping.TeamBounds{CpusMax: 8}, Was: &was}, 9)
+			was := storage.TeamBounds{CpusMax: 40}
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":20}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":0,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":0}}`},
 		{name: "raised beyond what counted", prepare: func(c *Controller) {
-			was := bookkeeping.TeamBounds{CpusMax: 40}
-			applyTeamRecord(t, c, bookkeeping.TeamRecord{TeamBounds: bookkeeping.TeamBounds{CpusMax: 8}, Was: &was}, 9)
+			was := storage.TeamBounds{CpusMax: 40}
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":50}`, want: `{"cpus":0,"cpus_max":50,"gpus":0,"gpus_max":0}`},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -67,19 +67,19 @@
 				}
 				return
 			}
-			if err != nil || len(txn.Then) < 1 || string(txn.Then[0].Value) != x.want || txn.If[0].Version != x.version || txn.If[0].Key != bookkeeping.TeamKey(x.team) {
+			if err != nil || len(txn.Then) < 1 || string(txn.Then[0].Value) != x.want || txn.If[0].Version != x.version || txn.If[0].Key != storage.TeamKey(x.team) {
 				t.Fatalf("%+v, %v", txn, err)
 			}
-			if gate := len(txn.Then) == 3 && txn.Then[1].Put == bookkeeping.LayoutKey && txn.Then[2].Put == bookkeeping.BarTeamsKey; !gate || len(txn.If) != 2 {
+			if gate := len(txn.Then) == 3 && txn.Then[1].Put == storage.LayoutKey && txn.Then[2].Put == storage.BarTeamsKey; !gate || len(txn.If) != 2 {
 				t.Errorf("the first change does not close the gate behind it: %+v", txn)
 			}
 		})
 	}
 }
 
-func applyTeamRecord(t *testing.T, c *Controller, r bookkeeping.TeamRecord, version uint64) {
+func applyTeamRecord(t *testing.T, c *Controller, r storage.TeamRecord, version uint64) {
 	t.Helper()
-	if err := c.book.Apply(bookkeeping.TeamKey("red"), bookkeeping.Encode(r), version, false); err != nil {
+	if err := c.cache.Apply(storage.TeamKey("red"), storage.Encode(r), version, false); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -87,7 +87,7 @@
 // TestLoweredLimit: a limit counts once the records are under it and not before; until then one evicted set at a time names
 // what has to go, by the ranking of evictions.
 func TestLoweredLimit(t *testing.T) {
-	none := bookkeeping.TeamBounds{}
+	none := storage.TeamBounds{}
 	for _, x := range []struct {
 		name    string
 		limit   float64
@@ -102,27 +102,27 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newTeamCore(t)
 			now := time.Now()
-			j, m := c.book.Job("job-000001"), c.book.Machine("m")
+			j, m := c.cache.Job("job-000001"), c.cache.Machine("m")
 			if !x.stopped {
 				for task := range 2 {
-					m.Tasks = append(m.Tasks, bookkeeping.Placed{Job: j, Task: task, Attempt: 4, At: now.Unix() - 10*int64(task)})
+					m.Tasks = append(m.Tasks, storage.Placed{Job: j, Task: task, Attempt: 4, At: now.Unix() - 10*int64(task)})
 					j.Machine[task], j.Attempt[task], j.NPlaced = m.Index, 4, j.NPlaced+1
 				}
-				c.book.Used[0].Add(j, 2)
+				c.cache.Used[0].Add(j, 2)
 			}
-			applyTeamRecord(t, c, bookkeeping.TeamRecord{TeamBounds: bookkeeping.TeamBounds{CpusMax: x.limit}, Was: &none}, 9)
-			d := &draft{batch: newBatch(), ops: 12, left: map[int32][]bookkeeping.Placed{}}
-			c.planLimits(now, d, &schedule.Input{Used: c.book.Used})
-			put, counts := d.puts[bookkeeping.TeamKey("red")]
-			if counts != x.counts || counts && strings.Contains(string(put.Value), "was") || counts && d.conds[bookkeeping.TeamKey("red")] != 9 {
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: x.limit}, Was: &none}, 9)
+			d := &draft{batch: newBatch(), ops: 12, left: map[int32][]storage.Placed{}}
+			c.planLimits(now, d, &schedule.Input{Used: c.cache.Used})
+			put, counts := d.puts[storage.TeamKey("red")]
+			if counts != x.counts || counts && strings.Contains(string(put.Value), "was") || counts && d.conds[storage.TeamKey("red")] != 9 {
 				t.Errorf("counts: %v, want %v: %s", counts, x.counts, put.Value)
 			}
-			set, evicts := d.puts[bookkeeping.EvictKey(limitSetOf(0))]
+			set, evicts := d.puts[storage.EvictKey(limitSetOf(0))]
 			if evicts != (x.victims > 0) {
 				t.Fatalf("evicts: %v, want %d victims", evicts, x.victims)
 			}
 			if evicts {
-				e, err := bookkeeping.DecodeEvict(set.Value)
+				e, err := storage.DecodeEvict(set.Value)
 				if err != nil || len(e.Victims) != x.victims || e.Victims[0].Task != 0 {
 					t.Errorf("%+v, %v: want the task that has run for the shortest time", e, err)
 				}
@@ -140,8 +140,8 @@
 func TestTeamRecordsAreRead(t *testing.T) {
 	c := newTeamCore(t)
 	file := c.cfg.Deployment.Teams[0]
-	limit := func(v float64) bookkeeping.TeamRecord {
-		return bookkeeping.TeamRecord{TeamBounds: bookkeeping.TeamBounds{CpusMax: v}}
+	limit := func(v float64) storage.TeamRecord {
+		return storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: v}}
 	}
 	for _, x := range []struct {
 		key     string
@@ -150,18 +150,18 @@
 		deleted bool
 		want    float64
 	}{
-		{bookkeeping.TeamKey("red"), limit(8), 9, false, 8},
-		{bookkeeping.TeamKey("red"), limit(6), 7, false, 8},
-		{bookkeeping.TeamKey("green"), limit(5), 10, false, 8},
-		{bookkeeping.BarTeamsKey, limit(5), 11, false, 8},
-		{bookkeeping.TeamKey("red"), nil, 12, true, 0},
+		{storage.TeamKey("red"), limit(8), 9, false, 8},
+		{storage.TeamKey("red"), limit(6), 7, false, 8},
+		{storage.TeamKey("green"), limit(5), 10, false, 8},
+		{storage.BarTeamsKey, limit(5), 11, false, 8},
+		{storage.TeamKey("red"), nil, 12, true, 0},
 	} {
-		if err := c.book.Apply(x.key, bookkeeping.Encode(x.rec), x.version, x.deleted); err != nil && !errors.Is(err, bookkeeping.ErrLayout) {
+		if err := c.cache.Apply(x.key, storage.Encode(x.rec), x.version, x.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
 			t.Fatal(err)
 		} else if err != nil {
 			t.Errorf("%s keeps this version out", x.key)
 		}
-		if got := c.book.Teams[0].CpusMax; got != x.want {
+		if got := c.cache.Teams[0].CpusMax; got != x.want {
 			t.Errorf("%s at %d: limit %v, want %v", x.key, x.version, got, x.want)
 		}
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
 )
@@ -30,7 +30,7 @@
 
 var later = refuse(503, "the service cannot decide this now, come back shortly")
 
-func (c *Controller) statusOf(j *bookkeeping.Job) protocol.JobState {
+func (c *Controller) statusOf(j *storage.Job) protocol.JobState {
 	s := protocol.JobState{ID: j.ID, Status: protocol.Queued, Done: j.NDone, Running: j.NPlaced}
 	switch {
 	case !j.Open():
@@ -45,13 +45,13 @@
 	return s
 }
 
-// look finds a job's state; known is false when the book has no such job.
+// look finds a job's state; known is false when the cache has no such job.
 func (c *Controller) look(ctx context.Context, id string) (st protocol.JobState, known, loaded bool, err error) {
 	err = c.call(ctx, func() {
 		loaded = c.loaded
-		if f, n := c.book.FinalState(id); f != "" {
+		if f, n := c.cache.FinalState(id); f != "" {
 			st, known = protocol.JobState{ID: id, Status: f, Done: n}, true
-		} else if j := c.book.Job(id); j != nil {
+		} else if j := c.cache.Job(id); j != nil {
 			st, known = c.statusOf(j), true
 		}
 	})
@@ -124,12 +124,12 @@
 	var never string
 	began := time.Now()
 	err := c.call(ctx, func() {
-		if f, _ := c.book.FinalState(s.ID); f != "" || c.book.Job(s.ID) != nil {
+		if f, _ := c.cache.FinalState(s.ID); f != "" || c.cache.Job(s.ID) != nil {
 			known = true
 			return
 		}
 		// Before the gate opens a node of the version before would start it too early.
-		ready = c.accepts() && (len(s.Needs) == 0 || c.loaded && c.book.Packed())
+		ready = c.accepts() && (len(s.Needs) == 0 || c.loaded && c.cache.Packed())
 		if ready {
 			if never = c.neverRuns(s); never == "" {
 				never, lacks = c.badNeeds(s)
@@ -165,11 +165,11 @@
 		}
 		return refuse(422, never)
 	}
-	rec := bookkeeping.JobRecord{Spec: bookkeeping.SpecOf(s), AtMs: time.Now().UnixMilli(), Tasks: s.Tasks, Team: s.Team,
-		Needs: bookkeeping.PackIDs(s.Needs)}
+	rec := storage.JobRecord{Spec: storage.SpecOf(s), AtMs: time.Now().UnixMilli(), Tasks: s.Tasks, Team: s.Team,
+		Needs: storage.PackIDs(s.Needs)}
 	t := protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(s.ID)}},
-		Then: []protocol.Change{{Put: bookkeeping.JobKey(s.ID), Value: bookkeeping.Encode(rec)}},
+		If:   []protocol.Condition{{Key: storage.JobKey(s.ID)}},
+		Then: []protocol.Change{{Put: storage.JobKey(s.ID), Value: storage.Encode(rec)}},
 	}
 	if !c.shorten(ctx, s.ID, &rec, &t) {
 		return later
@@ -193,10 +193,10 @@
 
 // shorten writes the parts of a description that is too long for its job's record, and
 // puts the record that names them into the transaction.
-func (c *Controller) shorten(ctx context.Context, id string, rec *bookkeeping.JobRecord, t *protocol.Txn) bool {
+func (c *Controller) shorten(ctx context.Context, id string, rec *storage.JobRecord, t *protocol.Txn) bool {
 	limit, ops, try, packed := 0, 0, "", false
 	if c.call(ctx, func() {
-		limit, ops, packed = c.valueLimit(), c.limits().TxnOps, c.book.Packed()
+		limit, ops, packed = c.valueLimit(), c.limits().TxnOps, c.cache.Packed()
 		c.tries++
 		try = fmt.Sprintf("%d-%d", c.incarnation, c.tries)
 	}) != nil {
@@ -208,7 +208,7 @@
 	if !packed || try[0] == '0' {
 		return false // the version before does not read parts
 	}
-	parts, main := bookkeeping.SplitLong(id, try, rec, limit)
+	parts, main := storage.SplitLong(id, try, rec, limit)
 	for len(parts) > 0 {
 		n := min(ops, len(parts))
 		p := protocol.Txn{Then: parts[:n]}
@@ -229,10 +229,10 @@
 // it is because this node knows no such job.
 func (c *Controller) badNeeds(s *protocol.Submission) (why string, lacks bool) {
 	for _, id := range s.Needs {
-		if f, _ := c.book.FinalState(id); f != "" {
+		if f, _ := c.cache.FinalState(id); f != "" {
 			continue
 		}
-		j := c.book.Job(id)
+		j := c.cache.Job(id)
 		switch {
 		case j == nil:
 			return fmt.Sprintf("field awaits names %s, which was never accepted", id), true
@@ -254,22 +254,22 @@
 
 // neverRuns says why a job can never run, "" if it can.
 func (c *Controller) neverRuns(s *protocol.Submission) string {
-	team := c.book.TeamIdx.Find(s.Team)
+	team := c.cache.TeamIdx.Find(s.Team)
 	if team < 0 {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
 	zone := -1
 	if s.Zone != "" {
-		if zone = c.book.Zones.Find(s.Zone); zone < 0 {
+		if zone = c.cache.Zones.Find(s.Zone); zone < 0 {
 			return fmt.Sprintf("unknown zone %q", s.Zone)
 		}
 	}
 	fits := false
-	for i, t := range c.book.Types {
+	for i, t := range c.cache.Types {
 		if t.Cpus <= 0 || s.Cpus > t.Cpus || s.Gpus > t.Gpus || s.MemGB > t.Mem {
 			continue
 		}
-		if len(s.Types) > 0 && !slices.Contains(s.Types, c.book.TypeIdx.Name(i)) {
+		if len(s.Types) > 0 && !slices.Contains(s.Types, c.cache.TypeIdx.Name(i)) {
 			continue
 		}
 		if zone >= 0 && len(t.Zones) > 0 && !slices.Contains(t.Zones, zone) {
@@ -284,7 +284,7 @@
 	if s.Shape == protocol.Service {
 		n = s.Tasks
 	}
-	if !schedule.WithinLimit(c.book.Teams[team], bookkeeping.Usage{}, &bookkeeping.Job{Cpus: s.Cpus, Gpus: s.Gpus}, n) {
+	if !schedule.WithinLimit(c.cache.Teams[team], storage.Usage{}, &storage.Job{Cpus: s.Cpus, Gpus: s.Gpus}, n) {
 		return "the job needs more than the team's limit"
 	}
 	return ""
@@ -314,12 +314,12 @@
 		}
 		var t protocol.Txn
 		err = c.call(ctx, func() {
-			if j := c.book.Job(id); j != nil && j.Open() {
-				key := bookkeeping.JobKey(id)
+			if j := c.cache.Job(id); j != nil && j.Open() {
+				key := storage.JobKey(id)
 				rec := c.finalRecord(j, progress{j.Done, j.NDone}, protocol.Cancelled)
 				t = protocol.Txn{
 					If:   []protocol.Condition{{Key: key, Version: j.Version}},
-					Then: []protocol.Change{{Put: key, Value: bookkeeping.Encode(rec)}},
+					Then: []protocol.Change{{Put: key, Value: storage.Encode(rec)}},
 				}
 			}
 		})
@@ -355,7 +355,7 @@
 // all nodes submissions need not wait until each has read every record. Once teams may have been changed it has to
 // have read those, too: it would accept by the settings file what can never run.
 func (c *Controller) accepts() bool {
-	return c.book.HasCatalog() && (c.loaded || c.book.Packed() && !c.book.ChangesTeams() && !c.stranger)
+	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.ChangesTeams() && !c.stranger)
 }
 
 // Ready tells whether this node can take requests. In an outage of the state service all
@@ -364,7 +364,7 @@
 	ok := false
 	err := c.call(ctx, func() {
 		now := time.Now()
-		waits := !c.stranger && c.unread && c.book.HasCatalog() && now.Sub(c.blind.since) > peerFresh
+		waits := !c.stranger && c.unread && c.cache.HasCatalog() && now.Sub(c.blind.since) > peerFresh
 		ok = (c.accepts() || waits) && !c.alone(now)
 	})
 	return err == nil && ok
--- a/internal/coordination/usual/usual.go
+++ b/internal/coordination/usual/usual.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 const (
@@ -35,25 +35,25 @@
 )
 
 // Rates are by lane how much work arrives a second, in seconds of a CPU.
-type Rates map[bookkeeping.Lane]float64
+type Rates map[storage.Lane]float64
 
 // Learner follows what lanes ask for. It belongs to the leader; its successor goes on from
 // the record that it has left.
 type Learner struct {
-	lanes map[bookkeeping.Lane]*lane
+	lanes map[storage.Lane]*lane
 	known bool // it began with a record
 }
 
 type lane struct {
 	first []float64         // jobs a second in the windows so far, until there is a first guess
-	all   bookkeeping.Asked // in all of them
+	all   storage.Asked // in all of them
 	rate  float64           // asked, smoothed
 	usual float64
 }
 
 // New is a learner that goes on from a record; with none it begins anew.
 func New(record Rates) *Learner {
-	l := &Learner{lanes: map[bookkeeping.Lane]*lane{}, known: len(record) > 0}
+	l := &Learner{lanes: map[storage.Lane]*lane{}, known: len(record) > 0}
 	for x, u := range record {
 		l.lanes[x] = &lane{rate: u, usual: u}
 	}
@@ -61,7 +61,7 @@
 }
 
 // Window takes in what lanes asked for in a window of time.
-func (l *Learner) Window(d time.Duration, asked map[bookkeeping.Lane]bookkeeping.Asked) {
+func (l *Learner) Window(d time.Duration, asked map[storage.Lane]storage.Asked) {
 	s := d.Seconds()
 	if s <= 0 {
 		return
@@ -90,7 +90,7 @@
 
 // guess takes a window of a lane of which nothing is known. A flood changes how many jobs come
 // but not what a job is, so the guess is the usual number of jobs with the mean work of one.
-func (l *Learner) guess(n *lane, asked bookkeeping.Asked, s float64) {
+func (l *Learner) guess(n *lane, asked storage.Asked, s float64) {
 	n.all.Jobs, n.all.Work = n.all.Jobs+asked.Jobs, n.all.Work+asked.Work
 	if n.first = append(n.first, asked.Jobs/s); len(n.first) < firstWindows {
 		return
--- a/internal/coordination/usual/usual_test.go
+++ b/internal/coordination/usual/usual_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 )
 
 // The learner must tell what is asked for all the time from a flood, whenever that begins.
 func TestLearner(t *testing.T) {
-	a, b := bookkeeping.Lane{Team: 0, Class: 0}, bookkeeping.Lane{Team: 1, Class: 1}
+	a, b := storage.Lane{Team: 0, Class: 0}, storage.Lane{Team: 1, Class: 1}
 	// Jobs of 10 seconds of a CPU each.
-	ask := func(work float64) bookkeeping.Asked { return bookkeeping.Asked{Jobs: work / 10, Work: work} }
+	ask := func(work float64) storage.Asked { return storage.Asked{Jobs: work / 10, Work: work} }
 	type phase struct {
 		windows int
 		a, b    float64 // work a second
@@ -40,7 +40,7 @@
 					if len(x.record) > 0 && p.a > 0 && i%7 == 6 {
 						l = New(l.Usual()) // a successor goes on from the record
 					}
-					asked := map[bookkeeping.Lane]bookkeeping.Asked{a: ask(p.a * Step.Seconds()), b: ask(p.b * Step.Seconds())}
+					asked := map[storage.Lane]storage.Asked{a: ask(p.a * Step.Seconds()), b: ask(p.b * Step.Seconds())}
 					if p.every > 0 && i%p.every != 0 {
 						delete(asked, a)
 					}
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/view"
@@ -19,14 +19,14 @@
 	model    *view.Model
 	hub      *view.Hub
 	head     view.Head // of the latest snapshot
-	asOf     time.Time // the book was certainly complete then
+	asOf     time.Time // the cache was certainly complete then
 	shown    time.Time // when a snapshot was last taken
-	whole    bool      // the model is what the book is
+	whole    bool      // the model is what the cache is
 	stated   bool      // what the head says of the state service
 	readable bool      // the first read is over
 }
 
-// How the model follows the book.
+// How the model follows the cache.
 const (
 	viewRows = 2000                   // rows that are brought up to date at one go
 	viewGap  = 250 * time.Millisecond // least time between two snapshots
@@ -36,13 +36,13 @@
 
 // EnableView makes the node keep a read model. It is called before Run.
 func (c *Controller) EnableView() {
-	teams := make([]view.Team, len(c.book.Teams))
-	for i, t := range c.book.Teams {
+	teams := make([]view.Team, len(c.cache.Teams))
+	for i, t := range c.cache.Teams {
 		teams[i] = teamRow(t)
 	}
 	now := time.Now()
 	c.viewing = &viewing{model: view.NewModel(teams), hub: view.NewHub(), head: view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Node: c.cfg.NodeName}}
-	c.book.Watch()
+	c.cache.Watch()
 }
 
 // teamRow is a team's guarantee and limit.
@@ -52,7 +52,7 @@
 
 func milli(v float64) uint64 { return uint64(math.Round(1000 * v)) }
 
-// showView brings the model up to date and takes a snapshot, if somebody reads and the book is
+// showView brings the model up to date and takes a snapshot, if somebody reads and the cache is
 // exactly what the state service has at its revision: a node applies its own commits before
 // its follow brings what others committed in between, and what is shown in such a moment
 // would be the state at no revision.
@@ -64,15 +64,15 @@
 	if v == nil || !c.loaded {
 		return
 	}
-	if n := c.book.Unshown(); !ask && n < viewKept && (!v.hub.Wanted(now) || now.Sub(v.shown) < viewGap) {
+	if n := c.cache.Unshown(); !ask && n < viewKept && (!v.hub.Wanted(now) || now.Sub(v.shown) < viewGap) {
 		v.whole = false
 		return
 	}
 	if !v.readable {
 		v.readable, v.head.Since = true, now.UnixMilli()
 	}
-	whole := c.book.Revision >= c.maxRev
-	jobs, machines, evicted, more := c.book.News(viewRows)
+	whole := c.cache.Revision >= c.maxRev
+	jobs, machines, evicted, more := c.cache.News(viewRows)
 	v.whole = whole && !more
 	for _, j := range jobs {
 		v.model.PutJob(c.jobRow(j))
@@ -87,8 +87,8 @@
 	for _, id := range evicted {
 		c.showEvicted(id)
 	}
-	for team := range c.book.TeamEntries {
-		v.model.SetTeam(teamRow(c.book.Teams[team]))
+	for team := range c.cache.TeamEntries {
+		v.model.SetTeam(teamRow(c.cache.Teams[team]))
 	}
 	if v.whole && now.Sub(v.shown) >= viewGap && v.hub.Wanted(now) {
 		c.publishView(now)
@@ -100,7 +100,7 @@
 	v := c.viewing
 	v.shown = now
 	h := v.head
-	h.Revision, h.Now, h.AsOf, h.StateOK = c.book.Revision, now.UnixMilli(), v.asOf.UnixMilli(), c.served(now)
+	h.Revision, h.Now, h.AsOf, h.StateOK = c.cache.Revision, now.UnixMilli(), v.asOf.UnixMilli(), c.served(now)
 	names := []string{c.cfg.NodeName}
 	for _, k := range c.cfg.Known {
 		names = append(names, k.NodeName)
@@ -108,11 +108,11 @@
 	slices.Sort(names)
 	for _, name := range names {
 		n := view.Node{Name: name, Shares: []uint32{}}
-		if r := c.book.Nodes[name]; r != nil {
+		if r := c.cache.Nodes[name]; r != nil {
 			n.Alive, n.Unfit = true, r.Unfit
 		}
-		n.Leader = c.book.Leader.Version > 0 && c.book.Leader.Node == name
-		for i, s := range c.book.Shares {
+		n.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Node == name
+		for i, s := range c.cache.Shares {
 			if s.Node == name {
 				n.Shares = append(n.Shares, uint32(i))
 			}
@@ -141,7 +141,7 @@
 	err := c.Barrier(short)
 	_ = c.call(short, func() { // without it the snapshot is shown as old as it is
 		now := time.Now()
-		if err == nil && c.book.Revision >= c.maxRev {
+		if err == nil && c.cache.Revision >= c.maxRev {
 			v.asOf = latest(v.asOf, began)
 		}
 		c.showView(now, true)
@@ -168,9 +168,9 @@
 // ViewEnabled tells whether the node keeps a read model.
 func (c *Controller) ViewEnabled() bool { return c.viewing != nil }
 
-func (c *Controller) jobRow(j *bookkeeping.Job) view.Job {
-	r := view.Job{ID: j.ID, Team: c.book.Teams[j.Team].Name, Class: c.book.Classes.Name(j.Class), Priority: j.Own,
-		Service: j.Shape == protocol.Service, Suspect: j.Suspect, Evicting: c.book.Evicted[j.ID] != nil, Tasks: uint32(j.Tasks), Done: uint32(j.NDone),
+func (c *Controller) jobRow(j *storage.Job) view.Job {
+	r := view.Job{ID: j.ID, Team: c.cache.Teams[j.Team].Name, Class: c.cache.Classes.Name(j.Class), Priority: j.Own,
+		Service: j.Shape == protocol.Service, Suspect: j.Suspect, Evicting: c.cache.Evicted[j.ID] != nil, Tasks: uint32(j.Tasks), Done: uint32(j.NDone),
 		Placed: uint32(j.NPlaced), Share: uint32(j.Share), Cpus: milli(j.Cpus), Gpus: milli(j.Gpus), Submit: j.Submitted.UnixMilli(),
 		From: j.At.UnixMilli(), Estimate: milli(j.Estimate), End: j.EndMs}
 	switch {
@@ -189,15 +189,15 @@
 	return r
 }
 
-func (c *Controller) machineRow(m *bookkeeping.Machine) view.Machine {
-	t := c.book.Types[m.Type]
-	r := view.Machine{Name: m.Name, Type: c.book.TypeIdx.Name(m.Type), Zone: c.book.Zones.Name(m.Zone), Spot: m.Spot, Share: uint32(m.Share),
+func (c *Controller) machineRow(m *storage.Machine) view.Machine {
+	t := c.cache.Types[m.Type]
+	r := view.Machine{Name: m.Name, Type: c.cache.TypeIdx.Name(m.Type), Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Share: uint32(m.Share),
 		Tasks: uint32(len(m.Tasks)), Cpus: milli(t.Cpus), Gpus: milli(t.Gpus), Price: uint64(math.Round(1e6 * t.Price))}
 	if m.Spot {
 		r.Price = uint64(math.Round(1e6 * t.SpotPrice))
 	}
 	for _, p := range m.Tasks {
-		team := c.book.Teams[p.Job.Team].Name
+		team := c.cache.Teams[p.Job.Team].Name
 		i, ok := slices.BinarySearchFunc(r.Uses, team, func(u view.Use, name string) int { return strings.Compare(u.Team, name) })
 		if !ok {
 			r.Uses = slices.Insert(r.Uses, i, view.Use{Team: team})
@@ -228,7 +228,7 @@
 func (c *Controller) showEvicted(id string) {
 	m := c.viewing.model
 	old, had := m.EvictionOf(id)
-	e := c.book.Evicted[id]
+	e := c.cache.Evicted[id]
 	if e == nil {
 		if had && old.Open {
 			old.Open = false
@@ -248,8 +248,8 @@
 
 // teamOf is the name of a job's team, "" when only its final state is known.
 func (c *Controller) teamOf(id string) string {
-	if j := c.book.Job(id); j != nil {
-		return c.book.Teams[j.Team].Name
+	if j := c.cache.Job(id); j != nil {
+		return c.cache.Teams[j.Team].Name
 	}
 	return ""
 }
@@ -261,8 +261,8 @@
 	err = c.call(ctx, func() {
 		kinds := c.kinds()
 		for _, id := range ids[:min(len(ids), view.MaxReasons)] {
-			j := c.book.Job(id)
-			if j == nil || scope != view.Operators && c.book.Teams[j.Team].Name != string(scope) {
+			j := c.cache.Job(id)
+			if j == nil || scope != view.Operators && c.cache.Teams[j.Team].Name != string(scope) {
 				continue
 			}
 			out = append(out, view.Reason{Job: id, Why: c.whyWaits(j, kinds), Node: c.cfg.NodeName, Owner: c.owns(j.Share), At: time.Now().UnixMilli()})
--- a/internal/coordination/words.go
+++ b/internal/coordination/words.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -51,8 +51,8 @@
 
 // noteEnded notes a job's record if it says that the job is cancelled.
 func (c *Controller) noteEnded(key string, version uint64) {
-	if id, ok := bookkeeping.JobOf(key); ok {
-		if f, _ := c.book.FinalState(id); f == protocol.Cancelled {
+	if id, ok := storage.JobOf(key); ok {
+		if f, _ := c.cache.FinalState(id); f == protocol.Cancelled {
 			c.words.own.note(version, id)
 		}
 	}
@@ -60,7 +60,7 @@
 
 // over tells whether nothing of a job is wanted any more: it has its final state, or a peer has told
 // that it is cancelled, which is committed, confirmed and never taken back.
-func (c *Controller) over(j *bookkeeping.Job) bool {
+func (c *Controller) over(j *storage.Job) bool {
 	if !j.Open() {
 		return true
 	}
@@ -96,10 +96,10 @@
 	return out, true
 }
 
-// readers are the nodes that read words, and how far each has told that its book is.
+// readers are the nodes that read words, and how far each has told that its cache is.
 func (c *Controller) readers() *map[string]uint64 {
 	out := map[string]uint64{}
-	for name, n := range c.book.Nodes {
+	for name, n := range c.cache.Nodes {
 		if name != c.cfg.NodeName && n.Frames >= protocol.FramesWord {
 			out[name] = c.peers[name].pulse.Revision
 		}
@@ -118,7 +118,7 @@
 	}
 	fresh := false
 	for _, e := range w.Ended {
-		if e.Version > c.book.Revision {
+		if e.Version > c.cache.Revision {
 			_, known := c.words.told[e.Job]
 			c.words.told[e.Job] = e.Version
 			fresh = fresh || !known
@@ -129,10 +129,10 @@
 		c.stopTold()
 	}
 	// What a process before this one of the same name had confirmed, nobody vouches for: only a
-	// reading after this one began shows it. And a list that begins after this node's book has a gap.
+	// reading after this one began shows it. And a list that begins after this node's cache has a gap.
 	off := 2 * time.Duration(c.cfg.Deployment.ClockOffMs*float64(time.Millisecond))
 	since := func(ms int64) time.Time { return now.Add(-time.Duration(now.UnixMilli()-ms) * time.Millisecond) }
-	if since(w.Born).Add(off).After(c.readAt) || w.From > c.book.Revision {
+	if since(w.Born).Add(off).After(c.readAt) || w.From > c.cache.Revision {
 		return
 	}
 	// It may have been held up on its way: it vouches for what was before it was said.
@@ -151,7 +151,7 @@
 // stopTold has the tasks of jobs that peers tell to be cancelled stopped on this node's machines.
 func (c *Controller) stopTold() {
 	for id := range c.words.told {
-		if j := c.book.Job(id); j != nil {
+		if j := c.cache.Job(id); j != nil {
 			c.nudgeJob(j)
 		}
 	}
@@ -160,7 +160,7 @@
 // readWords forgets what the records show by now.
 func (c *Controller) readWords() {
 	for id, v := range c.words.told {
-		if v <= c.book.Revision {
+		if v <= c.cache.Revision {
 			delete(c.words.told, id)
 		}
 	}
@@ -177,7 +177,7 @@
 	for _, k := range c.cfg.Known {
 		others(k.NodeName)
 	}
-	for name := range c.book.Nodes {
+	for name := range c.cache.Nodes {
 		others(name)
 	}
 	return maxTime(c.readAt, all)
--- a/internal/coordination/words_test.go
+++ b/internal/coordination/words_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -39,12 +39,12 @@
 		{name: "told in time, but not known to be all", read: 2 * time.Second, born: time.Second, from: 7, list: cancelled, silent: true, status: 200, kills: 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t) // lease 10 s, cancellations 30 s; its book is at 4
+			c := newCore(t) // lease 10 s, cancellations 30 s; its cache is at 4
 			c.cfg.Known = []config.Peer{{NodeName: "n1"}, {NodeName: "n2"}}
 			c.cfg.Deployment.ClockOffMs = x.clocks
-			m := c.book.Machine("m")
-			if err := c.book.Apply(bookkeeping.RackKey(0), bookkeeping.Encode(bookkeeping.RackRecord{Machines: []bookkeeping.RackMachine{{Name: "m", Session: 1,
-				Tasks: []bookkeeping.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}), 5, false); err != nil {
+			m := c.cache.Machine("m")
+			if err := c.cache.Apply(storage.RackKey(0), storage.Encode(storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}), 5, false); err != nil {
 				t.Fatal(err)
 			}
 			now := time.Now()
@@ -118,8 +118,8 @@
 	c := newCore(t)
 	c.words.own.note(6, "job-000006")
 	c.words.own.note(8, "job-000008")
-	c.book.Nodes["n1"] = &bookkeeping.Node{NodeRecord: bookkeeping.NodeRecord{Frames: protocol.FramesWord}}
-	c.book.Nodes["n2"] = &bookkeeping.Node{}
+	c.cache.Nodes["n1"] = &storage.Node{NodeRecord: storage.NodeRecord{Frames: protocol.FramesWord}}
+	c.cache.Nodes["n2"] = &storage.Node{}
 	c.peers["n1"] = peer{pulse: protocol.Pulse{Revision: 7}}
 	c.publish(time.Now())
 	if w, ok := c.Word("n1"); !ok || w.From != 7 || len(w.Ended) != 1 || w.Ended[0].Version != 8 {
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
 )
@@ -42,23 +42,23 @@
 		}
 		return
 	}
-	m := c.book.Machine(r.Machine)
+	m := c.cache.Machine(r.Machine)
 	if m == nil {
 		c.onStranger(ctx, r, reply)
 		return
 	}
 	if !c.owns(m.Share) {
-		if c.standsIn(m, time.Now()) && r.Token <= c.book.Token(m) {
+		if c.standsIn(m, time.Now()) && r.Token <= c.cache.Token(m) {
 			// The lease goes on, under the token of the records.
-			c.renew(m.Name, protocol.ReportAnswer{Token: c.book.Token(m), Commands: c.stops(m)}, reply)
-		} else if s := &c.book.Shares[m.Share]; s.Version > 0 && s.Node != c.cfg.NodeName {
+			c.renew(m.Name, protocol.ReportAnswer{Token: c.cache.Token(m), Commands: c.stops(m)}, reply)
+		} else if s := &c.cache.Shares[m.Share]; s.Version > 0 && s.Node != c.cfg.NodeName {
 			reply(421, protocol.Redirect{Node: s.Node})
 		} else {
 			reply(503, notMine)
 		}
 		return
 	}
-	token := c.book.Token(m)
+	token := c.cache.Token(m)
 	v := c.view(m)
 	if r.Token > token {
 		c.overtaken(m, v, r.Token)
@@ -81,13 +81,13 @@
 }
 
 // overtaken deals with a worker that has seen a higher token than its machine's record has.
-// Mostly somebody holds a newer right to command it, and this node's book is behind: then what
+// Mostly somebody holds a newer right to command it, and this node's cache is behind: then what
 // it commits fails. But a rack may have moved under a token older than that of the share's new owner,
 // who had shown it to the worker just before; then nobody could command the machine any more, its
 // tasks stayed in the record and their jobs running for ever. So the record's is raised above it.
-// Every token was committed, so none is above the revision that a book in time has come to: one
+// Every token was committed, so none is above the revision that a cache in time has come to: one
 // that is makes no sense, or not yet.
-func (c *Controller) overtaken(m *bookkeeping.Machine, v *machineView, token uint64) {
+func (c *Controller) overtaken(m *storage.Machine, v *machineView, token uint64) {
 	if token <= c.maxRev {
 		v.Uncertain = max(v.Uncertain, token)
 		c.kick()
@@ -96,18 +96,18 @@
 
 // gains tells whether a commit is likely to bring commands for a machine. A worker
 // has one report in flight at a time: what waits for nothing delays its next one.
-func (c *Controller) gains(m *bookkeeping.Machine, v *machineView) bool {
+func (c *Controller) gains(m *storage.Machine, v *machineView) bool {
 	if len(v.Gone) > 0 {
 		return true
 	}
 	if c.waiting[m.Share] == 0 || !c.usable(m, v, v.heard) {
 		return false
 	}
-	free := c.book.Types[m.Type].Cpus
+	free := c.cache.Types[m.Type].Cpus
 	for _, p := range m.Tasks {
 		free -= p.Job.Size
 	}
-	return free > 0.05*c.book.Types[m.Type].Cpus
+	return free > 0.05*c.cache.Types[m.Type].Cpus
 }
 
 // stateBad tells whether answers should not wait for a commit.
@@ -116,7 +116,7 @@
 }
 
 // takeReport takes a worker's message.
-func (c *Controller) takeReport(m *bookkeeping.Machine, v *machineView, r *protocol.Report, token uint64, reply bool) {
+func (c *Controller) takeReport(m *storage.Machine, v *machineView, r *protocol.Report, token uint64, reply bool) {
 	now := time.Now()
 	c.noteMute(m, v, r, reply, now)
 	if v.Session != r.Session && v.Session != 0 {
@@ -127,7 +127,7 @@
 	for ref := range v.Gone {
 		known[ref] = true
 	}
-	v.Take(m, r, token, reply, c.book.Job)
+	v.Take(m, r, token, reply, c.cache.Job)
 	v.heard, v.probes = now, 0
 	c.heardAny = now
 	c.hearZone(m.Zone, now)
@@ -149,7 +149,7 @@
 				v.started[ref] = now
 				c.noteReplica(m, ref, now)
 			}
-			v.images = bookkeeping.UseImage(v.images, ref.Job.Image)
+			v.images = storage.UseImage(v.images, ref.Job.Image)
 			c.noteSteady(v, ref.Job, now.Sub(v.started[ref]))
 		}
 	}
@@ -162,7 +162,7 @@
 
 // noteReplica logs how long a service's replica took to run: waiting for its place, and then for
 // its image. A new owner sees those that ran before, too: they are left out.
-func (c *Controller) noteReplica(m *bookkeeping.Machine, ref dispatch.Ref, now time.Time) {
+func (c *Controller) noteReplica(m *storage.Machine, ref dispatch.Ref, now time.Time) {
 	if ref.Job.Shape != protocol.Service {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // noteOutcome draws conclusions from an attempt's end about its machine and job.
-func (c *Controller) noteOutcome(m *bookkeeping.Machine, v *machineView, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
+func (c *Controller) noteOutcome(m *storage.Machine, v *machineView, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
 	jv := c.jobView(ref.Job)
 	c.countOutcome(v, ref, out, now)
 	if out != dispatch.Completed {
@@ -210,7 +210,7 @@
 }
 
 // wish is what this owner wants of a placed attempt.
-func (c *Controller) wish(m *bookkeeping.Machine, v *machineView, p bookkeeping.Placed) dispatch.Wish {
+func (c *Controller) wish(m *storage.Machine, v *machineView, p storage.Placed) dispatch.Wish {
 	j := p.Job
 	grace := 0.0
 	if j.Mark > 0 {
@@ -219,7 +219,7 @@
 	switch {
 	case c.over(j):
 		return dispatch.Wish{Stop: true}
-	case c.book.Victim(p):
+	case c.cache.Victim(p):
 		// Saving little takes as long as what it keeps, and the room is wanted now. One
 		// that is saving already goes on.
 		ref := dispatch.RefOf(p)
@@ -238,9 +238,9 @@
 	return dispatch.Wish{}
 }
 
-func (c *Controller) commands(m *bookkeeping.Machine, v *machineView, answer bool) []protocol.Command {
+func (c *Controller) commands(m *storage.Machine, v *machineView, answer bool) []protocol.Command {
 	unsent := len(v.Gone)
-	cmds := v.Commands(m, c.book.Token(m), func(p bookkeeping.Placed) dispatch.Wish { return c.wish(m, v, p) }, answer, maxCommands)
+	cmds := v.Commands(m, c.cache.Token(m), func(p storage.Placed) dispatch.Wish { return c.wish(m, v, p) }, answer, maxCommands)
 	if len(v.Gone) > unsent {
 		c.kick()
 	}
@@ -249,17 +249,17 @@
 
 // answer answers a report with what the record holds now.
 func (c *Controller) answer(h heldReply) {
-	m := c.book.Machine(h.machine)
+	m := c.cache.Machine(h.machine)
 	if m == nil {
 		h.reply(503, notMine)
 		return
 	}
 	if !c.owns(m.Share) {
-		h.reply(421, protocol.Redirect{Node: c.book.Shares[m.Share].Node})
+		h.reply(421, protocol.Redirect{Node: c.cache.Shares[m.Share].Node})
 		return
 	}
 	v := c.view(m)
-	out := protocol.ReportAnswer{Token: c.book.Token(m)}
+	out := protocol.ReportAnswer{Token: c.cache.Token(m)}
 	// Commands only answer the latest report of a session that still is.
 	if v.Session == h.report.Session && v.ReportSeq == h.report.Seq {
 		out.Commands = c.commands(m, v, true)
@@ -286,26 +286,26 @@
 
 // onStranger deals with a machine that has no record: the leader takes it in.
 func (c *Controller) onStranger(ctx context.Context, r *protocol.Report, reply func(int, any)) {
-	if c.book.Known(r.Machine) {
+	if c.cache.Known(r.Machine) {
 		reply(503, notMine) // it is gone and the report late, or its rack is not read yet
 		return
 	}
 	if !c.leads() {
-		if l := c.book.Leader; l.Version > 0 && l.Node != c.cfg.NodeName {
+		if l := c.cache.Leader; l.Version > 0 && l.Node != c.cfg.NodeName {
 			reply(421, protocol.Redirect{Node: l.Node})
 		} else {
 			reply(503, notMine)
 		}
 		return
 	}
-	if c.book.TypeIdx.Find(r.Type) < 0 || len(c.lead.newcomers) > maxAdopting {
+	if c.cache.TypeIdx.Find(r.Type) < 0 || len(c.lead.newcomers) > maxAdopting {
 		reply(503, notMine)
 		return
 	}
 	// Its token must be above all that the worker has seen.
-	c.adopt(ctx, &newcomer{name: r.Machine, addr: r.Addr, kind: bookkeeping.FleetRecord{Token: r.Token + 1, Type: r.Type,
+	c.adopt(ctx, &newcomer{name: r.Machine, addr: r.Addr, kind: storage.FleetRecord{Token: r.Token + 1, Type: r.Type,
 		Zone: r.Zone, Spot: r.Spot, RentedAt: time.Now().Unix()}, then: func(ok bool) {
-		if ok && c.book.Machine(r.Machine) != nil {
+		if ok && c.cache.Machine(r.Machine) != nil {
 			c.onReport(ctx, r, reply)
 		} else {
 			reply(503, notMine)
@@ -314,12 +314,12 @@
 }
 
 // direct sends what the record wants straight to a worker, if there is anything.
-func (c *Controller) direct(m *bookkeeping.Machine, empty bool) {
+func (c *Controller) direct(m *storage.Machine, empty bool) {
 	v := c.view(m)
 	if v.Direct || m.Addr == "" || c.directs >= maxDirects || (v.Session == 0 && m.Session == 0) {
 		return
 	}
-	token := c.book.Token(m)
+	token := c.cache.Token(m)
 	cmd := protocol.DirectCommands{Token: token, Session: max(v.Session, m.Session), Commands: []protocol.Command{}}
 	if v.Session != 0 {
 		cmd.Commands = append(cmd.Commands, c.commands(m, v, false)...)
@@ -357,12 +357,12 @@
 			if r.Machine != m.Name {
 				return
 			}
-			if r.Token > c.book.Token(m) {
+			if r.Token > c.cache.Token(m) {
 				c.overtaken(m, v, r.Token)
 				return
 			}
 			if v.Newer(r) {
-				c.takeReport(m, v, r, c.book.Token(m), true)
+				c.takeReport(m, v, r, c.cache.Token(m), true)
 				c.kick()
 				// What it shows to run on after a takeover may have been cancelled while nobody had it.
 				c.nudgeStop(m)
@@ -385,19 +385,19 @@
 }
 
 // nudgeJob sends stops to the machines that a job's tasks are placed on.
-func (c *Controller) nudgeJob(j *bookkeeping.Job) {
+func (c *Controller) nudgeJob(j *storage.Job) {
 	if j.NPlaced == 0 {
 		return
 	}
 	for _, i := range j.Machine {
-		if i != bookkeeping.Nowhere {
-			c.nudgeStop(c.book.Machines[i])
+		if i != storage.Nowhere {
+			c.nudgeStop(c.cache.Machines[i])
 		}
 	}
 }
 
 // nudgeStop sends stops of cancelled and evicted tasks without waiting for a report.
-func (c *Controller) nudgeStop(m *bookkeeping.Machine) {
+func (c *Controller) nudgeStop(m *storage.Machine) {
 	if m.Gone || len(m.Tasks) == 0 || !c.owns(m.Share) {
 		return
 	}
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -49,7 +49,7 @@
 	x.heard, x.misses = now, 0
 	if x.away {
 		x.away, x.back = false, now
-		c.log.Info("zone is heard again", "zone", c.book.Zones.Name(z))
+		c.log.Info("zone is heard again", "zone", c.cache.Zones.Name(z))
 	}
 }
 
@@ -66,7 +66,7 @@
 // watchZones asks silent zones' workers for a report, one at a time, and finds out which zones are
 // away. The leader does so too where it owns nothing: it must not rent there.
 func (c *Controller) watchZones(now time.Time) {
-	for name := range c.book.Nodes {
+	for name := range c.cache.Nodes {
 		c.living[name] = now
 	}
 	if !c.leads() && !slices.ContainsFunc(c.owned, func(v uint64) bool { return v > 0 }) {
@@ -75,8 +75,8 @@
 		}
 		return
 	}
-	machines := make([][]*bookkeeping.Machine, c.book.Zones.Len())
-	for _, m := range c.book.Machines {
+	machines := make([][]*storage.Machine, c.cache.Zones.Len())
+	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing && m.Session > 0 && m.Addr != "" {
 			machines[m.Zone] = append(machines[m.Zone], m)
 		}
@@ -95,7 +95,7 @@
 			x.empty = now
 		} else if now.Sub(x.empty) > emptyFor {
 			*x = zone{heard: now}
-			c.log.Info("nothing is left in a zone that was away, it is tried again", "zone", c.book.Zones.Name(z))
+			c.log.Info("nothing is left in a zone that was away, it is tried again", "zone", c.cache.Zones.Name(z))
 		}
 		if len(list) == 0 || silent < expected {
 			continue
@@ -106,7 +106,7 @@
 		}
 		if !x.away && len(list) >= zoneMachines && heard && silent > quiet && x.misses >= misses {
 			x.away = true
-			c.log.Info("zone is away", "zone", c.book.Zones.Name(z), "machines", len(list))
+			c.log.Info("zone is away", "zone", c.cache.Zones.Name(z), "machines", len(list))
 		}
 		if x.asking || now.Sub(x.asked) < time.Second/2 {
 			continue
@@ -130,7 +130,7 @@
 // there goes on answering them; another is found by most workers before their leases end, even where
 // two silent nodes come first in their order.
 func (c *Controller) inhabited(z int) bool {
-	name, since := c.book.Zones.Name(z), c.zones[z].heard
+	name, since := c.cache.Zones.Name(z), c.zones[z].heard
 	if since.Sub(c.began) < endedBefore {
 		return false // this process has not seen who ended
 	}
@@ -140,8 +140,8 @@
 }
 
 // serves tells whether replicas of services that go on run on a machine.
-func serves(m *bookkeeping.Machine) bool {
-	return slices.ContainsFunc(m.Tasks, func(p bookkeeping.Placed) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
+func serves(m *storage.Machine) bool {
+	return slices.ContainsFunc(m.Tasks, func(p storage.Placed) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
 }
 
 // awayLimit is how long a machine whose services may run on in a zone that is away may be silent. A node
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -35,11 +35,11 @@
 		for i := range n {
 			rev++
 			name := fmt.Sprint(z, i)
-			if err := c.book.Apply(bookkeeping.FleetKey(name), bookkeeping.Encode(bookkeeping.FleetRecord{Type: "t", Zone: z, Token: rev,
-				Machines: []bookkeeping.FleetMachine{{Name: name, Addr: name}}}), rev, false); err != nil {
+			if err := c.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: z, Token: rev,
+				Machines: []storage.FleetMachine{{Name: name, Addr: name}}}), rev, false); err != nil {
 				t.Fatal(err)
 			}
-			m := c.book.Machine(name)
+			m := c.cache.Machine(name)
 			m.Session, m.Gone = 1, false
 			c.view(m)
 		}
@@ -59,7 +59,7 @@
 	}{
 		{"one zone is silent, its node lived", "ac", 4, func(*Controller, time.Time) {}, true, true},
 		{"its node's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.broke["n1"] = now.Add(-3 * time.Second) }, true, false},
-		{"its node was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.book.Nodes, "n1") }, true, false},
+		{"its node was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Nodes, "n1") }, true, false},
 		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.began = now }, true, false},
 		{"all are silent: the fault is on this side", "", 4, func(*Controller, time.Time) {}, false, false},
 		{"two machines may fall silent together", "ac", 2, func(*Controller, time.Time) {}, false, false},
@@ -69,11 +69,11 @@
 				c := hall(t, x.machines)
 				c.workers = deafWorkers(x.heard)
 				for _, n := range []string{"n0", "n1", "n2"} {
-					c.book.Nodes[n] = &bookkeeping.Node{Version: 1}
+					c.cache.Nodes[n] = &storage.Node{Version: 1}
 				}
 				c.began = time.Now().Add(-time.Minute)
 				x.before(c, time.Now())
-				b := c.book.Zones.Find("b")
+				b := c.cache.Zones.Find("b")
 				for i := range 24 {
 					c.watchZones(time.Now())
 					time.Sleep(250 * time.Millisecond)
@@ -81,7 +81,7 @@
 						(<-c.inbox)()
 					}
 					if i == 10 {
-						delete(c.book.Nodes, "n1") // its hold has ended
+						delete(c.cache.Nodes, "n1") // its hold has ended
 					}
 				}
 				now := time.Now()
@@ -91,7 +91,7 @@
 				if x.away && (!c.spared(b, now) || c.spared(b, now.Add(time.Minute))) {
 					t.Error("what runs there needs no other room for a while, and then it does")
 				}
-				for _, m := range c.book.Machines {
+				for _, m := range c.cache.Machines {
 					m.Gone = m.Zone == b && x.name == "its node was no member any more"
 				}
 				for range 2 { // in a zone without machines nobody will ever be heard
@@ -132,30 +132,30 @@
 	} {
 		c := newCore(t)
 		c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 180}}
-		c.book.Types[0].Fetch = 0.25
+		c.cache.Types[0].Fetch = 0.25
 		now := time.Now()
-		j := c.book.Job("job-000001")
+		j := c.cache.Job("job-000001")
 		j.Estimate, j.Save, j.Mark, j.ImageGB, j.At = x.estimate, 3, 15, 5, now.Add(-x.age)
-		m := c.book.Machine("m")
-		if got := c.leaves(m, c.view(m), bookkeeping.Placed{Job: j, At: now.Unix() - x.ran}, now); got != x.want {
+		m := c.cache.Machine("m")
+		if got := c.leaves(m, c.view(m), storage.Placed{Job: j, At: now.Unix() - x.ran}, now); got != x.want {
 			t.Errorf("%s: leaves %v", x.name, got)
 		}
 	}
 }
 
 // serve puts a service's first replicas on machines of their names.
-func (c *Controller) serve(t *testing.T, id string, tasks int, on ...string) *bookkeeping.Job {
+func (c *Controller) serve(t *testing.T, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
 	c.maxRev++
-	if err := c.book.Apply(bookkeeping.JobKey(id), bookkeeping.Encode(bookkeeping.JobRecord{Tasks: tasks, Team: "red",
-		Spec: &bookkeeping.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), c.maxRev, false); err != nil {
+	if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
+		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), c.maxRev, false); err != nil {
 		t.Fatal(err)
 	}
-	j := c.book.Job(id)
+	j := c.cache.Job(id)
 	j.ByZone = make([]int32, 3)
 	for i, name := range on {
-		m := c.book.Machine(name)
-		m.Tasks = append(m.Tasks, bookkeeping.Placed{Job: j, Task: i, Attempt: c.maxRev})
+		m := c.cache.Machine(name)
+		m.Tasks = append(m.Tasks, storage.Placed{Job: j, Task: i, Attempt: c.maxRev})
 		j.Machine[i], j.Attempt[i], j.NPlaced = m.Index, c.maxRev, j.NPlaced+1
 		j.ByZone[m.Zone]++
 	}
@@ -165,12 +165,12 @@
 // Replicas leave a drained machine one of a service at a time, and only for one that has their image.
 func TestReplicasMoveOneByOne(t *testing.T) {
 	c, now := hall(t, 3), time.Now()
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		v := c.view(m)
 		v.Session, v.heard = 1, now
 	}
 	one, two := c.serve(t, "job-000010", 3, "a0", "b0", "a0"), c.serve(t, "job-000011", 1, "a0")
-	from := c.book.Machine("a0")
+	from := c.cache.Machine("a0")
 	from.Drains = true
 	leaving := func() (n int) {
 		c.moveReplicas(now)
@@ -185,7 +185,7 @@
 	if n := leaving(); n != 0 {
 		t.Errorf("%d replicas leave although their image is nowhere else", n)
 	}
-	c.view(c.book.Machine("c0")).images = []int{one.Image}
+	c.view(c.cache.Machine("c0")).images = []int{one.Image}
 	if n := leaving(); n != 2 || c.jobView(one).moving == c.jobView(two).moving {
 		t.Errorf("%d replicas leave, want one of each service", n)
 	}
@@ -196,7 +196,7 @@
 func TestSpreadIsAskedForByZone(t *testing.T) {
 	c := hall(t, 1)
 	c.lead.init()
-	c.book.Types[0].Zones = []int{0, 1, 2}
+	c.cache.Types[0].Zones = []int{0, 1, 2}
 	c.serve(t, "job-000010", 6, "a0", "a0", "a0")
 	need := map[int]int{}
 	for _, d := range c.demands(time.Now()) {
@@ -204,7 +204,7 @@
 			need[d.Zone] += d.Tasks
 		}
 	}
-	if a := c.book.Zones.Find("a"); need[a] != 3 || need[-1] != 0 || need[0]+need[1]+need[2] != 6 {
+	if a := c.cache.Zones.Find("a"); need[a] != 3 || need[-1] != 0 || need[0]+need[1]+need[2] != 6 {
 		t.Errorf("room asked for by zone: %v", need)
 	}
 }
@@ -227,7 +227,7 @@
 	} {
 		c := hall(t, 4)
 		c.lead.init()
-		c.book.Teams[0].CpusMax = x.limit
+		c.cache.Teams[0].CpusMax = x.limit
 		for i := range x.jobs {
 			var on []string
 			if i == 0 {
@@ -235,7 +235,7 @@
 			}
 			j := c.serve(t, fmt.Sprintf("job-%06d", 10+i), 6, on...)
 			j.Spread = false
-			c.book.Used[j.Team].Add(j, float64(len(on)))
+			c.cache.Used[j.Team].Add(j, float64(len(on)))
 		}
 		got := 0
 		for _, d := range c.demands(time.Now()) {
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -51,7 +51,7 @@
 // Pulse says how the sender fares.
 type Pulse struct {
 	StateOK  bool   // the state service served it within the last second or two
-	Revision uint64 // how far its book is
+	Revision uint64 // how far its cache is
 	Owned    uint64 // shares it owns, as bits
 	Changes  uint32 // changes in the state service that it makes, in thousandths a second
 }
--- a/internal/standin/attempts.go
+++ b/internal/standin/attempts.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -21,11 +21,11 @@
 	}
 	gone, now := map[string]uint64{}, map[string]uint64{}
 	for _, c := range txn.Then {
-		rack, ok := bookkeeping.RackOf(c.Put)
+		rack, ok := storage.RackOf(c.Put)
 		if !ok {
 			continue
 		}
-		r, err := bookkeeping.DecodeRack(c.Value)
+		r, err := storage.DecodeRack(c.Value)
 		if err != nil {
 			return []string{err.Error()}
 		}
--- a/internal/standin/floods_test.go
+++ b/internal/standin/floods_test.go
@@ -7,14 +7,14 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 )
 
 // usualOf is what the records say is usual for a class.
 func (w *World) usualOf(class string) (cpus float64) {
-	var r bookkeeping.UsualRecord
-	raw, _ := w.Store.Value(bookkeeping.UsualKey)
+	var r storage.UsualRecord
+	raw, _ := w.Store.Value(storage.UsualKey)
 	_ = json.Unmarshal(raw, &r) // none: nothing is usual
 	for _, l := range r.Lanes {
 		if l.Class == class {
--- a/internal/standin/leases_test.go
+++ b/internal/standin/leases_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -95,7 +95,7 @@
 	}
 	w.After = func(_ int, tx protocol.Txn) {
 		for _, c := range tx.Then {
-			if c.Put == bookkeeping.JobKey(j.ID) && strings.Contains(string(c.Value), `"cancelled"`) {
+			if c.Put == storage.JobKey(j.ID) && strings.Contains(string(c.Value), `"cancelled"`) {
 				for i := range 3 {
 					w.Node(i).Cut(NoWorkers)
 				}
--- a/internal/standin/limits_test.go
+++ b/internal/standin/limits_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination"
 	"dykeledge/internal/protocol"
@@ -93,11 +93,11 @@
 					w.Store.Check = func(t protocol.Txn) {
 						records(t)
 						for _, c := range t.Then {
-							if strings.HasPrefix(c.Put, bookkeeping.EvictKey("limit:")) {
+							if strings.HasPrefix(c.Put, storage.EvictKey("limit:")) {
 								evicted.Add(1)
 							}
-							var r bookkeeping.TeamRecord
-							if c.Put == bookkeeping.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Was != nil {
+							var r storage.TeamRecord
+							if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Was != nil {
 								lowered.Add(1)
 							}
 						}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/transport"
 	"errors"
@@ -148,7 +148,7 @@
 	}
 	if w := l.node.world; w != nil && w.LostAnswers != nil && err == nil && len(t.Then) > 0 && w.LostAnswers(l.node.Name, t) {
 		if len(failed) == 0 {
-			kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, bookkeeping.Root), "/")
+			kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
 			w.mu.Lock()
 			w.AnswersLost[kind]++
 			w.mu.Unlock()
--- a/internal/standin/records.go
+++ b/internal/standin/records.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -36,7 +36,7 @@
 		c.world.fault("%s", reused)
 	}
 	for _, change := range t.Then {
-		if change.Put == bookkeeping.LeaderKey {
+		if change.Put == storage.LeaderKey {
 			c.world.newLeader(change.Value)
 		}
 		c.noteFleet(change)
@@ -47,10 +47,10 @@
 
 func (c *recordCheck) noteFleet(change protocol.Change) {
 	c.forgetFleet(change.Delete)
-	if !strings.HasPrefix(change.Put, bookkeeping.FleetKey("")) {
+	if !strings.HasPrefix(change.Put, storage.FleetKey("")) {
 		return
 	}
-	f, err := bookkeeping.DecodeFleet(change.Value)
+	f, err := storage.DecodeFleet(change.Value)
 	if err != nil {
 		c.world.fault("record %s cannot be read", change.Put)
 	}
@@ -75,13 +75,13 @@
 
 // noteRacks takes the racks that a transaction writes as one change: tasks may go from one to another.
 func (c *recordCheck) noteRacks(t protocol.Txn) {
-	written := map[int]bookkeeping.RackRecord{}
+	written := map[int]storage.RackRecord{}
 	for _, change := range t.Then {
-		rack, ok := bookkeeping.RackOf(change.Put)
+		rack, ok := storage.RackOf(change.Put)
 		if !ok {
 			continue
 		}
-		r, err := bookkeeping.DecodeRack(change.Value)
+		r, err := storage.DecodeRack(change.Value)
 		if err != nil {
 			c.world.fault("record %s cannot be read", change.Put)
 		}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (c *recordCheck) place(rack int, r bookkeeping.RackRecord) {
+func (c *recordCheck) place(rack int, r storage.RackRecord) {
 	for _, m := range r.Machines {
 		for _, p := range m.Tasks {
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
 )
 
@@ -139,10 +139,10 @@
 // must be by then. The world is locked.
 func (w *World) noteTeam(change protocol.Change) {
 	for _, t := range w.Cfg.Deployment.Teams {
-		if change.Put != bookkeeping.TeamKey(t.Name) {
+		if change.Put != storage.TeamKey(t.Name) {
 			continue
 		}
-		var r bookkeeping.TeamRecord
+		var r storage.TeamRecord
 		if err := json.Unmarshal(change.Value, &r); err != nil {
 			w.fault("record %s cannot be read", change.Put)
 		}
--- a/internal/standin/scenes_test.go
+++ b/internal/standin/scenes_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
@@ -482,7 +482,7 @@
 
 // everyThird tells whether a transaction is the first, the fourth, the seventh and so on of its kind.
 func (s *scene) everyThird(what string, t protocol.Txn) bool {
-	kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, bookkeeping.Root), "/")
+	kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
 	s.count(what+kind, 1)
 	s.counting.Lock()
 	defer s.counting.Unlock()
@@ -533,10 +533,10 @@
 		records(t)
 		for _, c := range t.Then {
 			var share int
-			if n, _ := fmt.Sscanf(c.Put, bookkeeping.Root+"share/%d", &share); n == 1 {
+			if n, _ := fmt.Sscanf(c.Put, storage.Root+"share/%d", &share); n == 1 {
 				at[share] = time.Now()
 			}
-			if id, ok := bookkeeping.JobOf(c.Put); ok && strings.Contains(string(c.Value), `"f":"cancelled"`) {
+			if id, ok := storage.JobOf(c.Put); ok && strings.Contains(string(c.Value), `"f":"cancelled"`) {
 				s.mu.Lock()
 				j := s.jobs[id]
 				s.mu.Unlock()
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination"
 	"dykeledge/internal/protocol"
@@ -195,7 +195,7 @@
 	KeptReports  func(m string) bool
 	CopiesToNext atomic.Int32
 	kept         []*protocol.Report
-	lastLeader   bookkeeping.LeaderRecord
+	lastLeader   storage.LeaderRecord
 	Leads        atomic.Int32 // times that the lead was taken
 	// LostAnswers has a transaction carried out at once and its answer lost. AnswersLost counts those that took effect, by the first key's kind.
 	LostAnswers func(node string, t protocol.Txn) bool
@@ -266,7 +266,7 @@
 
 // newLeader delivers what was kept back for the next leader to every node, as it begins. The world is locked.
 func (w *World) newLeader(raw []byte) {
-	var l bookkeeping.LeaderRecord
+	var l storage.LeaderRecord
 	if json.Unmarshal(raw, &l) != nil || l == w.lastLeader {
 		return
 	}
@@ -352,7 +352,7 @@
 	}
 	w.mu.Lock()
 	if w.Old[i] {
-		n.Core.Layout, n.Core.Frames = bookkeeping.LayoutPlain, 0
+		n.Core.Layout, n.Core.Frames = storage.LayoutPlain, 0
 	}
 	for len(w.nodes) <= i {
 		w.nodes = append(w.nodes, nil)
@@ -421,8 +421,8 @@
 
 // Leader is the node that leads, -1 if nobody is known to.
 func (w *World) Leader() int {
-	raw, ok := w.Store.Value(bookkeeping.LeaderKey)
-	var l bookkeeping.LeaderRecord
+	raw, ok := w.Store.Value(storage.LeaderKey)
+	var l storage.LeaderRecord
 	if !ok || json.Unmarshal(raw, &l) != nil {
 		return -1
 	}
--- a/internal/standin/world_test.go
+++ b/internal/standin/world_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination"
 	"dykeledge/internal/protocol"
@@ -88,9 +88,9 @@
 func TestWorld(t *testing.T) {
 	launches := func(x protocol.Txn) bool {
 		for _, c := range x.Then {
-			if _, ok := bookkeeping.RackOf(c.Put); ok {
-				r, _ := bookkeeping.DecodeRack(c.Value)
-				if slices.ContainsFunc(r.Machines, func(m bookkeeping.RackMachine) bool { return len(m.Tasks) > 0 }) {
+			if _, ok := storage.RackOf(c.Put); ok {
+				r, _ := storage.DecodeRack(c.Value)
+				if slices.ContainsFunc(r.Machines, func(m storage.RackMachine) bool { return len(m.Tasks) > 0 }) {
 					return true
 				}
 			}
@@ -349,7 +349,7 @@
 		w.Start(i)
 	}
 	isGate := func(x protocol.Txn) bool {
-		return slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return c.Put == bookkeeping.LayoutKey })
+		return slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return c.Put == storage.LayoutKey })
 	}
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -364,10 +364,10 @@
 				records := w.Store.Check
 				w.Store.Check = func(x protocol.Txn) { // whoever learns of it
 					records(x)
-					var l bookkeeping.LayoutRecord
-					if isGate(x) && json.Unmarshal(x.Then[0].Value, &l) == nil && l.Version >= bookkeeping.LayoutPacked {
+					var l storage.LayoutRecord
+					if isGate(x) && json.Unmarshal(x.Then[0].Value, &l) == nil && l.Version >= storage.LayoutPacked {
 						gate.Store(true)
-						if len(x.Then) != 2 || !strings.HasPrefix(x.Then[1].Put, bookkeeping.Root+"machine/") {
+						if len(x.Then) != 2 || !strings.HasPrefix(x.Then[1].Put, storage.Root+"machine/") {
 							t.Error("the version before would become ready on packed records")
 						}
 						w.mu.Lock()
--- a/internal/bookkeeping/awaits.go
+++ b/internal/storage/awaits.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"time"
@@ -27,7 +27,7 @@
 func (j *Job) Unmet() int { return j.unmet }
 
 // await takes a new job into the graph.
-func (b *Book) await(j *Job) {
+func (b *Cache) await(j *Job) {
 	j.unmet = len(j.Needs) // at first: it is not ready before all of them were looked at
 	for _, id := range j.Needs {
 		if f, ok := b.recorded(id); ok {
@@ -43,7 +43,7 @@
 }
 
 // recorded is a job's final state as its record has it.
-func (b *Book) recorded(id string) (Final, bool) {
+func (b *Cache) recorded(id string) (Final, bool) {
 	if f, ok := b.final[id]; ok {
 		return f, true
 	}
@@ -57,7 +57,7 @@
 func (j *Job) outcome() Final { return Final{j.Final, int32(j.NDone), j.EndMs} }
 
 // settle tells the jobs that wait for one that it is over.
-func (b *Book) settle(id string, f Final) {
+func (b *Cache) settle(id string, f Final) {
 	// What it needed inherits from it no more.
 	b.inherits = b.inherits || len(b.heirs) > 0
 	deps := b.after[id]
@@ -72,7 +72,7 @@
 
 // met takes down that a job that j needs is over. From the last one's end on j's times
 // count: it is read from that job's record, and so outlives every owner.
-func (b *Book) met(j *Job, f Final) {
+func (b *Cache) met(j *Job, f Final) {
 	j.unmet--
 	b.noteJob(j)
 	if f.Status == protocol.Cancelled {
@@ -90,7 +90,7 @@
 // doom marks a job and all that need it, directly or through others, as cancelled with
 // one before them. That follows from the records alone, so every node says the same at
 // once; their own final records are written at leisure.
-func (b *Book) doom(j *Job) {
+func (b *Cache) doom(j *Job) {
 	work := []*Job{j}
 	for len(work) > 0 {
 		j := work[len(work)-1]
@@ -107,7 +107,7 @@
 
 // Doomed are the jobs that were cancelled with one before them and have no final record
 // of their own yet.
-func (b *Book) Doomed() []*Job {
+func (b *Cache) Doomed() []*Job {
 	keep := b.doomed[:0]
 	for _, j := range b.doomed {
 		if j.Open() {
@@ -120,7 +120,7 @@
 }
 
 // Readied returns the jobs that became ready since it was last called.
-func (b *Book) Readied() []*Job {
+func (b *Cache) Readied() []*Job {
 	list := b.readied
 	b.readied = nil
 	return list
@@ -130,7 +130,7 @@
 // any, and the latest time at which they must be over for those to be in time. aims is
 // when a job itself should be over at best and at the latest (zero: no such time), length
 // how long it will take. Every job and edge is looked at once.
-func (b *Book) Inherit(aims func(*Job) (by, late time.Time), length func(*Job) time.Duration) {
+func (b *Cache) Inherit(aims func(*Job) (by, late time.Time), length func(*Job) time.Duration) {
 	if !b.inherits {
 		return
 	}
--- a/internal/bookkeeping/awaits_test.go
+++ b/internal/storage/awaits_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"fmt"
@@ -11,11 +11,11 @@
 	"dykeledge/internal/protocol"
 )
 
-// graph applies jobs and ends to a book, in the order given: "b<a,c" is a job b that awaits
+// graph applies jobs and ends to a cache, in the order given: "b<a,c" is a job b that awaits
 // a and c, "a+" a that is done, "a-" one that is cancelled.
-func graph(t *testing.T, steps ...string) (*Book, func(string) *Job) {
+func graph(t *testing.T, steps ...string) (*Cache, func(string) *Job) {
 	t.Helper()
-	b := NewBook(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	for i, s := range steps {
 		id := JobKey("job-00000" + s[:1])
 		r := JobRecord{Tasks: 1, Team: "red", AtMs: 1000 * int64(i+1)}
--- a/internal/bookkeeping/before_test.go
+++ b/internal/storage/before_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"bytes"
@@ -57,7 +57,7 @@
 )
 
 func TestBeforeTheGate(t *testing.T) {
-	b := NewBook(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	old := map[string]string{}
 	for i, r := range before {
 		old[r.key] = r.value
--- a/internal/bookkeeping/book.go
+++ b/internal/storage/cache.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/base64"
@@ -31,7 +31,7 @@
 	Cpus     float64
 	Gpus     float64
 	Mem      float64
-	Size     float64 // see Book.sizeOf
+	Size     float64 // see Cache.sizeOf
 	Image    int
 	ImageGB  float64
 	Types    []int
@@ -212,7 +212,7 @@
 	Zones            []int
 }
 
-// Raw is a record that the book only passes on.
+// Raw is a record that the cache only passes on.
 type Raw struct {
 	Value   json.RawMessage
 	Version uint64
@@ -226,8 +226,8 @@
 	u.Cpus, u.Gpus, u.Mem = u.Cpus+n*j.Cpus, u.Gpus+n*j.Gpus, u.Mem+n*j.Mem
 }
 
-// Book is the whole state as the state service has it, up to Revision.
-type Book struct {
+// Cache is the whole state as the state service has it, up to Revision.
+type Cache struct {
 	Teams    []config.Team
 	TeamIdx  *Names
 	Zones    *Names
@@ -276,14 +276,14 @@
 	news      *news             // nil: nobody watches
 }
 
-// Layout is the gate between the layouts as the book has it.
+// Layout is the gate between the layouts as the cache has it.
 type Layout struct {
 	LayoutRecord
 	Revision uint64 // of its record
 }
 
 // Packed tells whether every node reads the packed layout, so that it may be written.
-func (b *Book) Packed() bool { return b.Layout.Version >= LayoutPacked && !b.Plain }
+func (b *Cache) Packed() bool { return b.Layout.Version >= LayoutPacked && !b.Plain }
 
 // setPart is a part of the set of a job's completed tasks.
 type setPart struct {
@@ -300,9 +300,9 @@
 // ShareCount is how many shares a deployment has: one a node, but none without a team.
 func ShareCount(d *config.Deployment) int { return max(1, min(d.Nodes, len(d.Teams))) }
 
-// NewBook is an empty book.
-func NewBook(s *config.Settings) *Book {
-	b := &Book{
+// NewCache is an empty cache.
+func NewCache(s *config.Settings) *Cache {
+	b := &Cache{
 		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIdx: NewNames(), Zones: NewNames(s.Deployment.Zones...),
 		TypeIdx: NewNames(), Images: NewNames(), Classes: NewNames(),
 		NShares: ShareCount(&s.Deployment), Nodes: map[string]*Node{}, Evicted: map[string]*Evicted{},
@@ -319,15 +319,15 @@
 }
 
 // ShareOf is the share that a team belongs to, whoever owns it.
-func (b *Book) ShareOf(team int) int { return team % b.NShares }
+func (b *Cache) ShareOf(team int) int { return team % b.NShares }
 
 // Job finds an open or not yet forgotten job.
-func (b *Book) Job(id string) *Job { return b.jobByID[id] }
+func (b *Cache) Job(id string) *Job { return b.jobByID[id] }
 
 // FinalState returns the final state of a job, "" if it is open or unknown. It is
 // cancelled as soon as one that it needs is, whatever its own record says: that job will
 // never be done, so this one can't be either.
-func (b *Book) FinalState(id string) (protocol.JobStatus, int) {
+func (b *Cache) FinalState(id string) (protocol.JobStatus, int) {
 	if f, ok := b.recorded(id); ok {
 		return f.Status, int(f.Tasks)
 	}
@@ -338,7 +338,7 @@
 }
 
 // Machine finds a machine by name.
-func (b *Book) Machine(name string) *Machine {
+func (b *Cache) Machine(name string) *Machine {
 	if m := b.byName[name]; m != nil && !m.Gone {
 		return m
 	}
@@ -346,13 +346,13 @@
 }
 
 // Token is the token under which a machine is commanded.
-func (b *Book) Token(m *Machine) uint64 {
+func (b *Cache) Token(m *Machine) uint64 {
 	return max(m.Token, m.Rack.Token, b.Shares[m.Share].Token)
 }
 
 // Changed returns the machines that changed, and the jobs that ended, since it was
 // last called: what follows from a change is worked out for these only.
-func (b *Book) Changed() (machines []*Machine, jobs []*Job) {
+func (b *Cache) Changed() (machines []*Machine, jobs []*Job) {
 	machines, jobs = b.dirty, b.ended
 	b.dirty, b.ended = nil, nil
 	for _, m := range machines {
@@ -361,7 +361,7 @@
 	return machines, jobs
 }
 
-func (b *Book) touch(m *Machine) {
+func (b *Cache) touch(m *Machine) {
 	b.noteMachine(m)
 	if !m.dirty {
 		m.dirty = true
@@ -370,12 +370,12 @@
 }
 
 // Victim tells whether an attempt is in an evicted set.
-func (b *Book) Victim(p Placed) bool {
+func (b *Cache) Victim(p Placed) bool {
 	return len(b.victims) > 0 && b.victims[victim{p.Job.ID, p.Task, p.Attempt}]
 }
 
 // rack finds a rack, and makes an empty one that no record describes yet.
-func (b *Book) rack(id int) *Rack {
+func (b *Cache) rack(id int) *Rack {
 	for len(b.Racks) <= id {
 		b.Racks = append(b.Racks, &Rack{ID: len(b.Racks)})
 	}
@@ -383,7 +383,7 @@
 }
 
 // SetCatalog takes the cloud's machine types.
-func (b *Book) SetCatalog(c *protocol.Catalog) {
+func (b *Cache) SetCatalog(c *protocol.Catalog) {
 	for _, t := range c.Types {
 		i := b.TypeIdx.Index(t.Name)
 		b.growTypes()
@@ -404,7 +404,7 @@
 // sizeOf is what one task of a job takes of a machine, in CPUs: its own, or those that its
 // accelerators or its memory stand for, if these bind. Of several types it is the one of which the
 // task takes least. A machine whose accelerators are all taken has nothing left, however many of its CPUs idle.
-func (b *Book) sizeOf(j *Job) float64 {
+func (b *Cache) sizeOf(j *Job) float64 {
 	least := 0.0
 	for i, t := range b.Types {
 		if t.Cpus <= 0 || j.Cpus > t.Cpus || j.Gpus > t.Gpus || j.Mem > t.Mem || len(j.Types) > 0 && !slices.Contains(j.Types, i) {
@@ -424,17 +424,17 @@
 	return max(least, j.Cpus)
 }
 
-func (b *Book) growTypes() {
+func (b *Cache) growTypes() {
 	for len(b.Types) < b.TypeIdx.Len() {
 		b.Types = append(b.Types, Type{})
 	}
 }
 
 // HasCatalog tells whether any machine type is known.
-func (b *Book) HasCatalog() bool { return len(b.Types) > 0 && b.Types[0].Cpus > 0 }
+func (b *Cache) HasCatalog() bool { return len(b.Types) > 0 && b.Types[0].Cpus > 0 }
 
 // Apply takes one change; an event that is no newer than what is known is dropped.
-func (b *Book) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
 	if id, ok := suffix(key, fleetPrefix); ok {
 		return b.applyFleet(id, value, version, deleted)
 	}
@@ -555,7 +555,7 @@
 	return nil
 }
 
-func (b *Book) setEvicted(id string, e *Evicted, deleted bool) {
+func (b *Cache) setEvicted(id string, e *Evicted, deleted bool) {
 	b.noteEvicted(id)
 	if j := b.jobByID[id]; j != nil {
 		b.noteJob(j)
@@ -583,7 +583,7 @@
 	}
 }
 
-func (b *Book) applyJob(id string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applyJob(id string, value json.RawMessage, version uint64, deleted bool) error {
 	if _, ok := b.final[id]; ok {
 		return nil // final states never change
 	}
@@ -641,7 +641,7 @@
 	return nil
 }
 
-func (b *Book) forget(id string, j *Job, f Final) {
+func (b *Cache) forget(id string, j *Job, f Final) {
 	b.final[id] = f
 	b.settle(id, f)
 	if j != nil {
@@ -656,7 +656,7 @@
 	}
 }
 
-func (b *Book) newJob(id string, r *JobRecord) (*Job, error) {
+func (b *Cache) newJob(id string, r *JobRecord) (*Job, error) {
 	team := b.TeamIdx.Find(r.Team)
 	s := r.Spec
 	if team < 0 || s == nil {
@@ -722,7 +722,7 @@
 
 // applySet takes a part of the set of a job's completed tasks. Parts stay until the job
 // is over; then its share's owner deletes them.
-func (b *Book) applySet(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applySet(name string, value json.RawMessage, version uint64, deleted bool) error {
 	id, num, _ := strings.Cut(name, "/")
 	part, err := strconv.Atoi(num)
 	if err != nil || part < 0 || part > protocol.MaxTasks/setTasks {
@@ -758,7 +758,7 @@
 
 // SetRecordOf writes the part of a job's set that holds a task, with the version that it
 // replaces.
-func (b *Book) SetRecordOf(j *Job, done Bitmap, task int) (SetRecord, uint64) {
+func (b *Cache) SetRecordOf(j *Job, done Bitmap, task int) (SetRecord, uint64) {
 	part := task / setTasks
 	from := part * (setTasks / 8)
 	return SetRecord{base64.RawStdEncoding.EncodeToString(done[from:min(len(done), from+setTasks/8)])}, b.sets[j.ID][part].version
@@ -766,7 +766,7 @@
 
 // Stale returns records that are needed no more, with their versions: parts of sets of jobs
 // that are over, and of descriptions as abandoned tells.
-func (b *Book) Stale(limit int, now time.Time) []protocol.Condition {
+func (b *Cache) Stale(limit int, now time.Time) []protocol.Condition {
 	var out []protocol.Condition
 	for id, parts := range b.sets {
 		if _, over := b.recorded(id); !over {
@@ -791,7 +791,7 @@
 // applyFleet takes a fleet's record. A machine is in the latest record that lists it: a
 // record that is over a lower limit is worked off by small ones which list its machines
 // anew, in the same racks, and is deleted when it lists none that they do not.
-func (b *Book) applyFleet(id string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applyFleet(id string, value json.RawMessage, version uint64, deleted bool) error {
 	f := b.fleets[id]
 	if f != nil && f.Version >= version {
 		return nil
@@ -826,7 +826,7 @@
 	return nil
 }
 
-func (b *Book) depart(m *Machine, version uint64) {
+func (b *Cache) depart(m *Machine, version uint64) {
 	b.place(m, nil)
 	m.Gone, m.exists, m.Version = true, false, version
 	m.leaveRack()
@@ -843,7 +843,7 @@
 	k.Machines = append(k.Machines, m)
 }
 
-func (b *Book) enroll(f *Fleet, x FleetMachine) {
+func (b *Cache) enroll(f *Fleet, x FleetMachine) {
 	m := b.byName[x.Name]
 	if m == nil {
 		m = &Machine{Index: int32(len(b.Machines)), Name: x.Name}
@@ -871,7 +871,7 @@
 
 // Oversized returns a fleet whose record is over a limit, and whether it fits when it is
 // written packed.
-func (b *Book) Oversized(limit int) (f *Fleet, fits bool) {
+func (b *Cache) Oversized(limit int) (f *Fleet, fits bool) {
 	for _, f := range b.fleets {
 		if f.Size > limit && len(f.record.Machines) > 0 {
 			return f, len(EncodeFleet(&f.record, true)) <= limit
@@ -882,7 +882,7 @@
 
 // Pieces writes a fleet's machines as records that are within a limit, leaving out those
 // that a later record lists.
-func (b *Book) Pieces(f *Fleet, limit int) []FleetRecord {
+func (b *Cache) Pieces(f *Fleet, limit int) []FleetRecord {
 	var out []FleetRecord
 	for _, x := range f.record.Machines {
 		if m := b.byName[x.Name]; m == nil || m.Fleet != f {
@@ -904,7 +904,7 @@
 
 // FleetWithout writes a fleet's record without some of its machines; none is left
 // if ok is false.
-func (b *Book) FleetWithout(f *Fleet, gone map[*Machine]bool) (r FleetRecord, ok bool) {
+func (b *Cache) FleetWithout(f *Fleet, gone map[*Machine]bool) (r FleetRecord, ok bool) {
 	r = f.record
 	r.Machines = slices.DeleteFunc(slices.Clone(r.Machines), func(x FleetMachine) bool { return gone[b.byName[x.Name]] })
 	return r, len(r.Machines) > 0
@@ -913,7 +913,7 @@
 // applyRack takes a rack's record. One that names a job or a machine that is not
 // known yet is left alone: it was read before the record that it names, and comes
 // again with the follow.
-func (b *Book) applyRack(id int, value json.RawMessage, version uint64) error {
+func (b *Cache) applyRack(id int, value json.RawMessage, version uint64) error {
 	if id < len(b.Racks) && b.Racks[id].Version >= version {
 		return nil
 	}
@@ -1022,7 +1022,7 @@
 }
 
 // place replaces the tasks of a machine's record and keeps the counts true.
-func (b *Book) place(m *Machine, tasks []Placed) {
+func (b *Cache) place(m *Machine, tasks []Placed) {
 	old := m.Tasks
 	b.noteImages(m, old)
 	for _, p := range old {
@@ -1055,7 +1055,7 @@
 // A node that cancelled a job itself knows so before its follow has brought what
 // was placed just before: until it has, the job must stay known, or the machine's
 // record could not be read.
-func (b *Book) Sweep() {
+func (b *Cache) Sweep() {
 	for _, j := range b.Jobs {
 		if j != nil && !j.Open() && j.NPlaced == 0 && j.Version <= b.Revision {
 			b.forget(j.ID, j, j.outcome())
@@ -1064,7 +1064,7 @@
 }
 
 // RackMachineOf writes a machine's part of its rack's record, with other tasks.
-func (b *Book) RackMachineOf(m *Machine, tasks []Placed) RackMachine {
+func (b *Cache) RackMachineOf(m *Machine, tasks []Placed) RackMachine {
 	r := RackMachine{Name: m.Name, Session: m.Session, Closing: m.Closing, Draining: m.Drains, Sick: m.Sick, Moved: m.Moved}
 	if m.Token > m.Fleet.record.Token {
 		r.Token = m.Token
@@ -1085,7 +1085,7 @@
 
 // RackRecordOf writes a rack's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
-func (b *Book) RackRecordOf(k *Rack, ended []Ended, change func(*Machine) (RackMachine, bool)) *RackRecord {
+func (b *Cache) RackRecordOf(k *Rack, ended []Ended, change func(*Machine) (RackMachine, bool)) *RackRecord {
 	r := &RackRecord{Share: k.Share, Token: k.Token, Ended: endedOf(ended)}
 	for _, m := range k.Machines {
 		x, stays := b.RackMachineOf(m, m.Tasks), true
@@ -1127,7 +1127,7 @@
 }
 
 // JobRecordOf writes a job's record with another set of completed tasks.
-func (b *Book) JobRecordOf(j *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
+func (b *Cache) JobRecordOf(j *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
 	r := &JobRecord{Tasks: j.Tasks, NDone: n, Final: string(final), Team: b.Teams[j.Team].Name}
 	if final == protocol.Done || j.Doomed && j.NPlaced == 0 {
 		return r
@@ -1148,7 +1148,7 @@
 }
 
 // Drop forgets every record that was not seen in a full read begun at revision.
-func (b *Book) Drop(seen map[string]bool, revision uint64) error {
+func (b *Cache) Drop(seen map[string]bool, revision uint64) error {
 	for id, f := range b.fleets {
 		if len(f.record.Machines) > 0 && !seen[FleetKey(id)] {
 			if err := b.applyFleet(id, nil, max(revision, f.Version+1), true); err != nil {
@@ -1182,4 +1182,4 @@
 
 // Known tells whether a machine has or had a record. One whose rack has not been
 // read yet counts too: it must not get another.
-func (b *Book) Known(name string) bool { return b.byName[name] != nil }
+func (b *Cache) Known(name string) bool { return b.byName[name] != nil }
--- a/internal/bookkeeping/images.go
+++ b/internal/storage/images.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"slices"
@@ -26,7 +26,7 @@
 
 // noteImages takes down the images of a machine's tasks that have been there for long enough to
 // have fetched them. What still waits may give its fetch up.
-func (b *Book) noteImages(m *Machine, tasks []Placed) {
+func (b *Cache) noteImages(m *Machine, tasks []Placed) {
 	now := time.Now().Unix()
 	for _, p := range tasks {
 		takes := 0.0
@@ -40,14 +40,14 @@
 }
 
 // ImageGB is the size of an image, in GB; 0 if no job that was read needs it.
-func (b *Book) ImageGB(image int) float64 {
+func (b *Cache) ImageGB(image int) float64 {
 	if image < len(b.imageGB) {
 		return b.imageGB[image]
 	}
 	return 0
 }
 
-func (b *Book) noteImageGB(j *Job) {
+func (b *Cache) noteImageGB(j *Job) {
 	for len(b.imageGB) <= j.Image {
 		b.imageGB = append(b.imageGB, 0)
 	}
--- a/internal/bookkeeping/long.go
+++ b/internal/storage/long.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/base64"
@@ -54,7 +54,7 @@
 	return parts, Encode(&x)
 }
 
-func (b *Book) applyPart(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applyPart(name string, value json.RawMessage, version uint64, deleted bool) error {
 	at := strings.LastIndexByte(name, '/')
 	i, err := strconv.Atoi(name[at+1:])
 	if at < 0 || err != nil || i < 0 || i > protocol.MaxBody {
@@ -87,7 +87,7 @@
 
 // lengthen puts the parts of a long description into its record. Their text is not kept
 // any longer than until then.
-func (b *Book) lengthen(id string, r *JobRecord) error {
+func (b *Cache) lengthen(id string, r *JobRecord) error {
 	l := b.long[id+"/"+r.Long]
 	text := ""
 	for i := range r.Parts {
@@ -111,7 +111,7 @@
 
 // staleParts are parts that are needed no more: of jobs that are over, of tries that lost to
 // another, and of those that were given up.
-func (b *Book) staleParts(limit int, now time.Time) (out []protocol.Condition) {
+func (b *Cache) staleParts(limit int, now time.Time) (out []protocol.Condition) {
 	for name, l := range b.long {
 		id, try, _ := strings.Cut(name, "/")
 		_, over := b.final[id]
--- a/internal/bookkeeping/names.go
+++ b/internal/storage/names.go
@@ -1,6 +1,6 @@
-// Package bookkeeping keeps jobs, tasks, machines and teams by dense index,
+// Package storage keeps jobs, tasks, machines and teams by dense index,
 // and translates between them and the records in the state service.
-package bookkeeping
+package storage
 
 // Names maps names to dense indices.
 type Names struct {
--- a/internal/bookkeeping/news.go
+++ b/internal/storage/news.go
@@ -1,7 +1,7 @@
-package bookkeeping
+package storage
 
 // news collects which jobs, machines and evicted sets have changed, each once, for whoever
-// shows the book to others. A book that nobody watches collects nothing.
+// shows the cache to others. A cache that nobody watches collects nothing.
 type news struct {
 	jobs     []*Job
 	machines []*Machine
@@ -9,12 +9,12 @@
 }
 
 // Watch begins to collect news. It is called before the first record is taken.
-func (b *Book) Watch() { b.news = &news{evicted: map[string]bool{}} }
+func (b *Cache) Watch() { b.news = &news{evicted: map[string]bool{}} }
 
 // News hands over up to limit jobs and machines that have changed since they were last
 // handed over, and the evicted sets; more tells that others are left. A job that was
 // forgotten comes a last time, with its final state.
-func (b *Book) News(limit int) (jobs []*Job, machines []*Machine, evicted []string, more bool) {
+func (b *Cache) News(limit int) (jobs []*Job, machines []*Machine, evicted []string, more bool) {
 	n := b.news
 	jobs, n.jobs = cut(n.jobs, limit)
 	machines, n.machines = cut(n.machines, limit)
@@ -32,7 +32,7 @@
 }
 
 // Unshown is how many changed jobs and machines wait to be handed over.
-func (b *Book) Unshown() int { return len(b.news.jobs) + len(b.news.machines) }
+func (b *Cache) Unshown() int { return len(b.news.jobs) + len(b.news.machines) }
 
 func cut[T any](list []T, limit int) (head, rest []T) {
 	if len(list) <= limit {
@@ -41,28 +41,28 @@
 	return list[:limit:limit], list[limit:]
 }
 
-func (b *Book) noteJob(j *Job) {
+func (b *Cache) noteJob(j *Job) {
 	if b.news != nil && !j.noted {
 		j.noted = true
 		b.news.jobs = append(b.news.jobs, j)
 	}
 }
 
-func (b *Book) noteMachine(m *Machine) {
+func (b *Cache) noteMachine(m *Machine) {
 	if b.news != nil && !m.noted {
 		m.noted = true
 		b.news.machines = append(b.news.machines, m)
 	}
 }
 
-func (b *Book) noteEvicted(id string) {
+func (b *Cache) noteEvicted(id string) {
 	if b.news != nil {
 		b.news.evicted[id] = true
 	}
 }
 
 // noteTypes notes all machines: what they cost has changed.
-func (b *Book) noteTypes() {
+func (b *Cache) noteTypes() {
 	if b.news == nil {
 		return
 	}
--- a/internal/bookkeeping/order.go
+++ b/internal/storage/order.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import "github.com/tidwall/btree"
 
@@ -35,7 +35,7 @@
 
 // JobsAfter shows the jobs that are not forgotten, in the order of their ids, beginning after
 // one, until yield returns false; of one team only, unless team is below 0.
-func (b *Book) JobsAfter(team int, id string, yield func(*Job) bool) {
+func (b *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
 	tree := b.order.jobs
 	if team >= 0 {
 		tree = b.order.byTeam[team]
@@ -43,11 +43,11 @@
 	tree.Ascend(&Job{ID: id}, func(j *Job) bool { return j.ID == id || yield(j) })
 }
 
-// MachineCount is how many machines there are; the book keeps the names of all that there were.
-func (b *Book) MachineCount() int { return b.order.machines.Len() }
+// MachineCount is how many machines there are; the cache keeps the names of all that there were.
+func (b *Cache) MachineCount() int { return b.order.machines.Len() }
 
 // MachinesAfter shows the machines that are there, in the order of their names, beginning
 // after one, until yield returns false.
-func (b *Book) MachinesAfter(name string, yield func(*Machine) bool) {
+func (b *Cache) MachinesAfter(name string, yield func(*Machine) bool) {
 	b.order.machines.Ascend(&Machine{Name: name}, func(m *Machine) bool { return m.Name == name || m.Gone || yield(m) })
 }
--- a/internal/bookkeeping/pack.go
+++ b/internal/storage/pack.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/base64"
--- a/internal/bookkeeping/teams.go
+++ b/internal/storage/teams.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/json"
@@ -50,14 +50,14 @@
 	return config.Team{Name: name, Cpus: b.Cpus, CpusMax: b.CpusMax, Gpus: b.Gpus, GpusMax: b.GpusMax}
 }
 
-// TeamEntry is a changed team as the book has it.
+// TeamEntry is a changed team as the cache has it.
 type TeamEntry struct {
 	TeamRecord
 	Version uint64
 }
 
 // applyTeam takes a team's record. One of a team that the settings name no more is left alone.
-func (b *Book) applyTeam(escaped string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applyTeam(escaped string, value json.RawMessage, version uint64, deleted bool) error {
 	name, err := url.PathUnescape(escaped)
 	if err != nil {
 		return fmt.Errorf("record %s%s: %w", teamPrefix, escaped, err)
@@ -81,4 +81,4 @@
 }
 
 // ChangesTeams tells whether every node reads changed teams, so that there may be some.
-func (b *Book) ChangesTeams() bool { return b.Layout.Version >= LayoutTeams && !b.Plain }
+func (b *Cache) ChangesTeams() bool { return b.Layout.Version >= LayoutTeams && !b.Plain }
--- a/internal/bookkeeping/usual.go
+++ b/internal/storage/usual.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"cmp"
@@ -43,7 +43,7 @@
 	Cpus  float64 `json:"u"`
 }
 
-// Usual is the record as the book has it; Version 0: nothing is known yet.
+// Usual is the record as the cache has it; Version 0: nothing is known yet.
 type Usual struct {
 	Cpus    map[Lane]float64
 	Version uint64
@@ -51,7 +51,7 @@
 
 // UsualRecordOf makes a record of at most limit bytes; the smallest lanes are left out
 // where it would be larger.
-func (b *Book) UsualRecordOf(cpus map[Lane]float64, limit int) UsualRecord {
+func (b *Cache) UsualRecordOf(cpus map[Lane]float64, limit int) UsualRecord {
 	var r UsualRecord
 	for l, u := range cpus {
 		r.Lanes = append(r.Lanes, UsualLane{b.Teams[l.Team].Name, b.Classes.Name(l.Class), math.Round(u*1000) / 1000})
@@ -65,7 +65,7 @@
 	return r
 }
 
-func (b *Book) applyUsual(value json.RawMessage, version uint64) error {
+func (b *Cache) applyUsual(value json.RawMessage, version uint64) error {
 	var r UsualRecord
 	if err := json.Unmarshal(value, &r); err != nil {
 		return fmt.Errorf("record %s: %w", UsualKey, err)
@@ -85,7 +85,7 @@
 type Asked struct{ Jobs, Work float64 }
 
 // ask counts a job that is new to this process.
-func (b *Book) ask(j *Job) {
+func (b *Cache) ask(j *Job) {
 	if j.Estimate > 0 {
 		a := b.Asked[LaneOf(j)]
 		b.Asked[LaneOf(j)] = Asked{a.Jobs + 1, a.Work + float64(j.Tasks)*j.Size*j.Estimate}
