--- a/cmd/dykeledge/lean_test.go
+++ b/cmd/dykeledge/lean_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("only %d packages are listed", len(deps))
 	}
 	for _, d := range deps {
-		for _, no := range []string{"charmbracelet", "gonum.org", "HdrHistogram", "html/template", "dykeledge/internal/standin", "dykeledge/internal/console",
+		for _, no := range []string{"charmbracelet", "gonum.org", "HdrHistogram", "html/template", "dykeledge/internal/simulator", "dykeledge/internal/console",
 			"dykeledge/internal/viewer", "dykeledge/internal/report", "dykeledge/internal/emulator", "dykeledge/internal/load", "dykeledge/internal/client",
 			"dykeledge/internal/contexts"} {
 			if strings.Contains(d, no) {
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/standin"
+	"dykeledge/internal/simulator"
 )
 
 // TestMain lets the test binary be the program, so that tests start real processes.
@@ -138,13 +138,13 @@
 // TestThreeProcesses runs the operators' commands against three real nodes.
 func TestThreeProcesses(t *testing.T) {
 	state, cloud := listen(t), listen(t)
-	go func() { _ = standin.ServeState(standin.NewStore().Open(nil), state) }() // ends with its listener
+	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	world := standin.NewWorld(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
+	world := simulator.NewWorld(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
 	world.Cap = 0
 	world.Catalog.Types[0].Cpus = 8
-	go func() { _ = world.ServeCloud(&standin.Node{Name: "all"}, cloud) }()
+	go func() { _ = world.ServeCloud(&simulator.Node{Name: "all"}, cloud) }()
 	var public, peer []string
 	for range 3 {
 		for _, list := range []*[]string{&public, &peer} {
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -19,14 +19,14 @@
 	"dykeledge/internal/config"
 	"dykeledge/internal/load"
 	"dykeledge/internal/protocol"
-	"dykeledge/internal/standin"
+	"dykeledge/internal/simulator"
 	"dykeledge/internal/view"
 	"dykeledge/internal/viewer"
 )
 
 // worldSource asks the nodes of a played deployment.
 type worldSource struct {
-	w       *standin.World
+	w       *simulator.World
 	nodes   int
 	garbles func([]byte) []byte
 }
@@ -65,7 +65,7 @@
 
 // reference is the scheduler's own state, made anew from what the state service holds.
 type reference struct {
-	store *standin.Store
+	store *simulator.Store
 	cache  *storage.Cache
 }
 
@@ -302,32 +302,32 @@
 	for _, c := range []struct {
 		name  string
 		part  float64 // of the burst
-		fault func(w *standin.World)
+		fault func(w *simulator.World)
 		warns bool // the screen has to say that it is old
 	}{
-		{name: "the node that is asked ends", part: 1, fault: func(w *standin.World) {
+		{name: "the node that is asked ends", part: 1, fault: func(w *simulator.World) {
 			time.Sleep(30 * time.Second)
 			w.Kill(0)
 			time.Sleep(6 * time.Second)
 			w.Start(0)
 		}},
-		{name: "the state service is out", part: 0.1, warns: true, fault: func(w *standin.World) {
+		{name: "the state service is out", part: 0.1, warns: true, fault: func(w *simulator.World) {
 			time.Sleep(20 * time.Second)
 			w.Store.SetDown(true)
 			time.Sleep(12 * time.Second)
 			w.Store.SetDown(false)
 		}},
-		{name: "the node that is asked is refused alone, and follows from too far back", part: 0.1, fault: func(w *standin.World) {
+		{name: "the node that is asked is refused alone, and follows from too far back", part: 0.1, fault: func(w *simulator.World) {
 			time.Sleep(20 * time.Second)
 			w.Store.Refuse("n0", true)
 			time.Sleep(9 * time.Second)
 			w.Store.Forget()
 			w.Store.Refuse("n0", false)
 		}},
-		{name: "all shares change hands", part: 0.1, fault: func(w *standin.World) {
+		{name: "all shares change hands", part: 0.1, fault: func(w *simulator.World) {
 			for i := range 3 {
 				time.Sleep(10 * time.Second)
-				w.Node(i).Cut(standin.NoWorkers | standin.NoUsers)
+				w.Node(i).Cut(simulator.NoWorkers | simulator.NoUsers)
 				time.Sleep(8 * time.Second)
 				w.Node(i).Cut(0)
 			}
@@ -347,7 +347,7 @@
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				w := standin.NewWorld(ctx, burstSettings(), 18)
+				w := simulator.NewWorld(ctx, burstSettings(), 18)
 				w.Cap, w.Views, w.Store.Keep = 90, true, 1<<30
 				for i := range 3 {
 					w.Start(i)
@@ -363,8 +363,8 @@
 				m := New(ctx, f, "burst")
 				time.Sleep(3 * time.Second)
 				go c.fault(w)
-				users := &load.Runner{To: standin.Users{W: w}, Upload: func(_ string, raw []byte) error {
-					var u standin.Upload
+				users := &load.Runner{To: simulator.Users{W: w}, Upload: func(_ string, raw []byte) error {
+					var u simulator.Upload
 					if err := json.Unmarshal(raw, &u); err != nil {
 						return err
 					}
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -19,7 +19,7 @@
 
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
-	"dykeledge/internal/standin"
+	"dykeledge/internal/simulator"
 )
 
 // Options say what cluster to run.
@@ -42,7 +42,7 @@
 	Addresses Addresses
 	// Delay, if set, is how long a message takes between two zones.
 	Delay func(from, to string) time.Duration
-	// SharedTicker is for some hundred workers and more: see standin.World.
+	// SharedTicker is for some hundred workers and more: see simulator.World.
 	SharedTicker bool
 }
 
@@ -54,23 +54,23 @@
 
 // NodeMeters count what passes between one controller and what is around it.
 type NodeMeters struct {
-	State, Cloud, Peers standin.Meter // Peers: of connections that this controller has opened
-	Requests            *standin.StateRequests
+	State, Cloud, Peers simulator.Meter // Peers: of connections that this controller has opened
+	Requests            *simulator.StateRequests
 }
 
 // Cluster is a running cluster.
 type Cluster struct {
-	World   *standin.World
+	World   *simulator.World
 	Users   string   // the load balancer
 	Uploads string   // where descriptions of jobs are put
 	Nodes   []string // the controllers' peer_listen
 	Dir     string
-	Meters  []*NodeMeters // by controller
-	Front   standin.Meter // users' connections to the load balancer
+	Meters  []*NodeMeters   // by controller
+	Front   simulator.Meter // users' connections to the load balancer
 
 	public []string // the controllers' public_addr
 	procs  []*process
-	ports  *standin.WorkerPorts
+	ports  *simulator.WorkerPorts
 	files  []*os.File
 	lns    []net.Listener
 	all    sync.WaitGroup
@@ -150,7 +150,7 @@
 // startWorld makes the state service, the cloud and the workers' ports.
 func (c *Cluster) startWorld(ctx context.Context, o *Options) {
 	d := &o.Deployment
-	w := standin.NewWorld(ctx, &config.Settings{Deployment: *d}, o.Seed)
+	w := simulator.NewWorld(ctx, &config.Settings{Deployment: *d}, o.Seed)
 	w.Catalog, w.Cap, w.Speed, w.Log, w.Delay = o.Catalog, o.Machines, o.Speed, o.Log, o.Delay
 	w.LateBoots, w.NeverBoots = lateBoots, neverBoots
 	w.Store.Limit(d.State.RPS, d.State.WriteRPS)
@@ -158,7 +158,7 @@
 	w.LimitCloud(d.Cloud.RPS)
 	workerAddress := o.Addresses.Worker
 	if workerAddress == nil {
-		workerAddress = standin.AnyPort
+		workerAddress = simulator.AnyPort
 	}
 	c.World, c.ports = w, w.ServeWorkers(workerAddress)
 	if o.SharedTicker {
@@ -197,7 +197,7 @@
 
 // startAround starts what is around the controllers, and writes their settings files.
 func (c *Cluster) startAround(ctx context.Context, o *Options) (files []string, err error) {
-	front := standin.NewFront()
+	front := simulator.NewFront()
 	zones := o.Deployment.Zones
 	for i := range o.Deployment.Nodes {
 		n := c.World.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
@@ -236,7 +236,7 @@
 	link := w.Store.Open(n)
 	meters.Requests = &link.Requests
 	var err error
-	if s.External.State, err = c.serve(&meters.State, func(ln net.Listener) error { return standin.ServeState(link, ln) }); err != nil {
+	if s.External.State, err = c.serve(&meters.State, func(ln net.Listener) error { return simulator.ServeState(link, ln) }); err != nil {
 		return nil, err
 	}
 	if s.External.Cloud, err = c.serve(&meters.Cloud, func(ln net.Listener) error { return w.ServeCloud(n, ln) }); err != nil {
@@ -247,13 +247,13 @@
 			continue
 		}
 		other := w.Node(k)
-		way := standin.Way{Meter: &meters.Peers, Held: func() bool {
-			return n.IsCut(standin.NoPeers) || other.IsCut(standin.NoPeers) || w.ZonesParted(n.Zone, other.Zone)
+		way := simulator.Way{Meter: &meters.Peers, Held: func() bool {
+			return n.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || w.ZonesParted(n.Zone, other.Zone)
 		}}
 		if o.Delay != nil {
 			way.Delay = func() time.Duration { return o.Delay(n.Zone, other.Zone) }
 		}
-		address, err := c.serve(nil, func(ln net.Listener) error { return standin.Relay(ln, c.Nodes[k], way) })
+		address, err := c.serve(nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Nodes[k], way) })
 		if err != nil {
 			return nil, err
 		}
@@ -287,7 +287,7 @@
 }
 
 // serve serves on a loopback port until the cluster stops; what passes there is counted where there is a meter.
-func (c *Cluster) serve(meter *standin.Meter, f func(net.Listener) error) (string, error) {
+func (c *Cluster) serve(meter *simulator.Meter, f func(net.Listener) error) (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/standin"
+	"dykeledge/internal/simulator"
 )
 
 // Schedule is a list of troubles.
@@ -35,8 +35,8 @@
 
 // cuts are what a node can be cut off from. Direct commands to workers are not among them:
 // a worker's port can't tell which node speaks.
-var cuts = map[string]standin.Cuts{"state": standin.NoState, "cloud": standin.NoCloud, "users": standin.NoUsers,
-	"reports": standin.NoWorkers, "peers": standin.NoPeers}
+var cuts = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
+	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
 // What a fault of a kind needs.
 type needs struct{ node, lasts, machines, zone bool }
@@ -217,12 +217,12 @@
 		each(func(i int) { c.procs[i].still(true) })
 		return func() { each(func(i int) { c.procs[i].still(false) }) }
 	case "cut":
-		var what standin.Cuts
+		var what simulator.Cuts
 		for _, x := range f.From {
 			what |= cuts[x]
 		}
 		if len(f.From) == 0 {
-			what = standin.AllCut | standin.NoPeers
+			what = simulator.AllCut | simulator.NoPeers
 		}
 		each(func(i int) { w.Node(i).Cut(what) })
 		return func() { each(func(i int) { w.Node(i).Cut(0) }) }
@@ -240,7 +240,7 @@
 		return func() { w.CutZone("") }
 	}
 	met := f.meets(w)
-	on := func(change func(bool) func(*standin.Machine)) func() {
+	on := func(change func(bool) func(*simulator.Machine)) func() {
 		for _, m := range met {
 			w.Set(m, change(true))
 		}
@@ -253,25 +253,25 @@
 	switch f.Kind {
 	case "taken":
 		for _, m := range met {
-			w.Set(m, standin.Notice(seconds(f.NoticeS)))
+			w.Set(m, simulator.Notice(seconds(f.NoticeS)))
 		}
 	case "machine_dies":
 		for _, m := range met {
 			w.Die(m)
 		}
 	case "machine_hangs":
-		return on(standin.Hang)
+		return on(simulator.Hang)
 	case "machine_sick":
-		return on(standin.Sick)
+		return on(simulator.Sick)
 	case "machine_cut":
-		return on(standin.CutOff)
+		return on(simulator.CutOff)
 	}
 	return nil
 }
 
 // meets chooses the machines that a trouble meets.
-func (f *Fault) meets(w *standin.World) []*standin.Machine {
-	var may []*standin.Machine
+func (f *Fault) meets(w *simulator.World) []*simulator.Machine {
+	var may []*simulator.Machine
 	for _, m := range w.Machines() {
 		if (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != "taken" || m.Spot) {
 			may = append(may, m)
@@ -281,5 +281,5 @@
 		from := w.Rand.IntN(max(1, len(may)-f.Count+1))
 		return may[from:min(len(may), from+f.Count)]
 	}
-	return slices.DeleteFunc(may, func(*standin.Machine) bool { return w.Rand.Float64() >= f.Part })
+	return slices.DeleteFunc(may, func(*simulator.Machine) bool { return w.Rand.Float64() >= f.Part })
 }
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -19,7 +19,7 @@
 	"dykeledge/internal/emulator"
 	"dykeledge/internal/load"
 	"dykeledge/internal/protocol"
-	"dykeledge/internal/standin"
+	"dykeledge/internal/simulator"
 )
 
 // How a run is watched.
@@ -194,7 +194,7 @@
 
 // upload puts a job's description where the hollow workers read it; a job counts as submitted from then on.
 func (w *watch) upload(_ string, description []byte) error {
-	var u standin.Upload
+	var u simulator.Upload
 	if err := json.Unmarshal(description, &u); err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 }
 
 // onLaunch measures urgent tasks from their submission to their first launch. The world is locked.
-func (w *watch) onLaunch(j *standin.Job, index int) {
+func (w *watch) onLaunch(j *simulator.Job, index int) {
 	if j.Spec["jobclass"] != urgentClass {
 		return
 	}
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dykeledge/internal/emulator"
-	"dykeledge/internal/standin"
+	"dykeledge/internal/simulator"
 )
 
 // nodeSample is all that is known of one controller at one moment.
@@ -25,7 +25,7 @@
 	at       time.Time
 	nodes    []nodeSample
 	hollow   processUsage
-	stats    standin.Stats
+	stats    simulator.Stats
 	reports  wire
 	commands wire
 }
@@ -33,7 +33,7 @@
 // wire is what a meter has counted.
 type wire struct{ in, out, messages int64 }
 
-func read(m *standin.Meter) wire { return wire{m.In.Load(), m.Out.Load(), m.Messages.Load()} }
+func read(m *simulator.Meter) wire { return wire{m.In.Load(), m.Out.Load(), m.Messages.Load()} }
 
 func (w wire) plus(o wire) wire { return wire{w.in + o.in, w.out + o.out, w.messages + o.messages} }
 
--- a/internal/standin/attempts.go
+++ b/internal/simulator/attempts.go
@@ -1,10 +1,10 @@
-package standin
+package simulator
 
 import (
 	"fmt"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // attempts are what the racks' records have held: an attempt that has left them must never come again, whoever
--- a/internal/standin/back_test.go
+++ b/internal/simulator/back_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // TestBackAtOnce ends processes that are back within a fraction of a second under the same name, while
--- a/internal/standin/floods_test.go
+++ b/internal/simulator/floods_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
+	"dykeledge/internal/storage"
 )
 
 // usualOf is what the records say is usual for a class.
--- a/internal/standin/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // killed is whether tasks are killed by their leases.
--- a/internal/standin/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // operator changes a team's limit through any node that lives, until it is done or refused for good.
--- a/internal/standin/link.go
+++ b/internal/simulator/link.go
@@ -1,9 +1,9 @@
-package standin
+package simulator
 
 import (
 	"context"
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/transport"
 	"errors"
 	"slices"
--- a/internal/standin/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"flag"
@@ -202,7 +202,7 @@
 // TestMeetings overlaps troubles two and two, each pair in its turn, over a load with long tasks, jobs whose tasks end far
 // apart, and many cancellations. More of them:
 //
-//	go test ./internal/standin -timeout 2h -run TestMeetings -meetings 1000
+//	go test ./internal/simulator -timeout 2h -run TestMeetings -meetings 1000
 func TestMeetings(t *testing.T) {
 	var copies, next, looks, lost, done, refused, kills, cancelled atomic.Int32
 	all := pairs()
--- a/internal/standin/records.go
+++ b/internal/simulator/records.go
@@ -1,10 +1,10 @@
-package standin
+package simulator
 
 import (
 	"strings"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // placement is where the records say that a task is.
--- a/internal/standin/rules.go
+++ b/internal/simulator/rules.go
@@ -1,11 +1,11 @@
-package standin
+package simulator
 
 import (
 	"encoding/json"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file checks the protocol's rules about starting a task, against what really runs.
--- a/internal/standin/scenes_test.go
+++ b/internal/simulator/scenes_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"cmp"
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // scene is a meeting of the users' list, brought about in a world of three nodes, nine machines and long jobs.
--- a/internal/standin/store.go
+++ b/internal/simulator/store.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins for the state service, the cloud, the workers
-// and the users, with faults, so that whole deployments can be played in
+// Package simulator plays the state service, the cloud, the workers
+// and the users, with faults, so that whole deployments run in
 // virtual time without a network.
-package standin
+package simulator
 
 import (
 	"encoding/json"
--- a/internal/standin/users.go
+++ b/internal/simulator/users.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"cmp"
--- a/internal/standin/world.go
+++ b/internal/simulator/world.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/transport"
 )
 
--- a/internal/standin/world_test.go
+++ b/internal/simulator/world_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 func settings() *config.Settings {
