--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -460,86 +460,85 @@
 	if b.versions[key] >= version {
 		return nil
 	}
+	b.versions[key] = version
 	if deleted {
-		b.versions[key] = version
 		value = nil
 	}
 	if name, ok := suffix(key, nodePrefix); ok {
-		b.versions[key] = version
-		if deleted {
-			delete(b.Nodes, name)
-			return nil
-		}
-		n := &Node{Version: version}
-		if err := json.Unmarshal(value, &n.NodeRecord); err != nil {
-			return fmt.Errorf("record %s: %w", key, err)
-		}
-		b.Nodes[name] = n
-		return nil
+		return b.applyNode(name, value, version, deleted)
 	}
-	if num, ok := suffix(key, sharePrefix); ok {
-		i, err := strconv.Atoi(num)
-		if err != nil || i < 0 || i >= b.NShares {
-			return fmt.Errorf("record %s: no such share", key)
-		}
-		b.versions[key] = version
-		sh := Share{Version: version}
-		if deleted {
-			b.Shares[i] = Share{}
-			return nil
-		}
-		if err := json.Unmarshal(value, &sh.ShareRecord); err != nil {
-			return fmt.Errorf("record %s: %w", key, err)
-		}
-		b.Shares[i] = sh
-		return nil
+	if number, ok := suffix(key, sharePrefix); ok {
+		return b.applyShare(number, value, version, deleted)
 	}
 	if id, ok := suffix(key, evictPrefix); ok {
-		b.versions[key] = version
-		e := &Evicted{Job: id, Version: version}
-		if !deleted {
-			var err error
-			if e.EvictRecord, err = DecodeEvict(value); err != nil {
-				return fmt.Errorf("record %s: %w", key, err)
-			}
-		}
-		b.setEvicted(id, e, deleted)
-		if deleted {
-			delete(b.versions, key)
-		}
-		return nil
+		return b.applyEvicted(id, value, version, deleted)
 	}
-	b.versions[key] = version
 	if escaped, ok := suffix(key, teamPrefix); ok {
 		return b.applyTeam(escaped, value, version, deleted)
 	}
+	return b.applySingle(key, value, version, deleted)
+}
+
+// applyNode takes a node's membership record.
+func (b *Cache) applyNode(name string, value json.RawMessage, version uint64, deleted bool) error {
+	if deleted {
+		delete(b.Nodes, name)
+		return nil
+	}
+	n := &Node{Version: version}
+	if err := json.Unmarshal(value, &n.NodeRecord); err != nil {
+		return fmt.Errorf("record %s: %w", NodeKey(name), err)
+	}
+	b.Nodes[name] = n
+	return nil
+}
+
+// applyShare takes the record of who owns a share.
+func (b *Cache) applyShare(number string, value json.RawMessage, version uint64, deleted bool) error {
+	i, err := strconv.Atoi(number)
+	if err != nil || i < 0 || i >= b.NShares {
+		delete(b.versions, sharePrefix+number)
+		return fmt.Errorf("record %s%s: no such share", sharePrefix, number)
+	}
+	if deleted {
+		b.Shares[i] = Share{}
+		return nil
+	}
+	sh := Share{Version: version}
+	if err := json.Unmarshal(value, &sh.ShareRecord); err != nil {
+		return fmt.Errorf("record %s: %w", ShareKey(i), err)
+	}
+	b.Shares[i] = sh
+	return nil
+}
+
+// applyEvicted takes the record of an evicted set.
+func (b *Cache) applyEvicted(id string, value json.RawMessage, version uint64, deleted bool) error {
+	e := &Evicted{Job: id, Version: version}
+	if !deleted {
+		var err error
+		if e.EvictRecord, err = DecodeEvict(value); err != nil {
+			return fmt.Errorf("record %s: %w", EvictKey(id), err)
+		}
+	}
+	b.setEvicted(id, e, deleted)
+	if deleted {
+		delete(b.versions, EvictKey(id))
+	}
+	return nil
+}
+
+// applySingle takes a record of which there is one; a key that this version does not know is left alone.
+func (b *Cache) applySingle(key string, value json.RawMessage, version uint64, deleted bool) error {
 	switch key {
 	case LeaderKey:
-		b.Leader = Leader{}
-		if !deleted {
-			b.Leader.Version = version
-			if err := json.Unmarshal(value, &b.Leader.LeaderRecord); err != nil {
-				return fmt.Errorf("record %s: %w", key, err)
-			}
-		}
+		return b.applyLeader(value, version, deleted)
 	case CatalogKey:
 		if !deleted {
-			var c protocol.Catalog
-			if err := json.Unmarshal(value, &c); err != nil {
-				return fmt.Errorf("record %s: %w", key, err)
-			}
-			b.Catalog = Raw{value, version}
-			b.SetCatalog(&c)
-			b.noteTypes()
+			return b.applyCatalog(value, version)
 		}
 	case LayoutKey:
-		l := Layout{Revision: version}
-		if err := json.Unmarshal(value, &l.LayoutRecord); err != nil {
-			return fmt.Errorf("record %s: %w", key, err)
-		}
-		if l.Version >= b.Layout.Version { // the gate never closes again
-			b.Layout = l
-		}
+		return b.applyLayout(value, version)
 	case UsualKey:
 		if deleted {
 			b.Usual = Usual{}
@@ -555,6 +554,40 @@
 	return nil
 }
 
+func (b *Cache) applyLeader(value json.RawMessage, version uint64, deleted bool) error {
+	b.Leader = Leader{}
+	if deleted {
+		return nil
+	}
+	b.Leader.Version = version
+	if err := json.Unmarshal(value, &b.Leader.LeaderRecord); err != nil {
+		return fmt.Errorf("record %s: %w", LeaderKey, err)
+	}
+	return nil
+}
+
+func (b *Cache) applyCatalog(value json.RawMessage, version uint64) error {
+	var c protocol.Catalog
+	if err := json.Unmarshal(value, &c); err != nil {
+		return fmt.Errorf("record %s: %w", CatalogKey, err)
+	}
+	b.Catalog = Raw{value, version}
+	b.SetCatalog(&c)
+	b.noteTypes()
+	return nil
+}
+
+func (b *Cache) applyLayout(value json.RawMessage, version uint64) error {
+	l := Layout{Revision: version}
+	if err := json.Unmarshal(value, &l.LayoutRecord); err != nil {
+		return fmt.Errorf("record %s: %w", LayoutKey, err)
+	}
+	if l.Version >= b.Layout.Version { // the gate never closes again
+		b.Layout = l
+	}
+	return nil
+}
+
 func (b *Cache) setEvicted(id string, e *Evicted, deleted bool) {
 	b.noteEvicted(id)
 	if j := b.jobByID[id]; j != nil {
