--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -10,9 +10,9 @@
 	"sort"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // OperatorSettings are what operators may change while the service runs.
@@ -437,9 +437,9 @@
 
 // EvictionView is an evicted set with the scores that chose it.
 type EvictionView struct {
-	Job     string                     `json:"job"`
-	At      time.Time                  `json:"at"`
-	Share   int                        `json:"share"`
+	Job     string                 `json:"job"`
+	At      time.Time              `json:"at"`
+	Share   int                    `json:"share"`
 	Victims []storage.VictimRecord `json:"victims"`
 }
 
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // largeCore owns one share with n machines, four fifths of their room used, and open
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 const (
@@ -65,8 +65,8 @@
 	if !c.loaded {
 		return
 	}
-	if c.doubt != nil {
-		c.send(ctx, *c.doubt)
+	if c.inDoubt != nil {
+		c.send(ctx, *c.inDoubt)
 		return
 	}
 	if c.cache.Revision < c.waitRev {
@@ -151,7 +151,7 @@
 	c.next = now.Add(c.times.Cycle)
 	switch {
 	case err == nil && len(failed) == 0:
-		c.doubt = nil
+		c.inDoubt = nil
 		c.badSince, c.goodAt = time.Time{}, now
 		if settles(t) {
 			c.waitRev = rev // what it settled may have been applied before
@@ -174,7 +174,7 @@
 	case err == nil:
 		// Something changed under it: whatever it was, a late copy cannot apply any more.
 		c.log.Debug("commit conflicts", "keys", failed)
-		c.doubt = nil
+		c.inDoubt = nil
 		c.badSince, c.goodAt = time.Time{}, now
 		c.waitRev = rev
 		c.maxRev = max(c.maxRev, rev)
@@ -187,11 +187,11 @@
 		c.lower(err)
 		switch {
 		case !errors.Is(err, protocol.ErrRefused):
-			c.doubt = &t
-		case errors.Is(err, protocol.ErrTooLarge) && c.doubt != nil:
-			c.doubt = c.settling(*c.doubt)
+			c.inDoubt = &t
+		case errors.Is(err, protocol.ErrTooLarge) && c.inDoubt != nil:
+			c.inDoubt = c.settling(*c.inDoubt)
 		}
-		c.log.Info("commit failed", "err", err, "doubt", c.doubt != nil)
+		c.log.Info("commit failed", "err", err, "doubt", c.inDoubt != nil)
 		c.next = now.Add(250 * time.Millisecond)
 		c.kick()
 	}
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // newCore makes a loaded core that owns its only share, with one machine whose
@@ -100,10 +100,10 @@
 			txn := b.txn()
 			c.directs = maxDirects // no workers here
 			c.sent(txn, x.rev, x.failed, x.err)
-			if (c.doubt != nil) != x.doubt || c.waitRev != x.wait {
-				t.Fatalf("doubt %v, waiting for %d", c.doubt != nil, c.waitRev)
+			if (c.inDoubt != nil) != x.doubt || c.waitRev != x.wait {
+				t.Fatalf("doubt %v, waiting for %d", c.inDoubt != nil, c.waitRev)
 			}
-			if c.doubt != nil && !reflect.DeepEqual(*c.doubt, txn) {
+			if c.inDoubt != nil && !reflect.DeepEqual(*c.inDoubt, txn) {
 				t.Fatal("another transaction than the one in doubt")
 			}
 			if n := c.cache.Job("job-000001").NPlaced; n != x.placed {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // StateStore is the state service as the core needs it.
@@ -82,90 +82,90 @@
 	done  chan struct{}
 
 	// all below belongs to the core's goroutine
-	cache        *storage.Cache
-	loaded      bool
-	unread      bool   // the records could not be read yet: no answer
-	stranger    bool   // the records are of a layout that this version does not read
-	maxRev      uint64 // the highest revision seen, own commits included
-	incarnation uint64
-	lease       uint64
-	views       map[int32]*machineView
-	jobs        map[*storage.Job]*jobView
-	owned       []uint64 // by share: the version under which it is owned, 0: not
-	dirty       bool
-	next        time.Time // no cycle before
-	inflight    bool
-	finishing   []*storage.Job // jobs that the latest plan calls done
-	doubt       *protocol.Txn      // sent with unknown outcome: repeated until it is known
-	planned     int                // tasks that the latest plan places
-	lastOps     int                // changes of the latest transaction
-	rackFrom    int                // the rack that the next plan begins with
-	idleRuns    bool               // idle-time work is placed on this node's machines
-	edits       map[int32]*edit    // by machine
-	waiting     []int              // by share: tasks that waited when last planned
-	toGreet     []*storage.Machine
-	leadVersion uint64 // of the leader's key
-	leadAt      time.Time
-	waitRev     uint64 // no cycle before the follow got here
-	held        []heldReply
-	badSince    time.Time // the state service has not answered well since
-	waiters     []revWaiter
-	leaderBusy  bool
-	gateBusy    bool
-	workingOff  bool
-	lowered     bool // the state service has refused something for its size
-	lowRate     bool // the rate to come is kept to
-	doomTurn    int
-	tries       uint64 // long descriptions written by this process
-	scratch     scratch
-	tight       *storage.Rack // its record would be over the limit: it is parted next
-	shareBusy   bool
-	nodesAt     time.Time // when membership last changed
-	hands       []hand    // by share
-	handsRead   bool
-	zones       []zone               // by zone
-	broke       map[string]time.Time // by node: its connection broke off while it was heard
-	began       time.Time            // when this process did
-	living      map[string]time.Time // by node: when its hold was last seen
-	memberAt    uint64               // the revision with which this node's record was last written
-	memberBusy  bool                 // it is being written
-	lead        leadership
-	directs     int
-	ordinaryAt  time.Time // when a job that may not use spot machines was last open
-	flooded     bool      // a flood is dealt with
-	alpha       float64
-	barriers    barrier
-	peers       map[string]peer
-	lostPeers   map[string]time.Time // nodes whose connection ended, until they are heard again
-	heardAny    time.Time            // when any worker was last heard
-	ownSince    time.Time            // when this node last took over a share
-	placedSince bool                 // it has placed tasks since
-	tallies     tallies
-	unfit       atomic.Bool // reaches no worker
-	probeAt     time.Time
-	probeNext   int
-	goodAt      time.Time // when the state service last served this node
-	readAt      time.Time // the cache holds all that was committed until then
-	words       words
-	blind       blind
-	stopping    map[int32]*stopping  // by machine with a cancelled job's task
-	learned     map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
-	leading     bool                 // as last noted
-	manyMute    bool                 // too many workers are mute for it to be their own fault
-	reachedAt   time.Time            // when a worker last answered stops
-	cameRound   time.Time            // when the core's loop last did
-	spent       uint64               // changes made, when last looked at
-	spentAt     time.Time
-	pace        float64   // changes that this node makes a second
-	awake       time.Time // when this node last woke from a standstill
-	renewed     time.Time // when the latest renewal of the hold that worked was sent
-	outline     outline
-	metrics     *Metrics
-	operator    OperatorSettings
-	settingsAt  uint64
-	evictions   []EvictionView
-	evictSeen   map[string]uint64
-	viewing     *viewing // nil: off
+	cache         *storage.Cache
+	loaded        bool
+	unread        bool   // the records could not be read yet: no answer
+	foreignLayout bool   // the records are of a layout that this version does not read
+	maxRev        uint64 // the highest revision seen, own commits included
+	incarnation   uint64
+	lease         uint64
+	views         map[int32]*machineView
+	jobs          map[*storage.Job]*jobView
+	owned         []uint64 // by share: the version under which it is owned, 0: not
+	dirty         bool
+	next          time.Time // no cycle before
+	inflight      bool
+	finishing     []*storage.Job  // jobs that the latest plan calls done
+	inDoubt       *protocol.Txn   // sent with unknown outcome: repeated until it is known
+	planned       int             // tasks that the latest plan places
+	lastOps       int             // changes of the latest transaction
+	rackFrom      int             // the rack that the next plan begins with
+	idleRuns      bool            // idle-time work is placed on this node's machines
+	edits         map[int32]*edit // by machine
+	waiting       []int           // by share: tasks that waited when last planned
+	toGreet       []*storage.Machine
+	leadVersion   uint64 // of the leader's key
+	leadAt        time.Time
+	waitRev       uint64 // no cycle before the follow got here
+	held          []heldReply
+	badSince      time.Time // the state service has not answered well since
+	waiters       []revWaiter
+	leaderBusy    bool
+	gateBusy      bool
+	workingOff    bool
+	lowered       bool // the state service has refused something for its size
+	lowRate       bool // the rate to come is kept to
+	doomTurn      int
+	tries         uint64 // long descriptions written by this process
+	scratch       scratch
+	tight         *storage.Rack // its record would be over the limit: it is parted next
+	shareBusy     bool
+	nodesAt       time.Time // when membership last changed
+	hands         []hand    // by share
+	handsRead     bool
+	zones         []zone               // by zone
+	broke         map[string]time.Time // by node: its connection broke off while it was heard
+	began         time.Time            // when this process did
+	living        map[string]time.Time // by node: when its hold was last seen
+	memberAt      uint64               // the revision with which this node's record was last written
+	memberBusy    bool                 // it is being written
+	lead          leadership
+	directs       int
+	ordinaryAt    time.Time // when a job that may not use spot machines was last open
+	flooded       bool      // a flood is dealt with
+	alpha         float64
+	barriers      barrier
+	peers         map[string]peer
+	lostPeers     map[string]time.Time // nodes whose connection ended, until they are heard again
+	heardAny      time.Time            // when any worker was last heard
+	ownSince      time.Time            // when this node last took over a share
+	placedSince   bool                 // it has placed tasks since
+	tallies       tallies
+	unfit         atomic.Bool // reaches no worker
+	probeAt       time.Time
+	probeNext     int
+	goodAt        time.Time // when the state service last served this node
+	readAt        time.Time // the cache holds all that was committed until then
+	words         words
+	blind         blind
+	stopping      map[int32]*stopping  // by machine with a cancelled job's task
+	learned       map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
+	leading       bool                 // as last noted
+	manyMute      bool                 // too many workers are mute for it to be their own fault
+	reachedAt     time.Time            // when a worker last answered stops
+	cameRound     time.Time            // when the core's loop last did
+	spent         uint64               // changes made, when last looked at
+	spentAt       time.Time
+	pace          float64   // changes that this node makes a second
+	awake         time.Time // when this node last woke from a standstill
+	renewed       time.Time // when the latest renewal of the hold that worked was sent
+	outline       outline
+	metrics       *Metrics
+	operator      OperatorSettings
+	settingsAt    uint64
+	evictions     []EvictionView
+	evictSeen     map[string]uint64
+	viewing       *viewing // nil: off
 
 	// Layout, set before Run, is the latest layout of the records that this node reads. With
 	// the plain one it does as the version before did: for tests of both side by side.
@@ -179,11 +179,11 @@
 
 type machineView struct {
 	*dispatch.View
-	since    time.Time                     // known to this owner since
-	heard    time.Time                     // last message of its worker
-	reported time.Time                     // last report proper: what it is asked for renews no lease
-	notice   time.Time                     // when the cloud takes it; zero: not announced
-	images   []int                         // most recently used last
+	since    time.Time                 // known to this owner since
+	heard    time.Time                 // last message of its worker
+	reported time.Time                 // last report proper: what it is asked for renews no lease
+	notice   time.Time                 // when the cloud takes it; zero: not announced
+	images   []int                     // most recently used last
 	failed   map[*storage.Job]*failing // since it last completed anything
 	sick     bool
 	probes   int                        // unanswered in a row
--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/provision"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file works out what room the open work needs, for the leader's rentals.
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -4,8 +4,8 @@
 package dispatch
 
 import (
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // Outcome is what became of an attempt that is proved to be gone.
--- a/internal/coordination/dispatch/dispatch_test.go
+++ b/internal/coordination/dispatch/dispatch_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 const token = 50
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // newcomer is a machine that is to get a record.
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 const (
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 const (
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/storage"
 )
 
 // A job with a mistake had whole arrays started again and again, and good machines
--- a/internal/coordination/floods.go
+++ b/internal/coordination/floods.go
@@ -5,10 +5,10 @@
 	"maps"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/coordination/usual"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns what is done about floods: the leader learns what is usual and keeps it in
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -5,9 +5,9 @@
 	"errors"
 	"slices"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns the change from one layout of the records to the next while both
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 func (idleStore) SetLimit(float64) {}
@@ -26,19 +26,19 @@
 	c.directs = maxDirects
 	c.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
-	c.sent(*c.doubt, 0, nil, tooLarge)
-	if c.doubt == nil || len(c.doubt.Then) != 1 || c.doubt.Then[0].Put != storage.ShareKey(0) || c.doubt.If[0].Version != 2 {
-		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", c.doubt)
+	c.sent(*c.inDoubt, 0, nil, tooLarge)
+	if c.inDoubt == nil || len(c.inDoubt.Then) != 1 || c.inDoubt.Then[0].Put != storage.ShareKey(0) || c.inDoubt.If[0].Version != 2 {
+		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", c.inDoubt)
 	}
-	settle := *c.doubt
+	settle := *c.inDoubt
 	c.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
 	c.sent(settle, 0, nil, protocol.ErrRefused)
-	if c.doubt == nil {
+	if c.inDoubt == nil {
 		t.Fatal("given up before it was known")
 	}
 	c.sent(settle, 20, nil, nil)
-	if c.doubt != nil || c.waitRev != 20 || c.cache.Shares[0].Version != 20 {
-		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.doubt != nil, c.waitRev, c.cache.Shares[0].Version)
+	if c.inDoubt != nil || c.waitRev != 20 || c.cache.Shares[0].Version != 20 {
+		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.inDoubt != nil, c.waitRev, c.cache.Shares[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
 		return x.Key == storage.ShareKey(0) && x.Version == c.cache.Shares[0].Version
@@ -51,8 +51,8 @@
 	// Without a doubt a refusal for size is definite.
 	c = newCore(t)
 	b, _ = c.plan(c.view(c.cache.Machine("m")).heard, 12)
-	if c.sent(b.txn(), 0, nil, tooLarge); c.doubt != nil || !c.lowered {
-		t.Errorf("doubt %v, lowered %v", c.doubt != nil, c.lowered)
+	if c.sent(b.txn(), 0, nil, tooLarge); c.inDoubt != nil || !c.lowered {
+		t.Errorf("doubt %v, lowered %v", c.inDoubt != nil, c.lowered)
 	}
 }
 
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -8,30 +8,30 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/provision"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // leadership is what only the leader needs. It is rebuilt by a new leader.
 type leadership struct {
-	nodesSum  uint64
-	newcomers []*newcomer // machines that get a record next
-	adopting  map[string]bool
-	enrolling bool
-	editing   bool
-	returning bool
-	renting   map[provision.Pool]*rental // under way, outcome unknown
-	blocked   map[provision.Pool]time.Time
-	charters  int
-	listing   bool
-	listedAt  time.Time
-	empty     map[int32]emptyMark
-	strangers map[string]time.Time // listed without a record since
-	movedAt   time.Time
-	moving    bool
-	moved     map[int]time.Time // by rack
-	stuck     map[int]time.Time // by share: waits since, and no move evens out loads
+	nodesSum   uint64
+	newcomers  []*newcomer // machines that get a record next
+	adopting   map[string]bool
+	enrolling  bool
+	editing    bool
+	returning  bool
+	renting    map[provision.Pool]*rental // under way, outcome unknown
+	blocked    map[provision.Pool]time.Time
+	charters   int
+	listing    bool
+	listedAt   time.Time
+	empty      map[int32]emptyMark
+	unrecorded map[string]time.Time // listed without a record since
+	movedAt    time.Time
+	moving     bool
+	moved      map[int]time.Time // by rack
+	stuck      map[int]time.Time // by share: waits since, and no move evens out loads
 	// stuckSince is since when work has waited for which only drained machines have room.
 	stuckSince time.Time
 	cloudAt    time.Time
@@ -56,7 +56,7 @@
 	}
 	*l = leadership{learning: learning{busy: l.learning.busy}, adopting: map[string]bool{}, returning: l.returning, charters: l.charters,
 		renting: map[provision.Pool]*rental{}, blocked: map[provision.Pool]time.Time{},
-		empty: map[int32]emptyMark{}, moved: map[int]time.Time{}, stuck: map[int]time.Time{}, strangers: map[string]time.Time{}, spareFrom: map[provision.Pool]time.Time{}}
+		empty: map[int32]emptyMark{}, moved: map[int]time.Time{}, stuck: map[int]time.Time{}, unrecorded: map[string]time.Time{}, spareFrom: map[provision.Pool]time.Time{}}
 }
 
 // catalogLoop reads the machine types; the leader keeps them in the state
@@ -172,16 +172,16 @@
 			if c.cache.Known(l.ID) || c.lead.adopting[l.ID] || c.cache.TypeIdx.Find(l.Type) < 0 {
 				continue
 			}
-			since, ok := c.lead.strangers[l.ID]
+			since, ok := c.lead.unrecorded[l.ID]
 			if !ok {
-				c.lead.strangers[l.ID] = now
+				c.lead.unrecorded[l.ID] = now
 				continue
 			}
 			// A rental's own answer may still be on its way: it goes first.
 			if now.Sub(since) < 2*time.Second {
 				continue
 			}
-			delete(c.lead.strangers, l.ID)
+			delete(c.lead.unrecorded, l.ID)
 			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
 			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: storage.FleetRecord{
 				Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedAt: now.Unix() - int64(l.AgeS)}})
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/provision"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // The share with the most work for its machines took them from one whose team had
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // watchMachines looks for machines that are silent, sick or taken, and returns them.
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/membership"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // fresh is a revision that no record holds yet. As an attempt or a token it is
--- a/internal/coordination/member_test.go
+++ b/internal/coordination/member_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // putStore takes whatever is put.
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -6,8 +6,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/storage"
 )
 
 // Metrics are this node's figures. Labels are bounded: classes, teams, states
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // moveRoom moves racks from shares with room to spare to shares with waiting
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns which tasks leave a machine that is being drained. Stopping one costs what it
--- a/internal/coordination/newborn_test.go
+++ b/internal/coordination/newborn_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // slowReader is a state service whose full list never comes to an end.
--- a/internal/coordination/others.go
+++ b/internal/coordination/others.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns what a node does for the workers of machines that others own, while the
--- a/internal/coordination/others_test.go
+++ b/internal/coordination/others_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // A node that has read no records answers a worker only where that loses nothing and holds
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // foldAt is how many completed tasks a rack's record may list before some of them
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -34,7 +34,7 @@
 		c.post(func() {
 			c.unread = err != nil && !c.loaded
 			if err == nil || errors.Is(err, storage.ErrLayout) {
-				c.stranger = err != nil
+				c.foreignLayout = err != nil
 			}
 		})
 		if err != nil {
--- a/internal/coordination/schedule/evict.go
+++ b/internal/coordination/schedule/evict.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
+	"dykeledge/internal/storage"
 )
 
 // Victim is one task that an eviction stops.
@@ -100,7 +100,7 @@
 type room struct {
 	job   *storage.Job
 	free  map[*Slot]storage.Usage // of the slots that the job may use
-	zones []int                       // tasks that fit, by zone
+	zones []int                   // tasks that fit, by zone
 }
 
 func newRoom(j *storage.Job, slots []*Slot) *room {
--- a/internal/coordination/schedule/find_test.go
+++ b/internal/coordination/schedule/find_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // placeByLooking places as Place does, with a look at every slot for every task.
--- a/internal/coordination/schedule/order_test.go
+++ b/internal/coordination/schedule/order_test.go
@@ -12,9 +12,9 @@
 
 	"pgregory.net/rapid"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // In a flood the order by latest start made every job a little late, one after the other.
--- a/internal/coordination/schedule/place.go
+++ b/internal/coordination/schedule/place.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
+	"dykeledge/internal/storage"
 )
 
 const eps = 1e-6
@@ -21,19 +21,19 @@
 type Slot struct {
 	M       *storage.Machine
 	Free    storage.Usage
-	Images  []int             // images that it has
-	Coming  []int             // images that it is fetching
-	Ready   float64           // seconds until it has those
-	Fetch   float64           // GB a second
-	Risk    float64           // seconds that a placement here is expected to cost, all told
-	Rank    float64           // from 0 to below 1, by price and then by name
-	Held    []Held            // room that is kept for certain jobs
-	Fragile int               // tasks on it that stand to lose much if it is taken
-	Boots   float64           // seconds until it is up, as a guess
+	Images  []int         // images that it has
+	Coming  []int         // images that it is fetching
+	Ready   float64       // seconds until it has those
+	Fetch   float64       // GB a second
+	Risk    float64       // seconds that a placement here is expected to cost, all told
+	Rank    float64       // from 0 to below 1, by price and then by name
+	Held    []Held        // room that is kept for certain jobs
+	Fragile int           // tasks on it that stand to lose much if it is taken
+	Boots   float64       // seconds until it is up, as a guess
 	Yields  storage.Usage // what its tasks take that top-priority work may evict
-	PerGpu  float64           // CPUs for each of its accelerators; 0: it has none
-	Record  *Record           // where it is written down, with other machines
-	at      int32             // its place among all of a pass
+	PerGpu  float64       // CPUs for each of its accelerators; 0: it has none
+	Record  *Record       // where it is written down, with other machines
+	at      int32         // its place among all of a pass
 }
 
 // Record is a record in the state service that several slots may share.
@@ -98,9 +98,9 @@
 // Result is what a pass decided.
 type Result struct {
 	Placed []Placement
-	More   bool                     // the bounds ended the pass early
+	More   bool                 // the bounds ended the pass early
 	Short  map[*storage.Job]int // tasks that found no room, by job, or that start sooner on room which they evict
-	Scans  int                      // looks at all machines
+	Scans  int                  // looks at all machines
 }
 
 type cursor struct {
@@ -331,7 +331,7 @@
 type noRoom struct {
 	in    *Input
 	sizes []storage.Job
-	kept  []bool                    // by size: it was looked for on spot machines only
+	kept  []bool                // by size: it was looked for on spot machines only
 	held  map[*storage.Job]bool // they have room of their own
 }
 
--- a/internal/coordination/schedule/schedule_test.go
+++ b/internal/coordination/schedule/schedule_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 func job(id string, tasks int, cpus float64, prio protocol.Priority, change ...func(*storage.Job)) *storage.Job {
--- a/internal/coordination/schedule/soonest_test.go
+++ b/internal/coordination/schedule/soonest_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // Replicas fetched images for half a minute and more on whatever machine had room, beside
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -28,7 +28,7 @@
 	// What was idle or spare before says nothing about now.
 	clear(c.lead.spareFrom)
 	clear(c.lead.empty)
-	clear(c.lead.strangers)
+	clear(c.lead.unrecorded)
 }
 
 // silentFor is how long something last heard at a time has been silent, as far as
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // A node that had stood still found all others silent: it gave up its shares, or
--- a/internal/coordination/stops.go
+++ b/internal/coordination/stops.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns that what was cancelled is gone in time. Each cancellation has one deadline, which counts from when it was
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // How long a machine with a cancelled job's task may hang counted from its silence, from the takeover or from the beginning of an
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns changes of teams' guarantees and limits while the deployment serves. A change is one conditional write of the
--- a/internal/coordination/teams_test.go
+++ b/internal/coordination/teams_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/storage"
 )
 
 // newTeamCore is newCore with the gate open so far that teams may be changed.
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // Answer is what a user gets; RetryAfter above 0 tells when to come back.
@@ -355,7 +355,7 @@
 // all nodes submissions need not wait until each has read every record. Once teams may have been changed it has to
 // have read those, too: it would accept by the settings file what can never run.
 func (c *Controller) accepts() bool {
-	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.ChangesTeams() && !c.stranger)
+	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.ChangesTeams() && !c.foreignLayout)
 }
 
 // Ready tells whether this node can take requests. In an outage of the state service all
@@ -364,7 +364,7 @@
 	ok := false
 	err := c.call(ctx, func() {
 		now := time.Now()
-		waits := !c.stranger && c.unread && c.cache.HasCatalog() && now.Sub(c.blind.since) > peerFresh
+		waits := !c.foreignLayout && c.unread && c.cache.HasCatalog() && now.Sub(c.blind.since) > peerFresh
 		ok = (c.accepts() || waits) && !c.alone(now)
 	})
 	return err == nil && ok
--- a/internal/coordination/usual/usual.go
+++ b/internal/coordination/usual/usual.go
@@ -45,9 +45,9 @@
 }
 
 type lane struct {
-	first []float64         // jobs a second in the windows so far, until there is a first guess
+	first []float64     // jobs a second in the windows so far, until there is a first guess
 	all   storage.Asked // in all of them
-	rate  float64           // asked, smoothed
+	rate  float64       // asked, smoothed
 	usual float64
 }
 
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/view"
 )
 
--- a/internal/coordination/words.go
+++ b/internal/coordination/words.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns what a node knows of cancellations, and until when it knows all of them. Whoever
--- a/internal/coordination/words_test.go
+++ b/internal/coordination/words_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // An owner that the state service refused alone answered its workers for as long as it believed in its
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 const (
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // This file owns what is concluded from the silence of a whole zone. One that is cut off goes on
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // deafWorkers answer nobody but those in the zones that are heard.
