--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -76,7 +76,7 @@
 	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
 	f.StringVar(&o.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
 	f.StringVar(&o.out, "out", "", "`FILE` to which the points are added as lines of JSON")
-	f.StringVar(&o.run, "name", "run", "name of the run in its points")
+	f.StringVar(&o.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
 	f.StringVar(&o.commit, "commit", "", "commit of the controller that is measured, for the points")
 	f.Uint64Var(&o.seed, "seed", 1, "of the load and the machines")
 	f.DurationVar(&o.warmUp, "warm-up", 40*time.Second, "time before it is measured")
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	report, errs, code := p.run("scale", "report", dir)
-	if code != 0 || !strings.Contains(report, "| 1 | large |") || !strings.Contains(report, "| 1 | small |") {
+	if code != 0 || !strings.Contains(report, "| run | 1 | large |") || !strings.Contains(report, "| run | 1 | small |") {
 		t.Errorf("exit code %d\n%s\n%s", code, report, errs)
 	}
 }
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -184,7 +184,7 @@
 		}}))
 	teams := list("teams", "List the teams with their guarantees and limits", "/teams", false,
 		"name", "cpus", "cpus_max", "gpus", "gpus_max", "state", "cpus_to_go", "gpus_to_go", "behind", "version")
-	teams.AddCommand(flags(cl.teamsSetCommand()))
+	teams.AddCommand(flags(cl.teamsSetCommand()), flags(cl.teamsMoveCommand()))
 	return []*cobra.Command{settings, teams, jobs,
 		list("nodes", "List the nodes", "/nodes", false, "name", "alive", "leader", "shares", "state_ok", "pulse_age_s"),
 		list("shares", "List the shares", "/shares", false, "share", "owner", "teams", "machines", "cpus", "used_cpus", "waiting_cpus", "gpus", "used_gpus", "waiting_gpus", "token"),
@@ -193,45 +193,6 @@
 	}
 }
 
-// teamsSetCommand changes a team, conditional on what the node says of it now.
-func (cl *client) teamsSetCommand() *cobra.Command {
-	return &cobra.Command{Use: "set TEAM NAME=VALUE...", Short: "Change a team's guarantee or limit: cpus, cpus_max, gpus, gpus_max", Args: cobra.MinimumNArgs(2),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := cl.check(); err != nil {
-				return err
-			}
-			change, err := parseChange(args[1:])
-			if err != nil {
-				return &exitError{exitUsage, err}
-			}
-			version, err := cl.teamVersion(args[0])
-			if err != nil {
-				return err
-			}
-			body, err := cl.call("PUT", "/teams/"+url.PathEscape(args[0]), transport.TeamChange{Version: &version, Team: change})
-			if err != nil {
-				return err
-			}
-			_, err = fmt.Fprintln(cmd.OutOrStdout(), string(body))
-			return err
-		}}
-}
-
-// teamVersion is the version of a team's entry.
-func (cl *client) teamVersion(name string) (uint64, error) {
-	body, err := cl.call("GET", "/teams/"+url.PathEscape(name), nil)
-	if err != nil {
-		return 0, err
-	}
-	var t struct {
-		Version uint64 `json:"version"`
-	}
-	if err := json.Unmarshal(body, &t); err != nil {
-		return 0, &exitError{exitFailed, fmt.Errorf("the node's answer cannot be read: %w", err)}
-	}
-	return t.Version, nil
-}
-
 // parseChange reads NAME=VALUE pairs; what is no number is text.
 func parseChange(args []string) (json.RawMessage, error) {
 	m := map[string]any{}
--- /dev/null
+++ b/cmd/dykeledge/teams_test.go
@@ -0,0 +1,108 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"dykeledge/internal/coordination"
+)
+
+// modelCell is a cell whose answers and whose evictions go as they are drawn. counts is the limit that counts in it.
+type modelCell struct {
+	t       *rapid.T
+	name    string
+	view    coordination.TeamView
+	counts  float64
+	check   func()
+	calls   int
+	aborted context.CancelFunc
+}
+
+var errLost = errors.New("the answer is lost")
+
+// event draws what befalls a call: nothing, a lost request, a lost answer, or the end of the one who moves.
+func (c *modelCell) event() string {
+	c.calls++
+	if c.calls > 40 {
+		return "" // a run of losses ends
+	}
+	return rapid.SampledFrom([]string{"", "", "", "request lost", "answer lost", "ends"}).Draw(c.t, c.name)
+}
+
+func (c *modelCell) Team(string) (coordination.TeamView, error) {
+	switch c.event() {
+	case "request lost", "answer lost":
+		return coordination.TeamView{}, errLost
+	case "ends":
+		c.aborted()
+		return coordination.TeamView{}, errLost
+	}
+	if c.view.State == coordination.TeamLowering && rapid.Bool().Draw(c.t, "kept") {
+		c.counts, c.view.State = c.view.CpusMax, coordination.TeamInForce
+		c.check()
+	}
+	return c.view, nil
+}
+
+func (c *modelCell) Change(_ string, version uint64, change json.RawMessage) (coordination.TeamView, error) {
+	event := c.event()
+	if event == "request lost" {
+		return coordination.TeamView{}, errLost
+	}
+	if version != c.view.Version {
+		return coordination.TeamView{}, coordination.ErrVersion
+	}
+	var to struct {
+		CpusMax float64 `json:"cpus_max"`
+	}
+	if err := json.Unmarshal(change, &to); err != nil {
+		c.t.Fatal(err)
+	}
+	c.view.CpusMax, c.view.Version, c.view.State = to.CpusMax, version+1, coordination.TeamInForce
+	if to.CpusMax < c.counts {
+		c.view.State = coordination.TeamLowering
+	} else {
+		c.counts = to.CpusMax
+	}
+	c.check()
+	if event != "" {
+		return coordination.TeamView{}, errLost
+	}
+	return c.view, nil
+}
+
+// TestMovesNeverAddUpToMore moves parts of a limit between two cells, any number of times and both ways, while requests and answers
+// get lost and moves end at any step: the limits that count in the cells add up to no more than the total at any time.
+func TestMovesNeverAddUpToMore(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		const total = 100.0
+		a, b := &modelCell{t: rt, name: "a", counts: 60}, &modelCell{t: rt, name: "b", counts: 40}
+		for _, c := range []*modelCell{a, b} {
+			c.view = coordination.TeamView{State: coordination.TeamFromFile}
+			c.view.CpusMax = c.counts
+			c.check = func() {
+				if a.counts+b.counts > total {
+					rt.Fatalf("limits of %g and %g count", a.counts, b.counts)
+				}
+			}
+		}
+		for range rapid.IntRange(1, 6).Draw(rt, "moves") {
+			from, to := a, b
+			if rapid.Bool().Draw(rt, "back") {
+				from, to = b, a
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			a.aborted, b.aborted, a.calls, b.calls = cancel, cancel, 0, 0
+			err := moveLimit(ctx, from, to, "red", float64(rapid.IntRange(1, 50).Draw(rt, "cpus")), 0, io.Discard)
+			cancel()
+			if err == nil && (from.view.State != coordination.TeamInForce || to.view.State != coordination.TeamInForce) {
+				rt.Fatalf("moved, but %s and %s", from.view.State, to.view.State)
+			}
+		}
+	})
+}
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/charmbracelet/x/ansi"
 
-	"dykeledge/internal/storage"
 	"dykeledge/internal/config"
 	"dykeledge/internal/load"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/simulator"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/view"
 	"dykeledge/internal/viewer"
 )
@@ -66,7 +66,7 @@
 // reference is the scheduler's own state, made anew from what the state service holds.
 type reference struct {
 	store *simulator.Store
-	cache  *storage.Cache
+	cache *storage.Cache
 }
 
 func (r *reference) advance(t *testing.T, to uint64) {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -9,6 +9,9 @@
 	"strings"
 )
 
+// Ladder is the name of the run whose points are fitted: one profile at several sizes.
+const Ladder = "ladder"
+
 // Report prints the tables that come of points, as Markdown: the runs, how each role's figures grow over the ladder of the
 // peak, what a worker costs, and what the other cuts showed. Points whose hollow side was overloaded are listed, and left out of
 // the fits.
@@ -19,13 +22,15 @@
 		byCut[p.Cut] = append(byCut[p.Cut], p)
 	}
 	for _, list := range byCut {
-		slices.SortStableFunc(list, func(a, b Point) int { return cmp.Or(cmp.Compare(a.Fraction, b.Fraction), cmp.Compare(a.Seed, b.Seed)) })
+		slices.SortStableFunc(list, func(a, b Point) int {
+			return cmp.Or(cmp.Compare(a.Run, b.Run), cmp.Compare(a.Fraction, b.Fraction), cmp.Compare(a.Seed, b.Seed), cmp.Compare(a.Region, b.Region))
+		})
 	}
 	for _, cut := range []struct {
 		cut   Cut
 		title string
 	}{
-		{Peak, "The ladder: the largest region at its part of the peak"},
+		{Peak, "The peak: the largest region at its part of the task starts"},
 		{Population, "The whole population: all regions, tasks of five minutes"},
 		{Changes, "Changes of the configuration at the letter's rate, at the peak"},
 		{Troubles, "Troubles: a day's failures pressed into the measured time, with changes"},
@@ -33,10 +38,12 @@
 		if list := byCut[cut.cut]; len(list) > 0 {
 			fmt.Fprintf(out, "### %s\n\n", cut.title)
 			runsTable(out, list)
+			controllersTable(out, slices.DeleteFunc(slices.Clone(list), func(p Point) bool { return p.Run == Ladder }))
 			changesTable(out, list)
 		}
 	}
-	if list := byCut[Peak]; len(list) > 0 {
+	list := slices.DeleteFunc(byCut[Peak], func(p Point) bool { return p.Run != Ladder })
+	if len(list) > 0 {
 		fmt.Fprint(out, "### What a controller costs, by role, over the ladder\n\n")
 		rolesTable(out, list)
 		fmt.Fprint(out, "### What a worker costs, and the state service holds, over the ladder\n\n")
@@ -47,30 +54,51 @@
 
 // runsTable has a row a point.
 func runsTable(w io.Writer, points []Point) {
-	fmt.Fprintln(w, "| part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Fprintln(w, "| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
+	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
 		mark := ""
 		if p.Overloaded {
 			mark = " **overloaded: says nothing of controllers**"
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", fractionText(p.Fraction), p.Region,
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
 			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
 			len(p.BrokenRules), p.Ends, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
 	}
 	fmt.Fprintln(w)
 }
 
+// controllersTable has a row a controller of points that no line is fitted through. One that ended meanwhile, or changed its role,
+// is marked, since its processor time is of a part of the time.
+func controllersTable(w io.Writer, points []Point) {
+	if len(points) == 0 {
+		return
+	}
+	fmt.Fprintln(w, "| run | part of the letter | region | role | partitions | cores | of these planning | MB | connections | reports 1/s | placed 1/s | state: transactions 1/s | received KB/s |")
+	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	for _, p := range points {
+		for _, c := range p.Controllers {
+			role := string(c.Role)
+			if !c.Whole {
+				role += ", not all the time"
+			}
+			fmt.Fprintf(w, "| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Partitions,
+				c.Cores, c.PlanCores, c.MemMB, c.Sockets, c.ReportsS, c.LaunchesS, c.TxnsS, c.StateOutS/1000)
+		}
+	}
+	fmt.Fprintln(w)
+}
+
 // changesTable has a row a point in which the configuration was changed.
 func changesTable(w io.Writer, points []Point) {
 	points = slices.DeleteFunc(slices.Clone(points), func(p Point) bool { return p.ChangesMade == 0 })
 	if len(points) == 0 {
 		return
 	}
-	fmt.Fprintln(w, "| part of the letter | region | changes made in s | not in force within a minute | in force on all controllers of the cell, ms p50 / p99 / max | limits lowered: count, ms p50 / p99 / max |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- |")
+	fmt.Fprintln(w, "| run | part of the letter | region | changes made in s | not in force within a minute | in force on all controllers of the cell, ms p50 / p99 / max | limits lowered: count, ms p50 / p99 / max |")
+	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
-		fmt.Fprintf(w, "| %s | %s | %d in %.0f | %d | %.0f / %.0f / %.0f | %d, %.0f / %.0f / %.0f |\n", fractionText(p.Fraction), p.Region, p.ChangesMade, p.MeasureS,
+		fmt.Fprintf(w, "| %s | %s | %s | %d in %.0f | %d | %.0f / %.0f / %.0f | %d, %.0f / %.0f / %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, p.ChangesMade, p.MeasureS,
 			p.ChangesFailed, p.ChangeMs.P50, p.ChangeMs.P99, p.ChangeMs.Max, p.LowerMs.Count, p.LowerMs.P50, p.LowerMs.P99, p.LowerMs.Max)
 	}
 	fmt.Fprintln(w)
