--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -182,7 +182,10 @@
 			}
 			return cl.showSettings(cmd.OutOrStdout(), body)
 		}}))
-	return []*cobra.Command{settings, jobs,
+	teams := list("teams", "List the teams with their guarantees and limits", "/teams", false,
+		"name", "cpus", "cpus_max", "gpus", "gpus_max", "state", "cpus_to_go", "gpus_to_go", "behind", "version")
+	teams.AddCommand(flags(cl.teamsSetCommand()), flags(cl.teamsMoveCommand()))
+	return []*cobra.Command{settings, teams, jobs,
 		list("nodes", "List the nodes", "/nodes", false, "name", "alive", "leader", "shares", "state_ok", "pulse_age_s"),
 		list("shares", "List the shares", "/shares", false, "share", "owner", "teams", "machines", "cpus", "used_cpus", "waiting_cpus", "gpus", "used_gpus", "waiting_gpus", "token"),
 		list("machines", "List the machines", "/machines", true, "name", "state", "share", "type", "zone", "spot", "tasks", "used_cpus", "used_gpus", "silent_s"),
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 const (
@@ -51,7 +51,7 @@
 
 // progress is how far a job gets with this batch.
 type progress struct {
-	done bookkeeping.Bitmap
+	done storage.Bitmap
 	n    int
 }
 
@@ -65,11 +65,11 @@
 	if !c.loaded {
 		return
 	}
-	if c.doubt != nil {
-		c.send(ctx, *c.doubt)
+	if c.inDoubt != nil {
+		c.send(ctx, *c.inDoubt)
 		return
 	}
-	if c.book.Revision < c.waitRev {
+	if c.cache.Revision < c.waitRev {
 		return // the follow brings what a refused transaction had missed
 	}
 	// A plan that waits for its turn grows stale: it is made when it can go out.
@@ -116,13 +116,13 @@
 func (c *Controller) nextSplit() protocol.Txn {
 	k := c.tight
 	c.tight = nil
-	if !c.book.Packed() {
+	if !c.cache.Packed() {
 		return protocol.Txn{}
 	}
 	if k == nil {
 		limit := c.valueLimit()
-		for _, x := range c.book.Racks {
-			if x.Size > limit && c.owns(x.Share) && len(bookkeeping.EncodeRack(c.book.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
+		for _, x := range c.cache.Racks {
+			if x.Size > limit && c.owns(x.Share) && len(storage.EncodeRack(c.cache.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
 				k = x
 				break
 			}
@@ -151,7 +151,7 @@
 	c.next = now.Add(c.times.Cycle)
 	switch {
 	case err == nil && len(failed) == 0:
-		c.doubt = nil
+		c.inDoubt = nil
 		c.badSince, c.goodAt = time.Time{}, now
 		if settles(t) {
 			c.waitRev = rev // what it settled may have been applied before
@@ -164,7 +164,7 @@
 		}
 		for _, j := range c.finishing {
 			jv := c.jobView(j)
-			c.log.Info("job is done", "job", j.ID, "class", c.book.Classes.Name(j.Class), "team", c.book.Teams[j.Team].Name,
+			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
 				"share", j.Share, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Due.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Needs, "ready", j.At.Sub(j.Submitted).Seconds(),
 				"began", jv.since(j, jv.began), "placed", jv.since(j, jv.full), "stopped", jv.victim)
 		}
@@ -174,7 +174,7 @@
 	case err == nil:
 		// Something changed under it: whatever it was, a late copy cannot apply any more.
 		c.log.Debug("commit conflicts", "keys", failed)
-		c.doubt = nil
+		c.inDoubt = nil
 		c.badSince, c.goodAt = time.Time{}, now
 		c.waitRev = rev
 		c.maxRev = max(c.maxRev, rev)
@@ -187,18 +187,18 @@
 		c.lower(err)
 		switch {
 		case !errors.Is(err, protocol.ErrRefused):
-			c.doubt = &t
-		case errors.Is(err, protocol.ErrTooLarge) && c.doubt != nil:
-			c.doubt = c.settling(*c.doubt)
+			c.inDoubt = &t
+		case errors.Is(err, protocol.ErrTooLarge) && c.inDoubt != nil:
+			c.inDoubt = c.settling(*c.inDoubt)
 		}
-		c.log.Info("commit failed", "err", err, "doubt", c.doubt != nil)
+		c.log.Info("commit failed", "err", err, "doubt", c.inDoubt != nil)
 		c.next = now.Add(250 * time.Millisecond)
 		c.kick()
 	}
 }
 
 // since is how long after a job's submission something was, in seconds; -1: not seen here.
-func (jv *jobView) since(j *bookkeeping.Job, at time.Time) float64 {
+func (jv *jobView) since(j *storage.Job, at time.Time) float64 {
 	if at.IsZero() {
 		return -1
 	}
@@ -208,11 +208,11 @@
 // dispatchDirect sends new launches to workers that are not about to report.
 func (c *Controller) dispatchDirect(t protocol.Txn) {
 	for _, ch := range t.Then {
-		id, ok := bookkeeping.RackOf(ch.Put)
+		id, ok := storage.RackOf(ch.Put)
 		if !ok {
 			continue
 		}
-		for _, m := range c.book.Racks[id].Machines {
+		for _, m := range c.cache.Racks[id].Machines {
 			if m.Gone || !c.owns(m.Share) {
 				continue
 			}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
 	"dykeledge/internal/config"
 	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // StateStore is the state service as the core needs it.
@@ -82,90 +82,90 @@
 	done  chan struct{}
 
 	// all below belongs to the core's goroutine
-	book        *bookkeeping.Book
-	loaded      bool
-	unread      bool   // the records could not be read yet: no answer
-	stranger    bool   // the records are of a layout that this version does not read
-	maxRev      uint64 // the highest revision seen, own commits included
-	incarnation uint64
-	lease       uint64
-	views       map[int32]*machineView
-	jobs        map[*bookkeeping.Job]*jobView
-	owned       []uint64 // by share: the version under which it is owned, 0: not
-	dirty       bool
-	next        time.Time // no cycle before
-	inflight    bool
-	finishing   []*bookkeeping.Job // jobs that the latest plan calls done
-	doubt       *protocol.Txn      // sent with unknown outcome: repeated until it is known
-	planned     int                // tasks that the latest plan places
-	lastOps     int                // changes of the latest transaction
-	rackFrom    int                // the rack that the next plan begins with
-	idleRuns    bool               // idle-time work is placed on this node's machines
-	edits       map[int32]*edit    // by machine
-	waiting     []int              // by share: tasks that waited when last planned
-	toGreet     []*bookkeeping.Machine
-	leadVersion uint64 // of the leader's key
-	leadAt      time.Time
-	waitRev     uint64 // no cycle before the follow got here
-	held        []heldReply
-	badSince    time.Time // the state service has not answered well since
-	waiters     []revWaiter
-	leaderBusy  bool
-	gateBusy    bool
-	workingOff  bool
-	lowered     bool // the state service has refused something for its size
-	lowRate     bool // the rate to come is kept to
-	doomTurn    int
-	tries       uint64 // long descriptions written by this process
-	scratch     scratch
-	tight       *bookkeeping.Rack // its record would be over the limit: it is parted next
-	shareBusy   bool
-	nodesAt     time.Time // when membership last changed
-	hands       []hand    // by share
-	handsRead   bool
-	zones       []zone               // by zone
-	broke       map[string]time.Time // by node: its connection broke off while it was heard
-	began       time.Time            // when this process did
-	living      map[string]time.Time // by node: when its hold was last seen
-	memberAt    uint64               // the revision with which this node's record was last written
-	memberBusy  bool                 // it is being written
-	lead        leadership
-	directs     int
-	ordinaryAt  time.Time // when a job that may not use spot machines was last open
-	flooded     bool      // a flood is dealt with
-	alpha       float64
-	barriers    barrier
-	peers       map[string]peer
-	lostPeers   map[string]time.Time // nodes whose connection ended, until they are heard again
-	heardAny    time.Time            // when any worker was last heard
-	ownSince    time.Time            // when this node last took over a share
-	placedSince bool                 // it has placed tasks since
-	tallies     tallies
-	unfit       atomic.Bool // reaches no worker
-	probeAt     time.Time
-	probeNext   int
-	goodAt      time.Time // when the state service last served this node
-	readAt      time.Time // the book holds all that was committed until then
-	words       words
-	blind       blind
-	stopping    map[int32]*stopping  // by machine with a cancelled job's task
-	learned     map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
-	leading     bool                 // as last noted
-	manyMute    bool                 // too many workers are mute for it to be their own fault
-	reachedAt   time.Time            // when a worker last answered stops
-	cameRound   time.Time            // when the core's loop last did
-	spent       uint64               // changes made, when last looked at
-	spentAt     time.Time
-	pace        float64   // changes that this node makes a second
-	awake       time.Time // when this node last woke from a standstill
-	renewed     time.Time // when the latest renewal of the hold that worked was sent
-	outline     outline
-	metrics     *Metrics
-	operator    OperatorSettings
-	settingsAt  uint64
-	evictions   []EvictionView
-	evictSeen   map[string]uint64
-	viewing     *viewing // nil: off
+	cache         *storage.Cache
+	loaded        bool
+	unread        bool   // the records could not be read yet: no answer
+	foreignLayout bool   // the records are of a layout that this version does not read
+	maxRev        uint64 // the highest revision seen, own commits included
+	incarnation   uint64
+	lease         uint64
+	views         map[int32]*machineView
+	jobs          map[*storage.Job]*jobView
+	owned         []uint64 // by share: the version under which it is owned, 0: not
+	dirty         bool
+	next          time.Time // no cycle before
+	inflight      bool
+	finishing     []*storage.Job  // jobs that the latest plan calls done
+	inDoubt       *protocol.Txn   // sent with unknown outcome: repeated until it is known
+	planned       int             // tasks that the latest plan places
+	lastOps       int             // changes of the latest transaction
+	rackFrom      int             // the rack that the next plan begins with
+	idleRuns      bool            // idle-time work is placed on this node's machines
+	edits         map[int32]*edit // by machine
+	waiting       []int           // by share: tasks that waited when last planned
+	toGreet       []*storage.Machine
+	leadVersion   uint64 // of the leader's key
+	leadAt        time.Time
+	waitRev       uint64 // no cycle before the follow got here
+	held          []heldReply
+	badSince      time.Time // the state service has not answered well since
+	waiters       []revWaiter
+	leaderBusy    bool
+	gateBusy      bool
+	workingOff    bool
+	lowered       bool // the state service has refused something for its size
+	lowRate       bool // the rate to come is kept to
+	doomTurn      int
+	tries         uint64 // long descriptions written by this process
+	scratch       scratch
+	tight         *storage.Rack // its record would be over the limit: it is parted next
+	shareBusy     bool
+	nodesAt       time.Time // when membership last changed
+	hands         []hand    // by share
+	handsRead     bool
+	zones         []zone               // by zone
+	broke         map[string]time.Time // by node: its connection broke off while it was heard
+	began         time.Time            // when this process did
+	living        map[string]time.Time // by node: when its hold was last seen
+	memberAt      uint64               // the revision with which this node's record was last written
+	memberBusy    bool                 // it is being written
+	lead          leadership
+	directs       int
+	ordinaryAt    time.Time // when a job that may not use spot machines was last open
+	flooded       bool      // a flood is dealt with
+	alpha         float64
+	barriers      barrier
+	peers         map[string]peer
+	lostPeers     map[string]time.Time // nodes whose connection ended, until they are heard again
+	heardAny      time.Time            // when any worker was last heard
+	ownSince      time.Time            // when this node last took over a share
+	placedSince   bool                 // it has placed tasks since
+	tallies       tallies
+	unfit         atomic.Bool // reaches no worker
+	probeAt       time.Time
+	probeNext     int
+	goodAt        time.Time // when the state service last served this node
+	readAt        time.Time // the cache holds all that was committed until then
+	words         words
+	blind         blind
+	stopping      map[int32]*stopping  // by machine with a cancelled job's task
+	learned       map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
+	leading       bool                 // as last noted
+	manyMute      bool                 // too many workers are mute for it to be their own fault
+	reachedAt     time.Time            // when a worker last answered stops
+	cameRound     time.Time            // when the core's loop last did
+	spent         uint64               // changes made, when last looked at
+	spentAt       time.Time
+	pace          float64   // changes that this node makes a second
+	awake         time.Time // when this node last woke from a standstill
+	renewed       time.Time // when the latest renewal of the hold that worked was sent
+	outline       outline
+	metrics       *Metrics
+	operator      OperatorSettings
+	settingsAt    uint64
+	evictions     []EvictionView
+	evictSeen     map[string]uint64
+	viewing       *viewing // nil: off
 
 	// Layout, set before Run, is the latest layout of the records that this node reads. With
 	// the plain one it does as the version before did: for tests of both side by side.
@@ -179,12 +179,12 @@
 
 type machineView struct {
 	*dispatch.View
-	since    time.Time                     // known to this owner since
-	heard    time.Time                     // last message of its worker
-	reported time.Time                     // last report proper: what it is asked for renews no lease
-	notice   time.Time                     // when the cloud takes it; zero: not announced
-	images   []int                         // most recently used last
-	failed   map[*bookkeeping.Job]*failing // since it last completed anything
+	since    time.Time                 // known to this owner since
+	heard    time.Time                 // last message of its worker
+	reported time.Time                 // last report proper: what it is asked for renews no lease
+	notice   time.Time                 // when the cloud takes it; zero: not announced
+	images   []int                     // most recently used last
+	failed   map[*storage.Job]*failing // since it last completed anything
 	sick     bool
 	probes   int                        // unanswered in a row
 	started  map[dispatch.Ref]time.Time // seen running since
@@ -225,13 +225,13 @@
 func New(cfg *config.Settings, state StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, times Times) *Controller {
 	c := &Controller{
 		cfg: cfg, state: state, cloud: cloud, workers: workers, log: log, times: times,
-		inbox: make(chan func(), 1024), done: make(chan struct{}), book: bookkeeping.NewBook(cfg),
-		views: map[int32]*machineView{}, jobs: map[*bookkeeping.Job]*jobView{}, peers: map[string]peer{}, lostPeers: map[string]time.Time{}, alpha: DefaultAlpha,
+		inbox: make(chan func(), 1024), done: make(chan struct{}), cache: storage.NewCache(cfg),
+		views: map[int32]*machineView{}, jobs: map[*storage.Job]*jobView{}, peers: map[string]peer{}, lostPeers: map[string]time.Time{}, alpha: DefaultAlpha,
 	}
-	c.hands, c.broke = make([]hand, c.book.NShares), map[string]time.Time{}
+	c.hands, c.broke = make([]hand, c.cache.NShares), map[string]time.Time{}
 	c.living, c.began = map[string]time.Time{}, time.Now()
-	c.owned, c.waiting, c.edits = make([]uint64, c.book.NShares), make([]int, c.book.NShares), map[int32]*edit{}
-	c.Layout, c.Frames = bookkeeping.LayoutPacked, protocol.FramesWord
+	c.owned, c.waiting, c.edits = make([]uint64, c.cache.NShares), make([]int, c.cache.NShares), map[int32]*edit{}
+	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesWord
 	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
 	c.metrics.Registry.MustRegister(gauges{c})
 	c.blind = blind{since: time.Now(), renewed: map[string]time.Time{}}
@@ -248,7 +248,7 @@
 // Run is the node's life; it ends with ctx.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
-	c.book.Plain = c.Layout < bookkeeping.LayoutPacked
+	c.cache.Plain = c.Layout < storage.LayoutPacked
 	go c.memberLoop(ctx)
 	go c.followLoop(ctx)
 	go c.catalogLoop(ctx)
@@ -311,7 +311,7 @@
 	if !c.loaded {
 		return
 	}
-	c.book.Sweep()
+	c.cache.Sweep()
 	for j := range c.jobs {
 		if !j.Open() && j.NPlaced == 0 {
 			delete(c.jobs, j)
@@ -340,7 +340,7 @@
 // use: in proportion to the machines that it commits for, which every node knows.
 func (c *Controller) setPart() {
 	mine, all := 0, 0
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if !m.Gone {
 			all++
 			if c.owns(m.Share) {
@@ -372,21 +372,21 @@
 // as the record that says so: a leader that gives a share to itself learns of it
 // from its own commit, before it has seen what the former owner committed last.
 func (c *Controller) owns(share int) bool {
-	s := &c.book.Shares[share]
-	return s.Version > 0 && c.book.Revision >= s.Version && c.incarnation > 0 && s.Node == c.cfg.NodeName && s.Incarnation == c.incarnation
+	s := &c.cache.Shares[share]
+	return s.Version > 0 && c.cache.Revision >= s.Version && c.incarnation > 0 && s.Node == c.cfg.NodeName && s.Incarnation == c.incarnation
 }
 
 func (c *Controller) leads() bool {
-	l := &c.book.Leader
+	l := &c.cache.Leader
 	return l.Version > 0 && c.incarnation > 0 && l.Node == c.cfg.NodeName && l.Incarnation == c.incarnation
 }
 
-func (c *Controller) view(m *bookkeeping.Machine) *machineView {
+func (c *Controller) view(m *storage.Machine) *machineView {
 	v := c.views[m.Index]
 	if v == nil {
 		now := time.Now()
 		v = &machineView{View: dispatch.NewView(), since: now, heard: now, reported: reportedAnew(c.cfg.Deployment.Workers, now), idle: now,
-			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, speed: 1, failed: map[*bookkeeping.Job]*failing{}}
+			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, speed: 1, failed: map[*storage.Job]*failing{}}
 		c.views[m.Index] = v
 	}
 	return v
@@ -398,7 +398,7 @@
 	return ok
 }
 
-func (c *Controller) jobView(j *bookkeeping.Job) *jobView {
+func (c *Controller) jobView(j *storage.Job) *jobView {
 	v := c.jobs[j]
 	if v == nil {
 		v = &jobView{queued: map[int]time.Time{}, machines: map[int32]bool{}}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -5,35 +5,33 @@
 	"context"
 	"errors"
 	"fmt"
-	"math"
 	"slices"
 	"time"
 
-	"dykeledge/internal/bookkeeping"
 	"dykeledge/internal/coordination/provision"
-	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // leadership is what only the leader needs. It is rebuilt by a new leader.
 type leadership struct {
-	nodesSum  uint64
-	newcomers []*newcomer // machines that get a record next
-	adopting  map[string]bool
-	enrolling bool
-	editing   bool
-	returning bool
-	renting   map[provision.Pool]*rental // under way, outcome unknown
-	blocked   map[provision.Pool]time.Time
-	charters  int
-	listing   bool
-	listedAt  time.Time
-	empty     map[int32]emptyMark
-	strangers map[string]time.Time // listed without a record since
-	movedAt   time.Time
-	moving    bool
-	moved     map[int]time.Time // by rack
-	stuck     map[int]time.Time // by share: waits since, and no move evens out loads
+	nodesSum   uint64
+	newcomers  []*newcomer // machines that get a record next
+	adopting   map[string]bool
+	enrolling  bool
+	editing    bool
+	returning  bool
+	renting    map[provision.Pool]*rental // under way, outcome unknown
+	blocked    map[provision.Pool]time.Time
+	charters   int
+	listing    bool
+	listedAt   time.Time
+	empty      map[int32]emptyMark
+	unrecorded map[string]time.Time // listed without a record since
+	movedAt    time.Time
+	moving     bool
+	moved      map[int]time.Time // by rack
+	stuck      map[int]time.Time // by share: waits since, and no move evens out loads
 	// stuckSince is since when work has waited for which only drained machines have room.
 	stuckSince time.Time
 	cloudAt    time.Time
@@ -58,7 +56,7 @@
 	}
 	*l = leadership{learning: learning{busy: l.learning.busy}, adopting: map[string]bool{}, returning: l.returning, charters: l.charters,
 		renting: map[provision.Pool]*rental{}, blocked: map[provision.Pool]time.Time{},
-		empty: map[int32]emptyMark{}, moved: map[int]time.Time{}, stuck: map[int]time.Time{}, strangers: map[string]time.Time{}, spareFrom: map[provision.Pool]time.Time{}}
+		empty: map[int32]emptyMark{}, moved: map[int]time.Time{}, stuck: map[int]time.Time{}, unrecorded: map[string]time.Time{}, spareFrom: map[provision.Pool]time.Time{}}
 }
 
 // catalogLoop reads the machine types; the leader keeps them in the state
@@ -72,11 +70,11 @@
 			continue
 		}
 		c.post(func() {
-			c.book.SetCatalog(cat)
-			if c.leads() && c.loaded && c.book.Catalog.Version == 0 {
+			c.cache.SetCatalog(cat)
+			if c.leads() && c.loaded && c.cache.Catalog.Version == 0 {
 				c.commitAside(ctx, protocol.Txn{
-					If:   []protocol.Condition{{Key: bookkeeping.CatalogKey}},
-					Then: []protocol.Change{{Put: bookkeeping.CatalogKey, Value: bookkeeping.Encode(cat)}},
+					If:   []protocol.Condition{{Key: storage.CatalogKey}},
+					Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(cat)}},
 				}, protocol.Background, func(bool) {})
 			}
 			c.kick()
@@ -88,16 +86,16 @@
 // shareLoad compares each share's work with its machines, in CPUs.
 func (c *Controller) shareLoad() (demand, capacity []float64) {
 	now := time.Now()
-	demand = make([]float64, c.book.NShares)
-	capacity = make([]float64, c.book.NShares)
-	for _, j := range c.book.Jobs {
+	demand = make([]float64, c.cache.NShares)
+	capacity = make([]float64, c.cache.NShares)
+	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() && !c.idle(j, now) {
 			demand[j.Share] += float64(c.wanting(j)+j.NPlaced) * j.Size
 		}
 	}
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing {
-			capacity[m.Share] += c.book.Types[m.Type].Cpus
+			capacity[m.Share] += c.cache.Types[m.Type].Cpus
 		}
 	}
 	return demand, capacity
@@ -119,7 +117,7 @@
 func (c *Controller) leadCloud(ctx context.Context, now time.Time) {
 	// What is asked of the cloud is conditional on no record: a node whose hold may
 	// have ended would rent beside the next leader.
-	if !c.leads() || !c.holds(now) || !c.book.HasCatalog() || c.stateBad() {
+	if !c.leads() || !c.holds(now) || !c.cache.HasCatalog() || c.stateBad() {
 		return
 	}
 	if !c.lead.listing && now.Sub(c.lead.listedAt) > max(3*time.Second, seconds(c.cfg.Deployment.Cloud.ListLagS/2)) {
@@ -169,23 +167,23 @@
 	}
 	now := time.Now()
 	for _, l := range all {
-		m := c.book.Machine(l.ID)
+		m := c.cache.Machine(l.ID)
 		if m == nil {
-			if c.book.Known(l.ID) || c.lead.adopting[l.ID] || c.book.TypeIdx.Find(l.Type) < 0 {
+			if c.cache.Known(l.ID) || c.lead.adopting[l.ID] || c.cache.TypeIdx.Find(l.Type) < 0 {
 				continue
 			}
-			since, ok := c.lead.strangers[l.ID]
+			since, ok := c.lead.unrecorded[l.ID]
 			if !ok {
-				c.lead.strangers[l.ID] = now
+				c.lead.unrecorded[l.ID] = now
 				continue
 			}
 			// A rental's own answer may still be on its way: it goes first.
 			if now.Sub(since) < 2*time.Second {
 				continue
 			}
-			delete(c.lead.strangers, l.ID)
+			delete(c.lead.unrecorded, l.ID)
 			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
-			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: bookkeeping.FleetRecord{
+			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: storage.FleetRecord{
 				Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedAt: now.Unix() - int64(l.AgeS)}})
 			continue
 		}
@@ -207,11 +205,11 @@
 	var machines []provision.Machine
 	have := map[provision.Pool]int{}
 	boot := 0.0
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone {
 			continue
 		}
-		ty := &c.book.Types[m.Type]
+		ty := &c.cache.Types[m.Type]
 		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		if !m.Closing {
 			have[p]++
@@ -223,8 +221,8 @@
 		machines = append(machines, provision.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
 	}
 	var offers []provision.Offer
-	for i := range c.book.Types {
-		ty := &c.book.Types[i]
+	for i := range c.cache.Types {
+		ty := &c.cache.Types[i]
 		if ty.Cpus <= 0 {
 			continue
 		}
@@ -254,9 +252,9 @@
 	for _, r := range plan.Rents {
 		// The name is never used again, by any node: it holds this process's own number.
 		c.lead.charters++
-		ty := c.book.TypeIdx.Name(r.Type)
+		ty := c.cache.TypeIdx.Name(r.Type)
 		req := protocol.Rental{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.lead.charters), Type: ty,
-			Zone: c.book.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxRental)}
+			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxRental)}
 		rent := &rental{req: req}
 		c.lead.renting[r.Pool] = rent
 		c.sendRental(ctx, r.Pool, rent)
@@ -306,7 +304,7 @@
 	}
 	renting := c.lead.renting
 	for _, name := range names {
-		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: bookkeeping.FleetRecord{
+		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: storage.FleetRecord{
 			Type: req.Type, Zone: req.Zone, Spot: req.Spot, RentedAt: time.Now().Unix()}, then: func(bool) {
 			if left--; left == 0 {
 				delete(renting, p)
@@ -315,190 +313,6 @@
 	}
 }
 
-// demands sums up the open work by what it may run on.
-func (c *Controller) demands(now time.Time) []provision.Demand {
-	type kind struct {
-		spot   bool
-		idle   bool
-		zone   int
-		class  int
-		first  int
-		cpus   float64
-		within int
-	}
-	index := map[kind]int{}
-	var out []provision.Demand
-	var zones *zoneRoom
-	for _, j := range c.book.Jobs {
-		if j == nil || !j.Open() {
-			continue
-		}
-		first := -1
-		if len(j.Types) > 0 {
-			first = j.Types[0]
-		}
-		allow := c.allowance(j, now)
-		idle := allow == 0 && c.idle(j, now)
-		add := func(zone, n int) {
-			k := kind{j.Spot, idle, zone, j.Class, first, j.Cpus, int(allow / (20 * time.Second))}
-			i, ok := index[k]
-			if !ok {
-				i = len(out)
-				index[k] = i
-				out = append(out, provision.Demand{Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
-					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Within: max(5, allow.Seconds())})
-				if allow == 0 {
-					out[i].Within = 120
-				}
-			}
-			d := &out[i]
-			d.Tasks += n
-			if j.Shape == protocol.Service {
-				d.Work += float64(n) * 1e6
-			} else {
-				d.Work += float64(n) * max(j.Estimate, 1)
-			}
-		}
-		if j.Spread && !j.Spot && j.Zone < 0 {
-			if zones == nil {
-				zones = c.zoneRoom(now)
-			}
-			for z, n := range zones.part(c, j, now) {
-				if n > 0 {
-					add(z, n)
-				}
-			}
-			continue
-		}
-		n := j.NPlaced - c.placedAway(j, now) + c.wanting(j)
-		if t := &c.book.Teams[j.Team]; j.Cpus > 0 {
-			if t.CpusMax > 0 {
-				n = min(n, int(t.CpusMax/j.Cpus))
-			}
-			if t.GpusMax > 0 && j.Gpus > 0 {
-				n = min(n, int(t.GpusMax/j.Gpus))
-			}
-		}
-		add(j.Zone, n)
-	}
-	return out
-}
-
-// zoneRoom is what the zones' ordinary machines have for work that is spread over zones, in CPUs as
-// sizes count; below 0 where more is asked for already.
-type zoneRoom struct {
-	free  []float64
-	rents []bool // more can be rented there, as far as is known
-}
-
-func (c *Controller) zoneRoom(now time.Time) *zoneRoom {
-	r := &zoneRoom{free: make([]float64, c.book.Zones.Len()), rents: make([]bool, c.book.Zones.Len())}
-	for i := range c.book.Types {
-		for _, z := range c.book.Types[i].Zones {
-			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.lead.blocked[p]) && !c.zoneAway(z) {
-				r.rents[z] = true
-			}
-		}
-	}
-	for _, m := range c.book.Machines {
-		if m.Gone || m.Closing || m.Spot || m.Sick || m.Drains || c.zoneAway(m.Zone) || c.overdue(m, bootPatience, now) {
-			continue
-		}
-		left := c.book.Types[m.Type].Cpus
-		for _, p := range m.Tasks {
-			if p.Job.Priority.Top() {
-				left -= p.Job.Size
-			}
-		}
-		r.free[m.Zone] += max(0, left)
-	}
-	return r
-}
-
-// part tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
-// where it may have more and there is most. Room in a zone that has its half is of no use to it: services
-// waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneRoom) part(c *Controller, j *bookkeeping.Job, now time.Time) []int {
-	need := make([]int, len(r.free))
-	in := make([]int, len(r.free))
-	for z, n := range j.ByZone {
-		if in[z] = int(n); !c.spared(z, now) {
-			need[z] = int(n)
-		}
-	}
-	for range c.wanting(j) {
-		best := -1
-		for z := range r.free {
-			if in[z] >= j.ZoneMost() || c.zoneAway(z) || r.free[z] < j.Size && !r.rents[z] {
-				continue
-			}
-			if best < 0 || r.free[z] > r.free[best] {
-				best = z
-			}
-		}
-		if best < 0 {
-			break // nowhere for now
-		}
-		in[best]++
-		need[best]++
-		r.free[best] -= j.Size
-	}
-	return need
-}
-
-// nextServices is room for the services that are likely to come before a machine rented for them would
-// be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
-// it each began with a boot once running services had been brought together on few machines.
-func (c *Controller) nextServices(now time.Time) (provision.Demand, bool) {
-	d := provision.Demand{Zone: -1, Within: 5}
-	work, gives := 0.0, 0.0
-	ahead := 0.0
-	for i := range c.book.Types {
-		ahead = max(ahead, 1.5*c.book.Types[i].Boot)
-	}
-	for _, j := range c.book.Jobs {
-		if j == nil || j.Shape != protocol.Service || j.Spot || !j.Open() || len(j.Types) > 0 || j.Zone >= 0 {
-			continue
-		}
-		if age := now.Sub(j.Submitted); age < cameWithin && age >= 0 {
-			work += float64(j.Tasks) * j.Size
-		}
-		if j.Size > d.Cpus {
-			d.Cpus, d.Gpus, d.Mem = j.Size, j.Gpus, j.Mem
-		}
-	}
-	if work == 0 {
-		return d, false
-	}
-	for _, m := range c.book.Machines {
-		if m.Gone || m.Closing || m.Drains || m.Spot || c.zoneAway(m.Zone) {
-			continue
-		}
-		for _, p := range m.Tasks {
-			if !p.Job.Priority.Top() {
-				gives += p.Job.Size
-			}
-		}
-	}
-	d.Tasks = int(math.Ceil((work*min(1, ahead/cameWithin.Seconds()) - gives) / d.Cpus))
-	d.Work = 1e6 * float64(d.Tasks)
-	return d, d.Tasks > 0
-}
-
-// cameWithin is how far back services are counted that came.
-const cameWithin = 2 * time.Minute
-
-// placedAway is how many of a job's tasks run where this node reaches nobody: they need no other room.
-func (c *Controller) placedAway(j *bookkeeping.Job, now time.Time) int {
-	n := 0
-	for z, k := range j.ByZone {
-		if c.spared(z, now) {
-			n += int(k)
-		}
-	}
-	return n
-}
-
 // tightest is the shortest time that an objective leaves for finishing. One on
 // starting work, of a class or within a guarantee, is no reason to keep every idle machine:
 // it took the lifts' fleet for one that must never shrink.
@@ -516,15 +330,15 @@
 // the dearest first.
 func (c *Controller) giveUpIdle(ctx context.Context, now time.Time, plan provision.Plan, keep time.Duration) {
 	type cand struct {
-		m     *bookkeeping.Machine
+		m     *storage.Machine
 		price float64
 	}
 	var cands []cand
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing || len(m.Tasks) > 0 || c.edits[m.Index].off() {
 			continue
 		}
-		ty := &c.book.Types[m.Type]
+		ty := &c.cache.Types[m.Type]
 		price := ty.Price
 		if m.Spot {
 			price = ty.SpotPrice
@@ -578,19 +392,19 @@
 	for _, n := range plan.Spare {
 		spare += n
 	}
-	for _, j := range c.book.Jobs {
+	for _, j := range c.cache.Jobs {
 		if j != nil && !c.idle(j, now) {
 			waiting += float64(c.wanting(j)) * j.Size
 		}
 	}
 	type cand struct {
-		m    *bookkeeping.Machine
+		m    *storage.Machine
 		used float64
 	}
 	var cands []cand
-	var drained []*bookkeeping.Machine
+	var drained []*storage.Machine
 	stuck := c.mayRun(now)
-	for _, m := range c.book.Machines {
+	for _, m := range c.cache.Machines {
 		e := c.edits[m.Index]
 		if m.Gone || m.Closing || e != nil && e.closing {
 			continue
@@ -605,7 +419,7 @@
 			continue
 		}
 		used, rests := 0.0, true // rests: nothing on it was moved or started a moment ago
-		cpus := c.book.Types[m.Type].Cpus
+		cpus := c.cache.Types[m.Type].Cpus
 		for _, p := range m.Tasks {
 			if m.Spot || !c.idle(p.Job, now) {
 				used += p.Job.Size / cpus
@@ -649,37 +463,8 @@
 	}
 }
 
-// mayRun is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
-func (c *Controller) mayRun(now time.Time) float64 {
-	may, sum := c.underLimits(), 0.0
-	for _, j := range c.book.Jobs {
-		if j != nil && j.Open() && !c.idle(j, now) {
-			sum += float64(may.start(j)) * j.Size
-		}
-	}
-	return sum
-}
-
-// underLimits deals out what the teams' limits leave.
-type underLimits struct {
-	c    *Controller
-	used []bookkeeping.Usage // by team
-}
-
-func (c *Controller) underLimits() *underLimits { return &underLimits{c, slices.Clone(c.book.Used)} }
-
-// start takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
-func (u *underLimits) start(j *bookkeeping.Job) int {
-	n := u.c.wanting(j)
-	for n > 0 && !schedule.WithinLimit(u.c.book.Teams[j.Team], u.used[j.Team], j, n) {
-		n /= 2 // about as many: sums ask for no more
-	}
-	u.used[j.Team].Add(j, float64(n))
-	return n
-}
-
 // emptySince is since when the leader has seen a machine's record unchanged and empty.
-func (c *Controller) emptySince(m *bookkeeping.Machine, now time.Time) time.Time {
+func (c *Controller) emptySince(m *storage.Machine, now time.Time) time.Time {
 	e, ok := c.lead.empty[m.Index]
 	if !ok || e.version != m.Version {
 		e = emptyMark{m.Version, now}
--- a/internal/standin/link.go
+++ b/internal/simulator/link.go
@@ -1,9 +1,9 @@
-package standin
+package simulator
 
 import (
 	"context"
-	"dykeledge/internal/bookkeeping"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 	"dykeledge/internal/transport"
 	"errors"
 	"slices"
@@ -21,6 +21,8 @@
 	// After, if set, is called once a transaction is applied, before the caller
 	// learns of it.
 	After func(protocol.Txn)
+	// Requests counts what came over HTTP.
+	Requests StateRequests
 }
 
 // maxPageBytes is about how much one page of a read holds.
@@ -146,7 +148,7 @@
 	}
 	if w := l.node.world; w != nil && w.LostAnswers != nil && err == nil && len(t.Then) > 0 && w.LostAnswers(l.node.Name, t) {
 		if len(failed) == 0 {
-			kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, bookkeeping.Root), "/")
+			kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
 			w.mu.Lock()
 			w.AnswersLost[kind]++
 			w.mu.Unlock()
