--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -13,9 +13,8 @@
 
 // This file works out what room the open work needs, for the leader's rentals.
 
-// demands sums up the open work by what it may run on. Of what waits, it counts what the teams' limits let start beside
-// all that runs: counted by each job's own part of its team's limit, a team with many jobs had twice the machines rented
-// that it could use.
+// demands sums up the open work by what it may run on, and for each team with a limit apart: its jobs together ask for no
+// more than the limit lets run. Bounded job by job, a team with many jobs had twice the machines rented that it could use.
 func (c *Controller) demands(now time.Time) []provision.Demand {
 	type kind struct {
 		spot   bool
@@ -25,11 +24,11 @@
 		first  int
 		cpus   float64
 		within int
+		team   int // provision.NoTeam if it has no limit
 	}
 	index := map[kind]int{}
 	var out []provision.Demand
 	var zones *zoneRoom
-	may := c.underLimits()
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() {
 			continue
@@ -40,13 +39,17 @@
 		}
 		allow := c.allowance(j, now)
 		idle := allow == 0 && c.idle(j, now)
+		team := provision.NoTeam
+		if c.limited(j.Team) {
+			team = j.Team
+		}
 		add := func(zone, n int) {
-			k := kind{j.Spot, idle, zone, j.Class, first, j.Cpus, int(allow / (20 * time.Second))}
+			k := kind{j.Spot, idle, zone, j.Class, first, j.Cpus, int(allow / (20 * time.Second)), team}
 			i, ok := index[k]
 			if !ok {
 				i = len(out)
 				index[k] = i
-				out = append(out, provision.Demand{Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
+				out = append(out, provision.Demand{Team: team, Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
 					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Within: max(5, allow.Seconds())})
 				if allow == 0 {
 					out[i].Within = 120
@@ -64,16 +67,20 @@
 			if zones == nil {
 				zones = c.zoneRoom(now)
 			}
-			for z, n := range zones.part(c, j, may.start(j), now) {
+			for z, n := range zones.part(c, j, now) {
 				if n > 0 {
 					add(z, n)
 				}
 			}
 			continue
 		}
-		n := j.NPlaced - c.placedAway(j, now) + may.start(j)
-		add(j.Zone, n)
+		n := j.NPlaced - c.placedAway(j, now) + c.wanting(j)
+		add(j.Zone, schedule.RoomWithin(c.cache.Teams[j.Team], storage.Usage{}, j, n))
 	}
+	provision.KeepToLimits(out, workHorizon, func(team int) provision.Limit {
+		t := c.cache.Teams[team]
+		return provision.Limit{Cpus: t.CpusMax, Gpus: t.GpusMax}
+	})
 	return out
 }
 
@@ -111,7 +118,7 @@
 // part tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
 // where it may have more and there is most. Room in a zone that has its half is of no use to it: services
 // waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneRoom) part(c *Controller, j *storage.Job, waiting int, now time.Time) []int {
+func (r *zoneRoom) part(c *Controller, j *storage.Job, now time.Time) []int {
 	need := make([]int, len(r.free))
 	in := make([]int, len(r.free))
 	for z, n := range j.ByZone {
@@ -119,7 +126,7 @@
 			need[z] = int(n)
 		}
 	}
-	for range waiting {
+	for range c.wanting(j) {
 		best := -1
 		for z := range r.free {
 			if in[z] >= j.ZoneMost() || c.zoneAway(z) || r.free[z] < j.Size && !r.rents[z] {
@@ -143,7 +150,7 @@
 // be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
 // it each began with a boot once running services had been brought together on few machines.
 func (c *Controller) nextServices(now time.Time) (provision.Demand, bool) {
-	d := provision.Demand{Zone: -1, Within: 5}
+	d := provision.Demand{Team: provision.NoTeam, Zone: -1, Within: 5}
 	work, gives := 0.0, 0.0
 	ahead := 0.0
 	for i := range c.cache.Types {
@@ -213,7 +220,16 @@
 
 // start takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
 func (u *underLimits) start(j *storage.Job) int {
-	n := schedule.RoomWithin(u.c.cache.Teams[j.Team], u.used[j.Team], j, u.c.wanting(j))
+	n := u.c.wanting(j)
+	for n > 0 && !schedule.WithinLimit(u.c.cache.Teams[j.Team], u.used[j.Team], j, n) {
+		n /= 2 // about as many: sums ask for no more
+	}
 	u.used[j.Team].Add(j, float64(n))
 	return n
 }
+
+// limited tells whether a team has a limit.
+func (c *Controller) limited(team int) bool {
+	t := &c.cache.Teams[team]
+	return t.CpusMax > 0 || t.GpusMax > 0
+}
--- a/internal/coordination/provision/provision.go
+++ b/internal/coordination/provision/provision.go
@@ -26,6 +26,7 @@
 
 // Demand is work of one kind: what it may run on and how much there is.
 type Demand struct {
+	Team            int // whose limit bounds it, or NoTeam
 	Spot            bool
 	Idle            bool    // idle-time work: worth spot machines only
 	Types           []int   // empty: any
@@ -36,6 +37,45 @@
 	Within          float64 // seconds in which it should be through; 0: no hurry
 }
 
+// NoTeam is the team of demands that no limit bounds.
+const NoTeam = -1
+
+// Limit is what a team may use at a time; 0: any.
+type Limit struct{ Cpus, Gpus float64 }
+
+// KeepToLimits lowers the tasks of demands that together want more than their team's limit lets run. The most urgent ones
+// keep theirs. Where a team's demands want less, nothing changes: the work that waits behind a limit still tells how soon what may run is needed.
+func KeepToLimits(demands []Demand, horizon float64, limit func(team int) Limit) {
+	byTeam := map[int][]*Demand{}
+	for i := range demands {
+		if d := &demands[i]; d.Team != NoTeam {
+			byTeam[d.Team] = append(byTeam[d.Team], d)
+		}
+	}
+	for team, list := range byTeam {
+		slices.SortStableFunc(list, func(a, b *Demand) int { return cmp.Compare(a.Within, b.Within) })
+		left := limit(team)
+		for _, d := range list {
+			left.Cpus = d.keepTo(left.Cpus, d.Cpus, horizon)
+			left.Gpus = d.keepTo(left.Gpus, d.Gpus, horizon)
+		}
+	}
+}
+
+// allTaken is what is left of a limit once it is used up; 0 would be no limit.
+const allTaken = 1e-9
+
+// keepTo lowers a demand's tasks to what is left of a limit, and returns what is left beside them.
+func (d *Demand) keepTo(left, each, horizon float64) float64 {
+	if left <= 0 || each <= 0 {
+		return left
+	}
+	if most := math.Floor(left/each + 1e-6); d.wanted(horizon) > most {
+		d.Tasks = int(most)
+	}
+	return max(allTaken, left-d.wanted(horizon)*each)
+}
+
 // Machine is a machine that is there or on its way.
 type Machine struct {
 	Pool
