--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -135,6 +135,7 @@
 			c.finish(d, j)
 		}
 	}
+	c.planLimits(now, d)
 	c.planEnds(d, shares)
 	for j, pr := range d.done {
 		if shares[j.Share] && c.complete(j, pr.n) {
@@ -169,7 +170,6 @@
 		}
 	}
 	c.planEvictions(now, d.batch, in, res, ops-d.used, d.left)
-	c.planLimits(now, d, in)
 	if len(d.puts) > 0 {
 		for s := range shares {
 			d.when(storage.ShareKey(s), c.cache.Shares[s].Version)
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -11,6 +11,7 @@
 	"strings"
 	"time"
 
+	"dykeledge/internal/coordination/dispatch"
 	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
@@ -305,13 +306,14 @@
 func limitSetTeam(id string) (string, bool) { return strings.CutPrefix(id, limitSetPrefix) }
 
 // planLimits works off limits that are being lowered, of teams whose share this node owns: those that the records prove to be
-// kept count from now on, and tasks beyond the others are evicted.
-func (c *Controller) planLimits(now time.Time, d *draft, in *schedule.Input) {
+// kept count from now on (what this transaction places is within them), and tasks beyond the others are evicted. It comes before what ends and
+// starts: at the peak those fill every transaction, and lowered limits waited for a minute.
+func (c *Controller) planLimits(now time.Time, d *draft) {
 	for team, entry := range c.cache.TeamEntries {
-		if entry.Was == nil || !c.owns(c.cache.ShareOf(team)) || d.used >= d.ops {
+		if entry.Was == nil || !c.owns(c.cache.ShareOf(team)) || d.used >= max(1, d.ops/limitsPart) {
 			continue
 		}
-		if isUnder(entry.TeamBounds, in.Used[team]) && isUnder(entry.TeamBounds, c.cache.Used[team]) {
+		if isUnder(entry.TeamBounds, c.cache.Used[team]) {
 			key := storage.TeamKey(c.cache.Teams[team].Name)
 			d.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
 			d.used++
@@ -323,11 +325,14 @@
 	}
 }
 
+// limitsPart is the part of a transaction, one in so many, that lowered limits may fill.
+const limitsPart = 4
+
 // evictForLimit names the tasks that have to go for a team to be under its limit, as one record before any stop.
 func (c *Controller) evictForLimit(now time.Time, d *draft, team int, b storage.TeamBounds) {
-	candidates := c.limitCandidates(now, d, team)
+	candidates := c.limitCandidates(now, team)
 	schedule.Order(c.alpha, candidates)
-	chosen := schedule.EvictExcess(c.cache.Used[team], b.Team(""), candidates)
+	chosen := schedule.EvictExcess(c.stillUsed(team), b.Team(""), candidates)
 	chosen = c.fitRecord(chosen)
 	if len(chosen) == 0 {
 		return
@@ -345,25 +350,42 @@
 	d.used++
 }
 
-// limitCandidates are a team's tasks, wherever they run, that stay with this transaction and that no other set evicts.
-func (c *Controller) limitCandidates(now time.Time, d *draft, team int) []schedule.Candidate {
+// stillUsed is what a team uses without what is known to have ended, which leaves the records by itself.
+func (c *Controller) stillUsed(team int) storage.Usage {
+	used := c.cache.Used[team]
+	for _, m := range c.cache.Machines {
+		v := c.views[m.Index]
+		if m.Gone || v == nil || len(v.Gone) == 0 {
+			continue
+		}
+		for _, p := range m.Tasks {
+			if p.Job.Team == team && v.hasEnded(dispatch.RefOf(p)) {
+				used.Add(p.Job, -1)
+			}
+		}
+	}
+	return used
+}
+
+// limitCandidates are a team's tasks, wherever they run, that are not known to have ended and that no other set evicts.
+func (c *Controller) limitCandidates(now time.Time, team int) []schedule.Candidate {
 	var out []schedule.Candidate
 	services := map[*storage.Job]int{}
 	for _, m := range c.cache.Machines {
 		if m.Gone {
 			continue
 		}
-		tasks, changed := d.left[m.Index]
-		if !changed {
-			tasks = m.Tasks
-		}
 		slot := &schedule.Slot{M: m}
-		for _, p := range tasks {
+		for _, p := range m.Tasks {
 			j := p.Job
-			if j.Team != team || !j.Open() || p.Attempt >= c.fresh() || c.cache.Victim(p) {
+			if j.Team != team || !j.Open() || c.cache.Victim(p) {
+				continue
+			}
+			v := c.view(m)
+			if v.hasEnded(dispatch.RefOf(p)) {
 				continue
 			}
-			ran := lossOf(c.view(m), p, now)
+			ran := lossOf(v, p, now)
 			victim := schedule.Victim{Slot: slot, Job: j, Task: p.Task, Attempt: p.Attempt}
 			if i, ok := services[j]; ok {
 				out[i].Victims = append(out[i].Victims, victim)
--- a/internal/coordination/teams_test.go
+++ b/internal/coordination/teams_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/schedule"
 	"dykeledge/internal/storage"
 )
 
@@ -111,8 +110,8 @@
 				c.cache.Used[0].Add(j, 2)
 			}
 			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: x.limit}, Was: &none}, 9)
-			d := &draft{batch: newBatch(), ops: 12, left: map[int32][]storage.Placed{}}
-			c.planLimits(now, d, &schedule.Input{Used: c.cache.Used})
+			d := &draft{batch: newBatch(), ops: 12}
+			c.planLimits(now, d)
 			put, counts := d.puts[storage.TeamKey("red")]
 			if counts != x.counts || counts && strings.Contains(string(put.Value), "was") || counts && d.conds[storage.TeamKey("red")] != 9 {
 				t.Errorf("counts: %v, want %v: %s", counts, x.counts, put.Value)
@@ -169,3 +168,14 @@
 		t.Error("the settings have changed")
 	}
 }
+
+// At the peak what ends and starts fills every transaction; a lowered limit was not worked off for a minute.
+func TestLoweredLimitHasItsPartOfFullTransactions(t *testing.T) {
+	c := newTeamCore(t)
+	none := storage.TeamBounds{}
+	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &none}, 9)
+	b, _ := c.plan(time.Now(), 1)
+	if _, ok := b.puts[storage.TeamKey("red")]; !ok {
+		t.Errorf("a transaction of one change holds %v", b.order)
+	}
+}
