--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -142,6 +142,19 @@
 	return lower(a.CpusMax, b.CpusMax) || lower(a.GpusMax, b.GpusMax)
 }
 
+// looser has the higher limit of both in each resource, with the guarantees of b: of a change that lowers one limit and raises another,
+// the raised one counts at once.
+func looser(a, b storage.TeamBounds) storage.TeamBounds {
+	higher := func(x, y float64) float64 {
+		if x <= 0 || y <= 0 {
+			return 0 // none
+		}
+		return max(x, y)
+	}
+	b.CpusMax, b.GpusMax = higher(a.CpusMax, b.CpusMax), higher(a.GpusMax, b.GpusMax)
+	return b
+}
+
 // changeBounds applies a change, given as a JSON object of names and values; the whole of it is checked.
 func changeBounds(b storage.TeamBounds, raw json.RawMessage) (storage.TeamBounds, error) {
 	var names map[string]json.RawMessage
@@ -247,7 +260,8 @@
 		counts = *entry.Was
 	}
 	if tighter(next, counts) {
-		rec.Was = &counts
+		was := looser(next, counts)
+		rec.Was = &was
 	}
 	t.If = []protocol.Condition{{Key: storage.TeamKey(name), Version: entry.Version}}
 	t.Then = []protocol.Change{{Put: storage.TeamKey(name), Value: storage.Encode(rec)}}
--- a/internal/coordination/teams_test.go
+++ b/internal/coordination/teams_test.go
@@ -49,6 +49,9 @@
 			was := storage.TeamBounds{CpusMax: 40}
 			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":20}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":0,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":0}}`},
+		{name: "one limit is lowered, the other raised", prepare: func(c *Controller) {
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 40, GpusMax: 4}}, 9)
+		}, team: "red", version: 9, change: `{"cpus_max":20,"gpus_max":8}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":8,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":8}}`},
 		{name: "raised beyond what counted", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
 			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &was}, 9)
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -57,9 +57,6 @@
 	return 0, nil, errors.New("no free loopback network for a cell")
 }
 
-// ErrOverloaded says that the hollow side could not keep up: the run's figures say nothing of the controllers.
-var ErrOverloaded = errors.New("the hollow side was overloaded")
-
 // watch gathers what a run measures while it goes on.
 type watch struct {
 	cell    *Cell
