--- /dev/null
+++ b/internal/storage/golden_test.go
@@ -0,0 +1,255 @@
+package storage
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
+)
+
+// The golden files hold what a landed version wrote into the state service. A file's name
+// tells the record and the layout that writes it so; "any" is one that every layout shares.
+// A difference means that nodes of two versions can't read each other's records.
+
+var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
+
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+func readGolden(t *testing.T, name string) json.RawMessage {
+	t.Helper()
+	raw, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// checkGolden holds bytes against a golden file, or writes the file under -update.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if *update {
+		if os.Getenv("CI") == "true" {
+			t.Fatal("golden files are not written in CI")
+		}
+		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: written as\n%s\nnot\n%s", name, got, want)
+	}
+}
+
+// rewrite reads a record and writes it again.
+type rewrite func(raw json.RawMessage) (json.RawMessage, error)
+
+func rewriteJSON[T any](raw json.RawMessage) (json.RawMessage, error) {
+	var record T
+	err := json.Unmarshal(raw, &record)
+	return Encode(record), err
+}
+
+func checkRewrite(t *testing.T, from, to string, rewrite rewrite) {
+	t.Helper()
+	got, err := rewrite(readGolden(t, from))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, to, got)
+}
+
+// TestGoldenRecords covers the records that are plain JSON in every layout.
+func TestGoldenRecords(t *testing.T) {
+	cases := []struct {
+		file    string
+		rewrite rewrite
+	}{
+		{"job-open.any.json", rewriteJSON[JobRecord]},
+		{"job-final.any.json", rewriteJSON[JobRecord]},
+		{"job-long.any.json", rewriteJSON[JobRecord]},
+		{"node.any.json", rewriteJSON[NodeRecord]},
+		{"share.any.json", rewriteJSON[ShareRecord]},
+		{"leader.any.json", rewriteJSON[LeaderRecord]},
+		{"set.any.json", rewriteJSON[SetRecord]},
+		{"part.any.json", rewriteJSON[partRecord]},
+		{"layout.packed.json", rewriteJSON[LayoutRecord]},
+		{"layout.teams.json", rewriteJSON[LayoutRecord]},
+		{"usual.packed.json", rewriteJSON[UsualRecord]},
+		{"team.teams.json", rewriteJSON[TeamRecord]},
+		{"catalog.any.json", rewriteJSON[protocol.Catalog]},
+	}
+	for _, c := range cases {
+		t.Run(c.file, func(t *testing.T) { checkRewrite(t, c.file, c.file, c.rewrite) })
+	}
+}
+
+// TestGoldenLayouts covers the records whose lists the packed layout writes as numbers.
+func TestGoldenLayouts(t *testing.T) {
+	cases := []struct {
+		record  string
+		rewrite func(packed bool) rewrite
+	}{
+		{"rack", func(packed bool) rewrite {
+			return func(raw json.RawMessage) (json.RawMessage, error) {
+				record, err := DecodeRack(raw)
+				return EncodeRack(&record, packed), err
+			}
+		}},
+		{"fleet", func(packed bool) rewrite {
+			return func(raw json.RawMessage) (json.RawMessage, error) {
+				record, err := DecodeFleet(raw)
+				return EncodeFleet(&record, packed), err
+			}
+		}},
+		{"evict", func(packed bool) rewrite {
+			return func(raw json.RawMessage) (json.RawMessage, error) {
+				record, err := DecodeEvict(raw)
+				return EncodeEvict(&record, packed), err
+			}
+		}},
+	}
+	for _, c := range cases {
+		plain, packed := c.record+".plain.json", c.record+".packed.json"
+		t.Run(plain, func(t *testing.T) { checkRewrite(t, plain, plain, c.rewrite(false)) })
+		t.Run(packed+" from plain", func(t *testing.T) { checkRewrite(t, plain, packed, c.rewrite(true)) })
+		t.Run(packed, func(t *testing.T) { checkRewrite(t, packed, packed, c.rewrite(true)) })
+	}
+}
+
+// TestGoldenFields requires that every field that a record may have stands in a golden file.
+func TestGoldenFields(t *testing.T) {
+	records := []struct {
+		record string
+		typ    reflect.Type
+	}{
+		{"job", reflect.TypeFor[JobRecord]()},
+		{"rack", reflect.TypeFor[RackRecord]()},
+		{"fleet", reflect.TypeFor[FleetRecord]()},
+		{"evict", reflect.TypeFor[EvictRecord]()},
+		{"node", reflect.TypeFor[NodeRecord]()},
+		{"share", reflect.TypeFor[ShareRecord]()},
+		{"leader", reflect.TypeFor[LeaderRecord]()},
+		{"set", reflect.TypeFor[SetRecord]()},
+		{"part", reflect.TypeFor[partRecord]()},
+		{"layout", reflect.TypeFor[LayoutRecord]()},
+		{"usual", reflect.TypeFor[UsualRecord]()},
+		{"team", reflect.TypeFor[TeamRecord]()},
+		{"catalog", reflect.TypeFor[protocol.Catalog]()},
+	}
+	for _, r := range records {
+		t.Run(r.record, func(t *testing.T) {
+			files, err := filepath.Glob(goldenPath(r.record + `[.\-]*`))
+			if err != nil || len(files) == 0 {
+				t.Fatalf("no golden file (%v)", err)
+			}
+			text := ""
+			for _, file := range files {
+				text += string(readGolden(t, filepath.Base(file)))
+			}
+			for _, field := range wireNames(r.typ) {
+				if !strings.Contains(text, fmt.Sprintf("%q:", field)) {
+					t.Errorf("no golden file has field %q", field)
+				}
+			}
+		})
+	}
+}
+
+// wireNames lists the JSON names of a type's fields and of the types within it.
+func wireNames(typ reflect.Type) (names []string) {
+	switch typ.Kind() {
+	case reflect.Pointer, reflect.Slice:
+		return wireNames(typ.Elem())
+	case reflect.Struct:
+		for field := range typ.Fields() {
+			if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
+				names = append(names, name)
+			}
+			names = append(names, wireNames(field.Type)...)
+		}
+	}
+	return names
+}
+
+// TestGoldenSpec turns a user's submission into the description that a job's record holds.
+func TestGoldenSpec(t *testing.T) {
+	submission, err := protocol.ParseSubmission(readGolden(t, "submission.any.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "spec.any.json", Encode(SpecOf(submission)))
+}
+
+// TestGoldenTexts covers the packed texts within records: lists of job ids and sets of tasks.
+func TestGoldenTexts(t *testing.T) {
+	t.Run("ids", func(t *testing.T) {
+		ids := []string{"job-000398", "job-000399", "job-1234567", "job-000000000000000001", "job-000398"}
+		checkGolden(t, "ids.any.txt", []byte(PackIDs(ids)))
+		got, err := unpackIDs(string(readGolden(t, "ids.any.txt")))
+		if err != nil || !reflect.DeepEqual(got, ids) {
+			t.Errorf("read as %v: %v", got, err)
+		}
+	})
+	t.Run("tasks", func(t *testing.T) {
+		const tasks = 20
+		done := NewBitmap(tasks)
+		for _, task := range []int{0, 7, 8, 19} {
+			done.Set(task)
+		}
+		checkGolden(t, "tasks.any.txt", []byte(done.encode()))
+		got, err := decodeBitmap(string(readGolden(t, "tasks.any.txt")), tasks)
+		if err != nil || !bytes.Equal(got, done) {
+			t.Errorf("read as %v: %v", got, err)
+		}
+	})
+}
+
+// TestGoldenLong splits a long description into parts and puts it together again.
+func TestGoldenLong(t *testing.T) {
+	const job, try, limit = "job-000007", "n0-1-7", 192
+	var record JobRecord
+	if err := json.Unmarshal(readGolden(t, "job-open.any.json"), &record); err != nil {
+		t.Fatal(err)
+	}
+	parts, main := SplitLong(job, try, &record, limit)
+	checkGolden(t, "long-parts.any.json", Encode(parts))
+	checkGolden(t, "long-main.any.json", main)
+
+	cache := NewCache(&config.Settings{})
+	if err := json.Unmarshal(readGolden(t, "long-parts.any.json"), &parts); err != nil {
+		t.Fatal(err)
+	}
+	for i, part := range parts {
+		if err := cache.Apply(part.Put, part.Value, uint64(i+1), false); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var whole JobRecord
+	if err := json.Unmarshal(readGolden(t, "long-main.any.json"), &whole); err != nil {
+		t.Fatal(err)
+	}
+	if err := cache.lengthen(job, &whole); err != nil {
+		t.Fatal(err)
+	}
+	again, _ := SplitLong(job, try, &whole, limit)
+	checkGolden(t, "long-parts.any.json", Encode(again))
+}
+
+// TestGoldenKeys covers the keys under which records stand.
+func TestGoldenKeys(t *testing.T) {
+	keys := []string{
+		NodeKey("n0"), ShareKey(5), JobKey("job-000007"), FleetKey("host-000001"), RackKey(300), EvictKey("job-000007"),
+		SetKey("job-000007", 8191), SetKey("job-000007", 8192), partKey("job-000007", "n0-1-7", 2), TeamKey("red/blue team"),
+		LeaderKey, CatalogKey, SettingsKey, LayoutKey, UsualKey, BarKey, BarTeamsKey,
+	}
+	checkGolden(t, "keys.any.txt", []byte(strings.Join(keys, "\n")+"\n"))
+}
