--- /dev/null
+++ b/internal/protocol/golden_test.go
@@ -0,0 +1,180 @@
+package protocol
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// The golden files hold what a landed version sends. A message's file tells with whom it is
+// exchanged, a frame's the level from which on a node reads it. A difference means that
+// nodes of two versions, or the other services, don't understand each other.
+
+var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
+
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// checkGolden holds bytes against a golden file, or writes the file under -update.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if *update {
+		if os.Getenv("CI") == "true" {
+			t.Fatal("golden files are not written in CI")
+		}
+		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: written as\n%q\nnot\n%q", name, got, want)
+	}
+}
+
+// TestGoldenFrames covers the frames between controllers.
+func TestGoldenFrames(t *testing.T) {
+	cases := []struct {
+		file    string
+		message PeerMessage
+	}{
+		{"hello.level0.bin", Hello{"node-a", 0x0102030405060708}},
+		{"pulse.level0.bin", Pulse{true, 0x1112131415161718, 0x8000000000000001, 0x21222324}},
+		{"pulse-without-state.level0.bin", Pulse{false, 0, 0, 0}},
+		{"need.level0.bin", Need{[]ShareNeed{{5, true, 12.5}, {0x01020304, false, 0}}}},
+		{"need-none.level0.bin", Need{}},
+		{"word.level1.bin", Word{1700000000456, 1700000000123, 77, []Ended{{78, "job-000412"}, {0x0102030405060708, "job-000413"}}}},
+		{"word-none.level1.bin", Word{1700000000456, 1700000000123, 77, nil}},
+	}
+	for _, c := range cases {
+		t.Run(c.file, func(t *testing.T) {
+			frame, err := AppendFrame(nil, c.message)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, c.file, frame)
+			rest := bytes.NewReader(readGolden(t, c.file))
+			message, err := ReadFrame(rest)
+			if err != nil || rest.Len() > 0 || !reflect.DeepEqual(message, c.message) {
+				t.Errorf("read as %+v with %d bytes left: %v", message, rest.Len(), err)
+			}
+		})
+	}
+}
+
+// rewrite parses a message and writes it again.
+type rewrite func(raw []byte) ([]byte, error)
+
+func rewriteJSON[T any](raw []byte) ([]byte, error) {
+	var message T
+	if err := json.Unmarshal(raw, &message); err != nil {
+		return nil, err
+	}
+	return json.Marshal(message)
+}
+
+func rewriteSubmission(raw []byte) ([]byte, error) {
+	submission, err := ParseSubmission(raw)
+	if err != nil {
+		return nil, err
+	}
+	return EncodeSubmission(submission)
+}
+
+func rewriteReport(raw []byte) ([]byte, error) {
+	report, err := ParseReport(raw)
+	if err != nil {
+		return nil, err
+	}
+	return json.Marshal(report)
+}
+
+// TestGoldenMessages covers the JSON that users, workers, the cloud and the state service
+// exchange with a controller.
+func TestGoldenMessages(t *testing.T) {
+	cases := []struct {
+		file    string
+		rewrite rewrite
+		typ     reflect.Type // whose every field stands in the file; nil: not required
+	}{
+		{"submission.user.json", rewriteSubmission, nil},
+		{"submission-least.user.json", rewriteSubmission, nil},
+		{"job-state.user.json", rewriteJSON[JobState], reflect.TypeFor[JobState]()},
+		{"refusal.user.json", rewriteJSON[Refusal], reflect.TypeFor[Refusal]()},
+		{"report.worker.json", rewriteReport, reflect.TypeFor[Report]()},
+		{"report-least.worker.json", rewriteReport, nil},
+		{"report-answer.worker.json", rewriteJSON[ReportAnswer], reflect.TypeFor[ReportAnswer]()},
+		{"redirect.worker.json", rewriteJSON[Redirect], reflect.TypeFor[Redirect]()},
+		{"direct-commands.worker.json", rewriteJSON[DirectCommands], reflect.TypeFor[DirectCommands]()},
+		{"catalog.cloud.json", rewriteJSON[Catalog], reflect.TypeFor[Catalog]()},
+		{"rental.cloud.json", rewriteJSON[Rental], reflect.TypeFor[Rental]()},
+		{"machine-names.cloud.json", rewriteJSON[MachineNames], reflect.TypeFor[MachineNames]()},
+		{"machine-list.cloud.json", rewriteJSON[MachineList], reflect.TypeFor[MachineList]()},
+		{"page.state.json", rewriteJSON[Page], reflect.TypeFor[Page]()},
+		{"transaction.state.json", rewriteJSON[Txn], reflect.TypeFor[Txn]()},
+		{"transaction-result.state.json", rewriteJSON[TxnResult], reflect.TypeFor[TxnResult]()},
+		{"events.state.json", rewriteJSON[Events], reflect.TypeFor[Events]()},
+	}
+	for _, c := range cases {
+		t.Run(c.file, func(t *testing.T) {
+			raw := readGolden(t, c.file)
+			got, err := c.rewrite(raw)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, c.file, got)
+			if c.typ == nil {
+				return
+			}
+			for _, field := range wireNames(c.typ) {
+				if !bytes.Contains(raw, fmt.Appendf(nil, "%q:", field)) {
+					t.Errorf("the file lacks field %q", field)
+				}
+			}
+		})
+	}
+}
+
+// wireNames lists the JSON names of a type's fields and of the types within it.
+func wireNames(typ reflect.Type) (names []string) {
+	switch typ.Kind() {
+	case reflect.Pointer, reflect.Slice:
+		return wireNames(typ.Elem())
+	case reflect.Struct:
+		for field := range typ.Fields() {
+			if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
+				names = append(names, name)
+			}
+			names = append(names, wireNames(field.Type)...)
+		}
+	}
+	return names
+}
+
+// TestGoldenWords covers the words that stand in messages as values.
+func TestGoldenWords(t *testing.T) {
+	words := []string{
+		string(Queued), string(Running), string(Done), string(Cancelled),
+		Fetching, Runs, Saving, Exited,
+		CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown,
+		Launch, Kill, Clear,
+		Batch.String(), Service.String(),
+		Low.String(), Normal.String(), High.String(), Production.String(),
+		TaskName("job-000412", 15),
+	}
+	checkGolden(t, "words.any.txt", []byte(strings.Join(words, "\n")+"\n"))
+}
