--- /dev/null
+++ b/internal/view/golden_test.go
@@ -0,0 +1,190 @@
+package view
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// The golden files hold what a landed version's feed sends: the pages of a model that
+// model.json describes, each named by what it brings and to whom, and beside it what its
+// reader has then. A difference means that a reader of another version can't follow.
+
+var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
+
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
+
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(goldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// checkGolden holds bytes against a golden file, or writes the file under -update.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if *update {
+		if os.Getenv("CI") == "true" {
+			t.Fatal("golden files are not written in CI")
+		}
+		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: written as\n%q\nnot\n%q", name, got, want)
+	}
+}
+
+// goldenModel is the content of model.json.
+type goldenModel struct {
+	Teams     []Team     `json:"teams"`
+	Jobs      []Job      `json:"jobs"`
+	Machines  []Machine  `json:"machines"`
+	Evictions []Eviction `json:"evictions"`
+	Head      Head       `json:"head"`
+}
+
+func readGoldenModel(t *testing.T) (content goldenModel) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, "model.json")))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&content); err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// build puts all rows of the content into a new model.
+func (content *goldenModel) build() *Model {
+	model := NewModel(content.Teams)
+	for _, job := range content.Jobs {
+		model.PutJob(job)
+	}
+	for _, machine := range content.Machines {
+		model.PutMachine(machine)
+	}
+	for _, eviction := range content.Evictions {
+		model.PutEviction(eviction)
+	}
+	return model
+}
+
+// change replaces the first row of each kind and drops the last one.
+func (content *goldenModel) change(model *Model) {
+	job, machine := content.Jobs[0], content.Machines[0]
+	job.Placed++
+	machine.Spot = false
+	model.PutJob(job)
+	model.PutMachine(machine)
+	model.DropJob(content.Jobs[len(content.Jobs)-1].ID)
+	model.DropMachine(content.Machines[len(content.Machines)-1].Name)
+	newest, _, _ := model.evictions.Max()
+	model.DropEviction(newest)
+}
+
+// goldenClock is the node's clock when it writes a page.
+const goldenClock = 1700000006000
+
+// goldenReader follows a feed and holds each of its pages against the golden files.
+type goldenReader struct {
+	scope  Scope
+	cursor Cursor
+	mirror *Model
+}
+
+func newGoldenReader(scope Scope) *goldenReader {
+	return &goldenReader{scope: scope, mirror: NewMirror()}
+}
+
+// read takes the next page, which must be the file's, and returns it.
+func (r *goldenReader) read(t *testing.T, snapshot *Snapshot, name string) *Page {
+	t.Helper()
+	checkGolden(t, name+".bin", snapshot.AppendPage(nil, r.scope, r.cursor, goldenClock))
+	page, err := ReadPage(readGolden(t, name+".bin"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	page.Apply(r.mirror)
+	r.cursor = page.Next
+	return page
+}
+
+// content tells as JSON what the reader has after a page.
+func (r *goldenReader) content(t *testing.T, page *Page) []byte {
+	t.Helper()
+	content := struct {
+		Reset     bool        `json:"reset"`
+		Epoch     uint64      `json:"epoch"`
+		Seq       uint64      `json:"seq"`
+		Head      *Head       `json:"head"`
+		Jobs      []*Job      `json:"jobs"`
+		Machines  []*Machine  `json:"machines"`
+		Evictions []*Eviction `json:"evictions"`
+	}{page.Reset, page.Next.Epoch, page.Next.Seq, page.Head,
+		r.mirror.jobs.Values(), r.mirror.machines.Values(), r.mirror.evictions.Values()}
+	text, err := json.MarshalIndent(content, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+// TestGoldenPages follows a model over a first page and one of changes.
+func TestGoldenPages(t *testing.T) {
+	for _, c := range []struct {
+		reader string
+		scope  Scope
+	}{{"operators", Operators}, {"team", "red"}} {
+		t.Run(c.reader, func(t *testing.T) {
+			content := readGoldenModel(t)
+			model, reader := content.build(), newGoldenReader(c.scope)
+			page := reader.read(t, model.Snapshot(content.Head), "first."+c.reader)
+			checkGolden(t, "first."+c.reader+".json", reader.content(t, page))
+			content.change(model)
+			page = reader.read(t, model.Snapshot(content.Head), "changes."+c.reader)
+			checkGolden(t, "changes."+c.reader+".json", reader.content(t, page))
+		})
+	}
+}
+
+// TestGoldenMirror writes a page from what its reader has: the same bytes.
+func TestGoldenMirror(t *testing.T) {
+	const file = "first.operators.bin"
+	page, err := ReadPage(readGolden(t, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	mirror := NewMirror()
+	page.Apply(mirror)
+	checkGolden(t, file, mirror.Mirrored(*page.Head).AppendPage(nil, Operators, Cursor{}, goldenClock))
+}
+
+// TestGoldenFullPage cuts a long feed after a full page and sends the rest in a second one.
+func TestGoldenFullPage(t *testing.T) {
+	content := readGoldenModel(t)
+	model, reader := content.build(), newGoldenReader(Operators)
+	for i := range 130 {
+		job := content.Jobs[0]
+		job.ID = fmt.Sprintf("job-%06d", 1000+i)
+		job.Class = strings.Repeat("c", 2*maxText) // is cut to the longest text
+		job.Team = strings.Repeat("t", 2*maxText)
+		model.PutJob(job)
+	}
+	snapshot := model.Snapshot(content.Head)
+	if page := reader.read(t, snapshot, "full.operators"); page.Head != nil {
+		t.Error("a page that others follow has a head")
+	}
+	if page := reader.read(t, snapshot, "rest.operators"); page.Head == nil {
+		t.Error("the last page has no head")
+	}
+}
