--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -81,6 +81,7 @@
 		{"leader.any.json", rewriteJSON[LeaderRecord]},
 		{"set.any.json", rewriteJSON[SetRecord]},
 		{"part.any.json", rewriteJSON[partRecord]},
+		{"layout.plain.json", rewriteJSON[LayoutRecord]},
 		{"layout.packed.json", rewriteJSON[LayoutRecord]},
 		{"layout.teams.json", rewriteJSON[LayoutRecord]},
 		{"usual.packed.json", rewriteJSON[UsualRecord]},
