--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,158 @@
+package config
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// checkGolden compares got with testdata/golden/name, or writes that file with -update.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		writeGolden(t, path, got)
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
+			t.Fatalf("%s, line %d:\n got: %s\nwant: %s", path, i+1, g, w)
+		}
+	}
+}
+
+// lineAt is a line of a text, or a remark that the text has ended before.
+func lineAt(lines []string, i int) string {
+	if i >= len(lines) {
+		return "(no such line)"
+	}
+	return lines[i]
+}
+
+// writeGolden writes a golden file; CI only ever compares.
+func writeGolden(t *testing.T, path, text string) {
+	t.Helper()
+	if os.Getenv("CI") == "true" {
+		t.Fatal("-update is refused in CI")
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestGoldenSettings pins what settings and features files say, by the names in the files.
+func TestGoldenSettings(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		read func() (any, error)
+	}{
+		{"every-key", func() (any, error) { return Load("testdata/every-key.toml") }},
+		{"required-keys", func() (any, error) { return Parse([]byte(good)) }},
+		{"limits-to-come", func() (any, error) {
+			s, err := Load("testdata/every-key.toml")
+			if err != nil {
+				return nil, err
+			}
+			return s.Deployment.State.Coming(), nil
+		}},
+		{"features-every-key", func() (any, error) { return LoadFeatures("testdata/features-every-key.toml") }},
+		{"features-default", func() (any, error) { return LoadFeatures("") }},
+		{"features-deployed", func() (any, error) { return LoadFeatures("../../deploy/features.toml") }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			v, err := c.read()
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, c.name+".txt", dump("", reflect.ValueOf(v)))
+		})
+	}
+}
+
+// TestGoldenEveryKey: the file with every key sets each of them to something that is not the zero value.
+func TestGoldenEveryKey(t *testing.T) {
+	s, err := Load("testdata/every-key.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range strings.Split(dump("", reflect.ValueOf(s)), "\n") {
+		if strings.HasSuffix(line, " = 0") || strings.HasSuffix(line, " = \"\"") || strings.HasSuffix(line, " = none") {
+			t.Errorf("not set: %s", line)
+		}
+	}
+}
+
+// TestGoldenRefusals pins the messages about settings that are missing or wrong.
+func TestGoldenRefusals(t *testing.T) {
+	raw, err := os.ReadFile("testdata/every-key.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	lines := strings.Split(string(raw), "\n")
+	for i, line := range lines {
+		key, _, found := strings.Cut(line, " = ")
+		if !found {
+			continue
+		}
+		for _, text := range []string{"", key + " = -1", key + " = true", key + " = nan"} {
+			changed := slices.Clone(lines)
+			changed[i] = text
+			_, err := Parse([]byte(strings.Join(changed, "\n")))
+			fmt.Fprintf(&b, "%s -> %q: %v\n", line, text, withoutGoNames(err))
+		}
+	}
+	checkGolden(t, "refusals.txt", b.String())
+}
+
+// goName is the TOML library's mention of a field of a Go type.
+var goName = regexp.MustCompile(`struct field \S+ of type`)
+
+// withoutGoNames is an error's text without names that only the program's source has.
+func withoutGoNames(err error) string {
+	return goName.ReplaceAllString(fmt.Sprint(err), "struct field ... of type")
+}
+
+// dump writes a value as one line a key, named as in the file.
+func dump(key string, v reflect.Value) string {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if v.IsNil() {
+			return key + " = none\n"
+		}
+		return dump(key, v.Elem())
+	case reflect.Struct:
+		var b strings.Builder
+		for i := range v.NumField() {
+			name := strings.TrimPrefix(key+"."+v.Type().Field(i).Tag.Get("toml"), ".")
+			b.WriteString(dump(name, v.Field(i)))
+		}
+		return b.String()
+	case reflect.Slice:
+		var b strings.Builder
+		fmt.Fprintf(&b, "%s: %d entries\n", key, v.Len())
+		for i := range v.Len() {
+			b.WriteString(dump(fmt.Sprintf("%s[%d]", key, i), v.Index(i)))
+		}
+		return b.String()
+	case reflect.String:
+		return fmt.Sprintf("%s = %q\n", key, v.String())
+	}
+	return fmt.Sprintf("%s = %v\n", key, v.Interface())
+}
