--- /dev/null
+++ b/internal/transport/golden_clients_test.go
@@ -0,0 +1,161 @@
+package transport
+
+import (
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
+)
+
+// service is a service that writes down the request and gives one answer; status 0 breaks the connection off.
+func service(t *testing.T, status int, body string) (addr string, request *string) {
+	t.Helper()
+	request = new(string)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		raw, _ := io.ReadAll(r.Body) // what is missing shows in the golden file
+		*request += fmt.Sprintf("%s %s\n%s\n%s\n", r.Method, r.RequestURI, headers(r.Header), raw)
+		if status == 0 {
+			panic(http.ErrAbortHandler)
+		}
+		w.WriteHeader(status)
+		_, _ = io.WriteString(w, body) // the client says what it made of it
+	}))
+	t.Cleanup(s.Close)
+	return s.Listener.Addr().String(), request
+}
+
+// goldenSettings are for clients that never wait for their budgets.
+func goldenSettings(addr string) *config.Settings {
+	var s config.Settings
+	s.External.State, s.External.Cloud = addr, addr
+	s.Deployment.Nodes = 1
+	s.Deployment.State.RPS, s.Deployment.State.WriteRPS, s.Deployment.State.TxnOps = 1e6, 1e6, 12
+	s.Deployment.Cloud.RPS = 1e6
+	return &s
+}
+
+// clientCalls are all calls to other services, with what they return as JSON writes it.
+var clientCalls = []struct {
+	name, good string
+	call       func(ctx context.Context, addr string) (any, error)
+}{
+	{"state-revision", `{"failed":[],"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
+		return NewState(goldenSettings(addr)).Revision(ctx)
+	}},
+	{"state-list", `{"rows":[{"path":"k/1","data":{"a":1},"stamp":4}],"more":true,"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
+		return NewState(goldenSettings(addr)).List(ctx, "k/", "", 100)
+	}},
+	{"state-list-after", `{"rows":[],"more":false,"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
+		return NewState(goldenSettings(addr)).List(ctx, "k/ü &", "k/1=2", 100)
+	}},
+	{"state-txn", `{"failed":["k/1"],"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
+		rev, conflicts, err := NewState(goldenSettings(addr)).Txn(ctx, filled[protocol.Txn](), protocol.Urgent)
+		return []any{rev, conflicts}, err
+	}},
+	{"state-grant", `{"tenure":5}`, func(ctx context.Context, addr string) (any, error) {
+		return NewState(goldenSettings(addr)).Grant(ctx, 2500*time.Millisecond)
+	}},
+	{"state-renew", `{}`, func(ctx context.Context, addr string) (any, error) {
+		return nil, NewState(goldenSettings(addr)).Renew(ctx, 5, time.Minute)
+	}},
+	{"state-follow", `{"ledgerRev":9,"news":[{"set":"k/1","data":{"a":1},"stamp":8},{"drop":"k/2","stamp":9}]}`, func(ctx context.Context, addr string) (any, error) {
+		return NewState(goldenSettings(addr)).Follow(ctx, "k/", 7, 1500*time.Millisecond)
+	}},
+	{"cloud-catalog", `{"hulls":[{"label":"g8","cpus":8,"accelerators":1,"ramGb":64,"cacheGb":50,"fetchGbPerS":0.5,"rate":3,"marketPrice":1,"bootS":40,"berths":["a"]}]}`,
+		func(ctx context.Context, addr string) (any, error) {
+			return NewCloud(goldenSettings(addr)).Catalog(ctx)
+		}},
+	{"cloud-rent", `{"hosts":["host-000001","host-000002"]}`, func(ctx context.Context, addr string) (any, error) {
+		return NewCloud(goldenSettings(addr)).Rent(ctx, filled[protocol.Rental]())
+	}},
+	{"cloud-return", `{}`, func(ctx context.Context, addr string) (any, error) {
+		return nil, NewCloud(goldenSettings(addr)).Return(ctx, []string{"host-000001"})
+	}},
+	{"cloud-list", `{"hosts":[{"id":"host-000001","addr":"10.1.0.1:9000","hull":"g8","berth":"a","loaners":true,"status":"up","heldS":3.5}],"more":true}`,
+		func(ctx context.Context, addr string) (any, error) {
+			return NewCloud(goldenSettings(addr)).List(ctx, "")
+		}},
+	{"cloud-list-after", `{"hosts":[],"more":false}`, func(ctx context.Context, addr string) (any, error) {
+		return NewCloud(goldenSettings(addr)).List(ctx, "host-000001")
+	}},
+	{"worker-command", workerReport, func(_ context.Context, addr string) (any, error) {
+		report, status, err := NewWorkers().Command(addr, filled[protocol.DirectCommands](), time.Minute)
+		return []any{report, status}, err
+	}},
+}
+
+// TestGoldenClients pins what the clients send and how they read each kind of answer.
+func TestGoldenClients(t *testing.T) {
+	for _, c := range clientCalls {
+		t.Run(c.name, func(t *testing.T) {
+			text := ""
+			for _, answer := range []struct {
+				status int
+				body   string
+			}{
+				{200, c.good}, {409, c.good}, {200, "no JSON"}, {400, `{"error":"no such lease"}`}, {400, `{"error":"too many"}`}, {403, ""}, {404, ""},
+				{409, `{"error":"no capacity"}`}, {410, ""}, {429, ""}, {500, ""}, {503, `{"error":"no capacity"}`}, {0, ""},
+			} {
+				addr, request := service(t, answer.status, answer.body)
+				out, err := c.call(t.Context(), addr)
+				if text == "" {
+					text = *request
+				}
+				text += fmt.Sprintf("answer %d %s\n", answer.status, answer.body) + outcomeText(t, out, err, answer.status != 0)
+			}
+			checkGolden(t, "client-"+c.name+".txt", text)
+		})
+	}
+}
+
+// outcomeText writes a result as JSON, and an error with its kinds; withText adds its text.
+func outcomeText(t *testing.T, out any, err error, withText bool) string {
+	t.Helper()
+	raw, marshalErr := json.Marshal(out)
+	if marshalErr != nil {
+		t.Fatal(marshalErr)
+	}
+	text := fmt.Sprintf("  returns %s\n", raw)
+	if err != nil && withText {
+		text += fmt.Sprintf("  error %v\n", err)
+	}
+	for _, kind := range []error{protocol.ErrRefused, protocol.ErrUnknown, protocol.ErrNotFound, protocol.ErrTooOld, protocol.ErrTooLarge,
+		protocol.ErrNoLease, protocol.ErrNoCapacity} {
+		if errors.Is(err, kind) {
+			text += fmt.Sprintf("  kind %v\n", kind)
+		}
+	}
+	return text
+}
+
+// peerStub is a node that always has everything to say.
+type peerStub struct{ PeerCore }
+
+func (peerStub) Pulse() protocol.Pulse             { return filled[protocol.Pulse]() }
+func (peerStub) Incarnation() uint64               { return 77 }
+func (peerStub) Needs() []protocol.ShareNeed       { return filled[[]protocol.ShareNeed]() }
+func (peerStub) Word(string) (protocol.Word, bool) { return filled[protocol.Word](), true }
+
+// TestGoldenPeers pins the bytes with which a node begins to speak to another.
+func TestGoldenPeers(t *testing.T) {
+	here, there := net.Pipe()
+	go NewPeers(&config.Settings{NodeName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler)).speak(t.Context(), here, "n-1")
+	buf := make([]byte, 4<<10)
+	n, err := there.Read(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = there.Close() // ends the speaking side too
+	checkGolden(t, "peer-frames.txt", hex.Dump(buf[:n]))
+}
--- /dev/null
+++ b/internal/transport/golden_stub_test.go
@@ -0,0 +1,160 @@
+package transport
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"time"
+
+	"dykeledge/internal/coordination"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/view"
+)
+
+// filled is a value with something in each field, the same at every call.
+func filled[T any]() T {
+	var v T
+	n := 0
+	fill(reflect.ValueOf(&v).Elem(), &n)
+	return v
+}
+
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch x := v.Addr().Interface().(type) {
+	case *json.RawMessage:
+		*x = fmt.Appendf(nil, `{"raw":%d}`, *n)
+		return
+	case *time.Time:
+		*x = time.UnixMilli(int64(*n)).UTC()
+		return
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), n)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(v.Index(0), n)
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", *n))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.5)
+	case reflect.Interface:
+		v.Set(reflect.ValueOf(*n))
+	default:
+		v.Set(reflect.ValueOf(*n).Convert(v.Type()))
+	}
+}
+
+// stubCore answers with fixed values, or with an error if it has one.
+type stubCore struct {
+	AdminCore
+	answer  coordination.Answer
+	starts  bool
+	reply   any // to a worker, with answer's status
+	err     error
+	unknown bool
+	asked   string
+}
+
+func (s *stubCore) note(format string, args ...any) { s.asked += fmt.Sprintf(format, args...) }
+
+func (s *stubCore) Submit(_ context.Context, body []byte) coordination.Answer {
+	s.note("submit %s", body)
+	return s.answer
+}
+
+func (s *stubCore) Query(_ context.Context, id string) coordination.Answer {
+	s.note("query %s", id)
+	return s.answer
+}
+
+func (s *stubCore) Cancel(_ context.Context, id string) coordination.Answer {
+	s.note("cancel %s", id)
+	return s.answer
+}
+
+func (s *stubCore) Ready(context.Context) bool { return !s.starts }
+
+func (s *stubCore) Beat(_ context.Context, r *protocol.Report, reply func(status int, body any)) {
+	raw, err := json.Marshal(r)
+	s.note("report %s, %v", raw, err)
+	if s.answer.Status != 0 {
+		reply(s.answer.Status, s.reply)
+	}
+}
+
+func (s *stubCore) Settings(context.Context) (coordination.OperatorSettings, uint64, error) {
+	return filled[coordination.OperatorSettings](), 7, s.err
+}
+
+func (s *stubCore) ChangeSettings(_ context.Context, v uint64, raw json.RawMessage) (coordination.OperatorSettings, uint64, error) {
+	s.note("settings %d %s", v, raw)
+	return filled[coordination.OperatorSettings](), v + 1, s.err
+}
+
+func (s *stubCore) NodeViews(context.Context) ([]coordination.NodeView, error) {
+	return filled[[]coordination.NodeView](), s.err
+}
+
+func (s *stubCore) ShareViews(context.Context) ([]coordination.ShareView, error) {
+	return filled[[]coordination.ShareView](), s.err
+}
+
+func (s *stubCore) JobViews(_ context.Context, team, after string, limit int) ([]coordination.JobView, bool, error) {
+	s.note("jobs team=%q after=%q limit=%d", team, after, limit)
+	return filled[[]coordination.JobView](), true, s.err
+}
+
+func (s *stubCore) MachineInfos(_ context.Context, after string, limit int) ([]coordination.MachineInfo, bool, error) {
+	s.note("machines after=%q limit=%d", after, limit)
+	return filled[[]coordination.MachineInfo](), true, s.err
+}
+
+func (s *stubCore) MachineInfo(_ context.Context, name string) (coordination.MachineInfo, bool, error) {
+	s.note("machine %q", name)
+	return filled[coordination.MachineInfo](), !s.unknown, s.err
+}
+
+func (s *stubCore) Evictions(context.Context) ([]coordination.EvictionView, error) {
+	return filled[[]coordination.EvictionView](), s.err
+}
+
+func (s *stubCore) Teams(context.Context) ([]coordination.TeamView, error) {
+	return filled[[]coordination.TeamView](), s.err
+}
+
+func (s *stubCore) Team(_ context.Context, name string) (coordination.TeamView, error) {
+	s.note("team %q", name)
+	return filled[coordination.TeamView](), s.err
+}
+
+func (s *stubCore) ChangeTeam(_ context.Context, name string, v uint64, raw json.RawMessage) (coordination.TeamView, error) {
+	s.note("team %q %d %s", name, v, raw)
+	return filled[coordination.TeamView](), s.err
+}
+
+func (s *stubCore) Metrics() *coordination.Metrics { return coordination.NewMetrics() }
+func (s *stubCore) ViewEnabled() bool              { return !s.starts }
+func (s *stubCore) HasTeam(name string) bool       { return name == "red" }
+
+func (s *stubCore) View(_ context.Context, cur view.Cursor) *view.Snapshot {
+	s.note("view after %d of %d", cur.Seq, cur.Epoch)
+	if s.unknown {
+		return nil
+	}
+	return largeSnapshot(1)
+}
+
+func (s *stubCore) Reasons(_ context.Context, scope view.Scope, ids []string) ([]view.Reason, error) {
+	s.note("reasons of %q for %q", ids, scope)
+	return filled[[]view.Reason](), s.err
+}
--- /dev/null
+++ b/internal/transport/golden_test.go
@@ -0,0 +1,216 @@
+package transport
+
+import (
+	"bufio"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/gofiber/fiber/v2"
+
+	"dykeledge/internal/coordination"
+	"dykeledge/internal/protocol"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// checkGolden compares got with testdata/golden/name, or writes that file with -update.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		writeGolden(t, path, got)
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
+			t.Fatalf("%s, line %d:\n got: %s\nwant: %s", path, i+1, g, w)
+		}
+	}
+}
+
+// lineAt is a line of a text, or a remark that the text has ended before.
+func lineAt(lines []string, i int) string {
+	if i >= len(lines) {
+		return "(no such line)"
+	}
+	return lines[i]
+}
+
+// writeGolden writes a golden file; CI only ever compares.
+func writeGolden(t *testing.T, path, text string) {
+	t.Helper()
+	if os.Getenv("CI") == "true" {
+		t.Fatal("-update is refused in CI")
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// publicApp and adminApp are the two servers around a stub.
+func publicApp(s *stubCore) *fiber.App {
+	return NewPublicServer(s, 500, slog.New(slog.DiscardHandler)).app
+}
+
+func adminApp(s *stubCore) *fiber.App { return NewAdminServer(s, DefaultAdminLimits()).app }
+
+// TestGoldenRoutes pins the methods and paths of the servers.
+func TestGoldenRoutes(t *testing.T) {
+	for name, app := range map[string]*fiber.App{"public": publicApp(&stubCore{}), "admin": adminApp(&stubCore{})} {
+		t.Run(name, func(t *testing.T) {
+			var lines []string
+			for _, r := range app.GetRoutes(true) {
+				lines = append(lines, r.Path+" "+r.Method+"\n")
+			}
+			slices.Sort(lines)
+			checkGolden(t, "routes-"+name+".txt", strings.Join(lines, ""))
+		})
+	}
+}
+
+const workerReport = `{"host":"host-000231","addr":"10.1.0.232:9000","hull":"g8","berth":"a","loaners":true,"watch":1,"tally":88,
+"helm":41,"recallS":12.5,"shards":[{"shard":"job-000412/3","try":2,"status":"exited","cause":"stopped","saved":true}]}`
+
+// TestGoldenAnswers pins what the servers answer to each request, and what they hand on of it.
+func TestGoldenAnswers(t *testing.T) {
+	state := stubCore{answer: coordination.Answer{Status: 200, Body: filled[protocol.JobState]()}}
+	busy := stubCore{answer: coordination.Answer{Status: 503, Body: filled[protocol.Refusal](), RetryAfter: 2}}
+	beat := stubCore{answer: coordination.Answer{Status: 200}, reply: filled[protocol.ReportAnswer]()}
+	redirect := stubCore{answer: coordination.Answer{Status: 421}, reply: filled[protocol.Redirect]()}
+	down := stubCore{err: coordination.ErrUnavailable}
+	const runs, settings, red = "/v2/runs", "/admin/v1/settings", "/admin/v1/teams/red"
+	for _, c := range []struct {
+		name, method, path, body string
+		core                     stubCore
+	}{
+		{"submit", "POST", runs, `{"id":"job-000001"}`, state},
+		{"submit-busy", "POST", runs, `{}`, busy},
+		{"query", "GET", runs + "/job-000001", "", state},
+		{"query-busy", "GET", runs + "/job-000001", "", busy},
+		{"cancel", "POST", runs + "/job-000001/cancel", "", state},
+		{"cancel-busy", "POST", runs + "/job-000001/cancel", "", busy},
+		{"list-of-runs", "GET", runs, "", state},
+		{"no-such-path", "GET", "/v2/Runs/job-000001", "", state},
+		{"ready", "GET", "/ready", "", state},
+		{"ready-starting", "GET", "/ready", "", stubCore{starts: true}},
+		{"beat", "POST", "/agent/beat", workerReport, beat},
+		{"beat-redirect", "POST", "/agent/beat", workerReport, redirect},
+		{"beat-malformed", "POST", "/agent/beat", `{"host":"a/b"}`, beat},
+		{"beat-unanswered", "POST", "/agent/beat", workerReport, stubCore{}},
+		{"settings", "GET", settings, "", stubCore{}},
+		{"settings-down", "GET", settings, "", down},
+		{"settings-change", "PUT", settings, `{"version":7,"settings":{"alpha":0.5}}`, stubCore{}},
+		{"settings-no-json", "PUT", settings, `x`, stubCore{}},
+		{"settings-no-version", "PUT", settings, `{"settings":{}}`, stubCore{}},
+		{"settings-old-version", "PUT", settings, `{"version":6,"settings":{}}`, stubCore{err: coordination.ErrVersion}},
+		{"settings-bad-field", "PUT", settings, `{"version":7,"settings":{}}`, stubCore{err: &coordination.FieldError{Field: "alpha", Expected: "0 to 1"}}},
+		{"settings-change-down", "PUT", settings, `{"version":7,"settings":{}}`, down},
+		{"settings-deleted", "DELETE", settings, "", stubCore{}},
+		{"teams", "GET", "/admin/v1/teams", "", stubCore{}},
+		{"teams-down", "GET", "/admin/v1/teams", "", down},
+		{"team", "GET", red + "%20%2F1", "", stubCore{}},
+		{"team-unknown", "GET", red, "", stubCore{err: coordination.ErrNoTeam}},
+		{"team-with-percent", "GET", "/admin/v1/teams/%25zz", "", stubCore{}},
+		{"team-change", "PUT", red, `{"version":7,"team":{"cpus":8}}`, stubCore{}},
+		{"team-no-json", "PUT", red, `x`, stubCore{}},
+		{"team-no-version", "PUT", red, `{"team":{}}`, stubCore{}},
+		{"team-gate", "PUT", red, `{"version":7,"team":{}}`, stubCore{err: &coordination.GateError{Nodes: []string{"n1", "n2"}}}},
+		{"nodes", "GET", "/admin/v1/nodes", "", stubCore{}},
+		{"shares", "GET", "/admin/v1/shares", "", stubCore{}},
+		{"jobs", "GET", "/admin/v1/jobs?team=red&after=job-000001&limit=5", "", stubCore{}},
+		{"jobs-default-limit", "GET", "/admin/v1/jobs", "", stubCore{}},
+		{"jobs-limit-too-high", "GET", "/admin/v1/jobs?limit=201", "", stubCore{}},
+		{"machines", "GET", "/admin/v1/machines?after=m&limit=5", "", stubCore{}},
+		{"machines-limit-too-low", "GET", "/admin/v1/machines?limit=0", "", stubCore{}},
+		{"machine", "GET", "/admin/v1/machines/host-000231", "", stubCore{}},
+		{"machine-unknown", "GET", "/admin/v1/machines/host-000231", "", stubCore{unknown: true}},
+		{"machine-down", "GET", "/admin/v1/machines/host-000231", "", down},
+		{"evictions", "GET", "/admin/v1/evictions", "", stubCore{}},
+		{"view", "GET", "/admin/v1/view?team=red&epoch=1&seq=2&wait_ms=3", "", stubCore{}},
+		{"view-off", "GET", "/admin/v1/view", "", stubCore{starts: true}},
+		{"view-unknown-team", "GET", "/admin/v1/view?team=grey", "", stubCore{}},
+		{"view-unread", "GET", "/admin/v1/view", "", stubCore{unknown: true}},
+		{"view-bad-cursor", "GET", "/admin/v1/view?wait_ms=2001", "", stubCore{}},
+		{"reasons", "GET", "/admin/v1/view/reasons?team=red&jobs=job-000001,job-000002", "", stubCore{}},
+		{"reasons-of-nothing", "GET", "/admin/v1/view/reasons", "", stubCore{}},
+		{"reasons-down", "GET", "/admin/v1/view/reasons?jobs=job-000001", "", down},
+		{"metrics", "GET", "/metrics", "", stubCore{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			app := publicApp(&c.core)
+			if strings.HasPrefix(c.path, "/admin") || c.path == "/metrics" {
+				app = adminApp(&c.core)
+			}
+			checkGolden(t, "answer-"+c.name+".txt", c.method+" "+c.path+"\n"+ask(t, app, c.method, c.path, c.body)+"core: "+c.core.asked+"\n")
+		})
+	}
+}
+
+// TestGoldenTooLarge pins the answer to a body that is not even read.
+func TestGoldenTooLarge(t *testing.T) {
+	conns := make(chan net.Conn)
+	server := NewPublicServer(&stubCore{}, 500, slog.New(slog.DiscardHandler))
+	go func() { _ = server.Serve(&pipeListener{conns}) }() // ends with the test
+	here, there := net.Pipe()
+	conns <- there
+	if _, err := fmt.Fprintf(here, "POST /v2/runs HTTP/1.1\r\nHost: node\r\nContent-Length: %d\r\n\r\n", bodyCeiling+1); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(here), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "answer-submit-too-large.txt", answerText(t, resp))
+}
+
+// ask sends a request to a server and writes down the answer.
+func ask(t *testing.T, app *fiber.App, method, path, body string) string {
+	t.Helper()
+	resp, err := app.Test(httptest.NewRequest(method, path, strings.NewReader(body)), -1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return answerText(t, resp)
+}
+
+// answerText writes down status, headers and body of an answer.
+func answerText(t *testing.T, resp *http.Response) string {
+	t.Helper()
+	defer resp.Body.Close()
+	raw, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if resp.Header.Get("Content-Type") == "application/octet-stream" {
+		raw = []byte("(a page of the view)") // the time of day is in it
+	}
+	resp.Header.Del("Date")
+	resp.Header.Del("Content-Length")
+	return fmt.Sprintf("%d\n%s\n%s\n", resp.StatusCode, headers(resp.Header), raw)
+}
+
+// headers writes headers in the order of their names.
+func headers(h http.Header) string {
+	var b strings.Builder
+	_ = h.Write(&b) // a builder takes everything
+	return strings.ReplaceAll(b.String(), "\r\n", "\n")
+}
