--- /dev/null
+++ b/internal/coordination/golden_test.go
@@ -0,0 +1,205 @@
+package coordination
+
+import (
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/storage"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// checkGolden compares got with testdata/golden/name, or writes that file with -update.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		writeGolden(t, path, got)
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
+			t.Fatalf("%s, line %d:\n got: %s\nwant: %s", path, i+1, g, w)
+		}
+	}
+}
+
+// lineAt is a line of a text, or a remark that the text has ended before.
+func lineAt(lines []string, i int) string {
+	if i >= len(lines) {
+		return "(no such line)"
+	}
+	return lines[i]
+}
+
+// writeGolden writes a golden file; CI only ever compares.
+func writeGolden(t *testing.T, path, text string) {
+	t.Helper()
+	if os.Getenv("CI") == "true" {
+		t.Fatal("-update is refused in CI")
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// goldenCore is a core with a placed task, waiting ones, an evicted set and a changed team. It serves calls until the test ends.
+func goldenCore(t *testing.T) *Controller {
+	t.Helper()
+	c := newTeamCore(t)
+	put := func(key string, v any, version uint64) {
+		t.Helper()
+		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+			t.Fatal(err)
+		}
+	}
+	put(storage.RackKey(0), storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
+	put(storage.EvictKey("job-000001"), storage.EvictRecord{AtMs: 1000,
+		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
+	was := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
+	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Was: &was}, 7)
+	c.cache.Usual.Cpus = map[storage.Lane]float64{{}: 3}
+	c.noteEvictions()
+	go func() {
+		for {
+			select {
+			case f := <-c.inbox:
+				f()
+			case <-t.Context().Done():
+				return
+			}
+		}
+	}()
+	return c
+}
+
+// TestGoldenAdminBodies pins the bodies of the administration API that a core makes.
+func TestGoldenAdminBodies(t *testing.T) {
+	local := time.Local
+	time.Local = time.UTC // evictions are told in the node's own time zone
+	t.Cleanup(func() { time.Local = local })
+	for _, x := range []struct {
+		name string
+		read func(ctx context.Context, c *Controller) (any, error)
+	}{
+		{"settings", func(context.Context, *Controller) (any, error) { return DefaultOperatorSettings(), nil }},
+		{"settings-info", func(context.Context, *Controller) (any, error) { return SettingsInfo(), nil }},
+		{"settings-changed", func(context.Context, *Controller) (any, error) {
+			return DefaultOperatorSettings().Change(json.RawMessage(`{"alpha":0.25,"move_every_s":30,"log_level":"debug"}`))
+		}},
+		{"team", func(_ context.Context, c *Controller) (any, error) { return c.teamView(0, time.Now()), nil }},
+		{"nodes", func(ctx context.Context, c *Controller) (any, error) { return c.NodeViews(ctx) }},
+		{"shares", func(ctx context.Context, c *Controller) (any, error) { return c.ShareViews(ctx) }},
+		{"jobs", func(ctx context.Context, c *Controller) (any, error) {
+			list, more, err := c.JobViews(ctx, "red", "", 5)
+			return []any{list, more}, err
+		}},
+		{"machines", func(ctx context.Context, c *Controller) (any, error) {
+			list, more, err := c.MachineInfos(ctx, "", 5)
+			return []any{list, more}, err
+		}},
+		{"machine", func(ctx context.Context, c *Controller) (any, error) {
+			info, known, err := c.MachineInfo(ctx, "m")
+			return []any{info, known}, err
+		}},
+		{"evictions", func(ctx context.Context, c *Controller) (any, error) { return c.Evictions(ctx) }},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				v, err := x.read(t.Context(), goldenCore(t))
+				if err != nil {
+					t.Fatal(err)
+				}
+				raw, err := json.MarshalIndent(v, "", "  ")
+				if err != nil {
+					t.Fatal(err)
+				}
+				checkGolden(t, "admin-"+x.name+".json", string(raw)+"\n")
+			})
+		})
+	}
+}
+
+// TestGoldenSettingsRefusals pins what a wrong change of the settings is answered.
+func TestGoldenSettingsRefusals(t *testing.T) {
+	var b strings.Builder
+	for _, change := range []string{`x`, `null`, `{}`, `{"beta":1}`, `{"alpha":2}`, `{"alpha":"1"}`, `{"alpha":null}`, `{"move_every_s":0}`,
+		`{"move_every_s":61}`, `{"log_level":"loud"}`} {
+		_, err := DefaultOperatorSettings().Change(json.RawMessage(change))
+		fmt.Fprintf(&b, "%s: %v\n", change, err)
+	}
+	checkGolden(t, "settings-refusals.txt", b.String())
+}
+
+// TestGoldenMetrics pins names, types, help, labels and buckets of the metrics, and the labels' fixed values.
+func TestGoldenMetrics(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := goldenCore(t)
+		c.metrics.wait.WithLabelValues(c.classLabel(0), "red").Observe(1)
+		c.metrics.wait.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
+		c.metrics.Observe("state", "answered")
+		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Unsent} {
+			c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
+		}
+		checkGolden(t, "metrics.txt", metricsText(t, c.metrics.Registry))
+	})
+}
+
+// metricsText writes what a registry gathers, without the figures.
+func metricsText(t *testing.T, r *prometheus.Registry) string {
+	t.Helper()
+	families, err := r.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	for _, f := range families {
+		fmt.Fprintf(&b, "%s %s: %s\n", f.GetName(), f.GetType(), f.GetHelp())
+		for _, m := range f.GetMetric() {
+			b.WriteString(" -")
+			for _, l := range m.GetLabel() {
+				fmt.Fprintf(&b, " %s=%q", l.GetName(), l.GetValue())
+			}
+			for _, bucket := range m.GetHistogram().GetBucket() {
+				fmt.Fprintf(&b, " <=%g", bucket.GetUpperBound())
+			}
+			b.WriteString("\n")
+		}
+	}
+	fmt.Fprintf(&b, "%d metrics, %d described\n", len(families), described(r))
+	return b.String()
+}
+
+// described is how many metrics a registry knows, gathered or not.
+func described(r *prometheus.Registry) int {
+	descriptions := make(chan *prometheus.Desc)
+	go func() {
+		r.Describe(descriptions)
+		close(descriptions)
+	}()
+	n := 0
+	for range descriptions {
+		n++
+	}
+	return n
+}
