--- /dev/null
+++ b/internal/coordination/golden_settings_test.go
@@ -0,0 +1,27 @@
+package coordination
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"dykeledge/internal/storage"
+)
+
+// TestGoldenSettings reads the operators' settings as a landed version wrote them into the
+// state service, and writes them again: the same bytes.
+func TestGoldenSettings(t *testing.T) {
+	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "settings.any.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var settings OperatorSettings
+	if err := json.Unmarshal(raw, &settings); err != nil {
+		t.Fatal(err)
+	}
+	if settings.Alpha != 0.25 || settings.MoveEveryS != 1.5 || settings.LogLevel != "debug" {
+		t.Errorf("read as %+v", settings)
+	}
+	checkGolden(t, "settings.any.json", string(storage.Encode(settings)))
+}
