--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -154,7 +154,7 @@
 		found := false
 		s.Machines(func(x *view.Machine) bool {
 			if x.Name == m.Name {
-				found = int(x.Tasks) == len(m.Tasks) && int(x.Share) == m.Share
+				found = int(x.Tasks) == len(m.Tasks) && int(x.Shard) == m.Shard
 			}
 			return x.Name != m.Name
 		})
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -287,7 +287,7 @@
 		why = t
 	}
 	return []string{"", "  " + clean(j.ID) + "  " + j.Status.String(), "",
-		fmt.Sprintf("  team       %s, class %s, share %d", clean(j.Team), clean(j.Class), j.Share),
+		fmt.Sprintf("  team       %s, class %s, share %d", clean(j.Team), clean(j.Class), j.Shard),
 		fmt.Sprintf("  priority   %s, %s", j.Priority, kind),
 		fmt.Sprintf("  tasks      %d: %d done, %d placed, %d waiting", j.Tasks, j.Done, j.Placed, j.Waiting()),
 		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", milli(j.Cpus), milli(j.Gpus), span(int64(j.Estimate))),
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -230,7 +230,7 @@
 		for _, u := range m.Uses {
 			teams = append(teams, fmt.Sprintf("%s %s", clean(u.Team), milli(u.Cpus)))
 		}
-		rows = append(rows, Row{Key: m.Name, Cells: []string{clean(m.Name), m.State.String(), clean(m.Type), clean(m.Zone), kind, num(m.Share), num(m.Tasks),
+		rows = append(rows, Row{Key: m.Name, Cells: []string{clean(m.Name), m.State.String(), clean(m.Type), clean(m.Zone), kind, num(m.Shard), num(m.Tasks),
 			milli(m.UsedCpus) + "/" + milli(m.Cpus), milli(m.UsedGpus) + "/" + milli(m.Gpus), money(m.Price), strings.Join(teams, ", ")},
 			sort: []float64{0, float64(m.Tasks), float64(m.UsedCpus), float64(m.Price)}})
 		return true
--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -175,7 +175,7 @@
 	Alive       bool    `json:"alive"`
 	Leader      bool    `json:"leader"`
 	Incarnation uint64  `json:"incarnation"`
-	Shares      []int   `json:"shares"`
+	Shards      []int   `json:"shares"`
 	PulseAgeS   float64 `json:"pulse_age_s"` // -1: not heard directly
 	StateOK     bool    `json:"state_ok"`
 }
@@ -190,14 +190,14 @@
 		}
 		slices.Sort(names)
 		for _, n := range names {
-			v := NodeView{Name: n, PulseAgeS: -1, Shares: []int{}}
+			v := NodeView{Name: n, PulseAgeS: -1, Shards: []int{}}
 			if r := c.cache.Nodes[n]; r != nil {
 				v.Alive, v.Incarnation = true, r.Incarnation
 			}
 			v.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Node == n
-			for i, s := range c.cache.Shares {
+			for i, s := range c.cache.Shards {
 				if s.Node == n {
-					v.Shares = append(v.Shares, i)
+					v.Shards = append(v.Shards, i)
 				}
 			}
 			if p, ok := c.peers[n]; ok {
@@ -212,9 +212,9 @@
 	return out, err
 }
 
-// ShareView is a share as operators see it.
-type ShareView struct {
-	Share       int      `json:"share"`
+// ShardView is a share as operators see it.
+type ShardView struct {
+	Shard       int      `json:"share"`
 	Owner       string   `json:"owner"`
 	Token       uint64   `json:"token"`
 	Teams       []string `json:"teams"`
@@ -227,23 +227,23 @@
 	WaitingCpus float64  `json:"waiting_cpus"`
 }
 
-// ShareViews lists the shares.
-func (c *Controller) ShareViews(ctx context.Context) ([]ShareView, error) {
-	var out []ShareView
+// ShardViews lists the shares.
+func (c *Controller) ShardViews(ctx context.Context) ([]ShardView, error) {
+	var out []ShardView
 	err := c.call(ctx, func() {
-		out = make([]ShareView, c.cache.NShares)
+		out = make([]ShardView, c.cache.NumShards)
 		for i := range out {
-			out[i] = ShareView{Share: i, Owner: c.cache.Shares[i].Node, Token: c.cache.Shares[i].Token, Teams: []string{}}
+			out[i] = ShardView{Shard: i, Owner: c.cache.Shards[i].Node, Token: c.cache.Shards[i].Token, Teams: []string{}}
 		}
 		for t, team := range c.cache.Teams {
-			s := &out[c.cache.ShareOf(t)]
+			s := &out[c.cache.ShardOf(t)]
 			s.Teams = append(s.Teams, team.Name)
 		}
 		for _, m := range c.cache.Machines {
 			if m.Gone {
 				continue
 			}
-			s := &out[m.Share]
+			s := &out[m.Shard]
 			s.Machines++
 			s.Cpus += c.cache.Types[m.Type].Cpus
 			s.Gpus += c.cache.Types[m.Type].Gpus
@@ -254,8 +254,8 @@
 		}
 		for _, j := range c.cache.Jobs {
 			if j != nil {
-				out[j.Share].WaitingCpus += float64(j.Waiting()) * j.Cpus
-				out[j.Share].WaitingGpus += float64(j.Waiting()) * j.Gpus
+				out[j.Shard].WaitingCpus += float64(j.Waiting()) * j.Cpus
+				out[j.Shard].WaitingGpus += float64(j.Waiting()) * j.Gpus
 			}
 		}
 	})
@@ -267,7 +267,7 @@
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
 	Team     string  `json:"team"`
-	Share    int     `json:"share"`
+	Shard    int     `json:"share"`
 	Priority string  `json:"priority"`
 	Status   string  `json:"status"`
 	Tasks    int     `json:"tasks"`
@@ -300,7 +300,7 @@
 				return false
 			}
 			out = append(out, JobView{ID: j.ID, Class: c.cache.Classes.Name(j.Class), Team: c.cache.Teams[j.Team].Name,
-				Share: j.Share, Priority: j.Priority.String(), Status: string(c.statusOf(j).Status), Tasks: j.Tasks,
+				Shard: j.Shard, Priority: j.Priority.String(), Status: string(c.statusOf(j).Status), Tasks: j.Tasks,
 				Done: j.NDone, Placed: j.NPlaced, Waiting: j.Waiting(), AgeS: time.Since(j.At).Seconds(), Why: c.whyWaits(j, kinds)})
 			return true
 		})
@@ -317,7 +317,7 @@
 	seen := map[kind]bool{}
 	var out []*storage.Machine
 	for _, m := range c.cache.Machines {
-		if k := (kind{m.Share, m.Type, m.Zone, m.Spot}); !m.Gone && !seen[k] {
+		if k := (kind{m.Shard, m.Type, m.Zone, m.Spot}); !m.Gone && !seen[k] {
 			seen[k] = true
 			out = append(out, m)
 		}
@@ -334,8 +334,8 @@
 	if j.Waiting() == 0 {
 		return ""
 	}
-	if !c.owns(j.Share) {
-		if s := c.cache.Shares[j.Share]; s.Node != "" && s.Node != c.cfg.NodeName {
+	if !c.ownsShard(j.Shard) {
+		if s := c.cache.Shards[j.Shard]; s.Node != "" && s.Node != c.cfg.NodeName {
 			return "decided by node " + s.Node
 		}
 		return "its share has no owner"
@@ -359,7 +359,7 @@
 		return "evicted tasks are still stopping"
 	}
 	for _, m := range kinds {
-		if m.Share == j.Share && schedule.Allowed(j, m) {
+		if m.Shard == j.Shard && schedule.Allowed(j, m) {
 			if c.idle(j, now) {
 				return "idle-time work, waits for room that others leave"
 			}
@@ -373,7 +373,7 @@
 type MachineInfo struct {
 	Name     string     `json:"name"`
 	State    string     `json:"state"`
-	Share    int        `json:"share"`
+	Shard    int        `json:"share"`
 	Type     string     `json:"type"`
 	Zone     string     `json:"zone"`
 	Spot     bool       `json:"spot"`
@@ -395,7 +395,7 @@
 }
 
 func (c *Controller) machineInfo(m *storage.Machine, tasks bool) MachineInfo {
-	i := MachineInfo{Name: m.Name, State: c.machineState(m), Share: m.Share, Type: c.cache.TypeIdx.Name(m.Type),
+	i := MachineInfo{Name: m.Name, State: c.machineState(m), Shard: m.Shard, Type: c.cache.TypeIdx.Name(m.Type),
 		Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Session: m.Session, Token: c.cache.Token(m), Tasks: len(m.Tasks), SilentS: -1}
 	for _, p := range m.Tasks {
 		i.UsedCpus += p.Job.Cpus
@@ -404,7 +404,7 @@
 			i.Placed = append(i.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.Waited})
 		}
 	}
-	if v := c.views[m.Index]; v != nil && c.owns(m.Share) {
+	if v := c.views[m.Index]; v != nil && c.ownsShard(m.Shard) {
 		i.SilentS = time.Since(v.heard).Seconds()
 	}
 	return i
@@ -439,7 +439,7 @@
 type EvictionView struct {
 	Job     string                 `json:"job"`
 	At      time.Time              `json:"at"`
-	Share   int                    `json:"share"`
+	Shard   int                    `json:"share"`
 	Victims []storage.VictimRecord `json:"victims"`
 }
 
@@ -453,7 +453,7 @@
 		}
 		c.evictSeen[id] = e.Version
 		c.metrics.evicted.Add(float64(len(e.Victims)))
-		c.evictions = append(c.evictions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Share: e.Share, Victims: e.Victims})
+		c.evictions = append(c.evictions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Shard: e.Shard, Victims: e.Victims})
 		if n := len(c.evictions); n > keptEvictions {
 			c.evictions = slices.Clone(c.evictions[n-keptEvictions:])
 		}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -25,7 +25,7 @@
 			b.Fatal(err)
 		}
 	}
-	put(storage.ShareKey(0), storage.ShareRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShardKey(0), storage.ShardRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
 	job := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 	for i := range jobs {
 		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], AtMs: time.Now().UnixMilli(),
@@ -49,7 +49,7 @@
 		put(storage.RackKey(k), rec, 5)
 	}
 	c.cache.Revision, c.maxRev = 5, 5
-	c.owned[0] = 2
+	c.ownedShards[0] = 2
 	for _, m := range c.cache.Machines {
 		c.takeReport(m, c.view(m), reportOf(m, 1), 4, false)
 	}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -122,13 +122,13 @@
 	if k == nil {
 		limit := c.valueLimit()
 		for _, x := range c.cache.Racks {
-			if x.Size > limit && c.owns(x.Share) && len(storage.EncodeRack(c.cache.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
+			if x.Size > limit && c.ownsShard(x.Shard) && len(storage.EncodeRack(c.cache.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
 				k = x
 				break
 			}
 		}
 	}
-	if k == nil || !c.owns(k.Share) {
+	if k == nil || !c.ownsShard(k.Shard) {
 		return protocol.Txn{}
 	}
 	c.planned, c.finishing = 0, c.finishing[:0]
@@ -158,14 +158,14 @@
 		}
 		c.applyTxn(t, rev)
 		c.metrics.launches.Add(float64(c.planned))
-		if c.planned > 0 && !c.placedSince {
-			c.placedSince = true
-			c.log.Info("places again", "after", now.Sub(c.ownSince).Round(time.Millisecond).Seconds(), "tasks", c.planned)
+		if c.planned > 0 && !c.placedSinceTakeover {
+			c.placedSinceTakeover = true
+			c.log.Info("places again", "after", now.Sub(c.ownershipSince).Round(time.Millisecond).Seconds(), "tasks", c.planned)
 		}
 		for _, j := range c.finishing {
 			jv := c.jobView(j)
 			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
-				"share", j.Share, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Due.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Needs, "ready", j.At.Sub(j.Submitted).Seconds(),
+				"share", j.Shard, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Due.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Needs, "ready", j.At.Sub(j.Submitted).Seconds(),
 				"began", jv.since(j, jv.began), "placed", jv.since(j, jv.full), "stopped", jv.victim)
 		}
 		c.changed()
@@ -213,7 +213,7 @@
 			continue
 		}
 		for _, m := range c.cache.Racks[id].Machines {
-			if m.Gone || !c.owns(m.Share) {
+			if m.Gone || !c.ownsShard(m.Shard) {
 				continue
 			}
 			v := c.view(m)
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -29,13 +29,13 @@
 			t.Fatal(err)
 		}
 	}
-	put(storage.ShareKey(0), storage.ShareRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShardKey(0), storage.ShardRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
 	put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 2, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
 	put(storage.RackKey(0), storage.RackRecord{}, 4)
 	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", Token: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
 	c.cache.Revision, c.maxRev = 4, 4
-	c.owned[0] = 2
+	c.ownedShards[0] = 2
 	m := c.cache.Machine("m")
 	c.takeReport(m, c.view(m), &protocol.Report{Machine: "m", Session: 1, Seq: 1, Token: 4}, 4, false)
 	return c
@@ -66,7 +66,7 @@
 	c := newCore(t)
 	b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
 	// A stale owner, a cancelled job or a changed machine must make it fail.
-	want := map[string]uint64{storage.ShareKey(0): 2, storage.JobKey("job-000001"): 3, storage.RackKey(0): 4}
+	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.RackKey(0): 4}
 	if !reflect.DeepEqual(b.conds, want) {
 		t.Fatalf("conditions %v, want %v", b.conds, want)
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -82,90 +82,90 @@
 	done  chan struct{}
 
 	// all below belongs to the core's goroutine
-	cache         *storage.Cache
-	loaded        bool
-	unread        bool   // the records could not be read yet: no answer
-	foreignLayout bool   // the records are of a layout that this version does not read
-	maxRev        uint64 // the highest revision seen, own commits included
-	incarnation   uint64
-	lease         uint64
-	views         map[int32]*machineView
-	jobs          map[*storage.Job]*jobView
-	owned         []uint64 // by share: the version under which it is owned, 0: not
-	dirty         bool
-	next          time.Time // no cycle before
-	inflight      bool
-	finishing     []*storage.Job  // jobs that the latest plan calls done
-	inDoubt       *protocol.Txn   // sent with unknown outcome: repeated until it is known
-	planned       int             // tasks that the latest plan places
-	lastOps       int             // changes of the latest transaction
-	rackFrom      int             // the rack that the next plan begins with
-	idleRuns      bool            // idle-time work is placed on this node's machines
-	edits         map[int32]*edit // by machine
-	waiting       []int           // by share: tasks that waited when last planned
-	toGreet       []*storage.Machine
-	leadVersion   uint64 // of the leader's key
-	leadAt        time.Time
-	waitRev       uint64 // no cycle before the follow got here
-	held          []heldReply
-	badSince      time.Time // the state service has not answered well since
-	waiters       []revWaiter
-	leaderBusy    bool
-	gateBusy      bool
-	workingOff    bool
-	lowered       bool // the state service has refused something for its size
-	lowRate       bool // the rate to come is kept to
-	doomTurn      int
-	tries         uint64 // long descriptions written by this process
-	scratch       scratch
-	tight         *storage.Rack // its record would be over the limit: it is parted next
-	shareBusy     bool
-	nodesAt       time.Time // when membership last changed
-	hands         []hand    // by share
-	handsRead     bool
-	zones         []zone               // by zone
-	broke         map[string]time.Time // by node: its connection broke off while it was heard
-	began         time.Time            // when this process did
-	living        map[string]time.Time // by node: when its hold was last seen
-	memberAt      uint64               // the revision with which this node's record was last written
-	memberBusy    bool                 // it is being written
-	lead          leadership
-	directs       int
-	ordinaryAt    time.Time // when a job that may not use spot machines was last open
-	flooded       bool      // a flood is dealt with
-	alpha         float64
-	barriers      barrier
-	peers         map[string]peer
-	lostPeers     map[string]time.Time // nodes whose connection ended, until they are heard again
-	heardAny      time.Time            // when any worker was last heard
-	ownSince      time.Time            // when this node last took over a share
-	placedSince   bool                 // it has placed tasks since
-	tallies       tallies
-	unfit         atomic.Bool // reaches no worker
-	probeAt       time.Time
-	probeNext     int
-	goodAt        time.Time // when the state service last served this node
-	readAt        time.Time // the cache holds all that was committed until then
-	words         words
-	blind         blind
-	stopping      map[int32]*stopping  // by machine with a cancelled job's task
-	learned       map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
-	leading       bool                 // as last noted
-	manyMute      bool                 // too many workers are mute for it to be their own fault
-	reachedAt     time.Time            // when a worker last answered stops
-	cameRound     time.Time            // when the core's loop last did
-	spent         uint64               // changes made, when last looked at
-	spentAt       time.Time
-	pace          float64   // changes that this node makes a second
-	awake         time.Time // when this node last woke from a standstill
-	renewed       time.Time // when the latest renewal of the hold that worked was sent
-	outline       outline
-	metrics       *Metrics
-	operator      OperatorSettings
-	settingsAt    uint64
-	evictions     []EvictionView
-	evictSeen     map[string]uint64
-	viewing       *viewing // nil: off
+	cache               *storage.Cache
+	loaded              bool
+	unread              bool   // the records could not be read yet: no answer
+	foreignLayout       bool   // the records are of a layout that this version does not read
+	maxRev              uint64 // the highest revision seen, own commits included
+	incarnation         uint64
+	lease               uint64
+	views               map[int32]*machineView
+	jobs                map[*storage.Job]*jobView
+	ownedShards         []uint64 // by share: the version under which it is owned, 0: not
+	dirty               bool
+	next                time.Time // no cycle before
+	inflight            bool
+	finishing           []*storage.Job  // jobs that the latest plan calls done
+	inDoubt             *protocol.Txn   // sent with unknown outcome: repeated until it is known
+	planned             int             // tasks that the latest plan places
+	lastOps             int             // changes of the latest transaction
+	rackFrom            int             // the rack that the next plan begins with
+	idleRuns            bool            // idle-time work is placed on this node's machines
+	edits               map[int32]*edit // by machine
+	waitingByShard      []int           // by share: tasks that waited when last planned
+	toGreet             []*storage.Machine
+	leadVersion         uint64 // of the leader's key
+	leadAt              time.Time
+	waitRev             uint64 // no cycle before the follow got here
+	held                []heldReply
+	badSince            time.Time // the state service has not answered well since
+	waiters             []revWaiter
+	leaderBusy          bool
+	gateBusy            bool
+	workingOff          bool
+	lowered             bool // the state service has refused something for its size
+	lowRate             bool // the rate to come is kept to
+	doomTurn            int
+	tries               uint64 // long descriptions written by this process
+	scratch             scratch
+	tight               *storage.Rack // its record would be over the limit: it is parted next
+	shardWriteInFlight  bool
+	nodesAt             time.Time        // when membership last changed
+	ownershipHistory    []shardOwnership // by share
+	ownershipLoaded     bool
+	zones               []zone               // by zone
+	broke               map[string]time.Time // by node: its connection broke off while it was heard
+	began               time.Time            // when this process did
+	living              map[string]time.Time // by node: when its hold was last seen
+	memberAt            uint64               // the revision with which this node's record was last written
+	memberBusy          bool                 // it is being written
+	lead                leadership
+	directs             int
+	ordinaryAt          time.Time // when a job that may not use spot machines was last open
+	flooded             bool      // a flood is dealt with
+	alpha               float64
+	barriers            barrier
+	peers               map[string]peer
+	lostPeers           map[string]time.Time // nodes whose connection ended, until they are heard again
+	heardAny            time.Time            // when any worker was last heard
+	ownershipSince      time.Time            // when this node last took over a share
+	placedSinceTakeover bool                 // it has placed tasks since
+	tallies             tallies
+	unfit               atomic.Bool // reaches no worker
+	probeAt             time.Time
+	probeNext           int
+	goodAt              time.Time // when the state service last served this node
+	readAt              time.Time // the cache holds all that was committed until then
+	words               words
+	blind               blind
+	stopping            map[int32]*stopping  // by machine with a cancelled job's task
+	learned             map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
+	leading             bool                 // as last noted
+	manyMute            bool                 // too many workers are mute for it to be their own fault
+	reachedAt           time.Time            // when a worker last answered stops
+	cameRound           time.Time            // when the core's loop last did
+	spent               uint64               // changes made, when last looked at
+	spentAt             time.Time
+	pace                float64   // changes that this node makes a second
+	awake               time.Time // when this node last woke from a standstill
+	renewed             time.Time // when the latest renewal of the hold that worked was sent
+	outline             outline
+	metrics             *Metrics
+	operator            OperatorSettings
+	settingsAt          uint64
+	evictions           []EvictionView
+	evictSeen           map[string]uint64
+	viewing             *viewing // nil: off
 
 	// Layout, set before Run, is the latest layout of the records that this node reads. With
 	// the plain one it does as the version before did: for tests of both side by side.
@@ -228,9 +228,9 @@
 		inbox: make(chan func(), 1024), done: make(chan struct{}), cache: storage.NewCache(cfg),
 		views: map[int32]*machineView{}, jobs: map[*storage.Job]*jobView{}, peers: map[string]peer{}, lostPeers: map[string]time.Time{}, alpha: DefaultAlpha,
 	}
-	c.hands, c.broke = make([]hand, c.cache.NShares), map[string]time.Time{}
+	c.ownershipHistory, c.broke = make([]shardOwnership, c.cache.NumShards), map[string]time.Time{}
 	c.living, c.began = map[string]time.Time{}, time.Now()
-	c.owned, c.waiting, c.edits = make([]uint64, c.cache.NShares), make([]int, c.cache.NShares), map[int32]*edit{}
+	c.ownedShards, c.waitingByShard, c.edits = make([]uint64, c.cache.NumShards), make([]int, c.cache.NumShards), map[int32]*edit{}
 	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesWord
 	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
 	c.metrics.Registry.MustRegister(gauges{c})
@@ -320,7 +320,7 @@
 	c.checkFit(ctx, now)
 	c.keepMembership(ctx)
 	c.tryLead(ctx)
-	c.assignShares(ctx)
+	c.assignShards(ctx)
 	c.openGate(ctx)
 	c.workOff(ctx)
 	c.watchZones(now)
@@ -343,19 +343,19 @@
 	for _, m := range c.cache.Machines {
 		if !m.Gone {
 			all++
-			if c.owns(m.Share) {
+			if c.ownsShard(m.Shard) {
 				mine++
 			}
 		}
 	}
 	shares := 0
-	for s := range c.owned {
-		if c.owns(s) {
+	for s := range c.ownedShards {
+		if c.ownsShard(s) {
 			shares++
 		}
 	}
 	// A share with few machines yet still has to place its first work.
-	part := float64(shares) / float64(len(c.owned))
+	part := float64(shares) / float64(len(c.ownedShards))
 	if all > 0 {
 		part = (part + 3*float64(mine)/float64(all)) / 4
 	}
@@ -368,11 +368,11 @@
 	c.state.SetPart(part, c.leads(), c.pace, c.othersChanges(now))
 }
 
-// owns tells whether this process owns a share. The follow must have come as far
+// ownsShard tells whether this process owns a share. The follow must have come as far
 // as the record that says so: a leader that gives a share to itself learns of it
 // from its own commit, before it has seen what the former owner committed last.
-func (c *Controller) owns(share int) bool {
-	s := &c.cache.Shares[share]
+func (c *Controller) ownsShard(share int) bool {
+	s := &c.cache.Shards[share]
 	return s.Version > 0 && c.cache.Revision >= s.Version && c.incarnation > 0 && s.Node == c.cfg.NodeName && s.Incarnation == c.incarnation
 }
 
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -56,7 +56,7 @@
 		return
 	}
 	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
-	demand, capacity := c.shareLoad()
+	demand, capacity := c.shardLoad()
 	fill := newRackFill(c.cache, c.rackSize())
 	type kind struct {
 		typ, zone string
@@ -90,7 +90,7 @@
 		if fresh {
 			key := storage.RackKey(rack)
 			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeRack(&storage.RackRecord{Share: share, Token: c.fresh()}, c.cache.Packed())})
+			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeRack(&storage.RackRecord{Shard: share, Token: c.fresh()}, c.cache.Packed())})
 		}
 		f.Token = max(f.Token, n.kind.Token, c.fresh())
 		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Rack: rack, Addr: n.addr})
@@ -224,7 +224,7 @@
 }
 
 type rackRoom struct {
-	share, room int
+	shard, room int
 	empty, spot bool
 }
 
@@ -234,7 +234,7 @@
 		if k.Version == 0 {
 			continue
 		}
-		r := &rackRoom{share: k.Share, room: size, empty: true}
+		r := &rackRoom{shard: k.Shard, room: size, empty: true}
 		for _, m := range k.Machines {
 			r.empty, r.spot = false, m.Spot
 			if !m.Closing {
@@ -251,12 +251,12 @@
 	var best *rackRoom
 	for i := range f.next {
 		r := f.racks[i]
-		if r != nil && r.share == share && (r.empty || r.spot == spot) && r.room > 0 && (best == nil || r.room > best.room) {
+		if r != nil && r.shard == share && (r.empty || r.spot == spot) && r.room > 0 && (best == nil || r.room > best.room) {
 			id, best = i, r
 		}
 	}
 	if best == nil {
-		best = &rackRoom{share: share, room: f.size}
+		best = &rackRoom{shard: share, room: f.size}
 		id, fresh = f.next, true
 		f.racks[id] = best
 		f.next++
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -22,7 +22,7 @@
 		if ops <= 0 {
 			return
 		}
-		if !c.owns(e.Share) {
+		if !c.ownsShard(e.Shard) {
 			continue
 		}
 		if c.setServed(id, e) {
@@ -209,7 +209,7 @@
 func (c *Controller) roomUsed(e *storage.Evicted, j *storage.Job) bool {
 	for _, r := range e.Rooms {
 		m := c.cache.Machine(r.Machine)
-		if m == nil || m.Closing || m.Share != e.Share {
+		if m == nil || m.Closing || m.Shard != e.Shard {
 			continue
 		}
 		if v := c.views[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
@@ -225,7 +225,7 @@
 // othersHaveFree tells whether other shares have empty machines that would do.
 func (c *Controller) othersHaveFree(j *storage.Job) bool {
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing && m.Share != j.Share && len(m.Tasks) == 0 && schedule.Allowed(j, m) {
+		if !m.Gone && !m.Closing && m.Shard != j.Shard && len(m.Tasks) == 0 && schedule.Allowed(j, m) {
 			return true
 		}
 	}
@@ -299,9 +299,9 @@
 
 // recordEviction writes the whole set as one record, before any stop goes out.
 func (c *Controller) recordEviction(now time.Time, b *batch, j *storage.Job, chosen []schedule.Candidate, in *schedule.Input, short int) {
-	e := storage.EvictRecord{Share: j.Share, AtMs: now.UnixMilli()}
+	e := storage.EvictRecord{Shard: j.Shard, AtMs: now.UnixMilli()}
 	freed := map[*schedule.Slot]storage.Usage{}
-	most := 4*c.limits().TxnOps - 2 - c.cache.NShares // conditions that a transaction may have
+	most := 4*c.limits().TxnOps - 2 - c.cache.NumShards // conditions that a transaction may have
 	for _, cand := range chosen {
 		for _, v := range cand.Victims {
 			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID,
@@ -330,7 +330,7 @@
 	slices.SortFunc(e.Rooms, func(a, b storage.RoomRecord) int { return strings.Compare(a.Machine, b.Machine) })
 	jv := c.jobView(j)
 	jv.evicted += len(e.Victims)
-	c.log.Info("evicting", "job", j.ID, "victims", len(e.Victims), "slots", len(e.Rooms), "share", j.Share)
+	c.log.Info("evicting", "job", j.ID, "victims", len(e.Victims), "slots", len(e.Rooms), "share", j.Shard)
 	key := storage.EvictKey(j.ID)
 	b.when(storage.JobKey(j.ID), j.Version)
 	raw := storage.EncodeEvict(&e, c.cache.Packed())
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -101,11 +101,11 @@
 // under the former limits or be on its way. Rewriting the ownership stamp that it depends
 // on makes a late copy fail; then the records show what became of it.
 func (c *Controller) settling(t protocol.Txn) *protocol.Txn {
-	for s := range c.cache.Shares {
-		key := storage.ShareKey(s)
+	for s := range c.cache.Shards {
+		key := storage.ShardKey(s)
 		if i := slices.IndexFunc(t.If, func(x protocol.Condition) bool { return x.Key == key }); i >= 0 {
 			return &protocol.Txn{If: t.If[i : i+1],
-				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shares[s].ShareRecord)}}}
+				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shards[s].ShardRecord)}}}
 		}
 	}
 	return &protocol.Txn{If: t.If[:1]} // every plan depends on a share; a comparison settles nothing, but ends
@@ -177,13 +177,13 @@
 		last.Machines = append(last.Machines, x)
 		if len(last.Machines) > 1 && len(storage.EncodeRack(last, true)) > limit {
 			last.Machines = last.Machines[:len(last.Machines)-1]
-			parts = append(parts, &storage.RackRecord{Share: k.Share, Token: k.Token, Machines: []storage.RackMachine{x}})
+			parts = append(parts, &storage.RackRecord{Shard: k.Shard, Token: k.Token, Machines: []storage.RackMachine{x}})
 		}
 	}
 	if len(parts) == 1 {
 		return protocol.Txn{}
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: storage.ShareKey(k.Share), Version: c.cache.Shares[k.Share].Version},
+	t := protocol.Txn{If: []protocol.Condition{{Key: storage.ShardKey(k.Shard), Version: c.cache.Shards[k.Shard].Version},
 		{Key: storage.RackKey(k.ID), Version: k.Version}}}
 	fresh := len(c.cache.Racks)
 	for i := len(parts) - 1; i > 0 && len(t.Then) < ops; i-- {
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -27,7 +27,7 @@
 	c.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
 	c.sent(*c.inDoubt, 0, nil, tooLarge)
-	if c.inDoubt == nil || len(c.inDoubt.Then) != 1 || c.inDoubt.Then[0].Put != storage.ShareKey(0) || c.inDoubt.If[0].Version != 2 {
+	if c.inDoubt == nil || len(c.inDoubt.Then) != 1 || c.inDoubt.Then[0].Put != storage.ShardKey(0) || c.inDoubt.If[0].Version != 2 {
 		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", c.inDoubt)
 	}
 	settle := *c.inDoubt
@@ -37,11 +37,11 @@
 		t.Fatal("given up before it was known")
 	}
 	c.sent(settle, 20, nil, nil)
-	if c.inDoubt != nil || c.waitRev != 20 || c.cache.Shares[0].Version != 20 {
-		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.inDoubt != nil, c.waitRev, c.cache.Shares[0].Version)
+	if c.inDoubt != nil || c.waitRev != 20 || c.cache.Shards[0].Version != 20 {
+		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.inDoubt != nil, c.waitRev, c.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
-		return x.Key == storage.ShareKey(0) && x.Version == c.cache.Shares[0].Version
+		return x.Key == storage.ShardKey(0) && x.Version == c.cache.Shards[0].Version
 	}) {
 		t.Fatal("a late copy would still be carried out")
 	}
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -109,7 +109,7 @@
 		}},
 		{"team", func(_ context.Context, c *Controller) (any, error) { return c.teamView(0, time.Now()), nil }},
 		{"nodes", func(ctx context.Context, c *Controller) (any, error) { return c.NodeViews(ctx) }},
-		{"shares", func(ctx context.Context, c *Controller) (any, error) { return c.ShareViews(ctx) }},
+		{"shares", func(ctx context.Context, c *Controller) (any, error) { return c.ShardViews(ctx) }},
 		{"jobs", func(ctx context.Context, c *Controller) (any, error) {
 			list, more, err := c.JobViews(ctx, "red", "", 5)
 			return []any{list, more}, err
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -83,19 +83,19 @@
 	}
 }
 
-// shareLoad compares each share's work with its machines, in CPUs.
-func (c *Controller) shareLoad() (demand, capacity []float64) {
+// shardLoad compares each share's work with its machines, in CPUs.
+func (c *Controller) shardLoad() (demand, capacity []float64) {
 	now := time.Now()
-	demand = make([]float64, c.cache.NShares)
-	capacity = make([]float64, c.cache.NShares)
+	demand = make([]float64, c.cache.NumShards)
+	capacity = make([]float64, c.cache.NumShards)
 	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() && !c.idle(j, now) {
-			demand[j.Share] += float64(c.wanting(j)+j.NPlaced) * j.Size
+			demand[j.Shard] += float64(c.wanting(j)+j.NPlaced) * j.Size
 		}
 	}
 	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing {
-			capacity[m.Share] += c.cache.Types[m.Type].Cpus
+			capacity[m.Shard] += c.cache.Types[m.Type].Cpus
 		}
 	}
 	return demand, capacity
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -48,7 +48,7 @@
 			for share, n := range x.machines {
 				for range n {
 					rack := len(f.Machines)
-					put(storage.RackKey(rack), storage.RackRecord{Share: share})
+					put(storage.RackKey(rack), storage.RackRecord{Shard: share})
 					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
 				}
 			}
@@ -73,7 +73,7 @@
 	}
 	n := 0
 	for k := range mv.gone {
-		n += 2*k.Share - 1 // from the second share to the first
+		n += 2*k.Shard - 1 // from the second share to the first
 	}
 	return n
 }
@@ -114,7 +114,7 @@
 			for rack, zone := range cfg.Deployment.Zones {
 				name := "m" + zone
 				put(storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Rack: rack}}})
-				r := storage.RackRecord{Share: 1 - rack, Machines: []storage.RackMachine{{Name: name, Session: 1}}}
+				r := storage.RackRecord{Shard: 1 - rack, Machines: []storage.RackMachine{{Name: name, Session: 1}}}
 				if rack == 0 {
 					r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0}}}
 				}
@@ -181,7 +181,7 @@
 					placed.Numbers = append(placed.Numbers, task, 1, 0, 0)
 					task++
 				}
-				put(storage.RackKey(rack), storage.RackRecord{Share: share, Machines: []storage.RackMachine{
+				put(storage.RackKey(rack), storage.RackRecord{Shard: share, Machines: []storage.RackMachine{
 					{Name: fmt.Sprint("m", rack), Session: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
 			mv := mover{c: c, gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
@@ -296,7 +296,7 @@
 			}
 			put(storage.FleetKey("m0"), f)
 			for rack := range 8 {
-				r := storage.RackRecord{Share: rack / 4}
+				r := storage.RackRecord{Shard: rack / 4}
 				if rack/4 == 1 && x.placed > 0 {
 					n := uint64(2 * (rack - 4))
 					r.Machines = append(r.Machines, storage.RackMachine{Name: fmt.Sprint("m", rack), Session: 1,
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -20,7 +20,7 @@
 	quiet := seconds(1.25*w.ReportS + 0.6)
 	silent, mute, total := 0, 0, 0
 	for _, m := range c.cache.Machines {
-		if m.Gone || !c.owns(m.Share) {
+		if m.Gone || !c.ownsShard(m.Shard) {
 			continue
 		}
 		v := c.view(m)
@@ -43,7 +43,7 @@
 	names := lost
 	lastUp := c.lastUp()
 	for _, m := range c.cache.Machines {
-		if m.Gone || !c.owns(m.Share) {
+		if m.Gone || !c.ownsShard(m.Shard) {
 			continue
 		}
 		v := c.view(m)
@@ -254,7 +254,7 @@
 		switch {
 		case m.Gone || !e.differs(m):
 			delete(c.edits, i)
-		case c.owns(m.Share): // goes with the next transaction
+		case c.ownsShard(m.Shard): // goes with the next transaction
 		case !c.leads():
 			delete(c.edits, i)
 		default:
@@ -324,7 +324,7 @@
 			now := time.Now()
 			for _, n := range names {
 				m := c.cache.Machine(n)
-				if m == nil || !c.owns(m.Share) {
+				if m == nil || !c.ownsShard(m.Shard) {
 					continue
 				}
 				v := c.view(m)
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -115,7 +115,7 @@
 	}, protocol.Urgent, func(ok bool) {
 		c.leaderBusy = false
 		if c.noteLead(); ok {
-			c.assignShares(ctx)
+			c.assignShards(ctx)
 		}
 	})
 }
@@ -164,9 +164,9 @@
 	}
 }
 
-// assignShares is the leader's loop over who owns which share.
-func (c *Controller) assignShares(ctx context.Context) {
-	if !c.leads() || c.shareBusy {
+// assignShards is the leader's loop over who owns which share.
+func (c *Controller) assignShards(ctx context.Context) {
+	if !c.leads() || c.shardWriteInFlight {
 		return
 	}
 	var nodes, all []membership.Node
@@ -187,23 +187,23 @@
 		c.lead.nodesSum = newest
 		c.nodesAt = now
 	}
-	owners := make([]membership.Owner, c.cache.NShares)
-	for i, s := range c.cache.Shares {
+	owners := make([]membership.Owner, c.cache.NumShards)
+	for i, s := range c.cache.Shards {
 		owners[i] = membership.Owner{Name: s.Node, Incarnation: s.Incarnation}
 	}
 	settled := now.Sub(c.nodesAt) > balanceAfter
 	want := membership.Assign(owners, nodes, func(s int) bool {
-		age := now.Sub(c.hands[s].at)
-		return settled || age > firstAnswers && age < firstAnswers+justTaken
+		age := now.Sub(c.ownershipHistory[s].changedAt)
+		return settled || age > firstHeartbeats && age < firstHeartbeats+takeoverGrace
 	})
 	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	for i := range want {
 		if want[i] == owners[i] || want[i].Name == "" {
 			continue
 		}
-		t.If = append(t.If, protocol.Condition{Key: storage.ShareKey(i), Version: c.cache.Shares[i].Version})
-		t.Then = append(t.Then, protocol.Change{Put: storage.ShareKey(i), Value: storage.Encode(
-			storage.ShareRecord{Node: want[i].Name, Incarnation: want[i].Incarnation, Token: c.fresh()})})
+		t.If = append(t.If, protocol.Condition{Key: storage.ShardKey(i), Version: c.cache.Shards[i].Version})
+		t.Then = append(t.Then, protocol.Change{Put: storage.ShardKey(i), Value: storage.Encode(
+			storage.ShardRecord{Node: want[i].Name, Incarnation: want[i].Incarnation, Token: c.fresh()})})
 		c.log.Info("share goes to", "share", i, "node", want[i].Name, "from", owners[i].Name)
 		if len(t.Then) >= c.limits().TxnOps {
 			break
@@ -212,45 +212,45 @@
 	if len(t.Then) == 0 {
 		return
 	}
-	c.shareBusy = true
-	c.commitAside(ctx, t, protocol.Urgent, func(bool) { c.shareBusy = false })
+	c.shardWriteInFlight = true
+	c.commitAside(ctx, t, protocol.Urgent, func(bool) { c.shardWriteInFlight = false })
 }
 
 // balanceAfter is how long membership must have been quiet before shares move
 // to even out the nodes' load: a move costs a short pause of its workers.
 const balanceAfter = 8 * time.Second
 
-// firstAnswers is how long a new owner is left to answer its workers once before a share is
+// firstHeartbeats is how long a new owner is left to answer its workers once before a share is
 // passed on: after an end of all nodes their leases are about to run out, and each change of
 // hands costs them up to half a second and a report. On 183 machines with leases of 10 s 825
 // tasks were killed by them where shares were passed on at once.
-const firstAnswers = 2 * time.Second
+const firstHeartbeats = 2 * time.Second
 
-// justTaken is how long after that a share has changed hands it may be passed on to a node that
+// takeoverGrace is how long after that a share has changed hands it may be passed on to a node that
 // has come up since: its new owner knows little yet, and its workers look for it anyway. After
 // an end of all nodes the first one that was back owned 1235 machines for ten seconds,
 // with all of its processor time, while four others had nothing to do.
-const justTaken = 3 * time.Second
+const takeoverGrace = 3 * time.Second
 
-// hand is what this node has seen of a share's owners.
-type hand struct {
-	version uint64    // of its record when last looked at
-	at      time.Time // when it last changed hands
+// shardOwnership is what this node has seen of a share's owners.
+type shardOwnership struct {
+	version   uint64    // of its record when last looked at
+	changedAt time.Time // when it last changed hands
 }
 
-// noteHands notes when shares change hands. What was read at the start is as old as it likes.
-func (c *Controller) noteHands(now time.Time) {
-	for i := range c.cache.Shares {
-		s, h := &c.cache.Shares[i], &c.hands[i]
+// recordOwnershipChanges notes when shares change hands. What was read at the start is as old as it likes.
+func (c *Controller) recordOwnershipChanges(now time.Time) {
+	for i := range c.cache.Shards {
+		s, h := &c.cache.Shards[i], &c.ownershipHistory[i]
 		if s.Version == h.version {
 			continue
 		}
-		if c.handsRead {
-			h.at = now
+		if c.ownershipLoaded {
+			h.changedAt = now
 		}
 		h.version = s.Version
 	}
-	c.handsRead = true
+	c.ownershipLoaded = true
 }
 
 // othersFit tells whether another living node could do this node's work.
@@ -286,14 +286,14 @@
 	}
 	machines := 0
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing && m.Session > 0 && c.owns(m.Share) {
+		if !m.Gone && !m.Closing && m.Session > 0 && c.ownsShard(m.Shard) {
 			machines++
 		}
 	}
 	if machines >= manyMachines {
 		quiet = max(seconds(1.25*report+1), 2500*time.Millisecond)
 	}
-	if machines >= 2 && c.silentFor(c.heardAny, now) > quiet && now.Sub(c.ownSince) > quiet && c.othersFit() {
+	if machines >= 2 && c.silentFor(c.heardAny, now) > quiet && now.Sub(c.ownershipSince) > quiet && c.othersFit() {
 		c.log.Info("no worker is heard, giving up shares", "machines", machines)
 		c.setUnfit(ctx, true)
 	}
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -132,12 +132,12 @@
 	if !t.at.IsZero() {
 		machines, jobs := 0, 0
 		for _, m := range c.cache.Machines {
-			if !m.Gone && c.owns(m.Share) {
+			if !m.Gone && c.ownsShard(m.Shard) {
 				machines++
 			}
 		}
 		for _, j := range c.cache.Jobs {
-			if j != nil && j.Open() && c.owns(j.Share) {
+			if j != nil && j.Open() && c.ownsShard(j.Shard) {
 				jobs++
 			}
 		}
@@ -167,7 +167,7 @@
 	descMemory   = desc("memory_bytes", "Memory obtained from the system.")
 	descLeader   = desc("leader", "1 on the leading node.")
 	descRevision = desc("revision", "Revision of the state service that this node has seen.")
-	descShares   = desc("shares_owned", "Shares that this node owns.")
+	descShards   = desc("shares_owned", "Shares that this node owns.")
 	descReach    = desc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
 	descAwaiting = desc("awaiting_jobs", "Open jobs that wait for other jobs.")
 	descDoomed   = desc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
@@ -179,7 +179,7 @@
 )
 
 func (g gauges) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descRate, descMemory, descLeader, descRevision, descShares, descReach, descSuspect,
+	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descRate, descMemory, descLeader, descRevision, descShards, descReach, descSuspect,
 		descAwaiting, descDoomed, descLayout, descLargest, descFlood, descUsual} {
 		ch <- d
 	}
@@ -256,8 +256,8 @@
 		for _, k := range c.cache.Racks {
 			largest = max(largest, float64(k.Size))
 		}
-		for s := range c.owned {
-			if c.owned[s] > 0 {
+		for s := range c.ownedShards {
+			if c.ownedShards[s] > 0 {
 				shares++
 			}
 		}
@@ -286,7 +286,7 @@
 	gauge(descMemory, float64(ms.Sys))
 	gauge(descLeader, leader)
 	gauge(descRevision, revision)
-	gauge(descShares, shares)
+	gauge(descShards, shares)
 	for n, v := range reach {
 		gauge(descReach, v, n)
 	}
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -17,7 +17,7 @@
 // owner, and its record moves whole. What may only run on ordinary machines is looked at
 // first and on its own: free spot machines are of no use to it.
 func (c *Controller) moveRoom(ctx context.Context, now time.Time) {
-	if c.lead.moving || c.cache.NShares < 2 {
+	if c.lead.moving || c.cache.NumShards < 2 {
 		return
 	}
 	mv := mover{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
@@ -62,22 +62,22 @@
 	free, capacity float64
 }
 
-// shareSums is a share's work and machines, in CPUs.
-type shareSums struct {
+// shardSums is a share's work and machines, in CPUs.
+type shardSums struct {
 	waiting, top, demand, free, capacity float64
 	firm, firmWaits                      float64 // the demand of other than idle-time work, and what of it waits
 	claim                                float64 // what its teams' work within their guarantees takes
 	roomy                                []*rackSums
-	racks                                int // that have machines of the kind looked at
+	groupCount                           int // that have machines of the kind looked at
 }
 
 // short tells whether a share has less than its teams' work within their guarantees takes.
-func (s *shareSums) short() bool { return s.capacity < s.claim }
+func (s *shardSums) short() bool { return s.capacity < s.claim }
 
 // claims works out what the shares' teams may claim by their guarantees. Without
 // it the share with the most work for its machines took machines from one whose
 // teams had less than they are guaranteed.
-func (mv *mover) claims(sums []shareSums) {
+func (mv *mover) claims(sums []shardSums) {
 	c := mv.c
 	demand := make([]float64, len(c.cache.Teams))
 	for _, j := range c.cache.Jobs {
@@ -86,17 +86,17 @@
 		}
 	}
 	for t, team := range c.cache.Teams {
-		sums[c.cache.ShareOf(t)].claim += min(team.Cpus, claimMargin*demand[t])
+		sums[c.cache.ShardOf(t)].claim += min(team.Cpus, claimMargin*demand[t])
 	}
 }
 
 // floors raises the shares' claims to what their lanes have before others in a flood. Without
 // it the share with the flood drew the machines of all others, until those were as late.
-func (mv *mover) floors(sums []shareSums, f flooding) {
+func (mv *mover) floors(sums []shardSums, f flooding) {
 	more, all, left := make([]float64, len(sums)), 0.0, 0.0
 	for x := range mv.c.cache.Usual.Cpus {
 		if l := f.lanes.At(x); l != nil {
-			more[mv.c.cache.ShareOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
+			more[mv.c.cache.ShardOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
 		}
 	}
 	for i := range sums {
@@ -137,7 +137,7 @@
 const claimMargin = 1.4
 
 // load is how much work there is for each CPU.
-func (s *shareSums) load(change float64) float64 { return s.demand / max(1, s.capacity+change) }
+func (s *shardSums) load(change float64) float64 { return s.demand / max(1, s.capacity+change) }
 
 // pass moves machines one by one from the least to the most loaded share, as long
 // as the latter's work waits and the former stays the less loaded one. Idle-time work
@@ -148,12 +148,12 @@
 	ordinary := kind == ordinaryWork
 	idle := map[*storage.Job]bool{}
 	may := c.underLimits() // what is over a team's limit waits for that, not for room
-	sums := make([]shareSums, c.cache.NShares)
+	sums := make([]shardSums, c.cache.NumShards)
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() || (ordinary && j.Spot) {
 			continue
 		}
-		s, waits := &sums[j.Share], may.start(j)
+		s, waits := &sums[j.Shard], may.start(j)
 		if c.idle(j, now) {
 			if kind != idleWork {
 				idle[j] = true
@@ -181,7 +181,7 @@
 		if k.Version == 0 || mv.gone[k] {
 			continue
 		}
-		s := &sums[k.Share]
+		s := &sums[k.Shard]
 		r := &rackSums{rack: k}
 		stays := now.Sub(c.lead.moved[k.ID]) <= moveAgain
 		for _, m := range k.Machines {
@@ -204,7 +204,7 @@
 		s.capacity += r.capacity
 		s.free += r.free
 		if r.capacity > 0 {
-			s.racks++
+			s.groupCount++
 		}
 		if r.capacity > 0 && !stays {
 			s.roomy = append(s.roomy, r)
@@ -215,7 +215,7 @@
 			return cmp.Or(cmp.Compare(b.free, a.free), cmp.Compare(a.rack.ID, b.rack.ID))
 		})
 	}
-	if kind == idleWork && slices.ContainsFunc(sums, func(s shareSums) bool { return s.firmWaits > s.free }) {
+	if kind == idleWork && slices.ContainsFunc(sums, func(s shardSums) bool { return s.firmWaits > s.free }) {
 		return
 	}
 	if kind == allWork {
@@ -266,7 +266,7 @@
 		beside[to] = false
 		r := sums[from].roomy[k]
 		sums[from].roomy = slices.Delete(sums[from].roomy, k, k+1)
-		sums[from].racks--
+		sums[from].groupCount--
 		sums[from].capacity -= r.capacity
 		sums[from].free -= r.free
 		sums[to].capacity += r.capacity
@@ -276,7 +276,7 @@
 }
 
 // evens finds the first rack of a share whose move brings its load and another's nearer, -1 if there is none.
-func (mv *mover) evens(sums []shareSums, from, to int, kind workKind) int {
+func (mv *mover) evens(sums []shardSums, from, to int, kind workKind) int {
 	return slices.IndexFunc(sums[from].roomy, func(r *rackSums) bool {
 		if sums[from].capacity-r.capacity < sums[from].claim {
 			return false // it would lack what its own teams are guaranteed
@@ -292,7 +292,7 @@
 // that has no rack, or would have none: what runs goes along. Where nothing waits, free room beside it is of use
 // elsewhere: by the sums there was room for all, nothing was rented, and a job waited for ever. So does what
 // waits at a share whose machines are full of work without an end, after a while.
-func (mv *mover) lends(sums []shareSums, to int, now time.Time) (from, k int) {
+func (mv *mover) lends(sums []shardSums, to int, now time.Time) (from, k int) {
 	mv.stuck[to] = true
 	since, ok := mv.c.lead.stuck[to]
 	if !ok {
@@ -304,7 +304,7 @@
 	for _, waits := range []bool{false, true} {
 		for i := range sums {
 			s := &sums[i]
-			if i == to || s.waiting > 0 != waits || !patient && (waits || s.racks > 1 && sums[to].capacity > 0) {
+			if i == to || s.waiting > 0 != waits || !patient && (waits || s.groupCount > 1 && sums[to].capacity > 0) {
 				continue
 			}
 			if k := slices.IndexFunc(s.roomy, func(r *rackSums) bool {
@@ -321,13 +321,13 @@
 func (mv *mover) waitsBeside(share int, idle map[*storage.Job]bool, now time.Time) bool {
 	c, looked := mv.c, 0
 	for _, j := range c.cache.Jobs {
-		if j == nil || j.Share != share || idle[j] || now.Sub(j.At) < besideFor || !c.mayStart(j, now) {
+		if j == nil || j.Shard != share || idle[j] || now.Sub(j.At) < besideFor || !c.mayStart(j, now) {
 			continue
 		}
 		if looked++; looked > besideJobs {
 			return false // the sums tell enough of so many
 		}
-		if !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return m.Share == share && mv.fitsOn(j, m) }) {
+		if !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return m.Shard == share && mv.fitsOn(j, m) }) {
 			return true
 		}
 	}
@@ -431,7 +431,7 @@
 
 func (mv *mover) move(k *storage.Rack, to int) {
 	r := mv.c.cache.RackRecordOf(k, k.Kept(), nil)
-	r.Share, r.Token = to, mv.c.fresh()
+	r.Shard, r.Token = to, mv.c.fresh()
 	key := storage.RackKey(k.ID)
 	mv.gone[k] = true
 	raw := storage.EncodeRack(r, mv.c.cache.Packed())
@@ -441,14 +441,14 @@
 	mv.c.lead.moved[k.ID] = time.Now()
 	mv.txn.If = append(mv.txn.If, protocol.Condition{Key: key, Version: k.Version})
 	mv.txn.Then = append(mv.txn.Then, protocol.Change{Put: key, Value: raw})
-	mv.c.log.Debug("rack moves", "rack", k.ID, "machines", len(k.Machines), "from", k.Share, "to", to)
+	mv.c.log.Debug("rack moves", "rack", k.ID, "machines", len(k.Machines), "from", k.Shard, "to", to)
 }
 
 // fitsNow tells whether a waiting task of a share fits beside what runs on one of a rack's machines.
 func (mv *mover) fitsNow(share int, k *storage.Rack) bool {
 	now := time.Now()
 	return slices.ContainsFunc(mv.c.cache.Jobs, func(j *storage.Job) bool {
-		return j != nil && j.Share == share && mv.c.mayStart(j, now) &&
+		return j != nil && j.Shard == share && mv.c.mayStart(j, now) &&
 			slices.ContainsFunc(k.Machines, func(m *storage.Machine) bool { return mv.fitsOn(j, m) })
 	})
 }
@@ -456,7 +456,7 @@
 // someoneFits tells whether a share has waiting work that a rack's machines could run.
 func (c *Controller) someoneFits(share int, k *storage.Rack) bool {
 	for _, j := range c.cache.Jobs {
-		if j == nil || !j.Open() || j.Share != share || c.wanting(j) == 0 {
+		if j == nil || !j.Open() || j.Shard != share || c.wanting(j) == 0 {
 			continue
 		}
 		for _, m := range k.Machines {
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -56,7 +56,7 @@
 func (c *Controller) moveReplicas(now time.Time) {
 	var free map[int32]storage.Usage
 	for _, m := range c.cache.Machines {
-		if m.Gone || !m.Drains || m.Closing || !c.owns(m.Share) {
+		if m.Gone || !m.Drains || m.Closing || !c.ownsShard(m.Shard) {
 			continue
 		}
 		for _, p := range m.Tasks {
@@ -90,7 +90,7 @@
 	free := map[int32]storage.Usage{}
 	held := c.heldRoom()
 	for _, m := range c.cache.Machines {
-		if m.Gone || !c.owns(m.Share) || len(held[m.Name]) > 0 || !c.usable(m, c.view(m), now) {
+		if m.Gone || !c.ownsShard(m.Shard) || len(held[m.Name]) > 0 || !c.usable(m, c.view(m), now) {
 			continue
 		}
 		free[m.Index] = c.restOf(m)
--- a/internal/coordination/others.go
+++ b/internal/coordination/others.go
@@ -24,7 +24,7 @@
 // end of all nodes workers were sent on to dead owners, and a round of the others later their
 // leases had run out.
 func (c *Controller) standsIn(m *storage.Machine, now time.Time) bool {
-	s := &c.cache.Shares[m.Share]
+	s := &c.cache.Shards[m.Shard]
 	if s.Node == "" || m.Closing || !c.knows(now) {
 		return false
 	}
--- a/internal/coordination/others_test.go
+++ b/internal/coordination/others_test.go
@@ -87,7 +87,7 @@
 	} {
 		c := newCore(t) // lease 10 s, cancellations 30 s
 		now := time.Now()
-		c.cache.Shares[0].Node, c.cache.Shares[0].Incarnation = "n1", 3
+		c.cache.Shards[0].Node, c.cache.Shards[0].Incarnation = "n1", 3
 		if x.member > 0 {
 			c.cache.Nodes["n1"] = &storage.Node{NodeRecord: storage.NodeRecord{Incarnation: x.member}, Version: 1}
 		}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -21,7 +21,7 @@
 // outline is what other goroutines may read without asking the core.
 type outline struct {
 	pulse       atomic.Pointer[protocol.Pulse]
-	needs       atomic.Pointer[[]protocol.ShareNeed]
+	needs       atomic.Pointer[[]protocol.ShardDemand]
 	incarnation atomic.Uint64
 	word        atomic.Pointer[protocol.Word]
 	readers     atomic.Pointer[map[string]uint64] // how far the caches of those are that read words
@@ -30,19 +30,19 @@
 func (c *Controller) publish(now time.Time) {
 	p := protocol.Pulse{StateOK: !c.alone(now) && c.badSince.IsZero() && now.Sub(c.goodAt) < 3*time.Second, Revision: c.cache.Revision,
 		Changes: uint32(1000 * c.pace)}
-	for s := range c.owned {
-		if c.owned[s] > 0 && s < 64 {
-			p.Owned |= 1 << s
+	for s := range c.ownedShards {
+		if c.ownedShards[s] > 0 && s < 64 {
+			p.OwnedShards |= 1 << s
 		}
 	}
 	c.outline.pulse.Store(&p)
 	c.outline.word.Store(c.word(now))
 	c.outline.readers.Store(c.readers())
 	c.outline.incarnation.Store(c.incarnation)
-	var needs []protocol.ShareNeed
+	var needs []protocol.ShardDemand
 	for j, jv := range c.jobs {
 		if j.Open() && j.Priority.Top() && !jv.asked.IsZero() && c.wanting(j) > 0 && len(needs) < 16 {
-			needs = append(needs, protocol.ShareNeed{Share: uint32(j.Share), Ordinary: !j.Spot, Cpus: float64(c.wanting(j)) * j.Size})
+			needs = append(needs, protocol.ShardDemand{Shard: uint32(j.Shard), OnDemand: !j.Spot, Cpus: float64(c.wanting(j)) * j.Size})
 		}
 	}
 	c.outline.needs.Store(&needs)
@@ -73,8 +73,8 @@
 	return protocol.Pulse{}
 }
 
-// Needs is what this node's top-priority work lacks.
-func (c *Controller) Needs() []protocol.ShareNeed {
+// ShardDemands is what this node's top-priority work lacks.
+func (c *Controller) ShardDemands() []protocol.ShardDemand {
 	if n := c.outline.needs.Load(); n != nil {
 		return *n
 	}
@@ -99,8 +99,8 @@
 	})
 }
 
-// HearNeed makes a leader look at once for machines that can move.
-func (c *Controller) HearNeed(string, protocol.Need) {
+// ReceiveShardDemands makes a leader look at once for machines that can move.
+func (c *Controller) ReceiveShardDemands(string, protocol.ShardDemands) {
 	c.post(func() {
 		if now := time.Now(); c.loaded && c.leads() && now.Sub(c.lead.movedAt) >= c.times.MoveEvery/2 {
 			c.moveRoom(context.Background(), now)
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -93,7 +93,7 @@
 		if n <= 0 || d.used >= d.ops {
 			return
 		}
-		if _, ok := d.puts[storage.JobKey(j.ID)]; ok || !shares[j.Share] {
+		if _, ok := d.puts[storage.JobKey(j.ID)]; ok || !shares[j.Shard] {
 			continue
 		}
 		c.putJob(d, j, protocol.Cancelled)
@@ -115,8 +115,8 @@
 		leave: map[*storage.Fleet]map[*storage.Machine]bool{}}
 	c.planned, c.finishing = 0, c.finishing[:0]
 	shares := map[int]bool{}
-	for s := range c.owned {
-		if c.owns(s) {
+	for s := range c.ownedShards {
+		if c.ownsShard(s) {
 			shares[s] = true
 		}
 	}
@@ -131,14 +131,14 @@
 	}
 	// Jobs whose last task another owner recorded come first.
 	for _, j := range c.cache.Jobs {
-		if j != nil && shares[j.Share] && c.complete(j, j.NDone) && d.used < max(1, ops/2) {
+		if j != nil && shares[j.Shard] && c.complete(j, j.NDone) && d.used < max(1, ops/2) {
 			c.finish(d, j)
 		}
 	}
 	c.planLimits(now, d)
 	c.planEnds(d, shares)
 	for j, pr := range d.done {
-		if shares[j.Share] && c.complete(j, pr.n) {
+		if shares[j.Shard] && c.complete(j, pr.n) {
 			if d.used < ops {
 				c.finish(d, j)
 			} else {
@@ -172,7 +172,7 @@
 	c.planEvictions(now, d.batch, in, res, ops-d.used, d.left)
 	if len(d.puts) > 0 {
 		for s := range shares {
-			d.when(storage.ShareKey(s), c.cache.Shares[s].Version)
+			d.when(storage.ShardKey(s), c.cache.Shards[s].Version)
 		}
 	}
 	return d.batch, d.more
@@ -196,7 +196,7 @@
 	first := c.rackFrom // not always the same racks when there is no room for all
 	for i := range racks {
 		k := racks[(first+i)%len(racks)]
-		if k.Version == 0 || !shares[k.Share] {
+		if k.Version == 0 || !shares[k.Shard] {
 			continue
 		}
 		for _, m := range k.Machines {
@@ -396,16 +396,16 @@
 	sc := &c.scratch
 	sc.begin(c.cache.MachineCount(), len(c.cache.Racks), len(c.cache.Jobs))
 	in.Jobs, in.Scratch = sc.jobs, &sc.place
-	clear(c.waiting)
+	clear(c.waitingByShard)
 	c.idleRuns = false
 	for _, j := range c.cache.Jobs {
 		if j == nil {
 			continue
 		}
 		c.idleRuns = c.idleRuns || j.NPlaced > 0 && c.idle(j, now)
-		if shares[j.Share] && j.Open() && j.Ready() {
+		if shares[j.Shard] && j.Open() && j.Ready() {
 			in.Jobs = append(in.Jobs, j)
-			c.waiting[j.Share] += c.wanting(j)
+			c.waitingByShard[j.Shard] += c.wanting(j)
 			if !j.Spot {
 				c.ordinaryAt = now
 			}
@@ -420,7 +420,7 @@
 	}
 	held := c.heldRoom()
 	for _, k := range c.cache.Racks {
-		if k.Version == 0 || !shares[k.Share] {
+		if k.Version == 0 || !shares[k.Shard] {
 			continue
 		}
 		rec := sc.record(schedule.Record{Touched: d.racks[k] != nil, Room: c.recordRoom(k)})
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -192,26 +192,26 @@
 		c.leadVersion, c.leadAt = v, now
 	}
 	c.noteLead()
-	c.noteHands(now)
+	c.recordOwnershipChanges(now)
 	c.takeSettings()
 	c.lower(nil)
 	c.noteEvictions()
 	c.inherit()
 	machines, jobs := c.cache.Changed()
-	for s := range c.owned {
+	for s := range c.ownedShards {
 		v := uint64(0)
-		if c.owns(s) {
-			v = c.cache.Shares[s].Version
+		if c.ownsShard(s) {
+			v = c.cache.Shards[s].Version
 		}
-		if v != c.owned[s] {
-			c.owned[s] = v
-			c.log.Info("share changed hands", "share", s, "owner", c.cache.Shares[s].Node, "own", v > 0)
-			c.takeOver(s, v > 0, now)
+		if v != c.ownedShards[s] {
+			c.ownedShards[s] = v
+			c.log.Info("share changed hands", "share", s, "owner", c.cache.Shards[s].Node, "own", v > 0)
+			c.takeOverShard(s, v > 0, now)
 		}
 	}
 	for _, m := range machines {
 		c.settleView(m)
-		if !m.Gone && m.Session > 0 && c.owns(m.Share) && c.views[m.Index] == nil {
+		if !m.Gone && m.Session > 0 && c.ownsShard(m.Shard) && c.views[m.Index] == nil {
 			c.view(m) // a new owner shows itself; the reply tells what is on the machine
 			c.toGreet = append(c.toGreet, m)
 		}
@@ -224,10 +224,10 @@
 	c.kick()
 }
 
-// takeOver begins or ends this node's ownership of a share.
-func (c *Controller) takeOver(share int, own bool, now time.Time) {
+// takeOverShard begins or ends this node's ownership of a share.
+func (c *Controller) takeOverShard(share int, own bool, now time.Time) {
 	for _, m := range c.cache.Machines {
-		if m.Share == share {
+		if m.Shard == share {
 			delete(c.views, m.Index) // what an earlier ownership knew is stale
 		}
 	}
@@ -235,14 +235,14 @@
 		return
 	}
 	c.metrics.takeovers.Inc()
-	c.ownSince, c.placedSince = now, false
+	c.ownershipSince, c.placedSinceTakeover = now, false
 	for _, m := range c.cache.Machines {
-		if m.Share != share || m.Gone {
+		if m.Shard != share || m.Gone {
 			continue
 		}
 		mv := c.view(m)
 		mv.since = now
-		if max(m.Token, m.Rack.Token) >= c.cache.Shares[share].Token {
+		if max(m.Token, m.Rack.Token) >= c.cache.Shards[share].Token {
 			// raised by the former owner while the share changed
 			// hands: only a higher one proves what it sent is dead
 			mv.Uncertain = max(m.Token, m.Rack.Token)
@@ -259,7 +259,7 @@
 	if v == nil {
 		return
 	}
-	if m.Gone || !c.owns(m.Share) {
+	if m.Gone || !c.ownsShard(m.Shard) {
 		delete(c.views, m.Index)
 		return
 	}
--- a/internal/coordination/schedule/order.go
+++ b/internal/coordination/schedule/order.go
@@ -16,9 +16,9 @@
 const smallFirst = 6
 
 const (
-	// lateShare is the part of a lane's room that jobs which have waited far too long may
+	// lateFraction is the part of a lane's room that jobs which have waited far too long may
 	// take before those that can still be in time.
-	lateShare = 0.25
+	lateFraction = 0.25
 	// finishGap is how much later than its work says a job is done: fetch, reports, records.
 	finishGap = 5 * time.Second
 	// finishMargin is by how much estimates are taken to be too low.
@@ -112,7 +112,7 @@
 	}
 	// What has waited far too long has its turn too, the oldest first, in a part of the room.
 	var old []*cursor
-	left := lateShare*room - l.Late
+	left := lateFraction*room - l.Late
 	for _, c := range q.jobs {
 		if c.urgency == behind && left > 0 && in.Overdue(c.job) {
 			old = append(old, c)
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -23,7 +23,7 @@
 	c.cache.Nodes["n0"] = &storage.Node{Version: 1}
 	start := time.Now()
 	woke := start.Add(9 * time.Second)
-	c.renewed, c.goodAt, c.ownSince = start, start, start.Add(-time.Minute)
+	c.renewed, c.goodAt, c.ownershipSince = start, start, start.Add(-time.Minute)
 	c.lostPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
 	v.heard, v.since, c.heardAny = start, start.Add(-time.Minute), start
 	look := func(now time.Time) (silent, lost, alone bool) {
--- a/internal/coordination/stops.go
+++ b/internal/coordination/stops.go
@@ -72,7 +72,7 @@
 				continue
 			}
 			m := c.cache.Machines[i]
-			if v := c.views[i]; m.Gone || v != nil && c.owns(m.Share) && (v.returned || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.Attempt[t]})) {
+			if v := c.views[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.returned || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.Attempt[t]})) {
 				continue
 			}
 			if ages == nil {
@@ -107,7 +107,7 @@
 	began := 0
 	for _, i := range order {
 		m, s := c.cache.Machines[i], c.stopping[i]
-		own := c.owns(m.Share)
+		own := c.ownsShard(m.Shard)
 		if !own && !outage && ages[i] < ownersTime {
 			continue
 		}
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -68,7 +68,7 @@
 				c.view(m).Gone[dispatch.RefOf(m.Tasks[0])] = dispatch.Stopped
 			}
 			if x.is&others != 0 {
-				c.cache.Shares[0].Node = "n1"
+				c.cache.Shards[0].Node = "n1"
 			}
 			c.goodAt = now
 			if x.is&outage != 0 {
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -324,7 +324,7 @@
 // starts: at the peak those fill every transaction, and lowered limits waited for a minute.
 func (c *Controller) planLimits(now time.Time, d *draft) {
 	for team, entry := range c.cache.TeamEntries {
-		if entry.Was == nil || !c.owns(c.cache.ShareOf(team)) || d.used >= max(1, d.ops/limitsPart) {
+		if entry.Was == nil || !c.ownsShard(c.cache.ShardOf(team)) || d.used >= max(1, d.ops/limitsPart) {
 			continue
 		}
 		if isUnder(entry.TeamBounds, c.cache.Used[team]) {
@@ -351,7 +351,7 @@
 	if len(chosen) == 0 {
 		return
 	}
-	e := storage.EvictRecord{Share: c.cache.ShareOf(team), AtMs: now.UnixMilli()}
+	e := storage.EvictRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli()}
 	for _, x := range chosen {
 		for _, v := range x.Victims {
 			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID, Task: v.Task, Attempt: v.Attempt,
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -112,7 +112,7 @@
 			n.Alive, n.Unfit = true, r.Unfit
 		}
 		n.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Node == name
-		for i, s := range c.cache.Shares {
+		for i, s := range c.cache.Shards {
 			if s.Node == name {
 				n.Shares = append(n.Shares, uint32(i))
 			}
@@ -171,7 +171,7 @@
 func (c *Controller) jobRow(j *storage.Job) view.Job {
 	r := view.Job{ID: j.ID, Team: c.cache.Teams[j.Team].Name, Class: c.cache.Classes.Name(j.Class), Priority: j.Own,
 		Service: j.Shape == protocol.Service, Suspect: j.Suspect, Evicting: c.cache.Evicted[j.ID] != nil, Tasks: uint32(j.Tasks), Done: uint32(j.NDone),
-		Placed: uint32(j.NPlaced), Share: uint32(j.Share), Cpus: milli(j.Cpus), Gpus: milli(j.Gpus), Submit: j.Submitted.UnixMilli(),
+		Placed: uint32(j.NPlaced), Shard: uint32(j.Shard), Cpus: milli(j.Cpus), Gpus: milli(j.Gpus), Submit: j.Submitted.UnixMilli(),
 		From: j.At.UnixMilli(), Estimate: milli(j.Estimate), End: j.EndMs}
 	switch {
 	case j.Final == protocol.Done:
@@ -191,7 +191,7 @@
 
 func (c *Controller) machineRow(m *storage.Machine) view.Machine {
 	t := c.cache.Types[m.Type]
-	r := view.Machine{Name: m.Name, Type: c.cache.TypeIdx.Name(m.Type), Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Share: uint32(m.Share),
+	r := view.Machine{Name: m.Name, Type: c.cache.TypeIdx.Name(m.Type), Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Shard: uint32(m.Shard),
 		Tasks: uint32(len(m.Tasks)), Cpus: milli(t.Cpus), Gpus: milli(t.Gpus), Price: uint64(math.Round(1e6 * t.Price))}
 	if m.Spot {
 		r.Price = uint64(math.Round(1e6 * t.SpotPrice))
@@ -236,7 +236,7 @@
 		}
 		return
 	}
-	row := view.Eviction{Job: id, Team: c.teamOf(id), At: e.AtMs, Share: uint32(e.Share), Open: true, Victims: []view.Victim{}}
+	row := view.Eviction{Job: id, Team: c.teamOf(id), At: e.AtMs, Shard: uint32(e.Shard), Open: true, Victims: []view.Victim{}}
 	if had && old.Open && old.At == row.At {
 		row.Key = old.Key
 	}
@@ -265,7 +265,7 @@
 			if j == nil || scope != view.Operators && c.cache.Teams[j.Team].Name != string(scope) {
 				continue
 			}
-			out = append(out, view.Reason{Job: id, Why: c.whyWaits(j, kinds), Node: c.cfg.NodeName, Owner: c.owns(j.Share), At: time.Now().UnixMilli()})
+			out = append(out, view.Reason{Job: id, Why: c.whyWaits(j, kinds), Node: c.cfg.NodeName, Owner: c.ownsShard(j.Shard), At: time.Now().UnixMilli()})
 		}
 	})
 	return out, err
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -47,11 +47,11 @@
 		c.onStranger(ctx, r, reply)
 		return
 	}
-	if !c.owns(m.Share) {
+	if !c.ownsShard(m.Shard) {
 		if c.standsIn(m, time.Now()) && r.Token <= c.cache.Token(m) {
 			// The lease goes on, under the token of the records.
 			c.renew(m.Name, protocol.ReportAnswer{Token: c.cache.Token(m), Commands: c.stops(m)}, reply)
-		} else if s := &c.cache.Shares[m.Share]; s.Version > 0 && s.Node != c.cfg.NodeName {
+		} else if s := &c.cache.Shards[m.Shard]; s.Version > 0 && s.Node != c.cfg.NodeName {
 			reply(421, protocol.Redirect{Node: s.Node})
 		} else {
 			reply(503, notMine)
@@ -100,7 +100,7 @@
 	if len(v.Gone) > 0 {
 		return true
 	}
-	if c.waiting[m.Share] == 0 || !c.usable(m, v, v.heard) {
+	if c.waitingByShard[m.Shard] == 0 || !c.usable(m, v, v.heard) {
 		return false
 	}
 	free := c.cache.Types[m.Type].Cpus
@@ -167,7 +167,7 @@
 		return
 	}
 	for _, p := range m.Tasks {
-		if took := now.Unix() - p.At; dispatch.RefOf(p) == ref && now.Sub(c.ownSince) > seconds(float64(took)) {
+		if took := now.Unix() - p.At; dispatch.RefOf(p) == ref && now.Sub(c.ownershipSince) > seconds(float64(took)) {
 			c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", m.Name, "waited", p.Waited, "fetched", took,
 				"gb", ref.Job.ImageGB, "age", now.Sub(ref.Job.At).Round(100*time.Millisecond).Seconds())
 		}
@@ -254,8 +254,8 @@
 		h.reply(503, notMine)
 		return
 	}
-	if !c.owns(m.Share) {
-		h.reply(421, protocol.Redirect{Node: c.cache.Shares[m.Share].Node})
+	if !c.ownsShard(m.Shard) {
+		h.reply(421, protocol.Redirect{Node: c.cache.Shards[m.Shard].Node})
 		return
 	}
 	v := c.view(m)
@@ -341,7 +341,7 @@
 			c.directs--
 			v.Direct = false
 			c.greet()
-			if c.views[m.Index] != v || !c.owns(m.Share) || m.Gone {
+			if c.views[m.Index] != v || !c.ownsShard(m.Shard) || m.Gone {
 				return // this ownership has ended
 			}
 			if err != nil {
@@ -378,7 +378,7 @@
 	for len(c.toGreet) > 0 && c.directs < maxDirects {
 		m := c.toGreet[0]
 		c.toGreet = c.toGreet[1:]
-		if v := c.views[m.Index]; v != nil && v.Session == 0 && !m.Gone && c.owns(m.Share) {
+		if v := c.views[m.Index]; v != nil && v.Session == 0 && !m.Gone && c.ownsShard(m.Shard) {
 			c.direct(m, true)
 		}
 	}
@@ -398,7 +398,7 @@
 
 // nudgeStop sends stops of cancelled and evicted tasks without waiting for a report.
 func (c *Controller) nudgeStop(m *storage.Machine) {
-	if m.Gone || len(m.Tasks) == 0 || !c.owns(m.Share) {
+	if m.Gone || len(m.Tasks) == 0 || !c.ownsShard(m.Shard) {
 		return
 	}
 	v := c.view(m)
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -69,7 +69,7 @@
 	for name := range c.cache.Nodes {
 		c.living[name] = now
 	}
-	if !c.leads() && !slices.ContainsFunc(c.owned, func(v uint64) bool { return v > 0 }) {
+	if !c.leads() && !slices.ContainsFunc(c.ownedShards, func(v uint64) bool { return v > 0 }) {
 		for z := range c.zones {
 			c.zones[z] = zone{heard: now}
 		}
@@ -101,7 +101,7 @@
 			continue
 		}
 		quiet, misses := zoneQuiet(w), zoneMisses
-		if !c.owns(list[0].Share) {
+		if !c.ownsShard(list[0].Shard) {
 			quiet, misses = 2*quiet, 2*misses // nobody reports to this node
 		}
 		if !x.away && len(list) >= zoneMachines && heard && silent > quiet && x.misses >= misses {
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -12,20 +12,20 @@
 // format's version, the message's kind, a length of four bytes, and the payload.
 // All that goes over it is a hint; losing any of it costs only speed.
 const (
-	FrameMagic   = 0xD7
-	FrameVersion = 2
-	frameHeader  = 7
-	MaxFrame     = 4 << 10
-	maxPeerName  = 128
-	maxNeeds     = 64
+	FrameMagic      = 0xD7
+	FrameVersion    = 2
+	frameHeader     = 7
+	MaxFrame        = 4 << 10
+	maxPeerName     = 128
+	maxShardDemands = 64
 )
 
 // The kinds of peer message.
 const (
-	KindHello byte = 1 // who speaks
-	KindPulse byte = 2 // how the sender fares
-	KindNeed  byte = 3 // a share is short of room for top-priority work
-	KindWord  byte = 4 // what the sender knows to be cancelled; for nodes of FramesWord
+	KindHello        byte = 1 // who speaks
+	KindPulse        byte = 2 // how the sender fares
+	KindShardDemands byte = 3 // a share is short of room for top-priority work
+	KindWord         byte = 4 // what the sender knows to be cancelled; for nodes of FramesWord
 )
 
 // FramesWord is the level of frames from which on a node reads words. Its record says which
@@ -50,21 +50,21 @@
 
 // Pulse says how the sender fares.
 type Pulse struct {
-	StateOK  bool   // the state service served it within the last second or two
-	Revision uint64 // how far its cache is
-	Owned    uint64 // shares it owns, as bits
-	Changes  uint32 // changes in the state service that it makes, in thousandths a second
+	StateOK     bool   // the state service served it within the last second or two
+	Revision    uint64 // how far its cache is
+	OwnedShards uint64 // shares it owns, as bits
+	Changes     uint32 // changes in the state service that it makes, in thousandths a second
 }
 
-// Need asks the leader for machines for a share's top-priority work.
-type Need struct {
-	Shares []ShareNeed
+// ShardDemands asks the leader for machines for a share's top-priority work.
+type ShardDemands struct {
+	Shards []ShardDemand
 }
 
-// ShareNeed is what one share lacks.
-type ShareNeed struct {
-	Share    uint32
-	Ordinary bool
+// ShardDemand is what one share lacks.
+type ShardDemand struct {
+	Shard    uint32
+	OnDemand bool
 	Cpus     float64
 }
 
@@ -83,10 +83,10 @@
 	Job     string
 }
 
-func (Word) kind() byte  { return KindWord }
-func (Hello) kind() byte { return KindHello }
-func (Pulse) kind() byte { return KindPulse }
-func (Need) kind() byte  { return KindNeed }
+func (Word) kind() byte         { return KindWord }
+func (Hello) kind() byte        { return KindHello }
+func (Pulse) kind() byte        { return KindPulse }
+func (ShardDemands) kind() byte { return KindShardDemands }
 
 // ErrFrame says that what came is no valid frame; the connection must be closed.
 var ErrFrame = errors.New("malformed frame")
@@ -110,19 +110,19 @@
 		}
 		b = append(b, ok)
 		b = binary.BigEndian.AppendUint64(b, x.Revision)
-		b = binary.BigEndian.AppendUint64(b, x.Owned)
+		b = binary.BigEndian.AppendUint64(b, x.OwnedShards)
 		b = binary.BigEndian.AppendUint32(b, x.Changes)
-	case Need:
-		if len(x.Shares) > maxNeeds {
-			return b[:start], fmt.Errorf("%w: %d needs", ErrFrame, len(x.Shares))
+	case ShardDemands:
+		if len(x.Shards) > maxShardDemands {
+			return b[:start], fmt.Errorf("%w: %d needs", ErrFrame, len(x.Shards))
 		}
-		b = append(b, byte(len(x.Shares)))
-		for _, s := range x.Shares {
+		b = append(b, byte(len(x.Shards)))
+		for _, s := range x.Shards {
 			o := byte(0)
-			if s.Ordinary {
+			if s.OnDemand {
 				o = 1
 			}
-			b = binary.BigEndian.AppendUint32(b, s.Share)
+			b = binary.BigEndian.AppendUint32(b, s.Shard)
 			b = append(b, o)
 			b = binary.BigEndian.AppendUint64(b, math.Float64bits(s.Cpus))
 		}
@@ -212,20 +212,20 @@
 		name := string(c.take(n))
 		m = Hello{Node: name, Incarnation: c.u64()}
 	case KindPulse:
-		m = Pulse{StateOK: c.flag(), Revision: c.u64(), Owned: c.u64(), Changes: c.u32()}
-	case KindNeed:
+		m = Pulse{StateOK: c.flag(), Revision: c.u64(), OwnedShards: c.u64(), Changes: c.u32()}
+	case KindShardDemands:
 		n := int(c.u8())
-		if n > maxNeeds {
+		if n > maxShardDemands {
 			c.bad = true
 			n = 0
 		}
-		x := Need{}
+		x := ShardDemands{}
 		for range n {
-			s := ShareNeed{Share: c.u32(), Ordinary: c.flag(), Cpus: math.Float64frombits(c.u64())}
+			s := ShardDemand{Shard: c.u32(), OnDemand: c.flag(), Cpus: math.Float64frombits(c.u64())}
 			if math.IsNaN(s.Cpus) || math.IsInf(s.Cpus, 0) || s.Cpus < 0 {
 				c.bad = true
 			}
-			x.Shares = append(x.Shares, s)
+			x.Shards = append(x.Shards, s)
 		}
 		m = x
 	case KindWord:
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -103,7 +103,7 @@
 func TestFrames(t *testing.T) {
 	var all []byte
 	messages := []PeerMessage{Hello{"n-1", 77}, Pulse{true, 1 << 40, 5, 12500},
-		Need{[]ShareNeed{{2, true, 40.5}, {0, false, 1}}}, Need{}, Word{At: 1 << 41, Born: 5, From: 7, Ended: []Ended{{8, "job-000001"}}}, Word{}}
+		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{}, Word{At: 1 << 41, Born: 5, From: 7, Ended: []Ended{{8, "job-000001"}}}, Word{}}
 	for _, m := range messages {
 		var err error
 		if all, err = AppendFrame(all, m); err != nil {
@@ -138,7 +138,7 @@
 }
 
 func FuzzReadFrame(f *testing.F) {
-	for _, m := range []PeerMessage{Hello{"n", 1}, Pulse{true, 2, 3, 4}, Need{[]ShareNeed{{1, true, 2}}}, Word{3, 2, 1, []Ended{{4, "j"}}}} {
+	for _, m := range []PeerMessage{Hello{"n", 1}, Pulse{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}}, Word{3, 2, 1, []Ended{{4, "j"}}}} {
 		b, _ := AppendFrame(nil, m)
 		f.Add(b)
 	}
--- a/internal/simulator/apart_test.go
+++ b/internal/simulator/apart_test.go
@@ -84,7 +84,7 @@
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
 			if w.On(j) < j.Tasks {
-				shares, _ := w.Node(lead).Core.ShareViews(ctx)
+				shares, _ := w.Node(lead).Core.ShardViews(ctx)
 				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, w.Told(j), w.On(j), j.Tasks, shares)
 			}
 		}
--- a/internal/simulator/handover_test.go
+++ b/internal/simulator/handover_test.go
@@ -43,7 +43,7 @@
 
 // owners counts the nodes that own shares.
 func (w *World) owners(t *testing.T) int {
-	shares, err := w.Node(1).Core.ShareViews(w.ctx)
+	shares, err := w.Node(1).Core.ShardViews(w.ctx)
 	if err != nil {
 		t.Error(err)
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -411,7 +411,7 @@
 // Owner is the node that owns a share, -1 if nobody does.
 func (w *World) Owner(share int) int {
 	for i := range w.Cfg.Deployment.Nodes {
-		v, err := w.Node(i).Core.ShareViews(w.ctx)
+		v, err := w.Node(i).Core.ShardViews(w.ctx)
 		if err == nil && share < len(v) && v[share].Owner == w.Node(i).Name {
 			return i
 		}
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, j := range jobs {
 		if isOpen(j) {
-			shares, _ := w.Node(0).Core.ShareViews(w.ctx)
+			shares, _ := w.Node(0).Core.ShardViews(w.ctx)
 			t.Errorf("%s of %s is still %q after %v, %d tasks on machines; shares %+v", j.ID, j.Team, w.Told(j), time.Since(w.T0), w.On(j), shares)
 			for _, m := range w.Machines() {
 				t.Logf("%s in %s, spot %v: %d tasks", m.Name, m.Zone, m.Spot, len(m.tasks))
--- a/internal/storage/before_test.go
+++ b/internal/storage/before_test.go
@@ -72,7 +72,7 @@
 		Root + "rack/0":            EncodeRack(b.RackRecordOf(k, k.Ended, nil), b.Packed()),
 		Root + "fleet/host-000001": EncodeFleet(&rec, b.Packed()),
 		Root + "evict/job-000007":  EncodeEvict(&evicted, b.Packed()),
-		Root + "share/0":           Encode(b.Shares[0].ShareRecord),
+		Root + "share/0":           Encode(b.Shards[0].ShardRecord),
 		Root + "leader":            Encode(b.Leader.LeaderRecord),
 		Root + "node/n0":           Encode(b.Nodes["n0"].NodeRecord),
 	}
@@ -87,7 +87,7 @@
 	}
 	// Whatever else is written before the gate, that version knows every field of it.
 	j := b.Job("job-000007")
-	full := RackRecord{Share: 1, Token: 2, Machines: []RackMachine{{"h", 1, 2, "a", true, true, true, false,
+	full := RackRecord{Shard: 1, Token: 2, Machines: []RackMachine{{"h", 1, 2, "a", true, true, true, false,
 		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Ended: []EndedTasks{{"j", []int{1}}}}
 	strict := func(raw json.RawMessage, into any) {
 		t.Helper()
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -24,7 +24,7 @@
 	ID       string
 	Team     int
 	Class    int
-	Share    int
+	Shard    int
 	Shape    protocol.Shape
 	Priority protocol.Priority
 	Tasks    int
@@ -117,7 +117,7 @@
 	Index   int32
 	Name    string
 	Rack    *Rack
-	Share   int // its rack's
+	Shard   int // its rack's
 	Token   uint64
 	Session uint64
 	Addr    string
@@ -153,7 +153,7 @@
 // Rack is a group of machines whose records change together.
 type Rack struct {
 	ID       int
-	Share    int
+	Shard    int
 	Token    uint64
 	Version  uint64 // 0: no record
 	Size     int    // of its record, in bytes
@@ -178,9 +178,9 @@
 	return -1
 }
 
-// Share is a part of the machines and teams.
-type Share struct {
-	ShareRecord
+// Shard is a part of the machines and teams.
+type Shard struct {
+	ShardRecord
 	Version uint64
 }
 
@@ -228,24 +228,24 @@
 
 // Cache is the whole state as the state service has it, up to Revision.
 type Cache struct {
-	Teams    []config.Team
-	TeamIdx  *Names
-	Zones    *Names
-	TypeIdx  *Names
-	Images   *Names
-	Classes  *Names
-	Types    []Type // by type index; zero Cpus: unknown
-	NShares  int
-	Shares   []Share
-	Nodes    map[string]*Node
-	Leader   Leader
-	Jobs     []*Job // nil: free
-	Machines []*Machine
-	Racks    []*Rack // by id
-	Evicted  map[string]*Evicted
-	Catalog  Raw
-	Settings Raw
-	Used     []Usage // by team, all shares
+	Teams     []config.Team
+	TeamIdx   *Names
+	Zones     *Names
+	TypeIdx   *Names
+	Images    *Names
+	Classes   *Names
+	Types     []Type // by type index; zero Cpus: unknown
+	NumShards int
+	Shards    []Shard
+	Nodes     map[string]*Node
+	Leader    Leader
+	Jobs      []*Job // nil: free
+	Machines  []*Machine
+	Racks     []*Rack // by id
+	Evicted   map[string]*Evicted
+	Catalog   Raw
+	Settings  Raw
+	Used      []Usage // by team, all shares
 	// TeamEntries are the teams whose bounds were changed since the settings file; Teams has these.
 	TeamEntries map[int]TeamEntry
 	Usual       Usual
@@ -297,15 +297,15 @@
 	attempt uint64
 }
 
-// ShareCount is how many shares a deployment has: one a node, but none without a team.
-func ShareCount(d *config.Deployment) int { return max(1, min(d.Nodes, len(d.Teams))) }
+// ShardCount is how many shares a deployment has: one a node, but none without a team.
+func ShardCount(d *config.Deployment) int { return max(1, min(d.Nodes, len(d.Teams))) }
 
 // NewCache is an empty cache.
 func NewCache(s *config.Settings) *Cache {
 	b := &Cache{
 		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIdx: NewNames(), Zones: NewNames(s.Deployment.Zones...),
 		TypeIdx: NewNames(), Images: NewNames(), Classes: NewNames(),
-		NShares: ShareCount(&s.Deployment), Nodes: map[string]*Node{}, Evicted: map[string]*Evicted{},
+		NumShards: ShardCount(&s.Deployment), Nodes: map[string]*Node{}, Evicted: map[string]*Evicted{},
 		final: map[string]Final{}, jobByID: map[string]*Job{}, after: map[string][]*Job{}, sets: map[string]map[int]setPart{}, long: map[string]*longText{},
 		byName: map[string]*Machine{}, fleets: map[string]*Fleet{}, versions: map[string]uint64{}, victims: map[victim]bool{},
 	}
@@ -313,13 +313,13 @@
 		b.TeamIdx.Index(t.Name)
 	}
 	b.order, b.Asked = newOrder(len(b.Teams)), map[Lane]Asked{}
-	b.Shares = make([]Share, b.NShares)
+	b.Shards = make([]Shard, b.NumShards)
 	b.Used = make([]Usage, len(b.Teams))
 	return b
 }
 
-// ShareOf is the share that a team belongs to, whoever owns it.
-func (b *Cache) ShareOf(team int) int { return team % b.NShares }
+// ShardOf is the share that a team belongs to, whoever owns it.
+func (b *Cache) ShardOf(team int) int { return team % b.NumShards }
 
 // Job finds an open or not yet forgotten job.
 func (b *Cache) Job(id string) *Job { return b.jobByID[id] }
@@ -347,7 +347,7 @@
 
 // Token is the token under which a machine is commanded.
 func (b *Cache) Token(m *Machine) uint64 {
-	return max(m.Token, m.Rack.Token, b.Shares[m.Share].Token)
+	return max(m.Token, m.Rack.Token, b.Shards[m.Shard].Token)
 }
 
 // Changed returns the machines that changed, and the jobs that ended, since it was
@@ -467,8 +467,8 @@
 	if name, ok := suffix(key, nodePrefix); ok {
 		return b.applyNode(name, value, version, deleted)
 	}
-	if number, ok := suffix(key, sharePrefix); ok {
-		return b.applyShare(number, value, version, deleted)
+	if number, ok := suffix(key, shardPrefix); ok {
+		return b.applyShard(number, value, version, deleted)
 	}
 	if id, ok := suffix(key, evictPrefix); ok {
 		return b.applyEvicted(id, value, version, deleted)
@@ -493,22 +493,22 @@
 	return nil
 }
 
-// applyShare takes the record of who owns a share.
-func (b *Cache) applyShare(number string, value json.RawMessage, version uint64, deleted bool) error {
+// applyShard takes the record of who owns a share.
+func (b *Cache) applyShard(number string, value json.RawMessage, version uint64, deleted bool) error {
 	i, err := strconv.Atoi(number)
-	if err != nil || i < 0 || i >= b.NShares {
-		delete(b.versions, sharePrefix+number)
-		return fmt.Errorf("record %s%s: no such share", sharePrefix, number)
+	if err != nil || i < 0 || i >= b.NumShards {
+		delete(b.versions, shardPrefix+number)
+		return fmt.Errorf("record %s%s: no such share", shardPrefix, number)
 	}
 	if deleted {
-		b.Shares[i] = Share{}
+		b.Shards[i] = Shard{}
 		return nil
 	}
-	sh := Share{Version: version}
-	if err := json.Unmarshal(value, &sh.ShareRecord); err != nil {
-		return fmt.Errorf("record %s: %w", ShareKey(i), err)
+	sh := Shard{Version: version}
+	if err := json.Unmarshal(value, &sh.ShardRecord); err != nil {
+		return fmt.Errorf("record %s: %w", ShardKey(i), err)
 	}
-	b.Shares[i] = sh
+	b.Shards[i] = sh
 	return nil
 }
 
@@ -701,7 +701,7 @@
 	}
 	at, own := time.UnixMilli(r.AtMs), protocol.Priority(min(s.Priority, 3))
 	j := &Job{
-		ID: id, Team: team, Class: b.Classes.Index(s.Class), Share: b.ShareOf(team),
+		ID: id, Team: team, Class: b.Classes.Index(s.Class), Shard: b.ShardOf(team),
 		Shape: protocol.Shape(s.Shape), Priority: own, Own: own, Tasks: r.Tasks,
 		Cpus: s.Cpus, Gpus: s.Gpus, Mem: s.Mem, Image: b.Images.Index(s.Image), ImageGB: s.ImageGB,
 		Zone: -1, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Estimate: s.Estimate,
@@ -894,7 +894,7 @@
 	m.Moved = false
 	b.order.machines.Set(m)
 	m.enterRack(b.rack(x.Rack))
-	m.Share, m.Gone = m.Rack.Share, m.Rack.Version == 0
+	m.Shard, m.Gone = m.Rack.Shard, m.Rack.Version == 0
 	m.Type = b.TypeIdx.Index(f.record.Type)
 	b.growTypes()
 	m.Zone = b.Zones.Index(f.record.Zone)
@@ -954,8 +954,8 @@
 	if err != nil {
 		return fmt.Errorf("rack %d: %w", id, err)
 	}
-	if r.Share < 0 || r.Share >= b.NShares {
-		return fmt.Errorf("rack %d: no share %d", id, r.Share)
+	if r.Shard < 0 || r.Shard >= b.NumShards {
+		return fmt.Errorf("rack %d: no share %d", id, r.Shard)
 	}
 	entries := make(map[*Machine]*RackMachine, len(r.Machines))
 	tasks := make(map[*Machine][]Placed, len(r.Machines))
@@ -1017,9 +1017,9 @@
 			m.enterRack(k)
 		}
 	}
-	moved := k.Version == 0 || k.Share != r.Share || k.Token != r.Token
+	moved := k.Version == 0 || k.Shard != r.Shard || k.Token != r.Token
 	k.Packed = r.Packed != "" || len(r.Machines)+len(r.Ended) == 0
-	k.Share, k.Token, k.Version, k.Ended, k.Size = r.Share, r.Token, version, ended, len(value)
+	k.Shard, k.Token, k.Version, k.Ended, k.Size = r.Shard, r.Token, version, ended, len(value)
 	for _, e := range ended {
 		if !e.Job.Done.Get(e.Task) {
 			e.Job.Done.Set(e.Task)
@@ -1039,7 +1039,7 @@
 		token := max(x.Token, m.Fleet.record.Token)
 		if moved || token != m.Token || x.Session != m.Session || x.Closing != m.Closing || x.Sick != m.Sick ||
 			x.Draining != m.Drains || !slices.Equal(tasks[m], m.Tasks) {
-			m.Share, m.Token, m.Session = k.Share, token, x.Session
+			m.Shard, m.Token, m.Session = k.Shard, token, x.Session
 			m.Closing, m.Sick, m.Drains = x.Closing, x.Sick, x.Draining
 			m.Gone, m.Version = false, version
 			b.touch(m)
@@ -1119,7 +1119,7 @@
 // RackRecordOf writes a rack's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
 func (b *Cache) RackRecordOf(k *Rack, ended []Ended, change func(*Machine) (RackMachine, bool)) *RackRecord {
-	r := &RackRecord{Share: k.Share, Token: k.Token, Ended: endedOf(ended)}
+	r := &RackRecord{Shard: k.Shard, Token: k.Token, Ended: endedOf(ended)}
 	for _, m := range k.Machines {
 		x, stays := b.RackMachineOf(m, m.Tasks), true
 		if change != nil {
--- a/internal/storage/pack_test.go
+++ b/internal/storage/pack_test.go
@@ -14,7 +14,7 @@
 	long := strings.Repeat("long-name-", 12)
 	racks := []RackRecord{
 		{},
-		{Share: 3, Token: 1 << 40, Machines: []RackMachine{{Name: "host-000231", Session: 1}}},
+		{Shard: 3, Token: 1 << 40, Machines: []RackMachine{{Name: "host-000231", Session: 1}}},
 		{Machines: []RackMachine{
 			{Name: "host-000231", Token: 17, Session: 3, Addr: "10.1.0.232:9000", Closing: true, Sick: true, Draining: true, Moved: true},
 			{Name: "host-31", Session: 0, Addr: "worker.example:9000"}, {Name: "host-00000000000000000231", Session: 1, Addr: "10.1.0.256:9000"},
@@ -61,7 +61,7 @@
 	if got, err := DecodeFleet(EncodeFleet(&f, true)); err != nil || !reflect.DeepEqual(got, f) {
 		t.Errorf("fleet: %v %+v", err, got)
 	}
-	e := EvictRecord{Share: 1, AtMs: 5, Victims: []VictimRecord{{"host-000001", "job-000001", 3, 1 << 50, 12.5}, {"host-000001", "job-000002", 0, 7, 0}},
+	e := EvictRecord{Shard: 1, AtMs: 5, Victims: []VictimRecord{{"host-000001", "job-000001", 3, 1 << 50, 12.5}, {"host-000001", "job-000002", 0, 7, 0}},
 		Rooms: []RoomRecord{{"host-000001", 2}}}
 	if got, err := DecodeEvict(EncodeEvict(&e, true)); err != nil || !reflect.DeepEqual(got, e) {
 		t.Errorf("evicted set: %v %+v", err, got)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -17,7 +17,7 @@
 // The keys' prefixes and names.
 const (
 	nodePrefix  = Root + "node/"
-	sharePrefix = Root + "share/"
+	shardPrefix = Root + "share/"
 	jobPrefix   = Root + "job/"
 	fleetPrefix = Root + "fleet/"
 	rackPrefix  = Root + "rack/"
@@ -51,8 +51,8 @@
 // NodeKey is where a node says that it is alive.
 func NodeKey(name string) string { return nodePrefix + name }
 
-// ShareKey holds who owns a share.
-func ShareKey(share int) string { return sharePrefix + strconv.Itoa(share) }
+// ShardKey holds who owns a share.
+func ShardKey(share int) string { return shardPrefix + strconv.Itoa(share) }
 
 // JobKey holds a job.
 func JobKey(id string) string { return jobPrefix + id }
@@ -84,8 +84,8 @@
 	Incarnation uint64 `json:"i"`
 }
 
-// ShareRecord says who owns a share, and under which token.
-type ShareRecord struct {
+// ShardRecord says who owns a share, and under which token.
+type ShardRecord struct {
 	Node        string `json:"n"`
 	Incarnation uint64 `json:"i"`
 	Token       uint64 `json:"t"`
@@ -155,7 +155,7 @@
 // writing them together is what lets hundreds of machines fit the state
 // service's rate of changes.
 type RackRecord struct {
-	Share    int           `json:"s"`
+	Shard    int           `json:"s"`
 	Token    uint64        `json:"t,omitempty"` // raised whenever the rack changes its share
 	Machines []RackMachine `json:"m,omitempty"` // those with something to say
 	Ended    []EndedTasks  `json:"e,omitempty"`
@@ -197,7 +197,7 @@
 
 // EvictRecord is an evicted set, with the room that it frees.
 type EvictRecord struct {
-	Share   int            `json:"s"`
+	Shard   int            `json:"s"`
 	Victims []VictimRecord `json:"v,omitempty"`
 	Rooms   []RoomRecord   `json:"r,omitempty"`
 	AtMs    int64          `json:"at"`
@@ -231,7 +231,7 @@
 // EncodeRack writes a rack's record.
 func EncodeRack(r *RackRecord, packed bool) json.RawMessage {
 	if packed {
-		r = &RackRecord{Share: r.Share, Token: r.Token, Packed: r.pack()}
+		r = &RackRecord{Shard: r.Shard, Token: r.Token, Packed: r.pack()}
 	}
 	return Encode(r)
 }
@@ -266,7 +266,7 @@
 // EncodeEvict writes an evicted set.
 func EncodeEvict(r *EvictRecord, packed bool) json.RawMessage {
 	if packed {
-		r = &EvictRecord{Share: r.Share, AtMs: r.AtMs, Packed: r.pack()}
+		r = &EvictRecord{Shard: r.Shard, AtMs: r.AtMs, Packed: r.pack()}
 	}
 	return Encode(r)
 }
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -24,7 +24,7 @@
 	Settings(ctx context.Context) (coordination.OperatorSettings, uint64, error)
 	ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (coordination.OperatorSettings, uint64, error)
 	NodeViews(ctx context.Context) ([]coordination.NodeView, error)
-	ShareViews(ctx context.Context) ([]coordination.ShareView, error)
+	ShardViews(ctx context.Context) ([]coordination.ShardView, error)
 	JobViews(ctx context.Context, team, after string, limit int) ([]coordination.JobView, bool, error)
 	MachineInfos(ctx context.Context, after string, limit int) ([]coordination.MachineInfo, bool, error)
 	MachineInfo(ctx context.Context, name string) (coordination.MachineInfo, bool, error)
@@ -176,7 +176,7 @@
 		return AdminPage{Items: v}, err
 	})
 	get("/shares", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		v, err := core.ShareViews(ctx)
+		v, err := core.ShardViews(ctx)
 		return AdminPage{Items: v}, err
 	})
 	get("/jobs", func(ctx context.Context, c *fiber.Ctx) (any, error) {
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -142,10 +142,10 @@
 // peerStub is a node that always has everything to say.
 type peerStub struct{ PeerCore }
 
-func (peerStub) Pulse() protocol.Pulse             { return filled[protocol.Pulse]() }
-func (peerStub) Incarnation() uint64               { return 77 }
-func (peerStub) Needs() []protocol.ShareNeed       { return filled[[]protocol.ShareNeed]() }
-func (peerStub) Word(string) (protocol.Word, bool) { return filled[protocol.Word](), true }
+func (peerStub) Pulse() protocol.Pulse                { return filled[protocol.Pulse]() }
+func (peerStub) Incarnation() uint64                  { return 77 }
+func (peerStub) ShardDemands() []protocol.ShardDemand { return filled[[]protocol.ShardDemand]() }
+func (peerStub) Word(string) (protocol.Word, bool)    { return filled[protocol.Word](), true }
 
 // TestGoldenPeers pins the bytes with which a node begins to speak to another.
 func TestGoldenPeers(t *testing.T) {
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -105,8 +105,8 @@
 	return filled[[]coordination.NodeView](), s.err
 }
 
-func (s *stubCore) ShareViews(context.Context) ([]coordination.ShareView, error) {
-	return filled[[]coordination.ShareView](), s.err
+func (s *stubCore) ShardViews(context.Context) ([]coordination.ShardView, error) {
+	return filled[[]coordination.ShardView](), s.err
 }
 
 func (s *stubCore) JobViews(_ context.Context, team, after string, limit int) ([]coordination.JobView, bool, error) {
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -25,11 +25,11 @@
 type PeerCore interface {
 	Pulse() protocol.Pulse
 	Incarnation() uint64
-	Needs() []protocol.ShareNeed
+	ShardDemands() []protocol.ShardDemand
 	Word(node string) (protocol.Word, bool)
 	HearWord(node string, w protocol.Word)
 	HearPulse(node string, p protocol.Pulse)
-	HearNeed(node string, n protocol.Need)
+	ReceiveShardDemands(node string, n protocol.ShardDemands)
 	LosePeer(node string)
 }
 
@@ -87,8 +87,8 @@
 			p.log.Error("pulse cannot be written", "err", err)
 			return
 		}
-		if needs := p.core.Needs(); len(needs) > 0 {
-			if buf, err = protocol.AppendFrame(buf, protocol.Need{Shares: needs}); err != nil {
+		if needs := p.core.ShardDemands(); len(needs) > 0 {
+			if buf, err = protocol.AppendFrame(buf, protocol.ShardDemands{Shards: needs}); err != nil {
 				p.log.Error("need cannot be written", "err", err)
 				return
 			}
@@ -149,9 +149,9 @@
 			if node != "" {
 				p.core.HearPulse(node, x)
 			}
-		case protocol.Need:
+		case protocol.ShardDemands:
 			if node != "" {
-				p.core.HearNeed(node, x)
+				p.core.ReceiveShardDemands(node, x)
 			}
 		case protocol.Word:
 			if node != "" {
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -26,13 +26,15 @@
 	down    bool
 }
 
-func (f *fakeCore) Pulse() protocol.Pulse                                          { return protocol.Pulse{} }
-func (f *fakeCore) Incarnation() uint64                                            { return 1 }
-func (f *fakeCore) Needs() []protocol.ShareNeed                                    { return nil }
-func (f *fakeCore) HearPulse(node string, _ protocol.Pulse)                        { f.heard <- "pulse " + node }
-func (f *fakeCore) Word(string) (protocol.Word, bool)                              { return protocol.Word{}, false }
-func (f *fakeCore) HearWord(node string, _ protocol.Word)                          { f.heard <- "word " + node }
-func (f *fakeCore) HearNeed(node string, _ protocol.Need)                          { f.heard <- "need " + node }
+func (f *fakeCore) Pulse() protocol.Pulse                   { return protocol.Pulse{} }
+func (f *fakeCore) Incarnation() uint64                     { return 1 }
+func (f *fakeCore) ShardDemands() []protocol.ShardDemand    { return nil }
+func (f *fakeCore) HearPulse(node string, _ protocol.Pulse) { f.heard <- "pulse " + node }
+func (f *fakeCore) Word(string) (protocol.Word, bool)       { return protocol.Word{}, false }
+func (f *fakeCore) HearWord(node string, _ protocol.Word)   { f.heard <- "word " + node }
+func (f *fakeCore) ReceiveShardDemands(node string, _ protocol.ShardDemands) {
+	f.heard <- "need " + node
+}
 func (f *fakeCore) LosePeer(node string)                                           { f.heard <- "lost " + node }
 func (f *fakeCore) Metrics() *coordination.Metrics                                 { return coordination.NewMetrics() }
 func (f *fakeCore) Evictions(context.Context) ([]coordination.EvictionView, error) { return nil, nil }
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -127,7 +127,7 @@
 	w.flag(j.Service)
 	w.flag(j.Suspect)
 	w.flag(j.Evicting)
-	for _, v := range []uint64{uint64(j.Tasks), uint64(j.Done), uint64(j.Placed), uint64(j.Awaits), uint64(j.Share), j.Cpus, j.Gpus, j.Estimate} {
+	for _, v := range []uint64{uint64(j.Tasks), uint64(j.Done), uint64(j.Placed), uint64(j.Awaits), uint64(j.Shard), j.Cpus, j.Gpus, j.Estimate} {
 		w.uint(v)
 	}
 	for _, v := range []int64{j.Submit, j.From, j.Due, j.End} {
@@ -142,7 +142,7 @@
 	w.text(m.Zone)
 	w.flag(m.Spot)
 	w.b = append(w.b, byte(m.State))
-	for _, v := range []uint64{uint64(m.Share), uint64(m.Tasks), m.Cpus, m.Gpus, m.UsedCpus, m.UsedGpus, m.Price, uint64(len(m.Uses))} {
+	for _, v := range []uint64{uint64(m.Shard), uint64(m.Tasks), m.Cpus, m.Gpus, m.UsedCpus, m.UsedGpus, m.Price, uint64(len(m.Uses))} {
 		w.uint(v)
 	}
 	for _, u := range m.Uses {
@@ -159,7 +159,7 @@
 	w.text(e.Job)
 	w.text(e.Team)
 	w.int(e.At)
-	w.uint(uint64(e.Share))
+	w.uint(uint64(e.Shard))
 	w.flag(e.Open)
 	n := min(len(e.Victims), maxVictims)
 	w.uint(uint64(n))
@@ -375,7 +375,7 @@
 	j := Job{ID: r.text(), Team: r.text(), Class: r.text()}
 	j.Priority, j.Status = protocol.Priority(r.below(byte(protocol.Production)+1)), Status(r.below(byte(Cancelled)+1))
 	j.Service, j.Suspect, j.Evicting = r.flag(), r.flag(), r.flag()
-	for _, v := range []*uint32{&j.Tasks, &j.Done, &j.Placed, &j.Awaits, &j.Share} {
+	for _, v := range []*uint32{&j.Tasks, &j.Done, &j.Placed, &j.Awaits, &j.Shard} {
 		*v = r.u32()
 	}
 	for _, v := range []*uint64{&j.Cpus, &j.Gpus, &j.Estimate} {
@@ -390,7 +390,7 @@
 func (r *reader) machine() Machine {
 	m := Machine{Name: r.text(), Type: r.text(), Zone: r.text(), Spot: r.flag()}
 	m.State = MachineState(r.below(byte(Returning) + 1))
-	m.Share, m.Tasks = r.u32(), r.u32()
+	m.Shard, m.Tasks = r.u32(), r.u32()
 	for _, v := range []*uint64{&m.Cpus, &m.Gpus, &m.UsedCpus, &m.UsedGpus, &m.Price} {
 		*v = r.uint()
 	}
@@ -401,7 +401,7 @@
 }
 
 func (r *reader) eviction() Eviction {
-	e := Eviction{Key: r.text(), Job: r.text(), Team: r.text(), At: r.int(), Share: r.u32(), Open: r.flag()}
+	e := Eviction{Key: r.text(), Job: r.text(), Team: r.text(), At: r.int(), Shard: r.u32(), Open: r.flag()}
 	if e.Key == "" {
 		r.bad = true
 	}
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -46,7 +46,7 @@
 	Done     uint32            `json:"done"`
 	Placed   uint32            `json:"placed"`
 	Awaits   uint32            `json:"awaits,omitempty"` // jobs that it still waits for
-	Share    uint32            `json:"share"`
+	Shard    uint32            `json:"share"`
 	Cpus     uint64            `json:"cpus_milli"` // a task
 	Gpus     uint64            `json:"gpus_milli"`
 	Submit   int64             `json:"submitted_ms"` // time of day, as all that end in Ms
@@ -107,7 +107,7 @@
 	Zone     string       `json:"zone"`
 	Spot     bool         `json:"spot,omitempty"`
 	State    MachineState `json:"state"`
-	Share    uint32       `json:"share"`
+	Shard    uint32       `json:"share"`
 	Tasks    uint32       `json:"tasks"`
 	Cpus     uint64       `json:"cpus_milli"`
 	Gpus     uint64       `json:"gpus_milli"`
@@ -145,7 +145,7 @@
 	Job     string   `json:"job"` // that needs the room
 	Team    string   `json:"team"`
 	At      int64    `json:"at_ms"`
-	Share   uint32   `json:"share"`
+	Shard   uint32   `json:"share"`
 	Open    bool     `json:"open"` // its victims are still stopping
 	Victims []Victim `json:"victims"`
 
