--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -34,19 +34,19 @@
 	const size = 14
 	f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 	for i := range n {
-		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Rack: i / size})
+		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / size})
 	}
 	put(storage.FleetKey("m0"), f, 4)
 	for k := 0; k*size < n; k++ {
-		rec := storage.RackRecord{}
+		rec := storage.GroupRecord{}
 		for i := k * size; i < min(n, (k+1)*size); i++ {
-			x := storage.RackMachine{Name: fmt.Sprint("m", i), Session: 1}
+			x := storage.GroupMachine{Name: fmt.Sprint("m", i), Session: 1}
 			for t := range uint64(3 + i%2) {
 				x.Tasks = append(x.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
 			}
 			rec.Machines = append(rec.Machines, x)
 		}
-		put(storage.RackKey(k), rec, 5)
+		put(storage.GroupKey(k), rec, 5)
 	}
 	c.cache.Revision, c.maxRev = 5, 5
 	c.ownedShards[0] = 2
@@ -111,10 +111,10 @@
 
 func BenchmarkChange(b *testing.B) {
 	overSizes(b, func(b *testing.B, c *Controller) {
-		k := c.cache.Racks[1]
-		raw := storage.Encode(c.cache.RackRecordOf(k, nil, nil))
+		k := c.cache.Groups[1]
+		raw := storage.Encode(c.cache.GroupRecordOf(k, nil, nil))
 		for v := uint64(6); b.Loop(); v++ {
-			if err := c.cache.Apply(storage.RackKey(1), raw, v, false); err != nil {
+			if err := c.cache.Apply(storage.GroupKey(1), raw, v, false); err != nil {
 				b.Fatal(err)
 			}
 			c.changed()
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -92,7 +92,7 @@
 // nextTxn plans a transaction that is within the state service's limits: records
 // that list much leave room for fewer of them.
 func (c *Controller) nextTxn(now time.Time) (protocol.Txn, bool) {
-	if t := c.nextSplit(); len(t.Then) > 0 {
+	if t := c.nextGroupSplit(); len(t.Then) > 0 {
 		return t, true
 	}
 	for ops := c.limits().TxnOps; ; ops = (ops + 1) / 2 {
@@ -100,8 +100,8 @@
 		b, more := c.plan(now, ops)
 		c.tallies.pass(time.Since(began))
 		c.metrics.passes.Observe(time.Since(began).Seconds())
-		if c.tight != nil {
-			if t := c.nextSplit(); len(t.Then) > 0 {
+		if c.oversizedGroup != nil {
+			if t := c.nextGroupSplit(); len(t.Then) > 0 {
 				return t, true
 			}
 		}
@@ -111,18 +111,18 @@
 	}
 }
 
-// nextSplit parts a rack whose record would be over the limit, if there is one: its
+// nextGroupSplit parts a rack whose record would be over the limit, if there is one: its
 // machines' tasks could not leave it otherwise.
-func (c *Controller) nextSplit() protocol.Txn {
-	k := c.tight
-	c.tight = nil
+func (c *Controller) nextGroupSplit() protocol.Txn {
+	k := c.oversizedGroup
+	c.oversizedGroup = nil
 	if !c.cache.Packed() {
 		return protocol.Txn{}
 	}
 	if k == nil {
 		limit := c.valueLimit()
-		for _, x := range c.cache.Racks {
-			if x.Size > limit && c.ownsShard(x.Shard) && len(storage.EncodeRack(c.cache.RackRecordOf(x, x.Kept(), nil), true)) > limit*9/10 {
+		for _, x := range c.cache.Groups {
+			if x.Size > limit && c.ownsShard(x.Shard) && len(storage.EncodeGroup(c.cache.GroupRecordOf(x, x.UnsavedCompletions(), nil), true)) > limit*9/10 {
 				k = x
 				break
 			}
@@ -132,7 +132,7 @@
 		return protocol.Txn{}
 	}
 	c.planned, c.finishing = 0, c.finishing[:0]
-	return c.splitRack(k)
+	return c.splitGroup(k)
 }
 
 func (c *Controller) send(ctx context.Context, t protocol.Txn) {
@@ -208,11 +208,11 @@
 // dispatchDirect sends new launches to workers that are not about to report.
 func (c *Controller) dispatchDirect(t protocol.Txn) {
 	for _, ch := range t.Then {
-		id, ok := storage.RackOf(ch.Put)
+		id, ok := storage.GroupOf(ch.Put)
 		if !ok {
 			continue
 		}
-		for _, m := range c.cache.Racks[id].Machines {
+		for _, m := range c.cache.Groups[id].Machines {
 			if m.Gone || !c.ownsShard(m.Shard) {
 				continue
 			}
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -32,7 +32,7 @@
 	put(storage.ShardKey(0), storage.ShardRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
 	put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 2, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
-	put(storage.RackKey(0), storage.RackRecord{}, 4)
+	put(storage.GroupKey(0), storage.GroupRecord{}, 4)
 	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", Token: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
 	c.cache.Revision, c.maxRev = 4, 4
 	c.ownedShards[0] = 2
@@ -47,10 +47,10 @@
 func (idleStore) Pace(int) time.Duration { return 0 }
 
 // machineIn reads machine m from the rack's record in a batch.
-func machineIn(t *testing.T, b *batch) storage.RackMachine {
+func machineIn(t *testing.T, b *batch) storage.GroupMachine {
 	t.Helper()
-	var r storage.RackRecord
-	if err := json.Unmarshal(b.puts[storage.RackKey(0)].Value, &r); err != nil {
+	var r storage.GroupRecord
+	if err := json.Unmarshal(b.puts[storage.GroupKey(0)].Value, &r); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range r.Machines {
@@ -59,14 +59,14 @@
 		}
 	}
 	t.Fatalf("record %+v does not hold the machine", r)
-	return storage.RackMachine{}
+	return storage.GroupMachine{}
 }
 
 func TestPlanConditions(t *testing.T) {
 	c := newCore(t)
 	b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
 	// A stale owner, a cancelled job or a changed machine must make it fail.
-	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.RackKey(0): 4}
+	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
 	if !reflect.DeepEqual(b.conds, want) {
 		t.Fatalf("conditions %v, want %v", b.conds, want)
 	}
@@ -128,7 +128,7 @@
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
 	f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 	for i := range racks {
-		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Rack: i + 1})
+		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Group: i + 1})
 	}
 	apply(storage.FleetKey("x0"), f, 5)
 	for i := range racks {
@@ -136,7 +136,7 @@
 		for k := range tasks {
 			p = append(p, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
 		}
-		apply(storage.RackKey(i+1), storage.RackRecord{Machines: []storage.RackMachine{{Name: fmt.Sprint("x", i), Session: 1,
+		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Session: 1,
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
 		m := c.cache.Machine(fmt.Sprint("x", i))
 		r := reportOf(m, 1)
@@ -222,7 +222,7 @@
 		c.applyTxn(protocol.Txn{Then: []protocol.Change{
 			{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
 				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", Mark: 15, Save: 3}})},
-			{Put: storage.RackKey(0), Value: storage.Encode(storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+			{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
 			{Put: storage.EvictKey("job-000001"), Value: storage.Encode(storage.EvictRecord{
 				Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -99,7 +99,7 @@
 	inDoubt             *protocol.Txn   // sent with unknown outcome: repeated until it is known
 	planned             int             // tasks that the latest plan places
 	lastOps             int             // changes of the latest transaction
-	rackFrom            int             // the rack that the next plan begins with
+	firstGroup          int             // the rack that the next plan begins with
 	idleRuns            bool            // idle-time work is placed on this node's machines
 	edits               map[int32]*edit // by machine
 	waitingByShard      []int           // by share: tasks that waited when last planned
@@ -118,7 +118,7 @@
 	doomTurn            int
 	tries               uint64 // long descriptions written by this process
 	scratch             scratch
-	tight               *storage.Rack // its record would be over the limit: it is parted next
+	oversizedGroup      *storage.MachineGroup // its record would be over the limit: it is parted next
 	shardWriteInFlight  bool
 	nodesAt             time.Time        // when membership last changed
 	ownershipHistory    []shardOwnership // by share
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -57,7 +57,7 @@
 	}
 	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	demand, capacity := c.shardLoad()
-	fill := newRackFill(c.cache, c.rackSize())
+	fill := newGroupAllocator(c.cache, c.groupSize())
 	type kind struct {
 		typ, zone string
 		spot      bool
@@ -86,14 +86,14 @@
 		if i := c.cache.TypeIdx.Find(n.kind.Type); i >= 0 {
 			capacity[share] += c.cache.Types[i].Cpus
 		}
-		rack, fresh := fill.take(share, n.kind.Spot)
+		rack, fresh := fill.allocate(share, n.kind.Spot)
 		if fresh {
-			key := storage.RackKey(rack)
+			key := storage.GroupKey(rack)
 			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeRack(&storage.RackRecord{Shard: share, Token: c.fresh()}, c.cache.Packed())})
+			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, Token: c.fresh()}, c.cache.Packed())})
 		}
 		f.Token = max(f.Token, n.kind.Token, c.fresh())
-		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Rack: rack, Addr: n.addr})
+		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Group: rack, Addr: n.addr})
 		batch = append(batch, n)
 	}
 	for _, f := range order {
@@ -199,9 +199,9 @@
 	}
 }
 
-// rackSize is how many machines share a record: as few as let every rack be
+// groupSize is how many machines share a record: as few as let every rack be
 // written about once a second with half of the state service's rate of changes.
-func (c *Controller) rackSize() int {
+func (c *Controller) groupSize() int {
 	n := len(c.lead.newcomers)
 	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing {
@@ -209,59 +209,59 @@
 		}
 	}
 	racks := max(1, int(c.limits().WriteRPS/2))
-	return min(maxRackSize, (n+racks-1)/racks)
+	return min(maxGroupSize, (n+racks-1)/racks)
 }
 
-// maxRackSize bounds how many machines move, and change their owner, together.
-const maxRackSize = 24
+// maxGroupSize bounds how many machines move, and change their owner, together.
+const maxGroupSize = 24
 
-// rackFill finds racks for newcomers. Spot and ordinary machines do not share a
+// groupAllocator finds racks for newcomers. Spot and ordinary machines do not share a
 // rack: work that may not use spot machines moves none of them with it.
-type rackFill struct {
-	size  int
-	next  int
-	racks map[int]*rackRoom
+type groupAllocator struct {
+	groupSize int
+	nextID    int
+	groups    map[int]*groupCapacity
 }
 
-type rackRoom struct {
-	shard, room int
+type groupCapacity struct {
+	shard, free int
 	empty, spot bool
 }
 
-func newRackFill(b *storage.Cache, size int) *rackFill {
-	f := &rackFill{size: size, next: len(b.Racks), racks: map[int]*rackRoom{}}
-	for _, k := range b.Racks {
+func newGroupAllocator(b *storage.Cache, size int) *groupAllocator {
+	f := &groupAllocator{groupSize: size, nextID: len(b.Groups), groups: map[int]*groupCapacity{}}
+	for _, k := range b.Groups {
 		if k.Version == 0 {
 			continue
 		}
-		r := &rackRoom{shard: k.Shard, room: size, empty: true}
+		r := &groupCapacity{shard: k.Shard, free: size, empty: true}
 		for _, m := range k.Machines {
 			r.empty, r.spot = false, m.Spot
 			if !m.Closing {
-				r.room--
+				r.free--
 			}
 		}
-		f.racks[k.ID] = r
+		f.groups[k.ID] = r
 	}
 	return f
 }
 
-// take returns the rack with the most room for one more machine, a new one if there is none.
-func (f *rackFill) take(share int, spot bool) (id int, fresh bool) {
-	var best *rackRoom
-	for i := range f.next {
-		r := f.racks[i]
-		if r != nil && r.shard == share && (r.empty || r.spot == spot) && r.room > 0 && (best == nil || r.room > best.room) {
+// allocate returns the rack with the most room for one more machine, a new one if there is none.
+func (f *groupAllocator) allocate(share int, spot bool) (id int, fresh bool) {
+	var best *groupCapacity
+	for i := range f.nextID {
+		r := f.groups[i]
+		if r != nil && r.shard == share && (r.empty || r.spot == spot) && r.free > 0 && (best == nil || r.free > best.free) {
 			id, best = i, r
 		}
 	}
 	if best == nil {
-		best = &rackRoom{shard: share, room: f.size}
-		id, fresh = f.next, true
-		f.racks[id] = best
-		f.next++
+		best = &groupCapacity{shard: share, free: f.groupSize}
+		id, fresh = f.nextID, true
+		f.groups[id] = best
+		f.nextID++
 	}
-	best.room--
+	best.free--
 	best.empty, best.spot = false, spot
 	return id, fresh
 }
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -312,8 +312,8 @@
 			}
 			f.Cpus, f.Gpus, f.Mem = f.Cpus+v.Job.Cpus, f.Gpus+v.Job.Gpus, f.Mem+v.Job.Mem
 			freed[v.Slot] = f
-			k := v.Slot.M.Rack
-			key := storage.RackKey(k.ID)
+			k := v.Slot.M.Group
+			key := storage.GroupKey(k.ID)
 			// That the victims are still there is checked as far as the conditions reach.
 			// One that has ended meanwhile does no harm: its stop finds nothing.
 			if _, ok := b.conds[key]; ok || len(b.conds) < most {
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -161,42 +161,42 @@
 	return t
 }
 
-// splitRack parts the machines of a rack whose record would be over the limit over new
+// splitGroup parts the machines of a rack whose record would be over the limit over new
 // racks of the same share. The machines' new records say that they were moved, whatever
 // their fleet's record says, so all in one change each task stays in one rack. If there are
 // more parts than one transaction takes, the old record stays as it is, and its entries
 // of machines that have moved count no more.
-func (c *Controller) splitRack(k *storage.Rack) protocol.Txn {
+func (c *Controller) splitGroup(k *storage.MachineGroup) protocol.Txn {
 	limit, ops := c.valueLimit()*6/10, c.limits().TxnOps
-	rest := c.cache.RackRecordOf(k, k.Kept(), func(*storage.Machine) (storage.RackMachine, bool) {
-		return storage.RackMachine{}, false // they are parted below
+	rest := c.cache.GroupRecordOf(k, k.UnsavedCompletions(), func(*storage.Machine) (storage.GroupMachine, bool) {
+		return storage.GroupMachine{}, false // they are parted below
 	})
-	parts := []*storage.RackRecord{rest}
+	parts := []*storage.GroupRecord{rest}
 	for _, m := range k.Machines {
-		x, last := c.cache.RackMachineOf(m, m.Tasks), parts[len(parts)-1]
+		x, last := c.cache.GroupMachineOf(m, m.Tasks), parts[len(parts)-1]
 		last.Machines = append(last.Machines, x)
-		if len(last.Machines) > 1 && len(storage.EncodeRack(last, true)) > limit {
+		if len(last.Machines) > 1 && len(storage.EncodeGroup(last, true)) > limit {
 			last.Machines = last.Machines[:len(last.Machines)-1]
-			parts = append(parts, &storage.RackRecord{Shard: k.Shard, Token: k.Token, Machines: []storage.RackMachine{x}})
+			parts = append(parts, &storage.GroupRecord{Shard: k.Shard, Token: k.Token, Machines: []storage.GroupMachine{x}})
 		}
 	}
 	if len(parts) == 1 {
 		return protocol.Txn{}
 	}
 	t := protocol.Txn{If: []protocol.Condition{{Key: storage.ShardKey(k.Shard), Version: c.cache.Shards[k.Shard].Version},
-		{Key: storage.RackKey(k.ID), Version: k.Version}}}
-	fresh := len(c.cache.Racks)
+		{Key: storage.GroupKey(k.ID), Version: k.Version}}}
+	fresh := len(c.cache.Groups)
 	for i := len(parts) - 1; i > 0 && len(t.Then) < ops; i-- {
 		for n := range parts[i].Machines {
 			parts[i].Machines[n].Moved = true
 		}
-		key := storage.RackKey(fresh)
+		key := storage.GroupKey(fresh)
 		fresh++
 		t.If = append(t.If, protocol.Condition{Key: key})
-		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeRack(parts[i], true)})
+		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(parts[i], true)})
 	}
 	if len(parts) <= ops {
-		t.Then = append(t.Then, protocol.Change{Put: storage.RackKey(k.ID), Value: storage.EncodeRack(rest, true)})
+		t.Then = append(t.Then, protocol.Change{Put: storage.GroupKey(k.ID), Value: storage.EncodeGroup(rest, true)})
 	}
 	c.log.Info("rack is parted", "rack", k.ID, "machines", len(k.Machines), "parts", len(parts))
 	return t
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -94,13 +94,13 @@
 			}
 			f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 			for i := range racks * machines {
-				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Rack: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
+				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Group: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
 			}
 			apply(storage.FleetKey("host"), f)
 			for k := range racks {
-				rec := storage.RackRecord{}
+				rec := storage.GroupRecord{}
 				for _, x := range f.Machines[k*machines : (k+1)*machines] {
-					m := storage.RackMachine{Name: x.Name, Session: 1}
+					m := storage.GroupMachine{Name: x.Name, Session: 1}
 					for range tasks {
 						id := jobs[r.IntN(len(jobs))]
 						if next[id] >= 200 {
@@ -116,7 +116,7 @@
 					}
 					rec.Machines = append(rec.Machines, m)
 				}
-				apply(storage.RackKey(k+1), rec)
+				apply(storage.GroupKey(k+1), rec)
 			}
 			apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
 			c.directs = maxDirects // no workers here
@@ -200,12 +200,12 @@
 			if len(on) > 0 {
 				t.Fatalf("%d of %d tasks are still there after %d steps", len(on), total, steps)
 			}
-			for _, k := range c.cache.Racks {
+			for _, k := range c.cache.Groups {
 				if k.Size > limit {
 					t.Errorf("rack %d takes %d bytes", k.ID, k.Size)
 				}
 			}
-			t.Logf("%d tasks worked off in %d steps, %d racks", total, steps, len(c.cache.Racks))
+			t.Logf("%d tasks worked off in %d steps, %d racks", total, steps, len(c.cache.Groups))
 		})
 	}
 }
@@ -220,7 +220,7 @@
 			Next: &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}}
 		f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
 		for i := range 200 {
-			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Rack: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
+			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Group: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 		}
 		version := uint64(10)
 		apply := func(ch protocol.Change) {
@@ -250,7 +250,7 @@
 			}
 			there := 0
 			for _, m := range c.cache.Machines {
-				if c.cache.Known(m.Name) && m.Fleet != nil && m.Listed > 0 && len(m.Rack.Machines) > 0 {
+				if c.cache.Known(m.Name) && m.Fleet != nil && m.Listed > 0 && len(m.Group.Machines) > 0 {
 					there++
 				}
 			}
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 	}
-	put(storage.RackKey(0), storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+	put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
 	put(storage.EvictKey("job-000001"), storage.EvictRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -48,8 +48,8 @@
 			for share, n := range x.machines {
 				for range n {
 					rack := len(f.Machines)
-					put(storage.RackKey(rack), storage.RackRecord{Shard: share})
-					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
+					put(storage.GroupKey(rack), storage.GroupRecord{Shard: share})
+					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
 				}
 			}
 			put(storage.FleetKey("m0"), f)
@@ -67,7 +67,7 @@
 
 // movesToFirst is how many racks more move to the first of two shares than from it.
 func movesToFirst(c *Controller, kinds ...workKind) int {
-	mv := mover{c: c, gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
+	mv := mover{c: c, gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 	for _, k := range kinds {
 		mv.pass(time.Now(), k)
 	}
@@ -113,12 +113,12 @@
 			job("job-000001", x.zone, x.cpus)
 			for rack, zone := range cfg.Deployment.Zones {
 				name := "m" + zone
-				put(storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Rack: rack}}})
-				r := storage.RackRecord{Shard: 1 - rack, Machines: []storage.RackMachine{{Name: name, Session: 1}}}
+				put(storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Group: rack}}})
+				r := storage.GroupRecord{Shard: 1 - rack, Machines: []storage.GroupMachine{{Name: name, Session: 1}}}
 				if rack == 0 {
 					r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0}}}
 				}
-				put(storage.RackKey(rack), r)
+				put(storage.GroupKey(rack), r)
 			}
 			if x.stuck > 0 {
 				c.lead.stuck[1] = time.Now().Add(-x.stuck)
@@ -168,7 +168,7 @@
 			f, task := storage.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
 			for rack, share := range x.share {
 				if share >= 0 {
-					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
+					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
 				}
 			}
 			put(storage.FleetKey("m0"), f)
@@ -181,10 +181,10 @@
 					placed.Numbers = append(placed.Numbers, task, 1, 0, 0)
 					task++
 				}
-				put(storage.RackKey(rack), storage.RackRecord{Shard: share, Machines: []storage.RackMachine{
+				put(storage.GroupKey(rack), storage.GroupRecord{Shard: share, Machines: []storage.GroupMachine{
 					{Name: fmt.Sprint("m", rack), Session: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
-			mv := mover{c: c, gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
+			mv := mover{c: c, gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 			if x.stuck > 0 {
 				c.lead.stuck[1] = time.Now().Add(-x.stuck)
 			}
@@ -237,13 +237,13 @@
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 				put(storage.JobKey("job-000002"), storage.JobRecord{Tasks: 2, Team: "red", AtMs: time.Now().UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 6, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
-				put(storage.FleetKey("m2"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m2", Rack: 1}, {Name: "m3", Rack: 1}}})
-				put(storage.RackKey(1), storage.RackRecord{Machines: []storage.RackMachine{
+				put(storage.FleetKey("m2"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m2", Group: 1}, {Name: "m3", Group: 1}}})
+				put(storage.GroupKey(1), storage.GroupRecord{Machines: []storage.GroupMachine{
 					{Name: "m2", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 1, 0, 0}}}},
 					{Name: "m3", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{1, 1, 0, 0}}}}}})
 			}
 			put(storage.FleetKey("m0"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
-			put(storage.RackKey(0), storage.RackRecord{Machines: []storage.RackMachine{
+			put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{
 				{Name: "m0", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
 				{Name: "m1", Session: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
@@ -292,17 +292,17 @@
 				Spec: &storage.SpecRecord{Class: "g", Priority: x.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
 			f := storage.FleetRecord{Type: "t", Zone: "a"}
 			for rack := range 8 {
-				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Rack: rack})
+				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
 			}
 			put(storage.FleetKey("m0"), f)
 			for rack := range 8 {
-				r := storage.RackRecord{Shard: rack / 4}
+				r := storage.GroupRecord{Shard: rack / 4}
 				if rack/4 == 1 && x.placed > 0 {
 					n := uint64(2 * (rack - 4))
-					r.Machines = append(r.Machines, storage.RackMachine{Name: fmt.Sprint("m", rack), Session: 1,
+					r.Machines = append(r.Machines, storage.GroupMachine{Name: fmt.Sprint("m", rack), Session: 1,
 						Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{n, 1, 0, 0, n + 1, 1, 0, 0}}}})
 				}
-				put(storage.RackKey(rack), r)
+				put(storage.GroupKey(rack), r)
 			}
 			if n := c.cache.Job("job-000001").NPlaced; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
@@ -340,7 +340,7 @@
 // TestRackFill: newcomers fill the racks of their share, spot and ordinary apart.
 func TestRackFill(t *testing.T) {
 	c := newCore(t) // rack 0 of share 0 holds one ordinary machine
-	f := newRackFill(c.cache, 3)
+	f := newGroupAllocator(c.cache, 3)
 	for i, x := range []struct {
 		share int
 		spot  bool
@@ -350,7 +350,7 @@
 		{0, false, 0, false}, {0, true, 1, true}, {0, false, 0, false}, {0, false, 2, true},
 		{1, false, 3, true}, {0, true, 1, false}, {0, true, 1, false}, {0, true, 4, true},
 	} {
-		if rack, fresh := f.take(x.share, x.spot); rack != x.rack || fresh != x.fresh {
+		if rack, fresh := f.allocate(x.share, x.spot); rack != x.rack || fresh != x.fresh {
 			t.Errorf("newcomer %d: rack %d, new %v; want %d, %v", i, rack, fresh, x.rack, x.fresh)
 		}
 	}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -248,7 +248,7 @@
 // flushEdits forgets edits that are done or of no concern to this node, and as
 // the leader commits those of other owners' machines.
 func (c *Controller) flushEdits(ctx context.Context) {
-	racks := map[*storage.Rack]bool{}
+	racks := map[*storage.MachineGroup]bool{}
 	for i, e := range c.edits {
 		m := c.cache.Machines[i]
 		switch {
@@ -258,7 +258,7 @@
 		case !c.leads():
 			delete(c.edits, i)
 		default:
-			racks[m.Rack] = true
+			racks[m.Group] = true
 		}
 	}
 	if len(racks) == 0 || c.lead.editing {
@@ -270,19 +270,19 @@
 		if len(t.Then) >= c.limits().TxnOps/2 {
 			break
 		}
-		r := c.cache.RackRecordOf(k, k.Kept(), func(m *storage.Machine) (storage.RackMachine, bool) {
-			x := c.cache.RackMachineOf(m, m.Tasks)
+		r := c.cache.GroupRecordOf(k, k.UnsavedCompletions(), func(m *storage.Machine) (storage.GroupMachine, bool) {
+			x := c.cache.GroupMachineOf(m, m.Tasks)
 			if e := c.edits[m.Index]; e != nil {
 				e.change(&x)
 				done = append(done, m.Index)
 			}
 			return x, true
 		})
-		raw := storage.EncodeRack(r, c.cache.Packed())
+		raw := storage.EncodeGroup(r, c.cache.Packed())
 		if len(raw) > c.valueLimit() {
 			continue // its owner parts it first
 		}
-		key := storage.RackKey(k.ID)
+		key := storage.GroupKey(k.ID)
 		t.If = append(t.If, protocol.Condition{Key: key, Version: k.Version})
 		t.Then = append(t.Then, protocol.Change{Put: key, Value: raw})
 	}
@@ -298,7 +298,7 @@
 	})
 }
 
-func (e *edit) change(x *storage.RackMachine) {
+func (e *edit) change(x *storage.GroupMachine) {
 	x.Closing = x.Closing || e.closing
 	if e.drain != nil {
 		x.Draining = *e.drain
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -253,7 +253,7 @@
 		if c.cache.Packed() {
 			layout = float64(c.cache.Layout.Version)
 		}
-		for _, k := range c.cache.Racks {
+		for _, k := range c.cache.Groups {
 			largest = max(largest, float64(k.Size))
 		}
 		for s := range c.ownedShards {
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -21,7 +21,7 @@
 		return
 	}
 	mv := mover{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
-		gone: map[*storage.Rack]bool{}, stuck: map[int]bool{}}
+		gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 	mv.pass(now, ordinaryWork)
 	mv.pass(now, allWork)
 	mv.pass(now, idleWork)
@@ -41,7 +41,7 @@
 type mover struct {
 	c    *Controller
 	txn  protocol.Txn
-	gone map[*storage.Rack]bool // racks that move with this transaction
+	gone map[*storage.MachineGroup]bool // racks that move with this transaction
 	// stuck are the shares that wait, whatever kind of work, although no move evens out loads.
 	stuck map[int]bool
 	rooms []storage.Usage // free on each machine by the records, worked out once it is asked for
@@ -56,9 +56,9 @@
 	idleWork                     // idle-time work too, once nothing else waits
 )
 
-// rackSums is what a rack has, in CPUs.
-type rackSums struct {
-	rack           *storage.Rack
+// groupSums is what a rack has, in CPUs.
+type groupSums struct {
+	group          *storage.MachineGroup
 	free, capacity float64
 }
 
@@ -67,7 +67,7 @@
 	waiting, top, demand, free, capacity float64
 	firm, firmWaits                      float64 // the demand of other than idle-time work, and what of it waits
 	claim                                float64 // what its teams' work within their guarantees takes
-	roomy                                []*rackSums
+	roomy                                []*groupSums
 	groupCount                           int // that have machines of the kind looked at
 }
 
@@ -177,12 +177,12 @@
 	if kind == allWork && c.guaranteesTimed() {
 		mv.claims(sums)
 	}
-	for _, k := range c.cache.Racks {
+	for _, k := range c.cache.Groups {
 		if k.Version == 0 || mv.gone[k] {
 			continue
 		}
 		s := &sums[k.Shard]
-		r := &rackSums{rack: k}
+		r := &groupSums{group: k}
 		stays := now.Sub(c.lead.moved[k.ID]) <= moveAgain
 		for _, m := range k.Machines {
 			if m.Gone || m.Closing || (ordinary && m.Spot) {
@@ -211,8 +211,8 @@
 		}
 	}
 	for i := range sums {
-		slices.SortFunc(sums[i].roomy, func(a, b *rackSums) int {
-			return cmp.Or(cmp.Compare(b.free, a.free), cmp.Compare(a.rack.ID, b.rack.ID))
+		slices.SortFunc(sums[i].roomy, func(a, b *groupSums) int {
+			return cmp.Or(cmp.Compare(b.free, a.free), cmp.Compare(a.group.ID, b.group.ID))
 		})
 	}
 	if kind == idleWork && slices.ContainsFunc(sums, func(s shardSums) bool { return s.firmWaits > s.free }) {
@@ -271,20 +271,20 @@
 		sums[from].free -= r.free
 		sums[to].capacity += r.capacity
 		sums[to].free += r.free
-		mv.move(r.rack, to)
+		mv.move(r.group, to)
 	}
 }
 
 // evens finds the first rack of a share whose move brings its load and another's nearer, -1 if there is none.
 func (mv *mover) evens(sums []shardSums, from, to int, kind workKind) int {
-	return slices.IndexFunc(sums[from].roomy, func(r *rackSums) bool {
+	return slices.IndexFunc(sums[from].roomy, func(r *groupSums) bool {
 		if sums[from].capacity-r.capacity < sums[from].claim {
 			return false // it would lack what its own teams are guaranteed
 		}
 		if kind == idleWork && sums[from].capacity-r.capacity < idleMargin*sums[from].firm {
 			return false
 		}
-		return (sums[to].short() || sums[from].load(-r.capacity)*moveMargin < sums[to].load(r.capacity)) && mv.c.someoneFits(to, r.rack)
+		return (sums[to].short() || sums[from].load(-r.capacity)*moveMargin < sums[to].load(r.capacity)) && mv.c.someoneFits(to, r.group)
 	})
 }
 
@@ -307,8 +307,8 @@
 			if i == to || s.waiting > 0 != waits || !patient && (waits || s.groupCount > 1 && sums[to].capacity > 0) {
 				continue
 			}
-			if k := slices.IndexFunc(s.roomy, func(r *rackSums) bool {
-				return s.capacity-r.capacity >= s.claim && mv.fitsNow(to, r.rack) && !(waits && mv.fitsNow(i, r.rack))
+			if k := slices.IndexFunc(s.roomy, func(r *groupSums) bool {
+				return s.capacity-r.capacity >= s.claim && mv.fitsNow(to, r.group) && !(waits && mv.fitsNow(i, r.group))
 			}); k >= 0 {
 				return i, k
 			}
@@ -429,12 +429,12 @@
 // movesAtOnce bounds how many machines move with one look.
 const movesAtOnce = 6
 
-func (mv *mover) move(k *storage.Rack, to int) {
-	r := mv.c.cache.RackRecordOf(k, k.Kept(), nil)
+func (mv *mover) move(k *storage.MachineGroup, to int) {
+	r := mv.c.cache.GroupRecordOf(k, k.UnsavedCompletions(), nil)
 	r.Shard, r.Token = to, mv.c.fresh()
-	key := storage.RackKey(k.ID)
+	key := storage.GroupKey(k.ID)
 	mv.gone[k] = true
-	raw := storage.EncodeRack(r, mv.c.cache.Packed())
+	raw := storage.EncodeGroup(r, mv.c.cache.Packed())
 	if len(raw) > mv.c.valueLimit() {
 		return // its owner parts it first
 	}
@@ -445,7 +445,7 @@
 }
 
 // fitsNow tells whether a waiting task of a share fits beside what runs on one of a rack's machines.
-func (mv *mover) fitsNow(share int, k *storage.Rack) bool {
+func (mv *mover) fitsNow(share int, k *storage.MachineGroup) bool {
 	now := time.Now()
 	return slices.ContainsFunc(mv.c.cache.Jobs, func(j *storage.Job) bool {
 		return j != nil && j.Shard == share && mv.c.mayStart(j, now) &&
@@ -454,7 +454,7 @@
 }
 
 // someoneFits tells whether a share has waiting work that a rack's machines could run.
-func (c *Controller) someoneFits(share int, k *storage.Rack) bool {
+func (c *Controller) someoneFits(share int, k *storage.MachineGroup) bool {
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() || j.Shard != share || c.wanting(j) == 0 {
 			continue
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -18,32 +18,32 @@
 // draft is a transaction of this node's shares while it is worked out.
 type draft struct {
 	*batch
-	ops   int
-	used  int
-	more  bool
-	left  map[int32][]storage.Placed // what stays, of machines that change
-	racks map[*storage.Rack]*rackDraft
-	done  map[*storage.Job]*progress
-	leave map[*storage.Fleet]map[*storage.Machine]bool // machines that leave
+	ops    int
+	used   int
+	more   bool
+	left   map[int32][]storage.Placed // what stays, of machines that change
+	groups map[*storage.MachineGroup]*groupUpdate
+	done   map[*storage.Job]*progress
+	leave  map[*storage.Fleet]map[*storage.Machine]bool // machines that leave
 }
 
-type rackDraft struct {
+type groupUpdate struct {
 	ended []storage.Ended
 }
 
-// rack makes a rack part of the transaction, if there is still room for it.
-func (d *draft) rack(k *storage.Rack) *rackDraft {
-	r := d.racks[k]
+// group makes a rack part of the transaction, if there is still room for it.
+func (d *draft) group(k *storage.MachineGroup) *groupUpdate {
+	r := d.groups[k]
 	if r == nil && d.used < d.ops {
-		r = &rackDraft{ended: k.Kept()}
-		d.racks[k] = r
+		r = &groupUpdate{ended: k.UnsavedCompletions()}
+		d.groups[k] = r
 		d.used++
 	}
 	return r
 }
 
 // complete notes that a task has completed.
-func (d *draft) complete(r *rackDraft, p storage.Placed) {
+func (d *draft) complete(r *groupUpdate, p storage.Placed) {
 	// A service's replicas run until it is cancelled: one that ends is started again.
 	if !p.Job.Open() || p.Job.Shape != protocol.Batch || p.Job.Done.Get(p.Task) {
 		return
@@ -111,7 +111,7 @@
 // plan works out the next transaction, with at most ops puts and deletes.
 func (c *Controller) plan(now time.Time, ops int) (*batch, bool) {
 	d := &draft{batch: newBatch(), ops: ops, left: map[int32][]storage.Placed{},
-		racks: map[*storage.Rack]*rackDraft{}, done: map[*storage.Job]*progress{},
+		groups: map[*storage.MachineGroup]*groupUpdate{}, done: map[*storage.Job]*progress{},
 		leave: map[*storage.Fleet]map[*storage.Machine]bool{}}
 	c.planned, c.finishing = 0, c.finishing[:0]
 	shares := map[int]bool{}
@@ -150,14 +150,14 @@
 	c.planDoomed(d, shares, max(1, (ops-d.used)/4))
 	in, res := c.planStarts(now, d, shares)
 	c.fold(d)
-	for k, r := range d.racks {
-		key := storage.RackKey(k.ID)
-		rec := c.cache.RackRecordOf(k, r.ended, func(m *storage.Machine) (storage.RackMachine, bool) {
-			return c.rackMachine(d, m), !d.leave[m.Fleet][m]
+	for k, r := range d.groups {
+		key := storage.GroupKey(k.ID)
+		rec := c.cache.GroupRecordOf(k, r.ended, func(m *storage.Machine) (storage.GroupMachine, bool) {
+			return c.groupMachine(d, m), !d.leave[m.Fleet][m]
 		})
-		raw := storage.EncodeRack(rec, c.cache.Packed())
-		if len(raw) > c.valueLimit() && c.tight == nil {
-			c.tight = k
+		raw := storage.EncodeGroup(rec, c.cache.Packed())
+		if len(raw) > c.valueLimit() && c.oversizedGroup == nil {
+			c.oversizedGroup = k
 		}
 		d.put(key, k.Version, protocol.Change{Put: key, Value: raw})
 	}
@@ -192,8 +192,8 @@
 // planEnds takes what is proved to be gone out of the records, and puts in what
 // has changed of the machines themselves.
 func (c *Controller) planEnds(d *draft, shares map[int]bool) {
-	racks := c.cache.Racks
-	first := c.rackFrom // not always the same racks when there is no room for all
+	racks := c.cache.Groups
+	first := c.firstGroup // not always the same racks when there is no room for all
 	for i := range racks {
 		k := racks[(first+i)%len(racks)]
 		if k.Version == 0 || !shares[k.Shard] {
@@ -208,7 +208,7 @@
 				continue
 			}
 			cost := 0
-			if d.racks[k] == nil {
+			if d.groups[k] == nil {
 				cost++
 			}
 			leaves := v.returned && m.Closing && len(v.Gone) >= len(m.Tasks) && m.Listed <= 1
@@ -217,11 +217,11 @@
 			}
 			if d.used+cost > d.ops {
 				if !d.more {
-					d.more, c.rackFrom = true, k.ID
+					d.more, c.firstGroup = true, k.ID
 				}
 				continue
 			}
-			r := d.rack(k)
+			r := d.group(k)
 			stay := make([]storage.Placed, 0, len(m.Tasks))
 			for _, p := range m.Tasks {
 				out, gone := v.Gone[dispatch.RefOf(p)]
@@ -255,13 +255,13 @@
 	return v.Uncertain > 0 && v.Uncertain >= c.cache.Token(m)
 }
 
-// rackMachine is a machine's part of its rack's record with this transaction.
-func (c *Controller) rackMachine(d *draft, m *storage.Machine) storage.RackMachine {
+// groupMachine is a machine's part of its rack's record with this transaction.
+func (c *Controller) groupMachine(d *draft, m *storage.Machine) storage.GroupMachine {
 	tasks, changed := d.left[m.Index]
 	if !changed {
 		tasks = m.Tasks
 	}
-	x := c.cache.RackMachineOf(m, tasks)
+	x := c.cache.GroupMachineOf(m, tasks)
 	v := c.views[m.Index]
 	if v == nil {
 		return x
@@ -299,13 +299,13 @@
 		m := p.Slot.M
 		key := storage.JobKey(p.Job.ID)
 		if _, ok := d.conds[key]; !ok {
-			if len(d.conds)+len(d.racks)+2 > maxConds {
+			if len(d.conds)+len(d.groups)+2 > maxConds {
 				d.more = true
 				break
 			}
 			d.when(key, p.Job.Version) // cancelled meanwhile: nothing starts
 		}
-		if d.rack(m.Rack) == nil {
+		if d.group(m.Group) == nil {
 			d.more = true
 			continue
 		}
@@ -335,7 +335,7 @@
 		limit = min(limit, c.valueLimit()/4/packedSizes.ended)
 		keyOf = func(e storage.Ended) string { return storage.SetKey(e.Job.ID, e.Task) }
 	}
-	for _, r := range d.racks {
+	for _, r := range d.groups {
 		if len(r.ended) <= limit || d.used >= d.ops {
 			continue
 		}
@@ -394,7 +394,7 @@
 		},
 	}
 	sc := &c.scratch
-	sc.begin(c.cache.MachineCount(), len(c.cache.Racks), len(c.cache.Jobs))
+	sc.begin(c.cache.MachineCount(), len(c.cache.Groups), len(c.cache.Jobs))
 	in.Jobs, in.Scratch = sc.jobs, &sc.place
 	clear(c.waitingByShard)
 	c.idleRuns = false
@@ -419,11 +419,11 @@
 		in.Ordinary = 6 // jobs that may not use spot machines have come and will again
 	}
 	held := c.heldRoom()
-	for _, k := range c.cache.Racks {
+	for _, k := range c.cache.Groups {
 		if k.Version == 0 || !shares[k.Shard] {
 			continue
 		}
-		rec := sc.record(schedule.Record{Touched: d.racks[k] != nil, Room: c.recordRoom(k)})
+		rec := sc.record(schedule.Record{Touched: d.groups[k] != nil, Room: c.recordRoom(k)})
 		for _, m := range k.Machines {
 			if m.Gone {
 				continue
@@ -544,7 +544,7 @@
 )
 
 // recordRoom is how many more tasks a rack's record can list.
-func (c *Controller) recordRoom(k *storage.Rack) int {
+func (c *Controller) recordRoom(k *storage.MachineGroup) int {
 	limit, size := c.valueLimit(), plainSizes
 	if c.cache.Packed() {
 		// What ends needs some room too: a completed task stays listed for a while.
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -242,10 +242,10 @@
 		}
 		mv := c.view(m)
 		mv.since = now
-		if max(m.Token, m.Rack.Token) >= c.cache.Shards[share].Token {
+		if max(m.Token, m.Group.Token) >= c.cache.Shards[share].Token {
 			// raised by the former owner while the share changed
 			// hands: only a higher one proves what it sent is dead
-			mv.Uncertain = max(m.Token, m.Rack.Token)
+			mv.Uncertain = max(m.Token, m.Group.Token)
 		}
 		if m.Session > 0 {
 			c.toGreet = append(c.toGreet, m)
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -53,7 +53,7 @@
 					t.Fatal(err)
 				}
 			}
-			apply(storage.RackKey(0), storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
 			r := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", EndMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
 			if x.is&unknown != 0 {
--- a/internal/coordination/words_test.go
+++ b/internal/coordination/words_test.go
@@ -43,7 +43,7 @@
 			c.cfg.Known = []config.Peer{{NodeName: "n1"}, {NodeName: "n2"}}
 			c.cfg.Deployment.ClockOffMs = x.clocks
 			m := c.cache.Machine("m")
-			if err := c.cache.Apply(storage.RackKey(0), storage.Encode(storage.RackRecord{Machines: []storage.RackMachine{{Name: "m", Session: 1,
+			if err := c.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}), 5, false); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -21,11 +21,11 @@
 	}
 	gone, now := map[string]uint64{}, map[string]uint64{}
 	for _, c := range txn.Then {
-		rack, ok := storage.RackOf(c.Put)
+		rack, ok := storage.GroupOf(c.Put)
 		if !ok {
 			continue
 		}
-		r, err := storage.DecodeRack(c.Value)
+		r, err := storage.DecodeGroup(c.Value)
 		if err != nil {
 			return []string{err.Error()}
 		}
--- a/internal/simulator/back_test.go
+++ b/internal/simulator/back_test.go
@@ -111,11 +111,11 @@
 		var a attempts
 		n := 0
 		for _, attempt := range x.attempts {
-			r := storage.RackRecord{Machines: []storage.RackMachine{{Name: "m"}}}
+			r := storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m"}}}
 			if attempt > 0 {
 				r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, attempt, 0, 0}}}
 			}
-			n += len(a.note(protocol.Txn{Then: []protocol.Change{{Put: storage.RackKey(1), Value: storage.EncodeRack(&r, false)}}}))
+			n += len(a.note(protocol.Txn{Then: []protocol.Change{{Put: storage.GroupKey(1), Value: storage.EncodeGroup(&r, false)}}}))
 		}
 		if (n > 0) != x.bad {
 			t.Errorf("%v: %d found", x.attempts, n)
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -9,7 +9,7 @@
 
 // placement is where the records say that a task is.
 type placement struct {
-	rack    int
+	group   int
 	machine string
 }
 
@@ -18,14 +18,14 @@
 type recordCheck struct {
 	world    *World
 	placed   map[string]placement // by task
-	racks    map[int][]string     // by rack: its tasks
+	groups   map[int][]string     // by rack: its tasks
 	fleets   map[string][]string  // by fleet record: the machines that it lists
 	listedIn map[string]string    // by machine: the fleet record that lists it
 	used     attempts
 }
 
 func newRecordCheck(w *World) *recordCheck {
-	return &recordCheck{world: w, placed: map[string]placement{}, racks: map[int][]string{}, fleets: map[string][]string{}, listedIn: map[string]string{}}
+	return &recordCheck{world: w, placed: map[string]placement{}, groups: map[int][]string{}, fleets: map[string][]string{}, listedIn: map[string]string{}}
 }
 
 // note checks a transaction that was applied.
@@ -42,7 +42,7 @@
 		c.noteFleet(change)
 		c.world.noteTeam(change)
 	}
-	c.noteRacks(t)
+	c.noteGroups(t)
 }
 
 func (c *recordCheck) noteFleet(change protocol.Change) {
@@ -73,34 +73,34 @@
 	delete(c.fleets, key)
 }
 
-// noteRacks takes the racks that a transaction writes as one change: tasks may go from one to another.
-func (c *recordCheck) noteRacks(t protocol.Txn) {
-	written := map[int]storage.RackRecord{}
+// noteGroups takes the racks that a transaction writes as one change: tasks may go from one to another.
+func (c *recordCheck) noteGroups(t protocol.Txn) {
+	written := map[int]storage.GroupRecord{}
 	for _, change := range t.Then {
-		rack, ok := storage.RackOf(change.Put)
+		rack, ok := storage.GroupOf(change.Put)
 		if !ok {
 			continue
 		}
-		r, err := storage.DecodeRack(change.Value)
+		r, err := storage.DecodeGroup(change.Value)
 		if err != nil {
 			c.world.fault("record %s cannot be read", change.Put)
 		}
 		written[rack] = r
 	}
 	for rack := range written {
-		for _, name := range c.racks[rack] {
-			if c.placed[name].rack == rack {
+		for _, name := range c.groups[rack] {
+			if c.placed[name].group == rack {
 				delete(c.placed, name)
 			}
 		}
-		c.racks[rack] = c.racks[rack][:0]
+		c.groups[rack] = c.groups[rack][:0]
 	}
 	for rack, r := range written {
 		c.place(rack, r)
 	}
 }
 
-func (c *recordCheck) place(rack int, r storage.RackRecord) {
+func (c *recordCheck) place(rack int, r storage.GroupRecord) {
 	for _, m := range r.Machines {
 		for _, p := range m.Tasks {
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
@@ -109,7 +109,7 @@
 					c.world.fault("records: %s is on %s and %s", name, other.machine, m.Name)
 				}
 				c.placed[name] = placement{rack, m.Name}
-				c.racks[rack] = append(c.racks[rack], name)
+				c.groups[rack] = append(c.groups[rack], name)
 			}
 		}
 	}
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -88,9 +88,9 @@
 func TestWorld(t *testing.T) {
 	launches := func(x protocol.Txn) bool {
 		for _, c := range x.Then {
-			if _, ok := storage.RackOf(c.Put); ok {
-				r, _ := storage.DecodeRack(c.Value)
-				if slices.ContainsFunc(r.Machines, func(m storage.RackMachine) bool { return len(m.Tasks) > 0 }) {
+			if _, ok := storage.GroupOf(c.Put); ok {
+				r, _ := storage.DecodeGroup(c.Value)
+				if slices.ContainsFunc(r.Machines, func(m storage.GroupMachine) bool { return len(m.Tasks) > 0 }) {
 					return true
 				}
 			}
--- a/internal/storage/before_test.go
+++ b/internal/storage/before_test.go
@@ -65,11 +65,11 @@
 			t.Fatal(err)
 		}
 	}
-	k, fleet := b.Racks[0], b.fleets["host-000001"]
+	k, fleet := b.Groups[0], b.fleets["host-000001"]
 	evicted := b.Evicted["job-000007"].EvictRecord
 	rec, _ := b.FleetWithout(fleet, nil)
 	written := map[string]json.RawMessage{
-		Root + "rack/0":            EncodeRack(b.RackRecordOf(k, k.Ended, nil), b.Packed()),
+		Root + "rack/0":            EncodeGroup(b.GroupRecordOf(k, k.Ended, nil), b.Packed()),
 		Root + "fleet/host-000001": EncodeFleet(&rec, b.Packed()),
 		Root + "evict/job-000007":  EncodeEvict(&evicted, b.Packed()),
 		Root + "share/0":           Encode(b.Shards[0].ShardRecord),
@@ -87,7 +87,7 @@
 	}
 	// Whatever else is written before the gate, that version knows every field of it.
 	j := b.Job("job-000007")
-	full := RackRecord{Shard: 1, Token: 2, Machines: []RackMachine{{"h", 1, 2, "a", true, true, true, false,
+	full := GroupRecord{Shard: 1, Token: 2, Machines: []GroupMachine{{"h", 1, 2, "a", true, true, true, false,
 		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Ended: []EndedTasks{{"j", []int{1}}}}
 	strict := func(raw json.RawMessage, into any) {
 		t.Helper()
@@ -97,7 +97,7 @@
 			t.Errorf("%s: %v", raw, err)
 		}
 	}
-	strict(EncodeRack(&full, b.Packed()), &beforeRack{})
+	strict(EncodeGroup(&full, b.Packed()), &beforeRack{})
 	strict(EncodeFleet(&rec, b.Packed()), &beforeFleet{})
 	strict(EncodeEvict(&evicted, b.Packed()), &beforeEvict{})
 	for _, f := range []protocol.JobStatus{"", protocol.Done, protocol.Cancelled} {
@@ -107,7 +107,7 @@
 	if err := b.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPacked}), 50, false); err != nil || !b.Packed() {
 		t.Fatal("the gate does not open", err)
 	}
-	raw := EncodeRack(b.RackRecordOf(k, k.Ended, nil), b.Packed())
+	raw := EncodeGroup(b.GroupRecordOf(k, k.Ended, nil), b.Packed())
 	if len(raw) >= len(old[Root+"rack/0"]) {
 		t.Errorf("packed it takes %d bytes", len(raw))
 	}
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -116,7 +116,7 @@
 type Machine struct {
 	Index   int32
 	Name    string
-	Rack    *Rack
+	Group   *MachineGroup
 	Shard   int // its rack's
 	Token   uint64
 	Session uint64
@@ -150,8 +150,8 @@
 	record  FleetRecord
 }
 
-// Rack is a group of machines whose records change together.
-type Rack struct {
+// MachineGroup is a group of machines whose records change together.
+type MachineGroup struct {
 	ID       int
 	Shard    int
 	Token    uint64
@@ -241,7 +241,7 @@
 	Leader    Leader
 	Jobs      []*Job // nil: free
 	Machines  []*Machine
-	Racks     []*Rack // by id
+	Groups    []*MachineGroup // by id
 	Evicted   map[string]*Evicted
 	Catalog   Raw
 	Settings  Raw
@@ -347,7 +347,7 @@
 
 // Token is the token under which a machine is commanded.
 func (b *Cache) Token(m *Machine) uint64 {
-	return max(m.Token, m.Rack.Token, b.Shards[m.Shard].Token)
+	return max(m.Token, m.Group.Token, b.Shards[m.Shard].Token)
 }
 
 // Changed returns the machines that changed, and the jobs that ended, since it was
@@ -374,12 +374,12 @@
 	return len(b.victims) > 0 && b.victims[victim{p.Job.ID, p.Task, p.Attempt}]
 }
 
-// rack finds a rack, and makes an empty one that no record describes yet.
-func (b *Cache) rack(id int) *Rack {
-	for len(b.Racks) <= id {
-		b.Racks = append(b.Racks, &Rack{ID: len(b.Racks)})
+// group finds a rack, and makes an empty one that no record describes yet.
+func (b *Cache) group(id int) *MachineGroup {
+	for len(b.Groups) <= id {
+		b.Groups = append(b.Groups, &MachineGroup{ID: len(b.Groups)})
 	}
-	return b.Racks[id]
+	return b.Groups[id]
 }
 
 // SetCatalog takes the cloud's machine types.
@@ -447,12 +447,12 @@
 	if id, ok := suffix(key, setPrefix); ok {
 		return b.applySet(id, value, version, deleted)
 	}
-	if _, ok := suffix(key, rackPrefix); ok {
-		id, ok := RackOf(key)
-		if !ok || id > maxRacks || deleted {
+	if _, ok := suffix(key, groupPrefix); ok {
+		id, ok := GroupOf(key)
+		if !ok || id > maxGroups || deleted {
 			return fmt.Errorf("record %s: no such rack", key)
 		}
-		return b.applyRack(id, value, version)
+		return b.applyGroup(id, value, version)
 	}
 	if _, ok := suffix(key, oldPrefix); ok && !deleted && !isBar(key) {
 		return fmt.Errorf("record %s: %w", key, ErrLayout)
@@ -819,7 +819,7 @@
 // which this version does not read: see the operators' handbook.
 var ErrLayout = errors.New("a record of an earlier layout; the state service must be emptied before this version starts")
 
-const maxRacks = 100_000
+const maxGroups = 100_000
 
 // applyFleet takes a fleet's record. A machine is in the latest record that lists it: a
 // record that is over a lower limit is worked off by small ones which list its machines
@@ -837,8 +837,8 @@
 		}
 	}
 	for _, x := range r.Machines {
-		if m := b.byName[x.Name]; x.Rack < 0 || x.Rack > maxRacks || (m != nil && m.exists && m.Fleet.ID != id && m.record.Rack != x.Rack) {
-			return fmt.Errorf("fleet %s: machine %s cannot be in rack %d", id, x.Name, x.Rack)
+		if m := b.byName[x.Name]; x.Group < 0 || x.Group > maxGroups || (m != nil && m.exists && m.Fleet.ID != id && m.record.Group != x.Group) {
+			return fmt.Errorf("fleet %s: machine %s cannot be in rack %d", id, x.Name, x.Group)
 		}
 	}
 	if f == nil {
@@ -862,17 +862,17 @@
 func (b *Cache) depart(m *Machine, version uint64) {
 	b.place(m, nil)
 	m.Gone, m.exists, m.Version = true, false, version
-	m.leaveRack()
+	m.leaveGroup()
 	b.order.machines.Delete(m)
 	b.touch(m)
 }
 
-func (m *Machine) leaveRack() {
-	m.Rack.Machines = slices.DeleteFunc(m.Rack.Machines, func(o *Machine) bool { return o == m })
+func (m *Machine) leaveGroup() {
+	m.Group.Machines = slices.DeleteFunc(m.Group.Machines, func(o *Machine) bool { return o == m })
 }
 
-func (m *Machine) enterRack(k *Rack) {
-	m.Rack = k
+func (m *Machine) joinGroup(k *MachineGroup) {
+	m.Group = k
 	k.Machines = append(k.Machines, m)
 }
 
@@ -893,8 +893,8 @@
 	m.Fleet, m.record, m.exists, m.Version = f, x, true, f.Version
 	m.Moved = false
 	b.order.machines.Set(m)
-	m.enterRack(b.rack(x.Rack))
-	m.Shard, m.Gone = m.Rack.Shard, m.Rack.Version == 0
+	m.joinGroup(b.group(x.Group))
+	m.Shard, m.Gone = m.Group.Shard, m.Group.Version == 0
 	m.Type = b.TypeIdx.Index(f.record.Type)
 	b.growTypes()
 	m.Zone = b.Zones.Index(f.record.Zone)
@@ -943,21 +943,21 @@
 	return r, len(r.Machines) > 0
 }
 
-// applyRack takes a rack's record. One that names a job or a machine that is not
+// applyGroup takes a rack's record. One that names a job or a machine that is not
 // known yet is left alone: it was read before the record that it names, and comes
 // again with the follow.
-func (b *Cache) applyRack(id int, value json.RawMessage, version uint64) error {
-	if id < len(b.Racks) && b.Racks[id].Version >= version {
+func (b *Cache) applyGroup(id int, value json.RawMessage, version uint64) error {
+	if id < len(b.Groups) && b.Groups[id].Version >= version {
 		return nil
 	}
-	r, err := DecodeRack(value)
+	r, err := DecodeGroup(value)
 	if err != nil {
 		return fmt.Errorf("rack %d: %w", id, err)
 	}
 	if r.Shard < 0 || r.Shard >= b.NumShards {
 		return fmt.Errorf("rack %d: no share %d", id, r.Shard)
 	}
-	entries := make(map[*Machine]*RackMachine, len(r.Machines))
+	entries := make(map[*Machine]*GroupMachine, len(r.Machines))
 	tasks := make(map[*Machine][]Placed, len(r.Machines))
 	for i := range r.Machines {
 		x := &r.Machines[i]
@@ -1005,16 +1005,16 @@
 			}
 		}
 	}
-	k := b.rack(id)
+	k := b.group(id)
 	for m, x := range entries {
 		if !x.Moved {
 			continue
 		}
-		if m.Moved = true; m.Rack != k {
+		if m.Moved = true; m.Group != k {
 			// It comes from a rack whose record it left in the same change or before.
 			b.place(m, nil)
-			m.leaveRack()
-			m.enterRack(k)
+			m.leaveGroup()
+			m.joinGroup(k)
 		}
 	}
 	moved := k.Version == 0 || k.Shard != r.Shard || k.Token != r.Token
@@ -1034,7 +1034,7 @@
 	for _, m := range k.Machines {
 		x := entries[m]
 		if x == nil {
-			x = &RackMachine{}
+			x = &GroupMachine{}
 		}
 		token := max(x.Token, m.Fleet.record.Token)
 		if moved || token != m.Token || x.Session != m.Session || x.Closing != m.Closing || x.Sick != m.Sick ||
@@ -1096,9 +1096,9 @@
 	}
 }
 
-// RackMachineOf writes a machine's part of its rack's record, with other tasks.
-func (b *Cache) RackMachineOf(m *Machine, tasks []Placed) RackMachine {
-	r := RackMachine{Name: m.Name, Session: m.Session, Closing: m.Closing, Draining: m.Drains, Sick: m.Sick, Moved: m.Moved}
+// GroupMachineOf writes a machine's part of its rack's record, with other tasks.
+func (b *Cache) GroupMachineOf(m *Machine, tasks []Placed) GroupMachine {
+	r := GroupMachine{Name: m.Name, Session: m.Session, Closing: m.Closing, Draining: m.Drains, Sick: m.Sick, Moved: m.Moved}
 	if m.Token > m.Fleet.record.Token {
 		r.Token = m.Token
 	}
@@ -1116,12 +1116,12 @@
 	return r
 }
 
-// RackRecordOf writes a rack's record. change, if set, changes a machine's part and
+// GroupRecordOf writes a rack's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
-func (b *Cache) RackRecordOf(k *Rack, ended []Ended, change func(*Machine) (RackMachine, bool)) *RackRecord {
-	r := &RackRecord{Shard: k.Shard, Token: k.Token, Ended: endedOf(ended)}
+func (b *Cache) GroupRecordOf(k *MachineGroup, ended []Ended, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
+	r := &GroupRecord{Shard: k.Shard, Token: k.Token, Ended: endedOf(ended)}
 	for _, m := range k.Machines {
-		x, stays := b.RackMachineOf(m, m.Tasks), true
+		x, stays := b.GroupMachineOf(m, m.Tasks), true
 		if change != nil {
 			x, stays = change(m)
 		}
@@ -1132,9 +1132,9 @@
 	return r
 }
 
-// Kept are the completed tasks that must stay in a rack's record, since their
+// UnsavedCompletions are the completed tasks that must stay in a rack's record, since their
 // job's own does not show them.
-func (k *Rack) Kept() []Ended {
+func (k *MachineGroup) UnsavedCompletions() []Ended {
 	out := make([]Ended, 0, len(k.Ended))
 	for _, e := range k.Ended {
 		if e.Job.Open() && !e.Job.Saved.Get(e.Task) {
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -17,14 +17,14 @@
 	job := func(final string, done int) JobRecord {
 		return JobRecord{Spec: spec, Tasks: 2, Team: "red", Final: final, NDone: done}
 	}
-	rack := func(numbers ...uint64) RackRecord {
-		r := RackRecord{}
+	rack := func(numbers ...uint64) GroupRecord {
+		r := GroupRecord{}
 		if len(numbers) > 0 {
-			r.Machines = []RackMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", numbers}}}}
+			r.Machines = []GroupMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", numbers}}}}
 		}
 		return r
 	}
-	ended := func(tasks ...int) RackRecord { return RackRecord{Ended: []EndedTasks{{"job-000001", tasks}}} }
+	ended := func(tasks ...int) GroupRecord { return GroupRecord{Ended: []EndedTasks{{"job-000001", tasks}}} }
 	const j, m, k = Root + "job/job-000001", Root + "fleet/m", Root + "rack/0"
 	type change struct {
 		key     string
@@ -110,7 +110,7 @@
 	for z, zone := range []string{"a", "z"} {
 		f := FleetRecord{Type: "t", Zone: zone}
 		for i := z; i < machines; i += 2 {
-			f.Machines = append(f.Machines, FleetMachine{Name: fmt.Sprint("m", i), Rack: i % racks})
+			f.Machines = append(f.Machines, FleetMachine{Name: fmt.Sprint("m", i), Group: i % racks})
 		}
 		apply(FleetKey(zone), f, 2)
 	}
@@ -119,7 +119,7 @@
 	ended := map[place]bool{} // for good
 	for version := uint64(3); version < 400; version++ {
 		rack := r.IntN(racks)
-		rec := RackRecord{}
+		rec := GroupRecord{}
 		for i := rack; i < machines; i += racks {
 			for p, m := range on {
 				if m == i && r.IntN(3) == 0 {
@@ -133,7 +133,7 @@
 					on[p] = i
 				}
 			}
-			x := RackMachine{Name: fmt.Sprint("m", i)}
+			x := GroupMachine{Name: fmt.Sprint("m", i)}
 			for p, m := range on {
 				if m == i {
 					x.Tasks = append(x.Tasks, PlacedTasks{fmt.Sprint("j", p.job), []uint64{uint64(p.task), version, 0, 0}})
@@ -146,10 +146,10 @@
 				rec.Ended = append(rec.Ended, EndedTasks{fmt.Sprint("j", p.job), []int{p.task}})
 			}
 		}
-		apply(RackKey(rack), rec, version)
+		apply(GroupKey(rack), rec, version)
 		var used [2]float64
 		placed := make([]int, jobs)
-		for _, k := range b.Racks {
+		for _, k := range b.Groups {
 			for _, m := range k.Machines {
 				for _, p := range m.Tasks {
 					used[p.Job.Team] += p.Job.Cpus
@@ -187,9 +187,9 @@
 	}{
 		{FleetKey("m"), FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}},
 		{JobKey("job-000001"), JobRecord{Spec: &SpecRecord{Cpus: 1}, Tasks: 2, Team: "red"}},
-		{RackKey(0), RackRecord{Machines: []RackMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", []uint64{0, 5, 0, 0}}}}}}},
+		{GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", []uint64{0, 5, 0, 0}}}}}}},
 		{JobKey("job-000001"), JobRecord{Tasks: 2, NDone: 2, Team: "red", Final: "done"}},
-		{RackKey(0), RackRecord{Ended: []EndedTasks{{"job-000001", []int{0, 1}}}}},
+		{GroupKey(0), GroupRecord{Ended: []EndedTasks{{"job-000001", []int{0, 1}}}}},
 	} {
 		if err := b.Apply(x.key, Encode(x.value), uint64(i+1), false); err != nil {
 			t.Fatal(err)
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -101,8 +101,8 @@
 	}{
 		{"rack", func(packed bool) rewrite {
 			return func(raw json.RawMessage) (json.RawMessage, error) {
-				record, err := DecodeRack(raw)
-				return EncodeRack(&record, packed), err
+				record, err := DecodeGroup(raw)
+				return EncodeGroup(&record, packed), err
 			}
 		}},
 		{"fleet", func(packed bool) rewrite {
@@ -133,7 +133,7 @@
 		typ    reflect.Type
 	}{
 		{"job", reflect.TypeFor[JobRecord]()},
-		{"rack", reflect.TypeFor[RackRecord]()},
+		{"rack", reflect.TypeFor[GroupRecord]()},
 		{"fleet", reflect.TypeFor[FleetRecord]()},
 		{"evict", reflect.TypeFor[EvictRecord]()},
 		{"node", reflect.TypeFor[NodeRecord]()},
@@ -248,7 +248,7 @@
 // TestGoldenKeys covers the keys under which records stand.
 func TestGoldenKeys(t *testing.T) {
 	keys := []string{
-		NodeKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), RackKey(300), EvictKey("job-000007"),
+		NodeKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), GroupKey(300), EvictKey("job-000007"),
 		SetKey("job-000007", 8191), SetKey("job-000007", 8192), partKey("job-000007", "n0-1-7", 2), TeamKey("red/blue team"),
 		LeaderKey, CatalogKey, SettingsKey, LayoutKey, UsualKey, BarKey, BarTeamsKey,
 	}
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -24,10 +24,10 @@
 	for _, x := range []struct{ id, image string }{{"job-000001", "i"}, {"job-000002", "k"}, {"job-000003", "l"}} {
 		put(JobKey(x.id), JobRecord{Tasks: 1, Team: "red", Spec: &SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: x.image, ImageGB: 5}})
 	}
-	put(RackKey(0), RackRecord{})
+	put(GroupKey(0), GroupRecord{})
 	put(FleetKey("m"), FleetRecord{Type: "t", Zone: "a", Token: 3, Machines: []FleetMachine{{Name: "m"}}})
 	rack := func(tasks ...PlacedTasks) {
-		put(RackKey(0), RackRecord{Machines: []RackMachine{{Name: "m", Session: 1, Tasks: tasks}}})
+		put(GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Session: 1, Tasks: tasks}}})
 	}
 	since := func(id string, ago int64) PlacedTasks {
 		return PlacedTasks{Job: id, Numbers: []uint64{0, 9, uint64(time.Now().Unix() - ago), 0}}
--- a/internal/storage/pack.go
+++ b/internal/storage/pack.go
@@ -209,7 +209,7 @@
 )
 
 // pack writes a rack's machines and completed tasks.
-func (r *RackRecord) pack() string {
+func (r *GroupRecord) pack() string {
 	p := newPacker()
 	p.num(uint64(len(r.Machines)))
 	var attempt, at uint64 // those before
@@ -287,12 +287,12 @@
 	return out
 }
 
-func (r *RackRecord) unpack(s string) error {
+func (r *GroupRecord) unpack(s string) error {
 	u := newUnpacker(s)
 	var attempt, at uint64
-	r.Machines = make([]RackMachine, 0, u.count())
+	r.Machines = make([]GroupMachine, 0, u.count())
 	for range cap(r.Machines) {
-		m := RackMachine{Name: u.name(), Session: 1}
+		m := GroupMachine{Name: u.name(), Session: 1}
 		flags := u.num()
 		m.Closing, m.Sick, m.Draining, m.Moved = flags&packClosing > 0, flags&packSick > 0, flags&packDraining > 0, flags&packMoved > 0
 		if flags&packToken > 0 {
@@ -345,7 +345,7 @@
 	p.num(uint64(len(r.Machines)))
 	for _, m := range r.Machines {
 		p.name(m.Name)
-		p.num(uint64(m.Rack))
+		p.num(uint64(m.Group))
 		p.addr(m.Addr)
 	}
 	return p.String()
@@ -354,7 +354,7 @@
 func (r *FleetRecord) unpack(s string) error {
 	u := newUnpacker(s)
 	for range u.count() {
-		r.Machines = append(r.Machines, FleetMachine{Name: u.name(), Rack: int(u.num()), Addr: u.addr()})
+		r.Machines = append(r.Machines, FleetMachine{Name: u.name(), Group: int(u.num()), Addr: u.addr()})
 	}
 	return u.err
 }
--- a/internal/storage/pack_test.go
+++ b/internal/storage/pack_test.go
@@ -12,10 +12,10 @@
 // a panic or another record.
 func TestPack(t *testing.T) {
 	long := strings.Repeat("long-name-", 12)
-	racks := []RackRecord{
+	racks := []GroupRecord{
 		{},
-		{Shard: 3, Token: 1 << 40, Machines: []RackMachine{{Name: "host-000231", Session: 1}}},
-		{Machines: []RackMachine{
+		{Shard: 3, Token: 1 << 40, Machines: []GroupMachine{{Name: "host-000231", Session: 1}}},
+		{Machines: []GroupMachine{
 			{Name: "host-000231", Token: 17, Session: 3, Addr: "10.1.0.232:9000", Closing: true, Sick: true, Draining: true, Moved: true},
 			{Name: "host-31", Session: 0, Addr: "worker.example:9000"}, {Name: "host-00000000000000000231", Session: 1, Addr: "10.1.0.256:9000"},
 			{Name: long, Session: 1, Tasks: []PlacedTasks{
@@ -25,9 +25,9 @@
 	}
 	r := rand.New(rand.NewPCG(1, 4))
 	for range 50 {
-		var x RackRecord
+		var x GroupRecord
 		for m := range r.IntN(24) {
-			e := RackMachine{Name: fmt.Sprintf("host-%06d", m*m), Session: r.Uint64N(3), Token: r.Uint64N(2) * r.Uint64N(1<<50)}
+			e := GroupMachine{Name: fmt.Sprintf("host-%06d", m*m), Session: r.Uint64N(3), Token: r.Uint64N(2) * r.Uint64N(1<<50)}
 			for range r.IntN(6) {
 				p := PlacedTasks{Job: fmt.Sprintf("job-%06d", r.IntN(9))}
 				for range 1 + r.IntN(5) {
@@ -40,8 +40,8 @@
 		racks = append(racks, x)
 	}
 	for i, x := range racks {
-		raw := EncodeRack(&x, true)
-		got, err := DecodeRack(raw)
+		raw := EncodeGroup(&x, true)
+		got, err := DecodeGroup(raw)
 		got.Packed = ""
 		if len(got.Machines) == 0 {
 			got.Machines = nil
@@ -51,7 +51,7 @@
 		}
 		packed := x.pack()
 		for n := range len(packed) {
-			var y RackRecord
+			var y GroupRecord
 			if err := y.unpack(packed[:n]); err == nil && n < len(packed)-1 && !reflect.DeepEqual(y, x) && len(y.Machines)+len(y.Ended) > len(x.Machines)+len(x.Ended) {
 				t.Fatalf("rack %d cut at %d gives %+v", i, n, y)
 			}
@@ -73,10 +73,10 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	x := RackRecord{Machines: []RackMachine{{Name: "host-000231", Session: 2, Tasks: []PlacedTasks{{"job-000412", []uint64{0, 9, 17, 3}}}}}}
+	x := GroupRecord{Machines: []GroupMachine{{Name: "host-000231", Session: 2, Tasks: []PlacedTasks{{"job-000412", []uint64{0, 9, 17, 3}}}}}}
 	f.Add(x.pack())
 	f.Fuzz(func(_ *testing.T, s string) {
-		_ = new(RackRecord).unpack(s) // must not panic or take much memory
+		_ = new(GroupRecord).unpack(s) // must not panic or take much memory
 		_ = new(FleetRecord).unpack(s)
 		_ = new(EvictRecord).unpack(s)
 		_, _ = unpackIDs(s)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -20,7 +20,7 @@
 	shardPrefix = Root + "share/"
 	jobPrefix   = Root + "job/"
 	fleetPrefix = Root + "fleet/"
-	rackPrefix  = Root + "rack/"
+	groupPrefix = Root + "rack/"
 	evictPrefix = Root + "evict/"
 	setPrefix   = Root + "set/"
 	partPrefix  = Root + "bit/"     // sorts before the jobs, whose records name them
@@ -63,8 +63,8 @@
 // FleetKey holds what does not change of machines that came together.
 func FleetKey(id string) string { return fleetPrefix + id }
 
-// RackKey holds a rack: the part of its machines' records that changes.
-func RackKey(rack int) string { return rackPrefix + strconv.Itoa(rack) }
+// GroupKey holds a rack: the part of its machines' records that changes.
+func GroupKey(rack int) string { return groupPrefix + strconv.Itoa(rack) }
 
 // EvictKey holds the evicted set that makes room for a job.
 func EvictKey(job string) string { return evictPrefix + job }
@@ -146,24 +146,24 @@
 
 // FleetMachine is one machine of a fleet record, with the rack that it is in for good.
 type FleetMachine struct {
-	Name string `json:"h"`
-	Rack int    `json:"r"`
-	Addr string `json:"a,omitempty"`
+	Name  string `json:"h"`
+	Group int    `json:"r"`
+	Addr  string `json:"a,omitempty"`
 }
 
-// RackRecord holds what changes of a group of machines that serve one share:
+// GroupRecord holds what changes of a group of machines that serve one share:
 // writing them together is what lets hundreds of machines fit the state
 // service's rate of changes.
-type RackRecord struct {
-	Shard    int           `json:"s"`
-	Token    uint64        `json:"t,omitempty"` // raised whenever the rack changes its share
-	Machines []RackMachine `json:"m,omitempty"` // those with something to say
-	Ended    []EndedTasks  `json:"e,omitempty"`
-	Packed   string        `json:"y,omitempty"` // machines and ended, in the packed layout
+type GroupRecord struct {
+	Shard    int            `json:"s"`
+	Token    uint64         `json:"t,omitempty"` // raised whenever the rack changes its share
+	Machines []GroupMachine `json:"m,omitempty"` // those with something to say
+	Ended    []EndedTasks   `json:"e,omitempty"`
+	Packed   string         `json:"y,omitempty"` // machines and ended, in the packed layout
 }
 
-// RackMachine is one machine of a rack.
-type RackMachine struct {
+// GroupMachine is one machine of a rack.
+type GroupMachine struct {
 	Name    string `json:"h"`
 	Token   uint64 `json:"t,omitempty"`
 	Session uint64 `json:"w,omitempty"`
@@ -228,16 +228,16 @@
 	return raw
 }
 
-// EncodeRack writes a rack's record.
-func EncodeRack(r *RackRecord, packed bool) json.RawMessage {
+// EncodeGroup writes a rack's record.
+func EncodeGroup(r *GroupRecord, packed bool) json.RawMessage {
 	if packed {
-		r = &RackRecord{Shard: r.Shard, Token: r.Token, Packed: r.pack()}
+		r = &GroupRecord{Shard: r.Shard, Token: r.Token, Packed: r.pack()}
 	}
 	return Encode(r)
 }
 
-// DecodeRack reads a rack's record of either layout.
-func DecodeRack(raw json.RawMessage) (r RackRecord, err error) {
+// DecodeGroup reads a rack's record of either layout.
+func DecodeGroup(raw json.RawMessage) (r GroupRecord, err error) {
 	if err = json.Unmarshal(raw, &r); err == nil && r.Packed != "" {
 		err = r.unpack(r.Packed)
 	}
@@ -358,9 +358,9 @@
 	return rest, ok && rest != ""
 }
 
-// RackOf takes a rack's key apart.
-func RackOf(key string) (int, bool) {
-	num, ok := suffix(key, rackPrefix)
+// GroupOf takes a rack's key apart.
+func GroupOf(key string) (int, bool) {
+	num, ok := suffix(key, groupPrefix)
 	if !ok {
 		return 0, false
 	}
