--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -160,9 +160,9 @@
 				out.Items = append(out.Items, x)
 			}
 		case console.Nodes:
-			for i := range s.Nodes {
-				if s.Nodes[i].Name == r.Key {
-					out.Items = append(out.Items, s.Nodes[i])
+			for i := range s.Members {
+				if s.Members[i].Name == r.Key {
+					out.Items = append(out.Items, s.Members[i])
 				}
 			}
 		}
--- a/cmd/dykeledge/main.go
+++ b/cmd/dykeledge/main.go
@@ -110,7 +110,7 @@
 	tune(cfg)
 	level := &slog.LevelVar{}
 	level.Set(logLevel(os.Getenv("LOG_LEVEL")))
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", cfg.NodeName)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", cfg.MemberName)
 	public, err := net.Listen("tcp4", cfg.PublicAddr)
 	if err != nil {
 		return &exitError{exitFailed, fmt.Errorf("public_addr: %w", err)}
@@ -120,7 +120,7 @@
 		return &exitError{exitFailed, fmt.Errorf("peer_listen: %w", err)}
 	}
 	state, cloud := transport.NewState(cfg), transport.NewCloud(cfg)
-	core := coordination.New(cfg, state, cloud, transport.NewWorkers(), log, coordination.DefaultTimes())
+	core := coordination.New(cfg, state, cloud, transport.NewWorkers(), log, coordination.DefaultTiming())
 	state.Observe, cloud.Observe = core.Metrics().Observe, core.Metrics().Observe
 	core.OnLogLevel = func(name string) {
 		if name == "as_started" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 
 // Settings is the platform's file. Fields that are not named here are ignored.
 type Settings struct {
-	NodeName   string `toml:"node_name"`
+	MemberName string `toml:"node_name"`
 	Zone       string `toml:"zone"`
 	PublicAddr string `toml:"public_addr"`
 	PeerListen string `toml:"peer_listen"`
@@ -29,9 +29,9 @@
 
 // Peer is another controller.
 type Peer struct {
-	NodeName string `toml:"node_name"`
-	Zone     string `toml:"zone"`
-	Address  string `toml:"address"`
+	MemberName string `toml:"node_name"`
+	Zone       string `toml:"zone"`
+	Address    string `toml:"address"`
 }
 
 // External names the services that a controller calls.
@@ -42,15 +42,15 @@
 
 // Deployment describes what is the same for all controllers.
 type Deployment struct {
-	Nodes      int         `toml:"nodes"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMs float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Resources  Resources   `toml:"resources"`
+	Controllers int         `toml:"nodes"`
+	Zones       []string    `toml:"zones"`
+	ClockOffMs  float64     `toml:"clock_off_ms"`
+	Teams       []Team      `toml:"teams"`
+	Objectives  []Objective `toml:"objectives"`
+	Workers     Workers     `toml:"workers"`
+	State       State       `toml:"state"`
+	Cloud       Cloud       `toml:"cloud"`
+	Resources   Resources   `toml:"resources"`
 }
 
 // Team is a team with its guarantee and its limit (0: none).
@@ -200,22 +200,22 @@
 
 func (s *Settings) check() error {
 	c := &checker{}
-	c.want(s.NodeName != "" && !strings.ContainsAny(s.NodeName, " /"), "node_name", "a name without spaces or slashes")
+	c.want(s.MemberName != "" && !strings.ContainsAny(s.MemberName, " /"), "node_name", "a name without spaces or slashes")
 	c.want(s.Zone != "", "zone", "a zone's name")
 	c.address(s.PublicAddr, "public_addr")
 	c.address(s.PeerListen, "peer_listen")
-	seen := map[string]bool{s.NodeName: true}
+	seen := map[string]bool{s.MemberName: true}
 	for i, p := range s.Known {
 		f := fmt.Sprintf("known[%d].", i)
-		c.want(p.NodeName != "" && !strings.ContainsAny(p.NodeName, " /"), f+"node_name", "a name without spaces or slashes")
-		c.want(!seen[p.NodeName], f+"node_name", "a name that is not used twice")
-		seen[p.NodeName] = true
+		c.want(p.MemberName != "" && !strings.ContainsAny(p.MemberName, " /"), f+"node_name", "a name without spaces or slashes")
+		c.want(!seen[p.MemberName], f+"node_name", "a name that is not used twice")
+		seen[p.MemberName] = true
 		c.address(p.Address, f+"address")
 	}
 	c.address(s.External.Cloud, "external.cloud")
 	c.address(s.External.State, "external.state")
 	d := &s.Deployment
-	c.want(d.Nodes >= 1, "deployment.nodes", "a count of at least 1")
+	c.want(d.Controllers >= 1, "deployment.nodes", "a count of at least 1")
 	c.want(len(d.Zones) > 0, "deployment.zones", "a list of zones")
 	c.amount(d.ClockOffMs, "deployment.clock_off_ms")
 	c.want(len(d.Teams) > 0, "deployment.teams", "at least one team")
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -278,9 +278,9 @@
 	}
 	why := "-"
 	if w, ok := m.why[j.ID]; ok && w.Why != "" {
-		by := "told by " + clean(w.Node) + ", which does not decide it"
+		by := "told by " + clean(w.Member) + ", which does not decide it"
 		if w.Owner {
-			by = "decided by " + clean(w.Node)
+			by = "decided by " + clean(w.Member)
 		}
 		why = fmt.Sprintf("%s (%s, %s ago)", clean(w.Why), by, span(m.now().Sub(w.Got).Milliseconds()))
 	} else if t := whyText(j, m.why); t != "" {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -239,7 +239,7 @@
 }
 
 func nodeRows(s *viewer.State, _ int64, _ map[string]viewer.Why) (rows []Row) {
-	for _, n := range s.Nodes {
+	for _, n := range s.Members {
 		state, leads, shares := "gone", "", make([]string, len(n.Shares))
 		switch {
 		case n.Alive && n.Unfit:
--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -24,7 +24,7 @@
 
 // DefaultOperatorSettings hold until an operator changes them.
 func DefaultOperatorSettings() OperatorSettings {
-	return OperatorSettings{Alpha: DefaultAlpha, MoveEveryS: DefaultTimes().MoveEvery.Seconds(), LogLevel: "as_started"}
+	return OperatorSettings{Alpha: DefaultAlpha, MoveEveryS: DefaultTiming().RebalanceInterval.Seconds(), LogLevel: "as_started"}
 }
 
 // SettingInfo explains one setting.
@@ -122,7 +122,7 @@
 	c.settingsAt = c.cache.Settings.Version
 	c.operator = s
 	c.alpha = s.Alpha
-	c.times.MoveEvery = seconds(s.MoveEveryS)
+	c.timing.RebalanceInterval = seconds(s.MoveEveryS)
 	if c.OnLogLevel != nil {
 		c.OnLogLevel(s.LogLevel)
 	}
@@ -157,7 +157,7 @@
 		If:   []protocol.Condition{{Key: storage.SettingsKey, Version: at}},
 		Then: []protocol.Change{{Put: storage.SettingsKey, Value: storage.Encode(next)}},
 	}
-	rev, failed, err := c.state.Txn(ctx, t, protocol.ForUser)
+	rev, failed, err := c.store.Txn(ctx, t, protocol.ForUser)
 	switch {
 	case err != nil:
 		return cur, at, ErrUnavailable
@@ -169,42 +169,42 @@
 	return next, rev, err
 }
 
-// NodeView is a node as operators see it.
-type NodeView struct {
-	Name        string  `json:"name"`
-	Alive       bool    `json:"alive"`
-	Leader      bool    `json:"leader"`
-	Incarnation uint64  `json:"incarnation"`
-	Shards      []int   `json:"shares"`
-	PulseAgeS   float64 `json:"pulse_age_s"` // -1: not heard directly
-	StateOK     bool    `json:"state_ok"`
+// MemberView is a node as operators see it.
+type MemberView struct {
+	Name          string  `json:"name"`
+	Alive         bool    `json:"alive"`
+	Leader        bool    `json:"leader"`
+	Incarnation   uint64  `json:"incarnation"`
+	Shards        []int   `json:"shares"`
+	HeartbeatAgeS float64 `json:"pulse_age_s"` // -1: not heard directly
+	StateOK       bool    `json:"state_ok"`
 }
 
-// NodeViews lists the nodes.
-func (c *Controller) NodeViews(ctx context.Context) ([]NodeView, error) {
-	var out []NodeView
+// MemberViews lists the nodes.
+func (c *Controller) MemberViews(ctx context.Context) ([]MemberView, error) {
+	var out []MemberView
 	err := c.call(ctx, func() {
-		names := []string{c.cfg.NodeName}
+		names := []string{c.cfg.MemberName}
 		for _, k := range c.cfg.Known {
-			names = append(names, k.NodeName)
+			names = append(names, k.MemberName)
 		}
 		slices.Sort(names)
 		for _, n := range names {
-			v := NodeView{Name: n, PulseAgeS: -1, Shards: []int{}}
-			if r := c.cache.Nodes[n]; r != nil {
+			v := MemberView{Name: n, HeartbeatAgeS: -1, Shards: []int{}}
+			if r := c.cache.Members[n]; r != nil {
 				v.Alive, v.Incarnation = true, r.Incarnation
 			}
-			v.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Node == n
+			v.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Member == n
 			for i, s := range c.cache.Shards {
-				if s.Node == n {
+				if s.Member == n {
 					v.Shards = append(v.Shards, i)
 				}
 			}
 			if p, ok := c.peers[n]; ok {
-				v.PulseAgeS, v.StateOK = time.Since(p.at).Seconds(), p.pulse.StateOK
+				v.HeartbeatAgeS, v.StateOK = time.Since(p.heardAt).Seconds(), p.heartbeat.StateOK
 			}
-			if n == c.cfg.NodeName {
-				v.PulseAgeS, v.StateOK = 0, c.Pulse().StateOK
+			if n == c.cfg.MemberName {
+				v.HeartbeatAgeS, v.StateOK = 0, c.PeerHeartbeat().StateOK
 			}
 			out = append(out, v)
 		}
@@ -233,7 +233,7 @@
 	err := c.call(ctx, func() {
 		out = make([]ShardView, c.cache.NumShards)
 		for i := range out {
-			out[i] = ShardView{Shard: i, Owner: c.cache.Shards[i].Node, Token: c.cache.Shards[i].Token, Teams: []string{}}
+			out[i] = ShardView{Shard: i, Owner: c.cache.Shards[i].Member, Token: c.cache.Shards[i].Token, Teams: []string{}}
 		}
 		for t, team := range c.cache.Teams {
 			s := &out[c.cache.ShardOf(t)]
@@ -335,12 +335,12 @@
 		return ""
 	}
 	if !c.ownsShard(j.Shard) {
-		if s := c.cache.Shards[j.Shard]; s.Node != "" && s.Node != c.cfg.NodeName {
-			return "decided by node " + s.Node
+		if s := c.cache.Shards[j.Shard]; s.Member != "" && s.Member != c.cfg.MemberName {
+			return "decided by node " + s.Member
 		}
 		return "its share has no owner"
 	}
-	if c.stateBad() {
+	if c.storeFailing() {
 		return "the state service does not answer"
 	}
 	if jv := c.jobs[j]; c.suspect(j) {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -14,10 +14,10 @@
 // largeCore owns one share with n machines, four fifths of their room used, and open
 // jobs of which most wait.
 func largeCore(b *testing.B, n, jobs int) *Controller {
-	cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"},
+	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
-	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.loaded, c.incarnation = true, 1
 	c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
 	put := func(key string, v any, version uint64) {
@@ -25,7 +25,7 @@
 			b.Fatal(err)
 		}
 	}
-	put(storage.ShardKey(0), storage.ShardRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, Token: 2}, 2)
 	job := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 	for i := range jobs {
 		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], AtMs: time.Now().UnixMilli(),
@@ -48,7 +48,7 @@
 		}
 		put(storage.GroupKey(k), rec, 5)
 	}
-	c.cache.Revision, c.maxRev = 5, 5
+	c.cache.Revision, c.highestRevision = 5, 5
 	c.ownedShards[0] = 2
 	for _, m := range c.cache.Machines {
 		c.takeReport(m, c.view(m), reportOf(m, 1), 4, false)
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -73,7 +73,7 @@
 		return // the follow brings what a refused transaction had missed
 	}
 	// A plan that waits for its turn grows stale: it is made when it can go out.
-	if d := c.state.Pace(c.lastOps); d > 0 {
+	if d := c.store.Pace(c.lastOps); d > 0 {
 		c.next, c.dirty = now.Add(d), true
 		return
 	}
@@ -139,7 +139,7 @@
 	c.inflight = true
 	go func() {
 		tctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-		rev, failed, err := c.state.Txn(tctx, t, protocol.Background)
+		rev, failed, err := c.store.Txn(tctx, t, protocol.Background)
 		cancel()
 		c.post(func() { c.sent(t, rev, failed, err) })
 	}()
@@ -148,11 +148,11 @@
 func (c *Controller) sent(t protocol.Txn, rev uint64, failed []string, err error) {
 	c.inflight = false
 	now := time.Now()
-	c.next = now.Add(c.times.Cycle)
+	c.next = now.Add(c.timing.CommitInterval)
 	switch {
 	case err == nil && len(failed) == 0:
 		c.inDoubt = nil
-		c.badSince, c.goodAt = time.Time{}, now
+		c.storeFailingSince, c.storeServedAt = time.Time{}, now
 		if settles(t) {
 			c.waitRev = rev // what it settled may have been applied before
 		}
@@ -175,14 +175,14 @@
 		// Something changed under it: whatever it was, a late copy cannot apply any more.
 		c.log.Debug("commit conflicts", "keys", failed)
 		c.inDoubt = nil
-		c.badSince, c.goodAt = time.Time{}, now
+		c.storeFailingSince, c.storeServedAt = time.Time{}, now
 		c.waitRev = rev
-		c.maxRev = max(c.maxRev, rev)
+		c.highestRevision = max(c.highestRevision, rev)
 		c.flushHeld(now, true)
 		c.kick()
 	default:
-		if c.badSince.IsZero() {
-			c.badSince = now
+		if c.storeFailingSince.IsZero() {
+			c.storeFailingSince = now
 		}
 		c.lower(err)
 		switch {
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -18,10 +18,10 @@
 // worker was heard, and one waiting job.
 func newCore(t *testing.T) *Controller {
 	t.Helper()
-	cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"},
+	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12}}}
-	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.loaded, c.incarnation = true, 1
 	c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 	put := func(key string, v any, version uint64) {
@@ -29,12 +29,12 @@
 			t.Fatal(err)
 		}
 	}
-	put(storage.ShardKey(0), storage.ShardRecord{Node: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, Token: 2}, 2)
 	put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 2, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
 	put(storage.GroupKey(0), storage.GroupRecord{}, 4)
 	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", Token: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
-	c.cache.Revision, c.maxRev = 4, 4
+	c.cache.Revision, c.highestRevision = 4, 4
 	c.ownedShards[0] = 2
 	m := c.cache.Machine("m")
 	c.takeReport(m, c.view(m), &protocol.Report{Machine: "m", Session: 1, Seq: 1, Token: 4}, 4, false)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -49,34 +49,34 @@
 	Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Report, int, error)
 }
 
-// Times are the core's own timings.
-type Times struct {
-	Hold       time.Duration // how long a node's hold lasts without renewal
-	Cycle      time.Duration // least time between two commits
-	FollowGap  time.Duration // least time between two follows
-	Tick       time.Duration
-	ReplyWait  time.Duration // how long the answer to a report may wait for a commit
-	MoveEvery  time.Duration // how often the leader moves machines between shares
-	CloudEvery time.Duration // how often the leader decides what to rent
+// Timing are the core's own timings.
+type Timing struct {
+	SessionLease       time.Duration // how long a node's hold lasts without renewal
+	CommitInterval     time.Duration // least time between two commits
+	WatchInterval      time.Duration // least time between two follows
+	Tick               time.Duration
+	HeartbeatReplyWait time.Duration // how long the answer to a report may wait for a commit
+	RebalanceInterval  time.Duration // how often the leader moves machines between shares
+	AutoscaleInterval  time.Duration // how often the leader decides what to rent
 }
 
-// DefaultTimes suit machines with a tenth of a core.
-func DefaultTimes() Times {
-	return Times{
-		Hold: 3 * time.Second, Cycle: 40 * time.Millisecond, FollowGap: 60 * time.Millisecond,
-		Tick: 250 * time.Millisecond, ReplyWait: 700 * time.Millisecond,
-		MoveEvery: 500 * time.Millisecond, CloudEvery: time.Second,
+// DefaultTiming suit machines with a tenth of a core.
+func DefaultTiming() Timing {
+	return Timing{
+		SessionLease: 3 * time.Second, CommitInterval: 40 * time.Millisecond, WatchInterval: 60 * time.Millisecond,
+		Tick: 250 * time.Millisecond, HeartbeatReplyWait: 700 * time.Millisecond,
+		RebalanceInterval: 500 * time.Millisecond, AutoscaleInterval: time.Second,
 	}
 }
 
 // Controller is one node.
 type Controller struct {
 	cfg     *config.Settings
-	state   StateStore
+	store   StateStore
 	cloud   Cloud
 	workers WorkerLink
 	log     *slog.Logger
-	times   Times
+	timing  Timing
 
 	inbox chan func()
 	done  chan struct{}
@@ -86,9 +86,9 @@
 	loaded              bool
 	unread              bool   // the records could not be read yet: no answer
 	foreignLayout       bool   // the records are of a layout that this version does not read
-	maxRev              uint64 // the highest revision seen, own commits included
+	highestRevision     uint64 // the highest revision seen, own commits included
 	incarnation         uint64
-	lease               uint64
+	sessionLease        uint64
 	views               map[int32]*machineView
 	jobs                map[*storage.Job]*jobView
 	ownedShards         []uint64 // by share: the version under which it is owned, 0: not
@@ -104,13 +104,13 @@
 	edits               map[int32]*edit // by machine
 	waitingByShard      []int           // by share: tasks that waited when last planned
 	toGreet             []*storage.Machine
-	leadVersion         uint64 // of the leader's key
-	leadAt              time.Time
+	leaderVersion       uint64 // of the leader's key
+	leaderSince         time.Time
 	waitRev             uint64 // no cycle before the follow got here
 	held                []heldReply
-	badSince            time.Time // the state service has not answered well since
+	storeFailingSince   time.Time // the state service has not answered well since
 	waiters             []revWaiter
-	leaderBusy          bool
+	leaderWriteInFlight bool
 	gateBusy            bool
 	workingOff          bool
 	lowered             bool // the state service has refused something for its size
@@ -120,46 +120,46 @@
 	scratch             scratch
 	oversizedGroup      *storage.MachineGroup // its record would be over the limit: it is parted next
 	shardWriteInFlight  bool
-	nodesAt             time.Time        // when membership last changed
+	membersChangedAt    time.Time        // when membership last changed
 	ownershipHistory    []shardOwnership // by share
 	ownershipLoaded     bool
 	zones               []zone               // by zone
-	broke               map[string]time.Time // by node: its connection broke off while it was heard
-	began               time.Time            // when this process did
-	living              map[string]time.Time // by node: when its hold was last seen
-	memberAt            uint64               // the revision with which this node's record was last written
-	memberBusy          bool                 // it is being written
-	lead                leadership
+	brokenConnections   map[string]time.Time // by node: its connection broke off while it was heard
+	startedAt           time.Time            // when this process did
+	leaseSeenAt         map[string]time.Time // by node: when its hold was last seen
+	memberRevision      uint64               // the revision with which this node's record was last written
+	memberWriteInFlight bool                 // it is being written
+	leader              leaderState
 	directs             int
 	ordinaryAt          time.Time // when a job that may not use spot machines was last open
 	flooded             bool      // a flood is dealt with
 	alpha               float64
 	barriers            barrier
-	peers               map[string]peer
-	lostPeers           map[string]time.Time // nodes whose connection ended, until they are heard again
+	peers               map[string]peerState
+	disconnectedPeers   map[string]time.Time // nodes whose connection ended, until they are heard again
 	heardAny            time.Time            // when any worker was last heard
 	ownershipSince      time.Time            // when this node last took over a share
 	placedSinceTakeover bool                 // it has placed tasks since
 	tallies             tallies
-	unfit               atomic.Bool // reaches no worker
-	probeAt             time.Time
-	probeNext           int
-	goodAt              time.Time // when the state service last served this node
-	readAt              time.Time // the cache holds all that was committed until then
+	notReady            atomic.Bool // reaches no worker
+	lastProbeAt         time.Time
+	nextProbe           int
+	storeServedAt       time.Time // when the state service last served this node
+	cacheCurrentAt      time.Time // the cache holds all that was committed until then
 	words               words
 	blind               blind
 	stopping            map[int32]*stopping  // by machine with a cancelled job's task
 	learned             map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
-	leading             bool                 // as last noted
+	wasLeader           bool                 // as last noted
 	manyMute            bool                 // too many workers are mute for it to be their own fault
 	reachedAt           time.Time            // when a worker last answered stops
-	cameRound           time.Time            // when the core's loop last did
+	lastLoopAt          time.Time            // when the core's loop last did
 	spent               uint64               // changes made, when last looked at
 	spentAt             time.Time
 	pace                float64   // changes that this node makes a second
-	awake               time.Time // when this node last woke from a standstill
-	renewed             time.Time // when the latest renewal of the hold that worked was sent
-	outline             outline
+	resumedAt           time.Time // when this node last woke from a standstill
+	leaseRenewedAt      time.Time // when the latest renewal of the hold that worked was sent
+	summary             publishedSummary
 	metrics             *Metrics
 	operator            OperatorSettings
 	settingsAt          uint64
@@ -222,14 +222,14 @@
 }
 
 // New makes a controller.
-func New(cfg *config.Settings, state StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, times Times) *Controller {
+func New(cfg *config.Settings, state StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, times Timing) *Controller {
 	c := &Controller{
-		cfg: cfg, state: state, cloud: cloud, workers: workers, log: log, times: times,
+		cfg: cfg, store: state, cloud: cloud, workers: workers, log: log, timing: times,
 		inbox: make(chan func(), 1024), done: make(chan struct{}), cache: storage.NewCache(cfg),
-		views: map[int32]*machineView{}, jobs: map[*storage.Job]*jobView{}, peers: map[string]peer{}, lostPeers: map[string]time.Time{}, alpha: DefaultAlpha,
+		views: map[int32]*machineView{}, jobs: map[*storage.Job]*jobView{}, peers: map[string]peerState{}, disconnectedPeers: map[string]time.Time{}, alpha: DefaultAlpha,
 	}
-	c.ownershipHistory, c.broke = make([]shardOwnership, c.cache.NumShards), map[string]time.Time{}
-	c.living, c.began = map[string]time.Time{}, time.Now()
+	c.ownershipHistory, c.brokenConnections = make([]shardOwnership, c.cache.NumShards), map[string]time.Time{}
+	c.leaseSeenAt, c.startedAt = map[string]time.Time{}, time.Now()
 	c.ownedShards, c.waitingByShard, c.edits = make([]uint64, c.cache.NumShards), make([]int, c.cache.NumShards), map[int32]*edit{}
 	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesWord
 	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
@@ -237,7 +237,7 @@
 	c.blind = blind{since: time.Now(), renewed: map[string]time.Time{}}
 	c.stopping = map[int32]*stopping{}
 	c.words = words{told: map[string]uint64{}, heard: map[string]time.Time{}}
-	c.lead.init()
+	c.leader.init()
 	return c
 }
 
@@ -249,10 +249,10 @@
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	c.cache.Plain = c.Layout < storage.LayoutPacked
-	go c.memberLoop(ctx)
+	go c.keepSessionLease(ctx)
 	go c.followLoop(ctx)
 	go c.catalogLoop(ctx)
-	tick := time.NewTicker(c.times.Tick)
+	tick := time.NewTicker(c.timing.Tick)
 	defer tick.Stop()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -275,7 +275,7 @@
 		case <-tick.C:
 			do = func() { c.tick(ctx) }
 		}
-		c.comeRound(time.Now())
+		c.detectStall(time.Now())
 		do()
 	}
 }
@@ -317,16 +317,16 @@
 			delete(c.jobs, j)
 		}
 	}
-	c.checkFit(ctx, now)
-	c.keepMembership(ctx)
-	c.tryLead(ctx)
+	c.checkReadiness(ctx, now)
+	c.repairMemberRecord(ctx)
+	c.acquireLeadership(ctx)
 	c.assignShards(ctx)
 	c.openGate(ctx)
 	c.workOff(ctx)
 	c.watchZones(now)
 	c.watchMachines(ctx, now, c.watchStops(now))
 	c.moveReplicas(now)
-	c.leadCloud(ctx, now)
+	c.autoscaleAsLeader(ctx, now)
 	c.learn(ctx, now)
 	c.flushEdits(ctx)
 	c.greet()
@@ -361,11 +361,11 @@
 	}
 	now := time.Now()
 	if dt := now.Sub(c.spentAt).Seconds(); dt > 0 {
-		spent := c.state.Spent()
+		spent := c.store.Spent()
 		c.pace += min(1, dt) * (float64(spent-c.spent)/dt - c.pace) // over about a second
 		c.spent, c.spentAt = spent, now
 	}
-	c.state.SetPart(part, c.leads(), c.pace, c.othersChanges(now))
+	c.store.SetPart(part, c.isLeader(), c.pace, c.othersChanges(now))
 }
 
 // ownsShard tells whether this process owns a share. The follow must have come as far
@@ -373,12 +373,12 @@
 // from its own commit, before it has seen what the former owner committed last.
 func (c *Controller) ownsShard(share int) bool {
 	s := &c.cache.Shards[share]
-	return s.Version > 0 && c.cache.Revision >= s.Version && c.incarnation > 0 && s.Node == c.cfg.NodeName && s.Incarnation == c.incarnation
+	return s.Version > 0 && c.cache.Revision >= s.Version && c.incarnation > 0 && s.Member == c.cfg.MemberName && s.Incarnation == c.incarnation
 }
 
-func (c *Controller) leads() bool {
+func (c *Controller) isLeader() bool {
 	l := &c.cache.Leader
-	return l.Version > 0 && c.incarnation > 0 && l.Node == c.cfg.NodeName && l.Incarnation == c.incarnation
+	return l.Version > 0 && c.incarnation > 0 && l.Member == c.cfg.MemberName && l.Incarnation == c.incarnation
 }
 
 func (c *Controller) view(m *storage.Machine) *machineView {
--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -95,7 +95,7 @@
 	r := &zoneRoom{free: make([]float64, c.cache.Zones.Len()), rents: make([]bool, c.cache.Zones.Len())}
 	for i := range c.cache.Types {
 		for _, z := range c.cache.Types[i].Zones {
-			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.lead.blocked[p]) && !c.zoneAway(z) {
+			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneAway(z) {
 				r.rents[z] = true
 			}
 		}
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -24,12 +24,12 @@
 
 // adopt gives a machine a record: it is put in a rack of the share that needs it most.
 func (c *Controller) adopt(ctx context.Context, n *newcomer) {
-	if c.lead.adopting[n.name] {
+	if c.leader.adopting[n.name] {
 		n.then(false)
 		return
 	}
-	c.lead.adopting[n.name] = true
-	c.lead.newcomers = append(c.lead.newcomers, n)
+	c.leader.adopting[n.name] = true
+	c.leader.newcomers = append(c.leader.newcomers, n)
 	c.enroll(ctx)
 }
 
@@ -39,14 +39,14 @@
 // former leaders wrote; and a transaction with unknown outcome is repeated until it
 // is known, and the cache has come as far, before its machines are looked at again.
 func (c *Controller) enroll(ctx context.Context) {
-	if c.lead.enrolling || len(c.lead.newcomers) == 0 {
+	if c.leader.enrolling || len(c.leader.newcomers) == 0 {
 		return
 	}
-	if !c.leads() {
-		list := c.lead.newcomers
-		c.lead.newcomers = nil
+	if !c.isLeader() {
+		list := c.leader.newcomers
+		c.leader.newcomers = nil
 		for _, n := range list {
-			delete(c.lead.adopting, n.name)
+			delete(c.leader.adopting, n.name)
 			n.then(false)
 		}
 		return
@@ -65,7 +65,7 @@
 	fleets := map[kind]*storage.FleetRecord{}
 	var order []*storage.FleetRecord
 	var batch, rest []*newcomer
-	for _, n := range c.lead.newcomers {
+	for _, n := range c.leader.newcomers {
 		if c.cache.Known(n.name) {
 			batch = append(batch, n)
 			continue
@@ -90,9 +90,9 @@
 		if fresh {
 			key := storage.GroupKey(rack)
 			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, Token: c.fresh()}, c.cache.Packed())})
+			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, Token: c.nextRevision()}, c.cache.Packed())})
 		}
-		f.Token = max(f.Token, n.kind.Token, c.fresh())
+		f.Token = max(f.Token, n.kind.Token, c.nextRevision())
 		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Group: rack, Addr: n.addr})
 		batch = append(batch, n)
 	}
@@ -101,16 +101,16 @@
 		t.If = append(t.If, protocol.Condition{Key: key})
 		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(f, c.cache.Packed())})
 	}
-	c.lead.newcomers = rest
-	c.lead.enrolling = true
+	c.leader.newcomers = rest
+	c.leader.enrolling = true
 	finish := func(ok bool) {
-		c.lead.enrolling = false
+		c.leader.enrolling = false
 		for _, n := range batch {
-			if n.tries--; !ok && n.tries > 0 && c.leads() {
-				c.lead.newcomers = append(c.lead.newcomers, n)
+			if n.tries--; !ok && n.tries > 0 && c.isLeader() {
+				c.leader.newcomers = append(c.leader.newcomers, n)
 				continue
 			}
-			delete(c.lead.adopting, n.name)
+			delete(c.leader.adopting, n.name)
 			n.then(ok)
 		}
 		if ok {
@@ -145,7 +145,7 @@
 	for ctx.Err() == nil {
 		rev, failed, err := c.transact(ctx, t, protocol.ForUser)
 		if doubt && errors.Is(err, protocol.ErrTooLarge) {
-			c.leadAnew(ctx, t.If[0])
+			c.reacquireLeadership(ctx, t.If[0])
 			c.committed(t, 0, false, then) // what became of it, the cache shows
 			return
 		}
@@ -173,20 +173,20 @@
 	}
 }
 
-// leadAnew settles a leader's transaction in doubt that is refused for its size when it is
+// reacquireLeadership settles a leader's transaction in doubt that is refused for its size when it is
 // repeated: it rewrites the leader's key, on which the first copy depends, so that a late
 // copy fails, and waits until the cache shows what became of it.
-func (c *Controller) leadAnew(ctx context.Context, lead protocol.Condition) {
+func (c *Controller) reacquireLeadership(ctx context.Context, lead protocol.Condition) {
 	for ctx.Err() == nil {
 		t := protocol.Txn{If: []protocol.Condition{lead}}
 		if c.call(ctx, func() {
-			if c.leads() {
-				t.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.lease}}
+			if c.isLeader() {
+				t.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.sessionLease}}
 			}
 		}) != nil {
 			return
 		}
-		rev, failed, err := c.state.Txn(ctx, t, protocol.ForUser)
+		rev, failed, err := c.store.Txn(ctx, t, protocol.ForUser)
 		// A comparison that holds settles nothing: the first copy may still come.
 		if err == nil && (len(failed) > 0 || len(t.Then) > 0) {
 			if len(failed) == 0 {
@@ -202,7 +202,7 @@
 // groupSize is how many machines share a record: as few as let every rack be
 // written about once a second with half of the state service's rate of changes.
 func (c *Controller) groupSize() int {
-	n := len(c.lead.newcomers)
+	n := len(c.leader.newcomers)
 	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Closing {
 			n++
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -258,7 +258,7 @@
 			if !(j.Priority.Top() && !q.Priority.Top()) && !(claim && over) && !(j.Priority > q.Priority && c.idle(q, now)) {
 				continue
 			}
-			if !q.Open() || p.Attempt >= c.fresh() || c.cache.Victim(p) {
+			if !q.Open() || p.Attempt >= c.nextRevision() || c.cache.Victim(p) {
 				continue // it goes anyway, or only starts with this transaction
 			}
 			if over && claim {
--- a/internal/coordination/floods.go
+++ b/internal/coordination/floods.go
@@ -41,8 +41,8 @@
 // an earlier one had learned outlives an end of all nodes, and a flood that runs on over
 // it is not taken for the usual.
 func (c *Controller) learn(ctx context.Context, now time.Time) {
-	l := &c.lead.learning
-	if !c.leads() || !c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
+	l := &c.leader.learning
+	if !c.isLeader() || !c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	if l.learner == nil {
@@ -58,7 +58,7 @@
 		}
 		// What is read at once after a pause is no flood: a window in which this node stood
 		// still or read nothing is left out.
-		if d < 3*usual.Step && !c.stateBad() {
+		if d < 3*usual.Step && !c.storeFailing() {
 			l.learner.Window(d, asked)
 		}
 		l.seen, l.at = maps.Clone(c.cache.Asked), now
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -19,24 +19,24 @@
 // be down while the last one comes. A leader of the version before does none of it, so
 // the gate waits until a node that knows of it leads.
 func (c *Controller) openGate(ctx context.Context) {
-	if !c.leads() || c.gateBusy || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
+	if !c.isLeader() || c.gateBusy || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	seen := slices.Clone(c.cache.Layout.Nodes)
-	for name, n := range c.cache.Nodes {
+	seen := slices.Clone(c.cache.Layout.Members)
+	for name, n := range c.cache.Members {
 		if n.Layout >= storage.LayoutPacked && !slices.Contains(seen, name) {
 			seen = append(seen, name)
 		}
 	}
-	all := slices.Contains(seen, c.cfg.NodeName)
+	all := slices.Contains(seen, c.cfg.MemberName)
 	for _, p := range c.cfg.Known {
-		all = all && slices.Contains(seen, p.NodeName)
+		all = all && slices.Contains(seen, p.MemberName)
 	}
-	if !all && len(seen) == len(c.cache.Layout.Nodes) {
+	if !all && len(seen) == len(c.cache.Layout.Members) {
 		return
 	}
 	slices.Sort(seen)
-	rec := storage.LayoutRecord{Version: storage.LayoutPlain, Nodes: seen}
+	rec := storage.LayoutRecord{Version: storage.LayoutPlain, Members: seen}
 	if all {
 		rec = storage.LayoutRecord{Version: storage.LayoutPacked}
 	}
@@ -78,7 +78,7 @@
 // transact carries out a transaction, and takes notice when the state service refuses it
 // for its size.
 func (c *Controller) transact(ctx context.Context, t protocol.Txn, haste protocol.Haste) (rev uint64, failed []string, err error) {
-	if rev, failed, err = c.state.Txn(ctx, t, haste); errors.Is(err, protocol.ErrTooLarge) {
+	if rev, failed, err = c.store.Txn(ctx, t, haste); errors.Is(err, protocol.ErrTooLarge) {
 		c.post(func() { c.lower(err) })
 	}
 	return rev, failed, err
@@ -92,7 +92,7 @@
 	}
 	if (c.lowered || c.cache.Packed()) && !c.lowRate {
 		c.lowRate = true
-		c.state.SetLimit(c.limits().WriteRPS)
+		c.store.SetLimit(c.limits().WriteRPS)
 	}
 }
 
@@ -119,7 +119,7 @@
 // anew they are mostly within it; what is not goes into small records that supersede the
 // large one's entries, and the large one is deleted when they list all of it.
 func (c *Controller) workOff(ctx context.Context) {
-	if !c.leads() || !c.cache.Packed() || c.workingOff || c.cache.Revision < c.cache.Leader.Version {
+	if !c.isLeader() || !c.cache.Packed() || c.workingOff || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	t := c.fleetTxn()
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -74,7 +74,7 @@
 				if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 					t.Fatal(err)
 				}
-				c.cache.Revision, c.maxRev = version, version
+				c.cache.Revision, c.highestRevision = version, version
 			}
 			type place struct {
 				job  string
@@ -315,10 +315,10 @@
 				defer cancel()
 				c := newCore(t)
 				store := &scriptStore{answers: x.answers}
-				c.state, c.directs, c.lease = store, maxDirects, 7
+				c.store, c.directs, c.sessionLease = store, maxDirects, 7
 				node := map[bool]string{true: "n0", false: "n1"}[x.leads]
 				c.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: storage.LeaderKey,
-					Value: storage.Encode(storage.LeaderRecord{Node: node, Incarnation: 1})}}}, 5)
+					Value: storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1})}}}, 5)
 				go func() {
 					for {
 						select {
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -108,7 +108,7 @@
 			return DefaultOperatorSettings().Change(json.RawMessage(`{"alpha":0.25,"move_every_s":30,"log_level":"debug"}`))
 		}},
 		{"team", func(_ context.Context, c *Controller) (any, error) { return c.teamView(0, time.Now()), nil }},
-		{"nodes", func(ctx context.Context, c *Controller) (any, error) { return c.NodeViews(ctx) }},
+		{"nodes", func(ctx context.Context, c *Controller) (any, error) { return c.MemberViews(ctx) }},
 		{"shares", func(ctx context.Context, c *Controller) (any, error) { return c.ShardViews(ctx) }},
 		{"jobs", func(ctx context.Context, c *Controller) (any, error) {
 			list, more, err := c.JobViews(ctx, "red", "", 5)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -13,25 +13,25 @@
 	"dykeledge/internal/storage"
 )
 
-// leadership is what only the leader needs. It is rebuilt by a new leader.
-type leadership struct {
-	nodesSum   uint64
-	newcomers  []*newcomer // machines that get a record next
-	adopting   map[string]bool
-	enrolling  bool
-	editing    bool
-	returning  bool
-	renting    map[provision.Pool]*rental // under way, outcome unknown
-	blocked    map[provision.Pool]time.Time
-	charters   int
-	listing    bool
-	listedAt   time.Time
-	empty      map[int32]emptyMark
-	unrecorded map[string]time.Time // listed without a record since
-	movedAt    time.Time
-	moving     bool
-	moved      map[int]time.Time // by rack
-	stuck      map[int]time.Time // by share: waits since, and no move evens out loads
+// leaderState is what only the leader needs. It is rebuilt by a new leader.
+type leaderState struct {
+	membersVersionSum uint64
+	newcomers         []*newcomer // machines that get a record next
+	adopting          map[string]bool
+	enrolling         bool
+	editing           bool
+	returning         bool
+	renting           map[provision.Pool]*rental // under way, outcome unknown
+	blocked           map[provision.Pool]time.Time
+	charters          int
+	listing           bool
+	listedAt          time.Time
+	empty             map[int32]emptyMark
+	unrecorded        map[string]time.Time // listed without a record since
+	movedAt           time.Time
+	moving            bool
+	moved             map[int]time.Time // by rack
+	stuck             map[int]time.Time // by share: waits since, and no move evens out loads
 	// stuckSince is since when work has waited for which only drained machines have room.
 	stuckSince time.Time
 	cloudAt    time.Time
@@ -50,11 +50,11 @@
 	busy bool
 }
 
-func (l *leadership) init() {
+func (l *leaderState) init() {
 	for _, n := range l.newcomers {
 		n.then(false)
 	}
-	*l = leadership{learning: learning{busy: l.learning.busy}, adopting: map[string]bool{}, returning: l.returning, charters: l.charters,
+	*l = leaderState{learning: learning{busy: l.learning.busy}, adopting: map[string]bool{}, returning: l.returning, charters: l.charters,
 		renting: map[provision.Pool]*rental{}, blocked: map[provision.Pool]time.Time{},
 		empty: map[int32]emptyMark{}, moved: map[int]time.Time{}, stuck: map[int]time.Time{}, unrecorded: map[string]time.Time{}, spareFrom: map[provision.Pool]time.Time{}}
 }
@@ -71,7 +71,7 @@
 		}
 		c.post(func() {
 			c.cache.SetCatalog(cat)
-			if c.leads() && c.loaded && c.cache.Catalog.Version == 0 {
+			if c.isLeader() && c.loaded && c.cache.Catalog.Version == 0 {
 				c.commitAside(ctx, protocol.Txn{
 					If:   []protocol.Condition{{Key: storage.CatalogKey}},
 					Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(cat)}},
@@ -112,24 +112,24 @@
 	return best
 }
 
-// leadCloud is the leader's loop over machines: which there are, which should
+// autoscaleAsLeader is the leader's loop over machines: which there are, which should
 // be, and which share they serve.
-func (c *Controller) leadCloud(ctx context.Context, now time.Time) {
+func (c *Controller) autoscaleAsLeader(ctx context.Context, now time.Time) {
 	// What is asked of the cloud is conditional on no record: a node whose hold may
 	// have ended would rent beside the next leader.
-	if !c.leads() || !c.holds(now) || !c.cache.HasCatalog() || c.stateBad() {
+	if !c.isLeader() || !c.leaseCertain(now) || !c.cache.HasCatalog() || c.storeFailing() {
 		return
 	}
-	if !c.lead.listing && now.Sub(c.lead.listedAt) > max(3*time.Second, seconds(c.cfg.Deployment.Cloud.ListLagS/2)) {
-		c.lead.listing = true
-		c.lead.listedAt = now
+	if !c.leader.listing && now.Sub(c.leader.listedAt) > max(3*time.Second, seconds(c.cfg.Deployment.Cloud.ListLagS/2)) {
+		c.leader.listing = true
+		c.leader.listedAt = now
 		go c.list(ctx)
 	}
-	if now.Sub(c.lead.cloudAt) >= c.times.CloudEvery {
-		c.lead.cloudAt = now
+	if now.Sub(c.leader.cloudAt) >= c.timing.AutoscaleInterval {
+		c.leader.cloudAt = now
 		c.provision(ctx, now)
 	}
-	if now.Sub(c.lead.movedAt) >= c.times.MoveEvery {
+	if now.Sub(c.leader.movedAt) >= c.timing.RebalanceInterval {
 		c.moveRoom(ctx, now)
 	}
 }
@@ -150,7 +150,7 @@
 		after = p.Machines[len(p.Machines)-1].ID
 	}
 	c.post(func() {
-		c.lead.listing = false
+		c.leader.listing = false
 		if err != nil {
 			c.log.Debug("machine list failed", "err", err)
 			return
@@ -162,26 +162,26 @@
 // onList takes in machines without a record and gives up those that failed. The
 // list lags: that a machine is missing proves nothing.
 func (c *Controller) onList(ctx context.Context, all []protocol.Listed) {
-	if !c.leads() {
+	if !c.isLeader() {
 		return
 	}
 	now := time.Now()
 	for _, l := range all {
 		m := c.cache.Machine(l.ID)
 		if m == nil {
-			if c.cache.Known(l.ID) || c.lead.adopting[l.ID] || c.cache.TypeIdx.Find(l.Type) < 0 {
+			if c.cache.Known(l.ID) || c.leader.adopting[l.ID] || c.cache.TypeIdx.Find(l.Type) < 0 {
 				continue
 			}
-			since, ok := c.lead.unrecorded[l.ID]
+			since, ok := c.leader.unrecorded[l.ID]
 			if !ok {
-				c.lead.unrecorded[l.ID] = now
+				c.leader.unrecorded[l.ID] = now
 				continue
 			}
 			// A rental's own answer may still be on its way: it goes first.
 			if now.Sub(since) < 2*time.Second {
 				continue
 			}
-			delete(c.lead.unrecorded, l.ID)
+			delete(c.leader.unrecorded, l.ID)
 			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
 			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: storage.FleetRecord{
 				Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedAt: now.Unix() - int64(l.AgeS)}})
@@ -239,11 +239,11 @@
 				p := provision.Pool{Type: i, Zone: z, Spot: spot}
 				offers = append(offers, provision.Offer{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem,
 					Price: price, Boot: ty.Boot, Have: have[p],
-					Blocked: now.Before(c.lead.blocked[p]) || c.lead.renting[p] != nil || c.zoneAway(z)})
+					Blocked: now.Before(c.leader.blocked[p]) || c.leader.renting[p] != nil || c.zoneAway(z)})
 			}
 		}
 	}
-	for p, r := range c.lead.renting {
+	for p, r := range c.leader.renting {
 		if !r.busy {
 			c.sendRental(ctx, p, r) // unknown outcome: the same name again
 		}
@@ -251,12 +251,12 @@
 	plan := provision.Decide(demands, machines, offers, workHorizon)
 	for _, r := range plan.Rents {
 		// The name is never used again, by any node: it holds this process's own number.
-		c.lead.charters++
+		c.leader.charters++
 		ty := c.cache.TypeIdx.Name(r.Type)
-		req := protocol.Rental{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.lead.charters), Type: ty,
+		req := protocol.Rental{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.charters), Type: ty,
 			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxRental)}
 		rent := &rental{req: req}
-		c.lead.renting[r.Pool] = rent
+		c.leader.renting[r.Pool] = rent
 		c.sendRental(ctx, r.Pool, rent)
 	}
 	c.giveUpIdle(ctx, now, plan, provision.KeepIdle(boot, c.tightest()))
@@ -274,16 +274,16 @@
 			r.busy = false
 			switch {
 			case errors.Is(err, protocol.ErrNoCapacity):
-				delete(c.lead.renting, p)
-				c.lead.blocked[p] = time.Now().Add(blockedFor)
+				delete(c.leader.renting, p)
+				c.leader.blocked[p] = time.Now().Add(blockedFor)
 			case errors.Is(err, protocol.ErrRefused):
-				delete(c.lead.renting, p)
-				c.lead.blocked[p] = time.Now().Add(2 * time.Second)
+				delete(c.leader.renting, p)
+				c.leader.blocked[p] = time.Now().Add(2 * time.Second)
 			case err != nil:
 				c.log.Info("rental in doubt", "name", r.req.Name, "err", err)
 			default:
 				if len(names) < r.req.Count {
-					c.lead.blocked[p] = time.Now().Add(blockedFor)
+					c.leader.blocked[p] = time.Now().Add(blockedFor)
 				}
 				c.enter(ctx, p, r.req, names)
 			}
@@ -298,11 +298,11 @@
 func (c *Controller) enter(ctx context.Context, p provision.Pool, req protocol.Rental, names []string) {
 	c.log.Info("rented", "name", req.Name, "machines", len(names))
 	left := len(names)
-	if left == 0 || !c.leads() {
-		delete(c.lead.renting, p)
+	if left == 0 || !c.isLeader() {
+		delete(c.leader.renting, p)
 		return
 	}
-	renting := c.lead.renting
+	renting := c.leader.renting
 	for _, name := range names {
 		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: storage.FleetRecord{
 			Type: req.Type, Zone: req.Zone, Spot: req.Spot, RentedAt: time.Now().Unix()}, then: func(bool) {
@@ -348,14 +348,14 @@
 	slices.SortFunc(cands, func(a, b cand) int {
 		return cmp.Or(cmp.Compare(b.price, a.price), cmp.Compare(a.m.Name, b.m.Name))
 	})
-	for p := range c.lead.spareFrom {
+	for p := range c.leader.spareFrom {
 		if plan.Spare[p] < 1 {
-			delete(c.lead.spareFrom, p)
+			delete(c.leader.spareFrom, p)
 		}
 	}
 	for p, n := range plan.Spare {
-		if n >= 1 && c.lead.spareFrom[p].IsZero() {
-			c.lead.spareFrom[p] = now
+		if n >= 1 && c.leader.spareFrom[p].IsZero() {
+			c.leader.spareFrom[p] = now
 		}
 	}
 	spare := map[provision.Pool]float64{}
@@ -364,7 +364,7 @@
 	}
 	for _, x := range cands {
 		p := provision.Pool{Type: x.m.Type, Zone: x.m.Zone, Spot: x.m.Spot}
-		since := c.lead.spareFrom[p]
+		since := c.leader.spareFrom[p]
 		if since.IsZero() || now.Sub(since) < keep || spare[p] < 1 || now.Sub(c.emptySince(x.m, now)) < keep {
 			continue
 		}
@@ -427,7 +427,7 @@
 			rests = rests && (p.Job.Mark == 0 || now.Unix()-p.At > drainAfterS) && (p.Job.Shape == protocol.Batch || now.Unix()-p.At > int64(moveAfter.Seconds()))
 		}
 		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		since := c.lead.spareFrom[p]
+		since := c.leader.spareFrom[p]
 		if len(m.Tasks) > 0 && rests && used <= drainBelow && plan.Spare[p] >= 1.5 && !since.IsZero() && now.Sub(since) >= keep {
 			cands = append(cands, cand{m, used})
 		}
@@ -444,11 +444,11 @@
 	}
 	switch {
 	case stuck <= 0 || plan.Urgent > 0 || len(drained) == 0:
-		c.lead.stuckSince = time.Time{}
-	case c.lead.stuckSince.IsZero():
-		c.lead.stuckSince = now
-	case now.Sub(c.lead.stuckSince) > stuckFor:
-		c.lead.stuckSince = now
+		c.leader.stuckSince = time.Time{}
+	case c.leader.stuckSince.IsZero():
+		c.leader.stuckSince = now
+	case now.Sub(c.leader.stuckSince) > stuckFor:
+		c.leader.stuckSince = now
 		c.setDraining(drained[0], false)
 	}
 	if plan.Urgent > 0 || waiting > 0 {
@@ -465,10 +465,10 @@
 
 // emptySince is since when the leader has seen a machine's record unchanged and empty.
 func (c *Controller) emptySince(m *storage.Machine, now time.Time) time.Time {
-	e, ok := c.lead.empty[m.Index]
+	e, ok := c.leader.empty[m.Index]
 	if !ok || e.version != m.Version {
 		e = emptyMark{m.Version, now}
-		c.lead.empty[m.Index] = e
+		c.leader.empty[m.Index] = e
 	}
 	return e.since
 }
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -34,10 +34,10 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a"},
+			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", Cpus: x.guarantee}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80},
 				Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5}, {Kind: "finished", Class: "c", WithinS: 60}}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
@@ -96,9 +96,9 @@
 		{name: "its team is at its limit", zone: "b", cpus: 4, limit: 5, stuck: 11 * time.Second},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a", "b"},
+			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a", "b"},
 				Teams: []config.Team{{Name: "blue"}, {Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
@@ -121,7 +121,7 @@
 				put(storage.GroupKey(rack), r)
 			}
 			if x.stuck > 0 {
-				c.lead.stuck[1] = time.Now().Add(-x.stuck)
+				c.leader.stuck[1] = time.Now().Add(-x.stuck)
 			}
 			if got := movesToFirst(c, allWork); got != -x.want {
 				t.Errorf("%d racks move to its share, want %d", -got, x.want)
@@ -150,9 +150,9 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a"},
+			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
@@ -186,7 +186,7 @@
 			}
 			mv := mover{c: c, gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 			if x.stuck > 0 {
-				c.lead.stuck[1] = time.Now().Add(-x.stuck)
+				c.leader.stuck[1] = time.Now().Add(-x.stuck)
 			}
 			mv.pass(time.Now(), allWork)
 			got := -1
@@ -221,9 +221,9 @@
 		{"nor may its team have more", 0, 0, 22, true, neededFor + time.Second, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"},
+			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
@@ -247,7 +247,7 @@
 				{Name: "m0", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
 				{Name: "m1", Session: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
-			c.lead.stuckSince = now.Add(-x.since)
+			c.leader.stuckSince = now.Add(-x.since)
 			c.drain(now, provision.Plan{}, 0)
 			e := c.edits[c.cache.Machine("m1").Index]
 			if back := e != nil && e.drain != nil && !*e.drain; back != x.back {
@@ -274,9 +274,9 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 2, Zones: []string{"a"},
+			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "home"}, {Name: "guest"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -31,7 +31,7 @@
 		if c.mute(v, now) {
 			mute++
 		}
-		if c.silentFor(v.heard, now) > quiet {
+		if c.silenceOf(v.heard, now) > quiet {
 			silent++
 			c.direct(m, true) // a probe that also shows the worker the present token
 		}
@@ -64,17 +64,17 @@
 		if serves(m) && c.zoneAway(m.Zone) && c.inhabited(m.Zone) {
 			limit = max(limit, awayLimit(w))
 		}
-		silent := c.silentFor(maxTime(v.heard, c.zone(m.Zone).back), now)
+		silent := c.silenceOf(maxTime(v.heard, c.zone(m.Zone).back), now)
 		switch {
 		case m.Drains && len(m.Tasks) == 0:
 			why = "drained"
 		case (v.sick || m.Sick) && len(m.Tasks) == 0, v.sick && len(v.failed) > 1:
 			why = "sick"
-		case c.silentFor(v.since, now) > 5*time.Second && c.neverCame(m, lastUp[m.Type], now):
+		case c.silenceOf(v.since, now) > 5*time.Second && c.neverCame(m, lastUp[m.Type], now):
 			why = neverUp
 		case (v.Session != 0 || m.Session != 0) && silent > limit && now.Sub(v.since) > limit && v.probes >= 2:
 			why = "silent"
-		case c.mute(v, now) && c.silentFor(v.reported, now) > muteLimit(w, c.manyMute) && now.Sub(v.since) > muteLimit(w, c.manyMute):
+		case c.mute(v, now) && c.silenceOf(v.reported, now) > muteLimit(w, c.manyMute) && now.Sub(v.since) > muteLimit(w, c.manyMute):
 			why = "mute"
 		}
 		if why != "" {
@@ -98,7 +98,7 @@
 // answers nothing is silent, not mute: in a zone that is cut off it may be kept for long.
 func (c *Controller) mute(v *machineView, now time.Time) bool {
 	after := muteAfter(c.cfg.Deployment.Workers)
-	return v.Session != 0 && c.silentFor(v.heard, now) <= after && c.silentFor(v.reported, now) > after
+	return v.Session != 0 && c.silenceOf(v.heard, now) <= after && c.silenceOf(v.reported, now) > after
 }
 
 // noteMute takes from a worker's message what it says of its reports. A lease that runs out while the worker answers whatever it is
@@ -107,7 +107,7 @@
 	switch {
 	case !reply:
 		v.reported = now
-	case c.silentFor(v.heard, now) > muteAfter(c.cfg.Deployment.Workers):
+	case c.silenceOf(v.heard, now) > muteAfter(c.cfg.Deployment.Workers):
 		v.reported = maxTime(v.reported, reportedAnew(c.cfg.Deployment.Workers, now)) // it hung, or was cut off: it may report now
 	case v.Session != 0 && r.Session > v.Session && c.mute(v, now) && !c.manyMute:
 		c.closeMachine(m, "mute")
@@ -229,7 +229,7 @@
 
 // closeMachine marks a machine as being returned.
 func (c *Controller) closeMachine(m *storage.Machine, why string) {
-	if c.stateBad() || c.edits[m.Index] != nil && c.edits[m.Index].closing {
+	if c.storeFailing() || c.edits[m.Index] != nil && c.edits[m.Index].closing {
 		return
 	}
 	c.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
@@ -255,13 +255,13 @@
 		case m.Gone || !e.differs(m):
 			delete(c.edits, i)
 		case c.ownsShard(m.Shard): // goes with the next transaction
-		case !c.leads():
+		case !c.isLeader():
 			delete(c.edits, i)
 		default:
 			racks[m.Group] = true
 		}
 	}
-	if len(racks) == 0 || c.lead.editing {
+	if len(racks) == 0 || c.leader.editing {
 		return
 	}
 	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
@@ -289,9 +289,9 @@
 	if len(t.Then) == 0 {
 		return
 	}
-	c.lead.editing = true
+	c.leader.editing = true
 	c.commitAside(ctx, t, protocol.Background, func(bool) {
-		c.lead.editing = false
+		c.leader.editing = false
 		for _, i := range done {
 			delete(c.edits, i) // what still has to change is found again
 		}
@@ -308,15 +308,15 @@
 // returnMachines asks the cloud to take machines back. Its 200 is the proof that
 // they are gone with all that is on them; the cycle then drops their records.
 func (c *Controller) returnMachines(ctx context.Context, names []string) {
-	if len(names) == 0 || c.lead.returning {
+	if len(names) == 0 || c.leader.returning {
 		return
 	}
 	names = names[:min(len(names), protocol.MaxReturn)]
-	c.lead.returning = true
+	c.leader.returning = true
 	go func() {
 		err := c.cloud.Return(ctx, names)
 		c.post(func() {
-			c.lead.returning = false
+			c.leader.returning = false
 			if err != nil {
 				c.log.Info("return failed", "machines", len(names), "err", err)
 				return
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -10,16 +10,16 @@
 	"dykeledge/internal/storage"
 )
 
-// fresh is a revision that no record holds yet. As an attempt or a token it is
+// nextRevision is a revision that no record holds yet. As an attempt or a token it is
 // above all that were committed before, whoever committed them.
-func (c *Controller) fresh() uint64 { return c.maxRev + 1 }
+func (c *Controller) nextRevision() uint64 { return c.highestRevision + 1 }
 
-// memberLoop keeps this node's hold and its membership key.
-func (c *Controller) memberLoop(ctx context.Context) {
+// keepSessionLease keeps this node's hold and its membership key.
+func (c *Controller) keepSessionLease(ctx context.Context) {
 	var first uint64
 	for ctx.Err() == nil {
 		sent := time.Now()
-		lease, err := c.state.Grant(ctx, c.times.Hold)
+		lease, err := c.store.Grant(ctx, c.timing.SessionLease)
 		if err != nil {
 			c.log.Info("no hold yet", "err", err)
 			sleep(ctx, 500*time.Millisecond)
@@ -29,110 +29,110 @@
 			first = lease
 		}
 		// Put without conditions: a restarted node replaces its stale entry at once.
-		rev, _, err := c.state.Txn(ctx, protocol.Txn{Then: []protocol.Change{c.membership(first, lease, c.unfit.Load())}}, protocol.Urgent)
+		rev, _, err := c.store.Txn(ctx, protocol.Txn{Then: []protocol.Change{c.memberChange(first, lease, c.notReady.Load())}}, protocol.Urgent)
 		if err != nil {
 			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
 		c.post(func() {
-			c.incarnation, c.lease, c.renewed, c.memberAt = first, lease, sent, rev
+			c.incarnation, c.sessionLease, c.leaseRenewedAt, c.memberRevision = first, lease, sent, rev
 			c.changed()
 		})
 		for ctx.Err() == nil {
-			sleep(ctx, c.times.Hold/4)
+			sleep(ctx, c.timing.SessionLease/4)
 			sent := time.Now()
-			err := c.state.Renew(ctx, lease, c.times.Hold/2)
+			err := c.store.Renew(ctx, lease, c.timing.SessionLease/2)
 			if err == nil {
-				c.post(func() { c.goodAt, c.renewed = time.Now(), sent })
+				c.post(func() { c.storeServedAt, c.leaseRenewedAt = time.Now(), sent })
 			}
 			if errors.Is(err, protocol.ErrNoLease) {
 				c.log.Info("hold has ended, taking a new one")
-				c.post(func() { c.lease = 0 })
+				c.post(func() { c.sessionLease = 0 })
 				break
 			}
 		}
 	}
 }
 
-// membership is the change that says that a node lives, and how it fares.
-func (c *Controller) membership(incarnation, lease uint64, unfit bool) protocol.Change {
-	return protocol.Change{Put: storage.NodeKey(c.cfg.NodeName), Lease: lease, Value: storage.Encode(
-		storage.NodeRecord{Incarnation: incarnation, Public: c.cfg.PublicAddr, Unfit: unfit, Layout: c.Layout, Frames: c.Frames})}
+// memberChange is the change that says that a node lives, and how it fares.
+func (c *Controller) memberChange(incarnation, lease uint64, unfit bool) protocol.Change {
+	return protocol.Change{Put: storage.MemberKey(c.cfg.MemberName), Lease: lease, Value: storage.Encode(
+		storage.MemberRecord{Incarnation: incarnation, Public: c.cfg.PublicAddr, NotReady: unfit, Layout: c.Layout, FrameLevel: c.Frames})}
 }
 
-// keepMembership writes this node's record anew when it does not say what this process wrote: a
+// repairMemberRecord writes this node's record anew when it does not say what this process wrote: a
 // transaction of the process before, or one of its own with unknown outcome, was applied late.
 // With the former process's hold the record then vanished, and a living node was no member any
 // more: it got no share, and the gate between layouts waited for it for ever.
-func (c *Controller) keepMembership(ctx context.Context) {
-	if c.lease == 0 || c.memberBusy || c.cache.Revision < c.memberAt {
+func (c *Controller) repairMemberRecord(ctx context.Context) {
+	if c.sessionLease == 0 || c.memberWriteInFlight || c.cache.Revision < c.memberRevision {
 		return
 	}
-	n := c.cache.Nodes[c.cfg.NodeName]
+	n := c.cache.Members[c.cfg.MemberName]
 	if n != nil && (n.Incarnation > c.incarnation || // a later process of this name: this one is not wanted any more
-		n.Incarnation == c.incarnation && n.Unfit == c.unfit.Load() && n.Layout == c.Layout) {
+		n.Incarnation == c.incarnation && n.NotReady == c.notReady.Load() && n.Layout == c.Layout) {
 		return
 	}
 	c.log.Info("this node's record is not its own, writing it anew", "there", n != nil)
-	c.announce(ctx, protocol.Txn{}, c.unfit.Load(), func(bool) {})
+	c.writeMember(ctx, protocol.Txn{}, c.notReady.Load(), func(bool) {})
 }
 
-// announce writes this node's record with whatever else is in a transaction.
-func (c *Controller) announce(ctx context.Context, t protocol.Txn, unfit bool, then func(ok bool)) {
-	t.Then = append(t.Then, c.membership(c.incarnation, c.lease, unfit))
-	c.memberBusy = true
+// writeMember writes this node's record with whatever else is in a transaction.
+func (c *Controller) writeMember(ctx context.Context, t protocol.Txn, unfit bool, then func(ok bool)) {
+	t.Then = append(t.Then, c.memberChange(c.incarnation, c.sessionLease, unfit))
+	c.memberWriteInFlight = true
 	go func() {
 		rev, failed, err := c.transact(ctx, t, protocol.Urgent)
 		c.committed(t, rev, err == nil && len(failed) == 0, func(ok bool) {
-			c.memberBusy = false
+			c.memberWriteInFlight = false
 			if ok {
-				c.memberAt = max(c.memberAt, rev)
+				c.memberRevision = max(c.memberRevision, rev)
 			}
 			then(ok)
 		})
 	}()
 }
 
-// tryLead takes the lead if nobody has it, or if its holder was this node before
+// acquireLeadership takes the lead if nobody has it, or if its holder was this node before
 // it started anew.
-func (c *Controller) tryLead(ctx context.Context) {
+func (c *Controller) acquireLeadership(ctx context.Context) {
 	l := c.cache.Leader
-	if c.lease == 0 || c.leaderBusy || c.leads() || (c.unfit.Load() && c.othersFit()) {
+	if c.sessionLease == 0 || c.leaderWriteInFlight || c.isLeader() || (c.notReady.Load() && c.othersReady()) {
 		return
 	}
-	if now := time.Now(); l.Version > 0 && l.Node != c.cfg.NodeName {
+	if now := time.Now(); l.Version > 0 && l.Member != c.cfg.MemberName {
 		// Two nodes that do not hear each other must not take the lead from one
 		// another again and again.
-		if !c.lost(l.Node, now) || now.Sub(c.leadAt) < leadAgain {
+		if !c.memberLost(l.Member, now) || now.Sub(c.leaderSince) < minLeadershipDuration {
 			return
 		}
 	}
-	c.leaderBusy = true
-	rec := storage.Encode(storage.LeaderRecord{Node: c.cfg.NodeName, Incarnation: c.incarnation})
+	c.leaderWriteInFlight = true
+	rec := storage.Encode(storage.LeaderRecord{Member: c.cfg.MemberName, Incarnation: c.incarnation})
 	c.commitAside(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: l.Version}},
-		Then: []protocol.Change{{Put: storage.LeaderKey, Value: rec, Lease: c.lease}},
+		Then: []protocol.Change{{Put: storage.LeaderKey, Value: rec, Lease: c.sessionLease}},
 	}, protocol.Urgent, func(ok bool) {
-		c.leaderBusy = false
-		if c.noteLead(); ok {
+		c.leaderWriteInFlight = false
+		if c.noteLeadershipChange(); ok {
 			c.assignShards(ctx)
 		}
 	})
 }
 
-// noteLead begins a lead as soon as the record says so: where only the answer of its transaction was lost, a process that
+// noteLeadershipChange begins a lead as soon as the record says so: where only the answer of its transaction was lost, a process that
 // had led before went on with what it knew then.
-func (c *Controller) noteLead() {
-	if leads := c.leads(); leads != c.leading {
-		if c.leading = leads; leads {
+func (c *Controller) noteLeadershipChange() {
+	if leads := c.isLeader(); leads != c.wasLeader {
+		if c.wasLeader = leads; leads {
 			c.log.Info("leading")
-			c.lead.init()
+			c.leader.init()
 		}
 	}
 }
 
-// leadAgain is how long a lead must have lasted before it is taken on a hint.
-const leadAgain = 10 * time.Second
+// minLeadershipDuration is how long a lead must have lasted before it is taken on a hint.
+const minLeadershipDuration = 10 * time.Second
 
 // commitAside commits a transaction that the cycle has no part in and applies it.
 func (c *Controller) commitAside(ctx context.Context, t protocol.Txn, haste protocol.Haste, then func(ok bool)) {
@@ -154,7 +154,7 @@
 }
 
 func (c *Controller) applyTxn(t protocol.Txn, rev uint64) {
-	c.maxRev = max(c.maxRev, rev)
+	c.highestRevision = max(c.highestRevision, rev)
 	for _, ch := range t.Then {
 		if ch.Delete != "" {
 			_ = c.apply(ch.Delete, nil, rev, true) // logged there
@@ -166,32 +166,32 @@
 
 // assignShards is the leader's loop over who owns which share.
 func (c *Controller) assignShards(ctx context.Context) {
-	if !c.leads() || c.shardWriteInFlight {
+	if !c.isLeader() || c.shardWriteInFlight {
 		return
 	}
-	var nodes, all []membership.Node
+	var nodes, all []membership.Member
 	newest := uint64(0)
 	now := time.Now()
-	for name, n := range c.cache.Nodes {
-		node := membership.Node{Name: name, Incarnation: n.Incarnation}
+	for name, n := range c.cache.Members {
+		node := membership.Member{Name: name, Incarnation: n.Incarnation}
 		all = append(all, node)
 		newest += n.Version
-		if !n.Unfit && !c.lost(name, now) {
+		if !n.NotReady && !c.memberLost(name, now) {
 			nodes = append(nodes, node)
 		}
 	}
 	if len(nodes) == 0 {
 		nodes = all // better one that seems unfit than none
 	}
-	if newest != c.lead.nodesSum {
-		c.lead.nodesSum = newest
-		c.nodesAt = now
+	if newest != c.leader.membersVersionSum {
+		c.leader.membersVersionSum = newest
+		c.membersChangedAt = now
 	}
 	owners := make([]membership.Owner, c.cache.NumShards)
 	for i, s := range c.cache.Shards {
-		owners[i] = membership.Owner{Name: s.Node, Incarnation: s.Incarnation}
+		owners[i] = membership.Owner{Name: s.Member, Incarnation: s.Incarnation}
 	}
-	settled := now.Sub(c.nodesAt) > balanceAfter
+	settled := now.Sub(c.membersChangedAt) > rebalanceDelay
 	want := membership.Assign(owners, nodes, func(s int) bool {
 		age := now.Sub(c.ownershipHistory[s].changedAt)
 		return settled || age > firstHeartbeats && age < firstHeartbeats+takeoverGrace
@@ -203,7 +203,7 @@
 		}
 		t.If = append(t.If, protocol.Condition{Key: storage.ShardKey(i), Version: c.cache.Shards[i].Version})
 		t.Then = append(t.Then, protocol.Change{Put: storage.ShardKey(i), Value: storage.Encode(
-			storage.ShardRecord{Node: want[i].Name, Incarnation: want[i].Incarnation, Token: c.fresh()})})
+			storage.ShardRecord{Member: want[i].Name, Incarnation: want[i].Incarnation, Token: c.nextRevision()})})
 		c.log.Info("share goes to", "share", i, "node", want[i].Name, "from", owners[i].Name)
 		if len(t.Then) >= c.limits().TxnOps {
 			break
@@ -216,9 +216,9 @@
 	c.commitAside(ctx, t, protocol.Urgent, func(bool) { c.shardWriteInFlight = false })
 }
 
-// balanceAfter is how long membership must have been quiet before shares move
+// rebalanceDelay is how long membership must have been quiet before shares move
 // to even out the nodes' load: a move costs a short pause of its workers.
-const balanceAfter = 8 * time.Second
+const rebalanceDelay = 8 * time.Second
 
 // firstHeartbeats is how long a new owner is left to answer its workers once before a share is
 // passed on: after an end of all nodes their leases are about to run out, and each change of
@@ -253,34 +253,34 @@
 	c.ownershipLoaded = true
 }
 
-// othersFit tells whether another living node could do this node's work.
-func (c *Controller) othersFit() bool {
-	for name, n := range c.cache.Nodes {
-		if name != c.cfg.NodeName && !n.Unfit {
+// othersReady tells whether another living node could do this node's work.
+func (c *Controller) othersReady() bool {
+	for name, n := range c.cache.Members {
+		if name != c.cfg.MemberName && !n.NotReady {
 			return true
 		}
 	}
 	return false
 }
 
-// checkFit gives up shares and lead when this node reaches no worker although it
+// checkReadiness gives up shares and lead when this node reaches no worker although it
 // owns machines: a node cut off from everything but the state service keeps its
 // hold, and nobody else would take its workers before their leases run out.
-func (c *Controller) checkFit(ctx context.Context, now time.Time) {
-	if c.lease == 0 || c.stateBad() {
+func (c *Controller) checkReadiness(ctx context.Context, now time.Time) {
+	if c.sessionLease == 0 || c.storeFailing() {
 		return
 	}
 	// Every worker reports within 1.25 times ReportS: a few may be dead or hang, but
 	// when many are all silent for longer, the fault is on this side.
 	report := c.cfg.Deployment.Workers.ReportS
 	quiet := max(seconds(2*report+1.5), 4*time.Second)
-	if c.unfit.Load() {
-		if now.Sub(c.probeAt) > time.Second {
-			c.probeAt = now
-			c.probeAny()
+	if c.notReady.Load() {
+		if now.Sub(c.lastProbeAt) > time.Second {
+			c.lastProbeAt = now
+			c.probeWorker()
 		}
-		if now.Sub(c.heardAny) < time.Second || !c.othersFit() {
-			c.setUnfit(ctx, false)
+		if now.Sub(c.heardAny) < time.Second || !c.othersReady() {
+			c.setNotReady(ctx, false)
 		}
 		return
 	}
@@ -290,43 +290,43 @@
 			machines++
 		}
 	}
-	if machines >= manyMachines {
+	if machines >= manyMachinesCount {
 		quiet = max(seconds(1.25*report+1), 2500*time.Millisecond)
 	}
-	if machines >= 2 && c.silentFor(c.heardAny, now) > quiet && now.Sub(c.ownershipSince) > quiet && c.othersFit() {
+	if machines >= 2 && c.silenceOf(c.heardAny, now) > quiet && now.Sub(c.ownershipSince) > quiet && c.othersReady() {
 		c.log.Info("no worker is heard, giving up shares", "machines", machines)
-		c.setUnfit(ctx, true)
+		c.setNotReady(ctx, true)
 	}
 }
 
-// manyMachines are too many to fall silent together by themselves.
-const manyMachines = 8
+// manyMachinesCount are too many to fall silent together by themselves.
+const manyMachinesCount = 8
 
-func (c *Controller) setUnfit(ctx context.Context, unfit bool) {
-	c.unfit.Store(unfit)
+func (c *Controller) setNotReady(ctx context.Context, unfit bool) {
+	c.notReady.Store(unfit)
 	c.log.Info("fitness changes", "unfit", unfit)
 	var t protocol.Txn
-	if unfit && c.leads() {
+	if unfit && c.isLeader() {
 		t.If = []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}
 		t.Then = []protocol.Change{{Delete: storage.LeaderKey}}
 	}
-	c.announce(ctx, t, unfit, func(ok bool) {
+	c.writeMember(ctx, t, unfit, func(ok bool) {
 		if !ok {
-			c.unfit.Store(!unfit) // tried again with the next look
+			c.notReady.Store(!unfit) // tried again with the next look
 		}
 	})
 }
 
-// probeAny asks some worker for its report, with a token that commands nothing.
-func (c *Controller) probeAny() {
+// probeWorker asks some worker for its report, with a token that commands nothing.
+func (c *Controller) probeWorker() {
 	for _, m := range c.cache.Machines {
 		if m.Gone || m.Closing || m.Addr == "" || m.Session == 0 {
 			continue
 		}
-		if c.probeNext++; c.probeNext%3 != 0 {
+		if c.nextProbe++; c.nextProbe%3 != 0 {
 			continue
 		}
-		c.ask(m, func(answered bool) {
+		c.probeHeartbeat(m, func(answered bool) {
 			if answered {
 				c.heardAny = time.Now()
 			}
@@ -335,14 +335,14 @@
 	}
 }
 
-// askWithin bounds how long a worker that is asked may take.
-const askWithin = 900 * time.Millisecond
+// probeTimeout bounds how long a worker that is asked may take.
+const probeTimeout = 900 * time.Millisecond
 
-// ask asks a worker for its report, under a token that commands nothing: whatever comes back is an answer.
-func (c *Controller) ask(m *storage.Machine, then func(answered bool)) {
+// probeHeartbeat asks a worker for its report, under a token that commands nothing: whatever comes back is an answer.
+func (c *Controller) probeHeartbeat(m *storage.Machine, then func(answered bool)) {
 	addr, session := m.Addr, m.Session
 	go func() {
-		_, status, err := c.workers.Command(addr, protocol.DirectCommands{Session: session, Commands: []protocol.Command{}}, askWithin)
+		_, status, err := c.workers.Command(addr, protocol.DirectCommands{Session: session, Commands: []protocol.Command{}}, probeTimeout)
 		c.post(func() { then(err == nil && status != 0) })
 	}()
 }
--- a/internal/coordination/member_test.go
+++ b/internal/coordination/member_test.go
@@ -27,40 +27,40 @@
 // A transaction of the process before was applied late: the record said what that had been,
 // and vanished with its hold. The node lived on as no member, and the gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
-	own := storage.NodeRecord{Incarnation: 7, Layout: storage.LayoutTeams, Frames: protocol.FramesWord}
+	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesWord}
 	for _, x := range []struct {
 		name string
-		rec  *storage.NodeRecord
+		rec  *storage.MemberRecord
 		read uint64 // how far the cache is; the record was written at 40
 		want bool
 	}{
 		{"its own", &own, 45, false},
-		{"of the process before", &storage.NodeRecord{Incarnation: 3}, 45, true},
+		{"of the process before", &storage.MemberRecord{Incarnation: 3}, 45, true},
 		{"none", nil, 45, true},
 		{"none yet: the cache has not come so far", nil, 39, false},
-		{"unfit, from an attempt with unknown outcome", &storage.NodeRecord{Incarnation: 7, Layout: storage.LayoutTeams, Unfit: true}, 45, true},
-		{"of a later process", &storage.NodeRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
+		{"unfit, from an attempt with unknown outcome", &storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, NotReady: true}, 45, true},
+		{"of a later process", &storage.MemberRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
 			s := putStore{puts: make(chan protocol.Change, 4)}
-			c.state, c.lease, c.incarnation, c.memberAt, c.cache.Revision = s, 11, 7, 40, x.read
+			c.store, c.sessionLease, c.incarnation, c.memberRevision, c.cache.Revision = s, 11, 7, 40, x.read
 			if x.rec != nil {
-				c.cache.Nodes["n0"] = &storage.Node{NodeRecord: *x.rec, Version: 41}
+				c.cache.Members["n0"] = &storage.Member{MemberRecord: *x.rec, Version: 41}
 			}
-			c.keepMembership(t.Context())
-			if c.memberBusy != x.want {
-				t.Fatalf("written anew: %v, want %v", c.memberBusy, x.want)
+			c.repairMemberRecord(t.Context())
+			if c.memberWriteInFlight != x.want {
+				t.Fatalf("written anew: %v, want %v", c.memberWriteInFlight, x.want)
 			}
 			if !x.want {
 				return
 			}
 			put := <-s.puts
-			if string(put.Value) != string(storage.Encode(own)) || put.Lease != 11 || put.Put != storage.NodeKey("n0") {
+			if string(put.Value) != string(storage.Encode(own)) || put.Lease != 11 || put.Put != storage.MemberKey("n0") {
 				t.Errorf("%s: %s under hold %d", put.Put, put.Value, put.Lease)
 			}
 			(<-c.inbox)() // its outcome
-			if c.keepMembership(t.Context()); c.memberBusy {
+			if c.repairMemberRecord(t.Context()); c.memberWriteInFlight {
 				t.Error("it is written again although it was just written")
 			}
 		})
--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Node is a living node.
-type Node struct {
+// Member is a living node.
+type Member struct {
 	Name        string
 	Incarnation uint64
 }
 
 // Owner is who owns a share; the zero value is nobody.
-type Owner = Node
+type Owner = Member
 
 // Assign gives every share a living owner and moves as few as it can: a share
 // stays with its owner's present incarnation; one whose owner is gone or has
 // started anew goes to its old name if that lives, else to the node with the
 // fewest shares. Shares that may be moved, if movable is set, also move from a node
 // that owns at least two more than another.
-func Assign(shares []Owner, nodes []Node, movable func(share int) bool) []Owner {
+func Assign(shares []Owner, nodes []Member, movable func(share int) bool) []Owner {
 	if len(nodes) == 0 {
 		return shares
 	}
 	nodes = slices.Clone(nodes)
-	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(nodes, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	out := slices.Clone(shares)
 	count := make([]int, len(nodes))
 	byName := func(name string) int {
-		return slices.IndexFunc(nodes, func(n Node) bool { return n.Name == name })
+		return slices.IndexFunc(nodes, func(n Member) bool { return n.Name == name })
 	}
 	fewest := func() int {
 		best := 0
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -128,7 +128,7 @@
 	if now.Sub(t.at) < tellEvery {
 		return
 	}
-	spent := c.state.Spent()
+	spent := c.store.Spent()
 	if !t.at.IsZero() {
 		machines, jobs := 0, 0
 		for _, m := range c.cache.Machines {
@@ -220,7 +220,7 @@
 			}
 			rate += c.cpuPrice(m) * max(c.cache.Types[m.Type].Cpus, 1)
 		}
-		if c.leads() {
+		if c.isLeader() {
 			leader = 1
 		}
 		for x, u := range c.cache.Usual.Cpus {
@@ -230,19 +230,19 @@
 		if c.flooded {
 			flood = 1
 		}
-		if c.served(now) {
+		if c.servedByStore(now) {
 			reach["state"] = 1
 		}
-		if !c.unfit.Load() {
+		if !c.notReady.Load() {
 			reach["workers"] = 1
 		}
 		heard, others := 0, 0
-		for name := range c.cache.Nodes {
-			if name == c.cfg.NodeName {
+		for name := range c.cache.Members {
+			if name == c.cfg.MemberName {
 				continue
 			}
 			others++
-			if p, ok := c.peers[name]; ok && now.Sub(p.at) < peerFresh {
+			if p, ok := c.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
 				heard++
 			}
 		}
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -17,7 +17,7 @@
 // owner, and its record moves whole. What may only run on ordinary machines is looked at
 // first and on its own: free spot machines are of no use to it.
 func (c *Controller) moveRoom(ctx context.Context, now time.Time) {
-	if c.lead.moving || c.cache.NumShards < 2 {
+	if c.leader.moving || c.cache.NumShards < 2 {
 		return
 	}
 	mv := mover{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
@@ -25,17 +25,17 @@
 	mv.pass(now, ordinaryWork)
 	mv.pass(now, allWork)
 	mv.pass(now, idleWork)
-	for share := range c.lead.stuck {
+	for share := range c.leader.stuck {
 		if !mv.stuck[share] {
-			delete(c.lead.stuck, share)
+			delete(c.leader.stuck, share)
 		}
 	}
 	if len(mv.txn.Then) == 0 {
 		return
 	}
-	c.lead.moving = true
-	c.lead.movedAt = now
-	c.commitAside(ctx, mv.txn, protocol.Background, func(bool) { c.lead.moving = false })
+	c.leader.moving = true
+	c.leader.movedAt = now
+	c.commitAside(ctx, mv.txn, protocol.Background, func(bool) { c.leader.moving = false })
 }
 
 type mover struct {
@@ -183,7 +183,7 @@
 		}
 		s := &sums[k.Shard]
 		r := &groupSums{group: k}
-		stays := now.Sub(c.lead.moved[k.ID]) <= moveAgain
+		stays := now.Sub(c.leader.moved[k.ID]) <= moveAgain
 		for _, m := range k.Machines {
 			if m.Gone || m.Closing || (ordinary && m.Spot) {
 				continue
@@ -219,7 +219,7 @@
 		return
 	}
 	if kind == allWork {
-		if f := c.flooding(now); c.overloaded(f, c.cache.Jobs, c.allRoom(), &c.lead.flooded, now) {
+		if f := c.flooding(now); c.overloaded(f, c.cache.Jobs, c.allRoom(), &c.leader.flooded, now) {
 			mv.floors(sums, f)
 		}
 	}
@@ -294,10 +294,10 @@
 // waits at a share whose machines are full of work without an end, after a while.
 func (mv *mover) lends(sums []shardSums, to int, now time.Time) (from, k int) {
 	mv.stuck[to] = true
-	since, ok := mv.c.lead.stuck[to]
+	since, ok := mv.c.leader.stuck[to]
 	if !ok {
 		since = now
-		mv.c.lead.stuck[to] = now
+		mv.c.leader.stuck[to] = now
 	}
 	patient := now.Sub(since) > stuckFor
 	// Shares with nothing that waits come first; where one waits too, its own work must not fit there.
@@ -431,14 +431,14 @@
 
 func (mv *mover) move(k *storage.MachineGroup, to int) {
 	r := mv.c.cache.GroupRecordOf(k, k.UnsavedCompletions(), nil)
-	r.Shard, r.Token = to, mv.c.fresh()
+	r.Shard, r.Token = to, mv.c.nextRevision()
 	key := storage.GroupKey(k.ID)
 	mv.gone[k] = true
 	raw := storage.EncodeGroup(r, mv.c.cache.Packed())
 	if len(raw) > mv.c.valueLimit() {
 		return // its owner parts it first
 	}
-	mv.c.lead.moved[k.ID] = time.Now()
+	mv.c.leader.moved[k.ID] = time.Now()
 	mv.txn.If = append(mv.txn.If, protocol.Condition{Key: key, Version: k.Version})
 	mv.txn.Then = append(mv.txn.Then, protocol.Change{Put: key, Value: raw})
 	mv.c.log.Debug("rack moves", "rack", k.ID, "machines", len(k.Machines), "from", k.Shard, "to", to)
--- a/internal/coordination/newborn_test.go
+++ b/internal/coordination/newborn_test.go
@@ -108,14 +108,14 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				cfg := &config.Settings{NodeName: "n0", Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
+				cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
 					Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
 				store := x.store
-				c := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTimes())
+				c := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 				go c.Run(ctx)
 				time.Sleep(3 * time.Second)
 				if x.served {
-					c.HearPulse("n1", protocol.Pulse{StateOK: true, Revision: 4})
+					c.ReceivePeerHeartbeat("n1", protocol.PeerHeartbeat{StateOK: true, Revision: 4})
 				}
 				if got := c.Ready(ctx); got != x.ready {
 					t.Errorf("ready: %v, want %v", got, x.ready)
--- a/internal/coordination/others.go
+++ b/internal/coordination/others.go
@@ -25,15 +25,15 @@
 // leases had run out.
 func (c *Controller) standsIn(m *storage.Machine, now time.Time) bool {
 	s := &c.cache.Shards[m.Shard]
-	if s.Node == "" || m.Closing || !c.knows(now) {
+	if s.Member == "" || m.Closing || !c.knows(now) {
 		return false
 	}
-	if n := c.cache.Nodes[s.Node]; n == nil || n.Incarnation != s.Incarnation {
+	if n := c.cache.Members[s.Member]; n == nil || n.Incarnation != s.Incarnation {
 		return true
 	}
 	// What is heard under the owner's name may be its successor, newborn in the outage: that owns nothing.
-	p := c.peers[s.Node]
-	return s.Node != c.cfg.NodeName && c.silentFor(c.goodAt, now) > peerFresh && (c.silentFor(p.at, now) > peerFresh || p.pulse.Revision == 0)
+	p := c.peers[s.Member]
+	return s.Member != c.cfg.MemberName && c.silenceOf(c.storeServedAt, now) > peerFresh && (c.silenceOf(p.heardAt, now) > peerFresh || p.heartbeat.Revision == 0)
 }
 
 // blind is a node's part of keeping up leases before it has read any record.
@@ -61,7 +61,7 @@
 // until now, which whoever answered the worker last could not know.
 func (c *Controller) allNewborn(now time.Time) bool {
 	for _, k := range c.cfg.Known {
-		if p, ok := c.peers[k.NodeName]; !ok || now.Sub(p.at) >= peerFresh || p.pulse.Revision > 0 {
+		if p, ok := c.peers[k.MemberName]; !ok || now.Sub(p.heardAt) >= peerFresh || p.heartbeat.Revision > 0 {
 			return false
 		}
 	}
--- a/internal/coordination/others_test.go
+++ b/internal/coordination/others_test.go
@@ -37,9 +37,9 @@
 			c.loaded, c.cfg.Deployment.Workers = false, w
 			now := time.Now()
 			c.blind.since = now.Add(-x.age)
-			c.cfg.Known = []config.Peer{{NodeName: "n1"}}
+			c.cfg.Known = []config.Peer{{MemberName: "n1"}}
 			if x.heard >= 0 {
-				c.peers["n1"] = peer{pulse: protocol.Pulse{Revision: x.peer}, at: now.Add(-x.heard)}
+				c.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: x.peer}, heardAt: now.Add(-x.heard)}
 			}
 			if x.again > 0 {
 				c.blind.renewed["m"] = now.Add(-x.again)
@@ -87,13 +87,13 @@
 	} {
 		c := newCore(t) // lease 10 s, cancellations 30 s
 		now := time.Now()
-		c.cache.Shards[0].Node, c.cache.Shards[0].Incarnation = "n1", 3
+		c.cache.Shards[0].Member, c.cache.Shards[0].Incarnation = "n1", 3
 		if x.member > 0 {
-			c.cache.Nodes["n1"] = &storage.Node{NodeRecord: storage.NodeRecord{Incarnation: x.member}, Version: 1}
+			c.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{Incarnation: x.member}, Version: 1}
 		}
-		c.goodAt, c.readAt, c.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peer{at: now.Add(-x.heard), pulse: protocol.Pulse{Revision: 4}}
+		c.storeServedAt, c.cacheCurrentAt, c.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peerState{heardAt: now.Add(-x.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
 		if x.heard == newborn {
-			c.peers["n1"] = peer{at: now}
+			c.peers["n1"] = peerState{heardAt: now}
 		}
 		if got := c.standsIn(c.cache.Machine("m"), now); got != x.want {
 			t.Errorf("%s: stands in %v, want %v", x.name, got, x.want)
@@ -114,7 +114,7 @@
 		{"higher than any that was committed", 1 << 60, 421, false}} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
-			c.maxRev = 12
+			c.highestRevision = 12
 			status := 0
 			c.onReport(t.Context(), &protocol.Report{Machine: "m", Session: 1, Seq: 2, Token: x.token}, func(s int, _ any) { status = s })
 			c.flushHeld(time.Now(), true)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -8,114 +8,114 @@
 	"dykeledge/internal/protocol"
 )
 
-// peer is what a controller last heard of another. Nothing is decided on it
+// peerState is what a controller last heard of another. Nothing is decided on it
 // alone that could break a rule.
-type peer struct {
-	pulse   protocol.Pulse
-	at      time.Time
-	refused time.Time // says since then that the state service does not serve it
+type peerState struct {
+	heartbeat   protocol.PeerHeartbeat
+	heardAt     time.Time
+	deniedSince time.Time // says since then that the state service does not serve it
 }
 
 const peerFresh = 2 * time.Second
 
-// outline is what other goroutines may read without asking the core.
-type outline struct {
-	pulse       atomic.Pointer[protocol.Pulse]
-	needs       atomic.Pointer[[]protocol.ShardDemand]
-	incarnation atomic.Uint64
-	word        atomic.Pointer[protocol.Word]
-	readers     atomic.Pointer[map[string]uint64] // how far the caches of those are that read words
+// publishedSummary is what other goroutines may read without asking the core.
+type publishedSummary struct {
+	heartbeat     atomic.Pointer[protocol.PeerHeartbeat]
+	shardDemands  atomic.Pointer[[]protocol.ShardDemand]
+	incarnation   atomic.Uint64
+	digest        atomic.Pointer[protocol.Word]
+	digestReaders atomic.Pointer[map[string]uint64] // how far the caches of those are that read words
 }
 
 func (c *Controller) publish(now time.Time) {
-	p := protocol.Pulse{StateOK: !c.alone(now) && c.badSince.IsZero() && now.Sub(c.goodAt) < 3*time.Second, Revision: c.cache.Revision,
-		Changes: uint32(1000 * c.pace)}
+	p := protocol.PeerHeartbeat{StateOK: !c.isolatedFromStore(now) && c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < 3*time.Second, Revision: c.cache.Revision,
+		ChangeRateMilli: uint32(1000 * c.pace)}
 	for s := range c.ownedShards {
 		if c.ownedShards[s] > 0 && s < 64 {
 			p.OwnedShards |= 1 << s
 		}
 	}
-	c.outline.pulse.Store(&p)
-	c.outline.word.Store(c.word(now))
-	c.outline.readers.Store(c.readers())
-	c.outline.incarnation.Store(c.incarnation)
+	c.summary.heartbeat.Store(&p)
+	c.summary.digest.Store(c.word(now))
+	c.summary.digestReaders.Store(c.digestReaders())
+	c.summary.incarnation.Store(c.incarnation)
 	var needs []protocol.ShardDemand
 	for j, jv := range c.jobs {
 		if j.Open() && j.Priority.Top() && !jv.asked.IsZero() && c.wanting(j) > 0 && len(needs) < 16 {
 			needs = append(needs, protocol.ShardDemand{Shard: uint32(j.Shard), OnDemand: !j.Spot, Cpus: float64(c.wanting(j)) * j.Size})
 		}
 	}
-	c.outline.needs.Store(&needs)
+	c.summary.shardDemands.Store(&needs)
 }
 
 // othersChanges is how many changes a second the other living nodes make, below 0 if
 // one of them is not heard: it may make as many as it likes.
 func (c *Controller) othersChanges(now time.Time) float64 {
 	sum := 0.0
-	for name := range c.cache.Nodes {
-		if name == c.cfg.NodeName {
+	for name := range c.cache.Members {
+		if name == c.cfg.MemberName {
 			continue
 		}
 		p, ok := c.peers[name]
-		if !ok || now.Sub(p.at) > peerFresh {
+		if !ok || now.Sub(p.heardAt) > peerFresh {
 			return -1
 		}
-		sum += float64(p.pulse.Changes) / 1000
+		sum += float64(p.heartbeat.ChangeRateMilli) / 1000
 	}
 	return sum
 }
 
-// Pulse is what this node tells the others of itself.
-func (c *Controller) Pulse() protocol.Pulse {
-	if p := c.outline.pulse.Load(); p != nil {
+// PeerHeartbeat is what this node tells the others of itself.
+func (c *Controller) PeerHeartbeat() protocol.PeerHeartbeat {
+	if p := c.summary.heartbeat.Load(); p != nil {
 		return *p
 	}
-	return protocol.Pulse{}
+	return protocol.PeerHeartbeat{}
 }
 
 // ShardDemands is what this node's top-priority work lacks.
 func (c *Controller) ShardDemands() []protocol.ShardDemand {
-	if n := c.outline.needs.Load(); n != nil {
+	if n := c.summary.shardDemands.Load(); n != nil {
 		return *n
 	}
 	return nil
 }
 
 // Incarnation is this process's own number, 0 before it is a member.
-func (c *Controller) Incarnation() uint64 { return c.outline.incarnation.Load() }
+func (c *Controller) Incarnation() uint64 { return c.summary.incarnation.Load() }
 
-// HearPulse takes another node's pulse.
-func (c *Controller) HearPulse(node string, p protocol.Pulse) {
+// ReceivePeerHeartbeat takes another node's pulse.
+func (c *Controller) ReceivePeerHeartbeat(node string, p protocol.PeerHeartbeat) {
 	c.post(func() {
 		now := time.Now()
-		heard := peer{pulse: p, at: now}
+		heard := peerState{heartbeat: p, heardAt: now}
 		if !p.StateOK {
-			if heard.refused = c.peers[node].refused; heard.refused.IsZero() {
-				heard.refused = now
+			if heard.deniedSince = c.peers[node].deniedSince; heard.deniedSince.IsZero() {
+				heard.deniedSince = now
 			}
 		}
 		c.peers[node] = heard
-		delete(c.lostPeers, node)
+		delete(c.disconnectedPeers, node)
 	})
 }
 
 // ReceiveShardDemands makes a leader look at once for machines that can move.
 func (c *Controller) ReceiveShardDemands(string, protocol.ShardDemands) {
 	c.post(func() {
-		if now := time.Now(); c.loaded && c.leads() && now.Sub(c.lead.movedAt) >= c.times.MoveEvery/2 {
+		if now := time.Now(); c.loaded && c.isLeader() && now.Sub(c.leader.movedAt) >= c.timing.RebalanceInterval/2 {
 			c.moveRoom(context.Background(), now)
 		}
 	})
 }
 
-// LosePeer forgets a node whose connection has ended.
-func (c *Controller) LosePeer(node string) {
+// PeerDisconnected forgets a node whose connection has ended.
+func (c *Controller) PeerDisconnected(node string) {
 	c.post(func() {
 		now := time.Now()
-		if now.Sub(c.peers[node].at) < peerFresh {
-			c.broke[node] = now // not for its silence
+		if now.Sub(c.peers[node].heardAt) < peerFresh {
+			c.brokenConnections[node] = now // not for its silence
 		}
 		delete(c.peers, node)
-		c.lostPeers[node] = now
+		c.disconnectedPeers[node] = now
 	})
 }
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -99,7 +99,7 @@
 		c.putJob(d, j, protocol.Cancelled)
 		n--
 	}
-	if !c.leads() || n <= 0 || d.used >= d.ops {
+	if !c.isLeader() || n <= 0 || d.used >= d.ops {
 		return
 	}
 	for _, x := range c.cache.Stale(min(n, d.ops-d.used), time.Now()) {
@@ -274,7 +274,7 @@
 	}
 	if changed {
 		if c.bumps(m, v) {
-			x.Token = c.fresh()
+			x.Token = c.nextRevision()
 		}
 	}
 	if e := c.edits[m.Index]; e != nil {
@@ -294,7 +294,7 @@
 	}
 	res := schedule.Place(in)
 	d.more = d.more || res.More
-	attempt := c.fresh() // never used before, whoever owned the share
+	attempt := c.nextRevision() // never used before, whoever owned the share
 	for _, p := range res.Placed {
 		m := p.Slot.M
 		key := storage.JobKey(p.Job.ID)
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -45,7 +45,7 @@
 		read = true
 		for ctx.Err() == nil {
 			sent := time.Now()
-			ev, err := c.state.Follow(ctx, storage.Root, rev, c.followWait())
+			ev, err := c.store.Follow(ctx, storage.Root, rev, c.followWait())
 			if errors.Is(err, protocol.ErrTooOld) {
 				c.log.Info("follow is too far behind, reading again", "rev", rev)
 				break
@@ -61,7 +61,7 @@
 					return
 				}
 			}
-			sleep(ctx, c.times.FollowGap)
+			sleep(ctx, c.timing.WatchInterval)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	after, began := "", time.Now()
 	seen := map[string]bool{}
 	for {
-		p, err := c.state.List(ctx, storage.Root, after, 1000)
+		p, err := c.store.List(ctx, storage.Root, after, 1000)
 		if err != nil {
 			return 0, err
 		}
@@ -110,10 +110,10 @@
 		}
 		c.cache.Sweep()
 		c.cache.Revision = first
-		c.maxRev = max(c.maxRev, first)
+		c.highestRevision = max(c.highestRevision, first)
 		c.loaded = true
-		if c.readAt.Before(began) {
-			c.readAt = began
+		if c.cacheCurrentAt.Before(began) {
+			c.cacheCurrentAt = began
 		}
 		c.blind.renewed = nil // it knows the records from now on
 		c.log.Info("records read", "rev", first, "keys", len(seen))
@@ -125,7 +125,7 @@
 // readFirst reads what accepting a job takes, before all other records.
 func (c *Controller) readFirst(ctx context.Context) error {
 	for _, key := range []string{storage.LayoutKey, storage.CatalogKey} {
-		p, err := c.state.List(ctx, key, "", 1)
+		p, err := c.store.List(ctx, key, "", 1)
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 }
 
 func (c *Controller) apply(key string, value []byte, version uint64, deleted bool) error {
-	c.maxRev = max(c.maxRev, version)
+	c.highestRevision = max(c.highestRevision, version)
 	err := c.cache.Apply(key, value, version, deleted)
 	if err != nil {
 		c.log.Error("bad record", "err", err)
@@ -160,9 +160,9 @@
 		}
 	}
 	c.cache.Revision = max(c.cache.Revision, ev.Revision)
-	c.maxRev = max(c.maxRev, ev.Revision)
+	c.highestRevision = max(c.highestRevision, ev.Revision)
 	now := time.Now()
-	c.badSince, c.goodAt, c.readAt = time.Time{}, now, latest(c.readAt, sent)
+	c.storeFailingSince, c.storeServedAt, c.cacheCurrentAt = time.Time{}, now, latest(c.cacheCurrentAt, sent)
 	c.readWords()
 	keep := c.waiters[:0]
 	for _, w := range c.waiters {
@@ -188,10 +188,10 @@
 		return
 	}
 	now := time.Now()
-	if v := c.cache.Leader.Version; v != c.leadVersion {
-		c.leadVersion, c.leadAt = v, now
+	if v := c.cache.Leader.Version; v != c.leaderVersion {
+		c.leaderVersion, c.leaderSince = v, now
 	}
-	c.noteLead()
+	c.noteLeadershipChange()
 	c.recordOwnershipChanges(now)
 	c.takeSettings()
 	c.lower(nil)
@@ -205,7 +205,7 @@
 		}
 		if v != c.ownedShards[s] {
 			c.ownedShards[s] = v
-			c.log.Info("share changed hands", "share", s, "owner", c.cache.Shards[s].Node, "own", v > 0)
+			c.log.Info("share changed hands", "share", s, "owner", c.cache.Shards[s].Member, "own", v > 0)
 			c.takeOverShard(s, v > 0, now)
 		}
 	}
@@ -330,7 +330,7 @@
 }
 
 func (c *Controller) reach(ctx context.Context) error {
-	rev, err := c.state.Revision(ctx)
+	rev, err := c.store.Revision(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -6,107 +6,107 @@
 // that stood still while its clocks ran on finds every timer due and everything
 // last heard long ago, although it was the one that was away.
 
-// stoodStill is how late the loop must come round for it to count as a standstill:
+// stallThreshold is how late the loop must come round for it to count as a standstill:
 // several ticks. A starved processor looks the same from inside, and is.
-const stoodStill = time.Second
+const stallThreshold = time.Second
 
-// hearAgain is how long after a standstill peers' connections may break off without
+// reconnectGrace is how long after a standstill peers' connections may break off without
 // meaning anything: deadlines that passed meanwhile close them, and both sides dial anew.
-const hearAgain = 3 * time.Second
+const reconnectGrace = 3 * time.Second
 
-// comeRound notices a standstill. The core's loop calls it before anything else each
+// detectStall notices a standstill. The core's loop calls it before anything else each
 // time it comes round, so nothing is concluded from what is old only because of it.
-func (c *Controller) comeRound(now time.Time) {
-	last := c.cameRound
-	c.cameRound = now
-	if last.IsZero() || now.Sub(last) < c.times.Tick+stoodStill {
+func (c *Controller) detectStall(now time.Time) {
+	last := c.lastLoopAt
+	c.lastLoopAt = now
+	if last.IsZero() || now.Sub(last) < c.timing.Tick+stallThreshold {
 		return
 	}
-	c.log.Info("this node stood still", "for", now.Sub(last).Round(10*time.Millisecond).Seconds(), "hold_in_question", !c.holds(now))
+	c.log.Info("this node stood still", "for", now.Sub(last).Round(10*time.Millisecond).Seconds(), "hold_in_question", !c.leaseCertain(now))
 	c.metrics.standstills.Inc()
-	c.awake = now
+	c.resumedAt = now
 	// What was idle or spare before says nothing about now.
-	clear(c.lead.spareFrom)
-	clear(c.lead.empty)
-	clear(c.lead.unrecorded)
+	clear(c.leader.spareFrom)
+	clear(c.leader.empty)
+	clear(c.leader.unrecorded)
 }
 
-// silentFor is how long something last heard at a time has been silent, as far as
+// silenceOf is how long something last heard at a time has been silent, as far as
 // this node was there to hear it.
-func (c *Controller) silentFor(at, now time.Time) time.Duration {
-	return now.Sub(maxTime(at, c.awake))
+func (c *Controller) silenceOf(at, now time.Time) time.Duration {
+	return now.Sub(maxTime(at, c.resumedAt))
 }
 
-// sleptSince tells whether this node stood still after a time: what it worked out
+// stalledSince tells whether this node stood still after a time: what it worked out
 // before may be older than what another node has said since.
-func (c *Controller) sleptSince(at time.Time) bool { return c.awake.After(at) }
+func (c *Controller) stalledSince(at time.Time) bool { return c.resumedAt.After(at) }
 
-// holds tells whether this node's hold is certain to last still. When it is not,
+// leaseCertain tells whether this node's hold is certain to last still. When it is not,
 // another node may own its shares or lead already. What is conditional on records
 // fails by itself then; what is not must wait.
-func (c *Controller) holds(now time.Time) bool {
-	return c.lease != 0 && now.Sub(c.renewed) < c.times.Hold
+func (c *Controller) leaseCertain(now time.Time) bool {
+	return c.sessionLease != 0 && now.Sub(c.leaseRenewedAt) < c.timing.SessionLease
 }
 
-// lostFor is how long a node whose connection broke off may stay unheard, or may be
+// lostAfter is how long a node whose connection broke off may stay unheard, or may be
 // refused by the state service, before its shares and its lead are given to others.
 // It may be alive: what it commits then fails on the records' versions, so a wrong
 // guess costs only a pause.
-const lostFor = 1200 * time.Millisecond
+const lostAfter = 1200 * time.Millisecond
 
-// lost tells whether a node's process seems to have ended, or says itself that the
+// memberLost tells whether a node's process seems to have ended, or says itself that the
 // state service refuses it. Its end is a hint for as long as its hold may outlive it: a
 // node whose key is still there later has renewed its hold, whatever became of the
 // connection. And a node that loses most of several others at once is more likely to be
 // apart itself, or a filter stands between all.
-func (c *Controller) lost(node string, now time.Time) bool {
-	if c.refused(node, now) {
+func (c *Controller) memberLost(node string, now time.Time) bool {
+	if c.memberDenied(node, now) {
 		return true
 	}
-	if now.Sub(c.awake) < hearAgain {
+	if now.Sub(c.resumedAt) < reconnectGrace {
 		return false
 	}
 	seems := func(at time.Time) bool {
-		return now.Sub(at) > lostFor && now.Sub(at) < lostFor+c.times.Hold+time.Second
+		return now.Sub(at) > lostAfter && now.Sub(at) < lostAfter+c.timing.SessionLease+time.Second
 	}
-	at, ok := c.lostPeers[node]
+	at, ok := c.disconnectedPeers[node]
 	if !ok || !seems(at) {
 		return false
 	}
 	gone, others := 0, 0
-	for name := range c.cache.Nodes {
-		if name == c.cfg.NodeName {
+	for name := range c.cache.Members {
+		if name == c.cfg.MemberName {
 			continue
 		}
 		others++
-		if at, ok := c.lostPeers[name]; ok && seems(at) {
+		if at, ok := c.disconnectedPeers[name]; ok && seems(at) {
 			gone++
 		}
 	}
 	return others <= 2 || 2*gone <= others+1
 }
 
-// refused tells whether a node says that the state service does not serve it, while
+// memberDenied tells whether a node says that the state service does not serve it, while
 // it serves this one: its hold would keep its shares for seconds more.
-func (c *Controller) refused(node string, now time.Time) bool {
+func (c *Controller) memberDenied(node string, now time.Time) bool {
 	p, ok := c.peers[node]
-	return ok && c.served(now) && now.Sub(p.at) < peerFresh && !p.refused.IsZero() && now.Sub(p.refused) > lostFor
+	return ok && c.servedByStore(now) && now.Sub(p.heardAt) < peerFresh && !p.deniedSince.IsZero() && now.Sub(p.deniedSince) > lostAfter
 }
 
-// served tells whether the state service has answered this node well just now.
-func (c *Controller) served(now time.Time) bool {
-	return c.badSince.IsZero() && now.Sub(c.goodAt) < peerFresh
+// servedByStore tells whether the state service has answered this node well just now.
+func (c *Controller) servedByStore(now time.Time) bool {
+	return c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < peerFresh
 }
 
-// alone tells whether the state service refuses this node while it serves
+// isolatedFromStore tells whether the state service refuses this node while it serves
 // another: then users are better off elsewhere. In an outage nobody is served,
 // and a node that stays ready can take requests the moment it ends.
-func (c *Controller) alone(now time.Time) bool {
-	if c.silentFor(c.goodAt, now) < peerFresh {
+func (c *Controller) isolatedFromStore(now time.Time) bool {
+	if c.silenceOf(c.storeServedAt, now) < peerFresh {
 		return false
 	}
 	for _, p := range c.peers {
-		if p.pulse.StateOK && now.Sub(p.at) < peerFresh {
+		if p.heartbeat.StateOK && now.Sub(p.heardAt) < peerFresh {
 			return true
 		}
 	}
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -15,40 +15,40 @@
 // returned machines, although it was the one that had been away.
 func TestStandstillIsNoticed(t *testing.T) {
 	c := newCore(t)
-	c.lease = 1
+	c.sessionLease = 1
 	m := c.cache.Machine("m")
 	v := c.view(m)
 	m.Session, v.probes = 1, 5
-	c.cache.Nodes["n1"] = &storage.Node{Version: 1}
-	c.cache.Nodes["n0"] = &storage.Node{Version: 1}
+	c.cache.Members["n1"] = &storage.Member{Version: 1}
+	c.cache.Members["n0"] = &storage.Member{Version: 1}
 	start := time.Now()
 	woke := start.Add(9 * time.Second)
-	c.renewed, c.goodAt, c.ownershipSince = start, start, start.Add(-time.Minute)
-	c.lostPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
+	c.leaseRenewedAt, c.storeServedAt, c.ownershipSince = start, start, start.Add(-time.Minute)
+	c.disconnectedPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
 	v.heard, v.since, c.heardAny = start, start.Add(-time.Minute), start
 	look := func(now time.Time) (silent, lost, alone bool) {
-		c.peers["n1"] = peer{protocol.Pulse{StateOK: true}, now, time.Time{}}
-		return c.silentFor(v.heard, now) > 4*time.Second, c.lost("n1", now), c.alone(now)
+		c.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
+		return c.silenceOf(v.heard, now) > 4*time.Second, c.memberLost("n1", now), c.isolatedFromStore(now)
 	}
 	if silent, lost, alone := look(woke); !silent || !lost || !alone {
 		t.Fatalf("without noticing: silent %v, lost %v, alone %v: the case proves nothing", silent, lost, alone)
 	}
-	c.comeRound(start)
-	c.comeRound(start.Add(c.times.Tick))
-	if !c.awake.IsZero() {
+	c.detectStall(start)
+	c.detectStall(start.Add(c.timing.Tick))
+	if !c.resumedAt.IsZero() {
 		t.Fatal("a tick in time is no standstill")
 	}
-	if !c.holds(start.Add(time.Second)) || c.holds(woke) {
+	if !c.leaseCertain(start.Add(time.Second)) || c.leaseCertain(woke) {
 		t.Error("a hold lasts as long as it was last renewed for")
 	}
-	c.comeRound(woke)
+	c.detectStall(woke)
 	if silent, lost, alone := look(woke); silent || lost || alone {
 		t.Errorf("after noticing: silent %v, lost %v, alone %v", silent, lost, alone)
 	}
 	if silent, _, _ := look(woke.Add(5 * time.Second)); !silent {
 		t.Error("silence counts again from waking")
 	}
-	if !c.sleptSince(start) || c.sleptSince(woke) {
+	if !c.stalledSince(start) || c.stalledSince(woke) {
 		t.Error("what began before the standstill was slept over, what begins after was not")
 	}
 }
@@ -79,12 +79,12 @@
 		c := newCore(t)
 		asked := make(chan string, 100)
 		c.cloud = rentCounter{asked: asked}
-		c.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Node: "n0", Incarnation: 1}, Version: 1}
+		c.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
 		now := time.Now()
-		c.lease, c.renewed = 1, now.Add(-x.since)
-		c.leadCloud(t.Context(), now)
+		c.sessionLease, c.leaseRenewedAt = 1, now.Add(-x.since)
+		c.autoscaleAsLeader(t.Context(), now)
 		got := false
-		if c.lead.listing || len(c.lead.renting) > 0 {
+		if c.leader.listing || len(c.leader.renting) > 0 {
 			got = true
 			<-asked
 		}
@@ -111,12 +111,12 @@
 		{"not heard any more: that is another matter", 9 * time.Second, 5 * time.Second, true, false},
 	} {
 		c := newCore(t)
-		c.awake = now.Add(-time.Second) // its own word counts even then
-		c.peers["n1"] = peer{protocol.Pulse{}, now.Add(-x.heard), now.Add(-x.refused)}
-		if c.goodAt = now; !x.served {
-			c.goodAt = now.Add(-time.Minute)
+		c.resumedAt = now.Add(-time.Second) // its own word counts even then
+		c.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-x.heard), now.Add(-x.refused)}
+		if c.storeServedAt = now; !x.served {
+			c.storeServedAt = now.Add(-time.Minute)
 		}
-		if got := c.lost("n1", now); got != x.want {
+		if got := c.memberLost("n1", now); got != x.want {
 			t.Errorf("%s: lost %v, want %v", x.name, got, x.want)
 		}
 	}
@@ -148,10 +148,10 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
 			for _, n := range []string{"n0", "n1", "n2", "n3", "n4"}[:x.nodes] {
-				c.cache.Nodes[n] = &storage.Node{Version: 1}
+				c.cache.Members[n] = &storage.Member{Version: 1}
 			}
-			c.lostPeers = x.lost
-			if got := c.lost("n1", now); got != x.want {
+			c.disconnectedPeers = x.lost
+			if got := c.memberLost("n1", now); got != x.want {
 				t.Errorf("lost: %v, want %v", got, x.want)
 			}
 		})
@@ -177,8 +177,8 @@
 		{20, 2 * time.Second, false}, {20, 3 * time.Second, true},
 	} {
 		c := newCore(t)
-		c.state, c.lease = refusingStore{}, 1
-		c.cache.Nodes["n1"] = &storage.Node{Version: 1}
+		c.store, c.sessionLease = refusingStore{}, 1
+		c.cache.Members["n1"] = &storage.Member{Version: 1}
 		f := storage.FleetRecord{Type: "t", Zone: "a"}
 		for i := range x.machines {
 			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
@@ -191,9 +191,9 @@
 		}
 		now := time.Now()
 		c.heardAny = now.Add(-x.silent)
-		c.checkFit(t.Context(), now)
-		if c.unfit.Load() != x.unfit {
-			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, c.unfit.Load(), x.unfit)
+		c.checkReadiness(t.Context(), now)
+		if c.notReady.Load() != x.unfit {
+			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, c.notReady.Load(), x.unfit)
 		}
 	}
 }
@@ -225,9 +225,9 @@
 		if err := c.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, NDone: 1, Final: "done"}), 5, false); err != nil {
 			t.Fatal(err)
 		}
-		c.state = sleepyStore{meanwhile: func() {
+		c.store = sleepyStore{meanwhile: func() {
 			if x.sleeps {
-				c.post(func() { c.awake = time.Now() })
+				c.post(func() { c.resumedAt = time.Now() })
 			}
 		}}
 		go func() {
--- a/internal/coordination/stops.go
+++ b/internal/coordination/stops.go
@@ -102,8 +102,8 @@
 	}
 	slices.SortFunc(order, func(a, b int32) int { return cmp.Or(cmp.Compare(ages[b], ages[a]), cmp.Compare(a, b)) })
 	w := c.cfg.Deployment.Workers
-	outage := c.silentFor(c.goodAt, now) > peerFresh
-	hears := c.silentFor(maxTime(c.heardAny, c.reachedAt), now) < peerFresh+seconds(w.ReportS)
+	outage := c.silenceOf(c.storeServedAt, now) > peerFresh
+	hears := c.silenceOf(maxTime(c.heardAny, c.reachedAt), now) < peerFresh+seconds(w.ReportS)
 	began := 0
 	for _, i := range order {
 		m, s := c.cache.Machines[i], c.stopping[i]
@@ -117,7 +117,7 @@
 		}
 		switch {
 		case now.Before(s.next):
-		case !s.since.IsZero() && hears && ages[i] >= stopWithin(w) && c.silentFor(s.since, now) > stopPatience:
+		case !s.since.IsZero() && hears && ages[i] >= stopWithin(w) && c.silenceOf(s.since, now) > stopPatience:
 			c.log.Info("what was cancelled can't be shown to have ended, returning machine", "machine", m.Name, "own", own, "for", ages[i].Seconds())
 			lost = append(lost, m.Name)
 			s.next = now.Add(returnAgain)
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -68,18 +68,18 @@
 				c.view(m).Gone[dispatch.RefOf(m.Tasks[0])] = dispatch.Stopped
 			}
 			if x.is&others != 0 {
-				c.cache.Shards[0].Node = "n1"
+				c.cache.Shards[0].Member = "n1"
 			}
-			c.goodAt = now
+			c.storeServedAt = now
 			if x.is&outage != 0 {
-				c.goodAt = now.Add(-time.Hour)
+				c.storeServedAt = now.Add(-time.Hour)
 			}
 			c.heardAny = now.Add(-x.tried)
 			if lost := c.watchStops(now.Add(-x.tried)); len(lost) > 0 {
 				t.Fatal("returned before anything was tried")
 			}
 			if c.heardAny = now.Add(-x.heard); x.awake > 0 {
-				c.awake = now.Add(-x.awake)
+				c.resumedAt = now.Add(-x.awake)
 			}
 			if lost := c.watchStops(now); (len(lost) > 0) != x.want {
 				t.Errorf("returned %v, want %v", lost, x.want)
@@ -118,9 +118,9 @@
 		v, now := c.view(m), time.Now()
 		v.since, v.reported = now.Add(-time.Minute), now.Add(-x.mute)
 		if i == 0 {
-			c.zone(m.Zone).away, c.zone(m.Zone).heard, c.began = true, now.Add(-21*time.Second), now.Add(-time.Hour)
-			c.cfg.Known = []config.Peer{{NodeName: "n1", Zone: "a"}}
-			c.living["n1"] = now
+			c.zone(m.Zone).away, c.zone(m.Zone).heard, c.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
+			c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
+			c.leaseSeenAt["n1"] = now
 			m.Tasks = []storage.Placed{{Job: &storage.Job{Shape: protocol.Service}}}
 			v.heard, v.probes = v.reported, 9
 		} else if i > 1 {
@@ -141,20 +141,20 @@
 // A lead whose transaction's answer was lost is known from its record: what an earlier lead of the same process knew must not stay.
 func TestALeadBeginsWithItsRecord(t *testing.T) {
 	c := newCore(t)
-	c.lead.adopting["m9"], c.lead.charters = true, 7
+	c.leader.adopting["m9"], c.leader.charters = true, 7
 	lead := func(node string, version uint64) {
-		if err := c.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Node: node, Incarnation: 1}), version, false); err != nil {
+		if err := c.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1}), version, false); err != nil {
 			t.Fatal(err)
 		}
 		c.changed()
 	}
 	lead("n0", 8)
-	if c.lead.adopting["m9"] || c.lead.charters != 7 {
-		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", c.lead.adopting, c.lead.charters)
+	if c.leader.adopting["m9"] || c.leader.charters != 7 {
+		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", c.leader.adopting, c.leader.charters)
 	}
-	c.lead.adopting["m9"] = true
+	c.leader.adopting["m9"] = true
 	lead("n0", 9) // its key rewritten by itself
-	if !c.lead.adopting["m9"] {
+	if !c.leader.adopting["m9"] {
 		t.Error("a lead that goes on began anew")
 	}
 }
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -44,10 +44,10 @@
 )
 
 // GateError says that a change would not be gone by everywhere, and why.
-type GateError struct{ Nodes []string }
+type GateError struct{ Members []string }
 
 func (e *GateError) Error() string {
-	return "not before all nodes read changed teams; missing: " + strings.Join(e.Nodes, ", ")
+	return "not before all nodes read changed teams; missing: " + strings.Join(e.Members, ", ")
 }
 
 // ErrNoTeam says that the settings name no such team.
@@ -106,9 +106,9 @@
 // behind are the living nodes that have not shown that they have read a revision.
 func (c *Controller) behind(revision uint64, now time.Time) []string {
 	var out []string
-	for name := range c.cache.Nodes {
+	for name := range c.cache.Members {
 		p, heard := c.peers[name]
-		if name == c.cfg.NodeName || heard && now.Sub(p.at) < peerFresh && p.pulse.Revision >= revision {
+		if name == c.cfg.MemberName || heard && now.Sub(p.heardAt) < peerFresh && p.heartbeat.Revision >= revision {
 			continue
 		}
 		out = append(out, name)
@@ -213,7 +213,7 @@
 	if refused != nil {
 		return view, refused
 	}
-	rev, failed, err := c.state.Txn(ctx, t, protocol.ForUser)
+	rev, failed, err := c.store.Txn(ctx, t, protocol.ForUser)
 	switch {
 	case err != nil:
 		return view, ErrUnavailable // whether it was done shows in the entry's version
@@ -280,12 +280,12 @@
 		return nil
 	}
 	var missing []string
-	names := []string{c.cfg.NodeName}
+	names := []string{c.cfg.MemberName}
 	for _, p := range c.cfg.Known {
-		names = append(names, p.NodeName)
+		names = append(names, p.MemberName)
 	}
 	for _, name := range names {
-		if n := c.cache.Nodes[name]; n == nil || n.Layout < storage.LayoutTeams || !c.cache.Packed() {
+		if n := c.cache.Members[name]; n == nil || n.Layout < storage.LayoutTeams || !c.cache.Packed() {
 			missing = append(missing, name)
 		}
 	}
--- a/internal/coordination/teams_test.go
+++ b/internal/coordination/teams_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	c := newCore(t)
 	c.cache.Layout.Version = storage.LayoutPacked
-	c.cache.Nodes["n0"] = &storage.Node{NodeRecord: storage.NodeRecord{Incarnation: 1, Layout: storage.LayoutTeams}, Version: 2}
+	c.cache.Members["n0"] = &storage.Member{MemberRecord: storage.MemberRecord{Incarnation: 1, Layout: storage.LayoutTeams}, Version: 2}
 	return c
 }
 
@@ -42,8 +42,8 @@
 		{name: "below 0", team: "red", change: `{"gpus_max":-1}`, refused: "field gpus_max"},
 		{name: "a guarantee above the limit", team: "red", change: `{"cpus":9,"cpus_max":8}`, refused: "field cpus"},
 		{name: "an accepted job could never run", team: "red", change: `{"cpus_max":3}`, refused: "job-000001"},
-		{name: "a node of the version before", prepare: func(c *Controller) { c.cache.Nodes["n0"].Layout = storage.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
-		{name: "a node that has not been seen", prepare: func(c *Controller) { c.cfg.Known = []config.Peer{{NodeName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
+		{name: "a node of the version before", prepare: func(c *Controller) { c.cache.Members["n0"].Layout = storage.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
+		{name: "a node that has not been seen", prepare: func(c *Controller) { c.cfg.Known = []config.Peer{{MemberName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
 		{name: "the gate before is closed", prepare: func(c *Controller) { c.cache.Layout.Version = storage.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "raised while it is being lowered", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -80,7 +80,7 @@
 		return st, known, err
 	}
 	slept := false
-	if err := c.call(ctx, func() { slept = c.sleptSince(began) }); err != nil {
+	if err := c.call(ctx, func() { slept = c.stalledSince(began) }); err != nil {
 		return st, false, err
 	}
 	if slept {
@@ -148,7 +148,7 @@
 		if err == nil {
 			err = c.call(ctx, func() {
 				never, lacks = c.badNeeds(s)
-				ready = !c.sleptSince(began)
+				ready = !c.stalledSince(began)
 			})
 		}
 		if err != nil || !ready {
@@ -365,7 +365,7 @@
 	err := c.call(ctx, func() {
 		now := time.Now()
 		waits := !c.foreignLayout && c.unread && c.cache.HasCatalog() && now.Sub(c.blind.since) > peerFresh
-		ok = (c.accepts() || waits) && !c.alone(now)
+		ok = (c.accepts() || waits) && !c.isolatedFromStore(now)
 	})
 	return err == nil && ok
 }
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -41,7 +41,7 @@
 		teams[i] = teamRow(t)
 	}
 	now := time.Now()
-	c.viewing = &viewing{model: view.NewModel(teams), hub: view.NewHub(), head: view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Node: c.cfg.NodeName}}
+	c.viewing = &viewing{model: view.NewModel(teams), hub: view.NewHub(), head: view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Member: c.cfg.MemberName}}
 	c.cache.Watch()
 }
 
@@ -71,7 +71,7 @@
 	if !v.readable {
 		v.readable, v.head.Since = true, now.UnixMilli()
 	}
-	whole := c.cache.Revision >= c.maxRev
+	whole := c.cache.Revision >= c.highestRevision
 	jobs, machines, evicted, more := c.cache.News(viewRows)
 	v.whole = whole && !more
 	for _, j := range jobs {
@@ -100,24 +100,24 @@
 	v := c.viewing
 	v.shown = now
 	h := v.head
-	h.Revision, h.Now, h.AsOf, h.StateOK = c.cache.Revision, now.UnixMilli(), v.asOf.UnixMilli(), c.served(now)
-	names := []string{c.cfg.NodeName}
+	h.Revision, h.Now, h.AsOf, h.StateOK = c.cache.Revision, now.UnixMilli(), v.asOf.UnixMilli(), c.servedByStore(now)
+	names := []string{c.cfg.MemberName}
 	for _, k := range c.cfg.Known {
-		names = append(names, k.NodeName)
+		names = append(names, k.MemberName)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		n := view.Node{Name: name, Shares: []uint32{}}
-		if r := c.cache.Nodes[name]; r != nil {
-			n.Alive, n.Unfit = true, r.Unfit
+		n := view.Member{Name: name, Shares: []uint32{}}
+		if r := c.cache.Members[name]; r != nil {
+			n.Alive, n.Unfit = true, r.NotReady
 		}
-		n.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Node == name
+		n.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Member == name
 		for i, s := range c.cache.Shards {
-			if s.Node == name {
+			if s.Member == name {
 				n.Shares = append(n.Shares, uint32(i))
 			}
 		}
-		h.Nodes = append(h.Nodes, n)
+		h.Members = append(h.Members, n)
 	}
 	v.hub.Publish(v.model.Snapshot(h))
 }
@@ -141,11 +141,11 @@
 	err := c.Barrier(short)
 	_ = c.call(short, func() { // without it the snapshot is shown as old as it is
 		now := time.Now()
-		if err == nil && c.cache.Revision >= c.maxRev {
+		if err == nil && c.cache.Revision >= c.highestRevision {
 			v.asOf = latest(v.asOf, began)
 		}
 		c.showView(now, true)
-		if served := c.served(now); v.whole && (err == nil || served != v.stated) {
+		if served := c.servedByStore(now); v.whole && (err == nil || served != v.stated) {
 			v.stated = served
 			c.publishView(now)
 		}
@@ -265,7 +265,7 @@
 			if j == nil || scope != view.Operators && c.cache.Teams[j.Team].Name != string(scope) {
 				continue
 			}
-			out = append(out, view.Reason{Job: id, Why: c.whyWaits(j, kinds), Node: c.cfg.NodeName, Owner: c.ownsShard(j.Shard), At: time.Now().UnixMilli()})
+			out = append(out, view.Reason{Job: id, Why: c.whyWaits(j, kinds), Member: c.cfg.MemberName, Owner: c.ownsShard(j.Shard), At: time.Now().UnixMilli()})
 		}
 	})
 	return out, err
--- a/internal/coordination/words.go
+++ b/internal/coordination/words.go
@@ -73,14 +73,14 @@
 	if !c.loaded || c.Frames < protocol.FramesWord {
 		return nil
 	}
-	return &protocol.Word{At: now.UnixMilli(), Born: c.began.UnixMilli(), From: c.words.own.from, Ended: slices.Clone(c.words.own.list)}
+	return &protocol.Word{At: now.UnixMilli(), Born: c.startedAt.UnixMilli(), From: c.words.own.from, Ended: slices.Clone(c.words.own.list)}
 }
 
 // Word is what this node vouches for to another, if that one reads it. Of what is listed the
 // other has read all up to a revision that it has told of itself.
 func (c *Controller) Word(node string) (protocol.Word, bool) {
-	w := c.outline.word.Load()
-	reads := c.outline.readers.Load()
+	w := c.summary.digest.Load()
+	reads := c.summary.digestReaders.Load()
 	if w == nil || reads == nil {
 		return protocol.Word{}, false
 	}
@@ -96,12 +96,12 @@
 	return out, true
 }
 
-// readers are the nodes that read words, and how far each has told that its cache is.
-func (c *Controller) readers() *map[string]uint64 {
+// digestReaders are the nodes that read words, and how far each has told that its cache is.
+func (c *Controller) digestReaders() *map[string]uint64 {
 	out := map[string]uint64{}
-	for name, n := range c.cache.Nodes {
-		if name != c.cfg.NodeName && n.Frames >= protocol.FramesWord {
-			out[name] = c.peers[name].pulse.Revision
+	for name, n := range c.cache.Members {
+		if name != c.cfg.MemberName && n.FrameLevel >= protocol.FramesWord {
+			out[name] = c.peers[name].heartbeat.Revision
 		}
 	}
 	return &out
@@ -132,7 +132,7 @@
 	// reading after this one began shows it. And a list that begins after this node's cache has a gap.
 	off := 2 * time.Duration(c.cfg.Deployment.ClockOffMs*float64(time.Millisecond))
 	since := func(ms int64) time.Time { return now.Add(-time.Duration(now.UnixMilli()-ms) * time.Millisecond) }
-	if since(w.Born).Add(off).After(c.readAt) || w.From > c.cache.Revision {
+	if since(w.Born).Add(off).After(c.cacheCurrentAt) || w.From > c.cache.Revision {
 		return
 	}
 	// It may have been held up on its way: it vouches for what was before it was said.
@@ -170,17 +170,17 @@
 func (c *Controller) knownAt(now time.Time) time.Time {
 	all := now
 	others := func(name string) {
-		if name != c.cfg.NodeName {
+		if name != c.cfg.MemberName {
 			all = earliest(all, c.words.heard[name])
 		}
 	}
 	for _, k := range c.cfg.Known {
-		others(k.NodeName)
+		others(k.MemberName)
 	}
-	for name := range c.cache.Nodes {
+	for name := range c.cache.Members {
 		others(name)
 	}
-	return maxTime(c.readAt, all)
+	return maxTime(c.cacheCurrentAt, all)
 }
 
 // knows tells whether this node knows enough to renew a worker's lease: every cancellation that was
--- a/internal/coordination/words_test.go
+++ b/internal/coordination/words_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t) // lease 10 s, cancellations 30 s; its cache is at 4
-			c.cfg.Known = []config.Peer{{NodeName: "n1"}, {NodeName: "n2"}}
+			c.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
 			c.cfg.Deployment.ClockOffMs = x.clocks
 			m := c.cache.Machine("m")
 			if err := c.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 			now := time.Now()
-			c.readAt = now.Add(-x.read)
+			c.cacheCurrentAt = now.Add(-x.read)
 			word := func(node string, said, born time.Duration, from uint64, list []protocol.Ended) {
 				c.hearWord(node, protocol.Word{At: now.Add(-said).UnixMilli(), Born: now.Add(-born).UnixMilli(), From: from, Ended: list}, now)
 			}
@@ -118,9 +118,9 @@
 	c := newCore(t)
 	c.words.own.note(6, "job-000006")
 	c.words.own.note(8, "job-000008")
-	c.cache.Nodes["n1"] = &storage.Node{NodeRecord: storage.NodeRecord{Frames: protocol.FramesWord}}
-	c.cache.Nodes["n2"] = &storage.Node{}
-	c.peers["n1"] = peer{pulse: protocol.Pulse{Revision: 7}}
+	c.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesWord}}
+	c.cache.Members["n2"] = &storage.Member{}
+	c.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	c.publish(time.Now())
 	if w, ok := c.Word("n1"); !ok || w.From != 7 || len(w.Ended) != 1 || w.Ended[0].Version != 8 {
 		t.Errorf("to one that has read up to 7: %+v, %v", w, ok)
@@ -141,7 +141,7 @@
 // until it was sent, no later.
 func TestAFollowCountsFromWhenItWasSent(t *testing.T) {
 	c := newCore(t)
-	c.cfg.Known = []config.Peer{{NodeName: "n1"}}
+	c.cfg.Known = []config.Peer{{MemberName: "n1"}}
 	now := time.Now()
 	c.onEvents(protocol.Events{Revision: 5}, now.Add(-19*time.Second))
 	if c.knows(now) {
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -51,8 +51,8 @@
 		if c.standsIn(m, time.Now()) && r.Token <= c.cache.Token(m) {
 			// The lease goes on, under the token of the records.
 			c.renew(m.Name, protocol.ReportAnswer{Token: c.cache.Token(m), Commands: c.stops(m)}, reply)
-		} else if s := &c.cache.Shards[m.Shard]; s.Version > 0 && s.Node != c.cfg.NodeName {
-			reply(421, protocol.Redirect{Node: s.Node})
+		} else if s := &c.cache.Shards[m.Shard]; s.Version > 0 && s.Member != c.cfg.MemberName {
+			reply(421, protocol.Redirect{Member: s.Member})
 		} else {
 			reply(503, notMine)
 		}
@@ -72,8 +72,8 @@
 	}
 	c.takeReport(m, v, r, token, false)
 	c.kick()
-	h := heldReply{machine: m.Name, report: r, until: time.Now().Add(c.times.ReplyWait), reply: reply}
-	if c.stateBad() || len(c.held) > 1000 || !c.gains(m, v) {
+	h := heldReply{machine: m.Name, report: r, until: time.Now().Add(c.timing.HeartbeatReplyWait), reply: reply}
+	if c.storeFailing() || len(c.held) > 1000 || !c.gains(m, v) {
 		c.answer(h)
 		return
 	}
@@ -88,7 +88,7 @@
 // Every token was committed, so none is above the revision that a cache in time has come to: one
 // that is makes no sense, or not yet.
 func (c *Controller) overtaken(m *storage.Machine, v *machineView, token uint64) {
-	if token <= c.maxRev {
+	if token <= c.highestRevision {
 		v.Uncertain = max(v.Uncertain, token)
 		c.kick()
 	}
@@ -110,9 +110,9 @@
 	return free > 0.05*c.cache.Types[m.Type].Cpus
 }
 
-// stateBad tells whether answers should not wait for a commit.
-func (c *Controller) stateBad() bool {
-	return !c.badSince.IsZero() && time.Since(c.badSince) > time.Second
+// storeFailing tells whether answers should not wait for a commit.
+func (c *Controller) storeFailing() bool {
+	return !c.storeFailingSince.IsZero() && time.Since(c.storeFailingSince) > time.Second
 }
 
 // takeReport takes a worker's message.
@@ -255,7 +255,7 @@
 		return
 	}
 	if !c.ownsShard(m.Shard) {
-		h.reply(421, protocol.Redirect{Node: c.cache.Shards[m.Shard].Node})
+		h.reply(421, protocol.Redirect{Member: c.cache.Shards[m.Shard].Member})
 		return
 	}
 	v := c.view(m)
@@ -290,15 +290,15 @@
 		reply(503, notMine) // it is gone and the report late, or its rack is not read yet
 		return
 	}
-	if !c.leads() {
-		if l := c.cache.Leader; l.Version > 0 && l.Node != c.cfg.NodeName {
-			reply(421, protocol.Redirect{Node: l.Node})
+	if !c.isLeader() {
+		if l := c.cache.Leader; l.Version > 0 && l.Member != c.cfg.MemberName {
+			reply(421, protocol.Redirect{Member: l.Member})
 		} else {
 			reply(503, notMine)
 		}
 		return
 	}
-	if c.cache.TypeIdx.Find(r.Type) < 0 || len(c.lead.newcomers) > maxAdopting {
+	if c.cache.TypeIdx.Find(r.Type) < 0 || len(c.leader.newcomers) > maxAdopting {
 		reply(503, notMine)
 		return
 	}
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -66,10 +66,10 @@
 // watchZones asks silent zones' workers for a report, one at a time, and finds out which zones are
 // away. The leader does so too where it owns nothing: it must not rent there.
 func (c *Controller) watchZones(now time.Time) {
-	for name := range c.cache.Nodes {
-		c.living[name] = now
+	for name := range c.cache.Members {
+		c.leaseSeenAt[name] = now
 	}
-	if !c.leads() && !slices.ContainsFunc(c.ownedShards, func(v uint64) bool { return v > 0 }) {
+	if !c.isLeader() && !slices.ContainsFunc(c.ownedShards, func(v uint64) bool { return v > 0 }) {
 		for z := range c.zones {
 			c.zones[z] = zone{heard: now}
 		}
@@ -84,11 +84,11 @@
 	w := c.cfg.Deployment.Workers
 	expected, heard := seconds(1.25*w.ReportS+0.75), false
 	for z := range machines {
-		heard = heard || len(machines[z]) > 0 && c.silentFor(c.zone(z).heard, now) < expected+time.Second
+		heard = heard || len(machines[z]) > 0 && c.silenceOf(c.zone(z).heard, now) < expected+time.Second
 	}
 	for z, list := range machines {
 		x := c.zone(z)
-		silent := c.silentFor(x.heard, now)
+		silent := c.silenceOf(x.heard, now)
 		if len(list) > 0 || !x.away {
 			x.empty = time.Time{}
 		} else if x.empty.IsZero() {
@@ -113,7 +113,7 @@
 		}
 		x.asking, x.asked = true, now
 		x.next++
-		c.ask(list[x.next%len(list)], func(answered bool) {
+		c.probeHeartbeat(list[x.next%len(list)], func(answered bool) {
 			x := c.zone(z)
 			x.asking = false
 			if answered {
@@ -131,11 +131,11 @@
 // two silent nodes come first in their order.
 func (c *Controller) inhabited(z int) bool {
 	name, since := c.cache.Zones.Name(z), c.zones[z].heard
-	if since.Sub(c.began) < endedBefore {
+	if since.Sub(c.startedAt) < endedBefore {
 		return false // this process has not seen who ended
 	}
 	return slices.ContainsFunc(c.cfg.Known, func(k config.Peer) bool {
-		return k.Zone == name && c.living[k.NodeName].After(since) && !c.broke[k.NodeName].After(since.Add(-endedBefore))
+		return k.Zone == name && c.leaseSeenAt[k.MemberName].After(since) && !c.brokenConnections[k.MemberName].After(since.Add(-endedBefore))
 	})
 }
 
@@ -154,5 +154,5 @@
 // spared tells whether what runs in a zone needs no room elsewhere: while it is away, until machines
 // rented from then on would come up too late.
 func (c *Controller) spared(z int, now time.Time) bool {
-	return c.zoneAway(z) && c.silentFor(c.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
+	return c.zoneAway(z) && c.silenceOf(c.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
 }
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -29,7 +29,7 @@
 func hall(t *testing.T, n int) *Controller {
 	t.Helper()
 	c := newCore(t)
-	c.cfg.Known = []config.Peer{{NodeName: "n1", Zone: "b"}, {NodeName: "n2", Zone: "c"}}
+	c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
 	c.cfg.Deployment.Workers.CancelS = 40
 	rev := uint64(10)
 	for _, z := range []string{"a", "b", "c"} {
@@ -59,9 +59,9 @@
 		away, lives bool // lives: somebody inside is taken to live
 	}{
 		{"one zone is silent, its node lived", "ac", 4, func(*Controller, time.Time) {}, true, true},
-		{"its node's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.broke["n1"] = now.Add(-3 * time.Second) }, true, false},
-		{"its node was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Nodes, "n1") }, true, false},
-		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.began = now }, true, false},
+		{"its node's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false},
+		{"its node was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Members, "n1") }, true, false},
+		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.startedAt = now }, true, false},
 		{"all are silent: the fault is on this side", "", 4, func(*Controller, time.Time) {}, false, false},
 		{"two machines may fall silent together", "ac", 2, func(*Controller, time.Time) {}, false, false},
 	} {
@@ -70,9 +70,9 @@
 				c := hall(t, x.machines)
 				c.workers = deafWorkers(x.heard)
 				for _, n := range []string{"n0", "n1", "n2"} {
-					c.cache.Nodes[n] = &storage.Node{Version: 1}
+					c.cache.Members[n] = &storage.Member{Version: 1}
 				}
-				c.began = time.Now().Add(-time.Minute)
+				c.startedAt = time.Now().Add(-time.Minute)
 				x.before(c, time.Now())
 				b := c.cache.Zones.Find("b")
 				for i := range 24 {
@@ -82,7 +82,7 @@
 						(<-c.inbox)()
 					}
 					if i == 10 {
-						delete(c.cache.Nodes, "n1") // its hold has ended
+						delete(c.cache.Members, "n1") // its hold has ended
 					}
 				}
 				now := time.Now()
@@ -109,7 +109,7 @@
 				if c.hearZone(b, now); c.zoneAway(b) {
 					t.Error("a zone that is heard is back")
 				}
-				time.Sleep(2 * askWithin)
+				time.Sleep(2 * probeTimeout)
 			})
 		})
 	}
@@ -147,17 +147,17 @@
 // serve puts a service's first replicas on machines of their names.
 func (c *Controller) serve(t *testing.T, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
-	c.maxRev++
+	c.highestRevision++
 	if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
-		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), c.maxRev, false); err != nil {
+		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), c.highestRevision, false); err != nil {
 		t.Fatal(err)
 	}
 	j := c.cache.Job(id)
 	j.ByZone = make([]int32, 3)
 	for i, name := range on {
 		m := c.cache.Machine(name)
-		m.Tasks = append(m.Tasks, storage.Placed{Job: j, Task: i, Attempt: c.maxRev})
-		j.Machine[i], j.Attempt[i], j.NPlaced = m.Index, c.maxRev, j.NPlaced+1
+		m.Tasks = append(m.Tasks, storage.Placed{Job: j, Task: i, Attempt: c.highestRevision})
+		j.Machine[i], j.Attempt[i], j.NPlaced = m.Index, c.highestRevision, j.NPlaced+1
 		j.ByZone[m.Zone]++
 	}
 	return j
@@ -196,7 +196,7 @@
 // room, and nothing was rented elsewhere.
 func TestSpreadIsAskedForByZone(t *testing.T) {
 	c := hall(t, 1)
-	c.lead.init()
+	c.leader.init()
 	c.cache.Types[0].Zones = []int{0, 1, 2}
 	c.serve(t, "job-000010", 6, "a0", "a0", "a0")
 	need := map[int]int{}
@@ -227,7 +227,7 @@
 		{"less than a task is left", 19, 5, 4, 16, 19},
 	} {
 		c := hall(t, 4)
-		c.lead.init()
+		c.leader.init()
 		c.cache.Teams[0].CpusMax = x.limit
 		for i := range x.jobs {
 			var on []string
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -79,7 +79,7 @@
 
 // Settings is the deployment that the emulator plays.
 func Settings() config.Deployment {
-	return config.Deployment{Nodes: 3, Zones: []string{"a", "b", "c"}, ClockOffMs: 50,
+	return config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"}, ClockOffMs: 50,
 		Teams:     []config.Team{{Name: "red", Cpus: 64, CpusMax: 256}, {Name: "blue", Cpus: 64, Gpus: 4}, {Name: "green", Cpus: 16}, {Name: "guest"}},
 		Workers:   config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 4, CancelS: 45},
 		State:     config.State{RPS: 400, WriteRPS: 200, ValueKB: 64, TxnOps: 16},
@@ -169,7 +169,7 @@
 
 // chooseAddresses chooses where the controllers will listen. Ports that the system chose are held until release.
 func (c *Cluster) chooseAddresses(o *Options) (release func(), err error) {
-	n := o.Deployment.Nodes
+	n := o.Deployment.Controllers
 	c.public, c.Nodes = make([]string, n), make([]string, n)
 	var held []net.Listener
 	release = func() {
@@ -199,12 +199,12 @@
 func (c *Cluster) startAround(ctx context.Context, o *Options) (files []string, err error) {
 	front := simulator.NewFront()
 	zones := o.Deployment.Zones
-	for i := range o.Deployment.Nodes {
+	for i := range o.Deployment.Controllers {
 		n := c.World.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
 		front.AddNode(n, c.public[i])
 		c.Meters = append(c.Meters, &NodeMeters{})
 	}
-	for i := range o.Deployment.Nodes {
+	for i := range o.Deployment.Controllers {
 		s, err := c.settings(i, o)
 		if err != nil {
 			return nil, err
@@ -213,7 +213,7 @@
 		if err != nil {
 			return nil, err
 		}
-		file := filepath.Join(o.Dir, s.NodeName+".toml")
+		file := filepath.Join(o.Dir, s.MemberName+".toml")
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			return nil, err
 		}
@@ -232,7 +232,7 @@
 // settings starts what one controller calls, and returns its settings.
 func (c *Cluster) settings(i int, o *Options) (*config.Settings, error) {
 	w, n, meters := c.World, c.World.Node(i), c.Meters[i]
-	s := &config.Settings{NodeName: n.Name, Zone: n.Zone, PublicAddr: c.public[i], PeerListen: c.Nodes[i], Deployment: o.Deployment}
+	s := &config.Settings{MemberName: n.Name, Zone: n.Zone, PublicAddr: c.public[i], PeerListen: c.Nodes[i], Deployment: o.Deployment}
 	link := w.Store.Open(n)
 	meters.Requests = &link.Requests
 	var err error
@@ -242,7 +242,7 @@
 	if s.External.Cloud, err = c.serve(&meters.Cloud, func(ln net.Listener) error { return w.ServeCloud(n, ln) }); err != nil {
 		return nil, err
 	}
-	for k := range o.Deployment.Nodes {
+	for k := range o.Deployment.Controllers {
 		if k == i {
 			continue
 		}
@@ -257,7 +257,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.Known = append(s.Known, config.Peer{NodeName: other.Name, Zone: other.Zone, Address: address})
+		s.Known = append(s.Known, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
 	}
 	return s, nil
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -150,8 +150,8 @@
 func (s *Schedule) fits(d *config.Deployment) error {
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		if nodeIndex(f.Node) >= d.Nodes {
-			return &config.FieldError{Field: fmt.Sprintf("fault[%d].node", i), Expected: fmt.Sprintf("one of %d nodes", d.Nodes)}
+		if nodeIndex(f.Node) >= d.Controllers {
+			return &config.FieldError{Field: fmt.Sprintf("fault[%d].node", i), Expected: fmt.Sprintf("one of %d nodes", d.Controllers)}
 		}
 		if f.Zone != "" && !slices.Contains(d.Zones, f.Zone) {
 			return &config.FieldError{Field: fmt.Sprintf("fault[%d].zone", i), Expected: "one of " + strings.Join(d.Zones, ", ")}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -53,8 +53,8 @@
 		message PeerMessage
 	}{
 		{"hello.level0.bin", Hello{"node-a", 0x0102030405060708}},
-		{"pulse.level0.bin", Pulse{true, 0x1112131415161718, 0x8000000000000001, 0x21222324}},
-		{"pulse-without-state.level0.bin", Pulse{false, 0, 0, 0}},
+		{"pulse.level0.bin", PeerHeartbeat{true, 0x1112131415161718, 0x8000000000000001, 0x21222324}},
+		{"pulse-without-state.level0.bin", PeerHeartbeat{false, 0, 0, 0}},
 		{"need.level0.bin", ShardDemands{[]ShardDemand{{5, true, 12.5}, {0x01020304, false, 0}}}},
 		{"need-none.level0.bin", ShardDemands{}},
 		{"word.level1.bin", Word{1700000000456, 1700000000123, 77, []Ended{{78, "job-000412"}, {0x0102030405060708, "job-000413"}}}},
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -22,10 +22,10 @@
 
 // The kinds of peer message.
 const (
-	KindHello        byte = 1 // who speaks
-	KindPulse        byte = 2 // how the sender fares
-	KindShardDemands byte = 3 // a share is short of room for top-priority work
-	KindWord         byte = 4 // what the sender knows to be cancelled; for nodes of FramesWord
+	KindHello         byte = 1 // who speaks
+	KindPeerHeartbeat byte = 2 // how the sender fares
+	KindShardDemands  byte = 3 // a share is short of room for top-priority work
+	KindWord          byte = 4 // what the sender knows to be cancelled; for nodes of FramesWord
 )
 
 // FramesWord is the level of frames from which on a node reads words. Its record says which
@@ -44,16 +44,16 @@
 
 // Hello opens a connection.
 type Hello struct {
-	Node        string
+	Member      string
 	Incarnation uint64
 }
 
-// Pulse says how the sender fares.
-type Pulse struct {
-	StateOK     bool   // the state service served it within the last second or two
-	Revision    uint64 // how far its cache is
-	OwnedShards uint64 // shares it owns, as bits
-	Changes     uint32 // changes in the state service that it makes, in thousandths a second
+// PeerHeartbeat says how the sender fares.
+type PeerHeartbeat struct {
+	StateOK         bool   // the state service served it within the last second or two
+	Revision        uint64 // how far its cache is
+	OwnedShards     uint64 // shares it owns, as bits
+	ChangeRateMilli uint32 // changes in the state service that it makes, in thousandths a second
 }
 
 // ShardDemands asks the leader for machines for a share's top-priority work.
@@ -83,10 +83,10 @@
 	Job     string
 }
 
-func (Word) kind() byte         { return KindWord }
-func (Hello) kind() byte        { return KindHello }
-func (Pulse) kind() byte        { return KindPulse }
-func (ShardDemands) kind() byte { return KindShardDemands }
+func (Word) kind() byte          { return KindWord }
+func (Hello) kind() byte         { return KindHello }
+func (PeerHeartbeat) kind() byte { return KindPeerHeartbeat }
+func (ShardDemands) kind() byte  { return KindShardDemands }
 
 // ErrFrame says that what came is no valid frame; the connection must be closed.
 var ErrFrame = errors.New("malformed frame")
@@ -97,13 +97,13 @@
 	b = append(b, FrameMagic, FrameVersion, m.kind(), 0, 0, 0, 0)
 	switch x := m.(type) {
 	case Hello:
-		if x.Node == "" || len(x.Node) > maxPeerName {
-			return b[:start], fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(x.Node))
+		if x.Member == "" || len(x.Member) > maxPeerName {
+			return b[:start], fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(x.Member))
 		}
-		b = append(b, byte(len(x.Node)))
-		b = append(b, x.Node...)
+		b = append(b, byte(len(x.Member)))
+		b = append(b, x.Member...)
 		b = binary.BigEndian.AppendUint64(b, x.Incarnation)
-	case Pulse:
+	case PeerHeartbeat:
 		ok := byte(0)
 		if x.StateOK {
 			ok = 1
@@ -111,7 +111,7 @@
 		b = append(b, ok)
 		b = binary.BigEndian.AppendUint64(b, x.Revision)
 		b = binary.BigEndian.AppendUint64(b, x.OwnedShards)
-		b = binary.BigEndian.AppendUint32(b, x.Changes)
+		b = binary.BigEndian.AppendUint32(b, x.ChangeRateMilli)
 	case ShardDemands:
 		if len(x.Shards) > maxShardDemands {
 			return b[:start], fmt.Errorf("%w: %d needs", ErrFrame, len(x.Shards))
@@ -210,9 +210,9 @@
 			n = 0
 		}
 		name := string(c.take(n))
-		m = Hello{Node: name, Incarnation: c.u64()}
-	case KindPulse:
-		m = Pulse{StateOK: c.flag(), Revision: c.u64(), OwnedShards: c.u64(), Changes: c.u32()}
+		m = Hello{Member: name, Incarnation: c.u64()}
+	case KindPeerHeartbeat:
+		m = PeerHeartbeat{StateOK: c.flag(), Revision: c.u64(), OwnedShards: c.u64(), ChangeRateMilli: c.u32()}
 	case KindShardDemands:
 		n := int(c.u8())
 		if n > maxShardDemands {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -102,7 +102,7 @@
 
 func TestFrames(t *testing.T) {
 	var all []byte
-	messages := []PeerMessage{Hello{"n-1", 77}, Pulse{true, 1 << 40, 5, 12500},
+	messages := []PeerMessage{Hello{"n-1", 77}, PeerHeartbeat{true, 1 << 40, 5, 12500},
 		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{}, Word{At: 1 << 41, Born: 5, From: 7, Ended: []Ended{{8, "job-000001"}}}, Word{}}
 	for _, m := range messages {
 		var err error
@@ -121,11 +121,11 @@
 		raw  []byte
 	}{
 		{"an HTTP request", []byte("GET /admin HTTP/1.1\r\n\r\n")},
-		{"another version", []byte{FrameMagic, 9, KindPulse, 0, 0, 0, 0}},
-		{"too long", []byte{FrameMagic, FrameVersion, KindPulse, 0xff, 0, 0, 0}},
+		{"another version", []byte{FrameMagic, 9, KindPeerHeartbeat, 0, 0, 0, 0}},
+		{"too long", []byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0xff, 0, 0, 0}},
 		{"unknown kind", []byte{FrameMagic, FrameVersion, 99, 0, 0, 0, 0}},
-		{"short payload", []byte{FrameMagic, FrameVersion, KindPulse, 0, 0, 0, 1, 1}},
-		{"trailing bytes", append([]byte{FrameMagic, FrameVersion, KindPulse, 0, 0, 0, 18}, make([]byte, 18)...)},
+		{"short payload", []byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0, 0, 0, 1, 1}},
+		{"trailing bytes", append([]byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0, 0, 0, 18}, make([]byte, 18)...)},
 		{"a word that is cut short", []byte{FrameMagic, FrameVersion, KindWord, 0, 0, 0, 3, 0, 0, 0}},
 		{"a word of before its process", append([]byte{FrameMagic, FrameVersion, KindWord, 0, 0, 0, 25}, append(make([]byte, 15), 1, 0, 0, 0, 0, 0, 0, 0, 0, 0)...)},
 		{"a word with too many", append([]byte{FrameMagic, FrameVersion, KindWord, 0, 0, 0, 25}, append(make([]byte, 24), MaxEnded+1)...)},
@@ -138,7 +138,7 @@
 }
 
 func FuzzReadFrame(f *testing.F) {
-	for _, m := range []PeerMessage{Hello{"n", 1}, Pulse{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}}, Word{3, 2, 1, []Ended{{4, "j"}}}} {
+	for _, m := range []PeerMessage{Hello{"n", 1}, PeerHeartbeat{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}}, Word{3, 2, 1, []Ended{{4, "j"}}}} {
 		b, _ := AppendFrame(nil, m)
 		f.Add(b)
 	}
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -106,7 +106,7 @@
 
 // Redirect sends a worker to another node.
 type Redirect struct {
-	Node string `json:"master,omitempty"`
+	Member string `json:"master,omitempty"`
 }
 
 // DirectCommands goes straight to a worker.
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -18,7 +18,7 @@
 		const nodes, up, rentable = 5, 120, 260
 		ctx, cancel := context.WithCancel(t.Context())
 		cfg := settings()
-		cfg.Deployment.Nodes = nodes
+		cfg.Deployment.Controllers = nodes
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
 		cfg.Deployment.Workers = config.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
@@ -94,7 +94,7 @@
 		const nodes = 5
 		ctx, cancel := context.WithCancel(t.Context())
 		cfg := settings()
-		cfg.Deployment.Nodes = nodes
+		cfg.Deployment.Controllers = nodes
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
 		w := NewWorld(ctx, cfg, 3)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -170,7 +170,7 @@
 func (w *World) CloseLook(j *Job) {
 	body, _ := json.Marshal(j.Spec)
 	for range 3 {
-		for i := range w.Cfg.Deployment.Nodes {
+		for i := range w.Cfg.Deployment.Controllers {
 			n := w.Node(i)
 			if n.dead() || n.cut(NoUsers) {
 				continue
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -280,7 +280,7 @@
 			}
 			wait = every*3/4 + time.Duration(w.Rand.IntN(int(every)/2))
 		case status == 421:
-			name := body.(protocol.Redirect).Node
+			name := body.(protocol.Redirect).Member
 			i := slices.IndexFunc(w.nodes, func(n *Node) bool { return n.Name == name })
 			if i >= 0 && i != m.node%len(w.nodes) {
 				m.node = i
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -315,11 +315,11 @@
 func (w *World) Start(i int) {
 	cfg := *w.Cfg
 	name := fmt.Sprintf("n%d", i)
-	cfg.NodeName = name
+	cfg.MemberName = name
 	cfg.Known = nil
-	for k := range cfg.Deployment.Nodes {
+	for k := range cfg.Deployment.Controllers {
 		if k != i {
-			cfg.Known = append(cfg.Known, config.Peer{NodeName: fmt.Sprintf("n%d", k), Zone: cfg.Deployment.Zones[k%len(cfg.Deployment.Zones)]})
+			cfg.Known = append(cfg.Known, config.Peer{MemberName: fmt.Sprintf("n%d", k), Zone: cfg.Deployment.Zones[k%len(cfg.Deployment.Zones)]})
 		}
 	}
 	cfg.Zone = cfg.Deployment.Zones[i%len(cfg.Deployment.Zones)]
@@ -345,7 +345,7 @@
 	if w.Store.Limited {
 		cloud.budget = transport.CloudBudget(&cfg.Deployment)
 	}
-	n.Core = coordination.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), coordination.DefaultTimes())
+	n.Core = coordination.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), coordination.DefaultTiming())
 	n.beat = n.Core.Beat
 	if w.Views {
 		n.Core.EnableView()
@@ -374,7 +374,7 @@
 				for _, to := range nodes {
 					if from != to && (from.Zone == to.Zone || !w.cutOff(from.Zone) && !w.cutOff(to.Zone)) && !from.dead() && !to.dead() && from.still.Load() < time.Now().UnixNano() &&
 						!from.cut(NoPeers) && !to.cut(NoPeers) {
-						go to.Core.HearPulse(from.Name, from.Core.Pulse())
+						go to.Core.ReceivePeerHeartbeat(from.Name, from.Core.PeerHeartbeat())
 						if word, ok := from.Core.Word(to.Name); ok {
 							go to.Core.HearWord(from.Name, word)
 						}
@@ -410,7 +410,7 @@
 
 // Owner is the node that owns a share, -1 if nobody does.
 func (w *World) Owner(share int) int {
-	for i := range w.Cfg.Deployment.Nodes {
+	for i := range w.Cfg.Deployment.Controllers {
 		v, err := w.Node(i).Core.ShardViews(w.ctx)
 		if err == nil && share < len(v) && v[share].Owner == w.Node(i).Name {
 			return i
@@ -426,7 +426,7 @@
 	if !ok || json.Unmarshal(raw, &l) != nil {
 		return -1
 	}
-	return slices.IndexFunc(w.nodes, func(n *Node) bool { return n.Name == l.Node })
+	return slices.IndexFunc(w.nodes, func(n *Node) bool { return n.Name == l.Member })
 }
 
 // Node returns node i as it runs now.
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -19,8 +19,8 @@
 )
 
 func settings() *config.Settings {
-	s := &config.Settings{NodeName: "n0", Zone: "a", PublicAddr: "10.0.0.1:1", PeerListen: "10.0.0.1:2"}
-	s.Deployment = config.Deployment{Nodes: 3, Zones: []string{"a", "b", "c"},
+	s := &config.Settings{MemberName: "n0", Zone: "a", PublicAddr: "10.0.0.1:1", PeerListen: "10.0.0.1:2"}
+	s.Deployment = config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"},
 		Teams:     []config.Team{{Name: "red", CpusMax: 40}, {Name: "blue", Cpus: 16}, {Name: "green"}, {Name: "grey"}},
 		Workers:   config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 12},
 		State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 32, TxnOps: 12},
@@ -201,12 +201,12 @@
 				gone := w.Node(i % 3)
 				for k := range 3 {
 					if n := w.Node(k); n != gone {
-						n.Core.LosePeer(gone.Name)
+						n.Core.PeerDisconnected(gone.Name)
 					}
 				}
 				time.Sleep(2500 * time.Millisecond)
 				for k := range 3 {
-					w.Node(k).Core.HearPulse(gone.Name, protocol.Pulse{StateOK: true})
+					w.Node(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
 				}
 			}
 		}},
--- a/internal/storage/awaits_test.go
+++ b/internal/storage/awaits_test.go
@@ -15,7 +15,7 @@
 // a and c, "a+" a that is done, "a-" one that is cancelled.
 func graph(t *testing.T, steps ...string) (*Cache, func(string) *Job) {
 	t.Helper()
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	for i, s := range steps {
 		id := JobKey("job-00000" + s[:1])
 		r := JobRecord{Tasks: 1, Team: "red", AtMs: 1000 * int64(i+1)}
--- a/internal/storage/before_test.go
+++ b/internal/storage/before_test.go
@@ -57,7 +57,7 @@
 )
 
 func TestBeforeTheGate(t *testing.T) {
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	old := map[string]string{}
 	for i, r := range before {
 		old[r.key] = r.value
@@ -74,7 +74,7 @@
 		Root + "evict/job-000007":  EncodeEvict(&evicted, b.Packed()),
 		Root + "share/0":           Encode(b.Shards[0].ShardRecord),
 		Root + "leader":            Encode(b.Leader.LeaderRecord),
-		Root + "node/n0":           Encode(b.Nodes["n0"].NodeRecord),
+		Root + "node/n0":           Encode(b.Members["n0"].MemberRecord),
 	}
 	for _, id := range []string{"job-000007", "job-000008"} {
 		j := b.Job(id)
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -184,9 +184,9 @@
 	Version uint64
 }
 
-// Node is a living node.
-type Node struct {
-	NodeRecord
+// Member is a living node.
+type Member struct {
+	MemberRecord
 	Version uint64
 }
 
@@ -237,7 +237,7 @@
 	Types     []Type // by type index; zero Cpus: unknown
 	NumShards int
 	Shards    []Shard
-	Nodes     map[string]*Node
+	Members   map[string]*Member
 	Leader    Leader
 	Jobs      []*Job // nil: free
 	Machines  []*Machine
@@ -298,14 +298,14 @@
 }
 
 // ShardCount is how many shares a deployment has: one a node, but none without a team.
-func ShardCount(d *config.Deployment) int { return max(1, min(d.Nodes, len(d.Teams))) }
+func ShardCount(d *config.Deployment) int { return max(1, min(d.Controllers, len(d.Teams))) }
 
 // NewCache is an empty cache.
 func NewCache(s *config.Settings) *Cache {
 	b := &Cache{
 		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIdx: NewNames(), Zones: NewNames(s.Deployment.Zones...),
 		TypeIdx: NewNames(), Images: NewNames(), Classes: NewNames(),
-		NumShards: ShardCount(&s.Deployment), Nodes: map[string]*Node{}, Evicted: map[string]*Evicted{},
+		NumShards: ShardCount(&s.Deployment), Members: map[string]*Member{}, Evicted: map[string]*Evicted{},
 		final: map[string]Final{}, jobByID: map[string]*Job{}, after: map[string][]*Job{}, sets: map[string]map[int]setPart{}, long: map[string]*longText{},
 		byName: map[string]*Machine{}, fleets: map[string]*Fleet{}, versions: map[string]uint64{}, victims: map[victim]bool{},
 	}
@@ -464,8 +464,8 @@
 	if deleted {
 		value = nil
 	}
-	if name, ok := suffix(key, nodePrefix); ok {
-		return b.applyNode(name, value, version, deleted)
+	if name, ok := suffix(key, memberPrefix); ok {
+		return b.applyMember(name, value, version, deleted)
 	}
 	if number, ok := suffix(key, shardPrefix); ok {
 		return b.applyShard(number, value, version, deleted)
@@ -479,17 +479,17 @@
 	return b.applySingle(key, value, version, deleted)
 }
 
-// applyNode takes a node's membership record.
-func (b *Cache) applyNode(name string, value json.RawMessage, version uint64, deleted bool) error {
+// applyMember takes a node's membership record.
+func (b *Cache) applyMember(name string, value json.RawMessage, version uint64, deleted bool) error {
 	if deleted {
-		delete(b.Nodes, name)
+		delete(b.Members, name)
 		return nil
 	}
-	n := &Node{Version: version}
-	if err := json.Unmarshal(value, &n.NodeRecord); err != nil {
-		return fmt.Errorf("record %s: %w", NodeKey(name), err)
+	n := &Member{Version: version}
+	if err := json.Unmarshal(value, &n.MemberRecord); err != nil {
+		return fmt.Errorf("record %s: %w", MemberKey(name), err)
 	}
-	b.Nodes[name] = n
+	b.Members[name] = n
 	return nil
 }
 
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -64,7 +64,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+			b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 			if err := b.Apply(m, Encode(FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}), 1, false); err != nil {
 				t.Fatal(err)
 			}
@@ -96,7 +96,7 @@
 // beside the records with a full count of them.
 func TestRecount(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 2))
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
 	apply := func(key string, v any, version uint64) {
 		t.Helper()
 		if err := b.Apply(key, Encode(v), version, v == nil); err != nil {
@@ -180,7 +180,7 @@
 // A job's final record may be read before the rack's that lists tasks which have ended: the
 // record counts them all, and a job of two tasks was called done with four.
 func TestEndedAreCountedOnce(t *testing.T) {
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Teams: []config.Team{{Name: "red"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
 	for i, x := range []struct {
 		key   string
 		value any
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -76,7 +76,7 @@
 		{"job-open.any.json", rewriteJSON[JobRecord]},
 		{"job-final.any.json", rewriteJSON[JobRecord]},
 		{"job-long.any.json", rewriteJSON[JobRecord]},
-		{"node.any.json", rewriteJSON[NodeRecord]},
+		{"node.any.json", rewriteJSON[MemberRecord]},
 		{"share.any.json", rewriteJSON[ShardRecord]},
 		{"leader.any.json", rewriteJSON[LeaderRecord]},
 		{"set.any.json", rewriteJSON[SetRecord]},
@@ -136,7 +136,7 @@
 		{"rack", reflect.TypeFor[GroupRecord]()},
 		{"fleet", reflect.TypeFor[FleetRecord]()},
 		{"evict", reflect.TypeFor[EvictRecord]()},
-		{"node", reflect.TypeFor[NodeRecord]()},
+		{"node", reflect.TypeFor[MemberRecord]()},
 		{"share", reflect.TypeFor[ShardRecord]()},
 		{"leader", reflect.TypeFor[LeaderRecord]()},
 		{"set", reflect.TypeFor[SetRecord]()},
@@ -248,7 +248,7 @@
 // TestGoldenKeys covers the keys under which records stand.
 func TestGoldenKeys(t *testing.T) {
 	keys := []string{
-		NodeKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), GroupKey(300), EvictKey("job-000007"),
+		MemberKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), GroupKey(300), EvictKey("job-000007"),
 		SetKey("job-000007", 8191), SetKey("job-000007", 8192), partKey("job-000007", "n0-1-7", 2), TeamKey("red/blue team"),
 		LeaderKey, CatalogKey, SettingsKey, LayoutKey, UsualKey, BarKey, BarTeamsKey,
 	}
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -12,7 +12,7 @@
 // What a machine has fetched is known from the records alone; a task that was there too shortly has
 // fetched nothing, and the size of an image outlives its jobs.
 func TestImagesOfMachines(t *testing.T) {
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	b.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
 	rev := uint64(1)
 	put := func(key string, v any) {
@@ -59,7 +59,7 @@
 		{"accelerators bind", SpecRecord{Cpus: 4, Gpus: 1, Mem: 29}, 6},
 		{"no type has room: its own CPUs", SpecRecord{Cpus: 99}, 99},
 	} {
-		b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Teams: []config.Team{{Name: "red"}}}})
+		b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
 		x.spec.Class, x.spec.Image = "c", "i"
 		if err := b.Apply(JobKey("job-000001"), Encode(JobRecord{Tasks: 1, Team: "red", Spec: &x.spec}), 2, false); err != nil {
 			t.Fatal(err)
--- a/internal/storage/long_test.go
+++ b/internal/storage/long_test.go
@@ -28,7 +28,7 @@
 		tasks        int
 		needs, types []string
 	}{{"many awaited", 3, ids, nil}, {"many types", 100_000, nil, types}, {"both", 1, ids[:2000], types[:200]}} {
-		b := NewCache(&config.Settings{Deployment: config.Deployment{Nodes: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+		b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 		b.Layout.Version = LayoutPacked
 		name := strings.Repeat("n", 128)
 		r := JobRecord{Tasks: c.tasks, Team: "red", AtMs: 5000, Needs: PackIDs(c.needs), Spec: &SpecRecord{Class: name, Image: name, Zone: name, Types: c.types, Cpus: 1}}
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -16,19 +16,19 @@
 
 // The keys' prefixes and names.
 const (
-	nodePrefix  = Root + "node/"
-	shardPrefix = Root + "share/"
-	jobPrefix   = Root + "job/"
-	fleetPrefix = Root + "fleet/"
-	groupPrefix = Root + "rack/"
-	evictPrefix = Root + "evict/"
-	setPrefix   = Root + "set/"
-	partPrefix  = Root + "bit/"     // sorts before the jobs, whose records name them
-	oldPrefix   = Root + "machine/" // of a layout that is not read any more
-	LeaderKey   = Root + "leader"
-	CatalogKey  = Root + "catalog"
-	SettingsKey = Root + "settings"
-	LayoutKey   = Root + "layout"
+	memberPrefix = Root + "node/"
+	shardPrefix  = Root + "share/"
+	jobPrefix    = Root + "job/"
+	fleetPrefix  = Root + "fleet/"
+	groupPrefix  = Root + "rack/"
+	evictPrefix  = Root + "evict/"
+	setPrefix    = Root + "set/"
+	partPrefix   = Root + "bit/"     // sorts before the jobs, whose records name them
+	oldPrefix    = Root + "machine/" // of a layout that is not read any more
+	LeaderKey    = Root + "leader"
+	CatalogKey   = Root + "catalog"
+	SettingsKey  = Root + "settings"
+	LayoutKey    = Root + "layout"
 	// BarKey is written when the gate opens. The version before takes it for a record of
 	// the layout that it refuses, and so does not become ready if it is started again: it
 	// would read packed racks as empty ones and start what runs there twice.
@@ -45,11 +45,11 @@
 // have shown that they read the packed one. It never goes back.
 type LayoutRecord struct {
 	Version int      `json:"v"`
-	Nodes   []string `json:"n,omitempty"`
+	Members []string `json:"n,omitempty"`
 }
 
-// NodeKey is where a node says that it is alive.
-func NodeKey(name string) string { return nodePrefix + name }
+// MemberKey is where a node says that it is alive.
+func MemberKey(name string) string { return memberPrefix + name }
 
 // ShardKey holds who owns a share.
 func ShardKey(share int) string { return shardPrefix + strconv.Itoa(share) }
@@ -69,24 +69,24 @@
 // EvictKey holds the evicted set that makes room for a job.
 func EvictKey(job string) string { return evictPrefix + job }
 
-// NodeRecord is a node's membership.
-type NodeRecord struct {
+// MemberRecord is a node's membership.
+type MemberRecord struct {
 	Incarnation uint64 `json:"i"`
 	Public      string `json:"p"`
-	Unfit       bool   `json:"u,omitempty"` // reaches no worker: it must own no share
+	NotReady    bool   `json:"u,omitempty"` // reaches no worker: it must own no share
 	Layout      int    `json:"v,omitempty"` // the latest layout that it reads
-	Frames      int    `json:"f,omitempty"` // the level of the peers' frames that it reads
+	FrameLevel  int    `json:"f,omitempty"` // the level of the peers' frames that it reads
 }
 
 // LeaderRecord says who leads.
 type LeaderRecord struct {
-	Node        string `json:"n"`
+	Member      string `json:"n"`
 	Incarnation uint64 `json:"i"`
 }
 
 // ShardRecord says who owns a share, and under which token.
 type ShardRecord struct {
-	Node        string `json:"n"`
+	Member      string `json:"n"`
 	Incarnation uint64 `json:"i"`
 	Token       uint64 `json:"t"`
 }
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -23,7 +23,7 @@
 type AdminCore interface {
 	Settings(ctx context.Context) (coordination.OperatorSettings, uint64, error)
 	ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (coordination.OperatorSettings, uint64, error)
-	NodeViews(ctx context.Context) ([]coordination.NodeView, error)
+	MemberViews(ctx context.Context) ([]coordination.MemberView, error)
 	ShardViews(ctx context.Context) ([]coordination.ShardView, error)
 	JobViews(ctx context.Context, team, after string, limit int) ([]coordination.JobView, bool, error)
 	MachineInfos(ctx context.Context, after string, limit int) ([]coordination.MachineInfo, bool, error)
@@ -172,7 +172,7 @@
 		return send(c, 200, v)
 	})
 	get("/nodes", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		v, err := core.NodeViews(ctx)
+		v, err := core.MemberViews(ctx)
 		return AdminPage{Items: v}, err
 	})
 	get("/shares", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -39,7 +39,7 @@
 func goldenSettings(addr string) *config.Settings {
 	var s config.Settings
 	s.External.State, s.External.Cloud = addr, addr
-	s.Deployment.Nodes = 1
+	s.Deployment.Controllers = 1
 	s.Deployment.State.RPS, s.Deployment.State.WriteRPS, s.Deployment.State.TxnOps = 1e6, 1e6, 12
 	s.Deployment.Cloud.RPS = 1e6
 	return &s
@@ -142,15 +142,15 @@
 // peerStub is a node that always has everything to say.
 type peerStub struct{ PeerCore }
 
-func (peerStub) Pulse() protocol.Pulse                { return filled[protocol.Pulse]() }
-func (peerStub) Incarnation() uint64                  { return 77 }
-func (peerStub) ShardDemands() []protocol.ShardDemand { return filled[[]protocol.ShardDemand]() }
-func (peerStub) Word(string) (protocol.Word, bool)    { return filled[protocol.Word](), true }
+func (peerStub) PeerHeartbeat() protocol.PeerHeartbeat { return filled[protocol.PeerHeartbeat]() }
+func (peerStub) Incarnation() uint64                   { return 77 }
+func (peerStub) ShardDemands() []protocol.ShardDemand  { return filled[[]protocol.ShardDemand]() }
+func (peerStub) Word(string) (protocol.Word, bool)     { return filled[protocol.Word](), true }
 
 // TestGoldenPeers pins the bytes with which a node begins to speak to another.
 func TestGoldenPeers(t *testing.T) {
 	here, there := net.Pipe()
-	go NewPeers(&config.Settings{NodeName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler)).speak(t.Context(), here, "n-1")
+	go NewPeers(&config.Settings{MemberName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler)).speak(t.Context(), here, "n-1")
 	buf := make([]byte, 4<<10)
 	n, err := there.Read(buf)
 	if err != nil {
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -101,8 +101,8 @@
 	return filled[coordination.OperatorSettings](), v + 1, s.err
 }
 
-func (s *stubCore) NodeViews(context.Context) ([]coordination.NodeView, error) {
-	return filled[[]coordination.NodeView](), s.err
+func (s *stubCore) MemberViews(context.Context) ([]coordination.MemberView, error) {
+	return filled[[]coordination.MemberView](), s.err
 }
 
 func (s *stubCore) ShardViews(context.Context) ([]coordination.ShardView, error) {
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -132,7 +132,7 @@
 		{"team-change", "PUT", red, `{"version":7,"team":{"cpus":8}}`, stubCore{}},
 		{"team-no-json", "PUT", red, `x`, stubCore{}},
 		{"team-no-version", "PUT", red, `{"team":{}}`, stubCore{}},
-		{"team-gate", "PUT", red, `{"version":7,"team":{}}`, stubCore{err: &coordination.GateError{Nodes: []string{"n1", "n2"}}}},
+		{"team-gate", "PUT", red, `{"version":7,"team":{}}`, stubCore{err: &coordination.GateError{Members: []string{"n1", "n2"}}}},
 		{"nodes", "GET", "/admin/v1/nodes", "", stubCore{}},
 		{"shares", "GET", "/admin/v1/shares", "", stubCore{}},
 		{"jobs", "GET", "/admin/v1/jobs?team=red&after=job-000001&limit=5", "", stubCore{}},
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	firstByteWithin = 3 * time.Second // a connection that stays silent longer is closed
-	frameWithin     = 10 * time.Second
-	pulseEvery      = 500 * time.Millisecond
-	maxPeerConns    = 64
+	firstByteWithin       = 3 * time.Second // a connection that stays silent longer is closed
+	frameWithin           = 10 * time.Second
+	peerHeartbeatInterval = 500 * time.Millisecond
+	maxPeerConns          = 64
 )
 
 // PeerCore is what the peer links need of a controller. All of it is hints.
 type PeerCore interface {
-	Pulse() protocol.Pulse
+	PeerHeartbeat() protocol.PeerHeartbeat
 	Incarnation() uint64
 	ShardDemands() []protocol.ShardDemand
 	Word(node string) (protocol.Word, bool)
 	HearWord(node string, w protocol.Word)
-	HearPulse(node string, p protocol.Pulse)
+	ReceivePeerHeartbeat(node string, p protocol.PeerHeartbeat)
 	ReceiveShardDemands(node string, n protocol.ShardDemands)
-	LosePeer(node string)
+	PeerDisconnected(node string)
 }
 
 // Peers talks with the other controllers, and tells their frames from HTTP on
@@ -58,7 +58,7 @@
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp4", k.Address, 2*time.Second)
 		if err == nil {
-			p.speak(ctx, conn, k.NodeName)
+			p.speak(ctx, conn, k.MemberName)
 			_ = conn.Close() // nothing more is wanted of it
 		}
 		select {
@@ -77,13 +77,13 @@
 		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection is over
 	}()
 	// Before it is a member its number is 0: in an outage newborn nodes must hear one another.
-	buf, err := protocol.AppendFrame(nil, protocol.Hello{Node: p.cfg.NodeName, Incarnation: p.core.Incarnation()})
+	buf, err := protocol.AppendFrame(nil, protocol.Hello{Member: p.cfg.MemberName, Incarnation: p.core.Incarnation()})
 	if err != nil {
 		p.log.Error("hello cannot be written", "err", err)
 		return
 	}
 	for ctx.Err() == nil {
-		if buf, err = protocol.AppendFrame(buf, p.core.Pulse()); err != nil {
+		if buf, err = protocol.AppendFrame(buf, p.core.PeerHeartbeat()); err != nil {
 			p.log.Error("pulse cannot be written", "err", err)
 			return
 		}
@@ -110,7 +110,7 @@
 		case <-ctx.Done():
 		case <-ended:
 			return
-		case <-time.After(pulseEvery):
+		case <-time.After(peerHeartbeatInterval):
 		}
 	}
 }
@@ -130,24 +130,24 @@
 				p.log.Info("peer connection closed", "peer", node, "from", conn.RemoteAddr().String(), "err", err)
 			}
 			if node != "" {
-				p.core.LosePeer(node)
+				p.core.PeerDisconnected(node)
 			}
 			return
 		}
 		switch x := m.(type) {
 		case protocol.Hello:
 			for _, k := range p.cfg.Known {
-				if k.NodeName == x.Node {
-					node = x.Node
+				if k.MemberName == x.Member {
+					node = x.Member
 				}
 			}
 			if node == "" {
-				p.log.Info("unknown peer", "peer", x.Node)
+				p.log.Info("unknown peer", "peer", x.Member)
 				return
 			}
-		case protocol.Pulse:
+		case protocol.PeerHeartbeat:
 			if node != "" {
-				p.core.HearPulse(node, x)
+				p.core.ReceivePeerHeartbeat(node, x)
 			}
 		case protocol.ShardDemands:
 			if node != "" {
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -26,16 +26,18 @@
 	down    bool
 }
 
-func (f *fakeCore) Pulse() protocol.Pulse                   { return protocol.Pulse{} }
-func (f *fakeCore) Incarnation() uint64                     { return 1 }
-func (f *fakeCore) ShardDemands() []protocol.ShardDemand    { return nil }
-func (f *fakeCore) HearPulse(node string, _ protocol.Pulse) { f.heard <- "pulse " + node }
-func (f *fakeCore) Word(string) (protocol.Word, bool)       { return protocol.Word{}, false }
-func (f *fakeCore) HearWord(node string, _ protocol.Word)   { f.heard <- "word " + node }
+func (f *fakeCore) PeerHeartbeat() protocol.PeerHeartbeat { return protocol.PeerHeartbeat{} }
+func (f *fakeCore) Incarnation() uint64                   { return 1 }
+func (f *fakeCore) ShardDemands() []protocol.ShardDemand  { return nil }
+func (f *fakeCore) ReceivePeerHeartbeat(node string, _ protocol.PeerHeartbeat) {
+	f.heard <- "pulse " + node
+}
+func (f *fakeCore) Word(string) (protocol.Word, bool)     { return protocol.Word{}, false }
+func (f *fakeCore) HearWord(node string, _ protocol.Word) { f.heard <- "word " + node }
 func (f *fakeCore) ReceiveShardDemands(node string, _ protocol.ShardDemands) {
 	f.heard <- "need " + node
 }
-func (f *fakeCore) LosePeer(node string)                                           { f.heard <- "lost " + node }
+func (f *fakeCore) PeerDisconnected(node string)                                   { f.heard <- "lost " + node }
 func (f *fakeCore) Metrics() *coordination.Metrics                                 { return coordination.NewMetrics() }
 func (f *fakeCore) Evictions(context.Context) ([]coordination.EvictionView, error) { return nil, nil }
 
@@ -78,7 +80,7 @@
 	case err != nil:
 		return coordination.TeamView{}, err
 	case name == "old node":
-		return coordination.TeamView{}, &coordination.GateError{Nodes: []string{"n1"}}
+		return coordination.TeamView{}, &coordination.GateError{Members: []string{"n1"}}
 	case name != teams[0].Name:
 		return coordination.TeamView{}, coordination.ErrNoTeam
 	case v != f.version:
@@ -118,7 +120,7 @@
 		}
 		return b
 	}
-	hello := frames(protocol.Hello{Node: "n-1", Incarnation: 4}, protocol.Pulse{StateOK: true})
+	hello := frames(protocol.Hello{Member: "n-1", Incarnation: 4}, protocol.PeerHeartbeat{StateOK: true})
 	cases := []struct {
 		name  string
 		parts [][]byte // written a second apart
@@ -132,7 +134,7 @@
 		{"a peer, half-sent first", [][]byte{hello[:1], hello[1:5], hello[5:]}, false, []string{"pulse n-1"}, false},
 		{"silent", nil, false, nil, true},
 		{"malformed frame", [][]byte{{protocol.FrameMagic, 7, 7, 7, 7, 7, 7, 7}}, false, nil, true},
-		{"a stranger", [][]byte{frames(protocol.Hello{Node: "x", Incarnation: 4})}, false, nil, true},
+		{"a stranger", [][]byte{frames(protocol.Hello{Member: "x", Incarnation: 4})}, false, nil, true},
 		{"a frame that never ends", [][]byte{hello[:9]}, false, nil, true},
 		{"malformed after hello", [][]byte{hello, {protocol.FrameMagic, 7, 7, 7, 7, 7, 7}}, false, []string{"pulse n-1", "lost n-1"}, true},
 	}
@@ -140,7 +142,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				core := &fakeCore{heard: make(chan string, 10)}
-				cfg := &config.Settings{NodeName: "n-0", Known: []config.Peer{{NodeName: "n-1"}}}
+				cfg := &config.Settings{MemberName: "n-0", Known: []config.Peer{{MemberName: "n-1"}}}
 				ln := &pipeListener{make(chan net.Conn, 1)}
 				web := NewPeers(cfg, core, slog.New(slog.DiscardHandler)).Split(ln)
 				got := make(chan string, 1)
@@ -269,7 +271,7 @@
 func TestSpeakEndsWithTheOtherSide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := &fakeCore{heard: make(chan string, 10)}
-		p := NewPeers(&config.Settings{NodeName: "n-0"}, core, slog.New(slog.DiscardHandler))
+		p := NewPeers(&config.Settings{MemberName: "n-0"}, core, slog.New(slog.DiscardHandler))
 		mine, theirs := net.Pipe()
 		ended := make(chan struct{})
 		go func() {
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -27,7 +27,7 @@
 
 // NewStateBudget gives every node the same part, until SetPart.
 func NewStateBudget(d *config.Deployment) *StateBudget {
-	n := float64(max(1, d.Nodes))
+	n := float64(max(1, d.Controllers))
 	fair := 0.9 * d.State.RPS / n
 	b := &StateBudget{reqs: NewBudget(min(1.5*fair, 0.9*d.State.RPS), fair), reserve: 4, nodes: n}
 	b.SetLimit(d.State.WriteRPS)
--- a/internal/transport/statebudget_test.go
+++ b/internal/transport/statebudget_test.go
@@ -17,7 +17,7 @@
 // budget, and were refused then. They go ahead of it, and what cannot is refused at once.
 func TestUsersGoAheadOnCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewStateBudget(&config.Deployment{Nodes: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
+		b := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
 		for b.Pace(12) == 0 {
 			if err := b.Admit(t.Context(), 12, protocol.Background); err != nil {
 				t.Fatal(err)
@@ -63,7 +63,7 @@
 	for _, parts := range [][]float64{{0.2, 0.2, 0.2, 0.2, 0.2}, {1, 0, 0, 0, 0}, {0.6, 0.4, 0, 0, 0}} {
 		sum := 0.0
 		for i, p := range parts {
-			b := NewStateBudget(&config.Deployment{Nodes: len(parts), State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
+			b := NewStateBudget(&config.Deployment{Controllers: len(parts), State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
 			b.SetPart(p, i == 0, 0, -1)
 			sum += b.writes.rate
 		}
@@ -95,7 +95,7 @@
 			}
 			all := 0.0
 			for i, u := range x.used {
-				b := NewStateBudget(&config.Deployment{Nodes: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
+				b := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
 				b.SetPart(0, false, u, sum-u)
 				if all += b.writes.rate; b.writes.rate < x.want[i] {
 					t.Errorf("node %d may make %.1f changes a second, want %.1f", i, b.writes.rate, x.want[i])
--- a/internal/transport/view_test.go
+++ b/internal/transport/view_test.go
@@ -25,7 +25,7 @@
 func (c *viewCore) ViewEnabled() bool              { return !c.off }
 func (c *viewCore) HasTeam(name string) bool       { return name == "red" }
 func (c *viewCore) Reasons(_ context.Context, _ view.Scope, ids []string) ([]view.Reason, error) {
-	return []view.Reason{{Job: ids[0], Why: "no room", Node: "n1"}}, nil
+	return []view.Reason{{Job: ids[0], Why: "no room", Member: "n1"}}, nil
 }
 func (c *viewCore) View(context.Context, view.Cursor) *view.Snapshot {
 	if c.block != nil {
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -191,7 +191,7 @@
 }
 
 func (w *writer) head(h Head) {
-	w.text(h.Node)
+	w.text(h.Member)
 	w.uint(h.Seq)
 	w.uint(h.Revision)
 	w.int(h.Now)
@@ -209,8 +209,8 @@
 		w.all(h.Others.fields())
 	}
 	w.all(h.Fleet.fields())
-	w.uint(uint64(len(h.Nodes)))
-	for _, n := range h.Nodes {
+	w.uint(uint64(len(h.Members)))
+	for _, n := range h.Members {
 		w.text(n.Name)
 		w.flag(n.Alive)
 		w.flag(n.Leader)
@@ -422,8 +422,8 @@
 }
 
 func (r *reader) head(epoch uint64) *Head {
-	h := &Head{Epoch: epoch, Node: r.text(), Seq: r.uint(), Revision: r.uint(), Now: r.int(), AsOf: r.int(), Since: r.int(),
-		StateOK: r.flag(), Scope: r.text(), Teams: []Team{}, Nodes: []Node{}}
+	h := &Head{Epoch: epoch, Member: r.text(), Seq: r.uint(), Revision: r.uint(), Now: r.int(), AsOf: r.int(), Since: r.int(),
+		StateOK: r.flag(), Scope: r.text(), Teams: []Team{}, Members: []Member{}}
 	for range r.count() {
 		t := Team{Name: r.text()}
 		r.all(t.fields())
@@ -435,11 +435,11 @@
 	}
 	r.all(h.Fleet.fields())
 	for range r.count() {
-		n := Node{Name: r.text(), Alive: r.flag(), Leader: r.flag(), Unfit: r.flag(), Shares: []uint32{}}
+		n := Member{Name: r.text(), Alive: r.flag(), Leader: r.flag(), Unfit: r.flag(), Shares: []uint32{}}
 		for range r.count() {
 			n.Shares = append(n.Shares, r.u32())
 		}
-		h.Nodes = append(h.Nodes, n)
+		h.Members = append(h.Members, n)
 	}
 	return h
 }
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -58,7 +58,7 @@
 		others.plus(t.Sum)
 	}
 	h.Teams, h.Others = own, &others
-	h.Node, h.Nodes, h.Fleet.RateMicro = "", []Node{}, 0
+	h.Member, h.Members, h.Fleet.RateMicro = "", []Member{}, 0
 	return h
 }
 
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -114,7 +114,7 @@
 			change(t, m)
 		}
 		me := rapid.SampledFrom(teams).Draw(t, "me").Name
-		h := Head{Epoch: 7, Node: "node-of-nobody", Nodes: []Node{{Name: "node-of-nobody"}}}
+		h := Head{Epoch: 7, Member: "node-of-nobody", Members: []Member{{Name: "node-of-nobody"}}}
 		s := m.Snapshot(h)
 		var out bytes.Buffer
 		for seq := uint64(0); seq <= m.seq; seq += 1 + m.seq/9 {
@@ -154,7 +154,7 @@
 	m.PutMachine(Machine{Name: "host-1", Uses: []Use{{teams[0].Name, 1, 1, 0}}})
 	m.PutEviction(Eviction{Job: "job-000001", Victims: []Victim{{Job: "job-000002"}}})
 	m.DropJob("job-000001")
-	f.Add(m.Snapshot(Head{Epoch: 3, Nodes: []Node{{Name: "n", Shares: []uint32{1}}}}).AppendPage(nil, Operators, Cursor{}, 5))
+	f.Add(m.Snapshot(Head{Epoch: 3, Members: []Member{{Name: "n", Shares: []uint32{1}}}}).AppendPage(nil, Operators, Cursor{}, 5))
 	f.Add([]byte{feedMagic, feedVersion, flagReset, 1, 0, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := ReadPage(raw)
