--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -38,7 +38,7 @@
 func (a *app) printJobs(w io.Writer, list []protocol.JobState) error {
 	var rows [][]string
 	for _, s := range list {
-		rows = append(rows, []string{s.ID, string(s.Status), strconv.Itoa(s.Done), strconv.Itoa(s.Running), strconv.Itoa(s.Awaits)})
+		rows = append(rows, []string{s.ID, string(s.Status), strconv.Itoa(s.Done), strconv.Itoa(s.Running), strconv.Itoa(s.UnmetDependencies)})
 	}
 	return a.print(w, list, []string{"JOB", "STATUS", "DONE", "RUNNING", "AWAITS"}, rows)
 }
@@ -80,7 +80,7 @@
 				if s.ID == "" {
 					s.ID = fmt.Sprintf("job-%012d", rand.Uint64N(1e12))
 				}
-				s.EstimateS, s.CheckpointS, s.SaveS, s.DeadlineS = estimate.Seconds(), checkpoint.Seconds(), save.Seconds(), due.Seconds()
+				s.EstimateS, s.CheckpointS, s.CheckpointCostS, s.DeadlineS = estimate.Seconds(), checkpoint.Seconds(), save.Seconds(), due.Seconds()
 				if body, err = protocol.EncodeSubmission(&s); err != nil {
 					return usage(err)
 				}
@@ -140,7 +140,7 @@
 	f.DurationVar(&checkpoint, "checkpoint", 0, "progress after which a task saves (0: never)")
 	f.DurationVar(&save, "save", 0, "how long saving takes when it is stopped")
 	f.DurationVar(&due, "due", 0, "deadline, from now (0: none)")
-	f.StringSliceVar(&s.Needs, "after", nil, "`ID` of a job that must be done before (may be repeated)")
+	f.StringSliceVar(&s.Dependencies, "after", nil, "`ID` of a job that must be done before (may be repeated)")
 	f.DurationVar(&run, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
 	f.BoolVar(&fails, "fails", false, "on an emulated cluster: it fails on every machine")
 	f.BoolVar(&wait, "wait", false, "wait until the job is over")
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -119,7 +119,7 @@
 }
 
 func reason(a answer) string {
-	var r protocol.Refusal
+	var r protocol.ErrorResponse
 	if json.Unmarshal(a.body, &r) != nil || r.Error == "" {
 		return "status " + strconv.Itoa(a.status)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,7 +44,7 @@
 type Deployment struct {
 	Controllers int         `toml:"nodes"`
 	Zones       []string    `toml:"zones"`
-	ClockOffMs  float64     `toml:"clock_off_ms"`
+	ClockSkewMs float64     `toml:"clock_off_ms"`
 	Teams       []Team      `toml:"teams"`
 	Objectives  []Objective `toml:"objectives"`
 	Workers     Workers     `toml:"workers"`
@@ -73,11 +73,11 @@
 
 // Workers holds the workers' timing.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	GangWaitS  float64 `toml:"gang_wait_s"`
+	GangPeerS  float64 `toml:"gang_peer_s"`
+	CancelS    float64 `toml:"cancel_s"`
 }
 
 // State holds the limits of the state service.
@@ -97,8 +97,8 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Coming are the limits that hold now and will hold: the lower ones of both.
-func (s State) Coming() State {
+// Effective are the limits that hold now and will hold: the lower ones of both.
+func (s State) Effective() State {
 	if n := s.Next; n != nil {
 		s.WriteRPS, s.ValueKB, s.TxnOps = min(s.WriteRPS, n.WriteRPS), min(s.ValueKB, n.ValueKB), min(s.TxnOps, n.TxnOps)
 	}
@@ -217,7 +217,7 @@
 	d := &s.Deployment
 	c.want(d.Controllers >= 1, "deployment.nodes", "a count of at least 1")
 	c.want(len(d.Zones) > 0, "deployment.zones", "a list of zones")
-	c.amount(d.ClockOffMs, "deployment.clock_off_ms")
+	c.amount(d.ClockSkewMs, "deployment.clock_off_ms")
 	c.want(len(d.Teams) > 0, "deployment.teams", "at least one team")
 	names := map[string]bool{}
 	for i, t := range d.Teams {
@@ -237,7 +237,7 @@
 		c.amount(o.Times, f+"times")
 		c.amount(o.Share, f+"share")
 	}
-	c.positive(d.Workers.ReportS, "deployment.workers.report_s")
+	c.positive(d.Workers.HeartbeatS, "deployment.workers.report_s")
 	c.positive(d.Workers.LeaseS, "deployment.workers.lease_s")
 	c.positive(d.Workers.CancelS, "deployment.workers.cancel_s")
 	c.positive(d.State.RPS, "deployment.state.rps")
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -69,7 +69,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return s.Deployment.State.Coming(), nil
+			return s.Deployment.State.Effective(), nil
 		}},
 		{"features-every-key", func() (any, error) { return LoadFeatures("testdata/features-every-key.toml") }},
 		{"features-default", func() (any, error) { return LoadFeatures("") }},
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -283,7 +283,7 @@
 	s := &config.Settings{MemberName: "n0", Zone: "a", PublicAddr: "10.0.0.1:1", PeerListen: "10.0.0.1:2"}
 	s.Deployment = config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"},
 		Teams:     []config.Team{{Name: "red", Cpus: 60, CpusMax: 120}, {Name: "blue", Cpus: 100}, {Name: "green"}, {Name: "grey"}},
-		Workers:   config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 12},
+		Workers:   config.Workers{HeartbeatS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 12},
 		State:     config.State{RPS: 1000, WriteRPS: 500, ValueKB: 64, TxnOps: 16},
 		Cloud:     config.Cloud{RPS: 10, ListLagS: 5},
 		Resources: config.Resources{CPU: 1, MemMB: 100, MaxConnections: 500}}
--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -157,7 +157,7 @@
 		If:   []protocol.Condition{{Key: storage.SettingsKey, Version: at}},
 		Then: []protocol.Change{{Put: storage.SettingsKey, Value: storage.Encode(next)}},
 	}
-	rev, failed, err := c.store.Txn(ctx, t, protocol.ForUser)
+	rev, failed, err := c.store.Txn(ctx, t, protocol.UserRequest)
 	switch {
 	case err != nil:
 		return cur, at, ErrUnavailable
@@ -214,17 +214,17 @@
 
 // ShardView is a share as operators see it.
 type ShardView struct {
-	Shard       int      `json:"share"`
-	Owner       string   `json:"owner"`
-	Token       uint64   `json:"token"`
-	Teams       []string `json:"teams"`
-	Machines    int      `json:"machines"`
-	Cpus        float64  `json:"cpus"`
-	UsedCpus    float64  `json:"used_cpus"`
-	Gpus        float64  `json:"gpus"`
-	UsedGpus    float64  `json:"used_gpus"`
-	WaitingGpus float64  `json:"waiting_gpus"`
-	WaitingCpus float64  `json:"waiting_cpus"`
+	Shard        int      `json:"share"`
+	Owner        string   `json:"owner"`
+	FencingToken uint64   `json:"token"`
+	Teams        []string `json:"teams"`
+	Machines     int      `json:"machines"`
+	Cpus         float64  `json:"cpus"`
+	UsedCpus     float64  `json:"used_cpus"`
+	Gpus         float64  `json:"gpus"`
+	UsedGpus     float64  `json:"used_gpus"`
+	WaitingGpus  float64  `json:"waiting_gpus"`
+	WaitingCpus  float64  `json:"waiting_cpus"`
 }
 
 // ShardViews lists the shares.
@@ -233,7 +233,7 @@
 	err := c.call(ctx, func() {
 		out = make([]ShardView, c.cache.NumShards)
 		for i := range out {
-			out[i] = ShardView{Shard: i, Owner: c.cache.Shards[i].Member, Token: c.cache.Shards[i].Token, Teams: []string{}}
+			out[i] = ShardView{Shard: i, Owner: c.cache.Shards[i].Member, FencingToken: c.cache.Shards[i].FencingToken, Teams: []string{}}
 		}
 		for t, team := range c.cache.Teams {
 			s := &out[c.cache.ShardOf(t)]
@@ -343,14 +343,14 @@
 	if c.storeFailing() {
 		return "the state service does not answer"
 	}
-	if jv := c.jobs[j]; c.suspect(j) {
+	if jv := c.jobStates[j]; c.suspect(j) {
 		again := 0.0
 		if jv != nil {
 			again = max(0, jv.backoff.Sub(now).Seconds())
 		}
 		return fmt.Sprintf("fails on every machine that tried it, one task is tried again in %.0f s", again)
 	} else if jv != nil && now.Before(jv.backoff) {
-		return fmt.Sprintf("failed %d times, tried again in %.0f s", jv.fails, jv.backoff.Sub(now).Seconds())
+		return fmt.Sprintf("failed %d times, tried again in %.0f s", jv.failures, jv.backoff.Sub(now).Seconds())
 	}
 	if !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return "the team's limit is reached"
@@ -371,19 +371,19 @@
 
 // MachineInfo is a machine as operators see it.
 type MachineInfo struct {
-	Name     string     `json:"name"`
-	State    string     `json:"state"`
-	Shard    int        `json:"share"`
-	Type     string     `json:"type"`
-	Zone     string     `json:"zone"`
-	Spot     bool       `json:"spot"`
-	Session  uint64     `json:"session"`
-	Token    uint64     `json:"token"`
-	Tasks    int        `json:"tasks"`
-	UsedCpus float64    `json:"used_cpus"`
-	UsedGpus float64    `json:"used_gpus"`
-	SilentS  float64    `json:"silent_s"` // -1: reports go to another node
-	Placed   []TaskInfo `json:"placed,omitempty"`
+	Name         string     `json:"name"`
+	State        string     `json:"state"`
+	Shard        int        `json:"share"`
+	Type         string     `json:"type"`
+	Zone         string     `json:"zone"`
+	Spot         bool       `json:"spot"`
+	Incarnation  uint64     `json:"session"`
+	FencingToken uint64     `json:"token"`
+	Tasks        int        `json:"tasks"`
+	UsedCpus     float64    `json:"used_cpus"`
+	UsedGpus     float64    `json:"used_gpus"`
+	SilentS      float64    `json:"silent_s"` // -1: reports go to another node
+	Placed       []TaskInfo `json:"placed,omitempty"`
 }
 
 // TaskInfo is a placed task.
@@ -396,7 +396,7 @@
 
 func (c *Controller) machineInfo(m *storage.Machine, tasks bool) MachineInfo {
 	i := MachineInfo{Name: m.Name, State: c.machineState(m), Shard: m.Shard, Type: c.cache.TypeIdx.Name(m.Type),
-		Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Session: m.Session, Token: c.cache.Token(m), Tasks: len(m.Tasks), SilentS: -1}
+		Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Incarnation: m.Incarnation, FencingToken: c.cache.FencingToken(m), Tasks: len(m.Tasks), SilentS: -1}
 	for _, p := range m.Tasks {
 		i.UsedCpus += p.Job.Cpus
 		i.UsedGpus += p.Job.Gpus
@@ -404,7 +404,7 @@
 			i.Placed = append(i.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.Waited})
 		}
 	}
-	if v := c.views[m.Index]; v != nil && c.ownsShard(m.Shard) {
+	if v := c.workerStates[m.Index]; v != nil && c.ownsShard(m.Shard) {
 		i.SilentS = time.Since(v.heard).Seconds()
 	}
 	return i
@@ -452,7 +452,7 @@
 			continue
 		}
 		c.evictSeen[id] = e.Version
-		c.metrics.evicted.Add(float64(len(e.Victims)))
+		c.metrics.preemptedTasks.Add(float64(len(e.Victims)))
 		c.evictions = append(c.evictions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Shard: e.Shard, Victims: e.Victims})
 		if n := len(c.evictions); n > keptEvictions {
 			c.evictions = slices.Clone(c.evictions[n-keptEvictions:])
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,7 +15,7 @@
 // jobs of which most wait.
 func largeCore(b *testing.B, n, jobs int) *Controller {
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
-		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
 	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.loaded, c.incarnation = true, 1
@@ -25,14 +25,14 @@
 			b.Fatal(err)
 		}
 	}
-	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, FencingToken: 2}, 2)
 	job := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 	for i := range jobs {
 		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], AtMs: time.Now().UnixMilli(),
 			Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
 	}
 	const size = 14
-	f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
+	f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 	for i := range n {
 		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / size})
 	}
@@ -40,7 +40,7 @@
 	for k := 0; k*size < n; k++ {
 		rec := storage.GroupRecord{}
 		for i := k * size; i < min(n, (k+1)*size); i++ {
-			x := storage.GroupMachine{Name: fmt.Sprint("m", i), Session: 1}
+			x := storage.GroupMachine{Name: fmt.Sprint("m", i), Incarnation: 1}
 			for t := range uint64(3 + i%2) {
 				x.Tasks = append(x.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
 			}
@@ -51,16 +51,16 @@
 	c.cache.Revision, c.highestRevision = 5, 5
 	c.ownedShards[0] = 2
 	for _, m := range c.cache.Machines {
-		c.takeReport(m, c.view(m), reportOf(m, 1), 4, false)
+		c.applyHeartbeat(m, c.workerState(m), reportOf(m, 1), 4, false)
 	}
 	c.cache.Changed()
 	return c
 }
 
-func reportOf(m *storage.Machine, seq uint64) *protocol.Report {
-	r := &protocol.Report{Machine: m.Name, Session: 1, Seq: seq, Token: 4}
+func reportOf(m *storage.Machine, seq uint64) *protocol.Heartbeat {
+	r := &protocol.Heartbeat{Machine: m.Name, Incarnation: 1, Seq: seq, FencingToken: 4}
 	for _, p := range m.Tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt, State: protocol.Runs})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt, State: protocol.TaskRunning})
 	}
 	return r
 }
@@ -72,7 +72,7 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
 			c := largeCore(b, n.machines, n.jobs)
-			c.directs = maxDirects // no workers here
+			c.directCommands = maxDirectCommands // no workers here
 			b.ReportAllocs()
 			f(b, c)
 		})
@@ -91,7 +91,7 @@
 func BenchmarkPlanFull(b *testing.B) {
 	overSizes(b, func(b *testing.B, c *Controller) {
 		for _, m := range c.cache.Machines {
-			m.Drains = true
+			m.Draining = true
 		}
 		for b.Loop() {
 			c.plan(time.Now(), 12)
@@ -103,8 +103,8 @@
 	overSizes(b, func(b *testing.B, c *Controller) {
 		m := c.cache.Machines[len(c.cache.Machines)/2]
 		for seq := uint64(2); b.Loop(); seq++ {
-			c.onReport(b.Context(), reportOf(m, seq), func(int, any) {})
-			c.flushHeld(time.Now(), true)
+			c.handleHeartbeat(b.Context(), reportOf(m, seq), func(int, any) {})
+			c.flushHeldReplies(time.Now(), true)
 		}
 	})
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -79,7 +79,7 @@
 	}
 	t, more := c.nextTxn(now)
 	if len(t.Then) == 0 {
-		c.flushHeld(now, true)
+		c.flushHeldReplies(now, true)
 		return
 	}
 	if more {
@@ -99,7 +99,7 @@
 		began := time.Now()
 		b, more := c.plan(now, ops)
 		c.tallies.pass(time.Since(began))
-		c.metrics.passes.Observe(time.Since(began).Seconds())
+		c.metrics.planSeconds.Observe(time.Since(began).Seconds())
 		if c.oversizedGroup != nil {
 			if t := c.nextGroupSplit(); len(t.Then) > 0 {
 				return t, true
@@ -139,7 +139,7 @@
 	c.inflight = true
 	go func() {
 		tctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-		rev, failed, err := c.store.Txn(tctx, t, protocol.Background)
+		rev, failed, err := c.store.Txn(tctx, t, protocol.BackgroundRequest)
 		cancel()
 		c.post(func() { c.sent(t, rev, failed, err) })
 	}()
@@ -163,13 +163,13 @@
 			c.log.Info("places again", "after", now.Sub(c.ownershipSince).Round(time.Millisecond).Seconds(), "tasks", c.planned)
 		}
 		for _, j := range c.finishing {
-			jv := c.jobView(j)
+			jv := c.jobState(j)
 			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
 				"share", j.Shard, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Due.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Needs, "ready", j.At.Sub(j.Submitted).Seconds(),
-				"began", jv.since(j, jv.began), "placed", jv.since(j, jv.full), "stopped", jv.victim)
+				"began", jv.sinceReady(j, jv.firstPlacedAt), "placed", jv.sinceReady(j, jv.lastPlacedAt), "stopped", jv.terminatedTasks)
 		}
 		c.changed()
-		c.flushHeld(now, true)
+		c.flushHeldReplies(now, true)
 		c.dispatchDirect(t)
 	case err == nil:
 		// Something changed under it: whatever it was, a late copy cannot apply any more.
@@ -178,7 +178,7 @@
 		c.storeFailingSince, c.storeServedAt = time.Time{}, now
 		c.waitRev = rev
 		c.highestRevision = max(c.highestRevision, rev)
-		c.flushHeld(now, true)
+		c.flushHeldReplies(now, true)
 		c.kick()
 	default:
 		if c.storeFailingSince.IsZero() {
@@ -197,8 +197,8 @@
 	}
 }
 
-// since is how long after a job's submission something was, in seconds; -1: not seen here.
-func (jv *jobView) since(j *storage.Job, at time.Time) float64 {
+// sinceReady is how long after a job's submission something was, in seconds; -1: not seen here.
+func (jv *jobState) sinceReady(j *storage.Job, at time.Time) float64 {
 	if at.IsZero() {
 		return -1
 	}
@@ -216,13 +216,13 @@
 			if m.Gone || !c.ownsShard(m.Shard) {
 				continue
 			}
-			v := c.view(m)
+			v := c.workerState(m)
 			for _, p := range m.Tasks {
 				ref := dispatch.RefOf(p)
 				_, seen := v.Seen[ref]
 				_, sent := v.Sent[ref]
 				if !seen && !sent {
-					c.direct(m, false)
+					c.sendDirect(m, false)
 					break
 				}
 			}
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -19,7 +19,7 @@
 func newCore(t *testing.T) *Controller {
 	t.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
-		Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 30},
+		Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12}}}
 	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.loaded, c.incarnation = true, 1
@@ -29,15 +29,15 @@
 			t.Fatal(err)
 		}
 	}
-	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, Token: 2}, 2)
+	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, FencingToken: 2}, 2)
 	put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 2, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
 	put(storage.GroupKey(0), storage.GroupRecord{}, 4)
-	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", Token: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
+	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
 	c.cache.Revision, c.highestRevision = 4, 4
 	c.ownedShards[0] = 2
 	m := c.cache.Machine("m")
-	c.takeReport(m, c.view(m), &protocol.Report{Machine: "m", Session: 1, Seq: 1, Token: 4}, 4, false)
+	c.applyHeartbeat(m, c.workerState(m), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 1, FencingToken: 4}, 4, false)
 	return c
 }
 
@@ -64,14 +64,14 @@
 
 func TestPlanConditions(t *testing.T) {
 	c := newCore(t)
-	b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
+	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 	// A stale owner, a cancelled job or a changed machine must make it fail.
 	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
 	if !reflect.DeepEqual(b.conds, want) {
 		t.Fatalf("conditions %v, want %v", b.conds, want)
 	}
 	r := machineIn(t, b)
-	if len(r.Tasks) != 1 || len(r.Tasks[0].Numbers) != 8 || r.Tasks[0].Numbers[1] <= 4 || r.Session != 1 {
+	if len(r.Tasks) != 1 || len(r.Tasks[0].Numbers) != 8 || r.Tasks[0].Numbers[1] <= 4 || r.Incarnation != 1 {
 		t.Fatalf("record %+v: two tasks under an attempt above every revision so far", r)
 	}
 }
@@ -96,9 +96,9 @@
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
-			b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
+			b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 			txn := b.txn()
-			c.directs = maxDirects // no workers here
+			c.directCommands = maxDirectCommands // no workers here
 			c.sent(txn, x.rev, x.failed, x.err)
 			if (c.inDoubt != nil) != x.doubt || c.waitRev != x.wait {
 				t.Fatalf("doubt %v, waiting for %d", c.inDoubt != nil, c.waitRev)
@@ -126,7 +126,7 @@
 	}
 	apply(storage.JobKey(job), storage.JobRecord{Tasks: racks * tasks, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
-	f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
+	f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 	for i := range racks {
 		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Group: i + 1})
 	}
@@ -136,14 +136,14 @@
 		for k := range tasks {
 			p = append(p, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
 		}
-		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Session: 1,
+		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Incarnation: 1,
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
 		m := c.cache.Machine(fmt.Sprint("x", i))
 		r := reportOf(m, 1)
-		r.Tasks[0].State, r.Tasks[0].Cause = protocol.Exited, protocol.CauseDone // each rack has something to say
-		c.takeReport(m, c.view(m), r, 4, false)
+		r.Tasks[0].State, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each rack has something to say
+		c.applyHeartbeat(m, c.workerState(m), r, 4, false)
 	}
-	txn, more := c.nextTxn(c.view(c.cache.Machine("m")).heard)
+	txn, more := c.nextTxn(c.workerState(c.cache.Machine("m")).heard)
 	if n := len(storage.Encode(txn)); n > 64<<10 || len(txn.Then) == 0 || !more {
 		t.Errorf("%d bytes, %d changes, more: %v", n, len(txn.Then), more)
 	}
@@ -154,14 +154,14 @@
 func TestSickIsRecorded(t *testing.T) {
 	c := newCore(t)
 	m := c.cache.Machine("m")
-	c.view(m).sick = true
-	b, _ := c.plan(c.view(m).heard, 12)
-	if r := machineIn(t, b); !r.Sick || len(r.Tasks) != 0 {
+	c.workerState(m).unhealthy = true
+	b, _ := c.plan(c.workerState(m).heard, 12)
+	if r := machineIn(t, b); !r.Unhealthy || len(r.Tasks) != 0 {
 		t.Fatalf("record %+v", r)
 	}
 	c.applyTxn(b.txn(), 9)
-	clear(c.views)
-	if v := c.view(m); c.usable(m, v, v.heard) {
+	clear(c.workerStates)
+	if v := c.workerState(m); c.usable(m, v, v.heard) {
 		t.Fatal("a new owner would place tasks on it")
 	}
 }
@@ -188,12 +188,12 @@
 		c := newCore(t)
 		c.cache.Types[0].Boot = 30
 		m := c.cache.Machine("m")
-		v := c.view(m)
+		v := c.workerState(m)
 		if v.since = now.Add(-x.known); !x.up {
-			v.Session = 0
+			v.Incarnation = 0
 		}
 		if x.rented > 0 {
-			m.Rented = now.Add(-x.rented).Unix()
+			m.ProvisionedAt = now.Add(-x.rented).Unix()
 		}
 		last := int64(0)
 		if x.lastUp > 0 {
@@ -214,24 +214,24 @@
 		state string
 		grace float64
 	}{
-		{"little to keep", 17 * time.Second, protocol.Runs, 0},
-		{"much to keep", 28 * time.Second, protocol.Runs, 3 + saveMargin},
-		{"saving already", 31 * time.Second, protocol.Saving, 3 + saveMargin},
+		{"little to keep", 17 * time.Second, protocol.TaskRunning, 0},
+		{"much to keep", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMargin},
+		{"saving already", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMargin},
 	} {
 		c := newCore(t)
 		c.applyTxn(protocol.Txn{Then: []protocol.Change{
 			{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
 				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", Mark: 15, Save: 3}})},
-			{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
+			{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
 			{Put: storage.EvictKey("job-000001"), Value: storage.Encode(storage.EvictRecord{
 				Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
 		}}, 10)
 		m := c.cache.Machine("m")
-		v, p := c.view(m), m.Tasks[0]
+		v, p := c.workerState(m), m.Tasks[0]
 		v.started[dispatch.RefOf(p)] = time.Now().Add(-x.ran)
-		v.Seen[dispatch.RefOf(p)] = dispatch.Seen{State: x.state}
-		if w := c.wish(m, v, p); !w.Stop || w.Grace != x.grace {
+		v.Seen[dispatch.RefOf(p)] = dispatch.TaskSeen{State: x.state}
+		if w := c.desiredState(m, v, p); !w.Stop || w.Grace != x.grace {
 			t.Errorf("%s: %+v, want %v s to save", x.name, w, x.grace)
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -21,32 +21,32 @@
 type StateStore interface {
 	Revision(ctx context.Context) (uint64, error)
 	List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error)
-	Txn(ctx context.Context, t protocol.Txn, haste protocol.Haste) (rev uint64, failed []string, err error)
+	Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error)
 	// Pace is how long it takes until the budget allows a transaction of n changes.
 	Pace(n int) time.Duration
-	// SetPart tells which part of the machines this node commits for, whether it leads,
+	// SetRateShare tells which part of the machines this node commits for, whether it leads,
 	// and how many changes a second it and the others make (below 0: not known).
-	SetPart(part float64, leads bool, used, others float64)
+	SetRateShare(part float64, leads bool, used, others float64)
 	// SetLimit sets the rate of changes that all nodes together may make.
 	SetLimit(changes float64)
-	// Spent is how many changes this node has made.
-	Spent() uint64
+	// ChangesUsed is how many changes this node has made.
+	ChangesUsed() uint64
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64, timeout time.Duration) error
-	Follow(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error)
+	Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error)
 }
 
 // Cloud rents machines.
 type Cloud interface {
 	Catalog(ctx context.Context) (*protocol.Catalog, error)
-	Rent(ctx context.Context, r protocol.Rental) ([]string, error)
-	Return(ctx context.Context, names []string) error
+	ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error)
+	ScaleIn(ctx context.Context, names []string) error
 	List(ctx context.Context, after string) (protocol.MachineList, error)
 }
 
 // WorkerLink reaches workers directly.
 type WorkerLink interface {
-	Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Report, int, error)
+	Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error)
 }
 
 // Timing are the core's own timings.
@@ -82,90 +82,90 @@
 	done  chan struct{}
 
 	// all below belongs to the core's goroutine
-	cache               *storage.Cache
-	loaded              bool
-	unread              bool   // the records could not be read yet: no answer
-	foreignLayout       bool   // the records are of a layout that this version does not read
-	highestRevision     uint64 // the highest revision seen, own commits included
-	incarnation         uint64
-	sessionLease        uint64
-	views               map[int32]*machineView
-	jobs                map[*storage.Job]*jobView
-	ownedShards         []uint64 // by share: the version under which it is owned, 0: not
-	dirty               bool
-	next                time.Time // no cycle before
-	inflight            bool
-	finishing           []*storage.Job  // jobs that the latest plan calls done
-	inDoubt             *protocol.Txn   // sent with unknown outcome: repeated until it is known
-	planned             int             // tasks that the latest plan places
-	lastOps             int             // changes of the latest transaction
-	firstGroup          int             // the rack that the next plan begins with
-	idleRuns            bool            // idle-time work is placed on this node's machines
-	edits               map[int32]*edit // by machine
-	waitingByShard      []int           // by share: tasks that waited when last planned
-	toGreet             []*storage.Machine
-	leaderVersion       uint64 // of the leader's key
-	leaderSince         time.Time
-	waitRev             uint64 // no cycle before the follow got here
-	held                []heldReply
-	storeFailingSince   time.Time // the state service has not answered well since
-	waiters             []revWaiter
-	leaderWriteInFlight bool
-	gateBusy            bool
-	workingOff          bool
-	lowered             bool // the state service has refused something for its size
-	lowRate             bool // the rate to come is kept to
-	doomTurn            int
-	tries               uint64 // long descriptions written by this process
-	scratch             scratch
-	oversizedGroup      *storage.MachineGroup // its record would be over the limit: it is parted next
-	shardWriteInFlight  bool
-	membersChangedAt    time.Time        // when membership last changed
-	ownershipHistory    []shardOwnership // by share
-	ownershipLoaded     bool
-	zones               []zone               // by zone
-	brokenConnections   map[string]time.Time // by node: its connection broke off while it was heard
-	startedAt           time.Time            // when this process did
-	leaseSeenAt         map[string]time.Time // by node: when its hold was last seen
-	memberRevision      uint64               // the revision with which this node's record was last written
-	memberWriteInFlight bool                 // it is being written
-	leader              leaderState
-	directs             int
-	ordinaryAt          time.Time // when a job that may not use spot machines was last open
-	flooded             bool      // a flood is dealt with
-	alpha               float64
-	barriers            barrier
-	peers               map[string]peerState
-	disconnectedPeers   map[string]time.Time // nodes whose connection ended, until they are heard again
-	heardAny            time.Time            // when any worker was last heard
-	ownershipSince      time.Time            // when this node last took over a share
-	placedSinceTakeover bool                 // it has placed tasks since
-	tallies             tallies
-	notReady            atomic.Bool // reaches no worker
-	lastProbeAt         time.Time
-	nextProbe           int
-	storeServedAt       time.Time // when the state service last served this node
-	cacheCurrentAt      time.Time // the cache holds all that was committed until then
-	words               words
-	blind               blind
-	stopping            map[int32]*stopping  // by machine with a cancelled job's task
-	learned             map[string]time.Time // by cancelled job whose record doesn't tell when: this process has known since
-	wasLeader           bool                 // as last noted
-	manyMute            bool                 // too many workers are mute for it to be their own fault
-	reachedAt           time.Time            // when a worker last answered stops
-	lastLoopAt          time.Time            // when the core's loop last did
-	spent               uint64               // changes made, when last looked at
-	spentAt             time.Time
-	pace                float64   // changes that this node makes a second
-	resumedAt           time.Time // when this node last woke from a standstill
-	leaseRenewedAt      time.Time // when the latest renewal of the hold that worked was sent
-	summary             publishedSummary
-	metrics             *Metrics
-	operator            OperatorSettings
-	settingsAt          uint64
-	evictions           []EvictionView
-	evictSeen           map[string]uint64
-	viewing             *viewing // nil: off
+	cache                  *storage.Cache
+	loaded                 bool
+	unread                 bool   // the records could not be read yet: no answer
+	foreignLayout          bool   // the records are of a layout that this version does not read
+	highestRevision        uint64 // the highest revision seen, own commits included
+	incarnation            uint64
+	sessionLease           uint64
+	workerStates           map[int32]*workerState
+	jobStates              map[*storage.Job]*jobState
+	ownedShards            []uint64 // by share: the version under which it is owned, 0: not
+	dirty                  bool
+	next                   time.Time // no cycle before
+	inflight               bool
+	finishing              []*storage.Job  // jobs that the latest plan calls done
+	inDoubt                *protocol.Txn   // sent with unknown outcome: repeated until it is known
+	planned                int             // tasks that the latest plan places
+	lastOps                int             // changes of the latest transaction
+	firstGroup             int             // the rack that the next plan begins with
+	idleRuns               bool            // idle-time work is placed on this node's machines
+	edits                  map[int32]*edit // by machine
+	waitingByShard         []int           // by share: tasks that waited when last planned
+	uncontacted            []*storage.Machine
+	leaderVersion          uint64 // of the leader's key
+	leaderSince            time.Time
+	waitRev                uint64 // no cycle before the follow got here
+	heldReplies            []heldReply
+	storeFailingSince      time.Time // the state service has not answered well since
+	waiters                []revWaiter
+	leaderWriteInFlight    bool
+	gateBusy               bool
+	workingOff             bool
+	lowered                bool // the state service has refused something for its size
+	lowRate                bool // the rate to come is kept to
+	doomTurn               int
+	tries                  uint64 // long descriptions written by this process
+	scratch                scratch
+	oversizedGroup         *storage.MachineGroup // its record would be over the limit: it is parted next
+	shardWriteInFlight     bool
+	membersChangedAt       time.Time        // when membership last changed
+	ownershipHistory       []shardOwnership // by share
+	ownershipLoaded        bool
+	zones                  []zone               // by zone
+	brokenConnections      map[string]time.Time // by node: its connection broke off while it was heard
+	startedAt              time.Time            // when this process did
+	leaseSeenAt            map[string]time.Time // by node: when its hold was last seen
+	memberRevision         uint64               // the revision with which this node's record was last written
+	memberWriteInFlight    bool                 // it is being written
+	leader                 leaderState
+	directCommands         int
+	ordinaryAt             time.Time // when a job that may not use spot machines was last open
+	flooded                bool      // a flood is dealt with
+	alpha                  float64
+	barriers               barrier
+	peers                  map[string]peerState
+	disconnectedPeers      map[string]time.Time // nodes whose connection ended, until they are heard again
+	anyWorkerHeardAt       time.Time            // when any worker was last heard
+	ownershipSince         time.Time            // when this node last took over a share
+	placedSinceTakeover    bool                 // it has placed tasks since
+	tallies                tallies
+	notReady               atomic.Bool // reaches no worker
+	lastProbeAt            time.Time
+	nextProbe              int
+	storeServedAt          time.Time // when the state service last served this node
+	cacheCurrentAt         time.Time // the cache holds all that was committed until then
+	digest                 digestState
+	unverified             unverifiedRenewals
+	terminations           map[int32]*termination // by machine with a cancelled job's task
+	cancellationsLearnedAt map[string]time.Time   // by cancelled job whose record doesn't tell when: this process has known since
+	wasLeader              bool                   // as last noted
+	manyUnresponsive       bool                   // too many workers are mute for it to be their own fault
+	workerReachedAt        time.Time              // when a worker last answered stops
+	lastLoopAt             time.Time              // when the core's loop last did
+	spent                  uint64                 // changes made, when last looked at
+	spentAt                time.Time
+	pace                   float64   // changes that this node makes a second
+	resumedAt              time.Time // when this node last woke from a standstill
+	leaseRenewedAt         time.Time // when the latest renewal of the hold that worked was sent
+	summary                publishedSummary
+	metrics                *Metrics
+	operator               OperatorSettings
+	settingsAt             uint64
+	evictions              []EvictionView
+	evictSeen              map[string]uint64
+	viewing                *viewing // nil: off
 
 	// Layout, set before Run, is the latest layout of the records that this node reads. With
 	// the plain one it does as the version before did: for tests of both side by side.
@@ -177,43 +177,43 @@
 	OnLogLevel func(string)
 }
 
-type machineView struct {
-	*dispatch.View
-	since    time.Time                 // known to this owner since
-	heard    time.Time                 // last message of its worker
-	reported time.Time                 // last report proper: what it is asked for renews no lease
-	notice   time.Time                 // when the cloud takes it; zero: not announced
-	images   []int                     // most recently used last
-	failed   map[*storage.Job]*failing // since it last completed anything
-	sick     bool
-	probes   int                        // unanswered in a row
-	started  map[dispatch.Ref]time.Time // seen running since
-	idle     time.Time                  // empty since
-	speed    float64                    // measured run time over estimate, smoothed
-	returned bool                       // the cloud confirmed that it is gone
+type workerState struct {
+	*dispatch.Worker
+	since        time.Time                 // known to this owner since
+	heard        time.Time                 // last message of its worker
+	heartbeatAt  time.Time                 // last report proper: what it is asked for renews no lease
+	preemptedAt  time.Time                 // when the cloud takes it; zero: not announced
+	images       []int                     // most recently used last
+	failures     map[*storage.Job]*failing // since it last completed anything
+	unhealthy    bool
+	missedProbes int                        // unanswered in a row
+	started      map[dispatch.Ref]time.Time // seen running since
+	emptySince   time.Time                  // empty since
+	slowdown     float64                    // measured run time over estimate, smoothed
+	terminated   bool                       // the cloud confirmed that it is gone
 }
 
-type jobView struct {
-	queued   map[int]time.Time // by task: waiting again since
-	fails    int               // failures without a success
-	rounds   int               // tries since it became suspect
-	backoff  time.Time
-	asked    time.Time    // short of room since
-	moving   dispatch.Ref // the replica that was told last to leave a machine which is drained
-	movedAt  time.Time
-	hopes    time.Time // leaves free room alone for room that it evicts since
-	began    time.Time // first task placed
-	full     time.Time // latest task placed
-	victim   int       // tasks stopped by command
-	evicted  int
-	machines map[int32]bool // that it failed on without a success, sick ones aside
+type jobState struct {
+	requeuedAt      map[int]time.Time // by task: waiting again since
+	failures        int               // failures without a success
+	suspectTries    int               // tries since it became suspect
+	backoff         time.Time
+	shortSince      time.Time    // short of room since
+	relocating      dispatch.Ref // the replica that was told last to leave a machine which is drained
+	relocatedAt     time.Time
+	hopesSince      time.Time // leaves free room alone for room that it evicts since
+	firstPlacedAt   time.Time // first task placed
+	lastPlacedAt    time.Time // latest task placed
+	terminatedTasks int       // tasks stopped by command
+	preemptedTasks  int
+	failedOn        map[int32]bool // that it failed on without a success, sick ones aside
 }
 
 type heldReply struct {
-	machine string
-	report  *protocol.Report
-	until   time.Time
-	reply   func(int, any)
+	machine   string
+	heartbeat *protocol.Heartbeat
+	until     time.Time
+	reply     func(int, any)
 }
 
 type revWaiter struct {
@@ -226,17 +226,17 @@
 	c := &Controller{
 		cfg: cfg, store: state, cloud: cloud, workers: workers, log: log, timing: times,
 		inbox: make(chan func(), 1024), done: make(chan struct{}), cache: storage.NewCache(cfg),
-		views: map[int32]*machineView{}, jobs: map[*storage.Job]*jobView{}, peers: map[string]peerState{}, disconnectedPeers: map[string]time.Time{}, alpha: DefaultAlpha,
+		workerStates: map[int32]*workerState{}, jobStates: map[*storage.Job]*jobState{}, peers: map[string]peerState{}, disconnectedPeers: map[string]time.Time{}, alpha: DefaultAlpha,
 	}
 	c.ownershipHistory, c.brokenConnections = make([]shardOwnership, c.cache.NumShards), map[string]time.Time{}
 	c.leaseSeenAt, c.startedAt = map[string]time.Time{}, time.Now()
 	c.ownedShards, c.waitingByShard, c.edits = make([]uint64, c.cache.NumShards), make([]int, c.cache.NumShards), map[int32]*edit{}
-	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesWord
+	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesCancellationDigest
 	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
 	c.metrics.Registry.MustRegister(gauges{c})
-	c.blind = blind{since: time.Now(), renewed: map[string]time.Time{}}
-	c.stopping = map[int32]*stopping{}
-	c.words = words{told: map[string]uint64{}, heard: map[string]time.Time{}}
+	c.unverified = unverifiedRenewals{since: time.Now(), renewed: map[string]time.Time{}}
+	c.terminations = map[int32]*termination{}
+	c.digest = digestState{gossiped: map[string]uint64{}, vouchedUntil: map[string]time.Time{}}
 	c.leader.init()
 	return c
 }
@@ -306,15 +306,15 @@
 
 func (c *Controller) tick(ctx context.Context) {
 	now := time.Now()
-	c.flushHeld(now, false)
+	c.flushHeldReplies(now, false)
 	c.publish(now)
 	if !c.loaded {
 		return
 	}
 	c.cache.Sweep()
-	for j := range c.jobs {
+	for j := range c.jobStates {
 		if !j.Open() && j.NPlaced == 0 {
-			delete(c.jobs, j)
+			delete(c.jobStates, j)
 		}
 	}
 	c.checkReadiness(ctx, now)
@@ -324,12 +324,12 @@
 	c.openGate(ctx)
 	c.workOff(ctx)
 	c.watchZones(now)
-	c.watchMachines(ctx, now, c.watchStops(now))
+	c.superviseMachines(ctx, now, c.superviseTerminations(now))
 	c.moveReplicas(now)
 	c.autoscaleAsLeader(ctx, now)
 	c.learn(ctx, now)
 	c.flushEdits(ctx)
-	c.greet()
+	c.contactWorkers()
 	c.setPart()
 	c.tell(now)
 	c.showView(now, false)
@@ -361,11 +361,11 @@
 	}
 	now := time.Now()
 	if dt := now.Sub(c.spentAt).Seconds(); dt > 0 {
-		spent := c.store.Spent()
+		spent := c.store.ChangesUsed()
 		c.pace += min(1, dt) * (float64(spent-c.spent)/dt - c.pace) // over about a second
 		c.spent, c.spentAt = spent, now
 	}
-	c.store.SetPart(part, c.isLeader(), c.pace, c.othersChanges(now))
+	c.store.SetRateShare(part, c.isLeader(), c.pace, c.othersChanges(now))
 }
 
 // ownsShard tells whether this process owns a share. The follow must have come as far
@@ -381,28 +381,28 @@
 	return l.Version > 0 && c.incarnation > 0 && l.Member == c.cfg.MemberName && l.Incarnation == c.incarnation
 }
 
-func (c *Controller) view(m *storage.Machine) *machineView {
-	v := c.views[m.Index]
+func (c *Controller) workerState(m *storage.Machine) *workerState {
+	v := c.workerStates[m.Index]
 	if v == nil {
 		now := time.Now()
-		v = &machineView{View: dispatch.NewView(), since: now, heard: now, reported: reportedAnew(c.cfg.Deployment.Workers, now), idle: now,
-			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, speed: 1, failed: map[*storage.Job]*failing{}}
-		c.views[m.Index] = v
+		v = &workerState{Worker: dispatch.NewWorker(), since: now, heard: now, heartbeatAt: heartbeatBaseline(c.cfg.Deployment.Workers, now), emptySince: now,
+			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, slowdown: 1, failures: map[*storage.Job]*failing{}}
+		c.workerStates[m.Index] = v
 	}
 	return v
 }
 
 // hasEnded tells whether an attempt is proved to be gone.
-func (v *machineView) hasEnded(ref dispatch.Ref) bool {
+func (v *workerState) hasEnded(ref dispatch.Ref) bool {
 	_, ok := v.Gone[ref]
 	return ok
 }
 
-func (c *Controller) jobView(j *storage.Job) *jobView {
-	v := c.jobs[j]
+func (c *Controller) jobState(j *storage.Job) *jobState {
+	v := c.jobStates[j]
 	if v == nil {
-		v = &jobView{queued: map[int]time.Time{}, machines: map[int32]bool{}}
-		c.jobs[j] = v
+		v = &jobState{requeuedAt: map[int]time.Time{}, failedOn: map[int32]bool{}}
+		c.jobStates[j] = v
 	}
 	return v
 }
--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Closing || m.Spot || m.Sick || m.Drains || c.zoneAway(m.Zone) || c.overdue(m, bootPatience, now) {
+		if m.Gone || m.Returning || m.Spot || m.Unhealthy || m.Draining || c.zoneAway(m.Zone) || c.overdue(m, bootPatience, now) {
 			continue
 		}
 		left := c.cache.Types[m.Type].Cpus
@@ -171,7 +171,7 @@
 		return d, false
 	}
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Closing || m.Drains || m.Spot || c.zoneAway(m.Zone) {
+		if m.Gone || m.Returning || m.Draining || m.Spot || c.zoneAway(m.Zone) {
 			continue
 		}
 		for _, p := range m.Tasks {
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -90,9 +90,9 @@
 		if fresh {
 			key := storage.GroupKey(rack)
 			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, Token: c.nextRevision()}, c.cache.Packed())})
+			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, FencingToken: c.nextRevision()}, c.cache.Packed())})
 		}
-		f.Token = max(f.Token, n.kind.Token, c.nextRevision())
+		f.FencingToken = max(f.FencingToken, n.kind.FencingToken, c.nextRevision())
 		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Group: rack, Addr: n.addr})
 		batch = append(batch, n)
 	}
@@ -143,7 +143,7 @@
 func (c *Controller) commitSurely(ctx context.Context, t protocol.Txn, then func(ok bool)) {
 	doubt := false // an earlier try may still be applied: a refusal settles only its own
 	for ctx.Err() == nil {
-		rev, failed, err := c.transact(ctx, t, protocol.ForUser)
+		rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
 		if doubt && errors.Is(err, protocol.ErrTooLarge) {
 			c.reacquireLeadership(ctx, t.If[0])
 			c.committed(t, 0, false, then) // what became of it, the cache shows
@@ -186,7 +186,7 @@
 		}) != nil {
 			return
 		}
-		rev, failed, err := c.store.Txn(ctx, t, protocol.ForUser)
+		rev, failed, err := c.store.Txn(ctx, t, protocol.UserRequest)
 		// A comparison that holds settles nothing: the first copy may still come.
 		if err == nil && (len(failed) > 0 || len(t.Then) > 0) {
 			if len(failed) == 0 {
@@ -204,7 +204,7 @@
 func (c *Controller) groupSize() int {
 	n := len(c.leader.newcomers)
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing {
+		if !m.Gone && !m.Returning {
 			n++
 		}
 	}
@@ -237,7 +237,7 @@
 		r := &groupCapacity{shard: k.Shard, free: size, empty: true}
 		for _, m := range k.Machines {
 			r.empty, r.spot = false, m.Spot
-			if !m.Closing {
+			if !m.Returning {
 				r.free--
 			}
 		}
--- a/internal/coordination/evict.go
+++ b/internal/coordination/evict.go
@@ -41,8 +41,8 @@
 			continue
 		}
 		jobs = append(jobs, j)
-		if jv := c.jobView(j); jv.asked.IsZero() {
-			jv.asked = now
+		if jv := c.jobState(j); jv.shortSince.IsZero() {
+			jv.shortSince = now
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *storage.Job) int {
@@ -63,11 +63,11 @@
 		if inVain[a] && len(j.Types) == 0 {
 			continue // nothing may be evicted for its like
 		}
-		jv := c.jobView(j)
+		jv := c.jobState(j)
 		if c.cache.Evicted[j.ID] != nil || now.Before(jv.backoff) || c.suspect(j) {
 			continue // its last set is still being worked off, or it fails everywhere
 		}
-		if now.Sub(jv.asked) < borrowWait && c.othersHaveFree(j) {
+		if now.Sub(jv.shortSince) < borrowWait && c.othersHaveFree(j) {
 			continue // free machines of other shares come first
 		}
 		cands := c.candidates(now, j, in, left, until)
@@ -102,11 +102,11 @@
 	if !j.Priority.Top() || c.suspect(j) {
 		return false
 	}
-	jv := c.jobView(j)
-	if now.Sub(jv.hopes) > hopeAgain {
-		jv.hopes = now
+	jv := c.jobState(j)
+	if now.Sub(jv.hopesSince) > hopeAgain {
+		jv.hopesSince = now
 	}
-	return now.Sub(jv.hopes) < hopeFor
+	return now.Sub(jv.hopesSince) < hopeFor
 }
 
 const (
@@ -209,10 +209,10 @@
 func (c *Controller) roomUsed(e *storage.Evicted, j *storage.Job) bool {
 	for _, r := range e.Rooms {
 		m := c.cache.Machine(r.Machine)
-		if m == nil || m.Closing || m.Shard != e.Shard {
+		if m == nil || m.Returning || m.Shard != e.Shard {
 			continue
 		}
-		if v := c.views[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
+		if v := c.workerStates[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
 			continue
 		}
 		if slotsLeft(e, r, j, m) > 0 {
@@ -225,7 +225,7 @@
 // othersHaveFree tells whether other shares have empty machines that would do.
 func (c *Controller) othersHaveFree(j *storage.Job) bool {
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing && m.Shard != j.Shard && len(m.Tasks) == 0 && schedule.Allowed(j, m) {
+		if !m.Gone && !m.Returning && m.Shard != j.Shard && len(m.Tasks) == 0 && schedule.Allowed(j, m) {
 			return true
 		}
 	}
@@ -247,7 +247,7 @@
 		if !schedule.Allowed(j, s.M) {
 			continue
 		}
-		v := c.view(s.M)
+		v := c.workerState(s.M)
 		tasks := s.M.Tasks
 		if l, ok := left[s.M.Index]; ok {
 			tasks = l
@@ -282,7 +282,7 @@
 }
 
 // lossOf is how many seconds of a task's run would be lost if it were stopped now: since its start or its last checkpoint.
-func lossOf(v *machineView, p storage.Placed, now time.Time) float64 {
+func lossOf(v *workerState, p storage.Placed, now time.Time) float64 {
 	ref, ran := dispatch.RefOf(p), 0.0
 	if at, ok := v.started[ref]; ok {
 		ran = now.Sub(at).Seconds()
@@ -328,8 +328,8 @@
 		}
 	}
 	slices.SortFunc(e.Rooms, func(a, b storage.RoomRecord) int { return strings.Compare(a.Machine, b.Machine) })
-	jv := c.jobView(j)
-	jv.evicted += len(e.Victims)
+	jv := c.jobState(j)
+	jv.preemptedTasks += len(e.Victims)
 	c.log.Info("evicting", "job", j.ID, "victims", len(e.Victims), "slots", len(e.Rooms), "share", j.Shard)
 	key := storage.EvictKey(j.ID)
 	b.when(storage.JobKey(j.ID), j.Version)
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -25,49 +25,49 @@
 
 // noteFailure takes down that an attempt failed by itself: by its machine's fault or
 // by its job's, which only others can tell.
-func (c *Controller) noteFailure(m *storage.Machine, v *machineView, j *storage.Job, now time.Time) {
-	jv := c.jobView(j)
-	f := v.failed[j]
+func (c *Controller) noteFailure(m *storage.Machine, v *workerState, j *storage.Job, now time.Time) {
+	jv := c.jobState(j)
+	f := v.failures[j]
 	if f == nil {
 		f = &failing{since: now}
-		v.failed[j] = f
+		v.failures[j] = f
 	}
 	f.n++
-	jv.fails++
-	if !v.sick && !m.Sick {
-		jv.machines[m.Index] = true
+	jv.failures++
+	if !v.unhealthy && !m.Unhealthy {
+		jv.failedOn[m.Index] = true
 	}
 	if now.Before(jv.backoff) {
 		return // of the same wave
 	}
 	f.waves++
-	if jv.fails >= failuresJob {
-		jv.rounds++
-		jv.backoff = now.Add(min(maxBackoff, time.Second<<min(jv.rounds, 6)))
-		c.log.Info("job fails", "job", j.ID, "failures", jv.fails, "machines", len(jv.machines), "suspect", c.suspect(j))
+	if jv.failures >= failuresJob {
+		jv.suspectTries++
+		jv.backoff = now.Add(min(maxBackoff, time.Second<<min(jv.suspectTries, 6)))
+		c.log.Info("job fails", "job", j.ID, "failures", jv.failures, "machines", len(jv.failedOn), "suspect", c.suspect(j))
 	}
 }
 
 // noteSuccess clears both of suspicion.
-func (c *Controller) noteSuccess(v *machineView, j *storage.Job) {
-	clear(v.failed)
-	c.jobView(j).clearSuspicion()
+func (c *Controller) noteSuccess(v *workerState, j *storage.Job) {
+	clear(v.failures)
+	c.jobState(j).clearSuspicion()
 }
 
-func (jv *jobView) clearSuspicion() {
-	jv.fails, jv.rounds = 0, 0
-	clear(jv.machines)
+func (jv *jobState) clearSuspicion() {
+	jv.failures, jv.suspectTries = 0, 0
+	clear(jv.failedOn)
 }
 
 // noteSteady clears a service of suspicion once a replica has run for a while: its
 // replicas never complete.
-func (c *Controller) noteSteady(v *machineView, j *storage.Job, ran time.Duration) {
-	if j.Shape != protocol.Service || ran < steady || len(v.failed) == 0 && c.jobs[j] == nil {
+func (c *Controller) noteSteady(v *workerState, j *storage.Job, ran time.Duration) {
+	if j.Shape != protocol.Service || ran < steady || len(v.failures) == 0 && c.jobStates[j] == nil {
 		return
 	}
-	if jv := c.jobView(j); len(jv.machines) > 0 || v.failed[j] != nil {
+	if jv := c.jobState(j); len(jv.failedOn) > 0 || v.failures[j] != nil {
 		jv.clearSuspicion()
-		delete(v.failed, j)
+		delete(v.failures, j)
 	}
 }
 
@@ -84,8 +84,8 @@
 	if j.Suspect {
 		return true
 	}
-	jv := c.jobs[j]
-	return jv != nil && len(jv.machines) >= failuresJob
+	jv := c.jobStates[j]
+	return jv != nil && len(jv.failedOn) >= failuresJob
 }
 
 // wanting is how many of a job's waiting tasks are worth room now.
@@ -100,8 +100,8 @@
 // noteSuspects writes it down for other nodes that a job seems to be mistaken: the leader rents
 // for it, and the share's next owner would start all of its tasks again.
 func (c *Controller) noteSuspects(d *draft) {
-	for j, jv := range c.jobs {
-		if len(jv.machines) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.NDone > 0 || d.used >= d.ops {
+	for j, jv := range c.jobStates {
+		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.NDone > 0 || d.used >= d.ops {
 			continue
 		}
 		key := storage.JobKey(j.ID)
@@ -117,8 +117,8 @@
 
 // blamed is how many failures speak against a machine: those of jobs that do not fail
 // everywhere.
-func (c *Controller) blamed(v *machineView, now time.Time) (n, jobs int, proved bool) {
-	for j, f := range v.failed {
+func (c *Controller) blamed(v *workerState, now time.Time) (n, jobs int, proved bool) {
+	for j, f := range v.failures {
 		if c.suspect(j) || now.Sub(f.since) < failureSettles {
 			continue
 		}
@@ -134,15 +134,15 @@
 // judge finds out whether a machine fails its tasks. A job with a mistake fails on
 // every machine; a faulty machine fails every job. One that completes elsewhere, or
 // another job that does not fail elsewhere, tells which.
-func (c *Controller) judge(m *storage.Machine, v *machineView, now time.Time) {
-	if v.sick || len(v.failed) == 0 {
+func (c *Controller) judge(m *storage.Machine, v *workerState, now time.Time) {
+	if v.unhealthy || len(v.failures) == 0 {
 		return
 	}
 	if n, jobs, proved := c.blamed(v, now); n >= failuresSick && (jobs > 1 || proved) {
 		c.log.Info("machine fails its tasks, giving it up", "machine", m.Name, "failures", n, "jobs", jobs)
-		v.sick = true
-		for j := range v.failed {
-			delete(c.jobView(j).machines, m.Index) // that was not the job's fault
+		v.unhealthy = true
+		for j := range v.failures {
+			delete(c.jobState(j).failedOn, m.Index) // that was not the job's fault
 		}
 	}
 }
@@ -151,9 +151,9 @@
 func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.NPlaced > 0 }
 
 // failedRecently counts a machine's failures that may be its own, at most a few.
-func (c *Controller) failedRecently(v *machineView) float64 {
+func (c *Controller) failedRecently(v *workerState) float64 {
 	n := 0
-	for j, f := range v.failed {
+	for j, f := range v.failures {
 		if !c.suspect(j) {
 			n += f.n
 		}
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -65,16 +65,16 @@
 					now = now.Add(2 * maxBackoff)
 				}
 				m := c.cache.Machine(fmt.Sprint("x", f.machine))
-				c.noteOutcome(m, c.view(m), dispatch.Ref{Job: jobs[f.job], Task: i}, dispatch.Failed, now)
+				c.noteOutcome(m, c.workerState(m), dispatch.Ref{Job: jobs[f.job], Task: i}, dispatch.Failed, now)
 			}
 			var got want
 			for i := range 4 {
 				m := c.cache.Machine(fmt.Sprint("x", i))
-				v := c.view(m)
-				if c.judge(m, v, start); v.sick {
+				v := c.workerState(m)
+				if c.judge(m, v, start); v.unhealthy {
 					t.Errorf("machine %d is judged before its failures have settled", i)
 				}
-				if c.judge(m, v, now.Add(2*failureSettles)); v.sick {
+				if c.judge(m, v, now.Add(2*failureSettles)); v.unhealthy {
 					got.sick = append(got.sick, i)
 				}
 			}
--- a/internal/coordination/floods.go
+++ b/internal/coordination/floods.go
@@ -71,7 +71,7 @@
 		If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
 			{Key: storage.UsualKey, Version: c.cache.Usual.Version}},
 		Then: []protocol.Change{{Put: storage.UsualKey, Value: storage.Encode(c.cache.UsualRecordOf(l.learner.Usual(), c.valueLimit()*8/10))}},
-	}, protocol.Background, func(bool) { l.busy = false })
+	}, protocol.BackgroundRequest, func(bool) { l.busy = false })
 }
 
 // flooding is how the classes of the teams stand.
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -49,7 +49,7 @@
 		t.Then = append(t.Then, protocol.Change{Put: storage.BarKey, Value: storage.Encode(rec)})
 	}
 	c.gateBusy = true
-	c.commitAside(ctx, t, protocol.Urgent, func(ok bool) {
+	c.commitAside(ctx, t, protocol.UrgentRequest, func(ok bool) {
 		c.gateBusy = false
 		if ok {
 			c.log.Info("layout of the records", "version", rec.Version, "nodes", seen)
@@ -62,7 +62,7 @@
 // was written small needs no second thought when they do.
 func (c *Controller) limits() config.State {
 	if c.cache.Packed() || c.lowered {
-		return c.cfg.Deployment.State.Coming()
+		return c.cfg.Deployment.State.Effective()
 	}
 	return c.cfg.Deployment.State
 }
@@ -77,7 +77,7 @@
 
 // transact carries out a transaction, and takes notice when the state service refuses it
 // for its size.
-func (c *Controller) transact(ctx context.Context, t protocol.Txn, haste protocol.Haste) (rev uint64, failed []string, err error) {
+func (c *Controller) transact(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	if rev, failed, err = c.store.Txn(ctx, t, haste); errors.Is(err, protocol.ErrTooLarge) {
 		c.post(func() { c.lower(err) })
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	c.workingOff = true
-	c.commitAside(ctx, t, protocol.Background, func(ok bool) {
+	c.commitAside(ctx, t, protocol.BackgroundRequest, func(ok bool) {
 		c.workingOff = false
 		c.log.Info("large fleet record worked off", "changes", len(t.Then), "ok", ok)
 	})
@@ -177,7 +177,7 @@
 		last.Machines = append(last.Machines, x)
 		if len(last.Machines) > 1 && len(storage.EncodeGroup(last, true)) > limit {
 			last.Machines = last.Machines[:len(last.Machines)-1]
-			parts = append(parts, &storage.GroupRecord{Shard: k.Shard, Token: k.Token, Machines: []storage.GroupMachine{x}})
+			parts = append(parts, &storage.GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Machines: []storage.GroupMachine{x}})
 		}
 	}
 	if len(parts) == 1 {
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -21,9 +21,9 @@
 // repeated for ever.
 func TestDoubtIsSettled(t *testing.T) {
 	c := newCore(t)
-	b, _ := c.plan(c.view(c.cache.Machine("m")).heard, 12)
+	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 	txn := b.txn()
-	c.directs = maxDirects
+	c.directCommands = maxDirectCommands
 	c.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
 	c.sent(*c.inDoubt, 0, nil, tooLarge)
@@ -50,7 +50,7 @@
 	}
 	// Without a doubt a refusal for size is definite.
 	c = newCore(t)
-	b, _ = c.plan(c.view(c.cache.Machine("m")).heard, 12)
+	b, _ = c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 	if c.sent(b.txn(), 0, nil, tooLarge); c.inDoubt != nil || !c.lowered {
 		t.Errorf("doubt %v, lowered %v", c.inDoubt != nil, c.lowered)
 	}
@@ -92,7 +92,7 @@
 				}
 				apply(storage.JobKey(id), storage.JobRecord{Tasks: n, Team: "red", Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}})
 			}
-			f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
+			f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 			for i := range racks * machines {
 				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Group: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
 			}
@@ -100,7 +100,7 @@
 			for k := range racks {
 				rec := storage.GroupRecord{}
 				for _, x := range f.Machines[k*machines : (k+1)*machines] {
-					m := storage.GroupMachine{Name: x.Name, Session: 1}
+					m := storage.GroupMachine{Name: x.Name, Incarnation: 1}
 					for range tasks {
 						id := jobs[r.IntN(len(jobs))]
 						if next[id] >= 200 {
@@ -119,11 +119,11 @@
 				apply(storage.GroupKey(k+1), rec)
 			}
 			apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
-			c.directs = maxDirects // no workers here
+			c.directCommands = maxDirectCommands // no workers here
 			c.changed()
 			for _, m := range c.cache.Machines {
 				if m.Name != "m" {
-					c.takeReport(m, c.view(m), reportOf(m, 1), 4, false)
+					c.applyHeartbeat(m, c.workerState(m), reportOf(m, 1), 4, false)
 				}
 			}
 			limit, total, steps := 2<<10, len(on), 0
@@ -131,7 +131,7 @@
 				if steps == 100*int(seed%2) { // then what is there only runs out
 					for _, j := range c.cache.Jobs {
 						if j != nil {
-							c.jobView(j).backoff = time.Now().Add(time.Hour)
+							c.jobState(j).backoff = time.Now().Add(time.Hour)
 						}
 					}
 				}
@@ -139,16 +139,16 @@
 					if m.Name == "m" || len(m.Tasks) == 0 || r.IntN(10) > 0 {
 						continue
 					}
-					v := c.view(m)
+					v := c.workerState(m)
 					rep := reportOf(m, v.Seq+1)
 					for i := range rep.Tasks {
 						if r.IntN(3) == 0 {
-							rep.Tasks[i].State, rep.Tasks[i].Cause = protocol.Exited, protocol.CauseDone
+							rep.Tasks[i].State, rep.Tasks[i].Cause = protocol.TaskExited, protocol.CauseDone
 						}
 					}
-					c.takeReport(m, v, rep, c.cache.Token(m), false)
+					c.applyHeartbeat(m, v, rep, c.cache.FencingToken(m), false)
 				}
-				txn, _ := c.nextTxn(c.view(c.cache.Machine("m")).heard)
+				txn, _ := c.nextTxn(c.workerState(c.cache.Machine("m")).heard)
 				if len(txn.Then) == 0 {
 					placed := 0
 					for _, j := range c.cache.Jobs {
@@ -218,7 +218,7 @@
 		c := newCore(t)
 		c.cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
 			Next: &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}}
-		f := storage.FleetRecord{Type: "t", Zone: "a", Token: 4}
+		f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 		for i := range 200 {
 			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Group: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 		}
@@ -250,7 +250,7 @@
 			}
 			there := 0
 			for _, m := range c.cache.Machines {
-				if c.cache.Known(m.Name) && m.Fleet != nil && m.Listed > 0 && len(m.Group.Machines) > 0 {
+				if c.cache.Known(m.Name) && m.Fleet != nil && m.FleetEntries > 0 && len(m.Group.Machines) > 0 {
 					there++
 				}
 			}
@@ -262,8 +262,8 @@
 			t.Errorf("width %d: not worked off after %d steps", width, steps)
 		}
 		for _, m := range c.cache.Machines {
-			if m.Listed != 1 {
-				t.Fatalf("%s is listed %d times", m.Name, m.Listed)
+			if m.FleetEntries != 1 {
+				t.Fatalf("%s is listed %d times", m.Name, m.FleetEntries)
 			}
 		}
 	}
@@ -282,7 +282,7 @@
 	err    error
 }
 
-func (s *scriptStore) Txn(_ context.Context, t protocol.Txn, _ protocol.Haste) (uint64, []string, error) {
+func (s *scriptStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
 	a := s.answers[len(s.asked)]
 	s.asked = append(s.asked, t)
 	return a.rev, a.failed, a.err
@@ -315,7 +315,7 @@
 				defer cancel()
 				c := newCore(t)
 				store := &scriptStore{answers: x.answers}
-				c.store, c.directs, c.sessionLease = store, maxDirects, 7
+				c.store, c.directCommands, c.sessionLease = store, maxDirectCommands, 7
 				node := map[bool]string{true: "n0", false: "n1"}[x.leads]
 				c.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: storage.LeaderKey,
 					Value: storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1})}}}, 5)
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 	}
-	put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
+	put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
 	put(storage.EvictKey("job-000001"), storage.EvictRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
@@ -155,8 +155,8 @@
 func TestGoldenMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := goldenCore(t)
-		c.metrics.wait.WithLabelValues(c.classLabel(0), "red").Observe(1)
-		c.metrics.wait.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
+		c.metrics.waitSeconds.WithLabelValues(c.classLabel(0), "red").Observe(1)
+		c.metrics.waitSeconds.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
 		c.metrics.Observe("state", "answered")
 		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Unsent} {
 			c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -46,7 +46,7 @@
 }
 
 type rental struct {
-	req  protocol.Rental
+	req  protocol.ScaleOutRequest
 	busy bool
 }
 
@@ -75,7 +75,7 @@
 				c.commitAside(ctx, protocol.Txn{
 					If:   []protocol.Condition{{Key: storage.CatalogKey}},
 					Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(cat)}},
-				}, protocol.Background, func(bool) {})
+				}, protocol.BackgroundRequest, func(bool) {})
 			}
 			c.kick()
 		})
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing {
+		if !m.Gone && !m.Returning {
 			capacity[m.Shard] += c.cache.Types[m.Type].Cpus
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 func (c *Controller) list(ctx context.Context) {
-	var all []protocol.Listed
+	var all []protocol.CloudMachine
 	after := ""
 	var err error
 	for {
@@ -161,7 +161,7 @@
 
 // onList takes in machines without a record and gives up those that failed. The
 // list lags: that a machine is missing proves nothing.
-func (c *Controller) onList(ctx context.Context, all []protocol.Listed) {
+func (c *Controller) onList(ctx context.Context, all []protocol.CloudMachine) {
 	if !c.isLeader() {
 		return
 	}
@@ -184,13 +184,13 @@
 			delete(c.leader.unrecorded, l.ID)
 			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
 			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: storage.FleetRecord{
-				Type: l.Type, Zone: l.Zone, Spot: l.Spot, RentedAt: now.Unix() - int64(l.AgeS)}})
+				Type: l.Type, Zone: l.Zone, Spot: l.Spot, ProvisionedAt: now.Unix() - int64(l.AgeS)}})
 			continue
 		}
 		if m.Addr == "" {
 			m.Addr = l.Addr
 		}
-		if l.Status == "failed" && !m.Closing {
+		if l.Status == "failed" && !m.Returning {
 			c.closeMachine(m, "failed")
 		}
 	}
@@ -211,11 +211,11 @@
 		}
 		ty := &c.cache.Types[m.Type]
 		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		if !m.Closing {
+		if !m.Returning {
 			have[p]++
 		}
-		usable := !m.Closing
-		if v := c.views[m.Index]; m.Sick || v != nil && (v.sick || !v.notice.IsZero() || c.mute(v, now)) || c.overdue(m, bootPatience, now) || c.zoneAway(m.Zone) {
+		usable := !m.Returning
+		if v := c.workerStates[m.Index]; m.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(m, bootPatience, now) || c.zoneAway(m.Zone) {
 			usable = false
 		}
 		machines = append(machines, provision.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
@@ -253,8 +253,8 @@
 		// The name is never used again, by any node: it holds this process's own number.
 		c.leader.charters++
 		ty := c.cache.TypeIdx.Name(r.Type)
-		req := protocol.Rental{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.charters), Type: ty,
-			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxRental)}
+		req := protocol.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.charters), Type: ty,
+			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxScaleOut)}
 		rent := &rental{req: req}
 		c.leader.renting[r.Pool] = rent
 		c.sendRental(ctx, r.Pool, rent)
@@ -269,7 +269,7 @@
 	r.busy = true
 	c.log.Info("renting", "name", r.req.Name, "type", r.req.Type, "zone", r.req.Zone, "spot", r.req.Spot, "count", r.req.Count)
 	go func() {
-		names, err := c.cloud.Rent(ctx, r.req)
+		names, err := c.cloud.ScaleOut(ctx, r.req)
 		c.post(func() {
 			r.busy = false
 			switch {
@@ -295,7 +295,7 @@
 const blockedFor = 8 * time.Second
 
 // enter has records written for rented machines; the rental counts until they are.
-func (c *Controller) enter(ctx context.Context, p provision.Pool, req protocol.Rental, names []string) {
+func (c *Controller) enter(ctx context.Context, p provision.Pool, req protocol.ScaleOutRequest, names []string) {
 	c.log.Info("rented", "name", req.Name, "machines", len(names))
 	left := len(names)
 	if left == 0 || !c.isLeader() {
@@ -305,7 +305,7 @@
 	renting := c.leader.renting
 	for _, name := range names {
 		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: storage.FleetRecord{
-			Type: req.Type, Zone: req.Zone, Spot: req.Spot, RentedAt: time.Now().Unix()}, then: func(bool) {
+			Type: req.Type, Zone: req.Zone, Spot: req.Spot, ProvisionedAt: time.Now().Unix()}, then: func(bool) {
 			if left--; left == 0 {
 				delete(renting, p)
 			}
@@ -335,7 +335,7 @@
 	}
 	var cands []cand
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Closing || len(m.Tasks) > 0 || c.edits[m.Index].off() {
+		if m.Gone || m.Returning || len(m.Tasks) > 0 || c.edits[m.Index].off() {
 			continue
 		}
 		ty := &c.cache.Types[m.Type]
@@ -406,11 +406,11 @@
 	stuck := c.mayRun(now)
 	for _, m := range c.cache.Machines {
 		e := c.edits[m.Index]
-		if m.Gone || m.Closing || e != nil && e.closing {
+		if m.Gone || m.Returning || e != nil && e.closing {
 			continue
 		}
 		fleet++
-		if m.Drains || e.off() {
+		if m.Draining || e.off() {
 			spare--
 			drained = append(drained, m)
 			if plan.Urgent > 0 {
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -114,7 +114,7 @@
 			for rack, zone := range cfg.Deployment.Zones {
 				name := "m" + zone
 				put(storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Group: rack}}})
-				r := storage.GroupRecord{Shard: 1 - rack, Machines: []storage.GroupMachine{{Name: name, Session: 1}}}
+				r := storage.GroupRecord{Shard: 1 - rack, Machines: []storage.GroupMachine{{Name: name, Incarnation: 1}}}
 				if rack == 0 {
 					r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0}}}
 				}
@@ -182,7 +182,7 @@
 					task++
 				}
 				put(storage.GroupKey(rack), storage.GroupRecord{Shard: share, Machines: []storage.GroupMachine{
-					{Name: fmt.Sprint("m", rack), Session: 1, Tasks: []storage.PlacedTasks{placed}}}})
+					{Name: fmt.Sprint("m", rack), Incarnation: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
 			mv := mover{c: c, gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 			if x.stuck > 0 {
@@ -239,13 +239,13 @@
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 6, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 				put(storage.FleetKey("m2"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m2", Group: 1}, {Name: "m3", Group: 1}}})
 				put(storage.GroupKey(1), storage.GroupRecord{Machines: []storage.GroupMachine{
-					{Name: "m2", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 1, 0, 0}}}},
-					{Name: "m3", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{1, 1, 0, 0}}}}}})
+					{Name: "m2", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 1, 0, 0}}}},
+					{Name: "m3", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{1, 1, 0, 0}}}}}})
 			}
 			put(storage.FleetKey("m0"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
 			put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{
-				{Name: "m0", Session: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
-				{Name: "m1", Session: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
+				{Name: "m0", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
+				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
 			c.leader.stuckSince = now.Add(-x.since)
 			c.drain(now, provision.Plan{}, 0)
@@ -299,7 +299,7 @@
 				r := storage.GroupRecord{Shard: rack / 4}
 				if rack/4 == 1 && x.placed > 0 {
 					n := uint64(2 * (rack - 4))
-					r.Machines = append(r.Machines, storage.GroupMachine{Name: fmt.Sprint("m", rack), Session: 1,
+					r.Machines = append(r.Machines, storage.GroupMachine{Name: fmt.Sprint("m", rack), Incarnation: 1,
 						Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{n, 1, 0, 0, n + 1, 1, 0, 0}}}})
 				}
 				put(storage.GroupKey(rack), r)
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -11,70 +11,70 @@
 	"dykeledge/internal/storage"
 )
 
-// watchMachines looks for machines that are silent, sick or taken, and returns them.
+// superviseMachines looks for machines that are silent, sick or taken, and returns them.
 // lost are returned first: what was cancelled can't be stopped there.
-func (c *Controller) watchMachines(ctx context.Context, now time.Time, lost []string) {
+func (c *Controller) superviseMachines(ctx context.Context, now time.Time, lost []string) {
 	w := c.cfg.Deployment.Workers
 	// A worker reports every ReportS, give or take a quarter. A dead machine's work
 	// waits until two probes have got no answer and the cloud has taken it back.
-	quiet := seconds(1.25*w.ReportS + 0.6)
+	quiet := seconds(1.25*w.HeartbeatS + 0.6)
 	silent, mute, total := 0, 0, 0
 	for _, m := range c.cache.Machines {
 		if m.Gone || !c.ownsShard(m.Shard) {
 			continue
 		}
-		v := c.view(m)
-		if v.Session == 0 && m.Session == 0 {
+		v := c.workerState(m)
+		if v.Incarnation == 0 && m.Incarnation == 0 {
 			continue
 		}
 		total++
-		if c.mute(v, now) {
+		if c.unresponsive(v, now) {
 			mute++
 		}
 		if c.silenceOf(v.heard, now) > quiet {
 			silent++
-			c.direct(m, true) // a probe that also shows the worker the present token
+			c.sendDirect(m, true) // a probe that also shows the worker the present token
 		}
 	}
 	// Many silent machines at once speak for a fault on this side.
 	many := func(n int) bool { return n >= 3 && n*10 > total*4 }
 	suspectSelf := many(silent)
-	c.manyMute = many(mute)
+	c.manyUnresponsive = many(mute)
 	names := lost
 	lastUp := c.lastUp()
 	for _, m := range c.cache.Machines {
 		if m.Gone || !c.ownsShard(m.Shard) {
 			continue
 		}
-		v := c.view(m)
+		v := c.workerState(m)
 		if len(m.Tasks) > 0 {
-			v.idle = time.Time{}
-		} else if v.idle.IsZero() {
-			v.idle = now
+			v.emptySince = time.Time{}
+		} else if v.emptySince.IsZero() {
+			v.emptySince = now
 		}
-		if m.Closing {
-			if !v.returned && !slices.Contains(lost, m.Name) {
+		if m.Returning {
+			if !v.terminated && !slices.Contains(lost, m.Name) {
 				names = append(names, m.Name)
 			}
 			continue
 		}
 		c.judge(m, v, now)
 		var why string
-		limit := silenceLimit(w, suspectSelf)
+		limit := unreachableLimit(w, suspectSelf)
 		if serves(m) && c.zoneAway(m.Zone) && c.inhabited(m.Zone) {
 			limit = max(limit, awayLimit(w))
 		}
 		silent := c.silenceOf(maxTime(v.heard, c.zone(m.Zone).back), now)
 		switch {
-		case m.Drains && len(m.Tasks) == 0:
+		case m.Draining && len(m.Tasks) == 0:
 			why = "drained"
-		case (v.sick || m.Sick) && len(m.Tasks) == 0, v.sick && len(v.failed) > 1:
+		case (v.unhealthy || m.Unhealthy) && len(m.Tasks) == 0, v.unhealthy && len(v.failures) > 1:
 			why = "sick"
 		case c.silenceOf(v.since, now) > 5*time.Second && c.neverCame(m, lastUp[m.Type], now):
-			why = neverUp
-		case (v.Session != 0 || m.Session != 0) && silent > limit && now.Sub(v.since) > limit && v.probes >= 2:
+			why = reasonNeverUp
+		case (v.Incarnation != 0 || m.Incarnation != 0) && silent > limit && now.Sub(v.since) > limit && v.missedProbes >= 2:
 			why = "silent"
-		case c.mute(v, now) && c.silenceOf(v.reported, now) > muteLimit(w, c.manyMute) && now.Sub(v.since) > muteLimit(w, c.manyMute):
+		case c.unresponsive(v, now) && c.silenceOf(v.heartbeatAt, now) > unresponsiveLimit(w, c.manyUnresponsive) && now.Sub(v.since) > unresponsiveLimit(w, c.manyUnresponsive):
 			why = "mute"
 		}
 		if why != "" {
@@ -84,53 +84,53 @@
 	c.returnMachines(ctx, names)
 }
 
-// silenceLimit is how long a machine must be silent to be returned. A node that may itself be
+// unreachableLimit is how long a machine must be silent to be returned. A node that may itself be
 // the one that is cut off waits for the workers' leases; what was cancelled has its own deadline (stops.go).
-func silenceLimit(w config.Workers, suspectSelf bool) time.Duration {
+func unreachableLimit(w config.Workers, suspectSelf bool) time.Duration {
 	if suspectSelf {
 		return seconds(3 * w.LeaseS)
 	}
-	return max(seconds(2*w.ReportS+0.5), 4*time.Second)
+	return max(seconds(2*w.HeartbeatS+0.5), 4*time.Second)
 }
 
-// mute tells whether a machine's worker answers what it is asked, but reports to nobody who tells of it: its lease is not
+// unresponsive tells whether a machine's worker answers what it is asked, but reports to nobody who tells of it: its lease is not
 // renewed, and what is started there ends with it, again and again. One that was never heard may still boot, and one that
 // answers nothing is silent, not mute: in a zone that is cut off it may be kept for long.
-func (c *Controller) mute(v *machineView, now time.Time) bool {
-	after := muteAfter(c.cfg.Deployment.Workers)
-	return v.Session != 0 && c.silenceOf(v.heard, now) <= after && c.silenceOf(v.reported, now) > after
+func (c *Controller) unresponsive(v *workerState, now time.Time) bool {
+	after := unresponsiveAfter(c.cfg.Deployment.Workers)
+	return v.Incarnation != 0 && c.silenceOf(v.heard, now) <= after && c.silenceOf(v.heartbeatAt, now) > after
 }
 
-// noteMute takes from a worker's message what it says of its reports. A lease that runs out while the worker answers whatever it is
+// noteUnresponsive takes from a worker's message what it says of its reports. A lease that runs out while the worker answers whatever it is
 // asked was kept up by nobody: where few are mute their machines are returned then, before a rack moves on with them.
-func (c *Controller) noteMute(m *storage.Machine, v *machineView, r *protocol.Report, reply bool, now time.Time) {
+func (c *Controller) noteUnresponsive(m *storage.Machine, v *workerState, r *protocol.Heartbeat, reply bool, now time.Time) {
 	switch {
 	case !reply:
-		v.reported = now
-	case c.silenceOf(v.heard, now) > muteAfter(c.cfg.Deployment.Workers):
-		v.reported = maxTime(v.reported, reportedAnew(c.cfg.Deployment.Workers, now)) // it hung, or was cut off: it may report now
-	case v.Session != 0 && r.Session > v.Session && c.mute(v, now) && !c.manyMute:
+		v.heartbeatAt = now
+	case c.silenceOf(v.heard, now) > unresponsiveAfter(c.cfg.Deployment.Workers):
+		v.heartbeatAt = maxTime(v.heartbeatAt, heartbeatBaseline(c.cfg.Deployment.Workers, now)) // it hung, or was cut off: it may report now
+	case v.Incarnation != 0 && r.Incarnation > v.Incarnation && c.unresponsive(v, now) && !c.manyUnresponsive:
 		c.closeMachine(m, "mute")
 	}
 }
 
-// muteAfter is how long a worker may take for a report proper, firstReport how long it has for its first one to a new
+// unresponsiveAfter is how long a worker may take for a report proper, firstHeartbeatLimit how long it has for its first one to a new
 // owner, which it is shown at once: racks move on, and each new owner would trust a mute machine anew. A worker that was shown
 // another token within half a lease does not report before its time.
-func muteAfter(w config.Workers) time.Duration {
-	return max(seconds(2*w.ReportS+1), seconds(w.LeaseS/2))
+func unresponsiveAfter(w config.Workers) time.Duration {
+	return max(seconds(2*w.HeartbeatS+1), seconds(w.LeaseS/2))
 }
 
-func firstReport(w config.Workers) time.Duration { return seconds(1.25*w.ReportS + 1) }
+func firstHeartbeatLimit(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 1) }
 
-// reportedAnew is what counts as a worker's last report from when this node begins to wait for one.
-func reportedAnew(w config.Workers, now time.Time) time.Time {
-	return now.Add(firstReport(w) - muteAfter(w))
+// heartbeatBaseline is what counts as a worker's last report from when this node begins to wait for one.
+func heartbeatBaseline(w config.Workers, now time.Time) time.Time {
+	return now.Add(firstHeartbeatLimit(w) - unresponsiveAfter(w))
 }
 
-// muteLimit is how long a machine must be mute to be returned: its tasks went with its lease, and it stands idle. Many at
+// unresponsiveLimit is how long a machine must be mute to be returned: its tasks went with its lease, and it stands idle. Many at
 // once may hear nobody for a while for another reason.
-func muteLimit(w config.Workers, many bool) time.Duration {
+func unresponsiveLimit(w config.Workers, many bool) time.Duration {
 	if many {
 		return seconds(3 * w.LeaseS)
 	}
@@ -152,7 +152,7 @@
 	out := make([]int64, len(c.cache.Types))
 	for _, m := range c.cache.Machines {
 		if !m.Gone && c.cameUp(m) {
-			out[m.Type] = max(out[m.Type], m.Rented)
+			out[m.Type] = max(out[m.Type], m.ProvisionedAt)
 		}
 	}
 	return out
@@ -160,18 +160,18 @@
 
 // cameUp tells whether a machine's worker was ever heard, as far as this node knows.
 func (c *Controller) cameUp(m *storage.Machine) bool {
-	v := c.views[m.Index]
-	return m.Session > 0 || v != nil && v.Session > 0
+	v := c.workerStates[m.Index]
+	return m.Incarnation > 0 || v != nil && v.Incarnation > 0
 }
 
 // booting tells whether a machine comes up and may then take tasks.
-func (c *Controller) booting(m *storage.Machine, v *machineView, now time.Time) bool {
-	return !c.cameUp(m) && !c.zoneAway(m.Zone) && !m.Closing && !m.Drains && !v.returned && !c.edits[m.Index].off() && !c.overdue(m, bootPatience, now)
+func (c *Controller) booting(m *storage.Machine, v *workerState, now time.Time) bool {
+	return !c.cameUp(m) && !c.zoneAway(m.Zone) && !m.Returning && !m.Draining && !v.terminated && !c.edits[m.Index].off() && !c.overdue(m, bootPatience, now)
 }
 
 // bootLeft is how many seconds a machine that comes up still takes, as a guess: most are up after
 // about their usual boot time, and the longer one is late, the later it may be.
-func (c *Controller) bootLeft(m *storage.Machine, v *machineView, now time.Time) float64 {
+func (c *Controller) bootLeft(m *storage.Machine, v *workerState, now time.Time) float64 {
 	left := c.cache.Types[m.Type].Boot - c.bootAge(m, v, now).Seconds()
 	return max(3, left, 3-left/2)
 }
@@ -181,14 +181,14 @@
 	if c.cameUp(m) {
 		return false
 	}
-	return c.bootAge(m, c.views[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].Boot, 10))
+	return c.bootAge(m, c.workerStates[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].Boot, 10))
 }
 
 // bootAge is how long ago a machine was rented, as far as this node knows.
-func (c *Controller) bootAge(m *storage.Machine, v *machineView, now time.Time) time.Duration {
+func (c *Controller) bootAge(m *storage.Machine, v *workerState, now time.Time) time.Duration {
 	switch {
-	case m.Rented > 0: // whoever owned it since
-		return now.Sub(time.Unix(m.Rented, 0))
+	case m.ProvisionedAt > 0: // whoever owned it since
+		return now.Sub(time.Unix(m.ProvisionedAt, 0))
 	case v != nil:
 		return now.Sub(v.since)
 	}
@@ -197,7 +197,7 @@
 
 // neverCame tells whether a machine is to be given up since it does not come up.
 func (c *Controller) neverCame(m *storage.Machine, lastUp int64, now time.Time) bool {
-	return c.overdue(m, bootPatience, now) && (m.Rented <= lastUp || c.overdue(m, bootPatienceMost, now))
+	return c.overdue(m, bootPatience, now) && (m.ProvisionedAt <= lastUp || c.overdue(m, bootPatienceMost, now))
 }
 
 // edit is what should change of a machine's record, tasks aside. Its owner does so
@@ -211,7 +211,7 @@
 func (e *edit) off() bool { return e != nil && (e.closing || e.drain != nil && *e.drain) }
 
 func (e *edit) differs(m *storage.Machine) bool {
-	return (e.closing && !m.Closing) || (e.drain != nil && *e.drain != m.Drains)
+	return (e.closing && !m.Returning) || (e.drain != nil && *e.drain != m.Draining)
 }
 
 func (c *Controller) edit(m *storage.Machine) *edit {
@@ -224,8 +224,8 @@
 	return e
 }
 
-// neverUp is the reason for giving up a machine that did not come up.
-const neverUp = "never came up"
+// reasonNeverUp is the reason for giving up a machine that did not come up.
+const reasonNeverUp = "never came up"
 
 // closeMachine marks a machine as being returned.
 func (c *Controller) closeMachine(m *storage.Machine, why string) {
@@ -233,8 +233,8 @@
 		return
 	}
 	c.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	if why == neverUp {
-		c.metrics.noShows.Inc() // once a machine, however long its edit takes
+	if why == reasonNeverUp {
+		c.metrics.neverUpMachines.Inc() // once a machine, however long its edit takes
 	}
 	c.edit(m).closing = true
 }
@@ -290,7 +290,7 @@
 		return
 	}
 	c.leader.editing = true
-	c.commitAside(ctx, t, protocol.Background, func(bool) {
+	c.commitAside(ctx, t, protocol.BackgroundRequest, func(bool) {
 		c.leader.editing = false
 		for _, i := range done {
 			delete(c.edits, i) // what still has to change is found again
@@ -299,7 +299,7 @@
 }
 
 func (e *edit) change(x *storage.GroupMachine) {
-	x.Closing = x.Closing || e.closing
+	x.Returning = x.Returning || e.closing
 	if e.drain != nil {
 		x.Draining = *e.drain
 	}
@@ -311,10 +311,10 @@
 	if len(names) == 0 || c.leader.returning {
 		return
 	}
-	names = names[:min(len(names), protocol.MaxReturn)]
+	names = names[:min(len(names), protocol.MaxScaleIn)]
 	c.leader.returning = true
 	go func() {
-		err := c.cloud.Return(ctx, names)
+		err := c.cloud.ScaleIn(ctx, names)
 		c.post(func() {
 			c.leader.returning = false
 			if err != nil {
@@ -327,8 +327,8 @@
 				if m == nil || !c.ownsShard(m.Shard) {
 					continue
 				}
-				v := c.view(m)
-				v.returned = true
+				v := c.workerState(m)
+				v.terminated = true
 				for _, p := range m.Tasks {
 					ref := dispatch.RefOf(p)
 					if _, ok := v.Gone[ref]; !ok {
--- a/internal/coordination/member.go
+++ b/internal/coordination/member.go
@@ -29,7 +29,7 @@
 			first = lease
 		}
 		// Put without conditions: a restarted node replaces its stale entry at once.
-		rev, _, err := c.store.Txn(ctx, protocol.Txn{Then: []protocol.Change{c.memberChange(first, lease, c.notReady.Load())}}, protocol.Urgent)
+		rev, _, err := c.store.Txn(ctx, protocol.Txn{Then: []protocol.Change{c.memberChange(first, lease, c.notReady.Load())}}, protocol.UrgentRequest)
 		if err != nil {
 			sleep(ctx, 300*time.Millisecond)
 			continue
@@ -82,7 +82,7 @@
 	t.Then = append(t.Then, c.memberChange(c.incarnation, c.sessionLease, unfit))
 	c.memberWriteInFlight = true
 	go func() {
-		rev, failed, err := c.transact(ctx, t, protocol.Urgent)
+		rev, failed, err := c.transact(ctx, t, protocol.UrgentRequest)
 		c.committed(t, rev, err == nil && len(failed) == 0, func(ok bool) {
 			c.memberWriteInFlight = false
 			if ok {
@@ -112,7 +112,7 @@
 	c.commitAside(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: l.Version}},
 		Then: []protocol.Change{{Put: storage.LeaderKey, Value: rec, Lease: c.sessionLease}},
-	}, protocol.Urgent, func(ok bool) {
+	}, protocol.UrgentRequest, func(ok bool) {
 		c.leaderWriteInFlight = false
 		if c.noteLeadershipChange(); ok {
 			c.assignShards(ctx)
@@ -135,7 +135,7 @@
 const minLeadershipDuration = 10 * time.Second
 
 // commitAside commits a transaction that the cycle has no part in and applies it.
-func (c *Controller) commitAside(ctx context.Context, t protocol.Txn, haste protocol.Haste, then func(ok bool)) {
+func (c *Controller) commitAside(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority, then func(ok bool)) {
 	go func() {
 		rev, failed, err := c.transact(ctx, t, haste)
 		c.committed(t, rev, err == nil && len(failed) == 0, then)
@@ -203,7 +203,7 @@
 		}
 		t.If = append(t.If, protocol.Condition{Key: storage.ShardKey(i), Version: c.cache.Shards[i].Version})
 		t.Then = append(t.Then, protocol.Change{Put: storage.ShardKey(i), Value: storage.Encode(
-			storage.ShardRecord{Member: want[i].Name, Incarnation: want[i].Incarnation, Token: c.nextRevision()})})
+			storage.ShardRecord{Member: want[i].Name, Incarnation: want[i].Incarnation, FencingToken: c.nextRevision()})})
 		c.log.Info("share goes to", "share", i, "node", want[i].Name, "from", owners[i].Name)
 		if len(t.Then) >= c.limits().TxnOps {
 			break
@@ -213,7 +213,7 @@
 		return
 	}
 	c.shardWriteInFlight = true
-	c.commitAside(ctx, t, protocol.Urgent, func(bool) { c.shardWriteInFlight = false })
+	c.commitAside(ctx, t, protocol.UrgentRequest, func(bool) { c.shardWriteInFlight = false })
 }
 
 // rebalanceDelay is how long membership must have been quiet before shares move
@@ -272,28 +272,28 @@
 	}
 	// Every worker reports within 1.25 times ReportS: a few may be dead or hang, but
 	// when many are all silent for longer, the fault is on this side.
-	report := c.cfg.Deployment.Workers.ReportS
+	report := c.cfg.Deployment.Workers.HeartbeatS
 	quiet := max(seconds(2*report+1.5), 4*time.Second)
 	if c.notReady.Load() {
 		if now.Sub(c.lastProbeAt) > time.Second {
 			c.lastProbeAt = now
 			c.probeWorker()
 		}
-		if now.Sub(c.heardAny) < time.Second || !c.othersReady() {
+		if now.Sub(c.anyWorkerHeardAt) < time.Second || !c.othersReady() {
 			c.setNotReady(ctx, false)
 		}
 		return
 	}
 	machines := 0
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing && m.Session > 0 && c.ownsShard(m.Shard) {
+		if !m.Gone && !m.Returning && m.Incarnation > 0 && c.ownsShard(m.Shard) {
 			machines++
 		}
 	}
 	if machines >= manyMachinesCount {
 		quiet = max(seconds(1.25*report+1), 2500*time.Millisecond)
 	}
-	if machines >= 2 && c.silenceOf(c.heardAny, now) > quiet && now.Sub(c.ownershipSince) > quiet && c.othersReady() {
+	if machines >= 2 && c.silenceOf(c.anyWorkerHeardAt, now) > quiet && now.Sub(c.ownershipSince) > quiet && c.othersReady() {
 		c.log.Info("no worker is heard, giving up shares", "machines", machines)
 		c.setNotReady(ctx, true)
 	}
@@ -320,7 +320,7 @@
 // probeWorker asks some worker for its report, with a token that commands nothing.
 func (c *Controller) probeWorker() {
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Closing || m.Addr == "" || m.Session == 0 {
+		if m.Gone || m.Returning || m.Addr == "" || m.Incarnation == 0 {
 			continue
 		}
 		if c.nextProbe++; c.nextProbe%3 != 0 {
@@ -328,7 +328,7 @@
 		}
 		c.probeHeartbeat(m, func(answered bool) {
 			if answered {
-				c.heardAny = time.Now()
+				c.anyWorkerHeardAt = time.Now()
 			}
 		})
 		return
@@ -340,9 +340,9 @@
 
 // probeHeartbeat asks a worker for its report, under a token that commands nothing: whatever comes back is an answer.
 func (c *Controller) probeHeartbeat(m *storage.Machine, then func(answered bool)) {
-	addr, session := m.Addr, m.Session
+	addr, session := m.Addr, m.Incarnation
 	go func() {
-		_, status, err := c.workers.Command(addr, protocol.DirectCommands{Session: session, Commands: []protocol.Command{}}, probeTimeout)
+		_, status, err := c.workers.Command(addr, protocol.DirectCommands{Incarnation: session, Commands: []protocol.Command{}}, probeTimeout)
 		c.post(func() { then(err == nil && status != 0) })
 	}()
 }
--- a/internal/coordination/member_test.go
+++ b/internal/coordination/member_test.go
@@ -17,7 +17,7 @@
 
 func (putStore) Pace(int) time.Duration { return 0 }
 
-func (s putStore) Txn(_ context.Context, t protocol.Txn, _ protocol.Haste) (uint64, []string, error) {
+func (s putStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
 	for _, c := range t.Then {
 		s.puts <- c
 	}
@@ -27,7 +27,7 @@
 // A transaction of the process before was applied late: the record said what that had been,
 // and vanished with its hold. The node lived on as no member, and the gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
-	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesWord}
+	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesCancellationDigest}
 	for _, x := range []struct {
 		name string
 		rec  *storage.MemberRecord
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -13,21 +13,21 @@
 // Metrics are this node's figures. Labels are bounded: classes, teams, states
 // and outcomes, never jobs or machines.
 type Metrics struct {
-	Registry    *prometheus.Registry
-	wait        *prometheus.HistogramVec
-	outcomes    *prometheus.CounterVec
-	launches    prometheus.Counter
-	evicted     prometheus.Counter
-	lost        prometheus.Counter
-	takeovers   prometheus.Counter
-	readied     prometheus.Counter
-	standstills prometheus.Counter
-	noShows     prometheus.Counter
-	blind       prometheus.Counter
-	unsure      prometheus.Counter
-	reports     prometheus.Histogram
-	passes      prometheus.Histogram
-	Requests    *prometheus.CounterVec
+	Registry            *prometheus.Registry
+	waitSeconds         *prometheus.HistogramVec
+	outcomes            *prometheus.CounterVec
+	launches            prometheus.Counter
+	preemptedTasks      prometheus.Counter
+	lostSeconds         prometheus.Counter
+	takeovers           prometheus.Counter
+	readyJobs           prometheus.Counter
+	stalls              prometheus.Counter
+	neverUpMachines     prometheus.Counter
+	unverifiedRenewals  prometheus.Counter
+	uncertainHeartbeats prometheus.Counter
+	heartbeatSeconds    prometheus.Histogram
+	planSeconds         prometheus.Histogram
+	Requests            *prometheus.CounterVec
 }
 
 const maxClasses = 64 // classes come from users; more than this share one label
@@ -36,36 +36,36 @@
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
-		wait: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dykeledge_job_wait_seconds",
+		waitSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dykeledge_job_wait_seconds",
 			Help:    "Time from a job's submission until its first task was placed.",
 			Buckets: []float64{0.5, 1, 2, 5, 10, 20, 40, 80, 160, 320, 640}}, []string{"class", "team"}),
 		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_attempts_ended_total",
 			Help: "Attempts that ended, by outcome."}, []string{"outcome"}),
 		launches: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_launches_total", Help: "Tasks placed."}),
-		evicted: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_evicted_tasks_total",
+		preemptedTasks: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_evicted_tasks_total",
 			Help: "Tasks named in evicted sets."}),
-		lost: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_lost_seconds_total",
+		lostSeconds: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_lost_seconds_total",
 			Help: "Task-seconds run without being completed or saved."}),
 		takeovers: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_share_takeovers_total",
 			Help: "Shares that this node took over."}),
-		readied: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_readied_jobs_total",
+		readyJobs: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_readied_jobs_total",
 			Help: "Jobs that became ready since all that they awaited was done."}),
-		standstills: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_standstills_total",
+		stalls: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_standstills_total",
 			Help: "Times that this node stood still for a second or more while its clocks ran on."}),
-		noShows: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_machines_never_up_total",
+		neverUpMachines: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_machines_never_up_total",
 			Help: "Rented machines given up because they did not come up."}),
-		blind: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_blind_renewals_total",
+		unverifiedRenewals: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_blind_renewals_total",
 			Help: "Workers' leases renewed by this node before it could read the records."}),
-		unsure: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_unsure_reports_total",
+		uncertainHeartbeats: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_unsure_reports_total",
 			Help: "Workers' reports refused because this node did not know what had been cancelled lately."}),
-		reports: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dykeledge_report_answer_seconds",
+		heartbeatSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dykeledge_report_answer_seconds",
 			Help: "Time until a worker's report was answered.", Buckets: []float64{.001, .005, .01, .05, .1, .2, .5, 1, 2, 4}}),
-		passes: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dykeledge_plan_seconds",
+		planSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dykeledge_plan_seconds",
 			Help: "Length of a planning pass.", Buckets: []float64{.0003, .001, .003, .01, .03, .1, .3, 1}}),
 		Requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_service_requests_total",
 			Help: "Requests to the state service and the cloud, by outcome."}, []string{"service", "outcome"}),
 	}
-	m.Registry.MustRegister(m.wait, m.outcomes, m.launches, m.evicted, m.lost, m.takeovers, m.readied, m.standstills, m.noShows, m.blind, m.unsure, m.reports, m.passes, m.Requests)
+	m.Registry.MustRegister(m.waitSeconds, m.outcomes, m.launches, m.preemptedTasks, m.lostSeconds, m.takeovers, m.readyJobs, m.stalls, m.neverUpMachines, m.unverifiedRenewals, m.uncertainHeartbeats, m.heartbeatSeconds, m.planSeconds, m.Requests)
 	return m
 }
 
@@ -85,7 +85,7 @@
 	dispatch.Failed: "failed", dispatch.Refused: "refused", dispatch.Lost: "lost", dispatch.Unsent: "unsent"}
 
 // countOutcome counts an attempt's end and what it lost.
-func (c *Controller) countOutcome(v *machineView, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
+func (c *Controller) countOutcome(v *workerState, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
 	c.metrics.outcomes.WithLabelValues(outcomeNames[out]).Inc()
 	at, ran := v.started[ref]
 	if !ran || out == dispatch.Completed {
@@ -97,10 +97,10 @@
 			lost -= ref.Job.Mark
 		}
 	}
-	if out == dispatch.Stopped && v.Seen[ref].Saved {
+	if out == dispatch.Stopped && v.Seen[ref].Checkpointed {
 		lost = 0
 	}
-	c.metrics.lost.Add(lost)
+	c.metrics.lostSeconds.Add(lost)
 }
 
 // tallies are what the log tells now and then of how this node fares.
@@ -128,7 +128,7 @@
 	if now.Sub(t.at) < tellEvery {
 		return
 	}
-	spent := c.store.Spent()
+	spent := c.store.ChangesUsed()
 	if !t.at.IsZero() {
 		machines, jobs := 0, 0
 		for _, m := range c.cache.Machines {
@@ -299,15 +299,15 @@
 
 // machineState is one word for how a machine stands.
 func (c *Controller) machineState(m *storage.Machine) string {
-	v := c.views[m.Index]
+	v := c.workerStates[m.Index]
 	switch {
-	case m.Closing:
+	case m.Returning:
 		return "returning"
-	case m.Drains:
+	case m.Draining:
 		return "draining"
-	case m.Sick || v != nil && v.sick:
+	case m.Unhealthy || v != nil && v.unhealthy:
 		return "sick"
-	case v != nil && !v.notice.IsZero():
+	case v != nil && !v.preemptedAt.IsZero():
 		return "leaving"
 	case !c.cameUp(m) && c.overdue(m, bootPatience, time.Now()):
 		return "overdue"
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -35,7 +35,7 @@
 	}
 	c.leader.moving = true
 	c.leader.movedAt = now
-	c.commitAside(ctx, mv.txn, protocol.Background, func(bool) { c.leader.moving = false })
+	c.commitAside(ctx, mv.txn, protocol.BackgroundRequest, func(bool) { c.leader.moving = false })
 }
 
 type mover struct {
@@ -113,7 +113,7 @@
 // allRoom is what all machines have.
 func (c *Controller) allRoom() (r schedule.Room) {
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Closing {
+		if m.Gone || m.Returning {
 			continue
 		}
 		cpus := c.cache.Types[m.Type].Cpus
@@ -164,7 +164,7 @@
 			s.firmWaits += float64(waits) * j.Size
 		}
 		s.demand += float64(j.NPlaced) * j.Size
-		if jv := c.jobs[j]; jv != nil && now.Before(jv.backoff) {
+		if jv := c.jobStates[j]; jv != nil && now.Before(jv.backoff) {
 			continue
 		}
 		w := float64(waits) * j.Size
@@ -185,7 +185,7 @@
 		r := &groupSums{group: k}
 		stays := now.Sub(c.leader.moved[k.ID]) <= moveAgain
 		for _, m := range k.Machines {
-			if m.Gone || m.Closing || (ordinary && m.Spot) {
+			if m.Gone || m.Returning || (ordinary && m.Spot) {
 				continue
 			}
 			cpus := c.cache.Types[m.Type].Cpus
@@ -196,7 +196,7 @@
 				}
 			}
 			r.capacity += cpus
-			if c.edits[m.Index].off() || m.Sick || m.Drains {
+			if c.edits[m.Index].off() || m.Unhealthy || m.Draining {
 				f = 0
 			}
 			r.free += f
@@ -366,18 +366,18 @@
 	if !j.Open() || c.wanting(j) == 0 || !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return false
 	}
-	jv := c.jobs[j]
+	jv := c.jobStates[j]
 	return jv == nil || !now.Before(jv.backoff)
 }
 
 // fitsOn tells whether a task of a job fits on a machine that takes more, now.
 func (mv *mover) fitsOn(j *storage.Job, m *storage.Machine) bool {
-	return !m.Drains && !mv.c.edits[m.Index].off() && mv.fitsBeside(j, m)
+	return !m.Draining && !mv.c.edits[m.Index].off() && mv.fitsBeside(j, m)
 }
 
 // fitsBeside tells whether a task of a job fits on a machine, drained or not, beside what runs there and where its other tasks are.
 func (mv *mover) fitsBeside(j *storage.Job, m *storage.Machine) bool {
-	if m.Gone || m.Closing || m.Sick || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
+	if m.Gone || m.Returning || m.Unhealthy || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
 		return false
 	}
 	if mv.rooms == nil {
@@ -431,7 +431,7 @@
 
 func (mv *mover) move(k *storage.MachineGroup, to int) {
 	r := mv.c.cache.GroupRecordOf(k, k.UnsavedCompletions(), nil)
-	r.Shard, r.Token = to, mv.c.nextRevision()
+	r.Shard, r.FencingToken = to, mv.c.nextRevision()
 	key := storage.GroupKey(k.ID)
 	mv.gone[k] = true
 	raw := storage.EncodeGroup(r, mv.c.cache.Packed())
@@ -460,7 +460,7 @@
 			continue
 		}
 		for _, m := range k.Machines {
-			if !m.Gone && !m.Closing && schedule.Allowed(j, m) {
+			if !m.Gone && !m.Returning && schedule.Allowed(j, m) {
 				return true
 			}
 		}
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -28,7 +28,7 @@
 // leaves tells whether a task that saves is stopped on a machine that is drained: not if it will have
 // ended about as soon, and not if its job would be late by that. Two hundred and more such stops a
 // day each fetched 6 GB again, and their jobs were late.
-func (c *Controller) leaves(m *storage.Machine, v *machineView, p storage.Placed, now time.Time) bool {
+func (c *Controller) leaves(m *storage.Machine, v *workerState, p storage.Placed, now time.Time) bool {
 	j := p.Job
 	fetch := 0.0
 	if f := c.cache.Types[m.Type].Fetch; f > 0 {
@@ -56,7 +56,7 @@
 func (c *Controller) moveReplicas(now time.Time) {
 	var free map[int32]storage.Usage
 	for _, m := range c.cache.Machines {
-		if m.Gone || !m.Drains || m.Closing || !c.ownsShard(m.Shard) {
+		if m.Gone || !m.Draining || m.Returning || !c.ownsShard(m.Shard) {
 			continue
 		}
 		for _, p := range m.Tasks {
@@ -64,8 +64,8 @@
 			if j.Shape != protocol.Service || !j.Open() || j.Waiting() > 0 || now.Unix()-p.At < int64(moveAfter.Seconds()) {
 				continue
 			}
-			jv := c.jobView(j)
-			if now.Sub(jv.movedAt) < moveAfter {
+			jv := c.jobState(j)
+			if now.Sub(jv.relocatedAt) < moveAfter {
 				continue
 			}
 			if free == nil {
@@ -78,9 +78,9 @@
 			f := free[to.Index]
 			f.Add(j, -1)
 			free[to.Index] = f
-			jv.moving, jv.movedAt = dispatch.RefOf(p), now
+			jv.relocating, jv.relocatedAt = dispatch.RefOf(p), now
 			c.log.Info("replica moves", "job", j.ID, "task", p.Task, "from", m.Name, "to", to.Name)
-			c.nudgeStop(m)
+			c.terminateUnwanted(m)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	free := map[int32]storage.Usage{}
 	held := c.heldRoom()
 	for _, m := range c.cache.Machines {
-		if m.Gone || !c.ownsShard(m.Shard) || len(held[m.Name]) > 0 || !c.usable(m, c.view(m), now) {
+		if m.Gone || !c.ownsShard(m.Shard) || len(held[m.Name]) > 0 || !c.usable(m, c.workerState(m), now) {
 			continue
 		}
 		free[m.Index] = c.restOf(m)
@@ -102,7 +102,7 @@
 func (c *Controller) goesTo(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
 	for _, m := range c.cache.Machines {
 		u, ok := free[m.Index]
-		if !ok || !schedule.Allowed(j, m) || schedule.Fits(u, j) == 0 || !slices.Contains(c.view(m).images, j.Image) {
+		if !ok || !schedule.Allowed(j, m) || schedule.Fits(u, j) == 0 || !slices.Contains(c.workerState(m).images, j.Image) {
 			continue
 		}
 		if m.Zone != from.Zone && (j.OneZone || !inZone(j, m.Zone)) {
--- a/internal/coordination/newborn_test.go
+++ b/internal/coordination/newborn_test.go
@@ -43,7 +43,7 @@
 	return protocol.Page{}, nil
 }
 
-func (s *slowReader) Txn(_ context.Context, t protocol.Txn, _ protocol.Haste) (uint64, []string, error) {
+func (s *slowReader) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
 	switch {
 	case s.down:
 		return 0, nil, protocol.ErrRefused
@@ -109,7 +109,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
-					Workers: config.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
+					Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
 				store := x.store
 				c := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 				go c.Run(ctx)
--- a/internal/coordination/others.go
+++ b/internal/coordination/others.go
@@ -19,13 +19,13 @@
 // leaseMargin is what is left for reports, answers and clocks that drift apart.
 const leaseMargin = 1500 * time.Millisecond
 
-// standsIn tells whether this node keeps up the lease of another owner's machine: that owner
+// renewsAsProxy tells whether this node keeps up the lease of another owner's machine: that owner
 // has ended and nobody has its share yet, or neither it nor the state service is heard. After an
 // end of all nodes workers were sent on to dead owners, and a round of the others later their
 // leases had run out.
-func (c *Controller) standsIn(m *storage.Machine, now time.Time) bool {
+func (c *Controller) renewsAsProxy(m *storage.Machine, now time.Time) bool {
 	s := &c.cache.Shards[m.Shard]
-	if s.Member == "" || m.Closing || !c.knows(now) {
+	if s.Member == "" || m.Returning || !c.mayRenewLeases(now) {
 		return false
 	}
 	if n := c.cache.Members[s.Member]; n == nil || n.Incarnation != s.Incarnation {
@@ -36,30 +36,30 @@
 	return s.Member != c.cfg.MemberName && c.silenceOf(c.storeServedAt, now) > peerFresh && (c.silenceOf(p.heardAt, now) > peerFresh || p.heartbeat.Revision == 0)
 }
 
-// blind is a node's part of keeping up leases before it has read any record.
-type blind struct {
+// unverifiedRenewals is a node's part of keeping up leases before it has read any record.
+type unverifiedRenewals struct {
 	since   time.Time            // when this process began
 	renewed map[string]time.Time // by machine
 }
 
-// blindly answers the report of a worker whose tasks would be lost, under the token that the
+// renewUnverified answers the report of a worker whose tasks would be lost, under the token that the
 // worker itself names. Not twice in a row: a worker stays with a node that answers, and
 // another may know its records by now.
-func (c *Controller) blindly(r *protocol.Report, now time.Time) (protocol.ReportAnswer, bool) {
+func (c *Controller) renewUnverified(r *protocol.Heartbeat, now time.Time) (protocol.HeartbeatResponse, bool) {
 	w := c.cfg.Deployment.Workers
-	if len(r.Tasks) == 0 || !c.knows(now) || !c.allNewborn(now) ||
-		now.Sub(c.blind.renewed[r.Machine]) < seconds(w.LeaseS/3) {
-		return protocol.ReportAnswer{}, false
+	if len(r.Tasks) == 0 || !c.mayRenewLeases(now) || !c.allRestarted(now) ||
+		now.Sub(c.unverified.renewed[r.Machine]) < seconds(w.LeaseS/3) {
+		return protocol.HeartbeatResponse{}, false
 	}
-	c.blind.renewed[r.Machine] = now
-	c.metrics.blind.Inc()
-	return protocol.ReportAnswer{Token: r.Token, Commands: []protocol.Command{}}, true
+	c.unverified.renewed[r.Machine] = now
+	c.metrics.unverifiedRenewals.Inc()
+	return protocol.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []protocol.Command{}}, true
 }
 
-// allNewborn tells whether every other node is heard and has read no records either: all have ended. Where one
+// allRestarted tells whether every other node is heard and has read no records either: all have ended. Where one
 // has read them, the worker is better off there; and one that is silent may have confirmed cancellations
 // until now, which whoever answered the worker last could not know.
-func (c *Controller) allNewborn(now time.Time) bool {
+func (c *Controller) allRestarted(now time.Time) bool {
 	for _, k := range c.cfg.Known {
 		if p, ok := c.peers[k.MemberName]; !ok || now.Sub(p.heardAt) >= peerFresh || p.heartbeat.Revision > 0 {
 			return false
--- a/internal/coordination/others_test.go
+++ b/internal/coordination/others_test.go
@@ -12,12 +12,12 @@
 // A node that has read no records answers a worker only where that loses nothing and holds
 // it at no node that can do nothing for it.
 func TestBlindRenewals(t *testing.T) {
-	w := config.Workers{ReportS: 1, LeaseS: 10, CancelS: 40}
-	running := []protocol.TaskReport{{Task: "job-000001/0", Attempt: 3, State: protocol.Runs}}
+	w := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
+	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
 	for _, x := range []struct {
 		name  string
 		age   time.Duration
-		tasks []protocol.TaskReport
+		tasks []protocol.TaskStatus
 		peer  uint64        // the revision of the other node's cache
 		heard time.Duration // and how long ago it was heard; below 0: never
 		again time.Duration // since this node last renewed it; 0: never
@@ -36,30 +36,30 @@
 			c := newCore(t)
 			c.loaded, c.cfg.Deployment.Workers = false, w
 			now := time.Now()
-			c.blind.since = now.Add(-x.age)
+			c.unverified.since = now.Add(-x.age)
 			c.cfg.Known = []config.Peer{{MemberName: "n1"}}
 			if x.heard >= 0 {
 				c.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: x.peer}, heardAt: now.Add(-x.heard)}
 			}
 			if x.again > 0 {
-				c.blind.renewed["m"] = now.Add(-x.again)
+				c.unverified.renewed["m"] = now.Add(-x.again)
 			}
-			a, ok := c.blindly(&protocol.Report{Machine: "m", Session: 1, Token: 41, Tasks: x.tasks}, now)
+			a, ok := c.renewUnverified(&protocol.Heartbeat{Machine: "m", Incarnation: 1, FencingToken: 41, Tasks: x.tasks}, now)
 			if ok != x.want {
 				t.Errorf("renewed: %v, want %v", ok, x.want)
 			}
-			if ok && (a.Token != 41 || len(a.Commands) != 0) {
-				t.Errorf("token %d and %d commands, want the worker's own token and none", a.Token, len(a.Commands))
+			if ok && (a.FencingToken != 41 || len(a.Commands) != 0) {
+				t.Errorf("token %d and %d commands, want the worker's own token and none", a.FencingToken, len(a.Commands))
 			}
 		})
 	}
 	// As long as a lease may last on, the last renewal ends within cancel_s of what no node
 	// could know: for the deployments' times.
 	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
-		if end := blindFor(w) + seconds(2*w.LeaseS); end > seconds(w.CancelS) {
+		if end := unverifiedRenewalWindow(w) + seconds(2*w.LeaseS); end > seconds(w.CancelS) {
 			t.Errorf("%+v: a lease may end %v after a cancellation", w, end)
 		}
-		if end := staleFor(w) + seconds(w.LeaseS); end > seconds(w.CancelS) {
+		if end := maxKnowledgeAge(w) + seconds(w.LeaseS); end > seconds(w.CancelS) {
 			t.Errorf("%+v: a lease that is stood in for may end %v after a cancellation", w, end)
 		}
 	}
@@ -95,7 +95,7 @@
 		if x.heard == newborn {
 			c.peers["n1"] = peerState{heardAt: now}
 		}
-		if got := c.standsIn(c.cache.Machine("m"), now); got != x.want {
+		if got := c.renewsAsProxy(c.cache.Machine("m"), now); got != x.want {
 			t.Errorf("%s: stands in %v, want %v", x.name, got, x.want)
 		}
 	}
@@ -116,14 +116,14 @@
 			c := newCore(t)
 			c.highestRevision = 12
 			status := 0
-			c.onReport(t.Context(), &protocol.Report{Machine: "m", Session: 1, Seq: 2, Token: x.token}, func(s int, _ any) { status = s })
-			c.flushHeld(time.Now(), true)
+			c.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: x.token}, func(s int, _ any) { status = s })
+			c.flushHeldReplies(time.Now(), true)
 			if status != x.status {
 				t.Errorf("answered %d, want %d", status, x.status)
 			}
 			b, _ := c.plan(time.Now(), 12)
-			if r := machineIn(t, b); (r.Token > x.token) != x.raised {
-				t.Errorf("the record's token is %d, the worker's %d", r.Token, x.token)
+			if r := machineIn(t, b); (r.FencingToken > x.token) != x.raised {
+				t.Errorf("the record's token is %d, the worker's %d", r.FencingToken, x.token)
 			}
 		})
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -23,7 +23,7 @@
 	heartbeat     atomic.Pointer[protocol.PeerHeartbeat]
 	shardDemands  atomic.Pointer[[]protocol.ShardDemand]
 	incarnation   atomic.Uint64
-	digest        atomic.Pointer[protocol.Word]
+	digest        atomic.Pointer[protocol.CancellationDigest]
 	digestReaders atomic.Pointer[map[string]uint64] // how far the caches of those are that read words
 }
 
@@ -36,12 +36,12 @@
 		}
 	}
 	c.summary.heartbeat.Store(&p)
-	c.summary.digest.Store(c.word(now))
+	c.summary.digest.Store(c.currentDigest(now))
 	c.summary.digestReaders.Store(c.digestReaders())
 	c.summary.incarnation.Store(c.incarnation)
 	var needs []protocol.ShardDemand
-	for j, jv := range c.jobs {
-		if j.Open() && j.Priority.Top() && !jv.asked.IsZero() && c.wanting(j) > 0 && len(needs) < 16 {
+	for j, jv := range c.jobStates {
+		if j.Open() && j.Priority.Top() && !jv.shortSince.IsZero() && c.wanting(j) > 0 && len(needs) < 16 {
 			needs = append(needs, protocol.ShardDemand{Shard: uint32(j.Shard), OnDemand: !j.Spot, Cpus: float64(c.wanting(j)) * j.Size})
 		}
 	}
--- a/internal/coordination/pipelines.go
+++ b/internal/coordination/pipelines.go
@@ -20,7 +20,7 @@
 	c.cache.Inherit(c.aims, c.length)
 	for _, j := range c.cache.Readied() {
 		if j.Open() {
-			c.metrics.readied.Inc()
+			c.metrics.readyJobs.Inc()
 			c.log.Debug("job is ready", "job", j.ID, "after", j.At.Sub(j.Submitted).Seconds(), "priority", j.Priority.String())
 		}
 	}
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -200,7 +200,7 @@
 			continue
 		}
 		for _, m := range k.Machines {
-			v := c.views[m.Index]
+			v := c.workerStates[m.Index]
 			if m.Gone || v == nil {
 				continue
 			}
@@ -211,7 +211,7 @@
 			if d.groups[k] == nil {
 				cost++
 			}
-			leaves := v.returned && m.Closing && len(v.Gone) >= len(m.Tasks) && m.Listed <= 1
+			leaves := v.terminated && m.Returning && len(v.Gone) >= len(m.Tasks) && m.FleetEntries <= 1
 			if leaves && d.leave[m.Fleet] == nil {
 				cost++
 			}
@@ -244,15 +244,15 @@
 }
 
 // changes tells whether a machine's part of the records has to change, tasks aside.
-func (c *Controller) changes(m *storage.Machine, v *machineView) bool {
+func (c *Controller) changes(m *storage.Machine, v *workerState) bool {
 	e := c.edits[m.Index]
-	return c.bumps(m, v) || (v.returned && m.Closing) || (v.sick && !m.Sick) || (e != nil && e.differs(m))
+	return c.bumps(m, v) || (v.terminated && m.Returning) || (v.unhealthy && !m.Unhealthy) || (e != nil && e.differs(m))
 }
 
 // bumps tells whether the machine's token must be raised: a direct command under
 // the present one may still be on its way.
-func (c *Controller) bumps(m *storage.Machine, v *machineView) bool {
-	return v.Uncertain > 0 && v.Uncertain >= c.cache.Token(m)
+func (c *Controller) bumps(m *storage.Machine, v *workerState) bool {
+	return v.Uncertain > 0 && v.Uncertain >= c.cache.FencingToken(m)
 }
 
 // groupMachine is a machine's part of its rack's record with this transaction.
@@ -262,19 +262,19 @@
 		tasks = m.Tasks
 	}
 	x := c.cache.GroupMachineOf(m, tasks)
-	v := c.views[m.Index]
+	v := c.workerStates[m.Index]
 	if v == nil {
 		return x
 	}
 	// That a machine is sick goes into its record, for whoever owns it next.
-	x.Sick = m.Sick || v.sick
+	x.Unhealthy = m.Unhealthy || v.unhealthy
 	if changed || len(m.Tasks) == 0 {
 		// Only with the tasks that a newer session has lost may the session change.
-		x.Session = max(m.Session, v.Session)
+		x.Incarnation = max(m.Incarnation, v.Incarnation)
 	}
 	if changed {
 		if c.bumps(m, v) {
-			x.Token = c.nextRevision()
+			x.FencingToken = c.nextRevision()
 		}
 	}
 	if e := c.edits[m.Index]; e != nil {
@@ -313,13 +313,13 @@
 		if !ok {
 			tasks = slices.Clone(m.Tasks)
 		}
-		jv := c.jobView(p.Job)
-		if jv.began.IsZero() {
-			jv.began = now
-			c.metrics.wait.WithLabelValues(c.classLabel(p.Job.Class), c.cache.Teams[p.Job.Team].Name).Observe(now.Sub(p.Job.At).Seconds())
+		jv := c.jobState(p.Job)
+		if jv.firstPlacedAt.IsZero() {
+			jv.firstPlacedAt = now
+			c.metrics.waitSeconds.WithLabelValues(c.classLabel(p.Job.Class), c.cache.Teams[p.Job.Team].Name).Observe(now.Sub(p.Job.At).Seconds())
 		}
 		c.planned++
-		jv.full = now
+		jv.lastPlacedAt = now
 		d.left[m.Index] = append(tasks, storage.Placed{Job: p.Job, Task: p.Task, Attempt: attempt,
 			At: now.Unix(), Waited: c.waited(p.Job, p.Task, now)})
 	}
@@ -366,8 +366,8 @@
 // waited is how long a task has waited before it starts now, in seconds.
 func (c *Controller) waited(j *storage.Job, task int, now time.Time) uint64 {
 	since := j.At
-	if jv := c.jobs[j]; jv != nil {
-		if q, ok := jv.queued[task]; ok {
+	if jv := c.jobStates[j]; jv != nil {
+		if q, ok := jv.requeuedAt[task]; ok {
 			since = q
 		}
 	}
@@ -382,7 +382,7 @@
 		Begin:   func(j *storage.Job) bool { return j.NPlaced+j.NDone == 0 && now.Sub(j.At) >= beginAfter },
 		Overdue: func(j *storage.Job) bool { return c.waitedTooLong(j, now) },
 		Hold: func(j *storage.Job) bool {
-			jv := c.jobs[j]
+			jv := c.jobStates[j]
 			return jv != nil && now.Before(jv.backoff) || c.probing(j)
 		},
 		Evicts: func(j *storage.Job) bool { return c.sooner(j, now) },
@@ -446,7 +446,7 @@
 			if room.All += ty.Cpus; !m.Spot {
 				room.Ordinary += ty.Cpus
 			}
-			v := c.view(m)
+			v := c.workerState(m)
 			if !c.usable(m, v, now) {
 				if c.booting(m, v, now) {
 					sc.booting = append(sc.booting, &schedule.Slot{M: m, Fetch: ty.Fetch, Boots: c.bootLeft(m, v, now),
@@ -484,7 +484,7 @@
 			if ty.Gpus > 0 {
 				s.PerGpu = ty.Cpus / ty.Gpus
 			}
-			s.Risk = 4*c.failedRecently(v) + 8*max(0, v.speed-1.3)
+			s.Risk = 4*c.failedRecently(v) + 8*max(0, v.slowdown-1.3)
 			s.Held = held[m.Name]
 		}
 	}
@@ -570,12 +570,12 @@
 }
 
 // usable tells whether a machine may take more tasks.
-func (c *Controller) usable(m *storage.Machine, v *machineView, now time.Time) bool {
-	if m.Closing || m.Drains || m.Sick || v.sick || v.Session == 0 || v.Session < m.Session || !v.notice.IsZero() || v.returned ||
-		c.bumps(m, v) || c.edits[m.Index].off() || c.mute(v, now) {
+func (c *Controller) usable(m *storage.Machine, v *workerState, now time.Time) bool {
+	if m.Returning || m.Draining || m.Unhealthy || v.unhealthy || v.Incarnation == 0 || v.Incarnation < m.Incarnation || !v.preemptedAt.IsZero() || v.terminated ||
+		c.bumps(m, v) || c.edits[m.Index].off() || c.unresponsive(v, now) {
 		return false
 	}
-	return now.Sub(v.heard) < seconds(2*c.cfg.Deployment.Workers.ReportS+1)
+	return now.Sub(v.heard) < seconds(2*c.cfg.Deployment.Workers.HeartbeatS+1)
 }
 
 // allowance is how long a job may take in order to meet the tightest aim that
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -45,7 +45,7 @@
 		read = true
 		for ctx.Err() == nil {
 			sent := time.Now()
-			ev, err := c.store.Follow(ctx, storage.Root, rev, c.followWait())
+			ev, err := c.store.Watch(ctx, storage.Root, rev, c.followWait())
 			if errors.Is(err, protocol.ErrTooOld) {
 				c.log.Info("follow is too far behind, reading again", "rev", rev)
 				break
@@ -69,7 +69,7 @@
 // followWait is how long a follow waits for changes: its answer holds all that was committed before
 // it was sent, so a quiet service must be asked again while what is known of it is young.
 func (c *Controller) followWait() time.Duration {
-	return min(time.Second, staleFor(c.cfg.Deployment.Workers)/4)
+	return min(time.Second, maxKnowledgeAge(c.cfg.Deployment.Workers)/4)
 }
 
 // load reads every record. Changes made meanwhile come again with the follow.
@@ -115,7 +115,7 @@
 		if c.cacheCurrentAt.Before(began) {
 			c.cacheCurrentAt = began
 		}
-		c.blind.renewed = nil // it knows the records from now on
+		c.unverified.renewed = nil // it knows the records from now on
 		c.log.Info("records read", "rev", first, "keys", len(seen))
 		c.changed()
 	})
@@ -146,7 +146,7 @@
 	if err != nil {
 		c.log.Error("bad record", "err", err)
 	}
-	c.noteEnded(key, version)
+	c.noteCancellation(key, version)
 	return err
 }
 
@@ -163,7 +163,7 @@
 	c.highestRevision = max(c.highestRevision, ev.Revision)
 	now := time.Now()
 	c.storeFailingSince, c.storeServedAt, c.cacheCurrentAt = time.Time{}, now, latest(c.cacheCurrentAt, sent)
-	c.readWords()
+	c.dropReadCancellations()
 	keep := c.waiters[:0]
 	for _, w := range c.waiters {
 		if w.rev <= c.cache.Revision {
@@ -211,16 +211,16 @@
 	}
 	for _, m := range machines {
 		c.settleView(m)
-		if !m.Gone && m.Session > 0 && c.ownsShard(m.Shard) && c.views[m.Index] == nil {
-			c.view(m) // a new owner shows itself; the reply tells what is on the machine
-			c.toGreet = append(c.toGreet, m)
+		if !m.Gone && m.Incarnation > 0 && c.ownsShard(m.Shard) && c.workerStates[m.Index] == nil {
+			c.workerState(m) // a new owner shows itself; the reply tells what is on the machine
+			c.uncontacted = append(c.uncontacted, m)
 		}
-		c.nudgeStop(m)
+		c.terminateUnwanted(m)
 	}
 	for _, j := range jobs {
-		c.nudgeJob(j)
+		c.terminateJob(j)
 	}
-	c.greet()
+	c.contactWorkers()
 	c.kick()
 }
 
@@ -228,7 +228,7 @@
 func (c *Controller) takeOverShard(share int, own bool, now time.Time) {
 	for _, m := range c.cache.Machines {
 		if m.Shard == share {
-			delete(c.views, m.Index) // what an earlier ownership knew is stale
+			delete(c.workerStates, m.Index) // what an earlier ownership knew is stale
 		}
 	}
 	if !own {
@@ -240,27 +240,27 @@
 		if m.Shard != share || m.Gone {
 			continue
 		}
-		mv := c.view(m)
+		mv := c.workerState(m)
 		mv.since = now
-		if max(m.Token, m.Group.Token) >= c.cache.Shards[share].Token {
+		if max(m.FencingToken, m.Group.FencingToken) >= c.cache.Shards[share].FencingToken {
 			// raised by the former owner while the share changed
 			// hands: only a higher one proves what it sent is dead
-			mv.Uncertain = max(m.Token, m.Group.Token)
+			mv.Uncertain = max(m.FencingToken, m.Group.FencingToken)
 		}
-		if m.Session > 0 {
-			c.toGreet = append(c.toGreet, m)
+		if m.Incarnation > 0 {
+			c.uncontacted = append(c.uncontacted, m)
 		}
 	}
 }
 
 // settleView brings a machine's view in line with the records.
 func (c *Controller) settleView(m *storage.Machine) {
-	v := c.views[m.Index]
+	v := c.workerStates[m.Index]
 	if v == nil {
 		return
 	}
 	if m.Gone || !c.ownsShard(m.Shard) {
-		delete(c.views, m.Index)
+		delete(c.workerStates, m.Index)
 		return
 	}
 	v.Settle(m)
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -23,7 +23,7 @@
 		return
 	}
 	c.log.Info("this node stood still", "for", now.Sub(last).Round(10*time.Millisecond).Seconds(), "hold_in_question", !c.leaseCertain(now))
-	c.metrics.standstills.Inc()
+	c.metrics.stalls.Inc()
 	c.resumedAt = now
 	// What was idle or spare before says nothing about now.
 	clear(c.leader.spareFrom)
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -17,15 +17,15 @@
 	c := newCore(t)
 	c.sessionLease = 1
 	m := c.cache.Machine("m")
-	v := c.view(m)
-	m.Session, v.probes = 1, 5
+	v := c.workerState(m)
+	m.Incarnation, v.missedProbes = 1, 5
 	c.cache.Members["n1"] = &storage.Member{Version: 1}
 	c.cache.Members["n0"] = &storage.Member{Version: 1}
 	start := time.Now()
 	woke := start.Add(9 * time.Second)
 	c.leaseRenewedAt, c.storeServedAt, c.ownershipSince = start, start, start.Add(-time.Minute)
 	c.disconnectedPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
-	v.heard, v.since, c.heardAny = start, start.Add(-time.Minute), start
+	v.heard, v.since, c.anyWorkerHeardAt = start, start.Add(-time.Minute), start
 	look := func(now time.Time) (silent, lost, alone bool) {
 		c.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
 		return c.silenceOf(v.heard, now) > 4*time.Second, c.memberLost("n1", now), c.isolatedFromStore(now)
@@ -53,18 +53,18 @@
 	}
 }
 
-// rentCounter is a cloud that counts what is asked of it.
-type rentCounter struct {
+// scaleOutCounter is a cloud that counts what is asked of it.
+type scaleOutCounter struct {
 	Cloud
 	asked chan string
 }
 
-func (r rentCounter) Rent(_ context.Context, x protocol.Rental) ([]string, error) {
+func (r scaleOutCounter) ScaleOut(_ context.Context, x protocol.ScaleOutRequest) ([]string, error) {
 	r.asked <- x.Name
 	return nil, protocol.ErrNoCapacity
 }
 
-func (r rentCounter) List(context.Context, string) (protocol.MachineList, error) {
+func (r scaleOutCounter) List(context.Context, string) (protocol.MachineList, error) {
 	r.asked <- "list"
 	return protocol.MachineList{}, errors.New("none")
 }
@@ -78,7 +78,7 @@
 	}{{"renewed a moment ago", time.Second, true}, {"renewed before a standstill", 6 * time.Second, false}} {
 		c := newCore(t)
 		asked := make(chan string, 100)
-		c.cloud = rentCounter{asked: asked}
+		c.cloud = scaleOutCounter{asked: asked}
 		c.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
 		now := time.Now()
 		c.sessionLease, c.leaseRenewedAt = 1, now.Add(-x.since)
@@ -161,7 +161,7 @@
 // refusingStore refuses every transaction.
 type refusingStore struct{ StateStore }
 
-func (refusingStore) Txn(context.Context, protocol.Txn, protocol.Haste) (uint64, []string, error) {
+func (refusingStore) Txn(context.Context, protocol.Txn, protocol.RequestPriority) (uint64, []string, error) {
 	return 0, nil, protocol.ErrRefused
 }
 
@@ -187,10 +187,10 @@
 			t.Fatal(err)
 		}
 		for _, m := range c.cache.Machines {
-			m.Session = 1
+			m.Incarnation = 1
 		}
 		now := time.Now()
-		c.heardAny = now.Add(-x.silent)
+		c.anyWorkerHeardAt = now.Add(-x.silent)
 		c.checkReadiness(t.Context(), now)
 		if c.notReady.Load() != x.unfit {
 			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, c.notReady.Load(), x.unfit)
--- a/internal/coordination/stops.go
+++ b/internal/coordination/stops.go
@@ -17,40 +17,40 @@
 // silence, from a takeover or from the beginning of an outage began anew with each of them, and a machine that hung outlived
 // cancel_s where owners changed every few seconds. See docs/incidents/deadlines-that-began-anew.md.
 
-// stopping is what this process has tried to have what was cancelled ended on a machine.
-type stopping struct {
-	since time.Time // in vain since then; zero: not tried yet, or shown to have ended
-	next  time.Time // nothing is tried before
+// termination is what this process has tried to have what was cancelled ended on a machine.
+type termination struct {
+	failingSince time.Time // in vain since then; zero: not tried yet, or shown to have ended
+	nextTry      time.Time // nothing is tried before
 }
 
 const (
-	stopEvery    = 2 * time.Second
-	stoppedAgain = 10 * time.Second // after its worker has shown nothing of it: a launch may still have been under way
-	returnAgain  = 2 * time.Second  // its return may have failed, and shows in no record
-	// ownersTime is how long a cancelled task is its owner's matter alone, while the state service answers.
-	ownersTime = 6 * time.Second
-	// stopPatience is how long a process must have tried by itself: it may have slept, or begun a moment ago.
-	stopPatience  = 4 * time.Second
-	stopsAtOneTry = maxDirects / 2 // so that those which can't be reached leave room
+	terminationInterval = 2 * time.Second
+	terminationRecheck  = 10 * time.Second // after its worker has shown nothing of it: a launch may still have been under way
+	scaleInRetry        = 2 * time.Second  // its return may have failed, and shows in no record
+	// ownerGrace is how long a cancelled task is its owner's matter alone, while the state service answers.
+	ownerGrace = 6 * time.Second
+	// terminationPatience is how long a process must have tried by itself: it may have slept, or begun a moment ago.
+	terminationPatience  = 4 * time.Second
+	terminationsPerRound = maxDirectCommands / 2 // so that those which can't be reached leave room
 )
 
-// stopWithin is the deadline of a cancellation. What is left of cancel_s is for the cloud, which may refuse for a while.
-func stopWithin(w config.Workers) time.Duration { return seconds(w.CancelS / 2) }
+// terminationDeadline is the deadline of a cancellation. What is left of cancel_s is for the cloud, which may refuse for a while.
+func terminationDeadline(w config.Workers) time.Duration { return seconds(w.CancelS / 2) }
 
 // cancelled tells whether a job is cancelled, as its record says or a peer that has confirmed it.
 func (c *Controller) cancelled(j *storage.Job) bool {
-	_, told := c.words.told[j.ID]
+	_, told := c.digest.gossiped[j.ID]
 	return told || j.Final == protocol.Cancelled
 }
 
-// cancelledFor is how long ago a job may have been cancelled at most. Where its record doesn't tell, since the version before wrote
+// cancellationAge is how long ago a job may have been cancelled at most. Where its record doesn't tell, since the version before wrote
 // it or it is not read yet, that counts from when this process learned of it, which is kept in noted.
-func (c *Controller) cancelledFor(j *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
+func (c *Controller) cancellationAge(j *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
 	if j.EndMs > 0 {
-		off := time.Duration(2 * c.cfg.Deployment.ClockOffMs * float64(time.Millisecond))
+		off := time.Duration(2 * c.cfg.Deployment.ClockSkewMs * float64(time.Millisecond))
 		return max(0, now.Sub(time.UnixMilli(j.EndMs))+off)
 	}
-	at, ok := c.learned[j.ID]
+	at, ok := c.cancellationsLearnedAt[j.ID]
 	if !ok {
 		at = now
 	}
@@ -58,21 +58,21 @@
 	return now.Sub(at)
 }
 
-// cancelledOn is by machine how long ago the earliest of those cancelled jobs was whose tasks are not shown to have ended there.
-func (c *Controller) cancelledOn(now time.Time) map[int32]time.Duration {
+// cancellationAgeByMachine is by machine how long ago the earliest of those cancelled jobs was whose tasks are not shown to have ended there.
+func (c *Controller) cancellationAgeByMachine(now time.Time) map[int32]time.Duration {
 	var ages map[int32]time.Duration
 	noted := map[string]time.Time{}
 	for _, j := range c.cache.Jobs {
 		if j == nil || j.NPlaced == 0 || !c.cancelled(j) {
 			continue
 		}
-		age := c.cancelledFor(j, now, noted)
+		age := c.cancellationAge(j, now, noted)
 		for t, i := range j.Machine {
 			if i == storage.Nowhere {
 				continue
 			}
 			m := c.cache.Machines[i]
-			if v := c.views[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.returned || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.Attempt[t]})) {
+			if v := c.workerStates[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.Attempt[t]})) {
 				continue
 			}
 			if ages == nil {
@@ -81,19 +81,19 @@
 			ages[i] = max(ages[i], age)
 		}
 	}
-	c.learned = noted
+	c.cancellationsLearnedAt = noted
 	return ages
 }
 
-// watchStops has what was cancelled stopped, on others' machines too where their owners may not know or not be able to, and
+// superviseTerminations has what was cancelled stopped, on others' machines too where their owners may not know or not be able to, and
 // tells which machines must be returned since it can't be shown to have ended there. In an outage no record can say
 // that they are, but a return needs none: a machine is gone with all that is on it, whoever asks, and nothing is placed again
 // before its owner has that proof too. A node that hears no worker at all may be the one that is cut off.
-func (c *Controller) watchStops(now time.Time) (lost []string) {
-	ages := c.cancelledOn(now)
-	for i := range c.stopping {
+func (c *Controller) superviseTerminations(now time.Time) (lost []string) {
+	ages := c.cancellationAgeByMachine(now)
+	for i := range c.terminations {
 		if _, ok := ages[i]; !ok {
-			delete(c.stopping, i)
+			delete(c.terminations, i)
 		}
 	}
 	order := make([]int32, 0, len(ages))
@@ -103,97 +103,97 @@
 	slices.SortFunc(order, func(a, b int32) int { return cmp.Or(cmp.Compare(ages[b], ages[a]), cmp.Compare(a, b)) })
 	w := c.cfg.Deployment.Workers
 	outage := c.silenceOf(c.storeServedAt, now) > peerFresh
-	hears := c.silenceOf(maxTime(c.heardAny, c.reachedAt), now) < peerFresh+seconds(w.ReportS)
+	hears := c.silenceOf(maxTime(c.anyWorkerHeardAt, c.workerReachedAt), now) < peerFresh+seconds(w.HeartbeatS)
 	began := 0
 	for _, i := range order {
-		m, s := c.cache.Machines[i], c.stopping[i]
+		m, s := c.cache.Machines[i], c.terminations[i]
 		own := c.ownsShard(m.Shard)
-		if !own && !outage && ages[i] < ownersTime {
+		if !own && !outage && ages[i] < ownerGrace {
 			continue
 		}
 		if s == nil {
-			s = &stopping{}
-			c.stopping[i] = s
+			s = &termination{}
+			c.terminations[i] = s
 		}
 		switch {
-		case now.Before(s.next):
-		case !s.since.IsZero() && hears && ages[i] >= stopWithin(w) && c.silenceOf(s.since, now) > stopPatience:
+		case now.Before(s.nextTry):
+		case !s.failingSince.IsZero() && hears && ages[i] >= terminationDeadline(w) && c.silenceOf(s.failingSince, now) > terminationPatience:
 			c.log.Info("what was cancelled can't be shown to have ended, returning machine", "machine", m.Name, "own", own, "for", ages[i].Seconds())
 			lost = append(lost, m.Name)
-			s.next = now.Add(returnAgain)
+			s.nextTry = now.Add(scaleInRetry)
 			if own {
 				c.closeMachine(m, "can't be stopped")
 			}
-		case began < stopsAtOneTry && c.directs < maxDirects:
+		case began < terminationsPerRound && c.directCommands < maxDirectCommands:
 			// Each round began with the same machines once, and those beyond the first 48 had no stop.
 			began++
-			s.next = now.Add(stopEvery)
-			if s.since.IsZero() {
-				s.since = now
+			s.nextTry = now.Add(terminationInterval)
+			if s.failingSince.IsZero() {
+				s.failingSince = now
 			}
 			if own {
-				c.direct(m, true)
+				c.sendDirect(m, true)
 			} else {
-				c.stopOn(m, protocol.DirectCommands{Token: c.cache.Token(m), Session: m.Session, Commands: c.stops(m)}, true)
+				c.terminateOn(m, protocol.DirectCommands{FencingToken: c.cache.FencingToken(m), Incarnation: m.Incarnation, Commands: c.killCommands(m)}, true)
 			}
 		}
 	}
 	return lost
 }
 
-// stops are the commands that end what a machine's record still holds of jobs that are over:
+// killCommands are the commands that end what a machine's record still holds of jobs that are over:
 // final states never change, so they are right whoever sends them.
-func (c *Controller) stops(m *storage.Machine) []protocol.Command {
+func (c *Controller) killCommands(m *storage.Machine) []protocol.Command {
 	out := []protocol.Command{}
 	for _, p := range m.Tasks {
-		if c.over(p.Job) && len(out) < maxCommands {
-			out = append(out, protocol.Command{Op: protocol.Kill, Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt})
+		if c.finished(p.Job) && len(out) < maxCommands {
+			out = append(out, protocol.Command{Op: protocol.OpKill, Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt})
 		}
 	}
 	return out
 }
 
-// stopOn sends stops straight to a worker that this node does not own. If it refuses them since its session or its
+// terminateOn sends stops straight to a worker that this node does not own. If it refuses them since its session or its
 // token is another, its report tells both, and what of the jobs that are over is on it in truth:
 // with again they are sent once more. Stops of what is over are right under any token.
-func (c *Controller) stopOn(m *storage.Machine, cmd protocol.DirectCommands, again bool) {
+func (c *Controller) terminateOn(m *storage.Machine, cmd protocol.DirectCommands, again bool) {
 	if len(cmd.Commands) == 0 || m.Addr == "" {
 		return
 	}
 	addr := m.Addr
-	c.directs++
+	c.directCommands++
 	go func() {
 		r, status, err := c.workers.Command(addr, cmd, 2*time.Second)
 		c.post(func() {
-			c.directs--
+			c.directCommands--
 			c.log.Debug("stops for another's machine", "addr", addr, "stops", len(cmd.Commands), "status", status, "err", err)
 			if err != nil || r == nil || r.Machine != m.Name || m.Gone {
 				return
 			}
-			c.reachedAt = time.Now()
-			switch left := c.stopsOf(r); {
+			c.workerReachedAt = time.Now()
+			switch left := c.killCommandsFor(r); {
 			case len(left) == 0:
-				if s := c.stopping[m.Index]; s != nil {
-					*s = stopping{next: c.reachedAt.Add(stoppedAgain)}
+				if s := c.terminations[m.Index]; s != nil {
+					*s = termination{nextTry: c.workerReachedAt.Add(terminationRecheck)}
 				}
-			case status != 200 && again && c.directs < maxDirects:
-				c.stopOn(m, protocol.DirectCommands{Token: r.Token, Session: r.Session, Commands: left}, false)
+			case status != 200 && again && c.directCommands < maxDirectCommands:
+				c.terminateOn(m, protocol.DirectCommands{FencingToken: r.FencingToken, Incarnation: r.Incarnation, Commands: left}, false)
 			}
 		})
 	}()
 }
 
-// stopsOf are the commands that end what a worker's report shows of jobs that are over.
-func (c *Controller) stopsOf(r *protocol.Report) []protocol.Command {
+// killCommandsFor are the commands that end what a worker's report shows of jobs that are over.
+func (c *Controller) killCommandsFor(r *protocol.Heartbeat) []protocol.Command {
 	out := []protocol.Command{}
 	for _, t := range r.Tasks {
 		id, _, ok := protocol.SplitTask(t.Task)
-		if !ok || t.State == protocol.Exited || len(out) >= maxCommands {
+		if !ok || t.State == protocol.TaskExited || len(out) >= maxCommands {
 			continue
 		}
 		f, _ := c.cache.FinalState(id)
-		if _, told := c.words.told[id]; told || f == protocol.Cancelled {
-			out = append(out, protocol.Command{Op: protocol.Kill, Task: t.Task, Attempt: t.Attempt})
+		if _, told := c.digest.gossiped[id]; told || f == protocol.Cancelled {
+			out = append(out, protocol.Command{Op: protocol.OpKill, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
 	return out
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -53,19 +53,19 @@
 					t.Fatal(err)
 				}
 			}
-			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
+			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
 			r := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", EndMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
 			if x.is&unknown != 0 {
 				r.EndMs = 0
 			}
 			if x.is&told != 0 {
-				c.words.told["job-000001"] = 9
+				c.digest.gossiped["job-000001"] = 9
 			} else {
 				apply(storage.JobKey("job-000001"), r, 6)
 			}
 			if x.is&ended != 0 {
-				c.view(m).Gone[dispatch.RefOf(m.Tasks[0])] = dispatch.Stopped
+				c.workerState(m).Gone[dispatch.RefOf(m.Tasks[0])] = dispatch.Stopped
 			}
 			if x.is&others != 0 {
 				c.cache.Shards[0].Member = "n1"
@@ -74,14 +74,14 @@
 			if x.is&outage != 0 {
 				c.storeServedAt = now.Add(-time.Hour)
 			}
-			c.heardAny = now.Add(-x.tried)
-			if lost := c.watchStops(now.Add(-x.tried)); len(lost) > 0 {
+			c.anyWorkerHeardAt = now.Add(-x.tried)
+			if lost := c.superviseTerminations(now.Add(-x.tried)); len(lost) > 0 {
 				t.Fatal("returned before anything was tried")
 			}
-			if c.heardAny = now.Add(-x.heard); x.awake > 0 {
+			if c.anyWorkerHeardAt = now.Add(-x.heard); x.awake > 0 {
 				c.resumedAt = now.Add(-x.awake)
 			}
-			if lost := c.watchStops(now); (len(lost) > 0) != x.want {
+			if lost := c.superviseTerminations(now); (len(lost) > 0) != x.want {
 				t.Errorf("returned %v, want %v", lost, x.want)
 			}
 			if e := c.edits[m.Index]; (e != nil && e.closing) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
@@ -91,7 +91,7 @@
 	}
 	// What is left of cancel_s is for the cloud: for the deployments' times.
 	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
-		if left := seconds(w.CancelS) - stopWithin(w) - stopPatience; left < 13*time.Second {
+		if left := seconds(w.CancelS) - terminationDeadline(w) - terminationPatience; left < 13*time.Second {
 			t.Errorf("%+v: %v are left once a process that began just then has tried", w, left)
 		}
 	}
@@ -115,23 +115,23 @@
 	} {
 		c := newCore(t) // reports 1 s, leases 10 s
 		m := c.cache.Machine("m")
-		v, now := c.view(m), time.Now()
-		v.since, v.reported = now.Add(-time.Minute), now.Add(-x.mute)
+		v, now := c.workerState(m), time.Now()
+		v.since, v.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
 		if i == 0 {
 			c.zone(m.Zone).away, c.zone(m.Zone).heard, c.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
 			c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
 			c.leaseSeenAt["n1"] = now
 			m.Tasks = []storage.Placed{{Job: &storage.Job{Shape: protocol.Service}}}
-			v.heard, v.probes = v.reported, 9
+			v.heard, v.missedProbes = v.heartbeatAt, 9
 		} else if i > 1 {
-			c.takeReport(m, v, &protocol.Report{Machine: "m", Session: 1, Seq: 9, Token: 4}, 4, true)
+			c.applyHeartbeat(m, v, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
 		} else {
-			v.View, v.heard, v.since = dispatch.NewView(), now, v.reported
+			v.Worker, v.heard, v.since = dispatch.NewWorker(), now, v.heartbeatAt
 		}
 		if got := c.usable(m, v, now); got != x.usable {
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.usable)
 		}
-		c.watchMachines(t.Context(), now, nil)
+		c.superviseMachines(t.Context(), now, nil)
 		if e := c.edits[m.Index]; (e != nil && e.closing) != x.why {
 			t.Errorf("%s: returned %v, want %v", x.name, !x.why, x.why)
 		}
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -213,7 +213,7 @@
 	if refused != nil {
 		return view, refused
 	}
-	rev, failed, err := c.store.Txn(ctx, t, protocol.ForUser)
+	rev, failed, err := c.store.Txn(ctx, t, protocol.UserRequest)
 	switch {
 	case err != nil:
 		return view, ErrUnavailable // whether it was done shows in the entry's version
@@ -368,7 +368,7 @@
 func (c *Controller) stillUsed(team int) storage.Usage {
 	used := c.cache.Used[team]
 	for _, m := range c.cache.Machines {
-		v := c.views[m.Index]
+		v := c.workerStates[m.Index]
 		if m.Gone || v == nil || len(v.Gone) == 0 {
 			continue
 		}
@@ -395,7 +395,7 @@
 			if j.Team != team || !j.Open() || c.cache.Victim(p) {
 				continue
 			}
-			v := c.view(m)
+			v := c.workerState(m)
 			if v.hasEnded(dispatch.RefOf(p)) {
 				continue
 			}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -21,7 +21,7 @@
 }
 
 func refuse(status int, msg string) Answer {
-	a := Answer{Status: status, Body: protocol.Refusal{Error: msg}}
+	a := Answer{Status: status, Body: protocol.ErrorResponse{Error: msg}}
 	if status == 503 {
 		a.RetryAfter = 1
 	}
@@ -40,7 +40,7 @@
 	case j.NPlaced > 0:
 		s.Status = protocol.Running
 	default:
-		s.Awaits = j.Unmet()
+		s.UnmetDependencies = j.Unmet()
 	}
 	return s
 }
@@ -129,7 +129,7 @@
 			return
 		}
 		// Before the gate opens a node of the version before would start it too early.
-		ready = c.accepts() && (len(s.Needs) == 0 || c.loaded && c.cache.Packed())
+		ready = c.accepts() && (len(s.Dependencies) == 0 || c.loaded && c.cache.Packed())
 		if ready {
 			if never = c.neverRuns(s); never == "" {
 				never, lacks = c.badNeeds(s)
@@ -166,7 +166,7 @@
 		return refuse(422, never)
 	}
 	rec := storage.JobRecord{Spec: storage.SpecOf(s), AtMs: time.Now().UnixMilli(), Tasks: s.Tasks, Team: s.Team,
-		Needs: storage.PackIDs(s.Needs)}
+		Needs: storage.PackIDs(s.Dependencies)}
 	t := protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.JobKey(s.ID)}},
 		Then: []protocol.Change{{Put: storage.JobKey(s.ID), Value: storage.Encode(rec)}},
@@ -174,7 +174,7 @@
 	if !c.shorten(ctx, s.ID, &rec, &t) {
 		return later
 	}
-	rev, failed, err := c.transact(ctx, t, protocol.ForUser)
+	rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
 	switch {
 	case err != nil:
 		c.log.Info("submission not committed", "job", s.ID, "err", err)
@@ -212,7 +212,7 @@
 	for len(parts) > 0 {
 		n := min(ops, len(parts))
 		p := protocol.Txn{Then: parts[:n]}
-		rev, _, err := c.transact(ctx, p, protocol.ForUser)
+		rev, _, err := c.transact(ctx, p, protocol.UserRequest)
 		if err != nil {
 			return false // what was written is deleted later
 		}
@@ -228,7 +228,7 @@
 // badNeeds says why a job can't wait for what it names, "" if it can; lacks tells that
 // it is because this node knows no such job.
 func (c *Controller) badNeeds(s *protocol.Submission) (why string, lacks bool) {
-	for _, id := range s.Needs {
+	for _, id := range s.Dependencies {
 		if f, _ := c.cache.FinalState(id); f != "" {
 			continue
 		}
@@ -329,7 +329,7 @@
 		if len(t.Then) == 0 {
 			continue
 		}
-		rev, failed, err := c.transact(ctx, t, protocol.ForUser)
+		rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
 		if err != nil {
 			if !errors.Is(err, protocol.ErrRefused) {
 				c.log.Info("cancellation in doubt", "job", id, "err", err)
@@ -364,7 +364,7 @@
 	ok := false
 	err := c.call(ctx, func() {
 		now := time.Now()
-		waits := !c.foreignLayout && c.unread && c.cache.HasCatalog() && now.Sub(c.blind.since) > peerFresh
+		waits := !c.foreignLayout && c.unread && c.cache.HasCatalog() && now.Sub(c.unverified.since) > peerFresh
 		ok = (c.accepts() || waits) && !c.isolatedFromStore(now)
 	})
 	return err == nil && ok
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -207,13 +207,13 @@
 		r.UsedCpus, r.UsedGpus = r.UsedCpus+milli(p.Job.Cpus), r.UsedGpus+milli(p.Job.Gpus)
 	}
 	switch {
-	case m.Closing:
+	case m.Returning:
 		r.State = view.Returning
-	case m.Drains:
+	case m.Draining:
 		r.State = view.Draining
-	case m.Sick:
+	case m.Unhealthy:
 		r.State = view.Sick
-	case m.Session == 0:
+	case m.Incarnation == 0:
 		r.State = view.Booting
 	case len(m.Tasks) > 0:
 		r.State = view.Busy
--- a/internal/coordination/words.go
+++ b/internal/coordination/words.go
@@ -16,82 +16,82 @@
 // which this node does not know. A word tells the cancellations themselves, so that more than
 // one node knows of each, and owners stop the tasks by themselves.
 
-// ended are the cancellations that a node knows of, by their records' versions, the earliest first.
-type ended struct {
+// cancellationList are the cancellations that a node knows of, by their records' versions, the earliest first.
+type cancellationList struct {
 	from uint64 // all of later records are listed
-	list []protocol.Ended
+	list []protocol.Cancellation
 }
 
-// note takes a cancelled job's record.
-func (e *ended) note(version uint64, job string) {
-	if version <= e.from || len(job) > protocol.MaxEndedName {
+// add takes a cancelled job's record.
+func (e *cancellationList) add(version uint64, job string) {
+	if version <= e.from || len(job) > protocol.MaxCancelledName {
 		e.from = max(e.from, version) // it can't be listed: no word may say that all before are
 		return
 	}
-	i, _ := slices.BinarySearchFunc(e.list, version, func(x protocol.Ended, v uint64) int { return cmp.Compare(x.Version, v) })
+	i, _ := slices.BinarySearchFunc(e.list, version, func(x protocol.Cancellation, v uint64) int { return cmp.Compare(x.Version, v) })
 	for k := i; k < len(e.list) && e.list[k].Version == version; k++ {
 		if e.list[k].Job == job {
 			return
 		}
 	}
-	e.list = slices.Insert(e.list, i, protocol.Ended{Version: version, Job: job})
+	e.list = slices.Insert(e.list, i, protocol.Cancellation{Version: version, Job: job})
 	// Those of one record go together: a reader of some of them would think it knew all.
-	for len(e.list) > protocol.MaxEnded {
+	for len(e.list) > protocol.MaxCancellations {
 		e.from = e.list[0].Version
-		e.list = slices.DeleteFunc(e.list, func(x protocol.Ended) bool { return x.Version <= e.from })
+		e.list = slices.DeleteFunc(e.list, func(x protocol.Cancellation) bool { return x.Version <= e.from })
 	}
 }
 
-// words is what this node has heard of others' cancellations.
-type words struct {
-	own   ended
-	told  map[string]uint64    // cancelled, peers say, by a record of that version: not read yet
-	heard map[string]time.Time // by node: all that it had confirmed until then is known here
+// digestState is what this node has heard of others' cancellations.
+type digestState struct {
+	recorded     cancellationList
+	gossiped     map[string]uint64    // cancelled, peers say, by a record of that version: not read yet
+	vouchedUntil map[string]time.Time // by node: all that it had confirmed until then is known here
 }
 
-// noteEnded notes a job's record if it says that the job is cancelled.
-func (c *Controller) noteEnded(key string, version uint64) {
+// noteCancellation notes a job's record if it says that the job is cancelled.
+func (c *Controller) noteCancellation(key string, version uint64) {
 	if id, ok := storage.JobOf(key); ok {
 		if f, _ := c.cache.FinalState(id); f == protocol.Cancelled {
-			c.words.own.note(version, id)
+			c.digest.recorded.add(version, id)
 		}
 	}
 }
 
-// over tells whether nothing of a job is wanted any more: it has its final state, or a peer has told
+// finished tells whether nothing of a job is wanted any more: it has its final state, or a peer has told
 // that it is cancelled, which is committed, confirmed and never taken back.
-func (c *Controller) over(j *storage.Job) bool {
+func (c *Controller) finished(j *storage.Job) bool {
 	if !j.Open() {
 		return true
 	}
-	_, told := c.words.told[j.ID]
+	_, told := c.digest.gossiped[j.ID]
 	return told
 }
 
-// word is what this node vouches for now, nil while it can't.
-func (c *Controller) word(now time.Time) *protocol.Word {
-	if !c.loaded || c.Frames < protocol.FramesWord {
+// currentDigest is what this node vouches for now, nil while it can't.
+func (c *Controller) currentDigest(now time.Time) *protocol.CancellationDigest {
+	if !c.loaded || c.Frames < protocol.FramesCancellationDigest {
 		return nil
 	}
-	return &protocol.Word{At: now.UnixMilli(), Born: c.startedAt.UnixMilli(), From: c.words.own.from, Ended: slices.Clone(c.words.own.list)}
+	return &protocol.CancellationDigest{At: now.UnixMilli(), ProcessStart: c.startedAt.UnixMilli(), From: c.digest.recorded.from, Cancellations: slices.Clone(c.digest.recorded.list)}
 }
 
-// Word is what this node vouches for to another, if that one reads it. Of what is listed the
+// CancellationDigest is what this node vouches for to another, if that one reads it. Of what is listed the
 // other has read all up to a revision that it has told of itself.
-func (c *Controller) Word(node string) (protocol.Word, bool) {
+func (c *Controller) CancellationDigest(node string) (protocol.CancellationDigest, bool) {
 	w := c.summary.digest.Load()
 	reads := c.summary.digestReaders.Load()
 	if w == nil || reads == nil {
-		return protocol.Word{}, false
+		return protocol.CancellationDigest{}, false
 	}
 	has, ok := (*reads)[node]
 	if !ok {
-		return protocol.Word{}, false
+		return protocol.CancellationDigest{}, false
 	}
 	out := *w
 	if has > out.From {
 		out.From = has
-		out.Ended = slices.DeleteFunc(slices.Clone(w.Ended), func(e protocol.Ended) bool { return e.Version <= has })
+		out.Cancellations = slices.DeleteFunc(slices.Clone(w.Cancellations), func(e protocol.Cancellation) bool { return e.Version <= has })
 	}
 	return out, true
 }
@@ -100,44 +100,44 @@
 func (c *Controller) digestReaders() *map[string]uint64 {
 	out := map[string]uint64{}
 	for name, n := range c.cache.Members {
-		if name != c.cfg.MemberName && n.FrameLevel >= protocol.FramesWord {
+		if name != c.cfg.MemberName && n.FrameLevel >= protocol.FramesCancellationDigest {
 			out[name] = c.peers[name].heartbeat.Revision
 		}
 	}
 	return &out
 }
 
-// HearWord takes another node's word.
-func (c *Controller) HearWord(node string, w protocol.Word) {
-	c.post(func() { c.hearWord(node, w, time.Now()) })
+// ReceiveCancellationDigest takes another node's word.
+func (c *Controller) ReceiveCancellationDigest(node string, w protocol.CancellationDigest) {
+	c.post(func() { c.applyDigest(node, w, time.Now()) })
 }
 
-func (c *Controller) hearWord(node string, w protocol.Word, now time.Time) {
+func (c *Controller) applyDigest(node string, w protocol.CancellationDigest, now time.Time) {
 	if !c.loaded {
 		return
 	}
 	fresh := false
-	for _, e := range w.Ended {
+	for _, e := range w.Cancellations {
 		if e.Version > c.cache.Revision {
-			_, known := c.words.told[e.Job]
-			c.words.told[e.Job] = e.Version
+			_, known := c.digest.gossiped[e.Job]
+			c.digest.gossiped[e.Job] = e.Version
 			fresh = fresh || !known
 		}
 	}
 	if fresh {
-		c.log.Info("told of cancellations", "by", node, "jobs", len(w.Ended))
-		c.stopTold()
+		c.log.Info("told of cancellations", "by", node, "jobs", len(w.Cancellations))
+		c.terminateGossiped()
 	}
 	// What a process before this one of the same name had confirmed, nobody vouches for: only a
 	// reading after this one began shows it. And a list that begins after this node's cache has a gap.
-	off := 2 * time.Duration(c.cfg.Deployment.ClockOffMs*float64(time.Millisecond))
+	off := 2 * time.Duration(c.cfg.Deployment.ClockSkewMs*float64(time.Millisecond))
 	since := func(ms int64) time.Time { return now.Add(-time.Duration(now.UnixMilli()-ms) * time.Millisecond) }
-	if since(w.Born).Add(off).After(c.cacheCurrentAt) || w.From > c.cache.Revision {
+	if since(w.ProcessStart).Add(off).After(c.cacheCurrentAt) || w.From > c.cache.Revision {
 		return
 	}
 	// It may have been held up on its way: it vouches for what was before it was said.
-	if at := earliest(now, since(w.At).Add(-off)); at.After(c.words.heard[node]) {
-		c.words.heard[node] = at
+	if at := earliest(now, since(w.At).Add(-off)); at.After(c.digest.vouchedUntil[node]) {
+		c.digest.vouchedUntil[node] = at
 	}
 }
 
@@ -148,30 +148,30 @@
 	return b
 }
 
-// stopTold has the tasks of jobs that peers tell to be cancelled stopped on this node's machines.
-func (c *Controller) stopTold() {
-	for id := range c.words.told {
+// terminateGossiped has the tasks of jobs that peers tell to be cancelled stopped on this node's machines.
+func (c *Controller) terminateGossiped() {
+	for id := range c.digest.gossiped {
 		if j := c.cache.Job(id); j != nil {
-			c.nudgeJob(j)
+			c.terminateJob(j)
 		}
 	}
 }
 
-// readWords forgets what the records show by now.
-func (c *Controller) readWords() {
-	for id, v := range c.words.told {
+// dropReadCancellations forgets what the records show by now.
+func (c *Controller) dropReadCancellations() {
+	for id, v := range c.digest.gossiped {
 		if v <= c.cache.Revision {
-			delete(c.words.told, id)
+			delete(c.digest.gossiped, id)
 		}
 	}
 }
 
-// knownAt is until when this node knows every cancellation that any node has confirmed.
-func (c *Controller) knownAt(now time.Time) time.Time {
+// cancellationsKnownAt is until when this node knows every cancellation that any node has confirmed.
+func (c *Controller) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
 	others := func(name string) {
 		if name != c.cfg.MemberName {
-			all = earliest(all, c.words.heard[name])
+			all = earliest(all, c.digest.vouchedUntil[name])
 		}
 	}
 	for _, k := range c.cfg.Known {
@@ -183,40 +183,40 @@
 	return maxTime(c.cacheCurrentAt, all)
 }
 
-// knows tells whether this node knows enough to renew a worker's lease: every cancellation that was
+// mayRenewLeases tells whether this node knows enough to renew a worker's lease: every cancellation that was
 // confirmed until some time ago. One that it does not know was confirmed after that, so the last
 // lease that it renews ends within cancel_s of it. A node that has read no records goes by its start.
-func (c *Controller) knows(now time.Time) bool {
+func (c *Controller) mayRenewLeases(now time.Time) bool {
 	w := c.cfg.Deployment.Workers
 	if !c.loaded {
-		return now.Sub(c.blind.since) <= blindFor(w)
+		return now.Sub(c.unverified.since) <= unverifiedRenewalWindow(w)
 	}
-	return now.Sub(c.knownAt(now)) <= staleFor(w)
+	return now.Sub(c.cancellationsKnownAt(now)) <= maxKnowledgeAge(w)
 }
 
-// renew answers a worker's report, which renews its lease: every such answer passes here. Whoever
+// answerRenewal answers a worker's report, which renews its lease: every such answer passes here. Whoever
 // does not know enough for it sends the worker on, to a node that may.
-func (c *Controller) renew(machine string, a protocol.ReportAnswer, reply func(int, any)) {
+func (c *Controller) answerRenewal(machine string, a protocol.HeartbeatResponse, reply func(int, any)) {
 	now := time.Now()
-	if c.knows(now) {
+	if c.mayRenewLeases(now) {
 		reply(200, a)
 		return
 	}
-	c.metrics.unsure.Inc()
-	c.log.Debug("no renewal: what was cancelled lately is not known", "machine", machine, "known", now.Sub(c.knownAt(now)).Seconds())
-	reply(503, notMine)
+	c.metrics.uncertainHeartbeats.Inc()
+	c.log.Debug("no renewal: what was cancelled lately is not known", "machine", machine, "known", now.Sub(c.cancellationsKnownAt(now)).Seconds())
+	reply(503, errNotOwner)
 }
 
-// staleFor is how old a node's knowledge of what was cancelled may be when it renews a lease.
-func staleFor(w config.Workers) time.Duration {
+// maxKnowledgeAge is how old a node's knowledge of what was cancelled may be when it renews a lease.
+func maxKnowledgeAge(w config.Workers) time.Duration {
 	return seconds(w.CancelS-w.LeaseS) - leaseMargin
 }
 
-// blindFor is how long after its start a node that has read no records may renew leases; not at all
+// unverifiedRenewalWindow is how long after its start a node that has read no records may renew leases; not at all
 // if it is not above 0. A worker whose lease still runs was answered at most lease_s before by a node that
 // knew its records, and that had stopped what was cancelled until then. What it could not stop was
 // cancelled later, and must be gone within cancel_s of that. An end of all nodes while one of them
 // renewed without knowing all is what this leaves open: see "Known and open" in docs/ROADMAP.md.
-func blindFor(w config.Workers) time.Duration {
+func unverifiedRenewalWindow(w config.Workers) time.Duration {
 	return seconds(w.CancelS-2*w.LeaseS) - leaseMargin
 }
--- a/internal/coordination/words_test.go
+++ b/internal/coordination/words_test.go
@@ -14,7 +14,7 @@
 // ownership: tasks that others had confirmed as cancelled ran on. Now it answers while it has read what was cancelled
 // lately, or every other process vouches that it has confirmed nothing which this one does not know.
 func TestWhoMayRenew(t *testing.T) {
-	cancelled := []protocol.Ended{{Version: 9, Job: "job-000001"}}
+	cancelled := []protocol.Cancellation{{Version: 9, Job: "job-000001"}}
 	for _, x := range []struct {
 		name   string
 		read   time.Duration // ago
@@ -22,7 +22,7 @@
 		// n1's word: said and born so long ago, and the list; n2's is said now, if it says any.
 		said, born time.Duration
 		from       uint64
-		list       []protocol.Ended
+		list       []protocol.Cancellation
 		silent     bool // n2
 		status     int
 		kills      int
@@ -41,30 +41,30 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t) // lease 10 s, cancellations 30 s; its cache is at 4
 			c.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
-			c.cfg.Deployment.ClockOffMs = x.clocks
+			c.cfg.Deployment.ClockSkewMs = x.clocks
 			m := c.cache.Machine("m")
-			if err := c.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Session: 1,
+			if err := c.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}), 5, false); err != nil {
 				t.Fatal(err)
 			}
 			now := time.Now()
 			c.cacheCurrentAt = now.Add(-x.read)
-			word := func(node string, said, born time.Duration, from uint64, list []protocol.Ended) {
-				c.hearWord(node, protocol.Word{At: now.Add(-said).UnixMilli(), Born: now.Add(-born).UnixMilli(), From: from, Ended: list}, now)
+			word := func(node string, said, born time.Duration, from uint64, list []protocol.Cancellation) {
+				c.applyDigest(node, protocol.CancellationDigest{At: now.Add(-said).UnixMilli(), ProcessStart: now.Add(-born).UnixMilli(), From: from, Cancellations: list}, now)
 			}
 			word("n1", x.said, x.born, x.from, x.list)
 			if !x.silent {
 				word("n2", 0, 2*time.Hour, 0, nil)
 			}
 			status, kills := 0, 0
-			c.onReport(t.Context(), &protocol.Report{Machine: "m", Session: 1, Seq: 2, Token: 4,
-				Tasks: []protocol.TaskReport{{Task: "job-000001/0", Attempt: 3, State: protocol.Runs}}}, func(s int, body any) {
+			c.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: 4,
+				Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}}, func(s int, body any) {
 				status = s
-				if a, ok := body.(protocol.ReportAnswer); ok {
+				if a, ok := body.(protocol.HeartbeatResponse); ok {
 					kills = len(a.Commands)
 				}
 			})
-			c.flushHeld(now, true)
+			c.flushHeldReplies(now, true)
 			if status != x.status || kills != x.kills {
 				t.Errorf("%s: answered %d with %d stops, want %d with %d", m.Name, status, kills, x.status, x.kills)
 			}
@@ -81,17 +81,17 @@
 		listed   int
 	}{
 		{"in any order, some twice", []uint64{5, 3, 9, 3, 4}, 0, 4},
-		{"too many: the earliest fall out", sequence(protocol.MaxEnded + 3), 3, protocol.MaxEnded},
-		{"those of one record fall out together", append([]uint64{1, 1, 1}, sequence(protocol.MaxEnded)[1:]...), 1, protocol.MaxEnded - 1},
-		{"one that comes late, from before the list", append(sequence(protocol.MaxEnded+3), 2), 3, protocol.MaxEnded},
+		{"too many: the earliest fall out", sequence(protocol.MaxCancellations + 3), 3, protocol.MaxCancellations},
+		{"those of one record fall out together", append([]uint64{1, 1, 1}, sequence(protocol.MaxCancellations)[1:]...), 1, protocol.MaxCancellations - 1},
+		{"one that comes late, from before the list", append(sequence(protocol.MaxCancellations+3), 2), 3, protocol.MaxCancellations},
 	} {
-		var e ended
+		var e cancellationList
 		for i, v := range x.versions {
 			job := fmt.Sprintf("job-%06d", v)
 			if v == 1 {
 				job = fmt.Sprintf("job-1%05d", i)
 			}
-			e.note(v, job)
+			e.add(v, job)
 		}
 		if e.from != x.from || len(e.list) != x.listed {
 			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(e.list), e.from, x.listed, x.from)
@@ -116,23 +116,23 @@
 // a node of the version before would close the connection at the first.
 func TestWordsGoToThoseWhoReadThem(t *testing.T) {
 	c := newCore(t)
-	c.words.own.note(6, "job-000006")
-	c.words.own.note(8, "job-000008")
-	c.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesWord}}
+	c.digest.recorded.add(6, "job-000006")
+	c.digest.recorded.add(8, "job-000008")
+	c.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesCancellationDigest}}
 	c.cache.Members["n2"] = &storage.Member{}
 	c.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	c.publish(time.Now())
-	if w, ok := c.Word("n1"); !ok || w.From != 7 || len(w.Ended) != 1 || w.Ended[0].Version != 8 {
+	if w, ok := c.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
 		t.Errorf("to one that has read up to 7: %+v, %v", w, ok)
 	}
 	for _, node := range []string{"n2", "n3"} {
-		if _, ok := c.Word(node); ok {
+		if _, ok := c.CancellationDigest(node); ok {
 			t.Errorf("a word to %s, which does not say that it reads any", node)
 		}
 	}
 	c.Frames = 0
 	c.publish(time.Now())
-	if _, ok := c.Word("n1"); ok {
+	if _, ok := c.CancellationDigest("n1"); ok {
 		t.Error("a word of a node that knows none")
 	}
 }
@@ -144,11 +144,11 @@
 	c.cfg.Known = []config.Peer{{MemberName: "n1"}}
 	now := time.Now()
 	c.onEvents(protocol.Events{Revision: 5}, now.Add(-19*time.Second))
-	if c.knows(now) {
+	if c.mayRenewLeases(now) {
 		t.Error("what was asked for 19 s ago counts as read now")
 	}
 	c.onEvents(protocol.Events{Revision: 5}, now.Add(-time.Second))
-	if !c.knows(now) {
+	if !c.mayRenewLeases(now) {
 		t.Error("what was asked for a second ago does not count")
 	}
 }
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -41,7 +41,7 @@
 
 // zoneQuiet is how long a zone must be silent to be away: longer than its workers may take to report,
 // shorter than what has a single machine given up.
-func zoneQuiet(w config.Workers) time.Duration { return seconds(1.25*w.ReportS + 2) }
+func zoneQuiet(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 2) }
 
 // hearZone notes that a worker in a zone was heard.
 func (c *Controller) hearZone(z int, now time.Time) {
@@ -77,12 +77,12 @@
 	}
 	machines := make([][]*storage.Machine, c.cache.Zones.Len())
 	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Closing && m.Session > 0 && m.Addr != "" {
+		if !m.Gone && !m.Returning && m.Incarnation > 0 && m.Addr != "" {
 			machines[m.Zone] = append(machines[m.Zone], m)
 		}
 	}
 	w := c.cfg.Deployment.Workers
-	expected, heard := seconds(1.25*w.ReportS+0.75), false
+	expected, heard := seconds(1.25*w.HeartbeatS+0.75), false
 	for z := range machines {
 		heard = heard || len(machines[z]) > 0 && c.silenceOf(c.zone(z).heard, now) < expected+time.Second
 	}
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -17,9 +17,9 @@
 // deafWorkers answer nobody but those in the zones that are heard.
 type deafWorkers string
 
-func (d deafWorkers) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Report, int, error) {
+func (d deafWorkers) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	if strings.Contains(string(d), addr[:1]) {
-		return &protocol.Report{Machine: addr, Session: cmd.Session}, 409, nil
+		return &protocol.Heartbeat{Machine: addr, Incarnation: cmd.Incarnation}, 409, nil
 	}
 	time.Sleep(timeout)
 	return nil, 0, errors.New("no answer")
@@ -36,13 +36,13 @@
 		for i := range n {
 			rev++
 			name := fmt.Sprint(z, i)
-			if err := c.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: z, Token: rev,
+			if err := c.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: z, FencingToken: rev,
 				Machines: []storage.FleetMachine{{Name: name, Addr: name}}}), rev, false); err != nil {
 				t.Fatal(err)
 			}
 			m := c.cache.Machine(name)
-			m.Session, m.Gone = 1, false
-			c.view(m)
+			m.Incarnation, m.Gone = 1, false
+			c.workerState(m)
 		}
 	}
 	return c
@@ -138,7 +138,7 @@
 		j := c.cache.Job("job-000001")
 		j.Estimate, j.Save, j.Mark, j.ImageGB, j.At = x.estimate, 3, 15, 5, now.Add(-x.age)
 		m := c.cache.Machine("m")
-		if got := c.leaves(m, c.view(m), storage.Placed{Job: j, At: now.Unix() - x.ran}, now); got != x.want {
+		if got := c.leaves(m, c.workerState(m), storage.Placed{Job: j, At: now.Unix() - x.ran}, now); got != x.want {
 			t.Errorf("%s: leaves %v", x.name, got)
 		}
 	}
@@ -167,17 +167,17 @@
 func TestReplicasMoveOneByOne(t *testing.T) {
 	c, now := hall(t, 3), time.Now()
 	for _, m := range c.cache.Machines {
-		v := c.view(m)
-		v.Session, v.heard = 1, now
+		v := c.workerState(m)
+		v.Incarnation, v.heard = 1, now
 	}
 	one, two := c.serve(t, "job-000010", 3, "a0", "b0", "a0"), c.serve(t, "job-000011", 1, "a0")
 	from := c.cache.Machine("a0")
-	from.Drains = true
+	from.Draining = true
 	leaving := func() (n int) {
 		c.moveReplicas(now)
 		c.moveReplicas(now.Add(time.Second))
 		for _, p := range from.Tasks {
-			if c.wish(from, c.view(from), p).Stop {
+			if c.desiredState(from, c.workerState(from), p).Stop {
 				n++
 			}
 		}
@@ -186,8 +186,8 @@
 	if n := leaving(); n != 0 {
 		t.Errorf("%d replicas leave although their image is nowhere else", n)
 	}
-	c.view(c.cache.Machine("c0")).images = []int{one.Image}
-	if n := leaving(); n != 2 || c.jobView(one).moving == c.jobView(two).moving {
+	c.workerState(c.cache.Machine("c0")).images = []int{one.Image}
+	if n := leaving(); n != 2 || c.jobState(one).relocating == c.jobState(two).relocating {
 		t.Errorf("%d replicas leave, want one of each service", n)
 	}
 }
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -79,9 +79,9 @@
 
 // Settings is the deployment that the emulator plays.
 func Settings() config.Deployment {
-	return config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"}, ClockOffMs: 50,
+	return config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"}, ClockSkewMs: 50,
 		Teams:     []config.Team{{Name: "red", Cpus: 64, CpusMax: 256}, {Name: "blue", Cpus: 64, Gpus: 4}, {Name: "green", Cpus: 16}, {Name: "guest"}},
-		Workers:   config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 4, CancelS: 45},
+		Workers:   config.Workers{HeartbeatS: 2, LeaseS: 20, GangWaitS: 30, GangPeerS: 4, CancelS: 45},
 		State:     config.State{RPS: 400, WriteRPS: 200, ValueKB: 64, TxnOps: 16},
 		Cloud:     config.Cloud{RPS: 5, ListLagS: 3},
 		Resources: config.Resources{CPU: 1, MemMB: 256, MaxConnections: 2000}}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -56,10 +56,10 @@
 			t.Fatal(err)
 		}
 		back, err := protocol.ParseSubmission(raw)
-		if err != nil || back.ID != x.Job.ID || back.Tasks != x.Job.Tasks || back.DeadlineS != x.Job.DeadlineS || fmt.Sprint(back.Needs) != fmt.Sprint(x.Job.Needs) {
+		if err != nil || back.ID != x.Job.ID || back.Tasks != x.Job.Tasks || back.DeadlineS != x.Job.DeadlineS || fmt.Sprint(back.Dependencies) != fmt.Sprint(x.Job.Dependencies) {
 			t.Fatalf("%s: %+v, %v", raw, back, err)
 		}
-		for _, id := range x.Job.Needs {
+		for _, id := range x.Job.Dependencies {
 			if _, ok := at[id]; !ok {
 				t.Fatalf("%s awaits %s, which has not come", x.Job.ID, id)
 			}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -185,7 +185,7 @@
 			}
 			used[a.Job.ID] = true
 			if last != "" && rnd.Float64() < s.ChainPart {
-				a.Job.Needs = []string{last}
+				a.Job.Dependencies = []string{last}
 			}
 			last = a.Job.ID
 			if out = append(out, a); len(out) > 200_000 {
@@ -204,7 +204,7 @@
 	prio, _ := protocol.ParsePriority(s.Priority) // checked
 	j := protocol.Submission{Class: s.Class, Team: s.Team, Priority: prio, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
 		Gpus: math.Round(s.Gpus.draw(rnd)), MemGB: round(s.MemGB.draw(rnd)), Image: fmt.Sprintf("%s-%d", s.Class, rnd.IntN(s.Images)), ImageGB: s.ImageGB,
-		OneZone: s.SameZone, Spread: s.HalfAZone, Spot: !s.Ordinary, CheckpointS: s.CheckpointS, SaveS: s.SaveS}
+		OneZone: s.SameZone, Spread: s.HalfAZone, Spot: !s.Ordinary, CheckpointS: s.CheckpointS, CheckpointCostS: s.SaveS}
 	j.Cpus = max(0.01, j.Cpus)
 	if s.MachineType != "" {
 		j.Types = []string{s.MachineType}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -105,7 +105,7 @@
 		r.behind.add(late)
 		r.mu.Unlock()
 		all.Go(func() {
-			for _, id := range a.Job.Needs {
+			for _, id := range a.Job.Dependencies {
 				select {
 				case <-accepted[id]:
 				case <-until.Done():
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -57,8 +57,8 @@
 		{"pulse-without-state.level0.bin", PeerHeartbeat{false, 0, 0, 0}},
 		{"need.level0.bin", ShardDemands{[]ShardDemand{{5, true, 12.5}, {0x01020304, false, 0}}}},
 		{"need-none.level0.bin", ShardDemands{}},
-		{"word.level1.bin", Word{1700000000456, 1700000000123, 77, []Ended{{78, "job-000412"}, {0x0102030405060708, "job-000413"}}}},
-		{"word-none.level1.bin", Word{1700000000456, 1700000000123, 77, nil}},
+		{"word.level1.bin", CancellationDigest{1700000000456, 1700000000123, 77, []Cancellation{{78, "job-000412"}, {0x0102030405060708, "job-000413"}}}},
+		{"word-none.level1.bin", CancellationDigest{1700000000456, 1700000000123, 77, nil}},
 	}
 	for _, c := range cases {
 		t.Run(c.file, func(t *testing.T) {
@@ -96,7 +96,7 @@
 }
 
 func rewriteReport(raw []byte) ([]byte, error) {
-	report, err := ParseReport(raw)
+	report, err := ParseHeartbeat(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -114,14 +114,14 @@
 		{"submission.user.json", rewriteSubmission, nil},
 		{"submission-least.user.json", rewriteSubmission, nil},
 		{"job-state.user.json", rewriteJSON[JobState], reflect.TypeFor[JobState]()},
-		{"refusal.user.json", rewriteJSON[Refusal], reflect.TypeFor[Refusal]()},
-		{"report.worker.json", rewriteReport, reflect.TypeFor[Report]()},
+		{"refusal.user.json", rewriteJSON[ErrorResponse], reflect.TypeFor[ErrorResponse]()},
+		{"report.worker.json", rewriteReport, reflect.TypeFor[Heartbeat]()},
 		{"report-least.worker.json", rewriteReport, nil},
-		{"report-answer.worker.json", rewriteJSON[ReportAnswer], reflect.TypeFor[ReportAnswer]()},
+		{"report-answer.worker.json", rewriteJSON[HeartbeatResponse], reflect.TypeFor[HeartbeatResponse]()},
 		{"redirect.worker.json", rewriteJSON[Redirect], reflect.TypeFor[Redirect]()},
 		{"direct-commands.worker.json", rewriteJSON[DirectCommands], reflect.TypeFor[DirectCommands]()},
 		{"catalog.cloud.json", rewriteJSON[Catalog], reflect.TypeFor[Catalog]()},
-		{"rental.cloud.json", rewriteJSON[Rental], reflect.TypeFor[Rental]()},
+		{"rental.cloud.json", rewriteJSON[ScaleOutRequest], reflect.TypeFor[ScaleOutRequest]()},
 		{"machine-names.cloud.json", rewriteJSON[MachineNames], reflect.TypeFor[MachineNames]()},
 		{"machine-list.cloud.json", rewriteJSON[MachineList], reflect.TypeFor[MachineList]()},
 		{"page.state.json", rewriteJSON[Page], reflect.TypeFor[Page]()},
@@ -169,9 +169,9 @@
 func TestGoldenWords(t *testing.T) {
 	words := []string{
 		string(Queued), string(Running), string(Done), string(Cancelled),
-		Fetching, Runs, Saving, Exited,
-		CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown,
-		Launch, Kill, Clear,
+		TaskFetching, TaskRunning, TaskCheckpointing, TaskExited,
+		CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseBusy, CauseUnknown,
+		OpLaunch, OpKill, OpClear,
 		Batch.String(), Service.String(),
 		Low.String(), Normal.String(), High.String(), Production.String(),
 		TaskName("job-000412", 15),
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -22,21 +22,21 @@
 
 // The kinds of peer message.
 const (
-	KindHello         byte = 1 // who speaks
-	KindPeerHeartbeat byte = 2 // how the sender fares
-	KindShardDemands  byte = 3 // a share is short of room for top-priority work
-	KindWord          byte = 4 // what the sender knows to be cancelled; for nodes of FramesWord
+	KindHello              byte = 1 // who speaks
+	KindPeerHeartbeat      byte = 2 // how the sender fares
+	KindShardDemands       byte = 3 // a share is short of room for top-priority work
+	KindCancellationDigest byte = 4 // what the sender knows to be cancelled; for nodes of FramesCancellationDigest
 )
 
-// FramesWord is the level of frames from which on a node reads words. Its record says which
+// FramesCancellationDigest is the level of frames from which on a node reads words. Its record says which
 // level it reads: a kind that it does not know would end the connection.
-const FramesWord = 1
+const FramesCancellationDigest = 1
 
-// MaxEnded is how many cancellations a word may list. With names of up to MaxEndedName
+// MaxCancellations is how many cancellations a word may list. With names of up to MaxCancelledName
 // bytes they fit into a frame.
 const (
-	MaxEnded     = 64
-	MaxEndedName = 48
+	MaxCancellations = 64
+	MaxCancelledName = 48
 )
 
 // PeerMessage is any message between controllers.
@@ -68,25 +68,25 @@
 	Cpus     float64
 }
 
-// Word vouches for what the sender has confirmed to users until it was said: every cancellation
+// CancellationDigest vouches for what the sender has confirmed to users until it was said: every cancellation
 // whose record is later than From is listed. Times are the sender's time of day in milliseconds.
-type Word struct {
-	At    int64 // when it was said
-	Born  int64 // when the sender's process began
-	From  uint64
-	Ended []Ended // by their records' versions, the earliest first
+type CancellationDigest struct {
+	At            int64 // when it was said
+	ProcessStart  int64 // when the sender's process began
+	From          uint64
+	Cancellations []Cancellation // by their records' versions, the earliest first
 }
 
-// Ended is a job whose final record says that it is cancelled.
-type Ended struct {
+// Cancellation is a job whose final record says that it is cancelled.
+type Cancellation struct {
 	Version uint64 // of that record
 	Job     string
 }
 
-func (Word) kind() byte          { return KindWord }
-func (Hello) kind() byte         { return KindHello }
-func (PeerHeartbeat) kind() byte { return KindPeerHeartbeat }
-func (ShardDemands) kind() byte  { return KindShardDemands }
+func (CancellationDigest) kind() byte { return KindCancellationDigest }
+func (Hello) kind() byte              { return KindHello }
+func (PeerHeartbeat) kind() byte      { return KindPeerHeartbeat }
+func (ShardDemands) kind() byte       { return KindShardDemands }
 
 // ErrFrame says that what came is no valid frame; the connection must be closed.
 var ErrFrame = errors.New("malformed frame")
@@ -126,16 +126,16 @@
 			b = append(b, o)
 			b = binary.BigEndian.AppendUint64(b, math.Float64bits(s.Cpus))
 		}
-	case Word:
-		if len(x.Ended) > MaxEnded {
-			return b[:start], fmt.Errorf("%w: %d cancellations", ErrFrame, len(x.Ended))
+	case CancellationDigest:
+		if len(x.Cancellations) > MaxCancellations {
+			return b[:start], fmt.Errorf("%w: %d cancellations", ErrFrame, len(x.Cancellations))
 		}
 		b = binary.BigEndian.AppendUint64(b, uint64(x.At))
-		b = binary.BigEndian.AppendUint64(b, uint64(x.Born))
+		b = binary.BigEndian.AppendUint64(b, uint64(x.ProcessStart))
 		b = binary.BigEndian.AppendUint64(b, x.From)
-		b = append(b, byte(len(x.Ended)))
-		for _, e := range x.Ended {
-			if e.Job == "" || len(e.Job) > MaxEndedName {
+		b = append(b, byte(len(x.Cancellations)))
+		for _, e := range x.Cancellations {
+			if e.Job == "" || len(e.Job) > MaxCancelledName {
 				return b[:start], fmt.Errorf("%w: job name of %d bytes", ErrFrame, len(e.Job))
 			}
 			b = binary.BigEndian.AppendUint64(b, e.Version)
@@ -169,44 +169,44 @@
 	if _, err := io.ReadFull(r, p); err != nil {
 		return nil, err
 	}
-	return decodePeer(h[2], p)
+	return decodePeerMessage(h[2], p)
 }
 
-type cutter struct {
-	b   []byte
-	bad bool
+type frameReader struct {
+	rest      []byte
+	malformed bool
 }
 
-func (c *cutter) take(n int) []byte {
-	if c.bad || len(c.b) < n {
-		c.bad = true
+func (c *frameReader) take(n int) []byte {
+	if c.malformed || len(c.rest) < n {
+		c.malformed = true
 		return make([]byte, n)
 	}
-	out := c.b[:n]
-	c.b = c.b[n:]
+	out := c.rest[:n]
+	c.rest = c.rest[n:]
 	return out
 }
 
-func (c *cutter) u8() byte    { return c.take(1)[0] }
-func (c *cutter) u32() uint32 { return binary.BigEndian.Uint32(c.take(4)) }
-func (c *cutter) u64() uint64 { return binary.BigEndian.Uint64(c.take(8)) }
+func (c *frameReader) u8() byte    { return c.take(1)[0] }
+func (c *frameReader) u32() uint32 { return binary.BigEndian.Uint32(c.take(4)) }
+func (c *frameReader) u64() uint64 { return binary.BigEndian.Uint64(c.take(8)) }
 
-func (c *cutter) flag() bool {
+func (c *frameReader) flag() bool {
 	v := c.u8()
 	if v > 1 {
-		c.bad = true
+		c.malformed = true
 	}
 	return v == 1
 }
 
-func decodePeer(kind byte, p []byte) (PeerMessage, error) {
-	c := &cutter{b: p}
+func decodePeerMessage(kind byte, p []byte) (PeerMessage, error) {
+	c := &frameReader{rest: p}
 	var m PeerMessage
 	switch kind {
 	case KindHello:
 		n := int(c.u8())
 		if n == 0 || n > maxPeerName {
-			c.bad = true
+			c.malformed = true
 			n = 0
 		}
 		name := string(c.take(n))
@@ -216,40 +216,40 @@
 	case KindShardDemands:
 		n := int(c.u8())
 		if n > maxShardDemands {
-			c.bad = true
+			c.malformed = true
 			n = 0
 		}
 		x := ShardDemands{}
 		for range n {
 			s := ShardDemand{Shard: c.u32(), OnDemand: c.flag(), Cpus: math.Float64frombits(c.u64())}
 			if math.IsNaN(s.Cpus) || math.IsInf(s.Cpus, 0) || s.Cpus < 0 {
-				c.bad = true
+				c.malformed = true
 			}
 			x.Shards = append(x.Shards, s)
 		}
 		m = x
-	case KindWord:
-		x := Word{At: int64(c.u64()), Born: int64(c.u64()), From: c.u64()}
+	case KindCancellationDigest:
+		x := CancellationDigest{At: int64(c.u64()), ProcessStart: int64(c.u64()), From: c.u64()}
 		n := int(c.u8())
-		if n > MaxEnded || x.At < 0 || x.Born < 0 || x.Born > x.At {
-			c.bad = true
+		if n > MaxCancellations || x.At < 0 || x.ProcessStart < 0 || x.ProcessStart > x.At {
+			c.malformed = true
 			n = 0
 		}
 		for range n {
-			e := Ended{Version: c.u64()}
+			e := Cancellation{Version: c.u64()}
 			l := int(c.u8())
-			if l == 0 || l > MaxEndedName {
-				c.bad = true
+			if l == 0 || l > MaxCancelledName {
+				c.malformed = true
 				l = 0
 			}
 			e.Job = string(c.take(l))
-			x.Ended = append(x.Ended, e)
+			x.Cancellations = append(x.Cancellations, e)
 		}
 		m = x
 	default:
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
-	if c.bad || len(c.b) != 0 {
+	if c.malformed || len(c.rest) != 0 {
 		return nil, fmt.Errorf("%w: kind %d with %d bytes", ErrFrame, kind, len(p))
 	}
 	return m, nil
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -94,7 +94,7 @@
 		{"name with a slash", `{"host":"a/b","hull":"g8","berth":"a","watch":1,"tally":1}`, false},
 		{"not an object", `"hello"`, false},
 	} {
-		if _, err := ParseReport([]byte(c.body)); (err == nil) != c.ok {
+		if _, err := ParseHeartbeat([]byte(c.body)); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -103,7 +103,7 @@
 func TestFrames(t *testing.T) {
 	var all []byte
 	messages := []PeerMessage{Hello{"n-1", 77}, PeerHeartbeat{true, 1 << 40, 5, 12500},
-		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{}, Word{At: 1 << 41, Born: 5, From: 7, Ended: []Ended{{8, "job-000001"}}}, Word{}}
+		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{}, CancellationDigest{At: 1 << 41, ProcessStart: 5, From: 7, Cancellations: []Cancellation{{8, "job-000001"}}}, CancellationDigest{}}
 	for _, m := range messages {
 		var err error
 		if all, err = AppendFrame(all, m); err != nil {
@@ -126,9 +126,9 @@
 		{"unknown kind", []byte{FrameMagic, FrameVersion, 99, 0, 0, 0, 0}},
 		{"short payload", []byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0, 0, 0, 1, 1}},
 		{"trailing bytes", append([]byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0, 0, 0, 18}, make([]byte, 18)...)},
-		{"a word that is cut short", []byte{FrameMagic, FrameVersion, KindWord, 0, 0, 0, 3, 0, 0, 0}},
-		{"a word of before its process", append([]byte{FrameMagic, FrameVersion, KindWord, 0, 0, 0, 25}, append(make([]byte, 15), 1, 0, 0, 0, 0, 0, 0, 0, 0, 0)...)},
-		{"a word with too many", append([]byte{FrameMagic, FrameVersion, KindWord, 0, 0, 0, 25}, append(make([]byte, 24), MaxEnded+1)...)},
+		{"a word that is cut short", []byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 3, 0, 0, 0}},
+		{"a word of before its process", append([]byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 25}, append(make([]byte, 15), 1, 0, 0, 0, 0, 0, 0, 0, 0, 0)...)},
+		{"a word with too many", append([]byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 25}, append(make([]byte, 24), MaxCancellations+1)...)},
 		{"nameless", []byte{FrameMagic, FrameVersion, KindHello, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0}},
 	} {
 		if _, err := ReadFrame(bytes.NewReader(c.raw)); !errors.Is(err, ErrFrame) {
@@ -138,7 +138,7 @@
 }
 
 func FuzzReadFrame(f *testing.F) {
-	for _, m := range []PeerMessage{Hello{"n", 1}, PeerHeartbeat{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}}, Word{3, 2, 1, []Ended{{4, "j"}}}} {
+	for _, m := range []PeerMessage{Hello{"n", 1}, PeerHeartbeat{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}}, CancellationDigest{3, 2, 1, []Cancellation{{4, "j"}}}} {
 		b, _ := AppendFrame(nil, m)
 		f.Add(b)
 	}
--- a/internal/protocol/submit.go
+++ b/internal/protocol/submit.go
@@ -29,7 +29,7 @@
 		DeadlineS   *float64 `json:"dueS"`
 		Needs       []string `json:"awaits,omitempty"`
 	}{s.ID, s.Class, s.Team, s.Shape.String(), s.Priority.String(), s.Tasks, s.Cpus, s.Gpus, s.MemGB, s.Image, s.ImageGB,
-		s.Types, nil, s.OneZone, s.Spread, s.Spot, s.EstimateS, s.CheckpointS, s.SaveS, nil, s.Needs}
+		s.Types, nil, s.OneZone, s.Spread, s.Spot, s.EstimateS, s.CheckpointS, s.CheckpointCostS, nil, s.Dependencies}
 	if s.Zone != "" {
 		w.Zone = &s.Zone
 	}
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -39,27 +39,27 @@
 
 // Submission is a checked job description.
 type Submission struct {
-	ID          string
-	Class       string
-	Team        string
-	Shape       Shape
-	Priority    Priority
-	Tasks       int
-	Cpus        float64
-	Gpus        float64
-	MemGB       float64
-	Image       string
-	ImageGB     float64
-	Types       []string // empty: any
-	Zone        string   // empty: any
-	OneZone     bool
-	Spread      bool
-	Spot        bool
-	EstimateS   float64
-	CheckpointS float64
-	SaveS       float64
-	DeadlineS   float64  // 0: none
-	Needs       []string // jobs that have to be done before, each once
+	ID              string
+	Class           string
+	Team            string
+	Shape           Shape
+	Priority        Priority
+	Tasks           int
+	Cpus            float64
+	Gpus            float64
+	MemGB           float64
+	Image           string
+	ImageGB         float64
+	Types           []string // empty: any
+	Zone            string   // empty: any
+	OneZone         bool
+	Spread          bool
+	Spot            bool
+	EstimateS       float64
+	CheckpointS     float64
+	CheckpointCostS float64
+	DeadlineS       float64  // 0: none
+	Dependencies    []string // jobs that have to be done before, each once
 }
 
 const (
@@ -149,7 +149,7 @@
 		{"kit", &s.Image, false}, {"pullGb", &s.ImageGB, false}, {"hulls", &s.Types, true},
 		{"berth", &zone, true}, {"together", &s.OneZone, false}, {"scatter", &s.Spread, false},
 		{"loaners", &s.Spot, false}, {"expectedS", &s.EstimateS, false},
-		{"markEveryS", &s.CheckpointS, false}, {"markCostS", &s.SaveS, false}, {"dueS", &due, true}, {"awaits", &s.Needs, true},
+		{"markEveryS", &s.CheckpointS, false}, {"markCostS", &s.CheckpointCostS, false}, {"dueS", &due, true}, {"awaits", &s.Dependencies, true},
 	}
 	for _, st := range steps {
 		if err := f.get(st.name, st.into, st.nullable); err != nil {
@@ -198,7 +198,7 @@
 		v    float64
 	}{
 		{"cpus", s.Cpus}, {"accelerators", s.Gpus}, {"ramGb", s.MemGB}, {"pullGb", s.ImageGB},
-		{"expectedS", s.EstimateS}, {"markEveryS", s.CheckpointS}, {"markCostS", s.SaveS},
+		{"expectedS", s.EstimateS}, {"markEveryS", s.CheckpointS}, {"markCostS", s.CheckpointCostS},
 	} {
 		if a.v < 0 || a.v > maxAmount || math.IsNaN(a.v) {
 			return nil, fmt.Errorf("field %s is out of range", a.name)
@@ -216,9 +216,9 @@
 		}
 		s.Zone = *zone
 	}
-	seen := make(map[string]bool, len(s.Needs))
-	needs := s.Needs[:0]
-	for _, id := range s.Needs {
+	seen := make(map[string]bool, len(s.Dependencies))
+	needs := s.Dependencies[:0]
+	for _, id := range s.Dependencies {
 		if !ValidJobID(id) {
 			return nil, errors.New("field awaits holds something that is no job's id")
 		}
@@ -227,7 +227,7 @@
 			needs = append(needs, id)
 		}
 	}
-	s.Needs = needs
+	s.Dependencies = needs
 	if f["hulls"] != nil && s.Types != nil && len(s.Types) == 0 {
 		return nil, errors.New("field hulls is an empty list")
 	}
@@ -239,9 +239,9 @@
 	return &s, nil
 }
 
-// ParseReport checks a worker's report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+// ParseHeartbeat checks a worker's report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if t := bytes.TrimLeft(body, " \t\r\n"); len(t) == 0 || t[0] != '{' {
 		return nil, errors.New("report is not a JSON object")
 	}
@@ -251,13 +251,13 @@
 	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(r.Machine, " /\n") {
 		return nil, errors.New("report: host is not a name")
 	}
-	if r.Session == 0 || r.Seq == 0 {
+	if r.Incarnation == 0 || r.Seq == 0 {
 		return nil, errors.New("report: watch or tally is missing")
 	}
 	if r.Type == "" || r.Zone == "" || len(r.Type) > maxName || len(r.Zone) > maxName {
 		return nil, errors.New("report: hull or berth is missing")
 	}
-	if r.NoticeS != nil && (math.IsNaN(*r.NoticeS) || *r.NoticeS > maxAmount) {
+	if r.PreemptionNoticeS != nil && (math.IsNaN(*r.PreemptionNoticeS) || *r.PreemptionNoticeS > maxAmount) {
 		return nil, errors.New("report: recallS is out of range")
 	}
 	for _, t := range r.Tasks {
@@ -265,7 +265,7 @@
 			return nil, fmt.Errorf("report: %.60q is no task", t.Task)
 		}
 		switch t.State {
-		case Fetching, Runs, Saving, Exited:
+		case TaskFetching, TaskRunning, TaskCheckpointing, TaskExited:
 		case "gathering":
 		default:
 			return nil, fmt.Errorf("report: %.20q is no state of a task", t.State)
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -7,11 +7,11 @@
 
 // Limits of the protocol.
 const (
-	MaxBody   = 64 << 10
-	MaxTasks  = 100_000
-	MaxRental = 50
-	MaxReturn = 100
-	MaxList   = 500
+	MaxBody     = 64 << 10
+	MaxTasks    = 100_000
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
+	MaxList     = 500
 )
 
 // JobStatus is what users see of a job.
@@ -30,64 +30,64 @@
 
 // JobState answers a submission, a query and a cancellation.
 type JobState struct {
-	ID      string    `json:"id"`
-	Status  JobStatus `json:"status"`
-	Done    int       `json:"done"`
-	Running int       `json:"running"`
-	Awaits  int       `json:"awaiting,omitempty"` // jobs that it still waits for
+	ID                string    `json:"id"`
+	Status            JobStatus `json:"status"`
+	Done              int       `json:"done"`
+	Running           int       `json:"running"`
+	UnmetDependencies int       `json:"awaiting,omitempty"` // jobs that it still waits for
 }
 
-// Refusal is the body of an answer that refuses a request.
-type Refusal struct {
+// ErrorResponse is the body of an answer that refuses a request.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// Report is what a worker sends.
-type Report struct {
-	Machine string       `json:"host"`
-	Addr    string       `json:"addr"`
-	Type    string       `json:"hull"`
-	Zone    string       `json:"berth"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"watch"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"helm"`
-	NoticeS *float64     `json:"recallS"`
-	Tasks   []TaskReport `json:"shards"`
+// Heartbeat is what a worker sends.
+type Heartbeat struct {
+	Machine           string       `json:"host"`
+	Addr              string       `json:"addr"`
+	Type              string       `json:"hull"`
+	Zone              string       `json:"berth"`
+	Spot              bool         `json:"loaners"`
+	Incarnation       uint64       `json:"watch"`
+	Seq               uint64       `json:"tally"`
+	FencingToken      uint64       `json:"helm"`
+	PreemptionNoticeS *float64     `json:"recallS"`
+	Tasks             []TaskStatus `json:"shards"`
 }
 
 // The states of a task on its machine.
 const (
-	Fetching = "pulling"
-	Runs     = "running"
-	Saving   = "flushing"
-	Exited   = "exited"
+	TaskFetching      = "pulling"
+	TaskRunning       = "running"
+	TaskCheckpointing = "flushing"
+	TaskExited        = "exited"
 )
 
 // Why a task ended.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "in_use"
-	CauseUnknown = "unknown"
+	CauseDone       = "done"
+	CauseStopped    = "stopped"
+	CauseError      = "error"
+	CauseNoCapacity = "no_room"
+	CauseBusy       = "in_use"
+	CauseUnknown    = "unknown"
 )
 
-// TaskReport is one task of a report.
-type TaskReport struct {
-	Task    string `json:"shard"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"saved,omitempty"`
+// TaskStatus is one task of a report.
+type TaskStatus struct {
+	Task         string `json:"shard"`
+	Attempt      uint64 `json:"try"`
+	State        string `json:"status"`
+	Cause        string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"saved,omitempty"`
 }
 
 // The commands a worker knows.
 const (
-	Launch = "launch"
-	Kill   = "kill"
-	Clear  = "clear"
+	OpLaunch = "launch"
+	OpKill   = "kill"
+	OpClear  = "clear"
 )
 
 // Command is one command to a worker.
@@ -98,10 +98,10 @@
 	GraceS  float64 `json:"windDownS,omitempty"`
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Token    uint64    `json:"helm"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"helm"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect sends a worker to another node.
@@ -111,9 +111,9 @@
 
 // DirectCommands goes straight to a worker.
 type DirectCommands struct {
-	Token    uint64    `json:"helm"`
-	Session  uint64    `json:"watch"`
-	Commands []Command `json:"orders"`
+	FencingToken uint64    `json:"helm"`
+	Incarnation  uint64    `json:"watch"`
+	Commands     []Command `json:"orders"`
 }
 
 // MachineType is one entry of the cloud's catalog.
@@ -135,8 +135,8 @@
 	Types []MachineType `json:"hulls"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
 	Name  string `json:"charter"`
 	Type  string `json:"hull"`
 	Zone  string `json:"berth"`
@@ -149,8 +149,8 @@
 	Machines []string `json:"hosts"`
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// CloudMachine is a machine in the cloud's list.
+type CloudMachine struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
 	Type   string  `json:"hull"`
@@ -162,8 +162,8 @@
 
 // MachineList is one page of the cloud's list.
 type MachineList struct {
-	Machines []Listed `json:"hosts"`
-	More     bool     `json:"more"`
+	Machines []CloudMachine `json:"hosts"`
+	More     bool           `json:"more"`
 }
 
 // Item is a key of the state service.
@@ -220,12 +220,12 @@
 	Events   []Event `json:"news"`
 }
 
-// Haste is how deep a transaction may dig into the budget of changes.
-type Haste uint8
+// RequestPriority is how deep a transaction may dig into the budget of changes.
+type RequestPriority uint8
 
 // From what can wait to what must not.
 const (
-	Background Haste = iota
-	ForUser
-	Urgent
+	BackgroundRequest RequestPriority = iota
+	UserRequest
+	UrgentRequest
 )
