--- a/internal/scale/cell.go
+++ b/internal/scale/cell.go
@@ -92,8 +92,8 @@
 // Deployment is what the cell's controllers are told.
 func (c *Cell) Deployment() config.Deployment {
 	p := &c.Profile
-	d := config.Deployment{Controllers: p.Controller.PerRegion, Zones: c.Zones, ClockOffMs: 50,
-		Workers: config.Workers{ReportS: p.Worker.ReportS, LeaseS: p.Worker.LeaseS, GangWaitS: 30, GangPeerS: 4, CancelS: p.Worker.CancelS},
+	d := config.Deployment{Controllers: p.Controller.PerRegion, Zones: c.Zones, ClockSkewMs: 50,
+		Workers: config.Workers{HeartbeatS: p.Worker.ReportS, LeaseS: p.Worker.LeaseS, GangWaitS: 30, GangPeerS: 4, CancelS: p.Worker.CancelS},
 		State:   config.State{RPS: p.State.RPS, WriteRPS: p.State.WriteRPS, ValueKB: p.State.ValueKB, TxnOps: p.State.TxnOps},
 		Cloud:   config.Cloud{RPS: p.State.CloudRPS, ListLagS: 3},
 		Resources: config.Resources{CPU: p.Controller.CPU, MemMB: p.Controller.MemMB,
--- a/internal/simulator/apart_test.go
+++ b/internal/simulator/apart_test.go
@@ -130,8 +130,8 @@
 	}
 	doomed, seed := 0, uint64(0)
 	for _, workers := range []config.Workers{
-		{ReportS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 40},
-		{ReportS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
+		{HeartbeatS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 40},
+		{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
 	} {
 		for _, then := range thens {
 			for _, x := range []apartDay{
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -77,8 +77,8 @@
 	return &c, nil
 }
 
-// Rent rents machines; now and then the answer gets lost.
-func (l *cloudLink) Rent(_ context.Context, r protocol.Rental) ([]string, error) {
+// ScaleOut rents machines; now and then the answer gets lost.
+func (l *cloudLink) ScaleOut(_ context.Context, r protocol.ScaleOutRequest) ([]string, error) {
 	if err := l.wait(); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	return names, err
 }
 
-func (w *World) rent(r protocol.Rental) ([]string, error) {
+func (w *World) rent(r protocol.ScaleOutRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if names, ok := w.charters[r.Name]; ok {
@@ -141,8 +141,8 @@
 	return names, nil
 }
 
-// Return takes machines back.
-func (l *cloudLink) Return(_ context.Context, names []string) error {
+// ScaleIn takes machines back.
+func (l *cloudLink) ScaleIn(_ context.Context, names []string) error {
 	if err := l.wait(); err != nil {
 		return err
 	}
@@ -185,11 +185,11 @@
 			case m.up:
 				st = "running"
 			}
-			out.Machines = append(out.Machines, protocol.Listed{ID: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
+			out.Machines = append(out.Machines, protocol.CloudMachine{ID: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
 				Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
 		}
 	}
-	slices.SortFunc(out.Machines, func(a, b protocol.Listed) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out.Machines, func(a, b protocol.CloudMachine) int { return strings.Compare(a.ID, b.ID) })
 	if out.More = len(out.Machines) > protocol.MaxList; out.More {
 		out.Machines = out.Machines[:protocol.MaxList]
 	}
--- a/internal/simulator/front_test.go
+++ b/internal/simulator/front_test.go
@@ -55,7 +55,7 @@
 			for range n {
 				x.Then = append(x.Then, protocol.Change{Put: "a/b", Value: []byte(value)})
 			}
-			_, _, err := l.Txn(t.Context(), x, protocol.Background)
+			_, _, err := l.Txn(t.Context(), x, protocol.BackgroundRequest)
 			return err
 		}
 		for range 25 {
@@ -63,17 +63,17 @@
 				t.Fatal(err)
 			}
 		}
-		if _, err := l.Follow(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
+		if _, err := l.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
 			t.Errorf("a follow from before what is kept: %v", err)
 		}
-		if ev, err := l.Follow(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
+		if ev, err := l.Watch(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
 			t.Errorf("%d events, %v", len(ev.Events), err)
 		}
 		id, err := l.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := l.Txn(t.Context(), protocol.Txn{Then: []protocol.Change{{Put: "h", Value: []byte(`1`), Lease: id}}}, protocol.Background); err != nil {
+		if _, _, err := l.Txn(t.Context(), protocol.Txn{Then: []protocol.Change{{Put: "h", Value: []byte(`1`), Lease: id}}}, protocol.BackgroundRequest); err != nil {
 			t.Fatal(err)
 		}
 		if err := l.End(t.Context(), id); err != nil {
--- a/internal/simulator/hall_test.go
+++ b/internal/simulator/hall_test.go
@@ -23,7 +23,7 @@
 				cfg := settings()
 				d := &cfg.Deployment
 				d.Teams = []config.Team{{Name: "hall"}}
-				d.Workers = config.Workers{ReportS: 1, LeaseS: 11, GangWaitS: 45, GangPeerS: 5, CancelS: 41}
+				d.Workers = config.Workers{HeartbeatS: 1, LeaseS: 11, GangWaitS: 45, GangPeerS: 5, CancelS: 41}
 				d.State = config.State{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
 				d.Cloud = config.Cloud{RPS: 6, ListLagS: 3}
 				d.Objectives = []config.Objective{{Kind: "wait", Class: "serve", WithinS: 40, Share: 0.92},
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -51,11 +51,11 @@
 	case errors.Is(err, protocol.ErrTooOld):
 		status = fiber.StatusGone
 	}
-	return c.Status(status).JSON(protocol.Refusal{Error: err.Error()})
+	return c.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
 }
 
 func malformed(c *fiber.Ctx, why string) error {
-	return c.Status(fiber.StatusBadRequest).JSON(protocol.Refusal{Error: why})
+	return c.Status(fiber.StatusBadRequest).JSON(protocol.ErrorResponse{Error: why})
 }
 
 // Open is a way to the store for one caller; node, if not nil, may be cut off from it.
@@ -108,7 +108,7 @@
 				return malformed(c, "a change names no key")
 			}
 		}
-		rev, failed, err := l.Txn(context.Background(), t, protocol.Background)
+		rev, failed, err := l.Txn(context.Background(), t, protocol.BackgroundRequest)
 		switch {
 		case errors.Is(err, protocol.ErrNoLease):
 			return malformed(c, "no such lease")
@@ -156,7 +156,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), wait+heldFollow)
 		defer cancel()
-		ev, err := l.Follow(ctx, strings.Clone(c.Query("starts")), from, wait)
+		ev, err := l.Watch(ctx, strings.Clone(c.Query("starts")), from, wait)
 		if err != nil {
 			return fail(c, err)
 		}
@@ -182,19 +182,19 @@
 			return fail(c, err)
 		}
 		if list.Machines == nil {
-			list.Machines = []protocol.Listed{}
+			list.Machines = []protocol.CloudMachine{}
 		}
 		return c.JSON(list)
 	})
 	app.Post("/hosts", func(c *fiber.Ctx) error {
-		var r protocol.Rental
-		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Name == "" || r.Count < 1 || r.Count > protocol.MaxRental {
+		var r protocol.ScaleOutRequest
+		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Name == "" || r.Count < 1 || r.Count > protocol.MaxScaleOut {
 			return malformed(c, "no rental of 1 to 50 machines")
 		}
-		names, err := l.Rent(context.Background(), r)
+		names, err := l.ScaleOut(context.Background(), r)
 		switch {
 		case errors.Is(err, protocol.ErrNoCapacity):
-			return c.Status(fiber.StatusServiceUnavailable).JSON(protocol.Refusal{Error: "no capacity"})
+			return c.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
 		case err != nil:
 			return fail(c, err)
 		}
@@ -202,10 +202,10 @@
 	})
 	app.Post("/hosts/return", func(c *fiber.Ctx) error {
 		var in protocol.MachineNames
-		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Machines) > protocol.MaxReturn {
+		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Machines) > protocol.MaxScaleIn {
 			return malformed(c, "no list of up to 100 machines")
 		}
-		if err := l.Return(context.Background(), in.Machines); err != nil {
+		if err := l.ScaleIn(context.Background(), in.Machines); err != nil {
 			return fail(c, err)
 		}
 		return c.SendStatus(fiber.StatusOK)
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -20,7 +20,7 @@
 		cfg := settings()
 		cfg.Deployment.Controllers = nodes
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
-		cfg.Deployment.Workers = config.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
+		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
 		w := NewWorld(ctx, cfg, 3)
 		w.Cap = rentable
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -98,7 +98,7 @@
 }
 
 // Txn carries out a transaction.
-func (l *StoreLink) Txn(ctx context.Context, t protocol.Txn, haste protocol.Haste) (uint64, []string, error) {
+func (l *StoreLink) Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (uint64, []string, error) {
 	if l.budget != nil {
 		if err := l.budget.Admit(ctx, len(t.Then), haste); err != nil {
 			return 0, nil, err
@@ -171,12 +171,12 @@
 	return l.budget.Pace(n)
 }
 
-// Spent is how many changes the node has made, where there is a budget.
-func (l *StoreLink) Spent() uint64 {
+// ChangesUsed is how many changes the node has made, where there is a budget.
+func (l *StoreLink) ChangesUsed() uint64 {
 	if l.budget == nil {
 		return 0
 	}
-	return l.budget.Spent()
+	return l.budget.ChangesUsed()
 }
 
 // SetLimit sets the rate for all nodes.
@@ -186,10 +186,10 @@
 	}
 }
 
-// SetPart sets the node's part of the rate.
-func (l *StoreLink) SetPart(part float64, leads bool, used, others float64) {
+// SetRateShare sets the node's part of the rate.
+func (l *StoreLink) SetRateShare(part float64, leads bool, used, others float64) {
 	if l.budget != nil {
-		l.budget.SetPart(part, leads, used, others)
+		l.budget.SetRateShare(part, leads, used, others)
 	}
 }
 
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// Follow waits for changes.
-func (l *StoreLink) Follow(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
+// Watch waits for changes.
+func (l *StoreLink) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	if l.budget != nil {
 		l.budget.Owe()
 	}
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -25,7 +25,7 @@
 func (w *World) Connect(i int, name, zone, public string) *Node {
 	n := &Node{Name: name, Zone: zone, world: w, stop: func() {}}
 	callers := &workerClients{address: public, meter: &n.Reports, byName: map[string]*fasthttp.HostClient{}}
-	n.beat = func(_ context.Context, r *protocol.Report, reply func(int, any)) {
+	n.beat = func(_ context.Context, r *protocol.Heartbeat, reply func(int, any)) {
 		go func() {
 			w.travel(r.Zone, zone)
 			status, body := callers.report(r)
@@ -88,7 +88,7 @@
 }
 
 // report sends a report and returns the answer; status 0: none came.
-func (c *workerClients) report(r *protocol.Report) (int, any) {
+func (c *workerClients) report(r *protocol.Heartbeat) (int, any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -140,7 +140,7 @@
 		}
 		w.travel("", m.Zone) // which zone's node has sent it can't be told
 		w.mu.Lock()
-		r, status := w.obey(m, protocol.DirectCommands{Token: *in.Token, Session: *in.Session, Commands: in.Commands})
+		r, status := w.obey(m, protocol.DirectCommands{FencingToken: *in.Token, Incarnation: *in.Session, Commands: in.Commands})
 		w.mu.Unlock()
 		return c.Status(status).JSON(r)
 	})
@@ -257,7 +257,7 @@
 	if w.jobs[sub.ID] != nil {
 		return nil
 	}
-	for _, id := range sub.Needs {
+	for _, id := range sub.Dependencies {
 		if o := w.jobs[id]; o != nil {
 			j.awaits = append(j.awaits, o)
 		}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -23,7 +23,7 @@
 
 // leave notes that a task does not run on a machine any more. The world is locked.
 func (w *World) leave(m *Machine, t *task) {
-	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.Exited && t.state != protocol.Fetching {
+	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
 		delete(t.job.on, t.index)
 		w.used[t.job.Team] -= t.job.Cpus
 	}
--- a/internal/simulator/scenes_test.go
+++ b/internal/simulator/scenes_test.go
@@ -500,7 +500,7 @@
 
 // slowReports has workers report as seldom as those of the largest deployments.
 func (s *scene) slowReports() {
-	s.Cfg.Deployment.Workers = config.Workers{ReportS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5}
+	s.Cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5}
 }
 
 // limit gives every team a limit that its jobs reach, and checks that they have.
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -58,7 +58,7 @@
 		w.expireLease(m, now)
 	}
 	for _, t := range m.tasks {
-		if t.state != protocol.Exited && !now.Before(t.ends) {
+		if t.state != protocol.TaskExited && !now.Before(t.ends) {
 			w.advanceTask(m, t, now)
 			m.wake()
 		}
@@ -68,7 +68,7 @@
 // checkGone finds tasks of cancelled jobs that are on a machine for too long.
 func (w *World) checkGone(m *Machine, now time.Time) {
 	for _, t := range m.tasks {
-		if t.job != nil && t.state != protocol.Exited && !t.job.cancelled.IsZero() &&
+		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelled.IsZero() &&
 			now.Sub(t.job.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS)+time.Second {
 			w.fault("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
 			t.job.cancelled = now
@@ -89,8 +89,8 @@
 // advanceTask takes a task whose present state is over to the next one.
 func (w *World) advanceTask(m *Machine, t *task, now time.Time) {
 	switch t.state {
-	case protocol.Fetching:
-		t.state, t.began = protocol.Runs, now
+	case protocol.TaskFetching:
+		t.state, t.began = protocol.TaskRunning, now
 		t.ends = now.Add(w.fast(t.job.run(t.index) - t.job.saved[t.index]))
 		switch {
 		case t.job.done[t.index]:
@@ -102,9 +102,9 @@
 		if m.sick || t.job.Broken {
 			t.ends = now.Add(300 * time.Millisecond)
 		}
-	case protocol.Runs:
+	case protocol.TaskRunning:
 		w.leave(m, t)
-		t.state, t.cause = protocol.Exited, protocol.CauseDone
+		t.state, t.cause = protocol.TaskExited, protocol.CauseDone
 		if m.sick || t.job.Broken {
 			t.cause = protocol.CauseError
 			return
@@ -114,9 +114,9 @@
 		if w.AtEnd != nil && len(t.job.done) == t.job.Tasks {
 			go w.AtEnd(t.job)
 		}
-	case protocol.Saving:
+	case protocol.TaskCheckpointing:
 		w.leave(m, t)
-		t.state, t.cause, t.saved = protocol.Exited, protocol.CauseStopped, true
+		t.state, t.cause, t.saved = protocol.TaskExited, protocol.CauseStopped, true
 		t.job.save(t, now.Sub(t.began)-w.fast(seconds(t.job.spec("markCostS"))), w.speed())
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -553,7 +553,7 @@
 		}
 		cpus, gpus, mem := m.of.Cpus-j.Cpus, m.of.Gpus-j.spec("accelerators"), m.of.MemGB-j.spec("ramGb")
 		for _, t := range m.tasks {
-			if t.state != protocol.Exited {
+			if t.state != protocol.TaskExited {
 				cpus, gpus, mem = cpus-t.job.Cpus, gpus-t.job.spec("accelerators"), mem-t.job.spec("ramGb")
 			}
 		}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -109,17 +109,17 @@
 	}
 }
 
-func (w *World) report(m *Machine) *protocol.Report {
+func (w *World) report(m *Machine) *protocol.Heartbeat {
 	m.seq++
-	r := &protocol.Report{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Session: m.session, Seq: m.seq, Token: m.token}
+	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+		Incarnation: m.session, Seq: m.seq, FencingToken: m.token}
 	if !m.notice.IsZero() {
 		left := time.Until(m.notice).Seconds()
-		r.NoticeS = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: protocol.TaskName(t.job.ID, t.index), Attempt: t.attempt,
-			State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName(t.job.ID, t.index), Attempt: t.attempt,
+			State: t.state, Cause: t.cause, Checkpointed: t.saved})
 	}
 	return r
 }
@@ -130,31 +130,31 @@
 		id, index, _ := protocol.SplitTask(c.Task)
 		i := slices.IndexFunc(m.tasks, func(t *task) bool { return t.job.ID == id && t.index == index && t.attempt == c.Attempt })
 		switch c.Op {
-		case protocol.Launch:
+		case protocol.OpLaunch:
 			if i >= 0 {
 				continue
 			}
 			j := w.jobs[id]
 			if j == nil || index >= j.Tasks {
-				m.tasks = append(m.tasks, &task{job: &Job{ID: id}, index: index, attempt: c.Attempt, state: protocol.Exited, cause: protocol.CauseUnknown})
+				m.tasks = append(m.tasks, &task{job: &Job{ID: id}, index: index, attempt: c.Attempt, state: protocol.TaskExited, cause: protocol.CauseUnknown})
 				m.wake()
 				continue
 			}
-			t := &task{job: j, index: index, attempt: c.Attempt, state: protocol.Fetching}
+			t := &task{job: j, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
 			cpus, gpus, mem := j.Cpus, j.spec("accelerators"), j.spec("ramGb")
 			for _, o := range m.tasks {
-				if o.state != protocol.Exited {
+				if o.state != protocol.TaskExited {
 					cpus, gpus, mem = cpus+o.job.Cpus, gpus+o.job.spec("accelerators"), mem+o.job.spec("ramGb")
 					if o.job == j && o.index == index {
-						t.state, t.cause = protocol.Exited, protocol.CauseBusy
+						t.state, t.cause = protocol.TaskExited, protocol.CauseBusy
 					}
 				}
 			}
 			const slack = 1e-6
-			if t.state != protocol.Exited && (cpus > m.of.Cpus+slack || gpus > m.of.Gpus+slack || mem > m.of.MemGB+slack) {
-				t.state, t.cause = protocol.Exited, protocol.CauseNoRoom
+			if t.state != protocol.TaskExited && (cpus > m.of.Cpus+slack || gpus > m.of.Gpus+slack || mem > m.of.MemGB+slack) {
+				t.state, t.cause = protocol.TaskExited, protocol.CauseNoCapacity
 			}
-			if t.state == protocol.Fetching {
+			if t.state == protocol.TaskFetching {
 				t.ends = w.fetch(m, j)
 				if w.Launched != nil {
 					w.Launched(j, index)
@@ -162,22 +162,22 @@
 			}
 			m.tasks = append(m.tasks, t)
 			m.wake()
-		case protocol.Kill:
-			if i < 0 || m.tasks[i].state == protocol.Exited {
+		case protocol.OpKill:
+			if i < 0 || m.tasks[i].state == protocol.TaskExited {
 				continue
 			}
 			t := m.tasks[i]
 			save := t.job.spec("markCostS")
-			if t.state == protocol.Runs && t.job.spec("markEveryS") > 0 && c.GraceS >= save {
-				t.state, t.ends = protocol.Saving, time.Now().Add(w.fast(seconds(save)))
-			} else if t.state != protocol.Saving || c.GraceS == 0 {
+			if t.state == protocol.TaskRunning && t.job.spec("markEveryS") > 0 && c.GraceS >= save {
+				t.state, t.ends = protocol.TaskCheckpointing, time.Now().Add(w.fast(seconds(save)))
+			} else if t.state != protocol.TaskCheckpointing || c.GraceS == 0 {
 				w.leave(m, t)
 				w.mark(t)
-				t.state, t.cause = protocol.Exited, protocol.CauseStopped
+				t.state, t.cause = protocol.TaskExited, protocol.CauseStopped
 			}
 			m.wake()
-		case protocol.Clear:
-			if i >= 0 && m.tasks[i].state == protocol.Exited {
+		case protocol.OpClear:
+			if i >= 0 && m.tasks[i].state == protocol.TaskExited {
 				m.tasks = slices.Delete(m.tasks, i, i+1)
 				m.wake()
 			}
@@ -186,7 +186,7 @@
 }
 
 func (w *World) reportLoop(m *Machine) {
-	every := seconds(w.Cfg.Deployment.Workers.ReportS)
+	every := seconds(w.Cfg.Deployment.Workers.HeartbeatS)
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
 		if m.gone {
@@ -247,7 +247,7 @@
 				}
 				raw, _ := json.Marshal(b)
 				status = s
-				var a protocol.ReportAnswer
+				var a protocol.HeartbeatResponse
 				var red protocol.Redirect
 				if s == 200 {
 					_ = json.Unmarshal(raw, &a)
@@ -272,10 +272,10 @@
 		switch {
 		case m.gone || m.hang:
 		case status == 200:
-			a := body.(protocol.ReportAnswer)
-			if r.Session == m.session && a.Token >= m.token {
+			a := body.(protocol.HeartbeatResponse)
+			if r.Incarnation == m.session && a.FencingToken >= m.token {
 				m.leaseFrom = sent
-				m.token = max(m.token, a.Token)
+				m.token = max(m.token, a.FencingToken)
 				w.execute(m, a.Commands)
 			}
 			wait = every*3/4 + time.Duration(w.Rand.IntN(int(every)/2))
@@ -309,10 +309,10 @@
 }
 
 // obey carries out direct commands if token and session allow it, and reports.
-func (w *World) obey(m *Machine, cmd protocol.DirectCommands) (*protocol.Report, int) {
+func (w *World) obey(m *Machine, cmd protocol.DirectCommands) (*protocol.Heartbeat, int) {
 	status := 409
-	if cmd.Token >= m.token && cmd.Session == m.session {
-		m.token = cmd.Token
+	if cmd.FencingToken >= m.token && cmd.Incarnation == m.session {
+		m.token = cmd.FencingToken
 		w.execute(m, cmd.Commands)
 		status = 200
 	}
@@ -336,7 +336,7 @@
 	if len(m.images) >= max(1, int(m.of.CacheGB/max(0.1, j.spec("pullGb")))) {
 		oldest := ""
 		for n, at := range m.images {
-			needed := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.state != protocol.Exited && t.job.Spec["kit"] == n })
+			needed := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.state != protocol.TaskExited && t.job.Spec["kit"] == n })
 			if !needed && (oldest == "" || at.Before(m.images[oldest])) {
 				oldest = n
 			}
@@ -387,7 +387,7 @@
 
 // mark keeps the latest checkpoint that a task which ends now has saved by itself.
 func (w *World) mark(t *task) {
-	if every := w.fast(seconds(t.job.spec("markEveryS"))); every > 0 && t.state == protocol.Runs {
+	if every := w.fast(seconds(t.job.spec("markEveryS"))); every > 0 && t.state == protocol.TaskRunning {
 		t.job.save(t, time.Since(t.began)/every*every, w.speed())
 	}
 }
@@ -398,7 +398,7 @@
 }
 
 // Command sends commands straight to a worker.
-func (l *workerLink) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Report, int, error) {
+func (l *workerLink) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	time.Sleep(time.Millisecond)
 	l.n.pause()
 	began := time.Now()
@@ -410,7 +410,7 @@
 			m = x
 		}
 	}
-	do := func() (*protocol.Report, int) { return w.obey(m, cmd) }
+	do := func() (*protocol.Heartbeat, int) { return w.obey(m, cmd) }
 	if m != nil && w.LateCommands != nil {
 		if d := w.LateCommands(m.Name, cmd); d > 0 {
 			w.mu.Unlock()
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -28,7 +28,7 @@
 	Core  *coordination.Controller
 	world *World
 	stop  context.CancelFunc
-	beat  func(ctx context.Context, r *protocol.Report, reply func(status int, body any))
+	beat  func(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
 	gone  atomic.Bool
 	cuts  atomic.Uint32
 	still atomic.Int64 // stands still until then
@@ -69,7 +69,7 @@
 func (n *Node) StandStill(d time.Duration) {
 	n.still.Store(time.Now().Add(d).UnixNano())
 	// The core answers a stranger's report by itself, and stands still meanwhile.
-	go n.Core.Beat(n.world.ctx, &protocol.Report{Machine: "nobody"}, func(int, any) { n.pause() })
+	go n.Core.HandleHeartbeat(n.world.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { n.pause() })
 }
 
 // cutZone is what a node in a zone that is cut off is cut off from; it reaches the workers there.
@@ -194,7 +194,7 @@
 	// KeptReports has a copy of a report kept back, which every node gets as the next leader begins. CopiesToNext counts those.
 	KeptReports  func(m string) bool
 	CopiesToNext atomic.Int32
-	kept         []*protocol.Report
+	kept         []*protocol.Heartbeat
 	lastLeader   storage.LeaderRecord
 	Leads        atomic.Int32 // times that the lead was taken
 	// LostAnswers has a transaction carried out at once and its answer lost. AnswersLost counts those that took effect, by the first key's kind.
@@ -346,7 +346,7 @@
 		cloud.budget = transport.CloudBudget(&cfg.Deployment)
 	}
 	n.Core = coordination.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), coordination.DefaultTiming())
-	n.beat = n.Core.Beat
+	n.beat = n.Core.HandleHeartbeat
 	if w.Views {
 		n.Core.EnableView()
 	}
@@ -375,8 +375,8 @@
 					if from != to && (from.Zone == to.Zone || !w.cutOff(from.Zone) && !w.cutOff(to.Zone)) && !from.dead() && !to.dead() && from.still.Load() < time.Now().UnixNano() &&
 						!from.cut(NoPeers) && !to.cut(NoPeers) {
 						go to.Core.ReceivePeerHeartbeat(from.Name, from.Core.PeerHeartbeat())
-						if word, ok := from.Core.Word(to.Name); ok {
-							go to.Core.HearWord(from.Name, word)
+						if word, ok := from.Core.CancellationDigest(to.Name); ok {
+							go to.Core.ReceiveCancellationDigest(from.Name, word)
 						}
 					}
 				}
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -22,7 +22,7 @@
 	s := &config.Settings{MemberName: "n0", Zone: "a", PublicAddr: "10.0.0.1:1", PeerListen: "10.0.0.1:2"}
 	s.Deployment = config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"},
 		Teams:     []config.Team{{Name: "red", CpusMax: 40}, {Name: "blue", Cpus: 16}, {Name: "green"}, {Name: "grey"}},
-		Workers:   config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 12},
+		Workers:   config.Workers{HeartbeatS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 12},
 		State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 32, TxnOps: 12},
 		Cloud:     config.Cloud{RPS: 10, ListLagS: 5},
 		Resources: config.Resources{CPU: 1, MemMB: 100, MaxConnections: 500}}
--- a/internal/simulator/zonecut_test.go
+++ b/internal/simulator/zonecut_test.go
@@ -20,7 +20,7 @@
 		defer func() { cancel(); time.Sleep(time.Minute) }()
 		cfg := settings()
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}}
-		cfg.Deployment.Workers = config.Workers{ReportS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 45}
+		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 45}
 		w := NewWorld(ctx, cfg, 9)
 		w.Cap = 40
 		for i := range 3 {
--- a/internal/storage/before_test.go
+++ b/internal/storage/before_test.go
@@ -87,7 +87,7 @@
 	}
 	// Whatever else is written before the gate, that version knows every field of it.
 	j := b.Job("job-000007")
-	full := GroupRecord{Shard: 1, Token: 2, Machines: []GroupMachine{{"h", 1, 2, "a", true, true, true, false,
+	full := GroupRecord{Shard: 1, FencingToken: 2, Machines: []GroupMachine{{"h", 1, 2, "a", true, true, true, false,
 		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Ended: []EndedTasks{{"j", []int{1}}}}
 	strict := func(raw json.RawMessage, into any) {
 		t.Helper()
@@ -112,7 +112,7 @@
 		t.Errorf("packed it takes %d bytes", len(raw))
 	}
 	tasks, done := len(k.Machines[0].Tasks), j.NDone
-	if err := b.Apply(Root+"rack/0", raw, 51, false); err != nil || len(k.Machines[0].Tasks) != tasks || j.NDone != done || !k.Machines[1].Sick {
+	if err := b.Apply(Root+"rack/0", raw, 51, false); err != nil || len(k.Machines[0].Tasks) != tasks || j.NDone != done || !k.Machines[1].Unhealthy {
 		t.Errorf("read again: %v, %d tasks", err, len(k.Machines[0].Tasks))
 	}
 	// It never closes again.
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -114,26 +114,26 @@
 
 // Machine is a machine as the records have it.
 type Machine struct {
-	Index   int32
-	Name    string
-	Group   *MachineGroup
-	Shard   int // its rack's
-	Token   uint64
-	Session uint64
-	Addr    string
-	Type    int
-	Zone    int
-	Spot    bool
-	Closing bool
-	Drains  bool
-	Sick    bool
-	Rented  int64 // time of day in seconds, 0: unknown
-	Tasks   []Placed
-	Version uint64 // when its own part of the records last changed
-	Gone    bool   // its record was deleted, or its rack is not known yet
-	Moved   bool   // it was in another rack before
-	Listed  int    // fleet records that list it
-	Images  []int  // of tasks that were on it, the most recently used last
+	Index         int32
+	Name          string
+	Group         *MachineGroup
+	Shard         int // its rack's
+	FencingToken  uint64
+	Incarnation   uint64
+	Addr          string
+	Type          int
+	Zone          int
+	Spot          bool
+	Returning     bool
+	Draining      bool
+	Unhealthy     bool
+	ProvisionedAt int64 // time of day in seconds, 0: unknown
+	Tasks         []Placed
+	Version       uint64 // when its own part of the records last changed
+	Gone          bool   // its record was deleted, or its rack is not known yet
+	Moved         bool   // it was in another rack before
+	FleetEntries  int    // fleet records that list it
+	Images        []int  // of tasks that were on it, the most recently used last
 
 	Fleet  *Fleet
 	record FleetMachine
@@ -152,14 +152,14 @@
 
 // MachineGroup is a group of machines whose records change together.
 type MachineGroup struct {
-	ID       int
-	Shard    int
-	Token    uint64
-	Version  uint64 // 0: no record
-	Size     int    // of its record, in bytes
-	Packed   bool   // its record is of the packed layout
-	Machines []*Machine
-	Ended    []Ended
+	ID           int
+	Shard        int
+	FencingToken uint64
+	Version      uint64 // 0: no record
+	Size         int    // of its record, in bytes
+	Packed       bool   // its record is of the packed layout
+	Machines     []*Machine
+	Ended        []Ended
 }
 
 // Ended is a completed task that its job's own record may not show yet.
@@ -345,9 +345,9 @@
 	return nil
 }
 
-// Token is the token under which a machine is commanded.
-func (b *Cache) Token(m *Machine) uint64 {
-	return max(m.Token, m.Group.Token, b.Shards[m.Shard].Token)
+// FencingToken is the token under which a machine is commanded.
+func (b *Cache) FencingToken(m *Machine) uint64 {
+	return max(m.FencingToken, m.Group.FencingToken, b.Shards[m.Shard].FencingToken)
 }
 
 // Changed returns the machines that changed, and the jobs that ended, since it was
@@ -852,7 +852,7 @@
 	}
 	for _, x := range before { // what is listed still was counted once more just now
 		m := b.byName[x.Name]
-		if m.Listed--; m.Listed == 0 {
+		if m.FleetEntries--; m.FleetEntries == 0 {
 			b.depart(m, version)
 		}
 	}
@@ -883,7 +883,7 @@
 		b.Machines = append(b.Machines, m)
 		b.byName[x.Name] = m
 	}
-	m.Listed++
+	m.FleetEntries++
 	if m.exists {
 		if m.Fleet != f && f.Version > m.Fleet.Version {
 			m.Fleet, m.record = f, x
@@ -898,7 +898,7 @@
 	m.Type = b.TypeIdx.Index(f.record.Type)
 	b.growTypes()
 	m.Zone = b.Zones.Index(f.record.Zone)
-	m.Spot, m.Rented, m.Addr, m.Token = f.record.Spot, f.record.RentedAt, x.Addr, f.record.Token
+	m.Spot, m.ProvisionedAt, m.Addr, m.FencingToken = f.record.Spot, f.record.ProvisionedAt, x.Addr, f.record.FencingToken
 	b.touch(m)
 }
 
@@ -1017,9 +1017,9 @@
 			m.joinGroup(k)
 		}
 	}
-	moved := k.Version == 0 || k.Shard != r.Shard || k.Token != r.Token
+	moved := k.Version == 0 || k.Shard != r.Shard || k.FencingToken != r.FencingToken
 	k.Packed = r.Packed != "" || len(r.Machines)+len(r.Ended) == 0
-	k.Shard, k.Token, k.Version, k.Ended, k.Size = r.Shard, r.Token, version, ended, len(value)
+	k.Shard, k.FencingToken, k.Version, k.Ended, k.Size = r.Shard, r.FencingToken, version, ended, len(value)
 	for _, e := range ended {
 		if !e.Job.Done.Get(e.Task) {
 			e.Job.Done.Set(e.Task)
@@ -1036,11 +1036,11 @@
 		if x == nil {
 			x = &GroupMachine{}
 		}
-		token := max(x.Token, m.Fleet.record.Token)
-		if moved || token != m.Token || x.Session != m.Session || x.Closing != m.Closing || x.Sick != m.Sick ||
-			x.Draining != m.Drains || !slices.Equal(tasks[m], m.Tasks) {
-			m.Shard, m.Token, m.Session = k.Shard, token, x.Session
-			m.Closing, m.Sick, m.Drains = x.Closing, x.Sick, x.Draining
+		token := max(x.FencingToken, m.Fleet.record.FencingToken)
+		if moved || token != m.FencingToken || x.Incarnation != m.Incarnation || x.Returning != m.Returning || x.Unhealthy != m.Unhealthy ||
+			x.Draining != m.Draining || !slices.Equal(tasks[m], m.Tasks) {
+			m.Shard, m.FencingToken, m.Incarnation = k.Shard, token, x.Incarnation
+			m.Returning, m.Unhealthy, m.Draining = x.Returning, x.Unhealthy, x.Draining
 			m.Gone, m.Version = false, version
 			b.touch(m)
 		}
@@ -1098,9 +1098,9 @@
 
 // GroupMachineOf writes a machine's part of its rack's record, with other tasks.
 func (b *Cache) GroupMachineOf(m *Machine, tasks []Placed) GroupMachine {
-	r := GroupMachine{Name: m.Name, Session: m.Session, Closing: m.Closing, Draining: m.Drains, Sick: m.Sick, Moved: m.Moved}
-	if m.Token > m.Fleet.record.Token {
-		r.Token = m.Token
+	r := GroupMachine{Name: m.Name, Incarnation: m.Incarnation, Returning: m.Returning, Draining: m.Draining, Unhealthy: m.Unhealthy, Moved: m.Moved}
+	if m.FencingToken > m.Fleet.record.FencingToken {
+		r.FencingToken = m.FencingToken
 	}
 	if m.Addr != m.record.Addr {
 		r.Addr = m.Addr
@@ -1119,13 +1119,13 @@
 // GroupRecordOf writes a rack's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
 func (b *Cache) GroupRecordOf(k *MachineGroup, ended []Ended, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
-	r := &GroupRecord{Shard: k.Shard, Token: k.Token, Ended: endedOf(ended)}
+	r := &GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Ended: endedOf(ended)}
 	for _, m := range k.Machines {
 		x, stays := b.GroupMachineOf(m, m.Tasks), true
 		if change != nil {
 			x, stays = change(m)
 		}
-		if stays && (x.Token > 0 || x.Session > 0 || x.Addr != "" || x.Closing || x.Sick || x.Draining || x.Moved || len(x.Tasks) > 0) {
+		if stays && (x.FencingToken > 0 || x.Incarnation > 0 || x.Addr != "" || x.Returning || x.Unhealthy || x.Draining || x.Moved || len(x.Tasks) > 0) {
 			r.Machines = append(r.Machines, x)
 		}
 	}
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -25,9 +25,9 @@
 		put(JobKey(x.id), JobRecord{Tasks: 1, Team: "red", Spec: &SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: x.image, ImageGB: 5}})
 	}
 	put(GroupKey(0), GroupRecord{})
-	put(FleetKey("m"), FleetRecord{Type: "t", Zone: "a", Token: 3, Machines: []FleetMachine{{Name: "m"}}})
+	put(FleetKey("m"), FleetRecord{Type: "t", Zone: "a", FencingToken: 3, Machines: []FleetMachine{{Name: "m"}}})
 	rack := func(tasks ...PlacedTasks) {
-		put(GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Session: 1, Tasks: tasks}}})
+		put(GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Incarnation: 1, Tasks: tasks}}})
 	}
 	since := func(id string, ago int64) PlacedTasks {
 		return PlacedTasks{Job: id, Numbers: []uint64{0, 9, uint64(time.Now().Unix() - ago), 0}}
--- a/internal/storage/pack.go
+++ b/internal/storage/pack.go
@@ -198,11 +198,11 @@
 
 // What a machine's packed entry begins with.
 const (
-	packClosing = 1 << iota
-	packSick
+	packReturning = 1 << iota
+	packUnhealthy
 	packDraining
-	packToken
-	packSession // other than 1
+	packFencingToken
+	packIncarnation // other than 1
 	packAddr
 	packMoved
 	packTasks
@@ -220,18 +220,18 @@
 		for _, f := range []struct {
 			on  bool
 			bit uint64
-		}{{m.Closing, packClosing}, {m.Sick, packSick}, {m.Draining, packDraining}, {m.Token > 0, packToken},
-			{m.Session != 1, packSession}, {m.Addr != "", packAddr}, {m.Moved, packMoved}, {len(m.Tasks) > 0, packTasks}} {
+		}{{m.Returning, packReturning}, {m.Unhealthy, packUnhealthy}, {m.Draining, packDraining}, {m.FencingToken > 0, packFencingToken},
+			{m.Incarnation != 1, packIncarnation}, {m.Addr != "", packAddr}, {m.Moved, packMoved}, {len(m.Tasks) > 0, packTasks}} {
 			if f.on {
 				flags |= f.bit
 			}
 		}
 		p.num(flags)
-		if m.Token > 0 {
-			p.num(m.Token)
+		if m.FencingToken > 0 {
+			p.num(m.FencingToken)
 		}
-		if m.Session != 1 {
-			p.num(m.Session)
+		if m.Incarnation != 1 {
+			p.num(m.Incarnation)
 		}
 		if m.Addr != "" {
 			p.addr(m.Addr)
@@ -292,14 +292,14 @@
 	var attempt, at uint64
 	r.Machines = make([]GroupMachine, 0, u.count())
 	for range cap(r.Machines) {
-		m := GroupMachine{Name: u.name(), Session: 1}
+		m := GroupMachine{Name: u.name(), Incarnation: 1}
 		flags := u.num()
-		m.Closing, m.Sick, m.Draining, m.Moved = flags&packClosing > 0, flags&packSick > 0, flags&packDraining > 0, flags&packMoved > 0
-		if flags&packToken > 0 {
-			m.Token = u.num()
+		m.Returning, m.Unhealthy, m.Draining, m.Moved = flags&packReturning > 0, flags&packUnhealthy > 0, flags&packDraining > 0, flags&packMoved > 0
+		if flags&packFencingToken > 0 {
+			m.FencingToken = u.num()
 		}
-		if flags&packSession > 0 {
-			m.Session = u.num()
+		if flags&packIncarnation > 0 {
+			m.Incarnation = u.num()
 		}
 		if flags&packAddr > 0 {
 			m.Addr = u.addr()
--- a/internal/storage/pack_test.go
+++ b/internal/storage/pack_test.go
@@ -14,11 +14,11 @@
 	long := strings.Repeat("long-name-", 12)
 	racks := []GroupRecord{
 		{},
-		{Shard: 3, Token: 1 << 40, Machines: []GroupMachine{{Name: "host-000231", Session: 1}}},
+		{Shard: 3, FencingToken: 1 << 40, Machines: []GroupMachine{{Name: "host-000231", Incarnation: 1}}},
 		{Machines: []GroupMachine{
-			{Name: "host-000231", Token: 17, Session: 3, Addr: "10.1.0.232:9000", Closing: true, Sick: true, Draining: true, Moved: true},
-			{Name: "host-31", Session: 0, Addr: "worker.example:9000"}, {Name: "host-00000000000000000231", Session: 1, Addr: "10.1.0.256:9000"},
-			{Name: long, Session: 1, Tasks: []PlacedTasks{
+			{Name: "host-000231", FencingToken: 17, Incarnation: 3, Addr: "10.1.0.232:9000", Returning: true, Unhealthy: true, Draining: true, Moved: true},
+			{Name: "host-31", Incarnation: 0, Addr: "worker.example:9000"}, {Name: "host-00000000000000000231", Incarnation: 1, Addr: "10.1.0.256:9000"},
+			{Name: long, Incarnation: 1, Tasks: []PlacedTasks{
 				{"job-000412", []uint64{0, 9, 1700000000, 3, 1, 9, 1700000000, 3, 99_999, 9, 1700000000, 3, 5, 1 << 60, 1700000009, 0}},
 				{"job-412", []uint64{0, 9, 0, 1 << 40}}}}},
 			Ended: []EndedTasks{{"job-000412", []int{7, 3, 99_999}}, {"job-123456789012345678", []int{0}}}},
@@ -27,7 +27,7 @@
 	for range 50 {
 		var x GroupRecord
 		for m := range r.IntN(24) {
-			e := GroupMachine{Name: fmt.Sprintf("host-%06d", m*m), Session: r.Uint64N(3), Token: r.Uint64N(2) * r.Uint64N(1<<50)}
+			e := GroupMachine{Name: fmt.Sprintf("host-%06d", m*m), Incarnation: r.Uint64N(3), FencingToken: r.Uint64N(2) * r.Uint64N(1<<50)}
 			for range r.IntN(6) {
 				p := PlacedTasks{Job: fmt.Sprintf("job-%06d", r.IntN(9))}
 				for range 1 + r.IntN(5) {
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	f := FleetRecord{Token: 4, Type: "t", Zone: "a", Spot: true, Machines: []FleetMachine{{"host-000001", 3, "10.0.0.1:9000"}, {long, 0, ""}}}
+	f := FleetRecord{FencingToken: 4, Type: "t", Zone: "a", Spot: true, Machines: []FleetMachine{{"host-000001", 3, "10.0.0.1:9000"}, {long, 0, ""}}}
 	if got, err := DecodeFleet(EncodeFleet(&f, true)); err != nil || !reflect.DeepEqual(got, f) {
 		t.Errorf("fleet: %v %+v", err, got)
 	}
@@ -73,7 +73,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	x := GroupRecord{Machines: []GroupMachine{{Name: "host-000231", Session: 2, Tasks: []PlacedTasks{{"job-000412", []uint64{0, 9, 17, 3}}}}}}
+	x := GroupRecord{Machines: []GroupMachine{{Name: "host-000231", Incarnation: 2, Tasks: []PlacedTasks{{"job-000412", []uint64{0, 9, 17, 3}}}}}}
 	f.Add(x.pack())
 	f.Fuzz(func(_ *testing.T, s string) {
 		_ = new(GroupRecord).unpack(s) // must not panic or take much memory
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -86,9 +86,9 @@
 
 // ShardRecord says who owns a share, and under which token.
 type ShardRecord struct {
-	Member      string `json:"n"`
-	Incarnation uint64 `json:"i"`
-	Token       uint64 `json:"t"`
+	Member       string `json:"n"`
+	Incarnation  uint64 `json:"i"`
+	FencingToken uint64 `json:"t"`
 }
 
 // JobRecord is a job in the state service. Spec is dropped once it is done.
@@ -135,13 +135,13 @@
 // FleetRecord is what does not change of machines that came together. Only the
 // leader adds one; a machine that leaves is taken out by its owner.
 type FleetRecord struct {
-	Token    uint64         `json:"t"` // of each machine, until its rack's record has a higher one
-	Type     string         `json:"h"`
-	Zone     string         `json:"b"`
-	Spot     bool           `json:"l,omitempty"`
-	RentedAt int64          `json:"at,omitempty"` // time of day in seconds
-	Machines []FleetMachine `json:"m,omitempty"`
-	Packed   string         `json:"y,omitempty"` // the machines, in the packed layout
+	FencingToken  uint64         `json:"t"` // of each machine, until its rack's record has a higher one
+	Type          string         `json:"h"`
+	Zone          string         `json:"b"`
+	Spot          bool           `json:"l,omitempty"`
+	ProvisionedAt int64          `json:"at,omitempty"` // time of day in seconds
+	Machines      []FleetMachine `json:"m,omitempty"`
+	Packed        string         `json:"y,omitempty"` // the machines, in the packed layout
 }
 
 // FleetMachine is one machine of a fleet record, with the rack that it is in for good.
@@ -155,21 +155,21 @@
 // writing them together is what lets hundreds of machines fit the state
 // service's rate of changes.
 type GroupRecord struct {
-	Shard    int            `json:"s"`
-	Token    uint64         `json:"t,omitempty"` // raised whenever the rack changes its share
-	Machines []GroupMachine `json:"m,omitempty"` // those with something to say
-	Ended    []EndedTasks   `json:"e,omitempty"`
-	Packed   string         `json:"y,omitempty"` // machines and ended, in the packed layout
+	Shard        int            `json:"s"`
+	FencingToken uint64         `json:"t,omitempty"` // raised whenever the rack changes its share
+	Machines     []GroupMachine `json:"m,omitempty"` // those with something to say
+	Ended        []EndedTasks   `json:"e,omitempty"`
+	Packed       string         `json:"y,omitempty"` // machines and ended, in the packed layout
 }
 
 // GroupMachine is one machine of a rack.
 type GroupMachine struct {
-	Name    string `json:"h"`
-	Token   uint64 `json:"t,omitempty"`
-	Session uint64 `json:"w,omitempty"`
-	Addr    string `json:"a,omitempty"` // if the machine's own record does not tell it
-	Closing bool   `json:"c,omitempty"` // is being returned: nothing may be placed
-	Sick    bool   `json:"k,omitempty"` // fails its tasks: nothing more is placed, and it is returned
+	Name         string `json:"h"`
+	FencingToken uint64 `json:"t,omitempty"`
+	Incarnation  uint64 `json:"w,omitempty"`
+	Addr         string `json:"a,omitempty"` // if the machine's own record does not tell it
+	Returning    bool   `json:"c,omitempty"` // is being returned: nothing may be placed
+	Unhealthy    bool   `json:"k,omitempty"` // fails its tasks: nothing more is placed, and it is returned
 	// Draining: nothing more is placed, what saves is moved off, and the machine is
 	// returned once it is empty.
 	Draining bool `json:"d,omitempty"`
@@ -231,7 +231,7 @@
 // EncodeGroup writes a rack's record.
 func EncodeGroup(r *GroupRecord, packed bool) json.RawMessage {
 	if packed {
-		r = &GroupRecord{Shard: r.Shard, Token: r.Token, Packed: r.pack()}
+		r = &GroupRecord{Shard: r.Shard, FencingToken: r.FencingToken, Packed: r.pack()}
 	}
 	return Encode(r)
 }
@@ -349,7 +349,7 @@
 		Class: s.Class, Shape: uint8(s.Shape), Priority: uint8(s.Priority),
 		Cpus: s.Cpus, Gpus: s.Gpus, Mem: s.MemGB, Image: s.Image, ImageGB: s.ImageGB, Types: s.Types,
 		Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Estimate: s.EstimateS,
-		Mark: s.CheckpointS, Save: s.SaveS, Due: s.DeadlineS,
+		Mark: s.CheckpointS, Save: s.CheckpointCostS, Due: s.DeadlineS,
 	}
 }
 
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -67,7 +67,7 @@
 	More  bool `json:"more"`
 }
 
-const adminWithin = 3 * time.Second
+const adminTimeout = 3 * time.Second
 
 // AdminLimits bound what readers of the administration API cost a node.
 type AdminLimits struct {
@@ -111,7 +111,7 @@
 	v1 := app.Group("/admin/v1")
 	get := func(path string, f func(ctx context.Context, c *fiber.Ctx) (any, error)) {
 		v1.Get(path, func(c *fiber.Ctx) error {
-			ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
+			ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 			defer cancel()
 			body, err := f(ctx, c)
 			if err != nil {
@@ -125,7 +125,7 @@
 		return SettingsView{v, s, coordination.SettingsInfo()}, err
 	})
 	v1.Put("/settings", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		var ch SettingsChange
 		if err := json.Unmarshal(c.Body(), &ch); err != nil {
@@ -152,7 +152,7 @@
 		return core.Team(ctx, name)
 	})
 	v1.Put("/teams/:name", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		name, err := teamName(c)
 		if err != nil {
@@ -196,7 +196,7 @@
 		return AdminPage{v, more}, err
 	})
 	v1.Get("/machines/:name", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		v, known, err := core.MachineInfo(ctx, strings.Clone(c.Params("name")))
 		if err != nil {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -97,9 +97,9 @@
 
 // State is the client of the state service.
 type State struct {
-	c      *fasthttp.HostClient
-	follow *fasthttp.HostClient
-	hold   *fasthttp.HostClient
+	client      *fasthttp.HostClient
+	watchClient *fasthttp.HostClient
+	leaseClient *fasthttp.HostClient
 	*StateBudget
 	Timeout time.Duration
 	// Observe, if set, counts requests by service and outcome.
@@ -129,8 +129,8 @@
 // NewState makes a client that stays under its part of the service's rates.
 func NewState(s *config.Settings) *State {
 	return &State{
-		c: newHostClient(s.External.State, 32), follow: newHostClient(s.External.State, 4),
-		hold: newHostClient(s.External.State, 4), StateBudget: NewStateBudget(&s.Deployment), Timeout: 3 * time.Second,
+		client: newHostClient(s.External.State, 32), watchClient: newHostClient(s.External.State, 4),
+		leaseClient: newHostClient(s.External.State, 4), StateBudget: NewStateBudget(&s.Deployment), Timeout: 3 * time.Second,
 	}
 }
 
@@ -156,7 +156,7 @@
 		return 0, err
 	}
 	var out protocol.TxnResult
-	st, err := s.call(ctx, s.c, "POST", "/txn", protocol.Txn{If: []protocol.Condition{{Key: "dykeledge/none"}}}, &out, s.Timeout)
+	st, err := s.call(ctx, s.client, "POST", "/txn", protocol.Txn{If: []protocol.Condition{{Key: "dykeledge/none"}}}, &out, s.Timeout)
 	if err == nil && st != 200 && st != 409 {
 		return 0, plain(st, nil)
 	}
@@ -173,13 +173,13 @@
 	if after != "" {
 		path += "&from=" + url.QueryEscape(after)
 	}
-	st, err := s.call(ctx, s.c, "GET", path, nil, &p, s.Timeout)
+	st, err := s.call(ctx, s.client, "GET", path, nil, &p, s.Timeout)
 	return p, plain(st, err)
 }
 
 // Txn carries out a transaction. On a conflict, failed is not empty. Errors
 // wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown.
-func (s *State) Txn(ctx context.Context, t protocol.Txn, haste protocol.Haste) (rev uint64, failed []string, err error) {
+func (s *State) Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	for try := 0; ; try++ {
 		if err := s.Admit(ctx, len(t.Then), haste); err != nil {
 			return 0, nil, err
@@ -189,7 +189,7 @@
 			return rev, failed, err
 		}
 		wait := s.StepBack()
-		if haste != protocol.ForUser || try >= 2 {
+		if haste != protocol.UserRequest || try >= 2 {
 			return rev, failed, err
 		}
 		t := time.NewTimer(wait)
@@ -208,7 +208,7 @@
 		protocol.TxnResult
 		Error string `json:"error"`
 	}
-	st, err := s.call(ctx, s.c, "POST", "/txn", t, &out, s.Timeout)
+	st, err := s.call(ctx, s.client, "POST", "/txn", t, &out, s.Timeout)
 	switch {
 	case err == nil && st == 200:
 		return out.Revision, nil, false, nil
@@ -231,33 +231,33 @@
 	var out struct {
 		Lease uint64 `json:"tenure"`
 	}
-	st, err := s.call(ctx, s.hold, "POST", "/holds", map[string]int64{"ttlMs": ttl.Milliseconds()}, &out, s.Timeout)
+	st, err := s.call(ctx, s.leaseClient, "POST", "/holds", map[string]int64{"ttlMs": ttl.Milliseconds()}, &out, s.Timeout)
 	return out.Lease, plain(st, err)
 }
 
 // Renew renews a hold.
 func (s *State) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
 	s.Owe()
-	st, err := s.call(ctx, s.hold, "POST", "/holds/"+strconv.FormatUint(lease, 10)+"/extend", nil, nil, timeout)
+	st, err := s.call(ctx, s.leaseClient, "POST", "/holds/"+strconv.FormatUint(lease, 10)+"/extend", nil, nil, timeout)
 	if errors.Is(plain(st, err), protocol.ErrNotFound) {
 		return protocol.ErrNoLease
 	}
 	return plain(st, err)
 }
 
-// Follow waits for changes after a revision.
-func (s *State) Follow(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
+// Watch waits for changes after a revision.
+func (s *State) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	s.Owe()
 	var ev protocol.Events
 	path := "/follow?starts=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
-	st, err := s.call(ctx, s.follow, "GET", path, nil, &ev, wait+s.Timeout)
+	st, err := s.call(ctx, s.watchClient, "GET", path, nil, &ev, wait+s.Timeout)
 	return ev, plain(st, err)
 }
 
 // Cloud is the client of the cloud.
 type Cloud struct {
-	c      *fasthttp.HostClient
+	client *fasthttp.HostClient
 	budget *Budget
 	// Observe, if set, counts requests by service and outcome.
 	Observe func(service, outcome string)
@@ -265,7 +265,7 @@
 
 // NewCloud makes a client that stays under the cloud's rate.
 func NewCloud(s *config.Settings) *Cloud {
-	return &Cloud{c: newHostClient(s.External.Cloud, 8), budget: CloudBudget(&s.Deployment)}
+	return &Cloud{client: newHostClient(s.External.Cloud, 8), budget: CloudBudget(&s.Deployment)}
 }
 
 // CloudBudget keeps a node under the cloud's rate, which the leader uses nearly alone.
@@ -278,7 +278,7 @@
 	if err := c.budget.Wait(ctx, 1, 0); err != nil {
 		return fmt.Errorf("%w: %w", protocol.ErrRefused, err)
 	}
-	st, err := call(ctx, c.c, method, path, in, out, 10*time.Second)
+	st, err := call(ctx, c.client, method, path, in, out, 10*time.Second)
 	if c.Observe != nil {
 		c.Observe("cloud", outcome(st, err))
 	}
@@ -291,8 +291,8 @@
 	return &out, c.call(ctx, "GET", "/catalog", nil, &out)
 }
 
-// Rent rents machines.
-func (c *Cloud) Rent(ctx context.Context, r protocol.Rental) ([]string, error) {
+// ScaleOut rents machines.
+func (c *Cloud) ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error) {
 	var out struct {
 		protocol.MachineNames
 		Error string `json:"error"`
@@ -304,8 +304,8 @@
 	return out.Machines, err
 }
 
-// Return gives machines back; after nil they are gone.
-func (c *Cloud) Return(ctx context.Context, names []string) error {
+// ScaleIn gives machines back; after nil they are gone.
+func (c *Cloud) ScaleIn(ctx context.Context, names []string) error {
 	return c.call(ctx, "POST", "/hosts/return", protocol.MachineNames{Machines: names}, nil)
 }
 
@@ -320,11 +320,11 @@
 }
 
 // Workers is the client of the workers.
-type Workers struct{ c *fasthttp.Client }
+type Workers struct{ client *fasthttp.Client }
 
 // NewWorkers makes a client for the workers' addresses.
 func NewWorkers() *Workers {
-	return &Workers{c: &fasthttp.Client{
+	return &Workers{client: &fasthttp.Client{
 		Dial:                      func(a string) (net.Conn, error) { return net.DialTimeout("tcp4", a, time.Second) },
 		MaxConnsPerHost:           2,
 		MaxIdleConnDuration:       20 * time.Second,
@@ -336,9 +336,9 @@
 }
 
 // Command sends commands straight to a worker and returns its report.
-func (w *Workers) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (r *protocol.Report, status int, err error) {
-	status, err = exchange(w.c, addr, "POST", "/commands", cmd, time.Now().Add(timeout), func(_ int, body []byte) (err error) {
-		r, err = protocol.ParseReport(body)
+func (w *Workers) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (r *protocol.Heartbeat, status int, err error) {
+	status, err = exchange(w.client, addr, "POST", "/commands", cmd, time.Now().Add(timeout), func(_ int, body []byte) (err error) {
+		r, err = protocol.ParseHeartbeat(body)
 		return err
 	})
 	return r, status, err
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -60,7 +60,7 @@
 		return NewState(goldenSettings(addr)).List(ctx, "k/ü &", "k/1=2", 100)
 	}},
 	{"state-txn", `{"failed":["k/1"],"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
-		rev, conflicts, err := NewState(goldenSettings(addr)).Txn(ctx, filled[protocol.Txn](), protocol.Urgent)
+		rev, conflicts, err := NewState(goldenSettings(addr)).Txn(ctx, filled[protocol.Txn](), protocol.UrgentRequest)
 		return []any{rev, conflicts}, err
 	}},
 	{"state-grant", `{"tenure":5}`, func(ctx context.Context, addr string) (any, error) {
@@ -70,17 +70,17 @@
 		return nil, NewState(goldenSettings(addr)).Renew(ctx, 5, time.Minute)
 	}},
 	{"state-follow", `{"ledgerRev":9,"news":[{"set":"k/1","data":{"a":1},"stamp":8},{"drop":"k/2","stamp":9}]}`, func(ctx context.Context, addr string) (any, error) {
-		return NewState(goldenSettings(addr)).Follow(ctx, "k/", 7, 1500*time.Millisecond)
+		return NewState(goldenSettings(addr)).Watch(ctx, "k/", 7, 1500*time.Millisecond)
 	}},
 	{"cloud-catalog", `{"hulls":[{"label":"g8","cpus":8,"accelerators":1,"ramGb":64,"cacheGb":50,"fetchGbPerS":0.5,"rate":3,"marketPrice":1,"bootS":40,"berths":["a"]}]}`,
 		func(ctx context.Context, addr string) (any, error) {
 			return NewCloud(goldenSettings(addr)).Catalog(ctx)
 		}},
 	{"cloud-rent", `{"hosts":["host-000001","host-000002"]}`, func(ctx context.Context, addr string) (any, error) {
-		return NewCloud(goldenSettings(addr)).Rent(ctx, filled[protocol.Rental]())
+		return NewCloud(goldenSettings(addr)).ScaleOut(ctx, filled[protocol.ScaleOutRequest]())
 	}},
 	{"cloud-return", `{}`, func(ctx context.Context, addr string) (any, error) {
-		return nil, NewCloud(goldenSettings(addr)).Return(ctx, []string{"host-000001"})
+		return nil, NewCloud(goldenSettings(addr)).ScaleIn(ctx, []string{"host-000001"})
 	}},
 	{"cloud-list", `{"hosts":[{"id":"host-000001","addr":"10.1.0.1:9000","hull":"g8","berth":"a","loaners":true,"status":"up","heldS":3.5}],"more":true}`,
 		func(ctx context.Context, addr string) (any, error) {
@@ -145,7 +145,9 @@
 func (peerStub) PeerHeartbeat() protocol.PeerHeartbeat { return filled[protocol.PeerHeartbeat]() }
 func (peerStub) Incarnation() uint64                   { return 77 }
 func (peerStub) ShardDemands() []protocol.ShardDemand  { return filled[[]protocol.ShardDemand]() }
-func (peerStub) Word(string) (protocol.Word, bool)     { return filled[protocol.Word](), true }
+func (peerStub) CancellationDigest(string) (protocol.CancellationDigest, bool) {
+	return filled[protocol.CancellationDigest](), true
+}
 
 // TestGoldenPeers pins the bytes with which a node begins to speak to another.
 func TestGoldenPeers(t *testing.T) {
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -84,7 +84,7 @@
 
 func (s *stubCore) Ready(context.Context) bool { return !s.starts }
 
-func (s *stubCore) Beat(_ context.Context, r *protocol.Report, reply func(status int, body any)) {
+func (s *stubCore) HandleHeartbeat(_ context.Context, r *protocol.Heartbeat, reply func(status int, body any)) {
 	raw, err := json.Marshal(r)
 	s.note("report %s, %v", raw, err)
 	if s.answer.Status != 0 {
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -92,8 +92,8 @@
 // TestGoldenAnswers pins what the servers answer to each request, and what they hand on of it.
 func TestGoldenAnswers(t *testing.T) {
 	state := stubCore{answer: coordination.Answer{Status: 200, Body: filled[protocol.JobState]()}}
-	busy := stubCore{answer: coordination.Answer{Status: 503, Body: filled[protocol.Refusal](), RetryAfter: 2}}
-	beat := stubCore{answer: coordination.Answer{Status: 200}, reply: filled[protocol.ReportAnswer]()}
+	busy := stubCore{answer: coordination.Answer{Status: 503, Body: filled[protocol.ErrorResponse](), RetryAfter: 2}}
+	beat := stubCore{answer: coordination.Answer{Status: 200}, reply: filled[protocol.HeartbeatResponse]()}
 	redirect := stubCore{answer: coordination.Answer{Status: 421}, reply: filled[protocol.Redirect]()}
 	down := stubCore{err: coordination.ErrUnavailable}
 	const runs, settings, red = "/v2/runs", "/admin/v1/settings", "/admin/v1/teams/red"
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -26,8 +26,8 @@
 	PeerHeartbeat() protocol.PeerHeartbeat
 	Incarnation() uint64
 	ShardDemands() []protocol.ShardDemand
-	Word(node string) (protocol.Word, bool)
-	HearWord(node string, w protocol.Word)
+	CancellationDigest(node string) (protocol.CancellationDigest, bool)
+	ReceiveCancellationDigest(node string, w protocol.CancellationDigest)
 	ReceivePeerHeartbeat(node string, p protocol.PeerHeartbeat)
 	ReceiveShardDemands(node string, n protocol.ShardDemands)
 	PeerDisconnected(node string)
@@ -93,7 +93,7 @@
 				return
 			}
 		}
-		if word, ok := p.core.Word(to); ok {
+		if word, ok := p.core.CancellationDigest(to); ok {
 			if buf, err = protocol.AppendFrame(buf, word); err != nil {
 				p.log.Error("word cannot be written", "err", err)
 				return
@@ -153,9 +153,9 @@
 			if node != "" {
 				p.core.ReceiveShardDemands(node, x)
 			}
-		case protocol.Word:
+		case protocol.CancellationDigest:
 			if node != "" {
-				p.core.HearWord(node, x)
+				p.core.ReceiveCancellationDigest(node, x)
 			}
 		}
 	}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -32,8 +32,12 @@
 func (f *fakeCore) ReceivePeerHeartbeat(node string, _ protocol.PeerHeartbeat) {
 	f.heard <- "pulse " + node
 }
-func (f *fakeCore) Word(string) (protocol.Word, bool)     { return protocol.Word{}, false }
-func (f *fakeCore) HearWord(node string, _ protocol.Word) { f.heard <- "word " + node }
+func (f *fakeCore) CancellationDigest(string) (protocol.CancellationDigest, bool) {
+	return protocol.CancellationDigest{}, false
+}
+func (f *fakeCore) ReceiveCancellationDigest(node string, _ protocol.CancellationDigest) {
+	f.heard <- "word " + node
+}
 func (f *fakeCore) ReceiveShardDemands(node string, _ protocol.ShardDemands) {
 	f.heard <- "need " + node
 }
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -17,41 +17,41 @@
 	reqs, writes *Budget
 	reserve      float64       // kept for what must not wait
 	limit        atomic.Uint64 // changes a second for all nodes, as bits of a float64
-	nodes        float64
-	spent        atomic.Uint64 // changes so far
+	members      float64
+	changesUsed  atomic.Uint64 // changes so far
 }
 
 // userWait is how long a user's change may wait for the budget; what would wait
 // longer is refused at once, and the user told to come back.
 const userWait = 600 * time.Millisecond
 
-// NewStateBudget gives every node the same part, until SetPart.
+// NewStateBudget gives every node the same part, until SetRateShare.
 func NewStateBudget(d *config.Deployment) *StateBudget {
 	n := float64(max(1, d.Controllers))
 	fair := 0.9 * d.State.RPS / n
-	b := &StateBudget{reqs: NewBudget(min(1.5*fair, 0.9*d.State.RPS), fair), reserve: 4, nodes: n}
+	b := &StateBudget{reqs: NewBudget(min(1.5*fair, 0.9*d.State.RPS), fair), reserve: 4, members: n}
 	b.SetLimit(d.State.WriteRPS)
 	b.writes = NewBudget(b.total()/n, max(b.total()/n, float64(min(d.State.TxnOps, 12))+b.reserve))
 	return b
 }
 
-// SetPart sets this node's part of the rate of changes: a little for every node,
+// SetRateShare sets this node's part of the rate of changes: a little for every node,
 // some for the leader, and most in proportion to what the node commits for. What the
 // nodes together leave unused each may use evenly: used is what this node makes of it
 // in changes a second and others what the others do, below 0 if that is not known.
-func (b *StateBudget) SetPart(part float64, leads bool, used, others float64) {
-	r := 0.16/b.nodes + 0.7*part
+func (b *StateBudget) SetRateShare(part float64, leads bool, used, others float64) {
+	r := 0.16/b.members + 0.7*part
 	if leads {
 		r += 0.07
 	}
 	r *= b.total()
 	if others >= 0 {
-		r = max(r, used+(lendable*b.total()-used-others)/b.nodes)
+		r = max(r, used+(lendable*b.total()-used-others)/b.members)
 	}
 	b.writes.SetRate(r)
 }
 
-// SetLimit sets the rate of changes for all nodes; SetPart parts it.
+// SetLimit sets the rate of changes for all nodes; SetRateShare parts it.
 func (b *StateBudget) SetLimit(rate float64) { b.limit.Store(math.Float64bits(rate)) }
 
 func (b *StateBudget) total() float64 { return math.Float64frombits(b.limit.Load()) }
@@ -59,8 +59,8 @@
 // lendable is the part of the rate up to which nodes lend one another what they do not use.
 const lendable = 0.9
 
-// Spent is how many changes this node has made.
-func (b *StateBudget) Spent() uint64 { return b.spent.Load() }
+// ChangesUsed is how many changes this node has made.
+func (b *StateBudget) ChangesUsed() uint64 { return b.changesUsed.Load() }
 
 // Pace is how long it takes until a transaction of n changes may go out.
 func (b *StateBudget) Pace(n int) time.Duration {
@@ -87,22 +87,22 @@
 func (b *StateBudget) Owe() { b.reqs.Debit(1) }
 
 // Admit waits until a transaction of n changes may go out.
-func (b *StateBudget) Admit(ctx context.Context, n int, haste protocol.Haste) error {
+func (b *StateBudget) Admit(ctx context.Context, n int, haste protocol.RequestPriority) error {
 	switch haste {
-	case protocol.Urgent:
+	case protocol.UrgentRequest:
 		b.Owe()
 		b.writes.Debit(float64(n))
-		b.spent.Add(uint64(n))
+		b.changesUsed.Add(uint64(n))
 		return nil
-	case protocol.ForUser:
+	case protocol.UserRequest:
 		// After an outage all users come at once: their changes go ahead of the
 		// node's own, on credit.
-		wait, ok := b.writes.Reserve(float64(n), -b.total()/b.nodes, userWait)
+		wait, ok := b.writes.Reserve(float64(n), -b.total()/b.members, userWait)
 		if !ok {
 			return fmt.Errorf("%w: the budget allows it in %v", protocol.ErrRefused, wait)
 		}
 		b.Owe()
-		b.spent.Add(uint64(n))
+		b.changesUsed.Add(uint64(n))
 		t := time.NewTimer(wait)
 		defer t.Stop()
 		select {
@@ -118,6 +118,6 @@
 	if err := b.writes.Wait(ctx, float64(n), b.reserve); err != nil {
 		return fmt.Errorf("%w: %w", protocol.ErrRefused, err)
 	}
-	b.spent.Add(uint64(n))
+	b.changesUsed.Add(uint64(n))
 	return nil
 }
--- a/internal/transport/statebudget_test.go
+++ b/internal/transport/statebudget_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
 		for b.Pace(12) == 0 {
-			if err := b.Admit(t.Context(), 12, protocol.Background); err != nil {
+			if err := b.Admit(t.Context(), 12, protocol.BackgroundRequest); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -28,7 +28,7 @@
 		var wg sync.WaitGroup
 		for range 100 {
 			wg.Go(func() {
-				err := b.Admit(t.Context(), 1, protocol.ForUser)
+				err := b.Admit(t.Context(), 1, protocol.UserRequest)
 				switch waited := time.Since(began); {
 				case err == nil && waited <= userWait+10*time.Millisecond:
 					taken.Add(1)
@@ -48,10 +48,10 @@
 		}
 		short, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer stop()
-		if err := b.Admit(short, 12, protocol.Background); !errors.Is(err, protocol.ErrRefused) {
+		if err := b.Admit(short, 12, protocol.BackgroundRequest); !errors.Is(err, protocol.ErrRefused) {
 			t.Errorf("the node's own work in debt: %v", err)
 		}
-		if err := b.Admit(t.Context(), 3, protocol.Urgent); err != nil {
+		if err := b.Admit(t.Context(), 3, protocol.UrgentRequest); err != nil {
 			t.Errorf("what must not wait: %v", err)
 		}
 	})
@@ -64,7 +64,7 @@
 		sum := 0.0
 		for i, p := range parts {
 			b := NewStateBudget(&config.Deployment{Controllers: len(parts), State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
-			b.SetPart(p, i == 0, 0, -1)
+			b.SetRateShare(p, i == 0, 0, -1)
 			sum += b.writes.rate
 		}
 		if sum > 80 || sum < 60 {
@@ -96,11 +96,11 @@
 			all := 0.0
 			for i, u := range x.used {
 				b := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
-				b.SetPart(0, false, u, sum-u)
+				b.SetRateShare(0, false, u, sum-u)
 				if all += b.writes.rate; b.writes.rate < x.want[i] {
 					t.Errorf("node %d may make %.1f changes a second, want %.1f", i, b.writes.rate, x.want[i])
 				}
-				if b.SetPart(0, false, u, -1); b.writes.rate > 3 {
+				if b.SetRateShare(0, false, u, -1); b.writes.rate > 3 {
 					t.Errorf("node %d borrows %.1f although it does not hear the others", i, b.writes.rate)
 				}
 			}
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -22,14 +22,14 @@
 	Query(ctx context.Context, id string) coordination.Answer
 	Cancel(ctx context.Context, id string) coordination.Answer
 	Ready(ctx context.Context) bool
-	Beat(ctx context.Context, r *protocol.Report, reply func(status int, body any))
+	HandleHeartbeat(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
 }
 
 const (
-	submitWithin = 4500 * time.Millisecond
-	pollWithin   = 1900 * time.Millisecond
-	beatWithin   = 3500 * time.Millisecond
-	bodyCeiling  = 4 * protocol.MaxBody // beyond this a body is not even read
+	submitTimeout    = 4500 * time.Millisecond
+	pollTimeout      = 1900 * time.Millisecond
+	heartbeatTimeout = 3500 * time.Millisecond
+	bodyCeiling      = 4 * protocol.MaxBody // beyond this a body is not even read
 )
 
 // PublicServer serves users, workers and health checks.
@@ -57,7 +57,7 @@
 			if status >= 500 && status != fiber.StatusBadGateway { // that one is a connection that broke off
 				log.Error("request failed", "path", c.Path(), "err", err)
 			}
-			return send(c, status, protocol.Refusal{Error: err.Error()})
+			return send(c, status, protocol.ErrorResponse{Error: err.Error()})
 		},
 	})
 	answer := func(c *fiber.Ctx, a coordination.Answer) error {
@@ -67,17 +67,17 @@
 		return send(c, a.Status, a.Body)
 	}
 	app.Post("/v2/runs", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), submitWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 		defer cancel()
 		return answer(c, core.Submit(ctx, c.Body()))
 	})
 	app.Get("/v2/runs/:id", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), pollWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		defer cancel()
 		return answer(c, core.Query(ctx, strings.Clone(c.Params("id"))))
 	})
 	app.Post("/v2/runs/:id/cancel", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), submitWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 		defer cancel()
 		return answer(c, core.Cancel(ctx, strings.Clone(c.Params("id"))))
 	})
@@ -85,29 +85,29 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
 		defer cancel()
 		if !core.Ready(ctx) {
-			return send(c, 503, protocol.Refusal{Error: "starting"})
+			return send(c, 503, protocol.ErrorResponse{Error: "starting"})
 		}
 		return c.SendStatus(200)
 	})
 	app.Post("/agent/beat", func(c *fiber.Ctx) error {
-		r, err := protocol.ParseReport(c.Body())
+		r, err := protocol.ParseHeartbeat(c.Body())
 		if err != nil {
 			log.Info("malformed report", "err", err)
-			return send(c, 400, protocol.Refusal{Error: err.Error()})
+			return send(c, 400, protocol.ErrorResponse{Error: err.Error()})
 		}
 		type out struct {
 			status int
 			body   any
 		}
 		ch := make(chan out, 1)
-		core.Beat(context.Background(), r, func(status int, body any) { ch <- out{status, body} })
-		t := time.NewTimer(beatWithin)
+		core.HandleHeartbeat(context.Background(), r, func(status int, body any) { ch <- out{status, body} })
+		t := time.NewTimer(heartbeatTimeout)
 		defer t.Stop()
 		select {
 		case o := <-ch:
 			return send(c, o.status, o.body)
 		case <-t.C:
-			return send(c, 503, protocol.Refusal{Error: "busy"})
+			return send(c, 503, protocol.ErrorResponse{Error: "busy"})
 		}
 	})
 	return &PublicServer{app}
--- a/internal/transport/view.go
+++ b/internal/transport/view.go
@@ -77,7 +77,7 @@
 				return send(c, 400, AdminRefusal{Error: "jobs is a list of up to " + strconv.Itoa(view.MaxReasons) + " ids", Field: "jobs"})
 			}
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), adminWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		list, err := core.Reasons(ctx, scope, ids)
 		if err != nil {
