--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -82,11 +82,11 @@
 // cells are what a job's row must show: team, priority, tasks, done, placed, waiting.
 func (r *reference) cells(j *storage.Job) []string {
 	waits := fmt.Sprint(j.Waiting())
-	if !j.Ready() && j.Open() && !j.Doomed {
+	if !j.Ready() && j.Open() && !j.DependencyFailed {
 		waits = "-"
 	}
-	prio := j.Own.String()
-	return []string{j.ID, r.cache.Teams[j.Team].Name, prio[:min(4, len(prio))], fmt.Sprint(j.Tasks), fmt.Sprint(j.NDone), fmt.Sprint(j.NPlaced), waits}
+	prio := j.OwnPriority.String()
+	return []string{j.ID, r.cache.Teams[j.Team].Name, prio[:min(4, len(prio))], fmt.Sprint(j.Tasks), fmt.Sprint(j.DoneCount), fmt.Sprint(j.PlacedCount), waits}
 }
 
 // differs tells how a snapshot differs from the reference at its revision, "" if it does not.
@@ -105,17 +105,17 @@
 		switch {
 		case !j.Open():
 			want = map[protocol.JobStatus]view.Status{protocol.Done: view.Done, protocol.Cancelled: view.Cancelled}[j.Final]
-		case j.Doomed:
+		case j.DependencyFailed:
 			want = view.Cancelled
-		case j.NPlaced > 0:
+		case j.PlacedCount > 0:
 			want = view.Running
 		}
 		if !want.Final() {
 			open++
 		}
-		if row.Status != want || int(row.Placed) != j.NPlaced || int(row.Done) != j.NDone || int(row.Tasks) != j.Tasks || row.Waiting() != uint32(j.Waiting()) ||
-			row.Team != r.cache.Teams[j.Team].Name || row.Priority != j.Own {
-			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", j.ID, *row, want, j.NPlaced, j.NDone)
+		if row.Status != want || int(row.Placed) != j.PlacedCount || int(row.Done) != j.DoneCount || int(row.Tasks) != j.Tasks || row.Waiting() != uint32(j.Waiting()) ||
+			row.Team != r.cache.Teams[j.Team].Name || row.Priority != j.OwnPriority {
+			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", j.ID, *row, want, j.PlacedCount, j.DoneCount)
 		}
 		sum := &sums[j.Team]
 		switch want {
@@ -125,7 +125,7 @@
 			sum.Running++
 		}
 		sum.Waiting += uint64(j.Waiting())
-		sum.Placed += uint64(j.NPlaced)
+		sum.Placed += uint64(j.PlacedCount)
 	}
 	shown, wrong := 0, ""
 	s.Jobs("", func(j *view.Job) bool {
@@ -182,14 +182,14 @@
 	}
 	queued, running, wait, placed, inQueue, inRunning := 0, 0, 0, 0, 0, 0
 	for _, j := range r.cache.Jobs {
-		if j == nil || !j.Open() || j.Doomed {
+		if j == nil || !j.Open() || j.DependencyFailed {
 			if j != nil {
-				placed += j.NPlaced // a cancelled job's, until they are gone
+				placed += j.PlacedCount // a cancelled job's, until they are gone
 			}
 			continue
 		}
-		wait, placed = wait+j.Waiting(), placed+j.NPlaced
-		if j.NPlaced > 0 {
+		wait, placed = wait+j.Waiting(), placed+j.PlacedCount
+		if j.PlacedCount > 0 {
 			running++
 			inRunning++
 		} else {
--- a/internal/coordination/admin.go
+++ b/internal/coordination/admin.go
@@ -105,9 +105,9 @@
 	return s, nil
 }
 
-// takeSettings takes up what the state service holds.
-func (c *Controller) takeSettings() {
-	if c.cache.Settings.Version == c.settingsAt {
+// applySettings takes up what the state service holds.
+func (c *Controller) applySettings() {
+	if c.cache.Settings.Version == c.settingsVersion {
 		return
 	}
 	s := DefaultOperatorSettings()
@@ -115,18 +115,18 @@
 		var err error
 		if s, err = s.Change(c.cache.Settings.Value); err != nil {
 			c.log.Error("settings in the state service are not taken up", "err", err)
-			c.settingsAt = c.cache.Settings.Version
+			c.settingsVersion = c.cache.Settings.Version
 			return
 		}
 	}
-	c.settingsAt = c.cache.Settings.Version
-	c.operator = s
+	c.settingsVersion = c.cache.Settings.Version
+	c.operatorSettings = s
 	c.alpha = s.Alpha
 	c.timing.RebalanceInterval = seconds(s.MoveEveryS)
 	if c.OnLogLevel != nil {
 		c.OnLogLevel(s.LogLevel)
 	}
-	c.log.Info("settings taken up", "version", c.settingsAt, "alpha", s.Alpha, "move_every_s", s.MoveEveryS, "log_level", s.LogLevel)
+	c.log.Info("settings taken up", "version", c.settingsVersion, "alpha", s.Alpha, "move_every_s", s.MoveEveryS, "log_level", s.LogLevel)
 }
 
 // Settings returns the operators' settings with their version.
@@ -136,7 +136,7 @@
 	if err := c.Barrier(ctx); err != nil {
 		return s, 0, ErrUnavailable
 	}
-	err := c.call(ctx, func() { s, v = c.operator, c.cache.Settings.Version })
+	err := c.call(ctx, func() { s, v = c.operatorSettings, c.cache.Settings.Version })
 	return s, v, err
 }
 
@@ -287,13 +287,13 @@
 	err = c.call(ctx, func() {
 		of := -1
 		if team != "" {
-			if of = c.cache.TeamIdx.Find(team); of < 0 {
+			if of = c.cache.TeamIndex.Find(team); of < 0 {
 				return
 			}
 		}
 		kinds := c.kinds()
 		c.cache.JobsAfter(of, after, func(j *storage.Job) bool {
-			if !(j.Open() && !j.Doomed || j.NPlaced > 0) {
+			if !(j.Open() && !j.DependencyFailed || j.PlacedCount > 0) {
 				return true
 			}
 			if more = len(out) == limit; more {
@@ -301,7 +301,7 @@
 			}
 			out = append(out, JobView{ID: j.ID, Class: c.cache.Classes.Name(j.Class), Team: c.cache.Teams[j.Team].Name,
 				Shard: j.Shard, Priority: j.Priority.String(), Status: string(c.statusOf(j).Status), Tasks: j.Tasks,
-				Done: j.NDone, Placed: j.NPlaced, Waiting: j.Waiting(), AgeS: time.Since(j.At).Seconds(), Why: c.whyWaits(j, kinds)})
+				Done: j.DoneCount, Placed: j.PlacedCount, Waiting: j.Waiting(), AgeS: time.Since(j.ReadyAt).Seconds(), Why: c.whyWaits(j, kinds)})
 			return true
 		})
 	})
@@ -328,7 +328,7 @@
 // whyWaits says why a job's tasks wait, "" if none does; kinds are the machines to look at.
 func (c *Controller) whyWaits(j *storage.Job, kinds []*storage.Machine) string {
 	now := time.Now()
-	if n := j.Unmet(); n > 0 && j.Open() && !j.Doomed {
+	if n := j.UnmetDependencies(); n > 0 && j.Open() && !j.DependencyFailed {
 		return fmt.Sprintf("waits for %d other jobs", n)
 	}
 	if j.Waiting() == 0 {
@@ -355,12 +355,12 @@
 	if !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return "the team's limit is reached"
 	}
-	if c.cache.Evicted[j.ID] != nil {
+	if c.cache.VictimSets[j.ID] != nil {
 		return "evicted tasks are still stopping"
 	}
 	for _, m := range kinds {
 		if m.Shard == j.Shard && schedule.Allowed(j, m) {
-			if c.idle(j, now) {
+			if c.isIdleWork(j, now) {
 				return "idle-time work, waits for room that others leave"
 			}
 			return "no room"
@@ -395,13 +395,13 @@
 }
 
 func (c *Controller) machineInfo(m *storage.Machine, tasks bool) MachineInfo {
-	i := MachineInfo{Name: m.Name, State: c.machineState(m), Shard: m.Shard, Type: c.cache.TypeIdx.Name(m.Type),
+	i := MachineInfo{Name: m.Name, State: c.machineState(m), Shard: m.Shard, Type: c.cache.TypeIndex.Name(m.Type),
 		Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Incarnation: m.Incarnation, FencingToken: c.cache.FencingToken(m), Tasks: len(m.Tasks), SilentS: -1}
 	for _, p := range m.Tasks {
 		i.UsedCpus += p.Job.Cpus
 		i.UsedGpus += p.Job.Gpus
 		if tasks {
-			i.Placed = append(i.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.Waited})
+			i.Placed = append(i.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.WaitedS})
 		}
 	}
 	if v := c.workerStates[m.Index]; v != nil && c.ownsShard(m.Shard) {
@@ -445,22 +445,22 @@
 
 const keptEvictions = 50
 
-// noteEvictions keeps the latest evicted sets for operators.
-func (c *Controller) noteEvictions() {
-	for id, e := range c.cache.Evicted {
-		if c.evictSeen[id] == e.Version {
+// recordPreemptions keeps the latest evicted sets for operators.
+func (c *Controller) recordPreemptions() {
+	for id, e := range c.cache.VictimSets {
+		if c.preemptionsSeen[id] == e.Version {
 			continue
 		}
-		c.evictSeen[id] = e.Version
+		c.preemptionsSeen[id] = e.Version
 		c.metrics.preemptedTasks.Add(float64(len(e.Victims)))
-		c.evictions = append(c.evictions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Shard: e.Shard, Victims: e.Victims})
-		if n := len(c.evictions); n > keptEvictions {
-			c.evictions = slices.Clone(c.evictions[n-keptEvictions:])
+		c.recentPreemptions = append(c.recentPreemptions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Shard: e.Shard, Victims: e.Victims})
+		if n := len(c.recentPreemptions); n > keptEvictions {
+			c.recentPreemptions = slices.Clone(c.recentPreemptions[n-keptEvictions:])
 		}
 	}
-	for id := range c.evictSeen {
-		if c.cache.Evicted[id] == nil {
-			delete(c.evictSeen, id)
+	for id := range c.preemptionsSeen {
+		if c.cache.VictimSets[id] == nil {
+			delete(c.preemptionsSeen, id)
 		}
 	}
 }
@@ -469,7 +469,7 @@
 func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
 	out := []EvictionView{}
 	err := c.call(ctx, func() {
-		out = append(out, c.evictions...)
+		out = append(out, c.recentPreemptions...)
 		slices.Reverse(out)
 	})
 	return out, err
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -19,7 +19,7 @@
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
 	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.loaded, c.incarnation = true, 1
-	c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
+	c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
 	put := func(key string, v any, version uint64) {
 		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			b.Fatal(err)
@@ -28,7 +28,7 @@
 	put(storage.ShardKey(0), storage.ShardRecord{Member: "n0", Incarnation: 1, FencingToken: 2}, 2)
 	job := func(i int) string { return fmt.Sprintf("job-%06d", i) }
 	for i := range jobs {
-		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], AtMs: time.Now().UnixMilli(),
+		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], SubmittedMs: time.Now().UnixMilli(),
 			Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
 	}
 	const size = 14
@@ -53,7 +53,7 @@
 	for _, m := range c.cache.Machines {
 		c.applyHeartbeat(m, c.workerState(m), reportOf(m, 1), 4, false)
 	}
-	c.cache.Changed()
+	c.cache.TakeChanged()
 	return c
 }
 
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -15,22 +15,22 @@
 	maxPlace    = 400 // tasks placed in one pass
 )
 
-// batch is a transaction under construction.
-type batch struct {
-	conds map[string]uint64
-	puts  map[string]protocol.Change
-	bytes int
-	order []string
+// txnBuilder is a transaction under construction.
+type txnBuilder struct {
+	conditions map[string]uint64
+	puts       map[string]protocol.Change
+	bytes      int
+	order      []string
 }
 
-func newBatch() *batch {
-	return &batch{conds: map[string]uint64{}, puts: map[string]protocol.Change{}}
+func newTxnBuilder() *txnBuilder {
+	return &txnBuilder{conditions: map[string]uint64{}, puts: map[string]protocol.Change{}}
 }
 
-func (b *batch) when(key string, version uint64) { b.conds[key] = version }
+func (b *txnBuilder) require(key string, version uint64) { b.conditions[key] = version }
 
-func (b *batch) put(key string, version uint64, ch protocol.Change) {
-	b.when(key, version)
+func (b *txnBuilder) put(key string, version uint64, ch protocol.Change) {
+	b.require(key, version)
 	if _, ok := b.puts[key]; !ok {
 		b.order = append(b.order, key)
 	}
@@ -38,9 +38,9 @@
 	b.bytes += len(key)*3 + len(ch.Value) + 80
 }
 
-func (b *batch) txn() protocol.Txn {
+func (b *txnBuilder) build() protocol.Txn {
 	var t protocol.Txn
-	for key, v := range b.conds {
+	for key, v := range b.conditions {
 		t.If = append(t.If, protocol.Condition{Key: key, Version: v})
 	}
 	for _, key := range b.order {
@@ -60,7 +60,7 @@
 // transaction. Only one is under way at a time; one whose outcome is unknown is
 // repeated until it is known, since it might still be applied.
 func (c *Controller) cycle(ctx context.Context) {
-	c.dirty = false
+	c.cycleRequested = false
 	now := time.Now()
 	if !c.loaded {
 		return
@@ -69,12 +69,12 @@
 		c.send(ctx, *c.inDoubt)
 		return
 	}
-	if c.cache.Revision < c.waitRev {
+	if c.cache.Revision < c.awaitedRevision {
 		return // the follow brings what a refused transaction had missed
 	}
 	// A plan that waits for its turn grows stale: it is made when it can go out.
-	if d := c.store.Pace(c.lastOps); d > 0 {
-		c.next, c.dirty = now.Add(d), true
+	if d := c.store.Pace(c.lastTxnOps); d > 0 {
+		c.nextCycleAt, c.cycleRequested = now.Add(d), true
 		return
 	}
 	t, more := c.nextTxn(now)
@@ -83,9 +83,9 @@
 		return
 	}
 	if more {
-		c.dirty = true
+		c.cycleRequested = true
 	}
-	c.lastOps = len(t.Then)
+	c.lastTxnOps = len(t.Then)
 	c.send(ctx, t)
 }
 
@@ -98,7 +98,7 @@
 	for ops := c.limits().TxnOps; ; ops = (ops + 1) / 2 {
 		began := time.Now()
 		b, more := c.plan(now, ops)
-		c.tallies.pass(time.Since(began))
+		c.counters.pass(time.Since(began))
 		c.metrics.planSeconds.Observe(time.Since(began).Seconds())
 		if c.oversizedGroup != nil {
 			if t := c.nextGroupSplit(); len(t.Then) > 0 {
@@ -106,7 +106,7 @@
 			}
 		}
 		if b.bytes <= maxTxnBytes || ops <= 2 {
-			return b.txn(), more
+			return b.build(), more
 		}
 	}
 }
@@ -131,12 +131,12 @@
 	if k == nil || !c.ownsShard(k.Shard) {
 		return protocol.Txn{}
 	}
-	c.planned, c.finishing = 0, c.finishing[:0]
+	c.plannedTasks, c.completedJobs = 0, c.completedJobs[:0]
 	return c.splitGroup(k)
 }
 
 func (c *Controller) send(ctx context.Context, t protocol.Txn) {
-	c.inflight = true
+	c.commitInFlight = true
 	go func() {
 		tctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		rev, failed, err := c.store.Txn(tctx, t, protocol.BackgroundRequest)
@@ -146,26 +146,26 @@
 }
 
 func (c *Controller) sent(t protocol.Txn, rev uint64, failed []string, err error) {
-	c.inflight = false
+	c.commitInFlight = false
 	now := time.Now()
-	c.next = now.Add(c.timing.CommitInterval)
+	c.nextCycleAt = now.Add(c.timing.CommitInterval)
 	switch {
 	case err == nil && len(failed) == 0:
 		c.inDoubt = nil
 		c.storeFailingSince, c.storeServedAt = time.Time{}, now
 		if settles(t) {
-			c.waitRev = rev // what it settled may have been applied before
+			c.awaitedRevision = rev // what it settled may have been applied before
 		}
 		c.applyTxn(t, rev)
-		c.metrics.launches.Add(float64(c.planned))
-		if c.planned > 0 && !c.placedSinceTakeover {
+		c.metrics.launches.Add(float64(c.plannedTasks))
+		if c.plannedTasks > 0 && !c.placedSinceTakeover {
 			c.placedSinceTakeover = true
-			c.log.Info("places again", "after", now.Sub(c.ownershipSince).Round(time.Millisecond).Seconds(), "tasks", c.planned)
+			c.log.Info("places again", "after", now.Sub(c.ownershipSince).Round(time.Millisecond).Seconds(), "tasks", c.plannedTasks)
 		}
-		for _, j := range c.finishing {
+		for _, j := range c.completedJobs {
 			jv := c.jobState(j)
 			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
-				"share", j.Shard, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Due.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Needs, "ready", j.At.Sub(j.Submitted).Seconds(),
+				"share", j.Shard, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Deadline.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Dependencies, "ready", j.ReadyAt.Sub(j.Submitted).Seconds(),
 				"began", jv.sinceReady(j, jv.firstPlacedAt), "placed", jv.sinceReady(j, jv.lastPlacedAt), "stopped", jv.terminatedTasks)
 		}
 		c.changed()
@@ -176,15 +176,15 @@
 		c.log.Debug("commit conflicts", "keys", failed)
 		c.inDoubt = nil
 		c.storeFailingSince, c.storeServedAt = time.Time{}, now
-		c.waitRev = rev
+		c.awaitedRevision = rev
 		c.highestRevision = max(c.highestRevision, rev)
 		c.flushHeldReplies(now, true)
-		c.kick()
+		c.requestCycle()
 	default:
 		if c.storeFailingSince.IsZero() {
 			c.storeFailingSince = now
 		}
-		c.lower(err)
+		c.noteTooLarge(err)
 		switch {
 		case !errors.Is(err, protocol.ErrRefused):
 			c.inDoubt = &t
@@ -192,8 +192,8 @@
 			c.inDoubt = c.settling(*c.inDoubt)
 		}
 		c.log.Info("commit failed", "err", err, "doubt", c.inDoubt != nil)
-		c.next = now.Add(250 * time.Millisecond)
-		c.kick()
+		c.nextCycleAt = now.Add(250 * time.Millisecond)
+		c.requestCycle()
 	}
 }
 
@@ -202,7 +202,7 @@
 	if at.IsZero() {
 		return -1
 	}
-	return at.Sub(j.At).Round(100 * time.Millisecond).Seconds()
+	return at.Sub(j.ReadyAt).Round(100 * time.Millisecond).Seconds()
 }
 
 // dispatchDirect sends new launches to workers that are not about to report.
--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -23,7 +23,7 @@
 		State: config.State{TxnOps: 12}}}
 	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.loaded, c.incarnation = true, 1
-	c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
+	c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 	put := func(key string, v any, version uint64) {
 		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 func (idleStore) Pace(int) time.Duration { return 0 }
 
 // machineIn reads machine m from the rack's record in a batch.
-func machineIn(t *testing.T, b *batch) storage.GroupMachine {
+func machineIn(t *testing.T, b *txnBuilder) storage.GroupMachine {
 	t.Helper()
 	var r storage.GroupRecord
 	if err := json.Unmarshal(b.puts[storage.GroupKey(0)].Value, &r); err != nil {
@@ -67,8 +67,8 @@
 	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 	// A stale owner, a cancelled job or a changed machine must make it fail.
 	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
-	if !reflect.DeepEqual(b.conds, want) {
-		t.Fatalf("conditions %v, want %v", b.conds, want)
+	if !reflect.DeepEqual(b.conditions, want) {
+		t.Fatalf("conditions %v, want %v", b.conditions, want)
 	}
 	r := machineIn(t, b)
 	if len(r.Tasks) != 1 || len(r.Tasks[0].Numbers) != 8 || r.Tasks[0].Numbers[1] <= 4 || r.Incarnation != 1 {
@@ -97,16 +97,16 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
 			b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-			txn := b.txn()
+			txn := b.build()
 			c.directCommands = maxDirectCommands // no workers here
 			c.sent(txn, x.rev, x.failed, x.err)
-			if (c.inDoubt != nil) != x.doubt || c.waitRev != x.wait {
-				t.Fatalf("doubt %v, waiting for %d", c.inDoubt != nil, c.waitRev)
+			if (c.inDoubt != nil) != x.doubt || c.awaitedRevision != x.wait {
+				t.Fatalf("doubt %v, waiting for %d", c.inDoubt != nil, c.awaitedRevision)
 			}
 			if c.inDoubt != nil && !reflect.DeepEqual(*c.inDoubt, txn) {
 				t.Fatal("another transaction than the one in doubt")
 			}
-			if n := c.cache.Job("job-000001").NPlaced; n != x.placed {
+			if n := c.cache.Job("job-000001").PlacedCount; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
 			}
 		})
@@ -159,7 +159,7 @@
 	if r := machineIn(t, b); !r.Unhealthy || len(r.Tasks) != 0 {
 		t.Fatalf("record %+v", r)
 	}
-	c.applyTxn(b.txn(), 9)
+	c.applyTxn(b.build(), 9)
 	clear(c.workerStates)
 	if v := c.workerState(m); c.usable(m, v, v.heard) {
 		t.Fatal("a new owner would place tasks on it")
@@ -186,7 +186,7 @@
 		{"late beyond all patience", 140 * time.Second, 90 * time.Second, 0, false, true},
 	} {
 		c := newCore(t)
-		c.cache.Types[0].Boot = 30
+		c.cache.Types[0].BootS = 30
 		m := c.cache.Machine("m")
 		v := c.workerState(m)
 		if v.since = now.Add(-x.known); !x.up {
@@ -221,10 +221,10 @@
 		c := newCore(t)
 		c.applyTxn(protocol.Txn{Then: []protocol.Change{
 			{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
-				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", Mark: 15, Save: 3}})},
+				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", CheckpointInterval: 15, CheckpointCost: 3}})},
 			{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
-			{Put: storage.EvictKey("job-000001"), Value: storage.Encode(storage.EvictRecord{
+			{Put: storage.VictimSetKey("job-000001"), Value: storage.Encode(storage.VictimSetRecord{
 				Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
 		}}, 10)
 		m := c.cache.Machine("m")
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -84,7 +84,7 @@
 	// all below belongs to the core's goroutine
 	cache                  *storage.Cache
 	loaded                 bool
-	unread                 bool   // the records could not be read yet: no answer
+	loadFailed             bool   // the records could not be read yet: no answer
 	foreignLayout          bool   // the records are of a layout that this version does not read
 	highestRevision        uint64 // the highest revision seen, own commits included
 	incarnation            uint64
@@ -92,38 +92,38 @@
 	workerStates           map[int32]*workerState
 	jobStates              map[*storage.Job]*jobState
 	ownedShards            []uint64 // by share: the version under which it is owned, 0: not
-	dirty                  bool
-	next                   time.Time // no cycle before
-	inflight               bool
-	finishing              []*storage.Job  // jobs that the latest plan calls done
-	inDoubt                *protocol.Txn   // sent with unknown outcome: repeated until it is known
-	planned                int             // tasks that the latest plan places
-	lastOps                int             // changes of the latest transaction
-	firstGroup             int             // the rack that the next plan begins with
-	idleRuns               bool            // idle-time work is placed on this node's machines
-	edits                  map[int32]*edit // by machine
-	waitingByShard         []int           // by share: tasks that waited when last planned
+	cycleRequested         bool
+	nextCycleAt            time.Time // no cycle before
+	commitInFlight         bool
+	completedJobs          []*storage.Job           // jobs that the latest plan calls done
+	inDoubt                *protocol.Txn            // sent with unknown outcome: repeated until it is known
+	plannedTasks           int                      // tasks that the latest plan places
+	lastTxnOps             int                      // changes of the latest transaction
+	firstGroup             int                      // the rack that the next plan begins with
+	idleWorkPlaced         bool                     // idle-time work is placed on this node's machines
+	pendingUpdates         map[int32]*pendingUpdate // by machine
+	waitingByShard         []int                    // by share: tasks that waited when last planned
 	uncontacted            []*storage.Machine
 	leaderVersion          uint64 // of the leader's key
 	leaderSince            time.Time
-	waitRev                uint64 // no cycle before the follow got here
+	awaitedRevision        uint64 // no cycle before the follow got here
 	heldReplies            []heldReply
 	storeFailingSince      time.Time // the state service has not answered well since
-	waiters                []revWaiter
+	revisionWaiters        []revisionWaiter
 	leaderWriteInFlight    bool
-	gateBusy               bool
-	workingOff             bool
-	lowered                bool // the state service has refused something for its size
-	lowRate                bool // the rate to come is kept to
-	doomTurn               int
-	tries                  uint64 // long descriptions written by this process
-	scratch                scratch
+	gateWriteInFlight      bool
+	fleetWriteInFlight     bool
+	limitsLowered          bool // the state service has refused something for its size
+	rateLowered            bool // the rate to come is kept to
+	dependencyFailedTurn   int
+	descriptionWrites      uint64 // long descriptions written by this process
+	planBuffers            planBuffers
 	oversizedGroup         *storage.MachineGroup // its record would be over the limit: it is parted next
 	shardWriteInFlight     bool
 	membersChangedAt       time.Time        // when membership last changed
 	ownershipHistory       []shardOwnership // by share
 	ownershipLoaded        bool
-	zones                  []zone               // by zone
+	zones                  []zoneState          // by zone
 	brokenConnections      map[string]time.Time // by node: its connection broke off while it was heard
 	startedAt              time.Time            // when this process did
 	leaseSeenAt            map[string]time.Time // by node: when its hold was last seen
@@ -131,16 +131,16 @@
 	memberWriteInFlight    bool                 // it is being written
 	leader                 leaderState
 	directCommands         int
-	ordinaryAt             time.Time // when a job that may not use spot machines was last open
-	flooded                bool      // a flood is dealt with
+	onDemandNeededAt       time.Time // when a job that may not use spot machines was last open
+	overloadActive         bool      // a flood is dealt with
 	alpha                  float64
-	barriers               barrier
+	readBarrier            barrier
 	peers                  map[string]peerState
 	disconnectedPeers      map[string]time.Time // nodes whose connection ended, until they are heard again
 	anyWorkerHeardAt       time.Time            // when any worker was last heard
 	ownershipSince         time.Time            // when this node last took over a share
 	placedSinceTakeover    bool                 // it has placed tasks since
-	tallies                tallies
+	counters               logCounters
 	notReady               atomic.Bool // reaches no worker
 	lastProbeAt            time.Time
 	nextProbe              int
@@ -154,18 +154,18 @@
 	manyUnresponsive       bool                   // too many workers are mute for it to be their own fault
 	workerReachedAt        time.Time              // when a worker last answered stops
 	lastLoopAt             time.Time              // when the core's loop last did
-	spent                  uint64                 // changes made, when last looked at
-	spentAt                time.Time
-	pace                   float64   // changes that this node makes a second
+	changesUsed            uint64                 // changes made, when last looked at
+	changesUsedAt          time.Time
+	changeRate             float64   // changes that this node makes a second
 	resumedAt              time.Time // when this node last woke from a standstill
 	leaseRenewedAt         time.Time // when the latest renewal of the hold that worked was sent
 	summary                publishedSummary
 	metrics                *Metrics
-	operator               OperatorSettings
-	settingsAt             uint64
-	evictions              []EvictionView
-	evictSeen              map[string]uint64
-	viewing                *viewing // nil: off
+	operatorSettings       OperatorSettings
+	settingsVersion        uint64
+	recentPreemptions      []EvictionView
+	preemptionsSeen        map[string]uint64
+	readModel              *readModel // nil: off
 
 	// Layout, set before Run, is the latest layout of the records that this node reads. With
 	// the plain one it does as the version before did: for tests of both side by side.
@@ -216,7 +216,7 @@
 	reply     func(int, any)
 }
 
-type revWaiter struct {
+type revisionWaiter struct {
 	rev uint64
 	ch  chan struct{}
 }
@@ -230,9 +230,9 @@
 	}
 	c.ownershipHistory, c.brokenConnections = make([]shardOwnership, c.cache.NumShards), map[string]time.Time{}
 	c.leaseSeenAt, c.startedAt = map[string]time.Time{}, time.Now()
-	c.ownedShards, c.waitingByShard, c.edits = make([]uint64, c.cache.NumShards), make([]int, c.cache.NumShards), map[int32]*edit{}
+	c.ownedShards, c.waitingByShard, c.pendingUpdates = make([]uint64, c.cache.NumShards), make([]int, c.cache.NumShards), map[int32]*pendingUpdate{}
 	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesCancellationDigest
-	c.metrics, c.operator, c.evictSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
+	c.metrics, c.operatorSettings, c.preemptionsSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
 	c.metrics.Registry.MustRegister(gauges{c})
 	c.unverified = unverifiedRenewals{since: time.Now(), renewed: map[string]time.Time{}}
 	c.terminations = map[int32]*termination{}
@@ -248,7 +248,7 @@
 // Run is the node's life; it ends with ctx.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
-	c.cache.Plain = c.Layout < storage.LayoutPacked
+	c.cache.ForcePlain = c.Layout < storage.LayoutPacked
 	go c.keepSessionLease(ctx)
 	go c.followLoop(ctx)
 	go c.catalogLoop(ctx)
@@ -258,8 +258,8 @@
 	defer timer.Stop()
 	for {
 		var wake <-chan time.Time
-		if c.dirty && !c.inflight && len(c.inbox) == 0 {
-			if d := time.Until(c.next); d <= 0 {
+		if c.cycleRequested && !c.commitInFlight && len(c.inbox) == 0 {
+			if d := time.Until(c.nextCycleAt); d <= 0 {
 				c.cycle(ctx)
 			} else {
 				timer.Reset(d)
@@ -302,7 +302,7 @@
 	}
 }
 
-func (c *Controller) kick() { c.dirty = true }
+func (c *Controller) requestCycle() { c.cycleRequested = true }
 
 func (c *Controller) tick(ctx context.Context) {
 	now := time.Now()
@@ -313,7 +313,7 @@
 	}
 	c.cache.Sweep()
 	for j := range c.jobStates {
-		if !j.Open() && j.NPlaced == 0 {
+		if !j.Open() && j.PlacedCount == 0 {
 			delete(c.jobStates, j)
 		}
 	}
@@ -322,23 +322,23 @@
 	c.acquireLeadership(ctx)
 	c.assignShards(ctx)
 	c.openGate(ctx)
-	c.workOff(ctx)
-	c.watchZones(now)
+	c.splitOversizedFleets(ctx)
+	c.superviseZones(now)
 	c.superviseMachines(ctx, now, c.superviseTerminations(now))
-	c.moveReplicas(now)
+	c.relocateReplicas(now)
 	c.autoscaleAsLeader(ctx, now)
-	c.learn(ctx, now)
-	c.flushEdits(ctx)
+	c.learnBaseline(ctx, now)
+	c.flushPendingUpdates(ctx)
 	c.contactWorkers()
-	c.setPart()
-	c.tell(now)
+	c.updateRateShare()
+	c.logCounters(now)
 	c.showView(now, false)
-	c.kick()
+	c.requestCycle()
 }
 
-// setPart tells the state service's client how much of its rate this node may
+// updateRateShare tells the state service's client how much of its rate this node may
 // use: in proportion to the machines that it commits for, which every node knows.
-func (c *Controller) setPart() {
+func (c *Controller) updateRateShare() {
 	mine, all := 0, 0
 	for _, m := range c.cache.Machines {
 		if !m.Gone {
@@ -360,12 +360,12 @@
 		part = (part + 3*float64(mine)/float64(all)) / 4
 	}
 	now := time.Now()
-	if dt := now.Sub(c.spentAt).Seconds(); dt > 0 {
+	if dt := now.Sub(c.changesUsedAt).Seconds(); dt > 0 {
 		spent := c.store.ChangesUsed()
-		c.pace += min(1, dt) * (float64(spent-c.spent)/dt - c.pace) // over about a second
-		c.spent, c.spentAt = spent, now
+		c.changeRate += min(1, dt) * (float64(spent-c.changesUsed)/dt - c.changeRate) // over about a second
+		c.changesUsed, c.changesUsedAt = spent, now
 	}
-	c.store.SetRateShare(part, c.isLeader(), c.pace, c.othersChanges(now))
+	c.store.SetRateShare(part, c.isLeader(), c.changeRate, c.othersChangeRate(now))
 }
 
 // ownsShard tells whether this process owns a share. The follow must have come as far
--- a/internal/coordination/demands.go
+++ b/internal/coordination/demands.go
@@ -28,7 +28,7 @@
 	}
 	index := map[kind]int{}
 	var out []provision.Demand
-	var zones *zoneRoom
+	var zones *zoneCapacity
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() {
 			continue
@@ -37,8 +37,8 @@
 		if len(j.Types) > 0 {
 			first = j.Types[0]
 		}
-		allow := c.allowance(j, now)
-		idle := allow == 0 && c.idle(j, now)
+		allow := c.timeAllowed(j, now)
+		idle := allow == 0 && c.isIdleWork(j, now)
 		team := provision.NoTeam
 		if c.limited(j.Team) {
 			team = j.Team
@@ -50,9 +50,9 @@
 				i = len(out)
 				index[k] = i
 				out = append(out, provision.Demand{Team: team, Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
-					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Within: max(5, allow.Seconds())})
+					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, WithinS: max(5, allow.Seconds())})
 				if allow == 0 {
-					out[i].Within = 120
+					out[i].WithinS = 120
 				}
 			}
 			d := &out[i]
@@ -65,43 +65,43 @@
 		}
 		if j.Spread && !j.Spot && j.Zone < 0 {
 			if zones == nil {
-				zones = c.zoneRoom(now)
+				zones = c.zoneCapacity(now)
 			}
-			for z, n := range zones.part(c, j, now) {
+			for z, n := range zones.demandByZone(c, j, now) {
 				if n > 0 {
 					add(z, n)
 				}
 			}
 			continue
 		}
-		n := j.NPlaced - c.placedAway(j, now) + c.wanting(j)
-		add(j.Zone, schedule.RoomWithin(c.cache.Teams[j.Team], storage.Usage{}, j, n))
+		n := j.PlacedCount - c.placedUnreachable(j, now) + c.wantedTasks(j)
+		add(j.Zone, schedule.CapacityWithin(c.cache.Teams[j.Team], storage.Usage{}, j, n))
 	}
-	provision.KeepToLimits(out, workHorizon, func(team int) provision.Limit {
+	provision.CapToLimits(out, workHorizon, func(team int) provision.Limit {
 		t := c.cache.Teams[team]
 		return provision.Limit{Cpus: t.CpusMax, Gpus: t.GpusMax}
 	})
 	return out
 }
 
-// zoneRoom is what the zones' ordinary machines have for work that is spread over zones, in CPUs as
+// zoneCapacity is what the zones' ordinary machines have for work that is spread over zones, in CPUs as
 // sizes count; below 0 where more is asked for already.
-type zoneRoom struct {
-	free  []float64
-	rents []bool // more can be rented there, as far as is known
+type zoneCapacity struct {
+	free        []float64
+	canScaleOut []bool // more can be rented there, as far as is known
 }
 
-func (c *Controller) zoneRoom(now time.Time) *zoneRoom {
-	r := &zoneRoom{free: make([]float64, c.cache.Zones.Len()), rents: make([]bool, c.cache.Zones.Len())}
+func (c *Controller) zoneCapacity(now time.Time) *zoneCapacity {
+	r := &zoneCapacity{free: make([]float64, c.cache.Zones.Len()), canScaleOut: make([]bool, c.cache.Zones.Len())}
 	for i := range c.cache.Types {
 		for _, z := range c.cache.Types[i].Zones {
-			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneAway(z) {
-				r.rents[z] = true
+			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneUnreachable(z) {
+				r.canScaleOut[z] = true
 			}
 		}
 	}
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || m.Spot || m.Unhealthy || m.Draining || c.zoneAway(m.Zone) || c.overdue(m, bootPatience, now) {
+		if m.Gone || m.Returning || m.Spot || m.Unhealthy || m.Draining || c.zoneUnreachable(m.Zone) || c.overdue(m, bootPatience, now) {
 			continue
 		}
 		left := c.cache.Types[m.Type].Cpus
@@ -115,21 +115,21 @@
 	return r
 }
 
-// part tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
+// demandByZone tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
 // where it may have more and there is most. Room in a zone that has its half is of no use to it: services
 // waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneRoom) part(c *Controller, j *storage.Job, now time.Time) []int {
+func (r *zoneCapacity) demandByZone(c *Controller, j *storage.Job, now time.Time) []int {
 	need := make([]int, len(r.free))
 	in := make([]int, len(r.free))
 	for z, n := range j.ByZone {
-		if in[z] = int(n); !c.spared(z, now) {
+		if in[z] = int(n); !c.needsNoReplacement(z, now) {
 			need[z] = int(n)
 		}
 	}
-	for range c.wanting(j) {
+	for range c.wantedTasks(j) {
 		best := -1
 		for z := range r.free {
-			if in[z] >= j.ZoneMost() || c.zoneAway(z) || r.free[z] < j.Size && !r.rents[z] {
+			if in[z] >= j.MaxPerZone() || c.zoneUnreachable(z) || r.free[z] < j.Size && !r.canScaleOut[z] {
 				continue
 			}
 			if best < 0 || r.free[z] > r.free[best] {
@@ -150,17 +150,17 @@
 // be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
 // it each began with a boot once running services had been brought together on few machines.
 func (c *Controller) nextServices(now time.Time) (provision.Demand, bool) {
-	d := provision.Demand{Team: provision.NoTeam, Zone: -1, Within: 5}
+	d := provision.Demand{Team: provision.NoTeam, Zone: -1, WithinS: 5}
 	work, gives := 0.0, 0.0
 	ahead := 0.0
 	for i := range c.cache.Types {
-		ahead = max(ahead, 1.5*c.cache.Types[i].Boot)
+		ahead = max(ahead, 1.5*c.cache.Types[i].BootS)
 	}
 	for _, j := range c.cache.Jobs {
 		if j == nil || j.Shape != protocol.Service || j.Spot || !j.Open() || len(j.Types) > 0 || j.Zone >= 0 {
 			continue
 		}
-		if age := now.Sub(j.Submitted); age < cameWithin && age >= 0 {
+		if age := now.Sub(j.Submitted); age < recentServices && age >= 0 {
 			work += float64(j.Tasks) * j.Size
 		}
 		if j.Size > d.Cpus {
@@ -171,7 +171,7 @@
 		return d, false
 	}
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || m.Draining || m.Spot || c.zoneAway(m.Zone) {
+		if m.Gone || m.Returning || m.Draining || m.Spot || c.zoneUnreachable(m.Zone) {
 			continue
 		}
 		for _, p := range m.Tasks {
@@ -180,47 +180,49 @@
 			}
 		}
 	}
-	d.Tasks = int(math.Ceil((work*min(1, ahead/cameWithin.Seconds()) - gives) / d.Cpus))
+	d.Tasks = int(math.Ceil((work*min(1, ahead/recentServices.Seconds()) - gives) / d.Cpus))
 	d.Work = 1e6 * float64(d.Tasks)
 	return d, d.Tasks > 0
 }
 
-// cameWithin is how far back services are counted that came.
-const cameWithin = 2 * time.Minute
+// recentServices is how far back services are counted that came.
+const recentServices = 2 * time.Minute
 
-// placedAway is how many of a job's tasks run where this node reaches nobody: they need no other room.
-func (c *Controller) placedAway(j *storage.Job, now time.Time) int {
+// placedUnreachable is how many of a job's tasks run where this node reaches nobody: they need no other room.
+func (c *Controller) placedUnreachable(j *storage.Job, now time.Time) int {
 	n := 0
 	for z, k := range j.ByZone {
-		if c.spared(z, now) {
+		if c.needsNoReplacement(z, now) {
 			n += int(k)
 		}
 	}
 	return n
 }
 
-// mayRun is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
-func (c *Controller) mayRun(now time.Time) float64 {
-	may, sum := c.underLimits(), 0.0
+// runnableWithinLimits is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
+func (c *Controller) runnableWithinLimits(now time.Time) float64 {
+	may, sum := c.newLimitBudget(), 0.0
 	for _, j := range c.cache.Jobs {
-		if j != nil && j.Open() && !c.idle(j, now) {
-			sum += float64(may.start(j)) * j.Size
+		if j != nil && j.Open() && !c.isIdleWork(j, now) {
+			sum += float64(may.take(j)) * j.Size
 		}
 	}
 	return sum
 }
 
-// underLimits deals out what the teams' limits leave.
-type underLimits struct {
+// newLimitBudget deals out what the teams' limits leave.
+type limitBudget struct {
 	c    *Controller
 	used []storage.Usage // by team
 }
 
-func (c *Controller) underLimits() *underLimits { return &underLimits{c, slices.Clone(c.cache.Used)} }
+func (c *Controller) newLimitBudget() *limitBudget {
+	return &limitBudget{c, slices.Clone(c.cache.Used)}
+}
 
-// start takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
-func (u *underLimits) start(j *storage.Job) int {
-	n := u.c.wanting(j)
+// take takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
+func (u *limitBudget) take(j *storage.Job) int {
+	n := u.c.wantedTasks(j)
 	for n > 0 && !schedule.WithinLimit(u.c.cache.Teams[j.Team], u.used[j.Team], j, n) {
 		n /= 2 // about as many: sums ask for no more
 	}
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -29,7 +29,7 @@
 }
 
 // RefOf names the attempt of a placed task.
-func RefOf(p storage.Placed) Ref { return Ref{p.Job, p.Task, p.Attempt} }
+func RefOf(p storage.PlacedTask) Ref { return Ref{p.Job, p.Task, p.Attempt} }
 
 // TaskSeen is what a worker last said of an attempt.
 type TaskSeen struct {
@@ -84,7 +84,7 @@
 	for _, t := range r.Tasks {
 		id, n, _ := protocol.SplitTask(t.Task)
 		j := job(id)
-		if j == nil || n >= j.Tasks || j.Machine[n] != m.Index || j.Attempt[n] != t.Attempt {
+		if j == nil || n >= j.Tasks || j.MachineOf[n] != m.Index || j.AttemptOf[n] != t.Attempt {
 			v.Unplaced = append(v.Unplaced, t)
 			continue
 		}
@@ -148,7 +148,7 @@
 // the record wants. Attempts that are wanted no more and can be proved never to
 // have started go into Gone. With answer, the commands go into the answer to the
 // latest report, and launches are noted as sent.
-func (v *Worker) Commands(m *storage.Machine, token uint64, wish func(storage.Placed) DesiredState, answer bool, limit int) []protocol.Command {
+func (v *Worker) Commands(m *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
 	var out []protocol.Command
 	for _, t := range v.Unplaced {
 		if t.State != protocol.TaskExited {
--- a/internal/coordination/dispatch/dispatch_test.go
+++ b/internal/coordination/dispatch/dispatch_test.go
@@ -61,14 +61,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j := &storage.Job{ID: "job-000001", Tasks: 1, Machine: []int32{5}, Attempt: []uint64{7}}
-			m := &storage.Machine{Index: 5, Name: "m", Incarnation: 3, Tasks: []storage.Placed{{Job: j, Attempt: 7}}}
+			j := &storage.Job{ID: "job-000001", Tasks: 1, MachineOf: []int32{5}, AttemptOf: []uint64{7}}
+			m := &storage.Machine{Index: 5, Name: "m", Incarnation: 3, Tasks: []storage.PlacedTask{{Job: j, Attempt: 7}}}
 			find := func(string) *storage.Job { return j }
 			v := NewWorker()
 			if c.view != nil {
 				c.view(v)
 			}
-			want := func(storage.Placed) DesiredState { return DesiredState{} }
+			want := func(storage.PlacedTask) DesiredState { return DesiredState{} }
 			for _, s := range c.steps {
 				if !v.Newer(s.report) {
 					t.Fatal("report taken for old")
@@ -78,7 +78,7 @@
 					v.Commands(m, token, want, true, 10)
 				}
 			}
-			cmds := v.Commands(m, token, func(storage.Placed) DesiredState { return DesiredState{Stop: c.stop} }, true, 10)
+			cmds := v.Commands(m, token, func(storage.PlacedTask) DesiredState { return DesiredState{Stop: c.stop} }, true, 10)
 			if got := v.Gone[Ref{j, 0, 7}]; got != c.want {
 				t.Errorf("outcome %d, want %d", got, c.want)
 			}
--- a/internal/coordination/enroll.go
+++ b/internal/coordination/enroll.go
@@ -9,45 +9,45 @@
 	"dykeledge/internal/storage"
 )
 
-// newcomer is a machine that is to get a record.
-type newcomer struct {
-	kind  storage.FleetRecord // without machines
+// pendingMachine is a machine that is to get a record.
+type pendingMachine struct {
+	fleet storage.FleetRecord // without machines
 	name  string
 	addr  string
 	tries int
-	then  func(ok bool)
+	done  func(ok bool)
 }
 
 // enrollTries is how often a rented machine's record is tried: afterwards the
 // machine list brings it again.
 const enrollTries = 20
 
-// adopt gives a machine a record: it is put in a rack of the share that needs it most.
-func (c *Controller) adopt(ctx context.Context, n *newcomer) {
-	if c.leader.adopting[n.name] {
-		n.then(false)
+// enrollMachine gives a machine a record: it is put in a rack of the share that needs it most.
+func (c *Controller) enrollMachine(ctx context.Context, n *pendingMachine) {
+	if c.leader.enrollPending[n.name] {
+		n.done(false)
 		return
 	}
-	c.leader.adopting[n.name] = true
-	c.leader.newcomers = append(c.leader.newcomers, n)
-	c.enroll(ctx)
+	c.leader.enrollPending[n.name] = true
+	c.leader.pendingMachines = append(c.leader.pendingMachines, n)
+	c.enrollPending(ctx)
 }
 
-// enroll writes the records of newcomers, one for all of a kind. That a machine is
+// enrollPending writes the records of newcomers, one for all of a kind. That a machine is
 // in one record only rests on three things: only the leader writes them, on the
 // condition that it still leads; it does so once its follow has shown all that
 // former leaders wrote; and a transaction with unknown outcome is repeated until it
 // is known, and the cache has come as far, before its machines are looked at again.
-func (c *Controller) enroll(ctx context.Context) {
-	if c.leader.enrolling || len(c.leader.newcomers) == 0 {
+func (c *Controller) enrollPending(ctx context.Context) {
+	if c.leader.enrolling || len(c.leader.pendingMachines) == 0 {
 		return
 	}
 	if !c.isLeader() {
-		list := c.leader.newcomers
-		c.leader.newcomers = nil
+		list := c.leader.pendingMachines
+		c.leader.pendingMachines = nil
 		for _, n := range list {
-			delete(c.leader.adopting, n.name)
-			n.then(false)
+			delete(c.leader.enrollPending, n.name)
+			n.done(false)
 		}
 		return
 	}
@@ -64,35 +64,35 @@
 	}
 	fleets := map[kind]*storage.FleetRecord{}
 	var order []*storage.FleetRecord
-	var batch, rest []*newcomer
-	for _, n := range c.leader.newcomers {
-		if c.cache.Known(n.name) {
+	var batch, rest []*pendingMachine
+	for _, n := range c.leader.pendingMachines {
+		if c.cache.MachineSeen(n.name) {
 			batch = append(batch, n)
 			continue
 		}
-		k := kind{n.kind.Type, n.kind.Zone, n.kind.Spot}
+		k := kind{n.fleet.Type, n.fleet.Zone, n.fleet.Spot}
 		f := fleets[k]
 		if len(t.Then)+len(fleets)+2 > max(2, c.limits().TxnOps) || f != nil && c.fleetFull(f) {
 			rest = append(rest, n)
 			continue
 		}
 		if f == nil {
-			rec := n.kind
+			rec := n.fleet
 			f = &rec
 			fleets[k] = f
 			order = append(order, f)
 		}
 		share := neediest(demand, capacity)
-		if i := c.cache.TypeIdx.Find(n.kind.Type); i >= 0 {
+		if i := c.cache.TypeIndex.Find(n.fleet.Type); i >= 0 {
 			capacity[share] += c.cache.Types[i].Cpus
 		}
-		rack, fresh := fill.allocate(share, n.kind.Spot)
+		rack, fresh := fill.allocate(share, n.fleet.Spot)
 		if fresh {
 			key := storage.GroupKey(rack)
 			t.If = append(t.If, protocol.Condition{Key: key})
 			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, FencingToken: c.nextRevision()}, c.cache.Packed())})
 		}
-		f.FencingToken = max(f.FencingToken, n.kind.FencingToken, c.nextRevision())
+		f.FencingToken = max(f.FencingToken, n.fleet.FencingToken, c.nextRevision())
 		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Group: rack, Addr: n.addr})
 		batch = append(batch, n)
 	}
@@ -101,20 +101,20 @@
 		t.If = append(t.If, protocol.Condition{Key: key})
 		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(f, c.cache.Packed())})
 	}
-	c.leader.newcomers = rest
+	c.leader.pendingMachines = rest
 	c.leader.enrolling = true
 	finish := func(ok bool) {
 		c.leader.enrolling = false
 		for _, n := range batch {
 			if n.tries--; !ok && n.tries > 0 && c.isLeader() {
-				c.leader.newcomers = append(c.leader.newcomers, n)
+				c.leader.pendingMachines = append(c.leader.pendingMachines, n)
 				continue
 			}
-			delete(c.leader.adopting, n.name)
-			n.then(ok)
+			delete(c.leader.enrollPending, n.name)
+			n.done(ok)
 		}
 		if ok {
-			c.enroll(ctx)
+			c.enrollPending(ctx)
 		} else {
 			c.enrollLater(ctx)
 		}
@@ -123,7 +123,7 @@
 		finish(true)
 		return
 	}
-	go c.commitSurely(ctx, t, finish)
+	go c.commitWithRetry(ctx, t, finish)
 }
 
 // maxFleet is how many machines one record holds.
@@ -135,12 +135,12 @@
 }
 
 func (c *Controller) enrollLater(ctx context.Context) {
-	time.AfterFunc(200*time.Millisecond, func() { c.post(func() { c.enroll(ctx) }) })
+	time.AfterFunc(200*time.Millisecond, func() { c.post(func() { c.enrollPending(ctx) }) })
 }
 
-// commitSurely repeats a transaction of the leader until its outcome is known; after a
+// commitWithRetry repeats a transaction of the leader until its outcome is known; after a
 // refusal for its conditions it waits until the cache shows why.
-func (c *Controller) commitSurely(ctx context.Context, t protocol.Txn, then func(ok bool)) {
+func (c *Controller) commitWithRetry(ctx context.Context, t protocol.Txn, then func(ok bool)) {
 	doubt := false // an earlier try may still be applied: a refusal settles only its own
 	for ctx.Err() == nil {
 		rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
@@ -202,7 +202,7 @@
 // groupSize is how many machines share a record: as few as let every rack be
 // written about once a second with half of the state service's rate of changes.
 func (c *Controller) groupSize() int {
-	n := len(c.leader.newcomers)
+	n := len(c.leader.pendingMachines)
 	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Returning {
 			n++
--- a/internal/coordination/failures.go
+++ b/internal/coordination/failures.go
@@ -78,7 +78,7 @@
 // are not known to be sick, without a success. From then on it runs one task at a time,
 // and nothing is evicted, rented or moved for it, nor is a machine blamed for it.
 func (c *Controller) suspect(j *storage.Job) bool {
-	if j.NDone > 0 {
+	if j.DoneCount > 0 {
 		return false
 	}
 	if j.Suspect {
@@ -88,36 +88,36 @@
 	return jv != nil && len(jv.failedOn) >= failuresJob
 }
 
-// wanting is how many of a job's waiting tasks are worth room now.
-func (c *Controller) wanting(j *storage.Job) int {
+// wantedTasks is how many of a job's waiting tasks are worth room now.
+func (c *Controller) wantedTasks(j *storage.Job) int {
 	n := j.Waiting()
 	if n > 0 && c.suspect(j) {
-		return min(n, max(0, 1-j.NPlaced))
+		return min(n, max(0, 1-j.PlacedCount))
 	}
 	return n
 }
 
 // noteSuspects writes it down for other nodes that a job seems to be mistaken: the leader rents
 // for it, and the share's next owner would start all of its tasks again.
-func (c *Controller) noteSuspects(d *draft) {
+func (c *Controller) noteSuspects(d *plannedTxn) {
 	for j, jv := range c.jobStates {
-		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.NDone > 0 || d.used >= d.ops {
+		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.DoneCount > 0 || d.usedOps >= d.maxOps {
 			continue
 		}
 		key := storage.JobKey(j.ID)
-		if _, ok := d.puts[key]; ok || d.done[j] != nil {
+		if _, ok := d.puts[key]; ok || d.completed[j] != nil {
 			continue
 		}
-		r := c.cache.JobRecordOf(j, j.Done, j.NDone, "")
+		r := c.cache.JobRecordOf(j, j.Done, j.DoneCount, "")
 		r.Suspect = true
 		d.put(key, j.Version, protocol.Change{Put: key, Value: storage.Encode(r)})
-		d.used++
+		d.usedOps++
 	}
 }
 
-// blamed is how many failures speak against a machine: those of jobs that do not fail
+// failuresBlamedOn is how many failures speak against a machine: those of jobs that do not fail
 // everywhere.
-func (c *Controller) blamed(v *workerState, now time.Time) (n, jobs int, proved bool) {
+func (c *Controller) failuresBlamedOn(v *workerState, now time.Time) (n, jobs int, proved bool) {
 	for j, f := range v.failures {
 		if c.suspect(j) || now.Sub(f.since) < failureSettles {
 			continue
@@ -126,19 +126,19 @@
 		jobs++
 		// Machines that have not failed a job are preferred: one that has it again and
 		// again is the only one it has, and a job alone cannot tell.
-		proved = proved || j.NDone > 0 || f.waves > failuresJob
+		proved = proved || j.DoneCount > 0 || f.waves > failuresJob
 	}
 	return n, jobs, proved
 }
 
-// judge finds out whether a machine fails its tasks. A job with a mistake fails on
+// judgeHealth finds out whether a machine fails its tasks. A job with a mistake fails on
 // every machine; a faulty machine fails every job. One that completes elsewhere, or
 // another job that does not fail elsewhere, tells which.
-func (c *Controller) judge(m *storage.Machine, v *workerState, now time.Time) {
+func (c *Controller) judgeHealth(m *storage.Machine, v *workerState, now time.Time) {
 	if v.unhealthy || len(v.failures) == 0 {
 		return
 	}
-	if n, jobs, proved := c.blamed(v, now); n >= failuresSick && (jobs > 1 || proved) {
+	if n, jobs, proved := c.failuresBlamedOn(v, now); n >= failuresSick && (jobs > 1 || proved) {
 		c.log.Info("machine fails its tasks, giving it up", "machine", m.Name, "failures", n, "jobs", jobs)
 		v.unhealthy = true
 		for j := range v.failures {
@@ -148,7 +148,7 @@
 }
 
 // probing tells whether a suspect job has its one task out already.
-func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.NPlaced > 0 }
+func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.PlacedCount > 0 }
 
 // failedRecently counts a machine's failures that may be its own, at most a few.
 func (c *Controller) failedRecently(v *workerState) float64 {
--- a/internal/coordination/failures_test.go
+++ b/internal/coordination/failures_test.go
@@ -55,7 +55,7 @@
 				jobs = append(jobs, c.cache.Job(id))
 			}
 			for _, i := range x.done {
-				jobs[i].NDone = 1
+				jobs[i].DoneCount = 1
 			}
 			start := time.Now()
 			now := start
@@ -71,10 +71,10 @@
 			for i := range 4 {
 				m := c.cache.Machine(fmt.Sprint("x", i))
 				v := c.workerState(m)
-				if c.judge(m, v, start); v.unhealthy {
+				if c.judgeHealth(m, v, start); v.unhealthy {
 					t.Errorf("machine %d is judged before its failures have settled", i)
 				}
-				if c.judge(m, v, now.Add(2*failureSettles)); v.unhealthy {
+				if c.judgeHealth(m, v, now.Add(2*failureSettles)); v.unhealthy {
 					got.sick = append(got.sick, i)
 				}
 			}
@@ -83,7 +83,7 @@
 					continue
 				}
 				got.suspect = append(got.suspect, i)
-				if n := c.wanting(j); n != 1 {
+				if n := c.wantedTasks(j); n != 1 {
 					t.Errorf("%d tasks of a suspect job are worth room, want one", n)
 				}
 			}
@@ -91,14 +91,14 @@
 				t.Errorf("suspect jobs and sick machines %v, want %v", got, x.want)
 			}
 			// The next owner and the leader know it from the record.
-			d := &draft{batch: newBatch(), ops: 12}
+			d := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
 			c.noteSuspects(d)
 			if len(d.puts) != len(x.want.suspect) {
 				t.Errorf("%d suspect jobs are written down, want %d", len(d.puts), len(x.want.suspect))
 			}
 			// One that completes a task after all is cleared.
 			for _, j := range jobs {
-				j.Suspect, j.NDone = true, 1
+				j.Suspect, j.DoneCount = true, 1
 				if c.suspect(j) {
 					t.Errorf("%s has completed a task and is suspect still", j.ID)
 				}
--- a/internal/coordination/floods_test.go
+++ b/internal/coordination/floods_test.go
@@ -27,7 +27,7 @@
 		}
 		now := time.Now()
 		j := c.cache.Job("job-000001")
-		j.At, j.Submitted = now.Add(-x.age), now.Add(-x.age)
+		j.ReadyAt, j.Submitted = now.Add(-x.age), now.Add(-x.age)
 		if got := c.waitedTooLong(j, now); got != x.want {
 			t.Errorf("%s: has its turn %v, want %v", x.name, got, x.want)
 		}
--- a/internal/coordination/gate.go
+++ b/internal/coordination/gate.go
@@ -19,7 +19,7 @@
 // be down while the last one comes. A leader of the version before does none of it, so
 // the gate waits until a node that knows of it leads.
 func (c *Controller) openGate(ctx context.Context) {
-	if !c.isLeader() || c.gateBusy || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
+	if !c.isLeader() || c.gateWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	seen := slices.Clone(c.cache.Layout.Members)
@@ -46,11 +46,11 @@
 		Then: []protocol.Change{{Put: storage.LayoutKey, Value: storage.Encode(rec)}},
 	}
 	if all {
-		t.Then = append(t.Then, protocol.Change{Put: storage.BarKey, Value: storage.Encode(rec)})
+		t.Then = append(t.Then, protocol.Change{Put: storage.BarrierKey, Value: storage.Encode(rec)})
 	}
-	c.gateBusy = true
+	c.gateWriteInFlight = true
 	c.commitAside(ctx, t, protocol.UrgentRequest, func(ok bool) {
-		c.gateBusy = false
+		c.gateWriteInFlight = false
 		if ok {
 			c.log.Info("layout of the records", "version", rec.Version, "nodes", seen)
 		}
@@ -61,7 +61,7 @@
 // the gate on, or from the first refusal for size: they come without notice, and what
 // was written small needs no second thought when they do.
 func (c *Controller) limits() config.State {
-	if c.cache.Packed() || c.lowered {
+	if c.cache.Packed() || c.limitsLowered {
 		return c.cfg.Deployment.State.Effective()
 	}
 	return c.cfg.Deployment.State
@@ -79,19 +79,19 @@
 // for its size.
 func (c *Controller) transact(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	if rev, failed, err = c.store.Txn(ctx, t, haste); errors.Is(err, protocol.ErrTooLarge) {
-		c.post(func() { c.lower(err) })
+		c.post(func() { c.noteTooLarge(err) })
 	}
 	return rev, failed, err
 }
 
-// lower takes up the limits to come.
-func (c *Controller) lower(err error) {
-	if errors.Is(err, protocol.ErrTooLarge) && !c.lowered {
-		c.lowered = true
+// noteTooLarge takes up the limits to come.
+func (c *Controller) noteTooLarge(err error) {
+	if errors.Is(err, protocol.ErrTooLarge) && !c.limitsLowered {
+		c.limitsLowered = true
 		c.log.Info("the state service refuses a change for its size")
 	}
-	if (c.lowered || c.cache.Packed()) && !c.lowRate {
-		c.lowRate = true
+	if (c.limitsLowered || c.cache.Packed()) && !c.rateLowered {
+		c.rateLowered = true
 		c.store.SetLimit(c.limits().WriteRPS)
 	}
 }
@@ -115,20 +115,20 @@
 	return len(t.If) == 1 && len(t.Then) <= 1
 }
 
-// workOff is the leader's loop over fleets' records that are over the limit: written
+// splitOversizedFleets is the leader's loop over fleets' records that are over the limit: written
 // anew they are mostly within it; what is not goes into small records that supersede the
 // large one's entries, and the large one is deleted when they list all of it.
-func (c *Controller) workOff(ctx context.Context) {
-	if !c.isLeader() || !c.cache.Packed() || c.workingOff || c.cache.Revision < c.cache.Leader.Version {
+func (c *Controller) splitOversizedFleets(ctx context.Context) {
+	if !c.isLeader() || !c.cache.Packed() || c.fleetWriteInFlight || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	t := c.fleetTxn()
 	if len(t.Then) == 0 {
 		return
 	}
-	c.workingOff = true
+	c.fleetWriteInFlight = true
 	c.commitAside(ctx, t, protocol.BackgroundRequest, func(ok bool) {
-		c.workingOff = false
+		c.fleetWriteInFlight = false
 		c.log.Info("large fleet record worked off", "changes", len(t.Then), "ok", ok)
 	})
 }
@@ -136,7 +136,7 @@
 // fleetTxn is the next step of working off a large fleet record.
 func (c *Controller) fleetTxn() protocol.Txn {
 	limit := c.valueLimit()
-	f, fits := c.cache.Oversized(limit)
+	f, fits := c.cache.OversizedFleet(limit)
 	if f == nil {
 		return protocol.Txn{}
 	}
@@ -147,7 +147,7 @@
 		t.Then = append(t.Then, protocol.Change{Put: storage.FleetKey(f.ID), Value: storage.EncodeFleet(&rec, true)})
 	} else {
 		ops := c.limits().TxnOps
-		pieces := c.cache.Pieces(f, limit*9/10)
+		pieces := c.cache.SplitFleet(f, limit*9/10)
 		for _, r := range pieces[:min(len(pieces), ops-1)] {
 			// The large record's own key stays its until it is deleted.
 			key := storage.FleetKey(r.Machines[0].Name + "+")
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -22,7 +22,7 @@
 func TestDoubtIsSettled(t *testing.T) {
 	c := newCore(t)
 	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-	txn := b.txn()
+	txn := b.build()
 	c.directCommands = maxDirectCommands
 	c.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
@@ -37,22 +37,22 @@
 		t.Fatal("given up before it was known")
 	}
 	c.sent(settle, 20, nil, nil)
-	if c.inDoubt != nil || c.waitRev != 20 || c.cache.Shards[0].Version != 20 {
-		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.inDoubt != nil, c.waitRev, c.cache.Shards[0].Version)
+	if c.inDoubt != nil || c.awaitedRevision != 20 || c.cache.Shards[0].Version != 20 {
+		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.inDoubt != nil, c.awaitedRevision, c.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
 		return x.Key == storage.ShardKey(0) && x.Version == c.cache.Shards[0].Version
 	}) {
 		t.Fatal("a late copy would still be carried out")
 	}
-	if !c.lowered {
+	if !c.limitsLowered {
 		t.Error("the limits to come are not taken up")
 	}
 	// Without a doubt a refusal for size is definite.
 	c = newCore(t)
 	b, _ = c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-	if c.sent(b.txn(), 0, nil, tooLarge); c.inDoubt != nil || !c.lowered {
-		t.Errorf("doubt %v, lowered %v", c.inDoubt != nil, c.lowered)
+	if c.sent(b.build(), 0, nil, tooLarge); c.inDoubt != nil || !c.limitsLowered {
+		t.Errorf("doubt %v, lowered %v", c.inDoubt != nil, c.limitsLowered)
 	}
 }
 
@@ -153,7 +153,7 @@
 					placed := 0
 					for _, j := range c.cache.Jobs {
 						if j != nil {
-							placed += j.NPlaced
+							placed += j.PlacedCount
 						}
 					}
 					if placed == 0 {
@@ -188,7 +188,7 @@
 				for p, name := range on {
 					m, placed := seen[p]
 					switch j := c.cache.Job(p.job); {
-					case placed && c.cache.Machines[m].Name != name && m != 0 && j.Attempt[p.task] < 50_100:
+					case placed && c.cache.Machines[m].Name != name && m != 0 && j.AttemptOf[p.task] < 50_100:
 						t.Fatalf("%v is on %s, not %s", p, c.cache.Machines[m].Name, name)
 					case !placed && j != nil && j.Open() && !j.Done.Get(p.task):
 						t.Fatalf("%v is lost", p)
@@ -250,7 +250,7 @@
 			}
 			there := 0
 			for _, m := range c.cache.Machines {
-				if c.cache.Known(m.Name) && m.Fleet != nil && m.FleetEntries > 0 && len(m.Group.Machines) > 0 {
+				if c.cache.MachineSeen(m.Name) && m.Fleet != nil && m.FleetEntries > 0 && len(m.Group.Machines) > 0 {
 					there++
 				}
 			}
@@ -258,7 +258,7 @@
 				t.Fatalf("%d of 201 machines after step %d", there, steps)
 			}
 		}
-		if f, _ := c.cache.Oversized(2 << 10); f != nil || steps == 0 {
+		if f, _ := c.cache.OversizedFleet(2 << 10); f != nil || steps == 0 {
 			t.Errorf("width %d: not worked off after %d steps", width, steps)
 		}
 		for _, m := range c.cache.Machines {
@@ -330,9 +330,9 @@
 					}
 				}()
 				txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: 5}},
-					Then: []protocol.Change{{Put: storage.EvictKey("x"), Value: storage.Encode(storage.EvictRecord{})}}}
+					Then: []protocol.Change{{Put: storage.VictimSetKey("x"), Value: storage.Encode(storage.VictimSetRecord{})}}}
 				done, ok := false, false
-				go c.commitSurely(ctx, txn, func(o bool) { done, ok = true, o })
+				go c.commitWithRetry(ctx, txn, func(o bool) { done, ok = true, o })
 				time.Sleep(10 * time.Second)
 				if done == x.waits {
 					t.Fatalf("told before the follow came as far: %v", done)
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -74,12 +74,12 @@
 	}
 	put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
-	put(storage.EvictKey("job-000001"), storage.EvictRecord{AtMs: 1000,
+	put(storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
 	was := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
-	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Was: &was}, 7)
-	c.cache.Usual.Cpus = map[storage.Lane]float64{{}: 3}
-	c.noteEvictions()
+	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
+	c.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
+	c.recordPreemptions()
 	go func() {
 		for {
 			select {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -16,28 +16,28 @@
 // leaderState is what only the leader needs. It is rebuilt by a new leader.
 type leaderState struct {
 	membersVersionSum uint64
-	newcomers         []*newcomer // machines that get a record next
-	adopting          map[string]bool
+	pendingMachines   []*pendingMachine // machines that get a record next
+	enrollPending     map[string]bool
 	enrolling         bool
 	editing           bool
 	returning         bool
-	renting           map[provision.Pool]*rental // under way, outcome unknown
+	scaleOuts         map[provision.Pool]*scaleOut // under way, outcome unknown
 	blocked           map[provision.Pool]time.Time
-	charters          int
+	requestCount      int
 	listing           bool
 	listedAt          time.Time
-	empty             map[int32]emptyMark
+	emptyMachines     map[int32]emptyMark
 	unrecorded        map[string]time.Time // listed without a record since
 	movedAt           time.Time
-	moving            bool
-	moved             map[int]time.Time // by rack
-	stuck             map[int]time.Time // by share: waits since, and no move evens out loads
+	moveInFlight      bool
+	groupMovedAt      map[int]time.Time // by rack
+	stuckSinceByShard map[int]time.Time // by share: waits since, and no move evens out loads
 	// stuckSince is since when work has waited for which only drained machines have room.
-	stuckSince time.Time
-	cloudAt    time.Time
-	spareFrom  map[provision.Pool]time.Time
-	learning   learning
-	flooded    bool // room is moved as in a flood
+	stuckSince     time.Time
+	autoscaledAt   time.Time
+	surplusSince   map[provision.Pool]time.Time
+	baseline       baselineLearning
+	overloadActive bool // room is moved as in a flood
 }
 
 type emptyMark struct {
@@ -45,18 +45,18 @@
 	since   time.Time
 }
 
-type rental struct {
-	req  protocol.ScaleOutRequest
-	busy bool
+type scaleOut struct {
+	request  protocol.ScaleOutRequest
+	inFlight bool
 }
 
 func (l *leaderState) init() {
-	for _, n := range l.newcomers {
-		n.then(false)
+	for _, n := range l.pendingMachines {
+		n.done(false)
 	}
-	*l = leaderState{learning: learning{busy: l.learning.busy}, adopting: map[string]bool{}, returning: l.returning, charters: l.charters,
-		renting: map[provision.Pool]*rental{}, blocked: map[provision.Pool]time.Time{},
-		empty: map[int32]emptyMark{}, moved: map[int]time.Time{}, stuck: map[int]time.Time{}, unrecorded: map[string]time.Time{}, spareFrom: map[provision.Pool]time.Time{}}
+	*l = leaderState{baseline: baselineLearning{writeInFlight: l.baseline.writeInFlight}, enrollPending: map[string]bool{}, returning: l.returning, requestCount: l.requestCount,
+		scaleOuts: map[provision.Pool]*scaleOut{}, blocked: map[provision.Pool]time.Time{},
+		emptyMachines: map[int32]emptyMark{}, groupMovedAt: map[int]time.Time{}, stuckSinceByShard: map[int]time.Time{}, unrecorded: map[string]time.Time{}, surplusSince: map[provision.Pool]time.Time{}}
 }
 
 // catalogLoop reads the machine types; the leader keeps them in the state
@@ -70,14 +70,14 @@
 			continue
 		}
 		c.post(func() {
-			c.cache.SetCatalog(cat)
+			c.cache.UpdateCatalog(cat)
 			if c.isLeader() && c.loaded && c.cache.Catalog.Version == 0 {
 				c.commitAside(ctx, protocol.Txn{
 					If:   []protocol.Condition{{Key: storage.CatalogKey}},
 					Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(cat)}},
 				}, protocol.BackgroundRequest, func(bool) {})
 			}
-			c.kick()
+			c.requestCycle()
 		})
 		sleep(ctx, 30*time.Second)
 	}
@@ -89,8 +89,8 @@
 	demand = make([]float64, c.cache.NumShards)
 	capacity = make([]float64, c.cache.NumShards)
 	for _, j := range c.cache.Jobs {
-		if j != nil && j.Open() && !c.idle(j, now) {
-			demand[j.Shard] += float64(c.wanting(j)+j.NPlaced) * j.Size
+		if j != nil && j.Open() && !c.isIdleWork(j, now) {
+			demand[j.Shard] += float64(c.wantedTasks(j)+j.PlacedCount) * j.Size
 		}
 	}
 	for _, m := range c.cache.Machines {
@@ -125,12 +125,12 @@
 		c.leader.listedAt = now
 		go c.list(ctx)
 	}
-	if now.Sub(c.leader.cloudAt) >= c.timing.AutoscaleInterval {
-		c.leader.cloudAt = now
-		c.provision(ctx, now)
+	if now.Sub(c.leader.autoscaledAt) >= c.timing.AutoscaleInterval {
+		c.leader.autoscaledAt = now
+		c.autoscale(ctx, now)
 	}
 	if now.Sub(c.leader.movedAt) >= c.timing.RebalanceInterval {
-		c.moveRoom(ctx, now)
+		c.rebalance(ctx, now)
 	}
 }
 
@@ -169,7 +169,7 @@
 	for _, l := range all {
 		m := c.cache.Machine(l.ID)
 		if m == nil {
-			if c.cache.Known(l.ID) || c.leader.adopting[l.ID] || c.cache.TypeIdx.Find(l.Type) < 0 {
+			if c.cache.MachineSeen(l.ID) || c.leader.enrollPending[l.ID] || c.cache.TypeIndex.Find(l.Type) < 0 {
 				continue
 			}
 			since, ok := c.leader.unrecorded[l.ID]
@@ -183,7 +183,7 @@
 			}
 			delete(c.leader.unrecorded, l.ID)
 			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
-			c.adopt(ctx, &newcomer{name: l.ID, addr: l.Addr, then: func(bool) {}, kind: storage.FleetRecord{
+			c.enrollMachine(ctx, &pendingMachine{name: l.ID, addr: l.Addr, done: func(bool) {}, fleet: storage.FleetRecord{
 				Type: l.Type, Zone: l.Zone, Spot: l.Spot, ProvisionedAt: now.Unix() - int64(l.AgeS)}})
 			continue
 		}
@@ -191,13 +191,13 @@
 			m.Addr = l.Addr
 		}
 		if l.Status == "failed" && !m.Returning {
-			c.closeMachine(m, "failed")
+			c.returnMachine(m, "failed")
 		}
 	}
 }
 
-// provision rents what is needed and gives up what is not.
-func (c *Controller) provision(ctx context.Context, now time.Time) {
+// autoscale rents what is needed and gives up what is not.
+func (c *Controller) autoscale(ctx context.Context, now time.Time) {
 	demands := c.demands(now)
 	if d, some := c.nextServices(now); some {
 		demands = append(demands, d)
@@ -215,7 +215,7 @@
 			have[p]++
 		}
 		usable := !m.Returning
-		if v := c.workerStates[m.Index]; m.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(m, bootPatience, now) || c.zoneAway(m.Zone) {
+		if v := c.workerStates[m.Index]; m.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(m, bootPatience, now) || c.zoneUnreachable(m.Zone) {
 			usable = false
 		}
 		machines = append(machines, provision.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
@@ -226,7 +226,7 @@
 		if ty.Cpus <= 0 {
 			continue
 		}
-		boot = max(boot, ty.Boot)
+		boot = max(boot, ty.BootS)
 		for _, z := range ty.Zones {
 			for _, spot := range []bool{true, false} {
 				price := ty.Price
@@ -238,54 +238,54 @@
 				}
 				p := provision.Pool{Type: i, Zone: z, Spot: spot}
 				offers = append(offers, provision.Offer{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem,
-					Price: price, Boot: ty.Boot, Have: have[p],
-					Blocked: now.Before(c.leader.blocked[p]) || c.leader.renting[p] != nil || c.zoneAway(z)})
+					Price: price, Boot: ty.BootS, Owned: have[p],
+					Blocked: now.Before(c.leader.blocked[p]) || c.leader.scaleOuts[p] != nil || c.zoneUnreachable(z)})
 			}
 		}
 	}
-	for p, r := range c.leader.renting {
-		if !r.busy {
-			c.sendRental(ctx, p, r) // unknown outcome: the same name again
+	for p, r := range c.leader.scaleOuts {
+		if !r.inFlight {
+			c.sendScaleOut(ctx, p, r) // unknown outcome: the same name again
 		}
 	}
 	plan := provision.Decide(demands, machines, offers, workHorizon)
-	for _, r := range plan.Rents {
+	for _, r := range plan.ScaleOuts {
 		// The name is never used again, by any node: it holds this process's own number.
-		c.leader.charters++
-		ty := c.cache.TypeIdx.Name(r.Type)
-		req := protocol.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.charters), Type: ty,
+		c.leader.requestCount++
+		ty := c.cache.TypeIndex.Name(r.Type)
+		req := protocol.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.requestCount), Type: ty,
 			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxScaleOut)}
-		rent := &rental{req: req}
-		c.leader.renting[r.Pool] = rent
-		c.sendRental(ctx, r.Pool, rent)
+		rent := &scaleOut{request: req}
+		c.leader.scaleOuts[r.Pool] = rent
+		c.sendScaleOut(ctx, r.Pool, rent)
 	}
-	c.giveUpIdle(ctx, now, plan, provision.KeepIdle(boot, c.tightest()))
+	c.scaleInIdle(ctx, now, plan, provision.IdleRetention(boot, c.tightestFinishObjective()))
 }
 
 // workHorizon is the part of its allowed time in which waiting work should be through.
 const workHorizon = 0.45
 
-func (c *Controller) sendRental(ctx context.Context, p provision.Pool, r *rental) {
-	r.busy = true
-	c.log.Info("renting", "name", r.req.Name, "type", r.req.Type, "zone", r.req.Zone, "spot", r.req.Spot, "count", r.req.Count)
+func (c *Controller) sendScaleOut(ctx context.Context, p provision.Pool, r *scaleOut) {
+	r.inFlight = true
+	c.log.Info("renting", "name", r.request.Name, "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot, "count", r.request.Count)
 	go func() {
-		names, err := c.cloud.ScaleOut(ctx, r.req)
+		names, err := c.cloud.ScaleOut(ctx, r.request)
 		c.post(func() {
-			r.busy = false
+			r.inFlight = false
 			switch {
 			case errors.Is(err, protocol.ErrNoCapacity):
-				delete(c.leader.renting, p)
+				delete(c.leader.scaleOuts, p)
 				c.leader.blocked[p] = time.Now().Add(blockedFor)
 			case errors.Is(err, protocol.ErrRefused):
-				delete(c.leader.renting, p)
+				delete(c.leader.scaleOuts, p)
 				c.leader.blocked[p] = time.Now().Add(2 * time.Second)
 			case err != nil:
-				c.log.Info("rental in doubt", "name", r.req.Name, "err", err)
+				c.log.Info("rental in doubt", "name", r.request.Name, "err", err)
 			default:
-				if len(names) < r.req.Count {
+				if len(names) < r.request.Count {
 					c.leader.blocked[p] = time.Now().Add(blockedFor)
 				}
-				c.enter(ctx, p, r.req, names)
+				c.enrollScaledOut(ctx, p, r.request, names)
 			}
 		})
 	}()
@@ -294,18 +294,18 @@
 // blockedFor is how long a pool is left alone after it could not give all that was asked.
 const blockedFor = 8 * time.Second
 
-// enter has records written for rented machines; the rental counts until they are.
-func (c *Controller) enter(ctx context.Context, p provision.Pool, req protocol.ScaleOutRequest, names []string) {
+// enrollScaledOut has records written for rented machines; the rental counts until they are.
+func (c *Controller) enrollScaledOut(ctx context.Context, p provision.Pool, req protocol.ScaleOutRequest, names []string) {
 	c.log.Info("rented", "name", req.Name, "machines", len(names))
 	left := len(names)
 	if left == 0 || !c.isLeader() {
-		delete(c.leader.renting, p)
+		delete(c.leader.scaleOuts, p)
 		return
 	}
-	renting := c.leader.renting
+	renting := c.leader.scaleOuts
 	for _, name := range names {
-		c.adopt(ctx, &newcomer{name: name, tries: enrollTries, kind: storage.FleetRecord{
-			Type: req.Type, Zone: req.Zone, Spot: req.Spot, ProvisionedAt: time.Now().Unix()}, then: func(bool) {
+		c.enrollMachine(ctx, &pendingMachine{name: name, tries: enrollTries, fleet: storage.FleetRecord{
+			Type: req.Type, Zone: req.Zone, Spot: req.Spot, ProvisionedAt: time.Now().Unix()}, done: func(bool) {
 			if left--; left == 0 {
 				delete(renting, p)
 			}
@@ -313,10 +313,10 @@
 	}
 }
 
-// tightest is the shortest time that an objective leaves for finishing. One on
+// tightestFinishObjective is the shortest time that an objective leaves for finishing. One on
 // starting work, of a class or within a guarantee, is no reason to keep every idle machine:
 // it took the lifts' fleet for one that must never shrink.
-func (c *Controller) tightest() float64 {
+func (c *Controller) tightestFinishObjective() float64 {
 	best := 0.0
 	for _, o := range c.cfg.Deployment.Objectives {
 		if o.Kind == "finished" && o.WithinS > 0 && (best == 0 || o.WithinS < best) {
@@ -326,16 +326,16 @@
 	return best
 }
 
-// giveUpIdle returns machines that have been empty and not needed for a while,
+// scaleInIdle returns machines that have been empty and not needed for a while,
 // the dearest first.
-func (c *Controller) giveUpIdle(ctx context.Context, now time.Time, plan provision.Plan, keep time.Duration) {
+func (c *Controller) scaleInIdle(ctx context.Context, now time.Time, plan provision.Plan, keep time.Duration) {
 	type cand struct {
 		m     *storage.Machine
 		price float64
 	}
 	var cands []cand
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || len(m.Tasks) > 0 || c.edits[m.Index].off() {
+		if m.Gone || m.Returning || len(m.Tasks) > 0 || c.pendingUpdates[m.Index].blocksPlacement() {
 			continue
 		}
 		ty := &c.cache.Types[m.Type]
@@ -348,53 +348,53 @@
 	slices.SortFunc(cands, func(a, b cand) int {
 		return cmp.Or(cmp.Compare(b.price, a.price), cmp.Compare(a.m.Name, b.m.Name))
 	})
-	for p := range c.leader.spareFrom {
-		if plan.Spare[p] < 1 {
-			delete(c.leader.spareFrom, p)
+	for p := range c.leader.surplusSince {
+		if plan.Surplus[p] < 1 {
+			delete(c.leader.surplusSince, p)
 		}
 	}
-	for p, n := range plan.Spare {
-		if n >= 1 && c.leader.spareFrom[p].IsZero() {
-			c.leader.spareFrom[p] = now
+	for p, n := range plan.Surplus {
+		if n >= 1 && c.leader.surplusSince[p].IsZero() {
+			c.leader.surplusSince[p] = now
 		}
 	}
 	spare := map[provision.Pool]float64{}
-	for p, n := range plan.Spare {
+	for p, n := range plan.Surplus {
 		spare[p] = n
 	}
 	for _, x := range cands {
 		p := provision.Pool{Type: x.m.Type, Zone: x.m.Zone, Spot: x.m.Spot}
-		since := c.leader.spareFrom[p]
+		since := c.leader.surplusSince[p]
 		if since.IsZero() || now.Sub(since) < keep || spare[p] < 1 || now.Sub(c.emptySince(x.m, now)) < keep {
 			continue
 		}
 		spare[p]--
-		c.closeMachine(x.m, "not needed")
+		c.returnMachine(x.m, "not needed")
 	}
-	c.drain(now, plan, keep)
+	c.drainSurplus(now, plan, keep)
 }
 
-// drainBelow is the used part of a machine below which it may be drained.
-const drainBelow = 0.6
+// drainUsageBelow is the used part of a machine below which it may be drained.
+const drainUsageBelow = 0.6
 
 // drainAfterS is how many seconds a task must have been placed before it is moved
 // off a machine, so that it is not moved again and again.
 const drainAfterS = 20
 
-// drainPart is the part of the fleet that may begin to drain with one look.
-const drainPart = 1.0 / 24
+// drainFraction is the part of the fleet that may begin to drain with one look.
+const drainFraction = 1.0 / 24
 
-// drain empties machines that are not needed but still run a little, the dearest
+// drainSurplus empties machines that are not needed but still run a little, the dearest
 // and emptiest first, and gives drained machines back to use when they are needed
 // after all. What does not save runs to its end where it is.
-func (c *Controller) drain(now time.Time, plan provision.Plan, keep time.Duration) {
+func (c *Controller) drainSurplus(now time.Time, plan provision.Plan, keep time.Duration) {
 	spare, waiting, fleet := 0.0, 0.0, 0
-	for _, n := range plan.Spare {
+	for _, n := range plan.Surplus {
 		spare += n
 	}
 	for _, j := range c.cache.Jobs {
-		if j != nil && !c.idle(j, now) {
-			waiting += float64(c.wanting(j)) * j.Size
+		if j != nil && !c.isIdleWork(j, now) {
+			waiting += float64(c.wantedTasks(j)) * j.Size
 		}
 	}
 	type cand struct {
@@ -403,14 +403,14 @@
 	}
 	var cands []cand
 	var drained []*storage.Machine
-	stuck := c.mayRun(now)
+	stuck := c.runnableWithinLimits(now)
 	for _, m := range c.cache.Machines {
-		e := c.edits[m.Index]
-		if m.Gone || m.Returning || e != nil && e.closing {
+		e := c.pendingUpdates[m.Index]
+		if m.Gone || m.Returning || e != nil && e.returning {
 			continue
 		}
 		fleet++
-		if m.Draining || e.off() {
+		if m.Draining || e.blocksPlacement() {
 			spare--
 			drained = append(drained, m)
 			if plan.Urgent > 0 {
@@ -421,14 +421,14 @@
 		used, rests := 0.0, true // rests: nothing on it was moved or started a moment ago
 		cpus := c.cache.Types[m.Type].Cpus
 		for _, p := range m.Tasks {
-			if m.Spot || !c.idle(p.Job, now) {
+			if m.Spot || !c.isIdleWork(p.Job, now) {
 				used += p.Job.Size / cpus
 			}
-			rests = rests && (p.Job.Mark == 0 || now.Unix()-p.At > drainAfterS) && (p.Job.Shape == protocol.Batch || now.Unix()-p.At > int64(moveAfter.Seconds()))
+			rests = rests && (p.Job.CheckpointInterval == 0 || now.Unix()-p.PlacedAt > drainAfterS) && (p.Job.Shape == protocol.Batch || now.Unix()-p.PlacedAt > int64(relocateAfter.Seconds()))
 		}
 		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		since := c.leader.spareFrom[p]
-		if len(m.Tasks) > 0 && rests && used <= drainBelow && plan.Spare[p] >= 1.5 && !since.IsZero() && now.Sub(since) >= keep {
+		since := c.leader.surplusSince[p]
+		if len(m.Tasks) > 0 && rests && used <= drainUsageBelow && plan.Surplus[p] >= 1.5 && !since.IsZero() && now.Sub(since) >= keep {
 			cands = append(cands, cand{m, used})
 		}
 		if waiting > 0 {
@@ -439,7 +439,7 @@
 	// By the sums a drained machine is room for what waits. One whose tasks go on for long never empties, nothing
 	// was rented beside it, and a task waited for as long.
 	// Sums say nothing of which machine has room, and for what.
-	if m := (&mover{c: c}).neededOf(drained, now); m != nil {
+	if m := (&rebalancer{c: c}).neededOf(drained, now); m != nil {
 		c.setDraining(m, false)
 	}
 	switch {
@@ -447,7 +447,7 @@
 		c.leader.stuckSince = time.Time{}
 	case c.leader.stuckSince.IsZero():
 		c.leader.stuckSince = now
-	case now.Sub(c.leader.stuckSince) > stuckFor:
+	case now.Sub(c.leader.stuckSince) > stuckAfter:
 		c.leader.stuckSince = now
 		c.setDraining(drained[0], false)
 	}
@@ -457,7 +457,7 @@
 	slices.SortFunc(cands, func(a, b cand) int {
 		return cmp.Or(cmp.Compare(c.cpuPrice(b.m), c.cpuPrice(a.m)), cmp.Compare(a.used, b.used), cmp.Compare(a.m.Name, b.m.Name))
 	})
-	n := min(len(cands), max(1, int(drainPart*float64(fleet))), int(spare)-1)
+	n := min(len(cands), max(1, int(drainFraction*float64(fleet))), int(spare)-1)
 	for i := range max(0, n) {
 		c.setDraining(cands[i].m, true)
 	}
@@ -465,10 +465,10 @@
 
 // emptySince is since when the leader has seen a machine's record unchanged and empty.
 func (c *Controller) emptySince(m *storage.Machine, now time.Time) time.Time {
-	e, ok := c.leader.empty[m.Index]
+	e, ok := c.leader.emptyMachines[m.Index]
 	if !ok || e.version != m.Version {
 		e = emptyMark{m.Version, now}
-		c.leader.empty[m.Index] = e
+		c.leader.emptyMachines[m.Index] = e
 	}
 	return e.since
 }
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -38,7 +38,7 @@
 				Teams: []config.Team{{Name: "red", Cpus: x.guarantee}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80},
 				Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5}, {Kind: "finished", Class: "c", WithinS: 60}}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
+			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
@@ -54,10 +54,10 @@
 			}
 			put(storage.FleetKey("m0"), f)
 			for team, n := range x.demand {
-				put(storage.JobKey(fmt.Sprintf("job-%06d", team)), storage.JobRecord{Tasks: n, Team: cfg.Deployment.Teams[team].Name, AtMs: time.Now().UnixMilli(),
+				put(storage.JobKey(fmt.Sprintf("job-%06d", team)), storage.JobRecord{Tasks: n, Team: cfg.Deployment.Teams[team].Name, SubmittedMs: time.Now().UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 30}})
 			}
-			put(storage.UsualKey, c.cache.UsualRecordOf(map[storage.Lane]float64{{Team: 0}: x.usual[0], {Team: 1}: x.usual[1]}, 2048))
+			put(storage.BaselineKey, c.cache.BaselineRecordOf(map[storage.ClassQueue]float64{{Team: 0}: x.usual[0], {Team: 1}: x.usual[1]}, 2048))
 			if moves := movesToFirst(c, allWork); moves != x.moves {
 				t.Errorf("%d racks move to the guaranteed team's share, want %d", moves, x.moves)
 			}
@@ -67,12 +67,12 @@
 
 // movesToFirst is how many racks more move to the first of two shares than from it.
 func movesToFirst(c *Controller, kinds ...workKind) int {
-	mv := mover{c: c, gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
+	mv := rebalancer{c: c, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 	for _, k := range kinds {
-		mv.pass(time.Now(), k)
+		mv.rebalancePass(time.Now(), k)
 	}
 	n := 0
-	for k := range mv.gone {
+	for k := range mv.moved {
 		n += 2*k.Shard - 1 // from the second share to the first
 	}
 	return n
@@ -99,14 +99,14 @@
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a", "b"},
 				Teams: []config.Team{{Name: "blue"}, {Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
 			job := func(id, zone string, cpus float64) {
-				put(storage.JobKey(id), storage.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().Add(-time.Minute).UnixMilli(),
+				put(storage.JobKey(id), storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().Add(-time.Minute).UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: cpus, Mem: 1, Image: "i", Spot: true, Zone: zone, Estimate: 3600}})
 			}
 			job("job-000000", "", 2)
@@ -121,7 +121,7 @@
 				put(storage.GroupKey(rack), r)
 			}
 			if x.stuck > 0 {
-				c.leader.stuck[1] = time.Now().Add(-x.stuck)
+				c.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
 			}
 			if got := movesToFirst(c, allWork); got != -x.want {
 				t.Errorf("%d racks move to its share, want %d", -got, x.want)
@@ -153,14 +153,14 @@
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
 			job := func(id, team string, tasks int) {
-				put(storage.JobKey(id), storage.JobRecord{Tasks: tasks, Team: team, AtMs: time.Now().UnixMilli(),
+				put(storage.JobKey(id), storage.JobRecord{Tasks: tasks, Team: team, SubmittedMs: time.Now().UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 			}
 			job("job-000000", "red", x.placed[0]+x.placed[1]+x.placed[2]+x.waits)
@@ -184,17 +184,17 @@
 				put(storage.GroupKey(rack), storage.GroupRecord{Shard: share, Machines: []storage.GroupMachine{
 					{Name: fmt.Sprint("m", rack), Incarnation: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
-			mv := mover{c: c, gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
+			mv := rebalancer{c: c, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 			if x.stuck > 0 {
-				c.leader.stuck[1] = time.Now().Add(-x.stuck)
+				c.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
 			}
-			mv.pass(time.Now(), allWork)
+			mv.rebalancePass(time.Now(), allWork)
 			got := -1
-			for k := range mv.gone {
+			for k := range mv.moved {
 				got = k.ID
 			}
-			if got != x.want || len(mv.gone) > 1 {
-				t.Errorf("rack %d moves of %d, want %d", got, len(mv.gone), x.want)
+			if got != x.want || len(mv.moved) > 1 {
+				t.Errorf("rack %d moves of %d, want %d", got, len(mv.moved), x.want)
 			}
 		})
 	}
@@ -214,8 +214,8 @@
 	}{
 		{"nothing waits", 0, time.Minute, 0, false, 0, false},
 		{"waits for a moment", 1, 0, 0, false, 0, false},
-		{"waits for a while", 1, stuckFor + time.Second, 0, false, 0, true},
-		{"waits for its team's limit", 1, stuckFor + time.Second, 10, false, 0, false},
+		{"waits for a while", 1, stuckAfter + time.Second, 0, false, 0, true},
+		{"waits for its team's limit", 1, stuckAfter + time.Second, 10, false, 0, false},
 		{"by the sums there is room, but it fits on no other", 0, 0, 0, true, neededFor + time.Second, true},
 		{"it may not wait for long", 0, 0, 0, true, neededFor - time.Second, false},
 		{"nor may its team have more", 0, 0, 22, true, neededFor + time.Second, false},
@@ -224,18 +224,18 @@
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: 5 + x.waits, Team: "red", AtMs: time.Now().UnixMilli(),
+			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: 5 + x.waits, Team: "red", SubmittedMs: time.Now().UnixMilli(),
 				Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 			if x.large {
-				put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().Add(-x.age).UnixMilli(),
+				put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().Add(-x.age).UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
-				put(storage.JobKey("job-000002"), storage.JobRecord{Tasks: 2, Team: "red", AtMs: time.Now().UnixMilli(),
+				put(storage.JobKey("job-000002"), storage.JobRecord{Tasks: 2, Team: "red", SubmittedMs: time.Now().UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 6, Mem: 1, Image: "i", Spot: true, Estimate: 3600}})
 				put(storage.FleetKey("m2"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m2", Group: 1}, {Name: "m3", Group: 1}}})
 				put(storage.GroupKey(1), storage.GroupRecord{Machines: []storage.GroupMachine{
@@ -248,9 +248,9 @@
 				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
 			c.leader.stuckSince = now.Add(-x.since)
-			c.drain(now, provision.Plan{}, 0)
-			e := c.edits[c.cache.Machine("m1").Index]
-			if back := e != nil && e.drain != nil && !*e.drain; back != x.back {
+			c.drainSurplus(now, provision.Plan{}, 0)
+			e := c.pendingUpdates[c.cache.Machine("m1").Index]
+			if back := e != nil && e.draining != nil && !*e.draining; back != x.back {
 				t.Errorf("given back: %v, want %v", back, x.back)
 			}
 		})
@@ -277,18 +277,18 @@
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "home"}, {Name: "guest"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
 			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
 				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: max(1, x.firm), Team: "home", AtMs: time.Now().UnixMilli(),
+			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: max(1, x.firm), Team: "home", SubmittedMs: time.Now().UnixMilli(),
 				Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
 			if x.firm == 0 {
-				c.cache.Job("job-000000").NDone = 1
+				c.cache.Job("job-000000").DoneCount = 1
 			}
-			put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: x.idle, Team: "guest", AtMs: time.Now().UnixMilli(),
+			put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: x.idle, Team: "guest", SubmittedMs: time.Now().UnixMilli(),
 				Spec: &storage.SpecRecord{Class: "g", Priority: x.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
 			f := storage.FleetRecord{Type: "t", Zone: "a"}
 			for rack := range 8 {
@@ -304,7 +304,7 @@
 				}
 				put(storage.GroupKey(rack), r)
 			}
-			if n := c.cache.Job("job-000001").NPlaced; n != x.placed {
+			if n := c.cache.Job("job-000001").PlacedCount; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
 			}
 			if moves := movesToFirst(c, allWork, idleWork); moves != x.moves {
@@ -331,7 +331,7 @@
 	for _, x := range cases {
 		c := newCore(t)
 		c.cfg.Deployment.Objectives = x.aims
-		if got, timed := c.tightest(), c.guaranteesTimed(); got != x.want || timed != x.timed {
+		if got, timed := c.tightestFinishObjective(), c.guaranteesTimed(); got != x.want || timed != x.timed {
 			t.Errorf("%s: %v, timed %v; want %v, %v", x.name, got, timed, x.want, x.timed)
 		}
 	}
@@ -374,7 +374,7 @@
 		c := newCore(t)
 		put := func(id string, s storage.SpecRecord) *storage.Job {
 			s.Cpus, s.Mem, s.Image = 4, 1, "i"
-			if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red", AtMs: time.Now().UnixMilli(), Spec: &s}), 5, false); err != nil {
+			if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().UnixMilli(), Spec: &s}), 5, false); err != nil {
 				t.Fatal(err)
 			}
 			return c.cache.Job(id)
@@ -385,12 +385,12 @@
 		runs := put("job-000007", storage.SpecRecord{Class: "g", Spot: x.spot})
 		waits := put("job-000008", storage.SpecRecord{Class: "h", Spot: true, Priority: uint8(x.waits)})
 		m := c.cache.Machine("m")
-		m.Tasks = []storage.Placed{{Job: runs, Attempt: 1}}
-		c.idleRuns = true
-		in := &schedule.Input{Teams: c.cache.Teams, Used: c.cache.Used, Slots: []*schedule.Slot{{M: m}}}
+		m.Tasks = []storage.PlacedTask{{Job: runs, Attempt: 1}}
+		c.idleWorkPlaced = true
+		in := &schedule.Input{Teams: c.cache.Teams, Used: c.cache.Used, Slots: []*schedule.Slot{{Machine: m}}}
 		got := 0
-		if c.mayEvict(waits, in, c.claimsUntil()) {
-			got = len(c.candidates(time.Now(), waits, in, nil, c.claimsUntil()))
+		if c.mayPreempt(waits, in, c.claimsUntil()) {
+			got = len(c.preemptionCandidates(time.Now(), waits, in, nil, c.claimsUntil()))
 		}
 		if got != x.want {
 			t.Errorf("%s: %d candidates, want %d", x.name, got, x.want)
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -58,13 +58,13 @@
 			}
 			continue
 		}
-		c.judge(m, v, now)
+		c.judgeHealth(m, v, now)
 		var why string
 		limit := unreachableLimit(w, suspectSelf)
-		if serves(m) && c.zoneAway(m.Zone) && c.inhabited(m.Zone) {
-			limit = max(limit, awayLimit(w))
+		if serves(m) && c.zoneUnreachable(m.Zone) && c.hasControllerInside(m.Zone) {
+			limit = max(limit, unreachableZoneLimit(w))
 		}
-		silent := c.silenceOf(maxTime(v.heard, c.zone(m.Zone).back), now)
+		silent := c.silenceOf(maxTime(v.heard, c.zoneState(m.Zone).reachableSince), now)
 		switch {
 		case m.Draining && len(m.Tasks) == 0:
 			why = "drained"
@@ -78,10 +78,10 @@
 			why = "mute"
 		}
 		if why != "" {
-			c.closeMachine(m, why)
+			c.returnMachine(m, why)
 		}
 	}
-	c.returnMachines(ctx, names)
+	c.scaleIn(ctx, names)
 }
 
 // unreachableLimit is how long a machine must be silent to be returned. A node that may itself be
@@ -110,7 +110,7 @@
 	case c.silenceOf(v.heard, now) > unresponsiveAfter(c.cfg.Deployment.Workers):
 		v.heartbeatAt = maxTime(v.heartbeatAt, heartbeatBaseline(c.cfg.Deployment.Workers, now)) // it hung, or was cut off: it may report now
 	case v.Incarnation != 0 && r.Incarnation > v.Incarnation && c.unresponsive(v, now) && !c.manyUnresponsive:
-		c.closeMachine(m, "mute")
+		c.returnMachine(m, "mute")
 	}
 }
 
@@ -166,13 +166,13 @@
 
 // booting tells whether a machine comes up and may then take tasks.
 func (c *Controller) booting(m *storage.Machine, v *workerState, now time.Time) bool {
-	return !c.cameUp(m) && !c.zoneAway(m.Zone) && !m.Returning && !m.Draining && !v.terminated && !c.edits[m.Index].off() && !c.overdue(m, bootPatience, now)
+	return !c.cameUp(m) && !c.zoneUnreachable(m.Zone) && !m.Returning && !m.Draining && !v.terminated && !c.pendingUpdates[m.Index].blocksPlacement() && !c.overdue(m, bootPatience, now)
 }
 
 // bootLeft is how many seconds a machine that comes up still takes, as a guess: most are up after
 // about their usual boot time, and the longer one is late, the later it may be.
 func (c *Controller) bootLeft(m *storage.Machine, v *workerState, now time.Time) float64 {
-	left := c.cache.Types[m.Type].Boot - c.bootAge(m, v, now).Seconds()
+	left := c.cache.Types[m.Type].BootS - c.bootAge(m, v, now).Seconds()
 	return max(3, left, 3-left/2)
 }
 
@@ -181,7 +181,7 @@
 	if c.cameUp(m) {
 		return false
 	}
-	return c.bootAge(m, c.workerStates[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].Boot, 10))
+	return c.bootAge(m, c.workerStates[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].BootS, 10))
 }
 
 // bootAge is how long ago a machine was rented, as far as this node knows.
@@ -200,26 +200,28 @@
 	return c.overdue(m, bootPatience, now) && (m.ProvisionedAt <= lastUp || c.overdue(m, bootPatienceMost, now))
 }
 
-// edit is what should change of a machine's record, tasks aside. Its owner does so
+// pendingUpdate is what should change of a machine's record, tasks aside. Its owner does so
 // with its next transaction, the leader on its own for machines of other owners.
-type edit struct {
-	closing bool
-	drain   *bool
+type pendingUpdate struct {
+	returning bool
+	draining  *bool
 }
 
-// off tells whether nothing more may be placed on the machine.
-func (e *edit) off() bool { return e != nil && (e.closing || e.drain != nil && *e.drain) }
+// blocksPlacement tells whether nothing more may be placed on the machine.
+func (e *pendingUpdate) blocksPlacement() bool {
+	return e != nil && (e.returning || e.draining != nil && *e.draining)
+}
 
-func (e *edit) differs(m *storage.Machine) bool {
-	return (e.closing && !m.Returning) || (e.drain != nil && *e.drain != m.Draining)
+func (e *pendingUpdate) differs(m *storage.Machine) bool {
+	return (e.returning && !m.Returning) || (e.draining != nil && *e.draining != m.Draining)
 }
 
-func (c *Controller) edit(m *storage.Machine) *edit {
-	e := c.edits[m.Index]
+func (c *Controller) pendingUpdate(m *storage.Machine) *pendingUpdate {
+	e := c.pendingUpdates[m.Index]
 	if e == nil {
-		e = &edit{}
-		c.edits[m.Index] = e
-		c.kick()
+		e = &pendingUpdate{}
+		c.pendingUpdates[m.Index] = e
+		c.requestCycle()
 	}
 	return e
 }
@@ -227,36 +229,36 @@
 // reasonNeverUp is the reason for giving up a machine that did not come up.
 const reasonNeverUp = "never came up"
 
-// closeMachine marks a machine as being returned.
-func (c *Controller) closeMachine(m *storage.Machine, why string) {
-	if c.storeFailing() || c.edits[m.Index] != nil && c.edits[m.Index].closing {
+// returnMachine marks a machine as being returned.
+func (c *Controller) returnMachine(m *storage.Machine, why string) {
+	if c.storeFailing() || c.pendingUpdates[m.Index] != nil && c.pendingUpdates[m.Index].returning {
 		return
 	}
 	c.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
 	if why == reasonNeverUp {
 		c.metrics.neverUpMachines.Inc() // once a machine, however long its edit takes
 	}
-	c.edit(m).closing = true
+	c.pendingUpdate(m).returning = true
 }
 
 // setDraining marks a machine to be emptied, or gives it back to use.
 func (c *Controller) setDraining(m *storage.Machine, on bool) {
 	c.log.Info("draining machine", "machine", m.Name, "on", on, "tasks", len(m.Tasks))
-	c.edit(m).drain = &on
+	c.pendingUpdate(m).draining = &on
 }
 
-// flushEdits forgets edits that are done or of no concern to this node, and as
+// flushPendingUpdates forgets edits that are done or of no concern to this node, and as
 // the leader commits those of other owners' machines.
-func (c *Controller) flushEdits(ctx context.Context) {
+func (c *Controller) flushPendingUpdates(ctx context.Context) {
 	racks := map[*storage.MachineGroup]bool{}
-	for i, e := range c.edits {
+	for i, e := range c.pendingUpdates {
 		m := c.cache.Machines[i]
 		switch {
 		case m.Gone || !e.differs(m):
-			delete(c.edits, i)
+			delete(c.pendingUpdates, i)
 		case c.ownsShard(m.Shard): // goes with the next transaction
 		case !c.isLeader():
-			delete(c.edits, i)
+			delete(c.pendingUpdates, i)
 		default:
 			racks[m.Group] = true
 		}
@@ -272,8 +274,8 @@
 		}
 		r := c.cache.GroupRecordOf(k, k.UnsavedCompletions(), func(m *storage.Machine) (storage.GroupMachine, bool) {
 			x := c.cache.GroupMachineOf(m, m.Tasks)
-			if e := c.edits[m.Index]; e != nil {
-				e.change(&x)
+			if e := c.pendingUpdates[m.Index]; e != nil {
+				e.applyTo(&x)
 				done = append(done, m.Index)
 			}
 			return x, true
@@ -293,21 +295,21 @@
 	c.commitAside(ctx, t, protocol.BackgroundRequest, func(bool) {
 		c.leader.editing = false
 		for _, i := range done {
-			delete(c.edits, i) // what still has to change is found again
+			delete(c.pendingUpdates, i) // what still has to change is found again
 		}
 	})
 }
 
-func (e *edit) change(x *storage.GroupMachine) {
-	x.Returning = x.Returning || e.closing
-	if e.drain != nil {
-		x.Draining = *e.drain
+func (e *pendingUpdate) applyTo(x *storage.GroupMachine) {
+	x.Returning = x.Returning || e.returning
+	if e.draining != nil {
+		x.Draining = *e.draining
 	}
 }
 
-// returnMachines asks the cloud to take machines back. Its 200 is the proof that
+// scaleIn asks the cloud to take machines back. Its 200 is the proof that
 // they are gone with all that is on them; the cycle then drops their records.
-func (c *Controller) returnMachines(ctx context.Context, names []string) {
+func (c *Controller) scaleIn(ctx context.Context, names []string) {
 	if len(names) == 0 || c.leader.returning {
 		return
 	}
@@ -337,7 +339,7 @@
 					}
 				}
 			}
-			c.kick()
+			c.requestCycle()
 		})
 	}()
 }
--- a/internal/coordination/metrics.go
+++ b/internal/coordination/metrics.go
@@ -92,9 +92,9 @@
 		return
 	}
 	lost := now.Sub(at).Seconds()
-	if ref.Job.Mark > 0 {
-		for lost >= ref.Job.Mark {
-			lost -= ref.Job.Mark
+	if ref.Job.CheckpointInterval > 0 {
+		for lost >= ref.Job.CheckpointInterval {
+			lost -= ref.Job.CheckpointInterval
 		}
 	}
 	if out == dispatch.Stopped && v.Seen[ref].Checkpointed {
@@ -103,8 +103,8 @@
 	c.metrics.lostSeconds.Add(lost)
 }
 
-// tallies are what the log tells now and then of how this node fares.
-type tallies struct {
+// logCounters are what the log tells now and then of how this node fares.
+type logCounters struct {
 	passes  int
 	all     time.Duration // of all passes
 	longest time.Duration
@@ -113,19 +113,19 @@
 }
 
 // pass counts a planning pass.
-func (t *tallies) pass(d time.Duration) {
+func (t *logCounters) pass(d time.Duration) {
 	t.passes++
 	t.all += d
 	t.longest = max(t.longest, d)
 }
 
-// tellEvery is how often the log tells how this node fares.
-const tellEvery = 30 * time.Second
+// logCountersInterval is how often the log tells how this node fares.
+const logCountersInterval = 30 * time.Second
 
-// tell logs what operators compare between sizes; metrics have more of it.
-func (c *Controller) tell(now time.Time) {
-	t := &c.tallies
-	if now.Sub(t.at) < tellEvery {
+// logCounters logs what operators compare between sizes; metrics have more of it.
+func (c *Controller) logCounters(now time.Time) {
+	t := &c.counters
+	if now.Sub(t.at) < logCountersInterval {
 		return
 	}
 	spent := c.store.ChangesUsed()
@@ -144,7 +144,7 @@
 		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", t.passes, "pass_mean_ms", millis(t.all)/float64(max(1, t.passes)),
 			"pass_longest_ms", millis(t.longest), "changes_per_s", float64(int(float64(spent-t.changes)/now.Sub(t.at).Seconds()*10))/10, "revision", c.cache.Revision)
 	}
-	*t = tallies{at: now, changes: spent}
+	*t = logCounters{at: now, changes: spent}
 }
 
 // millis is a time in milliseconds, to the hundredth.
@@ -160,27 +160,27 @@
 }
 
 var (
-	descQueue    = desc("queue_tasks", "Tasks waiting for a machine.", "class", "team")
-	descMachines = desc("machines", "Machines by state.", "state")
-	descGpus     = desc("accelerators", "Accelerators of the machines, by use: taken by placed tasks, or free.", "use")
-	descRate     = desc("money_rate_per_hour", "What the machines cost an hour, at the catalog's prices.")
-	descMemory   = desc("memory_bytes", "Memory obtained from the system.")
-	descLeader   = desc("leader", "1 on the leading node.")
-	descRevision = desc("revision", "Revision of the state service that this node has seen.")
-	descShards   = desc("shares_owned", "Shares that this node owns.")
-	descReach    = desc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
-	descAwaiting = desc("awaiting_jobs", "Open jobs that wait for other jobs.")
-	descDoomed   = desc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
-	descLayout   = desc("layout_version", "Layout of the records that is written: 1 plain, 2 packed, 3 packed with changed teams.")
-	descLargest  = desc("largest_record_bytes", "Size of the largest rack's record.")
-	descFlood    = desc("flood", "1 while a class of a team has far more open than is usual for it, and more waits on this node than can be in time.")
-	descUsual    = desc("usual_cpus", "CPUs that a class of a team usually keeps busy.", "class", "team")
-	descSuspect  = desc("suspect_jobs", "Open jobs that failed on every machine that tried them.")
+	descQueue                = desc("queue_tasks", "Tasks waiting for a machine.", "class", "team")
+	descMachines             = desc("machines", "Machines by state.", "state")
+	descGpus                 = desc("accelerators", "Accelerators of the machines, by use: taken by placed tasks, or free.", "use")
+	descRate                 = desc("money_rate_per_hour", "What the machines cost an hour, at the catalog's prices.")
+	descMemory               = desc("memory_bytes", "Memory obtained from the system.")
+	descLeader               = desc("leader", "1 on the leading node.")
+	descRevision             = desc("revision", "Revision of the state service that this node has seen.")
+	descShards               = desc("shares_owned", "Shares that this node owns.")
+	descReach                = desc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
+	descAwaitingDependencies = desc("awaiting_jobs", "Open jobs that wait for other jobs.")
+	descDependencyFailed     = desc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
+	descLayout               = desc("layout_version", "Layout of the records that is written: 1 plain, 2 packed, 3 packed with changed teams.")
+	descLargest              = desc("largest_record_bytes", "Size of the largest rack's record.")
+	descOverload             = desc("flood", "1 while a class of a team has far more open than is usual for it, and more waits on this node than can be in time.")
+	descBaseline             = desc("usual_cpus", "CPUs that a class of a team usually keeps busy.", "class", "team")
+	descSuspect              = desc("suspect_jobs", "Open jobs that failed on every machine that tried them.")
 )
 
 func (g gauges) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descRate, descMemory, descLeader, descRevision, descShards, descReach, descSuspect,
-		descAwaiting, descDoomed, descLayout, descLargest, descFlood, descUsual} {
+		descAwaitingDependencies, descDependencyFailed, descLayout, descLargest, descOverload, descBaseline} {
 		ch <- d
 	}
 }
@@ -201,7 +201,7 @@
 				if c.suspect(j) {
 					suspect++
 				}
-				if j.Doomed {
+				if j.DependencyFailed {
 					doomed++
 				} else if !j.Ready() {
 					awaiting++
@@ -223,11 +223,11 @@
 		if c.isLeader() {
 			leader = 1
 		}
-		for x, u := range c.cache.Usual.Cpus {
+		for x, u := range c.cache.Baseline.Cpus {
 			usually[key{c.classLabel(x.Class), c.cache.Teams[x.Team].Name}] += u
 		}
 		now := time.Now()
-		if c.flooded {
+		if c.overloadActive {
 			flood = 1
 		}
 		if c.servedByStore(now) {
@@ -274,9 +274,9 @@
 		gauge(descMachines, n, s)
 	}
 	for k, u := range usually {
-		gauge(descUsual, u, k.class, k.team)
+		gauge(descBaseline, u, k.class, k.team)
 	}
-	gauge(descFlood, flood)
+	gauge(descOverload, flood)
 	var ms runtime.MemStats
 	runtime.ReadMemStats(&ms)
 	for use, n := range gpus {
@@ -291,8 +291,8 @@
 		gauge(descReach, v, n)
 	}
 	gauge(descSuspect, suspect)
-	gauge(descAwaiting, awaiting)
-	gauge(descDoomed, doomed)
+	gauge(descAwaitingDependencies, awaiting)
+	gauge(descDependencyFailed, doomed)
 	gauge(descLayout, layout)
 	gauge(descLargest, largest)
 }
--- a/internal/coordination/move.go
+++ b/internal/coordination/move.go
@@ -12,46 +12,46 @@
 	"dykeledge/internal/storage"
 )
 
-// moveRoom moves racks from shares with room to spare to shares with waiting
+// rebalance moves racks from shares with room to spare to shares with waiting
 // work. A rack need not be empty: what runs on its machines goes on under its new
 // owner, and its record moves whole. What may only run on ordinary machines is looked at
 // first and on its own: free spot machines are of no use to it.
-func (c *Controller) moveRoom(ctx context.Context, now time.Time) {
-	if c.leader.moving || c.cache.NumShards < 2 {
+func (c *Controller) rebalance(ctx context.Context, now time.Time) {
+	if c.leader.moveInFlight || c.cache.NumShards < 2 {
 		return
 	}
-	mv := mover{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
-		gone: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
-	mv.pass(now, ordinaryWork)
-	mv.pass(now, allWork)
-	mv.pass(now, idleWork)
-	for share := range c.leader.stuck {
+	mv := rebalancer{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
+		moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
+	mv.rebalancePass(now, onDemandWork)
+	mv.rebalancePass(now, allWork)
+	mv.rebalancePass(now, idleWork)
+	for share := range c.leader.stuckSinceByShard {
 		if !mv.stuck[share] {
-			delete(c.leader.stuck, share)
+			delete(c.leader.stuckSinceByShard, share)
 		}
 	}
 	if len(mv.txn.Then) == 0 {
 		return
 	}
-	c.leader.moving = true
+	c.leader.moveInFlight = true
 	c.leader.movedAt = now
-	c.commitAside(ctx, mv.txn, protocol.BackgroundRequest, func(bool) { c.leader.moving = false })
+	c.commitAside(ctx, mv.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
 }
 
-type mover struct {
-	c    *Controller
-	txn  protocol.Txn
-	gone map[*storage.MachineGroup]bool // racks that move with this transaction
+type rebalancer struct {
+	c     *Controller
+	txn   protocol.Txn
+	moved map[*storage.MachineGroup]bool // racks that move with this transaction
 	// stuck are the shares that wait, whatever kind of work, although no move evens out loads.
-	stuck map[int]bool
-	rooms []storage.Usage // free on each machine by the records, worked out once it is asked for
+	stuck         map[int]bool
+	freeByMachine []storage.Usage // free on each machine by the records, worked out once it is asked for
 }
 
 // workKind is what a pass looks at.
 type workKind uint8
 
 const (
-	ordinaryWork workKind = iota // what may not use spot machines, and ordinary machines
+	onDemandWork workKind = iota // what may not use spot machines, and ordinary machines
 	allWork                      // all but idle-time work
 	idleWork                     // idle-time work too, once nothing else waits
 )
@@ -64,25 +64,25 @@
 
 // shardSums is a share's work and machines, in CPUs.
 type shardSums struct {
-	waiting, top, demand, free, capacity float64
-	firm, firmWaits                      float64 // the demand of other than idle-time work, and what of it waits
-	claim                                float64 // what its teams' work within their guarantees takes
-	roomy                                []*groupSums
-	groupCount                           int // that have machines of the kind looked at
+	waiting, topWaiting, demand, free, capacity float64
+	nonIdleDemand, nonIdleWaiting               float64 // the demand of other than idle-time work, and what of it waits
+	claim                                       float64 // what its teams' work within their guarantees takes
+	movable                                     []*groupSums
+	groupCount                                  int // that have machines of the kind looked at
 }
 
 // short tells whether a share has less than its teams' work within their guarantees takes.
 func (s *shardSums) short() bool { return s.capacity < s.claim }
 
-// claims works out what the shares' teams may claim by their guarantees. Without
+// addClaims works out what the shares' teams may claim by their guarantees. Without
 // it the share with the most work for its machines took machines from one whose
 // teams had less than they are guaranteed.
-func (mv *mover) claims(sums []shardSums) {
+func (mv *rebalancer) addClaims(sums []shardSums) {
 	c := mv.c
 	demand := make([]float64, len(c.cache.Teams))
 	for _, j := range c.cache.Jobs {
 		if j != nil && j.Open() {
-			demand[j.Team] += float64(j.NPlaced+c.wanting(j)) * j.Cpus
+			demand[j.Team] += float64(j.PlacedCount+c.wantedTasks(j)) * j.Cpus
 		}
 	}
 	for t, team := range c.cache.Teams {
@@ -90,12 +90,12 @@
 	}
 }
 
-// floors raises the shares' claims to what their lanes have before others in a flood. Without
+// addFloors raises the shares' claims to what their lanes have before others in a flood. Without
 // it the share with the flood drew the machines of all others, until those were as late.
-func (mv *mover) floors(sums []shardSums, f flooding) {
+func (mv *rebalancer) addFloors(sums []shardSums, f queueLoads) {
 	more, all, left := make([]float64, len(sums)), 0.0, 0.0
-	for x := range mv.c.cache.Usual.Cpus {
-		if l := f.lanes.At(x); l != nil {
+	for x := range mv.c.cache.Baseline.Cpus {
+		if l := f.queues.At(x); l != nil {
 			more[mv.c.cache.ShardOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
 		}
 	}
@@ -110,15 +110,15 @@
 	}
 }
 
-// allRoom is what all machines have.
-func (c *Controller) allRoom() (r schedule.Room) {
+// totalCapacity is what all machines have.
+func (c *Controller) totalCapacity() (r schedule.Capacity) {
 	for _, m := range c.cache.Machines {
 		if m.Gone || m.Returning {
 			continue
 		}
 		cpus := c.cache.Types[m.Type].Cpus
 		if r.All += cpus; !m.Spot {
-			r.Ordinary += cpus
+			r.OnDemand += cpus
 		}
 	}
 	return r
@@ -139,31 +139,31 @@
 // load is how much work there is for each CPU.
 func (s *shardSums) load(change float64) float64 { return s.demand / max(1, s.capacity+change) }
 
-// pass moves machines one by one from the least to the most loaded share, as long
+// rebalancePass moves machines one by one from the least to the most loaded share, as long
 // as the latter's work waits and the former stays the less loaded one. Idle-time work
 // counts as free room until nothing else waits: a share whose only work it was took
 // machines from teams that had to be in time.
-func (mv *mover) pass(now time.Time, kind workKind) {
+func (mv *rebalancer) rebalancePass(now time.Time, kind workKind) {
 	c := mv.c
-	ordinary := kind == ordinaryWork
+	ordinary := kind == onDemandWork
 	idle := map[*storage.Job]bool{}
-	may := c.underLimits() // what is over a team's limit waits for that, not for room
+	may := c.newLimitBudget() // what is over a team's limit waits for that, not for room
 	sums := make([]shardSums, c.cache.NumShards)
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() || (ordinary && j.Spot) {
 			continue
 		}
-		s, waits := &sums[j.Shard], may.start(j)
-		if c.idle(j, now) {
+		s, waits := &sums[j.Shard], may.take(j)
+		if c.isIdleWork(j, now) {
 			if kind != idleWork {
 				idle[j] = true
 				continue
 			}
 		} else {
-			s.firm += float64(j.NPlaced+waits) * j.Size
-			s.firmWaits += float64(waits) * j.Size
+			s.nonIdleDemand += float64(j.PlacedCount+waits) * j.Size
+			s.nonIdleWaiting += float64(waits) * j.Size
 		}
-		s.demand += float64(j.NPlaced) * j.Size
+		s.demand += float64(j.PlacedCount) * j.Size
 		if jv := c.jobStates[j]; jv != nil && now.Before(jv.backoff) {
 			continue
 		}
@@ -171,19 +171,19 @@
 		s.waiting += w
 		s.demand += w
 		if j.Priority.Top() {
-			s.top += w
+			s.topWaiting += w
 		}
 	}
 	if kind == allWork && c.guaranteesTimed() {
-		mv.claims(sums)
+		mv.addClaims(sums)
 	}
 	for _, k := range c.cache.Groups {
-		if k.Version == 0 || mv.gone[k] {
+		if k.Version == 0 || mv.moved[k] {
 			continue
 		}
 		s := &sums[k.Shard]
 		r := &groupSums{group: k}
-		stays := now.Sub(c.leader.moved[k.ID]) <= moveAgain
+		stays := now.Sub(c.leader.groupMovedAt[k.ID]) <= moveCooldown
 		for _, m := range k.Machines {
 			if m.Gone || m.Returning || (ordinary && m.Spot) {
 				continue
@@ -196,7 +196,7 @@
 				}
 			}
 			r.capacity += cpus
-			if c.edits[m.Index].off() || m.Unhealthy || m.Draining {
+			if c.pendingUpdates[m.Index].blocksPlacement() || m.Unhealthy || m.Draining {
 				f = 0
 			}
 			r.free += f
@@ -207,32 +207,32 @@
 			s.groupCount++
 		}
 		if r.capacity > 0 && !stays {
-			s.roomy = append(s.roomy, r)
+			s.movable = append(s.movable, r)
 		}
 	}
 	for i := range sums {
-		slices.SortFunc(sums[i].roomy, func(a, b *groupSums) int {
+		slices.SortFunc(sums[i].movable, func(a, b *groupSums) int {
 			return cmp.Or(cmp.Compare(b.free, a.free), cmp.Compare(a.group.ID, b.group.ID))
 		})
 	}
-	if kind == idleWork && slices.ContainsFunc(sums, func(s shardSums) bool { return s.firmWaits > s.free }) {
+	if kind == idleWork && slices.ContainsFunc(sums, func(s shardSums) bool { return s.nonIdleWaiting > s.free }) {
 		return
 	}
 	if kind == allWork {
-		if f := c.flooding(now); c.overloaded(f, c.cache.Jobs, c.allRoom(), &c.leader.flooded, now) {
-			mv.floors(sums, f)
+		if f := c.queueLoads(now); c.detectOverload(f, c.cache.Jobs, c.totalCapacity(), &c.leader.overloadActive, now) {
+			mv.addFloors(sums, f)
 		}
 	}
 	// Sums say nothing of where room is: a job bound to one zone waited beside as much in others, one of large tasks
 	// beside many small rests. Such a share is short too, of a rack on which that job fits now.
 	beside := make([]bool, len(sums))
-	if kind != ordinaryWork {
+	if kind != onDemandWork {
 		for i := range sums {
 			beside[i] = sums[i].waiting > 0 && sums[i].waiting <= sums[i].free && mv.waitsBeside(i, idle, now)
 		}
 	}
 	helpless := make([]bool, len(sums)) // no rack helps them
-	for range movesAtOnce {
+	for range maxMovesPerPass {
 		to, from := -1, -1
 		for i := range sums {
 			s := &sums[i]
@@ -248,24 +248,24 @@
 			return
 		}
 		for i := range sums {
-			if s := &sums[i]; i != to && len(s.roomy) > 0 && (from < 0 || s.load(0) < sums[from].load(0)) {
+			if s := &sums[i]; i != to && len(s.movable) > 0 && (from < 0 || s.load(0) < sums[from].load(0)) {
 				from = i
 			}
 		}
 		k := -1
 		if from >= 0 && !beside[to] {
-			k = mv.evens(sums, from, to, kind)
+			k = mv.evensLoad(sums, from, to, kind)
 		}
 		if k < 0 {
-			from, k = mv.lends(sums, to, now)
+			from, k = mv.lendsGroup(sums, to, now)
 		}
 		if k < 0 {
 			helpless[to] = true
 			continue
 		}
 		beside[to] = false
-		r := sums[from].roomy[k]
-		sums[from].roomy = slices.Delete(sums[from].roomy, k, k+1)
+		r := sums[from].movable[k]
+		sums[from].movable = slices.Delete(sums[from].movable, k, k+1)
 		sums[from].groupCount--
 		sums[from].capacity -= r.capacity
 		sums[from].free -= r.free
@@ -275,31 +275,31 @@
 	}
 }
 
-// evens finds the first rack of a share whose move brings its load and another's nearer, -1 if there is none.
-func (mv *mover) evens(sums []shardSums, from, to int, kind workKind) int {
-	return slices.IndexFunc(sums[from].roomy, func(r *groupSums) bool {
+// evensLoad finds the first rack of a share whose move brings its load and another's nearer, -1 if there is none.
+func (mv *rebalancer) evensLoad(sums []shardSums, from, to int, kind workKind) int {
+	return slices.IndexFunc(sums[from].movable, func(r *groupSums) bool {
 		if sums[from].capacity-r.capacity < sums[from].claim {
 			return false // it would lack what its own teams are guaranteed
 		}
-		if kind == idleWork && sums[from].capacity-r.capacity < idleMargin*sums[from].firm {
+		if kind == idleWork && sums[from].capacity-r.capacity < idleMargin*sums[from].nonIdleDemand {
 			return false
 		}
 		return (sums[to].short() || sums[from].load(-r.capacity)*moveMargin < sums[to].load(r.capacity)) && mv.c.someoneFits(to, r.group)
 	})
 }
 
-// lends finds a rack for a share that waits although no move would even out loads. They say little of a share
+// lendsGroup finds a rack for a share that waits although no move would even out loads. They say little of a share
 // that has no rack, or would have none: what runs goes along. Where nothing waits, free room beside it is of use
 // elsewhere: by the sums there was room for all, nothing was rented, and a job waited for ever. So does what
 // waits at a share whose machines are full of work without an end, after a while.
-func (mv *mover) lends(sums []shardSums, to int, now time.Time) (from, k int) {
+func (mv *rebalancer) lendsGroup(sums []shardSums, to int, now time.Time) (from, k int) {
 	mv.stuck[to] = true
-	since, ok := mv.c.leader.stuck[to]
+	since, ok := mv.c.leader.stuckSinceByShard[to]
 	if !ok {
 		since = now
-		mv.c.leader.stuck[to] = now
+		mv.c.leader.stuckSinceByShard[to] = now
 	}
-	patient := now.Sub(since) > stuckFor
+	patient := now.Sub(since) > stuckAfter
 	// Shares with nothing that waits come first; where one waits too, its own work must not fit there.
 	for _, waits := range []bool{false, true} {
 		for i := range sums {
@@ -307,7 +307,7 @@
 			if i == to || s.waiting > 0 != waits || !patient && (waits || s.groupCount > 1 && sums[to].capacity > 0) {
 				continue
 			}
-			if k := slices.IndexFunc(s.roomy, func(r *groupSums) bool {
+			if k := slices.IndexFunc(s.movable, func(r *groupSums) bool {
 				return s.capacity-r.capacity >= s.claim && mv.fitsNow(to, r.group) && !(waits && mv.fitsNow(i, r.group))
 			}); k >= 0 {
 				return i, k
@@ -318,13 +318,13 @@
 }
 
 // waitsBeside tells whether a share has a job that has waited for a while, may run, and fits on none of the share's machines.
-func (mv *mover) waitsBeside(share int, idle map[*storage.Job]bool, now time.Time) bool {
+func (mv *rebalancer) waitsBeside(share int, idle map[*storage.Job]bool, now time.Time) bool {
 	c, looked := mv.c, 0
 	for _, j := range c.cache.Jobs {
-		if j == nil || j.Shard != share || idle[j] || now.Sub(j.At) < besideFor || !c.mayStart(j, now) {
+		if j == nil || j.Shard != share || idle[j] || now.Sub(j.ReadyAt) < waitsBesideAfter || !c.mayStart(j, now) {
 			continue
 		}
-		if looked++; looked > besideJobs {
+		if looked++; looked > maxWaitsBesideJobs {
 			return false // the sums tell enough of so many
 		}
 		if !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return m.Shard == share && mv.fitsOn(j, m) }) {
@@ -335,17 +335,17 @@
 }
 
 // neededOf finds a machine, of those that are drained, on which a job fits that has waited for a while and fits on no other; nil: there is none.
-func (mv *mover) neededOf(drained []*storage.Machine, now time.Time) *storage.Machine {
+func (mv *rebalancer) neededOf(drained []*storage.Machine, now time.Time) *storage.Machine {
 	looked := 0
 	for _, j := range mv.c.cache.Jobs {
-		if j == nil || len(drained) == 0 || now.Sub(j.At) < neededFor || !mv.c.mayStart(j, now) {
+		if j == nil || len(drained) == 0 || now.Sub(j.ReadyAt) < neededFor || !mv.c.mayStart(j, now) {
 			continue
 		}
-		if looked++; looked > besideJobs {
+		if looked++; looked > maxWaitsBesideJobs {
 			break
 		}
 		fits := func(m *storage.Machine) bool { return mv.fitsOn(j, m) }
-		if i := slices.IndexFunc(drained, func(m *storage.Machine) bool { return mv.fitsBeside(j, m) }); i >= 0 && !slices.ContainsFunc(mv.c.cache.Machines, fits) {
+		if i := slices.IndexFunc(drained, func(m *storage.Machine) bool { return mv.fitsBesideTasks(j, m) }); i >= 0 && !slices.ContainsFunc(mv.c.cache.Machines, fits) {
 			return drained[i]
 		}
 	}
@@ -355,15 +355,15 @@
 // neededFor is how long a job must have waited to be given a machine that is drained: others may be about to be up.
 const neededFor = 20 * time.Second
 
-// besideFor is how long a job must have waited to be looked at by itself, and besideJobs how many of a share are.
+// waitsBesideAfter is how long a job must have waited to be looked at by itself, and maxWaitsBesideJobs how many of a share are.
 const (
-	besideFor  = 5 * time.Second
-	besideJobs = 32
+	waitsBesideAfter   = 5 * time.Second
+	maxWaitsBesideJobs = 32
 )
 
 // mayStart tells whether a task of a job waits and its team is under its limit.
 func (c *Controller) mayStart(j *storage.Job, now time.Time) bool {
-	if !j.Open() || c.wanting(j) == 0 || !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
+	if !j.Open() || c.wantedTasks(j) == 0 || !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return false
 	}
 	jv := c.jobStates[j]
@@ -371,28 +371,28 @@
 }
 
 // fitsOn tells whether a task of a job fits on a machine that takes more, now.
-func (mv *mover) fitsOn(j *storage.Job, m *storage.Machine) bool {
-	return !m.Draining && !mv.c.edits[m.Index].off() && mv.fitsBeside(j, m)
+func (mv *rebalancer) fitsOn(j *storage.Job, m *storage.Machine) bool {
+	return !m.Draining && !mv.c.pendingUpdates[m.Index].blocksPlacement() && mv.fitsBesideTasks(j, m)
 }
 
-// fitsBeside tells whether a task of a job fits on a machine, drained or not, beside what runs there and where its other tasks are.
-func (mv *mover) fitsBeside(j *storage.Job, m *storage.Machine) bool {
+// fitsBesideTasks tells whether a task of a job fits on a machine, drained or not, beside what runs there and where its other tasks are.
+func (mv *rebalancer) fitsBesideTasks(j *storage.Job, m *storage.Machine) bool {
 	if m.Gone || m.Returning || m.Unhealthy || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
 		return false
 	}
-	if mv.rooms == nil {
-		mv.rooms = make([]storage.Usage, len(mv.c.cache.Machines))
+	if mv.freeByMachine == nil {
+		mv.freeByMachine = make([]storage.Usage, len(mv.c.cache.Machines))
 		for _, o := range mv.c.cache.Machines {
 			if !o.Gone {
-				mv.rooms[o.Index] = mv.c.restOf(o)
+				mv.freeByMachine[o.Index] = mv.c.freeOn(o)
 			}
 		}
 	}
-	return schedule.Fits(mv.rooms[m.Index], j) > 0
+	return schedule.Fits(mv.freeByMachine[m.Index], j) > 0
 }
 
-// restOf is what is free on a machine by its record.
-func (c *Controller) restOf(m *storage.Machine) storage.Usage {
+// freeOn is what is free on a machine by its record.
+func (c *Controller) freeOn(m *storage.Machine) storage.Usage {
 	ty := &c.cache.Types[m.Type]
 	u := storage.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}
 	for _, p := range m.Tasks {
@@ -409,43 +409,43 @@
 		}
 		return 0
 	}
-	return !(j.OneZone && j.NPlaced > in(zone)) && !(j.Spread && in(zone)+1 > j.ZoneMost())
+	return !(j.OneZone && j.PlacedCount > in(zone)) && !(j.Spread && in(zone)+1 > j.MaxPerZone())
 }
 
-// stuckFor is how long a share must have waited without a move that evens out loads to be lent a rack.
-const stuckFor = 10 * time.Second
+// stuckAfter is how long a share must have waited without a move that evens out loads to be lent a rack.
+const stuckAfter = 10 * time.Second
 
 // A move costs a moment until the worker has found its new owner, so a machine is
 // not moved again at once, nor for a small difference in load.
 const (
-	moveAgain  = 6 * time.Second
-	moveMargin = 1.1
+	moveCooldown = 6 * time.Second
+	moveMargin   = 1.1
 )
 
 // idleMargin is how much more than its own work takes a share keeps before machines
 // move for another share's idle-time work.
 const idleMargin = 1.25
 
-// movesAtOnce bounds how many machines move with one look.
-const movesAtOnce = 6
+// maxMovesPerPass bounds how many machines move with one look.
+const maxMovesPerPass = 6
 
-func (mv *mover) move(k *storage.MachineGroup, to int) {
+func (mv *rebalancer) move(k *storage.MachineGroup, to int) {
 	r := mv.c.cache.GroupRecordOf(k, k.UnsavedCompletions(), nil)
 	r.Shard, r.FencingToken = to, mv.c.nextRevision()
 	key := storage.GroupKey(k.ID)
-	mv.gone[k] = true
+	mv.moved[k] = true
 	raw := storage.EncodeGroup(r, mv.c.cache.Packed())
 	if len(raw) > mv.c.valueLimit() {
 		return // its owner parts it first
 	}
-	mv.c.leader.moved[k.ID] = time.Now()
+	mv.c.leader.groupMovedAt[k.ID] = time.Now()
 	mv.txn.If = append(mv.txn.If, protocol.Condition{Key: key, Version: k.Version})
 	mv.txn.Then = append(mv.txn.Then, protocol.Change{Put: key, Value: raw})
 	mv.c.log.Debug("rack moves", "rack", k.ID, "machines", len(k.Machines), "from", k.Shard, "to", to)
 }
 
 // fitsNow tells whether a waiting task of a share fits beside what runs on one of a rack's machines.
-func (mv *mover) fitsNow(share int, k *storage.MachineGroup) bool {
+func (mv *rebalancer) fitsNow(share int, k *storage.MachineGroup) bool {
 	now := time.Now()
 	return slices.ContainsFunc(mv.c.cache.Jobs, func(j *storage.Job) bool {
 		return j != nil && j.Shard == share && mv.c.mayStart(j, now) &&
@@ -456,7 +456,7 @@
 // someoneFits tells whether a share has waiting work that a rack's machines could run.
 func (c *Controller) someoneFits(share int, k *storage.MachineGroup) bool {
 	for _, j := range c.cache.Jobs {
-		if j == nil || !j.Open() || j.Shard != share || c.wanting(j) == 0 {
+		if j == nil || !j.Open() || j.Shard != share || c.wantedTasks(j) == 0 {
 			continue
 		}
 		for _, m := range k.Machines {
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -14,46 +14,46 @@
 // takes to save it, to place it again, and to fetch its image where it goes.
 
 const (
-	// moveAfter is how long a replica must have been placed before it is moved, and how long
+	// relocateAfter is how long a replica must have been placed before it is moved, and how long
 	// its service is left alone after one of its replicas was: it must serve meanwhile.
-	moveAfter = 40 * time.Second
+	relocateAfter = 40 * time.Second
 	// longFetch is how many seconds an image must take for its fetch to count when a task is moved.
 	longFetch = 8
-	// worthMoving is how many times what its move costs a task must still have to run.
-	worthMoving = 2
-	// stopSeconds is about how long it takes to stop a task and start it elsewhere, saving and fetching aside.
-	stopSeconds = 2
+	// minMoveBenefit is how many times what its move costs a task must still have to run.
+	minMoveBenefit = 2
+	// restartSeconds is about how long it takes to stop a task and start it elsewhere, saving and fetching aside.
+	restartSeconds = 2
 )
 
-// leaves tells whether a task that saves is stopped on a machine that is drained: not if it will have
+// leavesDrained tells whether a task that saves is stopped on a machine that is drained: not if it will have
 // ended about as soon, and not if its job would be late by that. Two hundred and more such stops a
 // day each fetched 6 GB again, and their jobs were late.
-func (c *Controller) leaves(m *storage.Machine, v *workerState, p storage.Placed, now time.Time) bool {
+func (c *Controller) leavesDrained(m *storage.Machine, v *workerState, p storage.PlacedTask, now time.Time) bool {
 	j := p.Job
 	fetch := 0.0
-	if f := c.cache.Types[m.Type].Fetch; f > 0 {
+	if f := c.cache.Types[m.Type].FetchGBs; f > 0 {
 		fetch = j.ImageGB / f
 	}
 	if fetch < longFetch {
 		return true // it is elsewhere at once, and the machine is returned sooner
 	}
-	cost := j.Save + stopSeconds + fetch
-	ran := float64(now.Unix() - p.At)
+	cost := j.CheckpointCost + restartSeconds + fetch
+	ran := float64(now.Unix() - p.PlacedAt)
 	if at, ok := v.started[dispatch.RefOf(p)]; ok {
 		ran = now.Sub(at).Seconds()
 	}
 	left := max(j.Estimate-ran, 0.2*j.Estimate)
-	if left < worthMoving*cost {
+	if left < minMoveBenefit*cost {
 		return false
 	}
-	allow, late := c.aimsLeft(j, now)
-	until := j.At.Add(allow).Sub(now).Seconds()
-	return allow == 0 || late || left > until || left+worthMoving*cost < until
+	allow, late := c.objectiveLeft(j, now)
+	until := j.ReadyAt.Add(allow).Sub(now).Seconds()
+	return allow == 0 || late || left > until || left+minMoveBenefit*cost < until
 }
 
-// moveReplicas decides which replicas leave machines that are drained: one of a service at a time, to
+// relocateReplicas decides which replicas leave machines that are drained: one of a service at a time, to
 // a machine that has its image and room, so that it is back within seconds.
-func (c *Controller) moveReplicas(now time.Time) {
+func (c *Controller) relocateReplicas(now time.Time) {
 	var free map[int32]storage.Usage
 	for _, m := range c.cache.Machines {
 		if m.Gone || !m.Draining || m.Returning || !c.ownsShard(m.Shard) {
@@ -61,17 +61,17 @@
 		}
 		for _, p := range m.Tasks {
 			j := p.Job
-			if j.Shape != protocol.Service || !j.Open() || j.Waiting() > 0 || now.Unix()-p.At < int64(moveAfter.Seconds()) {
+			if j.Shape != protocol.Service || !j.Open() || j.Waiting() > 0 || now.Unix()-p.PlacedAt < int64(relocateAfter.Seconds()) {
 				continue
 			}
 			jv := c.jobState(j)
-			if now.Sub(jv.relocatedAt) < moveAfter {
+			if now.Sub(jv.relocatedAt) < relocateAfter {
 				continue
 			}
 			if free == nil {
-				free = c.freeRoom(now)
+				free = c.freeCapacity(now)
 			}
-			to := c.goesTo(j, m, free)
+			to := c.relocationTarget(j, m, free)
 			if to == nil {
 				continue
 			}
@@ -85,21 +85,21 @@
 	}
 }
 
-// freeRoom is what is free on the machines that this node may place tasks on.
-func (c *Controller) freeRoom(now time.Time) map[int32]storage.Usage {
+// freeCapacity is what is free on the machines that this node may place tasks on.
+func (c *Controller) freeCapacity(now time.Time) map[int32]storage.Usage {
 	free := map[int32]storage.Usage{}
-	held := c.heldRoom()
+	held := c.reservedCapacity()
 	for _, m := range c.cache.Machines {
 		if m.Gone || !c.ownsShard(m.Shard) || len(held[m.Name]) > 0 || !c.usable(m, c.workerState(m), now) {
 			continue
 		}
-		free[m.Index] = c.restOf(m)
+		free[m.Index] = c.freeOn(m)
 	}
 	return free
 }
 
-// goesTo finds a machine with room for a replica that has its image, nil if there is none.
-func (c *Controller) goesTo(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
+// relocationTarget finds a machine with room for a replica that has its image, nil if there is none.
+func (c *Controller) relocationTarget(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
 	for _, m := range c.cache.Machines {
 		u, ok := free[m.Index]
 		if !ok || !schedule.Allowed(j, m) || schedule.Fits(u, j) == 0 || !slices.Contains(c.workerState(m).images, j.Image) {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -29,7 +29,7 @@
 
 func (c *Controller) publish(now time.Time) {
 	p := protocol.PeerHeartbeat{StateOK: !c.isolatedFromStore(now) && c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < 3*time.Second, Revision: c.cache.Revision,
-		ChangeRateMilli: uint32(1000 * c.pace)}
+		ChangeRateMilli: uint32(1000 * c.changeRate)}
 	for s := range c.ownedShards {
 		if c.ownedShards[s] > 0 && s < 64 {
 			p.OwnedShards |= 1 << s
@@ -41,16 +41,16 @@
 	c.summary.incarnation.Store(c.incarnation)
 	var needs []protocol.ShardDemand
 	for j, jv := range c.jobStates {
-		if j.Open() && j.Priority.Top() && !jv.shortSince.IsZero() && c.wanting(j) > 0 && len(needs) < 16 {
-			needs = append(needs, protocol.ShardDemand{Shard: uint32(j.Shard), OnDemand: !j.Spot, Cpus: float64(c.wanting(j)) * j.Size})
+		if j.Open() && j.Priority.Top() && !jv.shortSince.IsZero() && c.wantedTasks(j) > 0 && len(needs) < 16 {
+			needs = append(needs, protocol.ShardDemand{Shard: uint32(j.Shard), OnDemand: !j.Spot, Cpus: float64(c.wantedTasks(j)) * j.Size})
 		}
 	}
 	c.summary.shardDemands.Store(&needs)
 }
 
-// othersChanges is how many changes a second the other living nodes make, below 0 if
+// othersChangeRate is how many changes a second the other living nodes make, below 0 if
 // one of them is not heard: it may make as many as it likes.
-func (c *Controller) othersChanges(now time.Time) float64 {
+func (c *Controller) othersChangeRate(now time.Time) float64 {
 	sum := 0.0
 	for name := range c.cache.Members {
 		if name == c.cfg.MemberName {
@@ -103,7 +103,7 @@
 func (c *Controller) ReceiveShardDemands(string, protocol.ShardDemands) {
 	c.post(func() {
 		if now := time.Now(); c.loaded && c.isLeader() && now.Sub(c.leader.movedAt) >= c.timing.RebalanceInterval/2 {
-			c.moveRoom(context.Background(), now)
+			c.rebalance(context.Background(), now)
 		}
 	})
 }
--- a/internal/coordination/pipelines.go
+++ b/internal/coordination/pipelines.go
@@ -14,22 +14,22 @@
 	stepMargin = 1.4
 )
 
-// inherit keeps up what jobs inherit from those that need them, and looks at those that
+// inheritDeadlines keeps up what jobs inherit from those that need them, and looks at those that
 // became ready.
-func (c *Controller) inherit() {
-	c.cache.Inherit(c.aims, c.length)
-	for _, j := range c.cache.Readied() {
+func (c *Controller) inheritDeadlines() {
+	c.cache.Inherit(c.finishTimes, c.expectedDuration)
+	for _, j := range c.cache.NewlyReady() {
 		if j.Open() {
 			c.metrics.readyJobs.Inc()
-			c.log.Debug("job is ready", "job", j.ID, "after", j.At.Sub(j.Submitted).Seconds(), "priority", j.Priority.String())
+			c.log.Debug("job is ready", "job", j.ID, "after", j.ReadyAt.Sub(j.Submitted).Seconds(), "priority", j.Priority.String())
 		}
 	}
 }
 
-// aims is when a job should be over by its own deadline, and by the latest of those that
+// finishTimes is when a job should be over by its own deadline, and by the latest of those that
 // count it as nearly in time.
-func (c *Controller) aims(j *storage.Job) (by, late time.Time) {
-	if j.Due <= 0 {
+func (c *Controller) finishTimes(j *storage.Job) (by, late time.Time) {
+	if j.Deadline <= 0 {
 		return by, late
 	}
 	times := 1.0
@@ -39,10 +39,10 @@
 			times = max(times, o.Times)
 		}
 	}
-	return j.Submitted.Add(j.Due), j.Submitted.Add(time.Duration(float64(j.Due) * times))
+	return j.Submitted.Add(j.Deadline), j.Submitted.Add(time.Duration(float64(j.Deadline) * times))
 }
 
-// length is how long a job will take once it is ready, as a guess.
-func (c *Controller) length(j *storage.Job) time.Duration {
+// expectedDuration is how long a job will take once it is ready, as a guess.
+func (c *Controller) expectedDuration(j *storage.Job) time.Duration {
 	return stepGap + time.Duration(stepMargin*j.Estimate*float64(time.Second))
 }
--- a/internal/coordination/provision/limits_test.go
+++ b/internal/coordination/provision/limits_test.go
@@ -7,7 +7,7 @@
 func TestKeepToLimits(t *testing.T) {
 	const horizon = 0.5
 	demand := func(team, tasks int, work, within float64) Demand {
-		return Demand{Team: team, Tasks: tasks, Work: work, Within: within, Cpus: 2}
+		return Demand{Team: team, Tasks: tasks, Work: work, WithinS: within, Cpus: 2}
 	}
 	for _, x := range []struct {
 		name    string
@@ -21,9 +21,9 @@
 		{"the more urgent has its room", []Demand{demand(0, 50, 1000, 90), demand(0, 3, 1000, 10)}, Limit{Cpus: 10}, []int{2, 3}},
 		{"nothing is left", []Demand{demand(0, 50, 1000, 90), demand(0, 9, 1000, 10)}, Limit{Cpus: 10}, []int{0, 5}},
 		{"teams have their own", []Demand{demand(0, 50, 1000, 10), demand(1, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5, 5}},
-		{"accelerators bind", []Demand{{Team: 0, Tasks: 50, Work: 1000, Within: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
+		{"accelerators bind", []Demand{{Team: 0, Tasks: 50, Work: 1000, WithinS: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
 	} {
-		KeepToLimits(x.demands, horizon, func(int) Limit { return x.limit })
+		CapToLimits(x.demands, horizon, func(int) Limit { return x.limit })
 		for i, d := range x.demands {
 			if d.Tasks != x.want[i] {
 				t.Errorf("%s: demand %d asks for %d tasks, want %d", x.name, i, d.Tasks, x.want[i])
--- a/internal/coordination/provision/provision.go
+++ b/internal/coordination/provision/provision.go
@@ -20,7 +20,7 @@
 	Cpus, Gpus, Mem float64
 	Price           float64
 	Boot            float64
-	Have            int
+	Owned           int
 	Blocked         bool // refused or partly filled a short while ago
 }
 
@@ -34,7 +34,7 @@
 	Cpus, Gpus, Mem float64 // of one task
 	Tasks           int     // waiting and placed
 	Work            float64 // task-seconds still to run
-	Within          float64 // seconds in which it should be through; 0: no hurry
+	WithinS         float64 // seconds in which it should be through; 0: no hurry
 }
 
 // NoTeam is the team of demands that no limit bounds.
@@ -43,9 +43,9 @@
 // Limit is what a team may use at a time; 0: any.
 type Limit struct{ Cpus, Gpus float64 }
 
-// KeepToLimits lowers the tasks of demands that together want more than their team's limit lets run. The most urgent ones
+// CapToLimits lowers the tasks of demands that together want more than their team's limit lets run. The most urgent ones
 // keep theirs. Where a team's demands want less, nothing changes: the work that waits behind a limit still tells how soon what may run is needed.
-func KeepToLimits(demands []Demand, horizon float64, limit func(team int) Limit) {
+func CapToLimits(demands []Demand, horizon float64, limit func(team int) Limit) {
 	byTeam := map[int][]*Demand{}
 	for i := range demands {
 		if d := &demands[i]; d.Team != NoTeam {
@@ -53,11 +53,11 @@
 		}
 	}
 	for team, list := range byTeam {
-		slices.SortStableFunc(list, func(a, b *Demand) int { return cmp.Compare(a.Within, b.Within) })
+		slices.SortStableFunc(list, func(a, b *Demand) int { return cmp.Compare(a.WithinS, b.WithinS) })
 		left := limit(team)
 		for _, d := range list {
-			left.Cpus = d.keepTo(left.Cpus, d.Cpus, horizon)
-			left.Gpus = d.keepTo(left.Gpus, d.Gpus, horizon)
+			left.Cpus = d.capTo(left.Cpus, d.Cpus, horizon)
+			left.Gpus = d.capTo(left.Gpus, d.Gpus, horizon)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 // allTaken is what is left of a limit once it is used up; 0 would be no limit.
 const allTaken = 1e-9
 
-// keepTo lowers a demand's tasks to what is left of a limit, and returns what is left beside them.
-func (d *Demand) keepTo(left, each, horizon float64) float64 {
+// capTo lowers a demand's tasks to what is left of a limit, and returns what is left beside them.
+func (d *Demand) capTo(left, each, horizon float64) float64 {
 	if left <= 0 || each <= 0 {
 		return left
 	}
@@ -93,8 +93,8 @@
 // wanted is how many tasks should run at once for the work to be through in time.
 func (d *Demand) wanted(horizon float64) float64 {
 	n := float64(d.Tasks)
-	if d.Within > 0 && horizon > 0 {
-		n = min(n, math.Ceil(d.Work/(horizon*d.Within)))
+	if d.WithinS > 0 && horizon > 0 {
+		n = min(n, math.Ceil(d.Work/(horizon*d.WithinS)))
 	}
 	return n
 }
@@ -110,23 +110,23 @@
 	return max(n, 0)
 }
 
-// Rent is a wish for machines of a pool.
-type Rent struct {
+// ScaleOut is a wish for machines of a pool.
+type ScaleOut struct {
 	Pool
 	Count int
 }
 
 // Plan is what should be there beyond what is, and what is not needed.
 type Plan struct {
-	Rents []Rent
+	ScaleOuts []ScaleOut
 	// Urgent is how many machines are rented for more than idle-time work.
 	Urgent int
-	// Spare is how many whole machines of each pool are not needed.
-	Spare map[Pool]float64
+	// Surplus is how many whole machines of each pool are not needed.
+	Surplus map[Pool]float64
 }
 
-// used is the free part of a machine below which nothing is left of it.
-const used = 1e-9
+// targetUtilization is the free part of a machine below which nothing is left of it.
+const targetUtilization = 1e-9
 
 // rank puts the demands that may run on the fewest kinds of machine first.
 func (d *Demand) rank() int {
@@ -159,12 +159,12 @@
 	for i := range left {
 		left[i] = 1
 	}
-	plan := Plan{Spare: map[Pool]float64{}}
+	plan := Plan{Surplus: map[Pool]float64{}}
 	rented := map[Pool]float64{} // free part of what is being rented, summed
 	counts := map[Pool]int{}
 	offers = slices.Clone(offers)
 	slices.SortStableFunc(offers, func(a, b Offer) int {
-		return cmp.Or(cmp.Compare(a.Price/a.Cpus, b.Price/b.Cpus), cmp.Compare(a.Have, b.Have))
+		return cmp.Or(cmp.Compare(a.Price/a.Cpus, b.Price/b.Cpus), cmp.Compare(a.Owned, b.Owned))
 	})
 	// cheap machines first, so that what is spare is dear
 	var order [2][]int // spot machines, and ordinary ones
@@ -185,7 +185,7 @@
 			}
 			// Each kind of work begins with the first machine that still has something free:
 			// otherwise thousands of them look at all machines that those before have filled.
-			for len(order[k]) > 0 && left[order[k][0]] <= used {
+			for len(order[k]) > 0 && left[order[k][0]] <= targetUtilization {
 				order[k] = order[k][1:]
 			}
 			for _, i := range order[k] {
@@ -193,7 +193,7 @@
 				if need <= 0 {
 					break
 				}
-				if left[i] <= used || !d.Fits(m.Pool, m.Cpus, m.Gpus, m.Mem) {
+				if left[i] <= targetUtilization || !d.Fits(m.Pool, m.Cpus, m.Gpus, m.Mem) {
 					continue
 				}
 				per := d.perMachine(m.Cpus, m.Gpus, m.Mem)
@@ -213,7 +213,7 @@
 					continue
 				}
 				if best < 0 || o.Price/o.Cpus < 0.99*offers[best].Price/offers[best].Cpus ||
-					(o.Price/o.Cpus <= offers[best].Price/offers[best].Cpus && o.Have < offers[best].Have) {
+					(o.Price/o.Cpus <= offers[best].Price/offers[best].Cpus && o.Owned < offers[best].Owned) {
 					best = i
 				}
 			}
@@ -227,7 +227,7 @@
 				if !d.Idle {
 					plan.Urgent++
 				}
-				o.Have++
+				o.Owned++
 				rented[o.Pool] = 1
 			}
 			n := min(need, per*rented[o.Pool])
@@ -237,20 +237,20 @@
 	}
 	for i, m := range machines {
 		if m.Usable {
-			plan.Spare[m.Pool] += left[i]
+			plan.Surplus[m.Pool] += left[i]
 		}
 	}
 	for _, o := range offers {
 		if n := counts[o.Pool]; n > 0 {
-			plan.Rents = append(plan.Rents, Rent{o.Pool, n})
+			plan.ScaleOuts = append(plan.ScaleOuts, ScaleOut{o.Pool, n})
 		}
 	}
 	return plan
 }
 
-// KeepIdle is how long an idle machine is kept: long where booting another
+// IdleRetention is how long an idle machine is kept: long where booting another
 // would take a good part of the time that jobs have, short where it would not.
-func KeepIdle(boot, tightest float64) time.Duration {
+func IdleRetention(boot, tightest float64) time.Duration {
 	if boot <= 0 {
 		boot = 30
 	}
--- a/internal/coordination/provision/provision_test.go
+++ b/internal/coordination/provision/provision_test.go
@@ -13,7 +13,7 @@
 	offers := []Offer{offer(spotA, 0.3, false), offer(spotB, 0.3, false), offer(ordA, 1, false)}
 	machine := func(p Pool, usable bool) Machine { return Machine{Pool: p, Cpus: 16, Mem: 64, Usable: usable} }
 	work := func(tasks int, spot bool) Demand {
-		return Demand{Spot: spot, Zone: -1, Cpus: 4, Mem: 4, Tasks: tasks, Work: float64(tasks) * 10, Within: 10}
+		return Demand{Spot: spot, Zone: -1, Cpus: 4, Mem: 4, Tasks: tasks, Work: float64(tasks) * 10, WithinS: 10}
 	}
 	idle := func(tasks int) Demand {
 		d := work(tasks, true)
@@ -43,13 +43,13 @@
 			[]Offer{offer(spotA, 0.3, true), offer(ordA, 1, false)}, map[Pool]int{}, map[Pool]float64{ordA: 1}},
 		{"idle-time work takes what others leave", []Demand{idle(8), work(4, true)}, []Machine{machine(spotA, true)}, offers,
 			map[Pool]int{spotA: 1, spotB: 1}, nil},
-		{"too large for any machine", []Demand{{Spot: true, Zone: -1, Cpus: 32, Tasks: 1, Work: 10, Within: 10}}, nil, offers, map[Pool]int{}, nil},
+		{"too large for any machine", []Demand{{Spot: true, Zone: -1, Cpus: 32, Tasks: 1, Work: 10, WithinS: 10}}, nil, offers, map[Pool]int{}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := Decide(c.demands, c.machines, c.offers, 0.3)
 			got := map[Pool]int{}
-			for _, r := range p.Rents {
+			for _, r := range p.ScaleOuts {
 				got[r.Pool] += r.Count
 			}
 			if len(got) != len(c.want) {
@@ -61,8 +61,8 @@
 				}
 			}
 			for k, n := range c.spare {
-				if p.Spare[k] != n {
-					t.Fatalf("spare %v, want %v", p.Spare, c.spare)
+				if p.Surplus[k] != n {
+					t.Fatalf("spare %v, want %v", p.Surplus, c.spare)
 				}
 			}
 		})
@@ -78,7 +78,7 @@
 			}
 			var ds []Demand
 			for i := range n.kinds {
-				ds = append(ds, Demand{Spot: i%4 > 0, Zone: -1, Cpus: 2 + float64(i%97)/40, Mem: 8, Within: 50, Work: 1200, Tasks: 40})
+				ds = append(ds, Demand{Spot: i%4 > 0, Zone: -1, Cpus: 2 + float64(i%97)/40, Mem: 8, WithinS: 50, Work: 1200, Tasks: 40})
 			}
 			offers := []Offer{{Pool: Pool{Spot: true}, Cpus: 16, Mem: 64, Price: 0.2, Boot: 30, Blocked: true}, {Cpus: 16, Mem: 64, Price: 0.8, Boot: 30, Blocked: true}}
 			b.ReportAllocs()
--- a/internal/coordination/replica.go
+++ b/internal/coordination/replica.go
@@ -32,7 +32,7 @@
 			rev, err = c.load(ctx)
 		}
 		c.post(func() {
-			c.unread = err != nil && !c.loaded
+			c.loadFailed = err != nil && !c.loaded
 			if err == nil || errors.Is(err, storage.ErrLayout) {
 				c.foreignLayout = err != nil
 			}
@@ -105,7 +105,7 @@
 		after = p.Items[len(p.Items)-1].Key
 	}
 	err := c.call(ctx, func() {
-		if err := c.cache.Drop(seen, first); err != nil {
+		if err := c.cache.DropUnseen(seen, first); err != nil {
 			c.log.Error("stale record", "err", err)
 		}
 		c.cache.Sweep()
@@ -164,20 +164,20 @@
 	now := time.Now()
 	c.storeFailingSince, c.storeServedAt, c.cacheCurrentAt = time.Time{}, now, latest(c.cacheCurrentAt, sent)
 	c.dropReadCancellations()
-	keep := c.waiters[:0]
-	for _, w := range c.waiters {
+	keep := c.revisionWaiters[:0]
+	for _, w := range c.revisionWaiters {
 		if w.rev <= c.cache.Revision {
 			close(w.ch)
 		} else {
 			keep = append(keep, w)
 		}
 	}
-	c.waiters = keep
+	c.revisionWaiters = keep
 	if len(ev.Events) > 0 {
 		c.changed()
 	}
-	if c.viewing != nil {
-		c.viewing.asOf = latest(c.viewing.asOf, sent)
+	if c.readModel != nil {
+		c.readModel.asOf = latest(c.readModel.asOf, sent)
 		c.showView(now, false)
 	}
 }
@@ -193,11 +193,11 @@
 	}
 	c.noteLeadershipChange()
 	c.recordOwnershipChanges(now)
-	c.takeSettings()
-	c.lower(nil)
-	c.noteEvictions()
-	c.inherit()
-	machines, jobs := c.cache.Changed()
+	c.applySettings()
+	c.noteTooLarge(nil)
+	c.recordPreemptions()
+	c.inheritDeadlines()
+	machines, jobs := c.cache.TakeChanged()
 	for s := range c.ownedShards {
 		v := uint64(0)
 		if c.ownsShard(s) {
@@ -221,7 +221,7 @@
 		c.terminateJob(j)
 	}
 	c.contactWorkers()
-	c.kick()
+	c.requestCycle()
 }
 
 // takeOverShard begins or ends this node's ownership of a share.
@@ -265,7 +265,7 @@
 	}
 	v.Settle(m)
 	for ref := range v.started {
-		if ref.Job.Machine[ref.Task] != m.Index || ref.Job.Attempt[ref.Task] != ref.Attempt {
+		if ref.Job.MachineOf[ref.Task] != m.Index || ref.Job.AttemptOf[ref.Task] != ref.Attempt {
 			delete(v.started, ref)
 		}
 	}
@@ -286,7 +286,7 @@
 // Barrier waits until the cache holds everything that had been committed when
 // it was called. One read of the revision serves all that wait at a time.
 func (c *Controller) Barrier(ctx context.Context) error {
-	b := &c.barriers
+	b := &c.readBarrier
 	b.mu.Lock()
 	if b.next == nil {
 		b.next = &barrierRun{ch: make(chan struct{})}
@@ -310,7 +310,7 @@
 const barrierGap = 80 * time.Millisecond
 
 func (c *Controller) runBarriers() {
-	b := &c.barriers
+	b := &c.readBarrier
 	for {
 		b.mu.Lock()
 		run := b.next
@@ -334,12 +334,12 @@
 	if err != nil {
 		return err
 	}
-	w := revWaiter{rev, make(chan struct{})}
+	w := revisionWaiter{rev, make(chan struct{})}
 	err = c.call(ctx, func() {
 		if c.cache.Revision >= rev && c.loaded {
 			close(w.ch)
-		} else if len(c.waiters) < 1000 {
-			c.waiters = append(c.waiters, w)
+		} else if len(c.revisionWaiters) < 1000 {
+			c.revisionWaiters = append(c.revisionWaiters, w)
 		}
 	})
 	if err != nil {
--- a/internal/coordination/schedule/evict.go
+++ b/internal/coordination/schedule/evict.go
@@ -20,42 +20,42 @@
 // Candidate is best-effort work that may be evicted: one task of an array, or
 // a whole service.
 type Candidate struct {
-	Victims []Victim
-	V       float64   // task-seconds that would be lost: run since start or last checkpoint
-	W       float64   // seconds waited before it last started
-	At      time.Time // the job's submission; on ties the younger goes first
-	Score   float64
-	// Top says that it is top-priority work, which only a guarantee may evict.
-	Top bool
+	Victims     []Victim
+	Lost        float64   // task-seconds that would be lost: run since start or last checkpoint
+	Waited      float64   // seconds waited before it last started
+	SubmittedAt time.Time // the job's submission; on ties the younger goes first
+	Score       float64
+	// TopPriority says that it is top-priority work, which only a guarantee may evict.
+	TopPriority bool
 }
 
 // Score ranks a candidate as in the paper's equation (2): low goes first.
 func Score(alpha, v, w float64) float64 { return alpha*v + (1-alpha)*w }
 
-// Order scores candidates and sorts them in rising score, the younger first on ties.
+// RankCandidates scores candidates and sorts them in rising score, the younger first on ties.
 // Top-priority work comes after all best-effort work: steps of pipelines that had just
 // started had the least to lose, and were evicted for guarantees again and again.
-func Order(alpha float64, cands []Candidate) {
+func RankCandidates(alpha float64, cands []Candidate) {
 	for i := range cands {
-		cands[i].Score = Score(alpha, cands[i].V, cands[i].W)
+		cands[i].Score = Score(alpha, cands[i].Lost, cands[i].Waited)
 	}
 	slices.SortStableFunc(cands, func(a, b Candidate) int {
 		switch {
-		case a.Top && !b.Top:
+		case a.TopPriority && !b.TopPriority:
 			return 1
-		case b.Top && !a.Top:
+		case b.TopPriority && !a.TopPriority:
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.Score, b.Score), b.At.Compare(a.At))
+		return cmp.Or(cmp.Compare(a.Score, b.Score), b.SubmittedAt.Compare(a.SubmittedAt))
 	})
 }
 
-// Evict takes candidates in rising score until n tasks of the job fit on the
+// Preempt takes candidates in rising score until n tasks of the job fit on the
 // slots, then drops evictions that turned out unneeded. It returns nil when all
 // of them would not make room for a single task more than fits now; when they
 // make room for fewer than n, it takes what they make (the job waits for the rest).
-func Evict(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
-	r := newRoom(j, slots)
+func Preempt(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+	r := newFreeCapacity(j, slots)
 	before := r.tasks()
 	for _, c := range ordered {
 		r.release(c, 1)
@@ -95,42 +95,42 @@
 	return keep
 }
 
-// room counts how many tasks of a job free room takes; each change costs what it
+// freeCapacity counts how many tasks of a job free room takes; each change costs what it
 // changes, not a look at all slots.
-type room struct {
+type freeCapacity struct {
 	job   *storage.Job
 	free  map[*Slot]storage.Usage // of the slots that the job may use
 	zones []int                   // tasks that fit, by zone
 }
 
-func newRoom(j *storage.Job, slots []*Slot) *room {
-	r := &room{job: j, free: make(map[*Slot]storage.Usage, len(slots))}
+func newFreeCapacity(j *storage.Job, slots []*Slot) *freeCapacity {
+	r := &freeCapacity{job: j, free: make(map[*Slot]storage.Usage, len(slots))}
 	for _, s := range slots {
-		if !Allowed(j, s.M) {
+		if !Allowed(j, s.Machine) {
 			continue
 		}
-		for len(r.zones) <= s.M.Zone {
+		for len(r.zones) <= s.Machine.Zone {
 			r.zones = append(r.zones, 0)
 		}
 		f := FreeFor(s, j)
 		r.free[s] = f
-		r.zones[s.M.Zone] += Fits(f, j)
+		r.zones[s.Machine.Zone] += Fits(f, j)
 	}
 	return r
 }
 
-func (r *room) touches(c Candidate) bool {
+func (r *freeCapacity) touches(c Candidate) bool {
 	return slices.ContainsFunc(c.Victims, func(v Victim) bool { _, ok := r.free[v.Slot]; return ok })
 }
 
 // release gives back what a candidate takes, or takes it again with a sign of -1.
-func (r *room) release(c Candidate, sign float64) {
+func (r *freeCapacity) release(c Candidate, sign float64) {
 	for _, v := range c.Victims {
 		f, ok := r.free[v.Slot]
 		if !ok {
 			continue
 		}
-		z := v.Slot.M.Zone
+		z := v.Slot.Machine.Zone
 		r.zones[z] -= Fits(f, r.job)
 		f.Add(v.Job, sign)
 		r.free[v.Slot] = f
@@ -139,7 +139,7 @@
 }
 
 // tasks is how many tasks of the job the free room takes, its zones considered.
-func (r *room) tasks() int {
+func (r *freeCapacity) tasks() int {
 	j := r.job
 	total := 0
 	for z, n := range r.zones {
@@ -148,13 +148,13 @@
 			have = int(j.ByZone[z])
 		}
 		switch {
-		case j.OneZone && j.NPlaced > 0 && have == 0:
+		case j.OneZone && j.PlacedCount > 0 && have == 0:
 			continue
 		case j.OneZone:
 			total = max(total, n)
 			continue
 		case j.Spread:
-			n = min(n, max(0, j.ZoneMost()-have))
+			n = min(n, max(0, j.MaxPerZone()-have))
 		}
 		total += n
 	}
--- a/internal/coordination/schedule/find.go
+++ b/internal/coordination/schedule/find.go
@@ -34,19 +34,19 @@
 // search is what the finders of a pass share.
 type search struct {
 	in      *Input
-	changes []uint32 // by slot: how often it was changed in this pass
-	full    noRoom   // what found no room at all
-	closed  *closed  // once no more records may be rewritten
+	changes []uint32  // by slot: how often it was changed in this pass
+	full    exhausted // what found no room at all
+	closed  *closed   // once no more records may be rewritten
 	scans   int
 }
 
 // closed is what is left of a pass when no more records may be rewritten: tasks may go
 // only to machines whose records are rewritten anyway. The others do not change any more.
 type closed struct {
-	open []int32 // slots whose records are rewritten
-	full noRoom  // what found no room on those
-	rest []kind  // what the others have free
-	kept []int32 // of the others, those with room kept for certain jobs
+	open []int32   // slots whose records are rewritten
+	full exhausted // what found no room on those
+	rest []kind    // what the others have free
+	kept []int32   // of the others, those with room kept for certain jobs
 }
 
 // kind is machines that are alike to a job, with the largest free rooms that they have.
@@ -56,10 +56,10 @@
 }
 
 func newSearch(in *Input) *search {
-	s := &search{in: in, changes: make([]uint32, len(in.Slots)), full: noRoom{in: in, held: map[*storage.Job]bool{}}}
+	s := &search{in: in, changes: make([]uint32, len(in.Slots)), full: exhausted{in: in, held: map[*storage.Job]bool{}}}
 	for i, x := range in.Slots {
 		x.at = int32(i)
-		for _, h := range x.Held {
+		for _, h := range x.Reservations {
 			s.full.held[h.Job] = true
 		}
 	}
@@ -72,7 +72,7 @@
 
 // close looks once at which records are being rewritten.
 func (s *search) close() *closed {
-	c := &closed{full: noRoom{in: s.in, held: s.full.held}}
+	c := &closed{full: exhausted{in: s.in, held: s.full.held}}
 	type alike struct {
 		ty, zone int
 		spot     bool
@@ -80,21 +80,21 @@
 	at := map[alike]int{}
 	for i, x := range s.in.Slots {
 		switch {
-		case x.Record.Room <= 0:
+		case x.Record.Free <= 0:
 			continue
 		case x.Record.Touched:
 			c.open = append(c.open, int32(i))
 			continue
-		case len(x.Held) > 0:
+		case len(x.Reservations) > 0:
 			c.kept = append(c.kept, int32(i))
 			continue
 		}
-		a := alike{x.M.Type, x.M.Zone, x.M.Spot}
+		a := alike{x.Machine.Type, x.Machine.Zone, x.Machine.Spot}
 		k, ok := at[a]
 		if !ok {
 			k = len(c.rest)
 			at[a] = k
-			c.rest = append(c.rest, kind{m: x.M})
+			c.rest = append(c.rest, kind{m: x.Machine})
 		}
 		free := c.rest[k].free
 		if slices.ContainsFunc(free, func(f storage.Usage) bool { return within(x.Free, f) }) {
@@ -110,7 +110,7 @@
 func (s *search) elsewhere(j *storage.Job) bool {
 	for i := range s.closed.rest {
 		k := &s.closed.rest[i]
-		if Allowed(j, k.m) && (k.m.Spot || !s.in.kept(j)) && slices.ContainsFunc(k.free, func(f storage.Usage) bool { return takes(f, j) }) {
+		if Allowed(j, k.m) && (k.m.Spot || !s.in.leavesOnDemand(j)) && slices.ContainsFunc(k.free, func(f storage.Usage) bool { return takes(f, j) }) {
 			return true
 		}
 	}
@@ -124,7 +124,7 @@
 
 // suits tells whether a slot takes one more task of a job, its zones and records aside.
 func suits(in *Input, s *Slot, j *storage.Job) bool {
-	return takes(s.Free, j) && Allowed(j, s.M) && (s.M.Spot || !in.kept(j)) && (len(s.Held) == 0 || Fits(FreeFor(s, j), j) > 0)
+	return takes(s.Free, j) && Allowed(j, s.Machine) && (s.Machine.Spot || !in.leavesOnDemand(j)) && (len(s.Reservations) == 0 || Fits(FreeFor(s, j), j) > 0)
 }
 
 // next finds the best slot for a job's next task. With none, bounded tells whether there is
@@ -144,7 +144,7 @@
 	for len(f.heap) > 0 {
 		o := f.heap[0]
 		x := s.in.Slots[o.slot]
-		if o.since == s.changes[o.slot] && x.Record.Room > 0 {
+		if o.since == s.changes[o.slot] && x.Record.Free > 0 {
 			if x.Record.Touched || s.in.Records > 0 {
 				return x, false
 			}
@@ -169,7 +169,7 @@
 	if s.in.Records > 0 {
 		s.scans++
 		for i, x := range s.in.Slots {
-			if suits(s.in, x, j) && x.Record.Room > 0 {
+			if suits(s.in, x, j) && x.Record.Free > 0 {
 				f.heap = append(f.heap, option{cost(s.in, x, j), int32(i), s.changes[i]})
 			}
 		}
@@ -180,7 +180,7 @@
 		f.bounded = s.elsewhere(j)
 		if !s.closed.full.covers(j) {
 			for _, i := range s.closed.open {
-				if x := s.in.Slots[i]; suits(s.in, x, j) && x.Record.Room > 0 {
+				if x := s.in.Slots[i]; suits(s.in, x, j) && x.Record.Free > 0 {
 					f.heap = append(f.heap, option{cost(s.in, x, j), i, s.changes[i]})
 				}
 			}
@@ -196,7 +196,7 @@
 	i := x.at
 	s.changes[i]++
 	for _, q := range live {
-		if f := &q.find; f.job != nil && suits(s.in, x, f.job) && x.Record.Room > 0 {
+		if f := &q.find; f.job != nil && suits(s.in, x, f.job) && x.Record.Free > 0 {
 			f.push(option{cost(s.in, x, f.job), i, s.changes[i]})
 		}
 	}
@@ -242,11 +242,11 @@
 	j := c.job
 	bestCost := math.Inf(1)
 	for _, s := range in.Slots {
-		if !suits(in, s, j) || ((j.OneZone || j.Spread) && !zoneAllows(in, c, s.M.Zone)) {
+		if !suits(in, s, j) || ((j.OneZone || j.Spread) && !zoneAllows(in, c, s.Machine.Zone)) {
 			continue
 		}
-		if (!s.Record.Touched && in.Records <= 0) || s.Record.Room <= 0 {
-			bounded = bounded || s.Record.Room > 0
+		if (!s.Record.Touched && in.Records <= 0) || s.Record.Free <= 0 {
+			bounded = bounded || s.Record.Free > 0
 			continue
 		}
 		if cost := cost(in, s, j) + together(c, s); cost < bestCost {
--- a/internal/coordination/schedule/find_test.go
+++ b/internal/coordination/schedule/find_test.go
@@ -19,7 +19,7 @@
 	short = map[string]int{}
 	live := queues(in)
 	for len(live) > 0 && len(placed) < in.Tasks {
-		best := foremost(in, live, make([]int, len(in.Teams)))
+		best := nextQueue(in, live, make([]int, len(in.Teams)))
 		q := live[best]
 		c := q.jobs[0]
 		var slot *Slot
@@ -31,7 +31,7 @@
 		switch {
 		case slot != nil:
 			take(in, c, slot)
-			placed = append(placed, fmt.Sprintf("%s/%d on %s", c.job.ID, c.next, slot.M.Name))
+			placed = append(placed, fmt.Sprintf("%s/%d on %s", c.job.ID, c.next, slot.Machine.Name))
 			c.left--
 			c.next = c.job.NextWaiting(c.next + 1)
 		case bounded:
@@ -59,7 +59,7 @@
 		at++
 		return int(bits[at%len(bits)]+uint16(at*7)) % n
 	}
-	in := &Input{Now: time.Unix(2000, 0), Records: draw(4), Tasks: 1 + draw(40), Ordinary: float64(draw(3))}
+	in := &Input{Now: time.Unix(2000, 0), Records: draw(4), Tasks: 1 + draw(40), OnDemandWeight: float64(draw(3))}
 	for range 1 + draw(3) {
 		in.Teams = append(in.Teams, config.Team{Cpus: float64(draw(3) * 8), CpusMax: float64(draw(2) * 40)})
 		in.Used = append(in.Used, storage.Usage{Cpus: float64(draw(12))})
@@ -79,26 +79,26 @@
 		}))
 	}
 	in.Jobs = jobs
-	var racks []*Record
+	var racks []*GroupCapacity
 	for range 1 + draw(5) {
-		racks = append(racks, &Record{Touched: draw(4) == 0, Room: draw(12)})
+		racks = append(racks, &GroupCapacity{Touched: draw(4) == 0, Free: draw(12)})
 	}
 	for i := range 1 + draw(20) {
 		in.Slots = append(in.Slots, slot(fmt.Sprintf("m%02d", i), draw(3), float64(draw(17)), func(s *Slot) {
-			s.M.Spot, s.M.Type, s.Record = draw(2) > 0, draw(2), racks[draw(len(racks))]
-			s.Images, s.Coming, s.Ready, s.Risk, s.Rank = []int{draw(4)}, []int{draw(4)}, float64(draw(3)), float64(draw(2)), float64(i)/100
+			s.Machine.Spot, s.Machine.Type, s.Record = draw(2) > 0, draw(2), racks[draw(len(racks))]
+			s.Images, s.FetchingImages, s.FetchDoneS, s.Risk, s.Rank = []int{draw(4)}, []int{draw(4)}, float64(draw(3)), float64(draw(2)), float64(i)/100
 			if draw(6) == 0 {
-				s.Held = []Held{{Job: jobs[draw(len(jobs))], Slots: 1 + draw(2)}}
+				s.Reservations = []Reservation{{Job: jobs[draw(len(jobs))], Slots: 1 + draw(2)}}
 			}
 		}))
 	}
-	in.Flood, in.Lanes = draw(2) > 0, make(Lanes, storage.LaneCount(len(in.Teams)))
+	in.Overloaded, in.Queues = draw(2) > 0, make(QueueStates, storage.ClassQueueCount(len(in.Teams)))
 	for _, j := range jobs {
-		if x := storage.LaneOf(j); draw(3) > 0 && in.Lanes.At(x) == nil {
-			*in.Lanes.Have(x) = Lane{Usual: float64(draw(14)), Floor: float64(draw(20)), Used: float64(draw(20)), Floods: draw(2) > 0, Kept: draw(3) == 0}
+		if x := storage.ClassQueueOf(j); draw(3) > 0 && in.Queues.At(x) == nil {
+			*in.Queues.Ensure(x) = QueueState{Baseline: float64(draw(14)), Floor: float64(draw(20)), Used: float64(draw(20)), Overloaded: draw(2) > 0, LeavesOnDemand: draw(3) == 0}
 		}
 	}
-	in.Allow = func(j *storage.Job) (time.Duration, bool) {
+	in.TimeAllowed = func(j *storage.Job) (time.Duration, bool) {
 		n := int(j.Estimate) + len(j.ID) + j.Tasks
 		return time.Duration(n%3) * 500 * time.Second, n%7 == 0
 	}
@@ -126,7 +126,7 @@
 		res := Place(drawInput(bits))
 		var placed []string
 		for _, p := range res.Placed {
-			placed = append(placed, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Task, p.Slot.M.Name))
+			placed = append(placed, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Task, p.Slot.Machine.Name))
 		}
 		short := map[string]int{}
 		for j, n := range res.Short {
--- a/internal/coordination/schedule/lanes.go
+++ b/internal/coordination/schedule/lanes.go
@@ -9,80 +9,80 @@
 
 // This file owns lanes: what each stands for, and the order between them.
 
-// Lane is a class of one team.
-type Lane struct {
-	Usual float64 // CPUs that it usually keeps busy; 0: not known
-	Floor float64 // CPUs that it has in a flood before those that flood have more than is usual
-	Used  float64 // CPUs that its placed tasks take, on all shares
-	Open  float64 // CPUs that all its tasks would take that run or wait
-	Late  float64 // CPUs that tasks of jobs take which have waited far too long
-	// Ordinary is what of Open may not use spot machines.
-	Ordinary float64
-	Floods   bool // far more is open than is usual
-	// Kept says that its best-effort work which may use spot machines takes no ordinary ones.
-	Kept bool
+// QueueState is a class of one team.
+type QueueState struct {
+	Baseline float64 // CPUs that it usually keeps busy; 0: not known
+	Floor    float64 // CPUs that it has in a flood before those that flood have more than is usual
+	Used     float64 // CPUs that its placed tasks take, on all shares
+	Open     float64 // CPUs that all its tasks would take that run or wait
+	Late     float64 // CPUs that tasks of jobs take which have waited far too long
+	// OpenOnDemand is what of Open may not use spot machines.
+	OpenOnDemand float64
+	Overloaded   bool // far more is open than is usual
+	// LeavesOnDemand says that its best-effort work which may use spot machines takes no ordinary ones.
+	LeavesOnDemand bool
 }
 
-// Lanes are lanes by storage.Lane.Index; nil where there is none.
-type Lanes []*Lane
+// QueueStates are lanes by storage.Lane.Index; nil where there is none.
+type QueueStates []*QueueState
 
 // At is a lane, nil if there is none.
-func (l Lanes) At(x storage.Lane) *Lane {
+func (l QueueStates) At(x storage.ClassQueue) *QueueState {
 	if i := x.Index(); i < len(l) {
 		return l[i]
 	}
 	return nil
 }
 
-// Have is a lane, made if there is none.
-func (l Lanes) Have(x storage.Lane) *Lane {
+// Ensure is a lane, made if there is none.
+func (l QueueStates) Ensure(x storage.ClassQueue) *QueueState {
 	i := x.Index()
 	if l[i] == nil {
-		l[i] = &Lane{}
+		l[i] = &QueueState{}
 	}
 	return l[i]
 }
 
-// standing is where a lane stands in a flood: first all have what they usually have, the one
+// rank is where a lane stands in a flood: first all have what they usually have, the one
 // that lacks most of it first; then those that do not flood have their floors; then all have
 // what is left. part is how much it has of what it stands for.
-func (l *Lane) standing() (n int, part float64) {
+func (l *QueueState) rank() (n int, part float64) {
 	switch {
 	case l == nil || l.Floor <= 0:
 		return 2, 1
-	case l.Used < l.Usual:
-		return 0, l.Used / l.Usual
-	case l.Used < l.Floor && !l.Floods:
+	case l.Used < l.Baseline:
+		return 0, l.Used / l.Baseline
+	case l.Used < l.Floor && !l.Overloaded:
 		return 1, l.Used / l.Floor
 	}
 	return 2, 1
 }
 
-// lane is a queue's own, nil if nothing is known of it.
-func (q *queue) lane(in *Input) *Lane { return in.Lanes.At(q.of) }
+// state is a queue's own, nil if nothing is known of it.
+func (q *queue) state(in *Input) *QueueState { return in.Queues.At(q.class) }
 
-// kept tells whether ordinary machines are left to others than a job.
-func (in *Input) kept(j *storage.Job) bool {
-	if !in.Flood || !j.Spot || j.Priority.Top() {
+// leavesOnDemand tells whether ordinary machines are left to others than a job.
+func (in *Input) leavesOnDemand(j *storage.Job) bool {
+	if !in.Overloaded || !j.Spot || j.Priority.Top() {
 		return false
 	}
-	l := in.Lanes.At(storage.LaneOf(j))
-	return l != nil && l.Kept
+	l := in.Queues.At(storage.ClassQueueOf(j))
+	return l != nil && l.LeavesOnDemand
 }
 
-// roomOf is how many CPUs a lane in order may count on: what it has, what is free, what its
+// capacityOf is how many CPUs a lane in order may count on: what it has, what is free, what its
 // first job may evict, and no less than its floor.
-func (in *Input) roomOf(q *queue) float64 {
-	l, top := q.lane(in), q.jobs[0].job.Priority.Top()
+func (in *Input) capacityOf(q *queue) float64 {
+	l, top := q.state(in), q.jobs[0].job.Priority.Top()
 	spot := slices.ContainsFunc(q.jobs, func(c *cursor) bool { return c.job.Spot })
 	free := 0.0
 	for _, s := range in.Slots {
-		if s.M.Spot && !spot {
+		if s.Machine.Spot && !spot {
 			continue
 		}
 		free += s.cpus(s.Free)
 		if top {
-			free += s.cpus(s.Yields)
+			free += s.cpus(s.Preemptible)
 		}
 	}
 	return max(l.Used+free, l.Floor)
@@ -96,21 +96,21 @@
 	return u.Cpus
 }
 
-// foremost is the queue whose first job starts next: of each team the lane that goes first in
+// nextQueue is the queue whose first job starts next: of each team the lane that goes first in
 // it, and of those the one whose team goes first. A team's guarantee speaks for its first job, not
 // for a smaller one of a lane behind it.
-func foremost(in *Input, live []*queue, teams []int) int {
+func nextQueue(in *Input, live []*queue, teams []int) int {
 	for t := range teams {
 		teams[t] = -1
 	}
 	for i, q := range live {
-		if b := teams[q.of.Team]; b < 0 || firstInTeam(in, q, live[b]) {
-			teams[q.of.Team] = i
+		if b := teams[q.class.Team]; b < 0 || firstInTeam(in, q, live[b]) {
+			teams[q.class.Team] = i
 		}
 	}
 	best := -1
 	for _, i := range teams {
-		if i >= 0 && (best < 0 || before(in, live[i], live[best])) {
+		if i >= 0 && (best < 0 || goesBefore(in, live[i], live[best])) {
 			best = i
 		}
 	}
@@ -124,26 +124,26 @@
 	if ja.Priority != jb.Priority {
 		return ja.Priority > jb.Priority
 	}
-	if c := floors(in, a, b); c != 0 {
+	if c := compareFloors(in, a, b); c != 0 {
 		return c < 0
 	}
 	return first(a.jobs[0], b.jobs[0]) < 0
 }
 
-// floors compares what lanes have of their floors, in a flood.
-func floors(in *Input, a, b *queue) int {
-	if !in.Flood {
+// compareFloors compares what lanes have of their floors, in a flood.
+func compareFloors(in *Input, a, b *queue) int {
+	if !in.Overloaded {
 		return 0
 	}
-	sa, pa := a.lane(in).standing()
-	sb, pb := b.lane(in).standing()
+	sa, pa := a.state(in).rank()
+	sb, pb := b.state(in).rank()
 	return cmp.Or(cmp.Compare(sa, sb), cmp.Compare(pa, pb))
 }
 
-// before tells whether a team's first job goes before another team's: teams within their
+// goesBefore tells whether a team's first job goes before another team's: teams within their
 // guarantee, then higher priority, then, in a flood, lanes that have less than their floors;
 // then the smaller dominant share.
-func before(in *Input, a, b *queue) bool {
+func goesBefore(in *Input, a, b *queue) bool {
 	ja, jb := a.jobs[0].job, b.jobs[0].job
 	ga, gb := WithinGuarantee(in.Teams[ja.Team], in.Used[ja.Team], ja), WithinGuarantee(in.Teams[jb.Team], in.Used[jb.Team], jb)
 	if ga != gb {
@@ -152,20 +152,20 @@
 	if ja.Priority != jb.Priority {
 		return ja.Priority > jb.Priority
 	}
-	if c := floors(in, a, b); c != 0 {
+	if c := compareFloors(in, a, b); c != 0 {
 		return c < 0
 	}
 	return DominantShare(in.Used[ja.Team], in.Capacity) < DominantShare(in.Used[jb.Team], in.Capacity)
 }
 
-// laneOf finds the queue of a job's lane, or makes one.
-func laneOf(queues []*queue, j *storage.Job) ([]*queue, *queue) {
-	of := storage.LaneOf(j)
+// queueOf finds the queue of a job's lane, or makes one.
+func queueOf(queues []*queue, j *storage.Job) ([]*queue, *queue) {
+	of := storage.ClassQueueOf(j)
 	for _, q := range queues {
-		if q.of == of {
+		if q.class == of {
 			return queues, q
 		}
 	}
-	q := &queue{of: of}
+	q := &queue{class: of}
 	return append(queues, q), q
 }
--- a/internal/coordination/schedule/order.go
+++ b/internal/coordination/schedule/order.go
@@ -42,9 +42,9 @@
 	}
 	if a.urgency == behind {
 		// Small before large: most are over soonest.
-		return cmp.Or(cmp.Compare(a.work, b.work), a.job.At.Compare(b.job.At), cmp.Compare(a.job.ID, b.job.ID))
+		return cmp.Or(cmp.Compare(a.work, b.work), a.job.ReadyAt.Compare(b.job.ReadyAt), cmp.Compare(a.job.ID, b.job.ID))
 	}
-	return cmp.Or(a.starts.Compare(b.starts), a.job.At.Compare(b.job.At), cmp.Compare(a.job.ID, b.job.ID))
+	return cmp.Or(a.starts.Compare(b.starts), a.job.ReadyAt.Compare(b.job.ReadyAt), cmp.Compare(a.job.ID, b.job.ID))
 }
 
 // aim works out when a job should have started in order to meet its aim, and what is left
@@ -52,8 +52,8 @@
 func (c *cursor) aim(in *Input) {
 	j := c.job
 	allow, late := time.Duration(0), false
-	if in.Allow != nil {
-		allow, late = in.Allow(j)
+	if in.TimeAllowed != nil {
+		allow, late = in.TimeAllowed(j)
 	}
 	c.work = workOf(j, c.left)
 	c.urgency, c.due = inTime, time.Time{}
@@ -63,10 +63,10 @@
 	case late:
 		c.urgency = behind
 	default:
-		c.due = j.At.Add(allow)
+		c.due = j.ReadyAt.Add(allow)
 	}
-	back := smallFirst * workOf(j, j.Tasks-j.NDone) / max(in.Capacity.Cpus, 1)
-	c.starts = j.At.Add(allow + time.Duration((back-j.Estimate)*float64(time.Second)))
+	back := smallFirst * workOf(j, j.Tasks-j.DoneCount) / max(in.Capacity.Cpus, 1)
+	c.starts = j.ReadyAt.Add(allow + time.Duration((back-j.Estimate)*float64(time.Second)))
 }
 
 // order sorts a lane's jobs, by their latest starts as long as it does not flood. Where more
@@ -75,8 +75,8 @@
 // rule, which leaves the fewest late on one machine; here the lane's room is taken for one
 // machine that is as fast).
 func (q *queue) order(in *Input) {
-	l := q.lane(in)
-	if !in.Flood || l == nil || !l.Floods {
+	l := q.state(in)
+	if !in.Overloaded || l == nil || !l.Overloaded {
 		for _, c := range q.jobs {
 			c.urgency = inTime
 		}
@@ -84,7 +84,7 @@
 		return
 	}
 	slices.SortStableFunc(q.jobs, first)
-	room := in.roomOf(q)
+	room := in.capacityOf(q)
 	for from := 0; from < len(q.jobs); {
 		to := from + 1
 		for to < len(q.jobs) && q.jobs[to].job.Priority == q.jobs[from].job.Priority {
@@ -96,10 +96,10 @@
 		from = to
 	}
 	// However large it is, a job begins: one task costs the others next to nothing.
-	if in.Begin != nil {
+	if in.MustBegin != nil {
 		some := false
 		for _, c := range q.jobs {
-			if c.urgency == behind && in.Begin(c.job) {
+			if c.urgency == behind && in.MustBegin(c.job) {
 				c.urgency, c.left, some = begins, 1, true
 			}
 		}
@@ -121,7 +121,7 @@
 	if len(old) == 0 {
 		return
 	}
-	slices.SortStableFunc(old, func(a, b *cursor) int { return a.job.At.Compare(b.job.At) })
+	slices.SortStableFunc(old, func(a, b *cursor) int { return a.job.ReadyAt.Compare(b.job.ReadyAt) })
 	for _, c := range old {
 		if left <= 0 {
 			break
--- a/internal/coordination/schedule/order_test.go
+++ b/internal/coordination/schedule/order_test.go
@@ -42,15 +42,15 @@
 		{"one that never began goes first, with one task", 8, 2, []one{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			in := &Input{Now: now, Capacity: storage.Usage{Cpus: 1000}, Lanes: Lanes{{Late: x.held, Floods: true, Used: x.room}}, Flood: true,
-				Overdue: func(j *storage.Job) bool { return now.Sub(j.At) > 600*time.Second }}
+			in := &Input{Now: now, Capacity: storage.Usage{Cpus: 1000}, Queues: QueueStates{{Late: x.held, Overloaded: true, Used: x.room}}, Overloaded: true,
+				Overdue: func(j *storage.Job) bool { return now.Sub(j.ReadyAt) > 600*time.Second }}
 			lates := map[*storage.Job]bool{}
-			in.Begin = func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") }
-			in.Allow = func(j *storage.Job) (time.Duration, bool) { return 60 * time.Second, lates[j] }
+			in.MustBegin = func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") }
+			in.TimeAllowed = func(j *storage.Job) (time.Duration, bool) { return 60 * time.Second, lates[j] }
 			q := &queue{}
 			for _, y := range x.jobs {
 				j := job(y.id, y.tasks, 1, protocol.Normal)
-				j.At, j.Estimate, lates[j] = now.Add(-time.Duration(y.age*float64(time.Second))), 10, y.late
+				j.ReadyAt, j.Estimate, lates[j] = now.Add(-time.Duration(y.age*float64(time.Second))), 10, y.late
 				c := &cursor{job: j, left: y.tasks}
 				c.aim(in)
 				q.jobs = append(q.jobs, c)
@@ -59,7 +59,7 @@
 			var got []string
 			for _, c := range q.jobs {
 				got = append(got, c.job.ID)
-				if in.Begin(c.job) && c.left != 1 {
+				if in.MustBegin(c.job) && c.left != 1 {
 					t.Errorf("%d tasks of %s go first, want 1", c.left, c.job.ID)
 				}
 			}
@@ -72,39 +72,39 @@
 
 // A burst that all have time for is no reason for another order.
 func TestLoad(t *testing.T) {
-	room := Room{All: 100, Ordinary: 10, Busy: 5}
+	room := Capacity{All: 100, OnDemand: 10, Busy: 5}
 	for _, x := range []struct {
 		name  string
-		waits []Wait
+		waits []WaitingWork
 		want  float64
 	}{
 		{"nothing waits", nil, 0},
-		{"all have time", []Wait{{60, 2000, false}, {20, 500, false}}, 0.5},
-		{"the later ones have none", []Wait{{30, 1000, false}, {60, 10500, false}}, 2},
-		{"the earliest have none, whatever the order of the list", []Wait{{100, 100, false}, {30, 5500, false}}, 2},
-		{"one that is late by itself", []Wait{{2, 500, false}, {50, 1500, false}}, 0.5},
-		{"but its work counts", []Wait{{2, 9400, false}, {50, 100, false}}, 2},
-		{"ordinary machines are short", []Wait{{40, 750, true}}, 2},
-		{"spot machines would do", []Wait{{40, 1500, false}}, 0.5},
+		{"all have time", []WaitingWork{{60, 2000, false}, {20, 500, false}}, 0.5},
+		{"the later ones have none", []WaitingWork{{30, 1000, false}, {60, 10500, false}}, 2},
+		{"the earliest have none, whatever the order of the list", []WaitingWork{{100, 100, false}, {30, 5500, false}}, 2},
+		{"one that is late by itself", []WaitingWork{{2, 500, false}, {50, 1500, false}}, 0.5},
+		{"but its work counts", []WaitingWork{{2, 9400, false}, {50, 100, false}}, 2},
+		{"ordinary machines are short", []WaitingWork{{40, 750, true}}, 2},
+		{"spot machines would do", []WaitingWork{{40, 1500, false}}, 0.5},
 	} {
-		if got := Load(x.waits, room); math.Abs(got-x.want) > 1e-9 {
+		if got := LoadFactor(x.waits, room); math.Abs(got-x.want) > 1e-9 {
 			t.Errorf("%s: load %.2f, want %.2f", x.name, got, x.want)
 		}
 	}
 }
 
-// player plays lanes of jobs on machines, a pass a second, with true run times.
-type player struct {
-	r       *rand.Rand
-	in      *Input
-	slots   []*Slot
-	jobs    []*storage.Job
-	runs    map[*storage.Job]float64
-	ended   map[*storage.Job]float64 // when its last task was done
-	running []runningTask
-	usual   map[storage.Lane]float64
-	now     float64
-	over    bool // the flood is dealt with
+// overloadPlayer plays lanes of jobs on machines, a pass a second, with true run times.
+type overloadPlayer struct {
+	r        *rand.Rand
+	in       *Input
+	slots    []*Slot
+	jobs     []*storage.Job
+	runs     map[*storage.Job]float64
+	ended    map[*storage.Job]float64 // when its last task was done
+	running  []runningTask
+	baseline map[storage.ClassQueue]float64
+	now      float64
+	over     bool // the flood is dealt with
 }
 
 type runningTask struct {
@@ -116,16 +116,16 @@
 
 const playAim = 60.0
 
-func (p *player) submit(lane storage.Lane) {
+func (p *overloadPlayer) submit(lane storage.ClassQueue) {
 	j := job(fmt.Sprintf("j%05d", len(p.jobs)), 1+p.r.IntN(9), float64(1+p.r.IntN(3)), protocol.Normal)
-	j.Team, j.Class, j.At = lane.Team, lane.Class, time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second)))
+	j.Team, j.Class, j.ReadyAt = lane.Team, lane.Class, time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second)))
 	p.runs[j] = 4 * math.Exp(0.8*p.r.NormFloat64()+0.5)
 	j.Estimate = p.runs[j] * math.Exp(0.3*p.r.NormFloat64())
 	p.jobs = append(p.jobs, j)
 }
 
 // second lets a second pass.
-func (p *player) second() {
+func (p *overloadPlayer) second() {
 	p.now++
 	p.running = slices.DeleteFunc(p.running, func(x runningTask) bool {
 		if x.ends > p.now {
@@ -133,8 +133,8 @@
 		}
 		x.slot.Free.Add(x.job, 1)
 		x.job.Done.Set(x.task)
-		x.job.NPlaced--
-		if x.job.NDone++; x.job.NDone == x.job.Tasks {
+		x.job.PlacedCount--
+		if x.job.DoneCount++; x.job.DoneCount == x.job.Tasks {
 			x.job.Final = protocol.Done
 			p.ended[x.job] = x.ends
 		}
@@ -142,31 +142,31 @@
 	})
 	in := p.in
 	in.Now, in.Jobs, in.Slots, in.Records, in.Tasks = time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second))), in.Jobs[:0], p.slots, 999, 9999
-	in.Lanes, in.Flood, in.Capacity = make(Lanes, storage.LaneCount(len(in.Teams))), false, storage.Usage{Cpus: 16 * float64(len(p.slots)), Mem: 1e9}
+	in.Queues, in.Overloaded, in.Capacity = make(QueueStates, storage.ClassQueueCount(len(in.Teams))), false, storage.Usage{Cpus: 16 * float64(len(p.slots)), Mem: 1e9}
 	for _, s := range p.slots {
-		*s.Record = Record{Room: 100}
+		*s.Record = GroupCapacity{Free: 100}
 	}
-	for x, u := range p.usual {
-		*in.Lanes.Have(x) = Lane{Usual: u, Floor: 1.5 * u}
+	for x, u := range p.baseline {
+		*in.Queues.Ensure(x) = QueueState{Baseline: u, Floor: 1.5 * u}
 	}
-	var waits []Wait
+	var waits []WaitingWork
 	for _, j := range p.jobs {
 		if !j.Open() {
 			continue
 		}
 		in.Jobs = append(in.Jobs, j)
-		l := in.Lanes.At(storage.LaneOf(j))
-		l.Used += float64(j.NPlaced) * j.Cpus
-		l.Open += float64(j.NPlaced+j.Waiting()) * j.Cpus
-		allow, late := in.Allow(j)
-		if w, ok := WaitOf(in.Now, j, j.Waiting(), allow, late); ok && j.Waiting() > 0 {
+		l := in.Queues.At(storage.ClassQueueOf(j))
+		l.Used += float64(j.PlacedCount) * j.Cpus
+		l.Open += float64(j.PlacedCount+j.Waiting()) * j.Cpus
+		allow, late := in.TimeAllowed(j)
+		if w, ok := WaitingWorkOf(in.Now, j, j.Waiting(), allow, late); ok && j.Waiting() > 0 {
 			waits = append(waits, w)
 		}
 	}
-	for x, u := range p.usual {
-		l := in.Lanes.At(x)
-		l.Floods = l.Open > 3*u
-		in.Flood = in.Flood || l.Floods
+	for x, u := range p.baseline {
+		l := in.Queues.At(x)
+		l.Overloaded = l.Open > 3*u
+		in.Overloaded = in.Overloaded || l.Overloaded
 	}
 	in.Used = make([]storage.Usage, len(in.Teams))
 	busy := 0.0
@@ -174,18 +174,18 @@
 		in.Used[x.job.Team].Add(x.job, 1)
 		busy += (x.ends - p.now) * x.job.Cpus
 	}
-	load := Load(waits, Room{All: in.Capacity.Cpus, Ordinary: in.Capacity.Cpus, Busy: busy / in.Capacity.Cpus})
-	in.Flood = in.Flood && (p.over || load > Overload)
-	p.over = in.Flood
+	load := LoadFactor(waits, Capacity{All: in.Capacity.Cpus, OnDemand: in.Capacity.Cpus, Busy: busy / in.Capacity.Cpus})
+	in.Overloaded = in.Overloaded && (p.over || load > OverloadFactor)
+	p.over = in.Overloaded
 	for _, x := range Place(in).Placed { // Place itself counts what it places in the room and the use only
-		x.Job.Machine[x.Task] = 0
-		x.Job.NPlaced++
+		x.Job.MachineOf[x.Task] = 0
+		x.Job.PlacedCount++
 		p.running = append(p.running, runningTask{x.Job, x.Task, x.Slot, p.now + 1 + p.runs[x.Job]})
 	}
 }
 
 // lose takes machines away; what ran on them ends later, as if begun again elsewhere.
-func (p *player) lose(n int) {
+func (p *overloadPlayer) lose(n int) {
 	for i := range p.running {
 		if x := &p.running[i]; slices.Contains(p.slots[:n], x.slot) {
 			x.ends += p.runs[x.job]
@@ -195,9 +195,9 @@
 }
 
 // old are a lane's jobs since a time that are old enough to tell whether they were in time.
-func (p *player) old(lane storage.Lane, since float64) (out []*storage.Job) {
+func (p *overloadPlayer) old(lane storage.ClassQueue, since float64) (out []*storage.Job) {
 	for _, j := range p.jobs {
-		if at := float64(j.At.Unix()); storage.LaneOf(j) == lane && at >= since && at+playAim <= p.now {
+		if at := float64(j.ReadyAt.Unix()); storage.ClassQueueOf(j) == lane && at >= since && at+playAim <= p.now {
 			out = append(out, j)
 		}
 	}
@@ -205,10 +205,10 @@
 }
 
 // inTime is the part of them that were, and how many they are.
-func (p *player) inTime(jobs []*storage.Job) (part float64, n int) {
+func (p *overloadPlayer) inTime(jobs []*storage.Job) (part float64, n int) {
 	good := 0
 	for _, j := range jobs {
-		if end, ok := p.ended[j]; ok && end <= float64(j.At.Unix())+playAim {
+		if end, ok := p.ended[j]; ok && end <= float64(j.ReadyAt.Unix())+playAim {
 			good++
 		}
 	}
@@ -217,7 +217,7 @@
 
 // bound is the part that could have been with all that is known only now: the smallest, as many
 // as so much work takes.
-func (p *player) bound(jobs []*storage.Job, work float64) float64 {
+func (p *overloadPlayer) bound(jobs []*storage.Job, work float64) float64 {
 	size := func(j *storage.Job) float64 { return float64(j.Tasks) * j.Cpus * p.runs[j] }
 	slices.SortFunc(jobs, func(a, b *storage.Job) int { return cmp.Compare(size(a), size(b)) })
 	n := 0
@@ -234,14 +234,14 @@
 	drawAlike(t, "11", "20")
 	worst, least, all, plays := 1.0, 1.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := &player{r: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), runs: map[*storage.Job]float64{}, ended: map[*storage.Job]float64{},
-			usual: map[storage.Lane]float64{}}
+		p := &overloadPlayer{r: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), runs: map[*storage.Job]float64{}, ended: map[*storage.Job]float64{},
+			baseline: map[storage.ClassQueue]float64{}}
 		teams, machines := rapid.IntRange(1, 3).Draw(t, "teams"), rapid.IntRange(18, 36).Draw(t, "machines")
 		factor := rapid.IntRange(4, 20).Draw(t, "factor")
 		lost := rapid.IntRange(0, machines/3).Draw(t, "lost")
-		p.in = &Input{Teams: make([]config.Team, teams), Allow: func(j *storage.Job) (time.Duration, bool) {
+		p.in = &Input{Teams: make([]config.Team, teams), TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
 			d := time.Duration(playAim * float64(time.Second))
-			if p.in.Now.Sub(j.At).Seconds()+j.Estimate > playAim {
+			if p.in.Now.Sub(j.ReadyAt).Seconds()+j.Estimate > playAim {
 				return d * 3 / 2, true
 			}
 			return d, false
@@ -249,24 +249,24 @@
 		for i := range machines {
 			p.slots = append(p.slots, slot(fmt.Sprint("m", i), 0, 16))
 		}
-		var lanes []storage.Lane
+		var lanes []storage.ClassQueue
 		for team := range teams {
 			for class := range 1 + p.r.IntN(3) {
-				lanes = append(lanes, storage.Lane{Team: team, Class: class})
+				lanes = append(lanes, storage.ClassQueue{Team: team, Class: class})
 			}
 		}
 		if len(lanes) == 1 {
-			lanes = append(lanes, storage.Lane{Class: 5})
+			lanes = append(lanes, storage.ClassQueue{Class: 5})
 		}
 		const each = 5 * 2 * 4 * 2.3 // work of a job on average
 		for _, x := range lanes {
-			p.usual[x] = 0.5 * 16 * float64(machines-lost) / float64(len(lanes)) * (0.6 + 0.4*p.r.Float64())
+			p.baseline[x] = 0.5 * 16 * float64(machines-lost) / float64(len(lanes)) * (0.6 + 0.4*p.r.Float64())
 		}
 		hot := lanes[p.r.IntN(len(lanes))]
 		const begins, ends, over = 60, 240, 300
 		for s := range over {
 			for _, x := range lanes {
-				rate := p.usual[x] / each
+				rate := p.baseline[x] / each
 				if x == hot && s >= begins && s < ends {
 					rate *= float64(factor)
 				}
@@ -294,7 +294,7 @@
 		}
 		part, _ := p.inTime(p.old(hot, begins))
 		others := 0.0
-		for x, u := range p.usual {
+		for x, u := range p.baseline {
 			if x != hot {
 				others += u
 			}
