--- a/internal/coordination/schedule/place.go
+++ b/internal/coordination/schedule/place.go
@@ -19,31 +19,31 @@
 
 // Slot is a machine that may take tasks, with what is free on it.
 type Slot struct {
-	M       *storage.Machine
-	Free    storage.Usage
-	Images  []int         // images that it has
-	Coming  []int         // images that it is fetching
-	Ready   float64       // seconds until it has those
-	Fetch   float64       // GB a second
-	Risk    float64       // seconds that a placement here is expected to cost, all told
-	Rank    float64       // from 0 to below 1, by price and then by name
-	Held    []Held        // room that is kept for certain jobs
-	Fragile int           // tasks on it that stand to lose much if it is taken
-	Boots   float64       // seconds until it is up, as a guess
-	Yields  storage.Usage // what its tasks take that top-priority work may evict
-	PerGpu  float64       // CPUs for each of its accelerators; 0: it has none
-	Record  *Record       // where it is written down, with other machines
-	at      int32         // its place among all of a pass
+	Machine        *storage.Machine
+	Free           storage.Usage
+	Images         []int          // images that it has
+	FetchingImages []int          // images that it is fetching
+	FetchDoneS     float64        // seconds until it has those
+	FetchGBs       float64        // GB a second
+	Risk           float64        // seconds that a placement here is expected to cost, all told
+	Rank           float64        // from 0 to below 1, by price and then by name
+	Reservations   []Reservation  // room that is kept for certain jobs
+	Fragile        int            // tasks on it that stand to lose much if it is taken
+	BootS          float64        // seconds until it is up, as a guess
+	Preemptible    storage.Usage  // what its tasks take that top-priority work may evict
+	PerGpu         float64        // CPUs for each of its accelerators; 0: it has none
+	Record         *GroupCapacity // where it is written down, with other machines
+	at             int32          // its place among all of a pass
 }
 
-// Record is a record in the state service that several slots may share.
-type Record struct {
+// GroupCapacity is a record in the state service that several slots may share.
+type GroupCapacity struct {
 	Touched bool // it is being rewritten anyway
-	Room    int  // how many more tasks it can list
+	Free    int  // how many more tasks it can list
 }
 
-// Held is room on a machine that an eviction freed for a job.
-type Held struct {
+// Reservation is room on a machine that an eviction freed for a job.
+type Reservation struct {
 	Job   *storage.Job
 	Slots int
 }
@@ -57,26 +57,26 @@
 	Teams    []config.Team
 	Used     []storage.Usage
 	Capacity storage.Usage
-	// Allow is how long a job may take from its submission, 0: no aim; late: it has missed
+	// TimeAllowed is how long a job may take from its submission, 0: no aim; late: it has missed
 	// all its aims.
-	Allow func(*storage.Job) (d time.Duration, late bool)
-	// Begin, if set, tells whether a job has waited too long without a task of it placed.
-	Begin func(*storage.Job) bool
+	TimeAllowed func(*storage.Job) (d time.Duration, late bool)
+	// MustBegin, if set, tells whether a job has waited too long without a task of it placed.
+	MustBegin func(*storage.Job) bool
 	// Overdue, if set, tells whether a job has waited far too long.
 	Overdue func(*storage.Job) bool
-	// Lanes are the classes of the teams; what a pass places is added to what they use.
-	Lanes Lanes
-	// Flood tells that their floors count.
-	Flood bool
+	// Queues are the classes of the teams; what a pass places is added to what they use.
+	Queues QueueStates
+	// Overloaded tells that their floors count.
+	Overloaded bool
 	// Hold tells whether a job must not start tasks now.
 	Hold func(*storage.Job) bool
-	// Evicts, if set, tells whether a job may evict best-effort work now.
-	Evicts func(*storage.Job) bool
-	// Most, if set, is how many of a job's tasks may be placed in this pass.
-	Most func(*storage.Job) int
-	// Ordinary is what it costs, in seconds, to put work that may use a spot
+	// MayPreempt, if set, tells whether a job may evict best-effort work now.
+	MayPreempt func(*storage.Job) bool
+	// MaxTasks, if set, is how many of a job's tasks may be placed in this pass.
+	MaxTasks func(*storage.Job) int
+	// OnDemandWeight is what it costs, in seconds, to put work that may use a spot
 	// machine on an ordinary one.
-	Ordinary float64
+	OnDemandWeight float64
 	// Records bounds how many more records may be rewritten.
 	Records int
 	// Tasks bounds how many tasks are placed.
@@ -118,9 +118,9 @@
 }
 
 type queue struct {
-	of   storage.Lane
-	jobs []*cursor
-	find finder
+	class storage.ClassQueue
+	jobs  []*cursor
+	find  finder
 }
 
 // queues puts what waits into the queues of its lanes, in order.
@@ -136,10 +136,10 @@
 			continue
 		}
 		var q *queue
-		live, q = laneOf(live, j)
+		live, q = queueOf(live, j)
 		left := j.Waiting()
-		if in.Most != nil {
-			left = min(left, in.Most(j))
+		if in.MaxTasks != nil {
+			left = min(left, in.MaxTasks(j))
 		}
 		cursors = append(cursors, cursor{job: j, next: j.NextWaiting(0), left: left})
 		c := &cursors[len(cursors)-1]
@@ -159,7 +159,7 @@
 	find := newSearch(in)
 	teams := make([]int, len(in.Teams))
 	for len(live) > 0 && len(res.Placed) < in.Tasks {
-		best := foremost(in, live, teams)
+		best := nextQueue(in, live, teams)
 		q := live[best]
 		c := q.jobs[0]
 		var slot *Slot
@@ -174,7 +174,7 @@
 		}
 		switch {
 		case waits != nil:
-			if waits.Boots == 0 {
+			if waits.BootS == 0 {
 				res.Short[c.job]++
 			}
 			c.left--
@@ -233,8 +233,8 @@
 		(t.GpusMax <= 0 || u.Gpus+float64(n)*j.Gpus <= t.GpusMax+eps)
 }
 
-// RoomWithin is how many of n more tasks stay under the team's limit.
-func RoomWithin(t config.Team, u storage.Usage, j *storage.Job, n int) int {
+// CapacityWithin is how many of n more tasks stay under the team's limit.
+func CapacityWithin(t config.Team, u storage.Usage, j *storage.Job, n int) int {
 	for _, bound := range [...]struct{ limit, used, each float64 }{{t.CpusMax, u.Cpus, j.Cpus}, {t.GpusMax, u.Gpus, j.Gpus}} {
 		if bound.limit > 0 && bound.each > 0 {
 			n = min(n, int((bound.limit-bound.used+eps)/bound.each))
@@ -268,7 +268,7 @@
 // FreeFor is what a job may use on a slot: room kept for other jobs is not free to it.
 func FreeFor(s *Slot, j *storage.Job) storage.Usage {
 	f := s.Free
-	for _, h := range s.Held {
+	for _, h := range s.Reservations {
 		if h.Job != j {
 			n := float64(h.Slots)
 			f.Cpus, f.Gpus, f.Mem = f.Cpus-n*h.Job.Cpus, f.Gpus-n*h.Job.Gpus, f.Mem-n*h.Job.Mem
@@ -303,7 +303,7 @@
 			return false
 		}
 	}
-	return !j.Spread || inZone(c, z)+1 <= j.ZoneMost()
+	return !j.Spread || inZone(c, z)+1 <= j.MaxPerZone()
 }
 
 // roomiest is the zone with room for the most tasks of a job.
@@ -311,44 +311,44 @@
 	var room []int
 	best := -1
 	for _, s := range in.Slots {
-		if !Allowed(j, s.M) {
+		if !Allowed(j, s.Machine) {
 			continue
 		}
-		for len(room) <= s.M.Zone {
+		for len(room) <= s.Machine.Zone {
 			room = append(room, 0)
 		}
-		room[s.M.Zone] += Fits(FreeFor(s, j), j)
-		if best < 0 || room[s.M.Zone] > room[best] {
-			best = s.M.Zone
+		room[s.Machine.Zone] += Fits(FreeFor(s, j), j)
+		if best < 0 || room[s.Machine.Zone] > room[best] {
+			best = s.Machine.Zone
 		}
 	}
 	return best
 }
 
-// noRoom remembers what found no room in this pass. Room only gets less, so what takes
+// exhausted remembers what found no room in this pass. Room only gets less, so what takes
 // as much and may run on no more machines finds none either: hundreds of waiting jobs
 // cost no look at every machine each.
-type noRoom struct {
+type exhausted struct {
 	in    *Input
 	sizes []storage.Job
 	kept  []bool                // by size: it was looked for on spot machines only
 	held  map[*storage.Job]bool // they have room of their own
 }
 
-func (n *noRoom) note(j *storage.Job) {
+func (n *exhausted) note(j *storage.Job) {
 	if len(j.Types) == 0 && !j.OneZone && !j.Spread && len(n.sizes) < 16 {
 		n.sizes = append(n.sizes, storage.Job{Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, Spot: j.Spot, Zone: j.Zone})
-		n.kept = append(n.kept, n.in.kept(j))
+		n.kept = append(n.kept, n.in.leavesOnDemand(j))
 	}
 }
 
-func (n *noRoom) covers(j *storage.Job) bool {
+func (n *exhausted) covers(j *storage.Job) bool {
 	if n.held[j] {
 		return false
 	}
 	for i, f := range n.sizes {
 		if j.Cpus >= f.Cpus && j.Gpus >= f.Gpus && j.Mem >= f.Mem && (f.Spot || !j.Spot) && (f.Zone < 0 || f.Zone == j.Zone) &&
-			(!n.kept[i] || n.in.kept(j)) {
+			(!n.kept[i] || n.in.leavesOnDemand(j)) {
 			return true
 		}
 	}
@@ -361,19 +361,19 @@
 	c := s.Risk
 	c += s.fetches(j)
 	switch {
-	case j.Spot && !j.By.IsZero():
+	case j.Spot && !j.FinishBy.IsZero():
 		// A task that is lost and runs again delays all that waits for it: there is a
 		// deadline behind it, which leaves no time for that.
-		if s.M.Spot {
+		if s.Machine.Spot {
 			c += awaitedOnSpot
 		}
-	case j.Spot && !s.M.Spot:
-		c += in.Ordinary // ordinary machines are left to those that need them
+	case j.Spot && !s.Machine.Spot:
+		c += in.OnDemandWeight // ordinary machines are left to those that need them
 	}
 	if loss := spotLoss(j); j.Spot && loss >= fragileFrom {
 		// They part over the spot machines, but are not driven to others by that:
 		// there they are in the way of work that evicts them.
-		if s.M.Spot {
+		if s.Machine.Spot {
 			c += min(fragileMost, loss*float64(s.Fragile)/fragileTogether)
 		} else {
 			c += fragileMost
@@ -401,8 +401,8 @@
 // Many of them on one machine would all be late together.
 func spotLoss(j *storage.Job) float64 {
 	lost := j.Estimate
-	if j.Mark > 0 {
-		lost = min(lost, j.Mark)
+	if j.CheckpointInterval > 0 {
+		lost = min(lost, j.CheckpointInterval)
 	}
 	return lost * j.Estimate / spotTaken
 }
@@ -418,21 +418,21 @@
 	j := c.job
 	s.Free.Add(j, -1)
 	s.AddFragile(j)
-	for i := range s.Held {
-		if s.Held[i].Job == j && s.Held[i].Slots > 0 {
-			s.Held[i].Slots--
+	for i := range s.Reservations {
+		if s.Reservations[i].Job == j && s.Reservations[i].Slots > 0 {
+			s.Reservations[i].Slots--
 		}
 	}
 	s.fetch(j)
 	c.took = append(c.took, s)
-	s.Record.Room--
+	s.Record.Free--
 	if !s.Record.Touched {
 		s.Record.Touched = true
 		in.Records--
 	}
-	c.inZone(s.M.Zone)
+	c.inZone(s.Machine.Zone)
 	in.Used[j.Team].Add(j, 1)
-	if l := in.Lanes.At(storage.LaneOf(j)); l != nil {
+	if l := in.Queues.At(storage.ClassQueueOf(j)); l != nil {
 		l.Used += j.Size
 	}
 }
--- a/internal/coordination/schedule/schedule_test.go
+++ b/internal/coordination/schedule/schedule_test.go
@@ -13,9 +13,9 @@
 
 func job(id string, tasks int, cpus float64, prio protocol.Priority, change ...func(*storage.Job)) *storage.Job {
 	j := &storage.Job{ID: id, Tasks: tasks, Cpus: cpus, Mem: cpus, Priority: prio, Zone: -1, Spot: true,
-		At: time.Unix(1000, 0), Done: storage.NewBitmap(tasks), Machine: make([]int32, tasks), Attempt: make([]uint64, tasks)}
-	for i := range j.Machine {
-		j.Machine[i] = storage.Nowhere
+		ReadyAt: time.Unix(1000, 0), Done: storage.NewBitmap(tasks), MachineOf: make([]int32, tasks), AttemptOf: make([]uint64, tasks)}
+	for i := range j.MachineOf {
+		j.MachineOf[i] = storage.Nowhere
 	}
 	for _, f := range change {
 		f(j)
@@ -25,7 +25,7 @@
 }
 
 func slot(name string, zone int, cpus float64, change ...func(*Slot)) *Slot {
-	s := &Slot{M: &storage.Machine{Name: name, Zone: zone}, Free: storage.Usage{Cpus: cpus, Mem: 4 * cpus}, Fetch: 1, Record: &Record{Room: 100}}
+	s := &Slot{Machine: &storage.Machine{Name: name, Zone: zone}, Free: storage.Usage{Cpus: cpus, Mem: 4 * cpus}, FetchGBs: 1, Record: &GroupCapacity{Free: 100}}
 	for _, f := range change {
 		f(s)
 	}
@@ -75,7 +75,7 @@
 			slots: []*Slot{slot("m", 0, 16)}, teams: []config.Team{{}, {}}, want: map[string]int{"a/m": 2, "b/m": 2}},
 		{name: "no spot machine for a job that forbids it",
 			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Spot = false })},
-			slots: []*Slot{slot("m", 0, 8, func(s *Slot) { s.M.Spot = true })}, short: map[string]int{"a": 1}},
+			slots: []*Slot{slot("m", 0, 8, func(s *Slot) { s.Machine.Spot = true })}, short: map[string]int{"a": 1}},
 		{name: "only the zone that is asked for",
 			jobs:  []*storage.Job{job("a", 2, 4, protocol.Normal, func(j *storage.Job) { j.Zone = 1 })},
 			slots: []*Slot{slot("m", 0, 8), slot("n", 1, 4)}, want: map[string]int{"a/n": 1}, short: map[string]int{"a": 1}},
@@ -92,7 +92,7 @@
 		{name: "room held for another job is not free",
 			jobs: []*storage.Job{job("a", 2, 4, protocol.Normal)},
 			slots: []*Slot{slot("m", 0, 8, func(s *Slot) {
-				s.Held = []Held{{Job: job("x", 1, 4, protocol.High), Slots: 1}}
+				s.Reservations = []Reservation{{Job: job("x", 1, 4, protocol.High), Slots: 1}}
 			})},
 			want: map[string]int{"a/m": 1}, short: map[string]int{"a": 1}},
 		{name: "no more records than the transaction takes",
@@ -110,14 +110,14 @@
 			if c.bound == 0 {
 				c.bound = 100
 			}
-			lanes := make(Lanes, storage.LaneCount(len(c.teams)))
-			lanes.Have(storage.Lane{}).Kept = c.kept
-			res := Place(&Input{Slots: c.slots, Jobs: c.jobs, Teams: c.teams, Used: c.used, Lanes: lanes, Flood: c.kept,
+			lanes := make(QueueStates, storage.ClassQueueCount(len(c.teams)))
+			lanes.Ensure(storage.ClassQueue{}).LeavesOnDemand = c.kept
+			res := Place(&Input{Slots: c.slots, Jobs: c.jobs, Teams: c.teams, Used: c.used, Queues: lanes, Overloaded: c.kept,
 				Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: c.bound, Tasks: 100})
 			got := map[string]int{}
 			seen := map[string]map[int]bool{}
 			for _, p := range res.Placed {
-				got[p.Job.ID+"/"+p.Slot.M.Name]++
+				got[p.Job.ID+"/"+p.Slot.Machine.Name]++
 				if seen[p.Job.ID] == nil {
 					seen[p.Job.ID] = map[int]bool{}
 				}
@@ -154,7 +154,7 @@
 	m, n := slot("m", 0, 0), slot("n", 0, 1)
 	young, old := time.Unix(2000, 0), time.Unix(1000, 0)
 	cand := func(id string, s *Slot, cpus, v, w float64, at time.Time) Candidate {
-		return Candidate{Victims: []Victim{{Slot: s, Job: job(id, 1, cpus, protocol.Normal)}}, V: v, W: w, At: at}
+		return Candidate{Victims: []Victim{{Slot: s, Job: job(id, 1, cpus, protocol.Normal)}}, Lost: v, Waited: w, SubmittedAt: at}
 	}
 	top := job("top", 9, 4, protocol.High)
 	cases := []struct {
@@ -185,8 +185,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			Order(c.alpha, c.cands)
-			chosen := Evict(top, c.n, []*Slot{m, n}, c.cands)
+			RankCandidates(c.alpha, c.cands)
+			chosen := Preempt(top, c.n, []*Slot{m, n}, c.cands)
 			var got []string
 			for _, x := range chosen {
 				got = append(got, x.Victims[0].Job.ID)
@@ -217,20 +217,20 @@
 		{"long, but saves", 150, 10, true, 40},
 		{"on machines that are not taken", 150, 0, false, 40},
 	} {
-		j := &storage.Job{ID: "j", Tasks: 40, Cpus: 0.25, Estimate: x.estimate, Mark: x.mark, Spot: true, Zone: -1,
-			Done: storage.NewBitmap(40), Machine: slices.Repeat([]int32{storage.Nowhere}, 40)}
+		j := &storage.Job{ID: "j", Tasks: 40, Cpus: 0.25, Estimate: x.estimate, CheckpointInterval: x.mark, Spot: true, Zone: -1,
+			Done: storage.NewBitmap(40), MachineOf: slices.Repeat([]int32{storage.Nowhere}, 40)}
 		in := &Input{Now: time.Now(), Jobs: []*storage.Job{j}, Teams: []config.Team{{}}, Used: make([]storage.Usage, 1),
 			Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
 		for i := range 4 {
-			in.Slots = append(in.Slots, &Slot{M: &storage.Machine{Spot: x.spot}, Free: storage.Usage{Cpus: 16, Mem: 9},
-				Images: []int{0}, Rank: float64(i) / 4, Record: &Record{Room: 99}})
+			in.Slots = append(in.Slots, &Slot{Machine: &storage.Machine{Spot: x.spot}, Free: storage.Usage{Cpus: 16, Mem: 9},
+				Images: []int{0}, Rank: float64(i) / 4, Record: &GroupCapacity{Free: 99}})
 		}
-		in.Slots = append(in.Slots, &Slot{M: &storage.Machine{}, Free: storage.Usage{Cpus: 16, Mem: 9},
-			Images: []int{0}, Rank: 0.9, Record: &Record{Room: 99}})
-		in.Ordinary = 0.2
+		in.Slots = append(in.Slots, &Slot{Machine: &storage.Machine{}, Free: storage.Usage{Cpus: 16, Mem: 9},
+			Images: []int{0}, Rank: 0.9, Record: &GroupCapacity{Free: 99}})
+		in.OnDemandWeight = 0.2
 		count, most := map[*Slot]int{}, 0
 		for _, p := range Place(in).Placed {
-			if !p.Slot.M.Spot && x.spot {
+			if !p.Slot.Machine.Spot && x.spot {
 				t.Errorf("%s: a task is on the ordinary machine", x.name)
 			}
 			count[p.Slot]++
@@ -246,7 +246,7 @@
 func TestFullFleetIsLookedAtOnce(t *testing.T) {
 	in := &Input{Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2), Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
 	for range 4 {
-		in.Slots = append(in.Slots, &Slot{M: &storage.Machine{Spot: true}, Free: storage.Usage{Cpus: 1, Mem: 64}, Record: &Record{Room: 99}})
+		in.Slots = append(in.Slots, &Slot{Machine: &storage.Machine{Spot: true}, Free: storage.Usage{Cpus: 1, Mem: 64}, Record: &GroupCapacity{Free: 99}})
 	}
 	for i := range 500 {
 		j := job(fmt.Sprint("j", i), 3, 2, protocol.Normal)
@@ -256,7 +256,7 @@
 	small := job("small", 1, 1, protocol.Low) // fits although larger ones do not
 	kept := job("kept", 1, 4, protocol.Low)   // has room of its own
 	in.Slots[1].Free.Cpus = 4
-	in.Slots[1].Held = []Held{{Job: kept, Slots: 1}}
+	in.Slots[1].Reservations = []Reservation{{Job: kept, Slots: 1}}
 	in.Jobs = append(in.Jobs, small, kept)
 	res := Place(in)
 	if len(res.Short) != 500 || len(res.Placed) != 2 {
@@ -271,13 +271,13 @@
 // only when best-effort work does not do.
 func TestOrder(t *testing.T) {
 	old, young := time.Unix(100, 0), time.Unix(200, 0)
-	cands := []Candidate{{V: 1, Top: true, At: old}, {V: 90, W: 10, At: old}, {V: 5, W: 5, At: old}, {V: 5, W: 5, At: young}, {Top: true, At: young}}
-	Order(0.5, cands)
+	cands := []Candidate{{Lost: 1, TopPriority: true, SubmittedAt: old}, {Lost: 90, Waited: 10, SubmittedAt: old}, {Lost: 5, Waited: 5, SubmittedAt: old}, {Lost: 5, Waited: 5, SubmittedAt: young}, {TopPriority: true, SubmittedAt: young}}
+	RankCandidates(0.5, cands)
 	var got []float64
 	for _, c := range cands {
 		got = append(got, c.Score)
 	}
-	if !slices.Equal(got, []float64{5, 5, 50, 0, 0.5}) || cands[0].At != young || cands[3].Top != true {
+	if !slices.Equal(got, []float64{5, 5, 50, 0, 0.5}) || cands[0].SubmittedAt != young || cands[3].TopPriority != true {
 		t.Errorf("order %+v", cands)
 	}
 }
--- a/internal/coordination/schedule/soonest.go
+++ b/internal/coordination/schedule/soonest.go
@@ -28,14 +28,14 @@
 
 // fetches is how many seconds a slot's machine needs until it has a job's image.
 func (s *Slot) fetches(j *storage.Job) float64 {
-	if s.Fetch <= 0 || slices.Contains(s.Images, j.Image) {
+	if s.FetchGBs <= 0 || slices.Contains(s.Images, j.Image) {
 		return 0
 	}
-	takes := j.ImageGB / s.Fetch
-	if slices.Contains(s.Coming, j.Image) {
-		return max(0, s.Ready-joins*takes)
+	takes := j.ImageGB / s.FetchGBs
+	if slices.Contains(s.FetchingImages, j.Image) {
+		return max(0, s.FetchDoneS-joins*takes)
 	}
-	return s.Ready + takes
+	return s.FetchDoneS + takes
 }
 
 // together is what it costs, in seconds, that replicas of a service are on a slot's machine already.
@@ -44,7 +44,7 @@
 		return 0
 	}
 	n := 0
-	for _, p := range s.M.Tasks {
+	for _, p := range s.Machine.Tasks {
 		if p.Job == c.job {
 			n++
 		}
@@ -69,23 +69,23 @@
 	}
 	var best *Slot
 	look := func(s *Slot, at float64) bool {
-		return at < least && Allowed(j, s.M) && (!j.OneZone && !j.Spread || zoneAllows(in, c, s.M.Zone))
+		return at < least && Allowed(j, s.Machine) && (!j.OneZone && !j.Spread || zoneAllows(in, c, s.Machine.Zone))
 	}
 	for _, s := range in.Booting {
-		if at := s.Boots + s.fetches(j); look(s, at) && takes(s.Free, j) {
+		if at := s.BootS + s.fetches(j); look(s, at) && takes(s.Free, j) {
 			best, least = s, at
 		}
 	}
-	if in.Evicts != nil && in.Evicts(j) {
+	if in.MayPreempt != nil && in.MayPreempt(j) {
 		for _, s := range in.Slots {
 			at := evictSeconds + s.fetches(j)
-			if s.Record.Room <= 0 || !look(s, at) {
+			if s.Record.Free <= 0 || !look(s, at) {
 				continue
 			}
 			room := FreeFor(s, j)
-			room.Cpus, room.Gpus, room.Mem = room.Cpus+s.Yields.Cpus, room.Gpus+s.Yields.Gpus, room.Mem+s.Yields.Mem
+			room.Cpus, room.Gpus, room.Mem = room.Cpus+s.Preemptible.Cpus, room.Gpus+s.Preemptible.Gpus, room.Mem+s.Preemptible.Mem
 			// What an earlier set of the job's has freed there, or is about to free, is its own.
-			if takes(room, j) || s.heldFor(j) > c.claims(s) {
+			if takes(room, j) || s.reservedFor(j) > c.claims(s) {
 				best, least = s, at
 			}
 		}
@@ -93,25 +93,25 @@
 	if best == nil {
 		return nil
 	}
-	if best.Boots > 0 {
+	if best.BootS > 0 {
 		best.Free.Add(j, -1)
 		best.fetch(j)
 	} else {
-		best.Yields.Add(j, -1)
+		best.Preemptible.Add(j, -1)
 	}
 	c.claimed = append(c.claimed, best)
-	c.inZone(best.M.Zone)
+	c.inZone(best.Machine.Zone)
 	return best
 }
 
 // fetch has a slot's machine fetch a job's image, if it neither has nor fetches it.
 func (s *Slot) fetch(j *storage.Job) {
-	if slices.Contains(s.Images, j.Image) || slices.Contains(s.Coming, j.Image) {
+	if slices.Contains(s.Images, j.Image) || slices.Contains(s.FetchingImages, j.Image) {
 		return
 	}
-	s.Coming = append(s.Coming, j.Image)
-	if s.Fetch > 0 {
-		s.Ready += j.ImageGB / s.Fetch
+	s.FetchingImages = append(s.FetchingImages, j.Image)
+	if s.FetchGBs > 0 {
+		s.FetchDoneS += j.ImageGB / s.FetchGBs
 	}
 }
 
@@ -123,10 +123,10 @@
 	c.placed[z]++
 }
 
-// heldFor is how many tasks of a job the slot's room is kept for.
-func (s *Slot) heldFor(j *storage.Job) int {
+// reservedFor is how many tasks of a job the slot's room is kept for.
+func (s *Slot) reservedFor(j *storage.Job) int {
 	n := 0
-	for _, h := range s.Held {
+	for _, h := range s.Reservations {
 		if h.Job == j {
 			n += h.Slots
 		}
@@ -149,14 +149,14 @@
 // room is looked for: a job evicts where its image is, if that makes room for all that waits.
 var starts = [...]float64{4, 10, 20, 40, 80, math.Inf(1)}
 
-// EvictSoonest is Evict on the machines where the job's tasks start soonest, of all slots: those that
+// PreemptSoonest is Evict on the machines where the job's tasks start soonest, of all slots: those that
 // have the job's image go first, and those that would have to fetch it for longer are only
 // looked at if those before give too little room. Among machines alike the order of the candidates is kept.
 // Where no machine fetches it for long, the score alone decides: on the lifts with pipelines, whose work within guarantees evicts all day,
 // looking first at machines a few seconds nearer lost more than it gained.
-func EvictSoonest(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
-	if !slices.ContainsFunc(slots, func(s *Slot) bool { return s.Fetch > 0 && j.ImageGB/s.Fetch > soonerBy }) {
-		return Evict(j, n, slots, ordered)
+func PreemptSoonest(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+	if !slices.ContainsFunc(slots, func(s *Slot) bool { return s.FetchGBs > 0 && j.ImageGB/s.FetchGBs > soonerBy }) {
+		return Preempt(j, n, slots, ordered)
 	}
 	step := make(map[*Slot]int, len(slots))
 	for _, s := range slots {
@@ -165,9 +165,9 @@
 	sorted := slices.Clone(ordered)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		switch { // top-priority work comes after all best-effort work, wherever it is
-		case a.Top && !b.Top:
+		case a.TopPriority && !b.TopPriority:
 			return 1
-		case b.Top && !a.Top:
+		case b.TopPriority && !a.TopPriority:
 			return -1
 		}
 		return cmp.Compare(step[a.Victims[0].Slot], step[b.Victims[0].Slot])
@@ -183,12 +183,12 @@
 		if len(near) == before {
 			continue
 		}
-		r := newRoom(j, near)
+		r := newFreeCapacity(j, near)
 		for _, c := range sorted {
 			r.release(c, 1)
 		}
 		if r.tasks() >= n || len(near) == len(slots) {
-			return Evict(j, n, near, sorted)
+			return Preempt(j, n, near, sorted)
 		}
 	}
 	return nil
--- a/internal/coordination/schedule/soonest_test.go
+++ b/internal/coordination/schedule/soonest_test.go
@@ -17,10 +17,10 @@
 func TestWhereATaskStartsSoonest(t *testing.T) {
 	const img = 7
 	has := func(s *Slot) { s.Images = []int{img} }
-	yields := func(s *Slot) { s.Free.Cpus, s.Yields = 0, storage.Usage{Cpus: 8, Mem: 32} }
-	boots := func(sec float64) func(*Slot) { return func(s *Slot) { s.Boots = sec } }
+	yields := func(s *Slot) { s.Free.Cpus, s.Preemptible = 0, storage.Usage{Cpus: 8, Mem: 32} }
+	boots := func(sec float64) func(*Slot) { return func(s *Slot) { s.BootS = sec } }
 	fetches := func(image int, sec float64) func(*Slot) {
-		return func(s *Slot) { s.Coming, s.Ready = []int{image}, sec }
+		return func(s *Slot) { s.FetchingImages, s.FetchDoneS = []int{image}, sec }
 	}
 	for _, x := range []struct {
 		name    string
@@ -42,11 +42,11 @@
 		t.Run(x.name, func(t *testing.T) {
 			j := job("a", 1, 4, x.prio, func(j *storage.Job) { j.Image, j.ImageGB, j.Spot = img, x.gb, false })
 			res := Place(&Input{Now: time.Unix(1000, 0), Slots: x.slots, Booting: x.booting, Jobs: []*storage.Job{j}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
-				Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9, Evicts: func(j *storage.Job) bool { return j.Priority.Top() }})
+				Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9, MayPreempt: func(j *storage.Job) bool { return j.Priority.Top() }})
 			got := "waits"
 			switch {
 			case len(res.Placed) > 0:
-				got = res.Placed[0].Slot.M.Name
+				got = res.Placed[0].Slot.Machine.Name
 			case res.Short[j] > 0:
 				got = "evicts"
 			}
@@ -68,7 +68,7 @@
 		Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9})
 	on := map[string]int{}
 	for _, p := range res.Placed {
-		on[p.Slot.M.Name]++
+		on[p.Slot.Machine.Name]++
 	}
 	if len(res.Placed) != 6 || len(on) < 6 {
 		t.Errorf("%d replicas on %v", len(res.Placed), on)
@@ -86,12 +86,12 @@
 		m, n := slot("m", 0, 0), slot("n", 0, 0, func(s *Slot) { s.Images = []int{7} })
 		var cands []Candidate
 		for i, s := range []*Slot{m, m, n, n} {
-			v := job(fmt.Sprint(s.M.Name, i%2+1), 1, 4, protocol.Low)
-			cands = append(cands, Candidate{Victims: []Victim{{Slot: s, Job: v}}, V: float64(i)})
+			v := job(fmt.Sprint(s.Machine.Name, i%2+1), 1, 4, protocol.Low)
+			cands = append(cands, Candidate{Victims: []Victim{{Slot: s, Job: v}}, Lost: float64(i)})
 		}
-		Order(0.31, cands)
+		RankCandidates(0.31, cands)
 		var got []string
-		for _, c := range EvictSoonest(j, x.n, []*Slot{m, n}, cands) {
+		for _, c := range PreemptSoonest(j, x.n, []*Slot{m, n}, cands) {
 			got = append(got, c.Victims[0].Job.ID)
 		}
 		slices.Sort(got)
--- a/internal/coordination/silence.go
+++ b/internal/coordination/silence.go
@@ -26,8 +26,8 @@
 	c.metrics.stalls.Inc()
 	c.resumedAt = now
 	// What was idle or spare before says nothing about now.
-	clear(c.leader.spareFrom)
-	clear(c.leader.empty)
+	clear(c.leader.surplusSince)
+	clear(c.leader.emptyMachines)
 	clear(c.leader.unrecorded)
 }
 
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -84,7 +84,7 @@
 		c.sessionLease, c.leaseRenewedAt = 1, now.Add(-x.since)
 		c.autoscaleAsLeader(t.Context(), now)
 		got := false
-		if c.leader.listing || len(c.leader.renting) > 0 {
+		if c.leader.listing || len(c.leader.scaleOuts) > 0 {
 			got = true
 			<-asked
 		}
@@ -222,7 +222,7 @@
 		{"a final state never changes", true, "job-000002", 200},
 	} {
 		c := newCore(t)
-		if err := c.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, NDone: 1, Final: "done"}), 5, false); err != nil {
+		if err := c.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, DoneCount: 1, Final: "done"}), 5, false); err != nil {
 			t.Fatal(err)
 		}
 		c.store = sleepyStore{meanwhile: func() {
--- a/internal/coordination/stops.go
+++ b/internal/coordination/stops.go
@@ -46,9 +46,9 @@
 // cancellationAge is how long ago a job may have been cancelled at most. Where its record doesn't tell, since the version before wrote
 // it or it is not read yet, that counts from when this process learned of it, which is kept in noted.
 func (c *Controller) cancellationAge(j *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
-	if j.EndMs > 0 {
+	if j.FinalAtMs > 0 {
 		off := time.Duration(2 * c.cfg.Deployment.ClockSkewMs * float64(time.Millisecond))
-		return max(0, now.Sub(time.UnixMilli(j.EndMs))+off)
+		return max(0, now.Sub(time.UnixMilli(j.FinalAtMs))+off)
 	}
 	at, ok := c.cancellationsLearnedAt[j.ID]
 	if !ok {
@@ -63,16 +63,16 @@
 	var ages map[int32]time.Duration
 	noted := map[string]time.Time{}
 	for _, j := range c.cache.Jobs {
-		if j == nil || j.NPlaced == 0 || !c.cancelled(j) {
+		if j == nil || j.PlacedCount == 0 || !c.cancelled(j) {
 			continue
 		}
 		age := c.cancellationAge(j, now, noted)
-		for t, i := range j.Machine {
+		for t, i := range j.MachineOf {
 			if i == storage.Nowhere {
 				continue
 			}
 			m := c.cache.Machines[i]
-			if v := c.workerStates[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.Attempt[t]})) {
+			if v := c.workerStates[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.AttemptOf[t]})) {
 				continue
 			}
 			if ages == nil {
@@ -122,7 +122,7 @@
 			lost = append(lost, m.Name)
 			s.nextTry = now.Add(scaleInRetry)
 			if own {
-				c.closeMachine(m, "can't be stopped")
+				c.returnMachine(m, "can't be stopped")
 			}
 		case began < terminationsPerRound && c.directCommands < maxDirectCommands:
 			// Each round began with the same machines once, and those beyond the first 48 had no stop.
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -55,9 +55,9 @@
 			}
 			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
-			r := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", EndMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
+			r := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
 			if x.is&unknown != 0 {
-				r.EndMs = 0
+				r.FinalAtMs = 0
 			}
 			if x.is&told != 0 {
 				c.digest.gossiped["job-000001"] = 9
@@ -84,7 +84,7 @@
 			if lost := c.superviseTerminations(now); (len(lost) > 0) != x.want {
 				t.Errorf("returned %v, want %v", lost, x.want)
 			}
-			if e := c.edits[m.Index]; (e != nil && e.closing) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
+			if e := c.pendingUpdates[m.Index]; (e != nil && e.returning) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
 				t.Error("its owner returns it without saying so, or another one says so")
 			}
 		})
@@ -118,10 +118,10 @@
 		v, now := c.workerState(m), time.Now()
 		v.since, v.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
 		if i == 0 {
-			c.zone(m.Zone).away, c.zone(m.Zone).heard, c.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
+			c.zoneState(m.Zone).unreachable, c.zoneState(m.Zone).heard, c.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
 			c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
 			c.leaseSeenAt["n1"] = now
-			m.Tasks = []storage.Placed{{Job: &storage.Job{Shape: protocol.Service}}}
+			m.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
 			v.heard, v.missedProbes = v.heartbeatAt, 9
 		} else if i > 1 {
 			c.applyHeartbeat(m, v, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
@@ -132,7 +132,7 @@
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.usable)
 		}
 		c.superviseMachines(t.Context(), now, nil)
-		if e := c.edits[m.Index]; (e != nil && e.closing) != x.why {
+		if e := c.pendingUpdates[m.Index]; (e != nil && e.returning) != x.why {
 			t.Errorf("%s: returned %v, want %v", x.name, !x.why, x.why)
 		}
 	}
@@ -141,7 +141,7 @@
 // A lead whose transaction's answer was lost is known from its record: what an earlier lead of the same process knew must not stay.
 func TestALeadBeginsWithItsRecord(t *testing.T) {
 	c := newCore(t)
-	c.leader.adopting["m9"], c.leader.charters = true, 7
+	c.leader.enrollPending["m9"], c.leader.requestCount = true, 7
 	lead := func(node string, version uint64) {
 		if err := c.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1}), version, false); err != nil {
 			t.Fatal(err)
@@ -149,12 +149,12 @@
 		c.changed()
 	}
 	lead("n0", 8)
-	if c.leader.adopting["m9"] || c.leader.charters != 7 {
-		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", c.leader.adopting, c.leader.charters)
+	if c.leader.enrollPending["m9"] || c.leader.requestCount != 7 {
+		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", c.leader.enrollPending, c.leader.requestCount)
 	}
-	c.leader.adopting["m9"] = true
+	c.leader.enrollPending["m9"] = true
 	lead("n0", 9) // its key rewritten by itself
-	if !c.leader.adopting["m9"] {
+	if !c.leader.enrollPending["m9"] {
 		t.Error("a lead that goes on began anew")
 	}
 }
--- a/internal/coordination/teams.go
+++ b/internal/coordination/teams.go
@@ -75,7 +75,7 @@
 	}
 	known := false
 	err := c.call(ctx, func() {
-		if team := c.cache.TeamIdx.Find(name); team >= 0 {
+		if team := c.cache.TeamIndex.Find(name); team >= 0 {
 			v, known = c.teamView(team, time.Now()), true
 		}
 	})
@@ -96,7 +96,7 @@
 	if len(v.Behind) > 0 {
 		v.State = TeamSpreads
 	}
-	if entry.Was != nil {
+	if entry.Former != nil {
 		v.State = TeamLowering
 		v.CpusToGo, v.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
 	}
@@ -223,8 +223,8 @@
 	err = c.call(ctx, func() {
 		c.applyTxn(t, rev)
 		c.changed()
-		c.kick()
-		view = c.teamView(c.cache.TeamIdx.Find(name), time.Now())
+		c.requestCycle()
+		view = c.teamView(c.cache.TeamIndex.Find(name), time.Now())
 	})
 	c.log.Info("team changed by an operator", "team", name, "version", rev, "change", string(change))
 	return view, err
@@ -233,7 +233,7 @@
 // teamTxn is the transaction that changes a team.
 func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
 	var t protocol.Txn
-	team := c.cache.TeamIdx.Find(name)
+	team := c.cache.TeamIndex.Find(name)
 	if team < 0 {
 		return t, ErrNoTeam
 	}
@@ -256,19 +256,19 @@
 	}
 	rec := storage.TeamRecord{TeamBounds: next}
 	counts := now // the limit that counts now
-	if entry.Was != nil {
-		counts = *entry.Was
+	if entry.Former != nil {
+		counts = *entry.Former
 	}
 	if tighter(next, counts) {
 		was := looser(next, counts)
-		rec.Was = &was
+		rec.Former = &was
 	}
 	t.If = []protocol.Condition{{Key: storage.TeamKey(name), Version: entry.Version}}
 	t.Then = []protocol.Change{{Put: storage.TeamKey(name), Value: storage.Encode(rec)}}
-	if !c.cache.ChangesTeams() {
+	if !c.cache.TeamChangesEnabled() {
 		gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
 		t.If = append(t.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
-		t.Then = append(t.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.BarTeamsKey, Value: gate})
+		t.Then = append(t.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
 	}
 	return t, nil
 }
@@ -276,7 +276,7 @@
 // notReadingTeams are the nodes that the settings name and that have not shown that they read changed teams. Once a team has
 // been changed no older version becomes ready, so nobody is missing.
 func (c *Controller) notReadingTeams() []string {
-	if c.cache.ChangesTeams() {
+	if c.cache.TeamChangesEnabled() {
 		return nil
 	}
 	var missing []string
@@ -322,18 +322,18 @@
 // planLimits works off limits that are being lowered, of teams whose share this node owns: those that the records prove to be
 // kept count from now on (what this transaction places is within them), and tasks beyond the others are evicted. It comes before what ends and
 // starts: at the peak those fill every transaction, and lowered limits waited for a minute.
-func (c *Controller) planLimits(now time.Time, d *draft) {
+func (c *Controller) planLimits(now time.Time, d *plannedTxn) {
 	for team, entry := range c.cache.TeamEntries {
-		if entry.Was == nil || !c.ownsShard(c.cache.ShardOf(team)) || d.used >= max(1, d.ops/limitsPart) {
+		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || d.usedOps >= max(1, d.maxOps/limitsPart) {
 			continue
 		}
 		if isUnder(entry.TeamBounds, c.cache.Used[team]) {
 			key := storage.TeamKey(c.cache.Teams[team].Name)
 			d.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
-			d.used++
+			d.usedOps++
 			continue
 		}
-		if c.cache.Evicted[limitSetOf(team)] == nil {
+		if c.cache.VictimSets[limitSetOf(team)] == nil {
 			c.evictForLimit(now, d, team, entry.TeamBounds)
 		}
 	}
@@ -343,25 +343,25 @@
 const limitsPart = 4
 
 // evictForLimit names the tasks that have to go for a team to be under its limit, as one record before any stop.
-func (c *Controller) evictForLimit(now time.Time, d *draft, team int, b storage.TeamBounds) {
+func (c *Controller) evictForLimit(now time.Time, d *plannedTxn, team int, b storage.TeamBounds) {
 	candidates := c.limitCandidates(now, team)
-	schedule.Order(c.alpha, candidates)
+	schedule.RankCandidates(c.alpha, candidates)
 	chosen := schedule.EvictExcess(c.stillUsed(team), b.Team(""), candidates)
 	chosen = c.fitRecord(chosen)
 	if len(chosen) == 0 {
 		return
 	}
-	e := storage.EvictRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli()}
+	e := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli()}
 	for _, x := range chosen {
 		for _, v := range x.Victims {
-			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.M.Name, Job: v.Job.ID, Task: v.Task, Attempt: v.Attempt,
+			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.Machine.Name, Job: v.Job.ID, Task: v.Task, Attempt: v.Attempt,
 				Score: float64(int(x.Score*10)) / 10})
 		}
 	}
 	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(e.Victims))
-	key := storage.EvictKey(limitSetOf(team))
-	d.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeEvict(&e, c.cache.Packed())})
-	d.used++
+	key := storage.VictimSetKey(limitSetOf(team))
+	d.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&e, c.cache.Packed())})
+	d.usedOps++
 }
 
 // stillUsed is what a team uses without what is known to have ended, which leaves the records by itself.
@@ -389,10 +389,10 @@
 		if m.Gone {
 			continue
 		}
-		slot := &schedule.Slot{M: m}
+		slot := &schedule.Slot{Machine: m}
 		for _, p := range m.Tasks {
 			j := p.Job
-			if j.Team != team || !j.Open() || c.cache.Victim(p) {
+			if j.Team != team || !j.Open() || c.cache.IsVictim(p) {
 				continue
 			}
 			v := c.workerState(m)
@@ -403,13 +403,13 @@
 			victim := schedule.Victim{Slot: slot, Job: j, Task: p.Task, Attempt: p.Attempt}
 			if i, ok := services[j]; ok {
 				out[i].Victims = append(out[i].Victims, victim)
-				out[i].V, out[i].W = out[i].V+ran, max(out[i].W, float64(p.Waited))
+				out[i].Lost, out[i].Waited = out[i].Lost+ran, max(out[i].Waited, float64(p.WaitedS))
 				continue
 			}
 			if j.Shape == protocol.Service {
 				services[j] = len(out)
 			}
-			out = append(out, schedule.Candidate{Victims: []schedule.Victim{victim}, V: ran, W: float64(p.Waited), At: j.At, Top: j.Priority.Top()})
+			out = append(out, schedule.Candidate{Victims: []schedule.Victim{victim}, Lost: ran, Waited: float64(p.WaitedS), SubmittedAt: j.ReadyAt, TopPriority: j.Priority.Top()})
 		}
 	}
 	return out
--- a/internal/coordination/teams_test.go
+++ b/internal/coordination/teams_test.go
@@ -47,14 +47,14 @@
 		{name: "the gate before is closed", prepare: func(c *Controller) { c.cache.Layout.Version = storage.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "raised while it is being lowered", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
-			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &was}, 9)
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":20}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":0,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":0}}`},
 		{name: "one limit is lowered, the other raised", prepare: func(c *Controller) {
 			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 40, GpusMax: 4}}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":20,"gpus_max":8}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":8,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":8}}`},
 		{name: "raised beyond what counted", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
-			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &was}, 9)
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":50}`, want: `{"cpus":0,"cpus_max":50,"gpus":0,"gpus_max":0}`},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			if err != nil || len(txn.Then) < 1 || string(txn.Then[0].Value) != x.want || txn.If[0].Version != x.version || txn.If[0].Key != storage.TeamKey(x.team) {
 				t.Fatalf("%+v, %v", txn, err)
 			}
-			if gate := len(txn.Then) == 3 && txn.Then[1].Put == storage.LayoutKey && txn.Then[2].Put == storage.BarTeamsKey; !gate || len(txn.If) != 2 {
+			if gate := len(txn.Then) == 3 && txn.Then[1].Put == storage.LayoutKey && txn.Then[2].Put == storage.TeamsBarrierKey; !gate || len(txn.If) != 2 {
 				t.Errorf("the first change does not close the gate behind it: %+v", txn)
 			}
 		})
@@ -107,24 +107,24 @@
 			j, m := c.cache.Job("job-000001"), c.cache.Machine("m")
 			if !x.stopped {
 				for task := range 2 {
-					m.Tasks = append(m.Tasks, storage.Placed{Job: j, Task: task, Attempt: 4, At: now.Unix() - 10*int64(task)})
-					j.Machine[task], j.Attempt[task], j.NPlaced = m.Index, 4, j.NPlaced+1
+					m.Tasks = append(m.Tasks, storage.PlacedTask{Job: j, Task: task, Attempt: 4, PlacedAt: now.Unix() - 10*int64(task)})
+					j.MachineOf[task], j.AttemptOf[task], j.PlacedCount = m.Index, 4, j.PlacedCount+1
 				}
 				c.cache.Used[0].Add(j, 2)
 			}
-			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: x.limit}, Was: &none}, 9)
-			d := &draft{batch: newBatch(), ops: 12}
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: x.limit}, Former: &none}, 9)
+			d := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
 			c.planLimits(now, d)
 			put, counts := d.puts[storage.TeamKey("red")]
-			if counts != x.counts || counts && strings.Contains(string(put.Value), "was") || counts && d.conds[storage.TeamKey("red")] != 9 {
+			if counts != x.counts || counts && strings.Contains(string(put.Value), "was") || counts && d.conditions[storage.TeamKey("red")] != 9 {
 				t.Errorf("counts: %v, want %v: %s", counts, x.counts, put.Value)
 			}
-			set, evicts := d.puts[storage.EvictKey(limitSetOf(0))]
+			set, evicts := d.puts[storage.VictimSetKey(limitSetOf(0))]
 			if evicts != (x.victims > 0) {
 				t.Fatalf("evicts: %v, want %d victims", evicts, x.victims)
 			}
 			if evicts {
-				e, err := storage.DecodeEvict(set.Value)
+				e, err := storage.DecodeVictimSet(set.Value)
 				if err != nil || len(e.Victims) != x.victims || e.Victims[0].Task != 0 {
 					t.Errorf("%+v, %v: want the task that has run for the shortest time", e, err)
 				}
@@ -155,7 +155,7 @@
 		{storage.TeamKey("red"), limit(8), 9, false, 8},
 		{storage.TeamKey("red"), limit(6), 7, false, 8},
 		{storage.TeamKey("green"), limit(5), 10, false, 8},
-		{storage.BarTeamsKey, limit(5), 11, false, 8},
+		{storage.TeamsBarrierKey, limit(5), 11, false, 8},
 		{storage.TeamKey("red"), nil, 12, true, 0},
 	} {
 		if err := c.cache.Apply(x.key, storage.Encode(x.rec), x.version, x.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
@@ -176,7 +176,7 @@
 func TestLoweredLimitHasItsPartOfFullTransactions(t *testing.T) {
 	c := newTeamCore(t)
 	none := storage.TeamBounds{}
-	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Was: &none}, 9)
+	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &none}, 9)
 	b, _ := c.plan(time.Now(), 1)
 	if _, ok := b.puts[storage.TeamKey("red")]; !ok {
 		t.Errorf("a transaction of one change holds %v", b.order)
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -28,25 +28,25 @@
 	return a
 }
 
-var later = refuse(503, "the service cannot decide this now, come back shortly")
+var errRetryLater = refuse(503, "the service cannot decide this now, come back shortly")
 
 func (c *Controller) statusOf(j *storage.Job) protocol.JobState {
-	s := protocol.JobState{ID: j.ID, Status: protocol.Queued, Done: j.NDone, Running: j.NPlaced}
+	s := protocol.JobState{ID: j.ID, Status: protocol.Queued, Done: j.DoneCount, Running: j.PlacedCount}
 	switch {
 	case !j.Open():
 		s.Status, s.Running = j.Final, 0
-	case j.Doomed:
+	case j.DependencyFailed:
 		s.Status = protocol.Cancelled
-	case j.NPlaced > 0:
+	case j.PlacedCount > 0:
 		s.Status = protocol.Running
 	default:
-		s.UnmetDependencies = j.Unmet()
+		s.UnmetDependencies = j.UnmetDependencies()
 	}
 	return s
 }
 
-// look finds a job's state; known is false when the cache has no such job.
-func (c *Controller) look(ctx context.Context, id string) (st protocol.JobState, known, loaded bool, err error) {
+// lookup finds a job's state; known is false when the cache has no such job.
+func (c *Controller) lookup(ctx context.Context, id string) (st protocol.JobState, known, loaded bool, err error) {
 	err = c.call(ctx, func() {
 		loaded = c.loaded
 		if f, n := c.cache.FinalState(id); f != "" {
@@ -58,12 +58,12 @@
 	return st, known, loaded, err
 }
 
-// lookCertain is look, with a barrier before anything but a final state: no
+// lookupLinearizable is look, with a barrier before anything but a final state: no
 // user may get an older answer than another node has given. What this node slept
 // over is as old: others may have given newer answers meanwhile.
-func (c *Controller) lookCertain(ctx context.Context, id string) (protocol.JobState, bool, error) {
+func (c *Controller) lookupLinearizable(ctx context.Context, id string) (protocol.JobState, bool, error) {
 	began := time.Now()
-	st, known, loaded, err := c.look(ctx, id)
+	st, known, loaded, err := c.lookup(ctx, id)
 	if err != nil {
 		return st, false, err
 	}
@@ -76,7 +76,7 @@
 	if err := c.Barrier(ctx); err != nil {
 		return st, false, err
 	}
-	if st, known, _, err = c.look(ctx, id); err != nil || known && st.Status.Final() {
+	if st, known, _, err = c.lookup(ctx, id); err != nil || known && st.Status.Final() {
 		return st, known, err
 	}
 	slept := false
@@ -94,10 +94,10 @@
 	if !protocol.ValidJobID(id) {
 		return refuse(404, "no such job")
 	}
-	st, known, err := c.lookCertain(ctx, id)
+	st, known, err := c.lookupLinearizable(ctx, id)
 	switch {
 	case err != nil:
-		return later
+		return errRetryLater
 	case !known:
 		return refuse(404, "no such job")
 	}
@@ -109,10 +109,10 @@
 	s, bad := protocol.ParseSubmission(body)
 	if bad != nil {
 		// A repeated id is answered with the job's state whatever body comes.
-		if id := looseID(body); id != "" {
-			st, known, err := c.lookCertain(ctx, id)
+		if id := lenientJobID(body); id != "" {
+			st, known, err := c.lookupLinearizable(ctx, id)
 			if err != nil {
-				return later
+				return errRetryLater
 			}
 			if known {
 				return Answer{Status: 200, Body: st}
@@ -129,60 +129,60 @@
 			return
 		}
 		// Before the gate opens a node of the version before would start it too early.
-		ready = c.accepts() && (len(s.Dependencies) == 0 || c.loaded && c.cache.Packed())
+		ready = c.acceptsJobs() && (len(s.Dependencies) == 0 || c.loaded && c.cache.Packed())
 		if ready {
-			if never = c.neverRuns(s); never == "" {
-				never, lacks = c.badNeeds(s)
+			if never = c.unschedulableReason(s); never == "" {
+				never, lacks = c.invalidDependency(s)
 			}
 		}
 	})
 	if err != nil {
-		return later
+		return errRetryLater
 	}
 	if !known && !ready {
-		return later
+		return errRetryLater
 	}
 	if !known && lacks {
 		// Another node may have accepted it a moment ago.
 		err := c.Barrier(ctx)
 		if err == nil {
 			err = c.call(ctx, func() {
-				never, lacks = c.badNeeds(s)
+				never, lacks = c.invalidDependency(s)
 				ready = !c.stalledSince(began)
 			})
 		}
 		if err != nil || !ready {
-			return later
+			return errRetryLater
 		}
 	}
 	if known || never != "" {
-		st, known, err := c.lookCertain(ctx, s.ID)
+		st, known, err := c.lookupLinearizable(ctx, s.ID)
 		switch {
 		case err != nil:
-			return later
+			return errRetryLater
 		case known:
 			return Answer{Status: 200, Body: st}
 		}
 		return refuse(422, never)
 	}
-	rec := storage.JobRecord{Spec: storage.SpecOf(s), AtMs: time.Now().UnixMilli(), Tasks: s.Tasks, Team: s.Team,
-		Needs: storage.PackIDs(s.Dependencies)}
+	rec := storage.JobRecord{Spec: storage.SpecOf(s), SubmittedMs: time.Now().UnixMilli(), Tasks: s.Tasks, Team: s.Team,
+		Dependencies: storage.PackIDs(s.Dependencies)}
 	t := protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.JobKey(s.ID)}},
 		Then: []protocol.Change{{Put: storage.JobKey(s.ID), Value: storage.Encode(rec)}},
 	}
-	if !c.shorten(ctx, s.ID, &rec, &t) {
-		return later
+	if !c.storeChunks(ctx, s.ID, &rec, &t) {
+		return errRetryLater
 	}
 	rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
 	switch {
 	case err != nil:
 		c.log.Info("submission not committed", "job", s.ID, "err", err)
-		return later
+		return errRetryLater
 	case len(failed) > 0:
-		st, known, err := c.lookCertain(ctx, s.ID)
+		st, known, err := c.lookupLinearizable(ctx, s.ID)
 		if err != nil || !known {
-			return later
+			return errRetryLater
 		}
 		return Answer{Status: 200, Body: st}
 	}
@@ -191,14 +191,14 @@
 	return Answer{Status: 201, Body: protocol.JobState{ID: s.ID, Status: protocol.Queued}}
 }
 
-// shorten writes the parts of a description that is too long for its job's record, and
+// storeChunks writes the parts of a description that is too long for its job's record, and
 // puts the record that names them into the transaction.
-func (c *Controller) shorten(ctx context.Context, id string, rec *storage.JobRecord, t *protocol.Txn) bool {
+func (c *Controller) storeChunks(ctx context.Context, id string, rec *storage.JobRecord, t *protocol.Txn) bool {
 	limit, ops, try, packed := 0, 0, "", false
 	if c.call(ctx, func() {
 		limit, ops, packed = c.valueLimit(), c.limits().TxnOps, c.cache.Packed()
-		c.tries++
-		try = fmt.Sprintf("%d-%d", c.incarnation, c.tries)
+		c.descriptionWrites++
+		try = fmt.Sprintf("%d-%d", c.incarnation, c.descriptionWrites)
 	}) != nil {
 		return false
 	}
@@ -208,7 +208,7 @@
 	if !packed || try[0] == '0' {
 		return false // the version before does not read parts
 	}
-	parts, main := storage.SplitLong(id, try, rec, limit)
+	parts, main := storage.SplitDescription(id, try, rec, limit)
 	for len(parts) > 0 {
 		n := min(ops, len(parts))
 		p := protocol.Txn{Then: parts[:n]}
@@ -225,9 +225,9 @@
 	return true
 }
 
-// badNeeds says why a job can't wait for what it names, "" if it can; lacks tells that
+// invalidDependency says why a job can't wait for what it names, "" if it can; lacks tells that
 // it is because this node knows no such job.
-func (c *Controller) badNeeds(s *protocol.Submission) (why string, lacks bool) {
+func (c *Controller) invalidDependency(s *protocol.Submission) (why string, lacks bool) {
 	for _, id := range s.Dependencies {
 		if f, _ := c.cache.FinalState(id); f != "" {
 			continue
@@ -243,7 +243,7 @@
 	return "", false
 }
 
-func looseID(body []byte) string {
+func lenientJobID(body []byte) string {
 	var m map[string]json.RawMessage
 	var id string
 	if json.Unmarshal(body, &m) != nil || json.Unmarshal(m["id"], &id) != nil || !protocol.ValidJobID(id) {
@@ -252,9 +252,9 @@
 	return id
 }
 
-// neverRuns says why a job can never run, "" if it can.
-func (c *Controller) neverRuns(s *protocol.Submission) string {
-	team := c.cache.TeamIdx.Find(s.Team)
+// unschedulableReason says why a job can never run, "" if it can.
+func (c *Controller) unschedulableReason(s *protocol.Submission) string {
+	team := c.cache.TeamIndex.Find(s.Team)
 	if team < 0 {
 		return fmt.Sprintf("unknown team %q", s.Team)
 	}
@@ -269,7 +269,7 @@
 		if t.Cpus <= 0 || s.Cpus > t.Cpus || s.Gpus > t.Gpus || s.MemGB > t.Mem {
 			continue
 		}
-		if len(s.Types) > 0 && !slices.Contains(s.Types, c.cache.TypeIdx.Name(i)) {
+		if len(s.Types) > 0 && !slices.Contains(s.Types, c.cache.TypeIndex.Name(i)) {
 			continue
 		}
 		if zone >= 0 && len(t.Zones) > 0 && !slices.Contains(t.Zones, zone) {
@@ -297,15 +297,15 @@
 		return refuse(404, "no such job")
 	}
 	for range 8 {
-		st, known, loaded, err := c.look(ctx, id)
+		st, known, loaded, err := c.lookup(ctx, id)
 		switch {
 		case err != nil || !loaded:
-			return later
+			return errRetryLater
 		case known && st.Status.Final():
 			return Answer{Status: 200, Body: st}
 		case !known:
-			if st, known, err = c.lookCertain(ctx, id); err != nil {
-				return later
+			if st, known, err = c.lookupLinearizable(ctx, id); err != nil {
+				return errRetryLater
 			} else if !known {
 				return refuse(404, "no such job")
 			} else if st.Status.Final() {
@@ -316,7 +316,7 @@
 		err = c.call(ctx, func() {
 			if j := c.cache.Job(id); j != nil && j.Open() {
 				key := storage.JobKey(id)
-				rec := c.finalRecord(j, progress{j.Done, j.NDone}, protocol.Cancelled)
+				rec := c.finalRecord(j, progress{j.Done, j.DoneCount}, protocol.Cancelled)
 				t = protocol.Txn{
 					If:   []protocol.Condition{{Key: key, Version: j.Version}},
 					Then: []protocol.Change{{Put: key, Value: storage.Encode(rec)}},
@@ -324,7 +324,7 @@
 			}
 		})
 		if err != nil {
-			return later
+			return errRetryLater
 		}
 		if len(t.Then) == 0 {
 			continue
@@ -334,28 +334,28 @@
 			if !errors.Is(err, protocol.ErrRefused) {
 				c.log.Info("cancellation in doubt", "job", id, "err", err)
 			}
-			return later
+			return errRetryLater
 		}
 		if len(failed) == 0 {
 			if err := c.call(ctx, func() { c.applyTxn(t, rev); c.changed() }); err != nil {
-				return later
+				return errRetryLater
 			}
 			continue
 		}
 		if err := c.Barrier(ctx); err != nil {
-			return later
+			return errRetryLater
 		}
 	}
-	return later
+	return errRetryLater
 }
 
-// accepts tells whether this node can accept a job that awaits no other. That takes the
+// acceptsJobs tells whether this node can accept a job that awaits no other. That takes the
 // machine types, and that the records are of a layout that it reads; whether the id is free
 // is a condition of the commit. So the gate and the catalog are read first, and after an end of
 // all nodes submissions need not wait until each has read every record. Once teams may have been changed it has to
 // have read those, too: it would accept by the settings file what can never run.
-func (c *Controller) accepts() bool {
-	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.ChangesTeams() && !c.foreignLayout)
+func (c *Controller) acceptsJobs() bool {
+	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.TeamChangesEnabled() && !c.foreignLayout)
 }
 
 // Ready tells whether this node can take requests. In an outage of the state service all
@@ -364,8 +364,8 @@
 	ok := false
 	err := c.call(ctx, func() {
 		now := time.Now()
-		waits := !c.foreignLayout && c.unread && c.cache.HasCatalog() && now.Sub(c.unverified.since) > peerFresh
-		ok = (c.accepts() || waits) && !c.isolatedFromStore(now)
+		waits := !c.foreignLayout && c.loadFailed && c.cache.HasCatalog() && now.Sub(c.unverified.since) > peerFresh
+		ok = (c.acceptsJobs() || waits) && !c.isolatedFromStore(now)
 	})
 	return err == nil && ok
 }
--- a/internal/coordination/usual/usual.go
+++ b/internal/coordination/usual/usual.go
@@ -35,62 +35,62 @@
 )
 
 // Rates are by lane how much work arrives a second, in seconds of a CPU.
-type Rates map[storage.Lane]float64
+type Rates map[storage.ClassQueue]float64
 
-// Learner follows what lanes ask for. It belongs to the leader; its successor goes on from
+// Estimator follows what lanes ask for. It belongs to the leader; its successor goes on from
 // the record that it has left.
-type Learner struct {
-	lanes map[storage.Lane]*lane
-	known bool // it began with a record
+type Estimator struct {
+	queues map[storage.ClassQueue]*queueEstimate
+	known  bool // it began with a record
 }
 
-type lane struct {
-	first []float64     // jobs a second in the windows so far, until there is a first guess
-	all   storage.Asked // in all of them
-	rate  float64       // asked, smoothed
-	usual float64
+type queueEstimate struct {
+	first    []float64        // jobs a second in the windows so far, until there is a first guess
+	all      storage.Arrivals // in all of them
+	rate     float64          // asked, smoothed
+	baseline float64
 }
 
 // New is a learner that goes on from a record; with none it begins anew.
-func New(record Rates) *Learner {
-	l := &Learner{lanes: map[storage.Lane]*lane{}, known: len(record) > 0}
+func New(record Rates) *Estimator {
+	l := &Estimator{queues: map[storage.ClassQueue]*queueEstimate{}, known: len(record) > 0}
 	for x, u := range record {
-		l.lanes[x] = &lane{rate: u, usual: u}
+		l.queues[x] = &queueEstimate{rate: u, baseline: u}
 	}
 	return l
 }
 
 // Window takes in what lanes asked for in a window of time.
-func (l *Learner) Window(d time.Duration, asked map[storage.Lane]storage.Asked) {
+func (l *Estimator) Window(d time.Duration, asked map[storage.ClassQueue]storage.Arrivals) {
 	s := d.Seconds()
 	if s <= 0 {
 		return
 	}
 	for x := range asked {
-		if l.lanes[x] == nil {
-			l.lanes[x] = &lane{}
+		if l.queues[x] == nil {
+			l.queues[x] = &queueEstimate{}
 		}
 	}
-	for x, n := range l.lanes {
-		if n.usual == 0 {
+	for x, n := range l.queues {
+		if n.baseline == 0 {
 			l.guess(n, asked[x], s)
 			continue
 		}
 		now := asked[x].Work / s
 		n.rate += min(1, s/smooth.Seconds()) * (now - n.rate)
 		switch part := s / settle.Seconds(); {
-		case n.rate < idle*n.usual:
-		case n.rate > n.usual:
-			n.usual *= math.Exp(quantile * part)
+		case n.rate < idle*n.baseline:
+		case n.rate > n.baseline:
+			n.baseline *= math.Exp(quantile * part)
 		default:
-			n.usual *= math.Exp((quantile - 1) * part)
+			n.baseline *= math.Exp((quantile - 1) * part)
 		}
 	}
 }
 
 // guess takes a window of a lane of which nothing is known. A flood changes how many jobs come
 // but not what a job is, so the guess is the usual number of jobs with the mean work of one.
-func (l *Learner) guess(n *lane, asked storage.Asked, s float64) {
+func (l *Estimator) guess(n *queueEstimate, asked storage.Arrivals, s float64) {
 	n.all.Jobs, n.all.Work = n.all.Jobs+asked.Jobs, n.all.Work+asked.Work
 	if n.first = append(n.first, asked.Jobs/s); len(n.first) < firstWindows {
 		return
@@ -113,33 +113,33 @@
 		// more than they have on average before it has lasted.
 		u = min(u, mean)
 	}
-	n.rate, n.usual, n.first = u, u, nil
+	n.rate, n.baseline, n.first = u, u, nil
 }
 
-func (l *Learner) mean() float64 {
+func (l *Estimator) mean() float64 {
 	sum, k := 0.0, 0
-	for _, n := range l.lanes {
-		if n.usual > 0 {
-			sum, k = sum+n.usual, k+1
+	for _, n := range l.queues {
+		if n.baseline > 0 {
+			sum, k = sum+n.baseline, k+1
 		}
 	}
 	return sum / float64(max(1, k))
 }
 
-// Usual is what is known by now.
-func (l *Learner) Usual() Rates {
+// Baseline is what is known by now.
+func (l *Estimator) Baseline() Rates {
 	out := Rates{}
-	for x, n := range l.lanes {
-		if n.usual > 0 {
-			out[x] = n.usual
+	for x, n := range l.queues {
+		if n.baseline > 0 {
+			out[x] = n.baseline
 		}
 	}
 	return out
 }
 
 // Differs tells whether a record is so far from what is known that it should be written anew.
-func (l *Learner) Differs(record Rates) bool {
-	for x, u := range l.Usual() {
+func (l *Estimator) Differs(record Rates) bool {
+	for x, u := range l.Baseline() {
 		if math.Abs(u-record[x]) > changed*record[x] {
 			return true
 		}
--- a/internal/coordination/usual/usual_test.go
+++ b/internal/coordination/usual/usual_test.go
@@ -8,9 +8,9 @@
 
 // The learner must tell what is asked for all the time from a flood, whenever that begins.
 func TestLearner(t *testing.T) {
-	a, b := storage.Lane{Team: 0, Class: 0}, storage.Lane{Team: 1, Class: 1}
+	a, b := storage.ClassQueue{Team: 0, Class: 0}, storage.ClassQueue{Team: 1, Class: 1}
 	// Jobs of 10 seconds of a CPU each.
-	ask := func(work float64) storage.Asked { return storage.Asked{Jobs: work / 10, Work: work} }
+	ask := func(work float64) storage.Arrivals { return storage.Arrivals{Jobs: work / 10, Work: work} }
 	type phase struct {
 		windows int
 		a, b    float64 // work a second
@@ -38,19 +38,19 @@
 			for _, p := range x.phases {
 				for i := range p.windows {
 					if len(x.record) > 0 && p.a > 0 && i%7 == 6 {
-						l = New(l.Usual()) // a successor goes on from the record
+						l = New(l.Baseline()) // a successor goes on from the record
 					}
-					asked := map[storage.Lane]storage.Asked{a: ask(p.a * Step.Seconds()), b: ask(p.b * Step.Seconds())}
+					asked := map[storage.ClassQueue]storage.Arrivals{a: ask(p.a * Step.Seconds()), b: ask(p.b * Step.Seconds())}
 					if p.every > 0 && i%p.every != 0 {
 						delete(asked, a)
 					}
 					l.Window(Step, asked)
 				}
 			}
-			if u := l.Usual()[a]; u < x.least || u > x.top {
+			if u := l.Baseline()[a]; u < x.least || u > x.top {
 				t.Errorf("usual %.1f, want %.1f to %.1f", u, x.least, x.top)
 			}
-			if u := l.Usual(); len(x.phases) > 1 && len(u) > 0 && l.Differs(u) {
+			if u := l.Baseline(); len(x.phases) > 1 && len(u) > 0 && l.Differs(u) {
 				t.Error("it differs from itself")
 			}
 		})
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -13,9 +13,9 @@
 	"dykeledge/internal/view"
 )
 
-// viewing keeps the read model that console, report and scripts share. It belongs to the
+// readModel keeps the read model that console, report and scripts share. It belongs to the
 // core's goroutine, all but the hub.
-type viewing struct {
+type readModel struct {
 	model    *view.Model
 	hub      *view.Hub
 	head     view.Head // of the latest snapshot
@@ -41,8 +41,8 @@
 		teams[i] = teamRow(t)
 	}
 	now := time.Now()
-	c.viewing = &viewing{model: view.NewModel(teams), hub: view.NewHub(), head: view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Member: c.cfg.MemberName}}
-	c.cache.Watch()
+	c.readModel = &readModel{model: view.NewModel(teams), hub: view.NewHub(), head: view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Member: c.cfg.MemberName}}
+	c.cache.EnableChangeFeed()
 }
 
 // teamRow is a team's guarantee and limit.
@@ -60,11 +60,11 @@
 // A row that changes ten times between two snapshots is made once, and while nobody reads none is
 // made before many wait: rows at every change took 5 to 7 % of a node's processor time.
 func (c *Controller) showView(now time.Time, ask bool) {
-	v := c.viewing
+	v := c.readModel
 	if v == nil || !c.loaded {
 		return
 	}
-	if n := c.cache.Unshown(); !ask && n < viewKept && (!v.hub.Wanted(now) || now.Sub(v.shown) < viewGap) {
+	if n := c.cache.PendingChanges(); !ask && n < viewKept && (!v.hub.Wanted(now) || now.Sub(v.shown) < viewGap) {
 		v.whole = false
 		return
 	}
@@ -72,7 +72,7 @@
 		v.readable, v.head.Since = true, now.UnixMilli()
 	}
 	whole := c.cache.Revision >= c.highestRevision
-	jobs, machines, evicted, more := c.cache.News(viewRows)
+	jobs, machines, evicted, more := c.cache.TakeChanges(viewRows)
 	v.whole = whole && !more
 	for _, j := range jobs {
 		v.model.PutJob(c.jobRow(j))
@@ -97,7 +97,7 @@
 
 // publishView hands a snapshot over, in the same time whatever it holds.
 func (c *Controller) publishView(now time.Time) {
-	v := c.viewing
+	v := c.readModel
 	v.shown = now
 	h := v.head
 	h.Revision, h.Now, h.AsOf, h.StateOK = c.cache.Revision, now.UnixMilli(), v.asOf.UnixMilli(), c.servedByStore(now)
@@ -127,7 +127,7 @@
 // known to be the latest for a second asks for it, as polls do, and so costs at most a
 // request a second.
 func (c *Controller) View(ctx context.Context, cur view.Cursor) *view.Snapshot {
-	v := c.viewing
+	v := c.readModel
 	if v == nil {
 		return nil
 	}
@@ -166,32 +166,32 @@
 }
 
 // ViewEnabled tells whether the node keeps a read model.
-func (c *Controller) ViewEnabled() bool { return c.viewing != nil }
+func (c *Controller) ViewEnabled() bool { return c.readModel != nil }
 
 func (c *Controller) jobRow(j *storage.Job) view.Job {
-	r := view.Job{ID: j.ID, Team: c.cache.Teams[j.Team].Name, Class: c.cache.Classes.Name(j.Class), Priority: j.Own,
-		Service: j.Shape == protocol.Service, Suspect: j.Suspect, Evicting: c.cache.Evicted[j.ID] != nil, Tasks: uint32(j.Tasks), Done: uint32(j.NDone),
-		Placed: uint32(j.NPlaced), Shard: uint32(j.Shard), Cpus: milli(j.Cpus), Gpus: milli(j.Gpus), Submit: j.Submitted.UnixMilli(),
-		From: j.At.UnixMilli(), Estimate: milli(j.Estimate), End: j.EndMs}
+	r := view.Job{ID: j.ID, Team: c.cache.Teams[j.Team].Name, Class: c.cache.Classes.Name(j.Class), Priority: j.OwnPriority,
+		Service: j.Shape == protocol.Service, Suspect: j.Suspect, Evicting: c.cache.VictimSets[j.ID] != nil, Tasks: uint32(j.Tasks), Done: uint32(j.DoneCount),
+		Placed: uint32(j.PlacedCount), Shard: uint32(j.Shard), Cpus: milli(j.Cpus), Gpus: milli(j.Gpus), Submit: j.Submitted.UnixMilli(),
+		From: j.ReadyAt.UnixMilli(), Estimate: milli(j.Estimate), End: j.FinalAtMs}
 	switch {
 	case j.Final == protocol.Done:
 		r.Status = view.Done
-	case !j.Open() || j.Doomed:
+	case !j.Open() || j.DependencyFailed:
 		r.Status = view.Cancelled
-	case j.NPlaced > 0:
+	case j.PlacedCount > 0:
 		r.Status = view.Running
 	default:
-		r.Awaits = uint32(j.Unmet())
+		r.Awaits = uint32(j.UnmetDependencies())
 	}
-	if j.Due > 0 {
-		r.Due = r.Submit + j.Due.Milliseconds()
+	if j.Deadline > 0 {
+		r.Due = r.Submit + j.Deadline.Milliseconds()
 	}
 	return r
 }
 
 func (c *Controller) machineRow(m *storage.Machine) view.Machine {
 	t := c.cache.Types[m.Type]
-	r := view.Machine{Name: m.Name, Type: c.cache.TypeIdx.Name(m.Type), Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Shard: uint32(m.Shard),
+	r := view.Machine{Name: m.Name, Type: c.cache.TypeIndex.Name(m.Type), Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Shard: uint32(m.Shard),
 		Tasks: uint32(len(m.Tasks)), Cpus: milli(t.Cpus), Gpus: milli(t.Gpus), Price: uint64(math.Round(1e6 * t.Price))}
 	if m.Spot {
 		r.Price = uint64(math.Round(1e6 * t.SpotPrice))
@@ -226,9 +226,9 @@
 // showEvicted brings an evicted set's row up to date. A set that is gone from the records is
 // over; its row stays among the latest.
 func (c *Controller) showEvicted(id string) {
-	m := c.viewing.model
+	m := c.readModel.model
 	old, had := m.EvictionOf(id)
-	e := c.cache.Evicted[id]
+	e := c.cache.VictimSets[id]
 	if e == nil {
 		if had && old.Open {
 			old.Open = false
--- a/internal/coordination/words.go
+++ b/internal/coordination/words.go
@@ -51,7 +51,7 @@
 
 // noteCancellation notes a job's record if it says that the job is cancelled.
 func (c *Controller) noteCancellation(key string, version uint64) {
-	if id, ok := storage.JobOf(key); ok {
+	if id, ok := storage.JobIDOf(key); ok {
 		if f, _ := c.cache.FinalState(id); f == protocol.Cancelled {
 			c.digest.recorded.add(version, id)
 		}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -71,7 +71,7 @@
 		return
 	}
 	c.applyHeartbeat(m, v, r, token, false)
-	c.kick()
+	c.requestCycle()
 	h := heldReply{machine: m.Name, heartbeat: r, until: time.Now().Add(c.timing.HeartbeatReplyWait), reply: reply}
 	if c.storeFailing() || len(c.heldReplies) > 1000 || !c.awaitsCommands(m, v) {
 		c.answerHeartbeat(h)
@@ -90,7 +90,7 @@
 func (c *Controller) raiseFencingToken(m *storage.Machine, v *workerState, token uint64) {
 	if token <= c.highestRevision {
 		v.Uncertain = max(v.Uncertain, token)
-		c.kick()
+		c.requestCycle()
 	}
 }
 
@@ -167,9 +167,9 @@
 		return
 	}
 	for _, p := range m.Tasks {
-		if took := now.Unix() - p.At; dispatch.RefOf(p) == ref && now.Sub(c.ownershipSince) > seconds(float64(took)) {
-			c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", m.Name, "waited", p.Waited, "fetched", took,
-				"gb", ref.Job.ImageGB, "age", now.Sub(ref.Job.At).Round(100*time.Millisecond).Seconds())
+		if took := now.Unix() - p.PlacedAt; dispatch.RefOf(p) == ref && now.Sub(c.ownershipSince) > seconds(float64(took)) {
+			c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", m.Name, "waited", p.WaitedS, "fetched", took,
+				"gb", ref.Job.ImageGB, "age", now.Sub(ref.Job.ReadyAt).Round(100*time.Millisecond).Seconds())
 		}
 	}
 }
@@ -210,29 +210,29 @@
 }
 
 // desiredState is what this owner wants of a placed attempt.
-func (c *Controller) desiredState(m *storage.Machine, v *workerState, p storage.Placed) dispatch.DesiredState {
+func (c *Controller) desiredState(m *storage.Machine, v *workerState, p storage.PlacedTask) dispatch.DesiredState {
 	j := p.Job
 	grace := 0.0
-	if j.Mark > 0 {
-		grace = j.Save + checkpointMargin
+	if j.CheckpointInterval > 0 {
+		grace = j.CheckpointCost + checkpointMargin
 	}
 	switch {
 	case c.finished(j):
 		return dispatch.DesiredState{Stop: true}
-	case c.cache.Victim(p):
+	case c.cache.IsVictim(p):
 		// Saving little takes as long as what it keeps, and the room is wanted now. One
 		// that is saving already goes on.
 		ref := dispatch.RefOf(p)
-		if at, ok := v.started[ref]; ok && j.Mark > 0 && v.Seen[ref].State == protocol.TaskRunning &&
-			math.Mod(time.Since(at).Seconds(), j.Mark) < j.Mark/3 {
+		if at, ok := v.started[ref]; ok && j.CheckpointInterval > 0 && v.Seen[ref].State == protocol.TaskRunning &&
+			math.Mod(time.Since(at).Seconds(), j.CheckpointInterval) < j.CheckpointInterval/3 {
 			grace = 0
 		}
 		return dispatch.DesiredState{Stop: true, Grace: grace}
-	case m.Draining && j.Mark > 0 && c.leaves(m, v, p, time.Now()):
+	case m.Draining && j.CheckpointInterval > 0 && c.leavesDrained(m, v, p, time.Now()):
 		return dispatch.DesiredState{Stop: true, Grace: grace}
 	case m.Draining && c.jobStates[j] != nil && c.jobStates[j].relocating == dispatch.RefOf(p):
 		return dispatch.DesiredState{Stop: true}
-	case !v.preemptedAt.IsZero() && j.Mark > 0 && time.Until(v.preemptedAt) < seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+1):
+	case !v.preemptedAt.IsZero() && j.CheckpointInterval > 0 && time.Until(v.preemptedAt) < seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+1):
 		return dispatch.DesiredState{Stop: true, Grace: grace}
 	}
 	return dispatch.DesiredState{}
@@ -240,9 +240,9 @@
 
 func (c *Controller) commands(m *storage.Machine, v *workerState, answer bool) []protocol.Command {
 	unsent := len(v.Gone)
-	cmds := v.Commands(m, c.cache.FencingToken(m), func(p storage.Placed) dispatch.DesiredState { return c.desiredState(m, v, p) }, answer, maxCommands)
+	cmds := v.Commands(m, c.cache.FencingToken(m), func(p storage.PlacedTask) dispatch.DesiredState { return c.desiredState(m, v, p) }, answer, maxCommands)
 	if len(v.Gone) > unsent {
-		c.kick()
+		c.requestCycle()
 	}
 	return cmds
 }
@@ -286,7 +286,7 @@
 
 // handleUnrecorded deals with a machine that has no record: the leader takes it in.
 func (c *Controller) handleUnrecorded(ctx context.Context, r *protocol.Heartbeat, reply func(int, any)) {
-	if c.cache.Known(r.Machine) {
+	if c.cache.MachineSeen(r.Machine) {
 		reply(503, errNotOwner) // it is gone and the report late, or its rack is not read yet
 		return
 	}
@@ -298,13 +298,13 @@
 		}
 		return
 	}
-	if c.cache.TypeIdx.Find(r.Type) < 0 || len(c.leader.newcomers) > maxPendingEnrollments {
+	if c.cache.TypeIndex.Find(r.Type) < 0 || len(c.leader.pendingMachines) > maxPendingEnrollments {
 		reply(503, errNotOwner)
 		return
 	}
 	// Its token must be above all that the worker has seen.
-	c.adopt(ctx, &newcomer{name: r.Machine, addr: r.Addr, kind: storage.FleetRecord{FencingToken: r.FencingToken + 1, Type: r.Type,
-		Zone: r.Zone, Spot: r.Spot, ProvisionedAt: time.Now().Unix()}, then: func(ok bool) {
+	c.enrollMachine(ctx, &pendingMachine{name: r.Machine, addr: r.Addr, fleet: storage.FleetRecord{FencingToken: r.FencingToken + 1, Type: r.Type,
+		Zone: r.Zone, Spot: r.Spot, ProvisionedAt: time.Now().Unix()}, done: func(ok bool) {
 		if ok && c.cache.Machine(r.Machine) != nil {
 			c.handleHeartbeat(ctx, r, reply)
 		} else {
@@ -347,11 +347,11 @@
 			if err != nil {
 				c.log.Debug("direct command failed", "machine", m.Name, "err", err)
 				v.missedProbes++
-				c.zone(m.Zone).misses++
+				c.zoneState(m.Zone).missedProbes++
 				if launches && !errors.Is(err, protocol.ErrRefused) {
 					v.Uncertain = max(v.Uncertain, token)
 				}
-				c.kick()
+				c.requestCycle()
 				return
 			}
 			if r.Machine != m.Name {
@@ -363,7 +363,7 @@
 			}
 			if v.Newer(r) {
 				c.applyHeartbeat(m, v, r, c.cache.FencingToken(m), true)
-				c.kick()
+				c.requestCycle()
 				// What it shows to run on after a takeover may have been cancelled while nobody had it.
 				c.terminateUnwanted(m)
 			}
@@ -386,10 +386,10 @@
 
 // terminateJob sends stops to the machines that a job's tasks are placed on.
 func (c *Controller) terminateJob(j *storage.Job) {
-	if j.NPlaced == 0 {
+	if j.PlacedCount == 0 {
 		return
 	}
-	for _, i := range j.Machine {
+	for _, i := range j.MachineOf {
 		if i != storage.Nowhere {
 			c.terminateUnwanted(c.cache.Machines[i])
 		}
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -14,16 +14,16 @@
 // on answering their workers. So replicas of services run on, and returning their machines would end
 // them; and what is rented there is up, but of no use, until the cut ends.
 
-// zone is what this node has heard of a zone.
-type zone struct {
-	heard  time.Time // any worker in it
-	away   bool
-	back   time.Time // heard again after it was away
-	asked  time.Time // a worker there was last asked for its report
-	asking bool
-	misses int       // unanswered in a row
-	next   int       // whom to ask
-	empty  time.Time // when it is away: no machine is left there that could be heard, since then
+// zoneState is what this node has heard of a zone.
+type zoneState struct {
+	heard          time.Time // any worker in it
+	unreachable    bool
+	reachableSince time.Time // heard again after it was away
+	probedAt       time.Time // a worker there was last asked for its report
+	probing        bool
+	missedProbes   int       // unanswered in a row
+	nextProbe      int       // whom to ask
+	emptySince     time.Time // when it is away: no machine is left there that could be heard, since then
 }
 
 const (
@@ -39,39 +39,39 @@
 	emptyFor = 15 * time.Second
 )
 
-// zoneQuiet is how long a zone must be silent to be away: longer than its workers may take to report,
+// zoneUnreachableAfter is how long a zone must be silent to be away: longer than its workers may take to report,
 // shorter than what has a single machine given up.
-func zoneQuiet(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 2) }
+func zoneUnreachableAfter(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 2) }
 
 // hearZone notes that a worker in a zone was heard.
 func (c *Controller) hearZone(z int, now time.Time) {
-	x := c.zone(z)
-	x.heard, x.misses = now, 0
-	if x.away {
-		x.away, x.back = false, now
+	x := c.zoneState(z)
+	x.heard, x.missedProbes = now, 0
+	if x.unreachable {
+		x.unreachable, x.reachableSince = false, now
 		c.log.Info("zone is heard again", "zone", c.cache.Zones.Name(z))
 	}
 }
 
-func (c *Controller) zone(z int) *zone {
+func (c *Controller) zoneState(z int) *zoneState {
 	for len(c.zones) <= z {
-		c.zones = append(c.zones, zone{heard: time.Now()})
+		c.zones = append(c.zones, zoneState{heard: time.Now()})
 	}
 	return &c.zones[z]
 }
 
-// zoneAway tells whether a zone is cut off from this node.
-func (c *Controller) zoneAway(z int) bool { return z < len(c.zones) && c.zones[z].away }
+// zoneUnreachable tells whether a zone is cut off from this node.
+func (c *Controller) zoneUnreachable(z int) bool { return z < len(c.zones) && c.zones[z].unreachable }
 
-// watchZones asks silent zones' workers for a report, one at a time, and finds out which zones are
+// superviseZones asks silent zones' workers for a report, one at a time, and finds out which zones are
 // away. The leader does so too where it owns nothing: it must not rent there.
-func (c *Controller) watchZones(now time.Time) {
+func (c *Controller) superviseZones(now time.Time) {
 	for name := range c.cache.Members {
 		c.leaseSeenAt[name] = now
 	}
 	if !c.isLeader() && !slices.ContainsFunc(c.ownedShards, func(v uint64) bool { return v > 0 }) {
 		for z := range c.zones {
-			c.zones[z] = zone{heard: now}
+			c.zones[z] = zoneState{heard: now}
 		}
 		return
 	}
@@ -84,52 +84,52 @@
 	w := c.cfg.Deployment.Workers
 	expected, heard := seconds(1.25*w.HeartbeatS+0.75), false
 	for z := range machines {
-		heard = heard || len(machines[z]) > 0 && c.silenceOf(c.zone(z).heard, now) < expected+time.Second
+		heard = heard || len(machines[z]) > 0 && c.silenceOf(c.zoneState(z).heard, now) < expected+time.Second
 	}
 	for z, list := range machines {
-		x := c.zone(z)
+		x := c.zoneState(z)
 		silent := c.silenceOf(x.heard, now)
-		if len(list) > 0 || !x.away {
-			x.empty = time.Time{}
-		} else if x.empty.IsZero() {
-			x.empty = now
-		} else if now.Sub(x.empty) > emptyFor {
-			*x = zone{heard: now}
+		if len(list) > 0 || !x.unreachable {
+			x.emptySince = time.Time{}
+		} else if x.emptySince.IsZero() {
+			x.emptySince = now
+		} else if now.Sub(x.emptySince) > emptyFor {
+			*x = zoneState{heard: now}
 			c.log.Info("nothing is left in a zone that was away, it is tried again", "zone", c.cache.Zones.Name(z))
 		}
 		if len(list) == 0 || silent < expected {
 			continue
 		}
-		quiet, misses := zoneQuiet(w), zoneMisses
+		quiet, misses := zoneUnreachableAfter(w), zoneMisses
 		if !c.ownsShard(list[0].Shard) {
 			quiet, misses = 2*quiet, 2*misses // nobody reports to this node
 		}
-		if !x.away && len(list) >= zoneMachines && heard && silent > quiet && x.misses >= misses {
-			x.away = true
+		if !x.unreachable && len(list) >= zoneMachines && heard && silent > quiet && x.missedProbes >= misses {
+			x.unreachable = true
 			c.log.Info("zone is away", "zone", c.cache.Zones.Name(z), "machines", len(list))
 		}
-		if x.asking || now.Sub(x.asked) < time.Second/2 {
+		if x.probing || now.Sub(x.probedAt) < time.Second/2 {
 			continue
 		}
-		x.asking, x.asked = true, now
-		x.next++
-		c.probeHeartbeat(list[x.next%len(list)], func(answered bool) {
-			x := c.zone(z)
-			x.asking = false
+		x.probing, x.probedAt = true, now
+		x.nextProbe++
+		c.probeHeartbeat(list[x.nextProbe%len(list)], func(answered bool) {
+			x := c.zoneState(z)
+			x.probing = false
 			if answered {
 				c.hearZone(z, time.Now())
 			} else {
-				x.misses++
+				x.missedProbes++
 			}
 		})
 	}
 }
 
-// inhabited tells whether a node that lived when a zone fell silent is inside it: its hold lasted until
+// hasControllerInside tells whether a node that lived when a zone fell silent is inside it: its hold lasted until
 // then, and its connection did not break off, as that of a node does that ends. A node that owned machines
 // there goes on answering them; another is found by most workers before their leases end, even where
 // two silent nodes come first in their order.
-func (c *Controller) inhabited(z int) bool {
+func (c *Controller) hasControllerInside(z int) bool {
 	name, since := c.cache.Zones.Name(z), c.zones[z].heard
 	if since.Sub(c.startedAt) < endedBefore {
 		return false // this process has not seen who ended
@@ -141,18 +141,18 @@
 
 // serves tells whether replicas of services that go on run on a machine.
 func serves(m *storage.Machine) bool {
-	return slices.ContainsFunc(m.Tasks, func(p storage.Placed) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
+	return slices.ContainsFunc(m.Tasks, func(p storage.PlacedTask) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
 }
 
-// awayLimit is how long a machine whose services may run on in a zone that is away may be silent. A node
+// unreachableZoneLimit is how long a machine whose services may run on in a zone that is away may be silent. A node
 // inside that owned it goes on answering its worker, another stands in for its owner (others.go), and
 // most cuts are over before the replicas would run elsewhere: their machines' images are there, and with a
 // third of the machines room is short. Not for ever, since nobody outside reaches them; where a cancelled job's task is
 // on one, its deadline comes first (stops.go).
-func awayLimit(w config.Workers) time.Duration { return seconds(1.5 * w.CancelS) }
+func unreachableZoneLimit(w config.Workers) time.Duration { return seconds(1.5 * w.CancelS) }
 
-// spared tells whether what runs in a zone needs no room elsewhere: while it is away, until machines
+// needsNoReplacement tells whether what runs in a zone needs no room elsewhere: while it is away, until machines
 // rented from then on would come up too late.
-func (c *Controller) spared(z int, now time.Time) bool {
-	return c.zoneAway(z) && c.silenceOf(c.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
+func (c *Controller) needsNoReplacement(z int, now time.Time) bool {
+	return c.zoneUnreachable(z) && c.silenceOf(c.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
 }
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -76,7 +76,7 @@
 				x.before(c, time.Now())
 				b := c.cache.Zones.Find("b")
 				for i := range 24 {
-					c.watchZones(time.Now())
+					c.superviseZones(time.Now())
 					time.Sleep(250 * time.Millisecond)
 					for len(c.inbox) > 0 {
 						(<-c.inbox)()
@@ -86,27 +86,27 @@
 					}
 				}
 				now := time.Now()
-				if c.zoneAway(b) != x.away || x.away && c.inhabited(b) != x.lives {
-					t.Fatalf("away: %v, inhabited: %v", c.zoneAway(b), c.inhabited(b))
+				if c.zoneUnreachable(b) != x.away || x.away && c.hasControllerInside(b) != x.lives {
+					t.Fatalf("away: %v, inhabited: %v", c.zoneUnreachable(b), c.hasControllerInside(b))
 				}
-				if x.away && (!c.spared(b, now) || c.spared(b, now.Add(time.Minute))) {
+				if x.away && (!c.needsNoReplacement(b, now) || c.needsNoReplacement(b, now.Add(time.Minute))) {
 					t.Error("what runs there needs no other room for a while, and then it does")
 				}
 				for _, m := range c.cache.Machines {
 					m.Gone = m.Zone == b && x.name == "its node was no member any more"
 				}
 				for range 2 { // in a zone without machines nobody will ever be heard
-					c.watchZones(now)
-					if c.zoneAway(b) != x.away {
+					c.superviseZones(now)
+					if c.zoneUnreachable(b) != x.away {
 						t.Error("a zone is tried again at once")
 					}
-					c.watchZones(now.Add(emptyFor - time.Second))
+					c.superviseZones(now.Add(emptyFor - time.Second))
 				}
 				empty := x.name == "its node was no member any more"
-				if c.watchZones(now.Add(emptyFor + time.Second)); c.zoneAway(b) != (x.away && !empty) {
-					t.Errorf("away: %v, without machines in it: %v", c.zoneAway(b), empty)
+				if c.superviseZones(now.Add(emptyFor + time.Second)); c.zoneUnreachable(b) != (x.away && !empty) {
+					t.Errorf("away: %v, without machines in it: %v", c.zoneUnreachable(b), empty)
 				}
-				if c.hearZone(b, now); c.zoneAway(b) {
+				if c.hearZone(b, now); c.zoneUnreachable(b) {
 					t.Error("a zone that is heard is back")
 				}
 				time.Sleep(2 * probeTimeout)
@@ -133,12 +133,12 @@
 	} {
 		c := newCore(t)
 		c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 180}}
-		c.cache.Types[0].Fetch = 0.25
+		c.cache.Types[0].FetchGBs = 0.25
 		now := time.Now()
 		j := c.cache.Job("job-000001")
-		j.Estimate, j.Save, j.Mark, j.ImageGB, j.At = x.estimate, 3, 15, 5, now.Add(-x.age)
+		j.Estimate, j.CheckpointCost, j.CheckpointInterval, j.ImageGB, j.ReadyAt = x.estimate, 3, 15, 5, now.Add(-x.age)
 		m := c.cache.Machine("m")
-		if got := c.leaves(m, c.workerState(m), storage.Placed{Job: j, At: now.Unix() - x.ran}, now); got != x.want {
+		if got := c.leavesDrained(m, c.workerState(m), storage.PlacedTask{Job: j, PlacedAt: now.Unix() - x.ran}, now); got != x.want {
 			t.Errorf("%s: leaves %v", x.name, got)
 		}
 	}
@@ -156,8 +156,8 @@
 	j.ByZone = make([]int32, 3)
 	for i, name := range on {
 		m := c.cache.Machine(name)
-		m.Tasks = append(m.Tasks, storage.Placed{Job: j, Task: i, Attempt: c.highestRevision})
-		j.Machine[i], j.Attempt[i], j.NPlaced = m.Index, c.highestRevision, j.NPlaced+1
+		m.Tasks = append(m.Tasks, storage.PlacedTask{Job: j, Task: i, Attempt: c.highestRevision})
+		j.MachineOf[i], j.AttemptOf[i], j.PlacedCount = m.Index, c.highestRevision, j.PlacedCount+1
 		j.ByZone[m.Zone]++
 	}
 	return j
@@ -174,8 +174,8 @@
 	from := c.cache.Machine("a0")
 	from.Draining = true
 	leaving := func() (n int) {
-		c.moveReplicas(now)
-		c.moveReplicas(now.Add(time.Second))
+		c.relocateReplicas(now)
+		c.relocateReplicas(now.Add(time.Second))
 		for _, p := range from.Tasks {
 			if c.desiredState(from, c.workerState(from), p).Stop {
 				n++
@@ -240,7 +240,7 @@
 		}
 		got := 0.0
 		for _, d := range c.demands(time.Now()) {
-			got += min(float64(d.Tasks), math.Ceil(d.Work/(workHorizon*d.Within))) * d.Cpus // as provision.Decide counts
+			got += min(float64(d.Tasks), math.Ceil(d.Work/(workHorizon*d.WithinS))) * d.Cpus // as provision.Decide counts
 		}
 		if got < x.low || got > x.high {
 			t.Errorf("%s: room is asked for %v CPUs, want %v to %v", x.name, got, x.low, x.high)
--- a/internal/simulator/floods_test.go
+++ b/internal/simulator/floods_test.go
@@ -13,10 +13,10 @@
 
 // usualOf is what the records say is usual for a class.
 func (w *World) usualOf(class string) (cpus float64) {
-	var r storage.UsualRecord
-	raw, _ := w.Store.Value(storage.UsualKey)
+	var r storage.BaselineRecord
+	raw, _ := w.Store.Value(storage.BaselineKey)
 	_ = json.Unmarshal(raw, &r) // none: nothing is usual
-	for _, l := range r.Lanes {
+	for _, l := range r.Queues {
 		if l.Class == class {
 			cpus += l.Cpus
 		}
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -93,11 +93,11 @@
 					w.Store.Check = func(t protocol.Txn) {
 						records(t)
 						for _, c := range t.Then {
-							if strings.HasPrefix(c.Put, storage.EvictKey("limit:")) {
+							if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
 								evicted.Add(1)
 							}
 							var r storage.TeamRecord
-							if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Was != nil {
+							if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Former != nil {
 								lowered.Add(1)
 							}
 						}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -147,8 +147,8 @@
 			w.fault("record %s cannot be read", change.Put)
 		}
 		counts := r.TeamBounds
-		if r.Was != nil {
-			counts = *r.Was
+		if r.Former != nil {
+			counts = *r.Former
 		}
 		w.limits[t.Name] = counts.CpusMax
 		w.checkLimit(t.Name, counts.CpusMax)
--- a/internal/simulator/scenes_test.go
+++ b/internal/simulator/scenes_test.go
@@ -536,7 +536,7 @@
 			if n, _ := fmt.Sscanf(c.Put, storage.Root+"share/%d", &share); n == 1 {
 				at[share] = time.Now()
 			}
-			if id, ok := storage.JobOf(c.Put); ok && strings.Contains(string(c.Value), `"f":"cancelled"`) {
+			if id, ok := storage.JobIDOf(c.Put); ok && strings.Contains(string(c.Value), `"f":"cancelled"`) {
 				s.mu.Lock()
 				j := s.jobs[id]
 				s.mu.Unlock()
--- a/internal/storage/awaits.go
+++ b/internal/storage/awaits.go
@@ -11,118 +11,118 @@
 // to an earlier acceptance. Records are read in any order, though, and a job may be
 // known before one that it names.
 
-// Final is a job's final state.
-type Final struct {
-	Status protocol.JobStatus
-	Tasks  int32
-	At     int64 // when it was recorded, in milliseconds of the day's clock; 0: not known
+// FinalState is a job's final state.
+type FinalState struct {
+	Status     protocol.JobStatus
+	Tasks      int32
+	RecordedMs int64 // when it was recorded, in milliseconds of the day's clock; 0: not known
 }
 
 // Ready tells whether nothing that the job needs is left to wait for. Only the final
 // record of a needed job counts: one whose tasks have all completed may still lose to a
 // cancellation that is on its way, and what started after it would be too early.
-func (j *Job) Ready() bool { return j.unmet == 0 && !j.Doomed }
+func (j *Job) Ready() bool { return j.unmetDependencies == 0 && !j.DependencyFailed }
 
-// Unmet is how many jobs it still waits for.
-func (j *Job) Unmet() int { return j.unmet }
+// UnmetDependencies is how many jobs it still waits for.
+func (j *Job) UnmetDependencies() int { return j.unmetDependencies }
 
-// await takes a new job into the graph.
-func (b *Cache) await(j *Job) {
-	j.unmet = len(j.Needs) // at first: it is not ready before all of them were looked at
-	for _, id := range j.Needs {
-		if f, ok := b.recorded(id); ok {
-			b.met(j, f)
+// addDependencies takes a new job into the graph.
+func (b *Cache) addDependencies(j *Job) {
+	j.unmetDependencies = len(j.Dependencies) // at first: it is not ready before all of them were looked at
+	for _, id := range j.Dependencies {
+		if f, ok := b.recordedFinal(id); ok {
+			b.dependencyEnded(j, f)
 			continue
 		}
-		b.after[id] = append(b.after[id], j)
-		if o := b.jobByID[id]; o != nil && o.Doomed {
-			b.doom(j)
+		b.dependents[id] = append(b.dependents[id], j)
+		if o := b.jobByID[id]; o != nil && o.DependencyFailed {
+			b.failDependents(j)
 		}
 	}
-	b.inherits = b.inherits || len(j.Needs) > 0
+	b.graphChanged = b.graphChanged || len(j.Dependencies) > 0
 }
 
-// recorded is a job's final state as its record has it.
-func (b *Cache) recorded(id string) (Final, bool) {
+// recordedFinal is a job's final state as its record has it.
+func (b *Cache) recordedFinal(id string) (FinalState, bool) {
 	if f, ok := b.final[id]; ok {
 		return f, true
 	}
 	if j := b.jobByID[id]; j != nil && !j.Open() {
 		return j.outcome(), true
 	}
-	return Final{}, false
+	return FinalState{}, false
 }
 
 // outcome is the final state of a job that is over.
-func (j *Job) outcome() Final { return Final{j.Final, int32(j.NDone), j.EndMs} }
+func (j *Job) outcome() FinalState { return FinalState{j.Final, int32(j.DoneCount), j.FinalAtMs} }
 
-// settle tells the jobs that wait for one that it is over.
-func (b *Cache) settle(id string, f Final) {
+// notifyDependents tells the jobs that wait for one that it is over.
+func (b *Cache) notifyDependents(id string, f FinalState) {
 	// What it needed inherits from it no more.
-	b.inherits = b.inherits || len(b.heirs) > 0
-	deps := b.after[id]
+	b.graphChanged = b.graphChanged || len(b.inheritors) > 0
+	deps := b.dependents[id]
 	if deps == nil {
 		return
 	}
-	delete(b.after, id)
+	delete(b.dependents, id)
 	for _, j := range deps {
-		b.met(j, f)
+		b.dependencyEnded(j, f)
 	}
 }
 
-// met takes down that a job that j needs is over. From the last one's end on j's times
+// dependencyEnded takes down that a job that j needs is over. From the last one's end on j's times
 // count: it is read from that job's record, and so outlives every owner.
-func (b *Cache) met(j *Job, f Final) {
-	j.unmet--
-	b.noteJob(j)
+func (b *Cache) dependencyEnded(j *Job, f FinalState) {
+	j.unmetDependencies--
+	b.feedJob(j)
 	if f.Status == protocol.Cancelled {
-		b.doom(j)
+		b.failDependents(j)
 		return
 	}
-	if at := time.UnixMilli(f.At); f.At > 0 && at.After(j.At) {
-		j.At = at
+	if at := time.UnixMilli(f.RecordedMs); f.RecordedMs > 0 && at.After(j.ReadyAt) {
+		j.ReadyAt = at
 	}
-	if j.unmet == 0 && !j.Doomed {
-		b.readied = append(b.readied, j)
+	if j.unmetDependencies == 0 && !j.DependencyFailed {
+		b.newlyReady = append(b.newlyReady, j)
 	}
 }
 
-// doom marks a job and all that need it, directly or through others, as cancelled with
+// failDependents marks a job and all that need it, directly or through others, as cancelled with
 // one before them. That follows from the records alone, so every node says the same at
 // once; their own final records are written at leisure.
-func (b *Cache) doom(j *Job) {
+func (b *Cache) failDependents(j *Job) {
 	work := []*Job{j}
 	for len(work) > 0 {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
-		if j.Doomed || !j.Open() {
+		if j.DependencyFailed || !j.Open() {
 			continue
 		}
-		j.Doomed, b.inherits = true, true
-		b.noteJob(j)
-		b.doomed = append(b.doomed, j)
-		work = append(work, b.after[j.ID]...)
+		j.DependencyFailed, b.graphChanged = true, true
+		b.feedJob(j)
+		b.dependencyFailed = append(b.dependencyFailed, j)
+		work = append(work, b.dependents[j.ID]...)
 	}
 }
 
-// Doomed are the jobs that were cancelled with one before them and have no final record
+// DependencyFailed are the jobs that were cancelled with one before them and have no final record
 // of their own yet.
-func (b *Cache) Doomed() []*Job {
-	keep := b.doomed[:0]
-	for _, j := range b.doomed {
+func (b *Cache) DependencyFailed() []*Job {
+	keep := b.dependencyFailed[:0]
+	for _, j := range b.dependencyFailed {
 		if j.Open() {
 			keep = append(keep, j)
 		}
 	}
-	clear(b.doomed[len(keep):])
-	b.doomed = keep
+	clear(b.dependencyFailed[len(keep):])
+	b.dependencyFailed = keep
 	return keep
 }
 
-// Readied returns the jobs that became ready since it was last called.
-func (b *Cache) Readied() []*Job {
-	list := b.readied
-	b.readied = nil
+// NewlyReady returns the jobs that became ready since it was last called.
+func (b *Cache) NewlyReady() []*Job {
+	list := b.newlyReady
+	b.newlyReady = nil
 	return list
 }
 
@@ -131,38 +131,38 @@
 // when a job itself should be over at best and at the latest (zero: no such time), length
 // how long it will take. Every job and edge is looked at once.
 func (b *Cache) Inherit(aims func(*Job) (by, late time.Time), length func(*Job) time.Duration) {
-	if !b.inherits {
+	if !b.graphChanged {
 		return
 	}
-	b.inherits = false
+	b.graphChanged = false
 	left := map[*Job]int{} // open jobs that need it and were not looked at yet
 	note := func(j *Job) {
 		if _, ok := left[j]; !ok {
 			left[j] = 0
-			j.Priority = j.Own
-			j.By, j.Late = aims(j)
+			j.Priority = j.OwnPriority
+			j.FinishBy, j.FinishLatest = aims(j)
 		}
 	}
-	for id, deps := range b.after {
+	for id, deps := range b.dependents {
 		o := b.jobByID[id]
-		if o == nil || !o.Open() || o.Doomed {
+		if o == nil || !o.Open() || o.DependencyFailed {
 			continue
 		}
 		note(o)
 		for _, j := range deps {
-			if j.Open() && !j.Doomed {
+			if j.Open() && !j.DependencyFailed {
 				note(j)
 				left[o]++
 			}
 		}
 	}
 	// What nothing needs any more has only its own left.
-	for j := range b.heirs {
+	for j := range b.inheritors {
 		if _, ok := left[j]; !ok {
-			j.Priority, j.By, j.Late = j.Own, time.Time{}, time.Time{}
+			j.Priority, j.FinishBy, j.FinishLatest = j.OwnPriority, time.Time{}, time.Time{}
 		}
 	}
-	b.heirs = left
+	b.inheritors = left
 	var work []*Job
 	for j, n := range left {
 		if n == 0 {
@@ -173,13 +173,13 @@
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
 		takes := length(j)
-		for _, id := range j.Needs {
+		for _, id := range j.Dependencies {
 			o := b.jobByID[id]
-			if o == nil || !o.Open() || o.Doomed {
+			if o == nil || !o.Open() || o.DependencyFailed {
 				continue
 			}
 			o.Priority = max(o.Priority, j.Priority)
-			o.By, o.Late = earlier(o.By, j.By, takes), earlier(o.Late, j.Late, takes)
+			o.FinishBy, o.FinishLatest = earlier(o.FinishBy, j.FinishBy, takes), earlier(o.FinishLatest, j.FinishLatest, takes)
 			if left[o]--; left[o] == 0 {
 				work = append(work, o)
 			}
--- a/internal/storage/awaits_test.go
+++ b/internal/storage/awaits_test.go
@@ -18,10 +18,10 @@
 	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	for i, s := range steps {
 		id := JobKey("job-00000" + s[:1])
-		r := JobRecord{Tasks: 1, Team: "red", AtMs: 1000 * int64(i+1)}
+		r := JobRecord{Tasks: 1, Team: "red", SubmittedMs: 1000 * int64(i+1)}
 		switch {
 		case len(s) > 1 && s[1] == '+':
-			r.Final, r.NDone, r.EndMs = "done", 1, 1000*int64(i+1)
+			r.Final, r.DoneCount, r.FinalAtMs = "done", 1, 1000*int64(i+1)
 		case len(s) > 1 && s[1] == '-':
 			r.Final = "cancelled"
 		default:
@@ -29,7 +29,7 @@
 			for k := 2; k < len(s); k += 2 {
 				needs = append(needs, "job-00000"+s[k:k+1])
 			}
-			r.Spec, r.Needs = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(needs)
+			r.Spec, r.Dependencies = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(needs)
 		}
 		if err := b.Apply(id, Encode(r), uint64(i+1), false); err != nil {
 			t.Fatalf("%s: %v", s, err)
@@ -66,14 +66,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, job := graph(t, c.steps...)
 			j := job(c.job)
-			if j.Ready() != c.ready || !j.At.Equal(time.UnixMilli(int64(c.at)*1000)) {
-				t.Errorf("ready %v at %v", j.Ready(), j.At.UnixMilli())
+			if j.Ready() != c.ready || !j.ReadyAt.Equal(time.UnixMilli(int64(c.at)*1000)) {
+				t.Errorf("ready %v at %v", j.Ready(), j.ReadyAt.UnixMilli())
 			}
 			if f, _ := b.FinalState(j.ID); f != c.final {
 				t.Errorf("users are told %q, not %q", f, c.final)
 			}
 			n := 0
-			for _, r := range b.Readied() {
+			for _, r := range b.NewlyReady() {
 				if r == j {
 					n++
 				}
@@ -84,7 +84,7 @@
 			if (j.Waiting() > 0) != c.ready {
 				t.Errorf("%d tasks wait", j.Waiting())
 			}
-			if doomed := slices.Contains(b.Doomed(), j); doomed != (c.final == protocol.Cancelled) {
+			if doomed := slices.Contains(b.DependencyFailed(), j); doomed != (c.final == protocol.Cancelled) {
 				t.Errorf("its own record is still to be written: %v", doomed)
 			}
 		})
@@ -117,7 +117,7 @@
 			f, _ := b.FinalState("job-00000" + s[:1])
 			got += fmt.Sprint(f, " ")
 			if j := job(s[:1]); j != nil && f == "" {
-				got += fmt.Sprint(j.Ready(), j.unmet, ";")
+				got += fmt.Sprint(j.Ready(), j.unmetDependencies, ";")
 			}
 		}
 		if want == "" {
@@ -139,28 +139,28 @@
 			return time.Time{}, time.Time{}
 		}, func(j *Job) time.Duration { return seconds10(j) })
 	}
-	job("4").Own, job("2").Own = protocol.High, protocol.Low
-	b.inherits = true
+	job("4").OwnPriority, job("2").OwnPriority = protocol.High, protocol.Low
+	b.graphChanged = true
 	set()
 	for n, by := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(n)
-		if j.Priority != protocol.High || !j.By.Equal(time.UnixMilli(int64(by)*1000)) {
-			t.Errorf("job %s has priority %v and must be over by %d", n, j.Priority, j.By.UnixMilli())
+		if j.Priority != protocol.High || !j.FinishBy.Equal(time.UnixMilli(int64(by)*1000)) {
+			t.Errorf("job %s has priority %v and must be over by %d", n, j.Priority, j.FinishBy.UnixMilli())
 		}
 	}
-	if j := job("5"); j.Priority != protocol.Low || j.Late.UnixMilli() != 305_000 {
-		t.Errorf("job 5 has priority %v, late at %d", j.Priority, j.Late.UnixMilli())
+	if j := job("5"); j.Priority != protocol.Low || j.FinishLatest.UnixMilli() != 305_000 {
+		t.Errorf("job 5 has priority %v, late at %d", j.Priority, j.FinishLatest.UnixMilli())
 	}
 	// What inherits from a cancelled job no longer does.
 	if err := b.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
 		t.Fatal(err)
 	}
 	set()
-	if j := job("2"); j.Priority != protocol.Low || !j.By.IsZero() {
-		t.Errorf("job 2 still has priority %v, by %v", j.Priority, j.By)
+	if j := job("2"); j.Priority != protocol.Low || !j.FinishBy.IsZero() {
+		t.Errorf("job 2 still has priority %v, by %v", j.Priority, j.FinishBy)
 	}
-	if j := job("1"); j.Priority != protocol.Low || j.By.UnixMilli() != 195_000 {
-		t.Errorf("job 1 has priority %v, by %v", j.Priority, j.By.UnixMilli())
+	if j := job("1"); j.Priority != protocol.Low || j.FinishBy.UnixMilli() != 195_000 {
+		t.Errorf("job 1 has priority %v, by %v", j.Priority, j.FinishBy.UnixMilli())
 	}
 }
 
--- a/internal/storage/before_test.go
+++ b/internal/storage/before_test.go
@@ -66,19 +66,19 @@
 		}
 	}
 	k, fleet := b.Groups[0], b.fleets["host-000001"]
-	evicted := b.Evicted["job-000007"].EvictRecord
+	evicted := b.VictimSets["job-000007"].VictimSetRecord
 	rec, _ := b.FleetWithout(fleet, nil)
 	written := map[string]json.RawMessage{
-		Root + "rack/0":            EncodeGroup(b.GroupRecordOf(k, k.Ended, nil), b.Packed()),
+		Root + "rack/0":            EncodeGroup(b.GroupRecordOf(k, k.Completed, nil), b.Packed()),
 		Root + "fleet/host-000001": EncodeFleet(&rec, b.Packed()),
-		Root + "evict/job-000007":  EncodeEvict(&evicted, b.Packed()),
+		Root + "evict/job-000007":  EncodeVictimSet(&evicted, b.Packed()),
 		Root + "share/0":           Encode(b.Shards[0].ShardRecord),
 		Root + "leader":            Encode(b.Leader.LeaderRecord),
 		Root + "node/n0":           Encode(b.Members["n0"].MemberRecord),
 	}
 	for _, id := range []string{"job-000007", "job-000008"} {
 		j := b.Job(id)
-		written[JobKey(id)] = Encode(b.JobRecordOf(j, j.Saved, j.Saved.Count(), ""))
+		written[JobKey(id)] = Encode(b.JobRecordOf(j, j.SavedDone, j.SavedDone.Count(), ""))
 	}
 	for key, raw := range written {
 		if string(raw) != old[key] {
@@ -88,7 +88,7 @@
 	// Whatever else is written before the gate, that version knows every field of it.
 	j := b.Job("job-000007")
 	full := GroupRecord{Shard: 1, FencingToken: 2, Machines: []GroupMachine{{"h", 1, 2, "a", true, true, true, false,
-		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Ended: []EndedTasks{{"j", []int{1}}}}
+		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Completed: []CompletedTasks{{"j", []int{1}}}}
 	strict := func(raw json.RawMessage, into any) {
 		t.Helper()
 		d := json.NewDecoder(bytes.NewReader(raw))
@@ -99,20 +99,20 @@
 	}
 	strict(EncodeGroup(&full, b.Packed()), &beforeRack{})
 	strict(EncodeFleet(&rec, b.Packed()), &beforeFleet{})
-	strict(EncodeEvict(&evicted, b.Packed()), &beforeEvict{})
+	strict(EncodeVictimSet(&evicted, b.Packed()), &beforeEvict{})
 	for _, f := range []protocol.JobStatus{"", protocol.Done, protocol.Cancelled} {
-		strict(Encode(b.JobRecordOf(j, j.Done, j.NDone, f)), &beforeJob{})
+		strict(Encode(b.JobRecordOf(j, j.Done, j.DoneCount, f)), &beforeJob{})
 	}
 	// From the gate on the same is written packed, and read as it was.
 	if err := b.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPacked}), 50, false); err != nil || !b.Packed() {
 		t.Fatal("the gate does not open", err)
 	}
-	raw := EncodeGroup(b.GroupRecordOf(k, k.Ended, nil), b.Packed())
+	raw := EncodeGroup(b.GroupRecordOf(k, k.Completed, nil), b.Packed())
 	if len(raw) >= len(old[Root+"rack/0"]) {
 		t.Errorf("packed it takes %d bytes", len(raw))
 	}
-	tasks, done := len(k.Machines[0].Tasks), j.NDone
-	if err := b.Apply(Root+"rack/0", raw, 51, false); err != nil || len(k.Machines[0].Tasks) != tasks || j.NDone != done || !k.Machines[1].Unhealthy {
+	tasks, done := len(k.Machines[0].Tasks), j.DoneCount
+	if err := b.Apply(Root+"rack/0", raw, 51, false); err != nil || len(k.Machines[0].Tasks) != tasks || j.DoneCount != done || !k.Machines[1].Unhealthy {
 		t.Errorf("read again: %v, %d tasks", err, len(k.Machines[0].Tasks))
 	}
 	// It never closes again.
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -20,61 +20,61 @@
 // Job is an accepted job. Once it is final and none of its tasks is placed,
 // only its final state is kept.
 type Job struct {
-	Index    int32
-	ID       string
-	Team     int
-	Class    int
-	Shard    int
-	Shape    protocol.Shape
-	Priority protocol.Priority
-	Tasks    int
-	Cpus     float64
-	Gpus     float64
-	Mem      float64
-	Size     float64 // see Cache.sizeOf
-	Image    int
-	ImageGB  float64
-	Types    []int
-	Zone     int // -1: any
-	OneZone  bool
-	Spread   bool
-	Spot     bool
-	Estimate float64
-	Mark     float64
-	Save     float64
-	Due      time.Duration     // 0: none
-	Own      protocol.Priority // its own; Priority is the highest of any job that needs it
+	Index              int32
+	ID                 string
+	Team               int
+	Class              int
+	Shard              int
+	Shape              protocol.Shape
+	Priority           protocol.Priority
+	Tasks              int
+	Cpus               float64
+	Gpus               float64
+	Mem                float64
+	Size               float64 // see Cache.sizeOf
+	Image              int
+	ImageGB            float64
+	Types              []int
+	Zone               int // -1: any
+	OneZone            bool
+	Spread             bool
+	Spot               bool
+	Estimate           float64
+	CheckpointInterval float64
+	CheckpointCost     float64
+	Deadline           time.Duration     // 0: none
+	OwnPriority        protocol.Priority // its own; Priority is the highest of any job that needs it
 	// Submitted is when it was; At is from when on its times count: its submission,
 	// or the end of the last job that it awaited.
-	Submitted, At time.Time
-	By, Late      time.Time // when it must be over for itself and all that need it; zero: no such time
-
-	Needs  []string // the jobs that it awaits
-	unmet  int      // of them, those that are not done
-	Doomed bool     // cancelled with a job that it needs, its own record does not say so yet
-	EndMs  int64    // when it became final, if it is
-	Long   string   // its description is in parts of this name
-	parts  int
-
-	Final   protocol.JobStatus // "" while open
-	Done    Bitmap             // all tasks known to be completed
-	Saved   Bitmap             // those that the job's own record shows
-	NDone   int
-	Suspect bool // failed on several machines before any of its tasks had completed
-	Version uint64
-	Spec    *SpecRecord
+	Submitted, ReadyAt     time.Time
+	FinishBy, FinishLatest time.Time // when it must be over for itself and all that need it; zero: no such time
+
+	Dependencies      []string // the jobs that it awaits
+	unmetDependencies int      // of them, those that are not done
+	DependencyFailed  bool     // cancelled with a job that it needs, its own record does not say so yet
+	FinalAtMs         int64    // when it became final, if it is
+	ChunkSet          string   // its description is in parts of this name
+	chunkCount        int
+
+	Final     protocol.JobStatus // "" while open
+	Done      Bitmap             // all tasks known to be completed
+	SavedDone Bitmap             // those that the job's own record shows
+	DoneCount int
+	Suspect   bool // failed on several machines before any of its tasks had completed
+	Version   uint64
+	Spec      *SpecRecord
 
-	Machine []int32  // by task: the machine whose record holds it, or Nowhere
-	Attempt []uint64 // by task: the attempt in that record
-	NPlaced int
-	ByZone  []int32 // placed tasks by zone
+	MachineOf   []int32  // by task: the machine whose record holds it, or Nowhere
+	AttemptOf   []uint64 // by task: the attempt in that record
+	PlacedCount int
+	ByZone      []int32 // placed tasks by zone
 
-	firstOpen int // no task before it waits
-	noted     bool
+	firstOpen    int // no task before it waits
+	inChangeFeed bool
 }
 
-// ZoneMost is how many tasks of a job that is spread may be in one zone: half, rounded up (PROTOCOL, `scatter`).
-func (j *Job) ZoneMost() int { return (j.Tasks + 1) / 2 }
+// MaxPerZone is how many tasks of a job that is spread may be in one zone: half, rounded up (PROTOCOL, `scatter`).
+func (j *Job) MaxPerZone() int { return (j.Tasks + 1) / 2 }
 
 // Open tells whether the job still has work to do.
 func (j *Job) Open() bool { return j.Final == "" }
@@ -84,32 +84,32 @@
 	if !j.Open() || !j.Ready() {
 		return 0
 	}
-	return j.Tasks - j.NDone - j.NPlaced
+	return j.Tasks - j.DoneCount - j.PlacedCount
 }
 
 // NextWaiting returns the first waiting task at or after from, or -1.
 func (j *Job) NextWaiting(from int) int {
 	if from <= j.firstOpen {
-		for j.firstOpen < j.Tasks && (j.Done.Get(j.firstOpen) || j.Machine[j.firstOpen] != Nowhere) {
+		for j.firstOpen < j.Tasks && (j.Done.Get(j.firstOpen) || j.MachineOf[j.firstOpen] != Nowhere) {
 			j.firstOpen++
 		}
 		from = j.firstOpen
 	}
 	for t := from; t < j.Tasks; t++ {
-		if !j.Done.Get(t) && j.Machine[t] == Nowhere {
+		if !j.Done.Get(t) && j.MachineOf[t] == Nowhere {
 			return t
 		}
 	}
 	return -1
 }
 
-// Placed is a task in a machine's record.
-type Placed struct {
-	Job     *Job
-	Task    int
-	Attempt uint64
-	At      int64  // when it was placed, in seconds of the day's clock
-	Waited  uint64 // the seconds it had waited before
+// PlacedTask is a task in a machine's record.
+type PlacedTask struct {
+	Job      *Job
+	Task     int
+	Attempt  uint64
+	PlacedAt int64  // when it was placed, in seconds of the day's clock
+	WaitedS  uint64 // the seconds it had waited before
 }
 
 // Machine is a machine as the records have it.
@@ -128,18 +128,18 @@
 	Draining      bool
 	Unhealthy     bool
 	ProvisionedAt int64 // time of day in seconds, 0: unknown
-	Tasks         []Placed
+	Tasks         []PlacedTask
 	Version       uint64 // when its own part of the records last changed
 	Gone          bool   // its record was deleted, or its rack is not known yet
 	Moved         bool   // it was in another rack before
 	FleetEntries  int    // fleet records that list it
 	Images        []int  // of tasks that were on it, the most recently used last
 
-	Fleet  *Fleet
-	record FleetMachine
-	exists bool // a fleet record holds it
-	dirty  bool
-	noted  bool
+	Fleet        *Fleet
+	record       FleetMachine
+	exists       bool // a fleet record holds it
+	changed      bool
+	inChangeFeed bool
 }
 
 // Fleet is a fleet record.
@@ -159,11 +159,11 @@
 	Size         int    // of its record, in bytes
 	Packed       bool   // its record is of the packed layout
 	Machines     []*Machine
-	Ended        []Ended
+	Completed    []CompletedTask
 }
 
-// Ended is a completed task that its job's own record may not show yet.
-type Ended struct {
+// CompletedTask is a completed task that its job's own record may not show yet.
+type CompletedTask struct {
 	Job  *Job
 	Task int
 }
@@ -196,24 +196,24 @@
 	Version uint64
 }
 
-// Evicted is an evicted set.
-type Evicted struct {
-	EvictRecord
+// VictimSet is an evicted set.
+type VictimSet struct {
+	VictimSetRecord
 	Job     string
 	Version uint64
 }
 
-// Type is a machine type of the catalog, by index.
-type Type struct {
-	Cpus, Gpus, Mem  float64
-	Cache, Fetch     float64
-	Price, SpotPrice float64
-	Boot             float64
-	Zones            []int
+// MachineType is a machine type of the catalog, by index.
+type MachineType struct {
+	Cpus, Gpus, Mem   float64
+	CacheGB, FetchGBs float64
+	Price, SpotPrice  float64
+	BootS             float64
+	Zones             []int
 }
 
-// Raw is a record that the cache only passes on.
-type Raw struct {
+// RawRecord is a record that the cache only passes on.
+type RawRecord struct {
 	Value   json.RawMessage
 	Version uint64
 }
@@ -228,52 +228,52 @@
 
 // Cache is the whole state as the state service has it, up to Revision.
 type Cache struct {
-	Teams     []config.Team
-	TeamIdx   *Names
-	Zones     *Names
-	TypeIdx   *Names
-	Images    *Names
-	Classes   *Names
-	Types     []Type // by type index; zero Cpus: unknown
-	NumShards int
-	Shards    []Shard
-	Members   map[string]*Member
-	Leader    Leader
-	Jobs      []*Job // nil: free
-	Machines  []*Machine
-	Groups    []*MachineGroup // by id
-	Evicted   map[string]*Evicted
-	Catalog   Raw
-	Settings  Raw
-	Used      []Usage // by team, all shares
+	Teams      []config.Team
+	TeamIndex  *NameIndex
+	Zones      *NameIndex
+	TypeIndex  *NameIndex
+	Images     *NameIndex
+	Classes    *NameIndex
+	Types      []MachineType // by type index; zero Cpus: unknown
+	NumShards  int
+	Shards     []Shard
+	Members    map[string]*Member
+	Leader     Leader
+	Jobs       []*Job // nil: free
+	Machines   []*Machine
+	Groups     []*MachineGroup // by id
+	VictimSets map[string]*VictimSet
+	Catalog    RawRecord
+	Settings   RawRecord
+	Used       []Usage // by team, all shares
 	// TeamEntries are the teams whose bounds were changed since the settings file; Teams has these.
 	TeamEntries map[int]TeamEntry
-	Usual       Usual
-	Asked       map[Lane]Asked // by all jobs that this process has learned of
+	Baseline    Baseline
+	Arrivals    map[ClassQueue]Arrivals // by all jobs that this process has learned of
 	Revision    uint64
 	Layout      Layout
-	Plain       bool // the gate is not looked at, as in the version before
-
-	fileTeams []config.Team // as the settings file has them
-	order     order
-	final     map[string]Final
-	jobByID   map[string]*Job
-	after     map[string][]*Job // by id: open jobs that await it
-	doomed    []*Job
-	readied   []*Job
-	heirs     map[*Job]int // jobs that have inherited
-	inherits  bool         // the graph has changed since
-	sets      map[string]map[int]setPart
-	long      map[string]*longText // by job and try
-	byName    map[string]*Machine
-	freeJobs  []int32
-	fleets    map[string]*Fleet
-	versions  map[string]uint64 // of keys that have no place elsewhere
-	imageGB   []float64         // by image
-	dirty     []*Machine        // changed since they were last asked for
-	ended     []*Job            // became final or complete since then
-	victims   map[victim]bool   // of all evicted sets
-	news      *news             // nil: nobody watches
+	ForcePlain  bool // the gate is not looked at, as in the version before
+
+	fileTeams        []config.Team // as the settings file has them
+	sorted           sortedViews
+	final            map[string]FinalState
+	jobByID          map[string]*Job
+	dependents       map[string][]*Job // by id: open jobs that await it
+	dependencyFailed []*Job
+	newlyReady       []*Job
+	inheritors       map[*Job]int // jobs that have inherited
+	graphChanged     bool         // the graph has changed since
+	completionSets   map[string]map[int]completionSet
+	chunkSets        map[string]*chunkSet // by job and try
+	machineByName    map[string]*Machine
+	freeJobs         []int32
+	fleets           map[string]*Fleet
+	revisions        map[string]uint64 // of keys that have no place elsewhere
+	imageGB          []float64         // by image
+	changedMachines  []*Machine        // changed since they were last asked for
+	endedJobs        []*Job            // became final or complete since then
+	victims          map[victim]bool   // of all evicted sets
+	feed             *changeFeed       // nil: nobody watches
 }
 
 // Layout is the gate between the layouts as the cache has it.
@@ -283,10 +283,10 @@
 }
 
 // Packed tells whether every node reads the packed layout, so that it may be written.
-func (b *Cache) Packed() bool { return b.Layout.Version >= LayoutPacked && !b.Plain }
+func (b *Cache) Packed() bool { return b.Layout.Version >= LayoutPacked && !b.ForcePlain }
 
-// setPart is a part of the set of a job's completed tasks.
-type setPart struct {
+// completionSet is a part of the set of a job's completed tasks.
+type completionSet struct {
 	bits    Bitmap
 	version uint64
 }
@@ -303,16 +303,16 @@
 // NewCache is an empty cache.
 func NewCache(s *config.Settings) *Cache {
 	b := &Cache{
-		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIdx: NewNames(), Zones: NewNames(s.Deployment.Zones...),
-		TypeIdx: NewNames(), Images: NewNames(), Classes: NewNames(),
-		NumShards: ShardCount(&s.Deployment), Members: map[string]*Member{}, Evicted: map[string]*Evicted{},
-		final: map[string]Final{}, jobByID: map[string]*Job{}, after: map[string][]*Job{}, sets: map[string]map[int]setPart{}, long: map[string]*longText{},
-		byName: map[string]*Machine{}, fleets: map[string]*Fleet{}, versions: map[string]uint64{}, victims: map[victim]bool{},
+		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIndex: NewNameIndex(), Zones: NewNameIndex(s.Deployment.Zones...),
+		TypeIndex: NewNameIndex(), Images: NewNameIndex(), Classes: NewNameIndex(),
+		NumShards: ShardCount(&s.Deployment), Members: map[string]*Member{}, VictimSets: map[string]*VictimSet{},
+		final: map[string]FinalState{}, jobByID: map[string]*Job{}, dependents: map[string][]*Job{}, completionSets: map[string]map[int]completionSet{}, chunkSets: map[string]*chunkSet{},
+		machineByName: map[string]*Machine{}, fleets: map[string]*Fleet{}, revisions: map[string]uint64{}, victims: map[victim]bool{},
 	}
 	for _, t := range s.Deployment.Teams {
-		b.TeamIdx.Index(t.Name)
+		b.TeamIndex.Index(t.Name)
 	}
-	b.order, b.Asked = newOrder(len(b.Teams)), map[Lane]Asked{}
+	b.sorted, b.Arrivals = newSortedViews(len(b.Teams)), map[ClassQueue]Arrivals{}
 	b.Shards = make([]Shard, b.NumShards)
 	b.Used = make([]Usage, len(b.Teams))
 	return b
@@ -328,10 +328,10 @@
 // cancelled as soon as one that it needs is, whatever its own record says: that job will
 // never be done, so this one can't be either.
 func (b *Cache) FinalState(id string) (protocol.JobStatus, int) {
-	if f, ok := b.recorded(id); ok {
+	if f, ok := b.recordedFinal(id); ok {
 		return f.Status, int(f.Tasks)
 	}
-	if j := b.jobByID[id]; j != nil && j.Doomed {
+	if j := b.jobByID[id]; j != nil && j.DependencyFailed {
 		return protocol.Cancelled, 0
 	}
 	return "", 0
@@ -339,7 +339,7 @@
 
 // Machine finds a machine by name.
 func (b *Cache) Machine(name string) *Machine {
-	if m := b.byName[name]; m != nil && !m.Gone {
+	if m := b.machineByName[name]; m != nil && !m.Gone {
 		return m
 	}
 	return nil
@@ -350,27 +350,27 @@
 	return max(m.FencingToken, m.Group.FencingToken, b.Shards[m.Shard].FencingToken)
 }
 
-// Changed returns the machines that changed, and the jobs that ended, since it was
+// TakeChanged returns the machines that changed, and the jobs that ended, since it was
 // last called: what follows from a change is worked out for these only.
-func (b *Cache) Changed() (machines []*Machine, jobs []*Job) {
-	machines, jobs = b.dirty, b.ended
-	b.dirty, b.ended = nil, nil
+func (b *Cache) TakeChanged() (machines []*Machine, jobs []*Job) {
+	machines, jobs = b.changedMachines, b.endedJobs
+	b.changedMachines, b.endedJobs = nil, nil
 	for _, m := range machines {
-		m.dirty = false
+		m.changed = false
 	}
 	return machines, jobs
 }
 
-func (b *Cache) touch(m *Machine) {
-	b.noteMachine(m)
-	if !m.dirty {
-		m.dirty = true
-		b.dirty = append(b.dirty, m)
+func (b *Cache) markChanged(m *Machine) {
+	b.feedMachine(m)
+	if !m.changed {
+		m.changed = true
+		b.changedMachines = append(b.changedMachines, m)
 	}
 }
 
-// Victim tells whether an attempt is in an evicted set.
-func (b *Cache) Victim(p Placed) bool {
+// IsVictim tells whether an attempt is in an evicted set.
+func (b *Cache) IsVictim(p PlacedTask) bool {
 	return len(b.victims) > 0 && b.victims[victim{p.Job.ID, p.Task, p.Attempt}]
 }
 
@@ -382,13 +382,13 @@
 	return b.Groups[id]
 }
 
-// SetCatalog takes the cloud's machine types.
-func (b *Cache) SetCatalog(c *protocol.Catalog) {
+// UpdateCatalog takes the cloud's machine types.
+func (b *Cache) UpdateCatalog(c *protocol.Catalog) {
 	for _, t := range c.Types {
-		i := b.TypeIdx.Index(t.Name)
+		i := b.TypeIndex.Index(t.Name)
 		b.growTypes()
-		ty := Type{Cpus: t.Cpus, Gpus: t.Gpus, Mem: t.MemGB, Cache: t.CacheGB, Fetch: t.FetchGBs,
-			Price: t.Price, SpotPrice: t.SpotPrice, Boot: t.BootS}
+		ty := MachineType{Cpus: t.Cpus, Gpus: t.Gpus, Mem: t.MemGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
+			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS}
 		for _, z := range t.Zones {
 			ty.Zones = append(ty.Zones, b.Zones.Index(z))
 		}
@@ -425,8 +425,8 @@
 }
 
 func (b *Cache) growTypes() {
-	for len(b.Types) < b.TypeIdx.Len() {
-		b.Types = append(b.Types, Type{})
+	for len(b.Types) < b.TypeIndex.Len() {
+		b.Types = append(b.Types, MachineType{})
 	}
 }
 
@@ -435,45 +435,45 @@
 
 // Apply takes one change; an event that is no newer than what is known is dropped.
 func (b *Cache) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
-	if id, ok := suffix(key, fleetPrefix); ok {
+	if id, ok := keySuffix(key, fleetPrefix); ok {
 		return b.applyFleet(id, value, version, deleted)
 	}
-	if id, ok := suffix(key, jobPrefix); ok {
+	if id, ok := keySuffix(key, jobPrefix); ok {
 		return b.applyJob(id, value, version, deleted)
 	}
-	if id, ok := suffix(key, partPrefix); ok {
-		return b.applyPart(id, value, version, deleted)
+	if id, ok := keySuffix(key, chunkPrefix); ok {
+		return b.applyChunk(id, value, version, deleted)
 	}
-	if id, ok := suffix(key, setPrefix); ok {
-		return b.applySet(id, value, version, deleted)
+	if id, ok := keySuffix(key, completionPrefix); ok {
+		return b.applyCompletions(id, value, version, deleted)
 	}
-	if _, ok := suffix(key, groupPrefix); ok {
+	if _, ok := keySuffix(key, groupPrefix); ok {
 		id, ok := GroupOf(key)
 		if !ok || id > maxGroups || deleted {
 			return fmt.Errorf("record %s: no such rack", key)
 		}
 		return b.applyGroup(id, value, version)
 	}
-	if _, ok := suffix(key, oldPrefix); ok && !deleted && !isBar(key) {
+	if _, ok := keySuffix(key, retiredPrefix); ok && !deleted && !isBarrier(key) {
 		return fmt.Errorf("record %s: %w", key, ErrLayout)
 	}
-	if b.versions[key] >= version {
+	if b.revisions[key] >= version {
 		return nil
 	}
-	b.versions[key] = version
+	b.revisions[key] = version
 	if deleted {
 		value = nil
 	}
-	if name, ok := suffix(key, memberPrefix); ok {
+	if name, ok := keySuffix(key, memberPrefix); ok {
 		return b.applyMember(name, value, version, deleted)
 	}
-	if number, ok := suffix(key, shardPrefix); ok {
+	if number, ok := keySuffix(key, shardPrefix); ok {
 		return b.applyShard(number, value, version, deleted)
 	}
-	if id, ok := suffix(key, evictPrefix); ok {
-		return b.applyEvicted(id, value, version, deleted)
+	if id, ok := keySuffix(key, victimSetPrefix); ok {
+		return b.applyVictimSet(id, value, version, deleted)
 	}
-	if escaped, ok := suffix(key, teamPrefix); ok {
+	if escaped, ok := keySuffix(key, teamPrefix); ok {
 		return b.applyTeam(escaped, value, version, deleted)
 	}
 	return b.applySingle(key, value, version, deleted)
@@ -497,7 +497,7 @@
 func (b *Cache) applyShard(number string, value json.RawMessage, version uint64, deleted bool) error {
 	i, err := strconv.Atoi(number)
 	if err != nil || i < 0 || i >= b.NumShards {
-		delete(b.versions, shardPrefix+number)
+		delete(b.revisions, shardPrefix+number)
 		return fmt.Errorf("record %s%s: no such share", shardPrefix, number)
 	}
 	if deleted {
@@ -512,18 +512,18 @@
 	return nil
 }
 
-// applyEvicted takes the record of an evicted set.
-func (b *Cache) applyEvicted(id string, value json.RawMessage, version uint64, deleted bool) error {
-	e := &Evicted{Job: id, Version: version}
+// applyVictimSet takes the record of an evicted set.
+func (b *Cache) applyVictimSet(id string, value json.RawMessage, version uint64, deleted bool) error {
+	e := &VictimSet{Job: id, Version: version}
 	if !deleted {
 		var err error
-		if e.EvictRecord, err = DecodeEvict(value); err != nil {
-			return fmt.Errorf("record %s: %w", EvictKey(id), err)
+		if e.VictimSetRecord, err = DecodeVictimSet(value); err != nil {
+			return fmt.Errorf("record %s: %w", VictimSetKey(id), err)
 		}
 	}
-	b.setEvicted(id, e, deleted)
+	b.setVictimSet(id, e, deleted)
 	if deleted {
-		delete(b.versions, EvictKey(id))
+		delete(b.revisions, VictimSetKey(id))
 	}
 	return nil
 }
@@ -539,16 +539,16 @@
 		}
 	case LayoutKey:
 		return b.applyLayout(value, version)
-	case UsualKey:
+	case BaselineKey:
 		if deleted {
-			b.Usual = Usual{}
+			b.Baseline = Baseline{}
 			return nil
 		}
-		return b.applyUsual(value, version)
+		return b.applyBaseline(value, version)
 	case SettingsKey:
-		b.Settings = Raw{value, version}
+		b.Settings = RawRecord{value, version}
 		if deleted {
-			b.Settings = Raw{}
+			b.Settings = RawRecord{}
 		}
 	}
 	return nil
@@ -571,9 +571,9 @@
 	if err := json.Unmarshal(value, &c); err != nil {
 		return fmt.Errorf("record %s: %w", CatalogKey, err)
 	}
-	b.Catalog = Raw{value, version}
-	b.SetCatalog(&c)
-	b.noteTypes()
+	b.Catalog = RawRecord{value, version}
+	b.UpdateCatalog(&c)
+	b.feedAllMachines()
 	return nil
 }
 
@@ -588,12 +588,12 @@
 	return nil
 }
 
-func (b *Cache) setEvicted(id string, e *Evicted, deleted bool) {
-	b.noteEvicted(id)
+func (b *Cache) setVictimSet(id string, e *VictimSet, deleted bool) {
+	b.feedVictimSet(id)
 	if j := b.jobByID[id]; j != nil {
-		b.noteJob(j)
+		b.feedJob(j)
 	}
-	mark := func(old *Evicted, on bool) {
+	mark := func(old *VictimSet, on bool) {
 		for _, x := range old.Victims {
 			v := victim{x.Job, x.Task, x.Attempt}
 			if on {
@@ -602,16 +602,16 @@
 				delete(b.victims, v)
 			}
 			if m := b.Machine(x.Machine); m != nil {
-				b.touch(m)
+				b.markChanged(m)
 			}
 		}
 	}
-	if old := b.Evicted[id]; old != nil {
+	if old := b.VictimSets[id]; old != nil {
 		mark(old, false)
 	}
-	delete(b.Evicted, id)
+	delete(b.VictimSets, id)
 	if !deleted {
-		b.Evicted[id] = e
+		b.VictimSets[id] = e
 		mark(e, true)
 	}
 }
@@ -631,14 +631,14 @@
 	if err := json.Unmarshal(value, &r); err != nil {
 		return fmt.Errorf("job %s: %w", id, err)
 	}
-	final := Final{protocol.JobStatus(r.Final), int32(r.NDone), r.EndMs}
-	if r.Final != "" && r.Spec == nil && (j == nil || j.NPlaced == 0) {
+	final := FinalState{protocol.JobStatus(r.Final), int32(r.DoneCount), r.FinalAtMs}
+	if r.Final != "" && r.Spec == nil && (j == nil || j.PlacedCount == 0) {
 		b.forget(id, j, final)
 		return nil
 	}
 	if j == nil {
-		if r.Parts > 0 {
-			if err := b.lengthen(id, &r); err != nil && r.Final != "" {
+		if r.ChunkCount > 0 {
+			if err := b.joinChunks(id, &r); err != nil && r.Final != "" {
 				// The parts of a job that is over are deleted once none of its tasks is placed.
 				b.forget(id, nil, final)
 				return nil
@@ -650,7 +650,7 @@
 		if j, err = b.newJob(id, &r); err != nil {
 			return err
 		}
-		j.Long, j.parts = r.Long, r.Parts
+		j.ChunkSet, j.chunkCount = r.ChunkSet, r.ChunkCount
 	}
 	// A job that is done has no set any more; a completed task stays completed.
 	if r.Final != string(protocol.Done) {
@@ -658,62 +658,62 @@
 		if err != nil {
 			return fmt.Errorf("job %s: %w", id, err)
 		}
-		j.Saved = saved
+		j.SavedDone = saved
 		j.Done.Merge(saved)
 	}
-	j.NDone = max(r.NDone, j.Done.Count())
+	j.DoneCount = max(r.DoneCount, j.Done.Count())
 	j.Final = protocol.JobStatus(r.Final)
 	j.Suspect = j.Suspect || r.Suspect
 	j.Version = version
-	j.EndMs = r.EndMs
-	b.noteJob(j)
+	j.FinalAtMs = r.FinalAtMs
+	b.feedJob(j)
 	if !j.Open() {
-		b.ended = append(b.ended, j)
-		b.settle(id, j.outcome())
+		b.endedJobs = append(b.endedJobs, j)
+		b.notifyDependents(id, j.outcome())
 	}
 	return nil
 }
 
-func (b *Cache) forget(id string, j *Job, f Final) {
+func (b *Cache) forget(id string, j *Job, f FinalState) {
 	b.final[id] = f
-	b.settle(id, f)
+	b.notifyDependents(id, f)
 	if j != nil {
 		j.Final = f.Status // racks may still name it
-		j.NDone, j.EndMs = max(j.NDone, int(f.Tasks)), f.At
-		b.noteJob(j)
-		delete(b.heirs, j)
+		j.DoneCount, j.FinalAtMs = max(j.DoneCount, int(f.Tasks)), f.RecordedMs
+		b.feedJob(j)
+		delete(b.inheritors, j)
 		delete(b.jobByID, id)
-		b.order.dropJob(j)
+		b.sorted.dropJob(j)
 		b.Jobs[j.Index] = nil
 		b.freeJobs = append(b.freeJobs, j.Index)
 	}
 }
 
 func (b *Cache) newJob(id string, r *JobRecord) (*Job, error) {
-	team := b.TeamIdx.Find(r.Team)
+	team := b.TeamIndex.Find(r.Team)
 	s := r.Spec
 	if team < 0 || s == nil {
 		return nil, fmt.Errorf("job %s: unknown team %q or no description", id, r.Team)
 	}
-	needs, err := unpackIDs(r.Needs)
+	needs, err := unpackIDs(r.Dependencies)
 	if err != nil {
 		return nil, fmt.Errorf("job %s: what it awaits: %w", id, err)
 	}
-	at, own := time.UnixMilli(r.AtMs), protocol.Priority(min(s.Priority, 3))
+	at, own := time.UnixMilli(r.SubmittedMs), protocol.Priority(min(s.Priority, 3))
 	j := &Job{
 		ID: id, Team: team, Class: b.Classes.Index(s.Class), Shard: b.ShardOf(team),
-		Shape: protocol.Shape(s.Shape), Priority: own, Own: own, Tasks: r.Tasks,
+		Shape: protocol.Shape(s.Shape), Priority: own, OwnPriority: own, Tasks: r.Tasks,
 		Cpus: s.Cpus, Gpus: s.Gpus, Mem: s.Mem, Image: b.Images.Index(s.Image), ImageGB: s.ImageGB,
 		Zone: -1, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Estimate: s.Estimate,
-		Mark: s.Mark, Save: s.Save, Due: time.Duration(s.Due * float64(time.Second)),
-		Submitted: at, At: at, Spec: r.Spec, Needs: needs,
-		Machine: make([]int32, r.Tasks), Attempt: make([]uint64, r.Tasks), Done: NewBitmap(r.Tasks), Saved: NewBitmap(r.Tasks),
+		CheckpointInterval: s.CheckpointInterval, CheckpointCost: s.CheckpointCost, Deadline: time.Duration(s.Deadline * float64(time.Second)),
+		Submitted: at, ReadyAt: at, Spec: r.Spec, Dependencies: needs,
+		MachineOf: make([]int32, r.Tasks), AttemptOf: make([]uint64, r.Tasks), Done: NewBitmap(r.Tasks), SavedDone: NewBitmap(r.Tasks),
 	}
-	for i := range j.Machine {
-		j.Machine[i] = Nowhere
+	for i := range j.MachineOf {
+		j.MachineOf[i] = Nowhere
 	}
 	for _, t := range s.Types {
-		j.Types = append(j.Types, b.TypeIdx.Index(t))
+		j.Types = append(j.Types, b.TypeIndex.Index(t))
 	}
 	b.growTypes()
 	if s.Zone != "" {
@@ -729,88 +729,88 @@
 	}
 	j.Size = b.sizeOf(j)
 	b.jobByID[id] = j
-	b.noteImageGB(j)
-	b.order.addJob(j)
-	for part, x := range b.sets[id] {
+	b.recordImageSize(j)
+	b.sorted.addJob(j)
+	for part, x := range b.completionSets[id] {
 		j.completed(part, x.bits)
 	}
 	if r.Final == "" {
-		b.ask(j)
-		b.await(j)
+		b.countArrival(j)
+		b.addDependencies(j)
 	}
-	if len(b.after[id]) > 0 {
-		b.inherits = true
+	if len(b.dependents[id]) > 0 {
+		b.graphChanged = true
 	}
 	return j, nil
 }
 
 // completed takes in a part of the set of completed tasks.
 func (j *Job) completed(part int, bits Bitmap) {
-	if from := part * (setTasks / 8); from < len(j.Done) {
-		j.Saved[from:].Merge(bits)
+	if from := part * (completionSetTasks / 8); from < len(j.Done) {
+		j.SavedDone[from:].Merge(bits)
 		j.Done[from:].Merge(bits)
-		j.NDone = max(j.NDone, j.Done.Count())
+		j.DoneCount = max(j.DoneCount, j.Done.Count())
 	}
 }
 
-// applySet takes a part of the set of a job's completed tasks. Parts stay until the job
+// applyCompletions takes a part of the set of a job's completed tasks. Parts stay until the job
 // is over; then its share's owner deletes them.
-func (b *Cache) applySet(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applyCompletions(name string, value json.RawMessage, version uint64, deleted bool) error {
 	id, num, _ := strings.Cut(name, "/")
 	part, err := strconv.Atoi(num)
-	if err != nil || part < 0 || part > protocol.MaxTasks/setTasks {
-		return fmt.Errorf("record %s%s: no such part", setPrefix, name)
+	if err != nil || part < 0 || part > protocol.MaxTasks/completionSetTasks {
+		return fmt.Errorf("record %s%s: no such part", completionPrefix, name)
 	}
-	if b.sets[id][part].version >= version {
+	if b.completionSets[id][part].version >= version {
 		return nil
 	}
 	if deleted {
-		if delete(b.sets[id], part); len(b.sets[id]) == 0 {
-			delete(b.sets, id)
+		if delete(b.completionSets[id], part); len(b.completionSets[id]) == 0 {
+			delete(b.completionSets, id)
 		}
 		return nil
 	}
-	var r SetRecord
+	var r CompletionRecord
 	if err := json.Unmarshal(value, &r); err != nil {
-		return fmt.Errorf("record %s%s: %w", setPrefix, name, err)
+		return fmt.Errorf("record %s%s: %w", completionPrefix, name, err)
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(r.Done)
-	if err != nil || len(raw) > setTasks/8 {
-		return fmt.Errorf("record %s%s: no set of %d tasks", setPrefix, name, setTasks)
+	if err != nil || len(raw) > completionSetTasks/8 {
+		return fmt.Errorf("record %s%s: no set of %d tasks", completionPrefix, name, completionSetTasks)
 	}
-	if b.sets[id] == nil {
-		b.sets[id] = map[int]setPart{}
+	if b.completionSets[id] == nil {
+		b.completionSets[id] = map[int]completionSet{}
 	}
-	b.sets[id][part] = setPart{raw, version}
+	b.completionSets[id][part] = completionSet{raw, version}
 	if j := b.jobByID[id]; j != nil {
 		j.completed(part, raw)
-		b.noteJob(j)
+		b.feedJob(j)
 	}
 	return nil
 }
 
-// SetRecordOf writes the part of a job's set that holds a task, with the version that it
+// CompletionRecordOf writes the part of a job's set that holds a task, with the version that it
 // replaces.
-func (b *Cache) SetRecordOf(j *Job, done Bitmap, task int) (SetRecord, uint64) {
-	part := task / setTasks
-	from := part * (setTasks / 8)
-	return SetRecord{base64.RawStdEncoding.EncodeToString(done[from:min(len(done), from+setTasks/8)])}, b.sets[j.ID][part].version
+func (b *Cache) CompletionRecordOf(j *Job, done Bitmap, task int) (CompletionRecord, uint64) {
+	part := task / completionSetTasks
+	from := part * (completionSetTasks / 8)
+	return CompletionRecord{base64.RawStdEncoding.EncodeToString(done[from:min(len(done), from+completionSetTasks/8)])}, b.completionSets[j.ID][part].version
 }
 
-// Stale returns records that are needed no more, with their versions: parts of sets of jobs
+// StaleRecords returns records that are needed no more, with their versions: parts of sets of jobs
 // that are over, and of descriptions as abandoned tells.
-func (b *Cache) Stale(limit int, now time.Time) []protocol.Condition {
+func (b *Cache) StaleRecords(limit int, now time.Time) []protocol.Condition {
 	var out []protocol.Condition
-	for id, parts := range b.sets {
-		if _, over := b.recorded(id); !over {
+	for id, parts := range b.completionSets {
+		if _, over := b.recordedFinal(id); !over {
 			continue
 		}
 		for part, x := range parts {
-			out = append(out, protocol.Condition{Key: SetKey(id, part*setTasks), Version: x.version})
+			out = append(out, protocol.Condition{Key: CompletionKey(id, part*completionSetTasks), Version: x.version})
 		}
 	}
 	if len(out) < limit {
-		out = append(out, b.staleParts(limit-len(out), now)...)
+		out = append(out, b.staleChunks(limit-len(out), now)...)
 	}
 	return out[:min(len(out), limit)]
 }
@@ -837,7 +837,7 @@
 		}
 	}
 	for _, x := range r.Machines {
-		if m := b.byName[x.Name]; x.Group < 0 || x.Group > maxGroups || (m != nil && m.exists && m.Fleet.ID != id && m.record.Group != x.Group) {
+		if m := b.machineByName[x.Name]; x.Group < 0 || x.Group > maxGroups || (m != nil && m.exists && m.Fleet.ID != id && m.record.Group != x.Group) {
 			return fmt.Errorf("fleet %s: machine %s cannot be in rack %d", id, x.Name, x.Group)
 		}
 	}
@@ -848,23 +848,23 @@
 	before := f.record.Machines
 	f.record, f.Version, f.Size = r, version, len(value)
 	for _, x := range r.Machines {
-		b.enroll(f, x)
+		b.addMachine(f, x)
 	}
 	for _, x := range before { // what is listed still was counted once more just now
-		m := b.byName[x.Name]
+		m := b.machineByName[x.Name]
 		if m.FleetEntries--; m.FleetEntries == 0 {
-			b.depart(m, version)
+			b.removeMachine(m, version)
 		}
 	}
 	return nil
 }
 
-func (b *Cache) depart(m *Machine, version uint64) {
-	b.place(m, nil)
+func (b *Cache) removeMachine(m *Machine, version uint64) {
+	b.setTasks(m, nil)
 	m.Gone, m.exists, m.Version = true, false, version
 	m.leaveGroup()
-	b.order.machines.Delete(m)
-	b.touch(m)
+	b.sorted.machines.Delete(m)
+	b.markChanged(m)
 }
 
 func (m *Machine) leaveGroup() {
@@ -876,12 +876,12 @@
 	k.Machines = append(k.Machines, m)
 }
 
-func (b *Cache) enroll(f *Fleet, x FleetMachine) {
-	m := b.byName[x.Name]
+func (b *Cache) addMachine(f *Fleet, x FleetMachine) {
+	m := b.machineByName[x.Name]
 	if m == nil {
 		m = &Machine{Index: int32(len(b.Machines)), Name: x.Name}
 		b.Machines = append(b.Machines, m)
-		b.byName[x.Name] = m
+		b.machineByName[x.Name] = m
 	}
 	m.FleetEntries++
 	if m.exists {
@@ -892,19 +892,19 @@
 	}
 	m.Fleet, m.record, m.exists, m.Version = f, x, true, f.Version
 	m.Moved = false
-	b.order.machines.Set(m)
+	b.sorted.machines.Set(m)
 	m.joinGroup(b.group(x.Group))
 	m.Shard, m.Gone = m.Group.Shard, m.Group.Version == 0
-	m.Type = b.TypeIdx.Index(f.record.Type)
+	m.Type = b.TypeIndex.Index(f.record.Type)
 	b.growTypes()
 	m.Zone = b.Zones.Index(f.record.Zone)
 	m.Spot, m.ProvisionedAt, m.Addr, m.FencingToken = f.record.Spot, f.record.ProvisionedAt, x.Addr, f.record.FencingToken
-	b.touch(m)
+	b.markChanged(m)
 }
 
-// Oversized returns a fleet whose record is over a limit, and whether it fits when it is
+// OversizedFleet returns a fleet whose record is over a limit, and whether it fits when it is
 // written packed.
-func (b *Cache) Oversized(limit int) (f *Fleet, fits bool) {
+func (b *Cache) OversizedFleet(limit int) (f *Fleet, fits bool) {
 	for _, f := range b.fleets {
 		if f.Size > limit && len(f.record.Machines) > 0 {
 			return f, len(EncodeFleet(&f.record, true)) <= limit
@@ -913,12 +913,12 @@
 	return nil, false
 }
 
-// Pieces writes a fleet's machines as records that are within a limit, leaving out those
+// SplitFleet writes a fleet's machines as records that are within a limit, leaving out those
 // that a later record lists.
-func (b *Cache) Pieces(f *Fleet, limit int) []FleetRecord {
+func (b *Cache) SplitFleet(f *Fleet, limit int) []FleetRecord {
 	var out []FleetRecord
 	for _, x := range f.record.Machines {
-		if m := b.byName[x.Name]; m == nil || m.Fleet != f {
+		if m := b.machineByName[x.Name]; m == nil || m.Fleet != f {
 			continue
 		}
 		if n := len(out) - 1; n >= 0 {
@@ -939,7 +939,7 @@
 // if ok is false.
 func (b *Cache) FleetWithout(f *Fleet, gone map[*Machine]bool) (r FleetRecord, ok bool) {
 	r = f.record
-	r.Machines = slices.DeleteFunc(slices.Clone(r.Machines), func(x FleetMachine) bool { return gone[b.byName[x.Name]] })
+	r.Machines = slices.DeleteFunc(slices.Clone(r.Machines), func(x FleetMachine) bool { return gone[b.machineByName[x.Name]] })
 	return r, len(r.Machines) > 0
 }
 
@@ -958,10 +958,10 @@
 		return fmt.Errorf("rack %d: no share %d", id, r.Shard)
 	}
 	entries := make(map[*Machine]*GroupMachine, len(r.Machines))
-	tasks := make(map[*Machine][]Placed, len(r.Machines))
+	tasks := make(map[*Machine][]PlacedTask, len(r.Machines))
 	for i := range r.Machines {
 		x := &r.Machines[i]
-		m := b.byName[x.Name]
+		m := b.machineByName[x.Name]
 		if m == nil {
 			return fmt.Errorf("rack %d: unknown machine %s", id, x.Name)
 		}
@@ -973,7 +973,7 @@
 		for _, p := range x.Tasks {
 			n += len(p.Numbers) / numbersPerTask
 		}
-		list := make([]Placed, 0, n)
+		list := make([]PlacedTask, 0, n)
 		for _, p := range x.Tasks {
 			j := b.jobByID[p.Job]
 			if j == nil {
@@ -984,14 +984,14 @@
 			}
 			for n := p.Numbers; len(n) >= numbersPerTask; n = n[numbersPerTask:] {
 				if n[0] < uint64(j.Tasks) {
-					list = append(list, Placed{j, int(n[0]), n[1], int64(n[2]), n[3]})
+					list = append(list, PlacedTask{j, int(n[0]), n[1], int64(n[2]), n[3]})
 				}
 			}
 		}
 		tasks[m] = list
 	}
-	var ended []Ended
-	for _, e := range r.Ended {
+	var ended []CompletedTask
+	for _, e := range r.Completed {
 		j := b.jobByID[e.Job]
 		if j == nil {
 			if f, _ := b.FinalState(e.Job); f == "" {
@@ -1001,7 +1001,7 @@
 		}
 		for _, t := range e.Tasks {
 			if t >= 0 && t < j.Tasks {
-				ended = append(ended, Ended{j, t})
+				ended = append(ended, CompletedTask{j, t})
 			}
 		}
 	}
@@ -1012,23 +1012,23 @@
 		}
 		if m.Moved = true; m.Group != k {
 			// It comes from a rack whose record it left in the same change or before.
-			b.place(m, nil)
+			b.setTasks(m, nil)
 			m.leaveGroup()
 			m.joinGroup(k)
 		}
 	}
 	moved := k.Version == 0 || k.Shard != r.Shard || k.FencingToken != r.FencingToken
-	k.Packed = r.Packed != "" || len(r.Machines)+len(r.Ended) == 0
-	k.Shard, k.FencingToken, k.Version, k.Ended, k.Size = r.Shard, r.FencingToken, version, ended, len(value)
+	k.Packed = r.Packed != "" || len(r.Machines)+len(r.Completed) == 0
+	k.Shard, k.FencingToken, k.Version, k.Completed, k.Size = r.Shard, r.FencingToken, version, ended, len(value)
 	for _, e := range ended {
 		if !e.Job.Done.Get(e.Task) {
 			e.Job.Done.Set(e.Task)
 			if e.Job.Open() {
 				// The record of a job that is over has counted them all: one that was read
 				// before the rack's was called done with 4 of 2 tasks.
-				e.Job.NDone++
+				e.Job.DoneCount++
 			}
-			b.noteJob(e.Job)
+			b.feedJob(e.Job)
 		}
 	}
 	for _, m := range k.Machines {
@@ -1042,43 +1042,43 @@
 			m.Shard, m.FencingToken, m.Incarnation = k.Shard, token, x.Incarnation
 			m.Returning, m.Unhealthy, m.Draining = x.Returning, x.Unhealthy, x.Draining
 			m.Gone, m.Version = false, version
-			b.touch(m)
+			b.markChanged(m)
 		}
 		if x.Addr != "" {
 			m.Addr = x.Addr
 		}
 		if !slices.Equal(tasks[m], m.Tasks) {
-			b.place(m, tasks[m])
+			b.setTasks(m, tasks[m])
 		}
 	}
 	return nil
 }
 
-// place replaces the tasks of a machine's record and keeps the counts true.
-func (b *Cache) place(m *Machine, tasks []Placed) {
+// setTasks replaces the tasks of a machine's record and keeps the counts true.
+func (b *Cache) setTasks(m *Machine, tasks []PlacedTask) {
 	old := m.Tasks
-	b.noteImages(m, old)
+	b.recordImages(m, old)
 	for _, p := range old {
 		j := p.Job
-		if j.Machine[p.Task] == m.Index {
-			j.Machine[p.Task], j.Attempt[p.Task] = Nowhere, 0
+		if j.MachineOf[p.Task] == m.Index {
+			j.MachineOf[p.Task], j.AttemptOf[p.Task] = Nowhere, 0
 		}
-		j.NPlaced--
+		j.PlacedCount--
 		j.ByZone[m.Zone]--
 		j.firstOpen = min(j.firstOpen, p.Task)
 		b.Used[j.Team].Add(j, -1)
-		b.noteJob(j)
+		b.feedJob(j)
 	}
 	for _, p := range tasks {
 		j := p.Job
-		j.Machine[p.Task], j.Attempt[p.Task] = m.Index, p.Attempt
-		j.NPlaced++
+		j.MachineOf[p.Task], j.AttemptOf[p.Task] = m.Index, p.Attempt
+		j.PlacedCount++
 		for len(j.ByZone) <= m.Zone {
 			j.ByZone = append(j.ByZone, 0)
 		}
 		j.ByZone[m.Zone]++
 		b.Used[j.Team].Add(j, 1)
-		b.noteJob(j)
+		b.feedJob(j)
 	}
 	m.Tasks = tasks
 }
@@ -1090,14 +1090,14 @@
 // record could not be read.
 func (b *Cache) Sweep() {
 	for _, j := range b.Jobs {
-		if j != nil && !j.Open() && j.NPlaced == 0 && j.Version <= b.Revision {
+		if j != nil && !j.Open() && j.PlacedCount == 0 && j.Version <= b.Revision {
 			b.forget(j.ID, j, j.outcome())
 		}
 	}
 }
 
 // GroupMachineOf writes a machine's part of its rack's record, with other tasks.
-func (b *Cache) GroupMachineOf(m *Machine, tasks []Placed) GroupMachine {
+func (b *Cache) GroupMachineOf(m *Machine, tasks []PlacedTask) GroupMachine {
 	r := GroupMachine{Name: m.Name, Incarnation: m.Incarnation, Returning: m.Returning, Draining: m.Draining, Unhealthy: m.Unhealthy, Moved: m.Moved}
 	if m.FencingToken > m.Fleet.record.FencingToken {
 		r.FencingToken = m.FencingToken
@@ -1111,15 +1111,15 @@
 			i = len(r.Tasks)
 			r.Tasks = append(r.Tasks, PlacedTasks{Job: p.Job.ID})
 		}
-		r.Tasks[i].Numbers = append(r.Tasks[i].Numbers, uint64(p.Task), p.Attempt, uint64(p.At), p.Waited)
+		r.Tasks[i].Numbers = append(r.Tasks[i].Numbers, uint64(p.Task), p.Attempt, uint64(p.PlacedAt), p.WaitedS)
 	}
 	return r
 }
 
 // GroupRecordOf writes a rack's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
-func (b *Cache) GroupRecordOf(k *MachineGroup, ended []Ended, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
-	r := &GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Ended: endedOf(ended)}
+func (b *Cache) GroupRecordOf(k *MachineGroup, ended []CompletedTask, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
+	r := &GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Completed: endedTasksOf(ended)}
 	for _, m := range k.Machines {
 		x, stays := b.GroupMachineOf(m, m.Tasks), true
 		if change != nil {
@@ -1134,25 +1134,25 @@
 
 // UnsavedCompletions are the completed tasks that must stay in a rack's record, since their
 // job's own does not show them.
-func (k *MachineGroup) UnsavedCompletions() []Ended {
-	out := make([]Ended, 0, len(k.Ended))
-	for _, e := range k.Ended {
-		if e.Job.Open() && !e.Job.Saved.Get(e.Task) {
+func (k *MachineGroup) UnsavedCompletions() []CompletedTask {
+	out := make([]CompletedTask, 0, len(k.Completed))
+	for _, e := range k.Completed {
+		if e.Job.Open() && !e.Job.SavedDone.Get(e.Task) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func endedOf(list []Ended) []EndedTasks {
-	var out []EndedTasks
+func endedTasksOf(list []CompletedTask) []CompletedTasks {
+	var out []CompletedTasks
 	at := map[*Job]int{}
 	for _, e := range list {
 		i, ok := at[e.Job]
 		if !ok {
 			i = len(out)
 			at[e.Job] = i
-			out = append(out, EndedTasks{Job: e.Job.ID})
+			out = append(out, CompletedTasks{Job: e.Job.ID})
 		}
 		out[i].Tasks = append(out[i].Tasks, e.Task)
 	}
@@ -1161,27 +1161,27 @@
 
 // JobRecordOf writes a job's record with another set of completed tasks.
 func (b *Cache) JobRecordOf(j *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
-	r := &JobRecord{Tasks: j.Tasks, NDone: n, Final: string(final), Team: b.Teams[j.Team].Name}
-	if final == protocol.Done || j.Doomed && j.NPlaced == 0 {
+	r := &JobRecord{Tasks: j.Tasks, DoneCount: n, Final: string(final), Team: b.Teams[j.Team].Name}
+	if final == protocol.Done || j.DependencyFailed && j.PlacedCount == 0 {
 		return r
 	}
-	r.Spec, r.AtMs, r.Suspect = j.Spec, j.Submitted.UnixMilli(), j.Suspect
+	r.Spec, r.SubmittedMs, r.Suspect = j.Spec, j.Submitted.UnixMilli(), j.Suspect
 	if final == "" || !b.Packed() {
 		// In the packed layout an open job's record is rewritten only while none of its tasks
 		// has completed: a large set would be over the limit, and is kept in parts.
 		r.Done = done.encode()
 	}
 	if final == "" {
-		r.Needs = PackIDs(j.Needs)
+		r.Dependencies = PackIDs(j.Dependencies)
 	}
-	if j.Long != "" {
-		r.Spec, r.Needs, r.Long, r.Parts = nil, "", j.Long, j.parts
+	if j.ChunkSet != "" {
+		r.Spec, r.Dependencies, r.ChunkSet, r.ChunkCount = nil, "", j.ChunkSet, j.chunkCount
 	}
 	return r
 }
 
-// Drop forgets every record that was not seen in a full read begun at revision.
-func (b *Cache) Drop(seen map[string]bool, revision uint64) error {
+// DropUnseen forgets every record that was not seen in a full read begun at revision.
+func (b *Cache) DropUnseen(seen map[string]bool, revision uint64) error {
 	for id, f := range b.fleets {
 		if len(f.record.Machines) > 0 && !seen[FleetKey(id)] {
 			if err := b.applyFleet(id, nil, max(revision, f.Version+1), true); err != nil {
@@ -1189,23 +1189,23 @@
 			}
 		}
 	}
-	for name, l := range b.long {
+	for name, l := range b.chunkSets {
 		for i := range l.versions {
-			if !seen[partPrefix+name+"/"+strconv.Itoa(i)] {
+			if !seen[chunkPrefix+name+"/"+strconv.Itoa(i)] {
 				delete(l.versions, i)
 			}
 		}
 	}
-	for id, parts := range b.sets {
+	for id, parts := range b.completionSets {
 		for part := range parts {
-			if !seen[SetKey(id, part*setTasks)] {
+			if !seen[CompletionKey(id, part*completionSetTasks)] {
 				delete(parts, part)
 			}
 		}
 	}
-	for key := range b.versions {
+	for key := range b.revisions {
 		if !seen[key] {
-			if err := b.Apply(key, nil, max(revision, b.versions[key]+1), true); err != nil {
+			if err := b.Apply(key, nil, max(revision, b.revisions[key]+1), true); err != nil {
 				return err
 			}
 		}
@@ -1213,6 +1213,6 @@
 	return nil
 }
 
-// Known tells whether a machine has or had a record. One whose rack has not been
+// MachineSeen tells whether a machine has or had a record. One whose rack has not been
 // read yet counts too: it must not get another.
-func (b *Cache) Known(name string) bool { return b.byName[name] != nil }
+func (b *Cache) MachineSeen(name string) bool { return b.machineByName[name] != nil }
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -15,7 +15,7 @@
 func TestBook(t *testing.T) {
 	spec := &SpecRecord{Cpus: 2, Mem: 1, Image: "i"}
 	job := func(final string, done int) JobRecord {
-		return JobRecord{Spec: spec, Tasks: 2, Team: "red", Final: final, NDone: done}
+		return JobRecord{Spec: spec, Tasks: 2, Team: "red", Final: final, DoneCount: done}
 	}
 	rack := func(numbers ...uint64) GroupRecord {
 		r := GroupRecord{}
@@ -24,7 +24,7 @@
 		}
 		return r
 	}
-	ended := func(tasks ...int) GroupRecord { return GroupRecord{Ended: []EndedTasks{{"job-000001", tasks}}} }
+	ended := func(tasks ...int) GroupRecord { return GroupRecord{Completed: []CompletedTasks{{"job-000001", tasks}}} }
 	const j, m, k = Root + "job/job-000001", Root + "fleet/m", Root + "rack/0"
 	type change struct {
 		key     string
@@ -43,7 +43,7 @@
 		{"placed", []change{{key: j, value: job("", 0), version: 1}, {key: k, value: rack(0, 9, 0, 0, 1, 9, 0, 0), version: 2}}, "", 2, 4},
 		{"an older event changes nothing", []change{{key: j, value: job("", 0), version: 1}, {key: k, value: rack(), version: 3},
 			{key: k, value: rack(0, 9, 0, 0), version: 2}}, "", 0, 0},
-		{"done stays done", []change{{key: j, value: JobRecord{Tasks: 2, Team: "red", Final: "done", NDone: 2}, version: 5},
+		{"done stays done", []change{{key: j, value: JobRecord{Tasks: 2, Team: "red", Final: "done", DoneCount: 2}, version: 5},
 			{key: j, value: job("", 0), version: 1}}, protocol.Done, 0, 0},
 		{"cancelled tasks count until they are gone", []change{{key: j, value: job("", 0), version: 1},
 			{key: k, value: rack(0, 9, 0, 0), version: 2}, {key: j, value: job("cancelled", 0), version: 3, sweep: 3}}, protocol.Cancelled, 1, 2},
@@ -58,7 +58,7 @@
 		{"a rack that names an unknown job is taken when it comes again", []change{{key: k, value: rack(0, 9, 0, 0), version: 4, fails: true},
 			{key: j, value: job("", 0), version: 3}, {key: k, value: rack(0, 9, 0, 0), version: 4}}, "", 1, 2},
 		{"but for the bar that keeps the version before from starting on packed records", []change{{key: j, value: job("", 0), version: 1},
-			{key: BarKey, value: rack(), version: 2}}, "", 0, 0},
+			{key: BarrierKey, value: rack(), version: 2}}, "", 0, 0},
 		{"a record of the earlier layout is refused", []change{{key: j, value: job("", 0), version: 1},
 			{key: Root + "machine/m", value: rack(), version: 2, fails: true}}, "", 0, 0},
 	}
@@ -83,7 +83,7 @@
 			}
 			placed := 0
 			if job := b.Job("job-000001"); job != nil {
-				placed = job.NPlaced
+				placed = job.PlacedCount
 			}
 			if placed != c.placed || b.Used[0].Cpus != c.used {
 				t.Errorf("%d placed using %v, want %d using %v", placed, b.Used[0].Cpus, c.placed, c.used)
@@ -143,7 +143,7 @@
 		}
 		for p := range ended {
 			if ended[p] && p.job%racks == rack {
-				rec.Ended = append(rec.Ended, EndedTasks{fmt.Sprint("j", p.job), []int{p.task}})
+				rec.Completed = append(rec.Completed, CompletedTasks{fmt.Sprint("j", p.job), []int{p.task}})
 			}
 		}
 		apply(GroupKey(rack), rec, version)
@@ -154,8 +154,8 @@
 				for _, p := range m.Tasks {
 					used[p.Job.Team] += p.Job.Cpus
 					placed[p.Job.Index]++
-					if p.Job.Machine[p.Task] != m.Index {
-						t.Fatalf("version %d: %s/%d is on %d, not %d", version, p.Job.ID, p.Task, p.Job.Machine[p.Task], m.Index)
+					if p.Job.MachineOf[p.Task] != m.Index {
+						t.Fatalf("version %d: %s/%d is on %d, not %d", version, p.Job.ID, p.Task, p.Job.MachineOf[p.Task], m.Index)
 					}
 				}
 			}
@@ -170,8 +170,8 @@
 			for _, n := range j.ByZone {
 				zones += n
 			}
-			if j.NPlaced != placed[i] || int(zones) != placed[i] || j.NDone != j.Done.Count() {
-				t.Fatalf("version %d: %s has %d placed, %d by zone, %d done; counted %d and %d", version, j.ID, j.NPlaced, zones, j.NDone, placed[i], j.Done.Count())
+			if j.PlacedCount != placed[i] || int(zones) != placed[i] || j.DoneCount != j.Done.Count() {
+				t.Fatalf("version %d: %s has %d placed, %d by zone, %d done; counted %d and %d", version, j.ID, j.PlacedCount, zones, j.DoneCount, placed[i], j.Done.Count())
 			}
 		}
 	}
@@ -188,8 +188,8 @@
 		{FleetKey("m"), FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}},
 		{JobKey("job-000001"), JobRecord{Spec: &SpecRecord{Cpus: 1}, Tasks: 2, Team: "red"}},
 		{GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", []uint64{0, 5, 0, 0}}}}}}},
-		{JobKey("job-000001"), JobRecord{Tasks: 2, NDone: 2, Team: "red", Final: "done"}},
-		{GroupKey(0), GroupRecord{Ended: []EndedTasks{{"job-000001", []int{0, 1}}}}},
+		{JobKey("job-000001"), JobRecord{Tasks: 2, DoneCount: 2, Team: "red", Final: "done"}},
+		{GroupKey(0), GroupRecord{Completed: []CompletedTasks{{"job-000001", []int{0, 1}}}}},
 	} {
 		if err := b.Apply(x.key, Encode(x.value), uint64(i+1), false); err != nil {
 			t.Fatal(err)
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -79,12 +79,12 @@
 		{"node.any.json", rewriteJSON[MemberRecord]},
 		{"share.any.json", rewriteJSON[ShardRecord]},
 		{"leader.any.json", rewriteJSON[LeaderRecord]},
-		{"set.any.json", rewriteJSON[SetRecord]},
-		{"part.any.json", rewriteJSON[partRecord]},
+		{"set.any.json", rewriteJSON[CompletionRecord]},
+		{"part.any.json", rewriteJSON[chunkRecord]},
 		{"layout.plain.json", rewriteJSON[LayoutRecord]},
 		{"layout.packed.json", rewriteJSON[LayoutRecord]},
 		{"layout.teams.json", rewriteJSON[LayoutRecord]},
-		{"usual.packed.json", rewriteJSON[UsualRecord]},
+		{"usual.packed.json", rewriteJSON[BaselineRecord]},
 		{"team.teams.json", rewriteJSON[TeamRecord]},
 		{"catalog.any.json", rewriteJSON[protocol.Catalog]},
 	}
@@ -113,8 +113,8 @@
 		}},
 		{"evict", func(packed bool) rewrite {
 			return func(raw json.RawMessage) (json.RawMessage, error) {
-				record, err := DecodeEvict(raw)
-				return EncodeEvict(&record, packed), err
+				record, err := DecodeVictimSet(raw)
+				return EncodeVictimSet(&record, packed), err
 			}
 		}},
 	}
@@ -135,14 +135,14 @@
 		{"job", reflect.TypeFor[JobRecord]()},
 		{"rack", reflect.TypeFor[GroupRecord]()},
 		{"fleet", reflect.TypeFor[FleetRecord]()},
-		{"evict", reflect.TypeFor[EvictRecord]()},
+		{"evict", reflect.TypeFor[VictimSetRecord]()},
 		{"node", reflect.TypeFor[MemberRecord]()},
 		{"share", reflect.TypeFor[ShardRecord]()},
 		{"leader", reflect.TypeFor[LeaderRecord]()},
-		{"set", reflect.TypeFor[SetRecord]()},
-		{"part", reflect.TypeFor[partRecord]()},
+		{"set", reflect.TypeFor[CompletionRecord]()},
+		{"part", reflect.TypeFor[chunkRecord]()},
 		{"layout", reflect.TypeFor[LayoutRecord]()},
-		{"usual", reflect.TypeFor[UsualRecord]()},
+		{"usual", reflect.TypeFor[BaselineRecord]()},
 		{"team", reflect.TypeFor[TeamRecord]()},
 		{"catalog", reflect.TypeFor[protocol.Catalog]()},
 	}
@@ -221,7 +221,7 @@
 	if err := json.Unmarshal(readGolden(t, "job-open.any.json"), &record); err != nil {
 		t.Fatal(err)
 	}
-	parts, main := SplitLong(job, try, &record, limit)
+	parts, main := SplitDescription(job, try, &record, limit)
 	checkGolden(t, "long-parts.any.json", Encode(parts))
 	checkGolden(t, "long-main.any.json", main)
 
@@ -238,19 +238,19 @@
 	if err := json.Unmarshal(readGolden(t, "long-main.any.json"), &whole); err != nil {
 		t.Fatal(err)
 	}
-	if err := cache.lengthen(job, &whole); err != nil {
+	if err := cache.joinChunks(job, &whole); err != nil {
 		t.Fatal(err)
 	}
-	again, _ := SplitLong(job, try, &whole, limit)
+	again, _ := SplitDescription(job, try, &whole, limit)
 	checkGolden(t, "long-parts.any.json", Encode(again))
 }
 
 // TestGoldenKeys covers the keys under which records stand.
 func TestGoldenKeys(t *testing.T) {
 	keys := []string{
-		MemberKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), GroupKey(300), EvictKey("job-000007"),
-		SetKey("job-000007", 8191), SetKey("job-000007", 8192), partKey("job-000007", "n0-1-7", 2), TeamKey("red/blue team"),
-		LeaderKey, CatalogKey, SettingsKey, LayoutKey, UsualKey, BarKey, BarTeamsKey,
+		MemberKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), GroupKey(300), VictimSetKey("job-000007"),
+		CompletionKey("job-000007", 8191), CompletionKey("job-000007", 8192), chunkKey("job-000007", "n0-1-7", 2), TeamKey("red/blue team"),
+		LeaderKey, CatalogKey, SettingsKey, LayoutKey, BaselineKey, BarrierKey, TeamsBarrierKey,
 	}
 	checkGolden(t, "keys.any.txt", []byte(strings.Join(keys, "\n")+"\n"))
 }
--- a/internal/storage/images.go
+++ b/internal/storage/images.go
@@ -24,16 +24,16 @@
 	return list[max(0, len(list)-maxImages):]
 }
 
-// noteImages takes down the images of a machine's tasks that have been there for long enough to
+// recordImages takes down the images of a machine's tasks that have been there for long enough to
 // have fetched them. What still waits may give its fetch up.
-func (b *Cache) noteImages(m *Machine, tasks []Placed) {
+func (b *Cache) recordImages(m *Machine, tasks []PlacedTask) {
 	now := time.Now().Unix()
 	for _, p := range tasks {
 		takes := 0.0
-		if f := b.Types[m.Type].Fetch; f > 0 {
+		if f := b.Types[m.Type].FetchGBs; f > 0 {
 			takes = p.Job.ImageGB / f
 		}
-		if float64(now-p.At) > 1.3*takes+1 {
+		if float64(now-p.PlacedAt) > 1.3*takes+1 {
 			m.Images = UseImage(m.Images, p.Job.Image)
 		}
 	}
@@ -47,7 +47,7 @@
 	return 0
 }
 
-func (b *Cache) noteImageGB(j *Job) {
+func (b *Cache) recordImageSize(j *Job) {
 	for len(b.imageGB) <= j.Image {
 		b.imageGB = append(b.imageGB, 0)
 	}
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -13,7 +13,7 @@
 // fetched nothing, and the size of an image outlives its jobs.
 func TestImagesOfMachines(t *testing.T) {
 	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-	b.SetCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
+	b.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
 	rev := uint64(1)
 	put := func(key string, v any) {
 		rev++
@@ -39,7 +39,7 @@
 	if want := []int{b.Images.Find("i"), b.Images.Find("l")}; !slices.Equal(m.Images, want) {
 		t.Errorf("images %v, want %v", m.Images, want)
 	}
-	put(JobKey("job-000001"), JobRecord{Tasks: 1, Team: "red", Final: string(protocol.Done), NDone: 1})
+	put(JobKey("job-000001"), JobRecord{Tasks: 1, Team: "red", Final: string(protocol.Done), DoneCount: 1})
 	if gb := b.ImageGB(b.Images.Find("i")); b.Job("job-000001") != nil || gb != 5 {
 		t.Errorf("the job is known: %v, its image's size %v", b.Job("job-000001") != nil, gb)
 	}
@@ -64,7 +64,7 @@
 		if err := b.Apply(JobKey("job-000001"), Encode(JobRecord{Tasks: 1, Team: "red", Spec: &x.spec}), 2, false); err != nil {
 			t.Fatal(err)
 		}
-		b.SetCatalog(&protocol.Catalog{Types: types})
+		b.UpdateCatalog(&protocol.Catalog{Types: types})
 		if got := b.Job("job-000001").Size; got != x.want {
 			t.Errorf("%s: %v, want %v", x.name, got, x.want)
 		}
--- a/internal/storage/long.go
+++ b/internal/storage/long.go
@@ -18,83 +18,83 @@
 // them. The parts of one try have a name of their own, so two nodes that are asked to
 // accept the same job do not mix theirs.
 
-// partRecord is a part of a long description.
-type partRecord struct {
+// chunkRecord is a part of a long description.
+type chunkRecord struct {
 	Text string `json:"x"`
 	AtMs int64  `json:"at"` // when it was written, time of day
 }
 
-// longText is what is known of the parts of one description.
-type longText struct {
-	parts    map[int]string
-	versions map[int]uint64
-	at       time.Time
+// chunkSet is what is known of the parts of one description.
+type chunkSet struct {
+	chunks    map[int]string
+	versions  map[int]uint64
+	writtenAt time.Time
 }
 
-// abandoned is how long parts may stay that no job's record names: that record goes out
+// abandonedChunksAfter is how long parts may stay that no job's record names: that record goes out
 // seconds after them, and only if they are still there.
-const abandoned = 10 * time.Minute
+const abandonedChunksAfter = 10 * time.Minute
 
-func partKey(id, try string, i int) string {
-	return partPrefix + id + "/" + try + "/" + strconv.Itoa(i)
+func chunkKey(id, try string, i int) string {
+	return chunkPrefix + id + "/" + try + "/" + strconv.Itoa(i)
 }
 
-// SplitLong writes a job's record whose description is over the limit: the parts, and the
+// SplitDescription writes a job's record whose description is over the limit: the parts, and the
 // record that names them.
-func SplitLong(id, try string, r *JobRecord, limit int) (parts []protocol.Change, main json.RawMessage) {
-	text := base64.RawStdEncoding.EncodeToString(Encode(&JobRecord{Spec: r.Spec, Needs: r.Needs}))
+func SplitDescription(id, try string, r *JobRecord, limit int) (parts []protocol.Change, main json.RawMessage) {
+	text := base64.RawStdEncoding.EncodeToString(Encode(&JobRecord{Spec: r.Spec, Dependencies: r.Dependencies}))
 	size := limit - 64
 	for i := 0; len(text) > 0; i++ {
 		n := min(size, len(text))
-		parts = append(parts, protocol.Change{Put: partKey(id, try, i), Value: Encode(partRecord{text[:n], r.AtMs})})
+		parts = append(parts, protocol.Change{Put: chunkKey(id, try, i), Value: Encode(chunkRecord{text[:n], r.SubmittedMs})})
 		text = text[n:]
 	}
 	x := *r
-	x.Spec, x.Needs, x.Long, x.Parts = nil, "", try, len(parts)
+	x.Spec, x.Dependencies, x.ChunkSet, x.ChunkCount = nil, "", try, len(parts)
 	return parts, Encode(&x)
 }
 
-func (b *Cache) applyPart(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (b *Cache) applyChunk(name string, value json.RawMessage, version uint64, deleted bool) error {
 	at := strings.LastIndexByte(name, '/')
 	i, err := strconv.Atoi(name[at+1:])
 	if at < 0 || err != nil || i < 0 || i > protocol.MaxBody {
-		return fmt.Errorf("record %s%s: no such part", partPrefix, name)
+		return fmt.Errorf("record %s%s: no such part", chunkPrefix, name)
 	}
-	l := b.long[name[:at]]
+	l := b.chunkSets[name[:at]]
 	if l != nil && l.versions[i] >= version {
 		return nil
 	}
 	if deleted {
 		if l != nil {
-			delete(l.parts, i)
+			delete(l.chunks, i)
 			if delete(l.versions, i); len(l.versions) == 0 {
-				delete(b.long, name[:at])
+				delete(b.chunkSets, name[:at])
 			}
 		}
 		return nil
 	}
-	var r partRecord
+	var r chunkRecord
 	if err := json.Unmarshal(value, &r); err != nil {
-		return fmt.Errorf("record %s%s: %w", partPrefix, name, err)
+		return fmt.Errorf("record %s%s: %w", chunkPrefix, name, err)
 	}
 	if l == nil {
-		l = &longText{parts: map[int]string{}, versions: map[int]uint64{}, at: time.UnixMilli(r.AtMs)}
-		b.long[name[:at]] = l
+		l = &chunkSet{chunks: map[int]string{}, versions: map[int]uint64{}, writtenAt: time.UnixMilli(r.AtMs)}
+		b.chunkSets[name[:at]] = l
 	}
-	l.parts[i], l.versions[i] = r.Text, version
+	l.chunks[i], l.versions[i] = r.Text, version
 	return nil
 }
 
-// lengthen puts the parts of a long description into its record. Their text is not kept
+// joinChunks puts the parts of a long description into its record. Their text is not kept
 // any longer than until then.
-func (b *Cache) lengthen(id string, r *JobRecord) error {
-	l := b.long[id+"/"+r.Long]
+func (b *Cache) joinChunks(id string, r *JobRecord) error {
+	l := b.chunkSets[id+"/"+r.ChunkSet]
 	text := ""
-	for i := range r.Parts {
-		if l == nil || l.parts[i] == "" {
+	for i := range r.ChunkCount {
+		if l == nil || l.chunks[i] == "" {
 			return fmt.Errorf("job %s: part %d of its description is not known", id, i)
 		}
-		text += l.parts[i]
+		text += l.chunks[i]
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	var x JobRecord
@@ -104,19 +104,19 @@
 	if err != nil {
 		return fmt.Errorf("job %s: its description: %w", id, err)
 	}
-	r.Spec, r.Needs = x.Spec, x.Needs
-	clear(l.parts)
+	r.Spec, r.Dependencies = x.Spec, x.Dependencies
+	clear(l.chunks)
 	return nil
 }
 
-// staleParts are parts that are needed no more: of jobs that are over, of tries that lost to
+// staleChunks are parts that are needed no more: of jobs that are over, of tries that lost to
 // another, and of those that were given up.
-func (b *Cache) staleParts(limit int, now time.Time) (out []protocol.Condition) {
-	for name, l := range b.long {
+func (b *Cache) staleChunks(limit int, now time.Time) (out []protocol.Condition) {
+	for name, l := range b.chunkSets {
 		id, try, _ := strings.Cut(name, "/")
 		_, over := b.final[id]
 		j := b.jobByID[id]
-		if !over && (j == nil && now.Sub(l.at) < abandoned || j != nil && j.Long == try) {
+		if !over && (j == nil && now.Sub(l.writtenAt) < abandonedChunksAfter || j != nil && j.ChunkSet == try) {
 			continue
 		}
 		order := slices.Sorted(maps.Keys(l.versions))
@@ -125,7 +125,7 @@
 			if len(out) >= limit {
 				return out
 			}
-			out = append(out, protocol.Condition{Key: partKey(id, try, i), Version: l.versions[i]})
+			out = append(out, protocol.Condition{Key: chunkKey(id, try, i), Version: l.versions[i]})
 		}
 	}
 	return out
--- a/internal/storage/long_test.go
+++ b/internal/storage/long_test.go
@@ -31,7 +31,7 @@
 		b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 		b.Layout.Version = LayoutPacked
 		name := strings.Repeat("n", 128)
-		r := JobRecord{Tasks: c.tasks, Team: "red", AtMs: 5000, Needs: PackIDs(c.needs), Spec: &SpecRecord{Class: name, Image: name, Zone: name, Types: c.types, Cpus: 1}}
+		r := JobRecord{Tasks: c.tasks, Team: "red", SubmittedMs: 5000, Dependencies: PackIDs(c.needs), Spec: &SpecRecord{Class: name, Image: name, Zone: name, Types: c.types, Cpus: 1}}
 		version, records := uint64(1), map[string]bool{}
 		put := func(key string, raw json.RawMessage) error {
 			if len(raw) > limit {
@@ -41,8 +41,8 @@
 			version++
 			return b.Apply(key, raw, version, false)
 		}
-		lost, _ := SplitLong("job-900000", "1-1", &r, limit) // of a try that came to nothing
-		parts, main := SplitLong("job-900000", "2-1", &r, limit)
+		lost, _ := SplitDescription("job-900000", "1-1", &r, limit) // of a try that came to nothing
+		parts, main := SplitDescription("job-900000", "2-1", &r, limit)
 		if err := put(JobKey("job-900000"), main); err == nil {
 			t.Fatalf("%s: taken without its parts", c.name)
 		}
@@ -55,8 +55,8 @@
 			t.Fatal(err)
 		}
 		j := b.Job("job-900000")
-		if !reflect.DeepEqual(j.Needs, c.needs) || !reflect.DeepEqual(j.Spec, r.Spec) || j.Unmet() != len(c.needs) {
-			t.Fatalf("%s: read as %d needs and %d types", c.name, len(j.Needs), len(j.Spec.Types))
+		if !reflect.DeepEqual(j.Dependencies, c.needs) || !reflect.DeepEqual(j.Spec, r.Spec) || j.UnmetDependencies() != len(c.needs) {
+			t.Fatalf("%s: read as %d needs and %d types", c.name, len(j.Dependencies), len(j.Spec.Types))
 		}
 		j.Suspect = true
 		if err := put(JobKey(j.ID), Encode(b.JobRecordOf(j, j.Done, 0, ""))); err != nil || b.Job(j.ID) != j {
@@ -64,18 +64,18 @@
 		}
 		for task := 0; task < c.tasks; task += 5000 { // part by part, as they are folded
 			j.Done.Set(task)
-			s, _ := b.SetRecordOf(j, j.Done, task)
-			if err := put(SetKey(j.ID, task), Encode(s)); err != nil || !j.Saved.Get(task) {
+			s, _ := b.CompletionRecordOf(j, j.Done, task)
+			if err := put(CompletionKey(j.ID, task), Encode(s)); err != nil || !j.SavedDone.Get(task) {
 				t.Fatalf("%s: task %d is not kept: %v", c.name, task, err)
 			}
 		}
-		if err := put(JobKey(j.ID), Encode(b.JobRecordOf(j, j.Done, j.NDone, protocol.Cancelled))); err != nil {
+		if err := put(JobKey(j.ID), Encode(b.JobRecordOf(j, j.Done, j.DoneCount, protocol.Cancelled))); err != nil {
 			t.Fatal(err)
 		}
 		b.Revision = version
 		b.Sweep()
 		for range 1000 {
-			stale := b.Stale(4, time.UnixMilli(5000))
+			stale := b.StaleRecords(4, time.UnixMilli(5000))
 			if len(stale) == 0 {
 				break
 			}
--- a/internal/storage/names.go
+++ b/internal/storage/names.go
@@ -2,15 +2,15 @@
 // and translates between them and the records in the state service.
 package storage
 
-// Names maps names to dense indices.
-type Names struct {
+// NameIndex maps names to dense indices.
+type NameIndex struct {
 	index map[string]int
 	names []string
 }
 
-// NewNames starts with the given names.
-func NewNames(names ...string) *Names {
-	n := &Names{index: make(map[string]int, len(names))}
+// NewNameIndex starts with the given names.
+func NewNameIndex(names ...string) *NameIndex {
+	n := &NameIndex{index: make(map[string]int, len(names))}
 	for _, s := range names {
 		n.Index(s)
 	}
@@ -18,7 +18,7 @@
 }
 
 // Index returns a name's index and gives it one if it is new.
-func (n *Names) Index(name string) int {
+func (n *NameIndex) Index(name string) int {
 	if i, ok := n.index[name]; ok {
 		return i
 	}
@@ -29,7 +29,7 @@
 }
 
 // Find returns a known name's index, or -1.
-func (n *Names) Find(name string) int {
+func (n *NameIndex) Find(name string) int {
 	if i, ok := n.index[name]; ok {
 		return i
 	}
@@ -37,7 +37,7 @@
 }
 
 // Name returns the name of an index.
-func (n *Names) Name(i int) string { return n.names[i] }
+func (n *NameIndex) Name(i int) string { return n.names[i] }
 
 // Len returns how many names there are.
-func (n *Names) Len() int { return len(n.names) }
+func (n *NameIndex) Len() int { return len(n.names) }
--- a/internal/storage/order.go
+++ b/internal/storage/order.go
@@ -2,33 +2,33 @@
 
 import "github.com/tidwall/btree"
 
-// order keeps jobs and machines in the order of their names, so that a page of a list costs
+// sortedViews keeps jobs and machines in the order of their names, so that a page of a list costs
 // as much as it shows and not as much as there is.
-type order struct {
+type sortedViews struct {
 	jobs     *btree.BTreeG[*Job]
 	byTeam   []*btree.BTreeG[*Job]
 	machines *btree.BTreeG[*Machine]
 }
 
-func newOrder(teams int) order {
+func newSortedViews(teams int) sortedViews {
 	// The core's goroutine alone uses them.
 	opts := btree.Options{NoLocks: true, Degree: 16}
 	jobs := func() *btree.BTreeG[*Job] {
 		return btree.NewBTreeGOptions(func(a, b *Job) bool { return a.ID < b.ID }, opts)
 	}
-	o := order{jobs: jobs(), machines: btree.NewBTreeGOptions(func(a, b *Machine) bool { return a.Name < b.Name }, opts)}
+	o := sortedViews{jobs: jobs(), machines: btree.NewBTreeGOptions(func(a, b *Machine) bool { return a.Name < b.Name }, opts)}
 	for range teams {
 		o.byTeam = append(o.byTeam, jobs())
 	}
 	return o
 }
 
-func (o *order) addJob(j *Job) {
+func (o *sortedViews) addJob(j *Job) {
 	o.jobs.Set(j)
 	o.byTeam[j.Team].Set(j)
 }
 
-func (o *order) dropJob(j *Job) {
+func (o *sortedViews) dropJob(j *Job) {
 	o.jobs.Delete(j)
 	o.byTeam[j.Team].Delete(j)
 }
@@ -36,18 +36,18 @@
 // JobsAfter shows the jobs that are not forgotten, in the order of their ids, beginning after
 // one, until yield returns false; of one team only, unless team is below 0.
 func (b *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
-	tree := b.order.jobs
+	tree := b.sorted.jobs
 	if team >= 0 {
-		tree = b.order.byTeam[team]
+		tree = b.sorted.byTeam[team]
 	}
 	tree.Ascend(&Job{ID: id}, func(j *Job) bool { return j.ID == id || yield(j) })
 }
 
 // MachineCount is how many machines there are; the cache keeps the names of all that there were.
-func (b *Cache) MachineCount() int { return b.order.machines.Len() }
+func (b *Cache) MachineCount() int { return b.sorted.machines.Len() }
 
 // MachinesAfter shows the machines that are there, in the order of their names, beginning
 // after one, until yield returns false.
 func (b *Cache) MachinesAfter(name string, yield func(*Machine) bool) {
-	b.order.machines.Ascend(&Machine{Name: name}, func(m *Machine) bool { return m.Name == name || m.Gone || yield(m) })
+	b.sorted.machines.Ascend(&Machine{Name: name}, func(m *Machine) bool { return m.Name == name || m.Gone || yield(m) })
 }
--- a/internal/storage/pack.go
+++ b/internal/storage/pack.go
@@ -87,12 +87,12 @@
 // unpacker reads what a packer wrote. After an error it reads zeros.
 type unpacker struct {
 	buf   []byte
-	stems []stem
+	stems []nameStem
 	ids   []string
 	err   error
 }
 
-type stem struct {
+type nameStem struct {
 	text  string
 	width int
 }
@@ -169,7 +169,7 @@
 			u.fail()
 			return ""
 		}
-		u.stems = append(u.stems, stem{s[:at], width})
+		u.stems = append(u.stems, nameStem{s[:at], width})
 	}
 	if i >= uint64(len(u.stems)) {
 		u.fail()
@@ -260,8 +260,8 @@
 			}
 		}
 	}
-	p.num(uint64(len(r.Ended)))
-	for _, e := range r.Ended {
+	p.num(uint64(len(r.Completed)))
+	for _, e := range r.Completed {
 		p.name(e.Job)
 		p.num(uint64(len(e.Tasks)))
 		last := uint64(0)
@@ -328,13 +328,13 @@
 		r.Machines = append(r.Machines, m)
 	}
 	for range u.count() {
-		e := EndedTasks{Job: u.name()}
+		e := CompletedTasks{Job: u.name()}
 		last := uint64(0)
 		for range u.count() {
 			last = u.delta(last)
 			e.Tasks = append(e.Tasks, int(last))
 		}
-		r.Ended = append(r.Ended, e)
+		r.Completed = append(r.Completed, e)
 	}
 	return u.err
 }
@@ -360,7 +360,7 @@
 }
 
 // pack writes an evicted set's victims and rooms.
-func (r *EvictRecord) pack() string {
+func (r *VictimSetRecord) pack() string {
 	p := newPacker()
 	p.num(uint64(len(r.Victims)))
 	attempt := uint64(0)
@@ -372,15 +372,15 @@
 		attempt = v.Attempt
 		p.num(uint64(max(0, v.Score) * 10))
 	}
-	p.num(uint64(len(r.Rooms)))
-	for _, x := range r.Rooms {
+	p.num(uint64(len(r.Reservations)))
+	for _, x := range r.Reservations {
 		p.name(x.Machine)
 		p.num(uint64(x.Slots))
 	}
 	return p.String()
 }
 
-func (r *EvictRecord) unpack(s string) error {
+func (r *VictimSetRecord) unpack(s string) error {
 	u := newUnpacker(s)
 	attempt := uint64(0)
 	for range u.count() {
@@ -390,7 +390,7 @@
 		r.Victims = append(r.Victims, v)
 	}
 	for range u.count() {
-		r.Rooms = append(r.Rooms, RoomRecord{Machine: u.name(), Slots: int(u.num())})
+		r.Reservations = append(r.Reservations, ReservationRecord{Machine: u.name(), Slots: int(u.num())})
 	}
 	return u.err
 }
--- a/internal/storage/pack_test.go
+++ b/internal/storage/pack_test.go
@@ -21,7 +21,7 @@
 			{Name: long, Incarnation: 1, Tasks: []PlacedTasks{
 				{"job-000412", []uint64{0, 9, 1700000000, 3, 1, 9, 1700000000, 3, 99_999, 9, 1700000000, 3, 5, 1 << 60, 1700000009, 0}},
 				{"job-412", []uint64{0, 9, 0, 1 << 40}}}}},
-			Ended: []EndedTasks{{"job-000412", []int{7, 3, 99_999}}, {"job-123456789012345678", []int{0}}}},
+			Completed: []CompletedTasks{{"job-000412", []int{7, 3, 99_999}}, {"job-123456789012345678", []int{0}}}},
 	}
 	r := rand.New(rand.NewPCG(1, 4))
 	for range 50 {
@@ -52,7 +52,7 @@
 		packed := x.pack()
 		for n := range len(packed) {
 			var y GroupRecord
-			if err := y.unpack(packed[:n]); err == nil && n < len(packed)-1 && !reflect.DeepEqual(y, x) && len(y.Machines)+len(y.Ended) > len(x.Machines)+len(x.Ended) {
+			if err := y.unpack(packed[:n]); err == nil && n < len(packed)-1 && !reflect.DeepEqual(y, x) && len(y.Machines)+len(y.Completed) > len(x.Machines)+len(x.Completed) {
 				t.Fatalf("rack %d cut at %d gives %+v", i, n, y)
 			}
 		}
@@ -61,9 +61,9 @@
 	if got, err := DecodeFleet(EncodeFleet(&f, true)); err != nil || !reflect.DeepEqual(got, f) {
 		t.Errorf("fleet: %v %+v", err, got)
 	}
-	e := EvictRecord{Shard: 1, AtMs: 5, Victims: []VictimRecord{{"host-000001", "job-000001", 3, 1 << 50, 12.5}, {"host-000001", "job-000002", 0, 7, 0}},
-		Rooms: []RoomRecord{{"host-000001", 2}}}
-	if got, err := DecodeEvict(EncodeEvict(&e, true)); err != nil || !reflect.DeepEqual(got, e) {
+	e := VictimSetRecord{Shard: 1, AtMs: 5, Victims: []VictimRecord{{"host-000001", "job-000001", 3, 1 << 50, 12.5}, {"host-000001", "job-000002", 0, 7, 0}},
+		Reservations: []ReservationRecord{{"host-000001", 2}}}
+	if got, err := DecodeVictimSet(EncodeVictimSet(&e, true)); err != nil || !reflect.DeepEqual(got, e) {
 		t.Errorf("evicted set: %v %+v", err, got)
 	}
 	ids := []string{"job-000398", "job-1234567", "job-000000000000000001"}
@@ -78,7 +78,7 @@
 	f.Fuzz(func(_ *testing.T, s string) {
 		_ = new(GroupRecord).unpack(s) // must not panic or take much memory
 		_ = new(FleetRecord).unpack(s)
-		_ = new(EvictRecord).unpack(s)
+		_ = new(VictimSetRecord).unpack(s)
 		_, _ = unpackIDs(s)
 	})
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -16,23 +16,23 @@
 
 // The keys' prefixes and names.
 const (
-	memberPrefix = Root + "node/"
-	shardPrefix  = Root + "share/"
-	jobPrefix    = Root + "job/"
-	fleetPrefix  = Root + "fleet/"
-	groupPrefix  = Root + "rack/"
-	evictPrefix  = Root + "evict/"
-	setPrefix    = Root + "set/"
-	partPrefix   = Root + "bit/"     // sorts before the jobs, whose records name them
-	oldPrefix    = Root + "machine/" // of a layout that is not read any more
-	LeaderKey    = Root + "leader"
-	CatalogKey   = Root + "catalog"
-	SettingsKey  = Root + "settings"
-	LayoutKey    = Root + "layout"
-	// BarKey is written when the gate opens. The version before takes it for a record of
+	memberPrefix     = Root + "node/"
+	shardPrefix      = Root + "share/"
+	jobPrefix        = Root + "job/"
+	fleetPrefix      = Root + "fleet/"
+	groupPrefix      = Root + "rack/"
+	victimSetPrefix  = Root + "evict/"
+	completionPrefix = Root + "set/"
+	chunkPrefix      = Root + "bit/"     // sorts before the jobs, whose records name them
+	retiredPrefix    = Root + "machine/" // of a layout that is not read any more
+	LeaderKey        = Root + "leader"
+	CatalogKey       = Root + "catalog"
+	SettingsKey      = Root + "settings"
+	LayoutKey        = Root + "layout"
+	// BarrierKey is written when the gate opens. The version before takes it for a record of
 	// the layout that it refuses, and so does not become ready if it is started again: it
 	// would read packed racks as empty ones and start what runs there twice.
-	BarKey = oldPrefix + "packed"
+	BarrierKey = retiredPrefix + "packed"
 )
 
 // The layouts of the records. The packed one is written once every node reads it.
@@ -57,8 +57,8 @@
 // JobKey holds a job.
 func JobKey(id string) string { return jobPrefix + id }
 
-// JobOf takes a job's key apart.
-func JobOf(key string) (string, bool) { return suffix(key, jobPrefix) }
+// JobIDOf takes a job's key apart.
+func JobIDOf(key string) (string, bool) { return keySuffix(key, jobPrefix) }
 
 // FleetKey holds what does not change of machines that came together.
 func FleetKey(id string) string { return fleetPrefix + id }
@@ -66,8 +66,8 @@
 // GroupKey holds a rack: the part of its machines' records that changes.
 func GroupKey(rack int) string { return groupPrefix + strconv.Itoa(rack) }
 
-// EvictKey holds the evicted set that makes room for a job.
-func EvictKey(job string) string { return evictPrefix + job }
+// VictimSetKey holds the evicted set that makes room for a job.
+func VictimSetKey(job string) string { return victimSetPrefix + job }
 
 // MemberRecord is a node's membership.
 type MemberRecord struct {
@@ -93,43 +93,43 @@
 
 // JobRecord is a job in the state service. Spec is dropped once it is done.
 type JobRecord struct {
-	Spec  *SpecRecord `json:"s,omitempty"`
-	AtMs  int64       `json:"at,omitempty"` // submission, time of day
-	Done  string      `json:"d,omitempty"`  // bitmap of completed tasks
-	Final string      `json:"f,omitempty"`  // "", done or cancelled
-	Tasks int         `json:"n"`
-	NDone int         `json:"nd,omitempty"`
-	Team  string      `json:"tm,omitempty"`
+	Spec        *SpecRecord `json:"s,omitempty"`
+	SubmittedMs int64       `json:"at,omitempty"` // submission, time of day
+	Done        string      `json:"d,omitempty"`  // bitmap of completed tasks
+	Final       string      `json:"f,omitempty"`  // "", done or cancelled
+	Tasks       int         `json:"n"`
+	DoneCount   int         `json:"nd,omitempty"`
+	Team        string      `json:"tm,omitempty"`
 	// Suspect: it failed on several machines before any of its tasks had completed.
 	Suspect bool `json:"x,omitempty"`
-	// Needs are the jobs that it awaits, packed.
-	Needs string `json:"aw,omitempty"`
-	// Long and Parts name the parts of a description that is too long for this record.
-	Long  string `json:"lg,omitempty"`
-	Parts int    `json:"lp,omitempty"`
-	// EndMs is when it became final, time of day: jobs that wait for it count from then.
-	EndMs int64 `json:"e,omitempty"`
+	// Dependencies are the jobs that it awaits, packed.
+	Dependencies string `json:"aw,omitempty"`
+	// ChunkSet and Parts name the parts of a description that is too long for this record.
+	ChunkSet   string `json:"lg,omitempty"`
+	ChunkCount int    `json:"lp,omitempty"`
+	// FinalAtMs is when it became final, time of day: jobs that wait for it count from then.
+	FinalAtMs int64 `json:"e,omitempty"`
 }
 
 // SpecRecord is a submission's description, in short names.
 type SpecRecord struct {
-	Class    string   `json:"c"`
-	Shape    uint8    `json:"k,omitempty"`
-	Priority uint8    `json:"p"`
-	Cpus     float64  `json:"cpu"`
-	Gpus     float64  `json:"gpu,omitempty"`
-	Mem      float64  `json:"mem"`
-	Image    string   `json:"img"`
-	ImageGB  float64  `json:"gb"`
-	Types    []string `json:"ty,omitempty"`
-	Zone     string   `json:"z,omitempty"`
-	OneZone  bool     `json:"oz,omitempty"`
-	Spread   bool     `json:"sp,omitempty"`
-	Spot     bool     `json:"l,omitempty"`
-	Estimate float64  `json:"e"`
-	Mark     float64  `json:"m,omitempty"`
-	Save     float64  `json:"mc,omitempty"`
-	Due      float64  `json:"due,omitempty"`
+	Class              string   `json:"c"`
+	Shape              uint8    `json:"k,omitempty"`
+	Priority           uint8    `json:"p"`
+	Cpus               float64  `json:"cpu"`
+	Gpus               float64  `json:"gpu,omitempty"`
+	Mem                float64  `json:"mem"`
+	Image              string   `json:"img"`
+	ImageGB            float64  `json:"gb"`
+	Types              []string `json:"ty,omitempty"`
+	Zone               string   `json:"z,omitempty"`
+	OneZone            bool     `json:"oz,omitempty"`
+	Spread             bool     `json:"sp,omitempty"`
+	Spot               bool     `json:"l,omitempty"`
+	Estimate           float64  `json:"e"`
+	CheckpointInterval float64  `json:"m,omitempty"`
+	CheckpointCost     float64  `json:"mc,omitempty"`
+	Deadline           float64  `json:"due,omitempty"`
 }
 
 // FleetRecord is what does not change of machines that came together. Only the
@@ -155,11 +155,11 @@
 // writing them together is what lets hundreds of machines fit the state
 // service's rate of changes.
 type GroupRecord struct {
-	Shard        int            `json:"s"`
-	FencingToken uint64         `json:"t,omitempty"` // raised whenever the rack changes its share
-	Machines     []GroupMachine `json:"m,omitempty"` // those with something to say
-	Ended        []EndedTasks   `json:"e,omitempty"`
-	Packed       string         `json:"y,omitempty"` // machines and ended, in the packed layout
+	Shard        int              `json:"s"`
+	FencingToken uint64           `json:"t,omitempty"` // raised whenever the rack changes its share
+	Machines     []GroupMachine   `json:"m,omitempty"` // those with something to say
+	Completed    []CompletedTasks `json:"e,omitempty"`
+	Packed       string           `json:"y,omitempty"` // machines and ended, in the packed layout
 }
 
 // GroupMachine is one machine of a rack.
@@ -178,9 +178,9 @@
 	Tasks []PlacedTasks `json:"x,omitempty"`
 }
 
-// EndedTasks are completed tasks of one job that the job's own record may not
+// CompletedTasks are completed tasks of one job that the job's own record may not
 // show yet. They stay until it does, or is final.
-type EndedTasks struct {
+type CompletedTasks struct {
 	Job   string `json:"j"`
 	Tasks []int  `json:"n"`
 }
@@ -195,13 +195,13 @@
 
 const numbersPerTask = 4
 
-// EvictRecord is an evicted set, with the room that it frees.
-type EvictRecord struct {
-	Shard   int            `json:"s"`
-	Victims []VictimRecord `json:"v,omitempty"`
-	Rooms   []RoomRecord   `json:"r,omitempty"`
-	AtMs    int64          `json:"at"`
-	Packed  string         `json:"y,omitempty"` // victims and rooms, in the packed layout
+// VictimSetRecord is an evicted set, with the room that it frees.
+type VictimSetRecord struct {
+	Shard        int                 `json:"s"`
+	Victims      []VictimRecord      `json:"v,omitempty"`
+	Reservations []ReservationRecord `json:"r,omitempty"`
+	AtMs         int64               `json:"at"`
+	Packed       string              `json:"y,omitempty"` // victims and rooms, in the packed layout
 }
 
 // VictimRecord names one attempt that has to stop.
@@ -213,8 +213,8 @@
 	Score   float64 `json:"x"`
 }
 
-// RoomRecord is room for a number of the job's tasks on a machine.
-type RoomRecord struct {
+// ReservationRecord is room for a number of the job's tasks on a machine.
+type ReservationRecord struct {
 	Machine string `json:"h"`
 	Slots   int    `json:"n"`
 }
@@ -263,16 +263,16 @@
 	return r, err
 }
 
-// EncodeEvict writes an evicted set.
-func EncodeEvict(r *EvictRecord, packed bool) json.RawMessage {
+// EncodeVictimSet writes an evicted set.
+func EncodeVictimSet(r *VictimSetRecord, packed bool) json.RawMessage {
 	if packed {
-		r = &EvictRecord{Shard: r.Shard, AtMs: r.AtMs, Packed: r.pack()}
+		r = &VictimSetRecord{Shard: r.Shard, AtMs: r.AtMs, Packed: r.pack()}
 	}
 	return Encode(r)
 }
 
-// DecodeEvict reads an evicted set of either layout.
-func DecodeEvict(raw json.RawMessage) (r EvictRecord, err error) {
+// DecodeVictimSet reads an evicted set of either layout.
+func DecodeVictimSet(raw json.RawMessage) (r VictimSetRecord, err error) {
 	if err = json.Unmarshal(raw, &r); err == nil && r.Packed != "" {
 		err = r.unpack(r.Packed)
 		r.Packed = ""
@@ -280,14 +280,16 @@
 	return r, err
 }
 
-// setTasks is how many tasks one part of a large array's set of completed tasks covers.
-const setTasks = 8192
+// completionSetTasks is how many tasks one part of a large array's set of completed tasks covers.
+const completionSetTasks = 8192
 
-// SetKey holds a part of the set of a job's completed tasks: the part with this task.
-func SetKey(job string, task int) string { return setPrefix + job + "/" + strconv.Itoa(task/setTasks) }
+// CompletionKey holds a part of the set of a job's completed tasks: the part with this task.
+func CompletionKey(job string, task int) string {
+	return completionPrefix + job + "/" + strconv.Itoa(task/completionSetTasks)
+}
 
-// SetRecord is a part of the set of a job's completed tasks.
-type SetRecord struct {
+// CompletionRecord is a part of the set of a job's completed tasks.
+type CompletionRecord struct {
 	Done string `json:"d"`
 }
 
@@ -349,18 +351,18 @@
 		Class: s.Class, Shape: uint8(s.Shape), Priority: uint8(s.Priority),
 		Cpus: s.Cpus, Gpus: s.Gpus, Mem: s.MemGB, Image: s.Image, ImageGB: s.ImageGB, Types: s.Types,
 		Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Estimate: s.EstimateS,
-		Mark: s.CheckpointS, Save: s.CheckpointCostS, Due: s.DeadlineS,
+		CheckpointInterval: s.CheckpointS, CheckpointCost: s.CheckpointCostS, Deadline: s.DeadlineS,
 	}
 }
 
-func suffix(key, prefix string) (string, bool) {
+func keySuffix(key, prefix string) (string, bool) {
 	rest, ok := strings.CutPrefix(key, prefix)
 	return rest, ok && rest != ""
 }
 
 // GroupOf takes a rack's key apart.
 func GroupOf(key string) (int, bool) {
-	num, ok := suffix(key, groupPrefix)
+	num, ok := keySuffix(key, groupPrefix)
 	if !ok {
 		return 0, false
 	}
--- a/internal/storage/teams.go
+++ b/internal/storage/teams.go
@@ -17,12 +17,12 @@
 // LayoutTeams is the packed layout with changed teams beside it.
 const LayoutTeams = 3
 
-// BarTeamsKey is written with the first change of a team. Versions that read no changed teams take it for a record of the
+// TeamsBarrierKey is written with the first change of a team. Versions that read no changed teams take it for a record of the
 // layout that they refuse, and so do not become ready if they are started later.
-const BarTeamsKey = oldPrefix + "teams"
+const TeamsBarrierKey = retiredPrefix + "teams"
 
-// isBar tells whether a key only keeps older versions out.
-func isBar(key string) bool { return key == BarKey || key == BarTeamsKey }
+// isBarrier tells whether a key only keeps older versions out.
+func isBarrier(key string) bool { return key == BarrierKey || key == TeamsBarrierKey }
 
 // TeamKey holds a team's guarantee and limit, if they were changed since the settings file.
 func TeamKey(name string) string { return teamPrefix + url.PathEscape(name) }
@@ -30,8 +30,8 @@
 // TeamRecord is a team's guarantee and limit.
 type TeamRecord struct {
 	TeamBounds
-	// Was is the limit that still counts while the team uses more than the new one: nothing more of it starts meanwhile.
-	Was *TeamBounds `json:"was,omitempty"`
+	// Former is the limit that still counts while the team uses more than the new one: nothing more of it starts meanwhile.
+	Former *TeamBounds `json:"was,omitempty"`
 }
 
 // TeamBounds are a team's guarantee and limit; a limit of 0 is none.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return fmt.Errorf("record %s%s: %w", teamPrefix, escaped, err)
 	}
-	team := b.TeamIdx.Find(name)
+	team := b.TeamIndex.Find(name)
 	if team < 0 || b.TeamEntries[team].Version >= version {
 		return nil
 	}
@@ -80,5 +80,5 @@
 	return nil
 }
 
-// ChangesTeams tells whether every node reads changed teams, so that there may be some.
-func (b *Cache) ChangesTeams() bool { return b.Layout.Version >= LayoutTeams && !b.Plain }
+// TeamChangesEnabled tells whether every node reads changed teams, so that there may be some.
+func (b *Cache) TeamChangesEnabled() bool { return b.Layout.Version >= LayoutTeams && !b.ForcePlain }
