--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -159,7 +159,7 @@
 		return failed(err)
 	}
 	history := filepath.Join(o.dir, "history.jsonl")
-	mine := contexts.Context{Users: c.Users, Nodes: c.Nodes, Uploads: c.Uploads, History: history}
+	mine := contexts.Context{Users: c.Users, Nodes: c.Controllers, Uploads: c.Uploads, History: history}
 	before := file.Current
 	if err := contexts.Change(path, func(f *contexts.File) { f.Contexts[name], f.Current = mine, name }); err != nil {
 		return failed(err)
@@ -181,13 +181,13 @@
 		}
 	}()
 	fmt.Fprintf(out, "cluster %s is up: 3 controllers, %d machines to rent\n  users    %s\n  nodes    %s %s %s\n  uploads  %s\n  folder   %s\ntry, in another terminal:\n"+
-		"  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n", name, o.machines, c.Users, c.Nodes[0], c.Nodes[1], c.Nodes[2], c.Uploads, o.dir)
+		"  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n", name, o.machines, c.Users, c.Controllers[0], c.Controllers[1], c.Controllers[2], c.Uploads, o.dir)
 	if o.lasts > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, o.lasts)
 		defer stop()
 	}
-	a.record(ctx, c.Nodes, history)
+	a.record(ctx, c.Controllers, history)
 	<-ctx.Done()
 	fmt.Fprintln(out, "ending")
 	return a.sumUp(out, c)
@@ -216,11 +216,11 @@
 
 // sumUp tells what happened in a cluster's life.
 func (a *app) sumUp(out io.Writer, c *emulator.Cluster) error {
-	w := c.World
+	w := c.Simulation
 	s := w.Stats()
 	fmt.Fprintf(out, "%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
-		s.Started, s.LeaseKills, w.Spent(), s.Requests, s.Writes, s.Over, c.Ends())
-	broken := w.Broken()
+		s.Started, s.LeaseKills, w.CostSpent(), s.Requests, s.Writes, s.Over, c.Ends())
+	broken := w.BrokenRules()
 	for _, b := range broken {
 		fmt.Fprintln(out, "BROKEN RULE", b)
 	}
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -159,7 +159,7 @@
 			if x := s.Team(r.Key); x != nil {
 				out.Items = append(out.Items, x)
 			}
-		case console.Nodes:
+		case console.Members:
 			for i := range s.Members {
 				if s.Members[i].Name == r.Key {
 					out.Items = append(out.Items, s.Members[i])
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -141,10 +141,10 @@
 	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	world := simulator.NewWorld(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
-	world.Cap = 0
+	world := simulator.NewSimulation(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
+	world.CapacityOf = 0
 	world.Catalog.Types[0].Cpus = 8
-	go func() { _ = world.ServeCloud(&simulator.Node{Name: "all"}, cloud) }()
+	go func() { _ = world.ServeCloud(&simulator.ControllerProcess{Name: "all"}, cloud) }()
 	var public, peer []string
 	for range 3 {
 		for _, list := range []*[]string{&public, &peer} {
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -24,30 +24,30 @@
 	"dykeledge/internal/viewer"
 )
 
-// worldSource asks the nodes of a played deployment.
-type worldSource struct {
-	w       *simulator.World
-	nodes   int
-	garbles func([]byte) []byte
+// simulationSource asks the nodes of a played deployment.
+type simulationSource struct {
+	simulation *simulator.Simulation
+	nodes      int
+	garbles    func([]byte) []byte
 }
 
-func (s worldSource) Nodes() (out []string) {
+func (s simulationSource) Nodes() (out []string) {
 	for i := range s.nodes {
 		out = append(out, fmt.Sprintf("n%d", i))
 	}
 	return out
 }
 
-func (s worldSource) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
-	n := s.w.Node(node)
-	if n.Dead() {
+func (s simulationSource) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
+	n := s.simulation.Controller(node)
+	if n.Ended() {
 		return nil, errors.New("does not answer")
 	}
 	short, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	snap := n.Core.View(short, cur)
 	switch {
-	case n.Dead():
+	case n.Ended():
 		return nil, errors.New("does not answer")
 	case snap == nil:
 		return nil, errors.New("has not read the records yet")
@@ -59,8 +59,8 @@
 	return raw, nil
 }
 
-func (s worldSource) Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error) {
-	return s.w.Node(node).Core.Reasons(ctx, scope, ids)
+func (s simulationSource) Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error) {
+	return s.simulation.Controller(node).Core.Reasons(ctx, scope, ids)
 }
 
 // reference is the scheduler's own state, made anew from what the state service holds.
@@ -91,7 +91,7 @@
 
 // differs tells how a snapshot differs from the reference at its revision, "" if it does not.
 func (r *reference) differs(s *view.Snapshot) string {
-	sums := make([]view.Sum, len(r.cache.Teams))
+	sums := make([]view.Totals, len(r.cache.Teams))
 	open := 0
 	for _, j := range r.cache.Jobs {
 		if j == nil {
@@ -142,7 +142,7 @@
 	for i, t := range s.Teams {
 		if t.Queued != sums[i].Queued || t.Running != sums[i].Running || t.Waiting != sums[i].Waiting || t.Placed != sums[i].Placed ||
 			t.UsedCpus != uint64(math.Round(1000*r.cache.Used[i].Cpus)) {
-			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Sum, sums[i], r.cache.Used[i].Cpus)
+			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, sums[i], r.cache.Used[i].Cpus)
 		}
 	}
 	machines := 0
@@ -168,9 +168,9 @@
 	return ""
 }
 
-// screen holds what is drawn against the reference: every row on the screen cell by cell, all
+// expectedScreen holds what is drawn against the reference: every row on the screen cell by cell, all
 // rows of the table by their number, and the sums above them.
-func (r *reference) screen(m *Model) string {
+func (r *reference) expectedScreen(m *Model) string {
 	lines := strings.Split(ansi.Strip(m.View()), "\n")
 	if len(lines) != m.height {
 		return fmt.Sprintf("%d lines on a screen of %d", len(lines), m.height)
@@ -248,7 +248,7 @@
 	rows := m.cached
 	defer func() { m.cached = rows }()
 	m.cached = slices.Concat(rows[:1], rows[2:])
-	if r.screen(m) == "" {
+	if r.expectedScreen(m) == "" {
 		return false
 	}
 	m.cached = slices.Clone(rows)
@@ -257,7 +257,7 @@
 	a.Cells[1], b.Cells[1] = b.Cells[1], a.Cells[1] // the ids change places
 	a.Cells[2], b.Cells[2] = "x", a.Cells[2]
 	m.cached[0], m.cached[1] = a, b
-	if r.screen(m) == "" {
+	if r.expectedScreen(m) == "" {
 		return false
 	}
 	for _, change := range []func(*view.Model, view.Job){
@@ -302,34 +302,34 @@
 	for _, c := range []struct {
 		name  string
 		part  float64 // of the burst
-		fault func(w *simulator.World)
+		fault func(w *simulator.Simulation)
 		warns bool // the screen has to say that it is old
 	}{
-		{name: "the node that is asked ends", part: 1, fault: func(w *simulator.World) {
+		{name: "the node that is asked ends", part: 1, fault: func(w *simulator.Simulation) {
 			time.Sleep(30 * time.Second)
 			w.Kill(0)
 			time.Sleep(6 * time.Second)
 			w.Start(0)
 		}},
-		{name: "the state service is out", part: 0.1, warns: true, fault: func(w *simulator.World) {
+		{name: "the state service is out", part: 0.1, warns: true, fault: func(w *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
 			w.Store.SetDown(true)
 			time.Sleep(12 * time.Second)
 			w.Store.SetDown(false)
 		}},
-		{name: "the node that is asked is refused alone, and follows from too far back", part: 0.1, fault: func(w *simulator.World) {
+		{name: "the node that is asked is refused alone, and follows from too far back", part: 0.1, fault: func(w *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
-			w.Store.Refuse("n0", true)
+			w.Store.Deny("n0", true)
 			time.Sleep(9 * time.Second)
-			w.Store.Forget()
-			w.Store.Refuse("n0", false)
+			w.Store.Compact()
+			w.Store.Deny("n0", false)
 		}},
-		{name: "all shares change hands", part: 0.1, fault: func(w *simulator.World) {
+		{name: "all shares change hands", part: 0.1, fault: func(w *simulator.Simulation) {
 			for i := range 3 {
 				time.Sleep(10 * time.Second)
-				w.Node(i).Cut(simulator.NoWorkers | simulator.NoUsers)
+				w.Controller(i).Cut(simulator.NoWorkers | simulator.NoUsers)
 				time.Sleep(8 * time.Second)
-				w.Node(i).Cut(0)
+				w.Controller(i).Cut(0)
 			}
 		}},
 	} {
@@ -347,23 +347,23 @@
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				w := simulator.NewWorld(ctx, burstSettings(), 18)
-				w.Cap, w.Views, w.Store.Keep = 90, true, 1<<30
+				w := simulator.NewSimulation(ctx, burstSettings(), 18)
+				w.CapacityOf, w.Views, w.Store.Keep = 90, true, 1<<30
 				for i := range 3 {
 					w.Start(i)
 				}
-				w.Talk()
+				w.PeerDelay()
 				for i := range 45 {
-					w.AddMachine(w.Cfg.Deployment.Zones[i%3], i%2 == 0)
+					w.AddMachine(w.Settings.Deployment.Zones[i%3], i%2 == 0)
 				}
-				ref := &reference{w.Store, storage.NewCache(w.Cfg)}
-				f := viewer.NewFollower(worldSource{w: w, nodes: 3}, view.Operators, 300*time.Millisecond)
+				ref := &reference{w.Store, storage.NewCache(w.Settings)}
+				f := viewer.NewFollower(simulationSource{simulation: w, nodes: 3}, view.Operators, 300*time.Millisecond)
 				ended := make(chan error, 1)
 				go func() { ended <- f.Run(ctx) }()
 				m := New(ctx, f, "burst")
 				time.Sleep(3 * time.Second)
 				go c.fault(w)
-				users := &load.Runner{To: simulator.Users{W: w}, Upload: func(_ string, raw []byte) error {
+				users := &load.Runner{To: simulator.Users{Simulation: w}, Upload: func(_ string, raw []byte) error {
 					var u simulator.Upload
 					if err := json.Unmarshal(raw, &u); err != nil {
 						return err
@@ -411,7 +411,7 @@
 						}
 						m.turn(tab)
 						m.list()
-						if d := ref.screen(m); d != "" {
+						if d := ref.expectedScreen(m); d != "" {
 							return fmt.Sprintf("revision %d, table %s: %s\n%s", s.Revision, m.tables[tab].Name, d, ansi.Strip(m.View()))
 						}
 						screens++
@@ -447,7 +447,7 @@
 				if (old > 0) != c.warns && c.warns {
 					t.Error("an outage was not told")
 				}
-				for _, b := range w.Broken() {
+				for _, b := range w.BrokenRules() {
 					t.Error(b)
 				}
 				cancel()
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -86,7 +86,7 @@
 		return nil
 	}
 	var ids []string
-	if name := m.tables[m.tab].Name; m.detail && m.chosen != "" && name != Machines && name != Nodes && name != Teams && name != Evictions {
+	if name := m.tables[m.tab].Name; m.detail && m.chosen != "" && name != Machines && name != Members && name != Teams && name != Evictions {
 		ids = []string{m.chosen}
 	} else if name == Queue {
 		for _, r := range m.visible() {
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -91,7 +91,7 @@
 	if s.Snapshot == nil {
 		return ""
 	}
-	var all view.Sum
+	var all view.Totals
 	for i := range s.Teams {
 		t := &s.Teams[i]
 		all.Queued, all.Running = all.Queued+t.Queued, all.Running+t.Running
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -54,7 +54,7 @@
 	Finished  = "finished"
 	Teams     = "teams"
 	Machines  = "machines"
-	Nodes     = "nodes"
+	Members   = "nodes"
 	Evictions = "evictions"
 )
 
@@ -77,7 +77,7 @@
 		{Machines, []Column{{"MACHINE", 14, false, 0}, {"STATE", 9, false, 0}, {"TYPE", 8, false, 0}, {"ZONE", 6, false, 0}, {"KIND", 8, false, 0},
 			{"SHARE", 5, true, 0}, {"TASKS", 5, true, 0}, {"CPUS", 11, true, 0}, {"GPUS", 9, true, 100}, {"PRICE/H", 9, true, 90}, {"TEAMS", 30, false, 110}},
 			[]string{"name", "tasks", "used", "price"}, machineRows},
-		{Nodes, []Column{{"NODE", 16, false, 0}, {"STATE", 10, false, 0}, {"LEADS", 5, false, 0}, {"SHARES", 30, false, 0}}, []string{"name"}, nodeRows},
+		{Members, []Column{{"NODE", 16, false, 0}, {"STATE", 10, false, 0}, {"LEADS", 5, false, 0}, {"SHARES", 30, false, 0}}, []string{"name"}, memberRows},
 		{Evictions, []Column{{"AGO", 7, true, 0}, {"FOR JOB", 12, false, 0}, {"TEAM", 9, false, 0}, {"OPEN", 5, false, 0}, {"VICTIMS", 7, true, 0},
 			{"WHOSE", 36, false, 0}}, []string{"latest", "victims"}, evictionRows},
 	}
@@ -238,7 +238,7 @@
 	return rows
 }
 
-func nodeRows(s *viewer.State, _ int64, _ map[string]viewer.Why) (rows []Row) {
+func memberRows(s *viewer.State, _ int64, _ map[string]viewer.Why) (rows []Row) {
 	for _, n := range s.Members {
 		state, leads, shares := "gone", "", make([]string, len(n.Shares))
 		switch {
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -52,29 +52,29 @@
 	Controller func(i int) (public, peer string)
 }
 
-// NodeMeters count what passes between one controller and what is around it.
-type NodeMeters struct {
+// ControllerMeters count what passes between one controller and what is around it.
+type ControllerMeters struct {
 	State, Cloud, Peers simulator.Meter // Peers: of connections that this controller has opened
 	Requests            *simulator.StateRequests
 }
 
 // Cluster is a running cluster.
 type Cluster struct {
-	World   *simulator.World
-	Users   string   // the load balancer
-	Uploads string   // where descriptions of jobs are put
-	Nodes   []string // the controllers' peer_listen
-	Dir     string
-	Meters  []*NodeMeters   // by controller
-	Front   simulator.Meter // users' connections to the load balancer
+	Simulation   *simulator.Simulation
+	Users        string   // the load balancer
+	Uploads      string   // where descriptions of jobs are put
+	Controllers  []string // the controllers' peer_listen
+	Dir          string
+	Meters       []*ControllerMeters // by controller
+	LoadBalancer simulator.Meter     // users' connections to the load balancer
 
-	public []string // the controllers' public_addr
-	procs  []*process
-	ports  *simulator.WorkerPorts
-	files  []*os.File
-	lns    []net.Listener
-	all    sync.WaitGroup
-	cancel context.CancelFunc
+	public    []string // the controllers' public_addr
+	processes []*process
+	ports     *simulator.WorkerPorts
+	files     []*os.File
+	listeners []net.Listener
+	all       sync.WaitGroup
+	cancel    context.CancelFunc
 }
 
 // Settings is the deployment that the emulator plays.
@@ -125,7 +125,7 @@
 			return err
 		}
 	}
-	c.startWorld(ctx, &o)
+	c.startSimulation(ctx, &o)
 	release, err := c.chooseAddresses(&o)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 		return err
 	}
 	for i := range o.Up {
-		c.World.AddMachine(o.Deployment.Zones[i%len(o.Deployment.Zones)], true)
+		c.Simulation.AddMachine(o.Deployment.Zones[i%len(o.Deployment.Zones)], true)
 	}
 	if o.Faults != nil {
 		c.all.Go(func() { o.Faults.play(ctx, c, o.Log) })
@@ -147,11 +147,11 @@
 	return nil
 }
 
-// startWorld makes the state service, the cloud and the workers' ports.
-func (c *Cluster) startWorld(ctx context.Context, o *Options) {
+// startSimulation makes the state service, the cloud and the workers' ports.
+func (c *Cluster) startSimulation(ctx context.Context, o *Options) {
 	d := &o.Deployment
-	w := simulator.NewWorld(ctx, &config.Settings{Deployment: *d}, o.Seed)
-	w.Catalog, w.Cap, w.Speed, w.Log, w.Delay = o.Catalog, o.Machines, o.Speed, o.Log, o.Delay
+	w := simulator.NewSimulation(ctx, &config.Settings{Deployment: *d}, o.Seed)
+	w.Catalog, w.CapacityOf, w.Speed, w.Log, w.Delay = o.Catalog, o.Machines, o.Speed, o.Log, o.Delay
 	w.LateBoots, w.NeverBoots = lateBoots, neverBoots
 	w.Store.Limit(d.State.RPS, d.State.WriteRPS)
 	w.Store.MaxValue, w.Store.MaxOps = int(d.State.ValueKB*1024), d.State.TxnOps
@@ -160,7 +160,7 @@
 	if workerAddress == nil {
 		workerAddress = simulator.AnyPort
 	}
-	c.World, c.ports = w, w.ServeWorkers(workerAddress)
+	c.Simulation, c.ports = w, w.ServeWorkers(workerAddress)
 	if o.SharedTicker {
 		w.SharedTicker = true
 		c.all.Go(w.RunTicker)
@@ -170,7 +170,7 @@
 // chooseAddresses chooses where the controllers will listen. Ports that the system chose are held until release.
 func (c *Cluster) chooseAddresses(o *Options) (release func(), err error) {
 	n := o.Deployment.Controllers
-	c.public, c.Nodes = make([]string, n), make([]string, n)
+	c.public, c.Controllers = make([]string, n), make([]string, n)
 	var held []net.Listener
 	release = func() {
 		for _, ln := range held {
@@ -179,10 +179,10 @@
 	}
 	for i := range n {
 		if o.Addresses.Controller != nil {
-			c.public[i], c.Nodes[i] = o.Addresses.Controller(i)
+			c.public[i], c.Controllers[i] = o.Addresses.Controller(i)
 			continue
 		}
-		for _, address := range []*string{&c.public[i], &c.Nodes[i]} {
+		for _, address := range []*string{&c.public[i], &c.Controllers[i]} {
 			ln, err := net.Listen("tcp4", "127.0.0.1:0")
 			if err != nil {
 				release()
@@ -197,12 +197,12 @@
 
 // startAround starts what is around the controllers, and writes their settings files.
 func (c *Cluster) startAround(ctx context.Context, o *Options) (files []string, err error) {
-	front := simulator.NewFront()
+	front := simulator.NewLoadBalancer()
 	zones := o.Deployment.Zones
 	for i := range o.Deployment.Controllers {
-		n := c.World.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
-		front.AddNode(n, c.public[i])
-		c.Meters = append(c.Meters, &NodeMeters{})
+		n := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
+		front.AddController(n, c.public[i])
+		c.Meters = append(c.Meters, &ControllerMeters{})
 	}
 	for i := range o.Deployment.Controllers {
 		s, err := c.settings(i, o)
@@ -219,10 +219,10 @@
 		}
 		files = append(files, file)
 	}
-	if c.Users, err = c.serve(&c.Front, front.Serve); err != nil {
+	if c.Users, err = c.serve(&c.LoadBalancer, front.Serve); err != nil {
 		return nil, err
 	}
-	if c.Uploads, err = c.serve(nil, c.World.ServeUploads); err != nil {
+	if c.Uploads, err = c.serve(nil, c.Simulation.ServeUploads); err != nil {
 		return nil, err
 	}
 	front.Run(ctx)
@@ -231,8 +231,8 @@
 
 // settings starts what one controller calls, and returns its settings.
 func (c *Cluster) settings(i int, o *Options) (*config.Settings, error) {
-	w, n, meters := c.World, c.World.Node(i), c.Meters[i]
-	s := &config.Settings{MemberName: n.Name, Zone: n.Zone, PublicAddr: c.public[i], PeerListen: c.Nodes[i], Deployment: o.Deployment}
+	w, n, meters := c.Simulation, c.Simulation.Controller(i), c.Meters[i]
+	s := &config.Settings{MemberName: n.Name, Zone: n.Zone, PublicAddr: c.public[i], PeerListen: c.Controllers[i], Deployment: o.Deployment}
 	link := w.Store.Open(n)
 	meters.Requests = &link.Requests
 	var err error
@@ -246,14 +246,14 @@
 		if k == i {
 			continue
 		}
-		other := w.Node(k)
-		way := simulator.Way{Meter: &meters.Peers, Held: func() bool {
-			return n.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || w.ZonesParted(n.Zone, other.Zone)
+		other := w.Controller(k)
+		way := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
+			return n.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || w.ZonesPartitioned(n.Zone, other.Zone)
 		}}
 		if o.Delay != nil {
 			way.Delay = func() time.Duration { return o.Delay(n.Zone, other.Zone) }
 		}
-		address, err := c.serve(nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Nodes[k], way) })
+		address, err := c.serve(nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[k], way) })
 		if err != nil {
 			return nil, err
 		}
@@ -265,7 +265,7 @@
 // startControllers starts the controllers' processes.
 func (c *Cluster) startControllers(ctx context.Context, o *Options, files []string) error {
 	for i, file := range files {
-		name := c.World.Node(i).Name
+		name := c.Simulation.Controller(i).Name
 		out, err := os.OpenFile(filepath.Join(o.Dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 		if err != nil {
 			return err
@@ -275,9 +275,9 @@
 		if o.Features != "" {
 			p.args = append(p.args, "--features", o.Features)
 		}
-		c.procs = append(c.procs, p)
+		c.processes = append(c.processes, p)
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		c.all.Go(func() {
 			runtime.LockOSThread() // a process that ends with its parent does so with the thread that began it
 			p.run(ctx)
@@ -295,7 +295,7 @@
 	if meter != nil {
 		ln = meter.Listen(ln)
 	}
-	c.lns = append(c.lns, ln)
+	c.listeners = append(c.listeners, ln)
 	go func() { _ = f(ln) }() // ends with its listener
 	return ln.Addr().String(), nil
 }
@@ -312,8 +312,8 @@
 
 // Pids are the controllers' processes, 0 for one that does not run now.
 func (c *Cluster) Pids() []int {
-	out := make([]int, len(c.procs))
-	for i, p := range c.procs {
+	out := make([]int, len(c.processes))
+	for i, p := range c.processes {
 		out[i] = p.pid()
 	}
 	return out
@@ -322,7 +322,7 @@
 // Ends is how many times a controller ended that nobody had asked to.
 func (c *Cluster) Ends() int {
 	n := 0
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		p.mu.Lock()
 		n += p.Ends
 		p.mu.Unlock()
@@ -334,7 +334,7 @@
 func (c *Cluster) Stop() {
 	c.cancel()
 	c.all.Wait()
-	for _, ln := range c.lns {
+	for _, ln := range c.listeners {
 		_ = ln.Close() // nobody is served any more
 	}
 	if c.ports != nil {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -33,9 +33,9 @@
 	Count   int      `toml:"count"` // machines that are next to one another by their names, in place of part
 }
 
-// cuts are what a node can be cut off from. Direct commands to workers are not among them:
+// partitions are what a node can be cut off from. Direct commands to workers are not among them:
 // a worker's port can't tell which node speaks.
-var cuts = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
+var partitions = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
 // What a fault of a kind needs.
@@ -102,7 +102,7 @@
 	}
 	from := ""
 	for _, x := range f.From {
-		if _, ok := cuts[x]; !ok {
+		if _, ok := partitions[x]; !ok {
 			from = x
 		}
 	}
@@ -114,7 +114,7 @@
 		{f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400"},
 		{!want.lasts || f.ForS > 0 && f.ForS <= 86400, "for_s", "seconds from above 0 to 86400"},
 		{want.lasts || f.ForS == 0, "for_s", "nothing: it does not last"},
-		{!want.node || nodeIndex(f.Node) != none, "node", "n1 to n9, or all"},
+		{!want.node || controllerIndex(f.Node) != none, "node", "n1 to n9, or all"},
 		{want.node || f.Node == "", "node", "nothing: it meets no node"},
 		{from == "" && (f.Kind == "cut" || len(f.From) == 0), "from", "for a cut any of state, cloud, users, reports, peers"},
 		{f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more"},
@@ -136,7 +136,7 @@
 	all  = -1
 )
 
-func nodeIndex(name string) int {
+func controllerIndex(name string) int {
 	switch {
 	case name == "all":
 		return all
@@ -150,7 +150,7 @@
 func (s *Schedule) fits(d *config.Deployment) error {
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		if nodeIndex(f.Node) >= d.Controllers {
+		if controllerIndex(f.Node) >= d.Controllers {
 			return &config.FieldError{Field: fmt.Sprintf("fault[%d].node", i), Expected: fmt.Sprintf("one of %d nodes", d.Controllers)}
 		}
 		if f.Zone != "" && !slices.Contains(d.Zones, f.Zone) {
@@ -197,10 +197,10 @@
 
 // begin brings a trouble about and returns what ends it, nil if nothing does.
 func (f *Fault) begin(c *Cluster) (end func()) {
-	nodes := []int{nodeIndex(f.Node)}
+	nodes := []int{controllerIndex(f.Node)}
 	if f.Node == "all" {
 		nodes = nodes[:0]
-		for i := range c.procs {
+		for i := range c.processes {
 			nodes = append(nodes, i)
 		}
 	}
@@ -209,26 +209,26 @@
 			do(i)
 		}
 	}
-	w := c.World
+	w := c.Simulation
 	switch f.Kind {
 	case "crash":
-		each(func(i int) { c.procs[i].kill() })
+		each(func(i int) { c.processes[i].kill() })
 	case "still":
-		each(func(i int) { c.procs[i].still(true) })
-		return func() { each(func(i int) { c.procs[i].still(false) }) }
+		each(func(i int) { c.processes[i].stopped(true) })
+		return func() { each(func(i int) { c.processes[i].stopped(false) }) }
 	case "cut":
 		var what simulator.Cuts
 		for _, x := range f.From {
-			what |= cuts[x]
+			what |= partitions[x]
 		}
 		if len(f.From) == 0 {
 			what = simulator.AllCut | simulator.NoPeers
 		}
-		each(func(i int) { w.Node(i).Cut(what) })
-		return func() { each(func(i int) { w.Node(i).Cut(0) }) }
+		each(func(i int) { w.Controller(i).Cut(what) })
+		return func() { each(func(i int) { w.Controller(i).Cut(0) }) }
 	case "refuse":
-		each(func(i int) { w.Store.Refuse(w.Node(i).Name, true) })
-		return func() { each(func(i int) { w.Store.Refuse(w.Node(i).Name, false) }) }
+		each(func(i int) { w.Store.Deny(w.Controller(i).Name, true) })
+		return func() { each(func(i int) { w.Store.Deny(w.Controller(i).Name, false) }) }
 	case "outage":
 		w.Store.SetDown(true)
 		return func() { w.Store.SetDown(false) }
@@ -236,8 +236,8 @@
 		w.SetCloudDown(true)
 		return func() { w.SetCloudDown(false) }
 	case "zone_cut":
-		w.CutZone(f.Zone)
-		return func() { w.CutZone("") }
+		w.PartitionZone(f.Zone)
+		return func() { w.PartitionZone("") }
 	}
 	met := f.meets(w)
 	on := func(change func(bool) func(*simulator.Machine)) func() {
@@ -253,16 +253,16 @@
 	switch f.Kind {
 	case "taken":
 		for _, m := range met {
-			w.Set(m, simulator.Notice(seconds(f.NoticeS)))
+			w.Set(m, simulator.PreemptionNotice(seconds(f.NoticeS)))
 		}
 	case "machine_dies":
 		for _, m := range met {
 			w.Die(m)
 		}
 	case "machine_hangs":
-		return on(simulator.Hang)
+		return on(simulator.HangingMachine)
 	case "machine_sick":
-		return on(simulator.Sick)
+		return on(simulator.UnhealthyMachine)
 	case "machine_cut":
 		return on(simulator.CutOff)
 	}
@@ -270,7 +270,7 @@
 }
 
 // meets chooses the machines that a trouble meets.
-func (f *Fault) meets(w *simulator.World) []*simulator.Machine {
+func (f *Fault) meets(w *simulator.Simulation) []*simulator.Machine {
 	var may []*simulator.Machine
 	for _, m := range w.Machines() {
 		if (f.Zone == "" || f.Zone == m.Zone) && (f.Kind != "taken" || m.Spot) {
@@ -278,8 +278,8 @@
 		}
 	}
 	if f.Count > 0 {
-		from := w.Rand.IntN(max(1, len(may)-f.Count+1))
+		from := w.Random.IntN(max(1, len(may)-f.Count+1))
 		return may[from:min(len(may), from+f.Count)]
 	}
-	return slices.DeleteFunc(may, func(*simulator.Machine) bool { return w.Rand.Float64() >= f.Part })
+	return slices.DeleteFunc(may, func(*simulator.Machine) bool { return w.Random.Float64() >= f.Part })
 }
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -106,8 +106,8 @@
 	p.signal(syscall.SIGKILL)
 }
 
-// still stops the process, or lets it go on.
-func (p *process) still(on bool) {
+// stopped stops the process, or lets it go on.
+func (p *process) stopped(on bool) {
 	if on {
 		p.signal(syscall.SIGSTOP)
 	} else {
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -27,32 +27,32 @@
 
 // Stream is jobs of one kind that come at random, independently of one another.
 type Stream struct {
-	Team        string  `toml:"team"`
-	Class       string  `toml:"class"`
-	Priority    string  `toml:"priority"` // low, normal, high or production
-	PerMinute   float64 `toml:"per_minute"`
-	FromS       float64 `toml:"from_s"` // when in the load it begins
-	ForS        float64 `toml:"for_s"`  // and for how long; 0: to the end
-	Tasks       Range   `toml:"tasks"`
-	Cpus        Range   `toml:"cpus"`
-	Gpus        Range   `toml:"gpus"`
-	MemGB       Range   `toml:"mem_gb"`
-	RunS        Range   `toml:"run_s"`   // how long a task really runs
-	OffBy       float64 `toml:"off_by"`  // the owner's estimate is wrong by up to this part
-	DueIn       float64 `toml:"due_in"`  // deadline, in times the estimate; 0: none
-	Service     bool    `toml:"service"` // runs until it is cancelled
-	Ordinary    bool    `toml:"ordinary"`
-	CheckpointS float64 `toml:"checkpoint_s"`
-	SaveS       float64 `toml:"save_s"`
-	ImageGB     float64 `toml:"image_gb"`
-	Images      int     `toml:"images"`       // how many different ones
-	CancelPart  float64 `toml:"cancel_part"`  // of the jobs, cancelled by their users
-	CancelIn    Range   `toml:"cancel_in_s"`  // after they were accepted
-	FailPart    float64 `toml:"fail_part"`    // of the jobs, submitted with a mistake
-	ChainPart   float64 `toml:"chain_part"`   // of the jobs, that await the stream's latest one
-	SameZone    bool    `toml:"same_zone"`    // all tasks in one zone
-	HalfAZone   bool    `toml:"half_a_zone"`  // at most half of the tasks in one zone
-	MachineType string  `toml:"machine_type"` // the only allowed one
+	Team         string  `toml:"team"`
+	Class        string  `toml:"class"`
+	Priority     string  `toml:"priority"` // low, normal, high or production
+	PerMinute    float64 `toml:"per_minute"`
+	FromS        float64 `toml:"from_s"` // when in the load it begins
+	ForS         float64 `toml:"for_s"`  // and for how long; 0: to the end
+	Tasks        Range   `toml:"tasks"`
+	Cpus         Range   `toml:"cpus"`
+	Gpus         Range   `toml:"gpus"`
+	MemGB        Range   `toml:"mem_gb"`
+	RunS         Range   `toml:"run_s"`   // how long a task really runs
+	OffBy        float64 `toml:"off_by"`  // the owner's estimate is wrong by up to this part
+	DueIn        float64 `toml:"due_in"`  // deadline, in times the estimate; 0: none
+	Service      bool    `toml:"service"` // runs until it is cancelled
+	OnDemandOnly bool    `toml:"ordinary"`
+	CheckpointS  float64 `toml:"checkpoint_s"`
+	SaveS        float64 `toml:"save_s"`
+	ImageGB      float64 `toml:"image_gb"`
+	Images       int     `toml:"images"`       // how many different ones
+	CancelPart   float64 `toml:"cancel_part"`  // of the jobs, cancelled by their users
+	CancelIn     Range   `toml:"cancel_in_s"`  // after they were accepted
+	FailPart     float64 `toml:"fail_part"`    // of the jobs, submitted with a mistake
+	ChainPart    float64 `toml:"chain_part"`   // of the jobs, that await the stream's latest one
+	SameZone     bool    `toml:"same_zone"`    // all tasks in one zone
+	HalfAZone    bool    `toml:"half_a_zone"`  // at most half of the tasks in one zone
+	MachineType  string  `toml:"machine_type"` // the only allowed one
 }
 
 // Arrival is a job that comes.
@@ -204,7 +204,7 @@
 	prio, _ := protocol.ParsePriority(s.Priority) // checked
 	j := protocol.Submission{Class: s.Class, Team: s.Team, Priority: prio, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
 		Gpus: math.Round(s.Gpus.draw(rnd)), MemGB: round(s.MemGB.draw(rnd)), Image: fmt.Sprintf("%s-%d", s.Class, rnd.IntN(s.Images)), ImageGB: s.ImageGB,
-		OneZone: s.SameZone, Spread: s.HalfAZone, Spot: !s.Ordinary, CheckpointS: s.CheckpointS, CheckpointCostS: s.SaveS}
+		OneZone: s.SameZone, Spread: s.HalfAZone, Spot: !s.OnDemandOnly, CheckpointS: s.CheckpointS, CheckpointCostS: s.SaveS}
 	j.Cpus = max(0.01, j.Cpus)
 	if s.MachineType != "" {
 		j.Types = []string{s.MachineType}
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -31,11 +31,11 @@
 
 // Sample is the sums at a time.
 type Sample struct {
-	At       int64       `json:"at_ms"`
-	Revision uint64      `json:"revision"`
-	Teams    []view.Team `json:"teams"`
-	Fleet    view.Fleet  `json:"fleet"`
-	Others   *view.Sum   `json:"others,omitempty"` // made by a scope only
+	At       int64        `json:"at_ms"`
+	Revision uint64       `json:"revision"`
+	Teams    []view.Team  `json:"teams"`
+	Fleet    view.Fleet   `json:"fleet"`
+	Others   *view.Totals `json:"others,omitempty"` // made by a scope only
 }
 
 // JobEnd is a job that is over.
--- a/internal/scale/changes.go
+++ b/internal/scale/changes.go
@@ -25,9 +25,9 @@
 // operators change teams' bounds through the administration API at the profile's rate, as operators of a fleet do, and
 // measure how long it takes until a change is in force on all controllers of the cell.
 type operators struct {
-	nodes []string
-	teams []team
-	rand  *rand.Rand
+	controllers []string
+	teams       []team
+	rand        *rand.Rand
 
 	mu     sync.Mutex
 	from   time.Time // changes before are not measured
@@ -38,7 +38,7 @@
 }
 
 func newOperators(c *Cell, nodes []string) *operators {
-	return &operators{nodes: nodes, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
+	return &operators{controllers: nodes, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
 }
 
 // changesStream keeps the draws of changes apart from those of jobs.
@@ -49,7 +49,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	for n := 1; sleep(ctx, seconds(1/perSecond)); n++ {
-		t, node := o.teams[o.rand.IntN(len(o.teams))], o.nodes[o.rand.IntN(len(o.nodes))]
+		t, node := o.teams[o.rand.IntN(len(o.teams))], o.controllers[o.rand.IntN(len(o.controllers))]
 		all.Go(func() { o.one(ctx, node, t, n%lowersEach == 0) })
 	}
 }
@@ -126,9 +126,9 @@
 
 // another is the next controller.
 func (o *operators) another(node string) string {
-	for i, n := range o.nodes {
+	for i, n := range o.controllers {
 		if n == node {
-			return o.nodes[(i+1)%len(o.nodes)]
+			return o.controllers[(i+1)%len(o.controllers)]
 		}
 	}
 	return node
--- a/internal/scale/play.go
+++ b/internal/scale/play.go
@@ -109,8 +109,8 @@
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
-	if (c.Cut == Changes || c.Cut == Troubles) && c.Profile.ChangesADay > 0 {
-		w.operators = newOperators(c, cluster.Nodes)
+	if (c.Cut == Changes || c.Cut == Faults) && c.Profile.ChangesADay > 0 {
+		w.operators = newOperators(c, cluster.Controllers)
 		background.Go(func() { w.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
 	}
 	if !sleep(ctx, seconds(c.WarmUpS)) {
@@ -167,7 +167,7 @@
 				host := fmt.Sprintf("127.%d.%d.%d", network, controllersNet, i+1)
 				return fmt.Sprintf("%s:%d", host, publicPort), fmt.Sprintf("%s:%d", host, peerPort)
 			}}}
-	if c.Cut == Troubles {
+	if c.Cut == Faults {
 		o.Faults = c.schedule()
 	}
 	return o
@@ -184,8 +184,8 @@
 
 func newWatch(c *Cell, cluster *emulator.Cluster, log *slog.Logger) *watch {
 	w := &watch{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
-		peaks: make([]peaks, len(cluster.Nodes))}
-	cluster.World.Launched = w.onLaunch
+		peaks: make([]peaks, len(cluster.Controllers))}
+	cluster.Simulation.Launched = w.onLaunch
 	return w
 }
 
@@ -196,7 +196,7 @@
 		return err
 	}
 	u.Spread = runSpread
-	return w.cluster.World.AddJob(u)
+	return w.cluster.Simulation.AddJob(u)
 }
 
 // onLaunch measures urgent tasks from their submission to their first launch. The world is locked.
@@ -257,13 +257,13 @@
 }
 
 func (w *watch) watchStarts(n int) {
-	now, stats := time.Now(), w.cluster.World.Stats()
+	now, stats := time.Now(), w.cluster.Simulation.Stats()
 	if stats.Started > w.started {
 		w.started, w.lastMove = stats.Started, now
 	}
 	w.gap = max(w.gap, now.Sub(w.lastMove))
 	if n%progressEvery == 0 {
-		w.log.Info("measuring", "region", w.cell.Region, "started", stats.Started, "running", w.cluster.World.Running(), "broken_rules", len(w.cluster.World.Broken()))
+		w.log.Info("measuring", "region", w.cell.Region, "started", stats.Started, "running", w.cluster.Simulation.Running(), "broken_rules", len(w.cluster.Simulation.BrokenRules()))
 	}
 }
 
@@ -277,20 +277,20 @@
 
 // point works out what was measured between two samples.
 func (w *watch) point(a, b sample) *Point {
-	c, world, took := w.cell, w.cluster.World, b.at.Sub(a.at)
+	c, world, took := w.cell, w.cluster.Simulation, b.at.Sub(a.at)
 	per := func(n float64) float64 { return n / took.Seconds() }
 	up := len(world.Machines())
 	perWorker := func(n int64) float64 { return per(float64(n)) / float64(max(1, up)) }
 	p := &Point{Run: c.Run, Commit: c.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: c.Cut, Fraction: c.Fraction, Region: c.Region, Seed: c.Seed,
 		Workers: c.Workers, Up: up, OfferedS: c.StartsPerS, MeasureS: took.Seconds(), StartsPerS: per(float64(b.stats.Started - a.stats.Started)),
-		Running: world.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: world.Broken(),
+		Running: world.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: world.BrokenRules(),
 		HollowCores: per((b.hollow.cpu - a.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
-		WritesPerS: per(float64(b.stats.Writes - a.stats.Writes)), OverPerS: per(float64(b.stats.Over - a.stats.Over)), UserConns: w.cluster.Front.Opened.Load()}
+		WritesPerS: per(float64(b.stats.Writes - a.stats.Writes)), OverPerS: per(float64(b.stats.Over - a.stats.Over)), UserConns: w.cluster.LoadBalancer.Opened.Load()}
 	p.StateKeys, p.StateBytes = world.Store.Size()
 	// A worker sends reports, and reports as answers to commands; it gets answers, and commands.
 	p.WorkerOutBps = perWorker(b.reports.out - a.reports.out + b.commands.out - a.commands.out)
 	p.WorkerInBps = perWorker(b.reports.in - a.reports.in + b.commands.in - a.commands.in)
-	p.ReportsPerS, p.CommandsPerS = perWorker(b.reports.messages-a.reports.messages), perWorker(b.commands.messages-a.commands.messages)
+	p.HeartbeatsPerS, p.CommandsPerS = perWorker(b.reports.messages-a.reports.messages), perWorker(b.commands.messages-a.commands.messages)
 	w.mu.Lock()
 	p.UrgentMs, p.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
 	w.mu.Unlock()
@@ -300,8 +300,8 @@
 		o.mu.Unlock()
 	}
 	p.Overloaded = p.LatenessMs.P99 > mostLateness
-	for i := range b.nodes {
-		p.Controllers = append(p.Controllers, between(fmt.Sprintf("n%d", i+1), a.nodes[i], b.nodes[i], w.peaks[i], took))
+	for i := range b.controllers {
+		p.Controllers = append(p.Controllers, between(fmt.Sprintf("n%d", i+1), a.controllers[i], b.controllers[i], w.peaks[i], took))
 	}
 	return p
 }
--- a/internal/scale/point.go
+++ b/internal/scale/point.go
@@ -29,29 +29,29 @@
 	OfferedS float64   `json:"offered_s"` // task starts a second that were offered
 	MeasureS float64   `json:"measure_s"`
 
-	StartsPerS   float64  `json:"starts_per_s"`
-	Running      int      `json:"running"` // at the end
-	LongestGapS  float64  `json:"longest_gap_s"`
-	LeaseKills   int      `json:"lease_kills"`
-	Ends         int      `json:"ends"` // controllers that ended by themselves
-	BrokenRules  []string `json:"broken_rules"`
-	UrgentMs     Span     `json:"urgent_ms"`    // from submission to the launch at the worker
-	AcceptMs     Span     `json:"accept_ms"`    // until a submission was answered, retries included
-	Retries      int      `json:"retries"`      // users' requests that were repeated
-	LatenessMs   Span     `json:"lateness_ms"`  // of the hollow side's timers
-	HollowCores  float64  `json:"hollow_cores"` // processor time of the hollow side
-	HollowMB     float64  `json:"hollow_mb"`
-	Overloaded   bool     `json:"overloaded"` // the hollow side was: the rest says nothing of the controllers
-	HostLoad     float64  `json:"host_load"`  // of the machine that played it, at the end
-	StateKeys    int      `json:"state_keys"`
-	StateBytes   int      `json:"state_bytes"`
-	WritesPerS   float64  `json:"writes_per_s"`
-	OverPerS     float64  `json:"over_per_s"`         // requests that the state service refused for their rate
-	UserConns    int64    `json:"user_conns"`         // opened
-	WorkerOutBps float64  `json:"worker_out_bytes_s"` // of one worker, with HTTP's headers
-	WorkerInBps  float64  `json:"worker_in_bytes_s"`
-	ReportsPerS  float64  `json:"reports_per_s"`  // of one worker
-	CommandsPerS float64  `json:"commands_per_s"` // to one worker
+	StartsPerS     float64  `json:"starts_per_s"`
+	Running        int      `json:"running"` // at the end
+	LongestGapS    float64  `json:"longest_gap_s"`
+	LeaseKills     int      `json:"lease_kills"`
+	Ends           int      `json:"ends"` // controllers that ended by themselves
+	BrokenRules    []string `json:"broken_rules"`
+	UrgentMs       Span     `json:"urgent_ms"`    // from submission to the launch at the worker
+	AcceptMs       Span     `json:"accept_ms"`    // until a submission was answered, retries included
+	Retries        int      `json:"retries"`      // users' requests that were repeated
+	LatenessMs     Span     `json:"lateness_ms"`  // of the hollow side's timers
+	HollowCores    float64  `json:"hollow_cores"` // processor time of the hollow side
+	HollowMB       float64  `json:"hollow_mb"`
+	Overloaded     bool     `json:"overloaded"` // the hollow side was: the rest says nothing of the controllers
+	HostLoad       float64  `json:"host_load"`  // of the machine that played it, at the end
+	StateKeys      int      `json:"state_keys"`
+	StateBytes     int      `json:"state_bytes"`
+	WritesPerS     float64  `json:"writes_per_s"`
+	OverPerS       float64  `json:"over_per_s"`         // requests that the state service refused for their rate
+	UserConns      int64    `json:"user_conns"`         // opened
+	WorkerOutBps   float64  `json:"worker_out_bytes_s"` // of one worker, with HTTP's headers
+	WorkerInBps    float64  `json:"worker_in_bytes_s"`
+	HeartbeatsPerS float64  `json:"reports_per_s"`  // of one worker
+	CommandsPerS   float64  `json:"commands_per_s"` // to one worker
 
 	ChangesMade   int  `json:"changes_made,omitempty"`   // of teams' guarantees and limits
 	ChangesFailed int  `json:"changes_failed,omitempty"` // not in force within a minute
@@ -63,25 +63,25 @@
 
 // ControllerPoint is what one controller of a cell cost. It is left out of tables if it was not there all the time.
 type ControllerPoint struct {
-	Name       string  `json:"name"`
-	Role       Role    `json:"role"`
-	Whole      bool    `json:"whole"` // one process all the time, in one role
-	Partitions int     `json:"partitions"`
-	Cores      float64 `json:"cores"`
-	PlanCores  float64 `json:"plan_cores"` // of these, for planning
-	MemMB      float64 `json:"mem_mb"`     // resident, the most
-	Sockets    int     `json:"sockets"`    // the most
-	Threads    int     `json:"threads"`
-	ReportsS   float64 `json:"reports_s"`
-	LaunchesS  float64 `json:"launches_s"`
-	ReadsS     float64 `json:"reads_s"` // requests to the state service, by kind
-	TxnsS      float64 `json:"txns_s"`
-	LeasesS    float64 `json:"leases_s"`
-	FollowsS   float64 `json:"follows_s"`
-	StateInS   float64 `json:"state_in_s"` // bytes that the state service got and gave
-	StateOutS  float64 `json:"state_out_s"`
-	CloudS     float64 `json:"cloud_s"`      // requests
-	PeerBytesS float64 `json:"peer_bytes_s"` // both ways, over connections that it opened
+	Name        string  `json:"name"`
+	Role        Role    `json:"role"`
+	Whole       bool    `json:"whole"` // one process all the time, in one role
+	Shards      int     `json:"partitions"`
+	Cores       float64 `json:"cores"`
+	PlanCores   float64 `json:"plan_cores"` // of these, for planning
+	MemMB       float64 `json:"mem_mb"`     // resident, the most
+	Sockets     int     `json:"sockets"`    // the most
+	Threads     int     `json:"threads"`
+	HeartbeatsS float64 `json:"reports_s"`
+	LaunchesS   float64 `json:"launches_s"`
+	ReadsS      float64 `json:"reads_s"` // requests to the state service, by kind
+	TxnsS       float64 `json:"txns_s"`
+	LeasesS     float64 `json:"leases_s"`
+	WatchesS    float64 `json:"follows_s"`
+	StateInS    float64 `json:"state_in_s"` // bytes that the state service got and gave
+	StateOutS   float64 `json:"state_out_s"`
+	CloudS      float64 `json:"cloud_s"`      // requests
+	PeerBytesS  float64 `json:"peer_bytes_s"` // both ways, over connections that it opened
 }
 
 // Role is what a controller does in its cell.
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -13,20 +13,20 @@
 // Profile describes the deployment at its whole size, and how a run at a part of it is played. One second of a run is one
 // second of the deployment; troubles alone come more often than they do there.
 type Profile struct {
-	Workers      int     `toml:"workers"`       // in all regions
-	RunningTasks int     `toml:"running_tasks"` // at a time, in all regions
-	StartsPerS   float64 `toml:"starts_per_s"`  // task starts at the peak
-	JobsPerDay   float64 `toml:"jobs_per_day"`
-	PeakOfJobs   float64 `toml:"peak_of_jobs"`   // submissions at the peak, in times their mean
-	LargestJob   int     `toml:"largest_job"`    // tasks
-	UrgentPart   float64 `toml:"urgent_part"`    // of the jobs
-	UrgentTasks  int     `toml:"urgent_tasks"`   // at most, of an urgent job
-	Teams        int     `toml:"teams"`          //
-	HottestPart  float64 `toml:"hottest_part"`   // of the work, that the hottest tenth of the teams has
-	FailuresADay float64 `toml:"failures_a_day"` // machines that die
-	ReplacedADay float64 `toml:"replaced_a_day"` // machines that are taken with a notice
-	RackWorkers  int     `toml:"rack_workers"`   // machines behind one switch
-	ChangesADay  float64 `toml:"changes_a_day"`  // of the configuration; each cell gets all of them
+	Workers        int     `toml:"workers"`       // in all regions
+	RunningTasks   int     `toml:"running_tasks"` // at a time, in all regions
+	StartsPerS     float64 `toml:"starts_per_s"`  // task starts at the peak
+	JobsPerDay     float64 `toml:"jobs_per_day"`
+	PeakOfJobs     float64 `toml:"peak_of_jobs"`   // submissions at the peak, in times their mean
+	LargestJob     int     `toml:"largest_job"`    // tasks
+	UrgentPart     float64 `toml:"urgent_part"`    // of the jobs
+	UrgentTasks    int     `toml:"urgent_tasks"`   // at most, of an urgent job
+	Teams          int     `toml:"teams"`          //
+	HottestPart    float64 `toml:"hottest_part"`   // of the work, that the hottest tenth of the teams has
+	FailuresADay   float64 `toml:"failures_a_day"` // machines that die
+	ReplacedADay   float64 `toml:"replaced_a_day"` // machines that are taken with a notice
+	WorkersPerRack int     `toml:"rack_workers"`   // machines behind one switch
+	ChangesADay    float64 `toml:"changes_a_day"`  // of the configuration; each cell gets all of them
 
 	Regions    []Region   `toml:"region"`
 	Worker     Worker     `toml:"worker"`
@@ -78,7 +78,7 @@
 // DefaultProfile is the operators' letter, and what had to be assumed beside it: see docs/CAPACITY.md.
 func DefaultProfile() Profile {
 	return Profile{Workers: 17_000, RunningTasks: 110_000, StartsPerS: 7_600, JobsPerDay: 73_000, PeakOfJobs: 20, LargestJob: 100_000,
-		UrgentPart: 0.1, UrgentTasks: 8, Teams: 460, HottestPart: 0.5, FailuresADay: 86, ReplacedADay: 2_900, RackWorkers: 32, ChangesADay: 55_000,
+		UrgentPart: 0.1, UrgentTasks: 8, Teams: 460, HottestPart: 0.5, FailuresADay: 86, ReplacedADay: 2_900, WorkersPerRack: 32, ChangesADay: 55_000,
 		Regions:    []Region{{"north", 0.28, 4}, {"east", 0.20, 4}, {"south", 0.16, 3}, {"west", 0.13, 3}, {"middle", 0.10, 3}, {"coast", 0.08, 3}, {"islands", 0.05, 2}},
 		Worker:     Worker{Cpus: 8, MemGB: 32, BootS: 12, ReportS: 2.5, LeaseS: 15, CancelS: 45},
 		Controller: Controller{PerRegion: 3, CPU: 2, MemMB: 2_000, MaxConnections: 18_000},
@@ -141,7 +141,7 @@
 		{p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more"},
 		{p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more"},
 		{p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more"},
-		{p.RackWorkers >= 1, "rack_workers", "a count above 0"},
+		{p.WorkersPerRack >= 1, "rack_workers", "a count above 0"},
 		{len(p.Regions) <= mostRegions, "region", "at most 32 regions"},
 		{p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0"},
 		{p.Worker.BootS > 0, "worker.boot_s", "seconds above 0"},
@@ -195,15 +195,15 @@
 	Population Cut = "population"
 	// Changes is Peak with changes of the configuration.
 	Changes Cut = "changes"
-	// Troubles is Changes with failures, a rack, a switch, a zone and ends of controllers.
-	Troubles Cut = "troubles"
+	// Faults is Changes with failures, a rack, a switch, a zone and ends of controllers.
+	Faults Cut = "troubles"
 )
 
 // populationTaskS is how long the tasks of a Population run take, in seconds.
 const populationTaskS = 300
 
 // Cuts are all of them.
-func Cuts() []Cut { return []Cut{Peak, Population, Changes, Troubles} }
+func Cuts() []Cut { return []Cut{Peak, Population, Changes, Faults} }
 
 // Regions says which regions a run plays.
 type Regions string
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -33,7 +33,7 @@
 		{Peak, "The peak: the largest region at its part of the task starts"},
 		{Population, "The whole population: all regions, tasks of five minutes"},
 		{Changes, "Changes of the configuration at the letter's rate, at the peak"},
-		{Troubles, "Troubles: a day's failures pressed into the measured time, with changes"},
+		{Faults, "Troubles: a day's failures pressed into the measured time, with changes"},
 	} {
 		if list := byCut[cut.cut]; len(list) > 0 {
 			fmt.Fprintf(out, "### %s\n\n", cut.title)
@@ -82,8 +82,8 @@
 			if !c.Whole {
 				role += ", not all the time"
 			}
-			fmt.Fprintf(w, "| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Partitions,
-				c.Cores, c.PlanCores, c.MemMB, c.Sockets, c.ReportsS, c.LaunchesS, c.TxnsS, c.StateOutS/1000)
+			fmt.Fprintf(w, "| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
+				c.Cores, c.PlanCores, c.MemMB, c.Sockets, c.HeartbeatsS, c.LaunchesS, c.TxnsS, c.StateOutS/1000)
 		}
 	}
 	fmt.Fprintln(w)
@@ -125,10 +125,10 @@
 	{"memory, MB", "%.0f", func(c *ControllerPoint) float64 { return c.MemMB }},
 	{"connections", "%.0f", func(c *ControllerPoint) float64 { return float64(c.Sockets) }},
 	{"threads", "%.0f", func(c *ControllerPoint) float64 { return float64(c.Threads) }},
-	{"reports answered, 1/s", "%.0f", func(c *ControllerPoint) float64 { return c.ReportsS }},
+	{"reports answered, 1/s", "%.0f", func(c *ControllerPoint) float64 { return c.HeartbeatsS }},
 	{"tasks placed, 1/s", "%.0f", func(c *ControllerPoint) float64 { return c.LaunchesS }},
 	{"state: transactions, 1/s", "%.1f", func(c *ControllerPoint) float64 { return c.TxnsS }},
-	{"state: follows, 1/s", "%.1f", func(c *ControllerPoint) float64 { return c.FollowsS }},
+	{"state: follows, 1/s", "%.1f", func(c *ControllerPoint) float64 { return c.WatchesS }},
 	{"state: lease requests, 1/s", "%.2f", func(c *ControllerPoint) float64 { return c.LeasesS }},
 	{"state: bytes sent, KB/s", "%.0f", func(c *ControllerPoint) float64 { return c.StateInS / 1000 }},
 	{"state: bytes received, KB/s", "%.0f", func(c *ControllerPoint) float64 { return c.StateOutS / 1000 }},
@@ -168,7 +168,7 @@
 	{"worker: bytes sent a second", "%.0f", func(p *Point) float64 { return p.WorkerOutBps }},
 	{"worker: bytes received a second", "%.0f", func(p *Point) float64 { return p.WorkerInBps }},
 	{"worker: both", "%.0f", func(p *Point) float64 { return p.WorkerOutBps + p.WorkerInBps }},
-	{"worker: reports a second", "%.2f", func(p *Point) float64 { return p.ReportsPerS }},
+	{"worker: reports a second", "%.2f", func(p *Point) float64 { return p.HeartbeatsPerS }},
 	{"worker: direct commands a second", "%.2f", func(p *Point) float64 { return p.CommandsPerS }},
 	{"worker: part of a core, % (at most: the whole hollow side by its workers)", "%.3f", func(p *Point) float64 { return 100 * p.HollowCores / float64(max(1, p.Up)) }},
 	{"state service: changes a second", "%.0f", func(p *Point) float64 { return p.WritesPerS }},
--- a/internal/scale/sample.go
+++ b/internal/scale/sample.go
@@ -9,54 +9,58 @@
 	"dykeledge/internal/simulator"
 )
 
-// nodeSample is all that is known of one controller at one moment.
-type nodeSample struct {
+// controllerSample is all that is known of one controller at one moment.
+type controllerSample struct {
 	pid      int // 0: no process runs
 	usage    processUsage
 	counters counters
 	scraped  bool
 
-	reads, txns, leases, follows int64
+	reads, txns, leases, watches int64
 	stateIn, stateOut, peerBytes int64
 }
 
 // sample is all that is known of a cell at one moment.
 type sample struct {
-	at       time.Time
-	nodes    []nodeSample
-	hollow   processUsage
-	stats    simulator.Stats
-	reports  wire
-	commands wire
+	at          time.Time
+	controllers []controllerSample
+	hollow      processUsage
+	stats       simulator.Stats
+	reports     networkBytes
+	commands    networkBytes
 }
 
-// wire is what a meter has counted.
-type wire struct{ in, out, messages int64 }
+// networkBytes is what a meter has counted.
+type networkBytes struct{ in, out, messages int64 }
 
-func read(m *simulator.Meter) wire { return wire{m.In.Load(), m.Out.Load(), m.Messages.Load()} }
+func read(m *simulator.Meter) networkBytes {
+	return networkBytes{m.In.Load(), m.Out.Load(), m.Messages.Load()}
+}
 
-func (w wire) plus(o wire) wire { return wire{w.in + o.in, w.out + o.out, w.messages + o.messages} }
+func (w networkBytes) plus(o networkBytes) networkBytes {
+	return networkBytes{w.in + o.in, w.out + o.out, w.messages + o.messages}
+}
 
 // take samples a cell. What a controller does not tell now is left out, and logged.
 func take(c *emulator.Cluster, log *slog.Logger) sample {
-	s := sample{at: time.Now(), stats: c.World.Stats(), commands: read(&c.World.Commands)}
+	s := sample{at: time.Now(), stats: c.Simulation.Stats(), commands: read(&c.Simulation.Commands)}
 	var err error
 	if s.hollow, err = usageOf(os.Getpid()); err != nil {
 		log.Warn("no figures of the hollow side", "err", err)
 	}
 	for i, pid := range c.Pids() {
 		m := c.Meters[i]
-		n := nodeSample{pid: pid, reads: m.Requests.Reads.Load(), txns: m.Requests.Transactions.Load(), leases: m.Requests.Leases.Load(),
-			follows: m.Requests.Follows.Load(), stateIn: m.State.In.Load(), stateOut: m.State.Out.Load(), peerBytes: m.Peers.In.Load() + m.Peers.Out.Load()}
+		n := controllerSample{pid: pid, reads: m.Requests.Reads.Load(), txns: m.Requests.Transactions.Load(), leases: m.Requests.Leases.Load(),
+			watches: m.Requests.Watches.Load(), stateIn: m.State.In.Load(), stateOut: m.State.Out.Load(), peerBytes: m.Peers.In.Load() + m.Peers.Out.Load()}
 		if n.usage, err = usageOf(pid); err != nil {
 			log.Warn("no figures of a controller", "node", i+1, "err", err)
 		}
-		if n.counters, err = scrape(c.Nodes[i]); err != nil {
+		if n.counters, err = scrape(c.Controllers[i]); err != nil {
 			log.Warn("no metrics of a controller", "node", i+1, "err", err)
 		}
 		n.scraped = err == nil
-		s.nodes = append(s.nodes, n)
-		s.reports = s.reports.plus(read(&c.World.Node(i).Reports))
+		s.controllers = append(s.controllers, n)
+		s.reports = s.reports.plus(read(&c.Simulation.Controller(i).HeartbeatMeter))
 	}
 	return s
 }
@@ -73,15 +77,15 @@
 }
 
 // between works out what a controller cost from one sample to another.
-func between(name string, a, b nodeSample, most peaks, took time.Duration) ControllerPoint {
+func between(name string, a, b controllerSample, most peaks, took time.Duration) ControllerPoint {
 	per := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
 	count := func(from, to int64) float64 { return per(float64(from), float64(to)) }
-	return ControllerPoint{Name: name, Role: b.counters.role(), Partitions: b.counters.partitions,
-		Whole: a.pid == b.pid && a.pid != 0 && a.scraped && b.scraped && a.counters.role() == b.counters.role() && a.counters.partitions == b.counters.partitions,
+	return ControllerPoint{Name: name, Role: b.counters.role(), Shards: b.counters.shards,
+		Whole: a.pid == b.pid && a.pid != 0 && a.scraped && b.scraped && a.counters.role() == b.counters.role() && a.counters.shards == b.counters.shards,
 		Cores: per(a.usage.cpu.Seconds(), b.usage.cpu.Seconds()), PlanCores: per(a.counters.planning, b.counters.planning),
 		MemMB: most.memMB, Sockets: most.sockets, Threads: most.threads,
-		ReportsS: per(a.counters.reports, b.counters.reports), LaunchesS: per(a.counters.launches, b.counters.launches),
-		ReadsS: count(a.reads, b.reads), TxnsS: count(a.txns, b.txns), LeasesS: count(a.leases, b.leases), FollowsS: count(a.follows, b.follows),
+		HeartbeatsS: per(a.counters.heartbeats, b.counters.heartbeats), LaunchesS: per(a.counters.launches, b.counters.launches),
+		ReadsS: count(a.reads, b.reads), TxnsS: count(a.txns, b.txns), LeasesS: count(a.leases, b.leases), WatchesS: count(a.watches, b.watches),
 		StateInS: count(a.stateIn, b.stateIn), StateOutS: count(a.stateOut, b.stateOut),
 		CloudS: per(a.counters.cloud, b.counters.cloud), PeerBytesS: count(a.peerBytes, b.peerBytes)}
 }
--- a/internal/scale/scrape.go
+++ b/internal/scale/scrape.go
@@ -27,16 +27,16 @@
 
 // counters are one controller's metrics at one moment.
 type counters struct {
-	launches, planning, reports, cloud float64
-	leader                             bool
-	partitions                         int
+	launches, planning, heartbeats, cloud float64
+	leader                                bool
+	shards                                int
 }
 
 func (c counters) role() Role {
 	switch {
 	case c.leader:
 		return Leader
-	case c.partitions > 0:
+	case c.shards > 0:
 		return Owner
 	}
 	return Member
@@ -70,11 +70,11 @@
 			case metricPlanning:
 				c.planning += m.GetHistogram().GetSampleSum()
 			case metricReports:
-				c.reports += float64(m.GetHistogram().GetSampleCount())
+				c.heartbeats += float64(m.GetHistogram().GetSampleCount())
 			case metricLeader:
 				c.leader = m.GetGauge().GetValue() > 0
 			case metricPartitions:
-				c.partitions = int(m.GetGauge().GetValue())
+				c.shards = int(m.GetGauge().GetValue())
 			case metricRequests:
 				for _, label := range m.GetLabel() {
 					if label.GetName() == labelService && label.GetValue() == serviceCloud {
--- a/internal/scale/troubles.go
+++ b/internal/scale/troubles.go
@@ -21,8 +21,8 @@
 	p, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
 	s := &emulator.Schedule{Faults: []emulator.Fault{
-		{AtS: at(rackAt), Kind: "machine_dies", Count: p.RackWorkers},
-		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.RackWorkers, ForS: cutFor},
+		{AtS: at(rackAt), Kind: "machine_dies", Count: p.WorkersPerRack},
+		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.WorkersPerRack, ForS: cutFor},
 		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: cutFor},
 		{AtS: at(oneEndsAt), Kind: "crash", Node: "n1"},
 		{AtS: at(allEndAt), Kind: "crash", Node: "all"},
--- a/internal/simulator/apart_test.go
+++ b/internal/simulator/apart_test.go
@@ -10,26 +10,26 @@
 	"dykeledge/internal/config"
 )
 
-// apartDay is one course of the meeting that the users named before all others.
-type apartDay struct {
-	workers config.Workers
-	refused time.Duration // the leader alone is refused so long before the outage
-	cancels time.Duration // the first of the jobs is cancelled so long before the outage
-	outage  float64       // times cancel_s
-	old     int           // so many nodes are of the version before: no words, no time in the cancellation's record
+// isolationDay is one course of the meeting that the users named before all others.
+type isolationDay struct {
+	workers       config.Workers
+	refused       time.Duration // the leader alone is refused so long before the outage
+	cancellations time.Duration // the first of the jobs is cancelled so long before the outage
+	outage        float64       // times cancel_s
+	old           int           // so many nodes are of the version before: no words, no time in the cancellation's record
 }
 
-// playApart has the state service refuse the leader alone, other nodes confirm cancellations, and then the
+// playIsolated has the state service refuse the leader alone, other nodes confirm cancellations, and then the
 // state service refuse everybody, while the workers keep reporting to the old leader. It returns how many
 // tasks of cancelled jobs were on machines as the outage began, and those killed by their leases.
-func playApart(t *testing.T, seed uint64, x apartDay, then func(w *World, lead int)) (doomed, killed int) {
+func playIsolated(t *testing.T, seed uint64, x isolationDay, then func(w *Simulation, lead int)) (doomed, killed int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(time.Minute) }()
 		cfg := settings()
 		cfg.Deployment.Workers = x.workers
-		w := NewWorld(ctx, cfg, seed)
-		w.Cap = 20
+		w := NewSimulation(ctx, cfg, seed)
+		w.CapacityOf = 20
 		w.Old = map[int]bool{}
 		for i := range x.old {
 			w.Old[(int(seed)+i)%3] = true
@@ -37,23 +37,23 @@
 		for i := range 3 {
 			w.Start(i)
 		}
-		w.Talk()
+		w.PeerDelay()
 		for i := range 9 {
 			w.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
 		time.Sleep(8 * time.Second)
 		var jobs []*Job
 		for i := range 8 {
-			jobs = append(jobs, w.User(Want{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
+			jobs = append(jobs, w.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
 		}
 		time.Sleep(10 * time.Second)
 		lead := max(0, w.Leader())
 		if seed%2 == 1 { // an owner that does not lead
 			lead = (lead + 1) % 3
 		}
-		w.Store.Refuse(w.Node(lead).Name, true)
-		if x.refused > x.cancels {
-			time.Sleep(x.refused - x.cancels)
+		w.Store.Deny(w.Controller(lead).Name, true)
+		if x.refused > x.cancellations {
+			time.Sleep(x.refused - x.cancellations)
 		}
 		confirmed := 0
 		for k, j := range jobs[:4] {
@@ -61,12 +61,12 @@
 				confirmed++
 				doomed += w.On(j)
 			}
-			time.Sleep(x.cancels / 4)
+			time.Sleep(x.cancellations / 4)
 		}
 		if confirmed == 0 {
 			t.Error("no cancellation was confirmed: the case proves nothing")
 		}
-		if x.refused < x.cancels { // the last of them before
+		if x.refused < x.cancellations { // the last of them before
 			time.Sleep(x.refused)
 		}
 		w.Store.SetDown(true)
@@ -75,31 +75,31 @@
 		killed = w.Stats().LeaseKills
 		w.Store.SetDown(false)
 		for i := range 3 {
-			w.Store.Refuse(fmt.Sprintf("n%d", i), false)
-			if w.Node(i).dead() {
+			w.Store.Deny(fmt.Sprintf("n%d", i), false)
+			if w.Controller(i).ended() {
 				w.Start(i)
 			}
-			w.Node(i).Cut(0)
+			w.Controller(i).Cut(0)
 		}
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
 			if w.On(j) < j.Tasks {
-				shares, _ := w.Node(lead).Core.ShardViews(ctx)
+				shares, _ := w.Controller(lead).Core.ShardViews(ctx)
 				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, w.Told(j), w.On(j), j.Tasks, shares)
 			}
 		}
-		for _, b := range w.Broken() {
+		for _, b := range w.BrokenRules() {
 			t.Error(b)
 		}
 	})
 	return doomed, killed
 }
 
-// TestRefusedAloneThenAll: an owner that the state service refuses alone goes on answering its workers.
+// TestOneDeniedThenAll: an owner that the state service refuses alone goes on answering its workers.
 // What others confirm as cancelled it can't read, and if they can't reach the workers either, nobody stops
 // those tasks: before owners were bound too, they ran on for as long as the outage lasted.
-func TestRefusedAloneThenAll(t *testing.T) {
-	others := func(w *World, lead int, f func(i int)) {
+func TestOneDeniedThenAll(t *testing.T) {
+	others := func(w *Simulation, lead int, f func(i int)) {
 		for i := range 3 {
 			if i != lead {
 				f(i)
@@ -108,18 +108,22 @@
 	}
 	thens := []struct {
 		name string
-		do   func(w *World, lead int)
+		do   func(w *Simulation, lead int)
 	}{
-		{"they live on", func(*World, int) {}},
-		{"they are killed", func(w *World, lead int) { others(w, lead, w.Kill) }},
-		{"they freeze", func(w *World, lead int) { others(w, lead, func(i int) { w.Node(i).StandStill(100 * time.Second) }) }},
-		{"they lose peers and workers", func(w *World, lead int) { others(w, lead, func(i int) { w.Node(i).Cut(NoPeers | NoWorkers) }) }},
-		{"they lose their workers", func(w *World, lead int) { others(w, lead, func(i int) { w.Node(i).Cut(NoWorkers) }) }},
-		{"the leader loses its peers", func(w *World, lead int) {
-			w.Node(lead).Cut(NoPeers)
-			others(w, lead, func(i int) { w.Node(i).Cut(NoWorkers) })
+		{"they live on", func(*Simulation, int) {}},
+		{"they are killed", func(w *Simulation, lead int) { others(w, lead, w.Kill) }},
+		{"they freeze", func(w *Simulation, lead int) {
+			others(w, lead, func(i int) { w.Controller(i).Stall(100 * time.Second) })
 		}},
-		{"all end, one is back within a second", func(w *World, lead int) {
+		{"they lose peers and workers", func(w *Simulation, lead int) {
+			others(w, lead, func(i int) { w.Controller(i).Cut(NoPeers | NoWorkers) })
+		}},
+		{"they lose their workers", func(w *Simulation, lead int) { others(w, lead, func(i int) { w.Controller(i).Cut(NoWorkers) }) }},
+		{"the leader loses its peers", func(w *Simulation, lead int) {
+			w.Controller(lead).Cut(NoPeers)
+			others(w, lead, func(i int) { w.Controller(i).Cut(NoWorkers) })
+		}},
+		{"all end, one is back within a second", func(w *Simulation, lead int) {
 			time.Sleep(3 * time.Second)
 			for i := range 3 {
 				w.Kill(i)
@@ -134,18 +138,18 @@
 		{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
 	} {
 		for _, then := range thens {
-			for _, x := range []apartDay{
-				{refused: 200 * time.Millisecond, cancels: 150 * time.Millisecond, outage: 2},
-				{refused: time.Second, cancels: 600 * time.Millisecond, outage: 1.2},
-				{refused: 3 * time.Second, cancels: 3 * time.Second, outage: 4},
-				{refused: 20 * time.Second, cancels: 300 * time.Millisecond, outage: 1.5},
-				{refused: time.Second, cancels: time.Second, outage: 1.4, old: 1},
-				{refused: 3 * time.Second, cancels: 2 * time.Second, outage: 1.4, old: 2},
+			for _, x := range []isolationDay{
+				{refused: 200 * time.Millisecond, cancellations: 150 * time.Millisecond, outage: 2},
+				{refused: time.Second, cancellations: 600 * time.Millisecond, outage: 1.2},
+				{refused: 3 * time.Second, cancellations: 3 * time.Second, outage: 4},
+				{refused: 20 * time.Second, cancellations: 300 * time.Millisecond, outage: 1.5},
+				{refused: time.Second, cancellations: time.Second, outage: 1.4, old: 1},
+				{refused: 3 * time.Second, cancellations: 2 * time.Second, outage: 1.4, old: 2},
 			} {
 				x.workers = workers
 				seed++
 				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, then.name, x.refused, x.old), func(t *testing.T) {
-					d, killed := playApart(t, seed, x, then.do)
+					d, killed := playIsolated(t, seed, x, then.do)
 					doomed += d
 					t.Logf("%d tasks of cancelled jobs as the outage began, %d killed by leases", d, killed)
 				})
--- a/internal/simulator/back_test.go
+++ b/internal/simulator/back_test.go
@@ -12,30 +12,30 @@
 	"dykeledge/internal/storage"
 )
 
-// TestBackAtOnce ends processes that are back within a fraction of a second under the same name, while
+// TestRestartAtOnce ends processes that are back within a fraction of a second under the same name, while
 // their predecessors' holds still live and what those sent is applied late: one node again and again, the
 // leader, the owner the moment that a commit was applied, all in the middle of an election, in an outage.
 // The rules hold, no attempt is used twice, and shares do not wander.
-func TestBackAtOnce(t *testing.T) {
+func TestRestartAtOnce(t *testing.T) {
 	cases := []struct {
 		name  string
-		setup func(w *World, back time.Duration)
-		fault func(w *World, back time.Duration)
+		setup func(w *Simulation, back time.Duration)
+		fault func(w *Simulation, back time.Duration)
 	}{
-		{"one five times in ten seconds", nil, func(w *World, back time.Duration) {
+		{"one five times in ten seconds", nil, func(w *Simulation, back time.Duration) {
 			for range 5 {
 				w.Again(back, 1)
 				time.Sleep(2 * time.Second)
 			}
 		}},
-		{"all, and again in the election", nil, func(w *World, back time.Duration) {
+		{"all, and again in the election", nil, func(w *Simulation, back time.Duration) {
 			w.Again(back, 0, 1, 2)
 			time.Sleep(150 * time.Millisecond)
 			w.Again(back, 0, 1, 2)
 			time.Sleep(900 * time.Millisecond)
 			w.Again(back, 0, 1)
 		}},
-		{"between a commit and its answer", func(w *World, back time.Duration) {
+		{"between a commit and its answer", func(w *Simulation, back time.Duration) {
 			var n atomic.Int32
 			w.After = func(i int, x protocol.Txn) {
 				if slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && n.Add(1)%9 == 0 && n.Load() < 50 {
@@ -44,26 +44,26 @@
 				}
 			}
 		}, nil},
-		{"in an outage", nil, func(w *World, back time.Duration) {
+		{"in an outage", nil, func(w *Simulation, back time.Duration) {
 			w.Store.SetDown(true)
 			w.Again(back+3*time.Second, 0, 1, 2)
 			w.Store.SetDown(false)
 			w.Again(back, 2)
 		}},
-		{"with late transactions and reports", func(w *World, _ time.Duration) {
+		{"with late transactions and reports", func(w *Simulation, _ time.Duration) {
 			w.Late = func(string, protocol.Txn) time.Duration {
-				if w.Rand.IntN(12) == 0 {
-					return time.Duration(500+w.Rand.IntN(6000)) * time.Millisecond
+				if w.Random.IntN(12) == 0 {
+					return time.Duration(500+w.Random.IntN(6000)) * time.Millisecond
 				}
 				return 0
 			}
-			w.LateReports = func(string) time.Duration {
-				if w.Rand.IntN(30) == 0 {
-					return time.Duration(1000+w.Rand.IntN(20000)) * time.Millisecond
+			w.LateHeartbeats = func(string) time.Duration {
+				if w.Random.IntN(30) == 0 {
+					return time.Duration(1000+w.Random.IntN(20000)) * time.Millisecond
 				}
 				return 0
 			}
-		}, func(w *World, back time.Duration) {
+		}, func(w *Simulation, back time.Duration) {
 			for i := range 6 {
 				w.Again(back, i%3)
 				time.Sleep(1500 * time.Millisecond)
@@ -74,9 +74,9 @@
 		for _, x := range cases {
 			t.Run(fmt.Sprintf("%v/%s", back, x.name), func(t *testing.T) {
 				var hands atomic.Int32
-				playDay(t, 700+uint64(i), func(w *World) {
-					w.Cfg.Deployment.Workers.CancelS = 36
-					w.Talk()
+				playDay(t, 700+uint64(i), func(w *Simulation) {
+					w.Settings.Deployment.Workers.CancelS = 36
+					w.PeerDelay()
 					records := w.Store.Check
 					w.Store.Check = func(x protocol.Txn) {
 						records(x)
@@ -87,7 +87,7 @@
 					if x.setup != nil {
 						x.setup(w, back)
 					}
-				}, func(w *World) {
+				}, func(w *Simulation) {
 					time.Sleep(5 * time.Second)
 					if x.fault != nil {
 						x.fault(w, back)
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -11,7 +11,7 @@
 )
 
 // AddMachine brings a machine up at once.
-func (w *World) AddMachine(zone string, spot bool) *Machine {
+func (w *Simulation) AddMachine(zone string, spot bool) *Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.newMachine(w.Catalog.Types[0].Name, zone, spot)
@@ -19,10 +19,10 @@
 	return m
 }
 
-func (w *World) newMachine(ty, zone string, spot bool) *Machine {
+func (w *Simulation) newMachine(ty, zone string, spot bool) *Machine {
 	w.names++
-	m := &Machine{Name: fmt.Sprintf("host-%06d", w.names), Zone: zone, Type: ty, Spot: spot, of: w.typeOf(ty),
-		Addr: fmt.Sprintf("10.1.0.%d:9000", w.names), poke: make(chan struct{}, 1), rented: time.Now(), images: map[string]time.Time{}}
+	m := &Machine{Name: fmt.Sprintf("host-%06d", w.names), Zone: zone, Type: ty, Spot: spot, machineType: w.typeOf(ty),
+		Addr: fmt.Sprintf("10.1.0.%d:9000", w.names), wakeUp: make(chan struct{}, 1), provisionedAt: time.Now(), images: map[string]time.Time{}}
 	if w.Listen != nil {
 		m.Addr = w.Listen(m)
 	}
@@ -31,37 +31,37 @@
 }
 
 type cloudLink struct {
-	w      *World
-	n      *Node
-	budget *transport.Budget // nil: none
+	simulation *Simulation
+	controller *ControllerProcess
+	budget     *transport.Budget // nil: none
 }
 
 // cloudTimeout is how long a node waits for the cloud.
 const cloudTimeout = 10 * time.Second
 
 func (l *cloudLink) wait() error {
-	l.n.pause()
+	l.controller.pause()
 	time.Sleep(50 * time.Millisecond)
 	if l.budget != nil {
-		if err := l.budget.Wait(l.w.ctx, 1, 0); err != nil {
+		if err := l.budget.Wait(l.simulation.ctx, 1, 0); err != nil {
 			return protocol.ErrRefused
 		}
 	}
-	l.w.mu.Lock()
-	l.w.CloudCalls++
-	over := l.w.Store.Limited && !l.w.cloudRate.take(1)
+	l.simulation.mu.Lock()
+	l.simulation.CloudCalls++
+	over := l.simulation.Store.Limited && !l.simulation.cloudRate.take(1)
 	if over {
-		l.w.CloudOver++
+		l.simulation.CloudOver++
 	}
-	down := l.w.cloudDown
-	l.w.mu.Unlock()
+	down := l.simulation.cloudDown
+	l.simulation.mu.Unlock()
 	if over {
 		return errOverRate
 	}
 	if down {
 		return protocol.ErrRefused
 	}
-	if l.n.dead() || l.n.cut(NoCloud) {
+	if l.controller.ended() || l.controller.cut(NoCloud) {
 		time.Sleep(5 * time.Second)
 		return protocol.ErrUnknown
 	}
@@ -73,7 +73,7 @@
 	if err := l.wait(); err != nil {
 		return nil, err
 	}
-	c := l.w.Catalog
+	c := l.simulation.Catalog
 	return &c, nil
 }
 
@@ -82,29 +82,29 @@
 	if err := l.wait(); err != nil {
 		return nil, err
 	}
-	w := l.w
-	if w.LateRentals != nil {
-		if d := w.LateRentals(); d > 0 {
+	w := l.simulation
+	if w.LateScaleOuts != nil {
+		if d := w.LateScaleOuts(); d > 0 {
 			go func() {
 				time.Sleep(d)
-				_, _ = w.rent(r) // nobody waits for it any more
+				_, _ = w.scaleOut(r) // nobody waits for it any more
 			}()
 			time.Sleep(2 * time.Second)
 			return nil, protocol.ErrUnknown
 		}
 	}
 	began := time.Now()
-	names, err := w.rent(r)
-	if l.n.overslept(began, cloudTimeout) {
+	names, err := w.scaleOut(r)
+	if l.controller.stalledThrough(began, cloudTimeout) {
 		return nil, protocol.ErrUnknown
 	}
 	return names, err
 }
 
-func (w *World) rent(r protocol.ScaleOutRequest) ([]string, error) {
+func (w *Simulation) scaleOut(r protocol.ScaleOutRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if names, ok := w.charters[r.Name]; ok {
+	if names, ok := w.requestNames[r.Name]; ok {
 		return names, nil
 	}
 	have := 0
@@ -113,7 +113,7 @@
 			have++
 		}
 	}
-	n := min(r.Count, w.Cap-have)
+	n := min(r.Count, w.CapacityOf-have)
 	if n <= 0 || !slices.Contains(w.typeOf(r.Type).Zones, r.Zone) {
 		return nil, protocol.ErrNoCapacity
 	}
@@ -121,8 +121,8 @@
 	for range n {
 		m := w.newMachine(r.Type, r.Zone, r.Spot)
 		names = append(names, m.Name)
-		boot := w.fast(seconds(m.of.BootS * (0.5 + w.Rand.Float64())))
-		switch p := w.Rand.Float64(); {
+		boot := w.fast(seconds(m.machineType.BootS * (0.5 + w.Random.Float64())))
+		switch p := w.Random.Float64(); {
 		case w.Boot != nil:
 			boot = w.Boot()
 		case p < w.NeverBoots:
@@ -134,8 +134,8 @@
 			w.boot(m, boot)
 		}
 	}
-	w.charters[r.Name] = names
-	if w.Rand.IntN(4) == 0 {
+	w.requestNames[r.Name] = names
+	if w.Random.IntN(4) == 0 {
 		return nil, protocol.ErrUnknown
 	}
 	return names, nil
@@ -147,18 +147,18 @@
 		return err
 	}
 	began := time.Now()
-	l.w.mu.Lock()
+	l.simulation.mu.Lock()
 	for _, n := range names {
-		if m := l.w.machines[n]; m != nil {
+		if m := l.simulation.machines[n]; m != nil {
 			if !m.gone {
-				l.w.remove(m)
-				l.w.charge(m)
+				l.simulation.remove(m)
+				l.simulation.charge(m)
 			}
 			m.failed = time.Time{} // a failed one is listed until now
 		}
 	}
-	l.w.mu.Unlock()
-	if l.n.overslept(began, cloudTimeout) {
+	l.simulation.mu.Unlock()
+	if l.controller.stalledThrough(began, cloudTimeout) {
 		return protocol.ErrUnknown
 	}
 	return nil
@@ -170,14 +170,14 @@
 	if err := l.wait(); err != nil {
 		return out, err
 	}
-	lag := seconds(l.w.Cfg.Deployment.Cloud.ListLagS)
-	if l.w.ListLag != nil {
-		lag = l.w.ListLag()
+	lag := seconds(l.simulation.Settings.Deployment.Cloud.ListLagS)
+	if l.simulation.ListLag != nil {
+		lag = l.simulation.ListLag()
 	}
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	for _, m := range l.w.machines {
-		if m.Name > after && (!m.gone || !m.failed.IsZero()) && time.Since(m.rented) > lag {
+	l.simulation.mu.Lock()
+	defer l.simulation.mu.Unlock()
+	for _, m := range l.simulation.machines {
+		if m.Name > after && (!m.gone || !m.failed.IsZero()) && time.Since(m.provisionedAt) > lag {
 			st := "booting"
 			switch {
 			case !m.failed.IsZero() && time.Since(m.failed) > failsShown:
@@ -186,7 +186,7 @@
 				st = "running"
 			}
 			out.Machines = append(out.Machines, protocol.CloudMachine{ID: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
-				Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
+				Spot: m.Spot, Status: st, AgeS: time.Since(m.provisionedAt).Seconds()})
 		}
 	}
 	slices.SortFunc(out.Machines, func(a, b protocol.CloudMachine) int { return strings.Compare(a.ID, b.ID) })
@@ -203,46 +203,46 @@
 const leastCharged = time.Minute
 
 // charge adds up what a machine has cost, once it is gone.
-func (w *World) charge(m *Machine) {
-	held := time.Since(m.rented)
+func (w *Simulation) charge(m *Machine) {
+	held := time.Since(m.provisionedAt)
 	if m.failed.IsZero() {
 		held = max(held, leastCharged)
 	}
-	w.spent += held.Hours() * m.price()
+	w.costSpent += held.Hours() * m.price()
 }
 
 func (m *Machine) price() float64 {
 	if m.Spot {
-		return m.of.SpotPrice
+		return m.machineType.SpotPrice
 	}
-	return m.of.Price
+	return m.machineType.Price
 }
 
-// Spent is what all machines have cost so far, at the catalog's prices; those that are
+// CostSpent is what all machines have cost so far, at the catalog's prices; those that are
 // still there are charged up to now.
-func (w *World) Spent() float64 {
+func (w *Simulation) CostSpent() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	sum := w.spent
+	sum := w.costSpent
 	for _, m := range w.machines {
 		if !m.gone {
-			sum += time.Since(m.rented).Hours() * m.price()
+			sum += time.Since(m.provisionedAt).Hours() * m.price()
 		}
 	}
 	return sum
 }
 
 // LimitCloud makes the cloud enforce its rate, where the store enforces its own.
-func (w *World) LimitCloud(rps float64) { w.cloudRate = bucket{rate: rps, burst: 2 * rps} }
+func (w *Simulation) LimitCloud(rps float64) { w.cloudRate = bucket{rate: rps, burst: 2 * rps} }
 
 // SetCloudDown begins or ends an outage of the cloud.
-func (w *World) SetCloudDown(down bool) {
+func (w *Simulation) SetCloudDown(down bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cloudDown = down
 }
 
-func (w *World) typeOf(name string) protocol.MachineType {
+func (w *Simulation) typeOf(name string) protocol.MachineType {
 	for _, t := range w.Catalog.Types {
 		if t.Name == name {
 			return t
--- a/internal/simulator/floods_test.go
+++ b/internal/simulator/floods_test.go
@@ -11,8 +11,8 @@
 	"dykeledge/internal/storage"
 )
 
-// usualOf is what the records say is usual for a class.
-func (w *World) usualOf(class string) (cpus float64) {
+// baselineOf is what the records say is usual for a class.
+func (w *Simulation) baselineOf(class string) (cpus float64) {
 	var r storage.BaselineRecord
 	raw, _ := w.Store.Value(storage.BaselineKey)
 	_ = json.Unmarshal(raw, &r) // none: nothing is usual
@@ -24,34 +24,34 @@
 	return cpus
 }
 
-// TestFloods lets one class of a team ask for ten times what the fleet can run, beside
+// TestOverload lets one class of a team ask for ten times what the fleet can run, beside
 // another class of the same team and one of another that ask for what they always do. Those
 // must hardly notice, whoever ends meanwhile: before, within a team the flood went first as
 // soon as it was older. And the flood must not have become the usual after an end of all nodes.
-func TestFloods(t *testing.T) {
+func TestOverload(t *testing.T) {
 	each := func(f func(int)) {
 		for i := range 3 {
 			f(i)
 		}
 	}
-	lose := func(w *World) {
+	lose := func(w *Simulation) {
 		for i, m := range w.Machines() {
 			if i%3 == 0 {
 				w.Die(m)
 			}
 		}
-		w.Cap = 0
+		w.CapacityOf = 0
 	}
 	for _, x := range []struct {
 		name  string
 		part  float64 // of the flood that must be done in the end
-		fault func(w *World)
+		fault func(w *Simulation)
 	}{
 		{"a third of the machines die", 0.35, lose},
-		{"owner and leader end, one after the other", 0.5, func(w *World) {
+		{"owner and leader end, one after the other", 0.5, func(w *Simulation) {
 			each(func(i int) { w.Kill(i); time.Sleep(6 * time.Second); w.Start(i); time.Sleep(6 * time.Second) })
 		}},
-		{"all nodes end, and a third of the machines", 0.35, func(w *World) {
+		{"all nodes end, and a third of the machines", 0.35, func(w *Simulation) {
 			each(w.Kill)
 			lose(w)
 			time.Sleep(5 * time.Second)
@@ -68,11 +68,11 @@
 				for _, class := range []string{"steady", "flood"} {
 					cfg.Deployment.Objectives = append(cfg.Deployment.Objectives, config.Objective{Kind: "finished", Class: class, WithinS: 60, Share: 0.95})
 				}
-				w := NewWorld(ctx, cfg, 3)
+				w := NewSimulation(ctx, cfg, 3)
 				each(w.Start)
-				w.Talk()
-				w.Cap = 18
-				for i := range w.Cap {
+				w.PeerDelay()
+				w.CapacityOf = 18
+				for i := range w.CapacityOf {
 					w.AddMachine(cfg.Deployment.Zones[i%3], false)
 				}
 				// The steady classes ask for 96 of 288 CPUs, the flood for 48 and then for twenty times that.
@@ -81,14 +81,14 @@
 				for s := range over {
 					if s%2 == 0 && s < over-60 {
 						for _, team := range []string{"red", "blue"} {
-							w.User(Want{Team: team, Class: "steady", Tasks: 2 + w.Rand.IntN(5), Cpus: 2, Run: time.Duration(8+w.Rand.IntN(8)) * time.Second})
+							w.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + w.Random.IntN(5), Cpus: 2, Run: time.Duration(8+w.Random.IntN(8)) * time.Second})
 						}
 					}
 					for range (1 + 19*min(1, s/begins)*(1-min(1, s/ends))) * (1 - s%2) {
-						w.User(Want{Team: "red", Class: "flood", Tasks: 1 + w.Rand.IntN(7), Cpus: 2, Run: time.Duration(4+w.Rand.IntN(16)) * time.Second})
+						w.User(JobSpec{Team: "red", Class: "flood", Tasks: 1 + w.Random.IntN(7), Cpus: 2, Run: time.Duration(4+w.Random.IntN(16)) * time.Second})
 					}
 					if s == begins {
-						before = w.usualOf("flood")
+						before = w.baselineOf("flood")
 					}
 					if s == begins+30 {
 						go x.fault(w)
@@ -102,10 +102,10 @@
 						t.Errorf("%v", s)
 					}
 				}
-				if after := w.usualOf("flood"); before == 0 || after > 1.5*before {
+				if after := w.baselineOf("flood"); before == 0 || after > 1.5*before {
 					t.Errorf("usual of the flood %.0f CPUs before, %.0f after", before, after)
 				}
-				for _, b := range w.Broken() {
+				for _, b := range w.BrokenRules() {
 					t.Error(b)
 				}
 				cancel()
--- a/internal/simulator/front.go
+++ b/internal/simulator/front.go
@@ -11,27 +11,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Front stands in for the load balancer between users and nodes. It works at the connection
+// LoadBalancer stands in for the load balancer between users and nodes. It works at the connection
 // level: each new connection goes to a healthy node, fewer open ones first, and no request
 // is looked at.
-type Front struct {
-	mu    sync.Mutex
-	backs []*back
+type LoadBalancer struct {
+	mu       sync.Mutex
+	backends []*backend
 }
 
-type back struct {
-	node      *Node
-	addr      string
-	conns     map[net.Conn]bool
-	healthy   bool
-	ever      bool
-	bad       []bool // the last six probes
-	good      int    // successes in a row
-	changed   time.Time
-	removed   time.Time
-	pause     time.Duration // before it may become healthy again
-	refused   int           // connections in a row
-	skipUntil time.Time
+type backend struct {
+	node          *ControllerProcess
+	addr          string
+	conns         map[net.Conn]bool
+	healthy       bool
+	everHealthy   bool
+	failedProbes  []bool // the last six probes
+	healthyProbes int    // successes in a row
+	changed       time.Time
+	removed       time.Time
+	pause         time.Duration // before it may become healthy again
+	refused       int           // connections in a row
+	skipUntil     time.Time
 }
 
 // The balancer's timing, as the protocol has it.
@@ -47,18 +47,18 @@
 	triesAConn   = 3
 )
 
-// NewFront makes a balancer; AddNode adds the nodes, then Run probes and Serve serves.
-func NewFront() *Front { return &Front{} }
+// NewLoadBalancer makes a balancer; AddController adds the nodes, then Run probes and Serve serves.
+func NewLoadBalancer() *LoadBalancer { return &LoadBalancer{} }
 
-// AddNode adds a node that listens at an address.
-func (f *Front) AddNode(n *Node, addr string) {
-	f.backs = append(f.backs, &back{node: n, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
+// AddController adds a node that listens at an address.
+func (f *LoadBalancer) AddController(n *ControllerProcess, addr string) {
+	f.backends = append(f.backends, &backend{node: n, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
 }
 
 // Run probes the nodes until ctx ends.
-func (f *Front) Run(ctx context.Context) {
+func (f *LoadBalancer) Run(ctx context.Context) {
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1}
-	for _, b := range f.backs {
+	for _, b := range f.backends {
 		go func() {
 			for ctx.Err() == nil {
 				ok := false
@@ -83,36 +83,36 @@
 }
 
 // probed takes a probe's outcome.
-func (f *Front) probed(b *back, ok bool, now time.Time) {
+func (f *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b.bad = append(b.bad, !ok)
-	if len(b.bad) > 6 {
-		b.bad = b.bad[1:]
+	b.failedProbes = append(b.failedProbes, !ok)
+	if len(b.failedProbes) > 6 {
+		b.failedProbes = b.failedProbes[1:]
 	}
-	b.good++
+	b.healthyProbes++
 	if !ok {
-		b.good = 0
+		b.healthyProbes = 0
 	}
 	failed := 0
-	for _, x := range b.bad {
+	for _, x := range b.failedProbes {
 		if x {
 			failed++
 		}
 	}
-	n := len(b.bad)
+	n := len(b.failedProbes)
 	switch {
-	case b.healthy && !ok && (n >= 2 && b.bad[n-2] || failed >= 3):
+	case b.healthy && !ok && (n >= 2 && b.failedProbes[n-2] || failed >= 3):
 		if !b.removed.IsZero() && now.Sub(b.removed) < forgiveAfter {
 			b.pause = min(longestPause, 2*b.pause)
 		} else {
 			b.pause = firstPause
 		}
 		b.healthy, b.changed, b.removed = false, now, now
-	case !b.healthy && ok && (!b.ever || b.good >= 2 && now.Sub(b.changed) >= b.pause):
-		b.healthy, b.ever, b.changed, b.bad = true, true, now, nil
+	case !b.healthy && ok && (!b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.changed) >= b.pause):
+		b.healthy, b.everHealthy, b.changed, b.failedProbes = true, true, now, nil
 	}
-	if !b.healthy && b.ever && now.Sub(b.changed) > resetAfter {
+	if !b.healthy && b.everHealthy && now.Sub(b.changed) > resetAfter {
 		for c := range b.conns {
 			_ = c.Close() // a reset: its user connects anew
 		}
@@ -121,12 +121,12 @@
 }
 
 // pick chooses a node for a new connection, leaving out those that were tried.
-func (f *Front) pick(tried []*back, now time.Time) *back {
+func (f *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var best *back
+	var best *backend
 	least := 0.0
-	for _, b := range f.backs {
+	for _, b := range f.backends {
 		if !b.healthy || now.Before(b.skipUntil) || slices.Contains(tried, b) {
 			continue
 		}
@@ -139,7 +139,7 @@
 }
 
 // Serve takes users' connections until the listener is closed.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *LoadBalancer) Serve(ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -149,9 +149,9 @@
 	}
 }
 
-func (f *Front) join(c net.Conn) {
+func (f *LoadBalancer) join(c net.Conn) {
 	defer c.Close()
-	var tried []*back
+	var tried []*backend
 	for range triesAConn {
 		b := f.pick(tried, time.Now())
 		if b == nil {
@@ -177,7 +177,7 @@
 		b.refused = 0
 		b.conns[c] = true
 		f.mu.Unlock()
-		splice(c, to, Way{Held: func() bool { return b.node.cut(NoUsers) }})
+		splice(c, to, Direction{Held: func() bool { return b.node.cut(NoUsers) }})
 		f.mu.Lock()
 		delete(b.conns, c)
 		f.mu.Unlock()
@@ -185,15 +185,15 @@
 	}
 }
 
-// Way is what lies between two ends of connections.
-type Way struct {
+// Direction is what lies between two ends of connections.
+type Direction struct {
 	Held  func() bool          // whether bytes are held back now; they go out in order afterwards
 	Delay func() time.Duration // how long a piece of bytes takes; nil: no time
 	Meter *Meter               // nil: nothing is counted
 }
 
 // splice passes on what both sides send until either ends.
-func splice(a, b net.Conn, way Way) {
+func splice(a, b net.Conn, way Direction) {
 	var wg sync.WaitGroup
 	pass := func(to, from net.Conn) {
 		defer wg.Done()
@@ -225,7 +225,7 @@
 }
 
 // Relay passes connections between two nodes on, so that the way between them can be cut.
-func Relay(ln net.Listener, to string, way Way) error {
+func Relay(ln net.Listener, to string, way Direction) error {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
--- a/internal/simulator/front_test.go
+++ b/internal/simulator/front_test.go
@@ -24,14 +24,14 @@
 		{"each removal doubles the pause", "+--+++--++++++++", "hh...hh......hhh"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := NewFront()
-			f.AddNode(&Node{Name: "n"}, "127.0.0.1:1")
+			f := NewLoadBalancer()
+			f.AddController(&ControllerProcess{Name: "n"}, "127.0.0.1:1")
 			now := time.Unix(1e9, 0)
 			got := ""
 			for _, p := range c.probes {
 				now = now.Add(time.Second)
-				f.probed(f.backs[0], p == '+', now)
-				if f.backs[0].healthy {
+				f.probed(f.backends[0], p == '+', now)
+				if f.backends[0].healthy {
 					got += "h"
 				} else {
 					got += "."
--- a/internal/simulator/hall_test.go
+++ b/internal/simulator/hall_test.go
@@ -11,11 +11,11 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestHall plays services of top priority over arrays that save, on machines whose accelerators bind,
+// TestGPUCluster plays services of top priority over arrays that save, on machines whose accelerators bind,
 // with images that take as long as a boot, one team and so one share, three small nodes: bursts, a
 // zone that is cut off and goes on inside, dead and taken machines, owners that end, an end of all in an outage. All
 // rules hold, services are back within a minute and a half, and no array is starved.
-func TestHall(t *testing.T) {
+func TestGPUCluster(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -28,30 +28,30 @@
 				d.Cloud = config.Cloud{RPS: 6, ListLagS: 3}
 				d.Objectives = []config.Objective{{Kind: "wait", Class: "serve", WithinS: 40, Share: 0.92},
 					{Kind: "finished", Class: "sweep", WithinS: 180, Share: 0.9}, {Kind: "finished", Class: "sweep", WithinS: 300, Share: 0.95}}
-				w := NewWorld(ctx, cfg, 500+seed)
+				w := NewSimulation(ctx, cfg, 500+seed)
 				w.Catalog.Types = []protocol.MachineType{{Name: "g8", Cpus: 48, Gpus: 8, MemGB: 384, CacheGB: 50, FetchGBs: 0.25,
 					Price: 21.54, SpotPrice: 6.58, BootS: 45, Zones: d.Zones}}
-				w.Boot = func() time.Duration { return time.Duration(27+w.Rand.IntN(40)) * time.Second }
-				w.Cap = 60
+				w.Boot = func() time.Duration { return time.Duration(27+w.Random.IntN(40)) * time.Second }
+				w.CapacityOf = 60
 				w.Store.Limit(d.State.RPS, d.State.WriteRPS)
 				w.Store.MaxValue, w.Store.MaxOps = 8<<10, 8
 				w.cloudRate = bucket{rate: d.Cloud.RPS, burst: 2 * d.Cloud.RPS}
 				for i := range 3 {
 					w.Start(i)
 				}
-				w.Talk()
+				w.PeerDelay()
 				time.Sleep(2 * time.Second)
 				var services, arrays []*Job
 				serve := func() {
-					n := []int{3, 3, 6, 8}[w.Rand.IntN(4)]
-					img := w.Rand.IntN(6)
-					services = append(services, w.User(Want{Team: "hall", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: n, Cpus: 4, Gpus: 1,
+					n := []int{3, 3, 6, 8}[w.Random.IntN(4)]
+					img := w.Random.IntN(6)
+					services = append(services, w.User(JobSpec{Team: "hall", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: n, Cpus: 4, Gpus: 1,
 						MemGB: 29, Image: fmt.Sprint("serve-", img), ImageGB: float64(4 + 2*img), NoSpot: true, Scatter: true}))
 				}
 				sweep := func() {
-					img := w.Rand.IntN(8)
-					arrays = append(arrays, w.User(Want{Team: "hall", Class: "sweep", Urgency: "low", Tasks: 8 + w.Rand.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
-						Image: fmt.Sprint("sweep-", img), ImageGB: float64(3 + img), Run: time.Duration(30+w.Rand.IntN(60)) * time.Second, Mark: 15}))
+					img := w.Random.IntN(8)
+					arrays = append(arrays, w.User(JobSpec{Team: "hall", Class: "sweep", Urgency: "low", Tasks: 8 + w.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
+						Image: fmt.Sprint("sweep-", img), ImageGB: float64(3 + img), Run: time.Duration(30+w.Random.IntN(60)) * time.Second, CheckpointS: 15}))
 				}
 				for range 8 {
 					serve()
@@ -69,17 +69,17 @@
 						for range 6 {
 							serve()
 						}
-						w.CutZone(d.Zones[w.Rand.IntN(3)])
+						w.PartitionZone(d.Zones[w.Random.IntN(3)])
 						w.Again(5*time.Second, int(seed)%3)
 						time.Sleep(30 * time.Second)
-						w.CutZone("")
+						w.PartitionZone("")
 					case 16:
 						for k, m := range ms {
 							if k%7 == 0 {
 								w.Die(m)
 							}
 							if m.Spot && k%3 == 0 {
-								w.Set(m, Notice(time.Duration(w.Rand.IntN(20))*time.Second))
+								w.Set(m, PreemptionNotice(time.Duration(w.Random.IntN(20))*time.Second))
 							}
 						}
 					case 20: // an end of all within an outage
@@ -97,10 +97,10 @@
 					up += w.On(j)
 				}
 				w.awaitAll(t, arrays, 400)
-				for _, b := range w.Broken() {
+				for _, b := range w.BrokenRules() {
 					t.Error(b)
 				}
-				t.Logf("%d of %d replicas up, arrays done after %v, %d starts, %d changes, %d killed by leases", up, want, time.Since(w.T0), w.Started, w.Store.Writes, w.LeaseKills)
+				t.Logf("%d of %d replicas up, arrays done after %v, %d starts, %d changes, %d killed by leases", up, want, time.Since(w.StartTime), w.Started, w.Store.Writes, w.LeaseKills)
 				if up < want*95/100 {
 					t.Errorf("%d of %d replicas are up", up, want)
 				}
--- a/internal/simulator/handover_test.go
+++ b/internal/simulator/handover_test.go
@@ -7,7 +7,7 @@
 
 // After an end of all nodes the first one that was back took every share and kept them until
 // membership had been quiet for 8 s: 1235 machines on one node, which could not keep up.
-func TestSharesPartSoonAfterAnEndOfAllNodes(t *testing.T) {
+func TestShardsMoveSoonAfterAnEndOfAllControllers(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		after time.Duration // between the first node and the others
@@ -17,7 +17,7 @@
 		{"the others are back when the first has settled", 6 * time.Second, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			playDay(t, 3, nil, func(w *World) {
+			playDay(t, 3, nil, func(w *Simulation) {
 				time.Sleep(8 * time.Second)
 				for i := range 3 {
 					w.Kill(i)
@@ -42,8 +42,8 @@
 }
 
 // owners counts the nodes that own shares.
-func (w *World) owners(t *testing.T) int {
-	shares, err := w.Node(1).Core.ShardViews(w.ctx)
+func (w *Simulation) owners(t *testing.T) int {
+	shares, err := w.Controller(1).Core.ShardViews(w.ctx)
 	if err != nil {
 		t.Error(err)
 	}
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -19,9 +19,9 @@
 	maxListed     = 1000
 	maxBlock      = time.Minute
 	maxTxn        = 64 << 10
-	minHold       = 100 * time.Millisecond
-	maxHold       = 10 * time.Minute
-	heldFollow    = 30 * time.Second // a follow that an outage holds up is given up after as long
+	minLease      = 100 * time.Millisecond
+	maxLease      = 10 * time.Minute
+	pendingWatch  = 30 * time.Second // a follow that an outage holds up is given up after as long
 	defaultListed = 200
 )
 
@@ -59,11 +59,11 @@
 }
 
 // Open is a way to the store for one caller; node, if not nil, may be cut off from it.
-func (s *Store) Open(node *Node) *StoreLink {
+func (s *Store) Open(node *ControllerProcess) *StoreLink {
 	if node == nil {
-		node = &Node{Name: "http"}
+		node = &ControllerProcess{Name: "http"}
 	}
-	return &StoreLink{store: s, node: node}
+	return &StoreLink{store: s, controller: node}
 }
 
 // ServeState serves one node's way to a store over HTTP, as the state service does. It
@@ -127,7 +127,7 @@
 			return malformed(c, "no ttlMs")
 		}
 		ttl := time.Duration(in.TTL) * time.Millisecond
-		if ttl < minHold || ttl > maxHold {
+		if ttl < minLease || ttl > maxLease {
 			return malformed(c, "ttlMs is not between 100 and 600000")
 		}
 		id, err := l.Grant(context.Background(), ttl)
@@ -154,7 +154,7 @@
 		if err != nil || err2 != nil || wait < 0 || wait > maxBlock {
 			return malformed(c, "from or blockMs is out of range")
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), wait+heldFollow)
+		ctx, cancel := context.WithTimeout(context.Background(), wait+pendingWatch)
 		defer cancel()
 		ev, err := l.Watch(ctx, strings.Clone(c.Query("starts")), from, wait)
 		if err != nil {
@@ -166,8 +166,8 @@
 }
 
 // ServeCloud serves one node's way to the world's cloud over HTTP. It ends with the listener.
-func (w *World) ServeCloud(n *Node, ln net.Listener) error {
-	l := &cloudLink{w: w, n: n}
+func (w *Simulation) ServeCloud(n *ControllerProcess, ln net.Listener) error {
+	l := &cloudLink{simulation: w, controller: n}
 	app := newApp()
 	app.Get("/catalog", func(c *fiber.Ctx) error {
 		cat, err := l.Catalog(context.Background())
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -9,11 +9,11 @@
 	"dykeledge/internal/config"
 )
 
-// TestLargeWorld plays hundreds of machines and thousands of tasks against a state
+// TestLargeSimulation plays hundreds of machines and thousands of tasks against a state
 // service and a cloud that refuse what is over their rates, through a wave of lost machines, a
 // takeover and the restart of all nodes. One record a machine took 2 changes a
 // finished task, more than the service allows at this size.
-func TestLargeWorld(t *testing.T) {
+func TestLargeSimulation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, up, rentable = 5, 120, 260
 		ctx, cancel := context.WithCancel(t.Context())
@@ -22,8 +22,8 @@
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
-		w := NewWorld(ctx, cfg, 3)
-		w.Cap = rentable
+		w := NewSimulation(ctx, cfg, 3)
+		w.CapacityOf = rentable
 		w.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		w.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
 		for i := range nodes {
@@ -35,7 +35,7 @@
 		var jobs []*Job
 		tasks := 0
 		for i := range 110 {
-			x := Want{Team: cfg.Deployment.Teams[i%5].Name, Tasks: 20 + w.Rand.IntN(50), Cpus: 4, Run: time.Duration(8+w.Rand.IntN(10)) * time.Second}
+			x := JobSpec{Team: cfg.Deployment.Teams[i%5].Name, Tasks: 20 + w.Random.IntN(50), Cpus: 4, Run: time.Duration(8+w.Random.IntN(10)) * time.Second}
 			switch {
 			case i%9 == 0:
 				x.Urgency, x.Cpus, x.NoSpot = "high", 2, true
@@ -66,14 +66,14 @@
 			}
 		}
 		w.awaitAll(t, jobs, 120)
-		for _, b := range w.Broken() {
+		for _, b := range w.BrokenRules() {
 			t.Error(b)
 		}
-		t.Logf("%d tasks, %d starts, %d changes, %d requests, %d over the rate, %v", tasks, w.Started, w.Store.Writes, w.Store.Requests, w.Store.Over, time.Since(w.T0))
+		t.Logf("%d tasks, %d starts, %d changes, %d requests, %d over the rate, %v", tasks, w.Started, w.Store.Writes, w.Store.Requests, w.Store.OverRate, time.Since(w.StartTime))
 		if perTask := float64(w.Store.Writes) / float64(tasks); perTask > 1 {
 			t.Errorf("%.2f changes a task", perTask)
 		}
-		if part := float64(w.Store.Over) / float64(w.Store.Requests); part > 0.02 {
+		if part := float64(w.Store.OverRate) / float64(w.Store.Requests); part > 0.02 {
 			t.Errorf("%.3f of the requests were over the rate", part)
 		}
 		t.Logf("%d calls of the cloud, %d over its rate", w.CloudCalls, w.CloudOver)
@@ -85,11 +85,11 @@
 	})
 }
 
-// TestGuestsFlood lets a guest team flood the home teams: idle-time work for the whole
+// TestGuestsOverload lets a guest team flood the home teams: idle-time work for the whole
 // fleet, one array of thousands of tasks and hundreds of single ones within 40 s, while
 // two nodes end. Nodes without shares refused the guests for want of a rate that
 // others left unused, and the home teams waited behind idle-time work.
-func TestGuestsFlood(t *testing.T) {
+func TestGuestsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 5
 		ctx, cancel := context.WithCancel(t.Context())
@@ -97,27 +97,27 @@
 		cfg.Deployment.Controllers = nodes
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
-		w := NewWorld(ctx, cfg, 3)
-		w.Cap = 80
+		w := NewSimulation(ctx, cfg, 3)
+		w.CapacityOf = 80
 		w.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		w.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
 		for i := range nodes {
 			w.Start(i)
 		}
-		w.Talk()
+		w.PeerDelay()
 		for i := range 60 {
 			w.AddMachine(cfg.Deployment.Zones[i%3], i%2 == 0)
 		}
 		time.Sleep(3 * time.Second)
-		idle := w.User(Want{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, Mark: 10})
-		giant := w.User(Want{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
+		idle := w.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, CheckpointS: 10})
+		giant := w.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
 		time.Sleep(5 * time.Second)
 		before := w.Store.Writes
 		var home, singles []*Job
 		for i := range 800 {
-			singles = append(singles, w.User(Want{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
+			singles = append(singles, w.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
 			if i%40 == 0 {
-				home = append(home, w.User(Want{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
+				home = append(home, w.User(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
 			}
 			if i == 300 || i == 600 {
 				w.Kill(i / 300)
@@ -126,18 +126,18 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		w.awaitAll(t, home, 60)
-		t.Logf("home teams done after %v", time.Since(w.T0))
+		t.Logf("home teams done after %v", time.Since(w.StartTime))
 		w.awaitAll(t, append(singles, giant), 200)
 		t.Logf("guests done after %v; %.2f changes a single job with all others, %d of %d requests over the rate, %d of the idle-time tasks on machines",
-			time.Since(w.T0), float64(w.Store.Writes-before)/800, w.Store.Over, w.Store.Requests, w.On(idle))
-		for _, b := range w.Broken() {
+			time.Since(w.StartTime), float64(w.Store.Writes-before)/800, w.Store.OverRate, w.Store.Requests, w.On(idle))
+		for _, b := range w.BrokenRules() {
 			t.Error(b)
 		}
 		if each := float64(w.Store.Writes-before) / 800; each > 5 {
 			t.Errorf("%.2f changes a single job", each)
 		}
-		if w.Store.Over*50 > w.Store.Requests {
-			t.Errorf("%d of %d requests were over the rate", w.Store.Over, w.Store.Requests)
+		if w.Store.OverRate*50 > w.Store.Requests {
+			t.Errorf("%d of %d requests were over the rate", w.Store.OverRate, w.Store.Requests)
 		}
 		cancel()
 		time.Sleep(time.Minute)
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -22,14 +22,14 @@
 // All nodes ended 2 s before an outage of 20 s: nobody knew the workers' token, every
 // report was refused, and 4225 tasks were killed by their leases. Now newborn nodes keep the
 // leases up, but not for so long that a task outlives its job's cancellation, whose last witness ended.
-func TestLeasesOverAnEndOfAllNodes(t *testing.T) {
-	all := func(w *World, f func(i int)) {
+func TestLeasesOverAnEndOfAllControllers(t *testing.T) {
+	all := func(w *Simulation, f func(i int)) {
 		for i := range 3 {
 			f(i)
 		}
 	}
 	// endIn ends all nodes, begins an outage, and starts them again in it.
-	endIn := func(w *World, outage time.Duration, again time.Duration) {
+	endIn := func(w *Simulation, outage time.Duration, again time.Duration) {
 		all(w, w.Kill)
 		w.Store.SetDown(true)
 		time.Sleep(5 * time.Second)
@@ -62,17 +62,17 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			ran := 0
-			playDay(t, 5, func(w *World) {
-				w.Cfg.Deployment.Workers.LeaseS, w.Cfg.Deployment.Workers.CancelS = x.lease, x.cancel
-				w.Talk()
-			}, func(w *World) {
+			playDay(t, 5, func(w *Simulation) {
+				w.Settings.Deployment.Workers.LeaseS, w.Settings.Deployment.Workers.CancelS = x.lease, x.cancel
+				w.PeerDelay()
+			}, func(w *Simulation) {
 				time.Sleep(9 * time.Second)
 				if x.cancelled {
 					cancelUnseen(t, w, func() {})
 				}
 				ran = w.Running()
 				endIn(w, x.outage, x.again)
-			}, func(w *World) {
+			}, func(w *Simulation) {
 				if ran == 0 {
 					t.Error("no task ran when the nodes ended: the case proves nothing")
 				}
@@ -86,8 +86,8 @@
 
 // cancelUnseen has a job cancelled, whose user is told, and cuts all nodes off from the workers
 // before any of them has sent a stop.
-func cancelUnseen(t *testing.T, w *World, then func()) {
-	j := w.User(Want{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
+func cancelUnseen(t *testing.T, w *Simulation, then func()) {
+	j := w.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
 	for range 400 { // where machines are still coming up it waits for room first
 		if time.Sleep(100 * time.Millisecond); w.On(j) == 3 {
 			break
@@ -97,13 +97,13 @@
 		for _, c := range tx.Then {
 			if c.Put == storage.JobKey(j.ID) && strings.Contains(string(c.Value), `"cancelled"`) {
 				for i := range 3 {
-					w.Node(i).Cut(NoWorkers)
+					w.Controller(i).Cut(NoWorkers)
 				}
 				then()
 			}
 		}
 	}
-	w.CallOff(j)
+	w.CancelNow(j)
 	for range 2000 {
 		time.Sleep(5 * time.Millisecond)
 		if w.Told(j) == protocol.Cancelled {
@@ -123,16 +123,16 @@
 		for seed := range uint64(8) {
 			read, ends := seed%2 == 0, int(seed/2) // there is no node 3: none ends
 			t.Run(fmt.Sprintf("%v/others have read it %v/node %d ends", outage, read, ends), func(t *testing.T) {
-				playDay(t, seed, func(w *World) {
-					w.Cfg.Deployment.Workers.CancelS = 36
-					w.Talk()
-				}, func(w *World) {
+				playDay(t, seed, func(w *Simulation) {
+					w.Settings.Deployment.Workers.CancelS = 36
+					w.PeerDelay()
+				}, func(w *Simulation) {
 					time.Sleep(4 * time.Second)
 					cancelUnseen(t, w, func() { w.Store.SetDown(!read) })
 					time.Sleep(200 * time.Millisecond)
 					w.Store.SetDown(true)
 					for i := range 3 {
-						w.Node(i).Cut(0)
+						w.Controller(i).Cut(0)
 					}
 					time.Sleep(4 * time.Second)
 					if ends < 3 {
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -17,10 +17,10 @@
 )
 
 // operator changes a team's limit through any node that lives, until it is done or refused for good.
-func (w *World) operator(t *testing.T, team string, cpusMax float64) {
+func (w *Simulation) operator(t *testing.T, team string, cpusMax float64) {
 	t.Helper()
 	for range 200 {
-		core := w.Node(w.Rand.IntN(3)).Core
+		core := w.Controller(w.Random.IntN(3)).Core
 		views, err := core.Teams(w.ctx)
 		for _, v := range views {
 			if v.Name != team {
@@ -38,9 +38,9 @@
 }
 
 // stateOf is a team's state as a node tells it, "" where none does.
-func (w *World) stateOf(team string) string {
+func (w *Simulation) stateOf(team string) string {
 	for i := range 3 {
-		views, err := w.Node(i).Core.Teams(w.ctx)
+		views, err := w.Controller(i).Core.Teams(w.ctx)
 		if err != nil {
 			continue
 		}
@@ -59,35 +59,35 @@
 func TestLimitsChangeWhileItServes(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		trouble func(w *World, step int)
+		trouble func(w *Simulation, step int)
 	}{
-		{"no trouble", func(*World, int) {}},
-		{"owners end", func(w *World, step int) { w.Again(time.Duration(w.Rand.IntN(4000))*time.Millisecond, step%3) }},
-		{"nodes stand still over changes", func(w *World, step int) {
-			w.Node(step % 3).StandStill(time.Duration(2+w.Rand.IntN(9)) * time.Second)
+		{"no trouble", func(*Simulation, int) {}},
+		{"owners end", func(w *Simulation, step int) { w.Again(time.Duration(w.Random.IntN(4000))*time.Millisecond, step%3) }},
+		{"nodes stand still over changes", func(w *Simulation, step int) {
+			w.Controller(step % 3).Stall(time.Duration(2+w.Random.IntN(9)) * time.Second)
 		}},
-		{"an outage, and a node refused alone", func(w *World, step int) {
+		{"an outage, and a node refused alone", func(w *Simulation, step int) {
 			if step%2 == 0 {
 				w.Store.SetDown(true)
 				time.Sleep(4 * time.Second)
 				w.Store.SetDown(false)
 				return
 			}
-			w.Store.Refuse(w.Node(step%3).Name, true)
+			w.Store.Deny(w.Controller(step%3).Name, true)
 			time.Sleep(6 * time.Second)
-			w.Store.Refuse(w.Node(step%3).Name, false)
+			w.Store.Deny(w.Controller(step%3).Name, false)
 		}},
 	} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
 				var evicted, lowered atomic.Int32
-				playDay(t, 700+seed, func(w *World) {
-					w.Cap = 8
+				playDay(t, 700+seed, func(w *Simulation) {
+					w.CapacityOf = 8
 					w.Late = func(string, protocol.Txn) time.Duration {
-						if w.Rand.IntN(60) > 0 {
+						if w.Random.IntN(60) > 0 {
 							return 0
 						}
-						return time.Duration(500+w.Rand.IntN(8000)) * time.Millisecond
+						return time.Duration(500+w.Random.IntN(8000)) * time.Millisecond
 					}
 					records := w.Store.Check
 					w.Store.Check = func(t protocol.Txn) {
@@ -102,15 +102,15 @@
 							}
 						}
 					}
-				}, func(w *World) {
-					w.Talk()
+				}, func(w *Simulation) {
+					w.PeerDelay()
 					for step, limit := range []float64{60, 24, 80, 20, 30, 18, 60, 16, 40} {
 						w.operator(t, "red", limit)
 						x.trouble(w, step)
-						time.Sleep(time.Duration(1+w.Rand.IntN(4)) * time.Second)
+						time.Sleep(time.Duration(1+w.Random.IntN(4)) * time.Second)
 					}
 					w.operator(t, "red", 40)
-				}, func(w *World) {
+				}, func(w *Simulation) {
 					if state := w.stateOf("red"); state != coordination.TeamInForce {
 						t.Errorf("the last limit is %q", state)
 					}
@@ -129,26 +129,26 @@
 func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 760+seed, func(w *World) { w.Cap = 8 }, func(w *World) {
-				w.Talk()
-				share := slices.IndexFunc(w.Cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
+			playDay(t, 760+seed, func(w *Simulation) { w.CapacityOf = 8 }, func(w *Simulation) {
+				w.PeerDelay()
+				share := slices.IndexFunc(w.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
 				for range 12 {
 					owner := w.Owner(share)
 					if owner < 0 {
 						time.Sleep(time.Second)
 						continue
 					}
-					slow := w.Node(owner).Name
+					slow := w.Controller(owner).Name
 					w.Store.Slow = func(node string) time.Duration {
 						if node != slow {
 							return 0
 						}
-						return time.Duration(300+w.Rand.IntN(600)) * time.Millisecond
+						return time.Duration(300+w.Random.IntN(600)) * time.Millisecond
 					}
-					w.User(Want{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
-					time.Sleep(time.Duration(100+w.Rand.IntN(900)) * time.Millisecond)
+					w.User(JobSpec{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
+					time.Sleep(time.Duration(100+w.Random.IntN(900)) * time.Millisecond)
 					w.operator(t, "red", 18)
-					time.Sleep(time.Duration(w.Rand.IntN(3000)) * time.Millisecond)
+					time.Sleep(time.Duration(w.Random.IntN(3000)) * time.Millisecond)
 					w.Store.Slow = nil
 					w.operator(t, "red", 40)
 					time.Sleep(2 * time.Second)
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -13,9 +13,9 @@
 
 // StoreLink is one node's way to the store.
 type StoreLink struct {
-	store  *Store
-	node   *Node
-	budget *transport.StateBudget // nil: none
+	store      *Store
+	controller *ControllerProcess
+	budget     *transport.StateBudget // nil: none
 	// Late delays transactions: the caller learns nothing, and they apply later.
 	Late func(protocol.Txn) time.Duration
 	// After, if set, is called once a transaction is applied, before the caller
@@ -32,23 +32,23 @@
 const stateTimeout = 3 * time.Second
 
 func (l *StoreLink) begin(ctx context.Context) error {
-	l.node.pause()
+	l.controller.pause()
 	time.Sleep(2 * time.Millisecond)
 	if l.store.Slow != nil {
-		time.Sleep(l.store.Slow(l.node.Name))
+		time.Sleep(l.store.Slow(l.controller.Name))
 	}
-	if l.node.dead() {
+	if l.controller.ended() {
 		<-ctx.Done()
 		return protocol.ErrUnknown
 	}
-	if l.node.cut(NoState) {
+	if l.controller.cut(NoState) {
 		time.Sleep(2 * time.Second)
 		return protocol.ErrUnknown
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	l.store.expire()
-	if l.store.down || l.store.refused[l.node.Name] {
+	if l.store.down || l.store.denied[l.controller.Name] {
 		return protocol.ErrRefused
 	}
 	if l.store.over() {
@@ -107,7 +107,7 @@
 	l.store.mu.Lock()
 	over := l.store.Limited && !l.store.down && len(t.Then) > 0 && !l.store.rates[1].take(float64(len(t.Then)))
 	if over {
-		l.store.Over++
+		l.store.OverRate++
 	}
 	l.store.mu.Unlock()
 	if over {
@@ -127,9 +127,9 @@
 				defer l.store.mu.Unlock()
 				// Nobody waits for it any more.
 				if _, failed, err := l.store.apply(t); err == nil && len(failed) == 0 {
-					l.node.world.LateDone.Add(1)
+					l.controller.simulation.LateDone.Add(1)
 				} else {
-					l.node.world.LateRefused.Add(1)
+					l.controller.simulation.LateDenied.Add(1)
 				}
 			}()
 			time.Sleep(min(d, time.Second))
@@ -146,7 +146,7 @@
 	if l.After != nil && err == nil && len(failed) == 0 {
 		l.After(t)
 	}
-	if w := l.node.world; w != nil && w.LostAnswers != nil && err == nil && len(t.Then) > 0 && w.LostAnswers(l.node.Name, t) {
+	if w := l.controller.simulation; w != nil && w.LostAnswers != nil && err == nil && len(t.Then) > 0 && w.LostAnswers(l.controller.Name, t) {
 		if len(failed) == 0 {
 			kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
 			w.mu.Lock()
@@ -157,7 +157,7 @@
 		return 0, nil, protocol.ErrUnknown
 	}
 	time.Sleep(2 * time.Millisecond)
-	if l.node.overslept(began, stateTimeout) || l.node.dead() || l.node.cut(NoState|NoAnswers) {
+	if l.controller.stalledThrough(began, stateTimeout) || l.controller.ended() || l.controller.cut(NoState|NoAnswers) {
 		return 0, nil, protocol.ErrUnknown
 	}
 	return rev, failed, err
@@ -205,9 +205,9 @@
 	l.store.mu.Lock()
 	l.store.lastID++
 	id := l.store.lastID
-	l.store.holds[id] = &hold{ttl, time.Now().Add(ttl)}
+	l.store.leases[id] = &lease{ttl, time.Now().Add(ttl)}
 	l.store.mu.Unlock()
-	if l.node.overslept(began, stateTimeout) || l.node.cut(NoAnswers) {
+	if l.controller.stalledThrough(began, stateTimeout) || l.controller.cut(NoAnswers) {
 		return 0, protocol.ErrUnknown
 	}
 	return id, nil
@@ -220,10 +220,10 @@
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
-	if l.store.holds[lease] == nil {
+	if l.store.leases[lease] == nil {
 		return protocol.ErrNoLease
 	}
-	delete(l.store.holds, lease)
+	delete(l.store.leases, lease)
 	l.store.rev++
 	l.store.release(lease)
 	return nil
@@ -253,13 +253,13 @@
 	}
 	began := time.Now()
 	l.store.mu.Lock()
-	h := l.store.holds[lease]
+	h := l.store.leases[lease]
 	if h != nil {
 		h.ends = time.Now().Add(h.ttl)
 	}
 	l.store.mu.Unlock()
 	switch {
-	case l.node.overslept(began, stateTimeout) || l.node.cut(NoAnswers):
+	case l.controller.stalledThrough(began, stateTimeout) || l.controller.cut(NoAnswers):
 		return protocol.ErrUnknown
 	case h == nil:
 		return protocol.ErrNoLease
@@ -279,9 +279,9 @@
 	for {
 		l.store.mu.Lock()
 		l.store.expire()
-		blind := l.store.down || l.store.refused[l.node.Name] || l.node.dead() || l.node.cut(NoState|NoAnswers)
+		blind := l.store.down || l.store.denied[l.controller.Name] || l.controller.ended() || l.controller.cut(NoState|NoAnswers)
 		ev := protocol.Events{Revision: l.store.rev}
-		if from < l.store.cut && !blind {
+		if from < l.store.compactedTo && !blind {
 			l.store.mu.Unlock()
 			return protocol.Events{}, protocol.ErrTooOld
 		}
@@ -300,9 +300,9 @@
 		l.store.mu.Unlock()
 		if !blind && (len(ev.Events) > 0 || time.Now().After(deadline)) {
 			if l.store.Lag != nil {
-				time.Sleep(l.store.Lag(l.node.Name))
+				time.Sleep(l.store.Lag(l.controller.Name))
 			}
-			l.node.pause()
+			l.controller.pause()
 			return ev, nil
 		}
 		t := time.NewTimer(200 * time.Millisecond)
--- a/internal/simulator/meter.go
+++ b/internal/simulator/meter.go
@@ -55,7 +55,7 @@
 
 // StateRequests counts a node's requests to the state service, by kind.
 type StateRequests struct {
-	Reads, Transactions, Leases, Follows atomic.Int64
+	Reads, Transactions, Leases, Watches atomic.Int64
 }
 
 func (r *StateRequests) note(path string) {
@@ -67,6 +67,6 @@
 	case strings.HasPrefix(path, "/holds"):
 		r.Leases.Add(1)
 	case strings.HasPrefix(path, "/follow"):
-		r.Follows.Add(1)
+		r.Watches.Add(1)
 	}
 }
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -16,31 +16,31 @@
 // recordCheck holds every transaction against what the records must never say: a task in two machines' records, an
 // attempt that comes again, a machine in two fleet records. What it costs goes by what a transaction changes.
 type recordCheck struct {
-	world    *World
-	placed   map[string]placement // by task
-	groups   map[int][]string     // by rack: its tasks
-	fleets   map[string][]string  // by fleet record: the machines that it lists
-	listedIn map[string]string    // by machine: the fleet record that lists it
-	used     attempts
+	simulation *Simulation
+	placed     map[string]placement // by task
+	groups     map[int][]string     // by rack: its tasks
+	fleets     map[string][]string  // by fleet record: the machines that it lists
+	listedIn   map[string]string    // by machine: the fleet record that lists it
+	used       attempts
 }
 
-func newRecordCheck(w *World) *recordCheck {
-	return &recordCheck{world: w, placed: map[string]placement{}, groups: map[int][]string{}, fleets: map[string][]string{}, listedIn: map[string]string{}}
+func newRecordCheck(w *Simulation) *recordCheck {
+	return &recordCheck{simulation: w, placed: map[string]placement{}, groups: map[int][]string{}, fleets: map[string][]string{}, listedIn: map[string]string{}}
 }
 
 // note checks a transaction that was applied.
 func (c *recordCheck) note(t protocol.Txn) {
-	c.world.mu.Lock()
-	defer c.world.mu.Unlock()
+	c.simulation.mu.Lock()
+	defer c.simulation.mu.Unlock()
 	for _, reused := range c.used.note(t) {
-		c.world.fault("%s", reused)
+		c.simulation.injectFault("%s", reused)
 	}
 	for _, change := range t.Then {
 		if change.Put == storage.LeaderKey {
-			c.world.newLeader(change.Value)
+			c.simulation.newLeader(change.Value)
 		}
 		c.noteFleet(change)
-		c.world.noteTeam(change)
+		c.simulation.noteTeam(change)
 	}
 	c.noteGroups(t)
 }
@@ -52,12 +52,12 @@
 	}
 	f, err := storage.DecodeFleet(change.Value)
 	if err != nil {
-		c.world.fault("record %s cannot be read", change.Put)
+		c.simulation.injectFault("record %s cannot be read", change.Put)
 	}
 	c.forgetFleet(change.Put)
 	for _, m := range f.Machines {
 		if other, twice := c.listedIn[m.Name]; twice {
-			c.world.fault("records: machine %s is in %s and %s", m.Name, other, change.Put)
+			c.simulation.injectFault("records: machine %s is in %s and %s", m.Name, other, change.Put)
 		}
 		c.listedIn[m.Name] = change.Put
 		c.fleets[change.Put] = append(c.fleets[change.Put], m.Name)
@@ -83,7 +83,7 @@
 		}
 		r, err := storage.DecodeGroup(change.Value)
 		if err != nil {
-			c.world.fault("record %s cannot be read", change.Put)
+			c.simulation.injectFault("record %s cannot be read", change.Put)
 		}
 		written[rack] = r
 	}
@@ -106,7 +106,7 @@
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
 				name := protocol.TaskName(p.Job, int(p.Numbers[i]))
 				if other, twice := c.placed[name]; twice {
-					c.world.fault("records: %s is on %s and %s", name, other.machine, m.Name)
+					c.simulation.injectFault("records: %s is on %s and %s", name, other.machine, m.Name)
 				}
 				c.placed[name] = placement{rack, m.Name}
 				c.groups[rack] = append(c.groups[rack], name)
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -17,40 +17,42 @@
 // This file joins the world with processes outside: nodes and workers that speak HTTP, and
 // descriptions of jobs that users upload.
 
-// beatWithin is how long a worker waits for the answer to a report; a little less than the
+// heartbeatTimeout is how long a worker waits for the answer to a report; a little less than the
 // four seconds after which it drops it.
-const beatWithin = 3900 * time.Millisecond
+const heartbeatTimeout = 3900 * time.Millisecond
 
 // Connect makes node i one that runs elsewhere, in a zone, and listens at an address.
-func (w *World) Connect(i int, name, zone, public string) *Node {
-	n := &Node{Name: name, Zone: zone, world: w, stop: func() {}}
-	callers := &workerClients{address: public, meter: &n.Reports, byName: map[string]*fasthttp.HostClient{}}
-	n.beat = func(_ context.Context, r *protocol.Heartbeat, reply func(int, any)) {
+func (w *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
+	n := &ControllerProcess{Name: name, Zone: zone, simulation: w, stop: func() {}}
+	callers := &workerClients{address: public, meter: &n.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
+	n.handleHeartbeat = func(_ context.Context, r *protocol.Heartbeat, reply func(int, any)) {
 		go func() {
-			w.travel(r.Zone, zone)
+			w.sendDelayed(r.Zone, zone)
 			status, body := callers.report(r)
-			w.travel(zone, r.Zone)
+			w.sendDelayed(zone, r.Zone)
 			reply(status, body)
 		}()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for len(w.nodes) <= i {
-		w.nodes = append(w.nodes, nil)
+	for len(w.controllers) <= i {
+		w.controllers = append(w.controllers, nil)
 	}
-	w.nodes[i] = n
+	w.controllers[i] = n
 	return n
 }
 
-// travel waits for as long as a message takes between two zones.
-func (w *World) travel(from, to string) {
+// sendDelayed waits for as long as a message takes between two zones.
+func (w *Simulation) sendDelayed(from, to string) {
 	if w.Delay != nil {
 		time.Sleep(w.Delay(from, to))
 	}
 }
 
-// ZonesParted tells whether a cut is between two zones.
-func (w *World) ZonesParted(a, b string) bool { return a != b && (w.cutOff(a) || w.cutOff(b)) }
+// ZonesPartitioned tells whether a cut is between two zones.
+func (w *Simulation) ZonesPartitioned(a, b string) bool {
+	return a != b && (w.cutOff(a) || w.cutOff(b))
+}
 
 // Limits of a worker's way to a node.
 const (
@@ -100,7 +102,7 @@
 	req.Header.SetMethod(fiber.MethodPost)
 	req.SetRequestURI("http://" + c.address + "/agent/beat")
 	req.SetBodyRaw(raw)
-	if err := c.client(r.Machine).DoTimeout(req, resp, beatWithin); err != nil {
+	if err := c.client(r.Machine).DoTimeout(req, resp, heartbeatTimeout); err != nil {
 		return 0, nil
 	}
 	return resp.StatusCode(), json.RawMessage(append([]byte(nil), resp.Body()...))
@@ -108,11 +110,11 @@
 
 // WorkerPorts are the loopback addresses at which the world's workers take direct commands.
 type WorkerPorts struct {
-	w       *World
-	address func(number int) string
-	server  *fasthttp.Server
-	mu      sync.Mutex
-	at      map[string]*Machine
+	simulation *Simulation
+	address    func(number int) string
+	server     *fasthttp.Server
+	mu         sync.Mutex
+	at         map[string]*Machine
 }
 
 // AnyPort lets the system choose each worker's port.
@@ -120,8 +122,8 @@
 
 // ServeWorkers lets every machine that comes from now on listen at a loopback address of its own, which goes by the
 // machine's number. Call Close when the world is over.
-func (w *World) ServeWorkers(address func(number int) string) *WorkerPorts {
-	p := &WorkerPorts{w: w, address: address, at: map[string]*Machine{}}
+func (w *Simulation) ServeWorkers(address func(number int) string) *WorkerPorts {
+	p := &WorkerPorts{simulation: w, address: address, at: map[string]*Machine{}}
 	app := newApp()
 	app.Post("/commands", func(c *fiber.Ctx) error {
 		var in struct {
@@ -138,9 +140,9 @@
 		if !w.reachable(m, true) {
 			return silent(c)
 		}
-		w.travel("", m.Zone) // which zone's node has sent it can't be told
+		w.sendDelayed("", m.Zone) // which zone's node has sent it can't be told
 		w.mu.Lock()
-		r, status := w.obey(m, protocol.DirectCommands{FencingToken: *in.Token, Incarnation: *in.Session, Commands: in.Commands})
+		r, status := w.executeCommand(m, protocol.DirectCommands{FencingToken: *in.Token, Incarnation: *in.Session, Commands: in.Commands})
 		w.mu.Unlock()
 		return c.Status(status).JSON(r)
 	})
@@ -151,7 +153,7 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return c.JSON(w.report(m))
+		return c.JSON(w.sendHeartbeat(m))
 	})
 	p.server = &fasthttp.Server{Handler: app.Handler(), NoDefaultServerHeader: true, IdleTimeout: time.Minute}
 	w.Listen = p.listen
@@ -159,9 +161,9 @@
 }
 
 func (p *WorkerPorts) listen(m *Machine) string {
-	ln, err := net.Listen("tcp4", p.address(p.w.names))
+	ln, err := net.Listen("tcp4", p.address(p.simulation.names))
 	if err != nil {
-		p.w.Log.Error("no port for a worker", "machine", m.Name, "err", err)
+		p.simulation.Log.Error("no port for a worker", "machine", m.Name, "err", err)
 		return "127.0.0.1:1" // nobody listens there: it is reached through its reports only
 	}
 	m.port = ln
@@ -169,8 +171,8 @@
 	defer p.mu.Unlock()
 	p.at[ln.Addr().String()] = m
 	go func() {
-		if err := p.server.Serve(p.w.Commands.Listen(ln)); err != nil && !errors.Is(err, net.ErrClosed) {
-			p.w.Log.Error("a worker's port ended", "machine", m.Name, "err", err)
+		if err := p.server.Serve(p.simulation.Commands.Listen(ln)); err != nil && !errors.Is(err, net.ErrClosed) {
+			p.simulation.Log.Error("a worker's port ended", "machine", m.Name, "err", err)
 		}
 	}()
 	return ln.Addr().String()
@@ -184,16 +186,16 @@
 
 // Close ends all workers' ports.
 func (p *WorkerPorts) Close() error {
-	p.w.mu.Lock()
-	for _, m := range p.w.machines {
-		m.unplug()
+	p.simulation.mu.Lock()
+	for _, m := range p.simulation.machines {
+		m.disconnect()
 	}
-	p.w.mu.Unlock()
+	p.simulation.mu.Unlock()
 	return p.server.Shutdown()
 }
 
-// unplug closes the port of a machine that is gone.
-func (m *Machine) unplug() {
+// disconnect closes the port of a machine that is gone.
+func (m *Machine) disconnect() {
 	if m.port != nil {
 		_ = m.port.Close() // it may be closed already
 	}
@@ -202,10 +204,10 @@
 // reachable tells whether a machine answers now. In a zone that is cut off none does, not even to a node inside: a port
 // can't tell which node speaks. One that hangs carries commands out once it
 // goes on, when nobody waits for the answer any more.
-func (w *World) reachable(m *Machine, waits bool) bool {
+func (w *Simulation) reachable(m *Machine, waits bool) bool {
 	for w.ctx.Err() == nil && m != nil {
 		w.mu.Lock()
-		up, hang, cut := m.up && !m.gone, m.hang, m.cut || w.apart != "" && m.Zone == w.apart
+		up, hang, cut := m.up && !m.gone, m.hanging, m.partitioned || w.isolated != "" && m.Zone == w.isolated
 		w.mu.Unlock()
 		switch {
 		case !up || cut:
@@ -230,7 +232,7 @@
 }
 
 // AddJob takes a job's description. One that was uploaded before stays as it was.
-func (w *World) AddJob(u Upload) error {
+func (w *Simulation) AddJob(u Upload) error {
 	sub, err := protocol.ParseSubmission(u.Spec)
 	if err != nil {
 		return err
@@ -249,7 +251,7 @@
 	if u.Spread > 0 {
 		j.runs = make([]time.Duration, j.Tasks)
 		for i := range j.runs {
-			j.runs[i] = time.Duration(float64(j.Run) * (1 + u.Spread*(2*w.Rand.Float64()-1)))
+			j.runs[i] = time.Duration(float64(j.Run) * (1 + u.Spread*(2*w.Random.Float64()-1)))
 		}
 	}
 	w.mu.Lock()
@@ -269,7 +271,7 @@
 
 // ServeUploads serves the place where users put the descriptions of their jobs before they
 // submit them. It ends with the listener.
-func (w *World) ServeUploads(ln net.Listener) error {
+func (w *Simulation) ServeUploads(ln net.Listener) error {
 	app := newApp()
 	app.Put("/descriptions/:id", func(c *fiber.Ctx) error {
 		var u Upload
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -13,16 +13,16 @@
 // usageSlack is by how many CPUs a team's usage may differ from its limit, for rounding.
 const usageSlack = 1e-6
 
-// occupy notes that a job's task runs on a machine, and what its team uses. The world is locked.
-func (w *World) occupy(m *Machine, t *task) {
+// takeTask notes that a job's task runs on a machine, and what its team uses. The world is locked.
+func (w *Simulation) takeTask(m *Machine, t *task) {
 	if t.job.on[t.index] == nil {
 		w.used[t.job.Team] += t.job.Cpus
 	}
 	t.job.on[t.index] = m
 }
 
-// leave notes that a task does not run on a machine any more. The world is locked.
-func (w *World) leave(m *Machine, t *task) {
+// removeFromCloud notes that a task does not run on a machine any more. The world is locked.
+func (w *Simulation) removeFromCloud(m *Machine, t *task) {
 	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
 		delete(t.job.on, t.index)
 		w.used[t.job.Team] -= t.job.Cpus
@@ -30,13 +30,13 @@
 }
 
 // start notes a task that starts, and every rule that is broken by it. The world is locked.
-func (w *World) start(m *Machine, t *task) {
+func (w *Simulation) start(m *Machine, t *task) {
 	w.Started++
 	j := t.job
 	if o := j.on[t.index]; o != nil && o != m {
-		w.fault("ran_twice: %s/%d on %s and %s", j.ID, t.index, o.Name, m.Name)
+		w.injectFault("ran_twice: %s/%d on %s and %s", j.ID, t.index, o.Name, m.Name)
 	}
-	w.occupy(m, t)
+	w.takeTask(m, t)
 	w.checkAwaited(t)
 	w.checkPlace(m, t)
 	w.checkCancelled(t)
@@ -44,21 +44,21 @@
 	w.checkQuota(j)
 }
 
-func (w *World) checkAwaited(t *task) {
+func (w *Simulation) checkAwaited(t *task) {
 	for _, o := range t.job.awaits {
 		if len(o.done) < o.Tasks || o.told == protocol.Cancelled {
-			w.fault("too_early: %s/%d starts before %s is done", t.job.ID, t.index, o.ID)
+			w.injectFault("too_early: %s/%d starts before %s is done", t.job.ID, t.index, o.ID)
 		}
 	}
 }
 
-func (w *World) checkPlace(m *Machine, t *task) {
+func (w *Simulation) checkPlace(m *Machine, t *task) {
 	j := t.job
 	if m.Spot && !j.Spot {
-		w.fault("wrong_place: %s/%d on a spot machine", j.ID, t.index)
+		w.injectFault("wrong_place: %s/%d on a spot machine", j.ID, t.index)
 	}
 	if z := j.Spec["berth"]; z != nil && z != m.Zone {
-		w.fault("wrong_place: %s/%d in zone %s", j.ID, t.index, m.Zone)
+		w.injectFault("wrong_place: %s/%d in zone %s", j.ID, t.index, m.Zone)
 	}
 	together, scatter := j.Spec["together"] == true, j.Spec["scatter"] == true
 	if !together && !scatter {
@@ -75,17 +75,17 @@
 		}
 	}
 	if together && inZone != total {
-		w.fault("wrong_place: %s/%d is apart from its job", j.ID, t.index)
+		w.injectFault("wrong_place: %s/%d is apart from its job", j.ID, t.index)
 	}
 	if scatter && inZone+1 > (j.Tasks+1)/2 {
-		w.fault("wrong_place: %s has too many tasks in %s", j.ID, m.Zone)
+		w.injectFault("wrong_place: %s has too many tasks in %s", j.ID, m.Zone)
 	}
 }
 
-func (w *World) checkCancelled(t *task) {
+func (w *Simulation) checkCancelled(t *task) {
 	j := t.job
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS) {
-		w.fault("ran_cancelled: %s/%d starts", j.ID, t.index)
+	if !j.cancelled.IsZero() && time.Since(j.cancelled) > seconds(w.Settings.Deployment.Workers.CancelS) {
+		w.injectFault("ran_cancelled: %s/%d starts", j.ID, t.index)
 	}
 	if !j.cancelled.IsZero() {
 		w.StartsAfterCancel++
@@ -97,14 +97,14 @@
 
 // checkAttempt finds an attempt that begins twice: a worker that has cleared an attempt starts it again if its
 // launch is repeated, or comes late.
-func (w *World) checkAttempt(t *task) {
+func (w *Simulation) checkAttempt(t *task) {
 	j := t.job
 	if j.began == nil {
 		j.began = map[[2]uint64]bool{}
 	}
 	key := [2]uint64{uint64(t.index), t.attempt}
 	if j.began[key] {
-		w.fault("began again: %s/%d, attempt %d", j.ID, t.index, t.attempt)
+		w.injectFault("began again: %s/%d, attempt %d", j.ID, t.index, t.attempt)
 		return
 	}
 	j.began[key] = true
@@ -112,22 +112,22 @@
 
 // checkQuota compares what a job's team uses with its limit. The usage is kept up to date as tasks come and go: adding it
 // up at every start costs as much as there are jobs.
-func (w *World) checkQuota(j *Job) {
+func (w *Simulation) checkQuota(j *Job) {
 	w.checkLimit(j.Team, w.limitOf(j.Team))
 }
 
-func (w *World) checkLimit(team string, limit float64) {
+func (w *Simulation) checkLimit(team string, limit float64) {
 	if used := w.used[team]; limit > 0 && used > limit+usageSlack {
-		w.fault("quota: %s uses %.1f of %.1f", team, used, limit)
+		w.injectFault("quota: %s uses %.1f of %.1f", team, used, limit)
 	}
 }
 
 // limitOf is the limit that counts for a team, in CPUs; 0: none.
-func (w *World) limitOf(team string) float64 {
+func (w *Simulation) limitOf(team string) float64 {
 	if limit, changed := w.limits[team]; changed {
 		return limit
 	}
-	for _, t := range w.Cfg.Deployment.Teams {
+	for _, t := range w.Settings.Deployment.Teams {
 		if t.Name == team {
 			return t.CpusMax
 		}
@@ -137,14 +137,14 @@
 
 // noteTeam takes a change of a team. A limit that is being lowered counts from when the records say that it is kept to; it
 // must be by then. The world is locked.
-func (w *World) noteTeam(change protocol.Change) {
-	for _, t := range w.Cfg.Deployment.Teams {
+func (w *Simulation) noteTeam(change protocol.Change) {
+	for _, t := range w.Settings.Deployment.Teams {
 		if change.Put != storage.TeamKey(t.Name) {
 			continue
 		}
 		var r storage.TeamRecord
 		if err := json.Unmarshal(change.Value, &r); err != nil {
-			w.fault("record %s cannot be read", change.Put)
+			w.injectFault("record %s cannot be read", change.Put)
 		}
 		counts := r.TeamBounds
 		if r.Former != nil {
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -27,28 +27,28 @@
 	lease   uint64
 }
 
-type hold struct {
+type lease struct {
 	ttl  time.Duration
 	ends time.Time
 }
 
 // Store stands in for the state service.
 type Store struct {
-	mu      sync.Mutex
-	keys    *btree.Map[string, entry]
-	rev     uint64
-	log     []protocol.Event
-	cut     uint64 // changes up to this revision are not kept any more
-	changed chan struct{}
-	holds   map[uint64]*hold
-	lastID  uint64
-	down    bool
-	refused map[string]bool // nodes that alone get 503
-	Writes  int
+	mu          sync.Mutex
+	keys        *btree.Map[string, entry]
+	rev         uint64
+	log         []protocol.Event
+	compactedTo uint64 // changes up to this revision are not kept any more
+	changed     chan struct{}
+	leases      map[uint64]*lease
+	lastID      uint64
+	down        bool
+	denied      map[string]bool // nodes that alone get 503
+	Writes      int
 	// Limited makes the store refuse what is over the deployment's rates.
 	Limited  bool
 	Requests int
-	Over     int // requests refused for their rate
+	OverRate int // requests refused for their rate
 	rates    [2]bucket
 	// MaxValue and MaxOps, if set, are how many bytes a value may have and how many
 	// changes a transaction; four times as many conditions.
@@ -101,12 +101,12 @@
 	return out
 }
 
-// Forget refuses follows from before now, as if more changes than the service keeps had come
+// Compact refuses follows from before now, as if more changes than the service keeps had come
 // since: whoever is behind has to read again.
-func (s *Store) Forget() {
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut = s.rev
+	s.compactedTo = s.rev
 }
 
 // Limit makes the store enforce its rates, as the state service does.
@@ -130,7 +130,7 @@
 func (s *Store) over() bool {
 	s.Requests++
 	if s.Limited && !s.rates[0].take(1) {
-		s.Over++
+		s.OverRate++
 		return true
 	}
 	return false
@@ -138,7 +138,7 @@
 
 // NewStore is empty.
 func NewStore() *Store {
-	return &Store{keys: btree.NewMap[string, entry](32), changed: make(chan struct{}), holds: map[uint64]*hold{}, refused: map[string]bool{}}
+	return &Store{keys: btree.NewMap[string, entry](32), changed: make(chan struct{}), leases: map[uint64]*lease{}, denied: map[string]bool{}}
 }
 
 // SetDown begins or ends an outage; after one every hold has its full time again.
@@ -146,18 +146,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		for _, h := range s.holds {
+		for _, h := range s.leases {
 			h.ends = time.Now().Add(h.ttl)
 		}
 	}
 	s.down = down
 }
 
-// Refuse lets one node alone get 503.
-func (s *Store) Refuse(node string, on bool) {
+// Deny lets one node alone get 503.
+func (s *Store) Deny(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused[node] = on
+	s.denied[node] = on
 }
 
 // expire ends holds; called with the lock held.
@@ -166,9 +166,9 @@
 		return
 	}
 	now := time.Now()
-	for id, h := range s.holds {
+	for id, h := range s.leases {
 		if now.After(h.ends) {
-			delete(s.holds, id)
+			delete(s.leases, id)
 			s.rev++
 			s.release(id)
 		}
@@ -198,7 +198,7 @@
 		keep = s.Keep
 	}
 	if s.log = append(s.log, e); len(s.log) > 2*keep {
-		s.cut = s.log[len(s.log)-keep-1].Version
+		s.compactedTo = s.log[len(s.log)-keep-1].Version
 		s.log = slices.Clone(s.log[len(s.log)-keep:])
 	}
 	close(s.changed)
@@ -236,7 +236,7 @@
 		return s.rev, failed, nil
 	}
 	for _, c := range t.Then {
-		if c.Lease != 0 && s.holds[c.Lease] == nil {
+		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return 0, nil, protocol.ErrNoLease
 		}
 	}
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -12,7 +12,7 @@
 const tickEvery = 100 * time.Millisecond
 
 // tasksLoop runs what is on one machine, until the machine is gone.
-func (w *World) tasksLoop(m *Machine) {
+func (w *Simulation) tasksLoop(m *Machine) {
 	for w.ctx.Err() == nil {
 		time.Sleep(tickEvery)
 		w.mu.Lock()
@@ -29,7 +29,7 @@
 
 // RunTicker runs what is on all machines, until the world ends. It is for worlds with SharedTicker: a goroutine and a
 // timer a machine take most of a core at some thousand machines.
-func (w *World) RunTicker() {
+func (w *Simulation) RunTicker() {
 	for w.ctx.Err() == nil {
 		time.Sleep(tickEvery)
 		w.mu.Lock()
@@ -44,17 +44,17 @@
 }
 
 // advance brings a machine's tasks up to now. The world is locked.
-func (w *World) advance(m *Machine, now time.Time) {
-	if !m.notice.IsZero() && now.After(m.notice) {
+func (w *Simulation) advance(m *Machine, now time.Time) {
+	if !m.preemptionNotice.IsZero() && now.After(m.preemptionNotice) {
 		w.remove(m)
 		w.charge(m)
 		return
 	}
 	w.checkGone(m, now)
-	if m.hang {
+	if m.hanging {
 		return
 	}
-	if now.Sub(m.leaseFrom) > seconds(w.Cfg.Deployment.Workers.LeaseS) {
+	if now.Sub(m.leaseRenewedAt) > seconds(w.Settings.Deployment.Workers.LeaseS) {
 		w.expireLease(m, now)
 	}
 	for _, t := range m.tasks {
@@ -66,28 +66,28 @@
 }
 
 // checkGone finds tasks of cancelled jobs that are on a machine for too long.
-func (w *World) checkGone(m *Machine, now time.Time) {
+func (w *Simulation) checkGone(m *Machine, now time.Time) {
 	for _, t := range m.tasks {
 		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelled.IsZero() &&
-			now.Sub(t.job.cancelled) > seconds(w.Cfg.Deployment.Workers.CancelS)+time.Second {
-			w.fault("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
+			now.Sub(t.job.cancelled) > seconds(w.Settings.Deployment.Workers.CancelS)+time.Second {
+			w.injectFault("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
 			t.job.cancelled = now
 		}
 	}
 }
 
 // expireLease has a worker kill and forget all its tasks, and begin its next session.
-func (w *World) expireLease(m *Machine, now time.Time) {
+func (w *Simulation) expireLease(m *Machine, now time.Time) {
 	for _, t := range m.tasks {
-		w.leave(m, t)
+		w.removeFromCloud(m, t)
 		w.LeaseKills++
 	}
-	m.tasks, m.session, m.leaseFrom = nil, m.session+1, now
+	m.tasks, m.incarnation, m.leaseRenewedAt = nil, m.incarnation+1, now
 	m.wake()
 }
 
 // advanceTask takes a task whose present state is over to the next one.
-func (w *World) advanceTask(m *Machine, t *task, now time.Time) {
+func (w *Simulation) advanceTask(m *Machine, t *task, now time.Time) {
 	switch t.state {
 	case protocol.TaskFetching:
 		t.state, t.began = protocol.TaskRunning, now
@@ -99,13 +99,13 @@
 			t.ends = now.Add(1000 * time.Hour)
 		}
 		w.start(m, t)
-		if m.sick || t.job.Broken {
+		if m.unhealthy || t.job.Broken {
 			t.ends = now.Add(300 * time.Millisecond)
 		}
 	case protocol.TaskRunning:
-		w.leave(m, t)
+		w.removeFromCloud(m, t)
 		t.state, t.cause = protocol.TaskExited, protocol.CauseDone
-		if m.sick || t.job.Broken {
+		if m.unhealthy || t.job.Broken {
 			t.cause = protocol.CauseError
 			return
 		}
@@ -115,7 +115,7 @@
 			go w.AtEnd(t.job)
 		}
 	case protocol.TaskCheckpointing:
-		w.leave(m, t)
+		w.removeFromCloud(m, t)
 		t.state, t.cause, t.saved = protocol.TaskExited, protocol.CauseStopped, true
 		t.job.save(t, now.Sub(t.began)-w.fast(seconds(t.job.spec("markCostS"))), w.speed())
 	}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -13,8 +13,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// Want describes a job to submit.
-type Want struct {
+// JobSpec describes a job to submit.
+type JobSpec struct {
 	Team, Urgency, Shape string
 	Class                string // "c" if it is not given
 	Tasks                int
@@ -27,18 +27,18 @@
 	NoSpot               bool
 	Together, Scatter    bool
 	Zone                 string
-	Mark                 float64
+	CheckpointS          float64
 	Broken               bool
 	CancelAfter          time.Duration
-	Awaits               []*Job
+	Dependencies         []*Job
 	Due                  float64
 }
 
 // User submits a job, polls it and perhaps cancels it, as users do, and checks
 // what it is told.
-func (w *World) User(want Want) *Job {
+func (w *Simulation) User(want JobSpec) *Job {
 	w.mu.Lock()
-	id := fmt.Sprintf("job-%06d", len(w.jobs)+1+w.Rand.IntN(9)*100_000) // in no order
+	id := fmt.Sprintf("job-%06d", len(w.jobs)+1+w.Random.IntN(9)*100_000) // in no order
 	if want.Shape == "" {
 		want.Shape = "batch"
 	}
@@ -53,13 +53,13 @@
 		Spec: map[string]any{"id": id, "jobclass": want.Class, "crew": want.Team, "shape": want.Shape, "urgency": want.Urgency,
 			"shards": want.Tasks, "cpus": want.Cpus, "accelerators": want.Gpus, "ramGb": cmp.Or(want.MemGB, 4), "kit": cmp.Or(want.Image, "img-1"), "pullGb": cmp.Or(want.ImageGB, 0.5),
 			"hulls": nil, "berth": nil, "together": want.Together, "scatter": want.Scatter, "loaners": !want.NoSpot,
-			"expectedS": want.Run.Seconds(), "markEveryS": want.Mark, "markCostS": 1.0, "dueS": nil}}
-	if len(want.Awaits) > 0 {
+			"expectedS": want.Run.Seconds(), "markEveryS": want.CheckpointS, "markCostS": 1.0, "dueS": nil}}
+	if len(want.Dependencies) > 0 {
 		var ids []string
-		for _, o := range want.Awaits {
+		for _, o := range want.Dependencies {
 			ids = append(ids, o.ID)
 		}
-		j.Spec["awaits"], j.awaits = ids, want.Awaits
+		j.Spec["awaits"], j.awaits = ids, want.Dependencies
 	}
 	if want.Due > 0 {
 		j.Spec["dueS"] = want.Due
@@ -75,11 +75,11 @@
 }
 
 // ask sends a request to some node, as the load balancer would.
-func (w *World) ask(timeout time.Duration, f func(context.Context, *coordination.Controller) coordination.Answer) coordination.Answer {
+func (w *Simulation) ask(timeout time.Duration, f func(context.Context, *coordination.Controller) coordination.Answer) coordination.Answer {
 	w.mu.Lock()
-	var up []*Node
-	for _, n := range w.nodes {
-		if !n.dead() && !n.cut(NoUsers) {
+	var up []*ControllerProcess
+	for _, n := range w.controllers {
+		if !n.ended() && !n.cut(NoUsers) {
 			up = append(up, n)
 		}
 	}
@@ -88,7 +88,7 @@
 		time.Sleep(500 * time.Millisecond)
 		return coordination.Answer{}
 	}
-	n := up[w.Rand.IntN(len(up))]
+	n := up[w.Random.IntN(len(up))]
 	w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 	defer t.Stop()
 	select {
 	case a := <-ch:
-		if n.dead() || n.cut(NoUsers) {
+		if n.ended() || n.cut(NoUsers) {
 			return coordination.Answer{}
 		}
 		return a
@@ -113,32 +113,32 @@
 	return s, err == nil && a.Status >= 200 && a.Status < 300 && json.Unmarshal(raw, &s) == nil
 }
 
-// said is what a job's users had been told when one of them asked: no answer may be older than that.
-type said struct {
+// lastAnswer is what a job's users had been told when one of them asked: no answer may be older than that.
+type lastAnswer struct {
 	status   protocol.JobStatus
 	accepted bool
 }
 
-// saidOf is what a job's users have been told so far.
-func (w *World) saidOf(j *Job) said {
+// lastAnswerOf is what a job's users have been told so far.
+func (w *Simulation) lastAnswerOf(j *Job) lastAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return said{j.told, j.accepted}
+	return lastAnswer{j.told, j.accepted}
 }
 
 // hear checks an answer about a job against what was said when it was asked for, and what is.
-func (w *World) hear(j *Job, s protocol.JobState, asked said) {
+func (w *Simulation) hear(j *Job, s protocol.JobState, asked lastAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if asked.status.Final() && s.Status != asked.status || j.told.Final() && s.Status.Final() && s.Status != j.told {
-		w.fault("went_back: %s was %s and is %s", j.ID, j.told, s.Status)
+		w.injectFault("went_back: %s was %s and is %s", j.ID, j.told, s.Status)
 	}
 	if s.Status == protocol.Done && len(j.done) < j.Tasks {
-		w.fault("not_done: %s with %d of %d tasks", j.ID, len(j.done), j.Tasks)
+		w.injectFault("not_done: %s with %d of %d tasks", j.ID, len(j.done), j.Tasks)
 	}
 	if s.Status == protocol.Cancelled && !j.asked {
 		if asked, _ := w.before(j); !asked {
-			w.fault("went_back: %s is cancelled although nobody asked", j.ID)
+			w.injectFault("went_back: %s is cancelled although nobody asked", j.ID)
 		}
 	}
 	j.answered = time.Now()
@@ -148,34 +148,34 @@
 }
 
 // check takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
-func (w *World) check(j *Job, a coordination.Answer, asked said) bool {
+func (w *Simulation) check(j *Job, a coordination.Answer, asked lastAnswer) bool {
 	if s, ok := stateIn(a); ok {
 		w.hear(j, s, asked)
 		if a.Status == 201 && asked.accepted {
 			w.mu.Lock()
-			w.fault("accepted twice: %s", j.ID)
+			w.injectFault("accepted twice: %s", j.ID)
 			w.mu.Unlock()
 		}
 		return true
 	}
 	if a.Status >= 400 && a.Status < 429 && asked.accepted {
 		w.mu.Lock()
-		w.fault("forgotten: %s got %d", j.ID, a.Status)
+		w.injectFault("forgotten: %s got %d", j.ID, a.Status)
 		w.mu.Unlock()
 	}
 	return false
 }
 
 // CloseLook asks for a job at all nodes within milliseconds, again and again, and repeats its submission there.
-func (w *World) CloseLook(j *Job) {
+func (w *Simulation) CloseLook(j *Job) {
 	body, _ := json.Marshal(j.Spec)
 	for range 3 {
-		for i := range w.Cfg.Deployment.Controllers {
-			n := w.Node(i)
-			if n.dead() || n.cut(NoUsers) {
+		for i := range w.Settings.Deployment.Controllers {
+			n := w.Controller(i)
+			if n.ended() || n.cut(NoUsers) {
 				continue
 			}
-			asked := w.saidOf(j)
+			asked := w.lastAnswerOf(j)
 			for _, f := range []func(ctx context.Context) coordination.Answer{
 				func(ctx context.Context) coordination.Answer { return n.Core.Query(ctx, j.ID) },
 				func(ctx context.Context) coordination.Answer { return n.Core.Submit(ctx, body) },
@@ -183,7 +183,7 @@
 				go func() {
 					ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
 					defer cancel()
-					if a := f(ctx); !n.dead() && !n.cut(NoUsers) && w.check(j, a, asked) {
+					if a := f(ctx); !n.ended() && !n.cut(NoUsers) && w.check(j, a, asked) {
 						w.Looks.Add(1)
 					}
 				}()
@@ -194,14 +194,14 @@
 }
 
 // SetCloseLooks has users look closely from now on, or no more.
-func (w *World) SetCloseLooks(on bool) {
+func (w *Simulation) SetCloseLooks(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.CloseLooks = on
 }
 
 // look is a close look, where users take them.
-func (w *World) look(j *Job) {
+func (w *Simulation) look(j *Job) {
 	w.mu.Lock()
 	on := w.CloseLooks
 	w.mu.Unlock()
@@ -212,7 +212,7 @@
 
 // OddRequests repeats a job's submission with other bodies, and sends what can't run and what lacks a field: nothing of
 // that may be accepted. It returns how many answers it checked.
-func (w *World) OddRequests(j *Job) (checked int) {
+func (w *Simulation) OddRequests(j *Job) (checked int) {
 	with := func(id, field string, v any) []byte {
 		spec := map[string]any{}
 		for k, x := range j.Spec {
@@ -227,8 +227,8 @@
 		return body
 	}
 	w.mu.Lock()
-	w.odd++
-	none := fmt.Sprintf("job-99%05d", w.odd)
+	w.sendOddRequest++
+	none := fmt.Sprintf("job-99%05d", w.sendOddRequest)
 	w.mu.Unlock()
 	for _, x := range []struct {
 		body  []byte
@@ -236,7 +236,7 @@
 		want  int
 	}{{with(j.ID, "shards", 77), true, 200}, {with(j.ID, "cpus", nil), true, 200}, {with(j.ID, "cpus", 500.0), true, 200},
 		{with(none, "cpus", 500.0), false, 422}, {with(none, "shape", nil), false, 400}, {with(none, "crew", "nobody"), false, 422}} {
-		asked := w.saidOf(j)
+		asked := w.lastAnswerOf(j)
 		a := w.ask(5*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
 			return c.Submit(ctx, x.body)
 		})
@@ -248,20 +248,20 @@
 			w.check(j, a, asked)
 		} else if a.Status != x.want {
 			w.mu.Lock()
-			w.fault("accepted though it can't be: %s got %d, want %d", x.body, a.Status, x.want)
+			w.injectFault("accepted though it can't be: %s got %d, want %d", x.body, a.Status, x.want)
 			w.mu.Unlock()
 		}
 	}
 	if a := w.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Query(ctx, none) }); a.Status == 200 {
 		w.mu.Lock()
-		w.fault("invented: %s", none)
+		w.injectFault("invented: %s", none)
 		w.mu.Unlock()
 	}
 	return checked
 }
 
 // Unanswered lists the accepted jobs whose users have had no answer since a time, as forgotten ones are.
-func (w *World) Unanswered(since time.Time) []*Job {
+func (w *Simulation) Unanswered(since time.Time) []*Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []*Job
@@ -273,7 +273,7 @@
 	return out
 }
 
-func (w *World) userLoop(j *Job, want Want) {
+func (w *Simulation) userLoop(j *Job, want JobSpec) {
 	body, _ := json.Marshal(j.Spec)
 	accepted := func() bool {
 		w.mu.Lock()
@@ -284,7 +284,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	for w.ctx.Err() == nil {
-		asked := w.saidOf(j)
+		asked := w.lastAnswerOf(j)
 		a := w.ask(5*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
 			return c.Submit(ctx, body)
 		})
@@ -295,7 +295,7 @@
 		}
 		if a.Status >= 400 && a.Status < 429 {
 			w.mu.Lock()
-			w.fault("forgotten: submission of %s got %d", j.ID, a.Status)
+			w.injectFault("forgotten: submission of %s got %d", j.ID, a.Status)
 			w.mu.Unlock()
 			return
 		}
@@ -305,9 +305,9 @@
 	cancelled := want.CancelAfter == 0
 	for w.ctx.Err() == nil {
 		if !cancelled && time.Since(since) >= want.CancelAfter {
-			cancelled = w.callOff(j)
+			cancelled = w.cancelJob(j)
 		}
-		asked := w.saidOf(j)
+		asked := w.lastAnswerOf(j)
 		a := w.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
 			return c.Query(ctx, j.ID)
 		})
@@ -318,8 +318,8 @@
 			}
 			w.mu.Lock()
 			_, told := w.before(j)
-			if !s.Status.Final() && !told.IsZero() && time.Since(told) > seconds(w.Cfg.Deployment.Workers.CancelS) {
-				w.fault("orphaned: %s is %s", j.ID, s.Status)
+			if !s.Status.Final() && !told.IsZero() && time.Since(told) > seconds(w.Settings.Deployment.Workers.CancelS) {
+				w.injectFault("orphaned: %s is %s", j.ID, s.Status)
 			}
 			w.mu.Unlock()
 		}
@@ -328,19 +328,19 @@
 		})
 		if a.Status == 200 {
 			w.mu.Lock()
-			w.fault("invented: a job that nobody submitted")
+			w.injectFault("invented: a job that nobody submitted")
 			w.mu.Unlock()
 		}
 		time.Sleep(2 * time.Second)
 	}
 }
 
-// callOff asks some node once to cancel a job, and tells whether its user got a final answer.
-func (w *World) callOff(j *Job) bool {
+// cancelJob asks some node once to cancel a job, and tells whether its user got a final answer.
+func (w *Simulation) cancelJob(j *Job) bool {
 	w.mu.Lock()
 	j.asked = true
 	w.mu.Unlock()
-	asked := w.saidOf(j)
+	asked := w.lastAnswerOf(j)
 	a := w.ask(5*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
 		return c.Cancel(ctx, j.ID)
 	})
@@ -356,7 +356,7 @@
 }
 
 // confirmed takes the answer to a cancellation.
-func (w *World) confirmed(j *Job, s protocol.JobState, asked said) {
+func (w *Simulation) confirmed(j *Job, s protocol.JobState, asked lastAnswer) {
 	w.hear(j, s, asked)
 	w.mu.Lock()
 	if s.Status == protocol.Cancelled && j.cancelled.IsZero() {
@@ -366,25 +366,25 @@
 	w.look(j)
 }
 
-// CallOff has a job's user cancel it, again and again until that is answered.
-func (w *World) CallOff(j *Job) {
+// CancelNow has a job's user cancel it, again and again until that is answered.
+func (w *Simulation) CancelNow(j *Job) {
 	go func() {
-		for w.ctx.Err() == nil && !w.callOff(j) {
+		for w.ctx.Err() == nil && !w.cancelJob(j) {
 			time.Sleep(time.Second)
 		}
 	}()
 }
 
 // CancelAt asks node i to cancel a job, once, and tells whether it confirmed that.
-func (w *World) CancelAt(j *Job, i int) bool {
+func (w *Simulation) CancelAt(j *Job, i int) bool {
 	w.mu.Lock()
 	j.asked = true
 	w.mu.Unlock()
-	n, asked := w.Node(i), w.saidOf(j)
+	n, asked := w.Controller(i), w.lastAnswerOf(j)
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	s, ok := stateIn(n.Core.Cancel(ctx, j.ID))
-	if !ok || s.Status != protocol.Cancelled || n.dead() || n.cut(NoUsers) {
+	if !ok || s.Status != protocol.Cancelled || n.ended() || n.cut(NoUsers) {
 		return false
 	}
 	w.confirmed(j, s, asked)
@@ -393,7 +393,7 @@
 
 // before tells whether a user has asked to cancel a job that this one needs, directly or
 // through others, and since when one was told so.
-func (w *World) before(j *Job) (asked bool, told time.Time) {
+func (w *Simulation) before(j *Job) (asked bool, told time.Time) {
 	for _, o := range j.awaits {
 		a, t := w.before(o)
 		asked = asked || a || o.asked
@@ -407,46 +407,46 @@
 }
 
 // Told is what the job's user was last told.
-func (w *World) Told(j *Job) protocol.JobStatus {
+func (w *Simulation) Told(j *Job) protocol.JobStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return j.told
 }
 
-// Served is a class of a team: how many of its jobs were accepted and not cancelled, and how many of them are done.
-type Served struct {
+// ServedJobs is a class of a team: how many of its jobs were accepted and not cancelled, and how many of them are done.
+type ServedJobs struct {
 	Team, Class string
 	Due, Done   int
 	InTime      int // done within the time that was asked about
 }
 
 // Part is the part that is done; 1 where there is nothing to do.
-func (s Served) Part() float64 {
+func (s ServedJobs) Part() float64 {
 	if s.Due == 0 {
 		return 1
 	}
 	return float64(s.Done) / float64(s.Due)
 }
 
-func (s Served) String() string {
+func (s ServedJobs) String() string {
 	return fmt.Sprintf("%s of %s: %d of %d done, %d in time", s.Class, s.Team, s.Done, s.Due, s.InTime)
 }
 
 // Served tells by class and team what became of the jobs that were first submitted more than
 // a time ago.
-func (w *World) Served(within time.Duration) []Served {
+func (w *Simulation) Served(within time.Duration) []ServedJobs {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []Served
+	var out []ServedJobs
 	for _, id := range w.order {
 		j := w.jobs[id]
 		if !j.accepted || j.asked || time.Since(j.At) < within {
 			continue
 		}
-		i := slices.IndexFunc(out, func(s Served) bool { return s.Team == j.Team && s.Class == j.Class })
+		i := slices.IndexFunc(out, func(s ServedJobs) bool { return s.Team == j.Team && s.Class == j.Class })
 		if i < 0 {
 			i = len(out)
-			out = append(out, Served{Team: j.Team, Class: j.Class})
+			out = append(out, ServedJobs{Team: j.Team, Class: j.Class})
 		}
 		out[i].Due++
 		if len(j.done) == j.Tasks {
@@ -456,21 +456,21 @@
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Served) int {
+	slices.SortFunc(out, func(a, b ServedJobs) int {
 		return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Class, b.Class))
 	})
 	return out
 }
 
 // On is how many of a job's tasks are on machines.
-func (w *World) On(j *Job) int {
+func (w *Simulation) On(j *Job) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(j.on)
 }
 
 // machinesOf lists the machines that a job's tasks are on.
-func (w *World) machinesOf(j *Job) (out []*Machine) {
+func (w *Simulation) machinesOf(j *Job) (out []*Machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range j.on {
@@ -483,18 +483,18 @@
 
 // Users are users of the world's nodes who repeat what has no certain answer, as the protocol
 // asks them to. They do as the load tool's do over HTTP.
-type Users struct{ W *World }
+type Users struct{ Simulation *Simulation }
 
 func (u Users) repeat(ctx context.Context, id string, f func(context.Context, *coordination.Controller) coordination.Answer) (protocol.JobState, error) {
 	for ctx.Err() == nil {
-		a := u.W.ask(5*time.Second, f)
+		a := u.Simulation.ask(5*time.Second, f)
 		if s, ok := stateIn(a); ok {
 			return s, nil
 		}
 		if a.Status == 400 || a.Status == 422 || a.Status == 404 {
 			return protocol.JobState{}, fmt.Errorf("%s got %d", id, a.Status)
 		}
-		sleep(ctx, time.Second+time.Duration(u.W.Rand.IntN(250))*time.Millisecond)
+		sleep(ctx, time.Second+time.Duration(u.Simulation.Random.IntN(250))*time.Millisecond)
 	}
 	return protocol.JobState{}, ctx.Err()
 }
@@ -511,7 +511,7 @@
 
 // Status asks for a job once.
 func (u Users) Status(id string) (protocol.JobState, error) {
-	a := u.W.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Query(ctx, id) })
+	a := u.Simulation.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Query(ctx, id) })
 	if s, ok := stateIn(a); ok {
 		return s, nil
 	}
@@ -519,7 +519,7 @@
 }
 
 // Beside lists the jobs that wait although a machine that fits has room and their team is under its limit.
-func (w *World) Beside() []*Job {
+func (w *Simulation) Beside() []*Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	used := map[string]float64{}
@@ -527,7 +527,7 @@
 		used[j.Team] += float64(len(j.on)) * j.Cpus
 	}
 	most := map[string]float64{}
-	for _, t := range w.Cfg.Deployment.Teams {
+	for _, t := range w.Settings.Deployment.Teams {
 		most[t.Name] = t.CpusMax
 	}
 	var out []*Job
@@ -538,20 +538,20 @@
 		for _, o := range j.awaits {
 			waits = waits && len(o.done) == o.Tasks
 		}
-		if waits && w.roomFor(j) {
+		if waits && w.capacityFor(j) {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// roomFor tells whether a machine has room for a task of a job, wherever its other tasks are. The world is locked.
-func (w *World) roomFor(j *Job) bool {
+// capacityFor tells whether a machine has room for a task of a job, wherever its other tasks are. The world is locked.
+func (w *Simulation) capacityFor(j *Job) bool {
 	for _, m := range w.machines {
-		if !m.up || m.gone || m.sick || m.Spot && !j.Spot || j.Spec["berth"] != nil && j.Spec["berth"] != m.Zone {
+		if !m.up || m.gone || m.unhealthy || m.Spot && !j.Spot || j.Spec["berth"] != nil && j.Spec["berth"] != m.Zone {
 			continue
 		}
-		cpus, gpus, mem := m.of.Cpus-j.Cpus, m.of.Gpus-j.spec("accelerators"), m.of.MemGB-j.spec("ramGb")
+		cpus, gpus, mem := m.machineType.Cpus-j.Cpus, m.machineType.Gpus-j.spec("accelerators"), m.machineType.MemGB-j.spec("ramGb")
 		for _, t := range m.tasks {
 			if t.state != protocol.TaskExited {
 				cpus, gpus, mem = cpus-t.job.Cpus, gpus-t.job.spec("accelerators"), mem-t.job.spec("ramGb")
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -22,32 +22,32 @@
 
 // Machine is a rented machine with its worker.
 type Machine struct {
-	Name, Zone, Type string
-	Spot             bool
-	Addr             string
-	up               bool
-	gone             bool
-	hang             bool
-	sick             bool
-	cut              bool // its reports and answers get lost
-	deaf             bool // its reports arrive; answers and direct commands get lost
-	mute             bool // it reaches no node; direct commands reach it
-	notice           time.Time
-	session, seq     uint64
-	token            uint64
-	tasks            []*task
-	leaseFrom        time.Time
-	node             int
-	poke             chan struct{}
-	rented           time.Time
-	failed           time.Time    // died by itself
-	port             net.Listener // of its worker, where it has one
-	of               protocol.MachineType
-	images           map[string]time.Time // since when each is there, or when its fetch will end
-	fetches          time.Time            // when the last of its fetches ends
+	Name, Zone, Type    string
+	Spot                bool
+	Addr                string
+	up                  bool
+	gone                bool
+	hanging             bool
+	unhealthy           bool
+	partitioned         bool // its reports and answers get lost
+	deafToController    bool // its reports arrive; answers and direct commands get lost
+	silentToControllers bool // it reaches no node; direct commands reach it
+	preemptionNotice    time.Time
+	incarnation, seq    uint64
+	fencingToken        uint64
+	tasks               []*task
+	leaseRenewedAt      time.Time
+	node                int
+	wakeUp              chan struct{}
+	provisionedAt       time.Time
+	failed              time.Time    // died by itself
+	port                net.Listener // of its worker, where it has one
+	machineType         protocol.MachineType
+	images              map[string]time.Time // since when each is there, or when its fetch will end
+	fetches             time.Time            // when the last of its fetches ends
 }
 
-func (w *World) boot(m *Machine, after time.Duration) {
+func (w *Simulation) boot(m *Machine, after time.Duration) {
 	go func() {
 		time.Sleep(after)
 		w.mu.Lock()
@@ -55,17 +55,17 @@
 			w.mu.Unlock()
 			return
 		}
-		m.up, m.session, m.leaseFrom = true, 1, time.Now()
+		m.up, m.incarnation, m.leaseRenewedAt = true, 1, time.Now()
 		w.mu.Unlock()
 		if !w.SharedTicker {
 			go w.tasksLoop(m)
 		}
-		w.reportLoop(m)
+		w.heartbeatLoop(m)
 	}()
 }
 
 // Die stops a machine with all that is on it.
-func (w *World) Die(m *Machine) {
+func (w *Simulation) Die(m *Machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !m.gone {
@@ -75,46 +75,46 @@
 	}
 }
 
-func (w *World) remove(m *Machine) {
+func (w *Simulation) remove(m *Machine) {
 	m.gone = true
-	m.unplug()
+	m.disconnect()
 	for _, t := range m.tasks {
-		w.leave(m, t)
+		w.removeFromCloud(m, t)
 		w.mark(t)
 	}
 	m.tasks = nil
 }
 
 // Set changes a machine: hang, sick, cut or a spot notice.
-func (w *World) Set(m *Machine, f func(*Machine)) {
+func (w *Simulation) Set(m *Machine, f func(*Machine)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(m)
 }
 
-// Hang, Sick, CutOff, Deaf, Mute and Notice are changes for Set.
-func Hang(on bool) func(*Machine)   { return func(m *Machine) { m.hang = on } }
-func Sick(on bool) func(*Machine)   { return func(m *Machine) { m.sick = on } }
-func CutOff(on bool) func(*Machine) { return func(m *Machine) { m.cut = on } }
-func Deaf(on bool) func(*Machine)   { return func(m *Machine) { m.deaf = on } }
-func Mute(on bool) func(*Machine)   { return func(m *Machine) { m.mute = on } }
-func Notice(d time.Duration) func(*Machine) {
-	return func(m *Machine) { m.notice = time.Now().Add(d) }
+// HangingMachine, Sick, CutOff, Deaf, Mute and Notice are changes for Set.
+func HangingMachine(on bool) func(*Machine)   { return func(m *Machine) { m.hanging = on } }
+func UnhealthyMachine(on bool) func(*Machine) { return func(m *Machine) { m.unhealthy = on } }
+func CutOff(on bool) func(*Machine)           { return func(m *Machine) { m.partitioned = on } }
+func DeafMachine(on bool) func(*Machine)      { return func(m *Machine) { m.deafToController = on } }
+func MuteMachine(on bool) func(*Machine)      { return func(m *Machine) { m.silentToControllers = on } }
+func PreemptionNotice(d time.Duration) func(*Machine) {
+	return func(m *Machine) { m.preemptionNotice = time.Now().Add(d) }
 }
 
 func (m *Machine) wake() {
 	select {
-	case m.poke <- struct{}{}:
+	case m.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-func (w *World) report(m *Machine) *protocol.Heartbeat {
+func (w *Simulation) sendHeartbeat(m *Machine) *protocol.Heartbeat {
 	m.seq++
 	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Incarnation: m.session, Seq: m.seq, FencingToken: m.token}
-	if !m.notice.IsZero() {
-		left := time.Until(m.notice).Seconds()
+		Incarnation: m.incarnation, Seq: m.seq, FencingToken: m.fencingToken}
+	if !m.preemptionNotice.IsZero() {
+		left := time.Until(m.preemptionNotice).Seconds()
 		r.PreemptionNoticeS = &left
 	}
 	for _, t := range m.tasks {
@@ -125,7 +125,7 @@
 }
 
 // execute carries out commands as a worker does.
-func (w *World) execute(m *Machine, cmds []protocol.Command) {
+func (w *Simulation) execute(m *Machine, cmds []protocol.Command) {
 	for _, c := range cmds {
 		id, index, _ := protocol.SplitTask(c.Task)
 		i := slices.IndexFunc(m.tasks, func(t *task) bool { return t.job.ID == id && t.index == index && t.attempt == c.Attempt })
@@ -151,7 +151,7 @@
 				}
 			}
 			const slack = 1e-6
-			if t.state != protocol.TaskExited && (cpus > m.of.Cpus+slack || gpus > m.of.Gpus+slack || mem > m.of.MemGB+slack) {
+			if t.state != protocol.TaskExited && (cpus > m.machineType.Cpus+slack || gpus > m.machineType.Gpus+slack || mem > m.machineType.MemGB+slack) {
 				t.state, t.cause = protocol.TaskExited, protocol.CauseNoCapacity
 			}
 			if t.state == protocol.TaskFetching {
@@ -171,7 +171,7 @@
 			if t.state == protocol.TaskRunning && t.job.spec("markEveryS") > 0 && c.GraceS >= save {
 				t.state, t.ends = protocol.TaskCheckpointing, time.Now().Add(w.fast(seconds(save)))
 			} else if t.state != protocol.TaskCheckpointing || c.GraceS == 0 {
-				w.leave(m, t)
+				w.removeFromCloud(m, t)
 				w.mark(t)
 				t.state, t.cause = protocol.TaskExited, protocol.CauseStopped
 			}
@@ -185,42 +185,42 @@
 	}
 }
 
-func (w *World) reportLoop(m *Machine) {
-	every := seconds(w.Cfg.Deployment.Workers.HeartbeatS)
+func (w *Simulation) heartbeatLoop(m *Machine) {
+	every := seconds(w.Settings.Deployment.Workers.HeartbeatS)
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
 		if m.gone {
 			w.mu.Unlock()
 			return
 		}
-		if m.hang {
+		if m.hanging {
 			w.mu.Unlock()
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
-		r := w.report(m)
+		r := w.sendHeartbeat(m)
 		sent := time.Now()
-		at := m.node % len(w.nodes)
-		node := w.nodes[at]
-		cut := m.cut || m.mute || w.parted(node, m)
+		at := m.node % len(w.controllers)
+		node := w.controllers[at]
+		cut := m.partitioned || m.silentToControllers || w.partitioned(node, m)
 		delay := time.Duration(0)
-		if w.LateReports != nil {
-			delay = w.LateReports(m.Name)
+		if w.LateHeartbeats != nil {
+			delay = w.LateHeartbeats(m.Name)
 		}
-		deaf, copied := m.deaf, time.Duration(0)
-		if w.CopiedReports != nil {
-			copied = w.CopiedReports(m.Name)
+		deaf, copied := m.deafToController, time.Duration(0)
+		if w.CopiedHeartbeats != nil {
+			copied = w.CopiedHeartbeats(m.Name)
 		}
-		if w.KeptReports != nil && w.KeptReports(m.Name) {
+		if w.KeptHeartbeats != nil && w.KeptHeartbeats(m.Name) {
 			w.kept = append(w.kept, r)
 		}
 		w.mu.Unlock()
 		if copied > 0 {
 			go func() {
 				time.Sleep(copied)
-				if n := w.Node(at); !n.dead() { // its successor's process, where there is one
+				if n := w.Controller(at); !n.ended() { // its successor's process, where there is one
 					w.Copies.Add(1)
-					n.beat(w.ctx, r, func(int, any) {})
+					n.handleHeartbeat(w.ctx, r, func(int, any) {})
 				}
 			}()
 		}
@@ -229,19 +229,19 @@
 		if delay > 0 {
 			go func() {
 				time.Sleep(delay)
-				if n := w.Node(at); !n.dead() {
-					n.beat(w.ctx, r, func(int, any) {})
+				if n := w.Controller(at); !n.ended() {
+					n.handleHeartbeat(w.ctx, r, func(int, any) {})
 				}
 			}()
 		}
 		switch {
 		case cut || delay > 0 || node.cut(NoWorkers):
 			time.Sleep(4 * time.Second)
-		case deaf && !node.dead():
-			node.beat(w.ctx, r, func(int, any) {})
+		case deaf && !node.ended():
+			node.handleHeartbeat(w.ctx, r, func(int, any) {})
 			time.Sleep(4 * time.Second)
-		case !node.dead():
-			node.beat(w.ctx, r, func(s int, b any) {
+		case !node.ended():
+			node.handleHeartbeat(w.ctx, r, func(s int, b any) {
 				if node.cut(NoWorkers) {
 					return // cut off while it held the answer back: that is lost
 				}
@@ -270,19 +270,19 @@
 		w.mu.Lock()
 		wait := time.Second
 		switch {
-		case m.gone || m.hang:
+		case m.gone || m.hanging:
 		case status == 200:
 			a := body.(protocol.HeartbeatResponse)
-			if r.Incarnation == m.session && a.FencingToken >= m.token {
-				m.leaseFrom = sent
-				m.token = max(m.token, a.FencingToken)
+			if r.Incarnation == m.incarnation && a.FencingToken >= m.fencingToken {
+				m.leaseRenewedAt = sent
+				m.fencingToken = max(m.fencingToken, a.FencingToken)
 				w.execute(m, a.Commands)
 			}
-			wait = every*3/4 + time.Duration(w.Rand.IntN(int(every)/2))
+			wait = every*3/4 + time.Duration(w.Random.IntN(int(every)/2))
 		case status == 421:
 			name := body.(protocol.Redirect).Member
-			i := slices.IndexFunc(w.nodes, func(n *Node) bool { return n.Name == name })
-			if i >= 0 && i != m.node%len(w.nodes) {
+			i := slices.IndexFunc(w.controllers, func(n *ControllerProcess) bool { return n.Name == name })
+			if i >= 0 && i != m.node%len(w.controllers) {
 				m.node = i
 				wait = 100 * time.Millisecond
 			} else {
@@ -295,7 +295,7 @@
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-m.poke:
+		case <-m.wakeUp:
 			t.Stop()
 			time.Sleep(max(0, 500*time.Millisecond-time.Since(sent)))
 			if status != 200 && status != 421 {
@@ -308,32 +308,32 @@
 	}
 }
 
-// obey carries out direct commands if token and session allow it, and reports.
-func (w *World) obey(m *Machine, cmd protocol.DirectCommands) (*protocol.Heartbeat, int) {
+// executeCommand carries out direct commands if token and session allow it, and reports.
+func (w *Simulation) executeCommand(m *Machine, cmd protocol.DirectCommands) (*protocol.Heartbeat, int) {
 	status := 409
-	if cmd.FencingToken >= m.token && cmd.Incarnation == m.session {
-		m.token = cmd.FencingToken
+	if cmd.FencingToken >= m.fencingToken && cmd.Incarnation == m.incarnation {
+		m.fencingToken = cmd.FencingToken
 		w.execute(m, cmd.Commands)
 		status = 200
 	}
 	m.wake()
-	return w.report(m), status
+	return w.sendHeartbeat(m), status
 }
 
 // fetch tells when a job's image is on a machine. Images come one after another, as they
 // share the rate, and the first of those that no task needs make room.
-func (w *World) fetch(m *Machine, j *Job) time.Time {
+func (w *Simulation) fetch(m *Machine, j *Job) time.Time {
 	name, _ := j.Spec["kit"].(string)
 	now := time.Now()
 	if at, ok := m.images[name]; ok {
 		return at
 	}
 	takes := time.Duration(0)
-	if m.of.FetchGBs > 0 {
-		takes = w.fast(seconds(j.spec("pullGb") / m.of.FetchGBs))
+	if m.machineType.FetchGBs > 0 {
+		takes = w.fast(seconds(j.spec("pullGb") / m.machineType.FetchGBs))
 	}
 	m.fetches = latest(m.fetches, now).Add(takes)
-	if len(m.images) >= max(1, int(m.of.CacheGB/max(0.1, j.spec("pullGb")))) {
+	if len(m.images) >= max(1, int(m.machineType.CacheGB/max(0.1, j.spec("pullGb")))) {
 		oldest := ""
 		for n, at := range m.images {
 			needed := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.state != protocol.TaskExited && t.job.Spec["kit"] == n })
@@ -355,9 +355,11 @@
 }
 
 // fast is how long work takes that is stated to take d: machines work at the world's speed.
-func (w *World) fast(d time.Duration) time.Duration { return time.Duration(float64(d) / w.speed()) }
+func (w *Simulation) fast(d time.Duration) time.Duration {
+	return time.Duration(float64(d) / w.speed())
+}
 
-func (w *World) speed() float64 {
+func (w *Simulation) speed() float64 {
 	if w.Speed > 0 {
 		return w.Speed
 	}
@@ -386,23 +388,23 @@
 }
 
 // mark keeps the latest checkpoint that a task which ends now has saved by itself.
-func (w *World) mark(t *task) {
+func (w *Simulation) mark(t *task) {
 	if every := w.fast(seconds(t.job.spec("markEveryS"))); every > 0 && t.state == protocol.TaskRunning {
 		t.job.save(t, time.Since(t.began)/every*every, w.speed())
 	}
 }
 
 type workerLink struct {
-	w *World
-	n *Node
+	simulation *Simulation
+	controller *ControllerProcess
 }
 
 // Command sends commands straight to a worker.
 func (l *workerLink) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	time.Sleep(time.Millisecond)
-	l.n.pause()
+	l.controller.pause()
 	began := time.Now()
-	w := l.w
+	w := l.simulation
 	w.mu.Lock()
 	var m *Machine
 	for _, x := range w.machines {
@@ -410,7 +412,7 @@
 			m = x
 		}
 	}
-	do := func() (*protocol.Heartbeat, int) { return w.obey(m, cmd) }
+	do := func() (*protocol.Heartbeat, int) { return w.executeCommand(m, cmd) }
 	if m != nil && w.LateCommands != nil {
 		if d := w.LateCommands(m.Name, cmd); d > 0 {
 			w.mu.Unlock()
@@ -426,15 +428,15 @@
 			return nil, 0, protocol.ErrUnknown
 		}
 	}
-	if m == nil || m.hang || m.cut || m.deaf || w.parted(l.n, m) || l.n.cut(NoWorkers) || l.n.dead() {
-		hung := m != nil && m.hang && !l.n.cut(NoWorkers)
+	if m == nil || m.hanging || m.partitioned || m.deafToController || w.partitioned(l.controller, m) || l.controller.cut(NoWorkers) || l.controller.ended() {
+		hung := m != nil && m.hanging && !l.controller.cut(NoWorkers)
 		w.mu.Unlock()
 		if hung { // it executes them when it resumes
 			go func() {
 				for w.ctx.Err() == nil {
 					time.Sleep(300 * time.Millisecond)
 					w.mu.Lock()
-					if m.gone || !m.hang {
+					if m.gone || !m.hanging {
 						if !m.gone {
 							do()
 						}
@@ -458,7 +460,7 @@
 	if held >= timeout {
 		return nil, 0, protocol.ErrUnknown
 	}
-	if l.n.overslept(began, timeout) {
+	if l.controller.stalledThrough(began, timeout) {
 		return nil, 0, protocol.ErrUnknown
 	}
 	return r, status, nil
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -20,21 +20,21 @@
 	"dykeledge/internal/transport"
 )
 
-// Node is one controller of the played deployment.
-type Node struct {
-	Name  string
-	Zone  string
-	Link  *StoreLink
-	Core  *coordination.Controller
-	world *World
-	stop  context.CancelFunc
-	beat  func(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
-	gone  atomic.Bool
-	cuts  atomic.Uint32
-	still atomic.Int64 // stands still until then
-
-	// Reports meters the workers' connections to a node that speaks HTTP.
-	Reports Meter
+// ControllerProcess is one controller of the played deployment.
+type ControllerProcess struct {
+	Name            string
+	Zone            string
+	Link            *StoreLink
+	Core            *coordination.Controller
+	simulation      *Simulation
+	stop            context.CancelFunc
+	handleHeartbeat func(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
+	gone            atomic.Bool
+	cuts            atomic.Uint32
+	stalledUntil    atomic.Int64 // stands still until then
+
+	// HeartbeatMeter meters the workers' connections to a node that speaks HTTP.
+	HeartbeatMeter Meter
 }
 
 // Cuts are what a node is cut off from.
@@ -53,58 +53,58 @@
 )
 
 // Cut sets what a node is cut off from.
-func (n *Node) Cut(c Cuts) { n.cuts.Store(uint32(c)) }
+func (n *ControllerProcess) Cut(c Cuts) { n.cuts.Store(uint32(c)) }
 
-// Dead tells whether a node was killed.
-func (n *Node) Dead() bool { return n.gone.Load() }
+// Ended tells whether a node was killed.
+func (n *ControllerProcess) Ended() bool { return n.gone.Load() }
 
-func (n *Node) dead() bool { return n.gone.Load() }
+func (n *ControllerProcess) ended() bool { return n.gone.Load() }
 
 // IsCut tells whether a node is cut off from any of these.
-func (n *Node) IsCut(c Cuts) bool { return n.cut(c) }
+func (n *ControllerProcess) IsCut(c Cuts) bool { return n.cut(c) }
 
-func (n *Node) cut(c Cuts) bool { return Cuts(n.cuts.Load())&c != 0 }
+func (n *ControllerProcess) cut(c Cuts) bool { return Cuts(n.cuts.Load())&c != 0 }
 
-// StandStill stops a node for a while; its clocks run on, and so does the world.
-func (n *Node) StandStill(d time.Duration) {
-	n.still.Store(time.Now().Add(d).UnixNano())
+// Stall stops a node for a while; its clocks run on, and so does the world.
+func (n *ControllerProcess) Stall(d time.Duration) {
+	n.stalledUntil.Store(time.Now().Add(d).UnixNano())
 	// The core answers a stranger's report by itself, and stands still meanwhile.
-	go n.Core.HandleHeartbeat(n.world.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { n.pause() })
+	go n.Core.HandleHeartbeat(n.simulation.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { n.pause() })
 }
 
-// cutZone is what a node in a zone that is cut off is cut off from; it reaches the workers there.
-const cutZone = NoState | NoUsers | NoCloud
+// partitionZone is what a node in a zone that is cut off is cut off from; it reaches the workers there.
+const partitionZone = NoState | NoUsers | NoCloud
 
-// CutZone cuts a zone off from everything, "" ends that: what is inside goes on among itself.
-func (w *World) CutZone(zone string) {
+// PartitionZone cuts a zone off from everything, "" ends that: what is inside goes on among itself.
+func (w *Simulation) PartitionZone(zone string) {
 	w.mu.Lock()
-	w.apart = zone
-	nodes := slices.Clone(w.nodes)
+	w.isolated = zone
+	nodes := slices.Clone(w.controllers)
 	w.mu.Unlock()
 	for _, n := range nodes {
 		if n.Cut(0); n.Zone == zone {
-			n.Cut(cutZone)
+			n.Cut(partitionZone)
 		}
 	}
 }
 
-func (w *World) zoneCut() string {
+func (w *Simulation) zonePartitioned() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.apart
+	return w.isolated
 }
 
-func (w *World) cutOff(zone string) bool { return zone != "" && zone == w.zoneCut() }
+func (w *Simulation) cutOff(zone string) bool { return zone != "" && zone == w.zonePartitioned() }
 
-// parted tells whether a zone's cut is between a node and a machine. The world is locked.
-func (w *World) parted(n *Node, m *Machine) bool {
-	return w.apart != "" && (n.Zone == w.apart) != (m.Zone == w.apart)
+// partitioned tells whether a zone's cut is between a node and a machine. The world is locked.
+func (w *Simulation) partitioned(n *ControllerProcess, m *Machine) bool {
+	return w.isolated != "" && (n.Zone == w.isolated) != (m.Zone == w.isolated)
 }
 
 // pause waits while the node stands still.
-func (n *Node) pause() {
+func (n *ControllerProcess) pause() {
 	for {
-		left := time.Until(time.Unix(0, n.still.Load()))
+		left := time.Until(time.Unix(0, n.stalledUntil.Load()))
 		if left <= 0 {
 			return
 		}
@@ -112,9 +112,9 @@
 	}
 }
 
-// overslept waits while the node stands still, and tells whether a call that began
+// stalledThrough waits while the node stands still, and tells whether a call that began
 // at a time has run out of its time meanwhile.
-func (n *Node) overslept(began time.Time, within time.Duration) bool {
+func (n *ControllerProcess) stalledThrough(began time.Time, within time.Duration) bool {
 	n.pause()
 	return time.Since(began) > within
 }
@@ -144,59 +144,59 @@
 	answered  time.Time // when its user last had an answer
 }
 
-// Dice is seeded randomness that many goroutines may use.
-type Dice struct {
+// Source is seeded randomness that many goroutines may use.
+type Source struct {
 	mu sync.Mutex
 	r  *rand.Rand
 }
 
 // IntN is a number from 0 to below n.
-func (d *Dice) IntN(n int) int {
+func (d *Source) IntN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.r.IntN(n)
 }
 
 // Float64 is a number from 0 to below 1.
-func (d *Dice) Float64() float64 {
+func (d *Source) Float64() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.r.Float64()
 }
 
-// World is a played deployment. It notes every broken rule.
-type World struct {
-	T0       time.Time
-	Cfg      *config.Settings
-	Store    *Store
-	Rand     *Dice
-	mu       sync.Mutex
-	nodes    []*Node
-	machines map[string]*Machine
-	jobs     map[string]*Job
-	order    []string
-	charters map[string][]string
-	names    int
-	Cap      int // machines that can be rented in all
-	broken   []string
-	Started  int
+// Simulation is a played deployment. It notes every broken rule.
+type Simulation struct {
+	StartTime    time.Time
+	Settings     *config.Settings
+	Store        *Store
+	Random       *Source
+	mu           sync.Mutex
+	controllers  []*ControllerProcess
+	machines     map[string]*Machine
+	jobs         map[string]*Job
+	order        []string
+	requestNames map[string][]string
+	names        int
+	CapacityOf   int // machines that can be rented in all
+	brokenRules  []string
+	Started      int
 	// LeaseKills counts tasks that were killed because their worker's lease ran out.
 	LeaseKills int
 	Late       func(node string, t protocol.Txn) time.Duration
-	// LateDone and LateRefused count transactions that were applied late, and refused then.
-	LateDone, LateRefused atomic.Int32
+	// LateDone and LateDenied count transactions that were applied late, and refused then.
+	LateDone, LateDenied atomic.Int32
 	// LateCommands delays direct commands; their sender learns nothing.
-	LateCommands func(m string, cmd protocol.DirectCommands) time.Duration
-	LateReports  func(m string) time.Duration
-	// CopiedReports has a copy of a report arrive again, so much later; 0: none. Copies counts them.
-	CopiedReports func(m string) time.Duration
-	Copies        atomic.Int32
-	// KeptReports has a copy of a report kept back, which every node gets as the next leader begins. CopiesToNext counts those.
-	KeptReports  func(m string) bool
-	CopiesToNext atomic.Int32
-	kept         []*protocol.Heartbeat
-	lastLeader   storage.LeaderRecord
-	Leads        atomic.Int32 // times that the lead was taken
+	LateCommands   func(m string, cmd protocol.DirectCommands) time.Duration
+	LateHeartbeats func(m string) time.Duration
+	// CopiedHeartbeats has a copy of a report arrive again, so much later; 0: none. Copies counts them.
+	CopiedHeartbeats func(m string) time.Duration
+	Copies           atomic.Int32
+	// KeptHeartbeats has a copy of a report kept back, which every node gets as the next leader begins. CopiesToNext counts those.
+	KeptHeartbeats func(m string) bool
+	CopiesToNext   atomic.Int32
+	kept           []*protocol.Heartbeat
+	lastLeader     storage.LeaderRecord
+	IsLeader       atomic.Int32 // times that the lead was taken
 	// LostAnswers has a transaction carried out at once and its answer lost. AnswersLost counts those that took effect, by the first key's kind.
 	LostAnswers func(node string, t protocol.Txn) bool
 	AnswersLost map[string]int
@@ -211,18 +211,18 @@
 	RanAgain int
 	// LateAnswers holds up the answer to a direct command, which was carried out.
 	LateAnswers func(m string) time.Duration
-	// LateRentals delays rental requests; their sender learns nothing.
-	LateRentals func() time.Duration
+	// LateScaleOuts delays rental requests; their sender learns nothing.
+	LateScaleOuts func() time.Duration
 	// Boot, if set, is how long a rented machine takes to come up; 0: it never does.
 	Boot func() time.Duration
 	// ListLag, if set, is how old the machine list is.
 	ListLag func() time.Duration
 	// After is called when a node's transaction was applied, before the node learns of it.
-	After   func(i int, t protocol.Txn)
-	Catalog protocol.Catalog
-	ctx     context.Context
-	Log     *slog.Logger
-	Kills   atomic.Int32 // nodes killed
+	After     func(i int, t protocol.Txn)
+	Catalog   protocol.Catalog
+	ctx       context.Context
+	Log       *slog.Logger
+	KillCount atomic.Int32 // nodes killed
 	// CloudCalls and CloudOver count the cloud's requests, and those over its rate,
 	// where the store enforces its own.
 	CloudCalls, CloudOver int
@@ -234,9 +234,9 @@
 	// LateBoots and NeverBoots are the parts of the rented machines that take four times as long
 	// as usual to come up, and that never do.
 	LateBoots, NeverBoots float64
-	spent                 float64
-	apart                 string // the zone that is cut off
-	odd                   int    // odd requests made
+	costSpent             float64
+	isolated              string // the zone that is cut off
+	sendOddRequest        int    // odd requests made
 	// Speed, if above 0, is how many times as fast as stated machines come up, fetch and work.
 	Speed float64
 	// Listen, if set, tells the address at which a new machine's worker will listen.
@@ -252,10 +252,10 @@
 	limits   map[string]float64 // by team whose entry was changed: the CPUs that it may use; 0: any
 }
 
-// NewWorld plays a deployment until ctx ends.
-func NewWorld(ctx context.Context, cfg *config.Settings, seed uint64) *World {
-	w := &World{T0: time.Now(), Cfg: cfg, Store: NewStore(), Rand: &Dice{r: rand.New(rand.NewPCG(seed, 7))},
-		machines: map[string]*Machine{}, jobs: map[string]*Job{}, charters: map[string][]string{}, AnswersLost: map[string]int{}, Cap: 6, ctx: ctx,
+// NewSimulation plays a deployment until ctx ends.
+func NewSimulation(ctx context.Context, cfg *config.Settings, seed uint64) *Simulation {
+	w := &Simulation{StartTime: time.Now(), Settings: cfg, Store: NewStore(), Random: &Source{r: rand.New(rand.NewPCG(seed, 7))},
+		machines: map[string]*Machine{}, jobs: map[string]*Job{}, requestNames: map[string][]string{}, AnswersLost: map[string]int{}, CapacityOf: 6, ctx: ctx,
 		used: map[string]float64{}, limits: map[string]float64{},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Catalog: protocol.Catalog{Types: []protocol.MachineType{{Name: "t16", Cpus: 16, MemGB: 64, CacheGB: 30, FetchGBs: 0.5,
@@ -265,22 +265,22 @@
 }
 
 // newLeader delivers what was kept back for the next leader to every node, as it begins. The world is locked.
-func (w *World) newLeader(raw []byte) {
+func (w *Simulation) newLeader(raw []byte) {
 	var l storage.LeaderRecord
 	if json.Unmarshal(raw, &l) != nil || l == w.lastLeader {
 		return
 	}
 	w.lastLeader = l
-	w.Leads.Add(1)
-	kept, nodes := w.kept, slices.Clone(w.nodes)
+	w.IsLeader.Add(1)
+	kept, nodes := w.kept, slices.Clone(w.controllers)
 	w.kept = nil
 	go func() {
 		for range 20 { // as it begins, and when it has taken shares
 			for _, n := range nodes {
 				for _, r := range kept {
-					if !n.dead() && !n.cut(NoWorkers) {
+					if !n.ended() && !n.cut(NoWorkers) {
 						w.CopiesToNext.Add(1)
-						n.beat(w.ctx, r, func(int, any) {})
+						n.handleHeartbeat(w.ctx, r, func(int, any) {})
 					}
 				}
 			}
@@ -290,7 +290,7 @@
 }
 
 // Running is how many tasks are on machines now.
-func (w *World) Running() int {
+func (w *Simulation) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -300,20 +300,20 @@
 	return n
 }
 
-// Broken lists the rules that were broken.
-func (w *World) Broken() []string {
+// BrokenRules lists the rules that were broken.
+func (w *Simulation) BrokenRules() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.broken)
+	return slices.Clone(w.brokenRules)
 }
 
-func (w *World) fault(format string, a ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%.1f s: ", time.Since(w.T0).Seconds())+fmt.Sprintf(format, a...))
+func (w *Simulation) injectFault(format string, a ...any) {
+	w.brokenRules = append(w.brokenRules, fmt.Sprintf("%.1f s: ", time.Since(w.StartTime).Seconds())+fmt.Sprintf(format, a...))
 }
 
 // Start starts node i, anew if it ran before.
-func (w *World) Start(i int) {
-	cfg := *w.Cfg
+func (w *Simulation) Start(i int) {
+	cfg := *w.Settings
 	name := fmt.Sprintf("n%d", i)
 	cfg.MemberName = name
 	cfg.Known = nil
@@ -324,11 +324,11 @@
 	}
 	cfg.Zone = cfg.Deployment.Zones[i%len(cfg.Deployment.Zones)]
 	ctx, cancel := context.WithCancel(w.ctx)
-	n := &Node{Name: name, Zone: cfg.Zone, world: w, stop: cancel}
-	if cfg.Zone == w.zoneCut() {
-		n.Cut(cutZone)
+	n := &ControllerProcess{Name: name, Zone: cfg.Zone, simulation: w, stop: cancel}
+	if cfg.Zone == w.zonePartitioned() {
+		n.Cut(partitionZone)
 	}
-	n.Link = &StoreLink{store: w.Store, node: n, Late: func(t protocol.Txn) time.Duration {
+	n.Link = &StoreLink{store: w.Store, controller: n, Late: func(t protocol.Txn) time.Duration {
 		if w.Late == nil {
 			return 0
 		}
@@ -341,12 +341,12 @@
 	if w.Store.Limited {
 		n.Link.budget = transport.NewStateBudget(&cfg.Deployment)
 	}
-	cloud := &cloudLink{w: w, n: n}
+	cloud := &cloudLink{simulation: w, controller: n}
 	if w.Store.Limited {
 		cloud.budget = transport.CloudBudget(&cfg.Deployment)
 	}
 	n.Core = coordination.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), coordination.DefaultTiming())
-	n.beat = n.Core.HandleHeartbeat
+	n.handleHeartbeat = n.Core.HandleHeartbeat
 	if w.Views {
 		n.Core.EnableView()
 	}
@@ -354,25 +354,25 @@
 	if w.Old[i] {
 		n.Core.Layout, n.Core.Frames = storage.LayoutPlain, 0
 	}
-	for len(w.nodes) <= i {
-		w.nodes = append(w.nodes, nil)
+	for len(w.controllers) <= i {
+		w.controllers = append(w.controllers, nil)
 	}
-	w.nodes[i] = n
+	w.controllers[i] = n
 	w.mu.Unlock()
 	go n.Core.Run(ctx)
 }
 
-// Talk lets the nodes hear one another's pulses.
-func (w *World) Talk() {
+// PeerDelay lets the nodes hear one another's pulses.
+func (w *Simulation) PeerDelay() {
 	go func() {
 		for w.ctx.Err() == nil {
 			time.Sleep(500 * time.Millisecond)
 			w.mu.Lock()
-			nodes := slices.Clone(w.nodes)
+			nodes := slices.Clone(w.controllers)
 			w.mu.Unlock()
 			for _, from := range nodes {
 				for _, to := range nodes {
-					if from != to && (from.Zone == to.Zone || !w.cutOff(from.Zone) && !w.cutOff(to.Zone)) && !from.dead() && !to.dead() && from.still.Load() < time.Now().UnixNano() &&
+					if from != to && (from.Zone == to.Zone || !w.cutOff(from.Zone) && !w.cutOff(to.Zone)) && !from.ended() && !to.ended() && from.stalledUntil.Load() < time.Now().UnixNano() &&
 						!from.cut(NoPeers) && !to.cut(NoPeers) {
 						go to.Core.ReceivePeerHeartbeat(from.Name, from.Core.PeerHeartbeat())
 						if word, ok := from.Core.CancellationDigest(to.Name); ok {
@@ -386,33 +386,33 @@
 }
 
 // Kill ends node i without any notice.
-func (w *World) Kill(i int) {
-	n := w.Node(i)
-	w.Kills.Add(1)
+func (w *Simulation) Kill(i int) {
+	n := w.Controller(i)
+	w.KillCount.Add(1)
 	n.gone.Store(true)
 	n.stop()
 }
 
 // Again ends nodes and starts them anew a moment later.
-func (w *World) Again(back time.Duration, nodes ...int) {
+func (w *Simulation) Again(back time.Duration, nodes ...int) {
 	for _, i := range nodes {
-		if !w.Node(i).dead() {
+		if !w.Controller(i).ended() {
 			w.Kill(i)
 		}
 	}
 	time.Sleep(back)
 	for _, i := range nodes {
-		if w.Node(i).dead() {
+		if w.Controller(i).ended() {
 			w.Start(i)
 		}
 	}
 }
 
 // Owner is the node that owns a share, -1 if nobody does.
-func (w *World) Owner(share int) int {
-	for i := range w.Cfg.Deployment.Controllers {
-		v, err := w.Node(i).Core.ShardViews(w.ctx)
-		if err == nil && share < len(v) && v[share].Owner == w.Node(i).Name {
+func (w *Simulation) Owner(share int) int {
+	for i := range w.Settings.Deployment.Controllers {
+		v, err := w.Controller(i).Core.ShardViews(w.ctx)
+		if err == nil && share < len(v) && v[share].Owner == w.Controller(i).Name {
 			return i
 		}
 	}
@@ -420,24 +420,24 @@
 }
 
 // Leader is the node that leads, -1 if nobody is known to.
-func (w *World) Leader() int {
+func (w *Simulation) Leader() int {
 	raw, ok := w.Store.Value(storage.LeaderKey)
 	var l storage.LeaderRecord
 	if !ok || json.Unmarshal(raw, &l) != nil {
 		return -1
 	}
-	return slices.IndexFunc(w.nodes, func(n *Node) bool { return n.Name == l.Member })
+	return slices.IndexFunc(w.controllers, func(n *ControllerProcess) bool { return n.Name == l.Member })
 }
 
-// Node returns node i as it runs now.
-func (w *World) Node(i int) *Node {
+// Controller returns node i as it runs now.
+func (w *Simulation) Controller(i int) *ControllerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.nodes[i]
+	return w.controllers[i]
 }
 
 // Machines lists the machines that are there, by name.
-func (w *World) Machines() []*Machine {
+func (w *Simulation) Machines() []*Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []*Machine
@@ -459,9 +459,9 @@
 }
 
 // Stats counts what has happened so far.
-func (w *World) Stats() Stats {
+func (w *Simulation) Stats() Stats {
 	w.Store.mu.Lock()
-	s := Stats{Requests: w.Store.Requests, Writes: w.Store.Writes, Over: w.Store.Over}
+	s := Stats{Requests: w.Store.Requests, Writes: w.Store.Writes, Over: w.Store.OverRate}
 	w.Store.mu.Unlock()
 	w.mu.Lock()
 	defer w.mu.Unlock()
