--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -30,13 +30,13 @@
 }
 
 // load submits a mixed load and returns its jobs.
-func load(w *World) []*Job {
+func load(w *Simulation) []*Job {
 	var jobs []*Job
-	wants := []Want{
+	wants := []JobSpec{
 		{Team: "red", Tasks: 12, Cpus: 4, Run: 6 * time.Second},
 		{Team: "blue", Tasks: 5, Cpus: 8, Run: 8 * time.Second, NoSpot: true, Urgency: "high"},
 		{Team: "green", Tasks: 9, Cpus: 2, Run: 5 * time.Second, Scatter: true},
-		{Team: "grey", Tasks: 4, Cpus: 4, Run: 7 * time.Second, Together: true, Mark: 2},
+		{Team: "grey", Tasks: 4, Cpus: 4, Run: 7 * time.Second, Together: true, CheckpointS: 2},
 		{Team: "red", Tasks: 3, Cpus: 4, Run: 60 * time.Second, CancelAfter: 9 * time.Second},
 		{Team: "grey", Tasks: 2, Cpus: 4, Run: 50 * time.Second, CancelAfter: 200 * time.Millisecond},
 		{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Zone: "b", Urgency: "low"},
@@ -46,25 +46,25 @@
 		first := len(jobs)
 		for _, x := range wants {
 			jobs = append(jobs, w.User(x))
-			time.Sleep(time.Duration(w.Rand.IntN(1500)) * time.Millisecond)
+			time.Sleep(time.Duration(w.Random.IntN(1500)) * time.Millisecond)
 		}
 		// A pipeline over teams and shares with a diamond, one that hangs on a cancelled job,
 		// and a last job that comes when the others are over.
-		a := w.User(Want{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Awaits: jobs[first+2 : first+3]})
-		b := w.User(Want{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Awaits: []*Job{a}})
-		c := w.User(Want{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, Mark: 2, Awaits: []*Job{a}})
-		d := w.User(Want{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Awaits: []*Job{b, c}})
-		x := w.User(Want{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Awaits: []*Job{b, jobs[first+4]}})
-		y := w.User(Want{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Awaits: []*Job{x, d}})
-		z := w.User(Want{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Awaits: []*Job{a}})
-		late := w.User(Want{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Awaits: []*Job{z, jobs[first+5]}})
+		a := w.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
+		b := w.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{a}})
+		c := w.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{a}})
+		d := w.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{b, c}})
+		x := w.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{b, jobs[first+4]}})
+		y := w.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{x, d}})
+		z := w.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{a}})
+		late := w.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{z, jobs[first+5]}})
 		jobs = append(jobs, a, b, c, d, x, y, z, late)
 	}
 	return jobs
 }
 
 // awaitAll waits until all users were told that their jobs are over.
-func (w *World) awaitAll(t *testing.T, jobs []*Job, seconds int) {
+func (w *Simulation) awaitAll(t *testing.T, jobs []*Job, seconds int) {
 	t.Helper()
 	isOpen := func(j *Job) bool { return !w.Told(j).Final() }
 	for range seconds {
@@ -75,8 +75,8 @@
 	}
 	for _, j := range jobs {
 		if isOpen(j) {
-			shares, _ := w.Node(0).Core.ShardViews(w.ctx)
-			t.Errorf("%s of %s is still %q after %v, %d tasks on machines; shares %+v", j.ID, j.Team, w.Told(j), time.Since(w.T0), w.On(j), shares)
+			shares, _ := w.Controller(0).Core.ShardViews(w.ctx)
+			t.Errorf("%s of %s is still %q after %v, %d tasks on machines; shares %+v", j.ID, j.Team, w.Told(j), time.Since(w.StartTime), w.On(j), shares)
 			for _, m := range w.Machines() {
 				t.Logf("%s in %s, spot %v: %d tasks", m.Name, m.Zone, m.Spot, len(m.tasks))
 			}
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestWorld plays a deployment through faults and checks every rule of the protocol.
-func TestWorld(t *testing.T) {
+// TestSimulation plays a deployment through faults and checks every rule of the protocol.
+func TestSimulation(t *testing.T) {
 	launches := func(x protocol.Txn) bool {
 		for _, c := range x.Then {
 			if _, ok := storage.GroupOf(c.Put); ok {
@@ -107,7 +107,7 @@
 	}
 	// killAfter kills a node the moment that such a transaction of its own was
 	// applied, four times in all, and starts it anew 4 s later.
-	killAfter := func(w *World, such func(protocol.Txn) bool) {
+	killAfter := func(w *Simulation, such func(protocol.Txn) bool) {
 		var kills atomic.Int32
 		w.After = func(i int, x protocol.Txn) {
 			if such(x) && kills.Add(1) <= 4 {
@@ -121,11 +121,11 @@
 	}
 	cases := []struct {
 		name  string
-		setup func(w *World)
-		fault func(w *World)
+		setup func(w *Simulation)
+		fault func(w *Simulation)
 	}{
 		{name: "quiet"},
-		{name: "a node is killed and comes back", fault: func(w *World) {
+		{name: "a node is killed and comes back", fault: func(w *Simulation) {
 			for i := range 3 {
 				time.Sleep(6 * time.Second)
 				w.Kill(i)
@@ -133,7 +133,7 @@
 				w.Start(i)
 			}
 		}},
-		{name: "all nodes are killed", fault: func(w *World) {
+		{name: "all nodes are killed", fault: func(w *Simulation) {
 			time.Sleep(8 * time.Second)
 			for i := range 3 {
 				w.Kill(i)
@@ -143,18 +143,18 @@
 				w.Start(i)
 			}
 		}},
-		{name: "one node alone serves", fault: func(w *World) {
+		{name: "one node alone serves", fault: func(w *Simulation) {
 			time.Sleep(5 * time.Second)
 			w.Kill(1)
 			w.Kill(2)
 		}},
-		{name: "an outage of the state service", fault: func(w *World) {
+		{name: "an outage of the state service", fault: func(w *Simulation) {
 			time.Sleep(7 * time.Second)
 			w.Store.SetDown(true)
 			time.Sleep(20 * time.Second)
 			w.Store.SetDown(false)
 		}},
-		{name: "an outage while all nodes restart", fault: func(w *World) {
+		{name: "an outage while all nodes restart", fault: func(w *Simulation) {
 			time.Sleep(7 * time.Second)
 			w.Store.SetDown(true)
 			for i := range 3 {
@@ -167,65 +167,65 @@
 			time.Sleep(9 * time.Second)
 			w.Store.SetDown(false)
 		}},
-		{name: "one node alone is refused by the state service", fault: func(w *World) {
+		{name: "one node alone is refused by the state service", fault: func(w *Simulation) {
 			time.Sleep(6 * time.Second)
-			w.Store.Refuse("n0", true)
+			w.Store.Deny("n0", true)
 			time.Sleep(25 * time.Second)
-			w.Store.Refuse("n0", false)
+			w.Store.Deny("n0", false)
 		}},
-		{name: "a node is cut off and comes back", fault: func(w *World) {
+		{name: "a node is cut off and comes back", fault: func(w *Simulation) {
 			time.Sleep(6 * time.Second)
-			w.Node(0).Cut(AllCut)
+			w.Controller(0).Cut(AllCut)
 			time.Sleep(20 * time.Second)
-			w.Node(0).Cut(0)
+			w.Controller(0).Cut(0)
 		}},
-		{name: "a node reaches the state service but nothing else", fault: func(w *World) {
+		{name: "a node reaches the state service but nothing else", fault: func(w *Simulation) {
 			time.Sleep(6 * time.Second)
-			w.Node(0).Cut(NoWorkers | NoUsers | NoCloud)
+			w.Controller(0).Cut(NoWorkers | NoUsers | NoCloud)
 			time.Sleep(40 * time.Second)
-			w.Node(0).Cut(0)
+			w.Controller(0).Cut(0)
 		}},
 		// A new owner that learnt of its share from its own commit had not yet seen
 		// what the former owner committed just before, and placed tasks twice.
-		{name: "peers are taken for dead while nodes follow slowly", setup: func(w *World) {
-			w.Store.Lag = func(string) time.Duration { return time.Duration(w.Rand.IntN(1200)) * time.Millisecond }
+		{name: "peers are taken for dead while nodes follow slowly", setup: func(w *Simulation) {
+			w.Store.Lag = func(string) time.Duration { return time.Duration(w.Random.IntN(1200)) * time.Millisecond }
 			go func() {
 				for i := range 500 {
-					w.User(Want{Team: []string{"red", "blue", "green", "grey"}[i%4], Tasks: 1, Cpus: 1, Run: 2 * time.Second})
+					w.User(JobSpec{Team: []string{"red", "blue", "green", "grey"}[i%4], Tasks: 1, Cpus: 1, Run: 2 * time.Second})
 					time.Sleep(80 * time.Millisecond)
 				}
 			}()
-		}, fault: func(w *World) {
+		}, fault: func(w *Simulation) {
 			for i := range 12 {
 				time.Sleep(3 * time.Second)
-				gone := w.Node(i % 3)
+				gone := w.Controller(i % 3)
 				for k := range 3 {
-					if n := w.Node(k); n != gone {
+					if n := w.Controller(k); n != gone {
 						n.Core.PeerDisconnected(gone.Name)
 					}
 				}
 				time.Sleep(2500 * time.Millisecond)
 				for k := range 3 {
-					w.Node(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
+					w.Controller(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
 				}
 			}
 		}},
-		{name: "transactions are applied late", setup: func(w *World) {
+		{name: "transactions are applied late", setup: func(w *Simulation) {
 			w.Late = func(_ string, x protocol.Txn) time.Duration {
-				if launches(x) && w.Rand.IntN(6) == 0 {
-					return time.Duration(500+w.Rand.IntN(6000)) * time.Millisecond
+				if launches(x) && w.Random.IntN(6) == 0 {
+					return time.Duration(500+w.Random.IntN(6000)) * time.Millisecond
 				}
 				return 0
 			}
 		}},
-		{name: "transactions are applied late and nodes are killed", setup: func(w *World) {
+		{name: "transactions are applied late and nodes are killed", setup: func(w *Simulation) {
 			w.Late = func(_ string, x protocol.Txn) time.Duration {
-				if w.Rand.IntN(8) == 0 {
-					return time.Duration(500+w.Rand.IntN(9000)) * time.Millisecond
+				if w.Random.IntN(8) == 0 {
+					return time.Duration(500+w.Random.IntN(9000)) * time.Millisecond
 				}
 				return 0
 			}
-		}, fault: func(w *World) {
+		}, fault: func(w *Simulation) {
 			for i := range 6 {
 				time.Sleep(5 * time.Second)
 				w.Kill(i % 3)
@@ -233,61 +233,61 @@
 				w.Start(i % 3)
 			}
 		}},
-		{name: "nodes are killed between record and launch", setup: func(w *World) { killAfter(w, launches) }},
-		{name: "nodes are killed between the evicted set and the stops", setup: func(w *World) { killAfter(w, evicts) }},
-		{name: "rentals are carried out late", setup: func(w *World) {
-			w.LateRentals = func() time.Duration { return time.Duration(w.Rand.IntN(3)*w.Rand.IntN(20000)) * time.Millisecond }
+		{name: "nodes are killed between record and launch", setup: func(w *Simulation) { killAfter(w, launches) }},
+		{name: "nodes are killed between the evicted set and the stops", setup: func(w *Simulation) { killAfter(w, evicts) }},
+		{name: "rentals are carried out late", setup: func(w *Simulation) {
+			w.LateScaleOuts = func() time.Duration { return time.Duration(w.Random.IntN(3)*w.Random.IntN(20000)) * time.Millisecond }
 		}},
-		{name: "direct commands arrive late", setup: func(w *World) {
+		{name: "direct commands arrive late", setup: func(w *Simulation) {
 			w.LateCommands = func(string, protocol.DirectCommands) time.Duration {
-				if w.Rand.IntN(2) == 0 {
-					return time.Duration(2000+w.Rand.IntN(20000)) * time.Millisecond
+				if w.Random.IntN(2) == 0 {
+					return time.Duration(2000+w.Random.IntN(20000)) * time.Millisecond
 				}
 				return 0
 			}
 		}},
-		{name: "reports arrive late", setup: func(w *World) {
-			w.LateReports = func(string) time.Duration {
-				if w.Rand.IntN(12) == 0 {
-					return time.Duration(2000+w.Rand.IntN(15000)) * time.Millisecond
+		{name: "reports arrive late", setup: func(w *Simulation) {
+			w.LateHeartbeats = func(string) time.Duration {
+				if w.Random.IntN(12) == 0 {
+					return time.Duration(2000+w.Random.IntN(15000)) * time.Millisecond
 				}
 				return 0
 			}
 		}},
-		{name: "a worker hangs and resumes", fault: func(w *World) {
+		{name: "a worker hangs and resumes", fault: func(w *Simulation) {
 			time.Sleep(6 * time.Second)
 			for _, m := range w.Machines()[:2] {
-				w.Set(m, Hang(true))
+				w.Set(m, HangingMachine(true))
 				time.Sleep(4 * time.Second)
-				w.Set(m, Hang(false))
+				w.Set(m, HangingMachine(false))
 			}
 			m := w.Machines()[0]
-			w.Set(m, Hang(true))
+			w.Set(m, HangingMachine(true))
 			time.Sleep(20 * time.Second)
-			w.Set(m, Hang(false))
+			w.Set(m, HangingMachine(false))
 		}},
-		{name: "a worker loses its session", fault: func(w *World) {
+		{name: "a worker loses its session", fault: func(w *Simulation) {
 			time.Sleep(6 * time.Second)
 			m := w.Machines()[0]
 			w.Set(m, CutOff(true))
 			time.Sleep(13 * time.Second)
 			w.Set(m, CutOff(false))
 		}},
-		{name: "machines die, are taken and fail their tasks", fault: func(w *World) {
+		{name: "machines die, are taken and fail their tasks", fault: func(w *Simulation) {
 			time.Sleep(6 * time.Second)
 			ms := w.Machines()
 			w.Die(ms[0])
-			w.Set(ms[1], Sick(true))
-			w.Set(ms[2], Notice(8*time.Second))
+			w.Set(ms[1], UnhealthyMachine(true))
+			w.Set(ms[2], PreemptionNotice(8*time.Second))
 		}},
-		{name: "a job fails everywhere", setup: func(w *World) {
-			w.User(Want{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Broken: true, Urgency: "high"})
+		{name: "a job fails everywhere", setup: func(w *Simulation) {
+			w.User(JobSpec{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Broken: true, Urgency: "high"})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			playDay(t, 5, c.setup, c.fault, func(w *World) {
-				if w.After != nil && w.Kills.Load() == 0 {
+			playDay(t, 5, c.setup, c.fault, func(w *Simulation) {
+				if w.After != nil && w.KillCount.Load() == 0 {
 					t.Error("no such transaction came, nothing was killed")
 				}
 			})
@@ -296,17 +296,17 @@
 }
 
 // playDay plays a mixed load through a fault, and checks every rule.
-func playDay(t *testing.T, seed uint64, setup, fault, check func(w *World)) {
+func playDay(t *testing.T, seed uint64, setup, fault, check func(w *Simulation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := NewWorld(ctx, settings(), seed)
+		w := NewSimulation(ctx, settings(), seed)
 		if setup != nil {
 			setup(w)
 		}
 		for i := range 3 {
 			w.Start(i)
 		}
-		for _, z := range w.Cfg.Deployment.Zones {
+		for _, z := range w.Settings.Deployment.Zones {
 			w.AddMachine(z, false)
 		}
 		w.AddMachine("a", true)
@@ -322,7 +322,7 @@
 		w.awaitAll(t, jobs, 300)
 		<-over
 		time.Sleep(35 * time.Second) // cancelled tasks must be gone by now
-		for _, b := range w.Broken() {
+		for _, b := range w.BrokenRules() {
 			t.Error(b)
 		}
 		if w.Started == 0 {
@@ -331,7 +331,7 @@
 		if check != nil {
 			check(w)
 		}
-		t.Logf("done after %v, %d starts, %d writes", time.Since(w.T0), w.Started, w.Store.Writes)
+		t.Logf("done after %v, %d starts, %d writes", time.Since(w.StartTime), w.Started, w.Store.Writes)
 		cancel()
 		time.Sleep(time.Minute)
 	})
@@ -342,8 +342,8 @@
 // service's limits at some time afterwards without notice.
 func TestUpgrade(t *testing.T) {
 	// There are never two processes of one name.
-	again := func(w *World, i int) {
-		if !w.Node(i).dead() {
+	again := func(w *Simulation, i int) {
+		if !w.Controller(i).ended() {
 			w.Kill(i)
 		}
 		w.Start(i)
@@ -354,12 +354,12 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			var gate, lowered atomic.Bool
-			playDay(t, 300+seed, func(w *World) {
-				w.Cfg.Deployment.State.Next = &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}
+			playDay(t, 300+seed, func(w *Simulation) {
+				w.Settings.Deployment.State.Next = &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}
 				w.Old = map[int]bool{0: true, 1: true, 2: true}
-				w.Store.Limit(w.Cfg.Deployment.State.RPS, w.Cfg.Deployment.State.WriteRPS)
+				w.Store.Limit(w.Settings.Deployment.State.RPS, w.Settings.Deployment.State.WriteRPS)
 				w.Store.MaxValue, w.Store.MaxOps = 32<<10, 12
-				w.cloudRate = bucket{rate: w.Cfg.Deployment.Cloud.RPS, burst: 2 * w.Cfg.Deployment.Cloud.RPS}
+				w.cloudRate = bucket{rate: w.Settings.Deployment.Cloud.RPS, burst: 2 * w.Settings.Deployment.Cloud.RPS}
 				var kills atomic.Int32
 				records := w.Store.Check
 				w.Store.Check = func(x protocol.Txn) { // whoever learns of it
@@ -372,7 +372,7 @@
 						}
 						w.mu.Lock()
 						if len(w.Old) > 0 {
-							w.fault("the gate opens while old nodes serve")
+							w.injectFault("the gate opens while old nodes serve")
 						}
 						w.mu.Unlock()
 					}
@@ -388,14 +388,14 @@
 				}
 				if seed%4 == 3 {
 					w.Late = func(string, protocol.Txn) time.Duration {
-						if w.Rand.IntN(10) == 0 {
-							return time.Duration(500+w.Rand.IntN(9000)) * time.Millisecond
+						if w.Random.IntN(10) == 0 {
+							return time.Duration(500+w.Random.IntN(9000)) * time.Millisecond
 						}
 						return 0
 					}
 				}
-			}, func(w *World) {
-				time.Sleep(time.Duration(2000+w.Rand.IntN(4000)) * time.Millisecond)
+			}, func(w *Simulation) {
+				time.Sleep(time.Duration(2000+w.Random.IntN(4000)) * time.Millisecond)
 				if seed%2 == 1 { // dies before its turn and comes back old
 					w.Kill(2)
 					time.Sleep(2 * time.Second)
@@ -403,14 +403,14 @@
 				}
 				for i := range 3 {
 					w.Kill(i)
-					time.Sleep(time.Duration(1000+w.Rand.IntN(3000)) * time.Millisecond)
+					time.Sleep(time.Duration(1000+w.Random.IntN(3000)) * time.Millisecond)
 					w.mu.Lock()
 					delete(w.Old, i)
 					w.mu.Unlock()
 					again(w, i)
-					time.Sleep(time.Duration(1000+w.Rand.IntN(5000)) * time.Millisecond)
+					time.Sleep(time.Duration(1000+w.Random.IntN(5000)) * time.Millisecond)
 				}
-				time.Sleep(time.Duration(w.Rand.IntN(8000)) * time.Millisecond)
+				time.Sleep(time.Duration(w.Random.IntN(8000)) * time.Millisecond)
 				for range 1000 {
 					if time.Sleep(100 * time.Millisecond); gate.Load() {
 						break
@@ -427,7 +427,7 @@
 						again(w, i)
 					}
 				}
-			}, func(w *World) {
+			}, func(w *Simulation) {
 				if !gate.Load() || !lowered.Load() {
 					t.Error("the gate did not open")
 				}
@@ -443,31 +443,31 @@
 func TestSettingsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := NewWorld(ctx, settings(), 5)
+		w := NewSimulation(ctx, settings(), 5)
 		w.Start(0)
 		w.Start(1)
 		time.Sleep(2 * time.Second)
-		_, v, err := w.Node(0).Core.Settings(ctx)
+		_, v, err := w.Controller(0).Core.Settings(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = w.Node(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
+		if _, _, err = w.Controller(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = w.Node(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, coordination.ErrVersion) {
+		if _, _, err = w.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, coordination.ErrVersion) {
 			t.Fatalf("a change of an old version: %v", err)
 		}
 		w.Start(2)
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			if s, _, err := w.Node(i).Core.Settings(ctx); err != nil || s.Alpha != 0.7 {
+			if s, _, err := w.Controller(i).Core.Settings(ctx); err != nil || s.Alpha != 0.7 {
 				t.Errorf("node %d: %+v, %v", i, s, err)
 			}
 		}
 		w.Store.SetDown(true)
 		short, stop := context.WithTimeout(ctx, 3*time.Second)
 		defer stop()
-		if _, _, err := w.Node(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, coordination.ErrUnavailable) {
+		if _, _, err := w.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, coordination.ErrUnavailable) {
 			t.Errorf("in an outage: %v", err)
 		}
 		cancel()
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -172,7 +172,7 @@
 	}
 }
 
-func (s *Sum) fields() []*uint64 {
+func (s *Totals) fields() []*uint64 {
 	return []*uint64{&s.Queued, &s.Running, &s.Finished, &s.Waiting, &s.Placed, &s.UsedCpus, &s.UsedGpus, &s.WaitsCpus}
 }
 
@@ -181,7 +181,7 @@
 }
 
 func (t *Team) fields() []*uint64 {
-	return append([]*uint64{&t.Cpus, &t.CpusMax, &t.Gpus, &t.GpusMax, &t.RateMicro, &t.DominantPM}, t.Sum.fields()...)
+	return append([]*uint64{&t.Cpus, &t.CpusMax, &t.Gpus, &t.GpusMax, &t.RateMicro, &t.DominantPM}, t.Totals.fields()...)
 }
 
 func (w *writer) all(fields []*uint64) {
@@ -430,7 +430,7 @@
 		h.Teams = append(h.Teams, t)
 	}
 	if r.flag() {
-		h.Others = &Sum{}
+		h.Others = &Totals{}
 		r.all(h.Others.fields())
 	}
 	r.all(h.Fleet.fields())
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -46,29 +46,29 @@
 	floor     uint64   // changes up to it are not all in the log any more
 	finished  []string // jobs, in the order of their ends
 	gone      []uint64 // sequence numbers of removals
-	sums      []Sum    // by team
+	sums      []Totals // by team
 	rates     []uint64 // by team
 	fleet     Fleet
 	mirror    bool   // a copy of another model, which alone decides what is dropped
 	sets      uint64 // evicted sets so far
-	unlisted  Sum    // jobs of teams that are not in the head
+	unlisted  Totals // jobs of teams that are not in the head
 }
 
 // SetTeam takes a team's changed guarantee and limit.
 func (m *Model) SetTeam(t Team) {
 	if i, ok := m.team[t.Name]; ok {
-		t.Sum, t.RateMicro, t.DominantPM = Sum{}, 0, 0
+		t.Totals, t.RateMicro, t.DominantPM = Totals{}, 0, 0
 		m.teams[i] = t
 	}
 }
 
 // NewModel is empty; teams tell guarantees and limits.
 func NewModel(teams []Team) *Model {
-	m := &Model{teams: slices.Clone(teams), team: map[string]int{}, sums: make([]Sum, len(teams)), rates: make([]uint64, len(teams)),
+	m := &Model{teams: slices.Clone(teams), team: map[string]int{}, sums: make([]Totals, len(teams)), rates: make([]uint64, len(teams)),
 		jobs: btree.NewMap[string, *Job](16), machines: btree.NewMap[string, *Machine](16),
 		evictions: btree.NewMap[string, *Eviction](16), log: btree.NewMap[uint64, entry](16)}
 	for i := range m.teams {
-		m.teams[i].Sum, m.teams[i].RateMicro, m.teams[i].DominantPM = Sum{}, 0, 0
+		m.teams[i].Totals, m.teams[i].RateMicro, m.teams[i].DominantPM = Totals{}, 0, 0
 		m.team[m.teams[i].Name] = i
 	}
 	return m
@@ -103,7 +103,7 @@
 	return m.seq
 }
 
-func (m *Model) sum(team string) *Sum {
+func (m *Model) sum(team string) *Totals {
 	if i, ok := m.team[team]; ok {
 		return &m.sums[i]
 	}
@@ -220,7 +220,7 @@
 	h.Seq, h.Fleet = m.seq, m.fleet
 	h.Teams = make([]Team, len(m.teams))
 	for i, t := range m.teams {
-		t.Sum, t.RateMicro = m.sums[i], m.rates[i]
+		t.Totals, t.RateMicro = m.sums[i], m.rates[i]
 		t.DominantPM = max(permille(t.UsedCpus, m.fleet.Cpus), permille(t.UsedGpus, m.fleet.Gpus))
 		h.Teams[i] = t
 	}
@@ -274,22 +274,22 @@
 // Check holds the sums of the head against the rows, whatever made both. An error names the
 // first sum that is off: then the snapshot is torn and must not be shown.
 func (s *Snapshot) Check() error {
-	sums := map[string]*Sum{}
+	sums := map[string]*Totals{}
 	s.jobs.Scan(func(_ string, j *Job) bool {
 		if sums[j.Team] == nil {
-			sums[j.Team] = &Sum{}
+			sums[j.Team] = &Totals{}
 		}
 		sums[j.Team].add(j, 1)
 		return true
 	})
 	for _, t := range s.Teams {
-		got := Sum{}
+		got := Totals{}
 		if sums[t.Name] != nil {
 			got = *sums[t.Name]
 		}
 		delete(sums, t.Name)
-		if got != t.Sum {
-			return fmt.Errorf("revision %d: rows of team %s sum up to %+v, the head says %+v", s.Revision, t.Name, got, t.Sum)
+		if got != t.Totals {
+			return fmt.Errorf("revision %d: rows of team %s sum up to %+v, the head says %+v", s.Revision, t.Name, got, t.Totals)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -168,7 +168,7 @@
 	CpusMax    uint64 `json:"limit_cpus_milli"` // 0: none
 	Gpus       uint64 `json:"guarantee_gpus_milli"`
 	GpusMax    uint64 `json:"limit_gpus_milli"`
-	Sum        `json:"sum"`
+	Totals     `json:"sum"`
 	RateMicro  uint64 `json:"money_micro_per_hour"`
 	DominantPM uint64 `json:"dominant_share_permille"` // of all machines, the larger one of processors and accelerators
 }
@@ -179,8 +179,8 @@
 	return t.UsedCpus - min(t.UsedCpus, t.Cpus), t.UsedGpus - min(t.UsedGpus, t.Gpus)
 }
 
-// Sum counts jobs and tasks.
-type Sum struct {
+// Totals counts jobs and tasks.
+type Totals struct {
 	Queued    uint64 `json:"queued_jobs"`
 	Running   uint64 `json:"running_jobs"`
 	Finished  uint64 `json:"finished_jobs"` // of those that are still listed
@@ -192,7 +192,7 @@
 }
 
 // add adds a job's part, or takes it away with sign -1.
-func (s *Sum) add(j *Job, sign int64) {
+func (s *Totals) add(j *Job, sign int64) {
 	n := uint64(sign) // sums wrap around, and come back exactly
 	switch j.Status {
 	case Queued:
@@ -211,7 +211,7 @@
 }
 
 // plus adds another sum.
-func (s *Sum) plus(o Sum) {
+func (s *Totals) plus(o Totals) {
 	from := o.fields()
 	for i, f := range s.fields() {
 		*f += *from[i]
@@ -263,7 +263,7 @@
 	StateOK  bool     `json:"state_ok"` // the state service serves the node
 	Scope    string   `json:"scope"`    // the team that it is for, "" for operators
 	Teams    []Team   `json:"teams"`
-	Others   *Sum     `json:"others,omitempty"` // all teams that the scope leaves out
+	Others   *Totals  `json:"others,omitempty"` // all teams that the scope leaves out
 	Fleet    Fleet    `json:"fleet"`
 	Members  []Member `json:"nodes"`
 }
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -49,13 +49,13 @@
 	if s == Operators {
 		return h
 	}
-	others, own := Sum{}, []Team{}
+	others, own := Totals{}, []Team{}
 	for _, t := range h.Teams {
 		if t.Name == string(s) {
 			own = append(own, t)
 			continue
 		}
-		others.plus(t.Sum)
+		others.plus(t.Totals)
 	}
 	h.Teams, h.Others = own, &others
 	h.Member, h.Members, h.Fleet.RateMicro = "", []Member{}, 0
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -135,13 +135,13 @@
 			t.Fatal("a node's name")
 		}
 		// What it does see is all of its own, and the others as one sum.
-		own, others := m.sums[m.team[me]], Sum{}
+		own, others := m.sums[m.team[me]], Totals{}
 		for i := range m.sums {
 			if i != m.team[me] {
 				others.plus(m.sums[i])
 			}
 		}
-		if len(in.Teams) != 1 || in.Teams[0].Sum != own || *in.Others != others || in.Check() != nil {
+		if len(in.Teams) != 1 || in.Teams[0].Totals != own || *in.Others != others || in.Check() != nil {
 			t.Fatalf("%+v, want %+v and %+v", in.Head, own, others)
 		}
 	})
