--- a/internal/coordination/commit_test.go
+++ b/internal/coordination/commit_test.go
@@ -78,7 +78,7 @@
 
 // A transaction whose outcome is unknown may still be applied: it is repeated
 // unchanged, and nothing else is committed, until its outcome is known.
-func TestDoubt(t *testing.T) {
+func TestInDoubtTransactions(t *testing.T) {
 	cases := []struct {
 		name   string
 		rev    uint64
@@ -151,7 +151,7 @@
 
 // That a machine fails its tasks was forgotten whenever it got another owner, so
 // it went on failing tasks: it belongs into the record.
-func TestSickIsRecorded(t *testing.T) {
+func TestUnhealthyIsRecorded(t *testing.T) {
 	c := newCore(t)
 	m := c.cache.Machine("m")
 	c.workerState(m).unhealthy = true
--- a/internal/coordination/gate_test.go
+++ b/internal/coordination/gate_test.go
@@ -19,7 +19,7 @@
 // A transaction in doubt whose repetition is refused for its size is still in doubt: the
 // first copy may have been carried out before the limits fell, or come late. It was
 // repeated for ever.
-func TestDoubtIsSettled(t *testing.T) {
+func TestInDoubtTransactionIsSettled(t *testing.T) {
 	c := newCore(t)
 	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 	txn := b.build()
@@ -290,7 +290,7 @@
 
 // The leader's transactions in doubt are settled likewise: its key is rewritten, and the
 // cache is waited for before anybody looks at what became of them.
-func TestLeadersDoubtIsSettled(t *testing.T) {
+func TestLeadersInDoubtTransactionIsSettled(t *testing.T) {
 	tooLarge := scriptAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
 	unknown, refused := scriptAnswer{err: protocol.ErrUnknown}, scriptAnswer{err: protocol.ErrRefused}
 	cases := []struct {
--- a/internal/coordination/leader_test.go
+++ b/internal/coordination/leader_test.go
@@ -80,7 +80,7 @@
 
 // A job bound to one zone waited while its share had as much free room in another: sums of all zones said that nothing was short. It
 // is lent a rack on which it fits; what waits for its team's limit, and not for room, is lent none.
-func TestWhatWaitsBesideRoomIsLentARack(t *testing.T) {
+func TestWorkWaitingBesideCapacityIsLentAGroup(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		zone  string  // where the job must run; its share has an empty machine in a, the other share one in b
@@ -132,7 +132,7 @@
 
 // Three machines ran what could not end, one of them alone in its share; by the sums there was room, so
 // nothing was rented, and no move evened out loads: a share without a machine waited for ever.
-func TestAShareWithoutARackIsLentOne(t *testing.T) {
+func TestShardWithoutGroupIsLentOne(t *testing.T) {
 	cases := []struct {
 		name   string
 		placed [3]int // tasks of 2 CPUs on the machine of 8 of racks 0, 1 and 2
@@ -337,8 +337,8 @@
 	}
 }
 
-// TestRackFill: newcomers fill the racks of their share, spot and ordinary apart.
-func TestRackFill(t *testing.T) {
+// TestGroupAllocator: newcomers fill the racks of their share, spot and ordinary apart.
+func TestGroupAllocator(t *testing.T) {
 	c := newCore(t) // rack 0 of share 0 holds one ordinary machine
 	f := newGroupAllocator(c.cache, 3)
 	for i, x := range []struct {
@@ -358,7 +358,7 @@
 
 // Idle-time work gives way to any other, also without a guarantee; other work of the
 // lowest priority, and of the same, does not.
-func TestIdleWorkMayBeEvicted(t *testing.T) {
+func TestIdleWorkMayBePreempted(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		aim   bool // an objective names the class of what runs
--- a/internal/coordination/newborn_test.go
+++ b/internal/coordination/newborn_test.go
@@ -76,7 +76,7 @@
 
 // After an end of all nodes each read every record before it took a submission, seconds
 // with 1235 machines, although accepting a job takes none of them.
-func TestANewbornAcceptsBeforeItHasReadAll(t *testing.T) {
+func TestRestartedControllerAcceptsBeforeItHasReadAll(t *testing.T) {
 	submission := func(awaits []string) []byte {
 		raw, err := json.Marshal(map[string]any{"id": "job-000007", "jobclass": "c", "crew": "red", "shape": "batch", "urgency": "normal",
 			"shards": 2, "cpus": 1.0, "accelerators": 0.0, "ramGb": 1.0, "kit": "i", "pullGb": 0.5, "hulls": nil, "berth": nil,
--- a/internal/coordination/others_test.go
+++ b/internal/coordination/others_test.go
@@ -11,7 +11,7 @@
 
 // A node that has read no records answers a worker only where that loses nothing and holds
 // it at no node that can do nothing for it.
-func TestBlindRenewals(t *testing.T) {
+func TestUnverifiedRenewals(t *testing.T) {
 	w := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
 	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
 	for _, x := range []struct {
@@ -67,7 +67,7 @@
 
 // A worker is kept alive for an owner that has ended or falls silent in an outage, by a node
 // whose records are not too old for it.
-func TestStandingIn(t *testing.T) {
+func TestProxyRenewals(t *testing.T) {
 	const newborn = -time.Second // the owner's name is heard, from a process that has read nothing
 	for _, x := range []struct {
 		name   string
@@ -104,7 +104,7 @@
 // A share's new owner had shown its token to a worker, and then the machine's rack moved to another
 // share under a token that was worked out before. Nobody could command the worker any more: its
 // reports were refused, what the record placed there stayed placed, and its job ran for ever.
-func TestATokenBelowTheWorkersIsRaised(t *testing.T) {
+func TestFencingTokenBelowTheWorkersIsRaised(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		token  uint64
--- a/internal/coordination/schedule/order_test.go
+++ b/internal/coordination/schedule/order_test.go
@@ -230,7 +230,7 @@
 // Random classes of random teams, one of which floods up to twentyfold while up to a third of the
 // machines are lost: the others must hardly notice, at every minute, and the flood must have
 // a good part of what could be had.
-func TestFloodsLeaveOthersInTime(t *testing.T) {
+func TestOverloadLeavesOthersInTime(t *testing.T) {
 	drawAlike(t, "11", "20")
 	worst, least, all, plays := 1.0, 1.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/coordination/schedule/schedule_test.go
+++ b/internal/coordination/schedule/schedule_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestEvict(t *testing.T) {
+func TestPreempt(t *testing.T) {
 	m, n := slot("m", 0, 0), slot("n", 0, 1)
 	young, old := time.Unix(2000, 0), time.Unix(1000, 0)
 	cand := func(id string, s *Slot, cpus, v, w float64, at time.Time) Candidate {
--- a/internal/coordination/schedule/soonest_test.go
+++ b/internal/coordination/schedule/soonest_test.go
@@ -77,7 +77,7 @@
 
 // Evictions look first where the image is, in the order of their scores there, and further away
 // only for what does not fit.
-func TestEvictSoonest(t *testing.T) {
+func TestPreemptSoonest(t *testing.T) {
 	for _, x := range []struct {
 		n    int
 		want string
--- a/internal/coordination/silence_test.go
+++ b/internal/coordination/silence_test.go
@@ -13,7 +13,7 @@
 
 // A node that had stood still found all others silent: it gave up its shares, or
 // returned machines, although it was the one that had been away.
-func TestStandstillIsNoticed(t *testing.T) {
+func TestStallIsDetected(t *testing.T) {
 	c := newCore(t)
 	c.sessionLease = 1
 	m := c.cache.Machine("m")
@@ -70,7 +70,7 @@
 }
 
 // A leader that wakes may lead no more: it must not rent beside its successor.
-func TestNoRentalsWithAHoldInQuestion(t *testing.T) {
+func TestNoScaleOutWithAnUncertainLease(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		since time.Duration
@@ -96,7 +96,7 @@
 
 // A node that the state service alone refused kept its shares until its hold ran out,
 // although it knew, and could tell, at once.
-func TestRefusedNodesAreLost(t *testing.T) {
+func TestDeniedMembersAreLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, x := range []struct {
 		name    string
--- a/internal/coordination/stops_test.go
+++ b/internal/coordination/stops_test.go
@@ -99,7 +99,7 @@
 
 // What a mute machine runs ends with its lease, again and again: it is given nothing, and returned after a while; what it is asked
 // for directly refreshes neither.
-func TestMuteMachines(t *testing.T) {
+func TestUnresponsiveMachines(t *testing.T) {
 	for i, x := range []struct {
 		name   string
 		mute   time.Duration
@@ -139,7 +139,7 @@
 }
 
 // A lead whose transaction's answer was lost is known from its record: what an earlier lead of the same process knew must not stay.
-func TestALeadBeginsWithItsRecord(t *testing.T) {
+func TestLeadershipBeginsWithItsRecord(t *testing.T) {
 	c := newCore(t)
 	c.leader.enrollPending["m9"], c.leader.requestCount = true, 7
 	lead := func(node string, version uint64) {
--- a/internal/coordination/usual/usual_test.go
+++ b/internal/coordination/usual/usual_test.go
@@ -7,7 +7,7 @@
 )
 
 // The learner must tell what is asked for all the time from a flood, whenever that begins.
-func TestLearner(t *testing.T) {
+func TestEstimator(t *testing.T) {
 	a, b := storage.ClassQueue{Team: 0, Class: 0}, storage.ClassQueue{Team: 1, Class: 1}
 	// Jobs of 10 seconds of a CPU each.
 	ask := func(work float64) storage.Arrivals { return storage.Arrivals{Jobs: work / 10, Work: work} }
--- a/internal/coordination/words_test.go
+++ b/internal/coordination/words_test.go
@@ -114,7 +114,7 @@
 
 // Words go only to nodes whose record says that they read them, and only with what those have not read:
 // a node of the version before would close the connection at the first.
-func TestWordsGoToThoseWhoReadThem(t *testing.T) {
+func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
 	c := newCore(t)
 	c.digest.recorded.add(6, "job-000006")
 	c.digest.recorded.add(8, "job-000008")
@@ -139,7 +139,7 @@
 
 // A follow's answer may be held up on its way for as long as its caller waits: it shows what was committed
 // until it was sent, no later.
-func TestAFollowCountsFromWhenItWasSent(t *testing.T) {
+func TestWatchCountsFromWhenItWasSent(t *testing.T) {
 	c := newCore(t)
 	c.cfg.Known = []config.Peer{{MemberName: "n1"}}
 	now := time.Now()
--- a/internal/coordination/zones_test.go
+++ b/internal/coordination/zones_test.go
@@ -50,7 +50,7 @@
 
 // A zone was cut off: machines were rented in it, where nobody reached them until the cut ended, and the
 // replicas that ran on there were lost with their machines' return.
-func TestZoneAway(t *testing.T) {
+func TestZoneUnreachable(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		heard       string // zones that answer
--- a/internal/storage/awaits_test.go
+++ b/internal/storage/awaits_test.go
@@ -38,7 +38,7 @@
 	return b, func(n string) *Job { return b.Job("job-00000" + n) }
 }
 
-func TestAwaits(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	cases := []struct {
 		name  string
 		steps []string
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestAwaitsAnyOrder: whatever order the records of a graph are read in, every node comes
+// TestDependenciesInAnyOrder: whatever order the records of a graph are read in, every node comes
 // to the same.
-func TestAwaitsAnyOrder(t *testing.T) {
+func TestDependenciesInAnyOrder(t *testing.T) {
 	steps := []string{"1", "2<1", "3<1", "4<2,3", "5<4", "6", "7<6,5", "8<7", "9<6"}
 	ends := []string{"1+", "", "", "", "", "6-", "", "", ""}
 	r := rand.New(rand.NewPCG(9, 9))
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -10,9 +10,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestBook applies changes in the order in which a node may learn of them, which
+// TestCache applies changes in the order in which a node may learn of them, which
 // is not always the order in which they were committed.
-func TestBook(t *testing.T) {
+func TestCache(t *testing.T) {
 	spec := &SpecRecord{Cpus: 2, Mem: 1, Image: "i"}
 	job := func(final string, done int) JobRecord {
 		return JobRecord{Spec: spec, Tasks: 2, Team: "red", Final: final, DoneCount: done}
