--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"dykeledge/internal/client"
-	"dykeledge/internal/load"
+	"dykeledge/internal/loadgen"
 )
 
 func (a *app) loadCommand() *cobra.Command {
@@ -21,7 +21,7 @@
 			"not earlier ones were answered. See docs/dykectl.md for the file. Exit code 1: a job was told to be over and then\n" +
 			"something else, was rejected, or got no certain answer.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := load.Load(args[0])
+			p, err := loadgen.Load(args[0])
 			if err != nil {
 				return usage(err)
 			}
@@ -38,7 +38,7 @@
 			}
 			a.log.Info("load begins", "jobs", len(plan), "seed", seed)
 			u := client.New(cluster.Users)
-			r := &load.Runner{To: u, PollEvery: poll}
+			r := &loadgen.Runner{To: u, PollEvery: poll}
 			u.Retried = r.Retried
 			if cluster.Uploads != "" {
 				up := client.New(cluster.Uploads)
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/spf13/cobra"
 
-	"dykeledge/internal/scale"
+	"dykeledge/internal/scaletest"
 )
 
 const cellCommand = "cell" // what `dykectl scale run` starts for each cell
@@ -30,13 +30,13 @@
 	c.AddCommand(a.scaleRunCommand(), a.scaleReportCommand(), &cobra.Command{
 		Use: "profile", Short: "Print the profile that is played unless another is named", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return toml.NewEncoder(cmd.OutOrStdout()).Encode(scale.DefaultProfile())
+			return toml.NewEncoder(cmd.OutOrStdout()).Encode(scaletest.DefaultProfile())
 		},
 	}, &cobra.Command{
 		Use: cellCommand, Short: "Play one cell that is read from standard input", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			log := slog.New(slog.NewTextHandler(a.errs, nil))
-			if err := scale.ServeCell(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log); err != nil {
+			if err := scaletest.ServeCell(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log); err != nil {
 				return failed(err)
 			}
 			return nil
@@ -70,8 +70,8 @@
 	}
 	f := c.Flags()
 	f.StringVar(&o.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
-	f.StringVar(&o.cut, "cut", string(scale.Peak), "peak, population, changes or troubles")
-	f.StringVar(&o.regions, "regions", string(scale.LargestRegion), "largest or all")
+	f.StringVar(&o.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
+	f.StringVar(&o.regions, "regions", string(scaletest.LargestRegion), "largest or all")
 	f.StringVar(&o.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
 	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
 	f.StringVar(&o.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
@@ -99,12 +99,12 @@
 }
 
 // request checks the flags.
-func (o *scaleOptions) request() (scale.Profile, scale.Request, error) {
-	p, r := scale.DefaultProfile(), scale.Request{Run: o.run, Commit: o.commit, Cut: scale.Cut(o.cut), Regions: scale.Regions(o.regions), Seed: o.seed,
+func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
+	p, r := scaletest.DefaultProfile(), scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
-		if p, err = scale.LoadProfile(o.profile); err != nil {
+		if p, err = scaletest.LoadProfile(o.profile); err != nil {
 			return p, r, err
 		}
 	}
@@ -112,9 +112,9 @@
 		return p, r, err
 	}
 	switch {
-	case !slices.Contains(scale.Cuts(), r.Cut):
+	case !slices.Contains(scaletest.Cuts(), r.Cut):
 		return p, r, errors.New("--cut is peak, population, changes or troubles")
-	case r.Regions != scale.LargestRegion && r.Regions != scale.AllRegions:
+	case r.Regions != scaletest.LargestRegion && r.Regions != scaletest.AllRegions:
 		return p, r, errors.New("--regions is largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
 		return p, r, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
@@ -145,7 +145,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	launcher := scale.Launcher{Errs: a.errs, Command: func(ctx context.Context) *exec.Cmd {
+	launcher := scaletest.Launcher{Errs: a.errs, Command: func(ctx context.Context) *exec.Cmd {
 		return exec.CommandContext(ctx, self, "scale", cellCommand)
 	}}
 	points, err := launcher.Run(ctx, p.Cells(r))
@@ -159,7 +159,7 @@
 }
 
 // keep adds points to the file that was asked for, and tells what is wrong with them.
-func (o *scaleOptions) keep(points []*scale.Point) error {
+func (o *scaleOptions) keep(points []*scaletest.Point) error {
 	var to io.Writer = io.Discard
 	if o.out != "" {
 		f, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
@@ -178,7 +178,7 @@
 	return errors.Join(bad...)
 }
 
-func (a *app) printPoints(out io.Writer, points []*scale.Point) error {
+func (a *app) printPoints(out io.Writer, points []*scaletest.Point) error {
 	tw := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
 	for _, p := range points {
@@ -207,11 +207,11 @@
 			if len(args) > 0 {
 				dir = args[0]
 			}
-			points, err := scale.ReadPoints(dir)
+			points, err := scaletest.ReadPoints(dir)
 			if err != nil {
 				return usage(err)
 			}
-			if err := scale.Report(cmd.OutOrStdout(), points); err != nil {
+			if err := scaletest.Report(cmd.OutOrStdout(), points); err != nil {
 				return failed(err)
 			}
 			return nil
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"dykeledge/internal/scale"
+	"dykeledge/internal/scaletest"
 )
 
 const smallProfile = `workers = 60
@@ -49,7 +49,7 @@
 	if code != 0 {
 		t.Fatalf("exit code %d\n%s\n%s", code, text, errs)
 	}
-	points, err := scale.ReadPoints(dir)
+	points, err := scaletest.ReadPoints(dir)
 	if err != nil || len(points) != 2 {
 		t.Fatalf("%d points, %v", len(points), err)
 	}
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -15,10 +15,10 @@
 	"github.com/valyala/fasthttp"
 
 	"dykeledge/internal/contexts"
-	"dykeledge/internal/emulator"
+	"dykeledge/internal/localcluster"
 	"dykeledge/internal/report"
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // How soon a cluster has to take requests, and how often it is recorded.
@@ -74,7 +74,7 @@
 	return "", errors.New("no dykeledge beside this program, in target or on the path: build it, or name it with --controller")
 }
 
-func (o *upOptions) check() (opts emulator.Options, err error) {
+func (o *upOptions) check() (opts localcluster.Options, err error) {
 	switch {
 	case o.machines < 1 || o.machines > 500:
 		return opts, errors.New("--machines is from 1 to 500")
@@ -83,12 +83,12 @@
 	case o.lasts < 0:
 		return opts, errors.New("--for is a time above 0")
 	}
-	opts = emulator.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.features}
+	opts = localcluster.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.features}
 	if opts.Program, err = controller(o.program); err != nil {
 		return opts, err
 	}
 	if o.faults != "" {
-		if opts.Faults, err = emulator.LoadSchedule(o.faults); err != nil {
+		if opts.Faults, err = localcluster.LoadSchedule(o.faults); err != nil {
 			return opts, err
 		}
 	}
@@ -143,7 +143,7 @@
 		// What is brought about is told, whatever else is not.
 		opts.Log = slog.New(slog.NewTextHandler(a.errs, nil))
 	}
-	c, err := emulator.Start(ctx, opts)
+	c, err := localcluster.Start(ctx, opts)
 	if err != nil {
 		return failed(err)
 	}
@@ -200,7 +200,7 @@
 		a.log.Error("nothing is recorded", "err", err)
 		return
 	}
-	follow := viewer.NewFollower(viewer.NewHTTP(nodes), view.Operators, viewPause)
+	follow := viewclient.NewFollower(viewclient.NewHTTP(nodes), view.Operators, viewPause)
 	go func() {
 		if err := follow.Run(ctx); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
@@ -215,7 +215,7 @@
 }
 
 // sumUp tells what happened in a cluster's life.
-func (a *app) sumUp(out io.Writer, c *emulator.Cluster) error {
+func (a *app) sumUp(out io.Writer, c *localcluster.Cluster) error {
 	w := c.Simulation
 	s := w.Stats()
 	fmt.Fprintf(out, "%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -17,7 +17,7 @@
 	"dykeledge/internal/contexts"
 	"dykeledge/internal/report"
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // viewPause is the least time between two requests for the view.
@@ -35,8 +35,8 @@
 }
 
 // follow follows a cluster's view, and fails when no node can ever give it.
-func follow(ctx context.Context, c contexts.Context, s view.Scope) (f *viewer.Follower, ended <-chan error) {
-	f = viewer.NewFollower(viewer.NewHTTP(c.Nodes), s, viewPause)
+func follow(ctx context.Context, c contexts.Context, s view.Scope) (f *viewclient.Follower, ended <-chan error) {
+	f = viewclient.NewFollower(viewclient.NewHTTP(c.Nodes), s, viewPause)
 	ch := make(chan error, 1)
 	go func() { ch <- f.Run(ctx) }()
 	return f, ch
@@ -80,7 +80,7 @@
 }
 
 // first waits for the first whole view.
-func first(ctx context.Context, f *viewer.Follower, ended <-chan error) (*viewer.State, error) {
+func first(ctx context.Context, f *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
 	for {
 		changed := f.Changed()
 		if s := f.State(); s.Snapshot != nil {
@@ -99,10 +99,10 @@
 	}
 }
 
-func (a *app) show(ctx context.Context, w io.Writer, f *viewer.Follower, s *viewer.State, t console.Table, filter string) error {
+func (a *app) show(ctx context.Context, w io.Writer, f *viewclient.Follower, s *viewclient.State, t console.Table, filter string) error {
 	now := s.Now + time.Since(s.Sent).Milliseconds()
 	rows := t.Rows(s, now, nil, 0, false, filter)
-	var why map[string]viewer.Why
+	var why map[string]viewclient.Why
 	if t.Name == console.Queue {
 		var ids []string
 		for _, r := range rows {
@@ -134,7 +134,7 @@
 }
 
 // document is a table for scripts: the rows as they are, with the head that they belong to.
-func document(s *viewer.State, t console.Table, rows []console.Row, why map[string]viewer.Why) (any, error) {
+func document(s *viewclient.State, t console.Table, rows []console.Row, why map[string]viewclient.Why) (any, error) {
 	out := struct {
 		view.Head
 		AgeS  float64                `json:"age_s"`
--- a/cmd/dykeledge/main.go
+++ b/cmd/dykeledge/main.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/transport"
 )
 
@@ -120,7 +120,7 @@
 		return &exitError{exitFailed, fmt.Errorf("peer_listen: %w", err)}
 	}
 	state, cloud := transport.NewState(cfg), transport.NewCloud(cfg)
-	core := coordination.New(cfg, state, cloud, transport.NewWorkers(), log, coordination.DefaultTiming())
+	core := controller.New(cfg, state, cloud, transport.NewWorkers(), log, controller.DefaultTiming())
 	state.Observe, cloud.Observe = core.Metrics().Observe, core.Metrics().Observe
 	core.OnLogLevel = func(name string) {
 		if name == "as_started" {
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/transport"
 )
 
@@ -39,17 +39,17 @@
 }
 
 // Team reads a team.
-func (cl *client) Team(name string) (coordination.TeamView, error) {
+func (cl *client) Team(name string) (controller.TeamView, error) {
 	return cl.teamCall("GET", name, nil)
 }
 
 // Change changes a team if version is still that of its entry.
-func (cl *client) Change(name string, version uint64, change json.RawMessage) (coordination.TeamView, error) {
+func (cl *client) Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error) {
 	return cl.teamCall("PUT", name, transport.TeamChange{Version: &version, Team: change})
 }
 
-func (cl *client) teamCall(method, name string, in any) (coordination.TeamView, error) {
-	var t coordination.TeamView
+func (cl *client) teamCall(method, name string, in any) (controller.TeamView, error) {
+	var t controller.TeamView
 	body, err := cl.call(method, "/teams/"+url.PathEscape(name), in)
 	if err != nil {
 		return t, err
@@ -91,8 +91,8 @@
 
 // teamsAPI is what a move needs of a cell's administration API.
 type teamsAPI interface {
-	Team(name string) (coordination.TeamView, error)
-	Change(name string, version uint64, change json.RawMessage) (coordination.TeamView, error)
+	Team(name string) (controller.TeamView, error)
+	Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error)
 }
 
 // moveLimit moves CPUs of a team's limit from one cell to another: lowered and in force in the first, then raised in the second.
@@ -140,7 +140,7 @@
 		switch {
 		case err == nil && t.CpusMax != cpusMax:
 			return errChanged
-		case err == nil && t.State == coordination.TeamInForce:
+		case err == nil && t.State == controller.TeamInForce:
 			return nil
 		}
 		select {
--- a/cmd/dykeledge/teams_test.go
+++ b/cmd/dykeledge/teams_test.go
@@ -9,14 +9,14 @@
 
 	"pgregory.net/rapid"
 
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 )
 
 // modelCell is a cell whose answers and whose evictions go as they are drawn. counts is the limit that counts in it.
 type modelCell struct {
 	t       *rapid.T
 	name    string
-	view    coordination.TeamView
+	view    controller.TeamView
 	counts  float64
 	check   func()
 	calls   int
@@ -34,28 +34,28 @@
 	return rapid.SampledFrom([]string{"", "", "", "request lost", "answer lost", "ends"}).Draw(c.t, c.name)
 }
 
-func (c *modelCell) Team(string) (coordination.TeamView, error) {
+func (c *modelCell) Team(string) (controller.TeamView, error) {
 	switch c.event() {
 	case "request lost", "answer lost":
-		return coordination.TeamView{}, errLost
+		return controller.TeamView{}, errLost
 	case "ends":
 		c.aborted()
-		return coordination.TeamView{}, errLost
+		return controller.TeamView{}, errLost
 	}
-	if c.view.State == coordination.TeamLowering && rapid.Bool().Draw(c.t, "kept") {
-		c.counts, c.view.State = c.view.CpusMax, coordination.TeamInForce
+	if c.view.State == controller.TeamLowering && rapid.Bool().Draw(c.t, "kept") {
+		c.counts, c.view.State = c.view.CpusMax, controller.TeamInForce
 		c.check()
 	}
 	return c.view, nil
 }
 
-func (c *modelCell) Change(_ string, version uint64, change json.RawMessage) (coordination.TeamView, error) {
+func (c *modelCell) Change(_ string, version uint64, change json.RawMessage) (controller.TeamView, error) {
 	event := c.event()
 	if event == "request lost" {
-		return coordination.TeamView{}, errLost
+		return controller.TeamView{}, errLost
 	}
 	if version != c.view.Version {
-		return coordination.TeamView{}, coordination.ErrVersion
+		return controller.TeamView{}, controller.ErrVersion
 	}
 	var to struct {
 		CpusMax float64 `json:"cpus_max"`
@@ -63,15 +63,15 @@
 	if err := json.Unmarshal(change, &to); err != nil {
 		c.t.Fatal(err)
 	}
-	c.view.CpusMax, c.view.Version, c.view.State = to.CpusMax, version+1, coordination.TeamInForce
+	c.view.CpusMax, c.view.Version, c.view.State = to.CpusMax, version+1, controller.TeamInForce
 	if to.CpusMax < c.counts {
-		c.view.State = coordination.TeamLowering
+		c.view.State = controller.TeamLowering
 	} else {
 		c.counts = to.CpusMax
 	}
 	c.check()
 	if event != "" {
-		return coordination.TeamView{}, errLost
+		return controller.TeamView{}, errLost
 	}
 	return c.view, nil
 }
@@ -83,7 +83,7 @@
 		const total = 100.0
 		a, b := &modelCell{t: rt, name: "a", counts: 60}, &modelCell{t: rt, name: "b", counts: 40}
 		for _, c := range []*modelCell{a, b} {
-			c.view = coordination.TeamView{State: coordination.TeamFromFile}
+			c.view = controller.TeamView{State: controller.TeamFromFile}
 			c.view.CpusMax = c.counts
 			c.check = func() {
 				if a.counts+b.counts > total {
@@ -102,7 +102,7 @@
 			err := moveLimit(ctx, from, to, "red", cpus, 0, io.Discard)
 			cancel()
 			// The other cell's limit may still be being lowered by an earlier move that ended: then it is lowered less.
-			if err == nil && (from.view.State != coordination.TeamInForce || from.counts != before[0]-cpus || to.view.CpusMax != before[1]+cpus) {
+			if err == nil && (from.view.State != controller.TeamInForce || from.counts != before[0]-cpus || to.view.CpusMax != before[1]+cpus) {
 				rt.Fatalf("moved %g, but from %v to limits of %g (%s) and %g", cpus, before, from.counts, from.view.State, to.view.CpusMax)
 			}
 		}
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -16,12 +16,12 @@
 	"github.com/charmbracelet/x/ansi"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/load"
+	"dykeledge/internal/loadgen"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/simulator"
 	"dykeledge/internal/storage"
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // simulationSource asks the nodes of a played deployment.
@@ -335,7 +335,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				profile, err := load.Parse(raw)
+				profile, err := loadgen.Parse(raw)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -357,20 +357,20 @@
 					w.AddMachine(w.Settings.Deployment.Zones[i%3], i%2 == 0)
 				}
 				ref := &reference{w.Store, storage.NewCache(w.Settings)}
-				f := viewer.NewFollower(simulationSource{simulation: w, nodes: 3}, view.Operators, 300*time.Millisecond)
+				f := viewclient.NewFollower(simulationSource{simulation: w, nodes: 3}, view.Operators, 300*time.Millisecond)
 				ended := make(chan error, 1)
 				go func() { ended <- f.Run(ctx) }()
 				m := New(ctx, f, "burst")
 				time.Sleep(3 * time.Second)
 				go c.fault(w)
-				users := &load.Runner{To: simulator.Users{Simulation: w}, Upload: func(_ string, raw []byte) error {
+				users := &loadgen.Runner{To: simulator.Users{Simulation: w}, Upload: func(_ string, raw []byte) error {
 					var u simulator.Upload
 					if err := json.Unmarshal(raw, &u); err != nil {
 						return err
 					}
 					return w.AddJob(u)
 				}}
-				res := make(chan load.Result, 1)
+				res := make(chan loadgen.Result, 1)
 				go func() { res <- users.Run(ctx, plan, 2*time.Minute) }()
 				final := map[string]view.Status{}
 				screens, old, most, lastRev, provedWrong := 0, 0, 0, uint64(0), false
@@ -422,7 +422,7 @@
 						}
 						most = max(most, len(m.cached))
 					}
-					if age := m.state.Age(time.Now()); age > viewer.Fresh {
+					if age := m.state.Age(time.Now()); age > viewclient.Fresh {
 						if old++; !strings.Contains(ansi.Strip(m.View()), "THIS IS") {
 							return fmt.Sprintf("it is %v old and does not say so", age)
 						}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -7,17 +7,17 @@
 
 	tea "github.com/charmbracelet/bubbletea"
 
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // Model is the screen of the duty room.
 type Model struct {
-	follow   *viewer.Follower
+	follow   *viewclient.Follower
 	cluster  string
 	ctx      context.Context
 	tables   []Table
-	state    *viewer.State
-	why      map[string]viewer.Why
+	state    *viewclient.State
+	why      map[string]viewclient.Why
 	asking   bool
 	askedAt  time.Time
 	width    int
@@ -38,8 +38,8 @@
 }
 
 // New makes a console of a follower that runs elsewhere; ctx bounds its questions.
-func New(ctx context.Context, f *viewer.Follower, cluster string) *Model {
-	m := &Model{follow: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), why: map[string]viewer.Why{}, width: 80, height: 24, now: time.Now}
+func New(ctx context.Context, f *viewclient.Follower, cluster string) *Model {
+	m := &Model{follow: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), why: map[string]viewclient.Why{}, width: 80, height: 24, now: time.Now}
 	m.order, m.reversed = make([]int, len(m.tables)), make([]bool, len(m.tables))
 	m.list()
 	return m
@@ -48,7 +48,7 @@
 type (
 	stateMsg struct{}
 	tickMsg  struct{}
-	whyMsg   map[string]viewer.Why
+	whyMsg   map[string]viewclient.Why
 	// EndMsg ends the console with an error that it shows.
 	EndMsg struct{ Err error }
 )
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -9,7 +9,7 @@
 	"github.com/charmbracelet/x/ansi"
 
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // frameLines are the lines around the rows: two of state, the tables, the titles, the keys.
@@ -76,7 +76,7 @@
 	if s.Snapshot == nil {
 		return clean(s.Trouble)
 	}
-	if age := s.Age(m.now()); age > viewer.Fresh {
+	if age := s.Age(m.now()); age > viewclient.Fresh {
 		why := s.Trouble
 		if why == "" {
 			why = "no newer answer yet"
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -13,7 +13,7 @@
 	"unicode"
 
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // Column is a column of a table. Need says how wide a screen must be to show it; 0: always.
@@ -37,7 +37,7 @@
 	Name    string
 	Columns []Column
 	Orders  []string // what it can be sorted by; the first is the usual order
-	rows    func(s *viewer.State, now int64, why map[string]viewer.Why) []Row
+	rows    func(s *viewclient.State, now int64, why map[string]viewclient.Why) []Row
 }
 
 // A job's id is cut on a narrow screen; details tell it whole.
@@ -84,7 +84,7 @@
 }
 
 // Rows are the rows of a table in an order, reversed if asked, that hold some text.
-func (t Table) Rows(s *viewer.State, now int64, why map[string]viewer.Why, order int, reversed bool, filter string) []Row {
+func (t Table) Rows(s *viewclient.State, now int64, why map[string]viewclient.Why, order int, reversed bool, filter string) []Row {
 	if s.Snapshot == nil {
 		return nil
 	}
@@ -139,8 +139,8 @@
 	return []float64{behind, float64(j.Priority), float64(now - j.From), float64(j.Tasks), 0}
 }
 
-func jobRows(of func(*view.Job) bool, queue bool) func(*viewer.State, int64, map[string]viewer.Why) []Row {
-	return func(s *viewer.State, now int64, why map[string]viewer.Why) (rows []Row) {
+func jobRows(of func(*view.Job) bool, queue bool) func(*viewclient.State, int64, map[string]viewclient.Why) []Row {
+	return func(s *viewclient.State, now int64, why map[string]viewclient.Why) (rows []Row) {
 		s.Jobs("", func(j *view.Job) bool {
 			if !of(j) {
 				return true
@@ -164,12 +164,12 @@
 }
 
 // whyText is why a job waits as far as its row tells, or the node that decides it.
-func whyText(j *view.Job, why map[string]viewer.Why) string {
+func whyText(j *view.Job, why map[string]viewclient.Why) string {
 	if j.Awaits > 0 {
 		return fmt.Sprintf("waits for %d other jobs", j.Awaits)
 	}
 	if w, ok := why[j.ID]; ok {
-		if age := time.Since(w.Got); age > viewer.Fresh {
+		if age := time.Since(w.Got); age > viewclient.Fresh {
 			return fmt.Sprintf("%s (%s ago)", clean(w.Why), span(age.Milliseconds()))
 		}
 		return clean(w.Why)
@@ -180,7 +180,7 @@
 	return ""
 }
 
-func finishedRows(s *viewer.State, now int64, _ map[string]viewer.Why) (rows []Row) {
+func finishedRows(s *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
 	s.Jobs("", func(j *view.Job) bool {
 		if !j.Status.Final() {
 			return true
@@ -201,7 +201,7 @@
 	return rows
 }
 
-func teamRows(s *viewer.State, _ int64, _ map[string]viewer.Why) (rows []Row) {
+func teamRows(s *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
 	for i := range s.Teams {
 		t := &s.Teams[i]
 		borrowed, _ := t.Borrowed()
@@ -220,7 +220,7 @@
 	return rows
 }
 
-func machineRows(s *viewer.State, _ int64, _ map[string]viewer.Why) (rows []Row) {
+func machineRows(s *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
 	s.Machines(func(m *view.Machine) bool {
 		kind := "ordinary"
 		if m.Spot {
@@ -238,7 +238,7 @@
 	return rows
 }
 
-func memberRows(s *viewer.State, _ int64, _ map[string]viewer.Why) (rows []Row) {
+func memberRows(s *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
 	for _, n := range s.Members {
 		state, leads, shares := "gone", "", make([]string, len(n.Shares))
 		switch {
@@ -258,7 +258,7 @@
 	return rows
 }
 
-func evictionRows(s *viewer.State, now int64, _ map[string]viewer.Why) (rows []Row) {
+func evictionRows(s *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
 	s.Evictions(func(e *view.Eviction) bool {
 		count := map[string]int{}
 		var whose []string
--- a/internal/coordination/admin.go
+++ b/internal/controller/admin.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"sort"
 	"time"
 
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/provision/provision.go
+++ b/internal/controller/autoscale/autoscale.go
@@ -1,5 +1,5 @@
-// Package provision decides what to rent and what to return, as pure functions.
-package provision
+// Package autoscale decides what to rent and what to return, as pure functions.
+package autoscale
 
 import (
 	"cmp"
--- a/internal/coordination/provision/provision_test.go
+++ b/internal/controller/autoscale/autoscale_test.go
@@ -1,4 +1,4 @@
-package provision
+package autoscale
 
 import (
 	"fmt"
--- a/internal/coordination/usual/usual.go
+++ b/internal/controller/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package usual learns what the classes of the teams usually ask for, as pure functions: so
+// Package baseline learns what the classes of the teams usually ask for, as pure functions: so
 // that a flood of one class can be told from what the others ask for all the time. See
 // "Floods" in docs/design.md.
-package usual
+package baseline
 
 import (
 	"math"
--- a/internal/coordination/usual/usual_test.go
+++ b/internal/controller/baseline/baseline_test.go
@@ -1,4 +1,4 @@
-package usual
+package baseline
 
 import (
 	"testing"
--- a/internal/coordination/commit.go
+++ b/internal/controller/commit.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,8 @@
-// Package coordination is a controller's core. One goroutine owns all
+// Package controller is a controller's core. One goroutine owns all
 // scheduling state; everything else posts to it. What the state service holds
 // is the truth, and the core works out again and again how what is differs from
 // what is wanted.
-package coordination
+package controller
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/demands.go
+++ b/internal/controller/demands.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"dykeledge/internal/coordination/provision"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/autoscale"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
@@ -15,7 +15,7 @@
 
 // demands sums up the open work by what it may run on, and for each team with a limit apart: its jobs together ask for no
 // more than the limit lets run. Bounded job by job, a team with many jobs had twice the machines rented that it could use.
-func (c *Controller) demands(now time.Time) []provision.Demand {
+func (c *Controller) demands(now time.Time) []autoscale.Demand {
 	type kind struct {
 		spot   bool
 		idle   bool
@@ -27,7 +27,7 @@
 		team   int // provision.NoTeam if it has no limit
 	}
 	index := map[kind]int{}
-	var out []provision.Demand
+	var out []autoscale.Demand
 	var zones *zoneCapacity
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() {
@@ -39,7 +39,7 @@
 		}
 		allow := c.timeAllowed(j, now)
 		idle := allow == 0 && c.isIdleWork(j, now)
-		team := provision.NoTeam
+		team := autoscale.NoTeam
 		if c.limited(j.Team) {
 			team = j.Team
 		}
@@ -49,7 +49,7 @@
 			if !ok {
 				i = len(out)
 				index[k] = i
-				out = append(out, provision.Demand{Team: team, Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
+				out = append(out, autoscale.Demand{Team: team, Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
 					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, WithinS: max(5, allow.Seconds())})
 				if allow == 0 {
 					out[i].WithinS = 120
@@ -77,9 +77,9 @@
 		n := j.PlacedCount - c.placedUnreachable(j, now) + c.wantedTasks(j)
 		add(j.Zone, schedule.CapacityWithin(c.cache.Teams[j.Team], storage.Usage{}, j, n))
 	}
-	provision.CapToLimits(out, workHorizon, func(team int) provision.Limit {
+	autoscale.CapToLimits(out, workHorizon, func(team int) autoscale.Limit {
 		t := c.cache.Teams[team]
-		return provision.Limit{Cpus: t.CpusMax, Gpus: t.GpusMax}
+		return autoscale.Limit{Cpus: t.CpusMax, Gpus: t.GpusMax}
 	})
 	return out
 }
@@ -95,7 +95,7 @@
 	r := &zoneCapacity{free: make([]float64, c.cache.Zones.Len()), canScaleOut: make([]bool, c.cache.Zones.Len())}
 	for i := range c.cache.Types {
 		for _, z := range c.cache.Types[i].Zones {
-			if p := (provision.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneUnreachable(z) {
+			if p := (autoscale.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneUnreachable(z) {
 				r.canScaleOut[z] = true
 			}
 		}
@@ -149,8 +149,8 @@
 // nextServices is room for the services that are likely to come before a machine rented for them would
 // be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
 // it each began with a boot once running services had been brought together on few machines.
-func (c *Controller) nextServices(now time.Time) (provision.Demand, bool) {
-	d := provision.Demand{Team: provision.NoTeam, Zone: -1, WithinS: 5}
+func (c *Controller) nextServices(now time.Time) (autoscale.Demand, bool) {
+	d := autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: 5}
 	work, gives := 0.0, 0.0
 	ahead := 0.0
 	for i := range c.cache.Types {
--- a/internal/coordination/evict.go
+++ b/internal/controller/evict.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/storage"
 )
 
--- a/internal/coordination/floods.go
+++ b/internal/controller/floods.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"maps"
 	"time"
 
-	"dykeledge/internal/coordination/schedule"
-	"dykeledge/internal/coordination/usual"
+	"dykeledge/internal/controller/baseline"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
@@ -30,7 +30,7 @@
 
 // baselineLearning is the leader's learner, and what it has taken in.
 type baselineLearning struct {
-	estimator     *usual.Estimator
+	estimator     *baseline.Estimator
 	lastArrivals  map[storage.ClassQueue]storage.Arrivals // the cache's when last looked at
 	at            time.Time
 	writtenAt     time.Time
@@ -46,10 +46,10 @@
 		return
 	}
 	if l.estimator == nil {
-		*l = baselineLearning{estimator: usual.New(c.cache.Baseline.Cpus), lastArrivals: maps.Clone(c.cache.Arrivals), at: now, writeInFlight: l.writeInFlight}
+		*l = baselineLearning{estimator: baseline.New(c.cache.Baseline.Cpus), lastArrivals: maps.Clone(c.cache.Arrivals), at: now, writeInFlight: l.writeInFlight}
 		return
 	}
-	if d := now.Sub(l.at); d >= usual.Step {
+	if d := now.Sub(l.at); d >= baseline.Step {
 		asked := map[storage.ClassQueue]storage.Arrivals{}
 		for x, n := range c.cache.Arrivals {
 			if s := l.lastArrivals[x]; n.Jobs > s.Jobs {
@@ -58,7 +58,7 @@
 		}
 		// What is read at once after a pause is no flood: a window in which this node stood
 		// still or read nothing is left out.
-		if d < 3*usual.Step && !c.storeFailing() {
+		if d < 3*baseline.Step && !c.storeFailing() {
 			l.estimator.Window(d, asked)
 		}
 		l.lastArrivals, l.at = maps.Clone(c.cache.Arrivals), now
--- a/internal/coordination/gate_test.go
+++ b/internal/controller/gate_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
--- a/internal/coordination/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/storage"
 )
 
--- a/internal/coordination/leader.go
+++ b/internal/controller/leader.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/coordination/provision"
+	"dykeledge/internal/controller/autoscale"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
@@ -21,8 +21,8 @@
 	enrolling         bool
 	editing           bool
 	returning         bool
-	scaleOuts         map[provision.Pool]*scaleOut // under way, outcome unknown
-	blocked           map[provision.Pool]time.Time
+	scaleOuts         map[autoscale.Pool]*scaleOut // under way, outcome unknown
+	blocked           map[autoscale.Pool]time.Time
 	requestCount      int
 	listing           bool
 	listedAt          time.Time
@@ -35,7 +35,7 @@
 	// stuckSince is since when work has waited for which only drained machines have room.
 	stuckSince     time.Time
 	autoscaledAt   time.Time
-	surplusSince   map[provision.Pool]time.Time
+	surplusSince   map[autoscale.Pool]time.Time
 	baseline       baselineLearning
 	overloadActive bool // room is moved as in a flood
 }
@@ -55,8 +55,8 @@
 		n.done(false)
 	}
 	*l = leaderState{baseline: baselineLearning{writeInFlight: l.baseline.writeInFlight}, enrollPending: map[string]bool{}, returning: l.returning, requestCount: l.requestCount,
-		scaleOuts: map[provision.Pool]*scaleOut{}, blocked: map[provision.Pool]time.Time{},
-		emptyMachines: map[int32]emptyMark{}, groupMovedAt: map[int]time.Time{}, stuckSinceByShard: map[int]time.Time{}, unrecorded: map[string]time.Time{}, surplusSince: map[provision.Pool]time.Time{}}
+		scaleOuts: map[autoscale.Pool]*scaleOut{}, blocked: map[autoscale.Pool]time.Time{},
+		emptyMachines: map[int32]emptyMark{}, groupMovedAt: map[int]time.Time{}, stuckSinceByShard: map[int]time.Time{}, unrecorded: map[string]time.Time{}, surplusSince: map[autoscale.Pool]time.Time{}}
 }
 
 // catalogLoop reads the machine types; the leader keeps them in the state
@@ -202,15 +202,15 @@
 	if d, some := c.nextServices(now); some {
 		demands = append(demands, d)
 	}
-	var machines []provision.Machine
-	have := map[provision.Pool]int{}
+	var machines []autoscale.Machine
+	have := map[autoscale.Pool]int{}
 	boot := 0.0
 	for _, m := range c.cache.Machines {
 		if m.Gone {
 			continue
 		}
 		ty := &c.cache.Types[m.Type]
-		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		p := autoscale.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		if !m.Returning {
 			have[p]++
 		}
@@ -218,9 +218,9 @@
 		if v := c.workerStates[m.Index]; m.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(m, bootPatience, now) || c.zoneUnreachable(m.Zone) {
 			usable = false
 		}
-		machines = append(machines, provision.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
+		machines = append(machines, autoscale.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
 	}
-	var offers []provision.Offer
+	var offers []autoscale.Offer
 	for i := range c.cache.Types {
 		ty := &c.cache.Types[i]
 		if ty.Cpus <= 0 {
@@ -236,8 +236,8 @@
 				if spot && price <= 0 {
 					continue
 				}
-				p := provision.Pool{Type: i, Zone: z, Spot: spot}
-				offers = append(offers, provision.Offer{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem,
+				p := autoscale.Pool{Type: i, Zone: z, Spot: spot}
+				offers = append(offers, autoscale.Offer{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem,
 					Price: price, Boot: ty.BootS, Owned: have[p],
 					Blocked: now.Before(c.leader.blocked[p]) || c.leader.scaleOuts[p] != nil || c.zoneUnreachable(z)})
 			}
@@ -248,7 +248,7 @@
 			c.sendScaleOut(ctx, p, r) // unknown outcome: the same name again
 		}
 	}
-	plan := provision.Decide(demands, machines, offers, workHorizon)
+	plan := autoscale.Decide(demands, machines, offers, workHorizon)
 	for _, r := range plan.ScaleOuts {
 		// The name is never used again, by any node: it holds this process's own number.
 		c.leader.requestCount++
@@ -259,13 +259,13 @@
 		c.leader.scaleOuts[r.Pool] = rent
 		c.sendScaleOut(ctx, r.Pool, rent)
 	}
-	c.scaleInIdle(ctx, now, plan, provision.IdleRetention(boot, c.tightestFinishObjective()))
+	c.scaleInIdle(ctx, now, plan, autoscale.IdleRetention(boot, c.tightestFinishObjective()))
 }
 
 // workHorizon is the part of its allowed time in which waiting work should be through.
 const workHorizon = 0.45
 
-func (c *Controller) sendScaleOut(ctx context.Context, p provision.Pool, r *scaleOut) {
+func (c *Controller) sendScaleOut(ctx context.Context, p autoscale.Pool, r *scaleOut) {
 	r.inFlight = true
 	c.log.Info("renting", "name", r.request.Name, "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot, "count", r.request.Count)
 	go func() {
@@ -295,7 +295,7 @@
 const blockedFor = 8 * time.Second
 
 // enrollScaledOut has records written for rented machines; the rental counts until they are.
-func (c *Controller) enrollScaledOut(ctx context.Context, p provision.Pool, req protocol.ScaleOutRequest, names []string) {
+func (c *Controller) enrollScaledOut(ctx context.Context, p autoscale.Pool, req protocol.ScaleOutRequest, names []string) {
 	c.log.Info("rented", "name", req.Name, "machines", len(names))
 	left := len(names)
 	if left == 0 || !c.isLeader() {
@@ -328,7 +328,7 @@
 
 // scaleInIdle returns machines that have been empty and not needed for a while,
 // the dearest first.
-func (c *Controller) scaleInIdle(ctx context.Context, now time.Time, plan provision.Plan, keep time.Duration) {
+func (c *Controller) scaleInIdle(ctx context.Context, now time.Time, plan autoscale.Plan, keep time.Duration) {
 	type cand struct {
 		m     *storage.Machine
 		price float64
@@ -358,12 +358,12 @@
 			c.leader.surplusSince[p] = now
 		}
 	}
-	spare := map[provision.Pool]float64{}
+	spare := map[autoscale.Pool]float64{}
 	for p, n := range plan.Surplus {
 		spare[p] = n
 	}
 	for _, x := range cands {
-		p := provision.Pool{Type: x.m.Type, Zone: x.m.Zone, Spot: x.m.Spot}
+		p := autoscale.Pool{Type: x.m.Type, Zone: x.m.Zone, Spot: x.m.Spot}
 		since := c.leader.surplusSince[p]
 		if since.IsZero() || now.Sub(since) < keep || spare[p] < 1 || now.Sub(c.emptySince(x.m, now)) < keep {
 			continue
@@ -387,7 +387,7 @@
 // drainSurplus empties machines that are not needed but still run a little, the dearest
 // and emptiest first, and gives drained machines back to use when they are needed
 // after all. What does not save runs to its end where it is.
-func (c *Controller) drainSurplus(now time.Time, plan provision.Plan, keep time.Duration) {
+func (c *Controller) drainSurplus(now time.Time, plan autoscale.Plan, keep time.Duration) {
 	spare, waiting, fleet := 0.0, 0.0, 0
 	for _, n := range plan.Surplus {
 		spare += n
@@ -426,7 +426,7 @@
 			}
 			rests = rests && (p.Job.CheckpointInterval == 0 || now.Unix()-p.PlacedAt > drainAfterS) && (p.Job.Shape == protocol.Batch || now.Unix()-p.PlacedAt > int64(relocateAfter.Seconds()))
 		}
-		p := provision.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		p := autoscale.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		since := c.leader.surplusSince[p]
 		if len(m.Tasks) > 0 && rests && used <= drainUsageBelow && plan.Surplus[p] >= 1.5 && !since.IsZero() && now.Sub(since) >= keep {
 			cands = append(cands, cand{m, used})
--- a/internal/coordination/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/provision"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/autoscale"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
@@ -248,7 +248,7 @@
 				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
 			c.leader.stuckSince = now.Add(-x.since)
-			c.drainSurplus(now, provision.Plan{}, 0)
+			c.drainSurplus(now, autoscale.Plan{}, 0)
 			e := c.pendingUpdates[c.cache.Machine("m1").Index]
 			if back := e != nil && e.draining != nil && !*e.draining; back != x.back {
 				t.Errorf("given back: %v, want %v", back, x.back)
--- a/internal/coordination/machines.go
+++ b/internal/controller/machines.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/member.go
+++ b/internal/controller/member.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"dykeledge/internal/coordination/membership"
+	"dykeledge/internal/controller/membership"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/metrics.go
+++ b/internal/controller/metrics.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"runtime"
@@ -6,7 +6,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/storage"
 )
 
--- a/internal/coordination/move.go
+++ b/internal/controller/move.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/moves.go
+++ b/internal/controller/moves.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/plan.go
+++ b/internal/controller/plan.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/stops_test.go
+++ b/internal/controller/stops_test.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"testing"
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/teams.go
+++ b/internal/controller/teams.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/users.go
+++ b/internal/controller/users.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/coordination/schedule"
+	"dykeledge/internal/controller/schedule"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/coordination/workers.go
+++ b/internal/controller/workers.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/coordination/dispatch"
+	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
--- a/internal/load/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,6 +1,6 @@
-// Package load makes jobs come to a deployment as a file describes them, whether or not
+// Package loadgen makes jobs come to a deployment as a file describes them, whether or not
 // earlier ones have been answered, and measures what becomes of them.
-package load
+package loadgen
 
 import (
 	"cmp"
--- a/internal/load/run.go
+++ b/internal/loadgen/run.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/emulator/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -1,7 +1,7 @@
-// Package emulator runs a cluster on one machine: the controllers as real processes, and
+// Package localcluster runs a cluster on one machine: the controllers as real processes, and
 // around them, in this process, the state service, the cloud, the workers and the load
 // balancer, which are the stand-ins of the tests in real time over HTTP on loopback ports.
-package emulator
+package localcluster
 
 import (
 	"context"
--- a/internal/emulator/process.go
+++ b/internal/localcluster/process.go
@@ -1,4 +1,4 @@
-package emulator
+package localcluster
 
 import (
 	"context"
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // A history is a file of lines, each a JSON object: samples of the sums, jobs when they are
@@ -65,7 +65,7 @@
 }
 
 // Run records what a follower brings until ctx ends.
-func (r *Recorder) Run(ctx context.Context, f *viewer.Follower) error {
+func (r *Recorder) Run(ctx context.Context, f *viewclient.Follower) error {
 	for ctx.Err() == nil {
 		changed := f.Changed()
 		if err := r.Take(f.State(), time.Now()); err != nil {
@@ -80,8 +80,8 @@
 }
 
 // Take records a state.
-func (r *Recorder) Take(s *viewer.State, now time.Time) error {
-	if s.Snapshot == nil || s.Age(now) > viewer.Fresh {
+func (r *Recorder) Take(s *viewclient.State, now time.Time) error {
+	if s.Snapshot == nil || s.Age(now) > viewclient.Fresh {
 		return nil // a stale state would be recorded as if it were the present
 	}
 	var err error
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dykeledge/internal/view"
-	"dykeledge/internal/viewer"
+	"dykeledge/internal/viewclient"
 )
 
 // recorded plays a small life of three teams through a recorder, with a pause, and returns the
@@ -59,7 +59,7 @@
 			continue // nobody records
 		}
 		s := m.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: at.UnixMilli(), AsOf: at.UnixMilli()})
-		if err := r.Take(&viewer.State{Snapshot: s, Sent: at}, at); err != nil {
+		if err := r.Take(&viewclient.State{Snapshot: s, Sent: at}, at); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -151,7 +151,7 @@
 	var b bytes.Buffer
 	r := NewRecorder(&b, time.Second)
 	s := view.NewModel(nil).Snapshot(view.Head{Now: 10_000, AsOf: 1_000})
-	if err := r.Take(&viewer.State{Snapshot: s, Sent: time.Now()}, time.Now()); err != nil || b.Len() > 0 {
+	if err := r.Take(&viewclient.State{Snapshot: s, Sent: time.Now()}, time.Now()); err != nil || b.Len() > 0 {
 		t.Error(b.String(), err)
 	}
 }
--- a/internal/scale/arrivals.go
+++ b/internal/scaletest/arrivals.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dykeledge/internal/load"
+	"dykeledge/internal/loadgen"
 	"dykeledge/internal/protocol"
 )
 
@@ -42,20 +42,20 @@
 
 // Arrivals draws the jobs of a run, in the order of their times: the teams' backlogs, arrays that come meanwhile, and
 // urgent jobs.
-func (c *Cell) Arrivals() []load.Arrival {
+func (c *Cell) Arrivals() []loadgen.Arrival {
 	d := &drawing{cell: c, rand: rand.New(rand.NewPCG(c.Seed, uint64(c.Index)+1)), teams: c.teams()}
 	out := d.backlogs()
 	out = append(out, d.arrays()...)
 	out = append(out, d.urgent()...)
-	slices.SortStableFunc(out, func(a, b load.Arrival) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(out, func(a, b loadgen.Arrival) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
 func (c *Cell) lasts() float64 { return c.WarmUpS + c.MeasureS }
 
 // backlogs are what each team has to do from the start on. Submissions of the first seconds come one after another.
-func (d *drawing) backlogs() []load.Arrival {
-	var out []load.Arrival
+func (d *drawing) backlogs() []loadgen.Arrival {
+	var out []loadgen.Arrival
 	for i, t := range d.teams {
 		if t.urgent {
 			continue
@@ -76,9 +76,9 @@
 const submitWithinS = 5.0
 
 // arrays come at even times with some jitter, of sizes after a bounded power law, to teams by their part of the work.
-func (d *drawing) arrays() []load.Arrival {
+func (d *drawing) arrays() []loadgen.Arrival {
 	count := int(math.Round(d.cell.JobsPerS * (1 - d.cell.Profile.UrgentPart) * d.cell.lasts()))
-	var out []load.Arrival
+	var out []loadgen.Arrival
 	for i := range count {
 		at := d.cell.lasts() * (float64(i) + d.rand.Float64()) / float64(count)
 		size := int(boundedPareto(d.rand.Float64(), float64(min(d.cell.LargestJob, protocol.MaxTasks))))
@@ -88,9 +88,9 @@
 }
 
 // urgent jobs are small and of high priority.
-func (d *drawing) urgent() []load.Arrival {
+func (d *drawing) urgent() []loadgen.Arrival {
 	count := max(leastUrgent, int(math.Round(d.cell.JobsPerS*d.cell.Profile.UrgentPart*d.cell.lasts())))
-	var out []load.Arrival
+	var out []loadgen.Arrival
 	for i := range count {
 		at := d.cell.lasts() * (float64(i) + d.rand.Float64()) / float64(count)
 		out = append(out, d.job(at, d.anyTeam(true), urgentClass, protocol.High, 1+d.rand.IntN(d.cell.Profile.UrgentTasks), urgentTaskS))
@@ -116,13 +116,13 @@
 // boundedPareto maps an even draw to a size from 1 to the largest, of which there are fewer in proportion as they are larger.
 func boundedPareto(u, largest float64) float64 { return 1 / (1 - u*(1-1/max(1, largest))) }
 
-func (d *drawing) job(at float64, t team, class string, priority protocol.Priority, tasks int, runS float64) load.Arrival {
+func (d *drawing) job(at float64, t team, class string, priority protocol.Priority, tasks int, runS float64) loadgen.Arrival {
 	d.number++
 	runS = max(shortestTaskS, runS)
 	estimate := math.Round(100*runS*(1+estimateOff*(2*d.rand.Float64()-1))) / 100
 	// Ids come in no order, and regions and seeds have their own.
 	id := fmt.Sprintf("job-%02d%07d", d.cell.Index, (uint64(d.number)*7_654_321+d.cell.Seed*104_729)%9_999_991)
-	return load.Arrival{At: time.Duration(at * float64(time.Second)), Run: time.Duration(runS * float64(time.Second)),
+	return loadgen.Arrival{At: time.Duration(at * float64(time.Second)), Run: time.Duration(runS * float64(time.Second)),
 		Job: protocol.Submission{ID: id, Class: class, Team: t.name, Priority: priority, Tasks: max(1, tasks), Cpus: 1, MemGB: taskMemGB,
 			Image: class, ImageGB: 0.1, Spot: true, EstimateS: estimate}}
 }
--- a/internal/scale/troubles.go
+++ b/internal/scaletest/faults.go
@@ -1,9 +1,9 @@
-package scale
+package scaletest
 
 import (
 	"math"
 
-	"dykeledge/internal/emulator"
+	"dykeledge/internal/localcluster"
 )
 
 // Troubles of a run come in the measured time, at these parts of it and for these seconds. A day's failures and replacements
@@ -17,10 +17,10 @@
 )
 
 // schedule is what befalls a cell in a run with troubles.
-func (c *Cell) schedule() *emulator.Schedule {
+func (c *Cell) schedule() *localcluster.Schedule {
 	p, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
-	s := &emulator.Schedule{Faults: []emulator.Fault{
+	s := &localcluster.Schedule{Faults: []localcluster.Fault{
 		{AtS: at(rackAt), Kind: "machine_dies", Count: p.WorkersPerRack},
 		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.WorkersPerRack, ForS: cutFor},
 		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: cutFor},
@@ -28,16 +28,16 @@
 		{AtS: at(allEndAt), Kind: "crash", Node: "all"},
 	}}
 	part := p.Regions[c.Index].Part * c.Fraction
-	s.Faults = append(s.Faults, c.spread(p.FailuresADay*part, emulator.Fault{Kind: "machine_dies", Count: 1})...)
-	s.Faults = append(s.Faults, c.spread(p.ReplacedADay*part, emulator.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
+	s.Faults = append(s.Faults, c.spread(p.FailuresADay*part, localcluster.Fault{Kind: "machine_dies", Count: 1})...)
+	s.Faults = append(s.Faults, c.spread(p.ReplacedADay*part, localcluster.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
 	s.Sort()
 	return s
 }
 
 // spread has a trouble come so many times, evenly over the measured time.
-func (c *Cell) spread(times float64, f emulator.Fault) []emulator.Fault {
+func (c *Cell) spread(times float64, f localcluster.Fault) []localcluster.Fault {
 	n := int(math.Round(times))
-	out := make([]emulator.Fault, n)
+	out := make([]localcluster.Fault, n)
 	for i := range out {
 		f.AtS = c.WarmUpS + c.MeasureS*(float64(i)+0.5)/float64(n)
 		out[i] = f
--- a/internal/scale/play.go
+++ b/internal/scaletest/play.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"github.com/valyala/fasthttp"
 
 	"dykeledge/internal/client"
-	"dykeledge/internal/emulator"
-	"dykeledge/internal/load"
+	"dykeledge/internal/loadgen"
+	"dykeledge/internal/localcluster"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/simulator"
 )
@@ -60,7 +60,7 @@
 // watch gathers what a run measures while it goes on.
 type watch struct {
 	cell    *Cell
-	cluster *emulator.Cluster
+	cluster *localcluster.Cluster
 	log     *slog.Logger
 
 	mu       sync.Mutex
@@ -89,7 +89,7 @@
 	defer held.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	cluster, err := emulator.Start(ctx, c.options(dir, network, log))
+	cluster, err := localcluster.Start(ctx, c.options(dir, network, log))
 	if err != nil {
 		return nil, err
 	}
@@ -100,9 +100,9 @@
 	if err := cluster.Ready(within, isReady); err != nil {
 		return nil, err
 	}
-	done := make(chan load.Result, 1)
+	done := make(chan loadgen.Result, 1)
 	users := client.New(cluster.Users)
-	runner := &load.Runner{To: users, Upload: w.upload}
+	runner := &loadgen.Runner{To: users, Upload: w.upload}
 	users.Retried = runner.Retried
 	go func() { done <- runner.Run(ctx, c.Arrivals(), 0) }()
 	go w.measureLateness(ctx)
@@ -129,7 +129,7 @@
 }
 
 // usersRules are the rules whose breach users notice.
-func usersRules(r *load.Result) (broken []string) {
+func usersRules(r *loadgen.Result) (broken []string) {
 	if r.WentBack > 0 {
 		broken = append(broken, fmt.Sprintf("went_back: %d jobs", r.WentBack))
 	}
@@ -158,10 +158,10 @@
 }
 
 // options is the cluster that a cell plays.
-func (c *Cell) options(dir string, network int, log *slog.Logger) emulator.Options {
-	o := emulator.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
+func (c *Cell) options(dir string, network int, log *slog.Logger) localcluster.Options {
+	o := localcluster.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
 		Deployment: c.Deployment(), Catalog: c.Catalog(), SharedTicker: true, Delay: c.delay,
-		Addresses: emulator.Addresses{
+		Addresses: localcluster.Addresses{
 			Worker: func(n int) string { return fmt.Sprintf("127.%d.%d.%d:%d", network, n>>8&0xff, n&0xff, workerPort) },
 			Controller: func(i int) (string, string) {
 				host := fmt.Sprintf("127.%d.%d.%d", network, controllersNet, i+1)
@@ -182,7 +182,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-func newWatch(c *Cell, cluster *emulator.Cluster, log *slog.Logger) *watch {
+func newWatch(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *watch {
 	w := &watch{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
 	cluster.Simulation.Launched = w.onLaunch
--- a/internal/scale/point.go
+++ b/internal/scaletest/point.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
--- a/internal/scale/profile.go
+++ b/internal/scaletest/profile.go
@@ -1,7 +1,7 @@
-// Package scale runs a deployment at a size that no operator has yet: real controllers as processes, one or several cells
+// Package scaletest runs a deployment at a size that no operator has yet: real controllers as processes, one or several cells
 // of them, each with its own state service, cloud, load balancer, users and thousands of hollow workers in one process.
 // It measures what each role costs, keeps the measurements as lines of JSON, and works out slopes and tables from them.
-package scale
+package scaletest
 
 import (
 	"fmt"
--- a/internal/scale/sample.go
+++ b/internal/scaletest/sample.go
@@ -1,11 +1,11 @@
-package scale
+package scaletest
 
 import (
 	"log/slog"
 	"os"
 	"time"
 
-	"dykeledge/internal/emulator"
+	"dykeledge/internal/localcluster"
 	"dykeledge/internal/simulator"
 )
 
@@ -42,7 +42,7 @@
 }
 
 // take samples a cell. What a controller does not tell now is left out, and logged.
-func take(c *emulator.Cluster, log *slog.Logger) sample {
+func take(c *localcluster.Cluster, log *slog.Logger) sample {
 	s := sample{at: time.Now(), stats: c.Simulation.Stats(), commands: read(&c.Simulation.Commands)}
 	var err error
 	if s.hollow, err = usageOf(os.Getpid()); err != nil {
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
@@ -28,7 +28,7 @@
 			}
 			_, err = core.ChangeTeam(w.ctx, team, v.Version, json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpusMax)))
 		}
-		var field *coordination.FieldError
+		var field *controller.FieldError
 		if err == nil && views != nil || errors.As(err, &field) {
 			return
 		}
@@ -111,7 +111,7 @@
 					}
 					w.operator(t, "red", 40)
 				}, func(w *Simulation) {
-					if state := w.stateOf("red"); state != coordination.TeamInForce {
+					if state := w.stateOf("red"); state != controller.TeamInForce {
 						t.Errorf("the last limit is %q", state)
 					}
 					if lowered.Load() == 0 {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 )
 
@@ -75,7 +75,7 @@
 }
 
 // ask sends a request to some node, as the load balancer would.
-func (w *Simulation) ask(timeout time.Duration, f func(context.Context, *coordination.Controller) coordination.Answer) coordination.Answer {
+func (w *Simulation) ask(timeout time.Duration, f func(context.Context, *controller.Controller) controller.Answer) controller.Answer {
 	w.mu.Lock()
 	var up []*ControllerProcess
 	for _, n := range w.controllers {
@@ -86,28 +86,28 @@
 	if len(up) == 0 {
 		w.mu.Unlock()
 		time.Sleep(500 * time.Millisecond)
-		return coordination.Answer{}
+		return controller.Answer{}
 	}
 	n := up[w.Random.IntN(len(up))]
 	w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
-	ch := make(chan coordination.Answer, 1)
+	ch := make(chan controller.Answer, 1)
 	go func() { ch <- f(ctx, n.Core) }()
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case a := <-ch:
 		if n.ended() || n.cut(NoUsers) {
-			return coordination.Answer{}
+			return controller.Answer{}
 		}
 		return a
 	case <-t.C:
-		return coordination.Answer{}
+		return controller.Answer{}
 	}
 }
 
-func stateIn(a coordination.Answer) (protocol.JobState, bool) {
+func stateIn(a controller.Answer) (protocol.JobState, bool) {
 	raw, err := json.Marshal(a.Body)
 	var s protocol.JobState
 	return s, err == nil && a.Status >= 200 && a.Status < 300 && json.Unmarshal(raw, &s) == nil
@@ -148,7 +148,7 @@
 }
 
 // check takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
-func (w *Simulation) check(j *Job, a coordination.Answer, asked lastAnswer) bool {
+func (w *Simulation) check(j *Job, a controller.Answer, asked lastAnswer) bool {
 	if s, ok := stateIn(a); ok {
 		w.hear(j, s, asked)
 		if a.Status == 201 && asked.accepted {
@@ -176,9 +176,9 @@
 				continue
 			}
 			asked := w.lastAnswerOf(j)
-			for _, f := range []func(ctx context.Context) coordination.Answer{
-				func(ctx context.Context) coordination.Answer { return n.Core.Query(ctx, j.ID) },
-				func(ctx context.Context) coordination.Answer { return n.Core.Submit(ctx, body) },
+			for _, f := range []func(ctx context.Context) controller.Answer{
+				func(ctx context.Context) controller.Answer { return n.Core.Query(ctx, j.ID) },
+				func(ctx context.Context) controller.Answer { return n.Core.Submit(ctx, body) },
 			} {
 				go func() {
 					ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
@@ -237,7 +237,7 @@
 	}{{with(j.ID, "shards", 77), true, 200}, {with(j.ID, "cpus", nil), true, 200}, {with(j.ID, "cpus", 500.0), true, 200},
 		{with(none, "cpus", 500.0), false, 422}, {with(none, "shape", nil), false, 400}, {with(none, "crew", "nobody"), false, 422}} {
 		asked := w.lastAnswerOf(j)
-		a := w.ask(5*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
+		a := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, x.body)
 		})
 		if a.Status == 0 || a.Status == 503 {
@@ -252,7 +252,7 @@
 			w.mu.Unlock()
 		}
 	}
-	if a := w.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Query(ctx, none) }); a.Status == 200 {
+	if a := w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Query(ctx, none) }); a.Status == 200 {
 		w.mu.Lock()
 		w.injectFault("invented: %s", none)
 		w.mu.Unlock()
@@ -285,7 +285,7 @@
 	}
 	for w.ctx.Err() == nil {
 		asked := w.lastAnswerOf(j)
-		a := w.ask(5*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
+		a := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, body)
 		})
 		if s, ok := stateIn(a); ok {
@@ -308,7 +308,7 @@
 			cancelled = w.cancelJob(j)
 		}
 		asked := w.lastAnswerOf(j)
-		a := w.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
+		a := w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Query(ctx, j.ID)
 		})
 		if w.check(j, a, asked) {
@@ -323,7 +323,7 @@
 			}
 			w.mu.Unlock()
 		}
-		a = w.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
+		a = w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Query(ctx, "job-999999")
 		})
 		if a.Status == 200 {
@@ -341,7 +341,7 @@
 	j.asked = true
 	w.mu.Unlock()
 	asked := w.lastAnswerOf(j)
-	a := w.ask(5*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer {
+	a := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 		return c.Cancel(ctx, j.ID)
 	})
 	s, ok := stateIn(a)
@@ -485,7 +485,7 @@
 // asks them to. They do as the load tool's do over HTTP.
 type Users struct{ Simulation *Simulation }
 
-func (u Users) repeat(ctx context.Context, id string, f func(context.Context, *coordination.Controller) coordination.Answer) (protocol.JobState, error) {
+func (u Users) repeat(ctx context.Context, id string, f func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
 	for ctx.Err() == nil {
 		a := u.Simulation.ask(5*time.Second, f)
 		if s, ok := stateIn(a); ok {
@@ -501,17 +501,17 @@
 
 // Submit submits a job until that is certain.
 func (u Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
-	return u.repeat(ctx, "a submission", func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Submit(ctx, body) })
+	return u.repeat(ctx, "a submission", func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Submit(ctx, body) })
 }
 
 // Cancel cancels a job until that is certain.
 func (u Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
-	return u.repeat(ctx, id, func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Cancel(ctx, id) })
+	return u.repeat(ctx, id, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Cancel(ctx, id) })
 }
 
 // Status asks for a job once.
 func (u Users) Status(id string) (protocol.JobState, error) {
-	a := u.Simulation.ask(2*time.Second, func(ctx context.Context, c *coordination.Controller) coordination.Answer { return c.Query(ctx, id) })
+	a := u.Simulation.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Query(ctx, id) })
 	if s, ok := stateIn(a); ok {
 		return s, nil
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 	"dykeledge/internal/transport"
@@ -25,7 +25,7 @@
 	Name            string
 	Zone            string
 	Link            *StoreLink
-	Core            *coordination.Controller
+	Core            *controller.Controller
 	simulation      *Simulation
 	stop            context.CancelFunc
 	handleHeartbeat func(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
@@ -345,7 +345,7 @@
 	if w.Store.Limited {
 		cloud.budget = transport.CloudBudget(&cfg.Deployment)
 	}
-	n.Core = coordination.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), coordination.DefaultTiming())
+	n.Core = controller.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), controller.DefaultTiming())
 	n.handleHeartbeat = n.Core.HandleHeartbeat
 	if w.Views {
 		n.Core.EnableView()
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
@@ -454,7 +454,7 @@
 		if _, _, err = w.Controller(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = w.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, coordination.ErrVersion) {
+		if _, _, err = w.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersion) {
 			t.Fatalf("a change of an old version: %v", err)
 		}
 		w.Start(2)
@@ -467,7 +467,7 @@
 		w.Store.SetDown(true)
 		short, stop := context.WithTimeout(ctx, 3*time.Second)
 		defer stop()
-		if _, _, err := w.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, coordination.ErrUnavailable) {
+		if _, _, err := w.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrUnavailable) {
 			t.Errorf("in an outage: %v", err)
 		}
 		cancel()
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -15,32 +15,32 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 )
 
 // AdminCore is what the administration API needs of a controller.
 type AdminCore interface {
-	Settings(ctx context.Context) (coordination.OperatorSettings, uint64, error)
-	ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (coordination.OperatorSettings, uint64, error)
-	MemberViews(ctx context.Context) ([]coordination.MemberView, error)
-	ShardViews(ctx context.Context) ([]coordination.ShardView, error)
-	JobViews(ctx context.Context, team, after string, limit int) ([]coordination.JobView, bool, error)
-	MachineInfos(ctx context.Context, after string, limit int) ([]coordination.MachineInfo, bool, error)
-	MachineInfo(ctx context.Context, name string) (coordination.MachineInfo, bool, error)
-	Evictions(ctx context.Context) ([]coordination.EvictionView, error)
-	Teams(ctx context.Context) ([]coordination.TeamView, error)
-	Team(ctx context.Context, name string) (coordination.TeamView, error)
-	ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (coordination.TeamView, error)
-	Metrics() *coordination.Metrics
+	Settings(ctx context.Context) (controller.OperatorSettings, uint64, error)
+	ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (controller.OperatorSettings, uint64, error)
+	MemberViews(ctx context.Context) ([]controller.MemberView, error)
+	ShardViews(ctx context.Context) ([]controller.ShardView, error)
+	JobViews(ctx context.Context, team, after string, limit int) ([]controller.JobView, bool, error)
+	MachineInfos(ctx context.Context, after string, limit int) ([]controller.MachineInfo, bool, error)
+	MachineInfo(ctx context.Context, name string) (controller.MachineInfo, bool, error)
+	Evictions(ctx context.Context) ([]controller.EvictionView, error)
+	Teams(ctx context.Context) ([]controller.TeamView, error)
+	Team(ctx context.Context, name string) (controller.TeamView, error)
+	ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (controller.TeamView, error)
+	Metrics() *controller.Metrics
 	ViewCore
 }
 
 // SettingsView is the administration API's view of the settings.
 type SettingsView struct {
-	Version  uint64                        `json:"version"`
-	Settings coordination.OperatorSettings `json:"settings"`
-	Info     []coordination.SettingInfo    `json:"info,omitempty"`
+	Version  uint64                      `json:"version"`
+	Settings controller.OperatorSettings `json:"settings"`
+	Info     []controller.SettingInfo    `json:"info,omitempty"`
 }
 
 // SettingsChange asks for a change, conditional on the version that was read.
@@ -96,13 +96,13 @@
 		},
 	})
 	fail := func(c *fiber.Ctx, err error) error {
-		var fe *coordination.FieldError
+		var fe *controller.FieldError
 		switch {
 		case errors.As(err, &fe):
 			return send(c, 400, AdminRefusal{err.Error(), fe.Field})
-		case errors.Is(err, coordination.ErrVersion):
+		case errors.Is(err, controller.ErrVersion):
 			return send(c, 409, AdminRefusal{Error: err.Error()})
-		case errors.Is(err, coordination.ErrNoTeam):
+		case errors.Is(err, controller.ErrNoTeam):
 			return send(c, 404, AdminRefusal{Error: err.Error()})
 		}
 		c.Set(fiber.HeaderRetryAfter, "1")
@@ -122,17 +122,17 @@
 	}
 	get("/settings", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
 		s, v, err := core.Settings(ctx)
-		return SettingsView{v, s, coordination.SettingsInfo()}, err
+		return SettingsView{v, s, controller.SettingsInfo()}, err
 	})
 	v1.Put("/settings", func(c *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		var ch SettingsChange
 		if err := json.Unmarshal(c.Body(), &ch); err != nil {
-			return fail(c, &coordination.FieldError{Field: "body", Expected: `{"version":N,"settings":{...}}`})
+			return fail(c, &controller.FieldError{Field: "body", Expected: `{"version":N,"settings":{...}}`})
 		}
 		if ch.Version == nil {
-			return fail(c, &coordination.FieldError{Field: "version", Expected: "the version that was read"})
+			return fail(c, &controller.FieldError{Field: "version", Expected: "the version that was read"})
 		}
 		s, v, err := core.ChangeSettings(ctx, *ch.Version, ch.Settings)
 		if err != nil {
@@ -160,10 +160,10 @@
 		}
 		var ch TeamChange
 		if err := json.Unmarshal(c.Body(), &ch); err != nil {
-			return fail(c, &coordination.FieldError{Field: "body", Expected: `{"version":N,"team":{...}}`})
+			return fail(c, &controller.FieldError{Field: "body", Expected: `{"version":N,"team":{...}}`})
 		}
 		if ch.Version == nil {
-			return fail(c, &coordination.FieldError{Field: "version", Expected: "the version that was read"})
+			return fail(c, &controller.FieldError{Field: "version", Expected: "the version that was read"})
 		}
 		v, err := core.ChangeTeam(ctx, name, *ch.Version, ch.Team)
 		if err != nil {
@@ -220,7 +220,7 @@
 func teamName(c *fiber.Ctx) (string, error) {
 	name, err := url.PathUnescape(strings.Clone(c.Params("name")))
 	if err != nil {
-		return "", &coordination.FieldError{Field: "name", Expected: "a team's name, escaped as in a URL"}
+		return "", &controller.FieldError{Field: "name", Expected: "a team's name, escaped as in a URL"}
 	}
 	return name, nil
 }
@@ -228,11 +228,11 @@
 func pageLimit(c *fiber.Ctx) (int, error) {
 	q := c.Query("limit")
 	if q == "" {
-		return coordination.Page, nil
+		return controller.Page, nil
 	}
 	n, err := strconv.Atoi(q)
-	if err != nil || n < 1 || n > coordination.Page {
-		return 0, &coordination.FieldError{Field: "limit", Expected: "a count from 1 to " + strconv.Itoa(coordination.Page)}
+	if err != nil || n < 1 || n > controller.Page {
+		return 0, &controller.FieldError{Field: "limit", Expected: "a count from 1 to " + strconv.Itoa(controller.Page)}
 	}
 	return n, nil
 }
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"time"
 
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/view"
 )
@@ -57,7 +57,7 @@
 // stubCore answers with fixed values, or with an error if it has one.
 type stubCore struct {
 	AdminCore
-	answer  coordination.Answer
+	answer  controller.Answer
 	starts  bool
 	reply   any // to a worker, with answer's status
 	err     error
@@ -67,17 +67,17 @@
 
 func (s *stubCore) note(format string, args ...any) { s.asked += fmt.Sprintf(format, args...) }
 
-func (s *stubCore) Submit(_ context.Context, body []byte) coordination.Answer {
+func (s *stubCore) Submit(_ context.Context, body []byte) controller.Answer {
 	s.note("submit %s", body)
 	return s.answer
 }
 
-func (s *stubCore) Query(_ context.Context, id string) coordination.Answer {
+func (s *stubCore) Query(_ context.Context, id string) controller.Answer {
 	s.note("query %s", id)
 	return s.answer
 }
 
-func (s *stubCore) Cancel(_ context.Context, id string) coordination.Answer {
+func (s *stubCore) Cancel(_ context.Context, id string) controller.Answer {
 	s.note("cancel %s", id)
 	return s.answer
 }
@@ -92,59 +92,59 @@
 	}
 }
 
-func (s *stubCore) Settings(context.Context) (coordination.OperatorSettings, uint64, error) {
-	return filled[coordination.OperatorSettings](), 7, s.err
+func (s *stubCore) Settings(context.Context) (controller.OperatorSettings, uint64, error) {
+	return filled[controller.OperatorSettings](), 7, s.err
 }
 
-func (s *stubCore) ChangeSettings(_ context.Context, v uint64, raw json.RawMessage) (coordination.OperatorSettings, uint64, error) {
+func (s *stubCore) ChangeSettings(_ context.Context, v uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
 	s.note("settings %d %s", v, raw)
-	return filled[coordination.OperatorSettings](), v + 1, s.err
+	return filled[controller.OperatorSettings](), v + 1, s.err
 }
 
-func (s *stubCore) MemberViews(context.Context) ([]coordination.MemberView, error) {
-	return filled[[]coordination.MemberView](), s.err
+func (s *stubCore) MemberViews(context.Context) ([]controller.MemberView, error) {
+	return filled[[]controller.MemberView](), s.err
 }
 
-func (s *stubCore) ShardViews(context.Context) ([]coordination.ShardView, error) {
-	return filled[[]coordination.ShardView](), s.err
+func (s *stubCore) ShardViews(context.Context) ([]controller.ShardView, error) {
+	return filled[[]controller.ShardView](), s.err
 }
 
-func (s *stubCore) JobViews(_ context.Context, team, after string, limit int) ([]coordination.JobView, bool, error) {
+func (s *stubCore) JobViews(_ context.Context, team, after string, limit int) ([]controller.JobView, bool, error) {
 	s.note("jobs team=%q after=%q limit=%d", team, after, limit)
-	return filled[[]coordination.JobView](), true, s.err
+	return filled[[]controller.JobView](), true, s.err
 }
 
-func (s *stubCore) MachineInfos(_ context.Context, after string, limit int) ([]coordination.MachineInfo, bool, error) {
+func (s *stubCore) MachineInfos(_ context.Context, after string, limit int) ([]controller.MachineInfo, bool, error) {
 	s.note("machines after=%q limit=%d", after, limit)
-	return filled[[]coordination.MachineInfo](), true, s.err
+	return filled[[]controller.MachineInfo](), true, s.err
 }
 
-func (s *stubCore) MachineInfo(_ context.Context, name string) (coordination.MachineInfo, bool, error) {
+func (s *stubCore) MachineInfo(_ context.Context, name string) (controller.MachineInfo, bool, error) {
 	s.note("machine %q", name)
-	return filled[coordination.MachineInfo](), !s.unknown, s.err
+	return filled[controller.MachineInfo](), !s.unknown, s.err
 }
 
-func (s *stubCore) Evictions(context.Context) ([]coordination.EvictionView, error) {
-	return filled[[]coordination.EvictionView](), s.err
+func (s *stubCore) Evictions(context.Context) ([]controller.EvictionView, error) {
+	return filled[[]controller.EvictionView](), s.err
 }
 
-func (s *stubCore) Teams(context.Context) ([]coordination.TeamView, error) {
-	return filled[[]coordination.TeamView](), s.err
+func (s *stubCore) Teams(context.Context) ([]controller.TeamView, error) {
+	return filled[[]controller.TeamView](), s.err
 }
 
-func (s *stubCore) Team(_ context.Context, name string) (coordination.TeamView, error) {
+func (s *stubCore) Team(_ context.Context, name string) (controller.TeamView, error) {
 	s.note("team %q", name)
-	return filled[coordination.TeamView](), s.err
+	return filled[controller.TeamView](), s.err
 }
 
-func (s *stubCore) ChangeTeam(_ context.Context, name string, v uint64, raw json.RawMessage) (coordination.TeamView, error) {
+func (s *stubCore) ChangeTeam(_ context.Context, name string, v uint64, raw json.RawMessage) (controller.TeamView, error) {
 	s.note("team %q %d %s", name, v, raw)
-	return filled[coordination.TeamView](), s.err
+	return filled[controller.TeamView](), s.err
 }
 
-func (s *stubCore) Metrics() *coordination.Metrics { return coordination.NewMetrics() }
-func (s *stubCore) ViewEnabled() bool              { return !s.starts }
-func (s *stubCore) HasTeam(name string) bool       { return name == "red" }
+func (s *stubCore) Metrics() *controller.Metrics { return controller.NewMetrics() }
+func (s *stubCore) ViewEnabled() bool            { return !s.starts }
+func (s *stubCore) HasTeam(name string) bool     { return name == "red" }
 
 func (s *stubCore) View(_ context.Context, cur view.Cursor) *view.Snapshot {
 	s.note("view after %d of %d", cur.Seq, cur.Epoch)
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"dykeledge/internal/config"
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 )
 
@@ -41,66 +41,66 @@
 func (f *fakeCore) ReceiveShardDemands(node string, _ protocol.ShardDemands) {
 	f.heard <- "need " + node
 }
-func (f *fakeCore) PeerDisconnected(node string)                                   { f.heard <- "lost " + node }
-func (f *fakeCore) Metrics() *coordination.Metrics                                 { return coordination.NewMetrics() }
-func (f *fakeCore) Evictions(context.Context) ([]coordination.EvictionView, error) { return nil, nil }
+func (f *fakeCore) PeerDisconnected(node string)                                 { f.heard <- "lost " + node }
+func (f *fakeCore) Metrics() *controller.Metrics                                 { return controller.NewMetrics() }
+func (f *fakeCore) Evictions(context.Context) ([]controller.EvictionView, error) { return nil, nil }
 
-func (f *fakeCore) Settings(context.Context) (coordination.OperatorSettings, uint64, error) {
+func (f *fakeCore) Settings(context.Context) (controller.OperatorSettings, uint64, error) {
 	if f.down {
-		return coordination.OperatorSettings{}, 0, coordination.ErrUnavailable
+		return controller.OperatorSettings{}, 0, controller.ErrUnavailable
 	}
-	return coordination.DefaultOperatorSettings(), f.version, nil
+	return controller.DefaultOperatorSettings(), f.version, nil
 }
 
-func (f *fakeCore) ChangeSettings(ctx context.Context, v uint64, raw json.RawMessage) (coordination.OperatorSettings, uint64, error) {
+func (f *fakeCore) ChangeSettings(ctx context.Context, v uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
 	s, at, err := f.Settings(ctx)
 	if err != nil {
 		return s, at, err
 	}
 	if s, err = s.Change(raw); err == nil && v != at {
-		err = coordination.ErrVersion
+		err = controller.ErrVersion
 	}
 	return s, at + 1, err
 }
 
-func (f *fakeCore) Teams(context.Context) ([]coordination.TeamView, error) {
+func (f *fakeCore) Teams(context.Context) ([]controller.TeamView, error) {
 	if f.down {
-		return nil, coordination.ErrUnavailable
+		return nil, controller.ErrUnavailable
 	}
-	return []coordination.TeamView{{Name: "red", Version: f.version, State: coordination.TeamInForce}}, nil
+	return []controller.TeamView{{Name: "red", Version: f.version, State: controller.TeamInForce}}, nil
 }
 
-func (f *fakeCore) Team(ctx context.Context, name string) (coordination.TeamView, error) {
+func (f *fakeCore) Team(ctx context.Context, name string) (controller.TeamView, error) {
 	teams, err := f.Teams(ctx)
 	if err != nil || name != teams[0].Name {
-		return coordination.TeamView{}, cmp.Or(err, coordination.ErrNoTeam)
+		return controller.TeamView{}, cmp.Or(err, controller.ErrNoTeam)
 	}
 	return teams[0], nil
 }
 
-func (f *fakeCore) ChangeTeam(ctx context.Context, name string, v uint64, raw json.RawMessage) (coordination.TeamView, error) {
+func (f *fakeCore) ChangeTeam(ctx context.Context, name string, v uint64, raw json.RawMessage) (controller.TeamView, error) {
 	teams, err := f.Teams(ctx)
 	switch {
 	case err != nil:
-		return coordination.TeamView{}, err
+		return controller.TeamView{}, err
 	case name == "old node":
-		return coordination.TeamView{}, &coordination.GateError{Members: []string{"n1"}}
+		return controller.TeamView{}, &controller.GateError{Members: []string{"n1"}}
 	case name != teams[0].Name:
-		return coordination.TeamView{}, coordination.ErrNoTeam
+		return controller.TeamView{}, controller.ErrNoTeam
 	case v != f.version:
-		return coordination.TeamView{}, coordination.ErrVersion
+		return controller.TeamView{}, controller.ErrVersion
 	case string(raw) != `{"cpus":1}`:
-		return coordination.TeamView{}, &coordination.FieldError{Field: "cpus", Expected: "1"}
+		return controller.TeamView{}, &controller.FieldError{Field: "cpus", Expected: "1"}
 	}
 	return teams[0], nil
 }
 
-func (f *fakeCore) JobViews(context.Context, string, string, int) ([]coordination.JobView, bool, error) {
-	return []coordination.JobView{}, false, nil
+func (f *fakeCore) JobViews(context.Context, string, string, int) ([]controller.JobView, bool, error) {
+	return []controller.JobView{}, false, nil
 }
 
-func (f *fakeCore) MachineInfo(context.Context, string) (coordination.MachineInfo, bool, error) {
-	return coordination.MachineInfo{}, false, nil
+func (f *fakeCore) MachineInfo(context.Context, string) (controller.MachineInfo, bool, error) {
+	return controller.MachineInfo{}, false, nil
 }
 
 // pipeListener takes connections made with net.Pipe.
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -12,15 +12,15 @@
 
 	"github.com/gofiber/fiber/v2"
 
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
 )
 
 // Core is what the public server needs of a controller.
 type Core interface {
-	Submit(ctx context.Context, body []byte) coordination.Answer
-	Query(ctx context.Context, id string) coordination.Answer
-	Cancel(ctx context.Context, id string) coordination.Answer
+	Submit(ctx context.Context, body []byte) controller.Answer
+	Query(ctx context.Context, id string) controller.Answer
+	Cancel(ctx context.Context, id string) controller.Answer
 	Ready(ctx context.Context) bool
 	HandleHeartbeat(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
 }
@@ -60,7 +60,7 @@
 			return send(c, status, protocol.ErrorResponse{Error: err.Error()})
 		},
 	})
-	answer := func(c *fiber.Ctx, a coordination.Answer) error {
+	answer := func(c *fiber.Ctx, a controller.Answer) error {
 		if a.RetryAfter > 0 {
 			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryAfter))
 		}
--- a/internal/transport/view_test.go
+++ b/internal/transport/view_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/coordination"
+	"dykeledge/internal/controller"
 	"dykeledge/internal/view"
 )
 
@@ -21,9 +21,9 @@
 	snap        *view.Snapshot
 }
 
-func (c *viewCore) Metrics() *coordination.Metrics { return coordination.NewMetrics() }
-func (c *viewCore) ViewEnabled() bool              { return !c.off }
-func (c *viewCore) HasTeam(name string) bool       { return name == "red" }
+func (c *viewCore) Metrics() *controller.Metrics { return controller.NewMetrics() }
+func (c *viewCore) ViewEnabled() bool            { return !c.off }
+func (c *viewCore) HasTeam(name string) bool     { return name == "red" }
 func (c *viewCore) Reasons(_ context.Context, _ view.Scope, ids []string) ([]view.Reason, error) {
 	return []view.Reason{{Job: ids[0], Why: "no room", Member: "n1"}}, nil
 }
--- a/internal/viewer/viewer.go
+++ b/internal/viewclient/follower.go
@@ -1,7 +1,7 @@
-// Package viewer follows a deployment's read model from outside: it asks one node, goes on to
+// Package viewclient follows a deployment's read model from outside: it asks one node, goes on to
 // the next when that one fails, and shows only what is whole and no older than what it
 // has shown before.
-package viewer
+package viewclient
 
 import (
 	"context"
--- a/internal/viewer/viewer_test.go
+++ b/internal/viewclient/follower_test.go
@@ -1,4 +1,4 @@
-package viewer
+package viewclient
 
 import (
 	"context"
