--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -1,5 +1,5 @@
 // Command dykectl is the people's side of dykeledge: users' and operators' commands, a console,
-// reports, and a whole cluster on one machine.
+// heartbeats, and a whole cluster on one machine.
 package main
 
 import (
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -102,7 +102,7 @@
 }
 
 // TestClusterOnOneMachine does what a newcomer would: a cluster with troubles, jobs, a load, the
-// view, a report, and the end of it all.
+// view, a heartbeat, and the end of it all.
 func TestClusterOnOneMachine(t *testing.T) {
 	dir := t.TempDir()
 	controller := filepath.Join(dir, "dykeledge")
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -31,7 +31,7 @@
 zones = 2
 `
 
-// TestScaleRun plays two regions with real controllers through a rack, a switch and a zone that are lost, ends of
+// TestScaleRun plays two regions with real controllers through a group, a switch and a zone that are lost, ends of
 // controllers, and changes of teams' limits. Its verdict is that of the command: broken rules, controllers that end by themselves, nothing
 // started; no time decides it.
 func TestScaleRun(t *testing.T) {
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -34,7 +34,7 @@
 	return view.Scope(team)
 }
 
-// follow follows a cluster's view, and fails when no node can ever give it.
+// follow follows a cluster's view, and fails when no controller can ever give it.
 func follow(ctx context.Context, c contexts.Context, s view.Scope) (f *viewclient.Follower, ended <-chan error) {
 	f = viewclient.NewFollower(viewclient.NewHTTP(c.Nodes), s, viewPause)
 	ch := make(chan error, 1)
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -17,7 +17,7 @@
 	"dykeledge/internal/transport"
 )
 
-// client speaks with the administration API of one node.
+// client speaks with the administration API of one controller.
 type client struct {
 	node   string
 	output string
--- a/cmd/dykeledge/main.go
+++ b/cmd/dykeledge/main.go
@@ -1,4 +1,4 @@
-// Command dykeledge is a controller node of the cluster scheduler.
+// Command dykeledge is a controller controller of the cluster scheduler.
 package main
 
 import (
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -44,7 +44,7 @@
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	// An address of its own: a connection that anybody opens from 127.0.0.1 could take a
-	// port between its choice and the node that is to listen there.
+	// port between its choice and the controller that is to listen there.
 	ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 	}
 }
 
-// TestThreeProcesses runs the operators' commands against three real nodes.
+// TestThreeProcesses runs the operators' commands against three real controllers.
 func TestThreeProcesses(t *testing.T) {
 	state, cloud := listen(t), listen(t)
 	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
@@ -150,7 +150,7 @@
 		for _, list := range []*[]string{&public, &peer} {
 			ln := listen(t)
 			*list = append(*list, ln.Addr().String())
-			_ = ln.Close() // the node listens there next
+			_ = ln.Close() // the controller listens there next
 		}
 	}
 	for i := range 3 {
@@ -189,7 +189,7 @@
 		return resp.StatusCode == 201 || resp.StatusCode == 200
 	})
 	// A pipeline as the README describes it: once all three have shown the new layout it is
-	// accepted, on any node, and what names a job that nobody accepted is not.
+	// accepted, on any controller, and what names a job that nobody accepted is not.
 	post := func(node, id, awaits string) (status int, answer string) {
 		body := strings.Replace(strings.Replace(job, "job-000412", id, 1), `"markCostS":0.0`, `"markCostS":0.0,"awaits":`+awaits, 1)
 		resp, err := http.Post("http://"+node+"/v2/runs", "application/json", strings.NewReader(body))
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -15,7 +15,7 @@
 	"dykeledge/internal/transport"
 )
 
-// teamsSetCommand changes a team, conditional on what the node says of it now.
+// teamsSetCommand changes a team, conditional on what the controller says of it now.
 func (cl *client) teamsSetCommand() *cobra.Command {
 	return &cobra.Command{Use: "set TEAM NAME=VALUE...", Short: "Change a team's guarantee or limit: cpus, cpus_max, gpus, gpus_max", Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -45,7 +45,7 @@
 	Retried func(status int, err error)
 }
 
-// New makes a user of the load balancer, or of a node, at an address.
+// New makes a user of the load balancer, or of a controller, at an address.
 func New(addr string) *Users {
 	return &Users{addr: addr, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitAnswer, MaxResponseBodySize: 1 << 20,
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -17,7 +17,7 @@
 	Readers int  `toml:"readers"` // requests served at a time
 }
 
-// DefaultReaders serve a duty room and a report.
+// DefaultReaders serve a duty room and a heartbeat.
 const DefaultReaders = 16
 
 // LoadFeatures reads and checks a features file; "" switches everything off. Its errors fit on
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -24,7 +24,7 @@
 	"dykeledge/internal/viewclient"
 )
 
-// simulationSource asks the nodes of a played deployment.
+// simulationSource asks the controllers of a played deployment.
 type simulationSource struct {
 	simulation *simulator.Simulation
 	nodes      int
@@ -291,7 +291,7 @@
 }
 
 // TestScreensAreTrue replays a recorded burst, kept as a profile and a seed, over the
-// stand-ins, through what may happen to the node that is asked. Whatever is drawn is the
+// stand-ins, through what may happen to the controller that is asked. Whatever is drawn is the
 // scheduler's own state at the revision that the screen states, and is no older than 2 s or
 // says so. What was shown as over is never shown as open again.
 func TestScreensAreTrue(t *testing.T) {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -77,7 +77,7 @@
 // tick makes ages grow on the screen.
 func tick() tea.Cmd { return tea.Tick(time.Second, func(time.Time) tea.Msg { return tickMsg{} }) }
 
-// askEvery is how often the nodes are asked why the jobs on the screen wait.
+// askEvery is how often the controllers are asked why the jobs on the screen wait.
 const askEvery = 2 * time.Second
 
 // ask asks why the jobs on the screen wait.
@@ -236,7 +236,7 @@
 	m.top = max(0, min(m.top, len(m.cached)-1))
 }
 
-// clock is the time of day by the clock of the node that the state came from, in milliseconds.
+// clock is the time of day by the clock of the controller that the state came from, in milliseconds.
 func (m *Model) clock() int64 {
 	if m.state.Snapshot == nil {
 		return 0
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -26,7 +26,7 @@
 
 // Row is a row: the cells, what it is about, and what it is sorted by.
 type Row struct {
-	Key   string // a job's id, a machine's or node's or team's name, an evicted set's key
+	Key   string // a job's id, a machine's or controller's or team's name, an evicted set's key
 	Cells []string
 	Late  bool // behind schedule
 	sort  []float64
@@ -163,7 +163,7 @@
 	}
 }
 
-// whyText is why a job waits as far as its row tells, or the node that decides it.
+// whyText is why a job waits as far as its row tells, or the controller that decides it.
 func whyText(j *view.Job, why map[string]viewclient.Why) string {
 	if j.Awaits > 0 {
 		return fmt.Sprintf("waits for %d other jobs", j.Awaits)
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -169,7 +169,7 @@
 	return next, rev, err
 }
 
-// MemberView is a node as operators see it.
+// MemberView is a controller as operators see it.
 type MemberView struct {
 	Name          string  `json:"name"`
 	Alive         bool    `json:"alive"`
@@ -180,7 +180,7 @@
 	StateOK       bool    `json:"state_ok"`
 }
 
-// MemberViews lists the nodes.
+// MemberViews lists the controllers.
 func (c *Controller) MemberViews(ctx context.Context) ([]MemberView, error) {
 	var out []MemberView
 	err := c.call(ctx, func() {
@@ -212,7 +212,7 @@
 	return out, err
 }
 
-// ShardView is a share as operators see it.
+// ShardView is a shard as operators see it.
 type ShardView struct {
 	Shard        int      `json:"share"`
 	Owner        string   `json:"owner"`
@@ -227,7 +227,7 @@
 	WaitingCpus  float64  `json:"waiting_cpus"`
 }
 
-// ShardViews lists the shares.
+// ShardViews lists the shards.
 func (c *Controller) ShardViews(ctx context.Context) ([]ShardView, error) {
 	var out []ShardView
 	err := c.call(ctx, func() {
@@ -308,7 +308,7 @@
 	return out, more, err
 }
 
-// kinds are the machines of each share that are alike to a job, one of each.
+// kinds are the machines of each shard that are alike to a job, one of each.
 func (c *Controller) kinds() []*storage.Machine {
 	type kind struct {
 		share, ty, zone int
@@ -382,7 +382,7 @@
 	Tasks        int        `json:"tasks"`
 	UsedCpus     float64    `json:"used_cpus"`
 	UsedGpus     float64    `json:"used_gpus"`
-	SilentS      float64    `json:"silent_s"` // -1: reports go to another node
+	SilentS      float64    `json:"silent_s"` // -1: heartbeats go to another controller
 	Placed       []TaskInfo `json:"placed,omitempty"`
 }
 
@@ -465,7 +465,7 @@
 	}
 }
 
-// Evictions lists the latest evicted sets that this node saw, newest first.
+// Evictions lists the latest evicted sets that this controller saw, newest first.
 func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
 	out := []EvictionView{}
 	err := c.call(ctx, func() {
@@ -475,7 +475,7 @@
 	return out, err
 }
 
-// Metrics returns this node's figures.
+// Metrics returns this controller's figures.
 func (c *Controller) Metrics() *Metrics { return c.metrics }
 
 func (c *Controller) callWithin(d time.Duration, f func()) error {
--- a/internal/controller/baseline/baseline.go
+++ b/internal/controller/baseline/baseline.go
@@ -17,27 +17,27 @@
 	// firstWindows is how many windows the first guess takes: their median, so that neither
 	// what all users submit when a deployment opens nor a flood that begins soon counts.
 	firstWindows = 6
-	// longWindows is how many are looked at before a lane with few jobs is guessed.
+	// longWindows is how many are looked at before a queue with few jobs is guessed.
 	longWindows = 30
 	// smooth is over how long the asked rate is averaged before it is compared.
 	smooth = time.Minute
 	// settle is how long it takes until what is asked anew has become usual: it doubles in
 	// 28 minutes of a flood, however large that is, and halves in 83 of less.
 	settle = 30 * time.Minute
-	// quantile is the part of the time in which a lane asks for no more than its usual.
+	// quantile is the part of the time in which a queue asks for no more than its usual.
 	quantile = 0.75
-	// idle is the part of its usual below which a lane is taken to be at rest: a class that
+	// idle is the part of its usual below which a queue is taken to be at rest: a class that
 	// works by night is not forgotten by day.
 	idle = 0.05
-	// changed is by how much a lane must differ from its record for the record to be
+	// changed is by how much a queue must differ from its record for the record to be
 	// written anew.
 	changed = 0.05
 )
 
-// Rates are by lane how much work arrives a second, in seconds of a CPU.
+// Rates are by queue how much work arrives a second, in seconds of a CPU.
 type Rates map[storage.ClassQueue]float64
 
-// Estimator follows what lanes ask for. It belongs to the leader; its successor goes on from
+// Estimator follows what queues ask for. It belongs to the leader; its successor goes on from
 // the record that it has left.
 type Estimator struct {
 	queues map[storage.ClassQueue]*queueEstimate
@@ -60,7 +60,7 @@
 	return l
 }
 
-// Window takes in what lanes asked for in a window of time.
+// Window takes in what queues asked for in a window of time.
 func (l *Estimator) Window(d time.Duration, asked map[storage.ClassQueue]storage.Arrivals) {
 	s := d.Seconds()
 	if s <= 0 {
@@ -88,7 +88,7 @@
 	}
 }
 
-// guess takes a window of a lane of which nothing is known. A flood changes how many jobs come
+// guess takes a window of a queue of which nothing is known. A flood changes how many jobs come
 // but not what a job is, so the guess is the usual number of jobs with the mean work of one.
 func (l *Estimator) guess(n *queueEstimate, asked storage.Arrivals, s float64) {
 	n.all.Jobs, n.all.Work = n.all.Jobs+asked.Jobs, n.all.Work+asked.Work
@@ -98,7 +98,7 @@
 	w := slices.Sorted(slices.Values(n.first))
 	u := w[len(w)/2]
 	if u == 0 && len(w) >= longWindows {
-		// A lane with few jobs has none in most windows: then the mean but for the largest.
+		// A queue with few jobs has none in most windows: then the mean but for the largest.
 		for _, x := range w[:len(w)-1] {
 			u += x / float64(len(w)-1)
 		}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/storage"
 )
 
-// largeCore owns one share with n machines, four fifths of their room used, and open
+// largeCore owns one shard with n machines, four fifths of their room used, and open
 // jobs of which most wait.
 func largeCore(b *testing.B, n, jobs int) *Controller {
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -10,13 +10,13 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns what a node knows of cancellations, and until when it knows all of them. Whoever
-// renews a worker's lease must: see knows. A node knows by its own reading of the state service
+// This file owns what a controller knows of cancellations, and until when it knows all of them. Whoever
+// renews a worker's lease must: see knows. A controller knows by its own reading of the state service
 // while it is served; in an outage by the word of every other process, that it has confirmed nothing
-// which this node does not know. A word tells the cancellations themselves, so that more than
-// one node knows of each, and owners stop the tasks by themselves.
+// which this controller does not know. A word tells the cancellations themselves, so that more than
+// one controller knows of each, and owners stop the tasks by themselves.
 
-// cancellationList are the cancellations that a node knows of, by their records' versions, the earliest first.
+// cancellationList are the cancellations that a controller knows of, by their records' versions, the earliest first.
 type cancellationList struct {
 	from uint64 // all of later records are listed
 	list []protocol.Cancellation
@@ -42,11 +42,11 @@
 	}
 }
 
-// digestState is what this node has heard of others' cancellations.
+// digestState is what this controller has heard of others' cancellations.
 type digestState struct {
 	recorded     cancellationList
 	gossiped     map[string]uint64    // cancelled, peers say, by a record of that version: not read yet
-	vouchedUntil map[string]time.Time // by node: all that it had confirmed until then is known here
+	vouchedUntil map[string]time.Time // by controller: all that it had confirmed until then is known here
 }
 
 // noteCancellation notes a job's record if it says that the job is cancelled.
@@ -68,7 +68,7 @@
 	return told
 }
 
-// currentDigest is what this node vouches for now, nil while it can't.
+// currentDigest is what this controller vouches for now, nil while it can't.
 func (c *Controller) currentDigest(now time.Time) *protocol.CancellationDigest {
 	if !c.loaded || c.Frames < protocol.FramesCancellationDigest {
 		return nil
@@ -76,7 +76,7 @@
 	return &protocol.CancellationDigest{At: now.UnixMilli(), ProcessStart: c.startedAt.UnixMilli(), From: c.digest.recorded.from, Cancellations: slices.Clone(c.digest.recorded.list)}
 }
 
-// CancellationDigest is what this node vouches for to another, if that one reads it. Of what is listed the
+// CancellationDigest is what this controller vouches for to another, if that one reads it. Of what is listed the
 // other has read all up to a revision that it has told of itself.
 func (c *Controller) CancellationDigest(node string) (protocol.CancellationDigest, bool) {
 	w := c.summary.digest.Load()
@@ -96,7 +96,7 @@
 	return out, true
 }
 
-// digestReaders are the nodes that read words, and how far each has told that its cache is.
+// digestReaders are the controllers that read words, and how far each has told that its cache is.
 func (c *Controller) digestReaders() *map[string]uint64 {
 	out := map[string]uint64{}
 	for name, n := range c.cache.Members {
@@ -107,7 +107,7 @@
 	return &out
 }
 
-// ReceiveCancellationDigest takes another node's word.
+// ReceiveCancellationDigest takes another controller's word.
 func (c *Controller) ReceiveCancellationDigest(node string, w protocol.CancellationDigest) {
 	c.post(func() { c.applyDigest(node, w, time.Now()) })
 }
@@ -129,7 +129,7 @@
 		c.terminateGossiped()
 	}
 	// What a process before this one of the same name had confirmed, nobody vouches for: only a
-	// reading after this one began shows it. And a list that begins after this node's cache has a gap.
+	// reading after this one began shows it. And a list that begins after this controller's cache has a gap.
 	off := 2 * time.Duration(c.cfg.Deployment.ClockSkewMs*float64(time.Millisecond))
 	since := func(ms int64) time.Time { return now.Add(-time.Duration(now.UnixMilli()-ms) * time.Millisecond) }
 	if since(w.ProcessStart).Add(off).After(c.cacheCurrentAt) || w.From > c.cache.Revision {
@@ -148,7 +148,7 @@
 	return b
 }
 
-// terminateGossiped has the tasks of jobs that peers tell to be cancelled stopped on this node's machines.
+// terminateGossiped has the tasks of jobs that peers tell to be cancelled stopped on this controller's machines.
 func (c *Controller) terminateGossiped() {
 	for id := range c.digest.gossiped {
 		if j := c.cache.Job(id); j != nil {
@@ -166,7 +166,7 @@
 	}
 }
 
-// cancellationsKnownAt is until when this node knows every cancellation that any node has confirmed.
+// cancellationsKnownAt is until when this controller knows every cancellation that any controller has confirmed.
 func (c *Controller) cancellationsKnownAt(now time.Time) time.Time {
 	all := now
 	others := func(name string) {
@@ -183,9 +183,9 @@
 	return maxTime(c.cacheCurrentAt, all)
 }
 
-// mayRenewLeases tells whether this node knows enough to renew a worker's lease: every cancellation that was
+// mayRenewLeases tells whether this controller knows enough to renew a worker's lease: every cancellation that was
 // confirmed until some time ago. One that it does not know was confirmed after that, so the last
-// lease that it renews ends within cancel_s of it. A node that has read no records goes by its start.
+// lease that it renews ends within cancel_s of it. A controller that has read no records goes by its start.
 func (c *Controller) mayRenewLeases(now time.Time) bool {
 	w := c.cfg.Deployment.Workers
 	if !c.loaded {
@@ -194,8 +194,8 @@
 	return now.Sub(c.cancellationsKnownAt(now)) <= maxKnowledgeAge(w)
 }
 
-// answerRenewal answers a worker's report, which renews its lease: every such answer passes here. Whoever
-// does not know enough for it sends the worker on, to a node that may.
+// answerRenewal answers a worker's heartbeat, which renews its lease: every such answer passes here. Whoever
+// does not know enough for it sends the worker on, to a controller that may.
 func (c *Controller) answerRenewal(machine string, a protocol.HeartbeatResponse, reply func(int, any)) {
 	now := time.Now()
 	if c.mayRenewLeases(now) {
@@ -207,15 +207,15 @@
 	reply(503, errNotOwner)
 }
 
-// maxKnowledgeAge is how old a node's knowledge of what was cancelled may be when it renews a lease.
+// maxKnowledgeAge is how old a controller's knowledge of what was cancelled may be when it renews a lease.
 func maxKnowledgeAge(w config.Workers) time.Duration {
 	return seconds(w.CancelS-w.LeaseS) - leaseMargin
 }
 
-// unverifiedRenewalWindow is how long after its start a node that has read no records may renew leases; not at all
-// if it is not above 0. A worker whose lease still runs was answered at most lease_s before by a node that
+// unverifiedRenewalWindow is how long after its start a controller that has read no records may renew leases; not at all
+// if it is not above 0. A worker whose lease still runs was answered at most lease_s before by a controller that
 // knew its records, and that had stopped what was cancelled until then. What it could not stop was
-// cancelled later, and must be gone within cancel_s of that. An end of all nodes while one of them
+// cancelled later, and must be gone within cancel_s of that. An end of all controllers while one of them
 // renewed without knowing all is what this leaves open: see "Known and open" in docs/ROADMAP.md.
 func unverifiedRenewalWindow(w config.Workers) time.Duration {
 	return seconds(w.CancelS-2*w.LeaseS) - leaseMargin
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -112,8 +112,8 @@
 	return out
 }
 
-// Words go only to nodes whose record says that they read them, and only with what those have not read:
-// a node of the version before would close the connection at the first.
+// Words go only to controllers whose record says that they read them, and only with what those have not read:
+// a controller of the version before would close the connection at the first.
 func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
 	c := newCore(t)
 	c.digest.recorded.add(6, "job-000006")
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -56,7 +56,7 @@
 }
 
 // cycle compares what the records hold with what the workers have shown and what
-// should run, and commits the difference of this node's shares as one
+// should run, and commits the difference of this controller's shards as one
 // transaction. Only one is under way at a time; one whose outcome is unknown is
 // repeated until it is known, since it might still be applied.
 func (c *Controller) cycle(ctx context.Context) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// nextGroupSplit parts a rack whose record would be over the limit, if there is one: its
+// nextGroupSplit parts a group whose record would be over the limit, if there is one: its
 // machines' tasks could not leave it otherwise.
 func (c *Controller) nextGroupSplit() protocol.Txn {
 	k := c.oversizedGroup
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/storage"
 )
 
-// newCore makes a loaded core that owns its only share, with one machine whose
+// newCore makes a loaded core that owns its only shard, with one machine whose
 // worker was heard, and one waiting job.
 func newCore(t *testing.T) *Controller {
 	t.Helper()
@@ -46,7 +46,7 @@
 
 func (idleStore) Pace(int) time.Duration { return 0 }
 
-// machineIn reads machine m from the rack's record in a batch.
+// machineIn reads machine m from the group's record in a batch.
 func machineIn(t *testing.T, b *txnBuilder) storage.GroupMachine {
 	t.Helper()
 	var r storage.GroupRecord
@@ -113,7 +113,7 @@
 	}
 }
 
-// Racks that list hundreds of small tasks must not make a transaction larger than the
+// Groups that list hundreds of small tasks must not make a transaction larger than the
 // state service takes: it would refuse it for ever.
 func TestTxnStaysWithinLimits(t *testing.T) {
 	c := newCore(t)
@@ -140,7 +140,7 @@
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
 		m := c.cache.Machine(fmt.Sprint("x", i))
 		r := reportOf(m, 1)
-		r.Tasks[0].State, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each rack has something to say
+		r.Tasks[0].State, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group has something to say
 		c.applyHeartbeat(m, c.workerState(m), r, 4, false)
 	}
 	txn, more := c.nextTxn(c.workerState(c.cache.Machine("m")).heard)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,12 +24,12 @@
 	Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error)
 	// Pace is how long it takes until the budget allows a transaction of n changes.
 	Pace(n int) time.Duration
-	// SetRateShare tells which part of the machines this node commits for, whether it leads,
+	// SetRateShare tells which part of the machines this controller commits for, whether it leads,
 	// and how many changes a second it and the others make (below 0: not known).
 	SetRateShare(part float64, leads bool, used, others float64)
-	// SetLimit sets the rate of changes that all nodes together may make.
+	// SetLimit sets the rate of changes that all controllers together may make.
 	SetLimit(changes float64)
-	// ChangesUsed is how many changes this node has made.
+	// ChangesUsed is how many changes this controller has made.
 	ChangesUsed() uint64
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64, timeout time.Duration) error
@@ -51,12 +51,12 @@
 
 // Timing are the core's own timings.
 type Timing struct {
-	SessionLease       time.Duration // how long a node's hold lasts without renewal
+	SessionLease       time.Duration // how long a controller's hold lasts without renewal
 	CommitInterval     time.Duration // least time between two commits
 	WatchInterval      time.Duration // least time between two follows
 	Tick               time.Duration
-	HeartbeatReplyWait time.Duration // how long the answer to a report may wait for a commit
-	RebalanceInterval  time.Duration // how often the leader moves machines between shares
+	HeartbeatReplyWait time.Duration // how long the answer to a heartbeat may wait for a commit
+	RebalanceInterval  time.Duration // how often the leader moves machines between shards
 	AutoscaleInterval  time.Duration // how often the leader decides what to rent
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// Controller is one node.
+// Controller is one controller.
 type Controller struct {
 	cfg     *config.Settings
 	store   StateStore
@@ -91,7 +91,7 @@
 	sessionLease           uint64
 	workerStates           map[int32]*workerState
 	jobStates              map[*storage.Job]*jobState
-	ownedShards            []uint64 // by share: the version under which it is owned, 0: not
+	ownedShards            []uint64 // by shard: the version under which it is owned, 0: not
 	cycleRequested         bool
 	nextCycleAt            time.Time // no cycle before
 	commitInFlight         bool
@@ -99,10 +99,10 @@
 	inDoubt                *protocol.Txn            // sent with unknown outcome: repeated until it is known
 	plannedTasks           int                      // tasks that the latest plan places
 	lastTxnOps             int                      // changes of the latest transaction
-	firstGroup             int                      // the rack that the next plan begins with
-	idleWorkPlaced         bool                     // idle-time work is placed on this node's machines
+	firstGroup             int                      // the group that the next plan begins with
+	idleWorkPlaced         bool                     // idle-time work is placed on this controller's machines
 	pendingUpdates         map[int32]*pendingUpdate // by machine
-	waitingByShard         []int                    // by share: tasks that waited when last planned
+	waitingByShard         []int                    // by shard: tasks that waited when last planned
 	uncontacted            []*storage.Machine
 	leaderVersion          uint64 // of the leader's key
 	leaderSince            time.Time
@@ -121,13 +121,13 @@
 	oversizedGroup         *storage.MachineGroup // its record would be over the limit: it is parted next
 	shardWriteInFlight     bool
 	membersChangedAt       time.Time        // when membership last changed
-	ownershipHistory       []shardOwnership // by share
+	ownershipHistory       []shardOwnership // by shard
 	ownershipLoaded        bool
 	zones                  []zoneState          // by zone
-	brokenConnections      map[string]time.Time // by node: its connection broke off while it was heard
+	brokenConnections      map[string]time.Time // by controller: its connection broke off while it was heard
 	startedAt              time.Time            // when this process did
-	leaseSeenAt            map[string]time.Time // by node: when its hold was last seen
-	memberRevision         uint64               // the revision with which this node's record was last written
+	leaseSeenAt            map[string]time.Time // by controller: when its hold was last seen
+	memberRevision         uint64               // the revision with which this controller's record was last written
 	memberWriteInFlight    bool                 // it is being written
 	leader                 leaderState
 	directCommands         int
@@ -136,15 +136,15 @@
 	alpha                  float64
 	readBarrier            barrier
 	peers                  map[string]peerState
-	disconnectedPeers      map[string]time.Time // nodes whose connection ended, until they are heard again
+	disconnectedPeers      map[string]time.Time // controllers whose connection ended, until they are heard again
 	anyWorkerHeardAt       time.Time            // when any worker was last heard
-	ownershipSince         time.Time            // when this node last took over a share
+	ownershipSince         time.Time            // when this controller last took over a shard
 	placedSinceTakeover    bool                 // it has placed tasks since
 	counters               logCounters
 	notReady               atomic.Bool // reaches no worker
 	lastProbeAt            time.Time
 	nextProbe              int
-	storeServedAt          time.Time // when the state service last served this node
+	storeServedAt          time.Time // when the state service last served this controller
 	cacheCurrentAt         time.Time // the cache holds all that was committed until then
 	digest                 digestState
 	unverified             unverifiedRenewals
@@ -156,8 +156,8 @@
 	lastLoopAt             time.Time              // when the core's loop last did
 	changesUsed            uint64                 // changes made, when last looked at
 	changesUsedAt          time.Time
-	changeRate             float64   // changes that this node makes a second
-	resumedAt              time.Time // when this node last woke from a standstill
+	changeRate             float64   // changes that this controller makes a second
+	resumedAt              time.Time // when this controller last woke from a standstill
 	leaseRenewedAt         time.Time // when the latest renewal of the hold that worked was sent
 	summary                publishedSummary
 	metrics                *Metrics
@@ -167,10 +167,10 @@
 	preemptionsSeen        map[string]uint64
 	readModel              *readModel // nil: off
 
-	// Layout, set before Run, is the latest layout of the records that this node reads. With
+	// Layout, set before Run, is the latest layout of the records that this controller reads. With
 	// the plain one it does as the version before did: for tests of both side by side.
 	Layout int
-	// Frames is the level of the peers' frames that this node reads, set likewise; 0: no words.
+	// Frames is the level of the peers' frames that this controller reads, set likewise; 0: no words.
 	Frames int
 
 	// OnLogLevel, if set before Run, takes up a log level that operators choose.
@@ -245,7 +245,7 @@
 // the value that the paper chose in its sweep (section 5.1).
 const DefaultAlpha = 0.31
 
-// Run is the node's life; it ends with ctx.
+// Run is the controller's life; it ends with ctx.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	c.cache.ForcePlain = c.Layout < storage.LayoutPacked
@@ -336,8 +336,8 @@
 	c.requestCycle()
 }
 
-// updateRateShare tells the state service's client how much of its rate this node may
-// use: in proportion to the machines that it commits for, which every node knows.
+// updateRateShare tells the state service's client how much of its rate this controller may
+// use: in proportion to the machines that it commits for, which every controller knows.
 func (c *Controller) updateRateShare() {
 	mine, all := 0, 0
 	for _, m := range c.cache.Machines {
@@ -354,7 +354,7 @@
 			shares++
 		}
 	}
-	// A share with few machines yet still has to place its first work.
+	// A shard with few machines yet still has to place its first work.
 	part := float64(shares) / float64(len(c.ownedShards))
 	if all > 0 {
 		part = (part + 3*float64(mine)/float64(all)) / 4
@@ -368,8 +368,8 @@
 	c.store.SetRateShare(part, c.isLeader(), c.changeRate, c.othersChangeRate(now))
 }
 
-// ownsShard tells whether this process owns a share. The follow must have come as far
-// as the record that says so: a leader that gives a share to itself learns of it
+// ownsShard tells whether this process owns a shard. The follow must have come as far
+// as the record that says so: a leader that gives a shard to itself learns of it
 // from its own commit, before it has seen what the former owner committed last.
 func (c *Controller) ownsShard(share int) bool {
 	s := &c.cache.Shards[share]
--- a/internal/controller/dispatch/dispatch.go
+++ b/internal/controller/dispatch/dispatch.go
@@ -1,5 +1,5 @@
 // Package dispatch reconciles what a machine's record wants with what its
-// worker reports: it finds which tasks are proved to be gone, and which
+// worker heartbeats: it finds which tasks are proved to be gone, and which
 // commands the difference takes.
 package dispatch
 
@@ -49,7 +49,7 @@
 	Gone         map[Ref]Outcome       // proved gone, but not yet committed
 	Sent         map[Ref]uint64        // the seq of the report whose answer last carried the launch
 	// HeartbeatSeq is the seq of the latest report proper. A worker's reply to a
-	// direct command proves nothing about launches in the answer to a report,
+	// direct command proves nothing about launches in the answer to a heartbeat,
 	// which may still be on its way.
 	HeartbeatSeq   uint64
 	DirectInFlight bool // a direct command is under way
@@ -117,7 +117,7 @@
 			continue
 		}
 		// Only a worker that has seen the present token drops what was sent
-		// under an older one, so only its report proves that a task is absent.
+		// under an older one, so only its heartbeat proves that a task is absent.
 		if r.Incarnation < m.Incarnation || r.FencingToken < token || v.Uncertain >= r.FencingToken && v.Uncertain > 0 {
 			continue
 		}
@@ -144,7 +144,7 @@
 	Grace float64 // seconds in which it may save; 0: at once
 }
 
-// Commands works out the commands that turn what the worker reports into what
+// Commands works out the commands that turn what the worker heartbeats into what
 // the record wants. Attempts that are wanted no more and can be proved never to
 // have started go into Gone. With answer, the commands go into the answer to the
 // latest report, and launches are noted as sent.
--- a/internal/controller/dispatch/dispatch_test.go
+++ b/internal/controller/dispatch/dispatch_test.go
@@ -9,7 +9,7 @@
 
 const token = 50
 
-// report makes a report of a machine of session 3 that has seen the token.
+// report makes a heartbeat of a machine of session 3 that has seen the token.
 func report(seq uint64, change func(*protocol.Heartbeat), tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	r := &protocol.Heartbeat{Machine: "m", Incarnation: 3, Seq: seq, FencingToken: token, Tasks: tasks}
 	if change != nil {
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -22,7 +22,7 @@
 // machine list brings it again.
 const enrollTries = 20
 
-// enrollMachine gives a machine a record: it is put in a rack of the share that needs it most.
+// enrollMachine gives a machine a record: it is put in a group of the shard that needs it most.
 func (c *Controller) enrollMachine(ctx context.Context, n *pendingMachine) {
 	if c.leader.enrollPending[n.name] {
 		n.done(false)
@@ -199,7 +199,7 @@
 	}
 }
 
-// groupSize is how many machines share a record: as few as let every rack be
+// groupSize is how many machines share a record: as few as let every group be
 // written about once a second with half of the state service's rate of changes.
 func (c *Controller) groupSize() int {
 	n := len(c.leader.pendingMachines)
@@ -215,8 +215,8 @@
 // maxGroupSize bounds how many machines move, and change their owner, together.
 const maxGroupSize = 24
 
-// groupAllocator finds racks for newcomers. Spot and ordinary machines do not share a
-// rack: work that may not use spot machines moves none of them with it.
+// groupAllocator finds groups for newcomers. Spot and ordinary machines do not share a
+// group: work that may not use spot machines moves none of them with it.
 type groupAllocator struct {
 	groupSize int
 	nextID    int
@@ -246,7 +246,7 @@
 	return f
 }
 
-// allocate returns the rack with the most room for one more machine, a new one if there is none.
+// allocate returns the group with the most room for one more machine, a new one if there is none.
 func (f *groupAllocator) allocate(share int, spot bool) (id int, fresh bool) {
 	var best *groupCapacity
 	for i := range f.nextID {
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -97,8 +97,8 @@
 	return n
 }
 
-// noteSuspects writes it down for other nodes that a job seems to be mistaken: the leader rents
-// for it, and the share's next owner would start all of its tasks again.
+// noteSuspects writes it down for other controllers that a job seems to be mistaken: the leader rents
+// for it, and the shard's next owner would start all of its tasks again.
 func (c *Controller) noteSuspects(d *plannedTxn) {
 	for j, jv := range c.jobStates {
 		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.DoneCount > 0 || d.usedOps >= d.maxOps {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -96,7 +96,7 @@
 // TestGoldenAdminBodies pins the bodies of the administration API that a core makes.
 func TestGoldenAdminBodies(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // evictions are told in the node's own time zone
+	time.Local = time.UTC // evictions are told in the controller's own time zone
 	t.Cleanup(func() { time.Local = local })
 	for _, x := range []struct {
 		name string
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -20,7 +20,7 @@
 	directProbeTimeout    = 1200 * time.Millisecond
 )
 
-// HandleHeartbeat answers a worker's report: reply is called once, from the core.
+// HandleHeartbeat answers a worker's heartbeat: reply is called once, from the core.
 func (c *Controller) HandleHeartbeat(ctx context.Context, r *protocol.Heartbeat, reply func(int, any)) {
 	began := time.Now()
 	c.post(func() {
@@ -81,8 +81,8 @@
 }
 
 // raiseFencingToken deals with a worker that has seen a higher token than its machine's record has.
-// Mostly somebody holds a newer right to command it, and this node's cache is behind: then what
-// it commits fails. But a rack may have moved under a token older than that of the share's new owner,
+// Mostly somebody holds a newer right to command it, and this controller's cache is behind: then what
+// it commits fails. But a group may have moved under a token older than that of the shard's new owner,
 // who had shown it to the worker just before; then nobody could command the machine any more, its
 // tasks stayed in the record and their jobs running for ever. So the record's is raised above it.
 // Every token was committed, so none is above the revision that a cache in time has come to: one
@@ -247,7 +247,7 @@
 	return cmds
 }
 
-// answerHeartbeat answers a report with what the record holds now.
+// answerHeartbeat answers a heartbeat with what the record holds now.
 func (c *Controller) answerHeartbeat(h heldReply) {
 	m := c.cache.Machine(h.machine)
 	if m == nil {
@@ -270,7 +270,7 @@
 	c.answerRenewal(m.Name, out, h.reply)
 }
 
-// flushHeldReplies answers the reports that waited for a commit.
+// flushHeldReplies answers the heartbeats that waited for a commit.
 func (c *Controller) flushHeldReplies(now time.Time, all bool) {
 	keep := c.heldReplies[:0]
 	for _, h := range c.heldReplies {
@@ -287,7 +287,7 @@
 // handleUnrecorded deals with a machine that has no record: the leader takes it in.
 func (c *Controller) handleUnrecorded(ctx context.Context, r *protocol.Heartbeat, reply func(int, any)) {
 	if c.cache.MachineSeen(r.Machine) {
-		reply(503, errNotOwner) // it is gone and the report late, or its rack is not read yet
+		reply(503, errNotOwner) // it is gone and the report late, or its group is not read yet
 		return
 	}
 	if !c.isLeader() {
@@ -372,7 +372,7 @@
 	}()
 }
 
-// contactWorkers shows this node to the workers of machines that it has taken over, a few
+// contactWorkers shows this controller to the workers of machines that it has taken over, a few
 // at a time: their replies tell what is on the machines.
 func (c *Controller) contactWorkers() {
 	for len(c.uncontacted) > 0 && c.directCommands < maxDirectCommands {
@@ -396,7 +396,7 @@
 	}
 }
 
-// terminateUnwanted sends stops of cancelled and evicted tasks without waiting for a report.
+// terminateUnwanted sends stops of cancelled and evicted tasks without waiting for a heartbeat.
 func (c *Controller) terminateUnwanted(m *storage.Machine) {
 	if m.Gone || len(m.Tasks) == 0 || !c.ownsShard(m.Shard) {
 		return
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -59,7 +59,7 @@
 }
 
 // lookupLinearizable is look, with a barrier before anything but a final state: no
-// user may get an older answer than another node has given. What this node slept
+// user may get an older answer than another controller has given. What this controller slept
 // over is as old: others may have given newer answers meanwhile.
 func (c *Controller) lookupLinearizable(ctx context.Context, id string) (protocol.JobState, bool, error) {
 	began := time.Now()
@@ -128,7 +128,7 @@
 			known = true
 			return
 		}
-		// Before the gate opens a node of the version before would start it too early.
+		// Before the gate opens a controller of the version before would start it too early.
 		ready = c.acceptsJobs() && (len(s.Dependencies) == 0 || c.loaded && c.cache.Packed())
 		if ready {
 			if never = c.unschedulableReason(s); never == "" {
@@ -143,7 +143,7 @@
 		return errRetryLater
 	}
 	if !known && lacks {
-		// Another node may have accepted it a moment ago.
+		// Another controller may have accepted it a moment ago.
 		err := c.Barrier(ctx)
 		if err == nil {
 			err = c.call(ctx, func() {
@@ -226,7 +226,7 @@
 }
 
 // invalidDependency says why a job can't wait for what it names, "" if it can; lacks tells that
-// it is because this node knows no such job.
+// it is because this controller knows no such job.
 func (c *Controller) invalidDependency(s *protocol.Submission) (why string, lacks bool) {
 	for _, id := range s.Dependencies {
 		if f, _ := c.cache.FinalState(id); f != "" {
@@ -349,17 +349,17 @@
 	return errRetryLater
 }
 
-// acceptsJobs tells whether this node can accept a job that awaits no other. That takes the
+// acceptsJobs tells whether this controller can accept a job that awaits no other. That takes the
 // machine types, and that the records are of a layout that it reads; whether the id is free
 // is a condition of the commit. So the gate and the catalog are read first, and after an end of
-// all nodes submissions need not wait until each has read every record. Once teams may have been changed it has to
+// all controllers submissions need not wait until each has read every record. Once teams may have been changed it has to
 // have read those, too: it would accept by the settings file what can never run.
 func (c *Controller) acceptsJobs() bool {
 	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.TeamChangesEnabled() && !c.foreignLayout)
 }
 
-// Ready tells whether this node can take requests. In an outage of the state service all
-// nodes stay ready, those that began in it too: they refuse at once, and accept the moment it ends.
+// Ready tells whether this controller can take requests. In an outage of the state service all
+// controllers stay ready, those that began in it too: they refuse at once, and accept the moment it ends.
 func (c *Controller) Ready(ctx context.Context) bool {
 	ok := false
 	err := c.call(ctx, func() {
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -14,10 +14,10 @@
 // versions serve. Until the gate opens everything is written as the version in production
 // writes and reads it; what is only needed for that is what asks cache.Packed().
 
-// openGate is the leader's loop over the gate: it opens once every node that the settings
+// openGate is the leader's loop over the gate: it opens once every controller that the settings
 // name has shown that it reads the packed layout. Which have is remembered, for one may
 // be down while the last one comes. A leader of the version before does none of it, so
-// the gate waits until a node that knows of it leads.
+// the gate waits until a controller that knows of it leads.
 func (c *Controller) openGate(ctx context.Context) {
 	if !c.isLeader() || c.gateWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
@@ -57,7 +57,7 @@
 	})
 }
 
-// limits are the state service's limits that this node keeps to. Those to come hold from
+// limits are the state service's limits that this controller keeps to. Those to come hold from
 // the gate on, or from the first refusal for size: they come without notice, and what
 // was written small needs no second thought when they do.
 func (c *Controller) limits() config.State {
@@ -108,7 +108,7 @@
 				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shards[s].ShardRecord)}}}
 		}
 	}
-	return &protocol.Txn{If: t.If[:1]} // every plan depends on a share; a comparison settles nothing, but ends
+	return &protocol.Txn{If: t.If[:1]} // every plan depends on a shard; a comparison settles nothing, but ends
 }
 
 func settles(t protocol.Txn) bool {
@@ -161,9 +161,9 @@
 	return t
 }
 
-// splitGroup parts the machines of a rack whose record would be over the limit over new
-// racks of the same share. The machines' new records say that they were moved, whatever
-// their fleet's record says, so all in one change each task stays in one rack. If there are
+// splitGroup parts the machines of a group whose record would be over the limit over new
+// groups of the same shard. The machines' new records say that they were moved, whatever
+// their fleet's record says, so all in one change each task stays in one group. If there are
 // more parts than one transaction takes, the old record stays as it is, and its entries
 // of machines that have moved count no more.
 func (c *Controller) splitGroup(k *storage.MachineGroup) protocol.Txn {
--- a/internal/controller/layout_gate_test.go
+++ b/internal/controller/layout_gate_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Records of the plain layout that are far over the limits to come: full racks, whose
+// Records of the plain layout that are far over the limits to come: full groups, whose
 // machines' tasks must be able to leave, a large array with most of its tasks completed,
 // a large evicted set. Every transaction keeps to the lower limits, from the gate on or with the
 // limits falling at once, and at the end all is worked off.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -30,8 +30,8 @@
 	unrecorded        map[string]time.Time // listed without a record since
 	movedAt           time.Time
 	moveInFlight      bool
-	groupMovedAt      map[int]time.Time // by rack
-	stuckSinceByShard map[int]time.Time // by share: waits since, and no move evens out loads
+	groupMovedAt      map[int]time.Time // by group
+	stuckSinceByShard map[int]time.Time // by shard: waits since, and no move evens out loads
 	// stuckSince is since when work has waited for which only drained machines have room.
 	stuckSince     time.Time
 	autoscaledAt   time.Time
@@ -60,7 +60,7 @@
 }
 
 // catalogLoop reads the machine types; the leader keeps them in the state
-// service, for nodes that start while the cloud does not answer.
+// service, for controllers that start while the cloud does not answer.
 func (c *Controller) catalogLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		cat, err := c.cloud.Catalog(ctx)
@@ -83,7 +83,7 @@
 	}
 }
 
-// shardLoad compares each share's work with its machines, in CPUs.
+// shardLoad compares each shard's work with its machines, in CPUs.
 func (c *Controller) shardLoad() (demand, capacity []float64) {
 	now := time.Now()
 	demand = make([]float64, c.cache.NumShards)
@@ -101,7 +101,7 @@
 	return demand, capacity
 }
 
-// neediest is the share with the most work for its machines.
+// neediest is the shard with the most work for its machines.
 func neediest(demand, capacity []float64) int {
 	best := 0
 	for s := range demand {
@@ -113,9 +113,9 @@
 }
 
 // autoscaleAsLeader is the leader's loop over machines: which there are, which should
-// be, and which share they serve.
+// be, and which shard they serve.
 func (c *Controller) autoscaleAsLeader(ctx context.Context, now time.Time) {
-	// What is asked of the cloud is conditional on no record: a node whose hold may
+	// What is asked of the cloud is conditional on no record: a controller whose hold may
 	// have ended would rent beside the next leader.
 	if !c.isLeader() || !c.leaseCertain(now) || !c.cache.HasCatalog() || c.storeFailing() {
 		return
@@ -250,7 +250,7 @@
 	}
 	plan := autoscale.Decide(demands, machines, offers, workHorizon)
 	for _, r := range plan.ScaleOuts {
-		// The name is never used again, by any node: it holds this process's own number.
+		// The name is never used again, by any controller: it holds this process's own number.
 		c.leader.requestCount++
 		ty := c.cache.TypeIndex.Name(r.Type)
 		req := protocol.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.requestCount), Type: ty,
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -13,16 +13,16 @@
 	"dykeledge/internal/storage"
 )
 
-// The share with the most work for its machines took them from one whose team had
+// The shard with the most work for its machines took them from one whose team had
 // less than it is guaranteed, whose work then waited for evictions.
 func TestMovesHonourGuarantees(t *testing.T) {
 	cases := []struct {
 		name      string
-		guarantee float64 // of red, in share 0; blue has none
-		machines  [2]int  // of 8 CPUs, by share, each a rack of its own
+		guarantee float64 // of red, in shard 0; blue has none
+		machines  [2]int  // of 8 CPUs, by shard, each a group of its own
 		demand    [2]int  // tasks of 4 CPUs that wait, by team
 		usual     [2]float64
-		moves     int // from share 1 to 0; below 0: the other way
+		moves     int // from shard 1 to 0; below 0: the other way
 	}{
 		{"to the greater load, without guarantees", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{}, -2},
 		{"not below what is guaranteed", 32, [2]int{4, 4}, [2]int{10, 60}, [2]float64{}, 0},
@@ -65,7 +65,7 @@
 	}
 }
 
-// movesToFirst is how many racks more move to the first of two shares than from it.
+// movesToFirst is how many groups more move to the first of two shards than from it.
 func movesToFirst(c *Controller, kinds ...workKind) int {
 	mv := rebalancer{c: c, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 	for _, k := range kinds {
@@ -73,21 +73,21 @@
 	}
 	n := 0
 	for k := range mv.moved {
-		n += 2*k.Shard - 1 // from the second share to the first
+		n += 2*k.Shard - 1 // from the second shard to the first
 	}
 	return n
 }
 
-// A job bound to one zone waited while its share had as much free room in another: sums of all zones said that nothing was short. It
-// is lent a rack on which it fits; what waits for its team's limit, and not for room, is lent none.
+// A job bound to one zone waited while its shard had as much free room in another: sums of all zones said that nothing was short. It
+// is lent a group on which it fits; what waits for its team's limit, and not for room, is lent none.
 func TestWorkWaitingBesideCapacityIsLentAGroup(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		zone  string  // where the job must run; its share has an empty machine in a, the other share one in b
+		zone  string  // where the job must run; its shard has an empty machine in a, the other shard one in b
 		cpus  float64 // of its task; machines have 8
 		limit float64 // of its team, which runs 2 CPUs
 		stuck time.Duration
-		want  int // racks that move to it
+		want  int // groups that move to it
 	}{
 		{name: "its own machine will do", zone: "a", cpus: 4, stuck: 11 * time.Second},
 		{name: "bound to the other zone", zone: "b", cpus: 4, stuck: 11 * time.Second, want: 1},
@@ -130,15 +130,15 @@
 	}
 }
 
-// Three machines ran what could not end, one of them alone in its share; by the sums there was room, so
-// nothing was rented, and no move evened out loads: a share without a machine waited for ever.
+// Three machines ran what could not end, one of them alone in its shard; by the sums there was room, so
+// nothing was rented, and no move evened out loads: a shard without a machine waited for ever.
 func TestShardWithoutGroupIsLentOne(t *testing.T) {
 	cases := []struct {
 		name   string
-		placed [3]int // tasks of 2 CPUs on the machine of 8 of racks 0, 1 and 2
-		share  [3]int // of those racks; share 1 waits for 3 tasks
-		waits  int    // tasks of share 0
-		want   int    // the rack that moves, -1: none
+		placed [3]int // tasks of 2 CPUs on the machine of 8 of groups 0, 1 and 2
+		share  [3]int // of those groups; shard 1 waits for 3 tasks
+		waits  int    // tasks of shard 0
+		want   int    // the group that moves, -1: none
 		stuck  time.Duration
 	}{
 		{"from a share that would have none", [3]int{1, 0, 0}, [3]int{0, -1, -1}, 0, 0, 0},
@@ -257,7 +257,7 @@
 	}
 }
 
-// A guest's idle-time work drew a third of the machines to its share, since it waited as
+// A guest's idle-time work drew a third of the machines to its shard, since it waited as
 // much as all others together; work that had to be in time queued for 100 s beside it.
 func TestIdleWorkMovesNothing(t *testing.T) {
 	cases := []struct {
@@ -265,7 +265,7 @@
 		firm, idle int // waiting tasks of 4 CPUs: of the home team, of the guest
 		placed     int // of the guest's, on its machines
 		priority   uint8
-		moves      int // racks to the home team's share, less those to the guest's
+		moves      int // groups to the home team's shard, less those to the guest's
 	}{
 		{"the home team's work waits", 40, 90, 0, 0, 4},
 		{"the guest's tasks are on its machines: that counts as room", 40, 90, 8, 0, 4},
@@ -337,9 +337,9 @@
 	}
 }
 
-// TestGroupAllocator: newcomers fill the racks of their share, spot and ordinary apart.
+// TestGroupAllocator: newcomers fill the groups of their shard, spot and ordinary apart.
 func TestGroupAllocator(t *testing.T) {
-	c := newCore(t) // rack 0 of share 0 holds one ordinary machine
+	c := newCore(t) // group 0 of shard 0 holds one ordinary machine
 	f := newGroupAllocator(c.cache, 3)
 	for i, x := range []struct {
 		share int
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -15,7 +15,7 @@
 // lost are returned first: what was cancelled can't be stopped there.
 func (c *Controller) superviseMachines(ctx context.Context, now time.Time, lost []string) {
 	w := c.cfg.Deployment.Workers
-	// A worker reports every ReportS, give or take a quarter. A dead machine's work
+	// A worker heartbeats every ReportS, give or take a quarter. A dead machine's work
 	// waits until two probes have got no answer and the cloud has taken it back.
 	quiet := seconds(1.25*w.HeartbeatS + 0.6)
 	silent, mute, total := 0, 0, 0
@@ -84,7 +84,7 @@
 	c.scaleIn(ctx, names)
 }
 
-// unreachableLimit is how long a machine must be silent to be returned. A node that may itself be
+// unreachableLimit is how long a machine must be silent to be returned. A controller that may itself be
 // the one that is cut off waits for the workers' leases; what was cancelled has its own deadline (stops.go).
 func unreachableLimit(w config.Workers, suspectSelf bool) time.Duration {
 	if suspectSelf {
@@ -93,7 +93,7 @@
 	return max(seconds(2*w.HeartbeatS+0.5), 4*time.Second)
 }
 
-// unresponsive tells whether a machine's worker answers what it is asked, but reports to nobody who tells of it: its lease is not
+// unresponsive tells whether a machine's worker answers what it is asked, but heartbeats to nobody who tells of it: its lease is not
 // renewed, and what is started there ends with it, again and again. One that was never heard may still boot, and one that
 // answers nothing is silent, not mute: in a zone that is cut off it may be kept for long.
 func (c *Controller) unresponsive(v *workerState, now time.Time) bool {
@@ -101,8 +101,8 @@
 	return v.Incarnation != 0 && c.silenceOf(v.heard, now) <= after && c.silenceOf(v.heartbeatAt, now) > after
 }
 
-// noteUnresponsive takes from a worker's message what it says of its reports. A lease that runs out while the worker answers whatever it is
-// asked was kept up by nobody: where few are mute their machines are returned then, before a rack moves on with them.
+// noteUnresponsive takes from a worker's message what it says of its heartbeats. A lease that runs out while the worker answers whatever it is
+// asked was kept up by nobody: where few are mute their machines are returned then, before a group moves on with them.
 func (c *Controller) noteUnresponsive(m *storage.Machine, v *workerState, r *protocol.Heartbeat, reply bool, now time.Time) {
 	switch {
 	case !reply:
@@ -114,8 +114,8 @@
 	}
 }
 
-// unresponsiveAfter is how long a worker may take for a report proper, firstHeartbeatLimit how long it has for its first one to a new
-// owner, which it is shown at once: racks move on, and each new owner would trust a mute machine anew. A worker that was shown
+// unresponsiveAfter is how long a worker may take for a heartbeat proper, firstHeartbeatLimit how long it has for its first one to a new
+// owner, which it is shown at once: groups move on, and each new owner would trust a mute machine anew. A worker that was shown
 // another token within half a lease does not report before its time.
 func unresponsiveAfter(w config.Workers) time.Duration {
 	return max(seconds(2*w.HeartbeatS+1), seconds(w.LeaseS/2))
@@ -123,7 +123,7 @@
 
 func firstHeartbeatLimit(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 1) }
 
-// heartbeatBaseline is what counts as a worker's last report from when this node begins to wait for one.
+// heartbeatBaseline is what counts as a worker's last report from when this controller begins to wait for one.
 func heartbeatBaseline(w config.Workers, now time.Time) time.Time {
 	return now.Add(firstHeartbeatLimit(w) - unresponsiveAfter(w))
 }
@@ -158,7 +158,7 @@
 	return out
 }
 
-// cameUp tells whether a machine's worker was ever heard, as far as this node knows.
+// cameUp tells whether a machine's worker was ever heard, as far as this controller knows.
 func (c *Controller) cameUp(m *storage.Machine) bool {
 	v := c.workerStates[m.Index]
 	return m.Incarnation > 0 || v != nil && v.Incarnation > 0
@@ -184,7 +184,7 @@
 	return c.bootAge(m, c.workerStates[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].BootS, 10))
 }
 
-// bootAge is how long ago a machine was rented, as far as this node knows.
+// bootAge is how long ago a machine was rented, as far as this controller knows.
 func (c *Controller) bootAge(m *storage.Machine, v *workerState, now time.Time) time.Duration {
 	switch {
 	case m.ProvisionedAt > 0: // whoever owned it since
@@ -247,7 +247,7 @@
 	c.pendingUpdate(m).draining = &on
 }
 
-// flushPendingUpdates forgets edits that are done or of no concern to this node, and as
+// flushPendingUpdates forgets edits that are done or of no concern to this controller, and as
 // the leader commits those of other owners' machines.
 func (c *Controller) flushPendingUpdates(ctx context.Context) {
 	racks := map[*storage.MachineGroup]bool{}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -14,7 +14,7 @@
 // above all that were committed before, whoever committed them.
 func (c *Controller) nextRevision() uint64 { return c.highestRevision + 1 }
 
-// keepSessionLease keeps this node's hold and its membership key.
+// keepSessionLease keeps this controller's hold and its membership key.
 func (c *Controller) keepSessionLease(ctx context.Context) {
 	var first uint64
 	for ctx.Err() == nil {
@@ -28,7 +28,7 @@
 		if first == 0 {
 			first = lease
 		}
-		// Put without conditions: a restarted node replaces its stale entry at once.
+		// Put without conditions: a restarted controller replaces its stale entry at once.
 		rev, _, err := c.store.Txn(ctx, protocol.Txn{Then: []protocol.Change{c.memberChange(first, lease, c.notReady.Load())}}, protocol.UrgentRequest)
 		if err != nil {
 			sleep(ctx, 300*time.Millisecond)
@@ -54,16 +54,16 @@
 	}
 }
 
-// memberChange is the change that says that a node lives, and how it fares.
+// memberChange is the change that says that a controller lives, and how it fares.
 func (c *Controller) memberChange(incarnation, lease uint64, unfit bool) protocol.Change {
 	return protocol.Change{Put: storage.MemberKey(c.cfg.MemberName), Lease: lease, Value: storage.Encode(
 		storage.MemberRecord{Incarnation: incarnation, Public: c.cfg.PublicAddr, NotReady: unfit, Layout: c.Layout, FrameLevel: c.Frames})}
 }
 
-// repairMemberRecord writes this node's record anew when it does not say what this process wrote: a
+// repairMemberRecord writes this controller's record anew when it does not say what this process wrote: a
 // transaction of the process before, or one of its own with unknown outcome, was applied late.
-// With the former process's hold the record then vanished, and a living node was no member any
-// more: it got no share, and the gate between layouts waited for it for ever.
+// With the former process's hold the record then vanished, and a living controller was no member any
+// more: it got no shard, and the gate between layouts waited for it for ever.
 func (c *Controller) repairMemberRecord(ctx context.Context) {
 	if c.sessionLease == 0 || c.memberWriteInFlight || c.cache.Revision < c.memberRevision {
 		return
@@ -77,7 +77,7 @@
 	c.writeMember(ctx, protocol.Txn{}, c.notReady.Load(), func(bool) {})
 }
 
-// writeMember writes this node's record with whatever else is in a transaction.
+// writeMember writes this controller's record with whatever else is in a transaction.
 func (c *Controller) writeMember(ctx context.Context, t protocol.Txn, unfit bool, then func(ok bool)) {
 	t.Then = append(t.Then, c.memberChange(c.incarnation, c.sessionLease, unfit))
 	c.memberWriteInFlight = true
@@ -93,7 +93,7 @@
 	}()
 }
 
-// acquireLeadership takes the lead if nobody has it, or if its holder was this node before
+// acquireLeadership takes leadership if nobody has it, or if its holder was this controller before
 // it started anew.
 func (c *Controller) acquireLeadership(ctx context.Context) {
 	l := c.cache.Leader
@@ -101,7 +101,7 @@
 		return
 	}
 	if now := time.Now(); l.Version > 0 && l.Member != c.cfg.MemberName {
-		// Two nodes that do not hear each other must not take the lead from one
+		// Two controllers that do not hear each other must not take leadership from one
 		// another again and again.
 		if !c.memberLost(l.Member, now) || now.Sub(c.leaderSince) < minLeadershipDuration {
 			return
@@ -164,7 +164,7 @@
 	}
 }
 
-// assignShards is the leader's loop over who owns which share.
+// assignShards is the leader's loop over who owns which shard.
 func (c *Controller) assignShards(ctx context.Context) {
 	if !c.isLeader() || c.shardWriteInFlight {
 		return
@@ -216,29 +216,29 @@
 	c.commitAside(ctx, t, protocol.UrgentRequest, func(bool) { c.shardWriteInFlight = false })
 }
 
-// rebalanceDelay is how long membership must have been quiet before shares move
-// to even out the nodes' load: a move costs a short pause of its workers.
+// rebalanceDelay is how long membership must have been quiet before shards move
+// to even out the controllers' load: a move costs a short pause of its workers.
 const rebalanceDelay = 8 * time.Second
 
-// firstHeartbeats is how long a new owner is left to answer its workers once before a share is
-// passed on: after an end of all nodes their leases are about to run out, and each change of
-// hands costs them up to half a second and a report. On 183 machines with leases of 10 s 825
-// tasks were killed by them where shares were passed on at once.
+// firstHeartbeats is how long a new owner is left to answer its workers once before a shard is
+// passed on: after an end of all controllers their leases are about to run out, and each change of
+// hands costs them up to half a second and a heartbeat. On 183 machines with leases of 10 s 825
+// tasks were killed by them where shards were passed on at once.
 const firstHeartbeats = 2 * time.Second
 
-// takeoverGrace is how long after that a share has changed hands it may be passed on to a node that
+// takeoverGrace is how long after that a shard has changed hands it may be passed on to a controller that
 // has come up since: its new owner knows little yet, and its workers look for it anyway. After
-// an end of all nodes the first one that was back owned 1235 machines for ten seconds,
+// an end of all controllers the first one that was back owned 1235 machines for ten seconds,
 // with all of its processor time, while four others had nothing to do.
 const takeoverGrace = 3 * time.Second
 
-// shardOwnership is what this node has seen of a share's owners.
+// shardOwnership is what this controller has seen of a shard's owners.
 type shardOwnership struct {
 	version   uint64    // of its record when last looked at
 	changedAt time.Time // when it last changed hands
 }
 
-// recordOwnershipChanges notes when shares change hands. What was read at the start is as old as it likes.
+// recordOwnershipChanges notes when shards change hands. What was read at the start is as old as it likes.
 func (c *Controller) recordOwnershipChanges(now time.Time) {
 	for i := range c.cache.Shards {
 		s, h := &c.cache.Shards[i], &c.ownershipHistory[i]
@@ -253,7 +253,7 @@
 	c.ownershipLoaded = true
 }
 
-// othersReady tells whether another living node could do this node's work.
+// othersReady tells whether another living controller could do this controller's work.
 func (c *Controller) othersReady() bool {
 	for name, n := range c.cache.Members {
 		if name != c.cfg.MemberName && !n.NotReady {
@@ -263,14 +263,14 @@
 	return false
 }
 
-// checkReadiness gives up shares and lead when this node reaches no worker although it
-// owns machines: a node cut off from everything but the state service keeps its
+// checkReadiness gives up shards and lead when this controller reaches no worker although it
+// owns machines: a controller cut off from everything but the state service keeps its
 // hold, and nobody else would take its workers before their leases run out.
 func (c *Controller) checkReadiness(ctx context.Context, now time.Time) {
 	if c.sessionLease == 0 || c.storeFailing() {
 		return
 	}
-	// Every worker reports within 1.25 times ReportS: a few may be dead or hang, but
+	// Every worker heartbeats within 1.25 times ReportS: a few may be dead or hang, but
 	// when many are all silent for longer, the fault is on this side.
 	report := c.cfg.Deployment.Workers.HeartbeatS
 	quiet := max(seconds(2*report+1.5), 4*time.Second)
@@ -317,7 +317,7 @@
 	})
 }
 
-// probeWorker asks some worker for its report, with a token that commands nothing.
+// probeWorker asks some worker for its heartbeat, with a token that commands nothing.
 func (c *Controller) probeWorker() {
 	for _, m := range c.cache.Machines {
 		if m.Gone || m.Returning || m.Addr == "" || m.Incarnation == 0 {
@@ -338,7 +338,7 @@
 // probeTimeout bounds how long a worker that is asked may take.
 const probeTimeout = 900 * time.Millisecond
 
-// probeHeartbeat asks a worker for its report, under a token that commands nothing: whatever comes back is an answer.
+// probeHeartbeat asks a worker for its heartbeat, under a token that commands nothing: whatever comes back is an answer.
 func (c *Controller) probeHeartbeat(m *storage.Machine, then func(answered bool)) {
 	addr, session := m.Addr, m.Incarnation
 	go func() {
--- a/internal/controller/membership/membership.go
+++ b/internal/controller/membership/membership.go
@@ -1,4 +1,4 @@
-// Package membership decides who leads and which node owns which share.
+// Package membership decides who leads and which controller owns which shard.
 package membership
 
 import (
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Member is a living node.
+// Member is a living controller.
 type Member struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Owner is who owns a share; the zero value is nobody.
+// Owner is who owns a shard; the zero value is nobody.
 type Owner = Member
 
-// Assign gives every share a living owner and moves as few as it can: a share
+// Assign gives every shard a living owner and moves as few as it can: a shard
 // stays with its owner's present incarnation; one whose owner is gone or has
-// started anew goes to its old name if that lives, else to the node with the
-// fewest shares. Shares that may be moved, if movable is set, also move from a node
+// started anew goes to its old name if that lives, else to the controller with the
+// fewest shards. Shards that may be moved, if movable is set, also move from a controller
 // that owns at least two more than another.
 func Assign(shares []Owner, nodes []Member, movable func(share int) bool) []Owner {
 	if len(nodes) == 0 {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -25,7 +25,7 @@
 }
 
 // A transaction of the process before was applied late: the record said what that had been,
-// and vanished with its hold. The node lived on as no member, and the gate never opened.
+// and vanished with its hold. The controller lived on as no member, and the gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
 	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesCancellationDigest}
 	for _, x := range []struct {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -10,7 +10,7 @@
 	"dykeledge/internal/storage"
 )
 
-// Metrics are this node's figures. Labels are bounded: classes, teams, states
+// Metrics are this controller's figures. Labels are bounded: classes, teams, states
 // and outcomes, never jobs or machines.
 type Metrics struct {
 	Registry            *prometheus.Registry
@@ -30,7 +30,7 @@
 	Requests            *prometheus.CounterVec
 }
 
-const maxClasses = 64 // classes come from users; more than this share one label
+const maxClasses = 64 // classes come from users; more than this shard one label
 
 // NewMetrics registers the figures that are counted as they happen.
 func NewMetrics() *Metrics {
@@ -103,7 +103,7 @@
 	c.metrics.lostSeconds.Add(lost)
 }
 
-// logCounters are what the log tells now and then of how this node fares.
+// logCounters are what the log tells now and then of how this controller fares.
 type logCounters struct {
 	passes  int
 	all     time.Duration // of all passes
@@ -119,7 +119,7 @@
 	t.longest = max(t.longest, d)
 }
 
-// logCountersInterval is how often the log tells how this node fares.
+// logCountersInterval is how often the log tells how this controller fares.
 const logCountersInterval = 30 * time.Second
 
 // logCounters logs what operators compare between sizes; metrics have more of it.
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -12,16 +12,16 @@
 )
 
 // This file owns what is done about floods: the leader learns what is usual and keeps it in
-// the state service; every node compares what is open with that.
+// the state service; every controller compares what is open with that.
 
 const (
-	// floorMargin is how much more than its usual a lane is given before others get more
-	// than that: fetches and reports take time beside the estimates, and what a lost machine
+	// floorMargin is how much more than its usual a queue is given before others get more
+	// than that: fetches and heartbeats take time beside the estimates, and what a lost machine
 	// ran comes again.
 	floorMargin = 1.5
-	// overloadFactor is how many times its usual a lane must have open for it to be a flood.
+	// overloadFactor is how many times its usual a queue must have open for it to be a flood.
 	overloadFactor = 3
-	// reserveOnDemandFrom is the part of its floor from which a lane leaves ordinary machines to a flood of
+	// reserveOnDemandFrom is the part of its floor from which a queue leaves ordinary machines to a flood of
 	// what may use no others; where there are no spot machines to be had it must not starve.
 	reserveOnDemandFrom = 0.5
 	// baselineWriteInterval is the least time between two records of what is usual.
@@ -38,7 +38,7 @@
 }
 
 // learnBaseline is the leader's loop over what is usual. A new leader goes on from the record: what
-// an earlier one had learned outlives an end of all nodes, and a flood that runs on over
+// an earlier one had learned outlives an end of all controllers, and a flood that runs on over
 // it is not taken for the usual.
 func (c *Controller) learnBaseline(ctx context.Context, now time.Time) {
 	l := &c.leader.baseline
@@ -56,7 +56,7 @@
 				asked[x] = storage.Arrivals{Jobs: n.Jobs - s.Jobs, Work: n.Work - s.Work}
 			}
 		}
-		// What is read at once after a pause is no flood: a window in which this node stood
+		// What is read at once after a pause is no flood: a window in which this controller stood
 		// still or read nothing is left out.
 		if d < 3*baseline.Step && !c.storeFailing() {
 			l.estimator.Window(d, asked)
@@ -128,9 +128,9 @@
 	return f
 }
 
-// detectOverload tells whether there is a flood and far more work of some shares waits than can be
+// detectOverload tells whether there is a flood and far more work of some shards waits than can be
 // in time; with what there is room for, the order needs no floors. It stays, in dealt, until
-// no lane floods any more: what is late by then waits for no aim, but goes small first still.
+// no queue floods any more: what is late by then waits for no aim, but goes small first still.
 func (c *Controller) detectOverload(f queueLoads, jobs []*storage.Job, room schedule.Capacity, dealt *bool, now time.Time) bool {
 	if !f.overloaded || *dealt {
 		*dealt = f.overloaded
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -48,7 +48,7 @@
 	c.summary.shardDemands.Store(&needs)
 }
 
-// othersChangeRate is how many changes a second the other living nodes make, below 0 if
+// othersChangeRate is how many changes a second the other living controllers make, below 0 if
 // one of them is not heard: it may make as many as it likes.
 func (c *Controller) othersChangeRate(now time.Time) float64 {
 	sum := 0.0
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// PeerHeartbeat is what this node tells the others of itself.
+// PeerHeartbeat is what this controller tells the others of itself.
 func (c *Controller) PeerHeartbeat() protocol.PeerHeartbeat {
 	if p := c.summary.heartbeat.Load(); p != nil {
 		return *p
@@ -73,7 +73,7 @@
 	return protocol.PeerHeartbeat{}
 }
 
-// ShardDemands is what this node's top-priority work lacks.
+// ShardDemands is what this controller's top-priority work lacks.
 func (c *Controller) ShardDemands() []protocol.ShardDemand {
 	if n := c.summary.shardDemands.Load(); n != nil {
 		return *n
@@ -84,7 +84,7 @@
 // Incarnation is this process's own number, 0 before it is a member.
 func (c *Controller) Incarnation() uint64 { return c.summary.incarnation.Load() }
 
-// ReceivePeerHeartbeat takes another node's pulse.
+// ReceivePeerHeartbeat takes another controller's peer heartbeat.
 func (c *Controller) ReceivePeerHeartbeat(node string, p protocol.PeerHeartbeat) {
 	c.post(func() {
 		now := time.Now()
@@ -108,7 +108,7 @@
 	})
 }
 
-// PeerDisconnected forgets a node whose connection has ended.
+// PeerDisconnected forgets a controller whose connection has ended.
 func (c *Controller) PeerDisconnected(node string) {
 	c.post(func() {
 		now := time.Now()
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -11,11 +11,11 @@
 	"dykeledge/internal/storage"
 )
 
-// foldThreshold is how many completed tasks a rack's record may list before some of them
+// foldThreshold is how many completed tasks a group's record may list before some of them
 // are moved into their jobs' own records.
 const foldThreshold = 300
 
-// plannedTxn is a transaction of this node's shares while it is worked out.
+// plannedTxn is a transaction of this controller's shards while it is worked out.
 type plannedTxn struct {
 	*txnBuilder
 	maxOps    int
@@ -31,7 +31,7 @@
 	ended []storage.CompletedTask
 }
 
-// group makes a rack part of the transaction, if there is still room for it.
+// group makes a group part of the transaction, if there is still room for it.
 func (d *plannedTxn) group(k *storage.MachineGroup) *groupUpdate {
 	r := d.groups[k]
 	if r == nil && d.usedOps < d.maxOps {
@@ -123,7 +123,7 @@
 	if len(shares) == 0 {
 		return d.txnBuilder, false
 	}
-	// Final records of jobs cancelled with one that they need have no haste: every node
+	// Final records of jobs cancelled with one that they need have no haste: every controller
 	// tells their users so already. Under full load they take their turn.
 	c.dependencyFailedTurn++
 	if c.dependencyFailedTurn%8 == 0 {
@@ -183,7 +183,7 @@
 	return j.Open() && j.Shape == protocol.Batch && n == j.Tasks
 }
 
-// finish makes a job done. Its share's owner does so, whoever recorded its tasks.
+// finish makes a job done. Its shard's owner does so, whoever recorded its tasks.
 func (c *Controller) finish(d *plannedTxn, j *storage.Job) {
 	c.completedJobs = append(c.completedJobs, j)
 	c.putJob(d, j, protocol.Done)
@@ -193,7 +193,7 @@
 // has changed of the machines themselves.
 func (c *Controller) planCompletions(d *plannedTxn, shares map[int]bool) {
 	racks := c.cache.Groups
-	first := c.firstGroup // not always the same racks when there is no room for all
+	first := c.firstGroup // not always the same groups when there is no room for all
 	for i := range racks {
 		k := racks[(first+i)%len(racks)]
 		if k.Version == 0 || !shares[k.Shard] {
@@ -255,7 +255,7 @@
 	return v.Uncertain > 0 && v.Uncertain >= c.cache.FencingToken(m)
 }
 
-// groupMachine is a machine's part of its rack's record with this transaction.
+// groupMachine is a machine's part of its group's record with this transaction.
 func (c *Controller) groupMachine(d *plannedTxn, m *storage.Machine) storage.GroupMachine {
 	tasks, changed := d.remaining[m.Index]
 	if !changed {
@@ -294,7 +294,7 @@
 	}
 	res := schedule.Place(in)
 	d.more = d.more || res.More
-	attempt := c.nextRevision() // never used before, whoever owned the share
+	attempt := c.nextRevision() // never used before, whoever owned the shard
 	for _, p := range res.Placed {
 		m := p.Slot.Machine
 		key := storage.JobKey(p.Job.ID)
@@ -326,8 +326,8 @@
 	return in, res
 }
 
-// foldCompletions moves completed tasks from racks that list too many into their jobs' own
-// records, one a rack and transaction: in the packed layout into a part of the job's set.
+// foldCompletions moves completed tasks from groups that list too many into their jobs' own
+// records, one a group and transaction: in the packed layout into a part of the job's set.
 func (c *Controller) foldCompletions(d *plannedTxn) {
 	limit := foldThreshold
 	keyOf := func(e storage.CompletedTask) string { return storage.JobKey(e.Job.ID) }
@@ -374,7 +374,7 @@
 	return uint64(max(0, now.Sub(since).Seconds()))
 }
 
-// placementInput is the input of a placement pass over the shares that this node owns.
+// placementInput is the input of a placement pass over the shards that this controller owns.
 func (c *Controller) placementInput(now time.Time, shares map[int]bool, d *plannedTxn) *schedule.Input {
 	in := &schedule.Input{
 		Now: now, Teams: c.cache.Teams, Used: slices.Clone(c.cache.Used), Records: d.maxOps - d.usedOps, Tasks: maxPlace,
@@ -534,7 +534,7 @@
 	return p
 }
 
-// recordSizes is what a rack's record takes, in bytes, at most: by itself, a machine, a task
+// recordSizes is what a group's record takes, in bytes, at most: by itself, a machine, a task
 // and a completed task.
 type recordSizes struct{ base, machine, task, ended int }
 
@@ -543,7 +543,7 @@
 	packedSizes = recordSizes{base: 100, machine: 24, task: 12, ended: 3}
 )
 
-// recordCapacity is how many more tasks a rack's record can list.
+// recordCapacity is how many more tasks a group's record can list.
 func (c *Controller) recordCapacity(k *storage.MachineGroup) int {
 	limit, size := c.valueLimit(), plainSizes
 	if c.cache.Packed() {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -68,7 +68,7 @@
 			continue // its last set is still being worked off, or it fails everywhere
 		}
 		if now.Sub(jv.shortSince) < borrowTimeout && c.othersHaveFree(j) {
-			continue // free machines of other shares come first
+			continue // free machines of other shards come first
 		}
 		cands := c.preemptionCandidates(now, j, in, left, until)
 		if len(cands) == 0 {
@@ -222,7 +222,7 @@
 	return true
 }
 
-// othersHaveFree tells whether other shares have empty machines that would do.
+// othersHaveFree tells whether other shards have empty machines that would do.
 func (c *Controller) othersHaveFree(j *storage.Job) bool {
 	for _, m := range c.cache.Machines {
 		if !m.Gone && !m.Returning && m.Shard != j.Shard && len(m.Tasks) == 0 && schedule.Allowed(j, m) {
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -9,8 +9,8 @@
 	"dykeledge/internal/storage"
 )
 
-// A node that has read no records answers a worker only where that loses nothing and holds
-// it at no node that can do nothing for it.
+// A controller that has read no records answers a worker only where that loses nothing and holds
+// it at no controller that can do nothing for it.
 func TestUnverifiedRenewals(t *testing.T) {
 	w := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
 	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
@@ -18,9 +18,9 @@
 		name  string
 		age   time.Duration
 		tasks []protocol.TaskStatus
-		peer  uint64        // the revision of the other node's cache
+		peer  uint64        // the revision of the other controller's cache
 		heard time.Duration // and how long ago it was heard; below 0: never
-		again time.Duration // since this node last renewed it; 0: never
+		again time.Duration // since this controller last renewed it; 0: never
 		want  bool
 	}{
 		{name: "just born", age: time.Second, tasks: running, want: true},
@@ -53,7 +53,7 @@
 			}
 		})
 	}
-	// As long as a lease may last on, the last renewal ends within cancel_s of what no node
+	// As long as a lease may last on, the last renewal ends within cancel_s of what no controller
 	// could know: for the deployments' times.
 	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
 		if end := unverifiedRenewalWindow(w) + seconds(2*w.LeaseS); end > seconds(w.CancelS) {
@@ -65,14 +65,14 @@
 	}
 }
 
-// A worker is kept alive for an owner that has ended or falls silent in an outage, by a node
+// A worker is kept alive for an owner that has ended or falls silent in an outage, by a controller
 // whose records are not too old for it.
 func TestProxyRenewals(t *testing.T) {
 	const newborn = -time.Second // the owner's name is heard, from a process that has read nothing
 	for _, x := range []struct {
 		name   string
-		member uint64        // the owner's incarnation as a member; its share names 3
-		served time.Duration // the state service answered this node so long ago
+		member uint64        // the owner's incarnation as a member; its shard names 3
+		served time.Duration // the state service answered this controller so long ago
 		heard  time.Duration // and the owner was heard
 		read   time.Duration // and the cache was brought up to date
 		want   bool
@@ -101,9 +101,9 @@
 	}
 }
 
-// A share's new owner had shown its token to a worker, and then the machine's rack moved to another
-// share under a token that was worked out before. Nobody could command the worker any more: its
-// reports were refused, what the record placed there stayed placed, and its job ran for ever.
+// A shard's new owner had shown its token to a worker, and then the machine's group moved to another
+// shard under a token that was worked out before. Nobody could command the worker any more: its
+// heartbeats were refused, what the record placed there stayed placed, and its job ran for ever.
 func TestFencingTokenBelowTheWorkersIsRaised(t *testing.T) {
 	for _, x := range []struct {
 		name   string
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -34,7 +34,7 @@
 	viewLag  = time.Second            // a reader whose snapshot is older has the revision asked for
 )
 
-// EnableView makes the node keep a read model. It is called before Run.
+// EnableView makes the controller keep a read model. It is called before Run.
 func (c *Controller) EnableView() {
 	teams := make([]view.Team, len(c.cache.Teams))
 	for i, t := range c.cache.Teams {
@@ -53,12 +53,12 @@
 func milli(v float64) uint64 { return uint64(math.Round(1000 * v)) }
 
 // showView brings the model up to date and takes a snapshot, if somebody reads and the cache is
-// exactly what the state service has at its revision: a node applies its own commits before
+// exactly what the state service has at its revision: a controller applies its own commits before
 // its follow brings what others committed in between, and what is shown in such a moment
 // would be the state at no revision.
 //
 // A row that changes ten times between two snapshots is made once, and while nobody reads none is
-// made before many wait: rows at every change took 5 to 7 % of a node's processor time.
+// made before many wait: rows at every change took 5 to 7 % of a controller's processor time.
 func (c *Controller) showView(now time.Time, ask bool) {
 	v := c.readModel
 	if v == nil || !c.loaded {
@@ -165,7 +165,7 @@
 	return slices.ContainsFunc(c.cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == name })
 }
 
-// ViewEnabled tells whether the node keeps a read model.
+// ViewEnabled tells whether the controller keeps a read model.
 func (c *Controller) ViewEnabled() bool { return c.readModel != nil }
 
 func (c *Controller) jobRow(j *storage.Job) view.Job {
@@ -254,7 +254,7 @@
 	return ""
 }
 
-// Reasons tells why jobs wait, for those of them that a scope may know of and that this node
+// Reasons tells why jobs wait, for those of them that a scope may know of and that this controller
 // has. It costs the core as much as it tells, and is asked for what is on a screen.
 func (c *Controller) Reasons(ctx context.Context, scope view.Scope, ids []string) (out []view.Reason, err error) {
 	out = []view.Reason{}
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -12,8 +12,8 @@
 	"dykeledge/internal/storage"
 )
 
-// rebalance moves racks from shares with room to spare to shares with waiting
-// work. A rack need not be empty: what runs on its machines goes on under its new
+// rebalance moves groups from shards with room to spare to shards with waiting
+// work. A group need not be empty: what runs on its machines goes on under its new
 // owner, and its record moves whole. What may only run on ordinary machines is looked at
 // first and on its own: free spot machines are of no use to it.
 func (c *Controller) rebalance(ctx context.Context, now time.Time) {
@@ -41,8 +41,8 @@
 type rebalancer struct {
 	c     *Controller
 	txn   protocol.Txn
-	moved map[*storage.MachineGroup]bool // racks that move with this transaction
-	// stuck are the shares that wait, whatever kind of work, although no move evens out loads.
+	moved map[*storage.MachineGroup]bool // groups that move with this transaction
+	// stuck are the shards that wait, whatever kind of work, although no move evens out loads.
 	stuck         map[int]bool
 	freeByMachine []storage.Usage // free on each machine by the records, worked out once it is asked for
 }
@@ -56,13 +56,13 @@
 	idleWork                     // idle-time work too, once nothing else waits
 )
 
-// groupSums is what a rack has, in CPUs.
+// groupSums is what a group has, in CPUs.
 type groupSums struct {
 	group          *storage.MachineGroup
 	free, capacity float64
 }
 
-// shardSums is a share's work and machines, in CPUs.
+// shardSums is a shard's work and machines, in CPUs.
 type shardSums struct {
 	waiting, topWaiting, demand, free, capacity float64
 	nonIdleDemand, nonIdleWaiting               float64 // the demand of other than idle-time work, and what of it waits
@@ -71,11 +71,11 @@
 	groupCount                                  int // that have machines of the kind looked at
 }
 
-// short tells whether a share has less than its teams' work within their guarantees takes.
+// short tells whether a shard has less than its teams' work within their guarantees takes.
 func (s *shardSums) short() bool { return s.capacity < s.claim }
 
-// addClaims works out what the shares' teams may claim by their guarantees. Without
-// it the share with the most work for its machines took machines from one whose
+// addClaims works out what the shards' teams may claim by their guarantees. Without
+// it the shard with the most work for its machines took machines from one whose
 // teams had less than they are guaranteed.
 func (mv *rebalancer) addClaims(sums []shardSums) {
 	c := mv.c
@@ -90,8 +90,8 @@
 	}
 }
 
-// addFloors raises the shares' claims to what their lanes have before others in a flood. Without
-// it the share with the flood drew the machines of all others, until those were as late.
+// addFloors raises the shards' claims to what their queues have before others in a flood. Without
+// it the shard with the flood drew the machines of all others, until those were as late.
 func (mv *rebalancer) addFloors(sums []shardSums, f queueLoads) {
 	more, all, left := make([]float64, len(sums)), 0.0, 0.0
 	for x := range mv.c.cache.Baseline.Cpus {
@@ -139,9 +139,9 @@
 // load is how much work there is for each CPU.
 func (s *shardSums) load(change float64) float64 { return s.demand / max(1, s.capacity+change) }
 
-// rebalancePass moves machines one by one from the least to the most loaded share, as long
+// rebalancePass moves machines one by one from the least to the most loaded shard, as long
 // as the latter's work waits and the former stays the less loaded one. Idle-time work
-// counts as free room until nothing else waits: a share whose only work it was took
+// counts as free room until nothing else waits: a shard whose only work it was took
 // machines from teams that had to be in time.
 func (mv *rebalancer) rebalancePass(now time.Time, kind workKind) {
 	c := mv.c
@@ -224,14 +224,14 @@
 		}
 	}
 	// Sums say nothing of where room is: a job bound to one zone waited beside as much in others, one of large tasks
-	// beside many small rests. Such a share is short too, of a rack on which that job fits now.
+	// beside many small rests. Such a shard is short too, of a group on which that job fits now.
 	beside := make([]bool, len(sums))
 	if kind != onDemandWork {
 		for i := range sums {
 			beside[i] = sums[i].waiting > 0 && sums[i].waiting <= sums[i].free && mv.waitsBeside(i, idle, now)
 		}
 	}
-	helpless := make([]bool, len(sums)) // no rack helps them
+	helpless := make([]bool, len(sums)) // no group helps them
 	for range maxMovesPerPass {
 		to, from := -1, -1
 		for i := range sums {
@@ -275,7 +275,7 @@
 	}
 }
 
-// evensLoad finds the first rack of a share whose move brings its load and another's nearer, -1 if there is none.
+// evensLoad finds the first group of a shard whose move brings its load and another's nearer, -1 if there is none.
 func (mv *rebalancer) evensLoad(sums []shardSums, from, to int, kind workKind) int {
 	return slices.IndexFunc(sums[from].movable, func(r *groupSums) bool {
 		if sums[from].capacity-r.capacity < sums[from].claim {
@@ -288,10 +288,10 @@
 	})
 }
 
-// lendsGroup finds a rack for a share that waits although no move would even out loads. They say little of a share
-// that has no rack, or would have none: what runs goes along. Where nothing waits, free room beside it is of use
+// lendsGroup finds a group for a shard that waits although no move would even out loads. They say little of a shard
+// that has no group, or would have none: what runs goes along. Where nothing waits, free room beside it is of use
 // elsewhere: by the sums there was room for all, nothing was rented, and a job waited for ever. So does what
-// waits at a share whose machines are full of work without an end, after a while.
+// waits at a shard whose machines are full of work without an end, after a while.
 func (mv *rebalancer) lendsGroup(sums []shardSums, to int, now time.Time) (from, k int) {
 	mv.stuck[to] = true
 	since, ok := mv.c.leader.stuckSinceByShard[to]
@@ -300,7 +300,7 @@
 		mv.c.leader.stuckSinceByShard[to] = now
 	}
 	patient := now.Sub(since) > stuckAfter
-	// Shares with nothing that waits come first; where one waits too, its own work must not fit there.
+	// Shards with nothing that waits come first; where one waits too, its own work must not fit there.
 	for _, waits := range []bool{false, true} {
 		for i := range sums {
 			s := &sums[i]
@@ -317,7 +317,7 @@
 	return -1, -1
 }
 
-// waitsBeside tells whether a share has a job that has waited for a while, may run, and fits on none of the share's machines.
+// waitsBeside tells whether a shard has a job that has waited for a while, may run, and fits on none of the shard's machines.
 func (mv *rebalancer) waitsBeside(share int, idle map[*storage.Job]bool, now time.Time) bool {
 	c, looked := mv.c, 0
 	for _, j := range c.cache.Jobs {
@@ -355,7 +355,7 @@
 // neededFor is how long a job must have waited to be given a machine that is drained: others may be about to be up.
 const neededFor = 20 * time.Second
 
-// waitsBesideAfter is how long a job must have waited to be looked at by itself, and maxWaitsBesideJobs how many of a share are.
+// waitsBesideAfter is how long a job must have waited to be looked at by itself, and maxWaitsBesideJobs how many of a shard are.
 const (
 	waitsBesideAfter   = 5 * time.Second
 	maxWaitsBesideJobs = 32
@@ -412,7 +412,7 @@
 	return !(j.OneZone && j.PlacedCount > in(zone)) && !(j.Spread && in(zone)+1 > j.MaxPerZone())
 }
 
-// stuckAfter is how long a share must have waited without a move that evens out loads to be lent a rack.
+// stuckAfter is how long a shard must have waited without a move that evens out loads to be lent a group.
 const stuckAfter = 10 * time.Second
 
 // A move costs a moment until the worker has found its new owner, so a machine is
@@ -422,8 +422,8 @@
 	moveMargin   = 1.1
 )
 
-// idleMargin is how much more than its own work takes a share keeps before machines
-// move for another share's idle-time work.
+// idleMargin is how much more than its own work takes a shard keeps before machines
+// move for another shard's idle-time work.
 const idleMargin = 1.25
 
 // maxMovesPerPass bounds how many machines move with one look.
@@ -444,7 +444,7 @@
 	mv.c.log.Debug("rack moves", "rack", k.ID, "machines", len(k.Machines), "from", k.Shard, "to", to)
 }
 
-// fitsNow tells whether a waiting task of a share fits beside what runs on one of a rack's machines.
+// fitsNow tells whether a waiting task of a shard fits beside what runs on one of a group's machines.
 func (mv *rebalancer) fitsNow(share int, k *storage.MachineGroup) bool {
 	now := time.Now()
 	return slices.ContainsFunc(mv.c.cache.Jobs, func(j *storage.Job) bool {
@@ -453,7 +453,7 @@
 	})
 }
 
-// someoneFits tells whether a share has waiting work that a rack's machines could run.
+// someoneFits tells whether a shard has waiting work that a group's machines could run.
 func (c *Controller) someoneFits(share int, k *storage.MachineGroup) bool {
 	for _, j := range c.cache.Jobs {
 		if j == nil || !j.Open() || j.Shard != share || c.wantedTasks(j) == 0 {
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// freeCapacity is what is free on the machines that this node may place tasks on.
+// freeCapacity is what is free on the machines that this controller may place tasks on.
 func (c *Controller) freeCapacity(now time.Time) map[int32]storage.Usage {
 	free := map[int32]storage.Usage{}
 	held := c.reservedCapacity()
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -74,7 +74,7 @@
 	return &protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}}, nil
 }
 
-// After an end of all nodes each read every record before it took a submission, seconds
+// After an end of all controllers each read every record before it took a submission, seconds
 // with 1235 machines, although accepting a job takes none of them.
 func TestRestartedControllerAcceptsBeforeItHasReadAll(t *testing.T) {
 	submission := func(awaits []string) []byte {
@@ -91,7 +91,7 @@
 		store  slowReader
 		cloud  bool
 		awaits []string
-		served bool // another node says that the state service serves it
+		served bool // another controller says that the state service serves it
 		ready  bool
 		status int
 	}{
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -188,7 +188,7 @@
 // recentServices is how far back services are counted that came.
 const recentServices = 2 * time.Minute
 
-// placedUnreachable is how many of a job's tasks run where this node reaches nobody: they need no other room.
+// placedUnreachable is how many of a job's tasks run where this controller reaches nobody: they need no other room.
 func (c *Controller) placedUnreachable(j *storage.Job, now time.Time) int {
 	n := 0
 	for z, k := range j.ByZone {
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -7,13 +7,13 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns lanes: what each stands for, and the order between them.
+// This file owns queues: what each stands for, and the order between them.
 
 // QueueState is a class of one team.
 type QueueState struct {
 	Baseline float64 // CPUs that it usually keeps busy; 0: not known
 	Floor    float64 // CPUs that it has in a flood before those that flood have more than is usual
-	Used     float64 // CPUs that its placed tasks take, on all shares
+	Used     float64 // CPUs that its placed tasks take, on all shards
 	Open     float64 // CPUs that all its tasks would take that run or wait
 	Late     float64 // CPUs that tasks of jobs take which have waited far too long
 	// OpenOnDemand is what of Open may not use spot machines.
@@ -23,10 +23,10 @@
 	LeavesOnDemand bool
 }
 
-// QueueStates are lanes by storage.Lane.Index; nil where there is none.
+// QueueStates are queues by storage.Queue.Index; nil where there is none.
 type QueueStates []*QueueState
 
-// At is a lane, nil if there is none.
+// At is a queue, nil if there is none.
 func (l QueueStates) At(x storage.ClassQueue) *QueueState {
 	if i := x.Index(); i < len(l) {
 		return l[i]
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Ensure is a lane, made if there is none.
+// Ensure is a queue, made if there is none.
 func (l QueueStates) Ensure(x storage.ClassQueue) *QueueState {
 	i := x.Index()
 	if l[i] == nil {
@@ -43,7 +43,7 @@
 	return l[i]
 }
 
-// rank is where a lane stands in a flood: first all have what they usually have, the one
+// rank is where a queue stands in a flood: first all have what they usually have, the one
 // that lacks most of it first; then those that do not flood have their floors; then all have
 // what is left. part is how much it has of what it stands for.
 func (l *QueueState) rank() (n int, part float64) {
@@ -70,7 +70,7 @@
 	return l != nil && l.LeavesOnDemand
 }
 
-// capacityOf is how many CPUs a lane in order may count on: what it has, what is free, what its
+// capacityOf is how many CPUs a queue in order may count on: what it has, what is free, what its
 // first job may evict, and no less than its floor.
 func (in *Input) capacityOf(q *queue) float64 {
 	l, top := q.state(in), q.jobs[0].job.Priority.Top()
@@ -96,9 +96,9 @@
 	return u.Cpus
 }
 
-// nextQueue is the queue whose first job starts next: of each team the lane that goes first in
+// nextQueue is the queue whose first job starts next: of each team the queue that goes first in
 // it, and of those the one whose team goes first. A team's guarantee speaks for its first job, not
-// for a smaller one of a lane behind it.
+// for a smaller one of a queue behind it.
 func nextQueue(in *Input, live []*queue, teams []int) int {
 	for t := range teams {
 		teams[t] = -1
@@ -117,8 +117,8 @@
 	return best
 }
 
-// firstInTeam tells whether a lane's first job goes before that of another lane of its team: by
-// priority, in a flood by what the lanes have, then by latest start.
+// firstInTeam tells whether a queue's first job goes before that of another queue of its team: by
+// priority, in a flood by what the queues have, then by latest start.
 func firstInTeam(in *Input, a, b *queue) bool {
 	ja, jb := a.jobs[0].job, b.jobs[0].job
 	if ja.Priority != jb.Priority {
@@ -130,7 +130,7 @@
 	return first(a.jobs[0], b.jobs[0]) < 0
 }
 
-// compareFloors compares what lanes have of their floors, in a flood.
+// compareFloors compares what queues have of their floors, in a flood.
 func compareFloors(in *Input, a, b *queue) int {
 	if !in.Overloaded {
 		return 0
@@ -141,7 +141,7 @@
 }
 
 // goesBefore tells whether a team's first job goes before another team's: teams within their
-// guarantee, then higher priority, then, in a flood, lanes that have less than their floors;
+// guarantee, then higher priority, then, in a flood, queues that have less than their floors;
 // then the smaller dominant share.
 func goesBefore(in *Input, a, b *queue) bool {
 	ja, jb := a.jobs[0].job, b.jobs[0].job
@@ -158,7 +158,7 @@
 	return DominantShare(in.Used[ja.Team], in.Capacity) < DominantShare(in.Used[jb.Team], in.Capacity)
 }
 
-// queueOf finds the queue of a job's lane, or makes one.
+// queueOf finds the queue of a job's queue, or makes one.
 func queueOf(queues []*queue, j *storage.Job) ([]*queue, *queue) {
 	of := storage.ClassQueueOf(j)
 	for _, q := range queues {
--- a/internal/controller/schedule/earliest_start.go
+++ b/internal/controller/schedule/earliest_start.go
@@ -13,7 +13,7 @@
 
 const (
 	// evictSeconds is about how long an eviction takes until its room is free: a record, the
-	// stops, the workers' reports, a record.
+	// stops, the workers' heartbeats, a record.
 	evictSeconds = 4
 	// soonerBy is by how many seconds a task must start sooner on room that it evicts for free
 	// room to be left alone. Short fetches are not worth what an eviction loses.
--- a/internal/controller/schedule/find_test.go
+++ b/internal/controller/schedule/find_test.go
@@ -51,7 +51,7 @@
 	return placed, short, more || len(live) > 0
 }
 
-// drawInput draws a fleet with room, racks, images, kept room and limits, and jobs of all kinds. Drawn
+// drawInput draws a fleet with room, groups, images, kept room and limits, and jobs of all kinds. Drawn
 // twice with the same bits it is twice the same.
 func drawInput(bits []uint16) *Input {
 	at := 0
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// This file owns the order in which a lane's jobs start.
+// This file owns the order in which a queue's jobs start.
 
 // smallFirst is by how many seconds a job steps back for each second that its
-// remaining work would keep the whole share busy: under a backlog, more jobs are
+// remaining work would keep the whole shard busy: under a backlog, more jobs are
 // in time when the small ones go first.
 const smallFirst = 6
 
 const (
-	// lateFraction is the part of a lane's room that jobs which have waited far too long may
+	// lateFraction is the part of a queue's room that jobs which have waited far too long may
 	// take before those that can still be in time.
 	lateFraction = 0.25
-	// finishGap is how much later than its work says a job is done: fetch, reports, records.
+	// finishGap is how much later than its work says a job is done: fetch, heartbeats, records.
 	finishGap = 5 * time.Second
 	// finishMargin is by how much estimates are taken to be too low.
 	finishMargin = 1.2
 )
 
-// urgency is where a job stands among those of its lane and priority.
+// urgency is where a job stands among those of its queue and priority.
 type urgency uint8
 
 const (
@@ -35,7 +35,7 @@
 	behind                 // can't, if the others are to be
 )
 
-// first puts the jobs of a lane in the order in which they start.
+// first puts the jobs of a queue in the order in which they start.
 func first(a, b *cursor) int {
 	if c := cmp.Or(cmp.Compare(b.job.Priority, a.job.Priority), cmp.Compare(a.urgency, b.urgency)); c != 0 {
 		return c
@@ -69,10 +69,10 @@
 	c.starts = j.ReadyAt.Add(allow + time.Duration((back-j.Estimate)*float64(time.Second)))
 }
 
-// order sorts a lane's jobs, by their latest starts as long as it does not flood. Where more
+// order sorts a queue's jobs, by their latest starts as long as it does not flood. Where more
 // is asked than room lets through in time, that order makes all of them late, one after the
 // other: then the largest step behind until the others can be in time (Moore and Hodgson's
-// rule, which leaves the fewest late on one machine; here the lane's room is taken for one
+// rule, which leaves the fewest late on one machine; here the queue's room is taken for one
 // machine that is as fast).
 func (q *queue) order(in *Input) {
 	l := q.state(in)
@@ -132,7 +132,7 @@
 	slices.SortStableFunc(q.jobs, first)
 }
 
-// triage finds out which of a lane's jobs step behind, and tells whether any do.
+// triage finds out which of a queue's jobs step behind, and tells whether any do.
 func triage(now time.Time, jobs []*cursor, room float64) bool {
 	any, sum, least := false, 0.0, math.Inf(1)
 	for _, c := range jobs {
--- a/internal/controller/schedule/order_test.go
+++ b/internal/controller/schedule/order_test.go
@@ -29,7 +29,7 @@
 	for _, x := range []struct {
 		name string
 		room float64
-		held float64 // of the lane by jobs that have waited far too long
+		held float64 // of the queue by jobs that have waited far too long
 		jobs []one
 		want string
 	}{
@@ -93,7 +93,7 @@
 	}
 }
 
-// overloadPlayer plays lanes of jobs on machines, a pass a second, with true run times.
+// overloadPlayer plays queues of jobs on machines, a pass a second, with true run times.
 type overloadPlayer struct {
 	r        *rand.Rand
 	in       *Input
@@ -194,7 +194,7 @@
 	p.slots = p.slots[n:]
 }
 
-// old are a lane's jobs since a time that are old enough to tell whether they were in time.
+// old are a queue's jobs since a time that are old enough to tell whether they were in time.
 func (p *overloadPlayer) old(lane storage.ClassQueue, since float64) (out []*storage.Job) {
 	for _, j := range p.jobs {
 		if at := float64(j.ReadyAt.Unix()); storage.ClassQueueOf(j) == lane && at >= since && at+playAim <= p.now {
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -123,7 +123,7 @@
 	find  finder
 }
 
-// queues puts what waits into the queues of its lanes, in order.
+// queues puts what waits into the queues of its queues, in order.
 func queues(in *Input) []*queue {
 	if in.Scratch == nil {
 		in.Scratch = &Scratch{}
--- a/internal/controller/stall_detection.go
+++ b/internal/controller/stall_detection.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Everything that this node concludes from silence goes through this file. A node
+// Everything that this controller concludes from silence goes through this file. A controller
 // that stood still while its clocks ran on finds every timer due and everything
 // last heard long ago, although it was the one that was away.
 
@@ -32,32 +32,32 @@
 }
 
 // silenceOf is how long something last heard at a time has been silent, as far as
-// this node was there to hear it.
+// this controller was there to hear it.
 func (c *Controller) silenceOf(at, now time.Time) time.Duration {
 	return now.Sub(maxTime(at, c.resumedAt))
 }
 
-// stalledSince tells whether this node stood still after a time: what it worked out
-// before may be older than what another node has said since.
+// stalledSince tells whether this controller stood still after a time: what it worked out
+// before may be older than what another controller has said since.
 func (c *Controller) stalledSince(at time.Time) bool { return c.resumedAt.After(at) }
 
-// leaseCertain tells whether this node's hold is certain to last still. When it is not,
-// another node may own its shares or lead already. What is conditional on records
+// leaseCertain tells whether this controller's hold is certain to last still. When it is not,
+// another controller may own its shards or lead already. What is conditional on records
 // fails by itself then; what is not must wait.
 func (c *Controller) leaseCertain(now time.Time) bool {
 	return c.sessionLease != 0 && now.Sub(c.leaseRenewedAt) < c.timing.SessionLease
 }
 
-// lostAfter is how long a node whose connection broke off may stay unheard, or may be
-// refused by the state service, before its shares and its lead are given to others.
+// lostAfter is how long a controller whose connection broke off may stay unheard, or may be
+// refused by the state service, before its shards and its lead are given to others.
 // It may be alive: what it commits then fails on the records' versions, so a wrong
 // guess costs only a pause.
 const lostAfter = 1200 * time.Millisecond
 
-// memberLost tells whether a node's process seems to have ended, or says itself that the
+// memberLost tells whether a controller's process seems to have ended, or says itself that the
 // state service refuses it. Its end is a hint for as long as its hold may outlive it: a
-// node whose key is still there later has renewed its hold, whatever became of the
-// connection. And a node that loses most of several others at once is more likely to be
+// controller whose key is still there later has renewed its hold, whatever became of the
+// connection. And a controller that loses most of several others at once is more likely to be
 // apart itself, or a filter stands between all.
 func (c *Controller) memberLost(node string, now time.Time) bool {
 	if c.memberDenied(node, now) {
@@ -86,21 +86,21 @@
 	return others <= 2 || 2*gone <= others+1
 }
 
-// memberDenied tells whether a node says that the state service does not serve it, while
-// it serves this one: its hold would keep its shares for seconds more.
+// memberDenied tells whether a controller says that the state service does not serve it, while
+// it serves this one: its hold would keep its shards for seconds more.
 func (c *Controller) memberDenied(node string, now time.Time) bool {
 	p, ok := c.peers[node]
 	return ok && c.servedByStore(now) && now.Sub(p.heardAt) < peerFresh && !p.deniedSince.IsZero() && now.Sub(p.deniedSince) > lostAfter
 }
 
-// servedByStore tells whether the state service has answered this node well just now.
+// servedByStore tells whether the state service has answered this controller well just now.
 func (c *Controller) servedByStore(now time.Time) bool {
 	return c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < peerFresh
 }
 
-// isolatedFromStore tells whether the state service refuses this node while it serves
+// isolatedFromStore tells whether the state service refuses this controller while it serves
 // another: then users are better off elsewhere. In an outage nobody is served,
-// and a node that stays ready can take requests the moment it ends.
+// and a controller that stays ready can take requests the moment it ends.
 func (c *Controller) isolatedFromStore(now time.Time) bool {
 	if c.silenceOf(c.storeServedAt, now) < peerFresh {
 		return false
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/storage"
 )
 
-// A node that had stood still found all others silent: it gave up its shares, or
+// A controller that had stood still found all others silent: it gave up its shards, or
 // returned machines, although it was the one that had been away.
 func TestStallIsDetected(t *testing.T) {
 	c := newCore(t)
@@ -94,7 +94,7 @@
 	}
 }
 
-// A node that the state service alone refused kept its shares until its hold ran out,
+// A controller that the state service alone refused kept its shards until its hold ran out,
 // although it knew, and could tell, at once.
 func TestDeniedMembersAreLost(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -122,8 +122,8 @@
 	}
 }
 
-// Nodes that did not hear each other, although both lived, took the lead and the
-// shares from one another eight times a second for the rest of the day.
+// Controllers that did not hear each other, although both lived, took leadership and the
+// shards from one another eight times a second for the rest of the day.
 func TestLostIsAHintWithAnEnd(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -165,7 +165,7 @@
 	return 0, nil, protocol.ErrRefused
 }
 
-// A node cut off from its workers kept its shares for 6.5 s where reports are due every
+// A controller cut off from its workers kept its shards for 6.5 s where heartbeats are due every
 // 2.5 s, although a hundred workers had been silent for longer than any may be.
 func TestManySilentWorkersTellSooner(t *testing.T) {
 	for _, x := range []struct {
@@ -198,7 +198,7 @@
 	}
 }
 
-// sleepyStore lets its node stand still while it reads the revision.
+// sleepyStore lets its controller stand still while it reads the revision.
 type sleepyStore struct {
 	StateStore
 	meanwhile func()
@@ -209,7 +209,7 @@
 	return 1, nil
 }
 
-// What a node slept over may be older than what others have told the user since.
+// What a controller slept over may be older than what others have told the user since.
 func TestAnswersSleptOverAreRefused(t *testing.T) {
 	for _, x := range []struct {
 		name   string
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// changed looks at what new records mean for this node.
+// changed looks at what new records mean for this controller.
 func (c *Controller) changed() {
 	if !c.loaded {
 		return
@@ -224,7 +224,7 @@
 	c.requestCycle()
 }
 
-// takeOverShard begins or ends this node's ownership of a share.
+// takeOverShard begins or ends this controller's ownership of a shard.
 func (c *Controller) takeOverShard(share int, own bool, now time.Time) {
 	for _, m := range c.cache.Machines {
 		if m.Shard == share {
@@ -243,7 +243,7 @@
 		mv := c.workerState(m)
 		mv.since = now
 		if max(m.FencingToken, m.Group.FencingToken) >= c.cache.Shards[share].FencingToken {
-			// raised by the former owner while the share changed
+			// raised by the former owner while the shard changed
 			// hands: only a higher one proves what it sent is dead
 			mv.Uncertain = max(m.FencingToken, m.Group.FencingToken)
 		}
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -18,8 +18,8 @@
 )
 
 // This file owns changes of teams' guarantees and limits while the deployment serves. A change is one conditional write of the
-// team's own record, by any node. A limit that is raised counts at once: an owner that has not seen it places less. A limit
-// that is lowered bounds what starts as soon as the owner of the team's share reads it, and counts only from when that owner
+// team's own record, by any controller. A limit that is raised counts at once: an owner that has not seen it places less. A limit
+// that is lowered bounds what starts as soon as the owner of the team's shard reads it, and counts only from when that owner
 // says so in the record, since what its records hold is under it; until then the former limit counts, and tasks beyond the new one are evicted by the ranking
 // of all evictions. Only the owner places a team's tasks, and its commits depend on its ownership: so an owner that stands
 // still over a change and wakes later may still place by the former limit, while that one counts, and never after.
@@ -32,7 +32,7 @@
 	State    string   `json:"state"`
 	CpusToGo float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
 	GpusToGo float64  `json:"gpus_to_go,omitempty"`
-	Behind   []string `json:"behind,omitempty"` // nodes that have not shown that they go by it
+	Behind   []string `json:"behind,omitempty"` // controllers that have not shown that they go by it
 }
 
 // The states of a team's entry.
@@ -40,7 +40,7 @@
 	TeamFromFile = "settings file"
 	TeamInForce  = "in force"
 	TeamLowering = "being lowered"
-	TeamSpreads  = "not yet in force" // some node has not shown that it goes by it
+	TeamSpreads  = "not yet in force" // some controller has not shown that it goes by it
 )
 
 // GateError says that a change would not be gone by everywhere, and why.
@@ -103,7 +103,7 @@
 	return v
 }
 
-// behind are the living nodes that have not shown that they have read a revision.
+// behind are the living controllers that have not shown that they have read a revision.
 func (c *Controller) behind(revision uint64, now time.Time) []string {
 	var out []string
 	for name := range c.cache.Members {
@@ -273,7 +273,7 @@
 	return t, nil
 }
 
-// notReadingTeams are the nodes that the settings name and that have not shown that they read changed teams. Once a team has
+// notReadingTeams are the controllers that the settings name and that have not shown that they read changed teams. Once a team has
 // been changed no older version becomes ready, so nobody is missing.
 func (c *Controller) notReadingTeams() []string {
 	if c.cache.TeamChangesEnabled() {
@@ -319,7 +319,7 @@
 // limitSetTeam tells whether an evicted set is for a team's limit.
 func limitSetTeam(id string) (string, bool) { return strings.CutPrefix(id, limitSetPrefix) }
 
-// planLimits works off limits that are being lowered, of teams whose share this node owns: those that the records prove to be
+// planLimits works off limits that are being lowered, of teams whose shard this controller owns: those that the records prove to be
 // kept count from now on (what this transaction places is within them), and tasks beyond the others are evicted. It comes before what ends and
 // starts: at the peak those fill every transaction, and lowered limits waited for a minute.
 func (c *Controller) planLimits(now time.Time, d *plannedTxn) {
--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestTeamRecordsAreRead: records of teams change what placement goes by, older ones and unknown teams change nothing, and
-// the bar keeps no node of this version out.
+// the bar keeps no controller of this version out.
 func TestTeamRecordsAreRead(t *testing.T) {
 	c := newTeamCore(t)
 	file := c.cfg.Deployment.Teams[0]
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -88,7 +88,7 @@
 // superviseTerminations has what was cancelled stopped, on others' machines too where their owners may not know or not be able to, and
 // tells which machines must be returned since it can't be shown to have ended there. In an outage no record can say
 // that they are, but a return needs none: a machine is gone with all that is on it, whoever asks, and nothing is placed again
-// before its owner has that proof too. A node that hears no worker at all may be the one that is cut off.
+// before its owner has that proof too. A controller that hears no worker at all may be the one that is cut off.
 func (c *Controller) superviseTerminations(now time.Time) (lost []string) {
 	ages := c.cancellationAgeByMachine(now)
 	for i := range c.terminations {
@@ -153,8 +153,8 @@
 	return out
 }
 
-// terminateOn sends stops straight to a worker that this node does not own. If it refuses them since its session or its
-// token is another, its report tells both, and what of the jobs that are over is on it in truth:
+// terminateOn sends stops straight to a worker that this controller does not own. If it refuses them since its session or its
+// token is another, its heartbeat tells both, and what of the jobs that are over is on it in truth:
 // with again they are sent once more. Stops of what is over are right under any token.
 func (c *Controller) terminateOn(m *storage.Machine, cmd protocol.DirectCommands, again bool) {
 	if len(cmd.Commands) == 0 || m.Addr == "" {
@@ -183,7 +183,7 @@
 	}()
 }
 
-// killCommandsFor are the commands that end what a worker's report shows of jobs that are over.
+// killCommandsFor are the commands that end what a worker's heartbeat shows of jobs that are over.
 func (c *Controller) killCommandsFor(r *protocol.Heartbeat) []protocol.Command {
 	out := []protocol.Command{}
 	for _, t := range r.Tasks {
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -16,7 +16,7 @@
 func TestWhatWasCancelledHasOneDeadline(t *testing.T) {
 	const (
 		ended   = 1 << iota // the worker has shown that the task ended
-		others              // another node's machine
+		others              // another controller's machine
 		outage              // the state service does not answer
 		unknown             // the job's record doesn't say when it was cancelled
 		told                // nor is it read: a peer has told
@@ -27,7 +27,7 @@
 		age   time.Duration // since it was cancelled
 		tried time.Duration // by this process
 		heard time.Duration // any worker was heard so long ago
-		awake time.Duration // this node woke so long ago; 0: it never slept
+		awake time.Duration // this controller woke so long ago; 0: it never slept
 		want  bool
 	}{
 		{name: "before the deadline", age: 14 * time.Second, tried: 13 * time.Second},
@@ -113,7 +113,7 @@
 		{"for half of its lease", 6 * time.Second, false, false},
 		{"its tasks are lost", 21 * time.Second, false, true},
 	} {
-		c := newCore(t) // reports 1 s, leases 10 s
+		c := newCore(t) // heartbeats 1 s, leases 10 s
 		m := c.cache.Machine("m")
 		v, now := c.workerState(m), time.Now()
 		v.since, v.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -10,16 +10,16 @@
 )
 
 // This file owns what is concluded from the silence of a whole zone. One that is cut off goes on
-// working: a node inside that owned machines there does not know that others own them now, and goes
+// working: a controller inside that owned machines there does not know that others own them now, and goes
 // on answering their workers. So replicas of services run on, and returning their machines would end
 // them; and what is rented there is up, but of no use, until the cut ends.
 
-// zoneState is what this node has heard of a zone.
+// zoneState is what this controller has heard of a zone.
 type zoneState struct {
 	heard          time.Time // any worker in it
 	unreachable    bool
 	reachableSince time.Time // heard again after it was away
-	probedAt       time.Time // a worker there was last asked for its report
+	probedAt       time.Time // a worker there was last asked for its heartbeat
 	probing        bool
 	missedProbes   int       // unanswered in a row
 	nextProbe      int       // whom to ask
@@ -31,7 +31,7 @@
 	zoneMachines = 3
 	// zoneMisses is how many of a silent zone's workers must have been asked in vain.
 	zoneMisses = 2
-	// endedBefore is how long before its zone fell silent a node's end still counts: a new owner hears
+	// endedBefore is how long before its zone fell silent a controller's end still counts: a new owner hears
 	// of the zone's silence only from its own start on.
 	endedBefore = 10 * time.Second
 	// emptyFor is how long a zone that is away is left alone after its last machine was given up. Nobody is left
@@ -60,10 +60,10 @@
 	return &c.zones[z]
 }
 
-// zoneUnreachable tells whether a zone is cut off from this node.
+// zoneUnreachable tells whether a zone is cut off from this controller.
 func (c *Controller) zoneUnreachable(z int) bool { return z < len(c.zones) && c.zones[z].unreachable }
 
-// superviseZones asks silent zones' workers for a report, one at a time, and finds out which zones are
+// superviseZones asks silent zones' workers for a heartbeat, one at a time, and finds out which zones are
 // away. The leader does so too where it owns nothing: it must not rent there.
 func (c *Controller) superviseZones(now time.Time) {
 	for name := range c.cache.Members {
@@ -102,7 +102,7 @@
 		}
 		quiet, misses := zoneUnreachableAfter(w), zoneMisses
 		if !c.ownsShard(list[0].Shard) {
-			quiet, misses = 2*quiet, 2*misses // nobody reports to this node
+			quiet, misses = 2*quiet, 2*misses // nobody heartbeats to this controller
 		}
 		if !x.unreachable && len(list) >= zoneMachines && heard && silent > quiet && x.missedProbes >= misses {
 			x.unreachable = true
@@ -125,10 +125,10 @@
 	}
 }
 
-// hasControllerInside tells whether a node that lived when a zone fell silent is inside it: its hold lasted until
-// then, and its connection did not break off, as that of a node does that ends. A node that owned machines
+// hasControllerInside tells whether a controller that lived when a zone fell silent is inside it: its hold lasted until
+// then, and its connection did not break off, as that of a controller does that ends. A controller that owned machines
 // there goes on answering them; another is found by most workers before their leases end, even where
-// two silent nodes come first in their order.
+// two silent controllers come first in their order.
 func (c *Controller) hasControllerInside(z int) bool {
 	name, since := c.cache.Zones.Name(z), c.zones[z].heard
 	if since.Sub(c.startedAt) < endedBefore {
@@ -144,7 +144,7 @@
 	return slices.ContainsFunc(m.Tasks, func(p storage.PlacedTask) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
 }
 
-// unreachableZoneLimit is how long a machine whose services may run on in a zone that is away may be silent. A node
+// unreachableZoneLimit is how long a machine whose services may run on in a zone that is away may be silent. A controller
 // inside that owned it goes on answering its worker, another stands in for its owner (others.go), and
 // most cuts are over before the replicas would run elsewhere: their machines' images are there, and with a
 // third of the machines room is short. Not for ever, since nobody outside reaches them; where a cancelled job's task is
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -25,7 +25,7 @@
 	return nil, 0, errors.New("no answer")
 }
 
-// hall is a node that owns n machines in each of three zones, a to c.
+// hall is a controller that owns n machines in each of three zones, a to c.
 func hall(t *testing.T, n int) *Controller {
 	t.Helper()
 	c := newCore(t)
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -300,7 +300,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Ready waits until the load balancer would find a node that takes requests.
+// Ready waits until the load balancer would find a controller that takes requests.
 func (c *Cluster) Ready(ctx context.Context, ask func(addr string) bool) error {
 	for !ask(c.Users) {
 		if !sleepUntil(ctx, time.Now().Add(200*time.Millisecond)) {
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -26,15 +26,15 @@
 	Kind    string   `toml:"kind"`  // see kinds
 	Node    string   `toml:"node"`  // n1 to n9, or all
 	ForS    float64  `toml:"for_s"` // how long it lasts
-	From    []string `toml:"from"`  // of a cut: state, cloud, users, reports, peers; none: all of them
+	From    []string `toml:"from"`  // of a cut: state, cloud, users, heartbeats, peers; none: all of them
 	Part    float64  `toml:"part"`  // of the machines that can be met
 	NoticeS float64  `toml:"notice_s"`
 	Zone    string   `toml:"zone"`  // only its machines; of zone_cut, the one that is cut off
 	Count   int      `toml:"count"` // machines that are next to one another by their names, in place of part
 }
 
-// partitions are what a node can be cut off from. Direct commands to workers are not among them:
-// a worker's port can't tell which node speaks.
+// partitions are what a controller can be cut off from. Direct commands to workers are not among them:
+// a worker's port can't tell which controller speaks.
 var partitions = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
@@ -53,7 +53,7 @@
 	"machine_dies":  {machines: true},              //
 	"machine_hangs": {machines: true, lasts: true}, //
 	"machine_sick":  {machines: true, lasts: true}, // fails whatever it runs
-	"machine_cut":   {machines: true, lasts: true}, // off from all nodes
+	"machine_cut":   {machines: true, lasts: true}, // off from all controllers
 }
 
 // LoadSchedule reads and checks a schedule. Errors fit on one line and name file, field and
@@ -146,7 +146,7 @@
 	return none
 }
 
-// fits tells whether a deployment has the nodes and zones that a schedule names.
+// fits tells whether a deployment has the controllers and zones that a schedule names.
 func (s *Schedule) fits(d *config.Deployment) error {
 	for i := range s.Faults {
 		f := &s.Faults[i]
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -13,8 +13,8 @@
 )
 
 // The golden files hold what a landed version sends. A message's file tells with whom it is
-// exchanged, a frame's the level from which on a node reads it. A difference means that
-// nodes of two versions, or the other services, don't understand each other.
+// exchanged, a frame's the level from which on a controller reads it. A difference means that
+// controllers of two versions, or the other services, don't understand each other.
 
 var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
 
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -24,11 +24,11 @@
 const (
 	KindHello              byte = 1 // who speaks
 	KindPeerHeartbeat      byte = 2 // how the sender fares
-	KindShardDemands       byte = 3 // a share is short of room for top-priority work
-	KindCancellationDigest byte = 4 // what the sender knows to be cancelled; for nodes of FramesCancellationDigest
+	KindShardDemands       byte = 3 // a shard is short of room for top-priority work
+	KindCancellationDigest byte = 4 // what the sender knows to be cancelled; for controllers of FramesCancellationDigest
 )
 
-// FramesCancellationDigest is the level of frames from which on a node reads words. Its record says which
+// FramesCancellationDigest is the level of frames from which on a controller reads words. Its record says which
 // level it reads: a kind that it does not know would end the connection.
 const FramesCancellationDigest = 1
 
@@ -52,16 +52,16 @@
 type PeerHeartbeat struct {
 	StateOK         bool   // the state service served it within the last second or two
 	Revision        uint64 // how far its cache is
-	OwnedShards     uint64 // shares it owns, as bits
+	OwnedShards     uint64 // shards it owns, as bits
 	ChangeRateMilli uint32 // changes in the state service that it makes, in thousandths a second
 }
 
-// ShardDemands asks the leader for machines for a share's top-priority work.
+// ShardDemands asks the leader for machines for a shard's top-priority work.
 type ShardDemands struct {
 	Shards []ShardDemand
 }
 
-// ShardDemand is what one share lacks.
+// ShardDemand is what one shard lacks.
 type ShardDemand struct {
 	Shard    uint32
 	OnDemand bool
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -239,7 +239,7 @@
 	return &s, nil
 }
 
-// ParseHeartbeat checks a worker's report.
+// ParseHeartbeat checks a worker's heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var r Heartbeat
 	if t := bytes.TrimLeft(body, " \t\r\n"); len(t) == 0 || t[0] != '{' {
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -74,7 +74,7 @@
 	CauseUnknown    = "unknown"
 )
 
-// TaskStatus is one task of a report.
+// TaskStatus is one task of a heartbeat.
 type TaskStatus struct {
 	Task         string `json:"shard"`
 	Attempt      uint64 `json:"try"`
@@ -98,13 +98,13 @@
 	GraceS  float64 `json:"windDownS,omitempty"`
 }
 
-// HeartbeatResponse answers a report.
+// HeartbeatResponse answers a heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"helm"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect sends a worker to another node.
+// Redirect sends a worker to another controller.
 type Redirect struct {
 	Member string `json:"master,omitempty"`
 }
--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -105,7 +105,7 @@
 
 func cpus(milli uint64) float64 { return float64(milli) / 1000 }
 
-// Make works a report out of a history.
+// Make works a heartbeat out of a history.
 func Make(h *History, title string, scope view.Scope, made time.Time) *Report {
 	r := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(h.From), To: time.UnixMilli(h.To),
 		Samples: len(h.Samples), Broken: h.Broken, Gaps: []Gap{}, Teams: []TeamReport{}}
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
-	// One write a line: two recorders that share a file don't mix theirs.
+	// One write a line: two recorders that shard a file don't mix theirs.
 	if _, err := r.w.Write(append(raw, '\n')); err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
@@ -216,7 +216,7 @@
 				jobs[l.Job.ID] = true
 				h.Jobs = append(h.Jobs, *l.Job)
 			case l.Evict != nil && in(l.Evict.At):
-				// Two recorders, or one and another node's keys, may tell of one set.
+				// Two recorders, or one and another controller's keys, may tell of one set.
 				key := fmt.Sprint(l.Evict.At, l.Evict.Job, len(l.Evict.Victims))
 				if !evicts[key] {
 					evicts[key] = true
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -29,7 +29,7 @@
 	Text string
 }
 
-// Page writes a report as one HTML page that needs nothing else.
+// Page writes a heartbeat as one HTML page that needs nothing else.
 func (r *Report) Page(w io.Writer) error {
 	t, err := template.New("page.html").Funcs(template.FuncMap{
 		"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05") },
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -287,7 +287,7 @@
 		HollowCores: per((b.hollow.cpu - a.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
 		WritesPerS: per(float64(b.stats.Writes - a.stats.Writes)), OverPerS: per(float64(b.stats.Over - a.stats.Over)), UserConns: w.cluster.LoadBalancer.Opened.Load()}
 	p.StateKeys, p.StateBytes = world.Store.Size()
-	// A worker sends reports, and reports as answers to commands; it gets answers, and commands.
+	// A worker sends heartbeats, and heartbeats as answers to commands; it gets answers, and commands.
 	p.WorkerOutBps = perWorker(b.reports.out - a.reports.out + b.commands.out - a.commands.out)
 	p.WorkerInBps = perWorker(b.reports.in - a.reports.in + b.commands.in - a.commands.in)
 	p.HeartbeatsPerS, p.CommandsPerS = perWorker(b.reports.messages-a.reports.messages), perWorker(b.commands.messages-a.commands.messages)
--- a/internal/scaletest/profile.go
+++ b/internal/scaletest/profile.go
@@ -42,7 +42,7 @@
 	Zones int     `toml:"zones"`
 }
 
-// Worker is what each machine has, and how its worker reports.
+// Worker is what each machine has, and how its worker heartbeats.
 type Worker struct {
 	Cpus    float64 `toml:"cpus"`
 	MemGB   float64 `toml:"mem_gb"`
@@ -195,7 +195,7 @@
 	Population Cut = "population"
 	// Changes is Peak with changes of the configuration.
 	Changes Cut = "changes"
-	// Faults is Changes with failures, a rack, a switch, a zone and ends of controllers.
+	// Faults is Changes with failures, a group, a switch, a zone and ends of controllers.
 	Faults Cut = "troubles"
 )
 
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -7,10 +7,10 @@
 	"dykeledge/internal/storage"
 )
 
-// attempts are what the racks' records have held: an attempt that has left them must never come again, whoever
+// attempts are what the groups' records have held: an attempt that has left them must never come again, whoever
 // wrote it, since workers that have forgotten it would start it.
 type attempts struct {
-	there map[int]map[string]uint64 // by rack and task
+	there map[int]map[string]uint64 // by group and task
 	last  map[string]uint64         // by task: the latest that has left
 }
 
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -36,7 +36,7 @@
 	budget     *transport.Budget // nil: none
 }
 
-// cloudTimeout is how long a node waits for the cloud.
+// cloudTimeout is how long a controller waits for the cloud.
 const cloudTimeout = 10 * time.Second
 
 func (l *cloudLink) wait() error {
--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -10,7 +10,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// standAfter lets a node stand still the moment that such a transaction of its own was
+// standAfter lets a controller stand still the moment that such a transaction of its own was
 // applied, before it learns of that, a few times in all.
 func standAfter(w *Simulation, key string, d time.Duration) *atomic.Int32 {
 	var n atomic.Int32
@@ -26,7 +26,7 @@
 	return &n
 }
 
-// TestStalls: a node stands still while its clocks run on, and goes on as if
+// TestStalls: a controller stands still while its clocks run on, and goes on as if
 // nothing had happened: shorter than its hold, about as long, and far longer.
 func TestStalls(t *testing.T) {
 	for _, d := range []time.Duration{2, 4, 5, 6, 9, 14, 45} {
@@ -75,7 +75,7 @@
 	}
 }
 
-// heal ends what troubles nodes, machines and the state service.
+// heal ends what troubles controllers, machines and the state service.
 func heal(w *Simulation) {
 	w.Store.SetDown(false)
 	for i := range 3 {
@@ -157,7 +157,7 @@
 }
 
 // An owner fell silent in an outage of the state service. Nobody could take over, the
-// other nodes sent its workers back to it, and 1460 tasks were killed by their leases.
+// other controllers sent its workers back to it, and 1460 tasks were killed by their leases.
 func TestLeasesOutliveASilentOwnerInAnOutage(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
--- a/internal/simulator/gpu_cluster_test.go
+++ b/internal/simulator/gpu_cluster_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestGPUCluster plays services of top priority over arrays that save, on machines whose accelerators bind,
-// with images that take as long as a boot, one team and so one share, three small nodes: bursts, a
+// with images that take as long as a boot, one team and so one shard, three small controllers: bursts, a
 // zone that is cut off and goes on inside, dead and taken machines, owners that end, an end of all in an outage. All
 // rules hold, services are back within a minute and a half, and no array is starved.
 func TestGPUCluster(t *testing.T) {
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -58,7 +58,7 @@
 	return c.Status(fiber.StatusBadRequest).JSON(protocol.ErrorResponse{Error: why})
 }
 
-// Open is a way to the store for one caller; node, if not nil, may be cut off from it.
+// Open is a way to the store for one caller; controller, if not nil, may be cut off from it.
 func (s *Store) Open(node *ControllerProcess) *StoreLink {
 	if node == nil {
 		node = &ControllerProcess{Name: "http"}
@@ -66,7 +66,7 @@
 	return &StoreLink{store: s, controller: node}
 }
 
-// ServeState serves one node's way to a store over HTTP, as the state service does. It
+// ServeState serves one controller's way to a store over HTTP, as the state service does. It
 // ends with the listener.
 func ServeState(l *StoreLink, ln net.Listener) error {
 	app := newApp()
@@ -165,7 +165,7 @@
 	return app.Listener(ln)
 }
 
-// ServeCloud serves one node's way to the world's cloud over HTTP. It ends with the listener.
+// ServeCloud serves one controller's way to the world's cloud over HTTP. It ends with the listener.
 func (w *Simulation) ServeCloud(n *ControllerProcess, ln net.Listener) error {
 	l := &cloudLink{simulation: w, controller: n}
 	app := newApp()
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -16,10 +16,10 @@
 	refused       time.Duration // the leader alone is refused so long before the outage
 	cancellations time.Duration // the first of the jobs is cancelled so long before the outage
 	outage        float64       // times cancel_s
-	old           int           // so many nodes are of the version before: no words, no time in the cancellation's record
+	old           int           // so many controllers are of the version before: no words, no time in the cancellation's record
 }
 
-// playIsolated has the state service refuse the leader alone, other nodes confirm cancellations, and then the
+// playIsolated has the state service refuse the leader alone, other controllers confirm cancellations, and then the
 // state service refuse everybody, while the workers keep reporting to the old leader. It returns how many
 // tasks of cancelled jobs were on machines as the outage began, and those killed by their leases.
 func playIsolated(t *testing.T, seed uint64, x isolationDay, then func(w *Simulation, lead int)) (doomed, killed int) {
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -11,7 +11,7 @@
 
 // TestLargeSimulation plays hundreds of machines and thousands of tasks against a state
 // service and a cloud that refuse what is over their rates, through a wave of lost machines, a
-// takeover and the restart of all nodes. One record a machine took 2 changes a
+// takeover and the restart of all controllers. One record a machine took 2 changes a
 // finished task, more than the service allows at this size.
 func TestLargeSimulation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 
 // TestGuestsOverload lets a guest team flood the home teams: idle-time work for the whole
 // fleet, one array of thousands of tasks and hundreds of single ones within 40 s, while
-// two nodes end. Nodes without shares refused the guests for want of a rate that
+// two controllers end. Controllers without shards refused the guests for want of a rate that
 // others left unused, and the home teams waited behind idle-time work.
 func TestGuestsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -19,8 +19,8 @@
 	must
 )
 
-// All nodes ended 2 s before an outage of 20 s: nobody knew the workers' token, every
-// report was refused, and 4225 tasks were killed by their leases. Now newborn nodes keep the
+// All controllers ended 2 s before an outage of 20 s: nobody knew the workers' token, every
+// report was refused, and 4225 tasks were killed by their leases. Now restarted controllers keep the
 // leases up, but not for so long that a task outlives its job's cancellation, whose last witness ended.
 func TestLeasesOverAnEndOfAllControllers(t *testing.T) {
 	all := func(w *Simulation, f func(i int)) {
@@ -28,7 +28,7 @@
 			f(i)
 		}
 	}
-	// endIn ends all nodes, begins an outage, and starts them again in it.
+	// endIn ends all controllers, begins an outage, and starts them again in it.
 	endIn := func(w *Simulation, outage time.Duration, again time.Duration) {
 		all(w, w.Kill)
 		w.Store.SetDown(true)
@@ -49,7 +49,7 @@
 		name          string
 		lease, cancel float64
 		outage, again time.Duration
-		cancelled     bool // a job, whose tasks no node can reach any more
+		cancelled     bool // a job, whose tasks no controller can reach any more
 		killed        killed
 	}{
 		{name: "short", lease: 10, cancel: 40, outage: 8 * time.Second},
@@ -84,7 +84,7 @@
 	}
 }
 
-// cancelUnseen has a job cancelled, whose user is told, and cuts all nodes off from the workers
+// cancelUnseen has a job cancelled, whose user is told, and cuts all controllers off from the workers
 // before any of them has sent a stop.
 func cancelUnseen(t *testing.T, w *Simulation, then func()) {
 	j := w.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
@@ -121,7 +121,7 @@
 func TestCancelledTasksEndInAnOutage(t *testing.T) {
 	for _, outage := range []time.Duration{15 * time.Second, 70 * time.Second} {
 		for seed := range uint64(8) {
-			read, ends := seed%2 == 0, int(seed/2) // there is no node 3: none ends
+			read, ends := seed%2 == 0, int(seed/2) // there is no controller 3: none ends
 			t.Run(fmt.Sprintf("%v/others have read it %v/node %d ends", outage, read, ends), func(t *testing.T) {
 				playDay(t, seed, func(w *Simulation) {
 					w.Settings.Deployment.Workers.CancelS = 36
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -16,7 +16,7 @@
 	"dykeledge/internal/storage"
 )
 
-// operator changes a team's limit through any node that lives, until it is done or refused for good.
+// operator changes a team's limit through any controller that lives, until it is done or refused for good.
 func (w *Simulation) operator(t *testing.T, team string, cpusMax float64) {
 	t.Helper()
 	for range 200 {
@@ -37,7 +37,7 @@
 	t.Errorf("the limit of %s can't be changed", team)
 }
 
-// stateOf is a team's state as a node tells it, "" where none does.
+// stateOf is a team's state as a controller tells it, "" where none does.
 func (w *Simulation) stateOf(team string) string {
 	for i := range 3 {
 		views, err := w.Controller(i).Core.Teams(w.ctx)
@@ -53,7 +53,7 @@
 	return ""
 }
 
-// TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any node, while owners end, stand still over
+// TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any controller, while owners end, stand still over
 // a change and wake later, answers get lost and transactions come late. The checker holds every start against the limit that
 // counts, and every limit that is said to be in force against what really runs.
 func TestLimitsChangeWhileItServes(t *testing.T) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// A limit was counted as kept by a node that saw little of the team running, while the transaction of the share's owner
+// A limit was counted as kept by a controller that saw little of the team running, while the transaction of the shard's owner
 // that placed more was on its way: only the owner may say so.
 func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
 	for seed := range uint64(4) {
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// StoreLink is one node's way to the store.
+// StoreLink is one controller's way to the store.
 type StoreLink struct {
 	store      *Store
 	controller *ControllerProcess
@@ -28,7 +28,7 @@
 // maxPageBytes is about how much one page of a read holds.
 const maxPageBytes = 480 << 10
 
-// stateTimeout is how long a node waits for the state service.
+// stateTimeout is how long a controller waits for the state service.
 const stateTimeout = 3 * time.Second
 
 func (l *StoreLink) begin(ctx context.Context) error {
@@ -171,7 +171,7 @@
 	return l.budget.Pace(n)
 }
 
-// ChangesUsed is how many changes the node has made, where there is a budget.
+// ChangesUsed is how many changes the controller has made, where there is a budget.
 func (l *StoreLink) ChangesUsed() uint64 {
 	if l.budget == nil {
 		return 0
@@ -179,14 +179,14 @@
 	return l.budget.ChangesUsed()
 }
 
-// SetLimit sets the rate for all nodes.
+// SetLimit sets the rate for all controllers.
 func (l *StoreLink) SetLimit(changes float64) {
 	if l.budget != nil {
 		l.budget.SetLimit(changes)
 	}
 }
 
-// SetRateShare sets the node's part of the rate.
+// SetRateShare sets the controller's part of the rate.
 func (l *StoreLink) SetRateShare(part float64, leads bool, used, others float64) {
 	if l.budget != nil {
 		l.budget.SetRateShare(part, leads, used, others)
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// LoadBalancer stands in for the load balancer between users and nodes. It works at the connection
-// level: each new connection goes to a healthy node, fewer open ones first, and no request
+// LoadBalancer stands in for the load balancer between users and controllers. It works at the connection
+// level: each new connection goes to a healthy controller, fewer open ones first, and no request
 // is looked at.
 type LoadBalancer struct {
 	mu       sync.Mutex
@@ -47,15 +47,15 @@
 	triesAConn   = 3
 )
 
-// NewLoadBalancer makes a balancer; AddController adds the nodes, then Run probes and Serve serves.
+// NewLoadBalancer makes a balancer; AddController adds the controllers, then Run probes and Serve serves.
 func NewLoadBalancer() *LoadBalancer { return &LoadBalancer{} }
 
-// AddController adds a node that listens at an address.
+// AddController adds a controller that listens at an address.
 func (f *LoadBalancer) AddController(n *ControllerProcess, addr string) {
 	f.backends = append(f.backends, &backend{node: n, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
 }
 
-// Run probes the nodes until ctx ends.
+// Run probes the controllers until ctx ends.
 func (f *LoadBalancer) Run(ctx context.Context) {
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1}
 	for _, b := range f.backends {
@@ -120,7 +120,7 @@
 	}
 }
 
-// pick chooses a node for a new connection, leaving out those that were tried.
+// pick chooses a controller for a new connection, leaving out those that were tried.
 func (f *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,7 +224,7 @@
 	wg.Wait()
 }
 
-// Relay passes connections between two nodes on, so that the way between them can be cut.
+// Relay passes connections between two controllers on, so that the way between them can be cut.
 func Relay(ln net.Listener, to string, way Direction) error {
 	for {
 		c, err := ln.Accept()
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -9,7 +9,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestBalancer holds the balancer's judgement of a node against the protocol's words.
+// TestBalancer holds the balancer's judgement of a controller against the protocol's words.
 func TestBalancer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/simulator/meter.go
+++ b/internal/simulator/meter.go
@@ -53,7 +53,7 @@
 	return n, err
 }
 
-// StateRequests counts a node's requests to the state service, by kind.
+// StateRequests counts a controller's requests to the state service, by kind.
 type StateRequests struct {
 	Reads, Transactions, Leases, Watches atomic.Int64
 }
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -27,7 +27,7 @@
 // TestOverload lets one class of a team ask for ten times what the fleet can run, beside
 // another class of the same team and one of another that ask for what they always do. Those
 // must hardly notice, whoever ends meanwhile: before, within a team the flood went first as
-// soon as it was older. And the flood must not have become the usual after an end of all nodes.
+// soon as it was older. And the flood must not have become the usual after an end of all controllers.
 func TestOverload(t *testing.T) {
 	each := func(f func(int)) {
 		for i := range 3 {
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -18,7 +18,7 @@
 type recordCheck struct {
 	simulation *Simulation
 	placed     map[string]placement // by task
-	groups     map[int][]string     // by rack: its tasks
+	groups     map[int][]string     // by group: its tasks
 	fleets     map[string][]string  // by fleet record: the machines that it lists
 	listedIn   map[string]string    // by machine: the fleet record that lists it
 	used       attempts
@@ -73,7 +73,7 @@
 	delete(c.fleets, key)
 }
 
-// noteGroups takes the racks that a transaction writes as one change: tasks may go from one to another.
+// noteGroups takes the groups that a transaction writes as one change: tasks may go from one to another.
 func (c *recordCheck) noteGroups(t protocol.Txn) {
 	written := map[int]storage.GroupRecord{}
 	for _, change := range t.Then {
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -14,14 +14,14 @@
 	"dykeledge/internal/protocol"
 )
 
-// This file joins the world with processes outside: nodes and workers that speak HTTP, and
+// This file joins the world with processes outside: controllers and workers that speak HTTP, and
 // descriptions of jobs that users upload.
 
-// heartbeatTimeout is how long a worker waits for the answer to a report; a little less than the
+// heartbeatTimeout is how long a worker waits for the answer to a heartbeat; a little less than the
 // four seconds after which it drops it.
 const heartbeatTimeout = 3900 * time.Millisecond
 
-// Connect makes node i one that runs elsewhere, in a zone, and listens at an address.
+// Connect makes controller i one that runs elsewhere, in a zone, and listens at an address.
 func (w *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
 	n := &ControllerProcess{Name: name, Zone: zone, simulation: w, stop: func() {}}
 	callers := &workerClients{address: public, meter: &n.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
@@ -54,14 +54,14 @@
 	return a != b && (w.cutOff(a) || w.cutOff(b))
 }
 
-// Limits of a worker's way to a node.
+// Limits of a worker's way to a controller.
 const (
 	workerConns    = 2                // a worker has one report in flight; a second connection while the first is given up
-	workerIdle     = 10 * time.Second // a connection that is not used for as long is closed: the worker reports elsewhere
+	workerIdle     = 10 * time.Second // a connection that is not used for as long is closed: the worker heartbeats elsewhere
 	workerConnects = time.Second
 )
 
-// workerClients are the workers' connections to one node: each worker has its own, as real ones do.
+// workerClients are the workers' connections to one controller: each worker has its own, as real ones do.
 type workerClients struct {
 	address string
 	meter   *Meter
@@ -89,14 +89,14 @@
 	return c.meter.Conn(conn), nil
 }
 
-// report sends a report and returns the answer; status 0: none came.
+// report sends a heartbeat and returns the answer; status 0: none came.
 func (c *workerClients) report(r *protocol.Heartbeat) (int, any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	raw, err := json.Marshal(r)
 	if err != nil {
-		return 0, nil // a report holds only finite numbers and strings
+		return 0, nil // a heartbeat holds only finite numbers and strings
 	}
 	c.meter.Messages.Add(1)
 	req.Header.SetMethod(fiber.MethodPost)
@@ -140,7 +140,7 @@
 		if !w.reachable(m, true) {
 			return silent(c)
 		}
-		w.sendDelayed("", m.Zone) // which zone's node has sent it can't be told
+		w.sendDelayed("", m.Zone) // which zone's controller has sent it can't be told
 		w.mu.Lock()
 		r, status := w.executeCommand(m, protocol.DirectCommands{FencingToken: *in.Token, Incarnation: *in.Session, Commands: in.Commands})
 		w.mu.Unlock()
@@ -164,7 +164,7 @@
 	ln, err := net.Listen("tcp4", p.address(p.simulation.names))
 	if err != nil {
 		p.simulation.Log.Error("no port for a worker", "machine", m.Name, "err", err)
-		return "127.0.0.1:1" // nobody listens there: it is reached through its reports only
+		return "127.0.0.1:1" // nobody listens there: it is reached through its heartbeats only
 	}
 	m.port = ln
 	p.mu.Lock()
@@ -201,8 +201,8 @@
 	}
 }
 
-// reachable tells whether a machine answers now. In a zone that is cut off none does, not even to a node inside: a port
-// can't tell which node speaks. One that hangs carries commands out once it
+// reachable tells whether a machine answers now. In a zone that is cut off none does, not even to a controller inside: a port
+// can't tell which controller speaks. One that hangs carries commands out once it
 // goes on, when nobody waits for the answer any more.
 func (w *Simulation) reachable(m *Machine, waits bool) bool {
 	for w.ctx.Err() == nil && m != nil {
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -13,9 +13,9 @@
 )
 
 // TestRestartAtOnce ends processes that are back within a fraction of a second under the same name, while
-// their predecessors' holds still live and what those sent is applied late: one node again and again, the
+// their predecessors' holds still live and what those sent is applied late: one controller again and again, the
 // leader, the owner the moment that a commit was applied, all in the middle of an election, in an outage.
-// The rules hold, no attempt is used twice, and shares do not wander.
+// The rules hold, no attempt is used twice, and shards do not wander.
 func TestRestartAtOnce(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -102,7 +102,7 @@
 	}
 }
 
-// The checker must find what it is there for: an attempt that left a rack and comes again.
+// The checker must find what it is there for: an attempt that left a group and comes again.
 func TestAttemptsChecked(t *testing.T) {
 	for _, x := range []struct {
 		attempts []uint64
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -18,7 +18,7 @@
 	"dykeledge/internal/storage"
 )
 
-// scenario is a meeting of the users' list, brought about in a world of three nodes, nine machines and long jobs.
+// scenario is a meeting of the users' list, brought about in a world of three controllers, nine machines and long jobs.
 type scenario struct {
 	*Simulation
 	hooks            *hooks
@@ -104,7 +104,7 @@
 	}()
 }
 
-// isLeader is how often the lead was taken while f ran.
+// isLeader is how often leadership was taken while f ran.
 func (s *scenario) isLeader(f func()) {
 	before := s.IsLeader.Load()
 	f()
@@ -298,7 +298,7 @@
 				s.hooks.keep.Store(false)
 				s.cancelJob(1)
 				n := len(s.long)
-				s.more(4, JobSpec{Cpus: 1}) // the kept reports know nothing of them
+				s.more(4, JobSpec{Cpus: 1}) // the kept heartbeats know nothing of them
 				time.Sleep(s.advanceTo(4*time.Second, 8*time.Second))
 				hit := s.hit(9, HangingMachine(true), s.long[n:]...) // and are the first that their new owners hear
 				led := s.IsLeader.Load()
@@ -524,7 +524,7 @@
 	}()
 }
 
-// watchOwnershipChanges counts cancellations that are committed while a job's share is without its owner, or within two
+// watchOwnershipChanges counts cancellations that are committed while a job's shard is without its owner, or within two
 // seconds of its next one.
 func (s *scenario) watchOwnershipChanges() {
 	at := map[int]time.Time{}
--- a/internal/simulator/shard_handover_test.go
+++ b/internal/simulator/shard_handover_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// After an end of all nodes the first one that was back took every share and kept them until
-// membership had been quiet for 8 s: 1235 machines on one node, which could not keep up.
+// After an end of all controllers the first one that was back took every shard and kept them until
+// membership had been quiet for 8 s: 1235 machines on one controller, which could not keep up.
 func TestShardsMoveSoonAfterAnEndOfAllControllers(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		after time.Duration // between the first node and the others
+		after time.Duration // between the first controller and the others
 		soon  bool
 	}{
 		{"the others are back a moment later", 400 * time.Millisecond, true},
@@ -41,7 +41,7 @@
 	}
 }
 
-// owners counts the nodes that own shares.
+// owners counts the controllers that own shards.
 func (w *Simulation) owners(t *testing.T) int {
 	shares, err := w.Controller(1).Core.ShardViews(w.ctx)
 	if err != nil {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -33,14 +33,14 @@
 	cuts            atomic.Uint32
 	stalledUntil    atomic.Int64 // stands still until then
 
-	// HeartbeatMeter meters the workers' connections to a node that speaks HTTP.
+	// HeartbeatMeter meters the workers' connections to a controller that speaks HTTP.
 	HeartbeatMeter Meter
 }
 
-// Cuts are what a node is cut off from.
+// Cuts are what a controller is cut off from.
 type Cuts uint32
 
-// What a node can be cut off from. With NoAnswers, its requests to the state service
+// What a controller can be cut off from. With NoAnswers, its requests to the state service
 // are carried out and the answers are lost.
 const (
 	NoState Cuts = 1 << iota
@@ -52,27 +52,27 @@
 	AllCut = NoState | NoWorkers | NoUsers | NoCloud
 )
 
-// Cut sets what a node is cut off from.
+// Cut sets what a controller is cut off from.
 func (n *ControllerProcess) Cut(c Cuts) { n.cuts.Store(uint32(c)) }
 
-// Ended tells whether a node was killed.
+// Ended tells whether a controller was killed.
 func (n *ControllerProcess) Ended() bool { return n.gone.Load() }
 
 func (n *ControllerProcess) ended() bool { return n.gone.Load() }
 
-// IsCut tells whether a node is cut off from any of these.
+// IsCut tells whether a controller is cut off from any of these.
 func (n *ControllerProcess) IsCut(c Cuts) bool { return n.cut(c) }
 
 func (n *ControllerProcess) cut(c Cuts) bool { return Cuts(n.cuts.Load())&c != 0 }
 
-// Stall stops a node for a while; its clocks run on, and so does the world.
+// Stall stops a controller for a while; its clocks run on, and so does the world.
 func (n *ControllerProcess) Stall(d time.Duration) {
 	n.stalledUntil.Store(time.Now().Add(d).UnixNano())
 	// The core answers a stranger's report by itself, and stands still meanwhile.
 	go n.Core.HandleHeartbeat(n.simulation.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { n.pause() })
 }
 
-// partitionZone is what a node in a zone that is cut off is cut off from; it reaches the workers there.
+// partitionZone is what a controller in a zone that is cut off is cut off from; it reaches the workers there.
 const partitionZone = NoState | NoUsers | NoCloud
 
 // PartitionZone cuts a zone off from everything, "" ends that: what is inside goes on among itself.
@@ -96,12 +96,12 @@
 
 func (w *Simulation) cutOff(zone string) bool { return zone != "" && zone == w.zonePartitioned() }
 
-// partitioned tells whether a zone's cut is between a node and a machine. The world is locked.
+// partitioned tells whether a zone's cut is between a controller and a machine. The world is locked.
 func (w *Simulation) partitioned(n *ControllerProcess, m *Machine) bool {
 	return w.isolated != "" && (n.Zone == w.isolated) != (m.Zone == w.isolated)
 }
 
-// pause waits while the node stands still.
+// pause waits while the controller stands still.
 func (n *ControllerProcess) pause() {
 	for {
 		left := time.Until(time.Unix(0, n.stalledUntil.Load()))
@@ -112,7 +112,7 @@
 	}
 }
 
-// stalledThrough waits while the node stands still, and tells whether a call that began
+// stalledThrough waits while the controller stands still, and tells whether a call that began
 // at a time has run out of its time meanwhile.
 func (n *ControllerProcess) stalledThrough(began time.Time, within time.Duration) bool {
 	n.pause()
@@ -188,21 +188,21 @@
 	// LateCommands delays direct commands; their sender learns nothing.
 	LateCommands   func(m string, cmd protocol.DirectCommands) time.Duration
 	LateHeartbeats func(m string) time.Duration
-	// CopiedHeartbeats has a copy of a report arrive again, so much later; 0: none. Copies counts them.
+	// CopiedHeartbeats has a copy of a heartbeat arrive again, so much later; 0: none. Copies counts them.
 	CopiedHeartbeats func(m string) time.Duration
 	Copies           atomic.Int32
-	// KeptHeartbeats has a copy of a report kept back, which every node gets as the next leader begins. CopiesToNext counts those.
+	// KeptHeartbeats has a copy of a heartbeat kept back, which every controller gets as the next leader begins. CopiesToNext counts those.
 	KeptHeartbeats func(m string) bool
 	CopiesToNext   atomic.Int32
 	kept           []*protocol.Heartbeat
 	lastLeader     storage.LeaderRecord
-	IsLeader       atomic.Int32 // times that the lead was taken
+	IsLeader       atomic.Int32 // times that leadership was taken
 	// LostAnswers has a transaction carried out at once and its answer lost. AnswersLost counts those that took effect, by the first key's kind.
 	LostAnswers func(node string, t protocol.Txn) bool
 	AnswersLost map[string]int
 	// AtEnd, if set, is called as the last task of a job completes.
 	AtEnd func(j *Job)
-	// CloseLooks has users ask at all nodes at once as soon as they were told something. Looks counts the answers.
+	// CloseLooks has users ask at all controllers at once as soon as they were told something. Looks counts the answers.
 	CloseLooks bool
 	Looks      atomic.Int32
 	// StartsAfterCancel counts tasks that started after their job's user was told that it is cancelled.
@@ -217,20 +217,20 @@
 	Boot func() time.Duration
 	// ListLag, if set, is how old the machine list is.
 	ListLag func() time.Duration
-	// After is called when a node's transaction was applied, before the node learns of it.
+	// After is called when a controller's transaction was applied, before the controller learns of it.
 	After     func(i int, t protocol.Txn)
 	Catalog   protocol.Catalog
 	ctx       context.Context
 	Log       *slog.Logger
-	KillCount atomic.Int32 // nodes killed
+	KillCount atomic.Int32 // controllers killed
 	// CloudCalls and CloudOver count the cloud's requests, and those over its rate,
 	// where the store enforces its own.
 	CloudCalls, CloudOver int
-	// Old are the nodes that start as the version before, which knows no gate.
+	// Old are the controllers that start as the version before, which knows no gate.
 	Old       map[int]bool
 	cloudRate bucket
 	cloudDown bool
-	Views     bool // the nodes keep a read model
+	Views     bool // the controllers keep a read model
 	// LateBoots and NeverBoots are the parts of the rented machines that take four times as long
 	// as usual to come up, and that never do.
 	LateBoots, NeverBoots float64
@@ -245,7 +245,7 @@
 	SharedTicker bool
 	// Launched, if set, is called for each launch that a worker takes up, with the world locked.
 	Launched func(j *Job, index int)
-	// Delay, if set, is how long a message takes between two zones of nodes and workers that speak HTTP.
+	// Delay, if set, is how long a message takes between two zones of controllers and workers that speak HTTP.
 	Delay    func(from, to string) time.Duration
 	Commands Meter              // the workers' ports
 	used     map[string]float64 // by team: the CPUs of its running tasks
@@ -264,7 +264,7 @@
 	return w
 }
 
-// newLeader delivers what was kept back for the next leader to every node, as it begins. The world is locked.
+// newLeader delivers what was kept back for the next leader to every controller, as it begins. The world is locked.
 func (w *Simulation) newLeader(raw []byte) {
 	var l storage.LeaderRecord
 	if json.Unmarshal(raw, &l) != nil || l == w.lastLeader {
@@ -275,7 +275,7 @@
 	kept, nodes := w.kept, slices.Clone(w.controllers)
 	w.kept = nil
 	go func() {
-		for range 20 { // as it begins, and when it has taken shares
+		for range 20 { // as it begins, and when it has taken shards
 			for _, n := range nodes {
 				for _, r := range kept {
 					if !n.ended() && !n.cut(NoWorkers) {
@@ -311,7 +311,7 @@
 	w.brokenRules = append(w.brokenRules, fmt.Sprintf("%.1f s: ", time.Since(w.StartTime).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// Start starts node i, anew if it ran before.
+// Start starts controller i, anew if it ran before.
 func (w *Simulation) Start(i int) {
 	cfg := *w.Settings
 	name := fmt.Sprintf("n%d", i)
@@ -362,7 +362,7 @@
 	go n.Core.Run(ctx)
 }
 
-// PeerDelay lets the nodes hear one another's pulses.
+// PeerDelay lets the controllers hear one another's peer heartbeats.
 func (w *Simulation) PeerDelay() {
 	go func() {
 		for w.ctx.Err() == nil {
@@ -385,7 +385,7 @@
 	}()
 }
 
-// Kill ends node i without any notice.
+// Kill ends controller i without any notice.
 func (w *Simulation) Kill(i int) {
 	n := w.Controller(i)
 	w.KillCount.Add(1)
@@ -393,7 +393,7 @@
 	n.stop()
 }
 
-// Again ends nodes and starts them anew a moment later.
+// Again ends controllers and starts them anew a moment later.
 func (w *Simulation) Again(back time.Duration, nodes ...int) {
 	for _, i := range nodes {
 		if !w.Controller(i).ended() {
@@ -408,7 +408,7 @@
 	}
 }
 
-// Owner is the node that owns a share, -1 if nobody does.
+// Owner is the controller that owns a shard, -1 if nobody does.
 func (w *Simulation) Owner(share int) int {
 	for i := range w.Settings.Deployment.Controllers {
 		v, err := w.Controller(i).Core.ShardViews(w.ctx)
@@ -419,7 +419,7 @@
 	return -1
 }
 
-// Leader is the node that leads, -1 if nobody is known to.
+// Leader is the controller that leads, -1 if nobody is known to.
 func (w *Simulation) Leader() int {
 	raw, ok := w.Store.Value(storage.LeaderKey)
 	var l storage.LeaderRecord
@@ -429,7 +429,7 @@
 	return slices.IndexFunc(w.controllers, func(n *ControllerProcess) bool { return n.Name == l.Member })
 }
 
-// Controller returns node i as it runs now.
+// Controller returns controller i as it runs now.
 func (w *Simulation) Controller(i int) *ControllerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -48,7 +48,7 @@
 			jobs = append(jobs, w.User(x))
 			time.Sleep(time.Duration(w.Random.IntN(1500)) * time.Millisecond)
 		}
-		// A pipeline over teams and shares with a diamond, one that hangs on a cancelled job,
+		// A pipeline over teams and shards with a diamond, one that hangs on a cancelled job,
 		// and a last job that comes when the others are over.
 		a := w.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
 		b := w.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{a}})
@@ -105,7 +105,7 @@
 		}
 		return false
 	}
-	// killAfter kills a node the moment that such a transaction of its own was
+	// killAfter kills a controller the moment that such a transaction of its own was
 	// applied, four times in all, and starts it anew 4 s later.
 	killAfter := func(w *Simulation, such func(protocol.Txn) bool) {
 		var kills atomic.Int32
@@ -185,7 +185,7 @@
 			time.Sleep(40 * time.Second)
 			w.Controller(0).Cut(0)
 		}},
-		// A new owner that learnt of its share from its own commit had not yet seen
+		// A new owner that learnt of its shard from its own commit had not yet seen
 		// what the former owner committed just before, and placed tasks twice.
 		{name: "peers are taken for dead while nodes follow slowly", setup: func(w *Simulation) {
 			w.Store.Lag = func(string) time.Duration { return time.Duration(w.Random.IntN(1200)) * time.Millisecond }
@@ -337,7 +337,7 @@
 	})
 }
 
-// TestUpgrade rolls the nodes from the version before to this one, through crashes, a node
+// TestUpgrade rolls the controllers from the version before to this one, through crashes, a controller
 // that comes back old and the leader's end at every step of the gate, and lowers the state
 // service's limits at some time afterwards without notice.
 func TestUpgrade(t *testing.T) {
@@ -439,7 +439,7 @@
 	}
 }
 
-// TestSettingsSpread: a change is taken up by all nodes, and by one that starts later.
+// TestSettingsSpread: a change is taken up by all controllers, and by one that starts later.
 func TestSettingsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -43,7 +43,7 @@
 	leases      map[uint64]*lease
 	lastID      uint64
 	down        bool
-	denied      map[string]bool // nodes that alone get 503
+	denied      map[string]bool // controllers that alone get 503
 	Writes      int
 	// Limited makes the store refuse what is over the deployment's rates.
 	Limited  bool
@@ -57,9 +57,9 @@
 	TooLarge         int // transactions refused for their size
 	// Check, if set, looks at every transaction once it is applied.
 	Check func(protocol.Txn)
-	// Slow, if set, is how long a node's request takes to be looked at.
+	// Slow, if set, is how long a controller's request takes to be looked at.
 	Slow func(node string) time.Duration
-	// Lag, if set, is how long a follow's answer takes to a node.
+	// Lag, if set, is how long a follow's answer takes to a controller.
 	Lag func(node string) time.Duration
 }
 
@@ -153,7 +153,7 @@
 	s.down = down
 }
 
-// Deny lets one node alone get 503.
+// Deny lets one controller alone get 503.
 func (s *Store) Deny(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -74,7 +74,7 @@
 	return j
 }
 
-// ask sends a request to some node, as the load balancer would.
+// ask sends a request to some controller, as the load balancer would.
 func (w *Simulation) ask(timeout time.Duration, f func(context.Context, *controller.Controller) controller.Answer) controller.Answer {
 	w.mu.Lock()
 	var up []*ControllerProcess
@@ -166,7 +166,7 @@
 	return false
 }
 
-// CloseLook asks for a job at all nodes within milliseconds, again and again, and repeats its submission there.
+// CloseLook asks for a job at all controllers within milliseconds, again and again, and repeats its submission there.
 func (w *Simulation) CloseLook(j *Job) {
 	body, _ := json.Marshal(j.Spec)
 	for range 3 {
@@ -335,7 +335,7 @@
 	}
 }
 
-// cancelJob asks some node once to cancel a job, and tells whether its user got a final answer.
+// cancelJob asks some controller once to cancel a job, and tells whether its user got a final answer.
 func (w *Simulation) cancelJob(j *Job) bool {
 	w.mu.Lock()
 	j.asked = true
@@ -375,7 +375,7 @@
 	}()
 }
 
-// CancelAt asks node i to cancel a job, once, and tells whether it confirmed that.
+// CancelAt asks controller i to cancel a job, once, and tells whether it confirmed that.
 func (w *Simulation) CancelAt(j *Job, i int) bool {
 	w.mu.Lock()
 	j.asked = true
@@ -481,7 +481,7 @@
 	return out
 }
 
-// Users are users of the world's nodes who repeat what has no certain answer, as the protocol
+// Users are users of the world's controllers who repeat what has no certain answer, as the protocol
 // asks them to. They do as the load tool's do over HTTP.
 type Users struct{ Simulation *Simulation }
 
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -29,9 +29,9 @@
 	gone                bool
 	hanging             bool
 	unhealthy           bool
-	partitioned         bool // its reports and answers get lost
-	deafToController    bool // its reports arrive; answers and direct commands get lost
-	silentToControllers bool // it reaches no node; direct commands reach it
+	partitioned         bool // its heartbeats and answers get lost
+	deafToController    bool // its heartbeats arrive; answers and direct commands get lost
+	silentToControllers bool // it reaches no controller; direct commands reach it
 	preemptionNotice    time.Time
 	incarnation, seq    uint64
 	fencingToken        uint64
@@ -308,7 +308,7 @@
 	}
 }
 
-// executeCommand carries out direct commands if token and session allow it, and reports.
+// executeCommand carries out direct commands if token and session allow it, and heartbeats.
 func (w *Simulation) executeCommand(m *Machine, cmd protocol.DirectCommands) (*protocol.Heartbeat, int) {
 	status := 409
 	if cmd.FencingToken >= m.fencingToken && cmd.Incarnation == m.incarnation {
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// This file owns the record of what is usual. A node of a version before it reads no such
+// This file owns the record of what is usual. A controller of a version before it reads no such
 // key and leaves it alone; it is only written once the packed layout is.
 
 // BaselineKey holds what the classes of the teams usually ask for.
@@ -20,13 +20,13 @@
 // ClassQueue is a class of one team, by their indices.
 type ClassQueue struct{ Team, Class int }
 
-// Index is a lane's place among all; there are ClassQueueCount of them.
+// Index is a queue's place among all; there are ClassQueueCount of them.
 func (l ClassQueue) Index() int { return l.Team*maxClassesPerTeam + l.Class }
 
-// ClassQueueCount is how many lanes so many teams can have.
+// ClassQueueCount is how many queues so many teams can have.
 func ClassQueueCount(teams int) int { return teams * maxClassesPerTeam }
 
-// ClassQueueOf is the lane that a job is in. Classes beyond those told apart share one.
+// ClassQueueOf is the queue that a job is in. Classes beyond those told apart share one.
 func ClassQueueOf(j *Job) ClassQueue { return ClassQueue{j.Team, min(j.Class, maxClassesPerTeam-1)} }
 
 // BaselineRecord is what the leader has learned, largest first.
@@ -49,7 +49,7 @@
 	Version uint64
 }
 
-// BaselineRecordOf makes a record of at most limit bytes; the smallest lanes are left out
+// BaselineRecordOf makes a record of at most limit bytes; the smallest queues are left out
 // where it would be larger.
 func (b *Cache) BaselineRecordOf(cpus map[ClassQueue]float64, limit int) BaselineRecord {
 	var r BaselineRecord
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -117,7 +117,7 @@
 	Index         int32
 	Name          string
 	Group         *MachineGroup
-	Shard         int // its rack's
+	Shard         int // its group's
 	FencingToken  uint64
 	Incarnation   uint64
 	Addr          string
@@ -130,8 +130,8 @@
 	ProvisionedAt int64 // time of day in seconds, 0: unknown
 	Tasks         []PlacedTask
 	Version       uint64 // when its own part of the records last changed
-	Gone          bool   // its record was deleted, or its rack is not known yet
-	Moved         bool   // it was in another rack before
+	Gone          bool   // its record was deleted, or its group is not known yet
+	Moved         bool   // it was in another group before
 	FleetEntries  int    // fleet records that list it
 	Images        []int  // of tasks that were on it, the most recently used last
 
@@ -184,13 +184,13 @@
 	Version uint64
 }
 
-// Member is a living node.
+// Member is a living controller.
 type Member struct {
 	MemberRecord
 	Version uint64
 }
 
-// Leader is the leading node.
+// Leader is the leading controller.
 type Leader struct {
 	LeaderRecord
 	Version uint64
@@ -245,7 +245,7 @@
 	VictimSets map[string]*VictimSet
 	Catalog    RawRecord
 	Settings   RawRecord
-	Used       []Usage // by team, all shares
+	Used       []Usage // by team, all shards
 	// TeamEntries are the teams whose bounds were changed since the settings file; Teams has these.
 	TeamEntries map[int]TeamEntry
 	Baseline    Baseline
@@ -282,7 +282,7 @@
 	Revision uint64 // of its record
 }
 
-// Packed tells whether every node reads the packed layout, so that it may be written.
+// Packed tells whether every controller reads the packed layout, so that it may be written.
 func (b *Cache) Packed() bool { return b.Layout.Version >= LayoutPacked && !b.ForcePlain }
 
 // completionSet is a part of the set of a job's completed tasks.
@@ -297,7 +297,7 @@
 	attempt uint64
 }
 
-// ShardCount is how many shares a deployment has: one a node, but none without a team.
+// ShardCount is how many shards a deployment has: one a controller, but none without a team.
 func ShardCount(d *config.Deployment) int { return max(1, min(d.Controllers, len(d.Teams))) }
 
 // NewCache is an empty cache.
@@ -318,7 +318,7 @@
 	return b
 }
 
-// ShardOf is the share that a team belongs to, whoever owns it.
+// ShardOf is the shard that a team belongs to, whoever owns it.
 func (b *Cache) ShardOf(team int) int { return team % b.NumShards }
 
 // Job finds an open or not yet forgotten job.
@@ -374,7 +374,7 @@
 	return len(b.victims) > 0 && b.victims[victim{p.Job.ID, p.Task, p.Attempt}]
 }
 
-// group finds a rack, and makes an empty one that no record describes yet.
+// group finds a group, and makes an empty one that no record describes yet.
 func (b *Cache) group(id int) *MachineGroup {
 	for len(b.Groups) <= id {
 		b.Groups = append(b.Groups, &MachineGroup{ID: len(b.Groups)})
@@ -479,7 +479,7 @@
 	return b.applySingle(key, value, version, deleted)
 }
 
-// applyMember takes a node's membership record.
+// applyMember takes a controller's membership record.
 func (b *Cache) applyMember(name string, value json.RawMessage, version uint64, deleted bool) error {
 	if deleted {
 		delete(b.Members, name)
@@ -493,7 +493,7 @@
 	return nil
 }
 
-// applyShard takes the record of who owns a share.
+// applyShard takes the record of who owns a shard.
 func (b *Cache) applyShard(number string, value json.RawMessage, version uint64, deleted bool) error {
 	i, err := strconv.Atoi(number)
 	if err != nil || i < 0 || i >= b.NumShards {
@@ -678,7 +678,7 @@
 	b.final[id] = f
 	b.notifyDependents(id, f)
 	if j != nil {
-		j.Final = f.Status // racks may still name it
+		j.Final = f.Status // groups may still name it
 		j.DoneCount, j.FinalAtMs = max(j.DoneCount, int(f.Tasks)), f.RecordedMs
 		b.feedJob(j)
 		delete(b.inheritors, j)
@@ -754,7 +754,7 @@
 }
 
 // applyCompletions takes a part of the set of a job's completed tasks. Parts stay until the job
-// is over; then its share's owner deletes them.
+// is over; then its shard's owner deletes them.
 func (b *Cache) applyCompletions(name string, value json.RawMessage, version uint64, deleted bool) error {
 	id, num, _ := strings.Cut(name, "/")
 	part, err := strconv.Atoi(num)
@@ -823,7 +823,7 @@
 
 // applyFleet takes a fleet's record. A machine is in the latest record that lists it: a
 // record that is over a lower limit is worked off by small ones which list its machines
-// anew, in the same racks, and is deleted when it lists none that they do not.
+// anew, in the same groups, and is deleted when it lists none that they do not.
 func (b *Cache) applyFleet(id string, value json.RawMessage, version uint64, deleted bool) error {
 	f := b.fleets[id]
 	if f != nil && f.Version >= version {
@@ -943,7 +943,7 @@
 	return r, len(r.Machines) > 0
 }
 
-// applyGroup takes a rack's record. One that names a job or a machine that is not
+// applyGroup takes a group's record. One that names a job or a machine that is not
 // known yet is left alone: it was read before the record that it names, and comes
 // again with the follow.
 func (b *Cache) applyGroup(id int, value json.RawMessage, version uint64) error {
@@ -1011,7 +1011,7 @@
 			continue
 		}
 		if m.Moved = true; m.Group != k {
-			// It comes from a rack whose record it left in the same change or before.
+			// It comes from a group whose record it left in the same change or before.
 			b.setTasks(m, nil)
 			m.leaveGroup()
 			m.joinGroup(k)
@@ -1025,7 +1025,7 @@
 			e.Job.Done.Set(e.Task)
 			if e.Job.Open() {
 				// The record of a job that is over has counted them all: one that was read
-				// before the rack's was called done with 4 of 2 tasks.
+				// before the group's was called done with 4 of 2 tasks.
 				e.Job.DoneCount++
 			}
 			b.feedJob(e.Job)
@@ -1085,7 +1085,7 @@
 
 // Sweep forgets all but the final state of jobs that are over and have no task
 // placed. A cancelled job is kept until then: its tasks still take room and quota.
-// A node that cancelled a job itself knows so before its follow has brought what
+// A controller that cancelled a job itself knows so before its follow has brought what
 // was placed just before: until it has, the job must stay known, or the machine's
 // record could not be read.
 func (b *Cache) Sweep() {
@@ -1096,7 +1096,7 @@
 	}
 }
 
-// GroupMachineOf writes a machine's part of its rack's record, with other tasks.
+// GroupMachineOf writes a machine's part of its group's record, with other tasks.
 func (b *Cache) GroupMachineOf(m *Machine, tasks []PlacedTask) GroupMachine {
 	r := GroupMachine{Name: m.Name, Incarnation: m.Incarnation, Returning: m.Returning, Draining: m.Draining, Unhealthy: m.Unhealthy, Moved: m.Moved}
 	if m.FencingToken > m.Fleet.record.FencingToken {
@@ -1116,7 +1116,7 @@
 	return r
 }
 
-// GroupRecordOf writes a rack's record. change, if set, changes a machine's part and
+// GroupRecordOf writes a group's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
 func (b *Cache) GroupRecordOf(k *MachineGroup, ended []CompletedTask, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
 	r := &GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Completed: endedTasksOf(ended)}
@@ -1132,7 +1132,7 @@
 	return r
 }
 
-// UnsavedCompletions are the completed tasks that must stay in a rack's record, since their
+// UnsavedCompletions are the completed tasks that must stay in a group's record, since their
 // job's own does not show them.
 func (k *MachineGroup) UnsavedCompletions() []CompletedTask {
 	out := make([]CompletedTask, 0, len(k.Completed))
@@ -1213,6 +1213,6 @@
 	return nil
 }
 
-// MachineSeen tells whether a machine has or had a record. One whose rack has not been
+// MachineSeen tells whether a machine has or had a record. One whose group has not been
 // read yet counts too: it must not get another.
 func (b *Cache) MachineSeen(name string) bool { return b.machineByName[name] != nil }
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -10,7 +10,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestCache applies changes in the order in which a node may learn of them, which
+// TestCache applies changes in the order in which a controller may learn of them, which
 // is not always the order in which they were committed.
 func TestCache(t *testing.T) {
 	spec := &SpecRecord{Cpus: 2, Mem: 1, Image: "i"}
@@ -47,14 +47,14 @@
 			{key: j, value: job("", 0), version: 1}}, protocol.Done, 0, 0},
 		{"cancelled tasks count until they are gone", []change{{key: j, value: job("", 0), version: 1},
 			{key: k, value: rack(0, 9, 0, 0), version: 2}, {key: j, value: job("cancelled", 0), version: 3, sweep: 3}}, protocol.Cancelled, 1, 2},
-		// The node cancelled the job itself; what was placed before comes after.
+		// The controller cancelled the job itself; what was placed before comes after.
 		{"a cancelled job stays known until the follow has come as far", []change{{key: j, value: job("", 0), version: 1},
 			{key: j, value: job("cancelled", 0), version: 3, sweep: 1}, {key: k, value: rack(0, 9, 0, 0), version: 2}}, protocol.Cancelled, 1, 2},
 		{"a deleted machine frees its tasks", []change{{key: j, value: job("", 0), version: 1},
 			{key: k, value: rack(0, 9, 0, 0), version: 2}, {key: m, version: 3}}, "", 0, 0},
 		{"a completed task stays so when its rack lists it no more", []change{{key: j, value: job("", 0), version: 1},
 			{key: k, value: ended(1), version: 2}, {key: k, value: rack(0, 9, 0, 0), version: 3}}, "", 1, 2},
-		// Read in pages, a rack may be newer than the jobs that were read before it.
+		// Read in pages, a group may be newer than the jobs that were read before it.
 		{"a rack that names an unknown job is taken when it comes again", []change{{key: k, value: rack(0, 9, 0, 0), version: 4, fails: true},
 			{key: j, value: job("", 0), version: 3}, {key: k, value: rack(0, 9, 0, 0), version: 4}}, "", 1, 2},
 		{"but for the bar that keeps the version before from starting on packed records", []change{{key: j, value: job("", 0), version: 1},
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestRecount applies random changes of racks and compares what the cache keeps
+// TestRecount applies random changes of groups and compares what the cache keeps
 // beside the records with a full count of them.
 func TestRecount(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 2))
@@ -177,7 +177,7 @@
 	}
 }
 
-// A job's final record may be read before the rack's that lists tasks which have ended: the
+// A job's final record may be read before the group's that lists tasks which have ended: the
 // record counts them all, and a job of two tasks was called done with four.
 func TestEndedAreCountedOnce(t *testing.T) {
 	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -15,7 +15,7 @@
 
 // A description may be longer than a record may be: thousands of awaited jobs, or of
 // allowed machine types. It is written in parts before the job's own record, which names
-// them. The parts of one try have a name of their own, so two nodes that are asked to
+// them. The parts of one try have a name of their own, so two controllers that are asked to
 // accept the same job do not mix theirs.
 
 // chunkRecord is a part of a long description.
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -88,7 +88,7 @@
 }
 
 // failDependents marks a job and all that need it, directly or through others, as cancelled with
-// one before them. That follows from the records alone, so every node says the same at
+// one before them. That follows from the records alone, so every controller says the same at
 // once; their own final records are written at leisure.
 func (b *Cache) failDependents(j *Job) {
 	work := []*Job{j}
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestDependenciesInAnyOrder: whatever order the records of a graph are read in, every node comes
+// TestDependenciesInAnyOrder: whatever order the records of a graph are read in, every controller comes
 // to the same.
 func TestDependenciesInAnyOrder(t *testing.T) {
 	steps := []string{"1", "2<1", "3<1", "4<2,3", "5<4", "6", "7<6,5", "8<7", "9<6"}
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -16,8 +16,8 @@
 )
 
 // The golden files hold what a landed version wrote into the state service. A file's name
-// tells the record and the layout that writes it so; "any" is one that every layout shares.
-// A difference means that nodes of two versions can't read each other's records.
+// tells the record and the layout that writes it so; "any" is one that every layout shards.
+// A difference means that controllers of two versions can't read each other's records.
 
 var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
 
--- a/internal/storage/images.go
+++ b/internal/storage/images.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// This file owns which images machines have, as far as the records tell. Every node derives
+// This file owns which images machines have, as far as the records tell. Every controller derives
 // it from what it follows, so that a new owner knows it too: one that took 90 machines over
 // knew only the images of what ran, and had replicas fetch for half a minute what lay next door.
 
--- a/internal/storage/packed_codec.go
+++ b/internal/storage/packed_codec.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// The packed layout writes the lists of racks, fleets and evicted sets as numbers in
-// a text: the plain one took 25 to 60 bytes a placed task, this one about 5. A rack's
+// The packed layout writes the lists of groups, fleets and evicted sets as numbers in
+// a text: the plain one took 25 to 60 bytes a placed task, this one about 5. A group's
 // record of the plain layout that is over a lower limit fits under it when it is
 // written anew.
 
@@ -208,7 +208,7 @@
 	packTasks
 )
 
-// pack writes a rack's machines and completed tasks.
+// pack writes a group's machines and completed tasks.
 func (r *GroupRecord) pack() string {
 	p := newPacker()
 	p.num(uint64(len(r.Machines)))
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -11,7 +11,7 @@
 
 // Records as the version in production before the packed layout writes them (commit
 // a8cf51d). Until the gate opens this version must read them and write the same, since
-// nodes of that version rewrite what they read and drop what they do not know.
+// controllers of that version rewrite what they read and drop what they do not know.
 var before = []struct{ key, value string }{
 	{Root + "fleet/host-000001", `{"t":4,"h":"t16","b":"a","l":true,"at":1700000000,"m":[{"h":"host-000001","r":0},{"h":"host-000002","r":0,"a":"10.1.0.2:9000"}]}`},
 	{Root + "job/job-000007", `{"s":{"c":"train","p":2,"cpu":4,"mem":4,"img":"img-1","gb":0.5,"ty":["t16"],"l":true,"e":10,"due":90},"at":1700000000123,"n":9,"tm":"red"}`},
