--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -31,27 +31,27 @@
 	LayoutKey        = Root + "layout"
 	// BarrierKey is written when the gate opens. The version before takes it for a record of
 	// the layout that it refuses, and so does not become ready if it is started again: it
-	// would read packed racks as empty ones and start what runs there twice.
+	// would read packed groups as empty ones and start what runs there twice.
 	BarrierKey = retiredPrefix + "packed"
 )
 
-// The layouts of the records. The packed one is written once every node reads it.
+// The layouts of the records. The packed one is written once every controller reads it.
 const (
 	LayoutPlain  = 1
 	LayoutPacked = 2
 )
 
-// LayoutRecord is the gate between the layouts: which one is written, and which nodes
+// LayoutRecord is the gate between the layouts: which one is written, and which controllers
 // have shown that they read the packed one. It never goes back.
 type LayoutRecord struct {
 	Version int      `json:"v"`
 	Members []string `json:"n,omitempty"`
 }
 
-// MemberKey is where a node says that it is alive.
+// MemberKey is where a controller says that it is alive.
 func MemberKey(name string) string { return memberPrefix + name }
 
-// ShardKey holds who owns a share.
+// ShardKey holds who owns a shard.
 func ShardKey(share int) string { return shardPrefix + strconv.Itoa(share) }
 
 // JobKey holds a job.
@@ -63,17 +63,17 @@
 // FleetKey holds what does not change of machines that came together.
 func FleetKey(id string) string { return fleetPrefix + id }
 
-// GroupKey holds a rack: the part of its machines' records that changes.
+// GroupKey holds a group: the part of its machines' records that changes.
 func GroupKey(rack int) string { return groupPrefix + strconv.Itoa(rack) }
 
 // VictimSetKey holds the evicted set that makes room for a job.
 func VictimSetKey(job string) string { return victimSetPrefix + job }
 
-// MemberRecord is a node's membership.
+// MemberRecord is a controller's membership.
 type MemberRecord struct {
 	Incarnation uint64 `json:"i"`
 	Public      string `json:"p"`
-	NotReady    bool   `json:"u,omitempty"` // reaches no worker: it must own no share
+	NotReady    bool   `json:"u,omitempty"` // reaches no worker: it must own no shard
 	Layout      int    `json:"v,omitempty"` // the latest layout that it reads
 	FrameLevel  int    `json:"f,omitempty"` // the level of the peers' frames that it reads
 }
@@ -84,7 +84,7 @@
 	Incarnation uint64 `json:"i"`
 }
 
-// ShardRecord says who owns a share, and under which token.
+// ShardRecord says who owns a shard, and under which token.
 type ShardRecord struct {
 	Member       string `json:"n"`
 	Incarnation  uint64 `json:"i"`
@@ -135,7 +135,7 @@
 // FleetRecord is what does not change of machines that came together. Only the
 // leader adds one; a machine that leaves is taken out by its owner.
 type FleetRecord struct {
-	FencingToken  uint64         `json:"t"` // of each machine, until its rack's record has a higher one
+	FencingToken  uint64         `json:"t"` // of each machine, until its group's record has a higher one
 	Type          string         `json:"h"`
 	Zone          string         `json:"b"`
 	Spot          bool           `json:"l,omitempty"`
@@ -144,25 +144,25 @@
 	Packed        string         `json:"y,omitempty"` // the machines, in the packed layout
 }
 
-// FleetMachine is one machine of a fleet record, with the rack that it is in for good.
+// FleetMachine is one machine of a fleet record, with the group that it is in for good.
 type FleetMachine struct {
 	Name  string `json:"h"`
 	Group int    `json:"r"`
 	Addr  string `json:"a,omitempty"`
 }
 
-// GroupRecord holds what changes of a group of machines that serve one share:
+// GroupRecord holds what changes of a group of machines that serve one shard:
 // writing them together is what lets hundreds of machines fit the state
 // service's rate of changes.
 type GroupRecord struct {
 	Shard        int              `json:"s"`
-	FencingToken uint64           `json:"t,omitempty"` // raised whenever the rack changes its share
+	FencingToken uint64           `json:"t,omitempty"` // raised whenever the group changes its shard
 	Machines     []GroupMachine   `json:"m,omitempty"` // those with something to say
 	Completed    []CompletedTasks `json:"e,omitempty"`
 	Packed       string           `json:"y,omitempty"` // machines and ended, in the packed layout
 }
 
-// GroupMachine is one machine of a rack.
+// GroupMachine is one machine of a group.
 type GroupMachine struct {
 	Name         string `json:"h"`
 	FencingToken uint64 `json:"t,omitempty"`
@@ -173,7 +173,7 @@
 	// Draining: nothing more is placed, what saves is moved off, and the machine is
 	// returned once it is empty.
 	Draining bool `json:"d,omitempty"`
-	// Moved: it was in another rack before, whatever its fleet's record says.
+	// Moved: it was in another group before, whatever its fleet's record says.
 	Moved bool          `json:"mv,omitempty"`
 	Tasks []PlacedTasks `json:"x,omitempty"`
 }
@@ -228,7 +228,7 @@
 	return raw
 }
 
-// EncodeGroup writes a rack's record.
+// EncodeGroup writes a group's record.
 func EncodeGroup(r *GroupRecord, packed bool) json.RawMessage {
 	if packed {
 		r = &GroupRecord{Shard: r.Shard, FencingToken: r.FencingToken, Packed: r.pack()}
@@ -236,7 +236,7 @@
 	return Encode(r)
 }
 
-// DecodeGroup reads a rack's record of either layout.
+// DecodeGroup reads a group's record of either layout.
 func DecodeGroup(raw json.RawMessage) (r GroupRecord, err error) {
 	if err = json.Unmarshal(raw, &r); err == nil && r.Packed != "" {
 		err = r.unpack(r.Packed)
@@ -360,7 +360,7 @@
 	return rest, ok && rest != ""
 }
 
-// GroupOf takes a rack's key apart.
+// GroupOf takes a group's key apart.
 func GroupOf(key string) (int, bool) {
 	num, ok := keySuffix(key, groupPrefix)
 	if !ok {
--- a/internal/storage/team_bounds.go
+++ b/internal/storage/team_bounds.go
@@ -8,8 +8,8 @@
 	"dykeledge/internal/config"
 )
 
-// This file owns the records of teams' guarantees and limits that were changed since the settings file. A node of a version
-// before it reads no such key, and would go by the settings file: they are written only once every node that the settings
+// This file owns the records of teams' guarantees and limits that were changed since the settings file. A controller of a version
+// before it reads no such key, and would go by the settings file: they are written only once every controller that the settings
 // name reads them (LayoutTeams).
 
 const teamPrefix = Root + "team/"
@@ -80,5 +80,5 @@
 	return nil
 }
 
-// TeamChangesEnabled tells whether every node reads changed teams, so that there may be some.
+// TeamChangesEnabled tells whether every controller reads changed teams, so that there may be some.
 func (b *Cache) TeamChangesEnabled() bool { return b.Layout.Version >= LayoutTeams && !b.ForcePlain }
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -69,7 +69,7 @@
 
 const adminTimeout = 3 * time.Second
 
-// AdminLimits bound what readers of the administration API cost a node.
+// AdminLimits bound what readers of the administration API cost a controller.
 type AdminLimits struct {
 	ViewReaders int           // requests for the view that are served at a time
 	SendWithin  time.Duration // a reader that takes longer to take an answer is dropped
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -268,7 +268,7 @@
 	return &Cloud{client: newHostClient(s.External.Cloud, 8), budget: CloudBudget(&s.Deployment)}
 }
 
-// CloudBudget keeps a node under the cloud's rate, which the leader uses nearly alone.
+// CloudBudget keeps a controller under the cloud's rate, which the leader uses nearly alone.
 func CloudBudget(d *config.Deployment) *Budget {
 	r := d.Cloud.RPS
 	return NewBudget(0.8*r, max(1, 0.8*r))
@@ -335,7 +335,7 @@
 	}}
 }
 
-// Command sends commands straight to a worker and returns its report.
+// Command sends commands straight to a worker and returns its heartbeat.
 func (w *Workers) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (r *protocol.Heartbeat, status int, err error) {
 	status, err = exchange(w.client, addr, "POST", "/commands", cmd, time.Now().Add(timeout), func(_ int, body []byte) (err error) {
 		r, err = protocol.ParseHeartbeat(body)
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -139,7 +139,7 @@
 	return text
 }
 
-// peerStub is a node that always has everything to say.
+// peerStub is a controller that always has everything to say.
 type peerStub struct{ PeerCore }
 
 func (peerStub) PeerHeartbeat() protocol.PeerHeartbeat { return filled[protocol.PeerHeartbeat]() }
@@ -149,7 +149,7 @@
 	return filled[protocol.CancellationDigest](), true
 }
 
-// TestGoldenPeers pins the bytes with which a node begins to speak to another.
+// TestGoldenPeers pins the bytes with which a controller begins to speak to another.
 func TestGoldenPeers(t *testing.T) {
 	here, there := net.Pipe()
 	go NewPeers(&config.Settings{MemberName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler)).speak(t.Context(), here, "n-1")
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -76,7 +76,7 @@
 		defer close(ended)
 		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection is over
 	}()
-	// Before it is a member its number is 0: in an outage newborn nodes must hear one another.
+	// Before it is a member its number is 0: in an outage restarted controllers must hear one another.
 	buf, err := protocol.AppendFrame(nil, protocol.Hello{Member: p.cfg.MemberName, Incarnation: p.core.Incarnation()})
 	if err != nil {
 		p.log.Error("hello cannot be written", "err", err)
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -271,7 +271,7 @@
 }
 
 // A link whose other side had given it up was written to for ever, so that side
-// never heard this node again.
+// never heard this controller again.
 func TestSpeakEndsWithTheOtherSide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := &fakeCore{heard: make(chan string, 10)}
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -12,11 +12,11 @@
 	"dykeledge/internal/protocol"
 )
 
-// StateBudget keeps one node under its part of the state service's rates.
+// StateBudget keeps one controller under its part of the state service's rates.
 type StateBudget struct {
 	reqs, writes *Budget
 	reserve      float64       // kept for what must not wait
-	limit        atomic.Uint64 // changes a second for all nodes, as bits of a float64
+	limit        atomic.Uint64 // changes a second for all controllers, as bits of a float64
 	members      float64
 	changesUsed  atomic.Uint64 // changes so far
 }
@@ -25,7 +25,7 @@
 // longer is refused at once, and the user told to come back.
 const userWait = 600 * time.Millisecond
 
-// NewStateBudget gives every node the same part, until SetRateShare.
+// NewStateBudget gives every controller the same part, until SetRateShare.
 func NewStateBudget(d *config.Deployment) *StateBudget {
 	n := float64(max(1, d.Controllers))
 	fair := 0.9 * d.State.RPS / n
@@ -35,9 +35,9 @@
 	return b
 }
 
-// SetRateShare sets this node's part of the rate of changes: a little for every node,
-// some for the leader, and most in proportion to what the node commits for. What the
-// nodes together leave unused each may use evenly: used is what this node makes of it
+// SetRateShare sets this controller's part of the rate of changes: a little for every controller,
+// some for the leader, and most in proportion to what the controller commits for. What the
+// controllers together leave unused each may use evenly: used is what this controller makes of it
 // in changes a second and others what the others do, below 0 if that is not known.
 func (b *StateBudget) SetRateShare(part float64, leads bool, used, others float64) {
 	r := 0.16/b.members + 0.7*part
@@ -51,15 +51,15 @@
 	b.writes.SetRate(r)
 }
 
-// SetLimit sets the rate of changes for all nodes; SetRateShare parts it.
+// SetLimit sets the rate of changes for all controllers; SetRateShare parts it.
 func (b *StateBudget) SetLimit(rate float64) { b.limit.Store(math.Float64bits(rate)) }
 
 func (b *StateBudget) total() float64 { return math.Float64frombits(b.limit.Load()) }
 
-// lendable is the part of the rate up to which nodes lend one another what they do not use.
+// lendable is the part of the rate up to which controllers lend one another what they do not use.
 const lendable = 0.9
 
-// ChangesUsed is how many changes this node has made.
+// ChangesUsed is how many changes this controller has made.
 func (b *StateBudget) ChangesUsed() uint64 { return b.changesUsed.Load() }
 
 // Pace is how long it takes until a transaction of n changes may go out.
@@ -67,7 +67,7 @@
 	return max(b.writes.Delay(float64(n), b.reserve), b.reqs.Delay(1, b.reserve))
 }
 
-// StepBack is called when the service says that all nodes together were too fast:
+// StepBack is called when the service says that all controllers together were too fast:
 // each steps back for a moment of its own. It returns how long.
 func (b *StateBudget) StepBack() time.Duration {
 	wait := time.Duration(100+rand.IntN(200)) * time.Millisecond
@@ -96,7 +96,7 @@
 		return nil
 	case protocol.UserRequest:
 		// After an outage all users come at once: their changes go ahead of the
-		// node's own, on credit.
+		// controller's own, on credit.
 		wait, ok := b.writes.Reserve(float64(n), -b.total()/b.members, userWait)
 		if !ok {
 			return fmt.Errorf("%w: the budget allows it in %v", protocol.ErrRefused, wait)
--- a/internal/transport/statebudget_test.go
+++ b/internal/transport/statebudget_test.go
@@ -13,7 +13,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// After an outage submissions waited 4.5 s for what a node's own work had left of the
+// After an outage submissions waited 4.5 s for what a controller's own work had left of the
 // budget, and were refused then. They go ahead of it, and what cannot is refused at once.
 func TestUsersGoAheadOnCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// The parts of all nodes together stay under the service's rate, whoever leads and
+// The parts of all controllers together stay under the service's rate, whoever leads and
 // however the machines are spread.
 func TestPartsAddUp(t *testing.T) {
 	for _, parts := range [][]float64{{0.2, 0.2, 0.2, 0.2, 0.2}, {1, 0, 0, 0, 0}, {0.6, 0.4, 0, 0, 0}} {
@@ -73,12 +73,12 @@
 	}
 }
 
-// In a flood of small jobs nodes that own nothing refused submissions, while the owners
+// In a flood of small jobs controllers that own nothing refused submissions, while the owners
 // left most of the rate unused.
 func TestUnusedRateIsLent(t *testing.T) {
 	cases := []struct {
 		name string
-		used []float64 // by node: changes a second, of 80
+		used []float64 // by controller: changes a second, of 80
 		want []float64 // at least
 		most float64   // all together, as far as they use more than before
 	}{
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -10,8 +10,8 @@
 )
 
 // A feed hands a snapshot's changes over in pages, oldest change first. A reader names the
-// last change that it has, so a node keeps nothing for it; what it has is whole once a page
-// says that no more follow, and that page carries the head. Between two pages the node may
+// last change that it has, so a controller keeps nothing for it; what it has is whole once a page
+// says that no more follow, and that page carries the head. Between two pages the controller may
 // have taken a newer snapshot: a row that changed meanwhile moves towards the end and comes
 // there, so the last page still completes one revision.
 
@@ -24,7 +24,7 @@
 	flagMore    = 2
 	flagGone    = 0x80
 	// MaxPage is about how many bytes a page has at most: with it the memory that slow
-	// readers cost a node is bounded.
+	// readers cost a controller is bounded.
 	MaxPage    = 64 << 10
 	maxText    = 256
 	maxVictims = 100_000
@@ -36,7 +36,7 @@
 // ErrFeed says that what came is no valid page; the reader has to begin anew.
 var ErrFeed = errors.New("malformed page of the view")
 
-// AppendPage writes the changes after a cursor as far as a page holds them. now is the node's
+// AppendPage writes the changes after a cursor as far as a page holds them. now is the controller's
 // clock, in milliseconds of the day's: against it readers tell how old the snapshot is.
 func (s *Snapshot) AppendPage(b []byte, scope Scope, cur Cursor, now int64) []byte {
 	flags := byte(0)
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -92,7 +92,7 @@
 	model.DropEviction(newest)
 }
 
-// goldenClock is the node's clock when it writes a page.
+// goldenClock is the controller's clock when it writes a page.
 const goldenClock = 1700000006000
 
 // goldenReader follows a feed and holds each of its pages against the golden files.
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -34,7 +34,7 @@
 }
 
 // Model is the read model. One goroutine owns it. Its maps are copied on write: a copy of a
-// whole map costs nothing, and a change after it copies the few nodes on its way.
+// whole map costs nothing, and a change after it copies the few controllers on its way.
 type Model struct {
 	teams     []Team // guarantee and limit only
 	team      map[string]int
@@ -74,7 +74,7 @@
 	return m
 }
 
-// NewMirror is an empty copy of another node's model, for one who reads its feed.
+// NewMirror is an empty copy of another controller's model, for one who reads its feed.
 func NewMirror() *Model {
 	m := NewModel(nil)
 	m.mirror = true
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -242,7 +242,7 @@
 	f.RateMicro += n * m.Price
 }
 
-// Member is a controller node's row.
+// Member is a controller controller's row.
 type Member struct {
 	Name   string   `json:"name"`
 	Alive  bool     `json:"alive"`
@@ -254,13 +254,13 @@
 // Head is what a snapshot says of itself, and the sums at its revision.
 type Head struct {
 	Member   string   `json:"node"`  // that made it
-	Epoch    uint64   `json:"epoch"` // of that node's model: sequence numbers compare within one only
+	Epoch    uint64   `json:"epoch"` // of that controller's model: sequence numbers compare within one only
 	Seq      uint64   `json:"seq"`
 	Revision uint64   `json:"revision"`
-	Now      int64    `json:"now_ms"`   // the node's clock when it answered
+	Now      int64    `json:"now_ms"`   // the controller's clock when it answered
 	AsOf     int64    `json:"as_of_ms"` // when the revision was certainly the latest one, by the same clock
 	Since    int64    `json:"since_ms"` // jobs that ended before are not listed
-	StateOK  bool     `json:"state_ok"` // the state service serves the node
+	StateOK  bool     `json:"state_ok"` // the state service serves the controller
 	Scope    string   `json:"scope"`    // the team that it is for, "" for operators
 	Teams    []Team   `json:"teams"`
 	Others   *Totals  `json:"others,omitempty"` // all teams that the scope leaves out
@@ -278,12 +278,12 @@
 	return nil
 }
 
-// Reason says why a job's tasks wait, as the node that was asked knows it.
+// Reason says why a job's tasks wait, as the controller that was asked knows it.
 type Reason struct {
 	Job    string `json:"job"`
 	Why    string `json:"why"` // "": none of its tasks waits
 	Member string `json:"node"`
-	// Owner tells that the node owns the job's share, and so decides.
+	// Owner tells that the controller owns the job's shard, and so decides.
 	Owner bool  `json:"owner"`
 	At    int64 `json:"at_ms"`
 }
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -5,7 +5,7 @@
 // Scope is whose view it is: one team's, or the operators' if it is empty. What a team may
 // not know leaves out here, where the view is made, and never reaches the one who draws it:
 // of other teams it sees one sum. It is given no machines (others' tasks are on them) and no
-// node's name.
+// controller's name.
 type Scope string
 
 // Operators see everything.
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -197,7 +197,7 @@
 }
 
 // BenchmarkSnapshot is what the core's goroutine pays: a snapshot, and a change after it, which
-// copies the nodes on its way.
+// copies the controllers on its way.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
 		m := large(n, n/16)
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -1,4 +1,4 @@
-// Package viewclient follows a deployment's read model from outside: it asks one node, goes on to
+// Package viewclient follows a deployment's read model from outside: it asks one controller, goes on to
 // the next when that one fails, and shows only what is whole and no older than what it
 // has shown before.
 package viewclient
@@ -14,17 +14,17 @@
 	"dykeledge/internal/view"
 )
 
-// Source asks the nodes of a deployment.
+// Source asks the controllers of a deployment.
 type Source interface {
-	// Nodes are the names by which the nodes are called in messages to people.
+	// Controllers are the names by which the controllers are called in messages to people.
 	Nodes() []string
-	// Page asks a node for the changes after a cursor, and lets it wait that long for some.
+	// Page asks a controller for the changes after a cursor, and lets it wait that long for some.
 	Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error)
-	// Reasons asks a node why jobs wait.
+	// Reasons asks a controller why jobs wait.
 	Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error)
 }
 
-// Errors of a source that another node would not answer better.
+// Errors of a source that another controller would not answer better.
 var (
 	ErrOff    = errors.New("the view is switched off on this node")
 	ErrNoTeam = errors.New("no such team")
@@ -33,7 +33,7 @@
 // State is what a viewer shows now.
 type State struct {
 	*view.Snapshot        // nil: nothing yet
-	Asked          string // the node that it came from
+	Asked          string // the controller that it came from
 	Sent           time.Time
 	Trouble        string // why it may be older than it should, "" if all is well
 }
@@ -52,11 +52,11 @@
 
 // How a follower asks.
 const (
-	waitNew    = 500 * time.Millisecond // a node may wait for something new
+	waitNew    = 500 * time.Millisecond // a controller may wait for something new
 	answerIn   = 4 * time.Second
 	retryFirst = 200 * time.Millisecond
 	retryMost  = 5 * time.Second
-	turnFirst  = 3 * time.Second // a node that is behind is left after
+	turnFirst  = 3 * time.Second // a controller that is behind is left after
 	turnMost   = time.Minute
 )
 
@@ -103,7 +103,7 @@
 	f.set(&s)
 }
 
-// Run follows until ctx ends, or until a node gives an answer that no other would change:
+// Run follows until ctx ends, or until a controller gives an answer that no other would change:
 // the view is off everywhere, or there is no such team.
 func (f *Follower) Run(ctx context.Context) error {
 	retry, off := retryFirst, 0
@@ -144,7 +144,7 @@
 
 var errBehind = errors.New("behind the state service, asking another node")
 
-// follow reads one node's feed until something is wrong with it.
+// follow reads one controller's feed until something is wrong with it.
 func (f *Follower) follow(ctx context.Context, node int) error {
 	mirror, cur := view.NewMirror(), view.Cursor{}
 	var behind time.Time
@@ -197,7 +197,7 @@
 			}
 		}
 		if !behind.IsZero() && now.Sub(behind) > f.turn && len(f.src.Nodes()) > 1 {
-			f.turn = min(turnMost, 2*f.turn) // in an outage all nodes are behind
+			f.turn = min(turnMost, 2*f.turn) // in an outage all controllers are behind
 			return errBehind
 		}
 		sleep(ctx, f.pause)
@@ -211,8 +211,8 @@
 	Got time.Time
 }
 
-// Reasons tells why jobs wait, from the nodes that decide it where they answer. What only such
-// a node's memory holds is as old as its answer.
+// Reasons tells why jobs wait, from the controllers that decide it where they answer. What only such
+// a controller's memory holds is as old as its answer.
 func (f *Follower) Reasons(ctx context.Context, ids []string) map[string]Why {
 	ids = ids[:min(len(ids), view.MaxReasons)]
 	out := map[string]Why{}
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -12,7 +12,7 @@
 	"dykeledge/internal/view"
 )
 
-// script is a source whose nodes answer as told.
+// script is a source whose controllers answer as told.
 type script struct {
 	nodes  []func(cur view.Cursor) ([]byte, error)
 	asked  []int
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestNeverBack: when the node that is asked ends, the next one may know less. What was shown
+// TestNeverBack: when the controller that is asked ends, the next one may know less. What was shown
 // stays until it knows as much.
 func TestNeverBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -135,7 +135,7 @@
 	})
 }
 
-// TestReasons: the node that decides why a job waits is believed, whoever answers first.
+// TestReasons: the controller that decides why a job waits is believed, whoever answers first.
 func TestReasons(t *testing.T) {
 	src := &script{nodes: make([]func(view.Cursor) ([]byte, error), 2), reason: func(node int) []view.Reason {
 		if node == 1 {
--- a/internal/viewclient/http.go
+++ b/internal/viewclient/http.go
@@ -16,20 +16,20 @@
 	"dykeledge/internal/view"
 )
 
-// HTTP asks nodes through their administration API.
+// HTTP asks controllers through their administration API.
 type HTTP struct {
 	addrs  []string
 	client *fasthttp.Client
 }
 
-// NewHTTP asks the nodes at these addresses, their peer_listen.
+// NewHTTP asks the controllers at these addresses, their peer_listen.
 func NewHTTP(addrs []string) *HTTP {
 	return &HTTP{addrs: addrs, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxResponseBodySize: 4 * view.MaxPage, MaxIdleConnDuration: 10 * time.Second,
 		Dial: func(a string) (net.Conn, error) { return net.DialTimeout("tcp", a, time.Second) }}}
 }
 
-// Nodes are the addresses.
+// Controllers are the addresses.
 func (h *HTTP) Nodes() []string { return h.addrs }
 
 func (h *HTTP) get(ctx context.Context, node int, path string, q url.Values) ([]byte, error) {
@@ -60,13 +60,13 @@
 	return nil, errors.New(r.Error)
 }
 
-// Page asks a node for changes.
+// Page asks a controller for changes.
 func (h *HTTP) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
 	return h.get(ctx, node, "/view", url.Values{"team": {string(scope)}, "epoch": {strconv.FormatUint(cur.Epoch, 10)},
 		"seq": {strconv.FormatUint(cur.Seq, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}})
 }
 
-// Reasons asks a node why jobs wait.
+// Reasons asks a controller why jobs wait.
 func (h *HTTP) Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error) {
 	raw, err := h.get(ctx, node, "/view/reasons", url.Values{"team": {string(scope)}, "jobs": {strings.Join(ids, ",")}})
 	if err != nil {
