--- a/cmd/dykectl/config.go
+++ b/cmd/dykectl/config.go
@@ -25,9 +25,9 @@
 dykectl up writes a context for the cluster that it runs.`
 
 func (a *app) configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "The configuration file and its contexts", Long: configHelp, Args: cobra.NoArgs,
+	command := &cobra.Command{Use: "config", Short: "The configuration file and its contexts", Long: configHelp, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
-	c.AddCommand(&cobra.Command{Use: "check [FILE]", Short: "Check a configuration file and exit", Args: cobra.MaximumNArgs(1),
+	command.AddCommand(&cobra.Command{Use: "check [FILE]", Short: "Check a configuration file and exit", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path, err := a.path()
 			if err != nil {
@@ -44,19 +44,19 @@
 			return err
 		}}, &cobra.Command{Use: "contexts", Short: "List the clusters", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			f, err := a.file()
+			file, err := a.file()
 			if err != nil {
 				return err
 			}
 			var rows [][]string
-			for _, n := range slices.Sorted(maps.Keys(f.Contexts)) {
-				x, mark := f.Contexts[n], ""
-				if n == f.Current {
+			for _, n := range slices.Sorted(maps.Keys(file.Contexts)) {
+				x, mark := file.Contexts[n], ""
+				if n == file.Current {
 					mark = "*"
 				}
 				rows = append(rows, []string{mark, n, x.Users, strings.Join(x.Nodes, ","), x.Team})
 			}
-			return a.print(cmd.OutOrStdout(), f, []string{"", "NAME", "USERS", "NODES", "TEAM"}, rows)
+			return a.print(cmd.OutOrStdout(), file, []string{"", "NAME", "USERS", "NODES", "TEAM"}, rows)
 		}}, &cobra.Command{Use: "use NAME", Short: "Choose the current cluster", Args: cobra.ExactArgs(1),
 		ValidArgsFunction: func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 			return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
@@ -75,5 +75,5 @@
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), "current context is", args[0])
 			return err
 		}})
-	return c
+	return command
 }
--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -44,11 +44,11 @@
 }
 
 func (a *app) submitCommand() *cobra.Command {
-	var s protocol.Submission
+	var submission protocol.Submission
 	var priority, file string
 	var service, ordinary, fails, wait bool
 	var estimate, run, checkpoint, save, due time.Duration
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "submit", Short: "Submit a job", Args: cobra.NoArgs,
 		Long: "Submit a job. A command that got no answer may be repeated with the same --id: there will be one job.",
 		Example: "  dykectl submit --team red --tasks 8 --cpus 2 --estimate 30s --due 5m\n" +
@@ -67,21 +67,21 @@
 				if err != nil {
 					return usage(fmt.Errorf("%s: %w", file, err))
 				}
-				s = *p
+				submission = *p
 			} else {
 				prio, ok := protocol.ParsePriority(priority)
 				if !ok {
 					return usage(errors.New("--priority is low, normal, high or production"))
 				}
-				s.Priority, s.Spot = prio, !ordinary
+				submission.Priority, submission.Spot = prio, !ordinary
 				if service {
-					s.Shape, estimate = protocol.Service, 0
+					submission.Shape, estimate = protocol.Service, 0
 				}
-				if s.ID == "" {
-					s.ID = fmt.Sprintf("job-%012d", rand.Uint64N(1e12))
+				if submission.ID == "" {
+					submission.ID = fmt.Sprintf("job-%012d", rand.Uint64N(1e12))
 				}
-				s.EstimateS, s.CheckpointS, s.CheckpointCostS, s.DeadlineS = estimate.Seconds(), checkpoint.Seconds(), save.Seconds(), due.Seconds()
-				if body, err = protocol.EncodeSubmission(&s); err != nil {
+				submission.EstimateS, submission.CheckpointS, submission.CheckpointCostS, submission.DeadlineS = estimate.Seconds(), checkpoint.Seconds(), save.Seconds(), due.Seconds()
+				if body, err = protocol.EncodeSubmission(&submission); err != nil {
 					return usage(err)
 				}
 				if _, err := protocol.ParseSubmission(body); err != nil {
@@ -90,61 +90,61 @@
 			}
 			if cluster.Uploads != "" {
 				if run == 0 {
-					run = time.Duration(s.EstimateS * float64(time.Second))
+					run = time.Duration(submission.EstimateS * float64(time.Second))
 				}
 				raw, err := client.Describe(body, run, fails)
 				if err != nil {
 					return usage(err)
 				}
-				if err := client.New(cluster.Uploads).Upload(s.ID, raw); err != nil {
+				if err := client.New(cluster.Uploads).Upload(submission.ID, raw); err != nil {
 					return failed(err)
 				}
 			}
-			u := a.users(cluster.Users)
-			st, err := u.Submit(cmd.Context(), body)
+			users := a.users(cluster.Users)
+			state, err := users.Submit(cmd.Context(), body)
 			if err != nil {
-				return outcome(fmt.Errorf("%s: %w", s.ID, err))
+				return outcome(fmt.Errorf("%s: %w", submission.ID, err))
 			}
-			for wait && !st.Status.Final() {
+			for wait && !state.Status.Final() {
 				select {
 				case <-cmd.Context().Done():
-					return failed(fmt.Errorf("%s goes on: it is %s", s.ID, st.Status))
+					return failed(fmt.Errorf("%s goes on: it is %s", submission.ID, state.Status))
 				case <-time.After(2 * time.Second):
 				}
-				if next, err := u.Status(s.ID); err == nil {
-					st = next
+				if next, err := users.Status(submission.ID); err == nil {
+					state = next
 				}
 			}
-			return a.printJobs(cmd.OutOrStdout(), []protocol.JobState{st})
+			return a.printJobs(cmd.OutOrStdout(), []protocol.JobState{state})
 		},
 	}
-	f := c.Flags()
-	f.StringVarP(&file, "file", "f", "", "submit what this `FILE` holds, as JSON; the other flags are not used")
-	f.StringVar(&s.ID, "id", "", "the job's `ID`, like job-000412 (default: a new one)")
-	f.StringVar(&s.Team, "team", "", "the `TEAM` whose guarantee and limit apply")
-	f.StringVar(&s.Class, "class", "manual", "class of jobs that it belongs to")
-	f.StringVar(&priority, "priority", "normal", "low, normal, high or production")
-	f.IntVar(&s.Tasks, "tasks", 1, "number of tasks")
-	f.Float64Var(&s.Cpus, "cpus", 1, "processors of each task")
-	f.Float64Var(&s.Gpus, "gpus", 0, "accelerators of each task")
-	f.Float64Var(&s.MemGB, "mem", 1, "memory of each task in GB")
-	f.StringVar(&s.Image, "image", "default", "image that a machine must have")
-	f.Float64Var(&s.ImageGB, "image-gb", 0.2, "its size in GB")
-	f.StringSliceVar(&s.Types, "type", nil, "allowed machine `TYPE` (may be repeated; default: any)")
-	f.StringVar(&s.Zone, "zone", "", "the only allowed `ZONE`")
-	f.BoolVar(&s.OneZone, "same-zone", false, "all tasks in one zone")
-	f.BoolVar(&s.Spread, "half-a-zone", false, "at most half of the tasks in one zone")
-	f.BoolVar(&ordinary, "ordinary", false, "no spot machines")
-	f.BoolVar(&service, "service", false, "runs until it is cancelled")
-	f.DurationVar(&estimate, "estimate", 10*time.Second, "how long a task will run")
-	f.DurationVar(&checkpoint, "checkpoint", 0, "progress after which a task saves (0: never)")
-	f.DurationVar(&save, "save", 0, "how long saving takes when it is stopped")
-	f.DurationVar(&due, "due", 0, "deadline, from now (0: none)")
-	f.StringSliceVar(&s.Dependencies, "after", nil, "`ID` of a job that must be done before (may be repeated)")
-	f.DurationVar(&run, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
-	f.BoolVar(&fails, "fails", false, "on an emulated cluster: it fails on every machine")
-	f.BoolVar(&wait, "wait", false, "wait until the job is over")
-	return c
+	flags := command.Flags()
+	flags.StringVarP(&file, "file", "f", "", "submit what this `FILE` holds, as JSON; the other flags are not used")
+	flags.StringVar(&submission.ID, "id", "", "the job's `ID`, like job-000412 (default: a new one)")
+	flags.StringVar(&submission.Team, "team", "", "the `TEAM` whose guarantee and limit apply")
+	flags.StringVar(&submission.Class, "class", "manual", "class of jobs that it belongs to")
+	flags.StringVar(&priority, "priority", "normal", "low, normal, high or production")
+	flags.IntVar(&submission.Tasks, "tasks", 1, "number of tasks")
+	flags.Float64Var(&submission.Cpus, "cpus", 1, "processors of each task")
+	flags.Float64Var(&submission.Gpus, "gpus", 0, "accelerators of each task")
+	flags.Float64Var(&submission.MemGB, "mem", 1, "memory of each task in GB")
+	flags.StringVar(&submission.Image, "image", "default", "image that a machine must have")
+	flags.Float64Var(&submission.ImageGB, "image-gb", 0.2, "its size in GB")
+	flags.StringSliceVar(&submission.Types, "type", nil, "allowed machine `TYPE` (may be repeated; default: any)")
+	flags.StringVar(&submission.Zone, "zone", "", "the only allowed `ZONE`")
+	flags.BoolVar(&submission.OneZone, "same-zone", false, "all tasks in one zone")
+	flags.BoolVar(&submission.Spread, "half-a-zone", false, "at most half of the tasks in one zone")
+	flags.BoolVar(&ordinary, "ordinary", false, "no spot machines")
+	flags.BoolVar(&service, "service", false, "runs until it is cancelled")
+	flags.DurationVar(&estimate, "estimate", 10*time.Second, "how long a task will run")
+	flags.DurationVar(&checkpoint, "checkpoint", 0, "progress after which a task saves (0: never)")
+	flags.DurationVar(&save, "save", 0, "how long saving takes when it is stopped")
+	flags.DurationVar(&due, "due", 0, "deadline, from now (0: none)")
+	flags.StringSliceVar(&submission.Dependencies, "after", nil, "`ID` of a job that must be done before (may be repeated)")
+	flags.DurationVar(&run, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
+	flags.BoolVar(&fails, "fails", false, "on an emulated cluster: it fails on every machine")
+	flags.BoolVar(&wait, "wait", false, "wait until the job is over")
+	return command
 }
 
 func (a *app) statusCommand() *cobra.Command {
@@ -170,11 +170,11 @@
 			return usage(fmt.Errorf("%q is no job's id: they are like job-000412", id))
 		}
 	}
-	u := a.users(cluster.Users)
+	users := a.users(cluster.Users)
 	list := []protocol.JobState{}
 	var first error
 	for _, id := range ids {
-		st, err := do(u, id)
+		st, err := do(users, id)
 		if err != nil {
 			if first == nil {
 				first = fmt.Errorf("%s: %w", id, err)
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -15,13 +15,13 @@
 func (a *app) loadCommand() *cobra.Command {
 	var seed uint64
 	var drain, poll time.Duration
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "load FILE", Short: "Submit jobs as a file describes them, and measure what becomes of them", Args: cobra.ExactArgs(1),
 		Long: "Submit jobs as a file describes them, and measure what becomes of them. Jobs come at their times, whether or\n" +
 			"not earlier ones were answered. See docs/dykectl.md for the file. Exit code 1: a job was told to be over and then\n" +
 			"something else, was rejected, or got no certain answer.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := loadgen.Load(args[0])
+			profile, err := loadgen.Load(args[0])
 			if err != nil {
 				return usage(err)
 			}
@@ -32,19 +32,19 @@
 			if seed == 0 {
 				seed = 1 + rand.Uint64N(1e9)
 			}
-			plan, err := p.Plan(seed)
+			plan, err := profile.Plan(seed)
 			if err != nil {
 				return usage(err)
 			}
 			a.log.Info("load begins", "jobs", len(plan), "seed", seed)
-			u := client.New(cluster.Users)
-			r := &loadgen.Runner{To: u, PollEvery: poll}
-			u.Retried = r.Retried
+			users := client.New(cluster.Users)
+			runner := &loadgen.Runner{To: users, PollEvery: poll}
+			users.Retried = runner.Retried
 			if cluster.Uploads != "" {
 				up := client.New(cluster.Uploads)
-				r.Upload = up.Upload
+				runner.Upload = up.Upload
 			}
-			res := r.Run(cmd.Context(), plan, drain)
+			res := runner.Run(cmd.Context(), plan, drain)
 			res.Seed = seed
 			if a.output == "json" {
 				err = json.NewEncoder(cmd.OutOrStdout()).Encode(res)
@@ -60,8 +60,8 @@
 			return nil
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", 0, "the same seed draws the same jobs (default: another each time)")
-	c.Flags().DurationVar(&drain, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
-	c.Flags().DurationVar(&poll, "poll", 5*time.Second, "about how often each job's user asks for it")
-	return c
+	command.Flags().Uint64Var(&seed, "seed", 0, "the same seed draws the same jobs (default: another each time)")
+	command.Flags().DurationVar(&drain, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
+	command.Flags().DurationVar(&poll, "poll", 5*time.Second, "about how often each job's user asks for it")
+	return command
 }
--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -56,35 +56,35 @@
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	a := &app{errs: errs, log: slog.New(slog.DiscardHandler)}
+	mainApp := &app{errs: errs, log: slog.New(slog.DiscardHandler)}
 	root := &cobra.Command{
 		Use: "dykectl", Short: "Use, watch and try out a dykeledge cluster", SilenceUsage: true, SilenceErrors: true,
 		Long: "Use, watch and try out a dykeledge cluster.\n\nExit codes: 0 done, 1 failed, 2 wrong use.",
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			var level slog.Level
-			if err := level.UnmarshalText([]byte(a.level)); err != nil {
+			if err := level.UnmarshalText([]byte(mainApp.level)); err != nil {
 				return usage(errors.New("--log-level is error, warn, info or debug"))
 			}
-			a.log = slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level}))
-			if a.output != "table" && a.output != "json" {
+			mainApp.log = slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level}))
+			if mainApp.output != "table" && mainApp.output != "json" {
 				return usage(errors.New("--output is table or json"))
 			}
 			return nil
 		},
 	}
-	f := root.PersistentFlags()
-	f.StringVar(&a.config, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
-	f.StringVar(&a.context, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
-	f.StringVarP(&a.output, "output", "o", "table", "table or json")
-	f.StringVar(&a.level, "log-level", "warn", "error, warn, info or debug, to standard error")
+	flags := root.PersistentFlags()
+	flags.StringVar(&mainApp.config, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
+	flags.StringVar(&mainApp.context, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
+	flags.StringVarP(&mainApp.output, "output", "o", "table", "table or json")
+	flags.StringVar(&mainApp.level, "log-level", "warn", "error, warn, info or debug, to standard error")
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp)) // the flag is there
 	_ = root.RegisterFlagCompletionFunc("context", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
-		return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
+		return mainApp.contextNames(), cobra.ShellCompDirectiveNoFileComp
 	})
 	root.AddCommand(&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version)
-	}}, a.upCommand(), a.loadCommand(), a.submitCommand(), a.statusCommand(), a.cancelCommand(), a.showCommand(), a.consoleCommand(),
-		a.recordCommand(), a.reportCommand(), a.configCommand(), a.scaleCommand())
+	}}, mainApp.upCommand(), mainApp.loadCommand(), mainApp.submitCommand(), mainApp.statusCommand(), mainApp.cancelCommand(), mainApp.showCommand(), mainApp.consoleCommand(),
+		mainApp.recordCommand(), mainApp.reportCommand(), mainApp.configCommand(), mainApp.scaleCommand())
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -109,20 +109,20 @@
 	if out, err := exec.Command("go", "build", "-o", controller, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	p := prog{t, filepath.Join(dir, "dykectl.toml")}
+	mainProg := prog{t, filepath.Join(dir, "dykectl.toml")}
 	faults := filepath.Join(dir, "faults.toml")
 	if err := os.WriteFile(faults, []byte("[[fault]]\nat_s = 6\nkind = \"crash\"\nnode = \"n1\"\n[[fault]]\nat_s = 9\nkind = \"cut\"\nnode = \"n2\"\nfor_s = 2\n[[fault]]\nat_s = 8\nkind = \"taken\"\npart = 0.3\nnotice_s = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	up := p.command("up", "--controller", controller, "--dir", filepath.Join(dir, "up"), "--machines", "12", "--speed", "8", "--fail", faults, "--log-level", "info")
+	command := mainProg.command("up", "--controller", controller, "--dir", filepath.Join(dir, "up"), "--machines", "12", "--speed", "8", "--fail", faults, "--log-level", "info")
 	var upOut, upErr bytes.Buffer
-	up.Stdout, up.Stderr = &upOut, &upErr
-	if err := up.Start(); err != nil {
+	command.Stdout, command.Stderr = &upOut, &upErr
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	over := make(chan struct{})
-	go func() { _ = up.Wait(); close(over) }()
-	t.Cleanup(func() { _ = up.Process.Kill(); <-over })
+	go func() { _ = command.Wait(); close(over) }()
+	t.Cleanup(func() { _ = command.Process.Kill(); <-over })
 	eventually := func(what string, f func() bool) {
 		t.Helper()
 		for range 600 { // only a bound: a slow machine takes longer, not another way
@@ -137,61 +137,64 @@
 		}
 		t.Fatalf("never: %s", what)
 	}
-	eventually("a context", func() bool { out, _, _ := p.run("config", "contexts"); return strings.Contains(out, "local") })
+	eventually("a context", func() bool { out, _, _ := mainProg.run("config", "contexts"); return strings.Contains(out, "local") })
 
-	out, errs, code := p.run("submit", "--id", "job-000412", "--team", "red", "--class", "train", "--tasks", "4", "--estimate", "8s", "--due", "5m", "-o", "json")
+	out, errs, code := mainProg.run("submit", "--id", "job-000412", "--team", "red", "--class", "train", "--tasks", "4", "--estimate", "8s", "--due", "5m", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") {
 		t.Fatalf("submit: %d %s %s", code, out, errs)
 	}
-	if out, errs, code = p.run("submit", "--team", "blue", "--after", "job-000412", "--estimate", "2s"); code != 0 {
+	if out, errs, code = mainProg.run("submit", "--team", "blue", "--after", "job-000412", "--estimate", "2s"); code != 0 {
 		t.Errorf("a pipeline: %d %s %s", code, out, errs)
 	}
-	if _, errs, code := p.run("submit", "--team", "grey"); code != 1 || !strings.Contains(errs, "unknown team") {
+	if _, errs, code := mainProg.run("submit", "--team", "grey"); code != 1 || !strings.Contains(errs, "unknown team") {
 		t.Errorf("an unknown team: %d %s", code, errs)
 	}
-	if out, errs, code = p.run("submit", "--id", "job-000413", "--team", "green", "--tasks", "2", "--service"); code != 0 {
+	if out, errs, code = mainProg.run("submit", "--id", "job-000413", "--team", "green", "--tasks", "2", "--service"); code != 0 {
 		t.Errorf("a service: %d %s %s", code, out, errs)
 	}
-	if _, errs, code := p.run("status", "job-000414"); code != 1 || !strings.Contains(errs, "no such job") {
+	if _, errs, code := mainProg.run("status", "job-000414"); code != 1 || !strings.Contains(errs, "no such job") {
 		t.Errorf("a job of nobody: %d %s", code, errs)
 	}
 	profile := filepath.Join(dir, "load.toml")
 	if err := os.WriteFile(profile, []byte("for_s = 8\n[[stream]]\nteam = \"guest\"\nper_minute = 300\ncpus = [0.5, 1]\nrun_s = [2, 8]\n[[stream]]\nteam = \"red\"\npriority = \"high\"\nper_minute = 60\nrun_s = [4]\ndue_in = 50\ncancel_part = 0.3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, errs, code = p.run("load", profile, "--seed", "3", "--poll", "1s", "-o", "json")
+	out, errs, code = mainProg.run("load", profile, "--seed", "3", "--poll", "1s", "-o", "json")
 	var res struct{ Jobs, Accepted, Done, Cancelled, Open int }
 	if err := json.Unmarshal([]byte(out), &res); err != nil || code != 0 || res.Accepted != res.Jobs || res.Done+res.Cancelled != res.Jobs || res.Jobs < 20 {
 		t.Errorf("load: %d %s %s %v", code, out, errs, err)
 	}
 	eventually("done", func() bool {
-		out, _, code := p.run("status", "job-000412", "-o", "json")
+		out, _, code := mainProg.run("status", "job-000412", "-o", "json")
 		var list []protocol.JobState
 		return code == 0 && json.Unmarshal([]byte(out), &list) == nil && list[0].Status == protocol.Done
 	})
 	for table, want := range map[string]string{"teams": "BORROWED", "nodes": "n3", "machines": "host-", "running": "job-000413", "finished": "job-000412", "queue": "revision", "evictions": "revision"} {
-		eventually("show "+table, func() bool { out, _, code := p.run("show", table); return code == 0 && strings.Contains(out, want) })
+		eventually("show "+table, func() bool {
+			out, _, code := mainProg.run("show", table)
+			return code == 0 && strings.Contains(out, want)
+		})
 	}
-	out, _, code = p.run("show", "finished", "--team", "red", "-o", "json")
+	out, _, code = mainProg.run("show", "finished", "--team", "red", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") || strings.Contains(out, "guest") || strings.Contains(out, "job-000413") {
 		t.Errorf("a team's view: %d %s", code, out)
 	}
-	if _, errs, code := p.run("show", "teams", "--team", "nobody"); code != 1 || !strings.Contains(errs, "no such team") {
+	if _, errs, code := mainProg.run("show", "teams", "--team", "nobody"); code != 1 || !strings.Contains(errs, "no such team") {
 		t.Errorf("a team of nobody: %d %s", code, errs)
 	}
-	if out, errs, code = p.run("cancel", "job-000413"); code != 0 || !strings.Contains(out, "cancelled") {
+	if out, errs, code = mainProg.run("cancel", "job-000413"); code != 0 || !strings.Contains(out, "cancelled") {
 		t.Errorf("cancel: %d %s %s", code, out, errs)
 	}
 	page := filepath.Join(dir, "page.html")
 	eventually("a report", func() bool {
-		out, _, code := p.run("report", "--team", "red", "--file", page)
+		out, _, code := mainProg.run("report", "--team", "red", "--file", page)
 		raw, err := os.ReadFile(page)
 		return code == 0 && err == nil && strings.Contains(string(raw), "Team red") && !strings.Contains(string(raw), "guest") && !strings.Contains(out, " 0 jobs")
 	})
-	if _, errs, code := p.run("up", "--controller", controller); code != 2 || !strings.Contains(errs, "--context") {
+	if _, errs, code := mainProg.run("up", "--controller", controller); code != 2 || !strings.Contains(errs, "--context") {
 		t.Errorf("a second cluster of the name: %d %s", code, errs)
 	}
-	if err := up.Process.Signal(syscall.SIGINT); err != nil {
+	if err := command.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -199,13 +202,13 @@
 	case <-time.After(time.Minute):
 		t.Fatal("it does not end")
 	}
-	if code := up.ProcessState.ExitCode(); code != 0 || !strings.Contains(upOut.String(), "tasks started") {
+	if code := command.ProcessState.ExitCode(); code != 0 || !strings.Contains(upOut.String(), "tasks started") {
 		t.Errorf("exit %d\n%s\n%s", code, upOut.String(), upErr.String())
 	}
 	if !strings.Contains(upErr.String(), "asked=true") {
 		t.Error("no controller was crashed")
 	}
-	if out, _, _ := p.run("config", "contexts"); strings.Contains(out, "local") {
+	if out, _, _ := mainProg.run("config", "contexts"); strings.Contains(out, "local") {
 		t.Error("the context of an ended cluster is left")
 	}
 	if found, _ := exec.Command("pgrep", "-f", controller).Output(); len(found) > 0 {
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -24,10 +24,10 @@
 const cellCommand = "cell" // what `dykectl scale run` starts for each cell
 
 func (a *app) scaleCommand() *cobra.Command {
-	c := &cobra.Command{Use: "scale", Short: "Measure controllers at a size that is yet to come",
+	command := &cobra.Command{Use: "scale", Short: "Measure controllers at a size that is yet to come",
 		Long: "Measure controllers at a size that is yet to come: real controllers, everything else hollow, on loopback. See\n" +
 			"docs/CAPACITY.md for what came of it."}
-	c.AddCommand(a.scaleRunCommand(), a.scaleReportCommand(), &cobra.Command{
+	command.AddCommand(a.scaleRunCommand(), a.scaleReportCommand(), &cobra.Command{
 		Use: "profile", Short: "Print the profile that is played unless another is named", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return toml.NewEncoder(cmd.OutOrStdout()).Encode(scaletest.DefaultProfile())
@@ -42,7 +42,7 @@
 			return nil
 		},
 	})
-	return c
+	return command
 }
 
 // scaleOptions are the flags of a scale run.
@@ -56,8 +56,8 @@
 }
 
 func (a *app) scaleRunCommand() *cobra.Command {
-	var o scaleOptions
-	c := &cobra.Command{
+	var mainScaleOptions scaleOptions
+	command := &cobra.Command{
 		Use: "run", Short: "Play a part of a profile and measure what it costs", Args: cobra.NoArgs,
 		Long: "Play a part of a profile and measure what it costs. Each region is a process with its own controllers, state service,\n" +
 			"cloud, workers and users. Ctrl-C ends all of it. Exit code 1: a rule was broken, a controller ended by itself, or\n" +
@@ -66,22 +66,24 @@
 			"  population  all workers and running tasks, at a lower start rate\n" +
 			"  changes     peak with changes of teams' guarantees and limits\n" +
 			"  troubles    changes with a day's failures pressed into the measured time, a rack, a switch, a zone, ends of controllers",
-		RunE: func(cmd *cobra.Command, _ []string) error { return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &o) },
-	}
-	f := c.Flags()
-	f.StringVar(&o.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
-	f.StringVar(&o.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
-	f.StringVar(&o.regions, "regions", string(scaletest.LargestRegion), "largest or all")
-	f.StringVar(&o.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
-	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
-	f.StringVar(&o.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
-	f.StringVar(&o.out, "out", "", "`FILE` to which the points are added as lines of JSON")
-	f.StringVar(&o.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
-	f.StringVar(&o.commit, "commit", "", "commit of the controller that is measured, for the points")
-	f.Uint64Var(&o.seed, "seed", 1, "of the load and the machines")
-	f.DurationVar(&o.warmUp, "warm-up", 40*time.Second, "time before it is measured")
-	f.DurationVar(&o.measure, "measure", time.Minute, "measured time")
-	return c
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &mainScaleOptions)
+		},
+	}
+	flags := command.Flags()
+	flags.StringVar(&mainScaleOptions.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
+	flags.StringVar(&mainScaleOptions.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
+	flags.StringVar(&mainScaleOptions.regions, "regions", string(scaletest.LargestRegion), "largest or all")
+	flags.StringVar(&mainScaleOptions.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
+	flags.StringVar(&mainScaleOptions.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	flags.StringVar(&mainScaleOptions.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
+	flags.StringVar(&mainScaleOptions.out, "out", "", "`FILE` to which the points are added as lines of JSON")
+	flags.StringVar(&mainScaleOptions.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
+	flags.StringVar(&mainScaleOptions.commit, "commit", "", "commit of the controller that is measured, for the points")
+	flags.Uint64Var(&mainScaleOptions.seed, "seed", 1, "of the load and the machines")
+	flags.DurationVar(&mainScaleOptions.warmUp, "warm-up", 40*time.Second, "time before it is measured")
+	flags.DurationVar(&mainScaleOptions.measure, "measure", time.Minute, "measured time")
+	return command
 }
 
 // parseFraction reads 0.25 or 1/4.
@@ -100,45 +102,45 @@
 
 // request checks the flags.
 func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
-	p, r := scaletest.DefaultProfile(), scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
+	profile, scaletestRequest := scaletest.DefaultProfile(), scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
-		if p, err = scaletest.LoadProfile(o.profile); err != nil {
-			return p, r, err
+		if profile, err = scaletest.LoadProfile(o.profile); err != nil {
+			return profile, scaletestRequest, err
 		}
 	}
-	if r.Fraction, err = parseFraction(o.fraction); err != nil {
-		return p, r, err
+	if scaletestRequest.Fraction, err = parseFraction(o.fraction); err != nil {
+		return profile, scaletestRequest, err
 	}
 	switch {
-	case !slices.Contains(scaletest.Cuts(), r.Cut):
-		return p, r, errors.New("--cut is peak, population, changes or troubles")
-	case r.Regions != scaletest.LargestRegion && r.Regions != scaletest.AllRegions:
-		return p, r, errors.New("--regions is largest or all")
+	case !slices.Contains(scaletest.Cuts(), scaletestRequest.Cut):
+		return profile, scaletestRequest, errors.New("--cut is peak, population, changes or troubles")
+	case scaletestRequest.Regions != scaletest.LargestRegion && scaletestRequest.Regions != scaletest.AllRegions:
+		return profile, scaletestRequest, errors.New("--regions is largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
-		return p, r, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
+		return profile, scaletestRequest, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
 	}
-	r.Program, err = controller(o.program)
-	return p, r, err
+	scaletestRequest.Program, err = controller(o.program)
+	return profile, scaletestRequest, err
 }
 
-func (a *app) scaleRun(ctx context.Context, out io.Writer, o *scaleOptions) (err error) {
-	p, r, err := o.request()
+func (a *app) scaleRun(ctx context.Context, out io.Writer, mainScaleOptions *scaleOptions) (err error) {
+	profile, request, err := mainScaleOptions.request()
 	if err != nil {
 		return usage(err)
 	}
-	if r.Dir == "" {
-		if r.Dir, err = os.MkdirTemp("", "dykectl-scale-"); err != nil {
+	if request.Dir == "" {
+		if request.Dir, err = os.MkdirTemp("", "dykectl-scale-"); err != nil {
 			return failed(err)
 		}
 		defer func() {
 			if err == nil { // what went wrong is in the logs
-				err = os.RemoveAll(r.Dir)
+				err = os.RemoveAll(request.Dir)
 			}
 		}()
 	}
-	if r.Dir, err = filepath.Abs(r.Dir); err != nil {
+	if request.Dir, err = filepath.Abs(request.Dir); err != nil {
 		return failed(err)
 	}
 	self, err := os.Executable()
@@ -148,11 +150,11 @@
 	launcher := scaletest.Launcher{Errs: a.errs, Command: func(ctx context.Context) *exec.Cmd {
 		return exec.CommandContext(ctx, self, "scale", cellCommand)
 	}}
-	points, err := launcher.Run(ctx, p.Cells(r))
+	points, err := launcher.Run(ctx, profile.Cells(request))
 	if err != nil {
-		err = fmt.Errorf("%w (logs are in %s)", err, r.Dir)
+		err = fmt.Errorf("%w (logs are in %s)", err, request.Dir)
 	}
-	if err = errors.Join(err, o.keep(points), a.printPoints(out, points)); err != nil {
+	if err = errors.Join(err, mainScaleOptions.keep(points), a.printPoints(out, points)); err != nil {
 		return failed(err)
 	}
 	return nil
@@ -160,43 +162,43 @@
 
 // keep adds points to the file that was asked for, and tells what is wrong with them.
 func (o *scaleOptions) keep(points []*scaletest.Point) error {
-	var to io.Writer = io.Discard
+	var out io.Writer = io.Discard
 	if o.out != "" {
 		f, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		to = f
+		out = f
 	}
 	var bad []error
 	for _, p := range points {
 		if p != nil {
-			bad = append(bad, p.Write(to), p.Verdict())
+			bad = append(bad, p.Write(out), p.Verdict())
 		}
 	}
 	return errors.Join(bad...)
 }
 
 func (a *app) printPoints(out io.Writer, points []*scaletest.Point) error {
-	tw := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(tw, "region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
-	for _, p := range points {
-		if p == nil {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
+	for _, point := range points {
+		if point == nil {
 			continue
 		}
 		mark := ""
-		if p.Overloaded {
+		if point.Overloaded {
 			mark = " OVERLOADED"
 		}
-		fmt.Fprintf(tw, "%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", p.Region, p.Up, p.OfferedS, p.StartsPerS, p.Running,
-			p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.WorkerOutBps+p.WorkerInBps, p.LeaseKills, p.HollowCores, p.LatenessMs.P99, mark)
-		for _, c := range p.Controllers {
-			fmt.Fprintf(tw, " %s %.2f, %.0f, %d;", c.Role, c.Cores, c.MemMB, c.Sockets)
+		fmt.Fprintf(table, "%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", point.Region, point.Up, point.OfferedS, point.StartsPerS, point.Running,
+			point.UrgentMs.P50, point.UrgentMs.P99, point.UrgentMs.Max, point.WorkerOutBps+point.WorkerInBps, point.LeaseKills, point.HollowCores, point.LatenessMs.P99, mark)
+		for _, c := range point.Controllers {
+			fmt.Fprintf(table, " %s %.2f, %.0f, %d;", c.Role, c.Cores, c.MemMB, c.Sockets)
 		}
-		fmt.Fprintln(tw, "\t")
+		fmt.Fprintln(table, "\t")
 	}
-	return tw.Flush()
+	return table.Flush()
 }
 
 func (a *app) scaleReportCommand() *cobra.Command {
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -36,25 +36,27 @@
 }
 
 func (a *app) upCommand() *cobra.Command {
-	var o upOptions
-	c := &cobra.Command{
+	var mainUpOptions upOptions
+	command := &cobra.Command{
 		Use: "up", Short: "Run a whole cluster on this machine", Args: cobra.NoArgs,
 		Long: "Run a whole cluster on this machine: three controllers, which are real processes of dykeledge, and in this process a\n" +
 			"state service, a cloud, workers and a load balancer on loopback ports. Tasks are played, not run. It ends with\n" +
 			"Ctrl-C or --for, and with it all that it started. Exit code 1: a rule of the protocol was broken, or a controller\n" +
 			"ended by itself.",
-		RunE: func(cmd *cobra.Command, _ []string) error { return a.up(cmd.Context(), cmd.OutOrStdout(), o) },
-	}
-	f := c.Flags()
-	f.DurationVar(&o.lasts, "for", 0, "end after this time (default: when interrupted)")
-	f.IntVar(&o.machines, "machines", 40, "how many machines the cloud has")
-	f.Uint64Var(&o.seed, "seed", 1, "of the machines' boot times, prices and troubles")
-	f.Float64Var(&o.speed, "speed", 1, "how many times as fast as stated machines boot, fetch images and work; controllers keep their time")
-	f.StringVar(&o.faults, "fail", "", "`FILE` of troubles to bring about: see docs/dykectl.md")
-	f.StringVar(&o.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
-	f.StringVar(&o.features, "features", "", "the controllers' features `FILE` (default: the view is on)")
-	f.StringVar(&o.dir, "dir", "", "`FOLDER` for settings, logs and history, kept afterwards (default: one that is removed)")
-	return c
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return a.up(cmd.Context(), cmd.OutOrStdout(), mainUpOptions)
+		},
+	}
+	f := command.Flags()
+	f.DurationVar(&mainUpOptions.lasts, "for", 0, "end after this time (default: when interrupted)")
+	f.IntVar(&mainUpOptions.machines, "machines", 40, "how many machines the cloud has")
+	f.Uint64Var(&mainUpOptions.seed, "seed", 1, "of the machines' boot times, prices and troubles")
+	f.Float64Var(&mainUpOptions.speed, "speed", 1, "how many times as fast as stated machines boot, fetch images and work; controllers keep their time")
+	f.StringVar(&mainUpOptions.faults, "fail", "", "`FILE` of troubles to bring about: see docs/dykectl.md")
+	f.StringVar(&mainUpOptions.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	f.StringVar(&mainUpOptions.features, "features", "", "the controllers' features `FILE` (default: the view is on)")
+	f.StringVar(&mainUpOptions.dir, "dir", "", "`FOLDER` for settings, logs and history, kept afterwards (default: one that is removed)")
+	return command
 }
 
 // controller finds the controller's program.
@@ -100,8 +102,8 @@
 	return err == nil && status == fasthttp.StatusOK
 }
 
-func (a *app) up(ctx context.Context, out io.Writer, o upOptions) (err error) {
-	opts, err := o.check()
+func (a *app) up(ctx context.Context, out io.Writer, mainUpOptions upOptions) (err error) {
+	opts, err := mainUpOptions.check()
 	if err != nil {
 		return usage(err)
 	}
@@ -120,46 +122,46 @@
 	if old, ok := file.Contexts[name]; ok && ready(old.Users) {
 		return usage(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
 	}
-	if o.dir == "" {
-		if o.dir, err = os.MkdirTemp("", "dykectl-up-"); err != nil {
+	if mainUpOptions.dir == "" {
+		if mainUpOptions.dir, err = os.MkdirTemp("", "dykectl-up-"); err != nil {
 			return failed(err)
 		}
 		defer func() {
 			if err == nil { // what went wrong is in the logs
-				err = os.RemoveAll(o.dir)
+				err = os.RemoveAll(mainUpOptions.dir)
 			}
 		}()
-	} else if err := os.MkdirAll(o.dir, 0o700); err != nil {
+	} else if err := os.MkdirAll(mainUpOptions.dir, 0o700); err != nil {
 		return failed(err)
 	}
 	if opts.Features == "" {
-		opts.Features = filepath.Join(o.dir, "features.toml")
+		opts.Features = filepath.Join(mainUpOptions.dir, "features.toml")
 		if err := os.WriteFile(opts.Features, []byte("[view]\nenabled = true\n"), 0o600); err != nil {
 			return failed(err)
 		}
 	}
-	opts.Dir, opts.Log = o.dir, a.log
+	opts.Dir, opts.Log = mainUpOptions.dir, a.log
 	if opts.Faults != nil {
 		// What is brought about is told, whatever else is not.
 		opts.Log = slog.New(slog.NewTextHandler(a.errs, nil))
 	}
-	c, err := localcluster.Start(ctx, opts)
+	cluster, err := localcluster.Start(ctx, opts)
 	if err != nil {
 		return failed(err)
 	}
-	defer c.Stop()
+	defer cluster.Stop()
 	within, cancel := context.WithTimeout(ctx, readyWithin)
-	err = c.Ready(within, ready)
+	err = cluster.Ready(within, ready)
 	cancel()
 	if err != nil {
 		if ctx.Err() != nil {
 			return nil
 		}
-		o.dir += " (kept)"
+		mainUpOptions.dir += " (kept)"
 		return failed(err)
 	}
-	history := filepath.Join(o.dir, "history.jsonl")
-	mine := contexts.Context{Users: c.Users, Nodes: c.Controllers, Uploads: c.Uploads, History: history}
+	history := filepath.Join(mainUpOptions.dir, "history.jsonl")
+	mine := contexts.Context{Users: cluster.Users, Nodes: cluster.Controllers, Uploads: cluster.Uploads, History: history}
 	before := file.Current
 	if err := contexts.Change(path, func(f *contexts.File) { f.Contexts[name], f.Current = mine, name }); err != nil {
 		return failed(err)
@@ -181,21 +183,21 @@
 		}
 	}()
 	fmt.Fprintf(out, "cluster %s is up: 3 controllers, %d machines to rent\n  users    %s\n  nodes    %s %s %s\n  uploads  %s\n  folder   %s\ntry, in another terminal:\n"+
-		"  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n", name, o.machines, c.Users, c.Controllers[0], c.Controllers[1], c.Controllers[2], c.Uploads, o.dir)
-	if o.lasts > 0 {
+		"  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n", name, mainUpOptions.machines, cluster.Users, cluster.Controllers[0], cluster.Controllers[1], cluster.Controllers[2], cluster.Uploads, mainUpOptions.dir)
+	if mainUpOptions.lasts > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, o.lasts)
+		ctx, stop = context.WithTimeout(ctx, mainUpOptions.lasts)
 		defer stop()
 	}
-	a.record(ctx, c.Controllers, history)
+	a.record(ctx, cluster.Controllers, history)
 	<-ctx.Done()
 	fmt.Fprintln(out, "ending")
-	return a.sumUp(out, c)
+	return a.sumUp(out, cluster)
 }
 
 // record writes the history of a cluster in the background.
 func (a *app) record(ctx context.Context, nodes []string, path string) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		a.log.Error("nothing is recorded", "err", err)
 		return
@@ -207,25 +209,25 @@
 		}
 	}()
 	go func() {
-		defer f.Close()
-		if err := report.NewRecorder(f, sampleEvery).Run(ctx, follow); err != nil {
+		defer file.Close()
+		if err := report.NewRecorder(file, sampleEvery).Run(ctx, follow); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
 		}
 	}()
 }
 
 // sumUp tells what happened in a cluster's life.
-func (a *app) sumUp(out io.Writer, c *localcluster.Cluster) error {
-	w := c.Simulation
+func (a *app) sumUp(out io.Writer, cluster *localcluster.Cluster) error {
+	w := cluster.Simulation
 	s := w.Stats()
 	fmt.Fprintf(out, "%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
-		s.Started, s.LeaseKills, w.CostSpent(), s.Requests, s.Writes, s.Over, c.Ends())
+		s.Started, s.LeaseKills, w.CostSpent(), s.Requests, s.Writes, s.Over, cluster.Ends())
 	broken := w.BrokenRules()
 	for _, b := range broken {
 		fmt.Fprintln(out, "BROKEN RULE", b)
 	}
-	if len(broken)+c.Ends() > 0 {
-		return failed(fmt.Errorf("%d rules were broken, %d controllers ended by themselves; logs are in %s", len(broken), c.Ends(), c.Dir))
+	if len(broken)+cluster.Ends() > 0 {
+		return failed(fmt.Errorf("%d rules were broken, %d controllers ended by themselves; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
 	}
 	return nil
 }
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -48,7 +48,7 @@
 	for _, t := range console.Tables() {
 		names = append(names, t.Name)
 	}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "show " + strings.Join(names, "|"), Short: "Show one of the console's tables, for people or scripts", Args: cobra.ExactArgs(1), ValidArgs: names,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var table *console.Table
@@ -74,95 +74,95 @@
 			return a.show(ctx, cmd.OutOrStdout(), f, s, *table, filter)
 		},
 	}
-	c.Flags().StringVar(&team, "team", "", "only what this `TEAM` may see")
-	c.Flags().StringVar(&filter, "filter", "", "only rows that hold a `TEXT`")
-	return c
+	command.Flags().StringVar(&team, "team", "", "only what this `TEAM` may see")
+	command.Flags().StringVar(&filter, "filter", "", "only rows that hold a `TEXT`")
+	return command
 }
 
 // first waits for the first whole view.
-func first(ctx context.Context, f *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
+func first(ctx context.Context, follower *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
 	for {
-		changed := f.Changed()
-		if s := f.State(); s.Snapshot != nil {
+		changed := follower.Changed()
+		if s := follower.State(); s.Snapshot != nil {
 			return s, nil
 		}
 		select {
 		case <-changed:
 		case err := <-ended:
 			if err == nil {
-				err = errors.New(f.State().Trouble)
+				err = errors.New(follower.State().Trouble)
 			}
 			return nil, err
 		case <-ctx.Done():
-			return nil, fmt.Errorf("no view of the cluster: %s", f.State().Trouble)
+			return nil, fmt.Errorf("no view of the cluster: %s", follower.State().Trouble)
 		}
 	}
 }
 
-func (a *app) show(ctx context.Context, w io.Writer, f *viewclient.Follower, s *viewclient.State, t console.Table, filter string) error {
-	now := s.Now + time.Since(s.Sent).Milliseconds()
-	rows := t.Rows(s, now, nil, 0, false, filter)
+func (a *app) show(ctx context.Context, out io.Writer, follower *viewclient.Follower, state *viewclient.State, table console.Table, filter string) error {
+	now := state.Now + time.Since(state.Sent).Milliseconds()
+	rows := table.Rows(state, now, nil, 0, false, filter)
 	var why map[string]viewclient.Why
-	if t.Name == console.Queue {
+	if table.Name == console.Queue {
 		var ids []string
 		for _, r := range rows {
 			ids = append(ids, r.Key)
 		}
-		why = f.Reasons(ctx, ids)
-		rows = t.Rows(s, now, why, 0, false, filter)
+		why = follower.Reasons(ctx, ids)
+		rows = table.Rows(state, now, why, 0, false, filter)
 	}
 	if a.output == "json" {
-		v, err := document(s, t, rows, why)
+		v, err := document(state, table, rows, why)
 		if err != nil {
 			return failed(err)
 		}
-		return a.print(w, v, nil, nil)
+		return a.print(out, v, nil, nil)
 	}
 	var titles []string
-	for _, c := range t.Columns {
+	for _, c := range table.Columns {
 		titles = append(titles, c.Title)
 	}
 	cells := make([][]string, len(rows))
 	for i, r := range rows {
 		cells[i] = r.Cells
 	}
-	if err := a.print(w, nil, titles, cells); err != nil {
+	if err := a.print(out, nil, titles, cells); err != nil {
 		return failed(err)
 	}
-	_, err := fmt.Fprintf(w, "revision %d, %.1f s old\n", s.Revision, s.Age(time.Now()).Seconds())
+	_, err := fmt.Fprintf(out, "revision %d, %.1f s old\n", state.Revision, state.Age(time.Now()).Seconds())
 	return err
 }
 
 // document is a table for scripts: the rows as they are, with the head that they belong to.
-func document(s *viewclient.State, t console.Table, rows []console.Row, why map[string]viewclient.Why) (any, error) {
+func document(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) (any, error) {
 	out := struct {
 		view.Head
 		AgeS  float64                `json:"age_s"`
 		Items []any                  `json:"items"`
 		Why   map[string]view.Reason `json:"why,omitempty"`
-	}{Head: s.Head, AgeS: s.Age(time.Now()).Seconds(), Items: []any{}, Why: map[string]view.Reason{}}
+	}{Head: state.Head, AgeS: state.Age(time.Now()).Seconds(), Items: []any{}, Why: map[string]view.Reason{}}
 	for id, w := range why {
 		out.Why[id] = w.Reason
 	}
 	machines, evictions := map[string]*view.Machine{}, map[string]*view.Eviction{}
-	s.Machines(func(m *view.Machine) bool { machines[m.Name] = m; return true })
-	s.Evictions(func(e *view.Eviction) bool { evictions[e.Key] = e; return true })
-	for _, r := range rows {
-		switch t.Name {
+	state.Machines(func(m *view.Machine) bool { machines[m.Name] = m; return true })
+	state.Evictions(func(e *view.Eviction) bool { evictions[e.Key] = e; return true })
+	for _, row := range rows {
+		switch table.Name {
 		case console.Queue, console.Running, console.Finished:
-			out.Items = append(out.Items, s.Job(r.Key))
+			out.Items = append(out.Items, state.Job(row.Key))
 		case console.Machines:
-			out.Items = append(out.Items, machines[r.Key])
+			out.Items = append(out.Items, machines[row.Key])
 		case console.Evictions:
-			out.Items = append(out.Items, evictions[r.Key])
+			out.Items = append(out.Items, evictions[row.Key])
 		case console.Teams:
-			if x := s.Team(r.Key); x != nil {
+			if x := state.Team(row.Key); x != nil {
 				out.Items = append(out.Items, x)
 			}
 		case console.Members:
-			for i := range s.Members {
-				if s.Members[i].Name == r.Key {
-					out.Items = append(out.Items, s.Members[i])
+			for i := range state.Members {
+				if state.Members[i].Name == row.Key {
+					out.Items = append(out.Items, state.Members[i])
 				}
 			}
 		}
@@ -173,7 +173,7 @@
 func (a *app) consoleCommand() *cobra.Command {
 	var team string
 	var plain bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "console", Short: "Watch the cluster on a screen that keeps itself up to date", Args: cobra.NoArgs,
 		Long: "Watch the cluster on a screen that keeps itself up to date. Keys are told by ?. Colour is never needed to read it;\nNO_COLOR or --plain switch it off.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -191,32 +191,32 @@
 			}
 			ctx, cancel := context.WithCancel(cmd.Context())
 			defer cancel()
-			f, ended := follow(ctx, cluster, scope(team, cluster))
-			m := console.New(ctx, f, name)
-			p := tea.NewProgram(m, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10))
+			follower, ended := follow(ctx, cluster, scope(team, cluster))
+			model := console.New(ctx, follower, name)
+			program := tea.NewProgram(model, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10))
 			go func() {
 				if err := <-ended; err != nil {
-					p.Send(console.EndMsg{Err: err})
+					program.Send(console.EndMsg{Err: err})
 				}
 			}()
-			if _, err := p.Run(); err != nil && ctx.Err() == nil {
+			if _, err := program.Run(); err != nil && ctx.Err() == nil {
 				return failed(err)
 			}
-			if m.Err() != nil {
-				return failed(m.Err())
+			if model.Err() != nil {
+				return failed(model.Err())
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&team, "team", "", "only what this `TEAM` may see")
-	c.Flags().BoolVar(&plain, "plain", false, "no colour")
-	return c
+	command.Flags().StringVar(&team, "team", "", "only what this `TEAM` may see")
+	command.Flags().BoolVar(&plain, "plain", false, "no colour")
+	return command
 }
 
 func (a *app) recordCommand() *cobra.Command {
 	var file string
 	var every time.Duration
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "record", Short: "Record the cluster's history for reports, until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, cluster, err := a.cluster()
@@ -236,10 +236,10 @@
 			defer out.Close()
 			ctx, cancel := context.WithCancel(cmd.Context())
 			defer cancel()
-			f, ended := follow(ctx, cluster, view.Operators)
-			r := report.NewRecorder(out, every)
+			follower, ended := follow(ctx, cluster, view.Operators)
+			recorder := report.NewRecorder(out, every)
 			done := make(chan error, 1)
-			go func() { done <- r.Run(ctx, f) }()
+			go func() { done <- recorder.Run(ctx, follower) }()
 			select {
 			case err = <-ended:
 			case err = <-done:
@@ -248,13 +248,13 @@
 			if err != nil {
 				return failed(err)
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d lines recorded in %s\n", r.Recorded, file)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d lines recorded in %s\n", recorder.Recorded, file)
 			return err
 		},
 	}
-	c.Flags().StringVar(&file, "file", "", "add to this `FILE` (default: the context's history)")
-	c.Flags().DurationVar(&every, "every", 10*time.Second, "time between samples")
-	return c
+	command.Flags().StringVar(&file, "file", "", "add to this `FILE` (default: the context's history)")
+	command.Flags().DurationVar(&every, "every", 10*time.Second, "time between samples")
+	return command
 }
 
 // instant reads a time: a date, a time of today, or a span before now.
@@ -279,7 +279,7 @@
 func (a *app) reportCommand() *cobra.Command {
 	var team, from, to, out, title string
 	var histories []string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "report", Short: "Make a page of what was recorded", Args: cobra.NoArgs,
 		Example: "  dykectl report --team red --from 18:00 --to now --file morning.html",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -298,7 +298,7 @@
 			if filepath.Ext(out) != ".html" {
 				return usage(errors.New("--file is missing, or does not end in .html"))
 			}
-			s := view.Scope(team)
+			viewScope := view.Scope(team)
 			if len(histories) == 0 {
 				_, cluster, err := a.cluster()
 				if err != nil {
@@ -307,31 +307,31 @@
 				if cluster.History == "" {
 					return usage(errors.New("the context names no history: use --history FILE"))
 				}
-				histories, s = []string{cluster.History}, scope(team, cluster)
+				histories, viewScope = []string{cluster.History}, scope(team, cluster)
 			}
-			h, err := report.Read(histories, s, begin.UnixMilli(), end.UnixMilli())
+			history, err := report.Read(histories, viewScope, begin.UnixMilli(), end.UnixMilli())
 			if err != nil {
 				return failed(err)
 			}
 			if title == "" {
 				title = "Shares of all teams"
-				if s != view.Operators {
-					title = "Share of team " + string(s)
+				if viewScope != view.Operators {
+					title = "Share of team " + string(viewScope)
 				}
 			}
-			if err := report.Make(h, title, s, now).Write(out); err != nil {
+			if err := report.Make(history, title, viewScope, now).Write(out); err != nil {
 				return failed(err)
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s and %s: %d samples, %d jobs\n", out, report.Beside(out), len(h.Samples), len(h.Jobs))
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s and %s: %d samples, %d jobs\n", out, report.Beside(out), len(history.Samples), len(history.Jobs))
 			return err
 		},
 	}
-	f := c.Flags()
+	f := command.Flags()
 	f.StringVar(&team, "team", "", "only what this `TEAM` may see (default: the context's, or all)")
 	f.StringVar(&from, "from", "-24h", "`TIME`: a date, a time of today, or a span before now")
 	f.StringVar(&to, "to", "now", "`TIME` before which it ends")
 	f.StringVar(&out, "file", "", "write the page to this `FILE.html`, and its figures to FILE.json beside it")
 	f.StringVar(&title, "title", "", "the page's title")
 	f.StringSliceVar(&histories, "history", nil, "read this `FILE` (may be repeated; default: the context's history)")
-	return c
+	return command
 }
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -62,9 +62,9 @@
 }
 
 // show prints rows as a table or the answer as it came.
-func (cl *client) show(w io.Writer, body []byte, columns []string) error {
+func (cl *client) show(out io.Writer, body []byte, columns []string) error {
 	if cl.output == "json" {
-		_, err := fmt.Fprintln(w, string(body))
+		_, err := fmt.Fprintln(out, string(body))
 		return err
 	}
 	var p struct {
@@ -74,19 +74,19 @@
 	if err := json.Unmarshal(body, &p); err != nil {
 		return &exitError{exitFailed, fmt.Errorf("the node's answer cannot be read: %w", err)}
 	}
-	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(tw, strings.ToUpper(strings.Join(columns, "\t")))
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, strings.ToUpper(strings.Join(columns, "\t")))
 	for _, row := range p.Items {
 		cells := make([]string, len(columns))
 		for i, c := range columns {
 			cells[i] = cell(row[c])
 		}
-		fmt.Fprintln(tw, strings.Join(cells, "\t"))
+		fmt.Fprintln(table, strings.Join(cells, "\t"))
 	}
 	if p.More {
-		fmt.Fprintln(tw, "... more: use --after with the last name")
+		fmt.Fprintln(table, "... more: use --after with the last name")
 	}
-	return tw.Flush()
+	return table.Flush()
 }
 
 func cell(v any) string {
@@ -112,38 +112,38 @@
 // adminCommands are the operators' commands. The names leave room for the
 // users' submit, queue, cancel and accounting.
 func adminCommands() []*cobra.Command {
-	cl := &client{}
+	mainClient := &client{}
 	flags := func(c *cobra.Command) *cobra.Command {
-		c.Flags().StringVar(&cl.node, "node", "", "peer_listen `ADDRESS` of any node")
-		c.Flags().StringVar(&cl.output, "output", "table", "table or json")
+		c.Flags().StringVar(&mainClient.node, "node", "", "peer_listen `ADDRESS` of any node")
+		c.Flags().StringVar(&mainClient.output, "output", "table", "table or json")
 		return c
 	}
 	var team, after string
 	var limit int
 	list := func(use, short, path string, paged bool, columns ...string) *cobra.Command {
-		c := flags(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := cl.check(); err != nil {
+		command := flags(&cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := mainClient.check(); err != nil {
 				return err
 			}
-			q := url.Values{}
+			query := url.Values{}
 			if paged {
-				q.Set("limit", strconv.Itoa(limit))
-				q.Set("after", after)
+				query.Set("limit", strconv.Itoa(limit))
+				query.Set("after", after)
 			}
 			if team != "" {
-				q.Set("team", team)
+				query.Set("team", team)
 			}
-			body, err := cl.call("GET", path+"?"+q.Encode(), nil)
+			body, err := mainClient.call("GET", path+"?"+query.Encode(), nil)
 			if err != nil {
 				return err
 			}
-			return cl.show(cmd.OutOrStdout(), body, columns)
+			return mainClient.show(cmd.OutOrStdout(), body, columns)
 		}})
 		if paged {
-			c.Flags().IntVar(&limit, "limit", 200, "rows at most, up to 200")
-			c.Flags().StringVar(&after, "after", "", "begin after this `NAME`")
+			command.Flags().IntVar(&limit, "limit", 200, "rows at most, up to 200")
+			command.Flags().StringVar(&after, "after", "", "begin after this `NAME`")
 		}
-		return c
+		return command
 	}
 	jobs := list("jobs", "List unfinished jobs and why they wait", "/jobs", true,
 		"id", "class", "team", "share", "priority", "status", "tasks", "done", "placed", "waiting", "age_s", "why")
@@ -151,24 +151,24 @@
 	settings := &cobra.Command{Use: "settings", Short: "Read or change the operators' settings"}
 	settings.AddCommand(
 		flags(&cobra.Command{Use: "get", Short: "Print the settings", Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := cl.check(); err != nil {
+			if err := mainClient.check(); err != nil {
 				return err
 			}
-			body, err := cl.call("GET", "/settings", nil)
+			body, err := mainClient.call("GET", "/settings", nil)
 			if err != nil {
 				return err
 			}
-			return cl.showSettings(cmd.OutOrStdout(), body)
+			return mainClient.showSettings(cmd.OutOrStdout(), body)
 		}}),
 		flags(&cobra.Command{Use: "set NAME=VALUE...", Short: "Change settings", Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			if err := cl.check(); err != nil {
+			if err := mainClient.check(); err != nil {
 				return err
 			}
 			change, err := parseChange(args)
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
-			body, err := cl.call("GET", "/settings", nil)
+			body, err := mainClient.call("GET", "/settings", nil)
 			if err != nil {
 				return err
 			}
@@ -176,15 +176,15 @@
 			if err := json.Unmarshal(body, &cur); err != nil {
 				return &exitError{exitFailed, fmt.Errorf("the node's answer cannot be read: %w", err)}
 			}
-			body, err = cl.call("PUT", "/settings", transport.SettingsChange{Version: &cur.Version, Settings: change})
+			body, err = mainClient.call("PUT", "/settings", transport.SettingsChange{Version: &cur.Version, Settings: change})
 			if err != nil {
 				return err
 			}
-			return cl.showSettings(cmd.OutOrStdout(), body)
+			return mainClient.showSettings(cmd.OutOrStdout(), body)
 		}}))
 	teams := list("teams", "List the teams with their guarantees and limits", "/teams", false,
 		"name", "cpus", "cpus_max", "gpus", "gpus_max", "state", "cpus_to_go", "gpus_to_go", "behind", "version")
-	teams.AddCommand(flags(cl.teamsSetCommand()), flags(cl.teamsMoveCommand()))
+	teams.AddCommand(flags(mainClient.teamsSetCommand()), flags(mainClient.teamsMoveCommand()))
 	return []*cobra.Command{settings, teams, jobs,
 		list("nodes", "List the nodes", "/nodes", false, "name", "alive", "leader", "shares", "state_ok", "pulse_age_s"),
 		list("shares", "List the shares", "/shares", false, "share", "owner", "teams", "machines", "cpus", "used_cpus", "waiting_cpus", "gpus", "used_gpus", "waiting_gpus", "token"),
@@ -210,9 +210,9 @@
 	return json.Marshal(m)
 }
 
-func (cl *client) showSettings(w io.Writer, body []byte) error {
+func (cl *client) showSettings(out io.Writer, body []byte) error {
 	if cl.output == "json" {
-		_, err := fmt.Fprintln(w, string(body))
+		_, err := fmt.Fprintln(out, string(body))
 		return err
 	}
 	var v struct {
@@ -226,7 +226,7 @@
 	if err := json.Unmarshal(body, &v); err != nil {
 		return &exitError{exitFailed, fmt.Errorf("the node's answer cannot be read: %w", err)}
 	}
-	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	tw := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(tw, "version\t%d\n", v.Version)
 	if len(v.Info) == 0 {
 		for name, x := range v.Settings {
--- a/cmd/dykeledge/main.go
+++ b/cmd/dykeledge/main.go
@@ -106,7 +106,7 @@
 	debug.SetGCPercent(200)
 }
 
-func serve(ctx context.Context, cfg *config.Settings, on *config.Features) error {
+func serve(ctx context.Context, cfg *config.Settings, features *config.Features) error {
 	tune(cfg)
 	level := &slog.LevelVar{}
 	level.Set(logLevel(os.Getenv("LOG_LEVEL")))
@@ -128,7 +128,7 @@
 		}
 		level.Set(logLevel(name))
 	}
-	if on.View.Enabled {
+	if features.View.Enabled {
 		core.EnableView()
 	}
 	go core.Run(ctx)
@@ -136,7 +136,7 @@
 	peers.Run(ctx)
 	admin := peers.Split(peer)
 	limits := transport.DefaultAdminLimits()
-	limits.ViewReaders = on.View.Readers
+	limits.ViewReaders = features.View.Readers
 	go func() {
 		if err := transport.NewAdminServer(core, limits).Serve(admin); err != nil {
 			log.Error("administration server ended", "err", err)
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -67,7 +67,7 @@
 func (cl *client) teamsMoveCommand() *cobra.Command {
 	var to string
 	var cpus float64
-	c := &cobra.Command{Use: "move TEAM", Short: "Move a part of a team's limit from this node's cell to another cell", Args: cobra.ExactArgs(1),
+	command := &cobra.Command{Use: "move TEAM", Short: "Move a part of a team's limit from this node's cell to another cell", Args: cobra.ExactArgs(1),
 		Long: "Move a part of a team's limit from this node's cell to another cell. It is lowered here, and raised there once it is in\n" +
 			"force here: whatever fails in between, the cells' limits add up to no more than before. What is left to do then is told.",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -84,9 +84,9 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&to, "to", "", "peer_listen `ADDRESS` of any node of the other cell")
-	c.Flags().Float64Var(&cpus, "cpus", 0, "`CPUS` of the limit that move")
-	return c
+	command.Flags().StringVar(&to, "to", "", "peer_listen `ADDRESS` of any node of the other cell")
+	command.Flags().Float64Var(&cpus, "cpus", 0, "`CPUS` of the limit that move")
+	return command
 }
 
 // teamsAPI is what a move needs of a cell's administration API.
@@ -98,8 +98,8 @@
 // moveLimit moves CPUs of a team's limit from one cell to another: lowered and in force in the first, then raised in the second.
 // Each change is conditional on the version that was read, and is made once: one whose answer is lost is looked for, never
 // repeated. An error says what was done and what is left to do.
-func moveLimit(ctx context.Context, from, to teamsAPI, team string, cpus float64, pause time.Duration, out io.Writer) error {
-	there, err := to.Team(team)
+func moveLimit(ctx context.Context, from, mainTeamsAPI teamsAPI, team string, cpus float64, pause time.Duration, out io.Writer) error {
+	there, err := mainTeamsAPI.Team(team)
 	if err != nil {
 		return fmt.Errorf("nothing was changed: the other cell: %w", err)
 	}
@@ -119,7 +119,7 @@
 		return fmt.Errorf("the limit is being lowered to %g CPUs in the first cell; once it is in force there, raise it to %g in the other: %w", lowered, raised, err)
 	}
 	fmt.Fprintln(out, "in force there")
-	if _, err := to.Change(team, there.Version, limitChange(raised)); err != nil {
+	if _, err := mainTeamsAPI.Change(team, there.Version, limitChange(raised)); err != nil {
 		return fmt.Errorf("the limit is %g CPUs in the first cell; it is not certain whether it was raised to %g in the other: look, and raise it if not: %w", lowered, raised, err)
 	}
 	fmt.Fprintf(out, "raised to %g CPUs in the other cell\n", raised)
@@ -134,9 +134,9 @@
 var errChanged = errors.New("somebody else has changed the team meanwhile")
 
 // awaitForce waits until a lowered limit is in force in a cell.
-func awaitForce(ctx context.Context, c teamsAPI, team string, cpusMax float64, pause time.Duration) error {
+func awaitForce(ctx context.Context, mainTeamsAPI teamsAPI, team string, cpusMax float64, pause time.Duration) error {
 	for {
-		t, err := c.Team(team)
+		t, err := mainTeamsAPI.Team(team)
 		switch {
 		case err == nil && t.CpusMax != cpusMax:
 			return errChanged
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -59,15 +59,15 @@
 }
 
 // once sends a request once.
-func (u *Users) once(method, path string, in []byte, within time.Duration) (answer, error) {
+func (u *Users) once(method, path string, body []byte, within time.Duration) (answer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + u.addr + path)
-	if in != nil {
+	if body != nil {
 		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(in)
+		req.SetBodyRaw(body)
 	}
 	if err := u.client.DoTimeout(req, resp, within); err != nil {
 		return answer{}, err
@@ -82,37 +82,37 @@
 // repeat sends a request until an answer is certain, as the protocol asks: after a second or
 // Retry-After, for a minute in all. A little is added at random, so that those who were refused
 // together don't come back together.
-func (u *Users) repeat(ctx context.Context, method, path string, in []byte) (protocol.JobState, error) {
-	var st protocol.JobState
+func (u *Users) repeat(ctx context.Context, method, path string, body []byte) (protocol.JobState, error) {
+	var state protocol.JobState
 	deadline := time.Now().Add(repeatFor)
 	for {
-		a, err := u.once(method, path, in, submitAnswer)
+		answer, err := u.once(method, path, body, submitAnswer)
 		switch {
-		case err == nil && (a.status == 200 || a.status == 201):
-			if err := json.Unmarshal(a.body, &st); err != nil {
-				return st, fmt.Errorf("answer cannot be read: %w", err)
+		case err == nil && (answer.status == 200 || answer.status == 201):
+			if err := json.Unmarshal(answer.body, &state); err != nil {
+				return state, fmt.Errorf("answer cannot be read: %w", err)
 			}
-			return st, nil
-		case err == nil && (a.status == 400 || a.status == 422):
-			return st, fmt.Errorf("%w: %s", ErrRejected, reason(a))
-		case err == nil && a.status == 404:
-			return st, ErrNotFound
+			return state, nil
+		case err == nil && (answer.status == 400 || answer.status == 422):
+			return state, fmt.Errorf("%w: %s", ErrRejected, reason(answer))
+		case err == nil && answer.status == 404:
+			return state, ErrNotFound
 		}
 		if u.Retried != nil {
-			u.Retried(a.status, err)
+			u.Retried(answer.status, err)
 		}
-		wait := max(retryAfter, a.after) + time.Duration(rand.Int64N(int64(retryAfter/4)))
+		wait := max(retryAfter, answer.after) + time.Duration(rand.Int64N(int64(retryAfter/4)))
 		if err == nil {
-			err = errors.New(reason(a))
+			err = errors.New(reason(answer))
 		}
 		if time.Now().Add(wait).After(deadline) {
-			return st, fmt.Errorf("%w after %v: %w", ErrGaveUp, repeatFor, err)
+			return state, fmt.Errorf("%w after %v: %w", ErrGaveUp, repeatFor, err)
 		}
 		t := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			return st, fmt.Errorf("%w: %w", ErrGaveUp, ctx.Err())
+			return state, fmt.Errorf("%w: %w", ErrGaveUp, ctx.Err())
 		case <-t.C:
 		}
 	}
@@ -139,20 +139,20 @@
 
 // Status asks for a job once. Errors wrap ErrNotFound, or tell why no answer came.
 func (u *Users) Status(id string) (protocol.JobState, error) {
-	var st protocol.JobState
-	a, err := u.once(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollAnswer)
+	var state protocol.JobState
+	answer, err := u.once(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollAnswer)
 	switch {
 	case err != nil:
-		return st, fmt.Errorf("no answer: %w", err)
-	case a.status == 404:
-		return st, ErrNotFound
-	case a.status != 200:
-		return st, errors.New(reason(a))
+		return state, fmt.Errorf("no answer: %w", err)
+	case answer.status == 404:
+		return state, ErrNotFound
+	case answer.status != 200:
+		return state, errors.New(reason(answer))
 	}
-	if err := json.Unmarshal(a.body, &st); err != nil {
-		return st, fmt.Errorf("answer cannot be read: %w", err)
+	if err := json.Unmarshal(answer.body, &state); err != nil {
+		return state, fmt.Errorf("answer cannot be read: %w", err)
 	}
-	return st, nil
+	return state, nil
 }
 
 // Describe is a job's description as workers need it: the submission, how long each task runs,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -199,60 +199,60 @@
 }
 
 func (s *Settings) check() error {
-	c := &checker{}
-	c.want(s.MemberName != "" && !strings.ContainsAny(s.MemberName, " /"), "node_name", "a name without spaces or slashes")
-	c.want(s.Zone != "", "zone", "a zone's name")
-	c.address(s.PublicAddr, "public_addr")
-	c.address(s.PeerListen, "peer_listen")
+	configChecker := &checker{}
+	configChecker.want(s.MemberName != "" && !strings.ContainsAny(s.MemberName, " /"), "node_name", "a name without spaces or slashes")
+	configChecker.want(s.Zone != "", "zone", "a zone's name")
+	configChecker.address(s.PublicAddr, "public_addr")
+	configChecker.address(s.PeerListen, "peer_listen")
 	seen := map[string]bool{s.MemberName: true}
 	for i, p := range s.Known {
 		f := fmt.Sprintf("known[%d].", i)
-		c.want(p.MemberName != "" && !strings.ContainsAny(p.MemberName, " /"), f+"node_name", "a name without spaces or slashes")
-		c.want(!seen[p.MemberName], f+"node_name", "a name that is not used twice")
+		configChecker.want(p.MemberName != "" && !strings.ContainsAny(p.MemberName, " /"), f+"node_name", "a name without spaces or slashes")
+		configChecker.want(!seen[p.MemberName], f+"node_name", "a name that is not used twice")
 		seen[p.MemberName] = true
-		c.address(p.Address, f+"address")
+		configChecker.address(p.Address, f+"address")
 	}
-	c.address(s.External.Cloud, "external.cloud")
-	c.address(s.External.State, "external.state")
-	d := &s.Deployment
-	c.want(d.Controllers >= 1, "deployment.nodes", "a count of at least 1")
-	c.want(len(d.Zones) > 0, "deployment.zones", "a list of zones")
-	c.amount(d.ClockSkewMs, "deployment.clock_off_ms")
-	c.want(len(d.Teams) > 0, "deployment.teams", "at least one team")
+	configChecker.address(s.External.Cloud, "external.cloud")
+	configChecker.address(s.External.State, "external.state")
+	deployment := &s.Deployment
+	configChecker.want(deployment.Controllers >= 1, "deployment.nodes", "a count of at least 1")
+	configChecker.want(len(deployment.Zones) > 0, "deployment.zones", "a list of zones")
+	configChecker.amount(deployment.ClockSkewMs, "deployment.clock_off_ms")
+	configChecker.want(len(deployment.Teams) > 0, "deployment.teams", "at least one team")
 	names := map[string]bool{}
-	for i, t := range d.Teams {
+	for i, t := range deployment.Teams {
 		f := fmt.Sprintf("deployment.teams[%d].", i)
-		c.want(t.Name != "", f+"name", "a name")
-		c.want(!names[t.Name], f+"name", "a name that is not used twice")
+		configChecker.want(t.Name != "", f+"name", "a name")
+		configChecker.want(!names[t.Name], f+"name", "a name that is not used twice")
 		names[t.Name] = true
-		c.amount(t.Cpus, f+"cpus")
-		c.amount(t.CpusMax, f+"cpus_max")
-		c.amount(t.Gpus, f+"gpus")
-		c.amount(t.GpusMax, f+"gpus_max")
+		configChecker.amount(t.Cpus, f+"cpus")
+		configChecker.amount(t.CpusMax, f+"cpus_max")
+		configChecker.amount(t.Gpus, f+"gpus")
+		configChecker.amount(t.GpusMax, f+"gpus_max")
 	}
-	for i, o := range d.Objectives {
+	for i, o := range deployment.Objectives {
 		f := fmt.Sprintf("deployment.objectives[%d].", i)
-		c.want(o.Kind != "", f+"kind", "a kind of objective")
-		c.amount(o.WithinS, f+"within_s")
-		c.amount(o.Times, f+"times")
-		c.amount(o.Share, f+"share")
+		configChecker.want(o.Kind != "", f+"kind", "a kind of objective")
+		configChecker.amount(o.WithinS, f+"within_s")
+		configChecker.amount(o.Times, f+"times")
+		configChecker.amount(o.Share, f+"share")
 	}
-	c.positive(d.Workers.HeartbeatS, "deployment.workers.report_s")
-	c.positive(d.Workers.LeaseS, "deployment.workers.lease_s")
-	c.positive(d.Workers.CancelS, "deployment.workers.cancel_s")
-	c.positive(d.State.RPS, "deployment.state.rps")
-	c.positive(d.State.WriteRPS, "deployment.state.write_rps")
-	c.positive(d.State.ValueKB, "deployment.state.value_kb")
-	c.want(d.State.TxnOps >= 4, "deployment.state.txn_ops", "a count of at least 4")
-	if n := d.State.Next; n != nil {
-		c.positive(n.WriteRPS, "deployment.state.next.write_rps")
-		c.want(n.ValueKB >= 1 && !math.IsInf(n.ValueKB, 0), "deployment.state.next.value_kb", "a size of at least 1")
-		c.want(n.TxnOps >= 4, "deployment.state.next.txn_ops", "a count of at least 4")
+	configChecker.positive(deployment.Workers.HeartbeatS, "deployment.workers.report_s")
+	configChecker.positive(deployment.Workers.LeaseS, "deployment.workers.lease_s")
+	configChecker.positive(deployment.Workers.CancelS, "deployment.workers.cancel_s")
+	configChecker.positive(deployment.State.RPS, "deployment.state.rps")
+	configChecker.positive(deployment.State.WriteRPS, "deployment.state.write_rps")
+	configChecker.positive(deployment.State.ValueKB, "deployment.state.value_kb")
+	configChecker.want(deployment.State.TxnOps >= 4, "deployment.state.txn_ops", "a count of at least 4")
+	if n := deployment.State.Next; n != nil {
+		configChecker.positive(n.WriteRPS, "deployment.state.next.write_rps")
+		configChecker.want(n.ValueKB >= 1 && !math.IsInf(n.ValueKB, 0), "deployment.state.next.value_kb", "a size of at least 1")
+		configChecker.want(n.TxnOps >= 4, "deployment.state.next.txn_ops", "a count of at least 4")
 	}
-	c.positive(d.Cloud.RPS, "deployment.cloud.rps")
-	c.amount(d.Cloud.ListLagS, "deployment.cloud.list_lag_s")
-	c.positive(d.Resources.CPU, "deployment.resources.cpu")
-	c.positive(d.Resources.MemMB, "deployment.resources.mem_mb")
-	c.want(d.Resources.MaxConnections >= 16, "deployment.resources.max_connections", "a count of at least 16")
-	return c.err
+	configChecker.positive(deployment.Cloud.RPS, "deployment.cloud.rps")
+	configChecker.amount(deployment.Cloud.ListLagS, "deployment.cloud.list_lag_s")
+	configChecker.positive(deployment.Resources.CPU, "deployment.resources.cpu")
+	configChecker.positive(deployment.Resources.MemMB, "deployment.resources.mem_mb")
+	configChecker.want(deployment.Resources.MaxConnections >= 16, "deployment.resources.max_connections", "a count of at least 16")
+	return configChecker.err
 }
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -24,19 +24,19 @@
 // one line and name file, field and what was expected. A name that is not known is an error:
 // a switch that does nothing would be taken for one that works.
 func LoadFeatures(path string) (*Features, error) {
-	f := &Features{View: ViewFeature{Readers: DefaultReaders}}
+	features := &Features{View: ViewFeature{Readers: DefaultReaders}}
 	if path == "" {
-		return f, nil
+		return features, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("features %s: expected a readable file: %w", path, err)
 	}
-	if err := Strict(raw, f); err != nil {
+	if err := Strict(raw, features); err != nil {
 		return nil, fmt.Errorf("features %s: %w", path, err)
 	}
-	if f.View.Readers < 1 || f.View.Readers > 64 {
+	if features.View.Readers < 1 || features.View.Readers > 64 {
 		return nil, fmt.Errorf("features %s: %w", path, &FieldError{"view.readers", "a count from 1 to 64"})
 	}
-	return f, nil
+	return features, nil
 }
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -39,15 +39,15 @@
 }
 
 func (s simulationSource) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
-	n := s.simulation.Controller(node)
-	if n.Ended() {
+	process := s.simulation.Controller(node)
+	if process.Ended() {
 		return nil, errors.New("does not answer")
 	}
 	short, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	snap := n.Core.View(short, cur)
+	snap := process.Core.View(short, cur)
 	switch {
-	case n.Ended():
+	case process.Ended():
 		return nil, errors.New("does not answer")
 	case snap == nil:
 		return nil, errors.New("has not read the records yet")
@@ -90,45 +90,45 @@
 }
 
 // differs tells how a snapshot differs from the reference at its revision, "" if it does not.
-func (r *reference) differs(s *view.Snapshot) string {
+func (r *reference) differs(snapshot *view.Snapshot) string {
 	sums := make([]view.Totals, len(r.cache.Teams))
 	open := 0
-	for _, j := range r.cache.Jobs {
-		if j == nil {
+	for _, job := range r.cache.Jobs {
+		if job == nil {
 			continue
 		}
-		row := s.Job(j.ID)
+		row := snapshot.Job(job.ID)
 		if row == nil {
-			return fmt.Sprintf("%s is not shown", j.ID)
+			return fmt.Sprintf("%s is not shown", job.ID)
 		}
 		want := view.Queued
 		switch {
-		case !j.Open():
-			want = map[protocol.JobStatus]view.Status{protocol.Done: view.Done, protocol.Cancelled: view.Cancelled}[j.Final]
-		case j.DependencyFailed:
+		case !job.Open():
+			want = map[protocol.JobStatus]view.Status{protocol.Done: view.Done, protocol.Cancelled: view.Cancelled}[job.Final]
+		case job.DependencyFailed:
 			want = view.Cancelled
-		case j.PlacedCount > 0:
+		case job.PlacedCount > 0:
 			want = view.Running
 		}
 		if !want.Final() {
 			open++
 		}
-		if row.Status != want || int(row.Placed) != j.PlacedCount || int(row.Done) != j.DoneCount || int(row.Tasks) != j.Tasks || row.Waiting() != uint32(j.Waiting()) ||
-			row.Team != r.cache.Teams[j.Team].Name || row.Priority != j.OwnPriority {
-			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", j.ID, *row, want, j.PlacedCount, j.DoneCount)
+		if row.Status != want || int(row.Placed) != job.PlacedCount || int(row.Done) != job.DoneCount || int(row.Tasks) != job.Tasks || row.Waiting() != uint32(job.Waiting()) ||
+			row.Team != r.cache.Teams[job.Team].Name || row.Priority != job.OwnPriority {
+			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", job.ID, *row, want, job.PlacedCount, job.DoneCount)
 		}
-		sum := &sums[j.Team]
+		sum := &sums[job.Team]
 		switch want {
 		case view.Queued:
 			sum.Queued++
 		case view.Running:
 			sum.Running++
 		}
-		sum.Waiting += uint64(j.Waiting())
-		sum.Placed += uint64(j.PlacedCount)
+		sum.Waiting += uint64(job.Waiting())
+		sum.Placed += uint64(job.PlacedCount)
 	}
 	shown, wrong := 0, ""
-	s.Jobs("", func(j *view.Job) bool {
+	snapshot.Jobs("", func(j *view.Job) bool {
 		if !j.Status.Final() {
 			shown++
 		} else if f, _ := r.cache.FinalState(j.ID); string(f) != j.Status.String() {
@@ -139,101 +139,101 @@
 	if wrong != "" || shown != open {
 		return fmt.Sprintf("%d open jobs are shown of %d. %s", shown, open, wrong)
 	}
-	for i, t := range s.Teams {
+	for i, t := range snapshot.Teams {
 		if t.Queued != sums[i].Queued || t.Running != sums[i].Running || t.Waiting != sums[i].Waiting || t.Placed != sums[i].Placed ||
 			t.UsedCpus != uint64(math.Round(1000*r.cache.Used[i].Cpus)) {
 			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, sums[i], r.cache.Used[i].Cpus)
 		}
 	}
 	machines := 0
-	for _, m := range r.cache.Machines {
-		if m.Gone {
+	for _, machine := range r.cache.Machines {
+		if machine.Gone {
 			continue
 		}
 		machines++
 		found := false
-		s.Machines(func(x *view.Machine) bool {
-			if x.Name == m.Name {
-				found = int(x.Tasks) == len(m.Tasks) && int(x.Shard) == m.Shard
+		snapshot.Machines(func(x *view.Machine) bool {
+			if x.Name == machine.Name {
+				found = int(x.Tasks) == len(machine.Tasks) && int(x.Shard) == machine.Shard
 			}
-			return x.Name != m.Name
+			return x.Name != machine.Name
 		})
 		if !found {
-			return "machine " + m.Name + " is not shown as it is"
+			return "machine " + machine.Name + " is not shown as it is"
 		}
 	}
-	if uint64(machines) != s.Fleet.Machines {
-		return fmt.Sprintf("%d machines are shown of %d", s.Fleet.Machines, machines)
+	if uint64(machines) != snapshot.Fleet.Machines {
+		return fmt.Sprintf("%d machines are shown of %d", snapshot.Fleet.Machines, machines)
 	}
 	return ""
 }
 
 // expectedScreen holds what is drawn against the reference: every row on the screen cell by cell, all
 // rows of the table by their number, and the sums above them.
-func (r *reference) expectedScreen(m *Model) string {
-	lines := strings.Split(ansi.Strip(m.View()), "\n")
-	if len(lines) != m.height {
-		return fmt.Sprintf("%d lines on a screen of %d", len(lines), m.height)
+func (r *reference) expectedScreen(model *Model) string {
+	lines := strings.Split(ansi.Strip(model.View()), "\n")
+	if len(lines) != model.height {
+		return fmt.Sprintf("%d lines on a screen of %d", len(lines), model.height)
 	}
 	for _, l := range lines {
-		if ansi.StringWidth(l) > m.width {
-			return fmt.Sprintf("line of %d on a screen of %d: %q", ansi.StringWidth(l), m.width, l)
+		if ansi.StringWidth(l) > model.width {
+			return fmt.Sprintf("line of %d on a screen of %d: %q", ansi.StringWidth(l), model.width, l)
 		}
 	}
 	queued, running, wait, placed, inQueue, inRunning := 0, 0, 0, 0, 0, 0
-	for _, j := range r.cache.Jobs {
-		if j == nil || !j.Open() || j.DependencyFailed {
-			if j != nil {
-				placed += j.PlacedCount // a cancelled job's, until they are gone
+	for _, job := range r.cache.Jobs {
+		if job == nil || !job.Open() || job.DependencyFailed {
+			if job != nil {
+				placed += job.PlacedCount // a cancelled job's, until they are gone
 			}
 			continue
 		}
-		wait, placed = wait+j.Waiting(), placed+j.PlacedCount
-		if j.PlacedCount > 0 {
+		wait, placed = wait+job.Waiting(), placed+job.PlacedCount
+		if job.PlacedCount > 0 {
 			running++
 			inRunning++
 		} else {
 			queued++
 		}
-		if j.Waiting() > 0 || !j.Ready() {
+		if job.Waiting() > 0 || !job.Ready() {
 			inQueue++
 		}
 	}
 	if !strings.HasPrefix(lines[1], "!") {
 		var late int
 		var got [4]int
-		if _, err := fmt.Sscanf(lines[1], "%d queued, %d running, %d late; tasks %d wait, %d placed", &got[0], &got[1], &late, &got[2], &got[3]); err != nil && m.width >= 80 {
+		if _, err := fmt.Sscanf(lines[1], "%d queued, %d running, %d late; tasks %d wait, %d placed", &got[0], &got[1], &late, &got[2], &got[3]); err != nil && model.width >= 80 {
 			return fmt.Sprintf("%q: %v", lines[1], err)
 		}
 		if got != [4]int{queued, running, wait, placed} {
 			return fmt.Sprintf("%q, want %d %d %d %d", lines[1], queued, running, wait, placed)
 		}
 	}
-	want, table := -1, m.tables[m.tab].Name
+	want, table := -1, model.tables[model.tab].Name
 	switch table {
 	case Queue:
 		want = inQueue
 	case Running:
 		want = inRunning
 	}
-	if want >= 0 && len(m.cached) != want {
-		return fmt.Sprintf("%d rows in %s, want %d", len(m.cached), table, want)
+	if want >= 0 && len(model.cached) != want {
+		return fmt.Sprintf("%d rows in %s, want %d", len(model.cached), table, want)
 	}
 	if want < 0 {
 		return ""
 	}
-	for i := range m.visible() {
+	for i := range model.visible() {
 		f := strings.Fields(strings.TrimLeft(lines[4+i], ">!? "))
-		j := r.cache.Job(f[0])
-		if j == nil {
+		storageJob := r.cache.Job(f[0])
+		if storageJob == nil {
 			return fmt.Sprintf("%q is of no job", lines[4+i])
 		}
-		cells := r.cells(j)
-		if m.width < 90 && table == Queue { // without those done
+		cells := r.cells(storageJob)
+		if model.width < 90 && table == Queue { // without those done
 			cells = slices.Delete(cells, 4, 5)
 		}
-		if m.width >= 100 { // the class comes third then
-			cells = slices.Insert(cells, 2, r.cache.Classes.Name(j.Class))
+		if model.width >= 100 { // the class comes third then
+			cells = slices.Insert(cells, 2, r.cache.Classes.Name(storageJob.Class))
 		}
 		if len(f) < len(cells) || !slices.Equal(f[:len(cells)], cells) {
 			return fmt.Sprintf("%q, want %v", lines[4+i], cells)
@@ -244,20 +244,20 @@
 
 // seesChanges tells whether the comparison notices a row that is dropped, two that are swapped,
 // and a snapshot with a row changed, dropped or brought back.
-func (r *reference) seesChanges(m *Model) bool {
-	rows := m.cached
-	defer func() { m.cached = rows }()
-	m.cached = slices.Concat(rows[:1], rows[2:])
-	if r.expectedScreen(m) == "" {
+func (r *reference) seesChanges(model *Model) bool {
+	rows := model.cached
+	defer func() { model.cached = rows }()
+	model.cached = slices.Concat(rows[:1], rows[2:])
+	if r.expectedScreen(model) == "" {
 		return false
 	}
-	m.cached = slices.Clone(rows)
-	a, b := m.cached[0], m.cached[1]
-	a.Cells, b.Cells = slices.Clone(a.Cells), slices.Clone(b.Cells)
-	a.Cells[1], b.Cells[1] = b.Cells[1], a.Cells[1] // the ids change places
-	a.Cells[2], b.Cells[2] = "x", a.Cells[2]
-	m.cached[0], m.cached[1] = a, b
-	if r.expectedScreen(m) == "" {
+	model.cached = slices.Clone(rows)
+	row, consoleRow := model.cached[0], model.cached[1]
+	row.Cells, consoleRow.Cells = slices.Clone(row.Cells), slices.Clone(consoleRow.Cells)
+	row.Cells[1], consoleRow.Cells[1] = consoleRow.Cells[1], row.Cells[1] // the ids change places
+	row.Cells[2], consoleRow.Cells[2] = "x", row.Cells[2]
+	model.cached[0], model.cached[1] = row, consoleRow
+	if r.expectedScreen(model) == "" {
 		return false
 	}
 	for _, change := range []func(*view.Model, view.Job){
@@ -265,7 +265,7 @@
 		func(x *view.Model, j view.Job) { j.Done++; x.PutJob(j) },
 		func(x *view.Model, j view.Job) { j.ID = "job-000000001"; x.PutJob(j) },
 	} {
-		s, mirror := m.state.Snapshot, view.NewMirror()
+		s, mirror := model.state.Snapshot, view.NewMirror()
 		s.Jobs("", func(j *view.Job) bool { return mirror.PutJob(*j) })
 		s.Machines(func(x *view.Machine) bool { mirror.PutMachine(*x); return true })
 		if r.differs(mirror.Mirrored(s.Head)) != "" {
@@ -302,7 +302,7 @@
 	for _, c := range []struct {
 		name  string
 		part  float64 // of the burst
-		fault func(w *simulator.Simulation)
+		fault func(sim *simulator.Simulation)
 		warns bool // the screen has to say that it is old
 	}{
 		{name: "the node that is asked ends", part: 1, fault: func(w *simulator.Simulation) {
@@ -347,28 +347,28 @@
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				w := simulator.NewSimulation(ctx, burstSettings(), 18)
-				w.CapacityOf, w.Views, w.Store.Keep = 90, true, 1<<30
+				simulation := simulator.NewSimulation(ctx, burstSettings(), 18)
+				simulation.CapacityOf, simulation.Views, simulation.Store.Keep = 90, true, 1<<30
 				for i := range 3 {
-					w.Start(i)
+					simulation.Start(i)
 				}
-				w.PeerDelay()
+				simulation.PeerDelay()
 				for i := range 45 {
-					w.AddMachine(w.Settings.Deployment.Zones[i%3], i%2 == 0)
+					simulation.AddMachine(simulation.Settings.Deployment.Zones[i%3], i%2 == 0)
 				}
-				ref := &reference{w.Store, storage.NewCache(w.Settings)}
-				f := viewclient.NewFollower(simulationSource{simulation: w, nodes: 3}, view.Operators, 300*time.Millisecond)
+				ref := &reference{simulation.Store, storage.NewCache(simulation.Settings)}
+				follower := viewclient.NewFollower(simulationSource{simulation: simulation, nodes: 3}, view.Operators, 300*time.Millisecond)
 				ended := make(chan error, 1)
-				go func() { ended <- f.Run(ctx) }()
-				m := New(ctx, f, "burst")
+				go func() { ended <- follower.Run(ctx) }()
+				model := New(ctx, follower, "burst")
 				time.Sleep(3 * time.Second)
-				go c.fault(w)
-				users := &loadgen.Runner{To: simulator.Users{Simulation: w}, Upload: func(_ string, raw []byte) error {
+				go c.fault(simulation)
+				users := &loadgen.Runner{To: simulator.Users{Simulation: simulation}, Upload: func(_ string, raw []byte) error {
 					var u simulator.Upload
 					if err := json.Unmarshal(raw, &u); err != nil {
 						return err
 					}
-					return w.AddJob(u)
+					return simulation.AddJob(u)
 				}}
 				res := make(chan loadgen.Result, 1)
 				go func() { res <- users.Run(ctx, plan, 2*time.Minute) }()
@@ -376,22 +376,22 @@
 				screens, old, most, lastRev, provedWrong := 0, 0, 0, uint64(0), false
 				began := time.Now()
 				look := func() string {
-					m.state = f.State()
-					s := m.state.Snapshot
-					if s == nil {
+					model.state = follower.State()
+					snapshot := model.state.Snapshot
+					if snapshot == nil {
 						return ""
 					}
-					if s.Revision < lastRev {
-						return fmt.Sprintf("revision %d after %d", s.Revision, lastRev)
+					if snapshot.Revision < lastRev {
+						return fmt.Sprintf("revision %d after %d", snapshot.Revision, lastRev)
 					}
-					if s.Revision > lastRev {
-						lastRev = s.Revision
-						ref.advance(t, s.Revision)
-						if d := ref.differs(s); d != "" {
-							return fmt.Sprintf("revision %d: %s", s.Revision, d)
+					if snapshot.Revision > lastRev {
+						lastRev = snapshot.Revision
+						ref.advance(t, snapshot.Revision)
+						if d := ref.differs(snapshot); d != "" {
+							return fmt.Sprintf("revision %d: %s", snapshot.Revision, d)
 						}
 						back := ""
-						s.Jobs("", func(j *view.Job) bool {
+						snapshot.Jobs("", func(j *view.Job) bool {
 							if was, ok := final[j.ID]; ok && was != j.Status {
 								back = fmt.Sprintf("%s was shown %s and is shown %s", j.ID, was, j.Status)
 							}
@@ -404,26 +404,26 @@
 							return back
 						}
 					}
-					for tab := range m.tables {
-						m.width, m.height = 80, 24
+					for tab := range model.tables {
+						model.width, model.height = 80, 24
 						if screens%2 == 0 {
-							m.width, m.height = 160, 50
+							model.width, model.height = 160, 50
 						}
-						m.turn(tab)
-						m.list()
-						if d := ref.expectedScreen(m); d != "" {
-							return fmt.Sprintf("revision %d, table %s: %s\n%s", s.Revision, m.tables[tab].Name, d, ansi.Strip(m.View()))
+						model.turn(tab)
+						model.list()
+						if d := ref.expectedScreen(model); d != "" {
+							return fmt.Sprintf("revision %d, table %s: %s\n%s", snapshot.Revision, model.tables[tab].Name, d, ansi.Strip(model.View()))
 						}
 						screens++
-						if !provedWrong && tab < 2 && len(m.visible()) > 2 {
-							if provedWrong = true; !ref.seesChanges(m) {
+						if !provedWrong && tab < 2 && len(model.visible()) > 2 {
+							if provedWrong = true; !ref.seesChanges(model) {
 								return "a changed screen is taken for a true one"
 							}
 						}
-						most = max(most, len(m.cached))
+						most = max(most, len(model.cached))
 					}
-					if age := m.state.Age(time.Now()); age > viewclient.Fresh {
-						if old++; !strings.Contains(ansi.Strip(m.View()), "THIS IS") {
+					if age := model.state.Age(time.Now()); age > viewclient.Fresh {
+						if old++; !strings.Contains(ansi.Strip(model.View()), "THIS IS") {
 							return fmt.Sprintf("it is %v old and does not say so", age)
 						}
 					}
@@ -436,10 +436,10 @@
 						cancel()
 					}
 				}
-				r := <-res
-				t.Logf("%d screens, %d jobs on one, old on %d; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screens, most, old, r.Jobs, r.Accepted, r.Done, r.Accept, r.Complete)
-				if r.Accepted != r.Jobs || r.Open > 0 || r.WentBack > 0 || len(final) < r.Jobs*9/10 {
-					t.Errorf("%+v, %d seen over", r, len(final))
+				result := <-res
+				t.Logf("%d screens, %d jobs on one, old on %d; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screens, most, old, result.Jobs, result.Accepted, result.Done, result.Accept, result.Complete)
+				if result.Accepted != result.Jobs || result.Open > 0 || result.WentBack > 0 || len(final) < result.Jobs*9/10 {
+					t.Errorf("%+v, %d seen over", result, len(final))
 				}
 				if !provedWrong {
 					t.Error("no screen was changed to see whether that is noticed")
@@ -447,7 +447,7 @@
 				if (old > 0) != c.warns && c.warns {
 					t.Error("an outage was not told")
 				}
-				for _, b := range w.BrokenRules() {
+				for _, b := range simulation.BrokenRules() {
 					t.Error(b)
 				}
 				cancel()
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -216,8 +216,8 @@
 
 // list brings the rows up to date. The chosen row stays chosen when others come and go.
 func (m *Model) list() {
-	t := m.tables[m.tab]
-	m.cached = t.Rows(m.state, m.clock(), m.why, m.order[m.tab], m.reversed[m.tab], m.filter)
+	table := m.tables[m.tab]
+	m.cached = table.Rows(m.state, m.clock(), m.why, m.order[m.tab], m.reversed[m.tab], m.filter)
 	if i := slices.IndexFunc(m.cached, func(r Row) bool { return r.Key == m.chosen }); i >= 0 && m.row > 0 {
 		m.row = i
 	}
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -87,25 +87,25 @@
 }
 
 func (m *Model) summary() string {
-	s := m.state
-	if s.Snapshot == nil {
+	state := m.state
+	if state.Snapshot == nil {
 		return ""
 	}
 	var all view.Totals
-	for i := range s.Teams {
-		t := &s.Teams[i]
+	for i := range state.Teams {
+		t := &state.Teams[i]
 		all.Queued, all.Running = all.Queued+t.Queued, all.Running+t.Running
 		all.Waiting, all.Placed = all.Waiting+t.Waiting, all.Placed+t.Placed
 	}
 	late, now := 0, m.clock()
-	s.Jobs("", func(j *view.Job) bool {
+	state.Jobs("", func(j *view.Job) bool {
 		if !j.Status.Final() && j.Behind(now) > 0 {
 			late++
 		}
 		return true
 	})
 	return fmt.Sprintf("%d queued, %d running, %d late; tasks %d wait, %d placed; cpus %d/%d on %d",
-		all.Queued, all.Running, late, all.Waiting, all.Placed, (s.Fleet.UsedCpus+500)/1000, s.Fleet.Cpus/1000, s.Fleet.Machines)
+		all.Queued, all.Running, late, all.Waiting, all.Placed, (state.Fleet.UsedCpus+500)/1000, state.Fleet.Cpus/1000, state.Fleet.Machines)
 }
 
 func (m *Model) tabs() string {
@@ -122,24 +122,24 @@
 
 // table draws titles and rows.
 func (m *Model) table() []string {
-	t := m.tables[m.tab]
-	cols, at := m.columns(t)
+	consoleTable := m.tables[m.tab]
+	cols, at := m.columns(consoleTable)
 	titles := make([]string, len(cols))
 	for i, c := range cols {
 		titles[i] = cell(c.Title, c)
 	}
 	lines := []string{bold.Render(m.fit("  " + strings.Join(titles, " ")))}
-	for i, r := range m.visible() {
+	for i, row := range m.visible() {
 		cells := make([]string, len(cols))
 		for k, c := range cols {
-			cells[k] = cell(r.Cells[at[k]], c)
+			cells[k] = cell(row.Cells[at[k]], c)
 		}
 		mark := "  "
 		if m.top+i == m.row {
 			mark = "> "
 		}
 		line := m.fit(mark + strings.TrimRight(strings.Join(cells, " "), " "))
-		if r.Late {
+		if row.Late {
 			line = alarm.Render(line)
 		}
 		lines = append(lines, line)
@@ -159,9 +159,9 @@
 
 // columns are those that the screen is wide enough for, and where they are in a row. The last
 // one takes what is left.
-func (m *Model) columns(t Table) (cols []Column, at []int) {
+func (m *Model) columns(table Table) (cols []Column, at []int) {
 	left := m.width - 2
-	for i, c := range t.Columns {
+	for i, c := range table.Columns {
 		if m.width >= c.Need {
 			if c.Width == jobWidth && m.width >= wideScreen {
 				c.Width = jobWideWidth
@@ -219,21 +219,21 @@
 
 // details tell all of what is chosen.
 func (m *Model) details() []string {
-	s := m.state
-	if s.Snapshot == nil {
+	state := m.state
+	if state.Snapshot == nil {
 		return nil
 	}
 	now := m.clock()
 	switch m.tables[m.tab].Name {
 	case Queue, Running, Finished:
-		j := s.Job(m.chosen)
+		j := state.Job(m.chosen)
 		if j == nil {
 			return []string{"", "  " + clean(m.chosen) + " is not listed any more"}
 		}
 		return m.jobDetails(j, now)
 	case Evictions:
 		var out []string
-		s.Evictions(func(e *view.Eviction) bool {
+		state.Evictions(func(e *view.Eviction) bool {
 			if e.Key == m.chosen {
 				out = append(out, "", fmt.Sprintf("  room for %s of %s, %s ago", clean(e.Job), clean(e.Team), span(now-e.At)), "")
 				for _, v := range e.Victims {
@@ -256,7 +256,7 @@
 	return out
 }
 
-func (m *Model) jobDetails(j *view.Job, now int64) []string {
+func (m *Model) jobDetails(job *view.Job, now int64) []string {
 	clock := func(ms int64) string {
 		if ms == 0 {
 			return "-"
@@ -264,36 +264,36 @@
 		return time.UnixMilli(ms).Format("15:04:05") + fmt.Sprintf(" (%s ago)", span(now-ms))
 	}
 	kind := "array"
-	if j.Service {
+	if job.Service {
 		kind = "service"
 	}
 	schedule := "no deadline"
-	if j.Due > 0 {
-		schedule = "due " + time.UnixMilli(j.Due).Format("15:04:05")
-		if b := j.Behind(now); b > 0 {
+	if job.Due > 0 {
+		schedule = "due " + time.UnixMilli(job.Due).Format("15:04:05")
+		if b := job.Behind(now); b > 0 {
 			schedule += ", BEHIND by " + span(b)
 		} else {
 			schedule += ", " + span(-b) + " in hand"
 		}
 	}
 	why := "-"
-	if w, ok := m.why[j.ID]; ok && w.Why != "" {
+	if w, ok := m.why[job.ID]; ok && w.Why != "" {
 		by := "told by " + clean(w.Member) + ", which does not decide it"
 		if w.Owner {
 			by = "decided by " + clean(w.Member)
 		}
 		why = fmt.Sprintf("%s (%s, %s ago)", clean(w.Why), by, span(m.now().Sub(w.Got).Milliseconds()))
-	} else if t := whyText(j, m.why); t != "" {
+	} else if t := whyText(job, m.why); t != "" {
 		why = t
 	}
-	return []string{"", "  " + clean(j.ID) + "  " + j.Status.String(), "",
-		fmt.Sprintf("  team       %s, class %s, share %d", clean(j.Team), clean(j.Class), j.Shard),
-		fmt.Sprintf("  priority   %s, %s", j.Priority, kind),
-		fmt.Sprintf("  tasks      %d: %d done, %d placed, %d waiting", j.Tasks, j.Done, j.Placed, j.Waiting()),
-		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", milli(j.Cpus), milli(j.Gpus), span(int64(j.Estimate))),
-		"  submitted  " + clock(j.Submit),
-		"  counts     from " + clock(j.From),
-		"  ended      " + clock(j.End),
+	return []string{"", "  " + clean(job.ID) + "  " + job.Status.String(), "",
+		fmt.Sprintf("  team       %s, class %s, share %d", clean(job.Team), clean(job.Class), job.Shard),
+		fmt.Sprintf("  priority   %s, %s", job.Priority, kind),
+		fmt.Sprintf("  tasks      %d: %d done, %d placed, %d waiting", job.Tasks, job.Done, job.Placed, job.Waiting()),
+		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", milli(job.Cpus), milli(job.Gpus), span(int64(job.Estimate))),
+		"  submitted  " + clock(job.Submit),
+		"  counts     from " + clock(job.From),
+		"  ended      " + clock(job.End),
 		"  schedule   " + schedule,
 		"  waits      " + why}
 }
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -84,11 +84,11 @@
 }
 
 // Rows are the rows of a table in an order, reversed if asked, that hold some text.
-func (t Table) Rows(s *viewclient.State, now int64, why map[string]viewclient.Why, order int, reversed bool, filter string) []Row {
-	if s.Snapshot == nil {
+func (t Table) Rows(state *viewclient.State, now int64, why map[string]viewclient.Why, order int, reversed bool, filter string) []Row {
+	if state.Snapshot == nil {
 		return nil
 	}
-	rows := t.rows(s, now, why)
+	rows := t.rows(state, now, why)
 	if filter != "" {
 		filter = strings.ToLower(filter)
 		rows = slices.DeleteFunc(rows, func(r Row) bool { return !strings.Contains(strings.ToLower(strings.Join(r.Cells, " ")), filter) })
@@ -140,23 +140,23 @@
 }
 
 func jobRows(of func(*view.Job) bool, queue bool) func(*viewclient.State, int64, map[string]viewclient.Why) []Row {
-	return func(s *viewclient.State, now int64, why map[string]viewclient.Why) (rows []Row) {
-		s.Jobs("", func(j *view.Job) bool {
-			if !of(j) {
+	return func(state *viewclient.State, now int64, why map[string]viewclient.Why) (rows []Row) {
+		state.Jobs("", func(job *view.Job) bool {
+			if !of(job) {
 				return true
 			}
-			cells, late := jobCells(j, now)
-			waits := num(j.Waiting())
-			if j.Awaits > 0 {
+			cells, late := jobCells(job, now)
+			waits := num(job.Waiting())
+			if job.Awaits > 0 {
 				waits = "-"
 			}
-			cells = append(cells, waits, span(now-j.From))
+			cells = append(cells, waits, span(now-job.From))
 			if queue {
-				cells = append(cells, due(j, now), whyText(j, why))
+				cells = append(cells, due(job, now), whyText(job, why))
 			} else {
-				cells = append(cells, milli(j.Cpus*uint64(j.Placed)), due(j, now))
+				cells = append(cells, milli(job.Cpus*uint64(job.Placed)), due(job, now))
 			}
-			rows = append(rows, Row{Key: j.ID, Cells: cells, Late: late, sort: jobOrder(j, now)})
+			rows = append(rows, Row{Key: job.ID, Cells: cells, Late: late, sort: jobOrder(job, now)})
 			return true
 		})
 		return rows
@@ -164,46 +164,46 @@
 }
 
 // whyText is why a job waits as far as its row tells, or the controller that decides it.
-func whyText(j *view.Job, why map[string]viewclient.Why) string {
-	if j.Awaits > 0 {
-		return fmt.Sprintf("waits for %d other jobs", j.Awaits)
+func whyText(job *view.Job, why map[string]viewclient.Why) string {
+	if job.Awaits > 0 {
+		return fmt.Sprintf("waits for %d other jobs", job.Awaits)
 	}
-	if w, ok := why[j.ID]; ok {
+	if w, ok := why[job.ID]; ok {
 		if age := time.Since(w.Got); age > viewclient.Fresh {
 			return fmt.Sprintf("%s (%s ago)", clean(w.Why), span(age.Milliseconds()))
 		}
 		return clean(w.Why)
 	}
-	if j.Evicting {
+	if job.Evicting {
 		return "evicted tasks are still stopping"
 	}
 	return ""
 }
 
-func finishedRows(s *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
-	s.Jobs("", func(j *view.Job) bool {
-		if !j.Status.Final() {
+func finishedRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
+	state.Jobs("", func(job *view.Job) bool {
+		if !job.Status.Final() {
 			return true
 		}
-		cells, late := jobCells(j, now)
+		cells, late := jobCells(job, now)
 		lateBy, ended := "", ""
 		if late {
-			lateBy = span(j.Behind(now))
+			lateBy = span(job.Behind(now))
 		}
-		if j.End > 0 {
-			ended = span(now - j.End)
+		if job.End > 0 {
+			ended = span(now - job.End)
 		}
-		order := jobOrder(j, now)
-		order[0], order[1], order[2] = float64(j.End), order[0], order[1]
-		rows = append(rows, Row{Key: j.ID, Cells: append(cells, ended, j.Status.String(), lateBy), Late: late, sort: order})
+		order := jobOrder(job, now)
+		order[0], order[1], order[2] = float64(job.End), order[0], order[1]
+		rows = append(rows, Row{Key: job.ID, Cells: append(cells, ended, job.Status.String(), lateBy), Late: late, sort: order})
 		return true
 	})
 	return rows
 }
 
-func teamRows(s *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
-	for i := range s.Teams {
-		t := &s.Teams[i]
+func teamRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+	for i := range state.Teams {
+		t := &state.Teams[i]
 		borrowed, _ := t.Borrowed()
 		limit := "-"
 		if t.CpusMax > 0 {
@@ -213,56 +213,56 @@
 			fmt.Sprintf("%.1f%%", float64(t.DominantPM)/10), milli(t.WaitsCpus), num(t.Queued + t.Running), num(t.Running), milli(t.UsedGpus), money(t.RateMicro)},
 			sort: []float64{float64(t.DominantPM), float64(t.WaitsCpus), 0}})
 	}
-	if o := s.Others; o != nil {
+	if o := state.Others; o != nil {
 		rows = append(rows, Row{Key: "~", Cells: []string{"all others", "", "", milli(o.UsedCpus), "", "", milli(o.WaitsCpus), num(o.Queued + o.Running),
 			num(o.Running), milli(o.UsedGpus), ""}, sort: []float64{-1, -1, 0}})
 	}
 	return rows
 }
 
-func machineRows(s *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
-	s.Machines(func(m *view.Machine) bool {
+func machineRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+	state.Machines(func(machine *view.Machine) bool {
 		kind := "ordinary"
-		if m.Spot {
+		if machine.Spot {
 			kind = "spot"
 		}
 		var teams []string
-		for _, u := range m.Uses {
+		for _, u := range machine.Uses {
 			teams = append(teams, fmt.Sprintf("%s %s", clean(u.Team), milli(u.Cpus)))
 		}
-		rows = append(rows, Row{Key: m.Name, Cells: []string{clean(m.Name), m.State.String(), clean(m.Type), clean(m.Zone), kind, num(m.Shard), num(m.Tasks),
-			milli(m.UsedCpus) + "/" + milli(m.Cpus), milli(m.UsedGpus) + "/" + milli(m.Gpus), money(m.Price), strings.Join(teams, ", ")},
-			sort: []float64{0, float64(m.Tasks), float64(m.UsedCpus), float64(m.Price)}})
+		rows = append(rows, Row{Key: machine.Name, Cells: []string{clean(machine.Name), machine.State.String(), clean(machine.Type), clean(machine.Zone), kind, num(machine.Shard), num(machine.Tasks),
+			milli(machine.UsedCpus) + "/" + milli(machine.Cpus), milli(machine.UsedGpus) + "/" + milli(machine.Gpus), money(machine.Price), strings.Join(teams, ", ")},
+			sort: []float64{0, float64(machine.Tasks), float64(machine.UsedCpus), float64(machine.Price)}})
 		return true
 	})
 	return rows
 }
 
-func memberRows(s *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
-	for _, n := range s.Members {
-		state, leads, shares := "gone", "", make([]string, len(n.Shares))
+func memberRows(viewclientState *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+	for _, member := range viewclientState.Members {
+		state, leads, shares := "gone", "", make([]string, len(member.Shares))
 		switch {
-		case n.Alive && n.Unfit:
+		case member.Alive && member.Unfit:
 			state = "no workers"
-		case n.Alive:
+		case member.Alive:
 			state = "alive"
 		}
-		if n.Leader {
+		if member.Leader {
 			leads = "yes"
 		}
-		for i, x := range n.Shares {
+		for i, x := range member.Shares {
 			shares[i] = num(x)
 		}
-		rows = append(rows, Row{Key: n.Name, Cells: []string{clean(n.Name), state, leads, strings.Join(shares, " ")}, sort: []float64{0}})
+		rows = append(rows, Row{Key: member.Name, Cells: []string{clean(member.Name), state, leads, strings.Join(shares, " ")}, sort: []float64{0}})
 	}
 	return rows
 }
 
-func evictionRows(s *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
-	s.Evictions(func(e *view.Eviction) bool {
+func evictionRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
+	state.Evictions(func(eviction *view.Eviction) bool {
 		count := map[string]int{}
 		var whose []string
-		for _, v := range e.Victims {
+		for _, v := range eviction.Victims {
 			if count[v.Team]++; count[v.Team] == 1 {
 				whose = append(whose, v.Team)
 			}
@@ -271,15 +271,15 @@
 		for i, t := range whose {
 			whose[i] = fmt.Sprintf("%s %d", clean(t), count[t])
 		}
-		job, team, open := clean(e.Job), clean(e.Team), "over"
+		job, team, open := clean(eviction.Job), clean(eviction.Team), "over"
 		if job == "" {
 			job, team = "another", "-"
 		}
-		if e.Open {
+		if eviction.Open {
 			open = "open"
 		}
-		rows = append(rows, Row{Key: e.Key, Cells: []string{span(now - e.At), job, team, open, num(len(e.Victims)), strings.Join(whose, ", ")},
-			sort: []float64{float64(e.At), float64(len(e.Victims))}})
+		rows = append(rows, Row{Key: eviction.Key, Cells: []string{span(now - eviction.At), job, team, open, num(len(eviction.Victims)), strings.Join(whose, ", ")},
+			sort: []float64{float64(eviction.At), float64(len(eviction.Victims))}})
 		return true
 	})
 	return rows
--- a/internal/contexts/contexts.go
+++ b/internal/contexts/contexts.go
@@ -49,21 +49,21 @@
 // Load reads and checks the file; one that is not there is empty. Errors fit on one line and
 // name file, field and what was expected.
 func Load(path string) (*File, error) {
-	f := &File{}
+	file := &File{}
 	raw, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return f, nil
+		return file, nil
 	case err != nil:
 		return nil, fmt.Errorf("configuration %s: expected a readable file: %w", path, err)
 	}
-	if err := config.Strict(raw, f); err != nil {
+	if err := config.Strict(raw, file); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if err := f.check(); err != nil {
+	if err := file.check(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return f, nil
+	return file, nil
 }
 
 func (f *File) check() error {
@@ -71,19 +71,19 @@
 		return &config.FieldError{Field: "current", Expected: "the name of one of the contexts"}
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Contexts)) {
-		c, at := f.Contexts[name], "contexts."+name+"."
-		if !address(c.Users) {
+		context, at := f.Contexts[name], "contexts."+name+"."
+		if !address(context.Users) {
 			return &config.FieldError{Field: at + "users", Expected: "an address like 10.0.0.1:8080"}
 		}
-		if len(c.Nodes) == 0 {
+		if len(context.Nodes) == 0 {
 			return &config.FieldError{Field: at + "nodes", Expected: "at least one node's peer_listen"}
 		}
-		for i, n := range c.Nodes {
+		for i, n := range context.Nodes {
 			if !address(n) {
 				return &config.FieldError{Field: fmt.Sprintf("%snodes[%d]", at, i), Expected: "an address like 10.0.0.1:8081"}
 			}
 		}
-		if c.Uploads != "" && !address(c.Uploads) {
+		if context.Uploads != "" && !address(context.Uploads) {
 			return &config.FieldError{Field: at + "uploads", Expected: "an address like 10.0.0.1:8082"}
 		}
 	}
@@ -113,15 +113,15 @@
 
 // Change rewrites the file by a function, whole or not at all.
 func Change(path string, by func(*File)) error {
-	f, err := Load(path)
+	file, err := Load(path)
 	if err != nil {
 		return err
 	}
-	if f.Contexts == nil {
-		f.Contexts = map[string]Context{}
+	if file.Contexts == nil {
+		file.Contexts = map[string]Context{}
 	}
-	by(f)
-	raw, err := toml.Marshal(f)
+	by(file)
+	raw, err := toml.Marshal(file)
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", path, err)
 	}
--- a/internal/contexts/contexts_test.go
+++ b/internal/contexts/contexts_test.go
@@ -9,7 +9,7 @@
 
 func TestFile(t *testing.T) {
 	good := "current = \"a\"\n[contexts.a]\nusers = \"10.0.0.1:80\"\nnodes = [\"10.0.0.1:81\"]\n"
-	for _, c := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{good, ""},
 		{"", ""},
 		{strings.Replace(good, "\"a\"", "\"b\"", 1), "field current"},
@@ -20,21 +20,21 @@
 		{good + "current = [", "line"},
 	} {
 		path := filepath.Join(t.TempDir(), "f.toml")
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Load(path)
-		if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%q: %v, want %q", test.text, err, test.want)
 		}
 		// A file that is wrong is left as it is.
-		if err := Change(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (c.want == "") {
-			t.Errorf("%q: change: %v", c.text, err)
+		if err := Change(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (test.want == "") {
+			t.Errorf("%q: change: %v", test.text, err)
 		}
-		if raw, _ := os.ReadFile(path); c.want != "" && string(raw) != c.text {
-			t.Errorf("%q became %q", c.text, raw)
-		} else if f, err := Load(path); c.want == "" && (err != nil || f.Contexts["new"].Users == "") {
-			t.Errorf("%q: %+v, %v", c.text, f, err)
+		if raw, _ := os.ReadFile(path); test.want != "" && string(raw) != test.text {
+			t.Errorf("%q became %q", test.text, raw)
+		} else if f, err := Load(path); test.want == "" && (err != nil || f.Contexts["new"].Users == "") {
+			t.Errorf("%q: %+v, %v", test.text, f, err)
 		}
 	}
 	f, err := Load(filepath.Join(t.TempDir(), "none.toml"))
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -110,23 +110,23 @@
 	if c.cache.Settings.Version == c.settingsVersion {
 		return
 	}
-	s := DefaultOperatorSettings()
+	operatorSettings := DefaultOperatorSettings()
 	if c.cache.Settings.Value != nil {
 		var err error
-		if s, err = s.Change(c.cache.Settings.Value); err != nil {
+		if operatorSettings, err = operatorSettings.Change(c.cache.Settings.Value); err != nil {
 			c.log.Error("settings in the state service are not taken up", "err", err)
 			c.settingsVersion = c.cache.Settings.Version
 			return
 		}
 	}
 	c.settingsVersion = c.cache.Settings.Version
-	c.operatorSettings = s
-	c.alpha = s.Alpha
-	c.timing.RebalanceInterval = seconds(s.MoveEveryS)
+	c.operatorSettings = operatorSettings
+	c.alpha = operatorSettings.Alpha
+	c.timing.RebalanceInterval = seconds(operatorSettings.MoveEveryS)
 	if c.OnLogLevel != nil {
-		c.OnLogLevel(s.LogLevel)
+		c.OnLogLevel(operatorSettings.LogLevel)
 	}
-	c.log.Info("settings taken up", "version", c.settingsVersion, "alpha", s.Alpha, "move_every_s", s.MoveEveryS, "log_level", s.LogLevel)
+	c.log.Info("settings taken up", "version", c.settingsVersion, "alpha", operatorSettings.Alpha, "move_every_s", operatorSettings.MoveEveryS, "log_level", operatorSettings.LogLevel)
 }
 
 // Settings returns the operators' settings with their version.
@@ -153,18 +153,18 @@
 	if version != at {
 		return cur, at, ErrVersion
 	}
-	t := protocol.Txn{
+	txn := protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.SettingsKey, Version: at}},
 		Then: []protocol.Change{{Put: storage.SettingsKey, Value: storage.Encode(next)}},
 	}
-	rev, failed, err := c.store.Txn(ctx, t, protocol.UserRequest)
+	rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
 		return cur, at, ErrUnavailable
 	case len(failed) > 0:
 		return cur, at, ErrVersion
 	}
-	err = c.call(ctx, func() { c.applyTxn(t, rev); c.changed() })
+	err = c.call(ctx, func() { c.applyTxn(txn, rev); c.changed() })
 	c.log.Info("settings changed by an operator", "version", rev, "change", string(change))
 	return next, rev, err
 }
@@ -190,23 +190,23 @@
 		}
 		slices.Sort(names)
 		for _, n := range names {
-			v := MemberView{Name: n, HeartbeatAgeS: -1, Shards: []int{}}
+			memberView := MemberView{Name: n, HeartbeatAgeS: -1, Shards: []int{}}
 			if r := c.cache.Members[n]; r != nil {
-				v.Alive, v.Incarnation = true, r.Incarnation
+				memberView.Alive, memberView.Incarnation = true, r.Incarnation
 			}
-			v.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Member == n
+			memberView.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Member == n
 			for i, s := range c.cache.Shards {
 				if s.Member == n {
-					v.Shards = append(v.Shards, i)
+					memberView.Shards = append(memberView.Shards, i)
 				}
 			}
 			if p, ok := c.peers[n]; ok {
-				v.HeartbeatAgeS, v.StateOK = time.Since(p.heardAt).Seconds(), p.heartbeat.StateOK
+				memberView.HeartbeatAgeS, memberView.StateOK = time.Since(p.heardAt).Seconds(), p.heartbeat.StateOK
 			}
 			if n == c.cfg.MemberName {
-				v.HeartbeatAgeS, v.StateOK = 0, c.PeerHeartbeat().StateOK
+				memberView.HeartbeatAgeS, memberView.StateOK = 0, c.PeerHeartbeat().StateOK
 			}
-			out = append(out, v)
+			out = append(out, memberView)
 		}
 	})
 	return out, err
@@ -326,16 +326,16 @@
 }
 
 // whyWaits says why a job's tasks wait, "" if none does; kinds are the machines to look at.
-func (c *Controller) whyWaits(j *storage.Job, kinds []*storage.Machine) string {
+func (c *Controller) whyWaits(job *storage.Job, kinds []*storage.Machine) string {
 	now := time.Now()
-	if n := j.UnmetDependencies(); n > 0 && j.Open() && !j.DependencyFailed {
+	if n := job.UnmetDependencies(); n > 0 && job.Open() && !job.DependencyFailed {
 		return fmt.Sprintf("waits for %d other jobs", n)
 	}
-	if j.Waiting() == 0 {
+	if job.Waiting() == 0 {
 		return ""
 	}
-	if !c.ownsShard(j.Shard) {
-		if s := c.cache.Shards[j.Shard]; s.Member != "" && s.Member != c.cfg.MemberName {
+	if !c.ownsShard(job.Shard) {
+		if s := c.cache.Shards[job.Shard]; s.Member != "" && s.Member != c.cfg.MemberName {
 			return "decided by node " + s.Member
 		}
 		return "its share has no owner"
@@ -343,7 +343,7 @@
 	if c.storeFailing() {
 		return "the state service does not answer"
 	}
-	if jv := c.jobStates[j]; c.suspect(j) {
+	if jv := c.jobStates[job]; c.suspect(job) {
 		again := 0.0
 		if jv != nil {
 			again = max(0, jv.backoff.Sub(now).Seconds())
@@ -352,15 +352,15 @@
 	} else if jv != nil && now.Before(jv.backoff) {
 		return fmt.Sprintf("failed %d times, tried again in %.0f s", jv.failures, jv.backoff.Sub(now).Seconds())
 	}
-	if !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
+	if !schedule.WithinLimit(c.cache.Teams[job.Team], c.cache.Used[job.Team], job, 1) {
 		return "the team's limit is reached"
 	}
-	if c.cache.VictimSets[j.ID] != nil {
+	if c.cache.VictimSets[job.ID] != nil {
 		return "evicted tasks are still stopping"
 	}
 	for _, m := range kinds {
-		if m.Shard == j.Shard && schedule.Allowed(j, m) {
-			if c.isIdleWork(j, now) {
+		if m.Shard == job.Shard && schedule.Allowed(job, m) {
+			if c.isIdleWork(job, now) {
 				return "idle-time work, waits for room that others leave"
 			}
 			return "no room"
@@ -394,20 +394,20 @@
 	WaitedS uint64 `json:"waited_s"`
 }
 
-func (c *Controller) machineInfo(m *storage.Machine, tasks bool) MachineInfo {
-	i := MachineInfo{Name: m.Name, State: c.machineState(m), Shard: m.Shard, Type: c.cache.TypeIndex.Name(m.Type),
-		Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Incarnation: m.Incarnation, FencingToken: c.cache.FencingToken(m), Tasks: len(m.Tasks), SilentS: -1}
-	for _, p := range m.Tasks {
-		i.UsedCpus += p.Job.Cpus
-		i.UsedGpus += p.Job.Gpus
+func (c *Controller) machineInfo(machine *storage.Machine, tasks bool) MachineInfo {
+	controllerMachineInfo := MachineInfo{Name: machine.Name, State: c.machineState(machine), Shard: machine.Shard, Type: c.cache.TypeIndex.Name(machine.Type),
+		Zone: c.cache.Zones.Name(machine.Zone), Spot: machine.Spot, Incarnation: machine.Incarnation, FencingToken: c.cache.FencingToken(machine), Tasks: len(machine.Tasks), SilentS: -1}
+	for _, p := range machine.Tasks {
+		controllerMachineInfo.UsedCpus += p.Job.Cpus
+		controllerMachineInfo.UsedGpus += p.Job.Gpus
 		if tasks {
-			i.Placed = append(i.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.WaitedS})
+			controllerMachineInfo.Placed = append(controllerMachineInfo.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.WaitedS})
 		}
 	}
-	if v := c.workerStates[m.Index]; v != nil && c.ownsShard(m.Shard) {
-		i.SilentS = time.Since(v.heard).Seconds()
+	if v := c.workerStates[machine.Index]; v != nil && c.ownsShard(machine.Shard) {
+		controllerMachineInfo.SilentS = time.Since(v.heard).Seconds()
 	}
-	return i
+	return controllerMachineInfo
 }
 
 // MachineInfos lists machines in name order, beginning after a given one.
--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -14,21 +14,21 @@
 		team string
 		want int
 	}{{"", 501}, {"red", 501}, {"blue", 0}} {
-		c := newCore(t)
+		controller := newCore(t)
 		go func() {
-			for f := range c.inbox {
+			for f := range controller.inbox {
 				f()
 			}
 		}()
 		for i := range 500 {
-			if err := c.cache.Apply(storage.JobKey(fmt.Sprintf("job-%06d", (i*7919)%100_000+10)), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
+			if err := controller.cache.Apply(storage.JobKey(fmt.Sprintf("job-%06d", (i*7919)%100_000+10)), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
 				Spec: &storage.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
 				t.Fatal(err)
 			}
 		}
 		after, n := "", 0
 		for {
-			rows, more, err := c.JobViews(t.Context(), x.team, after, 200)
+			rows, more, err := controller.JobViews(t.Context(), x.team, after, 200)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controller/autoscale/autoscale.go
+++ b/internal/controller/autoscale/autoscale.go
@@ -177,10 +177,10 @@
 			order[1] = append(order[1], i)
 		}
 	}
-	for _, d := range ranked {
-		need := d.wanted(horizon)
+	for _, demand := range ranked {
+		need := demand.wanted(horizon)
 		for k := range order {
-			if k == 0 && !d.Spot || k == 1 && d.Idle {
+			if k == 0 && !demand.Spot || k == 1 && demand.Idle {
 				continue
 			}
 			// Each kind of work begins with the first machine that still has something free:
@@ -189,14 +189,14 @@
 				order[k] = order[k][1:]
 			}
 			for _, i := range order[k] {
-				m := &machines[i]
+				machine := &machines[i]
 				if need <= 0 {
 					break
 				}
-				if left[i] <= targetUtilization || !d.Fits(m.Pool, m.Cpus, m.Gpus, m.Mem) {
+				if left[i] <= targetUtilization || !demand.Fits(machine.Pool, machine.Cpus, machine.Gpus, machine.Mem) {
 					continue
 				}
-				per := d.perMachine(m.Cpus, m.Gpus, m.Mem)
+				per := demand.perMachine(machine.Cpus, machine.Gpus, machine.Mem)
 				if per < 1 {
 					continue
 				}
@@ -209,7 +209,7 @@
 			best := -1
 			for i := range offers {
 				o := &offers[i]
-				if o.Blocked || !d.Fits(o.Pool, o.Cpus, o.Gpus, o.Mem) || d.perMachine(o.Cpus, o.Gpus, o.Mem) < 1 {
+				if o.Blocked || !demand.Fits(o.Pool, o.Cpus, o.Gpus, o.Mem) || demand.perMachine(o.Cpus, o.Gpus, o.Mem) < 1 {
 					continue
 				}
 				if best < 0 || o.Price/o.Cpus < 0.99*offers[best].Price/offers[best].Cpus ||
@@ -220,18 +220,18 @@
 			if best < 0 {
 				break
 			}
-			o := &offers[best]
-			per := d.perMachine(o.Cpus, o.Gpus, o.Mem)
-			if rented[o.Pool] <= 1e-6 {
-				counts[o.Pool]++
-				if !d.Idle {
+			offer := &offers[best]
+			per := demand.perMachine(offer.Cpus, offer.Gpus, offer.Mem)
+			if rented[offer.Pool] <= 1e-6 {
+				counts[offer.Pool]++
+				if !demand.Idle {
 					plan.Urgent++
 				}
-				o.Owned++
-				rented[o.Pool] = 1
+				offer.Owned++
+				rented[offer.Pool] = 1
 			}
-			n := min(need, per*rented[o.Pool])
-			rented[o.Pool] -= n / per
+			n := min(need, per*rented[offer.Pool])
+			rented[offer.Pool] -= n / per
 			need -= n
 		}
 	}
--- a/internal/controller/autoscale/autoscale_test.go
+++ b/internal/controller/autoscale/autoscale_test.go
@@ -47,9 +47,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := Decide(c.demands, c.machines, c.offers, 0.3)
+			plan := Decide(c.demands, c.machines, c.offers, 0.3)
 			got := map[Pool]int{}
-			for _, r := range p.ScaleOuts {
+			for _, r := range plan.ScaleOuts {
 				got[r.Pool] += r.Count
 			}
 			if len(got) != len(c.want) {
@@ -61,8 +61,8 @@
 				}
 			}
 			for k, n := range c.spare {
-				if p.Surplus[k] != n {
-					t.Fatalf("spare %v, want %v", p.Surplus, c.spare)
+				if plan.Surplus[k] != n {
+					t.Fatalf("spare %v, want %v", plan.Surplus, c.spare)
 				}
 			}
 		})
@@ -72,9 +72,9 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []struct{ machines, kinds int }{{50, 50}, {400, 400}, {1250, 5000}, {5000, 20000}} {
 		b.Run(fmt.Sprintf("machines=%d/kinds=%d", n.machines, n.kinds), func(b *testing.B) {
-			var ms []Machine
+			var autoscaleMachines []Machine
 			for i := range n.machines {
-				ms = append(ms, Machine{Pool: Pool{Spot: i%3 > 0}, Cpus: 16, Mem: 64, Usable: true})
+				autoscaleMachines = append(autoscaleMachines, Machine{Pool: Pool{Spot: i%3 > 0}, Cpus: 16, Mem: 64, Usable: true})
 			}
 			var ds []Demand
 			for i := range n.kinds {
@@ -83,7 +83,7 @@
 			offers := []Offer{{Pool: Pool{Spot: true}, Cpus: 16, Mem: 64, Price: 0.2, Boot: 30, Blocked: true}, {Cpus: 16, Mem: 64, Price: 0.8, Boot: 30, Blocked: true}}
 			b.ReportAllocs()
 			for b.Loop() {
-				Decide(ds, ms, offers, 0.45)
+				Decide(ds, autoscaleMachines, offers, 0.45)
 			}
 		})
 	}
--- a/internal/controller/baseline/baseline.go
+++ b/internal/controller/baseline/baseline.go
@@ -61,8 +61,8 @@
 }
 
 // Window takes in what queues asked for in a window of time.
-func (l *Estimator) Window(d time.Duration, asked map[storage.ClassQueue]storage.Arrivals) {
-	s := d.Seconds()
+func (l *Estimator) Window(duration time.Duration, asked map[storage.ClassQueue]storage.Arrivals) {
+	s := duration.Seconds()
 	if s <= 0 {
 		return
 	}
@@ -71,31 +71,31 @@
 			l.queues[x] = &queueEstimate{}
 		}
 	}
-	for x, n := range l.queues {
-		if n.baseline == 0 {
-			l.guess(n, asked[x], s)
+	for classQueue, baselineQueueEstimate := range l.queues {
+		if baselineQueueEstimate.baseline == 0 {
+			l.guess(baselineQueueEstimate, asked[classQueue], s)
 			continue
 		}
-		now := asked[x].Work / s
-		n.rate += min(1, s/smooth.Seconds()) * (now - n.rate)
+		now := asked[classQueue].Work / s
+		baselineQueueEstimate.rate += min(1, s/smooth.Seconds()) * (now - baselineQueueEstimate.rate)
 		switch part := s / settle.Seconds(); {
-		case n.rate < idle*n.baseline:
-		case n.rate > n.baseline:
-			n.baseline *= math.Exp(quantile * part)
+		case baselineQueueEstimate.rate < idle*baselineQueueEstimate.baseline:
+		case baselineQueueEstimate.rate > baselineQueueEstimate.baseline:
+			baselineQueueEstimate.baseline *= math.Exp(quantile * part)
 		default:
-			n.baseline *= math.Exp((quantile - 1) * part)
+			baselineQueueEstimate.baseline *= math.Exp((quantile - 1) * part)
 		}
 	}
 }
 
 // guess takes a window of a queue of which nothing is known. A flood changes how many jobs come
 // but not what a job is, so the guess is the usual number of jobs with the mean work of one.
-func (l *Estimator) guess(n *queueEstimate, asked storage.Arrivals, s float64) {
-	n.all.Jobs, n.all.Work = n.all.Jobs+asked.Jobs, n.all.Work+asked.Work
-	if n.first = append(n.first, asked.Jobs/s); len(n.first) < firstWindows {
+func (l *Estimator) guess(baselineQueueEstimate *queueEstimate, asked storage.Arrivals, s float64) {
+	baselineQueueEstimate.all.Jobs, baselineQueueEstimate.all.Work = baselineQueueEstimate.all.Jobs+asked.Jobs, baselineQueueEstimate.all.Work+asked.Work
+	if baselineQueueEstimate.first = append(baselineQueueEstimate.first, asked.Jobs/s); len(baselineQueueEstimate.first) < firstWindows {
 		return
 	}
-	w := slices.Sorted(slices.Values(n.first))
+	w := slices.Sorted(slices.Values(baselineQueueEstimate.first))
 	u := w[len(w)/2]
 	if u == 0 && len(w) >= longWindows {
 		// A queue with few jobs has none in most windows: then the mean but for the largest.
@@ -103,9 +103,9 @@
 			u += x / float64(len(w)-1)
 		}
 	}
-	u *= n.all.Work / max(n.all.Jobs, 1)
+	u *= baselineQueueEstimate.all.Work / max(baselineQueueEstimate.all.Jobs, 1)
 	if u == 0 {
-		n.first = n.first[max(0, len(n.first)+1-longWindows):]
+		baselineQueueEstimate.first = baselineQueueEstimate.first[max(0, len(baselineQueueEstimate.first)+1-longWindows):]
 		return
 	}
 	if mean := l.mean(); l.known && mean > 0 {
@@ -113,7 +113,7 @@
 		// more than they have on average before it has lasted.
 		u = min(u, mean)
 	}
-	n.rate, n.baseline, n.first = u, u, nil
+	baselineQueueEstimate.rate, baselineQueueEstimate.baseline, baselineQueueEstimate.first = u, u, nil
 }
 
 func (l *Estimator) mean() float64 {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -17,11 +17,11 @@
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
-	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-	c.loaded, c.incarnation = true, 1
-	c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
+	controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+	controller.loaded, controller.incarnation = true, 1
+	controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
 	put := func(key string, v any, version uint64) {
-		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -32,11 +32,11 @@
 			Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
 	}
 	const size = 14
-	f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
+	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 	for i := range n {
-		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / size})
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / size})
 	}
-	put(storage.FleetKey("m0"), f, 4)
+	put(storage.FleetKey("m0"), fleet, 4)
 	for k := 0; k*size < n; k++ {
 		rec := storage.GroupRecord{}
 		for i := k * size; i < min(n, (k+1)*size); i++ {
@@ -48,13 +48,13 @@
 		}
 		put(storage.GroupKey(k), rec, 5)
 	}
-	c.cache.Revision, c.highestRevision = 5, 5
-	c.ownedShards[0] = 2
-	for _, m := range c.cache.Machines {
-		c.applyHeartbeat(m, c.workerState(m), reportOf(m, 1), 4, false)
+	controller.cache.Revision, controller.highestRevision = 5, 5
+	controller.ownedShards[0] = 2
+	for _, m := range controller.cache.Machines {
+		controller.applyHeartbeat(m, controller.workerState(m), reportOf(m, 1), 4, false)
 	}
-	c.cache.TakeChanged()
-	return c
+	controller.cache.TakeChanged()
+	return controller
 }
 
 func reportOf(m *storage.Machine, seq uint64) *protocol.Heartbeat {
@@ -124,11 +124,11 @@
 
 // BenchmarkLists reads all jobs and all machines as operators do, page by page.
 func BenchmarkLists(b *testing.B) {
-	overSizes(b, func(b *testing.B, c *Controller) {
+	overSizes(b, func(b *testing.B, controller *Controller) {
 		go func() {
 			for {
 				select {
-				case f := <-c.inbox:
+				case f := <-controller.inbox:
 					f()
 				case <-b.Context().Done():
 					return
@@ -137,14 +137,14 @@
 		}()
 		for b.Loop() {
 			for after, more := "", true; more; {
-				rows, m, err := c.JobViews(b.Context(), "", after, Page)
+				rows, m, err := controller.JobViews(b.Context(), "", after, Page)
 				if err != nil {
 					b.Fatal(err)
 				}
 				after, more = rows[len(rows)-1].ID, m
 			}
 			for after, more := "", true; more; {
-				rows, m, err := c.MachineInfos(b.Context(), after, Page)
+				rows, m, err := controller.MachineInfos(b.Context(), after, Page)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -79,19 +79,19 @@
 // CancellationDigest is what this controller vouches for to another, if that one reads it. Of what is listed the
 // other has read all up to a revision that it has told of itself.
 func (c *Controller) CancellationDigest(node string) (protocol.CancellationDigest, bool) {
-	w := c.summary.digest.Load()
+	cancellationDigest := c.summary.digest.Load()
 	reads := c.summary.digestReaders.Load()
-	if w == nil || reads == nil {
+	if cancellationDigest == nil || reads == nil {
 		return protocol.CancellationDigest{}, false
 	}
 	has, ok := (*reads)[node]
 	if !ok {
 		return protocol.CancellationDigest{}, false
 	}
-	out := *w
+	out := *cancellationDigest
 	if has > out.From {
 		out.From = has
-		out.Cancellations = slices.DeleteFunc(slices.Clone(w.Cancellations), func(e protocol.Cancellation) bool { return e.Version <= has })
+		out.Cancellations = slices.DeleteFunc(slices.Clone(cancellationDigest.Cancellations), func(e protocol.Cancellation) bool { return e.Version <= has })
 	}
 	return out, true
 }
@@ -112,12 +112,12 @@
 	c.post(func() { c.applyDigest(node, w, time.Now()) })
 }
 
-func (c *Controller) applyDigest(node string, w protocol.CancellationDigest, now time.Time) {
+func (c *Controller) applyDigest(node string, cancellationDigest protocol.CancellationDigest, now time.Time) {
 	if !c.loaded {
 		return
 	}
 	fresh := false
-	for _, e := range w.Cancellations {
+	for _, e := range cancellationDigest.Cancellations {
 		if e.Version > c.cache.Revision {
 			_, known := c.digest.gossiped[e.Job]
 			c.digest.gossiped[e.Job] = e.Version
@@ -125,18 +125,18 @@
 		}
 	}
 	if fresh {
-		c.log.Info("told of cancellations", "by", node, "jobs", len(w.Cancellations))
+		c.log.Info("told of cancellations", "by", node, "jobs", len(cancellationDigest.Cancellations))
 		c.terminateGossiped()
 	}
 	// What a process before this one of the same name had confirmed, nobody vouches for: only a
 	// reading after this one began shows it. And a list that begins after this controller's cache has a gap.
 	off := 2 * time.Duration(c.cfg.Deployment.ClockSkewMs*float64(time.Millisecond))
 	since := func(ms int64) time.Time { return now.Add(-time.Duration(now.UnixMilli()-ms) * time.Millisecond) }
-	if since(w.ProcessStart).Add(off).After(c.cacheCurrentAt) || w.From > c.cache.Revision {
+	if since(cancellationDigest.ProcessStart).Add(off).After(c.cacheCurrentAt) || cancellationDigest.From > c.cache.Revision {
 		return
 	}
 	// It may have been held up on its way: it vouches for what was before it was said.
-	if at := earliest(now, since(w.At).Add(-off)); at.After(c.digest.vouchedUntil[node]) {
+	if at := earliest(now, since(cancellationDigest.At).Add(-off)); at.After(c.digest.vouchedUntil[node]) {
 		c.digest.vouchedUntil[node] = at
 	}
 }
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -39,34 +39,34 @@
 		{name: "told in time, but not known to be all", read: 2 * time.Second, born: time.Second, from: 7, list: cancelled, silent: true, status: 200, kills: 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t) // lease 10 s, cancellations 30 s; its cache is at 4
-			c.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
-			c.cfg.Deployment.ClockSkewMs = x.clocks
-			m := c.cache.Machine("m")
-			if err := c.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
+			controller := newCore(t) // lease 10 s, cancellations 30 s; its cache is at 4
+			controller.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
+			controller.cfg.Deployment.ClockSkewMs = x.clocks
+			machine := controller.cache.Machine("m")
+			if err := controller.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}), 5, false); err != nil {
 				t.Fatal(err)
 			}
 			now := time.Now()
-			c.cacheCurrentAt = now.Add(-x.read)
+			controller.cacheCurrentAt = now.Add(-x.read)
 			word := func(node string, said, born time.Duration, from uint64, list []protocol.Cancellation) {
-				c.applyDigest(node, protocol.CancellationDigest{At: now.Add(-said).UnixMilli(), ProcessStart: now.Add(-born).UnixMilli(), From: from, Cancellations: list}, now)
+				controller.applyDigest(node, protocol.CancellationDigest{At: now.Add(-said).UnixMilli(), ProcessStart: now.Add(-born).UnixMilli(), From: from, Cancellations: list}, now)
 			}
 			word("n1", x.said, x.born, x.from, x.list)
 			if !x.silent {
 				word("n2", 0, 2*time.Hour, 0, nil)
 			}
 			status, kills := 0, 0
-			c.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: 4,
+			controller.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: 4,
 				Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}}, func(s int, body any) {
 				status = s
 				if a, ok := body.(protocol.HeartbeatResponse); ok {
 					kills = len(a.Commands)
 				}
 			})
-			c.flushHeldReplies(now, true)
+			controller.flushHeldReplies(now, true)
 			if status != x.status || kills != x.kills {
-				t.Errorf("%s: answered %d with %d stops, want %d with %d", m.Name, status, kills, x.status, x.kills)
+				t.Errorf("%s: answered %d with %d stops, want %d with %d", machine.Name, status, kills, x.status, x.kills)
 			}
 		})
 	}
@@ -85,19 +85,19 @@
 		{"those of one record fall out together", append([]uint64{1, 1, 1}, sequence(protocol.MaxCancellations)[1:]...), 1, protocol.MaxCancellations - 1},
 		{"one that comes late, from before the list", append(sequence(protocol.MaxCancellations+3), 2), 3, protocol.MaxCancellations},
 	} {
-		var e cancellationList
+		var controllerCancellationList cancellationList
 		for i, v := range x.versions {
 			job := fmt.Sprintf("job-%06d", v)
 			if v == 1 {
 				job = fmt.Sprintf("job-1%05d", i)
 			}
-			e.add(v, job)
+			controllerCancellationList.add(v, job)
 		}
-		if e.from != x.from || len(e.list) != x.listed {
-			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(e.list), e.from, x.listed, x.from)
+		if controllerCancellationList.from != x.from || len(controllerCancellationList.list) != x.listed {
+			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(controllerCancellationList.list), controllerCancellationList.from, x.listed, x.from)
 		}
-		for i := 1; i < len(e.list); i++ {
-			if e.list[i].Version < e.list[i-1].Version {
+		for i := 1; i < len(controllerCancellationList.list); i++ {
+			if controllerCancellationList.list[i].Version < controllerCancellationList.list[i-1].Version {
 				t.Errorf("%s: not in order", x.name)
 			}
 		}
@@ -115,24 +115,24 @@
 // Words go only to controllers whose record says that they read them, and only with what those have not read:
 // a controller of the version before would close the connection at the first.
 func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
-	c := newCore(t)
-	c.digest.recorded.add(6, "job-000006")
-	c.digest.recorded.add(8, "job-000008")
-	c.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesCancellationDigest}}
-	c.cache.Members["n2"] = &storage.Member{}
-	c.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
-	c.publish(time.Now())
-	if w, ok := c.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
+	controller := newCore(t)
+	controller.digest.recorded.add(6, "job-000006")
+	controller.digest.recorded.add(8, "job-000008")
+	controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesCancellationDigest}}
+	controller.cache.Members["n2"] = &storage.Member{}
+	controller.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
+	controller.publish(time.Now())
+	if w, ok := controller.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
 		t.Errorf("to one that has read up to 7: %+v, %v", w, ok)
 	}
 	for _, node := range []string{"n2", "n3"} {
-		if _, ok := c.CancellationDigest(node); ok {
+		if _, ok := controller.CancellationDigest(node); ok {
 			t.Errorf("a word to %s, which does not say that it reads any", node)
 		}
 	}
-	c.Frames = 0
-	c.publish(time.Now())
-	if _, ok := c.CancellationDigest("n1"); ok {
+	controller.Frames = 0
+	controller.publish(time.Now())
+	if _, ok := controller.CancellationDigest("n1"); ok {
 		t.Error("a word of a node that knows none")
 	}
 }
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -114,25 +114,25 @@
 // nextGroupSplit parts a group whose record would be over the limit, if there is one: its
 // machines' tasks could not leave it otherwise.
 func (c *Controller) nextGroupSplit() protocol.Txn {
-	k := c.oversizedGroup
+	group := c.oversizedGroup
 	c.oversizedGroup = nil
 	if !c.cache.Packed() {
 		return protocol.Txn{}
 	}
-	if k == nil {
+	if group == nil {
 		limit := c.valueLimit()
 		for _, x := range c.cache.Groups {
 			if x.Size > limit && c.ownsShard(x.Shard) && len(storage.EncodeGroup(c.cache.GroupRecordOf(x, x.UnsavedCompletions(), nil), true)) > limit*9/10 {
-				k = x
+				group = x
 				break
 			}
 		}
 	}
-	if k == nil || !c.ownsShard(k.Shard) {
+	if group == nil || !c.ownsShard(group.Shard) {
 		return protocol.Txn{}
 	}
 	c.plannedTasks, c.completedJobs = 0, c.completedJobs[:0]
-	return c.splitGroup(k)
+	return c.splitGroup(group)
 }
 
 func (c *Controller) send(ctx context.Context, t protocol.Txn) {
@@ -145,7 +145,7 @@
 	}()
 }
 
-func (c *Controller) sent(t protocol.Txn, rev uint64, failed []string, err error) {
+func (c *Controller) sent(txn protocol.Txn, rev uint64, failed []string, err error) {
 	c.commitInFlight = false
 	now := time.Now()
 	c.nextCycleAt = now.Add(c.timing.CommitInterval)
@@ -153,10 +153,10 @@
 	case err == nil && len(failed) == 0:
 		c.inDoubt = nil
 		c.storeFailingSince, c.storeServedAt = time.Time{}, now
-		if settles(t) {
+		if settles(txn) {
 			c.awaitedRevision = rev // what it settled may have been applied before
 		}
-		c.applyTxn(t, rev)
+		c.applyTxn(txn, rev)
 		c.metrics.launches.Add(float64(c.plannedTasks))
 		if c.plannedTasks > 0 && !c.placedSinceTakeover {
 			c.placedSinceTakeover = true
@@ -170,7 +170,7 @@
 		}
 		c.changed()
 		c.flushHeldReplies(now, true)
-		c.dispatchDirect(t)
+		c.dispatchDirect(txn)
 	case err == nil:
 		// Something changed under it: whatever it was, a late copy cannot apply any more.
 		c.log.Debug("commit conflicts", "keys", failed)
@@ -187,7 +187,7 @@
 		c.noteTooLarge(err)
 		switch {
 		case !errors.Is(err, protocol.ErrRefused):
-			c.inDoubt = &t
+			c.inDoubt = &txn
 		case errors.Is(err, protocol.ErrTooLarge) && c.inDoubt != nil:
 			c.inDoubt = c.settling(*c.inDoubt)
 		}
@@ -206,23 +206,23 @@
 }
 
 // dispatchDirect sends new launches to workers that are not about to report.
-func (c *Controller) dispatchDirect(t protocol.Txn) {
-	for _, ch := range t.Then {
-		id, ok := storage.GroupOf(ch.Put)
+func (c *Controller) dispatchDirect(txn protocol.Txn) {
+	for _, change := range txn.Then {
+		id, ok := storage.GroupOf(change.Put)
 		if !ok {
 			continue
 		}
-		for _, m := range c.cache.Groups[id].Machines {
-			if m.Gone || !c.ownsShard(m.Shard) {
+		for _, machine := range c.cache.Groups[id].Machines {
+			if machine.Gone || !c.ownsShard(machine.Shard) {
 				continue
 			}
-			v := c.workerState(m)
-			for _, p := range m.Tasks {
+			v := c.workerState(machine)
+			for _, p := range machine.Tasks {
 				ref := dispatch.RefOf(p)
 				_, seen := v.Seen[ref]
 				_, sent := v.Sent[ref]
 				if !seen && !sent {
-					c.sendDirect(m, false)
+					c.sendDirect(machine, false)
 					break
 				}
 			}
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -21,11 +21,11 @@
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12}}}
-	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-	c.loaded, c.incarnation = true, 1
-	c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
+	controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+	controller.loaded, controller.incarnation = true, 1
+	controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 	put := func(key string, v any, version uint64) {
-		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,11 +34,11 @@
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
 	put(storage.GroupKey(0), storage.GroupRecord{}, 4)
 	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
-	c.cache.Revision, c.highestRevision = 4, 4
-	c.ownedShards[0] = 2
-	m := c.cache.Machine("m")
-	c.applyHeartbeat(m, c.workerState(m), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 1, FencingToken: 4}, 4, false)
-	return c
+	controller.cache.Revision, controller.highestRevision = 4, 4
+	controller.ownedShards[0] = 2
+	m := controller.cache.Machine("m")
+	controller.applyHeartbeat(m, controller.workerState(m), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 1, FencingToken: 4}, 4, false)
+	return controller
 }
 
 // idleStore is never asked for anything but its pace.
@@ -47,10 +47,10 @@
 func (idleStore) Pace(int) time.Duration { return 0 }
 
 // machineIn reads machine m from the group's record in a batch.
-func machineIn(t *testing.T, b *txnBuilder) storage.GroupMachine {
+func machineIn(t *testing.T, builder *txnBuilder) storage.GroupMachine {
 	t.Helper()
 	var r storage.GroupRecord
-	if err := json.Unmarshal(b.puts[storage.GroupKey(0)].Value, &r); err != nil {
+	if err := json.Unmarshal(builder.puts[storage.GroupKey(0)].Value, &r); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range r.Machines {
@@ -95,18 +95,18 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t)
-			b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-			txn := b.build()
-			c.directCommands = maxDirectCommands // no workers here
-			c.sent(txn, x.rev, x.failed, x.err)
-			if (c.inDoubt != nil) != x.doubt || c.awaitedRevision != x.wait {
-				t.Fatalf("doubt %v, waiting for %d", c.inDoubt != nil, c.awaitedRevision)
+			controller := newCore(t)
+			builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+			txn := builder.build()
+			controller.directCommands = maxDirectCommands // no workers here
+			controller.sent(txn, x.rev, x.failed, x.err)
+			if (controller.inDoubt != nil) != x.doubt || controller.awaitedRevision != x.wait {
+				t.Fatalf("doubt %v, waiting for %d", controller.inDoubt != nil, controller.awaitedRevision)
 			}
-			if c.inDoubt != nil && !reflect.DeepEqual(*c.inDoubt, txn) {
+			if controller.inDoubt != nil && !reflect.DeepEqual(*controller.inDoubt, txn) {
 				t.Fatal("another transaction than the one in doubt")
 			}
-			if n := c.cache.Job("job-000001").PlacedCount; n != x.placed {
+			if n := controller.cache.Job("job-000001").PlacedCount; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
 			}
 		})
@@ -116,21 +116,21 @@
 // Groups that list hundreds of small tasks must not make a transaction larger than the
 // state service takes: it would refuse it for ever.
 func TestTxnStaysWithinLimits(t *testing.T) {
-	c := newCore(t)
+	controller := newCore(t)
 	job := fmt.Sprintf("job-%06d", 7)
 	const racks, tasks = 8, 450
 	apply := func(key string, v any, version uint64) {
-		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 	apply(storage.JobKey(job), storage.JobRecord{Tasks: racks * tasks, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
-	f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
+	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 	for i := range racks {
-		f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Group: i + 1})
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Group: i + 1})
 	}
-	apply(storage.FleetKey("x0"), f, 5)
+	apply(storage.FleetKey("x0"), fleet, 5)
 	for i := range racks {
 		var p []uint64
 		for k := range tasks {
@@ -138,12 +138,12 @@
 		}
 		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Incarnation: 1,
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
-		m := c.cache.Machine(fmt.Sprint("x", i))
+		m := controller.cache.Machine(fmt.Sprint("x", i))
 		r := reportOf(m, 1)
 		r.Tasks[0].State, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group has something to say
-		c.applyHeartbeat(m, c.workerState(m), r, 4, false)
+		controller.applyHeartbeat(m, controller.workerState(m), r, 4, false)
 	}
-	txn, more := c.nextTxn(c.workerState(c.cache.Machine("m")).heard)
+	txn, more := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).heard)
 	if n := len(storage.Encode(txn)); n > 64<<10 || len(txn.Then) == 0 || !more {
 		t.Errorf("%d bytes, %d changes, more: %v", n, len(txn.Then), more)
 	}
@@ -185,21 +185,21 @@
 		{"only earlier ones are up", 90 * time.Second, 90 * time.Second, 200 * time.Second, false, false},
 		{"late beyond all patience", 140 * time.Second, 90 * time.Second, 0, false, true},
 	} {
-		c := newCore(t)
-		c.cache.Types[0].BootS = 30
-		m := c.cache.Machine("m")
-		v := c.workerState(m)
-		if v.since = now.Add(-x.known); !x.up {
-			v.Incarnation = 0
+		controller := newCore(t)
+		controller.cache.Types[0].BootS = 30
+		machine := controller.cache.Machine("m")
+		worker := controller.workerState(machine)
+		if worker.since = now.Add(-x.known); !x.up {
+			worker.Incarnation = 0
 		}
 		if x.rented > 0 {
-			m.ProvisionedAt = now.Add(-x.rented).Unix()
+			machine.ProvisionedAt = now.Add(-x.rented).Unix()
 		}
 		last := int64(0)
 		if x.lastUp > 0 {
 			last = now.Add(-x.lastUp).Unix()
 		}
-		if got := c.neverCame(m, last, now); got != x.gone {
+		if got := controller.neverCame(machine, last, now); got != x.gone {
 			t.Errorf("%s: given up %v, want %v", x.name, got, x.gone)
 		}
 	}
@@ -218,8 +218,8 @@
 		{"much to keep", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMargin},
 		{"saving already", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMargin},
 	} {
-		c := newCore(t)
-		c.applyTxn(protocol.Txn{Then: []protocol.Change{
+		controller := newCore(t)
+		controller.applyTxn(protocol.Txn{Then: []protocol.Change{
 			{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
 				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", CheckpointInterval: 15, CheckpointCost: 3}})},
 			{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
@@ -227,11 +227,11 @@
 			{Put: storage.VictimSetKey("job-000001"), Value: storage.Encode(storage.VictimSetRecord{
 				Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
 		}}, 10)
-		m := c.cache.Machine("m")
-		v, p := c.workerState(m), m.Tasks[0]
+		m := controller.cache.Machine("m")
+		v, p := controller.workerState(m), m.Tasks[0]
 		v.started[dispatch.RefOf(p)] = time.Now().Add(-x.ran)
 		v.Seen[dispatch.RefOf(p)] = dispatch.TaskSeen{State: x.state}
-		if w := c.desiredState(m, v, p); !w.Stop || w.Grace != x.grace {
+		if w := controller.desiredState(m, v, p); !w.Stop || w.Grace != x.grace {
 			t.Errorf("%s: %+v, want %v s to save", x.name, w, x.grace)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -223,22 +223,22 @@
 
 // New makes a controller.
 func New(cfg *config.Settings, state StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, times Timing) *Controller {
-	c := &Controller{
+	controller := &Controller{
 		cfg: cfg, store: state, cloud: cloud, workers: workers, log: log, timing: times,
 		inbox: make(chan func(), 1024), done: make(chan struct{}), cache: storage.NewCache(cfg),
 		workerStates: map[int32]*workerState{}, jobStates: map[*storage.Job]*jobState{}, peers: map[string]peerState{}, disconnectedPeers: map[string]time.Time{}, alpha: DefaultAlpha,
 	}
-	c.ownershipHistory, c.brokenConnections = make([]shardOwnership, c.cache.NumShards), map[string]time.Time{}
-	c.leaseSeenAt, c.startedAt = map[string]time.Time{}, time.Now()
-	c.ownedShards, c.waitingByShard, c.pendingUpdates = make([]uint64, c.cache.NumShards), make([]int, c.cache.NumShards), map[int32]*pendingUpdate{}
-	c.Layout, c.Frames = storage.LayoutTeams, protocol.FramesCancellationDigest
-	c.metrics, c.operatorSettings, c.preemptionsSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
-	c.metrics.Registry.MustRegister(gauges{c})
-	c.unverified = unverifiedRenewals{since: time.Now(), renewed: map[string]time.Time{}}
-	c.terminations = map[int32]*termination{}
-	c.digest = digestState{gossiped: map[string]uint64{}, vouchedUntil: map[string]time.Time{}}
-	c.leader.init()
-	return c
+	controller.ownershipHistory, controller.brokenConnections = make([]shardOwnership, controller.cache.NumShards), map[string]time.Time{}
+	controller.leaseSeenAt, controller.startedAt = map[string]time.Time{}, time.Now()
+	controller.ownedShards, controller.waitingByShard, controller.pendingUpdates = make([]uint64, controller.cache.NumShards), make([]int, controller.cache.NumShards), map[int32]*pendingUpdate{}
+	controller.Layout, controller.Frames = storage.LayoutTeams, protocol.FramesCancellationDigest
+	controller.metrics, controller.operatorSettings, controller.preemptionsSeen = NewMetrics(), DefaultOperatorSettings(), map[string]uint64{}
+	controller.metrics.Registry.MustRegister(gauges{controller})
+	controller.unverified = unverifiedRenewals{since: time.Now(), renewed: map[string]time.Time{}}
+	controller.terminations = map[int32]*termination{}
+	controller.digest = digestState{gossiped: map[string]uint64{}, vouchedUntil: map[string]time.Time{}}
+	controller.leader.init()
+	return controller
 }
 
 // DefaultAlpha weighs lost work against time waited when evictions are ranked:
--- a/internal/controller/dispatch/dispatch.go
+++ b/internal/controller/dispatch/dispatch.go
@@ -70,30 +70,30 @@
 
 // ApplyHeartbeat takes a newer report of a machine's worker. token is the one under which
 // the machine is commanded now; reply says that it is the reply to a direct command.
-func (v *Worker) ApplyHeartbeat(m *storage.Machine, r *protocol.Heartbeat, token uint64, reply bool, job func(string) *storage.Job) {
-	if r.Incarnation != v.Incarnation {
+func (v *Worker) ApplyHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reply bool, job func(string) *storage.Job) {
+	if heartbeat.Incarnation != v.Incarnation {
 		clear(v.Sent)
 	}
-	v.Incarnation, v.Seq, v.FencingToken = r.Incarnation, r.Seq, max(v.FencingToken, r.FencingToken)
+	v.Incarnation, v.Seq, v.FencingToken = heartbeat.Incarnation, heartbeat.Seq, max(v.FencingToken, heartbeat.FencingToken)
 	if !reply {
-		v.HeartbeatSeq = r.Seq
+		v.HeartbeatSeq = heartbeat.Seq
 	}
 	before := v.Seen
-	v.Seen = make(map[Ref]TaskSeen, len(r.Tasks))
+	v.Seen = make(map[Ref]TaskSeen, len(heartbeat.Tasks))
 	v.Unplaced = v.Unplaced[:0]
-	for _, t := range r.Tasks {
-		id, n, _ := protocol.SplitTask(t.Task)
-		j := job(id)
-		if j == nil || n >= j.Tasks || j.MachineOf[n] != m.Index || j.AttemptOf[n] != t.Attempt {
-			v.Unplaced = append(v.Unplaced, t)
+	for _, taskStatus := range heartbeat.Tasks {
+		id, n, _ := protocol.SplitTask(taskStatus.Task)
+		storageJob := job(id)
+		if storageJob == nil || n >= storageJob.Tasks || storageJob.MachineOf[n] != machine.Index || storageJob.AttemptOf[n] != taskStatus.Attempt {
+			v.Unplaced = append(v.Unplaced, taskStatus)
 			continue
 		}
-		ref := Ref{j, n, t.Attempt}
-		v.Seen[ref] = TaskSeen{t.State, t.Cause, t.Checkpointed}
-		if t.State != protocol.TaskExited {
+		ref := Ref{storageJob, n, taskStatus.Attempt}
+		v.Seen[ref] = TaskSeen{taskStatus.State, taskStatus.Cause, taskStatus.Checkpointed}
+		if taskStatus.State != protocol.TaskExited {
 			continue
 		}
-		switch t.Cause {
+		switch taskStatus.Cause {
 		case protocol.CauseDone:
 			v.Gone[ref] = Completed
 		case protocol.CauseStopped:
@@ -104,21 +104,21 @@
 			v.Gone[ref] = Failed
 		}
 	}
-	for _, p := range m.Tasks {
-		ref := RefOf(p)
+	for _, placed := range machine.Tasks {
+		ref := RefOf(placed)
 		if _, ok := v.Seen[ref]; ok {
 			continue
 		}
 		if _, ok := v.Gone[ref]; ok {
 			continue
 		}
-		if r.Incarnation > m.Incarnation {
+		if heartbeat.Incarnation > machine.Incarnation {
 			v.Gone[ref] = Lost // the lease ran out: the worker forgot every task
 			continue
 		}
 		// Only a worker that has seen the present token drops what was sent
 		// under an older one, so only its heartbeat proves that a task is absent.
-		if r.Incarnation < m.Incarnation || r.FencingToken < token || v.Uncertain >= r.FencingToken && v.Uncertain > 0 {
+		if heartbeat.Incarnation < machine.Incarnation || heartbeat.FencingToken < token || v.Uncertain >= heartbeat.FencingToken && v.Uncertain > 0 {
 			continue
 		}
 		if _, ok := before[ref]; ok {
@@ -148,7 +148,7 @@
 // the record wants. Attempts that are wanted no more and can be proved never to
 // have started go into Gone. With answer, the commands go into the answer to the
 // latest report, and launches are noted as sent.
-func (v *Worker) Commands(m *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
+func (v *Worker) Commands(machine *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
 	var out []protocol.Command
 	for _, t := range v.Unplaced {
 		if t.State != protocol.TaskExited {
@@ -159,24 +159,24 @@
 			out = append(out, protocol.Command{Op: protocol.OpClear, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
-	for _, p := range m.Tasks {
+	for _, placed := range machine.Tasks {
 		if len(out) >= limit {
 			break
 		}
-		ref := RefOf(p)
+		ref := RefOf(placed)
 		if _, ok := v.Gone[ref]; ok {
 			continue
 		}
 		seen, known := v.Seen[ref]
-		w := wish(p)
-		name := protocol.TaskName(p.Job.ID, p.Task)
+		desiredState := wish(placed)
+		name := protocol.TaskName(placed.Job.ID, placed.Task)
 		switch {
-		case w.Stop && known && (seen.State != protocol.TaskCheckpointing || w.Grace == 0):
-			out = append(out, protocol.Command{Op: protocol.OpKill, Task: name, Attempt: p.Attempt, GraceS: w.Grace})
-		case w.Stop && !known && v.Absent(m, ref, token):
+		case desiredState.Stop && known && (seen.State != protocol.TaskCheckpointing || desiredState.Grace == 0):
+			out = append(out, protocol.Command{Op: protocol.OpKill, Task: name, Attempt: placed.Attempt, GraceS: desiredState.Grace})
+		case desiredState.Stop && !known && v.Absent(machine, ref, token):
 			v.Gone[ref] = Unsent
-		case !w.Stop && !known && v.Incarnation == m.Incarnation:
-			out = append(out, protocol.Command{Op: protocol.OpLaunch, Task: name, Attempt: p.Attempt})
+		case !desiredState.Stop && !known && v.Incarnation == machine.Incarnation:
+			out = append(out, protocol.Command{Op: protocol.OpLaunch, Task: name, Attempt: placed.Attempt})
 			if answer {
 				v.Sent[ref] = v.HeartbeatSeq
 			}
@@ -186,9 +186,9 @@
 }
 
 // Settle forgets what has been committed: attempts that the record no longer holds.
-func (v *Worker) Settle(m *storage.Machine) {
-	held := make(map[Ref]bool, len(m.Tasks))
-	for _, p := range m.Tasks {
+func (v *Worker) Settle(machine *storage.Machine) {
+	held := make(map[Ref]bool, len(machine.Tasks))
+	for _, p := range machine.Tasks {
 		held[RefOf(p)] = true
 	}
 	for ref := range v.Gone {
--- a/internal/controller/dispatch/dispatch_test.go
+++ b/internal/controller/dispatch/dispatch_test.go
@@ -61,25 +61,25 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j := &storage.Job{ID: "job-000001", Tasks: 1, MachineOf: []int32{5}, AttemptOf: []uint64{7}}
-			m := &storage.Machine{Index: 5, Name: "m", Incarnation: 3, Tasks: []storage.PlacedTask{{Job: j, Attempt: 7}}}
-			find := func(string) *storage.Job { return j }
-			v := NewWorker()
+			job := &storage.Job{ID: "job-000001", Tasks: 1, MachineOf: []int32{5}, AttemptOf: []uint64{7}}
+			machine := &storage.Machine{Index: 5, Name: "m", Incarnation: 3, Tasks: []storage.PlacedTask{{Job: job, Attempt: 7}}}
+			find := func(string) *storage.Job { return job }
+			worker := NewWorker()
 			if c.view != nil {
-				c.view(v)
+				c.view(worker)
 			}
 			want := func(storage.PlacedTask) DesiredState { return DesiredState{} }
 			for _, s := range c.steps {
-				if !v.Newer(s.report) {
+				if !worker.Newer(s.report) {
 					t.Fatal("report taken for old")
 				}
-				v.ApplyHeartbeat(m, s.report, token, s.reply, find)
+				worker.ApplyHeartbeat(machine, s.report, token, s.reply, find)
 				if s.answer {
-					v.Commands(m, token, want, true, 10)
+					worker.Commands(machine, token, want, true, 10)
 				}
 			}
-			cmds := v.Commands(m, token, func(storage.PlacedTask) DesiredState { return DesiredState{Stop: c.stop} }, true, 10)
-			if got := v.Gone[Ref{j, 0, 7}]; got != c.want {
+			cmds := worker.Commands(machine, token, func(storage.PlacedTask) DesiredState { return DesiredState{Stop: c.stop} }, true, 10)
+			if got := worker.Gone[Ref{job, 0, 7}]; got != c.want {
 				t.Errorf("outcome %d, want %d", got, c.want)
 			}
 			cmd := ""
@@ -96,7 +96,7 @@
 // A worker that has forgotten an attempt starts it again when a delayed direct
 // command brings its launch once more.
 func TestClearWaitsForUncertainCommands(t *testing.T) {
-	m := &storage.Machine{Index: 5, Name: "m", Incarnation: 3}
+	machine := &storage.Machine{Index: 5, Name: "m", Incarnation: 3}
 	exited := protocol.TaskStatus{Task: "job-000001/0", Attempt: 7, State: protocol.TaskExited, Cause: protocol.CauseDone}
 	for _, c := range []struct {
 		uncertain uint64
@@ -104,8 +104,8 @@
 	}{{0, 1}, {token - 1, 1}, {token, 0}} {
 		v := NewWorker()
 		v.Uncertain = c.uncertain
-		v.ApplyHeartbeat(m, report(1, nil, exited), token, false, func(string) *storage.Job { return nil })
-		cmds := v.Commands(m, token, nil, true, 10)
+		v.ApplyHeartbeat(machine, report(1, nil, exited), token, false, func(string) *storage.Job { return nil })
+		cmds := v.Commands(machine, token, nil, true, 10)
 		if len(cmds) != c.clears {
 			t.Errorf("uncertain %d: %v", c.uncertain, cmds)
 		}
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -55,7 +55,7 @@
 		c.enrollLater(ctx)
 		return
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	demand, capacity := c.shardLoad()
 	fill := newGroupAllocator(c.cache, c.groupSize())
 	type kind struct {
@@ -65,41 +65,41 @@
 	fleets := map[kind]*storage.FleetRecord{}
 	var order []*storage.FleetRecord
 	var batch, rest []*pendingMachine
-	for _, n := range c.leader.pendingMachines {
-		if c.cache.MachineSeen(n.name) {
-			batch = append(batch, n)
+	for _, controllerPendingMachine := range c.leader.pendingMachines {
+		if c.cache.MachineSeen(controllerPendingMachine.name) {
+			batch = append(batch, controllerPendingMachine)
 			continue
 		}
-		k := kind{n.fleet.Type, n.fleet.Zone, n.fleet.Spot}
-		f := fleets[k]
-		if len(t.Then)+len(fleets)+2 > max(2, c.limits().TxnOps) || f != nil && c.fleetFull(f) {
-			rest = append(rest, n)
+		controllerKind := kind{controllerPendingMachine.fleet.Type, controllerPendingMachine.fleet.Zone, controllerPendingMachine.fleet.Spot}
+		fleet := fleets[controllerKind]
+		if len(txn.Then)+len(fleets)+2 > max(2, c.limits().TxnOps) || fleet != nil && c.fleetFull(fleet) {
+			rest = append(rest, controllerPendingMachine)
 			continue
 		}
-		if f == nil {
-			rec := n.fleet
-			f = &rec
-			fleets[k] = f
-			order = append(order, f)
+		if fleet == nil {
+			rec := controllerPendingMachine.fleet
+			fleet = &rec
+			fleets[controllerKind] = fleet
+			order = append(order, fleet)
 		}
 		share := neediest(demand, capacity)
-		if i := c.cache.TypeIndex.Find(n.fleet.Type); i >= 0 {
+		if i := c.cache.TypeIndex.Find(controllerPendingMachine.fleet.Type); i >= 0 {
 			capacity[share] += c.cache.Types[i].Cpus
 		}
-		rack, fresh := fill.allocate(share, n.fleet.Spot)
+		rack, fresh := fill.allocate(share, controllerPendingMachine.fleet.Spot)
 		if fresh {
 			key := storage.GroupKey(rack)
-			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, FencingToken: c.nextRevision()}, c.cache.Packed())})
+			txn.If = append(txn.If, protocol.Condition{Key: key})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, FencingToken: c.nextRevision()}, c.cache.Packed())})
 		}
-		f.FencingToken = max(f.FencingToken, n.fleet.FencingToken, c.nextRevision())
-		f.Machines = append(f.Machines, storage.FleetMachine{Name: n.name, Group: rack, Addr: n.addr})
-		batch = append(batch, n)
+		fleet.FencingToken = max(fleet.FencingToken, controllerPendingMachine.fleet.FencingToken, c.nextRevision())
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: controllerPendingMachine.name, Group: rack, Addr: controllerPendingMachine.addr})
+		batch = append(batch, controllerPendingMachine)
 	}
 	for _, f := range order {
 		key := storage.FleetKey(f.Machines[0].Name)
-		t.If = append(t.If, protocol.Condition{Key: key})
-		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(f, c.cache.Packed())})
+		txn.If = append(txn.If, protocol.Condition{Key: key})
+		txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(f, c.cache.Packed())})
 	}
 	c.leader.pendingMachines = rest
 	c.leader.enrolling = true
@@ -119,11 +119,11 @@
 			c.enrollLater(ctx)
 		}
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		finish(true)
 		return
 	}
-	go c.commitWithRetry(ctx, t, finish)
+	go c.commitWithRetry(ctx, txn, finish)
 }
 
 // maxFleet is how many machines one record holds.
@@ -140,13 +140,13 @@
 
 // commitWithRetry repeats a transaction of the leader until its outcome is known; after a
 // refusal for its conditions it waits until the cache shows why.
-func (c *Controller) commitWithRetry(ctx context.Context, t protocol.Txn, then func(ok bool)) {
+func (c *Controller) commitWithRetry(ctx context.Context, txn protocol.Txn, then func(ok bool)) {
 	doubt := false // an earlier try may still be applied: a refusal settles only its own
 	for ctx.Err() == nil {
-		rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
+		rev, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 		if doubt && errors.Is(err, protocol.ErrTooLarge) {
-			c.reacquireLeadership(ctx, t.If[0])
-			c.committed(t, 0, false, then) // what became of it, the cache shows
+			c.reacquireLeadership(ctx, txn.If[0])
+			c.committed(txn, 0, false, then) // what became of it, the cache shows
 			return
 		}
 		if err != nil && (doubt || !errors.Is(err, protocol.ErrRefused)) {
@@ -157,7 +157,7 @@
 		if err == nil && len(failed) > 0 {
 			c.followed(ctx, rev)
 		}
-		c.committed(t, rev, err == nil && len(failed) == 0, then)
+		c.committed(txn, rev, err == nil && len(failed) == 0, then)
 		return
 	}
 }
@@ -178,19 +178,19 @@
 // copy fails, and waits until the cache shows what became of it.
 func (c *Controller) reacquireLeadership(ctx context.Context, lead protocol.Condition) {
 	for ctx.Err() == nil {
-		t := protocol.Txn{If: []protocol.Condition{lead}}
+		txn := protocol.Txn{If: []protocol.Condition{lead}}
 		if c.call(ctx, func() {
 			if c.isLeader() {
-				t.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.sessionLease}}
+				txn.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.sessionLease}}
 			}
 		}) != nil {
 			return
 		}
-		rev, failed, err := c.store.Txn(ctx, t, protocol.UserRequest)
+		rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 		// A comparison that holds settles nothing: the first copy may still come.
-		if err == nil && (len(failed) > 0 || len(t.Then) > 0) {
+		if err == nil && (len(failed) > 0 || len(txn.Then) > 0) {
 			if len(failed) == 0 {
-				c.post(func() { c.applyTxn(t, rev); c.changed() })
+				c.post(func() { c.applyTxn(txn, rev); c.changed() })
 			}
 			c.followed(ctx, rev)
 			return
@@ -228,9 +228,9 @@
 	empty, spot bool
 }
 
-func newGroupAllocator(b *storage.Cache, size int) *groupAllocator {
-	f := &groupAllocator{groupSize: size, nextID: len(b.Groups), groups: map[int]*groupCapacity{}}
-	for _, k := range b.Groups {
+func newGroupAllocator(cache *storage.Cache, size int) *groupAllocator {
+	controllerGroupAllocator := &groupAllocator{groupSize: size, nextID: len(cache.Groups), groups: map[int]*groupCapacity{}}
+	for _, k := range cache.Groups {
 		if k.Version == 0 {
 			continue
 		}
@@ -241,9 +241,9 @@
 				r.free--
 			}
 		}
-		f.groups[k.ID] = r
+		controllerGroupAllocator.groups[k.ID] = r
 	}
-	return f
+	return controllerGroupAllocator
 }
 
 // allocate returns the group with the most room for one more machine, a new one if there is none.
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -25,26 +25,26 @@
 
 // noteFailure takes down that an attempt failed by itself: by its machine's fault or
 // by its job's, which only others can tell.
-func (c *Controller) noteFailure(m *storage.Machine, v *workerState, j *storage.Job, now time.Time) {
-	jv := c.jobState(j)
-	f := v.failures[j]
-	if f == nil {
-		f = &failing{since: now}
-		v.failures[j] = f
+func (c *Controller) noteFailure(machine *storage.Machine, worker *workerState, job *storage.Job, now time.Time) {
+	jobState := c.jobState(job)
+	controllerFailing := worker.failures[job]
+	if controllerFailing == nil {
+		controllerFailing = &failing{since: now}
+		worker.failures[job] = controllerFailing
 	}
-	f.n++
-	jv.failures++
-	if !v.unhealthy && !m.Unhealthy {
-		jv.failedOn[m.Index] = true
+	controllerFailing.n++
+	jobState.failures++
+	if !worker.unhealthy && !machine.Unhealthy {
+		jobState.failedOn[machine.Index] = true
 	}
-	if now.Before(jv.backoff) {
+	if now.Before(jobState.backoff) {
 		return // of the same wave
 	}
-	f.waves++
-	if jv.failures >= failuresJob {
-		jv.suspectTries++
-		jv.backoff = now.Add(min(maxBackoff, time.Second<<min(jv.suspectTries, 6)))
-		c.log.Info("job fails", "job", j.ID, "failures", jv.failures, "machines", len(jv.failedOn), "suspect", c.suspect(j))
+	controllerFailing.waves++
+	if jobState.failures >= failuresJob {
+		jobState.suspectTries++
+		jobState.backoff = now.Add(min(maxBackoff, time.Second<<min(jobState.suspectTries, 6)))
+		c.log.Info("job fails", "job", job.ID, "failures", jobState.failures, "machines", len(jobState.failedOn), "suspect", c.suspect(job))
 	}
 }
 
@@ -99,19 +99,19 @@
 
 // noteSuspects writes it down for other controllers that a job seems to be mistaken: the leader rents
 // for it, and the shard's next owner would start all of its tasks again.
-func (c *Controller) noteSuspects(d *plannedTxn) {
+func (c *Controller) noteSuspects(planned *plannedTxn) {
 	for j, jv := range c.jobStates {
-		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.DoneCount > 0 || d.usedOps >= d.maxOps {
+		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.DoneCount > 0 || planned.usedOps >= planned.maxOps {
 			continue
 		}
 		key := storage.JobKey(j.ID)
-		if _, ok := d.puts[key]; ok || d.completed[j] != nil {
+		if _, ok := planned.puts[key]; ok || planned.completed[j] != nil {
 			continue
 		}
 		r := c.cache.JobRecordOf(j, j.Done, j.DoneCount, "")
 		r.Suspect = true
-		d.put(key, j.Version, protocol.Change{Put: key, Value: storage.Encode(r)})
-		d.usedOps++
+		planned.put(key, j.Version, protocol.Change{Put: key, Value: storage.Encode(r)})
+		planned.usedOps++
 	}
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -37,22 +37,22 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t)
-			f := storage.FleetRecord{Type: "t", Zone: "a"}
+			controller := newCore(t)
+			fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 			for i := range 4 {
-				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
+				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 			}
-			if err := c.cache.Apply(storage.FleetKey("x0"), storage.Encode(f), 5, false); err != nil {
+			if err := controller.cache.Apply(storage.FleetKey("x0"), storage.Encode(fleet), 5, false); err != nil {
 				t.Fatal(err)
 			}
 			var jobs []*storage.Job
 			for i := range 3 {
 				id := fmt.Sprintf("job-%06d", 100+i)
-				if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 20, Team: "red",
+				if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 20, Team: "red",
 					Spec: &storage.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
 					t.Fatal(err)
 				}
-				jobs = append(jobs, c.cache.Job(id))
+				jobs = append(jobs, controller.cache.Job(id))
 			}
 			for _, i := range x.done {
 				jobs[i].DoneCount = 1
@@ -64,26 +64,26 @@
 					f.machine -= 10
 					now = now.Add(2 * maxBackoff)
 				}
-				m := c.cache.Machine(fmt.Sprint("x", f.machine))
-				c.noteOutcome(m, c.workerState(m), dispatch.Ref{Job: jobs[f.job], Task: i}, dispatch.Failed, now)
+				m := controller.cache.Machine(fmt.Sprint("x", f.machine))
+				controller.noteOutcome(m, controller.workerState(m), dispatch.Ref{Job: jobs[f.job], Task: i}, dispatch.Failed, now)
 			}
 			var got want
 			for i := range 4 {
-				m := c.cache.Machine(fmt.Sprint("x", i))
-				v := c.workerState(m)
-				if c.judgeHealth(m, v, start); v.unhealthy {
+				m := controller.cache.Machine(fmt.Sprint("x", i))
+				v := controller.workerState(m)
+				if controller.judgeHealth(m, v, start); v.unhealthy {
 					t.Errorf("machine %d is judged before its failures have settled", i)
 				}
-				if c.judgeHealth(m, v, now.Add(2*failureSettles)); v.unhealthy {
+				if controller.judgeHealth(m, v, now.Add(2*failureSettles)); v.unhealthy {
 					got.sick = append(got.sick, i)
 				}
 			}
 			for i, j := range jobs {
-				if !c.suspect(j) {
+				if !controller.suspect(j) {
 					continue
 				}
 				got.suspect = append(got.suspect, i)
-				if n := c.wantedTasks(j); n != 1 {
+				if n := controller.wantedTasks(j); n != 1 {
 					t.Errorf("%d tasks of a suspect job are worth room, want one", n)
 				}
 			}
@@ -92,14 +92,14 @@
 			}
 			// The next owner and the leader know it from the record.
 			d := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
-			c.noteSuspects(d)
+			controller.noteSuspects(d)
 			if len(d.puts) != len(x.want.suspect) {
 				t.Errorf("%d suspect jobs are written down, want %d", len(d.puts), len(x.want.suspect))
 			}
 			// One that completes a task after all is cleared.
 			for _, j := range jobs {
 				j.Suspect, j.DoneCount = true, 1
-				if c.suspect(j) {
+				if controller.suspect(j) {
 					t.Errorf("%s has completed a task and is suspect still", j.ID)
 				}
 			}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -65,10 +65,10 @@
 // goldenCore is a core with a placed task, waiting ones, an evicted set and a changed team. It serves calls until the test ends.
 func goldenCore(t *testing.T) *Controller {
 	t.Helper()
-	c := newTeamCore(t)
+	controller := newTeamCore(t)
 	put := func(key string, v any, version uint64) {
 		t.Helper()
-		if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,20 +77,20 @@
 	put(storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
 	was := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
-	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
-	c.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
-	c.recordPreemptions()
+	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
+	controller.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
+	controller.recordPreemptions()
 	go func() {
 		for {
 			select {
-			case f := <-c.inbox:
+			case f := <-controller.inbox:
 				f()
 			case <-t.Context().Done():
 				return
 			}
 		}
 	}()
-	return c
+	return controller
 }
 
 // TestGoldenAdminBodies pins the bodies of the administration API that a core makes.
@@ -100,7 +100,7 @@
 	t.Cleanup(func() { time.Local = local })
 	for _, x := range []struct {
 		name string
-		read func(ctx context.Context, c *Controller) (any, error)
+		read func(ctx context.Context, controller *Controller) (any, error)
 	}{
 		{"settings", func(context.Context, *Controller) (any, error) { return DefaultOperatorSettings(), nil }},
 		{"settings-info", func(context.Context, *Controller) (any, error) { return SettingsInfo(), nil }},
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -33,47 +33,47 @@
 
 var errNotOwner = protocol.ErrorResponse{Error: "not entitled to command this machine"}
 
-func (c *Controller) handleHeartbeat(ctx context.Context, r *protocol.Heartbeat, reply func(int, any)) {
+func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
 	if !c.loaded {
-		if a, ok := c.renewUnverified(r, time.Now()); ok {
-			c.answerRenewal(r.Machine, a, reply)
+		if a, ok := c.renewUnverified(heartbeat, time.Now()); ok {
+			c.answerRenewal(heartbeat.Machine, a, reply)
 		} else {
 			reply(503, errNotOwner)
 		}
 		return
 	}
-	m := c.cache.Machine(r.Machine)
-	if m == nil {
-		c.handleUnrecorded(ctx, r, reply)
+	machine := c.cache.Machine(heartbeat.Machine)
+	if machine == nil {
+		c.handleUnrecorded(ctx, heartbeat, reply)
 		return
 	}
-	if !c.ownsShard(m.Shard) {
-		if c.renewsAsProxy(m, time.Now()) && r.FencingToken <= c.cache.FencingToken(m) {
+	if !c.ownsShard(machine.Shard) {
+		if c.renewsAsProxy(machine, time.Now()) && heartbeat.FencingToken <= c.cache.FencingToken(machine) {
 			// The lease goes on, under the token of the records.
-			c.answerRenewal(m.Name, protocol.HeartbeatResponse{FencingToken: c.cache.FencingToken(m), Commands: c.killCommands(m)}, reply)
-		} else if s := &c.cache.Shards[m.Shard]; s.Version > 0 && s.Member != c.cfg.MemberName {
+			c.answerRenewal(machine.Name, protocol.HeartbeatResponse{FencingToken: c.cache.FencingToken(machine), Commands: c.killCommands(machine)}, reply)
+		} else if s := &c.cache.Shards[machine.Shard]; s.Version > 0 && s.Member != c.cfg.MemberName {
 			reply(421, protocol.Redirect{Member: s.Member})
 		} else {
 			reply(503, errNotOwner)
 		}
 		return
 	}
-	token := c.cache.FencingToken(m)
-	v := c.workerState(m)
-	if r.FencingToken > token {
-		c.raiseFencingToken(m, v, r.FencingToken)
+	token := c.cache.FencingToken(machine)
+	worker := c.workerState(machine)
+	if heartbeat.FencingToken > token {
+		c.raiseFencingToken(machine, worker, heartbeat.FencingToken)
 		reply(421, protocol.Redirect{})
 		return
 	}
-	if !v.Newer(r) {
-		c.log.Debug("old report dropped", "machine", m.Name, "watch", r.Incarnation, "tally", r.Seq)
+	if !worker.Newer(heartbeat) {
+		c.log.Debug("old report dropped", "machine", machine.Name, "watch", heartbeat.Incarnation, "tally", heartbeat.Seq)
 		reply(503, errNotOwner)
 		return
 	}
-	c.applyHeartbeat(m, v, r, token, false)
+	c.applyHeartbeat(machine, worker, heartbeat, token, false)
 	c.requestCycle()
-	h := heldReply{machine: m.Name, heartbeat: r, until: time.Now().Add(c.timing.HeartbeatReplyWait), reply: reply}
-	if c.storeFailing() || len(c.heldReplies) > 1000 || !c.awaitsCommands(m, v) {
+	h := heldReply{machine: machine.Name, heartbeat: heartbeat, until: time.Now().Add(c.timing.HeartbeatReplyWait), reply: reply}
+	if c.storeFailing() || len(c.heldReplies) > 1000 || !c.awaitsCommands(machine, worker) {
 		c.answerHeartbeat(h)
 		return
 	}
@@ -116,46 +116,46 @@
 }
 
 // applyHeartbeat takes a worker's message.
-func (c *Controller) applyHeartbeat(m *storage.Machine, v *workerState, r *protocol.Heartbeat, token uint64, reply bool) {
+func (c *Controller) applyHeartbeat(machine *storage.Machine, worker *workerState, heartbeat *protocol.Heartbeat, token uint64, reply bool) {
 	now := time.Now()
-	c.noteUnresponsive(m, v, r, reply, now)
-	if v.Incarnation != r.Incarnation && v.Incarnation != 0 {
-		c.log.Info("new session", "machine", m.Name, "watch", r.Incarnation, "tasks", len(m.Tasks))
-		v.images = nil
+	c.noteUnresponsive(machine, worker, heartbeat, reply, now)
+	if worker.Incarnation != heartbeat.Incarnation && worker.Incarnation != 0 {
+		c.log.Info("new session", "machine", machine.Name, "watch", heartbeat.Incarnation, "tasks", len(machine.Tasks))
+		worker.images = nil
 	}
-	known := make(map[dispatch.Ref]bool, len(v.Gone))
-	for ref := range v.Gone {
+	known := make(map[dispatch.Ref]bool, len(worker.Gone))
+	for ref := range worker.Gone {
 		known[ref] = true
 	}
-	v.ApplyHeartbeat(m, r, token, reply, c.cache.Job)
-	v.heard, v.missedProbes = now, 0
+	worker.ApplyHeartbeat(machine, heartbeat, token, reply, c.cache.Job)
+	worker.heard, worker.missedProbes = now, 0
 	c.anyWorkerHeardAt = now
-	c.hearZone(m.Zone, now)
-	if r.Addr != "" {
-		m.Addr = r.Addr
-	}
-	if r.PreemptionNoticeS != nil {
-		at := now.Add(seconds(*r.PreemptionNoticeS))
-		if v.preemptedAt.IsZero() {
-			c.log.Info("machine will be taken", "machine", m.Name, "in_s", *r.PreemptionNoticeS)
+	c.hearZone(machine.Zone, now)
+	if heartbeat.Addr != "" {
+		machine.Addr = heartbeat.Addr
+	}
+	if heartbeat.PreemptionNoticeS != nil {
+		at := now.Add(seconds(*heartbeat.PreemptionNoticeS))
+		if worker.preemptedAt.IsZero() {
+			c.log.Info("machine will be taken", "machine", machine.Name, "in_s", *heartbeat.PreemptionNoticeS)
 		}
-		v.preemptedAt = at
+		worker.preemptedAt = at
 	} else {
-		v.preemptedAt = time.Time{}
+		worker.preemptedAt = time.Time{}
 	}
-	for ref, s := range v.Seen {
+	for ref, s := range worker.Seen {
 		if s.State == protocol.TaskRunning || s.State == protocol.TaskCheckpointing {
-			if _, ok := v.started[ref]; !ok {
-				v.started[ref] = now
-				c.noteReplica(m, ref, now)
+			if _, ok := worker.started[ref]; !ok {
+				worker.started[ref] = now
+				c.noteReplica(machine, ref, now)
 			}
-			v.images = storage.UseImage(v.images, ref.Job.Image)
-			c.noteSteady(v, ref.Job, now.Sub(v.started[ref]))
+			worker.images = storage.UseImage(worker.images, ref.Job.Image)
+			c.noteSteady(worker, ref.Job, now.Sub(worker.started[ref]))
 		}
 	}
-	for ref, out := range v.Gone {
+	for ref, out := range worker.Gone {
 		if !known[ref] {
-			c.noteOutcome(m, v, ref, out, now)
+			c.noteOutcome(machine, worker, ref, out, now)
 		}
 	}
 }
@@ -175,30 +175,30 @@
 }
 
 // noteOutcome draws conclusions from an attempt's end about its machine and job.
-func (c *Controller) noteOutcome(m *storage.Machine, v *workerState, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
-	jv := c.jobState(ref.Job)
-	c.countOutcome(v, ref, out, now)
+func (c *Controller) noteOutcome(machine *storage.Machine, worker *workerState, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
+	jobState := c.jobState(ref.Job)
+	c.countOutcome(worker, ref, out, now)
 	if out != dispatch.Completed {
-		jv.requeuedAt[ref.Task] = now
+		jobState.requeuedAt[ref.Task] = now
 	}
 	if out == dispatch.Stopped {
-		jv.terminatedTasks++
+		jobState.terminatedTasks++
 	}
 	switch out {
 	case dispatch.Completed:
-		c.noteSuccess(v, ref.Job)
-		if at, ok := v.started[ref]; ok && ref.Job.Estimate > 1 {
+		c.noteSuccess(worker, ref.Job)
+		if at, ok := worker.started[ref]; ok && ref.Job.Estimate > 1 {
 			ratio := now.Sub(at).Seconds() / ref.Job.Estimate
-			v.slowdown += 0.2 * (min(ratio, 5) - v.slowdown)
+			worker.slowdown += 0.2 * (min(ratio, 5) - worker.slowdown)
 		}
 	case dispatch.Failed:
-		c.log.Debug("task failed", "machine", m.Name, "job", ref.Job.ID, "task", ref.Task)
-		c.noteFailure(m, v, ref.Job, now)
+		c.log.Debug("task failed", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task)
+		c.noteFailure(machine, worker, ref.Job, now)
 	case dispatch.Refused:
-		c.log.Info("start refused", "machine", m.Name, "job", ref.Job.ID, "task", ref.Task, "cause", v.Seen[ref].Cause)
-		jv.backoff = maxTime(jv.backoff, now.Add(300*time.Millisecond))
+		c.log.Info("start refused", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task, "cause", worker.Seen[ref].Cause)
+		jobState.backoff = maxTime(jobState.backoff, now.Add(300*time.Millisecond))
 	case dispatch.Lost:
-		c.log.Info("task lost", "machine", m.Name, "job", ref.Job.ID, "task", ref.Task)
+		c.log.Info("task lost", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task)
 	}
 }
 
@@ -210,29 +210,29 @@
 }
 
 // desiredState is what this owner wants of a placed attempt.
-func (c *Controller) desiredState(m *storage.Machine, v *workerState, p storage.PlacedTask) dispatch.DesiredState {
-	j := p.Job
+func (c *Controller) desiredState(machine *storage.Machine, worker *workerState, placed storage.PlacedTask) dispatch.DesiredState {
+	job := placed.Job
 	grace := 0.0
-	if j.CheckpointInterval > 0 {
-		grace = j.CheckpointCost + checkpointMargin
+	if job.CheckpointInterval > 0 {
+		grace = job.CheckpointCost + checkpointMargin
 	}
 	switch {
-	case c.finished(j):
+	case c.finished(job):
 		return dispatch.DesiredState{Stop: true}
-	case c.cache.IsVictim(p):
+	case c.cache.IsVictim(placed):
 		// Saving little takes as long as what it keeps, and the room is wanted now. One
 		// that is saving already goes on.
-		ref := dispatch.RefOf(p)
-		if at, ok := v.started[ref]; ok && j.CheckpointInterval > 0 && v.Seen[ref].State == protocol.TaskRunning &&
-			math.Mod(time.Since(at).Seconds(), j.CheckpointInterval) < j.CheckpointInterval/3 {
+		ref := dispatch.RefOf(placed)
+		if at, ok := worker.started[ref]; ok && job.CheckpointInterval > 0 && worker.Seen[ref].State == protocol.TaskRunning &&
+			math.Mod(time.Since(at).Seconds(), job.CheckpointInterval) < job.CheckpointInterval/3 {
 			grace = 0
 		}
 		return dispatch.DesiredState{Stop: true, Grace: grace}
-	case m.Draining && j.CheckpointInterval > 0 && c.leavesDrained(m, v, p, time.Now()):
+	case machine.Draining && job.CheckpointInterval > 0 && c.leavesDrained(machine, worker, placed, time.Now()):
 		return dispatch.DesiredState{Stop: true, Grace: grace}
-	case m.Draining && c.jobStates[j] != nil && c.jobStates[j].relocating == dispatch.RefOf(p):
+	case machine.Draining && c.jobStates[job] != nil && c.jobStates[job].relocating == dispatch.RefOf(placed):
 		return dispatch.DesiredState{Stop: true}
-	case !v.preemptedAt.IsZero() && j.CheckpointInterval > 0 && time.Until(v.preemptedAt) < seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+1):
+	case !worker.preemptedAt.IsZero() && job.CheckpointInterval > 0 && time.Until(worker.preemptedAt) < seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+1):
 		return dispatch.DesiredState{Stop: true, Grace: grace}
 	}
 	return dispatch.DesiredState{}
@@ -248,26 +248,26 @@
 }
 
 // answerHeartbeat answers a heartbeat with what the record holds now.
-func (c *Controller) answerHeartbeat(h heldReply) {
-	m := c.cache.Machine(h.machine)
-	if m == nil {
-		h.reply(503, errNotOwner)
+func (c *Controller) answerHeartbeat(controllerHeldReply heldReply) {
+	machine := c.cache.Machine(controllerHeldReply.machine)
+	if machine == nil {
+		controllerHeldReply.reply(503, errNotOwner)
 		return
 	}
-	if !c.ownsShard(m.Shard) {
-		h.reply(421, protocol.Redirect{Member: c.cache.Shards[m.Shard].Member})
+	if !c.ownsShard(machine.Shard) {
+		controllerHeldReply.reply(421, protocol.Redirect{Member: c.cache.Shards[machine.Shard].Member})
 		return
 	}
-	v := c.workerState(m)
-	out := protocol.HeartbeatResponse{FencingToken: c.cache.FencingToken(m)}
+	v := c.workerState(machine)
+	out := protocol.HeartbeatResponse{FencingToken: c.cache.FencingToken(machine)}
 	// Commands only answer the latest report of a session that still is.
-	if v.Incarnation == h.heartbeat.Incarnation && v.HeartbeatSeq == h.heartbeat.Seq {
-		out.Commands = c.commands(m, v, true)
+	if v.Incarnation == controllerHeldReply.heartbeat.Incarnation && v.HeartbeatSeq == controllerHeldReply.heartbeat.Seq {
+		out.Commands = c.commands(machine, v, true)
 	}
 	if out.Commands == nil {
 		out.Commands = []protocol.Command{}
 	}
-	c.answerRenewal(m.Name, out, h.reply)
+	c.answerRenewal(machine.Name, out, controllerHeldReply.reply)
 }
 
 // flushHeldReplies answers the heartbeats that waited for a commit.
@@ -285,8 +285,8 @@
 }
 
 // handleUnrecorded deals with a machine that has no record: the leader takes it in.
-func (c *Controller) handleUnrecorded(ctx context.Context, r *protocol.Heartbeat, reply func(int, any)) {
-	if c.cache.MachineSeen(r.Machine) {
+func (c *Controller) handleUnrecorded(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
+	if c.cache.MachineSeen(heartbeat.Machine) {
 		reply(503, errNotOwner) // it is gone and the report late, or its group is not read yet
 		return
 	}
@@ -298,15 +298,15 @@
 		}
 		return
 	}
-	if c.cache.TypeIndex.Find(r.Type) < 0 || len(c.leader.pendingMachines) > maxPendingEnrollments {
+	if c.cache.TypeIndex.Find(heartbeat.Type) < 0 || len(c.leader.pendingMachines) > maxPendingEnrollments {
 		reply(503, errNotOwner)
 		return
 	}
 	// Its token must be above all that the worker has seen.
-	c.enrollMachine(ctx, &pendingMachine{name: r.Machine, addr: r.Addr, fleet: storage.FleetRecord{FencingToken: r.FencingToken + 1, Type: r.Type,
-		Zone: r.Zone, Spot: r.Spot, ProvisionedAt: time.Now().Unix()}, done: func(ok bool) {
-		if ok && c.cache.Machine(r.Machine) != nil {
-			c.handleHeartbeat(ctx, r, reply)
+	c.enrollMachine(ctx, &pendingMachine{name: heartbeat.Machine, addr: heartbeat.Addr, fleet: storage.FleetRecord{FencingToken: heartbeat.FencingToken + 1, Type: heartbeat.Type,
+		Zone: heartbeat.Zone, Spot: heartbeat.Spot, ProvisionedAt: time.Now().Unix()}, done: func(ok bool) {
+		if ok && c.cache.Machine(heartbeat.Machine) != nil {
+			c.handleHeartbeat(ctx, heartbeat, reply)
 		} else {
 			reply(503, errNotOwner)
 		}
@@ -314,60 +314,60 @@
 }
 
 // sendDirect sends what the record wants straight to a worker, if there is anything.
-func (c *Controller) sendDirect(m *storage.Machine, empty bool) {
-	v := c.workerState(m)
-	if v.DirectInFlight || m.Addr == "" || c.directCommands >= maxDirectCommands || (v.Incarnation == 0 && m.Incarnation == 0) {
+func (c *Controller) sendDirect(machine *storage.Machine, empty bool) {
+	worker := c.workerState(machine)
+	if worker.DirectInFlight || machine.Addr == "" || c.directCommands >= maxDirectCommands || (worker.Incarnation == 0 && machine.Incarnation == 0) {
 		return
 	}
-	token := c.cache.FencingToken(m)
-	cmd := protocol.DirectCommands{FencingToken: token, Incarnation: max(v.Incarnation, m.Incarnation), Commands: []protocol.Command{}}
-	if v.Incarnation != 0 {
-		cmd.Commands = append(cmd.Commands, c.commands(m, v, false)...)
+	token := c.cache.FencingToken(machine)
+	cmd := protocol.DirectCommands{FencingToken: token, Incarnation: max(worker.Incarnation, machine.Incarnation), Commands: []protocol.Command{}}
+	if worker.Incarnation != 0 {
+		cmd.Commands = append(cmd.Commands, c.commands(machine, worker, false)...)
 	}
 	if len(cmd.Commands) == 0 && !empty {
 		return
 	}
 	launches := slices.ContainsFunc(cmd.Commands, func(o protocol.Command) bool { return o.Op == protocol.OpLaunch })
-	v.DirectInFlight = true
+	worker.DirectInFlight = true
 	c.directCommands++
-	addr := m.Addr
+	addr := machine.Addr
 	timeout := 2 * time.Second
 	if len(cmd.Commands) == 0 {
 		timeout = directProbeTimeout
 	}
 	go func() {
-		r, status, err := c.workers.Command(addr, cmd, timeout)
+		heartbeat, status, err := c.workers.Command(addr, cmd, timeout)
 		c.post(func() {
 			c.directCommands--
-			v.DirectInFlight = false
+			worker.DirectInFlight = false
 			c.contactWorkers()
-			if c.workerStates[m.Index] != v || !c.ownsShard(m.Shard) || m.Gone {
+			if c.workerStates[machine.Index] != worker || !c.ownsShard(machine.Shard) || machine.Gone {
 				return // this ownership has ended
 			}
 			if err != nil {
-				c.log.Debug("direct command failed", "machine", m.Name, "err", err)
-				v.missedProbes++
-				c.zoneState(m.Zone).missedProbes++
+				c.log.Debug("direct command failed", "machine", machine.Name, "err", err)
+				worker.missedProbes++
+				c.zoneState(machine.Zone).missedProbes++
 				if launches && !errors.Is(err, protocol.ErrRefused) {
-					v.Uncertain = max(v.Uncertain, token)
+					worker.Uncertain = max(worker.Uncertain, token)
 				}
 				c.requestCycle()
 				return
 			}
-			if r.Machine != m.Name {
+			if heartbeat.Machine != machine.Name {
 				return
 			}
-			if r.FencingToken > c.cache.FencingToken(m) {
-				c.raiseFencingToken(m, v, r.FencingToken)
+			if heartbeat.FencingToken > c.cache.FencingToken(machine) {
+				c.raiseFencingToken(machine, worker, heartbeat.FencingToken)
 				return
 			}
-			if v.Newer(r) {
-				c.applyHeartbeat(m, v, r, c.cache.FencingToken(m), true)
+			if worker.Newer(heartbeat) {
+				c.applyHeartbeat(machine, worker, heartbeat, c.cache.FencingToken(machine), true)
 				c.requestCycle()
 				// What it shows to run on after a takeover may have been cancelled while nobody had it.
-				c.terminateUnwanted(m)
+				c.terminateUnwanted(machine)
 			}
-			c.log.Debug("direct command", "machine", m.Name, "status", status, "commands", len(cmd.Commands))
+			c.log.Debug("direct command", "machine", machine.Name, "status", status, "commands", len(cmd.Commands))
 		})
 	}()
 }
@@ -397,16 +397,16 @@
 }
 
 // terminateUnwanted sends stops of cancelled and evicted tasks without waiting for a heartbeat.
-func (c *Controller) terminateUnwanted(m *storage.Machine) {
-	if m.Gone || len(m.Tasks) == 0 || !c.ownsShard(m.Shard) {
+func (c *Controller) terminateUnwanted(machine *storage.Machine) {
+	if machine.Gone || len(machine.Tasks) == 0 || !c.ownsShard(machine.Shard) {
 		return
 	}
-	v := c.workerState(m)
-	for _, p := range m.Tasks {
-		if w := c.desiredState(m, v, p); w.Stop {
+	v := c.workerState(machine)
+	for _, p := range machine.Tasks {
+		if w := c.desiredState(machine, v, p); w.Stop {
 			if s, ok := v.Seen[dispatch.RefOf(p)]; ok && s.State != protocol.TaskExited &&
 				(s.State != protocol.TaskCheckpointing || w.Grace == 0) {
-				c.sendDirect(m, false)
+				c.sendDirect(machine, false)
 				return
 			}
 		}
