--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -30,17 +30,17 @@
 
 var errRetryLater = refuse(503, "the service cannot decide this now, come back shortly")
 
-func (c *Controller) statusOf(j *storage.Job) protocol.JobState {
-	s := protocol.JobState{ID: j.ID, Status: protocol.Queued, Done: j.DoneCount, Running: j.PlacedCount}
+func (c *Controller) statusOf(job *storage.Job) protocol.JobState {
+	s := protocol.JobState{ID: job.ID, Status: protocol.Queued, Done: job.DoneCount, Running: job.PlacedCount}
 	switch {
-	case !j.Open():
-		s.Status, s.Running = j.Final, 0
-	case j.DependencyFailed:
+	case !job.Open():
+		s.Status, s.Running = job.Final, 0
+	case job.DependencyFailed:
 		s.Status = protocol.Cancelled
-	case j.PlacedCount > 0:
+	case job.PlacedCount > 0:
 		s.Status = protocol.Running
 	default:
-		s.UnmetDependencies = j.UnmetDependencies()
+		s.UnmetDependencies = job.UnmetDependencies()
 	}
 	return s
 }
@@ -63,30 +63,30 @@
 // over is as old: others may have given newer answers meanwhile.
 func (c *Controller) lookupLinearizable(ctx context.Context, id string) (protocol.JobState, bool, error) {
 	began := time.Now()
-	st, known, loaded, err := c.lookup(ctx, id)
+	state, known, loaded, err := c.lookup(ctx, id)
 	if err != nil {
-		return st, false, err
+		return state, false, err
 	}
-	if known && st.Status.Final() {
-		return st, true, nil
+	if known && state.Status.Final() {
+		return state, true, nil
 	}
 	if !loaded {
-		return st, false, protocol.ErrRefused
+		return state, false, protocol.ErrRefused
 	}
 	if err := c.Barrier(ctx); err != nil {
-		return st, false, err
+		return state, false, err
 	}
-	if st, known, _, err = c.lookup(ctx, id); err != nil || known && st.Status.Final() {
-		return st, known, err
+	if state, known, _, err = c.lookup(ctx, id); err != nil || known && state.Status.Final() {
+		return state, known, err
 	}
 	slept := false
 	if err := c.call(ctx, func() { slept = c.stalledSince(began) }); err != nil {
-		return st, false, err
+		return state, false, err
 	}
 	if slept {
-		return st, false, protocol.ErrRefused
+		return state, false, protocol.ErrRefused
 	}
-	return st, known, nil
+	return state, known, nil
 }
 
 // Query answers a poll.
@@ -106,7 +106,7 @@
 
 // Submit answers a submission.
 func (c *Controller) Submit(ctx context.Context, body []byte) Answer {
-	s, bad := protocol.ParseSubmission(body)
+	submission, bad := protocol.ParseSubmission(body)
 	if bad != nil {
 		// A repeated id is answered with the job's state whatever body comes.
 		if id := lenientJobID(body); id != "" {
@@ -124,15 +124,15 @@
 	var never string
 	began := time.Now()
 	err := c.call(ctx, func() {
-		if f, _ := c.cache.FinalState(s.ID); f != "" || c.cache.Job(s.ID) != nil {
+		if f, _ := c.cache.FinalState(submission.ID); f != "" || c.cache.Job(submission.ID) != nil {
 			known = true
 			return
 		}
 		// Before the gate opens a controller of the version before would start it too early.
-		ready = c.acceptsJobs() && (len(s.Dependencies) == 0 || c.loaded && c.cache.Packed())
+		ready = c.acceptsJobs() && (len(submission.Dependencies) == 0 || c.loaded && c.cache.Packed())
 		if ready {
-			if never = c.unschedulableReason(s); never == "" {
-				never, lacks = c.invalidDependency(s)
+			if never = c.unschedulableReason(submission); never == "" {
+				never, lacks = c.invalidDependency(submission)
 			}
 		}
 	})
@@ -147,7 +147,7 @@
 		err := c.Barrier(ctx)
 		if err == nil {
 			err = c.call(ctx, func() {
-				never, lacks = c.invalidDependency(s)
+				never, lacks = c.invalidDependency(submission)
 				ready = !c.stalledSince(began)
 			})
 		}
@@ -156,7 +156,7 @@
 		}
 	}
 	if known || never != "" {
-		st, known, err := c.lookupLinearizable(ctx, s.ID)
+		st, known, err := c.lookupLinearizable(ctx, submission.ID)
 		switch {
 		case err != nil:
 			return errRetryLater
@@ -165,35 +165,35 @@
 		}
 		return refuse(422, never)
 	}
-	rec := storage.JobRecord{Spec: storage.SpecOf(s), SubmittedMs: time.Now().UnixMilli(), Tasks: s.Tasks, Team: s.Team,
-		Dependencies: storage.PackIDs(s.Dependencies)}
-	t := protocol.Txn{
-		If:   []protocol.Condition{{Key: storage.JobKey(s.ID)}},
-		Then: []protocol.Change{{Put: storage.JobKey(s.ID), Value: storage.Encode(rec)}},
+	rec := storage.JobRecord{Spec: storage.SpecOf(submission), SubmittedMs: time.Now().UnixMilli(), Tasks: submission.Tasks, Team: submission.Team,
+		Dependencies: storage.PackIDs(submission.Dependencies)}
+	txn := protocol.Txn{
+		If:   []protocol.Condition{{Key: storage.JobKey(submission.ID)}},
+		Then: []protocol.Change{{Put: storage.JobKey(submission.ID), Value: storage.Encode(rec)}},
 	}
-	if !c.storeChunks(ctx, s.ID, &rec, &t) {
+	if !c.storeChunks(ctx, submission.ID, &rec, &txn) {
 		return errRetryLater
 	}
-	rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
+	rev, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		c.log.Info("submission not committed", "job", s.ID, "err", err)
+		c.log.Info("submission not committed", "job", submission.ID, "err", err)
 		return errRetryLater
 	case len(failed) > 0:
-		st, known, err := c.lookupLinearizable(ctx, s.ID)
+		st, known, err := c.lookupLinearizable(ctx, submission.ID)
 		if err != nil || !known {
 			return errRetryLater
 		}
 		return Answer{Status: 200, Body: st}
 	}
-	c.log.Info("job accepted", "job", s.ID, "class", s.Class, "team", s.Team, "tasks", s.Tasks, "cpus", s.Cpus, "estimate", s.EstimateS, "due", s.DeadlineS)
-	c.post(func() { c.applyTxn(t, rev); c.changed() })
-	return Answer{Status: 201, Body: protocol.JobState{ID: s.ID, Status: protocol.Queued}}
+	c.log.Info("job accepted", "job", submission.ID, "class", submission.Class, "team", submission.Team, "tasks", submission.Tasks, "cpus", submission.Cpus, "estimate", submission.EstimateS, "due", submission.DeadlineS)
+	c.post(func() { c.applyTxn(txn, rev); c.changed() })
+	return Answer{Status: 201, Body: protocol.JobState{ID: submission.ID, Status: protocol.Queued}}
 }
 
 // storeChunks writes the parts of a description that is too long for its job's record, and
 // puts the record that names them into the transaction.
-func (c *Controller) storeChunks(ctx context.Context, id string, rec *storage.JobRecord, t *protocol.Txn) bool {
+func (c *Controller) storeChunks(ctx context.Context, id string, rec *storage.JobRecord, txn *protocol.Txn) bool {
 	limit, ops, try, packed := 0, 0, "", false
 	if c.call(ctx, func() {
 		limit, ops, packed = c.valueLimit(), c.limits().TxnOps, c.cache.Packed()
@@ -202,7 +202,7 @@
 	}) != nil {
 		return false
 	}
-	if len(t.Then[0].Value) <= limit {
+	if len(txn.Then[0].Value) <= limit {
 		return true
 	}
 	if !packed || try[0] == '0' {
@@ -218,17 +218,17 @@
 		}
 		c.post(func() { c.applyTxn(p, rev) })
 		if parts = parts[n:]; len(parts) == 0 {
-			t.If = append(t.If, protocol.Condition{Key: p.Then[n-1].Put, Version: rev})
+			txn.If = append(txn.If, protocol.Condition{Key: p.Then[n-1].Put, Version: rev})
 		}
 	}
-	t.Then[0].Value = main
+	txn.Then[0].Value = main
 	return true
 }
 
 // invalidDependency says why a job can't wait for what it names, "" if it can; lacks tells that
 // it is because this controller knows no such job.
-func (c *Controller) invalidDependency(s *protocol.Submission) (why string, lacks bool) {
-	for _, id := range s.Dependencies {
+func (c *Controller) invalidDependency(submission *protocol.Submission) (why string, lacks bool) {
+	for _, id := range submission.Dependencies {
 		if f, _ := c.cache.FinalState(id); f != "" {
 			continue
 		}
@@ -253,23 +253,23 @@
 }
 
 // unschedulableReason says why a job can never run, "" if it can.
-func (c *Controller) unschedulableReason(s *protocol.Submission) string {
-	team := c.cache.TeamIndex.Find(s.Team)
+func (c *Controller) unschedulableReason(submission *protocol.Submission) string {
+	team := c.cache.TeamIndex.Find(submission.Team)
 	if team < 0 {
-		return fmt.Sprintf("unknown team %q", s.Team)
+		return fmt.Sprintf("unknown team %q", submission.Team)
 	}
 	zone := -1
-	if s.Zone != "" {
-		if zone = c.cache.Zones.Find(s.Zone); zone < 0 {
-			return fmt.Sprintf("unknown zone %q", s.Zone)
+	if submission.Zone != "" {
+		if zone = c.cache.Zones.Find(submission.Zone); zone < 0 {
+			return fmt.Sprintf("unknown zone %q", submission.Zone)
 		}
 	}
 	fits := false
 	for i, t := range c.cache.Types {
-		if t.Cpus <= 0 || s.Cpus > t.Cpus || s.Gpus > t.Gpus || s.MemGB > t.Mem {
+		if t.Cpus <= 0 || submission.Cpus > t.Cpus || submission.Gpus > t.Gpus || submission.MemGB > t.Mem {
 			continue
 		}
-		if len(s.Types) > 0 && !slices.Contains(s.Types, c.cache.TypeIndex.Name(i)) {
+		if len(submission.Types) > 0 && !slices.Contains(submission.Types, c.cache.TypeIndex.Name(i)) {
 			continue
 		}
 		if zone >= 0 && len(t.Zones) > 0 && !slices.Contains(t.Zones, zone) {
@@ -281,10 +281,10 @@
 		return "a task fits no allowed machine type"
 	}
 	n := 1
-	if s.Shape == protocol.Service {
-		n = s.Tasks
+	if submission.Shape == protocol.Service {
+		n = submission.Tasks
 	}
-	if !schedule.WithinLimit(c.cache.Teams[team], storage.Usage{}, &storage.Job{Cpus: s.Cpus, Gpus: s.Gpus}, n) {
+	if !schedule.WithinLimit(c.cache.Teams[team], storage.Usage{}, &storage.Job{Cpus: submission.Cpus, Gpus: submission.Gpus}, n) {
 		return "the job needs more than the team's limit"
 	}
 	return ""
@@ -297,27 +297,27 @@
 		return refuse(404, "no such job")
 	}
 	for range 8 {
-		st, known, loaded, err := c.lookup(ctx, id)
+		state, known, loaded, err := c.lookup(ctx, id)
 		switch {
 		case err != nil || !loaded:
 			return errRetryLater
-		case known && st.Status.Final():
-			return Answer{Status: 200, Body: st}
+		case known && state.Status.Final():
+			return Answer{Status: 200, Body: state}
 		case !known:
-			if st, known, err = c.lookupLinearizable(ctx, id); err != nil {
+			if state, known, err = c.lookupLinearizable(ctx, id); err != nil {
 				return errRetryLater
 			} else if !known {
 				return refuse(404, "no such job")
-			} else if st.Status.Final() {
-				return Answer{Status: 200, Body: st}
+			} else if state.Status.Final() {
+				return Answer{Status: 200, Body: state}
 			}
 		}
-		var t protocol.Txn
+		var txn protocol.Txn
 		err = c.call(ctx, func() {
 			if j := c.cache.Job(id); j != nil && j.Open() {
 				key := storage.JobKey(id)
 				rec := c.finalRecord(j, progress{j.Done, j.DoneCount}, protocol.Cancelled)
-				t = protocol.Txn{
+				txn = protocol.Txn{
 					If:   []protocol.Condition{{Key: key, Version: j.Version}},
 					Then: []protocol.Change{{Put: key, Value: storage.Encode(rec)}},
 				}
@@ -326,10 +326,10 @@
 		if err != nil {
 			return errRetryLater
 		}
-		if len(t.Then) == 0 {
+		if len(txn.Then) == 0 {
 			continue
 		}
-		rev, failed, err := c.transact(ctx, t, protocol.UserRequest)
+		rev, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 		if err != nil {
 			if !errors.Is(err, protocol.ErrRefused) {
 				c.log.Info("cancellation in doubt", "job", id, "err", err)
@@ -337,7 +337,7 @@
 			return errRetryLater
 		}
 		if len(failed) == 0 {
-			if err := c.call(ctx, func() { c.applyTxn(t, rev); c.changed() }); err != nil {
+			if err := c.call(ctx, func() { c.applyTxn(txn, rev); c.changed() }); err != nil {
 				return errRetryLater
 			}
 			continue
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -40,16 +40,16 @@
 	if all {
 		rec = storage.LayoutRecord{Version: storage.LayoutPacked}
 	}
-	t := protocol.Txn{
+	txn := protocol.Txn{
 		If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
 			{Key: storage.LayoutKey, Version: c.cache.Layout.Revision}},
 		Then: []protocol.Change{{Put: storage.LayoutKey, Value: storage.Encode(rec)}},
 	}
 	if all {
-		t.Then = append(t.Then, protocol.Change{Put: storage.BarrierKey, Value: storage.Encode(rec)})
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.BarrierKey, Value: storage.Encode(rec)})
 	}
 	c.gateWriteInFlight = true
-	c.commitAside(ctx, t, protocol.UrgentRequest, func(ok bool) {
+	c.commitAside(ctx, txn, protocol.UrgentRequest, func(ok bool) {
 		c.gateWriteInFlight = false
 		if ok {
 			c.log.Info("layout of the records", "version", rec.Version, "nodes", seen)
@@ -136,29 +136,29 @@
 // fleetTxn is the next step of working off a large fleet record.
 func (c *Controller) fleetTxn() protocol.Txn {
 	limit := c.valueLimit()
-	f, fits := c.cache.OversizedFleet(limit)
-	if f == nil {
+	fleet, fits := c.cache.OversizedFleet(limit)
+	if fleet == nil {
 		return protocol.Txn{}
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
-		{Key: storage.FleetKey(f.ID), Version: f.Version}}}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
+		{Key: storage.FleetKey(fleet.ID), Version: fleet.Version}}}
 	if fits {
-		rec, _ := c.cache.FleetWithout(f, nil)
-		t.Then = append(t.Then, protocol.Change{Put: storage.FleetKey(f.ID), Value: storage.EncodeFleet(&rec, true)})
+		rec, _ := c.cache.FleetWithout(fleet, nil)
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.FleetKey(fleet.ID), Value: storage.EncodeFleet(&rec, true)})
 	} else {
 		ops := c.limits().TxnOps
-		pieces := c.cache.SplitFleet(f, limit*9/10)
+		pieces := c.cache.SplitFleet(fleet, limit*9/10)
 		for _, r := range pieces[:min(len(pieces), ops-1)] {
 			// The large record's own key stays its until it is deleted.
 			key := storage.FleetKey(r.Machines[0].Name + "+")
-			t.If = append(t.If, protocol.Condition{Key: key})
-			t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(&r, true)})
+			txn.If = append(txn.If, protocol.Condition{Key: key})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(&r, true)})
 		}
 		if len(pieces) < ops {
-			t.Then = append(t.Then, protocol.Change{Delete: storage.FleetKey(f.ID)})
+			txn.Then = append(txn.Then, protocol.Change{Delete: storage.FleetKey(fleet.ID)})
 		}
 	}
-	return t
+	return txn
 }
 
 // splitGroup parts the machines of a group whose record would be over the limit over new
@@ -166,38 +166,38 @@
 // their fleet's record says, so all in one change each task stays in one group. If there are
 // more parts than one transaction takes, the old record stays as it is, and its entries
 // of machines that have moved count no more.
-func (c *Controller) splitGroup(k *storage.MachineGroup) protocol.Txn {
+func (c *Controller) splitGroup(group *storage.MachineGroup) protocol.Txn {
 	limit, ops := c.valueLimit()*6/10, c.limits().TxnOps
-	rest := c.cache.GroupRecordOf(k, k.UnsavedCompletions(), func(*storage.Machine) (storage.GroupMachine, bool) {
+	rest := c.cache.GroupRecordOf(group, group.UnsavedCompletions(), func(*storage.Machine) (storage.GroupMachine, bool) {
 		return storage.GroupMachine{}, false // they are parted below
 	})
 	parts := []*storage.GroupRecord{rest}
-	for _, m := range k.Machines {
+	for _, m := range group.Machines {
 		x, last := c.cache.GroupMachineOf(m, m.Tasks), parts[len(parts)-1]
 		last.Machines = append(last.Machines, x)
 		if len(last.Machines) > 1 && len(storage.EncodeGroup(last, true)) > limit {
 			last.Machines = last.Machines[:len(last.Machines)-1]
-			parts = append(parts, &storage.GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Machines: []storage.GroupMachine{x}})
+			parts = append(parts, &storage.GroupRecord{Shard: group.Shard, FencingToken: group.FencingToken, Machines: []storage.GroupMachine{x}})
 		}
 	}
 	if len(parts) == 1 {
 		return protocol.Txn{}
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: storage.ShardKey(k.Shard), Version: c.cache.Shards[k.Shard].Version},
-		{Key: storage.GroupKey(k.ID), Version: k.Version}}}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: storage.ShardKey(group.Shard), Version: c.cache.Shards[group.Shard].Version},
+		{Key: storage.GroupKey(group.ID), Version: group.Version}}}
 	fresh := len(c.cache.Groups)
-	for i := len(parts) - 1; i > 0 && len(t.Then) < ops; i-- {
+	for i := len(parts) - 1; i > 0 && len(txn.Then) < ops; i-- {
 		for n := range parts[i].Machines {
 			parts[i].Machines[n].Moved = true
 		}
 		key := storage.GroupKey(fresh)
 		fresh++
-		t.If = append(t.If, protocol.Condition{Key: key})
-		t.Then = append(t.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(parts[i], true)})
+		txn.If = append(txn.If, protocol.Condition{Key: key})
+		txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(parts[i], true)})
 	}
 	if len(parts) <= ops {
-		t.Then = append(t.Then, protocol.Change{Put: storage.GroupKey(k.ID), Value: storage.EncodeGroup(rest, true)})
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.GroupKey(group.ID), Value: storage.EncodeGroup(rest, true)})
 	}
-	c.log.Info("rack is parted", "rack", k.ID, "machines", len(k.Machines), "parts", len(parts))
-	return t
+	c.log.Info("rack is parted", "rack", group.ID, "machines", len(group.Machines), "parts", len(parts))
+	return txn
 }
--- a/internal/controller/layout_gate_test.go
+++ b/internal/controller/layout_gate_test.go
@@ -20,39 +20,39 @@
 // first copy may have been carried out before the limits fell, or come late. It was
 // repeated for ever.
 func TestInDoubtTransactionIsSettled(t *testing.T) {
-	c := newCore(t)
-	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-	txn := b.build()
-	c.directCommands = maxDirectCommands
-	c.sent(txn, 0, nil, protocol.ErrUnknown)
+	controller := newCore(t)
+	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+	txn := builder.build()
+	controller.directCommands = maxDirectCommands
+	controller.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
-	c.sent(*c.inDoubt, 0, nil, tooLarge)
-	if c.inDoubt == nil || len(c.inDoubt.Then) != 1 || c.inDoubt.Then[0].Put != storage.ShardKey(0) || c.inDoubt.If[0].Version != 2 {
-		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", c.inDoubt)
+	controller.sent(*controller.inDoubt, 0, nil, tooLarge)
+	if controller.inDoubt == nil || len(controller.inDoubt.Then) != 1 || controller.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.inDoubt.If[0].Version != 2 {
+		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", controller.inDoubt)
 	}
-	settle := *c.inDoubt
-	c.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
-	c.sent(settle, 0, nil, protocol.ErrRefused)
-	if c.inDoubt == nil {
+	settle := *controller.inDoubt
+	controller.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
+	controller.sent(settle, 0, nil, protocol.ErrRefused)
+	if controller.inDoubt == nil {
 		t.Fatal("given up before it was known")
 	}
-	c.sent(settle, 20, nil, nil)
-	if c.inDoubt != nil || c.awaitedRevision != 20 || c.cache.Shards[0].Version != 20 {
-		t.Fatalf("doubt %v, waiting for %d, stamp %d", c.inDoubt != nil, c.awaitedRevision, c.cache.Shards[0].Version)
+	controller.sent(settle, 20, nil, nil)
+	if controller.inDoubt != nil || controller.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
+		t.Fatalf("doubt %v, waiting for %d, stamp %d", controller.inDoubt != nil, controller.awaitedRevision, controller.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
-		return x.Key == storage.ShardKey(0) && x.Version == c.cache.Shards[0].Version
+		return x.Key == storage.ShardKey(0) && x.Version == controller.cache.Shards[0].Version
 	}) {
 		t.Fatal("a late copy would still be carried out")
 	}
-	if !c.limitsLowered {
+	if !controller.limitsLowered {
 		t.Error("the limits to come are not taken up")
 	}
 	// Without a doubt a refusal for size is definite.
-	c = newCore(t)
-	b, _ = c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-	if c.sent(b.build(), 0, nil, tooLarge); c.inDoubt != nil || !c.limitsLowered {
-		t.Errorf("doubt %v, lowered %v", c.inDoubt != nil, c.limitsLowered)
+	controller = newCore(t)
+	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+	if controller.sent(builder.build(), 0, nil, tooLarge); controller.inDoubt != nil || !controller.limitsLowered {
+		t.Errorf("doubt %v, lowered %v", controller.inDoubt != nil, controller.limitsLowered)
 	}
 }
 
@@ -64,17 +64,17 @@
 	const racks, machines, tasks = 4, 24, 40
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := rand.New(rand.NewPCG(seed, 3))
-			c := newCore(t)
-			c.cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
+			random := rand.New(rand.NewPCG(seed, 3))
+			controller := newCore(t)
+			controller.cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
 				Next: &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}}
 			version := uint64(10)
 			apply := func(key string, v any) {
 				version++
-				if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 					t.Fatal(err)
 				}
-				c.cache.Revision, c.highestRevision = version, version
+				controller.cache.Revision, controller.highestRevision = version, version
 			}
 			type place struct {
 				job  string
@@ -84,7 +84,7 @@
 			next := map[string]int{}
 			var jobs []string
 			for i := range 60 {
-				id := fmt.Sprintf("job-%06d", 100+r.IntN(1000)*100+i)
+				id := fmt.Sprintf("job-%06d", 100+random.IntN(1000)*100+i)
 				jobs = append(jobs, id)
 				n := 200
 				if i == 0 {
@@ -92,17 +92,17 @@
 				}
 				apply(storage.JobKey(id), storage.JobRecord{Tasks: n, Team: "red", Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}})
 			}
-			f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
+			fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 			for i := range racks * machines {
-				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Group: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
+				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprintf("host-%06d", i), Group: 1 + i/machines, Addr: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200)})
 			}
-			apply(storage.FleetKey("host"), f)
+			apply(storage.FleetKey("host"), fleet)
 			for k := range racks {
 				rec := storage.GroupRecord{}
-				for _, x := range f.Machines[k*machines : (k+1)*machines] {
-					m := storage.GroupMachine{Name: x.Name, Incarnation: 1}
+				for _, entry := range fleet.Machines[k*machines : (k+1)*machines] {
+					groupMachine := storage.GroupMachine{Name: entry.Name, Incarnation: 1}
 					for range tasks {
-						id := jobs[r.IntN(len(jobs))]
+						id := jobs[random.IntN(len(jobs))]
 						if next[id] >= 200 {
 							continue
 						}
@@ -111,47 +111,47 @@
 							p.task = next[id] * 499 // far apart
 						}
 						next[id]++
-						on[p] = x.Name
-						m.Tasks = append(m.Tasks, storage.PlacedTasks{Job: id, Numbers: []uint64{uint64(p.task), 5 + r.Uint64N(50_000), 1_700_000_000 + r.Uint64N(300), r.Uint64N(90)}})
+						on[p] = entry.Name
+						groupMachine.Tasks = append(groupMachine.Tasks, storage.PlacedTasks{Job: id, Numbers: []uint64{uint64(p.task), 5 + random.Uint64N(50_000), 1_700_000_000 + random.Uint64N(300), random.Uint64N(90)}})
 					}
-					rec.Machines = append(rec.Machines, m)
+					rec.Machines = append(rec.Machines, groupMachine)
 				}
 				apply(storage.GroupKey(k+1), rec)
 			}
 			apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
-			c.directCommands = maxDirectCommands // no workers here
-			c.changed()
-			for _, m := range c.cache.Machines {
+			controller.directCommands = maxDirectCommands // no workers here
+			controller.changed()
+			for _, m := range controller.cache.Machines {
 				if m.Name != "m" {
-					c.applyHeartbeat(m, c.workerState(m), reportOf(m, 1), 4, false)
+					controller.applyHeartbeat(m, controller.workerState(m), reportOf(m, 1), 4, false)
 				}
 			}
 			limit, total, steps := 2<<10, len(on), 0
 			for ; steps < 4000; steps++ {
 				if steps == 100*int(seed%2) { // then what is there only runs out
-					for _, j := range c.cache.Jobs {
+					for _, j := range controller.cache.Jobs {
 						if j != nil {
-							c.jobState(j).backoff = time.Now().Add(time.Hour)
+							controller.jobState(j).backoff = time.Now().Add(time.Hour)
 						}
 					}
 				}
-				for _, m := range c.cache.Machines { // some tasks complete
-					if m.Name == "m" || len(m.Tasks) == 0 || r.IntN(10) > 0 {
+				for _, m := range controller.cache.Machines { // some tasks complete
+					if m.Name == "m" || len(m.Tasks) == 0 || random.IntN(10) > 0 {
 						continue
 					}
-					v := c.workerState(m)
+					v := controller.workerState(m)
 					rep := reportOf(m, v.Seq+1)
 					for i := range rep.Tasks {
-						if r.IntN(3) == 0 {
+						if random.IntN(3) == 0 {
 							rep.Tasks[i].State, rep.Tasks[i].Cause = protocol.TaskExited, protocol.CauseDone
 						}
 					}
-					c.applyHeartbeat(m, v, rep, c.cache.FencingToken(m), false)
+					controller.applyHeartbeat(m, v, rep, controller.cache.FencingToken(m), false)
 				}
-				txn, _ := c.nextTxn(c.workerState(c.cache.Machine("m")).heard)
+				txn, _ := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).heard)
 				if len(txn.Then) == 0 {
 					placed := 0
-					for _, j := range c.cache.Jobs {
+					for _, j := range controller.cache.Jobs {
 						if j != nil {
 							placed += j.PlacedCount
 						}
@@ -170,10 +170,10 @@
 					}
 				}
 				version++
-				c.sent(txn, version, nil, nil)
-				c.cache.Revision = version
+				controller.sent(txn, version, nil, nil)
+				controller.cache.Revision = version
 				seen := map[place]int32{}
-				for _, m := range c.cache.Machines {
+				for _, m := range controller.cache.Machines {
 					for _, p := range m.Tasks {
 						at := place{p.Job.ID, p.Task}
 						if o, twice := seen[at]; twice {
@@ -187,9 +187,9 @@
 				}
 				for p, name := range on {
 					m, placed := seen[p]
-					switch j := c.cache.Job(p.job); {
-					case placed && c.cache.Machines[m].Name != name && m != 0 && j.AttemptOf[p.task] < 50_100:
-						t.Fatalf("%v is on %s, not %s", p, c.cache.Machines[m].Name, name)
+					switch j := controller.cache.Job(p.job); {
+					case placed && controller.cache.Machines[m].Name != name && m != 0 && j.AttemptOf[p.task] < 50_100:
+						t.Fatalf("%v is on %s, not %s", p, controller.cache.Machines[m].Name, name)
 					case !placed && j != nil && j.Open() && !j.Done.Get(p.task):
 						t.Fatalf("%v is lost", p)
 					case !placed:
@@ -200,12 +200,12 @@
 			if len(on) > 0 {
 				t.Fatalf("%d of %d tasks are still there after %d steps", len(on), total, steps)
 			}
-			for _, k := range c.cache.Groups {
+			for _, k := range controller.cache.Groups {
 				if k.Size > limit {
 					t.Errorf("rack %d takes %d bytes", k.ID, k.Size)
 				}
 			}
-			t.Logf("%d tasks worked off in %d steps, %d racks", total, steps, len(c.cache.Groups))
+			t.Logf("%d tasks worked off in %d steps, %d racks", total, steps, len(controller.cache.Groups))
 		})
 	}
 }
@@ -215,26 +215,26 @@
 // record would bring it back.
 func TestLargeFleetIsWorkedOff(t *testing.T) {
 	for _, width := range []int{6, 100} {
-		c := newCore(t)
-		c.cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
+		controller := newCore(t)
+		controller.cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
 			Next: &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}}
-		f := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
+		fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 		for i := range 200 {
-			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Group: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
+			fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Group: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 		}
 		version := uint64(10)
 		apply := func(ch protocol.Change) {
 			key := ch.Put + ch.Delete
-			if err := c.cache.Apply(key, ch.Value, version, ch.Delete != ""); err != nil {
+			if err := controller.cache.Apply(key, ch.Value, version, ch.Delete != ""); err != nil {
 				t.Fatal(err)
 			}
 		}
-		apply(protocol.Change{Put: storage.FleetKey("large"), Value: storage.Encode(f)})
+		apply(protocol.Change{Put: storage.FleetKey("large"), Value: storage.Encode(fleet)})
 		version++
 		apply(protocol.Change{Put: storage.LayoutKey, Value: storage.Encode(storage.LayoutRecord{Version: storage.LayoutPacked})})
 		steps := 0
 		for ; steps < 100; steps++ {
-			txn := c.fleetTxn()
+			txn := controller.fleetTxn()
 			if len(txn.Then) == 0 {
 				break
 			}
@@ -249,8 +249,8 @@
 				apply(ch)
 			}
 			there := 0
-			for _, m := range c.cache.Machines {
-				if c.cache.MachineSeen(m.Name) && m.Fleet != nil && m.FleetEntries > 0 && len(m.Group.Machines) > 0 {
+			for _, m := range controller.cache.Machines {
+				if controller.cache.MachineSeen(m.Name) && m.Fleet != nil && m.FleetEntries > 0 && len(m.Group.Machines) > 0 {
 					there++
 				}
 			}
@@ -258,10 +258,10 @@
 				t.Fatalf("%d of 201 machines after step %d", there, steps)
 			}
 		}
-		if f, _ := c.cache.OversizedFleet(2 << 10); f != nil || steps == 0 {
+		if f, _ := controller.cache.OversizedFleet(2 << 10); f != nil || steps == 0 {
 			t.Errorf("width %d: not worked off after %d steps", width, steps)
 		}
-		for _, m := range c.cache.Machines {
+		for _, m := range controller.cache.Machines {
 			if m.FleetEntries != 1 {
 				t.Fatalf("%s is listed %d times", m.Name, m.FleetEntries)
 			}
@@ -313,16 +313,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				c := newCore(t)
+				controller := newCore(t)
 				store := &scriptStore{answers: x.answers}
-				c.store, c.directCommands, c.sessionLease = store, maxDirectCommands, 7
+				controller.store, controller.directCommands, controller.sessionLease = store, maxDirectCommands, 7
 				node := map[bool]string{true: "n0", false: "n1"}[x.leads]
-				c.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: storage.LeaderKey,
+				controller.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: storage.LeaderKey,
 					Value: storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1})}}}, 5)
 				go func() {
 					for {
 						select {
-						case f := <-c.inbox:
+						case f := <-controller.inbox:
 							f()
 						case <-ctx.Done():
 							return
@@ -332,12 +332,12 @@
 				txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: 5}},
 					Then: []protocol.Change{{Put: storage.VictimSetKey("x"), Value: storage.Encode(storage.VictimSetRecord{})}}}
 				done, ok := false, false
-				go c.commitWithRetry(ctx, txn, func(o bool) { done, ok = true, o })
+				go controller.commitWithRetry(ctx, txn, func(o bool) { done, ok = true, o })
 				time.Sleep(10 * time.Second)
 				if done == x.waits {
 					t.Fatalf("told before the follow came as far: %v", done)
 				}
-				c.post(func() { c.cache.Revision = 20 })
+				controller.post(func() { controller.cache.Revision = 20 })
 				time.Sleep(time.Second)
 				if !done || ok != x.ok || len(store.asked) != len(x.answers) {
 					t.Fatalf("told %v, %v after %d requests", done, ok, len(store.asked))
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -166,32 +166,32 @@
 		return
 	}
 	now := time.Now()
-	for _, l := range all {
-		m := c.cache.Machine(l.ID)
-		if m == nil {
-			if c.cache.MachineSeen(l.ID) || c.leader.enrollPending[l.ID] || c.cache.TypeIndex.Find(l.Type) < 0 {
+	for _, cloudMachine := range all {
+		machine := c.cache.Machine(cloudMachine.ID)
+		if machine == nil {
+			if c.cache.MachineSeen(cloudMachine.ID) || c.leader.enrollPending[cloudMachine.ID] || c.cache.TypeIndex.Find(cloudMachine.Type) < 0 {
 				continue
 			}
-			since, ok := c.leader.unrecorded[l.ID]
+			since, ok := c.leader.unrecorded[cloudMachine.ID]
 			if !ok {
-				c.leader.unrecorded[l.ID] = now
+				c.leader.unrecorded[cloudMachine.ID] = now
 				continue
 			}
 			// A rental's own answer may still be on its way: it goes first.
 			if now.Sub(since) < 2*time.Second {
 				continue
 			}
-			delete(c.leader.unrecorded, l.ID)
-			c.log.Info("machine in the list has no record", "machine", l.ID, "status", l.Status)
-			c.enrollMachine(ctx, &pendingMachine{name: l.ID, addr: l.Addr, done: func(bool) {}, fleet: storage.FleetRecord{
-				Type: l.Type, Zone: l.Zone, Spot: l.Spot, ProvisionedAt: now.Unix() - int64(l.AgeS)}})
+			delete(c.leader.unrecorded, cloudMachine.ID)
+			c.log.Info("machine in the list has no record", "machine", cloudMachine.ID, "status", cloudMachine.Status)
+			c.enrollMachine(ctx, &pendingMachine{name: cloudMachine.ID, addr: cloudMachine.Addr, done: func(bool) {}, fleet: storage.FleetRecord{
+				Type: cloudMachine.Type, Zone: cloudMachine.Zone, Spot: cloudMachine.Spot, ProvisionedAt: now.Unix() - int64(cloudMachine.AgeS)}})
 			continue
 		}
-		if m.Addr == "" {
-			m.Addr = l.Addr
+		if machine.Addr == "" {
+			machine.Addr = cloudMachine.Addr
 		}
-		if l.Status == "failed" && !m.Returning {
-			c.returnMachine(m, "failed")
+		if cloudMachine.Status == "failed" && !machine.Returning {
+			c.returnMachine(machine, "failed")
 		}
 	}
 }
@@ -205,40 +205,40 @@
 	var machines []autoscale.Machine
 	have := map[autoscale.Pool]int{}
 	boot := 0.0
-	for _, m := range c.cache.Machines {
-		if m.Gone {
+	for _, machine := range c.cache.Machines {
+		if machine.Gone {
 			continue
 		}
-		ty := &c.cache.Types[m.Type]
-		p := autoscale.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		if !m.Returning {
+		ty := &c.cache.Types[machine.Type]
+		p := autoscale.Pool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
+		if !machine.Returning {
 			have[p]++
 		}
-		usable := !m.Returning
-		if v := c.workerStates[m.Index]; m.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(m, bootPatience, now) || c.zoneUnreachable(m.Zone) {
+		usable := !machine.Returning
+		if v := c.workerStates[machine.Index]; machine.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(machine, bootPatience, now) || c.zoneUnreachable(machine.Zone) {
 			usable = false
 		}
 		machines = append(machines, autoscale.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
 	}
 	var offers []autoscale.Offer
 	for i := range c.cache.Types {
-		ty := &c.cache.Types[i]
-		if ty.Cpus <= 0 {
+		machineType := &c.cache.Types[i]
+		if machineType.Cpus <= 0 {
 			continue
 		}
-		boot = max(boot, ty.BootS)
-		for _, z := range ty.Zones {
+		boot = max(boot, machineType.BootS)
+		for _, z := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				price := ty.Price
+				price := machineType.Price
 				if spot {
-					price = ty.SpotPrice
+					price = machineType.SpotPrice
 				}
 				if spot && price <= 0 {
 					continue
 				}
 				p := autoscale.Pool{Type: i, Zone: z, Spot: spot}
-				offers = append(offers, autoscale.Offer{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem,
-					Price: price, Boot: ty.BootS, Owned: have[p],
+				offers = append(offers, autoscale.Offer{Pool: p, Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem,
+					Price: price, Boot: machineType.BootS, Owned: have[p],
 					Blocked: now.Before(c.leader.blocked[p]) || c.leader.scaleOuts[p] != nil || c.zoneUnreachable(z)})
 			}
 		}
@@ -265,27 +265,27 @@
 // workHorizon is the part of its allowed time in which waiting work should be through.
 const workHorizon = 0.45
 
-func (c *Controller) sendScaleOut(ctx context.Context, p autoscale.Pool, r *scaleOut) {
-	r.inFlight = true
-	c.log.Info("renting", "name", r.request.Name, "type", r.request.Type, "zone", r.request.Zone, "spot", r.request.Spot, "count", r.request.Count)
+func (c *Controller) sendScaleOut(ctx context.Context, pool autoscale.Pool, controllerScaleOut *scaleOut) {
+	controllerScaleOut.inFlight = true
+	c.log.Info("renting", "name", controllerScaleOut.request.Name, "type", controllerScaleOut.request.Type, "zone", controllerScaleOut.request.Zone, "spot", controllerScaleOut.request.Spot, "count", controllerScaleOut.request.Count)
 	go func() {
-		names, err := c.cloud.ScaleOut(ctx, r.request)
+		names, err := c.cloud.ScaleOut(ctx, controllerScaleOut.request)
 		c.post(func() {
-			r.inFlight = false
+			controllerScaleOut.inFlight = false
 			switch {
 			case errors.Is(err, protocol.ErrNoCapacity):
-				delete(c.leader.scaleOuts, p)
-				c.leader.blocked[p] = time.Now().Add(blockedFor)
+				delete(c.leader.scaleOuts, pool)
+				c.leader.blocked[pool] = time.Now().Add(blockedFor)
 			case errors.Is(err, protocol.ErrRefused):
-				delete(c.leader.scaleOuts, p)
-				c.leader.blocked[p] = time.Now().Add(2 * time.Second)
+				delete(c.leader.scaleOuts, pool)
+				c.leader.blocked[pool] = time.Now().Add(2 * time.Second)
 			case err != nil:
-				c.log.Info("rental in doubt", "name", r.request.Name, "err", err)
+				c.log.Info("rental in doubt", "name", controllerScaleOut.request.Name, "err", err)
 			default:
-				if len(names) < r.request.Count {
-					c.leader.blocked[p] = time.Now().Add(blockedFor)
+				if len(names) < controllerScaleOut.request.Count {
+					c.leader.blocked[pool] = time.Now().Add(blockedFor)
 				}
-				c.enrollScaledOut(ctx, p, r.request, names)
+				c.enrollScaledOut(ctx, pool, controllerScaleOut.request, names)
 			}
 		})
 	}()
@@ -295,11 +295,11 @@
 const blockedFor = 8 * time.Second
 
 // enrollScaledOut has records written for rented machines; the rental counts until they are.
-func (c *Controller) enrollScaledOut(ctx context.Context, p autoscale.Pool, req protocol.ScaleOutRequest, names []string) {
+func (c *Controller) enrollScaledOut(ctx context.Context, pool autoscale.Pool, req protocol.ScaleOutRequest, names []string) {
 	c.log.Info("rented", "name", req.Name, "machines", len(names))
 	left := len(names)
 	if left == 0 || !c.isLeader() {
-		delete(c.leader.scaleOuts, p)
+		delete(c.leader.scaleOuts, pool)
 		return
 	}
 	renting := c.leader.scaleOuts
@@ -307,7 +307,7 @@
 		c.enrollMachine(ctx, &pendingMachine{name: name, tries: enrollTries, fleet: storage.FleetRecord{
 			Type: req.Type, Zone: req.Zone, Spot: req.Spot, ProvisionedAt: time.Now().Unix()}, done: func(bool) {
 			if left--; left == 0 {
-				delete(renting, p)
+				delete(renting, pool)
 			}
 		}})
 	}
@@ -404,32 +404,32 @@
 	var cands []cand
 	var drained []*storage.Machine
 	stuck := c.runnableWithinLimits(now)
-	for _, m := range c.cache.Machines {
-		e := c.pendingUpdates[m.Index]
-		if m.Gone || m.Returning || e != nil && e.returning {
+	for _, machine := range c.cache.Machines {
+		pendingUpdate := c.pendingUpdates[machine.Index]
+		if machine.Gone || machine.Returning || pendingUpdate != nil && pendingUpdate.returning {
 			continue
 		}
 		fleet++
-		if m.Draining || e.blocksPlacement() {
+		if machine.Draining || pendingUpdate.blocksPlacement() {
 			spare--
-			drained = append(drained, m)
+			drained = append(drained, machine)
 			if plan.Urgent > 0 {
-				c.setDraining(m, false)
+				c.setDraining(machine, false)
 			}
 			continue
 		}
 		used, rests := 0.0, true // rests: nothing on it was moved or started a moment ago
-		cpus := c.cache.Types[m.Type].Cpus
-		for _, p := range m.Tasks {
-			if m.Spot || !c.isIdleWork(p.Job, now) {
+		cpus := c.cache.Types[machine.Type].Cpus
+		for _, p := range machine.Tasks {
+			if machine.Spot || !c.isIdleWork(p.Job, now) {
 				used += p.Job.Size / cpus
 			}
 			rests = rests && (p.Job.CheckpointInterval == 0 || now.Unix()-p.PlacedAt > drainAfterS) && (p.Job.Shape == protocol.Batch || now.Unix()-p.PlacedAt > int64(relocateAfter.Seconds()))
 		}
-		p := autoscale.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		p := autoscale.Pool{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot}
 		since := c.leader.surplusSince[p]
-		if len(m.Tasks) > 0 && rests && used <= drainUsageBelow && plan.Surplus[p] >= 1.5 && !since.IsZero() && now.Sub(since) >= keep {
-			cands = append(cands, cand{m, used})
+		if len(machine.Tasks) > 0 && rests && used <= drainUsageBelow && plan.Surplus[p] >= 1.5 && !since.IsZero() && now.Sub(since) >= keep {
+			cands = append(cands, cand{machine, used})
 		}
 		if waiting > 0 {
 			waiting -= max(0, (1-used)*cpus)
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -37,28 +37,28 @@
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", Cpus: x.guarantee}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80},
 				Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5}, {Kind: "finished", Class: "c", WithinS: 60}}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
+			controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+			controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 			put := func(key string, v any) {
-				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
-			f := storage.FleetRecord{Type: "t", Zone: "a"}
+			fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 			for share, n := range x.machines {
 				for range n {
-					rack := len(f.Machines)
+					rack := len(fleet.Machines)
 					put(storage.GroupKey(rack), storage.GroupRecord{Shard: share})
-					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
+					fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
 				}
 			}
-			put(storage.FleetKey("m0"), f)
+			put(storage.FleetKey("m0"), fleet)
 			for team, n := range x.demand {
 				put(storage.JobKey(fmt.Sprintf("job-%06d", team)), storage.JobRecord{Tasks: n, Team: cfg.Deployment.Teams[team].Name, SubmittedMs: time.Now().UnixMilli(),
 					Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 30}})
 			}
-			put(storage.BaselineKey, c.cache.BaselineRecordOf(map[storage.ClassQueue]float64{{Team: 0}: x.usual[0], {Team: 1}: x.usual[1]}, 2048))
-			if moves := movesToFirst(c, allWork); moves != x.moves {
+			put(storage.BaselineKey, controller.cache.BaselineRecordOf(map[storage.ClassQueue]float64{{Team: 0}: x.usual[0], {Team: 1}: x.usual[1]}, 2048))
+			if moves := movesToFirst(controller, allWork); moves != x.moves {
 				t.Errorf("%d racks move to the guaranteed team's share, want %d", moves, x.moves)
 			}
 		})
@@ -98,10 +98,10 @@
 		t.Run(x.name, func(t *testing.T) {
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a", "b"},
 				Teams: []config.Team{{Name: "blue"}, {Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+			controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -121,9 +121,9 @@
 				put(storage.GroupKey(rack), r)
 			}
 			if x.stuck > 0 {
-				c.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
+				controller.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
 			}
-			if got := movesToFirst(c, allWork); got != -x.want {
+			if got := movesToFirst(controller, allWork); got != -x.want {
 				t.Errorf("%d racks move to its share, want %d", -got, x.want)
 			}
 		})
@@ -152,10 +152,10 @@
 		t.Run(x.name, func(t *testing.T) {
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+			controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -165,13 +165,13 @@
 			}
 			job("job-000000", "red", x.placed[0]+x.placed[1]+x.placed[2]+x.waits)
 			job("job-000001", "blue", 3)
-			f, task := storage.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
+			fleet, task := storage.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
 			for rack, share := range x.share {
 				if share >= 0 {
-					f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
+					fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
 				}
 			}
-			put(storage.FleetKey("m0"), f)
+			put(storage.FleetKey("m0"), fleet)
 			for rack, share := range x.share {
 				if share < 0 {
 					continue
@@ -184,9 +184,9 @@
 				put(storage.GroupKey(rack), storage.GroupRecord{Shard: share, Machines: []storage.GroupMachine{
 					{Name: fmt.Sprint("m", rack), Incarnation: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
-			mv := rebalancer{c: c, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
+			mv := rebalancer{c: controller, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
 			if x.stuck > 0 {
-				c.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
+				controller.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
 			}
 			mv.rebalancePass(time.Now(), allWork)
 			got := -1
@@ -223,10 +223,10 @@
 		t.Run(x.name, func(t *testing.T) {
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", CpusMax: x.limit}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+			controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -247,9 +247,9 @@
 				{Name: "m0", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
 				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
-			c.leader.stuckSince = now.Add(-x.since)
-			c.drainSurplus(now, autoscale.Plan{}, 0)
-			e := c.pendingUpdates[c.cache.Machine("m1").Index]
+			controller.leader.stuckSince = now.Add(-x.since)
+			controller.drainSurplus(now, autoscale.Plan{}, 0)
+			e := controller.pendingUpdates[controller.cache.Machine("m1").Index]
 			if back := e != nil && e.draining != nil && !*e.draining; back != x.back {
 				t.Errorf("given back: %v, want %v", back, x.back)
 			}
@@ -276,25 +276,25 @@
 		t.Run(x.name, func(t *testing.T) {
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "home"}, {Name: "guest"}}, State: config.State{TxnOps: 12, WriteRPS: 80}}}
-			c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-			c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
+			controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+			controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 64}}})
 			put := func(key string, v any) {
-				if err := c.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), 3, false); err != nil {
 					t.Fatal(err)
 				}
 			}
 			put(storage.JobKey("job-000000"), storage.JobRecord{Tasks: max(1, x.firm), Team: "home", SubmittedMs: time.Now().UnixMilli(),
 				Spec: &storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
 			if x.firm == 0 {
-				c.cache.Job("job-000000").DoneCount = 1
+				controller.cache.Job("job-000000").DoneCount = 1
 			}
 			put(storage.JobKey("job-000001"), storage.JobRecord{Tasks: x.idle, Team: "guest", SubmittedMs: time.Now().UnixMilli(),
 				Spec: &storage.SpecRecord{Class: "g", Priority: x.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true}})
-			f := storage.FleetRecord{Type: "t", Zone: "a"}
+			fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 			for rack := range 8 {
-				f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
+				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", rack), Group: rack})
 			}
-			put(storage.FleetKey("m0"), f)
+			put(storage.FleetKey("m0"), fleet)
 			for rack := range 8 {
 				r := storage.GroupRecord{Shard: rack / 4}
 				if rack/4 == 1 && x.placed > 0 {
@@ -304,10 +304,10 @@
 				}
 				put(storage.GroupKey(rack), r)
 			}
-			if n := c.cache.Job("job-000001").PlacedCount; n != x.placed {
+			if n := controller.cache.Job("job-000001").PlacedCount; n != x.placed {
 				t.Fatalf("%d tasks placed, want %d", n, x.placed)
 			}
-			if moves := movesToFirst(c, allWork, idleWork); moves != x.moves {
+			if moves := movesToFirst(controller, allWork, idleWork); moves != x.moves {
 				t.Errorf("%d racks move to the home team's share, want %d", moves, x.moves)
 			}
 		})
@@ -339,8 +339,8 @@
 
 // TestGroupAllocator: newcomers fill the groups of their shard, spot and ordinary apart.
 func TestGroupAllocator(t *testing.T) {
-	c := newCore(t) // group 0 of shard 0 holds one ordinary machine
-	f := newGroupAllocator(c.cache, 3)
+	controller := newCore(t) // group 0 of shard 0 holds one ordinary machine
+	groupAllocator := newGroupAllocator(controller.cache, 3)
 	for i, x := range []struct {
 		share int
 		spot  bool
@@ -350,7 +350,7 @@
 		{0, false, 0, false}, {0, true, 1, true}, {0, false, 0, false}, {0, false, 2, true},
 		{1, false, 3, true}, {0, true, 1, false}, {0, true, 1, false}, {0, true, 4, true},
 	} {
-		if rack, fresh := f.allocate(x.share, x.spot); rack != x.rack || fresh != x.fresh {
+		if rack, fresh := groupAllocator.allocate(x.share, x.spot); rack != x.rack || fresh != x.fresh {
 			t.Errorf("newcomer %d: rack %d, new %v; want %d, %v", i, rack, fresh, x.rack, x.fresh)
 		}
 	}
@@ -371,26 +371,26 @@
 		{"with an aim", true, true, protocol.Normal, 0},
 		{"on ordinary machines only", false, false, protocol.Normal, 0},
 	} {
-		c := newCore(t)
+		controller := newCore(t)
 		put := func(id string, s storage.SpecRecord) *storage.Job {
 			s.Cpus, s.Mem, s.Image = 4, 1, "i"
-			if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().UnixMilli(), Spec: &s}), 5, false); err != nil {
+			if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().UnixMilli(), Spec: &s}), 5, false); err != nil {
 				t.Fatal(err)
 			}
-			return c.cache.Job(id)
+			return controller.cache.Job(id)
 		}
 		if x.aim {
-			c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "g", WithinS: 400}}
+			controller.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "g", WithinS: 400}}
 		}
 		runs := put("job-000007", storage.SpecRecord{Class: "g", Spot: x.spot})
 		waits := put("job-000008", storage.SpecRecord{Class: "h", Spot: true, Priority: uint8(x.waits)})
-		m := c.cache.Machine("m")
+		m := controller.cache.Machine("m")
 		m.Tasks = []storage.PlacedTask{{Job: runs, Attempt: 1}}
-		c.idleWorkPlaced = true
-		in := &schedule.Input{Teams: c.cache.Teams, Used: c.cache.Used, Slots: []*schedule.Slot{{Machine: m}}}
+		controller.idleWorkPlaced = true
+		in := &schedule.Input{Teams: controller.cache.Teams, Used: controller.cache.Used, Slots: []*schedule.Slot{{Machine: m}}}
 		got := 0
-		if c.mayPreempt(waits, in, c.claimsUntil()) {
-			got = len(c.preemptionCandidates(time.Now(), waits, in, nil, c.claimsUntil()))
+		if controller.mayPreempt(waits, in, controller.claimsUntil()) {
+			got = len(controller.preemptionCandidates(time.Now(), waits, in, nil, controller.claimsUntil()))
 		}
 		if got != x.want {
 			t.Errorf("%s: %d candidates, want %d", x.name, got, x.want)
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -14,17 +14,17 @@
 // superviseMachines looks for machines that are silent, sick or taken, and returns them.
 // lost are returned first: what was cancelled can't be stopped there.
 func (c *Controller) superviseMachines(ctx context.Context, now time.Time, lost []string) {
-	w := c.cfg.Deployment.Workers
+	workers := c.cfg.Deployment.Workers
 	// A worker heartbeats every ReportS, give or take a quarter. A dead machine's work
 	// waits until two probes have got no answer and the cloud has taken it back.
-	quiet := seconds(1.25*w.HeartbeatS + 0.6)
+	quiet := seconds(1.25*workers.HeartbeatS + 0.6)
 	silent, mute, total := 0, 0, 0
-	for _, m := range c.cache.Machines {
-		if m.Gone || !c.ownsShard(m.Shard) {
+	for _, machine := range c.cache.Machines {
+		if machine.Gone || !c.ownsShard(machine.Shard) {
 			continue
 		}
-		v := c.workerState(m)
-		if v.Incarnation == 0 && m.Incarnation == 0 {
+		v := c.workerState(machine)
+		if v.Incarnation == 0 && machine.Incarnation == 0 {
 			continue
 		}
 		total++
@@ -33,7 +33,7 @@
 		}
 		if c.silenceOf(v.heard, now) > quiet {
 			silent++
-			c.sendDirect(m, true) // a probe that also shows the worker the present token
+			c.sendDirect(machine, true) // a probe that also shows the worker the present token
 		}
 	}
 	// Many silent machines at once speak for a fault on this side.
@@ -42,43 +42,43 @@
 	c.manyUnresponsive = many(mute)
 	names := lost
 	lastUp := c.lastUp()
-	for _, m := range c.cache.Machines {
-		if m.Gone || !c.ownsShard(m.Shard) {
+	for _, storageMachine := range c.cache.Machines {
+		if storageMachine.Gone || !c.ownsShard(storageMachine.Shard) {
 			continue
 		}
-		v := c.workerState(m)
-		if len(m.Tasks) > 0 {
-			v.emptySince = time.Time{}
-		} else if v.emptySince.IsZero() {
-			v.emptySince = now
+		worker := c.workerState(storageMachine)
+		if len(storageMachine.Tasks) > 0 {
+			worker.emptySince = time.Time{}
+		} else if worker.emptySince.IsZero() {
+			worker.emptySince = now
 		}
-		if m.Returning {
-			if !v.terminated && !slices.Contains(lost, m.Name) {
-				names = append(names, m.Name)
+		if storageMachine.Returning {
+			if !worker.terminated && !slices.Contains(lost, storageMachine.Name) {
+				names = append(names, storageMachine.Name)
 			}
 			continue
 		}
-		c.judgeHealth(m, v, now)
+		c.judgeHealth(storageMachine, worker, now)
 		var why string
-		limit := unreachableLimit(w, suspectSelf)
-		if serves(m) && c.zoneUnreachable(m.Zone) && c.hasControllerInside(m.Zone) {
-			limit = max(limit, unreachableZoneLimit(w))
+		limit := unreachableLimit(workers, suspectSelf)
+		if serves(storageMachine) && c.zoneUnreachable(storageMachine.Zone) && c.hasControllerInside(storageMachine.Zone) {
+			limit = max(limit, unreachableZoneLimit(workers))
 		}
-		silent := c.silenceOf(maxTime(v.heard, c.zoneState(m.Zone).reachableSince), now)
+		silent := c.silenceOf(maxTime(worker.heard, c.zoneState(storageMachine.Zone).reachableSince), now)
 		switch {
-		case m.Draining && len(m.Tasks) == 0:
+		case storageMachine.Draining && len(storageMachine.Tasks) == 0:
 			why = "drained"
-		case (v.unhealthy || m.Unhealthy) && len(m.Tasks) == 0, v.unhealthy && len(v.failures) > 1:
+		case (worker.unhealthy || storageMachine.Unhealthy) && len(storageMachine.Tasks) == 0, worker.unhealthy && len(worker.failures) > 1:
 			why = "sick"
-		case c.silenceOf(v.since, now) > 5*time.Second && c.neverCame(m, lastUp[m.Type], now):
+		case c.silenceOf(worker.since, now) > 5*time.Second && c.neverCame(storageMachine, lastUp[storageMachine.Type], now):
 			why = reasonNeverUp
-		case (v.Incarnation != 0 || m.Incarnation != 0) && silent > limit && now.Sub(v.since) > limit && v.missedProbes >= 2:
+		case (worker.Incarnation != 0 || storageMachine.Incarnation != 0) && silent > limit && now.Sub(worker.since) > limit && worker.missedProbes >= 2:
 			why = "silent"
-		case c.unresponsive(v, now) && c.silenceOf(v.heartbeatAt, now) > unresponsiveLimit(w, c.manyUnresponsive) && now.Sub(v.since) > unresponsiveLimit(w, c.manyUnresponsive):
+		case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > unresponsiveLimit(workers, c.manyUnresponsive) && now.Sub(worker.since) > unresponsiveLimit(workers, c.manyUnresponsive):
 			why = "mute"
 		}
 		if why != "" {
-			c.returnMachine(m, why)
+			c.returnMachine(storageMachine, why)
 		}
 	}
 	c.scaleIn(ctx, names)
@@ -266,13 +266,13 @@
 	if len(racks) == 0 || c.leader.editing {
 		return
 	}
-	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	var done []int32
-	for k := range racks {
-		if len(t.Then) >= c.limits().TxnOps/2 {
+	for group := range racks {
+		if len(txn.Then) >= c.limits().TxnOps/2 {
 			break
 		}
-		r := c.cache.GroupRecordOf(k, k.UnsavedCompletions(), func(m *storage.Machine) (storage.GroupMachine, bool) {
+		record := c.cache.GroupRecordOf(group, group.UnsavedCompletions(), func(m *storage.Machine) (storage.GroupMachine, bool) {
 			x := c.cache.GroupMachineOf(m, m.Tasks)
 			if e := c.pendingUpdates[m.Index]; e != nil {
 				e.applyTo(&x)
@@ -280,19 +280,19 @@
 			}
 			return x, true
 		})
-		raw := storage.EncodeGroup(r, c.cache.Packed())
+		raw := storage.EncodeGroup(record, c.cache.Packed())
 		if len(raw) > c.valueLimit() {
 			continue // its owner parts it first
 		}
-		key := storage.GroupKey(k.ID)
-		t.If = append(t.If, protocol.Condition{Key: key, Version: k.Version})
-		t.Then = append(t.Then, protocol.Change{Put: key, Value: raw})
+		key := storage.GroupKey(group.ID)
+		txn.If = append(txn.If, protocol.Condition{Key: key, Version: group.Version})
+		txn.Then = append(txn.Then, protocol.Change{Put: key, Value: raw})
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		return
 	}
 	c.leader.editing = true
-	c.commitAside(ctx, t, protocol.BackgroundRequest, func(bool) {
+	c.commitAside(ctx, txn, protocol.BackgroundRequest, func(bool) {
 		c.leader.editing = false
 		for _, i := range done {
 			delete(c.pendingUpdates, i) // what still has to change is found again
@@ -325,17 +325,17 @@
 			}
 			now := time.Now()
 			for _, n := range names {
-				m := c.cache.Machine(n)
-				if m == nil || !c.ownsShard(m.Shard) {
+				machine := c.cache.Machine(n)
+				if machine == nil || !c.ownsShard(machine.Shard) {
 					continue
 				}
-				v := c.workerState(m)
+				v := c.workerState(machine)
 				v.terminated = true
-				for _, p := range m.Tasks {
+				for _, p := range machine.Tasks {
 					ref := dispatch.RefOf(p)
 					if _, ok := v.Gone[ref]; !ok {
 						v.Gone[ref] = dispatch.Lost
-						c.noteOutcome(m, v, ref, dispatch.Lost, now)
+						c.noteOutcome(machine, v, ref, dispatch.Lost, now)
 					}
 				}
 			}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -78,12 +78,12 @@
 }
 
 // writeMember writes this controller's record with whatever else is in a transaction.
-func (c *Controller) writeMember(ctx context.Context, t protocol.Txn, unfit bool, then func(ok bool)) {
-	t.Then = append(t.Then, c.memberChange(c.incarnation, c.sessionLease, unfit))
+func (c *Controller) writeMember(ctx context.Context, txn protocol.Txn, unfit bool, then func(ok bool)) {
+	txn.Then = append(txn.Then, c.memberChange(c.incarnation, c.sessionLease, unfit))
 	c.memberWriteInFlight = true
 	go func() {
-		rev, failed, err := c.transact(ctx, t, protocol.UrgentRequest)
-		c.committed(t, rev, err == nil && len(failed) == 0, func(ok bool) {
+		rev, failed, err := c.transact(ctx, txn, protocol.UrgentRequest)
+		c.committed(txn, rev, err == nil && len(failed) == 0, func(ok bool) {
 			c.memberWriteInFlight = false
 			if ok {
 				c.memberRevision = max(c.memberRevision, rev)
@@ -96,21 +96,21 @@
 // acquireLeadership takes leadership if nobody has it, or if its holder was this controller before
 // it started anew.
 func (c *Controller) acquireLeadership(ctx context.Context) {
-	l := c.cache.Leader
+	leader := c.cache.Leader
 	if c.sessionLease == 0 || c.leaderWriteInFlight || c.isLeader() || (c.notReady.Load() && c.othersReady()) {
 		return
 	}
-	if now := time.Now(); l.Version > 0 && l.Member != c.cfg.MemberName {
+	if now := time.Now(); leader.Version > 0 && leader.Member != c.cfg.MemberName {
 		// Two controllers that do not hear each other must not take leadership from one
 		// another again and again.
-		if !c.memberLost(l.Member, now) || now.Sub(c.leaderSince) < minLeadershipDuration {
+		if !c.memberLost(leader.Member, now) || now.Sub(c.leaderSince) < minLeadershipDuration {
 			return
 		}
 	}
 	c.leaderWriteInFlight = true
 	rec := storage.Encode(storage.LeaderRecord{Member: c.cfg.MemberName, Incarnation: c.incarnation})
 	c.commitAside(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: l.Version}},
+		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: leader.Version}},
 		Then: []protocol.Change{{Put: storage.LeaderKey, Value: rec, Lease: c.sessionLease}},
 	}, protocol.UrgentRequest, func(ok bool) {
 		c.leaderWriteInFlight = false
@@ -196,24 +196,24 @@
 		age := now.Sub(c.ownershipHistory[s].changedAt)
 		return settled || age > firstHeartbeats && age < firstHeartbeats+takeoverGrace
 	})
-	t := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 	for i := range want {
 		if want[i] == owners[i] || want[i].Name == "" {
 			continue
 		}
-		t.If = append(t.If, protocol.Condition{Key: storage.ShardKey(i), Version: c.cache.Shards[i].Version})
-		t.Then = append(t.Then, protocol.Change{Put: storage.ShardKey(i), Value: storage.Encode(
+		txn.If = append(txn.If, protocol.Condition{Key: storage.ShardKey(i), Version: c.cache.Shards[i].Version})
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.ShardKey(i), Value: storage.Encode(
 			storage.ShardRecord{Member: want[i].Name, Incarnation: want[i].Incarnation, FencingToken: c.nextRevision()})})
 		c.log.Info("share goes to", "share", i, "node", want[i].Name, "from", owners[i].Name)
-		if len(t.Then) >= c.limits().TxnOps {
+		if len(txn.Then) >= c.limits().TxnOps {
 			break
 		}
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		return
 	}
 	c.shardWriteInFlight = true
-	c.commitAside(ctx, t, protocol.UrgentRequest, func(bool) { c.shardWriteInFlight = false })
+	c.commitAside(ctx, txn, protocol.UrgentRequest, func(bool) { c.shardWriteInFlight = false })
 }
 
 // rebalanceDelay is how long membership must have been quiet before shards move
@@ -319,14 +319,14 @@
 
 // probeWorker asks some worker for its heartbeat, with a token that commands nothing.
 func (c *Controller) probeWorker() {
-	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || m.Addr == "" || m.Incarnation == 0 {
+	for _, machine := range c.cache.Machines {
+		if machine.Gone || machine.Returning || machine.Addr == "" || machine.Incarnation == 0 {
 			continue
 		}
 		if c.nextProbe++; c.nextProbe%3 != 0 {
 			continue
 		}
-		c.probeHeartbeat(m, func(answered bool) {
+		c.probeHeartbeat(machine, func(answered bool) {
 			if answered {
 				c.anyWorkerHeardAt = time.Now()
 			}
--- a/internal/controller/membership/membership_test.go
+++ b/internal/controller/membership/membership_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestAssign(t *testing.T) {
-	a, b, c := Member{"a", 1}, Member{"b", 2}, Member{"c", 3}
+	member, membershipMember, c := Member{"a", 1}, Member{"b", 2}, Member{"c", 3}
 	a2 := Member{"a", 9}
 	all := func(int) bool { return true }
 	only := func(shares ...int) func(int) bool {
@@ -19,17 +19,17 @@
 		movable func(int) bool
 		want    []Owner
 	}{
-		{"first of all", make([]Owner, 3), []Member{c, a, b}, nil, []Owner{a, b, c}},
-		{"nobody alive", []Owner{a, b}, nil, nil, []Owner{a, b}},
-		{"one alone", []Owner{a, b, c}, []Member{b}, nil, []Owner{b, b, b}},
-		{"only the dead node's share moves", []Owner{a, b, c}, []Member{a, c}, nil, []Owner{a, a, c}},
-		{"a restarted node keeps its share anew", []Owner{a, b, c}, []Member{a2, b, c}, nil, []Owner{a2, b, c}},
-		{"no balance before membership settles", []Owner{a, a, c}, []Member{a, b, c}, nil, []Owner{a, a, c}},
-		{"balance moves one", []Owner{a, a, c}, []Member{a, b, c}, all, []Owner{a, b, c}},
-		{"fewer shares than nodes", []Owner{a, a}, []Member{a, b, c}, all, []Owner{a, b}},
-		{"of those taken a moment ago only", []Owner{a, a, a, b}, []Member{a, b, c}, only(0), []Owner{c, a, a, b}},
-		{"none that was taken a moment ago", []Owner{a, a, a}, []Member{a, b}, only(), []Owner{a, a, a}},
-		{"balanced stays", []Owner{b, a, c}, []Member{a, b, c}, all, []Owner{b, a, c}},
+		{"first of all", make([]Owner, 3), []Member{c, member, membershipMember}, nil, []Owner{member, membershipMember, c}},
+		{"nobody alive", []Owner{member, membershipMember}, nil, nil, []Owner{member, membershipMember}},
+		{"one alone", []Owner{member, membershipMember, c}, []Member{membershipMember}, nil, []Owner{membershipMember, membershipMember, membershipMember}},
+		{"only the dead node's share moves", []Owner{member, membershipMember, c}, []Member{member, c}, nil, []Owner{member, member, c}},
+		{"a restarted node keeps its share anew", []Owner{member, membershipMember, c}, []Member{a2, membershipMember, c}, nil, []Owner{a2, membershipMember, c}},
+		{"no balance before membership settles", []Owner{member, member, c}, []Member{member, membershipMember, c}, nil, []Owner{member, member, c}},
+		{"balance moves one", []Owner{member, member, c}, []Member{member, membershipMember, c}, all, []Owner{member, membershipMember, c}},
+		{"fewer shares than nodes", []Owner{member, member}, []Member{member, membershipMember, c}, all, []Owner{member, membershipMember}},
+		{"of those taken a moment ago only", []Owner{member, member, member, membershipMember}, []Member{member, membershipMember, c}, only(0), []Owner{c, member, member, membershipMember}},
+		{"none that was taken a moment ago", []Owner{member, member, member}, []Member{member, membershipMember}, only(), []Owner{member, member, member}},
+		{"balanced stays", []Owner{membershipMember, member, c}, []Member{member, membershipMember, c}, all, []Owner{membershipMember, member, c}},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -42,25 +42,25 @@
 		{"of a later process", &storage.MemberRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t)
-			s := putStore{puts: make(chan protocol.Change, 4)}
-			c.store, c.sessionLease, c.incarnation, c.memberRevision, c.cache.Revision = s, 11, 7, 40, x.read
+			controller := newCore(t)
+			controllerPutStore := putStore{puts: make(chan protocol.Change, 4)}
+			controller.store, controller.sessionLease, controller.incarnation, controller.memberRevision, controller.cache.Revision = controllerPutStore, 11, 7, 40, x.read
 			if x.rec != nil {
-				c.cache.Members["n0"] = &storage.Member{MemberRecord: *x.rec, Version: 41}
+				controller.cache.Members["n0"] = &storage.Member{MemberRecord: *x.rec, Version: 41}
 			}
-			c.repairMemberRecord(t.Context())
-			if c.memberWriteInFlight != x.want {
-				t.Fatalf("written anew: %v, want %v", c.memberWriteInFlight, x.want)
+			controller.repairMemberRecord(t.Context())
+			if controller.memberWriteInFlight != x.want {
+				t.Fatalf("written anew: %v, want %v", controller.memberWriteInFlight, x.want)
 			}
 			if !x.want {
 				return
 			}
-			put := <-s.puts
+			put := <-controllerPutStore.puts
 			if string(put.Value) != string(storage.Encode(own)) || put.Lease != 11 || put.Put != storage.MemberKey("n0") {
 				t.Errorf("%s: %s under hold %d", put.Put, put.Value, put.Lease)
 			}
-			(<-c.inbox)() // its outcome
-			if c.repairMemberRecord(t.Context()); c.memberWriteInFlight {
+			(<-controller.inbox)() // its outcome
+			if controller.repairMemberRecord(t.Context()); controller.memberWriteInFlight {
 				t.Error("it is written again although it was just written")
 			}
 		})
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -34,7 +34,7 @@
 
 // NewMetrics registers the figures that are counted as they happen.
 func NewMetrics() *Metrics {
-	m := &Metrics{
+	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
 		waitSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dykeledge_job_wait_seconds",
 			Help:    "Time from a job's submission until its first task was placed.",
@@ -65,8 +65,8 @@
 		Requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_service_requests_total",
 			Help: "Requests to the state service and the cloud, by outcome."}, []string{"service", "outcome"}),
 	}
-	m.Registry.MustRegister(m.waitSeconds, m.outcomes, m.launches, m.preemptedTasks, m.lostSeconds, m.takeovers, m.readyJobs, m.stalls, m.neverUpMachines, m.unverifiedRenewals, m.uncertainHeartbeats, m.heartbeatSeconds, m.planSeconds, m.Requests)
-	return m
+	metrics.Registry.MustRegister(metrics.waitSeconds, metrics.outcomes, metrics.launches, metrics.preemptedTasks, metrics.lostSeconds, metrics.takeovers, metrics.readyJobs, metrics.stalls, metrics.neverUpMachines, metrics.unverifiedRenewals, metrics.uncertainHeartbeats, metrics.heartbeatSeconds, metrics.planSeconds, metrics.Requests)
+	return metrics
 }
 
 // Observe counts a request to another service.
@@ -85,9 +85,9 @@
 	dispatch.Failed: "failed", dispatch.Refused: "refused", dispatch.Lost: "lost", dispatch.Unsent: "unsent"}
 
 // countOutcome counts an attempt's end and what it lost.
-func (c *Controller) countOutcome(v *workerState, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
+func (c *Controller) countOutcome(worker *workerState, ref dispatch.Ref, out dispatch.Outcome, now time.Time) {
 	c.metrics.outcomes.WithLabelValues(outcomeNames[out]).Inc()
-	at, ran := v.started[ref]
+	at, ran := worker.started[ref]
 	if !ran || out == dispatch.Completed {
 		return
 	}
@@ -97,7 +97,7 @@
 			lost -= ref.Job.CheckpointInterval
 		}
 	}
-	if out == dispatch.Stopped && v.Seen[ref].Checkpointed {
+	if out == dispatch.Stopped && worker.Seen[ref].Checkpointed {
 		lost = 0
 	}
 	c.metrics.lostSeconds.Add(lost)
@@ -124,12 +124,12 @@
 
 // logCounters logs what operators compare between sizes; metrics have more of it.
 func (c *Controller) logCounters(now time.Time) {
-	t := &c.counters
-	if now.Sub(t.at) < logCountersInterval {
+	controllerLogCounters := &c.counters
+	if now.Sub(controllerLogCounters.at) < logCountersInterval {
 		return
 	}
 	spent := c.store.ChangesUsed()
-	if !t.at.IsZero() {
+	if !controllerLogCounters.at.IsZero() {
 		machines, jobs := 0, 0
 		for _, m := range c.cache.Machines {
 			if !m.Gone && c.ownsShard(m.Shard) {
@@ -141,10 +141,10 @@
 				jobs++
 			}
 		}
-		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", t.passes, "pass_mean_ms", millis(t.all)/float64(max(1, t.passes)),
-			"pass_longest_ms", millis(t.longest), "changes_per_s", float64(int(float64(spent-t.changes)/now.Sub(t.at).Seconds()*10))/10, "revision", c.cache.Revision)
+		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", controllerLogCounters.passes, "pass_mean_ms", millis(controllerLogCounters.all)/float64(max(1, controllerLogCounters.passes)),
+			"pass_longest_ms", millis(controllerLogCounters.longest), "changes_per_s", float64(int(float64(spent-controllerLogCounters.changes)/now.Sub(controllerLogCounters.at).Seconds()*10))/10, "revision", c.cache.Revision)
 	}
-	*t = logCounters{at: now, changes: spent}
+	*controllerLogCounters = logCounters{at: now, changes: spent}
 }
 
 // millis is a time in milliseconds, to the hundredth.
@@ -185,8 +185,8 @@
 	}
 }
 
-func (g gauges) Collect(ch chan<- prometheus.Metric) {
-	c := g.c
+func (g gauges) Collect(metrics chan<- prometheus.Metric) {
+	controller := g.c
 	type key struct{ class, team string }
 	queue := map[key]float64{}
 	machines, gpus := map[string]float64{}, map[string]float64{"taken": 0, "free": 0}
@@ -194,11 +194,11 @@
 	usually := map[key]float64{}
 	var rate, leader, revision, shares, suspect, awaiting, doomed, largest, flood float64
 	layout := 1.0
-	if err := c.callWithin(time.Second, func() {
-		for _, j := range c.cache.Jobs {
+	if err := controller.callWithin(time.Second, func() {
+		for _, j := range controller.cache.Jobs {
 			if j != nil && j.Open() {
-				queue[key{c.classLabel(j.Class), c.cache.Teams[j.Team].Name}] += float64(j.Waiting())
-				if c.suspect(j) {
+				queue[key{controller.classLabel(j.Class), controller.cache.Teams[j.Team].Name}] += float64(j.Waiting())
+				if controller.suspect(j) {
 					suspect++
 				}
 				if j.DependencyFailed {
@@ -208,56 +208,56 @@
 				}
 			}
 		}
-		for _, m := range c.cache.Machines {
+		for _, m := range controller.cache.Machines {
 			if m.Gone {
 				continue
 			}
-			machines[c.machineState(m)]++
-			gpus["free"] += c.cache.Types[m.Type].Gpus
+			machines[controller.machineState(m)]++
+			gpus["free"] += controller.cache.Types[m.Type].Gpus
 			for _, p := range m.Tasks {
 				gpus["free"] -= p.Job.Gpus
 				gpus["taken"] += p.Job.Gpus
 			}
-			rate += c.cpuPrice(m) * max(c.cache.Types[m.Type].Cpus, 1)
+			rate += controller.cpuPrice(m) * max(controller.cache.Types[m.Type].Cpus, 1)
 		}
-		if c.isLeader() {
+		if controller.isLeader() {
 			leader = 1
 		}
-		for x, u := range c.cache.Baseline.Cpus {
-			usually[key{c.classLabel(x.Class), c.cache.Teams[x.Team].Name}] += u
+		for x, u := range controller.cache.Baseline.Cpus {
+			usually[key{controller.classLabel(x.Class), controller.cache.Teams[x.Team].Name}] += u
 		}
 		now := time.Now()
-		if c.overloadActive {
+		if controller.overloadActive {
 			flood = 1
 		}
-		if c.servedByStore(now) {
+		if controller.servedByStore(now) {
 			reach["state"] = 1
 		}
-		if !c.notReady.Load() {
+		if !controller.notReady.Load() {
 			reach["workers"] = 1
 		}
 		heard, others := 0, 0
-		for name := range c.cache.Members {
-			if name == c.cfg.MemberName {
+		for name := range controller.cache.Members {
+			if name == controller.cfg.MemberName {
 				continue
 			}
 			others++
-			if p, ok := c.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
+			if p, ok := controller.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
 				heard++
 			}
 		}
 		if others > 0 {
 			reach["nodes"] = float64(heard) / float64(others)
 		}
-		revision = float64(c.cache.Revision)
-		if c.cache.Packed() {
-			layout = float64(c.cache.Layout.Version)
+		revision = float64(controller.cache.Revision)
+		if controller.cache.Packed() {
+			layout = float64(controller.cache.Layout.Version)
 		}
-		for _, k := range c.cache.Groups {
+		for _, k := range controller.cache.Groups {
 			largest = max(largest, float64(k.Size))
 		}
-		for s := range c.ownedShards {
-			if c.ownedShards[s] > 0 {
+		for s := range controller.ownedShards {
+			if controller.ownedShards[s] > 0 {
 				shares++
 			}
 		}
@@ -265,7 +265,7 @@
 		return
 	}
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	for k, n := range queue {
 		gauge(descQueue, n, k.class, k.team)
@@ -298,22 +298,22 @@
 }
 
 // machineState is one word for how a machine stands.
-func (c *Controller) machineState(m *storage.Machine) string {
-	v := c.workerStates[m.Index]
+func (c *Controller) machineState(machine *storage.Machine) string {
+	worker := c.workerStates[machine.Index]
 	switch {
-	case m.Returning:
+	case machine.Returning:
 		return "returning"
-	case m.Draining:
+	case machine.Draining:
 		return "draining"
-	case m.Unhealthy || v != nil && v.unhealthy:
+	case machine.Unhealthy || worker != nil && worker.unhealthy:
 		return "sick"
-	case v != nil && !v.preemptedAt.IsZero():
+	case worker != nil && !worker.preemptedAt.IsZero():
 		return "leaving"
-	case !c.cameUp(m) && c.overdue(m, bootPatience, time.Now()):
+	case !c.cameUp(machine) && c.overdue(machine, bootPatience, time.Now()):
 		return "overdue"
-	case !c.cameUp(m):
+	case !c.cameUp(machine):
 		return "booting"
-	case len(m.Tasks) == 0:
+	case len(machine.Tasks) == 0:
 		return "idle"
 	}
 	return "busy"
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -41,37 +41,37 @@
 // an earlier one had learned outlives an end of all controllers, and a flood that runs on over
 // it is not taken for the usual.
 func (c *Controller) learnBaseline(ctx context.Context, now time.Time) {
-	l := &c.leader.baseline
+	controllerBaselineLearning := &c.leader.baseline
 	if !c.isLeader() || !c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	if l.estimator == nil {
-		*l = baselineLearning{estimator: baseline.New(c.cache.Baseline.Cpus), lastArrivals: maps.Clone(c.cache.Arrivals), at: now, writeInFlight: l.writeInFlight}
+	if controllerBaselineLearning.estimator == nil {
+		*controllerBaselineLearning = baselineLearning{estimator: baseline.New(c.cache.Baseline.Cpus), lastArrivals: maps.Clone(c.cache.Arrivals), at: now, writeInFlight: controllerBaselineLearning.writeInFlight}
 		return
 	}
-	if d := now.Sub(l.at); d >= baseline.Step {
+	if duration := now.Sub(controllerBaselineLearning.at); duration >= baseline.Step {
 		asked := map[storage.ClassQueue]storage.Arrivals{}
 		for x, n := range c.cache.Arrivals {
-			if s := l.lastArrivals[x]; n.Jobs > s.Jobs {
+			if s := controllerBaselineLearning.lastArrivals[x]; n.Jobs > s.Jobs {
 				asked[x] = storage.Arrivals{Jobs: n.Jobs - s.Jobs, Work: n.Work - s.Work}
 			}
 		}
 		// What is read at once after a pause is no flood: a window in which this controller stood
 		// still or read nothing is left out.
-		if d < 3*baseline.Step && !c.storeFailing() {
-			l.estimator.Window(d, asked)
+		if duration < 3*baseline.Step && !c.storeFailing() {
+			controllerBaselineLearning.estimator.Window(duration, asked)
 		}
-		l.lastArrivals, l.at = maps.Clone(c.cache.Arrivals), now
+		controllerBaselineLearning.lastArrivals, controllerBaselineLearning.at = maps.Clone(c.cache.Arrivals), now
 	}
-	if l.writeInFlight || now.Sub(l.writtenAt) < baselineWriteInterval && c.cache.Baseline.Version > 0 || !l.estimator.Differs(c.cache.Baseline.Cpus) {
+	if controllerBaselineLearning.writeInFlight || now.Sub(controllerBaselineLearning.writtenAt) < baselineWriteInterval && c.cache.Baseline.Version > 0 || !controllerBaselineLearning.estimator.Differs(c.cache.Baseline.Cpus) {
 		return
 	}
-	l.writeInFlight, l.writtenAt = true, now
+	controllerBaselineLearning.writeInFlight, controllerBaselineLearning.writtenAt = true, now
 	c.commitAside(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
 			{Key: storage.BaselineKey, Version: c.cache.Baseline.Version}},
-		Then: []protocol.Change{{Put: storage.BaselineKey, Value: storage.Encode(c.cache.BaselineRecordOf(l.estimator.Baseline(), c.valueLimit()*8/10))}},
-	}, protocol.BackgroundRequest, func(bool) { l.writeInFlight = false })
+		Then: []protocol.Change{{Put: storage.BaselineKey, Value: storage.Encode(c.cache.BaselineRecordOf(controllerBaselineLearning.estimator.Baseline(), c.valueLimit()*8/10))}},
+	}, protocol.BackgroundRequest, func(bool) { controllerBaselineLearning.writeInFlight = false })
 }
 
 // queueLoads is how the classes of the teams stand.
@@ -87,54 +87,54 @@
 // queueLoads is what the classes of the teams may have before others, and what they hold, from
 // the open jobs.
 func (c *Controller) queueLoads(now time.Time) queueLoads {
-	f := queueLoads{queues: make(schedule.QueueStates, storage.ClassQueueCount(len(c.cache.Teams)))}
+	controllerQueueLoads := queueLoads{queues: make(schedule.QueueStates, storage.ClassQueueCount(len(c.cache.Teams)))}
 	all := 0.0
-	for _, j := range c.cache.Jobs {
-		if j == nil || j.PlacedCount == 0 && !j.Open() {
+	for _, job := range c.cache.Jobs {
+		if job == nil || job.PlacedCount == 0 && !job.Open() {
 			continue
 		}
-		l := f.queues.Ensure(storage.ClassQueueOf(j))
-		used := float64(j.PlacedCount) * j.Size
+		queueState := controllerQueueLoads.queues.Ensure(storage.ClassQueueOf(job))
+		used := float64(job.PlacedCount) * job.Size
 		open := used
-		if !j.Suspect {
-			open += float64(j.Waiting()) * j.Size
+		if !job.Suspect {
+			open += float64(job.Waiting()) * job.Size
 		}
-		f.meanBusyS, all = f.meanBusyS+used*j.Estimate/2, all+used
-		l.Used += used
-		l.Open += open
-		if !j.Spot {
-			l.OpenOnDemand += open
+		controllerQueueLoads.meanBusyS, all = controllerQueueLoads.meanBusyS+used*job.Estimate/2, all+used
+		queueState.Used += used
+		queueState.Open += open
+		if !job.Spot {
+			queueState.OpenOnDemand += open
 		}
-		if c.waitedTooLong(j, now) {
-			l.Late += used
+		if c.waitedTooLong(job, now) {
+			queueState.Late += used
 		}
 	}
-	f.meanBusyS /= max(1, all)
+	controllerQueueLoads.meanBusyS /= max(1, all)
 	for x, u := range c.cache.Baseline.Cpus {
-		if l := f.queues.At(x); l != nil {
+		if l := controllerQueueLoads.queues.At(x); l != nil {
 			l.Baseline, l.Floor = u, floorMargin*u
 			l.Overloaded = l.Open > overloadFactor*u
-			f.overloaded = f.overloaded || l.Overloaded
-			f.onDemandOverloaded = f.onDemandOverloaded || l.OpenOnDemand > overloadFactor*u
+			controllerQueueLoads.overloaded = controllerQueueLoads.overloaded || l.Overloaded
+			controllerQueueLoads.onDemandOverloaded = controllerQueueLoads.onDemandOverloaded || l.OpenOnDemand > overloadFactor*u
 		}
 	}
-	if f.onDemandOverloaded {
+	if controllerQueueLoads.onDemandOverloaded {
 		for x := range c.cache.Baseline.Cpus {
-			if l := f.queues.At(x); l != nil {
+			if l := controllerQueueLoads.queues.At(x); l != nil {
 				l.LeavesOnDemand = l.Used >= reserveOnDemandFrom*l.Floor
 			}
 		}
 	}
-	return f
+	return controllerQueueLoads
 }
 
 // detectOverload tells whether there is a flood and far more work of some shards waits than can be
 // in time; with what there is room for, the order needs no floors. It stays, in dealt, until
 // no queue floods any more: what is late by then waits for no aim, but goes small first still.
-func (c *Controller) detectOverload(f queueLoads, jobs []*storage.Job, room schedule.Capacity, dealt *bool, now time.Time) bool {
-	if !f.overloaded || *dealt {
-		*dealt = f.overloaded
-		return f.overloaded
+func (c *Controller) detectOverload(controllerQueueLoads queueLoads, jobs []*storage.Job, room schedule.Capacity, dealt *bool, now time.Time) bool {
+	if !controllerQueueLoads.overloaded || *dealt {
+		*dealt = controllerQueueLoads.overloaded
+		return controllerQueueLoads.overloaded
 	}
 	c.planBuffers.waits = c.planBuffers.waits[:0]
 	for _, j := range jobs {
@@ -146,7 +146,7 @@
 			c.planBuffers.waits = append(c.planBuffers.waits, w)
 		}
 	}
-	room.Busy = f.meanBusyS
+	room.Busy = controllerQueueLoads.meanBusyS
 	*dealt = schedule.LoadFactor(c.planBuffers.waits, room) > schedule.OverloadFactor
 	return *dealt
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -28,14 +28,14 @@
 }
 
 func (c *Controller) publish(now time.Time) {
-	p := protocol.PeerHeartbeat{StateOK: !c.isolatedFromStore(now) && c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < 3*time.Second, Revision: c.cache.Revision,
+	peerHeartbeat := protocol.PeerHeartbeat{StateOK: !c.isolatedFromStore(now) && c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < 3*time.Second, Revision: c.cache.Revision,
 		ChangeRateMilli: uint32(1000 * c.changeRate)}
 	for s := range c.ownedShards {
 		if c.ownedShards[s] > 0 && s < 64 {
-			p.OwnedShards |= 1 << s
+			peerHeartbeat.OwnedShards |= 1 << s
 		}
 	}
-	c.summary.heartbeat.Store(&p)
+	c.summary.heartbeat.Store(&peerHeartbeat)
 	c.summary.digest.Store(c.currentDigest(now))
 	c.summary.digestReaders.Store(c.digestReaders())
 	c.summary.incarnation.Store(c.incarnation)
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -43,20 +43,20 @@
 }
 
 // complete notes that a task has completed.
-func (d *plannedTxn) complete(r *groupUpdate, p storage.PlacedTask) {
+func (d *plannedTxn) complete(controllerGroupUpdate *groupUpdate, placed storage.PlacedTask) {
 	// A service's replicas run until it is cancelled: one that ends is started again.
-	if !p.Job.Open() || p.Job.Shape != protocol.Batch || p.Job.Done.Get(p.Task) {
+	if !placed.Job.Open() || placed.Job.Shape != protocol.Batch || placed.Job.Done.Get(placed.Task) {
 		return
 	}
-	pr := d.completed[p.Job]
+	pr := d.completed[placed.Job]
 	if pr == nil {
-		pr = &progress{p.Job.Done.Clone(), p.Job.DoneCount}
-		d.completed[p.Job] = pr
+		pr = &progress{placed.Job.Done.Clone(), placed.Job.DoneCount}
+		d.completed[placed.Job] = pr
 	}
-	if !pr.done.Get(p.Task) {
-		pr.done.Set(p.Task)
+	if !pr.done.Get(placed.Task) {
+		pr.done.Set(placed.Task)
 		pr.n++
-		r.ended = append(r.ended, storage.CompletedTask{Job: p.Job, Task: p.Task})
+		controllerGroupUpdate.ended = append(controllerGroupUpdate.ended, storage.CompletedTask{Job: placed.Job, Task: placed.Task})
 	}
 }
 
@@ -88,29 +88,29 @@
 
 // planDependencyFailed writes final records of jobs that were cancelled with one that they need,
 // and deletes, as the leader, records that are needed no more.
-func (c *Controller) planDependencyFailed(d *plannedTxn, shares map[int]bool, n int) {
+func (c *Controller) planDependencyFailed(planned *plannedTxn, shares map[int]bool, n int) {
 	for _, j := range c.cache.DependencyFailed() {
-		if n <= 0 || d.usedOps >= d.maxOps {
+		if n <= 0 || planned.usedOps >= planned.maxOps {
 			return
 		}
-		if _, ok := d.puts[storage.JobKey(j.ID)]; ok || !shares[j.Shard] {
+		if _, ok := planned.puts[storage.JobKey(j.ID)]; ok || !shares[j.Shard] {
 			continue
 		}
-		c.putJob(d, j, protocol.Cancelled)
+		c.putJob(planned, j, protocol.Cancelled)
 		n--
 	}
-	if !c.isLeader() || n <= 0 || d.usedOps >= d.maxOps {
+	if !c.isLeader() || n <= 0 || planned.usedOps >= planned.maxOps {
 		return
 	}
-	for _, x := range c.cache.StaleRecords(min(n, d.maxOps-d.usedOps), time.Now()) {
-		d.put(x.Key, x.Version, protocol.Change{Delete: x.Key})
-		d.usedOps++
+	for _, x := range c.cache.StaleRecords(min(n, planned.maxOps-planned.usedOps), time.Now()) {
+		planned.put(x.Key, x.Version, protocol.Change{Delete: x.Key})
+		planned.usedOps++
 	}
 }
 
 // plan works out the next transaction, with at most ops puts and deletes.
 func (c *Controller) plan(now time.Time, ops int) (*txnBuilder, bool) {
-	d := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: ops, remaining: map[int32][]storage.PlacedTask{},
+	planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: ops, remaining: map[int32][]storage.PlacedTask{},
 		groups: map[*storage.MachineGroup]*groupUpdate{}, completed: map[*storage.Job]*progress{},
 		leaving: map[*storage.Fleet]map[*storage.Machine]bool{}}
 	c.plannedTasks, c.completedJobs = 0, c.completedJobs[:0]
@@ -121,61 +121,61 @@
 		}
 	}
 	if len(shares) == 0 {
-		return d.txnBuilder, false
+		return planned.txnBuilder, false
 	}
 	// Final records of jobs cancelled with one that they need have no haste: every controller
 	// tells their users so already. Under full load they take their turn.
 	c.dependencyFailedTurn++
 	if c.dependencyFailedTurn%8 == 0 {
-		c.planDependencyFailed(d, shares, 1)
+		c.planDependencyFailed(planned, shares, 1)
 	}
 	// Jobs whose last task another owner recorded come first.
 	for _, j := range c.cache.Jobs {
-		if j != nil && shares[j.Shard] && c.complete(j, j.DoneCount) && d.usedOps < max(1, ops/2) {
-			c.finish(d, j)
+		if j != nil && shares[j.Shard] && c.complete(j, j.DoneCount) && planned.usedOps < max(1, ops/2) {
+			c.finish(planned, j)
 		}
 	}
-	c.planLimits(now, d)
-	c.planCompletions(d, shares)
-	for j, pr := range d.completed {
+	c.planLimits(now, planned)
+	c.planCompletions(planned, shares)
+	for j, pr := range planned.completed {
 		if shares[j.Shard] && c.complete(j, pr.n) {
-			if d.usedOps < ops {
-				c.finish(d, j)
+			if planned.usedOps < ops {
+				c.finish(planned, j)
 			} else {
-				d.more = true
+				planned.more = true
 			}
 		}
 	}
-	c.noteSuspects(d)
-	c.planDependencyFailed(d, shares, max(1, (ops-d.usedOps)/4))
-	in, res := c.planPlacements(now, d, shares)
-	c.foldCompletions(d)
-	for k, r := range d.groups {
+	c.noteSuspects(planned)
+	c.planDependencyFailed(planned, shares, max(1, (ops-planned.usedOps)/4))
+	input, res := c.planPlacements(now, planned, shares)
+	c.foldCompletions(planned)
+	for k, r := range planned.groups {
 		key := storage.GroupKey(k.ID)
 		rec := c.cache.GroupRecordOf(k, r.ended, func(m *storage.Machine) (storage.GroupMachine, bool) {
-			return c.groupMachine(d, m), !d.leaving[m.Fleet][m]
+			return c.groupMachine(planned, m), !planned.leaving[m.Fleet][m]
 		})
 		raw := storage.EncodeGroup(rec, c.cache.Packed())
 		if len(raw) > c.valueLimit() && c.oversizedGroup == nil {
 			c.oversizedGroup = k
 		}
-		d.put(key, k.Version, protocol.Change{Put: key, Value: raw})
+		planned.put(key, k.Version, protocol.Change{Put: key, Value: raw})
 	}
-	for f, gone := range d.leaving {
+	for f, gone := range planned.leaving {
 		key := storage.FleetKey(f.ID)
 		if rec, some := c.cache.FleetWithout(f, gone); some {
-			d.put(key, f.Version, protocol.Change{Put: key, Value: storage.EncodeFleet(&rec, c.cache.Packed())})
+			planned.put(key, f.Version, protocol.Change{Put: key, Value: storage.EncodeFleet(&rec, c.cache.Packed())})
 		} else {
-			d.put(key, f.Version, protocol.Change{Delete: key})
+			planned.put(key, f.Version, protocol.Change{Delete: key})
 		}
 	}
-	c.planPreemptions(now, d.txnBuilder, in, res, ops-d.usedOps, d.remaining)
-	if len(d.puts) > 0 {
+	c.planPreemptions(now, planned.txnBuilder, input, res, ops-planned.usedOps, planned.remaining)
+	if len(planned.puts) > 0 {
 		for s := range shares {
-			d.require(storage.ShardKey(s), c.cache.Shards[s].Version)
+			planned.require(storage.ShardKey(s), c.cache.Shards[s].Version)
 		}
 	}
-	return d.txnBuilder, d.more
+	return planned.txnBuilder, planned.more
 }
 
 // complete tells whether all tasks of an array are done.
@@ -191,53 +191,53 @@
 
 // planCompletions takes what is proved to be gone out of the records, and puts in what
 // has changed of the machines themselves.
-func (c *Controller) planCompletions(d *plannedTxn, shares map[int]bool) {
+func (c *Controller) planCompletions(planned *plannedTxn, shares map[int]bool) {
 	racks := c.cache.Groups
 	first := c.firstGroup // not always the same groups when there is no room for all
 	for i := range racks {
-		k := racks[(first+i)%len(racks)]
-		if k.Version == 0 || !shares[k.Shard] {
+		group := racks[(first+i)%len(racks)]
+		if group.Version == 0 || !shares[group.Shard] {
 			continue
 		}
-		for _, m := range k.Machines {
-			v := c.workerStates[m.Index]
-			if m.Gone || v == nil {
+		for _, machine := range group.Machines {
+			worker := c.workerStates[machine.Index]
+			if machine.Gone || worker == nil {
 				continue
 			}
-			if len(v.Gone) == 0 && !c.changes(m, v) {
+			if len(worker.Gone) == 0 && !c.changes(machine, worker) {
 				continue
 			}
 			cost := 0
-			if d.groups[k] == nil {
+			if planned.groups[group] == nil {
 				cost++
 			}
-			leaves := v.terminated && m.Returning && len(v.Gone) >= len(m.Tasks) && m.FleetEntries <= 1
-			if leaves && d.leaving[m.Fleet] == nil {
+			leaves := worker.terminated && machine.Returning && len(worker.Gone) >= len(machine.Tasks) && machine.FleetEntries <= 1
+			if leaves && planned.leaving[machine.Fleet] == nil {
 				cost++
 			}
-			if d.usedOps+cost > d.maxOps {
-				if !d.more {
-					d.more, c.firstGroup = true, k.ID
+			if planned.usedOps+cost > planned.maxOps {
+				if !planned.more {
+					planned.more, c.firstGroup = true, group.ID
 				}
 				continue
 			}
-			r := d.group(k)
-			stay := make([]storage.PlacedTask, 0, len(m.Tasks))
-			for _, p := range m.Tasks {
-				out, gone := v.Gone[dispatch.RefOf(p)]
+			groupUpdate := planned.group(group)
+			stay := make([]storage.PlacedTask, 0, len(machine.Tasks))
+			for _, p := range machine.Tasks {
+				out, gone := worker.Gone[dispatch.RefOf(p)]
 				if !gone {
 					stay = append(stay, p)
 				} else if out == dispatch.Completed {
-					d.complete(r, p)
+					planned.complete(groupUpdate, p)
 				}
 			}
-			d.remaining[m.Index] = stay
+			planned.remaining[machine.Index] = stay
 			if leaves && len(stay) == 0 {
-				if d.leaving[m.Fleet] == nil {
-					d.leaving[m.Fleet] = map[*storage.Machine]bool{}
-					d.usedOps++
+				if planned.leaving[machine.Fleet] == nil {
+					planned.leaving[machine.Fleet] = map[*storage.Machine]bool{}
+					planned.usedOps++
 				}
-				d.leaving[m.Fleet][m] = true
+				planned.leaving[machine.Fleet][machine] = true
 			}
 		}
 	}
@@ -256,96 +256,96 @@
 }
 
 // groupMachine is a machine's part of its group's record with this transaction.
-func (c *Controller) groupMachine(d *plannedTxn, m *storage.Machine) storage.GroupMachine {
-	tasks, changed := d.remaining[m.Index]
+func (c *Controller) groupMachine(planned *plannedTxn, machine *storage.Machine) storage.GroupMachine {
+	tasks, changed := planned.remaining[machine.Index]
 	if !changed {
-		tasks = m.Tasks
+		tasks = machine.Tasks
 	}
-	x := c.cache.GroupMachineOf(m, tasks)
-	v := c.workerStates[m.Index]
-	if v == nil {
-		return x
+	entry := c.cache.GroupMachineOf(machine, tasks)
+	worker := c.workerStates[machine.Index]
+	if worker == nil {
+		return entry
 	}
 	// That a machine is sick goes into its record, for whoever owns it next.
-	x.Unhealthy = m.Unhealthy || v.unhealthy
-	if changed || len(m.Tasks) == 0 {
+	entry.Unhealthy = machine.Unhealthy || worker.unhealthy
+	if changed || len(machine.Tasks) == 0 {
 		// Only with the tasks that a newer session has lost may the session change.
-		x.Incarnation = max(m.Incarnation, v.Incarnation)
+		entry.Incarnation = max(machine.Incarnation, worker.Incarnation)
 	}
 	if changed {
-		if c.needsTokenRaise(m, v) {
-			x.FencingToken = c.nextRevision()
+		if c.needsTokenRaise(machine, worker) {
+			entry.FencingToken = c.nextRevision()
 		}
 	}
-	if e := c.pendingUpdates[m.Index]; e != nil {
-		e.applyTo(&x)
+	if e := c.pendingUpdates[machine.Index]; e != nil {
+		e.applyTo(&entry)
 	}
-	return x
+	return entry
 }
 
 // planPlacements puts what waits where there is room.
-func (c *Controller) planPlacements(now time.Time, d *plannedTxn, shares map[int]bool) (*schedule.Input, schedule.Result) {
+func (c *Controller) planPlacements(now time.Time, planned *plannedTxn, shares map[int]bool) (*schedule.Input, schedule.Result) {
 	maxConds := 4*c.limits().TxnOps - len(shares)
-	in := c.placementInput(now, shares, d)
-	hold := in.Hold
-	in.Hold = func(j *storage.Job) bool {
+	input := c.placementInput(now, shares, planned)
+	hold := input.Hold
+	input.Hold = func(j *storage.Job) bool {
 		// a task that completes with this batch must not look like a waiting one
-		return hold(j) || (d.completed[j] != nil && j.Waiting() == 0)
+		return hold(j) || (planned.completed[j] != nil && j.Waiting() == 0)
 	}
-	res := schedule.Place(in)
-	d.more = d.more || res.More
+	res := schedule.Place(input)
+	planned.more = planned.more || res.More
 	attempt := c.nextRevision() // never used before, whoever owned the shard
-	for _, p := range res.Placed {
-		m := p.Slot.Machine
-		key := storage.JobKey(p.Job.ID)
-		if _, ok := d.conditions[key]; !ok {
-			if len(d.conditions)+len(d.groups)+2 > maxConds {
-				d.more = true
+	for _, placement := range res.Placed {
+		machine := placement.Slot.Machine
+		key := storage.JobKey(placement.Job.ID)
+		if _, ok := planned.conditions[key]; !ok {
+			if len(planned.conditions)+len(planned.groups)+2 > maxConds {
+				planned.more = true
 				break
 			}
-			d.require(key, p.Job.Version) // cancelled meanwhile: nothing starts
+			planned.require(key, placement.Job.Version) // cancelled meanwhile: nothing starts
 		}
-		if d.group(m.Group) == nil {
-			d.more = true
+		if planned.group(machine.Group) == nil {
+			planned.more = true
 			continue
 		}
-		tasks, ok := d.remaining[m.Index]
+		tasks, ok := planned.remaining[machine.Index]
 		if !ok {
-			tasks = slices.Clone(m.Tasks)
+			tasks = slices.Clone(machine.Tasks)
 		}
-		jv := c.jobState(p.Job)
+		jv := c.jobState(placement.Job)
 		if jv.firstPlacedAt.IsZero() {
 			jv.firstPlacedAt = now
-			c.metrics.waitSeconds.WithLabelValues(c.classLabel(p.Job.Class), c.cache.Teams[p.Job.Team].Name).Observe(now.Sub(p.Job.ReadyAt).Seconds())
+			c.metrics.waitSeconds.WithLabelValues(c.classLabel(placement.Job.Class), c.cache.Teams[placement.Job.Team].Name).Observe(now.Sub(placement.Job.ReadyAt).Seconds())
 		}
 		c.plannedTasks++
 		jv.lastPlacedAt = now
-		d.remaining[m.Index] = append(tasks, storage.PlacedTask{Job: p.Job, Task: p.Task, Attempt: attempt,
-			PlacedAt: now.Unix(), WaitedS: c.waited(p.Job, p.Task, now)})
+		planned.remaining[machine.Index] = append(tasks, storage.PlacedTask{Job: placement.Job, Task: placement.Task, Attempt: attempt,
+			PlacedAt: now.Unix(), WaitedS: c.waited(placement.Job, placement.Task, now)})
 	}
-	return in, res
+	return input, res
 }
 
 // foldCompletions moves completed tasks from groups that list too many into their jobs' own
 // records, one a group and transaction: in the packed layout into a part of the job's set.
-func (c *Controller) foldCompletions(d *plannedTxn) {
+func (c *Controller) foldCompletions(planned *plannedTxn) {
 	limit := foldThreshold
 	keyOf := func(e storage.CompletedTask) string { return storage.JobKey(e.Job.ID) }
 	if c.cache.Packed() {
 		limit = min(limit, c.valueLimit()/4/packedSizes.ended)
 		keyOf = func(e storage.CompletedTask) string { return storage.CompletionKey(e.Job.ID, e.Task) }
 	}
-	for _, r := range d.groups {
-		if len(r.ended) <= limit || d.usedOps >= d.maxOps {
+	for _, groupUpdate := range planned.groups {
+		if len(groupUpdate.ended) <= limit || planned.usedOps >= planned.maxOps {
 			continue
 		}
 		count := map[string]int{}
 		var most storage.CompletedTask
 		key := ""
-		for _, e := range r.ended {
+		for _, e := range groupUpdate.ended {
 			k := keyOf(e)
 			count[k]++
-			if _, ok := d.puts[k]; !ok && count[k] > count[key] {
+			if _, ok := planned.puts[k]; !ok && count[k] > count[key] {
 				most, key = e, k
 			}
 		}
@@ -353,13 +353,13 @@
 			continue
 		}
 		if c.cache.Packed() {
-			rec, version := c.cache.CompletionRecordOf(most.Job, d.progressOf(most.Job).done, most.Task)
-			d.put(key, version, protocol.Change{Put: key, Value: storage.Encode(rec)})
-			d.usedOps++
+			rec, version := c.cache.CompletionRecordOf(most.Job, planned.progressOf(most.Job).done, most.Task)
+			planned.put(key, version, protocol.Change{Put: key, Value: storage.Encode(rec)})
+			planned.usedOps++
 		} else {
-			c.putJob(d, most.Job, "")
+			c.putJob(planned, most.Job, "")
 		}
-		r.ended = slices.DeleteFunc(r.ended, func(e storage.CompletedTask) bool { return keyOf(e) == key })
+		groupUpdate.ended = slices.DeleteFunc(groupUpdate.ended, func(e storage.CompletedTask) bool { return keyOf(e) == key })
 	}
 }
 
@@ -375,9 +375,9 @@
 }
 
 // placementInput is the input of a placement pass over the shards that this controller owns.
-func (c *Controller) placementInput(now time.Time, shares map[int]bool, d *plannedTxn) *schedule.Input {
-	in := &schedule.Input{
-		Now: now, Teams: c.cache.Teams, Used: slices.Clone(c.cache.Used), Records: d.maxOps - d.usedOps, Tasks: maxPlace,
+func (c *Controller) placementInput(now time.Time, shares map[int]bool, planned *plannedTxn) *schedule.Input {
+	input := &schedule.Input{
+		Now: now, Teams: c.cache.Teams, Used: slices.Clone(c.cache.Used), Records: planned.maxOps - planned.usedOps, Tasks: maxPlace,
 		TimeAllowed: func(j *storage.Job) (time.Duration, bool) { return c.objectiveLeft(j, now) },
 		MustBegin:   func(j *storage.Job) bool { return j.PlacedCount+j.DoneCount == 0 && now.Sub(j.ReadyAt) >= beginAfter },
 		Overdue:     func(j *storage.Job) bool { return c.waitedTooLong(j, now) },
@@ -393,9 +393,9 @@
 			return j.Tasks
 		},
 	}
-	sc := &c.planBuffers
-	sc.begin(c.cache.MachineCount(), len(c.cache.Groups), len(c.cache.Jobs))
-	in.Jobs, in.Scratch = sc.jobs, &sc.place
+	planBuffers := &c.planBuffers
+	planBuffers.begin(c.cache.MachineCount(), len(c.cache.Groups), len(c.cache.Jobs))
+	input.Jobs, input.Scratch = planBuffers.jobs, &planBuffers.place
 	clear(c.waitingByShard)
 	c.idleWorkPlaced = false
 	for _, j := range c.cache.Jobs {
@@ -404,102 +404,102 @@
 		}
 		c.idleWorkPlaced = c.idleWorkPlaced || j.PlacedCount > 0 && c.isIdleWork(j, now)
 		if shares[j.Shard] && j.Open() && j.Ready() {
-			in.Jobs = append(in.Jobs, j)
+			input.Jobs = append(input.Jobs, j)
 			c.waitingByShard[j.Shard] += c.wantedTasks(j)
 			if !j.Spot {
 				c.onDemandNeededAt = now
 			}
 		}
 	}
-	f := c.queueLoads(now)
-	in.Queues = f.queues
+	queueLoads := c.queueLoads(now)
+	input.Queues = queueLoads.queues
 	var room schedule.Capacity
-	in.OnDemandWeight = 0.2
+	input.OnDemandWeight = 0.2
 	if !c.onDemandNeededAt.IsZero() && now.Sub(c.onDemandNeededAt) < 5*time.Minute {
-		in.OnDemandWeight = 6 // jobs that may not use spot machines have come and will again
+		input.OnDemandWeight = 6 // jobs that may not use spot machines have come and will again
 	}
 	held := c.reservedCapacity()
-	for _, k := range c.cache.Groups {
-		if k.Version == 0 || !shares[k.Shard] {
+	for _, group := range c.cache.Groups {
+		if group.Version == 0 || !shares[group.Shard] {
 			continue
 		}
-		rec := sc.record(schedule.GroupCapacity{Touched: d.groups[k] != nil, Free: c.recordCapacity(k)})
-		for _, m := range k.Machines {
-			if m.Gone {
+		rec := planBuffers.record(schedule.GroupCapacity{Touched: planned.groups[group] != nil, Free: c.recordCapacity(group)})
+		for _, machine := range group.Machines {
+			if machine.Gone {
 				continue
 			}
-			tasks, ok := d.remaining[m.Index]
+			tasks, ok := planned.remaining[machine.Index]
 			if ok {
-				for _, p := range m.Tasks {
-					in.Used[p.Job.Team].Add(p.Job, -1)
+				for _, p := range machine.Tasks {
+					input.Used[p.Job.Team].Add(p.Job, -1)
 				}
 				for _, p := range tasks {
-					in.Used[p.Job.Team].Add(p.Job, 1)
+					input.Used[p.Job.Team].Add(p.Job, 1)
 				}
 			} else {
-				tasks = m.Tasks
+				tasks = machine.Tasks
 			}
-			ty := &c.cache.Types[m.Type]
-			in.Capacity.Cpus += ty.Cpus
-			in.Capacity.Gpus += ty.Gpus
-			in.Capacity.Mem += ty.Mem
-			if room.All += ty.Cpus; !m.Spot {
-				room.OnDemand += ty.Cpus
+			machineType := &c.cache.Types[machine.Type]
+			input.Capacity.Cpus += machineType.Cpus
+			input.Capacity.Gpus += machineType.Gpus
+			input.Capacity.Mem += machineType.Mem
+			if room.All += machineType.Cpus; !machine.Spot {
+				room.OnDemand += machineType.Cpus
 			}
-			v := c.workerState(m)
-			if !c.usable(m, v, now) {
-				if c.booting(m, v, now) {
-					sc.booting = append(sc.booting, &schedule.Slot{Machine: m, FetchGBs: ty.FetchGBs, BootS: c.bootLeft(m, v, now),
-						Free: storage.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}})
+			worker := c.workerState(machine)
+			if !c.usable(machine, worker, now) {
+				if c.booting(machine, worker, now) {
+					planBuffers.booting = append(planBuffers.booting, &schedule.Slot{Machine: machine, FetchGBs: machineType.FetchGBs, BootS: c.bootLeft(machine, worker, now),
+						Free: storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}})
 				}
 				continue
 			}
-			s := sc.slot(schedule.Slot{Machine: m, Record: rec, FetchGBs: ty.FetchGBs, Free: storage.Usage{Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem}})
+			slot := planBuffers.slot(schedule.Slot{Machine: machine, Record: rec, FetchGBs: machineType.FetchGBs, Free: storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}})
 			cache := 0.0
-			first := len(sc.images)
-			for i := len(v.images) - 1; i >= 0; i-- {
-				cache += c.cache.ImageGB(v.images[i])
-				if ty.CacheGB > 0 && cache > ty.CacheGB && len(sc.images) > first {
+			first := len(planBuffers.images)
+			for i := len(worker.images) - 1; i >= 0; i-- {
+				cache += c.cache.ImageGB(worker.images[i])
+				if machineType.CacheGB > 0 && cache > machineType.CacheGB && len(planBuffers.images) > first {
 					break
 				}
-				sc.images = append(sc.images, v.images[i])
+				planBuffers.images = append(planBuffers.images, worker.images[i])
 			}
-			s.Images = slices.Clip(sc.images[first:]) // what is added later must not reach the next one's
+			slot.Images = slices.Clip(planBuffers.images[first:]) // what is added later must not reach the next one's
 			began, coming := now.Unix(), 0.0
 			for _, p := range tasks {
-				s.Free.Add(p.Job, -1)
-				s.AddFragile(p.Job)
+				slot.Free.Add(p.Job, -1)
+				slot.AddFragile(p.Job)
 				if !p.Job.Priority.Top() && p.Job.Open() && !c.cache.IsVictim(p) {
-					s.Preemptible.Add(p.Job, 1)
+					slot.Preemptible.Add(p.Job, 1)
 				}
-				if !slices.Contains(s.Images, p.Job.Image) && !slices.Contains(s.FetchingImages, p.Job.Image) {
-					s.FetchingImages = append(s.FetchingImages, p.Job.Image)
+				if !slices.Contains(slot.Images, p.Job.Image) && !slices.Contains(slot.FetchingImages, p.Job.Image) {
+					slot.FetchingImages = append(slot.FetchingImages, p.Job.Image)
 					coming += p.Job.ImageGB
 					began = min(began, p.PlacedAt)
 				}
 			}
-			if s.FetchGBs > 0 && coming > 0 {
-				s.FetchDoneS = max(1, coming/s.FetchGBs-float64(now.Unix()-began))
+			if slot.FetchGBs > 0 && coming > 0 {
+				slot.FetchDoneS = max(1, coming/slot.FetchGBs-float64(now.Unix()-began))
 			}
-			if ty.Gpus > 0 {
-				s.PerGpu = ty.Cpus / ty.Gpus
+			if machineType.Gpus > 0 {
+				slot.PerGpu = machineType.Cpus / machineType.Gpus
 			}
-			s.Risk = 4*c.failedRecently(v) + 8*max(0, v.slowdown-1.3)
-			s.Reservations = held[m.Name]
+			slot.Risk = 4*c.failedRecently(worker) + 8*max(0, worker.slowdown-1.3)
+			slot.Reservations = held[machine.Name]
 		}
 	}
 	was := c.overloadActive
-	if in.Overloaded = c.detectOverload(f, in.Jobs, room, &c.overloadActive, now); in.Overloaded != was {
-		c.logOverload(f, in.Overloaded)
+	if input.Overloaded = c.detectOverload(queueLoads, input.Jobs, room, &c.overloadActive, now); input.Overloaded != was {
+		c.logOverload(queueLoads, input.Overloaded)
 	}
-	in.Slots, in.Booting, sc.jobs = sc.order, sc.booting, in.Jobs[:0]
-	slices.SortFunc(in.Slots, func(a, b *schedule.Slot) int {
+	input.Slots, input.Booting, planBuffers.jobs = planBuffers.order, planBuffers.booting, input.Jobs[:0]
+	slices.SortFunc(input.Slots, func(a, b *schedule.Slot) int {
 		return cmp.Or(cmp.Compare(c.cpuPrice(a.Machine), c.cpuPrice(b.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
 	})
-	for i, s := range in.Slots {
-		s.Rank = float64(i) / float64(len(in.Slots))
+	for i, s := range input.Slots {
+		s.Rank = float64(i) / float64(len(input.Slots))
 	}
-	return in
+	return input
 }
 
 // planBuffers is the room in which a pass works, kept for the next one: a pass makes as much
@@ -544,16 +544,16 @@
 )
 
 // recordCapacity is how many more tasks a group's record can list.
-func (c *Controller) recordCapacity(k *storage.MachineGroup) int {
+func (c *Controller) recordCapacity(group *storage.MachineGroup) int {
 	limit, size := c.valueLimit(), plainSizes
 	if c.cache.Packed() {
 		// What ends needs some room too: a completed task stays listed for a while.
 		limit, size = limit*8/10, packedSizes
 	}
-	used := k.Size
-	if !c.cache.Packed() || !k.Packed { // it is not known yet what it will take
-		used = size.base + size.machine*len(k.Machines) + size.ended*len(k.Completed)
-		for _, m := range k.Machines {
+	used := group.Size
+	if !c.cache.Packed() || !group.Packed { // it is not known yet what it will take
+		used = size.base + size.machine*len(group.Machines) + size.ended*len(group.Completed)
+		for _, m := range group.Machines {
 			used += size.task * len(m.Tasks)
 		}
 	}
@@ -586,35 +586,35 @@
 }
 
 // objectiveLeft is allowance, and whether every aim is missed.
-func (c *Controller) objectiveLeft(j *storage.Job, now time.Time) (allow time.Duration, late bool) {
-	age := now.Sub(j.ReadyAt)
+func (c *Controller) objectiveLeft(job *storage.Job, now time.Time) (allow time.Duration, late bool) {
+	age := now.Sub(job.ReadyAt)
 	best, last := time.Duration(0), time.Duration(0)
 	take := func(d time.Duration) {
 		last = max(last, d)
-		if d > age+seconds(j.Estimate) && (best == 0 || d < best) {
+		if d > age+seconds(job.Estimate) && (best == 0 || d < best) {
 			best = d
 		}
 	}
-	due := j.Submitted.Add(j.Deadline).Sub(j.ReadyAt) // its deadline counts from the submission
-	if j.Deadline > 0 {
+	due := job.Submitted.Add(job.Deadline).Sub(job.ReadyAt) // its deadline counts from the submission
+	if job.Deadline > 0 {
 		take(due)
 	}
-	if !j.FinishBy.IsZero() {
-		take(j.FinishBy.Sub(j.ReadyAt)) // for those that need it
-		take(j.FinishLatest.Sub(j.ReadyAt))
+	if !job.FinishBy.IsZero() {
+		take(job.FinishBy.Sub(job.ReadyAt)) // for those that need it
+		take(job.FinishLatest.Sub(job.ReadyAt))
 	}
-	class := c.cache.Classes.Name(j.Class)
+	class := c.cache.Classes.Name(job.Class)
 	for _, o := range c.cfg.Deployment.Objectives {
 		if o.Class != class {
 			continue
 		}
 		switch {
 		case o.Kind == "wait" && o.WithinS > 0:
-			take(seconds(o.WithinS + j.Estimate)) // by when it should have started
+			take(seconds(o.WithinS + job.Estimate)) // by when it should have started
 		case o.WithinS > 0:
 			take(seconds(o.WithinS))
-		case o.Times > 0 && j.Deadline > 0:
-			take(due + time.Duration(float64(j.Deadline)*(o.Times-1)))
+		case o.Times > 0 && job.Deadline > 0:
+			take(due + time.Duration(float64(job.Deadline)*(o.Times-1)))
 		}
 	}
 	if best == 0 {
@@ -640,18 +640,18 @@
 // reservedCapacity is the room that evictions freed and that is still kept, by machine.
 func (c *Controller) reservedCapacity() map[string][]schedule.Reservation {
 	out := map[string][]schedule.Reservation{}
-	for id, e := range c.cache.VictimSets {
-		j := c.cache.Job(id)
-		if j == nil || !j.Open() {
+	for id, victimSet := range c.cache.VictimSets {
+		job := c.cache.Job(id)
+		if job == nil || !job.Open() {
 			continue
 		}
-		for _, r := range e.Reservations {
+		for _, r := range victimSet.Reservations {
 			m := c.cache.Machine(r.Machine)
 			if m == nil {
 				continue
 			}
-			if n := slotsLeft(e, r, j, m); n > 0 {
-				out[r.Machine] = append(out[r.Machine], schedule.Reservation{Job: j, Slots: n})
+			if n := slotsLeft(victimSet, r, job, m); n > 0 {
+				out[r.Machine] = append(out[r.Machine], schedule.Reservation{Job: job, Slots: n})
 			}
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -17,7 +17,7 @@
 
 // planPreemptions adds at most one evicted set to a transaction, and drops the
 // records of sets that have served.
-func (c *Controller) planPreemptions(now time.Time, b *txnBuilder, in *schedule.Input, res schedule.Result, ops int, left map[int32][]storage.PlacedTask) {
+func (c *Controller) planPreemptions(now time.Time, builder *txnBuilder, input *schedule.Input, res schedule.Result, ops int, left map[int32][]storage.PlacedTask) {
 	for id, e := range c.cache.VictimSets {
 		if ops <= 0 {
 			return
@@ -27,7 +27,7 @@
 		}
 		if c.victimSetServed(id, e) {
 			key := storage.VictimSetKey(id)
-			b.put(key, e.Version, protocol.Change{Delete: key})
+			builder.put(key, e.Version, protocol.Change{Delete: key})
 			ops--
 		}
 	}
@@ -37,7 +37,7 @@
 	jobs := make([]*storage.Job, 0, len(res.Short))
 	until := c.claimsUntil()
 	for j := range res.Short {
-		if !c.mayPreempt(j, in, until) {
+		if !c.mayPreempt(j, input, until) {
 			continue
 		}
 		jobs = append(jobs, j)
@@ -58,30 +58,30 @@
 		withinGuarantee bool
 	}
 	inVain := map[asker]bool{}
-	for _, j := range jobs {
-		a := asker{j.Team, j.Zone, j.Priority, j.Spot, claims(j, in, until)}
-		if inVain[a] && len(j.Types) == 0 {
+	for _, job := range jobs {
+		controllerAsker := asker{job.Team, job.Zone, job.Priority, job.Spot, claims(job, input, until)}
+		if inVain[controllerAsker] && len(job.Types) == 0 {
 			continue // nothing may be evicted for its like
 		}
-		jv := c.jobState(j)
-		if c.cache.VictimSets[j.ID] != nil || now.Before(jv.backoff) || c.suspect(j) {
+		jobState := c.jobState(job)
+		if c.cache.VictimSets[job.ID] != nil || now.Before(jobState.backoff) || c.suspect(job) {
 			continue // its last set is still being worked off, or it fails everywhere
 		}
-		if now.Sub(jv.shortSince) < borrowTimeout && c.othersHaveFree(j) {
+		if now.Sub(jobState.shortSince) < borrowTimeout && c.othersHaveFree(job) {
 			continue // free machines of other shards come first
 		}
-		cands := c.preemptionCandidates(now, j, in, left, until)
+		cands := c.preemptionCandidates(now, job, input, left, until)
 		if len(cands) == 0 {
-			inVain[a] = inVain[a] || len(j.Types) == 0
+			inVain[controllerAsker] = inVain[controllerAsker] || len(job.Types) == 0
 			continue
 		}
 		schedule.RankCandidates(c.alpha, cands)
-		chosen := schedule.PreemptSoonest(j, res.Short[j], in.Slots, cands)
+		chosen := schedule.PreemptSoonest(job, res.Short[job], input.Slots, cands)
 		chosen = c.fitRecord(chosen)
 		if len(chosen) == 0 {
 			continue
 		}
-		c.recordEviction(now, b, j, chosen, in, res.Short[j])
+		c.recordEviction(now, builder, job, chosen, input, res.Short[job])
 		return
 	}
 }
@@ -179,8 +179,8 @@
 	return until
 }
 
-func (c *Controller) victimsGone(e *storage.VictimSet) bool {
-	for _, x := range e.Victims {
+func (c *Controller) victimsGone(victimSet *storage.VictimSet) bool {
+	for _, x := range victimSet.Victims {
 		m := c.cache.Machine(x.Machine)
 		if m == nil {
 			continue
@@ -206,16 +206,16 @@
 }
 
 // roomUsed tells whether all room that a set freed is taken by its job, or lost.
-func (c *Controller) roomUsed(e *storage.VictimSet, j *storage.Job) bool {
-	for _, r := range e.Reservations {
+func (c *Controller) roomUsed(victimSet *storage.VictimSet, job *storage.Job) bool {
+	for _, r := range victimSet.Reservations {
 		m := c.cache.Machine(r.Machine)
-		if m == nil || m.Returning || m.Shard != e.Shard {
+		if m == nil || m.Returning || m.Shard != victimSet.Shard {
 			continue
 		}
 		if v := c.workerStates[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
 			continue
 		}
-		if slotsLeft(e, r, j, m) > 0 {
+		if slotsLeft(victimSet, r, job, m) > 0 {
 			return false
 		}
 	}
@@ -235,108 +235,108 @@
 // preemptionCandidates are the tasks that may be evicted for a job: best-effort work for a
 // top-priority job, for a team below its guarantee whatever another team runs
 // beyond its own, and idle-time work for any other.
-func (c *Controller) preemptionCandidates(now time.Time, j *storage.Job, in *schedule.Input, left map[int32][]storage.PlacedTask, until []time.Time) []schedule.Candidate {
+func (c *Controller) preemptionCandidates(now time.Time, job *storage.Job, input *schedule.Input, left map[int32][]storage.PlacedTask, until []time.Time) []schedule.Candidate {
 	var out []schedule.Candidate
 	services := map[*storage.Job]int{}
-	claim := !j.Priority.Top() && claims(j, in, until)
-	excess := make([]storage.Usage, len(in.Used)) // by team, beyond its guarantee
-	for t, u := range in.Used {
-		excess[t] = storage.Usage{Cpus: u.Cpus - in.Teams[t].Cpus, Gpus: u.Gpus - in.Teams[t].Gpus}
+	claim := !job.Priority.Top() && claims(job, input, until)
+	excess := make([]storage.Usage, len(input.Used)) // by team, beyond its guarantee
+	for t, u := range input.Used {
+		excess[t] = storage.Usage{Cpus: u.Cpus - input.Teams[t].Cpus, Gpus: u.Gpus - input.Teams[t].Gpus}
 	}
-	for _, s := range in.Slots {
-		if !schedule.Allowed(j, s.Machine) {
+	for _, slot := range input.Slots {
+		if !schedule.Allowed(job, slot.Machine) {
 			continue
 		}
-		v := c.workerState(s.Machine)
-		tasks := s.Machine.Tasks
-		if l, ok := left[s.Machine.Index]; ok {
+		worker := c.workerState(slot.Machine)
+		tasks := slot.Machine.Tasks
+		if l, ok := left[slot.Machine.Index]; ok {
 			tasks = l
 		}
-		for _, p := range tasks {
-			q := p.Job
-			over := q.Team != j.Team && (excess[q.Team].Cpus >= q.Cpus || q.Gpus > 0 && excess[q.Team].Gpus >= q.Gpus)
-			if !(j.Priority.Top() && !q.Priority.Top()) && !(claim && over) && !(j.Priority > q.Priority && c.isIdleWork(q, now)) {
+		for _, placed := range tasks {
+			storageJob := placed.Job
+			over := storageJob.Team != job.Team && (excess[storageJob.Team].Cpus >= storageJob.Cpus || storageJob.Gpus > 0 && excess[storageJob.Team].Gpus >= storageJob.Gpus)
+			if !(job.Priority.Top() && !storageJob.Priority.Top()) && !(claim && over) && !(job.Priority > storageJob.Priority && c.isIdleWork(storageJob, now)) {
 				continue
 			}
-			if !q.Open() || p.Attempt >= c.nextRevision() || c.cache.IsVictim(p) {
+			if !storageJob.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
 				continue // it goes anyway, or only starts with this transaction
 			}
 			if over && claim {
-				excess[q.Team].Add(q, -1)
+				excess[storageJob.Team].Add(storageJob, -1)
 			}
-			ran := lossOf(v, p, now)
-			vic := schedule.Victim{Slot: s, Job: q, Task: p.Task, Attempt: p.Attempt}
-			if q.Shape == protocol.Service {
-				if i, ok := services[q]; ok {
+			ran := lossOf(worker, placed, now)
+			vic := schedule.Victim{Slot: slot, Job: storageJob, Task: placed.Task, Attempt: placed.Attempt}
+			if storageJob.Shape == protocol.Service {
+				if i, ok := services[storageJob]; ok {
 					out[i].Victims = append(out[i].Victims, vic)
 					out[i].Lost += ran
-					out[i].Waited = max(out[i].Waited, float64(p.WaitedS))
+					out[i].Waited = max(out[i].Waited, float64(placed.WaitedS))
 					continue
 				}
-				services[q] = len(out)
+				services[storageJob] = len(out)
 			}
-			out = append(out, schedule.Candidate{Victims: []schedule.Victim{vic}, Lost: ran, Waited: float64(p.WaitedS), SubmittedAt: q.ReadyAt, TopPriority: q.Priority.Top()})
+			out = append(out, schedule.Candidate{Victims: []schedule.Victim{vic}, Lost: ran, Waited: float64(placed.WaitedS), SubmittedAt: storageJob.ReadyAt, TopPriority: storageJob.Priority.Top()})
 		}
 	}
 	return out
 }
 
 // lossOf is how many seconds of a task's run would be lost if it were stopped now: since its start or its last checkpoint.
-func lossOf(v *workerState, p storage.PlacedTask, now time.Time) float64 {
-	ref, ran := dispatch.RefOf(p), 0.0
-	if at, ok := v.started[ref]; ok {
+func lossOf(worker *workerState, placed storage.PlacedTask, now time.Time) float64 {
+	ref, ran := dispatch.RefOf(placed), 0.0
+	if at, ok := worker.started[ref]; ok {
 		ran = now.Sub(at).Seconds()
-	} else if _, ok := v.Seen[ref]; !ok {
-		ran = max(0, float64(now.Unix()-p.PlacedAt))
+	} else if _, ok := worker.Seen[ref]; !ok {
+		ran = max(0, float64(now.Unix()-placed.PlacedAt))
 	}
-	if p.Job.CheckpointInterval > 0 {
-		for ran >= p.Job.CheckpointInterval {
-			ran -= p.Job.CheckpointInterval
+	if placed.Job.CheckpointInterval > 0 {
+		for ran >= placed.Job.CheckpointInterval {
+			ran -= placed.Job.CheckpointInterval
 		}
 	}
 	return ran
 }
 
 // recordEviction writes the whole set as one record, before any stop goes out.
-func (c *Controller) recordEviction(now time.Time, b *txnBuilder, j *storage.Job, chosen []schedule.Candidate, in *schedule.Input, short int) {
-	e := storage.VictimSetRecord{Shard: j.Shard, AtMs: now.UnixMilli()}
+func (c *Controller) recordEviction(now time.Time, builder *txnBuilder, job *storage.Job, chosen []schedule.Candidate, input *schedule.Input, short int) {
+	victimSetRecord := storage.VictimSetRecord{Shard: job.Shard, AtMs: now.UnixMilli()}
 	freed := map[*schedule.Slot]storage.Usage{}
 	most := 4*c.limits().TxnOps - 2 - c.cache.NumShards // conditions that a transaction may have
 	for _, cand := range chosen {
-		for _, v := range cand.Victims {
-			e.Victims = append(e.Victims, storage.VictimRecord{Machine: v.Slot.Machine.Name, Job: v.Job.ID,
-				Task: v.Task, Attempt: v.Attempt, Score: float64(int(cand.Score*10)) / 10})
-			f, ok := freed[v.Slot]
+		for _, victim := range cand.Victims {
+			victimSetRecord.Victims = append(victimSetRecord.Victims, storage.VictimRecord{Machine: victim.Slot.Machine.Name, Job: victim.Job.ID,
+				Task: victim.Task, Attempt: victim.Attempt, Score: float64(int(cand.Score*10)) / 10})
+			usage, ok := freed[victim.Slot]
 			if !ok {
-				f = schedule.FreeFor(v.Slot, j)
+				usage = schedule.FreeFor(victim.Slot, job)
 			}
-			f.Cpus, f.Gpus, f.Mem = f.Cpus+v.Job.Cpus, f.Gpus+v.Job.Gpus, f.Mem+v.Job.Mem
-			freed[v.Slot] = f
-			k := v.Slot.Machine.Group
+			usage.Cpus, usage.Gpus, usage.Mem = usage.Cpus+victim.Job.Cpus, usage.Gpus+victim.Job.Gpus, usage.Mem+victim.Job.Mem
+			freed[victim.Slot] = usage
+			k := victim.Slot.Machine.Group
 			key := storage.GroupKey(k.ID)
 			// That the victims are still there is checked as far as the conditions reach.
 			// One that has ended meanwhile does no harm: its stop finds nothing.
-			if _, ok := b.conditions[key]; ok || len(b.conditions) < most {
-				b.require(key, k.Version)
+			if _, ok := builder.conditions[key]; ok || len(builder.conditions) < most {
+				builder.require(key, k.Version)
 			}
 		}
 	}
 	for s, f := range freed {
-		if n := min(short, schedule.Fits(f, j)); n > 0 {
-			e.Reservations = append(e.Reservations, storage.ReservationRecord{Machine: s.Machine.Name, Slots: n})
+		if n := min(short, schedule.Fits(f, job)); n > 0 {
+			victimSetRecord.Reservations = append(victimSetRecord.Reservations, storage.ReservationRecord{Machine: s.Machine.Name, Slots: n})
 			short -= n
 		}
 	}
-	slices.SortFunc(e.Reservations, func(a, b storage.ReservationRecord) int { return strings.Compare(a.Machine, b.Machine) })
-	jv := c.jobState(j)
-	jv.preemptedTasks += len(e.Victims)
-	c.log.Info("evicting", "job", j.ID, "victims", len(e.Victims), "slots", len(e.Reservations), "share", j.Shard)
-	key := storage.VictimSetKey(j.ID)
-	b.require(storage.JobKey(j.ID), j.Version)
-	raw := storage.EncodeVictimSet(&e, c.cache.Packed())
+	slices.SortFunc(victimSetRecord.Reservations, func(a, b storage.ReservationRecord) int { return strings.Compare(a.Machine, b.Machine) })
+	jv := c.jobState(job)
+	jv.preemptedTasks += len(victimSetRecord.Victims)
+	c.log.Info("evicting", "job", job.ID, "victims", len(victimSetRecord.Victims), "slots", len(victimSetRecord.Reservations), "share", job.Shard)
+	key := storage.VictimSetKey(job.ID)
+	builder.require(storage.JobKey(job.ID), job.Version)
+	raw := storage.EncodeVictimSet(&victimSetRecord, c.cache.Packed())
 	if len(raw) > c.valueLimit() {
-		c.log.Error("evicted set does not fit its record", "job", j.ID, "victims", len(e.Victims), "bytes", len(raw))
+		c.log.Error("evicted set does not fit its record", "job", job.ID, "victims", len(victimSetRecord.Victims), "bytes", len(raw))
 		return
 	}
-	b.put(key, 0, protocol.Change{Put: key, Value: raw})
+	builder.put(key, 0, protocol.Change{Put: key, Value: raw})
 }
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -12,7 +12,7 @@
 // A controller that has read no records answers a worker only where that loses nothing and holds
 // it at no controller that can do nothing for it.
 func TestUnverifiedRenewals(t *testing.T) {
-	w := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
+	workers := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
 	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
 	for _, x := range []struct {
 		name  string
@@ -33,18 +33,18 @@
 		{name: "after a round of the others", age: 9 * time.Second, tasks: running, again: 4 * time.Second, want: true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t)
-			c.loaded, c.cfg.Deployment.Workers = false, w
+			controller := newCore(t)
+			controller.loaded, controller.cfg.Deployment.Workers = false, workers
 			now := time.Now()
-			c.unverified.since = now.Add(-x.age)
-			c.cfg.Known = []config.Peer{{MemberName: "n1"}}
+			controller.unverified.since = now.Add(-x.age)
+			controller.cfg.Known = []config.Peer{{MemberName: "n1"}}
 			if x.heard >= 0 {
-				c.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: x.peer}, heardAt: now.Add(-x.heard)}
+				controller.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: x.peer}, heardAt: now.Add(-x.heard)}
 			}
 			if x.again > 0 {
-				c.unverified.renewed["m"] = now.Add(-x.again)
+				controller.unverified.renewed["m"] = now.Add(-x.again)
 			}
-			a, ok := c.renewUnverified(&protocol.Heartbeat{Machine: "m", Incarnation: 1, FencingToken: 41, Tasks: x.tasks}, now)
+			a, ok := controller.renewUnverified(&protocol.Heartbeat{Machine: "m", Incarnation: 1, FencingToken: 41, Tasks: x.tasks}, now)
 			if ok != x.want {
 				t.Errorf("renewed: %v, want %v", ok, x.want)
 			}
@@ -85,17 +85,17 @@
 		{"for too long", 3, 19 * time.Second, 19 * time.Second, 19 * time.Second, false},
 		{"an outage, and its successor is heard, which has read nothing", 3, 5 * time.Second, newborn, 5 * time.Second, true},
 	} {
-		c := newCore(t) // lease 10 s, cancellations 30 s
+		controller := newCore(t) // lease 10 s, cancellations 30 s
 		now := time.Now()
-		c.cache.Shards[0].Member, c.cache.Shards[0].Incarnation = "n1", 3
+		controller.cache.Shards[0].Member, controller.cache.Shards[0].Incarnation = "n1", 3
 		if x.member > 0 {
-			c.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{Incarnation: x.member}, Version: 1}
+			controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{Incarnation: x.member}, Version: 1}
 		}
-		c.storeServedAt, c.cacheCurrentAt, c.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peerState{heardAt: now.Add(-x.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
+		controller.storeServedAt, controller.cacheCurrentAt, controller.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peerState{heardAt: now.Add(-x.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
 		if x.heard == newborn {
-			c.peers["n1"] = peerState{heardAt: now}
+			controller.peers["n1"] = peerState{heardAt: now}
 		}
-		if got := c.renewsAsProxy(c.cache.Machine("m"), now); got != x.want {
+		if got := controller.renewsAsProxy(controller.cache.Machine("m"), now); got != x.want {
 			t.Errorf("%s: stands in %v, want %v", x.name, got, x.want)
 		}
 	}
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -60,47 +60,47 @@
 // A row that changes ten times between two snapshots is made once, and while nobody reads none is
 // made before many wait: rows at every change took 5 to 7 % of a controller's processor time.
 func (c *Controller) showView(now time.Time, ask bool) {
-	v := c.readModel
-	if v == nil || !c.loaded {
+	readModel := c.readModel
+	if readModel == nil || !c.loaded {
 		return
 	}
-	if n := c.cache.PendingChanges(); !ask && n < viewKept && (!v.hub.Wanted(now) || now.Sub(v.shown) < viewGap) {
-		v.whole = false
+	if n := c.cache.PendingChanges(); !ask && n < viewKept && (!readModel.hub.Wanted(now) || now.Sub(readModel.shown) < viewGap) {
+		readModel.whole = false
 		return
 	}
-	if !v.readable {
-		v.readable, v.head.Since = true, now.UnixMilli()
+	if !readModel.readable {
+		readModel.readable, readModel.head.Since = true, now.UnixMilli()
 	}
 	whole := c.cache.Revision >= c.highestRevision
 	jobs, machines, evicted, more := c.cache.TakeChanges(viewRows)
-	v.whole = whole && !more
+	readModel.whole = whole && !more
 	for _, j := range jobs {
-		v.model.PutJob(c.jobRow(j))
+		readModel.model.PutJob(c.jobRow(j))
 	}
 	for _, m := range machines {
 		if m.Gone {
-			v.model.DropMachine(m.Name)
+			readModel.model.DropMachine(m.Name)
 		} else {
-			v.model.PutMachine(c.machineRow(m))
+			readModel.model.PutMachine(c.machineRow(m))
 		}
 	}
 	for _, id := range evicted {
 		c.showEvicted(id)
 	}
 	for team := range c.cache.TeamEntries {
-		v.model.SetTeam(teamRow(c.cache.Teams[team]))
+		readModel.model.SetTeam(teamRow(c.cache.Teams[team]))
 	}
-	if v.whole && now.Sub(v.shown) >= viewGap && v.hub.Wanted(now) {
+	if readModel.whole && now.Sub(readModel.shown) >= viewGap && readModel.hub.Wanted(now) {
 		c.publishView(now)
 	}
 }
 
 // publishView hands a snapshot over, in the same time whatever it holds.
 func (c *Controller) publishView(now time.Time) {
-	v := c.readModel
-	v.shown = now
-	h := v.head
-	h.Revision, h.Now, h.AsOf, h.StateOK = c.cache.Revision, now.UnixMilli(), v.asOf.UnixMilli(), c.servedByStore(now)
+	readModel := c.readModel
+	readModel.shown = now
+	head := readModel.head
+	head.Revision, head.Now, head.AsOf, head.StateOK = c.cache.Revision, now.UnixMilli(), readModel.asOf.UnixMilli(), c.servedByStore(now)
 	names := []string{c.cfg.MemberName}
 	for _, k := range c.cfg.Known {
 		names = append(names, k.MemberName)
@@ -117,9 +117,9 @@
 				n.Shares = append(n.Shares, uint32(i))
 			}
 		}
-		h.Members = append(h.Members, n)
+		head.Members = append(head.Members, n)
 	}
-	v.hub.Publish(v.model.Snapshot(h))
+	readModel.hub.Publish(readModel.model.Snapshot(head))
 }
 
 // View waits for a snapshot that is newer than a cursor, until ctx ends, and returns the
@@ -127,13 +127,13 @@
 // known to be the latest for a second asks for it, as polls do, and so costs at most a
 // request a second.
 func (c *Controller) View(ctx context.Context, cur view.Cursor) *view.Snapshot {
-	v := c.readModel
-	if v == nil {
+	readModel := c.readModel
+	if readModel == nil {
 		return nil
 	}
-	s := v.hub.Wait(ctx, cur)
-	if s != nil && time.Since(time.UnixMilli(s.AsOf)) < viewLag {
-		return s
+	snapshot := readModel.hub.Wait(ctx, cur)
+	if snapshot != nil && time.Since(time.UnixMilli(snapshot.AsOf)) < viewLag {
+		return snapshot
 	}
 	began := time.Now()
 	short, cancel := context.WithTimeout(context.Background(), viewLag)
@@ -142,15 +142,15 @@
 	_ = c.call(short, func() { // without it the snapshot is shown as old as it is
 		now := time.Now()
 		if err == nil && c.cache.Revision >= c.highestRevision {
-			v.asOf = latest(v.asOf, began)
+			readModel.asOf = latest(readModel.asOf, began)
 		}
 		c.showView(now, true)
-		if served := c.servedByStore(now); v.whole && (err == nil || served != v.stated) {
-			v.stated = served
+		if served := c.servedByStore(now); readModel.whole && (err == nil || served != readModel.stated) {
+			readModel.stated = served
 			c.publishView(now)
 		}
 	})
-	return v.hub.Latest()
+	return readModel.hub.Latest()
 }
 
 func latest(a, b time.Time) time.Time {
@@ -168,82 +168,82 @@
 // ViewEnabled tells whether the controller keeps a read model.
 func (c *Controller) ViewEnabled() bool { return c.readModel != nil }
 
-func (c *Controller) jobRow(j *storage.Job) view.Job {
-	r := view.Job{ID: j.ID, Team: c.cache.Teams[j.Team].Name, Class: c.cache.Classes.Name(j.Class), Priority: j.OwnPriority,
-		Service: j.Shape == protocol.Service, Suspect: j.Suspect, Evicting: c.cache.VictimSets[j.ID] != nil, Tasks: uint32(j.Tasks), Done: uint32(j.DoneCount),
-		Placed: uint32(j.PlacedCount), Shard: uint32(j.Shard), Cpus: milli(j.Cpus), Gpus: milli(j.Gpus), Submit: j.Submitted.UnixMilli(),
-		From: j.ReadyAt.UnixMilli(), Estimate: milli(j.Estimate), End: j.FinalAtMs}
+func (c *Controller) jobRow(job *storage.Job) view.Job {
+	viewJob := view.Job{ID: job.ID, Team: c.cache.Teams[job.Team].Name, Class: c.cache.Classes.Name(job.Class), Priority: job.OwnPriority,
+		Service: job.Shape == protocol.Service, Suspect: job.Suspect, Evicting: c.cache.VictimSets[job.ID] != nil, Tasks: uint32(job.Tasks), Done: uint32(job.DoneCount),
+		Placed: uint32(job.PlacedCount), Shard: uint32(job.Shard), Cpus: milli(job.Cpus), Gpus: milli(job.Gpus), Submit: job.Submitted.UnixMilli(),
+		From: job.ReadyAt.UnixMilli(), Estimate: milli(job.Estimate), End: job.FinalAtMs}
 	switch {
-	case j.Final == protocol.Done:
-		r.Status = view.Done
-	case !j.Open() || j.DependencyFailed:
-		r.Status = view.Cancelled
-	case j.PlacedCount > 0:
-		r.Status = view.Running
+	case job.Final == protocol.Done:
+		viewJob.Status = view.Done
+	case !job.Open() || job.DependencyFailed:
+		viewJob.Status = view.Cancelled
+	case job.PlacedCount > 0:
+		viewJob.Status = view.Running
 	default:
-		r.Awaits = uint32(j.UnmetDependencies())
+		viewJob.Awaits = uint32(job.UnmetDependencies())
 	}
-	if j.Deadline > 0 {
-		r.Due = r.Submit + j.Deadline.Milliseconds()
+	if job.Deadline > 0 {
+		viewJob.Due = viewJob.Submit + job.Deadline.Milliseconds()
 	}
-	return r
+	return viewJob
 }
 
-func (c *Controller) machineRow(m *storage.Machine) view.Machine {
-	t := c.cache.Types[m.Type]
-	r := view.Machine{Name: m.Name, Type: c.cache.TypeIndex.Name(m.Type), Zone: c.cache.Zones.Name(m.Zone), Spot: m.Spot, Shard: uint32(m.Shard),
-		Tasks: uint32(len(m.Tasks)), Cpus: milli(t.Cpus), Gpus: milli(t.Gpus), Price: uint64(math.Round(1e6 * t.Price))}
-	if m.Spot {
-		r.Price = uint64(math.Round(1e6 * t.SpotPrice))
+func (c *Controller) machineRow(machine *storage.Machine) view.Machine {
+	machineType := c.cache.Types[machine.Type]
+	viewMachine := view.Machine{Name: machine.Name, Type: c.cache.TypeIndex.Name(machine.Type), Zone: c.cache.Zones.Name(machine.Zone), Spot: machine.Spot, Shard: uint32(machine.Shard),
+		Tasks: uint32(len(machine.Tasks)), Cpus: milli(machineType.Cpus), Gpus: milli(machineType.Gpus), Price: uint64(math.Round(1e6 * machineType.Price))}
+	if machine.Spot {
+		viewMachine.Price = uint64(math.Round(1e6 * machineType.SpotPrice))
 	}
-	for _, p := range m.Tasks {
+	for _, p := range machine.Tasks {
 		team := c.cache.Teams[p.Job.Team].Name
-		i, ok := slices.BinarySearchFunc(r.Uses, team, func(u view.Use, name string) int { return strings.Compare(u.Team, name) })
+		i, ok := slices.BinarySearchFunc(viewMachine.Uses, team, func(u view.Use, name string) int { return strings.Compare(u.Team, name) })
 		if !ok {
-			r.Uses = slices.Insert(r.Uses, i, view.Use{Team: team})
+			viewMachine.Uses = slices.Insert(viewMachine.Uses, i, view.Use{Team: team})
 		}
-		u := &r.Uses[i]
+		u := &viewMachine.Uses[i]
 		u.Tasks, u.Cpus, u.Gpus = u.Tasks+1, u.Cpus+milli(p.Job.Cpus), u.Gpus+milli(p.Job.Gpus)
-		r.UsedCpus, r.UsedGpus = r.UsedCpus+milli(p.Job.Cpus), r.UsedGpus+milli(p.Job.Gpus)
+		viewMachine.UsedCpus, viewMachine.UsedGpus = viewMachine.UsedCpus+milli(p.Job.Cpus), viewMachine.UsedGpus+milli(p.Job.Gpus)
 	}
 	switch {
-	case m.Returning:
-		r.State = view.Returning
-	case m.Draining:
-		r.State = view.Draining
-	case m.Unhealthy:
-		r.State = view.Sick
-	case m.Incarnation == 0:
-		r.State = view.Booting
-	case len(m.Tasks) > 0:
-		r.State = view.Busy
+	case machine.Returning:
+		viewMachine.State = view.Returning
+	case machine.Draining:
+		viewMachine.State = view.Draining
+	case machine.Unhealthy:
+		viewMachine.State = view.Sick
+	case machine.Incarnation == 0:
+		viewMachine.State = view.Booting
+	case len(machine.Tasks) > 0:
+		viewMachine.State = view.Busy
 	default:
-		r.State = view.Idle
+		viewMachine.State = view.Idle
 	}
-	return r
+	return viewMachine
 }
 
 // showEvicted brings an evicted set's row up to date. A set that is gone from the records is
 // over; its row stays among the latest.
 func (c *Controller) showEvicted(id string) {
-	m := c.readModel.model
-	old, had := m.EvictionOf(id)
-	e := c.cache.VictimSets[id]
-	if e == nil {
+	model := c.readModel.model
+	old, had := model.EvictionOf(id)
+	victimSet := c.cache.VictimSets[id]
+	if victimSet == nil {
 		if had && old.Open {
 			old.Open = false
-			m.PutEviction(old)
+			model.PutEviction(old)
 		}
 		return
 	}
-	row := view.Eviction{Job: id, Team: c.teamOf(id), At: e.AtMs, Shard: uint32(e.Shard), Open: true, Victims: []view.Victim{}}
+	row := view.Eviction{Job: id, Team: c.teamOf(id), At: victimSet.AtMs, Shard: uint32(victimSet.Shard), Open: true, Victims: []view.Victim{}}
 	if had && old.Open && old.At == row.At {
 		row.Key = old.Key
 	}
-	for _, x := range e.Victims {
+	for _, x := range victimSet.Victims {
 		row.Victims = append(row.Victims, view.Victim{Job: x.Job, Team: c.teamOf(x.Job), Task: uint32(x.Task), Attempt: x.Attempt, Score: x.Score})
 	}
-	m.PutEviction(row)
+	model.PutEviction(row)
 }
 
 // teamOf is the name of a job's team, "" when only its final state is known.
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -20,22 +20,22 @@
 	if c.leader.moveInFlight || c.cache.NumShards < 2 {
 		return
 	}
-	mv := rebalancer{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
+	controllerRebalancer := rebalancer{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
 		moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
-	mv.rebalancePass(now, onDemandWork)
-	mv.rebalancePass(now, allWork)
-	mv.rebalancePass(now, idleWork)
+	controllerRebalancer.rebalancePass(now, onDemandWork)
+	controllerRebalancer.rebalancePass(now, allWork)
+	controllerRebalancer.rebalancePass(now, idleWork)
 	for share := range c.leader.stuckSinceByShard {
-		if !mv.stuck[share] {
+		if !controllerRebalancer.stuck[share] {
 			delete(c.leader.stuckSinceByShard, share)
 		}
 	}
-	if len(mv.txn.Then) == 0 {
+	if len(controllerRebalancer.txn.Then) == 0 {
 		return
 	}
 	c.leader.moveInFlight = true
 	c.leader.movedAt = now
-	c.commitAside(ctx, mv.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
+	c.commitAside(ctx, controllerRebalancer.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
 }
 
 type rebalancer struct {
@@ -92,10 +92,10 @@
 
 // addFloors raises the shards' claims to what their queues have before others in a flood. Without
 // it the shard with the flood drew the machines of all others, until those were as late.
-func (mv *rebalancer) addFloors(sums []shardSums, f queueLoads) {
+func (mv *rebalancer) addFloors(sums []shardSums, controllerQueueLoads queueLoads) {
 	more, all, left := make([]float64, len(sums)), 0.0, 0.0
 	for x := range mv.c.cache.Baseline.Cpus {
-		if l := f.queues.At(x); l != nil {
+		if l := controllerQueueLoads.queues.At(x); l != nil {
 			more[mv.c.cache.ShardOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
 		}
 	}
@@ -144,70 +144,70 @@
 // counts as free room until nothing else waits: a shard whose only work it was took
 // machines from teams that had to be in time.
 func (mv *rebalancer) rebalancePass(now time.Time, kind workKind) {
-	c := mv.c
+	controller := mv.c
 	ordinary := kind == onDemandWork
 	idle := map[*storage.Job]bool{}
-	may := c.newLimitBudget() // what is over a team's limit waits for that, not for room
-	sums := make([]shardSums, c.cache.NumShards)
-	for _, j := range c.cache.Jobs {
-		if j == nil || !j.Open() || (ordinary && j.Spot) {
+	may := controller.newLimitBudget() // what is over a team's limit waits for that, not for room
+	sums := make([]shardSums, controller.cache.NumShards)
+	for _, job := range controller.cache.Jobs {
+		if job == nil || !job.Open() || (ordinary && job.Spot) {
 			continue
 		}
-		s, waits := &sums[j.Shard], may.take(j)
-		if c.isIdleWork(j, now) {
+		controllerShardSums, waits := &sums[job.Shard], may.take(job)
+		if controller.isIdleWork(job, now) {
 			if kind != idleWork {
-				idle[j] = true
+				idle[job] = true
 				continue
 			}
 		} else {
-			s.nonIdleDemand += float64(j.PlacedCount+waits) * j.Size
-			s.nonIdleWaiting += float64(waits) * j.Size
+			controllerShardSums.nonIdleDemand += float64(job.PlacedCount+waits) * job.Size
+			controllerShardSums.nonIdleWaiting += float64(waits) * job.Size
 		}
-		s.demand += float64(j.PlacedCount) * j.Size
-		if jv := c.jobStates[j]; jv != nil && now.Before(jv.backoff) {
+		controllerShardSums.demand += float64(job.PlacedCount) * job.Size
+		if jv := controller.jobStates[job]; jv != nil && now.Before(jv.backoff) {
 			continue
 		}
-		w := float64(waits) * j.Size
-		s.waiting += w
-		s.demand += w
-		if j.Priority.Top() {
-			s.topWaiting += w
+		w := float64(waits) * job.Size
+		controllerShardSums.waiting += w
+		controllerShardSums.demand += w
+		if job.Priority.Top() {
+			controllerShardSums.topWaiting += w
 		}
 	}
-	if kind == allWork && c.guaranteesTimed() {
+	if kind == allWork && controller.guaranteesTimed() {
 		mv.addClaims(sums)
 	}
-	for _, k := range c.cache.Groups {
-		if k.Version == 0 || mv.moved[k] {
+	for _, group := range controller.cache.Groups {
+		if group.Version == 0 || mv.moved[group] {
 			continue
 		}
-		s := &sums[k.Shard]
-		r := &groupSums{group: k}
-		stays := now.Sub(c.leader.groupMovedAt[k.ID]) <= moveCooldown
-		for _, m := range k.Machines {
-			if m.Gone || m.Returning || (ordinary && m.Spot) {
+		s := &sums[group.Shard]
+		controllerGroupSums := &groupSums{group: group}
+		stays := now.Sub(controller.leader.groupMovedAt[group.ID]) <= moveCooldown
+		for _, machine := range group.Machines {
+			if machine.Gone || machine.Returning || (ordinary && machine.Spot) {
 				continue
 			}
-			cpus := c.cache.Types[m.Type].Cpus
+			cpus := controller.cache.Types[machine.Type].Cpus
 			f := cpus
-			for _, p := range m.Tasks {
+			for _, p := range machine.Tasks {
 				if !idle[p.Job] {
 					f -= p.Job.Size
 				}
 			}
-			r.capacity += cpus
-			if c.pendingUpdates[m.Index].blocksPlacement() || m.Unhealthy || m.Draining {
+			controllerGroupSums.capacity += cpus
+			if controller.pendingUpdates[machine.Index].blocksPlacement() || machine.Unhealthy || machine.Draining {
 				f = 0
 			}
-			r.free += f
+			controllerGroupSums.free += f
 		}
-		s.capacity += r.capacity
-		s.free += r.free
-		if r.capacity > 0 {
+		s.capacity += controllerGroupSums.capacity
+		s.free += controllerGroupSums.free
+		if controllerGroupSums.capacity > 0 {
 			s.groupCount++
 		}
-		if r.capacity > 0 && !stays {
-			s.movable = append(s.movable, r)
+		if controllerGroupSums.capacity > 0 && !stays {
+			s.movable = append(s.movable, controllerGroupSums)
 		}
 	}
 	for i := range sums {
@@ -219,7 +219,7 @@
 		return
 	}
 	if kind == allWork {
-		if f := c.queueLoads(now); c.detectOverload(f, c.cache.Jobs, c.totalCapacity(), &c.leader.overloadActive, now) {
+		if f := controller.queueLoads(now); controller.detectOverload(f, controller.cache.Jobs, controller.totalCapacity(), &controller.leader.overloadActive, now) {
 			mv.addFloors(sums, f)
 		}
 	}
@@ -244,7 +244,7 @@
 				to = i
 			}
 		}
-		if to < 0 || len(mv.txn.Then) >= c.limits().TxnOps {
+		if to < 0 || len(mv.txn.Then) >= controller.limits().TxnOps {
 			return
 		}
 		for i := range sums {
@@ -319,15 +319,15 @@
 
 // waitsBeside tells whether a shard has a job that has waited for a while, may run, and fits on none of the shard's machines.
 func (mv *rebalancer) waitsBeside(share int, idle map[*storage.Job]bool, now time.Time) bool {
-	c, looked := mv.c, 0
-	for _, j := range c.cache.Jobs {
-		if j == nil || j.Shard != share || idle[j] || now.Sub(j.ReadyAt) < waitsBesideAfter || !c.mayStart(j, now) {
+	controller, looked := mv.c, 0
+	for _, j := range controller.cache.Jobs {
+		if j == nil || j.Shard != share || idle[j] || now.Sub(j.ReadyAt) < waitsBesideAfter || !controller.mayStart(j, now) {
 			continue
 		}
 		if looked++; looked > maxWaitsBesideJobs {
 			return false // the sums tell enough of so many
 		}
-		if !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return m.Shard == share && mv.fitsOn(j, m) }) {
+		if !slices.ContainsFunc(controller.cache.Machines, func(m *storage.Machine) bool { return m.Shard == share && mv.fitsOn(j, m) }) {
 			return true
 		}
 	}
@@ -376,8 +376,8 @@
 }
 
 // fitsBesideTasks tells whether a task of a job fits on a machine, drained or not, beside what runs there and where its other tasks are.
-func (mv *rebalancer) fitsBesideTasks(j *storage.Job, m *storage.Machine) bool {
-	if m.Gone || m.Returning || m.Unhealthy || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
+func (mv *rebalancer) fitsBesideTasks(job *storage.Job, machine *storage.Machine) bool {
+	if machine.Gone || machine.Returning || machine.Unhealthy || !schedule.Allowed(job, machine) || !inZone(job, machine.Zone) {
 		return false
 	}
 	if mv.freeByMachine == nil {
@@ -388,7 +388,7 @@
 			}
 		}
 	}
-	return schedule.Fits(mv.freeByMachine[m.Index], j) > 0
+	return schedule.Fits(mv.freeByMachine[machine.Index], job) > 0
 }
 
 // freeOn is what is free on a machine by its record.
@@ -429,19 +429,19 @@
 // maxMovesPerPass bounds how many machines move with one look.
 const maxMovesPerPass = 6
 
-func (mv *rebalancer) move(k *storage.MachineGroup, to int) {
-	r := mv.c.cache.GroupRecordOf(k, k.UnsavedCompletions(), nil)
+func (mv *rebalancer) move(group *storage.MachineGroup, to int) {
+	r := mv.c.cache.GroupRecordOf(group, group.UnsavedCompletions(), nil)
 	r.Shard, r.FencingToken = to, mv.c.nextRevision()
-	key := storage.GroupKey(k.ID)
-	mv.moved[k] = true
+	key := storage.GroupKey(group.ID)
+	mv.moved[group] = true
 	raw := storage.EncodeGroup(r, mv.c.cache.Packed())
 	if len(raw) > mv.c.valueLimit() {
 		return // its owner parts it first
 	}
-	mv.c.leader.groupMovedAt[k.ID] = time.Now()
-	mv.txn.If = append(mv.txn.If, protocol.Condition{Key: key, Version: k.Version})
+	mv.c.leader.groupMovedAt[group.ID] = time.Now()
+	mv.txn.If = append(mv.txn.If, protocol.Condition{Key: key, Version: group.Version})
 	mv.txn.Then = append(mv.txn.Then, protocol.Change{Put: key, Value: raw})
-	mv.c.log.Debug("rack moves", "rack", k.ID, "machines", len(k.Machines), "from", k.Shard, "to", to)
+	mv.c.log.Debug("rack moves", "rack", group.ID, "machines", len(group.Machines), "from", group.Shard, "to", to)
 }
 
 // fitsNow tells whether a waiting task of a shard fits beside what runs on one of a group's machines.
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -28,26 +28,26 @@
 // leavesDrained tells whether a task that saves is stopped on a machine that is drained: not if it will have
 // ended about as soon, and not if its job would be late by that. Two hundred and more such stops a
 // day each fetched 6 GB again, and their jobs were late.
-func (c *Controller) leavesDrained(m *storage.Machine, v *workerState, p storage.PlacedTask, now time.Time) bool {
-	j := p.Job
+func (c *Controller) leavesDrained(machine *storage.Machine, worker *workerState, placed storage.PlacedTask, now time.Time) bool {
+	job := placed.Job
 	fetch := 0.0
-	if f := c.cache.Types[m.Type].FetchGBs; f > 0 {
-		fetch = j.ImageGB / f
+	if f := c.cache.Types[machine.Type].FetchGBs; f > 0 {
+		fetch = job.ImageGB / f
 	}
 	if fetch < longFetch {
 		return true // it is elsewhere at once, and the machine is returned sooner
 	}
-	cost := j.CheckpointCost + restartSeconds + fetch
-	ran := float64(now.Unix() - p.PlacedAt)
-	if at, ok := v.started[dispatch.RefOf(p)]; ok {
+	cost := job.CheckpointCost + restartSeconds + fetch
+	ran := float64(now.Unix() - placed.PlacedAt)
+	if at, ok := worker.started[dispatch.RefOf(placed)]; ok {
 		ran = now.Sub(at).Seconds()
 	}
-	left := max(j.Estimate-ran, 0.2*j.Estimate)
+	left := max(job.Estimate-ran, 0.2*job.Estimate)
 	if left < minMoveBenefit*cost {
 		return false
 	}
-	allow, late := c.objectiveLeft(j, now)
-	until := j.ReadyAt.Add(allow).Sub(now).Seconds()
+	allow, late := c.objectiveLeft(job, now)
+	until := job.ReadyAt.Add(allow).Sub(now).Seconds()
 	return allow == 0 || late || left > until || left+minMoveBenefit*cost < until
 }
 
@@ -55,32 +55,32 @@
 // a machine that has its image and room, so that it is back within seconds.
 func (c *Controller) relocateReplicas(now time.Time) {
 	var free map[int32]storage.Usage
-	for _, m := range c.cache.Machines {
-		if m.Gone || !m.Draining || m.Returning || !c.ownsShard(m.Shard) {
+	for _, machine := range c.cache.Machines {
+		if machine.Gone || !machine.Draining || machine.Returning || !c.ownsShard(machine.Shard) {
 			continue
 		}
-		for _, p := range m.Tasks {
-			j := p.Job
-			if j.Shape != protocol.Service || !j.Open() || j.Waiting() > 0 || now.Unix()-p.PlacedAt < int64(relocateAfter.Seconds()) {
+		for _, placed := range machine.Tasks {
+			job := placed.Job
+			if job.Shape != protocol.Service || !job.Open() || job.Waiting() > 0 || now.Unix()-placed.PlacedAt < int64(relocateAfter.Seconds()) {
 				continue
 			}
-			jv := c.jobState(j)
-			if now.Sub(jv.relocatedAt) < relocateAfter {
+			jobState := c.jobState(job)
+			if now.Sub(jobState.relocatedAt) < relocateAfter {
 				continue
 			}
 			if free == nil {
 				free = c.freeCapacity(now)
 			}
-			to := c.relocationTarget(j, m, free)
+			to := c.relocationTarget(job, machine, free)
 			if to == nil {
 				continue
 			}
 			f := free[to.Index]
-			f.Add(j, -1)
+			f.Add(job, -1)
 			free[to.Index] = f
-			jv.relocating, jv.relocatedAt = dispatch.RefOf(p), now
-			c.log.Info("replica moves", "job", j.ID, "task", p.Task, "from", m.Name, "to", to.Name)
-			c.terminateUnwanted(m)
+			jobState.relocating, jobState.relocatedAt = dispatch.RefOf(placed), now
+			c.log.Info("replica moves", "job", job.ID, "task", placed.Task, "from", machine.Name, "to", to.Name)
+			c.terminateUnwanted(machine)
 		}
 	}
 }
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -111,24 +111,24 @@
 				cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
 					Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
 				store := x.store
-				c := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-				go c.Run(ctx)
+				controller := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
 				if x.served {
-					c.ReceivePeerHeartbeat("n1", protocol.PeerHeartbeat{StateOK: true, Revision: 4})
+					controller.ReceivePeerHeartbeat("n1", protocol.PeerHeartbeat{StateOK: true, Revision: 4})
 				}
-				if got := c.Ready(ctx); got != x.ready {
+				if got := controller.Ready(ctx); got != x.ready {
 					t.Errorf("ready: %v, want %v", got, x.ready)
 				}
-				a := c.Submit(ctx, submission(x.awaits))
-				if a.Status != x.status || (a.Status == 503 && a.RetryAfter < 1) {
-					t.Errorf("submission: %d (Retry-After %d), want %d", a.Status, a.RetryAfter, x.status)
+				answer := controller.Submit(ctx, submission(x.awaits))
+				if answer.Status != x.status || (answer.Status == 503 && answer.RetryAfter < 1) {
+					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, x.status)
 				}
 				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (x.status == 201) {
 					t.Errorf("committed: %v", committed)
 				}
 				// What it has not read it does not speak of.
-				if a := c.Query(ctx, "job-000001"); a.Status != 503 {
+				if a := controller.Query(ctx, "job-000001"); a.Status != 503 {
 					t.Errorf("a poll: %d, want 503", a.Status)
 				}
 				cancel()
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -29,53 +29,53 @@
 	index := map[kind]int{}
 	var out []autoscale.Demand
 	var zones *zoneCapacity
-	for _, j := range c.cache.Jobs {
-		if j == nil || !j.Open() {
+	for _, job := range c.cache.Jobs {
+		if job == nil || !job.Open() {
 			continue
 		}
 		first := -1
-		if len(j.Types) > 0 {
-			first = j.Types[0]
+		if len(job.Types) > 0 {
+			first = job.Types[0]
 		}
-		allow := c.timeAllowed(j, now)
-		idle := allow == 0 && c.isIdleWork(j, now)
+		allow := c.timeAllowed(job, now)
+		idle := allow == 0 && c.isIdleWork(job, now)
 		team := autoscale.NoTeam
-		if c.limited(j.Team) {
-			team = j.Team
+		if c.limited(job.Team) {
+			team = job.Team
 		}
 		add := func(zone, n int) {
-			k := kind{j.Spot, idle, zone, j.Class, first, j.Cpus, int(allow / (20 * time.Second)), team}
-			i, ok := index[k]
+			controllerKind := kind{job.Spot, idle, zone, job.Class, first, job.Cpus, int(allow / (20 * time.Second)), team}
+			i, ok := index[controllerKind]
 			if !ok {
 				i = len(out)
-				index[k] = i
-				out = append(out, autoscale.Demand{Team: team, Spot: j.Spot, Idle: idle, Types: j.Types, Zone: zone,
-					Cpus: j.Cpus, Gpus: j.Gpus, Mem: j.Mem, WithinS: max(5, allow.Seconds())})
+				index[controllerKind] = i
+				out = append(out, autoscale.Demand{Team: team, Spot: job.Spot, Idle: idle, Types: job.Types, Zone: zone,
+					Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, WithinS: max(5, allow.Seconds())})
 				if allow == 0 {
 					out[i].WithinS = 120
 				}
 			}
 			d := &out[i]
 			d.Tasks += n
-			if j.Shape == protocol.Service {
+			if job.Shape == protocol.Service {
 				d.Work += float64(n) * 1e6
 			} else {
-				d.Work += float64(n) * max(j.Estimate, 1)
+				d.Work += float64(n) * max(job.Estimate, 1)
 			}
 		}
-		if j.Spread && !j.Spot && j.Zone < 0 {
+		if job.Spread && !job.Spot && job.Zone < 0 {
 			if zones == nil {
 				zones = c.zoneCapacity(now)
 			}
-			for z, n := range zones.demandByZone(c, j, now) {
+			for z, n := range zones.demandByZone(c, job, now) {
 				if n > 0 {
 					add(z, n)
 				}
 			}
 			continue
 		}
-		n := j.PlacedCount - c.placedUnreachable(j, now) + c.wantedTasks(j)
-		add(j.Zone, schedule.CapacityWithin(c.cache.Teams[j.Team], storage.Usage{}, j, n))
+		n := job.PlacedCount - c.placedUnreachable(job, now) + c.wantedTasks(job)
+		add(job.Zone, schedule.CapacityWithin(c.cache.Teams[job.Team], storage.Usage{}, job, n))
 	}
 	autoscale.CapToLimits(out, workHorizon, func(team int) autoscale.Limit {
 		t := c.cache.Teams[team]
@@ -92,11 +92,11 @@
 }
 
 func (c *Controller) zoneCapacity(now time.Time) *zoneCapacity {
-	r := &zoneCapacity{free: make([]float64, c.cache.Zones.Len()), canScaleOut: make([]bool, c.cache.Zones.Len())}
+	controllerZoneCapacity := &zoneCapacity{free: make([]float64, c.cache.Zones.Len()), canScaleOut: make([]bool, c.cache.Zones.Len())}
 	for i := range c.cache.Types {
 		for _, z := range c.cache.Types[i].Zones {
 			if p := (autoscale.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneUnreachable(z) {
-				r.canScaleOut[z] = true
+				controllerZoneCapacity.canScaleOut[z] = true
 			}
 		}
 	}
@@ -110,26 +110,26 @@
 				left -= p.Job.Size
 			}
 		}
-		r.free[m.Zone] += max(0, left)
+		controllerZoneCapacity.free[m.Zone] += max(0, left)
 	}
-	return r
+	return controllerZoneCapacity
 }
 
 // demandByZone tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
 // where it may have more and there is most. Room in a zone that has its half is of no use to it: services
 // waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneCapacity) demandByZone(c *Controller, j *storage.Job, now time.Time) []int {
+func (r *zoneCapacity) demandByZone(controller *Controller, job *storage.Job, now time.Time) []int {
 	need := make([]int, len(r.free))
 	in := make([]int, len(r.free))
-	for z, n := range j.ByZone {
-		if in[z] = int(n); !c.needsNoReplacement(z, now) {
+	for z, n := range job.ByZone {
+		if in[z] = int(n); !controller.needsNoReplacement(z, now) {
 			need[z] = int(n)
 		}
 	}
-	for range c.wantedTasks(j) {
+	for range controller.wantedTasks(job) {
 		best := -1
 		for z := range r.free {
-			if in[z] >= j.MaxPerZone() || c.zoneUnreachable(z) || r.free[z] < j.Size && !r.canScaleOut[z] {
+			if in[z] >= job.MaxPerZone() || controller.zoneUnreachable(z) || r.free[z] < job.Size && !r.canScaleOut[z] {
 				continue
 			}
 			if best < 0 || r.free[z] > r.free[best] {
@@ -141,7 +141,7 @@
 		}
 		in[best]++
 		need[best]++
-		r.free[best] -= j.Size
+		r.free[best] -= job.Size
 	}
 	return need
 }
@@ -150,7 +150,7 @@
 // be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
 // it each began with a boot once running services had been brought together on few machines.
 func (c *Controller) nextServices(now time.Time) (autoscale.Demand, bool) {
-	d := autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: 5}
+	demand := autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: 5}
 	work, gives := 0.0, 0.0
 	ahead := 0.0
 	for i := range c.cache.Types {
@@ -163,12 +163,12 @@
 		if age := now.Sub(j.Submitted); age < recentServices && age >= 0 {
 			work += float64(j.Tasks) * j.Size
 		}
-		if j.Size > d.Cpus {
-			d.Cpus, d.Gpus, d.Mem = j.Size, j.Gpus, j.Mem
+		if j.Size > demand.Cpus {
+			demand.Cpus, demand.Gpus, demand.Mem = j.Size, j.Gpus, j.Mem
 		}
 	}
 	if work == 0 {
-		return d, false
+		return demand, false
 	}
 	for _, m := range c.cache.Machines {
 		if m.Gone || m.Returning || m.Draining || m.Spot || c.zoneUnreachable(m.Zone) {
@@ -180,9 +180,9 @@
 			}
 		}
 	}
-	d.Tasks = int(math.Ceil((work*min(1, ahead/recentServices.Seconds()) - gives) / d.Cpus))
-	d.Work = 1e6 * float64(d.Tasks)
-	return d, d.Tasks > 0
+	demand.Tasks = int(math.Ceil((work*min(1, ahead/recentServices.Seconds()) - gives) / demand.Cpus))
+	demand.Work = 1e6 * float64(demand.Tasks)
+	return demand, demand.Tasks > 0
 }
 
 // recentServices is how far back services are counted that came.
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -72,9 +72,9 @@
 
 // capacityOf is how many CPUs a queue in order may count on: what it has, what is free, what its
 // first job may evict, and no less than its floor.
-func (in *Input) capacityOf(q *queue) float64 {
-	l, top := q.state(in), q.jobs[0].job.Priority.Top()
-	spot := slices.ContainsFunc(q.jobs, func(c *cursor) bool { return c.job.Spot })
+func (in *Input) capacityOf(scheduleQueue *queue) float64 {
+	queueState, top := scheduleQueue.state(in), scheduleQueue.jobs[0].job.Priority.Top()
+	spot := slices.ContainsFunc(scheduleQueue.jobs, func(c *cursor) bool { return c.job.Spot })
 	free := 0.0
 	for _, s := range in.Slots {
 		if s.Machine.Spot && !spot {
@@ -85,7 +85,7 @@
 			free += s.cpus(s.Preemptible)
 		}
 	}
-	return max(l.Used+free, l.Floor)
+	return max(queueState.Used+free, queueState.Floor)
 }
 
 // cpus is what is free of a slot, or evicted from it, in CPUs: no more of them than its accelerators stand for.
@@ -99,18 +99,18 @@
 // nextQueue is the queue whose first job starts next: of each team the queue that goes first in
 // it, and of those the one whose team goes first. A team's guarantee speaks for its first job, not
 // for a smaller one of a queue behind it.
-func nextQueue(in *Input, live []*queue, teams []int) int {
+func nextQueue(input *Input, live []*queue, teams []int) int {
 	for t := range teams {
 		teams[t] = -1
 	}
 	for i, q := range live {
-		if b := teams[q.class.Team]; b < 0 || firstInTeam(in, q, live[b]) {
+		if b := teams[q.class.Team]; b < 0 || firstInTeam(input, q, live[b]) {
 			teams[q.class.Team] = i
 		}
 	}
 	best := -1
 	for _, i := range teams {
-		if i >= 0 && (best < 0 || goesBefore(in, live[i], live[best])) {
+		if i >= 0 && (best < 0 || goesBefore(input, live[i], live[best])) {
 			best = i
 		}
 	}
@@ -143,19 +143,19 @@
 // goesBefore tells whether a team's first job goes before another team's: teams within their
 // guarantee, then higher priority, then, in a flood, queues that have less than their floors;
 // then the smaller dominant share.
-func goesBefore(in *Input, a, b *queue) bool {
-	ja, jb := a.jobs[0].job, b.jobs[0].job
-	ga, gb := WithinGuarantee(in.Teams[ja.Team], in.Used[ja.Team], ja), WithinGuarantee(in.Teams[jb.Team], in.Used[jb.Team], jb)
+func goesBefore(input *Input, scheduleQueue, b *queue) bool {
+	ja, jb := scheduleQueue.jobs[0].job, b.jobs[0].job
+	ga, gb := WithinGuarantee(input.Teams[ja.Team], input.Used[ja.Team], ja), WithinGuarantee(input.Teams[jb.Team], input.Used[jb.Team], jb)
 	if ga != gb {
 		return ga
 	}
 	if ja.Priority != jb.Priority {
 		return ja.Priority > jb.Priority
 	}
-	if c := compareFloors(in, a, b); c != 0 {
+	if c := compareFloors(input, scheduleQueue, b); c != 0 {
 		return c < 0
 	}
-	return DominantShare(in.Used[ja.Team], in.Capacity) < DominantShare(in.Used[jb.Team], in.Capacity)
+	return DominantShare(input.Used[ja.Team], input.Capacity) < DominantShare(input.Used[jb.Team], input.Capacity)
 }
 
 // queueOf finds the queue of a job's queue, or makes one.
--- a/internal/controller/schedule/earliest_start.go
+++ b/internal/controller/schedule/earliest_start.go
@@ -39,18 +39,18 @@
 }
 
 // together is what it costs, in seconds, that replicas of a service are on a slot's machine already.
-func together(c *cursor, s *Slot) float64 {
-	if !c.job.Spread {
+func together(scheduleCursor *cursor, slot *Slot) float64 {
+	if !scheduleCursor.job.Spread {
 		return 0
 	}
 	n := 0
-	for _, p := range s.Machine.Tasks {
-		if p.Job == c.job {
+	for _, p := range slot.Machine.Tasks {
+		if p.Job == scheduleCursor.job {
 			n++
 		}
 	}
-	for _, x := range c.took {
-		if x == s {
+	for _, x := range scheduleCursor.took {
+		if x == slot {
 			n++
 		}
 	}
@@ -61,31 +61,31 @@
 // for it, which has to fetch its image for longer, that it should wait: for a machine that comes up, or
 // as a top-priority job for room that it evicts where its image is. It claims the room there, so that
 // the next tasks look elsewhere; nil: nowhere.
-func (in *Input) sooner(c *cursor, free *Slot) *Slot {
-	j := c.job
-	least := free.fetches(j) - soonerBy
+func (in *Input) sooner(scheduleCursor *cursor, free *Slot) *Slot {
+	job := scheduleCursor.job
+	least := free.fetches(job) - soonerBy
 	if least <= 0 {
 		return nil
 	}
 	var best *Slot
 	look := func(s *Slot, at float64) bool {
-		return at < least && Allowed(j, s.Machine) && (!j.OneZone && !j.Spread || zoneAllows(in, c, s.Machine.Zone))
+		return at < least && Allowed(job, s.Machine) && (!job.OneZone && !job.Spread || zoneAllows(in, scheduleCursor, s.Machine.Zone))
 	}
 	for _, s := range in.Booting {
-		if at := s.BootS + s.fetches(j); look(s, at) && takes(s.Free, j) {
+		if at := s.BootS + s.fetches(job); look(s, at) && takes(s.Free, job) {
 			best, least = s, at
 		}
 	}
-	if in.MayPreempt != nil && in.MayPreempt(j) {
+	if in.MayPreempt != nil && in.MayPreempt(job) {
 		for _, s := range in.Slots {
-			at := evictSeconds + s.fetches(j)
+			at := evictSeconds + s.fetches(job)
 			if s.Record.Free <= 0 || !look(s, at) {
 				continue
 			}
-			room := FreeFor(s, j)
+			room := FreeFor(s, job)
 			room.Cpus, room.Gpus, room.Mem = room.Cpus+s.Preemptible.Cpus, room.Gpus+s.Preemptible.Gpus, room.Mem+s.Preemptible.Mem
 			// What an earlier set of the job's has freed there, or is about to free, is its own.
-			if takes(room, j) || s.reservedFor(j) > c.claims(s) {
+			if takes(room, job) || s.reservedFor(job) > scheduleCursor.claims(s) {
 				best, least = s, at
 			}
 		}
@@ -94,13 +94,13 @@
 		return nil
 	}
 	if best.BootS > 0 {
-		best.Free.Add(j, -1)
-		best.fetch(j)
+		best.Free.Add(job, -1)
+		best.fetch(job)
 	} else {
-		best.Preemptible.Add(j, -1)
+		best.Preemptible.Add(job, -1)
 	}
-	c.claimed = append(c.claimed, best)
-	c.inZone(best.Machine.Zone)
+	scheduleCursor.claimed = append(scheduleCursor.claimed, best)
+	scheduleCursor.inZone(best.Machine.Zone)
 	return best
 }
 
@@ -154,13 +154,13 @@
 // looked at if those before give too little room. Among machines alike the order of the candidates is kept.
 // Where no machine fetches it for long, the score alone decides: on the lifts with pipelines, whose work within guarantees evicts all day,
 // looking first at machines a few seconds nearer lost more than it gained.
-func PreemptSoonest(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
-	if !slices.ContainsFunc(slots, func(s *Slot) bool { return s.FetchGBs > 0 && j.ImageGB/s.FetchGBs > soonerBy }) {
-		return Preempt(j, n, slots, ordered)
+func PreemptSoonest(job *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+	if !slices.ContainsFunc(slots, func(s *Slot) bool { return s.FetchGBs > 0 && job.ImageGB/s.FetchGBs > soonerBy }) {
+		return Preempt(job, n, slots, ordered)
 	}
 	step := make(map[*Slot]int, len(slots))
 	for _, s := range slots {
-		step[s] = slices.IndexFunc(starts[:], func(most float64) bool { return s.fetches(j) <= most })
+		step[s] = slices.IndexFunc(starts[:], func(most float64) bool { return s.fetches(job) <= most })
 	}
 	sorted := slices.Clone(ordered)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
@@ -183,12 +183,12 @@
 		if len(near) == before {
 			continue
 		}
-		r := newFreeCapacity(j, near)
+		r := newFreeCapacity(job, near)
 		for _, c := range sorted {
 			r.release(c, 1)
 		}
 		if r.tasks() >= n || len(near) == len(slots) {
-			return Preempt(j, n, near, sorted)
+			return Preempt(job, n, near, sorted)
 		}
 	}
 	return nil
--- a/internal/controller/schedule/find.go
+++ b/internal/controller/schedule/find.go
@@ -72,38 +72,38 @@
 
 // close looks once at which records are being rewritten.
 func (s *search) close() *closed {
-	c := &closed{full: exhausted{in: s.in, held: s.full.held}}
+	scheduleClosed := &closed{full: exhausted{in: s.in, held: s.full.held}}
 	type alike struct {
 		ty, zone int
 		spot     bool
 	}
 	at := map[alike]int{}
-	for i, x := range s.in.Slots {
+	for i, slot := range s.in.Slots {
 		switch {
-		case x.Record.Free <= 0:
+		case slot.Record.Free <= 0:
 			continue
-		case x.Record.Touched:
-			c.open = append(c.open, int32(i))
+		case slot.Record.Touched:
+			scheduleClosed.open = append(scheduleClosed.open, int32(i))
 			continue
-		case len(x.Reservations) > 0:
-			c.kept = append(c.kept, int32(i))
+		case len(slot.Reservations) > 0:
+			scheduleClosed.kept = append(scheduleClosed.kept, int32(i))
 			continue
 		}
-		a := alike{x.Machine.Type, x.Machine.Zone, x.Machine.Spot}
-		k, ok := at[a]
+		scheduleAlike := alike{slot.Machine.Type, slot.Machine.Zone, slot.Machine.Spot}
+		k, ok := at[scheduleAlike]
 		if !ok {
-			k = len(c.rest)
-			at[a] = k
-			c.rest = append(c.rest, kind{m: x.Machine})
+			k = len(scheduleClosed.rest)
+			at[scheduleAlike] = k
+			scheduleClosed.rest = append(scheduleClosed.rest, kind{m: slot.Machine})
 		}
-		free := c.rest[k].free
-		if slices.ContainsFunc(free, func(f storage.Usage) bool { return within(x.Free, f) }) {
+		free := scheduleClosed.rest[k].free
+		if slices.ContainsFunc(free, func(f storage.Usage) bool { return within(slot.Free, f) }) {
 			continue
 		}
-		free = slices.DeleteFunc(free, func(f storage.Usage) bool { return within(f, x.Free) })
-		c.rest[k].free = append(free, x.Free)
+		free = slices.DeleteFunc(free, func(f storage.Usage) bool { return within(f, slot.Free) })
+		scheduleClosed.rest[k].free = append(free, slot.Free)
 	}
-	return c
+	return scheduleClosed
 }
 
 // elsewhere tells whether a job has room on a machine whose record may not be rewritten.
@@ -129,65 +129,65 @@
 
 // next finds the best slot for a job's next task. With none, bounded tells whether there is
 // one that only another record would reach.
-func (s *search) next(f *finder, c *cursor) (best *Slot, bounded bool) {
-	j := c.job
-	if s.full.covers(j) {
+func (s *search) next(scheduleFinder *finder, scheduleCursor *cursor) (best *Slot, bounded bool) {
+	job := scheduleCursor.job
+	if s.full.covers(job) {
 		return nil, false
 	}
-	if j.OneZone || j.Spread {
+	if job.OneZone || job.Spread {
 		s.scans++
-		return choose(s.in, c) // what a zone allows changes with every task
+		return choose(s.in, scheduleCursor) // what a zone allows changes with every task
 	}
-	if f.job != j {
-		s.begin(f, j)
+	if scheduleFinder.job != job {
+		s.begin(scheduleFinder, job)
 	}
-	for len(f.heap) > 0 {
-		o := f.heap[0]
+	for len(scheduleFinder.heap) > 0 {
+		o := scheduleFinder.heap[0]
 		x := s.in.Slots[o.slot]
 		if o.since == s.changes[o.slot] && x.Record.Free > 0 {
 			if x.Record.Touched || s.in.Records > 0 {
 				return x, false
 			}
-			f.bounded = true
+			scheduleFinder.bounded = true
 		}
-		f.pop()
+		scheduleFinder.pop()
 	}
-	if !f.bounded {
+	if !scheduleFinder.bounded {
 		if s.closed != nil {
-			s.closed.full.note(j)
+			s.closed.full.note(job)
 		}
-		s.full.note(j)
+		s.full.note(job)
 	} else if s.closed != nil {
-		s.closed.full.note(j)
+		s.closed.full.note(job)
 	}
-	return nil, f.bounded
+	return nil, scheduleFinder.bounded
 }
 
 // begin looks for all slots that a job's task could go to.
-func (s *search) begin(f *finder, j *storage.Job) {
-	*f = finder{job: j, heap: f.heap[:0]}
+func (s *search) begin(scheduleFinder *finder, job *storage.Job) {
+	*scheduleFinder = finder{job: job, heap: scheduleFinder.heap[:0]}
 	if s.in.Records > 0 {
 		s.scans++
 		for i, x := range s.in.Slots {
-			if suits(s.in, x, j) && x.Record.Free > 0 {
-				f.heap = append(f.heap, option{cost(s.in, x, j), int32(i), s.changes[i]})
+			if suits(s.in, x, job) && x.Record.Free > 0 {
+				scheduleFinder.heap = append(scheduleFinder.heap, option{cost(s.in, x, job), int32(i), s.changes[i]})
 			}
 		}
 	} else {
 		if s.closed == nil {
 			s.closed = s.close()
 		}
-		f.bounded = s.elsewhere(j)
-		if !s.closed.full.covers(j) {
+		scheduleFinder.bounded = s.elsewhere(job)
+		if !s.closed.full.covers(job) {
 			for _, i := range s.closed.open {
-				if x := s.in.Slots[i]; suits(s.in, x, j) && x.Record.Free > 0 {
-					f.heap = append(f.heap, option{cost(s.in, x, j), i, s.changes[i]})
+				if x := s.in.Slots[i]; suits(s.in, x, job) && x.Record.Free > 0 {
+					scheduleFinder.heap = append(scheduleFinder.heap, option{cost(s.in, x, job), i, s.changes[i]})
 				}
 			}
 		}
 	}
-	for i := len(f.heap)/2 - 1; i >= 0; i-- {
-		f.down(i)
+	for i := len(scheduleFinder.heap)/2 - 1; i >= 0; i-- {
+		scheduleFinder.down(i)
 	}
 }
 
@@ -238,18 +238,18 @@
 }
 
 // choose looks at all slots for the best one for a job's next task.
-func choose(in *Input, c *cursor) (slot *Slot, bounded bool) {
-	j := c.job
+func choose(input *Input, scheduleCursor *cursor) (slot *Slot, bounded bool) {
+	job := scheduleCursor.job
 	bestCost := math.Inf(1)
-	for _, s := range in.Slots {
-		if !suits(in, s, j) || ((j.OneZone || j.Spread) && !zoneAllows(in, c, s.Machine.Zone)) {
+	for _, s := range input.Slots {
+		if !suits(input, s, job) || ((job.OneZone || job.Spread) && !zoneAllows(input, scheduleCursor, s.Machine.Zone)) {
 			continue
 		}
-		if (!s.Record.Touched && in.Records <= 0) || s.Record.Free <= 0 {
+		if (!s.Record.Touched && input.Records <= 0) || s.Record.Free <= 0 {
 			bounded = bounded || s.Record.Free > 0
 			continue
 		}
-		if cost := cost(in, s, j) + together(c, s); cost < bestCost {
+		if cost := cost(input, s, job) + together(scheduleCursor, s); cost < bestCost {
 			slot, bestCost = s, cost
 		}
 	}
--- a/internal/controller/schedule/find_test.go
+++ b/internal/controller/schedule/find_test.go
@@ -15,35 +15,35 @@
 )
 
 // placeByLooking places as Place does, with a look at every slot for every task.
-func placeByLooking(in *Input) (placed []string, short map[string]int, more bool) {
+func placeByLooking(input *Input) (placed []string, short map[string]int, more bool) {
 	short = map[string]int{}
-	live := queues(in)
-	for len(live) > 0 && len(placed) < in.Tasks {
-		best := nextQueue(in, live, make([]int, len(in.Teams)))
-		q := live[best]
-		c := q.jobs[0]
+	live := queues(input)
+	for len(live) > 0 && len(placed) < input.Tasks {
+		best := nextQueue(input, live, make([]int, len(input.Teams)))
+		queue := live[best]
+		cursor := queue.jobs[0]
 		var slot *Slot
 		bounded := false
-		within := WithinLimit(in.Teams[c.job.Team], in.Used[c.job.Team], c.job, 1)
+		within := WithinLimit(input.Teams[cursor.job.Team], input.Used[cursor.job.Team], cursor.job, 1)
 		if within {
-			slot, bounded = choose(in, c)
+			slot, bounded = choose(input, cursor)
 		}
 		switch {
 		case slot != nil:
-			take(in, c, slot)
-			placed = append(placed, fmt.Sprintf("%s/%d on %s", c.job.ID, c.next, slot.Machine.Name))
-			c.left--
-			c.next = c.job.NextWaiting(c.next + 1)
+			take(input, cursor, slot)
+			placed = append(placed, fmt.Sprintf("%s/%d on %s", cursor.job.ID, cursor.next, slot.Machine.Name))
+			cursor.left--
+			cursor.next = cursor.job.NextWaiting(cursor.next + 1)
 		case bounded:
-			more, c.left = true, 0
+			more, cursor.left = true, 0
 		default:
 			if within {
-				short[c.job.ID] = c.left
+				short[cursor.job.ID] = cursor.left
 			}
-			c.left = 0
+			cursor.left = 0
 		}
-		if c.left == 0 || c.next < 0 {
-			if q.jobs = q.jobs[1:]; len(q.jobs) == 0 {
+		if cursor.left == 0 || cursor.next < 0 {
+			if queue.jobs = queue.jobs[1:]; len(queue.jobs) == 0 {
 				live = slices.Delete(live, best, best+1)
 			}
 		}
@@ -59,15 +59,15 @@
 		at++
 		return int(bits[at%len(bits)]+uint16(at*7)) % n
 	}
-	in := &Input{Now: time.Unix(2000, 0), Records: draw(4), Tasks: 1 + draw(40), OnDemandWeight: float64(draw(3))}
+	input := &Input{Now: time.Unix(2000, 0), Records: draw(4), Tasks: 1 + draw(40), OnDemandWeight: float64(draw(3))}
 	for range 1 + draw(3) {
-		in.Teams = append(in.Teams, config.Team{Cpus: float64(draw(3) * 8), CpusMax: float64(draw(2) * 40)})
-		in.Used = append(in.Used, storage.Usage{Cpus: float64(draw(12))})
+		input.Teams = append(input.Teams, config.Team{Cpus: float64(draw(3) * 8), CpusMax: float64(draw(2) * 40)})
+		input.Used = append(input.Used, storage.Usage{Cpus: float64(draw(12))})
 	}
 	var jobs []*storage.Job
 	for i := range 1 + draw(14) {
 		jobs = append(jobs, job(fmt.Sprintf("j%02d", i), 1+draw(7), float64(1+draw(9)), protocol.Priority(draw(4)), func(j *storage.Job) {
-			j.Team, j.Class, j.Spot, j.Zone = draw(len(in.Teams)), draw(3), draw(3) > 0, draw(4)-1
+			j.Team, j.Class, j.Spot, j.Zone = draw(len(input.Teams)), draw(3), draw(3) > 0, draw(4)-1
 			j.Image, j.ImageGB, j.Estimate = draw(4), float64(1+draw(3)), float64(5+draw(200))
 			j.OneZone, j.Spread = draw(8) == 0, draw(8) == 0
 			if j.Zone > 2 || draw(2) > 0 {
@@ -78,13 +78,13 @@
 			}
 		}))
 	}
-	in.Jobs = jobs
+	input.Jobs = jobs
 	var racks []*GroupCapacity
 	for range 1 + draw(5) {
 		racks = append(racks, &GroupCapacity{Touched: draw(4) == 0, Free: draw(12)})
 	}
 	for i := range 1 + draw(20) {
-		in.Slots = append(in.Slots, slot(fmt.Sprintf("m%02d", i), draw(3), float64(draw(17)), func(s *Slot) {
+		input.Slots = append(input.Slots, slot(fmt.Sprintf("m%02d", i), draw(3), float64(draw(17)), func(s *Slot) {
 			s.Machine.Spot, s.Machine.Type, s.Record = draw(2) > 0, draw(2), racks[draw(len(racks))]
 			s.Images, s.FetchingImages, s.FetchDoneS, s.Risk, s.Rank = []int{draw(4)}, []int{draw(4)}, float64(draw(3)), float64(draw(2)), float64(i)/100
 			if draw(6) == 0 {
@@ -92,19 +92,19 @@
 			}
 		}))
 	}
-	in.Overloaded, in.Queues = draw(2) > 0, make(QueueStates, storage.ClassQueueCount(len(in.Teams)))
+	input.Overloaded, input.Queues = draw(2) > 0, make(QueueStates, storage.ClassQueueCount(len(input.Teams)))
 	for _, j := range jobs {
-		if x := storage.ClassQueueOf(j); draw(3) > 0 && in.Queues.At(x) == nil {
-			*in.Queues.Ensure(x) = QueueState{Baseline: float64(draw(14)), Floor: float64(draw(20)), Used: float64(draw(20)), Overloaded: draw(2) > 0, LeavesOnDemand: draw(3) == 0}
+		if x := storage.ClassQueueOf(j); draw(3) > 0 && input.Queues.At(x) == nil {
+			*input.Queues.Ensure(x) = QueueState{Baseline: float64(draw(14)), Floor: float64(draw(20)), Used: float64(draw(20)), Overloaded: draw(2) > 0, LeavesOnDemand: draw(3) == 0}
 		}
 	}
-	in.TimeAllowed = func(j *storage.Job) (time.Duration, bool) {
+	input.TimeAllowed = func(j *storage.Job) (time.Duration, bool) {
 		n := int(j.Estimate) + len(j.ID) + j.Tasks
 		return time.Duration(n%3) * 500 * time.Second, n%7 == 0
 	}
-	in.Overdue = func(j *storage.Job) bool { return j.Tasks%5 == 0 }
-	in.Capacity = storage.Usage{Cpus: 320, Mem: 1280}
-	return in
+	input.Overdue = func(j *storage.Job) bool { return j.Tasks%5 == 0 }
+	input.Capacity = storage.Usage{Cpus: 320, Mem: 1280}
+	return input
 }
 
 // drawAlike has rapid make the same draws every time.
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -49,13 +49,13 @@
 
 // aim works out when a job should have started in order to meet its aim, and what is left
 // of it.
-func (c *cursor) aim(in *Input) {
-	j := c.job
+func (c *cursor) aim(input *Input) {
+	job := c.job
 	allow, late := time.Duration(0), false
-	if in.TimeAllowed != nil {
-		allow, late = in.TimeAllowed(j)
+	if input.TimeAllowed != nil {
+		allow, late = input.TimeAllowed(job)
 	}
-	c.work = workOf(j, c.left)
+	c.work = workOf(job, c.left)
 	c.urgency, c.due = inTime, time.Time{}
 	switch {
 	case allow == 0:
@@ -63,10 +63,10 @@
 	case late:
 		c.urgency = behind
 	default:
-		c.due = j.ReadyAt.Add(allow)
+		c.due = job.ReadyAt.Add(allow)
 	}
-	back := smallFirst * workOf(j, j.Tasks-j.DoneCount) / max(in.Capacity.Cpus, 1)
-	c.starts = j.ReadyAt.Add(allow + time.Duration((back-j.Estimate)*float64(time.Second)))
+	back := smallFirst * workOf(job, job.Tasks-job.DoneCount) / max(input.Capacity.Cpus, 1)
+	c.starts = job.ReadyAt.Add(allow + time.Duration((back-job.Estimate)*float64(time.Second)))
 }
 
 // order sorts a queue's jobs, by their latest starts as long as it does not flood. Where more
@@ -74,9 +74,9 @@
 // other: then the largest step behind until the others can be in time (Moore and Hodgson's
 // rule, which leaves the fewest late on one machine; here the queue's room is taken for one
 // machine that is as fast).
-func (q *queue) order(in *Input) {
-	l := q.state(in)
-	if !in.Overloaded || l == nil || !l.Overloaded {
+func (q *queue) order(input *Input) {
+	queueState := q.state(input)
+	if !input.Overloaded || queueState == nil || !queueState.Overloaded {
 		for _, c := range q.jobs {
 			c.urgency = inTime
 		}
@@ -84,22 +84,22 @@
 		return
 	}
 	slices.SortStableFunc(q.jobs, first)
-	room := in.capacityOf(q)
+	room := input.capacityOf(q)
 	for from := 0; from < len(q.jobs); {
 		to := from + 1
 		for to < len(q.jobs) && q.jobs[to].job.Priority == q.jobs[from].job.Priority {
 			to++
 		}
-		if triage(in.Now, q.jobs[from:to], room) {
+		if triage(input.Now, q.jobs[from:to], room) {
 			slices.SortStableFunc(q.jobs[from:to], first)
 		}
 		from = to
 	}
 	// However large it is, a job begins: one task costs the others next to nothing.
-	if in.MustBegin != nil {
+	if input.MustBegin != nil {
 		some := false
 		for _, c := range q.jobs {
-			if c.urgency == behind && in.MustBegin(c.job) {
+			if c.urgency == behind && input.MustBegin(c.job) {
 				c.urgency, c.left, some = begins, 1, true
 			}
 		}
@@ -107,14 +107,14 @@
 			slices.SortStableFunc(q.jobs, first)
 		}
 	}
-	if in.Overdue == nil {
+	if input.Overdue == nil {
 		return
 	}
 	// What has waited far too long has its turn too, the oldest first, in a part of the room.
 	var old []*cursor
-	left := lateFraction*room - l.Late
+	left := lateFraction*room - queueState.Late
 	for _, c := range q.jobs {
-		if c.urgency == behind && left > 0 && in.Overdue(c.job) {
+		if c.urgency == behind && left > 0 && input.Overdue(c.job) {
 			old = append(old, c)
 		}
 	}
--- a/internal/controller/schedule/order_test.go
+++ b/internal/controller/schedule/order_test.go
@@ -42,24 +42,24 @@
 		{"one that never began goes first, with one task", 8, 2, []one{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			in := &Input{Now: now, Capacity: storage.Usage{Cpus: 1000}, Queues: QueueStates{{Late: x.held, Overloaded: true, Used: x.room}}, Overloaded: true,
+			input := &Input{Now: now, Capacity: storage.Usage{Cpus: 1000}, Queues: QueueStates{{Late: x.held, Overloaded: true, Used: x.room}}, Overloaded: true,
 				Overdue: func(j *storage.Job) bool { return now.Sub(j.ReadyAt) > 600*time.Second }}
 			lates := map[*storage.Job]bool{}
-			in.MustBegin = func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") }
-			in.TimeAllowed = func(j *storage.Job) (time.Duration, bool) { return 60 * time.Second, lates[j] }
-			q := &queue{}
+			input.MustBegin = func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") }
+			input.TimeAllowed = func(j *storage.Job) (time.Duration, bool) { return 60 * time.Second, lates[j] }
+			scheduleQueue := &queue{}
 			for _, y := range x.jobs {
 				j := job(y.id, y.tasks, 1, protocol.Normal)
 				j.ReadyAt, j.Estimate, lates[j] = now.Add(-time.Duration(y.age*float64(time.Second))), 10, y.late
 				c := &cursor{job: j, left: y.tasks}
-				c.aim(in)
-				q.jobs = append(q.jobs, c)
+				c.aim(input)
+				scheduleQueue.jobs = append(scheduleQueue.jobs, c)
 			}
-			q.order(in)
+			scheduleQueue.order(input)
 			var got []string
-			for _, c := range q.jobs {
+			for _, c := range scheduleQueue.jobs {
 				got = append(got, c.job.ID)
-				if in.MustBegin(c.job) && c.left != 1 {
+				if input.MustBegin(c.job) && c.left != 1 {
 					t.Errorf("%d tasks of %s go first, want 1", c.left, c.job.ID)
 				}
 			}
@@ -140,44 +140,44 @@
 		}
 		return true
 	})
-	in := p.in
-	in.Now, in.Jobs, in.Slots, in.Records, in.Tasks = time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second))), in.Jobs[:0], p.slots, 999, 9999
-	in.Queues, in.Overloaded, in.Capacity = make(QueueStates, storage.ClassQueueCount(len(in.Teams))), false, storage.Usage{Cpus: 16 * float64(len(p.slots)), Mem: 1e9}
+	input := p.in
+	input.Now, input.Jobs, input.Slots, input.Records, input.Tasks = time.Unix(0, 0).Add(time.Duration(p.now*float64(time.Second))), input.Jobs[:0], p.slots, 999, 9999
+	input.Queues, input.Overloaded, input.Capacity = make(QueueStates, storage.ClassQueueCount(len(input.Teams))), false, storage.Usage{Cpus: 16 * float64(len(p.slots)), Mem: 1e9}
 	for _, s := range p.slots {
 		*s.Record = GroupCapacity{Free: 100}
 	}
 	for x, u := range p.baseline {
-		*in.Queues.Ensure(x) = QueueState{Baseline: u, Floor: 1.5 * u}
+		*input.Queues.Ensure(x) = QueueState{Baseline: u, Floor: 1.5 * u}
 	}
 	var waits []WaitingWork
 	for _, j := range p.jobs {
 		if !j.Open() {
 			continue
 		}
-		in.Jobs = append(in.Jobs, j)
-		l := in.Queues.At(storage.ClassQueueOf(j))
+		input.Jobs = append(input.Jobs, j)
+		l := input.Queues.At(storage.ClassQueueOf(j))
 		l.Used += float64(j.PlacedCount) * j.Cpus
 		l.Open += float64(j.PlacedCount+j.Waiting()) * j.Cpus
-		allow, late := in.TimeAllowed(j)
-		if w, ok := WaitingWorkOf(in.Now, j, j.Waiting(), allow, late); ok && j.Waiting() > 0 {
+		allow, late := input.TimeAllowed(j)
+		if w, ok := WaitingWorkOf(input.Now, j, j.Waiting(), allow, late); ok && j.Waiting() > 0 {
 			waits = append(waits, w)
 		}
 	}
 	for x, u := range p.baseline {
-		l := in.Queues.At(x)
+		l := input.Queues.At(x)
 		l.Overloaded = l.Open > 3*u
-		in.Overloaded = in.Overloaded || l.Overloaded
+		input.Overloaded = input.Overloaded || l.Overloaded
 	}
-	in.Used = make([]storage.Usage, len(in.Teams))
+	input.Used = make([]storage.Usage, len(input.Teams))
 	busy := 0.0
 	for _, x := range p.running {
-		in.Used[x.job.Team].Add(x.job, 1)
+		input.Used[x.job.Team].Add(x.job, 1)
 		busy += (x.ends - p.now) * x.job.Cpus
 	}
-	load := LoadFactor(waits, Capacity{All: in.Capacity.Cpus, OnDemand: in.Capacity.Cpus, Busy: busy / in.Capacity.Cpus})
-	in.Overloaded = in.Overloaded && (p.over || load > OverloadFactor)
-	p.over = in.Overloaded
-	for _, x := range Place(in).Placed { // Place itself counts what it places in the room and the use only
+	load := LoadFactor(waits, Capacity{All: input.Capacity.Cpus, OnDemand: input.Capacity.Cpus, Busy: busy / input.Capacity.Cpus})
+	input.Overloaded = input.Overloaded && (p.over || load > OverloadFactor)
+	p.over = input.Overloaded
+	for _, x := range Place(input).Placed { // Place itself counts what it places in the room and the use only
 		x.Job.MachineOf[x.Task] = 0
 		x.Job.PlacedCount++
 		p.running = append(p.running, runningTask{x.Job, x.Task, x.Slot, p.now + 1 + p.runs[x.Job]})
@@ -234,24 +234,24 @@
 	drawAlike(t, "11", "20")
 	worst, least, all, plays := 1.0, 1.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := &overloadPlayer{r: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), runs: map[*storage.Job]float64{}, ended: map[*storage.Job]float64{},
+		scheduleOverloadPlayer := &overloadPlayer{r: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), runs: map[*storage.Job]float64{}, ended: map[*storage.Job]float64{},
 			baseline: map[storage.ClassQueue]float64{}}
 		teams, machines := rapid.IntRange(1, 3).Draw(t, "teams"), rapid.IntRange(18, 36).Draw(t, "machines")
 		factor := rapid.IntRange(4, 20).Draw(t, "factor")
 		lost := rapid.IntRange(0, machines/3).Draw(t, "lost")
-		p.in = &Input{Teams: make([]config.Team, teams), TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
+		scheduleOverloadPlayer.in = &Input{Teams: make([]config.Team, teams), TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
 			d := time.Duration(playAim * float64(time.Second))
-			if p.in.Now.Sub(j.ReadyAt).Seconds()+j.Estimate > playAim {
+			if scheduleOverloadPlayer.in.Now.Sub(j.ReadyAt).Seconds()+j.Estimate > playAim {
 				return d * 3 / 2, true
 			}
 			return d, false
 		}}
 		for i := range machines {
-			p.slots = append(p.slots, slot(fmt.Sprint("m", i), 0, 16))
+			scheduleOverloadPlayer.slots = append(scheduleOverloadPlayer.slots, slot(fmt.Sprint("m", i), 0, 16))
 		}
 		var lanes []storage.ClassQueue
 		for team := range teams {
-			for class := range 1 + p.r.IntN(3) {
+			for class := range 1 + scheduleOverloadPlayer.r.IntN(3) {
 				lanes = append(lanes, storage.ClassQueue{Team: team, Class: class})
 			}
 		}
@@ -260,30 +260,30 @@
 		}
 		const each = 5 * 2 * 4 * 2.3 // work of a job on average
 		for _, x := range lanes {
-			p.baseline[x] = 0.5 * 16 * float64(machines-lost) / float64(len(lanes)) * (0.6 + 0.4*p.r.Float64())
+			scheduleOverloadPlayer.baseline[x] = 0.5 * 16 * float64(machines-lost) / float64(len(lanes)) * (0.6 + 0.4*scheduleOverloadPlayer.r.Float64())
 		}
-		hot := lanes[p.r.IntN(len(lanes))]
+		hot := lanes[scheduleOverloadPlayer.r.IntN(len(lanes))]
 		const begins, ends, over = 60, 240, 300
 		for s := range over {
 			for _, x := range lanes {
-				rate := p.baseline[x] / each
+				rate := scheduleOverloadPlayer.baseline[x] / each
 				if x == hot && s >= begins && s < ends {
 					rate *= float64(factor)
 				}
-				for rate > p.r.Float64() {
-					p.submit(x)
+				for rate > scheduleOverloadPlayer.r.Float64() {
+					scheduleOverloadPlayer.submit(x)
 					rate--
 				}
 			}
 			if s == begins+40 {
-				p.lose(lost)
+				scheduleOverloadPlayer.lose(lost)
 			}
-			p.second()
+			scheduleOverloadPlayer.second()
 			if s%60 != 59 || s < 2*playAim {
 				continue
 			}
 			for _, x := range lanes {
-				part, n := p.inTime(p.old(x, begins))
+				part, n := scheduleOverloadPlayer.inTime(scheduleOverloadPlayer.old(x, begins))
 				if x != hot && n >= 10 {
 					worst = min(worst, part)
 					if part < 0.8 {
@@ -292,14 +292,14 @@
 				}
 			}
 		}
-		part, _ := p.inTime(p.old(hot, begins))
+		part, _ := scheduleOverloadPlayer.inTime(scheduleOverloadPlayer.old(hot, begins))
 		others := 0.0
-		for x, u := range p.baseline {
+		for x, u := range scheduleOverloadPlayer.baseline {
 			if x != hot {
 				others += u
 			}
 		}
-		best := p.bound(p.old(hot, begins), (16*float64(machines)-others)*(p.now-begins))
+		best := scheduleOverloadPlayer.bound(scheduleOverloadPlayer.old(hot, begins), (16*float64(machines)-others)*(scheduleOverloadPlayer.now-begins))
 		least = min(least, part/best)
 		all, plays = all+part/best, plays+1
 		if part < 0.4*best {
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -124,79 +124,79 @@
 }
 
 // queues puts what waits into the queues of its queues, in order.
-func queues(in *Input) []*queue {
-	if in.Scratch == nil {
-		in.Scratch = &Scratch{}
+func queues(input *Input) []*queue {
+	if input.Scratch == nil {
+		input.Scratch = &Scratch{}
 	}
-	cursors := slices.Grow(in.Scratch.cursors[:0], len(in.Jobs)) // none is moved while the pass lasts
-	in.Scratch.cursors = cursors
+	cursors := slices.Grow(input.Scratch.cursors[:0], len(input.Jobs)) // none is moved while the pass lasts
+	input.Scratch.cursors = cursors
 	var live []*queue
-	for _, j := range in.Jobs {
-		if j.Waiting() == 0 || (in.Hold != nil && in.Hold(j)) {
+	for _, job := range input.Jobs {
+		if job.Waiting() == 0 || (input.Hold != nil && input.Hold(job)) {
 			continue
 		}
 		var q *queue
-		live, q = queueOf(live, j)
-		left := j.Waiting()
-		if in.MaxTasks != nil {
-			left = min(left, in.MaxTasks(j))
+		live, q = queueOf(live, job)
+		left := job.Waiting()
+		if input.MaxTasks != nil {
+			left = min(left, input.MaxTasks(job))
 		}
-		cursors = append(cursors, cursor{job: j, next: j.NextWaiting(0), left: left})
+		cursors = append(cursors, cursor{job: job, next: job.NextWaiting(0), left: left})
 		c := &cursors[len(cursors)-1]
-		c.aim(in)
+		c.aim(input)
 		q.jobs = append(q.jobs, c)
 	}
 	for _, q := range live {
-		q.order(in)
+		q.order(input)
 	}
 	return live
 }
 
 // Place decides which waiting tasks start where.
-func Place(in *Input) Result {
+func Place(input *Input) Result {
 	res := Result{Short: map[*storage.Job]int{}}
-	live := queues(in)
-	find := newSearch(in)
-	teams := make([]int, len(in.Teams))
-	for len(live) > 0 && len(res.Placed) < in.Tasks {
-		best := nextQueue(in, live, teams)
-		q := live[best]
-		c := q.jobs[0]
+	live := queues(input)
+	find := newSearch(input)
+	teams := make([]int, len(input.Teams))
+	for len(live) > 0 && len(res.Placed) < input.Tasks {
+		best := nextQueue(input, live, teams)
+		queue := live[best]
+		cursor := queue.jobs[0]
 		var slot *Slot
 		var bounded bool
-		within := WithinLimit(in.Teams[c.job.Team], in.Used[c.job.Team], c.job, 1)
+		within := WithinLimit(input.Teams[cursor.job.Team], input.Used[cursor.job.Team], cursor.job, 1)
 		if within {
-			slot, bounded = find.next(&q.find, c)
+			slot, bounded = find.next(&queue.find, cursor)
 		}
 		var waits *Slot
 		if slot != nil {
-			waits = in.sooner(c, slot)
+			waits = input.sooner(cursor, slot)
 		}
 		switch {
 		case waits != nil:
 			if waits.BootS == 0 {
-				res.Short[c.job]++
+				res.Short[cursor.job]++
 			}
-			c.left--
-			c.next = c.job.NextWaiting(c.next + 1)
+			cursor.left--
+			cursor.next = cursor.job.NextWaiting(cursor.next + 1)
 		case slot != nil:
-			take(in, c, slot)
+			take(input, cursor, slot)
 			find.taken(slot, live)
-			res.Placed = append(res.Placed, Placement{c.job, c.next, slot})
-			c.left--
-			c.next = c.job.NextWaiting(c.next + 1)
+			res.Placed = append(res.Placed, Placement{cursor.job, cursor.next, slot})
+			cursor.left--
+			cursor.next = cursor.job.NextWaiting(cursor.next + 1)
 		case bounded:
 			res.More = true
-			c.left = 0
+			cursor.left = 0
 		default:
 			if within {
-				res.Short[c.job] += c.left
+				res.Short[cursor.job] += cursor.left
 			}
-			c.left = 0
+			cursor.left = 0
 		}
-		if c.left == 0 || c.next < 0 {
-			q.jobs = q.jobs[1:]
-			if len(q.jobs) == 0 {
+		if cursor.left == 0 || cursor.next < 0 {
+			queue.jobs = queue.jobs[1:]
+			if len(queue.jobs) == 0 {
 				live = slices.Delete(live, best, best+1)
 			}
 		}
@@ -288,36 +288,36 @@
 	return n
 }
 
-func zoneAllows(in *Input, c *cursor, z int) bool {
-	j := c.job
-	if j.OneZone {
+func zoneAllows(input *Input, scheduleCursor *cursor, z int) bool {
+	job := scheduleCursor.job
+	if job.OneZone {
 		total := 0
-		for i := range max(len(j.ByZone), len(c.placed)) {
-			if n := inZone(c, i); n > 0 && i != z {
+		for i := range max(len(job.ByZone), len(scheduleCursor.placed)) {
+			if n := inZone(scheduleCursor, i); n > 0 && i != z {
 				return false
 			} else {
 				total += n
 			}
 		}
-		if total == 0 && z != roomiest(in, j) {
+		if total == 0 && z != roomiest(input, job) {
 			return false
 		}
 	}
-	return !j.Spread || inZone(c, z)+1 <= j.MaxPerZone()
+	return !job.Spread || inZone(scheduleCursor, z)+1 <= job.MaxPerZone()
 }
 
 // roomiest is the zone with room for the most tasks of a job.
-func roomiest(in *Input, j *storage.Job) int {
+func roomiest(input *Input, job *storage.Job) int {
 	var room []int
 	best := -1
-	for _, s := range in.Slots {
-		if !Allowed(j, s.Machine) {
+	for _, s := range input.Slots {
+		if !Allowed(job, s.Machine) {
 			continue
 		}
 		for len(room) <= s.Machine.Zone {
 			room = append(room, 0)
 		}
-		room[s.Machine.Zone] += Fits(FreeFor(s, j), j)
+		room[s.Machine.Zone] += Fits(FreeFor(s, job), job)
 		if best < 0 || room[s.Machine.Zone] > room[best] {
 			best = s.Machine.Zone
 		}
@@ -357,31 +357,31 @@
 
 // cost is what a placement costs in seconds: the fetch with those already
 // waiting, the machine's risk, and little things that only break ties.
-func cost(in *Input, s *Slot, j *storage.Job) float64 {
-	c := s.Risk
-	c += s.fetches(j)
+func cost(input *Input, slot *Slot, job *storage.Job) float64 {
+	c := slot.Risk
+	c += slot.fetches(job)
 	switch {
-	case j.Spot && !j.FinishBy.IsZero():
+	case job.Spot && !job.FinishBy.IsZero():
 		// A task that is lost and runs again delays all that waits for it: there is a
 		// deadline behind it, which leaves no time for that.
-		if s.Machine.Spot {
+		if slot.Machine.Spot {
 			c += awaitedOnSpot
 		}
-	case j.Spot && !s.Machine.Spot:
-		c += in.OnDemandWeight // ordinary machines are left to those that need them
+	case job.Spot && !slot.Machine.Spot:
+		c += input.OnDemandWeight // ordinary machines are left to those that need them
 	}
-	if loss := spotLoss(j); j.Spot && loss >= fragileFrom {
+	if loss := spotLoss(job); job.Spot && loss >= fragileFrom {
 		// They part over the spot machines, but are not driven to others by that:
 		// there they are in the way of work that evicts them.
-		if s.Machine.Spot {
-			c += min(fragileMost, loss*float64(s.Fragile)/fragileTogether)
+		if slot.Machine.Spot {
+			c += min(fragileMost, loss*float64(slot.Fragile)/fragileTogether)
 		} else {
 			c += fragileMost
 		}
 	}
 	// In a fixed order, the cheap ones first: as work gets less, it leaves whole
 	// dear machines empty, which can then be returned.
-	c += packSeconds * s.Rank
+	c += packSeconds * slot.Rank
 	return c
 }
 
@@ -414,25 +414,25 @@
 	}
 }
 
-func take(in *Input, c *cursor, s *Slot) {
-	j := c.job
-	s.Free.Add(j, -1)
-	s.AddFragile(j)
-	for i := range s.Reservations {
-		if s.Reservations[i].Job == j && s.Reservations[i].Slots > 0 {
-			s.Reservations[i].Slots--
+func take(input *Input, scheduleCursor *cursor, slot *Slot) {
+	job := scheduleCursor.job
+	slot.Free.Add(job, -1)
+	slot.AddFragile(job)
+	for i := range slot.Reservations {
+		if slot.Reservations[i].Job == job && slot.Reservations[i].Slots > 0 {
+			slot.Reservations[i].Slots--
 		}
 	}
-	s.fetch(j)
-	c.took = append(c.took, s)
-	s.Record.Free--
-	if !s.Record.Touched {
-		s.Record.Touched = true
-		in.Records--
+	slot.fetch(job)
+	scheduleCursor.took = append(scheduleCursor.took, slot)
+	slot.Record.Free--
+	if !slot.Record.Touched {
+		slot.Record.Touched = true
+		input.Records--
 	}
-	c.inZone(s.Machine.Zone)
-	in.Used[j.Team].Add(j, 1)
-	if l := in.Queues.At(storage.ClassQueueOf(j)); l != nil {
-		l.Used += j.Size
+	scheduleCursor.inZone(slot.Machine.Zone)
+	input.Used[job.Team].Add(job, 1)
+	if l := input.Queues.At(storage.ClassQueueOf(job)); l != nil {
+		l.Used += job.Size
 	}
 }
