--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -54,37 +54,37 @@
 // slots, then drops evictions that turned out unneeded. It returns nil when all
 // of them would not make room for a single task more than fits now; when they
 // make room for fewer than n, it takes what they make (the job waits for the rest).
-func Preempt(j *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
-	r := newFreeCapacity(j, slots)
-	before := r.tasks()
+func Preempt(job *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+	freeCapacity := newFreeCapacity(job, slots)
+	before := freeCapacity.tasks()
 	for _, c := range ordered {
-		r.release(c, 1)
+		freeCapacity.release(c, 1)
 	}
-	n = min(n, r.tasks())
+	n = min(n, freeCapacity.tasks())
 	if n <= before {
 		return nil
 	}
 	for _, c := range ordered {
-		r.release(c, -1)
+		freeCapacity.release(c, -1)
 	}
 	var chosen []Candidate
 	for _, c := range ordered {
-		if !r.touches(c) {
+		if !freeCapacity.touches(c) {
 			continue
 		}
-		r.release(c, 1)
+		freeCapacity.release(c, 1)
 		chosen = append(chosen, c)
-		if r.tasks() >= n {
+		if freeCapacity.tasks() >= n {
 			break
 		}
 	}
 	keep := chosen[:0]
 	for i := len(chosen) - 1; i >= 0; i-- { // the highest score first
-		r.release(chosen[i], -1)
-		if r.tasks() >= n {
+		freeCapacity.release(chosen[i], -1)
+		if freeCapacity.tasks() >= n {
 			chosen[i].Victims = nil
 		} else {
-			r.release(chosen[i], 1)
+			freeCapacity.release(chosen[i], 1)
 		}
 	}
 	for _, c := range chosen {
@@ -103,20 +103,20 @@
 	zones []int                   // tasks that fit, by zone
 }
 
-func newFreeCapacity(j *storage.Job, slots []*Slot) *freeCapacity {
-	r := &freeCapacity{job: j, free: make(map[*Slot]storage.Usage, len(slots))}
+func newFreeCapacity(job *storage.Job, slots []*Slot) *freeCapacity {
+	scheduleFreeCapacity := &freeCapacity{job: job, free: make(map[*Slot]storage.Usage, len(slots))}
 	for _, s := range slots {
-		if !Allowed(j, s.Machine) {
+		if !Allowed(job, s.Machine) {
 			continue
 		}
-		for len(r.zones) <= s.Machine.Zone {
-			r.zones = append(r.zones, 0)
+		for len(scheduleFreeCapacity.zones) <= s.Machine.Zone {
+			scheduleFreeCapacity.zones = append(scheduleFreeCapacity.zones, 0)
 		}
-		f := FreeFor(s, j)
-		r.free[s] = f
-		r.zones[s.Machine.Zone] += Fits(f, j)
+		f := FreeFor(s, job)
+		scheduleFreeCapacity.free[s] = f
+		scheduleFreeCapacity.zones[s.Machine.Zone] += Fits(f, job)
 	}
-	return r
+	return scheduleFreeCapacity
 }
 
 func (r *freeCapacity) touches(c Candidate) bool {
@@ -140,21 +140,21 @@
 
 // tasks is how many tasks of the job the free room takes, its zones considered.
 func (r *freeCapacity) tasks() int {
-	j := r.job
+	job := r.job
 	total := 0
 	for z, n := range r.zones {
 		have := 0
-		if z < len(j.ByZone) {
-			have = int(j.ByZone[z])
+		if z < len(job.ByZone) {
+			have = int(job.ByZone[z])
 		}
 		switch {
-		case j.OneZone && j.PlacedCount > 0 && have == 0:
+		case job.OneZone && job.PlacedCount > 0 && have == 0:
 			continue
-		case j.OneZone:
+		case job.OneZone:
 			total = max(total, n)
 			continue
-		case j.Spread:
-			n = min(n, max(0, j.MaxPerZone()-have))
+		case job.Spread:
+			n = min(n, max(0, job.MaxPerZone()-have))
 		}
 		total += n
 	}
--- a/internal/controller/schedule/schedule_test.go
+++ b/internal/controller/schedule/schedule_test.go
@@ -151,7 +151,7 @@
 }
 
 func TestPreempt(t *testing.T) {
-	m, n := slot("m", 0, 0), slot("n", 0, 1)
+	scheduleSlot, n := slot("m", 0, 0), slot("n", 0, 1)
 	young, old := time.Unix(2000, 0), time.Unix(1000, 0)
 	cand := func(id string, s *Slot, cpus, v, w float64, at time.Time) Candidate {
 		return Candidate{Victims: []Victim{{Slot: s, Job: job(id, 1, cpus, protocol.Normal)}}, Lost: v, Waited: w, SubmittedAt: at}
@@ -165,28 +165,28 @@
 		want  []string
 	}{
 		{"least lost work first when alpha is 1", 1, 1,
-			[]Candidate{cand("a", m, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"b"}},
+			[]Candidate{cand("a", scheduleSlot, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"b"}},
 		{"shortest wait first when alpha is 0", 0, 1,
-			[]Candidate{cand("a", m, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"a"}},
+			[]Candidate{cand("a", scheduleSlot, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"a"}},
 		{"both weighed", 0.31, 1,
-			[]Candidate{cand("a", m, 4, 100, 1, old), cand("b", n, 4, 2, 30, old)}, []string{"b"}},
+			[]Candidate{cand("a", scheduleSlot, 4, 100, 1, old), cand("b", n, 4, 2, 30, old)}, []string{"b"}},
 		{"the younger goes on ties", 0.31, 1,
-			[]Candidate{cand("a", m, 4, 5, 5, old), cand("b", m, 4, 5, 5, young)}, []string{"b"}},
+			[]Candidate{cand("a", scheduleSlot, 4, 5, 5, old), cand("b", scheduleSlot, 4, 5, 5, young)}, []string{"b"}},
 		{"stops once it fits", 1, 2,
-			[]Candidate{cand("a", m, 4, 1, 0, old), cand("b", m, 4, 2, 0, old), cand("c", m, 4, 3, 0, old)}, []string{"a", "b"}},
+			[]Candidate{cand("a", scheduleSlot, 4, 1, 0, old), cand("b", scheduleSlot, 4, 2, 0, old), cand("c", scheduleSlot, 4, 3, 0, old)}, []string{"a", "b"}},
 		{"drops what turned out unneeded", 1, 1,
-			[]Candidate{cand("a", m, 2, 1, 0, old), cand("b", n, 4, 2, 0, old)}, []string{"b"}},
+			[]Candidate{cand("a", scheduleSlot, 2, 1, 0, old), cand("b", n, 4, 2, 0, old)}, []string{"b"}},
 		{"takes what can be had when not all fits", 1, 5,
-			[]Candidate{cand("a", m, 4, 1, 0, old)}, []string{"a"}},
+			[]Candidate{cand("a", scheduleSlot, 4, 1, 0, old)}, []string{"a"}},
 		{"evicts nobody when it would not help", 1, 1,
-			[]Candidate{cand("a", m, 2, 1, 0, old)}, nil},
+			[]Candidate{cand("a", scheduleSlot, 2, 1, 0, old)}, nil},
 		{"two small ones make room for one large", 1, 1,
-			[]Candidate{cand("a", m, 2, 1, 0, old), cand("b", m, 2, 2, 0, old)}, []string{"a", "b"}},
+			[]Candidate{cand("a", scheduleSlot, 2, 1, 0, old), cand("b", scheduleSlot, 2, 2, 0, old)}, []string{"a", "b"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			RankCandidates(c.alpha, c.cands)
-			chosen := Preempt(top, c.n, []*Slot{m, n}, c.cands)
+			chosen := Preempt(top, c.n, []*Slot{scheduleSlot, n}, c.cands)
 			var got []string
 			for _, x := range chosen {
 				got = append(got, x.Victims[0].Job.ID)
@@ -217,19 +217,19 @@
 		{"long, but saves", 150, 10, true, 40},
 		{"on machines that are not taken", 150, 0, false, 40},
 	} {
-		j := &storage.Job{ID: "j", Tasks: 40, Cpus: 0.25, Estimate: x.estimate, CheckpointInterval: x.mark, Spot: true, Zone: -1,
+		job := &storage.Job{ID: "j", Tasks: 40, Cpus: 0.25, Estimate: x.estimate, CheckpointInterval: x.mark, Spot: true, Zone: -1,
 			Done: storage.NewBitmap(40), MachineOf: slices.Repeat([]int32{storage.Nowhere}, 40)}
-		in := &Input{Now: time.Now(), Jobs: []*storage.Job{j}, Teams: []config.Team{{}}, Used: make([]storage.Usage, 1),
+		input := &Input{Now: time.Now(), Jobs: []*storage.Job{job}, Teams: []config.Team{{}}, Used: make([]storage.Usage, 1),
 			Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
 		for i := range 4 {
-			in.Slots = append(in.Slots, &Slot{Machine: &storage.Machine{Spot: x.spot}, Free: storage.Usage{Cpus: 16, Mem: 9},
+			input.Slots = append(input.Slots, &Slot{Machine: &storage.Machine{Spot: x.spot}, Free: storage.Usage{Cpus: 16, Mem: 9},
 				Images: []int{0}, Rank: float64(i) / 4, Record: &GroupCapacity{Free: 99}})
 		}
-		in.Slots = append(in.Slots, &Slot{Machine: &storage.Machine{}, Free: storage.Usage{Cpus: 16, Mem: 9},
+		input.Slots = append(input.Slots, &Slot{Machine: &storage.Machine{}, Free: storage.Usage{Cpus: 16, Mem: 9},
 			Images: []int{0}, Rank: 0.9, Record: &GroupCapacity{Free: 99}})
-		in.OnDemandWeight = 0.2
+		input.OnDemandWeight = 0.2
 		count, most := map[*Slot]int{}, 0
-		for _, p := range Place(in).Placed {
+		for _, p := range Place(input).Placed {
 			if !p.Slot.Machine.Spot && x.spot {
 				t.Errorf("%s: a task is on the ordinary machine", x.name)
 			}
@@ -244,21 +244,21 @@
 
 // With a full fleet each of hundreds of waiting jobs looked at every machine, each pass.
 func TestFullFleetIsLookedAtOnce(t *testing.T) {
-	in := &Input{Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2), Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
+	input := &Input{Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2), Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100}
 	for range 4 {
-		in.Slots = append(in.Slots, &Slot{Machine: &storage.Machine{Spot: true}, Free: storage.Usage{Cpus: 1, Mem: 64}, Record: &GroupCapacity{Free: 99}})
+		input.Slots = append(input.Slots, &Slot{Machine: &storage.Machine{Spot: true}, Free: storage.Usage{Cpus: 1, Mem: 64}, Record: &GroupCapacity{Free: 99}})
 	}
 	for i := range 500 {
 		j := job(fmt.Sprint("j", i), 3, 2, protocol.Normal)
 		j.Team = i % 2
-		in.Jobs = append(in.Jobs, j)
+		input.Jobs = append(input.Jobs, j)
 	}
 	small := job("small", 1, 1, protocol.Low) // fits although larger ones do not
 	kept := job("kept", 1, 4, protocol.Low)   // has room of its own
-	in.Slots[1].Free.Cpus = 4
-	in.Slots[1].Reservations = []Reservation{{Job: kept, Slots: 1}}
-	in.Jobs = append(in.Jobs, small, kept)
-	res := Place(in)
+	input.Slots[1].Free.Cpus = 4
+	input.Slots[1].Reservations = []Reservation{{Job: kept, Slots: 1}}
+	input.Jobs = append(input.Jobs, small, kept)
+	res := Place(input)
 	if len(res.Short) != 500 || len(res.Placed) != 2 {
 		t.Errorf("%d jobs short, %d tasks placed; want 500 and 2", len(res.Short), len(res.Placed))
 	}
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -14,41 +14,41 @@
 // A controller that had stood still found all others silent: it gave up its shards, or
 // returned machines, although it was the one that had been away.
 func TestStallIsDetected(t *testing.T) {
-	c := newCore(t)
-	c.sessionLease = 1
-	m := c.cache.Machine("m")
-	v := c.workerState(m)
-	m.Incarnation, v.missedProbes = 1, 5
-	c.cache.Members["n1"] = &storage.Member{Version: 1}
-	c.cache.Members["n0"] = &storage.Member{Version: 1}
+	controller := newCore(t)
+	controller.sessionLease = 1
+	machine := controller.cache.Machine("m")
+	worker := controller.workerState(machine)
+	machine.Incarnation, worker.missedProbes = 1, 5
+	controller.cache.Members["n1"] = &storage.Member{Version: 1}
+	controller.cache.Members["n0"] = &storage.Member{Version: 1}
 	start := time.Now()
 	woke := start.Add(9 * time.Second)
-	c.leaseRenewedAt, c.storeServedAt, c.ownershipSince = start, start, start.Add(-time.Minute)
-	c.disconnectedPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
-	v.heard, v.since, c.anyWorkerHeardAt = start, start.Add(-time.Minute), start
+	controller.leaseRenewedAt, controller.storeServedAt, controller.ownershipSince = start, start, start.Add(-time.Minute)
+	controller.disconnectedPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
+	worker.heard, worker.since, controller.anyWorkerHeardAt = start, start.Add(-time.Minute), start
 	look := func(now time.Time) (silent, lost, alone bool) {
-		c.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
-		return c.silenceOf(v.heard, now) > 4*time.Second, c.memberLost("n1", now), c.isolatedFromStore(now)
+		controller.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
+		return controller.silenceOf(worker.heard, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
 	if silent, lost, alone := look(woke); !silent || !lost || !alone {
 		t.Fatalf("without noticing: silent %v, lost %v, alone %v: the case proves nothing", silent, lost, alone)
 	}
-	c.detectStall(start)
-	c.detectStall(start.Add(c.timing.Tick))
-	if !c.resumedAt.IsZero() {
+	controller.detectStall(start)
+	controller.detectStall(start.Add(controller.timing.Tick))
+	if !controller.resumedAt.IsZero() {
 		t.Fatal("a tick in time is no standstill")
 	}
-	if !c.leaseCertain(start.Add(time.Second)) || c.leaseCertain(woke) {
+	if !controller.leaseCertain(start.Add(time.Second)) || controller.leaseCertain(woke) {
 		t.Error("a hold lasts as long as it was last renewed for")
 	}
-	c.detectStall(woke)
+	controller.detectStall(woke)
 	if silent, lost, alone := look(woke); silent || lost || alone {
 		t.Errorf("after noticing: silent %v, lost %v, alone %v", silent, lost, alone)
 	}
 	if silent, _, _ := look(woke.Add(5 * time.Second)); !silent {
 		t.Error("silence counts again from waking")
 	}
-	if !c.stalledSince(start) || c.stalledSince(woke) {
+	if !controller.stalledSince(start) || controller.stalledSince(woke) {
 		t.Error("what began before the standstill was slept over, what begins after was not")
 	}
 }
@@ -76,15 +76,15 @@
 		since time.Duration
 		want  bool
 	}{{"renewed a moment ago", time.Second, true}, {"renewed before a standstill", 6 * time.Second, false}} {
-		c := newCore(t)
+		controller := newCore(t)
 		asked := make(chan string, 100)
-		c.cloud = scaleOutCounter{asked: asked}
-		c.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
+		controller.cloud = scaleOutCounter{asked: asked}
+		controller.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
 		now := time.Now()
-		c.sessionLease, c.leaseRenewedAt = 1, now.Add(-x.since)
-		c.autoscaleAsLeader(t.Context(), now)
+		controller.sessionLease, controller.leaseRenewedAt = 1, now.Add(-x.since)
+		controller.autoscaleAsLeader(t.Context(), now)
 		got := false
-		if c.leader.listing || len(c.leader.scaleOuts) > 0 {
+		if controller.leader.listing || len(controller.leader.scaleOuts) > 0 {
 			got = true
 			<-asked
 		}
@@ -176,24 +176,24 @@
 		{4, 3 * time.Second, false}, {4, 5 * time.Second, true},
 		{20, 2 * time.Second, false}, {20, 3 * time.Second, true},
 	} {
-		c := newCore(t)
-		c.store, c.sessionLease = refusingStore{}, 1
-		c.cache.Members["n1"] = &storage.Member{Version: 1}
-		f := storage.FleetRecord{Type: "t", Zone: "a"}
+		controller := newCore(t)
+		controller.store, controller.sessionLease = refusingStore{}, 1
+		controller.cache.Members["n1"] = &storage.Member{Version: 1}
+		fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 		for i := range x.machines {
-			f.Machines = append(f.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
+			fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 		}
-		if err := c.cache.Apply(storage.FleetKey("x0"), storage.Encode(f), 5, false); err != nil {
+		if err := controller.cache.Apply(storage.FleetKey("x0"), storage.Encode(fleet), 5, false); err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range c.cache.Machines {
+		for _, m := range controller.cache.Machines {
 			m.Incarnation = 1
 		}
 		now := time.Now()
-		c.anyWorkerHeardAt = now.Add(-x.silent)
-		c.checkReadiness(t.Context(), now)
-		if c.notReady.Load() != x.unfit {
-			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, c.notReady.Load(), x.unfit)
+		controller.anyWorkerHeardAt = now.Add(-x.silent)
+		controller.checkReadiness(t.Context(), now)
+		if controller.notReady.Load() != x.unfit {
+			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, controller.notReady.Load(), x.unfit)
 		}
 	}
 }
@@ -221,21 +221,21 @@
 		{"an unknown job", false, "job-000009", 404}, {"an unknown job, slept over", true, "job-000009", 503},
 		{"a final state never changes", true, "job-000002", 200},
 	} {
-		c := newCore(t)
-		if err := c.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, DoneCount: 1, Final: "done"}), 5, false); err != nil {
+		controller := newCore(t)
+		if err := controller.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, DoneCount: 1, Final: "done"}), 5, false); err != nil {
 			t.Fatal(err)
 		}
-		c.store = sleepyStore{meanwhile: func() {
+		controller.store = sleepyStore{meanwhile: func() {
 			if x.sleeps {
-				c.post(func() { c.resumedAt = time.Now() })
+				controller.post(func() { controller.resumedAt = time.Now() })
 			}
 		}}
 		go func() {
-			for f := range c.inbox {
+			for f := range controller.inbox {
 				f()
 			}
 		}()
-		if a := c.Query(t.Context(), x.id); a.Status != x.status {
+		if a := controller.Query(t.Context(), x.id); a.Status != x.status {
 			t.Errorf("%s: %d, want %d", x.name, a.Status, x.status)
 		}
 	}
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -45,7 +45,7 @@
 		read = true
 		for ctx.Err() == nil {
 			sent := time.Now()
-			ev, err := c.store.Watch(ctx, storage.Root, rev, c.followWait())
+			events, err := c.store.Watch(ctx, storage.Root, rev, c.followWait())
 			if errors.Is(err, protocol.ErrTooOld) {
 				c.log.Info("follow is too far behind, reading again", "rev", rev)
 				break
@@ -55,9 +55,9 @@
 				sleep(ctx, 300*time.Millisecond)
 				continue
 			}
-			if ev.Revision >= rev {
-				rev = ev.Revision
-				if c.call(ctx, func() { c.onEvents(ev, sent) }) != nil {
+			if events.Revision >= rev {
+				rev = events.Revision
+				if c.call(ctx, func() { c.onEvents(events, sent) }) != nil {
 					return
 				}
 			}
@@ -78,16 +78,16 @@
 	after, began := "", time.Now()
 	seen := map[string]bool{}
 	for {
-		p, err := c.store.List(ctx, storage.Root, after, 1000)
+		page, err := c.store.List(ctx, storage.Root, after, 1000)
 		if err != nil {
 			return 0, err
 		}
 		if after == "" {
-			first = p.Revision
+			first = page.Revision
 		}
 		var old error
 		if err := c.call(ctx, func() {
-			for _, it := range p.Items {
+			for _, it := range page.Items {
 				seen[it.Key] = true
 				if err := c.apply(it.Key, it.Value, it.Version, false); errors.Is(err, storage.ErrLayout) {
 					old = err
@@ -99,10 +99,10 @@
 		if old != nil {
 			return 0, old // what runs under such records must not be started again
 		}
-		if !p.More || len(p.Items) == 0 {
+		if !page.More || len(page.Items) == 0 {
 			break
 		}
-		after = p.Items[len(p.Items)-1].Key
+		after = page.Items[len(page.Items)-1].Key
 	}
 	err := c.call(ctx, func() {
 		if err := c.cache.DropUnseen(seen, first); err != nil {
@@ -151,16 +151,16 @@
 }
 
 // onEvents takes the answer of a follow that was sent at a time.
-func (c *Controller) onEvents(ev protocol.Events, sent time.Time) {
-	for _, e := range ev.Events {
+func (c *Controller) onEvents(events protocol.Events, sent time.Time) {
+	for _, e := range events.Events {
 		if e.Delete != "" {
 			_ = c.apply(e.Delete, nil, e.Version, true) // logged there
 		} else {
 			_ = c.apply(e.Put, e.Value, e.Version, false)
 		}
 	}
-	c.cache.Revision = max(c.cache.Revision, ev.Revision)
-	c.highestRevision = max(c.highestRevision, ev.Revision)
+	c.cache.Revision = max(c.cache.Revision, events.Revision)
+	c.highestRevision = max(c.highestRevision, events.Revision)
 	now := time.Now()
 	c.storeFailingSince, c.storeServedAt, c.cacheCurrentAt = time.Time{}, now, latest(c.cacheCurrentAt, sent)
 	c.dropReadCancellations()
@@ -173,7 +173,7 @@
 		}
 	}
 	c.revisionWaiters = keep
-	if len(ev.Events) > 0 {
+	if len(events.Events) > 0 {
 		c.changed()
 	}
 	if c.readModel != nil {
@@ -236,37 +236,37 @@
 	}
 	c.metrics.takeovers.Inc()
 	c.ownershipSince, c.placedSinceTakeover = now, false
-	for _, m := range c.cache.Machines {
-		if m.Shard != share || m.Gone {
+	for _, machine := range c.cache.Machines {
+		if machine.Shard != share || machine.Gone {
 			continue
 		}
-		mv := c.workerState(m)
+		mv := c.workerState(machine)
 		mv.since = now
-		if max(m.FencingToken, m.Group.FencingToken) >= c.cache.Shards[share].FencingToken {
+		if max(machine.FencingToken, machine.Group.FencingToken) >= c.cache.Shards[share].FencingToken {
 			// raised by the former owner while the shard changed
 			// hands: only a higher one proves what it sent is dead
-			mv.Uncertain = max(m.FencingToken, m.Group.FencingToken)
+			mv.Uncertain = max(machine.FencingToken, machine.Group.FencingToken)
 		}
-		if m.Incarnation > 0 {
-			c.uncontacted = append(c.uncontacted, m)
+		if machine.Incarnation > 0 {
+			c.uncontacted = append(c.uncontacted, machine)
 		}
 	}
 }
 
 // settleView brings a machine's view in line with the records.
-func (c *Controller) settleView(m *storage.Machine) {
-	v := c.workerStates[m.Index]
-	if v == nil {
+func (c *Controller) settleView(machine *storage.Machine) {
+	worker := c.workerStates[machine.Index]
+	if worker == nil {
 		return
 	}
-	if m.Gone || !c.ownsShard(m.Shard) {
-		delete(c.workerStates, m.Index)
+	if machine.Gone || !c.ownsShard(machine.Shard) {
+		delete(c.workerStates, machine.Index)
 		return
 	}
-	v.Settle(m)
-	for ref := range v.started {
-		if ref.Job.MachineOf[ref.Task] != m.Index || ref.Job.AttemptOf[ref.Task] != ref.Attempt {
-			delete(v.started, ref)
+	worker.Settle(machine)
+	for ref := range worker.started {
+		if ref.Job.MachineOf[ref.Task] != machine.Index || ref.Job.AttemptOf[ref.Task] != ref.Attempt {
+			delete(worker.started, ref)
 		}
 	}
 }
@@ -286,17 +286,17 @@
 // Barrier waits until the cache holds everything that had been committed when
 // it was called. One read of the revision serves all that wait at a time.
 func (c *Controller) Barrier(ctx context.Context) error {
-	b := &c.readBarrier
-	b.mu.Lock()
-	if b.next == nil {
-		b.next = &barrierRun{ch: make(chan struct{})}
+	barrier := &c.readBarrier
+	barrier.mu.Lock()
+	if barrier.next == nil {
+		barrier.next = &barrierRun{ch: make(chan struct{})}
 	}
-	run := b.next
-	if !b.running {
-		b.running = true
+	run := barrier.next
+	if !barrier.running {
+		barrier.running = true
 		go c.runBarriers()
 	}
-	b.mu.Unlock()
+	barrier.mu.Unlock()
 	select {
 	case <-run.ch:
 		return run.err
@@ -310,17 +310,17 @@
 const barrierGap = 80 * time.Millisecond
 
 func (c *Controller) runBarriers() {
-	b := &c.readBarrier
+	barrier := &c.readBarrier
 	for {
-		b.mu.Lock()
-		run := b.next
-		b.next = nil
+		barrier.mu.Lock()
+		run := barrier.next
+		barrier.next = nil
 		if run == nil {
-			b.running = false
-			b.mu.Unlock()
+			barrier.running = false
+			barrier.mu.Unlock()
 			return
 		}
-		b.mu.Unlock()
+		barrier.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), 1800*time.Millisecond)
 		run.err = c.reach(ctx)
 		cancel()
@@ -334,19 +334,19 @@
 	if err != nil {
 		return err
 	}
-	w := revisionWaiter{rev, make(chan struct{})}
+	controllerRevisionWaiter := revisionWaiter{rev, make(chan struct{})}
 	err = c.call(ctx, func() {
 		if c.cache.Revision >= rev && c.loaded {
-			close(w.ch)
+			close(controllerRevisionWaiter.ch)
 		} else if len(c.revisionWaiters) < 1000 {
-			c.revisionWaiters = append(c.revisionWaiters, w)
+			c.revisionWaiters = append(c.revisionWaiters, controllerRevisionWaiter)
 		}
 	})
 	if err != nil {
 		return err
 	}
 	select {
-	case <-w.ch:
+	case <-controllerRevisionWaiter.ch:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -69,38 +69,38 @@
 
 // Team tells one team; ErrNoTeam if the settings name none of that name.
 func (c *Controller) Team(ctx context.Context, name string) (TeamView, error) {
-	var v TeamView
+	var teamView TeamView
 	if err := c.Barrier(ctx); err != nil {
-		return v, ErrUnavailable
+		return teamView, ErrUnavailable
 	}
 	known := false
 	err := c.call(ctx, func() {
 		if team := c.cache.TeamIndex.Find(name); team >= 0 {
-			v, known = c.teamView(team, time.Now()), true
+			teamView, known = c.teamView(team, time.Now()), true
 		}
 	})
 	if err == nil && !known {
 		err = ErrNoTeam
 	}
-	return v, err
+	return teamView, err
 }
 
 func (c *Controller) teamView(team int, now time.Time) TeamView {
-	t := c.cache.Teams[team]
-	v := TeamView{Name: t.Name, TeamBounds: storage.BoundsOf(t), State: TeamFromFile}
+	configTeam := c.cache.Teams[team]
+	controllerTeamView := TeamView{Name: configTeam.Name, TeamBounds: storage.BoundsOf(configTeam), State: TeamFromFile}
 	entry, changed := c.cache.TeamEntries[team]
 	if !changed {
-		return v
+		return controllerTeamView
 	}
-	v.Version, v.State, v.Behind = entry.Version, TeamInForce, c.behind(entry.Version, now)
-	if len(v.Behind) > 0 {
-		v.State = TeamSpreads
+	controllerTeamView.Version, controllerTeamView.State, controllerTeamView.Behind = entry.Version, TeamInForce, c.behind(entry.Version, now)
+	if len(controllerTeamView.Behind) > 0 {
+		controllerTeamView.State = TeamSpreads
 	}
 	if entry.Former != nil {
-		v.State = TeamLowering
-		v.CpusToGo, v.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
+		controllerTeamView.State = TeamLowering
+		controllerTeamView.CpusToGo, controllerTeamView.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
 	}
-	return v
+	return controllerTeamView
 }
 
 // behind are the living controllers that have not shown that they have read a revision.
@@ -156,44 +156,44 @@
 }
 
 // changeBounds applies a change, given as a JSON object of names and values; the whole of it is checked.
-func changeBounds(b storage.TeamBounds, raw json.RawMessage) (storage.TeamBounds, error) {
+func changeBounds(bounds storage.TeamBounds, raw json.RawMessage) (storage.TeamBounds, error) {
 	var names map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &names); err != nil || len(names) == 0 {
-		return b, &FieldError{"team", "an object of at least one name and value"}
+		return bounds, &FieldError{"team", "an object of at least one name and value"}
 	}
 	for name := range names {
 		if !slices.Contains([]string{"cpus", "cpus_max", "gpus", "gpus_max"}, name) {
-			return b, &FieldError{name, "cpus, cpus_max, gpus or gpus_max"}
+			return bounds, &FieldError{name, "cpus, cpus_max, gpus or gpus_max"}
 		}
 		if bytes.Equal(bytes.TrimSpace(names[name]), []byte("null")) {
-			return b, &FieldError{name, amountExpected}
+			return bounds, &FieldError{name, amountExpected}
 		}
 	}
-	if err := json.Unmarshal(raw, &b); err != nil {
+	if err := json.Unmarshal(raw, &bounds); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) {
-			return b, &FieldError{wrong.Field, amountExpected}
+			return bounds, &FieldError{wrong.Field, amountExpected}
 		}
-		return b, &FieldError{"team", "an object of names and amounts"}
+		return bounds, &FieldError{"team", "an object of names and amounts"}
 	}
-	return b, checkBounds(b)
+	return bounds, checkBounds(bounds)
 }
 
 const amountExpected = "a number of 0 or more; a limit of 0 is none"
 
-func checkBounds(b storage.TeamBounds) error {
+func checkBounds(bounds storage.TeamBounds) error {
 	for _, x := range []struct {
 		name  string
 		value float64
-	}{{"cpus", b.Cpus}, {"cpus_max", b.CpusMax}, {"gpus", b.Gpus}, {"gpus_max", b.GpusMax}} {
+	}{{"cpus", bounds.Cpus}, {"cpus_max", bounds.CpusMax}, {"gpus", bounds.Gpus}, {"gpus_max", bounds.GpusMax}} {
 		if !(x.value >= 0) || math.IsInf(x.value, 0) {
 			return &FieldError{x.name, amountExpected}
 		}
 	}
-	if b.CpusMax > 0 && b.Cpus > b.CpusMax {
+	if bounds.CpusMax > 0 && bounds.Cpus > bounds.CpusMax {
 		return &FieldError{"cpus", "a guarantee that is not above the limit"}
 	}
-	if b.GpusMax > 0 && b.Gpus > b.GpusMax {
+	if bounds.GpusMax > 0 && bounds.Gpus > bounds.GpusMax {
 		return &FieldError{"gpus", "a guarantee that is not above the limit"}
 	}
 	return nil
@@ -205,15 +205,15 @@
 	if err := c.Barrier(ctx); err != nil {
 		return view, ErrUnavailable
 	}
-	var t protocol.Txn
+	var txn protocol.Txn
 	var refused error
-	if err := c.call(ctx, func() { t, refused = c.teamTxn(name, version, change) }); err != nil {
+	if err := c.call(ctx, func() { txn, refused = c.teamTxn(name, version, change) }); err != nil {
 		return view, err
 	}
 	if refused != nil {
 		return view, refused
 	}
-	rev, failed, err := c.store.Txn(ctx, t, protocol.UserRequest)
+	rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
 		return view, ErrUnavailable // whether it was done shows in the entry's version
@@ -221,7 +221,7 @@
 		return view, ErrVersion
 	}
 	err = c.call(ctx, func() {
-		c.applyTxn(t, rev)
+		c.applyTxn(txn, rev)
 		c.changed()
 		c.requestCycle()
 		view = c.teamView(c.cache.TeamIndex.Find(name), time.Now())
@@ -232,26 +232,26 @@
 
 // teamTxn is the transaction that changes a team.
 func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
-	var t protocol.Txn
+	var txn protocol.Txn
 	team := c.cache.TeamIndex.Find(name)
 	if team < 0 {
-		return t, ErrNoTeam
+		return txn, ErrNoTeam
 	}
 	entry := c.cache.TeamEntries[team]
 	if version != entry.Version {
-		return t, ErrVersion
+		return txn, ErrVersion
 	}
 	if missing := c.notReadingTeams(); len(missing) > 0 {
-		return t, &GateError{missing}
+		return txn, &GateError{missing}
 	}
 	now := storage.BoundsOf(c.cache.Teams[team])
 	next, err := changeBounds(now, change)
 	if err != nil {
-		return t, err
+		return txn, err
 	}
 	if tighter(next, now) {
 		if err := c.checkAccepted(team, next); err != nil {
-			return t, err
+			return txn, err
 		}
 	}
 	rec := storage.TeamRecord{TeamBounds: next}
@@ -263,14 +263,14 @@
 		was := looser(next, counts)
 		rec.Former = &was
 	}
-	t.If = []protocol.Condition{{Key: storage.TeamKey(name), Version: entry.Version}}
-	t.Then = []protocol.Change{{Put: storage.TeamKey(name), Value: storage.Encode(rec)}}
+	txn.If = []protocol.Condition{{Key: storage.TeamKey(name), Version: entry.Version}}
+	txn.Then = []protocol.Change{{Put: storage.TeamKey(name), Value: storage.Encode(rec)}}
 	if !c.cache.TeamChangesEnabled() {
 		gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
-		t.If = append(t.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
-		t.Then = append(t.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
+		txn.If = append(txn.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
+		txn.Then = append(txn.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
 	}
-	return t, nil
+	return txn, nil
 }
 
 // notReadingTeams are the controllers that the settings name and that have not shown that they read changed teams. Once a team has
@@ -294,8 +294,8 @@
 }
 
 // checkAccepted refuses a limit under which an accepted job could never run any more.
-func (c *Controller) checkAccepted(team int, b storage.TeamBounds) error {
-	bounds := b.Team(c.cache.Teams[team].Name)
+func (c *Controller) checkAccepted(team int, teamBounds storage.TeamBounds) error {
+	bounds := teamBounds.Team(c.cache.Teams[team].Name)
 	for _, j := range c.cache.Jobs {
 		if j == nil || j.Team != team || !j.Open() {
 			continue
@@ -322,19 +322,19 @@
 // planLimits works off limits that are being lowered, of teams whose shard this controller owns: those that the records prove to be
 // kept count from now on (what this transaction places is within them), and tasks beyond the others are evicted. It comes before what ends and
 // starts: at the peak those fill every transaction, and lowered limits waited for a minute.
-func (c *Controller) planLimits(now time.Time, d *plannedTxn) {
+func (c *Controller) planLimits(now time.Time, planned *plannedTxn) {
 	for team, entry := range c.cache.TeamEntries {
-		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || d.usedOps >= max(1, d.maxOps/limitsPart) {
+		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitsPart) {
 			continue
 		}
 		if isUnder(entry.TeamBounds, c.cache.Used[team]) {
 			key := storage.TeamKey(c.cache.Teams[team].Name)
-			d.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
-			d.usedOps++
+			planned.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
+			planned.usedOps++
 			continue
 		}
 		if c.cache.VictimSets[limitSetOf(team)] == nil {
-			c.evictForLimit(now, d, team, entry.TeamBounds)
+			c.evictForLimit(now, planned, team, entry.TeamBounds)
 		}
 	}
 }
@@ -343,10 +343,10 @@
 const limitsPart = 4
 
 // evictForLimit names the tasks that have to go for a team to be under its limit, as one record before any stop.
-func (c *Controller) evictForLimit(now time.Time, d *plannedTxn, team int, b storage.TeamBounds) {
+func (c *Controller) evictForLimit(now time.Time, planned *plannedTxn, team int, bounds storage.TeamBounds) {
 	candidates := c.limitCandidates(now, team)
 	schedule.RankCandidates(c.alpha, candidates)
-	chosen := schedule.EvictExcess(c.stillUsed(team), b.Team(""), candidates)
+	chosen := schedule.EvictExcess(c.stillUsed(team), bounds.Team(""), candidates)
 	chosen = c.fitRecord(chosen)
 	if len(chosen) == 0 {
 		return
@@ -360,8 +360,8 @@
 	}
 	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(e.Victims))
 	key := storage.VictimSetKey(limitSetOf(team))
-	d.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&e, c.cache.Packed())})
-	d.usedOps++
+	planned.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&e, c.cache.Packed())})
+	planned.usedOps++
 }
 
 // stillUsed is what a team uses without what is known to have ended, which leaves the records by itself.
@@ -385,31 +385,31 @@
 func (c *Controller) limitCandidates(now time.Time, team int) []schedule.Candidate {
 	var out []schedule.Candidate
 	services := map[*storage.Job]int{}
-	for _, m := range c.cache.Machines {
-		if m.Gone {
+	for _, machine := range c.cache.Machines {
+		if machine.Gone {
 			continue
 		}
-		slot := &schedule.Slot{Machine: m}
-		for _, p := range m.Tasks {
-			j := p.Job
-			if j.Team != team || !j.Open() || c.cache.IsVictim(p) {
+		slot := &schedule.Slot{Machine: machine}
+		for _, placed := range machine.Tasks {
+			job := placed.Job
+			if job.Team != team || !job.Open() || c.cache.IsVictim(placed) {
 				continue
 			}
-			v := c.workerState(m)
-			if v.hasEnded(dispatch.RefOf(p)) {
+			worker := c.workerState(machine)
+			if worker.hasEnded(dispatch.RefOf(placed)) {
 				continue
 			}
-			ran := lossOf(v, p, now)
-			victim := schedule.Victim{Slot: slot, Job: j, Task: p.Task, Attempt: p.Attempt}
-			if i, ok := services[j]; ok {
+			ran := lossOf(worker, placed, now)
+			victim := schedule.Victim{Slot: slot, Job: job, Task: placed.Task, Attempt: placed.Attempt}
+			if i, ok := services[job]; ok {
 				out[i].Victims = append(out[i].Victims, victim)
-				out[i].Lost, out[i].Waited = out[i].Lost+ran, max(out[i].Waited, float64(p.WaitedS))
+				out[i].Lost, out[i].Waited = out[i].Lost+ran, max(out[i].Waited, float64(placed.WaitedS))
 				continue
 			}
-			if j.Shape == protocol.Service {
-				services[j] = len(out)
+			if job.Shape == protocol.Service {
+				services[job] = len(out)
 			}
-			out = append(out, schedule.Candidate{Victims: []schedule.Victim{victim}, Lost: ran, Waited: float64(p.WaitedS), SubmittedAt: j.ReadyAt, TopPriority: j.Priority.Top()})
+			out = append(out, schedule.Candidate{Victims: []schedule.Victim{victim}, Lost: ran, Waited: float64(placed.WaitedS), SubmittedAt: job.ReadyAt, TopPriority: job.Priority.Top()})
 		}
 	}
 	return out
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -62,17 +62,17 @@
 func (c *Controller) cancellationAgeByMachine(now time.Time) map[int32]time.Duration {
 	var ages map[int32]time.Duration
 	noted := map[string]time.Time{}
-	for _, j := range c.cache.Jobs {
-		if j == nil || j.PlacedCount == 0 || !c.cancelled(j) {
+	for _, job := range c.cache.Jobs {
+		if job == nil || job.PlacedCount == 0 || !c.cancelled(job) {
 			continue
 		}
-		age := c.cancellationAge(j, now, noted)
-		for t, i := range j.MachineOf {
+		age := c.cancellationAge(job, now, noted)
+		for t, i := range job.MachineOf {
 			if i == storage.Nowhere {
 				continue
 			}
 			m := c.cache.Machines[i]
-			if v := c.workerStates[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: j, Task: t, Attempt: j.AttemptOf[t]})) {
+			if v := c.workerStates[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: job, Task: t, Attempt: job.AttemptOf[t]})) {
 				continue
 			}
 			if ages == nil {
@@ -101,40 +101,40 @@
 		order = append(order, i)
 	}
 	slices.SortFunc(order, func(a, b int32) int { return cmp.Or(cmp.Compare(ages[b], ages[a]), cmp.Compare(a, b)) })
-	w := c.cfg.Deployment.Workers
+	workers := c.cfg.Deployment.Workers
 	outage := c.silenceOf(c.storeServedAt, now) > peerFresh
-	hears := c.silenceOf(maxTime(c.anyWorkerHeardAt, c.workerReachedAt), now) < peerFresh+seconds(w.HeartbeatS)
+	hears := c.silenceOf(maxTime(c.anyWorkerHeardAt, c.workerReachedAt), now) < peerFresh+seconds(workers.HeartbeatS)
 	began := 0
 	for _, i := range order {
-		m, s := c.cache.Machines[i], c.terminations[i]
-		own := c.ownsShard(m.Shard)
+		machine, controllerTermination := c.cache.Machines[i], c.terminations[i]
+		own := c.ownsShard(machine.Shard)
 		if !own && !outage && ages[i] < ownerGrace {
 			continue
 		}
-		if s == nil {
-			s = &termination{}
-			c.terminations[i] = s
+		if controllerTermination == nil {
+			controllerTermination = &termination{}
+			c.terminations[i] = controllerTermination
 		}
 		switch {
-		case now.Before(s.nextTry):
-		case !s.failingSince.IsZero() && hears && ages[i] >= terminationDeadline(w) && c.silenceOf(s.failingSince, now) > terminationPatience:
-			c.log.Info("what was cancelled can't be shown to have ended, returning machine", "machine", m.Name, "own", own, "for", ages[i].Seconds())
-			lost = append(lost, m.Name)
-			s.nextTry = now.Add(scaleInRetry)
+		case now.Before(controllerTermination.nextTry):
+		case !controllerTermination.failingSince.IsZero() && hears && ages[i] >= terminationDeadline(workers) && c.silenceOf(controllerTermination.failingSince, now) > terminationPatience:
+			c.log.Info("what was cancelled can't be shown to have ended, returning machine", "machine", machine.Name, "own", own, "for", ages[i].Seconds())
+			lost = append(lost, machine.Name)
+			controllerTermination.nextTry = now.Add(scaleInRetry)
 			if own {
-				c.returnMachine(m, "can't be stopped")
+				c.returnMachine(machine, "can't be stopped")
 			}
 		case began < terminationsPerRound && c.directCommands < maxDirectCommands:
 			// Each round began with the same machines once, and those beyond the first 48 had no stop.
 			began++
-			s.nextTry = now.Add(terminationInterval)
-			if s.failingSince.IsZero() {
-				s.failingSince = now
+			controllerTermination.nextTry = now.Add(terminationInterval)
+			if controllerTermination.failingSince.IsZero() {
+				controllerTermination.failingSince = now
 			}
 			if own {
-				c.sendDirect(m, true)
+				c.sendDirect(machine, true)
 			} else {
-				c.terminateOn(m, protocol.DirectCommands{FencingToken: c.cache.FencingToken(m), Incarnation: m.Incarnation, Commands: c.killCommands(m)}, true)
+				c.terminateOn(machine, protocol.DirectCommands{FencingToken: c.cache.FencingToken(machine), Incarnation: machine.Incarnation, Commands: c.killCommands(machine)}, true)
 			}
 		}
 	}
@@ -156,37 +156,37 @@
 // terminateOn sends stops straight to a worker that this controller does not own. If it refuses them since its session or its
 // token is another, its heartbeat tells both, and what of the jobs that are over is on it in truth:
 // with again they are sent once more. Stops of what is over are right under any token.
-func (c *Controller) terminateOn(m *storage.Machine, cmd protocol.DirectCommands, again bool) {
-	if len(cmd.Commands) == 0 || m.Addr == "" {
+func (c *Controller) terminateOn(machine *storage.Machine, cmd protocol.DirectCommands, again bool) {
+	if len(cmd.Commands) == 0 || machine.Addr == "" {
 		return
 	}
-	addr := m.Addr
+	addr := machine.Addr
 	c.directCommands++
 	go func() {
-		r, status, err := c.workers.Command(addr, cmd, 2*time.Second)
+		heartbeat, status, err := c.workers.Command(addr, cmd, 2*time.Second)
 		c.post(func() {
 			c.directCommands--
 			c.log.Debug("stops for another's machine", "addr", addr, "stops", len(cmd.Commands), "status", status, "err", err)
-			if err != nil || r == nil || r.Machine != m.Name || m.Gone {
+			if err != nil || heartbeat == nil || heartbeat.Machine != machine.Name || machine.Gone {
 				return
 			}
 			c.workerReachedAt = time.Now()
-			switch left := c.killCommandsFor(r); {
+			switch left := c.killCommandsFor(heartbeat); {
 			case len(left) == 0:
-				if s := c.terminations[m.Index]; s != nil {
+				if s := c.terminations[machine.Index]; s != nil {
 					*s = termination{nextTry: c.workerReachedAt.Add(terminationRecheck)}
 				}
 			case status != 200 && again && c.directCommands < maxDirectCommands:
-				c.terminateOn(m, protocol.DirectCommands{FencingToken: r.FencingToken, Incarnation: r.Incarnation, Commands: left}, false)
+				c.terminateOn(machine, protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: left}, false)
 			}
 		})
 	}()
 }
 
 // killCommandsFor are the commands that end what a worker's heartbeat shows of jobs that are over.
-func (c *Controller) killCommandsFor(r *protocol.Heartbeat) []protocol.Command {
+func (c *Controller) killCommandsFor(heartbeat *protocol.Heartbeat) []protocol.Command {
 	out := []protocol.Command{}
-	for _, t := range r.Tasks {
+	for _, t := range heartbeat.Tasks {
 		id, _, ok := protocol.SplitTask(t.Task)
 		if !ok || t.State == protocol.TaskExited || len(out) >= maxCommands {
 			continue
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -45,46 +45,46 @@
 		{name: "a peer has told", is: told | outage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCore(t) // cancellations 30 s
-			m := c.cache.Machine("m")
+			controller := newCore(t) // cancellations 30 s
+			machine := controller.cache.Machine("m")
 			now := time.Now()
 			apply := func(key string, v any, version uint64) {
-				if err := c.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+				if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 					t.Fatal(err)
 				}
 			}
 			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
-			r := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
+			record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
 			if x.is&unknown != 0 {
-				r.FinalAtMs = 0
+				record.FinalAtMs = 0
 			}
 			if x.is&told != 0 {
-				c.digest.gossiped["job-000001"] = 9
+				controller.digest.gossiped["job-000001"] = 9
 			} else {
-				apply(storage.JobKey("job-000001"), r, 6)
+				apply(storage.JobKey("job-000001"), record, 6)
 			}
 			if x.is&ended != 0 {
-				c.workerState(m).Gone[dispatch.RefOf(m.Tasks[0])] = dispatch.Stopped
+				controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
 			}
 			if x.is&others != 0 {
-				c.cache.Shards[0].Member = "n1"
+				controller.cache.Shards[0].Member = "n1"
 			}
-			c.storeServedAt = now
+			controller.storeServedAt = now
 			if x.is&outage != 0 {
-				c.storeServedAt = now.Add(-time.Hour)
+				controller.storeServedAt = now.Add(-time.Hour)
 			}
-			c.anyWorkerHeardAt = now.Add(-x.tried)
-			if lost := c.superviseTerminations(now.Add(-x.tried)); len(lost) > 0 {
+			controller.anyWorkerHeardAt = now.Add(-x.tried)
+			if lost := controller.superviseTerminations(now.Add(-x.tried)); len(lost) > 0 {
 				t.Fatal("returned before anything was tried")
 			}
-			if c.anyWorkerHeardAt = now.Add(-x.heard); x.awake > 0 {
-				c.resumedAt = now.Add(-x.awake)
+			if controller.anyWorkerHeardAt = now.Add(-x.heard); x.awake > 0 {
+				controller.resumedAt = now.Add(-x.awake)
 			}
-			if lost := c.superviseTerminations(now); (len(lost) > 0) != x.want {
+			if lost := controller.superviseTerminations(now); (len(lost) > 0) != x.want {
 				t.Errorf("returned %v, want %v", lost, x.want)
 			}
-			if e := c.pendingUpdates[m.Index]; (e != nil && e.returning) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
+			if e := controller.pendingUpdates[machine.Index]; (e != nil && e.returning) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
 				t.Error("its owner returns it without saying so, or another one says so")
 			}
 		})
@@ -113,26 +113,26 @@
 		{"for half of its lease", 6 * time.Second, false, false},
 		{"its tasks are lost", 21 * time.Second, false, true},
 	} {
-		c := newCore(t) // heartbeats 1 s, leases 10 s
-		m := c.cache.Machine("m")
-		v, now := c.workerState(m), time.Now()
-		v.since, v.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
+		controller := newCore(t) // heartbeats 1 s, leases 10 s
+		machine := controller.cache.Machine("m")
+		worker, now := controller.workerState(machine), time.Now()
+		worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
 		if i == 0 {
-			c.zoneState(m.Zone).unreachable, c.zoneState(m.Zone).heard, c.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
-			c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
-			c.leaseSeenAt["n1"] = now
-			m.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
-			v.heard, v.missedProbes = v.heartbeatAt, 9
+			controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
+			controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
+			controller.leaseSeenAt["n1"] = now
+			machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
+			worker.heard, worker.missedProbes = worker.heartbeatAt, 9
 		} else if i > 1 {
-			c.applyHeartbeat(m, v, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
+			controller.applyHeartbeat(machine, worker, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
 		} else {
-			v.Worker, v.heard, v.since = dispatch.NewWorker(), now, v.heartbeatAt
+			worker.Worker, worker.heard, worker.since = dispatch.NewWorker(), now, worker.heartbeatAt
 		}
-		if got := c.usable(m, v, now); got != x.usable {
+		if got := controller.usable(machine, worker, now); got != x.usable {
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.usable)
 		}
-		c.superviseMachines(t.Context(), now, nil)
-		if e := c.pendingUpdates[m.Index]; (e != nil && e.returning) != x.why {
+		controller.superviseMachines(t.Context(), now, nil)
+		if e := controller.pendingUpdates[machine.Index]; (e != nil && e.returning) != x.why {
 			t.Errorf("%s: returned %v, want %v", x.name, !x.why, x.why)
 		}
 	}
@@ -140,21 +140,21 @@
 
 // A lead whose transaction's answer was lost is known from its record: what an earlier lead of the same process knew must not stay.
 func TestLeadershipBeginsWithItsRecord(t *testing.T) {
-	c := newCore(t)
-	c.leader.enrollPending["m9"], c.leader.requestCount = true, 7
+	controller := newCore(t)
+	controller.leader.enrollPending["m9"], controller.leader.requestCount = true, 7
 	lead := func(node string, version uint64) {
-		if err := c.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1}), version, false); err != nil {
+		if err := controller.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1}), version, false); err != nil {
 			t.Fatal(err)
 		}
-		c.changed()
+		controller.changed()
 	}
 	lead("n0", 8)
-	if c.leader.enrollPending["m9"] || c.leader.requestCount != 7 {
-		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", c.leader.enrollPending, c.leader.requestCount)
+	if controller.leader.enrollPending["m9"] || controller.leader.requestCount != 7 {
+		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", controller.leader.enrollPending, controller.leader.requestCount)
 	}
-	c.leader.enrollPending["m9"] = true
+	controller.leader.enrollPending["m9"] = true
 	lead("n0", 9) // its key rewritten by itself
-	if !c.leader.enrollPending["m9"] {
+	if !controller.leader.enrollPending["m9"] {
 		t.Error("a lead that goes on began anew")
 	}
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -81,39 +81,39 @@
 			machines[m.Zone] = append(machines[m.Zone], m)
 		}
 	}
-	w := c.cfg.Deployment.Workers
-	expected, heard := seconds(1.25*w.HeartbeatS+0.75), false
+	workers := c.cfg.Deployment.Workers
+	expected, heard := seconds(1.25*workers.HeartbeatS+0.75), false
 	for z := range machines {
 		heard = heard || len(machines[z]) > 0 && c.silenceOf(c.zoneState(z).heard, now) < expected+time.Second
 	}
 	for z, list := range machines {
-		x := c.zoneState(z)
-		silent := c.silenceOf(x.heard, now)
-		if len(list) > 0 || !x.unreachable {
-			x.emptySince = time.Time{}
-		} else if x.emptySince.IsZero() {
-			x.emptySince = now
-		} else if now.Sub(x.emptySince) > emptyFor {
-			*x = zoneState{heard: now}
+		controllerZoneState := c.zoneState(z)
+		silent := c.silenceOf(controllerZoneState.heard, now)
+		if len(list) > 0 || !controllerZoneState.unreachable {
+			controllerZoneState.emptySince = time.Time{}
+		} else if controllerZoneState.emptySince.IsZero() {
+			controllerZoneState.emptySince = now
+		} else if now.Sub(controllerZoneState.emptySince) > emptyFor {
+			*controllerZoneState = zoneState{heard: now}
 			c.log.Info("nothing is left in a zone that was away, it is tried again", "zone", c.cache.Zones.Name(z))
 		}
 		if len(list) == 0 || silent < expected {
 			continue
 		}
-		quiet, misses := zoneUnreachableAfter(w), zoneMisses
+		quiet, misses := zoneUnreachableAfter(workers), zoneMisses
 		if !c.ownsShard(list[0].Shard) {
 			quiet, misses = 2*quiet, 2*misses // nobody heartbeats to this controller
 		}
-		if !x.unreachable && len(list) >= zoneMachines && heard && silent > quiet && x.missedProbes >= misses {
-			x.unreachable = true
+		if !controllerZoneState.unreachable && len(list) >= zoneMachines && heard && silent > quiet && controllerZoneState.missedProbes >= misses {
+			controllerZoneState.unreachable = true
 			c.log.Info("zone is away", "zone", c.cache.Zones.Name(z), "machines", len(list))
 		}
-		if x.probing || now.Sub(x.probedAt) < time.Second/2 {
+		if controllerZoneState.probing || now.Sub(controllerZoneState.probedAt) < time.Second/2 {
 			continue
 		}
-		x.probing, x.probedAt = true, now
-		x.nextProbe++
-		c.probeHeartbeat(list[x.nextProbe%len(list)], func(answered bool) {
+		controllerZoneState.probing, controllerZoneState.probedAt = true, now
+		controllerZoneState.nextProbe++
+		c.probeHeartbeat(list[controllerZoneState.nextProbe%len(list)], func(answered bool) {
 			x := c.zoneState(z)
 			x.probing = false
 			if answered {
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -28,24 +28,24 @@
 // hall is a controller that owns n machines in each of three zones, a to c.
 func hall(t *testing.T, n int) *Controller {
 	t.Helper()
-	c := newCore(t)
-	c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
-	c.cfg.Deployment.Workers.CancelS = 40
+	controller := newCore(t)
+	controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
+	controller.cfg.Deployment.Workers.CancelS = 40
 	rev := uint64(10)
 	for _, z := range []string{"a", "b", "c"} {
 		for i := range n {
 			rev++
 			name := fmt.Sprint(z, i)
-			if err := c.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: z, FencingToken: rev,
+			if err := controller.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: z, FencingToken: rev,
 				Machines: []storage.FleetMachine{{Name: name, Addr: name}}}), rev, false); err != nil {
 				t.Fatal(err)
 			}
-			m := c.cache.Machine(name)
+			m := controller.cache.Machine(name)
 			m.Incarnation, m.Gone = 1, false
-			c.workerState(m)
+			controller.workerState(m)
 		}
 	}
-	return c
+	return controller
 }
 
 // A zone was cut off: machines were rented in it, where nobody reached them until the cut ended, and the
@@ -55,7 +55,7 @@
 		name        string
 		heard       string // zones that answer
 		machines    int
-		before      func(c *Controller, now time.Time)
+		before      func(controller *Controller, now time.Time)
 		away, lives bool // lives: somebody inside is taken to live
 	}{
 		{"one zone is silent, its node lived", "ac", 4, func(*Controller, time.Time) {}, true, true},
@@ -67,46 +67,46 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := hall(t, x.machines)
-				c.workers = deafWorkers(x.heard)
+				core := hall(t, x.machines)
+				core.workers = deafWorkers(x.heard)
 				for _, n := range []string{"n0", "n1", "n2"} {
-					c.cache.Members[n] = &storage.Member{Version: 1}
+					core.cache.Members[n] = &storage.Member{Version: 1}
 				}
-				c.startedAt = time.Now().Add(-time.Minute)
-				x.before(c, time.Now())
-				b := c.cache.Zones.Find("b")
+				core.startedAt = time.Now().Add(-time.Minute)
+				x.before(core, time.Now())
+				b := core.cache.Zones.Find("b")
 				for i := range 24 {
-					c.superviseZones(time.Now())
+					core.superviseZones(time.Now())
 					time.Sleep(250 * time.Millisecond)
-					for len(c.inbox) > 0 {
-						(<-c.inbox)()
+					for len(core.inbox) > 0 {
+						(<-core.inbox)()
 					}
 					if i == 10 {
-						delete(c.cache.Members, "n1") // its hold has ended
+						delete(core.cache.Members, "n1") // its hold has ended
 					}
 				}
 				now := time.Now()
-				if c.zoneUnreachable(b) != x.away || x.away && c.hasControllerInside(b) != x.lives {
-					t.Fatalf("away: %v, inhabited: %v", c.zoneUnreachable(b), c.hasControllerInside(b))
+				if core.zoneUnreachable(b) != x.away || x.away && core.hasControllerInside(b) != x.lives {
+					t.Fatalf("away: %v, inhabited: %v", core.zoneUnreachable(b), core.hasControllerInside(b))
 				}
-				if x.away && (!c.needsNoReplacement(b, now) || c.needsNoReplacement(b, now.Add(time.Minute))) {
+				if x.away && (!core.needsNoReplacement(b, now) || core.needsNoReplacement(b, now.Add(time.Minute))) {
 					t.Error("what runs there needs no other room for a while, and then it does")
 				}
-				for _, m := range c.cache.Machines {
+				for _, m := range core.cache.Machines {
 					m.Gone = m.Zone == b && x.name == "its node was no member any more"
 				}
 				for range 2 { // in a zone without machines nobody will ever be heard
-					c.superviseZones(now)
-					if c.zoneUnreachable(b) != x.away {
+					core.superviseZones(now)
+					if core.zoneUnreachable(b) != x.away {
 						t.Error("a zone is tried again at once")
 					}
-					c.superviseZones(now.Add(emptyFor - time.Second))
+					core.superviseZones(now.Add(emptyFor - time.Second))
 				}
 				empty := x.name == "its node was no member any more"
-				if c.superviseZones(now.Add(emptyFor + time.Second)); c.zoneUnreachable(b) != (x.away && !empty) {
-					t.Errorf("away: %v, without machines in it: %v", c.zoneUnreachable(b), empty)
+				if core.superviseZones(now.Add(emptyFor + time.Second)); core.zoneUnreachable(b) != (x.away && !empty) {
+					t.Errorf("away: %v, without machines in it: %v", core.zoneUnreachable(b), empty)
 				}
-				if c.hearZone(b, now); c.zoneUnreachable(b) {
+				if core.hearZone(b, now); core.zoneUnreachable(b) {
 					t.Error("a zone that is heard is back")
 				}
 				time.Sleep(2 * probeTimeout)
@@ -165,19 +165,19 @@
 
 // Replicas leave a drained machine one of a service at a time, and only for one that has their image.
 func TestReplicasMoveOneByOne(t *testing.T) {
-	c, now := hall(t, 3), time.Now()
-	for _, m := range c.cache.Machines {
-		v := c.workerState(m)
+	controller, now := hall(t, 3), time.Now()
+	for _, m := range controller.cache.Machines {
+		v := controller.workerState(m)
 		v.Incarnation, v.heard = 1, now
 	}
-	one, two := c.serve(t, "job-000010", 3, "a0", "b0", "a0"), c.serve(t, "job-000011", 1, "a0")
-	from := c.cache.Machine("a0")
+	one, two := controller.serve(t, "job-000010", 3, "a0", "b0", "a0"), controller.serve(t, "job-000011", 1, "a0")
+	from := controller.cache.Machine("a0")
 	from.Draining = true
 	leaving := func() (n int) {
-		c.relocateReplicas(now)
-		c.relocateReplicas(now.Add(time.Second))
+		controller.relocateReplicas(now)
+		controller.relocateReplicas(now.Add(time.Second))
 		for _, p := range from.Tasks {
-			if c.desiredState(from, c.workerState(from), p).Stop {
+			if controller.desiredState(from, controller.workerState(from), p).Stop {
 				n++
 			}
 		}
@@ -186,8 +186,8 @@
 	if n := leaving(); n != 0 {
 		t.Errorf("%d replicas leave although their image is nowhere else", n)
 	}
-	c.workerState(c.cache.Machine("c0")).images = []int{one.Image}
-	if n := leaving(); n != 2 || c.jobState(one).relocating == c.jobState(two).relocating {
+	controller.workerState(controller.cache.Machine("c0")).images = []int{one.Image}
+	if n := leaving(); n != 2 || controller.jobState(one).relocating == controller.jobState(two).relocating {
 		t.Errorf("%d replicas leave, want one of each service", n)
 	}
 }
@@ -195,17 +195,17 @@
 // Replicas waited for minutes beside free machines in a zone that had its half already: by the sums there was
 // room, and nothing was rented elsewhere.
 func TestSpreadIsAskedForByZone(t *testing.T) {
-	c := hall(t, 1)
-	c.leader.init()
-	c.cache.Types[0].Zones = []int{0, 1, 2}
-	c.serve(t, "job-000010", 6, "a0", "a0", "a0")
+	controller := hall(t, 1)
+	controller.leader.init()
+	controller.cache.Types[0].Zones = []int{0, 1, 2}
+	controller.serve(t, "job-000010", 6, "a0", "a0", "a0")
 	need := map[int]int{}
-	for _, d := range c.demands(time.Now()) {
+	for _, d := range controller.demands(time.Now()) {
 		if !d.Spot {
 			need[d.Zone] += d.Tasks
 		}
 	}
-	if a := c.cache.Zones.Find("a"); need[a] != 3 || need[-1] != 0 || need[0]+need[1]+need[2] != 6 {
+	if a := controller.cache.Zones.Find("a"); need[a] != 3 || need[-1] != 0 || need[0]+need[1]+need[2] != 6 {
 		t.Errorf("room asked for by zone: %v", need)
 	}
 }
@@ -226,20 +226,20 @@
 		{"more runs than may", 12, 5, 4, 9, 12},
 		{"less than a task is left", 19, 5, 4, 16, 19},
 	} {
-		c := hall(t, 4)
-		c.leader.init()
-		c.cache.Teams[0].CpusMax = x.limit
+		controller := hall(t, 4)
+		controller.leader.init()
+		controller.cache.Teams[0].CpusMax = x.limit
 		for i := range x.jobs {
 			var on []string
 			if i == 0 {
 				on = []string{"a0", "b0", "c0", "a1"}[:x.running]
 			}
-			j := c.serve(t, fmt.Sprintf("job-%06d", 10+i), 6, on...)
+			j := controller.serve(t, fmt.Sprintf("job-%06d", 10+i), 6, on...)
 			j.Spread = false
-			c.cache.Used[j.Team].Add(j, float64(len(on)))
+			controller.cache.Used[j.Team].Add(j, float64(len(on)))
 		}
 		got := 0.0
-		for _, d := range c.demands(time.Now()) {
+		for _, d := range controller.demands(time.Now()) {
 			got += min(float64(d.Tasks), math.Ceil(d.Work/(workHorizon*d.WithinS))) * d.Cpus // as provision.Decide counts
 		}
 		if got < x.low || got > x.high {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -18,7 +18,7 @@
 const profile = "for_s = 60\n[[stream]]\nteam = \"red\"\nper_minute = 300\ntasks = [1, 3]\ndue_in = 2\nrun_s = [5]\nchain_part = 0.2\n"
 
 func TestProfile(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{profile, ""},
 		{strings.Replace(profile, "red", "", 1), "stream[0].team"},
 		{strings.Replace(profile, "[1, 3]", "[3, 1]", 1), "stream[0].tasks"},
@@ -29,9 +29,9 @@
 		{"for_s = 0\n", "for_s"},
 		{"for_s = 9\n", "stream"},
 	} {
-		_, err := Parse([]byte(c.text))
-		if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+		_, err := Parse([]byte(test.text))
+		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%q: %v, want %q", test.text, err, test.want)
 		}
 	}
 }
@@ -39,32 +39,32 @@
 // TestPlan: the same seed draws the same jobs, another draws others; all of them are valid and
 // await only jobs that come before them.
 func TestPlan(t *testing.T) {
-	p, err := Parse([]byte(profile))
+	loadgenProfile, err := Parse([]byte(profile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err1 := p.Plan(7)
-	b, err2 := p.Plan(7)
-	other, err3 := p.Plan(8)
-	if err := errors.Join(err1, err2, err3); err != nil || !reflect.DeepEqual(a, b) || reflect.DeepEqual(a, other) || len(a) < 200 || len(a) > 400 {
-		t.Fatalf("%d jobs and %d, %v", len(a), len(other), err)
+	arrivals, err1 := loadgenProfile.Plan(7)
+	loadgenArrivals, err2 := loadgenProfile.Plan(7)
+	other, err3 := loadgenProfile.Plan(8)
+	if err := errors.Join(err1, err2, err3); err != nil || !reflect.DeepEqual(arrivals, loadgenArrivals) || reflect.DeepEqual(arrivals, other) || len(arrivals) < 200 || len(arrivals) > 400 {
+		t.Fatalf("%d jobs and %d, %v", len(arrivals), len(other), err)
 	}
 	at := map[string]time.Duration{}
-	for _, x := range a {
-		raw, err := protocol.EncodeSubmission(&x.Job)
+	for _, arrival := range arrivals {
+		raw, err := protocol.EncodeSubmission(&arrival.Job)
 		if err != nil {
 			t.Fatal(err)
 		}
 		back, err := protocol.ParseSubmission(raw)
-		if err != nil || back.ID != x.Job.ID || back.Tasks != x.Job.Tasks || back.DeadlineS != x.Job.DeadlineS || fmt.Sprint(back.Dependencies) != fmt.Sprint(x.Job.Dependencies) {
+		if err != nil || back.ID != arrival.Job.ID || back.Tasks != arrival.Job.Tasks || back.DeadlineS != arrival.Job.DeadlineS || fmt.Sprint(back.Dependencies) != fmt.Sprint(arrival.Job.Dependencies) {
 			t.Fatalf("%s: %+v, %v", raw, back, err)
 		}
-		for _, id := range x.Job.Dependencies {
+		for _, id := range arrival.Job.Dependencies {
 			if _, ok := at[id]; !ok {
-				t.Fatalf("%s awaits %s, which has not come", x.Job.ID, id)
+				t.Fatalf("%s awaits %s, which has not come", arrival.Job.ID, id)
 			}
 		}
-		at[x.Job.ID] = x.At
+		at[arrival.Job.ID] = arrival.At
 	}
 }
 
@@ -106,11 +106,11 @@
 // goes back is noticed.
 func TestOpenLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, err := Parse([]byte(strings.Replace(profile, "chain_part = 0.2", "", 1)))
+		loadgenProfile, err := Parse([]byte(strings.Replace(profile, "chain_part = 0.2", "", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, err := p.Plan(7)
+		plan, err := loadgenProfile.Plan(7)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -80,22 +80,22 @@
 
 // Parse reads and checks a profile's text.
 func Parse(raw []byte) (*Profile, error) {
-	p := &Profile{}
-	if err := config.Strict(raw, p); err != nil {
+	profile := &Profile{}
+	if err := config.Strict(raw, profile); err != nil {
 		return nil, err
 	}
-	if !(p.ForS > 0) || p.ForS > 86400 {
+	if !(profile.ForS > 0) || profile.ForS > 86400 {
 		return nil, &config.FieldError{Field: "for_s", Expected: "seconds from above 0 to 86400"}
 	}
-	if len(p.Streams) == 0 {
+	if len(profile.Streams) == 0 {
 		return nil, &config.FieldError{Field: "stream", Expected: "at least one [[stream]]"}
 	}
-	for i := range p.Streams {
-		if err := p.Streams[i].check(fmt.Sprintf("stream[%d].", i)); err != nil {
+	for i := range profile.Streams {
+		if err := profile.Streams[i].check(fmt.Sprintf("stream[%d].", i)); err != nil {
 			return nil, err
 		}
 	}
-	return p, nil
+	return profile, nil
 }
 
 // check checks a stream and fills in what it leaves out.
@@ -170,25 +170,25 @@
 	var out []Arrival
 	used := map[string]bool{}
 	for i := range p.Streams {
-		s := &p.Streams[i]
+		stream := &p.Streams[i]
 		rnd := rand.New(rand.NewPCG(seed, uint64(i)+1))
 		end := p.ForS
-		if s.ForS > 0 {
-			end = min(end, s.FromS+s.ForS)
+		if stream.ForS > 0 {
+			end = min(end, stream.FromS+stream.ForS)
 		}
 		last := ""
-		for at := s.FromS + rnd.ExpFloat64()*60/s.PerMinute; at < end; at += rnd.ExpFloat64() * 60 / s.PerMinute {
-			a := s.draw(rnd)
-			a.At = time.Duration(at * float64(time.Second))
-			for a.Job.ID == "" || used[a.Job.ID] {
-				a.Job.ID = fmt.Sprintf("job-%09d", rnd.Uint64N(1e9))
+		for at := stream.FromS + rnd.ExpFloat64()*60/stream.PerMinute; at < end; at += rnd.ExpFloat64() * 60 / stream.PerMinute {
+			arrival := stream.draw(rnd)
+			arrival.At = time.Duration(at * float64(time.Second))
+			for arrival.Job.ID == "" || used[arrival.Job.ID] {
+				arrival.Job.ID = fmt.Sprintf("job-%09d", rnd.Uint64N(1e9))
 			}
-			used[a.Job.ID] = true
-			if last != "" && rnd.Float64() < s.ChainPart {
-				a.Job.Dependencies = []string{last}
+			used[arrival.Job.ID] = true
+			if last != "" && rnd.Float64() < stream.ChainPart {
+				arrival.Job.Dependencies = []string{last}
 			}
-			last = a.Job.ID
-			if out = append(out, a); len(out) > 200_000 {
+			last = arrival.Job.ID
+			if out = append(out, arrival); len(out) > 200_000 {
 				return nil, ErrTooMany
 			}
 		}
@@ -202,25 +202,25 @@
 	round := func(v float64) float64 { return math.Round(v*100) / 100 }
 	run := round(s.RunS.draw(rnd))
 	prio, _ := protocol.ParsePriority(s.Priority) // checked
-	j := protocol.Submission{Class: s.Class, Team: s.Team, Priority: prio, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
+	submission := protocol.Submission{Class: s.Class, Team: s.Team, Priority: prio, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
 		Gpus: math.Round(s.Gpus.draw(rnd)), MemGB: round(s.MemGB.draw(rnd)), Image: fmt.Sprintf("%s-%d", s.Class, rnd.IntN(s.Images)), ImageGB: s.ImageGB,
 		OneZone: s.SameZone, Spread: s.HalfAZone, Spot: !s.OnDemandOnly, CheckpointS: s.CheckpointS, CheckpointCostS: s.SaveS}
-	j.Cpus = max(0.01, j.Cpus)
+	submission.Cpus = max(0.01, submission.Cpus)
 	if s.MachineType != "" {
-		j.Types = []string{s.MachineType}
+		submission.Types = []string{s.MachineType}
 	}
-	a := Arrival{Run: time.Duration(run * float64(time.Second)), Fails: rnd.Float64() < s.FailPart}
+	arrival := Arrival{Run: time.Duration(run * float64(time.Second)), Fails: rnd.Float64() < s.FailPart}
 	if s.Service {
-		j.Shape = protocol.Service
+		submission.Shape = protocol.Service
 	} else {
-		j.EstimateS = round(run * (1 + s.OffBy*(2*rnd.Float64()-1)))
+		submission.EstimateS = round(run * (1 + s.OffBy*(2*rnd.Float64()-1)))
 	}
 	if s.DueIn > 0 {
-		j.DeadlineS = max(1, round(s.DueIn*max(1, j.EstimateS)))
+		submission.DeadlineS = max(1, round(s.DueIn*max(1, submission.EstimateS)))
 	}
 	if rnd.Float64() < s.CancelPart {
-		a.CancelAfter = max(time.Millisecond, time.Duration(s.CancelIn.draw(rnd)*float64(time.Second)))
+		arrival.CancelAfter = max(time.Millisecond, time.Duration(s.CancelIn.draw(rnd)*float64(time.Second)))
 	}
-	a.Job = j
-	return a
+	arrival.Job = submission
+	return arrival
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -96,32 +96,32 @@
 		accepted[plan[i].Job.ID] = make(chan struct{})
 	}
 	for i := range plan {
-		a := &plan[i]
-		if !wait(ctx, time.Until(began.Add(a.At))) {
+		arrival := &plan[i]
+		if !wait(ctx, time.Until(began.Add(arrival.At))) {
 			break
 		}
-		late := time.Since(began.Add(a.At))
+		late := time.Since(began.Add(arrival.At))
 		r.mu.Lock()
 		r.behind.add(late)
 		r.mu.Unlock()
 		all.Go(func() {
-			for _, id := range a.Job.Dependencies {
+			for _, id := range arrival.Job.Dependencies {
 				select {
 				case <-accepted[id]:
 				case <-until.Done():
 					return
 				}
 			}
-			r.one(until, a, func() { close(accepted[a.Job.ID]) })
+			r.one(until, arrival, func() { close(accepted[arrival.Job.ID]) })
 		})
 	}
 	over := make(chan struct{})
 	go func() { all.Wait(); close(over) }()
-	t := time.NewTimer(drain)
-	defer t.Stop()
+	timer := time.NewTimer(drain)
+	defer timer.Stop()
 	select {
 	case <-over:
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	cancel()
@@ -160,17 +160,17 @@
 }
 
 // one is the life of one job's user.
-func (r *Runner) one(ctx context.Context, a *Arrival, accepted func()) {
-	body, err := protocol.EncodeSubmission(&a.Job)
+func (r *Runner) one(ctx context.Context, arrival *Arrival, accepted func()) {
+	body, err := protocol.EncodeSubmission(&arrival.Job)
 	if err == nil && r.Upload != nil {
-		err = r.upload(a, body)
+		err = r.upload(arrival, body)
 	}
 	if err != nil {
 		r.count(func(s *Result) { s.Rejected++ })
 		return
 	}
 	began := time.Now()
-	st, err := r.To.Submit(ctx, body)
+	state, err := r.To.Submit(ctx, body)
 	switch {
 	case errors.Is(err, client.ErrRejected):
 		r.count(func(s *Result) { s.Rejected++ })
@@ -182,23 +182,23 @@
 	took := time.Since(began)
 	r.count(func(s *Result) { s.Accepted++; r.accept.add(took) })
 	accepted()
-	due := time.Duration(a.Job.DeadlineS * float64(time.Second))
+	due := time.Duration(arrival.Job.DeadlineS * float64(time.Second))
 	if due > 0 {
 		r.count(func(s *Result) { s.WithDue++ })
 	}
-	final, at := r.watch(ctx, a, st, began)
-	r.count(func(s *Result) {
+	final, at := r.watch(ctx, arrival, state, began)
+	r.count(func(result *Result) {
 		switch final {
 		case protocol.Done:
-			s.Done++
+			result.Done++
 			r.complete.add(at)
 		case protocol.Cancelled:
-			s.Cancelled++
+			result.Cancelled++
 		default:
-			s.Open++
+			result.Open++
 		}
 		if due > 0 && final != protocol.Cancelled && at > due {
-			s.Late++
+			result.Late++
 		}
 	})
 }
@@ -213,39 +213,39 @@
 
 // watch polls a job until it is over and cancels it if its user wants to. A last poll some
 // time after the end finds out whether it was told otherwise.
-func (r *Runner) watch(ctx context.Context, a *Arrival, st protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
+func (r *Runner) watch(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
 	asked := time.Now()
-	cancelled := a.CancelAfter == 0
-	for !st.Status.Final() {
+	cancelled := arrival.CancelAfter == 0
+	for !state.Status.Final() {
 		pause := r.PollEvery*3/4 + rand.N(r.PollEvery/2)
 		if !cancelled {
-			pause = min(pause, time.Until(asked.Add(a.CancelAfter)))
+			pause = min(pause, time.Until(asked.Add(arrival.CancelAfter)))
 		}
 		if !wait(ctx, pause) {
-			return st.Status, time.Since(began)
+			return state.Status, time.Since(began)
 		}
 		var next protocol.JobState
 		var err error
-		if !cancelled && time.Since(asked) >= a.CancelAfter {
-			next, err = r.To.Cancel(ctx, a.Job.ID)
+		if !cancelled && time.Since(asked) >= arrival.CancelAfter {
+			next, err = r.To.Cancel(ctx, arrival.Job.ID)
 			cancelled = err == nil
 		} else {
 			sent := time.Now()
-			next, err = r.To.Status(a.Job.ID)
+			next, err = r.To.Status(arrival.Job.ID)
 			took := time.Since(sent)
 			r.count(func(*Result) { r.answers.add(took) })
 		}
 		if err == nil {
-			st = next
+			state = next
 		}
 	}
 	took := time.Since(began)
 	if wait(ctx, r.PollEvery) {
-		if again, err := r.To.Status(a.Job.ID); err == nil && again.Status != st.Status || errors.Is(err, client.ErrNotFound) {
+		if again, err := r.To.Status(arrival.Job.ID); err == nil && again.Status != state.Status || errors.Is(err, client.ErrNotFound) {
 			r.count(func(s *Result) { s.WentBack++ })
 		}
 	}
-	return st.Status, took
+	return state.Status, took
 }
 
 // Print writes a result for people.
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -113,63 +113,63 @@
 	return c, nil
 }
 
-func (c *Cluster) start(ctx context.Context, o Options) error {
-	if len(o.Deployment.Zones) == 0 {
-		o.Deployment = Settings()
+func (c *Cluster) start(ctx context.Context, options Options) error {
+	if len(options.Deployment.Zones) == 0 {
+		options.Deployment = Settings()
 	}
-	if len(o.Catalog.Types) == 0 {
-		o.Catalog = Catalog(o.Deployment.Zones)
+	if len(options.Catalog.Types) == 0 {
+		options.Catalog = Catalog(options.Deployment.Zones)
 	}
-	if o.Faults != nil {
-		if err := o.Faults.fits(&o.Deployment); err != nil {
+	if options.Faults != nil {
+		if err := options.Faults.fits(&options.Deployment); err != nil {
 			return err
 		}
 	}
-	c.startSimulation(ctx, &o)
-	release, err := c.chooseAddresses(&o)
+	c.startSimulation(ctx, &options)
+	release, err := c.chooseAddresses(&options)
 	if err != nil {
 		return err
 	}
-	files, err := c.startAround(ctx, &o)
+	files, err := c.startAround(ctx, &options)
 	release() // as late as can be: a controller listens there next, and starts again if it finds a port taken
 	if err != nil {
 		return err
 	}
-	if err := c.startControllers(ctx, &o, files); err != nil {
+	if err := c.startControllers(ctx, &options, files); err != nil {
 		return err
 	}
-	for i := range o.Up {
-		c.Simulation.AddMachine(o.Deployment.Zones[i%len(o.Deployment.Zones)], true)
+	for i := range options.Up {
+		c.Simulation.AddMachine(options.Deployment.Zones[i%len(options.Deployment.Zones)], true)
 	}
-	if o.Faults != nil {
-		c.all.Go(func() { o.Faults.play(ctx, c, o.Log) })
+	if options.Faults != nil {
+		c.all.Go(func() { options.Faults.play(ctx, c, options.Log) })
 	}
 	return nil
 }
 
 // startSimulation makes the state service, the cloud and the workers' ports.
-func (c *Cluster) startSimulation(ctx context.Context, o *Options) {
-	d := &o.Deployment
-	w := simulator.NewSimulation(ctx, &config.Settings{Deployment: *d}, o.Seed)
-	w.Catalog, w.CapacityOf, w.Speed, w.Log, w.Delay = o.Catalog, o.Machines, o.Speed, o.Log, o.Delay
-	w.LateBoots, w.NeverBoots = lateBoots, neverBoots
-	w.Store.Limit(d.State.RPS, d.State.WriteRPS)
-	w.Store.MaxValue, w.Store.MaxOps = int(d.State.ValueKB*1024), d.State.TxnOps
-	w.LimitCloud(d.Cloud.RPS)
-	workerAddress := o.Addresses.Worker
+func (c *Cluster) startSimulation(ctx context.Context, options *Options) {
+	deployment := &options.Deployment
+	sim := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
+	sim.Catalog, sim.CapacityOf, sim.Speed, sim.Log, sim.Delay = options.Catalog, options.Machines, options.Speed, options.Log, options.Delay
+	sim.LateBoots, sim.NeverBoots = lateBoots, neverBoots
+	sim.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
+	sim.Store.MaxValue, sim.Store.MaxOps = int(deployment.State.ValueKB*1024), deployment.State.TxnOps
+	sim.LimitCloud(deployment.Cloud.RPS)
+	workerAddress := options.Addresses.Worker
 	if workerAddress == nil {
 		workerAddress = simulator.AnyPort
 	}
-	c.Simulation, c.ports = w, w.ServeWorkers(workerAddress)
-	if o.SharedTicker {
-		w.SharedTicker = true
-		c.all.Go(w.RunTicker)
+	c.Simulation, c.ports = sim, sim.ServeWorkers(workerAddress)
+	if options.SharedTicker {
+		sim.SharedTicker = true
+		c.all.Go(sim.RunTicker)
 	}
 }
 
 // chooseAddresses chooses where the controllers will listen. Ports that the system chose are held until release.
-func (c *Cluster) chooseAddresses(o *Options) (release func(), err error) {
-	n := o.Deployment.Controllers
+func (c *Cluster) chooseAddresses(options *Options) (release func(), err error) {
+	n := options.Deployment.Controllers
 	c.public, c.Controllers = make([]string, n), make([]string, n)
 	var held []net.Listener
 	release = func() {
@@ -178,8 +178,8 @@
 		}
 	}
 	for i := range n {
-		if o.Addresses.Controller != nil {
-			c.public[i], c.Controllers[i] = o.Addresses.Controller(i)
+		if options.Addresses.Controller != nil {
+			c.public[i], c.Controllers[i] = options.Addresses.Controller(i)
 			continue
 		}
 		for _, address := range []*string{&c.public[i], &c.Controllers[i]} {
@@ -196,24 +196,24 @@
 }
 
 // startAround starts what is around the controllers, and writes their settings files.
-func (c *Cluster) startAround(ctx context.Context, o *Options) (files []string, err error) {
+func (c *Cluster) startAround(ctx context.Context, options *Options) (files []string, err error) {
 	front := simulator.NewLoadBalancer()
-	zones := o.Deployment.Zones
-	for i := range o.Deployment.Controllers {
+	zones := options.Deployment.Zones
+	for i := range options.Deployment.Controllers {
 		n := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
 		front.AddController(n, c.public[i])
 		c.Meters = append(c.Meters, &ControllerMeters{})
 	}
-	for i := range o.Deployment.Controllers {
-		s, err := c.settings(i, o)
+	for i := range options.Deployment.Controllers {
+		settings, err := c.settings(i, options)
 		if err != nil {
 			return nil, err
 		}
-		raw, err := toml.Marshal(s)
+		raw, err := toml.Marshal(settings)
 		if err != nil {
 			return nil, err
 		}
-		file := filepath.Join(o.Dir, s.MemberName+".toml")
+		file := filepath.Join(options.Dir, settings.MemberName+".toml")
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			return nil, err
 		}
@@ -230,50 +230,50 @@
 }
 
 // settings starts what one controller calls, and returns its settings.
-func (c *Cluster) settings(i int, o *Options) (*config.Settings, error) {
-	w, n, meters := c.Simulation, c.Simulation.Controller(i), c.Meters[i]
-	s := &config.Settings{MemberName: n.Name, Zone: n.Zone, PublicAddr: c.public[i], PeerListen: c.Controllers[i], Deployment: o.Deployment}
-	link := w.Store.Open(n)
+func (c *Cluster) settings(i int, options *Options) (*config.Settings, error) {
+	sim, process, meters := c.Simulation, c.Simulation.Controller(i), c.Meters[i]
+	configSettings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[i], PeerListen: c.Controllers[i], Deployment: options.Deployment}
+	link := sim.Store.Open(process)
 	meters.Requests = &link.Requests
 	var err error
-	if s.External.State, err = c.serve(&meters.State, func(ln net.Listener) error { return simulator.ServeState(link, ln) }); err != nil {
+	if configSettings.External.State, err = c.serve(&meters.State, func(ln net.Listener) error { return simulator.ServeState(link, ln) }); err != nil {
 		return nil, err
 	}
-	if s.External.Cloud, err = c.serve(&meters.Cloud, func(ln net.Listener) error { return w.ServeCloud(n, ln) }); err != nil {
+	if configSettings.External.Cloud, err = c.serve(&meters.Cloud, func(ln net.Listener) error { return sim.ServeCloud(process, ln) }); err != nil {
 		return nil, err
 	}
-	for k := range o.Deployment.Controllers {
+	for k := range options.Deployment.Controllers {
 		if k == i {
 			continue
 		}
-		other := w.Controller(k)
+		other := sim.Controller(k)
 		way := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
-			return n.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || w.ZonesPartitioned(n.Zone, other.Zone)
+			return process.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || sim.ZonesPartitioned(process.Zone, other.Zone)
 		}}
-		if o.Delay != nil {
-			way.Delay = func() time.Duration { return o.Delay(n.Zone, other.Zone) }
+		if options.Delay != nil {
+			way.Delay = func() time.Duration { return options.Delay(process.Zone, other.Zone) }
 		}
 		address, err := c.serve(nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[k], way) })
 		if err != nil {
 			return nil, err
 		}
-		s.Known = append(s.Known, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
+		configSettings.Known = append(configSettings.Known, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
 	}
-	return s, nil
+	return configSettings, nil
 }
 
 // startControllers starts the controllers' processes.
-func (c *Cluster) startControllers(ctx context.Context, o *Options, files []string) error {
+func (c *Cluster) startControllers(ctx context.Context, options *Options, files []string) error {
 	for i, file := range files {
 		name := c.Simulation.Controller(i).Name
-		out, err := os.OpenFile(filepath.Join(o.Dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+		out, err := os.OpenFile(filepath.Join(options.Dir, name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 		if err != nil {
 			return err
 		}
 		c.files = append(c.files, out)
-		p := &process{name: name, program: o.Program, args: []string{"--config", file}, output: out, log: o.Log}
-		if o.Features != "" {
-			p.args = append(p.args, "--features", o.Features)
+		p := &process{name: name, program: options.Program, args: []string{"--config", file}, output: out, log: options.Log}
+		if options.Features != "" {
+			p.args = append(p.args, "--features", options.Features)
 		}
 		c.processes = append(c.processes, p)
 	}
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -72,22 +72,22 @@
 
 // ParseSchedule reads and checks a schedule's text for the cluster of Settings, and puts it in the order of time.
 func ParseSchedule(raw []byte) (*Schedule, error) {
-	s := &Schedule{}
-	if err := config.Strict(raw, s); err != nil {
+	schedule := &Schedule{}
+	if err := config.Strict(raw, schedule); err != nil {
 		return nil, err
 	}
-	for i := range s.Faults {
-		f := &s.Faults[i]
+	for i := range schedule.Faults {
+		f := &schedule.Faults[i]
 		if err := f.check(fmt.Sprintf("fault[%d].", i)); err != nil {
 			return nil, err
 		}
 	}
 	d := Settings()
-	if err := s.fits(&d); err != nil {
+	if err := schedule.fits(&d); err != nil {
 		return nil, err
 	}
-	s.Sort()
-	return s, nil
+	schedule.Sort()
+	return schedule, nil
 }
 
 // Sort puts the troubles in the order of time.
@@ -161,22 +161,22 @@
 }
 
 // play brings the troubles about, each at its time, until ctx ends.
-func (s *Schedule) play(ctx context.Context, c *Cluster, log *slog.Logger) {
+func (s *Schedule) play(ctx context.Context, cluster *Cluster, log *slog.Logger) {
 	began := time.Now()
 	for i := range s.Faults {
-		f := &s.Faults[i]
-		if !sleepUntil(ctx, began.Add(seconds(f.AtS))) {
+		fault := &s.Faults[i]
+		if !sleepUntil(ctx, began.Add(seconds(fault.AtS))) {
 			return
 		}
-		log.Info("trouble begins", "kind", f.Kind, "node", f.Node, "for_s", f.ForS, "part", f.Part)
-		end := f.begin(c)
+		log.Info("trouble begins", "kind", fault.Kind, "node", fault.Node, "for_s", fault.ForS, "part", fault.Part)
+		end := fault.begin(cluster)
 		if end == nil {
 			continue
 		}
 		go func() {
-			if sleepUntil(ctx, time.Now().Add(seconds(f.ForS))) {
+			if sleepUntil(ctx, time.Now().Add(seconds(fault.ForS))) {
 				end()
-				log.Info("trouble is over", "kind", f.Kind, "node", f.Node)
+				log.Info("trouble is over", "kind", fault.Kind, "node", fault.Node)
 			}
 		}()
 	}
@@ -196,11 +196,11 @@
 }
 
 // begin brings a trouble about and returns what ends it, nil if nothing does.
-func (f *Fault) begin(c *Cluster) (end func()) {
+func (f *Fault) begin(cluster *Cluster) (end func()) {
 	nodes := []int{controllerIndex(f.Node)}
 	if f.Node == "all" {
 		nodes = nodes[:0]
-		for i := range c.processes {
+		for i := range cluster.processes {
 			nodes = append(nodes, i)
 		}
 	}
@@ -209,13 +209,13 @@
 			do(i)
 		}
 	}
-	w := c.Simulation
+	sim := cluster.Simulation
 	switch f.Kind {
 	case "crash":
-		each(func(i int) { c.processes[i].kill() })
+		each(func(i int) { cluster.processes[i].kill() })
 	case "still":
-		each(func(i int) { c.processes[i].stopped(true) })
-		return func() { each(func(i int) { c.processes[i].stopped(false) }) }
+		each(func(i int) { cluster.processes[i].stopped(true) })
+		return func() { each(func(i int) { cluster.processes[i].stopped(false) }) }
 	case "cut":
 		var what simulator.Cuts
 		for _, x := range f.From {
@@ -224,40 +224,40 @@
 		if len(f.From) == 0 {
 			what = simulator.AllCut | simulator.NoPeers
 		}
-		each(func(i int) { w.Controller(i).Cut(what) })
-		return func() { each(func(i int) { w.Controller(i).Cut(0) }) }
+		each(func(i int) { sim.Controller(i).Cut(what) })
+		return func() { each(func(i int) { sim.Controller(i).Cut(0) }) }
 	case "refuse":
-		each(func(i int) { w.Store.Deny(w.Controller(i).Name, true) })
-		return func() { each(func(i int) { w.Store.Deny(w.Controller(i).Name, false) }) }
+		each(func(i int) { sim.Store.Deny(sim.Controller(i).Name, true) })
+		return func() { each(func(i int) { sim.Store.Deny(sim.Controller(i).Name, false) }) }
 	case "outage":
-		w.Store.SetDown(true)
-		return func() { w.Store.SetDown(false) }
+		sim.Store.SetDown(true)
+		return func() { sim.Store.SetDown(false) }
 	case "cloud_outage":
-		w.SetCloudDown(true)
-		return func() { w.SetCloudDown(false) }
+		sim.SetCloudDown(true)
+		return func() { sim.SetCloudDown(false) }
 	case "zone_cut":
-		w.PartitionZone(f.Zone)
-		return func() { w.PartitionZone("") }
+		sim.PartitionZone(f.Zone)
+		return func() { sim.PartitionZone("") }
 	}
-	met := f.meets(w)
+	met := f.meets(sim)
 	on := func(change func(bool) func(*simulator.Machine)) func() {
 		for _, m := range met {
-			w.Set(m, change(true))
+			sim.Set(m, change(true))
 		}
 		return func() {
 			for _, m := range met {
-				w.Set(m, change(false))
+				sim.Set(m, change(false))
 			}
 		}
 	}
 	switch f.Kind {
 	case "taken":
 		for _, m := range met {
-			w.Set(m, simulator.PreemptionNotice(seconds(f.NoticeS)))
+			sim.Set(m, simulator.PreemptionNotice(seconds(f.NoticeS)))
 		}
 	case "machine_dies":
 		for _, m := range met {
-			w.Die(m)
+			sim.Die(m)
 		}
 	case "machine_hangs":
 		return on(simulator.HangingMachine)
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -92,67 +92,67 @@
 var ErrFrame = errors.New("malformed frame")
 
 // AppendFrame writes a message as a frame.
-func AppendFrame(b []byte, m PeerMessage) ([]byte, error) {
-	start := len(b)
-	b = append(b, FrameMagic, FrameVersion, m.kind(), 0, 0, 0, 0)
-	switch x := m.(type) {
+func AppendFrame(data []byte, peerMessage PeerMessage) ([]byte, error) {
+	start := len(data)
+	data = append(data, FrameMagic, FrameVersion, peerMessage.kind(), 0, 0, 0, 0)
+	switch x := peerMessage.(type) {
 	case Hello:
 		if x.Member == "" || len(x.Member) > maxPeerName {
-			return b[:start], fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(x.Member))
+			return data[:start], fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(x.Member))
 		}
-		b = append(b, byte(len(x.Member)))
-		b = append(b, x.Member...)
-		b = binary.BigEndian.AppendUint64(b, x.Incarnation)
+		data = append(data, byte(len(x.Member)))
+		data = append(data, x.Member...)
+		data = binary.BigEndian.AppendUint64(data, x.Incarnation)
 	case PeerHeartbeat:
 		ok := byte(0)
 		if x.StateOK {
 			ok = 1
 		}
-		b = append(b, ok)
-		b = binary.BigEndian.AppendUint64(b, x.Revision)
-		b = binary.BigEndian.AppendUint64(b, x.OwnedShards)
-		b = binary.BigEndian.AppendUint32(b, x.ChangeRateMilli)
+		data = append(data, ok)
+		data = binary.BigEndian.AppendUint64(data, x.Revision)
+		data = binary.BigEndian.AppendUint64(data, x.OwnedShards)
+		data = binary.BigEndian.AppendUint32(data, x.ChangeRateMilli)
 	case ShardDemands:
 		if len(x.Shards) > maxShardDemands {
-			return b[:start], fmt.Errorf("%w: %d needs", ErrFrame, len(x.Shards))
+			return data[:start], fmt.Errorf("%w: %d needs", ErrFrame, len(x.Shards))
 		}
-		b = append(b, byte(len(x.Shards)))
+		data = append(data, byte(len(x.Shards)))
 		for _, s := range x.Shards {
 			o := byte(0)
 			if s.OnDemand {
 				o = 1
 			}
-			b = binary.BigEndian.AppendUint32(b, s.Shard)
-			b = append(b, o)
-			b = binary.BigEndian.AppendUint64(b, math.Float64bits(s.Cpus))
+			data = binary.BigEndian.AppendUint32(data, s.Shard)
+			data = append(data, o)
+			data = binary.BigEndian.AppendUint64(data, math.Float64bits(s.Cpus))
 		}
 	case CancellationDigest:
 		if len(x.Cancellations) > MaxCancellations {
-			return b[:start], fmt.Errorf("%w: %d cancellations", ErrFrame, len(x.Cancellations))
+			return data[:start], fmt.Errorf("%w: %d cancellations", ErrFrame, len(x.Cancellations))
 		}
-		b = binary.BigEndian.AppendUint64(b, uint64(x.At))
-		b = binary.BigEndian.AppendUint64(b, uint64(x.ProcessStart))
-		b = binary.BigEndian.AppendUint64(b, x.From)
-		b = append(b, byte(len(x.Cancellations)))
+		data = binary.BigEndian.AppendUint64(data, uint64(x.At))
+		data = binary.BigEndian.AppendUint64(data, uint64(x.ProcessStart))
+		data = binary.BigEndian.AppendUint64(data, x.From)
+		data = append(data, byte(len(x.Cancellations)))
 		for _, e := range x.Cancellations {
 			if e.Job == "" || len(e.Job) > MaxCancelledName {
-				return b[:start], fmt.Errorf("%w: job name of %d bytes", ErrFrame, len(e.Job))
+				return data[:start], fmt.Errorf("%w: job name of %d bytes", ErrFrame, len(e.Job))
 			}
-			b = binary.BigEndian.AppendUint64(b, e.Version)
-			b = append(b, byte(len(e.Job)))
-			b = append(b, e.Job...)
+			data = binary.BigEndian.AppendUint64(data, e.Version)
+			data = append(data, byte(len(e.Job)))
+			data = append(data, e.Job...)
 		}
 	default:
-		return b[:start], fmt.Errorf("%w: unknown message %T", ErrFrame, m)
+		return data[:start], fmt.Errorf("%w: unknown message %T", ErrFrame, peerMessage)
 	}
-	binary.BigEndian.PutUint32(b[start+3:], uint32(len(b)-start-frameHeader))
-	return b, nil
+	binary.BigEndian.PutUint32(data[start+3:], uint32(len(data)-start-frameHeader))
+	return data, nil
 }
 
 // ReadFrame reads one message.
-func ReadFrame(r io.Reader) (PeerMessage, error) {
+func ReadFrame(reader io.Reader) (PeerMessage, error) {
 	var h [frameHeader]byte
-	if _, err := io.ReadFull(r, h[:]); err != nil {
+	if _, err := io.ReadFull(reader, h[:]); err != nil {
 		return nil, err
 	}
 	if h[0] != FrameMagic {
@@ -166,7 +166,7 @@
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, n)
 	}
 	p := make([]byte, n)
-	if _, err := io.ReadFull(r, p); err != nil {
+	if _, err := io.ReadFull(reader, p); err != nil {
 		return nil, err
 	}
 	return decodePeerMessage(h[2], p)
@@ -199,58 +199,58 @@
 	return v == 1
 }
 
-func decodePeerMessage(kind byte, p []byte) (PeerMessage, error) {
-	c := &frameReader{rest: p}
-	var m PeerMessage
+func decodePeerMessage(kind byte, payload []byte) (PeerMessage, error) {
+	protocolFrameReader := &frameReader{rest: payload}
+	var peerMessage PeerMessage
 	switch kind {
 	case KindHello:
-		n := int(c.u8())
+		n := int(protocolFrameReader.u8())
 		if n == 0 || n > maxPeerName {
-			c.malformed = true
+			protocolFrameReader.malformed = true
 			n = 0
 		}
-		name := string(c.take(n))
-		m = Hello{Member: name, Incarnation: c.u64()}
+		name := string(protocolFrameReader.take(n))
+		peerMessage = Hello{Member: name, Incarnation: protocolFrameReader.u64()}
 	case KindPeerHeartbeat:
-		m = PeerHeartbeat{StateOK: c.flag(), Revision: c.u64(), OwnedShards: c.u64(), ChangeRateMilli: c.u32()}
+		peerMessage = PeerHeartbeat{StateOK: protocolFrameReader.flag(), Revision: protocolFrameReader.u64(), OwnedShards: protocolFrameReader.u64(), ChangeRateMilli: protocolFrameReader.u32()}
 	case KindShardDemands:
-		n := int(c.u8())
+		n := int(protocolFrameReader.u8())
 		if n > maxShardDemands {
-			c.malformed = true
+			protocolFrameReader.malformed = true
 			n = 0
 		}
 		x := ShardDemands{}
 		for range n {
-			s := ShardDemand{Shard: c.u32(), OnDemand: c.flag(), Cpus: math.Float64frombits(c.u64())}
+			s := ShardDemand{Shard: protocolFrameReader.u32(), OnDemand: protocolFrameReader.flag(), Cpus: math.Float64frombits(protocolFrameReader.u64())}
 			if math.IsNaN(s.Cpus) || math.IsInf(s.Cpus, 0) || s.Cpus < 0 {
-				c.malformed = true
+				protocolFrameReader.malformed = true
 			}
 			x.Shards = append(x.Shards, s)
 		}
-		m = x
+		peerMessage = x
 	case KindCancellationDigest:
-		x := CancellationDigest{At: int64(c.u64()), ProcessStart: int64(c.u64()), From: c.u64()}
-		n := int(c.u8())
-		if n > MaxCancellations || x.At < 0 || x.ProcessStart < 0 || x.ProcessStart > x.At {
-			c.malformed = true
+		cancellationDigest := CancellationDigest{At: int64(protocolFrameReader.u64()), ProcessStart: int64(protocolFrameReader.u64()), From: protocolFrameReader.u64()}
+		n := int(protocolFrameReader.u8())
+		if n > MaxCancellations || cancellationDigest.At < 0 || cancellationDigest.ProcessStart < 0 || cancellationDigest.ProcessStart > cancellationDigest.At {
+			protocolFrameReader.malformed = true
 			n = 0
 		}
 		for range n {
-			e := Cancellation{Version: c.u64()}
-			l := int(c.u8())
+			e := Cancellation{Version: protocolFrameReader.u64()}
+			l := int(protocolFrameReader.u8())
 			if l == 0 || l > MaxCancelledName {
-				c.malformed = true
+				protocolFrameReader.malformed = true
 				l = 0
 			}
-			e.Job = string(c.take(l))
-			x.Cancellations = append(x.Cancellations, e)
+			e.Job = string(protocolFrameReader.take(l))
+			cancellationDigest.Cancellations = append(cancellationDigest.Cancellations, e)
 		}
-		m = x
+		peerMessage = cancellationDigest
 	default:
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
 	}
-	if c.malformed || len(c.rest) != 0 {
-		return nil, fmt.Errorf("%w: kind %d with %d bytes", ErrFrame, kind, len(p))
+	if protocolFrameReader.malformed || len(protocolFrameReader.rest) != 0 {
+		return nil, fmt.Errorf("%w: kind %d with %d bytes", ErrFrame, kind, len(payload))
 	}
-	return m, nil
+	return peerMessage, nil
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -110,9 +110,9 @@
 			t.Fatal(err)
 		}
 	}
-	r := bytes.NewReader(all)
+	reader := bytes.NewReader(all)
 	for _, want := range messages {
-		if got, err := ReadFrame(r); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := ReadFrame(reader); err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %#v, %v; want %#v", got, err, want)
 		}
 	}
--- a/internal/protocol/submit.go
+++ b/internal/protocol/submit.go
@@ -5,7 +5,7 @@
 func (s Shape) String() string { return [...]string{"batch", "daemon"}[s] }
 
 // EncodeSubmission writes a submission as users send it; ParseSubmission reads it back.
-func EncodeSubmission(s *Submission) ([]byte, error) {
+func EncodeSubmission(submission *Submission) ([]byte, error) {
 	w := struct {
 		ID          string   `json:"id"`
 		Class       string   `json:"jobclass"`
@@ -28,13 +28,13 @@
 		SaveS       float64  `json:"markCostS"`
 		DeadlineS   *float64 `json:"dueS"`
 		Needs       []string `json:"awaits,omitempty"`
-	}{s.ID, s.Class, s.Team, s.Shape.String(), s.Priority.String(), s.Tasks, s.Cpus, s.Gpus, s.MemGB, s.Image, s.ImageGB,
-		s.Types, nil, s.OneZone, s.Spread, s.Spot, s.EstimateS, s.CheckpointS, s.CheckpointCostS, nil, s.Dependencies}
-	if s.Zone != "" {
-		w.Zone = &s.Zone
+	}{submission.ID, submission.Class, submission.Team, submission.Shape.String(), submission.Priority.String(), submission.Tasks, submission.Cpus, submission.Gpus, submission.MemGB, submission.Image, submission.ImageGB,
+		submission.Types, nil, submission.OneZone, submission.Spread, submission.Spot, submission.EstimateS, submission.CheckpointS, submission.CheckpointCostS, nil, submission.Dependencies}
+	if submission.Zone != "" {
+		w.Zone = &submission.Zone
 	}
-	if s.DeadlineS > 0 {
-		w.DeadlineS = &s.DeadlineS
+	if submission.DeadlineS > 0 {
+		w.DeadlineS = &submission.DeadlineS
 	}
 	return json.Marshal(w)
 }
--- a/internal/protocol/validate.go
+++ b/internal/protocol/validate.go
@@ -130,11 +130,11 @@
 
 // ParseSubmission checks a submission's form. Its errors are for the user.
 func ParseSubmission(body []byte) (*Submission, error) {
-	f, err := object(body)
+	fields, err := object(body)
 	if err != nil {
 		return nil, err
 	}
-	var s Submission
+	var submission Submission
 	var shape, urgency string
 	var zone *string
 	var due *float64
@@ -143,62 +143,62 @@
 		into     any
 		nullable bool
 	}{
-		{"id", &s.ID, false}, {"jobclass", &s.Class, false}, {"crew", &s.Team, false},
-		{"shape", &shape, false}, {"urgency", &urgency, false}, {"shards", &s.Tasks, false},
-		{"cpus", &s.Cpus, false}, {"accelerators", &s.Gpus, false}, {"ramGb", &s.MemGB, false},
-		{"kit", &s.Image, false}, {"pullGb", &s.ImageGB, false}, {"hulls", &s.Types, true},
-		{"berth", &zone, true}, {"together", &s.OneZone, false}, {"scatter", &s.Spread, false},
-		{"loaners", &s.Spot, false}, {"expectedS", &s.EstimateS, false},
-		{"markEveryS", &s.CheckpointS, false}, {"markCostS", &s.CheckpointCostS, false}, {"dueS", &due, true}, {"awaits", &s.Dependencies, true},
+		{"id", &submission.ID, false}, {"jobclass", &submission.Class, false}, {"crew", &submission.Team, false},
+		{"shape", &shape, false}, {"urgency", &urgency, false}, {"shards", &submission.Tasks, false},
+		{"cpus", &submission.Cpus, false}, {"accelerators", &submission.Gpus, false}, {"ramGb", &submission.MemGB, false},
+		{"kit", &submission.Image, false}, {"pullGb", &submission.ImageGB, false}, {"hulls", &submission.Types, true},
+		{"berth", &zone, true}, {"together", &submission.OneZone, false}, {"scatter", &submission.Spread, false},
+		{"loaners", &submission.Spot, false}, {"expectedS", &submission.EstimateS, false},
+		{"markEveryS", &submission.CheckpointS, false}, {"markCostS", &submission.CheckpointCostS, false}, {"dueS", &due, true}, {"awaits", &submission.Dependencies, true},
 	}
 	for _, st := range steps {
-		if err := f.get(st.name, st.into, st.nullable); err != nil {
+		if err := fields.get(st.name, st.into, st.nullable); err != nil {
 			return nil, err
 		}
 	}
-	if !ValidJobID(s.ID) {
+	if !ValidJobID(submission.ID) {
 		return nil, errors.New("field id is not in the form job-000412")
 	}
 	switch shape {
 	case "batch":
-		s.Shape = Batch
+		submission.Shape = Batch
 	case "daemon":
-		s.Shape = Service
+		submission.Shape = Service
 	default:
 		return nil, errors.New("field shape is not batch or daemon")
 	}
 	switch urgency {
 	case "low":
-		s.Priority = Low
+		submission.Priority = Low
 	case "normal":
-		s.Priority = Normal
+		submission.Priority = Normal
 	case "high":
-		s.Priority = High
+		submission.Priority = High
 	case "production":
-		s.Priority = Production
+		submission.Priority = Production
 	default:
 		return nil, errors.New("field urgency is not production, high, normal or low")
 	}
-	if s.Tasks < 1 || s.Tasks > MaxTasks {
+	if submission.Tasks < 1 || submission.Tasks > MaxTasks {
 		return nil, fmt.Errorf("field shards is not between 1 and %d", MaxTasks)
 	}
 	for _, n := range []struct {
 		name string
 		v    string
-	}{{"jobclass", s.Class}, {"crew", s.Team}, {"kit", s.Image}} {
+	}{{"jobclass", submission.Class}, {"crew", submission.Team}, {"kit", submission.Image}} {
 		if n.v == "" || len(n.v) > maxName {
 			return nil, fmt.Errorf("field %s is not a name of 1 to %d bytes", n.name, maxName)
 		}
 	}
-	if s.Cpus <= 0 {
+	if submission.Cpus <= 0 {
 		return nil, errors.New("field cpus is not above 0")
 	}
 	for _, a := range []struct {
 		name string
 		v    float64
 	}{
-		{"cpus", s.Cpus}, {"accelerators", s.Gpus}, {"ramGb", s.MemGB}, {"pullGb", s.ImageGB},
-		{"expectedS", s.EstimateS}, {"markEveryS", s.CheckpointS}, {"markCostS", s.CheckpointCostS},
+		{"cpus", submission.Cpus}, {"accelerators", submission.Gpus}, {"ramGb", submission.MemGB}, {"pullGb", submission.ImageGB},
+		{"expectedS", submission.EstimateS}, {"markEveryS", submission.CheckpointS}, {"markCostS", submission.CheckpointCostS},
 	} {
 		if a.v < 0 || a.v > maxAmount || math.IsNaN(a.v) {
 			return nil, fmt.Errorf("field %s is out of range", a.name)
@@ -208,17 +208,17 @@
 		if *due <= 0 || *due > maxAmount {
 			return nil, errors.New("field dueS is out of range")
 		}
-		s.DeadlineS = *due
+		submission.DeadlineS = *due
 	}
 	if zone != nil {
 		if *zone == "" || len(*zone) > maxName {
 			return nil, errors.New("field berth is not a zone's name")
 		}
-		s.Zone = *zone
+		submission.Zone = *zone
 	}
-	seen := make(map[string]bool, len(s.Dependencies))
-	needs := s.Dependencies[:0]
-	for _, id := range s.Dependencies {
+	seen := make(map[string]bool, len(submission.Dependencies))
+	needs := submission.Dependencies[:0]
+	for _, id := range submission.Dependencies {
 		if !ValidJobID(id) {
 			return nil, errors.New("field awaits holds something that is no job's id")
 		}
@@ -227,40 +227,40 @@
 			needs = append(needs, id)
 		}
 	}
-	s.Dependencies = needs
-	if f["hulls"] != nil && s.Types != nil && len(s.Types) == 0 {
+	submission.Dependencies = needs
+	if fields["hulls"] != nil && submission.Types != nil && len(submission.Types) == 0 {
 		return nil, errors.New("field hulls is an empty list")
 	}
-	for _, t := range s.Types {
+	for _, t := range submission.Types {
 		if t == "" || len(t) > maxName {
 			return nil, errors.New("field hulls holds something that is no name")
 		}
 	}
-	return &s, nil
+	return &submission, nil
 }
 
 // ParseHeartbeat checks a worker's heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
+	var heartbeat Heartbeat
 	if t := bytes.TrimLeft(body, " \t\r\n"); len(t) == 0 || t[0] != '{' {
 		return nil, errors.New("report is not a JSON object")
 	}
-	if err := json.Unmarshal(body, &r); err != nil {
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if r.Machine == "" || len(r.Machine) > maxName || strings.ContainsAny(r.Machine, " /\n") {
+	if heartbeat.Machine == "" || len(heartbeat.Machine) > maxName || strings.ContainsAny(heartbeat.Machine, " /\n") {
 		return nil, errors.New("report: host is not a name")
 	}
-	if r.Incarnation == 0 || r.Seq == 0 {
+	if heartbeat.Incarnation == 0 || heartbeat.Seq == 0 {
 		return nil, errors.New("report: watch or tally is missing")
 	}
-	if r.Type == "" || r.Zone == "" || len(r.Type) > maxName || len(r.Zone) > maxName {
+	if heartbeat.Type == "" || heartbeat.Zone == "" || len(heartbeat.Type) > maxName || len(heartbeat.Zone) > maxName {
 		return nil, errors.New("report: hull or berth is missing")
 	}
-	if r.PreemptionNoticeS != nil && (math.IsNaN(*r.PreemptionNoticeS) || *r.PreemptionNoticeS > maxAmount) {
+	if heartbeat.PreemptionNoticeS != nil && (math.IsNaN(*heartbeat.PreemptionNoticeS) || *heartbeat.PreemptionNoticeS > maxAmount) {
 		return nil, errors.New("report: recallS is out of range")
 	}
-	for _, t := range r.Tasks {
+	for _, t := range heartbeat.Tasks {
 		if _, _, ok := SplitTask(t.Task); !ok {
 			return nil, fmt.Errorf("report: %.60q is no task", t.Task)
 		}
@@ -271,5 +271,5 @@
 			return nil, fmt.Errorf("report: %.20q is no state of a task", t.State)
 		}
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -106,43 +106,43 @@
 func cpus(milli uint64) float64 { return float64(milli) / 1000 }
 
 // Make works a heartbeat out of a history.
-func Make(h *History, title string, scope view.Scope, made time.Time) *Report {
-	r := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(h.From), To: time.UnixMilli(h.To),
-		Samples: len(h.Samples), Broken: h.Broken, Gaps: []Gap{}, Teams: []TeamReport{}}
-	r.KnownFrom = r.To
-	if len(h.Samples) > 0 {
-		r.KnownFrom = time.UnixMilli(h.Samples[0].At)
+func Make(history *History, title string, scope view.Scope, made time.Time) *Report {
+	report := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(history.From), To: time.UnixMilli(history.To),
+		Samples: len(history.Samples), Broken: history.Broken, Gaps: []Gap{}, Teams: []TeamReport{}}
+	report.KnownFrom = report.To
+	if len(history.Samples) > 0 {
+		report.KnownFrom = time.UnixMilli(history.Samples[0].At)
 	}
-	usual := usualPause(h.Samples)
+	usual := usualPause(history.Samples)
 	teams := map[string]*sums{}
 	var order []string
 	var total, all, others, spanned float64
 	mostOthers := 0.0
-	for i, s := range h.Samples {
+	for i, sample := range history.Samples {
 		dt := 0.0 // for which this sample stands
-		if i+1 < len(h.Samples) {
-			pause := float64(h.Samples[i+1].At-s.At) / 1000
+		if i+1 < len(history.Samples) {
+			pause := float64(history.Samples[i+1].At-sample.At) / 1000
 			if dt = pause; pause > gapTimes*usual {
 				dt = usual
-				from := s.At + int64(usual*1000)
-				r.Gaps = append(r.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(h.Samples[i+1].At), round(pause - usual)})
+				from := sample.At + int64(usual*1000)
+				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(history.Samples[i+1].At), round(pause - usual)})
 			}
 		}
 		spanned += dt
-		all += dt * cpus(s.Fleet.Cpus)
-		if s.Others != nil {
-			others += dt * cpus(s.Others.UsedCpus)
-			mostOthers = max(mostOthers, cpus(s.Others.UsedCpus))
+		all += dt * cpus(sample.Fleet.Cpus)
+		if sample.Others != nil {
+			others += dt * cpus(sample.Others.UsedCpus)
+			mostOthers = max(mostOthers, cpus(sample.Others.UsedCpus))
 		}
-		for k := range s.Teams {
-			t := &s.Teams[k]
+		for k := range sample.Teams {
+			t := &sample.Teams[k]
 			x := teams[t.Name]
 			if x == nil {
 				x = &sums{}
 				teams[t.Name] = x
 				order = append(order, t.Name)
 			}
-			x.add(t, time.UnixMilli(s.At), dt)
+			x.add(t, time.UnixMilli(sample.At), dt)
 			total += dt
 		}
 	}
@@ -152,15 +152,15 @@
 		}
 		return round(v / spanned)
 	}
-	r.Cpus = mean(all)
+	report.Cpus = mean(all)
 	if scope != view.Operators {
-		r.Others = &Others{mean(others), round(mostOthers)}
+		report.Others = &Others{mean(others), round(mostOthers)}
 	}
 	slices.Sort(order)
 	for _, name := range order {
-		r.Teams = append(r.Teams, teams[name].report(name, mean, h))
+		report.Teams = append(report.Teams, teams[name].report(name, mean, history))
 	}
-	return r
+	return report
 }
 
 // usualPause is the median pause between samples, in seconds.
@@ -197,64 +197,64 @@
 	x.money += dt / 3600 * float64(t.RateMicro) / 1e6
 }
 
-func (x *sums) report(name string, mean func(float64) float64, h *History) TeamReport {
-	t := TeamReport{Name: name, Guarantee: round(cpus(x.last.Cpus)), Limit: round(cpus(x.last.CpusMax)), MeanCpus: mean(x.used), MostCpus: round(x.most),
+func (x *sums) report(name string, mean func(float64) float64, history *History) TeamReport {
+	teamReport := TeamReport{Name: name, Guarantee: round(cpus(x.last.Cpus)), Limit: round(cpus(x.last.CpusMax)), MeanCpus: mean(x.used), MostCpus: round(x.most),
 		MeanBorrowed: mean(x.borrowed), MeanDominant: mean(x.dominant), ShortS: round(x.short), Money: exact(x.money), Series: thin(x.points), Latest: []LateJob{}}
 	waits, lates := newSpread(), newSpread()
-	for i := range h.Jobs {
-		j := &h.Jobs[i]
-		if j.Team != name {
+	for i := range history.Jobs {
+		jobEnd := &history.Jobs[i]
+		if jobEnd.Team != name {
 			continue
 		}
-		if j.Status == view.Cancelled {
-			t.Cancelled++
+		if jobEnd.Status == view.Cancelled {
+			teamReport.Cancelled++
 			continue
 		}
-		t.Done++
-		if j.Started > 0 {
-			w := float64(max(0, j.Started-j.From)) / 1000
+		teamReport.Done++
+		if jobEnd.Started > 0 {
+			w := float64(max(0, jobEnd.Started-jobEnd.From)) / 1000
 			waits.add(w)
-			t.waits = append(t.waits, w)
+			teamReport.waits = append(teamReport.waits, w)
 		}
-		if j.Due == 0 {
+		if jobEnd.Due == 0 {
 			continue
 		}
-		t.WithDue++
-		if late := j.Behind(j.Seen); late > 0 {
-			t.Late++
+		teamReport.WithDue++
+		if late := jobEnd.Behind(jobEnd.Seen); late > 0 {
+			teamReport.Late++
 			lates.add(float64(late) / 1000)
-			t.Latest = append(t.Latest, LateJob{j.ID, j.Class, time.UnixMilli(j.End), round(float64(late) / 1000)})
+			teamReport.Latest = append(teamReport.Latest, LateJob{jobEnd.ID, jobEnd.Class, time.UnixMilli(jobEnd.End), round(float64(late) / 1000)})
 		}
-		t.lates = append(t.lates, [2]float64{float64(j.End) / 1000, float64(j.Behind(j.Seen)) / 1000})
+		teamReport.lates = append(teamReport.lates, [2]float64{float64(jobEnd.End) / 1000, float64(jobEnd.Behind(jobEnd.Seen)) / 1000})
 	}
-	t.Waits, t.LateBy = waits.spread(), lates.spread()
-	slices.SortStableFunc(t.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
-	t.Latest = t.Latest[:min(len(t.Latest), mostLate)]
-	for _, e := range h.Evicts {
+	teamReport.Waits, teamReport.LateBy = waits.spread(), lates.spread()
+	slices.SortStableFunc(teamReport.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
+	teamReport.Latest = teamReport.Latest[:min(len(teamReport.Latest), mostLate)]
+	for _, e := range history.Evicts {
 		for _, v := range e.Victims {
 			if v.Team == name {
-				t.Evicted++
+				teamReport.Evicted++
 			}
 		}
 		if e.Team == name {
-			t.EvictedFor += len(e.Victims)
+			teamReport.EvictedFor += len(e.Victims)
 		}
-		t.evicts = append(t.evicts, [3]float64{float64(e.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
+		teamReport.evicts = append(teamReport.evicts, [3]float64{float64(e.At) / 1000, float64(teamReport.Evicted), float64(teamReport.EvictedFor)})
 	}
-	return t
+	return teamReport
 }
 
 // thin keeps every nth point, and the last.
-func thin(p []Point) []Point {
-	n := (len(p) + mostPoints - 1) / mostPoints
+func thin(points []Point) []Point {
+	n := (len(points) + mostPoints - 1) / mostPoints
 	if n <= 1 {
-		return p
+		return points
 	}
 	var out []Point
-	for i := 0; i < len(p); i += n {
-		out = append(out, p[i])
+	for i := 0; i < len(points); i += n {
+		out = append(out, points[i])
 	}
-	if last := p[len(p)-1]; out[len(out)-1] != last {
+	if last := points[len(points)-1]; out[len(out)-1] != last {
 		out = append(out, last)
 	}
 	return out
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -80,8 +80,8 @@
 }
 
 // Take records a state.
-func (r *Recorder) Take(s *viewclient.State, now time.Time) error {
-	if s.Snapshot == nil || s.Age(now) > viewclient.Fresh {
+func (r *Recorder) Take(state *viewclient.State, now time.Time) error {
+	if state.Snapshot == nil || state.Age(now) > viewclient.Fresh {
 		return nil // a stale state would be recorded as if it were the present
 	}
 	var err error
@@ -91,16 +91,16 @@
 		}
 	}
 	listed := map[string]bool{}
-	s.Jobs("", func(j *view.Job) bool {
-		listed[j.ID] = true
-		if (j.Placed > 0 || j.Done > 0) && r.started[j.ID] == 0 {
-			r.started[j.ID] = s.Now
+	state.Jobs("", func(job *view.Job) bool {
+		listed[job.ID] = true
+		if (job.Placed > 0 || job.Done > 0) && r.started[job.ID] == 0 {
+			r.started[job.ID] = state.Now
 		}
-		if j.Status.Final() && !r.over[j.ID] {
-			r.over[j.ID] = true
+		if job.Status.Final() && !r.over[job.ID] {
+			r.over[job.ID] = true
 			// What was over before the recorder began has no known start, and may be recorded already.
 			if !r.first {
-				write(Line{Job: &JobEnd{*j, r.started[j.ID], s.Now}})
+				write(Line{Job: &JobEnd{*job, r.started[job.ID], state.Now}})
 			}
 		}
 		return true
@@ -116,7 +116,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	s.Evictions(func(e *view.Eviction) bool {
+	state.Evictions(func(e *view.Eviction) bool {
 		seen[e.Key] = true
 		if _, known := r.evicted[e.Key]; !known {
 			r.evicted[e.Key] = len(e.Victims)
@@ -133,7 +133,7 @@
 	}
 	if now.Sub(r.sampled) >= r.every {
 		r.sampled = now
-		write(Line{Sample: &Sample{At: s.Now, Revision: s.Revision, Teams: s.Teams, Fleet: s.Fleet}})
+		write(Line{Sample: &Sample{At: state.Now, Revision: state.Revision, Teams: state.Teams, Fleet: state.Fleet}})
 	}
 	r.first = false
 	return err
@@ -183,54 +183,54 @@
 
 // Read reads histories. Files that are missing are an error; lines that can't be read are counted.
 func Read(paths []string, scope view.Scope, from, to int64) (*History, error) {
-	h := &History{From: from, To: to}
+	history := &History{From: from, To: to}
 	jobs, evicts, samples := map[string]bool{}, map[string]bool{}, map[int64]bool{}
 	for _, path := range paths {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if errors.Is(err, fs.ErrNotExist) {
 			return nil, fmt.Errorf("history %s: there is none; dykectl record writes one, and dykectl up does", path)
 		} else if err != nil {
 			return nil, fmt.Errorf("history: %w", err)
 		}
-		sc := bufio.NewScanner(f)
-		sc.Buffer(make([]byte, 64<<10), 16<<20)
-		for sc.Scan() {
-			var l Line
-			if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
-				h.Broken++
+		scanner := bufio.NewScanner(file)
+		scanner.Buffer(make([]byte, 64<<10), 16<<20)
+		for scanner.Scan() {
+			var line Line
+			if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
+				history.Broken++
 				continue
 			}
-			if l.Sample != nil && (h.Since == 0 || l.Sample.At < h.Since) {
-				h.Since = l.Sample.At
+			if line.Sample != nil && (history.Since == 0 || line.Sample.At < history.Since) {
+				history.Since = line.Sample.At
 			}
-			l, ok := l.Within(scope)
+			line, ok := line.Within(scope)
 			if !ok {
 				continue
 			}
 			in := func(at int64) bool { return at >= from && at < to }
 			switch {
-			case l.Sample != nil && in(l.Sample.At) && !samples[l.Sample.At]:
-				samples[l.Sample.At] = true
-				h.Samples = append(h.Samples, *l.Sample)
-			case l.Job != nil && in(l.Job.Seen) && !jobs[l.Job.ID]:
-				jobs[l.Job.ID] = true
-				h.Jobs = append(h.Jobs, *l.Job)
-			case l.Evict != nil && in(l.Evict.At):
+			case line.Sample != nil && in(line.Sample.At) && !samples[line.Sample.At]:
+				samples[line.Sample.At] = true
+				history.Samples = append(history.Samples, *line.Sample)
+			case line.Job != nil && in(line.Job.Seen) && !jobs[line.Job.ID]:
+				jobs[line.Job.ID] = true
+				history.Jobs = append(history.Jobs, *line.Job)
+			case line.Evict != nil && in(line.Evict.At):
 				// Two recorders, or one and another controller's keys, may tell of one set.
-				key := fmt.Sprint(l.Evict.At, l.Evict.Job, len(l.Evict.Victims))
+				key := fmt.Sprint(line.Evict.At, line.Evict.Job, len(line.Evict.Victims))
 				if !evicts[key] {
 					evicts[key] = true
-					h.Evicts = append(h.Evicts, *l.Evict)
+					history.Evicts = append(history.Evicts, *line.Evict)
 				}
 			}
 		}
-		err = errors.Join(sc.Err(), f.Close())
+		err = errors.Join(scanner.Err(), file.Close())
 		if err != nil {
 			return nil, fmt.Errorf("history %s: %w", path, err)
 		}
 	}
-	slices.SortFunc(h.Samples, func(a, b Sample) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(h.Evicts, func(a, b view.Eviction) int { return cmp.Compare(a.At, b.At) })
-	slices.SortFunc(h.Jobs, func(a, b JobEnd) int { return cmp.Compare(a.Seen, b.Seen) })
-	return h, nil
+	slices.SortFunc(history.Samples, func(a, b Sample) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(history.Evicts, func(a, b view.Eviction) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(history.Jobs, func(a, b JobEnd) int { return cmp.Compare(a.Seen, b.Seen) })
+	return history, nil
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -30,8 +30,8 @@
 }
 
 // Page writes a heartbeat as one HTML page that needs nothing else.
-func (r *Report) Page(w io.Writer) error {
-	t, err := template.New("page.html").Funcs(template.FuncMap{
+func (r *Report) Page(out io.Writer) error {
+	page, err := template.New("page.html").Funcs(template.FuncMap{
 		"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05") },
 		"add":  func(a, b float64) float64 { return round(a + b) },
 		"share": func(t TeamReport) (figure, error) {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
-	if err := t.Execute(w, r); err != nil {
+	if err := page.Execute(out, r); err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
 	return nil
@@ -91,29 +91,29 @@
 
 // newPlot has a time axis that shows seconds for short spans, or none if span is 0.
 func newPlot(y string, span time.Duration) *plot.Plot {
-	p := plot.New()
-	p.Y.Label.Text = y
-	p.Y.Min = 0
-	p.Legend.Top = true
-	p.Legend.TextStyle.Font.Size, p.Legend.Padding = 8, vg.Points(2)
-	p.X.Label.TextStyle.Font.Size, p.Y.Label.TextStyle.Font.Size = 9, 9
-	p.X.Tick.Label.Font.Size, p.Y.Tick.Label.Font.Size = 8, 8
-	p.Add(plotter.NewGrid())
+	chart := plot.New()
+	chart.Y.Label.Text = y
+	chart.Y.Min = 0
+	chart.Legend.Top = true
+	chart.Legend.TextStyle.Font.Size, chart.Legend.Padding = 8, vg.Points(2)
+	chart.X.Label.TextStyle.Font.Size, chart.Y.Label.TextStyle.Font.Size = 9, 9
+	chart.X.Tick.Label.Font.Size, chart.Y.Tick.Label.Font.Size = 8, 8
+	chart.Add(plotter.NewGrid())
 	if span > 0 {
 		format := "15:04\n01-02"
 		if span < time.Hour {
 			format = "15:04:05"
 		}
-		p.X.Tick.Marker = plot.TimeTicks{Format: format, Time: plot.UnixTimeIn(time.Local)}
+		chart.X.Tick.Marker = plot.TimeTicks{Format: format, Time: plot.UnixTimeIn(time.Local)}
 	}
-	return p
+	return chart
 }
 
 // drawn is a plot as SVG to be put into a page. No name that others chose is in it.
-func drawn(p *plot.Plot) (template.HTML, error) {
-	headroom(p)
+func drawn(chart *plot.Plot) (template.HTML, error) {
+	headroom(chart)
 	c := vgsvg.New(plotWidth, plotHeight)
-	p.Draw(draw.New(c))
+	chart.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", fmt.Errorf("plot: %w", err)
@@ -148,22 +148,22 @@
 	return xy
 }
 
-func shareSVG(t TeamReport) (template.HTML, error) {
-	p := newPlot("processors", t.span())
-	err := line(p, "used", series(t, func(p Point) float64 { return p.Cpus }), blue)
+func shareSVG(teamReport TeamReport) (template.HTML, error) {
+	chart := newPlot("processors", teamReport.span())
+	err := line(chart, "used", series(teamReport, func(p Point) float64 { return p.Cpus }), blue)
 	if err == nil {
-		err = line(p, "waiting", series(t, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
+		err = line(chart, "waiting", series(teamReport, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
 	}
 	if err == nil {
-		err = line(p, "guarantee", series(t, func(Point) float64 { return t.Guarantee }), grey, vg.Points(6), vg.Points(3))
+		err = line(chart, "guarantee", series(teamReport, func(Point) float64 { return teamReport.Guarantee }), grey, vg.Points(6), vg.Points(3))
 	}
-	if err == nil && t.Limit > 0 {
-		err = line(p, "limit", series(t, func(Point) float64 { return t.Limit }), grey, vg.Points(2), vg.Points(2))
+	if err == nil && teamReport.Limit > 0 {
+		err = line(chart, "limit", series(teamReport, func(Point) float64 { return teamReport.Limit }), grey, vg.Points(2), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
 	}
-	return drawn(p)
+	return drawn(chart)
 }
 
 // headroom keeps lines clear of the legend.
@@ -186,11 +186,11 @@
 }
 
 // waitsSVG shows which part of the jobs had started within how long.
-func waitsSVG(t TeamReport) (template.HTML, error) {
-	p := newPlot("jobs, %", 0)
-	p.X.Label.Text = "started within, seconds"
-	p.X.Min = 0
-	w := slices.Sorted(slices.Values(t.waits))
+func waitsSVG(teamReport TeamReport) (template.HTML, error) {
+	chart := newPlot("jobs, %", 0)
+	chart.X.Label.Text = "started within, seconds"
+	chart.X.Min = 0
+	w := slices.Sorted(slices.Values(teamReport.waits))
 	var xy plotter.XYs
 	step := max(1, len(w)/mostPoints)
 	for i := 0; i < len(w); i += step {
@@ -199,44 +199,44 @@
 	if n := len(w); n > 0 {
 		xy = append(xy, plotter.XY{X: w[n-1], Y: 100})
 	}
-	if err := line(p, "started", xy, blue); err != nil {
+	if err := line(chart, "started", xy, blue); err != nil {
 		return "", err
 	}
-	return drawn(p)
+	return drawn(chart)
 }
 
 // evictionsSVG shows the evicted tasks so far.
-func evictionsSVG(t TeamReport) (template.HTML, error) {
-	p := newPlot("tasks", t.span())
+func evictionsSVG(teamReport TeamReport) (template.HTML, error) {
+	chart := newPlot("tasks", teamReport.span())
 	steps := func(of int) plotter.XYs {
 		xy := plotter.XYs{}
 		last := 0.0
-		for i, e := range t.evicts {
-			if i == 0 && len(t.Series) > 0 {
-				xy = append(xy, plotter.XY{X: float64(t.Series[0].At.UnixMilli()) / 1000})
+		for i, e := range teamReport.evicts {
+			if i == 0 && len(teamReport.Series) > 0 {
+				xy = append(xy, plotter.XY{X: float64(teamReport.Series[0].At.UnixMilli()) / 1000})
 			}
 			xy = append(xy, plotter.XY{X: e[0], Y: last}, plotter.XY{X: e[0], Y: e[of]})
 			last = e[of]
 		}
 		return xy
 	}
-	err := line(p, "its own", steps(1), orange)
+	err := line(chart, "its own", steps(1), orange)
 	if err == nil {
-		err = line(p, "for its jobs", steps(2), blue, vg.Points(4), vg.Points(2))
+		err = line(chart, "for its jobs", steps(2), blue, vg.Points(4), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
 	}
-	return drawn(p)
+	return drawn(chart)
 }
 
 // latesSVG shows each job's end against its deadline.
-func latesSVG(t TeamReport) (template.HTML, error) {
-	p := newPlot("late by, s", t.span())
+func latesSVG(teamReport TeamReport) (template.HTML, error) {
+	chart := newPlot("late by, s", teamReport.span())
 	var xy plotter.XYs
-	for _, l := range t.lates {
+	for _, l := range teamReport.lates {
 		xy = append(xy, plotter.XY{X: l[0], Y: l[1]})
-		p.Y.Min = min(p.Y.Min, l[1])
+		chart.Y.Min = min(chart.Y.Min, l[1])
 	}
 	if len(xy) > 0 {
 		s, err := plotter.NewScatter(xy)
@@ -244,11 +244,11 @@
 			return "", fmt.Errorf("plot: %w", err)
 		}
 		s.Color, s.Radius, s.Shape = orange, vg.Points(1.6), draw.CircleGlyph{}
-		p.Add(s)
-		p.Legend.Add("a job", s)
-		p.Add(plotter.NewFunction(func(float64) float64 { return 0 }))
+		chart.Add(s)
+		chart.Legend.Add("a job", s)
+		chart.Add(plotter.NewFunction(func(float64) float64 { return 0 }))
 	}
-	return drawn(p)
+	return drawn(chart)
 }
 
 // Beside is the file with the figures that belongs to a page.
@@ -256,8 +256,8 @@
 
 // Write writes the page and, beside it, its figures; each file whole or not at all.
 func (r *Report) Write(page string) error {
-	var b bytes.Buffer
-	if err := r.Page(&b); err != nil {
+	var buffer bytes.Buffer
+	if err := r.Page(&buffer); err != nil {
 		return err
 	}
 	raw, err := json.MarshalIndent(r, "", "  ")
@@ -267,7 +267,7 @@
 	for _, f := range []struct {
 		name string
 		body []byte
-	}{{Beside(page), append(raw, '\n')}, {page, b.Bytes()}} {
+	}{{Beside(page), append(raw, '\n')}, {page, buffer.Bytes()}} {
 		tmp := f.name + ".part"
 		if err := os.WriteFile(tmp, f.body, 0o600); err != nil {
 			return fmt.Errorf("report: %w", err)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -20,22 +20,22 @@
 func recorded(t *testing.T, began time.Time) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "history.jsonl")
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	m := view.NewModel([]view.Team{{Name: "team-red-x", Cpus: 8000, CpusMax: 20000}, {Name: "team-blue-x", Cpus: 4000}, {Name: "team-green-x"}})
-	m.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
+	defer file.Close()
+	model := view.NewModel([]view.Team{{Name: "team-red-x", Cpus: 8000, CpusMax: 20000}, {Name: "team-blue-x", Cpus: 4000}, {Name: "team-green-x"}})
+	model.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
 		Uses: []view.Use{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
-	r := NewRecorder(f, 10*time.Second)
+	recorder := NewRecorder(file, 10*time.Second)
 	put := func(team string, i int, s view.Status, placed uint32, at time.Time) {
 		j := view.Job{ID: fmt.Sprintf("job-of-%s-%d", team, i), Team: team, Class: "class-<script>-of-" + team, Tasks: 2, Placed: placed, Cpus: 1000, Status: s,
 			Submit: began.UnixMilli(), From: began.UnixMilli(), Due: began.Add(time.Minute).UnixMilli()}
 		if s.Final() {
 			j.Done, j.End = 2, at.UnixMilli()
 		}
-		m.PutJob(j)
+		model.PutJob(j)
 	}
 	for sec := range 300 {
 		at := began.Add(time.Duration(sec) * time.Second)
@@ -47,7 +47,7 @@
 				put(team, 1, view.Running, 2, at)
 			case 40:
 				put(team, 2, view.Running, 1, at)
-				m.PutEviction(view.Eviction{Job: "job-of-team-red-x-2", Team: "team-red-x", At: at.UnixMilli(),
+				model.PutEviction(view.Eviction{Job: "job-of-team-red-x-2", Team: "team-red-x", At: at.UnixMilli(),
 					Victims: []view.Victim{{Job: "job-of-team-blue-x-2", Team: "team-blue-x"}, {Job: "job-of-team-green-x-1", Team: "team-green-x"}}})
 			case 90 + i:
 				put(team, 1, view.Done, 0, at)
@@ -58,12 +58,12 @@
 		if sec >= 120 && sec < 200 {
 			continue // nobody records
 		}
-		s := m.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: at.UnixMilli(), AsOf: at.UnixMilli()})
-		if err := r.Take(&viewclient.State{Snapshot: s, Sent: at}, at); err != nil {
+		s := model.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: at.UnixMilli(), AsOf: at.UnixMilli()})
+		if err := recorder.Take(&viewclient.State{Snapshot: s, Sent: at}, at); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := f.WriteString("{\"sample\":{\"at_ms\":1"); err != nil { // a crash
+	if _, err := file.WriteString("{\"sample\":{\"at_ms\":1"); err != nil { // a crash
 		t.Fatal(err)
 	}
 	return path
@@ -77,7 +77,7 @@
 	for _, c := range []struct {
 		scope view.Scope
 		teams int
-		check func(r *Report) bool
+		check func(report *Report) bool
 	}{
 		{view.Operators, 3, func(r *Report) bool {
 			return r.Others == nil && r.Teams[0].Name == "team-blue-x" && r.Teams[0].Evicted == 1 && r.Teams[2].EvictedFor == 2
@@ -92,17 +92,17 @@
 		}},
 	} {
 		t.Run("scope "+string(c.scope), func(t *testing.T) {
-			h, err := Read([]string{path, path}, c.scope, began.UnixMilli(), began.Add(time.Hour).UnixMilli())
+			history, err := Read([]string{path, path}, c.scope, began.UnixMilli(), began.Add(time.Hour).UnixMilli())
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := Make(h, "Night <of> the 30th", c.scope, began.Add(time.Hour))
-			if len(r.Teams) != c.teams || !c.check(r) || len(r.Gaps) != 1 || r.Gaps[0].S < 60 || h.Broken != 2 || !r.KnownFrom.Equal(began) {
-				raw, _ := json.MarshalIndent(r, "", " ")
+			reportReport := Make(history, "Night <of> the 30th", c.scope, began.Add(time.Hour))
+			if len(reportReport.Teams) != c.teams || !c.check(reportReport) || len(reportReport.Gaps) != 1 || reportReport.Gaps[0].S < 60 || history.Broken != 2 || !reportReport.KnownFrom.Equal(began) {
+				raw, _ := json.MarshalIndent(reportReport, "", " ")
 				t.Fatalf("%s", raw)
 			}
 			out := filepath.Join(t.TempDir(), "page.html")
-			if err := r.Write(out); err != nil {
+			if err := reportReport.Write(out); err != nil {
 				t.Fatal(err)
 			}
 			page, err := os.ReadFile(out)
--- a/internal/scaletest/cell.go
+++ b/internal/scaletest/cell.go
@@ -45,7 +45,7 @@
 }
 
 // Cells parts a request over the profile's regions.
-func (p *Profile) Cells(r Request) []Cell {
+func (p *Profile) Cells(request Request) []Cell {
 	var cells []Cell
 	zone := 0
 	for i, region := range p.Regions {
@@ -54,16 +54,16 @@
 			zone++
 			zones = append(zones, fmt.Sprintf("z%02d", zone))
 		}
-		if r.Regions == LargestRegion && i != p.largestRegion() {
+		if request.Regions == LargestRegion && i != p.largestRegion() {
 			continue
 		}
-		part := region.Part * r.Fraction
-		c := Cell{Run: r.Run, Cut: r.Cut, Commit: r.Commit, Fraction: r.Fraction, Region: region.Name, Index: i, Zones: zones,
+		part := region.Part * request.Fraction
+		c := Cell{Run: request.Run, Cut: request.Cut, Commit: request.Commit, Fraction: request.Fraction, Region: region.Name, Index: i, Zones: zones,
 			Workers: scaled(float64(p.Workers), part), Running: scaled(float64(p.RunningTasks), part),
 			StartsPerS: p.StartsPerS * part, JobsPerS: p.JobsPerDay / secondsADay * p.PeakOfJobs * part,
-			LargestJob: scaled(float64(p.LargestJob), part), Seed: r.Seed + uint64(i), WarmUpS: r.WarmUpS, MeasureS: r.MeasureS,
-			Profile: *p, Program: r.Program, Dir: r.Dir}
-		if r.Cut == Population {
+			LargestJob: scaled(float64(p.LargestJob), part), Seed: request.Seed + uint64(i), WarmUpS: request.WarmUpS, MeasureS: request.MeasureS,
+			Profile: *p, Program: request.Program, Dir: request.Dir}
+		if request.Cut == Population {
 			c.StartsPerS = float64(c.Running) / populationTaskS
 			c.JobsPerS /= p.PeakOfJobs
 		}
@@ -91,21 +91,21 @@
 
 // Deployment is what the cell's controllers are told.
 func (c *Cell) Deployment() config.Deployment {
-	p := &c.Profile
-	d := config.Deployment{Controllers: p.Controller.PerRegion, Zones: c.Zones, ClockSkewMs: 50,
-		Workers: config.Workers{HeartbeatS: p.Worker.ReportS, LeaseS: p.Worker.LeaseS, GangWaitS: 30, GangPeerS: 4, CancelS: p.Worker.CancelS},
-		State:   config.State{RPS: p.State.RPS, WriteRPS: p.State.WriteRPS, ValueKB: p.State.ValueKB, TxnOps: p.State.TxnOps},
-		Cloud:   config.Cloud{RPS: p.State.CloudRPS, ListLagS: 3},
-		Resources: config.Resources{CPU: p.Controller.CPU, MemMB: p.Controller.MemMB,
-			MaxConnections: p.Controller.MaxConnections},
+	profile := &c.Profile
+	deployment := config.Deployment{Controllers: profile.Controller.PerRegion, Zones: c.Zones, ClockSkewMs: 50,
+		Workers: config.Workers{HeartbeatS: profile.Worker.ReportS, LeaseS: profile.Worker.LeaseS, GangWaitS: 30, GangPeerS: 4, CancelS: profile.Worker.CancelS},
+		State:   config.State{RPS: profile.State.RPS, WriteRPS: profile.State.WriteRPS, ValueKB: profile.State.ValueKB, TxnOps: profile.State.TxnOps},
+		Cloud:   config.Cloud{RPS: profile.State.CloudRPS, ListLagS: 3},
+		Resources: config.Resources{CPU: profile.Controller.CPU, MemMB: profile.Controller.MemMB,
+			MaxConnections: profile.Controller.MaxConnections},
 		Objectives: []config.Objective{
 			{Kind: "wait", Class: urgentClass, Share: 0.99, WithinS: urgentWithinS},
 			{Kind: "finished", Class: urgentClass, Share: 0.99, WithinS: urgentWithinS + 2*urgentTaskS},
 			{Kind: "finished", Class: arrayClass, Share: 0.95, WithinS: arrayAim * c.taskS()}}}
 	for _, t := range c.teams() {
-		d.Teams = append(d.Teams, config.Team{Name: t.name, Cpus: math.Floor(t.limit * guaranteedPart), CpusMax: t.limit})
+		deployment.Teams = append(deployment.Teams, config.Team{Name: t.name, Cpus: math.Floor(t.limit * guaranteedPart), CpusMax: t.limit})
 	}
-	return d
+	return deployment
 }
 
 // team is a team with its part of the work of its kind, and its limit in CPUs.
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -66,8 +66,8 @@
 const inForce = "in force"
 
 // one makes a change and watches it until it is in force. One that lowers a limit is taken back afterwards.
-func (o *operators) one(ctx context.Context, node string, t team, lowers bool) {
-	took, err := o.change(ctx, node, t.name, func(e teamEntry) map[string]float64 {
+func (o *operators) one(ctx context.Context, node string, scaletestTeam team, lowers bool) {
+	took, err := o.change(ctx, node, scaletestTeam.name, func(e teamEntry) map[string]float64 {
 		if lowers && e.CpusMax > 2 {
 			return map[string]float64{"cpus_max": e.CpusMax - 1, "cpus": 0}
 		}
@@ -78,8 +78,8 @@
 	}
 	o.note(took, lowers, err)
 	if lowers && err == nil {
-		_, _ = o.change(ctx, node, t.name, func(e teamEntry) map[string]float64 { // as it was: what fails is counted by others
-			return map[string]float64{"cpus_max": t.limit}
+		_, _ = o.change(ctx, node, scaletestTeam.name, func(e teamEntry) map[string]float64 { // as it was: what fails is counted by others
+			return map[string]float64{"cpus_max": scaletestTeam.limit}
 		})
 	}
 }
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -18,18 +18,18 @@
 
 // schedule is what befalls a cell in a run with troubles.
 func (c *Cell) schedule() *localcluster.Schedule {
-	p, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
+	profile, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
 	s := &localcluster.Schedule{Faults: []localcluster.Fault{
-		{AtS: at(rackAt), Kind: "machine_dies", Count: p.WorkersPerRack},
-		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * p.WorkersPerRack, ForS: cutFor},
+		{AtS: at(rackAt), Kind: "machine_dies", Count: profile.WorkersPerRack},
+		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * profile.WorkersPerRack, ForS: cutFor},
 		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: cutFor},
 		{AtS: at(oneEndsAt), Kind: "crash", Node: "n1"},
 		{AtS: at(allEndAt), Kind: "crash", Node: "all"},
 	}}
-	part := p.Regions[c.Index].Part * c.Fraction
-	s.Faults = append(s.Faults, c.spread(p.FailuresADay*part, localcluster.Fault{Kind: "machine_dies", Count: 1})...)
-	s.Faults = append(s.Faults, c.spread(p.ReplacedADay*part, localcluster.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
+	part := profile.Regions[c.Index].Part * c.Fraction
+	s.Faults = append(s.Faults, c.spread(profile.FailuresADay*part, localcluster.Fault{Kind: "machine_dies", Count: 1})...)
+	s.Faults = append(s.Faults, c.spread(profile.ReplacedADay*part, localcluster.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
 	s.Sort()
 	return s
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -30,27 +30,27 @@
 // fitLine fits a line. It needs leastSizes different values of x.
 func fitLine(x, y []float64) (Line, bool) {
 	sizes := map[float64]bool{}
-	l := Line{Points: len(x), From: math.Inf(1)}
+	line := Line{Points: len(x), From: math.Inf(1)}
 	largest := 0.0
 	for i := range x {
 		sizes[x[i]] = true
-		l.From, l.To = min(l.From, x[i]), max(l.To, x[i])
+		line.From, line.To = min(line.From, x[i]), max(line.To, x[i])
 		largest = max(largest, math.Abs(y[i]))
 	}
 	if len(sizes) < leastSizes || largest == 0 {
 		return Line{}, false
 	}
-	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
-	l.R2 = stat.RSquared(x, y, nil, l.Intercept, l.Slope)
+	line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
+	line.R2 = stat.RSquared(x, y, nil, line.Intercept, line.Slope)
 	for i := range x {
-		l.Residual = max(l.Residual, math.Abs(y[i]-l.at(x[i]))/largest)
+		line.Residual = max(line.Residual, math.Abs(y[i]-line.at(x[i]))/largest)
 	}
 	power, factor := fitPower(x, y)
-	l.Power = power
-	byLine := squaredError(x, y, l.at)
+	line.Power = power
+	byLine := squaredError(x, y, line.at)
 	byPower := squaredError(x, y, func(v float64) float64 { return factor * math.Pow(v, power) })
-	l.Bent = power != 0 && byPower < farBetter*byLine && l.Residual > rounding
-	return l, true
+	line.Bent = power != 0 && byPower < farBetter*byLine && line.Residual > rounding
+	return line, true
 }
 
 // rounding is the residual of a line through points that lie on it.
--- a/internal/scaletest/launch.go
+++ b/internal/scaletest/launch.go
@@ -41,10 +41,10 @@
 	return points, errors.Join(failures...)
 }
 
-func (l *Launcher) play(ctx context.Context, c *Cell, errs io.Writer) (*Point, error) {
-	raw, err := json.Marshal(c)
+func (l *Launcher) play(ctx context.Context, cell *Cell, errs io.Writer) (*Point, error) {
+	raw, err := json.Marshal(cell)
 	if err != nil {
-		return nil, fmt.Errorf("cell %s: %w", c.Region, err)
+		return nil, fmt.Errorf("cell %s: %w", cell.Region, err)
 	}
 	cmd := l.Command(ctx)
 	cmd.Stdin, cmd.Stderr = bytes.NewReader(raw), errs
@@ -56,11 +56,11 @@
 	cmd.WaitDelay = endWithin
 	runErr := cmd.Run()
 	if ctx.Err() != nil {
-		return nil, fmt.Errorf("cell %s: %w", c.Region, ctx.Err())
+		return nil, fmt.Errorf("cell %s: %w", cell.Region, ctx.Err())
 	}
 	var p Point
 	if err := json.Unmarshal(out.Bytes(), &p); err != nil {
-		return nil, fmt.Errorf("cell %s: no point: %w", c.Region, errors.Join(runErr, err))
+		return nil, fmt.Errorf("cell %s: no point: %w", cell.Region, errors.Join(runErr, err))
 	}
 	return &p, nil
 }
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	defer cluster.Stop()
-	w := newWatch(c, cluster, log)
+	watch := newWatch(c, cluster, log)
 	within, stop := context.WithTimeout(ctx, readyWithin)
 	defer stop()
 	if err := cluster.Ready(within, isReady); err != nil {
@@ -102,21 +102,21 @@
 	}
 	done := make(chan loadgen.Result, 1)
 	users := client.New(cluster.Users)
-	runner := &loadgen.Runner{To: users, Upload: w.upload}
+	runner := &loadgen.Runner{To: users, Upload: watch.upload}
 	users.Retried = runner.Retried
 	go func() { done <- runner.Run(ctx, c.Arrivals(), 0) }()
-	go w.measureLateness(ctx)
+	go watch.measureLateness(ctx)
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
 	if (c.Cut == Changes || c.Cut == Faults) && c.Profile.ChangesADay > 0 {
-		w.operators = newOperators(c, cluster.Controllers)
-		background.Go(func() { w.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
+		watch.operators = newOperators(c, cluster.Controllers)
+		background.Go(func() { watch.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
 	}
 	if !sleep(ctx, seconds(c.WarmUpS)) {
 		return nil, ctx.Err()
 	}
-	point, err := w.measure(ctx)
+	point, err := watch.measure(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -200,19 +200,19 @@
 }
 
 // onLaunch measures urgent tasks from their submission to their first launch. The world is locked.
-func (w *watch) onLaunch(j *simulator.Job, index int) {
-	if j.Spec["jobclass"] != urgentClass {
+func (w *watch) onLaunch(job *simulator.Job, index int) {
+	if job.Spec["jobclass"] != urgentClass {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	task := protocol.TaskName(j.ID, index)
+	task := protocol.TaskName(job.ID, index)
 	if w.launched[task] {
 		return
 	}
 	w.launched[task] = true
-	if !w.from.IsZero() && j.At.After(w.from) {
-		record(w.urgent, time.Since(j.At))
+	if !w.from.IsZero() && job.At.After(w.from) {
+		record(w.urgent, time.Since(job.At))
 	}
 }
 
@@ -276,32 +276,32 @@
 }
 
 // point works out what was measured between two samples.
-func (w *watch) point(a, b sample) *Point {
-	c, world, took := w.cell, w.cluster.Simulation, b.at.Sub(a.at)
+func (w *watch) point(scaletestSample, b sample) *Point {
+	cell, world, took := w.cell, w.cluster.Simulation, b.at.Sub(scaletestSample.at)
 	per := func(n float64) float64 { return n / took.Seconds() }
 	up := len(world.Machines())
 	perWorker := func(n int64) float64 { return per(float64(n)) / float64(max(1, up)) }
-	p := &Point{Run: c.Run, Commit: c.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: c.Cut, Fraction: c.Fraction, Region: c.Region, Seed: c.Seed,
-		Workers: c.Workers, Up: up, OfferedS: c.StartsPerS, MeasureS: took.Seconds(), StartsPerS: per(float64(b.stats.Started - a.stats.Started)),
+	scaletestPoint := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
+		Workers: cell.Workers, Up: up, OfferedS: cell.StartsPerS, MeasureS: took.Seconds(), StartsPerS: per(float64(b.stats.Started - scaletestSample.stats.Started)),
 		Running: world.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: world.BrokenRules(),
-		HollowCores: per((b.hollow.cpu - a.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
-		WritesPerS: per(float64(b.stats.Writes - a.stats.Writes)), OverPerS: per(float64(b.stats.Over - a.stats.Over)), UserConns: w.cluster.LoadBalancer.Opened.Load()}
-	p.StateKeys, p.StateBytes = world.Store.Size()
+		HollowCores: per((b.hollow.cpu - scaletestSample.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
+		WritesPerS: per(float64(b.stats.Writes - scaletestSample.stats.Writes)), OverPerS: per(float64(b.stats.Over - scaletestSample.stats.Over)), UserConns: w.cluster.LoadBalancer.Opened.Load()}
+	scaletestPoint.StateKeys, scaletestPoint.StateBytes = world.Store.Size()
 	// A worker sends heartbeats, and heartbeats as answers to commands; it gets answers, and commands.
-	p.WorkerOutBps = perWorker(b.reports.out - a.reports.out + b.commands.out - a.commands.out)
-	p.WorkerInBps = perWorker(b.reports.in - a.reports.in + b.commands.in - a.commands.in)
-	p.HeartbeatsPerS, p.CommandsPerS = perWorker(b.reports.messages-a.reports.messages), perWorker(b.commands.messages-a.commands.messages)
+	scaletestPoint.WorkerOutBps = perWorker(b.reports.out - scaletestSample.reports.out + b.commands.out - scaletestSample.commands.out)
+	scaletestPoint.WorkerInBps = perWorker(b.reports.in - scaletestSample.reports.in + b.commands.in - scaletestSample.commands.in)
+	scaletestPoint.HeartbeatsPerS, scaletestPoint.CommandsPerS = perWorker(b.reports.messages-scaletestSample.reports.messages), perWorker(b.commands.messages-scaletestSample.commands.messages)
 	w.mu.Lock()
-	p.UrgentMs, p.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
+	scaletestPoint.UrgentMs, scaletestPoint.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
 	w.mu.Unlock()
 	if o := w.operators; o != nil {
 		o.mu.Lock()
-		p.ChangesMade, p.ChangesFailed, p.ChangeMs, p.LowerMs = o.made, o.failed, spanOf(o.raised), spanOf(o.lower)
+		scaletestPoint.ChangesMade, scaletestPoint.ChangesFailed, scaletestPoint.ChangeMs, scaletestPoint.LowerMs = o.made, o.failed, spanOf(o.raised), spanOf(o.lower)
 		o.mu.Unlock()
 	}
-	p.Overloaded = p.LatenessMs.P99 > mostLateness
+	scaletestPoint.Overloaded = scaletestPoint.LatenessMs.P99 > mostLateness
 	for i := range b.controllers {
-		p.Controllers = append(p.Controllers, between(fmt.Sprintf("n%d", i+1), a.controllers[i], b.controllers[i], w.peaks[i], took))
+		scaletestPoint.Controllers = append(scaletestPoint.Controllers, between(fmt.Sprintf("n%d", i+1), scaletestSample.controllers[i], b.controllers[i], w.peaks[i], took))
 	}
-	return p
+	return scaletestPoint
 }
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -150,13 +150,13 @@
 const longestLine = 4 << 20
 
 func readFile(name string) ([]Point, error) {
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer file.Close()
 	var out []Point
-	lines := bufio.NewScanner(f)
+	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, longestLine)
 	for n := 1; lines.Scan(); n++ {
 		if strings.TrimSpace(lines.Text()) == "" {
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -15,8 +15,8 @@
 // Report prints the tables that come of points, as Markdown: the runs, how each role's figures grow over the ladder of the
 // peak, what a worker costs, and what the other cuts showed. Points whose hollow side was overloaded are listed, and left out of
 // the fits.
-func Report(w io.Writer, points []Point) error {
-	out := bufio.NewWriter(w)
+func Report(writer io.Writer, points []Point) error {
+	out := bufio.NewWriter(writer)
 	byCut := map[Cut][]Point{}
 	for _, p := range points {
 		byCut[p.Cut] = append(byCut[p.Cut], p)
@@ -53,40 +53,40 @@
 }
 
 // runsTable has a row a point.
-func runsTable(w io.Writer, points []Point) {
-	fmt.Fprintln(w, "| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+func runsTable(out io.Writer, points []Point) {
+	fmt.Fprintln(out, "| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
+	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
 		mark := ""
 		if p.Overloaded {
 			mark = " **overloaded: says nothing of controllers**"
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
+		fmt.Fprintf(out, "| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
 			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
 			len(p.BrokenRules), p.Ends, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
 	}
-	fmt.Fprintln(w)
+	fmt.Fprintln(out)
 }
 
 // controllersTable has a row a controller of points that no line is fitted through. One that ended meanwhile, or changed its role,
 // is marked, since its processor time is of a part of the time.
-func controllersTable(w io.Writer, points []Point) {
+func controllersTable(out io.Writer, points []Point) {
 	if len(points) == 0 {
 		return
 	}
-	fmt.Fprintln(w, "| run | part of the letter | region | role | partitions | cores | of these planning | MB | connections | reports 1/s | placed 1/s | state: transactions 1/s | received KB/s |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	fmt.Fprintln(out, "| run | part of the letter | region | role | partitions | cores | of these planning | MB | connections | reports 1/s | placed 1/s | state: transactions 1/s | received KB/s |")
+	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
 		for _, c := range p.Controllers {
 			role := string(c.Role)
 			if !c.Whole {
 				role += ", not all the time"
 			}
-			fmt.Fprintf(w, "| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
+			fmt.Fprintf(out, "| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
 				c.Cores, c.PlanCores, c.MemMB, c.Sockets, c.HeartbeatsS, c.LaunchesS, c.TxnsS, c.StateOutS/1000)
 		}
 	}
-	fmt.Fprintln(w)
+	fmt.Fprintln(out)
 }
 
 // changesTable has a row a point in which the configuration was changed.
@@ -139,8 +139,8 @@
 const fitHead = "measured at the largest size | a 1,000 workers | at 0 | R² | worst residual | growth | sizes and points |"
 
 // rolesTable has a row for each role and figure. Controllers that changed their process or role meanwhile are left out.
-func rolesTable(w io.Writer, points []Point) {
-	fmt.Fprintf(w, "| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
+func rolesTable(out io.Writer, points []Point) {
+	fmt.Fprintf(out, "| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, role := range []Role{Leader, Owner, Member} {
 		for _, f := range controllerFigures {
 			var x, y []float64
@@ -151,10 +151,10 @@
 					}
 				}
 			}
-			fitRow(w, string(role)+" | "+f.name, f.format, x, y)
+			fitRow(out, string(role)+" | "+f.name, f.format, x, y)
 		}
 	}
-	fmt.Fprintln(w)
+	fmt.Fprintln(out)
 }
 
 // pointFigure is one figure of a cell that the tables show.
@@ -195,7 +195,7 @@
 }
 
 // fitRow prints a figure's growth; without enough sizes it says so, and without points nothing.
-func fitRow(w io.Writer, name, format string, x, y []float64) {
+func fitRow(out io.Writer, name, format string, x, y []float64) {
 	if len(x) == 0 {
 		return
 	}
@@ -215,12 +215,12 @@
 	count := fmt.Sprintf("%d, %d", len(sizes), len(x))
 	l, ok := fitLine(x, y)
 	if !ok {
-		fmt.Fprintf(w, "| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
+		fmt.Fprintf(out, "| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
 		return
 	}
 	per1000, zero := fmt.Sprintf(format, 1000*l.Slope), fmt.Sprintf(format, l.Intercept)
 	if !strings.HasPrefix(l.growth(), "line") {
 		per1000, zero = "", ""
 	}
-	fmt.Fprintf(w, "| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
+	fmt.Fprintf(out, "| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
 }
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -42,27 +42,27 @@
 }
 
 // take samples a cell. What a controller does not tell now is left out, and logged.
-func take(c *localcluster.Cluster, log *slog.Logger) sample {
-	s := sample{at: time.Now(), stats: c.Simulation.Stats(), commands: read(&c.Simulation.Commands)}
+func take(cluster *localcluster.Cluster, log *slog.Logger) sample {
+	scaletestSample := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: read(&cluster.Simulation.Commands)}
 	var err error
-	if s.hollow, err = usageOf(os.Getpid()); err != nil {
+	if scaletestSample.hollow, err = usageOf(os.Getpid()); err != nil {
 		log.Warn("no figures of the hollow side", "err", err)
 	}
-	for i, pid := range c.Pids() {
-		m := c.Meters[i]
+	for i, pid := range cluster.Pids() {
+		m := cluster.Meters[i]
 		n := controllerSample{pid: pid, reads: m.Requests.Reads.Load(), txns: m.Requests.Transactions.Load(), leases: m.Requests.Leases.Load(),
 			watches: m.Requests.Watches.Load(), stateIn: m.State.In.Load(), stateOut: m.State.Out.Load(), peerBytes: m.Peers.In.Load() + m.Peers.Out.Load()}
 		if n.usage, err = usageOf(pid); err != nil {
 			log.Warn("no figures of a controller", "node", i+1, "err", err)
 		}
-		if n.counters, err = scrape(c.Controllers[i]); err != nil {
+		if n.counters, err = scrape(cluster.Controllers[i]); err != nil {
 			log.Warn("no metrics of a controller", "node", i+1, "err", err)
 		}
 		n.scraped = err == nil
-		s.controllers = append(s.controllers, n)
-		s.reports = s.reports.plus(read(&c.Simulation.Controller(i).HeartbeatMeter))
+		scaletestSample.controllers = append(scaletestSample.controllers, n)
+		scaletestSample.reports = scaletestSample.reports.plus(read(&cluster.Simulation.Controller(i).HeartbeatMeter))
 	}
-	return s
+	return scaletestSample
 }
 
 // peaks are the most that a controller held at any time.
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestProfile(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{"", ""},
 		{"workers = 60\n[[region]]\nname = \"a\"\npart = 0.6\nzones = 2\n", ""},
 		{"workers = 0\n", "workers"},
@@ -24,36 +24,36 @@
 		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 2\n[[region]]\nname = \"b\"\npart = 0.6\nzones = 2\n", "region"},
 		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 0\n", "region[0].zones"},
 	} {
-		_, err := ParseProfile([]byte(c.text))
-		if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
+		_, err := ParseProfile([]byte(test.text))
+		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%q: %v, want %q", test.text, err, test.want)
 		}
 	}
 }
 
 // TestCells: a run of all regions holds the whole of the profile, each zone once, and one of the largest its part.
 func TestCells(t *testing.T) {
-	p := DefaultProfile()
+	profile := DefaultProfile()
 	workers, running, zones, starts := 0, 0, map[string]bool{}, 0.0
-	for _, c := range p.Cells(Request{Cut: Peak, Regions: AllRegions, Fraction: 1}) {
-		workers, running, starts = workers+c.Workers, running+c.Running, starts+c.StartsPerS
-		for _, z := range c.Zones {
+	for _, cell := range profile.Cells(Request{Cut: Peak, Regions: AllRegions, Fraction: 1}) {
+		workers, running, starts = workers+cell.Workers, running+cell.Running, starts+cell.StartsPerS
+		for _, z := range cell.Zones {
 			zones[z] = true
 		}
 		limits := 0.0
-		for _, team := range c.teams() {
+		for _, team := range cell.teams() {
 			if !team.urgent {
 				limits += team.limit
 			}
 		}
-		if math.Abs(limits/float64(c.Running)-1) > 0.05 {
-			t.Errorf("%s: the teams' limits hold %.0f tasks of %d", c.Region, limits, c.Running)
+		if math.Abs(limits/float64(cell.Running)-1) > 0.05 {
+			t.Errorf("%s: the teams' limits hold %.0f tasks of %d", cell.Region, limits, cell.Running)
 		}
 	}
-	if workers != p.Workers || running != p.RunningTasks || len(zones) != 22 || math.Abs(starts-p.StartsPerS) > 1 {
+	if workers != profile.Workers || running != profile.RunningTasks || len(zones) != 22 || math.Abs(starts-profile.StartsPerS) > 1 {
 		t.Errorf("%d workers, %d tasks, %d zones, %.0f starts a second", workers, running, len(zones), starts)
 	}
-	if cells := p.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 0.25}); len(cells) != 1 || cells[0].Workers != 1190 {
+	if cells := profile.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 0.25}); len(cells) != 1 || cells[0].Workers != 1190 {
 		t.Errorf("the largest region at a quarter: %+v", cells)
 	}
 }
@@ -61,32 +61,32 @@
 // TestArrivals: the same seed draws the same jobs; all are valid, none is too large, and a tenth of the teams has half of
 // what there is to do at the start.
 func TestArrivals(t *testing.T) {
-	p := DefaultProfile()
-	c := p.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 1, Seed: 3, WarmUpS: 20, MeasureS: 40})[0]
-	jobs := c.Arrivals()
-	if !reflect.DeepEqual(jobs, c.Arrivals()) {
+	profile := DefaultProfile()
+	cell := profile.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 1, Seed: 3, WarmUpS: 20, MeasureS: 40})[0]
+	jobs := cell.Arrivals()
+	if !reflect.DeepEqual(jobs, cell.Arrivals()) {
 		t.Error("the same seed draws other jobs")
 	}
 	byTeam, all, ids := map[string]int{}, 0, map[string]bool{}
-	for i, a := range jobs {
-		raw, err := protocol.EncodeSubmission(&a.Job)
+	for i, arrival := range jobs {
+		raw, err := protocol.EncodeSubmission(&arrival.Job)
 		if err == nil {
 			_, err = protocol.ParseSubmission(raw)
 		}
-		if err != nil || a.Job.Tasks > c.LargestJob || ids[a.Job.ID] || i > 0 && a.At < jobs[i-1].At {
-			t.Fatalf("job %+v: %v", a.Job, err)
+		if err != nil || arrival.Job.Tasks > cell.LargestJob || ids[arrival.Job.ID] || i > 0 && arrival.At < jobs[i-1].At {
+			t.Fatalf("job %+v: %v", arrival.Job, err)
 		}
-		ids[a.Job.ID] = true
-		if a.Job.Class == arrayClass && a.At.Seconds() < submitWithinS {
-			byTeam[a.Job.Team] += a.Job.Tasks
-			all += a.Job.Tasks
+		ids[arrival.Job.ID] = true
+		if arrival.Job.Class == arrayClass && arrival.At.Seconds() < submitWithinS {
+			byTeam[arrival.Job.Team] += arrival.Job.Tasks
+			all += arrival.Job.Tasks
 		}
 	}
 	hottest := 0
-	for _, team := range c.teams()[:46] {
+	for _, team := range cell.teams()[:46] {
 		hottest += byTeam[team.name]
 	}
-	if part := float64(hottest) / float64(all); math.Abs(part-p.HottestPart) > 0.05 {
+	if part := float64(hottest) / float64(all); math.Abs(part-profile.HottestPart) > 0.05 {
 		t.Errorf("the hottest tenth has %.2f of the work", part)
 	}
 }
@@ -123,11 +123,11 @@
 }
 
 func TestCounters(t *testing.T) {
-	c, err := parseCounters([]byte("# TYPE dykeledge_launches_total counter\ndykeledge_launches_total 7\n# TYPE dykeledge_leader gauge\ndykeledge_leader 1\n" +
+	scaletestCounters, err := parseCounters([]byte("# TYPE dykeledge_launches_total counter\ndykeledge_launches_total 7\n# TYPE dykeledge_leader gauge\ndykeledge_leader 1\n" +
 		"# TYPE dykeledge_service_requests_total counter\ndykeledge_service_requests_total{service=\"cloud\",outcome=\"ok\"} 3\n" +
 		"dykeledge_service_requests_total{service=\"state\",outcome=\"ok\"} 9\n"))
-	if want := (counters{launches: 7, cloud: 3, leader: true}); err != nil || c != want || c.role() != Leader {
-		t.Errorf("%+v, %v", c, err)
+	if want := (counters{launches: 7, cloud: 3, leader: true}); err != nil || scaletestCounters != want || scaletestCounters.role() != Leader {
+		t.Errorf("%+v, %v", scaletestCounters, err)
 	}
 	if _, err := parseCounters([]byte("no metrics {")); err == nil {
 		t.Error("a text that holds no metrics was read")
--- a/internal/scaletest/scrape.go
+++ b/internal/scaletest/scrape.go
@@ -61,28 +61,28 @@
 	if err != nil {
 		return counters{}, fmt.Errorf("metrics: %w", err)
 	}
-	var c counters
+	var scaletestCounters counters
 	for name, family := range families {
 		for _, m := range family.GetMetric() {
 			switch name {
 			case metricLaunches:
-				c.launches += m.GetCounter().GetValue()
+				scaletestCounters.launches += m.GetCounter().GetValue()
 			case metricPlanning:
-				c.planning += m.GetHistogram().GetSampleSum()
+				scaletestCounters.planning += m.GetHistogram().GetSampleSum()
 			case metricReports:
-				c.heartbeats += float64(m.GetHistogram().GetSampleCount())
+				scaletestCounters.heartbeats += float64(m.GetHistogram().GetSampleCount())
 			case metricLeader:
-				c.leader = m.GetGauge().GetValue() > 0
+				scaletestCounters.leader = m.GetGauge().GetValue() > 0
 			case metricPartitions:
-				c.shards = int(m.GetGauge().GetValue())
+				scaletestCounters.shards = int(m.GetGauge().GetValue())
 			case metricRequests:
 				for _, label := range m.GetLabel() {
 					if label.GetName() == labelService && label.GetValue() == serviceCloud {
-						c.cloud += m.GetCounter().GetValue()
+						scaletestCounters.cloud += m.GetCounter().GetValue()
 					}
 				}
 			}
 		}
 	}
-	return c, nil
+	return scaletestCounters, nil
 }
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -20,12 +20,12 @@
 		a.there, a.last = map[int]map[string]uint64{}, map[string]uint64{}
 	}
 	gone, now := map[string]uint64{}, map[string]uint64{}
-	for _, c := range txn.Then {
-		rack, ok := storage.GroupOf(c.Put)
+	for _, change := range txn.Then {
+		rack, ok := storage.GroupOf(change.Put)
 		if !ok {
 			continue
 		}
-		r, err := storage.DecodeGroup(c.Value)
+		record, err := storage.DecodeGroup(change.Value)
 		if err != nil {
 			return []string{err.Error()}
 		}
@@ -33,7 +33,7 @@
 			gone[task] = n
 		}
 		tasks := map[string]uint64{}
-		for _, m := range r.Machines {
+		for _, m := range record.Machines {
 			for _, p := range m.Tasks {
 				for i := 0; i+3 < len(p.Numbers); i += 4 {
 					task := protocol.TaskName(p.Job, int(p.Numbers[i]))
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -78,33 +78,33 @@
 }
 
 // ScaleOut rents machines; now and then the answer gets lost.
-func (l *cloudLink) ScaleOut(_ context.Context, r protocol.ScaleOutRequest) ([]string, error) {
+func (l *cloudLink) ScaleOut(_ context.Context, scaleOutRequest protocol.ScaleOutRequest) ([]string, error) {
 	if err := l.wait(); err != nil {
 		return nil, err
 	}
-	w := l.simulation
-	if w.LateScaleOuts != nil {
-		if d := w.LateScaleOuts(); d > 0 {
+	sim := l.simulation
+	if sim.LateScaleOuts != nil {
+		if d := sim.LateScaleOuts(); d > 0 {
 			go func() {
 				time.Sleep(d)
-				_, _ = w.scaleOut(r) // nobody waits for it any more
+				_, _ = sim.scaleOut(scaleOutRequest) // nobody waits for it any more
 			}()
 			time.Sleep(2 * time.Second)
 			return nil, protocol.ErrUnknown
 		}
 	}
 	began := time.Now()
-	names, err := w.scaleOut(r)
+	names, err := sim.scaleOut(scaleOutRequest)
 	if l.controller.stalledThrough(began, cloudTimeout) {
 		return nil, protocol.ErrUnknown
 	}
 	return names, err
 }
 
-func (w *Simulation) scaleOut(r protocol.ScaleOutRequest) ([]string, error) {
+func (w *Simulation) scaleOut(scaleOutRequest protocol.ScaleOutRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if names, ok := w.requestNames[r.Name]; ok {
+	if names, ok := w.requestNames[scaleOutRequest.Name]; ok {
 		return names, nil
 	}
 	have := 0
@@ -113,15 +113,15 @@
 			have++
 		}
 	}
-	n := min(r.Count, w.CapacityOf-have)
-	if n <= 0 || !slices.Contains(w.typeOf(r.Type).Zones, r.Zone) {
+	n := min(scaleOutRequest.Count, w.CapacityOf-have)
+	if n <= 0 || !slices.Contains(w.typeOf(scaleOutRequest.Type).Zones, scaleOutRequest.Zone) {
 		return nil, protocol.ErrNoCapacity
 	}
 	var names []string
 	for range n {
-		m := w.newMachine(r.Type, r.Zone, r.Spot)
-		names = append(names, m.Name)
-		boot := w.fast(seconds(m.machineType.BootS * (0.5 + w.Random.Float64())))
+		machine := w.newMachine(scaleOutRequest.Type, scaleOutRequest.Zone, scaleOutRequest.Spot)
+		names = append(names, machine.Name)
+		boot := w.fast(seconds(machine.machineType.BootS * (0.5 + w.Random.Float64())))
 		switch p := w.Random.Float64(); {
 		case w.Boot != nil:
 			boot = w.Boot()
@@ -131,10 +131,10 @@
 			boot *= 4
 		}
 		if boot > 0 {
-			w.boot(m, boot)
+			w.boot(machine, boot)
 		}
 	}
-	w.requestNames[r.Name] = names
+	w.requestNames[scaleOutRequest.Name] = names
 	if w.Random.IntN(4) == 0 {
 		return nil, protocol.ErrUnknown
 	}
--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -29,38 +29,38 @@
 // TestStalls: a controller stands still while its clocks run on, and goes on as if
 // nothing had happened: shorter than its hold, about as long, and far longer.
 func TestStalls(t *testing.T) {
-	for _, d := range []time.Duration{2, 4, 5, 6, 9, 14, 45} {
-		d *= time.Second
+	for _, duration := range []time.Duration{2, 4, 5, 6, 9, 14, 45} {
+		duration *= time.Second
 		cases := []struct {
 			name  string
-			setup func(w *Simulation)
-			fault func(w *Simulation)
+			setup func(sim *Simulation)
+			fault func(simulation *Simulation)
 		}{
 			{"one after the other", nil, func(w *Simulation) {
 				for i := range 3 {
 					time.Sleep(5 * time.Second)
-					w.Controller(i).Stall(d)
-					time.Sleep(d)
+					w.Controller(i).Stall(duration)
+					time.Sleep(duration)
 				}
 			}},
 			{"two at once", nil, func(w *Simulation) {
 				time.Sleep(6 * time.Second)
-				w.Controller(0).Stall(d)
-				w.Controller(1).Stall(d)
+				w.Controller(0).Stall(duration)
+				w.Controller(1).Stall(duration)
 			}},
 			{"during a takeover", nil, func(w *Simulation) {
 				time.Sleep(6 * time.Second)
 				w.Kill(0)
 				time.Sleep(4800 * time.Millisecond)
-				w.Controller(1).Stall(d)
+				w.Controller(1).Stall(duration)
 				time.Sleep(300 * time.Millisecond)
-				w.Controller(2).Stall(d / 2)
-				time.Sleep(d)
+				w.Controller(2).Stall(duration / 2)
+				time.Sleep(duration)
 				w.Start(0)
 			}},
-			{"between a commit and its launches", func(w *Simulation) { standAfter(w, "/rack/", d) }, nil},
-			{"between a machine's record and what follows", func(w *Simulation) { standAfter(w, "/fleet/", d) }, nil},
-			{"while shares are given away", func(w *Simulation) { standAfter(w, "/share/", d) }, func(w *Simulation) {
+			{"between a commit and its launches", func(w *Simulation) { standAfter(w, "/rack/", duration) }, nil},
+			{"between a machine's record and what follows", func(w *Simulation) { standAfter(w, "/fleet/", duration) }, nil},
+			{"while shares are given away", func(w *Simulation) { standAfter(w, "/share/", duration) }, func(w *Simulation) {
 				for i := range 3 {
 					time.Sleep(7 * time.Second)
 					w.Kill(i)
@@ -70,24 +70,24 @@
 			}},
 		}
 		for _, c := range cases {
-			t.Run(fmt.Sprintf("%v/%s", d, c.name), func(t *testing.T) { playDay(t, 11, c.setup, c.fault, nil) })
+			t.Run(fmt.Sprintf("%v/%s", duration, c.name), func(t *testing.T) { playDay(t, 11, c.setup, c.fault, nil) })
 		}
 	}
 }
 
 // heal ends what troubles controllers, machines and the state service.
-func heal(w *Simulation) {
-	w.Store.SetDown(false)
+func heal(sim *Simulation) {
+	sim.Store.SetDown(false)
 	for i := range 3 {
-		w.Store.Deny(fmt.Sprintf("n%d", i), false)
-		if w.Controller(i).ended() {
-			w.Start(i)
+		sim.Store.Deny(fmt.Sprintf("n%d", i), false)
+		if sim.Controller(i).ended() {
+			sim.Start(i)
 		} else {
-			w.Controller(i).Cut(0)
+			sim.Controller(i).Cut(0)
 		}
 	}
-	for _, m := range w.Machines() {
-		w.Set(m, func(m *Machine) {
+	for _, m := range sim.Machines() {
+		sim.Set(m, func(m *Machine) {
 			m.hanging, m.partitioned, m.deafToController, m.silentToControllers = false, false, false, false
 		})
 	}
@@ -96,7 +96,7 @@
 // TestFaults overlaps troubles by seed: cuts by direction and neighbour, refusals,
 // standstills, deaths, late machines and lagging lists.
 func TestFaults(t *testing.T) {
-	troubles := []func(w *Simulation, i int){
+	troubles := []func(sim *Simulation, i int){
 		func(w *Simulation, i int) { w.Controller(i).Cut(AllCut) },
 		func(w *Simulation, i int) { w.Controller(i).Cut(NoState) },
 		func(w *Simulation, i int) { w.Controller(i).Cut(NoWorkers) },
@@ -122,25 +122,25 @@
 	}
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 100+seed, func(w *Simulation) {
+			playDay(t, 100+seed, func(simulation *Simulation) {
 				if seed%2 == 1 {
-					w.PeerDelay() // hints must make no difference to the rules
+					simulation.PeerDelay() // hints must make no difference to the rules
 				}
 				// Troubles overlap for up to half a minute, and a machine that hangs with what
 				// was cancelled can't be emptied before: deployments allow 36 s and more.
-				w.Settings.Deployment.Workers.CancelS = 36
-				w.CapacityOf = 12
-				w.Boot = func() time.Duration {
-					switch w.Random.IntN(4) {
+				simulation.Settings.Deployment.Workers.CancelS = 36
+				simulation.CapacityOf = 12
+				simulation.Boot = func() time.Duration {
+					switch simulation.Random.IntN(4) {
 					case 0:
 						return 0
 					case 1:
-						return time.Duration(20+w.Random.IntN(40)) * time.Second
+						return time.Duration(20+simulation.Random.IntN(40)) * time.Second
 					}
-					return time.Duration(5+w.Random.IntN(10)) * time.Second
+					return time.Duration(5+simulation.Random.IntN(10)) * time.Second
 				}
-				w.ListLag = func() time.Duration { return time.Duration(w.Random.IntN(10000)) * time.Millisecond }
-				w.User(JobSpec{Team: "grey", Tasks: 4, Cpus: 2, Run: 5 * time.Second, Broken: true, CancelAfter: 100 * time.Second})
+				simulation.ListLag = func() time.Duration { return time.Duration(simulation.Random.IntN(10000)) * time.Millisecond }
+				simulation.User(JobSpec{Team: "grey", Tasks: 4, Cpus: 2, Run: 5 * time.Second, Broken: true, CancelAfter: 100 * time.Second})
 			}, func(w *Simulation) {
 				for range 5 {
 					time.Sleep(time.Duration(1000+w.Random.IntN(5000)) * time.Millisecond)
--- a/internal/simulator/gpu_cluster_test.go
+++ b/internal/simulator/gpu_cluster_test.go
@@ -21,37 +21,37 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				cfg := settings()
-				d := &cfg.Deployment
-				d.Teams = []config.Team{{Name: "hall"}}
-				d.Workers = config.Workers{HeartbeatS: 1, LeaseS: 11, GangWaitS: 45, GangPeerS: 5, CancelS: 41}
-				d.State = config.State{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
-				d.Cloud = config.Cloud{RPS: 6, ListLagS: 3}
-				d.Objectives = []config.Objective{{Kind: "wait", Class: "serve", WithinS: 40, Share: 0.92},
+				deployment := &cfg.Deployment
+				deployment.Teams = []config.Team{{Name: "hall"}}
+				deployment.Workers = config.Workers{HeartbeatS: 1, LeaseS: 11, GangWaitS: 45, GangPeerS: 5, CancelS: 41}
+				deployment.State = config.State{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
+				deployment.Cloud = config.Cloud{RPS: 6, ListLagS: 3}
+				deployment.Objectives = []config.Objective{{Kind: "wait", Class: "serve", WithinS: 40, Share: 0.92},
 					{Kind: "finished", Class: "sweep", WithinS: 180, Share: 0.9}, {Kind: "finished", Class: "sweep", WithinS: 300, Share: 0.95}}
-				w := NewSimulation(ctx, cfg, 500+seed)
-				w.Catalog.Types = []protocol.MachineType{{Name: "g8", Cpus: 48, Gpus: 8, MemGB: 384, CacheGB: 50, FetchGBs: 0.25,
-					Price: 21.54, SpotPrice: 6.58, BootS: 45, Zones: d.Zones}}
-				w.Boot = func() time.Duration { return time.Duration(27+w.Random.IntN(40)) * time.Second }
-				w.CapacityOf = 60
-				w.Store.Limit(d.State.RPS, d.State.WriteRPS)
-				w.Store.MaxValue, w.Store.MaxOps = 8<<10, 8
-				w.cloudRate = bucket{rate: d.Cloud.RPS, burst: 2 * d.Cloud.RPS}
+				sim := NewSimulation(ctx, cfg, 500+seed)
+				sim.Catalog.Types = []protocol.MachineType{{Name: "g8", Cpus: 48, Gpus: 8, MemGB: 384, CacheGB: 50, FetchGBs: 0.25,
+					Price: 21.54, SpotPrice: 6.58, BootS: 45, Zones: deployment.Zones}}
+				sim.Boot = func() time.Duration { return time.Duration(27+sim.Random.IntN(40)) * time.Second }
+				sim.CapacityOf = 60
+				sim.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
+				sim.Store.MaxValue, sim.Store.MaxOps = 8<<10, 8
+				sim.cloudRate = bucket{rate: deployment.Cloud.RPS, burst: 2 * deployment.Cloud.RPS}
 				for i := range 3 {
-					w.Start(i)
+					sim.Start(i)
 				}
-				w.PeerDelay()
+				sim.PeerDelay()
 				time.Sleep(2 * time.Second)
 				var services, arrays []*Job
 				serve := func() {
-					n := []int{3, 3, 6, 8}[w.Random.IntN(4)]
-					img := w.Random.IntN(6)
-					services = append(services, w.User(JobSpec{Team: "hall", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: n, Cpus: 4, Gpus: 1,
+					n := []int{3, 3, 6, 8}[sim.Random.IntN(4)]
+					img := sim.Random.IntN(6)
+					services = append(services, sim.User(JobSpec{Team: "hall", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: n, Cpus: 4, Gpus: 1,
 						MemGB: 29, Image: fmt.Sprint("serve-", img), ImageGB: float64(4 + 2*img), NoSpot: true, Scatter: true}))
 				}
 				sweep := func() {
-					img := w.Random.IntN(8)
-					arrays = append(arrays, w.User(JobSpec{Team: "hall", Class: "sweep", Urgency: "low", Tasks: 8 + w.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
-						Image: fmt.Sprint("sweep-", img), ImageGB: float64(3 + img), Run: time.Duration(30+w.Random.IntN(60)) * time.Second, CheckpointS: 15}))
+					img := sim.Random.IntN(8)
+					arrays = append(arrays, sim.User(JobSpec{Team: "hall", Class: "sweep", Urgency: "low", Tasks: 8 + sim.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
+						Image: fmt.Sprint("sweep-", img), ImageGB: float64(3 + img), Run: time.Duration(30+sim.Random.IntN(60)) * time.Second, CheckpointS: 15}))
 				}
 				for range 8 {
 					serve()
@@ -63,44 +63,44 @@
 					if i%4 == 0 {
 						serve()
 					}
-					ms := w.Machines()
+					machines := sim.Machines()
 					switch i {
 					case 11: // a burst while a zone is cut off with what it runs, and the owner ends
 						for range 6 {
 							serve()
 						}
-						w.PartitionZone(d.Zones[w.Random.IntN(3)])
-						w.Again(5*time.Second, int(seed)%3)
+						sim.PartitionZone(deployment.Zones[sim.Random.IntN(3)])
+						sim.Again(5*time.Second, int(seed)%3)
 						time.Sleep(30 * time.Second)
-						w.PartitionZone("")
+						sim.PartitionZone("")
 					case 16:
-						for k, m := range ms {
+						for k, m := range machines {
 							if k%7 == 0 {
-								w.Die(m)
+								sim.Die(m)
 							}
 							if m.Spot && k%3 == 0 {
-								w.Set(m, PreemptionNotice(time.Duration(w.Random.IntN(20))*time.Second))
+								sim.Set(m, PreemptionNotice(time.Duration(sim.Random.IntN(20))*time.Second))
 							}
 						}
 					case 20: // an end of all within an outage
-						w.Store.SetDown(true)
+						sim.Store.SetDown(true)
 						time.Sleep(4 * time.Second)
-						w.Again(5*time.Second, 0, 1, 2)
+						sim.Again(5*time.Second, 0, 1, 2)
 						time.Sleep(12 * time.Second)
-						w.Store.SetDown(false)
+						sim.Store.SetDown(false)
 					}
 				}
 				time.Sleep(100 * time.Second)
 				up, want := 0, 0
 				for _, j := range services {
 					want += j.Tasks
-					up += w.On(j)
+					up += sim.On(j)
 				}
-				w.awaitAll(t, arrays, 400)
-				for _, b := range w.BrokenRules() {
+				sim.awaitAll(t, arrays, 400)
+				for _, b := range sim.BrokenRules() {
 					t.Error(b)
 				}
-				t.Logf("%d of %d replicas up, arrays done after %v, %d starts, %d changes, %d killed by leases", up, want, time.Since(w.StartTime), w.Started, w.Store.Writes, w.LeaseKills)
+				t.Logf("%d of %d replicas up, arrays done after %v, %d starts, %d changes, %d killed by leases", up, want, time.Since(sim.StartTime), sim.Started, sim.Store.Writes, sim.LeaseKills)
 				if up < want*95/100 {
 					t.Errorf("%d of %d replicas are up", up, want)
 				}
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -37,11 +37,11 @@
 }
 
 // fail answers as an outside service does; what is in doubt gets no answer.
-func fail(c *fiber.Ctx, err error) error {
+func fail(request *fiber.Ctx, err error) error {
 	status := fiber.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, protocol.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
-		return silent(c)
+		return silent(request)
 	case errors.Is(err, errOverRate):
 		status = fiber.StatusTooManyRequests
 	case errors.Is(err, protocol.ErrTooLarge):
@@ -51,7 +51,7 @@
 	case errors.Is(err, protocol.ErrTooOld):
 		status = fiber.StatusGone
 	}
-	return c.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
+	return request.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
 }
 
 func malformed(c *fiber.Ctx, why string) error {
@@ -68,10 +68,10 @@
 
 // ServeState serves one controller's way to a store over HTTP, as the state service does. It
 // ends with the listener.
-func ServeState(l *StoreLink, ln net.Listener) error {
+func ServeState(storeLink *StoreLink, listener net.Listener) error {
 	app := newApp()
 	app.Use(func(c *fiber.Ctx) error {
-		l.Requests.note(c.Path())
+		storeLink.Requests.note(c.Path())
 		return c.Next()
 	})
 	app.Get("/store", func(c *fiber.Ctx) error {
@@ -79,14 +79,14 @@
 		if err != nil || limit < 1 || limit > maxListed {
 			return malformed(c, "limit is not between 1 and 1000")
 		}
-		p, err := l.List(context.Background(), strings.Clone(c.Query("starts")), strings.Clone(c.Query("from")), limit)
+		p, err := storeLink.List(context.Background(), strings.Clone(c.Query("starts")), strings.Clone(c.Query("from")), limit)
 		if err != nil {
 			return fail(c, err)
 		}
 		return c.JSON(p)
 	})
 	app.Get("/store/*", func(c *fiber.Ctx) error {
-		it, lease, rev, err := l.Read(context.Background(), strings.Clone(c.Params("*")))
+		it, lease, rev, err := storeLink.Read(context.Background(), strings.Clone(c.Params("*")))
 		switch {
 		case errors.Is(err, protocol.ErrNotFound):
 			return c.Status(fiber.StatusNotFound).JSON(protocol.TxnResult{Revision: rev})
@@ -98,43 +98,43 @@
 			Lease uint64 `json:"tenure,omitempty"`
 		}{it, lease})
 	})
-	app.Post("/txn", func(c *fiber.Ctx) error {
-		var t protocol.Txn
-		if err := json.Unmarshal(c.Body(), &t); err != nil || len(c.Body()) > maxTxn {
-			return malformed(c, "no transaction, or over 64 KiB")
+	app.Post("/txn", func(request *fiber.Ctx) error {
+		var txn protocol.Txn
+		if err := json.Unmarshal(request.Body(), &txn); err != nil || len(request.Body()) > maxTxn {
+			return malformed(request, "no transaction, or over 64 KiB")
 		}
-		for _, x := range t.Then {
+		for _, x := range txn.Then {
 			if (x.Put == "") == (x.Delete == "") || len(x.Put+x.Delete) > 200 || strings.Contains(x.Put+x.Delete, " ") {
-				return malformed(c, "a change names no key")
+				return malformed(request, "a change names no key")
 			}
 		}
-		rev, failed, err := l.Txn(context.Background(), t, protocol.BackgroundRequest)
+		rev, failed, err := storeLink.Txn(context.Background(), txn, protocol.BackgroundRequest)
 		switch {
 		case errors.Is(err, protocol.ErrNoLease):
-			return malformed(c, "no such lease")
+			return malformed(request, "no such lease")
 		case err != nil:
-			return fail(c, err)
+			return fail(request, err)
 		case len(failed) > 0:
-			return c.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
+			return request.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
 		}
-		return c.JSON(protocol.TxnResult{Revision: rev})
+		return request.JSON(protocol.TxnResult{Revision: rev})
 	})
-	app.Post("/holds", func(c *fiber.Ctx) error {
+	app.Post("/holds", func(fiberCtx *fiber.Ctx) error {
 		var in struct {
 			TTL int64 `json:"ttlMs"`
 		}
-		if err := json.Unmarshal(c.Body(), &in); err != nil {
-			return malformed(c, "no ttlMs")
+		if err := json.Unmarshal(fiberCtx.Body(), &in); err != nil {
+			return malformed(fiberCtx, "no ttlMs")
 		}
 		ttl := time.Duration(in.TTL) * time.Millisecond
 		if ttl < minLease || ttl > maxLease {
-			return malformed(c, "ttlMs is not between 100 and 600000")
+			return malformed(fiberCtx, "ttlMs is not between 100 and 600000")
 		}
-		id, err := l.Grant(context.Background(), ttl)
+		id, err := storeLink.Grant(context.Background(), ttl)
 		if err != nil {
-			return fail(c, err)
+			return fail(fiberCtx, err)
 		}
-		return c.JSON(map[string]uint64{"tenure": id})
+		return fiberCtx.JSON(map[string]uint64{"tenure": id})
 	})
 	hold := func(f func(context.Context, uint64) error) fiber.Handler {
 		return func(c *fiber.Ctx) error {
@@ -145,8 +145,8 @@
 			return c.SendStatus(fiber.StatusOK)
 		}
 	}
-	app.Post("/holds/:id/extend", hold(func(ctx context.Context, id uint64) error { return l.Renew(ctx, id, 0) }))
-	app.Delete("/holds/:id", hold(l.End))
+	app.Post("/holds/:id/extend", hold(func(ctx context.Context, id uint64) error { return storeLink.Renew(ctx, id, 0) }))
+	app.Delete("/holds/:id", hold(storeLink.End))
 	app.Get("/follow", func(c *fiber.Ctx) error {
 		from, err := strconv.ParseUint(c.Query("from", "0"), 10, 64)
 		ms, err2 := strconv.Atoi(c.Query("blockMs", "0"))
@@ -156,28 +156,28 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), wait+pendingWatch)
 		defer cancel()
-		ev, err := l.Watch(ctx, strings.Clone(c.Query("starts")), from, wait)
+		ev, err := storeLink.Watch(ctx, strings.Clone(c.Query("starts")), from, wait)
 		if err != nil {
 			return fail(c, err)
 		}
 		return c.JSON(ev)
 	})
-	return app.Listener(ln)
+	return app.Listener(listener)
 }
 
 // ServeCloud serves one controller's way to the world's cloud over HTTP. It ends with the listener.
-func (w *Simulation) ServeCloud(n *ControllerProcess, ln net.Listener) error {
-	l := &cloudLink{simulation: w, controller: n}
+func (w *Simulation) ServeCloud(process *ControllerProcess, listener net.Listener) error {
+	simulatorCloudLink := &cloudLink{simulation: w, controller: process}
 	app := newApp()
 	app.Get("/catalog", func(c *fiber.Ctx) error {
-		cat, err := l.Catalog(context.Background())
+		cat, err := simulatorCloudLink.Catalog(context.Background())
 		if err != nil {
 			return fail(c, err)
 		}
 		return c.JSON(cat)
 	})
 	app.Get("/hosts", func(c *fiber.Ctx) error {
-		list, err := l.List(context.Background(), strings.Clone(c.Query("from")))
+		list, err := simulatorCloudLink.List(context.Background(), strings.Clone(c.Query("from")))
 		if err != nil {
 			return fail(c, err)
 		}
@@ -186,29 +186,29 @@
 		}
 		return c.JSON(list)
 	})
-	app.Post("/hosts", func(c *fiber.Ctx) error {
+	app.Post("/hosts", func(request *fiber.Ctx) error {
 		var r protocol.ScaleOutRequest
-		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Name == "" || r.Count < 1 || r.Count > protocol.MaxScaleOut {
-			return malformed(c, "no rental of 1 to 50 machines")
+		if err := json.Unmarshal(request.Body(), &r); err != nil || r.Name == "" || r.Count < 1 || r.Count > protocol.MaxScaleOut {
+			return malformed(request, "no rental of 1 to 50 machines")
 		}
-		names, err := l.ScaleOut(context.Background(), r)
+		names, err := simulatorCloudLink.ScaleOut(context.Background(), r)
 		switch {
 		case errors.Is(err, protocol.ErrNoCapacity):
-			return c.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
+			return request.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
 		case err != nil:
-			return fail(c, err)
+			return fail(request, err)
 		}
-		return c.JSON(protocol.MachineNames{Machines: names})
+		return request.JSON(protocol.MachineNames{Machines: names})
 	})
 	app.Post("/hosts/return", func(c *fiber.Ctx) error {
 		var in protocol.MachineNames
 		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Machines) > protocol.MaxScaleIn {
 			return malformed(c, "no list of up to 100 machines")
 		}
-		if err := l.ScaleIn(context.Background(), in.Machines); err != nil {
+		if err := simulatorCloudLink.ScaleIn(context.Background(), in.Machines); err != nil {
 			return fail(c, err)
 		}
 		return c.SendStatus(fiber.StatusOK)
 	})
-	return app.Listener(ln)
+	return app.Listener(listener)
 }
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -22,73 +22,73 @@
 // playIsolated has the state service refuse the leader alone, other controllers confirm cancellations, and then the
 // state service refuse everybody, while the workers keep reporting to the old leader. It returns how many
 // tasks of cancelled jobs were on machines as the outage began, and those killed by their leases.
-func playIsolated(t *testing.T, seed uint64, x isolationDay, then func(w *Simulation, lead int)) (doomed, killed int) {
+func playIsolated(t *testing.T, seed uint64, simulatorIsolationDay isolationDay, then func(sim *Simulation, lead int)) (doomed, killed int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(time.Minute) }()
 		cfg := settings()
-		cfg.Deployment.Workers = x.workers
-		w := NewSimulation(ctx, cfg, seed)
-		w.CapacityOf = 20
-		w.Old = map[int]bool{}
-		for i := range x.old {
-			w.Old[(int(seed)+i)%3] = true
+		cfg.Deployment.Workers = simulatorIsolationDay.workers
+		simulation := NewSimulation(ctx, cfg, seed)
+		simulation.CapacityOf = 20
+		simulation.Old = map[int]bool{}
+		for i := range simulatorIsolationDay.old {
+			simulation.Old[(int(seed)+i)%3] = true
 		}
 		for i := range 3 {
-			w.Start(i)
+			simulation.Start(i)
 		}
-		w.PeerDelay()
+		simulation.PeerDelay()
 		for i := range 9 {
-			w.AddMachine(cfg.Deployment.Zones[i%3], false)
+			simulation.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
 		time.Sleep(8 * time.Second)
 		var jobs []*Job
 		for i := range 8 {
-			jobs = append(jobs, w.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
+			jobs = append(jobs, simulation.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
 		}
 		time.Sleep(10 * time.Second)
-		lead := max(0, w.Leader())
+		lead := max(0, simulation.Leader())
 		if seed%2 == 1 { // an owner that does not lead
 			lead = (lead + 1) % 3
 		}
-		w.Store.Deny(w.Controller(lead).Name, true)
-		if x.refused > x.cancellations {
-			time.Sleep(x.refused - x.cancellations)
+		simulation.Store.Deny(simulation.Controller(lead).Name, true)
+		if simulatorIsolationDay.refused > simulatorIsolationDay.cancellations {
+			time.Sleep(simulatorIsolationDay.refused - simulatorIsolationDay.cancellations)
 		}
 		confirmed := 0
 		for k, j := range jobs[:4] {
-			if w.CancelAt(j, (lead+1+k%2)%3) {
+			if simulation.CancelAt(j, (lead+1+k%2)%3) {
 				confirmed++
-				doomed += w.On(j)
+				doomed += simulation.On(j)
 			}
-			time.Sleep(x.cancellations / 4)
+			time.Sleep(simulatorIsolationDay.cancellations / 4)
 		}
 		if confirmed == 0 {
 			t.Error("no cancellation was confirmed: the case proves nothing")
 		}
-		if x.refused < x.cancellations { // the last of them before
-			time.Sleep(x.refused)
+		if simulatorIsolationDay.refused < simulatorIsolationDay.cancellations { // the last of them before
+			time.Sleep(simulatorIsolationDay.refused)
 		}
-		w.Store.SetDown(true)
-		then(w, lead)
-		time.Sleep(seconds(x.outage * x.workers.CancelS))
-		killed = w.Stats().LeaseKills
-		w.Store.SetDown(false)
+		simulation.Store.SetDown(true)
+		then(simulation, lead)
+		time.Sleep(seconds(simulatorIsolationDay.outage * simulatorIsolationDay.workers.CancelS))
+		killed = simulation.Stats().LeaseKills
+		simulation.Store.SetDown(false)
 		for i := range 3 {
-			w.Store.Deny(fmt.Sprintf("n%d", i), false)
-			if w.Controller(i).ended() {
-				w.Start(i)
+			simulation.Store.Deny(fmt.Sprintf("n%d", i), false)
+			if simulation.Controller(i).ended() {
+				simulation.Start(i)
 			}
-			w.Controller(i).Cut(0)
+			simulation.Controller(i).Cut(0)
 		}
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
-			if w.On(j) < j.Tasks {
-				shares, _ := w.Controller(lead).Core.ShardViews(ctx)
-				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, w.Told(j), w.On(j), j.Tasks, shares)
+			if simulation.On(j) < j.Tasks {
+				shares, _ := simulation.Controller(lead).Core.ShardViews(ctx)
+				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, simulation.Told(j), simulation.On(j), j.Tasks, shares)
 			}
 		}
-		for _, b := range w.BrokenRules() {
+		for _, b := range simulation.BrokenRules() {
 			t.Error(b)
 		}
 	})
@@ -108,7 +108,7 @@
 	}
 	thens := []struct {
 		name string
-		do   func(w *Simulation, lead int)
+		do   func(sim *Simulation, lead int)
 	}{
 		{"they live on", func(*Simulation, int) {}},
 		{"they are killed", func(w *Simulation, lead int) { others(w, lead, w.Kill) }},
@@ -138,7 +138,7 @@
 		{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
 	} {
 		for _, then := range thens {
-			for _, x := range []isolationDay{
+			for _, simulatorIsolationDay := range []isolationDay{
 				{refused: 200 * time.Millisecond, cancellations: 150 * time.Millisecond, outage: 2},
 				{refused: time.Second, cancellations: 600 * time.Millisecond, outage: 1.2},
 				{refused: 3 * time.Second, cancellations: 3 * time.Second, outage: 4},
@@ -146,10 +146,10 @@
 				{refused: time.Second, cancellations: time.Second, outage: 1.4, old: 1},
 				{refused: 3 * time.Second, cancellations: 2 * time.Second, outage: 1.4, old: 2},
 			} {
-				x.workers = workers
+				simulatorIsolationDay.workers = workers
 				seed++
-				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, then.name, x.refused, x.old), func(t *testing.T) {
-					d, killed := playIsolated(t, seed, x, then.do)
+				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, then.name, simulatorIsolationDay.refused, simulatorIsolationDay.old), func(t *testing.T) {
+					d, killed := playIsolated(t, seed, simulatorIsolationDay, then.do)
 					doomed += d
 					t.Logf("%d tasks of cancelled jobs as the outage began, %d killed by leases", d, killed)
 				})
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -22,63 +22,63 @@
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
-		w := NewSimulation(ctx, cfg, 3)
-		w.CapacityOf = rentable
-		w.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
-		w.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
+		sim := NewSimulation(ctx, cfg, 3)
+		sim.CapacityOf = rentable
+		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
+		sim.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
 		for i := range nodes {
-			w.Start(i)
+			sim.Start(i)
 		}
 		for i := range up {
-			w.AddMachine(cfg.Deployment.Zones[i%3], false)
+			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
 		var jobs []*Job
 		tasks := 0
 		for i := range 110 {
-			x := JobSpec{Team: cfg.Deployment.Teams[i%5].Name, Tasks: 20 + w.Random.IntN(50), Cpus: 4, Run: time.Duration(8+w.Random.IntN(10)) * time.Second}
+			jobSpec := JobSpec{Team: cfg.Deployment.Teams[i%5].Name, Tasks: 20 + sim.Random.IntN(50), Cpus: 4, Run: time.Duration(8+sim.Random.IntN(10)) * time.Second}
 			switch {
 			case i%9 == 0:
-				x.Urgency, x.Cpus, x.NoSpot = "high", 2, true
+				jobSpec.Urgency, jobSpec.Cpus, jobSpec.NoSpot = "high", 2, true
 			case i%14 == 0:
-				x.CancelAfter = 10 * time.Second
+				jobSpec.CancelAfter = 10 * time.Second
 			}
-			tasks += x.Tasks
-			jobs = append(jobs, w.User(x))
+			tasks += jobSpec.Tasks
+			jobs = append(jobs, sim.User(jobSpec))
 			time.Sleep(400 * time.Millisecond)
 			switch i {
 			case 50:
-				for k, m := range w.Machines() {
+				for k, m := range sim.Machines() {
 					if k%8 == 0 {
-						w.Die(m)
+						sim.Die(m)
 					}
 				}
 			case 70:
-				w.Kill(0)
-				go func() { time.Sleep(6 * time.Second); w.Start(0) }()
+				sim.Kill(0)
+				go func() { time.Sleep(6 * time.Second); sim.Start(0) }()
 			case 95:
 				for k := range nodes {
-					w.Kill(k)
+					sim.Kill(k)
 				}
 				time.Sleep(6 * time.Second)
 				for k := range nodes {
-					w.Start(k)
+					sim.Start(k)
 				}
 			}
 		}
-		w.awaitAll(t, jobs, 120)
-		for _, b := range w.BrokenRules() {
+		sim.awaitAll(t, jobs, 120)
+		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
-		t.Logf("%d tasks, %d starts, %d changes, %d requests, %d over the rate, %v", tasks, w.Started, w.Store.Writes, w.Store.Requests, w.Store.OverRate, time.Since(w.StartTime))
-		if perTask := float64(w.Store.Writes) / float64(tasks); perTask > 1 {
+		t.Logf("%d tasks, %d starts, %d changes, %d requests, %d over the rate, %v", tasks, sim.Started, sim.Store.Writes, sim.Store.Requests, sim.Store.OverRate, time.Since(sim.StartTime))
+		if perTask := float64(sim.Store.Writes) / float64(tasks); perTask > 1 {
 			t.Errorf("%.2f changes a task", perTask)
 		}
-		if part := float64(w.Store.OverRate) / float64(w.Store.Requests); part > 0.02 {
+		if part := float64(sim.Store.OverRate) / float64(sim.Store.Requests); part > 0.02 {
 			t.Errorf("%.3f of the requests were over the rate", part)
 		}
-		t.Logf("%d calls of the cloud, %d over its rate", w.CloudCalls, w.CloudOver)
-		if w.CloudCalls == 0 || w.CloudOver*20 > w.CloudCalls {
-			t.Errorf("%d of %d calls of the cloud were over its rate", w.CloudOver, w.CloudCalls)
+		t.Logf("%d calls of the cloud, %d over its rate", sim.CloudCalls, sim.CloudOver)
+		if sim.CloudCalls == 0 || sim.CloudOver*20 > sim.CloudCalls {
+			t.Errorf("%d of %d calls of the cloud were over its rate", sim.CloudOver, sim.CloudCalls)
 		}
 		cancel()
 		time.Sleep(time.Minute)
@@ -97,47 +97,47 @@
 		cfg.Deployment.Controllers = nodes
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
-		w := NewSimulation(ctx, cfg, 3)
-		w.CapacityOf = 80
-		w.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
-		w.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
+		sim := NewSimulation(ctx, cfg, 3)
+		sim.CapacityOf = 80
+		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
+		sim.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
 		for i := range nodes {
-			w.Start(i)
+			sim.Start(i)
 		}
-		w.PeerDelay()
+		sim.PeerDelay()
 		for i := range 60 {
-			w.AddMachine(cfg.Deployment.Zones[i%3], i%2 == 0)
+			sim.AddMachine(cfg.Deployment.Zones[i%3], i%2 == 0)
 		}
 		time.Sleep(3 * time.Second)
-		idle := w.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, CheckpointS: 10})
-		giant := w.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
+		idle := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, CheckpointS: 10})
+		giant := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
 		time.Sleep(5 * time.Second)
-		before := w.Store.Writes
+		before := sim.Store.Writes
 		var home, singles []*Job
 		for i := range 800 {
-			singles = append(singles, w.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
+			singles = append(singles, sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
 			if i%40 == 0 {
-				home = append(home, w.User(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
+				home = append(home, sim.User(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
 			}
 			if i == 300 || i == 600 {
-				w.Kill(i / 300)
-				go func() { time.Sleep(6 * time.Second); w.Start(i / 300) }()
+				sim.Kill(i / 300)
+				go func() { time.Sleep(6 * time.Second); sim.Start(i / 300) }()
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		w.awaitAll(t, home, 60)
-		t.Logf("home teams done after %v", time.Since(w.StartTime))
-		w.awaitAll(t, append(singles, giant), 200)
+		sim.awaitAll(t, home, 60)
+		t.Logf("home teams done after %v", time.Since(sim.StartTime))
+		sim.awaitAll(t, append(singles, giant), 200)
 		t.Logf("guests done after %v; %.2f changes a single job with all others, %d of %d requests over the rate, %d of the idle-time tasks on machines",
-			time.Since(w.StartTime), float64(w.Store.Writes-before)/800, w.Store.OverRate, w.Store.Requests, w.On(idle))
-		for _, b := range w.BrokenRules() {
+			time.Since(sim.StartTime), float64(sim.Store.Writes-before)/800, sim.Store.OverRate, sim.Store.Requests, sim.On(idle))
+		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
-		if each := float64(w.Store.Writes-before) / 800; each > 5 {
+		if each := float64(sim.Store.Writes-before) / 800; each > 5 {
 			t.Errorf("%.2f changes a single job", each)
 		}
-		if w.Store.OverRate*50 > w.Store.Requests {
-			t.Errorf("%d of %d requests were over the rate", w.Store.OverRate, w.Store.Requests)
+		if sim.Store.OverRate*50 > sim.Store.Requests {
+			t.Errorf("%d of %d requests were over the rate", sim.Store.OverRate, sim.Store.Requests)
 		}
 		cancel()
 		time.Sleep(time.Minute)
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -29,21 +29,21 @@
 		}
 	}
 	// endIn ends all controllers, begins an outage, and starts them again in it.
-	endIn := func(w *Simulation, outage time.Duration, again time.Duration) {
-		all(w, w.Kill)
-		w.Store.SetDown(true)
+	endIn := func(sim *Simulation, outage time.Duration, again time.Duration) {
+		all(sim, sim.Kill)
+		sim.Store.SetDown(true)
 		time.Sleep(5 * time.Second)
-		all(w, w.Start)
+		all(sim, sim.Start)
 		if again > 0 {
 			time.Sleep(again - 5*time.Second)
-			all(w, w.Kill)
+			all(sim, sim.Kill)
 			time.Sleep(5 * time.Second)
-			all(w, w.Start)
+			all(sim, sim.Start)
 			time.Sleep(outage - again - 5*time.Second)
 		} else {
 			time.Sleep(outage - 5*time.Second)
 		}
-		w.Store.SetDown(false)
+		sim.Store.SetDown(false)
 	}
 	for _, x := range []struct {
 		name          string
@@ -86,33 +86,33 @@
 
 // cancelUnseen has a job cancelled, whose user is told, and cuts all controllers off from the workers
 // before any of them has sent a stop.
-func cancelUnseen(t *testing.T, w *Simulation, then func()) {
-	j := w.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
+func cancelUnseen(t *testing.T, sim *Simulation, then func()) {
+	job := sim.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
 	for range 400 { // where machines are still coming up it waits for room first
-		if time.Sleep(100 * time.Millisecond); w.On(j) == 3 {
+		if time.Sleep(100 * time.Millisecond); sim.On(job) == 3 {
 			break
 		}
 	}
-	w.After = func(_ int, tx protocol.Txn) {
+	sim.After = func(_ int, tx protocol.Txn) {
 		for _, c := range tx.Then {
-			if c.Put == storage.JobKey(j.ID) && strings.Contains(string(c.Value), `"cancelled"`) {
+			if c.Put == storage.JobKey(job.ID) && strings.Contains(string(c.Value), `"cancelled"`) {
 				for i := range 3 {
-					w.Controller(i).Cut(NoWorkers)
+					sim.Controller(i).Cut(NoWorkers)
 				}
 				then()
 			}
 		}
 	}
-	w.CancelNow(j)
+	sim.CancelNow(job)
 	for range 2000 {
 		time.Sleep(5 * time.Millisecond)
-		if w.Told(j) == protocol.Cancelled {
+		if sim.Told(job) == protocol.Cancelled {
 			break
 		}
 	}
-	w.After = nil
-	if w.Told(j) != protocol.Cancelled || w.On(j) == 0 {
-		t.Errorf("its user was told %q, %d tasks are on machines: the case proves nothing", w.Told(j), w.On(j))
+	sim.After = nil
+	if sim.Told(job) != protocol.Cancelled || sim.On(job) == 0 {
+		t.Errorf("its user was told %q, %d tasks are on machines: the case proves nothing", sim.Told(job), sim.On(job))
 	}
 }
 
@@ -126,22 +126,22 @@
 				playDay(t, seed, func(w *Simulation) {
 					w.Settings.Deployment.Workers.CancelS = 36
 					w.PeerDelay()
-				}, func(w *Simulation) {
+				}, func(sim *Simulation) {
 					time.Sleep(4 * time.Second)
-					cancelUnseen(t, w, func() { w.Store.SetDown(!read) })
+					cancelUnseen(t, sim, func() { sim.Store.SetDown(!read) })
 					time.Sleep(200 * time.Millisecond)
-					w.Store.SetDown(true)
+					sim.Store.SetDown(true)
 					for i := range 3 {
-						w.Controller(i).Cut(0)
+						sim.Controller(i).Cut(0)
 					}
 					time.Sleep(4 * time.Second)
 					if ends < 3 {
-						w.Kill(ends)
+						sim.Kill(ends)
 					}
 					time.Sleep(outage)
-					w.Store.SetDown(false)
+					sim.Store.SetDown(false)
 					if ends < 3 {
-						w.Start(ends)
+						sim.Start(ends)
 					}
 				}, nil)
 			})
