--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -59,7 +59,7 @@
 func TestLimitsChangeWhileItServes(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		trouble func(w *Simulation, step int)
+		trouble func(sim *Simulation, step int)
 	}{
 		{"no trouble", func(*Simulation, int) {}},
 		{"owners end", func(w *Simulation, step int) { w.Again(time.Duration(w.Random.IntN(4000))*time.Millisecond, step%3) }},
@@ -81,16 +81,16 @@
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
 				var evicted, lowered atomic.Int32
-				playDay(t, 700+seed, func(w *Simulation) {
-					w.CapacityOf = 8
-					w.Late = func(string, protocol.Txn) time.Duration {
-						if w.Random.IntN(60) > 0 {
+				playDay(t, 700+seed, func(simulation *Simulation) {
+					simulation.CapacityOf = 8
+					simulation.Late = func(string, protocol.Txn) time.Duration {
+						if simulation.Random.IntN(60) > 0 {
 							return 0
 						}
-						return time.Duration(500+w.Random.IntN(8000)) * time.Millisecond
+						return time.Duration(500+simulation.Random.IntN(8000)) * time.Millisecond
 					}
-					records := w.Store.Check
-					w.Store.Check = func(t protocol.Txn) {
+					records := simulation.Store.Check
+					simulation.Store.Check = func(t protocol.Txn) {
 						records(t)
 						for _, c := range t.Then {
 							if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
@@ -129,28 +129,28 @@
 func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 760+seed, func(w *Simulation) { w.CapacityOf = 8 }, func(w *Simulation) {
-				w.PeerDelay()
-				share := slices.IndexFunc(w.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
+			playDay(t, 760+seed, func(w *Simulation) { w.CapacityOf = 8 }, func(sim *Simulation) {
+				sim.PeerDelay()
+				share := slices.IndexFunc(sim.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
 				for range 12 {
-					owner := w.Owner(share)
+					owner := sim.Owner(share)
 					if owner < 0 {
 						time.Sleep(time.Second)
 						continue
 					}
-					slow := w.Controller(owner).Name
-					w.Store.Slow = func(node string) time.Duration {
+					slow := sim.Controller(owner).Name
+					sim.Store.Slow = func(node string) time.Duration {
 						if node != slow {
 							return 0
 						}
-						return time.Duration(300+w.Random.IntN(600)) * time.Millisecond
+						return time.Duration(300+sim.Random.IntN(600)) * time.Millisecond
 					}
-					w.User(JobSpec{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
-					time.Sleep(time.Duration(100+w.Random.IntN(900)) * time.Millisecond)
-					w.operator(t, "red", 18)
-					time.Sleep(time.Duration(w.Random.IntN(3000)) * time.Millisecond)
-					w.Store.Slow = nil
-					w.operator(t, "red", 40)
+					sim.User(JobSpec{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
+					time.Sleep(time.Duration(100+sim.Random.IntN(900)) * time.Millisecond)
+					sim.operator(t, "red", 18)
+					time.Sleep(time.Duration(sim.Random.IntN(3000)) * time.Millisecond)
+					sim.Store.Slow = nil
+					sim.operator(t, "red", 40)
 					time.Sleep(2 * time.Second)
 				}
 			}, nil)
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -79,33 +79,33 @@
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
-	p, size := protocol.Page{Revision: l.store.rev}, 0
-	l.store.keys.Ascend(max(prefix, after), func(k string, e entry) bool {
+	page, size := protocol.Page{Revision: l.store.rev}, 0
+	l.store.keys.Ascend(max(prefix, after), func(k string, simulatorEntry entry) bool {
 		if k == after {
 			return true
 		}
 		if !strings.HasPrefix(k, prefix) {
 			return false
 		}
-		if p.More = len(p.Items) == limit || size > maxPageBytes; p.More {
+		if page.More = len(page.Items) == limit || size > maxPageBytes; page.More {
 			return false
 		}
-		size += len(k) + len(e.value)
-		p.Items = append(p.Items, protocol.Item{Key: k, Value: slices.Clone(e.value), Version: e.version})
+		size += len(k) + len(simulatorEntry.value)
+		page.Items = append(page.Items, protocol.Item{Key: k, Value: slices.Clone(simulatorEntry.value), Version: simulatorEntry.version})
 		return true
 	})
-	return p, nil
+	return page, nil
 }
 
 // Txn carries out a transaction.
-func (l *StoreLink) Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (uint64, []string, error) {
+func (l *StoreLink) Txn(ctx context.Context, txn protocol.Txn, haste protocol.RequestPriority) (uint64, []string, error) {
 	if l.budget != nil {
-		if err := l.budget.Admit(ctx, len(t.Then), haste); err != nil {
+		if err := l.budget.Admit(ctx, len(txn.Then), haste); err != nil {
 			return 0, nil, err
 		}
 	}
 	l.store.mu.Lock()
-	over := l.store.Limited && !l.store.down && len(t.Then) > 0 && !l.store.rates[1].take(float64(len(t.Then)))
+	over := l.store.Limited && !l.store.down && len(txn.Then) > 0 && !l.store.rates[1].take(float64(len(txn.Then)))
 	if over {
 		l.store.OverRate++
 	}
@@ -120,35 +120,35 @@
 		return 0, nil, err
 	}
 	if l.Late != nil {
-		if d := l.Late(t); d > 0 {
+		if duration := l.Late(txn); duration > 0 {
 			go func() {
-				time.Sleep(d)
+				time.Sleep(duration)
 				l.store.mu.Lock()
 				defer l.store.mu.Unlock()
 				// Nobody waits for it any more.
-				if _, failed, err := l.store.apply(t); err == nil && len(failed) == 0 {
+				if _, failed, err := l.store.apply(txn); err == nil && len(failed) == 0 {
 					l.controller.simulation.LateDone.Add(1)
 				} else {
 					l.controller.simulation.LateDenied.Add(1)
 				}
 			}()
-			time.Sleep(min(d, time.Second))
+			time.Sleep(min(duration, time.Second))
 			return 0, nil, protocol.ErrUnknown
 		}
 	}
 	began := time.Now()
 	l.store.mu.Lock()
-	rev, failed, err := l.store.apply(t)
+	rev, failed, err := l.store.apply(txn)
 	if errors.Is(err, protocol.ErrTooLarge) {
 		l.store.TooLarge++ // a late copy from before the limits fell is not counted: nobody waits for it
 	}
 	l.store.mu.Unlock()
 	if l.After != nil && err == nil && len(failed) == 0 {
-		l.After(t)
+		l.After(txn)
 	}
-	if w := l.controller.simulation; w != nil && w.LostAnswers != nil && err == nil && len(t.Then) > 0 && w.LostAnswers(l.controller.Name, t) {
+	if w := l.controller.simulation; w != nil && w.LostAnswers != nil && err == nil && len(txn.Then) > 0 && w.LostAnswers(l.controller.Name, txn) {
 		if len(failed) == 0 {
-			kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
+			kind, _, _ := strings.Cut(strings.TrimPrefix(txn.Then[0].Put+txn.Then[0].Delete, storage.Root), "/")
 			w.mu.Lock()
 			w.AnswersLost[kind]++
 			w.mu.Unlock()
@@ -280,7 +280,7 @@
 		l.store.mu.Lock()
 		l.store.expire()
 		blind := l.store.down || l.store.denied[l.controller.Name] || l.controller.ended() || l.controller.cut(NoState|NoAnswers)
-		ev := protocol.Events{Revision: l.store.rev}
+		events := protocol.Events{Revision: l.store.rev}
 		if from < l.store.compactedTo && !blind {
 			l.store.mu.Unlock()
 			return protocol.Events{}, protocol.ErrTooOld
@@ -293,17 +293,17 @@
 		})
 		for _, e := range l.store.log[i:] {
 			if strings.HasPrefix(e.Put+e.Delete, prefix) {
-				ev.Events = append(ev.Events, e)
+				events.Events = append(events.Events, e)
 			}
 		}
 		ch := l.store.changed
 		l.store.mu.Unlock()
-		if !blind && (len(ev.Events) > 0 || time.Now().After(deadline)) {
+		if !blind && (len(events.Events) > 0 || time.Now().After(deadline)) {
 			if l.store.Lag != nil {
 				time.Sleep(l.store.Lag(l.controller.Name))
 			}
 			l.controller.pause()
-			return ev, nil
+			return events, nil
 		}
 		t := time.NewTimer(200 * time.Millisecond)
 		select {
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -83,40 +83,40 @@
 }
 
 // probed takes a probe's outcome.
-func (f *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
+func (f *LoadBalancer) probed(simulatorBackend *backend, ok bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b.failedProbes = append(b.failedProbes, !ok)
-	if len(b.failedProbes) > 6 {
-		b.failedProbes = b.failedProbes[1:]
+	simulatorBackend.failedProbes = append(simulatorBackend.failedProbes, !ok)
+	if len(simulatorBackend.failedProbes) > 6 {
+		simulatorBackend.failedProbes = simulatorBackend.failedProbes[1:]
 	}
-	b.healthyProbes++
+	simulatorBackend.healthyProbes++
 	if !ok {
-		b.healthyProbes = 0
+		simulatorBackend.healthyProbes = 0
 	}
 	failed := 0
-	for _, x := range b.failedProbes {
+	for _, x := range simulatorBackend.failedProbes {
 		if x {
 			failed++
 		}
 	}
-	n := len(b.failedProbes)
+	n := len(simulatorBackend.failedProbes)
 	switch {
-	case b.healthy && !ok && (n >= 2 && b.failedProbes[n-2] || failed >= 3):
-		if !b.removed.IsZero() && now.Sub(b.removed) < forgiveAfter {
-			b.pause = min(longestPause, 2*b.pause)
+	case simulatorBackend.healthy && !ok && (n >= 2 && simulatorBackend.failedProbes[n-2] || failed >= 3):
+		if !simulatorBackend.removed.IsZero() && now.Sub(simulatorBackend.removed) < forgiveAfter {
+			simulatorBackend.pause = min(longestPause, 2*simulatorBackend.pause)
 		} else {
-			b.pause = firstPause
+			simulatorBackend.pause = firstPause
 		}
-		b.healthy, b.changed, b.removed = false, now, now
-	case !b.healthy && ok && (!b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.changed) >= b.pause):
-		b.healthy, b.everHealthy, b.changed, b.failedProbes = true, true, now, nil
+		simulatorBackend.healthy, simulatorBackend.changed, simulatorBackend.removed = false, now, now
+	case !simulatorBackend.healthy && ok && (!simulatorBackend.everHealthy || simulatorBackend.healthyProbes >= 2 && now.Sub(simulatorBackend.changed) >= simulatorBackend.pause):
+		simulatorBackend.healthy, simulatorBackend.everHealthy, simulatorBackend.changed, simulatorBackend.failedProbes = true, true, now, nil
 	}
-	if !b.healthy && b.everHealthy && now.Sub(b.changed) > resetAfter {
-		for c := range b.conns {
+	if !simulatorBackend.healthy && simulatorBackend.everHealthy && now.Sub(simulatorBackend.changed) > resetAfter {
+		for c := range simulatorBackend.conns {
 			_ = c.Close() // a reset: its user connects anew
 		}
-		clear(b.conns)
+		clear(simulatorBackend.conns)
 	}
 }
 
@@ -149,37 +149,37 @@
 	}
 }
 
-func (f *LoadBalancer) join(c net.Conn) {
-	defer c.Close()
+func (f *LoadBalancer) join(conn net.Conn) {
+	defer conn.Close()
 	var tried []*backend
 	for range triesAConn {
-		b := f.pick(tried, time.Now())
-		if b == nil {
+		simulatorBackend := f.pick(tried, time.Now())
+		if simulatorBackend == nil {
 			return
 		}
-		tried = append(tried, b)
+		tried = append(tried, simulatorBackend)
 		var to net.Conn
 		var err error
-		if b.node.cut(NoUsers) {
+		if simulatorBackend.node.cut(NoUsers) {
 			time.Sleep(connectIn)
 			err = io.ErrClosedPipe
 		} else {
-			to, err = net.DialTimeout("tcp4", b.addr, connectIn)
+			to, err = net.DialTimeout("tcp4", simulatorBackend.addr, connectIn)
 		}
 		f.mu.Lock()
 		if err != nil {
-			if b.refused++; b.refused >= triesAConn {
-				b.skipUntil, b.refused = time.Now().Add(skipRefusing), 0
+			if simulatorBackend.refused++; simulatorBackend.refused >= triesAConn {
+				simulatorBackend.skipUntil, simulatorBackend.refused = time.Now().Add(skipRefusing), 0
 			}
 			f.mu.Unlock()
 			continue
 		}
-		b.refused = 0
-		b.conns[c] = true
+		simulatorBackend.refused = 0
+		simulatorBackend.conns[conn] = true
 		f.mu.Unlock()
-		splice(c, to, Direction{Held: func() bool { return b.node.cut(NoUsers) }})
+		splice(conn, to, Direction{Held: func() bool { return simulatorBackend.node.cut(NoUsers) }})
 		f.mu.Lock()
-		delete(b.conns, c)
+		delete(simulatorBackend.conns, conn)
 		f.mu.Unlock()
 		return
 	}
@@ -193,10 +193,10 @@
 }
 
 // splice passes on what both sides send until either ends.
-func splice(a, b net.Conn, way Direction) {
-	var wg sync.WaitGroup
+func splice(conn, b net.Conn, way Direction) {
+	var waitGroup sync.WaitGroup
 	pass := func(to, from net.Conn) {
-		defer wg.Done()
+		defer waitGroup.Done()
 		defer to.Close()
 		defer from.Close()
 		buf := make([]byte, 16<<10)
@@ -218,21 +218,21 @@
 			}
 		}
 	}
-	wg.Add(2)
-	go pass(a, b)
-	go pass(b, a)
-	wg.Wait()
+	waitGroup.Add(2)
+	go pass(conn, b)
+	go pass(b, conn)
+	waitGroup.Wait()
 }
 
 // Relay passes connections between two controllers on, so that the way between them can be cut.
-func Relay(ln net.Listener, to string, way Direction) error {
+func Relay(listener net.Listener, to string, way Direction) error {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return err
 		}
 		go func() {
-			defer c.Close()
+			defer conn.Close()
 			if way.Held() {
 				return
 			}
@@ -243,7 +243,7 @@
 			if way.Meter != nil {
 				t = way.Meter.Conn(t)
 			}
-			splice(c, t, way)
+			splice(conn, t, way)
 		}()
 	}
 }
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -24,14 +24,14 @@
 		{"each removal doubles the pause", "+--+++--++++++++", "hh...hh......hhh"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := NewLoadBalancer()
-			f.AddController(&ControllerProcess{Name: "n"}, "127.0.0.1:1")
+			loadBalancer := NewLoadBalancer()
+			loadBalancer.AddController(&ControllerProcess{Name: "n"}, "127.0.0.1:1")
 			now := time.Unix(1e9, 0)
 			got := ""
 			for _, p := range c.probes {
 				now = now.Add(time.Second)
-				f.probed(f.backends[0], p == '+', now)
-				if f.backends[0].healthy {
+				loadBalancer.probed(loadBalancer.backends[0], p == '+', now)
+				if loadBalancer.backends[0].healthy {
 					got += "h"
 				} else {
 					got += "."
@@ -47,15 +47,15 @@
 // TestStoreLimits holds the state service's refusals against the protocol.
 func TestStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewStore()
-		s.Keep = 10
-		l := s.Open(nil)
+		store := NewStore()
+		store.Keep = 10
+		storeLink := store.Open(nil)
 		put := func(n int, value string) error {
 			x := protocol.Txn{}
 			for range n {
 				x.Then = append(x.Then, protocol.Change{Put: "a/b", Value: []byte(value)})
 			}
-			_, _, err := l.Txn(t.Context(), x, protocol.BackgroundRequest)
+			_, _, err := storeLink.Txn(t.Context(), x, protocol.BackgroundRequest)
 			return err
 		}
 		for range 25 {
@@ -63,27 +63,27 @@
 				t.Fatal(err)
 			}
 		}
-		if _, err := l.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
+		if _, err := storeLink.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
 			t.Errorf("a follow from before what is kept: %v", err)
 		}
-		if ev, err := l.Watch(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
+		if ev, err := storeLink.Watch(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
 			t.Errorf("%d events, %v", len(ev.Events), err)
 		}
-		id, err := l.Grant(t.Context(), time.Minute)
+		id, err := storeLink.Grant(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := l.Txn(t.Context(), protocol.Txn{Then: []protocol.Change{{Put: "h", Value: []byte(`1`), Lease: id}}}, protocol.BackgroundRequest); err != nil {
+		if _, _, err := storeLink.Txn(t.Context(), protocol.Txn{Then: []protocol.Change{{Put: "h", Value: []byte(`1`), Lease: id}}}, protocol.BackgroundRequest); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.End(t.Context(), id); err != nil {
+		if err := storeLink.End(t.Context(), id); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, _, err := l.Read(t.Context(), "h"); !errors.Is(err, protocol.ErrNotFound) {
+		if _, _, _, err := storeLink.Read(t.Context(), "h"); !errors.Is(err, protocol.ErrNotFound) {
 			t.Errorf("a key outlives its hold: %v", err)
 		}
-		s.Shrink(10, 2, 1000)
-		s.Limit(5, 3)
+		store.Shrink(10, 2, 1000)
+		store.Limit(5, 3)
 		for _, c := range []struct {
 			n     int
 			value string
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -30,28 +30,28 @@
 }
 
 // install sets the world's hooks, all off.
-func (h *hooks) install(w *Simulation) {
+func (h *hooks) install(sim *Simulation) {
 	some := func(on *atomic.Bool, part float64, least, most time.Duration) time.Duration {
-		if !on.Load() || w.Random.Float64() >= part {
+		if !on.Load() || sim.Random.Float64() >= part {
 			return 0
 		}
-		return w.advanceTo(least, most)
+		return sim.advanceTo(least, most)
 	}
-	w.CopiedHeartbeats = func(string) time.Duration { return some(&h.copies, 0.3, 2*time.Second, 25*time.Second) }
-	w.LateHeartbeats = func(string) time.Duration { return some(&h.reports, 0.1, time.Second, 8*time.Second) }
-	w.Store.Slow = func(string) time.Duration { return some(&h.slow, 0.5, 0, 1500*time.Millisecond) }
-	w.Late = func(string, protocol.Txn) time.Duration { return some(&h.late, 0.15, 2*time.Second, 12*time.Second) }
-	w.LateCommands = func(string, protocol.DirectCommands) time.Duration {
+	sim.CopiedHeartbeats = func(string) time.Duration { return some(&h.copies, 0.3, 2*time.Second, 25*time.Second) }
+	sim.LateHeartbeats = func(string) time.Duration { return some(&h.reports, 0.1, time.Second, 8*time.Second) }
+	sim.Store.Slow = func(string) time.Duration { return some(&h.slow, 0.5, 0, 1500*time.Millisecond) }
+	sim.Late = func(string, protocol.Txn) time.Duration { return some(&h.late, 0.15, 2*time.Second, 12*time.Second) }
+	sim.LateCommands = func(string, protocol.DirectCommands) time.Duration {
 		return some(&h.commands, 0.3, time.Second, 8*time.Second)
 	}
-	w.KeptHeartbeats = func(string) bool { return h.keep.Load() && w.Random.IntN(3) == 0 }
-	w.LostAnswers = func(string, protocol.Txn) bool { return h.lost.Load() && w.Random.IntN(3) == 0 }
-	w.AtEnd = func(j *Job) {
-		if h.atEnd.Load() && w.Random.IntN(3) == 0 {
-			w.CancelNow(j)
+	sim.KeptHeartbeats = func(string) bool { return h.keep.Load() && sim.Random.IntN(3) == 0 }
+	sim.LostAnswers = func(string, protocol.Txn) bool { return h.lost.Load() && sim.Random.IntN(3) == 0 }
+	sim.AtEnd = func(j *Job) {
+		if h.atEnd.Load() && sim.Random.IntN(3) == 0 {
+			sim.CancelNow(j)
 		}
 	}
-	w.LateAnswers = func(string) time.Duration { return some(&h.answers, 0.3, time.Second, 4*time.Second) }
+	sim.LateAnswers = func(string) time.Duration { return some(&h.answers, 0.3, time.Second, 4*time.Second) }
 }
 
 // advanceTo is a time from a shortest one to below a longest one.
@@ -210,54 +210,54 @@
 	all := faultPairs()
 	for seed := *overlappingFaultsFrom; seed < *overlappingFaultsFrom+*overlappingFaults; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			h := &hooks{}
+			simulatorHooks := &hooks{}
 			playDay(t, 7000+uint64(seed), func(w *Simulation) {
 				w.Settings.Deployment.Workers.CancelS = 36
 				w.CapacityOf = 16
 				if seed%3 == 0 {
 					w.Boot = func() time.Duration { return w.advanceTo(300*time.Millisecond, 2*time.Second) }
 				}
-				h.install(w)
+				simulatorHooks.install(w)
 				w.PeerDelay()
-			}, func(w *Simulation) {
+			}, func(sim *Simulation) {
 				var far []*Job
 				for k := range 3 {
-					far = append(far, w.User(JobSpec{Team: w.Settings.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1, Runs: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
+					far = append(far, sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1, Runs: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
 				}
 				for round := range 3 {
 					met := all[(3*seed+round)%len(all)]
-					a, b := met[0], met[1]
-					t.Logf("%v: %s, %s", time.Since(w.StartTime), a.name, b.name)
+					faultKind, simulatorFaultKind := met[0], met[1]
+					t.Logf("%v: %s, %s", time.Since(sim.StartTime), faultKind.name, simulatorFaultKind.name)
 					for range 4 {
-						h.add(w.User(JobSpec{Team: w.Settings.Deployment.Teams[w.Random.IntN(4)].Name, Tasks: 2, Cpus: 1, Run: 20 * time.Minute,
-							CancelAfter: w.advanceTo(time.Second, 25*time.Second)}))
+						simulatorHooks.add(sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[sim.Random.IntN(4)].Name, Tasks: 2, Cpus: 1, Run: 20 * time.Minute,
+							CancelAfter: sim.advanceTo(time.Second, 25*time.Second)}))
 					}
-					time.Sleep(w.advanceTo(3*time.Second, 9*time.Second))
-					a.inject(w, h)
-					time.Sleep(w.advanceTo(0, 6*time.Second))
-					b.inject(w, h)
-					time.Sleep(w.advanceTo(time.Second, 20*time.Second))
-					healAll(w, h)
+					time.Sleep(sim.advanceTo(3*time.Second, 9*time.Second))
+					faultKind.inject(sim, simulatorHooks)
+					time.Sleep(sim.advanceTo(0, 6*time.Second))
+					simulatorFaultKind.inject(sim, simulatorHooks)
+					time.Sleep(sim.advanceTo(time.Second, 20*time.Second))
+					healAll(sim, simulatorHooks)
 					if round == 2 {
-						w.watchWaitingBesideCapacity(t, 95*time.Second)
-						for _, j := range w.Unanswered(time.Now().Add(-75 * time.Second)) {
+						sim.watchWaitingBesideCapacity(t, 95*time.Second)
+						for _, j := range sim.Unanswered(time.Now().Add(-75 * time.Second)) {
 							t.Errorf("%s has had no answer for 75 s after all is over", j.ID)
 						}
-						w.awaitAll(t, append(far, h.dependencyFailed...), 200)
+						sim.awaitAll(t, append(far, simulatorHooks.dependencyFailed...), 200)
 					}
 				}
-			}, func(w *Simulation) {
-				copies.Add(w.Copies.Load())
-				done.Add(w.LateDone.Load())
-				refused.Add(w.LateDenied.Load())
-				kills.Add(w.KillCount.Load())
-				next.Add(w.CopiesToNext.Load())
-				looks.Add(w.Looks.Load())
-				for _, n := range w.AnswersLost {
+			}, func(simulation *Simulation) {
+				copies.Add(simulation.Copies.Load())
+				done.Add(simulation.LateDone.Load())
+				refused.Add(simulation.LateDenied.Load())
+				kills.Add(simulation.KillCount.Load())
+				next.Add(simulation.CopiesToNext.Load())
+				looks.Add(simulation.Looks.Load())
+				for _, n := range simulation.AnswersLost {
 					lost.Add(int32(n))
 				}
-				for _, j := range h.dependencyFailed {
-					if w.Told(j) == protocol.Cancelled {
+				for _, j := range simulatorHooks.dependencyFailed {
+					if simulation.Told(j) == protocol.Cancelled {
 						cancelled.Add(1)
 					}
 				}
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -45,7 +45,7 @@
 	for _, x := range []struct {
 		name  string
 		part  float64 // of the flood that must be done in the end
-		fault func(w *Simulation)
+		fault func(sim *Simulation)
 	}{
 		{"a third of the machines die", 0.35, lose},
 		{"owner and leader end, one after the other", 0.5, func(w *Simulation) {
@@ -68,12 +68,12 @@
 				for _, class := range []string{"steady", "flood"} {
 					cfg.Deployment.Objectives = append(cfg.Deployment.Objectives, config.Objective{Kind: "finished", Class: class, WithinS: 60, Share: 0.95})
 				}
-				w := NewSimulation(ctx, cfg, 3)
-				each(w.Start)
-				w.PeerDelay()
-				w.CapacityOf = 18
-				for i := range w.CapacityOf {
-					w.AddMachine(cfg.Deployment.Zones[i%3], false)
+				simulation := NewSimulation(ctx, cfg, 3)
+				each(simulation.Start)
+				simulation.PeerDelay()
+				simulation.CapacityOf = 18
+				for i := range simulation.CapacityOf {
+					simulation.AddMachine(cfg.Deployment.Zones[i%3], false)
 				}
 				// The steady classes ask for 96 of 288 CPUs, the flood for 48 and then for twenty times that.
 				const begins, ends, over = 80, 160, 260
@@ -81,31 +81,31 @@
 				for s := range over {
 					if s%2 == 0 && s < over-60 {
 						for _, team := range []string{"red", "blue"} {
-							w.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + w.Random.IntN(5), Cpus: 2, Run: time.Duration(8+w.Random.IntN(8)) * time.Second})
+							simulation.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + simulation.Random.IntN(5), Cpus: 2, Run: time.Duration(8+simulation.Random.IntN(8)) * time.Second})
 						}
 					}
 					for range (1 + 19*min(1, s/begins)*(1-min(1, s/ends))) * (1 - s%2) {
-						w.User(JobSpec{Team: "red", Class: "flood", Tasks: 1 + w.Random.IntN(7), Cpus: 2, Run: time.Duration(4+w.Random.IntN(16)) * time.Second})
+						simulation.User(JobSpec{Team: "red", Class: "flood", Tasks: 1 + simulation.Random.IntN(7), Cpus: 2, Run: time.Duration(4+simulation.Random.IntN(16)) * time.Second})
 					}
 					if s == begins {
-						before = w.baselineOf("flood")
+						before = simulation.baselineOf("flood")
 					}
 					if s == begins+30 {
-						go x.fault(w)
+						go x.fault(simulation)
 					}
 					time.Sleep(time.Second)
 				}
-				for _, s := range w.Served(60 * time.Second) {
+				for _, s := range simulation.Served(60 * time.Second) {
 					in := float64(s.InTime) / float64(s.Due)
 					t.Logf("%v", s)
 					if s.Class == "steady" && (s.Part() < 0.97 || in < 0.9) || s.Part() < x.part {
 						t.Errorf("%v", s)
 					}
 				}
-				if after := w.baselineOf("flood"); before == 0 || after > 1.5*before {
+				if after := simulation.baselineOf("flood"); before == 0 || after > 1.5*before {
 					t.Errorf("usual of the flood %.0f CPUs before, %.0f after", before, after)
 				}
-				for _, b := range w.BrokenRules() {
+				for _, b := range simulation.BrokenRules() {
 					t.Error(b)
 				}
 				cancel()
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -29,20 +29,20 @@
 }
 
 // note checks a transaction that was applied.
-func (c *recordCheck) note(t protocol.Txn) {
+func (c *recordCheck) note(txn protocol.Txn) {
 	c.simulation.mu.Lock()
 	defer c.simulation.mu.Unlock()
-	for _, reused := range c.used.note(t) {
+	for _, reused := range c.used.note(txn) {
 		c.simulation.injectFault("%s", reused)
 	}
-	for _, change := range t.Then {
+	for _, change := range txn.Then {
 		if change.Put == storage.LeaderKey {
 			c.simulation.newLeader(change.Value)
 		}
 		c.noteFleet(change)
 		c.simulation.noteTeam(change)
 	}
-	c.noteGroups(t)
+	c.noteGroups(txn)
 }
 
 func (c *recordCheck) noteFleet(change protocol.Change) {
@@ -74,9 +74,9 @@
 }
 
 // noteGroups takes the groups that a transaction writes as one change: tasks may go from one to another.
-func (c *recordCheck) noteGroups(t protocol.Txn) {
+func (c *recordCheck) noteGroups(txn protocol.Txn) {
 	written := map[int]storage.GroupRecord{}
-	for _, change := range t.Then {
+	for _, change := range txn.Then {
 		rack, ok := storage.GroupOf(change.Put)
 		if !ok {
 			continue
@@ -100,8 +100,8 @@
 	}
 }
 
-func (c *recordCheck) place(rack int, r storage.GroupRecord) {
-	for _, m := range r.Machines {
+func (c *recordCheck) place(rack int, record storage.GroupRecord) {
+	for _, m := range record.Machines {
 		for _, p := range m.Tasks {
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
 				name := protocol.TaskName(p.Job, int(p.Numbers[i]))
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -23,9 +23,9 @@
 
 // Connect makes controller i one that runs elsewhere, in a zone, and listens at an address.
 func (w *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
-	n := &ControllerProcess{Name: name, Zone: zone, simulation: w, stop: func() {}}
-	callers := &workerClients{address: public, meter: &n.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
-	n.handleHeartbeat = func(_ context.Context, r *protocol.Heartbeat, reply func(int, any)) {
+	process := &ControllerProcess{Name: name, Zone: zone, simulation: w, stop: func() {}}
+	callers := &workerClients{address: public, meter: &process.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
+	process.handleHeartbeat = func(_ context.Context, r *protocol.Heartbeat, reply func(int, any)) {
 		go func() {
 			w.sendDelayed(r.Zone, zone)
 			status, body := callers.report(r)
@@ -38,8 +38,8 @@
 	for len(w.controllers) <= i {
 		w.controllers = append(w.controllers, nil)
 	}
-	w.controllers[i] = n
-	return n
+	w.controllers[i] = process
+	return process
 }
 
 // sendDelayed waits for as long as a message takes between two zones.
@@ -90,11 +90,11 @@
 }
 
 // report sends a heartbeat and returns the answer; status 0: none came.
-func (c *workerClients) report(r *protocol.Heartbeat) (int, any) {
+func (c *workerClients) report(heartbeat *protocol.Heartbeat) (int, any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	raw, err := json.Marshal(r)
+	raw, err := json.Marshal(heartbeat)
 	if err != nil {
 		return 0, nil // a heartbeat holds only finite numbers and strings
 	}
@@ -102,7 +102,7 @@
 	req.Header.SetMethod(fiber.MethodPost)
 	req.SetRequestURI("http://" + c.address + "/agent/beat")
 	req.SetBodyRaw(raw)
-	if err := c.client(r.Machine).DoTimeout(req, resp, heartbeatTimeout); err != nil {
+	if err := c.client(heartbeat.Machine).DoTimeout(req, resp, heartbeatTimeout); err != nil {
 		return 0, nil
 	}
 	return resp.StatusCode(), json.RawMessage(append([]byte(nil), resp.Body()...))
@@ -123,31 +123,31 @@
 // ServeWorkers lets every machine that comes from now on listen at a loopback address of its own, which goes by the
 // machine's number. Call Close when the world is over.
 func (w *Simulation) ServeWorkers(address func(number int) string) *WorkerPorts {
-	p := &WorkerPorts{simulation: w, address: address, at: map[string]*Machine{}}
+	workerPorts := &WorkerPorts{simulation: w, address: address, at: map[string]*Machine{}}
 	app := newApp()
-	app.Post("/commands", func(c *fiber.Ctx) error {
+	app.Post("/commands", func(request *fiber.Ctx) error {
 		var in struct {
 			Token   *uint64 `json:"helm"`
 			Session *uint64 `json:"watch"`
 			protocol.DirectCommands
 		}
 		// The pointers tell what is missing; the embedded fields of the same names are shadowed.
-		if err := json.Unmarshal(c.Body(), &in); err != nil || in.Token == nil || in.Session == nil {
-			return malformed(c, "helm or watch is missing")
+		if err := json.Unmarshal(request.Body(), &in); err != nil || in.Token == nil || in.Session == nil {
+			return malformed(request, "helm or watch is missing")
 		}
 		w.Commands.Messages.Add(1)
-		m := p.machine(c)
+		m := workerPorts.machine(request)
 		if !w.reachable(m, true) {
-			return silent(c)
+			return silent(request)
 		}
 		w.sendDelayed("", m.Zone) // which zone's controller has sent it can't be told
 		w.mu.Lock()
 		r, status := w.executeCommand(m, protocol.DirectCommands{FencingToken: *in.Token, Incarnation: *in.Session, Commands: in.Commands})
 		w.mu.Unlock()
-		return c.Status(status).JSON(r)
+		return request.Status(status).JSON(r)
 	})
 	app.Get("/status", func(c *fiber.Ctx) error {
-		m := p.machine(c)
+		m := workerPorts.machine(c)
 		if !w.reachable(m, false) {
 			return silent(c)
 		}
@@ -155,27 +155,27 @@
 		defer w.mu.Unlock()
 		return c.JSON(w.sendHeartbeat(m))
 	})
-	p.server = &fasthttp.Server{Handler: app.Handler(), NoDefaultServerHeader: true, IdleTimeout: time.Minute}
-	w.Listen = p.listen
-	return p
+	workerPorts.server = &fasthttp.Server{Handler: app.Handler(), NoDefaultServerHeader: true, IdleTimeout: time.Minute}
+	w.Listen = workerPorts.listen
+	return workerPorts
 }
 
-func (p *WorkerPorts) listen(m *Machine) string {
-	ln, err := net.Listen("tcp4", p.address(p.simulation.names))
+func (p *WorkerPorts) listen(machine *Machine) string {
+	listener, err := net.Listen("tcp4", p.address(p.simulation.names))
 	if err != nil {
-		p.simulation.Log.Error("no port for a worker", "machine", m.Name, "err", err)
+		p.simulation.Log.Error("no port for a worker", "machine", machine.Name, "err", err)
 		return "127.0.0.1:1" // nobody listens there: it is reached through its heartbeats only
 	}
-	m.port = ln
+	machine.port = listener
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.at[ln.Addr().String()] = m
+	p.at[listener.Addr().String()] = machine
 	go func() {
-		if err := p.server.Serve(p.simulation.Commands.Listen(ln)); err != nil && !errors.Is(err, net.ErrClosed) {
-			p.simulation.Log.Error("a worker's port ended", "machine", m.Name, "err", err)
+		if err := p.server.Serve(p.simulation.Commands.Listen(listener)); err != nil && !errors.Is(err, net.ErrClosed) {
+			p.simulation.Log.Error("a worker's port ended", "machine", machine.Name, "err", err)
 		}
 	}()
-	return ln.Addr().String()
+	return listener.Addr().String()
 }
 
 func (p *WorkerPorts) machine(c *fiber.Ctx) *Machine {
@@ -204,10 +204,10 @@
 // reachable tells whether a machine answers now. In a zone that is cut off none does, not even to a controller inside: a port
 // can't tell which controller speaks. One that hangs carries commands out once it
 // goes on, when nobody waits for the answer any more.
-func (w *Simulation) reachable(m *Machine, waits bool) bool {
-	for w.ctx.Err() == nil && m != nil {
+func (w *Simulation) reachable(machine *Machine, waits bool) bool {
+	for w.ctx.Err() == nil && machine != nil {
 		w.mu.Lock()
-		up, hang, cut := m.up && !m.gone, m.hanging, m.partitioned || w.isolated != "" && m.Zone == w.isolated
+		up, hang, cut := machine.up && !machine.gone, machine.hanging, machine.partitioned || w.isolated != "" && machine.Zone == w.isolated
 		w.mu.Unlock()
 		switch {
 		case !up || cut:
@@ -232,26 +232,26 @@
 }
 
 // AddJob takes a job's description. One that was uploaded before stays as it was.
-func (w *Simulation) AddJob(u Upload) error {
-	sub, err := protocol.ParseSubmission(u.Spec)
+func (w *Simulation) AddJob(upload Upload) error {
+	sub, err := protocol.ParseSubmission(upload.Spec)
 	if err != nil {
 		return err
 	}
-	if !(u.Spread >= 0 && u.Spread <= 1) {
+	if !(upload.Spread >= 0 && upload.Spread <= 1) {
 		return errors.New("field spread is not between 0 and 1")
 	}
-	if !(u.RunS >= 0 && u.RunS <= 1e9) {
+	if !(upload.RunS >= 0 && upload.RunS <= 1e9) {
 		return errors.New("field run_s is out of range")
 	}
-	j := &Job{ID: sub.ID, Team: sub.Team, Tasks: sub.Tasks, Run: seconds(u.RunS), Cpus: sub.Cpus, Spot: sub.Spot, Broken: u.Fails,
+	job := &Job{ID: sub.ID, Team: sub.Team, Tasks: sub.Tasks, Run: seconds(upload.RunS), Cpus: sub.Cpus, Spot: sub.Spot, Broken: upload.Fails,
 		done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{}, At: time.Now()}
-	if err := json.Unmarshal(u.Spec, &j.Spec); err != nil {
+	if err := json.Unmarshal(upload.Spec, &job.Spec); err != nil {
 		return err
 	}
-	if u.Spread > 0 {
-		j.runs = make([]time.Duration, j.Tasks)
-		for i := range j.runs {
-			j.runs[i] = time.Duration(float64(j.Run) * (1 + u.Spread*(2*w.Random.Float64()-1)))
+	if upload.Spread > 0 {
+		job.runs = make([]time.Duration, job.Tasks)
+		for i := range job.runs {
+			job.runs[i] = time.Duration(float64(job.Run) * (1 + upload.Spread*(2*w.Random.Float64()-1)))
 		}
 	}
 	w.mu.Lock()
@@ -261,17 +261,17 @@
 	}
 	for _, id := range sub.Dependencies {
 		if o := w.jobs[id]; o != nil {
-			j.awaits = append(j.awaits, o)
+			job.awaits = append(job.awaits, o)
 		}
 	}
-	w.jobs[sub.ID] = j
+	w.jobs[sub.ID] = job
 	w.order = append(w.order, sub.ID)
 	return nil
 }
 
 // ServeUploads serves the place where users put the descriptions of their jobs before they
 // submit them. It ends with the listener.
-func (w *Simulation) ServeUploads(ln net.Listener) error {
+func (w *Simulation) ServeUploads(listener net.Listener) error {
 	app := newApp()
 	app.Put("/descriptions/:id", func(c *fiber.Ctx) error {
 		var u Upload
@@ -286,5 +286,5 @@
 		}
 		return c.SendStatus(fiber.StatusOK)
 	})
-	return app.Listener(ln)
+	return app.Listener(listener)
 }
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -19,8 +19,8 @@
 func TestRestartAtOnce(t *testing.T) {
 	cases := []struct {
 		name  string
-		setup func(w *Simulation, back time.Duration)
-		fault func(w *Simulation, back time.Duration)
+		setup func(sim *Simulation, back time.Duration)
+		fault func(simulation *Simulation, back time.Duration)
 	}{
 		{"one five times in ten seconds", nil, func(w *Simulation, back time.Duration) {
 			for range 5 {
@@ -50,16 +50,16 @@
 			w.Store.SetDown(false)
 			w.Again(back, 2)
 		}},
-		{"with late transactions and reports", func(w *Simulation, _ time.Duration) {
-			w.Late = func(string, protocol.Txn) time.Duration {
-				if w.Random.IntN(12) == 0 {
-					return time.Duration(500+w.Random.IntN(6000)) * time.Millisecond
+		{"with late transactions and reports", func(simulatorSimulation *Simulation, _ time.Duration) {
+			simulatorSimulation.Late = func(string, protocol.Txn) time.Duration {
+				if simulatorSimulation.Random.IntN(12) == 0 {
+					return time.Duration(500+simulatorSimulation.Random.IntN(6000)) * time.Millisecond
 				}
 				return 0
 			}
-			w.LateHeartbeats = func(string) time.Duration {
-				if w.Random.IntN(30) == 0 {
-					return time.Duration(1000+w.Random.IntN(20000)) * time.Millisecond
+			simulatorSimulation.LateHeartbeats = func(string) time.Duration {
+				if simulatorSimulation.Random.IntN(30) == 0 {
+					return time.Duration(1000+simulatorSimulation.Random.IntN(20000)) * time.Millisecond
 				}
 				return 0
 			}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -52,33 +52,33 @@
 	}
 }
 
-func (w *Simulation) checkPlace(m *Machine, t *task) {
-	j := t.job
-	if m.Spot && !j.Spot {
-		w.injectFault("wrong_place: %s/%d on a spot machine", j.ID, t.index)
+func (w *Simulation) checkPlace(machine *Machine, simulatorTask *task) {
+	job := simulatorTask.job
+	if machine.Spot && !job.Spot {
+		w.injectFault("wrong_place: %s/%d on a spot machine", job.ID, simulatorTask.index)
 	}
-	if z := j.Spec["berth"]; z != nil && z != m.Zone {
-		w.injectFault("wrong_place: %s/%d in zone %s", j.ID, t.index, m.Zone)
+	if z := job.Spec["berth"]; z != nil && z != machine.Zone {
+		w.injectFault("wrong_place: %s/%d in zone %s", job.ID, simulatorTask.index, machine.Zone)
 	}
-	together, scatter := j.Spec["together"] == true, j.Spec["scatter"] == true
+	together, scatter := job.Spec["together"] == true, job.Spec["scatter"] == true
 	if !together && !scatter {
 		return
 	}
 	inZone, total := 0, 0
-	for i, o := range j.on {
-		if i == t.index {
+	for i, o := range job.on {
+		if i == simulatorTask.index {
 			continue
 		}
 		total++
-		if o.Zone == m.Zone {
+		if o.Zone == machine.Zone {
 			inZone++
 		}
 	}
 	if together && inZone != total {
-		w.injectFault("wrong_place: %s/%d is apart from its job", j.ID, t.index)
+		w.injectFault("wrong_place: %s/%d is apart from its job", job.ID, simulatorTask.index)
 	}
-	if scatter && inZone+1 > (j.Tasks+1)/2 {
-		w.injectFault("wrong_place: %s has too many tasks in %s", j.ID, m.Zone)
+	if scatter && inZone+1 > (job.Tasks+1)/2 {
+		w.injectFault("wrong_place: %s has too many tasks in %s", job.ID, machine.Zone)
 	}
 }
 
@@ -138,8 +138,8 @@
 // noteTeam takes a change of a team. A limit that is being lowered counts from when the records say that it is kept to; it
 // must be by then. The world is locked.
 func (w *Simulation) noteTeam(change protocol.Change) {
-	for _, t := range w.Settings.Deployment.Teams {
-		if change.Put != storage.TeamKey(t.Name) {
+	for _, team := range w.Settings.Deployment.Teams {
+		if change.Put != storage.TeamKey(team.Name) {
 			continue
 		}
 		var r storage.TeamRecord
@@ -150,7 +150,7 @@
 		if r.Former != nil {
 			counts = *r.Former
 		}
-		w.limits[t.Name] = counts.CpusMax
-		w.checkLimit(t.Name, counts.CpusMax)
+		w.limits[team.Name] = counts.CpusMax
+		w.checkLimit(team.Name, counts.CpusMax)
 	}
 }
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -529,14 +529,14 @@
 func (s *scenario) watchOwnershipChanges() {
 	at := map[int]time.Time{}
 	records := s.Store.Check
-	s.Store.Check = func(t protocol.Txn) {
-		records(t)
-		for _, c := range t.Then {
+	s.Store.Check = func(txn protocol.Txn) {
+		records(txn)
+		for _, change := range txn.Then {
 			var share int
-			if n, _ := fmt.Sscanf(c.Put, storage.Root+"share/%d", &share); n == 1 {
+			if n, _ := fmt.Sscanf(change.Put, storage.Root+"share/%d", &share); n == 1 {
 				at[share] = time.Now()
 			}
-			if id, ok := storage.JobIDOf(c.Put); ok && strings.Contains(string(c.Value), `"f":"cancelled"`) {
+			if id, ok := storage.JobIDOf(change.Put); ok && strings.Contains(string(change.Value), `"f":"cancelled"`) {
 				s.mu.Lock()
 				j := s.jobs[id]
 				s.mu.Unlock()
@@ -565,63 +565,63 @@
 		cfg := settings()
 		cfg.Deployment.Teams[0].CpusMax = 0
 		cfg.Deployment.Workers.CancelS = 36
-		w := NewSimulation(ctx, cfg, seed)
-		w.CapacityOf = 14
+		sim := NewSimulation(ctx, cfg, seed)
+		sim.CapacityOf = 14
 		if os.Getenv("SCENE_LOG") != "" {
-			w.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
+			sim.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 		}
-		s := &scenario{Simulation: w, hooks: &hooks{}, counts: map[string]int{}}
+		simulatorScenario := &scenario{Simulation: sim, hooks: &hooks{}, counts: map[string]int{}}
 		musts := strings.Split(must, ", ")
-		s.hooks.install(w)
+		simulatorScenario.hooks.install(sim)
 		if setup != nil {
-			setup(s)
+			setup(simulatorScenario)
 		}
 		for i := range 3 {
-			w.Start(i)
+			sim.Start(i)
 		}
-		w.PeerDelay()
+		sim.PeerDelay()
 		for i := range 9 {
-			w.AddMachine(cfg.Deployment.Zones[i%3], false)
+			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
 		time.Sleep(3 * time.Second)
-		s.more(16, JobSpec{})
+		simulatorScenario.more(16, JobSpec{})
 		for k := range 3 {
-			s.far = append(s.far, w.User(JobSpec{Team: cfg.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1, Runs: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
+			simulatorScenario.far = append(simulatorScenario.far, sim.User(JobSpec{Team: cfg.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1, Runs: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
 		}
 		time.Sleep(12 * time.Second)
-		play(s)
-		healAll(w, s.hooks)
-		w.watchWaitingBesideCapacity(t, 95*time.Second)
-		for _, j := range w.Unanswered(time.Now().Add(-75 * time.Second)) {
+		play(simulatorScenario)
+		healAll(sim, simulatorScenario.hooks)
+		sim.watchWaitingBesideCapacity(t, 95*time.Second)
+		for _, j := range sim.Unanswered(time.Now().Add(-75 * time.Second)) {
 			t.Errorf("%s has had no answer for 75 s after all is over", j.ID)
 		}
-		if s.told() == 0 && len(s.dependencyFailed) > 0 {
+		if simulatorScenario.told() == 0 && len(simulatorScenario.dependencyFailed) > 0 {
 			t.Error("no user was told of a cancellation: nothing is proved")
 		}
-		s.cancelJob(len(s.long))
-		w.awaitAll(t, append(s.far, s.dependencyFailed...), 120)
+		simulatorScenario.cancelJob(len(simulatorScenario.long))
+		sim.awaitAll(t, append(simulatorScenario.far, simulatorScenario.dependencyFailed...), 120)
 		time.Sleep(seconds(cfg.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
-		for _, b := range w.BrokenRules() {
+		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
 		for _, k := range musts {
-			if what, no := strings.CutPrefix(k, "!"); k != "" && (s.counts[what] > 0) == no {
-				t.Errorf("%q came about %d times", what, s.counts[what])
+			if what, no := strings.CutPrefix(k, "!"); k != "" && (simulatorScenario.counts[what] > 0) == no {
+				t.Errorf("%q came about %d times", what, simulatorScenario.counts[what])
 			}
 		}
-		for k, n := range s.counts {
+		for k, n := range simulatorScenario.counts {
 			t.Logf("%s: %d", k, n)
 		}
 		t.Logf("%d nodes ended, lead taken %d times, %d cancellations, %d starts after one, %d tasks killed by leases",
-			w.KillCount.Load(), w.IsLeader.Load(), s.told(), w.StartsAfterCancel, w.LeaseKills)
+			sim.KillCount.Load(), sim.IsLeader.Load(), simulatorScenario.told(), sim.StartsAfterCancel, sim.LeaseKills)
 	})
 }
 
 // watchWaitingBesideCapacity watches for a time after all troubles: nobody may wait beside room for 90 s of it.
-func (w *Simulation) watchWaitingBesideCapacity(t *testing.T, d time.Duration) {
+func (w *Simulation) watchWaitingBesideCapacity(t *testing.T, duration time.Duration) {
 	t.Helper()
 	since := map[*Job]time.Time{}
-	for end := time.Now().Add(d); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Second)
 		now := map[*Job]time.Time{}
 		for _, j := range w.Beside() {
--- a/internal/simulator/shard_handover_test.go
+++ b/internal/simulator/shard_handover_test.go
@@ -17,23 +17,23 @@
 		{"the others are back when the first has settled", 6 * time.Second, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			playDay(t, 3, nil, func(w *Simulation) {
+			playDay(t, 3, nil, func(sim *Simulation) {
 				time.Sleep(8 * time.Second)
 				for i := range 3 {
-					w.Kill(i)
+					sim.Kill(i)
 				}
 				time.Sleep(3 * time.Second)
-				w.Start(1)
+				sim.Start(1)
 				time.Sleep(x.after)
-				w.Start(0)
+				sim.Start(0)
 				time.Sleep(x.after)
-				w.Start(2)
+				sim.Start(2)
 				time.Sleep(2500 * time.Millisecond)
-				if n := w.owners(t); (n == 3) != x.soon {
+				if n := sim.owners(t); (n == 3) != x.soon {
 					t.Errorf("%d nodes own shares 2.5 s later, soon one each: %v", n, x.soon)
 				}
 				time.Sleep(10 * time.Second)
-				if n := w.owners(t); n != 3 {
+				if n := sim.owners(t); n != 3 {
 					t.Errorf("%d nodes own shares in the end", n)
 				}
 			}, nil)
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -266,11 +266,11 @@
 
 // newLeader delivers what was kept back for the next leader to every controller, as it begins. The world is locked.
 func (w *Simulation) newLeader(raw []byte) {
-	var l storage.LeaderRecord
-	if json.Unmarshal(raw, &l) != nil || l == w.lastLeader {
+	var leaderRecord storage.LeaderRecord
+	if json.Unmarshal(raw, &leaderRecord) != nil || leaderRecord == w.lastLeader {
 		return
 	}
-	w.lastLeader = l
+	w.lastLeader = leaderRecord
 	w.IsLeader.Add(1)
 	kept, nodes := w.kept, slices.Clone(w.controllers)
 	w.kept = nil
@@ -324,11 +324,11 @@
 	}
 	cfg.Zone = cfg.Deployment.Zones[i%len(cfg.Deployment.Zones)]
 	ctx, cancel := context.WithCancel(w.ctx)
-	n := &ControllerProcess{Name: name, Zone: cfg.Zone, simulation: w, stop: cancel}
+	process := &ControllerProcess{Name: name, Zone: cfg.Zone, simulation: w, stop: cancel}
 	if cfg.Zone == w.zonePartitioned() {
-		n.Cut(partitionZone)
+		process.Cut(partitionZone)
 	}
-	n.Link = &StoreLink{store: w.Store, controller: n, Late: func(t protocol.Txn) time.Duration {
+	process.Link = &StoreLink{store: w.Store, controller: process, Late: func(t protocol.Txn) time.Duration {
 		if w.Late == nil {
 			return 0
 		}
@@ -339,27 +339,27 @@
 		}
 	}}
 	if w.Store.Limited {
-		n.Link.budget = transport.NewStateBudget(&cfg.Deployment)
+		process.Link.budget = transport.NewStateBudget(&cfg.Deployment)
 	}
-	cloud := &cloudLink{simulation: w, controller: n}
+	cloud := &cloudLink{simulation: w, controller: process}
 	if w.Store.Limited {
 		cloud.budget = transport.CloudBudget(&cfg.Deployment)
 	}
-	n.Core = controller.New(&cfg, n.Link, cloud, &workerLink{w, n}, w.Log.With("node", name), controller.DefaultTiming())
-	n.handleHeartbeat = n.Core.HandleHeartbeat
+	process.Core = controller.New(&cfg, process.Link, cloud, &workerLink{w, process}, w.Log.With("node", name), controller.DefaultTiming())
+	process.handleHeartbeat = process.Core.HandleHeartbeat
 	if w.Views {
-		n.Core.EnableView()
+		process.Core.EnableView()
 	}
 	w.mu.Lock()
 	if w.Old[i] {
-		n.Core.Layout, n.Core.Frames = storage.LayoutPlain, 0
+		process.Core.Layout, process.Core.Frames = storage.LayoutPlain, 0
 	}
 	for len(w.controllers) <= i {
 		w.controllers = append(w.controllers, nil)
 	}
-	w.controllers[i] = n
+	w.controllers[i] = process
 	w.mu.Unlock()
-	go n.Core.Run(ctx)
+	go process.Core.Run(ctx)
 }
 
 // PeerDelay lets the controllers hear one another's peer heartbeats.
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -30,7 +30,7 @@
 }
 
 // load submits a mixed load and returns its jobs.
-func load(w *Simulation) []*Job {
+func load(sim *Simulation) []*Job {
 	var jobs []*Job
 	wants := []JobSpec{
 		{Team: "red", Tasks: 12, Cpus: 4, Run: 6 * time.Second},
@@ -45,19 +45,19 @@
 	for round := range 2 {
 		first := len(jobs)
 		for _, x := range wants {
-			jobs = append(jobs, w.User(x))
-			time.Sleep(time.Duration(w.Random.IntN(1500)) * time.Millisecond)
+			jobs = append(jobs, sim.User(x))
+			time.Sleep(time.Duration(sim.Random.IntN(1500)) * time.Millisecond)
 		}
 		// A pipeline over teams and shards with a diamond, one that hangs on a cancelled job,
 		// and a last job that comes when the others are over.
-		a := w.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
-		b := w.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{a}})
-		c := w.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{a}})
-		d := w.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{b, c}})
-		x := w.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{b, jobs[first+4]}})
-		y := w.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{x, d}})
-		z := w.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{a}})
-		late := w.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{z, jobs[first+5]}})
+		a := sim.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
+		b := sim.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{a}})
+		c := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{a}})
+		d := sim.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{b, c}})
+		x := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{b, jobs[first+4]}})
+		y := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{x, d}})
+		z := sim.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{a}})
+		late := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{z, jobs[first+5]}})
 		jobs = append(jobs, a, b, c, d, x, y, z, late)
 	}
 	return jobs
@@ -121,8 +121,8 @@
 	}
 	cases := []struct {
 		name  string
-		setup func(w *Simulation)
-		fault func(w *Simulation)
+		setup func(sim *Simulation)
+		fault func(simulation *Simulation)
 	}{
 		{name: "quiet"},
 		{name: "a node is killed and comes back", fault: func(w *Simulation) {
@@ -195,18 +195,18 @@
 					time.Sleep(80 * time.Millisecond)
 				}
 			}()
-		}, fault: func(w *Simulation) {
+		}, fault: func(simulatorSimulation *Simulation) {
 			for i := range 12 {
 				time.Sleep(3 * time.Second)
-				gone := w.Controller(i % 3)
+				gone := simulatorSimulation.Controller(i % 3)
 				for k := range 3 {
-					if n := w.Controller(k); n != gone {
+					if n := simulatorSimulation.Controller(k); n != gone {
 						n.Core.PeerDisconnected(gone.Name)
 					}
 				}
 				time.Sleep(2500 * time.Millisecond)
 				for k := range 3 {
-					w.Controller(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
+					simulatorSimulation.Controller(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
 				}
 			}
 		}},
@@ -296,42 +296,42 @@
 }
 
 // playDay plays a mixed load through a fault, and checks every rule.
-func playDay(t *testing.T, seed uint64, setup, fault, check func(w *Simulation)) {
+func playDay(t *testing.T, seed uint64, setup, fault, check func(sim *Simulation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := NewSimulation(ctx, settings(), seed)
+		simulation := NewSimulation(ctx, settings(), seed)
 		if setup != nil {
-			setup(w)
+			setup(simulation)
 		}
 		for i := range 3 {
-			w.Start(i)
+			simulation.Start(i)
 		}
-		for _, z := range w.Settings.Deployment.Zones {
-			w.AddMachine(z, false)
+		for _, z := range simulation.Settings.Deployment.Zones {
+			simulation.AddMachine(z, false)
 		}
-		w.AddMachine("a", true)
+		simulation.AddMachine("a", true)
 		time.Sleep(3 * time.Second)
 		over := make(chan struct{})
 		go func() {
 			defer close(over)
 			if fault != nil {
-				fault(w)
+				fault(simulation)
 			}
 		}()
-		jobs := load(w)
-		w.awaitAll(t, jobs, 300)
+		jobs := load(simulation)
+		simulation.awaitAll(t, jobs, 300)
 		<-over
 		time.Sleep(35 * time.Second) // cancelled tasks must be gone by now
-		for _, b := range w.BrokenRules() {
+		for _, b := range simulation.BrokenRules() {
 			t.Error(b)
 		}
-		if w.Started == 0 {
+		if simulation.Started == 0 {
 			t.Error("no task was started")
 		}
 		if check != nil {
-			check(w)
+			check(simulation)
 		}
-		t.Logf("done after %v, %d starts, %d writes", time.Since(w.StartTime), w.Started, w.Store.Writes)
+		t.Logf("done after %v, %d starts, %d writes", time.Since(simulation.StartTime), simulation.Started, simulation.Store.Writes)
 		cancel()
 		time.Sleep(time.Minute)
 	})
@@ -354,77 +354,77 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			var gate, lowered atomic.Bool
-			playDay(t, 300+seed, func(w *Simulation) {
-				w.Settings.Deployment.State.Next = &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}
-				w.Old = map[int]bool{0: true, 1: true, 2: true}
-				w.Store.Limit(w.Settings.Deployment.State.RPS, w.Settings.Deployment.State.WriteRPS)
-				w.Store.MaxValue, w.Store.MaxOps = 32<<10, 12
-				w.cloudRate = bucket{rate: w.Settings.Deployment.Cloud.RPS, burst: 2 * w.Settings.Deployment.Cloud.RPS}
+			playDay(t, 300+seed, func(sim *Simulation) {
+				sim.Settings.Deployment.State.Next = &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}
+				sim.Old = map[int]bool{0: true, 1: true, 2: true}
+				sim.Store.Limit(sim.Settings.Deployment.State.RPS, sim.Settings.Deployment.State.WriteRPS)
+				sim.Store.MaxValue, sim.Store.MaxOps = 32<<10, 12
+				sim.cloudRate = bucket{rate: sim.Settings.Deployment.Cloud.RPS, burst: 2 * sim.Settings.Deployment.Cloud.RPS}
 				var kills atomic.Int32
-				records := w.Store.Check
-				w.Store.Check = func(x protocol.Txn) { // whoever learns of it
-					records(x)
+				records := sim.Store.Check
+				sim.Store.Check = func(txn protocol.Txn) { // whoever learns of it
+					records(txn)
 					var l storage.LayoutRecord
-					if isGate(x) && json.Unmarshal(x.Then[0].Value, &l) == nil && l.Version >= storage.LayoutPacked {
+					if isGate(txn) && json.Unmarshal(txn.Then[0].Value, &l) == nil && l.Version >= storage.LayoutPacked {
 						gate.Store(true)
-						if len(x.Then) != 2 || !strings.HasPrefix(x.Then[1].Put, storage.Root+"machine/") {
+						if len(txn.Then) != 2 || !strings.HasPrefix(txn.Then[1].Put, storage.Root+"machine/") {
 							t.Error("the version before would become ready on packed records")
 						}
-						w.mu.Lock()
-						if len(w.Old) > 0 {
-							w.injectFault("the gate opens while old nodes serve")
+						sim.mu.Lock()
+						if len(sim.Old) > 0 {
+							sim.injectFault("the gate opens while old nodes serve")
 						}
-						w.mu.Unlock()
+						sim.mu.Unlock()
 					}
 				}
-				w.After = func(i int, x protocol.Txn) {
+				sim.After = func(i int, x protocol.Txn) {
 					if !isGate(x) {
 						return
 					}
 					if seed%3 == 1 && kills.Add(1) <= 3 {
-						w.Kill(i)
-						go func() { time.Sleep(3 * time.Second); again(w, i) }()
+						sim.Kill(i)
+						go func() { time.Sleep(3 * time.Second); again(sim, i) }()
 					}
 				}
 				if seed%4 == 3 {
-					w.Late = func(string, protocol.Txn) time.Duration {
-						if w.Random.IntN(10) == 0 {
-							return time.Duration(500+w.Random.IntN(9000)) * time.Millisecond
+					sim.Late = func(string, protocol.Txn) time.Duration {
+						if sim.Random.IntN(10) == 0 {
+							return time.Duration(500+sim.Random.IntN(9000)) * time.Millisecond
 						}
 						return 0
 					}
 				}
-			}, func(w *Simulation) {
-				time.Sleep(time.Duration(2000+w.Random.IntN(4000)) * time.Millisecond)
+			}, func(simulation *Simulation) {
+				time.Sleep(time.Duration(2000+simulation.Random.IntN(4000)) * time.Millisecond)
 				if seed%2 == 1 { // dies before its turn and comes back old
-					w.Kill(2)
+					simulation.Kill(2)
 					time.Sleep(2 * time.Second)
-					again(w, 2)
+					again(simulation, 2)
 				}
 				for i := range 3 {
-					w.Kill(i)
-					time.Sleep(time.Duration(1000+w.Random.IntN(3000)) * time.Millisecond)
-					w.mu.Lock()
-					delete(w.Old, i)
-					w.mu.Unlock()
-					again(w, i)
-					time.Sleep(time.Duration(1000+w.Random.IntN(5000)) * time.Millisecond)
+					simulation.Kill(i)
+					time.Sleep(time.Duration(1000+simulation.Random.IntN(3000)) * time.Millisecond)
+					simulation.mu.Lock()
+					delete(simulation.Old, i)
+					simulation.mu.Unlock()
+					again(simulation, i)
+					time.Sleep(time.Duration(1000+simulation.Random.IntN(5000)) * time.Millisecond)
 				}
-				time.Sleep(time.Duration(w.Random.IntN(8000)) * time.Millisecond)
+				time.Sleep(time.Duration(simulation.Random.IntN(8000)) * time.Millisecond)
 				for range 1000 {
 					if time.Sleep(100 * time.Millisecond); gate.Load() {
 						break
 					}
 				}
-				w.Store.Shrink(2<<10, 4, 56)
+				simulation.Store.Shrink(2<<10, 4, 56)
 				lowered.Store(true)
 				if seed%5 == 0 {
 					for i := range 3 {
-						w.Kill(i)
+						simulation.Kill(i)
 					}
 					time.Sleep(2 * time.Second)
 					for i := range 3 {
-						again(w, i)
+						again(simulation, i)
 					}
 				}
 			}, func(w *Simulation) {
@@ -443,31 +443,31 @@
 func TestSettingsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := NewSimulation(ctx, settings(), 5)
-		w.Start(0)
-		w.Start(1)
+		sim := NewSimulation(ctx, settings(), 5)
+		sim.Start(0)
+		sim.Start(1)
 		time.Sleep(2 * time.Second)
-		_, v, err := w.Controller(0).Core.Settings(ctx)
+		_, v, err := sim.Controller(0).Core.Settings(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = w.Controller(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
+		if _, _, err = sim.Controller(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = w.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersion) {
+		if _, _, err = sim.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersion) {
 			t.Fatalf("a change of an old version: %v", err)
 		}
-		w.Start(2)
+		sim.Start(2)
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
-			if s, _, err := w.Controller(i).Core.Settings(ctx); err != nil || s.Alpha != 0.7 {
+			if s, _, err := sim.Controller(i).Core.Settings(ctx); err != nil || s.Alpha != 0.7 {
 				t.Errorf("node %d: %+v, %v", i, s, err)
 			}
 		}
-		w.Store.SetDown(true)
+		sim.Store.SetDown(true)
 		short, stop := context.WithTimeout(ctx, 3*time.Second)
 		defer stop()
-		if _, _, err := w.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrUnavailable) {
+		if _, _, err := sim.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrUnavailable) {
 			t.Errorf("in an outage: %v", err)
 		}
 		cancel()
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -189,15 +189,15 @@
 	}
 }
 
-func (s *Store) change(e protocol.Event) {
-	if e.Delete != "" {
-		s.keys.Delete(e.Delete)
+func (s *Store) change(event protocol.Event) {
+	if event.Delete != "" {
+		s.keys.Delete(event.Delete)
 	}
 	keep := keptChanges
 	if s.Keep > 0 {
 		keep = s.Keep
 	}
-	if s.log = append(s.log, e); len(s.log) > 2*keep {
+	if s.log = append(s.log, event); len(s.log) > 2*keep {
 		s.compactedTo = s.log[len(s.log)-keep-1].Version
 		s.log = slices.Clone(s.log[len(s.log)-keep:])
 	}
@@ -221,13 +221,13 @@
 	return s.MaxValue > 0 && slices.ContainsFunc(t.Then, func(c protocol.Change) bool { return len(c.Value) > s.MaxValue })
 }
 
-func (s *Store) apply(t protocol.Txn) (uint64, []string, error) {
-	if s.tooLarge(t) {
+func (s *Store) apply(txn protocol.Txn) (uint64, []string, error) {
+	if s.tooLarge(txn) {
 		return 0, nil, fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
 	}
 	s.expire()
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range txn.If {
 		if e, _ := s.keys.Get(c.Key); e.version != c.Version {
 			failed = append(failed, c.Key)
 		}
@@ -235,15 +235,15 @@
 	if len(failed) > 0 {
 		return s.rev, failed, nil
 	}
-	for _, c := range t.Then {
+	for _, c := range txn.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return 0, nil, protocol.ErrNoLease
 		}
 	}
-	if len(t.Then) > 0 {
+	if len(txn.Then) > 0 {
 		s.rev++
 	}
-	for _, c := range t.Then {
+	for _, c := range txn.Then {
 		s.Writes++
 		if c.Delete != "" {
 			if _, ok := s.keys.Get(c.Delete); ok {
@@ -255,7 +255,7 @@
 		s.change(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.rev})
 	}
 	if s.Check != nil {
-		s.Check(t)
+		s.Check(txn)
 	}
 	return s.rev, nil, nil
 }
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -12,14 +12,14 @@
 const tickEvery = 100 * time.Millisecond
 
 // tasksLoop runs what is on one machine, until the machine is gone.
-func (w *Simulation) tasksLoop(m *Machine) {
+func (w *Simulation) tasksLoop(machine *Machine) {
 	for w.ctx.Err() == nil {
 		time.Sleep(tickEvery)
 		w.mu.Lock()
-		if !m.gone {
-			w.advance(m, time.Now())
+		if !machine.gone {
+			w.advance(machine, time.Now())
 		}
-		gone := m.gone
+		gone := machine.gone
 		w.mu.Unlock()
 		if gone {
 			return
@@ -44,23 +44,23 @@
 }
 
 // advance brings a machine's tasks up to now. The world is locked.
-func (w *Simulation) advance(m *Machine, now time.Time) {
-	if !m.preemptionNotice.IsZero() && now.After(m.preemptionNotice) {
-		w.remove(m)
-		w.charge(m)
+func (w *Simulation) advance(machine *Machine, now time.Time) {
+	if !machine.preemptionNotice.IsZero() && now.After(machine.preemptionNotice) {
+		w.remove(machine)
+		w.charge(machine)
 		return
 	}
-	w.checkGone(m, now)
-	if m.hanging {
+	w.checkGone(machine, now)
+	if machine.hanging {
 		return
 	}
-	if now.Sub(m.leaseRenewedAt) > seconds(w.Settings.Deployment.Workers.LeaseS) {
-		w.expireLease(m, now)
+	if now.Sub(machine.leaseRenewedAt) > seconds(w.Settings.Deployment.Workers.LeaseS) {
+		w.expireLease(machine, now)
 	}
-	for _, t := range m.tasks {
+	for _, t := range machine.tasks {
 		if t.state != protocol.TaskExited && !now.Before(t.ends) {
-			w.advanceTask(m, t, now)
-			m.wake()
+			w.advanceTask(machine, t, now)
+			machine.wake()
 		}
 	}
 }
@@ -87,36 +87,36 @@
 }
 
 // advanceTask takes a task whose present state is over to the next one.
-func (w *Simulation) advanceTask(m *Machine, t *task, now time.Time) {
-	switch t.state {
+func (w *Simulation) advanceTask(machine *Machine, simulatorTask *task, now time.Time) {
+	switch simulatorTask.state {
 	case protocol.TaskFetching:
-		t.state, t.began = protocol.TaskRunning, now
-		t.ends = now.Add(w.fast(t.job.run(t.index) - t.job.saved[t.index]))
+		simulatorTask.state, simulatorTask.began = protocol.TaskRunning, now
+		simulatorTask.ends = now.Add(w.fast(simulatorTask.job.run(simulatorTask.index) - simulatorTask.job.saved[simulatorTask.index]))
 		switch {
-		case t.job.done[t.index]:
-			t.ends = now // its result is kept
-		case t.job.Spec["shape"] == "daemon":
-			t.ends = now.Add(1000 * time.Hour)
+		case simulatorTask.job.done[simulatorTask.index]:
+			simulatorTask.ends = now // its result is kept
+		case simulatorTask.job.Spec["shape"] == "daemon":
+			simulatorTask.ends = now.Add(1000 * time.Hour)
 		}
-		w.start(m, t)
-		if m.unhealthy || t.job.Broken {
-			t.ends = now.Add(300 * time.Millisecond)
+		w.start(machine, simulatorTask)
+		if machine.unhealthy || simulatorTask.job.Broken {
+			simulatorTask.ends = now.Add(300 * time.Millisecond)
 		}
 	case protocol.TaskRunning:
-		w.removeFromCloud(m, t)
-		t.state, t.cause = protocol.TaskExited, protocol.CauseDone
-		if m.unhealthy || t.job.Broken {
-			t.cause = protocol.CauseError
+		w.removeFromCloud(machine, simulatorTask)
+		simulatorTask.state, simulatorTask.cause = protocol.TaskExited, protocol.CauseDone
+		if machine.unhealthy || simulatorTask.job.Broken {
+			simulatorTask.cause = protocol.CauseError
 			return
 		}
-		t.job.done[t.index] = true
-		t.job.lastDone = now
-		if w.AtEnd != nil && len(t.job.done) == t.job.Tasks {
-			go w.AtEnd(t.job)
+		simulatorTask.job.done[simulatorTask.index] = true
+		simulatorTask.job.lastDone = now
+		if w.AtEnd != nil && len(simulatorTask.job.done) == simulatorTask.job.Tasks {
+			go w.AtEnd(simulatorTask.job)
 		}
 	case protocol.TaskCheckpointing:
-		w.removeFromCloud(m, t)
-		t.state, t.cause, t.saved = protocol.TaskExited, protocol.CauseStopped, true
-		t.job.save(t, now.Sub(t.began)-w.fast(seconds(t.job.spec("markCostS"))), w.speed())
+		w.removeFromCloud(machine, simulatorTask)
+		simulatorTask.state, simulatorTask.cause, simulatorTask.saved = protocol.TaskExited, protocol.CauseStopped, true
+		simulatorTask.job.save(simulatorTask, now.Sub(simulatorTask.began)-w.fast(seconds(simulatorTask.job.spec("markCostS"))), w.speed())
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -48,7 +48,7 @@
 	if want.Class == "" {
 		want.Class = "c"
 	}
-	j := &Job{ID: id, Team: want.Team, Class: want.Class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, runs: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
+	job := &Job{ID: id, Team: want.Team, Class: want.Class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, runs: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
 		Broken: want.Broken, done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{},
 		Spec: map[string]any{"id": id, "jobclass": want.Class, "crew": want.Team, "shape": want.Shape, "urgency": want.Urgency,
 			"shards": want.Tasks, "cpus": want.Cpus, "accelerators": want.Gpus, "ramGb": cmp.Or(want.MemGB, 4), "kit": cmp.Or(want.Image, "img-1"), "pullGb": cmp.Or(want.ImageGB, 0.5),
@@ -59,46 +59,46 @@
 		for _, o := range want.Dependencies {
 			ids = append(ids, o.ID)
 		}
-		j.Spec["awaits"], j.awaits = ids, want.Dependencies
+		job.Spec["awaits"], job.awaits = ids, want.Dependencies
 	}
 	if want.Due > 0 {
-		j.Spec["dueS"] = want.Due
+		job.Spec["dueS"] = want.Due
 	}
 	if want.Zone != "" {
-		j.Spec["berth"] = want.Zone
+		job.Spec["berth"] = want.Zone
 	}
-	w.jobs[id] = j
+	w.jobs[id] = job
 	w.order = append(w.order, id)
 	w.mu.Unlock()
-	go w.userLoop(j, want)
-	return j
+	go w.userLoop(job, want)
+	return job
 }
 
 // ask sends a request to some controller, as the load balancer would.
 func (w *Simulation) ask(timeout time.Duration, f func(context.Context, *controller.Controller) controller.Answer) controller.Answer {
 	w.mu.Lock()
-	var up []*ControllerProcess
+	var running []*ControllerProcess
 	for _, n := range w.controllers {
 		if !n.ended() && !n.cut(NoUsers) {
-			up = append(up, n)
+			running = append(running, n)
 		}
 	}
-	if len(up) == 0 {
+	if len(running) == 0 {
 		w.mu.Unlock()
 		time.Sleep(500 * time.Millisecond)
 		return controller.Answer{}
 	}
-	n := up[w.Random.IntN(len(up))]
+	process := running[w.Random.IntN(len(running))]
 	w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
 	ch := make(chan controller.Answer, 1)
-	go func() { ch <- f(ctx, n.Core) }()
+	go func() { ch <- f(ctx, process.Core) }()
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case a := <-ch:
-		if n.ended() || n.cut(NoUsers) {
+		if process.ended() || process.cut(NoUsers) {
 			return controller.Answer{}
 		}
 		return a
@@ -127,63 +127,63 @@
 }
 
 // hear checks an answer about a job against what was said when it was asked for, and what is.
-func (w *Simulation) hear(j *Job, s protocol.JobState, asked lastAnswer) {
+func (w *Simulation) hear(job *Job, state protocol.JobState, asked lastAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if asked.status.Final() && s.Status != asked.status || j.told.Final() && s.Status.Final() && s.Status != j.told {
-		w.injectFault("went_back: %s was %s and is %s", j.ID, j.told, s.Status)
+	if asked.status.Final() && state.Status != asked.status || job.told.Final() && state.Status.Final() && state.Status != job.told {
+		w.injectFault("went_back: %s was %s and is %s", job.ID, job.told, state.Status)
 	}
-	if s.Status == protocol.Done && len(j.done) < j.Tasks {
-		w.injectFault("not_done: %s with %d of %d tasks", j.ID, len(j.done), j.Tasks)
+	if state.Status == protocol.Done && len(job.done) < job.Tasks {
+		w.injectFault("not_done: %s with %d of %d tasks", job.ID, len(job.done), job.Tasks)
 	}
-	if s.Status == protocol.Cancelled && !j.asked {
-		if asked, _ := w.before(j); !asked {
-			w.injectFault("went_back: %s is cancelled although nobody asked", j.ID)
+	if state.Status == protocol.Cancelled && !job.asked {
+		if asked, _ := w.before(job); !asked {
+			w.injectFault("went_back: %s is cancelled although nobody asked", job.ID)
 		}
 	}
-	j.answered = time.Now()
-	if j.accepted = true; !j.told.Final() {
-		j.told = s.Status
+	job.answered = time.Now()
+	if job.accepted = true; !job.told.Final() {
+		job.told = state.Status
 	}
 }
 
 // check takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
-func (w *Simulation) check(j *Job, a controller.Answer, asked lastAnswer) bool {
-	if s, ok := stateIn(a); ok {
-		w.hear(j, s, asked)
-		if a.Status == 201 && asked.accepted {
+func (w *Simulation) check(job *Job, answer controller.Answer, asked lastAnswer) bool {
+	if s, ok := stateIn(answer); ok {
+		w.hear(job, s, asked)
+		if answer.Status == 201 && asked.accepted {
 			w.mu.Lock()
-			w.injectFault("accepted twice: %s", j.ID)
+			w.injectFault("accepted twice: %s", job.ID)
 			w.mu.Unlock()
 		}
 		return true
 	}
-	if a.Status >= 400 && a.Status < 429 && asked.accepted {
+	if answer.Status >= 400 && answer.Status < 429 && asked.accepted {
 		w.mu.Lock()
-		w.injectFault("forgotten: %s got %d", j.ID, a.Status)
+		w.injectFault("forgotten: %s got %d", job.ID, answer.Status)
 		w.mu.Unlock()
 	}
 	return false
 }
 
 // CloseLook asks for a job at all controllers within milliseconds, again and again, and repeats its submission there.
-func (w *Simulation) CloseLook(j *Job) {
-	body, _ := json.Marshal(j.Spec)
+func (w *Simulation) CloseLook(job *Job) {
+	body, _ := json.Marshal(job.Spec)
 	for range 3 {
 		for i := range w.Settings.Deployment.Controllers {
-			n := w.Controller(i)
-			if n.ended() || n.cut(NoUsers) {
+			process := w.Controller(i)
+			if process.ended() || process.cut(NoUsers) {
 				continue
 			}
-			asked := w.lastAnswerOf(j)
+			asked := w.lastAnswerOf(job)
 			for _, f := range []func(ctx context.Context) controller.Answer{
-				func(ctx context.Context) controller.Answer { return n.Core.Query(ctx, j.ID) },
-				func(ctx context.Context) controller.Answer { return n.Core.Submit(ctx, body) },
+				func(ctx context.Context) controller.Answer { return process.Core.Query(ctx, job.ID) },
+				func(ctx context.Context) controller.Answer { return process.Core.Submit(ctx, body) },
 			} {
 				go func() {
 					ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
 					defer cancel()
-					if a := f(ctx); !n.ended() && !n.cut(NoUsers) && w.check(j, a, asked) {
+					if a := f(ctx); !process.ended() && !process.cut(NoUsers) && w.check(job, a, asked) {
 						w.Looks.Add(1)
 					}
 				}()
@@ -212,10 +212,10 @@
 
 // OddRequests repeats a job's submission with other bodies, and sends what can't run and what lacks a field: nothing of
 // that may be accepted. It returns how many answers it checked.
-func (w *Simulation) OddRequests(j *Job) (checked int) {
+func (w *Simulation) OddRequests(job *Job) (checked int) {
 	with := func(id, field string, v any) []byte {
 		spec := map[string]any{}
-		for k, x := range j.Spec {
+		for k, x := range job.Spec {
 			spec[k] = x
 		}
 		if spec["id"] = id; v == nil {
@@ -234,21 +234,21 @@
 		body  []byte
 		known bool
 		want  int
-	}{{with(j.ID, "shards", 77), true, 200}, {with(j.ID, "cpus", nil), true, 200}, {with(j.ID, "cpus", 500.0), true, 200},
+	}{{with(job.ID, "shards", 77), true, 200}, {with(job.ID, "cpus", nil), true, 200}, {with(job.ID, "cpus", 500.0), true, 200},
 		{with(none, "cpus", 500.0), false, 422}, {with(none, "shape", nil), false, 400}, {with(none, "crew", "nobody"), false, 422}} {
-		asked := w.lastAnswerOf(j)
-		a := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
+		asked := w.lastAnswerOf(job)
+		answer := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, x.body)
 		})
-		if a.Status == 0 || a.Status == 503 {
+		if answer.Status == 0 || answer.Status == 503 {
 			continue
 		}
 		checked++
 		if x.known {
-			w.check(j, a, asked)
-		} else if a.Status != x.want {
+			w.check(job, answer, asked)
+		} else if answer.Status != x.want {
 			w.mu.Lock()
-			w.injectFault("accepted though it can't be: %s got %d, want %d", x.body, a.Status, x.want)
+			w.injectFault("accepted though it can't be: %s got %d, want %d", x.body, answer.Status, x.want)
 			w.mu.Unlock()
 		}
 	}
@@ -273,29 +273,29 @@
 	return out
 }
 
-func (w *Simulation) userLoop(j *Job, want JobSpec) {
-	body, _ := json.Marshal(j.Spec)
+func (w *Simulation) userLoop(job *Job, want JobSpec) {
+	body, _ := json.Marshal(job.Spec)
 	accepted := func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return !slices.ContainsFunc(j.awaits, func(o *Job) bool { return !o.accepted })
+		return !slices.ContainsFunc(job.awaits, func(o *Job) bool { return !o.accepted })
 	}
 	for w.ctx.Err() == nil && !accepted() {
 		time.Sleep(200 * time.Millisecond)
 	}
 	for w.ctx.Err() == nil {
-		asked := w.lastAnswerOf(j)
-		a := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
+		asked := w.lastAnswerOf(job)
+		answer := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, body)
 		})
-		if s, ok := stateIn(a); ok {
-			w.hear(j, s, asked)
-			w.look(j)
+		if s, ok := stateIn(answer); ok {
+			w.hear(job, s, asked)
+			w.look(job)
 			break
 		}
-		if a.Status >= 400 && a.Status < 429 {
+		if answer.Status >= 400 && answer.Status < 429 {
 			w.mu.Lock()
-			w.injectFault("forgotten: submission of %s got %d", j.ID, a.Status)
+			w.injectFault("forgotten: submission of %s got %d", job.ID, answer.Status)
 			w.mu.Unlock()
 			return
 		}
@@ -305,28 +305,28 @@
 	cancelled := want.CancelAfter == 0
 	for w.ctx.Err() == nil {
 		if !cancelled && time.Since(since) >= want.CancelAfter {
-			cancelled = w.cancelJob(j)
+			cancelled = w.cancelJob(job)
 		}
-		asked := w.lastAnswerOf(j)
-		a := w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
-			return c.Query(ctx, j.ID)
+		asked := w.lastAnswerOf(job)
+		controllerAnswer := w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
+			return c.Query(ctx, job.ID)
 		})
-		if w.check(j, a, asked) {
-			s, _ := stateIn(a)
+		if w.check(job, controllerAnswer, asked) {
+			s, _ := stateIn(controllerAnswer)
 			if s.Status.Final() && !asked.status.Final() {
-				w.look(j)
+				w.look(job)
 			}
 			w.mu.Lock()
-			_, told := w.before(j)
+			_, told := w.before(job)
 			if !s.Status.Final() && !told.IsZero() && time.Since(told) > seconds(w.Settings.Deployment.Workers.CancelS) {
-				w.injectFault("orphaned: %s is %s", j.ID, s.Status)
+				w.injectFault("orphaned: %s is %s", job.ID, s.Status)
 			}
 			w.mu.Unlock()
 		}
-		a = w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
+		controllerAnswer = w.ask(2*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Query(ctx, "job-999999")
 		})
-		if a.Status == 200 {
+		if controllerAnswer.Status == 200 {
 			w.mu.Lock()
 			w.injectFault("invented: a job that nobody submitted")
 			w.mu.Unlock()
@@ -336,22 +336,22 @@
 }
 
 // cancelJob asks some controller once to cancel a job, and tells whether its user got a final answer.
-func (w *Simulation) cancelJob(j *Job) bool {
+func (w *Simulation) cancelJob(job *Job) bool {
 	w.mu.Lock()
-	j.asked = true
+	job.asked = true
 	w.mu.Unlock()
-	asked := w.lastAnswerOf(j)
+	asked := w.lastAnswerOf(job)
 	a := w.ask(5*time.Second, func(ctx context.Context, c *controller.Controller) controller.Answer {
-		return c.Cancel(ctx, j.ID)
+		return c.Cancel(ctx, job.ID)
 	})
 	s, ok := stateIn(a)
 	if !ok || !s.Status.Final() {
 		if a.Status == 404 {
-			w.check(j, a, asked)
+			w.check(job, a, asked)
 		}
 		return false
 	}
-	w.confirmed(j, s, asked)
+	w.confirmed(job, s, asked)
 	return true
 }
 
@@ -376,18 +376,18 @@
 }
 
 // CancelAt asks controller i to cancel a job, once, and tells whether it confirmed that.
-func (w *Simulation) CancelAt(j *Job, i int) bool {
+func (w *Simulation) CancelAt(job *Job, i int) bool {
 	w.mu.Lock()
-	j.asked = true
+	job.asked = true
 	w.mu.Unlock()
-	n, asked := w.Controller(i), w.lastAnswerOf(j)
+	n, asked := w.Controller(i), w.lastAnswerOf(job)
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
-	s, ok := stateIn(n.Core.Cancel(ctx, j.ID))
+	s, ok := stateIn(n.Core.Cancel(ctx, job.ID))
 	if !ok || s.Status != protocol.Cancelled || n.ended() || n.cut(NoUsers) {
 		return false
 	}
-	w.confirmed(j, s, asked)
+	w.confirmed(job, s, asked)
 	return true
 }
 
@@ -439,19 +439,19 @@
 	defer w.mu.Unlock()
 	var out []ServedJobs
 	for _, id := range w.order {
-		j := w.jobs[id]
-		if !j.accepted || j.asked || time.Since(j.At) < within {
+		job := w.jobs[id]
+		if !job.accepted || job.asked || time.Since(job.At) < within {
 			continue
 		}
-		i := slices.IndexFunc(out, func(s ServedJobs) bool { return s.Team == j.Team && s.Class == j.Class })
+		i := slices.IndexFunc(out, func(s ServedJobs) bool { return s.Team == job.Team && s.Class == job.Class })
 		if i < 0 {
 			i = len(out)
-			out = append(out, ServedJobs{Team: j.Team, Class: j.Class})
+			out = append(out, ServedJobs{Team: job.Team, Class: job.Class})
 		}
 		out[i].Due++
-		if len(j.done) == j.Tasks {
+		if len(job.done) == job.Tasks {
 			out[i].Done++
-			if j.lastDone.Sub(j.At) <= within {
+			if job.lastDone.Sub(job.At) <= within {
 				out[i].InTime++
 			}
 		}
@@ -546,13 +546,13 @@
 }
 
 // capacityFor tells whether a machine has room for a task of a job, wherever its other tasks are. The world is locked.
-func (w *Simulation) capacityFor(j *Job) bool {
-	for _, m := range w.machines {
-		if !m.up || m.gone || m.unhealthy || m.Spot && !j.Spot || j.Spec["berth"] != nil && j.Spec["berth"] != m.Zone {
+func (w *Simulation) capacityFor(job *Job) bool {
+	for _, machine := range w.machines {
+		if !machine.up || machine.gone || machine.unhealthy || machine.Spot && !job.Spot || job.Spec["berth"] != nil && job.Spec["berth"] != machine.Zone {
 			continue
 		}
-		cpus, gpus, mem := m.machineType.Cpus-j.Cpus, m.machineType.Gpus-j.spec("accelerators"), m.machineType.MemGB-j.spec("ramGb")
-		for _, t := range m.tasks {
+		cpus, gpus, mem := machine.machineType.Cpus-job.Cpus, machine.machineType.Gpus-job.spec("accelerators"), machine.machineType.MemGB-job.spec("ramGb")
+		for _, t := range machine.tasks {
 			if t.state != protocol.TaskExited {
 				cpus, gpus, mem = cpus-t.job.Cpus, gpus-t.job.spec("accelerators"), mem-t.job.spec("ramGb")
 			}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -47,20 +47,20 @@
 	fetches             time.Time            // when the last of its fetches ends
 }
 
-func (w *Simulation) boot(m *Machine, after time.Duration) {
+func (w *Simulation) boot(machine *Machine, after time.Duration) {
 	go func() {
 		time.Sleep(after)
 		w.mu.Lock()
-		if m.gone {
+		if machine.gone {
 			w.mu.Unlock()
 			return
 		}
-		m.up, m.incarnation, m.leaseRenewedAt = true, 1, time.Now()
+		machine.up, machine.incarnation, machine.leaseRenewedAt = true, 1, time.Now()
 		w.mu.Unlock()
 		if !w.SharedTicker {
-			go w.tasksLoop(m)
+			go w.tasksLoop(machine)
 		}
-		w.heartbeatLoop(m)
+		w.heartbeatLoop(machine)
 	}()
 }
 
@@ -109,15 +109,15 @@
 	}
 }
 
-func (w *Simulation) sendHeartbeat(m *Machine) *protocol.Heartbeat {
-	m.seq++
-	r := &protocol.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Incarnation: m.incarnation, Seq: m.seq, FencingToken: m.fencingToken}
-	if !m.preemptionNotice.IsZero() {
-		left := time.Until(m.preemptionNotice).Seconds()
+func (w *Simulation) sendHeartbeat(machine *Machine) *protocol.Heartbeat {
+	machine.seq++
+	r := &protocol.Heartbeat{Machine: machine.Name, Addr: machine.Addr, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: machine.incarnation, Seq: machine.seq, FencingToken: machine.fencingToken}
+	if !machine.preemptionNotice.IsZero() {
+		left := time.Until(machine.preemptionNotice).Seconds()
 		r.PreemptionNoticeS = &left
 	}
-	for _, t := range m.tasks {
+	for _, t := range machine.tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName(t.job.ID, t.index), Attempt: t.attempt,
 			State: t.state, Cause: t.cause, Checkpointed: t.saved})
 	}
@@ -125,94 +125,94 @@
 }
 
 // execute carries out commands as a worker does.
-func (w *Simulation) execute(m *Machine, cmds []protocol.Command) {
-	for _, c := range cmds {
-		id, index, _ := protocol.SplitTask(c.Task)
-		i := slices.IndexFunc(m.tasks, func(t *task) bool { return t.job.ID == id && t.index == index && t.attempt == c.Attempt })
-		switch c.Op {
+func (w *Simulation) execute(machine *Machine, cmds []protocol.Command) {
+	for _, command := range cmds {
+		id, index, _ := protocol.SplitTask(command.Task)
+		i := slices.IndexFunc(machine.tasks, func(t *task) bool { return t.job.ID == id && t.index == index && t.attempt == command.Attempt })
+		switch command.Op {
 		case protocol.OpLaunch:
 			if i >= 0 {
 				continue
 			}
-			j := w.jobs[id]
-			if j == nil || index >= j.Tasks {
-				m.tasks = append(m.tasks, &task{job: &Job{ID: id}, index: index, attempt: c.Attempt, state: protocol.TaskExited, cause: protocol.CauseUnknown})
-				m.wake()
+			job := w.jobs[id]
+			if job == nil || index >= job.Tasks {
+				machine.tasks = append(machine.tasks, &task{job: &Job{ID: id}, index: index, attempt: command.Attempt, state: protocol.TaskExited, cause: protocol.CauseUnknown})
+				machine.wake()
 				continue
 			}
-			t := &task{job: j, index: index, attempt: c.Attempt, state: protocol.TaskFetching}
-			cpus, gpus, mem := j.Cpus, j.spec("accelerators"), j.spec("ramGb")
-			for _, o := range m.tasks {
+			simulatorTask := &task{job: job, index: index, attempt: command.Attempt, state: protocol.TaskFetching}
+			cpus, gpus, mem := job.Cpus, job.spec("accelerators"), job.spec("ramGb")
+			for _, o := range machine.tasks {
 				if o.state != protocol.TaskExited {
 					cpus, gpus, mem = cpus+o.job.Cpus, gpus+o.job.spec("accelerators"), mem+o.job.spec("ramGb")
-					if o.job == j && o.index == index {
-						t.state, t.cause = protocol.TaskExited, protocol.CauseBusy
+					if o.job == job && o.index == index {
+						simulatorTask.state, simulatorTask.cause = protocol.TaskExited, protocol.CauseBusy
 					}
 				}
 			}
 			const slack = 1e-6
-			if t.state != protocol.TaskExited && (cpus > m.machineType.Cpus+slack || gpus > m.machineType.Gpus+slack || mem > m.machineType.MemGB+slack) {
-				t.state, t.cause = protocol.TaskExited, protocol.CauseNoCapacity
+			if simulatorTask.state != protocol.TaskExited && (cpus > machine.machineType.Cpus+slack || gpus > machine.machineType.Gpus+slack || mem > machine.machineType.MemGB+slack) {
+				simulatorTask.state, simulatorTask.cause = protocol.TaskExited, protocol.CauseNoCapacity
 			}
-			if t.state == protocol.TaskFetching {
-				t.ends = w.fetch(m, j)
+			if simulatorTask.state == protocol.TaskFetching {
+				simulatorTask.ends = w.fetch(machine, job)
 				if w.Launched != nil {
-					w.Launched(j, index)
+					w.Launched(job, index)
 				}
 			}
-			m.tasks = append(m.tasks, t)
-			m.wake()
+			machine.tasks = append(machine.tasks, simulatorTask)
+			machine.wake()
 		case protocol.OpKill:
-			if i < 0 || m.tasks[i].state == protocol.TaskExited {
+			if i < 0 || machine.tasks[i].state == protocol.TaskExited {
 				continue
 			}
-			t := m.tasks[i]
+			t := machine.tasks[i]
 			save := t.job.spec("markCostS")
-			if t.state == protocol.TaskRunning && t.job.spec("markEveryS") > 0 && c.GraceS >= save {
+			if t.state == protocol.TaskRunning && t.job.spec("markEveryS") > 0 && command.GraceS >= save {
 				t.state, t.ends = protocol.TaskCheckpointing, time.Now().Add(w.fast(seconds(save)))
-			} else if t.state != protocol.TaskCheckpointing || c.GraceS == 0 {
-				w.removeFromCloud(m, t)
+			} else if t.state != protocol.TaskCheckpointing || command.GraceS == 0 {
+				w.removeFromCloud(machine, t)
 				w.mark(t)
 				t.state, t.cause = protocol.TaskExited, protocol.CauseStopped
 			}
-			m.wake()
+			machine.wake()
 		case protocol.OpClear:
-			if i >= 0 && m.tasks[i].state == protocol.TaskExited {
-				m.tasks = slices.Delete(m.tasks, i, i+1)
-				m.wake()
+			if i >= 0 && machine.tasks[i].state == protocol.TaskExited {
+				machine.tasks = slices.Delete(machine.tasks, i, i+1)
+				machine.wake()
 			}
 		}
 	}
 }
 
-func (w *Simulation) heartbeatLoop(m *Machine) {
+func (w *Simulation) heartbeatLoop(machine *Machine) {
 	every := seconds(w.Settings.Deployment.Workers.HeartbeatS)
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
-		if m.gone {
+		if machine.gone {
 			w.mu.Unlock()
 			return
 		}
-		if m.hanging {
+		if machine.hanging {
 			w.mu.Unlock()
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
-		r := w.sendHeartbeat(m)
+		heartbeat := w.sendHeartbeat(machine)
 		sent := time.Now()
-		at := m.node % len(w.controllers)
+		at := machine.node % len(w.controllers)
 		node := w.controllers[at]
-		cut := m.partitioned || m.silentToControllers || w.partitioned(node, m)
+		cut := machine.partitioned || machine.silentToControllers || w.partitioned(node, machine)
 		delay := time.Duration(0)
 		if w.LateHeartbeats != nil {
-			delay = w.LateHeartbeats(m.Name)
+			delay = w.LateHeartbeats(machine.Name)
 		}
-		deaf, copied := m.deafToController, time.Duration(0)
+		deaf, copied := machine.deafToController, time.Duration(0)
 		if w.CopiedHeartbeats != nil {
-			copied = w.CopiedHeartbeats(m.Name)
+			copied = w.CopiedHeartbeats(machine.Name)
 		}
-		if w.KeptHeartbeats != nil && w.KeptHeartbeats(m.Name) {
-			w.kept = append(w.kept, r)
+		if w.KeptHeartbeats != nil && w.KeptHeartbeats(machine.Name) {
+			w.kept = append(w.kept, heartbeat)
 		}
 		w.mu.Unlock()
 		if copied > 0 {
@@ -220,7 +220,7 @@
 				time.Sleep(copied)
 				if n := w.Controller(at); !n.ended() { // its successor's process, where there is one
 					w.Copies.Add(1)
-					n.handleHeartbeat(w.ctx, r, func(int, any) {})
+					n.handleHeartbeat(w.ctx, heartbeat, func(int, any) {})
 				}
 			}()
 		}
@@ -230,7 +230,7 @@
 			go func() {
 				time.Sleep(delay)
 				if n := w.Controller(at); !n.ended() {
-					n.handleHeartbeat(w.ctx, r, func(int, any) {})
+					n.handleHeartbeat(w.ctx, heartbeat, func(int, any) {})
 				}
 			}()
 		}
@@ -238,10 +238,10 @@
 		case cut || delay > 0 || node.cut(NoWorkers):
 			time.Sleep(4 * time.Second)
 		case deaf && !node.ended():
-			node.handleHeartbeat(w.ctx, r, func(int, any) {})
+			node.handleHeartbeat(w.ctx, heartbeat, func(int, any) {})
 			time.Sleep(4 * time.Second)
 		case !node.ended():
-			node.handleHeartbeat(w.ctx, r, func(s int, b any) {
+			node.handleHeartbeat(w.ctx, heartbeat, func(s int, b any) {
 				if node.cut(NoWorkers) {
 					return // cut off while it held the answer back: that is lost
 				}
@@ -270,39 +270,39 @@
 		w.mu.Lock()
 		wait := time.Second
 		switch {
-		case m.gone || m.hanging:
+		case machine.gone || machine.hanging:
 		case status == 200:
 			a := body.(protocol.HeartbeatResponse)
-			if r.Incarnation == m.incarnation && a.FencingToken >= m.fencingToken {
-				m.leaseRenewedAt = sent
-				m.fencingToken = max(m.fencingToken, a.FencingToken)
-				w.execute(m, a.Commands)
+			if heartbeat.Incarnation == machine.incarnation && a.FencingToken >= machine.fencingToken {
+				machine.leaseRenewedAt = sent
+				machine.fencingToken = max(machine.fencingToken, a.FencingToken)
+				w.execute(machine, a.Commands)
 			}
 			wait = every*3/4 + time.Duration(w.Random.IntN(int(every)/2))
 		case status == 421:
 			name := body.(protocol.Redirect).Member
 			i := slices.IndexFunc(w.controllers, func(n *ControllerProcess) bool { return n.Name == name })
-			if i >= 0 && i != m.node%len(w.controllers) {
-				m.node = i
+			if i >= 0 && i != machine.node%len(w.controllers) {
+				machine.node = i
 				wait = 100 * time.Millisecond
 			} else {
-				m.node++
+				machine.node++
 			}
 		default:
-			m.node++
+			machine.node++
 		}
 		w.mu.Unlock()
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
-		case <-t.C:
-		case <-m.wakeUp:
-			t.Stop()
+		case <-timer.C:
+		case <-machine.wakeUp:
+			timer.Stop()
 			time.Sleep(max(0, 500*time.Millisecond-time.Since(sent)))
 			if status != 200 && status != 421 {
 				time.Sleep(time.Second)
 			}
 		case <-w.ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
 		}
 	}
@@ -322,29 +322,29 @@
 
 // fetch tells when a job's image is on a machine. Images come one after another, as they
 // share the rate, and the first of those that no task needs make room.
-func (w *Simulation) fetch(m *Machine, j *Job) time.Time {
-	name, _ := j.Spec["kit"].(string)
+func (w *Simulation) fetch(machine *Machine, job *Job) time.Time {
+	name, _ := job.Spec["kit"].(string)
 	now := time.Now()
-	if at, ok := m.images[name]; ok {
+	if at, ok := machine.images[name]; ok {
 		return at
 	}
 	takes := time.Duration(0)
-	if m.machineType.FetchGBs > 0 {
-		takes = w.fast(seconds(j.spec("pullGb") / m.machineType.FetchGBs))
+	if machine.machineType.FetchGBs > 0 {
+		takes = w.fast(seconds(job.spec("pullGb") / machine.machineType.FetchGBs))
 	}
-	m.fetches = latest(m.fetches, now).Add(takes)
-	if len(m.images) >= max(1, int(m.machineType.CacheGB/max(0.1, j.spec("pullGb")))) {
+	machine.fetches = latest(machine.fetches, now).Add(takes)
+	if len(machine.images) >= max(1, int(machine.machineType.CacheGB/max(0.1, job.spec("pullGb")))) {
 		oldest := ""
-		for n, at := range m.images {
-			needed := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.state != protocol.TaskExited && t.job.Spec["kit"] == n })
-			if !needed && (oldest == "" || at.Before(m.images[oldest])) {
+		for n, at := range machine.images {
+			needed := slices.ContainsFunc(machine.tasks, func(t *task) bool { return t.state != protocol.TaskExited && t.job.Spec["kit"] == n })
+			if !needed && (oldest == "" || at.Before(machine.images[oldest])) {
 				oldest = n
 			}
 		}
-		delete(m.images, oldest)
+		delete(machine.images, oldest)
 	}
-	m.images[name] = m.fetches
-	return m.fetches
+	machine.images[name] = machine.fetches
+	return machine.fetches
 }
 
 func latest(a, b time.Time) time.Time {
@@ -404,23 +404,23 @@
 	time.Sleep(time.Millisecond)
 	l.controller.pause()
 	began := time.Now()
-	w := l.simulation
-	w.mu.Lock()
-	var m *Machine
-	for _, x := range w.machines {
+	sim := l.simulation
+	sim.mu.Lock()
+	var machine *Machine
+	for _, x := range sim.machines {
 		if x.Addr == addr && x.up && !x.gone {
-			m = x
+			machine = x
 		}
 	}
-	do := func() (*protocol.Heartbeat, int) { return w.executeCommand(m, cmd) }
-	if m != nil && w.LateCommands != nil {
-		if d := w.LateCommands(m.Name, cmd); d > 0 {
-			w.mu.Unlock()
+	do := func() (*protocol.Heartbeat, int) { return sim.executeCommand(machine, cmd) }
+	if machine != nil && sim.LateCommands != nil {
+		if d := sim.LateCommands(machine.Name, cmd); d > 0 {
+			sim.mu.Unlock()
 			go func() {
 				time.Sleep(d)
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				if !m.gone {
+				sim.mu.Lock()
+				defer sim.mu.Unlock()
+				if !machine.gone {
 					do()
 				}
 			}()
@@ -428,34 +428,34 @@
 			return nil, 0, protocol.ErrUnknown
 		}
 	}
-	if m == nil || m.hanging || m.partitioned || m.deafToController || w.partitioned(l.controller, m) || l.controller.cut(NoWorkers) || l.controller.ended() {
-		hung := m != nil && m.hanging && !l.controller.cut(NoWorkers)
-		w.mu.Unlock()
+	if machine == nil || machine.hanging || machine.partitioned || machine.deafToController || sim.partitioned(l.controller, machine) || l.controller.cut(NoWorkers) || l.controller.ended() {
+		hung := machine != nil && machine.hanging && !l.controller.cut(NoWorkers)
+		sim.mu.Unlock()
 		if hung { // it executes them when it resumes
 			go func() {
-				for w.ctx.Err() == nil {
+				for sim.ctx.Err() == nil {
 					time.Sleep(300 * time.Millisecond)
-					w.mu.Lock()
-					if m.gone || !m.hanging {
-						if !m.gone {
+					sim.mu.Lock()
+					if machine.gone || !machine.hanging {
+						if !machine.gone {
 							do()
 						}
-						w.mu.Unlock()
+						sim.mu.Unlock()
 						return
 					}
-					w.mu.Unlock()
+					sim.mu.Unlock()
 				}
 			}()
 		}
 		time.Sleep(timeout)
 		return nil, 0, protocol.ErrUnknown
 	}
-	r, status := do()
+	heartbeat, status := do()
 	held := time.Millisecond
-	if w.LateAnswers != nil {
-		held = max(held, w.LateAnswers(m.Name))
+	if sim.LateAnswers != nil {
+		held = max(held, sim.LateAnswers(machine.Name))
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	time.Sleep(min(held, timeout))
 	if held >= timeout {
 		return nil, 0, protocol.ErrUnknown
@@ -463,5 +463,5 @@
 	if l.controller.stalledThrough(began, timeout) {
 		return nil, 0, protocol.ErrUnknown
 	}
-	return r, status, nil
+	return heartbeat, status, nil
 }
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -21,35 +21,35 @@
 		cfg := settings()
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 45}
-		w := NewSimulation(ctx, cfg, 9)
-		w.CapacityOf = 40
+		sim := NewSimulation(ctx, cfg, 9)
+		sim.CapacityOf = 40
 		for i := range 3 {
-			w.Start(i)
+			sim.Start(i)
 		}
-		w.PeerDelay()
+		sim.PeerDelay()
 		time.Sleep(12 * time.Second)
-		owner := w.Owner(0)
-		service := w.User(JobSpec{Team: "red", Shape: "daemon", Urgency: "production", Tasks: 8, Cpus: 4, NoSpot: true, Scatter: true})
-		doomed := w.User(JobSpec{Team: "red", Tasks: 30, Cpus: 4, Run: 300 * time.Second, NoSpot: true, CancelAfter: 15 * time.Second})
+		owner := sim.Owner(0)
+		service := sim.User(JobSpec{Team: "red", Shape: "daemon", Urgency: "production", Tasks: 8, Cpus: 4, NoSpot: true, Scatter: true})
+		doomed := sim.User(JobSpec{Team: "red", Tasks: 30, Cpus: 4, Run: 300 * time.Second, NoSpot: true, CancelAfter: 15 * time.Second})
 		for i := range 14 {
-			zone := w.Controller(owner).Zone
+			zone := sim.Controller(owner).Zone
 			if i%2 == 1 {
-				zone = w.Controller((owner + 1) % 3).Zone
+				zone = sim.Controller((owner + 1) % 3).Zone
 			}
-			w.AddMachine(zone, false)
+			sim.AddMachine(zone, false)
 		}
 		time.Sleep(12 * time.Second)
-		w.PartitionZone(w.Controller(owner).Zone)
-		if w.On(service) < 8 || w.On(doomed) < 20 {
-			t.Fatalf("%d replicas and %d tasks run when the zone is cut off: the case proves nothing", w.On(service), w.On(doomed))
+		sim.PartitionZone(sim.Controller(owner).Zone)
+		if sim.On(service) < 8 || sim.On(doomed) < 20 {
+			t.Fatalf("%d replicas and %d tasks run when the zone is cut off: the case proves nothing", sim.On(service), sim.On(doomed))
 		}
 		time.Sleep(60 * time.Second)
-		w.PartitionZone("")
+		sim.PartitionZone("")
 		time.Sleep(60 * time.Second)
-		if w.Told(doomed) != protocol.Cancelled || w.On(doomed) > 0 || w.On(service) < 8 {
-			t.Errorf("the job is %s with %d tasks on machines, %d of 8 replicas run", w.Told(doomed), w.On(doomed), w.On(service))
+		if sim.Told(doomed) != protocol.Cancelled || sim.On(doomed) > 0 || sim.On(service) < 8 {
+			t.Errorf("the job is %s with %d tasks on machines, %d of 8 replicas run", sim.Told(doomed), sim.On(doomed), sim.On(service))
 		}
-		for _, b := range w.BrokenRules() {
+		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
 	})
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -66,12 +66,12 @@
 }
 
 func (b *Cache) applyBaseline(value json.RawMessage, version uint64) error {
-	var r BaselineRecord
-	if err := json.Unmarshal(value, &r); err != nil {
+	var baselineRecord BaselineRecord
+	if err := json.Unmarshal(value, &baselineRecord); err != nil {
 		return fmt.Errorf("record %s: %w", BaselineKey, err)
 	}
 	u := Baseline{Cpus: map[ClassQueue]float64{}, Version: version}
-	for _, x := range r.Queues {
+	for _, x := range baselineRecord.Queues {
 		// A team that the settings name no more has no jobs either.
 		if t := b.TeamIndex.Find(x.Team); t >= 0 && x.Cpus > 0 {
 			u.Cpus[ClassQueue{t, min(b.Classes.Index(x.Class), maxClassesPerTeam-1)}] = x.Cpus
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -301,21 +301,21 @@
 func ShardCount(d *config.Deployment) int { return max(1, min(d.Controllers, len(d.Teams))) }
 
 // NewCache is an empty cache.
-func NewCache(s *config.Settings) *Cache {
-	b := &Cache{
-		Teams: slices.Clone(s.Deployment.Teams), fileTeams: s.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIndex: NewNameIndex(), Zones: NewNameIndex(s.Deployment.Zones...),
+func NewCache(settings *config.Settings) *Cache {
+	cache := &Cache{
+		Teams: slices.Clone(settings.Deployment.Teams), fileTeams: settings.Deployment.Teams, TeamEntries: map[int]TeamEntry{}, TeamIndex: NewNameIndex(), Zones: NewNameIndex(settings.Deployment.Zones...),
 		TypeIndex: NewNameIndex(), Images: NewNameIndex(), Classes: NewNameIndex(),
-		NumShards: ShardCount(&s.Deployment), Members: map[string]*Member{}, VictimSets: map[string]*VictimSet{},
+		NumShards: ShardCount(&settings.Deployment), Members: map[string]*Member{}, VictimSets: map[string]*VictimSet{},
 		final: map[string]FinalState{}, jobByID: map[string]*Job{}, dependents: map[string][]*Job{}, completionSets: map[string]map[int]completionSet{}, chunkSets: map[string]*chunkSet{},
 		machineByName: map[string]*Machine{}, fleets: map[string]*Fleet{}, revisions: map[string]uint64{}, victims: map[victim]bool{},
 	}
-	for _, t := range s.Deployment.Teams {
-		b.TeamIndex.Index(t.Name)
+	for _, t := range settings.Deployment.Teams {
+		cache.TeamIndex.Index(t.Name)
 	}
-	b.sorted, b.Arrivals = newSortedViews(len(b.Teams)), map[ClassQueue]Arrivals{}
-	b.Shards = make([]Shard, b.NumShards)
-	b.Used = make([]Usage, len(b.Teams))
-	return b
+	cache.sorted, cache.Arrivals = newSortedViews(len(cache.Teams)), map[ClassQueue]Arrivals{}
+	cache.Shards = make([]Shard, cache.NumShards)
+	cache.Used = make([]Usage, len(cache.Teams))
+	return cache
 }
 
 // ShardOf is the shard that a team belongs to, whoever owns it.
@@ -383,8 +383,8 @@
 }
 
 // UpdateCatalog takes the cloud's machine types.
-func (b *Cache) UpdateCatalog(c *protocol.Catalog) {
-	for _, t := range c.Types {
+func (b *Cache) UpdateCatalog(catalog *protocol.Catalog) {
+	for _, t := range catalog.Types {
 		i := b.TypeIndex.Index(t.Name)
 		b.growTypes()
 		ty := MachineType{Cpus: t.Cpus, Gpus: t.Gpus, Mem: t.MemGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
@@ -404,24 +404,24 @@
 // sizeOf is what one task of a job takes of a machine, in CPUs: its own, or those that its
 // accelerators or its memory stand for, if these bind. Of several types it is the one of which the
 // task takes least. A machine whose accelerators are all taken has nothing left, however many of its CPUs idle.
-func (b *Cache) sizeOf(j *Job) float64 {
+func (b *Cache) sizeOf(job *Job) float64 {
 	least := 0.0
-	for i, t := range b.Types {
-		if t.Cpus <= 0 || j.Cpus > t.Cpus || j.Gpus > t.Gpus || j.Mem > t.Mem || len(j.Types) > 0 && !slices.Contains(j.Types, i) {
+	for i, machineType := range b.Types {
+		if machineType.Cpus <= 0 || job.Cpus > machineType.Cpus || job.Gpus > machineType.Gpus || job.Mem > machineType.Mem || len(job.Types) > 0 && !slices.Contains(job.Types, i) {
 			continue
 		}
-		size := j.Cpus
-		if t.Gpus > 0 {
-			size = max(size, j.Gpus*t.Cpus/t.Gpus)
+		size := job.Cpus
+		if machineType.Gpus > 0 {
+			size = max(size, job.Gpus*machineType.Cpus/machineType.Gpus)
 		}
-		if t.Mem > 0 {
-			size = max(size, j.Mem*t.Cpus/t.Mem)
+		if machineType.Mem > 0 {
+			size = max(size, job.Mem*machineType.Cpus/machineType.Mem)
 		}
 		if least == 0 || size < least {
 			least = size
 		}
 	}
-	return max(least, j.Cpus)
+	return max(least, job.Cpus)
 }
 
 func (b *Cache) growTypes() {
@@ -588,7 +588,7 @@
 	return nil
 }
 
-func (b *Cache) setVictimSet(id string, e *VictimSet, deleted bool) {
+func (b *Cache) setVictimSet(id string, victimSet *VictimSet, deleted bool) {
 	b.feedVictimSet(id)
 	if j := b.jobByID[id]; j != nil {
 		b.feedJob(j)
@@ -611,8 +611,8 @@
 	}
 	delete(b.VictimSets, id)
 	if !deleted {
-		b.VictimSets[id] = e
-		mark(e, true)
+		b.VictimSets[id] = victimSet
+		mark(victimSet, true)
 	}
 }
 
@@ -620,25 +620,25 @@
 	if _, ok := b.final[id]; ok {
 		return nil // final states never change
 	}
-	j := b.jobByID[id]
-	if j != nil && j.Version >= version {
+	job := b.jobByID[id]
+	if job != nil && job.Version >= version {
 		return nil
 	}
 	if deleted {
 		return fmt.Errorf("job %s was deleted from the state service", id)
 	}
-	var r JobRecord
-	if err := json.Unmarshal(value, &r); err != nil {
+	var record JobRecord
+	if err := json.Unmarshal(value, &record); err != nil {
 		return fmt.Errorf("job %s: %w", id, err)
 	}
-	final := FinalState{protocol.JobStatus(r.Final), int32(r.DoneCount), r.FinalAtMs}
-	if r.Final != "" && r.Spec == nil && (j == nil || j.PlacedCount == 0) {
-		b.forget(id, j, final)
+	final := FinalState{protocol.JobStatus(record.Final), int32(record.DoneCount), record.FinalAtMs}
+	if record.Final != "" && record.Spec == nil && (job == nil || job.PlacedCount == 0) {
+		b.forget(id, job, final)
 		return nil
 	}
-	if j == nil {
-		if r.ChunkCount > 0 {
-			if err := b.joinChunks(id, &r); err != nil && r.Final != "" {
+	if job == nil {
+		if record.ChunkCount > 0 {
+			if err := b.joinChunks(id, &record); err != nil && record.Final != "" {
 				// The parts of a job that is over are deleted once none of its tasks is placed.
 				b.forget(id, nil, final)
 				return nil
@@ -647,101 +647,101 @@
 			}
 		}
 		var err error
-		if j, err = b.newJob(id, &r); err != nil {
+		if job, err = b.newJob(id, &record); err != nil {
 			return err
 		}
-		j.ChunkSet, j.chunkCount = r.ChunkSet, r.ChunkCount
+		job.ChunkSet, job.chunkCount = record.ChunkSet, record.ChunkCount
 	}
 	// A job that is done has no set any more; a completed task stays completed.
-	if r.Final != string(protocol.Done) {
-		saved, err := decodeBitmap(r.Done, r.Tasks)
+	if record.Final != string(protocol.Done) {
+		saved, err := decodeBitmap(record.Done, record.Tasks)
 		if err != nil {
 			return fmt.Errorf("job %s: %w", id, err)
 		}
-		j.SavedDone = saved
-		j.Done.Merge(saved)
-	}
-	j.DoneCount = max(r.DoneCount, j.Done.Count())
-	j.Final = protocol.JobStatus(r.Final)
-	j.Suspect = j.Suspect || r.Suspect
-	j.Version = version
-	j.FinalAtMs = r.FinalAtMs
-	b.feedJob(j)
-	if !j.Open() {
-		b.endedJobs = append(b.endedJobs, j)
-		b.notifyDependents(id, j.outcome())
+		job.SavedDone = saved
+		job.Done.Merge(saved)
+	}
+	job.DoneCount = max(record.DoneCount, job.Done.Count())
+	job.Final = protocol.JobStatus(record.Final)
+	job.Suspect = job.Suspect || record.Suspect
+	job.Version = version
+	job.FinalAtMs = record.FinalAtMs
+	b.feedJob(job)
+	if !job.Open() {
+		b.endedJobs = append(b.endedJobs, job)
+		b.notifyDependents(id, job.outcome())
 	}
 	return nil
 }
 
-func (b *Cache) forget(id string, j *Job, f FinalState) {
-	b.final[id] = f
-	b.notifyDependents(id, f)
-	if j != nil {
-		j.Final = f.Status // groups may still name it
-		j.DoneCount, j.FinalAtMs = max(j.DoneCount, int(f.Tasks)), f.RecordedMs
-		b.feedJob(j)
-		delete(b.inheritors, j)
+func (b *Cache) forget(id string, job *Job, finalState FinalState) {
+	b.final[id] = finalState
+	b.notifyDependents(id, finalState)
+	if job != nil {
+		job.Final = finalState.Status // groups may still name it
+		job.DoneCount, job.FinalAtMs = max(job.DoneCount, int(finalState.Tasks)), finalState.RecordedMs
+		b.feedJob(job)
+		delete(b.inheritors, job)
 		delete(b.jobByID, id)
-		b.sorted.dropJob(j)
-		b.Jobs[j.Index] = nil
-		b.freeJobs = append(b.freeJobs, j.Index)
+		b.sorted.dropJob(job)
+		b.Jobs[job.Index] = nil
+		b.freeJobs = append(b.freeJobs, job.Index)
 	}
 }
 
-func (b *Cache) newJob(id string, r *JobRecord) (*Job, error) {
-	team := b.TeamIndex.Find(r.Team)
-	s := r.Spec
-	if team < 0 || s == nil {
-		return nil, fmt.Errorf("job %s: unknown team %q or no description", id, r.Team)
+func (b *Cache) newJob(id string, record *JobRecord) (*Job, error) {
+	team := b.TeamIndex.Find(record.Team)
+	spec := record.Spec
+	if team < 0 || spec == nil {
+		return nil, fmt.Errorf("job %s: unknown team %q or no description", id, record.Team)
 	}
-	needs, err := unpackIDs(r.Dependencies)
+	needs, err := unpackIDs(record.Dependencies)
 	if err != nil {
 		return nil, fmt.Errorf("job %s: what it awaits: %w", id, err)
 	}
-	at, own := time.UnixMilli(r.SubmittedMs), protocol.Priority(min(s.Priority, 3))
-	j := &Job{
-		ID: id, Team: team, Class: b.Classes.Index(s.Class), Shard: b.ShardOf(team),
-		Shape: protocol.Shape(s.Shape), Priority: own, OwnPriority: own, Tasks: r.Tasks,
-		Cpus: s.Cpus, Gpus: s.Gpus, Mem: s.Mem, Image: b.Images.Index(s.Image), ImageGB: s.ImageGB,
-		Zone: -1, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Estimate: s.Estimate,
-		CheckpointInterval: s.CheckpointInterval, CheckpointCost: s.CheckpointCost, Deadline: time.Duration(s.Deadline * float64(time.Second)),
-		Submitted: at, ReadyAt: at, Spec: r.Spec, Dependencies: needs,
-		MachineOf: make([]int32, r.Tasks), AttemptOf: make([]uint64, r.Tasks), Done: NewBitmap(r.Tasks), SavedDone: NewBitmap(r.Tasks),
+	at, own := time.UnixMilli(record.SubmittedMs), protocol.Priority(min(spec.Priority, 3))
+	job := &Job{
+		ID: id, Team: team, Class: b.Classes.Index(spec.Class), Shard: b.ShardOf(team),
+		Shape: protocol.Shape(spec.Shape), Priority: own, OwnPriority: own, Tasks: record.Tasks,
+		Cpus: spec.Cpus, Gpus: spec.Gpus, Mem: spec.Mem, Image: b.Images.Index(spec.Image), ImageGB: spec.ImageGB,
+		Zone: -1, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Estimate: spec.Estimate,
+		CheckpointInterval: spec.CheckpointInterval, CheckpointCost: spec.CheckpointCost, Deadline: time.Duration(spec.Deadline * float64(time.Second)),
+		Submitted: at, ReadyAt: at, Spec: record.Spec, Dependencies: needs,
+		MachineOf: make([]int32, record.Tasks), AttemptOf: make([]uint64, record.Tasks), Done: NewBitmap(record.Tasks), SavedDone: NewBitmap(record.Tasks),
 	}
-	for i := range j.MachineOf {
-		j.MachineOf[i] = Nowhere
+	for i := range job.MachineOf {
+		job.MachineOf[i] = Nowhere
 	}
-	for _, t := range s.Types {
-		j.Types = append(j.Types, b.TypeIndex.Index(t))
+	for _, t := range spec.Types {
+		job.Types = append(job.Types, b.TypeIndex.Index(t))
 	}
 	b.growTypes()
-	if s.Zone != "" {
-		j.Zone = b.Zones.Index(s.Zone)
+	if spec.Zone != "" {
+		job.Zone = b.Zones.Index(spec.Zone)
 	}
 	if n := len(b.freeJobs); n > 0 {
-		j.Index = b.freeJobs[n-1]
+		job.Index = b.freeJobs[n-1]
 		b.freeJobs = b.freeJobs[:n-1]
-		b.Jobs[j.Index] = j
+		b.Jobs[job.Index] = job
 	} else {
-		j.Index = int32(len(b.Jobs))
-		b.Jobs = append(b.Jobs, j)
+		job.Index = int32(len(b.Jobs))
+		b.Jobs = append(b.Jobs, job)
 	}
-	j.Size = b.sizeOf(j)
-	b.jobByID[id] = j
-	b.recordImageSize(j)
-	b.sorted.addJob(j)
+	job.Size = b.sizeOf(job)
+	b.jobByID[id] = job
+	b.recordImageSize(job)
+	b.sorted.addJob(job)
 	for part, x := range b.completionSets[id] {
-		j.completed(part, x.bits)
+		job.completed(part, x.bits)
 	}
-	if r.Final == "" {
-		b.countArrival(j)
-		b.addDependencies(j)
+	if record.Final == "" {
+		b.countArrival(job)
+		b.addDependencies(job)
 	}
 	if len(b.dependents[id]) > 0 {
 		b.graphChanged = true
 	}
-	return j, nil
+	return job, nil
 }
 
 // completed takes in a part of the set of completed tasks.
@@ -770,11 +770,11 @@
 		}
 		return nil
 	}
-	var r CompletionRecord
-	if err := json.Unmarshal(value, &r); err != nil {
+	var completionRecord CompletionRecord
+	if err := json.Unmarshal(value, &completionRecord); err != nil {
 		return fmt.Errorf("record %s%s: %w", completionPrefix, name, err)
 	}
-	raw, err := base64.RawStdEncoding.DecodeString(r.Done)
+	raw, err := base64.RawStdEncoding.DecodeString(completionRecord.Done)
 	if err != nil || len(raw) > completionSetTasks/8 {
 		return fmt.Errorf("record %s%s: no set of %d tasks", completionPrefix, name, completionSetTasks)
 	}
@@ -825,30 +825,30 @@
 // record that is over a lower limit is worked off by small ones which list its machines
 // anew, in the same groups, and is deleted when it lists none that they do not.
 func (b *Cache) applyFleet(id string, value json.RawMessage, version uint64, deleted bool) error {
-	f := b.fleets[id]
-	if f != nil && f.Version >= version {
+	fleet := b.fleets[id]
+	if fleet != nil && fleet.Version >= version {
 		return nil
 	}
-	var r FleetRecord
+	var record FleetRecord
 	if !deleted {
 		var err error
-		if r, err = DecodeFleet(value); err != nil {
+		if record, err = DecodeFleet(value); err != nil {
 			return fmt.Errorf("fleet %s: %w", id, err)
 		}
 	}
-	for _, x := range r.Machines {
+	for _, x := range record.Machines {
 		if m := b.machineByName[x.Name]; x.Group < 0 || x.Group > maxGroups || (m != nil && m.exists && m.Fleet.ID != id && m.record.Group != x.Group) {
 			return fmt.Errorf("fleet %s: machine %s cannot be in rack %d", id, x.Name, x.Group)
 		}
 	}
-	if f == nil {
-		f = &Fleet{ID: id}
-		b.fleets[id] = f
+	if fleet == nil {
+		fleet = &Fleet{ID: id}
+		b.fleets[id] = fleet
 	}
-	before := f.record.Machines
-	f.record, f.Version, f.Size = r, version, len(value)
-	for _, x := range r.Machines {
-		b.addMachine(f, x)
+	before := fleet.record.Machines
+	fleet.record, fleet.Version, fleet.Size = record, version, len(value)
+	for _, x := range record.Machines {
+		b.addMachine(fleet, x)
 	}
 	for _, x := range before { // what is listed still was counted once more just now
 		m := b.machineByName[x.Name]
@@ -876,30 +876,30 @@
 	k.Machines = append(k.Machines, m)
 }
 
-func (b *Cache) addMachine(f *Fleet, x FleetMachine) {
-	m := b.machineByName[x.Name]
-	if m == nil {
-		m = &Machine{Index: int32(len(b.Machines)), Name: x.Name}
-		b.Machines = append(b.Machines, m)
-		b.machineByName[x.Name] = m
+func (b *Cache) addMachine(fleet *Fleet, entry FleetMachine) {
+	machine := b.machineByName[entry.Name]
+	if machine == nil {
+		machine = &Machine{Index: int32(len(b.Machines)), Name: entry.Name}
+		b.Machines = append(b.Machines, machine)
+		b.machineByName[entry.Name] = machine
 	}
-	m.FleetEntries++
-	if m.exists {
-		if m.Fleet != f && f.Version > m.Fleet.Version {
-			m.Fleet, m.record = f, x
+	machine.FleetEntries++
+	if machine.exists {
+		if machine.Fleet != fleet && fleet.Version > machine.Fleet.Version {
+			machine.Fleet, machine.record = fleet, entry
 		}
 		return
 	}
-	m.Fleet, m.record, m.exists, m.Version = f, x, true, f.Version
-	m.Moved = false
-	b.sorted.machines.Set(m)
-	m.joinGroup(b.group(x.Group))
-	m.Shard, m.Gone = m.Group.Shard, m.Group.Version == 0
-	m.Type = b.TypeIndex.Index(f.record.Type)
+	machine.Fleet, machine.record, machine.exists, machine.Version = fleet, entry, true, fleet.Version
+	machine.Moved = false
+	b.sorted.machines.Set(machine)
+	machine.joinGroup(b.group(entry.Group))
+	machine.Shard, machine.Gone = machine.Group.Shard, machine.Group.Version == 0
+	machine.Type = b.TypeIndex.Index(fleet.record.Type)
 	b.growTypes()
-	m.Zone = b.Zones.Index(f.record.Zone)
-	m.Spot, m.ProvisionedAt, m.Addr, m.FencingToken = f.record.Spot, f.record.ProvisionedAt, x.Addr, f.record.FencingToken
-	b.markChanged(m)
+	machine.Zone = b.Zones.Index(fleet.record.Zone)
+	machine.Spot, machine.ProvisionedAt, machine.Addr, machine.FencingToken = fleet.record.Spot, fleet.record.ProvisionedAt, entry.Addr, fleet.record.FencingToken
+	b.markChanged(machine)
 }
 
 // OversizedFleet returns a fleet whose record is over a limit, and whether it fits when it is
@@ -915,21 +915,21 @@
 
 // SplitFleet writes a fleet's machines as records that are within a limit, leaving out those
 // that a later record lists.
-func (b *Cache) SplitFleet(f *Fleet, limit int) []FleetRecord {
+func (b *Cache) SplitFleet(fleet *Fleet, limit int) []FleetRecord {
 	var out []FleetRecord
-	for _, x := range f.record.Machines {
-		if m := b.machineByName[x.Name]; m == nil || m.Fleet != f {
+	for _, entry := range fleet.record.Machines {
+		if m := b.machineByName[entry.Name]; m == nil || m.Fleet != fleet {
 			continue
 		}
 		if n := len(out) - 1; n >= 0 {
-			out[n].Machines = append(out[n].Machines, x)
+			out[n].Machines = append(out[n].Machines, entry)
 			if len(EncodeFleet(&out[n], true)) <= limit {
 				continue
 			}
 			out[n].Machines = out[n].Machines[:len(out[n].Machines)-1]
 		}
-		r := f.record
-		r.Machines = []FleetMachine{x}
+		r := fleet.record
+		r.Machines = []FleetMachine{entry}
 		out = append(out, r)
 	}
 	return out
@@ -950,76 +950,76 @@
 	if id < len(b.Groups) && b.Groups[id].Version >= version {
 		return nil
 	}
-	r, err := DecodeGroup(value)
+	record, err := DecodeGroup(value)
 	if err != nil {
 		return fmt.Errorf("rack %d: %w", id, err)
 	}
-	if r.Shard < 0 || r.Shard >= b.NumShards {
-		return fmt.Errorf("rack %d: no share %d", id, r.Shard)
+	if record.Shard < 0 || record.Shard >= b.NumShards {
+		return fmt.Errorf("rack %d: no share %d", id, record.Shard)
 	}
-	entries := make(map[*Machine]*GroupMachine, len(r.Machines))
-	tasks := make(map[*Machine][]PlacedTask, len(r.Machines))
-	for i := range r.Machines {
-		x := &r.Machines[i]
-		m := b.machineByName[x.Name]
-		if m == nil {
-			return fmt.Errorf("rack %d: unknown machine %s", id, x.Name)
+	entries := make(map[*Machine]*GroupMachine, len(record.Machines))
+	tasks := make(map[*Machine][]PlacedTask, len(record.Machines))
+	for i := range record.Machines {
+		entry := &record.Machines[i]
+		machine := b.machineByName[entry.Name]
+		if machine == nil {
+			return fmt.Errorf("rack %d: unknown machine %s", id, entry.Name)
 		}
-		if !m.exists {
+		if !machine.exists {
 			continue // deleted by a later change that is known already
 		}
-		entries[m] = x
+		entries[machine] = entry
 		n := 0
-		for _, p := range x.Tasks {
+		for _, p := range entry.Tasks {
 			n += len(p.Numbers) / numbersPerTask
 		}
 		list := make([]PlacedTask, 0, n)
-		for _, p := range x.Tasks {
-			j := b.jobByID[p.Job]
+		for _, placedTasks := range entry.Tasks {
+			j := b.jobByID[placedTasks.Job]
 			if j == nil {
-				if f, _ := b.FinalState(p.Job); f == protocol.Done {
+				if f, _ := b.FinalState(placedTasks.Job); f == protocol.Done {
 					continue // every task has ended; the owner's next record leaves it out
 				}
-				return fmt.Errorf("rack %d: unknown job %s", id, p.Job)
+				return fmt.Errorf("rack %d: unknown job %s", id, placedTasks.Job)
 			}
-			for n := p.Numbers; len(n) >= numbersPerTask; n = n[numbersPerTask:] {
+			for n := placedTasks.Numbers; len(n) >= numbersPerTask; n = n[numbersPerTask:] {
 				if n[0] < uint64(j.Tasks) {
 					list = append(list, PlacedTask{j, int(n[0]), n[1], int64(n[2]), n[3]})
 				}
 			}
 		}
-		tasks[m] = list
+		tasks[machine] = list
 	}
 	var ended []CompletedTask
-	for _, e := range r.Completed {
-		j := b.jobByID[e.Job]
+	for _, completedTasks := range record.Completed {
+		j := b.jobByID[completedTasks.Job]
 		if j == nil {
-			if f, _ := b.FinalState(e.Job); f == "" {
-				return fmt.Errorf("rack %d: unknown job %s", id, e.Job)
+			if f, _ := b.FinalState(completedTasks.Job); f == "" {
+				return fmt.Errorf("rack %d: unknown job %s", id, completedTasks.Job)
 			}
 			continue
 		}
-		for _, t := range e.Tasks {
+		for _, t := range completedTasks.Tasks {
 			if t >= 0 && t < j.Tasks {
 				ended = append(ended, CompletedTask{j, t})
 			}
 		}
 	}
-	k := b.group(id)
+	group := b.group(id)
 	for m, x := range entries {
 		if !x.Moved {
 			continue
 		}
-		if m.Moved = true; m.Group != k {
+		if m.Moved = true; m.Group != group {
 			// It comes from a group whose record it left in the same change or before.
 			b.setTasks(m, nil)
 			m.leaveGroup()
-			m.joinGroup(k)
+			m.joinGroup(group)
 		}
 	}
-	moved := k.Version == 0 || k.Shard != r.Shard || k.FencingToken != r.FencingToken
-	k.Packed = r.Packed != "" || len(r.Machines)+len(r.Completed) == 0
-	k.Shard, k.FencingToken, k.Version, k.Completed, k.Size = r.Shard, r.FencingToken, version, ended, len(value)
+	moved := group.Version == 0 || group.Shard != record.Shard || group.FencingToken != record.FencingToken
+	group.Packed = record.Packed != "" || len(record.Machines)+len(record.Completed) == 0
+	group.Shard, group.FencingToken, group.Version, group.Completed, group.Size = record.Shard, record.FencingToken, version, ended, len(value)
 	for _, e := range ended {
 		if !e.Job.Done.Get(e.Task) {
 			e.Job.Done.Set(e.Task)
@@ -1031,56 +1031,56 @@
 			b.feedJob(e.Job)
 		}
 	}
-	for _, m := range k.Machines {
-		x := entries[m]
-		if x == nil {
-			x = &GroupMachine{}
+	for _, storageMachine := range group.Machines {
+		groupMachine := entries[storageMachine]
+		if groupMachine == nil {
+			groupMachine = &GroupMachine{}
 		}
-		token := max(x.FencingToken, m.Fleet.record.FencingToken)
-		if moved || token != m.FencingToken || x.Incarnation != m.Incarnation || x.Returning != m.Returning || x.Unhealthy != m.Unhealthy ||
-			x.Draining != m.Draining || !slices.Equal(tasks[m], m.Tasks) {
-			m.Shard, m.FencingToken, m.Incarnation = k.Shard, token, x.Incarnation
-			m.Returning, m.Unhealthy, m.Draining = x.Returning, x.Unhealthy, x.Draining
-			m.Gone, m.Version = false, version
-			b.markChanged(m)
+		token := max(groupMachine.FencingToken, storageMachine.Fleet.record.FencingToken)
+		if moved || token != storageMachine.FencingToken || groupMachine.Incarnation != storageMachine.Incarnation || groupMachine.Returning != storageMachine.Returning || groupMachine.Unhealthy != storageMachine.Unhealthy ||
+			groupMachine.Draining != storageMachine.Draining || !slices.Equal(tasks[storageMachine], storageMachine.Tasks) {
+			storageMachine.Shard, storageMachine.FencingToken, storageMachine.Incarnation = group.Shard, token, groupMachine.Incarnation
+			storageMachine.Returning, storageMachine.Unhealthy, storageMachine.Draining = groupMachine.Returning, groupMachine.Unhealthy, groupMachine.Draining
+			storageMachine.Gone, storageMachine.Version = false, version
+			b.markChanged(storageMachine)
 		}
-		if x.Addr != "" {
-			m.Addr = x.Addr
+		if groupMachine.Addr != "" {
+			storageMachine.Addr = groupMachine.Addr
 		}
-		if !slices.Equal(tasks[m], m.Tasks) {
-			b.setTasks(m, tasks[m])
+		if !slices.Equal(tasks[storageMachine], storageMachine.Tasks) {
+			b.setTasks(storageMachine, tasks[storageMachine])
 		}
 	}
 	return nil
 }
 
 // setTasks replaces the tasks of a machine's record and keeps the counts true.
-func (b *Cache) setTasks(m *Machine, tasks []PlacedTask) {
-	old := m.Tasks
-	b.recordImages(m, old)
+func (b *Cache) setTasks(machine *Machine, tasks []PlacedTask) {
+	old := machine.Tasks
+	b.recordImages(machine, old)
 	for _, p := range old {
 		j := p.Job
-		if j.MachineOf[p.Task] == m.Index {
+		if j.MachineOf[p.Task] == machine.Index {
 			j.MachineOf[p.Task], j.AttemptOf[p.Task] = Nowhere, 0
 		}
 		j.PlacedCount--
-		j.ByZone[m.Zone]--
+		j.ByZone[machine.Zone]--
 		j.firstOpen = min(j.firstOpen, p.Task)
 		b.Used[j.Team].Add(j, -1)
 		b.feedJob(j)
 	}
 	for _, p := range tasks {
 		j := p.Job
-		j.MachineOf[p.Task], j.AttemptOf[p.Task] = m.Index, p.Attempt
+		j.MachineOf[p.Task], j.AttemptOf[p.Task] = machine.Index, p.Attempt
 		j.PlacedCount++
-		for len(j.ByZone) <= m.Zone {
+		for len(j.ByZone) <= machine.Zone {
 			j.ByZone = append(j.ByZone, 0)
 		}
-		j.ByZone[m.Zone]++
+		j.ByZone[machine.Zone]++
 		b.Used[j.Team].Add(j, 1)
 		b.feedJob(j)
 	}
-	m.Tasks = tasks
+	machine.Tasks = tasks
 }
 
 // Sweep forgets all but the final state of jobs that are over and have no task
@@ -1097,23 +1097,23 @@
 }
 
 // GroupMachineOf writes a machine's part of its group's record, with other tasks.
-func (b *Cache) GroupMachineOf(m *Machine, tasks []PlacedTask) GroupMachine {
-	r := GroupMachine{Name: m.Name, Incarnation: m.Incarnation, Returning: m.Returning, Draining: m.Draining, Unhealthy: m.Unhealthy, Moved: m.Moved}
-	if m.FencingToken > m.Fleet.record.FencingToken {
-		r.FencingToken = m.FencingToken
+func (b *Cache) GroupMachineOf(machine *Machine, tasks []PlacedTask) GroupMachine {
+	entry := GroupMachine{Name: machine.Name, Incarnation: machine.Incarnation, Returning: machine.Returning, Draining: machine.Draining, Unhealthy: machine.Unhealthy, Moved: machine.Moved}
+	if machine.FencingToken > machine.Fleet.record.FencingToken {
+		entry.FencingToken = machine.FencingToken
 	}
-	if m.Addr != m.record.Addr {
-		r.Addr = m.Addr
+	if machine.Addr != machine.record.Addr {
+		entry.Addr = machine.Addr
 	}
 	for _, p := range tasks {
-		i := slices.IndexFunc(r.Tasks, func(t PlacedTasks) bool { return t.Job == p.Job.ID })
+		i := slices.IndexFunc(entry.Tasks, func(t PlacedTasks) bool { return t.Job == p.Job.ID })
 		if i < 0 {
-			i = len(r.Tasks)
-			r.Tasks = append(r.Tasks, PlacedTasks{Job: p.Job.ID})
+			i = len(entry.Tasks)
+			entry.Tasks = append(entry.Tasks, PlacedTasks{Job: p.Job.ID})
 		}
-		r.Tasks[i].Numbers = append(r.Tasks[i].Numbers, uint64(p.Task), p.Attempt, uint64(p.PlacedAt), p.WaitedS)
+		entry.Tasks[i].Numbers = append(entry.Tasks[i].Numbers, uint64(p.Task), p.Attempt, uint64(p.PlacedAt), p.WaitedS)
 	}
-	return r
+	return entry
 }
 
 // GroupRecordOf writes a group's record. change, if set, changes a machine's part and
@@ -1160,24 +1160,24 @@
 }
 
 // JobRecordOf writes a job's record with another set of completed tasks.
-func (b *Cache) JobRecordOf(j *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
-	r := &JobRecord{Tasks: j.Tasks, DoneCount: n, Final: string(final), Team: b.Teams[j.Team].Name}
-	if final == protocol.Done || j.DependencyFailed && j.PlacedCount == 0 {
-		return r
+func (b *Cache) JobRecordOf(job *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
+	record := &JobRecord{Tasks: job.Tasks, DoneCount: n, Final: string(final), Team: b.Teams[job.Team].Name}
+	if final == protocol.Done || job.DependencyFailed && job.PlacedCount == 0 {
+		return record
 	}
-	r.Spec, r.SubmittedMs, r.Suspect = j.Spec, j.Submitted.UnixMilli(), j.Suspect
+	record.Spec, record.SubmittedMs, record.Suspect = job.Spec, job.Submitted.UnixMilli(), job.Suspect
 	if final == "" || !b.Packed() {
 		// In the packed layout an open job's record is rewritten only while none of its tasks
 		// has completed: a large set would be over the limit, and is kept in parts.
-		r.Done = done.encode()
+		record.Done = done.encode()
 	}
 	if final == "" {
-		r.Dependencies = PackIDs(j.Dependencies)
+		record.Dependencies = PackIDs(job.Dependencies)
 	}
-	if j.ChunkSet != "" {
-		r.Spec, r.Dependencies, r.ChunkSet, r.ChunkCount = nil, "", j.ChunkSet, j.chunkCount
+	if job.ChunkSet != "" {
+		record.Spec, record.Dependencies, record.ChunkSet, record.ChunkCount = nil, "", job.ChunkSet, job.chunkCount
 	}
-	return r
+	return record
 }
 
 // DropUnseen forgets every record that was not seen in a full read begun at revision.
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -64,29 +64,29 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-			if err := b.Apply(m, Encode(FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}), 1, false); err != nil {
+			cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+			if err := cache.Apply(m, Encode(FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}), 1, false); err != nil {
 				t.Fatal(err)
 			}
 			for _, x := range c.changes {
 				raw := Encode(x.value)
-				if err := b.Apply(x.key, raw, x.version, x.value == nil); (err != nil) != x.fails {
+				if err := cache.Apply(x.key, raw, x.version, x.value == nil); (err != nil) != x.fails {
 					t.Fatalf("%s: %v", x.key, err)
 				}
 				if x.sweep > 0 {
-					b.Revision = x.sweep
-					b.Sweep()
+					cache.Revision = x.sweep
+					cache.Sweep()
 				}
 			}
-			if f, _ := b.FinalState("job-000001"); f != c.final {
+			if f, _ := cache.FinalState("job-000001"); f != c.final {
 				t.Errorf("final state %q, want %q", f, c.final)
 			}
 			placed := 0
-			if job := b.Job("job-000001"); job != nil {
+			if job := cache.Job("job-000001"); job != nil {
 				placed = job.PlacedCount
 			}
-			if placed != c.placed || b.Used[0].Cpus != c.used {
-				t.Errorf("%d placed using %v, want %d using %v", placed, b.Used[0].Cpus, c.placed, c.used)
+			if placed != c.placed || cache.Used[0].Cpus != c.used {
+				t.Errorf("%d placed using %v, want %d using %v", placed, cache.Used[0].Cpus, c.placed, c.used)
 			}
 		})
 	}
@@ -95,11 +95,11 @@
 // TestRecount applies random changes of groups and compares what the cache keeps
 // beside the records with a full count of them.
 func TestRecount(t *testing.T) {
-	r := rand.New(rand.NewPCG(4, 2))
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
+	random := rand.New(rand.NewPCG(4, 2))
+	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
 	apply := func(key string, v any, version uint64) {
 		t.Helper()
-		if err := b.Apply(key, Encode(v), version, v == nil); err != nil {
+		if err := cache.Apply(key, Encode(v), version, v == nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -118,17 +118,17 @@
 	on := map[place]int{}     // machine
 	ended := map[place]bool{} // for good
 	for version := uint64(3); version < 400; version++ {
-		rack := r.IntN(racks)
+		rack := random.IntN(racks)
 		rec := GroupRecord{}
 		for i := rack; i < machines; i += racks {
 			for p, m := range on {
-				if m == i && r.IntN(3) == 0 {
+				if m == i && random.IntN(3) == 0 {
 					delete(on, p)
-					ended[p] = ended[p] || r.IntN(2) == 0
+					ended[p] = ended[p] || random.IntN(2) == 0
 				}
 			}
-			for range r.IntN(3) {
-				p := place{r.IntN(jobs), r.IntN(tasks)}
+			for range random.IntN(3) {
+				p := place{random.IntN(jobs), random.IntN(tasks)}
 				if _, ok := on[p]; !ok && !ended[p] {
 					on[p] = i
 				}
@@ -149,7 +149,7 @@
 		apply(GroupKey(rack), rec, version)
 		var used [2]float64
 		placed := make([]int, jobs)
-		for _, k := range b.Groups {
+		for _, k := range cache.Groups {
 			for _, m := range k.Machines {
 				for _, p := range m.Tasks {
 					used[p.Job.Team] += p.Job.Cpus
@@ -161,11 +161,11 @@
 			}
 		}
 		for i, u := range used {
-			if math.Abs(u-b.Used[i].Cpus) > 1e-6 {
-				t.Fatalf("version %d: team %d uses %v, counted %v", version, i, b.Used[i].Cpus, u)
+			if math.Abs(u-cache.Used[i].Cpus) > 1e-6 {
+				t.Fatalf("version %d: team %d uses %v, counted %v", version, i, cache.Used[i].Cpus, u)
 			}
 		}
-		for i, j := range b.Jobs {
+		for i, j := range cache.Jobs {
 			zones := int32(0)
 			for _, n := range j.ByZone {
 				zones += n
@@ -180,7 +180,7 @@
 // A job's final record may be read before the group's that lists tasks which have ended: the
 // record counts them all, and a job of two tasks was called done with four.
 func TestEndedAreCountedOnce(t *testing.T) {
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
+	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
 	for i, x := range []struct {
 		key   string
 		value any
@@ -191,11 +191,11 @@
 		{JobKey("job-000001"), JobRecord{Tasks: 2, DoneCount: 2, Team: "red", Final: "done"}},
 		{GroupKey(0), GroupRecord{Completed: []CompletedTasks{{"job-000001", []int{0, 1}}}}},
 	} {
-		if err := b.Apply(x.key, Encode(x.value), uint64(i+1), false); err != nil {
+		if err := cache.Apply(x.key, Encode(x.value), uint64(i+1), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, n := b.FinalState("job-000001"); n != 2 {
+	if _, n := cache.FinalState("job-000001"); n != 2 {
 		t.Errorf("done with %d of 2 tasks", n)
 	}
 }
--- a/internal/storage/change_feed.go
+++ b/internal/storage/change_feed.go
@@ -15,20 +15,20 @@
 // handed over, and the evicted sets; more tells that others are left. A job that was
 // forgotten comes a last time, with its final state.
 func (b *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, evicted []string, more bool) {
-	n := b.feed
-	jobs, n.jobs = splitAt(n.jobs, limit)
-	machines, n.machines = splitAt(n.machines, limit)
+	changeFeed := b.feed
+	jobs, changeFeed.jobs = splitAt(changeFeed.jobs, limit)
+	machines, changeFeed.machines = splitAt(changeFeed.machines, limit)
 	for _, j := range jobs {
 		j.inChangeFeed = false
 	}
 	for _, m := range machines {
 		m.inChangeFeed = false
 	}
-	for id := range n.evicted {
+	for id := range changeFeed.evicted {
 		evicted = append(evicted, id)
 	}
-	clear(n.evicted)
-	return jobs, machines, evicted, len(n.jobs)+len(n.machines) > 0
+	clear(changeFeed.evicted)
+	return jobs, machines, evicted, len(changeFeed.jobs)+len(changeFeed.machines) > 0
 }
 
 // PendingChanges is how many changed jobs and machines wait to be handed over.
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -60,14 +60,14 @@
 	if at < 0 || err != nil || i < 0 || i > protocol.MaxBody {
 		return fmt.Errorf("record %s%s: no such part", chunkPrefix, name)
 	}
-	l := b.chunkSets[name[:at]]
-	if l != nil && l.versions[i] >= version {
+	storageChunkSet := b.chunkSets[name[:at]]
+	if storageChunkSet != nil && storageChunkSet.versions[i] >= version {
 		return nil
 	}
 	if deleted {
-		if l != nil {
-			delete(l.chunks, i)
-			if delete(l.versions, i); len(l.versions) == 0 {
+		if storageChunkSet != nil {
+			delete(storageChunkSet.chunks, i)
+			if delete(storageChunkSet.versions, i); len(storageChunkSet.versions) == 0 {
 				delete(b.chunkSets, name[:at])
 			}
 		}
@@ -77,24 +77,24 @@
 	if err := json.Unmarshal(value, &r); err != nil {
 		return fmt.Errorf("record %s%s: %w", chunkPrefix, name, err)
 	}
-	if l == nil {
-		l = &chunkSet{chunks: map[int]string{}, versions: map[int]uint64{}, writtenAt: time.UnixMilli(r.AtMs)}
-		b.chunkSets[name[:at]] = l
+	if storageChunkSet == nil {
+		storageChunkSet = &chunkSet{chunks: map[int]string{}, versions: map[int]uint64{}, writtenAt: time.UnixMilli(r.AtMs)}
+		b.chunkSets[name[:at]] = storageChunkSet
 	}
-	l.chunks[i], l.versions[i] = r.Text, version
+	storageChunkSet.chunks[i], storageChunkSet.versions[i] = r.Text, version
 	return nil
 }
 
 // joinChunks puts the parts of a long description into its record. Their text is not kept
 // any longer than until then.
-func (b *Cache) joinChunks(id string, r *JobRecord) error {
-	l := b.chunkSets[id+"/"+r.ChunkSet]
+func (b *Cache) joinChunks(id string, record *JobRecord) error {
+	chunkSet := b.chunkSets[id+"/"+record.ChunkSet]
 	text := ""
-	for i := range r.ChunkCount {
-		if l == nil || l.chunks[i] == "" {
+	for i := range record.ChunkCount {
+		if chunkSet == nil || chunkSet.chunks[i] == "" {
 			return fmt.Errorf("job %s: part %d of its description is not known", id, i)
 		}
-		text += l.chunks[i]
+		text += chunkSet.chunks[i]
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	var x JobRecord
@@ -104,28 +104,28 @@
 	if err != nil {
 		return fmt.Errorf("job %s: its description: %w", id, err)
 	}
-	r.Spec, r.Dependencies = x.Spec, x.Dependencies
-	clear(l.chunks)
+	record.Spec, record.Dependencies = x.Spec, x.Dependencies
+	clear(chunkSet.chunks)
 	return nil
 }
 
 // staleChunks are parts that are needed no more: of jobs that are over, of tries that lost to
 // another, and of those that were given up.
 func (b *Cache) staleChunks(limit int, now time.Time) (out []protocol.Condition) {
-	for name, l := range b.chunkSets {
+	for name, chunkSet := range b.chunkSets {
 		id, try, _ := strings.Cut(name, "/")
 		_, over := b.final[id]
 		j := b.jobByID[id]
-		if !over && (j == nil && now.Sub(l.writtenAt) < abandonedChunksAfter || j != nil && j.ChunkSet == try) {
+		if !over && (j == nil && now.Sub(chunkSet.writtenAt) < abandonedChunksAfter || j != nil && j.ChunkSet == try) {
 			continue
 		}
-		order := slices.Sorted(maps.Keys(l.versions))
+		order := slices.Sorted(maps.Keys(chunkSet.versions))
 		slices.Reverse(order) // the last first: the job's record depends on it
 		for _, i := range order {
 			if len(out) >= limit {
 				return out
 			}
-			out = append(out, protocol.Condition{Key: chunkKey(id, try, i), Version: l.versions[i]})
+			out = append(out, protocol.Condition{Key: chunkKey(id, try, i), Version: chunkSet.versions[i]})
 		}
 	}
 	return out
--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -28,10 +28,10 @@
 		tasks        int
 		needs, types []string
 	}{{"many awaited", 3, ids, nil}, {"many types", 100_000, nil, types}, {"both", 1, ids[:2000], types[:200]}} {
-		b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-		b.Layout.Version = LayoutPacked
+		cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+		cache.Layout.Version = LayoutPacked
 		name := strings.Repeat("n", 128)
-		r := JobRecord{Tasks: c.tasks, Team: "red", SubmittedMs: 5000, Dependencies: PackIDs(c.needs), Spec: &SpecRecord{Class: name, Image: name, Zone: name, Types: c.types, Cpus: 1}}
+		record := JobRecord{Tasks: c.tasks, Team: "red", SubmittedMs: 5000, Dependencies: PackIDs(c.needs), Spec: &SpecRecord{Class: name, Image: name, Zone: name, Types: c.types, Cpus: 1}}
 		version, records := uint64(1), map[string]bool{}
 		put := func(key string, raw json.RawMessage) error {
 			if len(raw) > limit {
@@ -39,10 +39,10 @@
 			}
 			records[key] = true
 			version++
-			return b.Apply(key, raw, version, false)
+			return cache.Apply(key, raw, version, false)
 		}
-		lost, _ := SplitDescription("job-900000", "1-1", &r, limit) // of a try that came to nothing
-		parts, main := SplitDescription("job-900000", "2-1", &r, limit)
+		lost, _ := SplitDescription("job-900000", "1-1", &record, limit) // of a try that came to nothing
+		parts, main := SplitDescription("job-900000", "2-1", &record, limit)
 		if err := put(JobKey("job-900000"), main); err == nil {
 			t.Fatalf("%s: taken without its parts", c.name)
 		}
@@ -54,39 +54,39 @@
 		if err := put(JobKey("job-900000"), main); err != nil {
 			t.Fatal(err)
 		}
-		j := b.Job("job-900000")
-		if !reflect.DeepEqual(j.Dependencies, c.needs) || !reflect.DeepEqual(j.Spec, r.Spec) || j.UnmetDependencies() != len(c.needs) {
-			t.Fatalf("%s: read as %d needs and %d types", c.name, len(j.Dependencies), len(j.Spec.Types))
+		job := cache.Job("job-900000")
+		if !reflect.DeepEqual(job.Dependencies, c.needs) || !reflect.DeepEqual(job.Spec, record.Spec) || job.UnmetDependencies() != len(c.needs) {
+			t.Fatalf("%s: read as %d needs and %d types", c.name, len(job.Dependencies), len(job.Spec.Types))
 		}
-		j.Suspect = true
-		if err := put(JobKey(j.ID), Encode(b.JobRecordOf(j, j.Done, 0, ""))); err != nil || b.Job(j.ID) != j {
+		job.Suspect = true
+		if err := put(JobKey(job.ID), Encode(cache.JobRecordOf(job, job.Done, 0, ""))); err != nil || cache.Job(job.ID) != job {
 			t.Fatalf("%s: rewritten: %v", c.name, err)
 		}
 		for task := 0; task < c.tasks; task += 5000 { // part by part, as they are folded
-			j.Done.Set(task)
-			s, _ := b.CompletionRecordOf(j, j.Done, task)
-			if err := put(CompletionKey(j.ID, task), Encode(s)); err != nil || !j.SavedDone.Get(task) {
+			job.Done.Set(task)
+			s, _ := cache.CompletionRecordOf(job, job.Done, task)
+			if err := put(CompletionKey(job.ID, task), Encode(s)); err != nil || !job.SavedDone.Get(task) {
 				t.Fatalf("%s: task %d is not kept: %v", c.name, task, err)
 			}
 		}
-		if err := put(JobKey(j.ID), Encode(b.JobRecordOf(j, j.Done, j.DoneCount, protocol.Cancelled))); err != nil {
+		if err := put(JobKey(job.ID), Encode(cache.JobRecordOf(job, job.Done, job.DoneCount, protocol.Cancelled))); err != nil {
 			t.Fatal(err)
 		}
-		b.Revision = version
-		b.Sweep()
+		cache.Revision = version
+		cache.Sweep()
 		for range 1000 {
-			stale := b.StaleRecords(4, time.UnixMilli(5000))
+			stale := cache.StaleRecords(4, time.UnixMilli(5000))
 			if len(stale) == 0 {
 				break
 			}
 			for _, x := range stale {
-				if version++; x.Version == 0 || b.Apply(x.Key, nil, version, true) != nil {
+				if version++; x.Version == 0 || cache.Apply(x.Key, nil, version, true) != nil {
 					t.Fatalf("%s cannot be deleted", x.Key)
 				}
 				delete(records, x.Key)
 			}
 		}
-		if f, _ := b.FinalState(j.ID); len(records) != 1 || f != protocol.Cancelled {
+		if f, _ := cache.FinalState(job.ID); len(records) != 1 || f != protocol.Cancelled {
 			t.Errorf("%s: %d records are left of a job that is %q", c.name, len(records), f)
 		}
 	}
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -27,19 +27,19 @@
 func (j *Job) UnmetDependencies() int { return j.unmetDependencies }
 
 // addDependencies takes a new job into the graph.
-func (b *Cache) addDependencies(j *Job) {
-	j.unmetDependencies = len(j.Dependencies) // at first: it is not ready before all of them were looked at
-	for _, id := range j.Dependencies {
+func (b *Cache) addDependencies(job *Job) {
+	job.unmetDependencies = len(job.Dependencies) // at first: it is not ready before all of them were looked at
+	for _, id := range job.Dependencies {
 		if f, ok := b.recordedFinal(id); ok {
-			b.dependencyEnded(j, f)
+			b.dependencyEnded(job, f)
 			continue
 		}
-		b.dependents[id] = append(b.dependents[id], j)
+		b.dependents[id] = append(b.dependents[id], job)
 		if o := b.jobByID[id]; o != nil && o.DependencyFailed {
-			b.failDependents(j)
+			b.failDependents(job)
 		}
 	}
-	b.graphChanged = b.graphChanged || len(j.Dependencies) > 0
+	b.graphChanged = b.graphChanged || len(job.Dependencies) > 0
 }
 
 // recordedFinal is a job's final state as its record has it.
@@ -72,26 +72,26 @@
 
 // dependencyEnded takes down that a job that j needs is over. From the last one's end on j's times
 // count: it is read from that job's record, and so outlives every owner.
-func (b *Cache) dependencyEnded(j *Job, f FinalState) {
-	j.unmetDependencies--
-	b.feedJob(j)
-	if f.Status == protocol.Cancelled {
-		b.failDependents(j)
+func (b *Cache) dependencyEnded(job *Job, finalState FinalState) {
+	job.unmetDependencies--
+	b.feedJob(job)
+	if finalState.Status == protocol.Cancelled {
+		b.failDependents(job)
 		return
 	}
-	if at := time.UnixMilli(f.RecordedMs); f.RecordedMs > 0 && at.After(j.ReadyAt) {
-		j.ReadyAt = at
+	if at := time.UnixMilli(finalState.RecordedMs); finalState.RecordedMs > 0 && at.After(job.ReadyAt) {
+		job.ReadyAt = at
 	}
-	if j.unmetDependencies == 0 && !j.DependencyFailed {
-		b.newlyReady = append(b.newlyReady, j)
+	if job.unmetDependencies == 0 && !job.DependencyFailed {
+		b.newlyReady = append(b.newlyReady, job)
 	}
 }
 
 // failDependents marks a job and all that need it, directly or through others, as cancelled with
 // one before them. That follows from the records alone, so every controller says the same at
 // once; their own final records are written at leisure.
-func (b *Cache) failDependents(j *Job) {
-	work := []*Job{j}
+func (b *Cache) failDependents(job *Job) {
+	work := []*Job{job}
 	for len(work) > 0 {
 		j := work[len(work)-1]
 		work = work[:len(work)-1]
@@ -170,16 +170,16 @@
 		}
 	}
 	for len(work) > 0 {
-		j := work[len(work)-1]
+		job := work[len(work)-1]
 		work = work[:len(work)-1]
-		takes := length(j)
-		for _, id := range j.Dependencies {
+		takes := length(job)
+		for _, id := range job.Dependencies {
 			o := b.jobByID[id]
 			if o == nil || !o.Open() || o.DependencyFailed {
 				continue
 			}
-			o.Priority = max(o.Priority, j.Priority)
-			o.FinishBy, o.FinishLatest = earlier(o.FinishBy, j.FinishBy, takes), earlier(o.FinishLatest, j.FinishLatest, takes)
+			o.Priority = max(o.Priority, job.Priority)
+			o.FinishBy, o.FinishLatest = earlier(o.FinishBy, job.FinishBy, takes), earlier(o.FinishLatest, job.FinishLatest, takes)
 			if left[o]--; left[o] == 0 {
 				work = append(work, o)
 			}
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -15,27 +15,27 @@
 // a and c, "a+" a that is done, "a-" one that is cancelled.
 func graph(t *testing.T, steps ...string) (*Cache, func(string) *Job) {
 	t.Helper()
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	for i, s := range steps {
 		id := JobKey("job-00000" + s[:1])
-		r := JobRecord{Tasks: 1, Team: "red", SubmittedMs: 1000 * int64(i+1)}
+		record := JobRecord{Tasks: 1, Team: "red", SubmittedMs: 1000 * int64(i+1)}
 		switch {
 		case len(s) > 1 && s[1] == '+':
-			r.Final, r.DoneCount, r.FinalAtMs = "done", 1, 1000*int64(i+1)
+			record.Final, record.DoneCount, record.FinalAtMs = "done", 1, 1000*int64(i+1)
 		case len(s) > 1 && s[1] == '-':
-			r.Final = "cancelled"
+			record.Final = "cancelled"
 		default:
 			var needs []string
 			for k := 2; k < len(s); k += 2 {
 				needs = append(needs, "job-00000"+s[k:k+1])
 			}
-			r.Spec, r.Dependencies = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(needs)
+			record.Spec, record.Dependencies = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(needs)
 		}
-		if err := b.Apply(id, Encode(r), uint64(i+1), false); err != nil {
+		if err := cache.Apply(id, Encode(record), uint64(i+1), false); err != nil {
 			t.Fatalf("%s: %v", s, err)
 		}
 	}
-	return b, func(n string) *Job { return b.Job("job-00000" + n) }
+	return cache, func(n string) *Job { return cache.Job("job-00000" + n) }
 }
 
 func TestDependencies(t *testing.T) {
@@ -64,27 +64,27 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b, job := graph(t, c.steps...)
-			j := job(c.job)
-			if j.Ready() != c.ready || !j.ReadyAt.Equal(time.UnixMilli(int64(c.at)*1000)) {
-				t.Errorf("ready %v at %v", j.Ready(), j.ReadyAt.UnixMilli())
+			cache, job := graph(t, c.steps...)
+			storageJob := job(c.job)
+			if storageJob.Ready() != c.ready || !storageJob.ReadyAt.Equal(time.UnixMilli(int64(c.at)*1000)) {
+				t.Errorf("ready %v at %v", storageJob.Ready(), storageJob.ReadyAt.UnixMilli())
 			}
-			if f, _ := b.FinalState(j.ID); f != c.final {
+			if f, _ := cache.FinalState(storageJob.ID); f != c.final {
 				t.Errorf("users are told %q, not %q", f, c.final)
 			}
 			n := 0
-			for _, r := range b.NewlyReady() {
-				if r == j {
+			for _, r := range cache.NewlyReady() {
+				if r == storageJob {
 					n++
 				}
 			}
 			if (n == 1) != c.ready || n > 1 {
 				t.Errorf("became ready %d times", n)
 			}
-			if (j.Waiting() > 0) != c.ready {
-				t.Errorf("%d tasks wait", j.Waiting())
+			if (storageJob.Waiting() > 0) != c.ready {
+				t.Errorf("%d tasks wait", storageJob.Waiting())
 			}
-			if doomed := slices.Contains(b.DependencyFailed(), j); doomed != (c.final == protocol.Cancelled) {
+			if doomed := slices.Contains(cache.DependencyFailed(), storageJob); doomed != (c.final == protocol.Cancelled) {
 				t.Errorf("its own record is still to be written: %v", doomed)
 			}
 		})
@@ -96,25 +96,25 @@
 func TestDependenciesInAnyOrder(t *testing.T) {
 	steps := []string{"1", "2<1", "3<1", "4<2,3", "5<4", "6", "7<6,5", "8<7", "9<6"}
 	ends := []string{"1+", "", "", "", "", "6-", "", "", ""}
-	r := rand.New(rand.NewPCG(9, 9))
+	random := rand.New(rand.NewPCG(9, 9))
 	want := ""
 	for range 200 {
-		order := r.Perm(len(steps))
+		order := random.Perm(len(steps))
 		var list []string
 		for _, i := range order { // a later read brings the job's end, or the end is all there is
-			if ends[i] == "" || r.IntN(2) == 0 {
+			if ends[i] == "" || random.IntN(2) == 0 {
 				list = append(list, steps[i])
 			}
 		}
-		for _, i := range r.Perm(len(steps)) {
+		for _, i := range random.Perm(len(steps)) {
 			if ends[i] != "" {
 				list = append(list, ends[i])
 			}
 		}
-		b, job := graph(t, list...)
+		cache, job := graph(t, list...)
 		got := ""
 		for _, s := range steps {
-			f, _ := b.FinalState("job-00000" + s[:1])
+			f, _ := cache.FinalState("job-00000" + s[:1])
 			got += fmt.Sprint(f, " ")
 			if j := job(s[:1]); j != nil && f == "" {
 				got += fmt.Sprint(j.Ready(), j.unmetDependencies, ";")
@@ -129,10 +129,10 @@
 }
 
 func TestInherit(t *testing.T) {
-	b, job := graph(t, "1", "2<1", "3<1", "4<2,3", "5<1")
+	cache, job := graph(t, "1", "2<1", "3<1", "4<2,3", "5<1")
 	due := map[string]time.Duration{"job-000004": 100 * time.Second, "job-000005": 200 * time.Second}
 	set := func() {
-		b.Inherit(func(j *Job) (time.Time, time.Time) {
+		cache.Inherit(func(j *Job) (time.Time, time.Time) {
 			if d := due[j.ID]; d > 0 {
 				return j.Submitted.Add(d), j.Submitted.Add(d * 3 / 2)
 			}
@@ -140,7 +140,7 @@
 		}, func(j *Job) time.Duration { return seconds10(j) })
 	}
 	job("4").OwnPriority, job("2").OwnPriority = protocol.High, protocol.Low
-	b.graphChanged = true
+	cache.graphChanged = true
 	set()
 	for n, by := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(n)
@@ -152,7 +152,7 @@
 		t.Errorf("job 5 has priority %v, late at %d", j.Priority, j.FinishLatest.UnixMilli())
 	}
 	// What inherits from a cancelled job no longer does.
-	if err := b.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
+	if err := cache.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
 		t.Fatal(err)
 	}
 	set()
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -12,12 +12,12 @@
 // What a machine has fetched is known from the records alone; a task that was there too shortly has
 // fetched nothing, and the size of an image outlives its jobs.
 func TestImagesOfMachines(t *testing.T) {
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-	b.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
+	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
 	rev := uint64(1)
 	put := func(key string, v any) {
 		rev++
-		if err := b.Apply(key, Encode(v), rev, false); err != nil {
+		if err := cache.Apply(key, Encode(v), rev, false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -35,13 +35,13 @@
 	rack(since("job-000001", 60), since("job-000002", 5), since("job-000003", 60))
 	rack(since("job-000003", 60))
 	rack()
-	m := b.Machine("m")
-	if want := []int{b.Images.Find("i"), b.Images.Find("l")}; !slices.Equal(m.Images, want) {
+	m := cache.Machine("m")
+	if want := []int{cache.Images.Find("i"), cache.Images.Find("l")}; !slices.Equal(m.Images, want) {
 		t.Errorf("images %v, want %v", m.Images, want)
 	}
 	put(JobKey("job-000001"), JobRecord{Tasks: 1, Team: "red", Final: string(protocol.Done), DoneCount: 1})
-	if gb := b.ImageGB(b.Images.Find("i")); b.Job("job-000001") != nil || gb != 5 {
-		t.Errorf("the job is known: %v, its image's size %v", b.Job("job-000001") != nil, gb)
+	if gb := cache.ImageGB(cache.Images.Find("i")); cache.Job("job-000001") != nil || gb != 5 {
+		t.Errorf("the job is known: %v, its image's size %v", cache.Job("job-000001") != nil, gb)
 	}
 }
 
--- a/internal/storage/packed_codec.go
+++ b/internal/storage/packed_codec.go
@@ -210,67 +210,67 @@
 
 // pack writes a group's machines and completed tasks.
 func (r *GroupRecord) pack() string {
-	p := newPacker()
-	p.num(uint64(len(r.Machines)))
+	packer := newPacker()
+	packer.num(uint64(len(r.Machines)))
 	var attempt, at uint64 // those before
 	for i := range r.Machines {
-		m := &r.Machines[i]
-		p.name(m.Name)
+		entry := &r.Machines[i]
+		packer.name(entry.Name)
 		flags := uint64(0)
 		for _, f := range []struct {
 			on  bool
 			bit uint64
-		}{{m.Returning, packReturning}, {m.Unhealthy, packUnhealthy}, {m.Draining, packDraining}, {m.FencingToken > 0, packFencingToken},
-			{m.Incarnation != 1, packIncarnation}, {m.Addr != "", packAddr}, {m.Moved, packMoved}, {len(m.Tasks) > 0, packTasks}} {
+		}{{entry.Returning, packReturning}, {entry.Unhealthy, packUnhealthy}, {entry.Draining, packDraining}, {entry.FencingToken > 0, packFencingToken},
+			{entry.Incarnation != 1, packIncarnation}, {entry.Addr != "", packAddr}, {entry.Moved, packMoved}, {len(entry.Tasks) > 0, packTasks}} {
 			if f.on {
 				flags |= f.bit
 			}
 		}
-		p.num(flags)
-		if m.FencingToken > 0 {
-			p.num(m.FencingToken)
+		packer.num(flags)
+		if entry.FencingToken > 0 {
+			packer.num(entry.FencingToken)
 		}
-		if m.Incarnation != 1 {
-			p.num(m.Incarnation)
+		if entry.Incarnation != 1 {
+			packer.num(entry.Incarnation)
 		}
-		if m.Addr != "" {
-			p.addr(m.Addr)
+		if entry.Addr != "" {
+			packer.addr(entry.Addr)
 		}
-		if len(m.Tasks) == 0 {
+		if len(entry.Tasks) == 0 {
 			continue
 		}
-		p.num(uint64(len(m.Tasks)))
-		for _, t := range m.Tasks {
-			p.name(t.Job)
+		packer.num(uint64(len(entry.Tasks)))
+		for _, placedTasks := range entry.Tasks {
+			packer.name(placedTasks.Job)
 			// Tasks that were placed together share attempt, time and mostly what
 			// they had waited: one group for them.
-			groups := groupTasks(t.Numbers)
-			p.num(uint64(len(groups)))
+			groups := groupTasks(placedTasks.Numbers)
+			packer.num(uint64(len(groups)))
 			for _, g := range groups {
-				p.delta(g[1], attempt)
-				p.delta(g[2], at)
-				p.num(g[3])
+				packer.delta(g[1], attempt)
+				packer.delta(g[2], at)
+				packer.num(g[3])
 				attempt, at = g[1], g[2]
-				p.num(uint64(len(g) - numbersPerTask + 1))
-				p.num(g[0])
+				packer.num(uint64(len(g) - numbersPerTask + 1))
+				packer.num(g[0])
 				for k, last := numbersPerTask, g[0]; k < len(g); k++ {
-					p.delta(g[k], last)
+					packer.delta(g[k], last)
 					last = g[k]
 				}
 			}
 		}
 	}
-	p.num(uint64(len(r.Completed)))
+	packer.num(uint64(len(r.Completed)))
 	for _, e := range r.Completed {
-		p.name(e.Job)
-		p.num(uint64(len(e.Tasks)))
+		packer.name(e.Job)
+		packer.num(uint64(len(e.Tasks)))
 		last := uint64(0)
 		for _, t := range e.Tasks {
-			p.delta(uint64(t), last)
+			packer.delta(uint64(t), last)
 			last = uint64(t)
 		}
 	}
-	return p.String()
+	return packer.String()
 }
 
 // groupTasks puts tasks with the same attempt, time and wait together: task, attempt,
@@ -288,55 +288,55 @@
 }
 
 func (r *GroupRecord) unpack(s string) error {
-	u := newUnpacker(s)
+	unpacker := newUnpacker(s)
 	var attempt, at uint64
-	r.Machines = make([]GroupMachine, 0, u.count())
+	r.Machines = make([]GroupMachine, 0, unpacker.count())
 	for range cap(r.Machines) {
-		m := GroupMachine{Name: u.name(), Incarnation: 1}
-		flags := u.num()
-		m.Returning, m.Unhealthy, m.Draining, m.Moved = flags&packReturning > 0, flags&packUnhealthy > 0, flags&packDraining > 0, flags&packMoved > 0
+		entry := GroupMachine{Name: unpacker.name(), Incarnation: 1}
+		flags := unpacker.num()
+		entry.Returning, entry.Unhealthy, entry.Draining, entry.Moved = flags&packReturning > 0, flags&packUnhealthy > 0, flags&packDraining > 0, flags&packMoved > 0
 		if flags&packFencingToken > 0 {
-			m.FencingToken = u.num()
+			entry.FencingToken = unpacker.num()
 		}
 		if flags&packIncarnation > 0 {
-			m.Incarnation = u.num()
+			entry.Incarnation = unpacker.num()
 		}
 		if flags&packAddr > 0 {
-			m.Addr = u.addr()
+			entry.Addr = unpacker.addr()
 		}
 		jobs := 0
 		if flags&packTasks > 0 {
-			jobs = u.count()
+			jobs = unpacker.count()
 		}
 		for range jobs {
-			t := PlacedTasks{Job: u.name()}
-			for range u.count() {
-				attempt, at = u.delta(attempt), u.delta(at)
-				waited := u.num()
+			placedTasks := PlacedTasks{Job: unpacker.name()}
+			for range unpacker.count() {
+				attempt, at = unpacker.delta(attempt), unpacker.delta(at)
+				waited := unpacker.num()
 				task := uint64(0)
-				for k := range u.count() {
+				for k := range unpacker.count() {
 					if k == 0 {
-						task = u.num()
+						task = unpacker.num()
 					} else {
-						task = u.delta(task)
+						task = unpacker.delta(task)
 					}
-					t.Numbers = append(t.Numbers, task, attempt, at, waited)
+					placedTasks.Numbers = append(placedTasks.Numbers, task, attempt, at, waited)
 				}
 			}
-			m.Tasks = append(m.Tasks, t)
+			entry.Tasks = append(entry.Tasks, placedTasks)
 		}
-		r.Machines = append(r.Machines, m)
+		r.Machines = append(r.Machines, entry)
 	}
-	for range u.count() {
-		e := CompletedTasks{Job: u.name()}
+	for range unpacker.count() {
+		e := CompletedTasks{Job: unpacker.name()}
 		last := uint64(0)
-		for range u.count() {
-			last = u.delta(last)
+		for range unpacker.count() {
+			last = unpacker.delta(last)
 			e.Tasks = append(e.Tasks, int(last))
 		}
 		r.Completed = append(r.Completed, e)
 	}
-	return u.err
+	return unpacker.err
 }
 
 // pack writes a fleet's machines.
@@ -361,23 +361,23 @@
 
 // pack writes an evicted set's victims and rooms.
 func (r *VictimSetRecord) pack() string {
-	p := newPacker()
-	p.num(uint64(len(r.Victims)))
+	packer := newPacker()
+	packer.num(uint64(len(r.Victims)))
 	attempt := uint64(0)
 	for _, v := range r.Victims {
-		p.name(v.Machine)
-		p.name(v.Job)
-		p.num(uint64(v.Task))
-		p.delta(v.Attempt, attempt)
+		packer.name(v.Machine)
+		packer.name(v.Job)
+		packer.num(uint64(v.Task))
+		packer.delta(v.Attempt, attempt)
 		attempt = v.Attempt
-		p.num(uint64(max(0, v.Score) * 10))
+		packer.num(uint64(max(0, v.Score) * 10))
 	}
-	p.num(uint64(len(r.Reservations)))
+	packer.num(uint64(len(r.Reservations)))
 	for _, x := range r.Reservations {
-		p.name(x.Machine)
-		p.num(uint64(x.Slots))
+		packer.name(x.Machine)
+		packer.num(uint64(x.Slots))
 	}
-	return p.String()
+	return packer.String()
 }
 
 func (r *VictimSetRecord) unpack(s string) error {
--- a/internal/storage/packed_codec_test.go
+++ b/internal/storage/packed_codec_test.go
@@ -23,42 +23,42 @@
 				{"job-412", []uint64{0, 9, 0, 1 << 40}}}}},
 			Completed: []CompletedTasks{{"job-000412", []int{7, 3, 99_999}}, {"job-123456789012345678", []int{0}}}},
 	}
-	r := rand.New(rand.NewPCG(1, 4))
+	random := rand.New(rand.NewPCG(1, 4))
 	for range 50 {
-		var x GroupRecord
-		for m := range r.IntN(24) {
-			e := GroupMachine{Name: fmt.Sprintf("host-%06d", m*m), Incarnation: r.Uint64N(3), FencingToken: r.Uint64N(2) * r.Uint64N(1<<50)}
-			for range r.IntN(6) {
-				p := PlacedTasks{Job: fmt.Sprintf("job-%06d", r.IntN(9))}
-				for range 1 + r.IntN(5) {
-					p.Numbers = append(p.Numbers, r.Uint64N(100_000), r.Uint64N(4), 1700000000+r.Uint64N(3), r.Uint64N(2))
+		var record GroupRecord
+		for m := range random.IntN(24) {
+			e := GroupMachine{Name: fmt.Sprintf("host-%06d", m*m), Incarnation: random.Uint64N(3), FencingToken: random.Uint64N(2) * random.Uint64N(1<<50)}
+			for range random.IntN(6) {
+				p := PlacedTasks{Job: fmt.Sprintf("job-%06d", random.IntN(9))}
+				for range 1 + random.IntN(5) {
+					p.Numbers = append(p.Numbers, random.Uint64N(100_000), random.Uint64N(4), 1700000000+random.Uint64N(3), random.Uint64N(2))
 				}
 				e.Tasks = append(e.Tasks, p)
 			}
-			x.Machines = append(x.Machines, e)
+			record.Machines = append(record.Machines, e)
 		}
-		racks = append(racks, x)
+		racks = append(racks, record)
 	}
-	for i, x := range racks {
-		raw := EncodeGroup(&x, true)
+	for i, groupRecord := range racks {
+		raw := EncodeGroup(&groupRecord, true)
 		got, err := DecodeGroup(raw)
 		got.Packed = ""
 		if len(got.Machines) == 0 {
 			got.Machines = nil
 		}
-		if err != nil || !reflect.DeepEqual(got, x) {
-			t.Fatalf("rack %d: %v\n%+v\n%+v", i, err, got, x)
+		if err != nil || !reflect.DeepEqual(got, groupRecord) {
+			t.Fatalf("rack %d: %v\n%+v\n%+v", i, err, got, groupRecord)
 		}
-		packed := x.pack()
+		packed := groupRecord.pack()
 		for n := range len(packed) {
 			var y GroupRecord
-			if err := y.unpack(packed[:n]); err == nil && n < len(packed)-1 && !reflect.DeepEqual(y, x) && len(y.Machines)+len(y.Completed) > len(x.Machines)+len(x.Completed) {
+			if err := y.unpack(packed[:n]); err == nil && n < len(packed)-1 && !reflect.DeepEqual(y, groupRecord) && len(y.Machines)+len(y.Completed) > len(groupRecord.Machines)+len(groupRecord.Completed) {
 				t.Fatalf("rack %d cut at %d gives %+v", i, n, y)
 			}
 		}
 	}
-	f := FleetRecord{FencingToken: 4, Type: "t", Zone: "a", Spot: true, Machines: []FleetMachine{{"host-000001", 3, "10.0.0.1:9000"}, {long, 0, ""}}}
-	if got, err := DecodeFleet(EncodeFleet(&f, true)); err != nil || !reflect.DeepEqual(got, f) {
+	fleet := FleetRecord{FencingToken: 4, Type: "t", Zone: "a", Spot: true, Machines: []FleetMachine{{"host-000001", 3, "10.0.0.1:9000"}, {long, 0, ""}}}
+	if got, err := DecodeFleet(EncodeFleet(&fleet, true)); err != nil || !reflect.DeepEqual(got, fleet) {
 		t.Errorf("fleet: %v %+v", err, got)
 	}
 	e := VictimSetRecord{Shard: 1, AtMs: 5, Victims: []VictimRecord{{"host-000001", "job-000001", 3, 1 << 50, 12.5}, {"host-000001", "job-000002", 0, 7, 0}},
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -57,28 +57,28 @@
 )
 
 func TestBeforeTheGate(t *testing.T) {
-	b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
 	old := map[string]string{}
 	for i, r := range before {
 		old[r.key] = r.value
-		if err := b.Apply(r.key, json.RawMessage(r.value), uint64(i+1), false); err != nil {
+		if err := cache.Apply(r.key, json.RawMessage(r.value), uint64(i+1), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	k, fleet := b.Groups[0], b.fleets["host-000001"]
-	evicted := b.VictimSets["job-000007"].VictimSetRecord
-	rec, _ := b.FleetWithout(fleet, nil)
+	group, fleet := cache.Groups[0], cache.fleets["host-000001"]
+	evicted := cache.VictimSets["job-000007"].VictimSetRecord
+	rec, _ := cache.FleetWithout(fleet, nil)
 	written := map[string]json.RawMessage{
-		Root + "rack/0":            EncodeGroup(b.GroupRecordOf(k, k.Completed, nil), b.Packed()),
-		Root + "fleet/host-000001": EncodeFleet(&rec, b.Packed()),
-		Root + "evict/job-000007":  EncodeVictimSet(&evicted, b.Packed()),
-		Root + "share/0":           Encode(b.Shards[0].ShardRecord),
-		Root + "leader":            Encode(b.Leader.LeaderRecord),
-		Root + "node/n0":           Encode(b.Members["n0"].MemberRecord),
+		Root + "rack/0":            EncodeGroup(cache.GroupRecordOf(group, group.Completed, nil), cache.Packed()),
+		Root + "fleet/host-000001": EncodeFleet(&rec, cache.Packed()),
+		Root + "evict/job-000007":  EncodeVictimSet(&evicted, cache.Packed()),
+		Root + "share/0":           Encode(cache.Shards[0].ShardRecord),
+		Root + "leader":            Encode(cache.Leader.LeaderRecord),
+		Root + "node/n0":           Encode(cache.Members["n0"].MemberRecord),
 	}
 	for _, id := range []string{"job-000007", "job-000008"} {
-		j := b.Job(id)
-		written[JobKey(id)] = Encode(b.JobRecordOf(j, j.SavedDone, j.SavedDone.Count(), ""))
+		j := cache.Job(id)
+		written[JobKey(id)] = Encode(cache.JobRecordOf(j, j.SavedDone, j.SavedDone.Count(), ""))
 	}
 	for key, raw := range written {
 		if string(raw) != old[key] {
@@ -86,7 +86,7 @@
 		}
 	}
 	// Whatever else is written before the gate, that version knows every field of it.
-	j := b.Job("job-000007")
+	job := cache.Job("job-000007")
 	full := GroupRecord{Shard: 1, FencingToken: 2, Machines: []GroupMachine{{"h", 1, 2, "a", true, true, true, false,
 		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Completed: []CompletedTasks{{"j", []int{1}}}}
 	strict := func(raw json.RawMessage, into any) {
@@ -97,26 +97,26 @@
 			t.Errorf("%s: %v", raw, err)
 		}
 	}
-	strict(EncodeGroup(&full, b.Packed()), &beforeRack{})
-	strict(EncodeFleet(&rec, b.Packed()), &beforeFleet{})
-	strict(EncodeVictimSet(&evicted, b.Packed()), &beforeEvict{})
+	strict(EncodeGroup(&full, cache.Packed()), &beforeRack{})
+	strict(EncodeFleet(&rec, cache.Packed()), &beforeFleet{})
+	strict(EncodeVictimSet(&evicted, cache.Packed()), &beforeEvict{})
 	for _, f := range []protocol.JobStatus{"", protocol.Done, protocol.Cancelled} {
-		strict(Encode(b.JobRecordOf(j, j.Done, j.DoneCount, f)), &beforeJob{})
+		strict(Encode(cache.JobRecordOf(job, job.Done, job.DoneCount, f)), &beforeJob{})
 	}
 	// From the gate on the same is written packed, and read as it was.
-	if err := b.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPacked}), 50, false); err != nil || !b.Packed() {
+	if err := cache.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPacked}), 50, false); err != nil || !cache.Packed() {
 		t.Fatal("the gate does not open", err)
 	}
-	raw := EncodeGroup(b.GroupRecordOf(k, k.Completed, nil), b.Packed())
+	raw := EncodeGroup(cache.GroupRecordOf(group, group.Completed, nil), cache.Packed())
 	if len(raw) >= len(old[Root+"rack/0"]) {
 		t.Errorf("packed it takes %d bytes", len(raw))
 	}
-	tasks, done := len(k.Machines[0].Tasks), j.DoneCount
-	if err := b.Apply(Root+"rack/0", raw, 51, false); err != nil || len(k.Machines[0].Tasks) != tasks || j.DoneCount != done || !k.Machines[1].Unhealthy {
-		t.Errorf("read again: %v, %d tasks", err, len(k.Machines[0].Tasks))
+	tasks, done := len(group.Machines[0].Tasks), job.DoneCount
+	if err := cache.Apply(Root+"rack/0", raw, 51, false); err != nil || len(group.Machines[0].Tasks) != tasks || job.DoneCount != done || !group.Machines[1].Unhealthy {
+		t.Errorf("read again: %v, %d tasks", err, len(group.Machines[0].Tasks))
 	}
 	// It never closes again.
-	if err := b.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPlain}), 52, false); err != nil || !b.Packed() {
+	if err := cache.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPlain}), 52, false); err != nil || !cache.Packed() {
 		t.Error("the gate has closed", err)
 	}
 }
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -108,9 +108,9 @@
 		c.Set(fiber.HeaderRetryAfter, "1")
 		return send(c, 503, AdminRefusal{Error: err.Error()})
 	}
-	v1 := app.Group("/admin/v1")
+	api := app.Group("/admin/v1")
 	get := func(path string, f func(ctx context.Context, c *fiber.Ctx) (any, error)) {
-		v1.Get(path, func(c *fiber.Ctx) error {
+		api.Get(path, func(c *fiber.Ctx) error {
 			ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 			defer cancel()
 			body, err := f(ctx, c)
@@ -124,21 +124,21 @@
 		s, v, err := core.Settings(ctx)
 		return SettingsView{v, s, controller.SettingsInfo()}, err
 	})
-	v1.Put("/settings", func(c *fiber.Ctx) error {
+	api.Put("/settings", func(request *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		var ch SettingsChange
-		if err := json.Unmarshal(c.Body(), &ch); err != nil {
-			return fail(c, &controller.FieldError{Field: "body", Expected: `{"version":N,"settings":{...}}`})
+		if err := json.Unmarshal(request.Body(), &ch); err != nil {
+			return fail(request, &controller.FieldError{Field: "body", Expected: `{"version":N,"settings":{...}}`})
 		}
 		if ch.Version == nil {
-			return fail(c, &controller.FieldError{Field: "version", Expected: "the version that was read"})
+			return fail(request, &controller.FieldError{Field: "version", Expected: "the version that was read"})
 		}
 		s, v, err := core.ChangeSettings(ctx, *ch.Version, ch.Settings)
 		if err != nil {
-			return fail(c, err)
+			return fail(request, err)
 		}
-		return send(c, 200, SettingsView{Version: v, Settings: s})
+		return send(request, 200, SettingsView{Version: v, Settings: s})
 	})
 	get("/teams", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
 		v, err := core.Teams(ctx)
@@ -151,25 +151,25 @@
 		}
 		return core.Team(ctx, name)
 	})
-	v1.Put("/teams/:name", func(c *fiber.Ctx) error {
+	api.Put("/teams/:name", func(fiberCtx *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
-		name, err := teamName(c)
+		name, err := teamName(fiberCtx)
 		if err != nil {
-			return fail(c, err)
+			return fail(fiberCtx, err)
 		}
 		var ch TeamChange
-		if err := json.Unmarshal(c.Body(), &ch); err != nil {
-			return fail(c, &controller.FieldError{Field: "body", Expected: `{"version":N,"team":{...}}`})
+		if err := json.Unmarshal(fiberCtx.Body(), &ch); err != nil {
+			return fail(fiberCtx, &controller.FieldError{Field: "body", Expected: `{"version":N,"team":{...}}`})
 		}
 		if ch.Version == nil {
-			return fail(c, &controller.FieldError{Field: "version", Expected: "the version that was read"})
+			return fail(fiberCtx, &controller.FieldError{Field: "version", Expected: "the version that was read"})
 		}
 		v, err := core.ChangeTeam(ctx, name, *ch.Version, ch.Team)
 		if err != nil {
-			return fail(c, err)
+			return fail(fiberCtx, err)
 		}
-		return send(c, 200, v)
+		return send(fiberCtx, 200, v)
 	})
 	get("/nodes", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
 		v, err := core.MemberViews(ctx)
@@ -195,7 +195,7 @@
 		v, more, err := core.MachineInfos(ctx, strings.Clone(c.Query("after")), limit)
 		return AdminPage{v, more}, err
 	})
-	v1.Get("/machines/:name", func(c *fiber.Ctx) error {
+	api.Get("/machines/:name", func(c *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
 		v, known, err := core.MachineInfo(ctx, strings.Clone(c.Params("name")))
@@ -211,7 +211,7 @@
 		v, err := core.Evictions(ctx)
 		return AdminPage{Items: v}, err
 	})
-	mountView(v1, core, limits.ViewReaders)
+	mountView(api, core, limits.ViewReaders)
 	app.Get("/metrics", adaptor.HTTPHandler(promhttp.HandlerFor(core.Metrics().Registry, promhttp.HandlerOpts{})))
 	return &AdminServer{app}
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -46,7 +46,7 @@
 }
 
 // exchange sends one request and hands the answer's body to read.
-func exchange(c doer, addr, method, path string, in any, deadline time.Time, read func(status int, body []byte) error) (int, error) {
+func exchange(transportDoer doer, addr, method, path string, in any, deadline time.Time, read func(status int, body []byte) error) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -60,7 +60,7 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(raw)
 	}
-	if err := c.DoDeadline(req, resp, deadline); err != nil {
+	if err := transportDoer.DoDeadline(req, resp, deadline); err != nil {
 		var op *net.OpError
 		if errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout) ||
 			(errors.As(err, &op) && op.Op == "dial") {
@@ -76,7 +76,7 @@
 }
 
 // call sends one request within a context and reads a JSON answer.
-func call(ctx context.Context, c *fasthttp.HostClient, method, path string, in, out any, timeout time.Duration) (int, error) {
+func call(ctx context.Context, client *fasthttp.HostClient, method, path string, in, out any, timeout time.Duration) (int, error) {
 	deadline := time.Now().Add(timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
@@ -84,7 +84,7 @@
 	if err := ctx.Err(); err != nil {
 		return 0, fmt.Errorf("%w: %w", protocol.ErrRefused, err)
 	}
-	return exchange(c, c.Addr, method, path, in, deadline, func(status int, body []byte) error {
+	return exchange(client, client.Addr, method, path, in, deadline, func(status int, body []byte) error {
 		if out == nil || len(body) == 0 {
 			return nil
 		}
@@ -179,12 +179,12 @@
 
 // Txn carries out a transaction. On a conflict, failed is not empty. Errors
 // wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown.
-func (s *State) Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error) {
+func (s *State) Txn(ctx context.Context, txn protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	for try := 0; ; try++ {
-		if err := s.Admit(ctx, len(t.Then), haste); err != nil {
+		if err := s.Admit(ctx, len(txn.Then), haste); err != nil {
 			return 0, nil, err
 		}
-		rev, failed, over, err := s.commit(ctx, t)
+		rev, failed, over, err := s.commit(ctx, txn)
 		if !over {
 			return rev, failed, err
 		}
@@ -203,12 +203,12 @@
 }
 
 // commit sends a transaction; over says that the service's rate is exceeded.
-func (s *State) commit(ctx context.Context, t protocol.Txn) (rev uint64, failed []string, over bool, err error) {
+func (s *State) commit(ctx context.Context, txn protocol.Txn) (rev uint64, failed []string, over bool, err error) {
 	var out struct {
 		protocol.TxnResult
 		Error string `json:"error"`
 	}
-	st, err := s.call(ctx, s.client, "POST", "/txn", t, &out, s.Timeout)
+	st, err := s.call(ctx, s.client, "POST", "/txn", txn, &out, s.Timeout)
 	switch {
 	case err == nil && st == 200:
 		return out.Revision, nil, false, nil
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -116,15 +116,15 @@
 }
 
 // hear reads a peer's frames until the connection ends or one is malformed.
-func (p *Peers) hear(conn net.Conn, r io.Reader) {
+func (p *Peers) hear(conn net.Conn, reader io.Reader) {
 	defer conn.Close()
 	node := ""
-	br := bufio.NewReaderSize(r, 512)
+	buffered := bufio.NewReaderSize(reader, 512)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(frameWithin)) != nil {
 			return
 		}
-		m, err := protocol.ReadFrame(br)
+		peerMessage, err := protocol.ReadFrame(buffered)
 		if err != nil {
 			if errors.Is(err, protocol.ErrFrame) {
 				p.log.Info("peer connection closed", "peer", node, "from", conn.RemoteAddr().String(), "err", err)
@@ -134,7 +134,7 @@
 			}
 			return
 		}
-		switch x := m.(type) {
+		switch x := peerMessage.(type) {
 		case protocol.Hello:
 			for _, k := range p.cfg.Known {
 				if k.MemberName == x.Member {
@@ -199,14 +199,14 @@
 }
 
 // Split serves a port for peers and returns a listener for what speaks HTTP on it.
-func (p *Peers) Split(ln net.Listener) net.Listener {
-	h := &httpListener{Listener: ln, conns: make(chan net.Conn), done: make(chan struct{})}
+func (p *Peers) Split(listener net.Listener) net.Listener {
+	transportHttpListener := &httpListener{Listener: listener, conns: make(chan net.Conn), done: make(chan struct{})}
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				if errors.Is(err, net.ErrClosed) {
-					_ = h.Close() // it is closed already
+					_ = transportHttpListener.Close() // it is closed already
 					return
 				}
 				time.Sleep(50 * time.Millisecond) // out of sockets for now
@@ -220,14 +220,14 @@
 			}
 			go func() {
 				defer func() { <-p.slots }()
-				p.route(h, conn)
+				p.route(transportHttpListener, conn)
 			}()
 		}
 	}()
-	return h
+	return transportHttpListener
 }
 
-func (p *Peers) route(h *httpListener, conn net.Conn) {
+func (p *Peers) route(transportHttpListener *httpListener, conn net.Conn) {
 	first := make([]byte, 1)
 	if conn.SetReadDeadline(time.Now().Add(firstByteWithin)) != nil {
 		_ = conn.Close()
@@ -246,8 +246,8 @@
 		return
 	}
 	select {
-	case h.conns <- &replayed{conn, first}:
-	case <-h.done:
+	case transportHttpListener.conns <- &replayed{conn, first}:
+	case <-transportHttpListener.done:
 		_ = conn.Close()
 	case <-time.After(firstByteWithin):
 		_ = conn.Close()
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -147,8 +147,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				core := &fakeCore{heard: make(chan string, 10)}
 				cfg := &config.Settings{MemberName: "n-0", Known: []config.Peer{{MemberName: "n-1"}}}
-				ln := &pipeListener{make(chan net.Conn, 1)}
-				web := NewPeers(cfg, core, slog.New(slog.DiscardHandler)).Split(ln)
+				transportPipeListener := &pipeListener{make(chan net.Conn, 1)}
+				web := NewPeers(cfg, core, slog.New(slog.DiscardHandler)).Split(transportPipeListener)
 				got := make(chan string, 1)
 				go func() {
 					conn, err := web.Accept()
@@ -159,7 +159,7 @@
 					got <- line
 				}()
 				mine, theirs := net.Pipe()
-				ln.conns <- theirs
+				transportPipeListener.conns <- theirs
 				for _, p := range c.parts {
 					_, _ = mine.Write(p)
 					time.Sleep(time.Second)
@@ -205,7 +205,7 @@
 					}
 				}
 				_ = mine.Close()
-				close(ln.conns)
+				close(transportPipeListener.conns)
 				time.Sleep(time.Minute)
 			})
 		})
@@ -249,12 +249,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := NewAdminServer(&fakeCore{version: 7, down: c.down}, DefaultAdminLimits())
+			adminServer := NewAdminServer(&fakeCore{version: 7, down: c.down}, DefaultAdminLimits())
 			req, err := http.NewRequest(c.method, "http://node/admin/v1"+c.path, strings.NewReader(c.body))
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp, err := s.app.Test(req, -1)
+			resp, err := adminServer.app.Test(req, -1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -275,11 +275,11 @@
 func TestSpeakEndsWithTheOtherSide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core := &fakeCore{heard: make(chan string, 10)}
-		p := NewPeers(&config.Settings{MemberName: "n-0"}, core, slog.New(slog.DiscardHandler))
+		peers := NewPeers(&config.Settings{MemberName: "n-0"}, core, slog.New(slog.DiscardHandler))
 		mine, theirs := net.Pipe()
 		ended := make(chan struct{})
 		go func() {
-			p.speak(t.Context(), halfOpen{mine}, "n-1")
+			peers.speak(t.Context(), halfOpen{mine}, "n-1")
 			close(ended)
 		}()
 		go func() { _, _ = io.Copy(io.Discard, theirs) }()
--- a/internal/transport/statebudget_test.go
+++ b/internal/transport/statebudget_test.go
@@ -17,18 +17,18 @@
 // budget, and were refused then. They go ahead of it, and what cannot is refused at once.
 func TestUsersGoAheadOnCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
-		for b.Pace(12) == 0 {
-			if err := b.Admit(t.Context(), 12, protocol.BackgroundRequest); err != nil {
+		stateBudget := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
+		for stateBudget.Pace(12) == 0 {
+			if err := stateBudget.Admit(t.Context(), 12, protocol.BackgroundRequest); err != nil {
 				t.Fatal(err)
 			}
 		}
 		began := time.Now()
 		var taken, refused atomic.Int32
-		var wg sync.WaitGroup
+		var waitGroup sync.WaitGroup
 		for range 100 {
-			wg.Go(func() {
-				err := b.Admit(t.Context(), 1, protocol.UserRequest)
+			waitGroup.Go(func() {
+				err := stateBudget.Admit(t.Context(), 1, protocol.UserRequest)
 				switch waited := time.Since(began); {
 				case err == nil && waited <= userWait+10*time.Millisecond:
 					taken.Add(1)
@@ -39,19 +39,19 @@
 				}
 			})
 		}
-		wg.Wait()
+		waitGroup.Wait()
 		if taken.Load() < 15 || refused.Load() < 60 {
 			t.Errorf("%d submissions taken, %d refused at once", taken.Load(), refused.Load())
 		}
-		if b.Pace(12) == 0 {
+		if stateBudget.Pace(12) == 0 {
 			t.Error("the node's own work does not pay the credit back")
 		}
 		short, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer stop()
-		if err := b.Admit(short, 12, protocol.BackgroundRequest); !errors.Is(err, protocol.ErrRefused) {
+		if err := stateBudget.Admit(short, 12, protocol.BackgroundRequest); !errors.Is(err, protocol.ErrRefused) {
 			t.Errorf("the node's own work in debt: %v", err)
 		}
-		if err := b.Admit(t.Context(), 3, protocol.UrgentRequest); err != nil {
+		if err := stateBudget.Admit(t.Context(), 3, protocol.UrgentRequest); err != nil {
 			t.Errorf("what must not wait: %v", err)
 		}
 	})
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -45,7 +45,7 @@
 		WriteBufferSize:       4 << 10,
 		IdleTimeout:           2 * time.Minute,
 		CaseSensitive:         true,
-		ErrorHandler: func(c *fiber.Ctx, err error) error {
+		ErrorHandler: func(request *fiber.Ctx, err error) error {
 			status := fiber.StatusInternalServerError
 			var fe *fiber.Error
 			if errors.As(err, &fe) {
@@ -55,9 +55,9 @@
 				status = fiber.StatusBadRequest
 			}
 			if status >= 500 && status != fiber.StatusBadGateway { // that one is a connection that broke off
-				log.Error("request failed", "path", c.Path(), "err", err)
+				log.Error("request failed", "path", request.Path(), "err", err)
 			}
-			return send(c, status, protocol.ErrorResponse{Error: err.Error()})
+			return send(request, status, protocol.ErrorResponse{Error: err.Error()})
 		},
 	})
 	answer := func(c *fiber.Ctx, a controller.Answer) error {
@@ -89,25 +89,25 @@
 		}
 		return c.SendStatus(200)
 	})
-	app.Post("/agent/beat", func(c *fiber.Ctx) error {
-		r, err := protocol.ParseHeartbeat(c.Body())
+	app.Post("/agent/beat", func(fiberCtx *fiber.Ctx) error {
+		heartbeat, err := protocol.ParseHeartbeat(fiberCtx.Body())
 		if err != nil {
 			log.Info("malformed report", "err", err)
-			return send(c, 400, protocol.ErrorResponse{Error: err.Error()})
+			return send(fiberCtx, 400, protocol.ErrorResponse{Error: err.Error()})
 		}
 		type out struct {
 			status int
 			body   any
 		}
 		ch := make(chan out, 1)
-		core.HandleHeartbeat(context.Background(), r, func(status int, body any) { ch <- out{status, body} })
+		core.HandleHeartbeat(context.Background(), heartbeat, func(status int, body any) { ch <- out{status, body} })
 		t := time.NewTimer(heartbeatTimeout)
 		defer t.Stop()
 		select {
 		case o := <-ch:
-			return send(c, o.status, o.body)
+			return send(fiberCtx, o.status, o.body)
 		case <-t.C:
-			return send(c, 503, protocol.ErrorResponse{Error: "busy"})
+			return send(fiberCtx, 503, protocol.ErrorResponse{Error: "busy"})
 		}
 	})
 	return &PublicServer{app}
--- a/internal/transport/view.go
+++ b/internal/transport/view.go
@@ -27,32 +27,32 @@
 // feed's binary format, GET /view/reasons tells why jobs wait. No more than readers requests
 // are served at a time; the others are refused at once. A page is bounded and a connection
 // that does not take it in time is closed, so a slow reader costs bounded memory.
-func mountView(v1 fiber.Router, core ViewCore, readers int) {
+func mountView(api fiber.Router, core ViewCore, readers int) {
 	slots := make(chan struct{}, readers)
-	serve := func(f func(c *fiber.Ctx, scope view.Scope) error) fiber.Handler {
-		return func(c *fiber.Ctx) error {
+	serve := func(f func(request *fiber.Ctx, scope view.Scope) error) fiber.Handler {
+		return func(fiberCtx *fiber.Ctx) error {
 			if !core.ViewEnabled() {
-				return send(c, 404, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
+				return send(fiberCtx, 404, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
 			}
-			team := strings.Clone(c.Query("team"))
+			team := strings.Clone(fiberCtx.Query("team"))
 			if team != "" && !core.HasTeam(team) {
-				return send(c, 404, AdminRefusal{Error: "no such team", Field: "team"})
+				return send(fiberCtx, 404, AdminRefusal{Error: "no such team", Field: "team"})
 			}
 			select {
 			case slots <- struct{}{}:
 				defer func() { <-slots }()
 			default:
-				c.Set(fiber.HeaderRetryAfter, "1")
-				return send(c, 503, AdminRefusal{Error: "too many readers of the view"})
+				fiberCtx.Set(fiber.HeaderRetryAfter, "1")
+				return send(fiberCtx, 503, AdminRefusal{Error: "too many readers of the view"})
 			}
-			return f(c, view.Scope(team))
+			return f(fiberCtx, view.Scope(team))
 		}
 	}
 	number := func(c *fiber.Ctx, name string) (uint64, bool) {
 		n, err := strconv.ParseUint(c.Query(name, "0"), 10, 64)
 		return n, err == nil
 	}
-	v1.Get("/view", serve(func(c *fiber.Ctx, scope view.Scope) error {
+	api.Get("/view", serve(func(c *fiber.Ctx, scope view.Scope) error {
 		epoch, ok1 := number(c, "epoch")
 		seq, ok2 := number(c, "seq")
 		ms, ok3 := number(c, "wait_ms")
@@ -70,7 +70,7 @@
 		c.Set(fiber.HeaderContentType, fiber.MIMEOctetStream)
 		return c.Send(s.AppendPage(make([]byte, 0, 4<<10), scope, cur, time.Now().UnixMilli()))
 	}))
-	v1.Get("/view/reasons", serve(func(c *fiber.Ctx, scope view.Scope) error {
+	api.Get("/view/reasons", serve(func(c *fiber.Ctx, scope view.Scope) error {
 		ids := strings.Split(strings.Clone(c.Query("jobs")), ",")
 		for _, id := range ids {
 			if !protocol.ValidJobID(id) || len(ids) > view.MaxReasons {
--- a/internal/transport/view_test.go
+++ b/internal/transport/view_test.go
@@ -66,12 +66,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.core.snap = largeSnapshot(3)
-			s := NewAdminServer(&c.core, DefaultAdminLimits())
+			adminServer := NewAdminServer(&c.core, DefaultAdminLimits())
 			req, err := http.NewRequest("GET", "http://node/admin/v1"+c.path, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp, err := s.app.Test(req, -1)
+			resp, err := adminServer.app.Test(req, -1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -92,9 +92,9 @@
 // time are refused at once.
 func TestSlowReaders(t *testing.T) {
 	core := &viewCore{snap: largeSnapshot(5000), block: make(chan struct{}), entered: make(chan struct{}, 9)}
-	s := NewAdminServer(core, AdminLimits{ViewReaders: 1, SendWithin: 50 * time.Millisecond})
+	adminServer := NewAdminServer(core, AdminLimits{ViewReaders: 1, SendWithin: 50 * time.Millisecond})
 	conns := make(chan net.Conn)
-	go func() { _ = s.Serve(&pipeListener{conns}) }() // ends with the test
+	go func() { _ = adminServer.Serve(&pipeListener{conns}) }() // ends with the test
 	ask := func() net.Conn {
 		mine, theirs := net.Pipe()
 		conns <- theirs
@@ -106,9 +106,9 @@
 	slow := ask()
 	<-core.entered // it waits inside; the next is refused
 	next := ask()
-	b := make([]byte, 12)
-	if _, err := io.ReadFull(next, b); err != nil || string(b) != "HTTP/1.1 503" {
-		t.Fatalf("%q, %v", b, err)
+	data := make([]byte, 12)
+	if _, err := io.ReadFull(next, data); err != nil || string(data) != "HTTP/1.1 503" {
+		t.Fatalf("%q, %v", data, err)
 	}
 	_ = next.Close()
 	close(core.block)
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -38,7 +38,7 @@
 
 // AppendPage writes the changes after a cursor as far as a page holds them. now is the controller's
 // clock, in milliseconds of the day's: against it readers tell how old the snapshot is.
-func (s *Snapshot) AppendPage(b []byte, scope Scope, cur Cursor, now int64) []byte {
+func (s *Snapshot) AppendPage(data []byte, scope Scope, cur Cursor, now int64) []byte {
 	flags := byte(0)
 	if cur.Epoch != s.Epoch || cur.Seq > s.Seq || cur.Seq > 0 && cur.Seq < s.floor {
 		cur.Seq = 0
@@ -46,32 +46,32 @@
 	if cur.Seq == 0 {
 		flags = flagReset
 	}
-	start := len(b)
-	b = append(b, feedMagic, feedVersion, 0)
-	b = binary.AppendUvarint(b, s.Epoch)
-	w := writer{b: b}
+	start := len(data)
+	data = append(data, feedMagic, feedVersion, 0)
+	data = binary.AppendUvarint(data, s.Epoch)
+	viewWriter := writer{b: data}
 	next := cur.Seq
 	s.log.Ascend(cur.Seq+1, func(seq uint64, e entry) bool {
-		if len(w.b)-start > MaxPage {
+		if len(viewWriter.b)-start > MaxPage {
 			flags |= flagMore
 			return false
 		}
 		next = seq
 		if cur.Seq > 0 || !e.gone {
-			w.row(s, scope, e)
+			viewWriter.row(s, scope, e)
 		}
 		return true
 	})
-	w.b = append(w.b, 0) // no kind: the end of the rows
+	viewWriter.b = append(viewWriter.b, 0) // no kind: the end of the rows
 	if flags&flagMore == 0 {
 		next = s.Seq
 		h := scope.Head(s.Head)
 		h.Now = now
-		w.head(h)
+		viewWriter.head(h)
 	}
-	w.uint(next)
-	w.b[start+2] = flags
-	return w.b
+	viewWriter.uint(next)
+	viewWriter.b[start+2] = flags
+	return viewWriter.b
 }
 
 type writer struct{ b []byte }
@@ -91,61 +91,61 @@
 	w.b = append(w.b, x)
 }
 
-func (w *writer) row(s *Snapshot, scope Scope, e entry) {
-	if e.gone {
-		if e.job != nil && scope.job(e.job) == nil || e.ev != nil && scope.Eviction(e.ev) == nil ||
-			e.kind == kindMachine && scope != Operators {
+func (w *writer) row(snapshot *Snapshot, scope Scope, viewEntry entry) {
+	if viewEntry.gone {
+		if viewEntry.job != nil && scope.job(viewEntry.job) == nil || viewEntry.ev != nil && scope.Eviction(viewEntry.ev) == nil ||
+			viewEntry.kind == kindMachine && scope != Operators {
 			return
 		}
-		w.b = append(w.b, byte(e.kind)|flagGone)
-		w.text(e.key)
+		w.b = append(w.b, byte(viewEntry.kind)|flagGone)
+		w.text(viewEntry.key)
 		return
 	}
-	switch e.kind {
+	switch viewEntry.kind {
 	case kindJob:
-		if j, _ := s.jobs.Get(e.key); scope.job(j) != nil {
+		if j, _ := snapshot.jobs.Get(viewEntry.key); scope.job(j) != nil {
 			w.job(j)
 		}
 	case kindMachine:
-		if m, _ := s.machines.Get(e.key); scope.machine(m) != nil {
+		if m, _ := snapshot.machines.Get(viewEntry.key); scope.machine(m) != nil {
 			w.machine(m)
 		}
 	case kindEviction:
-		v, _ := s.evictions.Get(e.key)
+		v, _ := snapshot.evictions.Get(viewEntry.key)
 		if v = scope.Eviction(v); v != nil {
 			w.eviction(v)
 		}
 	}
 }
 
-func (w *writer) job(j *Job) {
+func (w *writer) job(viewJob *Job) {
 	w.b = append(w.b, byte(kindJob))
-	w.text(j.ID)
-	w.text(j.Team)
-	w.text(j.Class)
-	w.b = append(w.b, byte(j.Priority), byte(j.Status))
-	w.flag(j.Service)
-	w.flag(j.Suspect)
-	w.flag(j.Evicting)
-	for _, v := range []uint64{uint64(j.Tasks), uint64(j.Done), uint64(j.Placed), uint64(j.Awaits), uint64(j.Shard), j.Cpus, j.Gpus, j.Estimate} {
+	w.text(viewJob.ID)
+	w.text(viewJob.Team)
+	w.text(viewJob.Class)
+	w.b = append(w.b, byte(viewJob.Priority), byte(viewJob.Status))
+	w.flag(viewJob.Service)
+	w.flag(viewJob.Suspect)
+	w.flag(viewJob.Evicting)
+	for _, v := range []uint64{uint64(viewJob.Tasks), uint64(viewJob.Done), uint64(viewJob.Placed), uint64(viewJob.Awaits), uint64(viewJob.Shard), viewJob.Cpus, viewJob.Gpus, viewJob.Estimate} {
 		w.uint(v)
 	}
-	for _, v := range []int64{j.Submit, j.From, j.Due, j.End} {
+	for _, v := range []int64{viewJob.Submit, viewJob.From, viewJob.Due, viewJob.End} {
 		w.int(v)
 	}
 }
 
-func (w *writer) machine(m *Machine) {
+func (w *writer) machine(viewMachine *Machine) {
 	w.b = append(w.b, byte(kindMachine))
-	w.text(m.Name)
-	w.text(m.Type)
-	w.text(m.Zone)
-	w.flag(m.Spot)
-	w.b = append(w.b, byte(m.State))
-	for _, v := range []uint64{uint64(m.Shard), uint64(m.Tasks), m.Cpus, m.Gpus, m.UsedCpus, m.UsedGpus, m.Price, uint64(len(m.Uses))} {
+	w.text(viewMachine.Name)
+	w.text(viewMachine.Type)
+	w.text(viewMachine.Zone)
+	w.flag(viewMachine.Spot)
+	w.b = append(w.b, byte(viewMachine.State))
+	for _, v := range []uint64{uint64(viewMachine.Shard), uint64(viewMachine.Tasks), viewMachine.Cpus, viewMachine.Gpus, viewMachine.UsedCpus, viewMachine.UsedGpus, viewMachine.Price, uint64(len(viewMachine.Uses))} {
 		w.uint(v)
 	}
-	for _, u := range m.Uses {
+	for _, u := range viewMachine.Uses {
 		w.text(u.Team)
 		w.uint(uint64(u.Tasks))
 		w.uint(u.Cpus)
@@ -153,17 +153,17 @@
 	}
 }
 
-func (w *writer) eviction(e *Eviction) {
+func (w *writer) eviction(viewEviction *Eviction) {
 	w.b = append(w.b, byte(kindEviction))
-	w.text(e.Key)
-	w.text(e.Job)
-	w.text(e.Team)
-	w.int(e.At)
-	w.uint(uint64(e.Shard))
-	w.flag(e.Open)
-	n := min(len(e.Victims), maxVictims)
+	w.text(viewEviction.Key)
+	w.text(viewEviction.Job)
+	w.text(viewEviction.Team)
+	w.int(viewEviction.At)
+	w.uint(uint64(viewEviction.Shard))
+	w.flag(viewEviction.Open)
+	n := min(len(viewEviction.Victims), maxVictims)
 	w.uint(uint64(n))
-	for _, v := range e.Victims[:n] {
+	for _, v := range viewEviction.Victims[:n] {
 		w.text(v.Job)
 		w.text(v.Team)
 		w.uint(uint64(v.Task))
@@ -190,27 +190,27 @@
 	}
 }
 
-func (w *writer) head(h Head) {
-	w.text(h.Member)
-	w.uint(h.Seq)
-	w.uint(h.Revision)
-	w.int(h.Now)
-	w.int(h.AsOf)
-	w.int(h.Since)
-	w.flag(h.StateOK)
-	w.text(h.Scope)
-	w.uint(uint64(len(h.Teams)))
-	for i := range h.Teams {
-		w.text(h.Teams[i].Name)
-		w.all(h.Teams[i].fields())
-	}
-	w.flag(h.Others != nil)
-	if h.Others != nil {
-		w.all(h.Others.fields())
-	}
-	w.all(h.Fleet.fields())
-	w.uint(uint64(len(h.Members)))
-	for _, n := range h.Members {
+func (w *writer) head(viewHead Head) {
+	w.text(viewHead.Member)
+	w.uint(viewHead.Seq)
+	w.uint(viewHead.Revision)
+	w.int(viewHead.Now)
+	w.int(viewHead.AsOf)
+	w.int(viewHead.Since)
+	w.flag(viewHead.StateOK)
+	w.text(viewHead.Scope)
+	w.uint(uint64(len(viewHead.Teams)))
+	for i := range viewHead.Teams {
+		w.text(viewHead.Teams[i].Name)
+		w.all(viewHead.Teams[i].fields())
+	}
+	w.flag(viewHead.Others != nil)
+	if viewHead.Others != nil {
+		w.all(viewHead.Others.fields())
+	}
+	w.all(viewHead.Fleet.fields())
+	w.uint(uint64(len(viewHead.Members)))
+	for _, n := range viewHead.Members {
 		w.text(n.Name)
 		w.flag(n.Alive)
 		w.flag(n.Leader)
@@ -238,31 +238,31 @@
 }
 
 // ReadPage reads a page. Its errors wrap ErrFeed.
-func ReadPage(b []byte) (*Page, error) {
-	if len(b) < 3 || b[0] != feedMagic {
+func ReadPage(data []byte) (*Page, error) {
+	if len(data) < 3 || data[0] != feedMagic {
 		return nil, fmt.Errorf("%w: no page of a view", ErrFeed)
 	}
-	if b[1] != feedVersion {
-		return nil, fmt.Errorf("%w: version %d, want %d", ErrFeed, b[1], feedVersion)
+	if data[1] != feedVersion {
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrFeed, data[1], feedVersion)
 	}
-	flags := b[2]
-	r := &reader{b: b[3:]}
-	p := &Page{Reset: flags&flagReset != 0, Next: Cursor{Epoch: r.uint()}}
-	for !r.bad {
-		k := r.byte()
+	flags := data[2]
+	viewReader := &reader{b: data[3:]}
+	page := &Page{Reset: flags&flagReset != 0, Next: Cursor{Epoch: viewReader.uint()}}
+	for !viewReader.bad {
+		k := viewReader.byte()
 		if k == 0 {
 			break
 		}
-		r.row(p, k)
+		viewReader.row(page, k)
 	}
 	if flags&flagMore == 0 {
-		p.Head = r.head(p.Next.Epoch)
+		page.Head = viewReader.head(page.Next.Epoch)
 	}
-	p.Next.Seq = r.uint()
-	if r.bad || len(r.b) > 0 || flags&^(flagReset|flagMore) != 0 {
-		return nil, fmt.Errorf("%w: %d bytes with flags %#x", ErrFeed, len(b), flags)
+	page.Next.Seq = viewReader.uint()
+	if viewReader.bad || len(viewReader.b) > 0 || flags&^(flagReset|flagMore) != 0 {
+		return nil, fmt.Errorf("%w: %d bytes with flags %#x", ErrFeed, len(data), flags)
 	}
-	return p, nil
+	return page, nil
 }
 
 type reader struct {
@@ -341,16 +341,16 @@
 	return int(n)
 }
 
-func (r *reader) row(p *Page, k byte) {
+func (r *reader) row(page *Page, k byte) {
 	if k&flagGone != 0 {
 		key := r.text()
 		switch kind(k &^ flagGone) {
 		case kindJob:
-			p.rows = append(p.rows, func(m *Model) { m.DropJob(key) })
+			page.rows = append(page.rows, func(m *Model) { m.DropJob(key) })
 		case kindMachine:
-			p.rows = append(p.rows, func(m *Model) { m.DropMachine(key) })
+			page.rows = append(page.rows, func(m *Model) { m.DropMachine(key) })
 		case kindEviction:
-			p.rows = append(p.rows, func(m *Model) { m.DropEviction(key) })
+			page.rows = append(page.rows, func(m *Model) { m.DropEviction(key) })
 		default:
 			r.bad = true
 		}
@@ -359,32 +359,32 @@
 	switch kind(k) {
 	case kindJob:
 		j := r.job()
-		p.rows = append(p.rows, func(m *Model) { m.PutJob(j) })
+		page.rows = append(page.rows, func(m *Model) { m.PutJob(j) })
 	case kindMachine:
 		x := r.machine()
-		p.rows = append(p.rows, func(m *Model) { m.PutMachine(x) })
+		page.rows = append(page.rows, func(m *Model) { m.PutMachine(x) })
 	case kindEviction:
 		e := r.eviction()
-		p.rows = append(p.rows, func(m *Model) { m.PutEviction(e) })
+		page.rows = append(page.rows, func(m *Model) { m.PutEviction(e) })
 	default:
 		r.bad = true
 	}
 }
 
 func (r *reader) job() Job {
-	j := Job{ID: r.text(), Team: r.text(), Class: r.text()}
-	j.Priority, j.Status = protocol.Priority(r.below(byte(protocol.Production)+1)), Status(r.below(byte(Cancelled)+1))
-	j.Service, j.Suspect, j.Evicting = r.flag(), r.flag(), r.flag()
-	for _, v := range []*uint32{&j.Tasks, &j.Done, &j.Placed, &j.Awaits, &j.Shard} {
+	viewJob := Job{ID: r.text(), Team: r.text(), Class: r.text()}
+	viewJob.Priority, viewJob.Status = protocol.Priority(r.below(byte(protocol.Production)+1)), Status(r.below(byte(Cancelled)+1))
+	viewJob.Service, viewJob.Suspect, viewJob.Evicting = r.flag(), r.flag(), r.flag()
+	for _, v := range []*uint32{&viewJob.Tasks, &viewJob.Done, &viewJob.Placed, &viewJob.Awaits, &viewJob.Shard} {
 		*v = r.u32()
 	}
-	for _, v := range []*uint64{&j.Cpus, &j.Gpus, &j.Estimate} {
+	for _, v := range []*uint64{&viewJob.Cpus, &viewJob.Gpus, &viewJob.Estimate} {
 		*v = r.uint()
 	}
-	for _, v := range []*int64{&j.Submit, &j.From, &j.Due, &j.End} {
+	for _, v := range []*int64{&viewJob.Submit, &viewJob.From, &viewJob.Due, &viewJob.End} {
 		*v = r.int()
 	}
-	return j
+	return viewJob
 }
 
 func (r *reader) machine() Machine {
@@ -422,24 +422,24 @@
 }
 
 func (r *reader) head(epoch uint64) *Head {
-	h := &Head{Epoch: epoch, Member: r.text(), Seq: r.uint(), Revision: r.uint(), Now: r.int(), AsOf: r.int(), Since: r.int(),
+	viewHead := &Head{Epoch: epoch, Member: r.text(), Seq: r.uint(), Revision: r.uint(), Now: r.int(), AsOf: r.int(), Since: r.int(),
 		StateOK: r.flag(), Scope: r.text(), Teams: []Team{}, Members: []Member{}}
 	for range r.count() {
 		t := Team{Name: r.text()}
 		r.all(t.fields())
-		h.Teams = append(h.Teams, t)
+		viewHead.Teams = append(viewHead.Teams, t)
 	}
 	if r.flag() {
-		h.Others = &Totals{}
-		r.all(h.Others.fields())
+		viewHead.Others = &Totals{}
+		r.all(viewHead.Others.fields())
 	}
-	r.all(h.Fleet.fields())
+	r.all(viewHead.Fleet.fields())
 	for range r.count() {
 		n := Member{Name: r.text(), Alive: r.flag(), Leader: r.flag(), Unfit: r.flag(), Shares: []uint32{}}
 		for range r.count() {
 			n.Shares = append(n.Shares, r.u32())
 		}
-		h.Members = append(h.Members, n)
+		viewHead.Members = append(viewHead.Members, n)
 	}
-	return h
+	return viewHead
 }
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -87,13 +87,13 @@
 }
 
 // note writes down that a row changed, and returns its sequence number.
-func (m *Model) note(old uint64, e entry) uint64 {
+func (m *Model) note(old uint64, viewEntry entry) uint64 {
 	if old > 0 {
 		m.log.Delete(old)
 	}
 	m.seq++
-	m.log.Set(m.seq, e)
-	if e.gone {
+	m.log.Set(m.seq, viewEntry)
+	if viewEntry.gone {
 		if m.gone = append(m.gone, m.seq); len(m.gone) > keptGone {
 			m.floor = m.gone[0]
 			m.log.Delete(m.gone[0])
@@ -112,23 +112,23 @@
 
 // PutJob puts a job's row in the place of the one before. A final row is never replaced by
 // one that is not: such a row is dropped, and false returned.
-func (m *Model) PutJob(j Job) bool {
-	old, had := m.jobs.Get(j.ID)
+func (m *Model) PutJob(job Job) bool {
+	old, had := m.jobs.Get(job.ID)
 	if had {
-		if old.Status.Final() && !j.Status.Final() {
+		if old.Status.Final() && !job.Status.Final() {
 			return false
 		}
-		j.seq = old.seq
-		if j == *old {
+		job.seq = old.seq
+		if job == *old {
 			return true
 		}
 		m.sum(old.Team).add(old, -1)
 	}
-	j.seq = m.note(j.seq, entry{kind: kindJob, key: j.ID})
-	m.jobs.Set(j.ID, &j)
-	m.sum(j.Team).add(&j, 1)
-	if j.Status.Final() && (!had || !old.Status.Final()) && !m.mirror {
-		m.finished = append(m.finished, j.ID)
+	job.seq = m.note(job.seq, entry{kind: kindJob, key: job.ID})
+	m.jobs.Set(job.ID, &job)
+	m.sum(job.Team).add(&job, 1)
+	if job.Status.Final() && (!had || !old.Status.Final()) && !m.mirror {
+		m.finished = append(m.finished, job.ID)
 		for len(m.finished) > keptFinished {
 			m.DropJob(m.finished[0])
 		}
@@ -178,16 +178,16 @@
 // PutEviction puts an evicted set's row in the place of the one before, or in a new place if
 // it has no key yet. The latest are kept. A key names no job: those who see a set because it
 // has a victim of theirs need not know for whom.
-func (m *Model) PutEviction(e Eviction) {
-	if e.Key == "" {
+func (m *Model) PutEviction(eviction Eviction) {
+	if eviction.Key == "" {
 		m.sets++
-		e.Key = fmt.Sprintf("%015d/%d", e.At, m.sets)
+		eviction.Key = fmt.Sprintf("%015d/%d", eviction.At, m.sets)
 	}
-	if old, had := m.evictions.Get(e.Key); had {
-		e.seq = old.seq
+	if old, had := m.evictions.Get(eviction.Key); had {
+		eviction.seq = old.seq
 	}
-	e.seq = m.note(e.seq, entry{kind: kindEviction, key: e.Key})
-	m.evictions.Set(e.Key, &e)
+	eviction.seq = m.note(eviction.seq, entry{kind: kindEviction, key: eviction.Key})
+	m.evictions.Set(eviction.Key, &eviction)
 	for m.evictions.Len() > keptEvictions && !m.mirror {
 		key, _, _ := m.evictions.Min()
 		m.DropEviction(key)
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -192,9 +192,9 @@
 }
 
 // add adds a job's part, or takes it away with sign -1.
-func (s *Totals) add(j *Job, sign int64) {
+func (s *Totals) add(job *Job, sign int64) {
 	n := uint64(sign) // sums wrap around, and come back exactly
-	switch j.Status {
+	switch job.Status {
 	case Queued:
 		s.Queued += n
 	case Running:
@@ -202,12 +202,12 @@
 	default:
 		s.Finished += n
 	}
-	w, p := uint64(j.Waiting()), uint64(j.Placed)
+	w, p := uint64(job.Waiting()), uint64(job.Placed)
 	s.Waiting += n * w
 	s.Placed += n * p
-	s.UsedCpus += n * p * j.Cpus
-	s.UsedGpus += n * p * j.Gpus
-	s.WaitsCpus += n * w * j.Cpus
+	s.UsedCpus += n * p * job.Cpus
+	s.UsedGpus += n * p * job.Gpus
+	s.WaitsCpus += n * w * job.Cpus
 }
 
 // plus adds another sum.
