--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -28,13 +28,13 @@
 
 // Eviction is what of an evicted set may be seen. One that concerns a team through a victim
 // of its own shows that victim only, and not for whom.
-func (s Scope) Eviction(e *Eviction) *Eviction {
+func (s Scope) Eviction(eviction *Eviction) *Eviction {
 	if s == Operators {
-		return e
+		return eviction
 	}
-	out := *e
-	out.Victims = slices.DeleteFunc(slices.Clone(e.Victims), func(v Victim) bool { return v.Team != string(s) })
-	if e.Team != string(s) {
+	out := *eviction
+	out.Victims = slices.DeleteFunc(slices.Clone(eviction.Victims), func(v Victim) bool { return v.Team != string(s) })
+	if eviction.Team != string(s) {
 		if len(out.Victims) == 0 {
 			return nil
 		}
@@ -44,22 +44,22 @@
 }
 
 // Head is what of a head may be seen.
-func (s Scope) Head(h Head) Head {
-	h.Scope = string(s)
+func (s Scope) Head(head Head) Head {
+	head.Scope = string(s)
 	if s == Operators {
-		return h
+		return head
 	}
 	others, own := Totals{}, []Team{}
-	for _, t := range h.Teams {
+	for _, t := range head.Teams {
 		if t.Name == string(s) {
 			own = append(own, t)
 			continue
 		}
 		others.plus(t.Totals)
 	}
-	h.Teams, h.Others = own, &others
-	h.Member, h.Members, h.Fleet.RateMicro = "", []Member{}, 0
-	return h
+	head.Teams, head.Others = own, &others
+	head.Member, head.Members, head.Fleet.RateMicro = "", []Member{}, 0
+	return head
 }
 
 // Within is the snapshot as a scope sees it, whole.
@@ -67,18 +67,18 @@
 	if scope == Operators {
 		return s
 	}
-	m := NewModel(nil)
+	model := NewModel(nil)
 	s.jobs.Scan(func(_ string, j *Job) bool {
 		if j = scope.job(j); j != nil {
-			m.jobs.Set(j.ID, j)
+			model.jobs.Set(j.ID, j)
 		}
 		return true
 	})
 	s.evictions.Scan(func(_ string, e *Eviction) bool {
 		if e = scope.Eviction(e); e != nil {
-			m.evictions.Set(e.Key, e)
+			model.evictions.Set(e.Key, e)
 		}
 		return true
 	})
-	return &Snapshot{Head: scope.Head(s.Head), jobs: m.jobs, machines: m.machines, evictions: m.evictions, log: m.log, floor: s.floor}
+	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, evictions: model.evictions, log: model.log, floor: s.floor}
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -31,28 +31,28 @@
 }
 
 // change changes a model at random, as a core does.
-func change(t *rapid.T, m *Model) {
+func change(t *rapid.T, model *Model) {
 	switch rapid.IntRange(0, 9).Draw(t, "change") {
 	case 0:
-		m.DropJob(drawJob(t).ID)
+		model.DropJob(drawJob(t).ID)
 	case 1:
-		m.DropMachine(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")))
+		model.DropMachine(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")))
 	case 2, 3:
 		a, b := drawJob(t), drawJob(t)
 		e := Eviction{Job: a.ID, Team: a.Team, At: rapid.Int64Range(0, 50).Draw(t, "at"), Open: true, Victims: []Victim{{Job: b.ID, Team: b.Team, Task: 1, Attempt: 7, Score: 0.5}}}
-		if old, ok := m.EvictionOf(a.ID); ok && rapid.Bool().Draw(t, "same") {
+		if old, ok := model.EvictionOf(a.ID); ok && rapid.Bool().Draw(t, "same") {
 			old.Open = false
 			e = old
 		}
-		m.PutEviction(e)
+		model.PutEviction(e)
 	case 4:
 		x := Machine{Name: fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")), Type: "t", Zone: "z", Cpus: 16000, Price: 1_500_000,
 			State: MachineState(rapid.IntRange(0, 5).Draw(t, "state"))}
 		j := drawJob(t)
 		x.Uses, x.UsedCpus, x.Tasks = []Use{{j.Team, 1, j.Cpus, 0}}, j.Cpus, 1
-		m.PutMachine(x)
+		model.PutMachine(x)
 	default:
-		m.PutJob(drawJob(t))
+		model.PutJob(drawJob(t))
 	}
 }
 
@@ -61,33 +61,33 @@
 // was then, and its sums add up.
 func TestFeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, mirror, cur := NewModel(teams), NewMirror(), Cursor{}
+		model, mirror, cur := NewModel(teams), NewMirror(), Cursor{}
 		scope := Scope(rapid.SampledFrom([]string{"", teams[0].Name}).Draw(t, "scope"))
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 40).Draw(t, "changes") {
-				change(t, m)
+				change(t, model)
 			}
-			s := m.Snapshot(Head{Epoch: 7, Revision: m.seq})
+			snapshot := model.Snapshot(Head{Epoch: 7, Revision: model.seq})
 			if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
-				cur = Cursor{Epoch: rapid.Uint64Range(6, 7).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, m.seq+1).Draw(t, "seq")}
+				cur = Cursor{Epoch: rapid.Uint64Range(6, 7).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, model.seq+1).Draw(t, "seq")}
 				mirror = NewMirror()
 				cur.Epoch = 6 // a reader that lost its rows says so by an epoch of nobody's
 			}
-			raw := s.AppendPage(nil, scope, cur, 5)
-			p, err := ReadPage(raw)
+			raw := snapshot.AppendPage(nil, scope, cur, 5)
+			page, err := ReadPage(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if p.Reset {
+			if page.Reset {
 				mirror = NewMirror()
 			}
-			p.Apply(mirror)
-			cur = p.Next
-			got := mirror.Mirrored(*p.Head)
+			page.Apply(mirror)
+			cur = page.Next
+			got := mirror.Mirrored(*page.Head)
 			if err := got.Check(); err != nil {
 				t.Fatal(err)
 			}
-			want := s.Within(scope)
+			want := snapshot.Within(scope)
 			var a, b []string
 			list := func(s *Snapshot) (out []string) {
 				s.Jobs("", func(j *Job) bool { x := *j; x.seq = 0; out = append(out, fmt.Sprintf("%+v", x)); return true })
@@ -96,7 +96,7 @@
 				return out
 			}
 			if scope == Operators {
-				want = s
+				want = snapshot
 			}
 			if a, b = list(got), list(want); !slices.Equal(a, b) {
 				t.Fatalf("the reader has\n%s\nthe model\n%s", strings.Join(a, "\n"), strings.Join(b, "\n"))
@@ -109,23 +109,23 @@
 // team, or a job or class of another team's.
 func TestScopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewModel(teams)
+		model := NewModel(teams)
 		for range rapid.IntRange(0, 60).Draw(t, "changes") {
-			change(t, m)
+			change(t, model)
 		}
 		me := rapid.SampledFrom(teams).Draw(t, "me").Name
-		h := Head{Epoch: 7, Member: "node-of-nobody", Members: []Member{{Name: "node-of-nobody"}}}
-		s := m.Snapshot(h)
+		head := Head{Epoch: 7, Member: "node-of-nobody", Members: []Member{{Name: "node-of-nobody"}}}
+		snapshot := model.Snapshot(head)
 		var out bytes.Buffer
-		for seq := uint64(0); seq <= m.seq; seq += 1 + m.seq/9 {
-			out.Write(s.AppendPage(nil, Scope(me), Cursor{7, seq}, 5))
+		for seq := uint64(0); seq <= model.seq; seq += 1 + model.seq/9 {
+			out.Write(snapshot.AppendPage(nil, Scope(me), Cursor{7, seq}, 5))
 		}
-		in := s.Within(Scope(me))
+		viewSnapshot := snapshot.Within(Scope(me))
 		enc := json.NewEncoder(&out)
-		_ = enc.Encode(in.Head)
-		in.Jobs("", func(j *Job) bool { return enc.Encode(j) == nil })
-		in.Machines(func(x *Machine) bool { return enc.Encode(x) == nil })
-		in.Evictions(func(e *Eviction) bool { return enc.Encode(e) == nil })
+		_ = enc.Encode(viewSnapshot.Head)
+		viewSnapshot.Jobs("", func(j *Job) bool { return enc.Encode(j) == nil })
+		viewSnapshot.Machines(func(x *Machine) bool { return enc.Encode(x) == nil })
+		viewSnapshot.Evictions(func(e *Eviction) bool { return enc.Encode(e) == nil })
 		for _, other := range teams {
 			if other.Name != me && strings.Contains(out.String(), other.Name) {
 				t.Fatalf("%s sees %s: %q", me, other.Name, out.String())
@@ -135,26 +135,26 @@
 			t.Fatal("a node's name")
 		}
 		// What it does see is all of its own, and the others as one sum.
-		own, others := m.sums[m.team[me]], Totals{}
-		for i := range m.sums {
-			if i != m.team[me] {
-				others.plus(m.sums[i])
+		own, others := model.sums[model.team[me]], Totals{}
+		for i := range model.sums {
+			if i != model.team[me] {
+				others.plus(model.sums[i])
 			}
 		}
-		if len(in.Teams) != 1 || in.Teams[0].Totals != own || *in.Others != others || in.Check() != nil {
-			t.Fatalf("%+v, want %+v and %+v", in.Head, own, others)
+		if len(viewSnapshot.Teams) != 1 || viewSnapshot.Teams[0].Totals != own || *viewSnapshot.Others != others || viewSnapshot.Check() != nil {
+			t.Fatalf("%+v, want %+v and %+v", viewSnapshot.Head, own, others)
 		}
 	})
 }
 
 // FuzzReadPage reads whatever comes: an error or a page, never a panic or a huge allocation.
 func FuzzReadPage(f *testing.F) {
-	m := NewModel(teams)
-	m.PutJob(Job{ID: "job-000001", Team: teams[0].Name, Tasks: 3, Placed: 1, Status: Running})
-	m.PutMachine(Machine{Name: "host-1", Uses: []Use{{teams[0].Name, 1, 1, 0}}})
-	m.PutEviction(Eviction{Job: "job-000001", Victims: []Victim{{Job: "job-000002"}}})
-	m.DropJob("job-000001")
-	f.Add(m.Snapshot(Head{Epoch: 3, Members: []Member{{Name: "n", Shares: []uint32{1}}}}).AppendPage(nil, Operators, Cursor{}, 5))
+	model := NewModel(teams)
+	model.PutJob(Job{ID: "job-000001", Team: teams[0].Name, Tasks: 3, Placed: 1, Status: Running})
+	model.PutMachine(Machine{Name: "host-1", Uses: []Use{{teams[0].Name, 1, 1, 0}}})
+	model.PutEviction(Eviction{Job: "job-000001", Victims: []Victim{{Job: "job-000002"}}})
+	model.DropJob("job-000001")
+	f.Add(model.Snapshot(Head{Epoch: 3, Members: []Member{{Name: "n", Shares: []uint32{1}}}}).AppendPage(nil, Operators, Cursor{}, 5))
 	f.Add([]byte{feedMagic, feedVersion, flagReset, 1, 0, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := ReadPage(raw)
@@ -218,17 +218,17 @@
 // BenchmarkPage is what a reader costs that has all but the latest 100 changes, and one that
 // has nothing (all pages).
 func BenchmarkPage(b *testing.B) {
-	m := large(20000, 1250)
-	s := m.Snapshot(Head{Epoch: 1})
+	model := large(20000, 1250)
+	snapshot := model.Snapshot(Head{Epoch: 1})
 	b.Run("latest=100", func(b *testing.B) {
 		for b.Loop() {
-			s.AppendPage(nil, Operators, Cursor{1, s.Seq - 100}, 0)
+			snapshot.AppendPage(nil, Operators, Cursor{1, snapshot.Seq - 100}, 0)
 		}
 	})
 	b.Run("all", func(b *testing.B) {
 		for b.Loop() {
-			for cur := (Cursor{}); cur.Seq < s.Seq; {
-				p, err := ReadPage(s.AppendPage(nil, Operators, cur, 0))
+			for cur := (Cursor{}); cur.Seq < snapshot.Seq; {
+				p, err := ReadPage(snapshot.AppendPage(nil, Operators, cur, 0))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -156,19 +156,19 @@
 		if err != nil {
 			return err
 		}
-		p, err := view.ReadPage(raw)
+		page, err := view.ReadPage(raw)
 		if err != nil {
 			return err
 		}
-		if p.Reset {
+		if page.Reset {
 			mirror = view.NewMirror()
 		}
-		p.Apply(mirror)
-		cur = p.Next
-		if p.Head == nil {
+		page.Apply(mirror)
+		cur = page.Next
+		if page.Head == nil {
 			continue
 		}
-		snap := mirror.Mirrored(*p.Head)
+		snap := mirror.Mirrored(*page.Head)
 		if err := snap.Check(); err != nil {
 			return err // never shown
 		}
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -97,7 +97,7 @@
 		defer cancel()
 		began := time.Now()
 		first := answers(1, 9, view.Done, 0, true)
-		f := NewFollower(&script{nodes: []func(view.Cursor) ([]byte, error){
+		follower := NewFollower(&script{nodes: []func(view.Cursor) ([]byte, error){
 			func(cur view.Cursor) ([]byte, error) {
 				if time.Since(began) > 5*time.Second {
 					return nil, errors.New("does not answer")
@@ -114,7 +114,7 @@
 		var told atomic.Bool
 		go func() {
 			for ctx.Err() == nil {
-				if s := f.State(); s.Snapshot != nil {
+				if s := follower.State(); s.Snapshot != nil {
 					if j := s.Job("job-000001"); j.Status != view.Done {
 						t.Errorf("shown %s after it was shown done, at revision %d", j.Status, s.Revision)
 					}
@@ -125,10 +125,10 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
-		if err := f.Run(ctx); err != nil {
+		if err := follower.Run(ctx); err != nil {
 			t.Error(err)
 		}
-		if s := f.State(); s.Revision != 12 || !told.Load() {
+		if s := follower.State(); s.Revision != 12 || !told.Load() {
 			t.Errorf("revision %d in the end, told %v", s.Revision, told.Load())
 		}
 		time.Sleep(time.Second)
--- a/internal/viewclient/http.go
+++ b/internal/viewclient/http.go
@@ -32,11 +32,11 @@
 // Controllers are the addresses.
 func (h *HTTP) Nodes() []string { return h.addrs }
 
-func (h *HTTP) get(ctx context.Context, node int, path string, q url.Values) ([]byte, error) {
+func (h *HTTP) get(ctx context.Context, node int, path string, query url.Values) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + h.addrs[node] + "/admin/v1" + path + "?" + q.Encode())
+	req.SetRequestURI("http://" + h.addrs[node] + "/admin/v1" + path + "?" + query.Encode())
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(answerIn)
