--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -51,10 +51,10 @@
 
 // BaselineRecordOf makes a record of at most limit bytes; the smallest queues are left out
 // where it would be larger.
-func (b *Cache) BaselineRecordOf(cpus map[ClassQueue]float64, limit int) BaselineRecord {
+func (c *Cache) BaselineRecordOf(cpus map[ClassQueue]float64, limit int) BaselineRecord {
 	var r BaselineRecord
 	for l, u := range cpus {
-		r.Queues = append(r.Queues, BaselineQueue{b.Teams[l.Team].Name, b.Classes.Name(l.Class), math.Round(u*1000) / 1000})
+		r.Queues = append(r.Queues, BaselineQueue{c.Teams[l.Team].Name, c.Classes.Name(l.Class), math.Round(u*1000) / 1000})
 	}
 	slices.SortFunc(r.Queues, func(x, y BaselineQueue) int {
 		return cmp.Or(cmp.Compare(y.Cpus, x.Cpus), cmp.Compare(x.Team, y.Team), cmp.Compare(x.Class, y.Class))
@@ -65,7 +65,7 @@
 	return r
 }
 
-func (b *Cache) applyBaseline(value json.RawMessage, version uint64) error {
+func (c *Cache) applyBaseline(value json.RawMessage, version uint64) error {
 	var baselineRecord BaselineRecord
 	if err := json.Unmarshal(value, &baselineRecord); err != nil {
 		return fmt.Errorf("record %s: %w", BaselineKey, err)
@@ -73,11 +73,11 @@
 	u := Baseline{Cpus: map[ClassQueue]float64{}, Version: version}
 	for _, x := range baselineRecord.Queues {
 		// A team that the settings name no more has no jobs either.
-		if t := b.TeamIndex.Find(x.Team); t >= 0 && x.Cpus > 0 {
-			u.Cpus[ClassQueue{t, min(b.Classes.Index(x.Class), maxClassesPerTeam-1)}] = x.Cpus
+		if t := c.TeamIndex.Find(x.Team); t >= 0 && x.Cpus > 0 {
+			u.Cpus[ClassQueue{t, min(c.Classes.Index(x.Class), maxClassesPerTeam-1)}] = x.Cpus
 		}
 	}
-	b.Baseline = u
+	c.Baseline = u
 	return nil
 }
 
@@ -85,9 +85,9 @@
 type Arrivals struct{ Jobs, Work float64 }
 
 // countArrival counts a job that is new to this process.
-func (b *Cache) countArrival(j *Job) {
+func (c *Cache) countArrival(j *Job) {
 	if j.Estimate > 0 {
-		a := b.Arrivals[ClassQueueOf(j)]
-		b.Arrivals[ClassQueueOf(j)] = Arrivals{a.Jobs + 1, a.Work + float64(j.Tasks)*j.Size*j.Estimate}
+		a := c.Arrivals[ClassQueueOf(j)]
+		c.Arrivals[ClassQueueOf(j)] = Arrivals{a.Jobs + 1, a.Work + float64(j.Tasks)*j.Size*j.Estimate}
 	}
 }
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -283,7 +283,7 @@
 }
 
 // Packed tells whether every controller reads the packed layout, so that it may be written.
-func (b *Cache) Packed() bool { return b.Layout.Version >= LayoutPacked && !b.ForcePlain }
+func (c *Cache) Packed() bool { return c.Layout.Version >= LayoutPacked && !c.ForcePlain }
 
 // completionSet is a part of the set of a job's completed tasks.
 type completionSet struct {
@@ -319,84 +319,84 @@
 }
 
 // ShardOf is the shard that a team belongs to, whoever owns it.
-func (b *Cache) ShardOf(team int) int { return team % b.NumShards }
+func (c *Cache) ShardOf(team int) int { return team % c.NumShards }
 
 // Job finds an open or not yet forgotten job.
-func (b *Cache) Job(id string) *Job { return b.jobByID[id] }
+func (c *Cache) Job(id string) *Job { return c.jobByID[id] }
 
 // FinalState returns the final state of a job, "" if it is open or unknown. It is
 // cancelled as soon as one that it needs is, whatever its own record says: that job will
 // never be done, so this one can't be either.
-func (b *Cache) FinalState(id string) (protocol.JobStatus, int) {
-	if f, ok := b.recordedFinal(id); ok {
+func (c *Cache) FinalState(id string) (protocol.JobStatus, int) {
+	if f, ok := c.recordedFinal(id); ok {
 		return f.Status, int(f.Tasks)
 	}
-	if j := b.jobByID[id]; j != nil && j.DependencyFailed {
+	if j := c.jobByID[id]; j != nil && j.DependencyFailed {
 		return protocol.Cancelled, 0
 	}
 	return "", 0
 }
 
 // Machine finds a machine by name.
-func (b *Cache) Machine(name string) *Machine {
-	if m := b.machineByName[name]; m != nil && !m.Gone {
+func (c *Cache) Machine(name string) *Machine {
+	if m := c.machineByName[name]; m != nil && !m.Gone {
 		return m
 	}
 	return nil
 }
 
 // FencingToken is the token under which a machine is commanded.
-func (b *Cache) FencingToken(m *Machine) uint64 {
-	return max(m.FencingToken, m.Group.FencingToken, b.Shards[m.Shard].FencingToken)
+func (c *Cache) FencingToken(m *Machine) uint64 {
+	return max(m.FencingToken, m.Group.FencingToken, c.Shards[m.Shard].FencingToken)
 }
 
 // TakeChanged returns the machines that changed, and the jobs that ended, since it was
 // last called: what follows from a change is worked out for these only.
-func (b *Cache) TakeChanged() (machines []*Machine, jobs []*Job) {
-	machines, jobs = b.changedMachines, b.endedJobs
-	b.changedMachines, b.endedJobs = nil, nil
+func (c *Cache) TakeChanged() (machines []*Machine, jobs []*Job) {
+	machines, jobs = c.changedMachines, c.endedJobs
+	c.changedMachines, c.endedJobs = nil, nil
 	for _, m := range machines {
 		m.changed = false
 	}
 	return machines, jobs
 }
 
-func (b *Cache) markChanged(m *Machine) {
-	b.feedMachine(m)
+func (c *Cache) markChanged(m *Machine) {
+	c.feedMachine(m)
 	if !m.changed {
 		m.changed = true
-		b.changedMachines = append(b.changedMachines, m)
+		c.changedMachines = append(c.changedMachines, m)
 	}
 }
 
 // IsVictim tells whether an attempt is in an evicted set.
-func (b *Cache) IsVictim(p PlacedTask) bool {
-	return len(b.victims) > 0 && b.victims[victim{p.Job.ID, p.Task, p.Attempt}]
+func (c *Cache) IsVictim(p PlacedTask) bool {
+	return len(c.victims) > 0 && c.victims[victim{p.Job.ID, p.Task, p.Attempt}]
 }
 
 // group finds a group, and makes an empty one that no record describes yet.
-func (b *Cache) group(id int) *MachineGroup {
-	for len(b.Groups) <= id {
-		b.Groups = append(b.Groups, &MachineGroup{ID: len(b.Groups)})
+func (c *Cache) group(id int) *MachineGroup {
+	for len(c.Groups) <= id {
+		c.Groups = append(c.Groups, &MachineGroup{ID: len(c.Groups)})
 	}
-	return b.Groups[id]
+	return c.Groups[id]
 }
 
 // UpdateCatalog takes the cloud's machine types.
-func (b *Cache) UpdateCatalog(catalog *protocol.Catalog) {
+func (c *Cache) UpdateCatalog(catalog *protocol.Catalog) {
 	for _, t := range catalog.Types {
-		i := b.TypeIndex.Index(t.Name)
-		b.growTypes()
+		i := c.TypeIndex.Index(t.Name)
+		c.growTypes()
 		ty := MachineType{Cpus: t.Cpus, Gpus: t.Gpus, Mem: t.MemGB, CacheGB: t.CacheGB, FetchGBs: t.FetchGBs,
 			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS}
 		for _, z := range t.Zones {
-			ty.Zones = append(ty.Zones, b.Zones.Index(z))
+			ty.Zones = append(ty.Zones, c.Zones.Index(z))
 		}
-		b.Types[i] = ty
+		c.Types[i] = ty
 	}
-	for _, j := range b.Jobs {
+	for _, j := range c.Jobs {
 		if j != nil {
-			j.Size = b.sizeOf(j)
+			j.Size = c.sizeOf(j)
 		}
 	}
 }
@@ -404,9 +404,9 @@
 // sizeOf is what one task of a job takes of a machine, in CPUs: its own, or those that its
 // accelerators or its memory stand for, if these bind. Of several types it is the one of which the
 // task takes least. A machine whose accelerators are all taken has nothing left, however many of its CPUs idle.
-func (b *Cache) sizeOf(job *Job) float64 {
+func (c *Cache) sizeOf(job *Job) float64 {
 	least := 0.0
-	for i, machineType := range b.Types {
+	for i, machineType := range c.Types {
 		if machineType.Cpus <= 0 || job.Cpus > machineType.Cpus || job.Gpus > machineType.Gpus || job.Mem > machineType.Mem || len(job.Types) > 0 && !slices.Contains(job.Types, i) {
 			continue
 		}
@@ -424,96 +424,96 @@
 	return max(least, job.Cpus)
 }
 
-func (b *Cache) growTypes() {
-	for len(b.Types) < b.TypeIndex.Len() {
-		b.Types = append(b.Types, MachineType{})
+func (c *Cache) growTypes() {
+	for len(c.Types) < c.TypeIndex.Len() {
+		c.Types = append(c.Types, MachineType{})
 	}
 }
 
 // HasCatalog tells whether any machine type is known.
-func (b *Cache) HasCatalog() bool { return len(b.Types) > 0 && b.Types[0].Cpus > 0 }
+func (c *Cache) HasCatalog() bool { return len(c.Types) > 0 && c.Types[0].Cpus > 0 }
 
 // Apply takes one change; an event that is no newer than what is known is dropped.
-func (b *Cache) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
 	if id, ok := keySuffix(key, fleetPrefix); ok {
-		return b.applyFleet(id, value, version, deleted)
+		return c.applyFleet(id, value, version, deleted)
 	}
 	if id, ok := keySuffix(key, jobPrefix); ok {
-		return b.applyJob(id, value, version, deleted)
+		return c.applyJob(id, value, version, deleted)
 	}
 	if id, ok := keySuffix(key, chunkPrefix); ok {
-		return b.applyChunk(id, value, version, deleted)
+		return c.applyChunk(id, value, version, deleted)
 	}
 	if id, ok := keySuffix(key, completionPrefix); ok {
-		return b.applyCompletions(id, value, version, deleted)
+		return c.applyCompletions(id, value, version, deleted)
 	}
 	if _, ok := keySuffix(key, groupPrefix); ok {
 		id, ok := GroupOf(key)
 		if !ok || id > maxGroups || deleted {
 			return fmt.Errorf("record %s: no such rack", key)
 		}
-		return b.applyGroup(id, value, version)
+		return c.applyGroup(id, value, version)
 	}
 	if _, ok := keySuffix(key, retiredPrefix); ok && !deleted && !isBarrier(key) {
 		return fmt.Errorf("record %s: %w", key, ErrLayout)
 	}
-	if b.revisions[key] >= version {
+	if c.revisions[key] >= version {
 		return nil
 	}
-	b.revisions[key] = version
+	c.revisions[key] = version
 	if deleted {
 		value = nil
 	}
 	if name, ok := keySuffix(key, memberPrefix); ok {
-		return b.applyMember(name, value, version, deleted)
+		return c.applyMember(name, value, version, deleted)
 	}
 	if number, ok := keySuffix(key, shardPrefix); ok {
-		return b.applyShard(number, value, version, deleted)
+		return c.applyShard(number, value, version, deleted)
 	}
 	if id, ok := keySuffix(key, victimSetPrefix); ok {
-		return b.applyVictimSet(id, value, version, deleted)
+		return c.applyVictimSet(id, value, version, deleted)
 	}
 	if escaped, ok := keySuffix(key, teamPrefix); ok {
-		return b.applyTeam(escaped, value, version, deleted)
+		return c.applyTeam(escaped, value, version, deleted)
 	}
-	return b.applySingle(key, value, version, deleted)
+	return c.applySingle(key, value, version, deleted)
 }
 
 // applyMember takes a controller's membership record.
-func (b *Cache) applyMember(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applyMember(name string, value json.RawMessage, version uint64, deleted bool) error {
 	if deleted {
-		delete(b.Members, name)
+		delete(c.Members, name)
 		return nil
 	}
 	n := &Member{Version: version}
 	if err := json.Unmarshal(value, &n.MemberRecord); err != nil {
 		return fmt.Errorf("record %s: %w", MemberKey(name), err)
 	}
-	b.Members[name] = n
+	c.Members[name] = n
 	return nil
 }
 
 // applyShard takes the record of who owns a shard.
-func (b *Cache) applyShard(number string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applyShard(number string, value json.RawMessage, version uint64, deleted bool) error {
 	i, err := strconv.Atoi(number)
-	if err != nil || i < 0 || i >= b.NumShards {
-		delete(b.revisions, shardPrefix+number)
+	if err != nil || i < 0 || i >= c.NumShards {
+		delete(c.revisions, shardPrefix+number)
 		return fmt.Errorf("record %s%s: no such share", shardPrefix, number)
 	}
 	if deleted {
-		b.Shards[i] = Shard{}
+		c.Shards[i] = Shard{}
 		return nil
 	}
 	sh := Shard{Version: version}
 	if err := json.Unmarshal(value, &sh.ShardRecord); err != nil {
 		return fmt.Errorf("record %s: %w", ShardKey(i), err)
 	}
-	b.Shards[i] = sh
+	c.Shards[i] = sh
 	return nil
 }
 
 // applyVictimSet takes the record of an evicted set.
-func (b *Cache) applyVictimSet(id string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applyVictimSet(id string, value json.RawMessage, version uint64, deleted bool) error {
 	e := &VictimSet{Job: id, Version: version}
 	if !deleted {
 		var err error
@@ -521,46 +521,46 @@
 			return fmt.Errorf("record %s: %w", VictimSetKey(id), err)
 		}
 	}
-	b.setVictimSet(id, e, deleted)
+	c.setVictimSet(id, e, deleted)
 	if deleted {
-		delete(b.revisions, VictimSetKey(id))
+		delete(c.revisions, VictimSetKey(id))
 	}
 	return nil
 }
 
 // applySingle takes a record of which there is one; a key that this version does not know is left alone.
-func (b *Cache) applySingle(key string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applySingle(key string, value json.RawMessage, version uint64, deleted bool) error {
 	switch key {
 	case LeaderKey:
-		return b.applyLeader(value, version, deleted)
+		return c.applyLeader(value, version, deleted)
 	case CatalogKey:
 		if !deleted {
-			return b.applyCatalog(value, version)
+			return c.applyCatalog(value, version)
 		}
 	case LayoutKey:
-		return b.applyLayout(value, version)
+		return c.applyLayout(value, version)
 	case BaselineKey:
 		if deleted {
-			b.Baseline = Baseline{}
+			c.Baseline = Baseline{}
 			return nil
 		}
-		return b.applyBaseline(value, version)
+		return c.applyBaseline(value, version)
 	case SettingsKey:
-		b.Settings = RawRecord{value, version}
+		c.Settings = RawRecord{value, version}
 		if deleted {
-			b.Settings = RawRecord{}
+			c.Settings = RawRecord{}
 		}
 	}
 	return nil
 }
 
-func (b *Cache) applyLeader(value json.RawMessage, version uint64, deleted bool) error {
-	b.Leader = Leader{}
+func (c *Cache) applyLeader(value json.RawMessage, version uint64, deleted bool) error {
+	c.Leader = Leader{}
 	if deleted {
 		return nil
 	}
-	b.Leader.Version = version
-	if err := json.Unmarshal(value, &b.Leader.LeaderRecord); err != nil {
+	c.Leader.Version = version
+	if err := json.Unmarshal(value, &c.Leader.LeaderRecord); err != nil {
 		return fmt.Errorf("record %s: %w", LeaderKey, err)
 	}
 	return nil
@@ -577,50 +577,50 @@
 	return nil
 }
 
-func (b *Cache) applyLayout(value json.RawMessage, version uint64) error {
+func (c *Cache) applyLayout(value json.RawMessage, version uint64) error {
 	l := Layout{Revision: version}
 	if err := json.Unmarshal(value, &l.LayoutRecord); err != nil {
 		return fmt.Errorf("record %s: %w", LayoutKey, err)
 	}
-	if l.Version >= b.Layout.Version { // the gate never closes again
-		b.Layout = l
+	if l.Version >= c.Layout.Version { // the gate never closes again
+		c.Layout = l
 	}
 	return nil
 }
 
-func (b *Cache) setVictimSet(id string, victimSet *VictimSet, deleted bool) {
-	b.feedVictimSet(id)
-	if j := b.jobByID[id]; j != nil {
-		b.feedJob(j)
+func (c *Cache) setVictimSet(id string, victimSet *VictimSet, deleted bool) {
+	c.feedVictimSet(id)
+	if j := c.jobByID[id]; j != nil {
+		c.feedJob(j)
 	}
 	mark := func(old *VictimSet, on bool) {
 		for _, x := range old.Victims {
 			v := victim{x.Job, x.Task, x.Attempt}
 			if on {
-				b.victims[v] = true
+				c.victims[v] = true
 			} else {
-				delete(b.victims, v)
+				delete(c.victims, v)
 			}
-			if m := b.Machine(x.Machine); m != nil {
-				b.markChanged(m)
+			if m := c.Machine(x.Machine); m != nil {
+				c.markChanged(m)
 			}
 		}
 	}
-	if old := b.VictimSets[id]; old != nil {
+	if old := c.VictimSets[id]; old != nil {
 		mark(old, false)
 	}
-	delete(b.VictimSets, id)
+	delete(c.VictimSets, id)
 	if !deleted {
-		b.VictimSets[id] = victimSet
+		c.VictimSets[id] = victimSet
 		mark(victimSet, true)
 	}
 }
 
-func (b *Cache) applyJob(id string, value json.RawMessage, version uint64, deleted bool) error {
-	if _, ok := b.final[id]; ok {
+func (c *Cache) applyJob(id string, value json.RawMessage, version uint64, deleted bool) error {
+	if _, ok := c.final[id]; ok {
 		return nil // final states never change
 	}
-	job := b.jobByID[id]
+	job := c.jobByID[id]
 	if job != nil && job.Version >= version {
 		return nil
 	}
@@ -633,21 +633,21 @@
 	}
 	final := FinalState{protocol.JobStatus(record.Final), int32(record.DoneCount), record.FinalAtMs}
 	if record.Final != "" && record.Spec == nil && (job == nil || job.PlacedCount == 0) {
-		b.forget(id, job, final)
+		c.forget(id, job, final)
 		return nil
 	}
 	if job == nil {
 		if record.ChunkCount > 0 {
-			if err := b.joinChunks(id, &record); err != nil && record.Final != "" {
+			if err := c.joinChunks(id, &record); err != nil && record.Final != "" {
 				// The parts of a job that is over are deleted once none of its tasks is placed.
-				b.forget(id, nil, final)
+				c.forget(id, nil, final)
 				return nil
 			} else if err != nil {
 				return err
 			}
 		}
 		var err error
-		if job, err = b.newJob(id, &record); err != nil {
+		if job, err = c.newJob(id, &record); err != nil {
 			return err
 		}
 		job.ChunkSet, job.chunkCount = record.ChunkSet, record.ChunkCount
@@ -666,31 +666,31 @@
 	job.Suspect = job.Suspect || record.Suspect
 	job.Version = version
 	job.FinalAtMs = record.FinalAtMs
-	b.feedJob(job)
+	c.feedJob(job)
 	if !job.Open() {
-		b.endedJobs = append(b.endedJobs, job)
-		b.notifyDependents(id, job.outcome())
+		c.endedJobs = append(c.endedJobs, job)
+		c.notifyDependents(id, job.outcome())
 	}
 	return nil
 }
 
-func (b *Cache) forget(id string, job *Job, finalState FinalState) {
-	b.final[id] = finalState
-	b.notifyDependents(id, finalState)
+func (c *Cache) forget(id string, job *Job, finalState FinalState) {
+	c.final[id] = finalState
+	c.notifyDependents(id, finalState)
 	if job != nil {
 		job.Final = finalState.Status // groups may still name it
 		job.DoneCount, job.FinalAtMs = max(job.DoneCount, int(finalState.Tasks)), finalState.RecordedMs
-		b.feedJob(job)
-		delete(b.inheritors, job)
-		delete(b.jobByID, id)
-		b.sorted.dropJob(job)
-		b.Jobs[job.Index] = nil
-		b.freeJobs = append(b.freeJobs, job.Index)
+		c.feedJob(job)
+		delete(c.inheritors, job)
+		delete(c.jobByID, id)
+		c.sorted.dropJob(job)
+		c.Jobs[job.Index] = nil
+		c.freeJobs = append(c.freeJobs, job.Index)
 	}
 }
 
-func (b *Cache) newJob(id string, record *JobRecord) (*Job, error) {
-	team := b.TeamIndex.Find(record.Team)
+func (c *Cache) newJob(id string, record *JobRecord) (*Job, error) {
+	team := c.TeamIndex.Find(record.Team)
 	spec := record.Spec
 	if team < 0 || spec == nil {
 		return nil, fmt.Errorf("job %s: unknown team %q or no description", id, record.Team)
@@ -701,9 +701,9 @@
 	}
 	at, own := time.UnixMilli(record.SubmittedMs), protocol.Priority(min(spec.Priority, 3))
 	job := &Job{
-		ID: id, Team: team, Class: b.Classes.Index(spec.Class), Shard: b.ShardOf(team),
+		ID: id, Team: team, Class: c.Classes.Index(spec.Class), Shard: c.ShardOf(team),
 		Shape: protocol.Shape(spec.Shape), Priority: own, OwnPriority: own, Tasks: record.Tasks,
-		Cpus: spec.Cpus, Gpus: spec.Gpus, Mem: spec.Mem, Image: b.Images.Index(spec.Image), ImageGB: spec.ImageGB,
+		Cpus: spec.Cpus, Gpus: spec.Gpus, Mem: spec.Mem, Image: c.Images.Index(spec.Image), ImageGB: spec.ImageGB,
 		Zone: -1, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Estimate: spec.Estimate,
 		CheckpointInterval: spec.CheckpointInterval, CheckpointCost: spec.CheckpointCost, Deadline: time.Duration(spec.Deadline * float64(time.Second)),
 		Submitted: at, ReadyAt: at, Spec: record.Spec, Dependencies: needs,
@@ -713,33 +713,33 @@
 		job.MachineOf[i] = Nowhere
 	}
 	for _, t := range spec.Types {
-		job.Types = append(job.Types, b.TypeIndex.Index(t))
+		job.Types = append(job.Types, c.TypeIndex.Index(t))
 	}
-	b.growTypes()
+	c.growTypes()
 	if spec.Zone != "" {
-		job.Zone = b.Zones.Index(spec.Zone)
+		job.Zone = c.Zones.Index(spec.Zone)
 	}
-	if n := len(b.freeJobs); n > 0 {
-		job.Index = b.freeJobs[n-1]
-		b.freeJobs = b.freeJobs[:n-1]
-		b.Jobs[job.Index] = job
+	if n := len(c.freeJobs); n > 0 {
+		job.Index = c.freeJobs[n-1]
+		c.freeJobs = c.freeJobs[:n-1]
+		c.Jobs[job.Index] = job
 	} else {
-		job.Index = int32(len(b.Jobs))
-		b.Jobs = append(b.Jobs, job)
-	}
-	job.Size = b.sizeOf(job)
-	b.jobByID[id] = job
-	b.recordImageSize(job)
-	b.sorted.addJob(job)
-	for part, x := range b.completionSets[id] {
+		job.Index = int32(len(c.Jobs))
+		c.Jobs = append(c.Jobs, job)
+	}
+	job.Size = c.sizeOf(job)
+	c.jobByID[id] = job
+	c.recordImageSize(job)
+	c.sorted.addJob(job)
+	for part, x := range c.completionSets[id] {
 		job.completed(part, x.bits)
 	}
 	if record.Final == "" {
-		b.countArrival(job)
-		b.addDependencies(job)
+		c.countArrival(job)
+		c.addDependencies(job)
 	}
-	if len(b.dependents[id]) > 0 {
-		b.graphChanged = true
+	if len(c.dependents[id]) > 0 {
+		c.graphChanged = true
 	}
 	return job, nil
 }
@@ -755,18 +755,18 @@
 
 // applyCompletions takes a part of the set of a job's completed tasks. Parts stay until the job
 // is over; then its shard's owner deletes them.
-func (b *Cache) applyCompletions(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applyCompletions(name string, value json.RawMessage, version uint64, deleted bool) error {
 	id, num, _ := strings.Cut(name, "/")
 	part, err := strconv.Atoi(num)
 	if err != nil || part < 0 || part > protocol.MaxTasks/completionSetTasks {
 		return fmt.Errorf("record %s%s: no such part", completionPrefix, name)
 	}
-	if b.completionSets[id][part].version >= version {
+	if c.completionSets[id][part].version >= version {
 		return nil
 	}
 	if deleted {
-		if delete(b.completionSets[id], part); len(b.completionSets[id]) == 0 {
-			delete(b.completionSets, id)
+		if delete(c.completionSets[id], part); len(c.completionSets[id]) == 0 {
+			delete(c.completionSets, id)
 		}
 		return nil
 	}
@@ -778,31 +778,31 @@
 	if err != nil || len(raw) > completionSetTasks/8 {
 		return fmt.Errorf("record %s%s: no set of %d tasks", completionPrefix, name, completionSetTasks)
 	}
-	if b.completionSets[id] == nil {
-		b.completionSets[id] = map[int]completionSet{}
+	if c.completionSets[id] == nil {
+		c.completionSets[id] = map[int]completionSet{}
 	}
-	b.completionSets[id][part] = completionSet{raw, version}
-	if j := b.jobByID[id]; j != nil {
+	c.completionSets[id][part] = completionSet{raw, version}
+	if j := c.jobByID[id]; j != nil {
 		j.completed(part, raw)
-		b.feedJob(j)
+		c.feedJob(j)
 	}
 	return nil
 }
 
 // CompletionRecordOf writes the part of a job's set that holds a task, with the version that it
 // replaces.
-func (b *Cache) CompletionRecordOf(j *Job, done Bitmap, task int) (CompletionRecord, uint64) {
+func (c *Cache) CompletionRecordOf(j *Job, done Bitmap, task int) (CompletionRecord, uint64) {
 	part := task / completionSetTasks
 	from := part * (completionSetTasks / 8)
-	return CompletionRecord{base64.RawStdEncoding.EncodeToString(done[from:min(len(done), from+completionSetTasks/8)])}, b.completionSets[j.ID][part].version
+	return CompletionRecord{base64.RawStdEncoding.EncodeToString(done[from:min(len(done), from+completionSetTasks/8)])}, c.completionSets[j.ID][part].version
 }
 
 // StaleRecords returns records that are needed no more, with their versions: parts of sets of jobs
 // that are over, and of descriptions as abandoned tells.
-func (b *Cache) StaleRecords(limit int, now time.Time) []protocol.Condition {
+func (c *Cache) StaleRecords(limit int, now time.Time) []protocol.Condition {
 	var out []protocol.Condition
-	for id, parts := range b.completionSets {
-		if _, over := b.recordedFinal(id); !over {
+	for id, parts := range c.completionSets {
+		if _, over := c.recordedFinal(id); !over {
 			continue
 		}
 		for part, x := range parts {
@@ -810,7 +810,7 @@
 		}
 	}
 	if len(out) < limit {
-		out = append(out, b.staleChunks(limit-len(out), now)...)
+		out = append(out, c.staleChunks(limit-len(out), now)...)
 	}
 	return out[:min(len(out), limit)]
 }
@@ -824,8 +824,8 @@
 // applyFleet takes a fleet's record. A machine is in the latest record that lists it: a
 // record that is over a lower limit is worked off by small ones which list its machines
 // anew, in the same groups, and is deleted when it lists none that they do not.
-func (b *Cache) applyFleet(id string, value json.RawMessage, version uint64, deleted bool) error {
-	fleet := b.fleets[id]
+func (c *Cache) applyFleet(id string, value json.RawMessage, version uint64, deleted bool) error {
+	fleet := c.fleets[id]
 	if fleet != nil && fleet.Version >= version {
 		return nil
 	}
@@ -837,34 +837,34 @@
 		}
 	}
 	for _, x := range record.Machines {
-		if m := b.machineByName[x.Name]; x.Group < 0 || x.Group > maxGroups || (m != nil && m.exists && m.Fleet.ID != id && m.record.Group != x.Group) {
+		if m := c.machineByName[x.Name]; x.Group < 0 || x.Group > maxGroups || (m != nil && m.exists && m.Fleet.ID != id && m.record.Group != x.Group) {
 			return fmt.Errorf("fleet %s: machine %s cannot be in rack %d", id, x.Name, x.Group)
 		}
 	}
 	if fleet == nil {
 		fleet = &Fleet{ID: id}
-		b.fleets[id] = fleet
+		c.fleets[id] = fleet
 	}
 	before := fleet.record.Machines
 	fleet.record, fleet.Version, fleet.Size = record, version, len(value)
 	for _, x := range record.Machines {
-		b.addMachine(fleet, x)
+		c.addMachine(fleet, x)
 	}
 	for _, x := range before { // what is listed still was counted once more just now
-		m := b.machineByName[x.Name]
+		m := c.machineByName[x.Name]
 		if m.FleetEntries--; m.FleetEntries == 0 {
-			b.removeMachine(m, version)
+			c.removeMachine(m, version)
 		}
 	}
 	return nil
 }
 
-func (b *Cache) removeMachine(m *Machine, version uint64) {
-	b.setTasks(m, nil)
+func (c *Cache) removeMachine(m *Machine, version uint64) {
+	c.setTasks(m, nil)
 	m.Gone, m.exists, m.Version = true, false, version
 	m.leaveGroup()
-	b.sorted.machines.Delete(m)
-	b.markChanged(m)
+	c.sorted.machines.Delete(m)
+	c.markChanged(m)
 }
 
 func (m *Machine) leaveGroup() {
@@ -876,12 +876,12 @@
 	k.Machines = append(k.Machines, m)
 }
 
-func (b *Cache) addMachine(fleet *Fleet, entry FleetMachine) {
-	machine := b.machineByName[entry.Name]
+func (c *Cache) addMachine(fleet *Fleet, entry FleetMachine) {
+	machine := c.machineByName[entry.Name]
 	if machine == nil {
-		machine = &Machine{Index: int32(len(b.Machines)), Name: entry.Name}
-		b.Machines = append(b.Machines, machine)
-		b.machineByName[entry.Name] = machine
+		machine = &Machine{Index: int32(len(c.Machines)), Name: entry.Name}
+		c.Machines = append(c.Machines, machine)
+		c.machineByName[entry.Name] = machine
 	}
 	machine.FleetEntries++
 	if machine.exists {
@@ -892,20 +892,20 @@
 	}
 	machine.Fleet, machine.record, machine.exists, machine.Version = fleet, entry, true, fleet.Version
 	machine.Moved = false
-	b.sorted.machines.Set(machine)
-	machine.joinGroup(b.group(entry.Group))
+	c.sorted.machines.Set(machine)
+	machine.joinGroup(c.group(entry.Group))
 	machine.Shard, machine.Gone = machine.Group.Shard, machine.Group.Version == 0
-	machine.Type = b.TypeIndex.Index(fleet.record.Type)
-	b.growTypes()
-	machine.Zone = b.Zones.Index(fleet.record.Zone)
+	machine.Type = c.TypeIndex.Index(fleet.record.Type)
+	c.growTypes()
+	machine.Zone = c.Zones.Index(fleet.record.Zone)
 	machine.Spot, machine.ProvisionedAt, machine.Addr, machine.FencingToken = fleet.record.Spot, fleet.record.ProvisionedAt, entry.Addr, fleet.record.FencingToken
-	b.markChanged(machine)
+	c.markChanged(machine)
 }
 
 // OversizedFleet returns a fleet whose record is over a limit, and whether it fits when it is
 // written packed.
-func (b *Cache) OversizedFleet(limit int) (f *Fleet, fits bool) {
-	for _, f := range b.fleets {
+func (c *Cache) OversizedFleet(limit int) (f *Fleet, fits bool) {
+	for _, f := range c.fleets {
 		if f.Size > limit && len(f.record.Machines) > 0 {
 			return f, len(EncodeFleet(&f.record, true)) <= limit
 		}
@@ -915,10 +915,10 @@
 
 // SplitFleet writes a fleet's machines as records that are within a limit, leaving out those
 // that a later record lists.
-func (b *Cache) SplitFleet(fleet *Fleet, limit int) []FleetRecord {
+func (c *Cache) SplitFleet(fleet *Fleet, limit int) []FleetRecord {
 	var out []FleetRecord
 	for _, entry := range fleet.record.Machines {
-		if m := b.machineByName[entry.Name]; m == nil || m.Fleet != fleet {
+		if m := c.machineByName[entry.Name]; m == nil || m.Fleet != fleet {
 			continue
 		}
 		if n := len(out) - 1; n >= 0 {
@@ -937,31 +937,31 @@
 
 // FleetWithout writes a fleet's record without some of its machines; none is left
 // if ok is false.
-func (b *Cache) FleetWithout(f *Fleet, gone map[*Machine]bool) (r FleetRecord, ok bool) {
+func (c *Cache) FleetWithout(f *Fleet, gone map[*Machine]bool) (r FleetRecord, ok bool) {
 	r = f.record
-	r.Machines = slices.DeleteFunc(slices.Clone(r.Machines), func(x FleetMachine) bool { return gone[b.machineByName[x.Name]] })
+	r.Machines = slices.DeleteFunc(slices.Clone(r.Machines), func(x FleetMachine) bool { return gone[c.machineByName[x.Name]] })
 	return r, len(r.Machines) > 0
 }
 
 // applyGroup takes a group's record. One that names a job or a machine that is not
 // known yet is left alone: it was read before the record that it names, and comes
 // again with the follow.
-func (b *Cache) applyGroup(id int, value json.RawMessage, version uint64) error {
-	if id < len(b.Groups) && b.Groups[id].Version >= version {
+func (c *Cache) applyGroup(id int, value json.RawMessage, version uint64) error {
+	if id < len(c.Groups) && c.Groups[id].Version >= version {
 		return nil
 	}
 	record, err := DecodeGroup(value)
 	if err != nil {
 		return fmt.Errorf("rack %d: %w", id, err)
 	}
-	if record.Shard < 0 || record.Shard >= b.NumShards {
+	if record.Shard < 0 || record.Shard >= c.NumShards {
 		return fmt.Errorf("rack %d: no share %d", id, record.Shard)
 	}
 	entries := make(map[*Machine]*GroupMachine, len(record.Machines))
 	tasks := make(map[*Machine][]PlacedTask, len(record.Machines))
 	for i := range record.Machines {
 		entry := &record.Machines[i]
-		machine := b.machineByName[entry.Name]
+		machine := c.machineByName[entry.Name]
 		if machine == nil {
 			return fmt.Errorf("rack %d: unknown machine %s", id, entry.Name)
 		}
@@ -975,9 +975,9 @@
 		}
 		list := make([]PlacedTask, 0, n)
 		for _, placedTasks := range entry.Tasks {
-			j := b.jobByID[placedTasks.Job]
+			j := c.jobByID[placedTasks.Job]
 			if j == nil {
-				if f, _ := b.FinalState(placedTasks.Job); f == protocol.Done {
+				if f, _ := c.FinalState(placedTasks.Job); f == protocol.Done {
 					continue // every task has ended; the owner's next record leaves it out
 				}
 				return fmt.Errorf("rack %d: unknown job %s", id, placedTasks.Job)
@@ -992,9 +992,9 @@
 	}
 	var ended []CompletedTask
 	for _, completedTasks := range record.Completed {
-		j := b.jobByID[completedTasks.Job]
+		j := c.jobByID[completedTasks.Job]
 		if j == nil {
-			if f, _ := b.FinalState(completedTasks.Job); f == "" {
+			if f, _ := c.FinalState(completedTasks.Job); f == "" {
 				return fmt.Errorf("rack %d: unknown job %s", id, completedTasks.Job)
 			}
 			continue
@@ -1005,14 +1005,14 @@
 			}
 		}
 	}
-	group := b.group(id)
+	group := c.group(id)
 	for m, x := range entries {
 		if !x.Moved {
 			continue
 		}
 		if m.Moved = true; m.Group != group {
 			// It comes from a group whose record it left in the same change or before.
-			b.setTasks(m, nil)
+			c.setTasks(m, nil)
 			m.leaveGroup()
 			m.joinGroup(group)
 		}
@@ -1028,7 +1028,7 @@
 				// before the group's was called done with 4 of 2 tasks.
 				e.Job.DoneCount++
 			}
-			b.feedJob(e.Job)
+			c.feedJob(e.Job)
 		}
 	}
 	for _, storageMachine := range group.Machines {
@@ -1042,22 +1042,22 @@
 			storageMachine.Shard, storageMachine.FencingToken, storageMachine.Incarnation = group.Shard, token, groupMachine.Incarnation
 			storageMachine.Returning, storageMachine.Unhealthy, storageMachine.Draining = groupMachine.Returning, groupMachine.Unhealthy, groupMachine.Draining
 			storageMachine.Gone, storageMachine.Version = false, version
-			b.markChanged(storageMachine)
+			c.markChanged(storageMachine)
 		}
 		if groupMachine.Addr != "" {
 			storageMachine.Addr = groupMachine.Addr
 		}
 		if !slices.Equal(tasks[storageMachine], storageMachine.Tasks) {
-			b.setTasks(storageMachine, tasks[storageMachine])
+			c.setTasks(storageMachine, tasks[storageMachine])
 		}
 	}
 	return nil
 }
 
 // setTasks replaces the tasks of a machine's record and keeps the counts true.
-func (b *Cache) setTasks(machine *Machine, tasks []PlacedTask) {
+func (c *Cache) setTasks(machine *Machine, tasks []PlacedTask) {
 	old := machine.Tasks
-	b.recordImages(machine, old)
+	c.recordImages(machine, old)
 	for _, p := range old {
 		j := p.Job
 		if j.MachineOf[p.Task] == machine.Index {
@@ -1066,8 +1066,8 @@
 		j.PlacedCount--
 		j.ByZone[machine.Zone]--
 		j.firstOpen = min(j.firstOpen, p.Task)
-		b.Used[j.Team].Add(j, -1)
-		b.feedJob(j)
+		c.Used[j.Team].Add(j, -1)
+		c.feedJob(j)
 	}
 	for _, p := range tasks {
 		j := p.Job
@@ -1077,8 +1077,8 @@
 			j.ByZone = append(j.ByZone, 0)
 		}
 		j.ByZone[machine.Zone]++
-		b.Used[j.Team].Add(j, 1)
-		b.feedJob(j)
+		c.Used[j.Team].Add(j, 1)
+		c.feedJob(j)
 	}
 	machine.Tasks = tasks
 }
@@ -1088,16 +1088,16 @@
 // A controller that cancelled a job itself knows so before its follow has brought what
 // was placed just before: until it has, the job must stay known, or the machine's
 // record could not be read.
-func (b *Cache) Sweep() {
-	for _, j := range b.Jobs {
-		if j != nil && !j.Open() && j.PlacedCount == 0 && j.Version <= b.Revision {
-			b.forget(j.ID, j, j.outcome())
+func (c *Cache) Sweep() {
+	for _, j := range c.Jobs {
+		if j != nil && !j.Open() && j.PlacedCount == 0 && j.Version <= c.Revision {
+			c.forget(j.ID, j, j.outcome())
 		}
 	}
 }
 
 // GroupMachineOf writes a machine's part of its group's record, with other tasks.
-func (b *Cache) GroupMachineOf(machine *Machine, tasks []PlacedTask) GroupMachine {
+func (c *Cache) GroupMachineOf(machine *Machine, tasks []PlacedTask) GroupMachine {
 	entry := GroupMachine{Name: machine.Name, Incarnation: machine.Incarnation, Returning: machine.Returning, Draining: machine.Draining, Unhealthy: machine.Unhealthy, Moved: machine.Moved}
 	if machine.FencingToken > machine.Fleet.record.FencingToken {
 		entry.FencingToken = machine.FencingToken
@@ -1118,10 +1118,10 @@
 
 // GroupRecordOf writes a group's record. change, if set, changes a machine's part and
 // tells whether the machine stays.
-func (b *Cache) GroupRecordOf(k *MachineGroup, ended []CompletedTask, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
+func (c *Cache) GroupRecordOf(k *MachineGroup, ended []CompletedTask, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
 	r := &GroupRecord{Shard: k.Shard, FencingToken: k.FencingToken, Completed: endedTasksOf(ended)}
 	for _, m := range k.Machines {
-		x, stays := b.GroupMachineOf(m, m.Tasks), true
+		x, stays := c.GroupMachineOf(m, m.Tasks), true
 		if change != nil {
 			x, stays = change(m)
 		}
@@ -1160,13 +1160,13 @@
 }
 
 // JobRecordOf writes a job's record with another set of completed tasks.
-func (b *Cache) JobRecordOf(job *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
-	record := &JobRecord{Tasks: job.Tasks, DoneCount: n, Final: string(final), Team: b.Teams[job.Team].Name}
+func (c *Cache) JobRecordOf(job *Job, done Bitmap, n int, final protocol.JobStatus) *JobRecord {
+	record := &JobRecord{Tasks: job.Tasks, DoneCount: n, Final: string(final), Team: c.Teams[job.Team].Name}
 	if final == protocol.Done || job.DependencyFailed && job.PlacedCount == 0 {
 		return record
 	}
 	record.Spec, record.SubmittedMs, record.Suspect = job.Spec, job.Submitted.UnixMilli(), job.Suspect
-	if final == "" || !b.Packed() {
+	if final == "" || !c.Packed() {
 		// In the packed layout an open job's record is rewritten only while none of its tasks
 		// has completed: a large set would be over the limit, and is kept in parts.
 		record.Done = done.encode()
@@ -1181,31 +1181,31 @@
 }
 
 // DropUnseen forgets every record that was not seen in a full read begun at revision.
-func (b *Cache) DropUnseen(seen map[string]bool, revision uint64) error {
-	for id, f := range b.fleets {
+func (c *Cache) DropUnseen(seen map[string]bool, revision uint64) error {
+	for id, f := range c.fleets {
 		if len(f.record.Machines) > 0 && !seen[FleetKey(id)] {
-			if err := b.applyFleet(id, nil, max(revision, f.Version+1), true); err != nil {
+			if err := c.applyFleet(id, nil, max(revision, f.Version+1), true); err != nil {
 				return err
 			}
 		}
 	}
-	for name, l := range b.chunkSets {
+	for name, l := range c.chunkSets {
 		for i := range l.versions {
 			if !seen[chunkPrefix+name+"/"+strconv.Itoa(i)] {
 				delete(l.versions, i)
 			}
 		}
 	}
-	for id, parts := range b.completionSets {
+	for id, parts := range c.completionSets {
 		for part := range parts {
 			if !seen[CompletionKey(id, part*completionSetTasks)] {
 				delete(parts, part)
 			}
 		}
 	}
-	for key := range b.revisions {
+	for key := range c.revisions {
 		if !seen[key] {
-			if err := b.Apply(key, nil, max(revision, b.revisions[key]+1), true); err != nil {
+			if err := c.Apply(key, nil, max(revision, c.revisions[key]+1), true); err != nil {
 				return err
 			}
 		}
@@ -1215,4 +1215,4 @@
 
 // MachineSeen tells whether a machine has or had a record. One whose group has not been
 // read yet counts too: it must not get another.
-func (b *Cache) MachineSeen(name string) bool { return b.machineByName[name] != nil }
+func (c *Cache) MachineSeen(name string) bool { return c.machineByName[name] != nil }
--- a/internal/storage/change_feed.go
+++ b/internal/storage/change_feed.go
@@ -9,13 +9,13 @@
 }
 
 // EnableChangeFeed begins to collect news. It is called before the first record is taken.
-func (b *Cache) EnableChangeFeed() { b.feed = &changeFeed{evicted: map[string]bool{}} }
+func (c *Cache) EnableChangeFeed() { c.feed = &changeFeed{evicted: map[string]bool{}} }
 
 // TakeChanges hands over up to limit jobs and machines that have changed since they were last
 // handed over, and the evicted sets; more tells that others are left. A job that was
 // forgotten comes a last time, with its final state.
-func (b *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, evicted []string, more bool) {
-	changeFeed := b.feed
+func (c *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, evicted []string, more bool) {
+	changeFeed := c.feed
 	jobs, changeFeed.jobs = splitAt(changeFeed.jobs, limit)
 	machines, changeFeed.machines = splitAt(changeFeed.machines, limit)
 	for _, j := range jobs {
@@ -32,7 +32,7 @@
 }
 
 // PendingChanges is how many changed jobs and machines wait to be handed over.
-func (b *Cache) PendingChanges() int { return len(b.feed.jobs) + len(b.feed.machines) }
+func (c *Cache) PendingChanges() int { return len(c.feed.jobs) + len(c.feed.machines) }
 
 func splitAt[T any](list []T, limit int) (head, rest []T) {
 	if len(list) <= limit {
@@ -41,33 +41,33 @@
 	return list[:limit:limit], list[limit:]
 }
 
-func (b *Cache) feedJob(j *Job) {
-	if b.feed != nil && !j.inChangeFeed {
+func (c *Cache) feedJob(j *Job) {
+	if c.feed != nil && !j.inChangeFeed {
 		j.inChangeFeed = true
-		b.feed.jobs = append(b.feed.jobs, j)
+		c.feed.jobs = append(c.feed.jobs, j)
 	}
 }
 
-func (b *Cache) feedMachine(m *Machine) {
-	if b.feed != nil && !m.inChangeFeed {
+func (c *Cache) feedMachine(m *Machine) {
+	if c.feed != nil && !m.inChangeFeed {
 		m.inChangeFeed = true
-		b.feed.machines = append(b.feed.machines, m)
+		c.feed.machines = append(c.feed.machines, m)
 	}
 }
 
-func (b *Cache) feedVictimSet(id string) {
-	if b.feed != nil {
-		b.feed.evicted[id] = true
+func (c *Cache) feedVictimSet(id string) {
+	if c.feed != nil {
+		c.feed.evicted[id] = true
 	}
 }
 
 // feedAllMachines notes all machines: what they cost has changed.
-func (b *Cache) feedAllMachines() {
-	if b.feed == nil {
+func (c *Cache) feedAllMachines() {
+	if c.feed == nil {
 		return
 	}
-	b.sorted.machines.Scan(func(m *Machine) bool {
-		b.feedMachine(m)
+	c.sorted.machines.Scan(func(m *Machine) bool {
+		c.feedMachine(m)
 		return true
 	})
 }
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -54,13 +54,13 @@
 	return parts, Encode(&x)
 }
 
-func (b *Cache) applyChunk(name string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applyChunk(name string, value json.RawMessage, version uint64, deleted bool) error {
 	at := strings.LastIndexByte(name, '/')
 	i, err := strconv.Atoi(name[at+1:])
 	if at < 0 || err != nil || i < 0 || i > protocol.MaxBody {
 		return fmt.Errorf("record %s%s: no such part", chunkPrefix, name)
 	}
-	storageChunkSet := b.chunkSets[name[:at]]
+	storageChunkSet := c.chunkSets[name[:at]]
 	if storageChunkSet != nil && storageChunkSet.versions[i] >= version {
 		return nil
 	}
@@ -68,7 +68,7 @@
 		if storageChunkSet != nil {
 			delete(storageChunkSet.chunks, i)
 			if delete(storageChunkSet.versions, i); len(storageChunkSet.versions) == 0 {
-				delete(b.chunkSets, name[:at])
+				delete(c.chunkSets, name[:at])
 			}
 		}
 		return nil
@@ -79,7 +79,7 @@
 	}
 	if storageChunkSet == nil {
 		storageChunkSet = &chunkSet{chunks: map[int]string{}, versions: map[int]uint64{}, writtenAt: time.UnixMilli(r.AtMs)}
-		b.chunkSets[name[:at]] = storageChunkSet
+		c.chunkSets[name[:at]] = storageChunkSet
 	}
 	storageChunkSet.chunks[i], storageChunkSet.versions[i] = r.Text, version
 	return nil
@@ -87,8 +87,8 @@
 
 // joinChunks puts the parts of a long description into its record. Their text is not kept
 // any longer than until then.
-func (b *Cache) joinChunks(id string, record *JobRecord) error {
-	chunkSet := b.chunkSets[id+"/"+record.ChunkSet]
+func (c *Cache) joinChunks(id string, record *JobRecord) error {
+	chunkSet := c.chunkSets[id+"/"+record.ChunkSet]
 	text := ""
 	for i := range record.ChunkCount {
 		if chunkSet == nil || chunkSet.chunks[i] == "" {
@@ -111,11 +111,11 @@
 
 // staleChunks are parts that are needed no more: of jobs that are over, of tries that lost to
 // another, and of those that were given up.
-func (b *Cache) staleChunks(limit int, now time.Time) (out []protocol.Condition) {
-	for name, chunkSet := range b.chunkSets {
+func (c *Cache) staleChunks(limit int, now time.Time) (out []protocol.Condition) {
+	for name, chunkSet := range c.chunkSets {
 		id, try, _ := strings.Cut(name, "/")
-		_, over := b.final[id]
-		j := b.jobByID[id]
+		_, over := c.final[id]
+		j := c.jobByID[id]
 		if !over && (j == nil && now.Sub(chunkSet.writtenAt) < abandonedChunksAfter || j != nil && j.ChunkSet == try) {
 			continue
 		}
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -27,27 +27,27 @@
 func (j *Job) UnmetDependencies() int { return j.unmetDependencies }
 
 // addDependencies takes a new job into the graph.
-func (b *Cache) addDependencies(job *Job) {
+func (c *Cache) addDependencies(job *Job) {
 	job.unmetDependencies = len(job.Dependencies) // at first: it is not ready before all of them were looked at
 	for _, id := range job.Dependencies {
-		if f, ok := b.recordedFinal(id); ok {
-			b.dependencyEnded(job, f)
+		if f, ok := c.recordedFinal(id); ok {
+			c.dependencyEnded(job, f)
 			continue
 		}
-		b.dependents[id] = append(b.dependents[id], job)
-		if o := b.jobByID[id]; o != nil && o.DependencyFailed {
-			b.failDependents(job)
+		c.dependents[id] = append(c.dependents[id], job)
+		if o := c.jobByID[id]; o != nil && o.DependencyFailed {
+			c.failDependents(job)
 		}
 	}
-	b.graphChanged = b.graphChanged || len(job.Dependencies) > 0
+	c.graphChanged = c.graphChanged || len(job.Dependencies) > 0
 }
 
 // recordedFinal is a job's final state as its record has it.
-func (b *Cache) recordedFinal(id string) (FinalState, bool) {
-	if f, ok := b.final[id]; ok {
+func (c *Cache) recordedFinal(id string) (FinalState, bool) {
+	if f, ok := c.final[id]; ok {
 		return f, true
 	}
-	if j := b.jobByID[id]; j != nil && !j.Open() {
+	if j := c.jobByID[id]; j != nil && !j.Open() {
 		return j.outcome(), true
 	}
 	return FinalState{}, false
@@ -57,40 +57,40 @@
 func (j *Job) outcome() FinalState { return FinalState{j.Final, int32(j.DoneCount), j.FinalAtMs} }
 
 // notifyDependents tells the jobs that wait for one that it is over.
-func (b *Cache) notifyDependents(id string, f FinalState) {
+func (c *Cache) notifyDependents(id string, f FinalState) {
 	// What it needed inherits from it no more.
-	b.graphChanged = b.graphChanged || len(b.inheritors) > 0
-	deps := b.dependents[id]
+	c.graphChanged = c.graphChanged || len(c.inheritors) > 0
+	deps := c.dependents[id]
 	if deps == nil {
 		return
 	}
-	delete(b.dependents, id)
+	delete(c.dependents, id)
 	for _, j := range deps {
-		b.dependencyEnded(j, f)
+		c.dependencyEnded(j, f)
 	}
 }
 
 // dependencyEnded takes down that a job that j needs is over. From the last one's end on j's times
 // count: it is read from that job's record, and so outlives every owner.
-func (b *Cache) dependencyEnded(job *Job, finalState FinalState) {
+func (c *Cache) dependencyEnded(job *Job, finalState FinalState) {
 	job.unmetDependencies--
-	b.feedJob(job)
+	c.feedJob(job)
 	if finalState.Status == protocol.Cancelled {
-		b.failDependents(job)
+		c.failDependents(job)
 		return
 	}
 	if at := time.UnixMilli(finalState.RecordedMs); finalState.RecordedMs > 0 && at.After(job.ReadyAt) {
 		job.ReadyAt = at
 	}
 	if job.unmetDependencies == 0 && !job.DependencyFailed {
-		b.newlyReady = append(b.newlyReady, job)
+		c.newlyReady = append(c.newlyReady, job)
 	}
 }
 
 // failDependents marks a job and all that need it, directly or through others, as cancelled with
 // one before them. That follows from the records alone, so every controller says the same at
 // once; their own final records are written at leisure.
-func (b *Cache) failDependents(job *Job) {
+func (c *Cache) failDependents(job *Job) {
 	work := []*Job{job}
 	for len(work) > 0 {
 		j := work[len(work)-1]
@@ -98,31 +98,31 @@
 		if j.DependencyFailed || !j.Open() {
 			continue
 		}
-		j.DependencyFailed, b.graphChanged = true, true
-		b.feedJob(j)
-		b.dependencyFailed = append(b.dependencyFailed, j)
-		work = append(work, b.dependents[j.ID]...)
+		j.DependencyFailed, c.graphChanged = true, true
+		c.feedJob(j)
+		c.dependencyFailed = append(c.dependencyFailed, j)
+		work = append(work, c.dependents[j.ID]...)
 	}
 }
 
 // DependencyFailed are the jobs that were cancelled with one before them and have no final record
 // of their own yet.
-func (b *Cache) DependencyFailed() []*Job {
-	keep := b.dependencyFailed[:0]
-	for _, j := range b.dependencyFailed {
+func (c *Cache) DependencyFailed() []*Job {
+	keep := c.dependencyFailed[:0]
+	for _, j := range c.dependencyFailed {
 		if j.Open() {
 			keep = append(keep, j)
 		}
 	}
-	clear(b.dependencyFailed[len(keep):])
-	b.dependencyFailed = keep
+	clear(c.dependencyFailed[len(keep):])
+	c.dependencyFailed = keep
 	return keep
 }
 
 // NewlyReady returns the jobs that became ready since it was last called.
-func (b *Cache) NewlyReady() []*Job {
-	list := b.newlyReady
-	b.newlyReady = nil
+func (c *Cache) NewlyReady() []*Job {
+	list := c.newlyReady
+	c.newlyReady = nil
 	return list
 }
 
@@ -130,11 +130,11 @@
 // any, and the latest time at which they must be over for those to be in time. aims is
 // when a job itself should be over at best and at the latest (zero: no such time), length
 // how long it will take. Every job and edge is looked at once.
-func (b *Cache) Inherit(aims func(*Job) (by, late time.Time), length func(*Job) time.Duration) {
-	if !b.graphChanged {
+func (c *Cache) Inherit(aims func(*Job) (by, late time.Time), length func(*Job) time.Duration) {
+	if !c.graphChanged {
 		return
 	}
-	b.graphChanged = false
+	c.graphChanged = false
 	left := map[*Job]int{} // open jobs that need it and were not looked at yet
 	note := func(j *Job) {
 		if _, ok := left[j]; !ok {
@@ -143,8 +143,8 @@
 			j.FinishBy, j.FinishLatest = aims(j)
 		}
 	}
-	for id, deps := range b.dependents {
-		o := b.jobByID[id]
+	for id, deps := range c.dependents {
+		o := c.jobByID[id]
 		if o == nil || !o.Open() || o.DependencyFailed {
 			continue
 		}
@@ -157,12 +157,12 @@
 		}
 	}
 	// What nothing needs any more has only its own left.
-	for j := range b.inheritors {
+	for j := range c.inheritors {
 		if _, ok := left[j]; !ok {
 			j.Priority, j.FinishBy, j.FinishLatest = j.OwnPriority, time.Time{}, time.Time{}
 		}
 	}
-	b.inheritors = left
+	c.inheritors = left
 	var work []*Job
 	for j, n := range left {
 		if n == 0 {
@@ -174,7 +174,7 @@
 		work = work[:len(work)-1]
 		takes := length(job)
 		for _, id := range job.Dependencies {
-			o := b.jobByID[id]
+			o := c.jobByID[id]
 			if o == nil || !o.Open() || o.DependencyFailed {
 				continue
 			}
--- a/internal/storage/images.go
+++ b/internal/storage/images.go
@@ -26,11 +26,11 @@
 
 // recordImages takes down the images of a machine's tasks that have been there for long enough to
 // have fetched them. What still waits may give its fetch up.
-func (b *Cache) recordImages(m *Machine, tasks []PlacedTask) {
+func (c *Cache) recordImages(m *Machine, tasks []PlacedTask) {
 	now := time.Now().Unix()
 	for _, p := range tasks {
 		takes := 0.0
-		if f := b.Types[m.Type].FetchGBs; f > 0 {
+		if f := c.Types[m.Type].FetchGBs; f > 0 {
 			takes = p.Job.ImageGB / f
 		}
 		if float64(now-p.PlacedAt) > 1.3*takes+1 {
@@ -40,16 +40,16 @@
 }
 
 // ImageGB is the size of an image, in GB; 0 if no job that was read needs it.
-func (b *Cache) ImageGB(image int) float64 {
-	if image < len(b.imageGB) {
-		return b.imageGB[image]
+func (c *Cache) ImageGB(image int) float64 {
+	if image < len(c.imageGB) {
+		return c.imageGB[image]
 	}
 	return 0
 }
 
-func (b *Cache) recordImageSize(j *Job) {
-	for len(b.imageGB) <= j.Image {
-		b.imageGB = append(b.imageGB, 0)
+func (c *Cache) recordImageSize(j *Job) {
+	for len(c.imageGB) <= j.Image {
+		c.imageGB = append(c.imageGB, 0)
 	}
-	b.imageGB[j.Image] = j.ImageGB
+	c.imageGB[j.Image] = j.ImageGB
 }
--- a/internal/storage/sorted_views.go
+++ b/internal/storage/sorted_views.go
@@ -35,19 +35,19 @@
 
 // JobsAfter shows the jobs that are not forgotten, in the order of their ids, beginning after
 // one, until yield returns false; of one team only, unless team is below 0.
-func (b *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
-	tree := b.sorted.jobs
+func (c *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
+	tree := c.sorted.jobs
 	if team >= 0 {
-		tree = b.sorted.byTeam[team]
+		tree = c.sorted.byTeam[team]
 	}
 	tree.Ascend(&Job{ID: id}, func(j *Job) bool { return j.ID == id || yield(j) })
 }
 
 // MachineCount is how many machines there are; the cache keeps the names of all that there were.
-func (b *Cache) MachineCount() int { return b.sorted.machines.Len() }
+func (c *Cache) MachineCount() int { return c.sorted.machines.Len() }
 
 // MachinesAfter shows the machines that are there, in the order of their names, beginning
 // after one, until yield returns false.
-func (b *Cache) MachinesAfter(name string, yield func(*Machine) bool) {
-	b.sorted.machines.Ascend(&Machine{Name: name}, func(m *Machine) bool { return m.Name == name || m.Gone || yield(m) })
+func (c *Cache) MachinesAfter(name string, yield func(*Machine) bool) {
+	c.sorted.machines.Ascend(&Machine{Name: name}, func(m *Machine) bool { return m.Name == name || m.Gone || yield(m) })
 }
--- a/internal/storage/team_bounds.go
+++ b/internal/storage/team_bounds.go
@@ -57,28 +57,28 @@
 }
 
 // applyTeam takes a team's record. One of a team that the settings name no more is left alone.
-func (b *Cache) applyTeam(escaped string, value json.RawMessage, version uint64, deleted bool) error {
+func (c *Cache) applyTeam(escaped string, value json.RawMessage, version uint64, deleted bool) error {
 	name, err := url.PathUnescape(escaped)
 	if err != nil {
 		return fmt.Errorf("record %s%s: %w", teamPrefix, escaped, err)
 	}
-	team := b.TeamIndex.Find(name)
-	if team < 0 || b.TeamEntries[team].Version >= version {
+	team := c.TeamIndex.Find(name)
+	if team < 0 || c.TeamEntries[team].Version >= version {
 		return nil
 	}
 	if deleted {
-		delete(b.TeamEntries, team)
-		b.Teams[team] = b.fileTeams[team]
+		delete(c.TeamEntries, team)
+		c.Teams[team] = c.fileTeams[team]
 		return nil
 	}
 	entry := TeamEntry{Version: version}
 	if err := json.Unmarshal(value, &entry.TeamRecord); err != nil {
 		return fmt.Errorf("record %s%s: %w", teamPrefix, escaped, err)
 	}
-	b.TeamEntries[team] = entry
-	b.Teams[team] = entry.Team(name)
+	c.TeamEntries[team] = entry
+	c.Teams[team] = entry.Team(name)
 	return nil
 }
 
 // TeamChangesEnabled tells whether every controller reads changed teams, so that there may be some.
-func (b *Cache) TeamChangesEnabled() bool { return b.Layout.Version >= LayoutTeams && !b.ForcePlain }
+func (c *Cache) TeamChangesEnabled() bool { return c.Layout.Version >= LayoutTeams && !c.ForcePlain }
