--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -566,14 +566,14 @@
 	return nil
 }
 
-func (b *Cache) applyCatalog(value json.RawMessage, version uint64) error {
-	var c protocol.Catalog
-	if err := json.Unmarshal(value, &c); err != nil {
+func (c *Cache) applyCatalog(value json.RawMessage, version uint64) error {
+	var catalog protocol.Catalog
+	if err := json.Unmarshal(value, &catalog); err != nil {
 		return fmt.Errorf("record %s: %w", CatalogKey, err)
 	}
-	b.Catalog = RawRecord{value, version}
-	b.UpdateCatalog(&c)
-	b.feedAllMachines()
+	c.Catalog = RawRecord{value, version}
+	c.UpdateCatalog(&catalog)
+	c.feedAllMachines()
 	return nil
 }
 
