--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -15,6 +15,14 @@
 	"dykeledge/internal/storage"
 )
 
+// operatorState is the operators' settings in force, and the preemptions shown to them.
+type operatorState struct {
+	settings          OperatorSettings
+	version           uint64 // of the settings' record that was last looked at
+	recentPreemptions []EvictionView
+	preemptionsSeen   map[string]uint64 // by job: version of its victim set
+}
+
 // OperatorSettings are what operators may change while the service runs.
 type OperatorSettings struct {
 	Alpha      float64 `json:"alpha"`
@@ -107,7 +115,7 @@
 
 // applySettings takes up what the state service holds.
 func (c *Controller) applySettings() {
-	if c.cache.Settings.Version == c.settingsVersion {
+	if c.cache.Settings.Version == c.operator.version {
 		return
 	}
 	operatorSettings := DefaultOperatorSettings()
@@ -115,18 +123,18 @@
 		var err error
 		if operatorSettings, err = operatorSettings.Change(c.cache.Settings.Value); err != nil {
 			c.log.Error("settings in the state service are not taken up", "err", err)
-			c.settingsVersion = c.cache.Settings.Version
+			c.operator.version = c.cache.Settings.Version
 			return
 		}
 	}
-	c.settingsVersion = c.cache.Settings.Version
-	c.operatorSettings = operatorSettings
-	c.alpha = operatorSettings.Alpha
+	c.operator.version = c.cache.Settings.Version
+	c.operator.settings = operatorSettings
+	c.planner.alpha = operatorSettings.Alpha
 	c.timing.RebalanceInterval = seconds(operatorSettings.MoveEveryS)
 	if c.OnLogLevel != nil {
 		c.OnLogLevel(operatorSettings.LogLevel)
 	}
-	c.log.Info("settings taken up", "version", c.settingsVersion, "alpha", operatorSettings.Alpha, "move_every_s", operatorSettings.MoveEveryS, "log_level", operatorSettings.LogLevel)
+	c.log.Info("settings taken up", "version", c.operator.version, "alpha", operatorSettings.Alpha, "move_every_s", operatorSettings.MoveEveryS, "log_level", operatorSettings.LogLevel)
 }
 
 // Settings returns the operators' settings with their version.
@@ -136,7 +144,7 @@
 	if err := c.Barrier(ctx); err != nil {
 		return s, 0, ErrUnavailable
 	}
-	err := c.call(ctx, func() { s, v = c.operatorSettings, c.cache.Settings.Version })
+	err := c.call(ctx, func() { s, v = c.operator.settings, c.cache.Settings.Version })
 	return s, v, err
 }
 
@@ -200,7 +208,7 @@
 					memberView.Shards = append(memberView.Shards, i)
 				}
 			}
-			if p, ok := c.peers[n]; ok {
+			if p, ok := c.reachability.peers[n]; ok {
 				memberView.HeartbeatAgeS, memberView.StateOK = time.Since(p.heardAt).Seconds(), p.heartbeat.StateOK
 			}
 			if n == c.cfg.MemberName {
@@ -404,7 +412,7 @@
 			controllerMachineInfo.Placed = append(controllerMachineInfo.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.WaitedS})
 		}
 	}
-	if v := c.workerStates[machine.Index]; v != nil && c.ownsShard(machine.Shard) {
+	if v := c.workers.states[machine.Index]; v != nil && c.ownsShard(machine.Shard) {
 		controllerMachineInfo.SilentS = time.Since(v.heard).Seconds()
 	}
 	return controllerMachineInfo
@@ -448,19 +456,19 @@
 // recordPreemptions keeps the latest evicted sets for operators.
 func (c *Controller) recordPreemptions() {
 	for id, e := range c.cache.VictimSets {
-		if c.preemptionsSeen[id] == e.Version {
+		if c.operator.preemptionsSeen[id] == e.Version {
 			continue
 		}
-		c.preemptionsSeen[id] = e.Version
+		c.operator.preemptionsSeen[id] = e.Version
 		c.metrics.preemptedTasks.Add(float64(len(e.Victims)))
-		c.recentPreemptions = append(c.recentPreemptions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Shard: e.Shard, Victims: e.Victims})
-		if n := len(c.recentPreemptions); n > keptEvictions {
-			c.recentPreemptions = slices.Clone(c.recentPreemptions[n-keptEvictions:])
+		c.operator.recentPreemptions = append(c.operator.recentPreemptions, EvictionView{Job: id, At: time.UnixMilli(e.AtMs), Shard: e.Shard, Victims: e.Victims})
+		if n := len(c.operator.recentPreemptions); n > keptEvictions {
+			c.operator.recentPreemptions = slices.Clone(c.operator.recentPreemptions[n-keptEvictions:])
 		}
 	}
-	for id := range c.preemptionsSeen {
+	for id := range c.operator.preemptionsSeen {
 		if c.cache.VictimSets[id] == nil {
-			delete(c.preemptionsSeen, id)
+			delete(c.operator.preemptionsSeen, id)
 		}
 	}
 }
@@ -469,7 +477,7 @@
 func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
 	out := []EvictionView{}
 	err := c.call(ctx, func() {
-		out = append(out, c.recentPreemptions...)
+		out = append(out, c.operator.recentPreemptions...)
 		slices.Reverse(out)
 	})
 	return out, err
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -18,7 +18,7 @@
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
 	controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-	controller.loaded, controller.incarnation = true, 1
+	controller.follower.loaded, controller.session.incarnation = true, 1
 	controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
 	put := func(key string, v any, version uint64) {
 		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
@@ -48,8 +48,8 @@
 		}
 		put(storage.GroupKey(k), rec, 5)
 	}
-	controller.cache.Revision, controller.highestRevision = 5, 5
-	controller.ownedShards[0] = 2
+	controller.cache.Revision, controller.follower.highestRevision = 5, 5
+	controller.shards.owned[0] = 2
 	for _, m := range controller.cache.Machines {
 		controller.applyHeartbeat(m, controller.workerState(m), reportOf(m, 1), 4, false)
 	}
@@ -72,7 +72,7 @@
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
 			c := largeCore(b, n.machines, n.jobs)
-			c.directCommands = maxDirectCommands // no workers here
+			c.workers.directCommands = maxDirectCommands // no workers here
 			b.ReportAllocs()
 			f(b, c)
 		})
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -10,6 +10,24 @@
 	"dykeledge/internal/storage"
 )
 
+// cancellationTracker is what this controller knows of cancellations and what it does to have
+// cancelled tasks ended. It is written by this file, proxy_renewals.go and terminations.go.
+type cancellationTracker struct {
+	digest       digestState
+	unverified   unverifiedRenewals
+	terminations map[int32]*termination // by machine with a cancelled job's task
+	// learnedAt is, by cancelled job whose record does not tell when, since when this process has known.
+	learnedAt map[string]time.Time
+}
+
+func newCancellationTracker(now time.Time) cancellationTracker {
+	return cancellationTracker{
+		digest:       digestState{gossiped: map[string]uint64{}, vouchedUntil: map[string]time.Time{}},
+		unverified:   unverifiedRenewals{since: now, renewed: map[string]time.Time{}},
+		terminations: map[int32]*termination{},
+	}
+}
+
 // This file owns what a controller knows of cancellations, and until when it knows all of them. Whoever
 // renews a worker's lease must: see knows. A controller knows by its own reading of the state service
 // while it is served; in an outage by the word of every other process, that it has confirmed nothing
@@ -53,7 +71,7 @@
 func (c *Controller) noteCancellation(key string, version uint64) {
 	if id, ok := storage.JobIDOf(key); ok {
 		if f, _ := c.cache.FinalState(id); f == protocol.Cancelled {
-			c.digest.recorded.add(version, id)
+			c.cancellations.digest.recorded.add(version, id)
 		}
 	}
 }
@@ -64,16 +82,16 @@
 	if !j.Open() {
 		return true
 	}
-	_, told := c.digest.gossiped[j.ID]
+	_, told := c.cancellations.digest.gossiped[j.ID]
 	return told
 }
 
 // currentDigest is what this controller vouches for now, nil while it can't.
 func (c *Controller) currentDigest(now time.Time) *protocol.CancellationDigest {
-	if !c.loaded || c.Frames < protocol.FramesCancellationDigest {
+	if !c.follower.loaded || c.Frames < protocol.FramesCancellationDigest {
 		return nil
 	}
-	return &protocol.CancellationDigest{At: now.UnixMilli(), ProcessStart: c.startedAt.UnixMilli(), From: c.digest.recorded.from, Cancellations: slices.Clone(c.digest.recorded.list)}
+	return &protocol.CancellationDigest{At: now.UnixMilli(), ProcessStart: c.session.startedAt.UnixMilli(), From: c.cancellations.digest.recorded.from, Cancellations: slices.Clone(c.cancellations.digest.recorded.list)}
 }
 
 // CancellationDigest is what this controller vouches for to another, if that one reads it. Of what is listed the
@@ -101,7 +119,7 @@
 	out := map[string]uint64{}
 	for name, n := range c.cache.Members {
 		if name != c.cfg.MemberName && n.FrameLevel >= protocol.FramesCancellationDigest {
-			out[name] = c.peers[name].heartbeat.Revision
+			out[name] = c.reachability.peers[name].heartbeat.Revision
 		}
 	}
 	return &out
@@ -113,14 +131,14 @@
 }
 
 func (c *Controller) applyDigest(node string, cancellationDigest protocol.CancellationDigest, now time.Time) {
-	if !c.loaded {
+	if !c.follower.loaded {
 		return
 	}
 	fresh := false
 	for _, e := range cancellationDigest.Cancellations {
 		if e.Version > c.cache.Revision {
-			_, known := c.digest.gossiped[e.Job]
-			c.digest.gossiped[e.Job] = e.Version
+			_, known := c.cancellations.digest.gossiped[e.Job]
+			c.cancellations.digest.gossiped[e.Job] = e.Version
 			fresh = fresh || !known
 		}
 	}
@@ -132,12 +150,12 @@
 	// reading after this one began shows it. And a list that begins after this controller's cache has a gap.
 	off := 2 * time.Duration(c.cfg.Deployment.ClockSkewMs*float64(time.Millisecond))
 	since := func(ms int64) time.Time { return now.Add(-time.Duration(now.UnixMilli()-ms) * time.Millisecond) }
-	if since(cancellationDigest.ProcessStart).Add(off).After(c.cacheCurrentAt) || cancellationDigest.From > c.cache.Revision {
+	if since(cancellationDigest.ProcessStart).Add(off).After(c.follower.cacheCurrentAt) || cancellationDigest.From > c.cache.Revision {
 		return
 	}
 	// It may have been held up on its way: it vouches for what was before it was said.
-	if at := earliest(now, since(cancellationDigest.At).Add(-off)); at.After(c.digest.vouchedUntil[node]) {
-		c.digest.vouchedUntil[node] = at
+	if at := earliest(now, since(cancellationDigest.At).Add(-off)); at.After(c.cancellations.digest.vouchedUntil[node]) {
+		c.cancellations.digest.vouchedUntil[node] = at
 	}
 }
 
@@ -150,7 +168,7 @@
 
 // terminateGossiped has the tasks of jobs that peers tell to be cancelled stopped on this controller's machines.
 func (c *Controller) terminateGossiped() {
-	for id := range c.digest.gossiped {
+	for id := range c.cancellations.digest.gossiped {
 		if j := c.cache.Job(id); j != nil {
 			c.terminateJob(j)
 		}
@@ -159,9 +177,9 @@
 
 // dropReadCancellations forgets what the records show by now.
 func (c *Controller) dropReadCancellations() {
-	for id, v := range c.digest.gossiped {
+	for id, v := range c.cancellations.digest.gossiped {
 		if v <= c.cache.Revision {
-			delete(c.digest.gossiped, id)
+			delete(c.cancellations.digest.gossiped, id)
 		}
 	}
 }
@@ -171,7 +189,7 @@
 	all := now
 	others := func(name string) {
 		if name != c.cfg.MemberName {
-			all = earliest(all, c.digest.vouchedUntil[name])
+			all = earliest(all, c.cancellations.digest.vouchedUntil[name])
 		}
 	}
 	for _, k := range c.cfg.Known {
@@ -180,7 +198,7 @@
 	for name := range c.cache.Members {
 		others(name)
 	}
-	return maxTime(c.cacheCurrentAt, all)
+	return maxTime(c.follower.cacheCurrentAt, all)
 }
 
 // mayRenewLeases tells whether this controller knows enough to renew a worker's lease: every cancellation that was
@@ -188,8 +206,8 @@
 // lease that it renews ends within cancel_s of it. A controller that has read no records goes by its start.
 func (c *Controller) mayRenewLeases(now time.Time) bool {
 	w := c.cfg.Deployment.Workers
-	if !c.loaded {
-		return now.Sub(c.unverified.since) <= unverifiedRenewalWindow(w)
+	if !c.follower.loaded {
+		return now.Sub(c.cancellations.unverified.since) <= unverifiedRenewalWindow(w)
 	}
 	return now.Sub(c.cancellationsKnownAt(now)) <= maxKnowledgeAge(w)
 }
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 			now := time.Now()
-			controller.cacheCurrentAt = now.Add(-x.read)
+			controller.follower.cacheCurrentAt = now.Add(-x.read)
 			word := func(node string, said, born time.Duration, from uint64, list []protocol.Cancellation) {
 				controller.applyDigest(node, protocol.CancellationDigest{At: now.Add(-said).UnixMilli(), ProcessStart: now.Add(-born).UnixMilli(), From: from, Cancellations: list}, now)
 			}
@@ -116,11 +116,11 @@
 // a controller of the version before would close the connection at the first.
 func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
 	controller := newCore(t)
-	controller.digest.recorded.add(6, "job-000006")
-	controller.digest.recorded.add(8, "job-000008")
+	controller.cancellations.digest.recorded.add(6, "job-000006")
+	controller.cancellations.digest.recorded.add(8, "job-000008")
 	controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesCancellationDigest}}
 	controller.cache.Members["n2"] = &storage.Member{}
-	controller.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
+	controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	controller.publish(time.Now())
 	if w, ok := controller.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
 		t.Errorf("to one that has read up to 7: %+v, %v", w, ok)
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -10,6 +10,17 @@
 	"dykeledge/internal/storage"
 )
 
+// commitQueue is the cycle of planning and committing: one transaction of this controller's
+// shards is under way at a time. It is written by this file only, but for cycleRequested.
+type commitQueue struct {
+	cycleRequested  bool
+	nextCycleAt     time.Time     // no cycle before
+	inFlight        bool          // a transaction is under way
+	inDoubt         *protocol.Txn // sent with unknown outcome: repeated until it is known
+	lastTxnOps      int           // changes of the latest transaction
+	awaitedRevision uint64        // no cycle before the cache has come this far
+}
+
 const (
 	maxTxnBytes = 56 << 10
 	maxPlace    = 400 // tasks placed in one pass
@@ -60,21 +71,21 @@
 // transaction. Only one is under way at a time; one whose outcome is unknown is
 // repeated until it is known, since it might still be applied.
 func (c *Controller) cycle(ctx context.Context) {
-	c.cycleRequested = false
+	c.commits.cycleRequested = false
 	now := time.Now()
-	if !c.loaded {
+	if !c.follower.loaded {
 		return
 	}
-	if c.inDoubt != nil {
-		c.send(ctx, *c.inDoubt)
+	if c.commits.inDoubt != nil {
+		c.send(ctx, *c.commits.inDoubt)
 		return
 	}
-	if c.cache.Revision < c.awaitedRevision {
+	if c.cache.Revision < c.commits.awaitedRevision {
 		return // the follow brings what a refused transaction had missed
 	}
 	// A plan that waits for its turn grows stale: it is made when it can go out.
-	if d := c.store.Pace(c.lastTxnOps); d > 0 {
-		c.nextCycleAt, c.cycleRequested = now.Add(d), true
+	if d := c.store.Pace(c.commits.lastTxnOps); d > 0 {
+		c.commits.nextCycleAt, c.commits.cycleRequested = now.Add(d), true
 		return
 	}
 	t, more := c.nextTxn(now)
@@ -83,9 +94,9 @@
 		return
 	}
 	if more {
-		c.cycleRequested = true
+		c.commits.cycleRequested = true
 	}
-	c.lastTxnOps = len(t.Then)
+	c.commits.lastTxnOps = len(t.Then)
 	c.send(ctx, t)
 }
 
@@ -98,9 +109,9 @@
 	for ops := c.limits().TxnOps; ; ops = (ops + 1) / 2 {
 		began := time.Now()
 		b, more := c.plan(now, ops)
-		c.counters.pass(time.Since(began))
+		c.metrics.counters.pass(time.Since(began))
 		c.metrics.planSeconds.Observe(time.Since(began).Seconds())
-		if c.oversizedGroup != nil {
+		if c.planner.oversizedGroup != nil {
 			if t := c.nextGroupSplit(); len(t.Then) > 0 {
 				return t, true
 			}
@@ -114,8 +125,8 @@
 // nextGroupSplit parts a group whose record would be over the limit, if there is one: its
 // machines' tasks could not leave it otherwise.
 func (c *Controller) nextGroupSplit() protocol.Txn {
-	group := c.oversizedGroup
-	c.oversizedGroup = nil
+	group := c.planner.oversizedGroup
+	c.planner.oversizedGroup = nil
 	if !c.cache.Packed() {
 		return protocol.Txn{}
 	}
@@ -131,12 +142,12 @@
 	if group == nil || !c.ownsShard(group.Shard) {
 		return protocol.Txn{}
 	}
-	c.plannedTasks, c.completedJobs = 0, c.completedJobs[:0]
+	c.planner.plannedTasks, c.planner.completedJobs = 0, c.planner.completedJobs[:0]
 	return c.splitGroup(group)
 }
 
 func (c *Controller) send(ctx context.Context, t protocol.Txn) {
-	c.commitInFlight = true
+	c.commits.inFlight = true
 	go func() {
 		tctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 		rev, failed, err := c.store.Txn(tctx, t, protocol.BackgroundRequest)
@@ -146,23 +157,23 @@
 }
 
 func (c *Controller) sent(txn protocol.Txn, rev uint64, failed []string, err error) {
-	c.commitInFlight = false
+	c.commits.inFlight = false
 	now := time.Now()
-	c.nextCycleAt = now.Add(c.timing.CommitInterval)
+	c.commits.nextCycleAt = now.Add(c.timing.CommitInterval)
 	switch {
 	case err == nil && len(failed) == 0:
-		c.inDoubt = nil
-		c.storeFailingSince, c.storeServedAt = time.Time{}, now
+		c.commits.inDoubt = nil
+		c.storeHealth.failingSince, c.storeHealth.servedAt = time.Time{}, now
 		if settles(txn) {
-			c.awaitedRevision = rev // what it settled may have been applied before
+			c.commits.awaitedRevision = rev // what it settled may have been applied before
 		}
 		c.applyTxn(txn, rev)
-		c.metrics.launches.Add(float64(c.plannedTasks))
-		if c.plannedTasks > 0 && !c.placedSinceTakeover {
-			c.placedSinceTakeover = true
-			c.log.Info("places again", "after", now.Sub(c.ownershipSince).Round(time.Millisecond).Seconds(), "tasks", c.plannedTasks)
+		c.metrics.launches.Add(float64(c.planner.plannedTasks))
+		if c.planner.plannedTasks > 0 && !c.shards.placedSinceTakeover {
+			c.shards.placedSinceTakeover = true
+			c.log.Info("places again", "after", now.Sub(c.shards.takenOverAt).Round(time.Millisecond).Seconds(), "tasks", c.planner.plannedTasks)
 		}
-		for _, j := range c.completedJobs {
+		for _, j := range c.planner.completedJobs {
 			jv := c.jobState(j)
 			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
 				"share", j.Shard, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Deadline.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Dependencies, "ready", j.ReadyAt.Sub(j.Submitted).Seconds(),
@@ -174,25 +185,25 @@
 	case err == nil:
 		// Something changed under it: whatever it was, a late copy cannot apply any more.
 		c.log.Debug("commit conflicts", "keys", failed)
-		c.inDoubt = nil
-		c.storeFailingSince, c.storeServedAt = time.Time{}, now
-		c.awaitedRevision = rev
-		c.highestRevision = max(c.highestRevision, rev)
+		c.commits.inDoubt = nil
+		c.storeHealth.failingSince, c.storeHealth.servedAt = time.Time{}, now
+		c.commits.awaitedRevision = rev
+		c.follower.highestRevision = max(c.follower.highestRevision, rev)
 		c.flushHeldReplies(now, true)
 		c.requestCycle()
 	default:
-		if c.storeFailingSince.IsZero() {
-			c.storeFailingSince = now
+		if c.storeHealth.failingSince.IsZero() {
+			c.storeHealth.failingSince = now
 		}
 		c.noteTooLarge(err)
 		switch {
 		case !errors.Is(err, protocol.ErrRefused):
-			c.inDoubt = &txn
-		case errors.Is(err, protocol.ErrTooLarge) && c.inDoubt != nil:
-			c.inDoubt = c.settling(*c.inDoubt)
+			c.commits.inDoubt = &txn
+		case errors.Is(err, protocol.ErrTooLarge) && c.commits.inDoubt != nil:
+			c.commits.inDoubt = c.settling(*c.commits.inDoubt)
 		}
-		c.log.Info("commit failed", "err", err, "doubt", c.inDoubt != nil)
-		c.nextCycleAt = now.Add(250 * time.Millisecond)
+		c.log.Info("commit failed", "err", err, "doubt", c.commits.inDoubt != nil)
+		c.commits.nextCycleAt = now.Add(250 * time.Millisecond)
 		c.requestCycle()
 	}
 }
@@ -229,3 +240,33 @@
 		}
 	}
 }
+
+// commitAside commits a transaction that the cycle has no part in and applies it.
+func (c *Controller) commitAside(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority, then func(ok bool)) {
+	go func() {
+		rev, failed, err := c.transact(ctx, t, haste)
+		c.committed(t, rev, err == nil && len(failed) == 0, then)
+	}()
+}
+
+// committed hands the outcome of a transaction to the core.
+func (c *Controller) committed(t protocol.Txn, rev uint64, ok bool, then func(ok bool)) {
+	c.post(func() {
+		if ok {
+			c.applyTxn(t, rev)
+		}
+		then(ok)
+		c.changed()
+	})
+}
+
+func (c *Controller) applyTxn(t protocol.Txn, rev uint64) {
+	c.follower.highestRevision = max(c.follower.highestRevision, rev)
+	for _, ch := range t.Then {
+		if ch.Delete != "" {
+			_ = c.apply(ch.Delete, nil, rev, true) // logged there
+		} else {
+			_ = c.apply(ch.Put, ch.Value, rev, false)
+		}
+	}
+}
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -22,7 +22,7 @@
 		Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12}}}
 	controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
-	controller.loaded, controller.incarnation = true, 1
+	controller.follower.loaded, controller.session.incarnation = true, 1
 	controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 	put := func(key string, v any, version uint64) {
 		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
@@ -34,8 +34,8 @@
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true}}, 3)
 	put(storage.GroupKey(0), storage.GroupRecord{}, 4)
 	put(storage.FleetKey("m"), storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4, Machines: []storage.FleetMachine{{Name: "m"}}}, 4)
-	controller.cache.Revision, controller.highestRevision = 4, 4
-	controller.ownedShards[0] = 2
+	controller.cache.Revision, controller.follower.highestRevision = 4, 4
+	controller.shards.owned[0] = 2
 	m := controller.cache.Machine("m")
 	controller.applyHeartbeat(m, controller.workerState(m), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 1, FencingToken: 4}, 4, false)
 	return controller
@@ -98,12 +98,12 @@
 			controller := newCore(t)
 			builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 			txn := builder.build()
-			controller.directCommands = maxDirectCommands // no workers here
+			controller.workers.directCommands = maxDirectCommands // no workers here
 			controller.sent(txn, x.rev, x.failed, x.err)
-			if (controller.inDoubt != nil) != x.doubt || controller.awaitedRevision != x.wait {
-				t.Fatalf("doubt %v, waiting for %d", controller.inDoubt != nil, controller.awaitedRevision)
+			if (controller.commits.inDoubt != nil) != x.doubt || controller.commits.awaitedRevision != x.wait {
+				t.Fatalf("doubt %v, waiting for %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision)
 			}
-			if controller.inDoubt != nil && !reflect.DeepEqual(*controller.inDoubt, txn) {
+			if controller.commits.inDoubt != nil && !reflect.DeepEqual(*controller.commits.inDoubt, txn) {
 				t.Fatal("another transaction than the one in doubt")
 			}
 			if n := controller.cache.Job("job-000001").PlacedCount; n != x.placed {
@@ -160,7 +160,7 @@
 		t.Fatalf("record %+v", r)
 	}
 	c.applyTxn(b.build(), 9)
-	clear(c.workerStates)
+	clear(c.workers.states)
 	if v := c.workerState(m); c.usable(m, v, v.heard) {
 		t.Fatal("a new owner would place tasks on it")
 	}
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -181,7 +181,7 @@
 		txn := protocol.Txn{If: []protocol.Condition{lead}}
 		if c.call(ctx, func() {
 			if c.isLeader() {
-				txn.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.sessionLease}}
+				txn.Then = []protocol.Change{{Put: lead.Key, Value: storage.Encode(c.cache.Leader.LeaderRecord), Lease: c.session.lease}}
 			}
 		}) != nil {
 			return
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -34,7 +34,7 @@
 var errNotOwner = protocol.ErrorResponse{Error: "not entitled to command this machine"}
 
 func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
-	if !c.loaded {
+	if !c.follower.loaded {
 		if a, ok := c.renewUnverified(heartbeat, time.Now()); ok {
 			c.answerRenewal(heartbeat.Machine, a, reply)
 		} else {
@@ -73,11 +73,11 @@
 	c.applyHeartbeat(machine, worker, heartbeat, token, false)
 	c.requestCycle()
 	h := heldReply{machine: machine.Name, heartbeat: heartbeat, until: time.Now().Add(c.timing.HeartbeatReplyWait), reply: reply}
-	if c.storeFailing() || len(c.heldReplies) > 1000 || !c.awaitsCommands(machine, worker) {
+	if c.storeFailing() || len(c.workers.heldReplies) > 1000 || !c.awaitsCommands(machine, worker) {
 		c.answerHeartbeat(h)
 		return
 	}
-	c.heldReplies = append(c.heldReplies, h)
+	c.workers.heldReplies = append(c.workers.heldReplies, h)
 }
 
 // raiseFencingToken deals with a worker that has seen a higher token than its machine's record has.
@@ -88,7 +88,7 @@
 // Every token was committed, so none is above the revision that a cache in time has come to: one
 // that is makes no sense, or not yet.
 func (c *Controller) raiseFencingToken(m *storage.Machine, v *workerState, token uint64) {
-	if token <= c.highestRevision {
+	if token <= c.follower.highestRevision {
 		v.Uncertain = max(v.Uncertain, token)
 		c.requestCycle()
 	}
@@ -100,7 +100,7 @@
 	if len(v.Gone) > 0 {
 		return true
 	}
-	if c.waitingByShard[m.Shard] == 0 || !c.usable(m, v, v.heard) {
+	if c.shards.waiting[m.Shard] == 0 || !c.usable(m, v, v.heard) {
 		return false
 	}
 	free := c.cache.Types[m.Type].Cpus
@@ -110,11 +110,6 @@
 	return free > 0.05*c.cache.Types[m.Type].Cpus
 }
 
-// storeFailing tells whether answers should not wait for a commit.
-func (c *Controller) storeFailing() bool {
-	return !c.storeFailingSince.IsZero() && time.Since(c.storeFailingSince) > time.Second
-}
-
 // applyHeartbeat takes a worker's message.
 func (c *Controller) applyHeartbeat(machine *storage.Machine, worker *workerState, heartbeat *protocol.Heartbeat, token uint64, reply bool) {
 	now := time.Now()
@@ -129,7 +124,7 @@
 	}
 	worker.ApplyHeartbeat(machine, heartbeat, token, reply, c.cache.Job)
 	worker.heard, worker.missedProbes = now, 0
-	c.anyWorkerHeardAt = now
+	c.workers.anyHeardAt = now
 	c.hearZone(machine.Zone, now)
 	if heartbeat.Addr != "" {
 		machine.Addr = heartbeat.Addr
@@ -167,7 +162,7 @@
 		return
 	}
 	for _, p := range m.Tasks {
-		if took := now.Unix() - p.PlacedAt; dispatch.RefOf(p) == ref && now.Sub(c.ownershipSince) > seconds(float64(took)) {
+		if took := now.Unix() - p.PlacedAt; dispatch.RefOf(p) == ref && now.Sub(c.shards.takenOverAt) > seconds(float64(took)) {
 			c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", m.Name, "waited", p.WaitedS, "fetched", took,
 				"gb", ref.Job.ImageGB, "age", now.Sub(ref.Job.ReadyAt).Round(100*time.Millisecond).Seconds())
 		}
@@ -272,16 +267,16 @@
 
 // flushHeldReplies answers the heartbeats that waited for a commit.
 func (c *Controller) flushHeldReplies(now time.Time, all bool) {
-	keep := c.heldReplies[:0]
-	for _, h := range c.heldReplies {
+	keep := c.workers.heldReplies[:0]
+	for _, h := range c.workers.heldReplies {
 		if all || !now.Before(h.until) {
 			c.answerHeartbeat(h)
 		} else {
 			keep = append(keep, h)
 		}
 	}
-	clear(c.heldReplies[len(keep):])
-	c.heldReplies = keep
+	clear(c.workers.heldReplies[len(keep):])
+	c.workers.heldReplies = keep
 }
 
 // handleUnrecorded deals with a machine that has no record: the leader takes it in.
@@ -316,7 +311,7 @@
 // sendDirect sends what the record wants straight to a worker, if there is anything.
 func (c *Controller) sendDirect(machine *storage.Machine, empty bool) {
 	worker := c.workerState(machine)
-	if worker.DirectInFlight || machine.Addr == "" || c.directCommands >= maxDirectCommands || (worker.Incarnation == 0 && machine.Incarnation == 0) {
+	if worker.DirectInFlight || machine.Addr == "" || c.workers.directCommands >= maxDirectCommands || (worker.Incarnation == 0 && machine.Incarnation == 0) {
 		return
 	}
 	token := c.cache.FencingToken(machine)
@@ -329,19 +324,19 @@
 	}
 	launches := slices.ContainsFunc(cmd.Commands, func(o protocol.Command) bool { return o.Op == protocol.OpLaunch })
 	worker.DirectInFlight = true
-	c.directCommands++
+	c.workers.directCommands++
 	addr := machine.Addr
 	timeout := 2 * time.Second
 	if len(cmd.Commands) == 0 {
 		timeout = directProbeTimeout
 	}
 	go func() {
-		heartbeat, status, err := c.workers.Command(addr, cmd, timeout)
+		heartbeat, status, err := c.workerLink.Command(addr, cmd, timeout)
 		c.post(func() {
-			c.directCommands--
+			c.workers.directCommands--
 			worker.DirectInFlight = false
 			c.contactWorkers()
-			if c.workerStates[machine.Index] != worker || !c.ownsShard(machine.Shard) || machine.Gone {
+			if c.workers.states[machine.Index] != worker || !c.ownsShard(machine.Shard) || machine.Gone {
 				return // this ownership has ended
 			}
 			if err != nil {
@@ -375,10 +370,10 @@
 // contactWorkers shows this controller to the workers of machines that it has taken over, a few
 // at a time: their replies tell what is on the machines.
 func (c *Controller) contactWorkers() {
-	for len(c.uncontacted) > 0 && c.directCommands < maxDirectCommands {
-		m := c.uncontacted[0]
-		c.uncontacted = c.uncontacted[1:]
-		if v := c.workerStates[m.Index]; v != nil && v.Incarnation == 0 && !m.Gone && c.ownsShard(m.Shard) {
+	for len(c.workers.uncontacted) > 0 && c.workers.directCommands < maxDirectCommands {
+		m := c.workers.uncontacted[0]
+		c.workers.uncontacted = c.workers.uncontacted[1:]
+		if v := c.workers.states[m.Index]; v != nil && v.Incarnation == 0 && !m.Gone && c.ownsShard(m.Shard) {
 			c.sendDirect(m, true)
 		}
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -48,7 +48,7 @@
 // lookup finds a job's state; known is false when the cache has no such job.
 func (c *Controller) lookup(ctx context.Context, id string) (st protocol.JobState, known, loaded bool, err error) {
 	err = c.call(ctx, func() {
-		loaded = c.loaded
+		loaded = c.follower.loaded
 		if f, n := c.cache.FinalState(id); f != "" {
 			st, known = protocol.JobState{ID: id, Status: f, Done: n}, true
 		} else if j := c.cache.Job(id); j != nil {
@@ -129,7 +129,7 @@
 			return
 		}
 		// Before the gate opens a controller of the version before would start it too early.
-		ready = c.acceptsJobs() && (len(submission.Dependencies) == 0 || c.loaded && c.cache.Packed())
+		ready = c.acceptsJobs() && (len(submission.Dependencies) == 0 || c.follower.loaded && c.cache.Packed())
 		if ready {
 			if never = c.unschedulableReason(submission); never == "" {
 				never, lacks = c.invalidDependency(submission)
@@ -197,8 +197,8 @@
 	limit, ops, try, packed := 0, 0, "", false
 	if c.call(ctx, func() {
 		limit, ops, packed = c.valueLimit(), c.limits().TxnOps, c.cache.Packed()
-		c.descriptionWrites++
-		try = fmt.Sprintf("%d-%d", c.incarnation, c.descriptionWrites)
+		c.gates.descriptionWrites++
+		try = fmt.Sprintf("%d-%d", c.session.incarnation, c.gates.descriptionWrites)
 	}) != nil {
 		return false
 	}
@@ -355,7 +355,7 @@
 // all controllers submissions need not wait until each has read every record. Once teams may have been changed it has to
 // have read those, too: it would accept by the settings file what can never run.
 func (c *Controller) acceptsJobs() bool {
-	return c.cache.HasCatalog() && (c.loaded || c.cache.Packed() && !c.cache.TeamChangesEnabled() && !c.foreignLayout)
+	return c.cache.HasCatalog() && (c.follower.loaded || c.cache.Packed() && !c.cache.TeamChangesEnabled() && !c.follower.foreignLayout)
 }
 
 // Ready tells whether this controller can take requests. In an outage of the state service all
@@ -364,7 +364,7 @@
 	ok := false
 	err := c.call(ctx, func() {
 		now := time.Now()
-		waits := !c.foreignLayout && c.loadFailed && c.cache.HasCatalog() && now.Sub(c.unverified.since) > peerFresh
+		waits := !c.follower.foreignLayout && c.follower.loadFailed && c.cache.HasCatalog() && now.Sub(c.cancellations.unverified.since) > peerFresh
 		ok = (c.acceptsJobs() || waits) && !c.isolatedFromStore(now)
 	})
 	return err == nil && ok
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -10,6 +10,16 @@
 	"dykeledge/internal/storage"
 )
 
+// gateState is what this controller does about layouts and limits of records. It is written by
+// this file and by job submission (descriptionWrites).
+type gateState struct {
+	layoutWriteInFlight bool
+	fleetWriteInFlight  bool
+	limitsLowered       bool   // the state service has refused something for its size
+	rateLowered         bool   // the rate of changes to come is kept to already
+	descriptionWrites   uint64 // chunked descriptions written by this process
+}
+
 // This file owns the change from one layout of the records to the next while both
 // versions serve. Until the gate opens everything is written as the version in production
 // writes and reads it; what is only needed for that is what asks cache.Packed().
@@ -19,7 +29,7 @@
 // be down while the last one comes. A leader of the version before does none of it, so
 // the gate waits until a controller that knows of it leads.
 func (c *Controller) openGate(ctx context.Context) {
-	if !c.isLeader() || c.gateWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
+	if !c.isLeader() || c.gates.layoutWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	seen := slices.Clone(c.cache.Layout.Members)
@@ -48,9 +58,9 @@
 	if all {
 		txn.Then = append(txn.Then, protocol.Change{Put: storage.BarrierKey, Value: storage.Encode(rec)})
 	}
-	c.gateWriteInFlight = true
+	c.gates.layoutWriteInFlight = true
 	c.commitAside(ctx, txn, protocol.UrgentRequest, func(ok bool) {
-		c.gateWriteInFlight = false
+		c.gates.layoutWriteInFlight = false
 		if ok {
 			c.log.Info("layout of the records", "version", rec.Version, "nodes", seen)
 		}
@@ -61,7 +71,7 @@
 // the gate on, or from the first refusal for size: they come without notice, and what
 // was written small needs no second thought when they do.
 func (c *Controller) limits() config.State {
-	if c.cache.Packed() || c.limitsLowered {
+	if c.cache.Packed() || c.gates.limitsLowered {
 		return c.cfg.Deployment.State.Effective()
 	}
 	return c.cfg.Deployment.State
@@ -86,12 +96,12 @@
 
 // noteTooLarge takes up the limits to come.
 func (c *Controller) noteTooLarge(err error) {
-	if errors.Is(err, protocol.ErrTooLarge) && !c.limitsLowered {
-		c.limitsLowered = true
+	if errors.Is(err, protocol.ErrTooLarge) && !c.gates.limitsLowered {
+		c.gates.limitsLowered = true
 		c.log.Info("the state service refuses a change for its size")
 	}
-	if (c.limitsLowered || c.cache.Packed()) && !c.rateLowered {
-		c.rateLowered = true
+	if (c.gates.limitsLowered || c.cache.Packed()) && !c.gates.rateLowered {
+		c.gates.rateLowered = true
 		c.store.SetLimit(c.limits().WriteRPS)
 	}
 }
@@ -119,16 +129,16 @@
 // anew they are mostly within it; what is not goes into small records that supersede the
 // large one's entries, and the large one is deleted when they list all of it.
 func (c *Controller) splitOversizedFleets(ctx context.Context) {
-	if !c.isLeader() || !c.cache.Packed() || c.fleetWriteInFlight || c.cache.Revision < c.cache.Leader.Version {
+	if !c.isLeader() || !c.cache.Packed() || c.gates.fleetWriteInFlight || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
 	t := c.fleetTxn()
 	if len(t.Then) == 0 {
 		return
 	}
-	c.fleetWriteInFlight = true
+	c.gates.fleetWriteInFlight = true
 	c.commitAside(ctx, t, protocol.BackgroundRequest, func(ok bool) {
-		c.fleetWriteInFlight = false
+		c.gates.fleetWriteInFlight = false
 		c.log.Info("large fleet record worked off", "changes", len(t.Then), "ok", ok)
 	})
 }
--- a/internal/controller/layout_gate_test.go
+++ b/internal/controller/layout_gate_test.go
@@ -23,36 +23,36 @@
 	controller := newCore(t)
 	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 	txn := builder.build()
-	controller.directCommands = maxDirectCommands
+	controller.workers.directCommands = maxDirectCommands
 	controller.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
-	controller.sent(*controller.inDoubt, 0, nil, tooLarge)
-	if controller.inDoubt == nil || len(controller.inDoubt.Then) != 1 || controller.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.inDoubt.If[0].Version != 2 {
-		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", controller.inDoubt)
+	controller.sent(*controller.commits.inDoubt, 0, nil, tooLarge)
+	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
+		t.Fatalf("it is not settled by rewriting the ownership stamp: %+v", controller.commits.inDoubt)
 	}
-	settle := *controller.inDoubt
+	settle := *controller.commits.inDoubt
 	controller.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
 	controller.sent(settle, 0, nil, protocol.ErrRefused)
-	if controller.inDoubt == nil {
+	if controller.commits.inDoubt == nil {
 		t.Fatal("given up before it was known")
 	}
 	controller.sent(settle, 20, nil, nil)
-	if controller.inDoubt != nil || controller.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
-		t.Fatalf("doubt %v, waiting for %d, stamp %d", controller.inDoubt != nil, controller.awaitedRevision, controller.cache.Shards[0].Version)
+	if controller.commits.inDoubt != nil || controller.commits.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
+		t.Fatalf("doubt %v, waiting for %d, stamp %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
 		return x.Key == storage.ShardKey(0) && x.Version == controller.cache.Shards[0].Version
 	}) {
 		t.Fatal("a late copy would still be carried out")
 	}
-	if !controller.limitsLowered {
+	if !controller.gates.limitsLowered {
 		t.Error("the limits to come are not taken up")
 	}
 	// Without a doubt a refusal for size is definite.
 	controller = newCore(t)
 	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
-	if controller.sent(builder.build(), 0, nil, tooLarge); controller.inDoubt != nil || !controller.limitsLowered {
-		t.Errorf("doubt %v, lowered %v", controller.inDoubt != nil, controller.limitsLowered)
+	if controller.sent(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
+		t.Errorf("doubt %v, lowered %v", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
 	}
 }
 
@@ -74,7 +74,7 @@
 				if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 					t.Fatal(err)
 				}
-				controller.cache.Revision, controller.highestRevision = version, version
+				controller.cache.Revision, controller.follower.highestRevision = version, version
 			}
 			type place struct {
 				job  string
@@ -119,7 +119,7 @@
 				apply(storage.GroupKey(k+1), rec)
 			}
 			apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
-			controller.directCommands = maxDirectCommands // no workers here
+			controller.workers.directCommands = maxDirectCommands // no workers here
 			controller.changed()
 			for _, m := range controller.cache.Machines {
 				if m.Name != "m" {
@@ -315,7 +315,7 @@
 				defer cancel()
 				controller := newCore(t)
 				store := &scriptStore{answers: x.answers}
-				controller.store, controller.directCommands, controller.sessionLease = store, maxDirectCommands, 7
+				controller.store, controller.workers.directCommands, controller.session.lease = store, maxDirectCommands, 7
 				node := map[bool]string{true: "n0", false: "n1"}[x.leads]
 				controller.applyTxn(protocol.Txn{Then: []protocol.Change{{Put: storage.LeaderKey,
 					Value: storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1})}}}, 5)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -71,7 +71,7 @@
 		}
 		c.post(func() {
 			c.cache.UpdateCatalog(cat)
-			if c.isLeader() && c.loaded && c.cache.Catalog.Version == 0 {
+			if c.isLeader() && c.follower.loaded && c.cache.Catalog.Version == 0 {
 				c.commitAside(ctx, protocol.Txn{
 					If:   []protocol.Condition{{Key: storage.CatalogKey}},
 					Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(cat)}},
@@ -215,7 +215,7 @@
 			have[p]++
 		}
 		usable := !machine.Returning
-		if v := c.workerStates[machine.Index]; machine.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(machine, bootPatience, now) || c.zoneUnreachable(machine.Zone) {
+		if v := c.workers.states[machine.Index]; machine.Unhealthy || v != nil && (v.unhealthy || !v.preemptedAt.IsZero() || c.unresponsive(v, now)) || c.overdue(machine, bootPatience, now) || c.zoneUnreachable(machine.Zone) {
 			usable = false
 		}
 		machines = append(machines, autoscale.Machine{Pool: p, Cpus: ty.Cpus, Gpus: ty.Gpus, Mem: ty.Mem, Usable: usable})
@@ -253,7 +253,7 @@
 		// The name is never used again, by any controller: it holds this process's own number.
 		c.leader.requestCount++
 		ty := c.cache.TypeIndex.Name(r.Type)
-		req := protocol.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", c.incarnation, c.leader.requestCount), Type: ty,
+		req := protocol.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", c.session.incarnation, c.leader.requestCount), Type: ty,
 			Zone: c.cache.Zones.Name(r.Zone), Spot: r.Spot, Count: min(r.Count, protocol.MaxScaleOut)}
 		rent := &scaleOut{request: req}
 		c.leader.scaleOuts[r.Pool] = rent
@@ -335,7 +335,7 @@
 	}
 	var cands []cand
 	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || len(m.Tasks) > 0 || c.pendingUpdates[m.Index].blocksPlacement() {
+		if m.Gone || m.Returning || len(m.Tasks) > 0 || c.workers.pendingUpdates[m.Index].blocksPlacement() {
 			continue
 		}
 		ty := &c.cache.Types[m.Type]
@@ -405,7 +405,7 @@
 	var drained []*storage.Machine
 	stuck := c.runnableWithinLimits(now)
 	for _, machine := range c.cache.Machines {
-		pendingUpdate := c.pendingUpdates[machine.Index]
+		pendingUpdate := c.workers.pendingUpdates[machine.Index]
 		if machine.Gone || machine.Returning || pendingUpdate != nil && pendingUpdate.returning {
 			continue
 		}
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -249,7 +249,7 @@
 			now := time.Now()
 			controller.leader.stuckSince = now.Add(-x.since)
 			controller.drainSurplus(now, autoscale.Plan{}, 0)
-			e := controller.pendingUpdates[controller.cache.Machine("m1").Index]
+			e := controller.workers.pendingUpdates[controller.cache.Machine("m1").Index]
 			if back := e != nil && e.draining != nil && !*e.draining; back != x.back {
 				t.Errorf("given back: %v, want %v", back, x.back)
 			}
@@ -386,7 +386,7 @@
 		waits := put("job-000008", storage.SpecRecord{Class: "h", Spot: true, Priority: uint8(x.waits)})
 		m := controller.cache.Machine("m")
 		m.Tasks = []storage.PlacedTask{{Job: runs, Attempt: 1}}
-		controller.idleWorkPlaced = true
+		controller.planner.idleWorkPlaced = true
 		in := &schedule.Input{Teams: controller.cache.Teams, Used: controller.cache.Used, Slots: []*schedule.Slot{{Machine: m}}}
 		got := 0
 		if controller.mayPreempt(waits, in, controller.claimsUntil()) {
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -39,7 +39,7 @@
 	// Many silent machines at once speak for a fault on this side.
 	many := func(n int) bool { return n >= 3 && n*10 > total*4 }
 	suspectSelf := many(silent)
-	c.manyUnresponsive = many(mute)
+	c.workers.manyUnresponsive = many(mute)
 	names := lost
 	lastUp := c.lastUp()
 	for _, storageMachine := range c.cache.Machines {
@@ -74,7 +74,7 @@
 			why = reasonNeverUp
 		case (worker.Incarnation != 0 || storageMachine.Incarnation != 0) && silent > limit && now.Sub(worker.since) > limit && worker.missedProbes >= 2:
 			why = "silent"
-		case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > unresponsiveLimit(workers, c.manyUnresponsive) && now.Sub(worker.since) > unresponsiveLimit(workers, c.manyUnresponsive):
+		case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > unresponsiveLimit(workers, c.workers.manyUnresponsive) && now.Sub(worker.since) > unresponsiveLimit(workers, c.workers.manyUnresponsive):
 			why = "mute"
 		}
 		if why != "" {
@@ -109,7 +109,7 @@
 		v.heartbeatAt = now
 	case c.silenceOf(v.heard, now) > unresponsiveAfter(c.cfg.Deployment.Workers):
 		v.heartbeatAt = maxTime(v.heartbeatAt, heartbeatBaseline(c.cfg.Deployment.Workers, now)) // it hung, or was cut off: it may report now
-	case v.Incarnation != 0 && r.Incarnation > v.Incarnation && c.unresponsive(v, now) && !c.manyUnresponsive:
+	case v.Incarnation != 0 && r.Incarnation > v.Incarnation && c.unresponsive(v, now) && !c.workers.manyUnresponsive:
 		c.returnMachine(m, "mute")
 	}
 }
@@ -160,13 +160,13 @@
 
 // cameUp tells whether a machine's worker was ever heard, as far as this controller knows.
 func (c *Controller) cameUp(m *storage.Machine) bool {
-	v := c.workerStates[m.Index]
+	v := c.workers.states[m.Index]
 	return m.Incarnation > 0 || v != nil && v.Incarnation > 0
 }
 
 // booting tells whether a machine comes up and may then take tasks.
 func (c *Controller) booting(m *storage.Machine, v *workerState, now time.Time) bool {
-	return !c.cameUp(m) && !c.zoneUnreachable(m.Zone) && !m.Returning && !m.Draining && !v.terminated && !c.pendingUpdates[m.Index].blocksPlacement() && !c.overdue(m, bootPatience, now)
+	return !c.cameUp(m) && !c.zoneUnreachable(m.Zone) && !m.Returning && !m.Draining && !v.terminated && !c.workers.pendingUpdates[m.Index].blocksPlacement() && !c.overdue(m, bootPatience, now)
 }
 
 // bootLeft is how many seconds a machine that comes up still takes, as a guess: most are up after
@@ -181,7 +181,7 @@
 	if c.cameUp(m) {
 		return false
 	}
-	return c.bootAge(m, c.workerStates[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].BootS, 10))
+	return c.bootAge(m, c.workers.states[m.Index], now) > seconds(times*max(c.cache.Types[m.Type].BootS, 10))
 }
 
 // bootAge is how long ago a machine was rented, as far as this controller knows.
@@ -217,10 +217,10 @@
 }
 
 func (c *Controller) pendingUpdate(m *storage.Machine) *pendingUpdate {
-	e := c.pendingUpdates[m.Index]
+	e := c.workers.pendingUpdates[m.Index]
 	if e == nil {
 		e = &pendingUpdate{}
-		c.pendingUpdates[m.Index] = e
+		c.workers.pendingUpdates[m.Index] = e
 		c.requestCycle()
 	}
 	return e
@@ -231,7 +231,7 @@
 
 // returnMachine marks a machine as being returned.
 func (c *Controller) returnMachine(m *storage.Machine, why string) {
-	if c.storeFailing() || c.pendingUpdates[m.Index] != nil && c.pendingUpdates[m.Index].returning {
+	if c.storeFailing() || c.workers.pendingUpdates[m.Index] != nil && c.workers.pendingUpdates[m.Index].returning {
 		return
 	}
 	c.log.Info("returning machine", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
@@ -251,14 +251,14 @@
 // the leader commits those of other owners' machines.
 func (c *Controller) flushPendingUpdates(ctx context.Context) {
 	racks := map[*storage.MachineGroup]bool{}
-	for i, e := range c.pendingUpdates {
+	for i, e := range c.workers.pendingUpdates {
 		m := c.cache.Machines[i]
 		switch {
 		case m.Gone || !e.differs(m):
-			delete(c.pendingUpdates, i)
+			delete(c.workers.pendingUpdates, i)
 		case c.ownsShard(m.Shard): // goes with the next transaction
 		case !c.isLeader():
-			delete(c.pendingUpdates, i)
+			delete(c.workers.pendingUpdates, i)
 		default:
 			racks[m.Group] = true
 		}
@@ -274,7 +274,7 @@
 		}
 		record := c.cache.GroupRecordOf(group, group.UnsavedCompletions(), func(m *storage.Machine) (storage.GroupMachine, bool) {
 			x := c.cache.GroupMachineOf(m, m.Tasks)
-			if e := c.pendingUpdates[m.Index]; e != nil {
+			if e := c.workers.pendingUpdates[m.Index]; e != nil {
 				e.applyTo(&x)
 				done = append(done, m.Index)
 			}
@@ -295,7 +295,7 @@
 	c.commitAside(ctx, txn, protocol.BackgroundRequest, func(bool) {
 		c.leader.editing = false
 		for _, i := range done {
-			delete(c.pendingUpdates, i) // what still has to change is found again
+			delete(c.workers.pendingUpdates, i) // what still has to change is found again
 		}
 	})
 }
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -44,13 +44,13 @@
 		t.Run(x.name, func(t *testing.T) {
 			controller := newCore(t)
 			controllerPutStore := putStore{puts: make(chan protocol.Change, 4)}
-			controller.store, controller.sessionLease, controller.incarnation, controller.memberRevision, controller.cache.Revision = controllerPutStore, 11, 7, 40, x.read
+			controller.store, controller.session.lease, controller.session.incarnation, controller.session.memberRevision, controller.cache.Revision = controllerPutStore, 11, 7, 40, x.read
 			if x.rec != nil {
 				controller.cache.Members["n0"] = &storage.Member{MemberRecord: *x.rec, Version: 41}
 			}
 			controller.repairMemberRecord(t.Context())
-			if controller.memberWriteInFlight != x.want {
-				t.Fatalf("written anew: %v, want %v", controller.memberWriteInFlight, x.want)
+			if controller.session.memberWriteInFlight != x.want {
+				t.Fatalf("written anew: %v, want %v", controller.session.memberWriteInFlight, x.want)
 			}
 			if !x.want {
 				return
@@ -60,7 +60,7 @@
 				t.Errorf("%s: %s under hold %d", put.Put, put.Value, put.Lease)
 			}
 			(<-controller.inbox)() // its outcome
-			if controller.repairMemberRecord(t.Context()); controller.memberWriteInFlight {
+			if controller.repairMemberRecord(t.Context()); controller.session.memberWriteInFlight {
 				t.Error("it is written again although it was just written")
 			}
 		})
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -27,6 +27,7 @@
 	uncertainHeartbeats prometheus.Counter
 	heartbeatSeconds    prometheus.Histogram
 	planSeconds         prometheus.Histogram
+	counters            logCounters // what the log tells now and then
 	Requests            *prometheus.CounterVec
 }
 
@@ -124,7 +125,7 @@
 
 // logCounters logs what operators compare between sizes; metrics have more of it.
 func (c *Controller) logCounters(now time.Time) {
-	controllerLogCounters := &c.counters
+	controllerLogCounters := &c.metrics.counters
 	if now.Sub(controllerLogCounters.at) < logCountersInterval {
 		return
 	}
@@ -227,13 +228,13 @@
 			usually[key{controller.classLabel(x.Class), controller.cache.Teams[x.Team].Name}] += u
 		}
 		now := time.Now()
-		if controller.overloadActive {
+		if controller.planner.overloaded {
 			flood = 1
 		}
 		if controller.servedByStore(now) {
 			reach["state"] = 1
 		}
-		if !controller.notReady.Load() {
+		if !controller.session.notReady.Load() {
 			reach["workers"] = 1
 		}
 		heard, others := 0, 0
@@ -242,7 +243,7 @@
 				continue
 			}
 			others++
-			if p, ok := controller.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
+			if p, ok := controller.reachability.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
 				heard++
 			}
 		}
@@ -256,8 +257,8 @@
 		for _, k := range controller.cache.Groups {
 			largest = max(largest, float64(k.Size))
 		}
-		for s := range controller.ownedShards {
-			if controller.ownedShards[s] > 0 {
+		for s := range controller.shards.owned {
+			if controller.shards.owned[s] > 0 {
 				shares++
 			}
 		}
@@ -299,7 +300,7 @@
 
 // machineState is one word for how a machine stands.
 func (c *Controller) machineState(machine *storage.Machine) string {
-	worker := c.workerStates[machine.Index]
+	worker := c.workers.states[machine.Index]
 	switch {
 	case machine.Returning:
 		return "returning"
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -136,18 +136,18 @@
 		*dealt = controllerQueueLoads.overloaded
 		return controllerQueueLoads.overloaded
 	}
-	c.planBuffers.waits = c.planBuffers.waits[:0]
+	c.planner.buffers.waits = c.planner.buffers.waits[:0]
 	for _, j := range jobs {
 		if j == nil || j.Suspect || j.Waiting() == 0 {
 			continue
 		}
 		allow, late := c.objectiveLeft(j, now)
 		if w, ok := schedule.WaitingWorkOf(now, j, j.Waiting(), allow, late); ok {
-			c.planBuffers.waits = append(c.planBuffers.waits, w)
+			c.planner.buffers.waits = append(c.planner.buffers.waits, w)
 		}
 	}
 	room.Busy = controllerQueueLoads.meanBusyS
-	*dealt = schedule.LoadFactor(c.planBuffers.waits, room) > schedule.OverloadFactor
+	*dealt = schedule.LoadFactor(c.planner.buffers.waits, room) > schedule.OverloadFactor
 	return *dealt
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -28,17 +28,17 @@
 }
 
 func (c *Controller) publish(now time.Time) {
-	peerHeartbeat := protocol.PeerHeartbeat{StateOK: !c.isolatedFromStore(now) && c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < 3*time.Second, Revision: c.cache.Revision,
-		ChangeRateMilli: uint32(1000 * c.changeRate)}
-	for s := range c.ownedShards {
-		if c.ownedShards[s] > 0 && s < 64 {
+	peerHeartbeat := protocol.PeerHeartbeat{StateOK: !c.isolatedFromStore(now) && c.storeHealth.failingSince.IsZero() && now.Sub(c.storeHealth.servedAt) < 3*time.Second, Revision: c.cache.Revision,
+		ChangeRateMilli: uint32(1000 * c.storeHealth.changeRate)}
+	for s := range c.shards.owned {
+		if c.shards.owned[s] > 0 && s < 64 {
 			peerHeartbeat.OwnedShards |= 1 << s
 		}
 	}
 	c.summary.heartbeat.Store(&peerHeartbeat)
 	c.summary.digest.Store(c.currentDigest(now))
 	c.summary.digestReaders.Store(c.digestReaders())
-	c.summary.incarnation.Store(c.incarnation)
+	c.summary.incarnation.Store(c.session.incarnation)
 	var needs []protocol.ShardDemand
 	for j, jv := range c.jobStates {
 		if j.Open() && j.Priority.Top() && !jv.shortSince.IsZero() && c.wantedTasks(j) > 0 && len(needs) < 16 {
@@ -56,7 +56,7 @@
 		if name == c.cfg.MemberName {
 			continue
 		}
-		p, ok := c.peers[name]
+		p, ok := c.reachability.peers[name]
 		if !ok || now.Sub(p.heardAt) > peerFresh {
 			return -1
 		}
@@ -90,19 +90,19 @@
 		now := time.Now()
 		heard := peerState{heartbeat: p, heardAt: now}
 		if !p.StateOK {
-			if heard.deniedSince = c.peers[node].deniedSince; heard.deniedSince.IsZero() {
+			if heard.deniedSince = c.reachability.peers[node].deniedSince; heard.deniedSince.IsZero() {
 				heard.deniedSince = now
 			}
 		}
-		c.peers[node] = heard
-		delete(c.disconnectedPeers, node)
+		c.reachability.peers[node] = heard
+		delete(c.reachability.disconnected, node)
 	})
 }
 
 // ReceiveShardDemands makes a leader look at once for machines that can move.
 func (c *Controller) ReceiveShardDemands(string, protocol.ShardDemands) {
 	c.post(func() {
-		if now := time.Now(); c.loaded && c.isLeader() && now.Sub(c.leader.movedAt) >= c.timing.RebalanceInterval/2 {
+		if now := time.Now(); c.follower.loaded && c.isLeader() && now.Sub(c.leader.movedAt) >= c.timing.RebalanceInterval/2 {
 			c.rebalance(context.Background(), now)
 		}
 	})
@@ -112,10 +112,10 @@
 func (c *Controller) PeerDisconnected(node string) {
 	c.post(func() {
 		now := time.Now()
-		if now.Sub(c.peers[node].heardAt) < peerFresh {
-			c.brokenConnections[node] = now // not for its silence
+		if now.Sub(c.reachability.peers[node].heardAt) < peerFresh {
+			c.reachability.brokenConnections[node] = now // not for its silence
 		}
-		delete(c.peers, node)
-		c.disconnectedPeers[node] = now
+		delete(c.reachability.peers, node)
+		c.reachability.disconnected[node] = now
 	})
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -11,6 +11,21 @@
 	"dykeledge/internal/storage"
 )
 
+// plannerState is what the planner keeps from one pass to the next. It is written by the
+// planner's files, overload.go and, for alpha, by the operators' settings.
+type plannerState struct {
+	alpha                float64 // weight of lost work against time waited when preemptions are ranked
+	buffers              planBuffers
+	plannedTasks         int                   // tasks that the latest plan places
+	completedJobs        []*storage.Job        // jobs that the latest plan calls done
+	firstGroup           int                   // the machine group that the next plan begins with
+	oversizedGroup       *storage.MachineGroup // its record would be over the limit: it is split next
+	dependencyFailedTurn int                   // counts plans: final records of failed dependents take turns
+	idleWorkPlaced       bool                  // idle-time work is placed on this controller's machines
+	onDemandNeededAt     time.Time             // when a job that may not use spot machines was last open
+	overloaded           bool                  // an overload is dealt with
+}
+
 // foldThreshold is how many completed tasks a group's record may list before some of them
 // are moved into their jobs' own records.
 const foldThreshold = 300
@@ -113,9 +128,9 @@
 	planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: ops, remaining: map[int32][]storage.PlacedTask{},
 		groups: map[*storage.MachineGroup]*groupUpdate{}, completed: map[*storage.Job]*progress{},
 		leaving: map[*storage.Fleet]map[*storage.Machine]bool{}}
-	c.plannedTasks, c.completedJobs = 0, c.completedJobs[:0]
+	c.planner.plannedTasks, c.planner.completedJobs = 0, c.planner.completedJobs[:0]
 	shares := map[int]bool{}
-	for s := range c.ownedShards {
+	for s := range c.shards.owned {
 		if c.ownsShard(s) {
 			shares[s] = true
 		}
@@ -125,8 +140,8 @@
 	}
 	// Final records of jobs cancelled with one that they need have no haste: every controller
 	// tells their users so already. Under full load they take their turn.
-	c.dependencyFailedTurn++
-	if c.dependencyFailedTurn%8 == 0 {
+	c.planner.dependencyFailedTurn++
+	if c.planner.dependencyFailedTurn%8 == 0 {
 		c.planDependencyFailed(planned, shares, 1)
 	}
 	// Jobs whose last task another owner recorded come first.
@@ -156,8 +171,8 @@
 			return c.groupMachine(planned, m), !planned.leaving[m.Fleet][m]
 		})
 		raw := storage.EncodeGroup(rec, c.cache.Packed())
-		if len(raw) > c.valueLimit() && c.oversizedGroup == nil {
-			c.oversizedGroup = k
+		if len(raw) > c.valueLimit() && c.planner.oversizedGroup == nil {
+			c.planner.oversizedGroup = k
 		}
 		planned.put(key, k.Version, protocol.Change{Put: key, Value: raw})
 	}
@@ -185,7 +200,7 @@
 
 // finish makes a job done. Its shard's owner does so, whoever recorded its tasks.
 func (c *Controller) finish(d *plannedTxn, j *storage.Job) {
-	c.completedJobs = append(c.completedJobs, j)
+	c.planner.completedJobs = append(c.planner.completedJobs, j)
 	c.putJob(d, j, protocol.Done)
 }
 
@@ -193,14 +208,14 @@
 // has changed of the machines themselves.
 func (c *Controller) planCompletions(planned *plannedTxn, shares map[int]bool) {
 	racks := c.cache.Groups
-	first := c.firstGroup // not always the same groups when there is no room for all
+	first := c.planner.firstGroup // not always the same groups when there is no room for all
 	for i := range racks {
 		group := racks[(first+i)%len(racks)]
 		if group.Version == 0 || !shares[group.Shard] {
 			continue
 		}
 		for _, machine := range group.Machines {
-			worker := c.workerStates[machine.Index]
+			worker := c.workers.states[machine.Index]
 			if machine.Gone || worker == nil {
 				continue
 			}
@@ -217,7 +232,7 @@
 			}
 			if planned.usedOps+cost > planned.maxOps {
 				if !planned.more {
-					planned.more, c.firstGroup = true, group.ID
+					planned.more, c.planner.firstGroup = true, group.ID
 				}
 				continue
 			}
@@ -245,7 +260,7 @@
 
 // changes tells whether a machine's part of the records has to change, tasks aside.
 func (c *Controller) changes(m *storage.Machine, v *workerState) bool {
-	e := c.pendingUpdates[m.Index]
+	e := c.workers.pendingUpdates[m.Index]
 	return c.needsTokenRaise(m, v) || (v.terminated && m.Returning) || (v.unhealthy && !m.Unhealthy) || (e != nil && e.differs(m))
 }
 
@@ -262,7 +277,7 @@
 		tasks = machine.Tasks
 	}
 	entry := c.cache.GroupMachineOf(machine, tasks)
-	worker := c.workerStates[machine.Index]
+	worker := c.workers.states[machine.Index]
 	if worker == nil {
 		return entry
 	}
@@ -277,7 +292,7 @@
 			entry.FencingToken = c.nextRevision()
 		}
 	}
-	if e := c.pendingUpdates[machine.Index]; e != nil {
+	if e := c.workers.pendingUpdates[machine.Index]; e != nil {
 		e.applyTo(&entry)
 	}
 	return entry
@@ -318,7 +333,7 @@
 			jv.firstPlacedAt = now
 			c.metrics.waitSeconds.WithLabelValues(c.classLabel(placement.Job.Class), c.cache.Teams[placement.Job.Team].Name).Observe(now.Sub(placement.Job.ReadyAt).Seconds())
 		}
-		c.plannedTasks++
+		c.planner.plannedTasks++
 		jv.lastPlacedAt = now
 		planned.remaining[machine.Index] = append(tasks, storage.PlacedTask{Job: placement.Job, Task: placement.Task, Attempt: attempt,
 			PlacedAt: now.Unix(), WaitedS: c.waited(placement.Job, placement.Task, now)})
@@ -393,21 +408,21 @@
 			return j.Tasks
 		},
 	}
-	planBuffers := &c.planBuffers
+	planBuffers := &c.planner.buffers
 	planBuffers.begin(c.cache.MachineCount(), len(c.cache.Groups), len(c.cache.Jobs))
 	input.Jobs, input.Scratch = planBuffers.jobs, &planBuffers.place
-	clear(c.waitingByShard)
-	c.idleWorkPlaced = false
+	clear(c.shards.waiting)
+	c.planner.idleWorkPlaced = false
 	for _, j := range c.cache.Jobs {
 		if j == nil {
 			continue
 		}
-		c.idleWorkPlaced = c.idleWorkPlaced || j.PlacedCount > 0 && c.isIdleWork(j, now)
+		c.planner.idleWorkPlaced = c.planner.idleWorkPlaced || j.PlacedCount > 0 && c.isIdleWork(j, now)
 		if shares[j.Shard] && j.Open() && j.Ready() {
 			input.Jobs = append(input.Jobs, j)
-			c.waitingByShard[j.Shard] += c.wantedTasks(j)
+			c.shards.waiting[j.Shard] += c.wantedTasks(j)
 			if !j.Spot {
-				c.onDemandNeededAt = now
+				c.planner.onDemandNeededAt = now
 			}
 		}
 	}
@@ -415,7 +430,7 @@
 	input.Queues = queueLoads.queues
 	var room schedule.Capacity
 	input.OnDemandWeight = 0.2
-	if !c.onDemandNeededAt.IsZero() && now.Sub(c.onDemandNeededAt) < 5*time.Minute {
+	if !c.planner.onDemandNeededAt.IsZero() && now.Sub(c.planner.onDemandNeededAt) < 5*time.Minute {
 		input.OnDemandWeight = 6 // jobs that may not use spot machines have come and will again
 	}
 	held := c.reservedCapacity()
@@ -488,8 +503,8 @@
 			slot.Reservations = held[machine.Name]
 		}
 	}
-	was := c.overloadActive
-	if input.Overloaded = c.detectOverload(queueLoads, input.Jobs, room, &c.overloadActive, now); input.Overloaded != was {
+	was := c.planner.overloaded
+	if input.Overloaded = c.detectOverload(queueLoads, input.Jobs, room, &c.planner.overloaded, now); input.Overloaded != was {
 		c.logOverload(queueLoads, input.Overloaded)
 	}
 	input.Slots, input.Booting, planBuffers.jobs = planBuffers.order, planBuffers.booting, input.Jobs[:0]
@@ -572,7 +587,7 @@
 // usable tells whether a machine may take more tasks.
 func (c *Controller) usable(m *storage.Machine, v *workerState, now time.Time) bool {
 	if m.Returning || m.Draining || m.Unhealthy || v.unhealthy || v.Incarnation == 0 || v.Incarnation < m.Incarnation || !v.preemptedAt.IsZero() || v.terminated ||
-		c.needsTokenRaise(m, v) || c.pendingUpdates[m.Index].blocksPlacement() || c.unresponsive(v, now) {
+		c.needsTokenRaise(m, v) || c.workers.pendingUpdates[m.Index].blocksPlacement() || c.unresponsive(v, now) {
 		return false
 	}
 	return now.Sub(v.heard) < seconds(2*c.cfg.Deployment.Workers.HeartbeatS+1)
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -75,7 +75,7 @@
 			inVain[controllerAsker] = inVain[controllerAsker] || len(job.Types) == 0
 			continue
 		}
-		schedule.RankCandidates(c.alpha, cands)
+		schedule.RankCandidates(c.planner.alpha, cands)
 		chosen := schedule.PreemptSoonest(job, res.Short[job], input.Slots, cands)
 		chosen = c.fitRecord(chosen)
 		if len(chosen) == 0 {
@@ -139,7 +139,7 @@
 // mayPreempt: a top-priority job may, one that fits into its team's guarantee along
 // with the team's earlier unfinished jobs, and any but the lowest for idle-time work.
 func (c *Controller) mayPreempt(j *storage.Job, in *schedule.Input, until []time.Time) bool {
-	return j.Priority.Top() || (j.Priority > protocol.Low && c.idleWorkPlaced) || claims(j, in, until)
+	return j.Priority.Top() || (j.Priority > protocol.Low && c.planner.idleWorkPlaced) || claims(j, in, until)
 }
 
 // claims tells whether a job may evict for its team's guarantee: it fits into that along
@@ -212,7 +212,7 @@
 		if m == nil || m.Returning || m.Shard != victimSet.Shard {
 			continue
 		}
-		if v := c.workerStates[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
+		if v := c.workers.states[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
 			continue
 		}
 		if slotsLeft(victimSet, r, job, m) > 0 {
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -32,8 +32,8 @@
 		return true
 	}
 	// What is heard under the owner's name may be its successor, restarted in the outage: that owns nothing.
-	p := c.peers[s.Member]
-	return s.Member != c.cfg.MemberName && c.silenceOf(c.storeServedAt, now) > peerFresh && (c.silenceOf(p.heardAt, now) > peerFresh || p.heartbeat.Revision == 0)
+	p := c.reachability.peers[s.Member]
+	return s.Member != c.cfg.MemberName && c.silenceOf(c.storeHealth.servedAt, now) > peerFresh && (c.silenceOf(p.heardAt, now) > peerFresh || p.heartbeat.Revision == 0)
 }
 
 // unverifiedRenewals is a controller's part of keeping up leases before it has read any record.
@@ -48,10 +48,10 @@
 func (c *Controller) renewUnverified(r *protocol.Heartbeat, now time.Time) (protocol.HeartbeatResponse, bool) {
 	w := c.cfg.Deployment.Workers
 	if len(r.Tasks) == 0 || !c.mayRenewLeases(now) || !c.allRestarted(now) ||
-		now.Sub(c.unverified.renewed[r.Machine]) < seconds(w.LeaseS/3) {
+		now.Sub(c.cancellations.unverified.renewed[r.Machine]) < seconds(w.LeaseS/3) {
 		return protocol.HeartbeatResponse{}, false
 	}
-	c.unverified.renewed[r.Machine] = now
+	c.cancellations.unverified.renewed[r.Machine] = now
 	c.metrics.unverifiedRenewals.Inc()
 	return protocol.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []protocol.Command{}}, true
 }
@@ -61,7 +61,7 @@
 // until now, which whoever answered the worker last could not know.
 func (c *Controller) allRestarted(now time.Time) bool {
 	for _, k := range c.cfg.Known {
-		if p, ok := c.peers[k.MemberName]; !ok || now.Sub(p.heardAt) >= peerFresh || p.heartbeat.Revision > 0 {
+		if p, ok := c.reachability.peers[k.MemberName]; !ok || now.Sub(p.heardAt) >= peerFresh || p.heartbeat.Revision > 0 {
 			return false
 		}
 	}
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -34,15 +34,15 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			controller := newCore(t)
-			controller.loaded, controller.cfg.Deployment.Workers = false, workers
+			controller.follower.loaded, controller.cfg.Deployment.Workers = false, workers
 			now := time.Now()
-			controller.unverified.since = now.Add(-x.age)
+			controller.cancellations.unverified.since = now.Add(-x.age)
 			controller.cfg.Known = []config.Peer{{MemberName: "n1"}}
 			if x.heard >= 0 {
-				controller.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: x.peer}, heardAt: now.Add(-x.heard)}
+				controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: x.peer}, heardAt: now.Add(-x.heard)}
 			}
 			if x.again > 0 {
-				controller.unverified.renewed["m"] = now.Add(-x.again)
+				controller.cancellations.unverified.renewed["m"] = now.Add(-x.again)
 			}
 			a, ok := controller.renewUnverified(&protocol.Heartbeat{Machine: "m", Incarnation: 1, FencingToken: 41, Tasks: x.tasks}, now)
 			if ok != x.want {
@@ -91,9 +91,9 @@
 		if x.member > 0 {
 			controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{Incarnation: x.member}, Version: 1}
 		}
-		controller.storeServedAt, controller.cacheCurrentAt, controller.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peerState{heardAt: now.Add(-x.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
+		controller.storeHealth.servedAt, controller.follower.cacheCurrentAt, controller.reachability.peers["n1"] = now.Add(-x.served), now.Add(-x.read), peerState{heardAt: now.Add(-x.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
 		if x.heard == newborn {
-			controller.peers["n1"] = peerState{heardAt: now}
+			controller.reachability.peers["n1"] = peerState{heardAt: now}
 		}
 		if got := controller.renewsAsProxy(controller.cache.Machine("m"), now); got != x.want {
 			t.Errorf("%s: stands in %v, want %v", x.name, got, x.want)
@@ -114,7 +114,7 @@
 		{"higher than any that was committed", 1 << 60, 421, false}} {
 		t.Run(x.name, func(t *testing.T) {
 			c := newCore(t)
-			c.highestRevision = 12
+			c.follower.highestRevision = 12
 			status := 0
 			c.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: x.token}, func(s int, _ any) { status = s })
 			c.flushHeldReplies(time.Now(), true)
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -61,7 +61,7 @@
 // made before many wait: rows at every change took 5 to 7 % of a controller's processor time.
 func (c *Controller) showView(now time.Time, ask bool) {
 	readModel := c.readModel
-	if readModel == nil || !c.loaded {
+	if readModel == nil || !c.follower.loaded {
 		return
 	}
 	if n := c.cache.PendingChanges(); !ask && n < viewKept && (!readModel.hub.Wanted(now) || now.Sub(readModel.shown) < viewGap) {
@@ -71,7 +71,7 @@
 	if !readModel.readable {
 		readModel.readable, readModel.head.Since = true, now.UnixMilli()
 	}
-	whole := c.cache.Revision >= c.highestRevision
+	whole := c.cache.Revision >= c.follower.highestRevision
 	jobs, machines, evicted, more := c.cache.TakeChanges(viewRows)
 	readModel.whole = whole && !more
 	for _, j := range jobs {
@@ -141,7 +141,7 @@
 	err := c.Barrier(short)
 	_ = c.call(short, func() { // without it the snapshot is shown as old as it is
 		now := time.Now()
-		if err == nil && c.cache.Revision >= c.highestRevision {
+		if err == nil && c.cache.Revision >= c.follower.highestRevision {
 			readModel.asOf = latest(readModel.asOf, began)
 		}
 		c.showView(now, true)
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -196,7 +196,7 @@
 				}
 			}
 			controllerGroupSums.capacity += cpus
-			if controller.pendingUpdates[machine.Index].blocksPlacement() || machine.Unhealthy || machine.Draining {
+			if controller.workers.pendingUpdates[machine.Index].blocksPlacement() || machine.Unhealthy || machine.Draining {
 				f = 0
 			}
 			controllerGroupSums.free += f
@@ -372,7 +372,7 @@
 
 // fitsOn tells whether a task of a job fits on a machine that takes more, now.
 func (mv *rebalancer) fitsOn(j *storage.Job, m *storage.Machine) bool {
-	return !m.Draining && !mv.c.pendingUpdates[m.Index].blocksPlacement() && mv.fitsBesideTasks(j, m)
+	return !m.Draining && !mv.c.workers.pendingUpdates[m.Index].blocksPlacement() && mv.fitsBesideTasks(j, m)
 }
 
 // fitsBesideTasks tells whether a task of a job fits on a machine, drained or not, beside what runs there and where its other tasks are.
--- a/internal/controller/stall_detection.go
+++ b/internal/controller/stall_detection.go
@@ -2,6 +2,27 @@
 
 import "time"
 
+// reachability is when this controller itself was running, and whom it hears: peers and zones.
+// It is written by this file, peers.go and zones.go.
+type reachability struct {
+	lastLoopAt        time.Time            // when the loop last came round
+	resumedAt         time.Time            // when this controller last resumed after a stall
+	peers             map[string]peerState // by member
+	disconnected      map[string]time.Time // members whose connection ended, until they are heard again
+	brokenConnections map[string]time.Time // by member: its connection broke off while it was heard
+	leaseSeenAt       map[string]time.Time // by member: when its session lease was last seen
+	zones             []zoneState          // by zone
+}
+
+func newReachability() reachability {
+	return reachability{
+		peers:             map[string]peerState{},
+		disconnected:      map[string]time.Time{},
+		brokenConnections: map[string]time.Time{},
+		leaseSeenAt:       map[string]time.Time{},
+	}
+}
+
 // Everything that this controller concludes from silence goes through this file. A controller
 // that stood still while its clocks ran on finds every timer due and everything
 // last heard long ago, although it was the one that was away.
@@ -17,14 +38,14 @@
 // detectStall notices a standstill. The core's loop calls it before anything else each
 // time it comes round, so nothing is concluded from what is old only because of it.
 func (c *Controller) detectStall(now time.Time) {
-	last := c.lastLoopAt
-	c.lastLoopAt = now
+	last := c.reachability.lastLoopAt
+	c.reachability.lastLoopAt = now
 	if last.IsZero() || now.Sub(last) < c.timing.Tick+stallThreshold {
 		return
 	}
 	c.log.Info("this node stood still", "for", now.Sub(last).Round(10*time.Millisecond).Seconds(), "hold_in_question", !c.leaseCertain(now))
 	c.metrics.stalls.Inc()
-	c.resumedAt = now
+	c.reachability.resumedAt = now
 	// What was idle or spare before says nothing about now.
 	clear(c.leader.surplusSince)
 	clear(c.leader.emptyMachines)
@@ -34,18 +55,18 @@
 // silenceOf is how long something last heard at a time has been silent, as far as
 // this controller was there to hear it.
 func (c *Controller) silenceOf(at, now time.Time) time.Duration {
-	return now.Sub(maxTime(at, c.resumedAt))
+	return now.Sub(maxTime(at, c.reachability.resumedAt))
 }
 
 // stalledSince tells whether this controller stood still after a time: what it worked out
 // before may be older than what another controller has said since.
-func (c *Controller) stalledSince(at time.Time) bool { return c.resumedAt.After(at) }
+func (c *Controller) stalledSince(at time.Time) bool { return c.reachability.resumedAt.After(at) }
 
 // leaseCertain tells whether this controller's hold is certain to last still. When it is not,
 // another controller may own its shards or lead already. What is conditional on records
 // fails by itself then; what is not must wait.
 func (c *Controller) leaseCertain(now time.Time) bool {
-	return c.sessionLease != 0 && now.Sub(c.leaseRenewedAt) < c.timing.SessionLease
+	return c.session.lease != 0 && now.Sub(c.session.leaseRenewedAt) < c.timing.SessionLease
 }
 
 // lostAfter is how long a controller whose connection broke off may stay unheard, or may be
@@ -63,13 +84,13 @@
 	if c.memberDenied(node, now) {
 		return true
 	}
-	if now.Sub(c.resumedAt) < reconnectGrace {
+	if now.Sub(c.reachability.resumedAt) < reconnectGrace {
 		return false
 	}
 	seems := func(at time.Time) bool {
 		return now.Sub(at) > lostAfter && now.Sub(at) < lostAfter+c.timing.SessionLease+time.Second
 	}
-	at, ok := c.disconnectedPeers[node]
+	at, ok := c.reachability.disconnected[node]
 	if !ok || !seems(at) {
 		return false
 	}
@@ -79,7 +100,7 @@
 			continue
 		}
 		others++
-		if at, ok := c.disconnectedPeers[name]; ok && seems(at) {
+		if at, ok := c.reachability.disconnected[name]; ok && seems(at) {
 			gone++
 		}
 	}
@@ -89,23 +110,18 @@
 // memberDenied tells whether a controller says that the state service does not serve it, while
 // it serves this one: its hold would keep its shards for seconds more.
 func (c *Controller) memberDenied(node string, now time.Time) bool {
-	p, ok := c.peers[node]
+	p, ok := c.reachability.peers[node]
 	return ok && c.servedByStore(now) && now.Sub(p.heardAt) < peerFresh && !p.deniedSince.IsZero() && now.Sub(p.deniedSince) > lostAfter
 }
 
-// servedByStore tells whether the state service has answered this controller well just now.
-func (c *Controller) servedByStore(now time.Time) bool {
-	return c.storeFailingSince.IsZero() && now.Sub(c.storeServedAt) < peerFresh
-}
-
 // isolatedFromStore tells whether the state service refuses this controller while it serves
 // another: then users are better off elsewhere. In an outage nobody is served,
 // and a controller that stays ready can take requests the moment it ends.
 func (c *Controller) isolatedFromStore(now time.Time) bool {
-	if c.silenceOf(c.storeServedAt, now) < peerFresh {
+	if c.silenceOf(c.storeHealth.servedAt, now) < peerFresh {
 		return false
 	}
-	for _, p := range c.peers {
+	for _, p := range c.reachability.peers {
 		if p.heartbeat.StateOK && now.Sub(p.heardAt) < peerFresh {
 			return true
 		}
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -15,7 +15,7 @@
 // returned machines, although it was the one that had been away.
 func TestStallIsDetected(t *testing.T) {
 	controller := newCore(t)
-	controller.sessionLease = 1
+	controller.session.lease = 1
 	machine := controller.cache.Machine("m")
 	worker := controller.workerState(machine)
 	machine.Incarnation, worker.missedProbes = 1, 5
@@ -23,11 +23,11 @@
 	controller.cache.Members["n0"] = &storage.Member{Version: 1}
 	start := time.Now()
 	woke := start.Add(9 * time.Second)
-	controller.leaseRenewedAt, controller.storeServedAt, controller.ownershipSince = start, start, start.Add(-time.Minute)
-	controller.disconnectedPeers["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
-	worker.heard, worker.since, controller.anyWorkerHeardAt = start, start.Add(-time.Minute), start
+	controller.session.leaseRenewedAt, controller.storeHealth.servedAt, controller.shards.takenOverAt = start, start, start.Add(-time.Minute)
+	controller.reachability.disconnected["n1"] = woke.Add(-2 * time.Second) // its deadline passed meanwhile
+	worker.heard, worker.since, controller.workers.anyHeardAt = start, start.Add(-time.Minute), start
 	look := func(now time.Time) (silent, lost, alone bool) {
-		controller.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
+		controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
 		return controller.silenceOf(worker.heard, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
 	if silent, lost, alone := look(woke); !silent || !lost || !alone {
@@ -35,7 +35,7 @@
 	}
 	controller.detectStall(start)
 	controller.detectStall(start.Add(controller.timing.Tick))
-	if !controller.resumedAt.IsZero() {
+	if !controller.reachability.resumedAt.IsZero() {
 		t.Fatal("a tick in time is no standstill")
 	}
 	if !controller.leaseCertain(start.Add(time.Second)) || controller.leaseCertain(woke) {
@@ -81,7 +81,7 @@
 		controller.cloud = scaleOutCounter{asked: asked}
 		controller.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
 		now := time.Now()
-		controller.sessionLease, controller.leaseRenewedAt = 1, now.Add(-x.since)
+		controller.session.lease, controller.session.leaseRenewedAt = 1, now.Add(-x.since)
 		controller.autoscaleAsLeader(t.Context(), now)
 		got := false
 		if controller.leader.listing || len(controller.leader.scaleOuts) > 0 {
@@ -111,10 +111,10 @@
 		{"not heard any more: that is another matter", 9 * time.Second, 5 * time.Second, true, false},
 	} {
 		c := newCore(t)
-		c.resumedAt = now.Add(-time.Second) // its own word counts even then
-		c.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-x.heard), now.Add(-x.refused)}
-		if c.storeServedAt = now; !x.served {
-			c.storeServedAt = now.Add(-time.Minute)
+		c.reachability.resumedAt = now.Add(-time.Second) // its own word counts even then
+		c.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-x.heard), now.Add(-x.refused)}
+		if c.storeHealth.servedAt = now; !x.served {
+			c.storeHealth.servedAt = now.Add(-time.Minute)
 		}
 		if got := c.memberLost("n1", now); got != x.want {
 			t.Errorf("%s: lost %v, want %v", x.name, got, x.want)
@@ -150,7 +150,7 @@
 			for _, n := range []string{"n0", "n1", "n2", "n3", "n4"}[:x.nodes] {
 				c.cache.Members[n] = &storage.Member{Version: 1}
 			}
-			c.disconnectedPeers = x.lost
+			c.reachability.disconnected = x.lost
 			if got := c.memberLost("n1", now); got != x.want {
 				t.Errorf("lost: %v, want %v", got, x.want)
 			}
@@ -177,7 +177,7 @@
 		{20, 2 * time.Second, false}, {20, 3 * time.Second, true},
 	} {
 		controller := newCore(t)
-		controller.store, controller.sessionLease = refusingStore{}, 1
+		controller.store, controller.session.lease = refusingStore{}, 1
 		controller.cache.Members["n1"] = &storage.Member{Version: 1}
 		fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 		for i := range x.machines {
@@ -190,10 +190,10 @@
 			m.Incarnation = 1
 		}
 		now := time.Now()
-		controller.anyWorkerHeardAt = now.Add(-x.silent)
+		controller.workers.anyHeardAt = now.Add(-x.silent)
 		controller.checkReadiness(t.Context(), now)
-		if controller.notReady.Load() != x.unfit {
-			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, controller.notReady.Load(), x.unfit)
+		if controller.session.notReady.Load() != x.unfit {
+			t.Errorf("%d machines silent for %v: gives up %v, want %v", x.machines, x.silent, controller.session.notReady.Load(), x.unfit)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 		}
 		controller.store = sleepyStore{meanwhile: func() {
 			if x.sleeps {
-				controller.post(func() { controller.resumedAt = time.Now() })
+				controller.post(func() { controller.reachability.resumedAt = time.Now() })
 			}
 		}}
 		go func() {
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -10,6 +10,18 @@
 	"dykeledge/internal/storage"
 )
 
+// stateFollower is how far this controller's cache follows the state service. It is written by
+// this file and where commits are applied (highestRevision).
+type stateFollower struct {
+	loaded          bool             // every record was read once
+	loadFailed      bool             // the records could not be read yet: there is no answer
+	foreignLayout   bool             // the records are of a layout that this version does not read
+	highestRevision uint64           // the highest seen, own commits included
+	cacheCurrentAt  time.Time        // the cache holds all that was committed until then
+	waiters         []revisionWaiter // for the cache to come as far as a revision
+	barrier         barrier          // reads that must not be older than an answer given elsewhere
+}
+
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -32,9 +44,9 @@
 			rev, err = c.load(ctx)
 		}
 		c.post(func() {
-			c.loadFailed = err != nil && !c.loaded
+			c.follower.loadFailed = err != nil && !c.follower.loaded
 			if err == nil || errors.Is(err, storage.ErrLayout) {
-				c.foreignLayout = err != nil
+				c.follower.foreignLayout = err != nil
 			}
 		})
 		if err != nil {
@@ -110,12 +122,12 @@
 		}
 		c.cache.Sweep()
 		c.cache.Revision = first
-		c.highestRevision = max(c.highestRevision, first)
-		c.loaded = true
-		if c.cacheCurrentAt.Before(began) {
-			c.cacheCurrentAt = began
+		c.follower.highestRevision = max(c.follower.highestRevision, first)
+		c.follower.loaded = true
+		if c.follower.cacheCurrentAt.Before(began) {
+			c.follower.cacheCurrentAt = began
 		}
-		c.unverified.renewed = nil // it knows the records from now on
+		c.cancellations.unverified.renewed = nil // it knows the records from now on
 		c.log.Info("records read", "rev", first, "keys", len(seen))
 		c.changed()
 	})
@@ -141,7 +153,7 @@
 }
 
 func (c *Controller) apply(key string, value []byte, version uint64, deleted bool) error {
-	c.highestRevision = max(c.highestRevision, version)
+	c.follower.highestRevision = max(c.follower.highestRevision, version)
 	err := c.cache.Apply(key, value, version, deleted)
 	if err != nil {
 		c.log.Error("bad record", "err", err)
@@ -160,19 +172,19 @@
 		}
 	}
 	c.cache.Revision = max(c.cache.Revision, events.Revision)
-	c.highestRevision = max(c.highestRevision, events.Revision)
+	c.follower.highestRevision = max(c.follower.highestRevision, events.Revision)
 	now := time.Now()
-	c.storeFailingSince, c.storeServedAt, c.cacheCurrentAt = time.Time{}, now, latest(c.cacheCurrentAt, sent)
+	c.storeHealth.failingSince, c.storeHealth.servedAt, c.follower.cacheCurrentAt = time.Time{}, now, latest(c.follower.cacheCurrentAt, sent)
 	c.dropReadCancellations()
-	keep := c.revisionWaiters[:0]
-	for _, w := range c.revisionWaiters {
+	keep := c.follower.waiters[:0]
+	for _, w := range c.follower.waiters {
 		if w.rev <= c.cache.Revision {
 			close(w.ch)
 		} else {
 			keep = append(keep, w)
 		}
 	}
-	c.revisionWaiters = keep
+	c.follower.waiters = keep
 	if len(events.Events) > 0 {
 		c.changed()
 	}
@@ -184,12 +196,12 @@
 
 // changed looks at what new records mean for this controller.
 func (c *Controller) changed() {
-	if !c.loaded {
+	if !c.follower.loaded {
 		return
 	}
 	now := time.Now()
-	if v := c.cache.Leader.Version; v != c.leaderVersion {
-		c.leaderVersion, c.leaderSince = v, now
+	if v := c.cache.Leader.Version; v != c.leadership.version {
+		c.leadership.version, c.leadership.since = v, now
 	}
 	c.noteLeadershipChange()
 	c.recordOwnershipChanges(now)
@@ -198,22 +210,22 @@
 	c.recordPreemptions()
 	c.inheritDeadlines()
 	machines, jobs := c.cache.TakeChanged()
-	for s := range c.ownedShards {
+	for s := range c.shards.owned {
 		v := uint64(0)
 		if c.ownsShard(s) {
 			v = c.cache.Shards[s].Version
 		}
-		if v != c.ownedShards[s] {
-			c.ownedShards[s] = v
+		if v != c.shards.owned[s] {
+			c.shards.owned[s] = v
 			c.log.Info("share changed hands", "share", s, "owner", c.cache.Shards[s].Member, "own", v > 0)
 			c.takeOverShard(s, v > 0, now)
 		}
 	}
 	for _, m := range machines {
 		c.settleView(m)
-		if !m.Gone && m.Incarnation > 0 && c.ownsShard(m.Shard) && c.workerStates[m.Index] == nil {
+		if !m.Gone && m.Incarnation > 0 && c.ownsShard(m.Shard) && c.workers.states[m.Index] == nil {
 			c.workerState(m) // a new owner shows itself; the reply tells what is on the machine
-			c.uncontacted = append(c.uncontacted, m)
+			c.workers.uncontacted = append(c.workers.uncontacted, m)
 		}
 		c.terminateUnwanted(m)
 	}
@@ -228,14 +240,14 @@
 func (c *Controller) takeOverShard(share int, own bool, now time.Time) {
 	for _, m := range c.cache.Machines {
 		if m.Shard == share {
-			delete(c.workerStates, m.Index) // what an earlier ownership knew is stale
+			delete(c.workers.states, m.Index) // what an earlier ownership knew is stale
 		}
 	}
 	if !own {
 		return
 	}
 	c.metrics.takeovers.Inc()
-	c.ownershipSince, c.placedSinceTakeover = now, false
+	c.shards.takenOverAt, c.shards.placedSinceTakeover = now, false
 	for _, machine := range c.cache.Machines {
 		if machine.Shard != share || machine.Gone {
 			continue
@@ -248,19 +260,19 @@
 			mv.Uncertain = max(machine.FencingToken, machine.Group.FencingToken)
 		}
 		if machine.Incarnation > 0 {
-			c.uncontacted = append(c.uncontacted, machine)
+			c.workers.uncontacted = append(c.workers.uncontacted, machine)
 		}
 	}
 }
 
 // settleView brings a machine's view in line with the records.
 func (c *Controller) settleView(machine *storage.Machine) {
-	worker := c.workerStates[machine.Index]
+	worker := c.workers.states[machine.Index]
 	if worker == nil {
 		return
 	}
 	if machine.Gone || !c.ownsShard(machine.Shard) {
-		delete(c.workerStates, machine.Index)
+		delete(c.workers.states, machine.Index)
 		return
 	}
 	worker.Settle(machine)
@@ -286,7 +298,7 @@
 // Barrier waits until the cache holds everything that had been committed when
 // it was called. One read of the revision serves all that wait at a time.
 func (c *Controller) Barrier(ctx context.Context) error {
-	barrier := &c.readBarrier
+	barrier := &c.follower.barrier
 	barrier.mu.Lock()
 	if barrier.next == nil {
 		barrier.next = &barrierRun{ch: make(chan struct{})}
@@ -310,7 +322,7 @@
 const barrierGap = 80 * time.Millisecond
 
 func (c *Controller) runBarriers() {
-	barrier := &c.readBarrier
+	barrier := &c.follower.barrier
 	for {
 		barrier.mu.Lock()
 		run := barrier.next
@@ -322,24 +334,24 @@
 		}
 		barrier.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), 1800*time.Millisecond)
-		run.err = c.reach(ctx)
+		run.err = c.catchUp(ctx)
 		cancel()
 		close(run.ch)
 		time.Sleep(barrierGap)
 	}
 }
 
-func (c *Controller) reach(ctx context.Context) error {
+func (c *Controller) catchUp(ctx context.Context) error {
 	rev, err := c.store.Revision(ctx)
 	if err != nil {
 		return err
 	}
 	controllerRevisionWaiter := revisionWaiter{rev, make(chan struct{})}
 	err = c.call(ctx, func() {
-		if c.cache.Revision >= rev && c.loaded {
+		if c.cache.Revision >= rev && c.follower.loaded {
 			close(controllerRevisionWaiter.ch)
-		} else if len(c.revisionWaiters) < 1000 {
-			c.revisionWaiters = append(c.revisionWaiters, controllerRevisionWaiter)
+		} else if len(c.follower.waiters) < 1000 {
+			c.follower.waiters = append(c.follower.waiters, controllerRevisionWaiter)
 		}
 	})
 	if err != nil {
@@ -352,3 +364,8 @@
 		return ctx.Err()
 	}
 }
+
+type revisionWaiter struct {
+	rev uint64
+	ch  chan struct{}
+}
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -107,7 +107,7 @@
 func (c *Controller) behind(revision uint64, now time.Time) []string {
 	var out []string
 	for name := range c.cache.Members {
-		p, heard := c.peers[name]
+		p, heard := c.reachability.peers[name]
 		if name == c.cfg.MemberName || heard && now.Sub(p.heardAt) < peerFresh && p.heartbeat.Revision >= revision {
 			continue
 		}
@@ -345,7 +345,7 @@
 // evictForLimit names the tasks that have to go for a team to be under its limit, as one record before any stop.
 func (c *Controller) evictForLimit(now time.Time, planned *plannedTxn, team int, bounds storage.TeamBounds) {
 	candidates := c.limitCandidates(now, team)
-	schedule.RankCandidates(c.alpha, candidates)
+	schedule.RankCandidates(c.planner.alpha, candidates)
 	chosen := schedule.EvictExcess(c.stillUsed(team), bounds.Team(""), candidates)
 	chosen = c.fitRecord(chosen)
 	if len(chosen) == 0 {
@@ -368,7 +368,7 @@
 func (c *Controller) stillUsed(team int) storage.Usage {
 	used := c.cache.Used[team]
 	for _, m := range c.cache.Machines {
-		v := c.workerStates[m.Index]
+		v := c.workers.states[m.Index]
 		if m.Gone || v == nil || len(v.Gone) == 0 {
 			continue
 		}
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -39,7 +39,7 @@
 
 // cancelled tells whether a job is cancelled, as its record says or a peer that has confirmed it.
 func (c *Controller) cancelled(j *storage.Job) bool {
-	_, told := c.digest.gossiped[j.ID]
+	_, told := c.cancellations.digest.gossiped[j.ID]
 	return told || j.Final == protocol.Cancelled
 }
 
@@ -50,7 +50,7 @@
 		off := time.Duration(2 * c.cfg.Deployment.ClockSkewMs * float64(time.Millisecond))
 		return max(0, now.Sub(time.UnixMilli(j.FinalAtMs))+off)
 	}
-	at, ok := c.cancellationsLearnedAt[j.ID]
+	at, ok := c.cancellations.learnedAt[j.ID]
 	if !ok {
 		at = now
 	}
@@ -72,7 +72,7 @@
 				continue
 			}
 			m := c.cache.Machines[i]
-			if v := c.workerStates[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: job, Task: t, Attempt: job.AttemptOf[t]})) {
+			if v := c.workers.states[i]; m.Gone || v != nil && c.ownsShard(m.Shard) && (v.terminated || v.hasEnded(dispatch.Ref{Job: job, Task: t, Attempt: job.AttemptOf[t]})) {
 				continue
 			}
 			if ages == nil {
@@ -81,7 +81,7 @@
 			ages[i] = max(ages[i], age)
 		}
 	}
-	c.cancellationsLearnedAt = noted
+	c.cancellations.learnedAt = noted
 	return ages
 }
 
@@ -91,9 +91,9 @@
 // before its owner has that proof too. A controller that hears no worker at all may be the one that is cut off.
 func (c *Controller) superviseTerminations(now time.Time) (lost []string) {
 	ages := c.cancellationAgeByMachine(now)
-	for i := range c.terminations {
+	for i := range c.cancellations.terminations {
 		if _, ok := ages[i]; !ok {
-			delete(c.terminations, i)
+			delete(c.cancellations.terminations, i)
 		}
 	}
 	order := make([]int32, 0, len(ages))
@@ -102,18 +102,18 @@
 	}
 	slices.SortFunc(order, func(a, b int32) int { return cmp.Or(cmp.Compare(ages[b], ages[a]), cmp.Compare(a, b)) })
 	workers := c.cfg.Deployment.Workers
-	outage := c.silenceOf(c.storeServedAt, now) > peerFresh
-	hears := c.silenceOf(maxTime(c.anyWorkerHeardAt, c.workerReachedAt), now) < peerFresh+seconds(workers.HeartbeatS)
+	outage := c.silenceOf(c.storeHealth.servedAt, now) > peerFresh
+	hears := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.reachedAt), now) < peerFresh+seconds(workers.HeartbeatS)
 	began := 0
 	for _, i := range order {
-		machine, controllerTermination := c.cache.Machines[i], c.terminations[i]
+		machine, controllerTermination := c.cache.Machines[i], c.cancellations.terminations[i]
 		own := c.ownsShard(machine.Shard)
 		if !own && !outage && ages[i] < ownerGrace {
 			continue
 		}
 		if controllerTermination == nil {
 			controllerTermination = &termination{}
-			c.terminations[i] = controllerTermination
+			c.cancellations.terminations[i] = controllerTermination
 		}
 		switch {
 		case now.Before(controllerTermination.nextTry):
@@ -124,7 +124,7 @@
 			if own {
 				c.returnMachine(machine, "can't be stopped")
 			}
-		case began < terminationsPerRound && c.directCommands < maxDirectCommands:
+		case began < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
 			// Each round began with the same machines once, and those beyond the first 48 had no stop.
 			began++
 			controllerTermination.nextTry = now.Add(terminationInterval)
@@ -161,22 +161,22 @@
 		return
 	}
 	addr := machine.Addr
-	c.directCommands++
+	c.workers.directCommands++
 	go func() {
-		heartbeat, status, err := c.workers.Command(addr, cmd, 2*time.Second)
+		heartbeat, status, err := c.workerLink.Command(addr, cmd, 2*time.Second)
 		c.post(func() {
-			c.directCommands--
+			c.workers.directCommands--
 			c.log.Debug("stops for another's machine", "addr", addr, "stops", len(cmd.Commands), "status", status, "err", err)
 			if err != nil || heartbeat == nil || heartbeat.Machine != machine.Name || machine.Gone {
 				return
 			}
-			c.workerReachedAt = time.Now()
+			c.workers.reachedAt = time.Now()
 			switch left := c.killCommandsFor(heartbeat); {
 			case len(left) == 0:
-				if s := c.terminations[machine.Index]; s != nil {
-					*s = termination{nextTry: c.workerReachedAt.Add(terminationRecheck)}
+				if s := c.cancellations.terminations[machine.Index]; s != nil {
+					*s = termination{nextTry: c.workers.reachedAt.Add(terminationRecheck)}
 				}
-			case status != 200 && again && c.directCommands < maxDirectCommands:
+			case status != 200 && again && c.workers.directCommands < maxDirectCommands:
 				c.terminateOn(machine, protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: left}, false)
 			}
 		})
@@ -192,7 +192,7 @@
 			continue
 		}
 		f, _ := c.cache.FinalState(id)
-		if _, told := c.digest.gossiped[id]; told || f == protocol.Cancelled {
+		if _, told := c.cancellations.digest.gossiped[id]; told || f == protocol.Cancelled {
 			out = append(out, protocol.Command{Op: protocol.OpKill, Task: t.Task, Attempt: t.Attempt})
 		}
 	}
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -60,7 +60,7 @@
 				record.FinalAtMs = 0
 			}
 			if x.is&told != 0 {
-				controller.digest.gossiped["job-000001"] = 9
+				controller.cancellations.digest.gossiped["job-000001"] = 9
 			} else {
 				apply(storage.JobKey("job-000001"), record, 6)
 			}
@@ -70,21 +70,21 @@
 			if x.is&others != 0 {
 				controller.cache.Shards[0].Member = "n1"
 			}
-			controller.storeServedAt = now
+			controller.storeHealth.servedAt = now
 			if x.is&outage != 0 {
-				controller.storeServedAt = now.Add(-time.Hour)
+				controller.storeHealth.servedAt = now.Add(-time.Hour)
 			}
-			controller.anyWorkerHeardAt = now.Add(-x.tried)
+			controller.workers.anyHeardAt = now.Add(-x.tried)
 			if lost := controller.superviseTerminations(now.Add(-x.tried)); len(lost) > 0 {
 				t.Fatal("returned before anything was tried")
 			}
-			if controller.anyWorkerHeardAt = now.Add(-x.heard); x.awake > 0 {
-				controller.resumedAt = now.Add(-x.awake)
+			if controller.workers.anyHeardAt = now.Add(-x.heard); x.awake > 0 {
+				controller.reachability.resumedAt = now.Add(-x.awake)
 			}
 			if lost := controller.superviseTerminations(now); (len(lost) > 0) != x.want {
 				t.Errorf("returned %v, want %v", lost, x.want)
 			}
-			if e := controller.pendingUpdates[machine.Index]; (e != nil && e.returning) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
+			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
 				t.Error("its owner returns it without saying so, or another one says so")
 			}
 		})
@@ -118,9 +118,9 @@
 		worker, now := controller.workerState(machine), time.Now()
 		worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
 		if i == 0 {
-			controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
+			controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
 			controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
-			controller.leaseSeenAt["n1"] = now
+			controller.reachability.leaseSeenAt["n1"] = now
 			machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
 			worker.heard, worker.missedProbes = worker.heartbeatAt, 9
 		} else if i > 1 {
@@ -132,7 +132,7 @@
 			t.Errorf("%s: usable %v, want %v", x.name, got, x.usable)
 		}
 		controller.superviseMachines(t.Context(), now, nil)
-		if e := controller.pendingUpdates[machine.Index]; (e != nil && e.returning) != x.why {
+		if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != x.why {
 			t.Errorf("%s: returned %v, want %v", x.name, !x.why, x.why)
 		}
 	}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -54,24 +54,26 @@
 }
 
 func (c *Controller) zoneState(z int) *zoneState {
-	for len(c.zones) <= z {
-		c.zones = append(c.zones, zoneState{heard: time.Now()})
+	for len(c.reachability.zones) <= z {
+		c.reachability.zones = append(c.reachability.zones, zoneState{heard: time.Now()})
 	}
-	return &c.zones[z]
+	return &c.reachability.zones[z]
 }
 
 // zoneUnreachable tells whether a zone is cut off from this controller.
-func (c *Controller) zoneUnreachable(z int) bool { return z < len(c.zones) && c.zones[z].unreachable }
+func (c *Controller) zoneUnreachable(z int) bool {
+	return z < len(c.reachability.zones) && c.reachability.zones[z].unreachable
+}
 
 // superviseZones asks silent zones' workers for a heartbeat, one at a time, and finds out which zones are
 // away. The leader does so too where it owns nothing: it must not rent there.
 func (c *Controller) superviseZones(now time.Time) {
 	for name := range c.cache.Members {
-		c.leaseSeenAt[name] = now
+		c.reachability.leaseSeenAt[name] = now
 	}
-	if !c.isLeader() && !slices.ContainsFunc(c.ownedShards, func(v uint64) bool { return v > 0 }) {
-		for z := range c.zones {
-			c.zones[z] = zoneState{heard: now}
+	if !c.isLeader() && !slices.ContainsFunc(c.shards.owned, func(v uint64) bool { return v > 0 }) {
+		for z := range c.reachability.zones {
+			c.reachability.zones[z] = zoneState{heard: now}
 		}
 		return
 	}
@@ -130,12 +132,12 @@
 // there goes on answering them; another is found by most workers before their leases end, even where
 // two silent controllers come first in their order.
 func (c *Controller) hasControllerInside(z int) bool {
-	name, since := c.cache.Zones.Name(z), c.zones[z].heard
-	if since.Sub(c.startedAt) < endedBefore {
+	name, since := c.cache.Zones.Name(z), c.reachability.zones[z].heard
+	if since.Sub(c.session.startedAt) < endedBefore {
 		return false // this process has not seen who ended
 	}
 	return slices.ContainsFunc(c.cfg.Known, func(k config.Peer) bool {
-		return k.Zone == name && c.leaseSeenAt[k.MemberName].After(since) && !c.brokenConnections[k.MemberName].After(since.Add(-endedBefore))
+		return k.Zone == name && c.reachability.leaseSeenAt[k.MemberName].After(since) && !c.reachability.brokenConnections[k.MemberName].After(since.Add(-endedBefore))
 	})
 }
 
@@ -154,5 +156,5 @@
 // needsNoReplacement tells whether what runs in a zone needs no room elsewhere: while it is away, until machines
 // rented from then on would come up too late.
 func (c *Controller) needsNoReplacement(z int, now time.Time) bool {
-	return c.zoneUnreachable(z) && c.silenceOf(c.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
+	return c.zoneUnreachable(z) && c.silenceOf(c.reachability.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -59,20 +59,20 @@
 		away, lives bool // lives: somebody inside is taken to live
 	}{
 		{"one zone is silent, its node lived", "ac", 4, func(*Controller, time.Time) {}, true, true},
-		{"its node's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false},
+		{"its node's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.reachability.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false},
 		{"its node was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Members, "n1") }, true, false},
-		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.startedAt = now }, true, false},
+		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.session.startedAt = now }, true, false},
 		{"all are silent: the fault is on this side", "", 4, func(*Controller, time.Time) {}, false, false},
 		{"two machines may fall silent together", "ac", 2, func(*Controller, time.Time) {}, false, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				core := hall(t, x.machines)
-				core.workers = deafWorkers(x.heard)
+				core.workerLink = deafWorkers(x.heard)
 				for _, n := range []string{"n0", "n1", "n2"} {
 					core.cache.Members[n] = &storage.Member{Version: 1}
 				}
-				core.startedAt = time.Now().Add(-time.Minute)
+				core.session.startedAt = time.Now().Add(-time.Minute)
 				x.before(core, time.Now())
 				b := core.cache.Zones.Find("b")
 				for i := range 24 {
@@ -147,17 +147,17 @@
 // serve puts a service's first replicas on machines of their names.
 func (c *Controller) serve(t *testing.T, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
-	c.highestRevision++
+	c.follower.highestRevision++
 	if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
-		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), c.highestRevision, false); err != nil {
+		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), c.follower.highestRevision, false); err != nil {
 		t.Fatal(err)
 	}
 	j := c.cache.Job(id)
 	j.ByZone = make([]int32, 3)
 	for i, name := range on {
 		m := c.cache.Machine(name)
-		m.Tasks = append(m.Tasks, storage.PlacedTask{Job: j, Task: i, Attempt: c.highestRevision})
-		j.MachineOf[i], j.AttemptOf[i], j.PlacedCount = m.Index, c.highestRevision, j.PlacedCount+1
+		m.Tasks = append(m.Tasks, storage.PlacedTask{Job: j, Task: i, Attempt: c.follower.highestRevision})
+		j.MachineOf[i], j.AttemptOf[i], j.PlacedCount = m.Index, c.follower.highestRevision, j.PlacedCount+1
 		j.ByZone[m.Zone]++
 	}
 	return j
