--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -403,19 +403,19 @@
 }
 
 func (c *Controller) machineInfo(machine *storage.Machine, tasks bool) MachineInfo {
-	controllerMachineInfo := MachineInfo{Name: machine.Name, State: c.machineState(machine), Shard: machine.Shard, Type: c.cache.TypeIndex.Name(machine.Type),
+	info := MachineInfo{Name: machine.Name, State: c.machineState(machine), Shard: machine.Shard, Type: c.cache.TypeIndex.Name(machine.Type),
 		Zone: c.cache.Zones.Name(machine.Zone), Spot: machine.Spot, Incarnation: machine.Incarnation, FencingToken: c.cache.FencingToken(machine), Tasks: len(machine.Tasks), SilentS: -1}
 	for _, p := range machine.Tasks {
-		controllerMachineInfo.UsedCpus += p.Job.Cpus
-		controllerMachineInfo.UsedGpus += p.Job.Gpus
+		info.UsedCpus += p.Job.Cpus
+		info.UsedGpus += p.Job.Gpus
 		if tasks {
-			controllerMachineInfo.Placed = append(controllerMachineInfo.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.WaitedS})
+			info.Placed = append(info.Placed, TaskInfo{p.Job.ID, p.Task, p.Attempt, p.WaitedS})
 		}
 	}
 	if v := c.workers.states[machine.Index]; v != nil && c.ownsShard(machine.Shard) {
-		controllerMachineInfo.SilentS = time.Since(v.heard).Seconds()
+		info.SilentS = time.Since(v.heard).Seconds()
 	}
-	return controllerMachineInfo
+	return info
 }
 
 // MachineInfos lists machines in name order, beginning after a given one.
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -85,19 +85,19 @@
 		{"those of one record fall out together", append([]uint64{1, 1, 1}, sequence(protocol.MaxCancellations)[1:]...), 1, protocol.MaxCancellations - 1},
 		{"one that comes late, from before the list", append(sequence(protocol.MaxCancellations+3), 2), 3, protocol.MaxCancellations},
 	} {
-		var controllerCancellationList cancellationList
+		var recorded cancellationList
 		for i, v := range x.versions {
 			job := fmt.Sprintf("job-%06d", v)
 			if v == 1 {
 				job = fmt.Sprintf("job-1%05d", i)
 			}
-			controllerCancellationList.add(v, job)
+			recorded.add(v, job)
 		}
-		if controllerCancellationList.from != x.from || len(controllerCancellationList.list) != x.listed {
-			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(controllerCancellationList.list), controllerCancellationList.from, x.listed, x.from)
+		if recorded.from != x.from || len(recorded.list) != x.listed {
+			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(recorded.list), recorded.from, x.listed, x.from)
 		}
-		for i := 1; i < len(controllerCancellationList.list); i++ {
-			if controllerCancellationList.list[i].Version < controllerCancellationList.list[i-1].Version {
+		for i := 1; i < len(recorded.list); i++ {
+			if recorded.list[i].Version < recorded.list[i-1].Version {
 				t.Errorf("%s: not in order", x.name)
 			}
 		}
--- a/internal/controller/dispatch/dispatch.go
+++ b/internal/controller/dispatch/dispatch.go
@@ -83,12 +83,12 @@
 	v.Unplaced = v.Unplaced[:0]
 	for _, taskStatus := range heartbeat.Tasks {
 		id, n, _ := protocol.SplitTask(taskStatus.Task)
-		storageJob := job(id)
-		if storageJob == nil || n >= storageJob.Tasks || storageJob.MachineOf[n] != machine.Index || storageJob.AttemptOf[n] != taskStatus.Attempt {
+		other := job(id)
+		if other == nil || n >= other.Tasks || other.MachineOf[n] != machine.Index || other.AttemptOf[n] != taskStatus.Attempt {
 			v.Unplaced = append(v.Unplaced, taskStatus)
 			continue
 		}
-		ref := Ref{storageJob, n, taskStatus.Attempt}
+		ref := Ref{other, n, taskStatus.Attempt}
 		v.Seen[ref] = TaskSeen{taskStatus.State, taskStatus.Cause, taskStatus.Checkpointed}
 		if taskStatus.State != protocol.TaskExited {
 			continue
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -65,36 +65,36 @@
 	fleets := map[kind]*storage.FleetRecord{}
 	var order []*storage.FleetRecord
 	var batch, rest []*pendingMachine
-	for _, controllerPendingMachine := range c.leader.pendingMachines {
-		if c.cache.MachineSeen(controllerPendingMachine.name) {
-			batch = append(batch, controllerPendingMachine)
+	for _, pending := range c.leader.pendingMachines {
+		if c.cache.MachineSeen(pending.name) {
+			batch = append(batch, pending)
 			continue
 		}
-		controllerKind := kind{controllerPendingMachine.fleet.Type, controllerPendingMachine.fleet.Zone, controllerPendingMachine.fleet.Spot}
-		fleet := fleets[controllerKind]
+		class := kind{pending.fleet.Type, pending.fleet.Zone, pending.fleet.Spot}
+		fleet := fleets[class]
 		if len(txn.Then)+len(fleets)+2 > max(2, c.limits().TxnOps) || fleet != nil && c.fleetFull(fleet) {
-			rest = append(rest, controllerPendingMachine)
+			rest = append(rest, pending)
 			continue
 		}
 		if fleet == nil {
-			rec := controllerPendingMachine.fleet
+			rec := pending.fleet
 			fleet = &rec
-			fleets[controllerKind] = fleet
+			fleets[class] = fleet
 			order = append(order, fleet)
 		}
 		share := neediest(demand, capacity)
-		if i := c.cache.TypeIndex.Find(controllerPendingMachine.fleet.Type); i >= 0 {
+		if i := c.cache.TypeIndex.Find(pending.fleet.Type); i >= 0 {
 			capacity[share] += c.cache.Types[i].Cpus
 		}
-		rack, fresh := fill.allocate(share, controllerPendingMachine.fleet.Spot)
+		rack, fresh := fill.allocate(share, pending.fleet.Spot)
 		if fresh {
 			key := storage.GroupKey(rack)
 			txn.If = append(txn.If, protocol.Condition{Key: key})
 			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.EncodeGroup(&storage.GroupRecord{Shard: share, FencingToken: c.nextRevision()}, c.cache.Packed())})
 		}
-		fleet.FencingToken = max(fleet.FencingToken, controllerPendingMachine.fleet.FencingToken, c.nextRevision())
-		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: controllerPendingMachine.name, Group: rack, Addr: controllerPendingMachine.addr})
-		batch = append(batch, controllerPendingMachine)
+		fleet.FencingToken = max(fleet.FencingToken, pending.fleet.FencingToken, c.nextRevision())
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: pending.name, Group: rack, Addr: pending.addr})
+		batch = append(batch, pending)
 	}
 	for _, f := range order {
 		key := storage.FleetKey(f.Machines[0].Name)
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -27,12 +27,12 @@
 // by its job's, which only others can tell.
 func (c *Controller) noteFailure(machine *storage.Machine, worker *workerState, job *storage.Job, now time.Time) {
 	jobState := c.jobState(job)
-	controllerFailing := worker.failures[job]
-	if controllerFailing == nil {
-		controllerFailing = &failing{since: now}
-		worker.failures[job] = controllerFailing
+	history := worker.failures[job]
+	if history == nil {
+		history = &failing{since: now}
+		worker.failures[job] = history
 	}
-	controllerFailing.n++
+	history.n++
 	jobState.failures++
 	if !worker.unhealthy && !machine.Unhealthy {
 		jobState.failedOn[machine.Index] = true
@@ -40,7 +40,7 @@
 	if now.Before(jobState.backoff) {
 		return // of the same wave
 	}
-	controllerFailing.waves++
+	history.waves++
 	if jobState.failures >= failuresJob {
 		jobState.suspectTries++
 		jobState.backoff = now.Add(min(maxBackoff, time.Second<<min(jobState.suspectTries, 6)))
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -243,26 +243,26 @@
 }
 
 // answerHeartbeat answers a heartbeat with what the record holds now.
-func (c *Controller) answerHeartbeat(controllerHeldReply heldReply) {
-	machine := c.cache.Machine(controllerHeldReply.machine)
+func (c *Controller) answerHeartbeat(held heldReply) {
+	machine := c.cache.Machine(held.machine)
 	if machine == nil {
-		controllerHeldReply.reply(503, errNotOwner)
+		held.reply(503, errNotOwner)
 		return
 	}
 	if !c.ownsShard(machine.Shard) {
-		controllerHeldReply.reply(421, protocol.Redirect{Member: c.cache.Shards[machine.Shard].Member})
+		held.reply(421, protocol.Redirect{Member: c.cache.Shards[machine.Shard].Member})
 		return
 	}
 	v := c.workerState(machine)
 	out := protocol.HeartbeatResponse{FencingToken: c.cache.FencingToken(machine)}
 	// Commands only answer the latest report of a session that still is.
-	if v.Incarnation == controllerHeldReply.heartbeat.Incarnation && v.HeartbeatSeq == controllerHeldReply.heartbeat.Seq {
+	if v.Incarnation == held.heartbeat.Incarnation && v.HeartbeatSeq == held.heartbeat.Seq {
 		out.Commands = c.commands(machine, v, true)
 	}
 	if out.Commands == nil {
 		out.Commands = []protocol.Command{}
 	}
-	c.answerRenewal(machine.Name, out, controllerHeldReply.reply)
+	c.answerRenewal(machine.Name, out, held.reply)
 }
 
 // flushHeldReplies answers the heartbeats that waited for a commit.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -265,13 +265,13 @@
 // workHorizon is the part of its allowed time in which waiting work should be through.
 const workHorizon = 0.45
 
-func (c *Controller) sendScaleOut(ctx context.Context, pool autoscale.Pool, controllerScaleOut *scaleOut) {
-	controllerScaleOut.inFlight = true
-	c.log.Info("renting", "name", controllerScaleOut.request.Name, "type", controllerScaleOut.request.Type, "zone", controllerScaleOut.request.Zone, "spot", controllerScaleOut.request.Spot, "count", controllerScaleOut.request.Count)
+func (c *Controller) sendScaleOut(ctx context.Context, pool autoscale.Pool, pending *scaleOut) {
+	pending.inFlight = true
+	c.log.Info("renting", "name", pending.request.Name, "type", pending.request.Type, "zone", pending.request.Zone, "spot", pending.request.Spot, "count", pending.request.Count)
 	go func() {
-		names, err := c.cloud.ScaleOut(ctx, controllerScaleOut.request)
+		names, err := c.cloud.ScaleOut(ctx, pending.request)
 		c.post(func() {
-			controllerScaleOut.inFlight = false
+			pending.inFlight = false
 			switch {
 			case errors.Is(err, protocol.ErrNoCapacity):
 				delete(c.leader.scaleOuts, pool)
@@ -280,12 +280,12 @@
 				delete(c.leader.scaleOuts, pool)
 				c.leader.blocked[pool] = time.Now().Add(2 * time.Second)
 			case err != nil:
-				c.log.Info("rental in doubt", "name", controllerScaleOut.request.Name, "err", err)
+				c.log.Info("rental in doubt", "name", pending.request.Name, "err", err)
 			default:
-				if len(names) < controllerScaleOut.request.Count {
+				if len(names) < pending.request.Count {
 					c.leader.blocked[pool] = time.Now().Add(blockedFor)
 				}
-				c.enrollScaledOut(ctx, pool, controllerScaleOut.request, names)
+				c.enrollScaledOut(ctx, pool, pending.request, names)
 			}
 		})
 	}()
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -42,43 +42,43 @@
 	c.workers.manyUnresponsive = many(mute)
 	names := lost
 	lastUp := c.lastUp()
-	for _, storageMachine := range c.cache.Machines {
-		if storageMachine.Gone || !c.ownsShard(storageMachine.Shard) {
+	for _, other := range c.cache.Machines {
+		if other.Gone || !c.ownsShard(other.Shard) {
 			continue
 		}
-		worker := c.workerState(storageMachine)
-		if len(storageMachine.Tasks) > 0 {
+		worker := c.workerState(other)
+		if len(other.Tasks) > 0 {
 			worker.emptySince = time.Time{}
 		} else if worker.emptySince.IsZero() {
 			worker.emptySince = now
 		}
-		if storageMachine.Returning {
-			if !worker.terminated && !slices.Contains(lost, storageMachine.Name) {
-				names = append(names, storageMachine.Name)
+		if other.Returning {
+			if !worker.terminated && !slices.Contains(lost, other.Name) {
+				names = append(names, other.Name)
 			}
 			continue
 		}
-		c.judgeHealth(storageMachine, worker, now)
+		c.judgeHealth(other, worker, now)
 		var why string
 		limit := unreachableLimit(workers, suspectSelf)
-		if serves(storageMachine) && c.zoneUnreachable(storageMachine.Zone) && c.hasControllerInside(storageMachine.Zone) {
+		if serves(other) && c.zoneUnreachable(other.Zone) && c.hasControllerInside(other.Zone) {
 			limit = max(limit, unreachableZoneLimit(workers))
 		}
-		silent := c.silenceOf(maxTime(worker.heard, c.zoneState(storageMachine.Zone).reachableSince), now)
+		silent := c.silenceOf(maxTime(worker.heard, c.zoneState(other.Zone).reachableSince), now)
 		switch {
-		case storageMachine.Draining && len(storageMachine.Tasks) == 0:
+		case other.Draining && len(other.Tasks) == 0:
 			why = "drained"
-		case (worker.unhealthy || storageMachine.Unhealthy) && len(storageMachine.Tasks) == 0, worker.unhealthy && len(worker.failures) > 1:
+		case (worker.unhealthy || other.Unhealthy) && len(other.Tasks) == 0, worker.unhealthy && len(worker.failures) > 1:
 			why = "sick"
-		case c.silenceOf(worker.since, now) > 5*time.Second && c.neverCame(storageMachine, lastUp[storageMachine.Type], now):
+		case c.silenceOf(worker.since, now) > 5*time.Second && c.neverCame(other, lastUp[other.Type], now):
 			why = reasonNeverUp
-		case (worker.Incarnation != 0 || storageMachine.Incarnation != 0) && silent > limit && now.Sub(worker.since) > limit && worker.missedProbes >= 2:
+		case (worker.Incarnation != 0 || other.Incarnation != 0) && silent > limit && now.Sub(worker.since) > limit && worker.missedProbes >= 2:
 			why = "silent"
 		case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > unresponsiveLimit(workers, c.workers.manyUnresponsive) && now.Sub(worker.since) > unresponsiveLimit(workers, c.workers.manyUnresponsive):
 			why = "mute"
 		}
 		if why != "" {
-			c.returnMachine(storageMachine, why)
+			c.returnMachine(other, why)
 		}
 	}
 	c.scaleIn(ctx, names)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -125,12 +125,12 @@
 
 // logCounters logs what operators compare between sizes; metrics have more of it.
 func (c *Controller) logCounters(now time.Time) {
-	controllerLogCounters := &c.metrics.counters
-	if now.Sub(controllerLogCounters.at) < logCountersInterval {
+	counters := &c.metrics.counters
+	if now.Sub(counters.at) < logCountersInterval {
 		return
 	}
 	spent := c.store.ChangesUsed()
-	if !controllerLogCounters.at.IsZero() {
+	if !counters.at.IsZero() {
 		machines, jobs := 0, 0
 		for _, m := range c.cache.Machines {
 			if !m.Gone && c.ownsShard(m.Shard) {
@@ -142,10 +142,10 @@
 				jobs++
 			}
 		}
-		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", controllerLogCounters.passes, "pass_mean_ms", millis(controllerLogCounters.all)/float64(max(1, controllerLogCounters.passes)),
-			"pass_longest_ms", millis(controllerLogCounters.longest), "changes_per_s", float64(int(float64(spent-controllerLogCounters.changes)/now.Sub(controllerLogCounters.at).Seconds()*10))/10, "revision", c.cache.Revision)
+		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", counters.passes, "pass_mean_ms", millis(counters.all)/float64(max(1, counters.passes)),
+			"pass_longest_ms", millis(counters.longest), "changes_per_s", float64(int(float64(spent-counters.changes)/now.Sub(counters.at).Seconds()*10))/10, "revision", c.cache.Revision)
 	}
-	*controllerLogCounters = logCounters{at: now, changes: spent}
+	*counters = logCounters{at: now, changes: spent}
 }
 
 // millis is a time in milliseconds, to the hundredth.
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -41,37 +41,37 @@
 // an earlier one had learned outlives an end of all controllers, and a flood that runs on over
 // it is not taken for the usual.
 func (c *Controller) learnBaseline(ctx context.Context, now time.Time) {
-	controllerBaselineLearning := &c.leader.baseline
+	learning := &c.leader.baseline
 	if !c.isLeader() || !c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	if controllerBaselineLearning.estimator == nil {
-		*controllerBaselineLearning = baselineLearning{estimator: baseline.New(c.cache.Baseline.Cpus), lastArrivals: maps.Clone(c.cache.Arrivals), at: now, writeInFlight: controllerBaselineLearning.writeInFlight}
+	if learning.estimator == nil {
+		*learning = baselineLearning{estimator: baseline.New(c.cache.Baseline.Cpus), lastArrivals: maps.Clone(c.cache.Arrivals), at: now, writeInFlight: learning.writeInFlight}
 		return
 	}
-	if duration := now.Sub(controllerBaselineLearning.at); duration >= baseline.Step {
+	if duration := now.Sub(learning.at); duration >= baseline.Step {
 		asked := map[storage.ClassQueue]storage.Arrivals{}
 		for x, n := range c.cache.Arrivals {
-			if s := controllerBaselineLearning.lastArrivals[x]; n.Jobs > s.Jobs {
+			if s := learning.lastArrivals[x]; n.Jobs > s.Jobs {
 				asked[x] = storage.Arrivals{Jobs: n.Jobs - s.Jobs, Work: n.Work - s.Work}
 			}
 		}
 		// What is read at once after a pause is no flood: a window in which this controller stood
 		// still or read nothing is left out.
 		if duration < 3*baseline.Step && !c.storeFailing() {
-			controllerBaselineLearning.estimator.Window(duration, asked)
+			learning.estimator.Window(duration, asked)
 		}
-		controllerBaselineLearning.lastArrivals, controllerBaselineLearning.at = maps.Clone(c.cache.Arrivals), now
+		learning.lastArrivals, learning.at = maps.Clone(c.cache.Arrivals), now
 	}
-	if controllerBaselineLearning.writeInFlight || now.Sub(controllerBaselineLearning.writtenAt) < baselineWriteInterval && c.cache.Baseline.Version > 0 || !controllerBaselineLearning.estimator.Differs(c.cache.Baseline.Cpus) {
+	if learning.writeInFlight || now.Sub(learning.writtenAt) < baselineWriteInterval && c.cache.Baseline.Version > 0 || !learning.estimator.Differs(c.cache.Baseline.Cpus) {
 		return
 	}
-	controllerBaselineLearning.writeInFlight, controllerBaselineLearning.writtenAt = true, now
+	learning.writeInFlight, learning.writtenAt = true, now
 	c.commitAside(ctx, protocol.Txn{
 		If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version},
 			{Key: storage.BaselineKey, Version: c.cache.Baseline.Version}},
-		Then: []protocol.Change{{Put: storage.BaselineKey, Value: storage.Encode(c.cache.BaselineRecordOf(controllerBaselineLearning.estimator.Baseline(), c.valueLimit()*8/10))}},
-	}, protocol.BackgroundRequest, func(bool) { controllerBaselineLearning.writeInFlight = false })
+		Then: []protocol.Change{{Put: storage.BaselineKey, Value: storage.Encode(c.cache.BaselineRecordOf(learning.estimator.Baseline(), c.valueLimit()*8/10))}},
+	}, protocol.BackgroundRequest, func(bool) { learning.writeInFlight = false })
 }
 
 // queueLoads is how the classes of the teams stand.
@@ -87,19 +87,19 @@
 // queueLoads is what the classes of the teams may have before others, and what they hold, from
 // the open jobs.
 func (c *Controller) queueLoads(now time.Time) queueLoads {
-	controllerQueueLoads := queueLoads{queues: make(schedule.QueueStates, storage.ClassQueueCount(len(c.cache.Teams)))}
+	loads := queueLoads{queues: make(schedule.QueueStates, storage.ClassQueueCount(len(c.cache.Teams)))}
 	all := 0.0
 	for _, job := range c.cache.Jobs {
 		if job == nil || job.PlacedCount == 0 && !job.Open() {
 			continue
 		}
-		queueState := controllerQueueLoads.queues.Ensure(storage.ClassQueueOf(job))
+		queueState := loads.queues.Ensure(storage.ClassQueueOf(job))
 		used := float64(job.PlacedCount) * job.Size
 		open := used
 		if !job.Suspect {
 			open += float64(job.Waiting()) * job.Size
 		}
-		controllerQueueLoads.meanBusyS, all = controllerQueueLoads.meanBusyS+used*job.Estimate/2, all+used
+		loads.meanBusyS, all = loads.meanBusyS+used*job.Estimate/2, all+used
 		queueState.Used += used
 		queueState.Open += open
 		if !job.Spot {
@@ -109,32 +109,32 @@
 			queueState.Late += used
 		}
 	}
-	controllerQueueLoads.meanBusyS /= max(1, all)
+	loads.meanBusyS /= max(1, all)
 	for x, u := range c.cache.Baseline.Cpus {
-		if l := controllerQueueLoads.queues.At(x); l != nil {
+		if l := loads.queues.At(x); l != nil {
 			l.Baseline, l.Floor = u, floorMargin*u
 			l.Overloaded = l.Open > overloadFactor*u
-			controllerQueueLoads.overloaded = controllerQueueLoads.overloaded || l.Overloaded
-			controllerQueueLoads.onDemandOverloaded = controllerQueueLoads.onDemandOverloaded || l.OpenOnDemand > overloadFactor*u
+			loads.overloaded = loads.overloaded || l.Overloaded
+			loads.onDemandOverloaded = loads.onDemandOverloaded || l.OpenOnDemand > overloadFactor*u
 		}
 	}
-	if controllerQueueLoads.onDemandOverloaded {
+	if loads.onDemandOverloaded {
 		for x := range c.cache.Baseline.Cpus {
-			if l := controllerQueueLoads.queues.At(x); l != nil {
+			if l := loads.queues.At(x); l != nil {
 				l.LeavesOnDemand = l.Used >= reserveOnDemandFrom*l.Floor
 			}
 		}
 	}
-	return controllerQueueLoads
+	return loads
 }
 
 // detectOverload tells whether there is a flood and far more work of some shards waits than can be
 // in time; with what there is room for, the order needs no floors. It stays, in dealt, until
 // no queue floods any more: what is late by then waits for no aim, but goes small first still.
-func (c *Controller) detectOverload(controllerQueueLoads queueLoads, jobs []*storage.Job, room schedule.Capacity, dealt *bool, now time.Time) bool {
-	if !controllerQueueLoads.overloaded || *dealt {
-		*dealt = controllerQueueLoads.overloaded
-		return controllerQueueLoads.overloaded
+func (c *Controller) detectOverload(loads queueLoads, jobs []*storage.Job, room schedule.Capacity, dealt *bool, now time.Time) bool {
+	if !loads.overloaded || *dealt {
+		*dealt = loads.overloaded
+		return loads.overloaded
 	}
 	c.planner.buffers.waits = c.planner.buffers.waits[:0]
 	for _, j := range jobs {
@@ -146,7 +146,7 @@
 			c.planner.buffers.waits = append(c.planner.buffers.waits, w)
 		}
 	}
-	room.Busy = controllerQueueLoads.meanBusyS
+	room.Busy = loads.meanBusyS
 	*dealt = schedule.LoadFactor(c.planner.buffers.waits, room) > schedule.OverloadFactor
 	return *dealt
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -253,29 +253,29 @@
 			tasks = l
 		}
 		for _, placed := range tasks {
-			storageJob := placed.Job
-			over := storageJob.Team != job.Team && (excess[storageJob.Team].Cpus >= storageJob.Cpus || storageJob.Gpus > 0 && excess[storageJob.Team].Gpus >= storageJob.Gpus)
-			if !(job.Priority.Top() && !storageJob.Priority.Top()) && !(claim && over) && !(job.Priority > storageJob.Priority && c.isIdleWork(storageJob, now)) {
+			other := placed.Job
+			over := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
+			if !(job.Priority.Top() && !other.Priority.Top()) && !(claim && over) && !(job.Priority > other.Priority && c.isIdleWork(other, now)) {
 				continue
 			}
-			if !storageJob.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
+			if !other.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
 				continue // it goes anyway, or only starts with this transaction
 			}
 			if over && claim {
-				excess[storageJob.Team].Add(storageJob, -1)
+				excess[other.Team].Add(other, -1)
 			}
 			ran := lossOf(worker, placed, now)
-			vic := schedule.Victim{Slot: slot, Job: storageJob, Task: placed.Task, Attempt: placed.Attempt}
-			if storageJob.Shape == protocol.Service {
-				if i, ok := services[storageJob]; ok {
+			vic := schedule.Victim{Slot: slot, Job: other, Task: placed.Task, Attempt: placed.Attempt}
+			if other.Shape == protocol.Service {
+				if i, ok := services[other]; ok {
 					out[i].Victims = append(out[i].Victims, vic)
 					out[i].Lost += ran
 					out[i].Waited = max(out[i].Waited, float64(placed.WaitedS))
 					continue
 				}
-				services[storageJob] = len(out)
+				services[other] = len(out)
 			}
-			out = append(out, schedule.Candidate{Victims: []schedule.Victim{vic}, Lost: ran, Waited: float64(placed.WaitedS), SubmittedAt: storageJob.ReadyAt, TopPriority: storageJob.Priority.Top()})
+			out = append(out, schedule.Candidate{Victims: []schedule.Victim{vic}, Lost: ran, Waited: float64(placed.WaitedS), SubmittedAt: other.ReadyAt, TopPriority: other.Priority.Top()})
 		}
 	}
 	return out
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -20,22 +20,22 @@
 	if c.leader.moveInFlight || c.cache.NumShards < 2 {
 		return
 	}
-	controllerRebalancer := rebalancer{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
+	moves := rebalancer{c: c, txn: protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}},
 		moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
-	controllerRebalancer.rebalancePass(now, onDemandWork)
-	controllerRebalancer.rebalancePass(now, allWork)
-	controllerRebalancer.rebalancePass(now, idleWork)
+	moves.rebalancePass(now, onDemandWork)
+	moves.rebalancePass(now, allWork)
+	moves.rebalancePass(now, idleWork)
 	for share := range c.leader.stuckSinceByShard {
-		if !controllerRebalancer.stuck[share] {
+		if !moves.stuck[share] {
 			delete(c.leader.stuckSinceByShard, share)
 		}
 	}
-	if len(controllerRebalancer.txn.Then) == 0 {
+	if len(moves.txn.Then) == 0 {
 		return
 	}
 	c.leader.moveInFlight = true
 	c.leader.movedAt = now
-	c.commitAside(ctx, controllerRebalancer.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
+	c.commitAside(ctx, moves.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
 }
 
 type rebalancer struct {
@@ -92,10 +92,10 @@
 
 // addFloors raises the shards' claims to what their queues have before others in a flood. Without
 // it the shard with the flood drew the machines of all others, until those were as late.
-func (mv *rebalancer) addFloors(sums []shardSums, controllerQueueLoads queueLoads) {
+func (mv *rebalancer) addFloors(sums []shardSums, loads queueLoads) {
 	more, all, left := make([]float64, len(sums)), 0.0, 0.0
 	for x := range mv.c.cache.Baseline.Cpus {
-		if l := controllerQueueLoads.queues.At(x); l != nil {
+		if l := loads.queues.At(x); l != nil {
 			more[mv.c.cache.ShardOf(x.Team)] += min(l.Floor, claimMargin*l.Open)
 		}
 	}
@@ -153,25 +153,25 @@
 		if job == nil || !job.Open() || (ordinary && job.Spot) {
 			continue
 		}
-		controllerShardSums, waits := &sums[job.Shard], may.take(job)
+		shardTotals, waits := &sums[job.Shard], may.take(job)
 		if controller.isIdleWork(job, now) {
 			if kind != idleWork {
 				idle[job] = true
 				continue
 			}
 		} else {
-			controllerShardSums.nonIdleDemand += float64(job.PlacedCount+waits) * job.Size
-			controllerShardSums.nonIdleWaiting += float64(waits) * job.Size
+			shardTotals.nonIdleDemand += float64(job.PlacedCount+waits) * job.Size
+			shardTotals.nonIdleWaiting += float64(waits) * job.Size
 		}
-		controllerShardSums.demand += float64(job.PlacedCount) * job.Size
+		shardTotals.demand += float64(job.PlacedCount) * job.Size
 		if jv := controller.jobStates[job]; jv != nil && now.Before(jv.backoff) {
 			continue
 		}
 		w := float64(waits) * job.Size
-		controllerShardSums.waiting += w
-		controllerShardSums.demand += w
+		shardTotals.waiting += w
+		shardTotals.demand += w
 		if job.Priority.Top() {
-			controllerShardSums.topWaiting += w
+			shardTotals.topWaiting += w
 		}
 	}
 	if kind == allWork && controller.guaranteesTimed() {
@@ -182,7 +182,7 @@
 			continue
 		}
 		s := &sums[group.Shard]
-		controllerGroupSums := &groupSums{group: group}
+		groupTotals := &groupSums{group: group}
 		stays := now.Sub(controller.leader.groupMovedAt[group.ID]) <= moveCooldown
 		for _, machine := range group.Machines {
 			if machine.Gone || machine.Returning || (ordinary && machine.Spot) {
@@ -195,19 +195,19 @@
 					f -= p.Job.Size
 				}
 			}
-			controllerGroupSums.capacity += cpus
+			groupTotals.capacity += cpus
 			if controller.workers.pendingUpdates[machine.Index].blocksPlacement() || machine.Unhealthy || machine.Draining {
 				f = 0
 			}
-			controllerGroupSums.free += f
+			groupTotals.free += f
 		}
-		s.capacity += controllerGroupSums.capacity
-		s.free += controllerGroupSums.free
-		if controllerGroupSums.capacity > 0 {
+		s.capacity += groupTotals.capacity
+		s.free += groupTotals.free
+		if groupTotals.capacity > 0 {
 			s.groupCount++
 		}
-		if controllerGroupSums.capacity > 0 && !stays {
-			s.movable = append(s.movable, controllerGroupSums)
+		if groupTotals.capacity > 0 && !stays {
+			s.movable = append(s.movable, groupTotals)
 		}
 	}
 	for i := range sums {
--- a/internal/controller/schedule/earliest_start_test.go
+++ b/internal/controller/schedule/earliest_start_test.go
@@ -40,14 +40,14 @@
 		{"not one behind others' fetches", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, fetches(img, 80))}, nil, "m"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			storageJob := job("a", 1, 4, x.prio, func(j *storage.Job) { j.Image, j.ImageGB, j.Spot = img, x.gb, false })
-			res := Place(&Input{Now: time.Unix(1000, 0), Slots: x.slots, Booting: x.booting, Jobs: []*storage.Job{storageJob}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
+			other := job("a", 1, 4, x.prio, func(j *storage.Job) { j.Image, j.ImageGB, j.Spot = img, x.gb, false })
+			res := Place(&Input{Now: time.Unix(1000, 0), Slots: x.slots, Booting: x.booting, Jobs: []*storage.Job{other}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
 				Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9, MayPreempt: func(j *storage.Job) bool { return j.Priority.Top() }})
 			got := "waits"
 			switch {
 			case len(res.Placed) > 0:
 				got = res.Placed[0].Slot.Machine.Name
-			case res.Short[storageJob] > 0:
+			case res.Short[other] > 0:
 				got = "evicts"
 			}
 			if got != x.want {
@@ -59,12 +59,12 @@
 
 // A service's replicas part over the machines that have its image: one machine's end took all of them.
 func TestReplicasPart(t *testing.T) {
-	storageJob := job("a", 6, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
+	other := job("a", 6, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
 	var slots []*Slot
 	for i := range 6 {
 		slots = append(slots, slot(fmt.Sprint("m", i), i%2, 8, func(s *Slot) { s.Images, s.Rank = []int{7}, float64(i)/6 }))
 	}
-	res := Place(&Input{Now: time.Unix(1000, 0), Slots: slots, Jobs: []*storage.Job{storageJob}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
+	res := Place(&Input{Now: time.Unix(1000, 0), Slots: slots, Jobs: []*storage.Job{other}, Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1),
 		Capacity: storage.Usage{Cpus: 100, Mem: 400}, Records: 9, Tasks: 9})
 	on := map[string]int{}
 	for _, p := range res.Placed {
@@ -82,16 +82,16 @@
 		n    int
 		want string
 	}{{1, "n1"}, {2, "n1 n2"}, {3, "m1 n1 n2"}, {9, "m1 m2 n1 n2"}} {
-		storageJob := job("top", 9, 4, protocol.Production, func(j *storage.Job) { j.Image, j.ImageGB = 7, 30 })
-		scheduleSlot, n := slot("m", 0, 0), slot("n", 0, 0, func(s *Slot) { s.Images = []int{7} })
+		other := job("top", 9, 4, protocol.Production, func(j *storage.Job) { j.Image, j.ImageGB = 7, 30 })
+		candidate, n := slot("m", 0, 0), slot("n", 0, 0, func(s *Slot) { s.Images = []int{7} })
 		var cands []Candidate
-		for i, s := range []*Slot{scheduleSlot, scheduleSlot, n, n} {
+		for i, s := range []*Slot{candidate, candidate, n, n} {
 			v := job(fmt.Sprint(s.Machine.Name, i%2+1), 1, 4, protocol.Low)
 			cands = append(cands, Candidate{Victims: []Victim{{Slot: s, Job: v}}, Lost: float64(i)})
 		}
 		RankCandidates(0.31, cands)
 		var got []string
-		for _, c := range PreemptSoonest(storageJob, x.n, []*Slot{scheduleSlot, n}, cands) {
+		for _, c := range PreemptSoonest(other, x.n, []*Slot{candidate, n}, cands) {
 			got = append(got, c.Victims[0].Job.ID)
 		}
 		slices.Sort(got)
--- a/internal/controller/schedule/schedule_test.go
+++ b/internal/controller/schedule/schedule_test.go
@@ -151,7 +151,7 @@
 }
 
 func TestPreempt(t *testing.T) {
-	scheduleSlot, n := slot("m", 0, 0), slot("n", 0, 1)
+	candidate, n := slot("m", 0, 0), slot("n", 0, 1)
 	young, old := time.Unix(2000, 0), time.Unix(1000, 0)
 	cand := func(id string, s *Slot, cpus, v, w float64, at time.Time) Candidate {
 		return Candidate{Victims: []Victim{{Slot: s, Job: job(id, 1, cpus, protocol.Normal)}}, Lost: v, Waited: w, SubmittedAt: at}
@@ -165,28 +165,28 @@
 		want  []string
 	}{
 		{"least lost work first when alpha is 1", 1, 1,
-			[]Candidate{cand("a", scheduleSlot, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"b"}},
+			[]Candidate{cand("a", candidate, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"b"}},
 		{"shortest wait first when alpha is 0", 0, 1,
-			[]Candidate{cand("a", scheduleSlot, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"a"}},
+			[]Candidate{cand("a", candidate, 4, 9, 1, old), cand("b", n, 4, 2, 50, old)}, []string{"a"}},
 		{"both weighed", 0.31, 1,
-			[]Candidate{cand("a", scheduleSlot, 4, 100, 1, old), cand("b", n, 4, 2, 30, old)}, []string{"b"}},
+			[]Candidate{cand("a", candidate, 4, 100, 1, old), cand("b", n, 4, 2, 30, old)}, []string{"b"}},
 		{"the younger goes on ties", 0.31, 1,
-			[]Candidate{cand("a", scheduleSlot, 4, 5, 5, old), cand("b", scheduleSlot, 4, 5, 5, young)}, []string{"b"}},
+			[]Candidate{cand("a", candidate, 4, 5, 5, old), cand("b", candidate, 4, 5, 5, young)}, []string{"b"}},
 		{"stops once it fits", 1, 2,
-			[]Candidate{cand("a", scheduleSlot, 4, 1, 0, old), cand("b", scheduleSlot, 4, 2, 0, old), cand("c", scheduleSlot, 4, 3, 0, old)}, []string{"a", "b"}},
+			[]Candidate{cand("a", candidate, 4, 1, 0, old), cand("b", candidate, 4, 2, 0, old), cand("c", candidate, 4, 3, 0, old)}, []string{"a", "b"}},
 		{"drops what turned out unneeded", 1, 1,
-			[]Candidate{cand("a", scheduleSlot, 2, 1, 0, old), cand("b", n, 4, 2, 0, old)}, []string{"b"}},
+			[]Candidate{cand("a", candidate, 2, 1, 0, old), cand("b", n, 4, 2, 0, old)}, []string{"b"}},
 		{"takes what can be had when not all fits", 1, 5,
-			[]Candidate{cand("a", scheduleSlot, 4, 1, 0, old)}, []string{"a"}},
+			[]Candidate{cand("a", candidate, 4, 1, 0, old)}, []string{"a"}},
 		{"evicts nobody when it would not help", 1, 1,
-			[]Candidate{cand("a", scheduleSlot, 2, 1, 0, old)}, nil},
+			[]Candidate{cand("a", candidate, 2, 1, 0, old)}, nil},
 		{"two small ones make room for one large", 1, 1,
-			[]Candidate{cand("a", scheduleSlot, 2, 1, 0, old), cand("b", scheduleSlot, 2, 2, 0, old)}, []string{"a", "b"}},
+			[]Candidate{cand("a", candidate, 2, 1, 0, old), cand("b", candidate, 2, 2, 0, old)}, []string{"a", "b"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			RankCandidates(c.alpha, c.cands)
-			chosen := Preempt(top, c.n, []*Slot{scheduleSlot, n}, c.cands)
+			chosen := Preempt(top, c.n, []*Slot{candidate, n}, c.cands)
 			var got []string
 			for _, x := range chosen {
 				got = append(got, x.Victims[0].Job.ID)
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -346,19 +346,19 @@
 	if err != nil {
 		return err
 	}
-	controllerRevisionWaiter := revisionWaiter{rev, make(chan struct{})}
+	waiter := revisionWaiter{rev, make(chan struct{})}
 	err = c.call(ctx, func() {
 		if c.cache.Revision >= rev && c.follower.loaded {
-			close(controllerRevisionWaiter.ch)
+			close(waiter.ch)
 		} else if len(c.follower.waiters) < 1000 {
-			c.follower.waiters = append(c.follower.waiters, controllerRevisionWaiter)
+			c.follower.waiters = append(c.follower.waiters, waiter)
 		}
 	})
 	if err != nil {
 		return err
 	}
 	select {
-	case <-controllerRevisionWaiter.ch:
+	case <-waiter.ch:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -106,30 +106,30 @@
 	hears := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.reachedAt), now) < peerFresh+seconds(workers.HeartbeatS)
 	began := 0
 	for _, i := range order {
-		machine, controllerTermination := c.cache.Machines[i], c.cancellations.terminations[i]
+		machine, attempt := c.cache.Machines[i], c.cancellations.terminations[i]
 		own := c.ownsShard(machine.Shard)
 		if !own && !outage && ages[i] < ownerGrace {
 			continue
 		}
-		if controllerTermination == nil {
-			controllerTermination = &termination{}
-			c.cancellations.terminations[i] = controllerTermination
+		if attempt == nil {
+			attempt = &termination{}
+			c.cancellations.terminations[i] = attempt
 		}
 		switch {
-		case now.Before(controllerTermination.nextTry):
-		case !controllerTermination.failingSince.IsZero() && hears && ages[i] >= terminationDeadline(workers) && c.silenceOf(controllerTermination.failingSince, now) > terminationPatience:
+		case now.Before(attempt.nextTry):
+		case !attempt.failingSince.IsZero() && hears && ages[i] >= terminationDeadline(workers) && c.silenceOf(attempt.failingSince, now) > terminationPatience:
 			c.log.Info("what was cancelled can't be shown to have ended, returning machine", "machine", machine.Name, "own", own, "for", ages[i].Seconds())
 			lost = append(lost, machine.Name)
-			controllerTermination.nextTry = now.Add(scaleInRetry)
+			attempt.nextTry = now.Add(scaleInRetry)
 			if own {
 				c.returnMachine(machine, "can't be stopped")
 			}
 		case began < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
 			// Each round began with the same machines once, and those beyond the first 48 had no stop.
 			began++
-			controllerTermination.nextTry = now.Add(terminationInterval)
-			if controllerTermination.failingSince.IsZero() {
-				controllerTermination.failingSince = now
+			attempt.nextTry = now.Add(terminationInterval)
+			if attempt.failingSince.IsZero() {
+				attempt.failingSince = now
 			}
 			if own {
 				c.sendDirect(machine, true)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -89,14 +89,14 @@
 		heard = heard || len(machines[z]) > 0 && c.silenceOf(c.zoneState(z).heard, now) < expected+time.Second
 	}
 	for z, list := range machines {
-		controllerZoneState := c.zoneState(z)
-		silent := c.silenceOf(controllerZoneState.heard, now)
-		if len(list) > 0 || !controllerZoneState.unreachable {
-			controllerZoneState.emptySince = time.Time{}
-		} else if controllerZoneState.emptySince.IsZero() {
-			controllerZoneState.emptySince = now
-		} else if now.Sub(controllerZoneState.emptySince) > emptyFor {
-			*controllerZoneState = zoneState{heard: now}
+		zone := c.zoneState(z)
+		silent := c.silenceOf(zone.heard, now)
+		if len(list) > 0 || !zone.unreachable {
+			zone.emptySince = time.Time{}
+		} else if zone.emptySince.IsZero() {
+			zone.emptySince = now
+		} else if now.Sub(zone.emptySince) > emptyFor {
+			*zone = zoneState{heard: now}
 			c.log.Info("nothing is left in a zone that was away, it is tried again", "zone", c.cache.Zones.Name(z))
 		}
 		if len(list) == 0 || silent < expected {
@@ -106,16 +106,16 @@
 		if !c.ownsShard(list[0].Shard) {
 			quiet, misses = 2*quiet, 2*misses // nobody heartbeats to this controller
 		}
-		if !controllerZoneState.unreachable && len(list) >= zoneMachines && heard && silent > quiet && controllerZoneState.missedProbes >= misses {
-			controllerZoneState.unreachable = true
+		if !zone.unreachable && len(list) >= zoneMachines && heard && silent > quiet && zone.missedProbes >= misses {
+			zone.unreachable = true
 			c.log.Info("zone is away", "zone", c.cache.Zones.Name(z), "machines", len(list))
 		}
-		if controllerZoneState.probing || now.Sub(controllerZoneState.probedAt) < time.Second/2 {
+		if zone.probing || now.Sub(zone.probedAt) < time.Second/2 {
 			continue
 		}
-		controllerZoneState.probing, controllerZoneState.probedAt = true, now
-		controllerZoneState.nextProbe++
-		c.probeHeartbeat(list[controllerZoneState.nextProbe%len(list)], func(answered bool) {
+		zone.probing, zone.probedAt = true, now
+		zone.nextProbe++
+		c.probeHeartbeat(list[zone.nextProbe%len(list)], func(answered bool) {
 			x := c.zoneState(z)
 			x.probing = false
 			if answered {
