--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -22,50 +22,12 @@
 }
 
 const (
-	maxTxnBytes = 56 << 10
-	maxPlace    = 400 // tasks placed in one pass
+	maxTxnBytes = 56 << 10               // of a transaction, as txnBuilder counts them
+	minTxnOps   = 2                      // a transaction of so few changes is sent however large it is
+	txnTimeout  = 4 * time.Second        // then the outcome of the cycle's transaction is unknown
+	commitRetry = 250 * time.Millisecond // after one that was refused or whose outcome is unknown
 )
 
-// txnBuilder is a transaction under construction.
-type txnBuilder struct {
-	conditions map[string]uint64
-	puts       map[string]protocol.Change
-	bytes      int
-	order      []string
-}
-
-func newTxnBuilder() *txnBuilder {
-	return &txnBuilder{conditions: map[string]uint64{}, puts: map[string]protocol.Change{}}
-}
-
-func (b *txnBuilder) require(key string, version uint64) { b.conditions[key] = version }
-
-func (b *txnBuilder) put(key string, version uint64, ch protocol.Change) {
-	b.require(key, version)
-	if _, ok := b.puts[key]; !ok {
-		b.order = append(b.order, key)
-	}
-	b.puts[key] = ch
-	b.bytes += len(key)*3 + len(ch.Value) + 80
-}
-
-func (b *txnBuilder) build() protocol.Txn {
-	var t protocol.Txn
-	for key, v := range b.conditions {
-		t.If = append(t.If, protocol.Condition{Key: key, Version: v})
-	}
-	for _, key := range b.order {
-		t.Then = append(t.Then, b.puts[key])
-	}
-	return t
-}
-
-// progress is how far a job gets with this batch.
-type progress struct {
-	done storage.Bitmap
-	n    int
-}
-
 // cycle compares what the records hold with what the workers have shown and what
 // should run, and commits the difference of this controller's shards as one
 // transaction. Only one is under way at a time; one whose outcome is unknown is
@@ -81,49 +43,51 @@
 		return
 	}
 	if c.cache.Revision < c.commits.awaitedRevision {
-		return // the follow brings what a refused transaction had missed
+		return // the watch brings what a refused transaction had missed
 	}
-	// A plan that waits for its turn grows stale: it is made when it can go out.
-	if d := c.store.Pace(c.commits.lastTxnOps); d > 0 {
-		c.commits.nextCycleAt, c.commits.cycleRequested = now.Add(d), true
+	// A plan that waits for the rate budget grows stale: it is made when it can go out.
+	if wait := c.store.Pace(c.commits.lastTxnOps); wait > 0 {
+		c.commits.nextCycleAt, c.commits.cycleRequested = now.Add(wait), true
 		return
 	}
-	t, more := c.nextTxn(now)
-	if len(t.Then) == 0 {
+	txn, more := c.nextTxn(now)
+	if len(txn.Then) == 0 {
 		c.flushHeldReplies(now, true)
 		return
 	}
 	if more {
 		c.commits.cycleRequested = true
 	}
-	c.commits.lastTxnOps = len(t.Then)
-	c.send(ctx, t)
+	c.commits.lastTxnOps = len(txn.Then)
+	c.send(ctx, txn)
 }
 
 // nextTxn plans a transaction that is within the state service's limits: records
-// that list much leave room for fewer of them.
+// that list much leave room for fewer of them. The second result tells that another transaction
+// is worth planning at once.
 func (c *Controller) nextTxn(now time.Time) (protocol.Txn, bool) {
-	if t := c.nextGroupSplit(); len(t.Then) > 0 {
-		return t, true
+	if split := c.nextGroupSplit(); len(split.Then) > 0 {
+		return split, true
 	}
 	for ops := c.limits().TxnOps; ; ops = (ops + 1) / 2 {
 		began := time.Now()
-		b, more := c.plan(now, ops)
-		c.metrics.counters.pass(time.Since(began))
-		c.metrics.planSeconds.Observe(time.Since(began).Seconds())
+		builder, more := c.plan(now, ops)
+		took := time.Since(began)
+		c.metrics.counters.pass(took)
+		c.metrics.planSeconds.Observe(took.Seconds())
 		if c.planner.oversizedGroup != nil {
-			if t := c.nextGroupSplit(); len(t.Then) > 0 {
-				return t, true
+			if split := c.nextGroupSplit(); len(split.Then) > 0 {
+				return split, true
 			}
 		}
-		if b.bytes <= maxTxnBytes || ops <= 2 {
-			return b.build(), more
+		if builder.bytes <= maxTxnBytes || ops <= minTxnOps {
+			return builder.build(), more
 		}
 	}
 }
 
-// nextGroupSplit parts a group whose record would be over the limit, if there is one: its
-// machines' tasks could not leave it otherwise.
+// nextGroupSplit splits a machine group whose record would be over the limit, if there is one:
+// its machines' tasks could not leave it otherwise.
 func (c *Controller) nextGroupSplit() protocol.Txn {
 	group := c.planner.oversizedGroup
 	c.planner.oversizedGroup = nil
@@ -131,13 +95,7 @@
 		return protocol.Txn{}
 	}
 	if group == nil {
-		limit := c.valueLimit()
-		for _, x := range c.cache.Groups {
-			if x.Size > limit && c.ownsShard(x.Shard) && len(storage.EncodeGroup(c.cache.GroupRecordOf(x, x.UnsavedCompletions(), nil), true)) > limit*9/10 {
-				group = x
-				break
-			}
-		}
+		group = c.findOversizedGroup()
 	}
 	if group == nil || !c.ownsShard(group.Shard) {
 		return protocol.Txn{}
@@ -146,77 +104,119 @@
 	return c.splitGroup(group)
 }
 
-func (c *Controller) send(ctx context.Context, t protocol.Txn) {
+// findOversizedGroup finds an owned group whose record is over the limit and stays so, or
+// nearly so, when it is written again; nil: there is none.
+func (c *Controller) findOversizedGroup() *storage.MachineGroup {
+	limit := c.valueLimit()
+	for _, group := range c.cache.Groups {
+		if group.Size <= limit || !c.ownsShard(group.Shard) {
+			continue
+		}
+		record := c.cache.GroupRecordOf(group, group.UnsavedCompletions(), nil)
+		if len(storage.EncodeGroup(record, true)) > limit*9/10 {
+			return group
+		}
+	}
+	return nil
+}
+
+// send commits a transaction in a goroutine of its own, which ends with the transaction's
+// timeout and hands the outcome to sent.
+func (c *Controller) send(ctx context.Context, txn protocol.Txn) {
 	c.commits.inFlight = true
 	go func() {
-		tctx, cancel := context.WithTimeout(ctx, 4*time.Second)
-		rev, failed, err := c.store.Txn(tctx, t, protocol.BackgroundRequest)
+		timed, cancel := context.WithTimeout(ctx, txnTimeout)
+		revision, failed, err := c.store.Txn(timed, txn, protocol.BackgroundRequest)
 		cancel()
-		c.post(func() { c.sent(t, rev, failed, err) })
+		c.post(func() { c.sent(txn, revision, failed, err) })
 	}()
 }
 
-func (c *Controller) sent(txn protocol.Txn, rev uint64, failed []string, err error) {
+// sent takes the outcome of the cycle's transaction: failed are the keys whose conditions did
+// not hold.
+func (c *Controller) sent(txn protocol.Txn, revision uint64, failed []string, err error) {
 	c.commits.inFlight = false
 	now := time.Now()
 	c.commits.nextCycleAt = now.Add(c.timing.CommitInterval)
-	switch {
-	case err == nil && len(failed) == 0:
-		c.commits.inDoubt = nil
-		c.storeHealth.failingSince, c.storeHealth.servedAt = time.Time{}, now
-		if settles(txn) {
-			c.commits.awaitedRevision = rev // what it settled may have been applied before
-		}
-		c.applyTxn(txn, rev)
-		c.metrics.launches.Add(float64(c.planner.plannedTasks))
-		if c.planner.plannedTasks > 0 && !c.shards.placedSinceTakeover {
-			c.shards.placedSinceTakeover = true
-			c.log.Info("places again", "after", now.Sub(c.shards.takenOverAt).Round(time.Millisecond).Seconds(), "tasks", c.planner.plannedTasks)
-		}
-		for _, j := range c.planner.completedJobs {
-			jv := c.jobState(j)
-			c.log.Info("job is done", "job", j.ID, "class", c.cache.Classes.Name(j.Class), "team", c.cache.Teams[j.Team].Name,
-				"share", j.Shard, "tasks", j.Tasks, "estimate", j.Estimate, "due", j.Deadline.Seconds(), "after", now.Sub(j.Submitted).Round(100*time.Millisecond).Seconds(), "needs", j.Dependencies, "ready", j.ReadyAt.Sub(j.Submitted).Seconds(),
-				"began", jv.sinceReady(j, jv.firstPlacedAt), "placed", jv.sinceReady(j, jv.lastPlacedAt), "stopped", jv.terminatedTasks)
-		}
-		c.changed()
-		c.flushHeldReplies(now, true)
-		c.dispatchDirect(txn)
-	case err == nil:
-		// Something changed under it: whatever it was, a late copy cannot apply any more.
-		c.log.Debug("commit conflicts", "keys", failed)
-		c.commits.inDoubt = nil
-		c.storeHealth.failingSince, c.storeHealth.servedAt = time.Time{}, now
-		c.commits.awaitedRevision = rev
-		c.follower.highestRevision = max(c.follower.highestRevision, rev)
-		c.flushHeldReplies(now, true)
-		c.requestCycle()
-	default:
-		if c.storeHealth.failingSince.IsZero() {
-			c.storeHealth.failingSince = now
-		}
-		c.noteTooLarge(err)
-		switch {
-		case !errors.Is(err, protocol.ErrRefused):
-			c.commits.inDoubt = &txn
-		case errors.Is(err, protocol.ErrTooLarge) && c.commits.inDoubt != nil:
-			c.commits.inDoubt = c.settling(*c.commits.inDoubt)
-		}
-		c.log.Info("commit failed", "err", err, "doubt", c.commits.inDoubt != nil)
-		c.commits.nextCycleAt = now.Add(250 * time.Millisecond)
-		c.requestCycle()
+	if err != nil {
+		c.commitFailed(txn, err, now)
+		return
 	}
+	c.commits.inDoubt = nil
+	c.storeHealth.failingSince, c.storeHealth.servedAt = time.Time{}, now
+	if len(failed) > 0 {
+		c.commitConflicted(revision, failed, now)
+		return
+	}
+	c.commitSucceeded(txn, revision, now)
 }
 
-// sinceReady is how long after a job's submission something was, in seconds; -1: not seen here.
-func (jv *jobState) sinceReady(j *storage.Job, at time.Time) float64 {
-	if at.IsZero() {
-		return -1
+func (c *Controller) commitSucceeded(txn protocol.Txn, revision uint64, now time.Time) {
+	if settles(txn) {
+		c.commits.awaitedRevision = revision // what it settled may have been applied before
+	}
+	c.applyTxn(txn, revision)
+	placed := c.planner.plannedTasks
+	c.metrics.launches.Add(float64(placed))
+	if placed > 0 && !c.shards.placedSinceTakeover {
+		c.shards.placedSinceTakeover = true
+		c.log.Info("first tasks placed since takeover", "after_s", now.Sub(c.shards.takenOverAt).Round(time.Millisecond).Seconds(), "tasks", placed)
+	}
+	for _, job := range c.planner.completedJobs {
+		c.logDone(job, now)
 	}
-	return at.Sub(j.ReadyAt).Round(100 * time.Millisecond).Seconds()
+	c.changed()
+	c.flushHeldReplies(now, true)
+	c.dispatchDirect(txn)
 }
 
-// dispatchDirect sends new launches to workers that are not about to report.
+// commitConflicted deals with conditions that did not hold: something changed under the plan.
+// Whatever it was, a late copy of the transaction cannot be applied any more.
+func (c *Controller) commitConflicted(revision uint64, failed []string, now time.Time) {
+	c.log.Debug("commit conflicts", "keys", failed)
+	c.commits.awaitedRevision = revision
+	c.follower.highestRevision = max(c.follower.highestRevision, revision)
+	c.flushHeldReplies(now, true)
+	c.requestCycle()
+}
+
+// commitFailed deals with a transaction that was refused, or whose outcome is unknown.
+func (c *Controller) commitFailed(txn protocol.Txn, err error, now time.Time) {
+	if c.storeHealth.failingSince.IsZero() {
+		c.storeHealth.failingSince = now
+	}
+	c.noteTooLarge(err)
+	switch {
+	case !errors.Is(err, protocol.ErrRefused):
+		c.commits.inDoubt = &txn
+	case errors.Is(err, protocol.ErrTooLarge) && c.commits.inDoubt != nil:
+		c.commits.inDoubt = c.settling(*c.commits.inDoubt)
+	}
+	c.log.Info("commit failed", "err", err, "in_doubt", c.commits.inDoubt != nil)
+	c.commits.nextCycleAt = now.Add(commitRetry)
+	c.requestCycle()
+}
+
+// logDone logs a job's end with what its waiting and running came to.
+func (c *Controller) logDone(job *storage.Job, now time.Time) {
+	state := c.jobState(job)
+	c.log.Info("job done", "job", job.ID,
+		"class", c.cache.Classes.Name(job.Class),
+		"team", c.cache.Teams[job.Team].Name,
+		"shard", job.Shard,
+		"tasks", job.Tasks,
+		"estimate_s", job.Estimate,
+		"due_s", job.Deadline.Seconds(),
+		"after_s", now.Sub(job.Submitted).Round(100*time.Millisecond).Seconds(),
+		"dependencies", job.Dependencies,
+		"ready_after_s", job.ReadyAt.Sub(job.Submitted).Seconds(),
+		"first_placed_after_s", state.sinceReady(job, state.firstPlacedAt),
+		"last_placed_after_s", state.sinceReady(job, state.lastPlacedAt),
+		"terminated_tasks", state.terminatedTasks)
+}
+
+// dispatchDirect sends launches that a transaction brought straight to workers that were not
+// told of them yet.
 func (c *Controller) dispatchDirect(txn protocol.Txn) {
 	for _, change := range txn.Then {
 		id, ok := storage.GroupOf(change.Put)
@@ -224,49 +224,56 @@
 			continue
 		}
 		for _, machine := range c.cache.Groups[id].Machines {
-			if machine.Gone || !c.ownsShard(machine.Shard) {
-				continue
-			}
-			v := c.workerState(machine)
-			for _, p := range machine.Tasks {
-				ref := dispatch.RefOf(p)
-				_, seen := v.Seen[ref]
-				_, sent := v.Sent[ref]
-				if !seen && !sent {
-					c.sendDirect(machine, false)
-					break
-				}
+			if !machine.Gone && c.ownsShard(machine.Shard) && c.hasUnsentLaunch(machine) {
+				c.sendDirect(machine, false)
 			}
 		}
 	}
 }
 
-// commitAside commits a transaction that the cycle has no part in and applies it.
-func (c *Controller) commitAside(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority, then func(ok bool)) {
+// hasUnsentLaunch tells whether a machine's record holds a task that its worker has neither
+// shown nor been told of.
+func (c *Controller) hasUnsentLaunch(machine *storage.Machine) bool {
+	worker := c.workerState(machine)
+	for _, placed := range machine.Tasks {
+		ref := dispatch.RefOf(placed)
+		_, seen := worker.Seen[ref]
+		_, sent := worker.Sent[ref]
+		if !seen && !sent {
+			return true
+		}
+	}
+	return false
+}
+
+// commitAside commits a transaction that the cycle has no part in, and applies it. done is
+// called in the core with the outcome; the goroutine ends with ctx.
+func (c *Controller) commitAside(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority, done func(ok bool)) {
 	go func() {
-		rev, failed, err := c.transact(ctx, t, haste)
-		c.committed(t, rev, err == nil && len(failed) == 0, then)
+		revision, failed, err := c.transact(ctx, txn, priority)
+		c.committed(txn, revision, err == nil && len(failed) == 0, done)
 	}()
 }
 
 // committed hands the outcome of a transaction to the core.
-func (c *Controller) committed(t protocol.Txn, rev uint64, ok bool, then func(ok bool)) {
+func (c *Controller) committed(txn protocol.Txn, revision uint64, ok bool, done func(ok bool)) {
 	c.post(func() {
 		if ok {
-			c.applyTxn(t, rev)
+			c.applyTxn(txn, revision)
 		}
-		then(ok)
+		done(ok)
 		c.changed()
 	})
 }
 
-func (c *Controller) applyTxn(t protocol.Txn, rev uint64) {
-	c.follower.highestRevision = max(c.follower.highestRevision, rev)
-	for _, ch := range t.Then {
-		if ch.Delete != "" {
-			_ = c.apply(ch.Delete, nil, rev, true) // logged there
+// applyTxn applies a transaction that was committed with a revision to the cache.
+func (c *Controller) applyTxn(txn protocol.Txn, revision uint64) {
+	c.follower.highestRevision = max(c.follower.highestRevision, revision)
+	for _, change := range txn.Then {
+		if change.Delete != "" {
+			_ = c.apply(change.Delete, nil, revision, true) // an error is logged there
 		} else {
-			_ = c.apply(ch.Put, ch.Value, rev, false)
+			_ = c.apply(change.Put, change.Value, revision, false)
 		}
 	}
 }
--- /dev/null
+++ b/internal/controller/planned_txn.go
@@ -0,0 +1,163 @@
+package controller
+
+import (
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+	"time"
+)
+
+// txnBuilder is a transaction under construction: the versions that it depends on, and the
+// latest change of each key in the order in which the keys were first put.
+type txnBuilder struct {
+	conditions map[string]uint64
+	puts       map[string]protocol.Change
+	order      []string
+	bytes      int // about what it takes on the wire
+}
+
+func newTxnBuilder() *txnBuilder {
+	return &txnBuilder{conditions: map[string]uint64{}, puts: map[string]protocol.Change{}}
+}
+
+// require makes the transaction depend on a key's version; 0: the key does not exist.
+func (b *txnBuilder) require(key string, version uint64) { b.conditions[key] = version }
+
+// put changes a key that has a version now.
+func (b *txnBuilder) put(key string, version uint64, change protocol.Change) {
+	b.require(key, version)
+	if _, ok := b.puts[key]; !ok {
+		b.order = append(b.order, key)
+	}
+	b.puts[key] = change
+	b.bytes += keysPerChange*len(key) + len(change.Value) + changeOverhead
+}
+
+const (
+	keysPerChange  = 3  // how often a changed key stands in the transaction and its answer
+	changeOverhead = 80 // bytes of names and punctuation for each change
+)
+
+// build is the transaction as it is sent.
+func (b *txnBuilder) build() protocol.Txn {
+	var txn protocol.Txn
+	for key, version := range b.conditions {
+		txn.If = append(txn.If, protocol.Condition{Key: key, Version: version})
+	}
+	for _, key := range b.order {
+		txn.Then = append(txn.Then, b.puts[key])
+	}
+	return txn
+}
+
+// plannedTxn is a transaction of this controller's shards while it is worked out.
+type plannedTxn struct {
+	*txnBuilder
+	maxOps    int // puts and deletes that it may have
+	usedOps   int // of them, those that are spoken for
+	more      bool
+	remaining map[int32][]storage.PlacedTask // tasks that stay, by machine that changes
+	groups    map[*storage.MachineGroup]*groupUpdate
+	completed map[*storage.Job]*progress
+	leaving   map[*storage.Fleet]map[*storage.Machine]bool // machines that leave the records
+}
+
+func newPlannedTxn(maxOps int) *plannedTxn {
+	return &plannedTxn{
+		txnBuilder: newTxnBuilder(),
+		maxOps:     maxOps,
+		remaining:  map[int32][]storage.PlacedTask{},
+		groups:     map[*storage.MachineGroup]*groupUpdate{},
+		completed:  map[*storage.Job]*progress{},
+		leaving:    map[*storage.Fleet]map[*storage.Machine]bool{},
+	}
+}
+
+// groupUpdate is what changes of a machine group's record, machines aside.
+type groupUpdate struct {
+	ended []storage.CompletedTask // that the record lists
+}
+
+// progress is how far a job is with a transaction.
+type progress struct {
+	done storage.Bitmap
+	n    int // tasks in done
+}
+
+// opsLeft is how many more puts and deletes the transaction may have.
+func (t *plannedTxn) opsLeft() int { return t.maxOps - t.usedOps }
+
+// full tells whether the transaction has all the puts and deletes that it may have.
+func (t *plannedTxn) full() bool { return t.usedOps >= t.maxOps }
+
+// group makes a machine group part of the transaction; nil: there is no capacity left for it.
+func (t *plannedTxn) group(group *storage.MachineGroup) *groupUpdate {
+	update := t.groups[group]
+	if update == nil && !t.full() {
+		update = &groupUpdate{ended: group.UnsavedCompletions()}
+		t.groups[group] = update
+		t.usedOps++
+	}
+	return update
+}
+
+// leave takes a machine out of its fleet's record.
+func (t *plannedTxn) leave(machine *storage.Machine) {
+	if t.leaving[machine.Fleet] == nil {
+		t.leaving[machine.Fleet] = map[*storage.Machine]bool{}
+		t.usedOps++
+	}
+	t.leaving[machine.Fleet][machine] = true
+}
+
+// tasksOf are a machine's tasks with this transaction; changed: they are not those of its record.
+func (t *plannedTxn) tasksOf(machine *storage.Machine) (tasks []storage.PlacedTask, changed bool) {
+	if tasks, changed = t.remaining[machine.Index]; changed {
+		return tasks, true
+	}
+	return machine.Tasks, false
+}
+
+// complete notes that a task has completed.
+func (t *plannedTxn) complete(update *groupUpdate, placed storage.PlacedTask) {
+	// A service's replicas run until it is cancelled: one that ends is started again.
+	if !placed.Job.Open() || placed.Job.Shape != protocol.Batch || placed.Job.Done.Get(placed.Task) {
+		return
+	}
+	job := t.completed[placed.Job]
+	if job == nil {
+		job = &progress{placed.Job.Done.Clone(), placed.Job.DoneCount}
+		t.completed[placed.Job] = job
+	}
+	if job.done.Get(placed.Task) {
+		return
+	}
+	job.done.Set(placed.Task)
+	job.n++
+	update.ended = append(update.ended, storage.CompletedTask{Job: placed.Job, Task: placed.Task})
+}
+
+// progressOf is how far a job is with this transaction.
+func (t *plannedTxn) progressOf(job *storage.Job) progress {
+	if changed := t.completed[job]; changed != nil {
+		return *changed
+	}
+	return progress{job.Done, job.DoneCount}
+}
+
+// putJob writes a job's record; final is "" while it is open.
+func (c *Controller) putJob(planned *plannedTxn, job *storage.Job, final protocol.JobStatus) {
+	key := storage.JobKey(job.ID)
+	record := c.finalRecord(job, planned.progressOf(job), final)
+	planned.put(key, job.Version, protocol.Change{Put: key, Value: storage.Encode(record)})
+	planned.usedOps++
+}
+
+// finalRecord is a job's record, with when it ended if it is final: the times of its dependents
+// count from there, and so does the deadline by which cancelled tasks must be gone.
+func (c *Controller) finalRecord(job *storage.Job, reached progress, final protocol.JobStatus) *storage.JobRecord {
+	record := c.cache.JobRecordOf(job, reached.done, reached.n, final)
+	if final != "" && c.cache.Packed() {
+		record.FinalAtMs = time.Now().UnixMilli()
+	}
+	return record
+}
--- /dev/null
+++ b/internal/controller/preemption_candidates.go
@@ -0,0 +1,152 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/controller/schedule"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// mayPreempt tells whether a job may preempt at all: a top-priority job may, one that fits into
+// its team's guarantee along with the team's earlier unfinished jobs, and any job but those of
+// the lowest priority may preempt idle-time work.
+func (c *Controller) mayPreempt(job *storage.Job, input *schedule.Input, until []time.Time) bool {
+	return job.Priority.Top() || (job.Priority > protocol.Low && c.planner.idleWorkPlaced) || claims(job, input, until)
+}
+
+// claims tells whether a job may preempt for its team's guarantee: it fits into that along
+// with the team's earlier unfinished jobs. A team with more than that has to wait like
+// others: preempting for it would only swap losses.
+func claims(job *storage.Job, input *schedule.Input, until []time.Time) bool {
+	return schedule.WithinGuarantee(input.Teams[job.Team], input.Used[job.Team], job) && !job.ReadyAt.After(until[job.Team])
+}
+
+// claimsUntil is by team up to which time its unfinished jobs, the earliest first, fit into its
+// guarantee together. It is worked out once a pass: hundreds of jobs that are short of capacity
+// each added up all jobs before them.
+func (c *Controller) claimsUntil() []time.Time {
+	open := make([][]*storage.Job, len(c.cache.Teams))
+	for _, job := range c.cache.Jobs {
+		if job == nil || !job.Open() || !job.Ready() {
+			continue
+		}
+		if team := &c.cache.Teams[job.Team]; team.Cpus > 0 || team.Gpus > 0 {
+			open[job.Team] = append(open[job.Team], job)
+		}
+	}
+	until := make([]time.Time, len(c.cache.Teams))
+	for team, jobs := range open {
+		slices.SortFunc(jobs, func(a, b *storage.Job) int { return a.ReadyAt.Compare(b.ReadyAt) })
+		until[team] = fitsGuaranteeUntil(c.cache.Teams[team].Cpus, c.cache.Teams[team].Gpus, jobs)
+	}
+	return until
+}
+
+// fitsGuaranteeUntil is when the last of the jobs became ready that fit into a guarantee with
+// all before them; jobs are sorted by that time. Those that became ready together count together.
+func fitsGuaranteeUntil(cpus, gpus float64, jobs []*storage.Job) (until time.Time) {
+	var needed storage.Usage
+	for i, job := range jobs {
+		needed.Add(job, float64(job.Tasks-job.DoneCount))
+		if needed.Cpus > cpus || needed.Gpus > gpus {
+			break
+		}
+		if i+1 == len(jobs) || jobs[i+1].ReadyAt.After(job.ReadyAt) {
+			until = job.ReadyAt
+		}
+	}
+	return until
+}
+
+// candidateList collects the candidates of a preemption or an eviction: single tasks of job
+// arrays, and services whole.
+type candidateList struct {
+	candidates []schedule.Candidate
+	services   map[*storage.Job]int // index of a service's candidate
+}
+
+// add adds a task that was placed on a slot's machine and has run for lost seconds since its
+// start or its last checkpoint.
+func (l *candidateList) add(slot *schedule.Slot, placed storage.PlacedTask, lost float64) {
+	job := placed.Job
+	victim := schedule.Victim{Slot: slot, Job: job, Task: placed.Task, Attempt: placed.Attempt}
+	if i, ok := l.services[job]; ok {
+		service := &l.candidates[i]
+		service.Victims = append(service.Victims, victim)
+		service.Lost += lost
+		service.Waited = max(service.Waited, float64(placed.WaitedS))
+		return
+	}
+	if job.Shape == protocol.Service {
+		if l.services == nil {
+			l.services = map[*storage.Job]int{}
+		}
+		l.services[job] = len(l.candidates)
+	}
+	l.candidates = append(l.candidates, schedule.Candidate{
+		Victims:     []schedule.Victim{victim},
+		Lost:        lost,
+		Waited:      float64(placed.WaitedS),
+		SubmittedAt: job.ReadyAt,
+		TopPriority: job.Priority.Top(),
+	})
+}
+
+// preemptionCandidates are the tasks that may be preempted for a job: best-effort work for a
+// top-priority job, for a team below its guarantee whatever another team runs
+// beyond its own, and idle-time work for any other. remaining are the tasks of machines that
+// change with the transaction.
+func (c *Controller) preemptionCandidates(now time.Time, job *storage.Job, input *schedule.Input, remaining map[int32][]storage.PlacedTask, until []time.Time) []schedule.Candidate {
+	var list candidateList
+	claim := !job.Priority.Top() && claims(job, input, until)
+	excess := make([]storage.Usage, len(input.Used)) // by team, beyond its guarantee
+	for team, used := range input.Used {
+		excess[team] = storage.Usage{Cpus: used.Cpus - input.Teams[team].Cpus, Gpus: used.Gpus - input.Teams[team].Gpus}
+	}
+	for _, slot := range input.Slots {
+		if !schedule.Allowed(job, slot.Machine) {
+			continue
+		}
+		worker := c.workerState(slot.Machine)
+		tasks, changed := remaining[slot.Machine.Index]
+		if !changed {
+			tasks = slot.Machine.Tasks
+		}
+		for _, placed := range tasks {
+			other := placed.Job
+			over := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
+			bestEffort := job.Priority.Top() && !other.Priority.Top()
+			if !bestEffort && !(claim && over) && !(job.Priority > other.Priority && c.isIdleWork(other, now)) {
+				continue
+			}
+			if !other.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
+				continue // it goes anyway, or only starts with this transaction
+			}
+			if over && claim {
+				excess[other.Team].Add(other, -1)
+			}
+			list.add(slot, placed, lossOf(worker, placed, now))
+		}
+	}
+	return list.candidates
+}
+
+// lossOf is how many seconds of a task's run would be lost if it were stopped now: since its
+// start or its last checkpoint.
+func lossOf(worker *workerState, placed storage.PlacedTask, now time.Time) float64 {
+	ref, ran := dispatch.RefOf(placed), 0.0
+	if started, ok := worker.started[ref]; ok {
+		ran = now.Sub(started).Seconds()
+	} else if _, ok := worker.Seen[ref]; !ok {
+		ran = max(0, float64(now.Unix()-placed.PlacedAt))
+	}
+	if interval := placed.Job.CheckpointInterval; interval > 0 {
+		for ran >= interval {
+			ran -= interval
+		}
+	}
+	return ran
+}
