--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"testing"
@@ -14,6 +15,7 @@
 // largeCore owns one shard with n machines, four fifths of their room used, and open
 // jobs of which most wait.
 func largeCore(b *testing.B, n, jobs int) *Controller {
+	b.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
@@ -67,89 +69,118 @@
 
 var sizes = []struct{ machines, jobs int }{{50, 50}, {400, 400}, {1250, 5000}, {5000, 20000}}
 
-// overSizes runs a benchmark over all sizes.
-func overSizes(b *testing.B, f func(b *testing.B, c *Controller)) {
-	for _, n := range sizes {
-		b.Run(fmt.Sprintf("machines=%d/jobs=%d", n.machines, n.jobs), func(b *testing.B) {
-			c := largeCore(b, n.machines, n.jobs)
-			c.workers.directCommands = maxDirectCommands // no workers here
+// overSizes runs a benchmark over all sizes. prepare gets a controller whose workers are not
+// called, and returns what is measured.
+func overSizes(b *testing.B, prepare func(ctx context.Context, c *Controller) (step func() error)) {
+	b.Helper()
+	for _, size := range sizes {
+		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
+			controller := largeCore(b, size.machines, size.jobs)
+			controller.workers.directCommands = maxDirectCommands
+			step := prepare(b.Context(), controller)
 			b.ReportAllocs()
-			f(b, c)
+			for b.Loop() {
+				if err := step(); err != nil {
+					b.Fatal(err)
+				}
+			}
 		})
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
-	overSizes(b, func(b *testing.B, c *Controller) {
-		for b.Loop() {
+	overSizes(b, func(_ context.Context, c *Controller) func() error {
+		return func() error {
 			c.plan(time.Now(), 12)
+			return nil
 		}
 	})
 }
 
-// BenchmarkPlanFull is a pass over a fleet without room: nothing is placed.
+// BenchmarkPlanFull is a pass over a fleet without free capacity: nothing is placed.
 func BenchmarkPlanFull(b *testing.B) {
-	overSizes(b, func(b *testing.B, c *Controller) {
-		for _, m := range c.cache.Machines {
-			m.Draining = true
+	overSizes(b, func(_ context.Context, c *Controller) func() error {
+		for _, machine := range c.cache.Machines {
+			machine.Draining = true
 		}
-		for b.Loop() {
+		return func() error {
 			c.plan(time.Now(), 12)
+			return nil
 		}
 	})
 }
 
-func BenchmarkReport(b *testing.B) {
-	overSizes(b, func(b *testing.B, c *Controller) {
-		m := c.cache.Machines[len(c.cache.Machines)/2]
-		for seq := uint64(2); b.Loop(); seq++ {
-			c.handleHeartbeat(b.Context(), reportOf(m, seq), func(int, any) {})
+func BenchmarkHeartbeat(b *testing.B) {
+	overSizes(b, func(ctx context.Context, c *Controller) func() error {
+		machine := c.cache.Machines[len(c.cache.Machines)/2]
+		seq := uint64(1)
+		return func() error {
+			seq++
+			c.handleHeartbeat(ctx, reportOf(machine, seq), func(int, any) {})
 			c.flushHeldReplies(time.Now(), true)
+			return nil
 		}
 	})
 }
 
 func BenchmarkChange(b *testing.B) {
-	overSizes(b, func(b *testing.B, c *Controller) {
-		k := c.cache.Groups[1]
-		raw := storage.Encode(c.cache.GroupRecordOf(k, nil, nil))
-		for v := uint64(6); b.Loop(); v++ {
-			if err := c.cache.Apply(storage.GroupKey(1), raw, v, false); err != nil {
-				b.Fatal(err)
+	overSizes(b, func(_ context.Context, c *Controller) func() error {
+		raw := storage.Encode(c.cache.GroupRecordOf(c.cache.Groups[1], nil, nil))
+		version := uint64(5)
+		return func() error {
+			version++
+			if err := c.cache.Apply(storage.GroupKey(1), raw, version, false); err != nil {
+				return err
 			}
 			c.changed()
+			return nil
 		}
 	})
 }
 
 // BenchmarkLists reads all jobs and all machines as operators do, page by page.
 func BenchmarkLists(b *testing.B) {
-	overSizes(b, func(b *testing.B, controller *Controller) {
-		go func() {
-			for {
-				select {
-				case f := <-controller.inbox:
-					f()
-				case <-b.Context().Done():
-					return
-				}
-			}
-		}()
-		for b.Loop() {
-			for after, more := "", true; more; {
-				rows, m, err := controller.JobViews(b.Context(), "", after, Page)
-				if err != nil {
-					b.Fatal(err)
-				}
-				after, more = rows[len(rows)-1].ID, m
-			}
-			for after, more := "", true; more; {
-				rows, m, err := controller.MachineInfos(b.Context(), after, Page)
-				if err != nil {
-					b.Fatal(err)
-				}
-				after, more = rows[len(rows)-1].Name, m
+	overSizes(b, func(ctx context.Context, c *Controller) func() error {
+		go serveInbox(ctx, c)
+		return func() error {
+			if err := readAllJobs(ctx, c); err != nil {
+				return err
 			}
+			return readAllMachines(ctx, c)
 		}
 	})
 }
+
+// serveInbox does the work that is posted to a controller until ctx ends.
+func serveInbox(ctx context.Context, c *Controller) {
+	for {
+		select {
+		case work := <-c.inbox:
+			work()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func readAllJobs(ctx context.Context, c *Controller) error {
+	for after, more := "", true; more; {
+		rows, hasMore, err := c.JobViews(ctx, "", after, Page)
+		if err != nil {
+			return err
+		}
+		after, more = rows[len(rows)-1].ID, hasMore
+	}
+	return nil
+}
+
+func readAllMachines(ctx context.Context, c *Controller) error {
+	for after, more := "", true; more; {
+		rows, hasMore, err := c.MachineInfos(ctx, after, Page)
+		if err != nil {
+			return err
+		}
+		after, more = rows[len(rows)-1].Name, hasMore
+	}
+	return nil
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller is a controller's core. One goroutine owns all
-// scheduling state; everything else posts to it. What the state service holds
-// is the truth, and the core works out again and again how what is differs from
-// what is wanted.
+// Package controller is the core of a controller: it follows the state service, which holds the
+// truth, and works out again and again how what is differs from what is desired. One goroutine
+// owns all scheduling state; everything else posts work to it. docs/ARCHITECTURE.md shows the
+// parts and the way of a request through them.
 package controller
 
 import (
@@ -14,58 +14,6 @@
 	"dykeledge/internal/storage"
 )
 
-// StateStore is the state service as the core needs it.
-type StateStore interface {
-	Revision(ctx context.Context) (uint64, error)
-	List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error)
-	Txn(ctx context.Context, t protocol.Txn, haste protocol.RequestPriority) (rev uint64, failed []string, err error)
-	// Pace is how long it takes until the budget allows a transaction of n changes.
-	Pace(n int) time.Duration
-	// SetRateShare tells which part of the machines this controller commits for, whether it leads,
-	// and how many changes a second it and the others make (below 0: not known).
-	SetRateShare(part float64, leads bool, used, others float64)
-	// SetLimit sets the rate of changes that all controllers together may make.
-	SetLimit(changes float64)
-	// ChangesUsed is how many changes this controller has made.
-	ChangesUsed() uint64
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64, timeout time.Duration) error
-	Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error)
-}
-
-// Cloud rents machines.
-type Cloud interface {
-	Catalog(ctx context.Context) (*protocol.Catalog, error)
-	ScaleOut(ctx context.Context, r protocol.ScaleOutRequest) ([]string, error)
-	ScaleIn(ctx context.Context, names []string) error
-	List(ctx context.Context, after string) (protocol.MachineList, error)
-}
-
-// WorkerLink reaches workers directly.
-type WorkerLink interface {
-	Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error)
-}
-
-// Timing are the core's own timings.
-type Timing struct {
-	SessionLease       time.Duration // how long a controller's hold lasts without renewal
-	CommitInterval     time.Duration // least time between two commits
-	WatchInterval      time.Duration // least time between two follows
-	Tick               time.Duration
-	HeartbeatReplyWait time.Duration // how long the answer to a heartbeat may wait for a commit
-	RebalanceInterval  time.Duration // how often the leader moves machines between shards
-	AutoscaleInterval  time.Duration // how often the leader decides what to rent
-}
-
-// DefaultTiming suit machines with a tenth of a core.
-func DefaultTiming() Timing {
-	return Timing{
-		SessionLease: 3 * time.Second, CommitInterval: 40 * time.Millisecond, WatchInterval: 60 * time.Millisecond,
-		Tick: 250 * time.Millisecond, HeartbeatReplyWait: 700 * time.Millisecond,
-		RebalanceInterval: 500 * time.Millisecond, AutoscaleInterval: time.Second,
-	}
-}
-
 // Controller is one controller process. Run's goroutine owns all of its state; every other
 // goroutine hands work over with post or call. Each part below is written only by the files
 // that its type's comment names.
@@ -94,18 +42,6 @@
 	readModel     *readModel // nil: switched off
 }
 
-// environment is what a controller is given to work with. It does not change after New, but
-// for the rebalance interval in timing, which operators may set.
-type environment struct {
-	cfg        *config.Settings
-	store      StateStore
-	cloud      Cloud
-	workerLink WorkerLink
-	log        *slog.Logger
-	timing     Timing
-	metrics    *Metrics
-}
-
 // mailbox hands work to the goroutine that owns the state.
 type mailbox struct {
 	inbox chan func()
@@ -152,11 +88,12 @@
 // inboxSize is how much work may wait for the goroutine that owns the state before post blocks.
 const inboxSize = 1024
 
-// DefaultAlpha weighs lost work against time waited when evictions are ranked:
+// DefaultAlpha weighs lost work against time waited when preemptions are ranked:
 // the value that the paper chose in its sweep (section 5.1).
 const DefaultAlpha = 0.31
 
-// Run is the controller's life; it ends with ctx.
+// Run is the controller's life. It returns when ctx ends; the goroutines that it starts end with
+// ctx, too.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	c.cache.ForcePlain = c.Layout < storage.LayoutPacked
@@ -168,21 +105,13 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		var wake <-chan time.Time
-		if c.commits.cycleRequested && !c.commits.inFlight && len(c.inbox) == 0 {
-			if d := time.Until(c.commits.nextCycleAt); d <= 0 {
-				c.cycle(ctx)
-			} else {
-				timer.Reset(d)
-				wake = timer.C
-			}
-		}
+		cycleDue := c.runDueCycle(ctx, timer)
 		do := func() {}
 		select {
 		case <-ctx.Done():
 			return
 		case do = <-c.inbox:
-		case <-wake:
+		case <-cycleDue:
 		case <-tick.C:
 			do = func() { c.tick(ctx) }
 		}
@@ -191,20 +120,39 @@
 	}
 }
 
-// post hands work to the core.
-func (c *Controller) post(f func()) {
+// runDueCycle runs the cycle of planning and committing if it is requested, due, and nothing else
+// waits. If it is only due later, the timer is set, and its channel returned.
+func (c *Controller) runDueCycle(ctx context.Context, timer *time.Timer) <-chan time.Time {
+	if !c.commits.cycleRequested || c.commits.inFlight || len(c.inbox) > 0 {
+		return nil
+	}
+	wait := time.Until(c.commits.nextCycleAt)
+	if wait <= 0 {
+		c.cycle(ctx)
+		return nil
+	}
+	timer.Reset(wait)
+	return timer.C
+}
+
+// post hands work to the goroutine that owns the state. It does not wait for it.
+func (c *Controller) post(work func()) {
 	select {
-	case c.inbox <- f:
+	case c.inbox <- work:
 	case <-c.done:
 	}
 }
 
-// call runs f in the core and waits for it.
-func (c *Controller) call(ctx context.Context, f func()) error {
-	ch := make(chan struct{})
-	c.post(func() { f(); close(ch) })
+// call has work done by the goroutine that owns the state, and waits for it. If ctx ends first,
+// the work may still be done.
+func (c *Controller) call(ctx context.Context, work func()) error {
+	finished := make(chan struct{})
+	c.post(func() {
+		work()
+		close(finished)
+	})
 	select {
-	case <-ch:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -213,8 +161,11 @@
 	}
 }
 
+// requestCycle has the next transaction planned as soon as one may go out.
 func (c *Controller) requestCycle() { c.commits.cycleRequested = true }
 
+// tick runs each loop over desired state once. Their order matters where one goes by what
+// another has just found.
 func (c *Controller) tick(ctx context.Context) {
 	now := time.Now()
 	c.flushHeldReplies(now, false)
@@ -223,11 +174,7 @@
 		return
 	}
 	c.cache.Sweep()
-	for j := range c.jobStates {
-		if !j.Open() && j.PlacedCount == 0 {
-			delete(c.jobStates, j)
-		}
-	}
+	c.forgetEndedJobs()
 	c.checkReadiness(ctx, now)
 	c.repairMemberRecord(ctx)
 	c.acquireLeadership(ctx)
@@ -247,4 +194,13 @@
 	c.requestCycle()
 }
 
+// forgetEndedJobs drops what is known of jobs that are over and have no task placed.
+func (c *Controller) forgetEndedJobs() {
+	for job := range c.jobStates {
+		if !job.Open() && job.PlacedCount == 0 {
+			delete(c.jobStates, job)
+		}
+	}
+}
+
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/controller/preemption_candidates.go
+++ b/internal/controller/preemption_candidates.go
@@ -119,13 +119,14 @@
 			other := placed.Job
 			over := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
 			bestEffort := job.Priority.Top() && !other.Priority.Top()
-			if !bestEffort && !(claim && over) && !(job.Priority > other.Priority && c.isIdleWork(other, now)) {
+			claimed := claim && over
+			if !bestEffort && !claimed && (job.Priority <= other.Priority || !c.isIdleWork(other, now)) {
 				continue
 			}
 			if !other.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
 				continue // it goes anyway, or only starts with this transaction
 			}
-			if over && claim {
+			if claimed {
 				excess[other.Team].Add(other, -1)
 			}
 			list.add(slot, placed, lossOf(worker, placed, now))
