--- /dev/null
+++ b/internal/controller/planner_test.go
@@ -0,0 +1,76 @@
+package controller
+
+import (
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+	"fmt"
+	"reflect"
+	"testing"
+)
+
+func TestPlanConditions(t *testing.T) {
+	c := newCore(t)
+	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
+	// A stale owner, a cancelled job or a changed machine must make it fail.
+	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
+	if !reflect.DeepEqual(b.conditions, want) {
+		t.Fatalf("conditions %v, want %v", b.conditions, want)
+	}
+	r := machineIn(t, b)
+	if len(r.Tasks) != 1 || len(r.Tasks[0].Numbers) != 8 || r.Tasks[0].Numbers[1] <= 4 || r.Incarnation != 1 {
+		t.Fatalf("record %+v: two tasks under an attempt above every revision so far", r)
+	}
+}
+
+// Groups that list hundreds of small tasks must not make a transaction larger than the
+// state service takes: it would refuse it for ever.
+func TestTxnStaysWithinLimits(t *testing.T) {
+	controller := newCore(t)
+	job := fmt.Sprintf("job-%06d", 7)
+	const racks, tasks = 8, 450
+	apply := func(key string, v any, version uint64) {
+		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
+			t.Fatal(err)
+		}
+	}
+	apply(storage.JobKey(job), storage.JobRecord{Tasks: racks * tasks, Team: "red",
+		Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
+	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
+	for i := range racks {
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Group: i + 1})
+	}
+	apply(storage.FleetKey("x0"), fleet, 5)
+	for i := range racks {
+		var p []uint64
+		for k := range tasks {
+			p = append(p, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
+		}
+		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Incarnation: 1,
+			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
+		m := controller.cache.Machine(fmt.Sprint("x", i))
+		r := reportOf(m, 1)
+		r.Tasks[0].State, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group has something to say
+		controller.applyHeartbeat(m, controller.workerState(m), r, 4, false)
+	}
+	txn, more := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).heard)
+	if n := len(storage.Encode(txn)); n > 64<<10 || len(txn.Then) == 0 || !more {
+		t.Errorf("%d bytes, %d changes, more: %v", n, len(txn.Then), more)
+	}
+}
+
+// That a machine fails its tasks was forgotten whenever it got another owner, so
+// it went on failing tasks: it belongs into the record.
+func TestUnhealthyIsRecorded(t *testing.T) {
+	c := newCore(t)
+	m := c.cache.Machine("m")
+	c.workerState(m).unhealthy = true
+	b, _ := c.plan(c.workerState(m).heard, 12)
+	if r := machineIn(t, b); !r.Unhealthy || len(r.Tasks) != 0 {
+		t.Fatalf("record %+v", r)
+	}
+	c.applyTxn(b.build(), 9)
+	clear(c.workers.states)
+	if v := c.workerState(m); c.usable(m, v, v.heard) {
+		t.Fatal("a new owner would place tasks on it")
+	}
+}
