--- a/internal/controller/desired_state_test.go
+++ b/internal/controller/desired_state_test.go
@@ -11,7 +11,7 @@
 // A victim that would keep little by saving stops at once; one that is saving already is
 // not cut short by the time that passes meanwhile.
 func TestVictimsSave(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		ran   time.Duration
 		state string
@@ -21,21 +21,23 @@
 		{"much to keep", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMargin},
 		{"saving already", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMargin},
 	} {
-		controller := newCore(t)
-		controller.applyTxn(protocol.Txn{Then: []protocol.Change{
-			{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
-				Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", CheckpointInterval: 15, CheckpointCost: 3}})},
-			{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
-				Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
-			{Put: storage.VictimSetKey("job-000001"), Value: storage.Encode(storage.VictimSetRecord{
-				Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
-		}}, 10)
-		m := controller.cache.Machine("m")
-		v, p := controller.workerState(m), m.Tasks[0]
-		v.started[dispatch.RefOf(p)] = time.Now().Add(-x.ran)
-		v.Seen[dispatch.RefOf(p)] = dispatch.TaskSeen{State: x.state}
-		if w := controller.desiredState(m, v, p); !w.Stop || w.Grace != x.grace {
-			t.Errorf("%s: %+v, want %v s to save", x.name, w, x.grace)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			controller := newCore(t)
+			controller.applyTxn(protocol.Txn{Then: []protocol.Change{
+				{Put: storage.JobKey("job-000002"), Value: storage.Encode(storage.JobRecord{Tasks: 1, Team: "red",
+					Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Image: "i", CheckpointInterval: 15, CheckpointCost: 3}})},
+				{Put: storage.GroupKey(0), Value: storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
+					Tasks: []storage.PlacedTasks{{Job: "job-000002", Numbers: []uint64{0, 9, 0, 0}}}}}})},
+				{Put: storage.VictimSetKey("job-000001"), Value: storage.Encode(storage.VictimSetRecord{
+					Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
+			}}, 10)
+			m := controller.cache.Machine("m")
+			v, p := controller.workerState(m), m.Tasks[0]
+			v.started[dispatch.RefOf(p)] = time.Now().Add(-test.ran)
+			v.Seen[dispatch.RefOf(p)] = dispatch.TaskSeen{State: test.state}
+			if w := controller.desiredState(m, v, p); !w.Stop || w.Grace != test.grace {
+				t.Errorf("%+v, want %v s to save", w, test.grace)
+			}
+		})
 	}
 }
--- a/internal/controller/machine_supervision_test.go
+++ b/internal/controller/machine_supervision_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// The wait for a machine that does not come up began anew with each new owner, so
+// The wait for a machine that does not come up began again with each new owner, so
 // some were waited for, and paid, all day.
 func TestBootPatience(t *testing.T) {
 	now := time.Now()
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name          string
 		rented, known time.Duration // ago; rented 0: not on record
 		lastUp        time.Duration // when the latest that is up was rented, ago; 0: none is
@@ -24,22 +24,24 @@
 		{"only earlier ones are up", 90 * time.Second, 90 * time.Second, 200 * time.Second, false, false},
 		{"late beyond all patience", 140 * time.Second, 90 * time.Second, 0, false, true},
 	} {
-		controller := newCore(t)
-		controller.cache.Types[0].BootS = 30
-		machine := controller.cache.Machine("m")
-		worker := controller.workerState(machine)
-		if worker.since = now.Add(-x.known); !x.up {
-			worker.Incarnation = 0
-		}
-		if x.rented > 0 {
-			machine.ProvisionedAt = now.Add(-x.rented).Unix()
-		}
-		last := int64(0)
-		if x.lastUp > 0 {
-			last = now.Add(-x.lastUp).Unix()
-		}
-		if got := controller.neverCame(machine, last, now); got != x.gone {
-			t.Errorf("%s: given up %v, want %v", x.name, got, x.gone)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			controller := newCore(t)
+			controller.cache.Types[0].BootS = 30
+			machine := controller.cache.Machine("m")
+			worker := controller.workerState(machine)
+			if worker.since = now.Add(-test.known); !test.up {
+				worker.Incarnation = 0
+			}
+			if test.rented > 0 {
+				machine.ProvisionedAt = now.Add(-test.rented).Unix()
+			}
+			last := int64(0)
+			if test.lastUp > 0 {
+				last = now.Add(-test.lastUp).Unix()
+			}
+			if got := controller.neverCame(machine, last, now); got != test.gone {
+				t.Errorf("given up %v, want %v", got, test.gone)
+			}
+		})
 	}
 }
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -10,15 +10,15 @@
 
 func TestPlanConditions(t *testing.T) {
 	c := newCore(t)
-	b, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
+	builder, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
 	// A stale owner, a cancelled job or a changed machine must make it fail.
 	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
-	if !reflect.DeepEqual(b.conditions, want) {
-		t.Fatalf("conditions %v, want %v", b.conditions, want)
+	if !reflect.DeepEqual(builder.conditions, want) {
+		t.Fatalf("conditions %v, want %v", builder.conditions, want)
 	}
-	r := machineIn(t, b)
-	if len(r.Tasks) != 1 || len(r.Tasks[0].Numbers) != 8 || r.Tasks[0].Numbers[1] <= 4 || r.Incarnation != 1 {
-		t.Fatalf("record %+v: two tasks under an attempt above every revision so far", r)
+	entry := machineIn(t, builder)
+	if len(entry.Tasks) != 1 || len(entry.Tasks[0].Numbers) != 8 || entry.Tasks[0].Numbers[1] <= 4 || entry.Incarnation != 1 {
+		t.Fatalf("record %+v: two tasks under an attempt above every revision so far", entry)
 	}
 }
 
@@ -27,20 +27,20 @@
 func TestTxnStaysWithinLimits(t *testing.T) {
 	controller := newCore(t)
 	job := fmt.Sprintf("job-%06d", 7)
-	const racks, tasks = 8, 450
+	const groups, tasks = 8, 450
 	apply := func(key string, v any, version uint64) {
 		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	apply(storage.JobKey(job), storage.JobRecord{Tasks: racks * tasks, Team: "red",
+	apply(storage.JobKey(job), storage.JobRecord{Tasks: groups * tasks, Team: "red",
 		Spec: &storage.SpecRecord{Class: "c", Cpus: 0.01, Mem: 0.01, Image: "i", Spot: true}}, 5)
 	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
-	for i := range racks {
+	for i := range groups {
 		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i), Group: i + 1})
 	}
 	apply(storage.FleetKey("x0"), fleet, 5)
-	for i := range racks {
+	for i := range groups {
 		var p []uint64
 		for k := range tasks {
 			p = append(p, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
@@ -62,15 +62,15 @@
 // it went on failing tasks: it belongs into the record.
 func TestUnhealthyIsRecorded(t *testing.T) {
 	c := newCore(t)
-	m := c.cache.Machine("m")
-	c.workerState(m).unhealthy = true
-	b, _ := c.plan(c.workerState(m).heard, 12)
-	if r := machineIn(t, b); !r.Unhealthy || len(r.Tasks) != 0 {
-		t.Fatalf("record %+v", r)
+	machine := c.cache.Machine("m")
+	c.workerState(machine).unhealthy = true
+	builder, _ := c.plan(c.workerState(machine).heard, 12)
+	if entry := machineIn(t, builder); !entry.Unhealthy || len(entry.Tasks) != 0 {
+		t.Fatalf("record %+v", entry)
 	}
-	c.applyTxn(b.build(), 9)
+	c.applyTxn(builder.build(), 9)
 	clear(c.workers.states)
-	if v := c.workerState(m); c.usable(m, v, v.heard) {
+	if worker := c.workerState(machine); c.usable(machine, worker, worker.heard) {
 		t.Fatal("a new owner would place tasks on it")
 	}
 }
