--- /dev/null
+++ b/internal/protocol/frame.go
@@ -0,0 +1,247 @@
+package protocol
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"math"
+)
+
+// A frame is a magic byte that no HTTP request begins with, the format's version, the message's kind,
+// the payload's length in four bytes, and the payload. Numbers are big-endian. All that goes over it
+// is a hint; losing any of it costs only speed.
+const (
+	FrameMagic   = 0xD7
+	FrameVersion = 2
+	MaxFrame     = 4 << 10 // bytes of payload
+
+	frameLengthAt = 3 // where the payload's length stands
+	frameHeader   = 7 // bytes before the payload
+)
+
+// AppendFrame appends a message to data as a frame. On an error, which wraps ErrFrame, data comes back
+// as it was.
+func AppendFrame(data []byte, peerMessage PeerMessage) ([]byte, error) {
+	start := len(data)
+	framed := append(data, FrameMagic, FrameVersion, peerMessage.kind(), 0, 0, 0, 0)
+	framed, err := peerMessage.appendPayload(framed)
+	if err != nil {
+		return data, err
+	}
+	length := len(framed) - start - frameHeader
+	binary.BigEndian.PutUint32(framed[start+frameLengthAt:], uint32(length))
+	return framed, nil
+}
+
+func (h Hello) appendPayload(payload []byte) ([]byte, error) {
+	if h.Member == "" || len(h.Member) > maxPeerName {
+		return nil, fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(h.Member))
+	}
+	payload = appendText(payload, h.Member)
+	return binary.BigEndian.AppendUint64(payload, h.Incarnation), nil
+}
+
+func (h PeerHeartbeat) appendPayload(payload []byte) ([]byte, error) {
+	payload = appendFlag(payload, h.StateOK)
+	payload = binary.BigEndian.AppendUint64(payload, h.Revision)
+	payload = binary.BigEndian.AppendUint64(payload, h.OwnedShards)
+	return binary.BigEndian.AppendUint32(payload, h.ChangeRateMilli), nil
+}
+
+func (d ShardDemands) appendPayload(payload []byte) ([]byte, error) {
+	if len(d.Shards) > maxShardDemands {
+		return nil, fmt.Errorf("%w: %d needs", ErrFrame, len(d.Shards))
+	}
+	payload = append(payload, byte(len(d.Shards)))
+	for _, demand := range d.Shards {
+		payload = binary.BigEndian.AppendUint32(payload, demand.Shard)
+		payload = appendFlag(payload, demand.OnDemand)
+		payload = binary.BigEndian.AppendUint64(payload, math.Float64bits(demand.Cpus))
+	}
+	return payload, nil
+}
+
+func (d CancellationDigest) appendPayload(payload []byte) ([]byte, error) {
+	if len(d.Cancellations) > MaxCancellations {
+		return nil, fmt.Errorf("%w: %d cancellations", ErrFrame, len(d.Cancellations))
+	}
+	payload = binary.BigEndian.AppendUint64(payload, uint64(d.At))
+	payload = binary.BigEndian.AppendUint64(payload, uint64(d.ProcessStart))
+	payload = binary.BigEndian.AppendUint64(payload, d.From)
+	payload = append(payload, byte(len(d.Cancellations)))
+	for _, cancellation := range d.Cancellations {
+		if cancellation.Job == "" || len(cancellation.Job) > MaxCancelledName {
+			return nil, fmt.Errorf("%w: job name of %d bytes", ErrFrame, len(cancellation.Job))
+		}
+		payload = binary.BigEndian.AppendUint64(payload, cancellation.Version)
+		payload = appendText(payload, cancellation.Job)
+	}
+	return payload, nil
+}
+
+// appendText writes a text of up to 255 bytes after its length.
+func appendText(payload []byte, text string) []byte {
+	payload = append(payload, byte(len(text)))
+	return append(payload, text...)
+}
+
+func appendFlag(payload []byte, set bool) []byte {
+	if set {
+		return append(payload, 1)
+	}
+	return append(payload, 0)
+}
+
+// ReadFrame reads one message. An error that wraps ErrFrame says that the frame is malformed; others
+// are the reader's.
+func ReadFrame(reader io.Reader) (PeerMessage, error) {
+	var header [frameHeader]byte
+	if _, err := io.ReadFull(reader, header[:]); err != nil {
+		return nil, err
+	}
+	magic, version, kind := header[0], header[1], header[2]
+	if magic != FrameMagic {
+		return nil, fmt.Errorf("%w: begins with %#x", ErrFrame, magic)
+	}
+	if version != FrameVersion {
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, version, FrameVersion)
+	}
+	length := binary.BigEndian.Uint32(header[frameLengthAt:])
+	if length > MaxFrame {
+		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, length)
+	}
+	payload := make([]byte, length)
+	if _, err := io.ReadFull(reader, payload); err != nil {
+		return nil, err
+	}
+	return decodePayload(kind, payload)
+}
+
+// decodePayload reads the payload of a frame; all of it has to be the message.
+func decodePayload(kind byte, payload []byte) (PeerMessage, error) {
+	reader := &payloadReader{rest: payload}
+	var message PeerMessage
+	switch kind {
+	case KindHello:
+		message = reader.hello()
+	case KindPeerHeartbeat:
+		message = reader.peerHeartbeat()
+	case KindShardDemands:
+		message = reader.shardDemands()
+	case KindCancellationDigest:
+		message = reader.cancellationDigest()
+	default:
+		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
+	}
+	if reader.malformed || len(reader.rest) != 0 {
+		return nil, fmt.Errorf("%w: kind %d with %d bytes", ErrFrame, kind, len(payload))
+	}
+	return message, nil
+}
+
+// payloadReader takes a payload apart from its beginning. After the first mistake it is malformed and
+// yields only zeros.
+type payloadReader struct {
+	rest      []byte
+	malformed bool
+}
+
+func (r *payloadReader) hello() Hello {
+	var hello Hello
+	hello.Member = r.text(maxPeerName)
+	hello.Incarnation = r.uint64()
+	return hello
+}
+
+func (r *payloadReader) peerHeartbeat() PeerHeartbeat {
+	var heartbeat PeerHeartbeat
+	heartbeat.StateOK = r.flag()
+	heartbeat.Revision = r.uint64()
+	heartbeat.OwnedShards = r.uint64()
+	heartbeat.ChangeRateMilli = r.uint32()
+	return heartbeat
+}
+
+func (r *payloadReader) shardDemands() ShardDemands {
+	var demands ShardDemands
+	for range r.count(maxShardDemands) {
+		demands.Shards = append(demands.Shards, r.shardDemand())
+	}
+	return demands
+}
+
+func (r *payloadReader) shardDemand() ShardDemand {
+	var demand ShardDemand
+	demand.Shard = r.uint32()
+	demand.OnDemand = r.flag()
+	demand.Cpus = math.Float64frombits(r.uint64())
+	r.expect(demand.Cpus >= 0 && !math.IsInf(demand.Cpus, 0)) // false for what is not a number, too
+	return demand
+}
+
+func (r *payloadReader) cancellationDigest() CancellationDigest {
+	var digest CancellationDigest
+	digest.At = int64(r.uint64())
+	digest.ProcessStart = int64(r.uint64())
+	digest.From = r.uint64()
+	r.expect(digest.ProcessStart >= 0 && digest.ProcessStart <= digest.At)
+	for range r.count(MaxCancellations) {
+		digest.Cancellations = append(digest.Cancellations, r.cancellation())
+	}
+	return digest
+}
+
+func (r *payloadReader) cancellation() Cancellation {
+	var cancellation Cancellation
+	cancellation.Version = r.uint64()
+	cancellation.Job = r.text(MaxCancelledName)
+	return cancellation
+}
+
+// expect makes the payload malformed unless a condition on what was read holds.
+func (r *payloadReader) expect(holds bool) {
+	if !holds {
+		r.malformed = true
+	}
+}
+
+// take is the next length bytes.
+func (r *payloadReader) take(length int) []byte {
+	if r.malformed || len(r.rest) < length {
+		r.malformed = true
+		return make([]byte, length)
+	}
+	taken := r.rest[:length]
+	r.rest = r.rest[length:]
+	return taken
+}
+
+func (r *payloadReader) uint8() byte    { return r.take(1)[0] }
+func (r *payloadReader) uint32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *payloadReader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+
+func (r *payloadReader) flag() bool {
+	value := r.uint8()
+	r.expect(value <= 1)
+	return value == 1
+}
+
+// count is the length of a list of up to most entries.
+func (r *payloadReader) count(most int) int {
+	count := int(r.uint8())
+	r.expect(count <= most)
+	if r.malformed {
+		return 0
+	}
+	return count
+}
+
+// text is a text of 1 to most bytes.
+func (r *payloadReader) text(most int) string {
+	length := int(r.uint8())
+	r.expect(length > 0 && length <= most)
+	if r.malformed {
+		return ""
+	}
+	return string(r.take(length))
+}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -60,16 +60,16 @@
 		{"word.level1.bin", CancellationDigest{1700000000456, 1700000000123, 77, []Cancellation{{78, "job-000412"}, {0x0102030405060708, "job-000413"}}}},
 		{"word-none.level1.bin", CancellationDigest{1700000000456, 1700000000123, 77, nil}},
 	}
-	for _, c := range cases {
-		t.Run(c.file, func(t *testing.T) {
-			frame, err := AppendFrame(nil, c.message)
+	for _, test := range cases {
+		t.Run(test.file, func(t *testing.T) {
+			frame, err := AppendFrame(nil, test.message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, c.file, frame)
-			rest := bytes.NewReader(readGolden(t, c.file))
+			checkGolden(t, test.file, frame)
+			rest := bytes.NewReader(readGolden(t, test.file))
 			message, err := ReadFrame(rest)
-			if err != nil || rest.Len() > 0 || !reflect.DeepEqual(message, c.message) {
+			if err != nil || rest.Len() > 0 || !reflect.DeepEqual(message, test.message) {
 				t.Errorf("read as %+v with %d bytes left: %v", message, rest.Len(), err)
 			}
 		})
@@ -95,12 +95,12 @@
 	return EncodeSubmission(submission)
 }
 
-func rewriteReport(raw []byte) ([]byte, error) {
-	report, err := ParseHeartbeat(raw)
+func rewriteHeartbeat(raw []byte) ([]byte, error) {
+	heartbeat, err := ParseHeartbeat(raw)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(report)
+	return json.Marshal(heartbeat)
 }
 
 // TestGoldenMessages covers the JSON that users, workers, the cloud and the state service
@@ -115,8 +115,8 @@
 		{"submission-least.user.json", rewriteSubmission, nil},
 		{"job-state.user.json", rewriteJSON[JobState], reflect.TypeFor[JobState]()},
 		{"refusal.user.json", rewriteJSON[ErrorResponse], reflect.TypeFor[ErrorResponse]()},
-		{"report.worker.json", rewriteReport, reflect.TypeFor[Heartbeat]()},
-		{"report-least.worker.json", rewriteReport, nil},
+		{"report.worker.json", rewriteHeartbeat, reflect.TypeFor[Heartbeat]()},
+		{"report-least.worker.json", rewriteHeartbeat, nil},
 		{"report-answer.worker.json", rewriteJSON[HeartbeatResponse], reflect.TypeFor[HeartbeatResponse]()},
 		{"redirect.worker.json", rewriteJSON[Redirect], reflect.TypeFor[Redirect]()},
 		{"direct-commands.worker.json", rewriteJSON[DirectCommands], reflect.TypeFor[DirectCommands]()},
@@ -129,18 +129,18 @@
 		{"transaction-result.state.json", rewriteJSON[TxnResult], reflect.TypeFor[TxnResult]()},
 		{"events.state.json", rewriteJSON[Events], reflect.TypeFor[Events]()},
 	}
-	for _, c := range cases {
-		t.Run(c.file, func(t *testing.T) {
-			raw := readGolden(t, c.file)
-			got, err := c.rewrite(raw)
+	for _, test := range cases {
+		t.Run(test.file, func(t *testing.T) {
+			raw := readGolden(t, test.file)
+			got, err := test.rewrite(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, c.file, got)
-			if c.typ == nil {
+			checkGolden(t, test.file, got)
+			if test.typ == nil {
 				return
 			}
-			for _, field := range wireNames(c.typ) {
+			for _, field := range wireNames(test.typ) {
 				if !bytes.Contains(raw, fmt.Appendf(nil, "%q:", field)) {
 					t.Errorf("the file lacks field %q", field)
 				}
@@ -165,9 +165,9 @@
 	return names
 }
 
-// TestGoldenWords covers the words that stand in messages as values.
-func TestGoldenWords(t *testing.T) {
-	words := []string{
+// TestGoldenValues covers the names that stand in messages as values.
+func TestGoldenValues(t *testing.T) {
+	values := []string{
 		string(Queued), string(Running), string(Done), string(Cancelled),
 		TaskFetching, TaskRunning, TaskCheckpointing, TaskExited,
 		CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseBusy, CauseUnknown,
@@ -176,5 +176,5 @@
 		Low.String(), Normal.String(), High.String(), Production.String(),
 		TaskName("job-000412", 15),
 	}
-	checkGolden(t, "words.any.txt", []byte(strings.Join(words, "\n")+"\n"))
+	checkGolden(t, "words.any.txt", []byte(strings.Join(values, "\n")+"\n"))
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -43,45 +43,86 @@
 		{"empty list of types", "hulls", `[]`, "hulls"},
 		{"empty zone", "berth", `""`, "berth"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			var m map[string]json.RawMessage
-			if err := json.Unmarshal([]byte(goodJob), &m); err != nil {
-				t.Fatal(err)
-			}
-			if c.value == "-" {
-				delete(m, c.field)
-			} else if c.field != "" {
-				m[c.field] = json.RawMessage(c.value)
-			}
-			var parts []string
-			for k, v := range m {
-				parts = append(parts, `"`+k+`":`+string(v))
-			}
-			check(t, []byte("{"+strings.Join(parts, ",")+"}"), c.want)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			checkSubmission(t, changedJob(t, test.field, test.value), test.want)
 		})
 	}
-	for _, c := range [][2]string{{"", "not a JSON object"}, {"[1]", "not a JSON object"}, {"{", "not valid JSON"},
-		{`{"cpus":NaN}`, "not valid JSON"}, {"{" + strings.Repeat(" ", MaxBody) + "}", "64 KiB"}} {
-		check(t, []byte(c[0]), c[1])
+	for _, test := range []struct{ name, body, want string }{
+		{"empty body", "", "not a JSON object"},
+		{"list", "[1]", "not a JSON object"},
+		{"object that does not end", "{", "not valid JSON"},
+		{"value that JSON does not have", `{"cpus":NaN}`, "not valid JSON"},
+		{"body too large", "{" + strings.Repeat(" ", MaxBody) + "}", "64 KiB"},
+	} {
+		t.Run(test.name, func(t *testing.T) { checkSubmission(t, []byte(test.body), test.want) })
+	}
+}
+
+// changedJob is goodJob with another value of a field, or without the field if the value is "-".
+func changedJob(t *testing.T, field, value string) []byte {
+	t.Helper()
+	var values map[string]json.RawMessage
+	if err := json.Unmarshal([]byte(goodJob), &values); err != nil {
+		t.Fatal(err)
+	}
+	if value == "-" {
+		delete(values, field)
+	} else if field != "" {
+		values[field] = json.RawMessage(value)
+	}
+	var parts []string
+	for name, value := range values {
+		parts = append(parts, `"`+name+`":`+string(value))
 	}
+	return []byte("{" + strings.Join(parts, ",") + "}")
 }
 
-func check(t *testing.T, body []byte, want string) {
+// checkSubmission parses a submission and expects goodJob's values, or an error with a text in it.
+func checkSubmission(t *testing.T, body []byte, want string) {
 	t.Helper()
-	s, err := ParseSubmission(body)
+	submission, err := ParseSubmission(body)
 	switch {
 	case want == "" && err != nil:
 		t.Fatalf("refused: %v", err)
-	case want == "" && (s.Tasks != 16 || s.Priority != High || !s.OneZone):
-		t.Fatalf("read wrongly: %+v", s)
+	case want == "" && (submission.Tasks != 16 || submission.Priority != High || !submission.OneZone):
+		t.Fatalf("read wrongly: %+v", submission)
 	case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 		t.Fatalf("got %v, want %q", err, want)
 	}
 }
 
-func TestParseReport(t *testing.T) {
-	for _, c := range []struct {
+// TestSubmissionRefusals pins the whole texts that users see, and the field that each error names.
+func TestSubmissionRefusals(t *testing.T) {
+	for _, test := range []struct{ name, field, value, want string }{
+		{"field left out", "crew", "-", "field crew is missing"},
+		{"field of another type", "together", `"yes"`, "field together has the wrong type"},
+		{"malformed id", "id", `"job-1"`, "field id is not in the form job-000412"},
+		{"unknown shape", "shape", `"ring"`, "field shape is not batch or daemon"},
+		{"unknown priority", "urgency", `"asap"`, "field urgency is not production, high, normal or low"},
+		{"no tasks", "shards", `0`, "field shards is not between 1 and 100000"},
+		{"empty team", "crew", `""`, "field crew is not a name of 1 to 128 bytes"},
+		{"long image", "kit", `"` + strings.Repeat("k", 129) + `"`, "field kit is not a name of 1 to 128 bytes"},
+		{"no cores", "cpus", `0`, "field cpus is not above 0"},
+		{"too much memory", "ramGb", `1000000001`, "field ramGb is out of range"},
+		{"deadline of zero", "dueS", `0`, "field dueS is out of range"},
+		{"empty zone", "berth", `""`, "field berth is not a zone's name"},
+		{"malformed dependency", "awaits", `["job-000001","x"]`, "field awaits holds something that is no job's id"},
+		{"empty list of types", "hulls", `[]`, "field hulls is an empty list"},
+		{"empty type", "hulls", `["g8",""]`, "field hulls holds something that is no name"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := ParseSubmission(changedJob(t, test.field, test.value))
+			var fieldError *FieldError
+			if !errors.As(err, &fieldError) || fieldError.Field != test.field || err.Error() != test.want {
+				t.Errorf("got %#v, want %q", err, test.want)
+			}
+		})
+	}
+}
+
+func TestParseHeartbeat(t *testing.T) {
+	for _, test := range []struct {
 		name, body string
 		ok         bool
 	}{
@@ -94,19 +135,49 @@
 		{"name with a slash", `{"host":"a/b","hull":"g8","berth":"a","watch":1,"tally":1}`, false},
 		{"not an object", `"hello"`, false},
 	} {
-		if _, err := ParseHeartbeat([]byte(c.body)); (err == nil) != c.ok {
-			t.Errorf("%s: %v", c.name, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := ParseHeartbeat([]byte(test.body)); (err == nil) != test.ok {
+				t.Errorf("accepted: %t, want %t: %v", err == nil, test.ok, err)
+			}
+		})
+	}
+}
+
+// TestHeartbeatRefusals pins the whole texts that workers get.
+func TestHeartbeatRefusals(t *testing.T) {
+	const rest = `"hull":"g8","berth":"a","watch":1,"tally":1`
+	for _, test := range []struct{ name, body, want string }{
+		{"list", `[]`, "report is not a JSON object"},
+		{"machine left out", `{` + rest + `}`, "report: host is not a name"},
+		{"sequence left out", `{"host":"h","hull":"g8","berth":"a","watch":1}`, "report: watch or tally is missing"},
+		{"zone left out", `{"host":"h","hull":"g8","watch":1,"tally":1}`, "report: hull or berth is missing"},
+		{"notice beyond range", `{"host":"h","recallS":2e9,` + rest + `}`, "report: recallS is out of range"},
+		{"notice that is over", `{"host":"h","recallS":-3,` + rest + `}`, ""},
+		{"malformed task", `{"host":"h","shards":[{"shard":"job-000412"}],` + rest + `}`, `report: "job-000412" is no task`},
+		{"unknown state", `{"host":"h","shards":[{"shard":"job-000412/1","status":"asleep"}],` + rest + `}`, `report: "asleep" is no state of a task`},
+		{"task that waits for others", `{"host":"h","shards":[{"shard":"job-000412/1","status":"gathering"}],` + rest + `}`, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := ParseHeartbeat([]byte(test.body))
+			text := ""
+			if err != nil {
+				text = err.Error()
+			}
+			if text != test.want {
+				t.Errorf("got %q, want %q", text, test.want)
+			}
+		})
 	}
 }
 
 func TestFrames(t *testing.T) {
 	var all []byte
 	messages := []PeerMessage{Hello{"n-1", 77}, PeerHeartbeat{true, 1 << 40, 5, 12500},
-		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{}, CancellationDigest{At: 1 << 41, ProcessStart: 5, From: 7, Cancellations: []Cancellation{{8, "job-000001"}}}, CancellationDigest{}}
-	for _, m := range messages {
+		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{},
+		CancellationDigest{At: 1 << 41, ProcessStart: 5, From: 7, Cancellations: []Cancellation{{8, "job-000001"}}}, CancellationDigest{}}
+	for _, message := range messages {
 		var err error
-		if all, err = AppendFrame(all, m); err != nil {
+		if all, err = AppendFrame(all, message); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -116,7 +187,7 @@
 			t.Fatalf("got %#v, %v; want %#v", got, err, want)
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		raw  []byte
 	}{
@@ -126,30 +197,36 @@
 		{"unknown kind", []byte{FrameMagic, FrameVersion, 99, 0, 0, 0, 0}},
 		{"short payload", []byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0, 0, 0, 1, 1}},
 		{"trailing bytes", append([]byte{FrameMagic, FrameVersion, KindPeerHeartbeat, 0, 0, 0, 18}, make([]byte, 18)...)},
-		{"a word that is cut short", []byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 3, 0, 0, 0}},
-		{"a word of before its process", append([]byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 25}, append(make([]byte, 15), 1, 0, 0, 0, 0, 0, 0, 0, 0, 0)...)},
-		{"a word with too many", append([]byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 25}, append(make([]byte, 24), MaxCancellations+1)...)},
+		{"a digest that is cut short", []byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 3, 0, 0, 0}},
+		{"a digest of before its process", append([]byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 25}, append(make([]byte, 15), 1, 0, 0, 0, 0, 0, 0, 0, 0, 0)...)},
+		{"a digest with too many", append([]byte{FrameMagic, FrameVersion, KindCancellationDigest, 0, 0, 0, 25}, append(make([]byte, 24), MaxCancellations+1)...)},
 		{"nameless", []byte{FrameMagic, FrameVersion, KindHello, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0}},
 	} {
-		if _, err := ReadFrame(bytes.NewReader(c.raw)); !errors.Is(err, ErrFrame) {
-			t.Errorf("%s: %v", c.name, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := ReadFrame(bytes.NewReader(test.raw)); !errors.Is(err, ErrFrame) {
+				t.Errorf("got %v, want a malformed frame", err)
+			}
+		})
 	}
 }
 
 func FuzzReadFrame(f *testing.F) {
-	for _, m := range []PeerMessage{Hello{"n", 1}, PeerHeartbeat{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}}, CancellationDigest{3, 2, 1, []Cancellation{{4, "j"}}}} {
-		b, _ := AppendFrame(nil, m)
-		f.Add(b)
+	for _, message := range []PeerMessage{Hello{"n", 1}, PeerHeartbeat{true, 2, 3, 4}, ShardDemands{[]ShardDemand{{1, true, 2}}},
+		CancellationDigest{3, 2, 1, []Cancellation{{4, "j"}}}} {
+		frame, err := AppendFrame(nil, message)
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(frame)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, err := ReadFrame(bytes.NewReader(raw))
+		message, err := ReadFrame(bytes.NewReader(raw))
 		if err != nil {
 			return
 		}
-		b, err := AppendFrame(nil, m)
-		if err != nil || !bytes.Equal(b, raw[:len(b)]) {
-			t.Fatalf("%#v is written differently: %v", m, err)
+		frame, err := AppendFrame(nil, message)
+		if err != nil || !bytes.Equal(frame, raw[:len(frame)]) {
+			t.Fatalf("%#v is written differently: %v", message, err)
 		}
 	})
 }
