--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -67,7 +67,14 @@
 	More  bool `json:"more"`
 }
 
-const adminTimeout = 3 * time.Second
+// Limits of the administration server's connections and requests.
+const (
+	adminTimeout      = 3 * time.Second // until the controller has to have an answer
+	adminReadTimeout  = 10 * time.Second
+	adminIdleTimeout  = 30 * time.Second
+	defaultSendWithin = 5 * time.Second
+	retryAfterSeconds = "1"
+)
 
 // AdminLimits bound what readers of the administration API cost a controller.
 type AdminLimits struct {
@@ -77,168 +84,243 @@
 
 // DefaultAdminLimits suit machines with a tenth of a core.
 func DefaultAdminLimits() AdminLimits {
-	return AdminLimits{ViewReaders: config.DefaultReaders, SendWithin: 5 * time.Second}
+	return AdminLimits{ViewReaders: config.DefaultReaders, SendWithin: defaultSendWithin}
 }
 
+// AdminServer serves the administration API.
+type AdminServer struct{ app *fiber.App }
+
+// Serve serves until the listener is closed.
+func (s *AdminServer) Serve(ln net.Listener) error { return s.app.Listener(ln) }
+
 // NewAdminServer makes the server of the administration API and the metrics. It
 // only ever gets connections of peer_listen, which users do not reach.
 func NewAdminServer(core AdminCore, limits AdminLimits) *AdminServer {
 	app := fiber.New(fiber.Config{
-		DisableStartupMessage: true, BodyLimit: protocol.MaxBody, Concurrency: maxPeerConns,
-		ReadTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, WriteTimeout: limits.SendWithin, CaseSensitive: true,
+		DisableStartupMessage: true,
+		BodyLimit:             protocol.MaxBody,
+		Concurrency:           maxPeerConns,
+		ReadTimeout:           adminReadTimeout,
+		IdleTimeout:           adminIdleTimeout,
+		WriteTimeout:          limits.SendWithin,
+		CaseSensitive:         true,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
-			status := fiber.StatusInternalServerError
-			var fe *fiber.Error
-			if errors.As(err, &fe) {
-				status = fe.Code
-			}
-			return send(c, status, AdminRefusal{Error: err.Error()})
+			return send(c, fiberStatus(err), AdminRefusal{Error: err.Error()})
 		},
 	})
-	fail := func(c *fiber.Ctx, err error) error {
-		var fe *controller.FieldError
-		switch {
-		case errors.As(err, &fe):
-			return send(c, 400, AdminRefusal{err.Error(), fe.Field})
-		case errors.Is(err, controller.ErrVersion):
-			return send(c, 409, AdminRefusal{Error: err.Error()})
-		case errors.Is(err, controller.ErrNoTeam):
-			return send(c, 404, AdminRefusal{Error: err.Error()})
-		}
-		c.Set(fiber.HeaderRetryAfter, "1")
-		return send(c, 503, AdminRefusal{Error: err.Error()})
-	}
-	api := app.Group("/admin/v1")
-	get := func(path string, f func(ctx context.Context, c *fiber.Ctx) (any, error)) {
-		api.Get(path, func(c *fiber.Ctx) error {
-			ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
-			defer cancel()
-			body, err := f(ctx, c)
-			if err != nil {
-				return fail(c, err)
-			}
-			return send(c, 200, body)
-		})
-	}
-	get("/settings", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		s, v, err := core.Settings(ctx)
-		return SettingsView{v, s, controller.SettingsInfo()}, err
-	})
-	api.Put("/settings", func(request *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
-		defer cancel()
-		var ch SettingsChange
-		if err := json.Unmarshal(request.Body(), &ch); err != nil {
-			return fail(request, &controller.FieldError{Field: "body", Expected: `{"version":N,"settings":{...}}`})
-		}
-		if ch.Version == nil {
-			return fail(request, &controller.FieldError{Field: "version", Expected: "the version that was read"})
-		}
-		s, v, err := core.ChangeSettings(ctx, *ch.Version, ch.Settings)
-		if err != nil {
-			return fail(request, err)
-		}
-		return send(request, 200, SettingsView{Version: v, Settings: s})
-	})
-	get("/teams", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		v, err := core.Teams(ctx)
-		return AdminPage{Items: v}, err
-	})
-	get("/teams/:name", func(ctx context.Context, c *fiber.Ctx) (any, error) {
-		name, err := teamName(c)
-		if err != nil {
-			return nil, err
-		}
-		return core.Team(ctx, name)
-	})
-	api.Put("/teams/:name", func(fiberCtx *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
-		defer cancel()
-		name, err := teamName(fiberCtx)
-		if err != nil {
-			return fail(fiberCtx, err)
-		}
-		var ch TeamChange
-		if err := json.Unmarshal(fiberCtx.Body(), &ch); err != nil {
-			return fail(fiberCtx, &controller.FieldError{Field: "body", Expected: `{"version":N,"team":{...}}`})
-		}
-		if ch.Version == nil {
-			return fail(fiberCtx, &controller.FieldError{Field: "version", Expected: "the version that was read"})
-		}
-		v, err := core.ChangeTeam(ctx, name, *ch.Version, ch.Team)
-		if err != nil {
-			return fail(fiberCtx, err)
-		}
-		return send(fiberCtx, 200, v)
-	})
-	get("/nodes", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		v, err := core.MemberViews(ctx)
-		return AdminPage{Items: v}, err
-	})
-	get("/shares", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		v, err := core.ShardViews(ctx)
-		return AdminPage{Items: v}, err
-	})
-	get("/jobs", func(ctx context.Context, c *fiber.Ctx) (any, error) {
-		limit, err := pageLimit(c)
-		if err != nil {
-			return nil, err
-		}
-		v, more, err := core.JobViews(ctx, strings.Clone(c.Query("team")), strings.Clone(c.Query("after")), limit)
-		return AdminPage{v, more}, err
-	})
-	get("/machines", func(ctx context.Context, c *fiber.Ctx) (any, error) {
-		limit, err := pageLimit(c)
-		if err != nil {
-			return nil, err
-		}
-		v, more, err := core.MachineInfos(ctx, strings.Clone(c.Query("after")), limit)
-		return AdminPage{v, more}, err
-	})
-	api.Get("/machines/:name", func(c *fiber.Ctx) error {
+	router := app.Group("/admin/v1")
+	api := adminAPI{core}
+	api.mountSettings(router)
+	api.mountTeams(router)
+	api.mountControllers(router)
+	api.mountJobs(router)
+	api.mountMachines(router)
+	mountView(router, core, limits.ViewReaders)
+	app.Get("/metrics", adaptor.HTTPHandler(promhttp.HandlerFor(core.Metrics().Registry, promhttp.HandlerOpts{})))
+	return &AdminServer{app}
+}
+
+// adminAPI answers the requests of operators with what a controller tells.
+type adminAPI struct{ core AdminCore }
+
+// adminHandler makes the body of an answer, or an error that refuse knows.
+type adminHandler func(ctx context.Context, c *fiber.Ctx) (any, error)
+
+// handle makes a fiber handler of one that answers within adminTimeout.
+func handle(handler adminHandler) fiber.Handler {
+	return func(c *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 		defer cancel()
-		v, known, err := core.MachineInfo(ctx, strings.Clone(c.Params("name")))
+		body, err := handler(ctx, c)
 		if err != nil {
-			return fail(c, err)
-		}
-		if !known {
-			return send(c, 404, AdminRefusal{Error: "no such machine"})
+			return refuse(c, err)
 		}
-		return send(c, 200, v)
-	})
-	get("/evictions", func(ctx context.Context, _ *fiber.Ctx) (any, error) {
-		v, err := core.Evictions(ctx)
-		return AdminPage{Items: v}, err
-	})
-	mountView(api, core, limits.ViewReaders)
-	app.Get("/metrics", adaptor.HTTPHandler(promhttp.HandlerFor(core.Metrics().Registry, promhttp.HandlerOpts{})))
-	return &AdminServer{app}
+		return send(c, fiber.StatusOK, body)
+	}
+}
+
+// errNoMachine says that a machine is not known.
+var errNoMachine = errors.New("no such machine")
+
+// refuse answers with the status that an error stands for. What is not a mistake of the operator may
+// work later.
+func refuse(c *fiber.Ctx, err error) error {
+	var fieldError *controller.FieldError
+	switch {
+	case errors.As(err, &fieldError):
+		return send(c, fiber.StatusBadRequest, AdminRefusal{err.Error(), fieldError.Field})
+	case errors.Is(err, controller.ErrVersion):
+		return send(c, fiber.StatusConflict, AdminRefusal{Error: err.Error()})
+	case errors.Is(err, controller.ErrNoTeam), errors.Is(err, errNoMachine):
+		return send(c, fiber.StatusNotFound, AdminRefusal{Error: err.Error()})
+	}
+	return sendRetryLater(c, err.Error())
+}
+
+// sendRetryLater answers that the controller can't serve the request now.
+func sendRetryLater(c *fiber.Ctx, text string) error {
+	c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
+	return send(c, fiber.StatusServiceUnavailable, AdminRefusal{Error: text})
+}
+
+// fiberStatus is the status that an error of the web framework stands for.
+func fiberStatus(err error) int {
+	var fiberError *fiber.Error
+	if errors.As(err, &fiberError) {
+		return fiberError.Code
+	}
+	return fiber.StatusInternalServerError
 }
 
+func (a adminAPI) mountSettings(router fiber.Router) {
+	router.Get("/settings", handle(a.settings))
+	router.Put("/settings", handle(a.changeSettings))
+}
+
+func (a adminAPI) settings(ctx context.Context, _ *fiber.Ctx) (any, error) {
+	settings, version, err := a.core.Settings(ctx)
+	return SettingsView{version, settings, controller.SettingsInfo()}, err
+}
+
+func (a adminAPI) changeSettings(ctx context.Context, c *fiber.Ctx) (any, error) {
+	var change SettingsChange
+	if err := decodeChange(c, &change, `{"version":N,"settings":{...}}`); err != nil {
+		return nil, err
+	}
+	if change.Version == nil {
+		return nil, versionMissing()
+	}
+	settings, version, err := a.core.ChangeSettings(ctx, *change.Version, change.Settings)
+	return SettingsView{Version: version, Settings: settings}, err
+}
+
+func (a adminAPI) mountTeams(router fiber.Router) {
+	router.Get("/teams", handle(a.teams))
+	router.Get("/teams/:name", handle(a.team))
+	router.Put("/teams/:name", handle(a.changeTeam))
+}
+
+func (a adminAPI) teams(ctx context.Context, _ *fiber.Ctx) (any, error) {
+	teams, err := a.core.Teams(ctx)
+	return AdminPage{Items: teams}, err
+}
+
+func (a adminAPI) team(ctx context.Context, c *fiber.Ctx) (any, error) {
+	name, err := teamName(c)
+	if err != nil {
+		return nil, err
+	}
+	return a.core.Team(ctx, name)
+}
+
+func (a adminAPI) changeTeam(ctx context.Context, c *fiber.Ctx) (any, error) {
+	name, err := teamName(c)
+	if err != nil {
+		return nil, err
+	}
+	var change TeamChange
+	if err := decodeChange(c, &change, `{"version":N,"team":{...}}`); err != nil {
+		return nil, err
+	}
+	if change.Version == nil {
+		return nil, versionMissing()
+	}
+	return a.core.ChangeTeam(ctx, name, *change.Version, change.Team)
+}
+
+// mountControllers adds what is told of the controllers and of the shards that they own.
+func (a adminAPI) mountControllers(router fiber.Router) {
+	router.Get("/nodes", handle(a.members))
+	router.Get("/shares", handle(a.shards))
+}
+
+func (a adminAPI) members(ctx context.Context, _ *fiber.Ctx) (any, error) {
+	members, err := a.core.MemberViews(ctx)
+	return AdminPage{Items: members}, err
+}
+
+func (a adminAPI) shards(ctx context.Context, _ *fiber.Ctx) (any, error) {
+	shards, err := a.core.ShardViews(ctx)
+	return AdminPage{Items: shards}, err
+}
+
+func (a adminAPI) mountJobs(router fiber.Router) {
+	router.Get("/jobs", handle(a.jobs))
+	router.Get("/evictions", handle(a.evictions))
+}
+
+func (a adminAPI) jobs(ctx context.Context, c *fiber.Ctx) (any, error) {
+	limit, err := pageLimit(c)
+	if err != nil {
+		return nil, err
+	}
+	jobs, more, err := a.core.JobViews(ctx, query(c, "team"), query(c, "after"), limit)
+	return AdminPage{jobs, more}, err
+}
+
+func (a adminAPI) evictions(ctx context.Context, _ *fiber.Ctx) (any, error) {
+	evictions, err := a.core.Evictions(ctx)
+	return AdminPage{Items: evictions}, err
+}
+
+func (a adminAPI) mountMachines(router fiber.Router) {
+	router.Get("/machines", handle(a.machines))
+	router.Get("/machines/:name", handle(a.machine))
+}
+
+func (a adminAPI) machines(ctx context.Context, c *fiber.Ctx) (any, error) {
+	limit, err := pageLimit(c)
+	if err != nil {
+		return nil, err
+	}
+	machines, more, err := a.core.MachineInfos(ctx, query(c, "after"), limit)
+	return AdminPage{machines, more}, err
+}
+
+func (a adminAPI) machine(ctx context.Context, c *fiber.Ctx) (any, error) {
+	machine, known, err := a.core.MachineInfo(ctx, pathParam(c, "name"))
+	if err == nil && !known {
+		err = errNoMachine
+	}
+	return machine, err
+}
+
+// decodeChange reads the body of a request into change; form shows how it has to look.
+func decodeChange(c *fiber.Ctx, change any, form string) error {
+	if err := json.Unmarshal(c.Body(), change); err != nil {
+		return &controller.FieldError{Field: "body", Expected: form}
+	}
+	return nil
+}
+
+// versionMissing refuses a change that does not say on which version it is based.
+func versionMissing() error {
+	return &controller.FieldError{Field: "version", Expected: "the version that was read"}
+}
+
+// query is a value of the query, and pathParam one of the path. They are copies: the framework uses
+// its own memory anew for the next request, and the controller may keep them for longer.
+func query(c *fiber.Ctx, name string) string     { return strings.Clone(c.Query(name)) }
+func pathParam(c *fiber.Ctx, name string) string { return strings.Clone(c.Params(name)) }
+
 // teamName is the team that a path names.
 func teamName(c *fiber.Ctx) (string, error) {
-	name, err := url.PathUnescape(strings.Clone(c.Params("name")))
+	name, err := url.PathUnescape(pathParam(c, "name"))
 	if err != nil {
 		return "", &controller.FieldError{Field: "name", Expected: "a team's name, escaped as in a URL"}
 	}
 	return name, nil
 }
 
+// pageLimit is how many items a request wants on a page.
 func pageLimit(c *fiber.Ctx) (int, error) {
-	q := c.Query("limit")
-	if q == "" {
+	text := c.Query("limit")
+	if text == "" {
 		return controller.Page, nil
 	}
-	n, err := strconv.Atoi(q)
-	if err != nil || n < 1 || n > controller.Page {
+	limit, err := strconv.Atoi(text)
+	if err != nil || limit < 1 || limit > controller.Page {
 		return 0, &controller.FieldError{Field: "limit", Expected: "a count from 1 to " + strconv.Itoa(controller.Page)}
 	}
-	return n, nil
+	return limit, nil
 }
-
-// AdminServer serves the administration API.
-type AdminServer struct{ app *fiber.App }
-
-// Serve serves until the listener is closed.
-func (s *AdminServer) Serve(ln net.Listener) error { return s.app.Listener(ln) }
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -1,5 +1,3 @@
-// Package transport holds the servers and clients of a controller and the
-// budgets that keep it under the rates of the services it calls.
 package transport
 
 import (
@@ -8,50 +6,52 @@
 	"time"
 )
 
-// Budget is a token bucket. Callers that matter more may dig deeper into it.
+// Budget is a token bucket: it fills at a rate and holds up to a burst. Callers that matter more may
+// dig deeper into it; the level may even be below 0, a debt that later callers wait for. The unit of
+// amounts is what the owner counts: requests, or changes in the state service.
 type Budget struct {
-	mu    sync.Mutex
-	rate  float64
-	burst float64
-	have  float64
-	last  time.Time
+	mu       sync.Mutex
+	rate     float64 // units a second
+	burst    float64 // units
+	level    float64 // units to be had at filledAt
+	filledAt time.Time
 }
 
-// NewBudget allows rate a second, with bursts worth burst.
+// NewBudget allows rate units a second, with bursts of up to burst units. It begins full.
 func NewBudget(rate, burst float64) *Budget {
-	return &Budget{rate: rate, burst: burst, have: burst, last: time.Now()}
+	return &Budget{rate: rate, burst: burst, level: burst, filledAt: time.Now()}
 }
 
-// Take takes n if at least keep would stay; otherwise it returns how long to wait.
-func (b *Budget) Take(n, keep float64) time.Duration {
-	d, _ := b.Reserve(n, keep, 0)
-	return d
+// Take takes amount if at least keep would stay; otherwise it returns how long to wait.
+func (b *Budget) Take(amount, keep float64) time.Duration {
+	wait, _ := b.Reserve(amount, keep, 0)
+	return wait
 }
 
-// Delay is how long it takes until n can be taken with keep left.
-func (b *Budget) Delay(n, keep float64) time.Duration {
+// Delay is how long it takes until amount can be taken with keep left.
+func (b *Budget) Delay(amount, keep float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill()
-	return b.until(n + keep)
+	return b.untilLevel(amount + keep)
 }
 
-// Reserve takes n now and tells how long to wait until it counts, with keep left;
-// it takes nothing when that is longer than within. Unlike with Wait, those that
-// come later see what those before them took.
-func (b *Budget) Reserve(n, keep float64, within time.Duration) (time.Duration, bool) {
+// Reserve takes amount now and tells how long to wait until it counts, with keep left; it takes
+// nothing when that is longer than within. Unlike with Wait, those that come later see what those
+// before them took.
+func (b *Budget) Reserve(amount, keep float64, within time.Duration) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill()
-	d := b.until(n + keep)
-	if d > within {
-		return d, false
+	wait := b.untilLevel(amount + keep)
+	if wait > within {
+		return wait, false
 	}
-	b.have -= n
-	return d, true
+	b.level -= amount
+	return wait, true
 }
 
-// SetRate changes the rate.
+// SetRate changes the rate, in units a second.
 func (b *Budget) SetRate(rate float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,46 +60,56 @@
 }
 
 // Drain empties the budget for a while: the service has said that it is too much.
-func (b *Budget) Drain(d time.Duration) {
+func (b *Budget) Drain(duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill()
-	b.have = min(b.have, -b.rate*d.Seconds())
+	b.level = min(b.level, -b.rate*duration.Seconds())
 }
 
+// fill adds what has come since it was last called.
 func (b *Budget) fill() {
 	now := time.Now()
-	b.have = min(b.burst, b.have+b.rate*now.Sub(b.last).Seconds())
-	b.last = now
+	b.level = min(b.burst, b.level+b.rate*now.Sub(b.filledAt).Seconds())
+	b.filledAt = now
 }
 
-func (b *Budget) until(n float64) time.Duration {
-	if need := min(n, b.burst); b.have < need {
-		return time.Duration((need-b.have)/b.rate*float64(time.Second)) + time.Millisecond
+// untilLevel is how long it takes until the level is reached, or the burst if that is lower.
+func (b *Budget) untilLevel(level float64) time.Duration {
+	if need := min(level, b.burst); b.level < need {
+		return time.Duration((need-b.level)/b.rate*float64(time.Second)) + time.Millisecond
 	}
 	return 0
 }
 
-// Debit takes n whatever is left: for what must not wait.
-func (b *Budget) Debit(n float64) {
+// Debit takes amount whatever is left: for what must not wait.
+func (b *Budget) Debit(amount float64) {
 	b.mu.Lock()
-	b.have -= n
+	b.level -= amount
 	b.mu.Unlock()
 }
 
-// Wait waits until n can be taken with keep left.
-func (b *Budget) Wait(ctx context.Context, n, keep float64) error {
+// Wait waits until amount can be taken with keep left, and takes it.
+func (b *Budget) Wait(ctx context.Context, amount, keep float64) error {
 	for {
-		d := b.Take(n, keep)
-		if d == 0 {
+		wait := b.Take(amount, keep)
+		if wait == 0 {
 			return nil
 		}
-		t := time.NewTimer(d)
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return ctx.Err()
-		case <-t.C:
+		if err := sleep(ctx, wait); err != nil {
+			return err
 		}
 	}
 }
+
+// sleep waits for a time, or until the context ends: then it returns why.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timer.C:
+		return nil
+	}
+}
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -11,6 +11,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"sync"
 	"testing"
 	"time"
 
@@ -22,17 +23,17 @@
 func service(t *testing.T, status int, body string) (addr string, request *string) {
 	t.Helper()
 	request = new(string)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		raw, _ := io.ReadAll(r.Body) // what is missing shows in the golden file
-		*request += fmt.Sprintf("%s %s\n%s\n%s\n", r.Method, r.RequestURI, headers(r.Header), raw)
+	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, received *http.Request) {
+		raw, _ := io.ReadAll(received.Body) // what is missing shows in the golden file
+		*request += fmt.Sprintf("%s %s\n%s\n%s\n", received.Method, received.RequestURI, headers(received.Header), raw)
 		if status == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		w.WriteHeader(status)
-		_, _ = io.WriteString(w, body) // the client says what it made of it
+		writer.WriteHeader(status)
+		_, _ = io.WriteString(writer, body) // the client says what it made of it
 	}))
-	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), request
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String(), request
 }
 
 // goldenSettings are for clients that never wait for their budgets.
@@ -89,32 +90,32 @@
 	{"cloud-list-after", `{"hosts":[],"more":false}`, func(ctx context.Context, addr string) (any, error) {
 		return NewCloud(goldenSettings(addr)).List(ctx, "host-000001")
 	}},
-	{"worker-command", workerReport, func(_ context.Context, addr string) (any, error) {
-		report, status, err := NewWorkers().Command(addr, filled[protocol.DirectCommands](), time.Minute)
-		return []any{report, status}, err
+	{"worker-command", workerHeartbeat, func(_ context.Context, addr string) (any, error) {
+		heartbeat, status, err := NewWorkers().Command(addr, filled[protocol.DirectCommands](), time.Minute)
+		return []any{heartbeat, status}, err
 	}},
 }
 
 // TestGoldenClients pins what the clients send and how they read each kind of answer.
 func TestGoldenClients(t *testing.T) {
-	for _, c := range clientCalls {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range clientCalls {
+		t.Run(test.name, func(t *testing.T) {
 			text := ""
 			for _, answer := range []struct {
 				status int
 				body   string
 			}{
-				{200, c.good}, {409, c.good}, {200, "no JSON"}, {400, `{"error":"no such lease"}`}, {400, `{"error":"too many"}`}, {403, ""}, {404, ""},
+				{200, test.good}, {409, test.good}, {200, "no JSON"}, {400, `{"error":"no such lease"}`}, {400, `{"error":"too many"}`}, {403, ""}, {404, ""},
 				{409, `{"error":"no capacity"}`}, {410, ""}, {429, ""}, {500, ""}, {503, `{"error":"no capacity"}`}, {0, ""},
 			} {
 				addr, request := service(t, answer.status, answer.body)
-				out, err := c.call(t.Context(), addr)
+				out, err := test.call(t.Context(), addr)
 				if text == "" {
 					text = *request
 				}
 				text += fmt.Sprintf("answer %d %s\n", answer.status, answer.body) + outcomeText(t, out, err, answer.status != 0)
 			}
-			checkGolden(t, "client-"+c.name+".txt", text)
+			checkGolden(t, "client-"+test.name+".txt", text)
 		})
 	}
 }
@@ -152,12 +153,17 @@
 // TestGoldenPeers pins the bytes with which a controller begins to speak to another.
 func TestGoldenPeers(t *testing.T) {
 	here, there := net.Pipe()
-	go NewPeers(&config.Settings{MemberName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler)).speak(t.Context(), here, "n-1")
-	buf := make([]byte, 4<<10)
-	n, err := there.Read(buf)
+	peers := NewPeers(&config.Settings{MemberName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler))
+	var speaking sync.WaitGroup
+	t.Cleanup(speaking.Wait)
+	speaking.Go(func() { peers.speak(t.Context(), here, "n-1") })
+	frames := make([]byte, 4<<10)
+	length, err := there.Read(frames)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = there.Close() // ends the speaking side too
-	checkGolden(t, "peer-frames.txt", hex.Dump(buf[:n]))
+	if err := there.Close(); err != nil { // ends the speaking side too
+		t.Error(err)
+	}
+	checkGolden(t, "peer-frames.txt", hex.Dump(frames[:length]))
 }
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -14,43 +14,44 @@
 
 // filled is a value with something in each field, the same at every call.
 func filled[T any]() T {
-	var v T
-	n := 0
-	fill(reflect.ValueOf(&v).Elem(), &n)
-	return v
+	var filled T
+	count := 0
+	fill(reflect.ValueOf(&filled).Elem(), &count)
+	return filled
 }
 
-func fill(v reflect.Value, n *int) {
-	*n++
-	switch x := v.Addr().Interface().(type) {
+// fill sets a value, and all within it, by the count of values that were set before.
+func fill(value reflect.Value, count *int) {
+	*count++
+	switch special := value.Addr().Interface().(type) {
 	case *json.RawMessage:
-		*x = fmt.Appendf(nil, `{"raw":%d}`, *n)
+		*special = fmt.Appendf(nil, `{"raw":%d}`, *count)
 		return
 	case *time.Time:
-		*x = time.UnixMilli(int64(*n)).UTC()
+		*special = time.UnixMilli(int64(*count)).UTC()
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			fill(v.Field(i), n)
+		for i := range value.NumField() {
+			fill(value.Field(i), count)
 		}
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		fill(value.Index(0), count)
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(value.Elem(), count)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", *n))
+		value.SetString(fmt.Sprintf("text-%d", *count))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Float64:
-		v.SetFloat(float64(*n) + 0.5)
+		value.SetFloat(float64(*count) + 0.5)
 	case reflect.Interface:
-		v.Set(reflect.ValueOf(*n))
+		value.Set(reflect.ValueOf(*count))
 	default:
-		v.Set(reflect.ValueOf(*n).Convert(v.Type()))
+		value.Set(reflect.ValueOf(*count).Convert(value.Type()))
 	}
 }
 
@@ -84,8 +85,8 @@
 
 func (s *stubCore) Ready(context.Context) bool { return !s.starts }
 
-func (s *stubCore) HandleHeartbeat(_ context.Context, r *protocol.Heartbeat, reply func(status int, body any)) {
-	raw, err := json.Marshal(r)
+func (s *stubCore) HandleHeartbeat(_ context.Context, heartbeat *protocol.Heartbeat, reply func(status int, body any)) {
+	raw, err := json.Marshal(heartbeat)
 	s.note("report %s, %v", raw, err)
 	if s.answer.Status != 0 {
 		reply(s.answer.Status, s.reply)
@@ -96,9 +97,9 @@
 	return filled[controller.OperatorSettings](), 7, s.err
 }
 
-func (s *stubCore) ChangeSettings(_ context.Context, v uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
-	s.note("settings %d %s", v, raw)
-	return filled[controller.OperatorSettings](), v + 1, s.err
+func (s *stubCore) ChangeSettings(_ context.Context, version uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
+	s.note("settings %d %s", version, raw)
+	return filled[controller.OperatorSettings](), version + 1, s.err
 }
 
 func (s *stubCore) MemberViews(context.Context) ([]controller.MemberView, error) {
@@ -137,8 +138,8 @@
 	return filled[controller.TeamView](), s.err
 }
 
-func (s *stubCore) ChangeTeam(_ context.Context, name string, v uint64, raw json.RawMessage) (controller.TeamView, error) {
-	s.note("team %q %d %s", name, v, raw)
+func (s *stubCore) ChangeTeam(_ context.Context, name string, version uint64, raw json.RawMessage) (controller.TeamView, error) {
+	s.note("team %q %d %s", name, version, raw)
 	return filled[controller.TeamView](), s.err
 }
 
@@ -146,8 +147,8 @@
 func (s *stubCore) ViewEnabled() bool            { return !s.starts }
 func (s *stubCore) HasTeam(name string) bool     { return name == "red" }
 
-func (s *stubCore) View(_ context.Context, cur view.Cursor) *view.Snapshot {
-	s.note("view after %d of %d", cur.Seq, cur.Epoch)
+func (s *stubCore) View(_ context.Context, cursor view.Cursor) *view.Snapshot {
+	s.note("view after %d of %d", cursor.Seq, cursor.Epoch)
 	if s.unknown {
 		return nil
 	}
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -77,8 +77,8 @@
 	for name, app := range map[string]*fiber.App{"public": publicApp(&stubCore{}), "admin": adminApp(&stubCore{})} {
 		t.Run(name, func(t *testing.T) {
 			var lines []string
-			for _, r := range app.GetRoutes(true) {
-				lines = append(lines, r.Path+" "+r.Method+"\n")
+			for _, route := range app.GetRoutes(true) {
+				lines = append(lines, route.Path+" "+route.Method+"\n")
 			}
 			slices.Sort(lines)
 			checkGolden(t, "routes-"+name+".txt", strings.Join(lines, ""))
@@ -86,18 +86,18 @@
 	}
 }
 
-const workerReport = `{"host":"host-000231","addr":"10.1.0.232:9000","hull":"g8","berth":"a","loaners":true,"watch":1,"tally":88,
+const workerHeartbeat = `{"host":"host-000231","addr":"10.1.0.232:9000","hull":"g8","berth":"a","loaners":true,"watch":1,"tally":88,
 "helm":41,"recallS":12.5,"shards":[{"shard":"job-000412/3","try":2,"status":"exited","cause":"stopped","saved":true}]}`
 
 // TestGoldenAnswers pins what the servers answer to each request, and what they hand on of it.
 func TestGoldenAnswers(t *testing.T) {
 	state := stubCore{answer: controller.Answer{Status: 200, Body: filled[protocol.JobState]()}}
 	busy := stubCore{answer: controller.Answer{Status: 503, Body: filled[protocol.ErrorResponse](), RetryAfter: 2}}
-	beat := stubCore{answer: controller.Answer{Status: 200}, reply: filled[protocol.HeartbeatResponse]()}
+	heartbeat := stubCore{answer: controller.Answer{Status: 200}, reply: filled[protocol.HeartbeatResponse]()}
 	redirect := stubCore{answer: controller.Answer{Status: 421}, reply: filled[protocol.Redirect]()}
 	down := stubCore{err: controller.ErrUnavailable}
 	const runs, settings, red = "/v2/runs", "/admin/v1/settings", "/admin/v1/teams/red"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, method, path, body string
 		core                     stubCore
 	}{
@@ -111,10 +111,10 @@
 		{"no-such-path", "GET", "/v2/Runs/job-000001", "", state},
 		{"ready", "GET", "/ready", "", state},
 		{"ready-starting", "GET", "/ready", "", stubCore{starts: true}},
-		{"beat", "POST", "/agent/beat", workerReport, beat},
-		{"beat-redirect", "POST", "/agent/beat", workerReport, redirect},
-		{"beat-malformed", "POST", "/agent/beat", `{"host":"a/b"}`, beat},
-		{"beat-unanswered", "POST", "/agent/beat", workerReport, stubCore{}},
+		{"beat", "POST", "/agent/beat", workerHeartbeat, heartbeat},
+		{"beat-redirect", "POST", "/agent/beat", workerHeartbeat, redirect},
+		{"beat-malformed", "POST", "/agent/beat", `{"host":"a/b"}`, heartbeat},
+		{"beat-unanswered", "POST", "/agent/beat", workerHeartbeat, stubCore{}},
 		{"settings", "GET", settings, "", stubCore{}},
 		{"settings-down", "GET", settings, "", down},
 		{"settings-change", "PUT", settings, `{"version":7,"settings":{"alpha":0.5}}`, stubCore{}},
@@ -154,13 +154,14 @@
 		{"reasons-down", "GET", "/admin/v1/view/reasons?jobs=job-000001", "", down},
 		{"metrics", "GET", "/metrics", "", stubCore{}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			app := publicApp(&c.core)
-			if strings.HasPrefix(c.path, "/admin") || c.path == "/metrics" {
-				app = adminApp(&c.core)
+			app := publicApp(&test.core)
+			if strings.HasPrefix(test.path, "/admin") || test.path == "/metrics" {
+				app = adminApp(&test.core)
 			}
-			checkGolden(t, "answer-"+c.name+".txt", c.method+" "+c.path+"\n"+ask(t, app, c.method, c.path, c.body)+"core: "+c.core.asked+"\n")
+			answer := ask(t, app, test.method, test.path, test.body)
+			checkGolden(t, "answer-"+test.name+".txt", test.method+" "+test.path+"\n"+answer+"core: "+test.core.asked+"\n")
 		})
 	}
 }
@@ -179,27 +180,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "answer-submit-too-large.txt", answerText(t, resp))
+	checkGolden(t, "answer-submit-too-large.txt", answerText(resp, readBody(t, resp)))
 }
 
 // ask sends a request to a server and writes down the answer.
 func ask(t *testing.T, app *fiber.App, method, path, body string) string {
 	t.Helper()
-	resp, err := app.Test(httptest.NewRequest(method, path, strings.NewReader(body)), -1)
+	request := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+	resp, err := app.Test(request, -1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answerText(t, resp)
+	return answerText(resp, readBody(t, resp))
 }
 
 // answerText writes down status, headers and body of an answer.
-func answerText(t *testing.T, resp *http.Response) string {
-	t.Helper()
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
+func answerText(resp *http.Response, raw []byte) string {
 	if resp.Header.Get("Content-Type") == "application/octet-stream" {
 		raw = []byte("(a page of the view)") // the time of day is in it
 	}
@@ -208,9 +204,22 @@
 	return fmt.Sprintf("%d\n%s\n%s\n", resp.StatusCode, headers(resp.Header), raw)
 }
 
+// readBody reads the whole body of an answer and closes it.
+func readBody(t *testing.T, resp *http.Response) []byte {
+	t.Helper()
+	raw, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := resp.Body.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
 // headers writes headers in the order of their names.
-func headers(h http.Header) string {
-	var b strings.Builder
-	_ = h.Write(&b) // a builder takes everything
-	return strings.ReplaceAll(b.String(), "\r\n", "\n")
+func headers(header http.Header) string {
+	var text strings.Builder
+	_ = header.Write(&text) // a builder takes everything
+	return strings.ReplaceAll(text.String(), "\r\n", "\n")
 }
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -7,18 +7,21 @@
 	"io"
 	"log/slog"
 	"net"
-	"sync"
 	"time"
 
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
+// Timing and limits of the connections between controllers.
 const (
-	firstByteWithin       = 3 * time.Second // a connection that stays silent longer is closed
-	frameWithin           = 10 * time.Second
+	frameWithin           = 10 * time.Second // until the next frame has to be there, whole
 	peerHeartbeatInterval = 500 * time.Millisecond
-	maxPeerConns          = 64
+	peerDialTimeout       = 2 * time.Second
+	peerWriteTimeout      = 2 * time.Second
+	peerRedialAfter       = time.Second
+	peerReadBuffer        = 512 // bytes
+	maxPeerConns          = 64  // on the shared port, peers and HTTP together
 )
 
 // PeerCore is what the peer links need of a controller. All of it is hints.
@@ -26,11 +29,11 @@
 	PeerHeartbeat() protocol.PeerHeartbeat
 	Incarnation() uint64
 	ShardDemands() []protocol.ShardDemand
-	CancellationDigest(node string) (protocol.CancellationDigest, bool)
-	ReceiveCancellationDigest(node string, w protocol.CancellationDigest)
-	ReceivePeerHeartbeat(node string, p protocol.PeerHeartbeat)
-	ReceiveShardDemands(node string, n protocol.ShardDemands)
-	PeerDisconnected(node string)
+	CancellationDigest(member string) (protocol.CancellationDigest, bool)
+	ReceiveCancellationDigest(member string, digest protocol.CancellationDigest)
+	ReceivePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat)
+	ReceiveShardDemands(member string, demands protocol.ShardDemands)
+	PeerDisconnected(member string)
 }
 
 // Peers talks with the other controllers, and tells their frames from HTTP on
@@ -39,7 +42,7 @@
 	core  PeerCore
 	cfg   *config.Settings
 	log   *slog.Logger
-	slots chan struct{}
+	slots chan struct{} // one for each connection of the shared port
 }
 
 // NewPeers makes the links.
@@ -47,65 +50,52 @@
 	return &Peers{core: core, cfg: cfg, log: log, slots: make(chan struct{}, maxPeerConns)}
 }
 
-// Run keeps a connection to every known controller.
+// Run keeps a connection to every known controller until the context ends. It does not wait for that.
 func (p *Peers) Run(ctx context.Context) {
-	for _, k := range p.cfg.Known {
-		go p.keep(ctx, k)
+	for _, peer := range p.cfg.Known {
+		go p.keepConnected(ctx, peer)
 	}
 }
 
-func (p *Peers) keep(ctx context.Context, k config.Peer) {
+// keepConnected speaks to a peer over one connection after the other.
+func (p *Peers) keepConnected(ctx context.Context, peer config.Peer) {
+	dialer := &net.Dialer{Timeout: peerDialTimeout}
 	for ctx.Err() == nil {
-		conn, err := net.DialTimeout("tcp4", k.Address, 2*time.Second)
+		conn, err := dialer.DialContext(ctx, "tcp4", peer.Address)
 		if err == nil {
-			p.speak(ctx, conn, k.MemberName)
-			_ = conn.Close() // nothing more is wanted of it
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(time.Second):
+			p.speak(ctx, conn, peer.MemberName)
 		}
+		_ = sleep(ctx, peerRedialAfter) // the loop sees whether the context has ended
 	}
 }
 
-func (p *Peers) speak(ctx context.Context, conn net.Conn, to string) {
-	// The other side never sends: a read ends when it closes. Without one, a
-	// connection that it has given up could be written to for ever.
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection is over
+// speak tells a peer how this controller fares until the context or the connection ends; then it
+// closes the connection.
+func (p *Peers) speak(ctx context.Context, conn net.Conn, member string) {
+	ended := watchEnd(conn)
+	defer func() {
+		_ = conn.Close() // what was written are hints: whether they have arrived does not matter
+		<-ended
 	}()
 	// Before it is a member its number is 0: in an outage restarted controllers must hear one another.
-	buf, err := protocol.AppendFrame(nil, protocol.Hello{Member: p.cfg.MemberName, Incarnation: p.core.Incarnation()})
+	hello := protocol.Hello{Member: p.cfg.MemberName, Incarnation: p.core.Incarnation()}
+	frames, err := protocol.AppendFrame(nil, hello)
 	if err != nil {
 		p.log.Error("hello cannot be written", "err", err)
 		return
 	}
 	for ctx.Err() == nil {
-		if buf, err = protocol.AppendFrame(buf, p.core.PeerHeartbeat()); err != nil {
-			p.log.Error("pulse cannot be written", "err", err)
+		var ok bool
+		if frames, ok = p.appendNews(frames, member); !ok {
 			return
 		}
-		if needs := p.core.ShardDemands(); len(needs) > 0 {
-			if buf, err = protocol.AppendFrame(buf, protocol.ShardDemands{Shards: needs}); err != nil {
-				p.log.Error("need cannot be written", "err", err)
-				return
-			}
-		}
-		if word, ok := p.core.CancellationDigest(to); ok {
-			if buf, err = protocol.AppendFrame(buf, word); err != nil {
-				p.log.Error("word cannot be written", "err", err)
-				return
-			}
-		}
-		if conn.SetWriteDeadline(time.Now().Add(2*time.Second)) != nil {
+		if conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) != nil {
 			return
 		}
-		if _, err := conn.Write(buf); err != nil {
+		if _, err := conn.Write(frames); err != nil {
 			return
 		}
-		buf = buf[:0]
+		frames = frames[:0]
 		select {
 		case <-ctx.Done():
 		case <-ended:
@@ -115,141 +105,96 @@
 	}
 }
 
-// hear reads a peer's frames until the connection ends or one is malformed.
+// watchEnd tells when a connection on which the other side never sends has ended: a read ends when it
+// closes. Without one, a connection that it has given up could be written to for ever.
+func watchEnd(conn net.Conn) <-chan struct{} {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection is over
+	}()
+	return ended
+}
+
+// appendNews appends the frames of what there is to tell a peer now. It fails only by a fault in this
+// controller, which it logs.
+func (p *Peers) appendNews(frames []byte, member string) ([]byte, bool) {
+	frames, err := protocol.AppendFrame(frames, p.core.PeerHeartbeat())
+	if err != nil {
+		p.log.Error("pulse cannot be written", "err", err)
+		return frames, false
+	}
+	if demands := p.core.ShardDemands(); len(demands) > 0 {
+		if frames, err = protocol.AppendFrame(frames, protocol.ShardDemands{Shards: demands}); err != nil {
+			p.log.Error("need cannot be written", "err", err)
+			return frames, false
+		}
+	}
+	if digest, ok := p.core.CancellationDigest(member); ok {
+		if frames, err = protocol.AppendFrame(frames, digest); err != nil {
+			p.log.Error("word cannot be written", "err", err)
+			return frames, false
+		}
+	}
+	return frames, true
+}
+
+// hear reads a peer's frames until the connection ends, one is malformed, or it turns out not to be a
+// peer's; then it closes the connection.
 func (p *Peers) hear(conn net.Conn, reader io.Reader) {
-	defer conn.Close()
-	node := ""
-	buffered := bufio.NewReaderSize(reader, 512)
+	defer func() { _ = conn.Close() }() // nothing was written to it
+	member := ""                        // who speaks, once it has said so
+	buffered := bufio.NewReaderSize(reader, peerReadBuffer)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(frameWithin)) != nil {
 			return
 		}
-		peerMessage, err := protocol.ReadFrame(buffered)
+		message, err := protocol.ReadFrame(buffered)
 		if err != nil {
-			if errors.Is(err, protocol.ErrFrame) {
-				p.log.Info("peer connection closed", "peer", node, "from", conn.RemoteAddr().String(), "err", err)
-			}
-			if node != "" {
-				p.core.PeerDisconnected(node)
-			}
+			p.hearEnd(conn, member, err)
 			return
 		}
-		switch x := peerMessage.(type) {
-		case protocol.Hello:
-			for _, k := range p.cfg.Known {
-				if k.MemberName == x.Member {
-					node = x.Member
-				}
-			}
-			if node == "" {
-				p.log.Info("unknown peer", "peer", x.Member)
+		if hello, ok := message.(protocol.Hello); ok {
+			if member = p.identify(hello, member); member == "" {
+				p.log.Info("unknown peer", "peer", hello.Member)
 				return
 			}
-		case protocol.PeerHeartbeat:
-			if node != "" {
-				p.core.ReceivePeerHeartbeat(node, x)
-			}
-		case protocol.ShardDemands:
-			if node != "" {
-				p.core.ReceiveShardDemands(node, x)
-			}
-		case protocol.CancellationDigest:
-			if node != "" {
-				p.core.ReceiveCancellationDigest(node, x)
-			}
+			continue
+		}
+		if member != "" {
+			p.receive(member, message)
 		}
 	}
 }
 
-// replayed is a connection whose first byte has been looked at.
-type replayed struct {
-	net.Conn
-	first []byte
-}
-
-func (c *replayed) Read(b []byte) (int, error) {
-	if len(c.first) > 0 {
-		n := copy(b, c.first)
-		c.first = c.first[n:]
-		return n, nil
+// hearEnd tells the controller that a peer can no longer be heard.
+func (p *Peers) hearEnd(conn net.Conn, member string, err error) {
+	if errors.Is(err, protocol.ErrFrame) {
+		p.log.Info("peer connection closed", "peer", member, "from", conn.RemoteAddr().String(), "err", err)
 	}
-	return c.Conn.Read(b)
-}
-
-// httpListener hands the HTTP connections of a shared port to a server.
-type httpListener struct {
-	net.Listener
-	conns chan net.Conn
-	once  sync.Once
-	done  chan struct{}
-}
-
-func (l *httpListener) Accept() (net.Conn, error) {
-	select {
-	case c := <-l.conns:
-		return c, nil
-	case <-l.done:
-		return nil, net.ErrClosed
+	if member != "" {
+		p.core.PeerDisconnected(member)
 	}
 }
 
-func (l *httpListener) Close() error {
-	l.once.Do(func() { close(l.done) })
-	return l.Listener.Close()
-}
-
-// Split serves a port for peers and returns a listener for what speaks HTTP on it.
-func (p *Peers) Split(listener net.Listener) net.Listener {
-	transportHttpListener := &httpListener{Listener: listener, conns: make(chan net.Conn), done: make(chan struct{})}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				if errors.Is(err, net.ErrClosed) {
-					_ = transportHttpListener.Close() // it is closed already
-					return
-				}
-				time.Sleep(50 * time.Millisecond) // out of sockets for now
-				continue
-			}
-			select {
-			case p.slots <- struct{}{}:
-			default:
-				_ = conn.Close() // too many at a time
-				continue
-			}
-			go func() {
-				defer func() { <-p.slots }()
-				p.route(transportHttpListener, conn)
-			}()
+// identify is the known controller that a hello names, or the one from before if it names none.
+func (p *Peers) identify(hello protocol.Hello, before string) string {
+	for _, peer := range p.cfg.Known {
+		if peer.MemberName == hello.Member {
+			return hello.Member
 		}
-	}()
-	return transportHttpListener
+	}
+	return before
 }
 
-func (p *Peers) route(transportHttpListener *httpListener, conn net.Conn) {
-	first := make([]byte, 1)
-	if conn.SetReadDeadline(time.Now().Add(firstByteWithin)) != nil {
-		_ = conn.Close()
-		return
-	}
-	if _, err := io.ReadFull(conn, first); err != nil {
-		_ = conn.Close() // silent or gone
-		return
-	}
-	if first[0] == protocol.FrameMagic {
-		p.hear(conn, &replayed{conn, first})
-		return
-	}
-	if conn.SetReadDeadline(time.Time{}) != nil {
-		_ = conn.Close()
-		return
-	}
-	select {
-	case transportHttpListener.conns <- &replayed{conn, first}:
-	case <-transportHttpListener.done:
-		_ = conn.Close()
-	case <-time.After(firstByteWithin):
-		_ = conn.Close()
+// receive hands a peer's message to the controller.
+func (p *Peers) receive(member string, message protocol.PeerMessage) {
+	switch message := message.(type) {
+	case protocol.PeerHeartbeat:
+		p.core.ReceivePeerHeartbeat(member, message)
+	case protocol.ShardDemands:
+		p.core.ReceiveShardDemands(member, message)
+	case protocol.CancellationDigest:
+		p.core.ReceiveCancellationDigest(member, message)
 	}
 }
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -29,19 +29,19 @@
 func (f *fakeCore) PeerHeartbeat() protocol.PeerHeartbeat { return protocol.PeerHeartbeat{} }
 func (f *fakeCore) Incarnation() uint64                   { return 1 }
 func (f *fakeCore) ShardDemands() []protocol.ShardDemand  { return nil }
-func (f *fakeCore) ReceivePeerHeartbeat(node string, _ protocol.PeerHeartbeat) {
-	f.heard <- "pulse " + node
+func (f *fakeCore) ReceivePeerHeartbeat(member string, _ protocol.PeerHeartbeat) {
+	f.heard <- "heartbeat " + member
 }
 func (f *fakeCore) CancellationDigest(string) (protocol.CancellationDigest, bool) {
 	return protocol.CancellationDigest{}, false
 }
-func (f *fakeCore) ReceiveCancellationDigest(node string, _ protocol.CancellationDigest) {
-	f.heard <- "word " + node
+func (f *fakeCore) ReceiveCancellationDigest(member string, _ protocol.CancellationDigest) {
+	f.heard <- "digest " + member
 }
-func (f *fakeCore) ReceiveShardDemands(node string, _ protocol.ShardDemands) {
-	f.heard <- "need " + node
+func (f *fakeCore) ReceiveShardDemands(member string, _ protocol.ShardDemands) {
+	f.heard <- "demands " + member
 }
-func (f *fakeCore) PeerDisconnected(node string)                                 { f.heard <- "lost " + node }
+func (f *fakeCore) PeerDisconnected(member string)                               { f.heard <- "lost " + member }
 func (f *fakeCore) Metrics() *controller.Metrics                                 { return controller.NewMetrics() }
 func (f *fakeCore) Evictions(context.Context) ([]controller.EvictionView, error) { return nil, nil }
 
@@ -52,15 +52,15 @@
 	return controller.DefaultOperatorSettings(), f.version, nil
 }
 
-func (f *fakeCore) ChangeSettings(ctx context.Context, v uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
-	s, at, err := f.Settings(ctx)
+func (f *fakeCore) ChangeSettings(ctx context.Context, version uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
+	settings, current, err := f.Settings(ctx)
 	if err != nil {
-		return s, at, err
+		return settings, current, err
 	}
-	if s, err = s.Change(raw); err == nil && v != at {
+	if settings, err = settings.Change(raw); err == nil && version != current {
 		err = controller.ErrVersion
 	}
-	return s, at + 1, err
+	return settings, current + 1, err
 }
 
 func (f *fakeCore) Teams(context.Context) ([]controller.TeamView, error) {
@@ -78,16 +78,16 @@
 	return teams[0], nil
 }
 
-func (f *fakeCore) ChangeTeam(ctx context.Context, name string, v uint64, raw json.RawMessage) (controller.TeamView, error) {
+func (f *fakeCore) ChangeTeam(ctx context.Context, name string, version uint64, raw json.RawMessage) (controller.TeamView, error) {
 	teams, err := f.Teams(ctx)
 	switch {
 	case err != nil:
 		return controller.TeamView{}, err
-	case name == "old node":
+	case name == "old controller":
 		return controller.TeamView{}, &controller.GateError{Members: []string{"n1"}}
 	case name != teams[0].Name:
 		return controller.TeamView{}, controller.ErrNoTeam
-	case v != f.version:
+	case version != f.version:
 		return controller.TeamView{}, controller.ErrVersion
 	case string(raw) != `{"cpus":1}`:
 		return controller.TeamView{}, &controller.FieldError{Field: "cpus", Expected: "1"}
@@ -117,12 +117,14 @@
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func TestOnePortForPeersAndHTTP(t *testing.T) {
-	frames := func(m ...protocol.PeerMessage) []byte {
-		var b []byte
-		for _, x := range m {
-			b, _ = protocol.AppendFrame(b, x)
+	frames := func(messages ...protocol.PeerMessage) (data []byte) {
+		var err error
+		for _, message := range messages {
+			if data, err = protocol.AppendFrame(data, message); err != nil {
+				t.Fatal(err)
+			}
 		}
-		return b
+		return data
 	}
 	hello := frames(protocol.Hello{Member: "n-1", Incarnation: 4}, protocol.PeerHeartbeat{StateOK: true})
 	cases := []struct {
@@ -134,84 +136,124 @@
 	}{
 		{"HTTP", [][]byte{[]byte("GET /metrics HTTP/1.1\r\n\r\n")}, true, nil, false},
 		{"HTTP, one byte first", [][]byte{[]byte("G"), []byte("ET /metrics HTTP/1.1\r\n\r\n")}, true, nil, false},
-		{"a peer", [][]byte{hello}, false, []string{"pulse n-1"}, false},
-		{"a peer, half-sent first", [][]byte{hello[:1], hello[1:5], hello[5:]}, false, []string{"pulse n-1"}, false},
+		{"a peer", [][]byte{hello}, false, []string{"heartbeat n-1"}, false},
+		{"a peer, half-sent first", [][]byte{hello[:1], hello[1:5], hello[5:]}, false, []string{"heartbeat n-1"}, false},
 		{"silent", nil, false, nil, true},
 		{"malformed frame", [][]byte{{protocol.FrameMagic, 7, 7, 7, 7, 7, 7, 7}}, false, nil, true},
-		{"a stranger", [][]byte{frames(protocol.Hello{Member: "x", Incarnation: 4})}, false, nil, true},
+		{"an unknown peer", [][]byte{frames(protocol.Hello{Member: "x", Incarnation: 4})}, false, nil, true},
 		{"a frame that never ends", [][]byte{hello[:9]}, false, nil, true},
-		{"malformed after hello", [][]byte{hello, {protocol.FrameMagic, 7, 7, 7, 7, 7, 7}}, false, []string{"pulse n-1", "lost n-1"}, true},
+		{"malformed after hello", [][]byte{hello, {protocol.FrameMagic, 7, 7, 7, 7, 7, 7}}, false, []string{"heartbeat n-1", "lost n-1"}, true},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				core := &fakeCore{heard: make(chan string, 10)}
-				cfg := &config.Settings{MemberName: "n-0", Known: []config.Peer{{MemberName: "n-1"}}}
-				transportPipeListener := &pipeListener{make(chan net.Conn, 1)}
-				web := NewPeers(cfg, core, slog.New(slog.DiscardHandler)).Split(transportPipeListener)
-				got := make(chan string, 1)
-				go func() {
-					conn, err := web.Accept()
-					if err != nil {
-						return
-					}
-					line, _ := bufio.NewReader(conn).ReadString('\n')
-					got <- line
-				}()
-				mine, theirs := net.Pipe()
-				transportPipeListener.conns <- theirs
-				for _, p := range c.parts {
-					_, _ = mine.Write(p)
+				port := openSharedPort()
+				for _, part := range test.parts {
+					_, _ = port.conn.Write(part) // the port may have closed it before
 					time.Sleep(time.Second)
 				}
 				ended := make(chan struct{})
 				go func() {
-					_, _ = io.ReadAll(mine)
+					_, _ = io.ReadAll(port.conn) // only its end matters
 					close(ended)
 				}()
 				time.Sleep(5 * time.Second) // less than a frame may take: what is open stays open
-				if c.name == "a frame that never ends" {
+				if test.name == "a frame that never ends" {
 					time.Sleep(10 * time.Second)
 				}
 				synctest.Wait()
-				select {
-				case line := <-got:
-					if !c.http || !strings.HasPrefix(line, "GET /metrics") {
-						t.Errorf("HTTP got %q", line)
-					}
-				default:
-					if c.http {
-						t.Error("HTTP got nothing")
-					}
+				port.checkHTTP(t, test.http)
+				port.checkHeard(t, test.heard)
+				if isClosed(ended) != test.ends {
+					t.Errorf("the port has closed the connection: %t, want %t", isClosed(ended), test.ends)
 				}
-				for _, want := range c.heard {
-					select {
-					case h := <-core.heard:
-						if h != want {
-							t.Errorf("heard %q, want %q", h, want)
-						}
-					default:
-						t.Errorf("did not hear %q", want)
-					}
-				}
-				select {
-				case <-ended:
-					if !c.ends {
-						t.Error("connection was closed")
-					}
-				default:
-					if c.ends {
-						t.Error("connection is still open")
-					}
-				}
-				_ = mine.Close()
-				close(transportPipeListener.conns)
-				time.Sleep(time.Minute)
+				port.close(t)
 			})
 		})
 	}
 }
 
+// sharedPort is a port for peers and HTTP with one connection to it.
+type sharedPort struct {
+	core      *fakeCore
+	listener  *pipeListener
+	conn      net.Conn
+	firstLine chan string // what HTTP got
+}
+
+// openSharedPort serves a port that knows peer n-1, and connects to it.
+func openSharedPort() *sharedPort {
+	port := &sharedPort{
+		core:      &fakeCore{heard: make(chan string, 10)},
+		listener:  &pipeListener{make(chan net.Conn, 1)},
+		firstLine: make(chan string, 1),
+	}
+	cfg := &config.Settings{MemberName: "n-0", Known: []config.Peer{{MemberName: "n-1"}}}
+	forHTTP := NewPeers(cfg, port.core, slog.New(slog.DiscardHandler)).Split(port.listener)
+	go func() {
+		conn, err := forHTTP.Accept()
+		if err != nil {
+			return
+		}
+		line, _ := bufio.NewReader(conn).ReadString('\n') // what is missing shows in the check
+		port.firstLine <- line
+	}()
+	var theirs net.Conn
+	port.conn, theirs = net.Pipe()
+	port.listener.conns <- theirs
+	return port
+}
+
+// checkHTTP expects that HTTP has got the request, whole, or nothing.
+func (p *sharedPort) checkHTTP(t *testing.T, wanted bool) {
+	t.Helper()
+	select {
+	case line := <-p.firstLine:
+		if !wanted || !strings.HasPrefix(line, "GET /metrics") {
+			t.Errorf("HTTP got %q", line)
+		}
+	default:
+		if wanted {
+			t.Error("HTTP got nothing")
+		}
+	}
+}
+
+// checkHeard expects that the controller has heard these things first.
+func (p *sharedPort) checkHeard(t *testing.T, wanted []string) {
+	t.Helper()
+	for _, want := range wanted {
+		select {
+		case heard := <-p.core.heard:
+			if heard != want {
+				t.Errorf("heard %q, want %q", heard, want)
+			}
+		default:
+			t.Errorf("did not hear %q", want)
+		}
+	}
+}
+
+// close ends the connection and the port, and leaves their goroutines time to end.
+func (p *sharedPort) close(t *testing.T) {
+	t.Helper()
+	if err := p.conn.Close(); err != nil {
+		t.Error(err)
+	}
+	close(p.listener.conns)
+	time.Sleep(time.Minute)
+}
+
+// isClosed tells whether a channel that nothing is sent on is closed.
+func isClosed(channel <-chan struct{}) bool {
+	select {
+	case <-channel:
+		return true
+	default:
+		return false
+	}
+}
+
 func TestAdminAPI(t *testing.T) {
 	cases := []struct {
 		name, method, path, body string
@@ -240,36 +282,41 @@
 		{"bad bounds", "PUT", "/teams/red", `{"version":7,"team":{"cpus":2}}`, false, 400, `"field":"cpus"`},
 		{"a team's change is not JSON", "PUT", "/teams/red", `cpus=1`, false, 400, `"field":"body"`},
 		{"unknown team", "PUT", "/teams/pink", `{"version":7,"team":{"cpus":1}}`, false, 404, "no such team"},
-		{"a node that does not read it", "PUT", "/teams/old%20node", `{"version":7,"team":{"cpus":1}}`, false, 503, "missing: n1"},
+		{"a controller that does not read it", "PUT", "/teams/old%20controller", `{"version":7,"team":{"cpus":1}}`, false, 503, "missing: n1"},
 		{"no state service for teams", "PUT", "/teams/red", `{"version":7,"team":{"cpus":1}}`, true, 503, "state service"},
 		{"page too large", "GET", "/jobs?limit=201", "", false, 400, `"field":"limit"`},
 		{"page", "GET", "/jobs?limit=2", "", false, 200, `"items":[]`},
 		{"unknown machine", "GET", "/machines/host-1", "", false, 404, "no such machine"},
 		{"unknown path", "GET", "/teapots", "", false, 404, "Cannot GET"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			adminServer := NewAdminServer(&fakeCore{version: 7, down: c.down}, DefaultAdminLimits())
-			req, err := http.NewRequest(c.method, "http://node/admin/v1"+c.path, strings.NewReader(c.body))
-			if err != nil {
-				t.Fatal(err)
-			}
-			resp, err := adminServer.app.Test(req, -1)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer resp.Body.Close()
-			raw, _ := io.ReadAll(resp.Body)
-			if resp.StatusCode != c.status || !strings.Contains(string(raw), c.want) {
-				t.Fatalf("%d %s, want %d with %s", resp.StatusCode, raw, c.status, c.want)
-			}
-			if (resp.Header.Get("Retry-After") != "") != (c.status == 503) {
-				t.Error("Retry-After belongs to 503 and to nothing else")
-			}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			server := NewAdminServer(&fakeCore{version: 7, down: test.down}, DefaultAdminLimits())
+			checkAdminAnswer(t, server, test.method, test.path, test.body, test.status, test.want)
 		})
 	}
 }
 
+// checkAdminAnswer sends a request and expects a status and a text in the answer's body.
+func checkAdminAnswer(t *testing.T, server *AdminServer, method, path, body string, status int, want string) {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), method, "http://node/admin/v1"+path, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := server.app.Test(request, -1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw := readBody(t, resp)
+	if resp.StatusCode != status || !strings.Contains(string(raw), want) {
+		t.Fatalf("%d %q, want %d with %s", resp.StatusCode, raw, status, want)
+	}
+	if (resp.Header.Get("Retry-After") != "") != (resp.StatusCode == http.StatusServiceUnavailable) {
+		t.Error("Retry-After belongs to 503 and to nothing else")
+	}
+}
+
 // A link whose other side had given it up was written to for ever, so that side
 // never heard this controller again.
 func TestSpeakEndsWithTheOtherSide(t *testing.T) {
@@ -282,21 +329,19 @@
 			peers.speak(t.Context(), halfOpen{mine}, "n-1")
 			close(ended)
 		}()
-		go func() { _, _ = io.Copy(io.Discard, theirs) }()
+		go func() { _, _ = io.Copy(io.Discard, theirs) }() // ends with the connection
 		time.Sleep(2 * time.Second)
-		select {
-		case <-ended:
+		if isClosed(ended) {
 			t.Fatal("it ended although the other side listens")
-		default:
 		}
-		_ = theirs.Close()
+		if err := theirs.Close(); err != nil {
+			t.Fatal(err)
+		}
 		time.Sleep(2 * time.Second)
-		select {
-		case <-ended:
-		default:
+		if !isClosed(ended) {
 			t.Error("it goes on although the other side has closed")
 		}
-		_ = mine.Close()
+		_ = mine.Close() // speak has closed it unless it goes on
 	})
 }
 
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -12,112 +12,151 @@
 	"dykeledge/internal/protocol"
 )
 
-// StateBudget keeps one controller under its part of the state service's rates.
-type StateBudget struct {
-	reqs, writes *Budget
-	reserve      float64       // kept for what must not wait
-	limit        atomic.Uint64 // changes a second for all controllers, as bits of a float64
-	members      float64
-	changesUsed  atomic.Uint64 // changes so far
-}
+// How the state service's rates are divided. Rates are in requests or changes a second; the parts are
+// of the whole rate, which all controllers share.
+const (
+	usedRequestRate = 0.9 // of the rate of requests: all controllers together stay below it
+	unevenRequests  = 1.5 // a controller may make so many times its even part of it
+	requestReserve  = 4   // requests, or changes, that are kept for what must not wait
+	largestTxn      = 12  // changes; a budget holds at least one such transaction
+
+	evenPart      = 0.16 // divided evenly among the controllers
+	leaderPart    = 0.07 // for the leader on top
+	committedPart = 0.7  // divided by what each controller commits for
+	lendablePart  = 0.9  // up to which controllers lend one another what they do not use
+)
 
 // userWait is how long a user's change may wait for the budget; what would wait
 // longer is refused at once, and the user told to come back.
 const userWait = 600 * time.Millisecond
 
+// The bounds of the time that a controller steps back when the service is overloaded. It is random,
+// so that controllers do not come back together.
+const (
+	minStepBack    = 100 * time.Millisecond
+	stepBackSpread = 200 // milliseconds
+)
+
+// StateBudget keeps one controller under its part of the state service's rates.
+type StateBudget struct {
+	requests    *Budget       // in requests
+	changes     *Budget       // in changes
+	reserve     float64       // requests and changes kept for what must not wait
+	limit       atomic.Uint64 // changes a second for all controllers, as bits of a float64
+	controllers float64
+	changesUsed atomic.Uint64 // changes so far
+}
+
 // NewStateBudget gives every controller the same part, until SetRateShare.
-func NewStateBudget(d *config.Deployment) *StateBudget {
-	n := float64(max(1, d.Controllers))
-	fair := 0.9 * d.State.RPS / n
-	b := &StateBudget{reqs: NewBudget(min(1.5*fair, 0.9*d.State.RPS), fair), reserve: 4, members: n}
-	b.SetLimit(d.State.WriteRPS)
-	b.writes = NewBudget(b.total()/n, max(b.total()/n, float64(min(d.State.TxnOps, 12))+b.reserve))
+func NewStateBudget(deployment *config.Deployment) *StateBudget {
+	controllers := float64(max(1, deployment.Controllers))
+	requestLimit := usedRequestRate * deployment.State.RPS
+	evenRequests := requestLimit / controllers
+	b := &StateBudget{
+		requests:    NewBudget(min(unevenRequests*evenRequests, requestLimit), evenRequests),
+		reserve:     requestReserve,
+		controllers: controllers,
+	}
+	b.SetLimit(deployment.State.WriteRPS)
+	evenChanges := b.total() / controllers
+	txnChanges := float64(min(deployment.State.TxnOps, largestTxn))
+	b.changes = NewBudget(evenChanges, max(evenChanges, txnChanges+b.reserve))
 	return b
 }
 
 // SetRateShare sets this controller's part of the rate of changes: a little for every controller,
-// some for the leader, and most in proportion to what the controller commits for. What the
-// controllers together leave unused each may use evenly: used is what this controller makes of it
-// in changes a second and others what the others do, below 0 if that is not known.
+// some for the leader, and most in proportion to what the controller commits for (part, from 0 to 1).
+// What the controllers together leave unused each may use evenly: used is what this controller makes
+// of it in changes a second and others what the others do, below 0 if that is not known.
 func (b *StateBudget) SetRateShare(part float64, leads bool, used, others float64) {
-	r := 0.16/b.members + 0.7*part
+	rate := evenPart/b.controllers + committedPart*part
 	if leads {
-		r += 0.07
+		rate += leaderPart
 	}
-	r *= b.total()
+	rate *= b.total()
 	if others >= 0 {
-		r = max(r, used+(lendable*b.total()-used-others)/b.members)
+		unused := lendablePart*b.total() - used - others
+		rate = max(rate, used+unused/b.controllers)
 	}
-	b.writes.SetRate(r)
+	b.changes.SetRate(rate)
 }
 
-// SetLimit sets the rate of changes for all controllers; SetRateShare parts it.
+// SetLimit sets the rate of changes for all controllers, in changes a second; SetRateShare divides it.
 func (b *StateBudget) SetLimit(rate float64) { b.limit.Store(math.Float64bits(rate)) }
 
+// total is the rate of changes for all controllers, in changes a second.
 func (b *StateBudget) total() float64 { return math.Float64frombits(b.limit.Load()) }
 
-// lendable is the part of the rate up to which controllers lend one another what they do not use.
-const lendable = 0.9
-
 // ChangesUsed is how many changes this controller has made.
 func (b *StateBudget) ChangesUsed() uint64 { return b.changesUsed.Load() }
 
-// Pace is how long it takes until a transaction of n changes may go out.
-func (b *StateBudget) Pace(n int) time.Duration {
-	return max(b.writes.Delay(float64(n), b.reserve), b.reqs.Delay(1, b.reserve))
+// Pace is how long it takes until a transaction of some changes may go out.
+func (b *StateBudget) Pace(changes int) time.Duration {
+	return max(b.changes.Delay(float64(changes), b.reserve), b.requests.Delay(1, b.reserve))
 }
 
 // StepBack is called when the service says that all controllers together were too fast:
 // each steps back for a moment of its own. It returns how long.
 func (b *StateBudget) StepBack() time.Duration {
-	wait := time.Duration(100+rand.IntN(200)) * time.Millisecond
-	b.writes.Drain(wait)
+	wait := minStepBack + time.Duration(rand.IntN(stepBackSpread))*time.Millisecond
+	b.changes.Drain(wait)
 	return wait
 }
 
 // Request waits until a request without changes may go out.
 func (b *StateBudget) Request(ctx context.Context) error {
-	if err := b.reqs.Wait(ctx, 1, b.reserve); err != nil {
-		return fmt.Errorf("%w: %w", protocol.ErrRefused, err)
-	}
-	return nil
+	return refused(b.requests.Wait(ctx, 1, b.reserve))
 }
 
 // Owe counts a request that must not wait.
-func (b *StateBudget) Owe() { b.reqs.Debit(1) }
+func (b *StateBudget) Owe() { b.requests.Debit(1) }
 
-// Admit waits until a transaction of n changes may go out.
-func (b *StateBudget) Admit(ctx context.Context, n int, haste protocol.RequestPriority) error {
-	switch haste {
+// Admit waits until a transaction of some changes may go out. Errors wrap protocol.ErrRefused.
+func (b *StateBudget) Admit(ctx context.Context, changes int, priority protocol.RequestPriority) error {
+	switch priority {
 	case protocol.UrgentRequest:
-		b.Owe()
-		b.writes.Debit(float64(n))
-		b.changesUsed.Add(uint64(n))
+		b.admitUrgent(changes)
 		return nil
 	case protocol.UserRequest:
-		// After an outage all users come at once: their changes go ahead of the
-		// controller's own, on credit.
-		wait, ok := b.writes.Reserve(float64(n), -b.total()/b.members, userWait)
-		if !ok {
-			return fmt.Errorf("%w: the budget allows it in %v", protocol.ErrRefused, wait)
-		}
-		b.Owe()
-		b.changesUsed.Add(uint64(n))
-		t := time.NewTimer(wait)
-		defer t.Stop()
-		select {
-		case <-ctx.Done():
-			return fmt.Errorf("%w: %w", protocol.ErrRefused, ctx.Err())
-		case <-t.C:
-			return nil
-		}
+		return b.admitUser(ctx, changes)
+	}
+	return b.admitBackground(ctx, changes)
+}
+
+func (b *StateBudget) admitUrgent(changes int) {
+	b.Owe()
+	b.changes.Debit(float64(changes))
+	b.changesUsed.Add(uint64(changes))
+}
+
+// admitUser lets a user's changes go ahead of the controller's own, on credit: after an outage all
+// users come at once.
+func (b *StateBudget) admitUser(ctx context.Context, changes int) error {
+	credit := b.total() / b.controllers
+	wait, ok := b.changes.Reserve(float64(changes), -credit, userWait)
+	if !ok {
+		return fmt.Errorf("%w: the budget allows it in %v", protocol.ErrRefused, wait)
 	}
+	b.Owe()
+	b.changesUsed.Add(uint64(changes))
+	return refused(sleep(ctx, wait))
+}
+
+func (b *StateBudget) admitBackground(ctx context.Context, changes int) error {
 	if err := b.Request(ctx); err != nil {
 		return err
 	}
-	if err := b.writes.Wait(ctx, float64(n), b.reserve); err != nil {
-		return fmt.Errorf("%w: %w", protocol.ErrRefused, err)
+	if err := b.changes.Wait(ctx, float64(changes), b.reserve); err != nil {
+		return refused(err)
 	}
-	b.changesUsed.Add(uint64(n))
+	b.changesUsed.Add(uint64(changes))
 	return nil
 }
+
+// refused says of an error, if it is one, that the request was not sent because of it.
+func refused(err error) error {
+	if err == nil {
+		return nil
+	}
+	return fmt.Errorf("%w: %w", protocol.ErrRefused, err)
+}
--- a/internal/transport/statebudget_test.go
+++ b/internal/transport/statebudget_test.go
@@ -13,11 +13,16 @@
 	"dykeledge/internal/protocol"
 )
 
+// newTestBudget is the budget of one of five controllers under 80 changes a second.
+func newTestBudget() *StateBudget {
+	return NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
+}
+
 // After an outage submissions waited 4.5 s for what a controller's own work had left of the
 // budget, and were refused then. They go ahead of it, and what cannot is refused at once.
 func TestUsersGoAheadOnCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stateBudget := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
+		stateBudget := newTestBudget()
 		for stateBudget.Pace(12) == 0 {
 			if err := stateBudget.Admit(t.Context(), 12, protocol.BackgroundRequest); err != nil {
 				t.Fatal(err)
@@ -44,12 +49,12 @@
 			t.Errorf("%d submissions taken, %d refused at once", taken.Load(), refused.Load())
 		}
 		if stateBudget.Pace(12) == 0 {
-			t.Error("the node's own work does not pay the credit back")
+			t.Error("the controller's own work does not pay the credit back")
 		}
 		short, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer stop()
 		if err := stateBudget.Admit(short, 12, protocol.BackgroundRequest); !errors.Is(err, protocol.ErrRefused) {
-			t.Errorf("the node's own work in debt: %v", err)
+			t.Errorf("the controller's own work in debt: %v", err)
 		}
 		if err := stateBudget.Admit(t.Context(), 3, protocol.UrgentRequest); err != nil {
 			t.Errorf("what must not wait: %v", err)
@@ -60,20 +65,29 @@
 // The parts of all controllers together stay under the service's rate, whoever leads and
 // however the machines are spread.
 func TestPartsAddUp(t *testing.T) {
-	for _, parts := range [][]float64{{0.2, 0.2, 0.2, 0.2, 0.2}, {1, 0, 0, 0, 0}, {0.6, 0.4, 0, 0, 0}} {
-		sum := 0.0
-		for i, p := range parts {
-			b := NewStateBudget(&config.Deployment{Controllers: len(parts), State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
-			b.SetRateShare(p, i == 0, 0, -1)
-			sum += b.writes.rate
-		}
-		if sum > 80 || sum < 60 {
-			t.Errorf("parts %v: %.1f changes a second of 80", parts, sum)
-		}
+	for _, test := range []struct {
+		name  string
+		parts []float64 // by controller: of what is committed
+	}{
+		{"all alike", []float64{0.2, 0.2, 0.2, 0.2, 0.2}},
+		{"one has everything", []float64{1, 0, 0, 0, 0}},
+		{"two have everything", []float64{0.6, 0.4, 0, 0, 0}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			sum := 0.0
+			for i, part := range test.parts {
+				budget := newTestBudget()
+				budget.SetRateShare(part, i == 0, 0, -1)
+				sum += budget.changes.rate
+			}
+			if sum > 80 || sum < 60 {
+				t.Errorf("%.1f changes a second of 80", sum)
+			}
+		})
 	}
 }
 
-// In a flood of small jobs controllers that own nothing refused submissions, while the owners
+// In an overload of small jobs controllers that own nothing refused submissions, while the owners
 // left most of the rate unused.
 func TestUnusedRateIsLent(t *testing.T) {
 	cases := []struct {
@@ -83,29 +97,29 @@
 		most float64   // all together, as far as they use more than before
 	}{
 		{"all idle", []float64{0, 0, 0, 0, 0}, []float64{14, 14, 14, 14, 14}, 72},
-		{"one is flooded", []float64{5, 5, 5, 2.5, 2.5}, []float64{15, 15, 15, 12, 12}, 72},
-		{"what the flooded one uses grows", []float64{5, 5, 5, 2.5, 40}, []float64{7, 7, 7, 5, 42}, 72},
+		{"one is overloaded", []float64{5, 5, 5, 2.5, 2.5}, []float64{15, 15, 15, 12, 12}, 72},
+		{"what the overloaded one uses grows", []float64{5, 5, 5, 2.5, 40}, []float64{7, 7, 7, 5, 42}, 72},
 		{"all at their limit", []float64{20, 20, 20, 6, 6}, []float64{19, 19, 19, 5, 5}, 75},
 	}
-	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
-			sum := 0.0
-			for _, u := range x.used {
-				sum += u
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			usedByAll := 0.0
+			for _, used := range test.used {
+				usedByAll += used
 			}
-			all := 0.0
-			for i, u := range x.used {
-				b := NewStateBudget(&config.Deployment{Controllers: 5, State: config.State{RPS: 200, WriteRPS: 80, TxnOps: 12}})
-				b.SetRateShare(0, false, u, sum-u)
-				if all += b.writes.rate; b.writes.rate < x.want[i] {
-					t.Errorf("node %d may make %.1f changes a second, want %.1f", i, b.writes.rate, x.want[i])
+			allowed := 0.0
+			for i, used := range test.used {
+				budget := newTestBudget()
+				budget.SetRateShare(0, false, used, usedByAll-used)
+				if allowed += budget.changes.rate; budget.changes.rate < test.want[i] {
+					t.Errorf("controller %d may make %.1f changes a second, want %.1f", i, budget.changes.rate, test.want[i])
 				}
-				if b.SetRateShare(0, false, u, -1); b.writes.rate > 3 {
-					t.Errorf("node %d borrows %.1f although it does not hear the others", i, b.writes.rate)
+				if budget.SetRateShare(0, false, used, -1); budget.changes.rate > 3 {
+					t.Errorf("controller %d borrows %.1f although it does not hear the others", i, budget.changes.rate)
 				}
 			}
-			if all > x.most {
-				t.Errorf("%.1f changes a second together, of %.0f", all, x.most)
+			if allowed > test.most {
+				t.Errorf("%.1f changes a second together, of %.0f", allowed, test.most)
 			}
 		})
 	}
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -3,11 +3,9 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"log/slog"
 	"net"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/gofiber/fiber/v2"
@@ -22,14 +20,25 @@
 	Query(ctx context.Context, id string) controller.Answer
 	Cancel(ctx context.Context, id string) controller.Answer
 	Ready(ctx context.Context) bool
-	HandleHeartbeat(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
+	HandleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(status int, body any))
 }
 
+// How long a controller may take for an answer. Users and workers wait a little longer.
 const (
 	submitTimeout    = 4500 * time.Millisecond
 	pollTimeout      = 1900 * time.Millisecond
+	readyTimeout     = 900 * time.Millisecond
 	heartbeatTimeout = 3500 * time.Millisecond
-	bodyCeiling      = 4 * protocol.MaxBody // beyond this a body is not even read
+)
+
+// Limits of the public server's connections.
+const (
+	bodyCeiling       = 4 * protocol.MaxBody // bytes; beyond this a body is not even read
+	otherConns        = 64                   // sockets that stay for the other services
+	minPublicConns    = 16
+	publicIdleTimeout = 2 * time.Minute
+	publicReadBuffer  = 8 << 10 // bytes a connection
+	publicWriteBuffer = 4 << 10 // bytes a connection
 )
 
 // PublicServer serves users, workers and health checks.
@@ -37,82 +46,109 @@
 
 // NewPublicServer makes the server of public_addr.
 func NewPublicServer(core Core, maxConns int, log *slog.Logger) *PublicServer {
+	api := publicAPI{core, log}
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             bodyCeiling,
-		Concurrency:           max(16, maxConns-64), // some sockets stay for the other services
-		ReadBufferSize:        8 << 10,
-		WriteBufferSize:       4 << 10,
-		IdleTimeout:           2 * time.Minute,
+		Concurrency:           max(minPublicConns, maxConns-otherConns),
+		ReadBufferSize:        publicReadBuffer,
+		WriteBufferSize:       publicWriteBuffer,
+		IdleTimeout:           publicIdleTimeout,
 		CaseSensitive:         true,
-		ErrorHandler: func(request *fiber.Ctx, err error) error {
-			status := fiber.StatusInternalServerError
-			var fe *fiber.Error
-			if errors.As(err, &fe) {
-				status = fe.Code
-			}
-			if status == fiber.StatusRequestEntityTooLarge {
-				status = fiber.StatusBadRequest
-			}
-			if status >= 500 && status != fiber.StatusBadGateway { // that one is a connection that broke off
-				log.Error("request failed", "path", request.Path(), "err", err)
-			}
-			return send(request, status, protocol.ErrorResponse{Error: err.Error()})
-		},
+		ErrorHandler:          api.fail,
 	})
-	answer := func(c *fiber.Ctx, a controller.Answer) error {
-		if a.RetryAfter > 0 {
-			c.Set(fiber.HeaderRetryAfter, strconv.Itoa(a.RetryAfter))
-		}
-		return send(c, a.Status, a.Body)
+	app.Post("/v2/runs", api.submit)
+	app.Get("/v2/runs/:id", api.query)
+	app.Post("/v2/runs/:id/cancel", api.cancel)
+	app.Get("/ready", api.ready)
+	app.Post("/agent/beat", api.heartbeat)
+	return &PublicServer{app}
+}
+
+// Serve serves until the listener is closed.
+func (s *PublicServer) Serve(ln net.Listener) error { return s.app.Listener(ln) }
+
+// publicAPI answers the requests of users, workers and health checks with what a controller tells.
+type publicAPI struct {
+	core Core
+	log  *slog.Logger
+}
+
+// fail answers a request that no handler has answered.
+func (a publicAPI) fail(c *fiber.Ctx, err error) error {
+	status := fiberStatus(err)
+	if status == fiber.StatusRequestEntityTooLarge {
+		status = fiber.StatusBadRequest // the protocol knows no other status for it
 	}
-	app.Post("/v2/runs", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
-		defer cancel()
-		return answer(c, core.Submit(ctx, c.Body()))
-	})
-	app.Get("/v2/runs/:id", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
-		defer cancel()
-		return answer(c, core.Query(ctx, strings.Clone(c.Params("id"))))
-	})
-	app.Post("/v2/runs/:id/cancel", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
-		defer cancel()
-		return answer(c, core.Cancel(ctx, strings.Clone(c.Params("id"))))
-	})
-	app.Get("/ready", func(c *fiber.Ctx) error {
-		ctx, cancel := context.WithTimeout(context.Background(), 900*time.Millisecond)
-		defer cancel()
-		if !core.Ready(ctx) {
-			return send(c, 503, protocol.ErrorResponse{Error: "starting"})
-		}
-		return c.SendStatus(200)
-	})
-	app.Post("/agent/beat", func(fiberCtx *fiber.Ctx) error {
-		heartbeat, err := protocol.ParseHeartbeat(fiberCtx.Body())
-		if err != nil {
-			log.Info("malformed report", "err", err)
-			return send(fiberCtx, 400, protocol.ErrorResponse{Error: err.Error()})
-		}
-		type out struct {
-			status int
-			body   any
-		}
-		ch := make(chan out, 1)
-		core.HandleHeartbeat(context.Background(), heartbeat, func(status int, body any) { ch <- out{status, body} })
-		t := time.NewTimer(heartbeatTimeout)
-		defer t.Stop()
-		select {
-		case o := <-ch:
-			return send(fiberCtx, o.status, o.body)
-		case <-t.C:
-			return send(fiberCtx, 503, protocol.ErrorResponse{Error: "busy"})
-		}
+	if status >= fiber.StatusInternalServerError && status != fiber.StatusBadGateway { // that one is a connection that broke off
+		a.log.Error("request failed", "path", c.Path(), "err", err)
+	}
+	return send(c, status, protocol.ErrorResponse{Error: err.Error()})
+}
+
+func (a publicAPI) submit(c *fiber.Ctx) error {
+	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
+	defer cancel()
+	return sendAnswer(c, a.core.Submit(ctx, c.Body()))
+}
+
+func (a publicAPI) query(c *fiber.Ctx) error {
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
+	defer cancel()
+	return sendAnswer(c, a.core.Query(ctx, pathParam(c, "id")))
+}
+
+func (a publicAPI) cancel(c *fiber.Ctx) error {
+	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
+	defer cancel()
+	return sendAnswer(c, a.core.Cancel(ctx, pathParam(c, "id")))
+}
+
+func (a publicAPI) ready(c *fiber.Ctx) error {
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
+	defer cancel()
+	if !a.core.Ready(ctx) {
+		return send(c, fiber.StatusServiceUnavailable, protocol.ErrorResponse{Error: "starting"})
+	}
+	return c.SendStatus(fiber.StatusOK)
+}
+
+// heartbeatReply is a controller's answer to a heartbeat.
+type heartbeatReply struct {
+	status int
+	body   any
+}
+
+func (a publicAPI) heartbeat(c *fiber.Ctx) error {
+	heartbeat, err := protocol.ParseHeartbeat(c.Body())
+	if err != nil {
+		a.log.Info("malformed report", "err", err)
+		return send(c, fiber.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
+	}
+	replies := make(chan heartbeatReply, 1) // with room for a reply that comes too late
+	// No timeout: the controller takes the heartbeat in even if the worker no longer waits.
+	a.core.HandleHeartbeat(context.Background(), heartbeat, func(status int, body any) {
+		replies <- heartbeatReply{status, body}
 	})
-	return &PublicServer{app}
+	timer := time.NewTimer(heartbeatTimeout)
+	defer timer.Stop()
+	select {
+	case reply := <-replies:
+		return send(c, reply.status, reply.body)
+	case <-timer.C:
+		return send(c, fiber.StatusServiceUnavailable, protocol.ErrorResponse{Error: "busy"})
+	}
 }
 
+// sendAnswer sends what a controller answers to a user.
+func sendAnswer(c *fiber.Ctx, answer controller.Answer) error {
+	if answer.RetryAfter > 0 {
+		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(answer.RetryAfter))
+	}
+	return send(c, answer.Status, answer.Body)
+}
+
+// send answers with JSON.
 func send(c *fiber.Ctx, status int, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -121,6 +157,3 @@
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 	return c.Status(status).Send(raw)
 }
-
-// Serve serves until the listener is closed.
-func (s *PublicServer) Serve(ln net.Listener) error { return s.app.Listener(ln) }
--- a/internal/transport/view.go
+++ b/internal/transport/view.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -16,74 +17,111 @@
 type ViewCore interface {
 	ViewEnabled() bool
 	HasTeam(name string) bool
-	View(ctx context.Context, cur view.Cursor) *view.Snapshot
+	View(ctx context.Context, cursor view.Cursor) *view.Snapshot
 	Reasons(ctx context.Context, scope view.Scope, ids []string) ([]view.Reason, error)
 }
 
-// maxViewWait is how long a request may wait for something new.
-const maxViewWait = 2 * time.Second
+const (
+	// maxViewWait is how long a request may wait for something new.
+	maxViewWait = 2 * time.Second
+	// viewPageSize is the room that a page begins with, in bytes; it grows as needed.
+	viewPageSize = 4 << 10
+)
 
 // mountView adds the read model's requests: GET /view hands over pages of changes in the
 // feed's binary format, GET /view/reasons tells why jobs wait. No more than readers requests
 // are served at a time; the others are refused at once. A page is bounded and a connection
 // that does not take it in time is closed, so a slow reader costs bounded memory.
-func mountView(api fiber.Router, core ViewCore, readers int) {
-	slots := make(chan struct{}, readers)
-	serve := func(f func(request *fiber.Ctx, scope view.Scope) error) fiber.Handler {
-		return func(fiberCtx *fiber.Ctx) error {
-			if !core.ViewEnabled() {
-				return send(fiberCtx, 404, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
-			}
-			team := strings.Clone(fiberCtx.Query("team"))
-			if team != "" && !core.HasTeam(team) {
-				return send(fiberCtx, 404, AdminRefusal{Error: "no such team", Field: "team"})
-			}
-			select {
-			case slots <- struct{}{}:
-				defer func() { <-slots }()
-			default:
-				fiberCtx.Set(fiber.HeaderRetryAfter, "1")
-				return send(fiberCtx, 503, AdminRefusal{Error: "too many readers of the view"})
-			}
-			return f(fiberCtx, view.Scope(team))
-		}
-	}
-	number := func(c *fiber.Ctx, name string) (uint64, bool) {
-		n, err := strconv.ParseUint(c.Query(name, "0"), 10, 64)
-		return n, err == nil
-	}
-	api.Get("/view", serve(func(c *fiber.Ctx, scope view.Scope) error {
-		epoch, ok1 := number(c, "epoch")
-		seq, ok2 := number(c, "seq")
-		ms, ok3 := number(c, "wait_ms")
-		if !ok1 || !ok2 || !ok3 || ms > uint64(maxViewWait/time.Millisecond) {
-			return send(c, 400, AdminRefusal{Error: "epoch, seq and wait_ms are whole numbers, wait_ms at most 2000"})
+func mountView(router fiber.Router, core ViewCore, readers int) {
+	api := viewAPI{core: core, slots: make(chan struct{}, readers)}
+	router.Get("/view", api.serve(api.page))
+	router.Get("/view/reasons", api.serve(api.reasons))
+}
+
+// viewAPI answers the requests of the view's readers.
+type viewAPI struct {
+	core  ViewCore
+	slots chan struct{} // one for each request that is being served
+}
+
+// viewHandler answers a request for what a scope may see: a team, or the operators.
+type viewHandler func(c *fiber.Ctx, scope view.Scope) error
+
+// serve makes a fiber handler that refuses what the view can't serve, and keeps to the number of slots.
+func (a viewAPI) serve(handler viewHandler) fiber.Handler {
+	return func(c *fiber.Ctx) error {
+		if !a.core.ViewEnabled() {
+			return send(c, fiber.StatusNotFound, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
 		}
-		cur := view.Cursor{Epoch: epoch, Seq: seq}
-		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(ms)*time.Millisecond)
-		defer cancel()
-		s := core.View(ctx, cur)
-		if s == nil {
-			c.Set(fiber.HeaderRetryAfter, "1")
-			return send(c, 503, AdminRefusal{Error: "this node has not read the records yet"})
+		team := query(c, "team")
+		if team != "" && !a.core.HasTeam(team) {
+			return send(c, fiber.StatusNotFound, AdminRefusal{Error: "no such team", Field: "team"})
 		}
-		c.Set(fiber.HeaderContentType, fiber.MIMEOctetStream)
-		return c.Send(s.AppendPage(make([]byte, 0, 4<<10), scope, cur, time.Now().UnixMilli()))
-	}))
-	api.Get("/view/reasons", serve(func(c *fiber.Ctx, scope view.Scope) error {
-		ids := strings.Split(strings.Clone(c.Query("jobs")), ",")
-		for _, id := range ids {
-			if !protocol.ValidJobID(id) || len(ids) > view.MaxReasons {
-				return send(c, 400, AdminRefusal{Error: "jobs is a list of up to " + strconv.Itoa(view.MaxReasons) + " ids", Field: "jobs"})
-			}
+		select {
+		case a.slots <- struct{}{}:
+			defer func() { <-a.slots }()
+		default:
+			return sendRetryLater(c, "too many readers of the view")
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
-		defer cancel()
-		list, err := core.Reasons(ctx, scope, ids)
-		if err != nil {
-			c.Set(fiber.HeaderRetryAfter, "1")
-			return send(c, 503, AdminRefusal{Error: err.Error()})
+		return handler(c, view.Scope(team))
+	}
+}
+
+// page answers with what has changed after a cursor, if need be once something has.
+func (a viewAPI) page(c *fiber.Ctx, scope view.Scope) error {
+	cursor, wait, ok := viewQuery(c)
+	if !ok {
+		return send(c, fiber.StatusBadRequest, AdminRefusal{Error: "epoch, seq and wait_ms are whole numbers, wait_ms at most 2000"})
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	defer cancel()
+	snapshot := a.core.View(ctx, cursor)
+	if snapshot == nil {
+		return sendRetryLater(c, "this node has not read the records yet")
+	}
+	c.Set(fiber.HeaderContentType, fiber.MIMEOctetStream)
+	return c.Send(snapshot.AppendPage(make([]byte, 0, viewPageSize), scope, cursor, time.Now().UnixMilli()))
+}
+
+// viewQuery reads what a reader has already and how long it will wait for more.
+func viewQuery(c *fiber.Ctx) (cursor view.Cursor, wait time.Duration, ok bool) {
+	epoch, epochErr := queryNumber(c, "epoch")
+	seq, seqErr := queryNumber(c, "seq")
+	waitMs, waitErr := queryNumber(c, "wait_ms")
+	if err := errors.Join(epochErr, seqErr, waitErr); err != nil || waitMs > uint64(maxViewWait.Milliseconds()) {
+		return view.Cursor{}, 0, false
+	}
+	return view.Cursor{Epoch: epoch, Seq: seq}, time.Duration(waitMs) * time.Millisecond, true
+}
+
+// queryNumber is a whole number of the query, 0 if it is left out.
+func queryNumber(c *fiber.Ctx, name string) (uint64, error) {
+	return strconv.ParseUint(c.Query(name, "0"), 10, 64)
+}
+
+// reasons answers with why jobs wait.
+func (a viewAPI) reasons(c *fiber.Ctx, scope view.Scope) error {
+	ids := strings.Split(query(c, "jobs"), ",")
+	if !validReasonIDs(ids) {
+		return send(c, fiber.StatusBadRequest, AdminRefusal{Error: "jobs is a list of up to " + strconv.Itoa(view.MaxReasons) + " ids", Field: "jobs"})
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
+	defer cancel()
+	reasons, err := a.core.Reasons(ctx, scope, ids)
+	if err != nil {
+		return sendRetryLater(c, err.Error())
+	}
+	return send(c, fiber.StatusOK, AdminPage{Items: reasons})
+}
+
+func validReasonIDs(ids []string) bool {
+	if len(ids) > view.MaxReasons {
+		return false
+	}
+	for _, id := range ids {
+		if !protocol.ValidJobID(id) {
+			return false
 		}
-		return send(c, 200, AdminPage{Items: list})
-	}))
+	}
+	return true
 }
--- a/internal/transport/view_test.go
+++ b/internal/transport/view_test.go
@@ -39,15 +39,15 @@
 }
 
 func largeSnapshot(rows int) *view.Snapshot {
-	m := view.NewModel([]view.Team{{Name: "red"}})
+	model := view.NewModel([]view.Team{{Name: "red"}})
 	for i := range rows {
-		m.PutMachine(view.Machine{Name: strings.Repeat("m", 100) + string(rune('a'+i%26)) + strings.Repeat("x", i/26)})
+		model.PutMachine(view.Machine{Name: strings.Repeat("m", 100) + string(rune('a'+i%26)) + strings.Repeat("x", i/26)})
 	}
-	return m.Snapshot(view.Head{Epoch: 1, Revision: 9})
+	return model.Snapshot(view.Head{Epoch: 1, Revision: 9})
 }
 
 func TestViewAPI(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, path string
 		core       viewCore
 		status     int
@@ -64,25 +64,10 @@
 		{"reasons of nothing", "/view/reasons", viewCore{}, 400, `"field":"jobs"`},
 		{"too many reasons", "/view/reasons?jobs=" + strings.Repeat("job-000001,", 64) + "job-000001", viewCore{}, 400, "64"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			c.core.snap = largeSnapshot(3)
-			adminServer := NewAdminServer(&c.core, DefaultAdminLimits())
-			req, err := http.NewRequest("GET", "http://node/admin/v1"+c.path, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			resp, err := adminServer.app.Test(req, -1)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer resp.Body.Close()
-			raw, _ := io.ReadAll(resp.Body)
-			if resp.StatusCode != c.status || !strings.Contains(string(raw), c.want) {
-				t.Fatalf("%d %q, want %d with %s", resp.StatusCode, raw, c.status, c.want)
-			}
-			if (resp.Header.Get("Retry-After") != "") != (c.status == 503) {
-				t.Error("Retry-After belongs to 503 and to nothing else")
-			}
+		t.Run(test.name, func(t *testing.T) {
+			test.core.snap = largeSnapshot(3)
+			server := NewAdminServer(&test.core, DefaultAdminLimits())
+			checkAdminAnswer(t, server, http.MethodGet, test.path, "", test.status, test.want)
 		})
 	}
 }
@@ -96,6 +81,7 @@
 	conns := make(chan net.Conn)
 	go func() { _ = adminServer.Serve(&pipeListener{conns}) }() // ends with the test
 	ask := func() net.Conn {
+		t.Helper()
 		mine, theirs := net.Pipe()
 		conns <- theirs
 		if _, err := io.WriteString(mine, "GET /admin/v1/view HTTP/1.1\r\nHost: n\r\n\r\n"); err != nil {
@@ -110,10 +96,12 @@
 	if _, err := io.ReadFull(next, data); err != nil || string(data) != "HTTP/1.1 503" {
 		t.Fatalf("%q, %v", data, err)
 	}
-	_ = next.Close()
+	if err := next.Close(); err != nil {
+		t.Error(err)
+	}
 	close(core.block)
 	time.Sleep(200 * time.Millisecond) // it does not read meanwhile; a slower machine only takes longer to drop it
-	raw, _ := io.ReadAll(slow)         // ends when it is dropped
+	raw, _ := io.ReadAll(slow)         // ends when it is dropped, with or without an error
 	if strings.Contains(string(raw), "HTTP/1.1 200") && len(raw) >= view.MaxPage {
 		t.Errorf("%d bytes went to a reader that did not take them in time", len(raw))
 	}
