--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,28 +1,21 @@
-// Package config reads and checks the settings file that the platform hands
-// to a controller.
 package config
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
-	"math"
-	"net"
 	"os"
-	"strconv"
-	"strings"
 
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the platform's file. Fields that are not named here are ignored.
+// Settings is the platform's file. Keys that are not named here are ignored.
 type Settings struct {
-	MemberName string `toml:"node_name"`
-	Zone       string `toml:"zone"`
-	PublicAddr string `toml:"public_addr"`
-	PeerListen string `toml:"peer_listen"`
+	MemberName string `toml:"node_name"`   // this controller's name
+	Zone       string `toml:"zone"`        // the zone that it runs in
+	PublicAddr string `toml:"public_addr"` // where users and workers reach it, as host:port
+	PeerListen string `toml:"peer_listen"` // where other controllers and operators reach it, as host:port
 
-	Known      []Peer     `toml:"known"`
+	Known      []Peer     `toml:"known"` // the other controllers
 	External   External   `toml:"external"`
 	Deployment Deployment `toml:"deployment"`
 }
@@ -31,10 +24,10 @@
 type Peer struct {
 	MemberName string `toml:"node_name"`
 	Zone       string `toml:"zone"`
-	Address    string `toml:"address"`
+	Address    string `toml:"address"` // its peer_listen, as host:port
 }
 
-// External names the services that a controller calls.
+// External names the services that a controller calls, each as host:port.
 type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -42,9 +35,9 @@
 
 // Deployment describes what is the same for all controllers.
 type Deployment struct {
-	Controllers int         `toml:"nodes"`
-	Zones       []string    `toml:"zones"`
-	ClockSkewMs float64     `toml:"clock_off_ms"`
+	Controllers int         `toml:"nodes"`        // how many there are
+	Zones       []string    `toml:"zones"`        // the names of all zones
+	ClockSkewMs float64     `toml:"clock_off_ms"` // how far a clock may be off, in milliseconds; two differ by up to twice that
 	Teams       []Team      `toml:"teams"`
 	Objectives  []Objective `toml:"objectives"`
 	Workers     Workers     `toml:"workers"`
@@ -56,41 +49,41 @@
 // Team is a team with its guarantee and its limit (0: none).
 type Team struct {
 	Name    string  `toml:"name"`
-	Cpus    float64 `toml:"cpus"`
-	CpusMax float64 `toml:"cpus_max"`
-	Gpus    float64 `toml:"gpus"`
-	GpusMax float64 `toml:"gpus_max"`
+	Cpus    float64 `toml:"cpus"`     // guaranteed cores
+	CpusMax float64 `toml:"cpus_max"` // limit of cores
+	Gpus    float64 `toml:"gpus"`     // guaranteed accelerators
+	GpusMax float64 `toml:"gpus_max"` // limit of accelerators
 }
 
 // Objective restates an aim on starting or finishing.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
-	WithinS float64 `toml:"within_s"`
+	Kind    string  `toml:"kind"`     // "wait" is on starting, "finished" on finishing, "guarantee" on work within guarantees
+	Class   string  `toml:"class"`    // the job class that it is for
+	Share   float64 `toml:"share"`    // the part of the jobs that has to meet it
+	Times   float64 `toml:"times"`    // multiple of a job's own deadline; 0: within_s is meant
+	WithinS float64 `toml:"within_s"` // seconds; 0: times is meant
 }
 
 // Workers holds the workers' timing.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`
-	LeaseS     float64 `toml:"lease_s"`
-	GangWaitS  float64 `toml:"gang_wait_s"`
-	GangPeerS  float64 `toml:"gang_peer_s"`
-	CancelS    float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`    // seconds from one heartbeat to the next
+	LeaseS     float64 `toml:"lease_s"`     // seconds without an answer after which a worker stops its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // seconds; read, but no shape of job is a gang
+	GangPeerS  float64 `toml:"gang_peer_s"` // seconds; read, but no shape of job is a gang
+	CancelS    float64 `toml:"cancel_s"`    // seconds after a confirmed cancellation in which all tasks have to end
 }
 
-// State holds the limits of the state service.
+// State holds the limits of the state service, for all controllers together.
 type State struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests a second
+	WriteRPS float64 `toml:"write_rps"` // changes a second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value, in KB
+	TxnOps   int     `toml:"txn_ops"`   // changes in a transaction
 	// Next, if set, are limits that come in force at some time without notice.
 	Next *StateNext `toml:"next"`
 }
 
-// StateNext holds limits of the state service that are to come.
+// StateNext holds limits of the state service that are to come, in the units of State.
 type StateNext struct {
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
@@ -99,30 +92,27 @@
 
 // Effective are the limits that hold now and will hold: the lower ones of both.
 func (s State) Effective() State {
-	if n := s.Next; n != nil {
-		s.WriteRPS, s.ValueKB, s.TxnOps = min(s.WriteRPS, n.WriteRPS), min(s.ValueKB, n.ValueKB), min(s.TxnOps, n.TxnOps)
+	if s.Next != nil {
+		s.WriteRPS = min(s.WriteRPS, s.Next.WriteRPS)
+		s.ValueKB = min(s.ValueKB, s.Next.ValueKB)
+		s.TxnOps = min(s.TxnOps, s.Next.TxnOps)
 	}
 	return s
 }
 
 // Cloud holds the limits of the cloud's interface.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests a second, for all controllers together
+	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list of machines may be behind
 }
 
 // Resources is what one controller may use.
 type Resources struct {
-	CPU            float64 `toml:"cpu"`
-	MemMB          float64 `toml:"mem_mb"`
-	MaxConnections int     `toml:"max_connections"`
+	CPU            float64 `toml:"cpu"`             // cores
+	MemMB          float64 `toml:"mem_mb"`          // memory, in MB
+	MaxConnections int     `toml:"max_connections"` // open sockets
 }
 
-// FieldError names the field of the settings that is missing or invalid.
-type FieldError struct{ Field, Expected string }
-
-func (e *FieldError) Error() string { return fmt.Sprintf("field %s: expected %s", e.Field, e.Expected) }
-
 // Load reads and checks a settings file. Its errors fit on one line and name
 // file, field and what was expected.
 func Load(path string) (*Settings, error) {
@@ -130,129 +120,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: expected a readable file: %w", path, err)
 	}
-	s, err := Parse(raw)
+	settings, err := Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	return s, nil
+	return settings, nil
 }
 
 // Parse reads and checks the text of a settings file.
 func Parse(raw []byte) (*Settings, error) {
-	var s Settings
-	if err := toml.Unmarshal(raw, &s); err != nil {
+	var settings Settings
+	if err := toml.Unmarshal(raw, &settings); err != nil {
 		return nil, TOMLError(err)
 	}
-	if err := s.check(); err != nil {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	return &s, nil
+	return &settings, nil
 }
 
 // Strict reads a TOML text in which every name has to be known: one that is misspelt would be
 // taken for one that works. Errors fit on one line and name field and place.
 func Strict(raw []byte, into any) error {
-	d := toml.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := toml.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return TOMLError(err)
 	}
 	return nil
 }
-
-// TOMLError says on one line where a TOML text is wrong.
-func TOMLError(err error) error {
-	var de *toml.DecodeError
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		row, col := strict.Errors[0].Position()
-		return fmt.Errorf("field %s (line %d, column %d): expected a known name", strings.Join(strict.Errors[0].Key(), "."), row, col)
-	}
-	if errors.As(err, &de) {
-		row, col := de.Position()
-		return fmt.Errorf("field %s (line %d, column %d): expected valid TOML of the right type: %s",
-			strings.Join(de.Key(), "."), row, col, strings.ReplaceAll(de.Error(), "\n", " "))
-	}
-	return fmt.Errorf("expected TOML: %s", strings.ReplaceAll(err.Error(), "\n", " "))
-}
-
-type checker struct{ err error }
-
-func (c *checker) want(ok bool, field, expected string) {
-	if !ok && c.err == nil {
-		c.err = &FieldError{field, expected}
-	}
-}
-
-func (c *checker) address(v, field string) {
-	host, port, err := net.SplitHostPort(v)
-	n, perr := strconv.Atoi(port)
-	c.want(err == nil && host != "" && perr == nil && n >= 0 && n <= 65535, field, "an address like 10.0.0.1:8080")
-}
-
-func (c *checker) positive(v float64, field string) {
-	c.want(v > 0 && !math.IsInf(v, 0), field, "a number above 0")
-}
-
-func (c *checker) amount(v float64, field string) {
-	c.want(v >= 0 && !math.IsInf(v, 0), field, "a number of 0 or more")
-}
-
-func (s *Settings) check() error {
-	configChecker := &checker{}
-	configChecker.want(s.MemberName != "" && !strings.ContainsAny(s.MemberName, " /"), "node_name", "a name without spaces or slashes")
-	configChecker.want(s.Zone != "", "zone", "a zone's name")
-	configChecker.address(s.PublicAddr, "public_addr")
-	configChecker.address(s.PeerListen, "peer_listen")
-	seen := map[string]bool{s.MemberName: true}
-	for i, p := range s.Known {
-		f := fmt.Sprintf("known[%d].", i)
-		configChecker.want(p.MemberName != "" && !strings.ContainsAny(p.MemberName, " /"), f+"node_name", "a name without spaces or slashes")
-		configChecker.want(!seen[p.MemberName], f+"node_name", "a name that is not used twice")
-		seen[p.MemberName] = true
-		configChecker.address(p.Address, f+"address")
-	}
-	configChecker.address(s.External.Cloud, "external.cloud")
-	configChecker.address(s.External.State, "external.state")
-	deployment := &s.Deployment
-	configChecker.want(deployment.Controllers >= 1, "deployment.nodes", "a count of at least 1")
-	configChecker.want(len(deployment.Zones) > 0, "deployment.zones", "a list of zones")
-	configChecker.amount(deployment.ClockSkewMs, "deployment.clock_off_ms")
-	configChecker.want(len(deployment.Teams) > 0, "deployment.teams", "at least one team")
-	names := map[string]bool{}
-	for i, t := range deployment.Teams {
-		f := fmt.Sprintf("deployment.teams[%d].", i)
-		configChecker.want(t.Name != "", f+"name", "a name")
-		configChecker.want(!names[t.Name], f+"name", "a name that is not used twice")
-		names[t.Name] = true
-		configChecker.amount(t.Cpus, f+"cpus")
-		configChecker.amount(t.CpusMax, f+"cpus_max")
-		configChecker.amount(t.Gpus, f+"gpus")
-		configChecker.amount(t.GpusMax, f+"gpus_max")
-	}
-	for i, o := range deployment.Objectives {
-		f := fmt.Sprintf("deployment.objectives[%d].", i)
-		configChecker.want(o.Kind != "", f+"kind", "a kind of objective")
-		configChecker.amount(o.WithinS, f+"within_s")
-		configChecker.amount(o.Times, f+"times")
-		configChecker.amount(o.Share, f+"share")
-	}
-	configChecker.positive(deployment.Workers.HeartbeatS, "deployment.workers.report_s")
-	configChecker.positive(deployment.Workers.LeaseS, "deployment.workers.lease_s")
-	configChecker.positive(deployment.Workers.CancelS, "deployment.workers.cancel_s")
-	configChecker.positive(deployment.State.RPS, "deployment.state.rps")
-	configChecker.positive(deployment.State.WriteRPS, "deployment.state.write_rps")
-	configChecker.positive(deployment.State.ValueKB, "deployment.state.value_kb")
-	configChecker.want(deployment.State.TxnOps >= 4, "deployment.state.txn_ops", "a count of at least 4")
-	if n := deployment.State.Next; n != nil {
-		configChecker.positive(n.WriteRPS, "deployment.state.next.write_rps")
-		configChecker.want(n.ValueKB >= 1 && !math.IsInf(n.ValueKB, 0), "deployment.state.next.value_kb", "a size of at least 1")
-		configChecker.want(n.TxnOps >= 4, "deployment.state.next.txn_ops", "a count of at least 4")
-	}
-	configChecker.positive(deployment.Cloud.RPS, "deployment.cloud.rps")
-	configChecker.amount(deployment.Cloud.ListLagS, "deployment.cloud.list_lag_s")
-	configChecker.positive(deployment.Resources.CPU, "deployment.resources.cpu")
-	configChecker.positive(deployment.Resources.MemMB, "deployment.resources.mem_mb")
-	configChecker.want(deployment.Resources.MaxConnections >= 16, "deployment.resources.max_connections", "a count of at least 16")
-	return configChecker.err
-}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,10 +1,13 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"github.com/pelletier/go-toml/v2"
 )
 
 const good = `
@@ -59,14 +62,14 @@
 		{"missing rate", `write_rps = 80.0`, ``, "deployment.state.write_rps"},
 		{"no TOML", `[external]`, `[external`, "expected"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			s, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			settings, err := Parse([]byte(strings.Replace(good, test.old, test.new, 1)))
 			switch {
-			case c.want == "" && (err != nil || s.Deployment.Teams[0].Cpus != 4):
+			case test.want == "" && (err != nil || settings.Deployment.Teams[0].Cpus != 4):
 				t.Fatalf("refused: %v", err)
-			case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "expected")):
-				t.Fatalf("got %v, want %s and what was expected", err, c.want)
+			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "expected")):
+				t.Fatalf("got %v, want %s and what was expected", err, test.want)
 			case err != nil && strings.Contains(err.Error(), "\n"):
 				t.Fatalf("more than one line: %q", err)
 			}
@@ -75,33 +78,67 @@
 }
 
 func TestFeatures(t *testing.T) {
-	for _, c := range []struct {
-		text string
-		on   bool
-		want string
+	for _, test := range []struct {
+		name, text string
+		enabled    bool
+		want       string // part of the error; "" for none
 	}{
-		{"", false, ""},
-		{"[view]\nenabled = true\n", true, ""},
-		{"[view]\nenabled = true\nreaders = 0\n", false, "view.readers"},
-		{"[view]\nenable = true\n", false, "view.enable"},
-		{"[view]\nenabled = \"yes\"\n", false, "line 2"},
+		{"empty file", "", false, ""},
+		{"view enabled", "[view]\nenabled = true\n", true, ""},
+		{"no readers", "[view]\nenabled = true\nreaders = 0\n", false, "view.readers"},
+		{"unknown name", "[view]\nenable = true\n", false, "view.enable"},
+		{"wrong type", "[view]\nenabled = \"yes\"\n", false, "line 2"},
 	} {
-		path := filepath.Join(t.TempDir(), "features.toml")
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		f, err := LoadFeatures(path)
-		switch {
-		case c.want == "" && (err != nil || f.View.Enabled != c.on || f.View.Readers != DefaultReaders):
-			t.Errorf("%q: %+v, %v", c.text, f, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")):
-			t.Errorf("%q: %v, want %q", c.text, err, c.want)
-		}
-	}
-	if f, err := LoadFeatures(""); err != nil || f.View.Enabled {
-		t.Errorf("without a file: %+v, %v", f, err)
+		t.Run(test.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "features.toml")
+			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			features, err := LoadFeatures(path)
+			switch {
+			case test.want == "" && (err != nil || features.View.Enabled != test.enabled || features.View.Readers != DefaultReaders):
+				t.Errorf("%+v, %v", features, err)
+			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")):
+				t.Errorf("%v, want %q", err, test.want)
+			}
+		})
 	}
-	if f, err := LoadFeatures("../../deploy/features.toml"); err != nil || !f.View.Enabled {
-		t.Errorf("deploy/features.toml: %+v, %v", f, err)
+	for _, test := range []struct {
+		name, path string
+		enabled    bool
+	}{
+		{"no file", "", false},
+		{"the deployed file", "../../deploy/features.toml", true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if features, err := LoadFeatures(test.path); err != nil || features.View.Enabled != test.enabled {
+				t.Errorf("%+v, %v", features, err)
+			}
+		})
 	}
 }
+
+// The typed errors keep what they come from, so that callers can tell them apart.
+func TestErrorTypes(t *testing.T) {
+	t.Run("missing field", func(t *testing.T) {
+		_, err := Parse([]byte(strings.Replace(good, `zone = "a"`, "", 1)))
+		var fieldError *FieldError
+		if !errors.As(err, &fieldError) || fieldError.Field != "zone" {
+			t.Errorf("got %#v, want a FieldError of zone", err)
+		}
+	})
+	t.Run("wrong type", func(t *testing.T) {
+		_, err := Parse([]byte("zone = 1\n"))
+		var position *PositionError
+		var cause *toml.DecodeError
+		if !errors.As(err, &position) || position.Field != "zone" || position.Line != 1 || !errors.As(err, &cause) {
+			t.Errorf("got %#v, want a PositionError of zone in line 1", err)
+		}
+	})
+	t.Run("no error of the TOML library", func(t *testing.T) {
+		cause := errors.New("two\nlines")
+		if err := TOMLError(cause); !errors.Is(err, cause) || err.Error() != "expected TOML: two lines" {
+			t.Errorf("got %v", err)
+		}
+	})
+}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -58,40 +58,40 @@
 
 // TestGoldenSettings pins what settings and features files say, by the names in the files.
 func TestGoldenSettings(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		read func() (any, error)
 	}{
 		{"every-key", func() (any, error) { return Load("testdata/every-key.toml") }},
 		{"required-keys", func() (any, error) { return Parse([]byte(good)) }},
 		{"limits-to-come", func() (any, error) {
-			s, err := Load("testdata/every-key.toml")
+			settings, err := Load("testdata/every-key.toml")
 			if err != nil {
 				return nil, err
 			}
-			return s.Deployment.State.Effective(), nil
+			return settings.Deployment.State.Effective(), nil
 		}},
 		{"features-every-key", func() (any, error) { return LoadFeatures("testdata/features-every-key.toml") }},
 		{"features-default", func() (any, error) { return LoadFeatures("") }},
 		{"features-deployed", func() (any, error) { return LoadFeatures("../../deploy/features.toml") }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			v, err := c.read()
+		t.Run(test.name, func(t *testing.T) {
+			read, err := test.read()
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, c.name+".txt", dump("", reflect.ValueOf(v)))
+			checkGolden(t, test.name+".txt", dump("", reflect.ValueOf(read)))
 		})
 	}
 }
 
 // TestGoldenEveryKey: the file with every key sets each of them to something that is not the zero value.
 func TestGoldenEveryKey(t *testing.T) {
-	s, err := Load("testdata/every-key.toml")
+	settings, err := Load("testdata/every-key.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, line := range strings.Split(dump("", reflect.ValueOf(s)), "\n") {
+	for _, line := range strings.Split(dump("", reflect.ValueOf(settings)), "\n") {
 		if strings.HasSuffix(line, " = 0") || strings.HasSuffix(line, " = \"\"") || strings.HasSuffix(line, " = none") {
 			t.Errorf("not set: %s", line)
 		}
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b strings.Builder
+	var refusals strings.Builder
 	lines := strings.Split(string(raw), "\n")
 	for i, line := range lines {
 		key, _, found := strings.Cut(line, " = ")
@@ -115,10 +115,10 @@
 			changed := slices.Clone(lines)
 			changed[i] = text
 			_, err := Parse([]byte(strings.Join(changed, "\n")))
-			fmt.Fprintf(&b, "%s -> %q: %v\n", line, text, withoutGoNames(err))
+			fmt.Fprintf(&refusals, "%s -> %q: %v\n", line, text, withoutGoNames(err))
 		}
 	}
-	checkGolden(t, "refusals.txt", b.String())
+	checkGolden(t, "refusals.txt", refusals.String())
 }
 
 // goName is the TOML library's mention of a field of a Go type.
@@ -130,29 +130,29 @@
 }
 
 // dump writes a value as one line a key, named as in the file.
-func dump(key string, v reflect.Value) string {
-	switch v.Kind() {
+func dump(key string, value reflect.Value) string {
+	switch value.Kind() {
 	case reflect.Pointer:
-		if v.IsNil() {
+		if value.IsNil() {
 			return key + " = none\n"
 		}
-		return dump(key, v.Elem())
+		return dump(key, value.Elem())
 	case reflect.Struct:
-		var b strings.Builder
-		for i := range v.NumField() {
-			name := strings.TrimPrefix(key+"."+v.Type().Field(i).Tag.Get("toml"), ".")
-			b.WriteString(dump(name, v.Field(i)))
+		var text strings.Builder
+		for i := range value.NumField() {
+			name := strings.TrimPrefix(key+"."+value.Type().Field(i).Tag.Get("toml"), ".")
+			text.WriteString(dump(name, value.Field(i)))
 		}
-		return b.String()
+		return text.String()
 	case reflect.Slice:
-		var b strings.Builder
-		fmt.Fprintf(&b, "%s: %d entries\n", key, v.Len())
-		for i := range v.Len() {
-			b.WriteString(dump(fmt.Sprintf("%s[%d]", key, i), v.Index(i)))
+		var text strings.Builder
+		fmt.Fprintf(&text, "%s: %d entries\n", key, value.Len())
+		for i := range value.Len() {
+			text.WriteString(dump(fmt.Sprintf("%s[%d]", key, i), value.Index(i)))
 		}
-		return b.String()
+		return text.String()
 	case reflect.String:
-		return fmt.Sprintf("%s = %q\n", key, v.String())
+		return fmt.Sprintf("%s = %q\n", key, value.String())
 	}
-	return fmt.Sprintf("%s = %v\n", key, v.Interface())
+	return fmt.Sprintf("%s = %v\n", key, value.Interface())
 }
