--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -29,8 +29,8 @@
 	TaskExited        = "exited"   // it has ended; kept until a command clears it
 )
 
-// taskGathering is a state that workers may report and that the scheduler does not tell from others in
-// which a task does not run yet.
+// taskGathering is a state of gangs: a task waits for the others. No shape of job asks for gangs, so it
+// is accepted but has no meaning to the scheduler.
 const taskGathering = "gathering"
 
 // Why a task ended.
