--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -15,9 +15,9 @@
 // How the state service's rates are divided. Rates are in requests or changes a second; the parts are
 // of the whole rate, which all controllers share.
 const (
-	usedRequestRate = 0.9 // of the rate of requests: all controllers together stay below it
-	unevenRequests  = 1.5 // a controller may make so many times its even part of it
-	requestReserve  = 4   // requests, or changes, that are kept for what must not wait
+	usedRequestRate = 0.9 // the part of the rate of requests that is divided
+	unevenRequests  = 1.5 // times its even part of that a controller may use: not all are busy at once
+	requestReserve  = 4   // requests, and changes, that are kept for what must not wait
 	largestTxn      = 12  // changes; a budget holds at least one such transaction
 
 	evenPart      = 0.16 // divided evenly among the controllers
@@ -30,11 +30,11 @@
 // longer is refused at once, and the user told to come back.
 const userWait = 600 * time.Millisecond
 
-// The bounds of the time that a controller steps back when the service is overloaded. It is random,
-// so that controllers do not come back together.
+// How long a controller steps back when the service is overloaded: a random time, so that controllers
+// do not come back together.
 const (
 	minStepBack    = 100 * time.Millisecond
-	stepBackSpread = 200 // milliseconds
+	stepBackSpread = 200 // milliseconds on top, at random
 )
 
 // StateBudget keeps one controller under its part of the state service's rates.
