--- /dev/null
+++ b/internal/pagecheck/pagecheck_test.go
@@ -0,0 +1,132 @@
+package pagecheck
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// codeQuote is what a page sets in code quotes.
+var codeQuote = regexp.MustCompile("`([^`\n]+)`")
+
+// codeName is a package, or a function, method or type of one: internal/controller/schedule.Place.
+var codeName = regexp.MustCompile(`^((?:cmd|internal)(?:/[a-z]+)+)((?:\.[A-Za-z]+)*)$`)
+
+// sourceFile is a Go file of the repository.
+var sourceFile = regexp.MustCompile(`^(?:cmd|internal)/[a-z_/]+\.go$`)
+
+// TestArchitectureNames: what the architecture page names of the code exists.
+func TestArchitectureNames(t *testing.T) {
+	known := parseSources(t)
+	checked := 0
+	for _, quote := range quotes(readPage(t, "ARCHITECTURE.md")) {
+		if sourceFile.MatchString(quote) {
+			checked++
+			if _, err := os.Stat(filepath.Join(repositoryRoot, quote)); err != nil {
+				t.Errorf("docs/ARCHITECTURE.md names the file %s, which does not exist", quote)
+			}
+			continue
+		}
+		name := codeName.FindStringSubmatch(quote)
+		if name == nil {
+			continue
+		}
+		checked++
+		switch {
+		case !known.packages[name[1]]:
+			t.Errorf("docs/ARCHITECTURE.md names the package %s, which does not exist", name[1])
+		case name[2] != "" && !known.names[quote]:
+			t.Errorf("docs/ARCHITECTURE.md names %s, which is no function, method or type", quote)
+		}
+	}
+	if checked == 0 {
+		t.Error("docs/ARCHITECTURE.md names nothing of the code: the test proves nothing")
+	}
+}
+
+// logMessage is a log line as the log prints it: msg=figures, msg="share changed hands".
+var logMessage = regexp.MustCompile(`^msg=(?:"([^"]+)"|([^\s"]+))$`)
+
+// logAttribute is an attribute of a log line: suspect=true, why="never came up".
+var logAttribute = regexp.MustCompile(`^([a-z_]+)=(?:"[^"]*"|[^\s"]+)$`)
+
+// logLineSections are the sections of the operators' handbook that an engineer looks log lines up in.
+var logLineSections = []string{"Log lines that ask for action", "From symptom to cause"}
+
+// TestLogLinesOfThePages: the log lines that the operators' handbook quotes are written by the sources, with
+// the attributes that it quotes beside them.
+func TestLogLinesOfThePages(t *testing.T) {
+	known := parseSources(t)
+	page := readPage(t, "operations.md")
+	for _, title := range logLineSections {
+		if !strings.Contains(section(page, title), "`msg=") {
+			t.Errorf("docs/operations.md quotes no log line under %q: the test proves nothing", title)
+		}
+	}
+	for _, row := range strings.Split(section(page, logLineSections[0]), "\n") {
+		if strings.HasPrefix(row, "| `") && !strings.HasPrefix(row, "| `msg=") {
+			t.Errorf("docs/operations.md, %q: a row that does not begin with a line in the form msg=\"...\": %s", logLineSections[0], row)
+		}
+	}
+	for i, line := range strings.Split(page, "\n") {
+		checkLogLines(t, known, i+1, line)
+	}
+}
+
+// checkLogLines checks the log lines that one line of the page quotes.
+func checkLogLines(t *testing.T, known sources, lineNumber int, line string) {
+	t.Helper()
+	var calls []logCall
+	var attributes []string
+	for _, quote := range quotes(line) {
+		if message := logMessage.FindStringSubmatch(quote); message != nil {
+			text := message[1] + message[2]
+			if len(known.logCalls[text]) == 0 {
+				t.Errorf("docs/operations.md:%d: no logger in cmd or internal writes %q", lineNumber, text)
+			}
+			calls = append(calls, known.logCalls[text]...)
+		} else if attribute := logAttribute.FindStringSubmatch(quote); attribute != nil {
+			attributes = append(attributes, attribute[1])
+		}
+	}
+	for _, key := range attributes {
+		if len(calls) > 0 && !hasKey(calls, key) {
+			t.Errorf("docs/operations.md:%d: no log line that this line quotes has the key %s", lineNumber, key)
+		}
+	}
+}
+
+func hasKey(calls []logCall, key string) bool {
+	for _, call := range calls {
+		if call.keys[key] {
+			return true
+		}
+	}
+	return false
+}
+
+func readPage(t *testing.T, name string) string {
+	t.Helper()
+	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(page)
+}
+
+func quotes(text string) []string {
+	var out []string
+	for _, match := range codeQuote.FindAllStringSubmatch(text, -1) {
+		out = append(out, match[1])
+	}
+	return out
+}
+
+// section is what stands under a heading of the second level, up to the next one.
+func section(page, title string) string {
+	_, rest, _ := strings.Cut(page, "\n## "+title+"\n")
+	text, _, _ := strings.Cut(rest, "\n## ")
+	return text
+}
--- /dev/null
+++ b/internal/pagecheck/sources_test.go
@@ -0,0 +1,158 @@
+package pagecheck
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// repositoryRoot is where the tests of this package find the repository.
+const repositoryRoot = "../.."
+
+// logCall is a call of a logger.
+type logCall struct {
+	message string
+	keys    map[string]bool // of the message's attributes, as far as they are literals
+}
+
+// sources is what the pages may name of the code.
+type sources struct {
+	packages map[string]bool // directories that hold a package, as in "internal/storage"
+	names    map[string]bool // "internal/storage.Cache", "internal/storage.Cache.Apply"
+	logCalls map[string][]logCall
+}
+
+// parseSources reads all Go files under cmd and internal but for the tests.
+func parseSources(t *testing.T) sources {
+	t.Helper()
+	found := sources{packages: map[string]bool{}, names: map[string]bool{}, logCalls: map[string][]logCall{}}
+	for _, top := range []string{"cmd", "internal"} {
+		root := filepath.Join(repositoryRoot, top)
+		err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
+				return err
+			}
+			return found.addFile(file)
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return found
+}
+
+func (s *sources) addFile(file string) error {
+	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	relative, err := filepath.Rel(repositoryRoot, file)
+	if err != nil {
+		return err
+	}
+	directory := path.Dir(filepath.ToSlash(relative))
+	s.packages[directory] = true
+	for _, declaration := range parsed.Decls {
+		s.addDeclaration(directory, declaration)
+	}
+	ast.Inspect(parsed, func(node ast.Node) bool {
+		if call, ok := node.(*ast.CallExpr); ok {
+			s.addLogCall(call)
+		}
+		return true
+	})
+	return nil
+}
+
+func (s *sources) addDeclaration(directory string, declaration ast.Decl) {
+	switch declared := declaration.(type) {
+	case *ast.FuncDecl:
+		name := declared.Name.Name
+		if declared.Recv != nil {
+			name = receiverType(declared.Recv.List[0].Type) + "." + name
+		}
+		s.names[directory+"."+name] = true
+	case *ast.GenDecl:
+		for _, spec := range declared.Specs {
+			if typeSpec, ok := spec.(*ast.TypeSpec); ok {
+				s.names[directory+"."+typeSpec.Name.Name] = true
+			}
+		}
+	}
+}
+
+// receiverType is the name of a method's receiver type, without pointer and type parameters.
+func receiverType(expression ast.Expr) string {
+	switch receiver := expression.(type) {
+	case *ast.StarExpr:
+		return receiverType(receiver.X)
+	case *ast.IndexExpr:
+		return receiverType(receiver.X)
+	case *ast.Ident:
+		return receiver.Name
+	}
+	return ""
+}
+
+// addLogCall notes a call if it is one of a logger with a literal message.
+func (s *sources) addLogCall(call *ast.CallExpr) {
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || len(call.Args) == 0 || !isLogMethod(selector.Sel.Name) || !isLogger(selector.X) {
+		return
+	}
+	message, ok := literalString(call.Args[0])
+	if !ok {
+		return
+	}
+	logged := logCall{message: message, keys: map[string]bool{}}
+	for _, argument := range call.Args[1:] {
+		ast.Inspect(argument, func(node ast.Node) bool {
+			if expression, ok := node.(ast.Expr); ok {
+				if key, ok := literalString(expression); ok {
+					logged.keys[key] = true
+				}
+			}
+			return true
+		})
+	}
+	s.logCalls[message] = append(s.logCalls[message], logged)
+}
+
+func isLogMethod(name string) bool {
+	switch name {
+	case "Debug", "Info", "Warn", "Error":
+		return true
+	}
+	return false
+}
+
+// isLogger tells whether an expression is a logger by its name: log, Log, logger or slog, alone, as a
+// field or as what With returns.
+func isLogger(expression ast.Expr) bool {
+	switch logger := expression.(type) {
+	case *ast.Ident:
+		name := strings.ToLower(logger.Name)
+		return name == "log" || name == "logger" || name == "slog"
+	case *ast.SelectorExpr:
+		return isLogger(logger.Sel)
+	case *ast.CallExpr:
+		with, ok := logger.Fun.(*ast.SelectorExpr)
+		return ok && with.Sel.Name == "With" && isLogger(with.X)
+	}
+	return false
+}
+
+func literalString(expression ast.Expr) (string, bool) {
+	literal, ok := expression.(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	value, err := strconv.Unquote(literal.Value)
+	return value, err == nil
+}
