--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 			now := time.Now()
-			controller.cacheCurrentAt = now.Add(-x.read)
+			controller.follower.cacheCurrentAt = now.Add(-x.read)
 			word := func(node string, said, born time.Duration, from uint64, list []protocol.Cancellation) {
 				controller.applyDigest(node, protocol.CancellationDigest{At: now.Add(-said).UnixMilli(), ProcessStart: now.Add(-born).UnixMilli(), From: from, Cancellations: list}, now)
 			}
@@ -85,19 +85,19 @@
 		{"those of one record fall out together", append([]uint64{1, 1, 1}, sequence(protocol.MaxCancellations)[1:]...), 1, protocol.MaxCancellations - 1},
 		{"one that comes late, from before the list", append(sequence(protocol.MaxCancellations+3), 2), 3, protocol.MaxCancellations},
 	} {
-		var controllerCancellationList cancellationList
+		var recorded cancellationList
 		for i, v := range x.versions {
 			job := fmt.Sprintf("job-%06d", v)
 			if v == 1 {
 				job = fmt.Sprintf("job-1%05d", i)
 			}
-			controllerCancellationList.add(v, job)
+			recorded.add(v, job)
 		}
-		if controllerCancellationList.from != x.from || len(controllerCancellationList.list) != x.listed {
-			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(controllerCancellationList.list), controllerCancellationList.from, x.listed, x.from)
+		if recorded.from != x.from || len(recorded.list) != x.listed {
+			t.Errorf("%s: %d listed from %d on, want %d from %d", x.name, len(recorded.list), recorded.from, x.listed, x.from)
 		}
-		for i := 1; i < len(controllerCancellationList.list); i++ {
-			if controllerCancellationList.list[i].Version < controllerCancellationList.list[i-1].Version {
+		for i := 1; i < len(recorded.list); i++ {
+			if recorded.list[i].Version < recorded.list[i-1].Version {
 				t.Errorf("%s: not in order", x.name)
 			}
 		}
@@ -116,11 +116,11 @@
 // a controller of the version before would close the connection at the first.
 func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
 	controller := newCore(t)
-	controller.digest.recorded.add(6, "job-000006")
-	controller.digest.recorded.add(8, "job-000008")
+	controller.cancellations.digest.recorded.add(6, "job-000006")
+	controller.cancellations.digest.recorded.add(8, "job-000008")
 	controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesCancellationDigest}}
 	controller.cache.Members["n2"] = &storage.Member{}
-	controller.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
+	controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	controller.publish(time.Now())
 	if w, ok := controller.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
 		t.Errorf("to one that has read up to 7: %+v, %v", w, ok)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -27,6 +27,7 @@
 	uncertainHeartbeats prometheus.Counter
 	heartbeatSeconds    prometheus.Histogram
 	planSeconds         prometheus.Histogram
+	counters            logCounters // what the log tells now and then
 	Requests            *prometheus.CounterVec
 }
 
@@ -124,12 +125,12 @@
 
 // logCounters logs what operators compare between sizes; metrics have more of it.
 func (c *Controller) logCounters(now time.Time) {
-	controllerLogCounters := &c.counters
-	if now.Sub(controllerLogCounters.at) < logCountersInterval {
+	counters := &c.metrics.counters
+	if now.Sub(counters.at) < logCountersInterval {
 		return
 	}
 	spent := c.store.ChangesUsed()
-	if !controllerLogCounters.at.IsZero() {
+	if !counters.at.IsZero() {
 		machines, jobs := 0, 0
 		for _, m := range c.cache.Machines {
 			if !m.Gone && c.ownsShard(m.Shard) {
@@ -141,10 +142,10 @@
 				jobs++
 			}
 		}
-		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", controllerLogCounters.passes, "pass_mean_ms", millis(controllerLogCounters.all)/float64(max(1, controllerLogCounters.passes)),
-			"pass_longest_ms", millis(controllerLogCounters.longest), "changes_per_s", float64(int(float64(spent-controllerLogCounters.changes)/now.Sub(controllerLogCounters.at).Seconds()*10))/10, "revision", c.cache.Revision)
+		c.log.Info("figures", "machines", machines, "open_jobs", jobs, "passes", counters.passes, "pass_mean_ms", millis(counters.all)/float64(max(1, counters.passes)),
+			"pass_longest_ms", millis(counters.longest), "changes_per_s", float64(int(float64(spent-counters.changes)/now.Sub(counters.at).Seconds()*10))/10, "revision", c.cache.Revision)
 	}
-	*controllerLogCounters = logCounters{at: now, changes: spent}
+	*counters = logCounters{at: now, changes: spent}
 }
 
 // millis is a time in milliseconds, to the hundredth.
@@ -227,13 +228,13 @@
 			usually[key{controller.classLabel(x.Class), controller.cache.Teams[x.Team].Name}] += u
 		}
 		now := time.Now()
-		if controller.overloadActive {
+		if controller.planner.overloaded {
 			flood = 1
 		}
 		if controller.servedByStore(now) {
 			reach["state"] = 1
 		}
-		if !controller.notReady.Load() {
+		if !controller.session.notReady.Load() {
 			reach["workers"] = 1
 		}
 		heard, others := 0, 0
@@ -242,7 +243,7 @@
 				continue
 			}
 			others++
-			if p, ok := controller.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
+			if p, ok := controller.reachability.peers[name]; ok && now.Sub(p.heardAt) < peerFresh {
 				heard++
 			}
 		}
@@ -256,8 +257,8 @@
 		for _, k := range controller.cache.Groups {
 			largest = max(largest, float64(k.Size))
 		}
-		for s := range controller.ownedShards {
-			if controller.ownedShards[s] > 0 {
+		for s := range controller.shards.owned {
+			if controller.shards.owned[s] > 0 {
 				shares++
 			}
 		}
@@ -299,7 +300,7 @@
 
 // machineState is one word for how a machine stands.
 func (c *Controller) machineState(machine *storage.Machine) string {
-	worker := c.workerStates[machine.Index]
+	worker := c.workers.states[machine.Index]
 	switch {
 	case machine.Returning:
 		return "returning"
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -75,7 +75,7 @@
 			inVain[controllerAsker] = inVain[controllerAsker] || len(job.Types) == 0
 			continue
 		}
-		schedule.RankCandidates(c.alpha, cands)
+		schedule.RankCandidates(c.planner.alpha, cands)
 		chosen := schedule.PreemptSoonest(job, res.Short[job], input.Slots, cands)
 		chosen = c.fitRecord(chosen)
 		if len(chosen) == 0 {
@@ -139,7 +139,7 @@
 // mayPreempt: a top-priority job may, one that fits into its team's guarantee along
 // with the team's earlier unfinished jobs, and any but the lowest for idle-time work.
 func (c *Controller) mayPreempt(j *storage.Job, in *schedule.Input, until []time.Time) bool {
-	return j.Priority.Top() || (j.Priority > protocol.Low && c.idleWorkPlaced) || claims(j, in, until)
+	return j.Priority.Top() || (j.Priority > protocol.Low && c.planner.idleWorkPlaced) || claims(j, in, until)
 }
 
 // claims tells whether a job may evict for its team's guarantee: it fits into that along
@@ -212,7 +212,7 @@
 		if m == nil || m.Returning || m.Shard != victimSet.Shard {
 			continue
 		}
-		if v := c.workerStates[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
+		if v := c.workers.states[m.Index]; v != nil && !c.usable(m, v, time.Now()) {
 			continue
 		}
 		if slotsLeft(victimSet, r, job, m) > 0 {
@@ -253,29 +253,29 @@
 			tasks = l
 		}
 		for _, placed := range tasks {
-			storageJob := placed.Job
-			over := storageJob.Team != job.Team && (excess[storageJob.Team].Cpus >= storageJob.Cpus || storageJob.Gpus > 0 && excess[storageJob.Team].Gpus >= storageJob.Gpus)
-			if !(job.Priority.Top() && !storageJob.Priority.Top()) && !(claim && over) && !(job.Priority > storageJob.Priority && c.isIdleWork(storageJob, now)) {
+			other := placed.Job
+			over := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
+			if !(job.Priority.Top() && !other.Priority.Top()) && !(claim && over) && !(job.Priority > other.Priority && c.isIdleWork(other, now)) {
 				continue
 			}
-			if !storageJob.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
+			if !other.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
 				continue // it goes anyway, or only starts with this transaction
 			}
 			if over && claim {
-				excess[storageJob.Team].Add(storageJob, -1)
+				excess[other.Team].Add(other, -1)
 			}
 			ran := lossOf(worker, placed, now)
-			vic := schedule.Victim{Slot: slot, Job: storageJob, Task: placed.Task, Attempt: placed.Attempt}
-			if storageJob.Shape == protocol.Service {
-				if i, ok := services[storageJob]; ok {
+			vic := schedule.Victim{Slot: slot, Job: other, Task: placed.Task, Attempt: placed.Attempt}
+			if other.Shape == protocol.Service {
+				if i, ok := services[other]; ok {
 					out[i].Victims = append(out[i].Victims, vic)
 					out[i].Lost += ran
 					out[i].Waited = max(out[i].Waited, float64(placed.WaitedS))
 					continue
 				}
-				services[storageJob] = len(out)
+				services[other] = len(out)
 			}
-			out = append(out, schedule.Candidate{Victims: []schedule.Victim{vic}, Lost: ran, Waited: float64(placed.WaitedS), SubmittedAt: storageJob.ReadyAt, TopPriority: storageJob.Priority.Top()})
+			out = append(out, schedule.Candidate{Victims: []schedule.Victim{vic}, Lost: ran, Waited: float64(placed.WaitedS), SubmittedAt: other.ReadyAt, TopPriority: other.Priority.Top()})
 		}
 	}
 	return out
