--- a/internal/pagecheck/pagecheck_test.go
+++ b/internal/pagecheck/pagecheck_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// logMessage is a log line as the log prints it: msg=figures, msg="share changed hands".
+// logMessage is the message of a log line as the log prints it: msg=word or msg="some words".
 var logMessage = regexp.MustCompile(`^msg=(?:"([^"]+)"|([^\s"]+))$`)
 
-// logAttribute is an attribute of a log line: suspect=true, why="never came up".
+// logAttribute is an attribute of a log line: key=value or key="some words".
 var logAttribute = regexp.MustCompile(`^([a-z_]+)=(?:"[^"]*"|[^\s"]+)$`)
 
 // logLineSections are the sections of the operators' handbook that an engineer looks log lines up in.
