--- /dev/null
+++ b/internal/storage/apply_job.go
@@ -0,0 +1,219 @@
+package storage
+
+import (
+	"fmt"
+	"time"
+
+	"dykeledge/internal/protocol"
+)
+
+// applyJob takes a job's record.
+func (c *Cache) applyJob(id string, change recordChange) error {
+	if c.jobs.isForgotten(id) {
+		return nil // final states never change
+	}
+	job := c.jobs.find(id)
+	if job != nil && job.Version >= change.revision {
+		return nil
+	}
+	if change.deleted {
+		return fmt.Errorf("%w: a job", ErrUnexpectedDeletion)
+	}
+	record, err := decodeJSON[JobRecord](change.value)
+	if err != nil {
+		return err
+	}
+	if record.Final != "" && record.Spec == nil && (job == nil || job.PlacedCount == 0) {
+		c.forgetJob(id, job, record.finalState())
+		return nil
+	}
+	if job == nil {
+		if job, err = c.addJob(id, &record); job == nil {
+			return err
+		}
+	}
+	return c.updateJob(job, &record, change.revision)
+}
+
+// finalState is the final state that a record shows.
+func (r *JobRecord) finalState() FinalState {
+	return FinalState{protocol.JobStatus(r.Final), int32(r.DoneCount), r.FinalAtMs}
+}
+
+// addJob takes in a job that is not known yet, with its description. It returns nil without an
+// error for a job that is over and whose description is gone; that one is forgotten.
+func (c *Cache) addJob(id string, record *JobRecord) (*Job, error) {
+	if record.ChunkCount > 0 {
+		err := c.descriptions.join(id, record)
+		if err != nil && record.Final != "" {
+			// The chunks of a job that is over are deleted once none of its tasks is placed.
+			c.forgetJob(id, nil, record.finalState())
+			return nil, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+	}
+	job, err := c.newJob(id, record)
+	if err != nil {
+		return nil, err
+	}
+	c.Jobs = c.jobs.add(job, c.Jobs)
+	c.imageSizes.record(job)
+	c.sorted.addJob(job)
+	for part, set := range c.completions.of(id) {
+		job.mergeCompletionSet(part, set.tasks)
+	}
+	if record.Final == "" {
+		c.countArrival(job)
+		c.dependencies.addJob(job)
+	}
+	c.dependencies.noteKnown(id)
+	return job, nil
+}
+
+// newJob makes a job of its record. Names that the record mentions get their indices.
+func (c *Cache) newJob(id string, record *JobRecord) (*Job, error) {
+	team := c.TeamIndex.Find(record.Team)
+	if team < 0 {
+		return nil, fmt.Errorf("%w: team %q", ErrUnknownReference, record.Team)
+	}
+	spec := record.Spec
+	if spec == nil {
+		return nil, fmt.Errorf("%w: a job without a description", ErrCorrupt)
+	}
+	dependencies, err := unpackIDs(record.Dependencies)
+	if err != nil {
+		return nil, fmt.Errorf("its dependencies: %w", err)
+	}
+	submitted := time.UnixMilli(record.SubmittedMs)
+	priority := min(protocol.Priority(spec.Priority), protocol.Production)
+	job := &Job{
+		ID:                 id,
+		Team:               team,
+		Class:              c.Classes.Index(spec.Class),
+		Shard:              c.ShardOf(team),
+		Shape:              protocol.Shape(spec.Shape),
+		Priority:           priority,
+		OwnPriority:        priority,
+		Tasks:              record.Tasks,
+		Cpus:               spec.Cpus,
+		Gpus:               spec.Gpus,
+		Mem:                spec.Mem,
+		Image:              c.Images.Index(spec.Image),
+		ImageGB:            spec.ImageGB,
+		OneZone:            spec.OneZone,
+		Spread:             spec.Spread,
+		Spot:               spec.Spot,
+		Estimate:           spec.Estimate,
+		CheckpointInterval: spec.CheckpointInterval,
+		CheckpointCost:     spec.CheckpointCost,
+		Deadline:           time.Duration(spec.Deadline * float64(time.Second)),
+		Submitted:          submitted,
+		ReadyAt:            submitted,
+		Spec:               spec,
+		Dependencies:       dependencies,
+		ChunkSet:           record.ChunkSet,
+		chunkCount:         record.ChunkCount,
+	}
+	job.initTasks()
+	c.setPlacementLimits(job)
+	return job, nil
+}
+
+// initTasks sets that no task of a new job is placed or completed.
+func (j *Job) initTasks() {
+	j.MachineOf = make([]int32, j.Tasks)
+	for task := range j.MachineOf {
+		j.MachineOf[task] = Nowhere
+	}
+	j.AttemptOf = make([]uint64, j.Tasks)
+	j.Done, j.SavedDone = NewBitmap(j.Tasks), NewBitmap(j.Tasks)
+}
+
+// setPlacementLimits sets where the tasks of a new job may run, and so their size.
+func (c *Cache) setPlacementLimits(job *Job) {
+	for _, name := range job.Spec.Types {
+		job.Types = append(job.Types, c.TypeIndex.Index(name))
+	}
+	c.growTypes()
+	job.Zone = anyZone
+	if job.Spec.Zone != "" {
+		job.Zone = c.Zones.Index(job.Spec.Zone)
+	}
+	job.Size = c.sizeOf(job)
+}
+
+// updateJob takes over what changes of a job.
+func (c *Cache) updateJob(job *Job, record *JobRecord, revision uint64) error {
+	// A job that is done has no set any more; a completed task stays completed.
+	if record.Final != string(protocol.Done) {
+		saved, err := decodeBitmap(record.Done, record.Tasks)
+		if err != nil {
+			return err
+		}
+		job.SavedDone = saved
+		job.Done.Merge(saved)
+	}
+	job.DoneCount = max(record.DoneCount, job.Done.Count())
+	job.Final = protocol.JobStatus(record.Final)
+	job.Suspect = job.Suspect || record.Suspect
+	job.Version = revision
+	job.FinalAtMs = record.FinalAtMs
+	c.feed.addJob(job)
+	if !job.Open() {
+		c.jobs.noteEnded(job)
+		c.dependencies.jobEnded(job.ID, job.finalState())
+	}
+	return nil
+}
+
+// forgetJob keeps no more than a job's final state. job is nil if it was not known.
+func (c *Cache) forgetJob(id string, job *Job, state FinalState) {
+	c.jobs.setForgotten(id, state)
+	c.dependencies.jobEnded(id, state)
+	if job == nil {
+		return
+	}
+	job.Final = state.Status // groups may still name it
+	job.DoneCount, job.FinalAtMs = max(job.DoneCount, int(state.Tasks)), state.RecordedMs
+	c.feed.addJob(job)
+	c.dependencies.forgetJob(job)
+	c.sorted.removeJob(job)
+	c.jobs.remove(job, c.Jobs)
+}
+
+// Sweep forgets all but the final state of jobs that are over and have no task
+// placed. A cancelled job is kept until then: its tasks still take room and quota.
+// A controller that cancelled a job itself knows so before its watch has brought what
+// was placed just before: until it has, the job must stay known, or the machine's
+// record could not be read.
+func (c *Cache) Sweep() {
+	for _, job := range c.Jobs {
+		if job != nil && !job.Open() && job.PlacedCount == 0 && job.Version <= c.Revision {
+			c.forgetJob(job.ID, job, job.finalState())
+		}
+	}
+}
+
+// JobRecordOf writes a job's record with another set of completed tasks, how many tasks have
+// completed, and a final state ("" while open).
+func (c *Cache) JobRecordOf(job *Job, done Bitmap, doneCount int, final protocol.JobStatus) *JobRecord {
+	record := &JobRecord{Tasks: job.Tasks, DoneCount: doneCount, Final: string(final), Team: c.Teams[job.Team].Name}
+	if final == protocol.Done || job.DependencyFailed && job.PlacedCount == 0 {
+		return record
+	}
+	record.Spec, record.SubmittedMs, record.Suspect = job.Spec, job.Submitted.UnixMilli(), job.Suspect
+	if final == "" || !c.Packed() {
+		// In the packed layout an open job's record is rewritten only while none of its tasks
+		// has completed: a large set would be over the limit, and is kept in parts.
+		record.Done = done.encode()
+	}
+	if final == "" {
+		record.Dependencies = PackIDs(job.Dependencies)
+	}
+	if job.ChunkSet != "" {
+		record.Spec, record.Dependencies, record.ChunkSet, record.ChunkCount = nil, "", job.ChunkSet, job.chunkCount
+	}
+	return record
+}
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -2,15 +2,10 @@
 
 import (
 	"cmp"
-	"encoding/json"
-	"fmt"
 	"math"
 	"slices"
 )
 
-// This file owns the record of what is usual. A controller of a version before it reads no such
-// key and leaves it alone; it is only written once the packed layout is.
-
 // maxClassesPerTeam is how many classes of a team are told apart; names of classes come from users.
 const maxClassesPerTeam = 32
 
@@ -18,59 +13,72 @@
 type ClassQueue struct{ Team, Class int }
 
 // Index is a queue's place among all; there are ClassQueueCount of them.
-func (l ClassQueue) Index() int { return l.Team*maxClassesPerTeam + l.Class }
+func (q ClassQueue) Index() int { return q.Team*maxClassesPerTeam + q.Class }
 
 // ClassQueueCount is how many queues so many teams can have.
 func ClassQueueCount(teams int) int { return teams * maxClassesPerTeam }
 
 // ClassQueueOf is the queue that a job is in. Classes beyond those told apart share one.
-func ClassQueueOf(j *Job) ClassQueue { return ClassQueue{j.Team, min(j.Class, maxClassesPerTeam-1)} }
+func ClassQueueOf(job *Job) ClassQueue { return newClassQueue(job.Team, job.Class) }
+
+func newClassQueue(team, class int) ClassQueue {
+	return ClassQueue{team, min(class, maxClassesPerTeam-1)}
+}
 
-// Baseline is the record as the cache has it; Version 0: nothing is known yet.
+// Baseline is the usual demand as the cache has it: the CPUs that each queue keeps busy on average.
+// A controller of a version before it reads no such key and leaves it alone; the record is only
+// written once the packed layout is enabled.
 type Baseline struct {
 	Cpus    map[ClassQueue]float64
-	Version uint64
+	Version uint64 // 0: nothing is known yet
 }
 
 // BaselineRecordOf makes a record of at most limit bytes; the smallest queues are left out
 // where it would be larger.
 func (c *Cache) BaselineRecordOf(cpus map[ClassQueue]float64, limit int) BaselineRecord {
-	var r BaselineRecord
-	for l, u := range cpus {
-		r.Queues = append(r.Queues, BaselineQueue{c.Teams[l.Team].Name, c.Classes.Name(l.Class), math.Round(u*1000) / 1000})
+	var record BaselineRecord
+	for queue, usual := range cpus {
+		rounded := math.Round(usual*1000) / 1000
+		record.Queues = append(record.Queues, BaselineQueue{c.Teams[queue.Team].Name, c.Classes.Name(queue.Class), rounded})
 	}
-	slices.SortFunc(r.Queues, func(x, y BaselineQueue) int {
-		return cmp.Or(cmp.Compare(y.Cpus, x.Cpus), cmp.Compare(x.Team, y.Team), cmp.Compare(x.Class, y.Class))
+	slices.SortFunc(record.Queues, func(a, b BaselineQueue) int {
+		return cmp.Or(cmp.Compare(b.Cpus, a.Cpus), cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
 	})
-	for len(r.Queues) > 0 && len(Encode(r)) > limit {
-		r.Queues = r.Queues[:len(r.Queues)*9/10]
+	for len(record.Queues) > 0 && len(Encode(record)) > limit {
+		record.Queues = record.Queues[:len(record.Queues)*9/10]
 	}
-	return r
+	return record
 }
 
-func (c *Cache) applyBaseline(value json.RawMessage, version uint64) error {
-	var baselineRecord BaselineRecord
-	if err := json.Unmarshal(value, &baselineRecord); err != nil {
-		return fmt.Errorf("record %s: %w", BaselineKey, err)
+// applyBaseline takes the record of the usual demand.
+func (c *Cache) applyBaseline(change recordChange) error {
+	if change.deleted {
+		c.Baseline = Baseline{}
+		return nil
+	}
+	record, err := decodeJSON[BaselineRecord](change.value)
+	if err != nil {
+		return err
 	}
-	u := Baseline{Cpus: map[ClassQueue]float64{}, Version: version}
-	for _, x := range baselineRecord.Queues {
+	baseline := Baseline{Cpus: map[ClassQueue]float64{}, Version: change.revision}
+	for _, queue := range record.Queues {
 		// A team that the settings name no more has no jobs either.
-		if t := c.TeamIndex.Find(x.Team); t >= 0 && x.Cpus > 0 {
-			u.Cpus[ClassQueue{t, min(c.Classes.Index(x.Class), maxClassesPerTeam-1)}] = x.Cpus
+		if team := c.TeamIndex.Find(queue.Team); team >= 0 && queue.Cpus > 0 {
+			baseline.Cpus[newClassQueue(team, c.Classes.Index(queue.Class))] = queue.Cpus
 		}
 	}
-	c.Baseline = u
+	c.Baseline = baseline
 	return nil
 }
 
-// Arrivals is what was asked for: jobs, and their work in seconds of a CPU.
+// Arrivals is what was asked for: jobs, and their work in CPU seconds.
 type Arrivals struct{ Jobs, Work float64 }
 
 // countArrival counts a job that is new to this process.
-func (c *Cache) countArrival(j *Job) {
-	if j.Estimate > 0 {
-		a := c.Arrivals[ClassQueueOf(j)]
-		c.Arrivals[ClassQueueOf(j)] = Arrivals{a.Jobs + 1, a.Work + float64(j.Tasks)*j.Size*j.Estimate}
+func (c *Cache) countArrival(job *Job) {
+	if job.Estimate > 0 {
+		queue := ClassQueueOf(job)
+		before := c.Arrivals[queue]
+		c.Arrivals[queue] = Arrivals{before.Jobs + 1, before.Work + float64(job.Tasks)*job.Size*job.Estimate}
 	}
 }
--- a/internal/storage/change_feed.go
+++ b/internal/storage/change_feed.go
@@ -1,73 +1,96 @@
 package storage
 
-// changeFeed collects which jobs, machines and evicted sets have changed, each once, for whoever
-// shows the cache to others. A cache that nobody watches collects nothing.
+import "github.com/tidwall/btree"
+
+// changeFeed collects which jobs, machines and victim sets have changed, each once, for whoever
+// shows the cache to others. One that is not enabled collects nothing.
 type changeFeed struct {
-	jobs     []*Job
-	machines []*Machine
-	evicted  map[string]bool
+	enabled    bool
+	jobs       []*Job
+	machines   []*Machine
+	victimSets map[string]bool // by the id of the job
 }
 
-// EnableChangeFeed begins to collect news. It is called before the first record is taken.
-func (c *Cache) EnableChangeFeed() { c.feed = &changeFeed{evicted: map[string]bool{}} }
+func (f *changeFeed) enable() { f.enabled, f.victimSets = true, map[string]bool{} }
 
-// TakeChanges hands over up to limit jobs and machines that have changed since they were last
-// handed over, and the evicted sets; more tells that others are left. A job that was
-// forgotten comes a last time, with its final state.
-func (c *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, evicted []string, more bool) {
-	changeFeed := c.feed
-	jobs, changeFeed.jobs = splitAt(changeFeed.jobs, limit)
-	machines, changeFeed.machines = splitAt(changeFeed.machines, limit)
-	for _, j := range jobs {
-		j.inChangeFeed = false
-	}
-	for _, m := range machines {
-		m.inChangeFeed = false
+func (f *changeFeed) addJob(job *Job) {
+	if f.enabled && !job.inChangeFeed {
+		job.inChangeFeed = true
+		f.jobs = append(f.jobs, job)
 	}
-	for id := range changeFeed.evicted {
-		evicted = append(evicted, id)
+}
+
+func (f *changeFeed) addMachine(machine *Machine) {
+	if f.enabled && !machine.inChangeFeed {
+		machine.inChangeFeed = true
+		f.machines = append(f.machines, machine)
 	}
-	clear(changeFeed.evicted)
-	return jobs, machines, evicted, len(changeFeed.jobs)+len(changeFeed.machines) > 0
 }
 
-// PendingChanges is how many changed jobs and machines wait to be handed over.
-func (c *Cache) PendingChanges() int { return len(c.feed.jobs) + len(c.feed.machines) }
+// addMachines adds all machines of a tree.
+func (f *changeFeed) addMachines(machines *btree.BTreeG[*Machine]) {
+	if !f.enabled {
+		return
+	}
+	machines.Scan(func(machine *Machine) bool {
+		f.addMachine(machine)
+		return true
+	})
+}
 
-func splitAt[T any](list []T, limit int) (head, rest []T) {
-	if len(list) <= limit {
-		return list, nil
+func (f *changeFeed) addVictimSet(job string) {
+	if f.enabled {
+		f.victimSets[job] = true
 	}
-	return list[:limit:limit], list[limit:]
 }
 
-func (c *Cache) feedJob(j *Job) {
-	if c.feed != nil && !j.inChangeFeed {
-		j.inChangeFeed = true
-		c.feed.jobs = append(c.feed.jobs, j)
+func (f *changeFeed) pending() int { return len(f.jobs) + len(f.machines) }
+
+func (f *changeFeed) takeJobs(limit int) (jobs []*Job) {
+	jobs, f.jobs = splitAt(f.jobs, limit)
+	for _, job := range jobs {
+		job.inChangeFeed = false
 	}
+	return jobs
 }
 
-func (c *Cache) feedMachine(m *Machine) {
-	if c.feed != nil && !m.inChangeFeed {
-		m.inChangeFeed = true
-		c.feed.machines = append(c.feed.machines, m)
+func (f *changeFeed) takeMachines(limit int) (machines []*Machine) {
+	machines, f.machines = splitAt(f.machines, limit)
+	for _, machine := range machines {
+		machine.inChangeFeed = false
 	}
+	return machines
 }
 
-func (c *Cache) feedVictimSet(id string) {
-	if c.feed != nil {
-		c.feed.evicted[id] = true
+func (f *changeFeed) takeVictimSets() (ids []string) {
+	for id := range f.victimSets {
+		ids = append(ids, id)
 	}
+	clear(f.victimSets)
+	return ids
 }
 
-// feedAllMachines notes all machines: what they cost has changed.
-func (c *Cache) feedAllMachines() {
-	if c.feed == nil {
-		return
+// splitAt cuts a list after at most limit entries.
+func splitAt[T any](list []T, limit int) (head, rest []T) {
+	if len(list) <= limit {
+		return list, nil
 	}
-	c.sorted.machines.Scan(func(m *Machine) bool {
-		c.feedMachine(m)
-		return true
-	})
+	return list[:limit:limit], list[limit:]
+}
+
+// EnableChangeFeed begins to collect changes for TakeChanges. It is called before the first record
+// is applied.
+func (c *Cache) EnableChangeFeed() { c.feed.enable() }
+
+// TakeChanges hands over up to limit jobs and as many machines that have changed since they were
+// last handed over, and the jobs of all changed victim sets; more tells that others are left. A job
+// that was forgotten comes a last time, with its final state.
+func (c *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, victimSets []string, more bool) {
+	jobs = c.feed.takeJobs(limit)
+	machines = c.feed.takeMachines(limit)
+	victimSets = c.feed.takeVictimSets()
+	return jobs, machines, victimSets, c.feed.pending() > 0
 }
+
+// PendingChanges is how many changed jobs and machines wait to be handed over.
+func (c *Cache) PendingChanges() int { return c.feed.pending() }
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -13,110 +13,159 @@
 	"dykeledge/internal/protocol"
 )
 
-// A description may be longer than a record may be: thousands of awaited jobs, or of
-// allowed machine types. It is written in parts before the job's own record, which names
-// them. The parts of one try have a name of their own, so two controllers that are asked to
-// accept the same job do not mix theirs.
+// abandonedChunksAfter is how long chunks may stay that no job's record names: that record goes out
+// seconds after them, and only if they are still there.
+const abandonedChunksAfter = 10 * time.Minute
+
+// chunkOverhead is how many bytes of a chunk's record are not its text, at most.
+const chunkOverhead = 64
 
-// chunkSet is what is known of the parts of one description.
+// chunkedDescriptions are the descriptions that are longer than a record may be: of thousands of
+// dependencies, or of allowed machine types. One is written in chunks before the job's own record,
+// which names them. The chunks of one attempt to accept a job have a name of their own, so two
+// controllers that are asked to accept the same job do not mix theirs.
+type chunkedDescriptions struct {
+	sets map[string]*chunkSet // by job id, a slash and the attempt
+}
+
+// chunkSet is what is known of the chunks of one description.
 type chunkSet struct {
-	chunks    map[int]string
-	versions  map[int]uint64
+	texts     map[int]string // until they are joined
+	revisions map[int]uint64
 	writtenAt time.Time
 }
 
-// abandonedChunksAfter is how long parts may stay that no job's record names: that record goes out
-// seconds after them, and only if they are still there.
-const abandonedChunksAfter = 10 * time.Minute
+func newChunkedDescriptions() *chunkedDescriptions {
+	return &chunkedDescriptions{map[string]*chunkSet{}}
+}
 
-// SplitDescription writes a job's record whose description is over the limit: the parts, and the
-// record that names them.
-func SplitDescription(id, try string, r *JobRecord, limit int) (parts []protocol.Change, main json.RawMessage) {
-	text := base64.RawStdEncoding.EncodeToString(Encode(&JobRecord{Spec: r.Spec, Dependencies: r.Dependencies}))
-	size := limit - 64
-	for i := 0; len(text) > 0; i++ {
-		n := min(size, len(text))
-		parts = append(parts, protocol.Change{Put: chunkKey(id, try, i), Value: Encode(chunkRecord{text[:n], r.SubmittedMs})})
-		text = text[n:]
+// revision is that of a chunk's record; 0 if there is none.
+func (d *chunkedDescriptions) revision(name string, chunk int) uint64 {
+	if set := d.sets[name]; set != nil {
+		return set.revisions[chunk]
 	}
-	x := *r
-	x.Spec, x.Dependencies, x.ChunkSet, x.ChunkCount = nil, "", try, len(parts)
-	return parts, Encode(&x)
+	return 0
 }
 
-func (c *Cache) applyChunk(name string, value json.RawMessage, version uint64, deleted bool) error {
-	at := strings.LastIndexByte(name, '/')
-	i, err := strconv.Atoi(name[at+1:])
-	if at < 0 || err != nil || i < 0 || i > protocol.MaxBody {
-		return fmt.Errorf("record %s%s: no such part", chunkPrefix, name)
-	}
-	storageChunkSet := c.chunkSets[name[:at]]
-	if storageChunkSet != nil && storageChunkSet.versions[i] >= version {
-		return nil
+func (d *chunkedDescriptions) put(name string, chunk int, record chunkRecord, revision uint64) {
+	set := d.sets[name]
+	if set == nil {
+		set = &chunkSet{texts: map[int]string{}, revisions: map[int]uint64{}, writtenAt: time.UnixMilli(record.AtMs)}
+		d.sets[name] = set
 	}
-	if deleted {
-		if storageChunkSet != nil {
-			delete(storageChunkSet.chunks, i)
-			if delete(storageChunkSet.versions, i); len(storageChunkSet.versions) == 0 {
-				delete(c.chunkSets, name[:at])
-			}
-		}
-		return nil
-	}
-	var r chunkRecord
-	if err := json.Unmarshal(value, &r); err != nil {
-		return fmt.Errorf("record %s%s: %w", chunkPrefix, name, err)
+	set.texts[chunk], set.revisions[chunk] = record.Text, revision
+}
+
+func (d *chunkedDescriptions) remove(name string, chunk int) {
+	set := d.sets[name]
+	if set == nil {
+		return
 	}
-	if storageChunkSet == nil {
-		storageChunkSet = &chunkSet{chunks: map[int]string{}, versions: map[int]uint64{}, writtenAt: time.UnixMilli(r.AtMs)}
-		c.chunkSets[name[:at]] = storageChunkSet
+	delete(set.texts, chunk)
+	if delete(set.revisions, chunk); len(set.revisions) == 0 {
+		delete(d.sets, name)
 	}
-	storageChunkSet.chunks[i], storageChunkSet.versions[i] = r.Text, version
-	return nil
 }
 
-// joinChunks puts the parts of a long description into its record. Their text is not kept
-// any longer than until then.
-func (c *Cache) joinChunks(id string, record *JobRecord) error {
-	chunkSet := c.chunkSets[id+"/"+record.ChunkSet]
+// join puts the chunks of a long description into its job's record. Their text is not kept
+// any longer than until then. The error wraps ErrUnknownReference if a chunk is not known.
+func (d *chunkedDescriptions) join(id string, record *JobRecord) error {
+	set := d.sets[id+"/"+record.ChunkSet]
 	text := ""
 	for i := range record.ChunkCount {
-		if chunkSet == nil || chunkSet.chunks[i] == "" {
-			return fmt.Errorf("job %s: part %d of its description is not known", id, i)
+		if set == nil || set.texts[i] == "" {
+			return fmt.Errorf("%w: chunk %d of its description", ErrUnknownReference, i)
 		}
-		text += chunkSet.chunks[i]
+		text += set.texts[i]
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text)
-	var x JobRecord
-	if err == nil {
-		err = json.Unmarshal(raw, &x)
+	if err != nil {
+		return corrupt(fmt.Errorf("its description: %w", err))
 	}
+	description, err := decodeJSON[JobRecord](raw)
 	if err != nil {
-		return fmt.Errorf("job %s: its description: %w", id, err)
+		return fmt.Errorf("its description: %w", err)
 	}
-	record.Spec, record.Dependencies = x.Spec, x.Dependencies
-	clear(chunkSet.chunks)
+	record.Spec, record.Dependencies = description.Spec, description.Dependencies
+	clear(set.texts)
 	return nil
 }
 
-// staleChunks are parts that are needed no more: of jobs that are over, of tries that lost to
-// another, and of those that were given up.
-func (c *Cache) staleChunks(limit int, now time.Time) (out []protocol.Condition) {
-	for name, chunkSet := range c.chunkSets {
-		id, try, _ := strings.Cut(name, "/")
-		_, over := c.final[id]
-		j := c.jobByID[id]
-		if !over && (j == nil && now.Sub(chunkSet.writtenAt) < abandonedChunksAfter || j != nil && j.ChunkSet == try) {
+// stale are chunks that are needed no more: of jobs that are over, of attempts that lost to
+// another, and of those that were abandoned.
+func (d *chunkedDescriptions) stale(jobs *jobTable, limit int, now time.Time) (records []protocol.Condition) {
+	for name, set := range d.sets {
+		id, attempt, _ := strings.Cut(name, "/")
+		if set.needed(attempt, jobs.find(id), now) && !jobs.isForgotten(id) {
 			continue
 		}
-		order := slices.Sorted(maps.Keys(chunkSet.versions))
-		slices.Reverse(order) // the last first: the job's record depends on it
-		for _, i := range order {
-			if len(out) >= limit {
-				return out
+		chunks := slices.Sorted(maps.Keys(set.revisions))
+		slices.Reverse(chunks) // the last first: the job's record depends on it
+		for _, chunk := range chunks {
+			if len(records) >= limit {
+				return records
 			}
-			out = append(out, protocol.Condition{Key: chunkKey(id, try, i), Version: chunkSet.versions[i]})
+			records = append(records, protocol.Condition{Key: chunkKey(id, attempt, chunk), Version: set.revisions[chunk]})
 		}
 	}
-	return out
+	return records
+}
+
+// needed tells whether a job's record names the chunks of an attempt, or may still do so. job is nil
+// if it is not known.
+func (s *chunkSet) needed(attempt string, job *Job, now time.Time) bool {
+	if job == nil {
+		return now.Sub(s.writtenAt) < abandonedChunksAfter
+	}
+	return job.ChunkSet == attempt
+}
+
+// dropUnseen forgets the chunks whose keys are not among those seen.
+func (d *chunkedDescriptions) dropUnseen(seen map[string]bool) {
+	for name, set := range d.sets {
+		for chunk := range set.revisions {
+			if !seen[chunkPrefix+name+"/"+strconv.Itoa(chunk)] {
+				delete(set.revisions, chunk)
+			}
+		}
+	}
+}
+
+// SplitDescription writes a job's record whose description is over the limit in bytes: its chunks,
+// and the record that names them. attempt is the name of this attempt to accept the job.
+func SplitDescription(id, attempt string, record *JobRecord, limit int) (chunks []protocol.Change, main json.RawMessage) {
+	text := base64.RawStdEncoding.EncodeToString(Encode(&JobRecord{Spec: record.Spec, Dependencies: record.Dependencies}))
+	for i := 0; len(text) > 0; i++ {
+		length := min(limit-chunkOverhead, len(text))
+		chunk := chunkRecord{text[:length], record.SubmittedMs}
+		chunks = append(chunks, protocol.Change{Put: chunkKey(id, attempt, i), Value: Encode(chunk)})
+		text = text[length:]
+	}
+	short := *record
+	short.Spec, short.Dependencies, short.ChunkSet, short.ChunkCount = nil, "", attempt, len(chunks)
+	return chunks, Encode(&short)
+}
+
+// applyChunk takes a chunk of a description; name is the job's id, the attempt and the chunk's
+// number, with slashes between.
+func (c *Cache) applyChunk(name string, change recordChange) error {
+	separator := strings.LastIndexByte(name, '/')
+	chunk, err := strconv.Atoi(name[separator+1:])
+	if separator < 0 || err != nil || chunk < 0 || chunk > protocol.MaxBody {
+		return fmt.Errorf("%w: no such chunk", ErrInvalidKey)
+	}
+	setName := name[:separator]
+	if c.descriptions.revision(setName, chunk) >= change.revision {
+		return nil
+	}
+	if change.deleted {
+		c.descriptions.remove(setName, chunk)
+		return nil
+	}
+	record, err := decodeJSON[chunkRecord](change.value)
+	if err != nil {
+		return err
+	}
+	c.descriptions.put(setName, chunk, record, change.revision)
+	return nil
 }
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -6,193 +6,217 @@
 	"dykeledge/internal/protocol"
 )
 
-// This file owns the graph of jobs that wait for other jobs. A job names only jobs that
+// dependencyGraph is the graph of jobs that wait for other jobs. A job names only jobs that
 // were accepted before it was itself, so the graph has no cycles: an edge always leads
 // to an earlier acceptance. Records are read in any order, though, and a job may be
 // known before one that it names.
-
-// FinalState is a job's final state.
-type FinalState struct {
-	Status     protocol.JobStatus
-	Tasks      int32
-	RecordedMs int64 // when it was recorded, in milliseconds of the day's clock; 0: not known
+type dependencyGraph struct {
+	jobs *jobTable
+	feed *changeFeed
+
+	dependents map[string][]*Job // by id: open jobs that wait for it
+	failed     []*Job            // cancelled with a dependency; those that are over are dropped when they are asked for
+	newlyReady []*Job            // since they were last taken
+	inheritors map[*Job]int      // jobs that have inherited from their dependents
+	changed    bool              // since inherit last ran
 }
 
-// Ready tells whether nothing that the job needs is left to wait for. Only the final
-// record of a needed job counts: one whose tasks have all completed may still lose to a
-// cancellation that is on its way, and what started after it would be too early.
-func (j *Job) Ready() bool { return j.unmetDependencies == 0 && !j.DependencyFailed }
-
-// UnmetDependencies is how many jobs it still waits for.
-func (j *Job) UnmetDependencies() int { return j.unmetDependencies }
+func newDependencyGraph(jobs *jobTable, feed *changeFeed) *dependencyGraph {
+	return &dependencyGraph{jobs: jobs, feed: feed, dependents: map[string][]*Job{}}
+}
 
-// addDependencies takes a new job into the graph.
-func (c *Cache) addDependencies(job *Job) {
+// addJob takes a new open job into the graph.
+func (g *dependencyGraph) addJob(job *Job) {
 	job.unmetDependencies = len(job.Dependencies) // at first: it is not ready before all of them were looked at
 	for _, id := range job.Dependencies {
-		if f, ok := c.recordedFinal(id); ok {
-			c.dependencyEnded(job, f)
+		if state, ok := g.jobs.recordedFinal(id); ok {
+			g.dependencyEnded(job, state)
 			continue
 		}
-		c.dependents[id] = append(c.dependents[id], job)
-		if o := c.jobByID[id]; o != nil && o.DependencyFailed {
-			c.failDependents(job)
+		g.dependents[id] = append(g.dependents[id], job)
+		if dependency := g.jobs.find(id); dependency != nil && dependency.DependencyFailed {
+			g.fail(job)
 		}
 	}
-	c.graphChanged = c.graphChanged || len(job.Dependencies) > 0
+	g.changed = g.changed || len(job.Dependencies) > 0
 }
 
-// recordedFinal is a job's final state as its record has it.
-func (c *Cache) recordedFinal(id string) (FinalState, bool) {
-	if f, ok := c.final[id]; ok {
-		return f, true
-	}
-	if j := c.jobByID[id]; j != nil && !j.Open() {
-		return j.outcome(), true
+// noteKnown takes in that a job is known now, which others may have named before.
+func (g *dependencyGraph) noteKnown(id string) {
+	if len(g.dependents[id]) > 0 {
+		g.changed = true
 	}
-	return FinalState{}, false
 }
 
-// outcome is the final state of a job that is over.
-func (j *Job) outcome() FinalState { return FinalState{j.Final, int32(j.DoneCount), j.FinalAtMs} }
-
-// notifyDependents tells the jobs that wait for one that it is over.
-func (c *Cache) notifyDependents(id string, f FinalState) {
+// jobEnded tells the jobs that wait for one that it is over.
+func (g *dependencyGraph) jobEnded(id string, state FinalState) {
 	// What it needed inherits from it no more.
-	c.graphChanged = c.graphChanged || len(c.inheritors) > 0
-	deps := c.dependents[id]
-	if deps == nil {
+	g.changed = g.changed || len(g.inheritors) > 0
+	dependents := g.dependents[id]
+	if dependents == nil {
 		return
 	}
-	delete(c.dependents, id)
-	for _, j := range deps {
-		c.dependencyEnded(j, f)
+	delete(g.dependents, id)
+	for _, job := range dependents {
+		g.dependencyEnded(job, state)
 	}
 }
 
-// dependencyEnded takes down that a job that j needs is over. From the last one's end on j's times
-// count: it is read from that job's record, and so outlives every owner.
-func (c *Cache) dependencyEnded(job *Job, finalState FinalState) {
+// dependencyEnded takes in that a dependency of a job is over. From the last one's end on the job's
+// times count: it is read from that dependency's record, and so outlives every owner.
+func (g *dependencyGraph) dependencyEnded(job *Job, state FinalState) {
 	job.unmetDependencies--
-	c.feedJob(job)
-	if finalState.Status == protocol.Cancelled {
-		c.failDependents(job)
+	g.feed.addJob(job)
+	if state.Status == protocol.Cancelled {
+		g.fail(job)
 		return
 	}
-	if at := time.UnixMilli(finalState.RecordedMs); finalState.RecordedMs > 0 && at.After(job.ReadyAt) {
-		job.ReadyAt = at
+	if endedAt := time.UnixMilli(state.RecordedMs); state.RecordedMs > 0 && endedAt.After(job.ReadyAt) {
+		job.ReadyAt = endedAt
 	}
 	if job.unmetDependencies == 0 && !job.DependencyFailed {
-		c.newlyReady = append(c.newlyReady, job)
+		g.newlyReady = append(g.newlyReady, job)
 	}
 }
 
-// failDependents marks a job and all that need it, directly or through others, as cancelled with
+// fail marks a job and all its dependents, direct or through others, as cancelled with
 // one before them. That follows from the records alone, so every controller says the same at
-// once; their own final records are written at leisure.
-func (c *Cache) failDependents(job *Job) {
-	work := []*Job{job}
-	for len(work) > 0 {
-		j := work[len(work)-1]
-		work = work[:len(work)-1]
-		if j.DependencyFailed || !j.Open() {
+// once; their own final records are written later.
+func (g *dependencyGraph) fail(job *Job) {
+	pending := []*Job{job}
+	for len(pending) > 0 {
+		next := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if next.DependencyFailed || !next.Open() {
 			continue
 		}
-		j.DependencyFailed, c.graphChanged = true, true
-		c.feedJob(j)
-		c.dependencyFailed = append(c.dependencyFailed, j)
-		work = append(work, c.dependents[j.ID]...)
+		next.DependencyFailed, g.changed = true, true
+		g.feed.addJob(next)
+		g.failed = append(g.failed, next)
+		pending = append(pending, g.dependents[next.ID]...)
 	}
 }
 
-// DependencyFailed are the jobs that were cancelled with one before them and have no final record
-// of their own yet.
-func (c *Cache) DependencyFailed() []*Job {
-	keep := c.dependencyFailed[:0]
-	for _, j := range c.dependencyFailed {
-		if j.Open() {
-			keep = append(keep, j)
+// forgetJob drops a job that is over.
+func (g *dependencyGraph) forgetJob(job *Job) { delete(g.inheritors, job) }
+
+// openFailed drops the failed jobs that are over and returns the others.
+func (g *dependencyGraph) openFailed() []*Job {
+	open := g.failed[:0]
+	for _, job := range g.failed {
+		if job.Open() {
+			open = append(open, job)
 		}
 	}
-	clear(c.dependencyFailed[len(keep):])
-	c.dependencyFailed = keep
-	return keep
+	clear(g.failed[len(open):])
+	g.failed = open
+	return open
 }
 
-// NewlyReady returns the jobs that became ready since it was last called.
-func (c *Cache) NewlyReady() []*Job {
-	list := c.newlyReady
-	c.newlyReady = nil
-	return list
+func (g *dependencyGraph) takeNewlyReady() []*Job {
+	ready := g.newlyReady
+	g.newlyReady = nil
+	return ready
 }
 
-// Inherit works out what jobs inherit from those that need them: the highest priority of
-// any, and the latest time at which they must be over for those to be in time. aims is
-// when a job itself should be over at best and at the latest (zero: no such time), length
-// how long it will take. Every job and edge is looked at once.
-func (c *Cache) Inherit(aims func(*Job) (by, late time.Time), length func(*Job) time.Duration) {
-	if !c.graphChanged {
+// mayRun tells whether a job is known, open and not cancelled with a dependency.
+func mayRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
+
+// inherit is described at Cache.Inherit.
+func (g *dependencyGraph) inherit(aims func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+	if !g.changed {
 		return
 	}
-	c.graphChanged = false
-	left := map[*Job]int{} // open jobs that need it and were not looked at yet
-	note := func(j *Job) {
-		if _, ok := left[j]; !ok {
-			left[j] = 0
-			j.Priority = j.OwnPriority
-			j.FinishBy, j.FinishLatest = aims(j)
+	g.changed = false
+	unvisited := g.countDependents(aims)
+	// What nothing depends on any more has only its own left.
+	for job := range g.inheritors {
+		if _, ok := unvisited[job]; !ok {
+			job.Priority, job.FinishBy, job.FinishLatest = job.OwnPriority, time.Time{}, time.Time{}
 		}
 	}
-	for id, deps := range c.dependents {
-		o := c.jobByID[id]
-		if o == nil || !o.Open() || o.DependencyFailed {
-			continue
-		}
-		note(o)
-		for _, j := range deps {
-			if j.Open() && !j.DependencyFailed {
-				note(j)
-				left[o]++
-			}
+	g.inheritors = unvisited
+	var pending []*Job
+	for job, count := range unvisited {
+		if count == 0 {
+			pending = append(pending, job)
 		}
 	}
-	// What nothing needs any more has only its own left.
-	for j := range c.inheritors {
-		if _, ok := left[j]; !ok {
-			j.Priority, j.FinishBy, j.FinishLatest = j.OwnPriority, time.Time{}, time.Time{}
-		}
+	for len(pending) > 0 {
+		job := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		pending = g.passOn(job, duration(job), unvisited, pending)
 	}
-	c.inheritors = left
-	var work []*Job
-	for j, n := range left {
-		if n == 0 {
-			work = append(work, j)
+}
+
+// countDependents returns the jobs of the graph that may run, each with the number of its
+// dependents among them, and sets them back to what they have by themselves.
+func (g *dependencyGraph) countDependents(aims func(*Job) (finishBy, finishLatest time.Time)) map[*Job]int {
+	counts := map[*Job]int{}
+	visit := func(job *Job) {
+		if _, ok := counts[job]; !ok {
+			counts[job] = 0
+			job.Priority = job.OwnPriority
+			job.FinishBy, job.FinishLatest = aims(job)
 		}
 	}
-	for len(work) > 0 {
-		job := work[len(work)-1]
-		work = work[:len(work)-1]
-		takes := length(job)
-		for _, id := range job.Dependencies {
-			o := c.jobByID[id]
-			if o == nil || !o.Open() || o.DependencyFailed {
-				continue
-			}
-			o.Priority = max(o.Priority, job.Priority)
-			o.FinishBy, o.FinishLatest = earlier(o.FinishBy, job.FinishBy, takes), earlier(o.FinishLatest, job.FinishLatest, takes)
-			if left[o]--; left[o] == 0 {
-				work = append(work, o)
+	for id, dependents := range g.dependents {
+		dependency := g.jobs.find(id)
+		if !mayRun(dependency) {
+			continue
+		}
+		visit(dependency)
+		for _, job := range dependents {
+			if mayRun(job) {
+				visit(job)
+				counts[dependency]++
 			}
 		}
 	}
+	return counts
+}
+
+// passOn lets the dependencies of a job inherit from it, and adds to pending those all of whose
+// dependents were visited now.
+func (g *dependencyGraph) passOn(job *Job, takes time.Duration, unvisited map[*Job]int, pending []*Job) []*Job {
+	for _, id := range job.Dependencies {
+		dependency := g.jobs.find(id)
+		if !mayRun(dependency) {
+			continue
+		}
+		dependency.Priority = max(dependency.Priority, job.Priority)
+		dependency.FinishBy = earlier(dependency.FinishBy, job.FinishBy, takes)
+		dependency.FinishLatest = earlier(dependency.FinishLatest, job.FinishLatest, takes)
+		if unvisited[dependency]--; unvisited[dependency] == 0 {
+			pending = append(pending, dependency)
+		}
+	}
+	return pending
 }
 
-func earlier(a, b time.Time, less time.Duration) time.Time {
-	if b.IsZero() {
-		return a
+// earlier is the earlier of a job's own time and that of a dependent less how long the dependent
+// takes. A zero time is none.
+func earlier(own, dependent time.Time, takes time.Duration) time.Time {
+	if dependent.IsZero() {
+		return own
 	}
-	if b = b.Add(-less); a.IsZero() || b.Before(a) {
-		return b
+	if latest := dependent.Add(-takes); own.IsZero() || latest.Before(own) {
+		return latest
 	}
-	return a
+	return own
+}
+
+// DependencyFailed returns the jobs that were cancelled with one before them and have no final
+// record of their own yet. The list is valid until the next change.
+func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailed() }
+
+// NewlyReady returns the jobs that became ready since it was last called.
+func (c *Cache) NewlyReady() []*Job { return c.dependencies.takeNewlyReady() }
+
+// Inherit works out what jobs inherit from their dependents: the highest priority of
+// any, and the latest time at which they must be over for those to be in time. aims tells
+// when a job itself should be over at best and at the latest (zero: no such time), duration
+// how long it will take. Every job and edge is visited once.
+func (c *Cache) Inherit(aims func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+	c.dependencies.inherit(aims, duration)
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -140,7 +140,7 @@
 		}, func(j *Job) time.Duration { return seconds10(j) })
 	}
 	job("4").OwnPriority, job("2").OwnPriority = protocol.High, protocol.Low
-	cache.graphChanged = true
+	cache.dependencies.changed = true
 	set()
 	for n, by := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(n)
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -238,7 +238,7 @@
 	if err := json.Unmarshal(readGolden(t, "long-main.any.json"), &whole); err != nil {
 		t.Fatal(err)
 	}
-	if err := cache.joinChunks(job, &whole); err != nil {
+	if err := cache.descriptions.join(job, &whole); err != nil {
 		t.Fatal(err)
 	}
 	again, _ := SplitDescription(job, try, &whole, limit)
--- /dev/null
+++ b/internal/storage/machine_group.go
@@ -0,0 +1,110 @@
+package storage
+
+import "slices"
+
+// MachineGroup is a group of machines whose records change together.
+type MachineGroup struct {
+	ID           int
+	Shard        int
+	FencingToken uint64
+	Version      uint64 // 0: no record
+	Size         int    // of its record, in bytes
+	Packed       bool   // its record is of the packed layout
+	Machines     []*Machine
+	Completed    []CompletedTask
+}
+
+// CompletedTask is a completed task that its job's own record may not show yet.
+type CompletedTask struct {
+	Job  *Job
+	Task int
+}
+
+// UnsavedCompletions are the completed tasks that must stay in a group's record, since their
+// job's own does not show them.
+func (g *MachineGroup) UnsavedCompletions() []CompletedTask {
+	unsaved := make([]CompletedTask, 0, len(g.Completed))
+	for _, completed := range g.Completed {
+		if completed.Job.Open() && !completed.Job.SavedDone.Get(completed.Task) {
+			unsaved = append(unsaved, completed)
+		}
+	}
+	return unsaved
+}
+
+// group finds a group, and makes an empty one that no record describes yet.
+func (c *Cache) group(id int) *MachineGroup {
+	for len(c.Groups) <= id {
+		c.Groups = append(c.Groups, &MachineGroup{ID: len(c.Groups)})
+	}
+	return c.Groups[id]
+}
+
+// GroupMachineOf writes a machine's part of its group's record, with other tasks.
+func (c *Cache) GroupMachineOf(machine *Machine, tasks []PlacedTask) GroupMachine {
+	entry := GroupMachine{
+		Name:        machine.Name,
+		Incarnation: machine.Incarnation,
+		Returning:   machine.Returning,
+		Draining:    machine.Draining,
+		Unhealthy:   machine.Unhealthy,
+		Moved:       machine.Moved,
+	}
+	if machine.FencingToken > machine.Fleet.record.FencingToken {
+		entry.FencingToken = machine.FencingToken
+	}
+	if machine.Addr != machine.record.Addr {
+		entry.Addr = machine.Addr
+	}
+	for _, placed := range tasks {
+		entry.addTask(placed)
+	}
+	return entry
+}
+
+func (m *GroupMachine) addTask(placed PlacedTask) {
+	i := slices.IndexFunc(m.Tasks, func(tasks PlacedTasks) bool { return tasks.Job == placed.Job.ID })
+	if i < 0 {
+		i = len(m.Tasks)
+		m.Tasks = append(m.Tasks, PlacedTasks{Job: placed.Job.ID})
+	}
+	m.Tasks[i].Numbers = append(m.Tasks[i].Numbers, uint64(placed.Task), placed.Attempt, uint64(placed.PlacedAt), placed.WaitedS)
+}
+
+// empty tells whether a group's record need not list a machine.
+func (m *GroupMachine) empty() bool {
+	flagged := m.Returning || m.Unhealthy || m.Draining || m.Moved
+	return !flagged && m.FencingToken == 0 && m.Incarnation == 0 && m.Addr == "" && len(m.Tasks) == 0
+}
+
+// GroupRecordOf writes a group's record. change, if set, changes a machine's part and
+// tells whether the machine stays.
+func (c *Cache) GroupRecordOf(group *MachineGroup, completed []CompletedTask, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
+	record := &GroupRecord{Shard: group.Shard, FencingToken: group.FencingToken, Completed: completedTasksOf(completed)}
+	for _, machine := range group.Machines {
+		entry, stays := c.GroupMachineOf(machine, machine.Tasks), true
+		if change != nil {
+			entry, stays = change(machine)
+		}
+		if stays && !entry.empty() {
+			record.Machines = append(record.Machines, entry)
+		}
+	}
+	return record
+}
+
+// completedTasksOf writes completed tasks by job, in the order in which each job comes first.
+func completedTasksOf(list []CompletedTask) []CompletedTasks {
+	var records []CompletedTasks
+	position := map[*Job]int{}
+	for _, completed := range list {
+		i, ok := position[completed.Job]
+		if !ok {
+			i = len(records)
+			position[completed.Job] = i
+			records = append(records, CompletedTasks{Job: completed.Job.ID})
+		}
+		records[i].Tasks = append(records[i].Tasks, completed.Task)
+	}
+	return records
+}
--- a/internal/storage/name_index.go
+++ b/internal/storage/name_index.go
@@ -6,13 +6,13 @@
 	names []string
 }
 
-// NewNameIndex starts with the given names.
+// NewNameIndex returns an index of the given names, in their order.
 func NewNameIndex(names ...string) *NameIndex {
-	n := &NameIndex{index: make(map[string]int, len(names))}
-	for _, s := range names {
-		n.Index(s)
+	nameIndex := &NameIndex{index: make(map[string]int, len(names))}
+	for _, name := range names {
+		nameIndex.Index(name)
 	}
-	return n
+	return nameIndex
 }
 
 // Index returns a name's index and gives it one if it is new.
@@ -34,7 +34,7 @@
 	return -1
 }
 
-// Name returns the name of an index.
+// Name returns the name of an index. It panics if there is none.
 func (n *NameIndex) Name(i int) string { return n.names[i] }
 
 // Len returns how many names there are.
--- a/internal/storage/packed_records.go
+++ b/internal/storage/packed_records.go
@@ -64,7 +64,7 @@
 func (m *GroupMachine) packedFlags() uint64 {
 	flags := uint64(0)
 	for _, flag := range []struct {
-		on  bool
+		set bool
 		bit uint64
 	}{
 		{m.Returning, packReturning},
@@ -76,7 +76,7 @@
 		{m.Moved, packMoved},
 		{len(m.Tasks) > 0, packTasks},
 	} {
-		if flag.on {
+		if flag.set {
 			flags |= flag.bit
 		}
 	}
--- /dev/null
+++ b/internal/storage/placements.go
@@ -0,0 +1,47 @@
+package storage
+
+// Usage is what a team's placed tasks take: CPUs, accelerators and memory in GB.
+type Usage struct{ Cpus, Gpus, Mem float64 }
+
+// Add adds a number of tasks of a job; a negative number takes them away.
+func (u *Usage) Add(job *Job, tasks float64) {
+	u.Cpus += tasks * job.Cpus
+	u.Gpus += tasks * job.Gpus
+	u.Mem += tasks * job.Mem
+}
+
+// setTasks replaces the tasks of a machine's record and keeps the counts of its jobs and teams.
+func (c *Cache) setTasks(machine *Machine, tasks []PlacedTask) {
+	c.recordImages(machine)
+	for i := range machine.Tasks {
+		c.removePlacement(machine, &machine.Tasks[i])
+	}
+	for i := range tasks {
+		c.addPlacement(machine, &tasks[i])
+	}
+	machine.Tasks = tasks
+}
+
+func (c *Cache) removePlacement(machine *Machine, placed *PlacedTask) {
+	job, task := placed.Job, placed.Task
+	if job.MachineOf[task] == machine.Index {
+		job.MachineOf[task], job.AttemptOf[task] = Nowhere, 0
+	}
+	job.PlacedCount--
+	job.ByZone[machine.Zone]--
+	job.firstOpen = min(job.firstOpen, task)
+	c.Used[job.Team].Add(job, -1)
+	c.feed.addJob(job)
+}
+
+func (c *Cache) addPlacement(machine *Machine, placed *PlacedTask) {
+	job, task := placed.Job, placed.Task
+	job.MachineOf[task], job.AttemptOf[task] = machine.Index, placed.Attempt
+	job.PlacedCount++
+	for len(job.ByZone) <= machine.Zone {
+		job.ByZone = append(job.ByZone, 0)
+	}
+	job.ByZone[machine.Zone]++
+	c.Used[job.Team].Add(job, 1)
+	c.feed.addJob(job)
+}
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -65,7 +65,7 @@
 			t.Fatal(err)
 		}
 	}
-	group, fleet := cache.Groups[0], cache.fleets["host-000001"]
+	group, fleet := cache.Groups[0], cache.machines.fleets["host-000001"]
 	evicted := cache.VictimSets["job-000007"].VictimSetRecord
 	rec, _ := cache.FleetWithout(fleet, nil)
 	written := map[string]json.RawMessage{
--- a/internal/storage/sorted_views.go
+++ b/internal/storage/sorted_views.go
@@ -2,6 +2,9 @@
 
 import "github.com/tidwall/btree"
 
+// btreeDegree is how many children a node of the sorted views' trees has at least.
+const btreeDegree = 16
+
 // sortedViews keeps jobs and machines in the order of their names, so that a page of a list costs
 // as much as it shows and not as much as there is.
 type sortedViews struct {
@@ -10,29 +13,36 @@
 	machines *btree.BTreeG[*Machine]
 }
 
-func newSortedViews(teams int) sortedViews {
-	// The core's goroutine alone uses them.
-	opts := btree.Options{NoLocks: true, Degree: 16}
-	jobs := func() *btree.BTreeG[*Job] {
-		return btree.NewBTreeGOptions(func(a, b *Job) bool { return a.ID < b.ID }, opts)
+func newSortedViews(teams int) *sortedViews {
+	// The cache is used by one goroutine at a time.
+	options := btree.Options{NoLocks: true, Degree: btreeDegree}
+	newJobs := func() *btree.BTreeG[*Job] {
+		return btree.NewBTreeGOptions(func(a, b *Job) bool { return a.ID < b.ID }, options)
+	}
+	views := &sortedViews{
+		jobs:     newJobs(),
+		machines: btree.NewBTreeGOptions(func(a, b *Machine) bool { return a.Name < b.Name }, options),
 	}
-	o := sortedViews{jobs: jobs(), machines: btree.NewBTreeGOptions(func(a, b *Machine) bool { return a.Name < b.Name }, opts)}
 	for range teams {
-		o.byTeam = append(o.byTeam, jobs())
+		views.byTeam = append(views.byTeam, newJobs())
 	}
-	return o
+	return views
 }
 
-func (o *sortedViews) addJob(j *Job) {
-	o.jobs.Set(j)
-	o.byTeam[j.Team].Set(j)
+func (v *sortedViews) addJob(job *Job) {
+	v.jobs.Set(job)
+	v.byTeam[job.Team].Set(job)
 }
 
-func (o *sortedViews) dropJob(j *Job) {
-	o.jobs.Delete(j)
-	o.byTeam[j.Team].Delete(j)
+func (v *sortedViews) removeJob(job *Job) {
+	v.jobs.Delete(job)
+	v.byTeam[job.Team].Delete(job)
 }
 
+func (v *sortedViews) addMachine(machine *Machine) { v.machines.Set(machine) }
+
+func (v *sortedViews) removeMachine(machine *Machine) { v.machines.Delete(machine) }
+
 // JobsAfter shows the jobs that are not forgotten, in the order of their ids, beginning after
 // one, until yield returns false; of one team only, unless team is below 0.
 func (c *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
@@ -40,7 +50,7 @@
 	if team >= 0 {
 		tree = c.sorted.byTeam[team]
 	}
-	tree.Ascend(&Job{ID: id}, func(j *Job) bool { return j.ID == id || yield(j) })
+	tree.Ascend(&Job{ID: id}, func(job *Job) bool { return job.ID == id || yield(job) })
 }
 
 // MachineCount is how many machines there are; the cache keeps the names of all that there were.
@@ -49,5 +59,7 @@
 // MachinesAfter shows the machines that are there, in the order of their names, beginning
 // after one, until yield returns false.
 func (c *Cache) MachinesAfter(name string, yield func(*Machine) bool) {
-	c.sorted.machines.Ascend(&Machine{Name: name}, func(m *Machine) bool { return m.Name == name || m.Gone || yield(m) })
+	c.sorted.machines.Ascend(&Machine{Name: name}, func(machine *Machine) bool {
+		return machine.Name == name || machine.Gone || yield(machine)
+	})
 }
