--- a/internal/storage/apply_fleet.go
+++ b/internal/storage/apply_fleet.go
@@ -141,6 +141,7 @@
 // if ok is false.
 func (c *Cache) FleetWithout(fleet *Fleet, gone map[*Machine]bool) (record FleetRecord, ok bool) {
 	record = fleet.record
-	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), func(entry FleetMachine) bool { return gone[c.machines.find(entry.Name)] })
+	isGone := func(entry FleetMachine) bool { return gone[c.machines.find(entry.Name)] }
+	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), isGone)
 	return record, len(record.Machines) > 0
 }
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"encoding/json"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,192 +11,281 @@
 	"dykeledge/internal/protocol"
 )
 
+// newTestCache returns a cache of a deployment of one controller with zone a.
+func newTestCache(t *testing.T, teams ...string) *Cache {
+	t.Helper()
+	deployment := config.Deployment{Controllers: 1, Zones: []string{"a"}}
+	for _, name := range teams {
+		deployment.Teams = append(deployment.Teams, config.Team{Name: name})
+	}
+	return NewCache(&config.Settings{Deployment: deployment})
+}
+
+// applyRecord applies a record that must be taken.
+func applyRecord(t *testing.T, cache *Cache, key string, record any, revision uint64) {
+	t.Helper()
+	if err := cache.Apply(key, Encode(record), revision, false); err != nil {
+		t.Fatal(err)
+	}
+}
+
+const (
+	testJob     = "job-000001"
+	testMachine = "m"
+)
+
+// cacheChange is a change of a record in TestCache.
+type cacheChange struct {
+	key       string
+	value     json.RawMessage // nil: deleted
+	revision  uint64
+	wantError bool
+	sweepAt   uint64 // the revision reached, after which final jobs are forgotten; 0: none are
+}
+
+// jobChange is a record of the test job with two tasks.
+func jobChange(revision uint64, final string) cacheChange {
+	record := JobRecord{Spec: &SpecRecord{Cpus: 2, Mem: 1, Image: "i"}, Tasks: 2, Team: "red", Final: final}
+	return cacheChange{key: JobKey(testJob), value: Encode(record), revision: revision}
+}
+
+// groupChange is a group's record with tasks of the test job on the test machine, if any.
+func groupChange(revision uint64, numbers ...uint64) cacheChange {
+	return cacheChange{key: GroupKey(0), value: placedRecord(numbers...), revision: revision}
+}
+
+func placedRecord(numbers ...uint64) json.RawMessage {
+	record := GroupRecord{}
+	if len(numbers) > 0 {
+		record.Machines = []GroupMachine{{Name: testMachine, Tasks: []PlacedTasks{{testJob, numbers}}}}
+	}
+	return Encode(record)
+}
+
+func (c cacheChange) refused() cacheChange {
+	c.wantError = true
+	return c
+}
+
+func (c cacheChange) thenSweepAt(revision uint64) cacheChange {
+	c.sweepAt = revision
+	return c
+}
+
 // TestCache applies changes in the order in which a controller may learn of them, which
 // is not always the order in which they were committed.
 func TestCache(t *testing.T) {
-	spec := &SpecRecord{Cpus: 2, Mem: 1, Image: "i"}
-	job := func(final string, done int) JobRecord {
-		return JobRecord{Spec: spec, Tasks: 2, Team: "red", Final: final, DoneCount: done}
-	}
-	rack := func(numbers ...uint64) GroupRecord {
-		r := GroupRecord{}
-		if len(numbers) > 0 {
-			r.Machines = []GroupMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", numbers}}}}
-		}
-		return r
-	}
-	ended := func(tasks ...int) GroupRecord { return GroupRecord{Completed: []CompletedTasks{{"job-000001", tasks}}} }
-	const j, m, k = Root + "job/job-000001", Root + "fleet/m", Root + "rack/0"
-	type change struct {
-		key     string
-		value   any // nil: deleted
-		version uint64
-		fails   bool
-		sweep   uint64 // the revision reached, after which final jobs are forgotten
-	}
+	doneRecord := Encode(JobRecord{Tasks: 2, Team: "red", Final: "done", DoneCount: 2})
+	completedRecord := Encode(GroupRecord{Completed: []CompletedTasks{{testJob, []int{1}}}})
 	cases := []struct {
-		name    string
-		changes []change
-		final   protocol.JobStatus
-		placed  int
-		used    float64
+		name       string
+		changes    []cacheChange
+		wantFinal  protocol.JobStatus
+		wantPlaced int
+		wantCpus   float64
 	}{
-		{"placed", []change{{key: j, value: job("", 0), version: 1}, {key: k, value: rack(0, 9, 0, 0, 1, 9, 0, 0), version: 2}}, "", 2, 4},
-		{"an older event changes nothing", []change{{key: j, value: job("", 0), version: 1}, {key: k, value: rack(), version: 3},
-			{key: k, value: rack(0, 9, 0, 0), version: 2}}, "", 0, 0},
-		{"done stays done", []change{{key: j, value: JobRecord{Tasks: 2, Team: "red", Final: "done", DoneCount: 2}, version: 5},
-			{key: j, value: job("", 0), version: 1}}, protocol.Done, 0, 0},
-		{"cancelled tasks count until they are gone", []change{{key: j, value: job("", 0), version: 1},
-			{key: k, value: rack(0, 9, 0, 0), version: 2}, {key: j, value: job("cancelled", 0), version: 3, sweep: 3}}, protocol.Cancelled, 1, 2},
+		{"placed", []cacheChange{
+			jobChange(1, ""),
+			groupChange(2, 0, 9, 0, 0, 1, 9, 0, 0),
+		}, "", 2, 4},
+		{"an older event changes nothing", []cacheChange{
+			jobChange(1, ""),
+			groupChange(3),
+			groupChange(2, 0, 9, 0, 0),
+		}, "", 0, 0},
+		{"done stays done", []cacheChange{
+			{key: JobKey(testJob), value: doneRecord, revision: 5},
+			jobChange(1, ""),
+		}, protocol.Done, 0, 0},
+		{"cancelled tasks count until they are gone", []cacheChange{
+			jobChange(1, ""),
+			groupChange(2, 0, 9, 0, 0),
+			jobChange(3, "cancelled").thenSweepAt(3),
+		}, protocol.Cancelled, 1, 2},
 		// The controller cancelled the job itself; what was placed before comes after.
-		{"a cancelled job stays known until the follow has come as far", []change{{key: j, value: job("", 0), version: 1},
-			{key: j, value: job("cancelled", 0), version: 3, sweep: 1}, {key: k, value: rack(0, 9, 0, 0), version: 2}}, protocol.Cancelled, 1, 2},
-		{"a deleted machine frees its tasks", []change{{key: j, value: job("", 0), version: 1},
-			{key: k, value: rack(0, 9, 0, 0), version: 2}, {key: m, version: 3}}, "", 0, 0},
-		{"a completed task stays so when its rack lists it no more", []change{{key: j, value: job("", 0), version: 1},
-			{key: k, value: ended(1), version: 2}, {key: k, value: rack(0, 9, 0, 0), version: 3}}, "", 1, 2},
+		{"a cancelled job stays known until the watch has come as far", []cacheChange{
+			jobChange(1, ""),
+			jobChange(3, "cancelled").thenSweepAt(1),
+			groupChange(2, 0, 9, 0, 0),
+		}, protocol.Cancelled, 1, 2},
+		{"a deleted machine frees its tasks", []cacheChange{
+			jobChange(1, ""),
+			groupChange(2, 0, 9, 0, 0),
+			{key: FleetKey(testMachine), revision: 3},
+		}, "", 0, 0},
+		{"a completed task stays so when its group lists it no more", []cacheChange{
+			jobChange(1, ""),
+			{key: GroupKey(0), value: completedRecord, revision: 2},
+			groupChange(3, 0, 9, 0, 0),
+		}, "", 1, 2},
 		// Read in pages, a group may be newer than the jobs that were read before it.
-		{"a rack that names an unknown job is taken when it comes again", []change{{key: k, value: rack(0, 9, 0, 0), version: 4, fails: true},
-			{key: j, value: job("", 0), version: 3}, {key: k, value: rack(0, 9, 0, 0), version: 4}}, "", 1, 2},
-		{"but for the bar that keeps the version before from starting on packed records", []change{{key: j, value: job("", 0), version: 1},
-			{key: BarrierKey, value: rack(), version: 2}}, "", 0, 0},
-		{"a record of the earlier layout is refused", []change{{key: j, value: job("", 0), version: 1},
-			{key: Root + "machine/m", value: rack(), version: 2, fails: true}}, "", 0, 0},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-			if err := cache.Apply(m, Encode(FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}), 1, false); err != nil {
-				t.Fatal(err)
-			}
-			for _, x := range c.changes {
-				raw := Encode(x.value)
-				if err := cache.Apply(x.key, raw, x.version, x.value == nil); (err != nil) != x.fails {
-					t.Fatalf("%s: %v", x.key, err)
+		{"a group that names an unknown job is taken when it comes again", []cacheChange{
+			groupChange(4, 0, 9, 0, 0).refused(),
+			jobChange(3, ""),
+			groupChange(4, 0, 9, 0, 0),
+		}, "", 1, 2},
+		{"the barrier that keeps the version before from starting on packed records is taken", []cacheChange{
+			jobChange(1, ""),
+			{key: BarrierKey, value: placedRecord(), revision: 2},
+		}, "", 0, 0},
+		{"a record of the earlier layout is refused", []cacheChange{
+			jobChange(1, ""),
+			{key: Root + "machine/m", value: placedRecord(), revision: 2, wantError: true},
+		}, "", 0, 0},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			cache := newTestCache(t, "red")
+			applyRecord(t, cache, FleetKey(testMachine), FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: testMachine}}}, 1)
+			for _, change := range test.changes {
+				err := cache.Apply(change.key, change.value, change.revision, change.value == nil)
+				if (err != nil) != change.wantError {
+					t.Fatalf("%s: %v", change.key, err)
 				}
-				if x.sweep > 0 {
-					cache.Revision = x.sweep
+				if change.sweepAt > 0 {
+					cache.Revision = change.sweepAt
 					cache.Sweep()
 				}
 			}
-			if f, _ := cache.FinalState("job-000001"); f != c.final {
-				t.Errorf("final state %q, want %q", f, c.final)
+			if final, _ := cache.FinalState(testJob); final != test.wantFinal {
+				t.Errorf("final state %q, want %q", final, test.wantFinal)
 			}
 			placed := 0
-			if job := cache.Job("job-000001"); job != nil {
+			if job := cache.Job(testJob); job != nil {
 				placed = job.PlacedCount
 			}
-			if placed != c.placed || cache.Used[0].Cpus != c.used {
-				t.Errorf("%d placed using %v, want %d using %v", placed, cache.Used[0].Cpus, c.placed, c.used)
+			if placed != test.wantPlaced || cache.Used[0].Cpus != test.wantCpus {
+				t.Errorf("%d placed using %v, want %d using %v", placed, cache.Used[0].Cpus, test.wantPlaced, test.wantCpus)
 			}
 		})
 	}
 }
 
+// recountTask is a task of a job of TestRecount.
+type recountTask struct{ job, task int }
+
+// recountModel is what TestRecount has placed and completed, to write the groups' records from.
+type recountModel struct {
+	random    *rand.Rand
+	machineOf map[recountTask]int
+	completed map[recountTask]bool // for good
+}
+
+const (
+	recountMachines = 12
+	recountGroups   = 3
+	recountJobs     = 6
+	recountTasks    = 20 // of each job
+)
+
 // TestRecount applies random changes of groups and compares what the cache keeps
 // beside the records with a full count of them.
 func TestRecount(t *testing.T) {
-	random := rand.New(rand.NewPCG(4, 2))
 	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
-	apply := func(key string, v any, version uint64) {
-		t.Helper()
-		if err := cache.Apply(key, Encode(v), version, v == nil); err != nil {
-			t.Fatal(err)
+	for i := range recountJobs {
+		record := JobRecord{Tasks: recountTasks, Team: []string{"red", "blue"}[i%2], Spec: &SpecRecord{Cpus: float64(1 + i), Image: "i"}}
+		applyRecord(t, cache, JobKey(fmt.Sprint("j", i)), record, 1)
+	}
+	for first, zone := range []string{"a", "z"} {
+		fleet := FleetRecord{Type: "t", Zone: zone}
+		for i := first; i < recountMachines; i += 2 {
+			fleet.Machines = append(fleet.Machines, FleetMachine{Name: fmt.Sprint("m", i), Group: i % recountGroups})
 		}
+		applyRecord(t, cache, FleetKey(zone), fleet, 2)
+	}
+	model := &recountModel{random: rand.New(rand.NewPCG(4, 2)), machineOf: map[recountTask]int{}, completed: map[recountTask]bool{}}
+	for revision := uint64(3); revision < 400; revision++ {
+		group := model.random.IntN(recountGroups)
+		applyRecord(t, cache, GroupKey(group), model.changeGroup(group, revision), revision)
+		checkCounts(t, cache, revision)
 	}
-	const machines, racks, jobs, tasks = 12, 3, 6, 20
-	for i := range jobs {
-		apply(JobKey(fmt.Sprint("j", i)), JobRecord{Tasks: tasks, Team: []string{"red", "blue"}[i%2], Spec: &SpecRecord{Cpus: float64(1 + i), Image: "i"}}, 1)
+}
+
+// changeGroup ends and starts tasks at random on a group's machines and writes its record.
+func (m *recountModel) changeGroup(group int, revision uint64) GroupRecord {
+	record := GroupRecord{}
+	for machine := group; machine < recountMachines; machine += recountGroups {
+		record.Machines = append(record.Machines, m.changeMachine(machine, revision))
 	}
-	for z, zone := range []string{"a", "z"} {
-		f := FleetRecord{Type: "t", Zone: zone}
-		for i := z; i < machines; i += 2 {
-			f.Machines = append(f.Machines, FleetMachine{Name: fmt.Sprint("m", i), Group: i % racks})
+	for placed := range m.completed {
+		if m.completed[placed] && placed.job%recountGroups == group {
+			record.Completed = append(record.Completed, CompletedTasks{fmt.Sprint("j", placed.job), []int{placed.task}})
 		}
-		apply(FleetKey(zone), f, 2)
-	}
-	type place struct{ job, task int }
-	on := map[place]int{}     // machine
-	ended := map[place]bool{} // for good
-	for version := uint64(3); version < 400; version++ {
-		rack := random.IntN(racks)
-		rec := GroupRecord{}
-		for i := rack; i < machines; i += racks {
-			for p, m := range on {
-				if m == i && random.IntN(3) == 0 {
-					delete(on, p)
-					ended[p] = ended[p] || random.IntN(2) == 0
-				}
-			}
-			for range random.IntN(3) {
-				p := place{random.IntN(jobs), random.IntN(tasks)}
-				if _, ok := on[p]; !ok && !ended[p] {
-					on[p] = i
-				}
-			}
-			x := GroupMachine{Name: fmt.Sprint("m", i)}
-			for p, m := range on {
-				if m == i {
-					x.Tasks = append(x.Tasks, PlacedTasks{fmt.Sprint("j", p.job), []uint64{uint64(p.task), version, 0, 0}})
-				}
-			}
-			rec.Machines = append(rec.Machines, x)
+	}
+	return record
+}
+
+func (m *recountModel) changeMachine(machine int, revision uint64) GroupMachine {
+	for placed, on := range m.machineOf {
+		if on == machine && m.random.IntN(3) == 0 {
+			delete(m.machineOf, placed)
+			m.completed[placed] = m.completed[placed] || m.random.IntN(2) == 0
 		}
-		for p := range ended {
-			if ended[p] && p.job%racks == rack {
-				rec.Completed = append(rec.Completed, CompletedTasks{fmt.Sprint("j", p.job), []int{p.task}})
-			}
+	}
+	for range m.random.IntN(3) {
+		placed := recountTask{m.random.IntN(recountJobs), m.random.IntN(recountTasks)}
+		if _, ok := m.machineOf[placed]; !ok && !m.completed[placed] {
+			m.machineOf[placed] = machine
+		}
+	}
+	entry := GroupMachine{Name: fmt.Sprint("m", machine)}
+	for placed, on := range m.machineOf {
+		if on == machine {
+			entry.Tasks = append(entry.Tasks, PlacedTasks{fmt.Sprint("j", placed.job), []uint64{uint64(placed.task), revision, 0, 0}})
 		}
-		apply(GroupKey(rack), rec, version)
-		var used [2]float64
-		placed := make([]int, jobs)
-		for _, k := range cache.Groups {
-			for _, m := range k.Machines {
-				for _, p := range m.Tasks {
-					used[p.Job.Team] += p.Job.Cpus
-					placed[p.Job.Index]++
-					if p.Job.MachineOf[p.Task] != m.Index {
-						t.Fatalf("version %d: %s/%d is on %d, not %d", version, p.Job.ID, p.Task, p.Job.MachineOf[p.Task], m.Index)
-					}
+	}
+	return entry
+}
+
+// checkCounts compares what a cache counts with its machines' tasks.
+func checkCounts(t *testing.T, cache *Cache, revision uint64) {
+	t.Helper()
+	var used [2]float64
+	placed := make([]int, recountJobs)
+	for _, group := range cache.Groups {
+		for _, machine := range group.Machines {
+			for _, task := range machine.Tasks {
+				used[task.Job.Team] += task.Job.Cpus
+				placed[task.Job.Index]++
+				if on := task.Job.MachineOf[task.Task]; on != machine.Index {
+					t.Fatalf("revision %d: %s/%d is on %d, not %d", revision, task.Job.ID, task.Task, on, machine.Index)
 				}
 			}
 		}
-		for i, u := range used {
-			if math.Abs(u-cache.Used[i].Cpus) > 1e-6 {
-				t.Fatalf("version %d: team %d uses %v, counted %v", version, i, cache.Used[i].Cpus, u)
-			}
+	}
+	for team, cpus := range used {
+		if math.Abs(cpus-cache.Used[team].Cpus) > 1e-6 {
+			t.Fatalf("revision %d: team %d uses %v, counted %v", revision, team, cache.Used[team].Cpus, cpus)
 		}
-		for i, j := range cache.Jobs {
-			zones := int32(0)
-			for _, n := range j.ByZone {
-				zones += n
-			}
-			if j.PlacedCount != placed[i] || int(zones) != placed[i] || j.DoneCount != j.Done.Count() {
-				t.Fatalf("version %d: %s has %d placed, %d by zone, %d done; counted %d and %d", version, j.ID, j.PlacedCount, zones, j.DoneCount, placed[i], j.Done.Count())
-			}
+	}
+	for i, job := range cache.Jobs {
+		inZones := int32(0)
+		for _, tasks := range job.ByZone {
+			inZones += tasks
+		}
+		if job.PlacedCount != placed[i] || int(inZones) != placed[i] || job.DoneCount != job.Done.Count() {
+			t.Fatalf("revision %d: %s has %d placed, %d by zone, %d done; counted %d and %d", revision, job.ID, job.PlacedCount, inZones, job.DoneCount, placed[i], job.Done.Count())
 		}
 	}
 }
 
-// A job's final record may be read before the group's that lists tasks which have ended: the
-// record counts them all, and a job of two tasks was called done with four.
+// TestEndedAreCountedOnce reads a job's final record before the group's that lists tasks which have
+// ended: the record counts them all, and a job of two tasks was called done with four.
 func TestEndedAreCountedOnce(t *testing.T) {
-	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
-	for i, x := range []struct {
-		key   string
-		value any
+	cache := newTestCache(t, "red")
+	for i, change := range []struct {
+		key    string
+		record any
 	}{
-		{FleetKey("m"), FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: "m"}}}},
-		{JobKey("job-000001"), JobRecord{Spec: &SpecRecord{Cpus: 1}, Tasks: 2, Team: "red"}},
-		{GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Tasks: []PlacedTasks{{"job-000001", []uint64{0, 5, 0, 0}}}}}}},
-		{JobKey("job-000001"), JobRecord{Tasks: 2, DoneCount: 2, Team: "red", Final: "done"}},
-		{GroupKey(0), GroupRecord{Completed: []CompletedTasks{{"job-000001", []int{0, 1}}}}},
+		{FleetKey(testMachine), FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: testMachine}}}},
+		{JobKey(testJob), JobRecord{Spec: &SpecRecord{Cpus: 1}, Tasks: 2, Team: "red"}},
+		{GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: testMachine, Tasks: []PlacedTasks{{testJob, []uint64{0, 5, 0, 0}}}}}}},
+		{JobKey(testJob), JobRecord{Tasks: 2, DoneCount: 2, Team: "red", Final: "done"}},
+		{GroupKey(0), GroupRecord{Completed: []CompletedTasks{{testJob, []int{0, 1}}}}},
 	} {
-		if err := cache.Apply(x.key, Encode(x.value), uint64(i+1), false); err != nil {
-			t.Fatal(err)
-		}
+		applyRecord(t, cache, change.key, change.record, uint64(i+1))
 	}
-	if _, n := cache.FinalState("job-000001"); n != 2 {
-		t.Errorf("done with %d of 2 tasks", n)
+	if _, tasks := cache.FinalState(testJob); tasks != 2 {
+		t.Errorf("done with %d of 2 tasks", tasks)
 	}
 }
--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -8,14 +8,61 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
+const (
+	// chunkedJob is the job of TestLongDescription.
+	chunkedJob = "job-900000"
+	// recordLimit is the most bytes that a record of it may have.
+	recordLimit = 2 << 10
+)
+
+// limitedStore applies records to a cache as a state service with a limit on their size would keep
+// them.
+type limitedStore struct {
+	cache    *Cache
+	revision uint64
+	keys     map[string]bool // of the records that are left
+}
+
+func (s *limitedStore) put(t *testing.T, key string, value json.RawMessage) error {
+	t.Helper()
+	if len(value) > recordLimit {
+		t.Fatalf("%s takes %d bytes", key, len(value))
+	}
+	s.keys[key] = true
+	s.revision++
+	return s.cache.Apply(key, value, s.revision, false)
+}
+
+func (s *limitedStore) mustPut(t *testing.T, key string, value json.RawMessage) {
+	t.Helper()
+	if err := s.put(t, key, value); err != nil {
+		t.Fatalf("%s: %v", key, err)
+	}
+}
+
+// deleteStale deletes the records that the cache says are needed no more, a few at a time.
+func (s *limitedStore) deleteStale(t *testing.T) {
+	t.Helper()
+	for range 1000 {
+		stale := s.cache.StaleRecords(4, time.UnixMilli(5000))
+		if len(stale) == 0 {
+			return
+		}
+		for _, record := range stale {
+			if s.revision++; record.Version == 0 || s.cache.Apply(record.Key, nil, s.revision, true) != nil {
+				t.Fatalf("%s cannot be deleted", record.Key)
+			}
+			delete(s.keys, record.Key)
+		}
+	}
+}
+
 // TestLongDescription: the longest submissions that the protocol allows are accepted, kept,
 // rewritten and ended in records of 2 KiB.
 func TestLongDescription(t *testing.T) {
-	const limit = 2 << 10
 	var ids, types []string
 	for i := range 4500 {
 		ids = append(ids, fmt.Sprintf("job-%06d", i*37))
@@ -23,71 +70,68 @@
 	for i := range 400 {
 		types = append(types, strings.Repeat(fmt.Sprint(i, "<>\"&"), 30)[:120])
 	}
-	for _, c := range []struct {
+	cases := []struct {
 		name         string
 		tasks        int
-		needs, types []string
-	}{{"many awaited", 3, ids, nil}, {"many types", 100_000, nil, types}, {"both", 1, ids[:2000], types[:200]}} {
-		cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-		cache.Layout.Version = LayoutPacked
-		name := strings.Repeat("n", 128)
-		record := JobRecord{Tasks: c.tasks, Team: "red", SubmittedMs: 5000, Dependencies: PackIDs(c.needs), Spec: &SpecRecord{Class: name, Image: name, Zone: name, Types: c.types, Cpus: 1}}
-		version, records := uint64(1), map[string]bool{}
-		put := func(key string, raw json.RawMessage) error {
-			if len(raw) > limit {
-				t.Fatalf("%s: %s takes %d bytes", c.name, key, len(raw))
-			}
-			records[key] = true
-			version++
-			return cache.Apply(key, raw, version, false)
-		}
-		lost, _ := SplitDescription("job-900000", "1-1", &record, limit) // of a try that came to nothing
-		parts, main := SplitDescription("job-900000", "2-1", &record, limit)
-		if err := put(JobKey("job-900000"), main); err == nil {
-			t.Fatalf("%s: taken without its parts", c.name)
-		}
-		for _, p := range append(lost, parts...) {
-			if err := put(p.Put, p.Value); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := put(JobKey("job-900000"), main); err != nil {
-			t.Fatal(err)
-		}
-		job := cache.Job("job-900000")
-		if !reflect.DeepEqual(job.Dependencies, c.needs) || !reflect.DeepEqual(job.Spec, record.Spec) || job.UnmetDependencies() != len(c.needs) {
-			t.Fatalf("%s: read as %d needs and %d types", c.name, len(job.Dependencies), len(job.Spec.Types))
-		}
-		job.Suspect = true
-		if err := put(JobKey(job.ID), Encode(cache.JobRecordOf(job, job.Done, 0, ""))); err != nil || cache.Job(job.ID) != job {
-			t.Fatalf("%s: rewritten: %v", c.name, err)
-		}
-		for task := 0; task < c.tasks; task += 5000 { // part by part, as they are folded
-			job.Done.Set(task)
-			s, _ := cache.CompletionRecordOf(job, job.Done, task)
-			if err := put(CompletionKey(job.ID, task), Encode(s)); err != nil || !job.SavedDone.Get(task) {
-				t.Fatalf("%s: task %d is not kept: %v", c.name, task, err)
-			}
-		}
-		if err := put(JobKey(job.ID), Encode(cache.JobRecordOf(job, job.Done, job.DoneCount, protocol.Cancelled))); err != nil {
-			t.Fatal(err)
-		}
-		cache.Revision = version
-		cache.Sweep()
-		for range 1000 {
-			stale := cache.StaleRecords(4, time.UnixMilli(5000))
-			if len(stale) == 0 {
-				break
+		dependencies []string
+		types        []string
+	}{
+		{"many dependencies", 3, ids, nil},
+		{"many types", 100_000, nil, types},
+		{"both", 1, ids[:2000], types[:200]},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			name := strings.Repeat("n", 128)
+			spec := &SpecRecord{Class: name, Image: name, Zone: name, Types: test.types, Cpus: 1}
+			record := &JobRecord{Tasks: test.tasks, Team: "red", SubmittedMs: 5000, Dependencies: PackIDs(test.dependencies), Spec: spec}
+			store := &limitedStore{cache: newTestCache(t, "red"), revision: 1, keys: map[string]bool{}}
+			store.cache.Layout.Version = LayoutPacked
+			job := acceptInChunks(t, store, record)
+			if !reflect.DeepEqual(job.Dependencies, test.dependencies) || !reflect.DeepEqual(job.Spec, spec) || job.UnmetDependencies() != len(test.dependencies) {
+				t.Fatalf("read as %d dependencies and %d types", len(job.Dependencies), len(job.Spec.Types))
 			}
-			for _, x := range stale {
-				if version++; x.Version == 0 || cache.Apply(x.Key, nil, version, true) != nil {
-					t.Fatalf("%s cannot be deleted", x.Key)
-				}
-				delete(records, x.Key)
+			rewriteAndComplete(t, store, job)
+			store.cache.Revision = store.revision
+			store.cache.Sweep()
+			store.deleteStale(t)
+			if final, _ := store.cache.FinalState(job.ID); len(store.keys) != 1 || final != protocol.Cancelled {
+				t.Errorf("%d records are left of a job that is %q", len(store.keys), final)
 			}
-		}
-		if f, _ := cache.FinalState(job.ID); len(records) != 1 || f != protocol.Cancelled {
-			t.Errorf("%s: %d records are left of a job that is %q", c.name, len(records), f)
+		})
+	}
+}
+
+// acceptInChunks writes a job as two attempts to accept it, of which the second succeeds.
+func acceptInChunks(t *testing.T, store *limitedStore, record *JobRecord) *Job {
+	t.Helper()
+	lost, _ := SplitDescription(chunkedJob, "1-1", record, recordLimit)
+	chunks, main := SplitDescription(chunkedJob, "2-1", record, recordLimit)
+	if err := store.put(t, JobKey(chunkedJob), main); err == nil {
+		t.Fatal("taken without its chunks")
+	}
+	for _, chunk := range append(lost, chunks...) {
+		store.mustPut(t, chunk.Put, chunk.Value)
+	}
+	store.mustPut(t, JobKey(chunkedJob), main)
+	return store.cache.Job(chunkedJob)
+}
+
+// rewriteAndComplete rewrites a job's record, completes tasks set by set and cancels the job.
+func rewriteAndComplete(t *testing.T, store *limitedStore, job *Job) {
+	t.Helper()
+	job.Suspect = true
+	store.mustPut(t, JobKey(job.ID), Encode(store.cache.JobRecordOf(job, job.Done, 0, "")))
+	if store.cache.Job(job.ID) != job {
+		t.Fatal("rewritten as another job")
+	}
+	for task := 0; task < job.Tasks; task += 5000 {
+		job.Done.Set(task)
+		record, _ := store.cache.CompletionRecordOf(job, job.Done, task)
+		store.mustPut(t, CompletionKey(job.ID, task), Encode(record))
+		if !job.SavedDone.Get(task) {
+			t.Fatalf("task %d is not kept", task)
 		}
 	}
+	store.mustPut(t, JobKey(job.ID), Encode(store.cache.JobRecordOf(job, job.Done, job.DoneCount, protocol.Cancelled)))
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -7,45 +7,51 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
-// graph applies jobs and ends to a cache, in the order given: "b<a,c" is a job b that awaits
-// a and c, "a+" a that is done, "a-" one that is cancelled.
-func graph(t *testing.T, steps ...string) (*Cache, func(string) *Job) {
+// graph applies jobs and ends to a cache, in the order given: "b<a,c" is a job b that depends on
+// a and c, "a+" a that is done, "a-" one that is cancelled. A job's times count in seconds from 1
+// for the first step.
+func graph(t *testing.T, steps ...string) (cache *Cache, job func(name string) *Job) {
 	t.Helper()
-	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-	for i, s := range steps {
-		id := JobKey("job-00000" + s[:1])
-		record := JobRecord{Tasks: 1, Team: "red", SubmittedMs: 1000 * int64(i+1)}
-		switch {
-		case len(s) > 1 && s[1] == '+':
-			record.Final, record.DoneCount, record.FinalAtMs = "done", 1, 1000*int64(i+1)
-		case len(s) > 1 && s[1] == '-':
-			record.Final = "cancelled"
-		default:
-			var needs []string
-			for k := 2; k < len(s); k += 2 {
-				needs = append(needs, "job-00000"+s[k:k+1])
-			}
-			record.Spec, record.Dependencies = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(needs)
-		}
-		if err := cache.Apply(id, Encode(record), uint64(i+1), false); err != nil {
-			t.Fatalf("%s: %v", s, err)
+	cache = newTestCache(t, "red")
+	for i, step := range steps {
+		revision := uint64(i + 1)
+		applyRecord(t, cache, JobKey(graphID(step[:1])), graphRecord(step, 1000*int64(revision)), revision)
+	}
+	return cache, func(name string) *Job { return cache.Job(graphID(name)) }
+}
+
+// graphID is the id of the job that a step of graph names by one letter.
+func graphID(name string) string { return "job-00000" + name }
+
+func graphRecord(step string, atMs int64) JobRecord {
+	record := JobRecord{Tasks: 1, Team: "red", SubmittedMs: atMs}
+	switch {
+	case len(step) > 1 && step[1] == '+':
+		record.Final, record.DoneCount, record.FinalAtMs = "done", 1, atMs
+	case len(step) > 1 && step[1] == '-':
+		record.Final = "cancelled"
+	default:
+		var dependencies []string
+		for i := 2; i < len(step); i += 2 {
+			dependencies = append(dependencies, graphID(step[i:i+1]))
 		}
+		record.Spec, record.Dependencies = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(dependencies)
 	}
-	return cache, func(n string) *Job { return cache.Job("job-00000" + n) }
+	return record
 }
 
+// TestDependencies: what a job is told of its dependencies, in the orders in which they may be read.
 func TestDependencies(t *testing.T) {
 	cases := []struct {
-		name  string
-		steps []string
-		job   string
-		ready bool
-		final protocol.JobStatus // as users are told
-		at    int                // second from when its times count
+		name        string
+		steps       []string
+		job         string
+		ready       bool
+		final       protocol.JobStatus // as users are told
+		readySecond int                // from when its times count
 	}{
 		{"waits", []string{"1", "2<1"}, "2", false, "", 2},
 		{"is ready when the last is done", []string{"1", "2", "3<1,2", "2+", "1+"}, "3", true, "", 5},
@@ -62,30 +68,30 @@
 		{"is known before what it needs, which is done", []string{"3<4", "4+"}, "3", true, "", 2},
 		{"is known before what it needs, which is cancelled with another", []string{"3<4", "4<5", "5-"}, "3", false, protocol.Cancelled, 1},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			cache, job := graph(t, c.steps...)
-			storageJob := job(c.job)
-			if storageJob.Ready() != c.ready || !storageJob.ReadyAt.Equal(time.UnixMilli(int64(c.at)*1000)) {
-				t.Errorf("ready %v at %v", storageJob.Ready(), storageJob.ReadyAt.UnixMilli())
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			cache, find := graph(t, test.steps...)
+			job := find(test.job)
+			if job.Ready() != test.ready || !job.ReadyAt.Equal(time.UnixMilli(int64(test.readySecond)*1000)) {
+				t.Errorf("ready %v at %v", job.Ready(), job.ReadyAt.UnixMilli())
 			}
-			if f, _ := cache.FinalState(storageJob.ID); f != c.final {
-				t.Errorf("users are told %q, not %q", f, c.final)
+			if final, _ := cache.FinalState(job.ID); final != test.final {
+				t.Errorf("users are told %q, not %q", final, test.final)
 			}
-			n := 0
-			for _, r := range cache.NewlyReady() {
-				if r == storageJob {
-					n++
+			becameReady := 0
+			for _, ready := range cache.NewlyReady() {
+				if ready == job {
+					becameReady++
 				}
 			}
-			if (n == 1) != c.ready || n > 1 {
-				t.Errorf("became ready %d times", n)
+			if (becameReady == 1) != test.ready || becameReady > 1 {
+				t.Errorf("became ready %d times", becameReady)
 			}
-			if (storageJob.Waiting() > 0) != c.ready {
-				t.Errorf("%d tasks wait", storageJob.Waiting())
+			if (job.Waiting() > 0) != test.ready {
+				t.Errorf("%d tasks wait", job.Waiting())
 			}
-			if doomed := slices.Contains(cache.DependencyFailed(), storageJob); doomed != (c.final == protocol.Cancelled) {
-				t.Errorf("its own record is still to be written: %v", doomed)
+			if failed := slices.Contains(cache.DependencyFailed(), job); failed != (test.final == protocol.Cancelled) {
+				t.Errorf("its own record is still to be written: %v", failed)
 			}
 		})
 	}
@@ -111,15 +117,7 @@
 				list = append(list, ends[i])
 			}
 		}
-		cache, job := graph(t, list...)
-		got := ""
-		for _, s := range steps {
-			f, _ := cache.FinalState("job-00000" + s[:1])
-			got += fmt.Sprint(f, " ")
-			if j := job(s[:1]); j != nil && f == "" {
-				got += fmt.Sprint(j.Ready(), j.unmetDependencies, ";")
-			}
-		}
+		got := describeGraph(t, steps, list)
 		if want == "" {
 			want = got
 		} else if got != want {
@@ -128,20 +126,37 @@
 	}
 }
 
+// describeGraph applies steps in an order and tells what is known of each job.
+func describeGraph(t *testing.T, steps, order []string) string {
+	t.Helper()
+	cache, find := graph(t, order...)
+	description := ""
+	for _, step := range steps {
+		name := step[:1]
+		final, _ := cache.FinalState(graphID(name))
+		description += fmt.Sprint(final, " ")
+		if job := find(name); job != nil && final == "" {
+			description += fmt.Sprint(job.Ready(), job.UnmetDependencies(), ";")
+		}
+	}
+	return description
+}
+
+// TestInherit: jobs inherit priority and times from their dependents, as long as these are open.
 func TestInherit(t *testing.T) {
 	cache, job := graph(t, "1", "2<1", "3<1", "4<2,3", "5<1")
 	due := map[string]time.Duration{"job-000004": 100 * time.Second, "job-000005": 200 * time.Second}
-	set := func() {
+	inherit := func() {
 		cache.Inherit(func(j *Job) (time.Time, time.Time) {
 			if d := due[j.ID]; d > 0 {
 				return j.Submitted.Add(d), j.Submitted.Add(d * 3 / 2)
 			}
 			return time.Time{}, time.Time{}
-		}, func(j *Job) time.Duration { return seconds10(j) })
+		}, func(*Job) time.Duration { return 10 * time.Second })
 	}
 	job("4").OwnPriority, job("2").OwnPriority = protocol.High, protocol.Low
 	cache.dependencies.changed = true
-	set()
+	inherit()
 	for n, by := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(n)
 		if j.Priority != protocol.High || !j.FinishBy.Equal(time.UnixMilli(int64(by)*1000)) {
@@ -155,7 +170,7 @@
 	if err := cache.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
 		t.Fatal(err)
 	}
-	set()
+	inherit()
 	if j := job("2"); j.Priority != protocol.Low || !j.FinishBy.IsZero() {
 		t.Errorf("job 2 still has priority %v, by %v", j.Priority, j.FinishBy)
 	}
@@ -163,5 +178,3 @@
 		t.Errorf("job 1 has priority %v, by %v", j.Priority, j.FinishBy.UnixMilli())
 	}
 }
-
-func seconds10(*Job) time.Duration { return 10 * time.Second }
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -15,8 +15,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// The golden files hold what a landed version wrote into the state service. A file's name
-// tells the record and the layout that writes it so; "any" is one that every layout shards.
+// The golden files hold what a released version wrote into the state service. A file's name
+// tells the record and the layout that writes it so; "any" is one that all layouts have in common.
 // A difference means that controllers of two versions can't read each other's records.
 
 var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
@@ -88,8 +88,8 @@
 		{"team.teams.json", rewriteJSON[TeamRecord]},
 		{"catalog.any.json", rewriteJSON[protocol.Catalog]},
 	}
-	for _, c := range cases {
-		t.Run(c.file, func(t *testing.T) { checkRewrite(t, c.file, c.file, c.rewrite) })
+	for _, test := range cases {
+		t.Run(test.file, func(t *testing.T) { checkRewrite(t, test.file, test.file, test.rewrite) })
 	}
 }
 
@@ -118,19 +118,19 @@
 			}
 		}},
 	}
-	for _, c := range cases {
-		plain, packed := c.record+".plain.json", c.record+".packed.json"
-		t.Run(plain, func(t *testing.T) { checkRewrite(t, plain, plain, c.rewrite(false)) })
-		t.Run(packed+" from plain", func(t *testing.T) { checkRewrite(t, plain, packed, c.rewrite(true)) })
-		t.Run(packed, func(t *testing.T) { checkRewrite(t, packed, packed, c.rewrite(true)) })
+	for _, test := range cases {
+		plain, packed := test.record+".plain.json", test.record+".packed.json"
+		t.Run(plain, func(t *testing.T) { checkRewrite(t, plain, plain, test.rewrite(false)) })
+		t.Run(packed+" from plain", func(t *testing.T) { checkRewrite(t, plain, packed, test.rewrite(true)) })
+		t.Run(packed, func(t *testing.T) { checkRewrite(t, packed, packed, test.rewrite(true)) })
 	}
 }
 
 // TestGoldenFields requires that every field that a record may have stands in a golden file.
 func TestGoldenFields(t *testing.T) {
 	records := []struct {
-		record string
-		typ    reflect.Type
+		record     string
+		recordType reflect.Type
 	}{
 		{"job", reflect.TypeFor[JobRecord]()},
 		{"rack", reflect.TypeFor[GroupRecord]()},
@@ -146,9 +146,9 @@
 		{"team", reflect.TypeFor[TeamRecord]()},
 		{"catalog", reflect.TypeFor[protocol.Catalog]()},
 	}
-	for _, r := range records {
-		t.Run(r.record, func(t *testing.T) {
-			files, err := filepath.Glob(goldenPath(r.record + `[.\-]*`))
+	for _, test := range records {
+		t.Run(test.record, func(t *testing.T) {
+			files, err := filepath.Glob(goldenPath(test.record + `[.\-]*`))
 			if err != nil || len(files) == 0 {
 				t.Fatalf("no golden file (%v)", err)
 			}
@@ -156,7 +156,7 @@
 			for _, file := range files {
 				text += string(readGolden(t, filepath.Base(file)))
 			}
-			for _, field := range wireNames(r.typ) {
+			for _, field := range wireNames(test.recordType) {
 				if !strings.Contains(text, fmt.Sprintf("%q:", field)) {
 					t.Errorf("no golden file has field %q", field)
 				}
@@ -166,12 +166,12 @@
 }
 
 // wireNames lists the JSON names of a type's fields and of the types within it.
-func wireNames(typ reflect.Type) (names []string) {
-	switch typ.Kind() {
+func wireNames(recordType reflect.Type) (names []string) {
+	switch recordType.Kind() {
 	case reflect.Pointer, reflect.Slice:
-		return wireNames(typ.Elem())
+		return wireNames(recordType.Elem())
 	case reflect.Struct:
-		for field := range typ.Fields() {
+		for field := range recordType.Fields() {
 			if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
 				names = append(names, name)
 			}
@@ -214,23 +214,23 @@
 	})
 }
 
-// TestGoldenLong splits a long description into parts and puts it together again.
+// TestGoldenLong splits a long description into chunks and joins them again.
 func TestGoldenLong(t *testing.T) {
-	const job, try, limit = "job-000007", "n0-1-7", 192
+	const job, attempt, limit = "job-000007", "n0-1-7", 192
 	var record JobRecord
 	if err := json.Unmarshal(readGolden(t, "job-open.any.json"), &record); err != nil {
 		t.Fatal(err)
 	}
-	parts, main := SplitDescription(job, try, &record, limit)
-	checkGolden(t, "long-parts.any.json", Encode(parts))
+	chunks, main := SplitDescription(job, attempt, &record, limit)
+	checkGolden(t, "long-parts.any.json", Encode(chunks))
 	checkGolden(t, "long-main.any.json", main)
 
 	cache := NewCache(&config.Settings{})
-	if err := json.Unmarshal(readGolden(t, "long-parts.any.json"), &parts); err != nil {
+	if err := json.Unmarshal(readGolden(t, "long-parts.any.json"), &chunks); err != nil {
 		t.Fatal(err)
 	}
-	for i, part := range parts {
-		if err := cache.Apply(part.Put, part.Value, uint64(i+1), false); err != nil {
+	for i, chunk := range chunks {
+		if err := cache.Apply(chunk.Put, chunk.Value, uint64(i+1), false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -241,7 +241,7 @@
 	if err := cache.descriptions.join(job, &whole); err != nil {
 		t.Fatal(err)
 	}
-	again, _ := SplitDescription(job, try, &whole, limit)
+	again, _ := SplitDescription(job, attempt, &whole, limit)
 	checkGolden(t, "long-parts.any.json", Encode(again))
 }
 
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -5,50 +5,50 @@
 	"testing"
 	"time"
 
-	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
-// What a machine has fetched is known from the records alone; a task that was there too shortly has
-// fetched nothing, and the size of an image outlives its jobs.
+// TestImagesOfMachines: what a machine has fetched is known from the records alone; a task that was
+// there too shortly has fetched nothing, and the size of an image outlives its jobs.
 func TestImagesOfMachines(t *testing.T) {
-	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
+	cache := newTestCache(t, "red")
 	cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
-	rev := uint64(1)
-	put := func(key string, v any) {
-		rev++
-		if err := cache.Apply(key, Encode(v), rev, false); err != nil {
-			t.Fatal(err)
-		}
+	revision := uint64(1)
+	put := func(key string, record any) {
+		t.Helper()
+		revision++
+		applyRecord(t, cache, key, record, revision)
 	}
-	for _, x := range []struct{ id, image string }{{"job-000001", "i"}, {"job-000002", "k"}, {"job-000003", "l"}} {
-		put(JobKey(x.id), JobRecord{Tasks: 1, Team: "red", Spec: &SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: x.image, ImageGB: 5}})
+	for _, job := range []struct{ id, image string }{{"job-000001", "i"}, {"job-000002", "k"}, {"job-000003", "l"}} {
+		put(JobKey(job.id), JobRecord{Tasks: 1, Team: "red", Spec: &SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: job.image, ImageGB: 5}})
 	}
 	put(GroupKey(0), GroupRecord{})
-	put(FleetKey("m"), FleetRecord{Type: "t", Zone: "a", FencingToken: 3, Machines: []FleetMachine{{Name: "m"}}})
-	rack := func(tasks ...PlacedTasks) {
-		put(GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: "m", Incarnation: 1, Tasks: tasks}}})
+	put(FleetKey(testMachine), FleetRecord{Type: "t", Zone: "a", FencingToken: 3, Machines: []FleetMachine{{Name: testMachine}}})
+	place := func(tasks ...PlacedTasks) {
+		t.Helper()
+		put(GroupKey(0), GroupRecord{Machines: []GroupMachine{{Name: testMachine, Incarnation: 1, Tasks: tasks}}})
 	}
-	since := func(id string, ago int64) PlacedTasks {
-		return PlacedTasks{Job: id, Numbers: []uint64{0, 9, uint64(time.Now().Unix() - ago), 0}}
+	placedBefore := func(id string, seconds int64) PlacedTasks {
+		return PlacedTasks{Job: id, Numbers: []uint64{0, 9, uint64(time.Now().Unix() - seconds), 0}}
 	}
-	rack(since("job-000001", 60), since("job-000002", 5), since("job-000003", 60))
-	rack(since("job-000003", 60))
-	rack()
-	m := cache.Machine("m")
-	if want := []int{cache.Images.Find("i"), cache.Images.Find("l")}; !slices.Equal(m.Images, want) {
-		t.Errorf("images %v, want %v", m.Images, want)
+	place(placedBefore("job-000001", 60), placedBefore("job-000002", 5), placedBefore("job-000003", 60))
+	place(placedBefore("job-000003", 60))
+	place()
+	machine := cache.Machine(testMachine)
+	if want := []int{cache.Images.Find("i"), cache.Images.Find("l")}; !slices.Equal(machine.Images, want) {
+		t.Errorf("images %v, want %v", machine.Images, want)
 	}
 	put(JobKey("job-000001"), JobRecord{Tasks: 1, Team: "red", Final: string(protocol.Done), DoneCount: 1})
-	if gb := cache.ImageGB(cache.Images.Find("i")); cache.Job("job-000001") != nil || gb != 5 {
-		t.Errorf("the job is known: %v, its image's size %v", cache.Job("job-000001") != nil, gb)
+	if size := cache.ImageGB(cache.Images.Find("i")); cache.Job("job-000001") != nil || size != 5 {
+		t.Errorf("the job is known: %v, its image's size %v", cache.Job("job-000001") != nil, size)
 	}
 }
 
-// Sizes count what binds: a machine whose accelerators are all taken has idle CPUs that nobody can use.
+// TestSizes: sizes count what binds, since a machine whose accelerators are all taken has idle CPUs
+// that nobody can use.
 func TestSizes(t *testing.T) {
 	types := []protocol.MachineType{{Name: "cpu", Cpus: 16, MemGB: 64}, {Name: "gpu", Cpus: 48, Gpus: 8, MemGB: 384}}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		spec SpecRecord
 		want float64
@@ -59,14 +59,14 @@
 		{"accelerators bind", SpecRecord{Cpus: 4, Gpus: 1, Mem: 29}, 6},
 		{"no type has room: its own CPUs", SpecRecord{Cpus: 99}, 99},
 	} {
-		b := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Teams: []config.Team{{Name: "red"}}}})
-		x.spec.Class, x.spec.Image = "c", "i"
-		if err := b.Apply(JobKey("job-000001"), Encode(JobRecord{Tasks: 1, Team: "red", Spec: &x.spec}), 2, false); err != nil {
-			t.Fatal(err)
-		}
-		b.UpdateCatalog(&protocol.Catalog{Types: types})
-		if got := b.Job("job-000001").Size; got != x.want {
-			t.Errorf("%s: %v, want %v", x.name, got, x.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			cache := newTestCache(t, "red")
+			test.spec.Class, test.spec.Image = "c", "i"
+			applyRecord(t, cache, JobKey(testJob), JobRecord{Tasks: 1, Team: "red", Spec: &test.spec}, 2)
+			cache.UpdateCatalog(&protocol.Catalog{Types: types})
+			if got := cache.Job(testJob).Size; got != test.want {
+				t.Errorf("size %v, want %v", got, test.want)
+			}
+		})
 	}
 }
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -5,14 +5,13 @@
 	"encoding/json"
 	"testing"
 
-	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 )
 
-// Records as the version in production before the packed layout writes them (commit
-// a8cf51d). Until the gate opens this version must read them and write the same, since
+// productionRecords are as the version in production before the packed layout writes them (commit
+// a8cf51d). Until the packed layout is enabled this version must read them and write the same, since
 // controllers of that version rewrite what they read and drop what they do not know.
-var before = []struct{ key, value string }{
+var productionRecords = []struct{ key, value string }{
 	{Root + "fleet/host-000001", `{"t":4,"h":"t16","b":"a","l":true,"at":1700000000,"m":[{"h":"host-000001","r":0},{"h":"host-000002","r":0,"a":"10.1.0.2:9000"}]}`},
 	{Root + "job/job-000007", `{"s":{"c":"train","p":2,"cpu":4,"mem":4,"img":"img-1","gb":0.5,"ty":["t16"],"l":true,"e":10,"due":90},"at":1700000000123,"n":9,"tm":"red"}`},
 	{Root + "job/job-000008", `{"s":{"c":"scan","p":1,"cpu":1,"mem":4,"img":"img-2","gb":0.5,"z":"a","sp":true,"e":10,"m":5,"mc":1},"at":1700000000456,"d":"BQ","n":3,"nd":2,"tm":"red","x":true}`},
@@ -23,100 +22,183 @@
 	{Root + "node/n0", `{"i":1,"p":"10.0.0.1:8080"}`},
 }
 
-// What that version reads: the fields of its records and no others.
+// What the version in production reads: the fields of its records and no others, of any type.
 type (
-	beforeTasks   struct{ J, P any }
-	beforeMachine struct {
-		H, T, W, A, C, K, D any
-		X                   []beforeTasks
-	}
-	beforeRack struct {
-		S, T any
-		M    []beforeMachine
-		E    []struct{ J, N any }
-	}
-	beforeFleet struct {
-		T, H, B, L, At any
-		M              []struct{ H, R, A any }
-	}
-	beforeJob struct {
-		S  *struct{ C, K, P, Cpu, Gpu, Mem, Img, Gb, Ty, Z, Oz, Sp, L, E, M, Mc, Due any }
-		At any
-		D  any
-		F  any
-		N  any
-		Nd any
-		Tm any
-		X  any
-	}
-	beforeEvict struct {
-		S, At any
-		V     []struct{ H, J, T, A, X any }
-		R     []struct{ H, N any }
+	productionGroup struct {
+		Shard        any `json:"s"`
+		FencingToken any `json:"t"`
+		Machines     []struct {
+			Name         any `json:"h"`
+			FencingToken any `json:"t"`
+			Incarnation  any `json:"w"`
+			Addr         any `json:"a"`
+			Returning    any `json:"c"`
+			Unhealthy    any `json:"k"`
+			Draining     any `json:"d"`
+			Tasks        []struct {
+				Job     any `json:"j"`
+				Numbers any `json:"p"`
+			} `json:"x"`
+		} `json:"m"`
+		Completed []struct {
+			Job   any `json:"j"`
+			Tasks any `json:"n"`
+		} `json:"e"`
+	}
+	productionFleet struct {
+		FencingToken  any `json:"t"`
+		Type          any `json:"h"`
+		Zone          any `json:"b"`
+		Spot          any `json:"l"`
+		ProvisionedAt any `json:"at"`
+		Machines      []struct {
+			Name  any `json:"h"`
+			Group any `json:"r"`
+			Addr  any `json:"a"`
+		} `json:"m"`
+	}
+	productionSpec struct {
+		Class              any `json:"c"`
+		Shape              any `json:"k"`
+		Priority           any `json:"p"`
+		Cpus               any `json:"cpu"`
+		Gpus               any `json:"gpu"`
+		Mem                any `json:"mem"`
+		Image              any `json:"img"`
+		ImageGB            any `json:"gb"`
+		Types              any `json:"ty"`
+		Zone               any `json:"z"`
+		OneZone            any `json:"oz"`
+		Spread             any `json:"sp"`
+		Spot               any `json:"l"`
+		Estimate           any `json:"e"`
+		CheckpointInterval any `json:"m"`
+		CheckpointCost     any `json:"mc"`
+		Deadline           any `json:"due"`
+	}
+	productionJob struct {
+		Spec      *productionSpec `json:"s"`
+		Submitted any             `json:"at"`
+		Done      any             `json:"d"`
+		Final     any             `json:"f"`
+		Tasks     any             `json:"n"`
+		DoneCount any             `json:"nd"`
+		Team      any             `json:"tm"`
+		Suspect   any             `json:"x"`
+	}
+	productionVictimSet struct {
+		Shard   any `json:"s"`
+		AtMs    any `json:"at"`
+		Victims []struct {
+			Machine any `json:"h"`
+			Job     any `json:"j"`
+			Task    any `json:"t"`
+			Attempt any `json:"a"`
+			Score   any `json:"x"`
+		} `json:"v"`
+		Reservations []struct {
+			Machine any `json:"h"`
+			Slots   any `json:"n"`
+		} `json:"r"`
 	}
 )
 
-func TestBeforeTheGate(t *testing.T) {
-	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}}})
-	old := map[string]string{}
-	for i, r := range before {
-		old[r.key] = r.value
-		if err := cache.Apply(r.key, json.RawMessage(r.value), uint64(i+1), false); err != nil {
+// productionCache has taken in productionRecords.
+func productionCache(t *testing.T) *Cache {
+	t.Helper()
+	cache := newTestCache(t, "red")
+	for i, record := range productionRecords {
+		if err := cache.Apply(record.key, json.RawMessage(record.value), uint64(i+1), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	group, fleet := cache.Groups[0], cache.machines.fleets["host-000001"]
-	evicted := cache.VictimSets["job-000007"].VictimSetRecord
-	rec, _ := cache.FleetWithout(fleet, nil)
+	return cache
+}
+
+// readStrictly reads a record as the version in production, and refuses a field that it does not know.
+func readStrictly(t *testing.T, raw json.RawMessage, into any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		t.Errorf("%s: %v", raw, err)
+	}
+}
+
+// TestBeforeTheGate: until the packed layout is enabled, records are read and written as in
+// production; from then on they are packed, for good.
+func TestBeforeTheGate(t *testing.T) {
+	t.Run("written as read", func(t *testing.T) { checkWrittenAsRead(t, productionCache(t)) })
+	t.Run("no unknown field", func(t *testing.T) { checkProductionFields(t, productionCache(t)) })
+	t.Run("packed once enabled", func(t *testing.T) { checkPackedOnceEnabled(t, productionCache(t)) })
+}
+
+func checkWrittenAsRead(t *testing.T, cache *Cache) {
+	t.Helper()
+	group := cache.Groups[0]
+	victims := cache.VictimSets["job-000007"].VictimSetRecord
+	fleet, _ := cache.FleetWithout(cache.machines.fleets["host-000001"], nil)
 	written := map[string]json.RawMessage{
 		Root + "rack/0":            EncodeGroup(cache.GroupRecordOf(group, group.Completed, nil), cache.Packed()),
-		Root + "fleet/host-000001": EncodeFleet(&rec, cache.Packed()),
-		Root + "evict/job-000007":  EncodeVictimSet(&evicted, cache.Packed()),
+		Root + "fleet/host-000001": EncodeFleet(&fleet, cache.Packed()),
+		Root + "evict/job-000007":  EncodeVictimSet(&victims, cache.Packed()),
 		Root + "share/0":           Encode(cache.Shards[0].ShardRecord),
 		Root + "leader":            Encode(cache.Leader.LeaderRecord),
 		Root + "node/n0":           Encode(cache.Members["n0"].MemberRecord),
 	}
 	for _, id := range []string{"job-000007", "job-000008"} {
-		j := cache.Job(id)
-		written[JobKey(id)] = Encode(cache.JobRecordOf(j, j.SavedDone, j.SavedDone.Count(), ""))
+		job := cache.Job(id)
+		written[JobKey(id)] = Encode(cache.JobRecordOf(job, job.SavedDone, job.SavedDone.Count(), ""))
 	}
-	for key, raw := range written {
-		if string(raw) != old[key] {
-			t.Errorf("%s is written as\n%s, not\n%s", key, raw, old[key])
-		}
+	if len(written) != len(productionRecords) {
+		t.Errorf("%d of %d records are written", len(written), len(productionRecords))
 	}
-	// Whatever else is written before the gate, that version knows every field of it.
-	job := cache.Job("job-000007")
-	full := GroupRecord{Shard: 1, FencingToken: 2, Machines: []GroupMachine{{"h", 1, 2, "a", true, true, true, false,
-		[]PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}}, Completed: []CompletedTasks{{"j", []int{1}}}}
-	strict := func(raw json.RawMessage, into any) {
-		t.Helper()
-		d := json.NewDecoder(bytes.NewReader(raw))
-		d.DisallowUnknownFields()
-		if err := d.Decode(into); err != nil {
-			t.Errorf("%s: %v", raw, err)
+	for _, record := range productionRecords {
+		if raw := written[record.key]; string(raw) != record.value {
+			t.Errorf("%s is written as\n%s, not\n%s", record.key, raw, record.value)
 		}
 	}
-	strict(EncodeGroup(&full, cache.Packed()), &beforeRack{})
-	strict(EncodeFleet(&rec, cache.Packed()), &beforeFleet{})
-	strict(EncodeVictimSet(&evicted, cache.Packed()), &beforeEvict{})
-	for _, f := range []protocol.JobStatus{"", protocol.Done, protocol.Cancelled} {
-		strict(Encode(cache.JobRecordOf(job, job.Done, job.DoneCount, f)), &beforeJob{})
+}
+
+// checkProductionFields: whatever else is written, that version knows every field of it.
+func checkProductionFields(t *testing.T, cache *Cache) {
+	t.Helper()
+	group := GroupRecord{
+		Shard: 1, FencingToken: 2,
+		Machines:  []GroupMachine{{"h", 1, 2, "a", true, true, true, false, []PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}},
+		Completed: []CompletedTasks{{"j", []int{1}}},
 	}
-	// From the gate on the same is written packed, and read as it was.
+	fleet, _ := cache.FleetWithout(cache.machines.fleets["host-000001"], nil)
+	victims := cache.VictimSets["job-000007"].VictimSetRecord
+	readStrictly(t, EncodeGroup(&group, cache.Packed()), &productionGroup{})
+	readStrictly(t, EncodeFleet(&fleet, cache.Packed()), &productionFleet{})
+	readStrictly(t, EncodeVictimSet(&victims, cache.Packed()), &productionVictimSet{})
+	job := cache.Job("job-000007")
+	for _, final := range []protocol.JobStatus{"", protocol.Done, protocol.Cancelled} {
+		readStrictly(t, Encode(cache.JobRecordOf(job, job.Done, job.DoneCount, final)), &productionJob{})
+	}
+}
+
+// checkPackedOnceEnabled: a record is written packed once that is enabled, and read as it was; the
+// plain layout never comes back.
+func checkPackedOnceEnabled(t *testing.T, cache *Cache) {
+	t.Helper()
+	group, job := cache.Groups[0], cache.Job("job-000007")
 	if err := cache.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPacked}), 50, false); err != nil || !cache.Packed() {
-		t.Fatal("the gate does not open", err)
+		t.Fatal("the packed layout is not enabled", err)
 	}
 	raw := EncodeGroup(cache.GroupRecordOf(group, group.Completed, nil), cache.Packed())
-	if len(raw) >= len(old[Root+"rack/0"]) {
-		t.Errorf("packed it takes %d bytes", len(raw))
+	for _, record := range productionRecords {
+		if record.key == GroupKey(0) && len(raw) >= len(record.value) {
+			t.Errorf("packed it takes %d bytes", len(raw))
+		}
 	}
 	tasks, done := len(group.Machines[0].Tasks), job.DoneCount
-	if err := cache.Apply(Root+"rack/0", raw, 51, false); err != nil || len(group.Machines[0].Tasks) != tasks || job.DoneCount != done || !group.Machines[1].Unhealthy {
+	err := cache.Apply(Root+"rack/0", raw, 51, false)
+	if err != nil || len(group.Machines[0].Tasks) != tasks || job.DoneCount != done || !group.Machines[1].Unhealthy {
 		t.Errorf("read again: %v, %d tasks", err, len(group.Machines[0].Tasks))
 	}
-	// It never closes again.
 	if err := cache.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPlain}), 52, false); err != nil || !cache.Packed() {
-		t.Error("the gate has closed", err)
+		t.Error("the packed layout is disabled again", err)
 	}
 }
