--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -135,3 +135,42 @@
 	}
 	store.mustPut(t, JobKey(job.ID), Encode(store.cache.JobRecordOf(job, job.Done, job.DoneCount, protocol.Cancelled)))
 }
+
+// TestStaleChunks: chunks stay as long as a job's record names them or may still do so.
+func TestStaleChunks(t *testing.T) {
+	writtenAt := time.UnixMilli(5000)
+	record := &JobRecord{Tasks: 1, Team: "red", SubmittedMs: writtenAt.UnixMilli(), Spec: &SpecRecord{Cpus: 1, Class: "c"}}
+	chunks, main := SplitDescription(chunkedJob, "1-1", record, chunkOverhead+16)
+	cases := []struct {
+		name      string
+		accept    bool // the job's record, which names the chunks, is written
+		attempt   string
+		age       time.Duration
+		wantStale bool
+	}{
+		{"the job's record may still come", false, "1-1", abandonedChunksAfter - time.Second, false},
+		{"abandoned", false, "1-1", abandonedChunksAfter, true},
+		{"named by an open job", true, "1-1", 2 * abandonedChunksAfter, false},
+		{"of an attempt that lost", true, "2-1", 0, true},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			cache := newTestCache(t, "red")
+			key := chunkKey(chunkedJob, test.attempt, 0)
+			applyRecord(t, cache, key, chunkRecord{Text: "t", AtMs: writtenAt.UnixMilli()}, 1)
+			if test.accept {
+				for _, chunk := range chunks {
+					applyRecord(t, cache, chunk.Put, chunk.Value, 2)
+				}
+				applyRecord(t, cache, JobKey(chunkedJob), main, 3)
+			}
+			stale := cache.StaleRecords(10, writtenAt.Add(test.age))
+			if test.wantStale != (len(stale) == 1) || len(stale) > 1 {
+				t.Fatalf("stale: %v", stale)
+			}
+			if test.wantStale && (stale[0] != protocol.Condition{Key: key, Version: 1}) {
+				t.Errorf("stale: %v, want %s", stale[0], key)
+			}
+		})
+	}
+}
