--- a/internal/storage/apply_control.go
+++ b/internal/storage/apply_control.go
@@ -31,11 +31,11 @@
 		delete(c.Members, name)
 		return nil
 	}
-	record, err := decodeJSON[MemberRecord](change.value)
-	if err != nil {
+	member := &Member{Version: change.revision}
+	if err := decodeInto(change.value, &member.MemberRecord); err != nil {
 		return err
 	}
-	c.Members[name] = &Member{record, change.revision}
+	c.Members[name] = member
 	return nil
 }
 
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -41,11 +41,17 @@
 // decodeJSON reads a record that is plain JSON. What was read before an error is returned with it;
 // the error wraps ErrCorrupt.
 func decodeJSON[T any](raw json.RawMessage) (record T, err error) {
-	if err = json.Unmarshal(raw, &record); err != nil {
-		err = corrupt(err)
-	}
+	err = decodeInto(raw, &record)
 	return record, err
 }
 
+// decodeInto is decodeJSON for a record that is kept where it is.
+func decodeInto[T any](raw json.RawMessage, record *T) error {
+	if err := json.Unmarshal(raw, record); err != nil {
+		return corrupt(err)
+	}
+	return nil
+}
+
 // corrupt marks a decoder's error as ErrCorrupt and keeps the error itself in the chain.
 func corrupt(err error) error { return fmt.Errorf("%w: %w", ErrCorrupt, err) }
