--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -7,26 +7,27 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns queues: what each stands for, and the order between them.
+// This file orders class queues: what each may count on, and whose turn it is.
 
-// QueueState is a class of one team.
+// QueueState is what is known of one team's class queue. Its amounts are in CPUs.
 type QueueState struct {
-	Baseline float64 // CPUs that it usually keeps busy; 0: not known
-	Floor    float64 // CPUs that it has in a flood before those that flood have more than is usual
-	Used     float64 // CPUs that its placed tasks take, on all shards
-	Open     float64 // CPUs that all its tasks would take that run or wait
-	Late     float64 // CPUs that tasks of jobs take which have waited far too long
+	Baseline float64 // kept busy most of the time; 0: not known
+	Floor    float64 // kept in an overload before overloaded queues get more than their baseline
+	Used     float64 // used by its placed tasks, on all shards
+	Open     float64 // that all its tasks would use that run or wait
+	Late     float64 // used by tasks of jobs that have waited far too long
 	// OpenOnDemand is what of Open may not use spot machines.
 	OpenOnDemand float64
-	Overloaded   bool // far more is open than is usual
-	// LeavesOnDemand says that its best-effort work which may use spot machines takes no ordinary ones.
+	// Overloaded tells that far more is open than the baseline.
+	Overloaded bool
+	// LeavesOnDemand tells that its best-effort work which may use spot machines is kept off on-demand ones.
 	LeavesOnDemand bool
 }
 
-// QueueStates are queues by storage.Queue.Index; nil where there is none.
+// QueueStates are class queues by storage.ClassQueue.Index; nil where there is none.
 type QueueStates []*QueueState
 
-// At is a queue, nil if there is none.
+// At is the state of a class queue, nil if there is none.
 func (l QueueStates) At(x storage.ClassQueue) *QueueState {
 	if i := x.Index(); i < len(l) {
 		return l[i]
@@ -34,7 +35,8 @@
 	return nil
 }
 
-// Ensure is a queue, made if there is none.
+// Ensure is the state of a class queue, made if there is none. The list must be long enough for it; see
+// storage.ClassQueueCount.
 func (l QueueStates) Ensure(x storage.ClassQueue) *QueueState {
 	i := x.Index()
 	if l[i] == nil {
@@ -43,129 +45,143 @@
 	return l[i]
 }
 
-// rank is where a queue stands in a flood: first all have what they usually have, the one
-// that lacks most of it first; then those that do not flood have their floors; then all have
-// what is left. part is how much it has of what it stands for.
-func (l *QueueState) rank() (n int, part float64) {
+// The ranks of class queues in an overload, in the order in which they get capacity.
+const (
+	rankBelowBaseline = iota // has less than its baseline
+	rankBelowFloor           // not overloaded itself, and has less than its floor
+	rankSatisfied            // shares what is left
+)
+
+// rank is where a class queue stands in an overload, and within a rank how much it has of what it
+// stands for there, from 0 to 1: the one that lacks most goes first.
+func (l *QueueState) rank() (rank int, part float64) {
 	switch {
 	case l == nil || l.Floor <= 0:
-		return 2, 1
+		return rankSatisfied, 1
 	case l.Used < l.Baseline:
-		return 0, l.Used / l.Baseline
+		return rankBelowBaseline, l.Used / l.Baseline
 	case l.Used < l.Floor && !l.Overloaded:
-		return 1, l.Used / l.Floor
+		return rankBelowFloor, l.Used / l.Floor
 	}
-	return 2, 1
+	return rankSatisfied, 1
 }
 
-// state is a queue's own, nil if nothing is known of it.
-func (q *queue) state(in *Input) *QueueState { return in.Queues.At(q.class) }
+// state is what is known of a class queue, nil if nothing is.
+func (q *jobQueue) state(input *Input) *QueueState { return input.Queues.At(q.class) }
 
-// leavesOnDemand tells whether ordinary machines are left to others than a job.
-func (in *Input) leavesOnDemand(j *storage.Job) bool {
-	if !in.Overloaded || !j.Spot || j.Priority.Top() {
+// leavesOnDemand tells whether a job is kept off on-demand machines, which are left to others.
+func (in *Input) leavesOnDemand(job *storage.Job) bool {
+	if !in.Overloaded || !job.Spot || job.Priority.Top() {
 		return false
 	}
-	l := in.Queues.At(storage.ClassQueueOf(j))
-	return l != nil && l.LeavesOnDemand
+	state := in.Queues.At(storage.ClassQueueOf(job))
+	return state != nil && state.LeavesOnDemand
 }
 
-// capacityOf is how many CPUs a queue in order may count on: what it has, what is free, what its
-// first job may evict, and no less than its floor.
-func (in *Input) capacityOf(scheduleQueue *queue) float64 {
-	queueState, top := scheduleQueue.state(in), scheduleQueue.jobs[0].job.Priority.Top()
-	spot := slices.ContainsFunc(scheduleQueue.jobs, func(c *cursor) bool { return c.job.Spot })
+// capacityOf is how many CPUs a sorted class queue may count on: what it uses, what is free, what its
+// first job may preempt, and no less than its floor.
+func (in *Input) capacityOf(queue *jobQueue) float64 {
+	state := queue.state(in)
+	mayPreempt := queue.jobs[0].job.Priority.Top()
+	usesSpot := slices.ContainsFunc(queue.jobs, func(cursor *jobCursor) bool { return cursor.job.Spot })
 	free := 0.0
-	for _, s := range in.Slots {
-		if s.Machine.Spot && !spot {
+	for _, slot := range in.Slots {
+		if slot.Machine.Spot && !usesSpot {
 			continue
 		}
-		free += s.cpus(s.Free)
-		if top {
-			free += s.cpus(s.Preemptible)
+		free += slot.effectiveCpus(slot.Free)
+		if mayPreempt {
+			free += slot.effectiveCpus(slot.Preemptible)
 		}
 	}
-	return max(queueState.Used+free, queueState.Floor)
+	return max(state.Used+free, state.Floor)
 }
 
-// cpus is what is free of a slot, or evicted from it, in CPUs: no more of them than its accelerators stand for.
-func (s *Slot) cpus(u storage.Usage) float64 {
+// effectiveCpus is what part of a slot's capacity comes to in CPUs: with accelerators no more CPUs than
+// belong to those, since the others are of no use without one.
+func (s *Slot) effectiveCpus(part storage.Usage) float64 {
 	if s.PerGpu > 0 {
-		return max(0, min(u.Cpus, u.Gpus*s.PerGpu))
+		return max(0, min(part.Cpus, part.Gpus*s.PerGpu))
 	}
-	return u.Cpus
+	return part.Cpus
 }
 
-// nextQueue is the queue whose first job starts next: of each team the queue that goes first in
-// it, and of those the one whose team goes first. A team's guarantee speaks for its first job, not
-// for a smaller one of a queue behind it.
-func nextQueue(input *Input, live []*queue, teams []int) int {
-	for t := range teams {
-		teams[t] = -1
+// noQueue marks a team without waiting jobs in nextQueue.
+const noQueue = -1
+
+// nextQueue is the index of the queue whose first job starts next: of each team the queue that goes
+// first in it, and of those the one whose team goes first. A team's guarantee counts for its first job,
+// not for a smaller one of a queue behind it. firstByTeam is scratch memory, one entry a team.
+func nextQueue(input *Input, queues []*jobQueue, firstByTeam []int) int {
+	for team := range firstByTeam {
+		firstByTeam[team] = noQueue
 	}
-	for i, q := range live {
-		if b := teams[q.class.Team]; b < 0 || firstInTeam(input, q, live[b]) {
-			teams[q.class.Team] = i
+	for i, queue := range queues {
+		team := queue.class.Team
+		if first := firstByTeam[team]; first == noQueue || goesFirstInTeam(input, queue, queues[first]) {
+			firstByTeam[team] = i
 		}
 	}
-	best := -1
-	for _, i := range teams {
-		if i >= 0 && (best < 0 || goesBefore(input, live[i], live[best])) {
+	best := noQueue
+	for _, i := range firstByTeam {
+		if i != noQueue && (best == noQueue || teamGoesBefore(input, queues[i], queues[best])) {
 			best = i
 		}
 	}
 	return best
 }
 
-// firstInTeam tells whether a queue's first job goes before that of another queue of its team: by
-// priority, in a flood by what the queues have, then by latest start.
-func firstInTeam(in *Input, a, b *queue) bool {
-	ja, jb := a.jobs[0].job, b.jobs[0].job
-	if ja.Priority != jb.Priority {
-		return ja.Priority > jb.Priority
+// goesFirstInTeam tells whether a queue's first job goes before that of another queue of its team: by
+// priority, in an overload by what the queues have of their floors, then by latest start.
+func goesFirstInTeam(input *Input, a, b *jobQueue) bool {
+	jobA, jobB := a.jobs[0].job, b.jobs[0].job
+	if jobA.Priority != jobB.Priority {
+		return jobA.Priority > jobB.Priority
 	}
-	if c := compareFloors(in, a, b); c != 0 {
-		return c < 0
+	if order := compareFloors(input, a, b); order != 0 {
+		return order < 0
 	}
-	return first(a.jobs[0], b.jobs[0]) < 0
+	return compareJobs(a.jobs[0], b.jobs[0]) < 0
 }
 
-// compareFloors compares what queues have of their floors, in a flood.
-func compareFloors(in *Input, a, b *queue) int {
-	if !in.Overloaded {
+// compareFloors compares what class queues have of their floors, in an overload.
+func compareFloors(input *Input, a, b *jobQueue) int {
+	if !input.Overloaded {
 		return 0
 	}
-	sa, pa := a.state(in).rank()
-	sb, pb := b.state(in).rank()
-	return cmp.Or(cmp.Compare(sa, sb), cmp.Compare(pa, pb))
+	rankA, partA := a.state(input).rank()
+	rankB, partB := b.state(input).rank()
+	return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(partA, partB))
 }
 
-// goesBefore tells whether a team's first job goes before another team's: teams within their
-// guarantee, then higher priority, then, in a flood, queues that have less than their floors;
-// then the smaller dominant share.
-func goesBefore(input *Input, scheduleQueue, b *queue) bool {
-	ja, jb := scheduleQueue.jobs[0].job, b.jobs[0].job
-	ga, gb := WithinGuarantee(input.Teams[ja.Team], input.Used[ja.Team], ja), WithinGuarantee(input.Teams[jb.Team], input.Used[jb.Team], jb)
-	if ga != gb {
-		return ga
+// teamGoesBefore tells whether a team's first job goes before another team's: teams within their
+// guarantee, then higher priority, then, in an overload, queues that have less than their floors; then
+// the smaller dominant share.
+func teamGoesBefore(input *Input, a, b *jobQueue) bool {
+	jobA, jobB := a.jobs[0].job, b.jobs[0].job
+	usedA, usedB := input.Used[jobA.Team], input.Used[jobB.Team]
+	guaranteedA := WithinGuarantee(input.Teams[jobA.Team], usedA, jobA)
+	guaranteedB := WithinGuarantee(input.Teams[jobB.Team], usedB, jobB)
+	if guaranteedA != guaranteedB {
+		return guaranteedA
 	}
-	if ja.Priority != jb.Priority {
-		return ja.Priority > jb.Priority
+	if jobA.Priority != jobB.Priority {
+		return jobA.Priority > jobB.Priority
 	}
-	if c := compareFloors(input, scheduleQueue, b); c != 0 {
-		return c < 0
+	if order := compareFloors(input, a, b); order != 0 {
+		return order < 0
 	}
-	return DominantShare(input.Used[ja.Team], input.Capacity) < DominantShare(input.Used[jb.Team], input.Capacity)
+	return DominantShare(usedA, input.Capacity) < DominantShare(usedB, input.Capacity)
 }
 
-// queueOf finds the queue of a job's queue, or makes one.
-func queueOf(queues []*queue, j *storage.Job) ([]*queue, *queue) {
-	of := storage.ClassQueueOf(j)
-	for _, q := range queues {
-		if q.class == of {
-			return queues, q
+// queueOf finds the queue of a job's class, or adds it to the list.
+func queueOf(queues []*jobQueue, job *storage.Job) ([]*jobQueue, *jobQueue) {
+	class := storage.ClassQueueOf(job)
+	for _, queue := range queues {
+		if queue.class == class {
+			return queues, queue
 		}
 	}
-	q := &queue{class: of}
-	return append(queues, q), q
+	added := &jobQueue{class: class}
+	return append(queues, added), added
 }
--- a/internal/controller/schedule/find_test.go
+++ b/internal/controller/schedule/find_test.go
@@ -14,115 +14,159 @@
 	"dykeledge/internal/storage"
 )
 
-// placeByLooking places as Place does, with a look at every slot for every task.
-func placeByLooking(input *Input) (placed []string, short map[string]int, more bool) {
+// placeByScanning places as Place does, with a scan of every slot for every task.
+func placeByScanning(input *Input) (placed []string, short map[string]int, more bool) {
 	short = map[string]int{}
-	live := queues(input)
-	for len(live) > 0 && len(placed) < input.Tasks {
-		best := nextQueue(input, live, make([]int, len(input.Teams)))
-		queue := live[best]
+	queues := newQueues(input)
+	for len(queues) > 0 && len(placed) < input.Tasks {
+		turn := nextQueue(input, queues, make([]int, len(input.Teams)))
+		queue := queues[turn]
 		cursor := queue.jobs[0]
 		var slot *Slot
 		bounded := false
 		within := WithinLimit(input.Teams[cursor.job.Team], input.Used[cursor.job.Team], cursor.job, 1)
 		if within {
-			slot, bounded = choose(input, cursor)
+			slot, bounded = scanForBest(input, cursor)
 		}
 		switch {
 		case slot != nil:
 			take(input, cursor, slot)
-			placed = append(placed, fmt.Sprintf("%s/%d on %s", cursor.job.ID, cursor.next, slot.Machine.Name))
-			cursor.left--
-			cursor.next = cursor.job.NextWaiting(cursor.next + 1)
+			placed = append(placed, fmt.Sprintf("%s/%d on %s", cursor.job.ID, cursor.nextTask, slot.Machine.Name))
+			cursor.advance()
 		case bounded:
-			more, cursor.left = true, 0
+			more = true
+			cursor.tasksLeft = 0
 		default:
 			if within {
-				short[cursor.job.ID] = cursor.left
+				short[cursor.job.ID] = cursor.tasksLeft
 			}
-			cursor.left = 0
+			cursor.tasksLeft = 0
 		}
-		if cursor.left == 0 || cursor.next < 0 {
-			if queue.jobs = queue.jobs[1:]; len(queue.jobs) == 0 {
-				live = slices.Delete(live, best, best+1)
+		if cursor.tasksLeft == 0 || cursor.nextTask < 0 {
+			queue.jobs = queue.jobs[1:]
+			if len(queue.jobs) == 0 {
+				queues = slices.Delete(queues, turn, turn+1)
 			}
 		}
 	}
-	return placed, short, more || len(live) > 0
+	return placed, short, more || len(queues) > 0
 }
 
-// drawInput draws a fleet with room, groups, images, kept room and limits, and jobs of all kinds. Drawn
-// twice with the same bits it is twice the same.
+// bitSource draws numbers from random bits. The same bits give the same numbers.
+type bitSource struct {
+	bits  []uint16
+	draws int
+}
+
+// draw returns a number from 0 to below n.
+func (b *bitSource) draw(n int) int {
+	b.draws++
+	return int(b.bits[b.draws%len(b.bits)]+uint16(b.draws*7)) % n
+}
+
+// drawInput draws a fleet with free capacity, groups, images, reservations and limits, and jobs of all
+// kinds. Drawn twice with the same bits it is twice the same.
 func drawInput(bits []uint16) *Input {
-	at := 0
-	draw := func(n int) int {
-		at++
-		return int(bits[at%len(bits)]+uint16(at*7)) % n
+	source := &bitSource{bits: bits}
+	input := &Input{Now: time.Unix(2000, 0), Records: source.draw(4), Tasks: 1 + source.draw(40), OnDemandWeight: float64(source.draw(3))}
+	for range 1 + source.draw(3) {
+		input.Teams = append(input.Teams, config.Team{Cpus: float64(source.draw(3) * 8), CpusMax: float64(source.draw(2) * 40)})
+		input.Used = append(input.Used, storage.Usage{Cpus: float64(source.draw(12))})
 	}
-	input := &Input{Now: time.Unix(2000, 0), Records: draw(4), Tasks: 1 + draw(40), OnDemandWeight: float64(draw(3))}
-	for range 1 + draw(3) {
-		input.Teams = append(input.Teams, config.Team{Cpus: float64(draw(3) * 8), CpusMax: float64(draw(2) * 40)})
-		input.Used = append(input.Used, storage.Usage{Cpus: float64(draw(12))})
+	input.Jobs = source.drawJobs(len(input.Teams))
+	input.Slots = source.drawSlots(input.Jobs)
+	input.Overloaded = source.draw(2) > 0
+	input.Queues = source.drawQueues(input.Jobs, len(input.Teams))
+	input.TimeAllowed = func(j *storage.Job) (time.Duration, bool) {
+		n := int(j.Estimate) + len(j.ID) + j.Tasks
+		return time.Duration(n%3) * 500 * time.Second, n%7 == 0
 	}
+	input.Overdue = func(j *storage.Job) bool { return j.Tasks%5 == 0 }
+	input.Capacity = storage.Usage{Cpus: 320, Mem: 1280}
+	return input
+}
+
+func (b *bitSource) drawJobs(teams int) []*storage.Job {
 	var jobs []*storage.Job
-	for i := range 1 + draw(14) {
-		jobs = append(jobs, job(fmt.Sprintf("j%02d", i), 1+draw(7), float64(1+draw(9)), protocol.Priority(draw(4)), func(j *storage.Job) {
-			j.Team, j.Class, j.Spot, j.Zone = draw(len(input.Teams)), draw(3), draw(3) > 0, draw(4)-1
-			j.Image, j.ImageGB, j.Estimate = draw(4), float64(1+draw(3)), float64(5+draw(200))
-			j.OneZone, j.Spread = draw(8) == 0, draw(8) == 0
-			if j.Zone > 2 || draw(2) > 0 {
+	for i := range 1 + b.draw(14) {
+		jobs = append(jobs, job(fmt.Sprintf("j%02d", i), 1+b.draw(7), float64(1+b.draw(9)), protocol.Priority(b.draw(4)), func(j *storage.Job) {
+			j.Team = b.draw(teams)
+			j.Class = b.draw(3)
+			j.Spot = b.draw(3) > 0
+			j.Zone = b.draw(4) - 1
+			j.Image = b.draw(4)
+			j.ImageGB = float64(1 + b.draw(3))
+			j.Estimate = float64(5 + b.draw(200))
+			j.OneZone = b.draw(8) == 0
+			j.Spread = b.draw(8) == 0
+			if j.Zone > 2 || b.draw(2) > 0 {
 				j.Zone = -1
 			}
-			if draw(8) == 0 {
-				j.Types = []int{draw(2)}
+			if b.draw(8) == 0 {
+				j.Types = []int{b.draw(2)}
 			}
 		}))
 	}
-	input.Jobs = jobs
-	var racks []*GroupCapacity
-	for range 1 + draw(5) {
-		racks = append(racks, &GroupCapacity{Touched: draw(4) == 0, Free: draw(12)})
+	return jobs
+}
+
+func (b *bitSource) drawSlots(jobs []*storage.Job) []*Slot {
+	var records []*GroupCapacity
+	for range 1 + b.draw(5) {
+		records = append(records, &GroupCapacity{Touched: b.draw(4) == 0, Free: b.draw(12)})
 	}
-	for i := range 1 + draw(20) {
-		input.Slots = append(input.Slots, slot(fmt.Sprintf("m%02d", i), draw(3), float64(draw(17)), func(s *Slot) {
-			s.Machine.Spot, s.Machine.Type, s.Record = draw(2) > 0, draw(2), racks[draw(len(racks))]
-			s.Images, s.FetchingImages, s.FetchDoneS, s.Risk, s.Rank = []int{draw(4)}, []int{draw(4)}, float64(draw(3)), float64(draw(2)), float64(i)/100
-			if draw(6) == 0 {
-				s.Reservations = []Reservation{{Job: jobs[draw(len(jobs))], Slots: 1 + draw(2)}}
+	var slots []*Slot
+	for i := range 1 + b.draw(20) {
+		slots = append(slots, slot(fmt.Sprintf("m%02d", i), b.draw(3), float64(b.draw(17)), func(s *Slot) {
+			s.Machine.Spot = b.draw(2) > 0
+			s.Machine.Type = b.draw(2)
+			s.Record = records[b.draw(len(records))]
+			s.Images = []int{b.draw(4)}
+			s.FetchingImages = []int{b.draw(4)}
+			s.FetchDoneS = float64(b.draw(3))
+			s.Risk = float64(b.draw(2))
+			s.Rank = float64(i) / 100
+			if b.draw(6) == 0 {
+				s.Reservations = []Reservation{{Job: jobs[b.draw(len(jobs))], Slots: 1 + b.draw(2)}}
 			}
 		}))
 	}
-	input.Overloaded, input.Queues = draw(2) > 0, make(QueueStates, storage.ClassQueueCount(len(input.Teams)))
+	return slots
+}
+
+func (b *bitSource) drawQueues(jobs []*storage.Job, teams int) QueueStates {
+	states := make(QueueStates, storage.ClassQueueCount(teams))
 	for _, j := range jobs {
-		if x := storage.ClassQueueOf(j); draw(3) > 0 && input.Queues.At(x) == nil {
-			*input.Queues.Ensure(x) = QueueState{Baseline: float64(draw(14)), Floor: float64(draw(20)), Used: float64(draw(20)), Overloaded: draw(2) > 0, LeavesOnDemand: draw(3) == 0}
+		if queue := storage.ClassQueueOf(j); b.draw(3) > 0 && states.At(queue) == nil {
+			*states.Ensure(queue) = QueueState{
+				Baseline:       float64(b.draw(14)),
+				Floor:          float64(b.draw(20)),
+				Used:           float64(b.draw(20)),
+				Overloaded:     b.draw(2) > 0,
+				LeavesOnDemand: b.draw(3) == 0,
+			}
 		}
 	}
-	input.TimeAllowed = func(j *storage.Job) (time.Duration, bool) {
-		n := int(j.Estimate) + len(j.ID) + j.Tasks
-		return time.Duration(n%3) * 500 * time.Second, n%7 == 0
-	}
-	input.Overdue = func(j *storage.Job) bool { return j.Tasks%5 == 0 }
-	input.Capacity = storage.Usage{Cpus: 320, Mem: 1280}
-	return input
+	return states
 }
 
-// drawAlike has rapid make the same draws every time.
-func drawAlike(t *testing.T, seed, checks string) {
-	for name, v := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, v); err != nil {
+// fixDraws has rapid make the same draws every time.
+func fixDraws(t *testing.T, seed, checks string) {
+	t.Helper()
+	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 // The search keeps options from one task to the next; whatever changes in between, it must
-// find what a look at every slot would.
-func TestPlaceFindsWhatLookingFinds(t *testing.T) {
-	drawAlike(t, "7", "100")
+// find what a scan of every slot would.
+func TestPlaceFindsWhatScanningFinds(t *testing.T) {
+	fixDraws(t, "7", "100")
 	rapid.Check(t, func(t *rapid.T) {
 		bits := rapid.SliceOfN(rapid.Uint16(), 16, 400).Draw(t, "bits")
-		wantPlaced, wantShort, wantMore := placeByLooking(drawInput(bits))
+		wantPlaced, wantShort, wantMore := placeByScanning(drawInput(bits))
 		res := Place(drawInput(bits))
 		var placed []string
 		for _, p := range res.Placed {
--- /dev/null
+++ b/internal/controller/schedule/fit.go
@@ -0,0 +1,76 @@
+package schedule
+
+import (
+	"math"
+	"slices"
+
+	"dykeledge/internal/storage"
+)
+
+// maxFits bounds Fits for tasks that ask for next to nothing.
+const maxFits = 1e6
+
+// Allowed tells whether a job's tasks may run on a machine at all, whatever is free on it: by spot or
+// on-demand, zone and machine type.
+func Allowed(j *storage.Job, m *storage.Machine) bool {
+	if m.Spot && !j.Spot {
+		return false
+	}
+	if j.Zone >= 0 && j.Zone != m.Zone {
+		return false
+	}
+	return len(j.Types) == 0 || slices.Contains(j.Types, m.Type)
+}
+
+// Fits is how many tasks of a job fit into what is free.
+func Fits(free storage.Usage, j *storage.Job) int {
+	n := math.Inf(1)
+	for _, resource := range [...]struct{ free, each float64 }{
+		{free.Cpus, j.Cpus},
+		{free.Gpus, j.Gpus},
+		{free.Mem, j.Mem},
+	} {
+		if resource.each > 0 {
+			n = min(n, math.Floor(resource.free/resource.each+tolerance))
+		}
+	}
+	return int(max(0, min(n, maxFits)))
+}
+
+// FreeFor is what a job may use on a slot: what is free there less what is reserved for other jobs.
+func FreeFor(s *Slot, j *storage.Job) storage.Usage {
+	free := s.Free
+	for _, reservation := range s.Reservations {
+		if reservation.Job != j {
+			free.Add(reservation.Job, -float64(reservation.Slots))
+		}
+	}
+	return free
+}
+
+// fitsOne tells whether one task of a job fits into what is free.
+func fitsOne(free storage.Usage, job *storage.Job) bool {
+	return free.Cpus+tolerance >= job.Cpus && free.Mem+tolerance >= job.Mem && free.Gpus+tolerance >= job.Gpus
+}
+
+// suits tells whether a slot takes one more task of a job, its zones and records aside.
+func suits(input *Input, slot *Slot, job *storage.Job) bool {
+	return fitsOne(slot.Free, job) && mayUse(input, slot.Machine, job) &&
+		(len(slot.Reservations) == 0 || Fits(FreeFor(slot, job), job) > 0)
+}
+
+// mayUse tells whether a job may run on a machine in this pass, whatever is free on it.
+func mayUse(input *Input, machine *storage.Machine, job *storage.Job) bool {
+	return Allowed(job, machine) && (machine.Spot || !input.leavesOnDemand(job))
+}
+
+// reservedFor is how many tasks of a job the slot has capacity reserved for.
+func (s *Slot) reservedFor(job *storage.Job) int {
+	n := 0
+	for _, reservation := range s.Reservations {
+		if reservation.Job == job {
+			n += reservation.Slots
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/internal/controller/schedule/option_heap.go
@@ -0,0 +1,69 @@
+package schedule
+
+// option is a slot with what a placement there costs. It is out of date once the slot has
+// changed since.
+type option struct {
+	cost  float64 // seconds, see cost
+	slot  int32   // index in Input.Slots
+	since uint32  // the slot's count of changes when the cost was worked out
+}
+
+// less puts the cheapest first, and of equals the one that comes first among the slots.
+func (o option) less(other option) bool {
+	return o.cost < other.cost || o.cost == other.cost && o.slot < other.slot
+}
+
+// optionHeap is a binary heap of options with the cheapest on top. It stands here in place of
+// container/heap because that allocates for each option that goes in or out.
+type optionHeap []option
+
+// init orders a heap that was filled in any order.
+func (h optionHeap) init() {
+	for i := len(h)/2 - 1; i >= 0; i-- {
+		h.siftDown(i)
+	}
+}
+
+// push puts an option in.
+func (h *optionHeap) push(added option) {
+	*h = append(*h, added)
+	h.siftUp(len(*h) - 1)
+}
+
+// pop takes the cheapest option out.
+func (h *optionHeap) pop() {
+	options := *h
+	last := len(options) - 1
+	options[0] = options[last]
+	*h = options[:last]
+	h.siftDown(0)
+}
+
+// siftUp moves an option up until its parent is no more expensive.
+func (h optionHeap) siftUp(i int) {
+	for i > 0 {
+		parent := (i - 1) / 2
+		if !h[i].less(h[parent]) {
+			return
+		}
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
+	}
+}
+
+// siftDown moves an option down until no child is cheaper.
+func (h optionHeap) siftDown(i int) {
+	for {
+		least := i
+		for child := 2*i + 1; child <= 2*i+2 && child < len(h); child++ {
+			if h[child].less(h[least]) {
+				least = child
+			}
+		}
+		if least == i {
+			return
+		}
+		h[i], h[least] = h[least], h[i]
+		i = least
+	}
+}
--- /dev/null
+++ b/internal/controller/schedule/overload_test.go
@@ -0,0 +1,315 @@
+package schedule
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// overloadSimulator runs class queues of jobs on machines, a pass a second, with true run times.
+type overloadSimulator struct {
+	random     *rand.Rand
+	input      *Input
+	slots      []*Slot
+	jobs       []*storage.Job
+	runTimes   map[*storage.Job]float64 // true run time of a task, in seconds
+	ended      map[*storage.Job]float64 // when its last task was done
+	running    []runningTask
+	baseline   map[storage.ClassQueue]float64 // CPUs
+	now        float64                        // seconds
+	overloaded bool                           // the last pass dealt with an overload
+}
+
+type runningTask struct {
+	job  *storage.Job
+	task int
+	slot *Slot
+	ends float64
+}
+
+const (
+	timeAllowed     = 60.0            // seconds from submission in which jobs should be done
+	machineCpus     = 16              // of each machine
+	meanWork        = 5 * 2 * 4 * 2.3 // of a job, in CPU-seconds: tasks, CPUs, seconds, spread of those
+	overloadStart   = 60              // seconds
+	overloadEnd     = 240             // seconds
+	simulationEnd   = 300             // seconds
+	machinesLostAt  = overloadStart + 40
+	judgedEvery     = 60              // seconds
+	judgedFrom      = 2 * timeAllowed // seconds
+	minJobsJudged   = 10              // fewer tell nothing
+	minOthersInTime = 0.8             // part of the jobs of a class queue that is not overloaded
+	minPartOfBound  = 0.4             // of the overloaded class queue's jobs that could be in time
+)
+
+func (s *overloadSimulator) submit(queue storage.ClassQueue) {
+	j := job(fmt.Sprintf("j%05d", len(s.jobs)), 1+s.random.IntN(9), float64(1+s.random.IntN(3)), protocol.Normal)
+	j.Team = queue.Team
+	j.Class = queue.Class
+	j.ReadyAt = s.time()
+	s.runTimes[j] = 4 * math.Exp(0.8*s.random.NormFloat64()+0.5)
+	j.Estimate = s.runTimes[j] * math.Exp(0.3*s.random.NormFloat64())
+	s.jobs = append(s.jobs, j)
+}
+
+// time is the simulated time.
+func (s *overloadSimulator) time() time.Time {
+	return time.Unix(0, 0).Add(time.Duration(s.now * float64(time.Second)))
+}
+
+// step simulates a second: tasks end, and a pass places others.
+func (s *overloadSimulator) step() {
+	s.now++
+	s.endTasks()
+	s.prepareInput()
+	waits := s.enterJobs()
+	s.enterOverload(waits)
+	for _, placement := range Place(s.input).Placed { // Place itself enters what it places in Slots and Used only
+		placement.Job.MachineOf[placement.Task] = 0
+		placement.Job.PlacedCount++
+		s.running = append(s.running, runningTask{placement.Job, placement.Task, placement.Slot, s.now + 1 + s.runTimes[placement.Job]})
+	}
+}
+
+func (s *overloadSimulator) endTasks() {
+	s.running = slices.DeleteFunc(s.running, func(task runningTask) bool {
+		if task.ends > s.now {
+			return false
+		}
+		task.slot.Free.Add(task.job, 1)
+		task.job.Done.Set(task.task)
+		task.job.PlacedCount--
+		task.job.DoneCount++
+		if task.job.DoneCount == task.job.Tasks {
+			task.job.Final = protocol.Done
+			s.ended[task.job] = task.ends
+		}
+		return true
+	})
+}
+
+// prepareInput resets what a pass decides on.
+func (s *overloadSimulator) prepareInput() {
+	input := s.input
+	input.Now = s.time()
+	input.Jobs = input.Jobs[:0]
+	input.Slots = s.slots
+	input.Records = 999
+	input.Tasks = 9999
+	input.Queues = make(QueueStates, storage.ClassQueueCount(len(input.Teams)))
+	input.Overloaded = false
+	input.Capacity = storage.Usage{Cpus: machineCpus * float64(len(s.slots)), Mem: 1e9}
+	for _, slot := range s.slots {
+		*slot.Record = GroupCapacity{Free: 100}
+	}
+	for queue, cpus := range s.baseline {
+		*input.Queues.Ensure(queue) = QueueState{Baseline: cpus, Floor: 1.5 * cpus}
+	}
+	input.Used = make([]storage.Usage, len(input.Teams))
+	for _, task := range s.running {
+		input.Used[task.job.Team].Add(task.job, 1)
+	}
+}
+
+// enterJobs enters the open jobs in the input and returns what of them waits.
+func (s *overloadSimulator) enterJobs() []WaitingWork {
+	input := s.input
+	var waits []WaitingWork
+	for _, j := range s.jobs {
+		if !j.Open() {
+			continue
+		}
+		input.Jobs = append(input.Jobs, j)
+		state := input.Queues.At(storage.ClassQueueOf(j))
+		state.Used += float64(j.PlacedCount) * j.Cpus
+		state.Open += float64(j.PlacedCount+j.Waiting()) * j.Cpus
+		allowed, late := input.TimeAllowed(j)
+		if waiting, ok := WaitingWorkOf(input.Now, j, j.Waiting(), allowed, late); ok && j.Waiting() > 0 {
+			waits = append(waits, waiting)
+		}
+	}
+	return waits
+}
+
+// enterOverload tells the input which class queues are overloaded, as the controller does.
+func (s *overloadSimulator) enterOverload(waits []WaitingWork) {
+	input := s.input
+	for queue, cpus := range s.baseline {
+		state := input.Queues.At(queue)
+		state.Overloaded = state.Open > 3*cpus
+		input.Overloaded = input.Overloaded || state.Overloaded
+	}
+	busy := 0.0
+	for _, task := range s.running {
+		busy += (task.ends - s.now) * task.job.Cpus
+	}
+	load := LoadFactor(waits, Capacity{All: input.Capacity.Cpus, OnDemand: input.Capacity.Cpus, Busy: busy / input.Capacity.Cpus})
+	input.Overloaded = input.Overloaded && (s.overloaded || load > OverloadFactor)
+	s.overloaded = input.Overloaded
+}
+
+// lose takes machines away; what ran on them ends later, as if started again elsewhere.
+func (s *overloadSimulator) lose(n int) {
+	for i := range s.running {
+		if task := &s.running[i]; slices.Contains(s.slots[:n], task.slot) {
+			task.ends += s.runTimes[task.job]
+		}
+	}
+	s.slots = s.slots[n:]
+}
+
+// judged are a queue's jobs since a time that are old enough to tell whether they were in time.
+func (s *overloadSimulator) judged(queue storage.ClassQueue, since float64) []*storage.Job {
+	var judged []*storage.Job
+	for _, j := range s.jobs {
+		if at := float64(j.ReadyAt.Unix()); storage.ClassQueueOf(j) == queue && at >= since && at+timeAllowed <= s.now {
+			judged = append(judged, j)
+		}
+	}
+	return judged
+}
+
+// inTime is the part of the jobs that were in time, and how many they are.
+func (s *overloadSimulator) inTime(jobs []*storage.Job) (part float64, n int) {
+	good := 0
+	for _, j := range jobs {
+		if end, ok := s.ended[j]; ok && end <= float64(j.ReadyAt.Unix())+timeAllowed {
+			good++
+		}
+	}
+	return float64(good) / float64(max(1, len(jobs))), len(jobs)
+}
+
+// bound is the part that could have been in time with all that is known only now: the smallest, as many
+// as so much work takes.
+func (s *overloadSimulator) bound(jobs []*storage.Job, work float64) float64 {
+	size := func(j *storage.Job) float64 { return float64(j.Tasks) * j.Cpus * s.runTimes[j] }
+	slices.SortFunc(jobs, func(a, b *storage.Job) int { return cmp.Compare(size(a), size(b)) })
+	n := 0
+	for ; n < len(jobs) && work >= size(jobs[n]); n++ {
+		work -= size(jobs[n])
+	}
+	return float64(n) / float64(max(1, len(jobs)))
+}
+
+// submitAll submits what arrives in a second: as much as each class queue's baseline, and so many times
+// that of the overloaded one.
+func (s *overloadSimulator) submitAll(queues []storage.ClassQueue, overloaded storage.ClassQueue, factor float64) {
+	for _, queue := range queues {
+		rate := s.baseline[queue] / meanWork
+		if queue == overloaded {
+			rate *= factor
+		}
+		for rate > s.random.Float64() {
+			s.submit(queue)
+			rate--
+		}
+	}
+}
+
+// newOverloadSimulator makes a simulator of so many teams and machines.
+func newOverloadSimulator(seed uint64, teams, machines int) *overloadSimulator {
+	s := &overloadSimulator{
+		random:   rand.New(rand.NewPCG(seed, 1)),
+		runTimes: map[*storage.Job]float64{},
+		ended:    map[*storage.Job]float64{},
+		baseline: map[storage.ClassQueue]float64{},
+	}
+	s.input = &Input{Teams: make([]config.Team, teams), TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
+		allowed := time.Duration(timeAllowed * float64(time.Second))
+		if s.input.Now.Sub(j.ReadyAt).Seconds()+j.Estimate > timeAllowed {
+			return allowed * 3 / 2, true
+		}
+		return allowed, false
+	}}
+	for i := range machines {
+		s.slots = append(s.slots, slot(fmt.Sprint("m", i), 0, machineCpus))
+	}
+	return s
+}
+
+// drawQueues draws the classes of each team, at least two in all, and their baselines, which together
+// keep no more than half of the CPUs busy.
+func (s *overloadSimulator) drawQueues(cpus float64) []storage.ClassQueue {
+	var queues []storage.ClassQueue
+	for team := range s.input.Teams {
+		for class := range 1 + s.random.IntN(3) {
+			queues = append(queues, storage.ClassQueue{Team: team, Class: class})
+		}
+	}
+	if len(queues) == 1 {
+		queues = append(queues, storage.ClassQueue{Class: 5})
+	}
+	for _, queue := range queues {
+		s.baseline[queue] = 0.5 * cpus / float64(len(queues)) * (0.6 + 0.4*s.random.Float64())
+	}
+	return queues
+}
+
+// Random classes of random teams, one of which is overloaded up to twentyfold while up to a third of the
+// machines are lost: the others must hardly notice, at every minute, and the overloaded one must have
+// a good part of what could be had.
+func TestOverloadLeavesOthersInTime(t *testing.T) {
+	fixDraws(t, "11", "20")
+	worstOther, leastOfBound, sumOfBound, runs := 1.0, 1.0, 0.0, 0
+	rapid.Check(t, func(t *rapid.T) {
+		seed := rapid.Uint64().Draw(t, "seed")
+		teams := rapid.IntRange(1, 3).Draw(t, "teams")
+		machines := rapid.IntRange(18, 36).Draw(t, "machines")
+		factor := rapid.IntRange(4, 20).Draw(t, "factor")
+		lost := rapid.IntRange(0, machines/3).Draw(t, "lost")
+		simulator := newOverloadSimulator(seed, teams, machines)
+		queues := simulator.drawQueues(machineCpus * float64(machines-lost))
+		overloaded := queues[simulator.random.IntN(len(queues))]
+		for second := range simulationEnd {
+			currentFactor := 1.0
+			if second >= overloadStart && second < overloadEnd {
+				currentFactor = float64(factor)
+			}
+			simulator.submitAll(queues, overloaded, currentFactor)
+			if second == machinesLostAt {
+				simulator.lose(lost)
+			}
+			simulator.step()
+			if (second+1)%judgedEvery != 0 || second < judgedFrom {
+				continue
+			}
+			for _, queue := range queues {
+				part, n := simulator.inTime(simulator.judged(queue, overloadStart))
+				if queue == overloaded || n < minJobsJudged {
+					continue
+				}
+				worstOther = min(worstOther, part)
+				if part < minOthersInTime {
+					t.Errorf("after %d s: %.2f of %d jobs of %v in time, %v is overloaded", second+1, part, n, queue, overloaded)
+				}
+			}
+		}
+		part, _ := simulator.inTime(simulator.judged(overloaded, overloadStart))
+		others := 0.0
+		for queue, cpus := range simulator.baseline {
+			if queue != overloaded {
+				others += cpus
+			}
+		}
+		capacity := machineCpus*float64(machines) - others
+		best := simulator.bound(simulator.judged(overloaded, overloadStart), capacity*(simulator.now-overloadStart))
+		leastOfBound = min(leastOfBound, part/best)
+		sumOfBound += part / best
+		runs++
+		if part < minPartOfBound*best {
+			t.Errorf("%.2f of the overloaded class queue in time, %.2f could be", part, best)
+		}
+	})
+	t.Logf("worst part of a class queue that is not overloaded: %.3f in time; of the overloaded one's bound: %.3f in the mean, %.3f at least", worstOther, sumOfBound/float64(runs), leastOfBound)
+}
--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -9,7 +9,7 @@
 	"dykeledge/internal/storage"
 )
 
-// Victim is one task that an eviction stops.
+// Victim is one task that a preemption stops.
 type Victim struct {
 	Slot    *Slot
 	Job     *storage.Job
@@ -17,86 +17,101 @@
 	Attempt uint64
 }
 
-// Candidate is best-effort work that may be evicted: one task of an array, or
-// a whole service.
+// Candidate is work that may be preempted: one task of an array, or a whole service.
 type Candidate struct {
 	Victims     []Victim
 	Lost        float64   // task-seconds that would be lost: run since start or last checkpoint
 	Waited      float64   // seconds waited before it last started
 	SubmittedAt time.Time // the job's submission; on ties the younger goes first
-	Score       float64
-	// TopPriority says that it is top-priority work, which only a guarantee may evict.
+	Score       float64   // set by RankCandidates
+	// TopPriority tells that it is top-priority work, which only a guarantee may preempt.
 	TopPriority bool
 }
 
-// Score ranks a candidate as in the paper's equation (2): low goes first.
+// Score is the paper's combinatorial score, its equation (2), of a candidate: alpha is the weight, from
+// 0 to 1, of the lost work v against the waiting time w, both in seconds. Low goes first.
 func Score(alpha, v, w float64) float64 { return alpha*v + (1-alpha)*w }
 
 // RankCandidates scores candidates and sorts them in rising score, the younger first on ties.
 // Top-priority work comes after all best-effort work: steps of pipelines that had just
-// started had the least to lose, and were evicted for guarantees again and again.
+// started had the least to lose, and were preempted for guarantees again and again.
 func RankCandidates(alpha float64, cands []Candidate) {
 	for i := range cands {
 		cands[i].Score = Score(alpha, cands[i].Lost, cands[i].Waited)
 	}
 	slices.SortStableFunc(cands, func(a, b Candidate) int {
-		switch {
-		case a.TopPriority && !b.TopPriority:
-			return 1
-		case b.TopPriority && !a.TopPriority:
-			return -1
-		}
-		return cmp.Or(cmp.Compare(a.Score, b.Score), b.SubmittedAt.Compare(a.SubmittedAt))
+		return cmp.Or(
+			bestEffortFirst(a, b),
+			cmp.Compare(a.Score, b.Score),
+			b.SubmittedAt.Compare(a.SubmittedAt),
+		)
 	})
 }
 
+// bestEffortFirst compares candidates by whether they are top-priority work, which goes last.
+func bestEffortFirst(a, b Candidate) int {
+	switch {
+	case a.TopPriority && !b.TopPriority:
+		return 1
+	case b.TopPriority && !a.TopPriority:
+		return -1
+	}
+	return 0
+}
+
 // Preempt takes candidates in rising score until n tasks of the job fit on the
-// slots, then drops evictions that turned out unneeded. It returns nil when all
-// of them would not make room for a single task more than fits now; when they
-// make room for fewer than n, it takes what they make (the job waits for the rest).
+// slots, then drops those that turned out unneeded. It returns nil when all
+// of them would not free enough for a single task more than fits now; when they free enough for
+// fewer than n, it takes what they free (the job waits for the rest).
 func Preempt(job *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
-	freeCapacity := newFreeCapacity(job, slots)
-	before := freeCapacity.tasks()
-	for _, c := range ordered {
-		freeCapacity.release(c, 1)
+	capacity := newFreeCapacity(job, slots)
+	fitNow := capacity.tasks()
+	for _, candidate := range ordered {
+		capacity.release(candidate)
 	}
-	n = min(n, freeCapacity.tasks())
-	if n <= before {
+	n = min(n, capacity.tasks())
+	if n <= fitNow {
 		return nil
 	}
-	for _, c := range ordered {
-		freeCapacity.release(c, -1)
+	for _, candidate := range ordered {
+		capacity.reclaim(candidate)
 	}
 	var chosen []Candidate
-	for _, c := range ordered {
-		if !freeCapacity.touches(c) {
+	for _, candidate := range ordered {
+		if !capacity.touches(candidate) {
 			continue
 		}
-		freeCapacity.release(c, 1)
-		chosen = append(chosen, c)
-		if freeCapacity.tasks() >= n {
+		capacity.release(candidate)
+		chosen = append(chosen, candidate)
+		if capacity.tasks() >= n {
 			break
 		}
 	}
-	keep := chosen[:0]
-	for i := len(chosen) - 1; i >= 0; i-- { // the highest score first
-		freeCapacity.release(chosen[i], -1)
-		if freeCapacity.tasks() >= n {
+	return dropUnneeded(capacity, chosen, n)
+}
+
+// dropUnneeded drops candidates, the highest score first, without which n tasks still fit. capacity is
+// what is free once all of them are preempted.
+func dropUnneeded(capacity *freeCapacity, chosen []Candidate, n int) []Candidate {
+	for i := len(chosen) - 1; i >= 0; i-- {
+		capacity.reclaim(chosen[i])
+		if capacity.tasks() >= n {
 			chosen[i].Victims = nil
 		} else {
-			freeCapacity.release(chosen[i], 1)
+			capacity.release(chosen[i])
 		}
 	}
-	for _, c := range chosen {
-		if len(c.Victims) > 0 {
-			keep = append(keep, c)
+	kept := chosen[:0]
+	for _, candidate := range chosen {
+		if len(candidate.Victims) > 0 {
+			kept = append(kept, candidate)
 		}
 	}
-	return keep
+	return kept
 }
 
-// freeCapacity counts how many tasks of a job free room takes; each change costs what it
-// changes, not a look at all slots.
+// freeCapacity counts how many tasks of a job fit into what is free. A change costs as much as the
+// slots that it changes, not a scan of all.
 type freeCapacity struct {
 	job   *storage.Job
 	free  map[*Slot]storage.Usage // of the slots that the job may use
@@ -104,78 +119,86 @@
 }
 
 func newFreeCapacity(job *storage.Job, slots []*Slot) *freeCapacity {
-	scheduleFreeCapacity := &freeCapacity{job: job, free: make(map[*Slot]storage.Usage, len(slots))}
-	for _, s := range slots {
-		if !Allowed(job, s.Machine) {
+	capacity := &freeCapacity{job: job, free: make(map[*Slot]storage.Usage, len(slots))}
+	for _, slot := range slots {
+		if !Allowed(job, slot.Machine) {
 			continue
 		}
-		for len(scheduleFreeCapacity.zones) <= s.Machine.Zone {
-			scheduleFreeCapacity.zones = append(scheduleFreeCapacity.zones, 0)
-		}
-		f := FreeFor(s, job)
-		scheduleFreeCapacity.free[s] = f
-		scheduleFreeCapacity.zones[s.Machine.Zone] += Fits(f, job)
+		free := FreeFor(slot, job)
+		capacity.free[slot] = free
+		capacity.zones = addInZone(capacity.zones, slot.Machine.Zone, Fits(free, job))
 	}
-	return scheduleFreeCapacity
+	return capacity
 }
 
-func (r *freeCapacity) touches(c Candidate) bool {
-	return slices.ContainsFunc(c.Victims, func(v Victim) bool { _, ok := r.free[v.Slot]; return ok })
+// touches tells whether a candidate uses any slot that the job may use.
+func (f *freeCapacity) touches(candidate Candidate) bool {
+	return slices.ContainsFunc(candidate.Victims, func(victim Victim) bool {
+		_, ok := f.free[victim.Slot]
+		return ok
+	})
 }
 
-// release gives back what a candidate takes, or takes it again with a sign of -1.
-func (r *freeCapacity) release(c Candidate, sign float64) {
-	for _, v := range c.Victims {
-		f, ok := r.free[v.Slot]
+// release frees what a candidate uses.
+func (f *freeCapacity) release(candidate Candidate) { f.change(candidate, 1) }
+
+// reclaim undoes release.
+func (f *freeCapacity) reclaim(candidate Candidate) { f.change(candidate, -1) }
+
+// change adds what a candidate uses, times sign, to what is free.
+func (f *freeCapacity) change(candidate Candidate, sign float64) {
+	for _, victim := range candidate.Victims {
+		free, ok := f.free[victim.Slot]
 		if !ok {
 			continue
 		}
-		z := v.Slot.Machine.Zone
-		r.zones[z] -= Fits(f, r.job)
-		f.Add(v.Job, sign)
-		r.free[v.Slot] = f
-		r.zones[z] += Fits(f, r.job)
+		zone := victim.Slot.Machine.Zone
+		f.zones[zone] -= Fits(free, f.job)
+		free.Add(victim.Job, sign)
+		f.free[victim.Slot] = free
+		f.zones[zone] += Fits(free, f.job)
 	}
 }
 
-// tasks is how many tasks of the job the free room takes, its zones considered.
-func (r *freeCapacity) tasks() int {
-	job := r.job
+// tasks is how many tasks of the job fit into what is free, by what it asks for of zones.
+func (f *freeCapacity) tasks() int {
+	job := f.job
 	total := 0
-	for z, n := range r.zones {
-		have := 0
-		if z < len(job.ByZone) {
-			have = int(job.ByZone[z])
+	for zone, fit := range f.zones {
+		placed := 0
+		if zone < len(job.ByZone) {
+			placed = int(job.ByZone[zone])
 		}
 		switch {
-		case job.OneZone && job.PlacedCount > 0 && have == 0:
-			continue
+		case job.OneZone && job.PlacedCount > 0 && placed == 0:
+			// Its other tasks run in another zone.
 		case job.OneZone:
-			total = max(total, n)
-			continue
+			total = max(total, fit)
 		case job.Spread:
-			n = min(n, max(0, job.MaxPerZone()-have))
+			total += min(fit, max(0, job.MaxPerZone()-placed))
+		default:
+			total += fit
 		}
-		total += n
 	}
 	return total
 }
 
-// EvictExcess takes candidates of one team in rising score until what it uses is within its limit. Tasks that other sets
-// evict already must be left out of the candidates, and count as used until they are gone.
+// EvictExcess takes candidates of one team in rising score until what it uses is within its limit. Tasks
+// that a victim set contains already must be left out of the candidates, and count as used until they are gone.
 func EvictExcess(used storage.Usage, limit config.Team, ordered []Candidate) []Candidate {
-	var chosen []Candidate
-	over := func() bool {
-		return limit.CpusMax > 0 && used.Cpus > limit.CpusMax+eps || limit.GpusMax > 0 && used.Gpus > limit.GpusMax+eps
+	exceeds := func() bool {
+		return limit.CpusMax > 0 && used.Cpus > limit.CpusMax+tolerance ||
+			limit.GpusMax > 0 && used.Gpus > limit.GpusMax+tolerance
 	}
-	for _, c := range ordered {
-		if !over() {
+	var chosen []Candidate
+	for _, candidate := range ordered {
+		if !exceeds() {
 			break
 		}
-		for _, v := range c.Victims {
-			used.Add(v.Job, -1)
+		for _, victim := range candidate.Victims {
+			used.Add(victim.Job, -1)
 		}
-		chosen = append(chosen, c)
+		chosen = append(chosen, candidate)
 	}
 	return chosen
 }
--- /dev/null
+++ b/internal/controller/schedule/zones.go
@@ -0,0 +1,69 @@
+package schedule
+
+import "dykeledge/internal/storage"
+
+// addInZone adds n to a list by zone, which grows as zones appear.
+func addInZone[Number int | int32](byZone []Number, zone int, n Number) []Number {
+	for len(byZone) <= zone {
+		byZone = append(byZone, 0)
+	}
+	byZone[zone] += n
+	return byZone
+}
+
+// countInZone counts one more of the job's tasks in a zone.
+func (c *jobCursor) countInZone(zone int) {
+	c.placedByZone = addInZone(c.placedByZone, zone, 1)
+}
+
+// tasksInZone is how many of the job's tasks are in a zone, with those of this pass.
+func (c *jobCursor) tasksInZone(zone int) int {
+	n := 0
+	if zone < len(c.job.ByZone) {
+		n += int(c.job.ByZone[zone])
+	}
+	if zone < len(c.placedByZone) {
+		n += int(c.placedByZone[zone])
+	}
+	return n
+}
+
+// allowsZone tells whether the job's next task may go to a zone, by what the job asks for: all tasks in
+// one zone, or not too many in any.
+func (c *jobCursor) allowsZone(input *Input, zone int) bool {
+	if c.job.OneZone && !c.isItsZone(input, zone) {
+		return false
+	}
+	return !c.job.Spread || c.tasksInZone(zone)+1 <= c.job.MaxPerZone()
+}
+
+// isItsZone tells whether a zone is the one of a job that wants all its tasks in one: the zone where its
+// first task is, and before that the one with capacity for most tasks.
+func (c *jobCursor) isItsZone(input *Input, zone int) bool {
+	total := 0
+	for other := range max(len(c.job.ByZone), len(c.placedByZone)) {
+		n := c.tasksInZone(other)
+		if n > 0 && other != zone {
+			return false
+		}
+		total += n
+	}
+	return total > 0 || zone == largestZone(input, c.job)
+}
+
+// largestZone is the zone with capacity for the most tasks of a job; -1: the job may run on no slot.
+func largestZone(input *Input, job *storage.Job) int {
+	var tasks []int // that fit, by zone
+	best := -1
+	for _, slot := range input.Slots {
+		if !Allowed(job, slot.Machine) {
+			continue
+		}
+		zone := slot.Machine.Zone
+		tasks = addInZone(tasks, zone, Fits(FreeFor(slot, job), job))
+		if best < 0 || tasks[zone] > tasks[best] {
+			best = zone
+		}
+	}
+	return best
+}
