--- a/internal/controller/autoscale/limits_test.go
+++ b/internal/controller/autoscale/limits_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestKeepToLimits: a team's demands together ask for no more than its limit, the most urgent first; where they want less,
+// A team's demands together ask for no more than its limit, the most urgent first; where they want less,
 // nothing changes, and the work that waits behind a limit still makes what may run urgent.
-func TestKeepToLimits(t *testing.T) {
+func TestCapToLimits(t *testing.T) {
 	const horizon = 0.5
 	demand := func(team, tasks int, work, within float64) Demand {
 		return Demand{Team: team, Tasks: tasks, Work: work, WithinS: within, Cpus: 2}
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		demands []Demand
 		limit   Limit
@@ -18,16 +18,18 @@
 		{"no limit", []Demand{demand(NoTeam, 50, 1000, 10)}, Limit{Cpus: 10}, []int{50}},
 		{"they want less", []Demand{demand(0, 50, 20, 10)}, Limit{Cpus: 10}, []int{50}},
 		{"one wants more", []Demand{demand(0, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5}},
-		{"the more urgent has its room", []Demand{demand(0, 50, 1000, 90), demand(0, 3, 1000, 10)}, Limit{Cpus: 10}, []int{2, 3}},
+		{"the more urgent keeps its tasks", []Demand{demand(0, 50, 1000, 90), demand(0, 3, 1000, 10)}, Limit{Cpus: 10}, []int{2, 3}},
 		{"nothing is left", []Demand{demand(0, 50, 1000, 90), demand(0, 9, 1000, 10)}, Limit{Cpus: 10}, []int{0, 5}},
-		{"teams have their own", []Demand{demand(0, 50, 1000, 10), demand(1, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5, 5}},
+		{"teams have their own limits", []Demand{demand(0, 50, 1000, 10), demand(1, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5, 5}},
 		{"accelerators bind", []Demand{{Team: 0, Tasks: 50, Work: 1000, WithinS: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
 	} {
-		CapToLimits(x.demands, horizon, func(int) Limit { return x.limit })
-		for i, d := range x.demands {
-			if d.Tasks != x.want[i] {
-				t.Errorf("%s: demand %d asks for %d tasks, want %d", x.name, i, d.Tasks, x.want[i])
+		t.Run(test.name, func(t *testing.T) {
+			CapToLimits(test.demands, horizon, func(int) Limit { return test.limit })
+			for i, demand := range test.demands {
+				if demand.Tasks != test.want[i] {
+					t.Errorf("demand %d asks for %d tasks, want %d", i, demand.Tasks, test.want[i])
+				}
 			}
-		}
+		})
 	}
 }
