--- /dev/null
+++ b/internal/controller/dispatch/commands.go
@@ -0,0 +1,70 @@
+package dispatch
+
+import (
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// DesiredState is what the record's owner wants of an attempt.
+type DesiredState struct {
+	Stop  bool
+	Grace float64 // seconds in which it may checkpoint; 0: at once
+}
+
+// Commands works out the commands that turn what the worker reports into what the record wants. wish
+// tells what is wanted of an attempt in the record; token is the one under which the machine is
+// commanded now. Attempts that are wanted no more and can be proved never to have started go into Gone.
+// answer tells that the commands go into the answer to the latest heartbeat; launches are then noted as
+// sent. No attempt in the record adds a command once there are limit of them.
+func (v *Worker) Commands(machine *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
+	commands := v.unplacedCommands()
+	for _, placed := range machine.Tasks {
+		if len(commands) >= limit {
+			break
+		}
+		ref := RefOf(placed)
+		if _, ok := v.Gone[ref]; ok {
+			continue
+		}
+		desired := wish(placed)
+		seen, known := v.Seen[ref]
+		switch {
+		case desired.Stop && known:
+			if seen.State != protocol.TaskCheckpointing || desired.Grace == 0 {
+				commands = append(commands, commandOf(protocol.OpKill, ref, desired.Grace))
+			}
+		case desired.Stop:
+			if v.Absent(machine, ref, token) {
+				v.Gone[ref] = Unsent
+			}
+		case !known && v.Incarnation == machine.Incarnation:
+			commands = append(commands, commandOf(protocol.OpLaunch, ref, 0))
+			if answer {
+				v.Sent[ref] = v.HeartbeatSeq
+			}
+		}
+	}
+	return commands
+}
+
+// commandOf is a command for an attempt, with a grace period in seconds.
+func commandOf(operation string, ref Ref, grace float64) protocol.Command {
+	return protocol.Command{Op: operation, Task: protocol.TaskName(ref.Job.ID, ref.Task), Attempt: ref.Attempt, GraceS: grace}
+}
+
+// unplacedCommands are the commands for reported attempts that the record does not hold: they are
+// stopped, and then cleared.
+func (v *Worker) unplacedCommands() []protocol.Command {
+	var commands []protocol.Command
+	for _, status := range v.Unplaced {
+		switch {
+		case status.State != protocol.TaskExited:
+			commands = append(commands, protocol.Command{Op: protocol.OpKill, Task: status.Task, Attempt: status.Attempt})
+		case !v.mayReceiveUncertain(v.FencingToken):
+			// Cleared only once no launch of it can be under way: a worker
+			// that has forgotten an attempt would start it again.
+			commands = append(commands, protocol.Command{Op: protocol.OpClear, Task: status.Task, Attempt: status.Attempt})
+		}
+	}
+	return commands
+}
--- /dev/null
+++ b/internal/controller/dispatch/worker_test.go
@@ -0,0 +1,150 @@
+package dispatch
+
+import (
+	"testing"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// token is the fencing token under which the machine is commanded now.
+const token = 50
+
+// heartbeat makes a heartbeat of a machine of session 3 that has seen the token, and changes it.
+func heartbeat(seq uint64, change func(*protocol.Heartbeat), tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	made := &protocol.Heartbeat{Machine: "m", Incarnation: 3, Seq: seq, FencingToken: token, Tasks: tasks}
+	if change != nil {
+		change(made)
+	}
+	return made
+}
+
+func TestWorker(t *testing.T) {
+	status := func(state, cause string) protocol.TaskStatus {
+		return protocol.TaskStatus{Task: "job-000001/0", Attempt: 7, State: state, Cause: cause}
+	}
+	running := status(protocol.TaskRunning, "")
+	exited := func(cause string) protocol.TaskStatus { return status(protocol.TaskExited, cause) }
+	olderToken := func(h *protocol.Heartbeat) { h.FencingToken = token - 1 }
+	laterSession := func(h *protocol.Heartbeat) { h.Incarnation = 4 }
+	type step struct {
+		heartbeat *protocol.Heartbeat
+		reply     bool // it is the reply to a direct command
+		answer    bool // its answer carries commands
+	}
+	cases := []struct {
+		name    string
+		steps   []step
+		change  func(*Worker)
+		stop    bool
+		want    Outcome // what is known of the attempt in the end; 0: nothing
+		command string  // the first command in the end
+	}{
+		{name: "completed", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseDone))}}, want: Completed},
+		{name: "stopped", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseStopped))}}, stop: true, want: Stopped},
+		{name: "failed", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseError))}}, want: Failed},
+		{name: "refused", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseNoCapacity))}}, want: Refused},
+		{name: "lost with its session", steps: []step{{heartbeat: heartbeat(1, laterSession)}}, want: Lost},
+		{name: "seen and then absent", steps: []step{{heartbeat: heartbeat(1, nil, running)}, {heartbeat: heartbeat(2, nil)}}, want: Lost},
+		{
+			name:    "absent, but the worker has not seen the token",
+			steps:   []step{{heartbeat: heartbeat(1, olderToken, running)}, {heartbeat: heartbeat(2, olderToken)}},
+			command: protocol.OpLaunch,
+		},
+		{name: "not there yet: launched", steps: []step{{heartbeat: heartbeat(1, nil)}}, command: protocol.OpLaunch},
+		{name: "running and wanted", steps: []step{{heartbeat: heartbeat(1, nil, running)}}},
+		{name: "running and not wanted", steps: []step{{heartbeat: heartbeat(1, nil, running)}}, stop: true, command: protocol.OpKill},
+		{name: "wanted no more, never sent", steps: []step{{heartbeat: heartbeat(1, nil)}}, stop: true, want: Unsent},
+		// The launch may still be on its way in the answer to the latest heartbeat.
+		{name: "wanted no more, just sent", steps: []step{{heartbeat: heartbeat(1, nil), answer: true}}, stop: true},
+		{
+			name:  "wanted no more, sent and lost",
+			steps: []step{{heartbeat: heartbeat(1, nil), answer: true}, {heartbeat: heartbeat(2, nil)}},
+			stop:  true, want: Unsent,
+		},
+		// A direct command's reply is newer, yet the answer to the heartbeat may come after it.
+		{
+			name:  "a reply proves nothing about answers",
+			steps: []step{{heartbeat: heartbeat(1, nil), answer: true}, {heartbeat: heartbeat(2, nil), reply: true}},
+			stop:  true,
+		},
+		{
+			name:   "a direct command may still arrive",
+			steps:  []step{{heartbeat: heartbeat(1, nil)}},
+			change: func(w *Worker) { w.Uncertain = token },
+			stop:   true,
+		},
+		{
+			name:   "a direct command is under way",
+			steps:  []step{{heartbeat: heartbeat(1, nil)}},
+			change: func(w *Worker) { w.DirectInFlight = true },
+			stop:   true,
+		},
+		{
+			name:   "an uncertain command under a lower token is dead",
+			steps:  []step{{heartbeat: heartbeat(1, nil)}},
+			change: func(w *Worker) { w.Uncertain = token - 1 },
+			stop:   true, want: Unsent,
+		},
+		{name: "not wanted, old token", steps: []step{{heartbeat: heartbeat(1, olderToken)}}, stop: true},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			job := &storage.Job{ID: "job-000001", Tasks: 1, MachineOf: []int32{5}, AttemptOf: []uint64{7}}
+			machine := &storage.Machine{Index: 5, Name: "m", Incarnation: 3, Tasks: []storage.PlacedTask{{Job: job, Attempt: 7}}}
+			findJob := func(string) *storage.Job { return job }
+			worker := NewWorker()
+			if test.change != nil {
+				test.change(worker)
+			}
+			run := func(storage.PlacedTask) DesiredState { return DesiredState{} }
+			for _, step := range test.steps {
+				if !worker.Newer(step.heartbeat) {
+					t.Fatal("heartbeat taken for old")
+				}
+				worker.ApplyHeartbeat(machine, step.heartbeat, token, step.reply, findJob)
+				if step.answer {
+					worker.Commands(machine, token, run, true, 10)
+				}
+			}
+			wish := func(storage.PlacedTask) DesiredState { return DesiredState{Stop: test.stop} }
+			commands := worker.Commands(machine, token, wish, true, 10)
+			if got := worker.Gone[Ref{job, 0, 7}]; got != test.want {
+				t.Errorf("outcome %d, want %d", got, test.want)
+			}
+			first := ""
+			if len(commands) > 0 {
+				first = commands[0].Op
+			}
+			if first != test.command {
+				t.Errorf("command %q, want %q", first, test.command)
+			}
+		})
+	}
+}
+
+// A worker that has forgotten an attempt starts it again when a delayed direct
+// command brings its launch once more.
+func TestClearWaitsForUncertainCommands(t *testing.T) {
+	machine := &storage.Machine{Index: 5, Name: "m", Incarnation: 3}
+	exited := protocol.TaskStatus{Task: "job-000001/0", Attempt: 7, State: protocol.TaskExited, Cause: protocol.CauseDone}
+	for _, test := range []struct {
+		name      string
+		uncertain uint64
+		clears    int
+	}{
+		{"no uncertain command", 0, 1},
+		{"uncertain under a token below the one seen", token - 1, 1},
+		{"uncertain under the token seen", token, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			worker := NewWorker()
+			worker.Uncertain = test.uncertain
+			worker.ApplyHeartbeat(machine, heartbeat(1, nil, exited), token, false, func(string) *storage.Job { return nil })
+			commands := worker.Commands(machine, token, nil, true, 10)
+			if len(commands) != test.clears {
+				t.Errorf("commands %v, want %d", commands, test.clears)
+			}
+		})
+	}
+}
