--- a/internal/controller/autoscale/demand.go
+++ b/internal/controller/autoscale/demand.go
@@ -25,8 +25,8 @@
 }
 
 // Fits tells whether a demand's tasks may run on a pool's machines, which have so much of each resource.
-func (d *Demand) Fits(p Pool, cpus, gpus, mem float64) bool {
-	return d.mayUse(p) && d.Cpus <= cpus && d.Gpus <= gpus && d.Mem <= mem
+func (d *Demand) Fits(pool Pool, cpus, gpus, mem float64) bool {
+	return d.mayUse(pool) && d.Cpus <= cpus && d.Gpus <= gpus && d.Mem <= mem
 }
 
 // mayUse tells whether a demand's tasks may run in a pool, by spot or on-demand, zone and type.
--- a/internal/controller/dispatch/commands.go
+++ b/internal/controller/dispatch/commands.go
@@ -16,31 +16,31 @@
 // commanded now. Attempts that are wanted no more and can be proved never to have started go into Gone.
 // answer tells that the commands go into the answer to the latest heartbeat; launches are then noted as
 // sent. No attempt in the record adds a command once there are limit of them.
-func (v *Worker) Commands(machine *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
-	commands := v.unplacedCommands()
+func (w *Worker) Commands(machine *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
+	commands := w.unplacedCommands()
 	for _, placed := range machine.Tasks {
 		if len(commands) >= limit {
 			break
 		}
 		ref := RefOf(placed)
-		if _, ok := v.Gone[ref]; ok {
+		if _, ok := w.Gone[ref]; ok {
 			continue
 		}
 		desired := wish(placed)
-		seen, known := v.Seen[ref]
+		seen, known := w.Seen[ref]
 		switch {
 		case desired.Stop && known:
 			if seen.State != protocol.TaskCheckpointing || desired.Grace == 0 {
 				commands = append(commands, commandOf(protocol.OpKill, ref, desired.Grace))
 			}
 		case desired.Stop:
-			if v.Absent(machine, ref, token) {
-				v.Gone[ref] = Unsent
+			if w.Absent(machine, ref, token) {
+				w.Gone[ref] = Unsent
 			}
-		case !known && v.Incarnation == machine.Incarnation:
+		case !known && w.Incarnation == machine.Incarnation:
 			commands = append(commands, commandOf(protocol.OpLaunch, ref, 0))
 			if answer {
-				v.Sent[ref] = v.HeartbeatSeq
+				w.Sent[ref] = w.HeartbeatSeq
 			}
 		}
 	}
@@ -54,13 +54,13 @@
 
 // unplacedCommands are the commands for reported attempts that the record does not hold: they are
 // stopped, and then cleared.
-func (v *Worker) unplacedCommands() []protocol.Command {
+func (w *Worker) unplacedCommands() []protocol.Command {
 	var commands []protocol.Command
-	for _, status := range v.Unplaced {
+	for _, status := range w.Unplaced {
 		switch {
 		case status.State != protocol.TaskExited:
 			commands = append(commands, protocol.Command{Op: protocol.OpKill, Task: status.Task, Attempt: status.Attempt})
-		case !v.mayReceiveUncertain(v.FencingToken):
+		case !w.mayReceiveUncertain(w.FencingToken):
 			// Cleared only once no launch of it can be under way: a worker
 			// that has forgotten an attempt would start it again.
 			commands = append(commands, protocol.Command{Op: protocol.OpClear, Task: status.Task, Attempt: status.Attempt})
--- a/internal/controller/dispatch/worker.go
+++ b/internal/controller/dispatch/worker.go
@@ -26,7 +26,7 @@
 }
 
 // RefOf names the attempt of a placed task.
-func RefOf(p storage.PlacedTask) Ref { return Ref{p.Job, p.Task, p.Attempt} }
+func RefOf(placed storage.PlacedTask) Ref { return Ref{placed.Job, placed.Task, placed.Attempt} }
 
 // TaskSeen is what a worker last reported of an attempt.
 type TaskSeen struct {
@@ -61,37 +61,37 @@
 }
 
 // Newer tells whether a heartbeat is newer than all that were applied.
-func (v *Worker) Newer(r *protocol.Heartbeat) bool {
-	return r.Incarnation > v.Incarnation || (r.Incarnation == v.Incarnation && r.Seq > v.Seq)
+func (w *Worker) Newer(heartbeat *protocol.Heartbeat) bool {
+	return heartbeat.Incarnation > w.Incarnation || (heartbeat.Incarnation == w.Incarnation && heartbeat.Seq > w.Seq)
 }
 
 // mayReceiveUncertain tells whether a worker that has seen a token may still receive the direct command
 // whose outcome is unknown.
-func (v *Worker) mayReceiveUncertain(seenToken uint64) bool {
-	return v.Uncertain > 0 && v.Uncertain >= seenToken
+func (w *Worker) mayReceiveUncertain(seenToken uint64) bool {
+	return w.Uncertain > 0 && w.Uncertain >= seenToken
 }
 
 // Settle forgets what has been committed: attempts that the record no longer holds. Of those, the ones
 // that the worker still reports become Unplaced.
-func (v *Worker) Settle(machine *storage.Machine) {
+func (w *Worker) Settle(machine *storage.Machine) {
 	held := make(map[Ref]bool, len(machine.Tasks))
 	for _, placed := range machine.Tasks {
 		held[RefOf(placed)] = true
 	}
-	deleteUnheld(v.Gone, held)
-	deleteUnheld(v.Sent, held)
-	for ref, seen := range v.Seen {
+	deleteUnheld(w.Gone, held)
+	deleteUnheld(w.Sent, held)
+	for ref, seen := range w.Seen {
 		if held[ref] {
 			continue
 		}
-		v.Unplaced = append(v.Unplaced, protocol.TaskStatus{
+		w.Unplaced = append(w.Unplaced, protocol.TaskStatus{
 			Task:         protocol.TaskName(ref.Job.ID, ref.Task),
 			Attempt:      ref.Attempt,
 			State:        seen.State,
 			Cause:        seen.Cause,
 			Checkpointed: seen.Checkpointed,
 		})
-		delete(v.Seen, ref)
+		delete(w.Seen, ref)
 	}
 }
 
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -28,21 +28,21 @@
 type QueueStates []*QueueState
 
 // At is the state of a class queue, nil if there is none.
-func (l QueueStates) At(x storage.ClassQueue) *QueueState {
-	if i := x.Index(); i < len(l) {
-		return l[i]
+func (s QueueStates) At(queue storage.ClassQueue) *QueueState {
+	if i := queue.Index(); i < len(s) {
+		return s[i]
 	}
 	return nil
 }
 
 // Ensure is the state of a class queue, made if there is none. The list must be long enough for it; see
 // storage.ClassQueueCount.
-func (l QueueStates) Ensure(x storage.ClassQueue) *QueueState {
-	i := x.Index()
-	if l[i] == nil {
-		l[i] = &QueueState{}
+func (s QueueStates) Ensure(queue storage.ClassQueue) *QueueState {
+	i := queue.Index()
+	if s[i] == nil {
+		s[i] = &QueueState{}
 	}
-	return l[i]
+	return s[i]
 }
 
 // The ranks of class queues in an overload, in the order in which they get capacity.
@@ -54,14 +54,14 @@
 
 // rank is where a class queue stands in an overload, and within a rank how much it has of what it
 // stands for there, from 0 to 1: the one that lacks most goes first.
-func (l *QueueState) rank() (rank int, part float64) {
+func (s *QueueState) rank() (rank int, part float64) {
 	switch {
-	case l == nil || l.Floor <= 0:
+	case s == nil || s.Floor <= 0:
 		return rankSatisfied, 1
-	case l.Used < l.Baseline:
-		return rankBelowBaseline, l.Used / l.Baseline
-	case l.Used < l.Floor && !l.Overloaded:
-		return rankBelowFloor, l.Used / l.Floor
+	case s.Used < s.Baseline:
+		return rankBelowBaseline, s.Used / s.Baseline
+	case s.Used < s.Floor && !s.Overloaded:
+		return rankBelowFloor, s.Used / s.Floor
 	}
 	return rankSatisfied, 1
 }
--- a/internal/controller/schedule/cost.go
+++ b/internal/controller/schedule/cost.go
@@ -64,8 +64,8 @@
 }
 
 // AddFragile counts a task that runs on the slot's machine in Fragile, if it stands to lose much.
-func (s *Slot) AddFragile(j *storage.Job) {
-	if spotLoss(j) >= minFragileLoss {
+func (s *Slot) AddFragile(job *storage.Job) {
+	if spotLoss(job) >= minFragileLoss {
 		s.Fragile++
 	}
 }
--- a/internal/controller/schedule/fit.go
+++ b/internal/controller/schedule/fit.go
@@ -12,23 +12,23 @@
 
 // Allowed tells whether a job's tasks may run on a machine at all, whatever is free on it: by spot or
 // on-demand, zone and machine type.
-func Allowed(j *storage.Job, m *storage.Machine) bool {
-	if m.Spot && !j.Spot {
+func Allowed(job *storage.Job, machine *storage.Machine) bool {
+	if machine.Spot && !job.Spot {
 		return false
 	}
-	if j.Zone >= 0 && j.Zone != m.Zone {
+	if job.Zone >= 0 && job.Zone != machine.Zone {
 		return false
 	}
-	return len(j.Types) == 0 || slices.Contains(j.Types, m.Type)
+	return len(job.Types) == 0 || slices.Contains(job.Types, machine.Type)
 }
 
 // Fits is how many tasks of a job fit into what is free.
-func Fits(free storage.Usage, j *storage.Job) int {
+func Fits(free storage.Usage, job *storage.Job) int {
 	n := math.Inf(1)
 	for _, resource := range [...]struct{ free, each float64 }{
-		{free.Cpus, j.Cpus},
-		{free.Gpus, j.Gpus},
-		{free.Mem, j.Mem},
+		{free.Cpus, job.Cpus},
+		{free.Gpus, job.Gpus},
+		{free.Mem, job.Mem},
 	} {
 		if resource.each > 0 {
 			n = min(n, math.Floor(resource.free/resource.each+tolerance))
@@ -38,10 +38,10 @@
 }
 
 // FreeFor is what a job may use on a slot: what is free there less what is reserved for other jobs.
-func FreeFor(s *Slot, j *storage.Job) storage.Usage {
-	free := s.Free
-	for _, reservation := range s.Reservations {
-		if reservation.Job != j {
+func FreeFor(slot *Slot, job *storage.Job) storage.Usage {
+	free := slot.Free
+	for _, reservation := range slot.Reservations {
+		if reservation.Job != job {
 			free.Add(reservation.Job, -float64(reservation.Slots))
 		}
 	}
--- a/internal/controller/schedule/load_factor.go
+++ b/internal/controller/schedule/load_factor.go
@@ -36,10 +36,10 @@
 // WaitingWorkOf is the work of a job of which so many tasks are left to start. The job should be done
 // within allow of Job.ReadyAt, 0 if it has no deadline; late tells that it has missed it. ok tells
 // whether it has a deadline that it can still meet.
-func WaitingWorkOf(now time.Time, j *storage.Job, left int, allow time.Duration, late bool) (w WaitingWork, ok bool) {
-	slack := slackOf(now, j, j.ReadyAt.Add(allow))
-	w = WaitingWork{Slack: slack, Work: workOf(j, left), OnDemand: !j.Spot}
-	return w, allow > 0 && !late && slack > 0
+func WaitingWorkOf(now time.Time, job *storage.Job, left int, allow time.Duration, late bool) (waiting WaitingWork, ok bool) {
+	slack := slackOf(now, job, job.ReadyAt.Add(allow))
+	waiting = WaitingWork{Slack: slack, Work: workOf(job, left), OnDemand: !job.Spot}
+	return waiting, allow > 0 && !late && slack > 0
 }
 
 // slackOf is how many seconds a job has until it must have its capacity in order to meet its deadline.
--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -29,17 +29,18 @@
 }
 
 // Score is the paper's combinatorial score, its equation (2), of a candidate: alpha is the weight, from
-// 0 to 1, of the lost work v against the waiting time w, both in seconds. Low goes first.
-func Score(alpha, v, w float64) float64 { return alpha*v + (1-alpha)*w }
+// 0 to 1, of the lost work (v there) against the waiting time (w there), both in
+// seconds. Low goes first.
+func Score(alpha, lost, waited float64) float64 { return alpha*lost + (1-alpha)*waited }
 
 // RankCandidates scores candidates and sorts them in rising score, the younger first on ties.
 // Top-priority work comes after all best-effort work: steps of pipelines that had just
 // started had the least to lose, and were preempted for guarantees again and again.
-func RankCandidates(alpha float64, cands []Candidate) {
-	for i := range cands {
-		cands[i].Score = Score(alpha, cands[i].Lost, cands[i].Waited)
+func RankCandidates(alpha float64, candidates []Candidate) {
+	for i := range candidates {
+		candidates[i].Score = Score(alpha, candidates[i].Lost, candidates[i].Waited)
 	}
-	slices.SortStableFunc(cands, func(a, b Candidate) int {
+	slices.SortStableFunc(candidates, func(a, b Candidate) int {
 		return cmp.Or(
 			bestEffortFirst(a, b),
 			cmp.Compare(a.Score, b.Score),
--- a/internal/controller/schedule/team_limits.go
+++ b/internal/controller/schedule/team_limits.go
@@ -9,35 +9,37 @@
 const tolerance = 1e-6
 
 // DominantShare is the largest part, from 0 to 1, that a team uses of any resource of the capacity.
-func DominantShare(u, capacity storage.Usage) float64 {
-	part := func(used, of float64) float64 {
+func DominantShare(used, capacity storage.Usage) float64 {
+	part := func(amount, of float64) float64 {
 		if of <= 0 {
 			return 0
 		}
-		return used / of
+		return amount / of
 	}
-	return max(part(u.Cpus, capacity.Cpus), part(u.Gpus, capacity.Gpus), part(u.Mem, capacity.Mem))
+	return max(part(used.Cpus, capacity.Cpus), part(used.Gpus, capacity.Gpus), part(used.Mem, capacity.Mem))
 }
 
-// WithinGuarantee tells whether a team that uses u stays within its guarantee with one more task.
-func WithinGuarantee(t config.Team, u storage.Usage, j *storage.Job) bool {
-	if t.Cpus <= 0 && t.Gpus <= 0 {
+// WithinGuarantee tells whether a team stays within its guarantee with one more task beside what
+// it uses.
+func WithinGuarantee(team config.Team, used storage.Usage, job *storage.Job) bool {
+	if team.Cpus <= 0 && team.Gpus <= 0 {
 		return false
 	}
-	return u.Cpus+j.Cpus <= t.Cpus+tolerance && u.Gpus+j.Gpus <= t.Gpus+tolerance
+	return used.Cpus+job.Cpus <= team.Cpus+tolerance && used.Gpus+job.Gpus <= team.Gpus+tolerance
 }
 
-// WithinLimit tells whether a team that uses u stays within its limit with n more tasks.
-func WithinLimit(t config.Team, u storage.Usage, j *storage.Job, n int) bool {
-	return (t.CpusMax <= 0 || u.Cpus+float64(n)*j.Cpus <= t.CpusMax+tolerance) &&
-		(t.GpusMax <= 0 || u.Gpus+float64(n)*j.Gpus <= t.GpusMax+tolerance)
+// WithinLimit tells whether a team stays within its limit with n more tasks beside what it
+// uses.
+func WithinLimit(team config.Team, used storage.Usage, job *storage.Job, n int) bool {
+	return (team.CpusMax <= 0 || used.Cpus+float64(n)*job.Cpus <= team.CpusMax+tolerance) &&
+		(team.GpusMax <= 0 || used.Gpus+float64(n)*job.Gpus <= team.GpusMax+tolerance)
 }
 
-// CapacityWithin is how many of n more tasks a team that uses u may run within its limit.
-func CapacityWithin(t config.Team, u storage.Usage, j *storage.Job, n int) int {
+// CapacityWithin is how many of n more tasks a team may run within its limit beside what it uses.
+func CapacityWithin(team config.Team, used storage.Usage, job *storage.Job, n int) int {
 	for _, bound := range [...]struct{ limit, used, each float64 }{
-		{t.CpusMax, u.Cpus, j.Cpus},
-		{t.GpusMax, u.Gpus, j.Gpus},
+		{team.CpusMax, used.Cpus, job.Cpus},
+		{team.GpusMax, used.Gpus, job.Gpus},
 	} {
 		if bound.limit > 0 && bound.each > 0 {
 			n = min(n, int((bound.limit-bound.used+tolerance)/bound.each))
