--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -19,7 +19,7 @@
 	deadline      time.Time // zero: it has none that it could still meet
 	slack         float64   // seconds until it must have its capacity in order to be done in time
 	remainingWork float64   // of the tasks left to start, in CPU-seconds
-	urgency
+	urgency       urgency
 }
 
 // jobQueue holds the waiting jobs of one class queue, in the order in which they start.
--- a/internal/controller/schedule/preempt_soonest.go
+++ b/internal/controller/schedule/preempt_soonest.go
@@ -26,9 +26,9 @@
 // Where no machine fetches the image for long, the score alone decides: on deployments with pipelines,
 // whose work within guarantees preempts all day, preferring machines a few seconds nearer lost more than
 // it gained.
-func PreemptSoonest(job *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+func PreemptSoonest(job *storage.Job, tasks int, slots []*Slot, ordered []Candidate) []Candidate {
 	if !slices.ContainsFunc(slots, func(slot *Slot) bool { return fetchesForLong(slot, job) }) {
-		return Preempt(job, n, slots, ordered)
+		return Preempt(job, tasks, slots, ordered)
 	}
 	steps := make(map[*Slot]int, len(slots))
 	for _, slot := range slots {
@@ -52,8 +52,8 @@
 		if len(near) == before {
 			continue
 		}
-		if len(near) == len(slots) || fitWithAll(job, near, sorted) >= n {
-			return Preempt(job, n, near, sorted)
+		if len(near) == len(slots) || fitWithAll(job, near, sorted) >= tasks {
+			return Preempt(job, tasks, near, sorted)
 		}
 	}
 	return nil
--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -60,18 +60,18 @@
 	return 0
 }
 
-// Preempt takes candidates in rising score until n tasks of the job fit on the
+// Preempt takes candidates in rising score until so many tasks of the job fit on the
 // slots, then drops those that turned out unneeded. It returns nil when all
 // of them would not free enough for a single task more than fits now; when they free enough for
-// fewer than n, it takes what they free (the job waits for the rest).
-func Preempt(job *storage.Job, n int, slots []*Slot, ordered []Candidate) []Candidate {
+// fewer tasks, it takes what they free (the job waits for the rest).
+func Preempt(job *storage.Job, tasks int, slots []*Slot, ordered []Candidate) []Candidate {
 	capacity := newFreeCapacity(job, slots)
 	fitNow := capacity.tasks()
 	for _, candidate := range ordered {
 		capacity.release(candidate)
 	}
-	n = min(n, capacity.tasks())
-	if n <= fitNow {
+	tasks = min(tasks, capacity.tasks())
+	if tasks <= fitNow {
 		return nil
 	}
 	for _, candidate := range ordered {
@@ -84,19 +84,19 @@
 		}
 		capacity.release(candidate)
 		chosen = append(chosen, candidate)
-		if capacity.tasks() >= n {
+		if capacity.tasks() >= tasks {
 			break
 		}
 	}
-	return dropUnneeded(capacity, chosen, n)
+	return dropUnneeded(capacity, chosen, tasks)
 }
 
-// dropUnneeded drops candidates, the highest score first, without which n tasks still fit. capacity is
+// dropUnneeded drops candidates, the highest score first, without which so many tasks still fit. capacity is
 // what is free once all of them are preempted.
-func dropUnneeded(capacity *freeCapacity, chosen []Candidate, n int) []Candidate {
+func dropUnneeded(capacity *freeCapacity, chosen []Candidate, tasks int) []Candidate {
 	for i := len(chosen) - 1; i >= 0; i-- {
 		capacity.reclaim(chosen[i])
-		if capacity.tasks() >= n {
+		if capacity.tasks() >= tasks {
 			chosen[i].Victims = nil
 		} else {
 			capacity.release(chosen[i])
--- a/internal/controller/schedule/triage.go
+++ b/internal/controller/schedule/triage.go
@@ -74,9 +74,14 @@
 // largestFirst is a heap.Interface of jobs with the one that has most work left on top.
 type largestFirst []*jobCursor
 
-func (h largestFirst) Len() int           { return len(h) }
+// Len is the number of jobs.
+func (h largestFirst) Len() int { return len(h) }
+
+// Less puts the job with more work left first.
 func (h largestFirst) Less(a, b int) bool { return h[a].remainingWork > h[b].remainingWork }
-func (h largestFirst) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+
+// Swap exchanges two jobs.
+func (h largestFirst) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push appends a job, for heap.Push.
 func (h *largestFirst) Push(x any) { *h = append(*h, x.(*jobCursor)) }
