--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -45,6 +45,20 @@
 	s.dependencyFailed, s.long = append(s.dependencyFailed, s.long[:n]...), s.long[n:]
 }
 
+// preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled first.
+func (s *scenario) preferJobsIn(zone string) {
+	isInZone := func(m *Machine) bool { return m.Zone == zone }
+	var inZone, others []*Job
+	for _, job := range s.long {
+		if slices.ContainsFunc(s.machinesOf(job), isInZone) {
+			inZone = append(inZone, job)
+		} else {
+			others = append(others, job)
+		}
+	}
+	s.long = append(inZone, others...)
+}
+
 // told is how many of the jobs that were called off are known to their users to be cancelled.
 func (s *scenario) told() (n int) {
 	for _, j := range s.dependencyFailed {
@@ -222,6 +236,7 @@
 		zone := s.Controller(max(0, s.Owner(0))).Zone
 		s.PartitionZone(zone)
 		time.Sleep(time.Second)
+		s.preferJobsIn(zone)
 		s.cancelJob(6)
 		for _, j := range s.dependencyFailed {
 			for _, m := range s.machinesOf(j) {
