--- /dev/null
+++ b/internal/simulator/answers.go
@@ -0,0 +1,175 @@
+package simulator
+
+import (
+	"context"
+	"encoding/json"
+	"maps"
+	"net/http"
+	"time"
+
+	"dykeledge/internal/controller"
+	"dykeledge/internal/protocol"
+)
+
+// This file checks what users are told against what was said before, and what is.
+
+// stateIn is the job's state in an answer, if there is one.
+func stateIn(answer controller.Answer) (protocol.JobState, bool) {
+	raw, err := json.Marshal(answer.Body)
+	var state protocol.JobState
+	return state, err == nil && answer.Status >= 200 && answer.Status < 300 && json.Unmarshal(raw, &state) == nil
+}
+
+// isRefusal tells whether an answer refuses a request for good.
+func isRefusal(answer controller.Answer) bool {
+	return answer.Status >= http.StatusBadRequest && answer.Status < http.StatusTooManyRequests
+}
+
+// violated notes a rule that is broken. The simulation is not locked.
+func (sim *Simulation) violated(format string, arguments ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.violation(format, arguments...)
+}
+
+// checkState checks an answer about a job against what was said when it was asked for, and what is. The simulation is
+// not locked.
+func (sim *Simulation) checkState(job *Job, state protocol.JobState, asked lastAnswer) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if asked.status.Final() && state.Status != asked.status || job.told.Final() && state.Status.Final() && state.Status != job.told {
+		sim.violation("went_back: %s was %s and is %s", job.ID, job.told, state.Status)
+	}
+	if state.Status == protocol.Done && len(job.done) < job.Tasks {
+		sim.violation("not_done: %s with %d of %d tasks", job.ID, len(job.done), job.Tasks)
+	}
+	if state.Status == protocol.Cancelled && !job.asked {
+		if asked, _ := job.hasCancelledDependency(); !asked {
+			sim.violation("went_back: %s is cancelled although nobody asked", job.ID)
+		}
+	}
+	job.take(state.Status)
+}
+
+// checkAnswer takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
+// It tells whether there is a state in it. The simulation is not locked.
+func (sim *Simulation) checkAnswer(job *Job, answer controller.Answer, asked lastAnswer) bool {
+	if state, ok := stateIn(answer); ok {
+		sim.checkState(job, state, asked)
+		if answer.Status == http.StatusCreated && asked.accepted {
+			sim.violated("accepted twice: %s", job.ID)
+		}
+		return true
+	}
+	if isRefusal(answer) && asked.accepted {
+		sim.violated("forgotten: %s got %d", job.ID, answer.Status)
+	}
+	return false
+}
+
+// checkNeverSubmitted asks for a job that nobody has submitted: no controller may know it.
+func (sim *Simulation) checkNeverSubmitted(id string) {
+	if answer := sim.query(id); answer.Status == http.StatusOK {
+		sim.violated("invented: %s, a job that nobody submitted", id)
+	}
+}
+
+const (
+	closeLookRounds   = 3
+	closeLookInterval = 3 * time.Millisecond
+)
+
+// CloseLook asks for a job at all controllers within milliseconds, again and again, and repeats its submission there.
+func (sim *Simulation) CloseLook(job *Job) {
+	body, _ := json.Marshal(job.Spec) // a job's description holds only what JSON can
+	for range closeLookRounds {
+		for i := range sim.Settings.Deployment.Controllers {
+			process := sim.Controller(i)
+			if process.ended() || process.isPartitionedFrom(NoUsers) {
+				continue
+			}
+			asked := sim.lastAnswerOf(job)
+			for _, request := range []func(ctx context.Context) controller.Answer{
+				func(ctx context.Context) controller.Answer { return process.Core.Query(ctx, job.ID) },
+				func(ctx context.Context) controller.Answer { return process.Core.Submit(ctx, body) },
+			} {
+				go sim.lookAt(process, job, asked, request)
+			}
+		}
+		time.Sleep(closeLookInterval)
+	}
+}
+
+// lookAt sends a request about a job to one controller, and checks the answer.
+func (sim *Simulation) lookAt(process *ControllerProcess, job *Job, asked lastAnswer, request func(ctx context.Context) controller.Answer) {
+	ctx, cancel := context.WithTimeout(sim.ctx, queryTimeout)
+	defer cancel()
+	answer := request(ctx)
+	if !process.ended() && !process.isPartitionedFrom(NoUsers) && sim.checkAnswer(job, answer, asked) {
+		sim.Looks.Add(1)
+	}
+}
+
+// look is a close look, where users take them.
+func (sim *Simulation) look(j *Job) {
+	sim.mu.Lock()
+	on := sim.CloseLooks
+	sim.mu.Unlock()
+	if on {
+		sim.CloseLook(j)
+	}
+}
+
+// oddRequest is a submission that repeats a job's with another body, or that can't be accepted.
+type oddRequest struct {
+	body  []byte
+	known bool // the job was submitted before, and its state is told
+	want  int  // the status otherwise
+}
+
+// oddRequestsOf are a job's submission with other bodies, and what can't run or lacks a field.
+func oddRequestsOf(job *Job, unusedID string) []oddRequest {
+	with := func(id, field string, value any) []byte {
+		spec := maps.Clone(job.Spec)
+		if spec["id"] = id; value == nil {
+			delete(spec, field)
+		} else {
+			spec[field] = value
+		}
+		body, _ := json.Marshal(spec) // a job's description holds only what JSON can
+		return body
+	}
+	return []oddRequest{
+		{body: with(job.ID, "shards", 77), known: true, want: http.StatusOK},
+		{body: with(job.ID, "cpus", nil), known: true, want: http.StatusOK},
+		{body: with(job.ID, "cpus", 500.0), known: true, want: http.StatusOK},
+		{body: with(unusedID, "cpus", 500.0), want: http.StatusUnprocessableEntity},
+		{body: with(unusedID, "shape", nil), want: http.StatusBadRequest},
+		{body: with(unusedID, "crew", "nobody"), want: http.StatusUnprocessableEntity},
+	}
+}
+
+// OddRequests repeats a job's submission with other bodies, and sends what can't run and what lacks a field: nothing of
+// that may be accepted. It returns how many answers it checked.
+func (sim *Simulation) OddRequests(job *Job) (checked int) {
+	sim.mu.Lock()
+	unusedID := sim.nextUnusedID()
+	sim.mu.Unlock()
+	for _, odd := range oddRequestsOf(job, unusedID) {
+		asked := sim.lastAnswerOf(job)
+		answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
+			return c.Submit(ctx, odd.body)
+		})
+		if answer.Status == 0 || answer.Status == http.StatusServiceUnavailable {
+			continue
+		}
+		checked++
+		if odd.known {
+			sim.checkAnswer(job, answer, asked)
+		} else if answer.Status != odd.want {
+			sim.violated("accepted though it can't be: %s got %d, want %d", odd.body, answer.Status, odd.want)
+		}
+	}
+	sim.checkNeverSubmitted(unusedID)
+	return checked
+}
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -21,7 +21,7 @@
 	}
 	gone, now := map[string]uint64{}, map[string]uint64{}
 	for _, change := range txn.Then {
-		rack, ok := storage.GroupOf(change.Put)
+		group, ok := storage.GroupOf(change.Put)
 		if !ok {
 			continue
 		}
@@ -29,7 +29,7 @@
 		if err != nil {
 			return []string{err.Error()}
 		}
-		for task, n := range a.there[rack] {
+		for task, n := range a.there[group] {
 			gone[task] = n
 		}
 		tasks := map[string]uint64{}
@@ -41,7 +41,7 @@
 				}
 			}
 		}
-		a.there[rack] = tasks
+		a.there[group] = tasks
 	}
 	for task, n := range now {
 		if n <= a.last[task] {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -1,230 +1,239 @@
 package simulator
 
 import (
-	"context"
-	"dykeledge/internal/protocol"
-	"dykeledge/internal/transport"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
 )
 
-// AddMachine brings a machine up at once.
-func (w *Simulation) AddMachine(zone string, spot bool) *Machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	m := w.newMachine(w.Catalog.Types[0].Name, zone, spot)
-	w.boot(m, 0)
-	return m
-}
+const (
+	// failureShownAfter is how long a machine that died goes on being listed as running.
+	failureShownAfter = 30 * time.Second
+	// leastCharged is what a machine that is returned costs at least.
+	leastCharged = time.Minute
+	// lateBootFactor is how many times as long as usual a late machine takes to come up.
+	lateBootFactor = 4
+	// scaleOutAnswersPerLoss is how many rentals there are for one whose answer gets lost, on average.
+	scaleOutAnswersPerLoss = 4
+	// defaultCapacity is how many machines can be rented unless a test says otherwise.
+	defaultCapacity = 6
+)
 
-func (w *Simulation) newMachine(ty, zone string, spot bool) *Machine {
-	w.names++
-	m := &Machine{Name: fmt.Sprintf("host-%06d", w.names), Zone: zone, Type: ty, Spot: spot, machineType: w.typeOf(ty),
-		Addr: fmt.Sprintf("10.1.0.%d:9000", w.names), wakeUp: make(chan struct{}, 1), provisionedAt: time.Now(), images: map[string]time.Time{}}
-	if w.Listen != nil {
-		m.Addr = w.Listen(m)
-	}
-	w.machines[m.Name] = m
-	return m
-}
+// simulatedCloud rents machines out and takes them back.
+type simulatedCloud struct {
+	machines     map[string]*Machine
+	machineCount int                 // ever rented
+	requestNames map[string][]string // by rental request: the machines that it got
+	cloudRate    bucket
+	cloudDown    bool
+	costSpent    float64
 
-type cloudLink struct {
-	simulation *Simulation
-	controller *ControllerProcess
-	budget     *transport.Budget // nil: none
+	// Catalog lists the machine types that can be rented.
+	Catalog protocol.Catalog
+	// CapacityOf is how many machines can be rented in all.
+	CapacityOf int
+	// CloudCalls and CloudOver count the cloud's requests, and those over its rate,
+	// where the store enforces its own.
+	CloudCalls, CloudOver int
+	// Boot, if set, is how long a rented machine takes to come up; 0: it never does.
+	Boot func() time.Duration
+	// LateBoots and NeverBoots are the parts of the rented machines that take four times as long
+	// as usual to come up, and that never do.
+	LateBoots, NeverBoots float64
+	// ListLag, if set, is how old the machine list is.
+	ListLag func() time.Duration
 }
 
-// cloudTimeout is how long a controller waits for the cloud.
-const cloudTimeout = 10 * time.Second
+func newSimulatedCloud(cfg *config.Settings) simulatedCloud {
+	return simulatedCloud{
+		machines:     map[string]*Machine{},
+		requestNames: map[string][]string{},
+		CapacityOf:   defaultCapacity,
+		Catalog: protocol.Catalog{Types: []protocol.MachineType{{Name: "t16", Cpus: 16, MemGB: 64, CacheGB: 30, FetchGBs: 0.5,
+			Price: 1, SpotPrice: 0.3, BootS: 10, Zones: cfg.Deployment.Zones}}},
+	}
+}
 
-func (l *cloudLink) wait() error {
-	l.controller.pause()
-	time.Sleep(50 * time.Millisecond)
-	if l.budget != nil {
-		if err := l.budget.Wait(l.simulation.ctx, 1, 0); err != nil {
-			return protocol.ErrRefused
+// typeOf is the machine type of a name; an empty one where the catalog has none.
+func (c *simulatedCloud) typeOf(name string) protocol.MachineType {
+	for _, t := range c.Catalog.Types {
+		if t.Name == name {
+			return t
 		}
 	}
-	l.simulation.mu.Lock()
-	l.simulation.CloudCalls++
-	over := l.simulation.Store.Limited && !l.simulation.cloudRate.take(1)
-	if over {
-		l.simulation.CloudOver++
-	}
-	down := l.simulation.cloudDown
-	l.simulation.mu.Unlock()
-	if over {
+	return protocol.MachineType{}
+}
+
+// admit counts a request, and tells why the cloud refuses it, if it does.
+func (c *simulatedCloud) admit(limited bool) error {
+	c.CloudCalls++
+	switch {
+	case limited && !c.cloudRate.take(1):
+		c.CloudOver++
 		return errOverRate
-	}
-	if down {
+	case c.cloudDown:
 		return protocol.ErrRefused
 	}
-	if l.controller.ended() || l.controller.cut(NoCloud) {
-		time.Sleep(5 * time.Second)
-		return protocol.ErrUnknown
-	}
 	return nil
 }
 
-// Catalog returns the machine types.
-func (l *cloudLink) Catalog(context.Context) (*protocol.Catalog, error) {
-	if err := l.wait(); err != nil {
-		return nil, err
+// available is how many machines can still be rented.
+func (c *simulatedCloud) available() int {
+	left := c.CapacityOf
+	for _, m := range c.machines {
+		if !m.gone {
+			left--
+		}
 	}
-	c := l.simulation.Catalog
-	return &c, nil
+	return left
 }
 
-// ScaleOut rents machines; now and then the answer gets lost.
-func (l *cloudLink) ScaleOut(_ context.Context, scaleOutRequest protocol.ScaleOutRequest) ([]string, error) {
-	if err := l.wait(); err != nil {
-		return nil, err
-	}
-	sim := l.simulation
-	if sim.LateScaleOuts != nil {
-		if d := sim.LateScaleOuts(); d > 0 {
-			go func() {
-				time.Sleep(d)
-				_, _ = sim.scaleOut(scaleOutRequest) // nobody waits for it any more
-			}()
-			time.Sleep(2 * time.Second)
-			return nil, protocol.ErrUnknown
+// newMachine rents a machine of a type; its worker starts later.
+func (c *simulatedCloud) newMachine(typeName, zone string, spot bool) *Machine {
+	c.machineCount++
+	m := &Machine{Name: fmt.Sprintf("host-%06d", c.machineCount), Zone: zone, Type: typeName, Spot: spot, machineType: c.typeOf(typeName),
+		Addr: fmt.Sprintf("10.1.0.%d:9000", c.machineCount), wakeUp: make(chan struct{}, 1), provisionedAt: time.Now(), images: map[string]time.Time{}}
+	c.machines[m.Name] = m
+	return m
+}
+
+// machineAt is the running machine whose worker listens at an address, nil if there is none.
+func (c *simulatedCloud) machineAt(addr string) (found *Machine) {
+	for _, m := range c.machines {
+		if m.Addr == addr && m.isRunning() {
+			found = m
 		}
 	}
-	began := time.Now()
-	names, err := sim.scaleOut(scaleOutRequest)
-	if l.controller.stalledThrough(began, cloudTimeout) {
-		return nil, protocol.ErrUnknown
-	}
-	return names, err
+	return found
 }
 
-func (w *Simulation) scaleOut(scaleOutRequest protocol.ScaleOutRequest) ([]string, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if names, ok := w.requestNames[scaleOutRequest.Name]; ok {
-		return names, nil
+// bootTime is how long a rented machine takes to come up, given how long one of its type usually takes; 0: it never does.
+func (c *simulatedCloud) bootTime(usual time.Duration, random *Source) time.Duration {
+	switch chance := random.Float64(); {
+	case c.Boot != nil:
+		return c.Boot()
+	case chance < c.NeverBoots:
+		return 0
+	case chance < c.NeverBoots+c.LateBoots:
+		return usual * lateBootFactor
 	}
-	have := 0
-	for _, m := range w.machines {
-		if !m.gone {
-			have++
-		}
+	return usual
+}
+
+// charge adds up what a machine has cost, once it is gone.
+func (c *simulatedCloud) charge(m *Machine) {
+	rented := time.Since(m.provisionedAt)
+	if m.failed.IsZero() {
+		rented = max(rented, leastCharged)
 	}
-	n := min(scaleOutRequest.Count, w.CapacityOf-have)
-	if n <= 0 || !slices.Contains(w.typeOf(scaleOutRequest.Type).Zones, scaleOutRequest.Zone) {
-		return nil, protocol.ErrNoCapacity
+	c.costSpent += rented.Hours() * m.price()
+}
+
+func (m *Machine) price() float64 {
+	if m.Spot {
+		return m.machineType.SpotPrice
 	}
-	var names []string
-	for range n {
-		machine := w.newMachine(scaleOutRequest.Type, scaleOutRequest.Zone, scaleOutRequest.Spot)
-		names = append(names, machine.Name)
-		boot := w.fast(seconds(machine.machineType.BootS * (0.5 + w.Random.Float64())))
-		switch p := w.Random.Float64(); {
-		case w.Boot != nil:
-			boot = w.Boot()
-		case p < w.NeverBoots:
-			boot = 0
-		case p < w.NeverBoots+w.LateBoots:
-			boot *= 4
-		}
-		if boot > 0 {
-			w.boot(machine, boot)
+	return m.machineType.Price
+}
+
+// list lists the machines after a name that are at least so old, in the order of their names.
+func (c *simulatedCloud) list(after string, lag time.Duration) (list protocol.MachineList) {
+	for _, m := range c.machines {
+		if m.Name > after && (!m.gone || !m.failed.IsZero()) && time.Since(m.provisionedAt) > lag {
+			list.Machines = append(list.Machines, protocol.CloudMachine{ID: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
+				Spot: m.Spot, Status: m.listedStatus(), AgeS: time.Since(m.provisionedAt).Seconds()})
 		}
 	}
-	w.requestNames[scaleOutRequest.Name] = names
-	if w.Random.IntN(4) == 0 {
-		return nil, protocol.ErrUnknown
+	slices.SortFunc(list.Machines, func(a, b protocol.CloudMachine) int { return strings.Compare(a.ID, b.ID) })
+	if list.More = len(list.Machines) > protocol.MaxList; list.More {
+		list.Machines = list.Machines[:protocol.MaxList]
 	}
-	return names, nil
+	return list
 }
 
-// ScaleIn takes machines back.
-func (l *cloudLink) ScaleIn(_ context.Context, names []string) error {
-	if err := l.wait(); err != nil {
-		return err
-	}
-	began := time.Now()
-	l.simulation.mu.Lock()
-	for _, n := range names {
-		if m := l.simulation.machines[n]; m != nil {
-			if !m.gone {
-				l.simulation.remove(m)
-				l.simulation.charge(m)
-			}
-			m.failed = time.Time{} // a failed one is listed until now
-		}
+func (m *Machine) listedStatus() string {
+	switch {
+	case !m.failed.IsZero() && time.Since(m.failed) > failureShownAfter:
+		return "failed"
+	case m.up:
+		return "running"
 	}
-	l.simulation.mu.Unlock()
-	if l.controller.stalledThrough(began, cloudTimeout) {
-		return protocol.ErrUnknown
+	return "booting"
+}
+
+// AddMachine brings a machine up at once.
+func (sim *Simulation) AddMachine(zone string, spot bool) *Machine {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	m := sim.rent(sim.Catalog.Types[0].Name, zone, spot)
+	sim.startWorker(m, 0)
+	return m
+}
+
+// rent rents a machine, and has its worker listen where workers have ports.
+func (sim *Simulation) rent(typeName, zone string, spot bool) *Machine {
+	m := sim.newMachine(typeName, zone, spot)
+	if sim.Listen != nil {
+		m.Addr = sim.Listen(m)
 	}
-	return nil
+	return m
 }
 
-// List lists the machines, as they were a while ago.
-func (l *cloudLink) List(_ context.Context, after string) (protocol.MachineList, error) {
-	var out protocol.MachineList
-	if err := l.wait(); err != nil {
-		return out, err
+// scaleOut rents machines for a request; repeated, it tells the same machines again. Now and then the answer gets lost.
+func (sim *Simulation) scaleOut(request protocol.ScaleOutRequest) ([]string, error) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if names, ok := sim.requestNames[request.Name]; ok {
+		return names, nil
 	}
-	lag := seconds(l.simulation.Settings.Deployment.Cloud.ListLagS)
-	if l.simulation.ListLag != nil {
-		lag = l.simulation.ListLag()
+	count := min(request.Count, sim.available())
+	if count <= 0 || !slices.Contains(sim.typeOf(request.Type).Zones, request.Zone) {
+		return nil, protocol.ErrNoCapacity
 	}
-	l.simulation.mu.Lock()
-	defer l.simulation.mu.Unlock()
-	for _, m := range l.simulation.machines {
-		if m.Name > after && (!m.gone || !m.failed.IsZero()) && time.Since(m.provisionedAt) > lag {
-			st := "booting"
-			switch {
-			case !m.failed.IsZero() && time.Since(m.failed) > failsShown:
-				st = "failed"
-			case m.up:
-				st = "running"
-			}
-			out.Machines = append(out.Machines, protocol.CloudMachine{ID: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
-				Spot: m.Spot, Status: st, AgeS: time.Since(m.provisionedAt).Seconds()})
+	var names []string
+	for range count {
+		machine := sim.rent(request.Type, request.Zone, request.Spot)
+		names = append(names, machine.Name)
+		usual := sim.fast(seconds(machine.machineType.BootS * (0.5 + sim.Random.Float64())))
+		if boot := sim.bootTime(usual, sim.Random); boot > 0 {
+			sim.startWorker(machine, boot)
 		}
 	}
-	slices.SortFunc(out.Machines, func(a, b protocol.CloudMachine) int { return strings.Compare(a.ID, b.ID) })
-	if out.More = len(out.Machines) > protocol.MaxList; out.More {
-		out.Machines = out.Machines[:protocol.MaxList]
-	}
-	return out, nil
-}
-
-// failsShown is how long a machine that died goes on being listed as running.
-const failsShown = 30 * time.Second
-
-// leastCharged is what a machine that is returned costs at least.
-const leastCharged = time.Minute
-
-// charge adds up what a machine has cost, once it is gone.
-func (w *Simulation) charge(m *Machine) {
-	held := time.Since(m.provisionedAt)
-	if m.failed.IsZero() {
-		held = max(held, leastCharged)
+	sim.requestNames[request.Name] = names
+	if sim.Random.IntN(scaleOutAnswersPerLoss) == 0 {
+		return nil, protocol.ErrUnknown
 	}
-	w.costSpent += held.Hours() * m.price()
+	return names, nil
 }
 
-func (m *Machine) price() float64 {
-	if m.Spot {
-		return m.machineType.SpotPrice
+// scaleIn takes machines back.
+func (sim *Simulation) scaleIn(names []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, name := range names {
+		m := sim.machines[name]
+		if m == nil {
+			continue
+		}
+		if !m.gone {
+			sim.remove(m)
+			sim.charge(m)
+		}
+		m.failed = time.Time{} // a failed one is listed until now
 	}
-	return m.machineType.Price
 }
 
 // CostSpent is what all machines have cost so far, at the catalog's prices; those that are
 // still there are charged up to now.
-func (w *Simulation) CostSpent() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	sum := w.costSpent
-	for _, m := range w.machines {
+func (sim *Simulation) CostSpent() float64 {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sum := sim.costSpent
+	for _, m := range sim.machines {
 		if !m.gone {
 			sum += time.Since(m.provisionedAt).Hours() * m.price()
 		}
@@ -232,21 +241,26 @@
 	return sum
 }
 
+// Machines lists the machines that are running, by name.
+func (sim *Simulation) Machines() []*Machine {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var running []*Machine
+	for _, m := range sim.machines {
+		if m.isRunning() {
+			running = append(running, m)
+		}
+	}
+	slices.SortFunc(running, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
+	return running
+}
+
 // LimitCloud makes the cloud enforce its rate, where the store enforces its own.
-func (w *Simulation) LimitCloud(rps float64) { w.cloudRate = bucket{rate: rps, burst: 2 * rps} }
+func (sim *Simulation) LimitCloud(rps float64) { sim.cloudRate = bucket{rate: rps, burst: 2 * rps} }
 
 // SetCloudDown begins or ends an outage of the cloud.
-func (w *Simulation) SetCloudDown(down bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cloudDown = down
-}
-
-func (w *Simulation) typeOf(name string) protocol.MachineType {
-	for _, t := range w.Catalog.Types {
-		if t.Name == name {
-			return t
-		}
-	}
-	return protocol.MachineType{}
+func (sim *Simulation) SetCloudDown(down bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.cloudDown = down
 }
--- /dev/null
+++ b/internal/simulator/cloud_link.go
@@ -0,0 +1,111 @@
+package simulator
+
+import (
+	"context"
+	"time"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/transport"
+)
+
+// cloudLink is one controller's way to the cloud.
+type cloudLink struct {
+	simulation *Simulation
+	controller *ControllerProcess
+	budget     *transport.Budget // nil: none
+}
+
+const (
+	// cloudTimeout is how long a controller waits for the cloud.
+	cloudTimeout = 10 * time.Second
+	// cloudLatency is how long a request takes.
+	cloudLatency = 50 * time.Millisecond
+	// cloudPartitionDelay is how long a request waits that doesn't reach the cloud.
+	cloudPartitionDelay = 5 * time.Second
+	// lateScaleOutDelay is how long a request waits that the cloud carries out late.
+	lateScaleOutDelay = 2 * time.Second
+)
+
+// begin takes a request to the cloud, and tells why the cloud refuses it, if it does.
+func (l *cloudLink) begin() error {
+	l.controller.pause()
+	time.Sleep(cloudLatency)
+	sim := l.simulation
+	if l.budget != nil {
+		if err := l.budget.Wait(sim.ctx, 1, 0); err != nil {
+			return protocol.ErrRefused
+		}
+	}
+	sim.mu.Lock()
+	err := sim.admit(sim.Store.Limited)
+	sim.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	if l.controller.ended() || l.controller.isPartitionedFrom(NoCloud) {
+		time.Sleep(cloudPartitionDelay)
+		return protocol.ErrUnknown
+	}
+	return nil
+}
+
+// Catalog returns the machine types.
+func (l *cloudLink) Catalog(context.Context) (*protocol.Catalog, error) {
+	if err := l.begin(); err != nil {
+		return nil, err
+	}
+	catalog := l.simulation.Catalog
+	return &catalog, nil
+}
+
+// ScaleOut rents machines; now and then the answer gets lost.
+func (l *cloudLink) ScaleOut(_ context.Context, request protocol.ScaleOutRequest) ([]string, error) {
+	if err := l.begin(); err != nil {
+		return nil, err
+	}
+	sim := l.simulation
+	if sim.LateScaleOuts != nil {
+		if delay := sim.LateScaleOuts(); delay > 0 {
+			go func() {
+				time.Sleep(delay)
+				_, _ = sim.scaleOut(request) // nobody waits for it any more
+			}()
+			time.Sleep(lateScaleOutDelay)
+			return nil, protocol.ErrUnknown
+		}
+	}
+	began := time.Now()
+	names, err := sim.scaleOut(request)
+	if l.controller.stalledThrough(began, cloudTimeout) {
+		return nil, protocol.ErrUnknown
+	}
+	return names, err
+}
+
+// ScaleIn takes machines back.
+func (l *cloudLink) ScaleIn(_ context.Context, names []string) error {
+	if err := l.begin(); err != nil {
+		return err
+	}
+	began := time.Now()
+	l.simulation.scaleIn(names)
+	if l.controller.stalledThrough(began, cloudTimeout) {
+		return protocol.ErrUnknown
+	}
+	return nil
+}
+
+// List lists the machines, as they were a while ago.
+func (l *cloudLink) List(_ context.Context, after string) (protocol.MachineList, error) {
+	if err := l.begin(); err != nil {
+		return protocol.MachineList{}, err
+	}
+	sim := l.simulation
+	lag := seconds(sim.Settings.Deployment.Cloud.ListLagS)
+	if sim.ListLag != nil {
+		lag = sim.ListLag()
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.list(after, lag), nil
+}
--- /dev/null
+++ b/internal/simulator/commands.go
@@ -0,0 +1,219 @@
+package simulator
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"dykeledge/internal/protocol"
+)
+
+// resourceSlack is by how much tasks may exceed a machine, for rounding.
+const resourceSlack = 1e-6
+
+// execute carries out commands as a worker does.
+func (sim *Simulation) execute(machine *Machine, commands []protocol.Command) {
+	for _, command := range commands {
+		jobID, index, _ := protocol.SplitTask(command.Task)
+		position := machine.find(jobID, index, command.Attempt)
+		switch command.Op {
+		case protocol.OpLaunch:
+			if position < 0 {
+				sim.launch(machine, jobID, index, command.Attempt)
+			}
+		case protocol.OpKill:
+			if position >= 0 && machine.tasks[position].state != protocol.TaskExited {
+				sim.killTask(machine, machine.tasks[position], command.GraceS)
+			}
+		case protocol.OpClear:
+			if position >= 0 && machine.tasks[position].state == protocol.TaskExited {
+				machine.tasks = slices.Delete(machine.tasks, position, position+1)
+				machine.wake()
+			}
+		}
+	}
+}
+
+// launch takes up an attempt of a task; one that can't run here exits at once.
+func (sim *Simulation) launch(machine *Machine, jobID string, index int, attempt uint64) {
+	job := sim.jobs[jobID]
+	if job == nil || index >= job.Tasks {
+		unknown := &taskAttempt{job: &Job{ID: jobID}, index: index, attempt: attempt, state: protocol.TaskExited, cause: protocol.CauseUnknown}
+		machine.tasks = append(machine.tasks, unknown)
+		machine.wake()
+		return
+	}
+	launched := &taskAttempt{job: job, index: index, attempt: attempt, state: protocol.TaskFetching}
+	if cause := refusal(machine, job, index); cause != "" {
+		launched.state, launched.cause = protocol.TaskExited, cause
+	} else {
+		launched.ends = sim.fetch(machine, job)
+		if sim.Launched != nil {
+			sim.Launched(job, index)
+		}
+	}
+	machine.tasks = append(machine.tasks, launched)
+	machine.wake()
+}
+
+// refusal tells why a worker doesn't run a job's task, "" if it does.
+func refusal(machine *Machine, job *Job, index int) string {
+	if machine.hasTask(job, index) {
+		return protocol.CauseBusy
+	}
+	if !machine.leftWith(job).atLeast(-resourceSlack) {
+		return protocol.CauseNoCapacity
+	}
+	return ""
+}
+
+// killTask stops a task, after it has saved a checkpoint where it does that and the grace is long enough.
+func (sim *Simulation) killTask(machine *Machine, t *taskAttempt, graceS float64) {
+	save := t.job.spec("markCostS")
+	switch {
+	case t.state == protocol.TaskRunning && t.job.spec("markEveryS") > 0 && graceS >= save:
+		t.state, t.ends = protocol.TaskCheckpointing, time.Now().Add(sim.fast(seconds(save)))
+	case t.state != protocol.TaskCheckpointing || graceS == 0:
+		sim.taskStopped(machine, t)
+		sim.keepCheckpoint(t)
+		t.state, t.cause = protocol.TaskExited, protocol.CauseStopped
+	}
+	machine.wake()
+}
+
+// fetch tells when a job's image is on a machine. Images come one after another, as they
+// use the rate together, and the first of those that no task needs is evicted.
+func (sim *Simulation) fetch(machine *Machine, job *Job) time.Time {
+	name, _ := job.Spec["kit"].(string)
+	now := time.Now()
+	if at, ok := machine.images[name]; ok {
+		return at
+	}
+	takes := time.Duration(0)
+	if machine.machineType.FetchGBs > 0 {
+		takes = sim.fast(seconds(job.spec("pullGb") / machine.machineType.FetchGBs))
+	}
+	machine.fetches = latest(machine.fetches, now).Add(takes)
+	if len(machine.images) >= max(1, int(machine.machineType.CacheGB/max(0.1, job.spec("pullGb")))) {
+		delete(machine.images, machine.oldestUnusedImage())
+	}
+	machine.images[name] = machine.fetches
+	return machine.fetches
+}
+
+// oldestUnusedImage is the first fetched of the images that no task needs, "" if there is none.
+func (m *Machine) oldestUnusedImage() (oldest string) {
+	for name, at := range m.images {
+		needed := slices.ContainsFunc(m.tasks, func(t *taskAttempt) bool {
+			return t.state != protocol.TaskExited && t.job.Spec["kit"] == name
+		})
+		if !needed && (oldest == "" || at.Before(m.images[oldest])) {
+			oldest = name
+		}
+	}
+	return oldest
+}
+
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
+// executeCommand carries out direct commands if token and session allow it, and answers with a heartbeat.
+func (sim *Simulation) executeCommand(m *Machine, commands protocol.DirectCommands) (*protocol.Heartbeat, int) {
+	status := http.StatusConflict
+	if commands.FencingToken >= m.fencingToken && commands.Incarnation == m.incarnation {
+		m.fencingToken = commands.FencingToken
+		sim.execute(m, commands.Commands)
+		status = http.StatusOK
+	}
+	m.wake()
+	return m.nextHeartbeat(), status
+}
+
+// executeLate carries out direct commands after a time. The simulation is not locked.
+func (sim *Simulation) executeLate(machine *Machine, commands protocol.DirectCommands, after time.Duration) {
+	time.Sleep(after)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if !machine.gone {
+		sim.executeCommand(machine, commands)
+	}
+}
+
+// executeOnResume carries out direct commands once a machine that hangs goes on. The simulation is not locked.
+func (sim *Simulation) executeOnResume(machine *Machine, commands protocol.DirectCommands) {
+	executed := func() bool {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		if machine.hanging && !machine.gone {
+			return false
+		}
+		if !machine.gone {
+			sim.executeCommand(machine, commands)
+		}
+		return true
+	}
+	for sim.ctx.Err() == nil {
+		time.Sleep(resumePollInterval)
+		if executed() {
+			return
+		}
+	}
+}
+
+// workerLink is a controller's way to the workers.
+type workerLink struct {
+	simulation *Simulation
+	controller *ControllerProcess
+}
+
+// Command sends commands straight to a worker.
+func (l *workerLink) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
+	time.Sleep(time.Millisecond)
+	l.controller.pause()
+	began := time.Now()
+	heartbeat, status, took := l.send(addr, commands)
+	if took < 0 || took >= timeout {
+		time.Sleep(timeout)
+		return nil, 0, protocol.ErrUnknown
+	}
+	time.Sleep(took)
+	if l.controller.stalledThrough(began, timeout) {
+		return nil, 0, protocol.ErrUnknown
+	}
+	return heartbeat, status, nil
+}
+
+// noAnswer is how long an answer takes that never comes.
+const noAnswer time.Duration = -1
+
+// send has a worker carry out commands, now or later, and tells how long the answer takes.
+func (l *workerLink) send(addr string, commands protocol.DirectCommands) (heartbeat *protocol.Heartbeat, status int, took time.Duration) {
+	sim := l.simulation
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	machine := sim.machineAt(addr)
+	if delay := sim.commandDelay(machine, commands); delay > 0 {
+		go sim.executeLate(machine, commands, delay)
+		return nil, 0, noAnswer
+	}
+	if !l.reaches(machine) {
+		if machine != nil && machine.hanging && !l.controller.isPartitionedFrom(NoWorkers) {
+			go sim.executeOnResume(machine, commands)
+		}
+		return nil, 0, noAnswer
+	}
+	heartbeat, status = sim.executeCommand(machine, commands)
+	return heartbeat, status, max(time.Millisecond, sim.answerDelay(machine))
+}
+
+// reaches tells whether commands reach a machine that carries them out at once.
+func (l *workerLink) reaches(machine *Machine) bool {
+	if machine == nil || machine.hanging || machine.partitioned || machine.deafToController {
+		return false
+	}
+	return !l.simulation.separates(l.controller, machine) && !l.controller.isPartitionedFrom(NoWorkers) && !l.controller.ended()
+}
--- /dev/null
+++ b/internal/simulator/controllers.go
@@ -0,0 +1,223 @@
+package simulator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/controller"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+	"dykeledge/internal/transport"
+)
+
+// peerHeartbeatInterval is how often the controllers hear from one another.
+const peerHeartbeatInterval = 500 * time.Millisecond
+
+// controllerSet are the controllers of a simulation.
+type controllerSet struct {
+	controllers []*ControllerProcess
+	lastLeader  storage.LeaderRecord
+	// Old are the controllers that start as the version before, which can't read packed records.
+	Old map[int]bool
+	// Views has the controllers keep a read model.
+	Views bool
+	// After is called when a controller's transaction was applied, before the controller learns of it.
+	After func(i int, t protocol.Txn)
+	// KillCount counts controllers that were killed.
+	KillCount atomic.Int32
+	// IsLeader counts the times that leadership was taken.
+	IsLeader atomic.Int32
+}
+
+// set makes a process controller i.
+func (c *controllerSet) set(i int, process *ControllerProcess) {
+	for len(c.controllers) <= i {
+		c.controllers = append(c.controllers, nil)
+	}
+	c.controllers[i] = process
+}
+
+// indexOf is the number of the controller of a name, -1 if there is none.
+func (c *controllerSet) indexOf(name string) int {
+	return slices.IndexFunc(c.controllers, func(process *ControllerProcess) bool { return process.Name == name })
+}
+
+// servingUsers lists the controllers that users reach.
+func (c *controllerSet) servingUsers() (serving []*ControllerProcess) {
+	for _, process := range c.controllers {
+		if !process.ended() && !process.isPartitionedFrom(NoUsers) {
+			serving = append(serving, process)
+		}
+	}
+	return serving
+}
+
+// noteLeader takes the leader's record and tells whether another leader has begun.
+func (c *controllerSet) noteLeader(raw []byte) bool {
+	var leader storage.LeaderRecord
+	if json.Unmarshal(raw, &leader) != nil || leader == c.lastLeader {
+		return false
+	}
+	c.lastLeader = leader
+	c.IsLeader.Add(1)
+	return true
+}
+
+// controllerName is the name under which controller i starts.
+func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
+
+// Start starts controller i, anew if it ran before.
+func (sim *Simulation) Start(i int) {
+	cfg := sim.controllerSettings(i)
+	ctx, cancel := context.WithCancel(sim.ctx)
+	process := &ControllerProcess{Name: cfg.MemberName, Zone: cfg.Zone, simulation: sim, stop: cancel}
+	if cfg.Zone == sim.partitionedZone() {
+		process.Cut(partitionZone)
+	}
+	process.Link = sim.newStoreLink(i, process)
+	cloud := &cloudLink{simulation: sim, controller: process}
+	if sim.Store.Limited {
+		process.Link.budget = transport.NewStateBudget(&cfg.Deployment)
+		cloud.budget = transport.CloudBudget(&cfg.Deployment)
+	}
+	log := sim.Log.With("controller", process.Name)
+	process.Core = controller.New(cfg, process.Link, cloud, &workerLink{sim, process}, log, controller.DefaultTiming())
+	process.handleHeartbeat = process.Core.HandleHeartbeat
+	if sim.Views {
+		process.Core.EnableView()
+	}
+	sim.mu.Lock()
+	if sim.Old[i] {
+		process.Core.Layout, process.Core.Frames = storage.LayoutPlain, 0
+	}
+	sim.set(i, process)
+	sim.mu.Unlock()
+	go process.Core.Run(ctx)
+}
+
+// controllerSettings are the settings that controller i starts with.
+func (sim *Simulation) controllerSettings(i int) *config.Settings {
+	cfg := *sim.Settings
+	zones := cfg.Deployment.Zones
+	cfg.MemberName = controllerName(i)
+	cfg.Zone = zones[i%len(zones)]
+	cfg.Known = nil
+	for other := range cfg.Deployment.Controllers {
+		if other != i {
+			cfg.Known = append(cfg.Known, config.Peer{MemberName: controllerName(other), Zone: zones[other%len(zones)]})
+		}
+	}
+	return &cfg
+}
+
+// newStoreLink is controller i's way to the store, with the hooks that delay its transactions and watch them.
+func (sim *Simulation) newStoreLink(i int, process *ControllerProcess) *StoreLink {
+	return &StoreLink{
+		store:      sim.Store,
+		controller: process,
+		Late: func(t protocol.Txn) time.Duration {
+			if sim.Late == nil {
+				return 0
+			}
+			return sim.Late(process.Name, t)
+		},
+		After: func(t protocol.Txn) {
+			if sim.After != nil {
+				sim.After(i, t)
+			}
+		},
+	}
+}
+
+// PeerDelay lets the controllers hear one another's peer heartbeats.
+func (sim *Simulation) PeerDelay() {
+	go func() {
+		for sim.ctx.Err() == nil {
+			time.Sleep(peerHeartbeatInterval)
+			sim.mu.Lock()
+			processes := slices.Clone(sim.controllers)
+			sim.mu.Unlock()
+			for _, from := range processes {
+				for _, to := range processes {
+					if from != to && sim.canHearPeer(from, to) {
+						sendPeerHeartbeat(from, to)
+					}
+				}
+			}
+		}
+	}()
+}
+
+// canHearPeer tells whether a controller's peer heartbeat reaches another one now. The simulation is not locked.
+func (sim *Simulation) canHearPeer(from, to *ControllerProcess) bool {
+	switch {
+	case sim.ZonesPartitioned(from.Zone, to.Zone):
+		return false
+	case from.ended() || to.ended() || from.isPartitionedFrom(NoPeers) || to.isPartitionedFrom(NoPeers):
+		return false
+	}
+	return from.stalledUntil.Load() < time.Now().UnixNano()
+}
+
+func sendPeerHeartbeat(from, to *ControllerProcess) {
+	go to.Core.ReceivePeerHeartbeat(from.Name, from.Core.PeerHeartbeat())
+	if digest, ok := from.Core.CancellationDigest(to.Name); ok {
+		go to.Core.ReceiveCancellationDigest(from.Name, digest)
+	}
+}
+
+// Kill ends controller i without any notice.
+func (sim *Simulation) Kill(i int) {
+	process := sim.Controller(i)
+	sim.KillCount.Add(1)
+	process.gone.Store(true)
+	process.stop()
+}
+
+// Again ends controllers and starts them anew a moment later.
+func (sim *Simulation) Again(back time.Duration, indexes ...int) {
+	for _, i := range indexes {
+		if !sim.Controller(i).ended() {
+			sim.Kill(i)
+		}
+	}
+	time.Sleep(back)
+	for _, i := range indexes {
+		if sim.Controller(i).ended() {
+			sim.Start(i)
+		}
+	}
+}
+
+// Owner is the controller that owns a shard, -1 if nobody does.
+func (sim *Simulation) Owner(shard int) int {
+	for i := range sim.Settings.Deployment.Controllers {
+		views, err := sim.Controller(i).Core.ShardViews(sim.ctx)
+		if err == nil && shard < len(views) && views[shard].Owner == sim.Controller(i).Name {
+			return i
+		}
+	}
+	return -1
+}
+
+// Leader is the controller that leads, -1 if nobody is known to.
+func (sim *Simulation) Leader() int {
+	raw, ok := sim.Store.Value(storage.LeaderKey)
+	var leader storage.LeaderRecord
+	if !ok || json.Unmarshal(raw, &leader) != nil {
+		return -1
+	}
+	return sim.indexOf(leader.Member)
+}
+
+// Controller returns controller i as it runs now.
+func (sim *Simulation) Controller(i int) *ControllerProcess {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.controllers[i]
+}
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"dykeledge/internal/protocol"
-	"dykeledge/internal/storage"
-	"dykeledge/internal/transport"
 	"errors"
 	"slices"
-	"strings"
 	"time"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/transport"
 )
 
 // StoreLink is one controller's way to the store.
@@ -25,15 +24,25 @@
 	Requests StateRequests
 }
 
-// maxPageBytes is about how much one page of a read holds.
-const maxPageBytes = 480 << 10
-
-// stateTimeout is how long a controller waits for the state service.
-const stateTimeout = 3 * time.Second
+const (
+	// maxPageBytes is about how much one page of a read holds.
+	maxPageBytes = 480 << 10
+	// stateTimeout is how long a controller waits for the state service.
+	stateTimeout = 3 * time.Second
+	// stateLatency is how long a request takes, and so does a transaction's answer.
+	stateLatency = 2 * time.Millisecond
+	// statePartitionDelay is how long a request waits that doesn't reach the state service.
+	statePartitionDelay = 2 * time.Second
+	// lostAnswerDelay is how long a caller waits, at most, for a transaction whose answer is lost.
+	lostAnswerDelay = time.Second
+	// watchPollInterval is how often a watch without changes looks at whether it may go on.
+	watchPollInterval = 200 * time.Millisecond
+)
 
+// begin takes a request to the store, and tells why the store refuses it, if it does.
 func (l *StoreLink) begin(ctx context.Context) error {
 	l.controller.pause()
-	time.Sleep(2 * time.Millisecond)
+	time.Sleep(stateLatency)
 	if l.store.Slow != nil {
 		time.Sleep(l.store.Slow(l.controller.Name))
 	}
@@ -41,14 +50,14 @@
 		<-ctx.Done()
 		return protocol.ErrUnknown
 	}
-	if l.controller.cut(NoState) {
-		time.Sleep(2 * time.Second)
+	if l.controller.isPartitionedFrom(NoState) {
+		time.Sleep(statePartitionDelay)
 		return protocol.ErrUnknown
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	l.store.expire()
-	if l.store.down || l.store.denied[l.controller.Name] {
+	if l.store.refuses(l.controller.Name) {
 		return protocol.ErrRefused
 	}
 	if l.store.over() {
@@ -57,6 +66,11 @@
 	return nil
 }
 
+// answerIsLost tells whether the answer to a request that began at a time reaches the controller too late, or not at all.
+func (l *StoreLink) answerIsLost(began time.Time, cuts Cuts) bool {
+	return l.controller.stalledThrough(began, stateTimeout) || l.controller.isPartitionedFrom(cuts)
+}
+
 // Revision learns the revision.
 func (l *StoreLink) Revision(ctx context.Context) (uint64, error) {
 	if l.budget != nil {
@@ -79,90 +93,108 @@
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
-	page, size := protocol.Page{Revision: l.store.rev}, 0
-	l.store.keys.Ascend(max(prefix, after), func(k string, simulatorEntry entry) bool {
-		if k == after {
-			return true
-		}
-		if !strings.HasPrefix(k, prefix) {
-			return false
-		}
-		if page.More = len(page.Items) == limit || size > maxPageBytes; page.More {
-			return false
-		}
-		size += len(k) + len(simulatorEntry.value)
-		page.Items = append(page.Items, protocol.Item{Key: k, Value: slices.Clone(simulatorEntry.value), Version: simulatorEntry.version})
-		return true
-	})
-	return page, nil
+	return l.store.page(prefix, after, limit), nil
 }
 
-// Txn carries out a transaction.
-func (l *StoreLink) Txn(ctx context.Context, txn protocol.Txn, haste protocol.RequestPriority) (uint64, []string, error) {
-	if l.budget != nil {
-		if err := l.budget.Admit(ctx, len(txn.Then), haste); err != nil {
-			return 0, nil, err
-		}
+// Read reads one key.
+func (l *StoreLink) Read(ctx context.Context, key string) (it protocol.Item, lease, rev uint64, err error) {
+	if err := l.begin(ctx); err != nil {
+		return it, 0, 0, err
 	}
 	l.store.mu.Lock()
-	over := l.store.Limited && !l.store.down && len(txn.Then) > 0 && !l.store.rates[1].take(float64(len(txn.Then)))
-	if over {
-		l.store.OverRate++
+	defer l.store.mu.Unlock()
+	e, ok := l.store.keys.Get(key)
+	if !ok {
+		return it, 0, l.store.rev, protocol.ErrNotFound
 	}
-	l.store.mu.Unlock()
-	if over {
-		if l.budget != nil {
-			l.budget.StepBack()
-		}
-		return 0, nil, errOverRate
+	return protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version}, e.lease, l.store.rev, nil
+}
+
+// Txn carries out a transaction.
+func (l *StoreLink) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (uint64, []string, error) {
+	if err := l.admit(ctx, txn, priority); err != nil {
+		return 0, nil, err
 	}
 	if err := l.begin(ctx); err != nil {
 		return 0, nil, err
 	}
 	if l.Late != nil {
-		if duration := l.Late(txn); duration > 0 {
-			go func() {
-				time.Sleep(duration)
-				l.store.mu.Lock()
-				defer l.store.mu.Unlock()
-				// Nobody waits for it any more.
-				if _, failed, err := l.store.apply(txn); err == nil && len(failed) == 0 {
-					l.controller.simulation.LateDone.Add(1)
-				} else {
-					l.controller.simulation.LateDenied.Add(1)
-				}
-			}()
-			time.Sleep(min(duration, time.Second))
+		if delay := l.Late(txn); delay > 0 {
+			go l.applyLate(txn, delay)
+			time.Sleep(min(delay, lostAnswerDelay))
 			return 0, nil, protocol.ErrUnknown
 		}
 	}
 	began := time.Now()
-	l.store.mu.Lock()
-	rev, failed, err := l.store.apply(txn)
-	if errors.Is(err, protocol.ErrTooLarge) {
-		l.store.TooLarge++ // a late copy from before the limits fell is not counted: nobody waits for it
-	}
-	l.store.mu.Unlock()
-	if l.After != nil && err == nil && len(failed) == 0 {
+	rev, failed, err := l.apply(txn)
+	applied := err == nil && len(failed) == 0
+	if l.After != nil && applied {
 		l.After(txn)
 	}
-	if w := l.controller.simulation; w != nil && w.LostAnswers != nil && err == nil && len(txn.Then) > 0 && w.LostAnswers(l.controller.Name, txn) {
-		if len(failed) == 0 {
-			kind, _, _ := strings.Cut(strings.TrimPrefix(txn.Then[0].Put+txn.Then[0].Delete, storage.Root), "/")
-			w.mu.Lock()
-			w.AnswersLost[kind]++
-			w.mu.Unlock()
-		}
-		time.Sleep(time.Second)
+	if err == nil && len(txn.Then) > 0 && l.losesAnswer(txn, applied) {
+		time.Sleep(lostAnswerDelay)
 		return 0, nil, protocol.ErrUnknown
 	}
-	time.Sleep(2 * time.Millisecond)
-	if l.controller.stalledThrough(began, stateTimeout) || l.controller.ended() || l.controller.cut(NoState|NoAnswers) {
+	time.Sleep(stateLatency)
+	if l.answerIsLost(began, NoState|NoAnswers) || l.controller.ended() {
 		return 0, nil, protocol.ErrUnknown
 	}
 	return rev, failed, err
 }
 
+// admit waits until the controller's budget allows a transaction, and tells whether the store refuses it for its rate.
+func (l *StoreLink) admit(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) error {
+	if l.budget != nil {
+		if err := l.budget.Admit(ctx, len(txn.Then), priority); err != nil {
+			return err
+		}
+	}
+	l.store.mu.Lock()
+	over := l.store.overWriteRate(len(txn.Then))
+	l.store.mu.Unlock()
+	if !over {
+		return nil
+	}
+	if l.budget != nil {
+		l.budget.StepBack()
+	}
+	return errOverRate
+}
+
+// apply has the store apply a transaction.
+func (l *StoreLink) apply(txn protocol.Txn) (uint64, []string, error) {
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	rev, failed, err := l.store.apply(txn)
+	if errors.Is(err, protocol.ErrTooLarge) {
+		l.store.TooLarge++ // a late copy from before the limits fell is not counted: nobody waits for it
+	}
+	return rev, failed, err
+}
+
+// applyLate has the store apply a transaction after a time, when nobody waits for it any more.
+func (l *StoreLink) applyLate(txn protocol.Txn, delay time.Duration) {
+	time.Sleep(delay)
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	_, failed, err := l.store.apply(txn)
+	l.controller.simulation.lateTransaction(err == nil && len(failed) == 0)
+}
+
+// losesAnswer asks the hook whether the answer to a transaction is lost, and counts those of the ones that took effect.
+func (l *StoreLink) losesAnswer(txn protocol.Txn, applied bool) bool {
+	sim := l.controller.simulation
+	if sim == nil || sim.LostAnswers == nil || !sim.LostAnswers(l.controller.Name, txn) {
+		return false
+	}
+	if applied {
+		sim.mu.Lock()
+		sim.answerLost(txn)
+		sim.mu.Unlock()
+	}
+	return true
+}
+
 // Pace is how long it takes until n changes may go out.
 func (l *StoreLink) Pace(n int) time.Duration {
 	if l.budget == nil {
@@ -193,7 +225,7 @@
 	}
 }
 
-// Grant takes a hold.
+// Grant takes a session lease.
 func (l *StoreLink) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if l.budget != nil {
 		l.budget.Owe()
@@ -203,17 +235,15 @@
 	}
 	began := time.Now()
 	l.store.mu.Lock()
-	l.store.lastID++
-	id := l.store.lastID
-	l.store.leases[id] = &lease{ttl, time.Now().Add(ttl)}
+	id := l.store.grant(ttl)
 	l.store.mu.Unlock()
-	if l.controller.stalledThrough(began, stateTimeout) || l.controller.cut(NoAnswers) {
+	if l.answerIsLost(began, NoAnswers) {
 		return 0, protocol.ErrUnknown
 	}
 	return id, nil
 }
 
-// End ends a hold and removes what is attached to it.
+// End ends a session lease and removes what is attached to it.
 func (l *StoreLink) End(ctx context.Context, lease uint64) error {
 	if err := l.begin(ctx); err != nil {
 		return err
@@ -223,27 +253,11 @@
 	if l.store.leases[lease] == nil {
 		return protocol.ErrNoLease
 	}
-	delete(l.store.leases, lease)
-	l.store.rev++
-	l.store.release(lease)
+	l.store.endLease(lease)
 	return nil
 }
 
-// Read reads one key.
-func (l *StoreLink) Read(ctx context.Context, key string) (it protocol.Item, lease, rev uint64, err error) {
-	if err := l.begin(ctx); err != nil {
-		return it, 0, 0, err
-	}
-	l.store.mu.Lock()
-	defer l.store.mu.Unlock()
-	e, ok := l.store.keys.Get(key)
-	if !ok {
-		return it, 0, l.store.rev, protocol.ErrNotFound
-	}
-	return protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version}, e.lease, l.store.rev, nil
-}
-
-// Renew renews a hold.
+// Renew renews a session lease.
 func (l *StoreLink) Renew(ctx context.Context, lease uint64, _ time.Duration) error {
 	if l.budget != nil {
 		l.budget.Owe()
@@ -253,15 +267,15 @@
 	}
 	began := time.Now()
 	l.store.mu.Lock()
-	h := l.store.leases[lease]
-	if h != nil {
-		h.ends = time.Now().Add(h.ttl)
+	held := l.store.leases[lease]
+	if held != nil {
+		held.renew()
 	}
 	l.store.mu.Unlock()
 	switch {
-	case l.controller.stalledThrough(began, stateTimeout) || l.controller.cut(NoAnswers):
+	case l.answerIsLost(began, NoAnswers):
 		return protocol.ErrUnknown
-	case h == nil:
+	case held == nil:
 		return protocol.ErrNoLease
 	}
 	return nil
@@ -277,45 +291,48 @@
 	}
 	deadline := time.Now().Add(wait)
 	for {
-		l.store.mu.Lock()
-		l.store.expire()
-		blind := l.store.down || l.store.denied[l.controller.Name] || l.controller.ended() || l.controller.cut(NoState|NoAnswers)
-		events := protocol.Events{Revision: l.store.rev}
-		if from < l.store.compactedTo && !blind {
-			l.store.mu.Unlock()
-			return protocol.Events{}, protocol.ErrTooOld
+		events, unreachable, changed, err := l.changesNow(prefix, from)
+		if err != nil {
+			return protocol.Events{}, err
 		}
-		i, _ := slices.BinarySearchFunc(l.store.log, from, func(e protocol.Event, r uint64) int {
-			if e.Version <= r {
-				return -1
-			}
-			return 1
-		})
-		for _, e := range l.store.log[i:] {
-			if strings.HasPrefix(e.Put+e.Delete, prefix) {
-				events.Events = append(events.Events, e)
-			}
-		}
-		ch := l.store.changed
-		l.store.mu.Unlock()
-		if !blind && (len(events.Events) > 0 || time.Now().After(deadline)) {
+		if !unreachable && (len(events.Events) > 0 || time.Now().After(deadline)) {
 			if l.store.Lag != nil {
 				time.Sleep(l.store.Lag(l.controller.Name))
 			}
 			l.controller.pause()
 			return events, nil
 		}
-		t := time.NewTimer(200 * time.Millisecond)
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return protocol.Events{}, ctx.Err()
-		case <-ch:
-			t.Stop()
-			if blind {
-				time.Sleep(200 * time.Millisecond)
-			}
-		case <-t.C:
+		if err := awaitChange(ctx, changed, unreachable); err != nil {
+			return protocol.Events{}, err
 		}
 	}
 }
+
+// changesNow reads the changes after a revision. Where the store is unreachable now, they don't reach the controller;
+// changed is closed with the next change.
+func (l *StoreLink) changesNow(prefix string, from uint64) (events protocol.Events, unreachable bool, changed <-chan struct{}, err error) {
+	l.store.mu.Lock()
+	defer l.store.mu.Unlock()
+	l.store.expire()
+	unreachable = l.store.refuses(l.controller.Name) || l.controller.ended() || l.controller.isPartitionedFrom(NoState|NoAnswers)
+	if from < l.store.compactedTo && !unreachable {
+		return protocol.Events{}, false, nil, protocol.ErrTooOld
+	}
+	return l.store.eventsAfter(prefix, from), unreachable, l.store.changed, nil
+}
+
+// awaitChange waits for the next change, or until it is time to look again.
+func awaitChange(ctx context.Context, changed <-chan struct{}, unreachable bool) error {
+	timer := time.NewTimer(watchPollInterval)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-changed:
+		if unreachable {
+			time.Sleep(watchPollInterval)
+		}
+	case <-timer.C:
+	}
+	return nil
+}
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -19,13 +19,14 @@
 	backends []*backend
 }
 
+// backend is a controller as the balancer sees it.
 type backend struct {
-	node          *ControllerProcess
+	process       *ControllerProcess
 	addr          string
 	conns         map[net.Conn]bool
 	healthy       bool
 	everHealthy   bool
-	failedProbes  []bool // the last six probes
+	failedProbes  []bool // of the last probes, whether each failed
 	healthyProbes int    // successes in a row
 	changed       time.Time
 	removed       time.Time
@@ -47,32 +48,43 @@
 	triesAConn   = 3
 )
 
+const (
+	probesKept   = 6   // the last probes of a controller that count
+	failuresKept = 3   // a controller with as many failures among them is removed
+	startingLoad = 0.1 // the part of the load that a controller gets as it becomes healthy
+)
+
 // NewLoadBalancer makes a balancer; AddController adds the controllers, then Run probes and Serve serves.
 func NewLoadBalancer() *LoadBalancer { return &LoadBalancer{} }
 
 // AddController adds a controller that listens at an address.
-func (f *LoadBalancer) AddController(n *ControllerProcess, addr string) {
-	f.backends = append(f.backends, &backend{node: n, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
+func (l *LoadBalancer) AddController(process *ControllerProcess, addr string) {
+	l.backends = append(l.backends, &backend{process: process, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
 }
 
 // Run probes the controllers until ctx ends.
-func (f *LoadBalancer) Run(ctx context.Context) {
+func (l *LoadBalancer) Run(ctx context.Context) {
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1}
-	for _, b := range f.backends {
+	for _, b := range l.backends {
 		go func() {
 			for ctx.Err() == nil {
-				ok := false
-				if !b.node.cut(NoUsers) {
-					status, _, err := client.GetTimeout(nil, "http://"+b.addr+"/ready", probeEvery)
-					ok = err == nil && status == fasthttp.StatusOK
-				}
-				f.probed(b, ok, time.Now())
+				l.probed(b, b.probe(client), time.Now())
 				sleep(ctx, probeEvery)
 			}
 		}()
 	}
 }
 
+// probe asks a controller whether it is ready.
+func (b *backend) probe(client *fasthttp.Client) bool {
+	if b.process.isPartitionedFrom(NoUsers) {
+		return false
+	}
+	status, _, err := client.GetTimeout(nil, "http://"+b.addr+"/ready", probeEvery)
+	return err == nil && status == fasthttp.StatusOK
+}
+
+// sleep waits for a time, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -83,54 +95,73 @@
 }
 
 // probed takes a probe's outcome.
-func (f *LoadBalancer) probed(simulatorBackend *backend, ok bool, now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	simulatorBackend.failedProbes = append(simulatorBackend.failedProbes, !ok)
-	if len(simulatorBackend.failedProbes) > 6 {
-		simulatorBackend.failedProbes = simulatorBackend.failedProbes[1:]
-	}
-	simulatorBackend.healthyProbes++
-	if !ok {
-		simulatorBackend.healthyProbes = 0
+func (l *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	b.noteProbe(ok)
+	switch {
+	case b.healthy && !ok && b.mustBeRemoved():
+		b.remove(now)
+	case !b.healthy && ok && b.mayReturn(now):
+		b.healthy, b.everHealthy, b.changed, b.failedProbes = true, true, now, nil
 	}
-	failed := 0
-	for _, x := range simulatorBackend.failedProbes {
-		if x {
-			failed++
+	if !b.healthy && b.everHealthy && now.Sub(b.changed) > resetAfter {
+		for c := range b.conns {
+			_ = c.Close() // a reset: its user connects anew
 		}
+		clear(b.conns)
 	}
-	n := len(simulatorBackend.failedProbes)
-	switch {
-	case simulatorBackend.healthy && !ok && (n >= 2 && simulatorBackend.failedProbes[n-2] || failed >= 3):
-		if !simulatorBackend.removed.IsZero() && now.Sub(simulatorBackend.removed) < forgiveAfter {
-			simulatorBackend.pause = min(longestPause, 2*simulatorBackend.pause)
-		} else {
-			simulatorBackend.pause = firstPause
-		}
-		simulatorBackend.healthy, simulatorBackend.changed, simulatorBackend.removed = false, now, now
-	case !simulatorBackend.healthy && ok && (!simulatorBackend.everHealthy || simulatorBackend.healthyProbes >= 2 && now.Sub(simulatorBackend.changed) >= simulatorBackend.pause):
-		simulatorBackend.healthy, simulatorBackend.everHealthy, simulatorBackend.changed, simulatorBackend.failedProbes = true, true, now, nil
+}
+
+func (b *backend) noteProbe(ok bool) {
+	b.failedProbes = append(b.failedProbes, !ok)
+	if len(b.failedProbes) > probesKept {
+		b.failedProbes = b.failedProbes[1:]
 	}
-	if !simulatorBackend.healthy && simulatorBackend.everHealthy && now.Sub(simulatorBackend.changed) > resetAfter {
-		for c := range simulatorBackend.conns {
-			_ = c.Close() // a reset: its user connects anew
+	b.healthyProbes++
+	if !ok {
+		b.healthyProbes = 0
+	}
+}
+
+// mustBeRemoved tells, after a probe that failed, whether the one before failed too, or too many of the last ones.
+func (b *backend) mustBeRemoved() bool {
+	failures := 0
+	for _, failed := range b.failedProbes {
+		if failed {
+			failures++
 		}
-		clear(simulatorBackend.conns)
 	}
+	probes := len(b.failedProbes)
+	return probes >= 2 && b.failedProbes[probes-2] || failures >= failuresKept
+}
+
+// remove gives a controller no new connections; one that was removed a while ago waits for longer than before.
+func (b *backend) remove(now time.Time) {
+	if !b.removed.IsZero() && now.Sub(b.removed) < forgiveAfter {
+		b.pause = min(longestPause, 2*b.pause)
+	} else {
+		b.pause = firstPause
+	}
+	b.healthy, b.changed, b.removed = false, now, now
+}
+
+// mayReturn tells, after a probe that succeeded, whether the controller gets connections again.
+func (b *backend) mayReturn(now time.Time) bool {
+	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.changed) >= b.pause
 }
 
 // pick chooses a controller for a new connection, leaving out those that were tried.
-func (f *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (l *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var best *backend
 	least := 0.0
-	for _, b := range f.backends {
+	for _, b := range l.backends {
 		if !b.healthy || now.Before(b.skipUntil) || slices.Contains(tried, b) {
 			continue
 		}
-		part := min(1, 0.1+now.Sub(b.changed).Seconds()/rampOver.Seconds())
+		part := min(1, startingLoad+now.Sub(b.changed).Seconds()/rampOver.Seconds())
 		if load := float64(len(b.conns)+1) / part; best == nil || load < least {
 			best, least = b, load
 		}
@@ -139,111 +170,62 @@
 }
 
 // Serve takes users' connections until the listener is closed.
-func (f *LoadBalancer) Serve(ln net.Listener) error {
+func (l *LoadBalancer) Serve(ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return err
 		}
-		go f.join(c)
+		go l.join(c)
 	}
 }
 
-func (f *LoadBalancer) join(conn net.Conn) {
-	defer conn.Close()
+// join passes a user's connection on to a controller.
+func (l *LoadBalancer) join(conn net.Conn) {
+	defer closeConn(conn)
 	var tried []*backend
 	for range triesAConn {
-		simulatorBackend := f.pick(tried, time.Now())
-		if simulatorBackend == nil {
+		b := l.pick(tried, time.Now())
+		if b == nil {
 			return
 		}
-		tried = append(tried, simulatorBackend)
-		var to net.Conn
-		var err error
-		if simulatorBackend.node.cut(NoUsers) {
-			time.Sleep(connectIn)
-			err = io.ErrClosedPipe
-		} else {
-			to, err = net.DialTimeout("tcp4", simulatorBackend.addr, connectIn)
-		}
-		f.mu.Lock()
-		if err != nil {
-			if simulatorBackend.refused++; simulatorBackend.refused >= triesAConn {
-				simulatorBackend.skipUntil, simulatorBackend.refused = time.Now().Add(skipRefusing), 0
-			}
-			f.mu.Unlock()
-			continue
+		tried = append(tried, b)
+		to, err := b.connect()
+		if l.connected(b, conn, err) {
+			splice(conn, to, Direction{Held: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
+			l.disconnected(b, conn)
+			return
 		}
-		simulatorBackend.refused = 0
-		simulatorBackend.conns[conn] = true
-		f.mu.Unlock()
-		splice(conn, to, Direction{Held: func() bool { return simulatorBackend.node.cut(NoUsers) }})
-		f.mu.Lock()
-		delete(simulatorBackend.conns, conn)
-		f.mu.Unlock()
-		return
 	}
 }
 
-// Direction is what lies between two ends of connections.
-type Direction struct {
-	Held  func() bool          // whether bytes are held back now; they go out in order afterwards
-	Delay func() time.Duration // how long a piece of bytes takes; nil: no time
-	Meter *Meter               // nil: nothing is counted
-}
-
-// splice passes on what both sides send until either ends.
-func splice(conn, b net.Conn, way Direction) {
-	var waitGroup sync.WaitGroup
-	pass := func(to, from net.Conn) {
-		defer waitGroup.Done()
-		defer to.Close()
-		defer from.Close()
-		buf := make([]byte, 16<<10)
-		for {
-			n, err := from.Read(buf)
-			if way.Delay != nil {
-				time.Sleep(way.Delay())
-			}
-			for way.Held() {
-				time.Sleep(50 * time.Millisecond)
-			}
-			if n > 0 {
-				if _, err := to.Write(buf[:n]); err != nil {
-					return
-				}
-			}
-			if err != nil {
-				return
-			}
-		}
+// connect opens a connection to a controller; one that users don't reach does not answer.
+func (b *backend) connect() (net.Conn, error) {
+	if b.process.isPartitionedFrom(NoUsers) {
+		time.Sleep(connectIn)
+		return nil, io.ErrClosedPipe
 	}
-	waitGroup.Add(2)
-	go pass(conn, b)
-	go pass(b, conn)
-	waitGroup.Wait()
+	return dial(b.addr, connectIn)
 }
 
-// Relay passes connections between two controllers on, so that the way between them can be cut.
-func Relay(listener net.Listener, to string, way Direction) error {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return err
+// connected notes whether a user's connection was passed on to a controller; one that refuses several in a row is left
+// out for a while.
+func (l *LoadBalancer) connected(b *backend, conn net.Conn, err error) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if err != nil {
+		if b.refused++; b.refused >= triesAConn {
+			b.skipUntil, b.refused = time.Now().Add(skipRefusing), 0
 		}
-		go func() {
-			defer conn.Close()
-			if way.Held() {
-				return
-			}
-			t, err := net.DialTimeout("tcp4", to, time.Second)
-			if err != nil {
-				return
-			}
-			if way.Meter != nil {
-				t = way.Meter.Conn(t)
-			}
-			splice(conn, t, way)
-		}()
+		return false
 	}
+	b.refused = 0
+	b.conns[conn] = true
+	return true
+}
+
+func (l *LoadBalancer) disconnected(b *backend, conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(b.conns, conn)
 }
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -92,7 +92,7 @@
 			if err := put(c.n, c.value); !errors.Is(err, c.want) {
 				t.Errorf("%d of %s: %v, want %v", c.n, c.value, err, c.want)
 			}
-			if c.want == protocol.ErrTooLarge {
+			if errors.Is(c.want, protocol.ErrTooLarge) {
 				time.Sleep(time.Second)
 			}
 		}
--- a/internal/simulator/meter.go
+++ b/internal/simulator/meter.go
@@ -23,11 +23,13 @@
 	return &meteredConn{c, m}
 }
 
+// meteredListener meters the connections that it accepts.
 type meteredListener struct {
 	net.Listener
 	meter *Meter
 }
 
+// Accept accepts a connection that is metered.
 func (l *meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -36,17 +38,20 @@
 	return l.meter.Conn(c), nil
 }
 
+// meteredConn meters one connection.
 type meteredConn struct {
 	net.Conn
 	meter *Meter
 }
 
+// Read counts the bytes that it reads.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.In.Add(int64(n))
 	return n, err
 }
 
+// Write counts the bytes that it writes.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.Out.Add(int64(n))
@@ -58,6 +63,7 @@
 	Reads, Transactions, Leases, Watches atomic.Int64
 }
 
+// note counts a request by its path.
 func (r *StateRequests) note(path string) {
 	switch {
 	case strings.HasPrefix(path, "/store"):
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -13,7 +13,7 @@
 	machine string
 }
 
-// recordCheck holds every transaction against what the records must never say: a task in two machines' records, an
+// recordCheck checks every transaction against what the records must never say: a task in two machines' records, an
 // attempt that comes again, a machine in two fleet records. What it costs goes by what a transaction changes.
 type recordCheck struct {
 	simulation *Simulation
@@ -24,8 +24,15 @@
 	used       attempts
 }
 
-func newRecordCheck(w *Simulation) *recordCheck {
-	return &recordCheck{simulation: w, placed: map[string]placement{}, groups: map[int][]string{}, fleets: map[string][]string{}, listedIn: map[string]string{}}
+// newRecordCheck is a check that has seen no records yet.
+func newRecordCheck(sim *Simulation) *recordCheck {
+	return &recordCheck{
+		simulation: sim,
+		placed:     map[string]placement{},
+		groups:     map[int][]string{},
+		fleets:     map[string][]string{},
+		listedIn:   map[string]string{},
+	}
 }
 
 // note checks a transaction that was applied.
@@ -33,11 +40,13 @@
 	c.simulation.mu.Lock()
 	defer c.simulation.mu.Unlock()
 	for _, reused := range c.used.note(txn) {
-		c.simulation.injectFault("%s", reused)
+		c.simulation.violation("%s", reused)
 	}
 	for _, change := range txn.Then {
 		if change.Put == storage.LeaderKey {
-			c.simulation.newLeader(change.Value)
+			if c.simulation.noteLeader(change.Value) {
+				c.simulation.deliverKeptHeartbeats()
+			}
 		}
 		c.noteFleet(change)
 		c.simulation.noteTeam(change)
@@ -45,19 +54,20 @@
 	c.noteGroups(txn)
 }
 
+// noteFleet takes a fleet record that is written or deleted.
 func (c *recordCheck) noteFleet(change protocol.Change) {
 	c.forgetFleet(change.Delete)
 	if !strings.HasPrefix(change.Put, storage.FleetKey("")) {
 		return
 	}
-	f, err := storage.DecodeFleet(change.Value)
+	fleet, err := storage.DecodeFleet(change.Value)
 	if err != nil {
-		c.simulation.injectFault("record %s cannot be read", change.Put)
+		c.simulation.violation("record %s cannot be read", change.Put)
 	}
 	c.forgetFleet(change.Put)
-	for _, m := range f.Machines {
+	for _, m := range fleet.Machines {
 		if other, twice := c.listedIn[m.Name]; twice {
-			c.simulation.injectFault("records: machine %s is in %s and %s", m.Name, other, change.Put)
+			c.simulation.violation("records: machine %s is in %s and %s", m.Name, other, change.Put)
 		}
 		c.listedIn[m.Name] = change.Put
 		c.fleets[change.Put] = append(c.fleets[change.Put], m.Name)
@@ -77,39 +87,40 @@
 func (c *recordCheck) noteGroups(txn protocol.Txn) {
 	written := map[int]storage.GroupRecord{}
 	for _, change := range txn.Then {
-		rack, ok := storage.GroupOf(change.Put)
+		group, ok := storage.GroupOf(change.Put)
 		if !ok {
 			continue
 		}
-		r, err := storage.DecodeGroup(change.Value)
+		record, err := storage.DecodeGroup(change.Value)
 		if err != nil {
-			c.simulation.injectFault("record %s cannot be read", change.Put)
+			c.simulation.violation("record %s cannot be read", change.Put)
 		}
-		written[rack] = r
+		written[group] = record
 	}
-	for rack := range written {
-		for _, name := range c.groups[rack] {
-			if c.placed[name].group == rack {
+	for group := range written {
+		for _, name := range c.groups[group] {
+			if c.placed[name].group == group {
 				delete(c.placed, name)
 			}
 		}
-		c.groups[rack] = c.groups[rack][:0]
+		c.groups[group] = c.groups[group][:0]
 	}
-	for rack, r := range written {
-		c.place(rack, r)
+	for group, record := range written {
+		c.place(group, record)
 	}
 }
 
-func (c *recordCheck) place(rack int, record storage.GroupRecord) {
+// place notes the tasks that a group's record places.
+func (c *recordCheck) place(group int, record storage.GroupRecord) {
 	for _, m := range record.Machines {
 		for _, p := range m.Tasks {
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
 				name := protocol.TaskName(p.Job, int(p.Numbers[i]))
 				if other, twice := c.placed[name]; twice {
-					c.simulation.injectFault("records: %s is on %s and %s", name, other.machine, m.Name)
+					c.simulation.violation("records: %s is on %s and %s", name, other.machine, m.Name)
 				}
-				c.placed[name] = placement{rack, m.Name}
-				c.groups[rack] = append(c.groups[rack], name)
+				c.placed[name] = placement{group, m.Name}
+				c.groups[group] = append(c.groups[group], name)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/simulator/relay.go
@@ -0,0 +1,88 @@
+package simulator
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	relayBufferBytes    = 16 << 10
+	relayConnectTimeout = time.Second
+	heldPollInterval    = 50 * time.Millisecond
+)
+
+// Direction is what lies between two ends of connections.
+type Direction struct {
+	Held  func() bool          // whether bytes are held back now; they go out in order afterwards
+	Delay func() time.Duration // how long a piece of bytes takes; nil: no time
+	Meter *Meter               // nil: nothing is counted
+}
+
+// dial connects to an address within a time.
+func dial(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	return dialer.DialContext(context.Background(), "tcp4", address)
+}
+
+// closeConn closes a connection that may be closed already.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
+// splice passes on what both sides send until either ends.
+func splice(a, b net.Conn, way Direction) {
+	var passing sync.WaitGroup
+	passing.Go(func() { way.pass(a, b) })
+	passing.Go(func() { way.pass(b, a) })
+	passing.Wait()
+}
+
+// pass passes on what one side sends until either ends.
+func (way Direction) pass(to, from net.Conn) {
+	defer closeConn(to)
+	defer closeConn(from)
+	buffer := make([]byte, relayBufferBytes)
+	for {
+		n, readErr := from.Read(buffer)
+		if way.Delay != nil {
+			time.Sleep(way.Delay())
+		}
+		for way.Held() {
+			time.Sleep(heldPollInterval)
+		}
+		if n > 0 {
+			if _, err := to.Write(buffer[:n]); err != nil {
+				return
+			}
+		}
+		if readErr != nil {
+			return
+		}
+	}
+}
+
+// Relay passes connections between two controllers on, so that the way between them can be partitioned.
+func Relay(listener net.Listener, to string, way Direction) error {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return err
+		}
+		go relayConn(conn, to, way)
+	}
+}
+
+func relayConn(conn net.Conn, to string, way Direction) {
+	defer closeConn(conn)
+	if way.Held() {
+		return
+	}
+	target, err := dial(to, relayConnectTimeout)
+	if err != nil {
+		return
+	}
+	if way.Meter != nil {
+		target = way.Meter.Conn(target)
+	}
+	splice(conn, target, way)
+}
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// This file joins the world with processes outside: controllers and workers that speak HTTP, and
+// This file joins the simulation with processes outside: controllers and workers that speak HTTP, and
 // descriptions of jobs that users upload.
 
 // heartbeatTimeout is how long a worker waits for the answer to a heartbeat; a little less than the
@@ -22,41 +22,26 @@
 const heartbeatTimeout = 3900 * time.Millisecond
 
 // Connect makes controller i one that runs elsewhere, in a zone, and listens at an address.
-func (w *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
-	process := &ControllerProcess{Name: name, Zone: zone, simulation: w, stop: func() {}}
-	callers := &workerClients{address: public, meter: &process.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
-	process.handleHeartbeat = func(_ context.Context, r *protocol.Heartbeat, reply func(int, any)) {
+func (sim *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
+	process := &ControllerProcess{Name: name, Zone: zone, simulation: sim, stop: func() {}}
+	clients := &workerClients{address: public, meter: &process.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
+	process.handleHeartbeat = func(_ context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
 		go func() {
-			w.sendDelayed(r.Zone, zone)
-			status, body := callers.report(r)
-			w.sendDelayed(zone, r.Zone)
+			sim.sendDelayed(heartbeat.Zone, zone)
+			status, body := clients.send(heartbeat)
+			sim.sendDelayed(zone, heartbeat.Zone)
 			reply(status, body)
 		}()
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for len(w.controllers) <= i {
-		w.controllers = append(w.controllers, nil)
-	}
-	w.controllers[i] = process
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.set(i, process)
 	return process
 }
 
-// sendDelayed waits for as long as a message takes between two zones.
-func (w *Simulation) sendDelayed(from, to string) {
-	if w.Delay != nil {
-		time.Sleep(w.Delay(from, to))
-	}
-}
-
-// ZonesPartitioned tells whether a cut is between two zones.
-func (w *Simulation) ZonesPartitioned(a, b string) bool {
-	return a != b && (w.cutOff(a) || w.cutOff(b))
-}
-
 // Limits of a worker's way to a controller.
 const (
-	workerConns    = 2                // a worker has one report in flight; a second connection while the first is given up
+	workerConns    = 2                // a worker has one heartbeat in flight; a second connection while the first is given up
 	workerIdle     = 10 * time.Second // a connection that is not used for as long is closed: the worker heartbeats elsewhere
 	workerConnects = time.Second
 )
@@ -69,28 +54,29 @@
 	byName  map[string]*fasthttp.HostClient
 }
 
+// client is a worker's client.
 func (c *workerClients) client(worker string) *fasthttp.HostClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.byName[worker]
-	if h == nil {
-		h = &fasthttp.HostClient{Addr: c.address, MaxConns: workerConns, MaxIdleConnDuration: workerIdle, MaxIdemponentCallAttempts: 1,
+	client := c.byName[worker]
+	if client == nil {
+		client = &fasthttp.HostClient{Addr: c.address, MaxConns: workerConns, MaxIdleConnDuration: workerIdle, MaxIdemponentCallAttempts: 1,
 			NoDefaultUserAgentHeader: true, Dial: c.dial}
-		c.byName[worker] = h
+		c.byName[worker] = client
 	}
-	return h
+	return client
 }
 
 func (c *workerClients) dial(address string) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp4", address, workerConnects)
+	conn, err := dial(address, workerConnects)
 	if err != nil {
 		return nil, err
 	}
 	return c.meter.Conn(conn), nil
 }
 
-// report sends a heartbeat and returns the answer; status 0: none came.
-func (c *workerClients) report(heartbeat *protocol.Heartbeat) (int, any) {
+// send sends a heartbeat and returns the answer; status 0: none came.
+func (c *workerClients) send(heartbeat *protocol.Heartbeat) (int, any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -108,7 +94,7 @@
 	return resp.StatusCode(), json.RawMessage(append([]byte(nil), resp.Body()...))
 }
 
-// WorkerPorts are the loopback addresses at which the world's workers take direct commands.
+// WorkerPorts are the loopback addresses at which the simulation's workers take direct commands.
 type WorkerPorts struct {
 	simulation *Simulation
 	address    func(number int) string
@@ -121,47 +107,60 @@
 func AnyPort(int) string { return "127.0.0.1:0" }
 
 // ServeWorkers lets every machine that comes from now on listen at a loopback address of its own, which goes by the
-// machine's number. Call Close when the world is over.
-func (w *Simulation) ServeWorkers(address func(number int) string) *WorkerPorts {
-	workerPorts := &WorkerPorts{simulation: w, address: address, at: map[string]*Machine{}}
+// machine's number. Call Close when the simulation is over.
+func (sim *Simulation) ServeWorkers(address func(number int) string) *WorkerPorts {
+	workerPorts := &WorkerPorts{simulation: sim, address: address, at: map[string]*Machine{}}
 	app := newApp()
-	app.Post("/commands", func(request *fiber.Ctx) error {
-		var in struct {
-			Token   *uint64 `json:"helm"`
-			Session *uint64 `json:"watch"`
-			protocol.DirectCommands
-		}
-		// The pointers tell what is missing; the embedded fields of the same names are shadowed.
-		if err := json.Unmarshal(request.Body(), &in); err != nil || in.Token == nil || in.Session == nil {
-			return malformed(request, "helm or watch is missing")
-		}
-		w.Commands.Messages.Add(1)
-		m := workerPorts.machine(request)
-		if !w.reachable(m, true) {
-			return silent(request)
-		}
-		w.sendDelayed("", m.Zone) // which zone's controller has sent it can't be told
-		w.mu.Lock()
-		r, status := w.executeCommand(m, protocol.DirectCommands{FencingToken: *in.Token, Incarnation: *in.Session, Commands: in.Commands})
-		w.mu.Unlock()
-		return request.Status(status).JSON(r)
-	})
-	app.Get("/status", func(c *fiber.Ctx) error {
-		m := workerPorts.machine(c)
-		if !w.reachable(m, false) {
-			return silent(c)
-		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return c.JSON(w.sendHeartbeat(m))
-	})
+	app.Post("/commands", workerPorts.commands)
+	app.Get("/status", workerPorts.status)
 	workerPorts.server = &fasthttp.Server{Handler: app.Handler(), NoDefaultServerHeader: true, IdleTimeout: time.Minute}
-	w.Listen = workerPorts.listen
+	sim.Listen = workerPorts.listen
 	return workerPorts
 }
 
+// commandsRequest is a request with direct commands. The pointers tell what is missing; the embedded fields of the same
+// names are shadowed.
+type commandsRequest struct {
+	Token   *uint64 `json:"helm"`
+	Session *uint64 `json:"watch"`
+	protocol.DirectCommands
+}
+
+// commands has a worker carry out direct commands.
+func (p *WorkerPorts) commands(c *fiber.Ctx) error {
+	var request commandsRequest
+	if err := json.Unmarshal(c.Body(), &request); err != nil || request.Token == nil || request.Session == nil {
+		return malformed(c, "helm or watch is missing")
+	}
+	sim := p.simulation
+	sim.Commands.Messages.Add(1)
+	m := p.machine(c)
+	if !sim.reachable(m, true) {
+		return silent(c)
+	}
+	sim.sendDelayed("", m.Zone) // which zone's controller has sent it can't be told
+	sim.mu.Lock()
+	heartbeat, status := sim.executeCommand(m, protocol.DirectCommands{FencingToken: *request.Token, Incarnation: *request.Session, Commands: request.Commands})
+	sim.mu.Unlock()
+	return c.Status(status).JSON(heartbeat)
+}
+
+// status answers with a worker's heartbeat.
+func (p *WorkerPorts) status(c *fiber.Ctx) error {
+	m := p.machine(c)
+	sim := p.simulation
+	if !sim.reachable(m, false) {
+		return silent(c)
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return c.JSON(m.nextHeartbeat())
+}
+
+// listen has a new machine's worker listen, and returns its address.
 func (p *WorkerPorts) listen(machine *Machine) string {
-	listener, err := net.Listen("tcp4", p.address(p.simulation.names))
+	var config net.ListenConfig
+	listener, err := config.Listen(p.simulation.ctx, "tcp4", p.address(p.simulation.machineCount))
 	if err != nil {
 		p.simulation.Log.Error("no port for a worker", "machine", machine.Name, "err", err)
 		return "127.0.0.1:1" // nobody listens there: it is reached through its heartbeats only
@@ -178,6 +177,7 @@
 	return listener.Addr().String()
 }
 
+// machine is the machine at whose port a request has arrived.
 func (p *WorkerPorts) machine(c *fiber.Ctx) *Machine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,30 +194,23 @@
 	return p.server.Shutdown()
 }
 
-// disconnect closes the port of a machine that is gone.
-func (m *Machine) disconnect() {
-	if m.port != nil {
-		_ = m.port.Close() // it may be closed already
-	}
-}
-
-// reachable tells whether a machine answers now. In a zone that is cut off none does, not even to a controller inside: a port
-// can't tell which controller speaks. One that hangs carries commands out once it
-// goes on, when nobody waits for the answer any more.
-func (w *Simulation) reachable(machine *Machine, waits bool) bool {
-	for w.ctx.Err() == nil && machine != nil {
-		w.mu.Lock()
-		up, hang, cut := machine.up && !machine.gone, machine.hanging, machine.partitioned || w.isolated != "" && machine.Zone == w.isolated
-		w.mu.Unlock()
+// reachable tells whether a machine answers now. In a partitioned zone none does, not even to a controller inside: a
+// port can't tell which controller speaks. One that hangs carries commands out once it goes on, when nobody waits for
+// the answer any more.
+func (sim *Simulation) reachable(machine *Machine, waits bool) bool {
+	for sim.ctx.Err() == nil && machine != nil {
+		sim.mu.Lock()
+		running, hanging, partitioned := machine.isRunning(), machine.hanging, machine.partitioned || sim.isIsolated(machine.Zone)
+		sim.mu.Unlock()
 		switch {
-		case !up || cut:
+		case !running || partitioned:
 			return false
-		case !hang:
+		case !hanging:
 			return true
 		case !waits:
 			return false
 		}
-		time.Sleep(300 * time.Millisecond)
+		sleep(sim.ctx, resumePollInterval)
 	}
 	return false
 }
@@ -232,7 +225,7 @@
 }
 
 // AddJob takes a job's description. One that was uploaded before stays as it was.
-func (w *Simulation) AddJob(upload Upload) error {
+func (sim *Simulation) AddJob(upload Upload) error {
 	sub, err := protocol.ParseSubmission(upload.Spec)
 	if err != nil {
 		return err
@@ -251,27 +244,26 @@
 	if upload.Spread > 0 {
 		job.runs = make([]time.Duration, job.Tasks)
 		for i := range job.runs {
-			job.runs[i] = time.Duration(float64(job.Run) * (1 + upload.Spread*(2*w.Random.Float64()-1)))
+			job.runs[i] = time.Duration(float64(job.Run) * (1 + upload.Spread*(2*sim.Random.Float64()-1)))
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.jobs[sub.ID] != nil {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.jobs[sub.ID] != nil {
 		return nil
 	}
 	for _, id := range sub.Dependencies {
-		if o := w.jobs[id]; o != nil {
-			job.awaits = append(job.awaits, o)
+		if dependency := sim.jobs[id]; dependency != nil {
+			job.awaits = append(job.awaits, dependency)
 		}
 	}
-	w.jobs[sub.ID] = job
-	w.order = append(w.order, sub.ID)
+	sim.add(job)
 	return nil
 }
 
 // ServeUploads serves the place where users put the descriptions of their jobs before they
 // submit them. It ends with the listener.
-func (w *Simulation) ServeUploads(listener net.Listener) error {
+func (sim *Simulation) ServeUploads(listener net.Listener) error {
 	app := newApp()
 	app.Put("/descriptions/:id", func(c *fiber.Ctx) error {
 		var u Upload
@@ -281,7 +273,7 @@
 		if s, err := protocol.ParseSubmission(u.Spec); err == nil && s.ID != c.Params("id") {
 			return malformed(c, "the description is of another job")
 		}
-		if err := w.AddJob(u); err != nil {
+		if err := sim.AddJob(u); err != nil {
 			return malformed(c, err.Error())
 		}
 		return c.SendStatus(fiber.StatusOK)
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -2,132 +2,162 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"slices"
 	"time"
 
+	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
 )
 
-// This file checks the protocol's rules about starting a task, against what really runs.
-
 // usageSlack is by how many CPUs a team's usage may differ from its limit, for rounding.
 const usageSlack = 1e-6
 
-// takeTask notes that a job's task runs on a machine, and what its team uses. The world is locked.
-func (w *Simulation) takeTask(m *Machine, t *task) {
-	if t.job.on[t.index] == nil {
-		w.used[t.job.Team] += t.job.Cpus
-	}
-	t.job.on[t.index] = m
+// ruleChecker holds what really runs against the protocol's rules, and notes every rule that is broken. The usage of
+// teams is kept up to date as tasks come and go: adding it up at every start costs as much as there are jobs.
+type ruleChecker struct {
+	startTime   time.Time
+	settings    *config.Settings
+	brokenRules []string
+	used        map[string]float64 // by team: the CPUs of its running tasks
+	limits      map[string]float64 // by team whose entry was changed: the CPUs that it may use; 0: any
+}
+
+func newRuleChecker(start time.Time, cfg *config.Settings) ruleChecker {
+	return ruleChecker{startTime: start, settings: cfg, used: map[string]float64{}, limits: map[string]float64{}}
+}
+
+// violation notes a rule that is broken.
+func (c *ruleChecker) violation(format string, arguments ...any) {
+	at := fmt.Sprintf("%.1f s: ", time.Since(c.startTime).Seconds())
+	c.brokenRules = append(c.brokenRules, at+fmt.Sprintf(format, arguments...))
+}
+
+// BrokenRules lists the rules that were broken.
+func (sim *Simulation) BrokenRules() []string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return slices.Clone(sim.brokenRules)
 }
 
-// removeFromCloud notes that a task does not run on a machine any more. The world is locked.
-func (w *Simulation) removeFromCloud(m *Machine, t *task) {
+// taskStopped notes that a task does not run on a machine any more.
+func (c *ruleChecker) taskStopped(m *Machine, t *taskAttempt) {
 	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
 		delete(t.job.on, t.index)
-		w.used[t.job.Team] -= t.job.Cpus
+		c.used[t.job.Team] -= t.job.Cpus
 	}
 }
 
-// start notes a task that starts, and every rule that is broken by it. The world is locked.
-func (w *Simulation) start(m *Machine, t *task) {
-	w.Started++
-	j := t.job
-	if o := j.on[t.index]; o != nil && o != m {
-		w.injectFault("ran_twice: %s/%d on %s and %s", j.ID, t.index, o.Name, m.Name)
+// taskRuns notes a task that starts, and every rule that is broken by it.
+func (c *ruleChecker) taskRuns(m *Machine, t *taskAttempt) {
+	c.checkRunsOnce(m, t)
+	c.place(m, t)
+	c.checkDependencies(t)
+	c.checkPlace(m, t)
+	c.checkCancelled(t)
+	c.checkAttempt(t)
+	c.checkLimit(t.job.Team, c.limitOf(t.job.Team))
+}
+
+// place notes that a job's task runs on a machine, and what its team uses.
+func (c *ruleChecker) place(m *Machine, t *taskAttempt) {
+	if t.job.on[t.index] == nil {
+		c.used[t.job.Team] += t.job.Cpus
 	}
-	w.takeTask(m, t)
-	w.checkAwaited(t)
-	w.checkPlace(m, t)
-	w.checkCancelled(t)
-	w.checkAttempt(t)
-	w.checkQuota(j)
+	t.job.on[t.index] = m
 }
 
-func (w *Simulation) checkAwaited(t *task) {
-	for _, o := range t.job.awaits {
-		if len(o.done) < o.Tasks || o.told == protocol.Cancelled {
-			w.injectFault("too_early: %s/%d starts before %s is done", t.job.ID, t.index, o.ID)
+func (c *ruleChecker) checkRunsOnce(m *Machine, t *taskAttempt) {
+	if other := t.job.on[t.index]; other != nil && other != m {
+		c.violation("ran_twice: %s/%d on %s and %s", t.job.ID, t.index, other.Name, m.Name)
+	}
+}
+
+func (c *ruleChecker) checkDependencies(t *taskAttempt) {
+	for _, dependency := range t.job.awaits {
+		if len(dependency.done) < dependency.Tasks || dependency.told == protocol.Cancelled {
+			c.violation("too_early: %s/%d starts before %s is done", t.job.ID, t.index, dependency.ID)
 		}
 	}
 }
 
-func (w *Simulation) checkPlace(machine *Machine, simulatorTask *task) {
-	job := simulatorTask.job
+func (c *ruleChecker) checkPlace(machine *Machine, t *taskAttempt) {
+	job := t.job
 	if machine.Spot && !job.Spot {
-		w.injectFault("wrong_place: %s/%d on a spot machine", job.ID, simulatorTask.index)
+		c.violation("wrong_place: %s/%d on a spot machine", job.ID, t.index)
 	}
-	if z := job.Spec["berth"]; z != nil && z != machine.Zone {
-		w.injectFault("wrong_place: %s/%d in zone %s", job.ID, simulatorTask.index, machine.Zone)
+	if zone := job.Spec["berth"]; zone != nil && zone != machine.Zone {
+		c.violation("wrong_place: %s/%d in zone %s", job.ID, t.index, machine.Zone)
 	}
-	together, scatter := job.Spec["together"] == true, job.Spec["scatter"] == true
-	if !together && !scatter {
-		return
+	inZone, total := job.othersIn(machine.Zone, t.index)
+	if job.Spec["together"] == true && inZone != total {
+		c.violation("wrong_place: %s/%d is apart from its job", job.ID, t.index)
 	}
-	inZone, total := 0, 0
-	for i, o := range job.on {
-		if i == simulatorTask.index {
+	if job.Spec["scatter"] == true && inZone+1 > (job.Tasks+1)/2 {
+		c.violation("wrong_place: %s has too many tasks in %s", job.ID, machine.Zone)
+	}
+}
+
+// othersIn counts the job's running tasks except one, in a zone and in all.
+func (j *Job) othersIn(zone string, except int) (inZone, total int) {
+	for i, machine := range j.on {
+		if i == except {
 			continue
 		}
 		total++
-		if o.Zone == machine.Zone {
+		if machine.Zone == zone {
 			inZone++
 		}
 	}
-	if together && inZone != total {
-		w.injectFault("wrong_place: %s/%d is apart from its job", job.ID, simulatorTask.index)
-	}
-	if scatter && inZone+1 > (job.Tasks+1)/2 {
-		w.injectFault("wrong_place: %s has too many tasks in %s", job.ID, machine.Zone)
-	}
+	return inZone, total
 }
 
-func (w *Simulation) checkCancelled(t *task) {
-	j := t.job
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > seconds(w.Settings.Deployment.Workers.CancelS) {
-		w.injectFault("ran_cancelled: %s/%d starts", j.ID, t.index)
-	}
-	if !j.cancelled.IsZero() {
-		w.StartsAfterCancel++
-	}
-	if j.done[t.index] {
-		w.RanAgain++
+func (c *ruleChecker) checkCancelled(t *taskAttempt) {
+	if !t.job.cancelled.IsZero() && time.Since(t.job.cancelled) > seconds(c.settings.Deployment.Workers.CancelS) {
+		c.violation("ran_cancelled: %s/%d starts", t.job.ID, t.index)
 	}
 }
 
 // checkAttempt finds an attempt that begins twice: a worker that has cleared an attempt starts it again if its
 // launch is repeated, or comes late.
-func (w *Simulation) checkAttempt(t *task) {
-	j := t.job
-	if j.began == nil {
-		j.began = map[[2]uint64]bool{}
+func (c *ruleChecker) checkAttempt(t *taskAttempt) {
+	job := t.job
+	if job.began == nil {
+		job.began = map[[2]uint64]bool{}
 	}
 	key := [2]uint64{uint64(t.index), t.attempt}
-	if j.began[key] {
-		w.injectFault("began again: %s/%d, attempt %d", j.ID, t.index, t.attempt)
+	if job.began[key] {
+		c.violation("began again: %s/%d, attempt %d", job.ID, t.index, t.attempt)
 		return
 	}
-	j.began[key] = true
+	job.began[key] = true
 }
 
-// checkQuota compares what a job's team uses with its limit. The usage is kept up to date as tasks come and go: adding it
-// up at every start costs as much as there are jobs.
-func (w *Simulation) checkQuota(j *Job) {
-	w.checkLimit(j.Team, w.limitOf(j.Team))
+// checkCancelledAreGone finds tasks of cancelled jobs that are on a machine for too long.
+func (c *ruleChecker) checkCancelledAreGone(m *Machine, now time.Time) {
+	within := seconds(c.settings.Deployment.Workers.CancelS) + time.Second
+	for _, t := range m.tasks {
+		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelled.IsZero() && now.Sub(t.job.cancelled) > within {
+			c.violation("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
+			t.job.cancelled = now
+		}
+	}
 }
 
-func (w *Simulation) checkLimit(team string, limit float64) {
-	if used := w.used[team]; limit > 0 && used > limit+usageSlack {
-		w.injectFault("quota: %s uses %.1f of %.1f", team, used, limit)
+// checkLimit compares what a team uses with a limit.
+func (c *ruleChecker) checkLimit(team string, limit float64) {
+	if used := c.used[team]; limit > 0 && used > limit+usageSlack {
+		c.violation("quota: %s uses %.1f of %.1f", team, used, limit)
 	}
 }
 
 // limitOf is the limit that counts for a team, in CPUs; 0: none.
-func (w *Simulation) limitOf(team string) float64 {
-	if limit, changed := w.limits[team]; changed {
+func (c *ruleChecker) limitOf(team string) float64 {
+	if limit, changed := c.limits[team]; changed {
 		return limit
 	}
-	for _, t := range w.Settings.Deployment.Teams {
+	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == team {
 			return t.CpusMax
 		}
@@ -136,21 +166,21 @@
 }
 
 // noteTeam takes a change of a team. A limit that is being lowered counts from when the records say that it is kept to; it
-// must be by then. The world is locked.
-func (w *Simulation) noteTeam(change protocol.Change) {
-	for _, team := range w.Settings.Deployment.Teams {
+// must be by then.
+func (c *ruleChecker) noteTeam(change protocol.Change) {
+	for _, team := range c.settings.Deployment.Teams {
 		if change.Put != storage.TeamKey(team.Name) {
 			continue
 		}
-		var r storage.TeamRecord
-		if err := json.Unmarshal(change.Value, &r); err != nil {
-			w.injectFault("record %s cannot be read", change.Put)
+		var record storage.TeamRecord
+		if err := json.Unmarshal(change.Value, &record); err != nil {
+			c.violation("record %s cannot be read", change.Put)
 		}
-		counts := r.TeamBounds
-		if r.Former != nil {
-			counts = *r.Former
+		counts := record.TeamBounds
+		if record.Former != nil {
+			counts = *record.Former
 		}
-		w.limits[team.Name] = counts.CpusMax
-		w.checkLimit(team.Name, counts.CpusMax)
+		c.limits[team.Name] = counts.CpusMax
+		c.checkLimit(team.Name, counts.CpusMax)
 	}
 }
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -372,7 +372,7 @@
 						}
 						sim.mu.Lock()
 						if len(sim.Old) > 0 {
-							sim.injectFault("the gate opens while old nodes serve")
+							sim.violation("the gate opens while old nodes serve")
 						}
 						sim.mu.Unlock()
 					}
--- /dev/null
+++ b/internal/simulator/state_server.go
@@ -0,0 +1,165 @@
+package simulator
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+
+	"dykeledge/internal/protocol"
+)
+
+// Limits of the state service's interface, as the protocol has them.
+const (
+	maxListed     = 1000
+	maxBlock      = time.Minute
+	maxTxn        = 64 << 10
+	maxKey        = 200
+	minLease      = 100 * time.Millisecond
+	maxLease      = 10 * time.Minute
+	pendingWatch  = 30 * time.Second // a watch that an outage delays is given up after as long
+	defaultListed = 200
+)
+
+// Open is a way to the store for one caller; the controller, if it is not nil, may be partitioned from it.
+func (s *Store) Open(process *ControllerProcess) *StoreLink {
+	if process == nil {
+		process = &ControllerProcess{Name: "http"}
+	}
+	return &StoreLink{store: s, controller: process}
+}
+
+// ServeState serves one controller's way to a store over HTTP, as the state service does. It
+// ends with the listener.
+func ServeState(storeLink *StoreLink, listener net.Listener) error {
+	server := &stateServer{storeLink}
+	app := newApp()
+	app.Use(server.count)
+	app.Get("/store", server.list)
+	app.Get("/store/*", server.read)
+	app.Post("/txn", server.transaction)
+	app.Post("/holds", server.grant)
+	app.Post("/holds/:id/extend", onLease(server.renew))
+	app.Delete("/holds/:id", onLease(storeLink.End))
+	app.Get("/follow", server.watch)
+	return app.Listener(listener)
+}
+
+// stateServer answers a controller's requests to the state service. A request's context ends with its handler in fiber,
+// not with its connection: the calls that wait have bounds of their own.
+type stateServer struct{ link *StoreLink }
+
+func (s *stateServer) count(c *fiber.Ctx) error {
+	s.link.Requests.note(c.Path())
+	return c.Next()
+}
+
+func (s *stateServer) list(c *fiber.Ctx) error {
+	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListed)))
+	if err != nil || limit < 1 || limit > maxListed {
+		return malformed(c, "limit is not between 1 and 1000")
+	}
+	page, err := s.link.List(context.Background(), strings.Clone(c.Query("starts")), strings.Clone(c.Query("from")), limit)
+	if err != nil {
+		return fail(c, err)
+	}
+	return c.JSON(page)
+}
+
+func (s *stateServer) read(c *fiber.Ctx) error {
+	item, lease, rev, err := s.link.Read(context.Background(), strings.Clone(c.Params("*")))
+	switch {
+	case errors.Is(err, protocol.ErrNotFound):
+		return c.Status(fiber.StatusNotFound).JSON(protocol.TxnResult{Revision: rev})
+	case err != nil:
+		return fail(c, err)
+	}
+	return c.JSON(struct {
+		protocol.Item
+		Lease uint64 `json:"tenure,omitempty"`
+	}{item, lease})
+}
+
+func (s *stateServer) transaction(c *fiber.Ctx) error {
+	var txn protocol.Txn
+	if err := json.Unmarshal(c.Body(), &txn); err != nil || len(c.Body()) > maxTxn {
+		return malformed(c, "no transaction, or over 64 KiB")
+	}
+	for _, change := range txn.Then {
+		if !namesOneKey(change) {
+			return malformed(c, "a change names no key")
+		}
+	}
+	rev, failed, err := s.link.Txn(context.Background(), txn, protocol.BackgroundRequest)
+	switch {
+	case errors.Is(err, protocol.ErrNoLease):
+		return malformed(c, "no such lease")
+	case err != nil:
+		return fail(c, err)
+	case len(failed) > 0:
+		return c.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
+	}
+	return c.JSON(protocol.TxnResult{Revision: rev})
+}
+
+// namesOneKey tells whether a change puts or deletes one key of a form that the state service takes.
+func namesOneKey(change protocol.Change) bool {
+	key := change.Put + change.Delete
+	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKey && !strings.Contains(key, " ")
+}
+
+func (s *stateServer) grant(c *fiber.Ctx) error {
+	var request struct {
+		TTL int64 `json:"ttlMs"`
+	}
+	if err := json.Unmarshal(c.Body(), &request); err != nil {
+		return malformed(c, "no ttlMs")
+	}
+	ttl := time.Duration(request.TTL) * time.Millisecond
+	if ttl < minLease || ttl > maxLease {
+		return malformed(c, "ttlMs is not between 100 and 600000")
+	}
+	id, err := s.link.Grant(context.Background(), ttl)
+	if err != nil {
+		return fail(c, err)
+	}
+	return c.JSON(struct {
+		Lease uint64 `json:"tenure"`
+	}{id})
+}
+
+func (s *stateServer) renew(ctx context.Context, lease uint64) error {
+	return s.link.Renew(ctx, lease, 0)
+}
+
+// onLease handles a request about the lease that its path names.
+func onLease(do func(context.Context, uint64) error) fiber.Handler {
+	return func(c *fiber.Ctx) error {
+		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // 0 is no lease
+		if err := do(context.Background(), id); err != nil {
+			return fail(c, err)
+		}
+		return c.SendStatus(fiber.StatusOK)
+	}
+}
+
+func (s *stateServer) watch(c *fiber.Ctx) error {
+	from, fromErr := strconv.ParseUint(c.Query("from", "0"), 10, 64)
+	milliseconds, waitErr := strconv.Atoi(c.Query("blockMs", "0"))
+	wait := time.Duration(milliseconds) * time.Millisecond
+	if fromErr != nil || waitErr != nil || wait < 0 || wait > maxBlock {
+		return malformed(c, "from or blockMs is out of range")
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), wait+pendingWatch)
+	defer cancel()
+	events, err := s.link.Watch(ctx, strings.Clone(c.Query("starts")), from, wait)
+	if err != nil {
+		return fail(c, err)
+	}
+	return c.JSON(events)
+}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -1,12 +1,10 @@
-// Package simulator plays the state service, the cloud, the workers
-// and the users, with faults, so that whole deployments run in
-// virtual time without a network.
 package simulator
 
 import (
 	"encoding/json"
 	"fmt"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -18,20 +16,25 @@
 // errOverRate is a refusal for the rate; the outside sees 429.
 var errOverRate = fmt.Errorf("%w: over the rate", protocol.ErrRefused)
 
-// keptChanges is how many changes a follow may lag behind before it has to read again.
+// keptChanges is how many changes a watch may lag behind before it has to read again.
 const keptChanges = 10_000
 
+// entry is what is kept under a key.
 type entry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
+// lease is a controller's session lease: what is attached to it is removed as it ends.
 type lease struct {
 	ttl  time.Duration
 	ends time.Time
 }
 
+// renew gives the lease its full time again.
+func (l *lease) renew() { l.ends = time.Now().Add(l.ttl) }
+
 // Store stands in for the state service.
 type Store struct {
 	mu          sync.Mutex
@@ -49,26 +52,30 @@
 	Limited  bool
 	Requests int
 	OverRate int // requests refused for their rate
-	rates    [2]bucket
+	rates    stateRates
 	// MaxValue and MaxOps, if set, are how many bytes a value may have and how many
 	// changes a transaction; four times as many conditions.
 	MaxValue, MaxOps int
-	Keep             int // changes that are kept for follows; 0: as many as the protocol says
+	Keep             int // changes that are kept for watches; 0: as many as the protocol says
 	TooLarge         int // transactions refused for their size
 	// Check, if set, looks at every transaction once it is applied.
 	Check func(protocol.Txn)
 	// Slow, if set, is how long a controller's request takes to be looked at.
-	Slow func(node string) time.Duration
-	// Lag, if set, is how long a follow's answer takes to a controller.
-	Lag func(node string) time.Duration
+	Slow func(controller string) time.Duration
+	// Lag, if set, is how long a watch's answer takes to a controller.
+	Lag func(controller string) time.Duration
 }
 
+// stateRates are the rates that the store enforces.
+type stateRates struct{ requests, writes bucket }
+
 // bucket is one of a service's limits.
 type bucket struct {
 	rate, burst, have float64
 	at                time.Time
 }
 
+// take takes a number of requests from the bucket, if it holds so many.
 func (b *bucket) take(n float64) bool {
 	now := time.Now()
 	b.have = min(b.burst, b.have+b.rate*now.Sub(b.at).Seconds())
@@ -101,7 +108,7 @@
 	return out
 }
 
-// Compact refuses follows from before now, as if more changes than the service keeps had come
+// Compact refuses watches from before now, as if more changes than the service keeps had come
 // since: whoever is behind has to read again.
 func (s *Store) Compact() {
 	s.mu.Lock()
@@ -112,7 +119,10 @@
 // Limit makes the store enforce its rates, as the state service does.
 func (s *Store) Limit(rps, writes float64) {
 	s.Limited = true
-	s.rates = [2]bucket{{rate: rps, burst: rps}, {rate: writes, burst: writes}}
+	s.rates = stateRates{
+		requests: bucket{rate: rps, burst: rps},
+		writes:   bucket{rate: writes, burst: writes},
+	}
 }
 
 // Size is how many keys the store holds, and the bytes of keys and values.
@@ -129,53 +139,87 @@
 // over counts a request; called with the lock held.
 func (s *Store) over() bool {
 	s.Requests++
-	if s.Limited && !s.rates[0].take(1) {
+	if s.Limited && !s.rates.requests.take(1) {
 		s.OverRate++
 		return true
 	}
 	return false
 }
 
-// NewStore is empty.
+// overWriteRate counts a transaction's changes, and tells whether they are over the rate; called with the lock held.
+func (s *Store) overWriteRate(changes int) bool {
+	if s.Limited && !s.down && changes > 0 && !s.rates.writes.take(float64(changes)) {
+		s.OverRate++
+		return true
+	}
+	return false
+}
+
+// refuses tells whether the store answers a controller with 503; called with the lock held.
+func (s *Store) refuses(controller string) bool { return s.down || s.denied[controller] }
+
+// treeDegree is the degree of the tree that holds the keys.
+const treeDegree = 32
+
+// NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{keys: btree.NewMap[string, entry](32), changed: make(chan struct{}), leases: map[uint64]*lease{}, denied: map[string]bool{}}
+	return &Store{
+		keys:    btree.NewMap[string, entry](treeDegree),
+		changed: make(chan struct{}),
+		leases:  map[uint64]*lease{},
+		denied:  map[string]bool{},
+	}
 }
 
-// SetDown begins or ends an outage; after one every hold has its full time again.
+// SetDown begins or ends an outage; after one every lease has its full time again.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		for _, h := range s.leases {
-			h.ends = time.Now().Add(h.ttl)
+		for _, held := range s.leases {
+			held.renew()
 		}
 	}
 	s.down = down
 }
 
 // Deny lets one controller alone get 503.
-func (s *Store) Deny(node string, on bool) {
+func (s *Store) Deny(controller string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.denied[node] = on
+	s.denied[controller] = on
 }
 
-// expire ends holds; called with the lock held.
+// grant gives a lease and returns its number; called with the lock held.
+func (s *Store) grant(ttl time.Duration) uint64 {
+	s.lastID++
+	granted := &lease{ttl: ttl}
+	granted.renew()
+	s.leases[s.lastID] = granted
+	return s.lastID
+}
+
+// endLease ends a lease and removes what is attached to it; called with the lock held.
+func (s *Store) endLease(id uint64) {
+	delete(s.leases, id)
+	s.rev++
+	s.release(id)
+}
+
+// expire ends the leases whose time is over; called with the lock held.
 func (s *Store) expire() {
 	if s.down {
 		return
 	}
 	now := time.Now()
-	for id, h := range s.leases {
-		if now.After(h.ends) {
-			delete(s.leases, id)
-			s.rev++
-			s.release(id)
+	for id, held := range s.leases {
+		if now.After(held.ends) {
+			s.endLease(id)
 		}
 	}
 }
 
-// release removes what is attached to a hold that has ended.
+// release removes what is attached to a lease that has ended.
 func (s *Store) release(id uint64) {
 	var keys []string
 	s.keys.Scan(func(k string, e entry) bool {
@@ -189,6 +233,44 @@
 	}
 }
 
+// page reads a page of the keys after one; called with the lock held.
+func (s *Store) page(prefix, after string, limit int) protocol.Page {
+	page, size := protocol.Page{Revision: s.rev}, 0
+	s.keys.Ascend(max(prefix, after), func(key string, e entry) bool {
+		if key == after {
+			return true
+		}
+		if !strings.HasPrefix(key, prefix) {
+			return false
+		}
+		if page.More = len(page.Items) == limit || size > maxPageBytes; page.More {
+			return false
+		}
+		size += len(key) + len(e.value)
+		page.Items = append(page.Items, protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version})
+		return true
+	})
+	return page
+}
+
+// eventsAfter lists the changes after a revision that are kept; called with the lock held.
+func (s *Store) eventsAfter(prefix string, revision uint64) protocol.Events {
+	events := protocol.Events{Revision: s.rev}
+	first, _ := slices.BinarySearchFunc(s.log, revision, func(e protocol.Event, r uint64) int {
+		if e.Version <= r {
+			return -1
+		}
+		return 1
+	})
+	for _, e := range s.log[first:] {
+		if strings.HasPrefix(e.Put+e.Delete, prefix) {
+			events.Events = append(events.Events, e)
+		}
+	}
+	return events
+}
+
+// change notes a change of a key; called with the lock held.
 func (s *Store) change(event protocol.Event) {
 	if event.Delete != "" {
 		s.keys.Delete(event.Delete)
@@ -210,7 +292,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.MaxValue, s.MaxOps = value, ops
-	s.rates[1].rate, s.rates[1].burst = writes, writes
+	s.rates.writes.rate, s.rates.writes.burst = writes, writes
 }
 
 // tooLarge tells whether a transaction is over the limits of size.
@@ -221,6 +303,7 @@
 	return s.MaxValue > 0 && slices.ContainsFunc(t.Then, func(c protocol.Change) bool { return len(c.Value) > s.MaxValue })
 }
 
+// apply carries out a transaction, or tells which conditions don't hold; called with the lock held.
 func (s *Store) apply(txn protocol.Txn) (uint64, []string, error) {
 	if s.tooLarge(txn) {
 		return 0, nil, fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -6,117 +6,125 @@
 	"dykeledge/internal/protocol"
 )
 
-// This file runs the tasks on the world's machines.
+// This file runs the tasks on the simulated machines.
 
-// tickEvery is how often a machine looks at its tasks.
-const tickEvery = 100 * time.Millisecond
+const (
+	// tickInterval is how often a machine looks at its tasks.
+	tickInterval = 100 * time.Millisecond
+	// failureAfter is how long a task runs that fails.
+	failureAfter = 300 * time.Millisecond
+	// serviceRuns is how long a service runs unless it is stopped: longer than any simulation.
+	serviceRuns = 1000 * time.Hour
+)
 
 // tasksLoop runs what is on one machine, until the machine is gone.
-func (w *Simulation) tasksLoop(machine *Machine) {
-	for w.ctx.Err() == nil {
-		time.Sleep(tickEvery)
-		w.mu.Lock()
+func (sim *Simulation) tasksLoop(machine *Machine) {
+	for sim.ctx.Err() == nil {
+		time.Sleep(tickInterval)
+		sim.mu.Lock()
 		if !machine.gone {
-			w.advance(machine, time.Now())
+			sim.advance(machine, time.Now())
 		}
 		gone := machine.gone
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		if gone {
 			return
 		}
 	}
 }
 
-// RunTicker runs what is on all machines, until the world ends. It is for worlds with SharedTicker: a goroutine and a
-// timer a machine take most of a core at some thousand machines.
-func (w *Simulation) RunTicker() {
-	for w.ctx.Err() == nil {
-		time.Sleep(tickEvery)
-		w.mu.Lock()
+// RunTicker runs what is on all machines, until the simulation ends. It is for simulations with SharedTicker: a
+// goroutine and a timer a machine take most of a core at some thousand machines.
+func (sim *Simulation) RunTicker() {
+	for sim.ctx.Err() == nil {
+		time.Sleep(tickInterval)
+		sim.mu.Lock()
 		now := time.Now()
-		for _, m := range w.machines {
-			if m.up && !m.gone {
-				w.advance(m, now)
+		for _, m := range sim.machines {
+			if m.isRunning() {
+				sim.advance(m, now)
 			}
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 	}
 }
 
-// advance brings a machine's tasks up to now. The world is locked.
-func (w *Simulation) advance(machine *Machine, now time.Time) {
+// advance brings a machine's tasks up to now.
+func (sim *Simulation) advance(machine *Machine, now time.Time) {
 	if !machine.preemptionNotice.IsZero() && now.After(machine.preemptionNotice) {
-		w.remove(machine)
-		w.charge(machine)
+		sim.remove(machine)
+		sim.charge(machine)
 		return
 	}
-	w.checkGone(machine, now)
+	sim.checkCancelledAreGone(machine, now)
 	if machine.hanging {
 		return
 	}
-	if now.Sub(machine.leaseRenewedAt) > seconds(w.Settings.Deployment.Workers.LeaseS) {
-		w.expireLease(machine, now)
+	if now.Sub(machine.leaseRenewedAt) > seconds(sim.Settings.Deployment.Workers.LeaseS) {
+		sim.expireLease(machine, now)
 	}
 	for _, t := range machine.tasks {
 		if t.state != protocol.TaskExited && !now.Before(t.ends) {
-			w.advanceTask(machine, t, now)
+			sim.advanceTask(machine, t, now)
 			machine.wake()
 		}
 	}
 }
 
-// checkGone finds tasks of cancelled jobs that are on a machine for too long.
-func (w *Simulation) checkGone(m *Machine, now time.Time) {
-	for _, t := range m.tasks {
-		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelled.IsZero() &&
-			now.Sub(t.job.cancelled) > seconds(w.Settings.Deployment.Workers.CancelS)+time.Second {
-			w.injectFault("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
-			t.job.cancelled = now
-		}
-	}
-}
-
 // expireLease has a worker kill and forget all its tasks, and begin its next session.
-func (w *Simulation) expireLease(m *Machine, now time.Time) {
+func (sim *Simulation) expireLease(m *Machine, now time.Time) {
 	for _, t := range m.tasks {
-		w.removeFromCloud(m, t)
-		w.LeaseKills++
+		sim.taskStopped(m, t)
 	}
+	sim.leaseExpired(len(m.tasks))
 	m.tasks, m.incarnation, m.leaseRenewedAt = nil, m.incarnation+1, now
 	m.wake()
 }
 
 // advanceTask takes a task whose present state is over to the next one.
-func (w *Simulation) advanceTask(machine *Machine, simulatorTask *task, now time.Time) {
-	switch simulatorTask.state {
+func (sim *Simulation) advanceTask(machine *Machine, t *taskAttempt, now time.Time) {
+	switch t.state {
 	case protocol.TaskFetching:
-		simulatorTask.state, simulatorTask.began = protocol.TaskRunning, now
-		simulatorTask.ends = now.Add(w.fast(simulatorTask.job.run(simulatorTask.index) - simulatorTask.job.saved[simulatorTask.index]))
-		switch {
-		case simulatorTask.job.done[simulatorTask.index]:
-			simulatorTask.ends = now // its result is kept
-		case simulatorTask.job.Spec["shape"] == "daemon":
-			simulatorTask.ends = now.Add(1000 * time.Hour)
-		}
-		w.start(machine, simulatorTask)
-		if machine.unhealthy || simulatorTask.job.Broken {
-			simulatorTask.ends = now.Add(300 * time.Millisecond)
-		}
+		sim.startTask(machine, t, now)
 	case protocol.TaskRunning:
-		w.removeFromCloud(machine, simulatorTask)
-		simulatorTask.state, simulatorTask.cause = protocol.TaskExited, protocol.CauseDone
-		if machine.unhealthy || simulatorTask.job.Broken {
-			simulatorTask.cause = protocol.CauseError
-			return
-		}
-		simulatorTask.job.done[simulatorTask.index] = true
-		simulatorTask.job.lastDone = now
-		if w.AtEnd != nil && len(simulatorTask.job.done) == simulatorTask.job.Tasks {
-			go w.AtEnd(simulatorTask.job)
-		}
+		sim.endTask(machine, t, now)
 	case protocol.TaskCheckpointing:
-		w.removeFromCloud(machine, simulatorTask)
-		simulatorTask.state, simulatorTask.cause, simulatorTask.saved = protocol.TaskExited, protocol.CauseStopped, true
-		simulatorTask.job.save(simulatorTask, now.Sub(simulatorTask.began)-w.fast(seconds(simulatorTask.job.spec("markCostS"))), w.speed())
+		sim.taskStopped(machine, t)
+		t.state, t.cause, t.saved = protocol.TaskExited, protocol.CauseStopped, true
+		t.job.save(t, now.Sub(t.began)-sim.fast(seconds(t.job.spec("markCostS"))), sim.speed())
+	}
+}
+
+// startTask begins to run a task whose image is there.
+func (sim *Simulation) startTask(machine *Machine, t *taskAttempt, now time.Time) {
+	job := t.job
+	t.state, t.began = protocol.TaskRunning, now
+	t.ends = now.Add(sim.fast(job.run(t.index) - job.saved[t.index]))
+	switch {
+	case job.done[t.index]:
+		t.ends = now // its result is kept
+	case job.Spec["shape"] == "daemon":
+		t.ends = now.Add(serviceRuns)
+	}
+	sim.taskStarted(t)
+	sim.taskRuns(machine, t)
+	if machine.unhealthy || job.Broken {
+		t.ends = now.Add(failureAfter)
+	}
+}
+
+// endTask ends a task that has run for as long as it takes, or that fails.
+func (sim *Simulation) endTask(machine *Machine, t *taskAttempt, now time.Time) {
+	job := t.job
+	sim.taskStopped(machine, t)
+	t.state, t.cause = protocol.TaskExited, protocol.CauseDone
+	if machine.unhealthy || job.Broken {
+		t.cause = protocol.CauseError
+		return
+	}
+	job.done[t.index] = true
+	job.lastDone = now
+	if sim.AtEnd != nil && len(job.done) == job.Tasks {
+		go sim.AtEnd(job)
 	}
 }
