--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -10,62 +10,61 @@
 	"dykeledge/internal/protocol"
 )
 
-// standAfter lets a controller stand still the moment that such a transaction of its own was
+// stallAfter stalls a controller the moment that such a transaction of its own was
 // applied, before it learns of that, a few times in all.
-func standAfter(w *Simulation, key string, d time.Duration) *atomic.Int32 {
+func stallAfter(sim *Simulation, key string, d time.Duration) {
 	var n atomic.Int32
-	w.After = func(i int, x protocol.Txn) {
+	sim.After = func(i int, x protocol.Txn) {
 		for _, c := range x.Then {
-			if strings.Contains(c.Put, key) && time.Since(w.StartTime) > 4*time.Second && n.Add(1) <= 4 {
-				w.KillCount.Add(1)
-				w.Controller(i).Stall(d)
+			if strings.Contains(c.Put, key) && time.Since(sim.StartTime) > 4*time.Second && n.Add(1) <= 4 {
+				sim.KillCount.Add(1)
+				sim.Controller(i).Stall(d)
 				return
 			}
 		}
 	}
-	return &n
 }
 
-// TestStalls: a controller stands still while its clocks run on, and goes on as if
-// nothing had happened: shorter than its hold, about as long, and far longer.
+// TestStalls: a controller stalls while its clocks run on, and goes on as if
+// nothing had happened: shorter than its lease, about as long, and far longer.
 func TestStalls(t *testing.T) {
 	for _, duration := range []time.Duration{2, 4, 5, 6, 9, 14, 45} {
 		duration *= time.Second
 		cases := []struct {
 			name  string
 			setup func(sim *Simulation)
-			fault func(simulation *Simulation)
+			fault func(sim *Simulation)
 		}{
-			{"one after the other", nil, func(w *Simulation) {
+			{"one after the other", nil, func(sim *Simulation) {
 				for i := range 3 {
 					time.Sleep(5 * time.Second)
-					w.Controller(i).Stall(duration)
+					sim.Controller(i).Stall(duration)
 					time.Sleep(duration)
 				}
 			}},
-			{"two at once", nil, func(w *Simulation) {
+			{"two at once", nil, func(sim *Simulation) {
 				time.Sleep(6 * time.Second)
-				w.Controller(0).Stall(duration)
-				w.Controller(1).Stall(duration)
+				sim.Controller(0).Stall(duration)
+				sim.Controller(1).Stall(duration)
 			}},
-			{"during a takeover", nil, func(w *Simulation) {
+			{"during a takeover", nil, func(sim *Simulation) {
 				time.Sleep(6 * time.Second)
-				w.Kill(0)
+				sim.Kill(0)
 				time.Sleep(4800 * time.Millisecond)
-				w.Controller(1).Stall(duration)
+				sim.Controller(1).Stall(duration)
 				time.Sleep(300 * time.Millisecond)
-				w.Controller(2).Stall(duration / 2)
+				sim.Controller(2).Stall(duration / 2)
 				time.Sleep(duration)
-				w.Start(0)
+				sim.Start(0)
 			}},
-			{"between a commit and its launches", func(w *Simulation) { standAfter(w, "/rack/", duration) }, nil},
-			{"between a machine's record and what follows", func(w *Simulation) { standAfter(w, "/fleet/", duration) }, nil},
-			{"while shares are given away", func(w *Simulation) { standAfter(w, "/share/", duration) }, func(w *Simulation) {
+			{"between a commit and its launches", func(sim *Simulation) { stallAfter(sim, "/rack/", duration) }, nil},
+			{"between a machine's record and what follows", func(sim *Simulation) { stallAfter(sim, "/fleet/", duration) }, nil},
+			{"while shards are given away", func(sim *Simulation) { stallAfter(sim, "/share/", duration) }, func(sim *Simulation) {
 				for i := range 3 {
 					time.Sleep(7 * time.Second)
-					w.Kill(i)
+					sim.Kill(i)
 					time.Sleep(time.Second)
-					w.Start(i)
+					sim.Start(i)
 				}
 			}},
 		}
@@ -75,7 +74,7 @@
 	}
 }
 
-// heal ends what troubles controllers, machines and the state service.
+// heal ends the faults of controllers, machines and the state service.
 func heal(sim *Simulation) {
 	sim.Store.SetDown(false)
 	for i := range 3 {
@@ -93,63 +92,63 @@
 	}
 }
 
-// TestFaults overlaps troubles by seed: cuts by direction and neighbour, refusals,
-// standstills, deaths, late machines and lagging lists.
+// TestFaults overlaps faults by seed: partitions by direction and neighbour, refusals,
+// stalls, deaths, late machines and lagging lists.
 func TestFaults(t *testing.T) {
-	troubles := []func(sim *Simulation, i int){
-		func(w *Simulation, i int) { w.Controller(i).Cut(AllCut) },
-		func(w *Simulation, i int) { w.Controller(i).Cut(NoState) },
-		func(w *Simulation, i int) { w.Controller(i).Cut(NoWorkers) },
-		func(w *Simulation, i int) { w.Controller(i).Cut(NoUsers | NoWorkers) },
-		func(w *Simulation, i int) { w.Controller(i).Cut(NoAnswers) },
-		func(w *Simulation, i int) { w.Controller(i).Cut(NoCloud) },
-		func(w *Simulation, i int) { w.Store.Deny(fmt.Sprintf("n%d", i), true) },
-		func(w *Simulation, i int) {
-			w.Controller(i).Stall(time.Duration(1000+w.Random.IntN(14000)) * time.Millisecond)
+	faults := []func(sim *Simulation, i int){
+		func(sim *Simulation, i int) { sim.Controller(i).Cut(AllCut) },
+		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoState) },
+		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoWorkers) },
+		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoUsers | NoWorkers) },
+		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoAnswers) },
+		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoCloud) },
+		func(sim *Simulation, i int) { sim.Store.Deny(fmt.Sprintf("n%d", i), true) },
+		func(sim *Simulation, i int) {
+			sim.Controller(i).Stall(time.Duration(1000+sim.Random.IntN(14000)) * time.Millisecond)
 		},
-		func(w *Simulation, i int) { w.Kill(i) },
-		func(w *Simulation, _ int) { w.Store.SetDown(true) },
-		func(w *Simulation, _ int) {
-			if ms := w.Machines(); len(ms) > 2 {
-				w.Set(ms[w.Random.IntN(len(ms))], HangingMachine(true))
+		func(sim *Simulation, i int) { sim.Kill(i) },
+		func(sim *Simulation, _ int) { sim.Store.SetDown(true) },
+		func(sim *Simulation, _ int) {
+			if ms := sim.Machines(); len(ms) > 2 {
+				sim.Set(ms[sim.Random.IntN(len(ms))], HangingMachine(true))
 			}
 		},
-		func(w *Simulation, _ int) {
-			if ms := w.Machines(); len(ms) > 2 {
-				w.Set(ms[w.Random.IntN(len(ms))], CutOff(true))
+		func(sim *Simulation, _ int) {
+			if ms := sim.Machines(); len(ms) > 2 {
+				sim.Set(ms[sim.Random.IntN(len(ms))], CutOff(true))
 			}
 		},
 	}
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 100+seed, func(simulation *Simulation) {
+			playDay(t, 100+seed, func(sim *Simulation) {
 				if seed%2 == 1 {
-					simulation.PeerDelay() // hints must make no difference to the rules
+					sim.PeerDelay() // hints must make no difference to the rules
 				}
-				// Troubles overlap for up to half a minute, and a machine that hangs with what
+				// Faults overlap for up to half a minute, and a machine that hangs with what
 				// was cancelled can't be emptied before: deployments allow 36 s and more.
-				simulation.Settings.Deployment.Workers.CancelS = 36
-				simulation.CapacityOf = 12
-				simulation.Boot = func() time.Duration {
-					switch simulation.Random.IntN(4) {
+				sim.Settings.Deployment.Workers.CancelS = 36
+				sim.CapacityOf = 12
+				sim.Boot = func() time.Duration {
+					switch sim.Random.IntN(4) {
 					case 0:
 						return 0
 					case 1:
-						return time.Duration(20+simulation.Random.IntN(40)) * time.Second
+						return time.Duration(20+sim.Random.IntN(40)) * time.Second
 					}
-					return time.Duration(5+simulation.Random.IntN(10)) * time.Second
+					return time.Duration(5+sim.Random.IntN(10)) * time.Second
 				}
-				simulation.ListLag = func() time.Duration { return time.Duration(simulation.Random.IntN(10000)) * time.Millisecond }
-				simulation.User(JobSpec{Team: "grey", Tasks: 4, Cpus: 2, Run: 5 * time.Second, Broken: true, CancelAfter: 100 * time.Second})
-			}, func(w *Simulation) {
+				sim.ListLag = func() time.Duration { return time.Duration(sim.Random.IntN(10000)) * time.Millisecond }
+				sim.User(JobSpec{Team: "grey", Tasks: 4, Cpus: 2, Run: 5 * time.Second, Broken: true, CancelAfter: 100 * time.Second})
+			}, func(sim *Simulation) {
 				for range 5 {
-					time.Sleep(time.Duration(1000+w.Random.IntN(5000)) * time.Millisecond)
-					for range 1 + w.Random.IntN(3) {
-						troubles[w.Random.IntN(len(troubles))](w, w.Random.IntN(3))
-						time.Sleep(time.Duration(w.Random.IntN(4000)) * time.Millisecond)
+					time.Sleep(time.Duration(1000+sim.Random.IntN(5000)) * time.Millisecond)
+					for range 1 + sim.Random.IntN(3) {
+						faults[sim.Random.IntN(len(faults))](sim, sim.Random.IntN(3))
+						time.Sleep(time.Duration(sim.Random.IntN(4000)) * time.Millisecond)
 					}
-					time.Sleep(time.Duration(1000+w.Random.IntN(12000)) * time.Millisecond)
-					heal(w)
+					time.Sleep(time.Duration(1000+sim.Random.IntN(12000)) * time.Millisecond)
+					heal(sim)
 				}
 			}, nil)
 		})
@@ -161,19 +160,19 @@
 func TestLeasesOutliveASilentOwnerInAnOutage(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			playDay(t, 7, func(w *Simulation) { w.Settings.Deployment.Workers.CancelS = 36 }, func(w *Simulation) {
+			playDay(t, 7, func(sim *Simulation) { sim.Settings.Deployment.Workers.CancelS = 36 }, func(sim *Simulation) {
 				time.Sleep(8 * time.Second)
-				w.Store.SetDown(true)
+				sim.Store.SetDown(true)
 				time.Sleep(3 * time.Second)
-				if w.LeaseKills > 0 {
+				if sim.LeaseKills > 0 {
 					t.Error("tasks were killed before the owner fell silent: the case proves nothing")
 				}
-				w.Controller(i).Stall(20 * time.Second)
+				sim.Controller(i).Stall(20 * time.Second)
 				time.Sleep(20 * time.Second)
-				w.Store.SetDown(false)
-			}, func(w *Simulation) {
-				if w.LeaseKills > 0 {
-					t.Errorf("%d tasks were killed by their leases", w.LeaseKills)
+				sim.Store.SetDown(false)
+			}, func(sim *Simulation) {
+				if sim.LeaseKills > 0 {
+					t.Errorf("%d tasks were killed by their leases", sim.LeaseKills)
 				}
 			})
 		})
--- a/internal/simulator/gpu_cluster_test.go
+++ b/internal/simulator/gpu_cluster_test.go
@@ -13,7 +13,7 @@
 
 // TestGPUCluster plays services of top priority over arrays that save, on machines whose accelerators bind,
 // with images that take as long as a boot, one team and so one shard, three small controllers: bursts, a
-// zone that is cut off and goes on inside, dead and taken machines, owners that end, an end of all in an outage. All
+// zone that is partitioned and goes on inside, dead and taken machines, owners that end, an end of all in an outage. All
 // rules hold, services are back within a minute and a half, and no array is starved.
 func TestGPUCluster(t *testing.T) {
 	for seed := range uint64(3) {
@@ -22,7 +22,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				cfg := settings()
 				deployment := &cfg.Deployment
-				deployment.Teams = []config.Team{{Name: "hall"}}
+				deployment.Teams = []config.Team{{Name: "gpu"}}
 				deployment.Workers = config.Workers{HeartbeatS: 1, LeaseS: 11, GangWaitS: 45, GangPeerS: 5, CancelS: 41}
 				deployment.State = config.State{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 8}
 				deployment.Cloud = config.Cloud{RPS: 6, ListLagS: 3}
@@ -45,12 +45,12 @@
 				serve := func() {
 					n := []int{3, 3, 6, 8}[sim.Random.IntN(4)]
 					img := sim.Random.IntN(6)
-					services = append(services, sim.User(JobSpec{Team: "hall", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: n, Cpus: 4, Gpus: 1,
+					services = append(services, sim.User(JobSpec{Team: "gpu", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: n, Cpus: 4, Gpus: 1,
 						MemGB: 29, Image: fmt.Sprint("serve-", img), ImageGB: float64(4 + 2*img), NoSpot: true, Scatter: true}))
 				}
 				sweep := func() {
 					img := sim.Random.IntN(8)
-					arrays = append(arrays, sim.User(JobSpec{Team: "hall", Class: "sweep", Urgency: "low", Tasks: 8 + sim.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
+					arrays = append(arrays, sim.User(JobSpec{Team: "gpu", Class: "sweep", Urgency: "low", Tasks: 8 + sim.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
 						Image: fmt.Sprint("sweep-", img), ImageGB: float64(3 + img), Run: time.Duration(30+sim.Random.IntN(60)) * time.Second, CheckpointS: 15}))
 				}
 				for range 8 {
@@ -65,7 +65,7 @@
 					}
 					machines := sim.Machines()
 					switch i {
-					case 11: // a burst while a zone is cut off with what it runs, and the owner ends
+					case 11: // a burst while a zone is partitioned with what it runs, and the owner ends
 						for range 6 {
 							serve()
 						}
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -10,96 +10,97 @@
 	"dykeledge/internal/config"
 )
 
-// isolationDay is one course of the meeting that the users named before all others.
+// isolationDay is one course of the overlapping faults that users named before all others.
 type isolationDay struct {
 	workers       config.Workers
 	refused       time.Duration // the leader alone is refused so long before the outage
 	cancellations time.Duration // the first of the jobs is cancelled so long before the outage
 	outage        float64       // times cancel_s
-	old           int           // so many controllers are of the version before: no words, no time in the cancellation's record
+	old           int           // so many controllers are of the version before: no digests, no time in the cancellation's record
 }
 
 // playIsolated has the state service refuse the leader alone, other controllers confirm cancellations, and then the
-// state service refuse everybody, while the workers keep reporting to the old leader. It returns how many
+// state service refuse everybody, while the workers keep sending heartbeats to the old leader. It returns how many
 // tasks of cancelled jobs were on machines as the outage began, and those killed by their leases.
-func playIsolated(t *testing.T, seed uint64, simulatorIsolationDay isolationDay, then func(sim *Simulation, lead int)) (doomed, killed int) {
+func playIsolated(t *testing.T, seed uint64, day isolationDay, then func(sim *Simulation, lead int)) (cancelled, killed int) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(time.Minute) }()
 		cfg := settings()
-		cfg.Deployment.Workers = simulatorIsolationDay.workers
-		simulation := NewSimulation(ctx, cfg, seed)
-		simulation.CapacityOf = 20
-		simulation.Old = map[int]bool{}
-		for i := range simulatorIsolationDay.old {
-			simulation.Old[(int(seed)+i)%3] = true
+		cfg.Deployment.Workers = day.workers
+		sim := NewSimulation(ctx, cfg, seed)
+		sim.CapacityOf = 20
+		sim.Old = map[int]bool{}
+		for i := range day.old {
+			sim.Old[(int(seed)+i)%3] = true
 		}
 		for i := range 3 {
-			simulation.Start(i)
+			sim.Start(i)
 		}
-		simulation.PeerDelay()
+		sim.PeerDelay()
 		for i := range 9 {
-			simulation.AddMachine(cfg.Deployment.Zones[i%3], false)
+			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
 		time.Sleep(8 * time.Second)
 		var jobs []*Job
 		for i := range 8 {
-			jobs = append(jobs, simulation.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
+			jobs = append(jobs, sim.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
 		}
 		time.Sleep(10 * time.Second)
-		lead := max(0, simulation.Leader())
+		lead := max(0, sim.Leader())
 		if seed%2 == 1 { // an owner that does not lead
 			lead = (lead + 1) % 3
 		}
-		simulation.Store.Deny(simulation.Controller(lead).Name, true)
-		if simulatorIsolationDay.refused > simulatorIsolationDay.cancellations {
-			time.Sleep(simulatorIsolationDay.refused - simulatorIsolationDay.cancellations)
+		sim.Store.Deny(sim.Controller(lead).Name, true)
+		if day.refused > day.cancellations {
+			time.Sleep(day.refused - day.cancellations)
 		}
 		confirmed := 0
 		for k, j := range jobs[:4] {
-			if simulation.CancelAt(j, (lead+1+k%2)%3) {
+			if sim.CancelAt(j, (lead+1+k%2)%3) {
 				confirmed++
-				doomed += simulation.On(j)
+				cancelled += sim.On(j)
 			}
-			time.Sleep(simulatorIsolationDay.cancellations / 4)
+			time.Sleep(day.cancellations / 4)
 		}
 		if confirmed == 0 {
 			t.Error("no cancellation was confirmed: the case proves nothing")
 		}
-		if simulatorIsolationDay.refused < simulatorIsolationDay.cancellations { // the last of them before
-			time.Sleep(simulatorIsolationDay.refused)
+		if day.refused < day.cancellations { // the last of them before
+			time.Sleep(day.refused)
 		}
-		simulation.Store.SetDown(true)
-		then(simulation, lead)
-		time.Sleep(seconds(simulatorIsolationDay.outage * simulatorIsolationDay.workers.CancelS))
-		killed = simulation.Stats().LeaseKills
-		simulation.Store.SetDown(false)
+		sim.Store.SetDown(true)
+		then(sim, lead)
+		time.Sleep(seconds(day.outage * day.workers.CancelS))
+		killed = sim.Stats().LeaseKills
+		sim.Store.SetDown(false)
 		for i := range 3 {
-			simulation.Store.Deny(fmt.Sprintf("n%d", i), false)
-			if simulation.Controller(i).ended() {
-				simulation.Start(i)
+			sim.Store.Deny(fmt.Sprintf("n%d", i), false)
+			if sim.Controller(i).ended() {
+				sim.Start(i)
 			}
-			simulation.Controller(i).Cut(0)
+			sim.Controller(i).Cut(0)
 		}
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
-			if simulation.On(j) < j.Tasks {
-				shares, _ := simulation.Controller(lead).Core.ShardViews(ctx)
-				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, simulation.Told(j), simulation.On(j), j.Tasks, shares)
+			if sim.On(j) < j.Tasks {
+				shards, _ := sim.Controller(lead).Core.ShardViews(ctx)
+				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards)
 			}
 		}
-		for _, b := range simulation.BrokenRules() {
+		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
 	})
-	return doomed, killed
+	return cancelled, killed
 }
 
 // TestOneDeniedThenAll: an owner that the state service refuses alone goes on answering its workers.
 // What others confirm as cancelled it can't read, and if they can't reach the workers either, nobody stops
 // those tasks: before owners were bound too, they ran on for as long as the outage lasted.
 func TestOneDeniedThenAll(t *testing.T) {
-	others := func(w *Simulation, lead int, f func(i int)) {
+	others := func(lead int, f func(i int)) {
 		for i := range 3 {
 			if i != lead {
 				f(i)
@@ -111,34 +112,34 @@
 		do   func(sim *Simulation, lead int)
 	}{
 		{"they live on", func(*Simulation, int) {}},
-		{"they are killed", func(w *Simulation, lead int) { others(w, lead, w.Kill) }},
-		{"they freeze", func(w *Simulation, lead int) {
-			others(w, lead, func(i int) { w.Controller(i).Stall(100 * time.Second) })
+		{"they are killed", func(sim *Simulation, lead int) { others(lead, sim.Kill) }},
+		{"they stall", func(sim *Simulation, lead int) {
+			others(lead, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
 		}},
-		{"they lose peers and workers", func(w *Simulation, lead int) {
-			others(w, lead, func(i int) { w.Controller(i).Cut(NoPeers | NoWorkers) })
+		{"they lose peers and workers", func(sim *Simulation, lead int) {
+			others(lead, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
 		}},
-		{"they lose their workers", func(w *Simulation, lead int) { others(w, lead, func(i int) { w.Controller(i).Cut(NoWorkers) }) }},
-		{"the leader loses its peers", func(w *Simulation, lead int) {
-			w.Controller(lead).Cut(NoPeers)
-			others(w, lead, func(i int) { w.Controller(i).Cut(NoWorkers) })
+		{"they lose their workers", func(sim *Simulation, lead int) { others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
+		{"the leader loses its peers", func(sim *Simulation, lead int) {
+			sim.Controller(lead).Cut(NoPeers)
+			others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) })
 		}},
-		{"all end, one is back within a second", func(w *Simulation, lead int) {
+		{"all end, one is back within a second", func(sim *Simulation, lead int) {
 			time.Sleep(3 * time.Second)
 			for i := range 3 {
-				w.Kill(i)
+				sim.Kill(i)
 			}
 			time.Sleep(300 * time.Millisecond)
-			w.Start(lead)
+			sim.Start(lead)
 		}},
 	}
-	doomed, seed := 0, uint64(0)
+	cancelled, seed := 0, uint64(0)
 	for _, workers := range []config.Workers{
 		{HeartbeatS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 40},
 		{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
 	} {
 		for _, then := range thens {
-			for _, simulatorIsolationDay := range []isolationDay{
+			for _, day := range []isolationDay{
 				{refused: 200 * time.Millisecond, cancellations: 150 * time.Millisecond, outage: 2},
 				{refused: time.Second, cancellations: 600 * time.Millisecond, outage: 1.2},
 				{refused: 3 * time.Second, cancellations: 3 * time.Second, outage: 4},
@@ -146,17 +147,17 @@
 				{refused: time.Second, cancellations: time.Second, outage: 1.4, old: 1},
 				{refused: 3 * time.Second, cancellations: 2 * time.Second, outage: 1.4, old: 2},
 			} {
-				simulatorIsolationDay.workers = workers
+				day.workers = workers
 				seed++
-				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, then.name, simulatorIsolationDay.refused, simulatorIsolationDay.old), func(t *testing.T) {
-					d, killed := playIsolated(t, seed, simulatorIsolationDay, then.do)
-					doomed += d
+				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, then.name, day.refused, day.old), func(t *testing.T) {
+					d, killed := playIsolated(t, seed, day, then.do)
+					cancelled += d
 					t.Logf("%d tasks of cancelled jobs as the outage began, %d killed by leases", d, killed)
 				})
 			}
 		}
 	}
-	if doomed == 0 {
+	if cancelled == 0 {
 		t.Error("no task of a cancelled job ever ran: nothing is proved")
 	}
 }
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -15,10 +15,10 @@
 // finished task, more than the service allows at this size.
 func TestLargeSimulation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const nodes, up, rentable = 5, 120, 260
+		const controllers, up, rentable = 5, 120, 260
 		ctx, cancel := context.WithCancel(t.Context())
 		cfg := settings()
-		cfg.Deployment.Controllers = nodes
+		cfg.Deployment.Controllers = controllers
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
@@ -26,7 +26,7 @@
 		sim.CapacityOf = rentable
 		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		sim.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
-		for i := range nodes {
+		for i := range controllers {
 			sim.Start(i)
 		}
 		for i := range up {
@@ -56,11 +56,11 @@
 				sim.Kill(0)
 				go func() { time.Sleep(6 * time.Second); sim.Start(0) }()
 			case 95:
-				for k := range nodes {
+				for k := range controllers {
 					sim.Kill(k)
 				}
 				time.Sleep(6 * time.Second)
-				for k := range nodes {
+				for k := range controllers {
 					sim.Start(k)
 				}
 			}
@@ -85,23 +85,23 @@
 	})
 }
 
-// TestGuestsOverload lets a guest team flood the home teams: idle-time work for the whole
+// TestGuestsOverload lets a guest team overload the home teams: idle-time work for the whole
 // fleet, one array of thousands of tasks and hundreds of single ones within 40 s, while
 // two controllers end. Controllers without shards refused the guests for want of a rate that
 // others left unused, and the home teams waited behind idle-time work.
 func TestGuestsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const nodes = 5
+		const controllers = 5
 		ctx, cancel := context.WithCancel(t.Context())
 		cfg := settings()
-		cfg.Deployment.Controllers = nodes
+		cfg.Deployment.Controllers = controllers
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
 		sim := NewSimulation(ctx, cfg, 3)
 		sim.CapacityOf = 80
 		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		sim.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
-		for i := range nodes {
+		for i := range controllers {
 			sim.Start(i)
 		}
 		sim.PeerDelay()
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -20,25 +20,25 @@
 )
 
 // All controllers ended 2 s before an outage of 20 s: nobody knew the workers' token, every
-// report was refused, and 4225 tasks were killed by their leases. Now restarted controllers keep the
+// heartbeat was refused, and 4225 tasks were killed by their leases. Now restarted controllers keep the
 // leases up, but not for so long that a task outlives its job's cancellation, whose last witness ended.
 func TestLeasesOverAnEndOfAllControllers(t *testing.T) {
-	all := func(w *Simulation, f func(i int)) {
+	all := func(f func(i int)) {
 		for i := range 3 {
 			f(i)
 		}
 	}
 	// endIn ends all controllers, begins an outage, and starts them again in it.
 	endIn := func(sim *Simulation, outage time.Duration, again time.Duration) {
-		all(sim, sim.Kill)
+		all(sim.Kill)
 		sim.Store.SetDown(true)
 		time.Sleep(5 * time.Second)
-		all(sim, sim.Start)
+		all(sim.Start)
 		if again > 0 {
 			time.Sleep(again - 5*time.Second)
-			all(sim, sim.Kill)
+			all(sim.Kill)
 			time.Sleep(5 * time.Second)
-			all(sim, sim.Start)
+			all(sim.Start)
 			time.Sleep(outage - again - 5*time.Second)
 		} else {
 			time.Sleep(outage - 5*time.Second)
@@ -62,31 +62,32 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			ran := 0
-			playDay(t, 5, func(w *Simulation) {
-				w.Settings.Deployment.Workers.LeaseS, w.Settings.Deployment.Workers.CancelS = x.lease, x.cancel
-				w.PeerDelay()
-			}, func(w *Simulation) {
+			playDay(t, 5, func(sim *Simulation) {
+				sim.Settings.Deployment.Workers.LeaseS, sim.Settings.Deployment.Workers.CancelS = x.lease, x.cancel
+				sim.PeerDelay()
+			}, func(sim *Simulation) {
 				time.Sleep(9 * time.Second)
 				if x.cancelled {
-					cancelUnseen(t, w, func() {})
+					cancelUnseen(t, sim, func() {})
 				}
-				ran = w.Running()
-				endIn(w, x.outage, x.again)
-			}, func(w *Simulation) {
+				ran = sim.Running()
+				endIn(sim, x.outage, x.again)
+			}, func(sim *Simulation) {
 				if ran == 0 {
-					t.Error("no task ran when the nodes ended: the case proves nothing")
+					t.Error("no task ran when the controllers ended: the case proves nothing")
 				}
-				if x.killed != may && (w.LeaseKills > 0) != (x.killed == must) {
-					t.Errorf("%d tasks were killed by their leases, must be: %v", w.LeaseKills, x.killed == must)
+				if x.killed != may && (sim.LeaseKills > 0) != (x.killed == must) {
+					t.Errorf("%d tasks were killed by their leases, must be: %v", sim.LeaseKills, x.killed == must)
 				}
 			})
 		})
 	}
 }
 
-// cancelUnseen has a job cancelled, whose user is told, and cuts all controllers off from the workers
+// cancelUnseen has a job cancelled, whose user is told, and partitions all controllers from the workers
 // before any of them has sent a stop.
 func cancelUnseen(t *testing.T, sim *Simulation, then func()) {
+	t.Helper()
 	job := sim.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
 	for range 400 { // where machines are still coming up it waits for room first
 		if time.Sleep(100 * time.Millisecond); sim.On(job) == 3 {
@@ -122,10 +123,10 @@
 	for _, outage := range []time.Duration{15 * time.Second, 70 * time.Second} {
 		for seed := range uint64(8) {
 			read, ends := seed%2 == 0, int(seed/2) // there is no controller 3: none ends
-			t.Run(fmt.Sprintf("%v/others have read it %v/node %d ends", outage, read, ends), func(t *testing.T) {
-				playDay(t, seed, func(w *Simulation) {
-					w.Settings.Deployment.Workers.CancelS = 36
-					w.PeerDelay()
+			t.Run(fmt.Sprintf("%v/others have read it %v/controller %d ends", outage, read, ends), func(t *testing.T) {
+				playDay(t, seed, func(sim *Simulation) {
+					sim.Settings.Deployment.Workers.CancelS = 36
+					sim.PeerDelay()
 				}, func(sim *Simulation) {
 					time.Sleep(4 * time.Second)
 					cancelUnseen(t, sim, func() { sim.Store.SetDown(!read) })
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -16,17 +16,18 @@
 	"dykeledge/internal/storage"
 )
 
-// operator changes a team's limit through any controller that lives, until it is done or refused for good.
-func (w *Simulation) operator(t *testing.T, team string, cpusMax float64) {
+// setRedLimit changes the limit of team red through any controller that lives, until it is done or refused for good.
+func (sim *Simulation) setRedLimit(t *testing.T, cpusMax float64) {
 	t.Helper()
+	const team = "red"
 	for range 200 {
-		core := w.Controller(w.Random.IntN(3)).Core
-		views, err := core.Teams(w.ctx)
+		core := sim.Controller(sim.Random.IntN(3)).Core
+		views, err := core.Teams(sim.ctx)
 		for _, v := range views {
 			if v.Name != team {
 				continue
 			}
-			_, err = core.ChangeTeam(w.ctx, team, v.Version, json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpusMax)))
+			_, err = core.ChangeTeam(sim.ctx, team, v.Version, json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpusMax)))
 		}
 		var field *controller.FieldError
 		if err == nil && views != nil || errors.As(err, &field) {
@@ -38,9 +39,9 @@
 }
 
 // stateOf is a team's state as a controller tells it, "" where none does.
-func (w *Simulation) stateOf(team string) string {
+func (sim *Simulation) stateOf(team string) string {
 	for i := range 3 {
-		views, err := w.Controller(i).Core.Teams(w.ctx)
+		views, err := sim.Controller(i).Core.Teams(sim.ctx)
 		if err != nil {
 			continue
 		}
@@ -53,44 +54,46 @@
 	return ""
 }
 
-// TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any controller, while owners end, stand still over
-// a change and wake later, answers get lost and transactions come late. The checker holds every start against the limit that
+// TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any controller, while owners end, stall over
+// a change and go on later, answers get lost and transactions come late. The checker compares every start with the limit that
 // counts, and every limit that is said to be in force against what really runs.
 func TestLimitsChangeWhileItServes(t *testing.T) {
 	for _, x := range []struct {
-		name    string
-		trouble func(sim *Simulation, step int)
+		name  string
+		fault func(sim *Simulation, step int)
 	}{
-		{"no trouble", func(*Simulation, int) {}},
-		{"owners end", func(w *Simulation, step int) { w.Again(time.Duration(w.Random.IntN(4000))*time.Millisecond, step%3) }},
-		{"nodes stand still over changes", func(w *Simulation, step int) {
-			w.Controller(step % 3).Stall(time.Duration(2+w.Random.IntN(9)) * time.Second)
+		{"no fault", func(*Simulation, int) {}},
+		{"owners end", func(sim *Simulation, step int) {
+			sim.Again(time.Duration(sim.Random.IntN(4000))*time.Millisecond, step%3)
 		}},
-		{"an outage, and a node refused alone", func(w *Simulation, step int) {
+		{"controllers stall over changes", func(sim *Simulation, step int) {
+			sim.Controller(step % 3).Stall(time.Duration(2+sim.Random.IntN(9)) * time.Second)
+		}},
+		{"an outage, and a controller refused alone", func(sim *Simulation, step int) {
 			if step%2 == 0 {
-				w.Store.SetDown(true)
+				sim.Store.SetDown(true)
 				time.Sleep(4 * time.Second)
-				w.Store.SetDown(false)
+				sim.Store.SetDown(false)
 				return
 			}
-			w.Store.Deny(w.Controller(step%3).Name, true)
+			sim.Store.Deny(sim.Controller(step%3).Name, true)
 			time.Sleep(6 * time.Second)
-			w.Store.Deny(w.Controller(step%3).Name, false)
+			sim.Store.Deny(sim.Controller(step%3).Name, false)
 		}},
 	} {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
 				var evicted, lowered atomic.Int32
-				playDay(t, 700+seed, func(simulation *Simulation) {
-					simulation.CapacityOf = 8
-					simulation.Late = func(string, protocol.Txn) time.Duration {
-						if simulation.Random.IntN(60) > 0 {
+				playDay(t, 700+seed, func(sim *Simulation) {
+					sim.CapacityOf = 8
+					sim.Late = func(string, protocol.Txn) time.Duration {
+						if sim.Random.IntN(60) > 0 {
 							return 0
 						}
-						return time.Duration(500+simulation.Random.IntN(8000)) * time.Millisecond
+						return time.Duration(500+sim.Random.IntN(8000)) * time.Millisecond
 					}
-					records := simulation.Store.Check
-					simulation.Store.Check = func(t protocol.Txn) {
+					records := sim.Store.Check
+					sim.Store.Check = func(t protocol.Txn) {
 						records(t)
 						for _, c := range t.Then {
 							if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
@@ -102,16 +105,16 @@
 							}
 						}
 					}
-				}, func(w *Simulation) {
-					w.PeerDelay()
+				}, func(sim *Simulation) {
+					sim.PeerDelay()
 					for step, limit := range []float64{60, 24, 80, 20, 30, 18, 60, 16, 40} {
-						w.operator(t, "red", limit)
-						x.trouble(w, step)
-						time.Sleep(time.Duration(1+w.Random.IntN(4)) * time.Second)
+						sim.setRedLimit(t, limit)
+						x.fault(sim, step)
+						time.Sleep(time.Duration(1+sim.Random.IntN(4)) * time.Second)
 					}
-					w.operator(t, "red", 40)
-				}, func(w *Simulation) {
-					if state := w.stateOf("red"); state != controller.TeamInForce {
+					sim.setRedLimit(t, 40)
+				}, func(sim *Simulation) {
+					if state := sim.stateOf("red"); state != controller.TeamInForce {
 						t.Errorf("the last limit is %q", state)
 					}
 					if lowered.Load() == 0 {
@@ -129,28 +132,28 @@
 func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 760+seed, func(w *Simulation) { w.CapacityOf = 8 }, func(sim *Simulation) {
+			playDay(t, 760+seed, func(sim *Simulation) { sim.CapacityOf = 8 }, func(sim *Simulation) {
 				sim.PeerDelay()
-				share := slices.IndexFunc(sim.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
+				shard := slices.IndexFunc(sim.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
 				for range 12 {
-					owner := sim.Owner(share)
+					owner := sim.Owner(shard)
 					if owner < 0 {
 						time.Sleep(time.Second)
 						continue
 					}
 					slow := sim.Controller(owner).Name
-					sim.Store.Slow = func(node string) time.Duration {
-						if node != slow {
+					sim.Store.Slow = func(controller string) time.Duration {
+						if controller != slow {
 							return 0
 						}
 						return time.Duration(300+sim.Random.IntN(600)) * time.Millisecond
 					}
 					sim.User(JobSpec{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
 					time.Sleep(time.Duration(100+sim.Random.IntN(900)) * time.Millisecond)
-					sim.operator(t, "red", 18)
+					sim.setRedLimit(t, 18)
 					time.Sleep(time.Duration(sim.Random.IntN(3000)) * time.Millisecond)
 					sim.Store.Slow = nil
-					sim.operator(t, "red", 40)
+					sim.setRedLimit(t, 40)
 					time.Sleep(2 * time.Second)
 				}
 			}, nil)
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -9,7 +9,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestBalancer holds the balancer's judgement of a controller against the protocol's words.
+// TestBalancer compares the balancer's judgement of a controller with the protocol.
 func TestBalancer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestStoreLimits holds the state service's refusals against the protocol.
+// TestStoreLimits compares the state service's refusals with the protocol.
 func TestStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
@@ -64,7 +64,7 @@
 			}
 		}
 		if _, err := storeLink.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
-			t.Errorf("a follow from before what is kept: %v", err)
+			t.Errorf("a watch from before what is kept: %v", err)
 		}
 		if ev, err := storeLink.Watch(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
 			t.Errorf("%d events, %v", len(ev.Events), err)
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		if _, _, _, err := storeLink.Read(t.Context(), "h"); !errors.Is(err, protocol.ErrNotFound) {
-			t.Errorf("a key outlives its hold: %v", err)
+			t.Errorf("a key outlives its lease: %v", err)
 		}
 		store.Shrink(10, 2, 1000)
 		store.Limit(5, 3)
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -12,9 +12,9 @@
 )
 
 // baselineOf is what the records say is usual for a class.
-func (w *Simulation) baselineOf(class string) (cpus float64) {
+func (sim *Simulation) baselineOf(class string) (cpus float64) {
 	var r storage.BaselineRecord
-	raw, _ := w.Store.Value(storage.BaselineKey)
+	raw, _ := sim.Store.Value(storage.BaselineKey)
 	_ = json.Unmarshal(raw, &r) // none: nothing is usual
 	for _, l := range r.Queues {
 		if l.Class == class {
@@ -26,36 +26,36 @@
 
 // TestOverload lets one class of a team ask for ten times what the fleet can run, beside
 // another class of the same team and one of another that ask for what they always do. Those
-// must hardly notice, whoever ends meanwhile: before, within a team the flood went first as
-// soon as it was older. And the flood must not have become the usual after an end of all controllers.
+// must hardly notice, whoever ends meanwhile: before, within a team the overload went first as
+// soon as it was older. And the overload must not have become the usual after an end of all controllers.
 func TestOverload(t *testing.T) {
 	each := func(f func(int)) {
 		for i := range 3 {
 			f(i)
 		}
 	}
-	lose := func(w *Simulation) {
-		for i, m := range w.Machines() {
+	lose := func(sim *Simulation) {
+		for i, m := range sim.Machines() {
 			if i%3 == 0 {
-				w.Die(m)
+				sim.Die(m)
 			}
 		}
-		w.CapacityOf = 0
+		sim.CapacityOf = 0
 	}
 	for _, x := range []struct {
 		name  string
-		part  float64 // of the flood that must be done in the end
+		part  float64 // of the overload that must be done in the end
 		fault func(sim *Simulation)
 	}{
 		{"a third of the machines die", 0.35, lose},
-		{"owner and leader end, one after the other", 0.5, func(w *Simulation) {
-			each(func(i int) { w.Kill(i); time.Sleep(6 * time.Second); w.Start(i); time.Sleep(6 * time.Second) })
+		{"owner and leader end, one after the other", 0.5, func(sim *Simulation) {
+			each(func(i int) { sim.Kill(i); time.Sleep(6 * time.Second); sim.Start(i); time.Sleep(6 * time.Second) })
 		}},
-		{"all nodes end, and a third of the machines", 0.35, func(w *Simulation) {
-			each(w.Kill)
-			lose(w)
+		{"all controllers end, and a third of the machines", 0.35, func(sim *Simulation) {
+			each(sim.Kill)
+			lose(sim)
 			time.Sleep(5 * time.Second)
-			each(w.Start)
+			each(sim.Start)
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -65,47 +65,47 @@
 				cfg := settings()
 				cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 				cfg.Deployment.Workers.CancelS = 36
-				for _, class := range []string{"steady", "flood"} {
+				for _, class := range []string{"steady", "overload"} {
 					cfg.Deployment.Objectives = append(cfg.Deployment.Objectives, config.Objective{Kind: "finished", Class: class, WithinS: 60, Share: 0.95})
 				}
-				simulation := NewSimulation(ctx, cfg, 3)
-				each(simulation.Start)
-				simulation.PeerDelay()
-				simulation.CapacityOf = 18
-				for i := range simulation.CapacityOf {
-					simulation.AddMachine(cfg.Deployment.Zones[i%3], false)
+				sim := NewSimulation(ctx, cfg, 3)
+				each(sim.Start)
+				sim.PeerDelay()
+				sim.CapacityOf = 18
+				for i := range sim.CapacityOf {
+					sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 				}
-				// The steady classes ask for 96 of 288 CPUs, the flood for 48 and then for twenty times that.
+				// The steady classes ask for 96 of 288 CPUs, the overload for 48 and then for twenty times that.
 				const begins, ends, over = 80, 160, 260
 				var before float64
 				for s := range over {
 					if s%2 == 0 && s < over-60 {
 						for _, team := range []string{"red", "blue"} {
-							simulation.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + simulation.Random.IntN(5), Cpus: 2, Run: time.Duration(8+simulation.Random.IntN(8)) * time.Second})
+							sim.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + sim.Random.IntN(5), Cpus: 2, Run: time.Duration(8+sim.Random.IntN(8)) * time.Second})
 						}
 					}
 					for range (1 + 19*min(1, s/begins)*(1-min(1, s/ends))) * (1 - s%2) {
-						simulation.User(JobSpec{Team: "red", Class: "flood", Tasks: 1 + simulation.Random.IntN(7), Cpus: 2, Run: time.Duration(4+simulation.Random.IntN(16)) * time.Second})
+						sim.User(JobSpec{Team: "red", Class: "overload", Tasks: 1 + sim.Random.IntN(7), Cpus: 2, Run: time.Duration(4+sim.Random.IntN(16)) * time.Second})
 					}
 					if s == begins {
-						before = simulation.baselineOf("flood")
+						before = sim.baselineOf("overload")
 					}
 					if s == begins+30 {
-						go x.fault(simulation)
+						go x.fault(sim)
 					}
 					time.Sleep(time.Second)
 				}
-				for _, s := range simulation.Served(60 * time.Second) {
+				for _, s := range sim.Served(60 * time.Second) {
 					in := float64(s.InTime) / float64(s.Due)
 					t.Logf("%v", s)
 					if s.Class == "steady" && (s.Part() < 0.97 || in < 0.9) || s.Part() < x.part {
 						t.Errorf("%v", s)
 					}
 				}
-				if after := simulation.baselineOf("flood"); before == 0 || after > 1.5*before {
-					t.Errorf("usual of the flood %.0f CPUs before, %.0f after", before, after)
+				if after := sim.baselineOf("overload"); before == 0 || after > 1.5*before {
+					t.Errorf("usual of the overload %.0f CPUs before, %.0f after", before, after)
 				}
-				for _, b := range simulation.BrokenRules() {
+				for _, b := range sim.BrokenRules() {
 					t.Error(b)
 				}
 				cancel()
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -13,59 +13,59 @@
 )
 
 // TestRestartAtOnce ends processes that are back within a fraction of a second under the same name, while
-// their predecessors' holds still live and what those sent is applied late: one controller again and again, the
+// their predecessors' leases have not run out and what those sent is applied late: one controller again and again, the
 // leader, the owner the moment that a commit was applied, all in the middle of an election, in an outage.
 // The rules hold, no attempt is used twice, and shards do not wander.
 func TestRestartAtOnce(t *testing.T) {
 	cases := []struct {
 		name  string
 		setup func(sim *Simulation, back time.Duration)
-		fault func(simulation *Simulation, back time.Duration)
+		fault func(sim *Simulation, back time.Duration)
 	}{
-		{"one five times in ten seconds", nil, func(w *Simulation, back time.Duration) {
+		{"one five times in ten seconds", nil, func(sim *Simulation, back time.Duration) {
 			for range 5 {
-				w.Again(back, 1)
+				sim.Again(back, 1)
 				time.Sleep(2 * time.Second)
 			}
 		}},
-		{"all, and again in the election", nil, func(w *Simulation, back time.Duration) {
-			w.Again(back, 0, 1, 2)
+		{"all, and again in the election", nil, func(sim *Simulation, back time.Duration) {
+			sim.Again(back, 0, 1, 2)
 			time.Sleep(150 * time.Millisecond)
-			w.Again(back, 0, 1, 2)
+			sim.Again(back, 0, 1, 2)
 			time.Sleep(900 * time.Millisecond)
-			w.Again(back, 0, 1)
+			sim.Again(back, 0, 1)
 		}},
-		{"between a commit and its answer", func(w *Simulation, back time.Duration) {
+		{"between a commit and its answer", func(sim *Simulation, back time.Duration) {
 			var n atomic.Int32
-			w.After = func(i int, x protocol.Txn) {
+			sim.After = func(i int, x protocol.Txn) {
 				if slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && n.Add(1)%9 == 0 && n.Load() < 50 {
-					w.Kill(i)
-					go func() { time.Sleep(back); w.Start(i) }()
+					sim.Kill(i)
+					go func() { time.Sleep(back); sim.Start(i) }()
 				}
 			}
 		}, nil},
-		{"in an outage", nil, func(w *Simulation, back time.Duration) {
-			w.Store.SetDown(true)
-			w.Again(back+3*time.Second, 0, 1, 2)
-			w.Store.SetDown(false)
-			w.Again(back, 2)
+		{"in an outage", nil, func(sim *Simulation, back time.Duration) {
+			sim.Store.SetDown(true)
+			sim.Again(back+3*time.Second, 0, 1, 2)
+			sim.Store.SetDown(false)
+			sim.Again(back, 2)
 		}},
-		{"with late transactions and reports", func(simulatorSimulation *Simulation, _ time.Duration) {
-			simulatorSimulation.Late = func(string, protocol.Txn) time.Duration {
-				if simulatorSimulation.Random.IntN(12) == 0 {
-					return time.Duration(500+simulatorSimulation.Random.IntN(6000)) * time.Millisecond
+		{"with late transactions and heartbeats", func(sim *Simulation, _ time.Duration) {
+			sim.Late = func(string, protocol.Txn) time.Duration {
+				if sim.Random.IntN(12) == 0 {
+					return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
 				}
 				return 0
 			}
-			simulatorSimulation.LateHeartbeats = func(string) time.Duration {
-				if simulatorSimulation.Random.IntN(30) == 0 {
-					return time.Duration(1000+simulatorSimulation.Random.IntN(20000)) * time.Millisecond
+			sim.LateHeartbeats = func(string) time.Duration {
+				if sim.Random.IntN(30) == 0 {
+					return time.Duration(1000+sim.Random.IntN(20000)) * time.Millisecond
 				}
 				return 0
 			}
-		}, func(w *Simulation, back time.Duration) {
+		}, func(sim *Simulation, back time.Duration) {
 			for i := range 6 {
-				w.Again(back, i%3)
+				sim.Again(back, i%3)
 				time.Sleep(1500 * time.Millisecond)
 			}
 		}},
@@ -74,27 +74,27 @@
 		for _, x := range cases {
 			t.Run(fmt.Sprintf("%v/%s", back, x.name), func(t *testing.T) {
 				var hands atomic.Int32
-				playDay(t, 700+uint64(i), func(w *Simulation) {
-					w.Settings.Deployment.Workers.CancelS = 36
-					w.PeerDelay()
-					records := w.Store.Check
-					w.Store.Check = func(x protocol.Txn) {
+				playDay(t, 700+uint64(i), func(sim *Simulation) {
+					sim.Settings.Deployment.Workers.CancelS = 36
+					sim.PeerDelay()
+					records := sim.Store.Check
+					sim.Store.Check = func(x protocol.Txn) {
 						records(x)
 						if slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/share/") }) {
 							hands.Add(1)
 						}
 					}
 					if x.setup != nil {
-						x.setup(w, back)
+						x.setup(sim, back)
 					}
-				}, func(w *Simulation) {
+				}, func(sim *Simulation) {
 					time.Sleep(5 * time.Second)
 					if x.fault != nil {
-						x.fault(w, back)
+						x.fault(sim, back)
 					}
 					time.Sleep(20 * time.Second)
 					if n := hands.Load(); n > 40 {
-						t.Errorf("shares changed hands %d times", n)
+						t.Errorf("shards changed hands %d times", n)
 					}
 				}, nil)
 			})
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -18,18 +18,18 @@
 	"dykeledge/internal/storage"
 )
 
-// scenario is a meeting of the users' list, brought about in a world of three controllers, nine machines and long jobs.
+// scenario is a course of overlapping faults, brought about in a simulation of three controllers, nine machines and long jobs.
 type scenario struct {
 	*Simulation
-	hooks            *hooks
-	long             []*Job // uncancelled, two tasks each that run for an hour
-	dependencyFailed []*Job // called off
-	far              []*Job // tasks that end far apart
-	counting         sync.Mutex
-	counts           map[string]int
+	hooks     *hooks
+	long      []*Job // uncancelled, two tasks each that run for an hour
+	cancelled []*Job
+	far       []*Job // tasks that end far apart
+	counting  sync.Mutex
+	counts    map[string]int
 }
 
-// count notes that something of the meeting came about.
+// count notes that something of the scenario came about.
 func (s *scenario) count(what string, n int) {
 	s.counting.Lock()
 	defer s.counting.Unlock()
@@ -42,7 +42,7 @@
 	for _, j := range s.long[:n] {
 		s.CancelNow(j)
 	}
-	s.dependencyFailed, s.long = append(s.dependencyFailed, s.long[:n]...), s.long[n:]
+	s.cancelled, s.long = append(s.cancelled, s.long[:n]...), s.long[n:]
 }
 
 // preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled first.
@@ -59,9 +59,9 @@
 	s.long = append(inZone, others...)
 }
 
-// told is how many of the jobs that were called off are known to their users to be cancelled.
+// told is how many of the jobs that were cancelled are known to their users to be cancelled.
 func (s *scenario) told() (n int) {
-	for _, j := range s.dependencyFailed {
+	for _, j := range s.cancelled {
 		if s.Told(j) == protocol.Cancelled {
 			n++
 		}
@@ -81,11 +81,11 @@
 // stream submits one-task jobs, four a second; a quarter is cancelled, within three seconds.
 func (s *scenario) stream(d time.Duration) {
 	for i := range int(4 * d.Seconds()) {
-		w := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.advanceTo(2*time.Second, 8*time.Second)}
+		want := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
 		if i%4 == 1 {
-			w.CancelAfter = s.advanceTo(time.Millisecond, 3*time.Second)
+			want.CancelAfter = s.randomDuration(time.Millisecond, 3*time.Second)
 		}
-		s.far = append(s.far, s.User(w))
+		s.far = append(s.far, s.User(want))
 		time.Sleep(250 * time.Millisecond)
 	}
 }
@@ -125,376 +125,18 @@
 	s.count("leads", int(s.IsLeader.Load()-before))
 }
 
-// scenarios are the meetings of the users' list that no other test brings about for certain. What must have come about is
-// counted: a scene whose count stays 0 fails.
-var scenarios = []struct {
+// scenarioCase is a scenario to play. What must have come about is counted: a scenario whose count stays 0 fails.
+type scenarioCase struct {
 	name  string
+	seed  uint64
 	setup func(s *scenario)
 	play  func(s *scenario)
-	must  string // what must have come about, beside cancellations that users were told
-}{
-	{"close looks, cancelled at once too", func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
-		go func() { time.Sleep(8 * time.Second); s.next(3 * time.Second) }()
-		s.stream(25 * time.Second)
-		s.cancelJob(4)
-		time.Sleep(5 * time.Second)
-		s.count("looks", int(s.Looks.Load()))
-	}, "looks"},
-	{"close looks while only answers are lost", func(s *scenario) {
-		s.CloseLooks = true
-		s.LostAnswers = func(string, protocol.Txn) bool { return s.hooks.lost.Load() && s.Random.IntN(3) == 0 }
-	}, func(s *scenario) {
-		s.hooks.lost.Store(true)
-		s.stream(25 * time.Second)
-		s.cancelJob(4)
-		time.Sleep(5 * time.Second)
-		s.count("looks", int(s.Looks.Load()))
-		s.lostKinds("job", "rack")
-	}, "lost job, lost rack"},
-	{"one-task jobs for two minutes, a quarter cancelled", nil, func(s *scenario) {
-		go func() { time.Sleep(40 * time.Second); s.next(3 * time.Second) }()
-		s.stream(120 * time.Second)
-		s.count("jobs", len(s.far))
-	}, "jobs"},
-	{"cancelled while work changes hands", func(s *scenario) { s.watchOwnershipChanges() }, func(s *scenario) {
-		for i := range 3 {
-			owner := max(0, s.Owner(i))
-			s.Kill(owner)
-			for range 4 { // from the end to after the takeover
-				time.Sleep(s.advanceTo(400*time.Millisecond, 1100*time.Millisecond))
-				s.cancelJob(1)
-			}
-			s.Start(owner)
-			time.Sleep(6 * time.Second)
-		}
-	}, "cancelled between owners"},
-	{"the leader ends while machines can't be reached or are deaf", nil, func(s *scenario) {
-		n := len(s.hit(2, CutOff(true), s.long[:2]...)) + len(s.hit(2, DeafMachine(true), s.long[2:4]...))
-		s.count("machines", n)
-		s.cancelJob(4)
-		s.isLeader(func() { s.next(8 * time.Second); time.Sleep(50 * time.Second) })
-	}, "machines, leads"},
-	{"teams at their limit, cancelled on machines that hang, new leaders", func(s *scenario) { s.limit(); s.slowHeartbeats() }, func(s *scenario) {
-		s.cancelJob(6)
-		hit := s.hit(6, HangingMachine(true), s.dependencyFailed...)
-		s.count("machines", len(hit))
-		s.isLeader(func() {
-			for range 4 {
-				time.Sleep(2 * time.Second)
-				s.next(4 * time.Second)
-				time.Sleep(7 * time.Second)
-			}
-		})
-	}, "machines, leads, at the limit"},
-	{"teams at their limit, cancelled on machines cut off, a new leader", func(s *scenario) { s.limit() }, func(s *scenario) {
-		hit := s.hit(4, CutOff(true), s.long[:4]...)
-		s.count("machines", len(hit))
-		s.isLeader(func() { s.next(5 * time.Second); time.Sleep(time.Second); s.cancelJob(4); time.Sleep(30 * time.Second) })
-	}, "machines, leads, at the limit"},
-	{"cancelled on machines that hang, while owners change", func(s *scenario) { s.slowHeartbeats() }, func(s *scenario) {
-		s.cancelJob(6)
-		s.count("machines", len(s.hit(4, HangingMachine(true), s.dependencyFailed...)))
-		for i := range 14 { // no owner is left for as long as it takes to call a machine silent
-			time.Sleep(2500 * time.Millisecond)
-			s.Again(time.Second, i%3)
-		}
-	}, "machines"},
-	{"cancelled on machines that hang, at a state service that flaps", nil, func(s *scenario) {
-		s.cancelJob(6)
-		s.count("machines", len(s.hit(4, HangingMachine(true), s.dependencyFailed...)))
-		for range 9 {
-			s.Store.SetDown(true)
-			time.Sleep(3300 * time.Millisecond)
-			s.Store.SetDown(false)
-			time.Sleep(800 * time.Millisecond)
-		}
-	}, "machines"},
-	{"cancelled on deaf machines, four in ten and more", func(s *scenario) { s.slowHeartbeats() }, func(s *scenario) {
-		s.count("machines", len(s.hit(7, DeafMachine(true), s.long...)))
-		s.cancelJob(6)
-		time.Sleep(45 * time.Second)
-	}, "machines"},
-	{"all nodes away for longer than a lease, cancelled just before", nil, func(s *scenario) {
-		s.cancelJob(4)
-		for range 100 {
-			if time.Sleep(50 * time.Millisecond); s.told() == 4 {
-				break
-			}
-		}
-		s.count("machines", len(s.hit(2, HangingMachine(true), s.dependencyFailed...)))
-		for i := range 3 {
-			s.Kill(i)
-		}
-		time.Sleep(13 * time.Second)
-		for i := range 3 {
-			s.Start(i)
-		}
-		time.Sleep(30 * time.Second)
-		s.count("lease kills", s.Stats().LeaseKills)
-	}, "lease kills"},
-	{"a zone with its node cut off, cancelled meanwhile", nil, func(s *scenario) {
-		zone := s.Controller(max(0, s.Owner(0))).Zone
-		s.PartitionZone(zone)
-		time.Sleep(time.Second)
-		s.preferJobsIn(zone)
-		s.cancelJob(6)
-		for _, j := range s.dependencyFailed {
-			for _, m := range s.machinesOf(j) {
-				if m.Zone == zone {
-					s.count("tasks there", 1)
-				}
-			}
-		}
-		time.Sleep(45 * time.Second) // longer than cancel_s
-	}, "tasks there"},
-	{"a leader without state and peers, cancelled through the new one", func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
-		old := theLeader(s.Simulation)
-		s.isLeader(func() {
-			s.Controller(old).Cut(NoState | NoPeers)
-			time.Sleep(5 * time.Second)
-			for _, j := range s.long[:4] {
-				if s.CancelAt(j, (old+1)%3) {
-					s.count("by the new one", 1)
-				}
-			}
-			s.cancelJob(4)
-			time.Sleep(40 * time.Second)
-		})
-	}, "leads, by the new one"},
-	{"arrays bound to one zone lose machines", func(s *scenario) { s.CapacityOf = 12 }, func(s *scenario) {
-		for i := range 4 {
-			s.far = append(s.far, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i].Name, Tasks: 6, Cpus: 4, Run: 20 * time.Second, Zone: "b"}))
-		}
-		time.Sleep(8 * time.Second)
-		for _, m := range s.hit(2, PreemptionNotice(time.Second), s.far...) {
-			s.Die(m)
-			s.count("machines", 1)
-		}
-		s.next(3 * time.Second)
-		time.Sleep(20 * time.Second)
-	}, "machines"},
-	{"called off, asked and submitted again at the end of the last task", func(s *scenario) {
-		s.CloseLooks = true
-		s.AtEnd = func(j *Job) {
-			if s.Random.IntN(2) == 0 {
-				s.count("at the end", 1)
-				s.CancelNow(j)
-			}
-			s.CloseLook(j)
-		}
-	}, func(s *scenario) {
-		s.hooks.slow.Store(true) // the end may be committed between a look and the cancellation
-		for i := range 40 {
-			s.far = append(s.far, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1 + i%3, Cpus: 1, Run: s.advanceTo(time.Second, 3*time.Second)}))
-			time.Sleep(300 * time.Millisecond)
-		}
-	}, "at the end"},
-	{"ten leaders in two minutes, in an outage too", nil, func(s *scenario) {
-		s.isLeader(func() {
-			for i := range 11 {
-				s.next(3 * time.Second)
-				s.cancelJob(i % 2)
-				if i == 5 {
-					s.Store.SetDown(true)
-					time.Sleep(4 * time.Second)
-					s.Store.SetDown(false)
-				}
-				time.Sleep(10 * time.Second)
-			}
-		})
-	}, "leads"},
-	{"old reports at every node as a leader begins", func(s *scenario) {
-		s.KeptHeartbeats = func(string) bool { return s.hooks.keep.Load() && s.Random.IntN(2) == 0 }
-	}, func(s *scenario) {
-		s.isLeader(func() {
-			for range 4 {
-				s.hooks.keep.Store(true)
-				time.Sleep(3 * time.Second)
-				s.hooks.keep.Store(false)
-				s.cancelJob(1)
-				n := len(s.long)
-				s.more(4, JobSpec{Cpus: 1}) // the kept heartbeats know nothing of them
-				time.Sleep(s.advanceTo(4*time.Second, 8*time.Second))
-				hit := s.hit(9, HangingMachine(true), s.long[n:]...) // and are the first that their new owners hear
-				led := s.IsLeader.Load()
-				s.next(6 * time.Second)
-				for range 60 {
-					if time.Sleep(100 * time.Millisecond); s.IsLeader.Load() > led {
-						break
-					}
-				}
-				time.Sleep(700 * time.Millisecond)
-				for _, m := range hit {
-					s.Set(m, HangingMachine(false))
-				}
-				time.Sleep(4 * time.Second)
-			}
-		})
-		s.count("copies", int(s.CopiesToNext.Load()))
-	}, "leads, copies"},
-	{"mute machines", nil, func(s *scenario) {
-		hit := s.hit(3, MuteMachine(true), s.long...)
-		s.count("machines", len(hit))
-		// What they lose must not begin again and again where no lease can be kept up.
-		time.Sleep(16 * time.Second) // their leases have run out by now
-		before := s.Stats()
-		late := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 25 * time.Second})
-		s.far = append(s.far, late)
-		s.cancelJob(3)
-		time.Sleep(60 * time.Second)
-		if killed := s.Stats().LeaseKills - before.LeaseKills; killed > 0 {
-			s.count("killed again", killed)
-		}
-		if s.Told(late) != protocol.Done {
-			s.count("not done", 1)
-		}
-	}, "machines, !killed again, !not done"},
-	{"deaf machines and a job that waits", nil, func(s *scenario) {
-		s.count("machines", len(s.hit(3, DeafMachine(true), s.long...)))
-		late := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 10 * time.Second})
-		s.far = append(s.far, late)
-		time.Sleep(60 * time.Second)
-		if s.Told(late) != protocol.Done {
-			s.count("not done", 1)
-		}
-	}, "machines, !not done"},
-	{"machines up within two seconds, writes lag, the leader ends", func(s *scenario) {
-		s.Boot = func() time.Duration { return s.advanceTo(300*time.Millisecond, 2*time.Second) }
-		s.CapacityOf = 18
-		s.Late = func(string, protocol.Txn) time.Duration {
-			if !s.hooks.late.Load() || s.Random.IntN(3) > 0 {
-				return 0
-			}
-			return s.advanceTo(2*time.Second, 12*time.Second)
-		}
-	}, func(s *scenario) {
-		had := len(s.Machines())
-		s.hooks.late.Store(true)
-		s.more(16, JobSpec{})
-		time.Sleep(5 * time.Second)
-		s.next(4 * time.Second)
-		s.cancelJob(4)
-		time.Sleep(25 * time.Second)
-		s.count("late", int(s.LateDone.Load()+s.LateDenied.Load()))
-		s.count("machines", len(s.Machines())-had)
-	}, "late, machines"},
-	{"more work than room, urgent and not, over slow links", func(s *scenario) { s.CapacityOf = 9 }, func(s *scenario) {
-		s.hooks.slow.Store(true)
-		for i := range 24 {
-			urgency := []string{"low", "normal", "high", "production"}[i%4]
-			s.far = append(s.far, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 5, Cpus: 4, Run: 12 * time.Second, Urgency: urgency}))
-		}
-		time.Sleep(20 * time.Second)
-		s.count("waiting", 2*len(s.long)+5*24-s.Running())
-		s.cancelJob(4)
-		time.Sleep(10 * time.Second)
-	}, "waiting"},
-	{"every kind of record late, after newer ones", func(s *scenario) {
-		s.Late = func(_ string, t protocol.Txn) time.Duration {
-			if !s.hooks.late.Load() || !s.everyThird("late ", t) {
-				return 0
-			}
-			return s.advanceTo(2*time.Second, 12*time.Second)
-		}
-	}, func(s *scenario) {
-		s.hooks.late.Store(true)
-		for range 5 {
-			s.cancelJob(1)
-			s.next(2 * time.Second)
-			s.stream(8 * time.Second)
-		}
-	}, "late job, late rack, late share, late leader, late node"},
-	{"answers lost at once of every kind of record", func(s *scenario) {
-		s.LostAnswers = func(_ string, t protocol.Txn) bool { return s.hooks.lost.Load() && s.everyThird("sent ", t) }
-		s.CloseLooks = true
-	}, func(s *scenario) {
-		s.hooks.lost.Store(true)
-		for range 5 {
-			s.cancelJob(1)
-			s.next(2 * time.Second)
-			s.stream(8 * time.Second)
-		}
-		s.lostKinds("job", "rack", "share", "leader", "node")
-	}, "lost job, lost rack, lost share, lost leader, lost node"},
-	{"old reports after newer ones, of earlier sessions too", nil, func(s *scenario) {
-		s.hooks.copies.Store(true)
-		hit := s.hit(2, CutOff(true), s.long[:2]...)
-		s.stream(14 * time.Second)
-		for _, m := range hit { // with a new session
-			s.Set(m, CutOff(false))
-		}
-		s.cancelJob(4)
-		s.next(3 * time.Second)
-		s.stream(20 * time.Second)
-		s.count("copies", int(s.Copies.Load()))
-	}, "copies"},
-	{"commands and answers held up, machines go on", func(s *scenario) {
-		s.LateCommands = func(string, protocol.DirectCommands) time.Duration {
-			if !s.hooks.commands.Load() || s.Random.IntN(3) > 0 {
-				return 0
-			}
-			s.count("commands", 1)
-			return s.advanceTo(time.Second, 14*time.Second)
-		}
-	}, func(s *scenario) {
-		s.hooks.commands.Store(true)
-		s.hooks.answers.Store(true)
-		for i := range 3 {
-			hit := s.hit(2, HangingMachine(true), s.long...)
-			s.cancelJob(2)
-			s.stream(7 * time.Second)
-			for _, m := range hit {
-				s.Set(m, HangingMachine(false))
-			}
-			if i == 1 {
-				s.next(3 * time.Second)
-			}
-			s.stream(5 * time.Second)
-		}
-		time.Sleep(10 * time.Second)
-	}, "commands"},
-	{"tasks that end far apart, over changes of the leader", nil, func(s *scenario) {
-		for i := range 6 {
-			s.far = append(s.far, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 1,
-				Runs: []time.Duration{2 * time.Second, 22 * time.Second, 44 * time.Second}}))
-		}
-		ends := func() (n int) {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			for _, j := range s.far {
-				n += len(j.done)
-			}
-			return n
-		}
-		s.isLeader(func() {
-			for i := range 3 {
-				time.Sleep(12 * time.Second)
-				s.count(fmt.Sprint("ended before lead ", i+2), ends())
-				s.next(4 * time.Second)
-			}
-			time.Sleep(10 * time.Second)
-		})
-		s.count("ran again", s.RanAgain)
-	}, "leads, ended before lead 2, ended before lead 4, !ran again"},
-	{"odd requests", nil, func(s *scenario) {
-		s.stream(10 * time.Second)
-		s.cancelJob(3)
-		time.Sleep(4 * time.Second)
-		for _, j := range append(slices.Clone(s.far[:12]), append(s.dependencyFailed, s.long...)...) {
-			s.count("answers", s.OddRequests(j))
-			if s.Told(j) == protocol.Done {
-				s.CancelNow(j) // done already: that stays
-				s.count("done called off", 1)
-			}
-		}
-	}, "answers, done called off"},
-	{"users call off many jobs at once, their machines hang", nil, func(s *scenario) {
-		s.cancelJob(8)
-		s.count("machines", len(s.hit(8, HangingMachine(true), s.dependencyFailed...)))
-		time.Sleep(45 * time.Second) // longer than cancel_s
-	}, "machines"},
+	must  string // what must have come about, or must not with "!", beside cancellations that users were told
 }
 
+// scenarios are the overlapping faults that users have asked about and that no other test brings about for certain.
+var scenarios = slices.Concat(userScenarios, controllerScenarios, machineScenarios, messageScenarios)
+
 // everyThird tells whether a transaction is the first, the fourth, the seventh and so on of its kind.
 func (s *scenario) everyThird(what string, t protocol.Txn) bool {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
@@ -513,7 +155,7 @@
 	}
 }
 
-// slowHeartbeats has workers report as seldom as those of the largest deployments.
+// slowHeartbeats has workers send heartbeats as seldom as those of the largest deployments.
 func (s *scenario) slowHeartbeats() {
 	s.Settings.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5}
 }
@@ -547,9 +189,9 @@
 	s.Store.Check = func(txn protocol.Txn) {
 		records(txn)
 		for _, change := range txn.Then {
-			var share int
-			if n, _ := fmt.Sscanf(change.Put, storage.Root+"share/%d", &share); n == 1 {
-				at[share] = time.Now()
+			var shard int
+			if n, _ := fmt.Sscanf(change.Put, storage.Root+"share/%d", &shard); n == 1 {
+				at[shard] = time.Now()
 			}
 			if id, ok := storage.JobIDOf(change.Put); ok && strings.Contains(string(change.Value), `"f":"cancelled"`) {
 				s.mu.Lock()
@@ -557,7 +199,7 @@
 				s.mu.Unlock()
 				i := slices.IndexFunc(s.Settings.Deployment.Teams, func(x config.Team) bool { return x.Name == j.Team })
 				dead := slices.ContainsFunc(s.controllers, func(n *ControllerProcess) bool { return n.ended() })
-				if share := i % 3; dead || time.Since(at[share]) < 2*time.Second {
+				if shard := i % 3; dead || time.Since(at[shard]) < 2*time.Second {
 					s.count("cancelled between owners", 1)
 				}
 			}
@@ -565,87 +207,99 @@
 	}
 }
 
-// TestScenarios plays the meetings of the users' list one by one, and checks that each came about, every rule, and that
-// once all is over every job is answered and nothing waits beside room.
+// TestScenarios plays the scenarios one by one, and checks that each came about, every rule, and that
+// once all is over every job is answered and nothing waits beside capacity.
 func TestScenarios(t *testing.T) {
-	for i, x := range scenarios {
-		t.Run(x.name, func(t *testing.T) { playScenario(t, 9000+uint64(i), x.setup, x.play, x.must) })
+	for _, c := range scenarios {
+		t.Run(c.name, func(t *testing.T) { playScenario(t, c) })
 	}
 }
 
-func playScenario(t *testing.T, seed uint64, setup, play func(*scenario), must string) {
+// playScenario plays a scenario, ends all faults, and checks what became of it.
+func playScenario(t *testing.T, c scenarioCase) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(time.Minute) }()
-		cfg := settings()
-		cfg.Deployment.Teams[0].CpusMax = 0
-		cfg.Deployment.Workers.CancelS = 36
-		sim := NewSimulation(ctx, cfg, seed)
-		sim.CapacityOf = 14
-		if os.Getenv("SCENE_LOG") != "" {
-			sim.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
-		}
-		simulatorScenario := &scenario{Simulation: sim, hooks: &hooks{}, counts: map[string]int{}}
-		musts := strings.Split(must, ", ")
-		simulatorScenario.hooks.install(sim)
-		if setup != nil {
-			setup(simulatorScenario)
-		}
-		for i := range 3 {
-			sim.Start(i)
-		}
-		sim.PeerDelay()
-		for i := range 9 {
-			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
-		}
-		time.Sleep(3 * time.Second)
-		simulatorScenario.more(16, JobSpec{})
-		for k := range 3 {
-			simulatorScenario.far = append(simulatorScenario.far, sim.User(JobSpec{Team: cfg.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1, Runs: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
-		}
-		time.Sleep(12 * time.Second)
-		play(simulatorScenario)
-		healAll(sim, simulatorScenario.hooks)
-		sim.watchWaitingBesideCapacity(t, 95*time.Second)
-		for _, j := range sim.Unanswered(time.Now().Add(-75 * time.Second)) {
-			t.Errorf("%s has had no answer for 75 s after all is over", j.ID)
-		}
-		if simulatorScenario.told() == 0 && len(simulatorScenario.dependencyFailed) > 0 {
+		s := newScenario(ctx, c)
+		s.begin()
+		c.play(s)
+		healAll(s.Simulation, s.hooks)
+		s.checkAllServed(t)
+		if s.told() == 0 && len(s.cancelled) > 0 {
 			t.Error("no user was told of a cancellation: nothing is proved")
 		}
-		simulatorScenario.cancelJob(len(simulatorScenario.long))
-		sim.awaitAll(t, append(simulatorScenario.far, simulatorScenario.dependencyFailed...), 120)
-		time.Sleep(seconds(cfg.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
-		for _, b := range sim.BrokenRules() {
+		s.cancelJob(len(s.long))
+		s.awaitAll(t, append(s.far, s.cancelled...), 120)
+		time.Sleep(seconds(s.Settings.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
+		for _, b := range s.BrokenRules() {
 			t.Error(b)
 		}
-		for _, k := range musts {
-			if what, no := strings.CutPrefix(k, "!"); k != "" && (simulatorScenario.counts[what] > 0) == no {
-				t.Errorf("%q came about %d times", what, simulatorScenario.counts[what])
-			}
-		}
-		for k, n := range simulatorScenario.counts {
-			t.Logf("%s: %d", k, n)
-		}
-		t.Logf("%d nodes ended, lead taken %d times, %d cancellations, %d starts after one, %d tasks killed by leases",
-			sim.KillCount.Load(), sim.IsLeader.Load(), simulatorScenario.told(), sim.StartsAfterCancel, sim.LeaseKills)
+		s.checkCounts(t, c.must)
 	})
 }
 
-// watchWaitingBesideCapacity watches for a time after all troubles: nobody may wait beside room for 90 s of it.
-func (w *Simulation) watchWaitingBesideCapacity(t *testing.T, duration time.Duration) {
+// newScenario sets a scenario up.
+func newScenario(ctx context.Context, c scenarioCase) *scenario {
+	cfg := settings()
+	cfg.Deployment.Teams[0].CpusMax = 0
+	cfg.Deployment.Workers.CancelS = 36
+	s := &scenario{Simulation: NewSimulation(ctx, cfg, c.seed), hooks: &hooks{}, counts: map[string]int{}}
+	s.CapacityOf = 14
+	if os.Getenv("SCENARIO_LOG") != "" {
+		s.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	}
+	s.hooks.install(s.Simulation)
+	if c.setup != nil {
+		c.setup(s)
+	}
+	return s
+}
+
+// begin starts the controllers and machines, and submits the jobs that are there as the faults begin.
+func (s *scenario) begin() {
+	for i := range 3 {
+		s.Start(i)
+	}
+	s.PeerDelay()
+	for i := range 9 {
+		s.AddMachine(s.Settings.Deployment.Zones[i%3], false)
+	}
+	time.Sleep(3 * time.Second)
+	s.more(16, JobSpec{})
+	s.far = append(s.far, s.submitFarApart()...)
+	time.Sleep(12 * time.Second)
+}
+
+// checkCounts checks that all came about that must, and nothing that must not.
+func (s *scenario) checkCounts(t *testing.T, must string) {
+	t.Helper()
+	for _, k := range strings.Split(must, ", ") {
+		if what, no := strings.CutPrefix(k, "!"); k != "" && (s.counts[what] > 0) == no {
+			t.Errorf("%q came about %d times", what, s.counts[what])
+		}
+	}
+	for what, n := range s.counts {
+		t.Logf("%s: %d", what, n)
+	}
+	t.Logf("%d controllers ended, lead taken %d times, %d cancellations, %d starts after one, %d tasks killed by leases",
+		s.KillCount.Load(), s.IsLeader.Load(), s.told(), s.StartsAfterCancel, s.LeaseKills)
+}
+
+// watchWaitingBesideCapacity watches for a time after all faults: nobody may wait beside capacity for 90 s of it.
+func (sim *Simulation) watchWaitingBesideCapacity(t *testing.T, duration time.Duration) {
 	t.Helper()
 	since := map[*Job]time.Time{}
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Second)
 		now := map[*Job]time.Time{}
-		for _, j := range w.Beside() {
+		for _, j := range sim.Beside() {
 			at, ok := since[j]
 			if !ok {
 				at = time.Now()
 			}
 			if now[j] = at; time.Since(at) > 90*time.Second {
-				t.Errorf("%s of %s has waited for 90 s beside room", j.ID, j.Team)
+				t.Errorf("%s of %s has waited for 90 s beside capacity", j.ID, j.Team)
 			}
 		}
 		since = now
--- a/internal/simulator/shard_handover_test.go
+++ b/internal/simulator/shard_handover_test.go
@@ -30,11 +30,11 @@
 				sim.Start(2)
 				time.Sleep(2500 * time.Millisecond)
 				if n := sim.owners(t); (n == 3) != x.soon {
-					t.Errorf("%d nodes own shares 2.5 s later, soon one each: %v", n, x.soon)
+					t.Errorf("%d controllers own shards 2.5 s later, soon one each: %v", n, x.soon)
 				}
 				time.Sleep(10 * time.Second)
 				if n := sim.owners(t); n != 3 {
-					t.Errorf("%d nodes own shares in the end", n)
+					t.Errorf("%d controllers own shards in the end", n)
 				}
 			}, nil)
 		})
@@ -42,13 +42,14 @@
 }
 
 // owners counts the controllers that own shards.
-func (w *Simulation) owners(t *testing.T) int {
-	shares, err := w.Controller(1).Core.ShardViews(w.ctx)
+func (sim *Simulation) owners(t *testing.T) int {
+	t.Helper()
+	shards, err := sim.Controller(1).Core.ShardViews(sim.ctx)
 	if err != nil {
 		t.Error(err)
 	}
 	by := map[string]bool{}
-	for _, s := range shares {
+	for _, s := range shards {
 		by[s.Owner] = true
 	}
 	return len(by)
--- /dev/null
+++ b/internal/simulator/simulation_cases_test.go
@@ -0,0 +1,220 @@
+package simulator
+
+import (
+	"slices"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// simulationCase is a fault that TestSimulation plays a mixed load through.
+type simulationCase struct {
+	name  string
+	setup func(sim *Simulation)
+	fault func(sim *Simulation)
+}
+
+var simulationCases = []simulationCase{
+	{name: "quiet"},
+	{name: "a controller is killed and comes back", fault: func(sim *Simulation) {
+		for i := range 3 {
+			time.Sleep(6 * time.Second)
+			sim.Kill(i)
+			time.Sleep(4 * time.Second)
+			sim.Start(i)
+		}
+	}},
+	{name: "all controllers are killed", fault: func(sim *Simulation) {
+		time.Sleep(8 * time.Second)
+		for i := range 3 {
+			sim.Kill(i)
+		}
+		time.Sleep(5 * time.Second)
+		for i := range 3 {
+			sim.Start(i)
+		}
+	}},
+	{name: "one controller alone serves", fault: func(sim *Simulation) {
+		time.Sleep(5 * time.Second)
+		sim.Kill(1)
+		sim.Kill(2)
+	}},
+	{name: "an outage of the state service", fault: func(sim *Simulation) {
+		time.Sleep(7 * time.Second)
+		sim.Store.SetDown(true)
+		time.Sleep(20 * time.Second)
+		sim.Store.SetDown(false)
+	}},
+	{name: "an outage while all controllers restart", fault: func(sim *Simulation) {
+		time.Sleep(7 * time.Second)
+		sim.Store.SetDown(true)
+		for i := range 3 {
+			sim.Kill(i)
+		}
+		time.Sleep(3 * time.Second)
+		for i := range 3 {
+			sim.Start(i)
+		}
+		time.Sleep(9 * time.Second)
+		sim.Store.SetDown(false)
+	}},
+	{name: "one controller alone is refused by the state service", fault: func(sim *Simulation) {
+		time.Sleep(6 * time.Second)
+		sim.Store.Deny("n0", true)
+		time.Sleep(25 * time.Second)
+		sim.Store.Deny("n0", false)
+	}},
+	{name: "a controller is partitioned and comes back", fault: func(sim *Simulation) {
+		time.Sleep(6 * time.Second)
+		sim.Controller(0).Cut(AllCut)
+		time.Sleep(20 * time.Second)
+		sim.Controller(0).Cut(0)
+	}},
+	{name: "a controller reaches the state service but nothing else", fault: func(sim *Simulation) {
+		time.Sleep(6 * time.Second)
+		sim.Controller(0).Cut(NoWorkers | NoUsers | NoCloud)
+		time.Sleep(40 * time.Second)
+		sim.Controller(0).Cut(0)
+	}},
+	// A new owner that learnt of its shard from its own commit had not yet seen
+	// what the former owner committed just before, and placed tasks twice.
+	{name: "peers are taken for dead while controllers watch slowly", setup: func(sim *Simulation) {
+		sim.Store.Lag = func(string) time.Duration { return time.Duration(sim.Random.IntN(1200)) * time.Millisecond }
+		go func() {
+			for i := range 500 {
+				sim.User(JobSpec{Team: []string{"red", "blue", "green", "grey"}[i%4], Tasks: 1, Cpus: 1, Run: 2 * time.Second})
+				time.Sleep(80 * time.Millisecond)
+			}
+		}()
+	}, fault: func(sim *Simulation) {
+		for i := range 12 {
+			time.Sleep(3 * time.Second)
+			gone := sim.Controller(i % 3)
+			for k := range 3 {
+				if n := sim.Controller(k); n != gone {
+					n.Core.PeerDisconnected(gone.Name)
+				}
+			}
+			time.Sleep(2500 * time.Millisecond)
+			for k := range 3 {
+				sim.Controller(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
+			}
+		}
+	}},
+	{name: "transactions are applied late", setup: func(sim *Simulation) {
+		sim.Late = func(_ string, x protocol.Txn) time.Duration {
+			if launches(x) && sim.Random.IntN(6) == 0 {
+				return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
+			}
+			return 0
+		}
+	}},
+	{name: "transactions are applied late and controllers are killed", setup: func(sim *Simulation) {
+		sim.Late = func(string, protocol.Txn) time.Duration {
+			if sim.Random.IntN(8) == 0 {
+				return time.Duration(500+sim.Random.IntN(9000)) * time.Millisecond
+			}
+			return 0
+		}
+	}, fault: func(sim *Simulation) {
+		for i := range 6 {
+			time.Sleep(5 * time.Second)
+			sim.Kill(i % 3)
+			time.Sleep(2 * time.Second)
+			sim.Start(i % 3)
+		}
+	}},
+	{name: "controllers are killed between record and launch", setup: func(sim *Simulation) { killAfter(sim, launches) }},
+	{name: "controllers are killed between the evicted set and the stops", setup: func(sim *Simulation) { killAfter(sim, evicts) }},
+	{name: "rentals are carried out late", setup: func(sim *Simulation) {
+		sim.LateScaleOuts = func() time.Duration {
+			return time.Duration(sim.Random.IntN(3)*sim.Random.IntN(20000)) * time.Millisecond
+		}
+	}},
+	{name: "direct commands arrive late", setup: func(sim *Simulation) {
+		sim.LateCommands = func(string, protocol.DirectCommands) time.Duration {
+			if sim.Random.IntN(2) == 0 {
+				return time.Duration(2000+sim.Random.IntN(20000)) * time.Millisecond
+			}
+			return 0
+		}
+	}},
+	{name: "heartbeats arrive late", setup: func(sim *Simulation) {
+		sim.LateHeartbeats = func(string) time.Duration {
+			if sim.Random.IntN(12) == 0 {
+				return time.Duration(2000+sim.Random.IntN(15000)) * time.Millisecond
+			}
+			return 0
+		}
+	}},
+	{name: "a worker hangs and resumes", fault: func(sim *Simulation) {
+		time.Sleep(6 * time.Second)
+		for _, m := range sim.Machines()[:2] {
+			sim.Set(m, HangingMachine(true))
+			time.Sleep(4 * time.Second)
+			sim.Set(m, HangingMachine(false))
+		}
+		m := sim.Machines()[0]
+		sim.Set(m, HangingMachine(true))
+		time.Sleep(20 * time.Second)
+		sim.Set(m, HangingMachine(false))
+	}},
+	{name: "a worker loses its session", fault: func(sim *Simulation) {
+		time.Sleep(6 * time.Second)
+		m := sim.Machines()[0]
+		sim.Set(m, CutOff(true))
+		time.Sleep(13 * time.Second)
+		sim.Set(m, CutOff(false))
+	}},
+	{name: "machines die, are taken and fail their tasks", fault: func(sim *Simulation) {
+		time.Sleep(6 * time.Second)
+		ms := sim.Machines()
+		sim.Die(ms[0])
+		sim.Set(ms[1], UnhealthyMachine(true))
+		sim.Set(ms[2], PreemptionNotice(8*time.Second))
+	}},
+	{name: "a job fails everywhere", setup: func(sim *Simulation) {
+		sim.User(JobSpec{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Broken: true, Urgency: "high"})
+	}},
+}
+
+// launches tells whether a transaction places tasks.
+func launches(x protocol.Txn) bool {
+	for _, c := range x.Then {
+		if _, ok := storage.GroupOf(c.Put); ok {
+			r, _ := storage.DecodeGroup(c.Value)
+			if slices.ContainsFunc(r.Machines, func(m storage.GroupMachine) bool { return len(m.Tasks) > 0 }) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// evicts tells whether a transaction writes a set of tasks to evict.
+func evicts(x protocol.Txn) bool {
+	for _, c := range x.Then {
+		if strings.Contains(c.Put, "/evict/") {
+			return true
+		}
+	}
+	return false
+}
+
+// killAfter kills a controller the moment that such a transaction of its own was
+// applied, four times in all, and starts it anew 4 s later.
+func killAfter(sim *Simulation, such func(protocol.Txn) bool) {
+	var kills atomic.Int32
+	sim.After = func(i int, x protocol.Txn) {
+		if such(x) && kills.Add(1) <= 4 {
+			sim.Kill(i)
+			go func() {
+				time.Sleep(4 * time.Second)
+				sim.Start(i)
+			}()
+		}
+	}
+}
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -10,10 +10,10 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestCancelledInAPartitionedZone cancels a job just after the zone of its machines' owner was cut off, with four in
+// TestCancelledInAPartitionedZone cancels a job just after the zone of its machines' owner was partitioned, with four in
 // ten machines and more: the owner inside keeps up their leases, and the one outside suspects itself. With its limit
 // of three leases alone, here longer than cancel_s, the job's tasks ran on; so would they on machines that are kept
-// since services run on them. The services go on, and run everywhere once the cut is over.
+// since services run on them. The services go on, and run everywhere once the partition is over.
 func TestCancelledInAPartitionedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -30,7 +30,7 @@
 		time.Sleep(12 * time.Second)
 		owner := sim.Owner(0)
 		service := sim.User(JobSpec{Team: "red", Shape: "daemon", Urgency: "production", Tasks: 8, Cpus: 4, NoSpot: true, Scatter: true})
-		doomed := sim.User(JobSpec{Team: "red", Tasks: 30, Cpus: 4, Run: 300 * time.Second, NoSpot: true, CancelAfter: 15 * time.Second})
+		cancelledJob := sim.User(JobSpec{Team: "red", Tasks: 30, Cpus: 4, Run: 300 * time.Second, NoSpot: true, CancelAfter: 15 * time.Second})
 		for i := range 14 {
 			zone := sim.Controller(owner).Zone
 			if i%2 == 1 {
@@ -40,14 +40,14 @@
 		}
 		time.Sleep(12 * time.Second)
 		sim.PartitionZone(sim.Controller(owner).Zone)
-		if sim.On(service) < 8 || sim.On(doomed) < 20 {
-			t.Fatalf("%d replicas and %d tasks run when the zone is cut off: the case proves nothing", sim.On(service), sim.On(doomed))
+		if sim.On(service) < 8 || sim.On(cancelledJob) < 20 {
+			t.Fatalf("%d replicas and %d tasks run when the zone is partitioned: the case proves nothing", sim.On(service), sim.On(cancelledJob))
 		}
 		time.Sleep(60 * time.Second)
 		sim.PartitionZone("")
 		time.Sleep(60 * time.Second)
-		if sim.Told(doomed) != protocol.Cancelled || sim.On(doomed) > 0 || sim.On(service) < 8 {
-			t.Errorf("the job is %s with %d tasks on machines, %d of 8 replicas run", sim.Told(doomed), sim.On(doomed), sim.On(service))
+		if sim.Told(cancelledJob) != protocol.Cancelled || sim.On(cancelledJob) > 0 || sim.On(service) < 8 {
+			t.Errorf("the job is %s with %d tasks on machines, %d of 8 replicas run", sim.Told(cancelledJob), sim.On(cancelledJob), sim.On(service))
 		}
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
