--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -14,8 +14,8 @@
 // applied, before it learns of that, a few times in all.
 func stallAfter(sim *Simulation, key string, d time.Duration) {
 	var n atomic.Int32
-	sim.After = func(i int, x protocol.Txn) {
-		for _, c := range x.Then {
+	sim.After = func(i int, txn protocol.Txn) {
+		for _, c := range txn.Then {
 			if strings.Contains(c.Put, key) && time.Since(sim.StartTime) > 4*time.Second && n.Add(1) <= 4 {
 				sim.KillCount.Add(1)
 				sim.Controller(i).Stall(d)
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -25,68 +25,31 @@
 func playIsolated(t *testing.T, seed uint64, day isolationDay, then func(sim *Simulation, lead int)) (cancelled, killed int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); time.Sleep(time.Minute) }()
-		cfg := settings()
-		cfg.Deployment.Workers = day.workers
-		sim := NewSimulation(ctx, cfg, seed)
-		sim.CapacityOf = 20
-		sim.Old = map[int]bool{}
-		for i := range day.old {
-			sim.Old[(int(seed)+i)%3] = true
-		}
-		for i := range 3 {
-			sim.Start(i)
-		}
-		sim.PeerDelay()
-		for i := range 9 {
-			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
-		}
-		time.Sleep(8 * time.Second)
-		var jobs []*Job
-		for i := range 8 {
-			jobs = append(jobs, sim.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
-		}
-		time.Sleep(10 * time.Second)
+		ctx := simulationContext(t)
+		sim, jobs := day.begin(ctx, seed)
 		lead := max(0, sim.Leader())
 		if seed%2 == 1 { // an owner that does not lead
 			lead = (lead + 1) % 3
 		}
 		sim.Store.Deny(sim.Controller(lead).Name, true)
-		if day.refused > day.cancellations {
-			time.Sleep(day.refused - day.cancellations)
-		}
-		confirmed := 0
-		for k, j := range jobs[:4] {
-			if sim.CancelAt(j, (lead+1+k%2)%3) {
-				confirmed++
-				cancelled += sim.On(j)
-			}
-			time.Sleep(day.cancellations / 4)
-		}
-		if confirmed == 0 {
-			t.Error("no cancellation was confirmed: the case proves nothing")
-		}
-		if day.refused < day.cancellations { // the last of them before
-			time.Sleep(day.refused)
-		}
+		cancelled = day.cancelAtOthers(t, sim, jobs[:4], lead)
 		sim.Store.SetDown(true)
 		then(sim, lead)
 		time.Sleep(seconds(day.outage * day.workers.CancelS))
 		killed = sim.Stats().LeaseKills
 		sim.Store.SetDown(false)
-		for i := range 3 {
-			sim.Store.Deny(fmt.Sprintf("n%d", i), false)
+		eachController(func(i int) {
+			sim.Store.Deny(controllerName(i), false)
 			if sim.Controller(i).ended() {
 				sim.Start(i)
 			}
 			sim.Controller(i).Cut(0)
-		}
+		})
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
 			if sim.On(j) < j.Tasks {
-				shards, _ := sim.Controller(lead).Core.ShardViews(ctx)
-				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards)
+				shards, err := sim.Controller(lead).Core.ShardViews(ctx)
+				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v, %v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards, err)
 			}
 		}
 		for _, b := range sim.BrokenRules() {
@@ -96,49 +59,101 @@
 	return cancelled, killed
 }
 
+// begin starts a simulation in which eight jobs run for as long as the course takes.
+func (d isolationDay) begin(ctx context.Context, seed uint64) (*Simulation, []*Job) {
+	cfg := settings()
+	cfg.Deployment.Workers = d.workers
+	sim := NewSimulation(ctx, cfg, seed)
+	sim.CapacityOf = 20
+	sim.Old = map[int]bool{}
+	for i := range d.old {
+		sim.Old[(int(seed)+i)%3] = true
+	}
+	eachController(sim.Start)
+	sim.PeerDelay()
+	for i := range 9 {
+		sim.AddMachine(cfg.Deployment.Zones[i%3], false)
+	}
+	time.Sleep(8 * time.Second)
+	var jobs []*Job
+	for i := range 8 {
+		jobs = append(jobs, sim.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
+	}
+	time.Sleep(10 * time.Second)
+	return sim, jobs
+}
+
+// cancelAtOthers has the controllers beside one confirm cancellations, as long before the outage as the course says, and
+// returns how many of the jobs' tasks were on machines then.
+func (d isolationDay) cancelAtOthers(t *testing.T, sim *Simulation, jobs []*Job, lead int) (tasks int) {
+	t.Helper()
+	if d.refused > d.cancellations {
+		time.Sleep(d.refused - d.cancellations)
+	}
+	confirmed := 0
+	for k, j := range jobs {
+		if sim.CancelAt(j, (lead+1+k%2)%3) {
+			confirmed++
+			tasks += sim.On(j)
+		}
+		time.Sleep(d.cancellations / 4)
+	}
+	if confirmed == 0 {
+		t.Error("no cancellation was confirmed: the case proves nothing")
+	}
+	if d.refused < d.cancellations { // the last of them before
+		time.Sleep(d.refused)
+	}
+	return tasks
+}
+
+// others calls f for all controllers beside one.
+func others(lead int, f func(i int)) {
+	for i := range 3 {
+		if i != lead {
+			f(i)
+		}
+	}
+}
+
+// isolationOutcomes are what becomes of the controllers that are not refused alone, as the outage begins.
+var isolationOutcomes = []struct {
+	name string
+	do   func(sim *Simulation, lead int)
+}{
+	{"they live on", func(*Simulation, int) {}},
+	{"they are killed", func(sim *Simulation, lead int) { others(lead, sim.Kill) }},
+	{"they stall", func(sim *Simulation, lead int) {
+		others(lead, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
+	}},
+	{"they lose peers and workers", func(sim *Simulation, lead int) {
+		others(lead, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
+	}},
+	{"they lose their workers", func(sim *Simulation, lead int) { others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
+	{"the leader loses its peers", func(sim *Simulation, lead int) {
+		sim.Controller(lead).Cut(NoPeers)
+		others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) })
+	}},
+	{"all end, one is back within a second", func(sim *Simulation, lead int) {
+		time.Sleep(3 * time.Second)
+		for i := range 3 {
+			sim.Kill(i)
+		}
+		time.Sleep(300 * time.Millisecond)
+		sim.Start(lead)
+	}},
+}
+
 // TestOneDeniedThenAll: an owner that the state service refuses alone goes on answering its workers.
 // What others confirm as cancelled it can't read, and if they can't reach the workers either, nobody stops
 // those tasks: before owners were bound too, they ran on for as long as the outage lasted.
 func TestOneDeniedThenAll(t *testing.T) {
-	others := func(lead int, f func(i int)) {
-		for i := range 3 {
-			if i != lead {
-				f(i)
-			}
-		}
-	}
-	thens := []struct {
-		name string
-		do   func(sim *Simulation, lead int)
-	}{
-		{"they live on", func(*Simulation, int) {}},
-		{"they are killed", func(sim *Simulation, lead int) { others(lead, sim.Kill) }},
-		{"they stall", func(sim *Simulation, lead int) {
-			others(lead, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
-		}},
-		{"they lose peers and workers", func(sim *Simulation, lead int) {
-			others(lead, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
-		}},
-		{"they lose their workers", func(sim *Simulation, lead int) { others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
-		{"the leader loses its peers", func(sim *Simulation, lead int) {
-			sim.Controller(lead).Cut(NoPeers)
-			others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) })
-		}},
-		{"all end, one is back within a second", func(sim *Simulation, lead int) {
-			time.Sleep(3 * time.Second)
-			for i := range 3 {
-				sim.Kill(i)
-			}
-			time.Sleep(300 * time.Millisecond)
-			sim.Start(lead)
-		}},
-	}
 	cancelled, seed := 0, uint64(0)
 	for _, workers := range []config.Workers{
 		{HeartbeatS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 40},
 		{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
 	} {
-		for _, then := range thens {
+		for _, then := range isolationOutcomes {
 			for _, day := range []isolationDay{
 				{refused: 200 * time.Millisecond, cancellations: 150 * time.Millisecond, outage: 2},
 				{refused: time.Second, cancellations: 600 * time.Millisecond, outage: 1.2},
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"context"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -16,7 +15,7 @@
 func TestLargeSimulation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const controllers, up, rentable = 5, 120, 260
-		ctx, cancel := context.WithCancel(t.Context())
+		ctx := simulationContext(t)
 		cfg := settings()
 		cfg.Deployment.Controllers = controllers
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
@@ -25,46 +24,14 @@
 		sim := NewSimulation(ctx, cfg, 3)
 		sim.CapacityOf = rentable
 		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
-		sim.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
+		sim.LimitCloud(cfg.Deployment.Cloud.RPS)
 		for i := range controllers {
 			sim.Start(i)
 		}
 		for i := range up {
 			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
-		var jobs []*Job
-		tasks := 0
-		for i := range 110 {
-			jobSpec := JobSpec{Team: cfg.Deployment.Teams[i%5].Name, Tasks: 20 + sim.Random.IntN(50), Cpus: 4, Run: time.Duration(8+sim.Random.IntN(10)) * time.Second}
-			switch {
-			case i%9 == 0:
-				jobSpec.Urgency, jobSpec.Cpus, jobSpec.NoSpot = "high", 2, true
-			case i%14 == 0:
-				jobSpec.CancelAfter = 10 * time.Second
-			}
-			tasks += jobSpec.Tasks
-			jobs = append(jobs, sim.User(jobSpec))
-			time.Sleep(400 * time.Millisecond)
-			switch i {
-			case 50:
-				for k, m := range sim.Machines() {
-					if k%8 == 0 {
-						sim.Die(m)
-					}
-				}
-			case 70:
-				sim.Kill(0)
-				go func() { time.Sleep(6 * time.Second); sim.Start(0) }()
-			case 95:
-				for k := range controllers {
-					sim.Kill(k)
-				}
-				time.Sleep(6 * time.Second)
-				for k := range controllers {
-					sim.Start(k)
-				}
-			}
-		}
+		jobs, tasks := sim.submitLargeLoad()
 		sim.awaitAll(t, jobs, 120)
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
@@ -80,11 +47,47 @@
 		if sim.CloudCalls == 0 || sim.CloudOver*20 > sim.CloudCalls {
 			t.Errorf("%d of %d calls of the cloud were over its rate", sim.CloudOver, sim.CloudCalls)
 		}
-		cancel()
-		time.Sleep(time.Minute)
 	})
 }
 
+// submitLargeLoad submits 110 jobs through a wave of lost machines, a takeover and the restart of all controllers, and
+// returns them with the number of their tasks.
+func (sim *Simulation) submitLargeLoad() (jobs []*Job, tasks int) {
+	deployment := &sim.Settings.Deployment
+	for i := range 110 {
+		jobSpec := JobSpec{Team: deployment.Teams[i%5].Name, Tasks: 20 + sim.Random.IntN(50), Cpus: 4, Run: time.Duration(8+sim.Random.IntN(10)) * time.Second}
+		switch {
+		case i%9 == 0:
+			jobSpec.Urgency, jobSpec.Cpus, jobSpec.NoSpot = "high", 2, true
+		case i%14 == 0:
+			jobSpec.CancelAfter = 10 * time.Second
+		}
+		tasks += jobSpec.Tasks
+		jobs = append(jobs, sim.User(jobSpec))
+		time.Sleep(400 * time.Millisecond)
+		switch i {
+		case 50:
+			for k, m := range sim.Machines() {
+				if k%8 == 0 {
+					sim.Die(m)
+				}
+			}
+		case 70:
+			sim.Kill(0)
+			go func() { time.Sleep(6 * time.Second); sim.Start(0) }()
+		case 95:
+			for k := range deployment.Controllers {
+				sim.Kill(k)
+			}
+			time.Sleep(6 * time.Second)
+			for k := range deployment.Controllers {
+				sim.Start(k)
+			}
+		}
+	}
+	return jobs, tasks
+}
+
 // TestGuestsOverload lets a guest team overload the home teams: idle-time work for the whole
 // fleet, one array of thousands of tasks and hundreds of single ones within 40 s, while
 // two controllers end. Controllers without shards refused the guests for want of a rate that
@@ -92,7 +95,7 @@
 func TestGuestsOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const controllers = 5
-		ctx, cancel := context.WithCancel(t.Context())
+		ctx := simulationContext(t)
 		cfg := settings()
 		cfg.Deployment.Controllers = controllers
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
@@ -100,7 +103,7 @@
 		sim := NewSimulation(ctx, cfg, 3)
 		sim.CapacityOf = 80
 		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
-		sim.cloudRate = bucket{rate: cfg.Deployment.Cloud.RPS, burst: 2 * cfg.Deployment.Cloud.RPS}
+		sim.LimitCloud(cfg.Deployment.Cloud.RPS)
 		for i := range controllers {
 			sim.Start(i)
 		}
@@ -139,7 +142,5 @@
 		if sim.Store.OverRate*50 > sim.Store.Requests {
 			t.Errorf("%d of %d requests were over the rate", sim.Store.OverRate, sim.Store.Requests)
 		}
-		cancel()
-		time.Sleep(time.Minute)
 	})
 }
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -19,33 +19,29 @@
 	must
 )
 
+// endIn ends all controllers, begins an outage, and starts them again in it.
+func endIn(sim *Simulation, outage, again time.Duration) {
+	eachController(sim.Kill)
+	sim.Store.SetDown(true)
+	time.Sleep(5 * time.Second)
+	eachController(sim.Start)
+	if again > 0 {
+		time.Sleep(again - 5*time.Second)
+		eachController(sim.Kill)
+		time.Sleep(5 * time.Second)
+		eachController(sim.Start)
+		time.Sleep(outage - again - 5*time.Second)
+	} else {
+		time.Sleep(outage - 5*time.Second)
+	}
+	sim.Store.SetDown(false)
+}
+
 // All controllers ended 2 s before an outage of 20 s: nobody knew the workers' token, every
 // heartbeat was refused, and 4225 tasks were killed by their leases. Now restarted controllers keep the
 // leases up, but not for so long that a task outlives its job's cancellation, whose last witness ended.
 func TestLeasesOverAnEndOfAllControllers(t *testing.T) {
-	all := func(f func(i int)) {
-		for i := range 3 {
-			f(i)
-		}
-	}
-	// endIn ends all controllers, begins an outage, and starts them again in it.
-	endIn := func(sim *Simulation, outage time.Duration, again time.Duration) {
-		all(sim.Kill)
-		sim.Store.SetDown(true)
-		time.Sleep(5 * time.Second)
-		all(sim.Start)
-		if again > 0 {
-			time.Sleep(again - 5*time.Second)
-			all(sim.Kill)
-			time.Sleep(5 * time.Second)
-			all(sim.Start)
-			time.Sleep(outage - again - 5*time.Second)
-		} else {
-			time.Sleep(outage - 5*time.Second)
-		}
-		sim.Store.SetDown(false)
-	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name          string
 		lease, cancel float64
 		outage, again time.Duration
@@ -60,24 +56,24 @@
 		{name: "twice in one outage", lease: 10, cancel: 40, outage: 30 * time.Second, again: 12 * time.Second, cancelled: true, killed: may},
 		{name: "leases that leave no time", lease: 14, cancel: 28, outage: 60 * time.Second, cancelled: true, killed: must},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			ran := 0
 			playDay(t, 5, func(sim *Simulation) {
-				sim.Settings.Deployment.Workers.LeaseS, sim.Settings.Deployment.Workers.CancelS = x.lease, x.cancel
+				sim.Settings.Deployment.Workers.LeaseS, sim.Settings.Deployment.Workers.CancelS = test.lease, test.cancel
 				sim.PeerDelay()
 			}, func(sim *Simulation) {
 				time.Sleep(9 * time.Second)
-				if x.cancelled {
+				if test.cancelled {
 					cancelUnseen(t, sim, func() {})
 				}
 				ran = sim.Running()
-				endIn(sim, x.outage, x.again)
+				endIn(sim, test.outage, test.again)
 			}, func(sim *Simulation) {
 				if ran == 0 {
 					t.Error("no task ran when the controllers ended: the case proves nothing")
 				}
-				if x.killed != may && (sim.LeaseKills > 0) != (x.killed == must) {
-					t.Errorf("%d tasks were killed by their leases, must be: %v", sim.LeaseKills, x.killed == must)
+				if test.killed != may && (sim.LeaseKills > 0) != (test.killed == must) {
+					t.Errorf("%d tasks were killed by their leases, must be: %v", sim.LeaseKills, test.killed == must)
 				}
 			})
 		})
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -54,35 +54,38 @@
 	return ""
 }
 
+// limitFaults are faults that come between two changes of a limit.
+var limitFaults = []struct {
+	name  string
+	fault func(sim *Simulation, step int)
+}{
+	{"no fault", func(*Simulation, int) {}},
+	{"owners end", func(sim *Simulation, step int) {
+		sim.Again(time.Duration(sim.Random.IntN(4000))*time.Millisecond, step%3)
+	}},
+	{"controllers stall over changes", func(sim *Simulation, step int) {
+		sim.Controller(step % 3).Stall(time.Duration(2+sim.Random.IntN(9)) * time.Second)
+	}},
+	{"an outage, and a controller refused alone", func(sim *Simulation, step int) {
+		if step%2 == 0 {
+			sim.Store.SetDown(true)
+			time.Sleep(4 * time.Second)
+			sim.Store.SetDown(false)
+			return
+		}
+		sim.Store.Deny(sim.Controller(step%3).Name, true)
+		time.Sleep(6 * time.Second)
+		sim.Store.Deny(sim.Controller(step%3).Name, false)
+	}},
+}
+
 // TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any controller, while owners end, stall over
 // a change and go on later, answers get lost and transactions come late. The checker compares every start with the limit that
 // counts, and every limit that is said to be in force against what really runs.
 func TestLimitsChangeWhileItServes(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		fault func(sim *Simulation, step int)
-	}{
-		{"no fault", func(*Simulation, int) {}},
-		{"owners end", func(sim *Simulation, step int) {
-			sim.Again(time.Duration(sim.Random.IntN(4000))*time.Millisecond, step%3)
-		}},
-		{"controllers stall over changes", func(sim *Simulation, step int) {
-			sim.Controller(step % 3).Stall(time.Duration(2+sim.Random.IntN(9)) * time.Second)
-		}},
-		{"an outage, and a controller refused alone", func(sim *Simulation, step int) {
-			if step%2 == 0 {
-				sim.Store.SetDown(true)
-				time.Sleep(4 * time.Second)
-				sim.Store.SetDown(false)
-				return
-			}
-			sim.Store.Deny(sim.Controller(step%3).Name, true)
-			time.Sleep(6 * time.Second)
-			sim.Store.Deny(sim.Controller(step%3).Name, false)
-		}},
-	} {
+	for _, test := range limitFaults {
 		for seed := range uint64(3) {
-			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				var evicted, lowered atomic.Int32
 				playDay(t, 700+seed, func(sim *Simulation) {
 					sim.CapacityOf = 8
@@ -92,24 +95,12 @@
 						}
 						return time.Duration(500+sim.Random.IntN(8000)) * time.Millisecond
 					}
-					records := sim.Store.Check
-					sim.Store.Check = func(t protocol.Txn) {
-						records(t)
-						for _, c := range t.Then {
-							if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
-								evicted.Add(1)
-							}
-							var r storage.TeamRecord
-							if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Former != nil {
-								lowered.Add(1)
-							}
-						}
-					}
+					sim.countLimitChanges(&lowered, &evicted)
 				}, func(sim *Simulation) {
 					sim.PeerDelay()
 					for step, limit := range []float64{60, 24, 80, 20, 30, 18, 60, 16, 40} {
 						sim.setRedLimit(t, limit)
-						x.fault(sim, step)
+						test.fault(sim, step)
 						time.Sleep(time.Duration(1+sim.Random.IntN(4)) * time.Second)
 					}
 					sim.setRedLimit(t, 40)
@@ -127,6 +118,23 @@
 	}
 }
 
+// countLimitChanges counts the records that lower team red's limit, and the sets of tasks that are evicted for one.
+func (sim *Simulation) countLimitChanges(lowered, evicted *atomic.Int32) {
+	records := sim.Store.Check
+	sim.Store.Check = func(t protocol.Txn) {
+		records(t)
+		for _, c := range t.Then {
+			if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
+				evicted.Add(1)
+			}
+			var r storage.TeamRecord
+			if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Former != nil {
+				lowered.Add(1)
+			}
+		}
+	}
+}
+
 // A limit was counted as kept by a controller that saw little of the team running, while the transaction of the shard's owner
 // that placed more was on its way: only the owner may say so.
 func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -51,11 +51,11 @@
 		store.Keep = 10
 		storeLink := store.Open(nil)
 		put := func(n int, value string) error {
-			x := protocol.Txn{}
+			txn := protocol.Txn{}
 			for range n {
-				x.Then = append(x.Then, protocol.Change{Put: "a/b", Value: []byte(value)})
+				txn.Then = append(txn.Then, protocol.Change{Put: "a/b", Value: []byte(value)})
 			}
-			_, _, err := storeLink.Txn(t.Context(), x, protocol.BackgroundRequest)
+			_, _, err := storeLink.Txn(t.Context(), txn, protocol.BackgroundRequest)
 			return err
 		}
 		for range 25 {
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -88,11 +88,11 @@
 	}},
 	{"one-task jobs", func(sim *Simulation, _ *hooks) {
 		for i := range 60 {
-			x := JobSpec{Team: sim.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: 3 * time.Second}
+			want := JobSpec{Team: sim.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: 3 * time.Second}
 			if i%4 == 1 {
-				x.CancelAfter = sim.randomDuration(time.Millisecond, 3*time.Second)
+				want.CancelAfter = sim.randomDuration(time.Millisecond, 3*time.Second)
 			}
-			sim.User(x)
+			sim.User(want)
 			time.Sleep(250 * time.Millisecond)
 		}
 	}},
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"context"
 	"encoding/json"
 	"testing"
 	"testing/synctest"
@@ -24,93 +23,97 @@
 	return cpus
 }
 
+// loseMachines has a third of the machines die, and no other rented.
+func loseMachines(sim *Simulation) {
+	for i, m := range sim.Machines() {
+		if i%3 == 0 {
+			sim.Die(m)
+		}
+	}
+	sim.CapacityOf = 0
+}
+
 // TestOverload lets one class of a team ask for ten times what the fleet can run, beside
 // another class of the same team and one of another that ask for what they always do. Those
 // must hardly notice, whoever ends meanwhile: before, within a team the overload went first as
 // soon as it was older. And the overload must not have become the usual after an end of all controllers.
 func TestOverload(t *testing.T) {
-	each := func(f func(int)) {
-		for i := range 3 {
-			f(i)
-		}
-	}
-	lose := func(sim *Simulation) {
-		for i, m := range sim.Machines() {
-			if i%3 == 0 {
-				sim.Die(m)
-			}
-		}
-		sim.CapacityOf = 0
-	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		part  float64 // of the overload that must be done in the end
 		fault func(sim *Simulation)
 	}{
-		{"a third of the machines die", 0.35, lose},
+		{"a third of the machines die", 0.35, loseMachines},
 		{"owner and leader end, one after the other", 0.5, func(sim *Simulation) {
-			each(func(i int) { sim.Kill(i); time.Sleep(6 * time.Second); sim.Start(i); time.Sleep(6 * time.Second) })
+			eachController(func(i int) { sim.Kill(i); time.Sleep(6 * time.Second); sim.Start(i); time.Sleep(6 * time.Second) })
 		}},
 		{"all controllers end, and a third of the machines", 0.35, func(sim *Simulation) {
-			each(sim.Kill)
-			lose(sim)
+			eachController(sim.Kill)
+			loseMachines(sim)
 			time.Sleep(5 * time.Second)
-			each(sim.Start)
+			eachController(sim.Start)
 		}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(t.Context())
-				cfg := settings()
-				cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
-				cfg.Deployment.Workers.CancelS = 36
-				for _, class := range []string{"steady", "overload"} {
-					cfg.Deployment.Objectives = append(cfg.Deployment.Objectives, config.Objective{Kind: "finished", Class: class, WithinS: 60, Share: 0.95})
-				}
-				sim := NewSimulation(ctx, cfg, 3)
-				each(sim.Start)
-				sim.PeerDelay()
-				sim.CapacityOf = 18
-				for i := range sim.CapacityOf {
-					sim.AddMachine(cfg.Deployment.Zones[i%3], false)
-				}
-				// The steady classes ask for 96 of 288 CPUs, the overload for 48 and then for twenty times that.
-				const begins, ends, over = 80, 160, 260
-				var before float64
-				for s := range over {
-					if s%2 == 0 && s < over-60 {
-						for _, team := range []string{"red", "blue"} {
-							sim.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + sim.Random.IntN(5), Cpus: 2, Run: time.Duration(8+sim.Random.IntN(8)) * time.Second})
-						}
-					}
-					for range (1 + 19*min(1, s/begins)*(1-min(1, s/ends))) * (1 - s%2) {
-						sim.User(JobSpec{Team: "red", Class: "overload", Tasks: 1 + sim.Random.IntN(7), Cpus: 2, Run: time.Duration(4+sim.Random.IntN(16)) * time.Second})
-					}
-					if s == begins {
-						before = sim.baselineOf("overload")
-					}
-					if s == begins+30 {
-						go x.fault(sim)
-					}
-					time.Sleep(time.Second)
-				}
-				for _, s := range sim.Served(60 * time.Second) {
-					in := float64(s.InTime) / float64(s.Due)
-					t.Logf("%v", s)
-					if s.Class == "steady" && (s.Part() < 0.97 || in < 0.9) || s.Part() < x.part {
-						t.Errorf("%v", s)
-					}
-				}
-				if after := sim.baselineOf("overload"); before == 0 || after > 1.5*before {
-					t.Errorf("usual of the overload %.0f CPUs before, %.0f after", before, after)
-				}
-				for _, b := range sim.BrokenRules() {
-					t.Error(b)
-				}
-				cancel()
-				time.Sleep(time.Minute)
-			})
+			synctest.Test(t, func(t *testing.T) { playOverload(t, test.part, test.fault) })
 		})
 	}
 }
+
+// playOverload plays a fault during an overload; so large a part of it must be done in the end.
+func playOverload(t *testing.T, leastPart float64, fault func(sim *Simulation)) {
+	t.Helper()
+	ctx := simulationContext(t)
+	cfg := settings()
+	cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
+	cfg.Deployment.Workers.CancelS = 36
+	for _, class := range []string{"steady", "overload"} {
+		cfg.Deployment.Objectives = append(cfg.Deployment.Objectives, config.Objective{Kind: "finished", Class: class, WithinS: 60, Share: 0.95})
+	}
+	sim := NewSimulation(ctx, cfg, 3)
+	eachController(sim.Start)
+	sim.PeerDelay()
+	sim.CapacityOf = 18
+	for i := range sim.CapacityOf {
+		sim.AddMachine(cfg.Deployment.Zones[i%3], false)
+	}
+	before := sim.submitOverload(fault)
+	for _, served := range sim.Served(60 * time.Second) {
+		inTime := float64(served.InTime) / float64(served.Due)
+		t.Logf("%v", served)
+		if served.Class == "steady" && (served.Part() < 0.97 || inTime < 0.9) || served.Part() < leastPart {
+			t.Errorf("%v", served)
+		}
+	}
+	if after := sim.baselineOf("overload"); before == 0 || after > 1.5*before {
+		t.Errorf("usual of the overload %.0f CPUs before, %.0f after", before, after)
+	}
+	for _, b := range sim.BrokenRules() {
+		t.Error(b)
+	}
+}
+
+// submitOverload submits jobs of all classes, and returns what was usual for the overloading one before. The steady
+// classes ask for 96 of 288 CPUs, the overloading one for 48 and then for twenty times that.
+func (sim *Simulation) submitOverload(fault func(sim *Simulation)) (before float64) {
+	const begins, ends, over = 80, 160, 260 // in seconds
+	for second := range over {
+		if second%2 == 0 && second < over-60 {
+			for _, team := range []string{"red", "blue"} {
+				sim.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + sim.Random.IntN(5), Cpus: 2, Run: time.Duration(8+sim.Random.IntN(8)) * time.Second})
+			}
+		}
+		for range (1 + 19*min(1, second/begins)*(1-min(1, second/ends))) * (1 - second%2) {
+			sim.User(JobSpec{Team: "red", Class: "overload", Tasks: 1 + sim.Random.IntN(7), Cpus: 2, Run: time.Duration(4+sim.Random.IntN(16)) * time.Second})
+		}
+		if second == begins {
+			before = sim.baselineOf("overload")
+		}
+		if second == begins+30 {
+			go fault(sim)
+		}
+		time.Sleep(time.Second)
+	}
+	return before
+}
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -12,85 +12,87 @@
 	"dykeledge/internal/storage"
 )
 
+// restartCases are restarts within a fraction of a second.
+var restartCases = []struct {
+	name  string
+	setup func(sim *Simulation, back time.Duration)
+	fault func(sim *Simulation, back time.Duration)
+}{
+	{"one five times in ten seconds", nil, func(sim *Simulation, back time.Duration) {
+		for range 5 {
+			sim.Again(back, 1)
+			time.Sleep(2 * time.Second)
+		}
+	}},
+	{"all, and again in the election", nil, func(sim *Simulation, back time.Duration) {
+		sim.Again(back, 0, 1, 2)
+		time.Sleep(150 * time.Millisecond)
+		sim.Again(back, 0, 1, 2)
+		time.Sleep(900 * time.Millisecond)
+		sim.Again(back, 0, 1)
+	}},
+	{"between a commit and its answer", func(sim *Simulation, back time.Duration) {
+		var n atomic.Int32
+		sim.After = func(i int, txn protocol.Txn) {
+			if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && n.Add(1)%9 == 0 && n.Load() < 50 {
+				sim.Kill(i)
+				go func() { time.Sleep(back); sim.Start(i) }()
+			}
+		}
+	}, nil},
+	{"in an outage", nil, func(sim *Simulation, back time.Duration) {
+		sim.Store.SetDown(true)
+		sim.Again(back+3*time.Second, 0, 1, 2)
+		sim.Store.SetDown(false)
+		sim.Again(back, 2)
+	}},
+	{"with late transactions and heartbeats", func(sim *Simulation, _ time.Duration) {
+		sim.Late = func(string, protocol.Txn) time.Duration {
+			if sim.Random.IntN(12) == 0 {
+				return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
+			}
+			return 0
+		}
+		sim.LateHeartbeats = func(string) time.Duration {
+			if sim.Random.IntN(30) == 0 {
+				return time.Duration(1000+sim.Random.IntN(20000)) * time.Millisecond
+			}
+			return 0
+		}
+	}, func(sim *Simulation, back time.Duration) {
+		for i := range 6 {
+			sim.Again(back, i%3)
+			time.Sleep(1500 * time.Millisecond)
+		}
+	}},
+}
+
 // TestRestartAtOnce ends processes that are back within a fraction of a second under the same name, while
 // their predecessors' leases have not run out and what those sent is applied late: one controller again and again, the
 // leader, the owner the moment that a commit was applied, all in the middle of an election, in an outage.
 // The rules hold, no attempt is used twice, and shards do not wander.
 func TestRestartAtOnce(t *testing.T) {
-	cases := []struct {
-		name  string
-		setup func(sim *Simulation, back time.Duration)
-		fault func(sim *Simulation, back time.Duration)
-	}{
-		{"one five times in ten seconds", nil, func(sim *Simulation, back time.Duration) {
-			for range 5 {
-				sim.Again(back, 1)
-				time.Sleep(2 * time.Second)
-			}
-		}},
-		{"all, and again in the election", nil, func(sim *Simulation, back time.Duration) {
-			sim.Again(back, 0, 1, 2)
-			time.Sleep(150 * time.Millisecond)
-			sim.Again(back, 0, 1, 2)
-			time.Sleep(900 * time.Millisecond)
-			sim.Again(back, 0, 1)
-		}},
-		{"between a commit and its answer", func(sim *Simulation, back time.Duration) {
-			var n atomic.Int32
-			sim.After = func(i int, x protocol.Txn) {
-				if slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && n.Add(1)%9 == 0 && n.Load() < 50 {
-					sim.Kill(i)
-					go func() { time.Sleep(back); sim.Start(i) }()
-				}
-			}
-		}, nil},
-		{"in an outage", nil, func(sim *Simulation, back time.Duration) {
-			sim.Store.SetDown(true)
-			sim.Again(back+3*time.Second, 0, 1, 2)
-			sim.Store.SetDown(false)
-			sim.Again(back, 2)
-		}},
-		{"with late transactions and heartbeats", func(sim *Simulation, _ time.Duration) {
-			sim.Late = func(string, protocol.Txn) time.Duration {
-				if sim.Random.IntN(12) == 0 {
-					return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
-				}
-				return 0
-			}
-			sim.LateHeartbeats = func(string) time.Duration {
-				if sim.Random.IntN(30) == 0 {
-					return time.Duration(1000+sim.Random.IntN(20000)) * time.Millisecond
-				}
-				return 0
-			}
-		}, func(sim *Simulation, back time.Duration) {
-			for i := range 6 {
-				sim.Again(back, i%3)
-				time.Sleep(1500 * time.Millisecond)
-			}
-		}},
-	}
-	for i, back := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, time.Second} {
-		for _, x := range cases {
-			t.Run(fmt.Sprintf("%v/%s", back, x.name), func(t *testing.T) {
+	for round, back := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, time.Second} {
+		for _, test := range restartCases {
+			t.Run(fmt.Sprintf("%v/%s", back, test.name), func(t *testing.T) {
 				var hands atomic.Int32
-				playDay(t, 700+uint64(i), func(sim *Simulation) {
+				playDay(t, 700+uint64(round), func(sim *Simulation) {
 					sim.Settings.Deployment.Workers.CancelS = 36
 					sim.PeerDelay()
 					records := sim.Store.Check
-					sim.Store.Check = func(x protocol.Txn) {
-						records(x)
-						if slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/share/") }) {
+					sim.Store.Check = func(txn protocol.Txn) {
+						records(txn)
+						if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/share/") }) {
 							hands.Add(1)
 						}
 					}
-					if x.setup != nil {
-						x.setup(sim, back)
+					if test.setup != nil {
+						test.setup(sim, back)
 					}
 				}, func(sim *Simulation) {
 					time.Sleep(5 * time.Second)
-					if x.fault != nil {
-						x.fault(sim, back)
+					if test.fault != nil {
+						test.fault(sim, back)
 					}
 					time.Sleep(20 * time.Second)
 					if n := hands.Load(); n > 40 {
@@ -104,21 +106,21 @@
 
 // The checker must find what it is there for: an attempt that left a group and comes again.
 func TestAttemptsChecked(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		attempts []uint64
 		bad      bool
 	}{{[]uint64{5, 5, 0, 6}, false}, {[]uint64{5, 0, 5}, true}, {[]uint64{5, 6, 5}, true}} {
 		var a attempts
 		n := 0
-		for _, attempt := range x.attempts {
+		for _, attempt := range test.attempts {
 			r := storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m"}}}
 			if attempt > 0 {
 				r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, attempt, 0, 0}}}
 			}
 			n += len(a.note(protocol.Txn{Then: []protocol.Change{{Put: storage.GroupKey(1), Value: storage.EncodeGroup(&r, false)}}}))
 		}
-		if (n > 0) != x.bad {
-			t.Errorf("%v: %d found", x.attempts, n)
+		if (n > 0) != test.bad {
+			t.Errorf("%v: %d found", test.attempts, n)
 		}
 	}
 }
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -184,22 +184,17 @@
 // watchOwnershipChanges counts cancellations that are committed while a job's shard is without its owner, or within two
 // seconds of its next one.
 func (s *scenario) watchOwnershipChanges() {
-	at := map[int]time.Time{}
+	changedAt := map[int]time.Time{} // by shard
 	records := s.Store.Check
 	s.Store.Check = func(txn protocol.Txn) {
 		records(txn)
 		for _, change := range txn.Then {
 			var shard int
 			if n, _ := fmt.Sscanf(change.Put, storage.Root+"share/%d", &shard); n == 1 {
-				at[shard] = time.Now()
+				changedAt[shard] = time.Now()
 			}
 			if id, ok := storage.JobIDOf(change.Put); ok && strings.Contains(string(change.Value), `"f":"cancelled"`) {
-				s.mu.Lock()
-				j := s.jobs[id]
-				s.mu.Unlock()
-				i := slices.IndexFunc(s.Settings.Deployment.Teams, func(x config.Team) bool { return x.Name == j.Team })
-				dead := slices.ContainsFunc(s.controllers, func(n *ControllerProcess) bool { return n.ended() })
-				if shard := i % 3; dead || time.Since(at[shard]) < 2*time.Second {
+				if s.hasEndedController() || time.Since(changedAt[s.shardOf(id)]) < 2*time.Second {
 					s.count("cancelled between owners", 1)
 				}
 			}
@@ -207,6 +202,18 @@
 	}
 }
 
+func (s *scenario) hasEndedController() bool {
+	return slices.ContainsFunc(s.controllers, func(process *ControllerProcess) bool { return process.ended() })
+}
+
+// shardOf is the shard of a job's team.
+func (s *scenario) shardOf(jobID string) int {
+	s.mu.Lock()
+	job := s.jobs[jobID]
+	s.mu.Unlock()
+	return slices.IndexFunc(s.Settings.Deployment.Teams, func(team config.Team) bool { return team.Name == job.Team }) % 3
+}
+
 // TestScenarios plays the scenarios one by one, and checks that each came about, every rule, and that
 // once all is over every job is answered and nothing waits beside capacity.
 func TestScenarios(t *testing.T) {
@@ -219,8 +226,7 @@
 func playScenario(t *testing.T, c scenarioCase) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); time.Sleep(time.Minute) }()
+		ctx := simulationContext(t)
 		s := newScenario(ctx, c)
 		s.begin()
 		c.play(s)
--- a/internal/simulator/shard_handover_test.go
+++ b/internal/simulator/shard_handover_test.go
@@ -8,7 +8,7 @@
 // After an end of all controllers the first one that was back took every shard and kept them until
 // membership had been quiet for 8 s: 1235 machines on one controller, which could not keep up.
 func TestShardsMoveSoonAfterAnEndOfAllControllers(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
 		after time.Duration // between the first controller and the others
 		soon  bool
@@ -16,7 +16,7 @@
 		{"the others are back a moment later", 400 * time.Millisecond, true},
 		{"the others are back when the first has settled", 6 * time.Second, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			playDay(t, 3, nil, func(sim *Simulation) {
 				time.Sleep(8 * time.Second)
 				for i := range 3 {
@@ -24,13 +24,13 @@
 				}
 				time.Sleep(3 * time.Second)
 				sim.Start(1)
-				time.Sleep(x.after)
+				time.Sleep(test.after)
 				sim.Start(0)
-				time.Sleep(x.after)
+				time.Sleep(test.after)
 				sim.Start(2)
 				time.Sleep(2500 * time.Millisecond)
-				if n := sim.owners(t); (n == 3) != x.soon {
-					t.Errorf("%d controllers own shards 2.5 s later, soon one each: %v", n, x.soon)
+				if n := sim.owners(t); (n == 3) != test.soon {
+					t.Errorf("%d controllers own shards 2.5 s later, soon one each: %v", n, test.soon)
 				}
 				time.Sleep(10 * time.Second)
 				if n := sim.owners(t); n != 3 {
--- a/internal/simulator/simulation_cases_test.go
+++ b/internal/simulator/simulation_cases_test.go
@@ -105,8 +105,8 @@
 		}
 	}},
 	{name: "transactions are applied late", setup: func(sim *Simulation) {
-		sim.Late = func(_ string, x protocol.Txn) time.Duration {
-			if launches(x) && sim.Random.IntN(6) == 0 {
+		sim.Late = func(_ string, txn protocol.Txn) time.Duration {
+			if launches(txn) && sim.Random.IntN(6) == 0 {
 				return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
 			}
 			return 0
@@ -182,8 +182,8 @@
 }
 
 // launches tells whether a transaction places tasks.
-func launches(x protocol.Txn) bool {
-	for _, c := range x.Then {
+func launches(txn protocol.Txn) bool {
+	for _, c := range txn.Then {
 		if _, ok := storage.GroupOf(c.Put); ok {
 			r, _ := storage.DecodeGroup(c.Value)
 			if slices.ContainsFunc(r.Machines, func(m storage.GroupMachine) bool { return len(m.Tasks) > 0 }) {
@@ -195,8 +195,8 @@
 }
 
 // evicts tells whether a transaction writes a set of tasks to evict.
-func evicts(x protocol.Txn) bool {
-	for _, c := range x.Then {
+func evicts(txn protocol.Txn) bool {
+	for _, c := range txn.Then {
 		if strings.Contains(c.Put, "/evict/") {
 			return true
 		}
@@ -208,8 +208,8 @@
 // applied, four times in all, and starts it anew 4 s later.
 func killAfter(sim *Simulation, such func(protocol.Txn) bool) {
 	var kills atomic.Int32
-	sim.After = func(i int, x protocol.Txn) {
-		if such(x) && kills.Add(1) <= 4 {
+	sim.After = func(i int, txn protocol.Txn) {
+		if such(txn) && kills.Add(1) <= 4 {
 			sim.Kill(i)
 			go func() {
 				time.Sleep(4 * time.Second)
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -23,6 +23,21 @@
 	return s
 }
 
+// simulationContext is a context for a simulation, which ends with the test: what was started with it has a minute of
+// virtual time to end before the test's bubble does.
+func simulationContext(t *testing.T) context.Context {
+	t.Helper()
+	t.Cleanup(func() { time.Sleep(time.Minute) })
+	return t.Context()
+}
+
+// eachController calls f for each of the three controllers.
+func eachController(f func(i int)) {
+	for i := range 3 {
+		f(i)
+	}
+}
+
 // load submits a mixed load and returns its jobs.
 func load(sim *Simulation) []*Job {
 	var jobs []*Job
@@ -38,21 +53,21 @@
 	}
 	for round := range 2 {
 		first := len(jobs)
-		for _, x := range wants {
-			jobs = append(jobs, sim.User(x))
+		for _, want := range wants {
+			jobs = append(jobs, sim.User(want))
 			time.Sleep(time.Duration(sim.Random.IntN(1500)) * time.Millisecond)
 		}
 		// A pipeline over teams and shards with a diamond, one that hangs on a cancelled job,
 		// and a last job that comes when the others are over.
-		a := sim.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
-		b := sim.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{a}})
-		c := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{a}})
-		d := sim.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{b, c}})
-		x := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{b, jobs[first+4]}})
-		y := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{x, d}})
-		z := sim.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{a}})
-		late := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{z, jobs[first+5]}})
-		jobs = append(jobs, a, b, c, d, x, y, z, late)
+		root := sim.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
+		left := sim.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{root}})
+		right := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{root}})
+		joined := sim.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{left, right}})
+		orphan := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{left, jobs[first+4]}})
+		last := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{orphan, joined}})
+		cancelled := sim.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{root}})
+		late := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{cancelled, jobs[first+5]}})
+		jobs = append(jobs, root, left, right, joined, orphan, last, cancelled, late)
 	}
 	return jobs
 }
@@ -95,7 +110,7 @@
 func playDay(t *testing.T, seed uint64, setup, fault, check func(sim *Simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
+		ctx := simulationContext(t)
 		sim := NewSimulation(ctx, settings(), seed)
 		if setup != nil {
 			setup(sim)
@@ -129,15 +144,13 @@
 			check(sim)
 		}
 		t.Logf("done after %v, %d starts, %d writes", time.Since(sim.StartTime), sim.Started, sim.Store.Writes)
-		cancel()
-		time.Sleep(time.Minute)
 	})
 }
 
 // TestSettingsSpread: a change is taken up by all controllers, and by one that starts later.
 func TestSettingsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
+		ctx := simulationContext(t)
 		sim := NewSimulation(ctx, settings(), 5)
 		sim.Start(0)
 		sim.Start(1)
@@ -165,7 +178,5 @@
 		if _, _, err := sim.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrUnavailable) {
 			t.Errorf("in an outage: %v", err)
 		}
-		cancel()
-		time.Sleep(time.Minute)
 	})
 }
--- a/internal/simulator/upgrade_test.go
+++ b/internal/simulator/upgrade_test.go
@@ -56,8 +56,8 @@
 }
 
 // writesGate tells whether a transaction writes the record that says which layout is allowed.
-func writesGate(x protocol.Txn) bool {
-	return slices.ContainsFunc(x.Then, func(c protocol.Change) bool { return c.Put == storage.LayoutKey })
+func writesGate(txn protocol.Txn) bool {
+	return slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return c.Put == storage.LayoutKey })
 }
 
 // prepare has all controllers start as the version before, and watches the gate.
@@ -74,8 +74,8 @@
 		records(txn)
 		u.checkGate(t, sim, txn)
 	}
-	sim.After = func(i int, x protocol.Txn) {
-		if writesGate(x) && u.seed%3 == 1 && u.kills.Add(1) <= 3 {
+	sim.After = func(i int, txn protocol.Txn) {
+		if writesGate(txn) && u.seed%3 == 1 && u.kills.Add(1) <= 3 {
 			sim.Kill(i)
 			go func() { time.Sleep(3 * time.Second); replace(sim, i) }()
 		}
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"context"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -16,8 +15,7 @@
 // since services run on them. The services go on, and run everywhere once the partition is over.
 func TestCancelledInAPartitionedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); time.Sleep(time.Minute) }()
+		ctx := simulationContext(t)
 		cfg := settings()
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 45}
