--- /dev/null
+++ b/internal/wait/wait_test.go
@@ -0,0 +1,51 @@
+package wait
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestFor(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		duration   time.Duration
+		contextEnd time.Duration // 0: the context has ended before
+		want       bool
+		took       time.Duration
+	}{
+		{"passes", time.Minute, time.Hour, true, time.Minute},
+		{"context ends before", time.Minute, time.Second, false, time.Second},
+		{"context has ended", time.Minute, 0, false, 0},
+		{"nothing to wait for", 0, time.Hour, true, 0},
+		{"negative duration", -time.Second, time.Hour, true, 0},
+		{"negative duration and context has ended", -time.Second, 0, false, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithTimeout(t.Context(), test.contextEnd)
+				defer cancel()
+				began := time.Now()
+				if got := For(ctx, test.duration); got != test.want {
+					t.Errorf("For: %v, want %v", got, test.want)
+				}
+				if took := time.Since(began); took != test.took {
+					t.Errorf("took %v, want %v", took, test.took)
+				}
+			})
+		})
+	}
+}
+
+func TestUntil(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		began := time.Now()
+		if !Until(t.Context(), began.Add(time.Minute)) || time.Since(began) != time.Minute {
+			t.Errorf("a minute ahead: returned after %v", time.Since(began))
+		}
+		if !Until(t.Context(), began) {
+			t.Error("a moment in the past has not come")
+		}
+	})
+}
