--- /dev/null
+++ b/cmd/dykeledge/admin_client.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"dykeledge/internal/controller"
+	"dykeledge/internal/transport"
+)
+
+// answerWithin is how long a controller may take to answer.
+const answerWithin = 10 * time.Second
+
+// adminClient speaks with the administration API of one controller and prints what it answers.
+type adminClient struct {
+	address string // peer_listen of the controller
+	output  string // outputTable or outputJSON
+}
+
+// Forms of output.
+const (
+	outputTable = "table"
+	outputJSON  = "json"
+)
+
+// check tells whether the flags make sense.
+func (c *adminClient) check() error {
+	if c.address == "" {
+		return wrongUse(errors.New("--node ADDRESS is missing: the peer_listen address of any node"))
+	}
+	if c.output != outputTable && c.output != outputJSON {
+		return wrongUse(errors.New("--output is table or json"))
+	}
+	return nil
+}
+
+// call sends one request and returns the body of its answer. in, unless it is nil, is sent as JSON.
+func (c *adminClient) call(method, path string, in any) ([]byte, error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + c.address + "/admin/v1" + path)
+	if in != nil {
+		raw, err := json.Marshal(in)
+		if err != nil {
+			return nil, err
+		}
+		request.SetBodyRaw(raw)
+	}
+	httpClient := fasthttp.Client{MaxIdemponentCallAttempts: 1}
+	if err := httpClient.DoTimeout(request, response, answerWithin); err != nil {
+		return nil, failed(fmt.Errorf("node %s does not answer: %w", c.address, err))
+	}
+	body := append([]byte(nil), response.Body()...)
+	if response.StatusCode() != fasthttp.StatusOK {
+		return nil, failed(refusal(response.StatusCode(), body))
+	}
+	return body, nil
+}
+
+// refusal is what a controller says against a request.
+func refusal(status int, body []byte) error {
+	var refused transport.AdminRefusal
+	if json.Unmarshal(body, &refused) != nil || refused.Error == "" {
+		refused.Error = "status " + strconv.Itoa(status)
+	}
+	return errors.New(refused.Error)
+}
+
+// decode reads an answer.
+func decode(body []byte, into any) error {
+	if err := json.Unmarshal(body, into); err != nil {
+		return failed(fmt.Errorf("the node's answer cannot be read: %w", err))
+	}
+	return nil
+}
+
+// settings reads the operators' settings as they come.
+func (c *adminClient) settings() ([]byte, error) {
+	return c.call(fasthttp.MethodGet, "/settings", nil)
+}
+
+// changeSettings changes settings on the version that they have now, and returns the new ones as they come.
+func (c *adminClient) changeSettings(change json.RawMessage) ([]byte, error) {
+	body, err := c.settings()
+	if err != nil {
+		return nil, err
+	}
+	var current transport.SettingsView
+	if err := decode(body, &current); err != nil {
+		return nil, err
+	}
+	return c.call(fasthttp.MethodPut, "/settings", transport.SettingsChange{Version: &current.Version, Settings: change})
+}
+
+// Team reads a team.
+func (c *adminClient) Team(name string) (controller.TeamView, error) {
+	return c.callTeam(fasthttp.MethodGet, name, nil)
+}
+
+// Change changes a team if version is still that of its entry.
+func (c *adminClient) Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error) {
+	return c.callTeam(fasthttp.MethodPut, name, transport.TeamChange{Version: &version, Team: change})
+}
+
+func (c *adminClient) callTeam(method, name string, in any) (controller.TeamView, error) {
+	body, err := c.call(method, "/teams/"+url.PathEscape(name), in)
+	if err != nil {
+		return controller.TeamView{}, err
+	}
+	var team controller.TeamView
+	err = decode(body, &team)
+	return team, err
+}
--- a/cmd/dykeledge/lean_test.go
+++ b/cmd/dykeledge/lean_test.go
@@ -6,23 +6,27 @@
 	"testing"
 )
 
+// peoplesTools are parts of the import paths of what the controller must not link.
+var peoplesTools = []string{"charmbracelet", "gonum.org", "HdrHistogram", "html/template",
+	"dykeledge/internal/client", "dykeledge/internal/console", "dykeledge/internal/contexts", "dykeledge/internal/loadgen",
+	"dykeledge/internal/localcluster", "dykeledge/internal/report", "dykeledge/internal/scaletest", "dykeledge/internal/simulator",
+	"dykeledge/internal/viewclient"}
+
 // TestLean: the controller's start and size are charged to small machines, so what only
 // people's tools need is not linked into it.
 func TestLean(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "dykeledge/cmd/dykeledge").CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", "dykeledge/cmd/dykeledge").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	deps := strings.Fields(string(out))
-	if len(deps) < 100 {
-		t.Fatalf("only %d packages are listed", len(deps))
+	dependencies := strings.Fields(string(out))
+	if len(dependencies) < 100 {
+		t.Fatalf("only %d packages are listed", len(dependencies))
 	}
-	for _, d := range deps {
-		for _, no := range []string{"charmbracelet", "gonum.org", "HdrHistogram", "html/template", "dykeledge/internal/simulator", "dykeledge/internal/console",
-			"dykeledge/internal/viewer", "dykeledge/internal/report", "dykeledge/internal/emulator", "dykeledge/internal/load", "dykeledge/internal/client",
-			"dykeledge/internal/contexts"} {
-			if strings.Contains(d, no) {
-				t.Errorf("the controller links %s", d)
+	for _, dependency := range dependencies {
+		for _, unwanted := range peoplesTools {
+			if strings.Contains(dependency, unwanted) {
+				t.Errorf("the controller links %s", dependency)
 			}
 		}
 	}
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -30,12 +31,12 @@
 // program runs the program with arguments to its end.
 func program(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
-	cmd := exec.Command(os.Args[0], args...)
+	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "DYKELEDGE_AS_PROGRAM=1")
 	var o, e bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &o, &e
 	err := cmd.Run()
-	if _, exited := err.(*exec.ExitError); err != nil && !exited {
+	if exited := (*exec.ExitError)(nil); err != nil && !errors.As(err, &exited) {
 		t.Fatal(err)
 	}
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
@@ -45,7 +46,7 @@
 	t.Helper()
 	// An address of its own: a connection that anybody opens from 127.0.0.1 could take a
 	// port between its choice and the controller that is to listen there.
-	ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,6 +54,25 @@
 	return ln
 }
 
+// request sends one HTTP request; a body is JSON. The status is 0 if no answer came.
+func request(t *testing.T, method, url, body string) (status int, answer string) {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body != "" {
+		request.Header.Set("Content-Type", "application/json")
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return 0, ""
+	}
+	defer func() { _ = response.Body.Close() }() // read to its end
+	raw, _ := io.ReadAll(response.Body)          // an answer that breaks off fails the comparison
+	return response.StatusCode, string(raw)
+}
+
 func settingsFile(t *testing.T, i int, public, peer []string, state, cloud string) string {
 	t.Helper()
 	var b strings.Builder
@@ -141,10 +161,10 @@
 	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	world := simulator.NewSimulation(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
-	world.CapacityOf = 0
-	world.Catalog.Types[0].Cpus = 8
-	go func() { _ = world.ServeCloud(&simulator.ControllerProcess{Name: "all"}, cloud) }()
+	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
+	simulation.CapacityOf = 0
+	simulation.Catalog.Types[0].Cpus = 8
+	go func() { _ = simulation.ServeCloud(&simulator.ControllerProcess{Name: "all"}, cloud) }()
 	var public, peer []string
 	for range 3 {
 		for _, list := range []*[]string{&public, &peer} {
@@ -154,7 +174,7 @@
 		}
 	}
 	for i := range 3 {
-		cmd := exec.Command(os.Args[0], "--config", settingsFile(t, i, public, peer, state.Addr().String(), cloud.Addr().String()))
+		cmd := exec.CommandContext(t.Context(), os.Args[0], "--config", settingsFile(t, i, public, peer, state.Addr().String(), cloud.Addr().String()))
 		cmd.Env = append(os.Environ(), "DYKELEDGE_AS_PROGRAM=1")
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
@@ -162,12 +182,8 @@
 		t.Cleanup(func() { _ = cmd.Process.Kill(); _ = cmd.Wait() })
 	}
 	get := func(url string) int {
-		resp, err := http.Get(url)
-		if err != nil {
-			return 0
-		}
-		_ = resp.Body.Close()
-		return resp.StatusCode
+		status, _ := request(t, http.MethodGet, url, "")
+		return status
 	}
 	for i := range 3 {
 		eventually(t, "ready", func() bool { return get("http://"+public[i]+"/ready") == 200 })
@@ -181,24 +197,14 @@
 	job := `{"id":"job-000412","jobclass":"train","crew":"red","shape":"batch","urgency":"high","shards":2,"cpus":8.0,"accelerators":0.0,
 		"ramGb":4.0,"kit":"i","pullGb":1.0,"together":false,"scatter":false,"loaners":true,"expectedS":9.0,"markEveryS":0.0,"markCostS":0.0}`
 	eventually(t, "accepted", func() bool {
-		resp, err := http.Post("http://"+public[0]+"/v2/runs", "application/json", strings.NewReader(job))
-		if err != nil {
-			return false
-		}
-		defer resp.Body.Close()
-		return resp.StatusCode == 201 || resp.StatusCode == 200
+		status, _ := request(t, http.MethodPost, "http://"+public[0]+"/v2/runs", job)
+		return status == 201 || status == 200
 	})
 	// A pipeline as the README describes it: once all three have shown the new layout it is
 	// accepted, on any controller, and what names a job that nobody accepted is not.
-	post := func(node, id, awaits string) (status int, answer string) {
+	post := func(address, id, awaits string) (status int, answer string) {
 		body := strings.Replace(strings.Replace(job, "job-000412", id, 1), `"markCostS":0.0`, `"markCostS":0.0,"awaits":`+awaits, 1)
-		resp, err := http.Post("http://"+node+"/v2/runs", "application/json", strings.NewReader(body))
-		if err != nil {
-			return 0, ""
-		}
-		defer resp.Body.Close()
-		raw, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(raw)
+		return request(t, http.MethodPost, "http://"+address+"/v2/runs", body)
 	}
 	eventually(t, "a pipeline is accepted", func() bool {
 		status, _ := post(public[1], "job-000413", `["job-000412"]`)
@@ -221,7 +227,7 @@
 		var status int
 		var answer string
 		eventually(t, c.id+c.awaits, func() bool { status, answer = post(public[2], c.id, c.awaits); return status != 503 && status != 0 })
-		if status != c.status && !(c.status == 201 && status == 200) || !strings.Contains(answer, c.want) {
+		if status != c.status && (c.status != 201 || status != 200) || !strings.Contains(answer, c.want) {
 			t.Errorf("%s awaits %s: %d %s", c.id, c.awaits, status, answer)
 		}
 	}
--- /dev/null
+++ b/cmd/dykeledge/serve.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"runtime"
+	"runtime/debug"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/controller"
+	"dykeledge/internal/transport"
+)
+
+// How the runtime keeps within what one controller may use.
+const (
+	memoryLimitPart  = 0.6 // of the memory that the deployment grants
+	gcPercent        = 200
+	bytesPerMB       = 1 << 20
+	logLevelVariable = "LOG_LEVEL"
+	logLevelAsBegun  = "as_started" // the operators' setting that brings back the environment's level
+)
+
+// serve runs a controller. It returns only if the controller cannot listen or its public server ends;
+// the program ends with it, and with the program all goroutines that are started here.
+func serve(ctx context.Context, settings *config.Settings, features *config.Features) error {
+	tune(settings)
+	level := &slog.LevelVar{}
+	level.Set(logLevel(os.Getenv(logLevelVariable)))
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", settings.MemberName)
+	publicListener, peerListener, err := openListeners(ctx, settings)
+	if err != nil {
+		return failed(err)
+	}
+	core := newController(settings, features, level, log)
+	go core.Run(ctx)
+	peers := transport.NewPeers(settings, core, log)
+	peers.Run(ctx)
+	adminListener := peers.Split(peerListener)
+	limits := transport.DefaultAdminLimits()
+	limits.ViewReaders = features.View.Readers
+	go func() {
+		if err := transport.NewAdminServer(core, limits).Serve(adminListener); err != nil {
+			log.Error("administration server ended", "err", err)
+		}
+	}()
+	log.Info("started", "version", version, "public", settings.PublicAddr)
+	if err := transport.NewPublicServer(core, settings.Deployment.Resources.MaxConnections, log).Serve(publicListener); err != nil {
+		return failed(fmt.Errorf("public server: %w", err))
+	}
+	return nil
+}
+
+// openListeners opens the two addresses of a controller. Errors name the setting.
+func openListeners(ctx context.Context, settings *config.Settings) (public, peer net.Listener, err error) {
+	var listenConfig net.ListenConfig
+	if public, err = listenConfig.Listen(ctx, "tcp4", settings.PublicAddr); err != nil {
+		return nil, nil, fmt.Errorf("public_addr: %w", err)
+	}
+	if peer, err = listenConfig.Listen(ctx, "tcp4", settings.PeerListen); err != nil {
+		return nil, nil, fmt.Errorf("peer_listen: %w", err)
+	}
+	return public, peer, nil
+}
+
+// newController makes the controller and connects it with state service, cloud, workers and log level.
+func newController(settings *config.Settings, features *config.Features, level *slog.LevelVar, log *slog.Logger) *controller.Controller {
+	state, cloud := transport.NewState(settings), transport.NewCloud(settings)
+	core := controller.New(settings, state, cloud, transport.NewWorkers(), log, controller.DefaultTiming())
+	state.Observe, cloud.Observe = core.Metrics().Observe, core.Metrics().Observe
+	core.OnLogLevel = func(name string) {
+		if name == logLevelAsBegun {
+			name = os.Getenv(logLevelVariable)
+		}
+		level.Set(logLevel(name))
+	}
+	if features.View.Enabled {
+		core.EnableView()
+	}
+	return core
+}
+
+// logLevel reads a level's name; what is no level counts as error.
+func logLevel(name string) slog.Level {
+	switch name {
+	case "debug":
+		return slog.LevelDebug
+	case "info":
+		return slog.LevelInfo
+	}
+	return slog.LevelError
+}
+
+// tune keeps the runtime within what one controller may use.
+func tune(settings *config.Settings) {
+	if settings.Deployment.Resources.CPU <= 1 {
+		runtime.GOMAXPROCS(1)
+	}
+	debug.SetMemoryLimit(int64(settings.Deployment.Resources.MemMB * memoryLimitPart * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
+}
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -6,81 +6,67 @@
 	"errors"
 	"fmt"
 	"io"
-	"net/url"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"dykeledge/internal/controller"
-	"dykeledge/internal/transport"
+	"dykeledge/internal/textout"
+	"dykeledge/internal/wait"
 )
 
 // teamsSetCommand changes a team, conditional on what the controller says of it now.
-func (cl *client) teamsSetCommand() *cobra.Command {
+func (c *adminClient) teamsSetCommand() *cobra.Command {
 	return &cobra.Command{Use: "set TEAM NAME=VALUE...", Short: "Change a team's guarantee or limit: cpus, cpus_max, gpus, gpus_max", Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := cl.check(); err != nil {
-				return err
-			}
-			change, err := parseChange(args[1:])
-			if err != nil {
-				return &exitError{exitUsage, err}
-			}
-			now, err := cl.Team(args[0])
-			if err != nil {
-				return err
-			}
-			next, err := cl.Change(args[0], now.Version, change)
-			if err != nil {
-				return err
-			}
-			return json.NewEncoder(cmd.OutOrStdout()).Encode(next)
+			return c.setTeam(cmd.OutOrStdout(), args[0], args[1:])
 		}}
 }
 
-// Team reads a team.
-func (cl *client) Team(name string) (controller.TeamView, error) {
-	return cl.teamCall("GET", name, nil)
-}
-
-// Change changes a team if version is still that of its entry.
-func (cl *client) Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error) {
-	return cl.teamCall("PUT", name, transport.TeamChange{Version: &version, Team: change})
-}
-
-func (cl *client) teamCall(method, name string, in any) (controller.TeamView, error) {
-	var t controller.TeamView
-	body, err := cl.call(method, "/teams/"+url.PathEscape(name), in)
+func (c *adminClient) setTeam(out io.Writer, name string, values []string) error {
+	if err := c.check(); err != nil {
+		return err
+	}
+	change, err := parseChange(values)
 	if err != nil {
-		return t, err
+		return wrongUse(err)
 	}
-	if err := json.Unmarshal(body, &t); err != nil {
-		return t, &exitError{exitFailed, fmt.Errorf("the node's answer cannot be read: %w", err)}
+	team, err := c.Team(name)
+	if err != nil {
+		return err
+	}
+	changed, err := c.Change(name, team.Version, change)
+	if err != nil {
+		return err
 	}
-	return t, nil
+	return json.NewEncoder(out).Encode(changed)
 }
 
 // moveWithin is how long a move waits for the lowered limit to count.
 const moveWithin = 10 * time.Minute
 
+// forceAskedEvery is the time between two questions whether it counts.
+const forceAskedEvery = time.Second
+
 // teamsMoveCommand moves a part of a team's limit from one cell to another.
-func (cl *client) teamsMoveCommand() *cobra.Command {
+func (c *adminClient) teamsMoveCommand() *cobra.Command {
 	var to string
 	var cpus float64
 	command := &cobra.Command{Use: "move TEAM", Short: "Move a part of a team's limit from this node's cell to another cell", Args: cobra.ExactArgs(1),
 		Long: "Move a part of a team's limit from this node's cell to another cell. It is lowered here, and raised there once it is in\n" +
 			"force here: whatever fails in between, the cells' limits add up to no more than before. What is left to do then is told.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := cl.check(); err != nil {
+			if err := c.check(); err != nil {
 				return err
 			}
 			if to == "" || !(cpus > 0) {
-				return &exitError{exitUsage, errors.New("--to ADDRESS and --cpus above 0 are needed")}
+				return wrongUse(errors.New("--to ADDRESS and --cpus above 0 are needed"))
 			}
 			ctx, cancel := context.WithTimeout(cmd.Context(), moveWithin)
 			defer cancel()
-			if err := moveLimit(ctx, cl, &client{node: to, output: cl.output}, args[0], cpus, time.Second, cmd.OutOrStdout()); err != nil {
-				return &exitError{exitFailed, err}
+			other := &adminClient{address: to, output: c.output}
+			if err := moveLimit(ctx, c, other, args[0], cpus, forceAskedEvery, cmd.OutOrStdout()); err != nil {
+				return failed(err)
 			}
 			return nil
 		}}
@@ -98,8 +84,8 @@
 // moveLimit moves CPUs of a team's limit from one cell to another: lowered and in force in the first, then raised in the second.
 // Each change is conditional on the version that was read, and is made once: one whose answer is lost is looked for, never
 // repeated. An error says what was done and what is left to do.
-func moveLimit(ctx context.Context, from, mainTeamsAPI teamsAPI, team string, cpus float64, pause time.Duration, out io.Writer) error {
-	there, err := mainTeamsAPI.Team(team)
+func moveLimit(ctx context.Context, from, to teamsAPI, team string, cpus float64, pause time.Duration, out io.Writer) error {
+	there, err := to.Team(team)
 	if err != nil {
 		return fmt.Errorf("nothing was changed: the other cell: %w", err)
 	}
@@ -110,19 +96,20 @@
 	if here.CpusMax <= cpus || there.CpusMax <= 0 {
 		return fmt.Errorf("nothing was changed: limits are %g and %g CPUs, 0 is none: both need one, and the first more than %g", here.CpusMax, there.CpusMax, cpus)
 	}
+	progress := textout.New(out) // what cannot be told must not stop a move halfway
 	lowered, raised := here.CpusMax-cpus, there.CpusMax+cpus
 	if _, err := from.Change(team, here.Version, limitChange(lowered)); err != nil {
 		return fmt.Errorf("it is not certain whether the limit was lowered to %g CPUs in the first cell, and it was not raised in the other: %w", lowered, err)
 	}
-	fmt.Fprintf(out, "lowered to %g CPUs in the first cell\n", lowered)
+	progress.Printf("lowered to %g CPUs in the first cell\n", lowered)
 	if err := awaitForce(ctx, from, team, lowered, pause); err != nil {
 		return fmt.Errorf("the limit is being lowered to %g CPUs in the first cell; once it is in force there, raise it to %g in the other: %w", lowered, raised, err)
 	}
-	fmt.Fprintln(out, "in force there")
-	if _, err := mainTeamsAPI.Change(team, there.Version, limitChange(raised)); err != nil {
+	progress.Println("in force there")
+	if _, err := to.Change(team, there.Version, limitChange(raised)); err != nil {
 		return fmt.Errorf("the limit is %g CPUs in the first cell; it is not certain whether it was raised to %g in the other: look, and raise it if not: %w", lowered, raised, err)
 	}
-	fmt.Fprintf(out, "raised to %g CPUs in the other cell\n", raised)
+	progress.Printf("raised to %g CPUs in the other cell\n", raised)
 	return nil
 }
 
@@ -134,19 +121,17 @@
 var errChanged = errors.New("somebody else has changed the team meanwhile")
 
 // awaitForce waits until a lowered limit is in force in a cell.
-func awaitForce(ctx context.Context, mainTeamsAPI teamsAPI, team string, cpusMax float64, pause time.Duration) error {
+func awaitForce(ctx context.Context, cell teamsAPI, team string, cpusMax float64, pause time.Duration) error {
 	for {
-		t, err := mainTeamsAPI.Team(team)
+		current, err := cell.Team(team)
 		switch {
-		case err == nil && t.CpusMax != cpusMax:
+		case err == nil && current.CpusMax != cpusMax:
 			return errChanged
-		case err == nil && t.State == controller.TeamInForce:
+		case err == nil && current.State == controller.TeamInForce:
 			return nil
 		}
-		select {
-		case <-ctx.Done():
+		if !wait.For(ctx, pause) {
 			return errors.Join(ctx.Err(), err)
-		case <-time.After(pause):
 		}
 	}
 }
--- a/cmd/dykeledge/teams_test.go
+++ b/cmd/dykeledge/teams_test.go
@@ -81,23 +81,23 @@
 func TestMovesNeverAddUpToMore(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const total = 100.0
-		mainModelCell, b := &modelCell{t: rt, name: "a", counts: 60}, &modelCell{t: rt, name: "b", counts: 40}
-		for _, c := range []*modelCell{mainModelCell, b} {
+		first, second := &modelCell{t: rt, name: "a", counts: 60}, &modelCell{t: rt, name: "b", counts: 40}
+		for _, c := range []*modelCell{first, second} {
 			c.view = controller.TeamView{State: controller.TeamFromFile}
 			c.view.CpusMax = c.counts
 			c.check = func() {
-				if mainModelCell.counts+b.counts > total {
-					rt.Fatalf("limits of %g and %g count", mainModelCell.counts, b.counts)
+				if first.counts+second.counts > total {
+					rt.Fatalf("limits of %g and %g count", first.counts, second.counts)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 6).Draw(rt, "moves") {
-			from, to := mainModelCell, b
+			from, to := first, second
 			if rapid.Bool().Draw(rt, "back") {
-				from, to = b, mainModelCell
+				from, to = second, first
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			mainModelCell.aborted, b.aborted, mainModelCell.calls, b.calls = cancel, cancel, 0, 0
+			first.aborted, second.aborted, first.calls, second.calls = cancel, cancel, 0, 0
 			cpus, before := float64(rapid.IntRange(1, 50).Draw(rt, "cpus")), [2]float64{from.view.CpusMax, to.view.CpusMax}
 			err := moveLimit(ctx, from, to, "red", cpus, 0, io.Discard)
 			cancel()
