--- a/internal/view/hub.go
+++ b/internal/view/hub.go
@@ -35,14 +35,14 @@
 
 // Wait returns the first snapshot that is newer than a cursor, or the latest one when ctx
 // ends before; nil if there is none. A reader that asks for another epoch gets the latest.
-func (h *Hub) Wait(ctx context.Context, cur Cursor) *Snapshot {
+func (h *Hub) Wait(ctx context.Context, cursor Cursor) *Snapshot {
 	h.wanted.Store(time.Now().Add(readerStays).UnixNano())
 	for {
 		h.mu.Lock()
 		ch := h.changed
 		h.mu.Unlock()
 		s := h.latest.Load()
-		if s != nil && (s.Epoch != cur.Epoch || s.Seq > cur.Seq) {
+		if s != nil && (s.Epoch != cursor.Epoch || s.Seq > cursor.Seq) {
 			return s
 		}
 		select {
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -26,15 +26,15 @@
 
 // entry says which row changed last under a sequence number. Each row has one entry.
 type entry struct {
-	kind kind
-	key  string
-	gone bool
-	job  *Job      // of a removed row, for whoever may not know of it
-	ev   *Eviction // likewise
+	kind     kind
+	key      string
+	gone     bool
+	job      *Job      // of a removed row, for whoever may not know of it
+	eviction *Eviction // likewise
 }
 
 // Model is the read model. One goroutine owns it. Its maps are copied on write: a copy of a
-// whole map costs nothing, and a change after it copies the few controllers on its way.
+// whole map costs nothing, and a change after it copies the few tree nodes on its way.
 type Model struct {
 	teams     []Team // guarantee and limit only
 	team      map[string]int
@@ -74,7 +74,7 @@
 	return m
 }
 
-// NewMirror is an empty copy of another controller's model, for one who reads its feed.
+// NewMirror is an empty copy of a controller's model, for one who reads its feed.
 func NewMirror() *Model {
 	m := NewModel(nil)
 	m.mirror = true
@@ -87,13 +87,13 @@
 }
 
 // note writes down that a row changed, and returns its sequence number.
-func (m *Model) note(old uint64, viewEntry entry) uint64 {
+func (m *Model) note(old uint64, changed entry) uint64 {
 	if old > 0 {
 		m.log.Delete(old)
 	}
 	m.seq++
-	m.log.Set(m.seq, viewEntry)
-	if viewEntry.gone {
+	m.log.Set(m.seq, changed)
+	if changed.gone {
 		if m.gone = append(m.gone, m.seq); len(m.gone) > keptGone {
 			m.floor = m.gone[0]
 			m.log.Delete(m.gone[0])
@@ -147,24 +147,25 @@
 	}
 }
 
-func (m *Model) count(x *Machine, sign int64) {
-	m.fleet.add(x, sign)
-	for _, u := range x.Uses {
-		if i, ok := m.team[u.Team]; ok {
-			m.rates[i] += uint64(sign) * u.rate(x)
+// count adds a machine to the sums, or takes it away with sign -1.
+func (m *Model) count(machine *Machine, sign int64) {
+	m.fleet.add(machine, sign)
+	for _, use := range machine.Uses {
+		if i, ok := m.team[use.Team]; ok {
+			m.rates[i] += uint64(sign) * use.rate(machine)
 		}
 	}
 }
 
 // PutMachine puts a machine's row in the place of the one before.
-func (m *Model) PutMachine(x Machine) {
-	if old, had := m.machines.Get(x.Name); had {
+func (m *Model) PutMachine(machine Machine) {
+	if old, had := m.machines.Get(machine.Name); had {
 		m.count(old, -1)
-		x.seq = old.seq
+		machine.seq = old.seq
 	}
-	x.seq = m.note(x.seq, entry{kind: kindMachine, key: x.Name})
-	m.machines.Set(x.Name, &x)
-	m.count(&x, 1)
+	machine.seq = m.note(machine.seq, entry{kind: kindMachine, key: machine.Name})
+	m.machines.Set(machine.Name, &machine)
+	m.count(&machine, 1)
 }
 
 // DropMachine removes a machine's row.
@@ -197,7 +198,7 @@
 // DropEviction removes an evicted set's row.
 func (m *Model) DropEviction(key string) {
 	if old, ok := m.evictions.Delete(key); ok {
-		m.note(old.seq, entry{kind: kindEviction, key: key, gone: true, ev: old})
+		m.note(old.seq, entry{kind: kindEviction, key: key, gone: true, eviction: old})
 	}
 }
 
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -1,10 +1,3 @@
-// Package view is the read model of a deployment that console, report and scripts share:
-// jobs, machines, evicted sets and the sums over them, all at one stated revision of the
-// state service. A Model is kept by one goroutine; a Snapshot of it is taken in constant
-// time, never changes, and may be read by any number of goroutines.
-//
-// Amounts are whole thousandths (processors, accelerators) and millionths (money), so that
-// sums are exact however often something is added and taken away.
 package view
 
 import (
@@ -25,6 +18,7 @@
 	Cancelled
 )
 
+// String returns the name that people and scripts see.
 func (s Status) String() string {
 	return [...]string{"queued", "running", "done", "cancelled"}[s]
 }
@@ -49,7 +43,7 @@
 	Shard    uint32            `json:"share"`
 	Cpus     uint64            `json:"cpus_milli"` // a task
 	Gpus     uint64            `json:"gpus_milli"`
-	Submit   int64             `json:"submitted_ms"` // time of day, as all that end in Ms
+	Submit   int64             `json:"submitted_ms"` // time of day in ms, as all whose key ends in _ms
 	From     int64             `json:"from_ms"`      // from when on its times count
 	Due      int64             `json:"due_ms,omitempty"`
 	Estimate uint64            `json:"estimate_ms"` // its owner's estimate of a task's run time
@@ -96,6 +90,7 @@
 	Returning
 )
 
+// String returns the name that people and scripts see.
 func (s MachineState) String() string {
 	return [...]string{"booting", "idle", "busy", "sick", "draining", "returning"}[s]
 }
@@ -193,28 +188,28 @@
 
 // add adds a job's part, or takes it away with sign -1.
 func (s *Totals) add(job *Job, sign int64) {
-	n := uint64(sign) // sums wrap around, and come back exactly
+	times := uint64(sign) // sums wrap around, and come back exactly
 	switch job.Status {
 	case Queued:
-		s.Queued += n
+		s.Queued += times
 	case Running:
-		s.Running += n
+		s.Running += times
 	default:
-		s.Finished += n
+		s.Finished += times
 	}
-	w, p := uint64(job.Waiting()), uint64(job.Placed)
-	s.Waiting += n * w
-	s.Placed += n * p
-	s.UsedCpus += n * p * job.Cpus
-	s.UsedGpus += n * p * job.Gpus
-	s.WaitsCpus += n * w * job.Cpus
+	waiting, placed := uint64(job.Waiting()), uint64(job.Placed)
+	s.Waiting += times * waiting
+	s.Placed += times * placed
+	s.UsedCpus += times * placed * job.Cpus
+	s.UsedGpus += times * placed * job.Gpus
+	s.WaitsCpus += times * waiting * job.Cpus
 }
 
 // plus adds another sum.
-func (s *Totals) plus(o Totals) {
-	from := o.fields()
-	for i, f := range s.fields() {
-		*f += *from[i]
+func (s *Totals) plus(other Totals) {
+	from := other.fields()
+	for i, field := range s.fields() {
+		*field += *from[i]
 	}
 }
 
@@ -229,20 +224,21 @@
 	RateMicro uint64 `json:"money_micro_per_hour"`
 }
 
-func (f *Fleet) add(m *Machine, sign int64) {
-	n := uint64(sign)
-	f.Machines += n
-	if m.State == Booting {
-		f.Booting += n
+// add adds a machine's part, or takes it away with sign -1.
+func (f *Fleet) add(machine *Machine, sign int64) {
+	times := uint64(sign)
+	f.Machines += times
+	if machine.State == Booting {
+		f.Booting += times
 	}
-	f.Cpus += n * m.Cpus
-	f.Gpus += n * m.Gpus
-	f.UsedCpus += n * m.UsedCpus
-	f.UsedGpus += n * m.UsedGpus
-	f.RateMicro += n * m.Price
+	f.Cpus += times * machine.Cpus
+	f.Gpus += times * machine.Gpus
+	f.UsedCpus += times * machine.UsedCpus
+	f.UsedGpus += times * machine.UsedGpus
+	f.RateMicro += times * machine.Price
 }
 
-// Member is a controller controller's row.
+// Member is a controller's row: one member of the group of controllers.
 type Member struct {
 	Name   string   `json:"name"`
 	Alive  bool     `json:"alive"`
