--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -15,12 +15,14 @@
 	"github.com/valyala/fasthttp"
 
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/wait"
 )
 
 // How long a user waits and repeats, as the protocol has it.
 const (
 	submitAnswer = 5 * time.Second
 	pollAnswer   = 2 * time.Second
+	readyAnswer  = time.Second
 	retryAfter   = time.Second
 	longestAfter = 30 * time.Second
 	repeatFor    = time.Minute
@@ -49,7 +51,23 @@
 func New(addr string) *Users {
 	return &Users{addr: addr, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitAnswer, MaxResponseBodySize: 1 << 20,
-		Dial: func(a string) (net.Conn, error) { return net.DialTimeout("tcp", a, time.Second) }}}
+		Dial: Dial}}
+}
+
+// dialWithin is how long a connection may take to open.
+const dialWithin = time.Second
+
+// Dial opens a TCP connection within a second. It is for fasthttp.Client.Dial, which hands no context on.
+func Dial(address string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: dialWithin}
+	return dialer.DialContext(context.Background(), "tcp", address)
+}
+
+// Ready tells whether a load balancer or controller at an address takes requests: whether it answers
+// so within a second.
+func Ready(address string) bool {
+	status, _, err := fasthttp.GetTimeout(nil, "http://"+address+"/ready", readyAnswer)
+	return err == nil && status == fasthttp.StatusOK
 }
 
 type answer struct {
@@ -101,19 +119,15 @@
 		if u.Retried != nil {
 			u.Retried(answer.status, err)
 		}
-		wait := max(retryAfter, answer.after) + time.Duration(rand.Int64N(int64(retryAfter/4)))
+		pause := max(retryAfter, answer.after) + time.Duration(rand.Int64N(int64(retryAfter/4)))
 		if err == nil {
 			err = errors.New(reason(answer))
 		}
-		if time.Now().Add(wait).After(deadline) {
+		if time.Now().Add(pause).After(deadline) {
 			return state, fmt.Errorf("%w after %v: %w", ErrGaveUp, repeatFor, err)
 		}
-		t := time.NewTimer(wait)
-		select {
-		case <-ctx.Done():
-			t.Stop()
+		if !wait.For(ctx, pause) {
 			return state, fmt.Errorf("%w: %w", ErrGaveUp, ctx.Err())
-		case <-t.C:
 		}
 	}
 }
--- /dev/null
+++ b/internal/fieldcheck/fieldcheck_test.go
@@ -0,0 +1,25 @@
+package fieldcheck
+
+import (
+	"errors"
+	"testing"
+
+	"dykeledge/internal/config"
+)
+
+func TestFirstFieldIsKept(t *testing.T) {
+	check := Under("stream[2].")
+	if err := check.Err(); err != nil {
+		t.Errorf("nothing was checked: %v", err)
+	}
+	check.Want(true, "team", "a team's name")
+	if err := check.Err(); err != nil {
+		t.Errorf("all is as it should be: %v", err)
+	}
+	check.Want(false, "cpus", "a number above 0")
+	check.Want(false, "gpus", "a number of 0 or more")
+	var fieldError *config.FieldError
+	if err := check.Err(); !errors.As(err, &fieldError) || fieldError.Field != "stream[2].cpus" || fieldError.Expected != "a number above 0" {
+		t.Errorf("got %v, want the first of two fields", check.Err())
+	}
+}
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"dykeledge/internal/config"
+	"dykeledge/internal/fieldcheck"
 	"dykeledge/internal/protocol"
 )
 
@@ -121,36 +122,28 @@
 	_, known := protocol.ParsePriority(s.Priority)
 	part := func(v float64) bool { return v >= 0 && v <= 1 }
 	amount := func(v float64) bool { return v >= 0 && v <= 1e6 }
-	for _, c := range []struct {
-		ok              bool
-		field, expected string
-	}{
-		{s.Team != "", "team", "a team's name"},
-		{known, "priority", "low, normal, high or production"},
-		{s.PerMinute > 0 && s.PerMinute <= 60_000, "per_minute", "a rate from above 0 to 60000"},
-		{amount(s.FromS), "from_s", "seconds of 0 or more"},
-		{amount(s.ForS), "for_s", "seconds of 0 or more"},
-		{s.Tasks.within(1, protocol.MaxTasks), "tasks", "a list of one or two counts from 1 to 100000"},
-		{s.Cpus.within(1e-3, 1e4), "cpus", "a list of one or two numbers above 0"},
-		{s.Gpus.within(0, 1e4), "gpus", "a list of one or two numbers of 0 or more"},
-		{s.MemGB.within(0, 1e6), "mem_gb", "a list of one or two numbers of 0 or more"},
-		{s.RunS.within(0, 1e6), "run_s", "a list of one or two numbers of seconds"},
-		{s.CancelIn.within(0, 1e6), "cancel_in_s", "a list of one or two numbers of seconds"},
-		{part(s.OffBy), "off_by", "a part from 0 to 1"},
-		{part(s.CancelPart), "cancel_part", "a part from 0 to 1"},
-		{part(s.FailPart), "fail_part", "a part from 0 to 1"},
-		{part(s.ChainPart), "chain_part", "a part from 0 to 1"},
-		{amount(s.DueIn), "due_in", "a number of 0 or more"},
-		{amount(s.CheckpointS), "checkpoint_s", "seconds of 0 or more"},
-		{amount(s.SaveS), "save_s", "seconds of 0 or more"},
-		{amount(s.ImageGB), "image_gb", "a size of 0 or more"},
-		{!s.Service || s.ChainPart == 0, "chain_part", "0 for services: nothing can await them"},
-	} {
-		if !c.ok {
-			return &config.FieldError{Field: at + c.field, Expected: c.expected}
-		}
-	}
-	return nil
+	check := fieldcheck.Under(at)
+	check.Want(s.Team != "", "team", "a team's name")
+	check.Want(known, "priority", "low, normal, high or production")
+	check.Want(s.PerMinute > 0 && s.PerMinute <= 60_000, "per_minute", "a rate from above 0 to 60000")
+	check.Want(amount(s.FromS), "from_s", "seconds of 0 or more")
+	check.Want(amount(s.ForS), "for_s", "seconds of 0 or more")
+	check.Want(s.Tasks.within(1, protocol.MaxTasks), "tasks", "a list of one or two counts from 1 to 100000")
+	check.Want(s.Cpus.within(1e-3, 1e4), "cpus", "a list of one or two numbers above 0")
+	check.Want(s.Gpus.within(0, 1e4), "gpus", "a list of one or two numbers of 0 or more")
+	check.Want(s.MemGB.within(0, 1e6), "mem_gb", "a list of one or two numbers of 0 or more")
+	check.Want(s.RunS.within(0, 1e6), "run_s", "a list of one or two numbers of seconds")
+	check.Want(s.CancelIn.within(0, 1e6), "cancel_in_s", "a list of one or two numbers of seconds")
+	check.Want(part(s.OffBy), "off_by", "a part from 0 to 1")
+	check.Want(part(s.CancelPart), "cancel_part", "a part from 0 to 1")
+	check.Want(part(s.FailPart), "fail_part", "a part from 0 to 1")
+	check.Want(part(s.ChainPart), "chain_part", "a part from 0 to 1")
+	check.Want(amount(s.DueIn), "due_in", "a number of 0 or more")
+	check.Want(amount(s.CheckpointS), "checkpoint_s", "seconds of 0 or more")
+	check.Want(amount(s.SaveS), "save_s", "seconds of 0 or more")
+	check.Want(amount(s.ImageGB), "image_gb", "a size of 0 or more")
+	check.Want(!s.Service || s.ChainPart == 0, "chain_part", "0 for services: nothing can await them")
+	return check.Err()
 }
 
 func (r Range) within(low, high float64) bool {
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -1,6 +1,3 @@
-// Package localcluster runs a cluster on one machine: the controllers as real processes, and
-// around them, in this process, the state service, the cloud, the workers and the load
-// balancer, which are the stand-ins of the tests in real time over HTTP on loopback ports.
 package localcluster
 
 import (
@@ -20,19 +17,20 @@
 	"dykeledge/internal/config"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/simulator"
+	"dykeledge/internal/wait"
 )
 
 // Options say what cluster to run.
 type Options struct {
-	Program  string // the controller
-	Features string // its features file, "" for none
-	Machines int    // that can be rented in all
-	Up       int    // of these, up at the start
-	Seed     uint64
-	Speed    float64 // how many times as fast as stated machines come up, fetch and work
-	Dir      string  // for settings and logs
-	Faults   *Schedule
-	Log      *slog.Logger
+	Program  string       // the controller
+	Features string       // its features file, "" for none
+	Machines int          // that can be rented in all
+	Up       int          // of these, up at the start
+	Seed     uint64       // of the machines' boot times, prices and faults
+	Speed    float64      // how many times as fast as stated machines come up, fetch and work
+	Dir      string       // for settings and logs
+	Faults   *Schedule    // nil: none
+	Log      *slog.Logger // of faults and of controllers' ends
 
 	// Deployment is what is played; the zero value stands for Settings().
 	Deployment config.Deployment
@@ -42,7 +40,7 @@
 	Addresses Addresses
 	// Delay, if set, is how long a message takes between two zones.
 	Delay func(from, to string) time.Duration
-	// SharedTicker is for some hundred workers and more: see simulator.World.
+	// SharedTicker is for some hundred workers and more: see simulator.Simulation.
 	SharedTicker bool
 }
 
@@ -73,11 +71,12 @@
 	ports     *simulator.WorkerPorts
 	files     []*os.File
 	listeners []net.Listener
-	all       sync.WaitGroup
+	all       sync.WaitGroup // ends with the context
+	servers   sync.WaitGroup // end with their listeners
 	cancel    context.CancelFunc
 }
 
-// Settings is the deployment that the emulator plays.
+// Settings returns the deployment that a local cluster plays unless Options name another.
 func Settings() config.Deployment {
 	return config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"}, ClockSkewMs: 50,
 		Teams:     []config.Team{{Name: "red", Cpus: 64, CpusMax: 256}, {Name: "blue", Cpus: 64, Gpus: 4}, {Name: "green", Cpus: 16}, {Name: "guest"}},
@@ -87,7 +86,7 @@
 		Resources: config.Resources{CPU: 1, MemMB: 256, MaxConnections: 2000}}
 }
 
-// Catalog is what the emulator's cloud rents.
+// Catalog returns what the cloud of a local cluster rents unless Options name another.
 func Catalog(zones []string) protocol.Catalog {
 	return protocol.Catalog{Types: []protocol.MachineType{
 		{Name: "c8", Cpus: 8, MemGB: 32, CacheGB: 40, FetchGBs: 0.5, Price: 0.4, SpotPrice: 0.14, BootS: 12, Zones: zones},
@@ -102,15 +101,19 @@
 	neverBoots = 0.01
 )
 
-// Start starts a cluster. It runs until ctx ends; Stop ends it and waits.
-func Start(ctx context.Context, o Options) (*Cluster, error) {
+// readyAskedEvery is the time between two questions whether the cluster takes requests.
+const readyAskedEvery = 200 * time.Millisecond
+
+// Start starts a cluster, which runs until ctx ends or Stop is called; Stop must be called in any case.
+// An error says what could not be started; then nothing runs.
+func Start(ctx context.Context, options Options) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &Cluster{Dir: o.Dir, cancel: cancel}
-	if err := c.start(ctx, o); err != nil {
-		c.Stop()
+	cluster := &Cluster{Dir: options.Dir, cancel: cancel}
+	if err := cluster.start(ctx, options); err != nil {
+		cluster.Stop()
 		return nil, err
 	}
-	return c, nil
+	return cluster, nil
 }
 
 func (c *Cluster) start(ctx context.Context, options Options) error {
@@ -126,7 +129,7 @@
 		}
 	}
 	c.startSimulation(ctx, &options)
-	release, err := c.chooseAddresses(&options)
+	release, err := c.chooseAddresses(ctx, &options)
 	if err != nil {
 		return err
 	}
@@ -150,40 +153,40 @@
 // startSimulation makes the state service, the cloud and the workers' ports.
 func (c *Cluster) startSimulation(ctx context.Context, options *Options) {
 	deployment := &options.Deployment
-	sim := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
-	sim.Catalog, sim.CapacityOf, sim.Speed, sim.Log, sim.Delay = options.Catalog, options.Machines, options.Speed, options.Log, options.Delay
-	sim.LateBoots, sim.NeverBoots = lateBoots, neverBoots
-	sim.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
-	sim.Store.MaxValue, sim.Store.MaxOps = int(deployment.State.ValueKB*1024), deployment.State.TxnOps
-	sim.LimitCloud(deployment.Cloud.RPS)
+	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
+	simulation.Catalog, simulation.CapacityOf, simulation.Speed, simulation.Log, simulation.Delay = options.Catalog, options.Machines, options.Speed, options.Log, options.Delay
+	simulation.LateBoots, simulation.NeverBoots = lateBoots, neverBoots
+	simulation.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
+	simulation.Store.MaxValue, simulation.Store.MaxOps = int(deployment.State.ValueKB*1024), deployment.State.TxnOps
+	simulation.LimitCloud(deployment.Cloud.RPS)
 	workerAddress := options.Addresses.Worker
 	if workerAddress == nil {
 		workerAddress = simulator.AnyPort
 	}
-	c.Simulation, c.ports = sim, sim.ServeWorkers(workerAddress)
+	c.Simulation, c.ports = simulation, simulation.ServeWorkers(workerAddress)
 	if options.SharedTicker {
-		sim.SharedTicker = true
-		c.all.Go(sim.RunTicker)
+		simulation.SharedTicker = true
+		c.all.Go(simulation.RunTicker)
 	}
 }
 
 // chooseAddresses chooses where the controllers will listen. Ports that the system chose are held until release.
-func (c *Cluster) chooseAddresses(options *Options) (release func(), err error) {
-	n := options.Deployment.Controllers
-	c.public, c.Controllers = make([]string, n), make([]string, n)
+func (c *Cluster) chooseAddresses(ctx context.Context, options *Options) (release func(), err error) {
+	count := options.Deployment.Controllers
+	c.public, c.Controllers = make([]string, count), make([]string, count)
 	var held []net.Listener
 	release = func() {
 		for _, ln := range held {
 			_ = ln.Close() // nobody was served
 		}
 	}
-	for i := range n {
+	for i := range count {
 		if options.Addresses.Controller != nil {
 			c.public[i], c.Controllers[i] = options.Addresses.Controller(i)
 			continue
 		}
 		for _, address := range []*string{&c.public[i], &c.Controllers[i]} {
-			ln, err := net.Listen("tcp4", "127.0.0.1:0")
+			ln, err := listenOnLoopback(ctx)
 			if err != nil {
 				release()
 				return nil, err
@@ -197,15 +200,15 @@
 
 // startAround starts what is around the controllers, and writes their settings files.
 func (c *Cluster) startAround(ctx context.Context, options *Options) (files []string, err error) {
-	front := simulator.NewLoadBalancer()
+	loadBalancer := simulator.NewLoadBalancer()
 	zones := options.Deployment.Zones
 	for i := range options.Deployment.Controllers {
-		n := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
-		front.AddController(n, c.public[i])
+		controller := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
+		loadBalancer.AddController(controller, c.public[i])
 		c.Meters = append(c.Meters, &ControllerMeters{})
 	}
 	for i := range options.Deployment.Controllers {
-		settings, err := c.settings(i, options)
+		settings, err := c.startServices(ctx, i, options)
 		if err != nil {
 			return nil, err
 		}
@@ -219,47 +222,47 @@
 		}
 		files = append(files, file)
 	}
-	if c.Users, err = c.serve(&c.LoadBalancer, front.Serve); err != nil {
+	if c.Users, err = c.serve(ctx, &c.LoadBalancer, loadBalancer.Serve); err != nil {
 		return nil, err
 	}
-	if c.Uploads, err = c.serve(nil, c.Simulation.ServeUploads); err != nil {
+	if c.Uploads, err = c.serve(ctx, nil, c.Simulation.ServeUploads); err != nil {
 		return nil, err
 	}
-	front.Run(ctx)
+	loadBalancer.Run(ctx)
 	return files, nil
 }
 
-// settings starts what one controller calls, and returns its settings.
-func (c *Cluster) settings(i int, options *Options) (*config.Settings, error) {
-	sim, process, meters := c.Simulation, c.Simulation.Controller(i), c.Meters[i]
-	configSettings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[i], PeerListen: c.Controllers[i], Deployment: options.Deployment}
-	link := sim.Store.Open(process)
+// startServices starts what one controller calls, and returns the controller's settings.
+func (c *Cluster) startServices(ctx context.Context, i int, options *Options) (*config.Settings, error) {
+	simulation, process, meters := c.Simulation, c.Simulation.Controller(i), c.Meters[i]
+	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[i], PeerListen: c.Controllers[i], Deployment: options.Deployment}
+	link := simulation.Store.Open(process)
 	meters.Requests = &link.Requests
 	var err error
-	if configSettings.External.State, err = c.serve(&meters.State, func(ln net.Listener) error { return simulator.ServeState(link, ln) }); err != nil {
+	if settings.External.State, err = c.serve(ctx, &meters.State, func(ln net.Listener) error { return simulator.ServeState(link, ln) }); err != nil {
 		return nil, err
 	}
-	if configSettings.External.Cloud, err = c.serve(&meters.Cloud, func(ln net.Listener) error { return sim.ServeCloud(process, ln) }); err != nil {
+	if settings.External.Cloud, err = c.serve(ctx, &meters.Cloud, func(ln net.Listener) error { return simulation.ServeCloud(process, ln) }); err != nil {
 		return nil, err
 	}
 	for k := range options.Deployment.Controllers {
 		if k == i {
 			continue
 		}
-		other := sim.Controller(k)
+		other := simulation.Controller(k)
 		way := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
-			return process.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || sim.ZonesPartitioned(process.Zone, other.Zone)
+			return process.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || simulation.ZonesPartitioned(process.Zone, other.Zone)
 		}}
 		if options.Delay != nil {
 			way.Delay = func() time.Duration { return options.Delay(process.Zone, other.Zone) }
 		}
-		address, err := c.serve(nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[k], way) })
+		address, err := c.serve(ctx, nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[k], way) })
 		if err != nil {
 			return nil, err
 		}
-		configSettings.Known = append(configSettings.Known, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
+		settings.Known = append(settings.Known, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
 	}
-	return configSettings, nil
+	return settings, nil
 }
 
 // startControllers starts the controllers' processes.
@@ -271,24 +274,24 @@
 			return err
 		}
 		c.files = append(c.files, out)
-		p := &process{name: name, program: options.Program, args: []string{"--config", file}, output: out, log: options.Log}
+		controller := &process{name: name, program: options.Program, args: []string{"--config", file}, output: out, log: options.Log}
 		if options.Features != "" {
-			p.args = append(p.args, "--features", options.Features)
+			controller.args = append(controller.args, "--features", options.Features)
 		}
-		c.processes = append(c.processes, p)
+		c.processes = append(c.processes, controller)
 	}
-	for _, p := range c.processes {
+	for _, controller := range c.processes {
 		c.all.Go(func() {
 			runtime.LockOSThread() // a process that ends with its parent does so with the thread that began it
-			p.run(ctx)
+			controller.run(ctx)
 		})
 	}
 	return nil
 }
 
 // serve serves on a loopback port until the cluster stops; what passes there is counted where there is a meter.
-func (c *Cluster) serve(meter *simulator.Meter, f func(net.Listener) error) (string, error) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func (c *Cluster) serve(ctx context.Context, meter *simulator.Meter, serve func(net.Listener) error) (string, error) {
+	ln, err := listenOnLoopback(ctx)
 	if err != nil {
 		return "", err
 	}
@@ -296,21 +299,29 @@
 		ln = meter.Listen(ln)
 	}
 	c.listeners = append(c.listeners, ln)
-	go func() { _ = f(ln) }() // ends with its listener
+	c.servers.Go(func() { _ = serve(ln) }) // it ends as its listener is closed, and says so
 	return ln.Addr().String(), nil
 }
 
-// Ready waits until the load balancer would find a controller that takes requests.
+// listenOnLoopback listens on a loopback port that the system chooses.
+func listenOnLoopback(ctx context.Context) (net.Listener, error) {
+	var listenConfig net.ListenConfig
+	return listenConfig.Listen(ctx, "tcp4", "127.0.0.1:0")
+}
+
+// Ready waits until the load balancer finds a controller that takes requests, as ask tells of an address.
+// An error says that ctx has ended before.
 func (c *Cluster) Ready(ctx context.Context, ask func(addr string) bool) error {
 	for !ask(c.Users) {
-		if !sleepUntil(ctx, time.Now().Add(200*time.Millisecond)) {
+		if !wait.For(ctx, readyAskedEvery) {
 			return errors.New("no controller became ready: see the logs in " + c.Dir)
 		}
 	}
 	return nil
 }
 
-// Pids are the controllers' processes, 0 for one that does not run now.
+// Pids returns the ids of the controllers' processes, 0 for one that does not run now. It may be called
+// by any goroutine.
 func (c *Cluster) Pids() []int {
 	out := make([]int, len(c.processes))
 	for i, p := range c.processes {
@@ -319,24 +330,25 @@
 	return out
 }
 
-// Ends is how many times a controller ended that nobody had asked to.
+// Ends returns how many times a controller ended that nobody had asked to. It may be called by any goroutine.
 func (c *Cluster) Ends() int {
 	n := 0
 	for _, p := range c.processes {
 		p.mu.Lock()
-		n += p.Ends
+		n += p.unasked
 		p.mu.Unlock()
 	}
 	return n
 }
 
-// Stop ends all that was started and waits for it.
+// Stop ends all that was started and waits for it. It is called once.
 func (c *Cluster) Stop() {
 	c.cancel()
 	c.all.Wait()
 	for _, ln := range c.listeners {
 		_ = ln.Close() // nobody is served any more
 	}
+	c.servers.Wait()
 	if c.ports != nil {
 		_ = c.ports.Close() // likewise
 	}
--- a/internal/scaletest/profile.go
+++ b/internal/scaletest/profile.go
@@ -8,6 +8,7 @@
 	"os"
 
 	"dykeledge/internal/config"
+	"dykeledge/internal/fieldcheck"
 )
 
 // Profile describes the deployment at its whole size, and how a run at a part of it is played. One second of a run is one
@@ -124,42 +125,37 @@
 )
 
 func (p *Profile) check() error {
-	for _, c := range []struct {
-		ok              bool
-		field, expected string
-	}{
-		{p.Workers >= 1 && p.Workers <= mostWorkers, "workers", "a count from 1 to 60000"},
-		{p.RunningTasks >= 1 && p.RunningTasks <= 1_000_000, "running_tasks", "a count from 1 to 1000000"},
-		{p.StartsPerS > 0 && p.StartsPerS <= 1e5, "starts_per_s", "a rate from above 0 to 100000"},
-		{p.JobsPerDay > 0 && p.JobsPerDay <= 1e8, "jobs_per_day", "a count above 0"},
-		{p.PeakOfJobs >= 1 && p.PeakOfJobs <= 1e4, "peak_of_jobs", "a factor from 1"},
-		{p.LargestJob >= 1 && p.LargestJob <= 100_000, "largest_job", "tasks from 1 to 100000"},
-		{p.UrgentPart >= 0 && p.UrgentPart < 1, "urgent_part", "a part from 0 to below 1"},
-		{p.UrgentTasks >= 1 && p.UrgentTasks <= 1000, "urgent_tasks", "tasks from 1 to 1000"},
-		{p.Teams >= 2 && p.Teams <= mostTeams, "teams", "a count from 2 to 10000"},
-		{p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a part from 0.1 to below 1"},
-		{p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more"},
-		{p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more"},
-		{p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more"},
-		{p.WorkersPerRack >= 1, "rack_workers", "a count above 0"},
-		{len(p.Regions) <= mostRegions, "region", "at most 32 regions"},
-		{p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0"},
-		{p.Worker.BootS > 0, "worker.boot_s", "seconds above 0"},
-		{p.Worker.ReportS > 0 && p.Worker.LeaseS > 2*p.Worker.ReportS, "worker.lease_s", "more than two reports"},
-		{p.Worker.CancelS > 0, "worker.cancel_s", "seconds above 0"},
-		{p.Controller.PerRegion >= 1 && p.Controller.PerRegion <= 9, "controller.per_region", "a count from 1 to 9"},
-		{p.Controller.CPU > 0, "controller.cpu", "cores above 0"},
-		{p.Controller.MemMB >= 64, "controller.mem_mb", "at least 64"},
-		{p.Controller.MaxConnections >= 100, "controller.max_connections", "at least 100"},
-		{p.State.RPS > 0 && p.State.WriteRPS > 0, "state.rps", "rates above 0"},
-		{p.State.ValueKB >= 1, "state.value_kb", "at least 1"},
-		{p.State.TxnOps >= 4, "state.txn_ops", "at least 4"},
-		{p.State.CloudRPS > 0, "state.cloud_rps", "a rate above 0"},
-		{p.Delays.WithinZoneMs >= 0 && p.Delays.BetweenZonesMs >= 0, "delays", "milliseconds of 0 or more"},
-	} {
-		if !c.ok {
-			return &config.FieldError{Field: c.field, Expected: c.expected}
-		}
+	check := fieldcheck.Under("")
+	check.Want(p.Workers >= 1 && p.Workers <= mostWorkers, "workers", "a count from 1 to 60000")
+	check.Want(p.RunningTasks >= 1 && p.RunningTasks <= 1_000_000, "running_tasks", "a count from 1 to 1000000")
+	check.Want(p.StartsPerS > 0 && p.StartsPerS <= 1e5, "starts_per_s", "a rate from above 0 to 100000")
+	check.Want(p.JobsPerDay > 0 && p.JobsPerDay <= 1e8, "jobs_per_day", "a count above 0")
+	check.Want(p.PeakOfJobs >= 1 && p.PeakOfJobs <= 1e4, "peak_of_jobs", "a factor from 1")
+	check.Want(p.LargestJob >= 1 && p.LargestJob <= 100_000, "largest_job", "tasks from 1 to 100000")
+	check.Want(p.UrgentPart >= 0 && p.UrgentPart < 1, "urgent_part", "a part from 0 to below 1")
+	check.Want(p.UrgentTasks >= 1 && p.UrgentTasks <= 1000, "urgent_tasks", "tasks from 1 to 1000")
+	check.Want(p.Teams >= 2 && p.Teams <= mostTeams, "teams", "a count from 2 to 10000")
+	check.Want(p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a part from 0.1 to below 1")
+	check.Want(p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more")
+	check.Want(p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more")
+	check.Want(p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more")
+	check.Want(p.WorkersPerRack >= 1, "rack_workers", "a count above 0")
+	check.Want(len(p.Regions) <= mostRegions, "region", "at most 32 regions")
+	check.Want(p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0")
+	check.Want(p.Worker.BootS > 0, "worker.boot_s", "seconds above 0")
+	check.Want(p.Worker.ReportS > 0 && p.Worker.LeaseS > 2*p.Worker.ReportS, "worker.lease_s", "more than two reports")
+	check.Want(p.Worker.CancelS > 0, "worker.cancel_s", "seconds above 0")
+	check.Want(p.Controller.PerRegion >= 1 && p.Controller.PerRegion <= 9, "controller.per_region", "a count from 1 to 9")
+	check.Want(p.Controller.CPU > 0, "controller.cpu", "cores above 0")
+	check.Want(p.Controller.MemMB >= 64, "controller.mem_mb", "at least 64")
+	check.Want(p.Controller.MaxConnections >= 100, "controller.max_connections", "at least 100")
+	check.Want(p.State.RPS > 0 && p.State.WriteRPS > 0, "state.rps", "rates above 0")
+	check.Want(p.State.ValueKB >= 1, "state.value_kb", "at least 1")
+	check.Want(p.State.TxnOps >= 4, "state.txn_ops", "at least 4")
+	check.Want(p.State.CloudRPS > 0, "state.cloud_rps", "a rate above 0")
+	check.Want(p.Delays.WithinZoneMs >= 0 && p.Delays.BetweenZonesMs >= 0, "delays", "milliseconds of 0 or more")
+	if err := check.Err(); err != nil {
+		return err
 	}
 	return p.checkRegions()
 }
