--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -90,11 +90,11 @@
 		case <-changed:
 		case err := <-ended:
 			if err == nil {
-				err = errors.New(follower.State().Trouble)
+				err = errors.New(follower.State().Warning)
 			}
 			return nil, err
 		case <-ctx.Done():
-			return nil, fmt.Errorf("no view of the cluster: %s", follower.State().Trouble)
+			return nil, fmt.Errorf("no view of the cluster: %s", follower.State().Warning)
 		}
 	}
 }
@@ -112,11 +112,7 @@
 		rows = table.Rows(state, now, why, 0, false, filter)
 	}
 	if a.output == "json" {
-		v, err := document(state, table, rows, why)
-		if err != nil {
-			return failed(err)
-		}
-		return a.print(out, v, nil, nil)
+		return a.print(out, document(state, table, rows, why), nil, nil)
 	}
 	var titles []string
 	for _, c := range table.Columns {
@@ -134,7 +130,7 @@
 }
 
 // document is a table for scripts: the rows as they are, with the head that they belong to.
-func document(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) (any, error) {
+func document(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) any {
 	out := struct {
 		view.Head
 		AgeS  float64                `json:"age_s"`
@@ -167,7 +163,7 @@
 			}
 		}
 	}
-	return out, nil
+	return out
 }
 
 func (a *app) consoleCommand() *cobra.Command {
@@ -218,7 +214,7 @@
 	var every time.Duration
 	command := &cobra.Command{
 		Use: "record", Short: "Record the cluster's history for reports, until interrupted", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) (err error) {
 			_, cluster, err := a.cluster()
 			if err != nil {
 				return err
@@ -233,7 +229,11 @@
 			if err != nil {
 				return usage(err)
 			}
-			defer out.Close()
+			defer func() {
+				if closeErr := out.Close(); closeErr != nil && err == nil {
+					err = failed(closeErr)
+				}
+			}()
 			ctx, cancel := context.WithCancel(cmd.Context())
 			defer cancel()
 			follower, ended := follow(ctx, cluster, view.Operators)
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -31,7 +31,7 @@
 	garbles    func([]byte) []byte
 }
 
-func (s simulationSource) Nodes() (out []string) {
+func (s simulationSource) Controllers() (out []string) {
 	for i := range s.nodes {
 		out = append(out, fmt.Sprintf("n%d", i))
 	}
@@ -70,6 +70,7 @@
 }
 
 func (r *reference) advance(t *testing.T, to uint64) {
+	t.Helper()
 	for _, e := range r.store.Changes(r.cache.Revision, to) {
 		if err := r.cache.Apply(e.Put+e.Delete, e.Value, e.Version, e.Delete != ""); err != nil {
 			t.Fatal(err)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -14,7 +14,7 @@
 type Model struct {
 	follow   *viewclient.Follower
 	cluster  string
-	ctx      context.Context
+	ctx      context.Context //nolint:containedctx // bubbletea calls Init, Update and View without one
 	tables   []Table
 	state    *viewclient.State
 	why      map[string]viewclient.Why
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -74,16 +74,16 @@
 func (m *Model) warning() string {
 	s := m.state
 	if s.Snapshot == nil {
-		return clean(s.Trouble)
+		return clean(s.Warning)
 	}
 	if age := s.Age(m.now()); age > viewclient.Fresh {
-		why := s.Trouble
+		why := s.Warning
 		if why == "" {
 			why = "no newer answer yet"
 		}
 		return fmt.Sprintf("THIS IS %s: %s", strings.ToUpper(ageText(age)), clean(why))
 	}
-	return clean(s.Trouble)
+	return clean(s.Warning)
 }
 
 func (m *Model) summary() string {
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -1,6 +1,3 @@
-// Package viewclient follows a deployment's read model from outside: it asks one controller, goes on to
-// the next when that one fails, and shows only what is whole and no older than what it
-// has shown before.
 package viewclient
 
 import (
@@ -12,16 +9,17 @@
 	"time"
 
 	"dykeledge/internal/view"
+	"dykeledge/internal/wait"
 )
 
 // Source asks the controllers of a deployment.
 type Source interface {
-	// Controllers are the names by which the controllers are called in messages to people.
-	Nodes() []string
+	// Controllers returns the names by which the controllers are called in messages to people.
+	Controllers() []string
 	// Page asks a controller for the changes after a cursor, and lets it wait that long for some.
-	Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error)
+	Page(ctx context.Context, controller int, scope view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error)
 	// Reasons asks a controller why jobs wait.
-	Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error)
+	Reasons(ctx context.Context, controller int, scope view.Scope, ids []string) ([]view.Reason, error)
 }
 
 // Errors of a source that another controller would not answer better.
@@ -30,12 +28,12 @@
 	ErrNoTeam = errors.New("no such team")
 )
 
-// State is what a viewer shows now.
+// State is what a view client shows now. It never changes, and may be read by any number of goroutines.
 type State struct {
 	*view.Snapshot        // nil: nothing yet
 	Asked          string // the controller that it came from
 	Sent           time.Time
-	Trouble        string // why it may be older than it should, "" if all is well
+	Warning        string // why it may be older than it should, "" if all is well
 }
 
 // Age is how old the state may be at most: the time since its revision was certainly the
@@ -60,28 +58,28 @@
 	turnMost   = time.Minute
 )
 
-// Follower keeps a state up to date.
+// Follower keeps a state up to date while Run runs.
 type Follower struct {
-	src   Source
-	scope view.Scope
-	pause time.Duration
-	state atomic.Pointer[State]
-	mu    sync.Mutex
-	fresh chan struct{}
-	turn  time.Duration
-}
-
-// NewFollower follows what a scope may see; pause is the least time between two requests.
-func NewFollower(src Source, scope view.Scope, pause time.Duration) *Follower {
-	f := &Follower{src: src, scope: scope, pause: pause, fresh: make(chan struct{}), turn: turnFirst}
-	f.state.Store(&State{Trouble: "asking " + src.Nodes()[0]})
+	source Source
+	scope  view.Scope
+	pause  time.Duration
+	state  atomic.Pointer[State]
+	mu     sync.Mutex
+	fresh  chan struct{}
+	turn   time.Duration
+}
+
+// NewFollower returns a follower of what a scope may see; pause is the least time between two requests.
+func NewFollower(source Source, scope view.Scope, pause time.Duration) *Follower {
+	f := &Follower{source: source, scope: scope, pause: pause, fresh: make(chan struct{}), turn: turnFirst}
+	f.state.Store(&State{Warning: "asking " + source.Controllers()[0]})
 	return f
 }
 
-// State is what there is to show now.
+// State returns what there is to show now. It may be called by any goroutine.
 func (f *Follower) State() *State { return f.state.Load() }
 
-// Changed is closed when the state changes next.
+// Changed returns a channel that is closed when the state changes next. It may be called by any goroutine.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,10 +94,10 @@
 	f.fresh = make(chan struct{})
 }
 
-// trouble keeps what is shown, and says what is wrong.
-func (f *Follower) trouble(why string) {
+// warn keeps what is shown, and says what is wrong.
+func (f *Follower) warn(why string) {
 	s := *f.state.Load()
-	s.Trouble = why
+	s.Warning = why
 	f.set(&s)
 }
 
@@ -107,104 +105,125 @@
 // the view is off everywhere, or there is no such team.
 func (f *Follower) Run(ctx context.Context) error {
 	retry, off := retryFirst, 0
-	for node := 0; ctx.Err() == nil; node = (node + 1) % len(f.src.Nodes()) {
-		name := f.src.Nodes()[node]
-		had := f.State().Snapshot
-		err := f.follow(ctx, node)
+	for controller := 0; ctx.Err() == nil; controller = (controller + 1) % len(f.source.Controllers()) {
+		name := f.source.Controllers()[controller]
+		before := f.State().Snapshot
+		err := f.follow(ctx, controller)
 		switch {
 		case ctx.Err() != nil:
 			return nil
 		case errors.Is(err, ErrNoTeam):
 			return err
 		case errors.Is(err, ErrOff):
-			if off++; off >= len(f.src.Nodes()) {
+			if off++; off >= len(f.source.Controllers()) {
 				return err
 			}
 		default:
 			off = 0
 		}
-		f.trouble(fmt.Sprintf("%s: %v", name, err))
-		if f.State().Snapshot != had {
+		f.warn(fmt.Sprintf("%s: %v", name, err))
+		if f.State().Snapshot != before {
 			retry = retryFirst
 		}
-		sleep(ctx, retry)
+		wait.For(ctx, retry)
 		retry = min(retryMost, 2*retry)
 	}
 	return nil
 }
 
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
-
 var errBehind = errors.New("behind the state service, asking another node")
 
+// session is what has been read of one controller's feed.
+type session struct {
+	controller  int
+	mirror      *view.Model
+	cursor      view.Cursor
+	behindSince time.Time // zero: it is not behind
+}
+
 // follow reads one controller's feed until something is wrong with it.
-func (f *Follower) follow(ctx context.Context, node int) error {
-	mirror, cur := view.NewMirror(), view.Cursor{}
-	var behind time.Time
+func (f *Follower) follow(ctx context.Context, controller int) error {
+	session := &session{controller: controller, mirror: view.NewMirror()}
 	for ctx.Err() == nil {
 		sent := time.Now()
-		within, cancel := context.WithTimeout(ctx, waitNew+answerIn)
-		raw, err := f.src.Page(within, node, f.scope, cur, waitNew)
-		cancel()
+		snapshot, err := f.read(ctx, session)
 		if err != nil {
 			return err
 		}
-		page, err := view.ReadPage(raw)
-		if err != nil {
-			return err
-		}
-		if page.Reset {
-			mirror = view.NewMirror()
-		}
-		page.Apply(mirror)
-		cur = page.Next
-		if page.Head == nil {
+		if snapshot == nil {
 			continue
 		}
-		snap := mirror.Mirrored(*page.Head)
-		if err := snap.Check(); err != nil {
-			return err // never shown
-		}
-		was := f.State()
-		now := time.Now()
-		next := &State{Snapshot: snap, Asked: f.src.Nodes()[node], Sent: sent}
-		old := next.Age(now) > Fresh
-		if !old {
-			behind, f.turn = time.Time{}, turnFirst
-		} else if behind.IsZero() {
-			behind = now
-		}
-		switch {
-		case !snap.StateOK:
-			next.Trouble = "the state service does not answer"
-		case old:
-			next.Trouble = "behind the state service"
-		}
-		if was.Snapshot == nil || snap.Revision >= was.Revision {
-			f.set(next)
-		} else {
-			// What was shown before is newer: a job that was shown as over would be open again.
-			f.trouble(next.Asked + " is behind what is shown")
-			if behind.IsZero() {
-				behind = now
-			}
-		}
-		if !behind.IsZero() && now.Sub(behind) > f.turn && len(f.src.Nodes()) > 1 {
-			f.turn = min(turnMost, 2*f.turn) // in an outage all controllers are behind
+		f.show(session, &State{Snapshot: snapshot, Asked: f.source.Controllers()[controller], Sent: sent})
+		if f.leaves(session) {
 			return errBehind
 		}
-		sleep(ctx, f.pause)
+		wait.For(ctx, f.pause)
 	}
 	return ctx.Err()
 }
 
+// read asks for one page and returns the snapshot that it completes, nil if more pages have to follow.
+func (f *Follower) read(ctx context.Context, session *session) (*view.Snapshot, error) {
+	within, cancel := context.WithTimeout(ctx, waitNew+answerIn)
+	defer cancel()
+	raw, err := f.source.Page(within, session.controller, f.scope, session.cursor, waitNew)
+	if err != nil {
+		return nil, err
+	}
+	page, err := view.ReadPage(raw)
+	if err != nil {
+		return nil, err
+	}
+	if page.Reset {
+		session.mirror = view.NewMirror()
+	}
+	page.Apply(session.mirror)
+	session.cursor = page.Next
+	if page.Head == nil {
+		return nil, nil
+	}
+	snapshot := session.mirror.Mirrored(*page.Head)
+	if err := snapshot.Check(); err != nil {
+		return nil, err // never shown
+	}
+	return snapshot, nil
+}
+
+// show shows a state, unless a newer one was shown before, and notes since when its controller is behind.
+func (f *Follower) show(session *session, next *State) {
+	now := time.Now()
+	old := next.Age(now) > Fresh
+	if !old {
+		session.behindSince, f.turn = time.Time{}, turnFirst
+	} else if session.behindSince.IsZero() {
+		session.behindSince = now
+	}
+	switch {
+	case !next.StateOK:
+		next.Warning = "the state service does not answer"
+	case old:
+		next.Warning = "behind the state service"
+	}
+	if shown := f.State(); shown.Snapshot == nil || next.Revision >= shown.Revision {
+		f.set(next)
+		return
+	}
+	// What was shown before is newer: a job that was shown as over would be open again.
+	f.warn(next.Asked + " is behind what is shown")
+	if session.behindSince.IsZero() {
+		session.behindSince = now
+	}
+}
+
+// leaves tells whether it is another controller's turn.
+func (f *Follower) leaves(session *session) bool {
+	if session.behindSince.IsZero() || time.Since(session.behindSince) <= f.turn || len(f.source.Controllers()) < 2 {
+		return false
+	}
+	f.turn = min(turnMost, 2*f.turn) // in an outage all controllers are behind
+	return true
+}
+
 // Why is why a job waits, and when that was heard.
 type Why struct {
 	view.Reason
@@ -225,20 +244,20 @@
 	}
 	within, cancel := context.WithTimeout(ctx, answerIn)
 	defer cancel()
-	nodes := f.src.Nodes()
-	ch := make(chan answer, len(nodes))
-	for i := range nodes {
+	controllers := f.source.Controllers()
+	answers := make(chan answer, len(controllers))
+	for i := range controllers {
 		go func() {
 			at := time.Now()
-			list, err := f.src.Reasons(within, i, f.scope, ids)
+			list, err := f.source.Reasons(within, i, f.scope, ids)
 			if err != nil {
 				list = nil // others may know it
 			}
-			ch <- answer{list, at}
+			answers <- answer{list, at}
 		}()
 	}
-	for range nodes {
-		a := <-ch
+	for range controllers {
+		a := <-answers
 		for _, r := range a.list {
 			if old, ok := out[r.Job]; !ok || r.Owner && !old.Owner {
 				out[r.Job] = Why{r, a.at}
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -14,19 +14,19 @@
 
 // script is a source whose controllers answer as told.
 type script struct {
-	nodes  []func(cur view.Cursor) ([]byte, error)
-	asked  []int
-	reason func(node int) []view.Reason
+	controllers []func(cur view.Cursor) ([]byte, error)
+	asked       []int
+	reason      func(controller int) []view.Reason
 }
 
-func (s *script) Nodes() []string { return []string{"n1", "n2"}[:len(s.nodes)] }
-func (s *script) Page(_ context.Context, node int, _ view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
-	s.asked = append(s.asked, node)
+func (s *script) Controllers() []string { return []string{"n1", "n2"}[:len(s.controllers)] }
+func (s *script) Page(_ context.Context, controller int, _ view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
+	s.asked = append(s.asked, controller)
 	time.Sleep(wait)
-	return s.nodes[node](cur)
+	return s.controllers[controller](cur)
 }
-func (s *script) Reasons(_ context.Context, node int, _ view.Scope, _ []string) ([]view.Reason, error) {
-	return s.reason(node), nil
+func (s *script) Reasons(_ context.Context, controller int, _ view.Scope, _ []string) ([]view.Reason, error) {
+	return s.reason(controller), nil
 }
 
 // answers answers with a job in a state at a revision, as old as told.
@@ -52,11 +52,11 @@
 	}
 	off := func(view.Cursor) ([]byte, error) { return nil, ErrOff }
 	for _, c := range []struct {
-		name    string
-		nodes   []func(view.Cursor) ([]byte, error)
-		rev     uint64 // shown in the end; 0: nothing
-		trouble string // said in the end
-		ends    error
+		name        string
+		controllers []func(view.Cursor) ([]byte, error)
+		rev         uint64 // shown in the end; 0: nothing
+		warning     string // said in the end
+		ends        error
 	}{
 		{"one answers", []func(view.Cursor) ([]byte, error){answers(1, 9, view.Done, 0, true), fails("x")}, 9, "", nil},
 		{"the first is dead", []func(view.Cursor) ([]byte, error){fails("does not answer"), answers(1, 9, view.Done, 0, true)}, 9, "", nil},
@@ -73,7 +73,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				f := NewFollower(&script{nodes: c.nodes}, view.Operators, 200*time.Millisecond)
+				f := NewFollower(&script{controllers: c.controllers}, view.Operators, 200*time.Millisecond)
 				if err := f.Run(ctx); !errors.Is(err, c.ends) {
 					t.Errorf("ended with %v, want %v", err, c.ends)
 				}
@@ -81,8 +81,8 @@
 				if s.Snapshot == nil != (c.rev == 0) || s.Snapshot != nil && s.Revision != c.rev {
 					t.Errorf("shows %+v, want revision %d", s.Snapshot, c.rev)
 				}
-				if !strings.Contains(s.Trouble, c.trouble) || c.trouble == "" && c.rev > 0 && s.Trouble != "" {
-					t.Errorf("says %q, want %q", s.Trouble, c.trouble)
+				if !strings.Contains(s.Warning, c.warning) || c.warning == "" && c.rev > 0 && s.Warning != "" {
+					t.Errorf("says %q, want %q", s.Warning, c.warning)
 				}
 			})
 		})
@@ -97,7 +97,7 @@
 		defer cancel()
 		began := time.Now()
 		first := answers(1, 9, view.Done, 0, true)
-		follower := NewFollower(&script{nodes: []func(view.Cursor) ([]byte, error){
+		follower := NewFollower(&script{controllers: []func(view.Cursor) ([]byte, error){
 			func(cur view.Cursor) ([]byte, error) {
 				if time.Since(began) > 5*time.Second {
 					return nil, errors.New("does not answer")
@@ -118,7 +118,7 @@
 					if j := s.Job("job-000001"); j.Status != view.Done {
 						t.Errorf("shown %s after it was shown done, at revision %d", j.Status, s.Revision)
 					}
-					if strings.Contains(s.Trouble, "behind what is shown") {
+					if strings.Contains(s.Warning, "behind what is shown") {
 						told.Store(true)
 					}
 				}
@@ -137,8 +137,8 @@
 
 // TestReasons: the controller that decides why a job waits is believed, whoever answers first.
 func TestReasons(t *testing.T) {
-	src := &script{nodes: make([]func(view.Cursor) ([]byte, error), 2), reason: func(node int) []view.Reason {
-		if node == 1 {
+	src := &script{controllers: make([]func(view.Cursor) ([]byte, error), 2), reason: func(controller int) []view.Reason {
+		if controller == 1 {
 			return []view.Reason{{Job: "job-000001", Why: "no room", Owner: true}}
 		}
 		return []view.Reason{{Job: "job-000001", Why: "decided by node n2"}, {Job: "job-000002", Why: "its share has no owner"}}
--- a/internal/viewclient/http.go
+++ b/internal/viewclient/http.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"net/url"
 	"strconv"
 	"strings"
@@ -13,62 +12,65 @@
 
 	"github.com/valyala/fasthttp"
 
+	"dykeledge/internal/client"
 	"dykeledge/internal/view"
 )
 
-// HTTP asks controllers through their administration API.
+// HTTP is a Source that asks controllers through their administration API. Any number of goroutines may
+// use it.
 type HTTP struct {
-	addrs  []string
-	client *fasthttp.Client
+	addresses []string
+	client    *fasthttp.Client
 }
 
-// NewHTTP asks the controllers at these addresses, their peer_listen.
-func NewHTTP(addrs []string) *HTTP {
-	return &HTTP{addrs: addrs, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+// NewHTTP returns a source that asks the controllers at these addresses, their peer_listen.
+func NewHTTP(addresses []string) *HTTP {
+	return &HTTP{addresses: addresses, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxResponseBodySize: 4 * view.MaxPage, MaxIdleConnDuration: 10 * time.Second,
-		Dial: func(a string) (net.Conn, error) { return net.DialTimeout("tcp", a, time.Second) }}}
+		Dial: client.Dial}}
 }
 
-// Controllers are the addresses.
-func (h *HTTP) Nodes() []string { return h.addrs }
+// Controllers returns the addresses of the controllers that are asked.
+func (h *HTTP) Controllers() []string { return h.addresses }
 
-func (h *HTTP) get(ctx context.Context, node int, path string, query url.Values) ([]byte, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + h.addrs[node] + "/admin/v1" + path + "?" + query.Encode())
+// get sends one request and returns the body of its answer. Only the deadline of ctx bounds it.
+func (h *HTTP) get(ctx context.Context, controller int, path string, query url.Values) ([]byte, error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + h.addresses[controller] + "/admin/v1" + path + "?" + query.Encode())
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(answerIn)
 	}
-	if err := h.client.DoDeadline(req, resp, deadline); err != nil {
+	if err := h.client.DoDeadline(request, response, deadline); err != nil {
 		return nil, fmt.Errorf("does not answer: %w", err)
 	}
-	if resp.StatusCode() == fasthttp.StatusOK {
-		return append([]byte(nil), resp.Body()...), nil
+	if response.StatusCode() == fasthttp.StatusOK {
+		return append([]byte(nil), response.Body()...), nil
 	}
-	var r struct{ Error, Field string }
-	if json.Unmarshal(resp.Body(), &r) != nil || r.Error == "" {
-		r.Error = "status " + strconv.Itoa(resp.StatusCode())
+	var refusal struct{ Error, Field string }
+	if json.Unmarshal(response.Body(), &refusal) != nil || refusal.Error == "" {
+		refusal.Error = "status " + strconv.Itoa(response.StatusCode())
 	}
 	switch {
-	case resp.StatusCode() == fasthttp.StatusNotFound && r.Field == "team":
+	case response.StatusCode() == fasthttp.StatusNotFound && refusal.Field == "team":
 		return nil, ErrNoTeam
-	case resp.StatusCode() == fasthttp.StatusNotFound:
-		return nil, fmt.Errorf("%w: %s", ErrOff, r.Error)
+	case response.StatusCode() == fasthttp.StatusNotFound:
+		return nil, fmt.Errorf("%w: %s", ErrOff, refusal.Error)
 	}
-	return nil, errors.New(r.Error)
+	return nil, errors.New(refusal.Error)
 }
 
-// Page asks a controller for changes.
-func (h *HTTP) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
-	return h.get(ctx, node, "/view", url.Values{"team": {string(scope)}, "epoch": {strconv.FormatUint(cur.Epoch, 10)},
-		"seq": {strconv.FormatUint(cur.Seq, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}})
+// Page asks a controller for changes. Errors may wrap ErrOff or ErrNoTeam.
+func (h *HTTP) Page(ctx context.Context, controller int, scope view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error) {
+	return h.get(ctx, controller, "/view", url.Values{"team": {string(scope)}, "epoch": {strconv.FormatUint(cursor.Epoch, 10)},
+		"seq": {strconv.FormatUint(cursor.Seq, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}})
 }
 
-// Reasons asks a controller why jobs wait.
-func (h *HTTP) Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error) {
-	raw, err := h.get(ctx, node, "/view/reasons", url.Values{"team": {string(scope)}, "jobs": {strings.Join(ids, ",")}})
+// Reasons asks a controller why jobs wait. Errors may wrap ErrOff or ErrNoTeam.
+func (h *HTTP) Reasons(ctx context.Context, controller int, scope view.Scope, ids []string) ([]view.Reason, error) {
+	raw, err := h.get(ctx, controller, "/view/reasons", url.Values{"team": {string(scope)}, "jobs": {strings.Join(ids, ",")}})
 	if err != nil {
 		return nil, err
 	}
