--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -14,11 +14,11 @@
 	"slices"
 	"strings"
 	"syscall"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
 	"dykeledge/internal/contexts"
+	"dykeledge/internal/textout"
 )
 
 // version of the commands.
@@ -82,14 +82,14 @@
 		return mainApp.contextNames(), cobra.ShellCompDirectiveNoFileComp
 	})
 	root.AddCommand(&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-		fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version)
+		_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version) // a terminal that is gone wants no answer
 	}}, mainApp.upCommand(), mainApp.loadCommand(), mainApp.submitCommand(), mainApp.statusCommand(), mainApp.cancelCommand(), mainApp.showCommand(), mainApp.consoleCommand(),
 		mainApp.recordCommand(), mainApp.reportCommand(), mainApp.configCommand(), mainApp.scaleCommand())
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	if err := root.ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " "))
+		_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // the exit code stays
 		var e *exitError
 		if errors.As(err, &e) {
 			return e.code
@@ -156,10 +156,10 @@
 	if a.output == "json" {
 		return json.NewEncoder(w).Encode(v)
 	}
-	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(tw, strings.Join(titles, "\t"))
+	table := textout.NewTable(w, 0)
+	table.Println(strings.Join(titles, "\t"))
 	for _, r := range rows {
-		fmt.Fprintln(tw, strings.Join(r, "\t"))
+		table.Println(strings.Join(r, "\t"))
 	}
-	return tw.Flush()
+	return table.Flush()
 }
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -28,7 +28,7 @@
 }
 
 func (p prog) command(args ...string) *exec.Cmd {
-	cmd := exec.Command(os.Args[0], args...)
+	cmd := exec.CommandContext(p.t.Context(), os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.conf)
 	return cmd
 }
@@ -106,7 +106,7 @@
 func TestClusterOnOneMachine(t *testing.T) {
 	dir := t.TempDir()
 	controller := filepath.Join(dir, "dykeledge")
-	if out, err := exec.Command("go", "build", "-o", controller, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", controller, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	mainProg := prog{t, filepath.Join(dir, "dykectl.toml")}
@@ -211,7 +211,7 @@
 	if out, _, _ := mainProg.run("config", "contexts"); strings.Contains(out, "local") {
 		t.Error("the context of an ended cluster is left")
 	}
-	if found, _ := exec.Command("pgrep", "-f", controller).Output(); len(found) > 0 {
+	if found, _ := exec.CommandContext(t.Context(), "pgrep", "-f", controller).Output(); len(found) > 0 {
 		t.Errorf("processes are left: %s", found)
 	}
 }
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -19,6 +19,7 @@
 	"github.com/spf13/cobra"
 
 	"dykeledge/internal/scaletest"
+	"dykeledge/internal/textout"
 )
 
 const cellCommand = "cell" // what `dykectl scale run` starts for each cell
@@ -161,14 +162,14 @@
 }
 
 // keep adds points to the file that was asked for, and tells what is wrong with them.
-func (o *scaleOptions) keep(points []*scaletest.Point) error {
-	var out io.Writer = io.Discard
+func (o *scaleOptions) keep(points []*scaletest.Point) (err error) {
+	out := io.Discard
 	if o.out != "" {
 		f, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { err = errors.Join(err, f.Close()) }()
 		out = f
 	}
 	var bad []error
@@ -181,8 +182,8 @@
 }
 
 func (a *app) printPoints(out io.Writer, points []*scaletest.Point) error {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
+	table := textout.NewTable(out, tabwriter.AlignRight)
+	table.Println("region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
 	for _, point := range points {
 		if point == nil {
 			continue
@@ -191,12 +192,12 @@
 		if point.Overloaded {
 			mark = " OVERLOADED"
 		}
-		fmt.Fprintf(table, "%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", point.Region, point.Up, point.OfferedS, point.StartsPerS, point.Running,
+		table.Printf("%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", point.Region, point.Up, point.OfferedS, point.StartsPerS, point.Running,
 			point.UrgentMs.P50, point.UrgentMs.P99, point.UrgentMs.Max, point.WorkerOutBps+point.WorkerInBps, point.LeaseKills, point.HollowCores, point.LatenessMs.P99, mark)
 		for _, c := range point.Controllers {
-			fmt.Fprintf(table, " %s %.2f, %.0f, %d;", c.Role, c.Cores, c.MemMB, c.Sockets)
+			table.Printf(" %s %.2f, %.0f, %d;", c.Role, c.Cores, c.MemMB, c.Sockets)
 		}
-		fmt.Fprintln(table, "\t")
+		table.Println("\t")
 	}
 	return table.Flush()
 }
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -37,7 +37,7 @@
 func TestScaleRun(t *testing.T) {
 	dir := t.TempDir()
 	program, profile, out := filepath.Join(dir, "dykeledge"), filepath.Join(dir, "small.toml"), filepath.Join(dir, "points.jsonl")
-	if raw, err := exec.Command("go", "build", "-o", program, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
+	if raw, err := exec.CommandContext(t.Context(), "go", "build", "-o", program, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, raw)
 	}
 	if err := os.WriteFile(profile, []byte(smallProfile), 0o600); err != nil {
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -12,11 +12,12 @@
 	"time"
 
 	"github.com/spf13/cobra"
-	"github.com/valyala/fasthttp"
 
+	"dykeledge/internal/client"
 	"dykeledge/internal/contexts"
 	"dykeledge/internal/localcluster"
 	"dykeledge/internal/report"
+	"dykeledge/internal/textout"
 	"dykeledge/internal/view"
 	"dykeledge/internal/viewclient"
 )
@@ -97,11 +98,6 @@
 	return opts, nil
 }
 
-func ready(addr string) bool {
-	status, _, err := fasthttp.GetTimeout(nil, "http://"+addr+"/ready", time.Second)
-	return err == nil && status == fasthttp.StatusOK
-}
-
 func (a *app) up(ctx context.Context, out io.Writer, mainUpOptions upOptions) (err error) {
 	opts, err := mainUpOptions.check()
 	if err != nil {
@@ -119,7 +115,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	if old, ok := file.Contexts[name]; ok && ready(old.Users) {
+	if old, ok := file.Contexts[name]; ok && client.Ready(old.Users) {
 		return usage(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
 	}
 	if mainUpOptions.dir == "" {
@@ -151,7 +147,7 @@
 	}
 	defer cluster.Stop()
 	within, cancel := context.WithTimeout(ctx, readyWithin)
-	err = cluster.Ready(within, ready)
+	err = cluster.Ready(within, client.Ready)
 	cancel()
 	if err != nil {
 		if ctx.Err() != nil {
@@ -182,7 +178,8 @@
 			err = failed(e)
 		}
 	}()
-	fmt.Fprintf(out, "cluster %s is up: 3 controllers, %d machines to rent\n  users    %s\n  nodes    %s %s %s\n  uploads  %s\n  folder   %s\ntry, in another terminal:\n"+
+	progress := textout.New(out) // a cluster goes on though its terminal is gone
+	progress.Printf("cluster %s is up: 3 controllers, %d machines to rent\n  users    %s\n  nodes    %s %s %s\n  uploads  %s\n  folder   %s\ntry, in another terminal:\n"+
 		"  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n", name, mainUpOptions.machines, cluster.Users, cluster.Controllers[0], cluster.Controllers[1], cluster.Controllers[2], cluster.Uploads, mainUpOptions.dir)
 	if mainUpOptions.lasts > 0 {
 		var stop context.CancelFunc
@@ -191,7 +188,7 @@
 	}
 	a.record(ctx, cluster.Controllers, history)
 	<-ctx.Done()
-	fmt.Fprintln(out, "ending")
+	progress.Println("ending")
 	return a.sumUp(out, cluster)
 }
 
@@ -209,8 +206,8 @@
 		}
 	}()
 	go func() {
-		defer file.Close()
-		if err := report.NewRecorder(file, sampleEvery).Run(ctx, follow); err != nil {
+		err := report.NewRecorder(file, sampleEvery).Run(ctx, follow)
+		if err = errors.Join(err, file.Close()); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
 		}
 	}()
@@ -220,11 +217,12 @@
 func (a *app) sumUp(out io.Writer, cluster *localcluster.Cluster) error {
 	w := cluster.Simulation
 	s := w.Stats()
-	fmt.Fprintf(out, "%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
+	told := textout.New(out) // broken rules come back as an error, whether or not they could be printed
+	told.Printf("%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
 		s.Started, s.LeaseKills, w.CostSpent(), s.Requests, s.Writes, s.Over, cluster.Ends())
 	broken := w.BrokenRules()
 	for _, b := range broken {
-		fmt.Fprintln(out, "BROKEN RULE", b)
+		told.Println("BROKEN RULE", b)
 	}
 	if len(broken)+cluster.Ends() > 0 {
 		return failed(fmt.Errorf("%d rules were broken, %d controllers ended by themselves; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"math/rand/v2"
 	"sync"
@@ -14,6 +13,8 @@
 
 	"dykeledge/internal/client"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/textout"
+	"dykeledge/internal/wait"
 )
 
 // Deployment is what jobs are given to.
@@ -97,7 +98,7 @@
 	}
 	for i := range plan {
 		arrival := &plan[i]
-		if !wait(ctx, time.Until(began.Add(arrival.At))) {
+		if !wait.Until(ctx, began.Add(arrival.At)) {
 			break
 		}
 		late := time.Since(began.Add(arrival.At))
@@ -132,20 +133,6 @@
 	return r.res
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
-
 // Retried counts a request that is repeated.
 func (r *Runner) Retried(int, error) {
 	r.mu.Lock()
@@ -221,7 +208,7 @@
 		if !cancelled {
 			pause = min(pause, time.Until(asked.Add(arrival.CancelAfter)))
 		}
-		if !wait(ctx, pause) {
+		if !wait.For(ctx, pause) {
 			return state.Status, time.Since(began)
 		}
 		var next protocol.JobState
@@ -240,7 +227,7 @@
 		}
 	}
 	took := time.Since(began)
-	if wait(ctx, r.PollEvery) {
+	if wait.For(ctx, r.PollEvery) {
 		if again, err := r.To.Status(arrival.Job.ID); err == nil && again.Status != state.Status || errors.Is(err, client.ErrNotFound) {
 			r.count(func(s *Result) { s.WentBack++ })
 		}
@@ -250,15 +237,15 @@
 
 // Print writes a result for people.
 func (r *Result) Print(w io.Writer) error {
-	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(tw, "seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
-	fmt.Fprintf(tw, "%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDue, r.WentBack)
-	fmt.Fprintln(tw, "ms\tcount\tp50\tp99\tmax\t")
+	table := textout.NewTable(w, tabwriter.AlignRight)
+	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
+	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDue, r.WentBack)
+	table.Println("ms\tcount\tp50\tp99\tmax\t")
 	for _, x := range []struct {
 		name string
 		s    Span
 	}{{"accepted after", r.Accept}, {"done after", r.Complete}, {"polls answered in", r.Answers}, {"came later than planned by", r.Behind}} {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t\n", x.name, x.s.Count, x.s.P50, x.s.P99, x.s.Max)
+		table.Printf("%s\t%d\t%d\t%d\t%d\t\n", x.name, x.s.Count, x.s.P50, x.s.P99, x.s.Max)
 	}
-	return tw.Flush()
+	return table.Flush()
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // only read
 	model := view.NewModel([]view.Team{{Name: "team-red-x", Cpus: 8000, CpusMax: 20000}, {Name: "team-blue-x", Cpus: 4000}, {Name: "team-green-x"}})
 	model.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
 		Uses: []view.Use{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -12,6 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/valyala/fasthttp"
+
+	"dykeledge/internal/wait"
 )
 
 // How operators' changes are made and watched.
@@ -48,7 +50,7 @@
 func (o *operators) run(ctx context.Context, perSecond float64) {
 	var all sync.WaitGroup
 	defer all.Wait()
-	for n := 1; sleep(ctx, seconds(1/perSecond)); n++ {
+	for n := 1; wait.For(ctx, seconds(1/perSecond)); n++ {
 		t, node := o.teams[o.rand.IntN(len(o.teams))], o.controllers[o.rand.IntN(len(o.controllers))]
 		all.Go(func() { o.one(ctx, node, t, n%lowersEach == 0) })
 	}
@@ -78,7 +80,7 @@
 	}
 	o.note(took, lowers, err)
 	if lowers && err == nil {
-		_, _ = o.change(ctx, node, scaletestTeam.name, func(e teamEntry) map[string]float64 { // as it was: what fails is counted by others
+		_, _ = o.change(ctx, node, scaletestTeam.name, func(teamEntry) map[string]float64 { // as it was: what fails is counted by others
 			return map[string]float64{"cpus_max": scaletestTeam.limit}
 		})
 	}
@@ -119,7 +121,7 @@
 		if err != nil {
 			node = o.another(node)
 		}
-		sleep(ctx, forceAskedEvery)
+		wait.For(ctx, forceAskedEvery)
 	}
 	return 0, errNotInForce
 }
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/valyala/fasthttp"
 
 	"dykeledge/internal/client"
 	"dykeledge/internal/loadgen"
 	"dykeledge/internal/localcluster"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/simulator"
+	"dykeledge/internal/wait"
 )
 
 // How a run is watched.
@@ -48,9 +48,9 @@
 
 // reserveNetwork finds a network that no other cell on this machine uses, of this run or another's: two cells at the same addresses would play each
 // other's workers. The network is held until the listener is closed.
-func reserveNetwork() (int, net.Listener, error) {
+func reserveNetwork(ctx context.Context) (int, net.Listener, error) {
 	for n := firstNetwork; n <= lastNetwork; n++ {
-		if ln, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.254:%d", n, controllersNet, lockPort)); err == nil {
+		if ln, err := new(net.ListenConfig).Listen(ctx, "tcp4", fmt.Sprintf("127.%d.%d.254:%d", n, controllersNet, lockPort)); err == nil {
 			return n, ln, nil
 		}
 	}
@@ -82,11 +82,11 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	network, held, err := reserveNetwork()
+	network, held, err := reserveNetwork(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer held.Close()
+	defer func() { _ = held.Close() }() // nobody was served
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cluster, err := localcluster.Start(ctx, c.options(dir, network, log))
@@ -97,7 +97,7 @@
 	watch := newWatch(c, cluster, log)
 	within, stop := context.WithTimeout(ctx, readyWithin)
 	defer stop()
-	if err := cluster.Ready(within, isReady); err != nil {
+	if err := cluster.Ready(within, client.Ready); err != nil {
 		return nil, err
 	}
 	done := make(chan loadgen.Result, 1)
@@ -113,7 +113,7 @@
 		watch.operators = newOperators(c, cluster.Controllers)
 		background.Go(func() { watch.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
 	}
-	if !sleep(ctx, seconds(c.WarmUpS)) {
+	if !wait.For(ctx, seconds(c.WarmUpS)) {
 		return nil, ctx.Err()
 	}
 	point, err := watch.measure(ctx)
@@ -139,24 +139,8 @@
 	return broken
 }
 
-func isReady(address string) bool {
-	status, _, err := fasthttp.GetTimeout(nil, "http://"+address+"/ready", time.Second)
-	return err == nil && status == fasthttp.StatusOK
-}
-
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
-
 // options is the cluster that a cell plays.
 func (c *Cell) options(dir string, network int, log *slog.Logger) localcluster.Options {
 	o := localcluster.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
@@ -199,7 +183,7 @@
 	return w.cluster.Simulation.AddJob(u)
 }
 
-// onLaunch measures urgent tasks from their submission to their first launch. The world is locked.
+// onLaunch measures urgent tasks from their submission to their first launch. The simulation is locked.
 func (w *watch) onLaunch(job *simulator.Job, index int) {
 	if job.Spec["jobclass"] != urgentClass {
 		return
@@ -220,7 +204,7 @@
 func (w *watch) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := time.Now().Add(ticksEvery)
-		if !sleep(ctx, ticksEvery) {
+		if !wait.For(ctx, ticksEvery) {
 			return
 		}
 		w.mu.Lock()
@@ -243,7 +227,7 @@
 	first := take(w.cluster, w.log)
 	w.started, w.lastMove = first.stats.Started, first.at
 	for n := 1; time.Since(first.at) < seconds(w.cell.MeasureS); n++ {
-		if !sleep(ctx, sampleEvery) {
+		if !wait.For(ctx, sampleEvery) {
 			return nil, ctx.Err()
 		}
 		w.watchStarts(n)
@@ -277,16 +261,16 @@
 
 // point works out what was measured between two samples.
 func (w *watch) point(scaletestSample, b sample) *Point {
-	cell, world, took := w.cell, w.cluster.Simulation, b.at.Sub(scaletestSample.at)
+	cell, simulation, took := w.cell, w.cluster.Simulation, b.at.Sub(scaletestSample.at)
 	per := func(n float64) float64 { return n / took.Seconds() }
-	up := len(world.Machines())
+	up := len(simulation.Machines())
 	perWorker := func(n int64) float64 { return per(float64(n)) / float64(max(1, up)) }
 	scaletestPoint := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
 		Workers: cell.Workers, Up: up, OfferedS: cell.StartsPerS, MeasureS: took.Seconds(), StartsPerS: per(float64(b.stats.Started - scaletestSample.stats.Started)),
-		Running: world.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: world.BrokenRules(),
+		Running: simulation.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
 		HollowCores: per((b.hollow.cpu - scaletestSample.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
 		WritesPerS: per(float64(b.stats.Writes - scaletestSample.stats.Writes)), OverPerS: per(float64(b.stats.Over - scaletestSample.stats.Over)), UserConns: w.cluster.LoadBalancer.Opened.Load()}
-	scaletestPoint.StateKeys, scaletestPoint.StateBytes = world.Store.Size()
+	scaletestPoint.StateKeys, scaletestPoint.StateBytes = simulation.Store.Size()
 	// A worker sends heartbeats, and heartbeats as answers to commands; it gets answers, and commands.
 	scaletestPoint.WorkerOutBps = perWorker(b.reports.out - scaletestSample.reports.out + b.commands.out - scaletestSample.commands.out)
 	scaletestPoint.WorkerInBps = perWorker(b.reports.in - scaletestSample.reports.in + b.commands.in - scaletestSample.commands.in)
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // only read
 	var out []Point
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, longestLine)
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -3,10 +3,13 @@
 import (
 	"bufio"
 	"cmp"
+	"errors"
 	"fmt"
 	"io"
 	"slices"
 	"strings"
+
+	"dykeledge/internal/textout"
 )
 
 // Ladder is the name of the run whose points are fitted: one profile at several sizes.
@@ -16,7 +19,8 @@
 // peak, what a worker costs, and what the other cuts showed. Points whose hollow side was overloaded are listed, and left out of
 // the fits.
 func Report(writer io.Writer, points []Point) error {
-	out := bufio.NewWriter(writer)
+	buffer := bufio.NewWriter(writer)
+	out := textout.New(buffer)
 	byCut := map[Cut][]Point{}
 	for _, p := range points {
 		byCut[p.Cut] = append(byCut[p.Cut], p)
@@ -36,7 +40,7 @@
 		{Faults, "Troubles: a day's failures pressed into the measured time, with changes"},
 	} {
 		if list := byCut[cut.cut]; len(list) > 0 {
-			fmt.Fprintf(out, "### %s\n\n", cut.title)
+			out.Printf("### %s\n\n", cut.title)
 			runsTable(out, list)
 			controllersTable(out, slices.DeleteFunc(slices.Clone(list), func(p Point) bool { return p.Run == Ladder }))
 			changesTable(out, list)
@@ -44,64 +48,64 @@
 	}
 	list := slices.DeleteFunc(byCut[Peak], func(p Point) bool { return p.Run != Ladder })
 	if len(list) > 0 {
-		fmt.Fprint(out, "### What a controller costs, by role, over the ladder\n\n")
+		out.Printf("### What a controller costs, by role, over the ladder\n\n")
 		rolesTable(out, list)
-		fmt.Fprint(out, "### What a worker costs, and the state service holds, over the ladder\n\n")
+		out.Printf("### What a worker costs, and the state service holds, over the ladder\n\n")
 		workerTable(out, list)
 	}
-	return out.Flush()
+	return errors.Join(out.Flush(), buffer.Flush())
 }
 
 // runsTable has a row a point.
-func runsTable(out io.Writer, points []Point) {
-	fmt.Fprintln(out, "| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
-	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+func runsTable(out *textout.Printer, points []Point) {
+	out.Println("| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
+	out.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
 		mark := ""
 		if p.Overloaded {
 			mark = " **overloaded: says nothing of controllers**"
 		}
-		fmt.Fprintf(out, "| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
+		out.Printf("| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
 			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
 			len(p.BrokenRules), p.Ends, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
 	}
-	fmt.Fprintln(out)
+	out.Println()
 }
 
 // controllersTable has a row a controller of points that no line is fitted through. One that ended meanwhile, or changed its role,
 // is marked, since its processor time is of a part of the time.
-func controllersTable(out io.Writer, points []Point) {
+func controllersTable(out *textout.Printer, points []Point) {
 	if len(points) == 0 {
 		return
 	}
-	fmt.Fprintln(out, "| run | part of the letter | region | role | partitions | cores | of these planning | MB | connections | reports 1/s | placed 1/s | state: transactions 1/s | received KB/s |")
-	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	out.Println("| run | part of the letter | region | role | partitions | cores | of these planning | MB | connections | reports 1/s | placed 1/s | state: transactions 1/s | received KB/s |")
+	out.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
 		for _, c := range p.Controllers {
 			role := string(c.Role)
 			if !c.Whole {
 				role += ", not all the time"
 			}
-			fmt.Fprintf(out, "| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
+			out.Printf("| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
 				c.Cores, c.PlanCores, c.MemMB, c.Sockets, c.HeartbeatsS, c.LaunchesS, c.TxnsS, c.StateOutS/1000)
 		}
 	}
-	fmt.Fprintln(out)
+	out.Println()
 }
 
 // changesTable has a row a point in which the configuration was changed.
-func changesTable(w io.Writer, points []Point) {
+func changesTable(out *textout.Printer, points []Point) {
 	points = slices.DeleteFunc(slices.Clone(points), func(p Point) bool { return p.ChangesMade == 0 })
 	if len(points) == 0 {
 		return
 	}
-	fmt.Fprintln(w, "| run | part of the letter | region | changes made in s | not in force within a minute | in force on all controllers of the cell, ms p50 / p99 / max | limits lowered: count, ms p50 / p99 / max |")
-	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- |")
+	out.Println("| run | part of the letter | region | changes made in s | not in force within a minute | in force on all controllers of the cell, ms p50 / p99 / max | limits lowered: count, ms p50 / p99 / max |")
+	out.Println("| --- | --- | --- | --- | --- | --- | --- |")
 	for _, p := range points {
-		fmt.Fprintf(w, "| %s | %s | %s | %d in %.0f | %d | %.0f / %.0f / %.0f | %d, %.0f / %.0f / %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, p.ChangesMade, p.MeasureS,
+		out.Printf("| %s | %s | %s | %d in %.0f | %d | %.0f / %.0f / %.0f | %d, %.0f / %.0f / %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, p.ChangesMade, p.MeasureS,
 			p.ChangesFailed, p.ChangeMs.P50, p.ChangeMs.P99, p.ChangeMs.Max, p.LowerMs.Count, p.LowerMs.P50, p.LowerMs.P99, p.LowerMs.Max)
 	}
-	fmt.Fprintln(w)
+	out.Println()
 }
 
 // fractionText writes 0.25 as 1/4.
@@ -139,8 +143,8 @@
 const fitHead = "measured at the largest size | a 1,000 workers | at 0 | R² | worst residual | growth | sizes and points |"
 
 // rolesTable has a row for each role and figure. Controllers that changed their process or role meanwhile are left out.
-func rolesTable(out io.Writer, points []Point) {
-	fmt.Fprintf(out, "| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
+func rolesTable(out *textout.Printer, points []Point) {
+	out.Printf("| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, role := range []Role{Leader, Owner, Member} {
 		for _, f := range controllerFigures {
 			var x, y []float64
@@ -154,7 +158,7 @@
 			fitRow(out, string(role)+" | "+f.name, f.format, x, y)
 		}
 	}
-	fmt.Fprintln(out)
+	out.Println()
 }
 
 // pointFigure is one figure of a cell that the tables show.
@@ -180,8 +184,8 @@
 	{"submissions: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.AcceptMs.P99 }},
 }
 
-func workerTable(w io.Writer, points []Point) {
-	fmt.Fprintf(w, "| figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
+func workerTable(out *textout.Printer, points []Point) {
+	out.Printf("| figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, f := range pointFigures {
 		var x, y []float64
 		for i := range points {
@@ -189,13 +193,13 @@
 				x, y = append(x, float64(points[i].Up)), append(y, f.of(&points[i]))
 			}
 		}
-		fitRow(w, f.name, f.format, x, y)
+		fitRow(out, f.name, f.format, x, y)
 	}
-	fmt.Fprintln(w)
+	out.Println()
 }
 
 // fitRow prints a figure's growth; without enough sizes it says so, and without points nothing.
-func fitRow(out io.Writer, name, format string, x, y []float64) {
+func fitRow(out *textout.Printer, name, format string, x, y []float64) {
 	if len(x) == 0 {
 		return
 	}
@@ -215,12 +219,12 @@
 	count := fmt.Sprintf("%d, %d", len(sizes), len(x))
 	l, ok := fitLine(x, y)
 	if !ok {
-		fmt.Fprintf(out, "| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
+		out.Printf("| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
 		return
 	}
 	per1000, zero := fmt.Sprintf(format, 1000*l.Slope), fmt.Sprintf(format, l.Intercept)
 	if !strings.HasPrefix(l.growth(), "line") {
 		per1000, zero = "", ""
 	}
-	fmt.Fprintf(out, "| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
+	out.Printf("| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
 }
