--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -13,15 +14,16 @@
 
 	"dykeledge/internal/client"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/wait"
 )
 
 // users speaks with the cluster as its users do, and says when it has to repeat itself.
-func (a *app) users(addr string) *client.Users {
-	u := client.New(addr)
-	u.Retried = func(status int, err error) {
+func (a *app) users(address string) *client.Users {
+	users := client.New(address)
+	users.Retried = func(status int, err error) {
 		a.log.Info("no certain answer, asking again", "status", status, "err", err)
 	}
-	return u
+	return users
 }
 
 // outcome turns what a user's request came to into an exit code.
@@ -35,6 +37,7 @@
 	return failed(err)
 }
 
+// printJobs prints how jobs stand.
 func (a *app) printJobs(w io.Writer, list []protocol.JobState) error {
 	var rows [][]string
 	for _, s := range list {
@@ -43,110 +46,150 @@
 	return a.print(w, list, []string{"JOB", "STATUS", "DONE", "RUNNING", "AWAITS"}, rows)
 }
 
+// submitOptions are the flags of submit.
+type submitOptions struct {
+	job                             protocol.Submission
+	file, priority                  string
+	service, onDemandOnly           bool
+	estimate, checkpoint, save, due time.Duration
+	run                             time.Duration // on a local cluster: how long each task really runs; 0: as estimated
+	fails                           bool          // on a local cluster: it fails on every machine
+	wait                            bool
+}
+
+// submitPolledEvery is the time between two questions for a job whose end is waited for.
+const submitPolledEvery = 2 * time.Second
+
 func (a *app) submitCommand() *cobra.Command {
-	var submission protocol.Submission
-	var priority, file string
-	var service, ordinary, fails, wait bool
-	var estimate, run, checkpoint, save, due time.Duration
+	options := &submitOptions{}
 	command := &cobra.Command{
 		Use: "submit", Short: "Submit a job", Args: cobra.NoArgs,
 		Long: "Submit a job. A command that got no answer may be repeated with the same --id: there will be one job.",
 		Example: "  dykectl submit --team red --tasks 8 --cpus 2 --estimate 30s --due 5m\n" +
 			"  dykectl submit --file job.json        # as the protocol has it",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, cluster, err := a.cluster()
-			if err != nil {
-				return err
-			}
-			var body []byte
-			if file != "" {
-				if body, err = os.ReadFile(file); err != nil {
-					return usage(err)
-				}
-				p, err := protocol.ParseSubmission(body)
-				if err != nil {
-					return usage(fmt.Errorf("%s: %w", file, err))
-				}
-				submission = *p
-			} else {
-				prio, ok := protocol.ParsePriority(priority)
-				if !ok {
-					return usage(errors.New("--priority is low, normal, high or production"))
-				}
-				submission.Priority, submission.Spot = prio, !ordinary
-				if service {
-					submission.Shape, estimate = protocol.Service, 0
-				}
-				if submission.ID == "" {
-					submission.ID = fmt.Sprintf("job-%012d", rand.Uint64N(1e12))
-				}
-				submission.EstimateS, submission.CheckpointS, submission.CheckpointCostS, submission.DeadlineS = estimate.Seconds(), checkpoint.Seconds(), save.Seconds(), due.Seconds()
-				if body, err = protocol.EncodeSubmission(&submission); err != nil {
-					return usage(err)
-				}
-				if _, err := protocol.ParseSubmission(body); err != nil {
-					return usage(err)
-				}
-			}
-			if cluster.Uploads != "" {
-				if run == 0 {
-					run = time.Duration(submission.EstimateS * float64(time.Second))
-				}
-				raw, err := client.Describe(body, run, fails)
-				if err != nil {
-					return usage(err)
-				}
-				if err := client.New(cluster.Uploads).Upload(submission.ID, raw); err != nil {
-					return failed(err)
-				}
-			}
-			users := a.users(cluster.Users)
-			state, err := users.Submit(cmd.Context(), body)
-			if err != nil {
-				return outcome(fmt.Errorf("%s: %w", submission.ID, err))
-			}
-			for wait && !state.Status.Final() {
-				select {
-				case <-cmd.Context().Done():
-					return failed(fmt.Errorf("%s goes on: it is %s", submission.ID, state.Status))
-				case <-time.After(2 * time.Second):
-				}
-				if next, err := users.Status(submission.ID); err == nil {
-					state = next
-				}
-			}
-			return a.printJobs(cmd.OutOrStdout(), []protocol.JobState{state})
+			return a.submit(cmd.Context(), cmd.OutOrStdout(), options)
 		},
 	}
-	flags := command.Flags()
-	flags.StringVarP(&file, "file", "f", "", "submit what this `FILE` holds, as JSON; the other flags are not used")
-	flags.StringVar(&submission.ID, "id", "", "the job's `ID`, like job-000412 (default: a new one)")
-	flags.StringVar(&submission.Team, "team", "", "the `TEAM` whose guarantee and limit apply")
-	flags.StringVar(&submission.Class, "class", "manual", "class of jobs that it belongs to")
-	flags.StringVar(&priority, "priority", "normal", "low, normal, high or production")
-	flags.IntVar(&submission.Tasks, "tasks", 1, "number of tasks")
-	flags.Float64Var(&submission.Cpus, "cpus", 1, "processors of each task")
-	flags.Float64Var(&submission.Gpus, "gpus", 0, "accelerators of each task")
-	flags.Float64Var(&submission.MemGB, "mem", 1, "memory of each task in GB")
-	flags.StringVar(&submission.Image, "image", "default", "image that a machine must have")
-	flags.Float64Var(&submission.ImageGB, "image-gb", 0.2, "its size in GB")
-	flags.StringSliceVar(&submission.Types, "type", nil, "allowed machine `TYPE` (may be repeated; default: any)")
-	flags.StringVar(&submission.Zone, "zone", "", "the only allowed `ZONE`")
-	flags.BoolVar(&submission.OneZone, "same-zone", false, "all tasks in one zone")
-	flags.BoolVar(&submission.Spread, "half-a-zone", false, "at most half of the tasks in one zone")
-	flags.BoolVar(&ordinary, "ordinary", false, "no spot machines")
-	flags.BoolVar(&service, "service", false, "runs until it is cancelled")
-	flags.DurationVar(&estimate, "estimate", 10*time.Second, "how long a task will run")
-	flags.DurationVar(&checkpoint, "checkpoint", 0, "progress after which a task saves (0: never)")
-	flags.DurationVar(&save, "save", 0, "how long saving takes when it is stopped")
-	flags.DurationVar(&due, "due", 0, "deadline, from now (0: none)")
-	flags.StringSliceVar(&submission.Dependencies, "after", nil, "`ID` of a job that must be done before (may be repeated)")
-	flags.DurationVar(&run, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
-	flags.BoolVar(&fails, "fails", false, "on an emulated cluster: it fails on every machine")
-	flags.BoolVar(&wait, "wait", false, "wait until the job is over")
+	options.addFlags(command)
 	return command
 }
 
+func (o *submitOptions) addFlags(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVarP(&o.file, "file", "f", "", "submit what this `FILE` holds, as JSON; the other flags are not used")
+	flags.StringVar(&o.job.ID, "id", "", "the job's `ID`, like job-000412 (default: a new one)")
+	flags.StringVar(&o.job.Team, "team", "", "the `TEAM` whose guarantee and limit apply")
+	flags.StringVar(&o.job.Class, "class", "manual", "class of jobs that it belongs to")
+	flags.StringVar(&o.priority, "priority", "normal", "low, normal, high or production")
+	flags.IntVar(&o.job.Tasks, "tasks", 1, "number of tasks")
+	flags.Float64Var(&o.job.Cpus, "cpus", 1, "processors of each task")
+	flags.Float64Var(&o.job.Gpus, "gpus", 0, "accelerators of each task")
+	flags.Float64Var(&o.job.MemGB, "mem", 1, "memory of each task in GB")
+	flags.StringVar(&o.job.Image, "image", "default", "image that a machine must have")
+	flags.Float64Var(&o.job.ImageGB, "image-gb", 0.2, "its size in GB")
+	flags.StringSliceVar(&o.job.Types, "type", nil, "allowed machine `TYPE` (may be repeated; default: any)")
+	flags.StringVar(&o.job.Zone, "zone", "", "the only allowed `ZONE`")
+	flags.BoolVar(&o.job.OneZone, "same-zone", false, "all tasks in one zone")
+	flags.BoolVar(&o.job.Spread, "half-a-zone", false, "at most half of the tasks in one zone")
+	flags.BoolVar(&o.onDemandOnly, "ordinary", false, "no spot machines")
+	flags.BoolVar(&o.service, "service", false, "runs until it is cancelled")
+	flags.DurationVar(&o.estimate, "estimate", 10*time.Second, "how long a task will run")
+	flags.DurationVar(&o.checkpoint, "checkpoint", 0, "progress after which a task saves (0: never)")
+	flags.DurationVar(&o.save, "save", 0, "how long saving takes when it is stopped")
+	flags.DurationVar(&o.due, "due", 0, "deadline, from now (0: none)")
+	flags.StringSliceVar(&o.job.Dependencies, "after", nil, "`ID` of a job that must be done before (may be repeated)")
+	flags.DurationVar(&o.run, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
+	flags.BoolVar(&o.fails, "fails", false, "on an emulated cluster: it fails on every machine")
+	flags.BoolVar(&o.wait, "wait", false, "wait until the job is over")
+}
+
+// submit submits a job and waits for its end if that is asked for.
+func (a *app) submit(ctx context.Context, out io.Writer, options *submitOptions) error {
+	_, cluster, err := a.cluster()
+	if err != nil {
+		return err
+	}
+	body, err := options.body()
+	if err != nil {
+		return usage(err)
+	}
+	if cluster.Uploads != "" {
+		if err := options.upload(cluster.Uploads, body); err != nil {
+			return err
+		}
+	}
+	users, id := a.users(cluster.Users), options.job.ID
+	state, err := users.Submit(ctx, body)
+	if err != nil {
+		return outcome(fmt.Errorf("%s: %w", id, err))
+	}
+	for options.wait && !state.Status.Final() {
+		if !wait.For(ctx, submitPolledEvery) {
+			return failed(fmt.Errorf("%s goes on: it is %s", id, state.Status))
+		}
+		if next, err := users.Status(id); err == nil {
+			state = next
+		}
+	}
+	return a.printJobs(out, []protocol.JobState{state})
+}
+
+// body is the job as the protocol has it, of the file or of the flags. It leaves the job in o.job.
+func (o *submitOptions) body() ([]byte, error) {
+	if o.file == "" {
+		return o.bodyOfFlags()
+	}
+	body, err := os.ReadFile(o.file)
+	if err != nil {
+		return nil, err
+	}
+	job, err := protocol.ParseSubmission(body)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", o.file, err)
+	}
+	o.job = *job
+	return body, nil
+}
+
+func (o *submitOptions) bodyOfFlags() ([]byte, error) {
+	priority, ok := protocol.ParsePriority(o.priority)
+	if !ok {
+		return nil, errors.New("--priority is low, normal, high or production")
+	}
+	o.job.Priority, o.job.Spot = priority, !o.onDemandOnly
+	if o.service {
+		o.job.Shape, o.estimate = protocol.Service, 0
+	}
+	if o.job.ID == "" {
+		o.job.ID = fmt.Sprintf("job-%012d", rand.Uint64N(1e12))
+	}
+	o.job.EstimateS, o.job.CheckpointS = o.estimate.Seconds(), o.checkpoint.Seconds()
+	o.job.CheckpointCostS, o.job.DeadlineS = o.save.Seconds(), o.due.Seconds()
+	body, err := protocol.EncodeSubmission(&o.job)
+	if err != nil {
+		return nil, err
+	}
+	_, err = protocol.ParseSubmission(body)
+	return body, err
+}
+
+// upload puts the job's description where the workers of a local cluster fetch it.
+func (o *submitOptions) upload(address string, body []byte) error {
+	run := o.run
+	if run == 0 {
+		run = time.Duration(o.job.EstimateS * float64(time.Second))
+	}
+	description, err := client.Describe(body, run, o.fails)
+	if err != nil {
+		return usage(err)
+	}
+	if err := client.New(address).Upload(o.job.ID, description); err != nil {
+		return failed(err)
+	}
+	return nil
+}
+
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status JOB...", Short: "Tell how jobs stand", Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		return a.each(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Status(id) })
@@ -174,14 +217,14 @@
 	list := []protocol.JobState{}
 	var first error
 	for _, id := range ids {
-		st, err := do(users, id)
+		state, err := do(users, id)
 		if err != nil {
 			if first == nil {
 				first = fmt.Errorf("%s: %w", id, err)
 			}
 			continue
 		}
-		list = append(list, st)
+		list = append(list, state)
 	}
 	if len(list) > 0 {
 		if err := a.printJobs(cmd.OutOrStdout(), list); err != nil {
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"time"
 
@@ -12,9 +14,14 @@
 	"dykeledge/internal/loadgen"
 )
 
+// loadOptions are the flags of load.
+type loadOptions struct {
+	seed        uint64 // 0: one that is drawn
+	drain, poll time.Duration
+}
+
 func (a *app) loadCommand() *cobra.Command {
-	var seed uint64
-	var drain, poll time.Duration
+	options := &loadOptions{}
 	command := &cobra.Command{
 		Use: "load FILE", Short: "Submit jobs as a file describes them, and measure what becomes of them", Args: cobra.ExactArgs(1),
 		Long: "Submit jobs as a file describes them, and measure what becomes of them. Jobs come at their times, whether or\n" +
@@ -25,43 +32,48 @@
 			if err != nil {
 				return usage(err)
 			}
-			_, cluster, err := a.cluster()
-			if err != nil {
-				return err
-			}
-			if seed == 0 {
-				seed = 1 + rand.Uint64N(1e9)
-			}
-			plan, err := profile.Plan(seed)
-			if err != nil {
-				return usage(err)
-			}
-			a.log.Info("load begins", "jobs", len(plan), "seed", seed)
-			users := client.New(cluster.Users)
-			runner := &loadgen.Runner{To: users, PollEvery: poll}
-			users.Retried = runner.Retried
-			if cluster.Uploads != "" {
-				up := client.New(cluster.Uploads)
-				runner.Upload = up.Upload
-			}
-			res := runner.Run(cmd.Context(), plan, drain)
-			res.Seed = seed
-			if a.output == "json" {
-				err = json.NewEncoder(cmd.OutOrStdout()).Encode(res)
-			} else {
-				err = res.Print(cmd.OutOrStdout())
-			}
-			if err == nil && res.WentBack+res.Rejected+res.GaveUp > 0 {
-				err = fmt.Errorf("%d jobs went back, %d were rejected, %d got no certain answer", res.WentBack, res.Rejected, res.GaveUp)
-			}
-			if err != nil {
-				return failed(err)
-			}
-			return nil
+			return a.load(cmd.Context(), cmd.OutOrStdout(), profile, options)
 		},
 	}
-	command.Flags().Uint64Var(&seed, "seed", 0, "the same seed draws the same jobs (default: another each time)")
-	command.Flags().DurationVar(&drain, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
-	command.Flags().DurationVar(&poll, "poll", 5*time.Second, "about how often each job's user asks for it")
+	command.Flags().Uint64Var(&options.seed, "seed", 0, "the same seed draws the same jobs (default: another each time)")
+	command.Flags().DurationVar(&options.drain, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
+	command.Flags().DurationVar(&options.poll, "poll", 5*time.Second, "about how often each job's user asks for it")
 	return command
 }
+
+// load gives a profile's jobs to the cluster and prints what became of them.
+func (a *app) load(ctx context.Context, out io.Writer, profile *loadgen.Profile, options *loadOptions) error {
+	_, cluster, err := a.cluster()
+	if err != nil {
+		return err
+	}
+	seed := options.seed
+	if seed == 0 {
+		seed = 1 + rand.Uint64N(1e9)
+	}
+	plan, err := profile.Plan(seed)
+	if err != nil {
+		return usage(err)
+	}
+	a.log.Info("load begins", "jobs", len(plan), "seed", seed)
+	users := client.New(cluster.Users)
+	runner := &loadgen.Runner{To: users, PollEvery: options.poll}
+	users.Retried = runner.Retried
+	if cluster.Uploads != "" {
+		runner.Upload = client.New(cluster.Uploads).Upload
+	}
+	result := runner.Run(ctx, plan, options.drain)
+	result.Seed = seed
+	if a.output == outputJSON {
+		err = json.NewEncoder(out).Encode(result)
+	} else {
+		err = result.Print(out)
+	}
+	if err == nil && result.WentBack+result.Rejected+result.GaveUp > 0 {
+		err = fmt.Errorf("%d jobs went back, %d were rejected, %d got no certain answer", result.WentBack, result.Rejected, result.GaveUp)
+	}
+	if err != nil {
+		return failed(err)
+	}
+	return nil
+}
--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -1,5 +1,3 @@
-// Command dykectl is the people's side of dykeledge: users' and operators' commands, a console,
-// heartbeats, and a whole cluster on one machine.
 package main
 
 import (
@@ -30,6 +28,13 @@
 	exitUsage  = 2
 )
 
+// Forms of output.
+const (
+	outputTable = "table"
+	outputJSON  = "json"
+)
+
+// exitError is an error with the exit code that it ends the program with.
 type exitError struct {
 	code int
 	err  error
@@ -38,67 +43,85 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
+// failed is the error of a command that was used rightly and did not succeed.
 func failed(err error) error { return &exitError{exitFailed, err} }
-func usage(err error) error  { return &exitError{exitUsage, err} }
+
+// usage is the error of a command that was used wrongly.
+func usage(err error) error { return &exitError{exitUsage, err} }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // app is what all commands share.
 type app struct {
-	config  string
-	context string
-	output  string
-	level   string
+	config  string // path of the configuration file, "" for the usual one
+	context string // name of a cluster, "" for the current one
+	output  string // outputTable or outputJSON
+	level   string // of the log
 	log     *slog.Logger
 	errs    io.Writer
 }
 
+// run runs the program with its arguments and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	mainApp := &app{errs: errs, log: slog.New(slog.DiscardHandler)}
+	a := &app{errs: errs, log: slog.New(slog.DiscardHandler)}
+	root := a.rootCommand()
+	root.SetArgs(args)
+	root.SetOut(out)
+	root.SetErr(errs)
+	err := root.ExecuteContext(ctx)
+	if err == nil {
+		return 0
+	}
+	_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // the exit code stays
+	var exit *exitError
+	if errors.As(err, &exit) {
+		return exit.code
+	}
+	return exitUsage
+}
+
+func (a *app) rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "dykectl", Short: "Use, watch and try out a dykeledge cluster", SilenceUsage: true, SilenceErrors: true,
-		Long: "Use, watch and try out a dykeledge cluster.\n\nExit codes: 0 done, 1 failed, 2 wrong use.",
-		PersistentPreRunE: func(*cobra.Command, []string) error {
-			var level slog.Level
-			if err := level.UnmarshalText([]byte(mainApp.level)); err != nil {
-				return usage(errors.New("--log-level is error, warn, info or debug"))
-			}
-			mainApp.log = slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level}))
-			if mainApp.output != "table" && mainApp.output != "json" {
-				return usage(errors.New("--output is table or json"))
-			}
-			return nil
-		},
+		Long:              "Use, watch and try out a dykeledge cluster.\n\nExit codes: 0 done, 1 failed, 2 wrong use.",
+		PersistentPreRunE: func(*cobra.Command, []string) error { return a.checkFlags() },
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&mainApp.config, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
-	flags.StringVar(&mainApp.context, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
-	flags.StringVarP(&mainApp.output, "output", "o", "table", "table or json")
-	flags.StringVar(&mainApp.level, "log-level", "warn", "error, warn, info or debug, to standard error")
-	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp)) // the flag is there
+	flags.StringVar(&a.config, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
+	flags.StringVar(&a.context, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
+	flags.StringVarP(&a.output, "output", "o", outputTable, "table or json")
+	flags.StringVar(&a.level, "log-level", "warn", "error, warn, info or debug, to standard error")
+	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp)) // the flag is there
 	_ = root.RegisterFlagCompletionFunc("context", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
-		return mainApp.contextNames(), cobra.ShellCompDirectiveNoFileComp
+		return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
 	})
-	root.AddCommand(&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
+	root.AddCommand(versionCommand(), a.upCommand(), a.loadCommand(), a.submitCommand(), a.statusCommand(), a.cancelCommand(), a.showCommand(),
+		a.consoleCommand(), a.recordCommand(), a.reportCommand(), a.configCommand(), a.scaleCommand())
+	return root
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version) // a terminal that is gone wants no answer
-	}}, mainApp.upCommand(), mainApp.loadCommand(), mainApp.submitCommand(), mainApp.statusCommand(), mainApp.cancelCommand(), mainApp.showCommand(), mainApp.consoleCommand(),
-		mainApp.recordCommand(), mainApp.reportCommand(), mainApp.configCommand(), mainApp.scaleCommand())
-	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
-	if err := root.ExecuteContext(ctx); err != nil {
-		_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // the exit code stays
-		var e *exitError
-		if errors.As(err, &e) {
-			return e.code
-		}
-		return exitUsage
-	}
-	return 0
+	}}
+}
+
+// checkFlags checks the flags that all commands have, and opens the log.
+func (a *app) checkFlags() error {
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(a.level)); err != nil {
+		return usage(errors.New("--log-level is error, warn, info or debug"))
+	}
+	a.log = slog.New(slog.NewTextHandler(a.errs, &slog.HandlerOptions{Level: level}))
+	if a.output != outputTable && a.output != outputJSON {
+		return usage(errors.New("--output is table or json"))
+	}
+	return nil
 }
 
+// path is where the configuration file is.
 func (a *app) path() (string, error) {
 	if a.config != "" {
 		return a.config, nil
@@ -110,6 +133,7 @@
 	return p, nil
 }
 
+// file is the configuration file as it is now.
 func (a *app) file() (*contexts.File, error) {
 	p, err := a.path()
 	if err != nil {
@@ -122,7 +146,7 @@
 	return f, nil
 }
 
-// cluster is the context that is meant.
+// cluster returns the name of the context that is meant, and the context.
 func (a *app) cluster() (string, contexts.Context, error) {
 	f, err := a.file()
 	if err != nil {
@@ -153,7 +177,7 @@
 
 // print writes v as JSON, or as a table made of titles and rows.
 func (a *app) print(w io.Writer, v any, titles []string, rows [][]string) error {
-	if a.output == "json" {
+	if a.output == outputJSON {
 		return json.NewEncoder(w).Encode(v)
 	}
 	table := textout.NewTable(w, 0)
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -101,20 +101,20 @@
 	}
 }
 
-// TestClusterOnOneMachine does what a newcomer would: a cluster with troubles, jobs, a load, the
-// view, a heartbeat, and the end of it all.
+// TestClusterOnOneMachine does what a newcomer would: a cluster with faults, jobs, a load, the
+// view, a report, and the end of it all.
 func TestClusterOnOneMachine(t *testing.T) {
 	dir := t.TempDir()
 	controller := filepath.Join(dir, "dykeledge")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", controller, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	mainProg := prog{t, filepath.Join(dir, "dykectl.toml")}
+	dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
 	faults := filepath.Join(dir, "faults.toml")
 	if err := os.WriteFile(faults, []byte("[[fault]]\nat_s = 6\nkind = \"crash\"\nnode = \"n1\"\n[[fault]]\nat_s = 9\nkind = \"cut\"\nnode = \"n2\"\nfor_s = 2\n[[fault]]\nat_s = 8\nkind = \"taken\"\npart = 0.3\nnotice_s = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	command := mainProg.command("up", "--controller", controller, "--dir", filepath.Join(dir, "up"), "--machines", "12", "--speed", "8", "--fail", faults, "--log-level", "info")
+	command := dykectl.command("up", "--controller", controller, "--dir", filepath.Join(dir, "up"), "--machines", "12", "--speed", "8", "--fail", faults, "--log-level", "info")
 	var upOut, upErr bytes.Buffer
 	command.Stdout, command.Stderr = &upOut, &upErr
 	if err := command.Start(); err != nil {
@@ -137,61 +137,61 @@
 		}
 		t.Fatalf("never: %s", what)
 	}
-	eventually("a context", func() bool { out, _, _ := mainProg.run("config", "contexts"); return strings.Contains(out, "local") })
+	eventually("a context", func() bool { out, _, _ := dykectl.run("config", "contexts"); return strings.Contains(out, "local") })
 
-	out, errs, code := mainProg.run("submit", "--id", "job-000412", "--team", "red", "--class", "train", "--tasks", "4", "--estimate", "8s", "--due", "5m", "-o", "json")
+	out, errs, code := dykectl.run("submit", "--id", "job-000412", "--team", "red", "--class", "train", "--tasks", "4", "--estimate", "8s", "--due", "5m", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") {
 		t.Fatalf("submit: %d %s %s", code, out, errs)
 	}
-	if out, errs, code = mainProg.run("submit", "--team", "blue", "--after", "job-000412", "--estimate", "2s"); code != 0 {
+	if out, errs, code = dykectl.run("submit", "--team", "blue", "--after", "job-000412", "--estimate", "2s"); code != 0 {
 		t.Errorf("a pipeline: %d %s %s", code, out, errs)
 	}
-	if _, errs, code := mainProg.run("submit", "--team", "grey"); code != 1 || !strings.Contains(errs, "unknown team") {
+	if _, errs, code := dykectl.run("submit", "--team", "grey"); code != 1 || !strings.Contains(errs, "unknown team") {
 		t.Errorf("an unknown team: %d %s", code, errs)
 	}
-	if out, errs, code = mainProg.run("submit", "--id", "job-000413", "--team", "green", "--tasks", "2", "--service"); code != 0 {
+	if out, errs, code = dykectl.run("submit", "--id", "job-000413", "--team", "green", "--tasks", "2", "--service"); code != 0 {
 		t.Errorf("a service: %d %s %s", code, out, errs)
 	}
-	if _, errs, code := mainProg.run("status", "job-000414"); code != 1 || !strings.Contains(errs, "no such job") {
+	if _, errs, code := dykectl.run("status", "job-000414"); code != 1 || !strings.Contains(errs, "no such job") {
 		t.Errorf("a job of nobody: %d %s", code, errs)
 	}
 	profile := filepath.Join(dir, "load.toml")
 	if err := os.WriteFile(profile, []byte("for_s = 8\n[[stream]]\nteam = \"guest\"\nper_minute = 300\ncpus = [0.5, 1]\nrun_s = [2, 8]\n[[stream]]\nteam = \"red\"\npriority = \"high\"\nper_minute = 60\nrun_s = [4]\ndue_in = 50\ncancel_part = 0.3\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, errs, code = mainProg.run("load", profile, "--seed", "3", "--poll", "1s", "-o", "json")
+	out, errs, code = dykectl.run("load", profile, "--seed", "3", "--poll", "1s", "-o", "json")
 	var res struct{ Jobs, Accepted, Done, Cancelled, Open int }
 	if err := json.Unmarshal([]byte(out), &res); err != nil || code != 0 || res.Accepted != res.Jobs || res.Done+res.Cancelled != res.Jobs || res.Jobs < 20 {
 		t.Errorf("load: %d %s %s %v", code, out, errs, err)
 	}
 	eventually("done", func() bool {
-		out, _, code := mainProg.run("status", "job-000412", "-o", "json")
+		out, _, code := dykectl.run("status", "job-000412", "-o", "json")
 		var list []protocol.JobState
 		return code == 0 && json.Unmarshal([]byte(out), &list) == nil && list[0].Status == protocol.Done
 	})
 	for table, want := range map[string]string{"teams": "BORROWED", "nodes": "n3", "machines": "host-", "running": "job-000413", "finished": "job-000412", "queue": "revision", "evictions": "revision"} {
 		eventually("show "+table, func() bool {
-			out, _, code := mainProg.run("show", table)
+			out, _, code := dykectl.run("show", table)
 			return code == 0 && strings.Contains(out, want)
 		})
 	}
-	out, _, code = mainProg.run("show", "finished", "--team", "red", "-o", "json")
+	out, _, code = dykectl.run("show", "finished", "--team", "red", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") || strings.Contains(out, "guest") || strings.Contains(out, "job-000413") {
 		t.Errorf("a team's view: %d %s", code, out)
 	}
-	if _, errs, code := mainProg.run("show", "teams", "--team", "nobody"); code != 1 || !strings.Contains(errs, "no such team") {
+	if _, errs, code := dykectl.run("show", "teams", "--team", "nobody"); code != 1 || !strings.Contains(errs, "no such team") {
 		t.Errorf("a team of nobody: %d %s", code, errs)
 	}
-	if out, errs, code = mainProg.run("cancel", "job-000413"); code != 0 || !strings.Contains(out, "cancelled") {
+	if out, errs, code = dykectl.run("cancel", "job-000413"); code != 0 || !strings.Contains(out, "cancelled") {
 		t.Errorf("cancel: %d %s %s", code, out, errs)
 	}
 	page := filepath.Join(dir, "page.html")
 	eventually("a report", func() bool {
-		out, _, code := mainProg.run("report", "--team", "red", "--file", page)
+		out, _, code := dykectl.run("report", "--team", "red", "--file", page)
 		raw, err := os.ReadFile(page)
 		return code == 0 && err == nil && strings.Contains(string(raw), "Team red") && !strings.Contains(string(raw), "guest") && !strings.Contains(out, " 0 jobs")
 	})
-	if _, errs, code := mainProg.run("up", "--controller", controller); code != 2 || !strings.Contains(errs, "--context") {
+	if _, errs, code := dykectl.run("up", "--controller", controller); code != 2 || !strings.Contains(errs, "--context") {
 		t.Errorf("a second cluster of the name: %d %s", code, errs)
 	}
 	if err := command.Process.Signal(syscall.SIGINT); err != nil {
@@ -208,7 +208,7 @@
 	if !strings.Contains(upErr.String(), "asked=true") {
 		t.Error("no controller was crashed")
 	}
-	if out, _, _ := mainProg.run("config", "contexts"); strings.Contains(out, "local") {
+	if out, _, _ := dykectl.run("config", "contexts"); strings.Contains(out, "local") {
 		t.Error("the context of an ended cluster is left")
 	}
 	if found, _ := exec.CommandContext(t.Context(), "pgrep", "-f", controller).Output(); len(found) > 0 {
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -46,7 +46,7 @@
 	return command
 }
 
-// scaleOptions are the flags of a scale run.
+// scaleOptions are the flags of a scale test.
 type scaleOptions struct {
 	profile, cut, fraction string
 	regions                string
@@ -57,7 +57,7 @@
 }
 
 func (a *app) scaleRunCommand() *cobra.Command {
-	var mainScaleOptions scaleOptions
+	var options scaleOptions
 	command := &cobra.Command{
 		Use: "run", Short: "Play a part of a profile and measure what it costs", Args: cobra.NoArgs,
 		Long: "Play a part of a profile and measure what it costs. Each region is a process with its own controllers, state service,\n" +
@@ -68,22 +68,22 @@
 			"  changes     peak with changes of teams' guarantees and limits\n" +
 			"  troubles    changes with a day's failures pressed into the measured time, a rack, a switch, a zone, ends of controllers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &mainScaleOptions)
+			return a.scaleRun(cmd.Context(), cmd.OutOrStdout(), &options)
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&mainScaleOptions.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
-	flags.StringVar(&mainScaleOptions.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
-	flags.StringVar(&mainScaleOptions.regions, "regions", string(scaletest.LargestRegion), "largest or all")
-	flags.StringVar(&mainScaleOptions.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
-	flags.StringVar(&mainScaleOptions.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
-	flags.StringVar(&mainScaleOptions.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
-	flags.StringVar(&mainScaleOptions.out, "out", "", "`FILE` to which the points are added as lines of JSON")
-	flags.StringVar(&mainScaleOptions.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
-	flags.StringVar(&mainScaleOptions.commit, "commit", "", "commit of the controller that is measured, for the points")
-	flags.Uint64Var(&mainScaleOptions.seed, "seed", 1, "of the load and the machines")
-	flags.DurationVar(&mainScaleOptions.warmUp, "warm-up", 40*time.Second, "time before it is measured")
-	flags.DurationVar(&mainScaleOptions.measure, "measure", time.Minute, "measured time")
+	flags.StringVar(&options.profile, "profile", "", "profile `FILE` (default: `dykectl scale profile`)")
+	flags.StringVar(&options.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
+	flags.StringVar(&options.regions, "regions", string(scaletest.LargestRegion), "largest or all")
+	flags.StringVar(&options.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
+	flags.StringVar(&options.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	flags.StringVar(&options.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
+	flags.StringVar(&options.out, "out", "", "`FILE` to which the points are added as lines of JSON")
+	flags.StringVar(&options.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
+	flags.StringVar(&options.commit, "commit", "", "commit of the controller that is measured, for the points")
+	flags.Uint64Var(&options.seed, "seed", 1, "of the load and the machines")
+	flags.DurationVar(&options.warmUp, "warm-up", 40*time.Second, "time before it is measured")
+	flags.DurationVar(&options.measure, "measure", time.Minute, "measured time")
 	return command
 }
 
@@ -101,33 +101,35 @@
 	return n / d, nil
 }
 
-// request checks the flags.
+// request checks the flags and returns what they ask for.
 func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
-	profile, scaletestRequest := scaletest.DefaultProfile(), scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
+	profile := scaletest.DefaultProfile()
+	request := scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
 		if profile, err = scaletest.LoadProfile(o.profile); err != nil {
-			return profile, scaletestRequest, err
+			return profile, request, err
 		}
 	}
-	if scaletestRequest.Fraction, err = parseFraction(o.fraction); err != nil {
-		return profile, scaletestRequest, err
+	if request.Fraction, err = parseFraction(o.fraction); err != nil {
+		return profile, request, err
 	}
 	switch {
-	case !slices.Contains(scaletest.Cuts(), scaletestRequest.Cut):
-		return profile, scaletestRequest, errors.New("--cut is peak, population, changes or troubles")
-	case scaletestRequest.Regions != scaletest.LargestRegion && scaletestRequest.Regions != scaletest.AllRegions:
-		return profile, scaletestRequest, errors.New("--regions is largest or all")
+	case !slices.Contains(scaletest.Cuts(), request.Cut):
+		return profile, request, errors.New("--cut is peak, population, changes or troubles")
+	case request.Regions != scaletest.LargestRegion && request.Regions != scaletest.AllRegions:
+		return profile, request, errors.New("--regions is largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
-		return profile, scaletestRequest, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
+		return profile, request, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
 	}
-	scaletestRequest.Program, err = controller(o.program)
-	return profile, scaletestRequest, err
+	request.Program, err = controller(o.program)
+	return profile, request, err
 }
 
-func (a *app) scaleRun(ctx context.Context, out io.Writer, mainScaleOptions *scaleOptions) (err error) {
-	profile, request, err := mainScaleOptions.request()
+// scaleRun plays all cells of a request, each in a process of its own, and keeps and prints their points.
+func (a *app) scaleRun(ctx context.Context, out io.Writer, options *scaleOptions) (err error) {
+	profile, request, err := options.request()
 	if err != nil {
 		return usage(err)
 	}
@@ -155,7 +157,7 @@
 	if err != nil {
 		err = fmt.Errorf("%w (logs are in %s)", err, request.Dir)
 	}
-	if err = errors.Join(err, mainScaleOptions.keep(points), a.printPoints(out, points)); err != nil {
+	if err = errors.Join(err, options.keep(points), a.printPoints(out, points)); err != nil {
 		return failed(err)
 	}
 	return nil
@@ -165,12 +167,12 @@
 func (o *scaleOptions) keep(points []*scaletest.Point) (err error) {
 	out := io.Discard
 	if o.out != "" {
-		f, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		file, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, f.Close()) }()
-		out = f
+		defer func() { err = errors.Join(err, file.Close()) }()
+		out = file
 	}
 	var bad []error
 	for _, p := range points {
@@ -181,6 +183,7 @@
 	return errors.Join(bad...)
 }
 
+// printPoints prints a row for each cell that was measured.
 func (a *app) printPoints(out io.Writer, points []*scaletest.Point) error {
 	table := textout.NewTable(out, tabwriter.AlignRight)
 	table.Println("region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -43,8 +43,8 @@
 	if err := os.WriteFile(profile, []byte(smallProfile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	mainProg := prog{t, filepath.Join(dir, "dykectl.toml")}
-	text, errs, code := mainProg.run("scale", "run", "--controller", program, "--profile", profile, "--cut", "troubles", "--regions", "all", "--fraction", "1",
+	dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
+	text, errs, code := dykectl.run("scale", "run", "--controller", program, "--profile", profile, "--cut", "troubles", "--regions", "all", "--fraction", "1",
 		"--warm-up", "8s", "--measure", "16s", "--out", out)
 	if code != 0 {
 		t.Fatalf("exit code %d\n%s\n%s", code, text, errs)
@@ -58,7 +58,7 @@
 			t.Errorf("measured too little: %+v", x)
 		}
 	}
-	report, errs, code := mainProg.run("scale", "report", dir)
+	report, errs, code := dykectl.run("scale", "report", dir)
 	if code != 0 || !strings.Contains(report, "| run | 1 | large |") || !strings.Contains(report, "| run | 1 | small |") {
 		t.Errorf("exit code %d\n%s\n%s", code, report, errs)
 	}
@@ -70,7 +70,7 @@
 	if err := os.WriteFile(bad, []byte("workers = 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	mainProg := prog{t, filepath.Join(dir, "dykectl.toml")}
+	dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
 	for _, c := range []struct{ args, want string }{
 		{"scale run --cut none", "--cut"},
 		{"scale run --regions some", "--regions"},
@@ -81,7 +81,7 @@
 		{"scale run --profile " + bad, "workers"},
 		{"scale report " + dir, "*.jsonl"},
 	} {
-		if _, errs, code := mainProg.run(strings.Fields(c.args)...); code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
+		if _, errs, code := dykectl.run(strings.Fields(c.args)...); code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%s: exit code %d, %q, want %q", c.args, code, errs, c.want)
 		}
 	}
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"sync"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -28,6 +29,7 @@
 	sampleEvery = 5 * time.Second
 )
 
+// upOptions are the flags of up.
 type upOptions struct {
 	program, features, dir, faults string
 	lasts                          time.Duration
@@ -37,7 +39,7 @@
 }
 
 func (a *app) upCommand() *cobra.Command {
-	var mainUpOptions upOptions
+	var options upOptions
 	command := &cobra.Command{
 		Use: "up", Short: "Run a whole cluster on this machine", Args: cobra.NoArgs,
 		Long: "Run a whole cluster on this machine: three controllers, which are real processes of dykeledge, and in this process a\n" +
@@ -45,18 +47,18 @@
 			"Ctrl-C or --for, and with it all that it started. Exit code 1: a rule of the protocol was broken, or a controller\n" +
 			"ended by itself.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return a.up(cmd.Context(), cmd.OutOrStdout(), mainUpOptions)
+			return a.up(cmd.Context(), cmd.OutOrStdout(), options)
 		},
 	}
-	f := command.Flags()
-	f.DurationVar(&mainUpOptions.lasts, "for", 0, "end after this time (default: when interrupted)")
-	f.IntVar(&mainUpOptions.machines, "machines", 40, "how many machines the cloud has")
-	f.Uint64Var(&mainUpOptions.seed, "seed", 1, "of the machines' boot times, prices and troubles")
-	f.Float64Var(&mainUpOptions.speed, "speed", 1, "how many times as fast as stated machines boot, fetch images and work; controllers keep their time")
-	f.StringVar(&mainUpOptions.faults, "fail", "", "`FILE` of troubles to bring about: see docs/dykectl.md")
-	f.StringVar(&mainUpOptions.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
-	f.StringVar(&mainUpOptions.features, "features", "", "the controllers' features `FILE` (default: the view is on)")
-	f.StringVar(&mainUpOptions.dir, "dir", "", "`FOLDER` for settings, logs and history, kept afterwards (default: one that is removed)")
+	flags := command.Flags()
+	flags.DurationVar(&options.lasts, "for", 0, "end after this time (default: when interrupted)")
+	flags.IntVar(&options.machines, "machines", 40, "how many machines the cloud has")
+	flags.Uint64Var(&options.seed, "seed", 1, "of the machines' boot times, prices and troubles")
+	flags.Float64Var(&options.speed, "speed", 1, "how many times as fast as stated machines boot, fetch images and work; controllers keep their time")
+	flags.StringVar(&options.faults, "fail", "", "`FILE` of troubles to bring about: see docs/dykectl.md")
+	flags.StringVar(&options.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	flags.StringVar(&options.features, "features", "", "the controllers' features `FILE` (default: the view is on)")
+	flags.StringVar(&options.dir, "dir", "", "`FOLDER` for settings, logs and history, kept afterwards (default: one that is removed)")
 	return command
 }
 
@@ -69,160 +71,217 @@
 	if self, err := os.Executable(); err == nil {
 		tried = append(tried, filepath.Join(filepath.Dir(self), "dykeledge"))
 	}
-	for _, p := range append(tried, "target/dykeledge", "dykeledge") {
-		if found, err := exec.LookPath(p); err == nil {
+	for _, program := range append(tried, "target/dykeledge", "dykeledge") {
+		if found, err := exec.LookPath(program); err == nil {
 			return filepath.Abs(found)
 		}
 	}
 	return "", errors.New("no dykeledge beside this program, in target or on the path: build it, or name it with --controller")
 }
 
-func (o *upOptions) check() (opts localcluster.Options, err error) {
+// check checks the flags and returns what cluster they ask for.
+func (o *upOptions) check() (clusterOptions localcluster.Options, err error) {
 	switch {
 	case o.machines < 1 || o.machines > 500:
-		return opts, errors.New("--machines is from 1 to 500")
+		return clusterOptions, errors.New("--machines is from 1 to 500")
 	case !(o.speed >= 0.01 && o.speed <= 100):
-		return opts, errors.New("--speed is from 0.01 to 100")
+		return clusterOptions, errors.New("--speed is from 0.01 to 100")
 	case o.lasts < 0:
-		return opts, errors.New("--for is a time above 0")
+		return clusterOptions, errors.New("--for is a time above 0")
 	}
-	opts = localcluster.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.features}
-	if opts.Program, err = controller(o.program); err != nil {
-		return opts, err
+	clusterOptions = localcluster.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.features}
+	if clusterOptions.Program, err = controller(o.program); err != nil {
+		return clusterOptions, err
 	}
 	if o.faults != "" {
-		if opts.Faults, err = localcluster.LoadSchedule(o.faults); err != nil {
-			return opts, err
+		if clusterOptions.Faults, err = localcluster.LoadSchedule(o.faults); err != nil {
+			return clusterOptions, err
 		}
 	}
-	return opts, nil
+	return clusterOptions, nil
 }
 
-func (a *app) up(ctx context.Context, out io.Writer, mainUpOptions upOptions) (err error) {
-	opts, err := mainUpOptions.check()
+// localCluster is a cluster that `dykectl up` runs, with its entry in the configuration file.
+type localCluster struct {
+	cluster *localcluster.Cluster
+	name    string // of its context
+	config  string // path of the configuration file
+	entry   contexts.Context
+	before  string // the context that was the current one
+}
+
+// up runs a cluster until ctx ends or its time is over, and tells what happened in it.
+func (a *app) up(ctx context.Context, out io.Writer, options upOptions) (err error) {
+	clusterOptions, err := options.check()
 	if err != nil {
 		return usage(err)
 	}
-	name := a.context
-	if name == "" {
-		name = "local"
-	}
-	path, err := a.path()
+	local, err := a.newLocalCluster()
 	if err != nil {
 		return err
 	}
-	file, err := contexts.Load(path)
+	removeDir, err := options.makeDir()
 	if err != nil {
-		return usage(err)
-	}
-	if old, ok := file.Contexts[name]; ok && client.Ready(old.Users) {
-		return usage(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
-	}
-	if mainUpOptions.dir == "" {
-		if mainUpOptions.dir, err = os.MkdirTemp("", "dykectl-up-"); err != nil {
-			return failed(err)
-		}
-		defer func() {
-			if err == nil { // what went wrong is in the logs
-				err = os.RemoveAll(mainUpOptions.dir)
-			}
-		}()
-	} else if err := os.MkdirAll(mainUpOptions.dir, 0o700); err != nil {
 		return failed(err)
 	}
-	if opts.Features == "" {
-		opts.Features = filepath.Join(mainUpOptions.dir, "features.toml")
-		if err := os.WriteFile(opts.Features, []byte("[view]\nenabled = true\n"), 0o600); err != nil {
-			return failed(err)
+	defer func() {
+		if err == nil { // what went wrong is in the logs
+			err = removeDir()
 		}
+	}()
+	if err := a.complete(&clusterOptions, options.dir); err != nil {
+		return failed(err)
 	}
-	opts.Dir, opts.Log = mainUpOptions.dir, a.log
-	if opts.Faults != nil {
-		// What is brought about is told, whatever else is not.
-		opts.Log = slog.New(slog.NewTextHandler(a.errs, nil))
-	}
-	cluster, err := localcluster.Start(ctx, opts)
-	if err != nil {
+	var recording sync.WaitGroup
+	defer recording.Wait()
+	if local.cluster, err = localcluster.Start(ctx, clusterOptions); err != nil {
 		return failed(err)
 	}
-	defer cluster.Stop()
-	within, cancel := context.WithTimeout(ctx, readyWithin)
-	err = cluster.Ready(within, client.Ready)
-	cancel()
-	if err != nil {
+	defer local.cluster.Stop()
+	if err := awaitReady(ctx, local.cluster); err != nil {
 		if ctx.Err() != nil {
 			return nil
 		}
-		mainUpOptions.dir += " (kept)"
 		return failed(err)
 	}
-	history := filepath.Join(mainUpOptions.dir, "history.jsonl")
-	mine := contexts.Context{Users: cluster.Users, Nodes: cluster.Controllers, Uploads: cluster.Uploads, History: history}
-	before := file.Current
-	if err := contexts.Change(path, func(f *contexts.File) { f.Contexts[name], f.Current = mine, name }); err != nil {
+	if err := local.addContext(filepath.Join(options.dir, "history.jsonl")); err != nil {
 		return failed(err)
 	}
 	defer func() {
-		if e := contexts.Change(path, func(f *contexts.File) {
-			if f.Contexts[name].Users != mine.Users {
-				return // another cluster has the name by now
-			}
-			delete(f.Contexts, name)
-			if f.Current == name {
-				f.Current = ""
-			}
-			if _, ok := f.Contexts[before]; ok && f.Current == "" {
-				f.Current = before
-			}
-		}); e != nil && err == nil {
-			err = failed(e)
+		if removeErr := local.removeContext(); removeErr != nil && err == nil {
+			err = failed(removeErr)
 		}
 	}()
 	progress := textout.New(out) // a cluster goes on though its terminal is gone
-	progress.Printf("cluster %s is up: 3 controllers, %d machines to rent\n  users    %s\n  nodes    %s %s %s\n  uploads  %s\n  folder   %s\ntry, in another terminal:\n"+
-		"  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n", name, mainUpOptions.machines, cluster.Users, cluster.Controllers[0], cluster.Controllers[1], cluster.Controllers[2], cluster.Uploads, mainUpOptions.dir)
-	if mainUpOptions.lasts > 0 {
+	local.printStart(progress, &options)
+	if options.lasts > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, mainUpOptions.lasts)
+		ctx, stop = context.WithTimeout(ctx, options.lasts)
 		defer stop()
 	}
-	a.record(ctx, cluster.Controllers, history)
+	a.record(ctx, &recording, local.cluster.Controllers, local.entry.History)
 	<-ctx.Done()
 	progress.Println("ending")
-	return a.sumUp(out, cluster)
+	return a.sumUp(out, local.cluster)
 }
 
-// record writes the history of a cluster in the background.
-func (a *app) record(ctx context.Context, nodes []string, path string) {
+// newLocalCluster chooses a context for a cluster that is to start, one that no running cluster has.
+func (a *app) newLocalCluster() (*localCluster, error) {
+	name := a.context
+	if name == "" {
+		name = "local"
+	}
+	path, err := a.path()
+	if err != nil {
+		return nil, err
+	}
+	file, err := contexts.Load(path)
+	if err != nil {
+		return nil, usage(err)
+	}
+	if old, ok := file.Contexts[name]; ok && client.Ready(old.Users) {
+		return nil, usage(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
+	}
+	return &localCluster{name: name, config: path, before: file.Current}, nil
+}
+
+// makeDir makes the folder for settings, logs and history, and returns what removes it again unless it was
+// asked for by name.
+func (o *upOptions) makeDir() (remove func() error, err error) {
+	if o.dir != "" {
+		return func() error { return nil }, os.MkdirAll(o.dir, 0o700)
+	}
+	o.dir, err = os.MkdirTemp("", "dykectl-up-")
+	return func() error { return os.RemoveAll(o.dir) }, err
+}
+
+// complete adds folder, features and log to a cluster's options.
+func (a *app) complete(options *localcluster.Options, dir string) error {
+	if options.Features == "" {
+		options.Features = filepath.Join(dir, "features.toml")
+		if err := os.WriteFile(options.Features, []byte("[view]\nenabled = true\n"), 0o600); err != nil {
+			return err
+		}
+	}
+	options.Dir, options.Log = dir, a.log
+	if options.Faults != nil {
+		// What is brought about is told, whatever else is not.
+		options.Log = slog.New(slog.NewTextHandler(a.errs, nil))
+	}
+	return nil
+}
+
+// awaitReady waits until a cluster takes requests.
+func awaitReady(ctx context.Context, cluster *localcluster.Cluster) error {
+	within, cancel := context.WithTimeout(ctx, readyWithin)
+	defer cancel()
+	return cluster.Ready(within, client.Ready)
+}
+
+// addContext writes the cluster into the configuration file, as the current one.
+func (l *localCluster) addContext(history string) error {
+	l.entry = contexts.Context{Users: l.cluster.Users, Nodes: l.cluster.Controllers, Uploads: l.cluster.Uploads, History: history}
+	return contexts.Change(l.config, func(file *contexts.File) { file.Contexts[l.name], file.Current = l.entry, l.name })
+}
+
+// removeContext takes the cluster out of the configuration file, unless another has its name by now.
+func (l *localCluster) removeContext() error {
+	return contexts.Change(l.config, func(file *contexts.File) {
+		if file.Contexts[l.name].Users != l.entry.Users {
+			return
+		}
+		delete(file.Contexts, l.name)
+		if file.Current == l.name {
+			file.Current = ""
+		}
+		if _, ok := file.Contexts[l.before]; ok && file.Current == "" {
+			file.Current = l.before
+		}
+	})
+}
+
+// printStart tells where the cluster is and what to try with it.
+func (l *localCluster) printStart(out *textout.Printer, options *upOptions) {
+	controllers := l.cluster.Controllers
+	out.Printf("cluster %s is up: 3 controllers, %d machines to rent\n", l.name, options.machines)
+	out.Printf("  users    %s\n", l.cluster.Users)
+	out.Printf("  nodes    %s %s %s\n", controllers[0], controllers[1], controllers[2])
+	out.Printf("  uploads  %s\n", l.cluster.Uploads)
+	out.Printf("  folder   %s\n", options.dir)
+	out.Printf("try, in another terminal:\n  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n")
+}
+
+// record writes the history of a cluster until ctx ends; recording ends with it.
+func (a *app) record(ctx context.Context, recording *sync.WaitGroup, controllers []string, path string) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		a.log.Error("nothing is recorded", "err", err)
 		return
 	}
-	follow := viewclient.NewFollower(viewclient.NewHTTP(nodes), view.Operators, viewPause)
-	go func() {
-		if err := follow.Run(ctx); err != nil {
+	follower := viewclient.NewFollower(viewclient.NewHTTP(controllers), view.Operators, viewPause)
+	recording.Go(func() {
+		if err := follower.Run(ctx); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
 		}
-	}()
-	go func() {
-		err := report.NewRecorder(file, sampleEvery).Run(ctx, follow)
+	})
+	recording.Go(func() {
+		err := report.NewRecorder(file, sampleEvery).Run(ctx, follower)
 		if err = errors.Join(err, file.Close()); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
 		}
-	}()
+	})
 }
 
 // sumUp tells what happened in a cluster's life.
 func (a *app) sumUp(out io.Writer, cluster *localcluster.Cluster) error {
-	w := cluster.Simulation
-	s := w.Stats()
+	simulation := cluster.Simulation
+	stats := simulation.Stats()
 	told := textout.New(out) // broken rules come back as an error, whether or not they could be printed
 	told.Printf("%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
-		s.Started, s.LeaseKills, w.CostSpent(), s.Requests, s.Writes, s.Over, cluster.Ends())
-	broken := w.BrokenRules()
-	for _, b := range broken {
-		told.Println("BROKEN RULE", b)
+		stats.Started, stats.LeaseKills, simulation.CostSpent(), stats.Requests, stats.Writes, stats.Over, cluster.Ends())
+	broken := simulation.BrokenRules()
+	for _, rule := range broken {
+		told.Println("BROKEN RULE", rule)
 	}
 	if len(broken)+cluster.Ends() > 0 {
 		return failed(fmt.Errorf("%d rules were broken, %d controllers ended by themselves; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -27,19 +27,20 @@
 const viewWithin = 15 * time.Second
 
 // scope is the team that a command shows: the one asked for, or the context's.
-func scope(team string, c contexts.Context) view.Scope {
+func scope(team string, cluster contexts.Context) view.Scope {
 	if team == "" {
-		team = c.Team
+		team = cluster.Team
 	}
 	return view.Scope(team)
 }
 
 // follow follows a cluster's view, and fails when no controller can ever give it.
-func follow(ctx context.Context, c contexts.Context, s view.Scope) (f *viewclient.Follower, ended <-chan error) {
-	f = viewclient.NewFollower(viewclient.NewHTTP(c.Nodes), s, viewPause)
-	ch := make(chan error, 1)
-	go func() { ch <- f.Run(ctx) }()
-	return f, ch
+// Its end comes through ended, which need not be read.
+func follow(ctx context.Context, cluster contexts.Context, shown view.Scope) (follower *viewclient.Follower, ended <-chan error) {
+	follower = viewclient.NewFollower(viewclient.NewHTTP(cluster.Nodes), shown, viewPause)
+	result := make(chan error, 1)
+	go func() { result <- follower.Run(ctx) }()
+	return follower, result
 }
 
 func (a *app) showCommand() *cobra.Command {
@@ -66,12 +67,12 @@
 			}
 			ctx, cancel := context.WithTimeout(cmd.Context(), viewWithin)
 			defer cancel()
-			f, ended := follow(ctx, cluster, scope(team, cluster))
-			s, err := first(ctx, f, ended)
+			follower, ended := follow(ctx, cluster, scope(team, cluster))
+			state, err := first(ctx, follower, ended)
 			if err != nil {
 				return failed(err)
 			}
-			return a.show(ctx, cmd.OutOrStdout(), f, s, *table, filter)
+			return a.show(ctx, cmd.OutOrStdout(), follower, state, *table, filter)
 		},
 	}
 	command.Flags().StringVar(&team, "team", "", "only what this `TEAM` may see")
@@ -83,8 +84,8 @@
 func first(ctx context.Context, follower *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
 	for {
 		changed := follower.Changed()
-		if s := follower.State(); s.Snapshot != nil {
-			return s, nil
+		if state := follower.State(); state.Snapshot != nil {
+			return state, nil
 		}
 		select {
 		case <-changed:
@@ -99,6 +100,7 @@
 	}
 }
 
+// show prints a table, or for scripts the rows as they are.
 func (a *app) show(ctx context.Context, out io.Writer, follower *viewclient.Follower, state *viewclient.State, table console.Table, filter string) error {
 	now := state.Now + time.Since(state.Sent).Milliseconds()
 	rows := table.Rows(state, now, nil, 0, false, filter)
@@ -111,7 +113,7 @@
 		why = follower.Reasons(ctx, ids)
 		rows = table.Rows(state, now, why, 0, false, filter)
 	}
-	if a.output == "json" {
+	if a.output == outputJSON {
 		return a.print(out, document(state, table, rows, why), nil, nil)
 	}
 	var titles []string
@@ -210,128 +212,164 @@
 }
 
 func (a *app) recordCommand() *cobra.Command {
-	var file string
+	var path string
 	var every time.Duration
 	command := &cobra.Command{
 		Use: "record", Short: "Record the cluster's history for reports, until interrupted", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) (err error) {
-			_, cluster, err := a.cluster()
-			if err != nil {
-				return err
-			}
-			if file == "" {
-				file = cluster.History
-			}
-			if file == "" || every < time.Second {
-				return usage(errors.New("--file FILE is missing, and the context names no history; --every is at least 1s"))
-			}
-			out, err := os.OpenFile(file, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
-			if err != nil {
-				return usage(err)
-			}
-			defer func() {
-				if closeErr := out.Close(); closeErr != nil && err == nil {
-					err = failed(closeErr)
-				}
-			}()
-			ctx, cancel := context.WithCancel(cmd.Context())
-			defer cancel()
-			follower, ended := follow(ctx, cluster, view.Operators)
-			recorder := report.NewRecorder(out, every)
-			done := make(chan error, 1)
-			go func() { done <- recorder.Run(ctx, follower) }()
-			select {
-			case err = <-ended:
-			case err = <-done:
-			}
-			cancel()
-			if err != nil {
-				return failed(err)
-			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d lines recorded in %s\n", recorder.Recorded, file)
-			return err
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return a.recordHistory(cmd.Context(), cmd.OutOrStdout(), path, every)
 		},
 	}
-	command.Flags().StringVar(&file, "file", "", "add to this `FILE` (default: the context's history)")
+	command.Flags().StringVar(&path, "file", "", "add to this `FILE` (default: the context's history)")
 	command.Flags().DurationVar(&every, "every", 10*time.Second, "time between samples")
 	return command
 }
 
+// recordHistory adds a cluster's history to a file, "" for the context's, until ctx ends or no controller
+// can ever give the view.
+func (a *app) recordHistory(ctx context.Context, out io.Writer, path string, every time.Duration) (err error) {
+	_, cluster, err := a.cluster()
+	if err != nil {
+		return err
+	}
+	if path == "" {
+		path = cluster.History
+	}
+	if path == "" || every < time.Second {
+		return usage(errors.New("--file FILE is missing, and the context names no history; --every is at least 1s"))
+	}
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return usage(err)
+	}
+	defer func() {
+		if closeErr := file.Close(); closeErr != nil && err == nil {
+			err = failed(closeErr)
+		}
+	}()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	follower, ended := follow(ctx, cluster, view.Operators)
+	recorder := report.NewRecorder(file, every)
+	recorded := make(chan error, 1)
+	go func() { recorded <- recorder.Run(ctx, follower) }()
+	select {
+	case err = <-ended:
+		cancel()
+		<-recorded // it has stopped writing
+	case err = <-recorded:
+	}
+	if err != nil {
+		return failed(err)
+	}
+	_, err = fmt.Fprintf(out, "%d lines recorded in %s\n", recorder.Recorded, path)
+	return err
+}
+
 // instant reads a time: a date, a time of today, or a span before now.
-func instant(s string, now time.Time) (time.Time, error) {
-	if s == "now" {
+func instant(text string, now time.Time) (time.Time, error) {
+	if text == "now" {
 		return now, nil
 	}
-	if d, err := time.ParseDuration(s); err == nil && d <= 0 {
+	if d, err := time.ParseDuration(text); err == nil && d <= 0 {
 		return now.Add(d), nil
 	}
 	for _, layout := range []string{time.RFC3339, "2006-01-02 15:04:05", "2006-01-02 15:04", "2006-01-02"} {
-		if t, err := time.ParseInLocation(layout, s, time.Local); err == nil {
+		if t, err := time.ParseInLocation(layout, text, time.Local); err == nil {
 			return t, nil
 		}
 	}
-	if t, err := time.ParseInLocation("15:04", s, time.Local); err == nil {
+	if t, err := time.ParseInLocation("15:04", text, time.Local); err == nil {
 		return time.Date(now.Year(), now.Month(), now.Day(), t.Hour(), t.Minute(), 0, 0, time.Local), nil
 	}
-	return now, fmt.Errorf("%q is no time: use 2006-01-02 15:04, 15:04 of today, or -24h", s)
+	return now, fmt.Errorf("%q is no time: use 2006-01-02 15:04, 15:04 of today, or -24h", text)
+}
+
+// reportOptions are the flags of report.
+type reportOptions struct {
+	team, from, to, out, title string
+	histories                  []string
 }
 
 func (a *app) reportCommand() *cobra.Command {
-	var team, from, to, out, title string
-	var histories []string
+	options := &reportOptions{}
 	command := &cobra.Command{
 		Use: "report", Short: "Make a page of what was recorded", Args: cobra.NoArgs,
 		Example: "  dykectl report --team red --from 18:00 --to now --file morning.html",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			now := time.Now()
-			begin, err := instant(from, now)
-			if err != nil {
-				return usage(fmt.Errorf("--from: %w", err))
-			}
-			end, err := instant(to, now)
-			if err != nil {
-				return usage(fmt.Errorf("--to: %w", err))
-			}
-			if !end.After(begin) {
-				return usage(errors.New("--to is not after --from"))
-			}
-			if filepath.Ext(out) != ".html" {
-				return usage(errors.New("--file is missing, or does not end in .html"))
-			}
-			viewScope := view.Scope(team)
-			if len(histories) == 0 {
-				_, cluster, err := a.cluster()
-				if err != nil {
-					return err
-				}
-				if cluster.History == "" {
-					return usage(errors.New("the context names no history: use --history FILE"))
-				}
-				histories, viewScope = []string{cluster.History}, scope(team, cluster)
-			}
-			history, err := report.Read(histories, viewScope, begin.UnixMilli(), end.UnixMilli())
-			if err != nil {
-				return failed(err)
-			}
-			if title == "" {
-				title = "Shares of all teams"
-				if viewScope != view.Operators {
-					title = "Share of team " + string(viewScope)
-				}
-			}
-			if err := report.Make(history, title, viewScope, now).Write(out); err != nil {
-				return failed(err)
-			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s and %s: %d samples, %d jobs\n", out, report.Beside(out), len(history.Samples), len(history.Jobs))
-			return err
+			return a.report(cmd.OutOrStdout(), options, time.Now())
 		},
 	}
-	f := command.Flags()
-	f.StringVar(&team, "team", "", "only what this `TEAM` may see (default: the context's, or all)")
-	f.StringVar(&from, "from", "-24h", "`TIME`: a date, a time of today, or a span before now")
-	f.StringVar(&to, "to", "now", "`TIME` before which it ends")
-	f.StringVar(&out, "file", "", "write the page to this `FILE.html`, and its figures to FILE.json beside it")
-	f.StringVar(&title, "title", "", "the page's title")
-	f.StringSliceVar(&histories, "history", nil, "read this `FILE` (may be repeated; default: the context's history)")
+	flags := command.Flags()
+	flags.StringVar(&options.team, "team", "", "only what this `TEAM` may see (default: the context's, or all)")
+	flags.StringVar(&options.from, "from", "-24h", "`TIME`: a date, a time of today, or a span before now")
+	flags.StringVar(&options.to, "to", "now", "`TIME` before which it ends")
+	flags.StringVar(&options.out, "file", "", "write the page to this `FILE.html`, and its figures to FILE.json beside it")
+	flags.StringVar(&options.title, "title", "", "the page's title")
+	flags.StringSliceVar(&options.histories, "history", nil, "read this `FILE` (may be repeated; default: the context's history)")
 	return command
 }
+
+// report makes a page of the histories and says where it is.
+func (a *app) report(out io.Writer, options *reportOptions, now time.Time) error {
+	begin, end, err := options.interval(now)
+	if err != nil {
+		return usage(err)
+	}
+	if filepath.Ext(options.out) != ".html" {
+		return usage(errors.New("--file is missing, or does not end in .html"))
+	}
+	histories, shown, err := a.histories(options)
+	if err != nil {
+		return err
+	}
+	history, err := report.Read(histories, shown, begin.UnixMilli(), end.UnixMilli())
+	if err != nil {
+		return failed(err)
+	}
+	if err := report.Make(history, options.titleFor(shown), shown, now).Write(options.out); err != nil {
+		return failed(err)
+	}
+	_, err = fmt.Fprintf(out, "%s and %s: %d samples, %d jobs\n", options.out, report.Beside(options.out), len(history.Samples), len(history.Jobs))
+	return err
+}
+
+// interval reads from when to when the page is.
+func (o *reportOptions) interval(now time.Time) (begin, end time.Time, err error) {
+	if begin, err = instant(o.from, now); err != nil {
+		return begin, end, fmt.Errorf("--from: %w", err)
+	}
+	if end, err = instant(o.to, now); err != nil {
+		return begin, end, fmt.Errorf("--to: %w", err)
+	}
+	if !end.After(begin) {
+		return begin, end, errors.New("--to is not after --from")
+	}
+	return begin, end, nil
+}
+
+// histories are the files to read, and whose view the page shows.
+func (a *app) histories(options *reportOptions) ([]string, view.Scope, error) {
+	if len(options.histories) > 0 {
+		return options.histories, view.Scope(options.team), nil
+	}
+	_, cluster, err := a.cluster()
+	if err != nil {
+		return nil, "", err
+	}
+	if cluster.History == "" {
+		return nil, "", usage(errors.New("the context names no history: use --history FILE"))
+	}
+	return []string{cluster.History}, scope(options.team, cluster), nil
+}
+
+// titleFor is the page's title: the one asked for, or one that says whose view it is.
+func (o *reportOptions) titleFor(shown view.Scope) string {
+	switch {
+	case o.title != "":
+		return o.title
+	case shown == view.Operators:
+		return "Shares of all teams"
+	}
+	return "Share of team " + string(shown)
+}
