--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -39,8 +39,8 @@
 	failed int // never in force, or without an answer
 }
 
-func newOperators(c *Cell, nodes []string) *operators {
-	return &operators{controllers: nodes, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
+func newOperators(c *Cell, controllers []string) *operators {
+	return &operators{controllers: controllers, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
 }
 
 // changesStream keeps the draws of changes apart from those of jobs.
@@ -51,8 +51,8 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	for n := 1; wait.For(ctx, seconds(1/perSecond)); n++ {
-		t, node := o.teams[o.rand.IntN(len(o.teams))], o.controllers[o.rand.IntN(len(o.controllers))]
-		all.Go(func() { o.one(ctx, node, t, n%lowersEach == 0) })
+		target, address := o.teams[o.rand.IntN(len(o.teams))], o.controllers[o.rand.IntN(len(o.controllers))]
+		all.Go(func() { o.one(ctx, address, target, n%lowersEach == 0) })
 	}
 }
 
@@ -68,24 +68,25 @@
 const inForce = "in force"
 
 // one makes a change and watches it until it is in force. One that lowers a limit is taken back afterwards.
-func (o *operators) one(ctx context.Context, node string, scaletestTeam team, lowers bool) {
-	took, err := o.change(ctx, node, scaletestTeam.name, func(e teamEntry) map[string]float64 {
-		if lowers && e.CpusMax > 2 {
-			return map[string]float64{"cpus_max": e.CpusMax - 1, "cpus": 0}
+func (o *operators) one(ctx context.Context, address string, target team, lowers bool) {
+	took, err := o.change(ctx, address, target.name, func(entry teamEntry) map[string]float64 {
+		if lowers && entry.CpusMax > 2 {
+			return map[string]float64{"cpus_max": entry.CpusMax - 1, "cpus": 0}
 		}
-		return map[string]float64{"cpus": float64(int(e.Cpus+1) % int(max(1, e.CpusMax)))}
+		return map[string]float64{"cpus": float64(int(entry.Cpus+1) % int(max(1, entry.CpusMax)))}
 	})
 	if ctx.Err() != nil {
 		return
 	}
 	o.note(took, lowers, err)
 	if lowers && err == nil {
-		_, _ = o.change(ctx, node, scaletestTeam.name, func(teamEntry) map[string]float64 { // as it was: what fails is counted by others
-			return map[string]float64{"cpus_max": scaletestTeam.limit}
+		_, _ = o.change(ctx, address, target.name, func(teamEntry) map[string]float64 { // as it was: what fails is counted by others
+			return map[string]float64{"cpus_max": target.limit}
 		})
 	}
 }
 
+// note counts a change, unless the measured time has not begun.
 func (o *operators) note(took time.Duration, lowers bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -108,54 +109,57 @@
 
 // change reads a team, changes it on the version that was read, and waits until it is in force. What is refused or not
 // answered is tried again, at any controller; the time counts from the first try.
-func (o *operators) change(ctx context.Context, node, name string, to func(teamEntry) map[string]float64) (time.Duration, error) {
+func (o *operators) change(ctx context.Context, address, name string, to func(teamEntry) map[string]float64) (time.Duration, error) {
 	began, version := time.Now(), uint64(0)
 	for time.Since(began) < forceWithin && ctx.Err() == nil {
-		e, err := readTeam(node, name)
+		entry, err := readTeam(address, name)
 		switch {
-		case err == nil && version > 0 && e.Version >= version && e.State == inForce:
+		case err == nil && version > 0 && entry.Version >= version && entry.State == inForce:
 			return time.Since(began), nil
 		case err == nil && version == 0:
-			version, err = putTeam(node, name, e.Version, to(e))
+			version, err = putTeam(address, name, entry.Version, to(entry))
 		}
 		if err != nil {
-			node = o.another(node)
+			address = o.another(address)
 		}
 		wait.For(ctx, forceAskedEvery)
 	}
 	return 0, errNotInForce
 }
 
-// another is the next controller.
-func (o *operators) another(node string) string {
-	for i, n := range o.controllers {
-		if n == node {
+// another is the address of the next controller.
+func (o *operators) another(address string) string {
+	for i, controller := range o.controllers {
+		if controller == address {
 			return o.controllers[(i+1)%len(o.controllers)]
 		}
 	}
-	return node
+	return address
 }
 
-func teamPath(node, name string) string {
-	return "http://" + node + "/admin/v1/teams/" + url.PathEscape(name)
+func teamPath(address, name string) string {
+	return "http://" + address + "/admin/v1/teams/" + url.PathEscape(name)
 }
 
-func readTeam(node, name string) (teamEntry, error) {
-	var e teamEntry
-	status, body, err := fasthttp.GetTimeout(nil, teamPath(node, name), changeWithin)
+// readTeam asks a controller for a team.
+func readTeam(address, name string) (teamEntry, error) {
+	var entry teamEntry
+	status, body, err := fasthttp.GetTimeout(nil, teamPath(address, name), changeWithin)
 	if err != nil {
-		return e, err
+		return entry, err
 	}
 	if status != fasthttp.StatusOK {
-		return e, fmt.Errorf("team %s: status %d", name, status)
+		return entry, fmt.Errorf("team %s: status %d", name, status)
 	}
-	return e, json.Unmarshal(body, &e)
+	err = json.Unmarshal(body, &entry)
+	return entry, err
 }
 
-func putTeam(node, name string, version uint64, to map[string]float64) (uint64, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
+// putTeam changes a team if version is still that of its entry, and returns the new version.
+func putTeam(address, name string, version uint64, to map[string]float64) (uint64, error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
 	raw, err := json.Marshal(struct {
 		Version uint64             `json:"version"`
 		Team    map[string]float64 `json:"team"`
@@ -163,18 +167,18 @@
 	if err != nil {
 		return 0, err
 	}
-	req.Header.SetMethod(fasthttp.MethodPut)
-	req.SetRequestURI(teamPath(node, name))
-	req.SetBodyRaw(raw)
-	if err := fasthttp.DoTimeout(req, resp, changeWithin); err != nil {
+	request.Header.SetMethod(fasthttp.MethodPut)
+	request.SetRequestURI(teamPath(address, name))
+	request.SetBodyRaw(raw)
+	if err := fasthttp.DoTimeout(request, response, changeWithin); err != nil {
 		return 0, err
 	}
-	if resp.StatusCode() != fasthttp.StatusOK {
-		return 0, fmt.Errorf("team %s: status %d", name, resp.StatusCode())
+	if response.StatusCode() != fasthttp.StatusOK {
+		return 0, fmt.Errorf("team %s: status %d", name, response.StatusCode())
 	}
-	var e teamEntry
-	if err := json.Unmarshal(resp.Body(), &e); err != nil {
+	var entry teamEntry
+	if err := json.Unmarshal(response.Body(), &entry); err != nil {
 		return 0, err
 	}
-	return e.Version, nil
+	return entry.Version, nil
 }
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -6,7 +6,7 @@
 	"dykeledge/internal/localcluster"
 )
 
-// Troubles of a run come in the measured time, at these parts of it and for these seconds. A day's failures and replacements
+// Faults of a run come in the measured time, at these parts of it and for these seconds. A day's failures and replacements
 // are pressed into the measured time.
 const (
 	rackAt, switchAt, zoneAt, oneEndsAt, allEndAt = 0.10, 0.25, 0.40, 0.65, 0.80
@@ -16,11 +16,11 @@
 	switchRacks                                   = 3
 )
 
-// schedule is what befalls a cell in a run with troubles.
+// schedule is what befalls a cell in a run with faults.
 func (c *Cell) schedule() *localcluster.Schedule {
 	profile, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
-	s := &localcluster.Schedule{Faults: []localcluster.Fault{
+	schedule := &localcluster.Schedule{Faults: []localcluster.Fault{
 		{AtS: at(rackAt), Kind: "machine_dies", Count: profile.WorkersPerRack},
 		{AtS: at(switchAt), Kind: "machine_cut", Count: switchRacks * profile.WorkersPerRack, ForS: cutFor},
 		{AtS: at(zoneAt), Kind: "zone_cut", Zone: c.Zones[0], ForS: cutFor},
@@ -28,13 +28,13 @@
 		{AtS: at(allEndAt), Kind: "crash", Node: "all"},
 	}}
 	part := profile.Regions[c.Index].Part * c.Fraction
-	s.Faults = append(s.Faults, c.spread(profile.FailuresADay*part, localcluster.Fault{Kind: "machine_dies", Count: 1})...)
-	s.Faults = append(s.Faults, c.spread(profile.ReplacedADay*part, localcluster.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
-	s.Sort()
-	return s
+	schedule.Faults = append(schedule.Faults, c.spread(profile.FailuresADay*part, localcluster.Fault{Kind: "machine_dies", Count: 1})...)
+	schedule.Faults = append(schedule.Faults, c.spread(profile.ReplacedADay*part, localcluster.Fault{Kind: "taken", Count: 1, NoticeS: noticeS})...)
+	schedule.Sort()
+	return schedule
 }
 
-// spread has a trouble come so many times, evenly over the measured time.
+// spread has a fault come so many times, evenly over the measured time.
 func (c *Cell) spread(times float64, f localcluster.Fault) []localcluster.Fault {
 	n := int(math.Round(times))
 	out := make([]localcluster.Fault, n)
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -49,9 +49,11 @@
 // reserveNetwork finds a network that no other cell on this machine uses, of this run or another's: two cells at the same addresses would play each
 // other's workers. The network is held until the listener is closed.
 func reserveNetwork(ctx context.Context) (int, net.Listener, error) {
-	for n := firstNetwork; n <= lastNetwork; n++ {
-		if ln, err := new(net.ListenConfig).Listen(ctx, "tcp4", fmt.Sprintf("127.%d.%d.254:%d", n, controllersNet, lockPort)); err == nil {
-			return n, ln, nil
+	var listenConfig net.ListenConfig
+	for network := firstNetwork; network <= lastNetwork; network++ {
+		address := fmt.Sprintf("127.%d.%d.254:%d", network, controllersNet, lockPort)
+		if listener, err := listenConfig.Listen(ctx, "tcp4", address); err == nil {
+			return network, listener, nil
 		}
 	}
 	return 0, nil, errors.New("no free loopback network for a cell")
@@ -100,15 +102,15 @@
 	if err := cluster.Ready(within, client.Ready); err != nil {
 		return nil, err
 	}
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer cancel()
 	done := make(chan loadgen.Result, 1)
 	users := client.New(cluster.Users)
 	runner := &loadgen.Runner{To: users, Upload: watch.upload}
 	users.Retried = runner.Retried
-	go func() { done <- runner.Run(ctx, c.Arrivals(), 0) }()
-	go watch.measureLateness(ctx)
-	var background sync.WaitGroup
-	defer background.Wait()
-	defer cancel()
+	background.Go(func() { done <- runner.Run(ctx, c.Arrivals(), 0) })
+	background.Go(func() { watch.measureLateness(ctx) })
 	if (c.Cut == Changes || c.Cut == Faults) && c.Profile.ChangesADay > 0 {
 		watch.operators = newOperators(c, cluster.Controllers)
 		background.Go(func() { watch.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
@@ -166,6 +168,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
+// newWatch makes a watch that is told of every launch from now on.
 func newWatch(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *watch {
 	w := &watch{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
@@ -240,6 +243,7 @@
 	return w.point(first, last), nil
 }
 
+// watchStarts notes how long no task has been started; n counts the samples.
 func (w *watch) watchStarts(n int) {
 	now, stats := time.Now(), w.cluster.Simulation.Stats()
 	if stats.Started > w.started {
@@ -251,6 +255,7 @@
 	}
 }
 
+// notePeaks notes what the controllers hold now.
 func (w *watch) notePeaks() {
 	for i, pid := range w.cluster.Pids() {
 		if u, err := usageOf(pid); err == nil {
@@ -260,32 +265,35 @@
 }
 
 // point works out what was measured between two samples.
-func (w *watch) point(scaletestSample, b sample) *Point {
-	cell, simulation, took := w.cell, w.cluster.Simulation, b.at.Sub(scaletestSample.at)
-	per := func(n float64) float64 { return n / took.Seconds() }
-	up := len(simulation.Machines())
-	perWorker := func(n int64) float64 { return per(float64(n)) / float64(max(1, up)) }
-	scaletestPoint := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
-		Workers: cell.Workers, Up: up, OfferedS: cell.StartsPerS, MeasureS: took.Seconds(), StartsPerS: per(float64(b.stats.Started - scaletestSample.stats.Started)),
-		Running: simulation.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: b.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
-		HollowCores: per((b.hollow.cpu - scaletestSample.hollow.cpu).Seconds()), HollowMB: b.hollow.memMB, HostLoad: hostLoad(),
-		WritesPerS: per(float64(b.stats.Writes - scaletestSample.stats.Writes)), OverPerS: per(float64(b.stats.Over - scaletestSample.stats.Over)), UserConns: w.cluster.LoadBalancer.Opened.Load()}
-	scaletestPoint.StateKeys, scaletestPoint.StateBytes = simulation.Store.Size()
+func (w *watch) point(first, last sample) *Point {
+	cell, simulation, took := w.cell, w.cluster.Simulation, last.at.Sub(first.at)
+	perSecond := func(n float64) float64 { return n / took.Seconds() }
+	point := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
+		Workers: cell.Workers, Up: len(simulation.Machines()), OfferedS: cell.StartsPerS, MeasureS: took.Seconds(),
+		StartsPerS: perSecond(float64(last.stats.Started - first.stats.Started)),
+		Running:    simulation.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: last.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
+		HollowCores: perSecond((last.hollow.cpu - first.hollow.cpu).Seconds()), HollowMB: last.hollow.memMB, HostLoad: hostLoad(),
+		WritesPerS: perSecond(float64(last.stats.Writes - first.stats.Writes)), OverPerS: perSecond(float64(last.stats.Over - first.stats.Over)),
+		UserConns: w.cluster.LoadBalancer.Opened.Load()}
+	point.StateKeys, point.StateBytes = simulation.Store.Size()
+	perWorker := func(n int64) float64 { return perSecond(float64(n)) / float64(max(1, point.Up)) }
 	// A worker sends heartbeats, and heartbeats as answers to commands; it gets answers, and commands.
-	scaletestPoint.WorkerOutBps = perWorker(b.reports.out - scaletestSample.reports.out + b.commands.out - scaletestSample.commands.out)
-	scaletestPoint.WorkerInBps = perWorker(b.reports.in - scaletestSample.reports.in + b.commands.in - scaletestSample.commands.in)
-	scaletestPoint.HeartbeatsPerS, scaletestPoint.CommandsPerS = perWorker(b.reports.messages-scaletestSample.reports.messages), perWorker(b.commands.messages-scaletestSample.commands.messages)
+	point.WorkerOutBps = perWorker(last.reports.out - first.reports.out + last.commands.out - first.commands.out)
+	point.WorkerInBps = perWorker(last.reports.in - first.reports.in + last.commands.in - first.commands.in)
+	point.HeartbeatsPerS = perWorker(last.reports.messages - first.reports.messages)
+	point.CommandsPerS = perWorker(last.commands.messages - first.commands.messages)
 	w.mu.Lock()
-	scaletestPoint.UrgentMs, scaletestPoint.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
+	point.UrgentMs, point.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
 	w.mu.Unlock()
-	if o := w.operators; o != nil {
-		o.mu.Lock()
-		scaletestPoint.ChangesMade, scaletestPoint.ChangesFailed, scaletestPoint.ChangeMs, scaletestPoint.LowerMs = o.made, o.failed, spanOf(o.raised), spanOf(o.lower)
-		o.mu.Unlock()
+	if operators := w.operators; operators != nil {
+		operators.mu.Lock()
+		point.ChangesMade, point.ChangesFailed = operators.made, operators.failed
+		point.ChangeMs, point.LowerMs = spanOf(operators.raised), spanOf(operators.lower)
+		operators.mu.Unlock()
 	}
-	scaletestPoint.Overloaded = scaletestPoint.LatenessMs.P99 > mostLateness
-	for i := range b.controllers {
-		scaletestPoint.Controllers = append(scaletestPoint.Controllers, between(fmt.Sprintf("n%d", i+1), scaletestSample.controllers[i], b.controllers[i], w.peaks[i], took))
+	point.Overloaded = point.LatenessMs.P99 > mostLateness
+	for i := range last.controllers {
+		point.Controllers = append(point.Controllers, between(fmt.Sprintf("n%d", i+1), first.controllers[i], last.controllers[i], w.peaks[i], took))
 	}
-	return scaletestPoint
+	return point
 }
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -24,30 +24,30 @@
 // usageOf reads a process's figures from /proc.
 func usageOf(pid int) (processUsage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
-	var scaletestProcessUsage processUsage
+	var usage processUsage
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
-		return scaletestProcessUsage, fmt.Errorf("usage of a process: %w", err)
+		return usage, fmt.Errorf("usage of a process: %w", err)
 	}
-	if scaletestProcessUsage.cpu, err = cpuOf(stat); err != nil {
-		return scaletestProcessUsage, err
+	if usage.cpu, err = cpuOf(stat); err != nil {
+		return usage, err
 	}
 	status, err := os.ReadFile(filepath.Join(dir, "status"))
 	if err != nil {
-		return scaletestProcessUsage, fmt.Errorf("usage of a process: %w", err)
+		return usage, fmt.Errorf("usage of a process: %w", err)
 	}
 	for line := range strings.Lines(string(status)) {
 		name, value, _ := strings.Cut(line, ":")
 		number, _ := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 64) // 0 where it is no number
 		switch name {
 		case "VmRSS":
-			scaletestProcessUsage.memMB = number / 1024
+			usage.memMB = number / 1024
 		case "Threads":
-			scaletestProcessUsage.threads = int(number)
+			usage.threads = int(number)
 		}
 	}
-	scaletestProcessUsage.sockets = socketsOf(filepath.Join(dir, "fd"))
-	return scaletestProcessUsage, nil
+	usage.sockets = socketsOf(filepath.Join(dir, "fd"))
+	return usage, nil
 }
 
 // cpuOf reads user and system time from the text of /proc/PID/stat, whose second field may hold spaces and brackets.
--- a/internal/scaletest/profile.go
+++ b/internal/scaletest/profile.go
@@ -1,6 +1,3 @@
-// Package scaletest runs a deployment at a size that no operator has yet: real controllers as processes, one or several cells
-// of them, each with its own state service, cloud, load balancer, users and thousands of hollow workers in one process.
-// It measures what each role costs, keeps the measurements as lines of JSON, and works out slopes and tables from them.
 package scaletest
 
 import (
@@ -12,7 +9,7 @@
 )
 
 // Profile describes the deployment at its whole size, and how a run at a part of it is played. One second of a run is one
-// second of the deployment; troubles alone come more often than they do there.
+// second of the deployment; faults alone come more often than they do there.
 type Profile struct {
 	Workers        int     `toml:"workers"`       // in all regions
 	RunningTasks   int     `toml:"running_tasks"` // at a time, in all regions
@@ -117,7 +114,7 @@
 
 // Bounds of what one machine can play.
 const (
-	mostWorkers = 60_000 // hollow workers have loopback addresses of their own
+	mostWorkers = 60_000 // each hollow worker has a loopback address of its own
 	mostTeams   = 10_000
 	mostRegions = 32
 	mostZones   = 16
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -184,6 +184,7 @@
 	{"submissions: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.AcceptMs.P99 }},
 }
 
+// workerTable has a row for each figure of a cell.
 func workerTable(out *textout.Printer, points []Point) {
 	out.Printf("| figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, f := range pointFigures {
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -24,7 +24,7 @@
 type sample struct {
 	at          time.Time
 	controllers []controllerSample
-	hollow      processUsage
+	hollow      processUsage // of the hollow side, see the package comment
 	stats       simulator.Stats
 	reports     networkBytes
 	commands    networkBytes
@@ -33,6 +33,7 @@
 // networkBytes is what a meter has counted.
 type networkBytes struct{ in, out, messages int64 }
 
+// read reads a meter.
 func read(m *simulator.Meter) networkBytes {
 	return networkBytes{m.In.Load(), m.Out.Load(), m.Messages.Load()}
 }
@@ -43,26 +44,26 @@
 
 // take samples a cell. What a controller does not tell now is left out, and logged.
 func take(cluster *localcluster.Cluster, log *slog.Logger) sample {
-	scaletestSample := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: read(&cluster.Simulation.Commands)}
+	taken := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: read(&cluster.Simulation.Commands)}
 	var err error
-	if scaletestSample.hollow, err = usageOf(os.Getpid()); err != nil {
+	if taken.hollow, err = usageOf(os.Getpid()); err != nil {
 		log.Warn("no figures of the hollow side", "err", err)
 	}
 	for i, pid := range cluster.Pids() {
-		m := cluster.Meters[i]
-		n := controllerSample{pid: pid, reads: m.Requests.Reads.Load(), txns: m.Requests.Transactions.Load(), leases: m.Requests.Leases.Load(),
-			watches: m.Requests.Watches.Load(), stateIn: m.State.In.Load(), stateOut: m.State.Out.Load(), peerBytes: m.Peers.In.Load() + m.Peers.Out.Load()}
-		if n.usage, err = usageOf(pid); err != nil {
-			log.Warn("no figures of a controller", "node", i+1, "err", err)
+		meters := cluster.Meters[i]
+		controller := controllerSample{pid: pid, reads: meters.Requests.Reads.Load(), txns: meters.Requests.Transactions.Load(), leases: meters.Requests.Leases.Load(),
+			watches: meters.Requests.Watches.Load(), stateIn: meters.State.In.Load(), stateOut: meters.State.Out.Load(), peerBytes: meters.Peers.In.Load() + meters.Peers.Out.Load()}
+		if controller.usage, err = usageOf(pid); err != nil {
+			log.Warn("no figures of a controller", "controller", i+1, "err", err)
 		}
-		if n.counters, err = scrape(cluster.Controllers[i]); err != nil {
-			log.Warn("no metrics of a controller", "node", i+1, "err", err)
+		if controller.counters, err = scrape(cluster.Controllers[i]); err != nil {
+			log.Warn("no metrics of a controller", "controller", i+1, "err", err)
 		}
-		n.scraped = err == nil
-		scaletestSample.controllers = append(scaletestSample.controllers, n)
-		scaletestSample.reports = scaletestSample.reports.plus(read(&cluster.Simulation.Controller(i).HeartbeatMeter))
+		controller.scraped = err == nil
+		taken.controllers = append(taken.controllers, controller)
+		taken.reports = taken.reports.plus(read(&cluster.Simulation.Controller(i).HeartbeatMeter))
 	}
-	return scaletestSample
+	return taken
 }
 
 // peaks are the most that a controller held at any time.
@@ -77,15 +78,15 @@
 }
 
 // between works out what a controller cost from one sample to another.
-func between(name string, a, b controllerSample, most peaks, took time.Duration) ControllerPoint {
+func between(name string, before, after controllerSample, most peaks, took time.Duration) ControllerPoint {
 	per := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
 	count := func(from, to int64) float64 { return per(float64(from), float64(to)) }
-	return ControllerPoint{Name: name, Role: b.counters.role(), Shards: b.counters.shards,
-		Whole: a.pid == b.pid && a.pid != 0 && a.scraped && b.scraped && a.counters.role() == b.counters.role() && a.counters.shards == b.counters.shards,
-		Cores: per(a.usage.cpu.Seconds(), b.usage.cpu.Seconds()), PlanCores: per(a.counters.planning, b.counters.planning),
+	return ControllerPoint{Name: name, Role: after.counters.role(), Shards: after.counters.shards,
+		Whole: before.pid == after.pid && before.pid != 0 && before.scraped && after.scraped && before.counters.role() == after.counters.role() && before.counters.shards == after.counters.shards,
+		Cores: per(before.usage.cpu.Seconds(), after.usage.cpu.Seconds()), PlanCores: per(before.counters.planning, after.counters.planning),
 		MemMB: most.memMB, Sockets: most.sockets, Threads: most.threads,
-		HeartbeatsS: per(a.counters.heartbeats, b.counters.heartbeats), LaunchesS: per(a.counters.launches, b.counters.launches),
-		ReadsS: count(a.reads, b.reads), TxnsS: count(a.txns, b.txns), LeasesS: count(a.leases, b.leases), WatchesS: count(a.watches, b.watches),
-		StateInS: count(a.stateIn, b.stateIn), StateOutS: count(a.stateOut, b.stateOut),
-		CloudS: per(a.counters.cloud, b.counters.cloud), PeerBytesS: count(a.peerBytes, b.peerBytes)}
+		HeartbeatsS: per(before.counters.heartbeats, after.counters.heartbeats), LaunchesS: per(before.counters.launches, after.counters.launches),
+		ReadsS: count(before.reads, after.reads), TxnsS: count(before.txns, after.txns), LeasesS: count(before.leases, after.leases), WatchesS: count(before.watches, after.watches),
+		StateInS: count(before.stateIn, after.stateIn), StateOutS: count(before.stateOut, after.stateOut),
+		CloudS: per(before.counters.cloud, after.counters.cloud), PeerBytesS: count(before.peerBytes, after.peerBytes)}
 }
--- a/internal/scaletest/scrape.go
+++ b/internal/scaletest/scrape.go
@@ -61,28 +61,28 @@
 	if err != nil {
 		return counters{}, fmt.Errorf("metrics: %w", err)
 	}
-	var scaletestCounters counters
+	var found counters
 	for name, family := range families {
 		for _, m := range family.GetMetric() {
 			switch name {
 			case metricLaunches:
-				scaletestCounters.launches += m.GetCounter().GetValue()
+				found.launches += m.GetCounter().GetValue()
 			case metricPlanning:
-				scaletestCounters.planning += m.GetHistogram().GetSampleSum()
+				found.planning += m.GetHistogram().GetSampleSum()
 			case metricReports:
-				scaletestCounters.heartbeats += float64(m.GetHistogram().GetSampleCount())
+				found.heartbeats += float64(m.GetHistogram().GetSampleCount())
 			case metricLeader:
-				scaletestCounters.leader = m.GetGauge().GetValue() > 0
+				found.leader = m.GetGauge().GetValue() > 0
 			case metricPartitions:
-				scaletestCounters.shards = int(m.GetGauge().GetValue())
+				found.shards = int(m.GetGauge().GetValue())
 			case metricRequests:
 				for _, label := range m.GetLabel() {
 					if label.GetName() == labelService && label.GetValue() == serviceCloud {
-						scaletestCounters.cloud += m.GetCounter().GetValue()
+						found.cloud += m.GetCounter().GetValue()
 					}
 				}
 			}
 		}
 	}
-	return scaletestCounters, nil
+	return found, nil
 }
