--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -91,11 +92,11 @@
 	LateS float64   `json:"late_s"`
 }
 
+// Bounds of a report.
 const (
-	mostPoints = 300
-	mostLate   = 20
-	// A pause between samples this many times as long as usual is a gap.
-	gapTimes = 4
+	mostPoints = 300 // of a team's series
+	mostLate   = 20  // jobs that are listed
+	gapTimes   = 4   // a pause between samples this many times as long as usual is a gap
 )
 
 func round(v float64) float64 { return math.Round(v*100) / 100 }
@@ -105,7 +106,7 @@
 
 func cpus(milli uint64) float64 { return float64(milli) / 1000 }
 
-// Make works a heartbeat out of a history.
+// Make works a report out of a history, which is as the scope may see it.
 func Make(history *History, title string, scope view.Scope, made time.Time) *Report {
 	report := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(history.From), To: time.UnixMilli(history.To),
 		Samples: len(history.Samples), Broken: history.Broken, Gaps: []Gap{}, Teams: []TeamReport{}}
@@ -113,67 +114,75 @@
 	if len(history.Samples) > 0 {
 		report.KnownFrom = time.UnixMilli(history.Samples[0].At)
 	}
+	totals := &totals{teams: map[string]*sums{}}
 	usual := usualPause(history.Samples)
-	teams := map[string]*sums{}
-	var order []string
-	var total, all, others, spanned float64
-	mostOthers := 0.0
-	for i, sample := range history.Samples {
-		dt := 0.0 // for which this sample stands
+	for i := range history.Samples {
+		sample, lasts := &history.Samples[i], 0.0
 		if i+1 < len(history.Samples) {
-			pause := float64(history.Samples[i+1].At-sample.At) / 1000
-			if dt = pause; pause > gapTimes*usual {
-				dt = usual
+			next := &history.Samples[i+1]
+			lasts = float64(next.At-sample.At) / 1000
+			if lasts > gapTimes*usual {
 				from := sample.At + int64(usual*1000)
-				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(history.Samples[i+1].At), round(pause - usual)})
+				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(next.At), round(lasts - usual)})
+				lasts = usual
 			}
 		}
-		spanned += dt
-		all += dt * cpus(sample.Fleet.Cpus)
-		if sample.Others != nil {
-			others += dt * cpus(sample.Others.UsedCpus)
-			mostOthers = max(mostOthers, cpus(sample.Others.UsedCpus))
-		}
-		for k := range sample.Teams {
-			t := &sample.Teams[k]
-			x := teams[t.Name]
-			if x == nil {
-				x = &sums{}
-				teams[t.Name] = x
-				order = append(order, t.Name)
-			}
-			x.add(t, time.UnixMilli(sample.At), dt)
-			total += dt
-		}
+		totals.add(sample, lasts)
 	}
-	mean := func(v float64) float64 {
-		if spanned == 0 {
-			return 0
-		}
-		return round(v / spanned)
-	}
-	report.Cpus = mean(all)
+	report.Cpus = totals.mean(totals.all)
 	if scope != view.Operators {
-		report.Others = &Others{mean(others), round(mostOthers)}
+		report.Others = &Others{totals.mean(totals.others), round(totals.mostOthers)}
 	}
-	slices.Sort(order)
-	for _, name := range order {
-		report.Teams = append(report.Teams, teams[name].report(name, mean, history))
+	for _, name := range slices.Sorted(maps.Keys(totals.teams)) {
+		report.Teams = append(report.Teams, totals.teams[name].report(name, totals.mean, history))
 	}
 	return report
 }
 
+// totals is what samples add up to: processors times seconds, and the seconds.
+type totals struct {
+	teams       map[string]*sums
+	spanned     float64
+	all, others float64
+	mostOthers  float64 // processors
+}
+
+// add adds a sample that stands for so many seconds.
+func (t *totals) add(sample *Sample, seconds float64) {
+	t.spanned += seconds
+	t.all += seconds * cpus(sample.Fleet.Cpus)
+	if sample.Others != nil {
+		t.others += seconds * cpus(sample.Others.UsedCpus)
+		t.mostOthers = max(t.mostOthers, cpus(sample.Others.UsedCpus))
+	}
+	for i := range sample.Teams {
+		team := &sample.Teams[i]
+		if t.teams[team.Name] == nil {
+			t.teams[team.Name] = &sums{}
+		}
+		t.teams[team.Name].add(team, time.UnixMilli(sample.At), seconds)
+	}
+}
+
+// mean is a sum's mean over the time that the samples stand for.
+func (t *totals) mean(sum float64) float64 {
+	if t.spanned == 0 {
+		return 0
+	}
+	return round(sum / t.spanned)
+}
+
 // usualPause is the median pause between samples, in seconds.
-func usualPause(list []Sample) float64 {
-	var p []int64
-	for i := 1; i < len(list); i++ {
-		p = append(p, list[i].At-list[i-1].At)
+func usualPause(samples []Sample) float64 {
+	var pauses []int64
+	for i := 1; i < len(samples); i++ {
+		pauses = append(pauses, samples[i].At-samples[i-1].At)
 	}
-	if len(p) == 0 {
+	if len(pauses) == 0 {
 		return 0
 	}
-	slices.Sort(p)
-	return float64(p[len(p)/2]) / 1000
+	slices.Sort(pauses)
+	return float64(pauses[len(pauses)/2]) / 1000
 }
 
 // sums is what a team's samples add up to.
@@ -183,65 +192,78 @@
 	points                                       []Point
 }
 
-func (x *sums) add(t *view.Team, at time.Time, dt float64) {
-	x.last = *t
-	borrowed, _ := t.Borrowed()
-	x.used += dt * cpus(t.UsedCpus)
-	x.borrowed += dt * cpus(borrowed)
-	x.dominant += dt * float64(t.DominantPM) / 10
-	x.most = max(x.most, cpus(t.UsedCpus))
-	if t.UsedCpus < t.Cpus && t.WaitsCpus > 0 {
-		x.short += dt
+// add adds a team's part of a sample that stands for so many seconds.
+func (s *sums) add(team *view.Team, at time.Time, seconds float64) {
+	s.last = *team
+	borrowed, _ := team.Borrowed()
+	s.used += seconds * cpus(team.UsedCpus)
+	s.borrowed += seconds * cpus(borrowed)
+	s.dominant += seconds * float64(team.DominantPM) / 10
+	s.most = max(s.most, cpus(team.UsedCpus))
+	if team.UsedCpus < team.Cpus && team.WaitsCpus > 0 {
+		s.short += seconds
 	}
-	x.points = append(x.points, Point{at, round(cpus(t.UsedCpus)), round(cpus(t.WaitsCpus)), exact(x.money)})
-	x.money += dt / 3600 * float64(t.RateMicro) / 1e6
+	s.points = append(s.points, Point{at, round(cpus(team.UsedCpus)), round(cpus(team.WaitsCpus)), exact(s.money)})
+	s.money += seconds / 3600 * float64(team.RateMicro) / 1e6
 }
 
-func (x *sums) report(name string, mean func(float64) float64, history *History) TeamReport {
-	teamReport := TeamReport{Name: name, Guarantee: round(cpus(x.last.Cpus)), Limit: round(cpus(x.last.CpusMax)), MeanCpus: mean(x.used), MostCpus: round(x.most),
-		MeanBorrowed: mean(x.borrowed), MeanDominant: mean(x.dominant), ShortS: round(x.short), Money: exact(x.money), Series: thin(x.points), Latest: []LateJob{}}
+// report works out a team's part of a report.
+func (s *sums) report(name string, mean func(float64) float64, history *History) TeamReport {
+	report := TeamReport{Name: name, Guarantee: round(cpus(s.last.Cpus)), Limit: round(cpus(s.last.CpusMax)), MeanCpus: mean(s.used), MostCpus: round(s.most),
+		MeanBorrowed: mean(s.borrowed), MeanDominant: mean(s.dominant), ShortS: round(s.short), Money: exact(s.money), Series: thin(s.points), Latest: []LateJob{}}
+	report.addJobs(history.Jobs)
+	report.addEvictions(history.Evicts)
+	return report
+}
+
+// addJobs counts a team's jobs that are over, their waits and how late they were.
+func (t *TeamReport) addJobs(jobs []JobEnd) {
 	waits, lates := newSpread(), newSpread()
-	for i := range history.Jobs {
-		jobEnd := &history.Jobs[i]
-		if jobEnd.Team != name {
+	for i := range jobs {
+		job := &jobs[i]
+		if job.Team != t.Name {
 			continue
 		}
-		if jobEnd.Status == view.Cancelled {
-			teamReport.Cancelled++
+		if job.Status == view.Cancelled {
+			t.Cancelled++
 			continue
 		}
-		teamReport.Done++
-		if jobEnd.Started > 0 {
-			w := float64(max(0, jobEnd.Started-jobEnd.From)) / 1000
-			waits.add(w)
-			teamReport.waits = append(teamReport.waits, w)
+		t.Done++
+		if job.Started > 0 {
+			wait := float64(max(0, job.Started-job.From)) / 1000
+			waits.add(wait)
+			t.waits = append(t.waits, wait)
 		}
-		if jobEnd.Due == 0 {
+		if job.Due == 0 {
 			continue
 		}
-		teamReport.WithDue++
-		if late := jobEnd.Behind(jobEnd.Seen); late > 0 {
-			teamReport.Late++
-			lates.add(float64(late) / 1000)
-			teamReport.Latest = append(teamReport.Latest, LateJob{jobEnd.ID, jobEnd.Class, time.UnixMilli(jobEnd.End), round(float64(late) / 1000)})
+		t.WithDue++
+		lateS := float64(job.Behind(job.Seen)) / 1000
+		if lateS > 0 {
+			t.Late++
+			lates.add(lateS)
+			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.End), round(lateS)})
 		}
-		teamReport.lates = append(teamReport.lates, [2]float64{float64(jobEnd.End) / 1000, float64(jobEnd.Behind(jobEnd.Seen)) / 1000})
+		t.lates = append(t.lates, [2]float64{float64(job.End) / 1000, lateS})
 	}
-	teamReport.Waits, teamReport.LateBy = waits.spread(), lates.spread()
-	slices.SortStableFunc(teamReport.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
-	teamReport.Latest = teamReport.Latest[:min(len(teamReport.Latest), mostLate)]
-	for _, e := range history.Evicts {
-		for _, v := range e.Victims {
-			if v.Team == name {
-				teamReport.Evicted++
+	t.Waits, t.LateBy = waits.spread(), lates.spread()
+	slices.SortStableFunc(t.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
+	t.Latest = t.Latest[:min(len(t.Latest), mostLate)]
+}
+
+// addEvictions counts the team's evicted tasks, and those that were evicted for its jobs.
+func (t *TeamReport) addEvictions(evictions []view.Eviction) {
+	for _, eviction := range evictions {
+		for _, victim := range eviction.Victims {
+			if victim.Team == t.Name {
+				t.Evicted++
 			}
 		}
-		if e.Team == name {
-			teamReport.EvictedFor += len(e.Victims)
+		if eviction.Team == t.Name {
+			t.EvictedFor += len(eviction.Victims)
 		}
-		teamReport.evicts = append(teamReport.evicts, [3]float64{float64(e.At) / 1000, float64(teamReport.Evicted), float64(teamReport.EvictedFor)})
+		t.evicts = append(t.evicts, [3]float64{float64(eviction.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
 	}
-	return teamReport
 }
 
 // thin keeps every nth point, and the last.
@@ -260,13 +282,16 @@
 	return out
 }
 
+// spread counts times in hundredths of a second.
 type spread struct{ h *hdrhistogram.Histogram }
 
-// Times are told apart in hundredths of a second, up to a month.
-func newSpread() spread { return spread{hdrhistogram.New(1, 30*86400*100, 4)} }
+// longestCentiseconds is the longest time that a spread tells apart, a month, in its unit.
+const longestCentiseconds = 30 * 86400 * 100
+
+func newSpread() spread { return spread{hdrhistogram.New(1, longestCentiseconds, 4)} }
 
-func (s spread) add(sec float64) {
-	_ = s.h.RecordValue(int64(min(30*86400*100, max(0, math.Round(sec*100))))) // within its bounds
+func (s spread) add(seconds float64) {
+	_ = s.h.RecordValue(int64(min(longestCentiseconds, max(0, math.Round(seconds*100))))) // within its bounds
 }
 
 func (s spread) spread() Spread {
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -1,4 +1,3 @@
-// Package report records what the read model shows over time, and makes a page of it.
 package report
 
 import (
@@ -47,7 +46,7 @@
 	Seen    int64 `json:"seen_ms"` // over
 }
 
-// Recorder writes a history.
+// Recorder writes a history. It is for one goroutine.
 type Recorder struct {
 	w        io.Writer
 	every    time.Duration
@@ -59,12 +58,12 @@
 	Recorded int // lines written
 }
 
-// NewRecorder writes a sample every so often, and jobs and evicted sets as they come.
+// NewRecorder returns a recorder that writes a sample every so often, and jobs and evicted sets as they come.
 func NewRecorder(w io.Writer, every time.Duration) *Recorder {
 	return &Recorder{w: w, every: every, started: map[string]int64{}, over: map[string]bool{}, evicted: map[string]int{}, first: true}
 }
 
-// Run records what a follower brings until ctx ends.
+// Run records what a follower brings until ctx ends, or until something cannot be written.
 func (r *Recorder) Run(ctx context.Context, f *viewclient.Follower) error {
 	for ctx.Err() == nil {
 		changed := f.Changed()
@@ -144,7 +143,7 @@
 	if err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
-	// One write a line: two recorders that shard a file don't mix theirs.
+	// One write a line: two recorders that share a file don't mix theirs.
 	if _, err := r.w.Write(append(raw, '\n')); err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -29,7 +29,7 @@
 	Text string
 }
 
-// Page writes a heartbeat as one HTML page that needs nothing else.
+// Page writes a report as one HTML page that needs nothing else.
 func (r *Report) Page(out io.Writer) error {
 	page, err := template.New("page.html").Funcs(template.FuncMap{
 		"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05") },
@@ -148,17 +148,17 @@
 	return xy
 }
 
-func shareSVG(teamReport TeamReport) (template.HTML, error) {
-	chart := newPlot("processors", teamReport.span())
-	err := line(chart, "used", series(teamReport, func(p Point) float64 { return p.Cpus }), blue)
+func shareSVG(team TeamReport) (template.HTML, error) {
+	chart := newPlot("processors", team.span())
+	err := line(chart, "used", series(team, func(p Point) float64 { return p.Cpus }), blue)
 	if err == nil {
-		err = line(chart, "waiting", series(teamReport, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
+		err = line(chart, "waiting", series(team, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
 	}
 	if err == nil {
-		err = line(chart, "guarantee", series(teamReport, func(Point) float64 { return teamReport.Guarantee }), grey, vg.Points(6), vg.Points(3))
+		err = line(chart, "guarantee", series(team, func(Point) float64 { return team.Guarantee }), grey, vg.Points(6), vg.Points(3))
 	}
-	if err == nil && teamReport.Limit > 0 {
-		err = line(chart, "limit", series(teamReport, func(Point) float64 { return teamReport.Limit }), grey, vg.Points(2), vg.Points(2))
+	if err == nil && team.Limit > 0 {
+		err = line(chart, "limit", series(team, func(Point) float64 { return team.Limit }), grey, vg.Points(2), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
@@ -186,11 +186,11 @@
 }
 
 // waitsSVG shows which part of the jobs had started within how long.
-func waitsSVG(teamReport TeamReport) (template.HTML, error) {
+func waitsSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("jobs, %", 0)
 	chart.X.Label.Text = "started within, seconds"
 	chart.X.Min = 0
-	w := slices.Sorted(slices.Values(teamReport.waits))
+	w := slices.Sorted(slices.Values(team.waits))
 	var xy plotter.XYs
 	step := max(1, len(w)/mostPoints)
 	for i := 0; i < len(w); i += step {
@@ -206,14 +206,14 @@
 }
 
 // evictionsSVG shows the evicted tasks so far.
-func evictionsSVG(teamReport TeamReport) (template.HTML, error) {
-	chart := newPlot("tasks", teamReport.span())
+func evictionsSVG(team TeamReport) (template.HTML, error) {
+	chart := newPlot("tasks", team.span())
 	steps := func(of int) plotter.XYs {
 		xy := plotter.XYs{}
 		last := 0.0
-		for i, e := range teamReport.evicts {
-			if i == 0 && len(teamReport.Series) > 0 {
-				xy = append(xy, plotter.XY{X: float64(teamReport.Series[0].At.UnixMilli()) / 1000})
+		for i, e := range team.evicts {
+			if i == 0 && len(team.Series) > 0 {
+				xy = append(xy, plotter.XY{X: float64(team.Series[0].At.UnixMilli()) / 1000})
 			}
 			xy = append(xy, plotter.XY{X: e[0], Y: last}, plotter.XY{X: e[0], Y: e[of]})
 			last = e[of]
@@ -231,10 +231,10 @@
 }
 
 // latesSVG shows each job's end against its deadline.
-func latesSVG(teamReport TeamReport) (template.HTML, error) {
-	chart := newPlot("late by, s", teamReport.span())
+func latesSVG(team TeamReport) (template.HTML, error) {
+	chart := newPlot("late by, s", team.span())
 	var xy plotter.XYs
-	for _, l := range teamReport.lates {
+	for _, l := range team.lates {
 		xy = append(xy, plotter.XY{X: l[0], Y: l[1]})
 		chart.Y.Min = min(chart.Y.Min, l[1])
 	}
@@ -251,7 +251,7 @@
 	return drawn(chart)
 }
 
-// Beside is the file with the figures that belongs to a page.
+// Beside returns the file with the figures that belongs to a page.
 func Beside(page string) string { return strings.TrimSuffix(page, ".html") + ".json" }
 
 // Write writes the page and, beside it, its figures; each file whole or not at all.
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -96,13 +96,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			reportReport := Make(history, "Night <of> the 30th", c.scope, began.Add(time.Hour))
-			if len(reportReport.Teams) != c.teams || !c.check(reportReport) || len(reportReport.Gaps) != 1 || reportReport.Gaps[0].S < 60 || history.Broken != 2 || !reportReport.KnownFrom.Equal(began) {
-				raw, _ := json.MarshalIndent(reportReport, "", " ")
+			made := Make(history, "Night <of> the 30th", c.scope, began.Add(time.Hour))
+			if len(made.Teams) != c.teams || !c.check(made) || len(made.Gaps) != 1 || made.Gaps[0].S < 60 || history.Broken != 2 || !made.KnownFrom.Equal(began) {
+				raw, _ := json.MarshalIndent(made, "", " ")
 				t.Fatalf("%s", raw)
 			}
 			out := filepath.Join(t.TempDir(), "page.html")
-			if err := reportReport.Write(out); err != nil {
+			if err := made.Write(out); err != nil {
 				t.Fatal(err)
 			}
 			page, err := os.ReadFile(out)
