--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -256,7 +256,7 @@
 	select {
 	case err = <-ended:
 		cancel()
-		<-recorded // it has stopped writing
+		err = errors.Join(err, <-recorded)
 	case err = <-recorded:
 	}
 	if err != nil {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,3 @@
-// Package client is a user of a deployment: it submits, asks and cancels as the protocol wants
-// its users to, repeating what has no certain answer.
 package client
 
 import (
@@ -39,17 +37,18 @@
 	ErrGaveUp = errors.New("no certain answer")
 )
 
-// Users speaks with the public address of a deployment.
+// Users speaks with the public address of a deployment. Any number of goroutines may use it.
 type Users struct {
-	addr   string
-	client *fasthttp.Client
-	// Retried, if set, is told of every answer that is repeated.
+	address string
+	client  *fasthttp.Client
+	// Retried, if set, is told of every answer after which the request is repeated. It is set before the first
+	// request, and called by the goroutines that make requests.
 	Retried func(status int, err error)
 }
 
-// New makes a user of the load balancer, or of a controller, at an address.
-func New(addr string) *Users {
-	return &Users{addr: addr, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+// New returns a user of the load balancer, or of a controller, at an address.
+func New(address string) *Users {
+	return &Users{address: address, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitAnswer, MaxResponseBodySize: 1 << 20,
 		Dial: Dial}}
 }
@@ -70,6 +69,7 @@
 	return err == nil && status == fasthttp.StatusOK
 }
 
+// answer is an answer as it came.
 type answer struct {
 	status int
 	after  time.Duration // to wait before the next try
@@ -78,20 +78,20 @@
 
 // once sends a request once.
 func (u *Users) once(method, path string, body []byte, within time.Duration) (answer, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + u.addr + path)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + u.address + path)
 	if body != nil {
-		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(body)
+		request.Header.SetContentType("application/json")
+		request.SetBodyRaw(body)
 	}
-	if err := u.client.DoTimeout(req, resp, within); err != nil {
+	if err := u.client.DoTimeout(request, response, within); err != nil {
 		return answer{}, err
 	}
-	a := answer{status: resp.StatusCode(), body: append([]byte(nil), resp.Body()...)}
-	if n, err := strconv.Atoi(string(resp.Header.Peek("Retry-After"))); err == nil && n > 0 {
+	a := answer{status: response.StatusCode(), body: append([]byte(nil), response.Body()...)}
+	if n, err := strconv.Atoi(string(response.Header.Peek("Retry-After"))); err == nil && n > 0 {
 		a.after = min(longestAfter, time.Duration(n)*time.Second)
 	}
 	return a, nil
@@ -132,6 +132,7 @@
 	}
 }
 
+// reason is what an answer says against a request.
 func reason(a answer) string {
 	var r protocol.ErrorResponse
 	if json.Unmarshal(a.body, &r) != nil || r.Error == "" {
@@ -169,7 +170,7 @@
 	return state, nil
 }
 
-// Describe is a job's description as workers need it: the submission, how long each task runs,
+// Describe returns a job's description as workers need it: the submission, how long each task runs,
 // and whether it fails on every machine.
 func Describe(submission []byte, run time.Duration, fails bool) ([]byte, error) {
 	return json.Marshal(struct {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -10,7 +10,7 @@
 	"dykeledge/internal/viewclient"
 )
 
-// Model is the screen of the duty room.
+// Model is the screen of the duty room. bubbletea calls it from one goroutine.
 type Model struct {
 	follow   *viewclient.Follower
 	cluster  string
@@ -37,7 +37,7 @@
 	cached   []Row // of the present table and state
 }
 
-// New makes a console of a follower that runs elsewhere; ctx bounds its questions.
+// New returns a console of a follower that runs elsewhere; ctx bounds its questions.
 func New(ctx context.Context, f *viewclient.Follower, cluster string) *Model {
 	m := &Model{follow: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), why: map[string]viewclient.Why{}, width: 80, height: 24, now: time.Now}
 	m.order, m.reversed = make([]int, len(m.tables)), make([]bool, len(m.tables))
@@ -53,7 +53,7 @@
 	EndMsg struct{ Err error }
 )
 
-// Err is what ended the console, nil if its user did.
+// Err returns what ended the console, nil if its user did.
 func (m *Model) Err() error { return m.err }
 
 // Init begins to wait for the first state.
@@ -132,42 +132,70 @@
 	return m, nil
 }
 
-func (m *Model) key(k string, msg tea.KeyMsg) (quit bool) {
-	if m.typing {
-		switch k {
-		case "enter":
-			m.typing = false
-		case "esc":
-			m.typing, m.filter = false, ""
-		case "backspace":
-			if r := []rune(m.filter); len(r) > 0 {
-				m.filter = string(r[:len(r)-1])
-			}
-		case "ctrl+c":
-			return true
-		default:
-			if msg.Type == tea.KeyRunes || msg.Type == tea.KeySpace {
-				m.filter += string(msg.Runes)
-			}
+// key takes a key and tells whether it ends the console.
+func (m *Model) key(name string, msg tea.KeyMsg) (quit bool) {
+	if name == "ctrl+c" {
+		return true
+	}
+	switch {
+	case m.typing:
+		m.typeFilter(name, msg)
+	case name == "q":
+		return true
+	case !m.moveKey(name) && !m.tableKey(name):
+		m.tableNumber(name)
+	}
+	m.list()
+	return false
+}
+
+// typeFilter takes a key while a filter is typed.
+func (m *Model) typeFilter(name string, msg tea.KeyMsg) {
+	switch name {
+	case "enter":
+		m.typing = false
+	case "esc":
+		m.typing, m.filter = false, ""
+	case "backspace":
+		if typed := []rune(m.filter); len(typed) > 0 {
+			m.filter = string(typed[:len(typed)-1])
+		}
+	default:
+		if msg.Type == tea.KeyRunes || msg.Type == tea.KeySpace {
+			m.filter += string(msg.Runes)
 		}
-		m.list()
-		return false
 	}
+}
+
+// moveKey takes a key that chooses another row, and tells whether it was one.
+func (m *Model) moveKey(name string) bool {
 	page := max(1, m.room()-1)
-	switch k {
-	case "q", "ctrl+c":
-		return true
+	switch name {
+	case "down", "j":
+		m.move(1)
+	case "up", "k":
+		m.move(-1)
+	case "pgdown", " ":
+		m.move(page)
+	case "pgup", "b":
+		m.move(-page)
+	case "home", "g":
+		m.move(-len(m.cached))
+	case "end", "G":
+		m.move(len(m.cached))
+	default:
+		return false
+	}
+	return true
+}
+
+// tableKey takes a key that changes what is shown, and tells whether it was one.
+func (m *Model) tableKey(name string) bool {
+	switch name {
 	case "?":
 		m.help = !m.help
 	case "esc":
-		switch {
-		case m.help:
-			m.help = false
-		case m.detail:
-			m.detail = false
-		default:
-			m.filter = ""
-		}
+		m.back()
 	case "enter":
 		m.detail = !m.detail && m.chosen != ""
 	case "/":
@@ -180,33 +208,39 @@
 		m.turn((m.tab + 1) % len(m.tables))
 	case "shift+tab", "left", "h":
 		m.turn((m.tab + len(m.tables) - 1) % len(m.tables))
-	case "down", "j":
-		m.move(1)
-	case "up", "k":
-		m.move(-1)
-	case "pgdown", " ":
-		m.move(page)
-	case "pgup", "b":
-		m.move(-page)
-	case "home", "g":
-		m.move(-len(m.cached))
-	case "end", "G":
-		m.move(len(m.cached))
 	default:
-		if len(k) == 1 && k[0] >= '1' && int(k[0]-'1') < len(m.tables) {
-			m.turn(int(k[0] - '1'))
-		}
+		return false
+	}
+	return true
+}
+
+// tableNumber turns to the table with a number.
+func (m *Model) tableNumber(name string) {
+	if len(name) == 1 && name[0] >= '1' && int(name[0]-'1') < len(m.tables) {
+		m.turn(int(name[0] - '1'))
+	}
+}
+
+// back leaves the help, the details, or else the filter.
+func (m *Model) back() {
+	switch {
+	case m.help:
+		m.help = false
+	case m.detail:
+		m.detail = false
+	default:
+		m.filter = ""
 	}
-	m.list()
-	return false
 }
 
+// turn turns to a table.
 func (m *Model) turn(tab int) {
 	if tab != m.tab {
 		m.tab, m.row, m.top, m.chosen, m.detail = tab, 0, 0, "", false
 	}
 }
 
+// move chooses the row so many further down.
 func (m *Model) move(by int) {
 	m.row = max(0, min(m.row+by, len(m.cached)-1))
 	if m.row < len(m.cached) {
@@ -247,6 +281,7 @@
 // room is how many rows fit on the screen.
 func (m *Model) room() int { return max(1, m.height-frameLines) }
 
+// visible are the rows on the screen.
 func (m *Model) visible() []Row {
 	return m.cached[min(m.top, len(m.cached)):min(m.top+m.room(), len(m.cached))]
 }
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -122,8 +122,8 @@
 
 // table draws titles and rows.
 func (m *Model) table() []string {
-	consoleTable := m.tables[m.tab]
-	cols, at := m.columns(consoleTable)
+	table := m.tables[m.tab]
+	cols, at := m.columns(table)
 	titles := make([]string, len(cols))
 	for i, c := range cols {
 		titles[i] = cell(c.Title, c)
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -1,5 +1,3 @@
-// Package console draws the read model for people: as tables, and as a screen for the duty
-// room that keeps itself up to date.
 package console
 
 import (
@@ -58,7 +56,7 @@
 	Evictions = "evictions"
 )
 
-// Tables are all tables.
+// Tables returns all tables, in the order of their keys.
 func Tables() []Table {
 	jobs := func(done int, last Column, more ...Column) []Column {
 		return append(append([]Column{{"", 1, false, 0}, {"JOB", jobWidth, false, 0}, {"TEAM", 8, false, 0}, {"CLASS", 10, false, 100}, {"PRIO", 4, false, 0},
@@ -83,7 +81,8 @@
 	}
 }
 
-// Rows are the rows of a table in an order, reversed if asked, that hold some text.
+// Rows returns the rows of a table that hold a text, in one of its orders, reversed if asked. now is the time
+// in milliseconds by the clock of the controller that the state came from.
 func (t Table) Rows(state *viewclient.State, now int64, why map[string]viewclient.Why, order int, reversed bool, filter string) []Row {
 	if state.Snapshot == nil {
 		return nil
@@ -238,22 +237,22 @@
 	return rows
 }
 
-func memberRows(viewclientState *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
-	for _, member := range viewclientState.Members {
-		state, leads, shares := "gone", "", make([]string, len(member.Shares))
+func memberRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+	for _, member := range state.Members {
+		stands, leads, shards := "gone", "", make([]string, len(member.Shares))
 		switch {
 		case member.Alive && member.Unfit:
-			state = "no workers"
+			stands = "no workers"
 		case member.Alive:
-			state = "alive"
+			stands = "alive"
 		}
 		if member.Leader {
 			leads = "yes"
 		}
-		for i, x := range member.Shares {
-			shares[i] = num(x)
+		for i, shard := range member.Shares {
+			shards[i] = num(shard)
 		}
-		rows = append(rows, Row{Key: member.Name, Cells: []string{clean(member.Name), state, leads, strings.Join(shares, " ")}, sort: []float64{0}})
+		rows = append(rows, Row{Key: member.Name, Cells: []string{clean(member.Name), stands, leads, strings.Join(shards, " ")}, sort: []float64{0}})
 	}
 	return rows
 }
--- a/internal/contexts/contexts.go
+++ b/internal/contexts/contexts.go
@@ -1,5 +1,3 @@
-// Package contexts owns dykectl's configuration file: which clusters there are, and which one
-// is meant.
 package contexts
 
 import (
@@ -34,7 +32,7 @@
 	History string   `toml:"history,omitempty"` // what the recorder writes, for reports
 }
 
-// Path is where the file is unless somebody says otherwise.
+// Path returns where the file is unless somebody says otherwise.
 func Path() (string, error) {
 	if p := os.Getenv("DYKECTL_CONFIG"); p != "" {
 		return p, nil
@@ -66,37 +64,39 @@
 	return file, nil
 }
 
+// check returns a *config.FieldError of the first field that is wrong, by the names of the contexts.
 func (f *File) check() error {
 	if _, ok := f.Contexts[f.Current]; f.Current != "" && !ok {
 		return &config.FieldError{Field: "current", Expected: "the name of one of the contexts"}
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Contexts)) {
 		context, at := f.Contexts[name], "contexts."+name+"."
-		if !address(context.Users) {
+		if !isAddress(context.Users) {
 			return &config.FieldError{Field: at + "users", Expected: "an address like 10.0.0.1:8080"}
 		}
 		if len(context.Nodes) == 0 {
 			return &config.FieldError{Field: at + "nodes", Expected: "at least one node's peer_listen"}
 		}
 		for i, n := range context.Nodes {
-			if !address(n) {
+			if !isAddress(n) {
 				return &config.FieldError{Field: fmt.Sprintf("%snodes[%d]", at, i), Expected: "an address like 10.0.0.1:8081"}
 			}
 		}
-		if context.Uploads != "" && !address(context.Uploads) {
+		if context.Uploads != "" && !isAddress(context.Uploads) {
 			return &config.FieldError{Field: at + "uploads", Expected: "an address like 10.0.0.1:8082"}
 		}
 	}
 	return nil
 }
 
-func address(v string) bool {
-	host, port, err := net.SplitHostPort(v)
-	n, perr := strconv.Atoi(port)
-	return err == nil && host != "" && perr == nil && n > 0 && n <= 65535
+// isAddress tells whether a text is a host and a port.
+func isAddress(text string) bool {
+	host, port, err := net.SplitHostPort(text)
+	number, portErr := strconv.Atoi(port)
+	return err == nil && host != "" && portErr == nil && number > 0 && number <= 65535
 }
 
-// Get finds a context; "" means the current one.
+// Get finds a context by its name; "" means the current one. Errors say what to do.
 func (f *File) Get(name string) (Context, error) {
 	if name == "" {
 		name = f.Current
@@ -111,7 +111,7 @@
 	return c, nil
 }
 
-// Change rewrites the file by a function, whole or not at all.
+// Change rewrites the file by a function, whole or not at all. Two changes at a time may lose one of them.
 func Change(path string, by func(*File)) error {
 	file, err := Load(path)
 	if err != nil {
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,5 +1,3 @@
-// Package loadgen makes jobs come to a deployment as a file describes them, whether or not
-// earlier ones have been answered, and measures what becomes of them.
 package loadgen
 
 import (
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,7 +17,8 @@
 	"dykeledge/internal/wait"
 )
 
-// Deployment is what jobs are given to.
+// Deployment is what jobs are given to; client.Users is one. Any number of goroutines call it. Errors wrap
+// those of package client.
 type Deployment interface {
 	Submit(ctx context.Context, body []byte) (protocol.JobState, error)
 	Cancel(ctx context.Context, id string) (protocol.JobState, error)
@@ -55,6 +56,7 @@
 // longest time that is told apart, in milliseconds.
 const longest = 24 * 3600 * 1000
 
+// timer counts times in milliseconds.
 type timer struct{ h *hdrhistogram.Histogram }
 
 func newTimer() timer { return timer{hdrhistogram.New(1, longest, 3)} }
@@ -67,7 +69,7 @@
 	return Span{t.h.TotalCount(), t.h.ValueAtQuantile(50), t.h.ValueAtQuantile(99), t.h.Max()}
 }
 
-// Runner gives a plan to a deployment.
+// Runner gives a plan to a deployment. It is for one Run.
 type Runner struct {
 	To Deployment
 	// Upload, if set, puts a job's description where workers fetch it, before it is submitted.
@@ -133,13 +135,14 @@
 	return r.res
 }
 
-// Retried counts a request that is repeated.
+// Retried counts a request that is repeated. Any number of goroutines may call it.
 func (r *Runner) Retried(int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.res.Retries++
 }
 
+// count changes the result under its lock.
 func (r *Runner) count(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -190,6 +193,7 @@
 	})
 }
 
+// upload puts a job's description where workers fetch it.
 func (r *Runner) upload(a *Arrival, body []byte) error {
 	raw, err := client.Describe(body, a.Run, a.Fails)
 	if err != nil {
@@ -235,7 +239,7 @@
 	return state.Status, took
 }
 
-// Print writes a result for people.
+// Print writes a result for people. An error is the output's.
 func (r *Result) Print(w io.Writer) error {
 	table := textout.NewTable(w, tabwriter.AlignRight)
 	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
