--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -22,17 +22,20 @@
 	os.Exit(m.Run())
 }
 
+// prog runs the program for a test, with a configuration file.
 type prog struct {
 	t    *testing.T
 	conf string
 }
 
+// command is the program with arguments, which is killed if it still runs when the test is over.
 func (p prog) command(args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(p.t.Context(), os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.conf)
 	return cmd
 }
 
+// run runs the program with arguments to its end.
 func (p prog) run(args ...string) (out, errs string, code int) {
 	p.t.Helper()
 	cmd := p.command(args...)
@@ -90,14 +93,16 @@
 		{"", "up --controller /nowhere", 2, "/nowhere"},
 		{"", "up --controller /bin/true --fail " + bad, 2, "current"},
 	} {
-		conf := c.conf
-		if conf == "" {
-			conf = filepath.Join(dir, "none.toml")
-		}
-		out, errs, code := prog{t, conf}.run(strings.Fields(c.args)...)
-		if code != c.code || !strings.Contains(out+errs, c.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
-			t.Errorf("%s: exit %d, %q, %q", c.args, code, out, errs)
-		}
+		t.Run(strings.ReplaceAll(c.args, dir, ""), func(t *testing.T) {
+			conf := c.conf
+			if conf == "" {
+				conf = filepath.Join(dir, "none.toml")
+			}
+			out, errs, code := prog{t, conf}.run(strings.Fields(c.args)...)
+			if code != c.code || !strings.Contains(out+errs, c.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
+				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, c.code, c.want)
+			}
+		})
 	}
 }
 
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -70,7 +70,6 @@
 	if err := os.WriteFile(bad, []byte("workers = 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
 	for _, c := range []struct{ args, want string }{
 		{"scale run --cut none", "--cut"},
 		{"scale run --regions some", "--regions"},
@@ -81,8 +80,11 @@
 		{"scale run --profile " + bad, "workers"},
 		{"scale report " + dir, "*.jsonl"},
 	} {
-		if _, errs, code := dykectl.run(strings.Fields(c.args)...); code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
-			t.Errorf("%s: exit code %d, %q, want %q", c.args, code, errs, c.want)
-		}
+		t.Run(strings.ReplaceAll(c.args, dir, ""), func(t *testing.T) {
+			dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
+			if _, errs, code := dykectl.run(strings.Fields(c.args)...); code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
+				t.Errorf("exit code %d, %q, want %q", code, errs, c.want)
+			}
+		})
 	}
 }
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -148,10 +148,12 @@
 		{[]string{"settings", "set", "alpha", "--node", "127.0.0.1:1"}, 2, "NAME=VALUE"},
 		{[]string{"submit"}, 2, "unknown command"},
 	} {
-		out, errs, code := program(t, c.args...)
-		if code != c.code || !strings.Contains(out+errs, c.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
-			t.Errorf("%v: exit %d, %q, %q", c.args, code, out, errs)
-		}
+		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
+			out, errs, code := program(t, c.args...)
+			if code != c.code || !strings.Contains(out+errs, c.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
+				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, c.code, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/contexts/contexts_test.go
+++ b/internal/contexts/contexts_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -19,23 +20,25 @@
 		{good + "uploads = \"x\"\n", "contexts.a.uploads"},
 		{good + "current = [", "line"},
 	} {
-		path := filepath.Join(t.TempDir(), "f.toml")
-		if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := Load(path)
-		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", test.text, err, test.want)
-		}
-		// A file that is wrong is left as it is.
-		if err := Change(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (test.want == "") {
-			t.Errorf("%q: change: %v", test.text, err)
-		}
-		if raw, _ := os.ReadFile(path); test.want != "" && string(raw) != test.text {
-			t.Errorf("%q became %q", test.text, raw)
-		} else if f, err := Load(path); test.want == "" && (err != nil || f.Contexts["new"].Users == "") {
-			t.Errorf("%q: %+v, %v", test.text, f, err)
-		}
+		t.Run("error "+strconv.Quote(test.want), func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "f.toml")
+			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := Load(path)
+			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")) {
+				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+			}
+			// A file that is wrong is left as it is.
+			if err := Change(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (test.want == "") {
+				t.Errorf("%q: change: %v", test.text, err)
+			}
+			if raw, _ := os.ReadFile(path); test.want != "" && string(raw) != test.text {
+				t.Errorf("%q became %q", test.text, raw)
+			} else if f, err := Load(path); test.want == "" && (err != nil || f.Contexts["new"].Users == "") {
+				t.Errorf("%q: %+v, %v", test.text, f, err)
+			}
+		})
 	}
 	f, err := Load(filepath.Join(t.TempDir(), "none.toml"))
 	if err != nil {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"reflect"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -29,24 +30,26 @@
 		{"for_s = 0\n", "for_s"},
 		{"for_s = 9\n", "stream"},
 	} {
-		_, err := Parse([]byte(test.text))
-		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", test.text, err, test.want)
-		}
+		t.Run("error "+strconv.Quote(test.want), func(t *testing.T) {
+			_, err := Parse([]byte(test.text))
+			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
+				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+			}
+		})
 	}
 }
 
 // TestPlan: the same seed draws the same jobs, another draws others; all of them are valid and
 // await only jobs that come before them.
 func TestPlan(t *testing.T) {
-	loadgenProfile, err := Parse([]byte(profile))
+	red, err := Parse([]byte(profile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	arrivals, err1 := loadgenProfile.Plan(7)
-	loadgenArrivals, err2 := loadgenProfile.Plan(7)
-	other, err3 := loadgenProfile.Plan(8)
-	if err := errors.Join(err1, err2, err3); err != nil || !reflect.DeepEqual(arrivals, loadgenArrivals) || reflect.DeepEqual(arrivals, other) || len(arrivals) < 200 || len(arrivals) > 400 {
+	arrivals, err1 := red.Plan(7)
+	again, err2 := red.Plan(7)
+	other, err3 := red.Plan(8)
+	if err := errors.Join(err1, err2, err3); err != nil || !reflect.DeepEqual(arrivals, again) || reflect.DeepEqual(arrivals, other) || len(arrivals) < 200 || len(arrivals) > 400 {
 		t.Fatalf("%d jobs and %d, %v", len(arrivals), len(other), err)
 	}
 	at := map[string]time.Duration{}
@@ -106,11 +109,11 @@
 // goes back is noticed.
 func TestOpenLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loadgenProfile, err := Parse([]byte(strings.Replace(profile, "chain_part = 0.2", "", 1)))
+		red, err := Parse([]byte(strings.Replace(profile, "chain_part = 0.2", "", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, err := loadgenProfile.Plan(7)
+		plan, err := red.Plan(7)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/localcluster/faults_test.go
+++ b/internal/localcluster/schedule_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSchedule(t *testing.T) {
-	for _, test := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{ // want: the field that the error names, "" for none
 		{"at_s = 5\nkind = \"crash\"\nnode = \"n1\"", ""},
 		{"at_s = 5\nkind = \"cut\"\nnode = \"all\"\nfor_s = 3\nfrom = [\"state\", \"peers\"]", ""},
 		{"at_s = 5\nkind = \"taken\"\nnotice_s = 4\npart = 0.5\nzone = \"a\"", ""},
@@ -23,12 +23,14 @@
 		{"at_s = 5\nkind = \"crash\"\nnode = \"n1\"\nzone = \"a\"", "zone"},
 		{"at_s = 5\nkind = \"crash\"\nnodes = \"n1\"", "nodes"},
 	} {
-		s, err := ParseSchedule([]byte("[[fault]]\n" + test.text + "\n[[fault]]\nat_s = 1\nkind = \"machine_dies\"\n"))
-		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", test.text, err, test.want)
-		}
-		if err == nil && s.Faults[0].AtS != 1 {
-			t.Error("not in the order of time")
-		}
+		t.Run(strings.ReplaceAll(test.text, "\n", " "), func(t *testing.T) {
+			schedule, err := ParseSchedule([]byte("[[fault]]\n" + test.text + "\n[[fault]]\nat_s = 1\nkind = \"machine_dies\"\n"))
+			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
+				t.Errorf("%v, want %q", err, test.want)
+			}
+			if err == nil && schedule.Faults[0].AtS != 1 {
+				t.Error("not in the order of time")
+			}
+		})
 	}
 }
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -5,6 +5,7 @@
 	"math"
 	"os"
 	"reflect"
+	"strconv"
 	"strings"
 	"testing"
 
@@ -24,10 +25,12 @@
 		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 2\n[[region]]\nname = \"b\"\npart = 0.6\nzones = 2\n", "region"},
 		{"[[region]]\nname = \"a\"\npart = 0.6\nzones = 0\n", "region[0].zones"},
 	} {
-		_, err := ParseProfile([]byte(test.text))
-		if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%q: %v, want %q", test.text, err, test.want)
-		}
+		t.Run("error "+strconv.Quote(test.want), func(t *testing.T) {
+			_, err := ParseProfile([]byte(test.text))
+			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
+				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+			}
+		})
 	}
 }
 
@@ -112,22 +115,24 @@
 		{"three sizes", []float64{1, 2, 4, 4}, []float64{1, 2, 4, 4}, false, ""},
 		{"nothing", x, make([]float64, 5), false, ""},
 	} {
-		l, ok := fitLine(c.x, c.y)
-		if ok != c.ok || ok && l.growth() != c.growth {
-			t.Errorf("%s: %+v, %s, %v", c.name, l, l.growth(), ok)
-		}
-		if c.growth == "line" && (math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Intercept-3) > 1e-9) {
-			t.Errorf("%s: %+v", c.name, l)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			line, ok := fitLine(c.x, c.y)
+			if ok != c.ok || ok && line.growth() != c.growth {
+				t.Errorf("%+v, %s, %v", line, line.growth(), ok)
+			}
+			if c.growth == "line" && (math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Intercept-3) > 1e-9) {
+				t.Errorf("%+v", line)
+			}
+		})
 	}
 }
 
 func TestCounters(t *testing.T) {
-	scaletestCounters, err := parseCounters([]byte("# TYPE dykeledge_launches_total counter\ndykeledge_launches_total 7\n# TYPE dykeledge_leader gauge\ndykeledge_leader 1\n" +
+	got, err := parseCounters([]byte("# TYPE dykeledge_launches_total counter\ndykeledge_launches_total 7\n# TYPE dykeledge_leader gauge\ndykeledge_leader 1\n" +
 		"# TYPE dykeledge_service_requests_total counter\ndykeledge_service_requests_total{service=\"cloud\",outcome=\"ok\"} 3\n" +
 		"dykeledge_service_requests_total{service=\"state\",outcome=\"ok\"} 9\n"))
-	if want := (counters{launches: 7, cloud: 3, leader: true}); err != nil || scaletestCounters != want || scaletestCounters.role() != Leader {
-		t.Errorf("%+v, %v", scaletestCounters, err)
+	if want := (counters{launches: 7, cloud: 3, leader: true}); err != nil || got != want || got.role() != Leader {
+		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := parseCounters([]byte("no metrics {")); err == nil {
 		t.Error("a text that holds no metrics was read")
