--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -159,15 +158,25 @@
 
 // TestThreeProcesses runs the operators' commands against three real controllers.
 func TestThreeProcesses(t *testing.T) {
+	public, peer := startThree(t)
+	awaitThree(t, public, peer)
+	eventually(t, "accepted", func() bool {
+		status, _ := request(t, http.MethodPost, "http://"+public[0]+"/v2/runs", submission)
+		return status == 201 || status == 200
+	})
+	t.Run("pipeline", func(t *testing.T) { checkPipeline(t, public) })
+	t.Run("commands", func(t *testing.T) { checkCommands(t, peer) })
+}
+
+// startThree starts three controllers with a state service and a cloud without machines, and returns their addresses.
+func startThree(t *testing.T) (public, peer []string) {
+	t.Helper()
 	state, cloud := listen(t), listen(t)
 	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
+	simulation := simulator.NewSimulation(t.Context(), &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
 	simulation.CapacityOf = 0
 	simulation.Catalog.Types[0].Cpus = 8
 	go func() { _ = simulation.ServeCloud(&simulator.ControllerProcess{Name: "all"}, cloud) }()
-	var public, peer []string
 	for range 3 {
 		for _, list := range []*[]string{&public, &peer} {
 			ln := listen(t)
@@ -183,6 +192,12 @@
 		}
 		t.Cleanup(func() { _ = cmd.Process.Kill(); _ = cmd.Wait() })
 	}
+	return public, peer
+}
+
+// awaitThree waits until three controllers are ready, and checks which address serves what.
+func awaitThree(t *testing.T, public, peer []string) {
+	t.Helper()
 	get := func(url string) int {
 		status, _ := request(t, http.MethodGet, url, "")
 		return status
@@ -196,16 +211,18 @@
 			t.Errorf("metrics: %d", s)
 		}
 	}
-	job := `{"id":"job-000412","jobclass":"train","crew":"red","shape":"batch","urgency":"high","shards":2,"cpus":8.0,"accelerators":0.0,
+}
+
+// submission is a job that needs no machine to be accepted.
+const submission = `{"id":"job-000412","jobclass":"train","crew":"red","shape":"batch","urgency":"high","shards":2,"cpus":8.0,"accelerators":0.0,
 		"ramGb":4.0,"kit":"i","pullGb":1.0,"together":false,"scatter":false,"loaners":true,"expectedS":9.0,"markEveryS":0.0,"markCostS":0.0}`
-	eventually(t, "accepted", func() bool {
-		status, _ := request(t, http.MethodPost, "http://"+public[0]+"/v2/runs", job)
-		return status == 201 || status == 200
-	})
-	// A pipeline as the README describes it: once all three have shown the new layout it is
-	// accepted, on any controller, and what names a job that nobody accepted is not.
+
+// checkPipeline submits jobs that await others. A pipeline is as the README describes it: once all three
+// controllers have shown the new layout it is accepted, on any of them, and what names a job that nobody accepted is not.
+func checkPipeline(t *testing.T, public []string) {
+	t.Helper()
 	post := func(address, id, awaits string) (status int, answer string) {
-		body := strings.Replace(strings.Replace(job, "job-000412", id, 1), `"markCostS":0.0`, `"markCostS":0.0,"awaits":`+awaits, 1)
+		body := strings.Replace(strings.Replace(submission, "job-000412", id, 1), `"markCostS":0.0`, `"markCostS":0.0,"awaits":`+awaits, 1)
 		return request(t, http.MethodPost, "http://"+address+"/v2/runs", body)
 	}
 	eventually(t, "a pipeline is accepted", func() bool {
@@ -233,6 +250,11 @@
 			t.Errorf("%s awaits %s: %d %s", c.id, c.awaits, status, answer)
 		}
 	}
+}
+
+// checkCommands runs the operators' commands against any of the controllers.
+func checkCommands(t *testing.T, peer []string) {
+	t.Helper()
 	if out, errs, code := program(t, "settings", "set", "alpha=0.5", "--node", peer[0]); code != 0 || !strings.Contains(out, "0.5") {
 		t.Fatalf("set: %d %s %s", code, out, errs)
 	}
