--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -253,11 +253,11 @@
 		return false
 	}
 	model.cached = slices.Clone(rows)
-	row, consoleRow := model.cached[0], model.cached[1]
-	row.Cells, consoleRow.Cells = slices.Clone(row.Cells), slices.Clone(consoleRow.Cells)
-	row.Cells[1], consoleRow.Cells[1] = consoleRow.Cells[1], row.Cells[1] // the ids change places
-	row.Cells[2], consoleRow.Cells[2] = "x", row.Cells[2]
-	model.cached[0], model.cached[1] = row, consoleRow
+	first, second := model.cached[0], model.cached[1]
+	first.Cells, second.Cells = slices.Clone(first.Cells), slices.Clone(second.Cells)
+	first.Cells[1], second.Cells[1] = second.Cells[1], first.Cells[1] // the ids change places
+	first.Cells[2], second.Cells[2] = "x", first.Cells[2]
+	model.cached[0], model.cached[1] = first, second
 	if r.expectedScreen(model) == "" {
 		return false
 	}
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -233,9 +233,9 @@
 }
 
 // startServices starts what one controller calls, and returns the controller's settings.
-func (c *Cluster) startServices(ctx context.Context, i int, options *Options) (*config.Settings, error) {
-	simulation, process, meters := c.Simulation, c.Simulation.Controller(i), c.Meters[i]
-	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[i], PeerListen: c.Controllers[i], Deployment: options.Deployment}
+func (c *Cluster) startServices(ctx context.Context, index int, options *Options) (*config.Settings, error) {
+	simulation, process, meters := c.Simulation, c.Simulation.Controller(index), c.Meters[index]
+	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[index], PeerListen: c.Controllers[index], Deployment: options.Deployment}
 	link := simulation.Store.Open(process)
 	meters.Requests = &link.Requests
 	var err error
@@ -245,18 +245,18 @@
 	if settings.External.Cloud, err = c.serve(ctx, &meters.Cloud, func(ln net.Listener) error { return simulation.ServeCloud(process, ln) }); err != nil {
 		return nil, err
 	}
-	for k := range options.Deployment.Controllers {
-		if k == i {
+	for otherIndex := range options.Deployment.Controllers {
+		if otherIndex == index {
 			continue
 		}
-		other := simulation.Controller(k)
+		other := simulation.Controller(otherIndex)
 		way := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
 			return process.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || simulation.ZonesPartitioned(process.Zone, other.Zone)
 		}}
 		if options.Delay != nil {
 			way.Delay = func() time.Duration { return options.Delay(process.Zone, other.Zone) }
 		}
-		address, err := c.serve(ctx, nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[k], way) })
+		address, err := c.serve(ctx, nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[otherIndex], way) })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// TestScopes lets random worlds be seen by each team: nothing that reaches it names another
+// TestScopes lets random models be seen by each team: nothing that reaches it names another
 // team, or a job or class of another team's.
 func TestScopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -120,12 +120,12 @@
 		for seq := uint64(0); seq <= model.seq; seq += 1 + model.seq/9 {
 			out.Write(snapshot.AppendPage(nil, Scope(me), Cursor{7, seq}, 5))
 		}
-		viewSnapshot := snapshot.Within(Scope(me))
+		seen := snapshot.Within(Scope(me))
 		enc := json.NewEncoder(&out)
-		_ = enc.Encode(viewSnapshot.Head)
-		viewSnapshot.Jobs("", func(j *Job) bool { return enc.Encode(j) == nil })
-		viewSnapshot.Machines(func(x *Machine) bool { return enc.Encode(x) == nil })
-		viewSnapshot.Evictions(func(e *Eviction) bool { return enc.Encode(e) == nil })
+		_ = enc.Encode(seen.Head)
+		seen.Jobs("", func(j *Job) bool { return enc.Encode(j) == nil })
+		seen.Machines(func(x *Machine) bool { return enc.Encode(x) == nil })
+		seen.Evictions(func(e *Eviction) bool { return enc.Encode(e) == nil })
 		for _, other := range teams {
 			if other.Name != me && strings.Contains(out.String(), other.Name) {
 				t.Fatalf("%s sees %s: %q", me, other.Name, out.String())
@@ -141,8 +141,8 @@
 				others.plus(model.sums[i])
 			}
 		}
-		if len(viewSnapshot.Teams) != 1 || viewSnapshot.Teams[0].Totals != own || *viewSnapshot.Others != others || viewSnapshot.Check() != nil {
-			t.Fatalf("%+v, want %+v and %+v", viewSnapshot.Head, own, others)
+		if len(seen.Teams) != 1 || seen.Teams[0].Totals != own || *seen.Others != others || seen.Check() != nil {
+			t.Fatalf("%+v, want %+v and %+v", seen.Head, own, others)
 		}
 	})
 }
