--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -31,7 +31,7 @@
 	garbles    func([]byte) []byte
 }
 
-func (s simulationSource) Nodes() (out []string) {
+func (s simulationSource) Controllers() (out []string) {
 	for i := range s.nodes {
 		out = append(out, fmt.Sprintf("n%d", i))
 	}
@@ -70,6 +70,7 @@
 }
 
 func (r *reference) advance(t *testing.T, to uint64) {
+	t.Helper()
 	for _, e := range r.store.Changes(r.cache.Revision, to) {
 		if err := r.cache.Apply(e.Put+e.Delete, e.Value, e.Version, e.Delete != ""); err != nil {
 			t.Fatal(err)
@@ -252,11 +253,11 @@
 		return false
 	}
 	model.cached = slices.Clone(rows)
-	row, consoleRow := model.cached[0], model.cached[1]
-	row.Cells, consoleRow.Cells = slices.Clone(row.Cells), slices.Clone(consoleRow.Cells)
-	row.Cells[1], consoleRow.Cells[1] = consoleRow.Cells[1], row.Cells[1] // the ids change places
-	row.Cells[2], consoleRow.Cells[2] = "x", row.Cells[2]
-	model.cached[0], model.cached[1] = row, consoleRow
+	first, second := model.cached[0], model.cached[1]
+	first.Cells, second.Cells = slices.Clone(first.Cells), slices.Clone(second.Cells)
+	first.Cells[1], second.Cells[1] = second.Cells[1], first.Cells[1] // the ids change places
+	first.Cells[2], second.Cells[2] = "x", first.Cells[2]
+	model.cached[0], model.cached[1] = first, second
 	if r.expectedScreen(model) == "" {
 		return false
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // only read
 	model := view.NewModel([]view.Team{{Name: "team-red-x", Cpus: 8000, CpusMax: 20000}, {Name: "team-blue-x", Cpus: 4000}, {Name: "team-green-x"}})
 	model.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
 		Uses: []view.Use{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
@@ -96,13 +96,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			reportReport := Make(history, "Night <of> the 30th", c.scope, began.Add(time.Hour))
-			if len(reportReport.Teams) != c.teams || !c.check(reportReport) || len(reportReport.Gaps) != 1 || reportReport.Gaps[0].S < 60 || history.Broken != 2 || !reportReport.KnownFrom.Equal(began) {
-				raw, _ := json.MarshalIndent(reportReport, "", " ")
+			made := Make(history, "Night <of> the 30th", c.scope, began.Add(time.Hour))
+			if len(made.Teams) != c.teams || !c.check(made) || len(made.Gaps) != 1 || made.Gaps[0].S < 60 || history.Broken != 2 || !made.KnownFrom.Equal(began) {
+				raw, _ := json.MarshalIndent(made, "", " ")
 				t.Fatalf("%s", raw)
 			}
 			out := filepath.Join(t.TempDir(), "page.html")
-			if err := reportReport.Write(out); err != nil {
+			if err := made.Write(out); err != nil {
 				t.Fatal(err)
 			}
 			page, err := os.ReadFile(out)
