--- /dev/null
+++ b/internal/controller/autoscaling.go
@@ -0,0 +1,136 @@
+package controller
+
+import (
+	"context"
+	"iter"
+	"time"
+
+	"dykeledge/internal/controller/autoscale"
+	"dykeledge/internal/storage"
+)
+
+// This file gathers what the decision on the fleet's size needs (package autoscale) and has it
+// carried out.
+
+// workHorizon is the part of its allowed time in which waiting work should be completed.
+const workHorizon = 0.45
+
+// autoscale scales out where demand needs it and scales in what is idle.
+func (c *Controller) autoscale(ctx context.Context, now time.Time) {
+	demands := c.demands(now)
+	if demand, expected := c.nextServices(now); expected {
+		demands = append(demands, demand)
+	}
+	machines, owned := c.autoscaleMachines(now)
+	offers := c.autoscaleOffers(owned, now)
+	c.retryScaleOuts(ctx)
+	plan := autoscale.Decide(demands, machines, offers, workHorizon)
+	for _, wanted := range plan.ScaleOuts {
+		c.requestScaleOut(ctx, wanted)
+	}
+	retention := autoscale.IdleRetention(c.longestBootS(), c.tightestFinishObjective())
+	c.scaleInIdle(now, plan, retention)
+	c.drainSurplus(now, plan, retention)
+}
+
+// poolOf is the pool that a machine belongs to.
+func poolOf(m *storage.Machine) autoscale.Pool {
+	return autoscale.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+}
+
+// machinePrice is what a machine of a type costs, on demand or as a spot machine.
+func machinePrice(t *storage.MachineType, spot bool) float64 {
+	if spot {
+		return t.SpotPrice
+	}
+	return t.Price
+}
+
+// machinesInService yields the machines that are neither gone nor being returned.
+func (c *Controller) machinesInService() iter.Seq[*storage.Machine] {
+	return func(yield func(*storage.Machine) bool) {
+		for _, machine := range c.cache.Machines {
+			if !machine.Gone && !machine.Returning && !yield(machine) {
+				return
+			}
+		}
+	}
+}
+
+// autoscaleMachines are the machines as the autoscaler sees them, and how many of each pool are
+// in service.
+func (c *Controller) autoscaleMachines(now time.Time) (machines []autoscale.Machine, owned map[autoscale.Pool]int) {
+	owned = map[autoscale.Pool]int{}
+	for _, machine := range c.cache.Machines {
+		if machine.Gone {
+			continue
+		}
+		pool, machineType := poolOf(machine), &c.cache.Types[machine.Type]
+		if !machine.Returning {
+			owned[pool]++
+		}
+		machines = append(machines, autoscale.Machine{Pool: pool, Cpus: machineType.Cpus, Gpus: machineType.Gpus,
+			Mem: machineType.Mem, Usable: c.countsAsCapacity(machine, now)})
+	}
+	return machines, owned
+}
+
+// countsAsCapacity tells whether work that waits may count on a machine, up or booting.
+func (c *Controller) countsAsCapacity(m *storage.Machine, now time.Time) bool {
+	if m.Returning || m.Unhealthy {
+		return false
+	}
+	worker := c.workers.states[m.Index]
+	if worker != nil && (worker.unhealthy || !worker.preemptedAt.IsZero() || c.unresponsive(worker, now)) {
+		return false
+	}
+	return !c.overdue(m, bootPatience, now) && !c.reachability.zoneUnreachable(m.Zone)
+}
+
+// autoscaleOffers are the pools that the catalog offers.
+func (c *Controller) autoscaleOffers(owned map[autoscale.Pool]int, now time.Time) []autoscale.Offer {
+	var offers []autoscale.Offer
+	for typeIndex := range c.cache.Types {
+		machineType := &c.cache.Types[typeIndex]
+		if machineType.Cpus <= 0 {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{true, false} {
+				price := machinePrice(machineType, spot)
+				if spot && price <= 0 {
+					continue
+				}
+				pool := autoscale.Pool{Type: typeIndex, Zone: zone, Spot: spot}
+				offers = append(offers, autoscale.Offer{Pool: pool, Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem,
+					Price: price, Boot: machineType.BootS, Owned: owned[pool],
+					Blocked: !c.leader.available(pool, now) || c.reachability.zoneUnreachable(zone)})
+			}
+		}
+	}
+	return offers
+}
+
+// longestBootS is how many seconds the slowest machine type takes to boot.
+func (c *Controller) longestBootS() float64 {
+	longest := 0.0
+	for i := range c.cache.Types {
+		if t := &c.cache.Types[i]; t.Cpus > 0 {
+			longest = max(longest, t.BootS)
+		}
+	}
+	return longest
+}
+
+// tightestFinishObjective is the shortest time that an objective leaves for finishing. An
+// objective on starting work, of a class or within a guarantee, is no reason to keep every idle
+// machine: read as one on finishing, it kept a fleet from ever shrinking.
+func (c *Controller) tightestFinishObjective() float64 {
+	tightest := 0.0
+	for _, objective := range c.cfg.Deployment.Objectives {
+		if objective.Kind == "finished" && objective.WithinS > 0 && (tightest == 0 || objective.WithinS < tightest) {
+			tightest = objective.WithinS
+		}
+	}
+	return tightest
+}
--- /dev/null
+++ b/internal/controller/cloud_list.go
@@ -0,0 +1,156 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// This file reads the cloud's catalog of machine types and its list of machines.
+
+const (
+	// catalogInterval is how often the catalog is read, catalogRetryInterval how often until the
+	// first answer.
+	catalogInterval      = 30 * time.Second
+	catalogRetryInterval = time.Second
+	// minCloudListInterval is the least time between two readings of the machine list.
+	minCloudListInterval = 3 * time.Second
+	// enrollmentGrace is how long a listed machine may have no record before it is enrolled from the
+	// list: the answer to its scale-out request may still be on its way and goes first.
+	enrollmentGrace = 2 * time.Second
+	// cloudMachineFailed is the cloud's status of a machine that will never work.
+	cloudMachineFailed = "failed"
+)
+
+// cloudListState is what the leader knows of the cloud's list of machines.
+type cloudListState struct {
+	listing    bool
+	listedAt   time.Time
+	unrecorded map[string]time.Time // listed without a record since
+}
+
+func newCloudListState() cloudListState {
+	return cloudListState{unrecorded: map[string]time.Time{}}
+}
+
+// listDue tells whether the machine list is to be read again.
+func (l *cloudListState) listDue(now time.Time, interval time.Duration) bool {
+	return !l.listing && now.Sub(l.listedAt) > interval
+}
+
+// enrollmentOverdue notes that a machine is listed without a record, and tells whether that
+// has lasted longer than the answer to its scale-out request may take.
+func (l *cloudListState) enrollmentOverdue(name string, now time.Time) bool {
+	since, ok := l.unrecorded[name]
+	if !ok {
+		l.unrecorded[name] = now
+		return false
+	}
+	if now.Sub(since) < enrollmentGrace {
+		return false
+	}
+	delete(l.unrecorded, name)
+	return true
+}
+
+// catalogLoop reads the machine types. The leader keeps them in the state service, for
+// controllers that start while the cloud does not answer.
+func (c *Controller) catalogLoop(ctx context.Context) {
+	for ctx.Err() == nil {
+		catalog, err := c.cloud.Catalog(ctx)
+		if err != nil || len(catalog.Types) == 0 {
+			c.log.Info("catalog not available yet", "err", err)
+			sleep(ctx, catalogRetryInterval)
+			continue
+		}
+		c.post(func() {
+			c.cache.UpdateCatalog(catalog)
+			if c.isLeader() && c.follower.loaded && c.cache.Catalog.Version == 0 {
+				c.storeCatalog(ctx, catalog)
+			}
+			c.requestCycle()
+		})
+		sleep(ctx, catalogInterval)
+	}
+}
+
+// storeCatalog writes the catalog unless there is one.
+func (c *Controller) storeCatalog(ctx context.Context, catalog *protocol.Catalog) {
+	c.commitAside(ctx, protocol.Txn{
+		If:   []protocol.Condition{{Key: storage.CatalogKey}},
+		Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(catalog)}},
+	}, protocol.BackgroundRequest, func(bool) {})
+}
+
+// cloudListInterval is how often the leader reads the machine list: as the list lags behind,
+// more often than twice in that lag shows nothing new.
+func (c *Controller) cloudListInterval() time.Duration {
+	return max(minCloudListInterval, seconds(c.cfg.Deployment.Cloud.ListLagS/2))
+}
+
+// listCloudMachines reads the whole machine list and hands it to the core.
+func (c *Controller) listCloudMachines(ctx context.Context) {
+	machines, err := c.readCloudList(ctx)
+	c.post(func() {
+		c.leader.listing = false
+		if err != nil {
+			c.log.Debug("machine list not read", "err", err)
+			return
+		}
+		c.applyCloudList(ctx, machines)
+	})
+}
+
+// readCloudList reads the machine list page by page.
+func (c *Controller) readCloudList(ctx context.Context) ([]protocol.CloudMachine, error) {
+	var machines []protocol.CloudMachine
+	after := ""
+	for {
+		page, err := c.cloud.List(ctx, after)
+		if err != nil {
+			return nil, err
+		}
+		machines = append(machines, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
+			return machines, nil
+		}
+		after = page.Machines[len(page.Machines)-1].ID
+	}
+}
+
+// applyCloudList enrolls machines without a record and returns those that failed. The list
+// lags behind: that a machine is missing from it proves nothing.
+func (c *Controller) applyCloudList(ctx context.Context, machines []protocol.CloudMachine) {
+	if !c.isLeader() {
+		return
+	}
+	now := time.Now()
+	for _, listed := range machines {
+		machine := c.cache.Machine(listed.ID)
+		if machine == nil {
+			c.enrollListed(ctx, listed, now)
+			continue
+		}
+		if machine.Addr == "" {
+			machine.Addr = listed.Addr
+		}
+		if listed.Status == cloudMachineFailed && !machine.Returning {
+			c.returnMachine(machine, reasonFailed)
+		}
+	}
+}
+
+// enrollListed enrolls a listed machine that has had no record for too long.
+func (c *Controller) enrollListed(ctx context.Context, listed protocol.CloudMachine, now time.Time) {
+	if c.cache.MachineSeen(listed.ID) || c.leader.enrollPending[listed.ID] || c.cache.TypeIndex.Find(listed.Type) < 0 {
+		return
+	}
+	if !c.leader.enrollmentOverdue(listed.ID, now) {
+		return
+	}
+	c.log.Info("listed machine has no record", "machine", listed.ID, "status", listed.Status)
+	c.enrollMachine(ctx, &pendingMachine{name: listed.ID, addr: listed.Addr, done: func(bool) {}, fleet: storage.FleetRecord{
+		Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, ProvisionedAt: now.Unix() - int64(listed.AgeS)}})
+}
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -67,7 +67,7 @@
 
 // movesToFirst is how many groups more move to the first of two shards than from it.
 func movesToFirst(c *Controller, kinds ...workKind) int {
-	mv := rebalancer{c: c, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
+	mv := newRebalancer(c)
 	for _, k := range kinds {
 		mv.rebalancePass(time.Now(), k)
 	}
@@ -184,7 +184,7 @@
 				put(storage.GroupKey(rack), storage.GroupRecord{Shard: share, Machines: []storage.GroupMachine{
 					{Name: fmt.Sprint("m", rack), Incarnation: 1, Tasks: []storage.PlacedTasks{placed}}}})
 			}
-			mv := rebalancer{c: controller, moved: map[*storage.MachineGroup]bool{}, stuck: map[int]bool{}}
+			mv := newRebalancer(controller)
 			if x.stuck > 0 {
 				controller.leader.stuckSinceByShard[1] = time.Now().Add(-x.stuck)
 			}
@@ -216,9 +216,9 @@
 		{"waits for a moment", 1, 0, 0, false, 0, false},
 		{"waits for a while", 1, stuckAfter + time.Second, 0, false, 0, true},
 		{"waits for its team's limit", 1, stuckAfter + time.Second, 10, false, 0, false},
-		{"by the sums there is room, but it fits on no other", 0, 0, 0, true, neededFor + time.Second, true},
-		{"it may not wait for long", 0, 0, 0, true, neededFor - time.Second, false},
-		{"nor may its team have more", 0, 0, 22, true, neededFor + time.Second, false},
+		{"by the sums there is room, but it fits on no other", 0, 0, 0, true, neededAfter + time.Second, true},
+		{"it may not wait for long", 0, 0, 0, true, neededAfter - time.Second, false},
+		{"nor may its team have more", 0, 0, 22, true, neededAfter + time.Second, false},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -2,11 +2,16 @@
 
 import (
 	"context"
+	"time"
+
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
-	"time"
 )
 
+// minLeadershipDuration is how long leadership must have lasted before another controller takes it
+// on a mere hint that the leader has ended.
+const minLeadershipDuration = 10 * time.Second
+
 // leadership is what this controller knows of the leader's record. It is written by this file
 // and where the record is read (followed changes).
 type leadership struct {
@@ -16,48 +21,55 @@
 	wasLeader     bool      // as noteLeadershipChange last saw it
 }
 
+// isLeader tells whether this process is the leader by the record.
 func (c *Controller) isLeader() bool {
-	l := &c.cache.Leader
-	return l.Version > 0 && c.session.incarnation > 0 && l.Member == c.cfg.MemberName && l.Incarnation == c.session.incarnation
+	leader := &c.cache.Leader
+	return leader.Version > 0 && c.session.incarnation > 0 && leader.Member == c.cfg.MemberName && leader.Incarnation == c.session.incarnation
 }
 
-// acquireLeadership takes leadership if nobody has it, or if its holder was this controller before
-// it started anew.
+// acquireLeadership takes leadership if nobody has it, if its holder seems to have ended, or if its
+// holder was this controller before it restarted.
 func (c *Controller) acquireLeadership(ctx context.Context) {
-	leader := c.cache.Leader
 	if c.session.lease == 0 || c.leadership.writeInFlight || c.isLeader() || (c.session.notReady.Load() && c.othersReady()) {
 		return
 	}
-	if now := time.Now(); leader.Version > 0 && leader.Member != c.cfg.MemberName {
-		// Two controllers that do not hear each other must not take leadership from one
-		// another again and again.
-		if !c.memberLost(leader.Member, now) || now.Sub(c.leadership.since) < minLeadershipDuration {
-			return
-		}
+	if c.otherLeads(time.Now()) {
+		return
 	}
 	c.leadership.writeInFlight = true
-	rec := storage.Encode(storage.LeaderRecord{Member: c.cfg.MemberName, Incarnation: c.session.incarnation})
+	record := storage.Encode(storage.LeaderRecord{Member: c.cfg.MemberName, Incarnation: c.session.incarnation})
 	c.commitAside(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: leader.Version}},
-		Then: []protocol.Change{{Put: storage.LeaderKey, Value: rec, Lease: c.session.lease}},
+		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}},
+		Then: []protocol.Change{{Put: storage.LeaderKey, Value: record, Lease: c.session.lease}},
 	}, protocol.UrgentRequest, func(ok bool) {
 		c.leadership.writeInFlight = false
-		if c.noteLeadershipChange(); ok {
+		c.noteLeadershipChange()
+		if ok {
 			c.assignShards(ctx)
 		}
 	})
 }
 
-// noteLeadershipChange begins a lead as soon as the record says so: where only the answer of its transaction was lost, a process that
-// had led before went on with what it knew then.
-func (c *Controller) noteLeadershipChange() {
-	if leads := c.isLeader(); leads != c.leadership.wasLeader {
-		if c.leadership.wasLeader = leads; leads {
-			c.log.Info("leading")
-			c.leader.init()
-		}
+// otherLeads tells whether another controller leads and is to be left to it. Two controllers that
+// do not hear each other must not take leadership from one another again and again.
+func (c *Controller) otherLeads(now time.Time) bool {
+	leader := c.cache.Leader
+	if leader.Version == 0 || leader.Member == c.cfg.MemberName {
+		return false
 	}
+	return !c.memberLost(leader.Member, now) || now.Sub(c.leadership.since) < minLeadershipDuration
 }
 
-// minLeadershipDuration is how long a lead must have lasted before it is taken on a hint.
-const minLeadershipDuration = 10 * time.Second
+// noteLeadershipChange begins leadership as soon as the record says so: where only the answer to
+// its transaction was lost, a process that had led before went on with what it knew then.
+func (c *Controller) noteLeadershipChange() {
+	leads := c.isLeader()
+	if leads == c.leadership.wasLeader {
+		return
+	}
+	c.leadership.wasLeader = leads
+	if leads {
+		c.log.Info("leadership acquired")
+		c.leader.init()
+	}
+}
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -2,82 +2,114 @@
 
 import (
 	"context"
+	"time"
+
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
-	"time"
 )
 
-// checkReadiness gives up shards and lead when this controller reaches no worker although it
-// owns machines: a controller cut off from everything but the state service keeps its
-// hold, and nobody else would take its workers before their leases run out.
+const (
+	// manyMachinesCount are too many to fall silent together by themselves.
+	manyMachinesCount = 8
+	// minMachinesToJudge is how many machines a controller must own to judge itself by their silence.
+	minMachinesToJudge = 2
+	// readinessProbeInterval is how often a controller that is not ready probes a worker.
+	readinessProbeInterval = time.Second
+	// heardAgainWithin is how recently a worker must have been heard for a controller to be ready again.
+	heardAgainWithin = time.Second
+	// probeTimeout bounds how long a worker that is asked may take.
+	probeTimeout = 900 * time.Millisecond
+	// probeStride is how many eligible machines the search for one to probe counts for each probe,
+	// so that not always the same one is asked.
+	probeStride = 3
+)
+
+// checkReadiness gives up shards and leadership when this controller reaches no worker although it
+// owns machines: a controller cut off from everything but the state service keeps its session
+// lease, and nobody else would take its workers before their leases run out.
 func (c *Controller) checkReadiness(ctx context.Context, now time.Time) {
 	if c.session.lease == 0 || c.storeFailing() {
 		return
 	}
-	// Every worker heartbeats within 1.25 times ReportS: a few may be dead or hang, but
-	// when many are all silent for longer, the fault is on this side.
-	report := c.cfg.Deployment.Workers.HeartbeatS
-	quiet := max(seconds(2*report+1.5), 4*time.Second)
 	if c.session.notReady.Load() {
-		if now.Sub(c.session.lastProbeAt) > time.Second {
-			c.session.lastProbeAt = now
-			c.probeWorker()
-		}
-		if now.Sub(c.workers.anyHeardAt) < time.Second || !c.othersReady() {
-			c.setNotReady(ctx, false)
-		}
+		c.checkReadyAgain(ctx, now)
 		return
 	}
-	machines := 0
-	for _, m := range c.cache.Machines {
-		if !m.Gone && !m.Returning && m.Incarnation > 0 && c.ownsShard(m.Shard) {
-			machines++
-		}
+	machines := c.ownedMachinesUp()
+	limit := c.silenceToNotReady(machines)
+	if machines >= minMachinesToJudge && c.silenceOf(c.workers.anyHeardAt, now) > limit && now.Sub(c.shards.takenOverAt) > limit && c.othersReady() {
+		c.log.Info("no worker is heard, giving up shards", "machines", machines)
+		c.setNotReady(ctx, true)
 	}
+}
+
+// checkReadyAgain probes workers until one answers, or until no other controller is left.
+func (c *Controller) checkReadyAgain(ctx context.Context, now time.Time) {
+	if now.Sub(c.session.lastProbeAt) > readinessProbeInterval {
+		c.session.lastProbeAt = now
+		c.probeWorker()
+	}
+	if now.Sub(c.workers.anyHeardAt) < heardAgainWithin || !c.othersReady() {
+		c.setNotReady(ctx, false)
+	}
+}
+
+// silenceToNotReady is how long all workers must be silent for the fault to be on this side. Every
+// worker heartbeats within 1.25 times HeartbeatS: a few may be dead or hang, but not many at once.
+func (c *Controller) silenceToNotReady(machines int) time.Duration {
+	heartbeatS := c.cfg.Deployment.Workers.HeartbeatS
 	if machines >= manyMachinesCount {
-		quiet = max(seconds(1.25*report+1), 2500*time.Millisecond)
+		return max(seconds(1.25*heartbeatS+1), 2500*time.Millisecond)
 	}
-	if machines >= 2 && c.silenceOf(c.workers.anyHeardAt, now) > quiet && now.Sub(c.shards.takenOverAt) > quiet && c.othersReady() {
-		c.log.Info("no worker is heard, giving up shares", "machines", machines)
-		c.setNotReady(ctx, true)
+	return max(seconds(2*heartbeatS+1.5), 4*time.Second)
+}
+
+// ownedMachinesUp is how many machines of this controller's shards have come up.
+func (c *Controller) ownedMachinesUp() int {
+	machines := 0
+	for machine := range c.machinesInService() {
+		if machine.Incarnation > 0 && c.ownsShard(machine.Shard) {
+			machines++
+		}
 	}
+	return machines
 }
 
 // othersReady tells whether another living controller could do this controller's work.
 func (c *Controller) othersReady() bool {
-	for name, n := range c.cache.Members {
-		if name != c.cfg.MemberName && !n.NotReady {
+	for name, member := range c.cache.Members {
+		if name != c.cfg.MemberName && !member.NotReady {
 			return true
 		}
 	}
 	return false
 }
 
-// manyMachinesCount are too many to fall silent together by themselves.
-const manyMachinesCount = 8
-
-func (c *Controller) setNotReady(ctx context.Context, unfit bool) {
-	c.session.notReady.Store(unfit)
-	c.log.Info("fitness changes", "unfit", unfit)
-	var t protocol.Txn
-	if unfit && c.isLeader() {
-		t.If = []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}
-		t.Then = []protocol.Change{{Delete: storage.LeaderKey}}
+// setNotReady tells the others whether this controller can do its work; a leader that can't gives
+// up leadership with the same transaction.
+func (c *Controller) setNotReady(ctx context.Context, notReady bool) {
+	c.session.notReady.Store(notReady)
+	c.log.Info("readiness changed", "ready", !notReady)
+	var txn protocol.Txn
+	if notReady && c.isLeader() {
+		txn = c.leaderTxn()
+		txn.Then = []protocol.Change{{Delete: storage.LeaderKey}}
 	}
-	c.writeMember(ctx, t, unfit, func(ok bool) {
+	c.writeMember(ctx, txn, notReady, func(ok bool) {
 		if !ok {
-			c.session.notReady.Store(!unfit) // tried again with the next look
+			c.session.notReady.Store(!notReady) // tried again with the next tick
 		}
 	})
 }
 
-// probeWorker asks some worker for its heartbeat, with a token that commands nothing.
+// probeWorker asks some worker for its heartbeat.
 func (c *Controller) probeWorker() {
-	for _, machine := range c.cache.Machines {
-		if machine.Gone || machine.Returning || machine.Addr == "" || machine.Incarnation == 0 {
+	for machine := range c.machinesInService() {
+		if machine.Addr == "" || machine.Incarnation == 0 {
 			continue
 		}
-		if c.session.nextProbe++; c.session.nextProbe%3 != 0 {
+		c.session.nextProbe++
+		if c.session.nextProbe%probeStride != 0 {
 			continue
 		}
 		c.probeHeartbeat(machine, func(answered bool) {
@@ -89,14 +121,12 @@
 	}
 }
 
-// probeTimeout bounds how long a worker that is asked may take.
-const probeTimeout = 900 * time.Millisecond
-
-// probeHeartbeat asks a worker for its heartbeat, under a token that commands nothing: whatever comes back is an answer.
+// probeHeartbeat asks a worker for its heartbeat, under a token that commands nothing: whatever
+// comes back is an answer.
 func (c *Controller) probeHeartbeat(m *storage.Machine, then func(answered bool)) {
-	addr, session := m.Addr, m.Incarnation
+	addr, incarnation := m.Addr, m.Incarnation
 	go func() {
-		_, status, err := c.workerLink.Command(addr, protocol.DirectCommands{Incarnation: session, Commands: []protocol.Command{}}, probeTimeout)
+		_, status, err := c.workerLink.Command(addr, protocol.DirectCommands{Incarnation: incarnation, Commands: []protocol.Command{}}, probeTimeout)
 		c.post(func() { then(err == nil && status != 0) })
 	}()
 }
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"dykeledge/internal/controller/autoscale"
@@ -11,227 +10,259 @@
 	"dykeledge/internal/storage"
 )
 
-// This file works out what room the open work needs, for the leader's rentals.
+// This file works out what capacity the open work needs, for the leader's scale-out requests.
 
-// demands sums up the open work by what it may run on, and for each team with a limit apart: its jobs together ask for no
-// more than the limit lets run. Bounded job by job, a team with many jobs had twice the machines rented that it could use.
+const (
+	// serviceWorkS stands for the run time, in seconds, of a service's replica, which never ends.
+	serviceWorkS = 1e6
+	// demandStep is how far apart the allowed times of jobs may be that are summed up as one demand.
+	demandStep = 20 * time.Second
+	// unlimitedWithinS is the allowed time, in seconds, of work that no objective names; other work
+	// has at least minWithinS.
+	unlimitedWithinS = 120
+	minWithinS       = 5
+	// recentServices is how far back services are counted that came.
+	recentServices = 2 * time.Minute
+	// readyAfterBoots is how many times the longest boot time a new machine takes until it is up and
+	// has a service's image.
+	readyAfterBoots = 1.5
+)
+
+// demandKind is what jobs have in common that are summed up as one demand.
+type demandKind struct {
+	spot   bool
+	idle   bool
+	zone   int
+	class  int
+	first  int // machine type that is allowed first, -1 if any is
+	cpus   float64
+	within int // allowed time, in steps
+	team   int // autoscale.NoTeam if it has no limit
+}
+
+// demandSums sums up demands by kind, in the order of their first jobs.
+type demandSums struct {
+	index   map[demandKind]int
+	demands []autoscale.Demand
+}
+
+// add counts some of a job's tasks.
+func (s *demandSums) add(kind demandKind, job *storage.Job, tasks int, allowed time.Duration) {
+	i, ok := s.index[kind]
+	if !ok {
+		i = len(s.demands)
+		s.index[kind] = i
+		s.demands = append(s.demands, newDemand(kind, job, allowed))
+	}
+	demand := &s.demands[i]
+	demand.Tasks += tasks
+	workS := float64(serviceWorkS)
+	if job.Shape != protocol.Service {
+		workS = max(job.Estimate, 1)
+	}
+	demand.Work += float64(tasks) * workS
+}
+
+// newDemand is a demand of no tasks yet, like those of a job.
+func newDemand(kind demandKind, job *storage.Job, allowed time.Duration) autoscale.Demand {
+	withinS := max(minWithinS, allowed.Seconds())
+	if allowed == 0 {
+		withinS = unlimitedWithinS
+	}
+	return autoscale.Demand{Team: kind.team, Spot: kind.spot, Idle: kind.idle, Types: job.Types, Zone: kind.zone,
+		Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, WithinS: withinS}
+}
+
+// demands sums up the open work by what it may run on, and for each team with a limit apart: its
+// jobs together ask for no more than the limit lets run. Bounded job by job, a team with many jobs
+// had twice the machines provisioned that it could use.
 func (c *Controller) demands(now time.Time) []autoscale.Demand {
-	type kind struct {
-		spot   bool
-		idle   bool
-		zone   int
-		class  int
-		first  int
-		cpus   float64
-		within int
-		team   int // provision.NoTeam if it has no limit
-	}
-	index := map[kind]int{}
-	var out []autoscale.Demand
+	sums := demandSums{index: map[demandKind]int{}}
 	var zones *zoneCapacity
 	for _, job := range c.cache.Jobs {
 		if job == nil || !job.Open() {
 			continue
 		}
-		first := -1
-		if len(job.Types) > 0 {
-			first = job.Types[0]
-		}
-		allow := c.timeAllowed(job, now)
-		idle := allow == 0 && c.isIdleWork(job, now)
-		team := autoscale.NoTeam
-		if c.limited(job.Team) {
-			team = job.Team
-		}
-		add := func(zone, n int) {
-			controllerKind := kind{job.Spot, idle, zone, job.Class, first, job.Cpus, int(allow / (20 * time.Second)), team}
-			i, ok := index[controllerKind]
-			if !ok {
-				i = len(out)
-				index[controllerKind] = i
-				out = append(out, autoscale.Demand{Team: team, Spot: job.Spot, Idle: idle, Types: job.Types, Zone: zone,
-					Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, WithinS: max(5, allow.Seconds())})
-				if allow == 0 {
-					out[i].WithinS = 120
-				}
-			}
-			d := &out[i]
-			d.Tasks += n
-			if job.Shape == protocol.Service {
-				d.Work += float64(n) * 1e6
-			} else {
-				d.Work += float64(n) * max(job.Estimate, 1)
-			}
-		}
+		allowed := c.timeAllowed(job, now)
+		kind := c.demandKindOf(job, allowed, now)
 		if job.Spread && !job.Spot && job.Zone < 0 {
 			if zones == nil {
 				zones = c.zoneCapacity(now)
 			}
-			for z, n := range zones.demandByZone(c, job, now) {
-				if n > 0 {
-					add(z, n)
+			for zone, tasks := range zones.demandByZone(job) {
+				if tasks > 0 {
+					kind.zone = zone
+					sums.add(kind, job, tasks, allowed)
 				}
 			}
 			continue
 		}
-		n := job.PlacedCount - c.placedUnreachable(job, now) + c.wantedTasks(job)
-		add(job.Zone, schedule.CapacityWithin(c.cache.Teams[job.Team], storage.Usage{}, job, n))
+		tasks := job.PlacedCount - c.placedUnreachable(job, now) + c.wantedTasks(job)
+		tasks = schedule.CapacityWithin(c.cache.Teams[job.Team], storage.Usage{}, job, tasks)
+		sums.add(kind, job, tasks, allowed)
 	}
-	autoscale.CapToLimits(out, workHorizon, func(team int) autoscale.Limit {
+	autoscale.CapToLimits(sums.demands, workHorizon, func(team int) autoscale.Limit {
 		t := c.cache.Teams[team]
 		return autoscale.Limit{Cpus: t.CpusMax, Gpus: t.GpusMax}
 	})
-	return out
+	return sums.demands
+}
+
+// demandKindOf is the kind of demand that a job belongs to, in its own zone.
+func (c *Controller) demandKindOf(job *storage.Job, allowed time.Duration, now time.Time) demandKind {
+	kind := demandKind{
+		spot:   job.Spot,
+		idle:   allowed == 0 && c.isIdleWork(job, now),
+		zone:   job.Zone,
+		class:  job.Class,
+		first:  -1,
+		cpus:   job.Cpus,
+		within: int(allowed / demandStep),
+		team:   autoscale.NoTeam,
+	}
+	if len(job.Types) > 0 {
+		kind.first = job.Types[0]
+	}
+	if c.limited(job.Team) {
+		kind.team = job.Team
+	}
+	return kind
 }
 
-// zoneCapacity is what the zones' ordinary machines have for work that is spread over zones, in CPUs as
-// sizes count; below 0 where more is asked for already.
+// zoneCapacity is what the zones' on-demand machines have for work that is spread over zones, in
+// CPUs as sizes count; below 0 where more is asked for already.
 type zoneCapacity struct {
+	c           *Controller
+	now         time.Time
 	free        []float64
-	canScaleOut []bool // more can be rented there, as far as is known
+	canScaleOut []bool // more machines can be had there, as far as is known
 }
 
 func (c *Controller) zoneCapacity(now time.Time) *zoneCapacity {
-	controllerZoneCapacity := &zoneCapacity{free: make([]float64, c.cache.Zones.Len()), canScaleOut: make([]bool, c.cache.Zones.Len())}
-	for i := range c.cache.Types {
-		for _, z := range c.cache.Types[i].Zones {
-			if p := (autoscale.Pool{Type: i, Zone: z}); !now.Before(c.leader.blocked[p]) && !c.zoneUnreachable(z) {
-				controllerZoneCapacity.canScaleOut[z] = true
+	zones := c.cache.Zones.Len()
+	capacity := &zoneCapacity{c: c, now: now, free: make([]float64, zones), canScaleOut: make([]bool, zones)}
+	for typeIndex := range c.cache.Types {
+		for _, zone := range c.cache.Types[typeIndex].Zones {
+			pool := autoscale.Pool{Type: typeIndex, Zone: zone}
+			if !c.leader.isBlocked(pool, now) && !c.reachability.zoneUnreachable(zone) {
+				capacity.canScaleOut[zone] = true
 			}
 		}
 	}
-	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || m.Spot || m.Unhealthy || m.Draining || c.zoneUnreachable(m.Zone) || c.overdue(m, bootPatience, now) {
+	for machine := range c.machinesInService() {
+		if machine.Spot || machine.Unhealthy || machine.Draining || c.reachability.zoneUnreachable(machine.Zone) || c.overdue(machine, bootPatience, now) {
 			continue
 		}
-		left := c.cache.Types[m.Type].Cpus
-		for _, p := range m.Tasks {
-			if p.Job.Priority.Top() {
-				left -= p.Job.Size
+		left := c.cache.Types[machine.Type].Cpus
+		for _, placed := range machine.Tasks {
+			if placed.Job.Priority.Top() {
+				left -= placed.Job.Size
 			}
 		}
-		controllerZoneCapacity.free[m.Zone] += max(0, left)
+		capacity.free[machine.Zone] += max(0, left)
 	}
-	return controllerZoneCapacity
+	return capacity
 }
 
-// demandByZone tells in which zones a job that is spread needs room: where its tasks are, and for those that wait
-// where it may have more and there is most. Room in a zone that has its half is of no use to it: services
-// waited for minutes beside free machines in the wrong zone, and nothing was rented.
-func (r *zoneCapacity) demandByZone(controller *Controller, job *storage.Job, now time.Time) []int {
-	need := make([]int, len(r.free))
-	in := make([]int, len(r.free))
-	for z, n := range job.ByZone {
-		if in[z] = int(n); !controller.needsNoReplacement(z, now) {
-			need[z] = int(n)
+// demandByZone tells how much capacity, in tasks, a job that is spread needs in each zone: where its
+// tasks are, and for those that wait where it may have more and there is most. Capacity in a zone
+// that has its half is of no use to it: services waited for minutes beside free machines in the
+// wrong zone, and nothing was provisioned.
+func (z *zoneCapacity) demandByZone(job *storage.Job) []int {
+	needed := make([]int, len(z.free))
+	placed := make([]int, len(z.free))
+	for zone, tasks := range job.ByZone {
+		placed[zone] = int(tasks)
+		if !z.c.needsNoReplacement(zone, z.now) {
+			needed[zone] = int(tasks)
 		}
 	}
-	for range controller.wantedTasks(job) {
-		best := -1
-		for z := range r.free {
-			if in[z] >= job.MaxPerZone() || controller.zoneUnreachable(z) || r.free[z] < job.Size && !r.canScaleOut[z] {
-				continue
-			}
-			if best < 0 || r.free[z] > r.free[best] {
-				best = z
-			}
-		}
+	for range z.c.wantedTasks(job) {
+		best := z.bestZone(job, placed)
 		if best < 0 {
 			break // nowhere for now
 		}
-		in[best]++
-		need[best]++
-		r.free[best] -= job.Size
+		placed[best]++
+		needed[best]++
+		z.free[best] -= job.Size
 	}
-	return need
+	return needed
 }
 
-// nextServices is room for the services that are likely to come before a machine rented for them would
-// be up and have their image: as many as came a while ago. What gives way to them counts as room. Without
-// it each began with a boot once running services had been brought together on few machines.
-func (c *Controller) nextServices(now time.Time) (autoscale.Demand, bool) {
-	demand := autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: 5}
-	work, gives := 0.0, 0.0
-	ahead := 0.0
-	for i := range c.cache.Types {
-		ahead = max(ahead, 1.5*c.cache.Types[i].BootS)
-	}
-	for _, j := range c.cache.Jobs {
-		if j == nil || j.Shape != protocol.Service || j.Spot || !j.Open() || len(j.Types) > 0 || j.Zone >= 0 {
+// bestZone is the zone with the most capacity for one more task of a job, -1 if there is none.
+func (z *zoneCapacity) bestZone(job *storage.Job, placed []int) int {
+	best := -1
+	for zone, free := range z.free {
+		if placed[zone] >= job.MaxPerZone() || z.c.reachability.zoneUnreachable(zone) || free < job.Size && !z.canScaleOut[zone] {
 			continue
 		}
-		if age := now.Sub(j.Submitted); age < recentServices && age >= 0 {
-			work += float64(j.Tasks) * j.Size
-		}
-		if j.Size > demand.Cpus {
-			demand.Cpus, demand.Gpus, demand.Mem = j.Size, j.Gpus, j.Mem
+		if best < 0 || free > z.free[best] {
+			best = zone
 		}
 	}
-	if work == 0 {
-		return demand, false
-	}
-	for _, m := range c.cache.Machines {
-		if m.Gone || m.Returning || m.Draining || m.Spot || c.zoneUnreachable(m.Zone) {
+	return best
+}
+
+// nextServices is the demand of the services that are likely to come before a machine provisioned
+// for them would be up and have their image: as many as came a while ago. What gives way to them
+// counts as capacity. Without it each began with a boot once running services had been brought
+// together on few machines.
+func (c *Controller) nextServices(now time.Time) (demand autoscale.Demand, expected bool) {
+	demand = autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: minWithinS}
+	recentCpus := 0.0
+	for _, job := range c.cache.Jobs {
+		if job == nil || job.Shape != protocol.Service || job.Spot || !job.Open() || len(job.Types) > 0 || job.Zone >= 0 {
 			continue
 		}
-		for _, p := range m.Tasks {
-			if !p.Job.Priority.Top() {
-				gives += p.Job.Size
-			}
+		if age := now.Sub(job.Submitted); age < recentServices && age >= 0 {
+			recentCpus += float64(job.Tasks) * job.Size
+		}
+		if job.Size > demand.Cpus {
+			demand.Cpus, demand.Gpus, demand.Mem = job.Size, job.Gpus, job.Mem
 		}
 	}
-	demand.Tasks = int(math.Ceil((work*min(1, ahead/recentServices.Seconds()) - gives) / demand.Cpus))
-	demand.Work = 1e6 * float64(demand.Tasks)
+	if recentCpus == 0 {
+		return demand, false
+	}
+	expectedCpus := recentCpus * min(1, c.readyAheadS()/recentServices.Seconds())
+	demand.Tasks = int(math.Ceil((expectedCpus - c.yieldingCpus()) / demand.Cpus))
+	demand.Work = serviceWorkS * float64(demand.Tasks)
 	return demand, demand.Tasks > 0
 }
 
-// recentServices is how far back services are counted that came.
-const recentServices = 2 * time.Minute
-
-// placedUnreachable is how many of a job's tasks run where this controller reaches nobody: they need no other room.
-func (c *Controller) placedUnreachable(j *storage.Job, now time.Time) int {
-	n := 0
-	for z, k := range j.ByZone {
-		if c.needsNoReplacement(z, now) {
-			n += int(k)
-		}
+// readyAheadS is how many seconds ahead a machine must be asked for.
+func (c *Controller) readyAheadS() float64 {
+	ahead := 0.0
+	for i := range c.cache.Types {
+		ahead = max(ahead, readyAfterBoots*c.cache.Types[i].BootS)
 	}
-	return n
+	return ahead
 }
 
-// runnableWithinLimits is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
-func (c *Controller) runnableWithinLimits(now time.Time) float64 {
-	may, sum := c.newLimitBudget(), 0.0
-	for _, j := range c.cache.Jobs {
-		if j != nil && j.Open() && !c.isIdleWork(j, now) {
-			sum += float64(may.take(j)) * j.Size
+// yieldingCpus is how much runs on on-demand machines that gives way to services.
+func (c *Controller) yieldingCpus() float64 {
+	yielding := 0.0
+	for machine := range c.machinesInService() {
+		if machine.Draining || machine.Spot || c.reachability.zoneUnreachable(machine.Zone) {
+			continue
+		}
+		for _, placed := range machine.Tasks {
+			if !placed.Job.Priority.Top() {
+				yielding += placed.Job.Size
+			}
 		}
 	}
-	return sum
-}
-
-// newLimitBudget deals out what the teams' limits leave.
-type limitBudget struct {
-	c    *Controller
-	used []storage.Usage // by team
-}
-
-func (c *Controller) newLimitBudget() *limitBudget {
-	return &limitBudget{c, slices.Clone(c.cache.Used)}
+	return yielding
 }
 
-// take takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
-func (u *limitBudget) take(j *storage.Job) int {
-	n := u.c.wantedTasks(j)
-	for n > 0 && !schedule.WithinLimit(u.c.cache.Teams[j.Team], u.used[j.Team], j, n) {
-		n /= 2 // about as many: sums ask for no more
+// placedUnreachable is how many of a job's tasks run where this controller reaches nobody: they
+// need no other capacity.
+func (c *Controller) placedUnreachable(j *storage.Job, now time.Time) int {
+	unreachable := 0
+	for zone, tasks := range j.ByZone {
+		if c.needsNoReplacement(zone, now) {
+			unreachable += int(tasks)
+		}
 	}
-	u.used[j.Team].Add(j, float64(n))
-	return n
-}
-
-// limited tells whether a team has a limit.
-func (c *Controller) limited(team int) bool {
-	t := &c.cache.Teams[team]
-	return t.CpusMax > 0 || t.GpusMax > 0
+	return unreachable
 }
--- /dev/null
+++ b/internal/controller/scale_in.go
@@ -0,0 +1,138 @@
+package controller
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"dykeledge/internal/controller/autoscale"
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// scaleInState is what the leader knows of machines that are not needed.
+type scaleInState struct {
+	returning     bool // a request to the cloud is under way
+	emptyMachines map[int32]emptyMark
+	surplusSince  map[autoscale.Pool]time.Time // the pool has had a whole machine too many since
+}
+
+// emptyMark is when a machine's record was first seen empty at its present version.
+type emptyMark struct {
+	version uint64
+	since   time.Time
+}
+
+func newScaleInState(returning bool) scaleInState {
+	return scaleInState{
+		returning:     returning,
+		emptyMachines: map[int32]emptyMark{},
+		surplusSince:  map[autoscale.Pool]time.Time{},
+	}
+}
+
+// observeSurplus notes since when pools have had a whole machine too many.
+func (s *scaleInState) observeSurplus(surplus map[autoscale.Pool]float64, now time.Time) {
+	for pool := range s.surplusSince {
+		if surplus[pool] < 1 {
+			delete(s.surplusSince, pool)
+		}
+	}
+	for pool, machines := range surplus {
+		if machines >= 1 && s.surplusSince[pool].IsZero() {
+			s.surplusSince[pool] = now
+		}
+	}
+}
+
+// surplusLasts tells whether a pool has had a whole machine too many for some time.
+func (s *scaleInState) surplusLasts(pool autoscale.Pool, retention time.Duration, now time.Time) bool {
+	since := s.surplusSince[pool]
+	return !since.IsZero() && now.Sub(since) >= retention
+}
+
+// emptySince is since when the leader has seen a machine's record unchanged and empty.
+func (s *scaleInState) emptySince(m *storage.Machine, now time.Time) time.Time {
+	mark, ok := s.emptyMachines[m.Index]
+	if !ok || mark.version != m.Version {
+		mark = emptyMark{m.Version, now}
+		s.emptyMachines[m.Index] = mark
+	}
+	return mark.since
+}
+
+// scaleInIdle returns machines that have been empty and not needed for the retention time, the
+// most expensive first.
+func (c *Controller) scaleInIdle(now time.Time, plan autoscale.Plan, retention time.Duration) {
+	candidates := c.emptyMachinesByPrice()
+	c.leader.observeSurplus(plan.Surplus, now)
+	left := map[autoscale.Pool]float64{}
+	for pool, machines := range plan.Surplus {
+		left[pool] = machines
+	}
+	for _, machine := range candidates {
+		pool := poolOf(machine)
+		if !c.leader.surplusLasts(pool, retention, now) || left[pool] < 1 || now.Sub(c.leader.emptySince(machine, now)) < retention {
+			continue
+		}
+		left[pool]--
+		c.returnMachine(machine, reasonNotNeeded)
+	}
+}
+
+// emptyMachinesByPrice are the machines without tasks that still take some, the most expensive first.
+func (c *Controller) emptyMachinesByPrice() []*storage.Machine {
+	var empty []*storage.Machine
+	for machine := range c.machinesInService() {
+		if len(machine.Tasks) == 0 && !c.workers.pendingUpdates[machine.Index].blocksPlacement() {
+			empty = append(empty, machine)
+		}
+	}
+	price := func(m *storage.Machine) float64 { return machinePrice(&c.cache.Types[m.Type], m.Spot) }
+	slices.SortFunc(empty, func(a, b *storage.Machine) int {
+		return cmp.Or(cmp.Compare(price(b), price(a)), cmp.Compare(a.Name, b.Name))
+	})
+	return empty
+}
+
+// scaleIn asks the cloud to take machines back. Its confirmation is the proof that they are gone
+// with all that ran on them; the next cycle then drops their records.
+func (c *Controller) scaleIn(ctx context.Context, names []string) {
+	if len(names) == 0 || c.leader.returning {
+		return
+	}
+	names = names[:min(len(names), protocol.MaxScaleIn)]
+	c.leader.returning = true
+	go func() {
+		err := c.cloud.ScaleIn(ctx, names)
+		c.post(func() {
+			c.leader.returning = false
+			if err != nil {
+				c.log.Info("scale in failed", "machines", len(names), "err", err)
+				return
+			}
+			now := time.Now()
+			for _, name := range names {
+				if machine := c.cache.Machine(name); machine != nil && c.ownsShard(machine.Shard) {
+					c.noteTerminated(machine, now)
+				}
+			}
+			c.requestCycle()
+		})
+	}()
+}
+
+// noteTerminated takes in that the cloud confirmed a machine's end: what ran on it is lost.
+func (c *Controller) noteTerminated(machine *storage.Machine, now time.Time) {
+	worker := c.workerState(machine)
+	worker.terminated = true
+	for _, placed := range machine.Tasks {
+		ref := dispatch.RefOf(placed)
+		if !worker.hasEnded(ref) {
+			worker.Gone[ref] = dispatch.Lost
+			c.noteOutcome(machine, worker, ref, dispatch.Lost, now)
+		}
+	}
+}
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -86,8 +86,8 @@
 					}
 				}
 				now := time.Now()
-				if core.zoneUnreachable(b) != x.away || x.away && core.hasControllerInside(b) != x.lives {
-					t.Fatalf("away: %v, inhabited: %v", core.zoneUnreachable(b), core.hasControllerInside(b))
+				if core.reachability.zoneUnreachable(b) != x.away || x.away && core.hasControllerInside(b) != x.lives {
+					t.Fatalf("away: %v, inhabited: %v", core.reachability.zoneUnreachable(b), core.hasControllerInside(b))
 				}
 				if x.away && (!core.needsNoReplacement(b, now) || core.needsNoReplacement(b, now.Add(time.Minute))) {
 					t.Error("what runs there needs no other room for a while, and then it does")
@@ -97,16 +97,16 @@
 				}
 				for range 2 { // in a zone without machines nobody will ever be heard
 					core.superviseZones(now)
-					if core.zoneUnreachable(b) != x.away {
+					if core.reachability.zoneUnreachable(b) != x.away {
 						t.Error("a zone is tried again at once")
 					}
 					core.superviseZones(now.Add(emptyFor - time.Second))
 				}
 				empty := x.name == "its node was no member any more"
-				if core.superviseZones(now.Add(emptyFor + time.Second)); core.zoneUnreachable(b) != (x.away && !empty) {
-					t.Errorf("away: %v, without machines in it: %v", core.zoneUnreachable(b), empty)
+				if core.superviseZones(now.Add(emptyFor + time.Second)); core.reachability.zoneUnreachable(b) != (x.away && !empty) {
+					t.Errorf("away: %v, without machines in it: %v", core.reachability.zoneUnreachable(b), empty)
 				}
-				if core.hearZone(b, now); core.zoneUnreachable(b) {
+				if core.hearZone(b, now); core.reachability.zoneUnreachable(b) {
 					t.Error("a zone that is heard is back")
 				}
 				time.Sleep(2 * probeTimeout)
