--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -7,13 +7,25 @@
 	"dykeledge/internal/storage"
 )
 
+// This file tells faulty machines from faulty jobs: a job with a mistake fails on every machine, a
+// faulty machine fails every job.
+
 const (
-	failuresSick = 2 // failures since its last success that make a machine suspect
-	failuresJob  = 3 // machines that a job must fail on to be taken for mistaken
-	// failureSettles is how long a failure may count for either side: a job with a
-	// mistake shows on other machines meanwhile.
+	// machineFailures is how many failures since its last success make a machine suspect.
+	machineFailures = 2
+	// jobFailures is how many machines a job must fail on to be taken for faulty.
+	jobFailures = 3
+	// failureSettles is how long a failure must be past to count against its machine: a faulty job
+	// shows on other machines meanwhile.
 	failureSettles = 2 * time.Second
-	maxBackoff     = time.Minute
+	// maxBackoff bounds how long a suspect job's next try is put off, maxBackoffDoublings how often
+	// that time, a second at first, is doubled.
+	maxBackoff          = time.Minute
+	maxBackoffDoublings = 6
+	// steady is how long a replica must have run for its service to be sound.
+	steady = time.Minute
+	// maxRecentFailures is how many failures count at most when machines are compared.
+	maxRecentFailures = 4
 )
 
 // failing is what a machine has failed of one job since it last completed anything.
@@ -23,60 +35,62 @@
 	since time.Time
 }
 
-// noteFailure takes down that an attempt failed by itself: by its machine's fault or
-// by its job's, which only others can tell.
+// noteFailure takes in that an attempt failed by itself: by its machine's fault or by its job's,
+// which only others can tell.
 func (c *Controller) noteFailure(machine *storage.Machine, worker *workerState, job *storage.Job, now time.Time) {
-	jobState := c.jobState(job)
+	state := c.jobState(job)
 	history := worker.failures[job]
 	if history == nil {
 		history = &failing{since: now}
 		worker.failures[job] = history
 	}
 	history.n++
-	jobState.failures++
+	state.failures++
 	if !worker.unhealthy && !machine.Unhealthy {
-		jobState.failedOn[machine.Index] = true
+		state.failedOn[machine.Index] = true
 	}
-	if now.Before(jobState.backoff) {
+	if now.Before(state.backoff) {
 		return // of the same wave
 	}
 	history.waves++
-	if jobState.failures >= failuresJob {
-		jobState.suspectTries++
-		jobState.backoff = now.Add(min(maxBackoff, time.Second<<min(jobState.suspectTries, 6)))
-		c.log.Info("job fails", "job", job.ID, "failures", jobState.failures, "machines", len(jobState.failedOn), "suspect", c.suspect(job))
+	if state.failures >= jobFailures {
+		state.suspectTries++
+		state.backoff = now.Add(backoffAfter(state.suspectTries))
+		c.log.Info("job fails", "job", job.ID, "failures", state.failures, "machines", len(state.failedOn), "suspect", c.suspect(job))
 	}
 }
 
-// noteSuccess clears both of suspicion.
+// backoffAfter is how long a suspect job's next try is put off after some tries.
+func backoffAfter(tries int) time.Duration {
+	return min(maxBackoff, time.Second<<min(tries, maxBackoffDoublings))
+}
+
+// noteSuccess clears a machine and a job of suspicion.
 func (c *Controller) noteSuccess(v *workerState, j *storage.Job) {
 	clear(v.failures)
 	c.jobState(j).clearSuspicion()
 }
 
-func (jv *jobState) clearSuspicion() {
-	jv.failures, jv.suspectTries = 0, 0
-	clear(jv.failedOn)
+func (s *jobState) clearSuspicion() {
+	s.failures, s.suspectTries = 0, 0
+	clear(s.failedOn)
 }
 
-// noteSteady clears a service of suspicion once a replica has run for a while: its
-// replicas never complete.
+// noteSteady clears a service of suspicion once a replica has run for a while: its replicas never
+// complete.
 func (c *Controller) noteSteady(v *workerState, j *storage.Job, ran time.Duration) {
 	if j.Shape != protocol.Service || ran < steady || len(v.failures) == 0 && c.jobStates[j] == nil {
 		return
 	}
-	if jv := c.jobState(j); len(jv.failedOn) > 0 || v.failures[j] != nil {
-		jv.clearSuspicion()
+	if state := c.jobState(j); len(state.failedOn) > 0 || v.failures[j] != nil {
+		state.clearSuspicion()
 		delete(v.failures, j)
 	}
 }
 
-// steady is how long a replica must have run for its service to be sound.
-const steady = time.Minute
-
-// suspect tells whether a job seems to fail wherever it runs: on several machines that
-// are not known to be sick, without a success. From then on it runs one task at a time,
-// and nothing is evicted, rented or moved for it, nor is a machine blamed for it.
+// suspect tells whether a job seems to fail wherever it runs: on several machines that are not
+// known to be unhealthy, without a success. From then on it runs one task at a time, and nothing is
+// preempted, provisioned or moved for it, nor is a machine blamed for it.
 func (c *Controller) suspect(j *storage.Job) bool {
 	if j.DoneCount > 0 {
 		return false
@@ -84,79 +98,91 @@
 	if j.Suspect {
 		return true
 	}
-	jv := c.jobStates[j]
-	return jv != nil && len(jv.failedOn) >= failuresJob
+	state := c.jobStates[j]
+	return state != nil && len(state.failedOn) >= jobFailures
 }
 
-// wantedTasks is how many of a job's waiting tasks are worth room now.
+// probing tells whether a suspect job's one task is placed already.
+func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.PlacedCount > 0 }
+
+// wantedTasks is how many of a job's waiting tasks are worth capacity now.
 func (c *Controller) wantedTasks(j *storage.Job) int {
-	n := j.Waiting()
-	if n > 0 && c.suspect(j) {
-		return min(n, max(0, 1-j.PlacedCount))
+	waiting := j.Waiting()
+	if waiting > 0 && c.suspect(j) {
+		return min(waiting, max(0, 1-j.PlacedCount))
 	}
-	return n
+	return waiting
 }
 
-// noteSuspects writes it down for other controllers that a job seems to be mistaken: the leader rents
-// for it, and the shard's next owner would start all of its tasks again.
+// noteSuspects records for other controllers which jobs seem to be faulty: the leader scales out for
+// them, and the shard's next owner would start all of their tasks again.
 func (c *Controller) noteSuspects(planned *plannedTxn) {
-	for j, jv := range c.jobStates {
-		if len(jv.failedOn) < failuresJob || j.Suspect || j.Shape == protocol.Service || !j.Open() || j.DoneCount > 0 || planned.usedOps >= planned.maxOps {
+	for job, state := range c.jobStates {
+		if len(state.failedOn) < jobFailures || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
 			continue
 		}
-		key := storage.JobKey(j.ID)
-		if _, ok := planned.puts[key]; ok || planned.completed[j] != nil {
+		key := storage.JobKey(job.ID)
+		if _, ok := planned.puts[key]; ok || planned.completed[job] != nil {
 			continue
 		}
-		r := c.cache.JobRecordOf(j, j.Done, j.DoneCount, "")
-		r.Suspect = true
-		planned.put(key, j.Version, protocol.Change{Put: key, Value: storage.Encode(r)})
+		record := c.cache.JobRecordOf(job, job.Done, job.DoneCount, "")
+		record.Suspect = true
+		planned.put(key, job.Version, protocol.Change{Put: key, Value: storage.Encode(record)})
 		planned.usedOps++
 	}
 }
 
-// failuresBlamedOn is how many failures speak against a machine: those of jobs that do not fail
-// everywhere.
-func (c *Controller) failuresBlamedOn(v *workerState, now time.Time) (n, jobs int, proved bool) {
-	for j, f := range v.failures {
-		if c.suspect(j) || now.Sub(f.since) < failureSettles {
+// blame is what speaks against a machine: failures of jobs that do not fail everywhere.
+type blame struct {
+	failures, jobs int
+	proved         bool // by a job that is known to be sound, or that this machine failed again and again
+}
+
+// convincing tells whether the machine is at fault: one job alone can't tell unless it is proved.
+func (b blame) convincing() bool {
+	return b.failures >= machineFailures && (b.jobs > 1 || b.proved)
+}
+
+// blameOf is what speaks against a machine by now.
+func (c *Controller) blameOf(v *workerState, now time.Time) blame {
+	var b blame
+	for job, history := range v.failures {
+		if c.suspect(job) || now.Sub(history.since) < failureSettles {
 			continue
 		}
-		n += f.n
-		jobs++
-		// Machines that have not failed a job are preferred: one that has it again and
-		// again is the only one it has, and a job alone cannot tell.
-		proved = proved || j.DoneCount > 0 || f.waves > failuresJob
+		b.failures += history.n
+		b.jobs++
+		// Machines that have not failed a job are preferred: one that has it again and again is the
+		// only one it has, and a job alone cannot tell.
+		b.proved = b.proved || job.DoneCount > 0 || history.waves > jobFailures
 	}
-	return n, jobs, proved
+	return b
 }
 
-// judgeHealth finds out whether a machine fails its tasks. A job with a mistake fails on
-// every machine; a faulty machine fails every job. One that completes elsewhere, or
-// another job that does not fail elsewhere, tells which.
+// judgeHealth finds out whether a machine fails its tasks. A job that completes elsewhere, or
+// another job that does not fail elsewhere, tells.
 func (c *Controller) judgeHealth(m *storage.Machine, v *workerState, now time.Time) {
 	if v.unhealthy || len(v.failures) == 0 {
 		return
 	}
-	if n, jobs, proved := c.failuresBlamedOn(v, now); n >= failuresSick && (jobs > 1 || proved) {
-		c.log.Info("machine fails its tasks, giving it up", "machine", m.Name, "failures", n, "jobs", jobs)
-		v.unhealthy = true
-		for j := range v.failures {
-			delete(c.jobState(j).failedOn, m.Index) // that was not the job's fault
-		}
+	b := c.blameOf(v, now)
+	if !b.convincing() {
+		return
+	}
+	c.log.Info("machine fails its tasks, marked unhealthy", "machine", m.Name, "failures", b.failures, "jobs", b.jobs)
+	v.unhealthy = true
+	for job := range v.failures {
+		delete(c.jobState(job).failedOn, m.Index) // that was not the job's fault
 	}
 }
 
-// probing tells whether a suspect job has its one task out already.
-func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.PlacedCount > 0 }
-
 // failedRecently counts a machine's failures that may be its own, at most a few.
 func (c *Controller) failedRecently(v *workerState) float64 {
-	n := 0
-	for j, f := range v.failures {
-		if !c.suspect(j) {
-			n += f.n
+	failures := 0
+	for job, history := range v.failures {
+		if !c.suspect(job) {
+			failures += history.n
 		}
 	}
-	return float64(min(n, 4))
+	return float64(min(failures, maxRecentFailures))
 }
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -11,48 +11,55 @@
 )
 
 // This file owns which tasks leave a machine that is being drained. Stopping one costs what it
-// takes to save it, to place it again, and to fetch its image where it goes.
+// takes to save a checkpoint, to place it again, and to fetch its image where it goes.
 
 const (
 	// relocateAfter is how long a replica must have been placed before it is moved, and how long
 	// its service is left alone after one of its replicas was: it must serve meanwhile.
 	relocateAfter = 40 * time.Second
-	// longFetch is how many seconds an image must take for its fetch to count when a task is moved.
-	longFetch = 8
+	// longFetchS is how many seconds an image must take for its fetch to count when a task is moved.
+	longFetchS = 8
 	// minMoveBenefit is how many times what its move costs a task must still have to run.
 	minMoveBenefit = 2
-	// restartSeconds is about how long it takes to stop a task and start it elsewhere, saving and fetching aside.
-	restartSeconds = 2
+	// restartS is about how many seconds it takes to stop a task and start it elsewhere, checkpoint
+	// and fetch aside.
+	restartS = 2
+	// minPartLeft is the least part of its estimate that a task is taken to have left.
+	minPartLeft = 0.2
 )
 
-// leavesDrained tells whether a task that saves is stopped on a machine that is drained: not if it will have
-// ended about as soon, and not if its job would be late by that. Two hundred and more such stops a
-// day each fetched 6 GB again, and their jobs were late.
+// leavesDrained tells whether a task with checkpoints is stopped on a machine that is being drained:
+// not if it will have ended about as soon, and not if its job would be late by that. Two hundred
+// and more such stops a day each fetched 6 GB again, and their jobs were late.
 func (c *Controller) leavesDrained(machine *storage.Machine, worker *workerState, placed storage.PlacedTask, now time.Time) bool {
 	job := placed.Job
-	fetch := 0.0
-	if f := c.cache.Types[machine.Type].FetchGBs; f > 0 {
-		fetch = job.ImageGB / f
+	fetchS := 0.0
+	if rate := c.cache.Types[machine.Type].FetchGBs; rate > 0 {
+		fetchS = job.ImageGB / rate
 	}
-	if fetch < longFetch {
+	if fetchS < longFetchS {
 		return true // it is elsewhere at once, and the machine is returned sooner
 	}
-	cost := job.CheckpointCost + restartSeconds + fetch
-	ran := float64(now.Unix() - placed.PlacedAt)
-	if at, ok := worker.started[dispatch.RefOf(placed)]; ok {
-		ran = now.Sub(at).Seconds()
-	}
-	left := max(job.Estimate-ran, 0.2*job.Estimate)
-	if left < minMoveBenefit*cost {
+	costS := job.CheckpointCost + restartS + fetchS
+	leftS := max(job.Estimate-worker.ranS(placed, now), minPartLeft*job.Estimate)
+	if leftS < minMoveBenefit*costS {
 		return false
 	}
-	allow, late := c.objectiveLeft(job, now)
-	until := job.ReadyAt.Add(allow).Sub(now).Seconds()
-	return allow == 0 || late || left > until || left+minMoveBenefit*cost < until
+	allowed, late := c.objectiveLeft(job, now)
+	untilS := job.ReadyAt.Add(allowed).Sub(now).Seconds()
+	return allowed == 0 || late || leftS > untilS || leftS+minMoveBenefit*costS < untilS
 }
 
-// relocateReplicas decides which replicas leave machines that are drained: one of a service at a time, to
-// a machine that has its image and room, so that it is back within seconds.
+// ranS is how many seconds a task has run, or been placed as far as nobody saw it start.
+func (v *workerState) ranS(placed storage.PlacedTask, now time.Time) float64 {
+	if startedAt, ok := v.started[dispatch.RefOf(placed)]; ok {
+		return now.Sub(startedAt).Seconds()
+	}
+	return float64(now.Unix() - placed.PlacedAt)
+}
+
+// relocateReplicas decides which replicas leave machines that are being drained: one of a service at
+// a time, to a machine that has its image and capacity, so that it is back within seconds.
 func (c *Controller) relocateReplicas(now time.Time) {
 	var free map[int32]storage.Usage
 	for _, machine := range c.cache.Machines {
@@ -60,55 +67,66 @@
 			continue
 		}
 		for _, placed := range machine.Tasks {
-			job := placed.Job
-			if job.Shape != protocol.Service || !job.Open() || job.Waiting() > 0 || now.Unix()-placed.PlacedAt < int64(relocateAfter.Seconds()) {
-				continue
-			}
-			jobState := c.jobState(job)
-			if now.Sub(jobState.relocatedAt) < relocateAfter {
+			if !c.mayRelocate(placed, now) {
 				continue
 			}
 			if free == nil {
 				free = c.freeCapacity(now)
 			}
-			to := c.relocationTarget(job, machine, free)
-			if to == nil {
-				continue
+			if target := c.relocationTarget(placed.Job, machine, free); target != nil {
+				c.relocate(placed, machine, target, free, now)
 			}
-			f := free[to.Index]
-			f.Add(job, -1)
-			free[to.Index] = f
-			jobState.relocating, jobState.relocatedAt = dispatch.RefOf(placed), now
-			c.log.Info("replica moves", "job", job.ID, "task", placed.Task, "from", machine.Name, "to", to.Name)
-			c.terminateUnwanted(machine)
 		}
 	}
 }
 
+// mayRelocate tells whether a task is a replica of a service that serves in full and was left alone
+// for a while.
+func (c *Controller) mayRelocate(placed storage.PlacedTask, now time.Time) bool {
+	job := placed.Job
+	if job.Shape != protocol.Service || !job.Open() || job.Waiting() > 0 || now.Unix()-placed.PlacedAt < int64(relocateAfter.Seconds()) {
+		return false
+	}
+	return now.Sub(c.jobState(job).relocatedAt) >= relocateAfter
+}
+
+// relocate stops a replica on a machine that is being drained; the planner then places it again, most
+// likely on the target.
+func (c *Controller) relocate(placed storage.PlacedTask, from, target *storage.Machine, free map[int32]storage.Usage, now time.Time) {
+	job := placed.Job
+	left := free[target.Index]
+	left.Add(job, -1)
+	free[target.Index] = left
+	state := c.jobState(job)
+	state.relocating, state.relocatedAt = dispatch.RefOf(placed), now
+	c.log.Info("replica is relocated", "job", job.ID, "task", placed.Task, "from", from.Name, "to", target.Name)
+	c.terminateUnwanted(from)
+}
+
 // freeCapacity is what is free on the machines that this controller may place tasks on.
 func (c *Controller) freeCapacity(now time.Time) map[int32]storage.Usage {
 	free := map[int32]storage.Usage{}
-	held := c.reservedCapacity()
-	for _, m := range c.cache.Machines {
-		if m.Gone || !c.ownsShard(m.Shard) || len(held[m.Name]) > 0 || !c.usable(m, c.workerState(m), now) {
+	reserved := c.reservedCapacity()
+	for _, machine := range c.cache.Machines {
+		if machine.Gone || !c.ownsShard(machine.Shard) || len(reserved[machine.Name]) > 0 || !c.usable(machine, c.workerState(machine), now) {
 			continue
 		}
-		free[m.Index] = c.freeOn(m)
+		free[machine.Index] = c.freeOn(machine)
 	}
 	return free
 }
 
-// relocationTarget finds a machine with room for a replica that has its image, nil if there is none.
+// relocationTarget finds a machine with capacity for a replica that has its image, nil if there is none.
 func (c *Controller) relocationTarget(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
-	for _, m := range c.cache.Machines {
-		u, ok := free[m.Index]
-		if !ok || !schedule.Allowed(j, m) || schedule.Fits(u, j) == 0 || !slices.Contains(c.workerState(m).images, j.Image) {
+	for _, machine := range c.cache.Machines {
+		usage, ok := free[machine.Index]
+		if !ok || !schedule.Allowed(j, machine) || schedule.Fits(usage, j) == 0 || !slices.Contains(c.workerState(machine).images, j.Image) {
 			continue
 		}
-		if m.Zone != from.Zone && (j.OneZone || !inZone(j, m.Zone)) {
+		if machine.Zone != from.Zone && (j.OneZone || !inZone(j, machine.Zone)) {
 			continue
 		}
-		return m
+		return machine
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/controller/team_bounds.go
@@ -0,0 +1,98 @@
+package controller
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"math"
+	"slices"
+
+	"dykeledge/internal/storage"
+)
+
+// This file compares and checks teams' guarantees and limits. Nothing here depends on a controller.
+
+// limitTolerance is by how much usage may be above a limit, for rounding.
+const limitTolerance = 1e-6
+
+// amountExpected tells what a guarantee or limit has to be.
+const amountExpected = "a number of 0 or more; a limit of 0 is none"
+
+// boundNames are the names of guarantees and limits in a change.
+var boundNames = []string{"cpus", "cpus_max", "gpus", "gpus_max"}
+
+// excessOf is what a team uses beyond a limit.
+func excessOf(b storage.TeamBounds, u storage.Usage) (cpus, gpus float64) {
+	if b.CpusMax > 0 {
+		cpus = max(0, u.Cpus-b.CpusMax)
+	}
+	if b.GpusMax > 0 {
+		gpus = max(0, u.Gpus-b.GpusMax)
+	}
+	return cpus, gpus
+}
+
+// isUnder tells whether a team's usage is within its limits.
+func isUnder(b storage.TeamBounds, u storage.Usage) bool {
+	cpus, gpus := excessOf(b, u)
+	return cpus <= limitTolerance && gpus <= limitTolerance
+}
+
+// tighter tells whether some limit of a is lower than that of b.
+func tighter(a, b storage.TeamBounds) bool {
+	lower := func(x, y float64) bool { return x > 0 && (y <= 0 || x < y) }
+	return lower(a.CpusMax, b.CpusMax) || lower(a.GpusMax, b.GpusMax)
+}
+
+// looser has the higher limit of both in each resource, with the guarantees of b: of a change that
+// lowers one limit and raises another, the raised one counts at once.
+func looser(a, b storage.TeamBounds) storage.TeamBounds {
+	higher := func(x, y float64) float64 {
+		if x <= 0 || y <= 0 {
+			return 0 // none
+		}
+		return max(x, y)
+	}
+	b.CpusMax, b.GpusMax = higher(a.CpusMax, b.CpusMax), higher(a.GpusMax, b.GpusMax)
+	return b
+}
+
+// changeBounds applies a change, given as a JSON object of names and values; the whole of it is checked.
+func changeBounds(bounds storage.TeamBounds, change json.RawMessage) (storage.TeamBounds, error) {
+	var values map[string]json.RawMessage
+	if err := json.Unmarshal(change, &values); err != nil || len(values) == 0 {
+		return bounds, &FieldError{"team", "an object of at least one name and value"}
+	}
+	for name, value := range values {
+		if !slices.Contains(boundNames, name) {
+			return bounds, &FieldError{name, "cpus, cpus_max, gpus or gpus_max"}
+		}
+		if bytes.Equal(bytes.TrimSpace(value), []byte("null")) {
+			return bounds, &FieldError{name, amountExpected}
+		}
+	}
+	if err := json.Unmarshal(change, &bounds); err != nil {
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			return bounds, &FieldError{wrongType.Field, amountExpected}
+		}
+		return bounds, &FieldError{"team", "an object of names and amounts"}
+	}
+	return bounds, checkBounds(bounds)
+}
+
+// checkBounds refuses amounts that are no amounts, and guarantees above the limit.
+func checkBounds(bounds storage.TeamBounds) error {
+	for i, value := range []float64{bounds.Cpus, bounds.CpusMax, bounds.Gpus, bounds.GpusMax} {
+		if math.IsNaN(value) || value < 0 || math.IsInf(value, 0) {
+			return &FieldError{boundNames[i], amountExpected}
+		}
+	}
+	if bounds.CpusMax > 0 && bounds.Cpus > bounds.CpusMax {
+		return &FieldError{"cpus", "a guarantee that is not above the limit"}
+	}
+	if bounds.GpusMax > 0 && bounds.Gpus > bounds.GpusMax {
+		return &FieldError{"gpus", "a guarantee that is not above the limit"}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controller/team_changes.go
@@ -0,0 +1,232 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"dykeledge/internal/controller/schedule"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// This file shows teams' guarantees and limits to operators and changes them. A change is one
+// conditional write of the team's own record, by any controller; what becomes of it is in team_limits.go.
+
+// TeamView is a team's guarantee and limit as operators see them.
+type TeamView struct {
+	Name string `json:"name"`
+	storage.TeamBounds
+	Version  uint64   `json:"version"` // 0: as the settings file has it
+	State    string   `json:"state"`
+	CpusToGo float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
+	GpusToGo float64  `json:"gpus_to_go,omitempty"`
+	Behind   []string `json:"behind,omitempty"` // controllers that have not shown that they go by it
+}
+
+// The states of a team's entry.
+const (
+	TeamFromFile = "settings file"
+	TeamInForce  = "in force"
+	TeamLowering = "being lowered"
+	TeamSpreads  = "not yet in force" // some controller has not shown that it goes by it
+)
+
+// GateError says that not all controllers would go by a change, and which would not.
+type GateError struct{ Members []string }
+
+// Error names the controllers that do not read changed teams yet.
+func (e *GateError) Error() string {
+	return "not before all nodes read changed teams; missing: " + strings.Join(e.Members, ", ")
+}
+
+// ErrNoTeam says that the settings name no such team.
+var ErrNoTeam = errors.New("no such team")
+
+// Teams lists the teams in the settings file's order.
+func (c *Controller) Teams(ctx context.Context) ([]TeamView, error) {
+	if err := c.Barrier(ctx); err != nil {
+		return nil, ErrUnavailable
+	}
+	var views []TeamView
+	err := c.call(ctx, func() {
+		for team := range c.cache.Teams {
+			views = append(views, c.teamView(team, time.Now()))
+		}
+	})
+	return views, err
+}
+
+// Team tells one team; ErrNoTeam if the settings name none of that name.
+func (c *Controller) Team(ctx context.Context, name string) (TeamView, error) {
+	var view TeamView
+	if err := c.Barrier(ctx); err != nil {
+		return view, ErrUnavailable
+	}
+	known := false
+	err := c.call(ctx, func() {
+		if team := c.cache.TeamIndex.Find(name); team >= 0 {
+			view, known = c.teamView(team, time.Now()), true
+		}
+	})
+	if err == nil && !known {
+		err = ErrNoTeam
+	}
+	return view, err
+}
+
+func (c *Controller) teamView(team int, now time.Time) TeamView {
+	bounds := c.cache.Teams[team]
+	view := TeamView{Name: bounds.Name, TeamBounds: storage.BoundsOf(bounds), State: TeamFromFile}
+	entry, changed := c.cache.TeamEntries[team]
+	if !changed {
+		return view
+	}
+	view.Version, view.State, view.Behind = entry.Version, TeamInForce, c.behind(entry.Version, now)
+	if len(view.Behind) > 0 {
+		view.State = TeamSpreads
+	}
+	if entry.Former != nil {
+		view.State = TeamLowering
+		view.CpusToGo, view.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
+	}
+	return view
+}
+
+// behind are the living controllers that have not shown that they have read a revision.
+func (c *Controller) behind(revision uint64, now time.Time) []string {
+	var names []string
+	for name := range c.cache.Members {
+		peer, heard := c.reachability.peers[name]
+		if name == c.cfg.MemberName || heard && now.Sub(peer.heardAt) < peerFresh && peer.heartbeat.Revision >= revision {
+			continue
+		}
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// ChangeTeam changes a team's guarantee or limit if version is still that of its entry.
+func (c *Controller) ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (TeamView, error) {
+	var view TeamView
+	if err := c.Barrier(ctx); err != nil {
+		return view, ErrUnavailable
+	}
+	var txn protocol.Txn
+	var refused error
+	if err := c.call(ctx, func() { txn, refused = c.teamTxn(name, version, change) }); err != nil {
+		return view, err
+	}
+	if refused != nil {
+		return view, refused
+	}
+	rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
+	switch {
+	case err != nil:
+		return view, ErrUnavailable // whether it was done shows in the entry's version
+	case len(failed) > 0:
+		return view, ErrVersion
+	}
+	err = c.call(ctx, func() {
+		c.applyTxn(txn, rev)
+		c.changed()
+		c.requestCycle()
+		view = c.teamView(c.cache.TeamIndex.Find(name), time.Now())
+	})
+	c.log.Info("team changed by an operator", "team", name, "version", rev, "change", string(change))
+	return view, err
+}
+
+// teamTxn is the transaction that changes a team.
+func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
+	var txn protocol.Txn
+	team := c.cache.TeamIndex.Find(name)
+	if team < 0 {
+		return txn, ErrNoTeam
+	}
+	entry := c.cache.TeamEntries[team]
+	if version != entry.Version {
+		return txn, ErrVersion
+	}
+	if missing := c.notReadingTeams(); len(missing) > 0 {
+		return txn, &GateError{missing}
+	}
+	current := storage.BoundsOf(c.cache.Teams[team])
+	next, err := changeBounds(current, change)
+	if err != nil {
+		return txn, err
+	}
+	if tighter(next, current) {
+		if err := c.checkAccepted(team, next); err != nil {
+			return txn, err
+		}
+	}
+	if entry.Former != nil {
+		current = *entry.Former // the limit that counts until the lowering is done
+	}
+	key := storage.TeamKey(name)
+	txn.If = []protocol.Condition{{Key: key, Version: entry.Version}}
+	txn.Then = []protocol.Change{{Put: key, Value: storage.Encode(teamRecord(next, current))}}
+	if !c.cache.TeamChangesEnabled() {
+		c.closeGateForOlderVersions(&txn)
+	}
+	return txn, nil
+}
+
+// teamRecord is the record of a team whose bounds become next while other ones count: a limit that
+// is lowered counts only once the records are under it.
+func teamRecord(next, counting storage.TeamBounds) storage.TeamRecord {
+	record := storage.TeamRecord{TeamBounds: next}
+	if tighter(next, counting) {
+		former := looser(next, counting)
+		record.Former = &former
+	}
+	return record
+}
+
+// closeGateForOlderVersions adds to a transaction that from now on no version becomes ready that
+// does not read changed teams.
+func (c *Controller) closeGateForOlderVersions(txn *protocol.Txn) {
+	gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
+	txn.If = append(txn.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
+	txn.Then = append(txn.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
+}
+
+// notReadingTeams are the controllers that the settings name and that have not shown that they read
+// changed teams. Once a team has been changed no older version becomes ready, so nobody is missing.
+func (c *Controller) notReadingTeams() []string {
+	if c.cache.TeamChangesEnabled() {
+		return nil
+	}
+	var missing []string
+	for _, name := range c.configuredMembers() {
+		if member := c.cache.Members[name]; member == nil || member.Layout < storage.LayoutTeams || !c.cache.Packed() {
+			missing = append(missing, name)
+		}
+	}
+	slices.Sort(missing)
+	return missing
+}
+
+// checkAccepted refuses a limit under which an accepted job could never run any more.
+func (c *Controller) checkAccepted(team int, teamBounds storage.TeamBounds) error {
+	bounds := teamBounds.Team(c.cache.Teams[team].Name)
+	for _, job := range c.cache.Jobs {
+		if job == nil || job.Team != team || !job.Open() {
+			continue
+		}
+		tasks := 1
+		if job.Shape == protocol.Service {
+			tasks = job.Tasks
+		}
+		if !schedule.WithinLimit(bounds, storage.Usage{}, job, tasks) {
+			return &FieldError{"cpus_max", fmt.Sprintf("a limit under which the accepted job %s can run", job.ID)}
+		}
+	}
+	return nil
+}
