--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -160,7 +160,7 @@
 
 // restoreForStuckWork puts a drained machine back into service when work has waited for a while
 // for which only drained machines have capacity. By the sums such a machine is capacity, so
-// nothing is rented for that work; but one whose tasks go on for long never empties, and the work
+// nothing is provisioned for that work; but one whose tasks go on for long never empties, and the work
 // would wait as long.
 func (c *Controller) restoreForStuckWork(now time.Time, survey *drainSurvey, urgent bool) {
 	switch {
--- /dev/null
+++ b/internal/controller/idle_work_test.go
@@ -0,0 +1,114 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/controller/schedule"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// A guest's idle-time work drew a third of the machines to its shard, since it waited as
+// much as all others together; work that had to be in time queued for 100 s beside it.
+func TestIdleWorkMovesNothing(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		firm, idle int // waiting tasks of 4 CPUs: of the home team, of the guest
+		placed     int // of the guest's, on its machines
+		priority   uint8
+		moves      int // groups to the home team's shard, less those to the guest's
+	}{
+		{"the home team's work waits", 40, 90, 0, 0, 4},
+		{"the guest's tasks are on its machines: that counts as capacity", 40, 90, 8, 0, 4},
+		{"nothing but the guest's work waits", 0, 90, 0, 0, -4},
+		{"the guest's work is not of the lowest priority", 40, 90, 0, 1, -1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
+				Teams: []config.Team{{Name: "home"}, {Name: "guest"}}}, 64)
+			putJob(t, c, "job-000000", "home", max(1, test.firm), 0,
+				storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true})
+			if test.firm == 0 {
+				c.cache.Job("job-000000").DoneCount = 1
+			}
+			putJob(t, c, "job-000001", "guest", test.idle, 0,
+				storage.SpecRecord{Class: "g", Priority: test.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true})
+			putGuestsMachines(t, c, test.placed > 0)
+			if n := c.cache.Job("job-000001").PlacedCount; n != test.placed {
+				t.Fatalf("%d tasks placed, want %d", n, test.placed)
+			}
+			if moves := movesToFirst(c, allWork, idleWork); moves != test.moves {
+				t.Errorf("%d groups move to the home team's shard, want %d", moves, test.moves)
+			}
+		})
+	}
+}
+
+// putGuestsMachines adds four groups of one machine to each of two shards; those of the second one
+// may run two of the guest's tasks each.
+func putGuestsMachines(t *testing.T, c *Controller, busy bool) {
+	t.Helper()
+	const groups, groupsPerShard = 8, 4
+	fleet := storage.FleetRecord{Type: "t", Zone: "a"}
+	for group := range groups {
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", group), Group: group})
+	}
+	putRecord(t, c, storage.FleetKey("m0"), fleet)
+	for group := range groups {
+		record := storage.GroupRecord{Shard: group / groupsPerShard}
+		if record.Shard == 1 && busy {
+			task := uint64(2 * (group - groupsPerShard))
+			record.Machines = append(record.Machines, storage.GroupMachine{Name: fmt.Sprint("m", group), Incarnation: 1,
+				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{task, 1, 0, 0, task + 1, 1, 0, 0}}}})
+		}
+		putRecord(t, c, storage.GroupKey(group), record)
+	}
+}
+
+// Idle-time work gives way to any other, also without a guarantee; other work of the
+// lowest priority, and of the same, does not.
+func TestIdleWorkMayBePreempted(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		objective bool // an objective names the class of what runs
+		spot      bool // what runs may use spot machines
+		waits     protocol.Priority
+		want      int
+	}{
+		{"by normal work", false, true, protocol.Normal, 1},
+		{"by other idle-time work", false, true, protocol.Low, 0},
+		{"with an objective", true, true, protocol.Normal, 0},
+		{"on on-demand machines only", false, false, protocol.Normal, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newCore(t)
+			put := func(id string, spec storage.SpecRecord) *storage.Job {
+				spec.Cpus, spec.Mem, spec.Image = 4, 1, "i"
+				record := storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().UnixMilli(), Spec: &spec}
+				if err := c.cache.Apply(storage.JobKey(id), storage.Encode(record), 5, false); err != nil {
+					t.Fatal(err)
+				}
+				return c.cache.Job(id)
+			}
+			if test.objective {
+				c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "g", WithinS: 400}}
+			}
+			runs := put("job-000007", storage.SpecRecord{Class: "g", Spot: test.spot})
+			waits := put("job-000008", storage.SpecRecord{Class: "h", Spot: true, Priority: uint8(test.waits)})
+			machine := c.cache.Machine("m")
+			machine.Tasks = []storage.PlacedTask{{Job: runs, Attempt: 1}}
+			c.planner.idleWorkPlaced = true
+			input := &schedule.Input{Teams: c.cache.Teams, Used: c.cache.Used, Slots: []*schedule.Slot{{Machine: machine}}}
+			got := 0
+			if c.mayPreempt(waits, input, c.claimsUntil()) {
+				got = len(c.preemptionCandidates(time.Now(), waits, input, nil, c.claimsUntil()))
+			}
+			if got != test.want {
+				t.Errorf("%d candidates, want %d", got, test.want)
+			}
+		})
+	}
+}
