--- /dev/null
+++ b/internal/controller/relocation_test.go
@@ -0,0 +1,93 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// Tasks that would have ended as soon were stopped to empty machines, fetched their images elsewhere
+// and made their jobs late.
+func TestWhatLeavesADrainedMachine(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		estimateS float64
+		ranS      int64
+		age       time.Duration
+		want      bool
+	}{
+		{"much is left and there is time", 100, 10, 20 * time.Second, true},
+		{"it ends about as soon as it is moved", 100, 80, 90 * time.Second, false},
+		{"its job would be late by it", 100, 10, 75 * time.Second, false},
+		{"its job is late already", 100, 10, 300 * time.Second, true},
+		{"longer than its owner thought", 100, 130, 10 * time.Second, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newCore(t)
+			c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 180}}
+			c.cache.Types[0].FetchGBs = 0.25
+			now := time.Now()
+			job := c.cache.Job("job-000001")
+			job.Estimate, job.CheckpointCost, job.CheckpointInterval = test.estimateS, 3, 15
+			job.ImageGB, job.ReadyAt = 5, now.Add(-test.age)
+			machine := c.cache.Machine("m")
+			placed := storage.PlacedTask{Job: job, PlacedAt: now.Unix() - test.ranS}
+			if got := c.leavesDrained(machine, c.workerState(machine), placed, now); got != test.want {
+				t.Errorf("leaves: %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// placeService has a controller read a service, with its first replicas on the named machines.
+func placeService(t *testing.T, c *Controller, id string, tasks int, on ...string) *storage.Job {
+	t.Helper()
+	c.follower.highestRevision++
+	rev := c.follower.highestRevision
+	if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
+		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), rev, false); err != nil {
+		t.Fatal(err)
+	}
+	job := c.cache.Job(id)
+	job.ByZone = make([]int32, 3)
+	for task, name := range on {
+		machine := c.cache.Machine(name)
+		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: rev})
+		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, rev, job.PlacedCount+1
+		job.ByZone[machine.Zone]++
+	}
+	return job
+}
+
+// Replicas leave a drained machine one of a service at a time, and only for one that has their image.
+func TestReplicasMoveOneByOne(t *testing.T) {
+	c, now := newZonesCore(t, 3), time.Now()
+	for _, machine := range c.cache.Machines {
+		worker := c.workerState(machine)
+		worker.Incarnation, worker.heard = 1, now
+	}
+	one := placeService(t, c, "job-000010", 3, "a0", "b0", "a0")
+	two := placeService(t, c, "job-000011", 1, "a0")
+	from := c.cache.Machine("a0")
+	from.Draining = true
+	leaving := func() (replicas int) {
+		c.relocateReplicas(now)
+		c.relocateReplicas(now.Add(time.Second))
+		for _, placed := range from.Tasks {
+			if c.desiredState(from, c.workerState(from), placed).Stop {
+				replicas++
+			}
+		}
+		return replicas
+	}
+	if n := leaving(); n != 0 {
+		t.Errorf("%d replicas leave although their image is nowhere else", n)
+	}
+	c.workerState(c.cache.Machine("c0")).images = []int{one.Image}
+	if n := leaving(); n != 2 || c.jobState(one).relocating == c.jobState(two).relocating {
+		t.Errorf("%d replicas leave, want one of each service", n)
+	}
+}
--- /dev/null
+++ b/internal/controller/scale_demand_test.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"dykeledge/internal/controller/autoscale"
+)
+
+// Replicas waited for minutes beside free machines in a zone that had its half already: by the sums there was
+// capacity, and nothing was provisioned elsewhere.
+func TestSpreadIsAskedForByZone(t *testing.T) {
+	c := newZonesCore(t, 1)
+	c.leader.init()
+	c.cache.Types[0].Zones = []int{0, 1, 2}
+	placeService(t, c, "job-000010", 6, "a0", "a0", "a0")
+	needed := map[int]int{}
+	for _, demand := range c.demands(time.Now()) {
+		if !demand.Spot {
+			needed[demand.Zone] += demand.Tasks
+		}
+	}
+	if a := c.cache.Zones.Find("a"); needed[a] != 3 || needed[-1] != 0 || needed[0]+needed[1]+needed[2] != 6 {
+		t.Errorf("capacity asked for by zone: %v", needed)
+	}
+}
+
+// demandedCpus is for how many CPUs demands ask at once, as autoscale.Decide counts them.
+func demandedCpus(demands []autoscale.Demand) float64 {
+	cpus := 0.0
+	for _, demand := range demands {
+		cpus += min(float64(demand.Tasks), math.Ceil(demand.Work/(workHorizon*demand.WithinS))) * demand.Cpus
+	}
+	return cpus
+}
+
+// Scaling out went by each job's own part of its team's limit: once limits bound, a team with many jobs had several
+// times the machines provisioned that it could use.
+func TestDemandsKeepToTeamLimits(t *testing.T) {
+	for _, test := range []struct {
+		name          string
+		limit         float64
+		jobs, running int     // of six tasks of 4 CPUs each
+		low, high     float64 // CPUs that are asked for; the core's own job has two small tasks that wait
+	}{
+		{"no limit", 0, 5, 0, 120, 128},
+		{"one job under the limit", 40, 1, 0, 24, 32},
+		{"many jobs share it", 40, 5, 0, 37, 40},
+		{"what runs counts", 40, 5, 4, 37, 40},
+		{"more runs than may", 12, 5, 4, 9, 12},
+		{"less than a task is left", 19, 5, 4, 16, 19},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newZonesCore(t, 4)
+			c.leader.init()
+			c.cache.Teams[0].CpusMax = test.limit
+			for i := range test.jobs {
+				var on []string
+				if i == 0 {
+					on = []string{"a0", "b0", "c0", "a1"}[:test.running]
+				}
+				job := placeService(t, c, fmt.Sprintf("job-%06d", 10+i), 6, on...)
+				job.Spread = false
+				c.cache.Used[job.Team].Add(job, float64(len(on)))
+			}
+			if got := demandedCpus(c.demands(time.Now())); got < test.low || got > test.high {
+				t.Errorf("%v CPUs are asked for, want %v to %v", got, test.low, test.high)
+			}
+		})
+	}
+}
