--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -22,9 +22,9 @@
 
 // TestTeamChange: what is refused, and what a change writes. The accepted job of the core needs 4 CPUs a task.
 func TestTeamChange(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
-		prepare func(controller *Controller)
+		prepare func(c *Controller)
 		team    string
 		version uint64
 		change  string
@@ -42,8 +42,8 @@
 		{name: "below 0", team: "red", change: `{"gpus_max":-1}`, refused: "field gpus_max"},
 		{name: "a guarantee above the limit", team: "red", change: `{"cpus":9,"cpus_max":8}`, refused: "field cpus"},
 		{name: "an accepted job could never run", team: "red", change: `{"cpus_max":3}`, refused: "job-000001"},
-		{name: "a node of the version before", prepare: func(c *Controller) { c.cache.Members["n0"].Layout = storage.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
-		{name: "a node that has not been seen", prepare: func(c *Controller) { c.cfg.Known = []config.Peer{{MemberName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
+		{name: "a controller of the version before", prepare: func(c *Controller) { c.cache.Members["n0"].Layout = storage.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
+		{name: "a controller that has not been seen", prepare: func(c *Controller) { c.cfg.Known = []config.Peer{{MemberName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
 		{name: "the gate before is closed", prepare: func(c *Controller) { c.cache.Layout.Version = storage.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "raised while it is being lowered", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
@@ -57,19 +57,19 @@
 			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":50}`, want: `{"cpus":0,"cpus_max":50,"gpus":0,"gpus_max":0}`},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			core := newTeamCore(t)
-			if x.prepare != nil {
-				x.prepare(core)
+		t.Run(test.name, func(t *testing.T) {
+			c := newTeamCore(t)
+			if test.prepare != nil {
+				test.prepare(c)
 			}
-			txn, err := core.teamTxn(x.team, x.version, json.RawMessage(x.change))
-			if x.refused != "" {
-				if err == nil || !strings.Contains(err.Error(), x.refused) || len(txn.Then) > 0 {
-					t.Fatalf("refused with %v, want %q", err, x.refused)
+			txn, err := c.teamTxn(test.team, test.version, json.RawMessage(test.change))
+			if test.refused != "" {
+				if err == nil || !strings.Contains(err.Error(), test.refused) || len(txn.Then) > 0 {
+					t.Fatalf("refused with %v, want %q", err, test.refused)
 				}
 				return
 			}
-			if err != nil || len(txn.Then) < 1 || string(txn.Then[0].Value) != x.want || txn.If[0].Version != x.version || txn.If[0].Key != storage.TeamKey(x.team) {
+			if err != nil || len(txn.Then) < 1 || string(txn.Then[0].Value) != test.want || txn.If[0].Version != test.version || txn.If[0].Key != storage.TeamKey(test.team) {
 				t.Fatalf("%+v, %v", txn, err)
 			}
 			if gate := len(txn.Then) == 3 && txn.Then[1].Put == storage.LayoutKey && txn.Then[2].Put == storage.TeamsBarrierKey; !gate || len(txn.If) != 2 {
@@ -86,11 +86,11 @@
 	}
 }
 
-// TestLoweredLimit: a limit counts once the records are under it and not before; until then one evicted set at a time names
-// what has to go, by the ranking of evictions.
+// TestLoweredLimit: a limit counts once the records are under it and not before; until then one victim set at a time names
+// what has to go, by the ranking of preemptions.
 func TestLoweredLimit(t *testing.T) {
 	none := storage.TeamBounds{}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		limit   float64
 		stopped bool // the team's tasks have left the records
@@ -101,36 +101,36 @@
 		{"one of two tasks has to go", 4, false, 1, false},
 		{"all have gone", 4, true, 0, true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			controller := newTeamCore(t)
+		t.Run(test.name, func(t *testing.T) {
+			c := newTeamCore(t)
 			now := time.Now()
-			job, machine := controller.cache.Job("job-000001"), controller.cache.Machine("m")
-			if !x.stopped {
+			job, machine := c.cache.Job("job-000001"), c.cache.Machine("m")
+			if !test.stopped {
 				for task := range 2 {
 					machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: 4, PlacedAt: now.Unix() - 10*int64(task)})
 					job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, 4, job.PlacedCount+1
 				}
-				controller.cache.Used[0].Add(job, 2)
+				c.cache.Used[0].Add(job, 2)
 			}
-			applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: x.limit}, Former: &none}, 9)
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: test.limit}, Former: &none}, 9)
 			planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
-			controller.planLimits(now, planned)
+			c.planLimits(now, planned)
 			put, counts := planned.puts[storage.TeamKey("red")]
-			if counts != x.counts || counts && strings.Contains(string(put.Value), "was") || counts && planned.conditions[storage.TeamKey("red")] != 9 {
-				t.Errorf("counts: %v, want %v: %s", counts, x.counts, put.Value)
+			if counts != test.counts || counts && strings.Contains(string(put.Value), "was") || counts && planned.conditions[storage.TeamKey("red")] != 9 {
+				t.Errorf("counts: %v, want %v: %s", counts, test.counts, put.Value)
 			}
 			set, evicts := planned.puts[storage.VictimSetKey(limitSetOf(0))]
-			if evicts != (x.victims > 0) {
-				t.Fatalf("evicts: %v, want %d victims", evicts, x.victims)
+			if evicts != (test.victims > 0) {
+				t.Fatalf("evicts: %v, want %d victims", evicts, test.victims)
 			}
 			if evicts {
 				e, err := storage.DecodeVictimSet(set.Value)
-				if err != nil || len(e.Victims) != x.victims || e.Victims[0].Task != 0 {
+				if err != nil || len(e.Victims) != test.victims || e.Victims[0].Task != 0 {
 					t.Errorf("%+v, %v: want the task that has run for the shortest time", e, err)
 				}
 			}
-			view := controller.teamView(0, now)
-			if want := 8 - x.limit; !x.stopped && (view.State != TeamLowering || view.CpusToGo != want) {
+			view := c.teamView(0, now)
+			if want := 8 - test.limit; !test.stopped && (view.State != TeamLowering || view.CpusToGo != want) {
 				t.Errorf("%+v, want %v CPUs to go", view, want)
 			}
 		})
@@ -138,14 +138,14 @@
 }
 
 // TestTeamRecordsAreRead: records of teams change what placement goes by, older ones and unknown teams change nothing, and
-// the bar keeps no controller of this version out.
+// the barrier keeps no controller of this version out.
 func TestTeamRecordsAreRead(t *testing.T) {
-	controller := newTeamCore(t)
-	file := controller.cfg.Deployment.Teams[0]
+	c := newTeamCore(t)
+	file := c.cfg.Deployment.Teams[0]
 	limit := func(v float64) storage.TeamRecord {
 		return storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: v}}
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		key     string
 		rec     any
 		version uint64
@@ -158,21 +158,21 @@
 		{storage.TeamsBarrierKey, limit(5), 11, false, 8},
 		{storage.TeamKey("red"), nil, 12, true, 0},
 	} {
-		if err := controller.cache.Apply(x.key, storage.Encode(x.rec), x.version, x.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
+		if err := c.cache.Apply(test.key, storage.Encode(test.rec), test.version, test.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
 			t.Fatal(err)
 		} else if err != nil {
-			t.Errorf("%s keeps this version out", x.key)
+			t.Errorf("%s keeps this version out", test.key)
 		}
-		if got := controller.cache.Teams[0].CpusMax; got != x.want {
-			t.Errorf("%s at %d: limit %v, want %v", x.key, x.version, got, x.want)
+		if got := c.cache.Teams[0].CpusMax; got != test.want {
+			t.Errorf("%s at %d: limit %v, want %v", test.key, test.version, got, test.want)
 		}
 	}
-	if controller.cfg.Deployment.Teams[0] != file {
+	if c.cfg.Deployment.Teams[0] != file {
 		t.Error("the settings have changed")
 	}
 }
 
-// At the peak what ends and starts fills every transaction; a lowered limit was not worked off for a minute.
+// At the peak what ends and starts fills every transaction; a lowered limit was not carried out for a minute.
 func TestLoweredLimitHasItsPartOfFullTransactions(t *testing.T) {
 	c := newTeamCore(t)
 	none := storage.TeamBounds{}
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -70,9 +70,9 @@
 		unreachable, lives bool // lives: somebody inside is taken to live
 		emptied            bool // then its machines are gone
 	}{
-		{"one zone is silent, its node lived", "ac", 4, func(*Controller, time.Time) {}, true, true, false},
-		{"its node's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.reachability.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false, false},
-		{"its node was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Members, "n1") }, true, false, true},
+		{"one zone is silent, its controller lived", "ac", 4, func(*Controller, time.Time) {}, true, true, false},
+		{"its controller's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.reachability.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false, false},
+		{"its controller was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Members, "n1") }, true, false, true},
 		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.session.startedAt = now }, true, false, false},
 		{"all are silent: the fault is on this side", "", 4, func(*Controller, time.Time) {}, false, false, false},
 		{"two machines may fall silent together", "ac", 2, func(*Controller, time.Time) {}, false, false, false},
