--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -144,9 +144,9 @@
 }
 
 // blameOf is what speaks against a machine by now.
-func (c *Controller) blameOf(v *workerState, now time.Time) blame {
+func (c *Controller) blameOf(worker *workerState, now time.Time) blame {
 	var b blame
-	for job, history := range v.failures {
+	for job, history := range worker.failures {
 		if c.suspect(job) || now.Sub(history.since) < failureSettles {
 			continue
 		}
@@ -161,18 +161,18 @@
 
 // judgeHealth finds out whether a machine fails its tasks. A job that completes elsewhere, or
 // another job that does not fail elsewhere, tells.
-func (c *Controller) judgeHealth(m *storage.Machine, v *workerState, now time.Time) {
-	if v.unhealthy || len(v.failures) == 0 {
+func (c *Controller) judgeHealth(machine *storage.Machine, worker *workerState, now time.Time) {
+	if worker.unhealthy || len(worker.failures) == 0 {
 		return
 	}
-	b := c.blameOf(v, now)
+	b := c.blameOf(worker, now)
 	if !b.convincing() {
 		return
 	}
-	c.log.Info("machine fails its tasks, marked unhealthy", "machine", m.Name, "failures", b.failures, "jobs", b.jobs)
-	v.unhealthy = true
-	for job := range v.failures {
-		delete(c.jobState(job).failedOn, m.Index) // that was not the job's fault
+	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", b.failures, "jobs", b.jobs)
+	worker.unhealthy = true
+	for job := range worker.failures {
+		delete(c.jobState(job).failedOn, machine.Index) // that was not the job's fault
 	}
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -9,6 +9,8 @@
 )
 
 // leaderState is what only the leader needs. A new leader begins with an empty one.
+// Each part is written by the file that declares it; after a stall, what was observed before is
+// cleared (stall_detection.go).
 type leaderState struct {
 	enrollmentState
 	cloudListState
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -87,23 +87,23 @@
 func tooManyAtOnce(faulty, total int) bool { return faulty >= 3 && faulty*10 > total*4 }
 
 // reasonToReturn tells why a machine is to be returned; empty: it is kept.
-func (c *Controller) reasonToReturn(m *storage.Machine, worker *workerState, suspectSelf bool, lastUp int64, now time.Time) returnReason {
+func (c *Controller) reasonToReturn(machine *storage.Machine, worker *workerState, suspectSelf bool, lastUp int64, now time.Time) returnReason {
 	workers := c.cfg.Deployment.Workers
 	silenceLimit := unreachableLimit(workers, suspectSelf)
-	if serves(m) && c.reachability.zoneUnreachable(m.Zone) && c.hasControllerInside(m.Zone) {
+	if serves(machine) && c.reachability.zoneUnreachable(machine.Zone) && c.hasControllerInside(machine.Zone) {
 		silenceLimit = max(silenceLimit, unreachableZoneLimit(workers))
 	}
-	silence := c.silenceOf(maxTime(worker.heard, c.zoneState(m.Zone).reachableSince), now)
-	everHeard := worker.Incarnation != 0 || m.Incarnation != 0
+	silence := c.silenceOf(maxTime(worker.heard, c.zoneState(machine.Zone).reachableSince), now)
+	everHeard := worker.Incarnation != 0 || machine.Incarnation != 0
 	known := now.Sub(worker.since)
 	heartbeatLimit := unresponsiveLimit(workers, c.workers.manyUnresponsive)
-	empty := len(m.Tasks) == 0
+	empty := len(machine.Tasks) == 0
 	switch {
-	case m.Draining && empty:
+	case machine.Draining && empty:
 		return reasonDrained
-	case (worker.unhealthy || m.Unhealthy) && empty, worker.unhealthy && len(worker.failures) > 1:
+	case (worker.unhealthy || machine.Unhealthy) && empty, worker.unhealthy && len(worker.failures) > 1:
 		return reasonUnhealthy
-	case c.silenceOf(worker.since, now) > newOwnerGrace && c.neverCame(m, lastUp, now):
+	case c.silenceOf(worker.since, now) > newOwnerGrace && c.neverCame(machine, lastUp, now):
 		return reasonNeverUp
 	case everHeard && silence > silenceLimit && known > silenceLimit && worker.missedProbes >= silentProbes:
 		return reasonSilent
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -268,8 +268,8 @@
 // groupToLend finds a group for a shard that waits although no move would even out loads. Loads
 // say little of a shard that has no group, or would have none: what runs goes along. Where
 // nothing waits, free capacity is of use elsewhere: by the sums there was capacity for all,
-// nothing was provisioned, and a job waited for ever. So, after a while, does what waits at a shard
-// whose machines are full of work without an end.
+// nothing was provisioned, and a job waited for ever. After a while the same holds for what waits
+// at a shard whose machines are full of work without an end.
 func (p *rebalancePass) groupToLend(to int) (from, index int) {
 	p.stuck[to] = true
 	waitedLong := p.now.Sub(p.c.leader.waitStuck(to, p.now)) > stuckAfter
@@ -280,8 +280,9 @@
 			if i == to || giver.waiting > 0 != giverWaits {
 				continue
 			}
-			bothHaveGroups := giver.groupCount > 1 && p.shards[to].capacity > 0
-			if !waitedLong && (giverWaits || bothHaveGroups) {
+			// Loads do tell of a giver that keeps a group and a taker that has one.
+			loadsTell := giver.groupCount > 1 && p.shards[to].capacity > 0
+			if !waitedLong && (giverWaits || loadsTell) {
 				continue
 			}
 			if index := p.lendableGroup(i, to, giverWaits); index >= 0 {
