--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -63,27 +63,13 @@
 	if len(chosen) == 0 {
 		return
 	}
-	record := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli()}
-	for _, candidate := range chosen {
-		record.Victims = append(record.Victims, victimRecordsOf(candidate)...)
-	}
+	record := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli(), Victims: victimRecords(chosen)}
 	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(record.Victims))
 	key := storage.VictimSetKey(limitSetOf(team))
 	planned.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&record, c.cache.Packed())})
 	planned.usedOps++
 }
 
-// victimRecordsOf are a candidate's victims as records hold them, with its score to one decimal.
-func victimRecordsOf(candidate schedule.Candidate) []storage.VictimRecord {
-	score := float64(int(candidate.Score*10)) / 10
-	records := make([]storage.VictimRecord, len(candidate.Victims))
-	for i, victim := range candidate.Victims {
-		records[i] = storage.VictimRecord{Machine: victim.Slot.Machine.Name, Job: victim.Job.ID, Task: victim.Task,
-			Attempt: victim.Attempt, Score: score}
-	}
-	return records
-}
-
 // usedByRunning is what a team uses without what is known to have ended, which leaves the records by itself.
 func (c *Controller) usedByRunning(team int) storage.Usage {
 	used := c.cache.Used[team]
@@ -102,39 +88,23 @@
 }
 
 // limitCandidates are a team's tasks, wherever they run, that are not known to have ended and that
-// no other set evicts. A service's replicas are one candidate.
+// no other set evicts.
 func (c *Controller) limitCandidates(now time.Time, team int) []schedule.Candidate {
-	var candidates []schedule.Candidate
-	services := map[*storage.Job]int{} // index of a service's candidate
+	var list candidateList
 	for _, machine := range c.cache.Machines {
 		if machine.Gone {
 			continue
 		}
 		slot := &schedule.Slot{Machine: machine}
 		for _, placed := range machine.Tasks {
-			job := placed.Job
-			if job.Team != team || !job.Open() || c.cache.IsVictim(placed) {
+			if placed.Job.Team != team || !placed.Job.Open() || c.cache.IsVictim(placed) {
 				continue
 			}
 			worker := c.workerState(machine)
-			if worker.hasEnded(dispatch.RefOf(placed)) {
-				continue
-			}
-			lost, waitedS := lossOf(worker, placed, now), float64(placed.WaitedS)
-			victim := schedule.Victim{Slot: slot, Job: job, Task: placed.Task, Attempt: placed.Attempt}
-			if i, ok := services[job]; ok {
-				service := &candidates[i]
-				service.Victims = append(service.Victims, victim)
-				service.Lost += lost
-				service.Waited = max(service.Waited, waitedS)
-				continue
-			}
-			if job.Shape == protocol.Service {
-				services[job] = len(candidates)
+			if !worker.hasEnded(dispatch.RefOf(placed)) {
+				list.add(slot, placed, lossOf(worker, placed, now))
 			}
-			candidates = append(candidates, schedule.Candidate{Victims: []schedule.Victim{victim}, Lost: lost, Waited: waitedS,
-				SubmittedAt: job.ReadyAt, TopPriority: job.Priority.Top()})
 		}
 	}
-	return candidates
+	return list.candidates
 }
