--- /dev/null
+++ b/internal/controller/attempt_outcomes.go
@@ -0,0 +1,87 @@
+package controller
+
+import (
+	"time"
+
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+const (
+	// refusedStartBackoff is how long a job waits after a worker has refused to start a task of it.
+	refusedStartBackoff = 300 * time.Millisecond
+	// slowdownSmoothing is the weight of the latest attempt in a worker's measured slowdown.
+	slowdownSmoothing = 0.2
+	// maxSlowdown bounds what one attempt can say of its worker.
+	maxSlowdown = 5
+	// minMeasuredEstimateS is the estimate from which on an attempt says anything of its worker's speed.
+	minMeasuredEstimateS = 1
+)
+
+// noteRunningAttempts notes which attempts a worker shows as running, and since when.
+func (c *Controller) noteRunningAttempts(machine *storage.Machine, worker *workerState, now time.Time) {
+	for ref, seen := range worker.Seen {
+		if seen.State != protocol.TaskRunning && seen.State != protocol.TaskCheckpointing {
+			continue
+		}
+		if _, ok := worker.started[ref]; !ok {
+			worker.started[ref] = now
+			c.logReplicaStart(machine, ref, now)
+		}
+		worker.images = storage.UseImage(worker.images, ref.Job.Image)
+		c.noteSteady(worker, ref.Job, now.Sub(worker.started[ref]))
+	}
+}
+
+// logReplicaStart logs how long a service's replica took to run: waiting for its place, and then for
+// its image. A new owner sees those that ran before, too: they are left out.
+func (c *Controller) logReplicaStart(machine *storage.Machine, ref dispatch.Ref, now time.Time) {
+	if ref.Job.Shape != protocol.Service {
+		return
+	}
+	for _, placed := range machine.Tasks {
+		fetchS := now.Unix() - placed.PlacedAt
+		if dispatch.RefOf(placed) != ref || now.Sub(c.shards.takenOverAt) <= seconds(float64(fetchS)) {
+			continue
+		}
+		c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", machine.Name,
+			"waited_s", placed.WaitedS, "fetch_s", fetchS, "image_gb", ref.Job.ImageGB,
+			"age_s", now.Sub(ref.Job.ReadyAt).Round(100*time.Millisecond).Seconds())
+	}
+}
+
+// noteOutcome draws conclusions from an attempt's end about its machine and job.
+func (c *Controller) noteOutcome(machine *storage.Machine, worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
+	jobState := c.jobState(ref.Job)
+	c.countOutcome(worker, ref, outcome, now)
+	if outcome != dispatch.Completed {
+		jobState.requeuedAt[ref.Task] = now
+	}
+	if outcome == dispatch.Stopped {
+		jobState.terminatedTasks++
+	}
+	switch outcome {
+	case dispatch.Completed:
+		c.noteSuccess(worker, ref.Job)
+		worker.measureSlowdown(ref, now)
+	case dispatch.Failed:
+		c.log.Debug("task failed", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task)
+		c.noteFailure(machine, worker, ref.Job, now)
+	case dispatch.Refused:
+		c.log.Info("start refused", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task, "cause", worker.Seen[ref].Cause)
+		jobState.backoff = maxTime(jobState.backoff, now.Add(refusedStartBackoff))
+	case dispatch.Lost:
+		c.log.Info("task lost", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task)
+	}
+}
+
+// measureSlowdown compares how long a completed attempt ran with its job's estimate.
+func (w *workerState) measureSlowdown(ref dispatch.Ref, now time.Time) {
+	startedAt, ok := w.started[ref]
+	if !ok || ref.Job.Estimate <= minMeasuredEstimateS {
+		return
+	}
+	ratio := now.Sub(startedAt).Seconds() / ref.Job.Estimate
+	w.slowdown += slowdownSmoothing * (min(ratio, maxSlowdown) - w.slowdown)
+}
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -78,12 +78,12 @@
 
 // finished tells whether nothing of a job is wanted any more: it has its final state, or a peer has told
 // that it is cancelled, which is committed, confirmed and never taken back.
-func (c *Controller) finished(j *storage.Job) bool {
-	if !j.Open() {
+func (t *cancellationTracker) finished(job *storage.Job) bool {
+	if !job.Open() {
 		return true
 	}
-	_, told := c.cancellations.digest.gossiped[j.ID]
-	return told
+	_, gossiped := t.digest.gossiped[job.ID]
+	return gossiped
 }
 
 // currentDigest is what this controller vouches for now, nil while it can't.
@@ -154,18 +154,11 @@
 		return
 	}
 	// It may have been held up on its way: it vouches for what was before it was said.
-	if at := earliest(now, since(cancellationDigest.At).Add(-off)); at.After(c.cancellations.digest.vouchedUntil[node]) {
+	if at := minTime(now, since(cancellationDigest.At).Add(-off)); at.After(c.cancellations.digest.vouchedUntil[node]) {
 		c.cancellations.digest.vouchedUntil[node] = at
 	}
 }
 
-func earliest(a, b time.Time) time.Time {
-	if a.Before(b) {
-		return a
-	}
-	return b
-}
-
 // terminateGossiped has the tasks of jobs that peers tell to be cancelled stopped on this controller's machines.
 func (c *Controller) terminateGossiped() {
 	for id := range c.cancellations.digest.gossiped {
@@ -189,7 +182,7 @@
 	all := now
 	others := func(name string) {
 		if name != c.cfg.MemberName {
-			all = earliest(all, c.cancellations.digest.vouchedUntil[name])
+			all = minTime(all, c.cancellations.digest.vouchedUntil[name])
 		}
 	}
 	for _, k := range c.cfg.Known {
--- /dev/null
+++ b/internal/controller/direct_commands.go
@@ -0,0 +1,195 @@
+package controller
+
+import (
+	"errors"
+	"math"
+	"slices"
+	"time"
+
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+const (
+	maxCommands       = 200 // in one answer
+	maxDirectCommands = 48  // direct commands at a time
+	checkpointMargin  = 2.0 // seconds of grace beyond what a task needs to save
+	// directCommandTimeout bounds how long a worker may take to answer commands.
+	directCommandTimeout = 2 * time.Second
+	// directProbeTimeout bounds how long it may take where there is nothing to command.
+	directProbeTimeout = 1200 * time.Millisecond
+)
+
+// desiredState is what this owner wants of a placed attempt.
+func (c *Controller) desiredState(machine *storage.Machine, worker *workerState, placed storage.PlacedTask) dispatch.DesiredState {
+	job := placed.Job
+	grace := 0.0
+	if job.CheckpointInterval > 0 {
+		grace = job.CheckpointCost + checkpointMargin
+	}
+	switch {
+	case c.cancellations.finished(job):
+		return dispatch.DesiredState{Stop: true}
+	case c.cache.IsVictim(placed):
+		if worker.checkpointedJustNow(placed) {
+			grace = 0
+		}
+		return dispatch.DesiredState{Stop: true, Grace: grace}
+	case machine.Draining && job.CheckpointInterval > 0 && c.leavesDrained(machine, worker, placed, time.Now()):
+		return dispatch.DesiredState{Stop: true, Grace: grace}
+	case machine.Draining && c.jobStates[job] != nil && c.jobStates[job].relocating == dispatch.RefOf(placed):
+		return dispatch.DesiredState{Stop: true}
+	case !worker.preemptedAt.IsZero() && job.CheckpointInterval > 0 && time.Until(worker.preemptedAt) < seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+1):
+		return dispatch.DesiredState{Stop: true, Grace: grace}
+	}
+	return dispatch.DesiredState{}
+}
+
+// checkpointedJustNow tells whether an attempt has run for little since its last checkpoint. Saving
+// that takes as long as what it keeps, and the room is wanted now. An attempt that is saving already
+// goes on.
+func (w *workerState) checkpointedJustNow(placed storage.PlacedTask) bool {
+	interval := placed.Job.CheckpointInterval
+	ref := dispatch.RefOf(placed)
+	startedAt, ok := w.started[ref]
+	return ok && interval > 0 && w.Seen[ref].State == protocol.TaskRunning &&
+		math.Mod(time.Since(startedAt).Seconds(), interval) < interval/3
+}
+
+// commands are what a worker must be sent to bring it to the desired state.
+func (c *Controller) commands(machine *storage.Machine, worker *workerState, answer bool) []protocol.Command {
+	unsent := len(worker.Gone)
+	desired := func(placed storage.PlacedTask) dispatch.DesiredState { return c.desiredState(machine, worker, placed) }
+	commands := worker.Commands(machine, c.cache.FencingToken(machine), desired, answer, maxCommands)
+	if len(worker.Gone) > unsent {
+		c.requestCycle()
+	}
+	return commands
+}
+
+// sendDirect sends what the record wants straight to a worker, if there is anything; with empty it
+// asks the worker for its heartbeat even if there is not.
+func (c *Controller) sendDirect(machine *storage.Machine, empty bool) {
+	worker := c.workerState(machine)
+	unknown := worker.Incarnation == 0 && machine.Incarnation == 0
+	if worker.DirectInFlight || machine.Addr == "" || c.workers.directCommands >= maxDirectCommands || unknown {
+		return
+	}
+	commands := protocol.DirectCommands{
+		FencingToken: c.cache.FencingToken(machine),
+		Incarnation:  max(worker.Incarnation, machine.Incarnation),
+		Commands:     []protocol.Command{},
+	}
+	if worker.Incarnation != 0 {
+		commands.Commands = append(commands.Commands, c.commands(machine, worker, false)...)
+	}
+	if len(commands.Commands) == 0 && !empty {
+		return
+	}
+	worker.DirectInFlight = true
+	c.workers.directCommands++
+	addr := machine.Addr
+	timeout := directCommandTimeout
+	if len(commands.Commands) == 0 {
+		timeout = directProbeTimeout
+	}
+	// The timeout ends this goroutine; nobody waits for it.
+	go func() {
+		heartbeat, status, err := c.workerLink.Command(addr, commands, timeout)
+		c.post(func() { c.handleDirectReply(machine, worker, commands, directReply{heartbeat, status, err}) })
+	}()
+}
+
+// directReply is what came of a direct command.
+type directReply struct {
+	heartbeat *protocol.Heartbeat
+	status    int
+	err       error
+}
+
+// handleDirectReply takes a worker's reply to a direct command, or that there is none.
+func (c *Controller) handleDirectReply(machine *storage.Machine, worker *workerState, sent protocol.DirectCommands, reply directReply) {
+	c.workers.directCommands--
+	worker.DirectInFlight = false
+	c.contactWorkers()
+	if c.workers.states[machine.Index] != worker || !c.ownsShard(machine.Shard) || machine.Gone {
+		return // this ownership has ended
+	}
+	if reply.err != nil {
+		c.noteDirectFailure(machine, worker, sent, reply.err)
+		return
+	}
+	heartbeat := reply.heartbeat
+	if heartbeat.Machine != machine.Name {
+		return
+	}
+	if heartbeat.FencingToken > c.cache.FencingToken(machine) {
+		c.raiseFencingToken(worker, heartbeat.FencingToken)
+		return
+	}
+	if worker.Newer(heartbeat) {
+		c.applyHeartbeat(machine, worker, heartbeat, c.cache.FencingToken(machine), true)
+		c.requestCycle()
+		// What it shows to run on after a takeover may have been cancelled while nobody owned it.
+		c.terminateUnwanted(machine)
+	}
+	c.log.Debug("direct command answered", "machine", machine.Name, "status", reply.status, "commands", len(sent.Commands))
+}
+
+// noteDirectFailure draws conclusions from a direct command without an answer: a launch in it
+// may have happened, unless the worker's machine refused the connection.
+func (c *Controller) noteDirectFailure(machine *storage.Machine, worker *workerState, sent protocol.DirectCommands, err error) {
+	c.log.Debug("direct command failed", "machine", machine.Name, "err", err)
+	worker.missedProbes++
+	c.zoneState(machine.Zone).missedProbes++
+	launches := slices.ContainsFunc(sent.Commands, func(command protocol.Command) bool { return command.Op == protocol.OpLaunch })
+	if launches && !errors.Is(err, protocol.ErrRefused) {
+		worker.Uncertain = max(worker.Uncertain, sent.FencingToken)
+	}
+	c.requestCycle()
+}
+
+// contactWorkers shows this controller to the workers of machines that it has taken over, a few
+// at a time: their replies tell what is on the machines.
+func (c *Controller) contactWorkers() {
+	for len(c.workers.uncontacted) > 0 && c.workers.directCommands < maxDirectCommands {
+		machine := c.workers.uncontacted[0]
+		c.workers.uncontacted = c.workers.uncontacted[1:]
+		worker := c.workers.states[machine.Index]
+		if worker != nil && worker.Incarnation == 0 && !machine.Gone && c.ownsShard(machine.Shard) {
+			c.sendDirect(machine, true)
+		}
+	}
+}
+
+// terminateJob sends kill commands to the machines that a job's tasks are placed on.
+func (c *Controller) terminateJob(job *storage.Job) {
+	if job.PlacedCount == 0 {
+		return
+	}
+	for _, index := range job.MachineOf {
+		if index != storage.Nowhere {
+			c.terminateUnwanted(c.cache.Machines[index])
+		}
+	}
+}
+
+// terminateUnwanted sends commands that end cancelled and evicted tasks without waiting for a heartbeat.
+func (c *Controller) terminateUnwanted(machine *storage.Machine) {
+	if machine.Gone || len(machine.Tasks) == 0 || !c.ownsShard(machine.Shard) {
+		return
+	}
+	worker := c.workerState(machine)
+	for _, placed := range machine.Tasks {
+		desired := c.desiredState(machine, worker, placed)
+		if !desired.Stop {
+			continue
+		}
+		seen, ok := worker.Seen[dispatch.RefOf(placed)]
+		if ok && seen.State != protocol.TaskExited && (seen.State != protocol.TaskCheckpointing || desired.Grace == 0) {
+			c.sendDirect(machine, false)
+			return
+		}
+	}
+}
--- a/internal/controller/job_state.go
+++ b/internal/controller/job_state.go
@@ -1,32 +1,35 @@
 package controller
 
 import (
+	"time"
+
 	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/storage"
-	"time"
 )
 
+// jobState is what this controller knows of a job beyond the records.
 type jobState struct {
 	requeuedAt      map[int]time.Time // by task: waiting again since
 	failures        int               // failures without a success
 	suspectTries    int               // tries since it became suspect
-	backoff         time.Time
-	shortSince      time.Time    // short of room since
-	relocating      dispatch.Ref // the replica that was told last to leave a machine which is drained
+	backoff         time.Time         // it is not tried again before
+	shortSince      time.Time         // short of room since
+	relocating      dispatch.Ref      // the replica that was last commanded to leave a draining machine
 	relocatedAt     time.Time
 	hopesSince      time.Time // leaves free room alone for room that it evicts since
 	firstPlacedAt   time.Time // first task placed
 	lastPlacedAt    time.Time // latest task placed
-	terminatedTasks int       // tasks stopped by command
+	terminatedTasks int       // tasks terminated by command
 	preemptedTasks  int
-	failedOn        map[int32]bool // that it failed on without a success, sick ones aside
+	failedOn        map[int32]bool // machines that it failed on without a success, unhealthy ones aside
 }
 
-func (c *Controller) jobState(j *storage.Job) *jobState {
-	v := c.jobStates[j]
-	if v == nil {
-		v = &jobState{requeuedAt: map[int]time.Time{}, failedOn: map[int32]bool{}}
-		c.jobStates[j] = v
+// jobState is a job's state here, made when it is first asked for.
+func (c *Controller) jobState(job *storage.Job) *jobState {
+	state := c.jobStates[job]
+	if state == nil {
+		state = &jobState{requeuedAt: map[int]time.Time{}, failedOn: map[int32]bool{}}
+		c.jobStates[job] = state
 	}
-	return v
+	return state
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -148,11 +148,6 @@
 	*counters = logCounters{at: now, changes: spent}
 }
 
-// millis is a time in milliseconds, to the hundredth.
-func millis(d time.Duration) float64 {
-	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
-}
-
 // gauges are read from the core when somebody asks for them.
 type gauges struct{ c *Controller }
 
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -142,7 +142,7 @@
 	_ = c.call(short, func() { // without it the snapshot is shown as old as it is
 		now := time.Now()
 		if err == nil && c.cache.Revision >= c.follower.highestRevision {
-			readModel.asOf = latest(readModel.asOf, began)
+			readModel.asOf = maxTime(readModel.asOf, began)
 		}
 		c.showView(now, true)
 		if served := c.servedByStore(now); readModel.whole && (err == nil || served != readModel.stated) {
@@ -153,13 +153,6 @@
 	return readModel.hub.Latest()
 }
 
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
 // HasTeam tells whether the deployment has a team.
 func (c *Controller) HasTeam(name string) bool {
 	return slices.ContainsFunc(c.cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == name })
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -22,15 +22,6 @@
 	barrier         barrier          // reads that must not be older than an answer given elsewhere
 }
 
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
-
 // followLoop keeps the cache like the state service.
 func (c *Controller) followLoop(ctx context.Context) {
 	read := false
@@ -174,7 +165,7 @@
 	c.cache.Revision = max(c.cache.Revision, events.Revision)
 	c.follower.highestRevision = max(c.follower.highestRevision, events.Revision)
 	now := time.Now()
-	c.storeHealth.failingSince, c.storeHealth.servedAt, c.follower.cacheCurrentAt = time.Time{}, now, latest(c.follower.cacheCurrentAt, sent)
+	c.storeHealth.failingSince, c.storeHealth.servedAt, c.follower.cacheCurrentAt = time.Time{}, now, maxTime(c.follower.cacheCurrentAt, sent)
 	c.dropReadCancellations()
 	keep := c.follower.waiters[:0]
 	for _, w := range c.follower.waiters {
@@ -189,7 +180,7 @@
 		c.changed()
 	}
 	if c.readModel != nil {
-		c.readModel.asOf = latest(c.readModel.asOf, sent)
+		c.readModel.asOf = maxTime(c.readModel.asOf, sent)
 		c.showView(now, false)
 	}
 }
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -146,7 +146,7 @@
 func (c *Controller) killCommands(m *storage.Machine) []protocol.Command {
 	out := []protocol.Command{}
 	for _, p := range m.Tasks {
-		if c.finished(p.Job) && len(out) < maxCommands {
+		if c.cancellations.finished(p.Job) && len(out) < maxCommands {
 			out = append(out, protocol.Command{Op: protocol.OpKill, Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt})
 		}
 	}
--- /dev/null
+++ b/internal/controller/times.go
@@ -0,0 +1,37 @@
+package controller
+
+import (
+	"context"
+	"time"
+)
+
+// maxTime is the later of two times.
+func maxTime(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
+
+// minTime is the earlier of two times.
+func minTime(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+// millis is a duration in milliseconds, to the hundredth.
+func millis(d time.Duration) float64 {
+	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
+}
+
+// sleep waits for a while, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
--- a/internal/controller/worker_registry.go
+++ b/internal/controller/worker_registry.go
@@ -1,11 +1,11 @@
 package controller
 
 import (
-	"dykeledge/internal/controller/dispatch"
-	"dykeledge/internal/protocol"
-	"dykeledge/internal/storage"
 	"slices"
 	"time"
+
+	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/storage"
 )
 
 // workerRegistry is what this controller knows of the workers of machines whose shards it
@@ -26,42 +26,46 @@
 	return workerRegistry{states: map[int32]*workerState{}, pendingUpdates: map[int32]*pendingUpdate{}}
 }
 
+// workerState is what this owner knows of the worker on a machine.
 type workerState struct {
 	*dispatch.Worker
 	since        time.Time                 // known to this owner since
 	heard        time.Time                 // last message of its worker
-	heartbeatAt  time.Time                 // last report proper: what it is asked for renews no lease
+	heartbeatAt  time.Time                 // last heartbeat of its own accord: a reply to a direct command renews no lease
 	preemptedAt  time.Time                 // when the cloud takes it; zero: not announced
 	images       []int                     // most recently used last
 	failures     map[*storage.Job]*failing // since it last completed anything
 	unhealthy    bool
 	missedProbes int                        // unanswered in a row
 	started      map[dispatch.Ref]time.Time // seen running since
-	emptySince   time.Time                  // empty since
+	emptySince   time.Time                  // no task is placed on it since
 	slowdown     float64                    // measured run time over estimate, smoothed
 	terminated   bool                       // the cloud confirmed that it is gone
 }
 
-func (c *Controller) workerState(m *storage.Machine) *workerState {
-	v := c.workers.states[m.Index]
-	if v == nil {
+// workerState is a machine's worker state, made when it is first asked for.
+func (c *Controller) workerState(machine *storage.Machine) *workerState {
+	worker := c.workers.states[machine.Index]
+	if worker == nil {
 		now := time.Now()
-		v = &workerState{Worker: dispatch.NewWorker(), since: now, heard: now, heartbeatAt: heartbeatBaseline(c.cfg.Deployment.Workers, now), emptySince: now,
-			images: slices.Clone(m.Images), started: map[dispatch.Ref]time.Time{}, slowdown: 1, failures: map[*storage.Job]*failing{}}
-		c.workers.states[m.Index] = v
+		worker = &workerState{
+			Worker:      dispatch.NewWorker(),
+			since:       now,
+			heard:       now,
+			heartbeatAt: heartbeatBaseline(c.cfg.Deployment.Workers, now),
+			emptySince:  now,
+			images:      slices.Clone(machine.Images),
+			started:     map[dispatch.Ref]time.Time{},
+			slowdown:    1,
+			failures:    map[*storage.Job]*failing{},
+		}
+		c.workers.states[machine.Index] = worker
 	}
-	return v
+	return worker
 }
 
 // hasEnded tells whether an attempt is proved to be gone.
-func (v *workerState) hasEnded(ref dispatch.Ref) bool {
-	_, ok := v.Gone[ref]
+func (w *workerState) hasEnded(ref dispatch.Ref) bool {
+	_, ok := w.Gone[ref]
 	return ok
 }
-
-type heldReply struct {
-	machine   string
-	heartbeat *protocol.Heartbeat
-	until     time.Time
-	reply     func(int, any)
-}
