--- /dev/null
+++ b/internal/controller/followed_changes.go
@@ -0,0 +1,143 @@
+package controller
+
+import (
+	"time"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// apply takes one record into the cache, committed by whomever.
+func (c *Controller) apply(key string, value []byte, version uint64, deleted bool) error {
+	c.follower.highestRevision = max(c.follower.highestRevision, version)
+	err := c.cache.Apply(key, value, version, deleted)
+	if err != nil {
+		c.log.Error("bad record", "err", err)
+	}
+	c.noteCancellation(key, version)
+	return err
+}
+
+// onEvents takes the answer of a watch request that was sent at a time.
+func (c *Controller) onEvents(events protocol.Events, sent time.Time) {
+	for _, event := range events.Events {
+		if event.Delete != "" {
+			_ = c.apply(event.Delete, nil, event.Version, true) // logged there
+		} else {
+			_ = c.apply(event.Put, event.Value, event.Version, false)
+		}
+	}
+	c.cache.Revision = max(c.cache.Revision, events.Revision)
+	c.follower.highestRevision = max(c.follower.highestRevision, events.Revision)
+	now := time.Now()
+	c.storeHealth.failingSince = time.Time{}
+	c.storeHealth.servedAt = now
+	c.follower.cacheCurrentAt = maxTime(c.follower.cacheCurrentAt, sent)
+	c.cancellations.digest.dropRead(c.cache.Revision)
+	c.follower.releaseWaiters(c.cache.Revision)
+	if len(events.Events) > 0 {
+		c.changed()
+	}
+	if c.readModel != nil {
+		c.readModel.asOf = maxTime(c.readModel.asOf, sent)
+		c.showView(now, false)
+	}
+}
+
+// changed looks at what new records mean for this controller.
+func (c *Controller) changed() {
+	if !c.follower.loaded {
+		return
+	}
+	now := time.Now()
+	if version := c.cache.Leader.Version; version != c.leadership.version {
+		c.leadership.version, c.leadership.since = version, now
+	}
+	c.noteLeadershipChange()
+	c.recordOwnershipChanges(now)
+	c.applySettings()
+	c.noteTooLarge(nil)
+	c.recordPreemptions()
+	c.inheritDeadlines()
+	machines, jobs := c.cache.TakeChanged()
+	c.updateOwnedShards(now)
+	for _, machine := range machines {
+		c.settleWorkerState(machine)
+		if !machine.Gone && machine.Incarnation > 0 && c.ownsShard(machine.Shard) && c.workers.states[machine.Index] == nil {
+			c.workerState(machine) // a new owner shows itself; the reply tells what is on the machine
+			c.workers.uncontacted = append(c.workers.uncontacted, machine)
+		}
+		c.terminateUnwanted(machine)
+	}
+	for _, job := range jobs {
+		c.terminateJob(job)
+	}
+	c.contactWorkers()
+	c.requestCycle()
+}
+
+// updateOwnedShards begins and ends ownerships as the shards' records say.
+func (c *Controller) updateOwnedShards(now time.Time) {
+	for shard := range c.shards.owned {
+		version := uint64(0)
+		if c.ownsShard(shard) {
+			version = c.cache.Shards[shard].Version
+		}
+		if version != c.shards.owned[shard] {
+			c.shards.owned[shard] = version
+			c.log.Info("shard changed hands", "shard", shard, "owner", c.cache.Shards[shard].Member, "own", version > 0)
+			c.takeOverShard(shard, version > 0, now)
+		}
+	}
+}
+
+// takeOverShard begins or ends this controller's ownership of a shard.
+func (c *Controller) takeOverShard(shard int, own bool, now time.Time) {
+	for _, machine := range c.cache.Machines {
+		if machine.Shard == shard {
+			delete(c.workers.states, machine.Index) // what an earlier ownership knew is stale
+		}
+	}
+	if !own {
+		return
+	}
+	c.metrics.takeovers.Inc()
+	c.shards.takenOverAt, c.shards.placedSinceTakeover = now, false
+	for _, machine := range c.cache.Machines {
+		if machine.Shard == shard && !machine.Gone {
+			c.takeOverMachine(machine, now)
+		}
+	}
+}
+
+// takeOverMachine begins this controller's ownership of a machine, with its shard.
+func (c *Controller) takeOverMachine(machine *storage.Machine, now time.Time) {
+	worker := c.workerState(machine)
+	worker.since = now
+	if token := max(machine.FencingToken, machine.Group.FencingToken); token >= c.cache.Shards[machine.Shard].FencingToken {
+		// The former owner raised it while the shard changed hands: only a higher
+		// one proves that nothing it sent is still on its way.
+		worker.Uncertain = token
+	}
+	if machine.Incarnation > 0 {
+		c.workers.uncontacted = append(c.workers.uncontacted, machine)
+	}
+}
+
+// settleWorkerState brings what is known of a machine's worker in line with the records.
+func (c *Controller) settleWorkerState(machine *storage.Machine) {
+	worker := c.workers.states[machine.Index]
+	if worker == nil {
+		return
+	}
+	if machine.Gone || !c.ownsShard(machine.Shard) {
+		delete(c.workers.states, machine.Index)
+		return
+	}
+	worker.Settle(machine)
+	for ref := range worker.started {
+		if ref.Job.MachineOf[ref.Task] != machine.Index || ref.Job.AttemptOf[ref.Task] != ref.Attempt {
+			delete(worker.started, ref)
+		}
+	}
+}
