--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -80,7 +80,7 @@
 		return state, known, err
 	}
 	slept := false
-	if err := c.call(ctx, func() { slept = c.stalledSince(began) }); err != nil {
+	if err := c.call(ctx, func() { slept = c.reachability.stalledSince(began) }); err != nil {
 		return state, false, err
 	}
 	if slept {
@@ -148,7 +148,7 @@
 		if err == nil {
 			err = c.call(ctx, func() {
 				never, lacks = c.invalidDependency(submission)
-				ready = !c.stalledSince(began)
+				ready = !c.reachability.stalledSince(began)
 			})
 		}
 		if err != nil || !ready {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -226,7 +226,7 @@
 		if controller.planner.overloaded {
 			flood = 1
 		}
-		if controller.servedByStore(now) {
+		if controller.storeHealth.served(now) {
 			reach["state"] = 1
 		}
 		if !controller.session.notReady.Load() {
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -100,7 +100,7 @@
 	readModel := c.readModel
 	readModel.shown = now
 	head := readModel.head
-	head.Revision, head.Now, head.AsOf, head.StateOK = c.cache.Revision, now.UnixMilli(), readModel.asOf.UnixMilli(), c.servedByStore(now)
+	head.Revision, head.Now, head.AsOf, head.StateOK = c.cache.Revision, now.UnixMilli(), readModel.asOf.UnixMilli(), c.storeHealth.served(now)
 	names := []string{c.cfg.MemberName}
 	for _, k := range c.cfg.Known {
 		names = append(names, k.MemberName)
@@ -145,7 +145,7 @@
 			readModel.asOf = maxTime(readModel.asOf, began)
 		}
 		c.showView(now, true)
-		if served := c.servedByStore(now); readModel.whole && (err == nil || served != readModel.stated) {
+		if served := c.storeHealth.served(now); readModel.whole && (err == nil || served != readModel.stated) {
 			readModel.stated = served
 			c.publishView(now)
 		}
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -48,7 +48,7 @@
 	if silent, _, _ := look(woke.Add(5 * time.Second)); !silent {
 		t.Error("silence counts again from waking")
 	}
-	if !controller.stalledSince(start) || controller.stalledSince(woke) {
+	if !controller.reachability.stalledSince(start) || controller.reachability.stalledSince(woke) {
 		t.Error("what began before the standstill was slept over, what begins after was not")
 	}
 }
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -13,44 +13,66 @@
 	changeRate    float64 // changes a second, smoothed over about a second
 }
 
+const (
+	// storeFailingAfter is how long the state service must answer badly before nothing waits for it.
+	storeFailingAfter = time.Second
+	// machineWeight is how much more a controller's part of the machines counts in its share of
+	// the rate than its part of the shards.
+	machineWeight = 3
+)
+
 // updateRateShare tells the state service's client how much of its rate this controller may
 // use: in proportion to the machines that it commits for, which every controller knows.
 func (c *Controller) updateRateShare() {
-	mine, all := 0, 0
-	for _, m := range c.cache.Machines {
-		if !m.Gone {
-			all++
-			if c.ownsShard(m.Shard) {
-				mine++
-			}
+	part := c.ownedPart()
+	now := time.Now()
+	c.storeHealth.updateChangeRate(c.store.ChangesUsed(), now)
+	c.store.SetRateShare(part, c.isLeader(), c.storeHealth.changeRate, c.othersChangeRate(now))
+}
+
+// ownedPart is the part of the machines and shards that this controller commits for, from 0 to 1.
+func (c *Controller) ownedPart() float64 {
+	ownMachines, allMachines := 0, 0
+	for _, machine := range c.cache.Machines {
+		if machine.Gone {
+			continue
+		}
+		allMachines++
+		if c.ownsShard(machine.Shard) {
+			ownMachines++
 		}
 	}
-	shares := 0
-	for s := range c.shards.owned {
-		if c.ownsShard(s) {
-			shares++
+	ownShards := 0
+	for shard := range c.shards.owned {
+		if c.ownsShard(shard) {
+			ownShards++
 		}
 	}
-	// A shard with few machines yet still has to place its first work.
-	part := float64(shares) / float64(len(c.shards.owned))
-	if all > 0 {
-		part = (part + 3*float64(mine)/float64(all)) / 4
+	part := float64(ownShards) / float64(len(c.shards.owned))
+	if allMachines == 0 {
+		return part
 	}
-	now := time.Now()
-	if dt := now.Sub(c.storeHealth.changesUsedAt).Seconds(); dt > 0 {
-		spent := c.store.ChangesUsed()
-		c.storeHealth.changeRate += min(1, dt) * (float64(spent-c.storeHealth.changesUsed)/dt - c.storeHealth.changeRate) // over about a second
-		c.storeHealth.changesUsed, c.storeHealth.changesUsedAt = spent, now
+	// A shard with few machines yet still has to place its first work.
+	return (part + machineWeight*float64(ownMachines)/float64(allMachines)) / (1 + machineWeight)
+}
+
+// updateChangeRate takes how many changes this controller has made until now.
+func (h *storeHealth) updateChangeRate(changesUsed uint64, now time.Time) {
+	elapsedS := now.Sub(h.changesUsedAt).Seconds()
+	if elapsedS <= 0 {
+		return
 	}
-	c.store.SetRateShare(part, c.isLeader(), c.storeHealth.changeRate, c.othersChangeRate(now))
+	rate := float64(changesUsed-h.changesUsed) / elapsedS
+	h.changeRate += min(1, elapsedS) * (rate - h.changeRate) // over about a second
+	h.changesUsed, h.changesUsedAt = changesUsed, now
 }
 
 // storeFailing tells whether answers should not wait for a commit.
 func (c *Controller) storeFailing() bool {
-	return !c.storeHealth.failingSince.IsZero() && time.Since(c.storeHealth.failingSince) > time.Second
+	return !c.storeHealth.failingSince.IsZero() && time.Since(c.storeHealth.failingSince) > storeFailingAfter
 }
 
-// servedByStore tells whether the state service has answered this controller well just now.
-func (c *Controller) servedByStore(now time.Time) bool {
-	return c.storeHealth.failingSince.IsZero() && now.Sub(c.storeHealth.servedAt) < peerFresh
+// served tells whether the state service has answered this controller well just now.
+func (h *storeHealth) served(now time.Time) bool {
+	return h.failingSince.IsZero() && now.Sub(h.servedAt) < peerFresh
 }
