--- /dev/null
+++ b/internal/controller/answers.go
@@ -0,0 +1,36 @@
+package controller
+
+import (
+	"net/http"
+
+	"dykeledge/internal/protocol"
+)
+
+// Answer is what a user gets; RetryAfter above 0 tells in how many seconds to come back.
+type Answer struct {
+	Status     int
+	Body       any
+	RetryAfter int
+}
+
+// retryAfterS is how long a user who can't be answered now is asked to wait.
+const retryAfterS = 1
+
+// refuse is an answer with an error's text.
+func refuse(status int, text string) Answer {
+	answer := Answer{Status: status, Body: protocol.ErrorResponse{Error: text}}
+	if status == http.StatusServiceUnavailable {
+		answer.RetryAfter = retryAfterS
+	}
+	return answer
+}
+
+var (
+	retryLater = refuse(http.StatusServiceUnavailable, "the service cannot decide this now, come back shortly")
+	noSuchJob  = refuse(http.StatusNotFound, "no such job")
+)
+
+// jobFound answers with a job's state.
+func jobFound(state protocol.JobState) Answer {
+	return Answer{Status: http.StatusOK, Body: state}
+}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -25,83 +25,113 @@
 	nextProbe           int         // which worker
 }
 
-// nextRevision is a revision that no record holds yet. As an attempt or a token it is
+// grantRetryInterval is how long to wait before a session lease is asked for again.
+const grantRetryInterval = 500 * time.Millisecond
+
+// nextRevision is a revision that no record holds yet. As an attempt or a fencing token it is
 // above all that were committed before, whoever committed them.
 func (c *Controller) nextRevision() uint64 { return c.follower.highestRevision + 1 }
 
-// keepSessionLease keeps this controller's hold and its membership key.
+// keepSessionLease keeps this controller's session lease and its member record; it ends with ctx.
 func (c *Controller) keepSessionLease(ctx context.Context) {
-	var first uint64
+	var incarnation uint64
 	for ctx.Err() == nil {
 		sent := time.Now()
 		lease, err := c.store.Grant(ctx, c.timing.SessionLease)
 		if err != nil {
-			c.log.Info("no hold yet", "err", err)
-			sleep(ctx, 500*time.Millisecond)
+			c.log.Info("no session lease yet", "err", err)
+			sleep(ctx, grantRetryInterval)
 			continue
 		}
-		if first == 0 {
-			first = lease
+		if incarnation == 0 {
+			incarnation = lease
 		}
-		// Put without conditions: a restarted controller replaces its stale entry at once.
-		rev, _, err := c.store.Txn(ctx, protocol.Txn{Then: []protocol.Change{c.memberChange(first, lease, c.session.notReady.Load())}}, protocol.UrgentRequest)
+		// Put without conditions: a restarted controller replaces its stale record at once.
+		txn := protocol.Txn{Then: []protocol.Change{c.memberChange(incarnation, lease, c.session.notReady.Load())}}
+		revision, _, err := c.store.Txn(ctx, txn, protocol.UrgentRequest)
 		if err != nil {
-			sleep(ctx, 300*time.Millisecond)
+			sleep(ctx, storeRetryInterval)
 			continue
 		}
 		c.post(func() {
-			c.session.incarnation, c.session.lease, c.session.leaseRenewedAt, c.session.memberRevision = first, lease, sent, rev
+			c.session.begin(incarnation, lease, sent, revision)
 			c.changed()
 		})
-		for ctx.Err() == nil {
-			sleep(ctx, c.timing.SessionLease/4)
-			sent := time.Now()
-			err := c.store.Renew(ctx, lease, c.timing.SessionLease/2)
-			if err == nil {
-				c.post(func() { c.storeHealth.servedAt, c.session.leaseRenewedAt = time.Now(), sent })
-			}
-			if errors.Is(err, protocol.ErrNoLease) {
-				c.log.Info("hold has ended, taking a new one")
-				c.post(func() { c.session.lease = 0 })
-				break
-			}
+		c.renewSessionLease(ctx, lease)
+	}
+}
+
+// begin takes a session lease that was asked for at a time, with the revision of the member record under it.
+func (s *sessionState) begin(incarnation, lease uint64, sent time.Time, revision uint64) {
+	s.incarnation, s.lease, s.leaseRenewedAt, s.memberRevision = incarnation, lease, sent, revision
+}
+
+// renewSessionLease renews a session lease until it has expired or ctx ends.
+func (c *Controller) renewSessionLease(ctx context.Context, lease uint64) {
+	for ctx.Err() == nil {
+		sleep(ctx, c.timing.SessionLease/4)
+		sent := time.Now()
+		err := c.store.Renew(ctx, lease, c.timing.SessionLease/2)
+		if err == nil {
+			c.post(func() { c.storeHealth.servedAt, c.session.leaseRenewedAt = time.Now(), sent })
+		}
+		if errors.Is(err, protocol.ErrNoLease) {
+			c.log.Info("session lease has expired, asking for a new one")
+			c.post(func() { c.session.lease = 0 })
+			return
 		}
 	}
 }
 
-// memberChange is the change that says that a controller lives, and how it fares.
-func (c *Controller) memberChange(incarnation, lease uint64, unfit bool) protocol.Change {
-	return protocol.Change{Put: storage.MemberKey(c.cfg.MemberName), Lease: lease, Value: storage.Encode(
-		storage.MemberRecord{Incarnation: incarnation, Public: c.cfg.PublicAddr, NotReady: unfit, Layout: c.Layout, FrameLevel: c.Frames})}
+// memberChange is the change that says that a controller lives, and whether it is ready.
+func (c *Controller) memberChange(incarnation, lease uint64, notReady bool) protocol.Change {
+	record := storage.MemberRecord{
+		Incarnation: incarnation,
+		Public:      c.cfg.PublicAddr,
+		NotReady:    notReady,
+		Layout:      c.Layout,
+		FrameLevel:  c.Frames,
+	}
+	return protocol.Change{Put: storage.MemberKey(c.cfg.MemberName), Lease: lease, Value: storage.Encode(record)}
 }
 
-// repairMemberRecord writes this controller's record anew when it does not say what this process wrote: a
+// repairMemberRecord writes this controller's record again when it does not say what this process wrote: a
 // transaction of the process before, or one of its own with unknown outcome, was applied late.
-// With the former process's hold the record then vanished, and a living controller was no member any
-// more: it got no shard, and the gate between layouts waited for it for ever.
+// With the former process's session lease the record then vanished, and a living controller was no member
+// any more: it got no shard, and the gate between layouts waited for it for ever.
 func (c *Controller) repairMemberRecord(ctx context.Context) {
 	if c.session.lease == 0 || c.session.memberWriteInFlight || c.cache.Revision < c.session.memberRevision {
 		return
 	}
-	n := c.cache.Members[c.cfg.MemberName]
-	if n != nil && (n.Incarnation > c.session.incarnation || // a later process of this name: this one is not wanted any more
-		n.Incarnation == c.session.incarnation && n.NotReady == c.session.notReady.Load() && n.Layout == c.Layout) {
+	member := c.cache.Members[c.cfg.MemberName]
+	if member != nil && (c.supersededBy(member) || c.describes(member)) {
 		return
 	}
-	c.log.Info("this node's record is not its own, writing it anew", "there", n != nil)
+	c.log.Info("member record is not this process's, writing it again", "present", member != nil)
 	c.writeMember(ctx, protocol.Txn{}, c.session.notReady.Load(), func(bool) {})
 }
 
+// supersededBy tells whether a member record is of a later process of this name: this one is not wanted any more.
+func (c *Controller) supersededBy(member *storage.Member) bool {
+	return member.Incarnation > c.session.incarnation
+}
+
+// describes tells whether a member record is of this process as it is now.
+func (c *Controller) describes(member *storage.Member) bool {
+	return member.Incarnation == c.session.incarnation && member.NotReady == c.session.notReady.Load() && member.Layout == c.Layout
+}
+
 // writeMember writes this controller's record with whatever else is in a transaction.
-func (c *Controller) writeMember(ctx context.Context, txn protocol.Txn, unfit bool, then func(ok bool)) {
-	txn.Then = append(txn.Then, c.memberChange(c.session.incarnation, c.session.lease, unfit))
+func (c *Controller) writeMember(ctx context.Context, txn protocol.Txn, notReady bool, then func(ok bool)) {
+	txn.Then = append(txn.Then, c.memberChange(c.session.incarnation, c.session.lease, notReady))
 	c.session.memberWriteInFlight = true
+	// The transaction's own timeout and ctx end this goroutine; nobody waits for it.
 	go func() {
-		rev, failed, err := c.transact(ctx, txn, protocol.UrgentRequest)
-		c.committed(txn, rev, err == nil && len(failed) == 0, func(ok bool) {
+		revision, failed, err := c.transact(ctx, txn, protocol.UrgentRequest)
+		c.committed(txn, revision, err == nil && len(failed) == 0, func(ok bool) {
 			c.session.memberWriteInFlight = false
 			if ok {
-				c.session.memberRevision = max(c.session.memberRevision, rev)
+				c.session.memberRevision = max(c.session.memberRevision, revision)
 			}
 			then(ok)
 		})
