--- /dev/null
+++ b/internal/controller/eviction_views.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"dykeledge/internal/storage"
+)
+
+// EvictionView is an evicted set with the scores that chose it.
+type EvictionView struct {
+	Job     string                 `json:"job"`
+	At      time.Time              `json:"at"`
+	Shard   int                    `json:"share"`
+	Victims []storage.VictimRecord `json:"victims"`
+}
+
+// maxRecentPreemptions is how many evicted sets are kept for operators.
+const maxRecentPreemptions = 50
+
+// recordPreemptions keeps the latest evicted sets for operators.
+func (c *Controller) recordPreemptions() {
+	for id, victimSet := range c.cache.VictimSets {
+		if c.operator.preemptionsSeen[id] == victimSet.Version {
+			continue
+		}
+		c.operator.preemptionsSeen[id] = victimSet.Version
+		c.metrics.preemptedTasks.Add(float64(len(victimSet.Victims)))
+		c.operator.keepPreemption(EvictionView{Job: id, At: time.UnixMilli(victimSet.AtMs), Shard: victimSet.Shard, Victims: victimSet.Victims})
+	}
+	for id := range c.operator.preemptionsSeen {
+		if c.cache.VictimSets[id] == nil {
+			delete(c.operator.preemptionsSeen, id)
+		}
+	}
+}
+
+// keepPreemption adds to the latest evicted sets.
+func (o *operatorState) keepPreemption(eviction EvictionView) {
+	o.recentPreemptions = append(o.recentPreemptions, eviction)
+	if n := len(o.recentPreemptions); n > maxRecentPreemptions {
+		o.recentPreemptions = slices.Clone(o.recentPreemptions[n-maxRecentPreemptions:])
+	}
+}
+
+// Evictions lists the latest evicted sets that this controller saw, newest first.
+func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
+	evictions := []EvictionView{}
+	err := c.call(ctx, func() {
+		evictions = append(evictions, c.operator.recentPreemptions...)
+		slices.Reverse(evictions)
+	})
+	return evictions, err
+}
--- /dev/null
+++ b/internal/controller/gauges.go
@@ -0,0 +1,230 @@
+package controller
+
+import (
+	"context"
+	"runtime"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"dykeledge/internal/storage"
+)
+
+// collectTimeout bounds how long a scrape waits for the core.
+const collectTimeout = time.Second
+
+// gauges are read from the core when somebody asks for them.
+type gauges struct{ c *Controller }
+
+func desc(name, help string, labels ...string) *prometheus.Desc {
+	return prometheus.NewDesc("dykeledge_"+name, help, labels, nil)
+}
+
+var (
+	descQueue                = desc("queue_tasks", "Tasks waiting for a machine.", "class", "team")
+	descMachines             = desc("machines", "Machines by state.", "state")
+	descGpus                 = desc("accelerators", "Accelerators of the machines, by use: taken by placed tasks, or free.", "use")
+	descMoneyRate            = desc("money_rate_per_hour", "What the machines cost an hour, at the catalog's prices.")
+	descMemory               = desc("memory_bytes", "Memory obtained from the system.")
+	descLeader               = desc("leader", "1 on the leading node.")
+	descRevision             = desc("revision", "Revision of the state service that this node has seen.")
+	descShards               = desc("shares_owned", "Shares that this node owns.")
+	descReach                = desc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
+	descAwaitingDependencies = desc("awaiting_jobs", "Open jobs that wait for other jobs.")
+	descDependencyFailed     = desc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
+	descLayout               = desc("layout_version", "Layout of the records that is written: 1 plain, 2 packed, 3 packed with changed teams.")
+	descLargest              = desc("largest_record_bytes", "Size of the largest rack's record.")
+	descOverload             = desc("flood", "1 while a class of a team has far more open than is usual for it, and more waits on this node than can be in time.")
+	descBaseline             = desc("usual_cpus", "CPUs that a class of a team usually keeps busy.", "class", "team")
+	descSuspect              = desc("suspect_jobs", "Open jobs that failed on every machine that tried them.")
+)
+
+// Describe sends the gauges' descriptions.
+func (g gauges) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descMoneyRate, descMemory, descLeader, descRevision, descShards, descReach, descSuspect,
+		descAwaitingDependencies, descDependencyFailed, descLayout, descLargest, descOverload, descBaseline} {
+		ch <- d
+	}
+}
+
+// Collect sends the gauges' values, or none if the core does not answer in time.
+func (g gauges) Collect(metrics chan<- prometheus.Metric) {
+	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
+	defer cancel()
+	// The core fills in figures of its own: after the timeout it may still be at it.
+	var collected *figures
+	if err := g.c.call(ctx, func() { collected = g.c.collectFigures(time.Now()) }); err != nil {
+		return
+	}
+	collected.emit(metrics)
+}
+
+// queueLabels are the labels of what is counted by class and team.
+type queueLabels struct{ class, team string }
+
+// figures are the gauges' values at one moment.
+type figures struct {
+	waitingTasks map[queueLabels]float64
+	baselineCpus map[queueLabels]float64
+	machines     map[string]float64 // by state
+	gpus         acceleratorUse
+	reach        reachFigures
+	moneyRate    float64 // per hour
+
+	leader, overloaded bool
+
+	revision           uint64
+	layout             int
+	ownedShards        int
+	largestRecordBytes int
+
+	suspectJobs, awaitingJobs, dependencyFailedJobs int
+}
+
+// acceleratorUse are the machines' accelerators by use.
+type acceleratorUse struct{ taken, free float64 }
+
+// reachFigures are which part of its neighbours a controller reaches, from 0 to 1.
+type reachFigures struct{ state, workers, members float64 }
+
+// collectFigures reads the gauges' values.
+func (c *Controller) collectFigures(now time.Time) *figures {
+	collected := &figures{
+		waitingTasks: map[queueLabels]float64{},
+		baselineCpus: map[queueLabels]float64{},
+		machines:     map[string]float64{},
+		reach:        c.reachFigures(now),
+		leader:       c.isLeader(),
+		overloaded:   c.planner.overloaded,
+		revision:     c.cache.Revision,
+		layout:       storage.LayoutPlain,
+	}
+	c.addJobs(collected)
+	c.addMachines(collected)
+	for queue, cpus := range c.cache.Baseline.Cpus {
+		collected.baselineCpus[c.queueLabels(queue.Class, queue.Team)] += cpus
+	}
+	if c.cache.Packed() {
+		collected.layout = c.cache.Layout.Version
+	}
+	for _, group := range c.cache.Groups {
+		collected.largestRecordBytes = max(collected.largestRecordBytes, group.Size)
+	}
+	for _, version := range c.shards.owned {
+		if version > 0 {
+			collected.ownedShards++
+		}
+	}
+	return collected
+}
+
+func (c *Controller) queueLabels(class, team int) queueLabels {
+	return queueLabels{c.classLabel(class), c.cache.Teams[team].Name}
+}
+
+// addJobs adds what is counted over the open jobs.
+func (c *Controller) addJobs(collected *figures) {
+	for _, job := range c.cache.Jobs {
+		if job == nil || !job.Open() {
+			continue
+		}
+		collected.waitingTasks[c.queueLabels(job.Class, job.Team)] += float64(job.Waiting())
+		if c.suspect(job) {
+			collected.suspectJobs++
+		}
+		if job.DependencyFailed {
+			collected.dependencyFailedJobs++
+		} else if !job.Ready() {
+			collected.awaitingJobs++
+		}
+	}
+}
+
+// addMachines adds what is counted over the machines.
+func (c *Controller) addMachines(collected *figures) {
+	for _, machine := range c.cache.Machines {
+		if machine.Gone {
+			continue
+		}
+		machineType := c.cache.Types[machine.Type]
+		collected.machines[c.machineState(machine)]++
+		collected.gpus.free += machineType.Gpus
+		for _, placed := range machine.Tasks {
+			collected.gpus.free -= placed.Job.Gpus
+			collected.gpus.taken += placed.Job.Gpus
+		}
+		collected.moneyRate += c.cpuPrice(machine) * max(machineType.Cpus, 1)
+	}
+}
+
+// reachFigures tells whom this controller reaches.
+func (c *Controller) reachFigures(now time.Time) reachFigures {
+	reach := reachFigures{members: 1}
+	if c.storeHealth.served(now) {
+		reach.state = 1
+	}
+	if !c.session.notReady.Load() {
+		reach.workers = 1
+	}
+	heard, others := 0, 0
+	for name := range c.cache.Members {
+		if name == c.cfg.MemberName {
+			continue
+		}
+		others++
+		if peer, ok := c.reachability.peers[name]; ok && peer.fresh(now) {
+			heard++
+		}
+	}
+	if others > 0 {
+		reach.members = float64(heard) / float64(others)
+	}
+	return reach
+}
+
+// emit sends the values.
+func (f *figures) emit(metrics chan<- prometheus.Metric) {
+	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+	}
+	for labels, tasks := range f.waitingTasks {
+		gauge(descQueue, tasks, labels.class, labels.team)
+	}
+	for state, count := range f.machines {
+		gauge(descMachines, count, state)
+	}
+	for labels, cpus := range f.baselineCpus {
+		gauge(descBaseline, cpus, labels.class, labels.team)
+	}
+	gauge(descOverload, indicator(f.overloaded))
+	gauge(descGpus, f.gpus.taken, "taken")
+	gauge(descGpus, f.gpus.free, "free")
+	gauge(descMoneyRate, f.moneyRate)
+	gauge(descMemory, float64(systemMemory()))
+	gauge(descLeader, indicator(f.leader))
+	gauge(descRevision, float64(f.revision))
+	gauge(descShards, float64(f.ownedShards))
+	gauge(descReach, f.reach.state, "state")
+	gauge(descReach, f.reach.workers, "workers")
+	gauge(descReach, f.reach.members, "nodes")
+	gauge(descSuspect, float64(f.suspectJobs))
+	gauge(descAwaitingDependencies, float64(f.awaitingJobs))
+	gauge(descDependencyFailed, float64(f.dependencyFailedJobs))
+	gauge(descLayout, float64(f.layout))
+	gauge(descLargest, float64(f.largestRecordBytes))
+}
+
+// indicator is a condition as a gauge's value.
+func indicator(v bool) float64 {
+	if v {
+		return 1
+	}
+	return 0
+}
+
+// systemMemory is how many bytes of memory this process has obtained from the system.
+func systemMemory() uint64 {
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.Sys
+}
--- /dev/null
+++ b/internal/controller/log_counters.go
@@ -0,0 +1,60 @@
+package controller
+
+import "time"
+
+// logCounters are what the log tells now and then of how this controller fares.
+type logCounters struct {
+	passes  int
+	all     time.Duration // of all passes
+	longest time.Duration // of a pass
+	at      time.Time     // when the log last told
+	changes uint64        // made by this controller until then
+}
+
+// pass counts a planning pass.
+func (l *logCounters) pass(d time.Duration) {
+	l.passes++
+	l.all += d
+	l.longest = max(l.longest, d)
+}
+
+// logCountersInterval is how often the log tells how this controller fares.
+const logCountersInterval = 30 * time.Second
+
+// logCounters logs what operators compare between sizes; metrics have more of it.
+func (c *Controller) logCounters(now time.Time) {
+	counters := &c.metrics.counters
+	if now.Sub(counters.at) < logCountersInterval {
+		return
+	}
+	changes := c.store.ChangesUsed()
+	if !counters.at.IsZero() {
+		changesPerS := float64(changes-counters.changes) / now.Sub(counters.at).Seconds()
+		c.log.Info("counters", "machines", c.ownMachines(), "open_jobs", c.ownOpenJobs(), "passes", counters.passes,
+			"pass_mean_ms", millis(counters.all)/float64(max(1, counters.passes)), "pass_longest_ms", millis(counters.longest),
+			"changes_per_s", float64(int(changesPerS*10))/10, "revision", c.cache.Revision)
+	}
+	*counters = logCounters{at: now, changes: changes}
+}
+
+// ownMachines is how many machines are in this controller's shards.
+func (c *Controller) ownMachines() int {
+	count := 0
+	for _, machine := range c.cache.Machines {
+		if !machine.Gone && c.ownsShard(machine.Shard) {
+			count++
+		}
+	}
+	return count
+}
+
+// ownOpenJobs is how many unfinished jobs are in this controller's shards.
+func (c *Controller) ownOpenJobs() int {
+	count := 0
+	for _, job := range c.cache.Jobs {
+		if job != nil && job.Open() && c.ownsShard(job.Shard) {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/controller/operator_settings.go
@@ -0,0 +1,194 @@
+package controller
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+)
+
+// operatorState is the operators' settings in force, and the preemptions shown to them. It is
+// written by this file and eviction_views.go.
+type operatorState struct {
+	settings          OperatorSettings
+	version           uint64 // of the settings' record that was last looked at
+	recentPreemptions []EvictionView
+	preemptionsSeen   map[string]uint64 // by job: version of its victim set
+}
+
+// OperatorSettings are what operators may change while the service runs.
+type OperatorSettings struct {
+	Alpha      float64 `json:"alpha"`
+	MoveEveryS float64 `json:"move_every_s"`
+	LogLevel   string  `json:"log_level"`
+}
+
+// Names of the settings.
+const (
+	settingAlpha      = "alpha"
+	settingMoveEveryS = "move_every_s"
+	settingLogLevel   = "log_level"
+)
+
+// Bounds of the settings.
+const (
+	maxAlpha      = 1
+	minMoveEveryS = 0.25
+	maxMoveEveryS = 60
+)
+
+// logLevelAsStarted leaves the level that each controller was started with.
+const logLevelAsStarted = "as_started"
+
+var logLevels = []string{logLevelAsStarted, "error", "info", "debug"}
+
+// DefaultOperatorSettings hold until an operator changes them.
+func DefaultOperatorSettings() OperatorSettings {
+	return OperatorSettings{Alpha: DefaultAlpha, MoveEveryS: DefaultTiming().RebalanceInterval.Seconds(), LogLevel: logLevelAsStarted}
+}
+
+// SettingInfo explains one setting.
+type SettingInfo struct {
+	Name    string `json:"name"`
+	Default any    `json:"default"`
+	Range   string `json:"range"`
+	Reason  string `json:"reason"`
+}
+
+// SettingsInfo explains all settings.
+func SettingsInfo() []SettingInfo {
+	defaults := DefaultOperatorSettings()
+	return []SettingInfo{
+		{settingAlpha, defaults.Alpha, "0 to 1", "weight of work lost against time waited when evictions are ranked; 0 looks only at waiting, 1 only at loss"},
+		{settingMoveEveryS, defaults.MoveEveryS, "0.25 to 60", "how often the leader moves machines between shares"},
+		{settingLogLevel, defaults.LogLevel, "as_started, error, info or debug", "how much all nodes log; as_started follows LOG_LEVEL"},
+	}
+}
+
+// FieldError names the setting that was refused.
+type FieldError struct{ Field, Expected string }
+
+// Error says what the setting must be.
+func (e *FieldError) Error() string { return fmt.Sprintf("field %s: expected %s", e.Field, e.Expected) }
+
+// ErrVersion says that the settings have changed since they were read.
+var ErrVersion = errors.New("the settings have changed since this version was read")
+
+// ErrUnavailable says that the state service does not answer.
+var ErrUnavailable = errors.New("the state service does not answer")
+
+// Change applies a change, given as a JSON object of names and values, to
+// settings; the whole of it is checked.
+func (s OperatorSettings) Change(raw json.RawMessage) (OperatorSettings, error) {
+	var values map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &values); err != nil || values == nil {
+		return s, &FieldError{"settings", "an object of names and values"}
+	}
+	if len(values) == 0 {
+		return s, &FieldError{"settings", "at least one name"}
+	}
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		if !s.set(name, values[name]) {
+			return s, refusedSetting(name)
+		}
+	}
+	return s, nil
+}
+
+// set takes one setting's value, and tells whether it may have that.
+func (s *OperatorSettings) set(name string, value json.RawMessage) bool {
+	var err error
+	var inRange bool
+	switch name {
+	case settingAlpha:
+		err = json.Unmarshal(value, &s.Alpha)
+		inRange = s.Alpha >= 0 && s.Alpha <= maxAlpha
+	case settingMoveEveryS:
+		err = json.Unmarshal(value, &s.MoveEveryS)
+		inRange = s.MoveEveryS >= minMoveEveryS && s.MoveEveryS <= maxMoveEveryS
+	case settingLogLevel:
+		err = json.Unmarshal(value, &s.LogLevel)
+		inRange = slices.Contains(logLevels, s.LogLevel)
+	}
+	return err == nil && inRange && !bytes.Equal(bytes.TrimSpace(value), []byte("null"))
+}
+
+// refusedSetting is the error of a setting that is unknown or out of its range.
+func refusedSetting(name string) error {
+	for _, info := range SettingsInfo() {
+		if info.Name == name {
+			return &FieldError{name, info.Range}
+		}
+	}
+	return &FieldError{name, "a known setting"}
+}
+
+// applySettings takes up what the state service holds.
+func (c *Controller) applySettings() {
+	record := c.cache.Settings
+	if record.Version == c.operator.version {
+		return
+	}
+	c.operator.version = record.Version
+	settings := DefaultOperatorSettings()
+	if record.Value != nil {
+		var err error
+		if settings, err = settings.Change(record.Value); err != nil {
+			c.log.Error("settings in the state service are not taken up", "err", err)
+			return
+		}
+	}
+	c.operator.settings = settings
+	c.planner.alpha = settings.Alpha
+	c.timing.RebalanceInterval = seconds(settings.MoveEveryS)
+	if c.OnLogLevel != nil {
+		c.OnLogLevel(settings.LogLevel)
+	}
+	c.log.Info("settings taken up", "version", record.Version, "alpha", settings.Alpha, "move_every_s", settings.MoveEveryS, "log_level", settings.LogLevel)
+}
+
+// Settings returns the operators' settings with their version.
+func (c *Controller) Settings(ctx context.Context) (OperatorSettings, uint64, error) {
+	var settings OperatorSettings
+	var version uint64
+	if err := c.Barrier(ctx); err != nil {
+		return settings, 0, ErrUnavailable
+	}
+	err := c.call(ctx, func() { settings, version = c.operator.settings, c.cache.Settings.Version })
+	return settings, version, err
+}
+
+// ChangeSettings changes the operators' settings if version is still theirs.
+func (c *Controller) ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (OperatorSettings, uint64, error) {
+	current, currentVersion, err := c.Settings(ctx)
+	if err != nil {
+		return current, 0, err
+	}
+	next, err := current.Change(change)
+	if err != nil {
+		return current, currentVersion, err
+	}
+	if version != currentVersion {
+		return current, currentVersion, ErrVersion
+	}
+	txn := protocol.Txn{
+		If:   []protocol.Condition{{Key: storage.SettingsKey, Version: currentVersion}},
+		Then: []protocol.Change{{Put: storage.SettingsKey, Value: storage.Encode(next)}},
+	}
+	revision, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
+	switch {
+	case err != nil:
+		return current, currentVersion, ErrUnavailable
+	case len(failed) > 0:
+		return current, currentVersion, ErrVersion
+	}
+	err = c.call(ctx, func() { c.applyTxn(txn, revision); c.changed() })
+	c.log.Info("settings changed by an operator", "version", revision, "change", string(change))
+	return next, revision, err
+}
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -101,12 +101,7 @@
 	readModel.shown = now
 	head := readModel.head
 	head.Revision, head.Now, head.AsOf, head.StateOK = c.cache.Revision, now.UnixMilli(), readModel.asOf.UnixMilli(), c.storeHealth.served(now)
-	names := []string{c.cfg.MemberName}
-	for _, k := range c.cfg.Known {
-		names = append(names, k.MemberName)
-	}
-	slices.Sort(names)
-	for _, name := range names {
+	for _, name := range c.memberNames() {
 		n := view.Member{Name: name, Shares: []uint32{}}
 		if r := c.cache.Members[name]; r != nil {
 			n.Alive, n.Unfit = true, r.NotReady
@@ -252,13 +247,13 @@
 func (c *Controller) Reasons(ctx context.Context, scope view.Scope, ids []string) (out []view.Reason, err error) {
 	out = []view.Reason{}
 	err = c.call(ctx, func() {
-		kinds := c.kinds()
+		examples := c.exampleMachines()
 		for _, id := range ids[:min(len(ids), view.MaxReasons)] {
 			j := c.cache.Job(id)
 			if j == nil || scope != view.Operators && c.cache.Teams[j.Team].Name != string(scope) {
 				continue
 			}
-			out = append(out, view.Reason{Job: id, Why: c.whyWaits(j, kinds), Member: c.cfg.MemberName, Owner: c.ownsShard(j.Shard), At: time.Now().UnixMilli()})
+			out = append(out, view.Reason{Job: id, Why: c.waitReason(j, examples), Member: c.cfg.MemberName, Owner: c.ownsShard(j.Shard), At: time.Now().UnixMilli()})
 		}
 	})
 	return out, err
