--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -19,6 +19,22 @@
 	return names
 }
 
+// leads tells whether a member is the leader by its record.
+func (c *Controller) leads(member string) bool {
+	return c.cache.Leader.Version > 0 && c.cache.Leader.Member == member
+}
+
+// shardsOf are the shards that a member owns by their records.
+func (c *Controller) shardsOf(member string) []int {
+	shards := []int{}
+	for i, shard := range c.cache.Shards {
+		if shard.Member == member {
+			shards = append(shards, i)
+		}
+	}
+	return shards
+}
+
 // MemberView is a controller as operators see it.
 type MemberView struct {
 	Name          string  `json:"name"`
@@ -42,16 +58,10 @@
 }
 
 func (c *Controller) memberView(name string) MemberView {
-	view := MemberView{Name: name, HeartbeatAgeS: -1, Shards: []int{}}
+	view := MemberView{Name: name, Leader: c.leads(name), Shards: c.shardsOf(name), HeartbeatAgeS: -1}
 	if member := c.cache.Members[name]; member != nil {
 		view.Alive, view.Incarnation = true, member.Incarnation
 	}
-	view.Leader = c.cache.Leader.Version > 0 && c.cache.Leader.Member == name
-	for i, shard := range c.cache.Shards {
-		if shard.Member == name {
-			view.Shards = append(view.Shards, i)
-		}
-	}
 	if peer, ok := c.reachability.peers[name]; ok {
 		view.HeartbeatAgeS, view.StateOK = time.Since(peer.heardAt).Seconds(), peer.heartbeat.StateOK
 	}
--- a/internal/controller/deadline_inheritance.go
+++ b/internal/controller/deadline_inheritance.go
@@ -6,10 +6,10 @@
 	"dykeledge/internal/storage"
 )
 
-// Between two jobs of a pipeline lies more than the estimate: the last task's report, the
-// final record, the next placement, the fetch of its image; and an array lasts as long
-// as its slowest task.
 const (
+	// stepGap and stepMargin are what lies between two jobs of a pipeline beyond the estimate: the last
+	// task's heartbeat, the final record, the next placement, the fetch of its image; and an array
+	// lasts as long as its slowest task.
 	stepGap    = 6 * time.Second
 	stepMargin = 1.4
 )
@@ -17,32 +17,32 @@
 // inheritDeadlines keeps up what jobs inherit from those that need them, and looks at those that
 // became ready.
 func (c *Controller) inheritDeadlines() {
-	c.cache.Inherit(c.finishTimes, c.expectedDuration)
-	for _, j := range c.cache.NewlyReady() {
-		if j.Open() {
+	c.cache.Inherit(c.finishTimes, expectedDuration)
+	for _, job := range c.cache.NewlyReady() {
+		if job.Open() {
 			c.metrics.readyJobs.Inc()
-			c.log.Debug("job is ready", "job", j.ID, "after", j.ReadyAt.Sub(j.Submitted).Seconds(), "priority", j.Priority.String())
+			c.log.Debug("job is ready", "job", job.ID, "waited_s", job.ReadyAt.Sub(job.Submitted).Seconds(), "priority", job.Priority.String())
 		}
 	}
 }
 
 // finishTimes is when a job should be over by its own deadline, and by the latest of those that
-// count it as nearly in time.
-func (c *Controller) finishTimes(j *storage.Job) (by, late time.Time) {
-	if j.Deadline <= 0 {
+// count it as nearly in time; zero for a job without a deadline.
+func (c *Controller) finishTimes(job *storage.Job) (by, late time.Time) {
+	if job.Deadline <= 0 {
 		return by, late
 	}
 	times := 1.0
-	class := c.cache.Classes.Name(j.Class)
-	for _, o := range c.cfg.Deployment.Objectives {
-		if o.Class == class {
-			times = max(times, o.Times)
+	class := c.cache.Classes.Name(job.Class)
+	for _, objective := range c.cfg.Deployment.Objectives {
+		if objective.Class == class {
+			times = max(times, objective.Times)
 		}
 	}
-	return j.Submitted.Add(j.Deadline), j.Submitted.Add(time.Duration(float64(j.Deadline) * times))
+	return job.Submitted.Add(job.Deadline), job.Submitted.Add(time.Duration(float64(job.Deadline) * times))
 }
 
 // expectedDuration is how long a job will take once it is ready, as a guess.
-func (c *Controller) expectedDuration(j *storage.Job) time.Duration {
-	return stepGap + time.Duration(stepMargin*j.Estimate*float64(time.Second))
+func expectedDuration(job *storage.Job) time.Duration {
+	return stepGap + time.Duration(stepMargin*job.Estimate*float64(time.Second))
 }
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -103,7 +103,8 @@
 		return submissionCheck{known: true}
 	}
 	// Before the gate opens a controller of the version before would start a job with dependencies too early.
-	if !c.acceptsJobs() || len(submission.Dependencies) > 0 && !(c.follower.loaded && c.cache.Packed()) {
+	acceptsDependencies := c.follower.loaded && c.cache.Packed()
+	if !c.acceptsJobs() || len(submission.Dependencies) > 0 && !acceptsDependencies {
 		return submissionCheck{}
 	}
 	check := submissionCheck{ready: true, refusal: c.unschedulableReason(submission)}
--- /dev/null
+++ b/internal/controller/view_rows.go
@@ -0,0 +1,192 @@
+package controller
+
+import (
+	"math"
+	"slices"
+	"strings"
+	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
+	"dykeledge/internal/view"
+)
+
+// milli is a figure in thousandths.
+func milli(v float64) uint64 { return uint64(math.Round(1000 * v)) }
+
+// micro is a figure in millionths.
+func micro(v float64) uint64 { return uint64(math.Round(1e6 * v)) }
+
+// teamRow is a team's guarantee and limit.
+func teamRow(team config.Team) view.Team {
+	return view.Team{
+		Name:    team.Name,
+		Cpus:    milli(team.Cpus),
+		CpusMax: milli(team.CpusMax),
+		Gpus:    milli(team.Gpus),
+		GpusMax: milli(team.GpusMax),
+	}
+}
+
+// jobRow is a job as the read model shows it.
+func (c *Controller) jobRow(job *storage.Job) view.Job {
+	row := view.Job{
+		ID:       job.ID,
+		Team:     c.cache.Teams[job.Team].Name,
+		Class:    c.cache.Classes.Name(job.Class),
+		Priority: job.OwnPriority,
+		Service:  job.Shape == protocol.Service,
+		Suspect:  job.Suspect,
+		Evicting: c.cache.VictimSets[job.ID] != nil,
+		Tasks:    uint32(job.Tasks),
+		Done:     uint32(job.DoneCount),
+		Placed:   uint32(job.PlacedCount),
+		Shard:    uint32(job.Shard),
+		Cpus:     milli(job.Cpus),
+		Gpus:     milli(job.Gpus),
+		Submit:   job.Submitted.UnixMilli(),
+		From:     job.ReadyAt.UnixMilli(),
+		Estimate: milli(job.Estimate),
+		End:      job.FinalAtMs,
+	}
+	switch {
+	case job.Final == protocol.Done:
+		row.Status = view.Done
+	case !job.Open() || job.DependencyFailed:
+		row.Status = view.Cancelled
+	case job.PlacedCount > 0:
+		row.Status = view.Running
+	default:
+		row.Awaits = uint32(job.UnmetDependencies())
+	}
+	if job.Deadline > 0 {
+		row.Due = row.Submit + job.Deadline.Milliseconds()
+	}
+	return row
+}
+
+// machineRow is a machine as the read model shows it.
+func (c *Controller) machineRow(machine *storage.Machine) view.Machine {
+	machineType := c.cache.Types[machine.Type]
+	price := machineType.Price
+	if machine.Spot {
+		price = machineType.SpotPrice
+	}
+	row := view.Machine{
+		Name:  machine.Name,
+		State: machineRowState(machine),
+		Type:  c.cache.TypeIndex.Name(machine.Type),
+		Zone:  c.cache.Zones.Name(machine.Zone),
+		Spot:  machine.Spot,
+		Shard: uint32(machine.Shard),
+		Tasks: uint32(len(machine.Tasks)),
+		Cpus:  milli(machineType.Cpus),
+		Gpus:  milli(machineType.Gpus),
+		Price: micro(price),
+	}
+	for _, placed := range machine.Tasks {
+		cpus, gpus := milli(placed.Job.Cpus), milli(placed.Job.Gpus)
+		row.UsedCpus += cpus
+		row.UsedGpus += gpus
+		use := teamUse(&row, c.cache.Teams[placed.Job.Team].Name)
+		use.Tasks++
+		use.Cpus += cpus
+		use.Gpus += gpus
+	}
+	return row
+}
+
+// teamUse is what a team uses of a machine, made when it is first asked for; teams are in order.
+func teamUse(row *view.Machine, team string) *view.Use {
+	i, ok := slices.BinarySearchFunc(row.Uses, team, func(use view.Use, name string) int { return strings.Compare(use.Team, name) })
+	if !ok {
+		row.Uses = slices.Insert(row.Uses, i, view.Use{Team: team})
+	}
+	return &row.Uses[i]
+}
+
+// machineRowState is a machine's state by the records alone, as all of the read model is; machineState
+// also goes by what this controller hears of the worker.
+func machineRowState(machine *storage.Machine) view.MachineState {
+	switch {
+	case machine.Returning:
+		return view.Returning
+	case machine.Draining:
+		return view.Draining
+	case machine.Unhealthy:
+		return view.Sick
+	case machine.Incarnation == 0:
+		return view.Booting
+	case len(machine.Tasks) > 0:
+		return view.Busy
+	}
+	return view.Idle
+}
+
+// memberRow is a controller as the read model shows it.
+func (c *Controller) memberRow(name string) view.Member {
+	row := view.Member{Name: name, Leader: c.leads(name), Shares: []uint32{}}
+	if member := c.cache.Members[name]; member != nil {
+		row.Alive, row.Unfit = true, member.NotReady
+	}
+	for _, shard := range c.shardsOf(name) {
+		row.Shares = append(row.Shares, uint32(shard))
+	}
+	return row
+}
+
+// reasonRow is why a job waits; examples are machines of each kind.
+func (c *Controller) reasonRow(job *storage.Job, examples []*storage.Machine) view.Reason {
+	return view.Reason{
+		Job:    job.ID,
+		Why:    c.waitReason(job, examples),
+		Member: c.cfg.MemberName,
+		Owner:  c.ownsShard(job.Shard),
+		At:     time.Now().UnixMilli(),
+	}
+}
+
+// showEvicted brings an evicted set's row up to date. A set that is gone from the records is
+// over; its row stays among the latest.
+func (c *Controller) showEvicted(id string) {
+	model := c.readModel.model
+	old, had := model.EvictionOf(id)
+	victimSet := c.cache.VictimSets[id]
+	if victimSet == nil {
+		if had && old.Open {
+			old.Open = false
+			model.PutEviction(old)
+		}
+		return
+	}
+	row := view.Eviction{
+		Job:     id,
+		Team:    c.teamOf(id),
+		At:      victimSet.AtMs,
+		Shard:   uint32(victimSet.Shard),
+		Open:    true,
+		Victims: []view.Victim{},
+	}
+	if had && old.Open && old.At == row.At {
+		row.Key = old.Key
+	}
+	for _, victim := range victimSet.Victims {
+		row.Victims = append(row.Victims, view.Victim{
+			Job:     victim.Job,
+			Team:    c.teamOf(victim.Job),
+			Task:    uint32(victim.Task),
+			Attempt: victim.Attempt,
+			Score:   victim.Score,
+		})
+	}
+	model.PutEviction(row)
+}
+
+// teamOf is the name of a job's team, "" when only its final state is known.
+func (c *Controller) teamOf(id string) string {
+	if job := c.cache.Job(id); job != nil {
+		return c.cache.Teams[job.Team].Name
+	}
+	return ""
+}
