--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -80,6 +80,13 @@
 	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
 	controller.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
 	controller.recordPreemptions()
+	serveCalls(t, controller)
+	return controller
+}
+
+// serveCalls runs what is posted to a core that does not run itself, until the test ends.
+func serveCalls(t *testing.T, controller *Controller) {
+	t.Helper()
 	go func() {
 		for {
 			select {
@@ -90,15 +97,14 @@
 			}
 		}
 	}()
-	return controller
 }
 
 // TestGoldenAdminBodies pins the bodies of the administration API that a core makes.
 func TestGoldenAdminBodies(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // evictions are told in the controller's own time zone
+	time.Local = time.UTC // evictions are shown in the controller's own time zone
 	t.Cleanup(func() { time.Local = local })
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		read func(ctx context.Context, controller *Controller) (any, error)
 	}{
@@ -124,9 +130,9 @@
 		}},
 		{"evictions", func(ctx context.Context, c *Controller) (any, error) { return c.Evictions(ctx) }},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v, err := x.read(t.Context(), goldenCore(t))
+				v, err := test.read(t.Context(), goldenCore(t))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -134,7 +140,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				checkGolden(t, "admin-"+x.name+".json", string(raw)+"\n")
+				checkGolden(t, "admin-"+test.name+".json", string(raw)+"\n")
 			})
 		})
 	}
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -25,10 +25,10 @@
 }
 
 // A transaction of the process before was applied late: the record said what that had been,
-// and vanished with its hold. The controller lived on as no member, and the gate never opened.
+// and vanished with its session lease. The controller lived on as no member, and the gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
 	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesCancellationDigest}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		rec  *storage.MemberRecord
 		read uint64 // how far the cache is; the record was written at 40
@@ -38,26 +38,27 @@
 		{"of the process before", &storage.MemberRecord{Incarnation: 3}, 45, true},
 		{"none", nil, 45, true},
 		{"none yet: the cache has not come so far", nil, 39, false},
-		{"unfit, from an attempt with unknown outcome", &storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, NotReady: true}, 45, true},
+		{"not ready, from an attempt with unknown outcome", &storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, NotReady: true}, 45, true},
 		{"of a later process", &storage.MemberRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			controllerPutStore := putStore{puts: make(chan protocol.Change, 4)}
-			controller.store, controller.session.lease, controller.session.incarnation, controller.session.memberRevision, controller.cache.Revision = controllerPutStore, 11, 7, 40, x.read
-			if x.rec != nil {
-				controller.cache.Members["n0"] = &storage.Member{MemberRecord: *x.rec, Version: 41}
+			store := putStore{puts: make(chan protocol.Change, 4)}
+			controller.store, controller.cache.Revision = store, test.read
+			controller.session.lease, controller.session.incarnation, controller.session.memberRevision = 11, 7, 40
+			if test.rec != nil {
+				controller.cache.Members["n0"] = &storage.Member{MemberRecord: *test.rec, Version: 41}
 			}
 			controller.repairMemberRecord(t.Context())
-			if controller.session.memberWriteInFlight != x.want {
-				t.Fatalf("written anew: %v, want %v", controller.session.memberWriteInFlight, x.want)
+			if controller.session.memberWriteInFlight != test.want {
+				t.Fatalf("written again: %v, want %v", controller.session.memberWriteInFlight, test.want)
 			}
-			if !x.want {
+			if !test.want {
 				return
 			}
-			put := <-controllerPutStore.puts
+			put := <-store.puts
 			if string(put.Value) != string(storage.Encode(own)) || put.Lease != 11 || put.Put != storage.MemberKey("n0") {
-				t.Errorf("%s: %s under hold %d", put.Put, put.Value, put.Lease)
+				t.Errorf("%s: %s under session lease %d", put.Put, put.Value, put.Lease)
 			}
 			(<-controller.inbox)() // its outcome
 			if controller.repairMemberRecord(t.Context()); controller.session.memberWriteInFlight {
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -86,7 +86,7 @@
 		}
 		return raw
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		store  slowReader
 		cloud  bool
@@ -105,29 +105,29 @@
 		{name: "an outage", store: slowReader{down: true}, cloud: true, ready: true, status: 503},
 		{name: "refused alone", store: slowReader{down: true}, cloud: true, served: true, status: 503},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
 					Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
-				store := x.store
-				controller := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+				store := test.store
+				controller := New(cfg, &store, noCloud{catalog: test.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
-				if x.served {
+				if test.served {
 					controller.ReceivePeerHeartbeat("n1", protocol.PeerHeartbeat{StateOK: true, Revision: 4})
 				}
-				if got := controller.Ready(ctx); got != x.ready {
-					t.Errorf("ready: %v, want %v", got, x.ready)
+				if got := controller.Ready(ctx); got != test.ready {
+					t.Errorf("ready: %v, want %v", got, test.ready)
 				}
-				answer := controller.Submit(ctx, submission(x.awaits))
-				if answer.Status != x.status || (answer.Status == 503 && answer.RetryAfter < 1) {
-					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, x.status)
+				answer := controller.Submit(ctx, submission(test.awaits))
+				if answer.Status != test.status || (answer.Status == 503 && answer.RetryAfter < 1) {
+					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, test.status)
 				}
-				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (x.status == 201) {
+				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (test.status == 201) {
 					t.Errorf("committed: %v", committed)
 				}
-				// What it has not read it does not speak of.
+				// It answers nothing about what it has not read.
 				if a := controller.Query(ctx, "job-000001"); a.Status != 503 {
 					t.Errorf("a poll: %d, want 503", a.Status)
 				}
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -10,24 +10,26 @@
 	"dykeledge/internal/storage"
 )
 
-// How long a machine with a cancelled job's task may hang counted from its silence, from the takeover or from the beginning of an
-// outage; where owners changed, or the state service flapped, it began anew, and the task was there beyond cancel_s. One
-// deadline holds whoever owns the machine, and whatever became of the silence.
+// How long a machine with a cancelled job's task may hang counted from its silence, from the takeover or from
+// the beginning of an outage; where owners changed, or the state service flapped, it began again, and the
+// task was there beyond cancel_s. One deadline holds whoever owns the machine, and whatever became of the silence.
 func TestWhatWasCancelledHasOneDeadline(t *testing.T) {
+	// condition is what else holds when the deadline comes.
+	type condition int
 	const (
-		ended   = 1 << iota // the worker has shown that the task ended
-		others              // another controller's machine
-		outage              // the state service does not answer
-		unknown             // the job's record doesn't say when it was cancelled
-		told                // nor is it read: a peer has told
+		ended    condition = 1 << iota // the worker has shown that the task ended
+		others                         // another controller's machine
+		outage                         // the state service does not answer
+		unknown                        // the job's record doesn't say when it was cancelled
+		gossiped                       // nor is it read: a peer has told
 	)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name  string
-		is    int
+		is    condition
 		age   time.Duration // since it was cancelled
 		tried time.Duration // by this process
 		heard time.Duration // any worker was heard so long ago
-		awake time.Duration // this controller woke so long ago; 0: it never slept
+		awake time.Duration // this controller resumed from a stall so long ago; 0: it never stalled
 		want  bool
 	}{
 		{name: "before the deadline", age: 14 * time.Second, tried: 13 * time.Second},
@@ -38,13 +40,14 @@
 		{name: "another's machine", is: others, age: 16 * time.Second, tried: 5 * time.Second, want: true},
 		{name: "another's machine in an outage", is: others | outage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
 		{name: "the task has ended", is: ended, age: 20 * time.Second, tried: 19 * time.Second},
-		{name: "this node hears nobody: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
-		{name: "this node has just woken", age: 20 * time.Second, tried: 19 * time.Second, awake: time.Second},
+		{name: "this controller hears nobody: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
+		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, awake: time.Second},
 		{name: "nobody knows when: it counts from when this process learned of it", is: unknown, age: 40 * time.Second, tried: 14 * time.Second},
 		{name: "and then it is over as soon", is: unknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
-		{name: "a peer has told", is: told | outage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "a peer has gossiped", is: gossiped | outage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
+			has := func(c condition) bool { return test.is&c != 0 }
 			controller := newCore(t) // cancellations 30 s
 			machine := controller.cache.Machine("m")
 			now := time.Now()
@@ -55,36 +58,36 @@
 			}
 			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
-			record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-x.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
-			if x.is&unknown != 0 {
+			record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-test.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
+			if has(unknown) {
 				record.FinalAtMs = 0
 			}
-			if x.is&told != 0 {
+			if has(gossiped) {
 				controller.cancellations.digest.gossiped["job-000001"] = 9
 			} else {
 				apply(storage.JobKey("job-000001"), record, 6)
 			}
-			if x.is&ended != 0 {
+			if has(ended) {
 				controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
 			}
-			if x.is&others != 0 {
+			if has(others) {
 				controller.cache.Shards[0].Member = "n1"
 			}
 			controller.storeHealth.servedAt = now
-			if x.is&outage != 0 {
+			if has(outage) {
 				controller.storeHealth.servedAt = now.Add(-time.Hour)
 			}
-			controller.workers.anyHeardAt = now.Add(-x.tried)
-			if lost := controller.superviseTerminations(now.Add(-x.tried)); len(lost) > 0 {
+			controller.workers.anyHeardAt = now.Add(-test.tried)
+			if lost := controller.superviseTerminations(now.Add(-test.tried)); len(lost) > 0 {
 				t.Fatal("returned before anything was tried")
 			}
-			if controller.workers.anyHeardAt = now.Add(-x.heard); x.awake > 0 {
-				controller.reachability.resumedAt = now.Add(-x.awake)
+			if controller.workers.anyHeardAt = now.Add(-test.heard); test.awake > 0 {
+				controller.reachability.resumedAt = now.Add(-test.awake)
 			}
-			if lost := controller.superviseTerminations(now); (len(lost) > 0) != x.want {
-				t.Errorf("returned %v, want %v", lost, x.want)
+			if lost := controller.superviseTerminations(now); (len(lost) > 0) != test.want {
+				t.Errorf("returned %v, want %v", lost, test.want)
 			}
-			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (x.want && x.is&(others|outage) == 0) && x.is&outage == 0 {
+			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (test.want && !has(others|outage)) && !has(outage) {
 				t.Error("its owner returns it without saying so, or another one says so")
 			}
 		})
@@ -97,64 +100,67 @@
 	}
 }
 
-// What a mute machine runs ends with its lease, again and again: it is given nothing, and returned after a while; what it is asked
-// for directly refreshes neither.
+// What an unresponsive machine runs ends with its lease, again and again: it is given nothing, and returned
+// after a while; its replies to direct commands put off neither.
 func TestUnresponsiveMachines(t *testing.T) {
-	for i, x := range []struct {
-		name   string
-		mute   time.Duration
-		usable bool
-		why    bool // it is returned
+	for i, test := range []struct {
+		name     string
+		silent   time.Duration
+		usable   bool
+		returned bool
 	}{
-		{"it is silent, in a zone that is away: that has its own limits", 21 * time.Second, false, false},
+		{"it is silent, in a zone that is unreachable: that has its own limits", 21 * time.Second, false, false},
 		{"it still boots: nothing was heard of it", 21 * time.Second, false, false},
-		{"it has reported", time.Second, true, false},
+		{"it has sent a heartbeat", time.Second, true, false},
 		{"not for as long as it may take", 4 * time.Second, true, false},
 		{"for half of its lease", 6 * time.Second, false, false},
 		{"its tasks are lost", 21 * time.Second, false, true},
 	} {
-		controller := newCore(t) // heartbeats 1 s, leases 10 s
-		machine := controller.cache.Machine("m")
-		worker, now := controller.workerState(machine), time.Now()
-		worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-x.mute)
-		if i == 0 {
-			controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
-			controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
-			controller.reachability.leaseSeenAt["n1"] = now
-			machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
-			worker.heard, worker.missedProbes = worker.heartbeatAt, 9
-		} else if i > 1 {
-			controller.applyHeartbeat(machine, worker, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
-		} else {
-			worker.Worker, worker.heard, worker.since = dispatch.NewWorker(), now, worker.heartbeatAt
-		}
-		if got := controller.usable(machine, worker, now); got != x.usable {
-			t.Errorf("%s: usable %v, want %v", x.name, got, x.usable)
-		}
-		controller.superviseMachines(t.Context(), now, nil)
-		if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != x.why {
-			t.Errorf("%s: returned %v, want %v", x.name, !x.why, x.why)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			controller := newCore(t) // heartbeats 1 s, leases 10 s
+			machine := controller.cache.Machine("m")
+			worker, now := controller.workerState(machine), time.Now()
+			worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-test.silent)
+			if i == 0 {
+				controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
+				controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
+				controller.reachability.leaseSeenAt["n1"] = now
+				machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
+				worker.heard, worker.missedProbes = worker.heartbeatAt, 9
+			} else if i > 1 {
+				controller.applyHeartbeat(machine, worker, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
+			} else {
+				worker.Worker, worker.heard, worker.since = dispatch.NewWorker(), now, worker.heartbeatAt
+			}
+			if got := controller.usable(machine, worker, now); got != test.usable {
+				t.Errorf("usable %v, want %v", got, test.usable)
+			}
+			controller.superviseMachines(t.Context(), now, nil)
+			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != test.returned {
+				t.Errorf("returned %v, want %v", !test.returned, test.returned)
+			}
+		})
 	}
 }
 
-// A lead whose transaction's answer was lost is known from its record: what an earlier lead of the same process knew must not stay.
+// A leadership whose transaction's answer was lost is known from its record: what an earlier leadership of
+// the same process knew must not stay.
 func TestLeadershipBeginsWithItsRecord(t *testing.T) {
 	controller := newCore(t)
 	controller.leader.enrollPending["m9"], controller.leader.requestCount = true, 7
-	lead := func(node string, version uint64) {
-		if err := controller.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: node, Incarnation: 1}), version, false); err != nil {
+	lead := func(member string, version uint64) {
+		if err := controller.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: member, Incarnation: 1}), version, false); err != nil {
 			t.Fatal(err)
 		}
 		controller.changed()
 	}
 	lead("n0", 8)
 	if controller.leader.enrollPending["m9"] || controller.leader.requestCount != 7 {
-		t.Errorf("adopting %v, %d charters: want none of an earlier lead, and no rental's name again", controller.leader.enrollPending, controller.leader.requestCount)
+		t.Errorf("enrolling %v, %d scale-out requests: want none of an earlier leadership, and no request's name again", controller.leader.enrollPending, controller.leader.requestCount)
 	}
 	controller.leader.enrollPending["m9"] = true
 	lead("n0", 9) // its key rewritten by itself
 	if !controller.leader.enrollPending["m9"] {
-		t.Error("a lead that goes on began anew")
+		t.Error("a leadership that goes on began again")
 	}
 }
