--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -19,7 +19,7 @@
 	return names
 }
 
-// leads tells whether a member is the leader by its record.
+// leads reports whether a member is the leader by its record.
 func (c *Controller) leads(member string) bool {
 	return c.cache.Leader.Version > 0 && c.cache.Leader.Member == member
 }
@@ -126,5 +126,5 @@
 	return views
 }
 
-// Metrics returns this controller's figures.
+// Metrics returns this controller's metrics.
 func (c *Controller) Metrics() *Metrics { return c.metrics }
--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -20,9 +20,7 @@
 			for i := range 500 {
 				key := storage.JobKey(fmt.Sprintf("job-%06d", (i*7919)%100_000+10))
 				record := storage.JobRecord{Tasks: 1, Team: "red", Spec: &storage.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}
-				if err := controller.cache.Apply(key, storage.Encode(record), 5, false); err != nil {
-					t.Fatal(err)
-				}
+				applyRecord(t, controller, key, record, 5)
 			}
 			after, count := "", 0
 			for {
--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -6,7 +6,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// Answer is what a user gets; RetryAfter above 0 tells in how many seconds to come back.
+// Answer is what a user gets; RetryAfter above 0 is the seconds after which to come back.
 type Answer struct {
 	Status     int
 	Body       any
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -36,13 +36,13 @@
 	}
 }
 
-// finished tells whether nothing of a job is wanted any more: it has its final state, or a peer has
+// finished reports whether nothing of a job is wanted any more: it has its final state, or a peer has
 // gossiped that it is cancelled, which is committed, confirmed and never taken back.
 func (t *cancellationTracker) finished(job *storage.Job) bool {
 	return !job.Open() || t.digest.isGossiped(job.ID)
 }
 
-// cancelled tells whether a job is cancelled, as its record says or a peer that has confirmed it.
+// cancelled reports whether a job is cancelled, as its record says or a peer that has confirmed it.
 func (t *cancellationTracker) cancelled(job *storage.Job) bool {
 	return job.Final == protocol.Cancelled || t.digest.isGossiped(job.ID)
 }
@@ -80,14 +80,14 @@
 	vouchedUntil map[string]time.Time // by controller: all that it had confirmed until then is known here
 }
 
-// isGossiped tells whether a peer has said that a job is cancelled whose record does not show it yet.
+// isGossiped reports whether a peer has said that a job is cancelled whose record does not show it yet.
 func (d *digestState) isGossiped(job string) bool {
 	_, ok := d.gossiped[job]
 	return ok
 }
 
 // learn takes the cancellations of a digest whose records lie after revision, which this
-// controller has read up to, and tells whether one of them is news.
+// controller has read up to, and reports whether one of them is news.
 func (d *digestState) learn(cancellations []protocol.Cancellation, revision uint64) bool {
 	news := false
 	for _, cancellation := range cancellations {
@@ -134,7 +134,7 @@
 }
 
 // CancellationDigest is what this controller vouches for to another member, if that one reads it.
-// It leaves out what the other has read, up to a revision that it has told of itself.
+// It leaves out what the other has read, up to the revision in its peer heartbeat.
 func (c *Controller) CancellationDigest(member string) (protocol.CancellationDigest, bool) {
 	published := c.summary.digest.Load()
 	readers := c.summary.digestReaders.Load()
@@ -154,7 +154,7 @@
 	return digest, true
 }
 
-// digestReaders are the controllers that read digests, and how far each has told that its cache is.
+// digestReaders are the controllers that read digests, and the revision in the last peer heartbeat of each.
 func (c *Controller) digestReaders() *map[string]uint64 {
 	readers := map[string]uint64{}
 	for name, member := range c.cache.Members {
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -43,10 +43,8 @@
 			controller.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
 			controller.cfg.Deployment.ClockSkewMs = test.clocks
 			machine := controller.cache.Machine("m")
-			if err := controller.cache.Apply(storage.GroupKey(0), storage.Encode(storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
-				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}), 5, false); err != nil {
-				t.Fatal(err)
-			}
+			applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
+				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
 			now := time.Now()
 			controller.follower.cacheCurrentAt = now.Add(-test.read)
 			receive := func(member string, sent, started time.Duration, from uint64, list []protocol.Cancellation) {
--- a/internal/controller/deadline_inheritance.go
+++ b/internal/controller/deadline_inheritance.go
@@ -42,7 +42,7 @@
 	return job.Submitted.Add(job.Deadline), job.Submitted.Add(time.Duration(float64(job.Deadline) * times))
 }
 
-// expectedDuration is how long a job will take once it is ready, as a guess.
+// expectedDuration is a rough estimate of how long a job takes once it is ready.
 func expectedDuration(job *storage.Job) time.Duration {
 	return stepGap + time.Duration(stepMargin*job.Estimate*float64(time.Second))
 }
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -46,9 +46,9 @@
 	return dispatch.DesiredState{}
 }
 
-// checkpointedJustNow tells whether an attempt has run for little since its last checkpoint. Saving
-// that takes as long as what it keeps, and the room is wanted now. An attempt that is saving already
-// goes on.
+// checkpointedJustNow reports whether an attempt has run for less than a third of its interval since its
+// last checkpoint. Another one would take about as long as the work that it saves, and the room is wanted
+// now. An attempt that is saving already goes on.
 func (w *workerState) checkpointedJustNow(placed storage.PlacedTask) bool {
 	interval := placed.Job.CheckpointInterval
 	ref := dispatch.RefOf(placed)
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// reachFigures tells whom this controller reaches.
+// reachFigures is which of its neighbours this controller reaches.
 func (c *Controller) reachFigures(now time.Time) reachFigures {
 	reach := reachFigures{members: 1}
 	if c.storeHealth.served(now) {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -66,15 +66,9 @@
 func goldenCore(t *testing.T) *Controller {
 	t.Helper()
 	controller := newTeamCore(t)
-	put := func(key string, v any, version uint64) {
-		t.Helper()
-		if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
-			t.Fatal(err)
-		}
-	}
-	put(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
+	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
-	put(storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
+	applyRecord(t, controller, storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
 	was := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
 	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
@@ -84,6 +78,14 @@
 	return controller
 }
 
+// applyRecord puts a record into a core's cache.
+func applyRecord(t *testing.T, controller *Controller, key string, record any, version uint64) {
+	t.Helper()
+	if err := controller.cache.Apply(key, storage.Encode(record), version, false); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // serveCalls runs what is posted to a core that does not run itself, until the test ends.
 func serveCalls(t *testing.T, controller *Controller) {
 	t.Helper()
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// awaitsCommands tells whether a commit is likely to bring commands for a machine. A worker has
+// awaitsCommands reports whether a commit is likely to bring commands for a machine. A worker has
 // one heartbeat in flight at a time: an answer that waits for nothing delays its next one.
 func (c *Controller) awaitsCommands(machine *storage.Machine, worker *workerState) bool {
 	if len(worker.Gone) > 0 {
@@ -181,7 +181,7 @@
 	return free > minFreeCPUShare*cpus
 }
 
-// applyHeartbeat takes what a worker tells, by itself or as the reply to a direct command.
+// applyHeartbeat takes a worker's heartbeat; with reply it is the reply to a direct command.
 func (c *Controller) applyHeartbeat(machine *storage.Machine, worker *workerState, heartbeat *protocol.Heartbeat, token uint64, reply bool) {
 	now := time.Now()
 	c.noteUnresponsive(machine, worker, heartbeat, reply, now)
--- a/internal/controller/job_admission.go
+++ b/internal/controller/job_admission.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/storage"
 )
 
-// invalidDependency says why a job can't wait for what it names, "" if it can; missing tells that
+// invalidDependency says why a job can't wait for what it names, "" if it can; missing means that
 // it is because this controller knows no such job.
 func (c *Controller) invalidDependency(submission *protocol.Submission) (reason string, missing bool) {
 	for _, id := range submission.Dependencies {
@@ -55,7 +55,7 @@
 	return ""
 }
 
-// fitsSomeType tells whether a task fits a machine type that it may use, in a zone; below 0: in any.
+// fitsSomeType reports whether a task fits a machine type that it may use, in a zone; below 0: in any.
 func (c *Controller) fitsSomeType(submission *protocol.Submission, zone int) bool {
 	for i, machineType := range c.cache.Types {
 		tooSmall := machineType.Cpus <= 0 || submission.Cpus > machineType.Cpus || submission.Gpus > machineType.Gpus || submission.MemGB > machineType.Mem
@@ -68,7 +68,7 @@
 	return false
 }
 
-// acceptsJobs tells whether this controller can accept a job that awaits no other. That takes the machine
+// acceptsJobs reports whether this controller can accept a job that awaits no other. That takes the machine
 // types, and that the records are of a layout that it reads; whether the id is free is a condition of the
 // commit. So the gate and the catalog are read first, and after an end of all controllers submissions need
 // not wait until each has read every record. Once teams may have been changed it has to have read those,
@@ -80,7 +80,7 @@
 	return c.follower.loaded || c.cache.Packed() && !c.cache.TeamChangesEnabled() && !c.follower.foreignLayout
 }
 
-// Ready tells whether this controller can take requests. In an outage of the state service all
+// Ready reports whether this controller can take requests. In an outage of the state service all
 // controllers stay ready, those that began in it too: they refuse at once, and accept the moment it ends.
 func (c *Controller) Ready(ctx context.Context) bool {
 	ready := false
@@ -91,7 +91,7 @@
 	return err == nil && ready
 }
 
-// waitsForStore tells whether all that this controller lacks is an answer of the state service.
+// waitsForStore reports whether all that this controller lacks is an answer of the state service.
 func (c *Controller) waitsForStore(now time.Time) bool {
 	return !c.follower.foreignLayout && c.follower.loadFailed && c.cache.HasCatalog() && now.Sub(c.cancellations.unverified.since) > peerFresh
 }
--- a/internal/controller/job_queries.go
+++ b/internal/controller/job_queries.go
@@ -8,14 +8,14 @@
 	"dykeledge/internal/storage"
 )
 
-// jobLookup is what the cache tells of a job.
+// jobLookup is what the cache holds of a job.
 type jobLookup struct {
 	state  protocol.JobState
 	known  bool // the cache has such a job
 	loaded bool // the cache holds every record, so a job that it does not have did not exist
 }
 
-// final tells whether a job has its final state, which never changes.
+// final reports whether a job has its final state, which never changes.
 func (l jobLookup) final() bool { return l.known && l.state.Status.Final() }
 
 // statusOf is an unfinished or finished job's state.
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -60,7 +60,7 @@
 	return id
 }
 
-// submissionCheck is what is to be said of a submission before it is committed.
+// submissionCheck is the result of checking a submission before it is committed.
 type submissionCheck struct {
 	known             bool   // there is such a job already
 	ready             bool   // this controller can decide on it now
@@ -68,7 +68,7 @@
 	missingDependency bool   // the refusal is that this controller knows no such job as it awaits
 }
 
-// checkSubmission tells whether a submission can be accepted; the error is that it can't be told now.
+// checkSubmission reports whether a submission can be accepted; the error means that it can't be decided now.
 func (c *Controller) checkSubmission(ctx context.Context, submission *protocol.Submission) (submissionCheck, error) {
 	began := time.Now()
 	var check submissionCheck
@@ -157,7 +157,8 @@
 // id sets the chunks of each attempt to write a description apart.
 func (k chunking) id() string { return fmt.Sprintf("%d-%d", k.member, k.write) }
 
-// possible tells whether chunks may be written: the version before does not read them.
+// possible reports whether chunks may be written: the version before does not read them, and a
+// controller without an incarnation could not set its own apart.
 func (k chunking) possible() bool { return k.packed && k.member != 0 }
 
 // nextChunking is how the next description may be written.
--- a/internal/controller/lease_knowledge.go
+++ b/internal/controller/lease_knowledge.go
@@ -45,7 +45,7 @@
 	return maxTime(c.follower.cacheCurrentAt, vouched)
 }
 
-// mayRenewLeases tells whether this controller knows enough to renew a worker's lease: every cancellation
+// mayRenewLeases reports whether this controller knows enough to renew a worker's lease: every cancellation
 // that was confirmed until some time ago. One that it does not know was confirmed after that, so the last
 // lease that it renews ends within cancel_s of it. A controller that has read no records goes by its start.
 func (c *Controller) mayRenewLeases(now time.Time) bool {
--- a/internal/controller/log_counters.go
+++ b/internal/controller/log_counters.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// logCounters are what the log tells now and then of how this controller fares.
+// logCounters are what is logged every logCountersInterval of this controller's work.
 type logCounters struct {
 	passes  int
 	all     time.Duration // of all passes
 	longest time.Duration // of a pass
-	at      time.Time     // when the log last told
+	at      time.Time     // when they were last logged
 	changes uint64        // made by this controller until then
 }
 
@@ -18,10 +18,11 @@
 	l.longest = max(l.longest, d)
 }
 
-// logCountersInterval is how often the log tells how this controller fares.
+// logCountersInterval is how often the counters are logged.
 const logCountersInterval = 30 * time.Second
 
-// logCounters logs what operators compare between sizes; metrics have more of it.
+// logCounters logs the figures that operators compare between clusters of different sizes; the metrics
+// have more of them.
 func (c *Controller) logCounters(now time.Time) {
 	counters := &c.metrics.counters
 	if now.Sub(counters.at) < logCountersInterval {
--- a/internal/controller/machine_views.go
+++ b/internal/controller/machine_views.go
@@ -58,7 +58,7 @@
 	return info
 }
 
-// machineState is one word for how a machine stands.
+// machineState is a machine's state as operators and metrics see it.
 func (c *Controller) machineState(machine *storage.Machine) string {
 	worker := c.workers.states[machine.Index]
 	switch {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -111,12 +111,12 @@
 	c.writeMember(ctx, protocol.Txn{}, c.session.notReady.Load(), func(bool) {})
 }
 
-// supersededBy tells whether a member record is of a later process of this name: this one is not wanted any more.
+// supersededBy reports whether a member record is of a later process of this name: this one is not wanted any more.
 func (c *Controller) supersededBy(member *storage.Member) bool {
 	return member.Incarnation > c.session.incarnation
 }
 
-// describes tells whether a member record is of this process as it is now.
+// describes reports whether a member record is of this process as it is now.
 func (c *Controller) describes(member *storage.Member) bool {
 	return member.Incarnation == c.session.incarnation && member.NotReady == c.session.notReady.Load() && member.Layout == c.Layout
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,7 +8,7 @@
 	"dykeledge/internal/controller/dispatch"
 )
 
-// Metrics are this controller's figures. Labels are bounded: classes, teams, states
+// Metrics are this controller's metrics. Labels are bounded: classes, teams, states
 // and outcomes, never jobs or machines.
 type Metrics struct {
 	Registry            *prometheus.Registry
@@ -25,7 +25,7 @@
 	uncertainHeartbeats prometheus.Counter
 	heartbeatSeconds    prometheus.Histogram
 	planSeconds         prometheus.Histogram
-	counters            logCounters // what the log tells now and then
+	counters            logCounters // logged every logCountersInterval
 	Requests            *prometheus.CounterVec
 }
 
@@ -33,7 +33,7 @@
 // others have one in common.
 const maxClasses = 64
 
-// NewMetrics registers the figures that are counted as they happen.
+// NewMetrics registers the metrics that are counted as they happen; gauges are collected when asked for.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -101,7 +101,7 @@
 	return s, nil
 }
 
-// set takes one setting's value, and tells whether it may have that.
+// set takes one setting's value, and reports whether it may have that.
 func (s *OperatorSettings) set(name string, value json.RawMessage) bool {
 	var err error
 	var inRange bool
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -11,11 +11,11 @@
 const (
 	// peerFresh is how long what was heard of a peer, or of the state service, counts as current.
 	peerFresh = 2 * time.Second
-	// storeOKWindow is how long after an answer of the state service this controller tells that it is served.
+	// storeOKWindow is how long after an answer of the state service this controller says that it is served.
 	storeOKWindow = 3 * time.Second
 	// maxPublishedShards is how many shards a peer heartbeat has bits for.
 	maxPublishedShards = 64
-	// maxShardDemands bounds what is told of the top-priority work that lacks room.
+	// maxShardDemands is how many of the top-priority jobs that lack room are published.
 	maxShardDemands = 16
 )
 
@@ -27,7 +27,7 @@
 	deniedSince time.Time // says since then that the state service does not serve it
 }
 
-// fresh tells whether a peer was heard a moment ago.
+// fresh reports whether a peer was heard a moment ago.
 func (p peerState) fresh(now time.Time) bool { return now.Sub(p.heardAt) < peerFresh }
 
 // publishedSummary is what other goroutines may read without asking the core.
@@ -97,7 +97,7 @@
 	return sum
 }
 
-// PeerHeartbeat is what this controller tells the others of itself.
+// PeerHeartbeat is what this controller sends to the others about itself.
 func (c *Controller) PeerHeartbeat() protocol.PeerHeartbeat {
 	if heartbeat := c.summary.heartbeat.Load(); heartbeat != nil {
 		return *heartbeat
@@ -121,7 +121,7 @@
 	c.post(func() { c.reachability.hearPeer(member, heartbeat, time.Now()) })
 }
 
-// hearPeer notes what a peer tells of itself.
+// hearPeer notes a peer's heartbeat.
 func (r *reachability) hearPeer(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
 	heard := peerState{heartbeat: heartbeat, heardAt: now}
 	if !heartbeat.StateOK {
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -16,7 +16,7 @@
 // So renewals for others have an end; and since a living owner may not have read what was cancelled
 // just before, a controller that knows of it sends the kill commands.
 
-// renewsAsProxy tells whether this controller keeps up the lease of another owner's machine: that owner
+// renewsAsProxy reports whether this controller keeps up the lease of another owner's machine: that owner
 // has ended and nobody has its shard yet, or neither it nor the state service is heard. After an end of
 // all controllers workers were sent on to dead owners, and by the time they had tried every other
 // controller their leases had run out.
@@ -33,7 +33,7 @@
 		c.ownerSilent(shard.Member, now)
 }
 
-// ownerSilent tells whether a shard's owner is not heard. What is heard under the owner's name may be
+// ownerSilent reports whether a shard's owner is not heard. What is heard under the owner's name may be
 // its successor, restarted in the outage, which has read nothing: that one owns nothing.
 func (c *Controller) ownerSilent(member string, now time.Time) bool {
 	peer := c.reachability.peers[member]
@@ -60,7 +60,7 @@
 	return protocol.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []protocol.Command{}}, true
 }
 
-// allRestarted tells whether every other controller is heard and has read no records either: all have
+// allRestarted reports whether every other controller is heard and has read no records either: all have
 // ended. Where one has read them, the worker is better off there; and one that is silent may have confirmed
 // cancellations until now, which the controller that answered the worker last could not know.
 func (c *Controller) allRestarted(now time.Time) bool {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -4,7 +4,7 @@
 
 // Everything that this controller concludes from silence goes through this file and
 // stall_detection.go. A controller that stalled while its clocks ran on finds every timer due and
-// everything last heard long ago, although it was the one that did not listen.
+// everything last heard long ago, although it was itself that did not listen.
 
 // reachability is when this controller itself was running, and whom it hears: peers and zones.
 // It is written by this file, stall_detection.go, peers.go and zones.go.
@@ -48,7 +48,7 @@
 	return now.Sub(maxTime(at, c.reachability.resumedAt))
 }
 
-// memberLost tells whether a controller's process seems to have ended, or says itself that the
+// memberLost reports whether a controller's process seems to have ended, or says itself that the
 // state service refuses it. A lost connection is a hint for as long as the controller's session lease may
 // outlive it: a controller whose record is still there later has renewed its session lease, whatever became
 // of the connection. And a controller that loses most of several others at once is more likely to be
@@ -77,8 +77,8 @@
 	return others <= fewOtherMembers || 2*lost <= others+1
 }
 
-// seemsLost tells whether a member's connection ended long enough ago for it to be no hiccup, and
-// less than maxAge ago.
+// seemsLost reports whether a member's connection ended longer than lostAfter and less than
+// maxAge ago.
 func (r *reachability) seemsLost(member string, maxAge time.Duration, now time.Time) bool {
 	at, ok := r.disconnected[member]
 	if !ok {
@@ -88,14 +88,14 @@
 	return age > lostAfter && age < maxAge
 }
 
-// memberDenied tells whether a controller says that the state service does not serve it, while
+// memberDenied reports whether a controller says that the state service does not serve it, while
 // it serves this one: its session lease would keep its shards for seconds more.
 func (c *Controller) memberDenied(member string, now time.Time) bool {
 	peer, ok := c.reachability.peers[member]
 	return ok && c.storeHealth.served(now) && peer.fresh(now) && !peer.deniedSince.IsZero() && now.Sub(peer.deniedSince) > lostAfter
 }
 
-// isolatedFromStore tells whether the state service refuses this controller while it serves
+// isolatedFromStore reports whether the state service refuses this controller while it serves
 // another: then users are better off elsewhere. In an outage nobody is served,
 // and a controller that stays ready can take requests the moment it ends.
 func (c *Controller) isolatedFromStore(now time.Time) bool {
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -35,7 +35,7 @@
 	reached  chan struct{}
 }
 
-// join returns the run that a reader waits for; start tells that the caller must start the runs.
+// join returns the run that a reader waits for; start means that the caller must start the runs.
 func (b *barrier) join() (run *barrierRun, start bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// await has a waiter told when the cache, which is at current now, has come as far as it needs.
+// await has a waiter released when the cache, which is at current now, has come as far as it needs.
 func (f *stateFollower) await(waiter revisionWaiter, current uint64) {
 	if current >= waiter.revision && f.loaded {
 		close(waiter.reached)
@@ -112,7 +112,7 @@
 	}
 }
 
-// releaseWaiters tells those who waited for the cache to come as far as current.
+// releaseWaiters releases those who waited for the cache to come as far as current.
 func (f *stateFollower) releaseWaiters(current uint64) {
 	keep := f.waiters[:0]
 	for _, waiter := range f.waiters {
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -47,7 +47,7 @@
 	c.cache.EnableChangeFeed()
 }
 
-// ViewEnabled tells whether the controller keeps a read model.
+// ViewEnabled reports whether the controller keeps a read model.
 func (c *Controller) ViewEnabled() bool { return c.readModel != nil }
 
 // showView brings the model up to date and takes a snapshot, if somebody reads and the cache is
@@ -76,7 +76,7 @@
 	}
 }
 
-// due tells whether somebody reads and the latest snapshot is not too young.
+// due reports whether somebody reads and the latest snapshot is not too young.
 func (r *readModel) due(now time.Time) bool {
 	return now.Sub(r.shown) >= viewInterval && r.hub.Wanted(now)
 }
@@ -160,13 +160,13 @@
 	})
 }
 
-// HasTeam tells whether the deployment has a team.
+// HasTeam reports whether the deployment has a team.
 func (c *Controller) HasTeam(name string) bool {
 	return slices.ContainsFunc(c.cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == name })
 }
 
-// Reasons tells why jobs wait, for those of them that a scope may know of and that this controller
-// has. It costs the core as much as it tells, and is asked for what is on a screen.
+// Reasons is why jobs wait, for those of them that a scope may know of and that this controller
+// has. Its cost to the core grows with the answer; it is asked for what is on a screen.
 func (c *Controller) Reasons(ctx context.Context, scope view.Scope, ids []string) (reasons []view.Reason, err error) {
 	reasons = []view.Reason{}
 	err = c.call(ctx, func() {
@@ -181,7 +181,7 @@
 	return reasons, err
 }
 
-// mayRead tells whether a scope may know of a job: operators of all, a team of its own.
+// mayRead reports whether a scope may know of a job: operators of all, a team of its own.
 func (c *Controller) mayRead(scope view.Scope, job *storage.Job) bool {
 	return scope == view.Operators || c.cache.Teams[job.Team].Name == string(scope)
 }
--- a/internal/controller/stall_detection.go
+++ b/internal/controller/stall_detection.go
@@ -23,11 +23,11 @@
 	clear(c.leader.unrecorded)
 }
 
-// stalledSince tells whether this controller stalled after a time: what it worked out
+// stalledSince reports whether this controller stalled after a time: what it worked out
 // before may be older than what another controller has said since.
 func (r *reachability) stalledSince(at time.Time) bool { return r.resumedAt.After(at) }
 
-// leaseCertain tells whether this controller's session lease is certain to last still. When it is not,
+// leaseCertain reports whether this controller's session lease is certain to last still. When it is not,
 // another controller may own its shards or lead already. What is conditional on records
 // fails by itself then; what is not must wait.
 func (c *Controller) leaseCertain(now time.Time) bool {
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -188,9 +188,7 @@
 			for i := range test.machines {
 				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 			}
-			if err := controller.cache.Apply(storage.FleetKey("x0"), storage.Encode(fleet), 5, false); err != nil {
-				t.Fatal(err)
-			}
+			applyRecord(t, controller, storage.FleetKey("x0"), fleet, 5)
 			for _, m := range controller.cache.Machines {
 				m.Incarnation = 1
 			}
@@ -231,9 +229,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			if err := controller.cache.Apply(storage.JobKey("job-000002"), storage.Encode(storage.JobRecord{Tasks: 1, DoneCount: 1, Final: "done"}), 5, false); err != nil {
-				t.Fatal(err)
-			}
+			applyRecord(t, controller, storage.JobKey("job-000002"), storage.JobRecord{Tasks: 1, DoneCount: 1, Final: "done"}, 5)
 			controller.store = stallingStore{meanwhile: func() {
 				if test.stalls {
 					controller.post(func() { controller.reachability.resumedAt = time.Now() })
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -21,7 +21,7 @@
 	machineWeight = 3
 )
 
-// updateRateShare tells the state service's client how much of its rate this controller may
+// updateRateShare sets in the state service's client how much of its rate this controller may
 // use: in proportion to the machines that it commits for, which every controller knows.
 func (c *Controller) updateRateShare() {
 	part := c.ownedPart()
@@ -67,12 +67,12 @@
 	h.changesUsed, h.changesUsedAt = changesUsed, now
 }
 
-// storeFailing tells whether answers should not wait for a commit.
+// storeFailing reports whether answers should not wait for a commit.
 func (c *Controller) storeFailing() bool {
 	return !c.storeHealth.failingSince.IsZero() && time.Since(c.storeHealth.failingSince) > storeFailingAfter
 }
 
-// served tells whether the state service has answered this controller well just now.
+// served reports whether the state service has answered this controller well just now.
 func (h *storeHealth) served(now time.Time) bool {
 	return h.failingSince.IsZero() && now.Sub(h.servedAt) < peerFresh
 }
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -14,7 +14,7 @@
 )
 
 // This file owns that what was cancelled is gone in time. Each cancellation has one deadline, which counts
-// from when it was confirmed (its record tells), whoever owns the machines by then and whatever else is
+// from when it was confirmed (its record says when), whoever owns the machines by then and whatever else is
 // wrong: by half of cancel_s each of its tasks is shown to have ended, or its machine is returned at the
 // cloud. Limits that counted from silence, from a takeover or from the beginning of an outage began again
 // with each of them, and a machine that hung outlived cancel_s where owners changed every few seconds.
@@ -40,7 +40,7 @@
 // terminationDeadline is the deadline of a cancellation. What is left of cancel_s is for the cloud, which may refuse for a while.
 func terminationDeadline(w config.Workers) time.Duration { return seconds(w.CancelS / 2) }
 
-// cancellationAge is how long ago a job may have been cancelled at most. Where its record doesn't tell, since
+// cancellationAge is how long ago a job may have been cancelled at most. Where its record doesn't say, since
 // the version before wrote it or it is not read yet, that counts from when this process learned of it,
 // which is kept in noted.
 func (c *Controller) cancellationAge(job *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
@@ -55,8 +55,8 @@
 	return now.Sub(learnedAt)
 }
 
-// cancellationAgeByMachine is, by machine, how long ago the earliest of those cancelled jobs was whose
-// tasks are not shown to have ended there.
+// cancellationAgeByMachine is, by machine, the age of the oldest cancellation whose tasks are not shown
+// to have ended there.
 func (c *Controller) cancellationAgeByMachine(now time.Time) map[int32]time.Duration {
 	ages := map[int32]time.Duration{}
 	noted := map[string]time.Time{}
@@ -75,7 +75,7 @@
 	return ages
 }
 
-// attemptEnded tells whether an attempt is shown to have ended on a machine: that one is gone, or
+// attemptEnded reports whether an attempt is shown to have ended on a machine: that one is gone, or
 // this controller owns it and has the proof.
 func (c *Controller) attemptEnded(ref dispatch.Ref, machine *storage.Machine) bool {
 	if machine.Gone {
@@ -86,8 +86,8 @@
 }
 
 // superviseTerminations has what was cancelled terminated, on others' machines too where their owners may
-// not know or not be able to, and tells which machines must be returned since it can't be shown to have
-// ended there. In an outage no record can say that they are, but a return needs none: a machine is gone with
+// not know or not be able to, and returns the machines that must be given up since it can't be shown to
+// have ended there. In an outage no record can say that they are, but a return needs none: a machine is gone with
 // all that is on it, whoever asks, and nothing is placed again before its owner has that proof too. A
 // controller that hears no worker at all may be the one that is cut off.
 func (c *Controller) superviseTerminations(now time.Time) (lost []string) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// triedLongEnough tells whether this process has tried in vain for as long as it must.
+// triedLongEnough reports whether this process has tried in vain for as long as it must.
 func (c *Controller) triedLongEnough(attempt *termination, now time.Time) bool {
 	return !attempt.failingSince.IsZero() && c.silenceOf(attempt.failingSince, now) > terminationPatience
 }
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -51,12 +51,7 @@
 			controller := newCore(t) // cancellations 30 s
 			machine := controller.cache.Machine("m")
 			now := time.Now()
-			apply := func(key string, v any, version uint64) {
-				if err := controller.cache.Apply(key, storage.Encode(v), version, false); err != nil {
-					t.Fatal(err)
-				}
-			}
-			apply(storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
+			applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
 			record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-test.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
 			if has(unknown) {
@@ -65,7 +60,7 @@
 			if has(gossiped) {
 				controller.cancellations.digest.gossiped["job-000001"] = 9
 			} else {
-				apply(storage.JobKey("job-000001"), record, 6)
+				applyRecord(t, controller, storage.JobKey("job-000001"), record, 6)
 			}
 			if has(ended) {
 				controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
@@ -149,9 +144,7 @@
 	controller := newCore(t)
 	controller.leader.enrollPending["m9"], controller.leader.requestCount = true, 7
 	lead := func(member string, version uint64) {
-		if err := controller.cache.Apply(storage.LeaderKey, storage.Encode(storage.LeaderRecord{Member: member, Incarnation: 1}), version, false); err != nil {
-			t.Fatal(err)
-		}
+		applyRecord(t, controller, storage.LeaderKey, storage.LeaderRecord{Member: member, Incarnation: 1}, version)
 		controller.changed()
 	}
 	lead("n0", 8)
--- a/internal/controller/worker_registry.go
+++ b/internal/controller/worker_registry.go
@@ -64,7 +64,7 @@
 	return worker
 }
 
-// hasEnded tells whether an attempt is proved to be gone.
+// hasEnded reports whether an attempt is proved to be gone.
 func (w *workerState) hasEnded(ref dispatch.Ref) bool {
 	_, ok := w.Gone[ref]
 	return ok
