--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -15,6 +15,9 @@
 	maxCommands       = 200 // in one answer
 	maxDirectCommands = 48  // direct commands at a time
 	checkpointMargin  = 2.0 // seconds of grace beyond what a task needs to save
+	// preemptionMarginS is how many seconds before a preemption a task is commanded to save, beyond
+	// its grace and the next heartbeat.
+	preemptionMarginS = 1
 	// directCommandTimeout bounds how long a worker may take to answer commands.
 	directCommandTimeout = 2 * time.Second
 	// directProbeTimeout bounds how long it may take where there is nothing to command.
@@ -24,8 +27,9 @@
 // desiredState is what this owner wants of a placed attempt.
 func (c *Controller) desiredState(machine *storage.Machine, worker *workerState, placed storage.PlacedTask) dispatch.DesiredState {
 	job := placed.Job
+	checkpoints := job.CheckpointInterval > 0
 	grace := 0.0
-	if job.CheckpointInterval > 0 {
+	if checkpoints {
 		grace = job.CheckpointCost + checkpointMargin
 	}
 	switch {
@@ -36,16 +40,21 @@
 			grace = 0
 		}
 		return dispatch.DesiredState{Stop: true, Grace: grace}
-	case machine.Draining && job.CheckpointInterval > 0 && c.leavesDrained(machine, worker, placed, time.Now()):
+	case machine.Draining && checkpoints && c.leavesDrained(machine, worker, placed, time.Now()):
 		return dispatch.DesiredState{Stop: true, Grace: grace}
 	case machine.Draining && c.jobStates[job] != nil && c.jobStates[job].relocating == dispatch.RefOf(placed):
 		return dispatch.DesiredState{Stop: true}
-	case !worker.preemptedAt.IsZero() && job.CheckpointInterval > 0 && time.Until(worker.preemptedAt) < seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+1):
+	case checkpoints && worker.preemptedWithin(seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+preemptionMarginS)):
 		return dispatch.DesiredState{Stop: true, Grace: grace}
 	}
 	return dispatch.DesiredState{}
 }
 
+// preemptedWithin reports whether the cloud has announced to take the worker's machine within a while.
+func (w *workerState) preemptedWithin(d time.Duration) bool {
+	return !w.preemptedAt.IsZero() && time.Until(w.preemptedAt) < d
+}
+
 // checkpointedJustNow reports whether an attempt has run for less than a third of its interval since its
 // last checkpoint. Another one would take about as long as the work that it saves, and the room is wanted
 // now. An attempt that is saving already goes on.
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -150,7 +150,8 @@
 	if c.OnLogLevel != nil {
 		c.OnLogLevel(settings.LogLevel)
 	}
-	c.log.Info("settings taken up", "version", record.Version, "alpha", settings.Alpha, "move_every_s", settings.MoveEveryS, "log_level", settings.LogLevel)
+	c.log.Info("settings taken up", "version", record.Version, settingAlpha, settings.Alpha,
+		settingMoveEveryS, settings.MoveEveryS, settingLogLevel, settings.LogLevel)
 }
 
 // Settings returns the operators' settings with their version.
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -121,7 +121,7 @@
 			if own {
 				c.sendDirect(machine, true)
 			} else {
-				c.terminateOn(machine, protocol.DirectCommands{FencingToken: c.cache.FencingToken(machine), Incarnation: machine.Incarnation, Commands: c.killCommands(machine)}, true)
+				c.terminateOn(machine, c.killsByRecord(machine), true)
 			}
 		}
 	}
@@ -179,6 +179,15 @@
 	return commands
 }
 
+// killsByRecord are a machine's kill commands under the fencing token and the incarnation of its record.
+func (c *Controller) killsByRecord(machine *storage.Machine) protocol.DirectCommands {
+	return protocol.DirectCommands{
+		FencingToken: c.cache.FencingToken(machine),
+		Incarnation:  machine.Incarnation,
+		Commands:     c.killCommands(machine),
+	}
+}
+
 // terminateOn sends kill commands straight to a worker that this controller does not own. If it refuses
 // them since its incarnation or its fencing token is another, its heartbeat tells both, and what of the
 // jobs that are over is on it in truth: with again they are sent once more. Kill commands for what is over
@@ -215,7 +224,8 @@
 		return
 	}
 	if again && c.workers.directCommands < maxDirectCommands {
-		c.terminateOn(machine, protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: left}, false)
+		kills := protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: left}
+		c.terminateOn(machine, kills, false)
 	}
 }
 
