--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -74,18 +74,21 @@
 	return &protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}}, nil
 }
 
+// submissionBody is the body of a small job's submission that awaits others.
+func submissionBody(t *testing.T, awaits []string) []byte {
+	t.Helper()
+	raw, err := json.Marshal(map[string]any{"id": "job-000007", "jobclass": "c", "crew": "red", "shape": "batch", "urgency": "normal",
+		"shards": 2, "cpus": 1.0, "accelerators": 0.0, "ramGb": 1.0, "kit": "i", "pullGb": 0.5, "hulls": nil, "berth": nil,
+		"together": false, "scatter": false, "loaners": true, "expectedS": 5.0, "markEveryS": 0.0, "markCostS": 0.0, "dueS": nil, "awaits": awaits})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
 // After an end of all controllers each read every record before it took a submission, seconds
 // with 1235 machines, although accepting a job takes none of them.
 func TestRestartedControllerAcceptsBeforeItHasReadAll(t *testing.T) {
-	submission := func(awaits []string) []byte {
-		raw, err := json.Marshal(map[string]any{"id": "job-000007", "jobclass": "c", "crew": "red", "shape": "batch", "urgency": "normal",
-			"shards": 2, "cpus": 1.0, "accelerators": 0.0, "ramGb": 1.0, "kit": "i", "pullGb": 0.5, "hulls": nil, "berth": nil,
-			"together": false, "scatter": false, "loaners": true, "expectedS": 5.0, "markEveryS": 0.0, "markCostS": 0.0, "dueS": nil, "awaits": awaits})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return raw
-	}
 	for _, test := range []struct {
 		name   string
 		store  slowReader
@@ -120,7 +123,7 @@
 				if got := controller.Ready(ctx); got != test.ready {
 					t.Errorf("ready: %v, want %v", got, test.ready)
 				}
-				answer := controller.Submit(ctx, submission(test.awaits))
+				answer := controller.Submit(ctx, submissionBody(t, test.awaits))
 				if answer.Status != test.status || (answer.Status == 503 && answer.RetryAfter < 1) {
 					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, test.status)
 				}
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -10,22 +10,56 @@
 	"dykeledge/internal/storage"
 )
 
+// cancelledTaskCondition is what else holds when a cancellation's deadline comes.
+type cancelledTaskCondition int
+
+const (
+	taskEnded     cancelledTaskCondition = 1 << iota // the worker has shown that the task ended
+	othersMachine                                    // another controller's machine
+	storeOutage                                      // the state service does not answer
+	timeUnknown                                      // the job's record doesn't say when it was cancelled
+	onlyGossiped                                     // nor is it read: a peer has told
+)
+
+// has reports whether any of some conditions holds.
+func (c cancelledTaskCondition) has(some cancelledTaskCondition) bool { return c&some != 0 }
+
+// cancelledTaskCore is a core whose machine has a task of a job that was cancelled a while ago.
+func cancelledTaskCore(t *testing.T, is cancelledTaskCondition, age time.Duration, now time.Time) (*Controller, *storage.Machine) {
+	t.Helper()
+	controller := newCore(t) // cancellations 30 s
+	machine := controller.cache.Machine("m")
+	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
+		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
+	record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
+	if is.has(timeUnknown) {
+		record.FinalAtMs = 0
+	}
+	if is.has(onlyGossiped) {
+		controller.cancellations.digest.gossiped["job-000001"] = 9
+	} else {
+		applyRecord(t, controller, storage.JobKey("job-000001"), record, 6)
+	}
+	if is.has(taskEnded) {
+		controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
+	}
+	if is.has(othersMachine) {
+		controller.cache.Shards[0].Member = "n1"
+	}
+	controller.storeHealth.servedAt = now
+	if is.has(storeOutage) {
+		controller.storeHealth.servedAt = now.Add(-time.Hour)
+	}
+	return controller, machine
+}
+
 // How long a machine with a cancelled job's task may hang counted from its silence, from the takeover or from
 // the beginning of an outage; where owners changed, or the state service flapped, it began again, and the
 // task was there beyond cancel_s. One deadline holds whoever owns the machine, and whatever became of the silence.
 func TestWhatWasCancelledHasOneDeadline(t *testing.T) {
-	// condition is what else holds when the deadline comes.
-	type condition int
-	const (
-		ended    condition = 1 << iota // the worker has shown that the task ended
-		others                         // another controller's machine
-		outage                         // the state service does not answer
-		unknown                        // the job's record doesn't say when it was cancelled
-		gossiped                       // nor is it read: a peer has told
-	)
 	for _, test := range []struct {
 		name  string
-		is    condition
+		is    cancelledTaskCondition
 		age   time.Duration // since it was cancelled
 		tried time.Duration // by this process
 		heard time.Duration // any worker was heard so long ago
@@ -36,42 +70,19 @@
 		{name: "at the deadline", age: 15 * time.Second, tried: 14 * time.Second, want: true},
 		{name: "its owner has just taken it over", age: 16 * time.Second, tried: 3 * time.Second},
 		{name: "its owner took it over a few seconds ago", age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "in an outage", is: outage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "another's machine", is: others, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "another's machine in an outage", is: others | outage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "the task has ended", is: ended, age: 20 * time.Second, tried: 19 * time.Second},
+		{name: "in an outage", is: storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "another's machine", is: othersMachine, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "another's machine in an outage", is: othersMachine | storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "the task has ended", is: taskEnded, age: 20 * time.Second, tried: 19 * time.Second},
 		{name: "this controller hears nobody: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
 		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, awake: time.Second},
-		{name: "nobody knows when: it counts from when this process learned of it", is: unknown, age: 40 * time.Second, tried: 14 * time.Second},
-		{name: "and then it is over as soon", is: unknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
-		{name: "a peer has gossiped", is: gossiped | outage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "nobody knows when: it counts from when this process learned of it", is: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
+		{name: "and then it is over as soon", is: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "a peer has gossiped", is: onlyGossiped | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			has := func(c condition) bool { return test.is&c != 0 }
-			controller := newCore(t) // cancellations 30 s
-			machine := controller.cache.Machine("m")
 			now := time.Now()
-			applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
-				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
-			record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-test.age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
-			if has(unknown) {
-				record.FinalAtMs = 0
-			}
-			if has(gossiped) {
-				controller.cancellations.digest.gossiped["job-000001"] = 9
-			} else {
-				applyRecord(t, controller, storage.JobKey("job-000001"), record, 6)
-			}
-			if has(ended) {
-				controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
-			}
-			if has(others) {
-				controller.cache.Shards[0].Member = "n1"
-			}
-			controller.storeHealth.servedAt = now
-			if has(outage) {
-				controller.storeHealth.servedAt = now.Add(-time.Hour)
-			}
+			controller, machine := cancelledTaskCore(t, test.is, test.age, now)
 			controller.workers.anyHeardAt = now.Add(-test.tried)
 			if lost := controller.superviseTerminations(now.Add(-test.tried)); len(lost) > 0 {
 				t.Fatal("returned before anything was tried")
@@ -82,7 +93,7 @@
 			if lost := controller.superviseTerminations(now); (len(lost) > 0) != test.want {
 				t.Errorf("returned %v, want %v", lost, test.want)
 			}
-			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (test.want && !has(others|outage)) && !has(outage) {
+			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (test.want && !test.is.has(othersMachine|storeOutage)) && !test.is.has(storeOutage) {
 				t.Error("its owner returns it without saying so, or another one says so")
 			}
 		})
