--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -99,8 +99,8 @@
 		revision:     c.cache.Revision,
 		layout:       storage.LayoutPlain,
 	}
-	c.addJobs(collected)
-	c.addMachines(collected)
+	collected.countJobs(c)
+	collected.countMachines(c)
 	for queue, cpus := range c.cache.Baseline.Cpus {
 		collected.baselineCpus[c.queueLabels(queue.Class, queue.Team)] += cpus
 	}
@@ -122,38 +122,38 @@
 	return queueLabels{c.classLabel(class), c.cache.Teams[team].Name}
 }
 
-// addJobs adds what is counted over the open jobs.
-func (c *Controller) addJobs(collected *figures) {
+// countJobs counts over a core's open jobs.
+func (f *figures) countJobs(c *Controller) {
 	for _, job := range c.cache.Jobs {
 		if job == nil || !job.Open() {
 			continue
 		}
-		collected.waitingTasks[c.queueLabels(job.Class, job.Team)] += float64(job.Waiting())
+		f.waitingTasks[c.queueLabels(job.Class, job.Team)] += float64(job.Waiting())
 		if c.suspect(job) {
-			collected.suspectJobs++
+			f.suspectJobs++
 		}
 		if job.DependencyFailed {
-			collected.dependencyFailedJobs++
+			f.dependencyFailedJobs++
 		} else if !job.Ready() {
-			collected.awaitingJobs++
+			f.awaitingJobs++
 		}
 	}
 }
 
-// addMachines adds what is counted over the machines.
-func (c *Controller) addMachines(collected *figures) {
+// countMachines counts over a core's machines.
+func (f *figures) countMachines(c *Controller) {
 	for _, machine := range c.cache.Machines {
 		if machine.Gone {
 			continue
 		}
 		machineType := c.cache.Types[machine.Type]
-		collected.machines[c.machineState(machine)]++
-		collected.gpus.free += machineType.Gpus
+		f.machines[c.machineState(machine)]++
+		f.gpus.free += machineType.Gpus
 		for _, placed := range machine.Tasks {
-			collected.gpus.free -= placed.Job.Gpus
-			collected.gpus.taken += placed.Job.Gpus
+			f.gpus.free -= placed.Job.Gpus
+			f.gpus.taken += placed.Job.Gpus
 		}
-		collected.moneyRate += c.cpuPrice(machine) * max(machineType.Cpus, 1)
+		f.moneyRate += c.cpuPrice(machine) * max(machineType.Cpus, 1)
 	}
 }
 
