--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -46,7 +46,7 @@
 }
 
 // handleHeartbeat decides who answers a heartbeat, and answers it if that is this controller.
-func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
+func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply heartbeatReply) {
 	if !c.follower.loaded {
 		c.handleHeartbeatUnverified(heartbeat, reply)
 		return
