--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -74,19 +74,22 @@
 	return &protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}}, nil
 }
 
+// submissionBody is the body of a small job's submission that awaits others.
+func submissionBody(t *testing.T, awaits []string) []byte {
+	t.Helper()
+	raw, err := json.Marshal(map[string]any{"id": "job-000007", "jobclass": "c", "crew": "red", "shape": "batch", "urgency": "normal",
+		"shards": 2, "cpus": 1.0, "accelerators": 0.0, "ramGb": 1.0, "kit": "i", "pullGb": 0.5, "hulls": nil, "berth": nil,
+		"together": false, "scatter": false, "loaners": true, "expectedS": 5.0, "markEveryS": 0.0, "markCostS": 0.0, "dueS": nil, "awaits": awaits})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
 // After an end of all controllers each read every record before it took a submission, seconds
 // with 1235 machines, although accepting a job takes none of them.
 func TestRestartedControllerAcceptsBeforeItHasReadAll(t *testing.T) {
-	submission := func(awaits []string) []byte {
-		raw, err := json.Marshal(map[string]any{"id": "job-000007", "jobclass": "c", "crew": "red", "shape": "batch", "urgency": "normal",
-			"shards": 2, "cpus": 1.0, "accelerators": 0.0, "ramGb": 1.0, "kit": "i", "pullGb": 0.5, "hulls": nil, "berth": nil,
-			"together": false, "scatter": false, "loaners": true, "expectedS": 5.0, "markEveryS": 0.0, "markCostS": 0.0, "dueS": nil, "awaits": awaits})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return raw
-	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		store  slowReader
 		cloud  bool
@@ -105,29 +108,29 @@
 		{name: "an outage", store: slowReader{down: true}, cloud: true, ready: true, status: 503},
 		{name: "refused alone", store: slowReader{down: true}, cloud: true, served: true, status: 503},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
 					Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
-				store := x.store
-				controller := New(cfg, &store, noCloud{catalog: x.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+				store := test.store
+				controller := New(cfg, &store, noCloud{catalog: test.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
-				if x.served {
+				if test.served {
 					controller.ReceivePeerHeartbeat("n1", protocol.PeerHeartbeat{StateOK: true, Revision: 4})
 				}
-				if got := controller.Ready(ctx); got != x.ready {
-					t.Errorf("ready: %v, want %v", got, x.ready)
+				if got := controller.Ready(ctx); got != test.ready {
+					t.Errorf("ready: %v, want %v", got, test.ready)
 				}
-				answer := controller.Submit(ctx, submission(x.awaits))
-				if answer.Status != x.status || (answer.Status == 503 && answer.RetryAfter < 1) {
-					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, x.status)
+				answer := controller.Submit(ctx, submissionBody(t, test.awaits))
+				if answer.Status != test.status || (answer.Status == 503 && answer.RetryAfter < 1) {
+					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, test.status)
 				}
-				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (x.status == 201) {
+				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (test.status == 201) {
 					t.Errorf("committed: %v", committed)
 				}
-				// What it has not read it does not speak of.
+				// It answers nothing about what it has not read.
 				if a := controller.Query(ctx, "job-000001"); a.Status != 503 {
 					t.Errorf("a poll: %d, want 503", a.Status)
 				}
