--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -7,6 +7,7 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -106,6 +107,24 @@
 	}
 }
 
+// lockedBuffer is what a running program has written; it may be read meanwhile.
+type lockedBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (b *lockedBuffer) Write(data []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(data)
+}
+
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
 // TestClusterOnOneMachine does what a newcomer would: a cluster with faults, jobs, a load, the
 // view, a report, and the end of it all.
 func TestClusterOnOneMachine(t *testing.T) {
@@ -120,7 +139,7 @@
 		t.Fatal(err)
 	}
 	command := dykectl.command("up", "--controller", controller, "--dir", filepath.Join(dir, "up"), "--machines", "12", "--speed", "8", "--fail", faults, "--log-level", "info")
-	var upOut, upErr bytes.Buffer
+	var upOut, upErr lockedBuffer
 	command.Stdout, command.Stderr = &upOut, &upErr
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
@@ -143,6 +162,14 @@
 		t.Fatalf("never: %s", what)
 	}
 	eventually("a context", func() bool { out, _, _ := dykectl.run("config", "contexts"); return strings.Contains(out, "local") })
+	// A controller lists no job that ended before its own process had read the records, and n1 is asked
+	// first: it was chance whether it listed a job that was done before its crash.
+	eventually("n1 has crashed", func() bool { return strings.Contains(upErr.String(), "controller=n1 asked=true") })
+	eventually("n1 answers again", func() bool {
+		out, _, code := dykectl.run("show", "nodes", "-o", "json")
+		var head struct{ Node string }
+		return code == 0 && json.Unmarshal([]byte(out), &head) == nil && head.Node == "n1"
+	})
 
 	out, errs, code := dykectl.run("submit", "--id", "job-000412", "--team", "red", "--class", "train", "--tasks", "4", "--estimate", "8s", "--due", "5m", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") {
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -123,14 +123,14 @@
 	txn    protocol.Txn
 	load   enrollmentLoad
 	groups *groupAllocator
-	fleets map[machineKind]*storage.FleetRecord
+	fleets map[fleetKind]*storage.FleetRecord
 	order  []*storage.FleetRecord // the same fleets, in the order of their first machines
 
 	included, postponed []*pendingMachine
 }
 
-// machineKind is what the machines of one fleet record have in common.
-type machineKind struct {
+// fleetKind is what the machines of one fleet record have in common.
+type fleetKind struct {
 	typeName, zone string
 	spot           bool
 }
@@ -141,7 +141,7 @@
 		txn:    c.leaderTxn(),
 		load:   c.enrollmentLoad(time.Now()),
 		groups: newGroupAllocator(c.cache, c.groupSize()),
-		fleets: map[machineKind]*storage.FleetRecord{},
+		fleets: map[fleetKind]*storage.FleetRecord{},
 	}
 }
 
@@ -151,7 +151,7 @@
 		b.included = append(b.included, pending) // it has a record already
 		return
 	}
-	kind := machineKind{pending.fleet.Type, pending.fleet.Zone, pending.fleet.Spot}
+	kind := fleetKind{pending.fleet.Type, pending.fleet.Zone, pending.fleet.Spot}
 	fleet := b.fleets[kind]
 	if b.full() || fleet != nil && b.c.fleetFull(fleet) {
 		b.postponed = append(b.postponed, pending)
