--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -59,7 +59,7 @@
 	}
 	bad := file("bad.toml", "current = \"x\"\n")
 	dead := file("dead.toml", "current = \"x\"\n[contexts.x]\nusers = \"127.0.0.1:1\"\nnodes = [\"127.0.0.1:1\"]\n")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		conf string
 		args string
 		code int
@@ -94,14 +94,14 @@
 		{"", "up --controller /nowhere", 2, "/nowhere"},
 		{"", "up --controller /bin/true --fail " + bad, 2, "current"},
 	} {
-		t.Run(strings.ReplaceAll(c.args, dir, ""), func(t *testing.T) {
-			conf := c.conf
+		t.Run(strings.ReplaceAll(test.args, dir, ""), func(t *testing.T) {
+			conf := test.conf
 			if conf == "" {
 				conf = filepath.Join(dir, "none.toml")
 			}
-			out, errs, code := prog{t, conf}.run(strings.Fields(c.args)...)
-			if code != c.code || !strings.Contains(out+errs, c.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
-				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, c.code, c.want)
+			out, errs, code := prog{t, conf}.run(strings.Fields(test.args)...)
+			if code != test.code || !strings.Contains(out+errs, test.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
+				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, test.code, test.want)
 			}
 		})
 	}
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -70,7 +70,7 @@
 	if err := os.WriteFile(bad, []byte("workers = 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ args, want string }{
+	for _, test := range []struct{ args, want string }{
 		{"scale run --cut none", "--cut"},
 		{"scale run --regions some", "--regions"},
 		{"scale run --fraction 3/2", "--fraction"},
@@ -80,10 +80,10 @@
 		{"scale run --profile " + bad, "workers"},
 		{"scale report " + dir, "*.jsonl"},
 	} {
-		t.Run(strings.ReplaceAll(c.args, dir, ""), func(t *testing.T) {
+		t.Run(strings.ReplaceAll(test.args, dir, ""), func(t *testing.T) {
 			dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
-			if _, errs, code := dykectl.run(strings.Fields(c.args)...); code != exitUsage || !strings.Contains(errs, c.want) || strings.Count(errs, "\n") != 1 {
-				t.Errorf("exit code %d, %q, want %q", code, errs, c.want)
+			if _, errs, code := dykectl.run(strings.Fields(test.args)...); code != exitUsage || !strings.Contains(errs, test.want) || strings.Count(errs, "\n") != 1 {
+				t.Errorf("exit code %d, %q, want %q", code, errs, test.want)
 			}
 		})
 	}
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -130,7 +130,7 @@
 	if err := os.WriteFile(bad, []byte("node_name = \"x\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		want string // in either output
@@ -147,10 +147,10 @@
 		{[]string{"settings", "set", "alpha", "--node", "127.0.0.1:1"}, 2, "NAME=VALUE"},
 		{[]string{"submit"}, 2, "unknown command"},
 	} {
-		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
-			out, errs, code := program(t, c.args...)
-			if code != c.code || !strings.Contains(out+errs, c.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
-				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, c.code, c.want)
+		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
+			out, errs, code := program(t, test.args...)
+			if code != test.code || !strings.Contains(out+errs, test.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
+				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, test.code, test.want)
 			}
 		})
 	}
@@ -229,7 +229,7 @@
 		status, _ := post(public[1], "job-000413", `["job-000412"]`)
 		return status == 201 || status == 200
 	})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		id, awaits string
 		status     int
 		want       string
@@ -245,9 +245,12 @@
 	} {
 		var status int
 		var answer string
-		eventually(t, c.id+c.awaits, func() bool { status, answer = post(public[2], c.id, c.awaits); return status != 503 && status != 0 })
-		if status != c.status && (c.status != 201 || status != 200) || !strings.Contains(answer, c.want) {
-			t.Errorf("%s awaits %s: %d %s", c.id, c.awaits, status, answer)
+		eventually(t, test.id+test.awaits, func() bool {
+			status, answer = post(public[2], test.id, test.awaits)
+			return status != 503 && status != 0
+		})
+		if status != test.status && (test.status != 201 || status != 200) || !strings.Contains(answer, test.want) {
+			t.Errorf("%s awaits %s: %d %s", test.id, test.awaits, status, answer)
 		}
 	}
 }
--- a/cmd/dykeledge/serve.go
+++ b/cmd/dykeledge/serve.go
@@ -29,7 +29,7 @@
 	tune(settings)
 	level := &slog.LevelVar{}
 	level.Set(logLevel(os.Getenv(logLevelVariable)))
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", settings.MemberName)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("controller", settings.MemberName)
 	publicListener, peerListener, err := openListeners(ctx, settings)
 	if err != nil {
 		return failed(err)
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -225,16 +225,16 @@
 	}
 	for i := range model.visible() {
 		f := strings.Fields(strings.TrimLeft(lines[4+i], ">!? "))
-		storageJob := r.cache.Job(f[0])
-		if storageJob == nil {
+		other := r.cache.Job(f[0])
+		if other == nil {
 			return fmt.Sprintf("%q is of no job", lines[4+i])
 		}
-		cells := r.cells(storageJob)
+		cells := r.cells(other)
 		if model.width < 90 && table == Queue { // without those done
 			cells = slices.Delete(cells, 4, 5)
 		}
 		if model.width >= 100 { // the class comes third then
-			cells = slices.Insert(cells, 2, r.cache.Classes.Name(storageJob.Class))
+			cells = slices.Insert(cells, 2, r.cache.Classes.Name(other.Class))
 		}
 		if len(f) < len(cells) || !slices.Equal(f[:len(cells)], cells) {
 			return fmt.Sprintf("%q, want %v", lines[4+i], cells)
@@ -300,7 +300,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		part  float64 // of the burst
 		fault func(sim *simulator.Simulation)
@@ -334,14 +334,14 @@
 			}
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				profile, err := loadgen.Parse(raw)
 				if err != nil {
 					t.Fatal(err)
 				}
 				for i := range profile.Streams {
-					profile.Streams[i].PerMinute *= c.part
+					profile.Streams[i].PerMinute *= test.part
 				}
 				plan, err := profile.Plan(18)
 				if err != nil {
@@ -363,7 +363,7 @@
 				go func() { ended <- follower.Run(ctx) }()
 				model := New(ctx, follower, "burst")
 				time.Sleep(3 * time.Second)
-				go c.fault(simulation)
+				go test.fault(simulation)
 				users := &loadgen.Runner{To: simulator.Users{Simulation: simulation}, Upload: func(_ string, raw []byte) error {
 					var u simulator.Upload
 					if err := json.Unmarshal(raw, &u); err != nil {
@@ -445,7 +445,7 @@
 				if !provedWrong {
 					t.Error("no screen was changed to see whether that is noticed")
 				}
-				if (old > 0) != c.warns && c.warns {
+				if (old > 0) != test.warns && test.warns {
 					t.Error("an outage was not told")
 				}
 				for _, b := range simulation.BrokenRules() {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -71,7 +71,7 @@
 
 // overSizes runs a benchmark over all sizes. prepare gets a controller whose workers are not
 // called, and returns what is measured.
-func overSizes(b *testing.B, prepare func(ctx context.Context, c *Controller) (step func() error)) {
+func overSizes(b *testing.B, prepare func(ctx context.Context, core *Controller) (step func() error)) {
 	b.Helper()
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -63,7 +63,7 @@
 func New(cfg *config.Settings, store StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, timing Timing) *Controller {
 	now := time.Now()
 	cache := storage.NewCache(cfg)
-	c := &Controller{
+	controller := &Controller{
 		environment: environment{
 			cfg: cfg, store: store, cloud: cloud, workerLink: workers,
 			log: log, timing: timing, metrics: NewMetrics(),
@@ -80,9 +80,9 @@
 		planner:       plannerState{alpha: DefaultAlpha},
 		operator:      operatorState{settings: DefaultOperatorSettings(), preemptionsSeen: map[string]uint64{}},
 	}
-	c.metrics.Registry.MustRegister(gauges{c})
-	c.leader.init()
-	return c
+	controller.metrics.Registry.MustRegister(gauges{controller})
+	controller.leader.init()
+	return controller
 }
 
 // inboxSize is how much work may wait for the goroutine that owns the state before post blocks.
--- a/internal/controller/draining_test.go
+++ b/internal/controller/draining_test.go
@@ -30,21 +30,21 @@
 		{"nor may its team have more", 0, 0, 22, true, neededAfter + time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newRebalancerCore(t, config.Deployment{Controllers: 1, Zones: []string{"a"},
+			controller := newRebalancerCore(t, config.Deployment{Controllers: 1, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", CpusMax: test.limit}}}, 64)
 			spec := storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}
-			putJob(t, c, "job-000000", "red", 5+test.waits, 0, spec)
+			putJob(t, controller, "job-000000", "red", 5+test.waits, 0, spec)
 			if test.large {
-				putLargeJobs(t, c, spec, test.age)
+				putLargeJobs(t, controller, spec, test.age)
 			}
-			putRecord(t, c, storage.FleetKey("m0"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
-			putRecord(t, c, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{
+			putRecord(t, controller, storage.FleetKey("m0"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
+			putRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{
 				{Name: "m0", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
 				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
-			c.leader.stuckSince = now.Add(-test.since)
-			c.drainSurplus(now, autoscale.Plan{}, 0)
-			update := c.workers.pendingUpdates[c.cache.Machine("m1").Index]
+			controller.leader.stuckSince = now.Add(-test.since)
+			controller.drainSurplus(now, autoscale.Plan{}, 0)
+			update := controller.workers.pendingUpdates[controller.cache.Machine("m1").Index]
 			if back := update != nil && update.draining != nil && !*update.draining; back != test.back {
 				t.Errorf("given back: %v, want %v", back, test.back)
 			}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -43,37 +43,37 @@
 			[]testFailure{{0, 1}, {0, 2}, {1, 1}, {1, 2}, {0, 0}, {1, 0}}, verdict{nil, []int{0, 1}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
-			jobs := putFailingJobs(t, c)
+			controller := newCore(t)
+			jobs := putFailingJobs(t, controller)
 			for _, i := range test.done {
 				jobs[i].DoneCount = 1
 			}
 			start := time.Now()
-			now := noteFailures(c, jobs, test.fails, start)
+			now := noteFailures(controller, jobs, test.fails, start)
 			var got verdict
 			for i := range failingMachines {
-				machine := c.cache.Machine(fmt.Sprint("x", i))
-				worker := c.workerState(machine)
-				if c.judgeHealth(machine, worker, start); worker.unhealthy {
+				machine := controller.cache.Machine(fmt.Sprint("x", i))
+				worker := controller.workerState(machine)
+				if controller.judgeHealth(machine, worker, start); worker.unhealthy {
 					t.Errorf("machine %d is judged before its failures have settled", i)
 				}
-				if c.judgeHealth(machine, worker, now.Add(2*failureSettles)); worker.unhealthy {
+				if controller.judgeHealth(machine, worker, now.Add(2*failureSettles)); worker.unhealthy {
 					got.unhealthy = append(got.unhealthy, i)
 				}
 			}
 			for i, job := range jobs {
-				if !c.suspect(job) {
+				if !controller.suspect(job) {
 					continue
 				}
 				got.suspect = append(got.suspect, i)
-				if n := c.wantedTasks(job); n != 1 {
+				if n := controller.wantedTasks(job); n != 1 {
 					t.Errorf("%d tasks of a suspect job are worth capacity, want one", n)
 				}
 			}
 			if fmt.Sprint(got) != fmt.Sprint(test.want) {
 				t.Errorf("suspect jobs and unhealthy machines %v, want %v", got, test.want)
 			}
-			checkSuspectsRecorded(t, c, jobs, len(test.want.suspect))
+			checkSuspectsRecorded(t, controller, jobs, len(test.want.suspect))
 		})
 	}
 }
@@ -81,23 +81,23 @@
 const failingMachines = 4
 
 // putFailingJobs has a controller read the machines and three jobs, which it returns.
-func putFailingJobs(t *testing.T, c *Controller) []*storage.Job {
+func putFailingJobs(t *testing.T, controller *Controller) []*storage.Job {
 	t.Helper()
 	fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 	for i := range failingMachines {
 		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 	}
-	if err := c.cache.Apply(storage.FleetKey("x0"), storage.Encode(fleet), 5, false); err != nil {
+	if err := controller.cache.Apply(storage.FleetKey("x0"), storage.Encode(fleet), 5, false); err != nil {
 		t.Fatal(err)
 	}
 	var jobs []*storage.Job
 	for i := range 3 {
 		id := fmt.Sprintf("job-%06d", 100+i)
-		if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 20, Team: "red",
+		if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: 20, Team: "red",
 			Spec: &storage.SpecRecord{Class: "c", Cpus: 1, Mem: 1, Image: "i"}}), 5, false); err != nil {
 			t.Fatal(err)
 		}
-		jobs = append(jobs, c.cache.Job(id))
+		jobs = append(jobs, controller.cache.Job(id))
 	}
 	return jobs
 }
@@ -118,16 +118,16 @@
 
 // checkSuspectsRecorded: the next owner and the leader know suspect jobs from their records, and one
 // that completes a task after all is cleared.
-func checkSuspectsRecorded(t *testing.T, c *Controller, jobs []*storage.Job, suspects int) {
+func checkSuspectsRecorded(t *testing.T, controller *Controller, jobs []*storage.Job, suspects int) {
 	t.Helper()
 	planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
-	c.noteSuspects(planned)
+	controller.noteSuspects(planned)
 	if len(planned.puts) != suspects {
 		t.Errorf("%d suspect jobs are recorded, want %d", len(planned.puts), suspects)
 	}
 	for _, job := range jobs {
 		job.Suspect, job.DoneCount = true, 1
-		if c.suspect(job) {
+		if controller.suspect(job) {
 			t.Errorf("%s has completed a task and is suspect still", job.ID)
 		}
 	}
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -123,13 +123,13 @@
 }
 
 // countJobs counts over a core's open jobs.
-func (f *figures) countJobs(c *Controller) {
-	for _, job := range c.cache.Jobs {
+func (f *figures) countJobs(controller *Controller) {
+	for _, job := range controller.cache.Jobs {
 		if job == nil || !job.Open() {
 			continue
 		}
-		f.waitingTasks[c.queueLabels(job.Class, job.Team)] += float64(job.Waiting())
-		if c.suspect(job) {
+		f.waitingTasks[controller.queueLabels(job.Class, job.Team)] += float64(job.Waiting())
+		if controller.suspect(job) {
 			f.suspectJobs++
 		}
 		if job.DependencyFailed {
@@ -141,19 +141,19 @@
 }
 
 // countMachines counts over a core's machines.
-func (f *figures) countMachines(c *Controller) {
-	for _, machine := range c.cache.Machines {
+func (f *figures) countMachines(controller *Controller) {
+	for _, machine := range controller.cache.Machines {
 		if machine.Gone {
 			continue
 		}
-		machineType := c.cache.Types[machine.Type]
-		f.machines[c.machineState(machine)]++
+		machineType := controller.cache.Types[machine.Type]
+		f.machines[controller.machineState(machine)]++
 		f.gpus.free += machineType.Gpus
 		for _, placed := range machine.Tasks {
 			f.gpus.free -= placed.Job.Gpus
 			f.gpus.taken += placed.Job.Gpus
 		}
-		f.moneyRate += c.cpuPrice(machine) * max(machineType.Cpus, 1)
+		f.moneyRate += controller.cpuPrice(machine) * max(machineType.Cpus, 1)
 	}
 }
 
--- a/internal/controller/idle_work_test.go
+++ b/internal/controller/idle_work_test.go
@@ -27,20 +27,20 @@
 		{"the guest's work is not of the lowest priority", 40, 90, 0, 1, -1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
+			controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "home"}, {Name: "guest"}}}, 64)
-			putJob(t, c, "job-000000", "home", max(1, test.firm), 0,
+			putJob(t, controller, "job-000000", "home", max(1, test.firm), 0,
 				storage.SpecRecord{Class: "c", Priority: 1, Cpus: 4, Mem: 1, Image: "i", Spot: true})
 			if test.firm == 0 {
-				c.cache.Job("job-000000").DoneCount = 1
+				controller.cache.Job("job-000000").DoneCount = 1
 			}
-			putJob(t, c, "job-000001", "guest", test.idle, 0,
+			putJob(t, controller, "job-000001", "guest", test.idle, 0,
 				storage.SpecRecord{Class: "g", Priority: test.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true})
-			putGuestsMachines(t, c, test.placed > 0)
-			if n := c.cache.Job("job-000001").PlacedCount; n != test.placed {
+			putGuestsMachines(t, controller, test.placed > 0)
+			if n := controller.cache.Job("job-000001").PlacedCount; n != test.placed {
 				t.Fatalf("%d tasks placed, want %d", n, test.placed)
 			}
-			if moves := movesToFirst(c, allWork, idleWork); moves != test.moves {
+			if moves := movesToFirst(controller, allWork, idleWork); moves != test.moves {
 				t.Errorf("%d groups move to the home team's shard, want %d", moves, test.moves)
 			}
 		})
@@ -49,14 +49,14 @@
 
 // putGuestsMachines adds four groups of one machine to each of two shards; those of the second one
 // may run two of the guest's tasks each.
-func putGuestsMachines(t *testing.T, c *Controller, busy bool) {
+func putGuestsMachines(t *testing.T, controller *Controller, busy bool) {
 	t.Helper()
 	const groups, groupsPerShard = 8, 4
 	fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 	for group := range groups {
 		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", group), Group: group})
 	}
-	putRecord(t, c, storage.FleetKey("m0"), fleet)
+	putRecord(t, controller, storage.FleetKey("m0"), fleet)
 	for group := range groups {
 		record := storage.GroupRecord{Shard: group / groupsPerShard}
 		if record.Shard == 1 && busy {
@@ -64,7 +64,7 @@
 			record.Machines = append(record.Machines, storage.GroupMachine{Name: fmt.Sprint("m", group), Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{task, 1, 0, 0, task + 1, 1, 0, 0}}}})
 		}
-		putRecord(t, c, storage.GroupKey(group), record)
+		putRecord(t, controller, storage.GroupKey(group), record)
 	}
 }
 
@@ -84,27 +84,27 @@
 		{"on on-demand machines only", false, false, protocol.Normal, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
+			controller := newCore(t)
 			put := func(id string, spec storage.SpecRecord) *storage.Job {
 				spec.Cpus, spec.Mem, spec.Image = 4, 1, "i"
 				record := storage.JobRecord{Tasks: 1, Team: "red", SubmittedMs: time.Now().UnixMilli(), Spec: &spec}
-				if err := c.cache.Apply(storage.JobKey(id), storage.Encode(record), 5, false); err != nil {
+				if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(record), 5, false); err != nil {
 					t.Fatal(err)
 				}
-				return c.cache.Job(id)
+				return controller.cache.Job(id)
 			}
 			if test.objective {
-				c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "g", WithinS: 400}}
+				controller.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "g", WithinS: 400}}
 			}
 			runs := put("job-000007", storage.SpecRecord{Class: "g", Spot: test.spot})
 			waits := put("job-000008", storage.SpecRecord{Class: "h", Spot: true, Priority: uint8(test.waits)})
-			machine := c.cache.Machine("m")
+			machine := controller.cache.Machine("m")
 			machine.Tasks = []storage.PlacedTask{{Job: runs, Attempt: 1}}
-			c.planner.idleWorkPlaced = true
-			input := &schedule.Input{Teams: c.cache.Teams, Used: c.cache.Used, Slots: []*schedule.Slot{{Machine: machine}}}
+			controller.planner.idleWorkPlaced = true
+			input := &schedule.Input{Teams: controller.cache.Teams, Used: controller.cache.Used, Slots: []*schedule.Slot{{Machine: machine}}}
 			got := 0
-			if c.mayPreempt(waits, input, c.claimsUntil()) {
-				got = len(c.preemptionCandidates(time.Now(), waits, input, nil, c.claimsUntil()))
+			if controller.mayPreempt(waits, input, controller.claimsUntil()) {
+				got = len(controller.preemptionCandidates(time.Now(), waits, input, nil, controller.claimsUntil()))
 			}
 			if got != test.want {
 				t.Errorf("%d candidates, want %d", got, test.want)
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -34,8 +34,8 @@
 // TestGroupAllocator: new machines fill the groups of their shard, spot and on-demand apart. The
 // steps go on from one another.
 func TestGroupAllocator(t *testing.T) {
-	c := newCore(t) // group 0 of shard 0 holds one on-demand machine
-	allocator := newGroupAllocator(c.cache, 3)
+	controller := newCore(t) // group 0 of shard 0 holds one on-demand machine
+	allocator := newGroupAllocator(controller.cache, 3)
 	for i, step := range []struct {
 		shard   int
 		spot    bool
--- a/internal/controller/rebalancer_test.go
+++ b/internal/controller/rebalancer_test.go
@@ -69,25 +69,25 @@
 		{"a guarantee goes before another's baseline", 32, [2]int{1, 7}, [2]int{10, 60}, [2]float64{8, 60}, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
+			controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
 				Teams:      []config.Team{{Name: "red", Cpus: test.guarantee}, {Name: "blue"}},
 				Objectives: []config.Objective{{Kind: "guarantee", WithinS: 5}, {Kind: "finished", Class: "c", WithinS: 60}}}, 8)
 			fleet := storage.FleetRecord{Type: "t", Zone: "a"}
 			for shard, machines := range test.machines {
 				for range machines {
 					group := len(fleet.Machines)
-					putRecord(t, c, storage.GroupKey(group), storage.GroupRecord{Shard: shard})
+					putRecord(t, controller, storage.GroupKey(group), storage.GroupRecord{Shard: shard})
 					fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", group), Group: group})
 				}
 			}
-			putRecord(t, c, storage.FleetKey("m0"), fleet)
+			putRecord(t, controller, storage.FleetKey("m0"), fleet)
 			for team, tasks := range test.demand {
-				putJob(t, c, fmt.Sprintf("job-%06d", team), c.cfg.Deployment.Teams[team].Name, tasks, 0,
+				putJob(t, controller, fmt.Sprintf("job-%06d", team), controller.cfg.Deployment.Teams[team].Name, tasks, 0,
 					storage.SpecRecord{Class: "c", Cpus: 4, Mem: 1, Image: "i", Spot: true, Estimate: 30})
 			}
 			baseline := map[storage.ClassQueue]float64{{Team: 0}: test.baseline[0], {Team: 1}: test.baseline[1]}
-			putRecord(t, c, storage.BaselineKey, c.cache.BaselineRecordOf(baseline, 2048))
-			if moves := movesToFirst(c, allWork); moves != test.moves {
+			putRecord(t, controller, storage.BaselineKey, controller.cache.BaselineRecordOf(baseline, 2048))
+			if moves := movesToFirst(controller, allWork); moves != test.moves {
 				t.Errorf("%d groups move to the guaranteed team's shard, want %d", moves, test.moves)
 			}
 		})
@@ -113,25 +113,25 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			zones := []string{"a", "b"}
-			c := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: zones,
+			controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: zones,
 				Teams: []config.Team{{Name: "blue"}, {Name: "red", CpusMax: test.limit}}}, 64)
 			spec := storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}
-			putJob(t, c, "job-000000", "red", 1, time.Minute, spec)
+			putJob(t, controller, "job-000000", "red", 1, time.Minute, spec)
 			spec.Zone, spec.Cpus = test.zone, test.cpus
-			putJob(t, c, "job-000001", "red", 1, time.Minute, spec)
+			putJob(t, controller, "job-000001", "red", 1, time.Minute, spec)
 			for group, zone := range zones {
 				name := "m" + zone
-				putRecord(t, c, storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Group: group}}})
+				putRecord(t, controller, storage.FleetKey(name), storage.FleetRecord{Type: "t", Zone: zone, Machines: []storage.FleetMachine{{Name: name, Group: group}}})
 				record := storage.GroupRecord{Shard: 1 - group, Machines: []storage.GroupMachine{{Name: name, Incarnation: 1}}}
 				if group == 0 {
 					record.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0}}}
 				}
-				putRecord(t, c, storage.GroupKey(group), record)
+				putRecord(t, controller, storage.GroupKey(group), record)
 			}
 			if test.stuck > 0 {
-				c.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
+				controller.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
 			}
-			if got := movesToFirst(c, allWork); got != -test.want {
+			if got := movesToFirst(controller, allWork); got != -test.want {
 				t.Errorf("%d groups move to its shard, want %d", -got, test.want)
 			}
 		})
@@ -148,18 +148,18 @@
 // newCore is a controller that has read the fixture's records.
 func (f lendingFixture) newCore(t *testing.T) *Controller {
 	t.Helper()
-	c := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
+	controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, 64)
 	spec := storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}
-	putJob(t, c, "job-000000", "red", f.placed[0]+f.placed[1]+f.placed[2]+f.waits, 0, spec)
-	putJob(t, c, "job-000001", "blue", 3, 0, spec)
+	putJob(t, controller, "job-000000", "red", f.placed[0]+f.placed[1]+f.placed[2]+f.waits, 0, spec)
+	putJob(t, controller, "job-000001", "blue", 3, 0, spec)
 	fleet, task := storage.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
 	for group, shard := range f.shard {
 		if shard >= 0 {
 			fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", group), Group: group})
 		}
 	}
-	putRecord(t, c, storage.FleetKey("m0"), fleet)
+	putRecord(t, controller, storage.FleetKey("m0"), fleet)
 	for group, shard := range f.shard {
 		if shard < 0 {
 			continue
@@ -169,10 +169,10 @@
 			placed.Numbers = append(placed.Numbers, task, 1, 0, 0)
 			task++
 		}
-		putRecord(t, c, storage.GroupKey(group), storage.GroupRecord{Shard: shard, Machines: []storage.GroupMachine{
+		putRecord(t, controller, storage.GroupKey(group), storage.GroupRecord{Shard: shard, Machines: []storage.GroupMachine{
 			{Name: fmt.Sprint("m", group), Incarnation: 1, Tasks: []storage.PlacedTasks{placed}}}})
 	}
-	return c
+	return controller
 }
 
 // Three machines ran what could not end, one of them alone in its shard; by the sums there was capacity, so
@@ -192,10 +192,10 @@
 		{"not where nothing would fit", lendingFixture{[3]int{4, 0, 0}, [3]int{0, -1, -1}, 0}, -1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := test.fixture.newCore(t)
-			mv := newRebalancer(c)
+			controller := test.fixture.newCore(t)
+			mv := newRebalancer(controller)
 			if test.stuck > 0 {
-				c.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
+				controller.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
 			}
 			mv.rebalancePass(time.Now(), allWork)
 			got := -1
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -273,15 +273,15 @@
 	const machines, maxSteps = 200, 100
 	for _, width := range []int{6, 100} {
 		t.Run(fmt.Sprint("names of width ", width), func(t *testing.T) {
-			c := newCore(t) // has a machine too
-			c.cfg.Deployment.State = lowerState
+			controller := newCore(t) // has a machine too
+			controller.cfg.Deployment.State = lowerState
 			fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 			for i := range machines {
 				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprintf("%0*d-host", width, i), Group: i % 5, Addr: fmt.Sprintf("10.1.0.%d:9000", i)})
 			}
 			version := uint64(10)
 			apply := func(change protocol.Change) {
-				if err := c.cache.Apply(change.Put+change.Delete, change.Value, version, change.Delete != ""); err != nil {
+				if err := controller.cache.Apply(change.Put+change.Delete, change.Value, version, change.Delete != ""); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -290,7 +290,7 @@
 			apply(protocol.Change{Put: storage.LayoutKey, Value: storage.Encode(storage.LayoutRecord{Version: storage.LayoutPacked})})
 			steps := 0
 			for ; steps < maxSteps; steps++ {
-				txn := c.fleetTxn()
+				txn := controller.fleetTxn()
 				if len(txn.Then) == 0 {
 					break
 				}
@@ -299,14 +299,14 @@
 				for _, change := range txn.Then {
 					apply(change)
 				}
-				if there := listedMachines(c); there != machines+1 {
+				if there := listedMachines(controller); there != machines+1 {
 					t.Fatalf("%d of %d machines after step %d", there, machines+1, steps)
 				}
 			}
-			if left, _ := c.cache.OversizedFleet(lowerValueLimit); left != nil || steps == 0 {
+			if left, _ := controller.cache.OversizedFleet(lowerValueLimit); left != nil || steps == 0 {
 				t.Errorf("still oversized after %d steps", steps)
 			}
-			for _, machine := range c.cache.Machines {
+			for _, machine := range controller.cache.Machines {
 				if machine.FleetEntries != 1 {
 					t.Fatalf("%s is listed %d times", machine.Name, machine.FleetEntries)
 				}
--- a/internal/controller/relocation_test.go
+++ b/internal/controller/relocation_test.go
@@ -43,18 +43,18 @@
 }
 
 // placeService has a controller read a service, with its first replicas on the named machines.
-func placeService(t *testing.T, c *Controller, id string, tasks int, on ...string) *storage.Job {
+func placeService(t *testing.T, controller *Controller, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
-	c.follower.highestRevision++
-	rev := c.follower.highestRevision
-	if err := c.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
+	controller.follower.highestRevision++
+	rev := controller.follower.highestRevision
+	if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
 		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), rev, false); err != nil {
 		t.Fatal(err)
 	}
-	job := c.cache.Job(id)
+	job := controller.cache.Job(id)
 	job.ByZone = make([]int32, 3)
 	for task, name := range on {
-		machine := c.cache.Machine(name)
+		machine := controller.cache.Machine(name)
 		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: rev})
 		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, rev, job.PlacedCount+1
 		job.ByZone[machine.Zone]++
@@ -64,20 +64,20 @@
 
 // Replicas leave a drained machine one of a service at a time, and only for one that has their image.
 func TestReplicasMoveOneByOne(t *testing.T) {
-	c, now := newZonesCore(t, 3), time.Now()
-	for _, machine := range c.cache.Machines {
-		worker := c.workerState(machine)
+	controller, now := newZonesCore(t, 3), time.Now()
+	for _, machine := range controller.cache.Machines {
+		worker := controller.workerState(machine)
 		worker.Incarnation, worker.heard = 1, now
 	}
-	one := placeService(t, c, "job-000010", 3, "a0", "b0", "a0")
-	two := placeService(t, c, "job-000011", 1, "a0")
-	from := c.cache.Machine("a0")
+	one := placeService(t, controller, "job-000010", 3, "a0", "b0", "a0")
+	two := placeService(t, controller, "job-000011", 1, "a0")
+	from := controller.cache.Machine("a0")
 	from.Draining = true
 	leaving := func() (replicas int) {
-		c.relocateReplicas(now)
-		c.relocateReplicas(now.Add(time.Second))
+		controller.relocateReplicas(now)
+		controller.relocateReplicas(now.Add(time.Second))
 		for _, placed := range from.Tasks {
-			if c.desiredState(from, c.workerState(from), placed).Stop {
+			if controller.desiredState(from, controller.workerState(from), placed).Stop {
 				replicas++
 			}
 		}
@@ -86,8 +86,8 @@
 	if n := leaving(); n != 0 {
 		t.Errorf("%d replicas leave although their image is nowhere else", n)
 	}
-	c.workerState(c.cache.Machine("c0")).images = []int{one.Image}
-	if n := leaving(); n != 2 || c.jobState(one).relocating == c.jobState(two).relocating {
+	controller.workerState(controller.cache.Machine("c0")).images = []int{one.Image}
+	if n := leaving(); n != 2 || controller.jobState(one).relocating == controller.jobState(two).relocating {
 		t.Errorf("%d replicas leave, want one of each service", n)
 	}
 }
--- a/internal/controller/scale_demand_test.go
+++ b/internal/controller/scale_demand_test.go
@@ -12,17 +12,17 @@
 // Replicas waited for minutes beside free machines in a zone that had its half already: by the sums there was
 // capacity, and nothing was provisioned elsewhere.
 func TestSpreadIsAskedForByZone(t *testing.T) {
-	c := newZonesCore(t, 1)
-	c.leader.init()
-	c.cache.Types[0].Zones = []int{0, 1, 2}
-	placeService(t, c, "job-000010", 6, "a0", "a0", "a0")
+	controller := newZonesCore(t, 1)
+	controller.leader.init()
+	controller.cache.Types[0].Zones = []int{0, 1, 2}
+	placeService(t, controller, "job-000010", 6, "a0", "a0", "a0")
 	needed := map[int]int{}
-	for _, demand := range c.demands(time.Now()) {
+	for _, demand := range controller.demands(time.Now()) {
 		if !demand.Spot {
 			needed[demand.Zone] += demand.Tasks
 		}
 	}
-	if a := c.cache.Zones.Find("a"); needed[a] != 3 || needed[-1] != 0 || needed[0]+needed[1]+needed[2] != 6 {
+	if a := controller.cache.Zones.Find("a"); needed[a] != 3 || needed[-1] != 0 || needed[0]+needed[1]+needed[2] != 6 {
 		t.Errorf("capacity asked for by zone: %v", needed)
 	}
 }
@@ -53,19 +53,19 @@
 		{"less than a task is left", 19, 5, 4, 16, 19},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newZonesCore(t, 4)
-			c.leader.init()
-			c.cache.Teams[0].CpusMax = test.limit
+			controller := newZonesCore(t, 4)
+			controller.leader.init()
+			controller.cache.Teams[0].CpusMax = test.limit
 			for i := range test.jobs {
 				var on []string
 				if i == 0 {
 					on = []string{"a0", "b0", "c0", "a1"}[:test.running]
 				}
-				job := placeService(t, c, fmt.Sprintf("job-%06d", 10+i), 6, on...)
+				job := placeService(t, controller, fmt.Sprintf("job-%06d", 10+i), 6, on...)
 				job.Spread = false
-				c.cache.Used[job.Team].Add(job, float64(len(on)))
+				controller.cache.Used[job.Team].Add(job, float64(len(on)))
 			}
-			if got := demandedCpus(c.demands(time.Now())); got < test.low || got > test.high {
+			if got := demandedCpus(controller.demands(time.Now())); got < test.low || got > test.high {
 				t.Errorf("%v CPUs are asked for, want %v to %v", got, test.low, test.high)
 			}
 		})
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -18,39 +18,39 @@
 // first copy may have been carried out before the limits fell, or come late. It was
 // repeated for ever.
 func TestInDoubtTransactionIsSettled(t *testing.T) {
-	c := newCore(t)
-	builder, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
+	controller := newCore(t)
+	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 	txn := builder.build()
-	c.workers.directCommands = maxDirectCommands
-	c.sent(txn, 0, nil, protocol.ErrUnknown)
+	controller.workers.directCommands = maxDirectCommands
+	controller.sent(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
-	c.sent(*c.commits.inDoubt, 0, nil, tooLarge)
-	if c.commits.inDoubt == nil || len(c.commits.inDoubt.Then) != 1 || c.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || c.commits.inDoubt.If[0].Version != 2 {
-		t.Fatalf("it is not settled by rewriting the shard's record: %+v", c.commits.inDoubt)
+	controller.sent(*controller.commits.inDoubt, 0, nil, tooLarge)
+	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
+		t.Fatalf("it is not settled by rewriting the shard's record: %+v", controller.commits.inDoubt)
 	}
-	settle := *c.commits.inDoubt
-	c.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
-	c.sent(settle, 0, nil, protocol.ErrRefused)
-	if c.commits.inDoubt == nil {
+	settle := *controller.commits.inDoubt
+	controller.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
+	controller.sent(settle, 0, nil, protocol.ErrRefused)
+	if controller.commits.inDoubt == nil {
 		t.Fatal("given up before it was known")
 	}
-	c.sent(settle, 20, nil, nil)
-	if c.commits.inDoubt != nil || c.commits.awaitedRevision != 20 || c.cache.Shards[0].Version != 20 {
-		t.Fatalf("in doubt %v, waiting for %d, shard's version %d", c.commits.inDoubt != nil, c.commits.awaitedRevision, c.cache.Shards[0].Version)
+	controller.sent(settle, 20, nil, nil)
+	if controller.commits.inDoubt != nil || controller.commits.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
+		t.Fatalf("in doubt %v, waiting for %d, shard's version %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
-		return x.Key == storage.ShardKey(0) && x.Version == c.cache.Shards[0].Version
+		return x.Key == storage.ShardKey(0) && x.Version == controller.cache.Shards[0].Version
 	}) {
 		t.Fatal("a late copy would still be carried out")
 	}
-	if !c.gates.limitsLowered {
+	if !controller.gates.limitsLowered {
 		t.Error("the limits to come are not taken up")
 	}
 	// Where nothing is in doubt a refusal for size is definite.
-	c = newCore(t)
-	builder, _ = c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-	if c.sent(builder.build(), 0, nil, tooLarge); c.commits.inDoubt != nil || !c.gates.limitsLowered {
-		t.Errorf("in doubt %v, lowered %v", c.commits.inDoubt != nil, c.gates.limitsLowered)
+	controller = newCore(t)
+	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+	if controller.sent(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
+		t.Errorf("in doubt %v, lowered %v", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
 	}
 }
 
@@ -124,17 +124,17 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				store := &scriptStore{answers: test.answers}
-				c := newScriptedLeader(t, store, test.leads)
-				go runInbox(ctx, c)
+				controller := newScriptedLeader(t, store, test.leads)
+				go runInbox(ctx, controller)
 				txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: 5}},
 					Then: []protocol.Change{{Put: storage.VictimSetKey("x"), Value: storage.Encode(storage.VictimSetRecord{})}}}
 				done, ok := false, false
-				go c.commitWithRetry(ctx, txn, func(committed bool) { done, ok = true, committed })
+				go controller.commitWithRetry(ctx, txn, func(committed bool) { done, ok = true, committed })
 				time.Sleep(10 * time.Second)
 				if done == test.waits {
 					t.Fatalf("told before the cache had reached the revision: %v", done)
 				}
-				c.post(func() { c.cache.Revision = 20 })
+				controller.post(func() { controller.cache.Revision = 20 })
 				time.Sleep(time.Second)
 				if !done || ok != test.ok || len(store.asked) != len(test.answers) {
 					t.Fatalf("told %v, %v after %d requests", done, ok, len(store.asked))
--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -24,7 +24,7 @@
 func TestTeamChange(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		prepare func(c *Controller)
+		prepare func(controller *Controller)
 		team    string
 		version uint64
 		change  string
@@ -58,11 +58,11 @@
 		}, team: "red", version: 9, change: `{"cpus_max":50}`, want: `{"cpus":0,"cpus_max":50,"gpus":0,"gpus_max":0}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTeamCore(t)
+			core := newTeamCore(t)
 			if test.prepare != nil {
-				test.prepare(c)
+				test.prepare(core)
 			}
-			txn, err := c.teamTxn(test.team, test.version, json.RawMessage(test.change))
+			txn, err := core.teamTxn(test.team, test.version, json.RawMessage(test.change))
 			if test.refused != "" {
 				if err == nil || !strings.Contains(err.Error(), test.refused) || len(txn.Then) > 0 {
 					t.Fatalf("refused with %v, want %q", err, test.refused)
@@ -102,19 +102,19 @@
 		{"all have gone", 4, true, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTeamCore(t)
+			controller := newTeamCore(t)
 			now := time.Now()
-			job, machine := c.cache.Job("job-000001"), c.cache.Machine("m")
+			job, machine := controller.cache.Job("job-000001"), controller.cache.Machine("m")
 			if !test.stopped {
 				for task := range 2 {
 					machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: 4, PlacedAt: now.Unix() - 10*int64(task)})
 					job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, 4, job.PlacedCount+1
 				}
-				c.cache.Used[0].Add(job, 2)
+				controller.cache.Used[0].Add(job, 2)
 			}
-			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: test.limit}, Former: &none}, 9)
+			applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: test.limit}, Former: &none}, 9)
 			planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
-			c.planLimits(now, planned)
+			controller.planLimits(now, planned)
 			put, counts := planned.puts[storage.TeamKey("red")]
 			if counts != test.counts || counts && strings.Contains(string(put.Value), "was") || counts && planned.conditions[storage.TeamKey("red")] != 9 {
 				t.Errorf("counts: %v, want %v: %s", counts, test.counts, put.Value)
@@ -129,7 +129,7 @@
 					t.Errorf("%+v, %v: want the task that has run for the shortest time", e, err)
 				}
 			}
-			view := c.teamView(0, now)
+			view := controller.teamView(0, now)
 			if want := 8 - test.limit; !test.stopped && (view.State != TeamLowering || view.CpusToGo != want) {
 				t.Errorf("%+v, want %v CPUs to go", view, want)
 			}
@@ -140,8 +140,8 @@
 // TestTeamRecordsAreRead: records of teams change what placement goes by, older ones and unknown teams change nothing, and
 // the barrier keeps no controller of this version out.
 func TestTeamRecordsAreRead(t *testing.T) {
-	c := newTeamCore(t)
-	file := c.cfg.Deployment.Teams[0]
+	controller := newTeamCore(t)
+	file := controller.cfg.Deployment.Teams[0]
 	limit := func(v float64) storage.TeamRecord {
 		return storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: v}}
 	}
@@ -158,16 +158,16 @@
 		{storage.TeamsBarrierKey, limit(5), 11, false, 8},
 		{storage.TeamKey("red"), nil, 12, true, 0},
 	} {
-		if err := c.cache.Apply(test.key, storage.Encode(test.rec), test.version, test.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
+		if err := controller.cache.Apply(test.key, storage.Encode(test.rec), test.version, test.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
 			t.Fatal(err)
 		} else if err != nil {
 			t.Errorf("%s keeps this version out", test.key)
 		}
-		if got := c.cache.Teams[0].CpusMax; got != test.want {
+		if got := controller.cache.Teams[0].CpusMax; got != test.want {
 			t.Errorf("%s at %d: limit %v, want %v", test.key, test.version, got, test.want)
 		}
 	}
-	if c.cfg.Deployment.Teams[0] != file {
+	if controller.cfg.Deployment.Teams[0] != file {
 		t.Error("the settings have changed")
 	}
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -27,24 +27,24 @@
 // newZonesCore is a controller that owns some machines in each of three zones, a to c.
 func newZonesCore(t *testing.T, machinesPerZone int) *Controller {
 	t.Helper()
-	c := newCore(t)
-	c.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
-	c.cfg.Deployment.Workers.CancelS = 40
+	controller := newCore(t)
+	controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
+	controller.cfg.Deployment.Workers.CancelS = 40
 	rev := uint64(10)
 	for _, zone := range []string{"a", "b", "c"} {
 		for i := range machinesPerZone {
 			rev++
 			name := fmt.Sprint(zone, i)
-			if err := c.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: zone, FencingToken: rev,
+			if err := controller.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: zone, FencingToken: rev,
 				Machines: []storage.FleetMachine{{Name: name, Addr: name}}}), rev, false); err != nil {
 				t.Fatal(err)
 			}
-			machine := c.cache.Machine(name)
+			machine := controller.cache.Machine(name)
 			machine.Incarnation, machine.Gone = 1, false
-			c.workerState(machine)
+			controller.workerState(machine)
 		}
 	}
-	return c
+	return controller
 }
 
 // superviseFor has a controller supervise zones for a number of ticks, with a step after each.
@@ -66,7 +66,7 @@
 		name               string
 		heard              string // zones that answer
 		machines           int
-		before             func(c *Controller, now time.Time)
+		before             func(controller *Controller, now time.Time)
 		unreachable, lives bool // lives: somebody inside is taken to live
 		emptied            bool // then its machines are gone
 	}{
@@ -79,27 +79,27 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newZonesCore(t, test.machines)
-				c.workerLink = answeringZones(test.heard)
+				core := newZonesCore(t, test.machines)
+				core.workerLink = answeringZones(test.heard)
 				for _, name := range []string{"n0", "n1", "n2"} {
-					c.cache.Members[name] = &storage.Member{Version: 1}
+					core.cache.Members[name] = &storage.Member{Version: 1}
 				}
-				c.session.startedAt = time.Now().Add(-time.Minute)
-				test.before(c, time.Now())
-				superviseFor(c, 24, func(tick int) {
+				core.session.startedAt = time.Now().Add(-time.Minute)
+				test.before(core, time.Now())
+				superviseFor(core, 24, func(tick int) {
 					if tick == 10 {
-						delete(c.cache.Members, "n1") // its session lease has expired
+						delete(core.cache.Members, "n1") // its session lease has expired
 					}
 				})
-				zone, now := c.cache.Zones.Find("b"), time.Now()
-				if c.reachability.zoneUnreachable(zone) != test.unreachable || test.unreachable && c.hasControllerInside(zone) != test.lives {
-					t.Fatalf("unreachable: %v, controller inside: %v", c.reachability.zoneUnreachable(zone), c.hasControllerInside(zone))
+				zone, now := core.cache.Zones.Find("b"), time.Now()
+				if core.reachability.zoneUnreachable(zone) != test.unreachable || test.unreachable && core.hasControllerInside(zone) != test.lives {
+					t.Fatalf("unreachable: %v, controller inside: %v", core.reachability.zoneUnreachable(zone), core.hasControllerInside(zone))
 				}
-				if test.unreachable && (!c.needsNoReplacement(zone, now) || c.needsNoReplacement(zone, now.Add(time.Minute))) {
+				if test.unreachable && (!core.needsNoReplacement(zone, now) || core.needsNoReplacement(zone, now.Add(time.Minute))) {
 					t.Error("what runs there needs no other capacity for a while, and then it does")
 				}
-				checkEmptyZoneIsTriedAgain(t, c, zone, now, test.unreachable, test.emptied)
-				if c.hearZone(zone, now); c.reachability.zoneUnreachable(zone) {
+				checkEmptyZoneIsTriedAgain(t, core, zone, now, test.unreachable, test.emptied)
+				if core.hearZone(zone, now); core.reachability.zoneUnreachable(zone) {
 					t.Error("a zone that is heard is still unreachable")
 				}
 				time.Sleep(2 * probeTimeout)
@@ -110,20 +110,20 @@
 
 // checkEmptyZoneIsTriedAgain: in a zone without machines nobody will ever be heard, so it counts as
 // reachable again after a while, and no other zone does.
-func checkEmptyZoneIsTriedAgain(t *testing.T, c *Controller, zone int, now time.Time, unreachable, emptied bool) {
+func checkEmptyZoneIsTriedAgain(t *testing.T, controller *Controller, zone int, now time.Time, unreachable, emptied bool) {
 	t.Helper()
-	for _, machine := range c.cache.Machines {
+	for _, machine := range controller.cache.Machines {
 		machine.Gone = machine.Zone == zone && emptied
 	}
 	for range 2 {
-		c.superviseZones(now)
-		if c.reachability.zoneUnreachable(zone) != unreachable {
+		controller.superviseZones(now)
+		if controller.reachability.zoneUnreachable(zone) != unreachable {
 			t.Error("a zone is tried again at once")
 		}
-		c.superviseZones(now.Add(emptyFor - time.Second))
+		controller.superviseZones(now.Add(emptyFor - time.Second))
 	}
-	c.superviseZones(now.Add(emptyFor + time.Second))
-	if got := c.reachability.zoneUnreachable(zone); got != (unreachable && !emptied) {
+	controller.superviseZones(now.Add(emptyFor + time.Second))
+	if got := controller.reachability.zoneUnreachable(zone); got != (unreachable && !emptied) {
 		t.Errorf("unreachable: %v, without machines in it: %v", got, emptied)
 	}
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -74,7 +74,7 @@
 func TestReport(t *testing.T) {
 	began := time.Date(2026, 11, 30, 18, 0, 0, 0, time.Local)
 	path := recorded(t, began)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		scope view.Scope
 		teams int
 		check func(report *Report) bool
@@ -91,13 +91,13 @@
 			return r.Teams[0].Evicted == 1 && r.Teams[0].Done == 0 && r.Teams[0].Money == 0
 		}},
 	} {
-		t.Run("scope "+string(c.scope), func(t *testing.T) {
-			history, err := Read([]string{path, path}, c.scope, began.UnixMilli(), began.Add(time.Hour).UnixMilli())
+		t.Run("scope "+string(test.scope), func(t *testing.T) {
+			history, err := Read([]string{path, path}, test.scope, began.UnixMilli(), began.Add(time.Hour).UnixMilli())
 			if err != nil {
 				t.Fatal(err)
 			}
-			made := Make(history, "Night <of> the 30th", c.scope, began.Add(time.Hour))
-			if len(made.Teams) != c.teams || !c.check(made) || len(made.Gaps) != 1 || made.Gaps[0].S < 60 || history.Broken != 2 || !made.KnownFrom.Equal(began) {
+			made := Make(history, "Night <of> the 30th", test.scope, began.Add(time.Hour))
+			if len(made.Teams) != test.teams || !test.check(made) || len(made.Gaps) != 1 || made.Gaps[0].S < 60 || history.Broken != 2 || !made.KnownFrom.Equal(began) {
 				raw, _ := json.MarshalIndent(made, "", " ")
 				t.Fatalf("%s", raw)
 			}
@@ -114,8 +114,8 @@
 				t.Fatal(err)
 			}
 			for _, other := range []string{"team-red-x", "team-blue-x", "team-green-x"} {
-				if c.scope != view.Operators && other != string(c.scope) && (bytes.Contains(page, []byte(other)) || bytes.Contains(raw, []byte(other))) {
-					t.Errorf("%s is on the page of %s", other, c.scope)
+				if test.scope != view.Operators && other != string(test.scope) && (bytes.Contains(page, []byte(other)) || bytes.Contains(raw, []byte(other))) {
+					t.Errorf("%s is on the page of %s", other, test.scope)
 				}
 			}
 			if bytes.Contains(page, []byte("<script>")) || bytes.Contains(page, []byte("<of>")) || regexp.MustCompile(`(src|href)="?http`).Match(page) {
@@ -136,7 +136,7 @@
 					}
 				}
 			}
-			if n := strings.Count(string(page), "<svg"); n != 5*c.teams || strings.Count(string(page), "<figcaption>") != n {
+			if n := strings.Count(string(page), "<svg"); n != 5*test.teams || strings.Count(string(page), "<figcaption>") != n {
 				t.Errorf("%d plots, each needs its words", n)
 			}
 		})
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -102,7 +102,7 @@
 		}
 		return y
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		x, y   []float64
 		ok     bool
@@ -115,12 +115,12 @@
 		{"three sizes", []float64{1, 2, 4, 4}, []float64{1, 2, 4, 4}, false, ""},
 		{"nothing", x, make([]float64, 5), false, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			line, ok := fitLine(c.x, c.y)
-			if ok != c.ok || ok && line.growth() != c.growth {
+		t.Run(test.name, func(t *testing.T) {
+			line, ok := fitLine(test.x, test.y)
+			if ok != test.ok || ok && line.growth() != test.growth {
 				t.Errorf("%+v, %s, %v", line, line.growth(), ok)
 			}
-			if c.growth == "line" && (math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Intercept-3) > 1e-9) {
+			if test.growth == "line" && (math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Intercept-3) > 1e-9) {
 				t.Errorf("%+v", line)
 			}
 		})
--- a/internal/simulator/cloud_server.go
+++ b/internal/simulator/cloud_server.go
@@ -45,20 +45,20 @@
 	return c.JSON(list)
 }
 
-func (s *cloudServer) scaleOut(c *fiber.Ctx) error {
+func (s *cloudServer) scaleOut(fiberCtx *fiber.Ctx) error {
 	var request protocol.ScaleOutRequest
-	err := json.Unmarshal(c.Body(), &request)
+	err := json.Unmarshal(fiberCtx.Body(), &request)
 	if err != nil || request.Name == "" || request.Count < 1 || request.Count > protocol.MaxScaleOut {
-		return malformed(c, "no rental of 1 to 50 machines")
+		return malformed(fiberCtx, "no rental of 1 to 50 machines")
 	}
 	names, err := s.link.ScaleOut(context.Background(), request)
 	switch {
 	case errors.Is(err, protocol.ErrNoCapacity):
-		return c.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
+		return fiberCtx.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
 	case err != nil:
-		return fail(c, err)
+		return fail(fiberCtx, err)
 	}
-	return c.JSON(protocol.MachineNames{Machines: names})
+	return fiberCtx.JSON(protocol.MachineNames{Machines: names})
 }
 
 func (s *cloudServer) scaleIn(c *fiber.Ctx) error {
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -11,7 +11,7 @@
 
 // TestBalancer compares the balancer's judgement of a controller with the protocol.
 func TestBalancer(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		probes string // one a second: + answers, - does not
 		want   string // healthy after each
@@ -23,12 +23,12 @@
 		{"back after two, not before three seconds", "+--++++", "hh...hh"},
 		{"each removal doubles the pause", "+--+++--++++++++", "hh...hh......hhh"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			loadBalancer := NewLoadBalancer()
 			loadBalancer.AddController(&ControllerProcess{Name: "n"}, "127.0.0.1:1")
 			now := time.Unix(1e9, 0)
 			got := ""
-			for _, p := range c.probes {
+			for _, p := range test.probes {
 				now = now.Add(time.Second)
 				loadBalancer.probed(loadBalancer.backends[0], p == '+', now)
 				if loadBalancer.backends[0].healthy {
@@ -37,8 +37,8 @@
 					got += "."
 				}
 			}
-			if got != c.want {
-				t.Errorf("%s gives %s, want %s", c.probes, got, c.want)
+			if got != test.want {
+				t.Errorf("%s gives %s, want %s", test.probes, got, test.want)
 			}
 		})
 	}
--- a/internal/simulator/relay.go
+++ b/internal/simulator/relay.go
@@ -38,8 +38,8 @@
 }
 
 // pass passes on what one side sends until either ends.
-func (way Direction) pass(to, from net.Conn) {
-	defer closeConn(to)
+func (way Direction) pass(conn, from net.Conn) {
+	defer closeConn(conn)
 	defer closeConn(from)
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -51,7 +51,7 @@
 			time.Sleep(heldPollInterval)
 		}
 		if n > 0 {
-			if _, err := to.Write(buffer[:n]); err != nil {
+			if _, err := conn.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -127,22 +127,22 @@
 }
 
 // commands has a worker carry out direct commands.
-func (p *WorkerPorts) commands(c *fiber.Ctx) error {
+func (p *WorkerPorts) commands(fiberCtx *fiber.Ctx) error {
 	var request commandsRequest
-	if err := json.Unmarshal(c.Body(), &request); err != nil || request.Token == nil || request.Session == nil {
-		return malformed(c, "helm or watch is missing")
+	if err := json.Unmarshal(fiberCtx.Body(), &request); err != nil || request.Token == nil || request.Session == nil {
+		return malformed(fiberCtx, "helm or watch is missing")
 	}
 	sim := p.simulation
 	sim.Commands.Messages.Add(1)
-	m := p.machine(c)
+	m := p.machine(fiberCtx)
 	if !sim.reachable(m, true) {
-		return silent(c)
+		return silent(fiberCtx)
 	}
 	sim.sendDelayed("", m.Zone) // which zone's controller has sent it can't be told
 	sim.mu.Lock()
 	heartbeat, status := sim.executeCommand(m, protocol.DirectCommands{FencingToken: *request.Token, Incarnation: *request.Session, Commands: request.Commands})
 	sim.mu.Unlock()
-	return c.Status(status).JSON(heartbeat)
+	return fiberCtx.Status(status).JSON(heartbeat)
 }
 
 // status answers with a worker's heartbeat.
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -227,21 +227,21 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
-		s := newScenario(ctx, c)
-		s.begin()
-		c.play(s)
-		healAll(s.Simulation, s.hooks)
-		s.checkAllServed(t)
-		if s.told() == 0 && len(s.cancelled) > 0 {
+		scenario := newScenario(ctx, c)
+		scenario.begin()
+		c.play(scenario)
+		healAll(scenario.Simulation, scenario.hooks)
+		scenario.checkAllServed(t)
+		if scenario.told() == 0 && len(scenario.cancelled) > 0 {
 			t.Error("no user was told of a cancellation: nothing is proved")
 		}
-		s.cancelJob(len(s.long))
-		s.awaitAll(t, append(s.far, s.cancelled...), 120)
-		time.Sleep(seconds(s.Settings.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
-		for _, b := range s.BrokenRules() {
+		scenario.cancelJob(len(scenario.long))
+		scenario.awaitAll(t, append(scenario.far, scenario.cancelled...), 120)
+		time.Sleep(seconds(scenario.Settings.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
+		for _, b := range scenario.BrokenRules() {
 			t.Error(b)
 		}
-		s.checkCounts(t, c.must)
+		scenario.checkCounts(t, c.must)
 	})
 }
 
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -85,26 +85,26 @@
 	}{item, lease})
 }
 
-func (s *stateServer) transaction(c *fiber.Ctx) error {
+func (s *stateServer) transaction(request *fiber.Ctx) error {
 	var txn protocol.Txn
-	if err := json.Unmarshal(c.Body(), &txn); err != nil || len(c.Body()) > maxTxn {
-		return malformed(c, "no transaction, or over 64 KiB")
+	if err := json.Unmarshal(request.Body(), &txn); err != nil || len(request.Body()) > maxTxn {
+		return malformed(request, "no transaction, or over 64 KiB")
 	}
 	for _, change := range txn.Then {
 		if !namesOneKey(change) {
-			return malformed(c, "a change names no key")
+			return malformed(request, "a change names no key")
 		}
 	}
 	rev, failed, err := s.link.Txn(context.Background(), txn, protocol.BackgroundRequest)
 	switch {
 	case errors.Is(err, protocol.ErrNoLease):
-		return malformed(c, "no such lease")
+		return malformed(request, "no such lease")
 	case err != nil:
-		return fail(c, err)
+		return fail(request, err)
 	case len(failed) > 0:
-		return c.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
+		return request.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
 	}
-	return c.JSON(protocol.TxnResult{Revision: rev})
+	return request.JSON(protocol.TxnResult{Revision: rev})
 }
 
 // namesOneKey tells whether a change puts or deletes one key of a form that the state service takes.
@@ -113,22 +113,22 @@
 	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKey && !strings.Contains(key, " ")
 }
 
-func (s *stateServer) grant(c *fiber.Ctx) error {
+func (s *stateServer) grant(fiberCtx *fiber.Ctx) error {
 	var request struct {
 		TTL int64 `json:"ttlMs"`
 	}
-	if err := json.Unmarshal(c.Body(), &request); err != nil {
-		return malformed(c, "no ttlMs")
+	if err := json.Unmarshal(fiberCtx.Body(), &request); err != nil {
+		return malformed(fiberCtx, "no ttlMs")
 	}
 	ttl := time.Duration(request.TTL) * time.Millisecond
 	if ttl < minLease || ttl > maxLease {
-		return malformed(c, "ttlMs is not between 100 and 600000")
+		return malformed(fiberCtx, "ttlMs is not between 100 and 600000")
 	}
 	id, err := s.link.Grant(context.Background(), ttl)
 	if err != nil {
-		return fail(c, err)
+		return fail(fiberCtx, err)
 	}
-	return c.JSON(struct {
+	return fiberCtx.JSON(struct {
 		Lease uint64 `json:"tenure"`
 	}{id})
 }
@@ -148,18 +148,18 @@
 	}
 }
 
-func (s *stateServer) watch(c *fiber.Ctx) error {
-	from, fromErr := strconv.ParseUint(c.Query("from", "0"), 10, 64)
-	milliseconds, waitErr := strconv.Atoi(c.Query("blockMs", "0"))
+func (s *stateServer) watch(request *fiber.Ctx) error {
+	from, fromErr := strconv.ParseUint(request.Query("from", "0"), 10, 64)
+	milliseconds, waitErr := strconv.Atoi(request.Query("blockMs", "0"))
 	wait := time.Duration(milliseconds) * time.Millisecond
 	if fromErr != nil || waitErr != nil || wait < 0 || wait > maxBlock {
-		return malformed(c, "from or blockMs is out of range")
+		return malformed(request, "from or blockMs is out of range")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), wait+pendingWatch)
 	defer cancel()
-	events, err := s.link.Watch(ctx, strings.Clone(c.Query("starts")), from, wait)
+	events, err := s.link.Watch(ctx, strings.Clone(request.Query("starts")), from, wait)
 	if err != nil {
-		return fail(c, err)
+		return fail(request, err)
 	}
-	return c.JSON(events)
+	return request.JSON(events)
 }
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -213,13 +213,13 @@
 	return a.core.Team(ctx, name)
 }
 
-func (a adminAPI) changeTeam(ctx context.Context, c *fiber.Ctx) (any, error) {
-	name, err := teamName(c)
+func (a adminAPI) changeTeam(ctx context.Context, request *fiber.Ctx) (any, error) {
+	name, err := teamName(request)
 	if err != nil {
 		return nil, err
 	}
 	var change TeamChange
-	if err := decodeChange(c, &change, `{"version":N,"team":{...}}`); err != nil {
+	if err := decodeChange(request, &change, `{"version":N,"team":{...}}`); err != nil {
 		return nil, err
 	}
 	if change.Version == nil {
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -86,7 +86,7 @@
 	}
 	for ctx.Err() == nil {
 		var ok bool
-		if frames, ok = p.appendNews(frames, member); !ok {
+		if frames, ok = p.appendMessages(frames, member); !ok {
 			return
 		}
 		if conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)) != nil {
@@ -116,23 +116,23 @@
 	return ended
 }
 
-// appendNews appends the frames of what there is to tell a peer now. It fails only by a fault in this
+// appendMessages appends the frames of what there is to tell a peer now. It fails only by a fault in this
 // controller, which it logs.
-func (p *Peers) appendNews(frames []byte, member string) ([]byte, bool) {
+func (p *Peers) appendMessages(frames []byte, member string) ([]byte, bool) {
 	frames, err := protocol.AppendFrame(frames, p.core.PeerHeartbeat())
 	if err != nil {
-		p.log.Error("pulse cannot be written", "err", err)
+		p.log.Error("peer heartbeat not written", "err", err)
 		return frames, false
 	}
 	if demands := p.core.ShardDemands(); len(demands) > 0 {
 		if frames, err = protocol.AppendFrame(frames, protocol.ShardDemands{Shards: demands}); err != nil {
-			p.log.Error("need cannot be written", "err", err)
+			p.log.Error("shard demands not written", "err", err)
 			return frames, false
 		}
 	}
 	if digest, ok := p.core.CancellationDigest(member); ok {
 		if frames, err = protocol.AppendFrame(frames, digest); err != nil {
-			p.log.Error("word cannot be written", "err", err)
+			p.log.Error("cancellation digest not written", "err", err)
 			return frames, false
 		}
 	}
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -119,11 +119,11 @@
 	body   any
 }
 
-func (a publicAPI) heartbeat(c *fiber.Ctx) error {
-	heartbeat, err := protocol.ParseHeartbeat(c.Body())
+func (a publicAPI) heartbeat(request *fiber.Ctx) error {
+	heartbeat, err := protocol.ParseHeartbeat(request.Body())
 	if err != nil {
 		a.log.Info("malformed report", "err", err)
-		return send(c, fiber.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
+		return send(request, fiber.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 	}
 	replies := make(chan heartbeatReply, 1) // with room for a reply that comes too late
 	// No timeout: the controller takes the heartbeat in even if the worker no longer waits.
@@ -134,9 +134,9 @@
 	defer timer.Stop()
 	select {
 	case reply := <-replies:
-		return send(c, reply.status, reply.body)
+		return send(request, reply.status, reply.body)
 	case <-timer.C:
-		return send(c, fiber.StatusServiceUnavailable, protocol.ErrorResponse{Error: "busy"})
+		return send(request, fiber.StatusServiceUnavailable, protocol.ErrorResponse{Error: "busy"})
 	}
 }
 
--- a/internal/transport/view.go
+++ b/internal/transport/view.go
@@ -49,38 +49,38 @@
 
 // serve makes a fiber handler that refuses what the view can't serve, and keeps to the number of slots.
 func (a viewAPI) serve(handler viewHandler) fiber.Handler {
-	return func(c *fiber.Ctx) error {
+	return func(request *fiber.Ctx) error {
 		if !a.core.ViewEnabled() {
-			return send(c, fiber.StatusNotFound, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
+			return send(request, fiber.StatusNotFound, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
 		}
-		team := query(c, "team")
+		team := query(request, "team")
 		if team != "" && !a.core.HasTeam(team) {
-			return send(c, fiber.StatusNotFound, AdminRefusal{Error: "no such team", Field: "team"})
+			return send(request, fiber.StatusNotFound, AdminRefusal{Error: "no such team", Field: "team"})
 		}
 		select {
 		case a.slots <- struct{}{}:
 			defer func() { <-a.slots }()
 		default:
-			return sendRetryLater(c, "too many readers of the view")
+			return sendRetryLater(request, "too many readers of the view")
 		}
-		return handler(c, view.Scope(team))
+		return handler(request, view.Scope(team))
 	}
 }
 
 // page answers with what has changed after a cursor, if need be once something has.
-func (a viewAPI) page(c *fiber.Ctx, scope view.Scope) error {
-	cursor, wait, ok := viewQuery(c)
+func (a viewAPI) page(request *fiber.Ctx, scope view.Scope) error {
+	cursor, wait, ok := viewQuery(request)
 	if !ok {
-		return send(c, fiber.StatusBadRequest, AdminRefusal{Error: "epoch, seq and wait_ms are whole numbers, wait_ms at most 2000"})
+		return send(request, fiber.StatusBadRequest, AdminRefusal{Error: "epoch, seq and wait_ms are whole numbers, wait_ms at most 2000"})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	snapshot := a.core.View(ctx, cursor)
 	if snapshot == nil {
-		return sendRetryLater(c, "this node has not read the records yet")
+		return sendRetryLater(request, "this node has not read the records yet")
 	}
-	c.Set(fiber.HeaderContentType, fiber.MIMEOctetStream)
-	return c.Send(snapshot.AppendPage(make([]byte, 0, viewPageSize), scope, cursor, time.Now().UnixMilli()))
+	request.Set(fiber.HeaderContentType, fiber.MIMEOctetStream)
+	return request.Send(snapshot.AppendPage(make([]byte, 0, viewPageSize), scope, cursor, time.Now().UnixMilli()))
 }
 
 // viewQuery reads what a reader has already and how long it will wait for more.
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -141,18 +141,18 @@
 
 // TestGoldenPages follows a model over a first page and one of changes.
 func TestGoldenPages(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		reader string
 		scope  Scope
 	}{{"operators", Operators}, {"team", "red"}} {
-		t.Run(c.reader, func(t *testing.T) {
+		t.Run(test.reader, func(t *testing.T) {
 			content := readGoldenModel(t)
-			model, reader := content.build(), newGoldenReader(c.scope)
-			page := reader.read(t, model.Snapshot(content.Head), "first."+c.reader)
-			checkGolden(t, "first."+c.reader+".json", reader.content(t, page))
+			model, reader := content.build(), newGoldenReader(test.scope)
+			page := reader.read(t, model.Snapshot(content.Head), "first."+test.reader)
+			checkGolden(t, "first."+test.reader+".json", reader.content(t, page))
 			content.change(model)
-			page = reader.read(t, model.Snapshot(content.Head), "changes."+c.reader)
-			checkGolden(t, "changes."+c.reader+".json", reader.content(t, page))
+			page = reader.read(t, model.Snapshot(content.Head), "changes."+test.reader)
+			checkGolden(t, "changes."+test.reader+".json", reader.content(t, page))
 		})
 	}
 }
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -51,7 +51,7 @@
 		return raw, nil
 	}
 	off := func(view.Cursor) ([]byte, error) { return nil, ErrOff }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		controllers []func(view.Cursor) ([]byte, error)
 		rev         uint64 // shown in the end; 0: nothing
@@ -69,20 +69,20 @@
 		{"off on one", []func(view.Cursor) ([]byte, error){off, answers(1, 9, view.Done, 0, true)}, 9, "", nil},
 		{"no such team", []func(view.Cursor) ([]byte, error){func(view.Cursor) ([]byte, error) { return nil, ErrNoTeam }}, 0, "", ErrNoTeam},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				f := NewFollower(&script{controllers: c.controllers}, view.Operators, 200*time.Millisecond)
-				if err := f.Run(ctx); !errors.Is(err, c.ends) {
-					t.Errorf("ended with %v, want %v", err, c.ends)
+				f := NewFollower(&script{controllers: test.controllers}, view.Operators, 200*time.Millisecond)
+				if err := f.Run(ctx); !errors.Is(err, test.ends) {
+					t.Errorf("ended with %v, want %v", err, test.ends)
 				}
 				s := f.State()
-				if s.Snapshot == nil != (c.rev == 0) || s.Snapshot != nil && s.Revision != c.rev {
-					t.Errorf("shows %+v, want revision %d", s.Snapshot, c.rev)
+				if s.Snapshot == nil != (test.rev == 0) || s.Snapshot != nil && s.Revision != test.rev {
+					t.Errorf("shows %+v, want revision %d", s.Snapshot, test.rev)
 				}
-				if !strings.Contains(s.Warning, c.warning) || c.warning == "" && c.rev > 0 && s.Warning != "" {
-					t.Errorf("says %q, want %q", s.Warning, c.warning)
+				if !strings.Contains(s.Warning, test.warning) || test.warning == "" && test.rev > 0 && s.Warning != "" {
+					t.Errorf("says %q, want %q", s.Warning, test.warning)
 				}
 			})
 		})
