--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,60 +1,16 @@
 package config
 
 import (
-	"flag"
 	"fmt"
 	"os"
-	"path/filepath"
 	"reflect"
 	"regexp"
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
-
-// checkGolden compares got with testdata/golden/name, or writes that file with -update.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		writeGolden(t, path, got)
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
-			t.Fatalf("%s, line %d:\n got: %s\nwant: %s", path, i+1, g, w)
-		}
-	}
-}
 
-// lineAt is a line of a text, or a remark that the text has ended before.
-func lineAt(lines []string, i int) string {
-	if i >= len(lines) {
-		return "(no such line)"
-	}
-	return lines[i]
-}
-
-// writeGolden writes a golden file; CI only ever compares.
-func writeGolden(t *testing.T, path, text string) {
-	t.Helper()
-	if os.Getenv("CI") == "true" {
-		t.Fatal("-update is refused in CI")
-	}
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
+	"dykeledge/internal/golden"
+)
 
 // TestGoldenSettings pins what settings and features files say, by the names in the files.
 func TestGoldenSettings(t *testing.T) {
@@ -80,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, test.name+".txt", dump("", reflect.ValueOf(read)))
+			golden.CheckText(t, test.name+".txt", dump("", reflect.ValueOf(read)))
 		})
 	}
 }
@@ -118,7 +74,7 @@
 			fmt.Fprintf(&refusals, "%s -> %q: %v\n", line, text, withoutGoNames(err))
 		}
 	}
-	checkGolden(t, "refusals.txt", refusals.String())
+	golden.CheckText(t, "refusals.txt", refusals.String())
 }
 
 // goName is the TOML library's mention of a field of a Go type.
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -6,6 +6,7 @@
 
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
+	"dykeledge/internal/wait"
 )
 
 // This file reads the cloud's catalog of machine types and its list of machines.
@@ -62,7 +63,7 @@
 		catalog, err := c.cloud.Catalog(ctx)
 		if err != nil || len(catalog.Types) == 0 {
 			c.log.Info("catalog not available yet", "err", err)
-			sleep(ctx, catalogRetryInterval)
+			wait.For(ctx, catalogRetryInterval)
 			continue
 		}
 		c.post(func() {
@@ -72,7 +73,7 @@
 			}
 			c.requestCycle()
 		})
-		sleep(ctx, catalogInterval)
+		wait.For(ctx, catalogInterval)
 	}
 }
 
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -1,13 +1,14 @@
 package controller
 
 import (
-	"dykeledge/internal/config"
-	"dykeledge/internal/protocol"
-	"dykeledge/internal/storage"
 	"encoding/json"
 	"log/slog"
 	"testing"
 	"time"
+
+	"dykeledge/internal/config"
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 // newCore makes a loaded controller that owns its only shard, with one machine whose
--- a/internal/controller/desired_state_test.go
+++ b/internal/controller/desired_state_test.go
@@ -1,11 +1,12 @@
 package controller
 
 import (
+	"testing"
+	"time"
+
 	"dykeledge/internal/controller/dispatch"
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
-	"testing"
-	"time"
 )
 
 // A victim that would keep little by saving stops at once; one that is saving already is
--- a/internal/controller/golden_settings_test.go
+++ b/internal/controller/golden_settings_test.go
@@ -6,6 +6,7 @@
 	"path/filepath"
 	"testing"
 
+	"dykeledge/internal/golden"
 	"dykeledge/internal/storage"
 )
 
@@ -23,5 +24,5 @@
 	if settings.Alpha != 0.25 || settings.MoveEveryS != 1.5 || settings.LogLevel != "debug" {
 		t.Errorf("read as %+v", settings)
 	}
-	checkGolden(t, "settings.any.json", string(storage.Encode(settings)))
+	golden.CheckText(t, "settings.any.json", string(storage.Encode(settings)))
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -3,10 +3,7 @@
 import (
 	"context"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -15,53 +12,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"dykeledge/internal/controller/dispatch"
+	"dykeledge/internal/golden"
 	"dykeledge/internal/storage"
 )
 
-var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
-
-// checkGolden compares got with testdata/golden/name, or writes that file with -update.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		writeGolden(t, path, got)
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
-			t.Fatalf("%s, line %d:\n got: %s\nwant: %s", path, i+1, g, w)
-		}
-	}
-}
-
-// lineAt is a line of a text, or a remark that the text has ended before.
-func lineAt(lines []string, i int) string {
-	if i >= len(lines) {
-		return "(no such line)"
-	}
-	return lines[i]
-}
-
-// writeGolden writes a golden file; CI only ever compares.
-func writeGolden(t *testing.T, path, text string) {
-	t.Helper()
-	if os.Getenv("CI") == "true" {
-		t.Fatal("-update is refused in CI")
-	}
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // goldenCore is a core with a placed task, waiting ones, an evicted set and a changed team. It serves calls until the test ends.
 func goldenCore(t *testing.T) *Controller {
 	t.Helper()
@@ -142,7 +96,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				checkGolden(t, "admin-"+test.name+".json", string(raw)+"\n")
+				golden.CheckText(t, "admin-"+test.name+".json", string(raw)+"\n")
 			})
 		})
 	}
@@ -156,7 +110,7 @@
 		_, err := DefaultOperatorSettings().Change(json.RawMessage(change))
 		fmt.Fprintf(&b, "%s: %v\n", change, err)
 	}
-	checkGolden(t, "settings-refusals.txt", b.String())
+	golden.CheckText(t, "settings-refusals.txt", b.String())
 }
 
 // TestGoldenMetrics pins names, types, help, labels and buckets of the metrics, and the labels' fixed values.
@@ -169,7 +123,7 @@
 		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Unsent} {
 			c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 		}
-		checkGolden(t, "metrics.txt", metricsText(t, c.metrics.Registry))
+		golden.CheckText(t, "metrics.txt", metricsText(t, c.metrics.Registry))
 	})
 }
 
--- a/internal/controller/leader_transactions.go
+++ b/internal/controller/leader_transactions.go
@@ -7,6 +7,7 @@
 
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
+	"dykeledge/internal/wait"
 )
 
 const (
@@ -29,7 +30,7 @@
 		}
 		if err != nil && (inDoubt || !errors.Is(err, protocol.ErrRefused)) {
 			inDoubt = true
-			sleep(ctx, inDoubtRetryDelay)
+			wait.For(ctx, inDoubtRetryDelay)
 			continue
 		}
 		if err == nil && len(failed) > 0 {
@@ -47,7 +48,7 @@
 		if c.call(ctx, func() { reached = c.cache.Revision >= revision }) != nil || reached {
 			return
 		}
-		sleep(ctx, revisionPollInterval)
+		wait.For(ctx, revisionPollInterval)
 	}
 }
 
@@ -73,6 +74,6 @@
 			c.waitForRevision(ctx, rev)
 			return
 		}
-		sleep(ctx, inDoubtRetryDelay)
+		wait.For(ctx, inDoubtRetryDelay)
 	}
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -8,6 +8,7 @@
 
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
+	"dykeledge/internal/wait"
 )
 
 // sessionState is this controller's own standing: its incarnation, its session lease with the
@@ -40,7 +41,7 @@
 		lease, err := c.store.Grant(ctx, c.timing.SessionLease)
 		if err != nil {
 			c.log.Info("no session lease yet", "err", err)
-			sleep(ctx, grantRetryInterval)
+			wait.For(ctx, grantRetryInterval)
 			continue
 		}
 		if incarnation == 0 {
@@ -50,7 +51,7 @@
 		txn := protocol.Txn{Then: []protocol.Change{c.memberChange(incarnation, lease, c.session.notReady.Load())}}
 		revision, _, err := c.store.Txn(ctx, txn, protocol.UrgentRequest)
 		if err != nil {
-			sleep(ctx, storeRetryInterval)
+			wait.For(ctx, storeRetryInterval)
 			continue
 		}
 		c.post(func() {
@@ -69,7 +70,7 @@
 // renewSessionLease renews a session lease until it has expired or ctx ends.
 func (c *Controller) renewSessionLease(ctx context.Context, lease uint64) {
 	for ctx.Err() == nil {
-		sleep(ctx, c.timing.SessionLease/4)
+		wait.For(ctx, c.timing.SessionLease/4)
 		sent := time.Now()
 		err := c.store.Renew(ctx, lease, c.timing.SessionLease/2)
 		if err == nil {
--- a/internal/controller/planned_txn.go
+++ b/internal/controller/planned_txn.go
@@ -1,9 +1,10 @@
 package controller
 
 import (
+	"time"
+
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
-	"time"
 )
 
 // txnBuilder is a transaction under construction: the versions that it depends on, and the
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -1,11 +1,12 @@
 package controller
 
 import (
-	"dykeledge/internal/protocol"
-	"dykeledge/internal/storage"
 	"fmt"
 	"reflect"
 	"testing"
+
+	"dykeledge/internal/protocol"
+	"dykeledge/internal/storage"
 )
 
 func TestPlanConditions(t *testing.T) {
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -7,6 +7,7 @@
 
 	"dykeledge/internal/protocol"
 	"dykeledge/internal/storage"
+	"dykeledge/internal/wait"
 )
 
 // stateFollower is how far this controller's cache follows the state service. It is written by
@@ -38,7 +39,7 @@
 		c.post(func() { c.follower.noteLoad(err) })
 		if err != nil {
 			c.log.Info("cannot read the records yet", "err", err)
-			sleep(ctx, storeRetryInterval)
+			wait.For(ctx, storeRetryInterval)
 			continue
 		}
 		loadedOnce = true
@@ -76,7 +77,7 @@
 		}
 		if err != nil {
 			c.log.Debug("watch failed", "err", err)
-			sleep(ctx, storeRetryInterval)
+			wait.For(ctx, storeRetryInterval)
 			continue
 		}
 		if events.Revision >= revision {
@@ -85,7 +86,7 @@
 				return // this controller ends
 			}
 		}
-		sleep(ctx, c.timing.WatchInterval)
+		wait.For(ctx, c.timing.WatchInterval)
 	}
 }
 
--- a/internal/controller/times.go
+++ b/internal/controller/times.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"context"
 	"time"
 )
 
@@ -25,13 +24,3 @@
 func millis(d time.Duration) float64 {
 	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
 }
-
-// sleep waits for a while, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -3,49 +3,18 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
+
+	"dykeledge/internal/golden"
 )
 
 // The golden files hold what a landed version sends. A message's file tells with whom it is
 // exchanged, a frame's the level from which on a controller reads it. A difference means that
 // controllers of two versions, or the other services, don't understand each other.
 
-var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
-
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	raw, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
-
-// checkGolden holds bytes against a golden file, or writes the file under -update.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *update {
-		if os.Getenv("CI") == "true" {
-			t.Fatal("golden files are not written in CI")
-		}
-		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%q\nnot\n%q", name, got, want)
-	}
-}
-
 // TestGoldenFrames covers the frames between controllers.
 func TestGoldenFrames(t *testing.T) {
 	cases := []struct {
@@ -66,8 +35,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, test.file, frame)
-			rest := bytes.NewReader(readGolden(t, test.file))
+			golden.CheckBytes(t, test.file, frame)
+			rest := bytes.NewReader(golden.Read(t, test.file))
 			message, err := ReadFrame(rest)
 			if err != nil || rest.Len() > 0 || !reflect.DeepEqual(message, test.message) {
 				t.Errorf("read as %+v with %d bytes left: %v", message, rest.Len(), err)
@@ -131,12 +100,12 @@
 	}
 	for _, test := range cases {
 		t.Run(test.file, func(t *testing.T) {
-			raw := readGolden(t, test.file)
+			raw := golden.Read(t, test.file)
 			got, err := test.rewrite(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, test.file, got)
+			golden.CheckBytes(t, test.file, got)
 			if test.typ == nil {
 				return
 			}
@@ -176,5 +145,5 @@
 		Low.String(), Normal.String(), High.String(), Production.String(),
 		TaskName("job-000412", 15),
 	}
-	checkGolden(t, "words.any.txt", []byte(strings.Join(values, "\n")+"\n"))
+	golden.CheckBytes(t, "words.any.txt", []byte(strings.Join(values, "\n")+"\n"))
 }
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"github.com/valyala/fasthttp"
+
+	"dykeledge/internal/wait"
 )
 
 // LoadBalancer stands in for the load balancer between users and controllers. It works at the connection
@@ -69,7 +71,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				l.probed(b, b.probe(client), time.Now())
-				sleep(ctx, probeEvery)
+				wait.For(ctx, probeEvery)
 			}
 		}()
 	}
@@ -84,16 +86,6 @@
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// sleep waits for a time, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
-
 // probed takes a probe's outcome.
 func (l *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
 	l.mu.Lock()
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -12,6 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/wait"
 )
 
 // This file joins the simulation with processes outside: controllers and workers that speak HTTP, and
@@ -210,7 +211,7 @@
 		case !waits:
 			return false
 		}
-		sleep(sim.ctx, resumePollInterval)
+		wait.For(sim.ctx, resumePollInterval)
 	}
 	return false
 }
--- a/internal/simulator/retrying_users.go
+++ b/internal/simulator/retrying_users.go
@@ -8,6 +8,7 @@
 
 	"dykeledge/internal/controller"
 	"dykeledge/internal/protocol"
+	"dykeledge/internal/wait"
 )
 
 // Users are users of the simulation's controllers who repeat what has no certain answer, as the protocol
@@ -33,7 +34,7 @@
 		case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
 			return protocol.JobState{}, &statusError{name, answer.Status}
 		}
-		sleep(ctx, time.Second+time.Duration(u.Simulation.Random.IntN(250))*time.Millisecond)
+		wait.For(ctx, time.Second+time.Duration(u.Simulation.Random.IntN(250))*time.Millisecond)
 	}
 	return protocol.JobState{}, ctx.Err()
 }
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -3,15 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
 	"dykeledge/internal/config"
+	"dykeledge/internal/golden"
 	"dykeledge/internal/protocol"
 )
 
@@ -19,36 +18,6 @@
 // tells the record and the layout that writes it so; "any" is one that all layouts have in common.
 // A difference means that controllers of two versions can't read each other's records.
 
-var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
-
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-func readGolden(t *testing.T, name string) json.RawMessage {
-	t.Helper()
-	raw, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
-
-// checkGolden holds bytes against a golden file, or writes the file under -update.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *update {
-		if os.Getenv("CI") == "true" {
-			t.Fatal("golden files are not written in CI")
-		}
-		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%s\nnot\n%s", name, got, want)
-	}
-}
-
 // rewrite reads a record and writes it again.
 type rewrite func(raw json.RawMessage) (json.RawMessage, error)
 
@@ -60,11 +29,11 @@
 
 func checkRewrite(t *testing.T, from, to string, rewrite rewrite) {
 	t.Helper()
-	got, err := rewrite(readGolden(t, from))
+	got, err := rewrite(golden.Read(t, from))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, to, got)
+	golden.CheckBytes(t, to, got)
 }
 
 // TestGoldenRecords covers the records that are plain JSON in every layout.
@@ -148,13 +117,13 @@
 	}
 	for _, test := range records {
 		t.Run(test.record, func(t *testing.T) {
-			files, err := filepath.Glob(goldenPath(test.record + `[.\-]*`))
+			files, err := filepath.Glob(filepath.Join("testdata", "golden", test.record+`[.\-]*`))
 			if err != nil || len(files) == 0 {
 				t.Fatalf("no golden file (%v)", err)
 			}
 			text := ""
 			for _, file := range files {
-				text += string(readGolden(t, filepath.Base(file)))
+				text += string(golden.Read(t, filepath.Base(file)))
 			}
 			for _, field := range wireNames(test.recordType) {
 				if !strings.Contains(text, fmt.Sprintf("%q:", field)) {
@@ -183,19 +152,19 @@
 
 // TestGoldenSpec turns a user's submission into the description that a job's record holds.
 func TestGoldenSpec(t *testing.T) {
-	submission, err := protocol.ParseSubmission(readGolden(t, "submission.any.json"))
+	submission, err := protocol.ParseSubmission(golden.Read(t, "submission.any.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "spec.any.json", Encode(SpecOf(submission)))
+	golden.CheckBytes(t, "spec.any.json", Encode(SpecOf(submission)))
 }
 
 // TestGoldenTexts covers the packed texts within records: lists of job ids and sets of tasks.
 func TestGoldenTexts(t *testing.T) {
 	t.Run("ids", func(t *testing.T) {
 		ids := []string{"job-000398", "job-000399", "job-1234567", "job-000000000000000001", "job-000398"}
-		checkGolden(t, "ids.any.txt", []byte(PackIDs(ids)))
-		got, err := unpackIDs(string(readGolden(t, "ids.any.txt")))
+		golden.CheckBytes(t, "ids.any.txt", []byte(PackIDs(ids)))
+		got, err := unpackIDs(string(golden.Read(t, "ids.any.txt")))
 		if err != nil || !reflect.DeepEqual(got, ids) {
 			t.Errorf("read as %v: %v", got, err)
 		}
@@ -206,8 +175,8 @@
 		for _, task := range []int{0, 7, 8, 19} {
 			done.Set(task)
 		}
-		checkGolden(t, "tasks.any.txt", []byte(done.encode()))
-		got, err := decodeBitmap(string(readGolden(t, "tasks.any.txt")), tasks)
+		golden.CheckBytes(t, "tasks.any.txt", []byte(done.encode()))
+		got, err := decodeBitmap(string(golden.Read(t, "tasks.any.txt")), tasks)
 		if err != nil || !bytes.Equal(got, done) {
 			t.Errorf("read as %v: %v", got, err)
 		}
@@ -218,15 +187,15 @@
 func TestGoldenLong(t *testing.T) {
 	const job, attempt, limit = "job-000007", "n0-1-7", 192
 	var record JobRecord
-	if err := json.Unmarshal(readGolden(t, "job-open.any.json"), &record); err != nil {
+	if err := json.Unmarshal(golden.Read(t, "job-open.any.json"), &record); err != nil {
 		t.Fatal(err)
 	}
 	chunks, main := SplitDescription(job, attempt, &record, limit)
-	checkGolden(t, "long-parts.any.json", Encode(chunks))
-	checkGolden(t, "long-main.any.json", main)
+	golden.CheckBytes(t, "long-parts.any.json", Encode(chunks))
+	golden.CheckBytes(t, "long-main.any.json", main)
 
 	cache := NewCache(&config.Settings{})
-	if err := json.Unmarshal(readGolden(t, "long-parts.any.json"), &chunks); err != nil {
+	if err := json.Unmarshal(golden.Read(t, "long-parts.any.json"), &chunks); err != nil {
 		t.Fatal(err)
 	}
 	for i, chunk := range chunks {
@@ -235,14 +204,14 @@
 		}
 	}
 	var whole JobRecord
-	if err := json.Unmarshal(readGolden(t, "long-main.any.json"), &whole); err != nil {
+	if err := json.Unmarshal(golden.Read(t, "long-main.any.json"), &whole); err != nil {
 		t.Fatal(err)
 	}
 	if err := cache.descriptions.join(job, &whole); err != nil {
 		t.Fatal(err)
 	}
 	again, _ := SplitDescription(job, attempt, &whole, limit)
-	checkGolden(t, "long-parts.any.json", Encode(again))
+	golden.CheckBytes(t, "long-parts.any.json", Encode(again))
 }
 
 // TestGoldenKeys covers the keys under which records stand.
@@ -252,5 +221,5 @@
 		CompletionKey("job-000007", 8191), CompletionKey("job-000007", 8192), chunkKey("job-000007", "n0-1-7", 2), TeamKey("red/blue team"),
 		LeaderKey, CatalogKey, SettingsKey, LayoutKey, BaselineKey, BarrierKey, TeamsBarrierKey,
 	}
-	checkGolden(t, "keys.any.txt", []byte(strings.Join(keys, "\n")+"\n"))
+	golden.CheckBytes(t, "keys.any.txt", []byte(strings.Join(keys, "\n")+"\n"))
 }
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"dykeledge/internal/config"
+	"dykeledge/internal/golden"
 	"dykeledge/internal/protocol"
 )
 
@@ -115,7 +116,7 @@
 				}
 				text += fmt.Sprintf("answer %d %s\n", answer.status, answer.body) + outcomeText(t, out, err, answer.status != 0)
 			}
-			checkGolden(t, "client-"+test.name+".txt", text)
+			golden.CheckText(t, "client-"+test.name+".txt", text)
 		})
 	}
 }
@@ -165,5 +166,5 @@
 	if err := there.Close(); err != nil { // ends the speaking side too
 		t.Error(err)
 	}
-	checkGolden(t, "peer-frames.txt", hex.Dump(frames[:length]))
+	golden.CheckText(t, "peer-frames.txt", hex.Dump(frames[:length]))
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -2,15 +2,12 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -18,53 +15,10 @@
 	"github.com/gofiber/fiber/v2"
 
 	"dykeledge/internal/controller"
+	"dykeledge/internal/golden"
 	"dykeledge/internal/protocol"
 )
 
-var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
-
-// checkGolden compares got with testdata/golden/name, or writes that file with -update.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if *update {
-		writeGolden(t, path, got)
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
-			t.Fatalf("%s, line %d:\n got: %s\nwant: %s", path, i+1, g, w)
-		}
-	}
-}
-
-// lineAt is a line of a text, or a remark that the text has ended before.
-func lineAt(lines []string, i int) string {
-	if i >= len(lines) {
-		return "(no such line)"
-	}
-	return lines[i]
-}
-
-// writeGolden writes a golden file; CI only ever compares.
-func writeGolden(t *testing.T, path, text string) {
-	t.Helper()
-	if os.Getenv("CI") == "true" {
-		t.Fatal("-update is refused in CI")
-	}
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // publicApp and adminApp are the two servers around a stub.
 func publicApp(s *stubCore) *fiber.App {
 	return NewPublicServer(s, 500, slog.New(slog.DiscardHandler)).app
@@ -81,7 +35,7 @@
 				lines = append(lines, route.Path+" "+route.Method+"\n")
 			}
 			slices.Sort(lines)
-			checkGolden(t, "routes-"+name+".txt", strings.Join(lines, ""))
+			golden.CheckText(t, "routes-"+name+".txt", strings.Join(lines, ""))
 		})
 	}
 }
@@ -161,7 +115,7 @@
 				app = adminApp(&test.core)
 			}
 			answer := ask(t, app, test.method, test.path, test.body)
-			checkGolden(t, "answer-"+test.name+".txt", test.method+" "+test.path+"\n"+answer+"core: "+test.core.asked+"\n")
+			golden.CheckText(t, "answer-"+test.name+".txt", test.method+" "+test.path+"\n"+answer+"core: "+test.core.asked+"\n")
 		})
 	}
 }
@@ -180,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "answer-submit-too-large.txt", answerText(resp, readBody(t, resp)))
+	golden.CheckText(t, "answer-submit-too-large.txt", answerText(resp, readBody(t, resp)))
 }
 
 // ask sends a request to a server and writes down the answer.
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -3,48 +3,17 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
+
+	"dykeledge/internal/golden"
 )
 
 // The golden files hold what a landed version's feed sends: the pages of a model that
 // model.json describes, each named by what it brings and to whom, and beside it what its
 // reader has then. A difference means that a reader of another version can't follow.
 
-var update = flag.Bool("update", false, "write the golden files anew; refused in CI")
-
-func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
-
-func readGolden(t *testing.T, name string) []byte {
-	t.Helper()
-	raw, err := os.ReadFile(goldenPath(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
-
-// checkGolden holds bytes against a golden file, or writes the file under -update.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	if *update {
-		if os.Getenv("CI") == "true" {
-			t.Fatal("golden files are not written in CI")
-		}
-		if err := os.WriteFile(goldenPath(name), got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if want := readGolden(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written as\n%q\nnot\n%q", name, got, want)
-	}
-}
-
 // goldenModel is the content of model.json.
 type goldenModel struct {
 	Teams     []Team     `json:"teams"`
@@ -56,7 +25,7 @@
 
 func readGoldenModel(t *testing.T) (content goldenModel) {
 	t.Helper()
-	decoder := json.NewDecoder(bytes.NewReader(readGolden(t, "model.json")))
+	decoder := json.NewDecoder(bytes.NewReader(golden.Read(t, "model.json")))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&content); err != nil {
 		t.Fatal(err)
@@ -109,8 +78,8 @@
 // read takes the next page, which must be the file's, and returns it.
 func (r *goldenReader) read(t *testing.T, snapshot *Snapshot, name string) *Page {
 	t.Helper()
-	checkGolden(t, name+".bin", snapshot.AppendPage(nil, r.scope, r.cursor, goldenClock))
-	page, err := ReadPage(readGolden(t, name+".bin"))
+	golden.CheckBytes(t, name+".bin", snapshot.AppendPage(nil, r.scope, r.cursor, goldenClock))
+	page, err := ReadPage(golden.Read(t, name+".bin"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,10 +118,10 @@
 			content := readGoldenModel(t)
 			model, reader := content.build(), newGoldenReader(test.scope)
 			page := reader.read(t, model.Snapshot(content.Head), "first."+test.reader)
-			checkGolden(t, "first."+test.reader+".json", reader.content(t, page))
+			golden.CheckBytes(t, "first."+test.reader+".json", reader.content(t, page))
 			content.change(model)
 			page = reader.read(t, model.Snapshot(content.Head), "changes."+test.reader)
-			checkGolden(t, "changes."+test.reader+".json", reader.content(t, page))
+			golden.CheckBytes(t, "changes."+test.reader+".json", reader.content(t, page))
 		})
 	}
 }
@@ -160,13 +129,13 @@
 // TestGoldenMirror writes a page from what its reader has: the same bytes.
 func TestGoldenMirror(t *testing.T) {
 	const file = "first.operators.bin"
-	page, err := ReadPage(readGolden(t, file))
+	page, err := ReadPage(golden.Read(t, file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	mirror := NewMirror()
 	page.Apply(mirror)
-	checkGolden(t, file, mirror.Mirrored(*page.Head).AppendPage(nil, Operators, Cursor{}, goldenClock))
+	golden.CheckBytes(t, file, mirror.Mirrored(*page.Head).AppendPage(nil, Operators, Cursor{}, goldenClock))
 }
 
 // TestGoldenFullPage cuts a long feed after a full page and sends the rest in a second one.
