--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -40,7 +40,10 @@
 	err  error
 }
 
+// Error is the text of the error itself.
 func (e *exitError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error itself.
 func (e *exitError) Unwrap() error { return e.err }
 
 // failed is the error of a command that was used rightly and did not succeed.
--- a/internal/scaletest/launch.go
+++ b/internal/scaletest/launch.go
@@ -84,10 +84,11 @@
 	to io.Writer
 }
 
-func (w *lockedWriter) Write(b []byte) (int, error) {
+// Write writes data in one piece.
+func (w *lockedWriter) Write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.to.Write(b)
+	return w.to.Write(data)
 }
 
 // Verdict tells what is wrong with a point: broken rules, and controllers that ended by themselves. Times have no part in it.
