--- /dev/null
+++ b/internal/cicheck/doc.go
@@ -0,0 +1,2 @@
+// Package cicheck holds the tests of the scripts in .ci.
+package cicheck
