--- a/internal/storage/apply_fleet.go
+++ b/internal/storage/apply_fleet.go
@@ -32,13 +32,13 @@
 			return err
 		}
 	}
-	fleet := c.machines.fleet(id)
-	before := fleet.record.Machines
+	fleet := c.machines.ensureFleet(id)
+	previousEntries := fleet.record.Machines
 	fleet.record, fleet.Version, fleet.Size = record, change.revision, len(change.value)
 	for _, entry := range record.Machines {
 		c.addFleetEntry(fleet, entry)
 	}
-	for _, entry := range before { // what is listed still was counted once more just now
+	for _, entry := range previousEntries { // what is listed still was counted once more just now
 		machine := c.machines.find(entry.Name)
 		if machine.FleetEntries--; machine.FleetEntries == 0 {
 			c.removeMachine(machine, change.revision)
@@ -52,7 +52,7 @@
 func (c *Cache) checkFleetMachine(fleet string, entry *FleetMachine) error {
 	known := c.machines.find(entry.Name)
 	regrouped := known != nil && known.exists && known.Fleet.ID != fleet && known.record.Group != entry.Group
-	if entry.Group < 0 || entry.Group > maxGroups || regrouped {
+	if entry.Group < 0 || entry.Group > maxGroupID || regrouped {
 		return fmt.Errorf("%w: machine %s cannot be in group %d", ErrCorrupt, entry.Name, entry.Group)
 	}
 	return nil
@@ -79,14 +79,14 @@
 	machine.Fleet, machine.record, machine.exists, machine.Version = fleet, entry, true, fleet.Version
 	machine.Moved = false
 	c.sorted.addMachine(machine)
-	machine.joinGroup(c.group(entry.Group))
+	machine.joinGroup(c.ensureGroup(entry.Group))
 	machine.Shard, machine.Gone = machine.Group.Shard, machine.Group.Version == 0
 	machine.Type = c.TypeIndex.Index(fleet.record.Type)
 	c.growTypes()
 	machine.Zone = c.Zones.Index(fleet.record.Zone)
 	machine.Spot, machine.ProvisionedAt = fleet.record.Spot, fleet.record.ProvisionedAt
 	machine.Addr, machine.FencingToken = entry.Addr, fleet.record.FencingToken
-	c.noteChanged(machine)
+	c.markChanged(machine)
 }
 
 // removeMachine takes out a machine that no fleet's record lists any more.
@@ -95,7 +95,7 @@
 	machine.Gone, machine.exists, machine.Version = true, false, revision
 	machine.leaveGroup()
 	c.sorted.removeMachine(machine)
-	c.noteChanged(machine)
+	c.markChanged(machine)
 }
 
 // OversizedFleet returns a fleet whose record is over a limit in bytes, and whether it fits when it
@@ -117,7 +117,7 @@
 		if machine := c.machines.find(entry.Name); machine == nil || machine.Fleet != fleet {
 			continue
 		}
-		if len(records) > 0 && records[len(records)-1].addWithin(entry, limit) {
+		if len(records) > 0 && records[len(records)-1].appendIfFits(entry, limit) {
 			continue
 		}
 		record := fleet.record
@@ -127,8 +127,8 @@
 	return records
 }
 
-// addWithin adds a machine to a record unless that takes more than so many bytes packed.
-func (r *FleetRecord) addWithin(entry FleetMachine, limit int) bool {
+// appendIfFits adds a machine to a record unless that takes more than so many bytes packed.
+func (r *FleetRecord) appendIfFits(entry FleetMachine, limit int) bool {
 	r.Machines = append(r.Machines, entry)
 	if len(EncodeFleet(r, true)) <= limit {
 		return true
@@ -139,9 +139,9 @@
 
 // FleetWithout writes a fleet's record without some of its machines; none is left
 // if ok is false.
-func (c *Cache) FleetWithout(fleet *Fleet, gone map[*Machine]bool) (record FleetRecord, ok bool) {
+func (c *Cache) FleetWithout(fleet *Fleet, removed map[*Machine]bool) (record FleetRecord, ok bool) {
 	record = fleet.record
-	isGone := func(entry FleetMachine) bool { return gone[c.machines.find(entry.Name)] }
-	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), isGone)
+	isRemoved := func(entry FleetMachine) bool { return removed[c.machines.find(entry.Name)] }
+	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), isRemoved)
 	return record, len(record.Machines) > 0
 }
--- a/internal/storage/apply_group.go
+++ b/internal/storage/apply_group.go
@@ -8,8 +8,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// maxGroups is the highest id that a machine group may have.
-const maxGroups = 100_000
+// maxGroupID is the highest id that a machine group may have.
+const maxGroupID = 100_000
 
 // resolvedMachine is a machine's part of a group's record, with the jobs that it names. The zero
 // value is a machine that the record does not list.
@@ -40,13 +40,13 @@
 	if err != nil {
 		return err
 	}
-	group := c.group(id)
+	group := c.ensureGroup(id)
 	c.moveMachines(group, resolved)
 	reassigned := group.Version == 0 || group.Shard != record.Shard || group.FencingToken != record.FencingToken
 	group.Shard, group.FencingToken, group.Completed = record.Shard, record.FencingToken, completed
 	group.Packed = record.Packed != "" || len(record.Machines)+len(record.Completed) == 0
 	group.Version, group.Size = change.revision, len(change.value)
-	c.countCompletions(completed)
+	c.recordCompletions(completed)
 	for _, machine := range group.Machines {
 		c.updateMachine(machine, resolved[machine], reassigned)
 	}
@@ -145,8 +145,8 @@
 	}
 }
 
-// countCompletions counts completed tasks that were not known yet.
-func (c *Cache) countCompletions(list []CompletedTask) {
+// recordCompletions counts completed tasks that were not known yet.
+func (c *Cache) recordCompletions(list []CompletedTask) {
 	for _, completed := range list {
 		job := completed.Job
 		if job.Done.Get(completed.Task) {
@@ -175,7 +175,7 @@
 		machine.Shard, machine.FencingToken, machine.Incarnation = machine.Group.Shard, token, entry.Incarnation
 		machine.Returning, machine.Unhealthy, machine.Draining = entry.Returning, entry.Unhealthy, entry.Draining
 		machine.Gone, machine.Version = false, machine.Group.Version
-		c.noteChanged(machine)
+		c.markChanged(machine)
 	}
 	if entry.Addr != "" {
 		machine.Addr = entry.Addr
--- a/internal/storage/apply_job.go
+++ b/internal/storage/apply_job.go
@@ -9,7 +9,7 @@
 
 // applyJob takes a job's record.
 func (c *Cache) applyJob(id string, change recordChange) error {
-	if c.jobs.isForgotten(id) {
+	if c.jobs.isPruned(id) {
 		return nil // final states never change
 	}
 	job := c.jobs.find(id)
@@ -24,7 +24,7 @@
 		return err
 	}
 	if record.Final != "" && record.Spec == nil && (job == nil || job.PlacedCount == 0) {
-		c.forgetJob(id, job, record.finalState())
+		c.pruneJob(id, job, record.finalState())
 		return nil
 	}
 	if job == nil {
@@ -47,7 +47,7 @@
 		err := c.descriptions.join(id, record)
 		if err != nil && record.Final != "" {
 			// The chunks of a job that is over are deleted once none of its tasks is placed.
-			c.forgetJob(id, nil, record.finalState())
+			c.pruneJob(id, nil, record.finalState())
 			return nil, nil
 		}
 		if err != nil {
@@ -59,16 +59,16 @@
 		return nil, err
 	}
 	c.Jobs = c.jobs.add(job, c.Jobs)
-	c.imageSizes.record(job)
+	c.imageSizes.set(job)
 	c.sorted.addJob(job)
-	for part, set := range c.completions.of(id) {
+	for part, set := range c.completions.parts(id) {
 		job.mergeCompletionSet(part, set.tasks)
 	}
 	if record.Final == "" {
 		c.countArrival(job)
 		c.dependencies.addJob(job)
 	}
-	c.dependencies.noteKnown(id)
+	c.dependencies.dependencyAdded(id)
 	return job, nil
 }
 
@@ -162,15 +162,15 @@
 	job.FinalAtMs = record.FinalAtMs
 	c.feed.addJob(job)
 	if !job.Open() {
-		c.jobs.noteEnded(job)
+		c.jobs.addEnded(job)
 		c.dependencies.jobEnded(job.ID, job.finalState())
 	}
 	return nil
 }
 
-// forgetJob keeps no more than a job's final state. job is nil if it was not known.
-func (c *Cache) forgetJob(id string, job *Job, state FinalState) {
-	c.jobs.setForgotten(id, state)
+// pruneJob keeps no more than a job's final state. job is nil if it was not known.
+func (c *Cache) pruneJob(id string, job *Job, state FinalState) {
+	c.jobs.setPruned(id, state)
 	c.dependencies.jobEnded(id, state)
 	if job == nil {
 		return
@@ -178,7 +178,7 @@
 	job.Final = state.Status // groups may still name it
 	job.DoneCount, job.FinalAtMs = max(job.DoneCount, int(state.Tasks)), state.RecordedMs
 	c.feed.addJob(job)
-	c.dependencies.forgetJob(job)
+	c.dependencies.removeJob(job)
 	c.sorted.removeJob(job)
 	c.jobs.remove(job, c.Jobs)
 }
@@ -191,7 +191,7 @@
 func (c *Cache) Sweep() {
 	for _, job := range c.Jobs {
 		if job != nil && !job.Open() && job.PlacedCount == 0 && job.Version <= c.Revision {
-			c.forgetJob(job.ID, job, job.finalState())
+			c.pruneJob(job.ID, job, job.finalState())
 		}
 	}
 }
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -37,8 +37,8 @@
 // where it would be larger.
 func (c *Cache) BaselineRecordOf(cpus map[ClassQueue]float64, limit int) BaselineRecord {
 	var record BaselineRecord
-	for queue, usual := range cpus {
-		rounded := math.Round(usual*1000) / 1000
+	for queue, demand := range cpus {
+		rounded := math.Round(demand*1000) / 1000
 		record.Queues = append(record.Queues, BaselineQueue{c.Teams[queue.Team].Name, c.Classes.Name(queue.Class), rounded})
 	}
 	slices.SortFunc(record.Queues, func(a, b BaselineQueue) int {
@@ -78,7 +78,7 @@
 func (c *Cache) countArrival(job *Job) {
 	if job.Estimate > 0 {
 		queue := ClassQueueOf(job)
-		before := c.Arrivals[queue]
-		c.Arrivals[queue] = Arrivals{before.Jobs + 1, before.Work + float64(job.Tasks)*job.Size*job.Estimate}
+		previous := c.Arrivals[queue]
+		c.Arrivals[queue] = Arrivals{previous.Jobs + 1, previous.Work + float64(job.Tasks)*job.Size*job.Estimate}
 	}
 }
--- a/internal/storage/bitmap.go
+++ b/internal/storage/bitmap.go
@@ -55,7 +55,7 @@
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
-		return nil, corrupt(fmt.Errorf("bitmap of %d tasks: %w", tasks, err))
+		return nil, wrapCorrupt(fmt.Errorf("bitmap of %d tasks: %w", tasks, err))
 	}
 	if len(raw) != len(bitmap) {
 		return nil, fmt.Errorf("%w: bitmap of %d tasks has %d bytes", ErrCorrupt, tasks, len(raw))
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -135,7 +135,7 @@
 	}
 	if _, ok := keySuffix(key, groupPrefix); ok {
 		id, ok := GroupOf(key)
-		if !ok || id > maxGroups {
+		if !ok || id > maxGroupID {
 			return fmt.Errorf("%w: no such machine group", ErrInvalidKey)
 		}
 		return c.applyGroup(id, change)
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -178,9 +178,9 @@
 	recountTasks    = 20 // of each job
 )
 
-// TestRecount applies random changes of groups and compares what the cache keeps
+// TestDerivedCountsMatchRecords applies random changes of groups and compares what the cache keeps
 // beside the records with a full count of them.
-func TestRecount(t *testing.T) {
+func TestDerivedCountsMatchRecords(t *testing.T) {
 	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
 	for i := range recountJobs {
 		record := JobRecord{Tasks: recountTasks, Team: []string{"red", "blue"}[i%2], Spec: &SpecRecord{Cpus: float64(1 + i), Image: "i"}}
@@ -269,9 +269,9 @@
 	}
 }
 
-// TestEndedAreCountedOnce reads a job's final record before the group's that lists tasks which have
+// TestCompletedTasksCountedOnce reads a job's final record before the group's that lists tasks which have
 // ended: the record counts them all, and a job of two tasks was called done with four.
-func TestEndedAreCountedOnce(t *testing.T) {
+func TestCompletedTasksCountedOnce(t *testing.T) {
 	cache := newTestCache(t, "red")
 	for i, change := range []struct {
 		key    string
--- a/internal/storage/change_feed.go
+++ b/internal/storage/change_feed.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func (f *changeFeed) pending() int { return len(f.jobs) + len(f.machines) }
+func (f *changeFeed) pendingCount() int { return len(f.jobs) + len(f.machines) }
 
 func (f *changeFeed) takeJobs(limit int) (jobs []*Job) {
 	jobs, f.jobs = splitAt(f.jobs, limit)
@@ -89,8 +89,8 @@
 	jobs = c.feed.takeJobs(limit)
 	machines = c.feed.takeMachines(limit)
 	victimSets = c.feed.takeVictimSets()
-	return jobs, machines, victimSets, c.feed.pending() > 0
+	return jobs, machines, victimSets, c.feed.pendingCount() > 0
 }
 
 // PendingChanges is how many changed jobs and machines wait to be handed over.
-func (c *Cache) PendingChanges() int { return c.feed.pending() }
+func (c *Cache) PendingChanges() int { return c.feed.pendingCount() }
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -13,12 +13,12 @@
 	"dykeledge/internal/protocol"
 )
 
-// abandonedChunksAfter is how long chunks may stay that no job's record names: that record goes out
+// abandonedChunkAge is how long chunks may stay that no job's record names: that record goes out
 // seconds after them, and only if they are still there.
-const abandonedChunksAfter = 10 * time.Minute
+const abandonedChunkAge = 10 * time.Minute
 
-// chunkOverhead is how many bytes of a chunk's record are not its text, at most.
-const chunkOverhead = 64
+// chunkOverheadBytes is how many bytes of a chunk's record are not its text, at most.
+const chunkOverheadBytes = 64
 
 // chunkedDescriptions are the descriptions that are longer than a record may be: of thousands of
 // dependencies, or of allowed machine types. One is written in chunks before the job's own record,
@@ -50,7 +50,7 @@
 func (d *chunkedDescriptions) put(name string, chunk int, record chunkRecord, revision uint64) {
 	set := d.sets[name]
 	if set == nil {
-		set = &chunkSet{texts: map[int]string{}, revisions: map[int]uint64{}, writtenAt: time.UnixMilli(record.AtMs)}
+		set = &chunkSet{texts: map[int]string{}, revisions: map[int]uint64{}, writtenAt: time.UnixMilli(record.WrittenAtMs)}
 		d.sets[name] = set
 	}
 	set.texts[chunk], set.revisions[chunk] = record.Text, revision
@@ -80,7 +80,7 @@
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
-		return corrupt(fmt.Errorf("its description: %w", err))
+		return wrapCorrupt(fmt.Errorf("its description: %w", err))
 	}
 	description, err := decodeJSON[JobRecord](raw)
 	if err != nil {
@@ -91,12 +91,12 @@
 	return nil
 }
 
-// stale are chunks that are needed no more: of jobs that are over, of attempts that lost to
+// staleRecords are chunks that are needed no more: of jobs that are over, of attempts that lost to
 // another, and of those that were abandoned.
-func (d *chunkedDescriptions) stale(jobs *jobTable, limit int, now time.Time) (records []protocol.Condition) {
+func (d *chunkedDescriptions) staleRecords(jobs *jobTable, limit int, now time.Time) (records []protocol.Condition) {
 	for name, set := range d.sets {
 		id, attempt, _ := strings.Cut(name, "/")
-		if set.needed(attempt, jobs.find(id), now) && !jobs.isForgotten(id) {
+		if set.isNeeded(attempt, jobs.find(id), now) && !jobs.isPruned(id) {
 			continue
 		}
 		chunks := slices.Sorted(maps.Keys(set.revisions))
@@ -111,11 +111,11 @@
 	return records
 }
 
-// needed tells whether a job's record names the chunks of an attempt, or may still do so. job is nil
+// isNeeded tells whether a job's record names the chunks of an attempt, or may still do so. job is nil
 // if it is not known.
-func (s *chunkSet) needed(attempt string, job *Job, now time.Time) bool {
+func (s *chunkSet) isNeeded(attempt string, job *Job, now time.Time) bool {
 	if job == nil {
-		return now.Sub(s.writtenAt) < abandonedChunksAfter
+		return now.Sub(s.writtenAt) < abandonedChunkAge
 	}
 	return job.ChunkSet == attempt
 }
@@ -136,7 +136,7 @@
 func SplitDescription(id, attempt string, record *JobRecord, limit int) (chunks []protocol.Change, main json.RawMessage) {
 	text := base64.RawStdEncoding.EncodeToString(Encode(&JobRecord{Spec: record.Spec, Dependencies: record.Dependencies}))
 	for i := 0; len(text) > 0; i++ {
-		length := min(limit-chunkOverhead, len(text))
+		length := min(limit-chunkOverheadBytes, len(text))
 		chunk := chunkRecord{text[:length], record.SubmittedMs}
 		chunks = append(chunks, protocol.Change{Put: chunkKey(id, attempt, i), Value: Encode(chunk)})
 		text = text[length:]
--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestLongDescription: the longest submissions that the protocol allows are accepted, kept,
+// TestChunkedDescriptionLifecycle: the longest submissions that the protocol allows are accepted, kept,
 // rewritten and ended in records of 2 KiB.
-func TestLongDescription(t *testing.T) {
+func TestChunkedDescriptionLifecycle(t *testing.T) {
 	var ids, types []string
 	for i := range 4500 {
 		ids = append(ids, fmt.Sprintf("job-%06d", i*37))
@@ -87,7 +87,7 @@
 			record := &JobRecord{Tasks: test.tasks, Team: "red", SubmittedMs: 5000, Dependencies: PackIDs(test.dependencies), Spec: spec}
 			store := &limitedStore{cache: newTestCache(t, "red"), revision: 1, keys: map[string]bool{}}
 			store.cache.Layout.Version = LayoutPacked
-			job := acceptInChunks(t, store, record)
+			job := acceptOnSecondAttempt(t, store, record)
 			if !reflect.DeepEqual(job.Dependencies, test.dependencies) || !reflect.DeepEqual(job.Spec, spec) || job.UnmetDependencies() != len(test.dependencies) {
 				t.Fatalf("read as %d dependencies and %d types", len(job.Dependencies), len(job.Spec.Types))
 			}
@@ -102,8 +102,8 @@
 	}
 }
 
-// acceptInChunks writes a job as two attempts to accept it, of which the second succeeds.
-func acceptInChunks(t *testing.T, store *limitedStore, record *JobRecord) *Job {
+// acceptOnSecondAttempt writes a job as two attempts to accept it, of which the second succeeds.
+func acceptOnSecondAttempt(t *testing.T, store *limitedStore, record *JobRecord) *Job {
 	t.Helper()
 	lost, _ := SplitDescription(chunkedJob, "1-1", record, recordLimit)
 	chunks, main := SplitDescription(chunkedJob, "2-1", record, recordLimit)
@@ -140,7 +140,7 @@
 func TestStaleChunks(t *testing.T) {
 	writtenAt := time.UnixMilli(5000)
 	record := &JobRecord{Tasks: 1, Team: "red", SubmittedMs: writtenAt.UnixMilli(), Spec: &SpecRecord{Cpus: 1, Class: "c"}}
-	chunks, main := SplitDescription(chunkedJob, "1-1", record, chunkOverhead+16)
+	chunks, main := SplitDescription(chunkedJob, "1-1", record, chunkOverheadBytes+16)
 	cases := []struct {
 		name      string
 		accept    bool // the job's record, which names the chunks, is written
@@ -148,16 +148,16 @@
 		age       time.Duration
 		wantStale bool
 	}{
-		{"the job's record may still come", false, "1-1", abandonedChunksAfter - time.Second, false},
-		{"abandoned", false, "1-1", abandonedChunksAfter, true},
-		{"named by an open job", true, "1-1", 2 * abandonedChunksAfter, false},
+		{"the job's record may still come", false, "1-1", abandonedChunkAge - time.Second, false},
+		{"abandoned", false, "1-1", abandonedChunkAge, true},
+		{"named by an open job", true, "1-1", 2 * abandonedChunkAge, false},
 		{"of an attempt that lost", true, "2-1", 0, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			cache := newTestCache(t, "red")
 			key := chunkKey(chunkedJob, test.attempt, 0)
-			applyRecord(t, cache, key, chunkRecord{Text: "t", AtMs: writtenAt.UnixMilli()}, 1)
+			applyRecord(t, cache, key, chunkRecord{Text: "t", WrittenAtMs: writtenAt.UnixMilli()}, 1)
 			if test.accept {
 				for _, chunk := range chunks {
 					applyRecord(t, cache, chunk.Put, chunk.Value, 2)
--- a/internal/storage/completion_sets.go
+++ b/internal/storage/completion_sets.go
@@ -29,8 +29,8 @@
 	return &completionSets{map[string]map[int]completionSet{}}
 }
 
-// of returns a job's sets by part.
-func (s *completionSets) of(job string) map[int]completionSet { return s.byJob[job] }
+// parts returns a job's sets by part.
+func (s *completionSets) parts(job string) map[int]completionSet { return s.byJob[job] }
 
 // revision is that of a part's record; 0 if there is none.
 func (s *completionSets) revision(job string, part int) uint64 { return s.byJob[job][part].revision }
@@ -48,11 +48,11 @@
 	}
 }
 
-// stale returns the records of jobs that are over.
-func (s *completionSets) stale(jobs *jobTable) []protocol.Condition {
+// staleRecords returns the records of jobs that are over.
+func (s *completionSets) staleRecords(jobs *jobTable) []protocol.Condition {
 	var records []protocol.Condition
 	for id, sets := range s.byJob {
-		if _, over := jobs.recordedFinal(id); !over {
+		if _, over := jobs.recordedFinalState(id); !over {
 			continue
 		}
 		for part, set := range sets {
@@ -94,7 +94,7 @@
 	}
 	tasks, err := base64.RawStdEncoding.DecodeString(record.Done)
 	if err != nil {
-		return corrupt(err)
+		return wrapCorrupt(err)
 	}
 	if len(tasks) > bytesPerCompletionSet {
 		return fmt.Errorf("%w: a set of over %d tasks", ErrCorrupt, tasksPerCompletionSet)
@@ -120,9 +120,9 @@
 // completion sets of jobs that are over, and chunks of descriptions that were abandoned or whose
 // jobs are over.
 func (c *Cache) StaleRecords(limit int, now time.Time) []protocol.Condition {
-	stale := c.completions.stale(c.jobs)
+	stale := c.completions.staleRecords(c.jobs)
 	if len(stale) < limit {
-		stale = append(stale, c.descriptions.stale(c.jobs, limit-len(stale), now)...)
+		stale = append(stale, c.descriptions.staleRecords(c.jobs, limit-len(stale), now)...)
 	}
 	return stale[:min(len(stale), limit)]
 }
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -29,20 +29,20 @@
 func (g *dependencyGraph) addJob(job *Job) {
 	job.unmetDependencies = len(job.Dependencies) // at first: it is not ready before all of them were looked at
 	for _, id := range job.Dependencies {
-		if state, ok := g.jobs.recordedFinal(id); ok {
+		if state, ok := g.jobs.recordedFinalState(id); ok {
 			g.dependencyEnded(job, state)
 			continue
 		}
 		g.dependents[id] = append(g.dependents[id], job)
 		if dependency := g.jobs.find(id); dependency != nil && dependency.DependencyFailed {
-			g.fail(job)
+			g.failWithDependents(job)
 		}
 	}
 	g.changed = g.changed || len(job.Dependencies) > 0
 }
 
-// noteKnown takes in that a job is known now, which others may have named before.
-func (g *dependencyGraph) noteKnown(id string) {
+// dependencyAdded takes in that a job is known now, which others may have named before.
+func (g *dependencyGraph) dependencyAdded(id string) {
 	if len(g.dependents[id]) > 0 {
 		g.changed = true
 	}
@@ -68,7 +68,7 @@
 	job.unmetDependencies--
 	g.feed.addJob(job)
 	if state.Status == protocol.Cancelled {
-		g.fail(job)
+		g.failWithDependents(job)
 		return
 	}
 	if endedAt := time.UnixMilli(state.RecordedMs); state.RecordedMs > 0 && endedAt.After(job.ReadyAt) {
@@ -79,10 +79,10 @@
 	}
 }
 
-// fail marks a job and all its dependents, direct or through others, as cancelled with
+// failWithDependents marks a job and all its dependents, direct or through others, as cancelled with
 // one before them. That follows from the records alone, so every controller says the same at
 // once; their own final records are written later.
-func (g *dependencyGraph) fail(job *Job) {
+func (g *dependencyGraph) failWithDependents(job *Job) {
 	pending := []*Job{job}
 	for len(pending) > 0 {
 		next := pending[len(pending)-1]
@@ -97,11 +97,11 @@
 	}
 }
 
-// forgetJob drops a job that is over.
-func (g *dependencyGraph) forgetJob(job *Job) { delete(g.inheritors, job) }
+// removeJob drops a job that is over.
+func (g *dependencyGraph) removeJob(job *Job) { delete(g.inheritors, job) }
 
-// openFailed drops the failed jobs that are over and returns the others.
-func (g *dependencyGraph) openFailed() []*Job {
+// openFailedJobs drops the failed jobs that are over and returns the others.
+func (g *dependencyGraph) openFailedJobs() []*Job {
 	open := g.failed[:0]
 	for _, job := range g.failed {
 		if job.Open() {
@@ -119,16 +119,16 @@
 	return ready
 }
 
-// mayRun tells whether a job is known, open and not cancelled with a dependency.
-func mayRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
+// canRun tells whether a job is known, open and not cancelled with a dependency.
+func canRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
 
 // inherit is described at Cache.Inherit.
-func (g *dependencyGraph) inherit(aims func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+func (g *dependencyGraph) inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
 	if !g.changed {
 		return
 	}
 	g.changed = false
-	unvisited := g.countDependents(aims)
+	unvisited := g.resetAndCountDependents(finishTimes)
 	// What nothing depends on any more has only its own left.
 	for job := range g.inheritors {
 		if _, ok := unvisited[job]; !ok {
@@ -145,29 +145,29 @@
 	for len(pending) > 0 {
 		job := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		pending = g.passOn(job, duration(job), unvisited, pending)
+		pending = g.propagate(job, duration(job), unvisited, pending)
 	}
 }
 
-// countDependents returns the jobs of the graph that may run, each with the number of its
+// resetAndCountDependents returns the jobs of the graph that may run, each with the number of its
 // dependents among them, and sets them back to what they have by themselves.
-func (g *dependencyGraph) countDependents(aims func(*Job) (finishBy, finishLatest time.Time)) map[*Job]int {
+func (g *dependencyGraph) resetAndCountDependents(finishTimes func(*Job) (finishBy, finishLatest time.Time)) map[*Job]int {
 	counts := map[*Job]int{}
 	visit := func(job *Job) {
 		if _, ok := counts[job]; !ok {
 			counts[job] = 0
 			job.Priority = job.OwnPriority
-			job.FinishBy, job.FinishLatest = aims(job)
+			job.FinishBy, job.FinishLatest = finishTimes(job)
 		}
 	}
 	for id, dependents := range g.dependents {
 		dependency := g.jobs.find(id)
-		if !mayRun(dependency) {
+		if !canRun(dependency) {
 			continue
 		}
 		visit(dependency)
 		for _, job := range dependents {
-			if mayRun(job) {
+			if canRun(job) {
 				visit(job)
 				counts[dependency]++
 			}
@@ -176,17 +176,17 @@
 	return counts
 }
 
-// passOn lets the dependencies of a job inherit from it, and adds to pending those all of whose
+// propagate lets the dependencies of a job inherit from it, and adds to pending those all of whose
 // dependents were visited now.
-func (g *dependencyGraph) passOn(job *Job, takes time.Duration, unvisited map[*Job]int, pending []*Job) []*Job {
+func (g *dependencyGraph) propagate(job *Job, duration time.Duration, unvisited map[*Job]int, pending []*Job) []*Job {
 	for _, id := range job.Dependencies {
 		dependency := g.jobs.find(id)
-		if !mayRun(dependency) {
+		if !canRun(dependency) {
 			continue
 		}
 		dependency.Priority = max(dependency.Priority, job.Priority)
-		dependency.FinishBy = earlier(dependency.FinishBy, job.FinishBy, takes)
-		dependency.FinishLatest = earlier(dependency.FinishLatest, job.FinishLatest, takes)
+		dependency.FinishBy = earlierFinish(dependency.FinishBy, job.FinishBy, duration)
+		dependency.FinishLatest = earlierFinish(dependency.FinishLatest, job.FinishLatest, duration)
 		if unvisited[dependency]--; unvisited[dependency] == 0 {
 			pending = append(pending, dependency)
 		}
@@ -194,13 +194,13 @@
 	return pending
 }
 
-// earlier is the earlier of a job's own time and that of a dependent less how long the dependent
+// earlierFinish is the earlierFinish of a job's own time and that of a dependent less how long the dependent
 // takes. A zero time is none.
-func earlier(own, dependent time.Time, takes time.Duration) time.Time {
+func earlierFinish(own, dependent time.Time, duration time.Duration) time.Time {
 	if dependent.IsZero() {
 		return own
 	}
-	if latest := dependent.Add(-takes); own.IsZero() || latest.Before(own) {
+	if latest := dependent.Add(-duration); own.IsZero() || latest.Before(own) {
 		return latest
 	}
 	return own
@@ -208,7 +208,7 @@
 
 // DependencyFailed returns the jobs that were cancelled with one before them and have no final
 // record of their own yet. The list is valid until the next change.
-func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailed() }
+func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailedJobs() }
 
 // NewlyReady returns the jobs that became ready since it was last called.
 func (c *Cache) NewlyReady() []*Job { return c.dependencies.takeNewlyReady() }
@@ -217,6 +217,6 @@
 // any, and the latest time at which they must be over for those to be in time. aims tells
 // when a job itself should be over at best and at the latest (zero: no such time), duration
 // how long it will take. Every job and edge is visited once.
-func (c *Cache) Inherit(aims func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
-	c.dependencies.inherit(aims, duration)
+func (c *Cache) Inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+	c.dependencies.inherit(finishTimes, duration)
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -10,21 +10,21 @@
 	"dykeledge/internal/protocol"
 )
 
-// graph applies jobs and ends to a cache, in the order given: "b<a,c" is a job b that depends on
+// newGraphCache applies jobs and ends to a cache, in the order given: "b<a,c" is a job b that depends on
 // a and c, "a+" a that is done, "a-" one that is cancelled. A job's times count in seconds from 1
 // for the first step.
-func graph(t *testing.T, steps ...string) (cache *Cache, job func(name string) *Job) {
+func newGraphCache(t *testing.T, steps ...string) (cache *Cache, job func(name string) *Job) {
 	t.Helper()
 	cache = newTestCache(t, "red")
 	for i, step := range steps {
 		revision := uint64(i + 1)
-		applyRecord(t, cache, JobKey(graphID(step[:1])), graphRecord(step, 1000*int64(revision)), revision)
+		applyRecord(t, cache, JobKey(graphJobID(step[:1])), graphRecord(step, 1000*int64(revision)), revision)
 	}
-	return cache, func(name string) *Job { return cache.Job(graphID(name)) }
+	return cache, func(name string) *Job { return cache.Job(graphJobID(name)) }
 }
 
-// graphID is the id of the job that a step of graph names by one letter.
-func graphID(name string) string { return "job-00000" + name }
+// graphJobID is the id of the job that a step of graph names by one letter.
+func graphJobID(name string) string { return "job-00000" + name }
 
 func graphRecord(step string, atMs int64) JobRecord {
 	record := JobRecord{Tasks: 1, Team: "red", SubmittedMs: atMs}
@@ -36,7 +36,7 @@
 	default:
 		var dependencies []string
 		for i := 2; i < len(step); i += 2 {
-			dependencies = append(dependencies, graphID(step[i:i+1]))
+			dependencies = append(dependencies, graphJobID(step[i:i+1]))
 		}
 		record.Spec, record.Dependencies = &SpecRecord{Cpus: 1, Image: "i", Estimate: 10}, PackIDs(dependencies)
 	}
@@ -70,7 +70,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			cache, find := graph(t, test.steps...)
+			cache, find := newGraphCache(t, test.steps...)
 			job := find(test.job)
 			if job.Ready() != test.ready || !job.ReadyAt.Equal(time.UnixMilli(int64(test.readySecond)*1000)) {
 				t.Errorf("ready %v at %v", job.Ready(), job.ReadyAt.UnixMilli())
@@ -129,11 +129,11 @@
 // describeGraph applies steps in an order and tells what is known of each job.
 func describeGraph(t *testing.T, steps, order []string) string {
 	t.Helper()
-	cache, find := graph(t, order...)
+	cache, find := newGraphCache(t, order...)
 	description := ""
 	for _, step := range steps {
 		name := step[:1]
-		final, _ := cache.FinalState(graphID(name))
+		final, _ := cache.FinalState(graphJobID(name))
 		description += fmt.Sprint(final, " ")
 		if job := find(name); job != nil && final == "" {
 			description += fmt.Sprint(job.Ready(), job.UnmetDependencies(), ";")
@@ -144,7 +144,7 @@
 
 // TestInherit: jobs inherit priority and times from their dependents, as long as these are open.
 func TestInherit(t *testing.T) {
-	cache, job := graph(t, "1", "2<1", "3<1", "4<2,3", "5<1")
+	cache, job := newGraphCache(t, "1", "2<1", "3<1", "4<2,3", "5<1")
 	due := map[string]time.Duration{"job-000004": 100 * time.Second, "job-000005": 200 * time.Second}
 	inherit := func() {
 		cache.Inherit(func(j *Job) (time.Time, time.Time) {
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -48,10 +48,10 @@
 // decodeInto is decodeJSON for a record that is kept where it is.
 func decodeInto[T any](raw json.RawMessage, record *T) error {
 	if err := json.Unmarshal(raw, record); err != nil {
-		return corrupt(err)
+		return wrapCorrupt(err)
 	}
 	return nil
 }
 
-// corrupt marks a decoder's error as ErrCorrupt and keeps the error itself in the chain.
-func corrupt(err error) error { return fmt.Errorf("%w: %w", ErrCorrupt, err) }
+// wrapCorrupt marks a decoder's error as ErrCorrupt and keeps the error itself in the chain.
+func wrapCorrupt(err error) error { return fmt.Errorf("%w: %w", ErrCorrupt, err) }
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -159,8 +159,8 @@
 	golden.CheckBytes(t, "spec.any.json", Encode(SpecOf(submission)))
 }
 
-// TestGoldenTexts covers the packed texts within records: lists of job ids and sets of tasks.
-func TestGoldenTexts(t *testing.T) {
+// TestGoldenPackedStrings covers the packed texts within records: lists of job ids and sets of tasks.
+func TestGoldenPackedStrings(t *testing.T) {
 	t.Run("ids", func(t *testing.T) {
 		ids := []string{"job-000398", "job-000399", "job-1234567", "job-000000000000000001", "job-000398"}
 		golden.CheckBytes(t, "ids.any.txt", []byte(PackIDs(ids)))
@@ -183,8 +183,8 @@
 	})
 }
 
-// TestGoldenLong splits a long description into chunks and joins them again.
-func TestGoldenLong(t *testing.T) {
+// TestGoldenChunkedDescription splits a long description into chunks and joins them again.
+func TestGoldenChunkedDescription(t *testing.T) {
 	const job, attempt, limit = "job-000007", "n0-1-7", 192
 	var record JobRecord
 	if err := json.Unmarshal(golden.Read(t, "job-open.any.json"), &record); err != nil {
--- a/internal/storage/images.go
+++ b/internal/storage/images.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// maxImages is how many images of a machine are remembered.
-const maxImages = 64
+// maxImagesPerMachine is how many images of a machine are remembered.
+const maxImagesPerMachine = 64
 
 // A task has fetched its image once it has been there for the time that the fetch takes, with a
 // margin in proportion to it and one in seconds.
 const (
-	fetchMargin        = 1.3
+	fetchTimeFactor    = 1.3
 	fetchMarginSeconds = 1
 )
 
@@ -20,14 +20,14 @@
 	gigabytes []float64
 }
 
-func (s *imageSizes) record(job *Job) {
+func (s *imageSizes) set(job *Job) {
 	for len(s.gigabytes) <= job.Image {
 		s.gigabytes = append(s.gigabytes, 0)
 	}
 	s.gigabytes[job.Image] = job.ImageGB
 }
 
-func (s *imageSizes) of(image int) float64 {
+func (s *imageSizes) size(image int) float64 {
 	if image < len(s.gigabytes) {
 		return s.gigabytes[image]
 	}
@@ -35,7 +35,7 @@
 }
 
 // ImageGB is the size of an image, in GB; 0 if no job that was read needs it.
-func (c *Cache) ImageGB(image int) float64 { return c.imageSizes.of(image) }
+func (c *Cache) ImageGB(image int) float64 { return c.imageSizes.size(image) }
 
 // UseImage notes an image as the most recently used of a list.
 func UseImage(images []int, image int) []int {
@@ -46,7 +46,7 @@
 		images = slices.Delete(images, i, i+1)
 	}
 	images = append(images, image)
-	return images[max(0, len(images)-maxImages):]
+	return images[max(0, len(images)-maxImagesPerMachine):]
 }
 
 // recordImages notes the images of a machine's tasks that have been there for long enough to
@@ -61,7 +61,7 @@
 		if rate := c.Types[machine.Type].FetchGBs; rate > 0 {
 			fetchSeconds = placed.Job.ImageGB / rate
 		}
-		if float64(now-placed.PlacedAt) > fetchMargin*fetchSeconds+fetchMarginSeconds {
+		if float64(now-placed.PlacedAt) > fetchTimeFactor*fetchSeconds+fetchMarginSeconds {
 			machine.Images = UseImage(machine.Images, placed.Job.Image)
 		}
 	}
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -8,9 +8,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestImagesOfMachines: what a machine has fetched is known from the records alone; a task that was
+// TestMachineImagesFromRecords: what a machine has fetched is known from the records alone; a task that was
 // there too shortly has fetched nothing, and the size of an image outlives its jobs.
-func TestImagesOfMachines(t *testing.T) {
+func TestMachineImagesFromRecords(t *testing.T) {
 	cache := newTestCache(t, "red")
 	cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
 	revision := uint64(1)
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestSizes: sizes count what binds, since a machine whose accelerators are all taken has idle CPUs
+// TestJobSizeUsesBindingResource: sizes count what binds, since a machine whose accelerators are all taken has idle CPUs
 // that nobody can use.
-func TestSizes(t *testing.T) {
+func TestJobSizeUsesBindingResource(t *testing.T) {
 	types := []protocol.MachineType{{Name: "cpu", Cpus: 16, MemGB: 64}, {Name: "gpu", Cpus: 48, Gpus: 8, MemGB: 384}}
 	for _, test := range []struct {
 		name string
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -65,8 +65,8 @@
 	PlacedCount int
 	ByZone      []int32 // placed tasks by zone
 
-	firstOpen    int // no task before it waits
-	inChangeFeed bool
+	firstWaitingBound int // no task before it waits
+	inChangeFeed      bool
 }
 
 // FinalState is a job's final state.
@@ -100,21 +100,21 @@
 
 // NextWaiting returns the first waiting task at or after from, or -1.
 func (j *Job) NextWaiting(from int) int {
-	if from <= j.firstOpen {
-		for j.firstOpen < j.Tasks && !j.taskWaits(j.firstOpen) {
-			j.firstOpen++
+	if from <= j.firstWaitingBound {
+		for j.firstWaitingBound < j.Tasks && !j.isWaiting(j.firstWaitingBound) {
+			j.firstWaitingBound++
 		}
-		from = j.firstOpen
+		from = j.firstWaitingBound
 	}
 	for task := from; task < j.Tasks; task++ {
-		if j.taskWaits(task) {
+		if j.isWaiting(task) {
 			return task
 		}
 	}
 	return -1
 }
 
-func (j *Job) taskWaits(task int) bool { return !j.Done.Get(task) && j.MachineOf[task] == Nowhere }
+func (j *Job) isWaiting(task int) bool { return !j.Done.Get(task) && j.MachineOf[task] == Nowhere }
 
 // finalState is the final state of a job that is over.
 func (j *Job) finalState() FinalState { return FinalState{j.Final, int32(j.DoneCount), j.FinalAtMs} }
@@ -131,27 +131,27 @@
 // jobTable finds jobs by id, and keeps the final states of those that were forgotten.
 type jobTable struct {
 	byID        map[string]*Job
-	forgotten   map[string]FinalState
+	pruned      map[string]FinalState
 	freeIndices []int32
 	ended       []*Job // became final since they were last taken
 }
 
 func newJobTable() *jobTable {
-	return &jobTable{byID: map[string]*Job{}, forgotten: map[string]FinalState{}}
+	return &jobTable{byID: map[string]*Job{}, pruned: map[string]FinalState{}}
 }
 
 // find returns a job that is not forgotten, or nil.
 func (t *jobTable) find(id string) *Job { return t.byID[id] }
 
-// isForgotten tells whether only a job's final state is left.
-func (t *jobTable) isForgotten(id string) bool {
-	_, ok := t.forgotten[id]
+// isPruned tells whether only a job's final state is left.
+func (t *jobTable) isPruned(id string) bool {
+	_, ok := t.pruned[id]
 	return ok
 }
 
-// recordedFinal is a job's final state as its record has it; ok is false if it is open or unknown.
-func (t *jobTable) recordedFinal(id string) (state FinalState, ok bool) {
-	if state, ok := t.forgotten[id]; ok {
+// recordedFinalState is a job's final state as its record has it; ok is false if it is open or unknown.
+func (t *jobTable) recordedFinalState(id string) (state FinalState, ok bool) {
+	if state, ok := t.pruned[id]; ok {
 		return state, true
 	}
 	if job := t.byID[id]; job != nil && !job.Open() {
@@ -180,9 +180,9 @@
 	t.freeIndices = append(t.freeIndices, job.Index)
 }
 
-func (t *jobTable) setForgotten(id string, state FinalState) { t.forgotten[id] = state }
+func (t *jobTable) setPruned(id string, state FinalState) { t.pruned[id] = state }
 
-func (t *jobTable) noteEnded(job *Job) { t.ended = append(t.ended, job) }
+func (t *jobTable) addEnded(job *Job) { t.ended = append(t.ended, job) }
 
 func (t *jobTable) takeEnded() []*Job {
 	ended := t.ended
@@ -197,7 +197,7 @@
 // job is open or unknown. It is cancelled as soon as one of its dependencies is, whatever its own
 // record says: that one will never be done, so this one can't be either.
 func (c *Cache) FinalState(id string) (protocol.JobStatus, int) {
-	if state, ok := c.jobs.recordedFinal(id); ok {
+	if state, ok := c.jobs.recordedFinalState(id); ok {
 		return state.Status, int(state.Tasks)
 	}
 	if job := c.jobs.find(id); job != nil && job.DependencyFailed {
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -77,8 +77,8 @@
 
 func (t *machineTable) add(machine *Machine) { t.byName[machine.Name] = machine }
 
-// fleet finds a fleet, and makes an empty one that no record describes yet.
-func (t *machineTable) fleet(id string) *Fleet {
+// ensureFleet finds a ensureFleet, and makes an empty one that no record describes yet.
+func (t *machineTable) ensureFleet(id string) *Fleet {
 	fleet := t.fleets[id]
 	if fleet == nil {
 		fleet = &Fleet{ID: id}
@@ -87,7 +87,7 @@
 	return fleet
 }
 
-func (t *machineTable) noteChanged(machine *Machine) {
+func (t *machineTable) markChanged(machine *Machine) {
 	if !machine.changed {
 		machine.changed = true
 		t.changed = append(t.changed, machine)
@@ -126,7 +126,7 @@
 	return c.machines.takeChanged(), c.jobs.takeEnded()
 }
 
-func (c *Cache) noteChanged(machine *Machine) {
+func (c *Cache) markChanged(machine *Machine) {
 	c.feed.addMachine(machine)
-	c.machines.noteChanged(machine)
+	c.machines.markChanged(machine)
 }
--- a/internal/storage/machine_group.go
+++ b/internal/storage/machine_group.go
@@ -32,8 +32,8 @@
 	return unsaved
 }
 
-// group finds a group, and makes an empty one that no record describes yet.
-func (c *Cache) group(id int) *MachineGroup {
+// ensureGroup finds a ensureGroup, and makes an empty one that no record describes yet.
+func (c *Cache) ensureGroup(id int) *MachineGroup {
 	for len(c.Groups) <= id {
 		c.Groups = append(c.Groups, &MachineGroup{ID: len(c.Groups)})
 	}
@@ -71,8 +71,8 @@
 	m.Tasks[i].Numbers = append(m.Tasks[i].Numbers, uint64(placed.Task), placed.Attempt, uint64(placed.PlacedAt), placed.WaitedS)
 }
 
-// empty tells whether a group's record need not list a machine.
-func (m *GroupMachine) empty() bool {
+// isEmpty tells whether a group's record need not list a machine.
+func (m *GroupMachine) isEmpty() bool {
 	flagged := m.Returning || m.Unhealthy || m.Draining || m.Moved
 	return !flagged && m.FencingToken == 0 && m.Incarnation == 0 && m.Addr == "" && len(m.Tasks) == 0
 }
@@ -86,7 +86,7 @@
 		if change != nil {
 			entry, stays = change(machine)
 		}
-		if stays && !entry.empty() {
+		if stays && !entry.isEmpty() {
 			record.Machines = append(record.Machines, entry)
 		}
 	}
--- a/internal/storage/packed_records.go
+++ b/internal/storage/packed_records.go
@@ -14,8 +14,8 @@
 	packTasks
 )
 
-// usualIncarnation is a worker's incarnation that the packed layout does not write.
-const usualIncarnation = 1
+// defaultIncarnation is a worker's incarnation that the packed layout does not write.
+const defaultIncarnation = 1
 
 // groupPacker writes a machine group's record; attempts and times by their difference from those
 // of the tasks before.
@@ -45,7 +45,7 @@
 	if machine.FencingToken > 0 {
 		p.number(machine.FencingToken)
 	}
-	if machine.Incarnation != usualIncarnation {
+	if machine.Incarnation != defaultIncarnation {
 		p.number(machine.Incarnation)
 	}
 	if machine.Addr != "" {
@@ -71,7 +71,7 @@
 		{m.Unhealthy, packUnhealthy},
 		{m.Draining, packDraining},
 		{m.FencingToken > 0, packFencingToken},
-		{m.Incarnation != usualIncarnation, packIncarnation},
+		{m.Incarnation != defaultIncarnation, packIncarnation},
 		{m.Addr != "", packAddress},
 		{m.Moved, packMoved},
 		{len(m.Tasks) > 0, packTasks},
@@ -149,7 +149,7 @@
 }
 
 func (u *groupUnpacker) machine() GroupMachine {
-	machine := GroupMachine{Name: u.name(), Incarnation: usualIncarnation}
+	machine := GroupMachine{Name: u.name(), Incarnation: defaultIncarnation}
 	flags := u.number()
 	machine.Returning, machine.Unhealthy = flags&packReturning > 0, flags&packUnhealthy > 0
 	machine.Draining, machine.Moved = flags&packDraining > 0, flags&packMoved > 0
@@ -221,8 +221,8 @@
 	return unpacker.err
 }
 
-// scorePrecision is how many steps of a victim's score the packed layout tells apart in 1.
-const scorePrecision = 10
+// scoreStepsPerUnit is how many steps of a victim's score the packed layout tells apart in 1.
+const scoreStepsPerUnit = 10
 
 // pack writes a victim set's victims and reservations.
 func (r *VictimSetRecord) pack() string {
@@ -235,7 +235,7 @@
 		packer.number(uint64(victim.Task))
 		packer.delta(victim.Attempt, attempt)
 		attempt = victim.Attempt
-		packer.number(uint64(max(0, victim.Score) * scorePrecision))
+		packer.number(uint64(max(0, victim.Score) * scoreStepsPerUnit))
 	}
 	packer.number(uint64(len(r.Reservations)))
 	for _, reservation := range r.Reservations {
@@ -252,7 +252,7 @@
 	for range unpacker.count() {
 		victim := VictimRecord{Machine: unpacker.name(), Job: unpacker.name(), Task: int(unpacker.number())}
 		attempt = unpacker.delta(attempt)
-		victim.Attempt, victim.Score = attempt, float64(unpacker.number())/scorePrecision
+		victim.Attempt, victim.Score = attempt, float64(unpacker.number())/scoreStepsPerUnit
 		r.Victims = append(r.Victims, victim)
 	}
 	for range unpacker.count() {
--- a/internal/storage/packed_records_test.go
+++ b/internal/storage/packed_records_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestPack: what is packed is read again as it was, and cut short it is an error, never
+// TestPackedRecordsRoundTrip: what is packed is read again as it was, and cut short it is an error, never
 // a panic or another record.
-func TestPack(t *testing.T) {
+func TestPackedRecordsRoundTrip(t *testing.T) {
 	longName := strings.Repeat("long-name-", 12)
 	for i, group := range groupsToPack(longName) {
 		t.Run(fmt.Sprint("group ", i), func(t *testing.T) { checkPackedGroup(t, &group) })
--- a/internal/storage/packer.go
+++ b/internal/storage/packer.go
@@ -12,7 +12,7 @@
 // text: the plain one took 25 to 60 bytes a placed task, this one about 5. A group's record of the
 // plain layout that is over a lower limit fits under it when it is written anew.
 
-var errPacked = fmt.Errorf("%w: a packed list is cut short or malformed", ErrCorrupt)
+var errMalformedList = fmt.Errorf("%w: a packed list is cut short or malformed", ErrCorrupt)
 
 // maxNumberDigits is how many trailing digits of a name are taken as a number.
 const maxNumberDigits = 18
@@ -20,13 +20,13 @@
 // packer writes numbers and names. A name like host-000231 is the stem host- with six digits, noted
 // once, and a number.
 type packer struct {
-	buffer    []byte
-	stemIndex map[string]uint64 // by stem and width
-	nameIndex map[string]uint64
+	buffer      []byte
+	prefixIndex map[string]uint64 // by stem and width
+	nameIndex   map[string]uint64
 }
 
 func newPacker() *packer {
-	return &packer{stemIndex: map[string]uint64{}, nameIndex: map[string]uint64{}}
+	return &packer{prefixIndex: map[string]uint64{}, nameIndex: map[string]uint64{}}
 }
 
 // number writes an unsigned number; small ones take fewer bytes.
@@ -49,16 +49,16 @@
 	}
 	p.nameIndex[name] = uint64(len(p.nameIndex))
 	p.number(0)
-	digitsAt := stemLength(name)
-	p.stem(name[:digitsAt] + "#" + strconv.Itoa(len(name)-digitsAt))
-	if digitsAt < len(name) {
-		n, _ := strconv.ParseUint(name[digitsAt:], 10, 64) // at most maxNumberDigits digits
+	digitsStart := prefixLength(name)
+	p.prefix(name[:digitsStart] + "#" + strconv.Itoa(len(name)-digitsStart))
+	if digitsStart < len(name) {
+		n, _ := strconv.ParseUint(name[digitsStart:], 10, 64) // at most maxNumberDigits digits
 		p.number(n)
 	}
 }
 
-// stemLength is the length of a name without the trailing digits that are taken as a number.
-func stemLength(name string) int {
+// prefixLength is the length of a name without the trailing digits that are taken as a number.
+func prefixLength(name string) int {
 	length := len(name)
 	for length > 0 && len(name)-length < maxNumberDigits && name[length-1] >= '0' && name[length-1] <= '9' {
 		length--
@@ -66,16 +66,16 @@
 	return length
 }
 
-// stem writes where a stem was written before; one that is new follows as text.
-func (p *packer) stem(stem string) {
-	index, known := p.stemIndex[stem]
+// prefix writes where a prefix was written before; one that is new follows as text.
+func (p *packer) prefix(prefix string) {
+	index, known := p.prefixIndex[prefix]
 	if !known {
-		index = uint64(len(p.stemIndex))
-		p.stemIndex[stem] = index
+		index = uint64(len(p.prefixIndex))
+		p.prefixIndex[prefix] = index
 	}
 	p.number(index)
 	if !known {
-		p.text(stem)
+		p.text(prefix)
 	}
 }
 
@@ -99,14 +99,14 @@
 
 // unpacker reads what a packer wrote. After an error it reads zeros; err wraps ErrCorrupt.
 type unpacker struct {
-	buffer []byte
-	stems  []nameStem
-	names  []string
-	err    error
+	buffer   []byte
+	prefixes []namePrefix
+	names    []string
+	err      error
 }
 
-// nameStem is a name without its number, and the digits that the number has.
-type nameStem struct {
+// namePrefix is a name without its number, and the digits that the number has.
+type namePrefix struct {
 	text  string
 	width int
 }
@@ -114,7 +114,7 @@
 func newUnpacker(text string) *unpacker {
 	buffer, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
-		err = corrupt(err)
+		err = wrapCorrupt(err)
 	}
 	return &unpacker{buffer: buffer, err: err}
 }
@@ -122,7 +122,7 @@
 func (u *unpacker) fail() {
 	u.buffer = nil
 	if u.err == nil {
-		u.err = errPacked
+		u.err = errMalformedList
 	}
 }
 
@@ -175,21 +175,21 @@
 		}
 		return u.names[index-1]
 	}
-	stem, ok := u.stem()
+	prefix, ok := u.prefix()
 	if !ok {
 		return ""
 	}
-	name := stem.text
-	if stem.width > 0 {
-		name += fmt.Sprintf("%0*d", stem.width, u.number())
+	name := prefix.text
+	if prefix.width > 0 {
+		name += fmt.Sprintf("%0*d", prefix.width, u.number())
 	}
 	u.names = append(u.names, name)
 	return name
 }
 
-func (u *unpacker) stem() (stem nameStem, ok bool) {
+func (u *unpacker) prefix() (prefix namePrefix, ok bool) {
 	index := u.number()
-	if index == uint64(len(u.stems)) && u.err == nil {
+	if index == uint64(len(u.prefixes)) && u.err == nil {
 		text := u.text(u.number())
 		separator := strings.LastIndexByte(text, '#')
 		width := -1
@@ -198,15 +198,15 @@
 		}
 		if width < 0 || width > maxNumberDigits {
 			u.fail()
-			return nameStem{}, false
+			return namePrefix{}, false
 		}
-		u.stems = append(u.stems, nameStem{text[:separator], width})
+		u.prefixes = append(u.prefixes, namePrefix{text[:separator], width})
 	}
-	if index >= uint64(len(u.stems)) {
+	if index >= uint64(len(u.prefixes)) {
 		u.fail()
-		return nameStem{}, false
+		return namePrefix{}, false
 	}
-	return u.stems[index], true
+	return u.prefixes[index], true
 }
 
 func (u *unpacker) address() string {
--- a/internal/storage/placements.go
+++ b/internal/storage/placements.go
@@ -29,7 +29,7 @@
 	}
 	job.PlacedCount--
 	job.ByZone[machine.Zone]--
-	job.firstOpen = min(job.firstOpen, task)
+	job.firstWaitingBound = min(job.firstWaitingBound, task)
 	c.Used[job.Team].Add(job, -1)
 	c.feed.addJob(job)
 }
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestBeforeTheGate: until the packed layout is enabled, records are read and written as in
+// TestPlainLayoutUntilPackedEnabled: until the packed layout is enabled, records are read and written as in
 // production; from then on they are packed, for good.
-func TestBeforeTheGate(t *testing.T) {
+func TestPlainLayoutUntilPackedEnabled(t *testing.T) {
 	t.Run("written as read", func(t *testing.T) { checkWrittenAsRead(t, productionCache(t)) })
 	t.Run("no unknown field", func(t *testing.T) { checkProductionFields(t, productionCache(t)) })
 	t.Run("packed once enabled", func(t *testing.T) { checkPackedOnceEnabled(t, productionCache(t)) })
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -180,8 +180,8 @@
 
 // chunkRecord is a chunk of a description that is too long for its job's record.
 type chunkRecord struct {
-	Text string `json:"x"`
-	AtMs int64  `json:"at"` // when it was written, in milliseconds of the time of day
+	Text        string `json:"x"`
+	WrittenAtMs int64  `json:"at"` // when it was written, in milliseconds of the time of day
 }
 
 // BaselineRecord is what the leader has learned of the usual demand, largest first.
@@ -215,11 +215,11 @@
 }
 
 // SpecOf turns a submission into its record.
-func SpecOf(s *protocol.Submission) *SpecRecord {
+func SpecOf(submission *protocol.Submission) *SpecRecord {
 	return &SpecRecord{
-		Class: s.Class, Shape: uint8(s.Shape), Priority: uint8(s.Priority),
-		Cpus: s.Cpus, Gpus: s.Gpus, Mem: s.MemGB, Image: s.Image, ImageGB: s.ImageGB, Types: s.Types,
-		Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Estimate: s.EstimateS,
-		CheckpointInterval: s.CheckpointS, CheckpointCost: s.CheckpointCostS, Deadline: s.DeadlineS,
+		Class: submission.Class, Shape: uint8(submission.Shape), Priority: uint8(submission.Priority),
+		Cpus: submission.Cpus, Gpus: submission.Gpus, Mem: submission.MemGB, Image: submission.Image, ImageGB: submission.ImageGB, Types: submission.Types,
+		Zone: submission.Zone, OneZone: submission.OneZone, Spread: submission.Spread, Spot: submission.Spot, Estimate: submission.EstimateS,
+		CheckpointInterval: submission.CheckpointS, CheckpointCost: submission.CheckpointCostS, Deadline: submission.DeadlineS,
 	}
 }
--- a/internal/storage/victim_sets.go
+++ b/internal/storage/victim_sets.go
@@ -61,7 +61,7 @@
 	if old := c.VictimSets[id]; old != nil {
 		for i := range old.Victims {
 			c.victims.remove(&old.Victims[i])
-			c.noteChangedByName(old.Victims[i].Machine)
+			c.markChangedByName(old.Victims[i].Machine)
 		}
 	}
 	delete(c.VictimSets, id)
@@ -71,12 +71,12 @@
 	c.VictimSets[id] = set
 	for i := range set.Victims {
 		c.victims.add(&set.Victims[i])
-		c.noteChangedByName(set.Victims[i].Machine)
+		c.markChangedByName(set.Victims[i].Machine)
 	}
 }
 
-func (c *Cache) noteChangedByName(name string) {
+func (c *Cache) markChangedByName(name string) {
 	if machine := c.Machine(name); machine != nil {
-		c.noteChanged(machine)
+		c.markChanged(machine)
 	}
 }
