--- a/internal/storage/apply_control.go
+++ b/internal/storage/apply_control.go
@@ -7,25 +7,25 @@
 	"dykeledge/internal/protocol"
 )
 
-// Shard is a part of the machines and teams, with its owner.
+// Shard is a subset of the machine groups and teams, with the controller that owns it.
 type Shard struct {
 	ShardRecord
 	Version uint64 // 0: no record
 }
 
-// Member is a living controller.
+// Member is a controller that has a membership record.
 type Member struct {
 	MemberRecord
 	Version uint64
 }
 
-// Leader is the leading controller.
+// Leader is the controller that holds the leadership.
 type Leader struct {
 	LeaderRecord
 	Version uint64 // 0: no record
 }
 
-// applyMember takes a controller's membership record.
+// applyMember applies a change of a controller's membership record.
 func (c *Cache) applyMember(name string, change recordChange) error {
 	if change.deleted {
 		delete(c.Members, name)
@@ -39,12 +39,12 @@
 	return nil
 }
 
-// applyShard takes the record of who owns a shard.
+// applyShard applies a change of a shard's ownership record.
 func (c *Cache) applyShard(number string, change recordChange) error {
 	shard, err := strconv.Atoi(number)
 	if err != nil || shard < 0 || shard >= c.NumShards {
 		delete(c.revisions, shardPrefix+number)
-		return fmt.Errorf("%w: no such shard", ErrInvalidKey)
+		return fmt.Errorf("%w: shard number missing or out of range", ErrInvalidKey)
 	}
 	if change.deleted {
 		c.Shards[shard] = Shard{}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// applyLeader takes the record of who leads.
+// applyLeader applies a change of the leadership record.
 func (c *Cache) applyLeader(change recordChange) error {
 	c.Leader = Leader{}
 	if change.deleted {
@@ -69,7 +69,8 @@
 	return err
 }
 
-// applyCatalog takes the cloud's machine types; they outlive their record.
+// applyCatalog applies a change of the catalog of the cloud's machine types. The types stay in the
+// cache when the record is deleted.
 func (c *Cache) applyCatalog(change recordChange) error {
 	if change.deleted {
 		return nil
@@ -80,11 +81,11 @@
 	}
 	c.Catalog = RawRecord{change.value, change.revision}
 	c.UpdateCatalog(&catalog)
-	c.feed.addMachines(c.sorted.machines) // what they cost has changed
+	c.feed.addMachines(c.sorted.machines) // machine prices may have changed
 	return nil
 }
 
-// applySettings takes the operators' settings.
+// applySettings applies a change of the operators' settings record.
 func (c *Cache) applySettings(change recordChange) {
 	if change.deleted {
 		c.Settings = RawRecord{}
--- a/internal/storage/apply_fleet.go
+++ b/internal/storage/apply_fleet.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Fleet is a fleet record as the cache has it.
+// Fleet is the cached state of a fleet record.
 type Fleet struct {
 	ID      string
 	Version uint64
-	Size    int // of its record, in bytes
+	Size    int // of the record, in bytes
 	record  FleetRecord
 }
 
-// applyFleet takes a fleet's record. A machine is in the latest record that lists it: a
-// record that is over a lower limit is worked off by small ones which list its machines
-// anew, in the same groups, and is deleted when it lists none that they do not.
+// applyFleet applies a change of a fleet record. A machine belongs to the latest record that lists
+// it: a record that exceeds a lowered size limit is replaced by smaller records, which list its
+// machines again in the same groups, and is deleted once they list all of its machines.
 func (c *Cache) applyFleet(id string, change recordChange) error {
 	if fleet := c.machines.fleets[id]; fleet != nil && fleet.Version >= change.revision {
 		return nil
@@ -38,7 +38,7 @@
 	for _, entry := range record.Machines {
 		c.addFleetEntry(fleet, entry)
 	}
-	for _, entry := range previousEntries { // what is listed still was counted once more just now
+	for _, entry := range previousEntries { // machines that are still listed were counted again above
 		machine := c.machines.find(entry.Name)
 		if machine.FleetEntries--; machine.FleetEntries == 0 {
 			c.removeMachine(machine, change.revision)
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// checkFleetMachine refuses a group that there may not be, or other than that in which the machine
-// is by another fleet's record.
+// checkFleetMachine rejects a group id that is out of range, or that differs from the machine's
+// group in another fleet's record.
 func (c *Cache) checkFleetMachine(fleet string, entry *FleetMachine) error {
 	known := c.machines.find(entry.Name)
 	regrouped := known != nil && known.exists && known.Fleet.ID != fleet && known.record.Group != entry.Group
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// addFleetEntry takes in that a fleet's record lists a machine.
+// addFleetEntry adds a machine that a fleet record lists, or updates it if that record is the latest
+// that lists it.
 func (c *Cache) addFleetEntry(fleet *Fleet, entry FleetMachine) {
 	machine := c.machines.find(entry.Name)
 	if machine == nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// addMachine takes in a machine that no fleet's record listed before.
+// addMachine initializes a machine that no fleet record listed before this change.
 func (c *Cache) addMachine(machine *Machine, fleet *Fleet, entry FleetMachine) {
 	machine.Fleet, machine.record, machine.exists, machine.Version = fleet, entry, true, fleet.Version
 	machine.Moved = false
@@ -89,7 +90,7 @@
 	c.markChanged(machine)
 }
 
-// removeMachine takes out a machine that no fleet's record lists any more.
+// removeMachine removes a machine that no fleet record lists any more.
 func (c *Cache) removeMachine(machine *Machine, revision uint64) {
 	c.setTasks(machine, nil)
 	machine.Gone, machine.exists, machine.Version = true, false, revision
@@ -98,8 +99,8 @@
 	c.markChanged(machine)
 }
 
-// OversizedFleet returns a fleet whose record is over a limit in bytes, and whether it fits when it
-// is written packed; nil if there is none.
+// OversizedFleet returns a fleet whose record exceeds a limit in bytes, and whether the record fits
+// in the packed layout; nil if there is no such fleet.
 func (c *Cache) OversizedFleet(limit int) (fleet *Fleet, fits bool) {
 	for _, fleet := range c.machines.fleets {
 		if fleet.Size > limit && len(fleet.record.Machines) > 0 {
@@ -109,8 +110,8 @@
 	return nil, false
 }
 
-// SplitFleet writes a fleet's machines as packed records that are within a limit in bytes, leaving
-// out those that a later record lists.
+// SplitFleet splits a fleet's machines into records that in the packed layout stay within a limit in
+// bytes. Machines that a later record lists are left out.
 func (c *Cache) SplitFleet(fleet *Fleet, limit int) []FleetRecord {
 	var records []FleetRecord
 	for _, entry := range fleet.record.Machines {
@@ -127,7 +128,8 @@
 	return records
 }
 
-// appendIfFits adds a machine to a record unless that takes more than so many bytes packed.
+// appendIfFits appends a machine to the record unless the packed record would exceed limit bytes. It
+// reports whether it appended the machine.
 func (r *FleetRecord) appendIfFits(entry FleetMachine, limit int) bool {
 	r.Machines = append(r.Machines, entry)
 	if len(EncodeFleet(r, true)) <= limit {
@@ -137,8 +139,8 @@
 	return false
 }
 
-// FleetWithout writes a fleet's record without some of its machines; none is left
-// if ok is false.
+// FleetWithout returns a fleet's record without some of its machines; ok is false if no machine is
+// left.
 func (c *Cache) FleetWithout(fleet *Fleet, removed map[*Machine]bool) (record FleetRecord, ok bool) {
 	record = fleet.record
 	isRemoved := func(entry FleetMachine) bool { return removed[c.machines.find(entry.Name)] }
--- a/internal/storage/apply_group.go
+++ b/internal/storage/apply_group.go
@@ -8,22 +8,22 @@
 	"dykeledge/internal/protocol"
 )
 
-// maxGroupID is the highest id that a machine group may have.
+// maxGroupID is the highest permitted id of a machine group.
 const maxGroupID = 100_000
 
-// resolvedMachine is a machine's part of a group's record, with the jobs that it names. The zero
-// value is a machine that the record does not list.
+// resolvedMachine is a machine's entry in a group record, with its tasks resolved to cached jobs.
+// The zero value stands for a machine that the record does not list.
 type resolvedMachine struct {
 	entry *GroupMachine
 	tasks []PlacedTask
 }
 
-// applyGroup takes a group's record. One that names a job or a machine that is not
-// known yet is left alone: it was read before the record that it names, and comes
-// again with the watch.
+// applyGroup applies a change of a machine group's record. A record that names a job or a machine
+// that is not in the cache is rejected: it was read before the record that it names, and the watch
+// delivers it again.
 func (c *Cache) applyGroup(id int, change recordChange) error {
 	if change.deleted {
-		return fmt.Errorf("%w: a machine group", ErrUnexpectedDeletion)
+		return fmt.Errorf("%w: machine group records are never deleted", ErrUnexpectedDeletion)
 	}
 	if id < len(c.Groups) && c.Groups[id].Version >= change.revision {
 		return nil
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// decodeGroup reads a group's record and checks its shard.
+// decodeGroup decodes a group's record and checks its shard number.
 func (c *Cache) decodeGroup(value json.RawMessage) (GroupRecord, error) {
 	record, err := DecodeGroup(value)
 	if err == nil && (record.Shard < 0 || record.Shard >= c.NumShards) {
@@ -62,8 +62,8 @@
 	return record, err
 }
 
-// resolveMachines finds the machines that a group's record lists and the jobs of their tasks. The
-// record's entries are referred to, not copied.
+// resolveMachines looks up the machines that a group's record lists and the jobs of their tasks. The
+// result points into entries.
 func (c *Cache) resolveMachines(entries []GroupMachine) (map[*Machine]resolvedMachine, error) {
 	resolved := make(map[*Machine]resolvedMachine, len(entries))
 	for index := range entries {
@@ -73,7 +73,7 @@
 			return nil, fmt.Errorf("%w: machine %s", ErrUnknownReference, entry.Name)
 		}
 		if !machine.exists {
-			continue // deleted by a later change that is known already
+			continue // removed by a later change that was applied already
 		}
 		tasks, err := c.resolveTasks(entry)
 		if err != nil {
@@ -84,7 +84,7 @@
 	return resolved, nil
 }
 
-// resolveTasks finds the jobs of a machine's tasks.
+// resolveTasks looks up the jobs of a machine's tasks.
 func (c *Cache) resolveTasks(entry *GroupMachine) ([]PlacedTask, error) {
 	count := 0
 	for _, placed := range entry.Tasks {
@@ -95,7 +95,7 @@
 		job := c.jobs.find(placed.Job)
 		if job == nil {
 			if status, _ := c.FinalState(placed.Job); status == protocol.Done {
-				continue // every task has ended; the owner's next record leaves it out
+				continue // all tasks have completed; the owner's next record omits the job
 			}
 			return nil, fmt.Errorf("%w: job %s", ErrUnknownReference, placed.Job)
 		}
@@ -108,8 +108,8 @@
 	return tasks, nil
 }
 
-// resolveCompletions finds the jobs of the completed tasks that a group's record lists. Those of
-// forgotten jobs are left out.
+// resolveCompletions looks up the jobs of the completed tasks that a group's record lists. Tasks of
+// pruned jobs are left out.
 func (c *Cache) resolveCompletions(entries []CompletedTasks) ([]CompletedTask, error) {
 	var completed []CompletedTask
 	for _, entry := range entries {
@@ -129,8 +129,8 @@
 	return completed, nil
 }
 
-// moveMachines takes machines into a group that were in another before. Each comes from a group
-// whose record it left in the same change or before.
+// moveMachines moves machines that were in another group into this one. The former group's record
+// stopped listing the machine in the same transaction or earlier.
 func (c *Cache) moveMachines(group *MachineGroup, resolved map[*Machine]resolvedMachine) {
 	for machine, part := range resolved {
 		if !part.entry.Moved {
@@ -145,7 +145,7 @@
 	}
 }
 
-// recordCompletions counts completed tasks that were not known yet.
+// recordCompletions marks tasks as completed and counts those that were not marked yet.
 func (c *Cache) recordCompletions(list []CompletedTask) {
 	for _, completed := range list {
 		job := completed.Job
@@ -154,16 +154,16 @@
 		}
 		job.Done.Set(completed.Task)
 		if job.Open() {
-			// The record of a job that is over has counted them all: one that was read
-			// before the group's was called done with 4 of 2 tasks.
+			// A final job record already counts all completed tasks. Counting them again when the
+			// group record was read later reported a job as done with 4 of 2 tasks.
 			job.DoneCount++
 		}
 		c.feed.addJob(job)
 	}
 }
 
-// updateMachine takes over a machine's part of its group's record. reassigned tells that the group
-// has another shard or fencing token than before.
+// updateMachine updates a machine from its entry in the group's record. reassigned means that the
+// group's shard or fencing token has changed.
 func (c *Cache) updateMachine(machine *Machine, part resolvedMachine, reassigned bool) {
 	entry := part.entry
 	if entry == nil {
@@ -185,7 +185,8 @@
 	}
 }
 
-// differsFrom tells whether a machine's worker or state is another in its group's record.
+// differsFrom reports whether the entry's worker incarnation or state flags differ from the
+// machine's.
 func (m *GroupMachine) differsFrom(machine *Machine) bool {
 	return m.Incarnation != machine.Incarnation || m.Returning != machine.Returning ||
 		m.Unhealthy != machine.Unhealthy || m.Draining != machine.Draining
--- a/internal/storage/apply_job.go
+++ b/internal/storage/apply_job.go
@@ -7,7 +7,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// applyJob takes a job's record.
+// applyJob applies a change of a job's record.
 func (c *Cache) applyJob(id string, change recordChange) error {
 	if c.jobs.isPruned(id) {
 		return nil // final states never change
@@ -35,18 +35,18 @@
 	return c.updateJob(job, &record, change.revision)
 }
 
-// finalState is the final state that a record shows.
+// finalState returns the final state in the record.
 func (r *JobRecord) finalState() FinalState {
 	return FinalState{protocol.JobStatus(r.Final), int32(r.DoneCount), r.FinalAtMs}
 }
 
-// addJob takes in a job that is not known yet, with its description. It returns nil without an
-// error for a job that is over and whose description is gone; that one is forgotten.
+// addJob adds a job that is not in the cache, with its description. For a final job whose description
+// was deleted it keeps only the final state and returns a nil job without an error.
 func (c *Cache) addJob(id string, record *JobRecord) (*Job, error) {
 	if record.ChunkCount > 0 {
 		err := c.descriptions.join(id, record)
 		if err != nil && record.Final != "" {
-			// The chunks of a job that is over are deleted once none of its tasks is placed.
+			// The chunks of a final job are deleted once none of its tasks is placed.
 			c.pruneJob(id, nil, record.finalState())
 			return nil, nil
 		}
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	c.Jobs = c.jobs.add(job, c.Jobs)
-	c.imageSizes.set(job)
+	c.imageSizes.record(job)
 	c.sorted.addJob(job)
 	for part, set := range c.completions.parts(id) {
 		job.mergeCompletionSet(part, set.tasks)
@@ -72,7 +72,7 @@
 	return job, nil
 }
 
-// newJob makes a job of its record. Names that the record mentions get their indices.
+// newJob creates a job from its record and assigns indices to new class, image, type and zone names.
 func (c *Cache) newJob(id string, record *JobRecord) (*Job, error) {
 	team := c.TeamIndex.Find(record.Team)
 	if team < 0 {
@@ -80,11 +80,11 @@
 	}
 	spec := record.Spec
 	if spec == nil {
-		return nil, fmt.Errorf("%w: a job without a description", ErrCorrupt)
+		return nil, fmt.Errorf("%w: job record has no description", ErrCorrupt)
 	}
 	dependencies, err := unpackIDs(record.Dependencies)
 	if err != nil {
-		return nil, fmt.Errorf("its dependencies: %w", err)
+		return nil, fmt.Errorf("job dependencies: %w", err)
 	}
 	submitted := time.UnixMilli(record.SubmittedMs)
 	priority := min(protocol.Priority(spec.Priority), protocol.Production)
@@ -121,7 +121,7 @@
 	return job, nil
 }
 
-// initTasks sets that no task of a new job is placed or completed.
+// initTasks initializes the state of a new job's tasks: none is placed or completed.
 func (j *Job) initTasks() {
 	j.MachineOf = make([]int32, j.Tasks)
 	for task := range j.MachineOf {
@@ -131,7 +131,8 @@
 	j.Done, j.SavedDone = NewBitmap(j.Tasks), NewBitmap(j.Tasks)
 }
 
-// setPlacementLimits sets where the tasks of a new job may run, and so their size.
+// setPlacementLimits sets the machine types and the zone in which the tasks of a new job may run, and
+// the task size that follows from the types.
 func (c *Cache) setPlacementLimits(job *Job) {
 	for _, name := range job.Spec.Types {
 		job.Types = append(job.Types, c.TypeIndex.Index(name))
@@ -144,9 +145,9 @@
 	job.Size = c.sizeOf(job)
 }
 
-// updateJob takes over what changes of a job.
+// updateJob updates the fields of a job that may change after its submission.
 func (c *Cache) updateJob(job *Job, record *JobRecord, revision uint64) error {
-	// A job that is done has no set any more; a completed task stays completed.
+	// The record of a done job has no bitmap; tasks that are marked as completed stay so.
 	if record.Final != string(protocol.Done) {
 		saved, err := decodeBitmap(record.Done, record.Tasks)
 		if err != nil {
@@ -168,26 +169,26 @@
 	return nil
 }
 
-// pruneJob keeps no more than a job's final state. job is nil if it was not known.
+// pruneJob removes a job from the cache except for its final state. job is nil if it was not in the
+// cache.
 func (c *Cache) pruneJob(id string, job *Job, state FinalState) {
 	c.jobs.setPruned(id, state)
 	c.dependencies.jobEnded(id, state)
 	if job == nil {
 		return
 	}
-	job.Final = state.Status // groups may still name it
+	job.Final = state.Status // groups may still refer to the job
 	job.DoneCount, job.FinalAtMs = max(job.DoneCount, int(state.Tasks)), state.RecordedMs
 	c.feed.addJob(job)
-	c.dependencies.removeJob(job)
+	c.dependencies.pruneJob(job)
 	c.sorted.removeJob(job)
 	c.jobs.remove(job, c.Jobs)
 }
 
-// Sweep forgets all but the final state of jobs that are over and have no task
-// placed. A cancelled job is kept until then: its tasks still take room and quota.
-// A controller that cancelled a job itself knows so before its watch has brought what
-// was placed just before: until it has, the job must stay known, or the machine's
-// record could not be read.
+// Sweep prunes final jobs that have no placed task; only their final states are kept. A cancelled job
+// stays until then because its tasks still use resources and quota. A job also stays until the watch
+// has reached the revision of its final record: the controller that cancelled it may still receive
+// older machine group records that name the job, and could not resolve them.
 func (c *Cache) Sweep() {
 	for _, job := range c.Jobs {
 		if job != nil && !job.Open() && job.PlacedCount == 0 && job.Version <= c.Revision {
@@ -196,8 +197,8 @@
 	}
 }
 
-// JobRecordOf writes a job's record with another set of completed tasks, how many tasks have
-// completed, and a final state ("" while open).
+// JobRecordOf returns a job's record with the given set and number of completed tasks and the given
+// final state ("" while open).
 func (c *Cache) JobRecordOf(job *Job, done Bitmap, doneCount int, final protocol.JobStatus) *JobRecord {
 	record := &JobRecord{Tasks: job.Tasks, DoneCount: doneCount, Final: string(final), Team: c.Teams[job.Team].Name}
 	if final == protocol.Done || job.DependencyFailed && job.PlacedCount == 0 {
@@ -205,8 +206,9 @@
 	}
 	record.Spec, record.SubmittedMs, record.Suspect = job.Spec, job.Submitted.UnixMilli(), job.Suspect
 	if final == "" || !c.Packed() {
-		// In the packed layout an open job's record is rewritten only while none of its tasks
-		// has completed: a large set would be over the limit, and is kept in parts.
+		// In the packed layout an open job's record is rewritten only while none of its tasks has
+		// completed. A large bitmap would exceed the record size limit, so it is stored in separate
+		// completion records.
 		record.Done = done.encode()
 	}
 	if final == "" {
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// maxClassesPerTeam is how many classes of a team are told apart; names of classes come from users.
+// maxClassesPerTeam is the number of class queues per team. Users choose class names freely, so it
+// bounds the number of queues; the last queue holds all further classes.
 const maxClassesPerTeam = 32
 
-// ClassQueue is a class of one team, by their indices.
+// ClassQueue identifies the queue of one class of one team, by their indices.
 type ClassQueue struct{ Team, Class int }
 
-// Index is a queue's place among all; there are ClassQueueCount of them.
+// Index returns the queue's dense index, which is below ClassQueueCount.
 func (q ClassQueue) Index() int { return q.Team*maxClassesPerTeam + q.Class }
 
-// ClassQueueCount is how many queues so many teams can have.
+// ClassQueueCount returns the maximum number of class queues of the given number of teams.
 func ClassQueueCount(teams int) int { return teams * maxClassesPerTeam }
 
-// ClassQueueOf is the queue that a job is in. Classes beyond those told apart share one.
+// ClassQueueOf returns a job's class queue. Classes beyond maxClassesPerTeam share one queue.
 func ClassQueueOf(job *Job) ClassQueue { return newClassQueue(job.Team, job.Class) }
 
 func newClassQueue(team, class int) ClassQueue {
 	return ClassQueue{team, min(class, maxClassesPerTeam-1)}
 }
 
-// Baseline is the usual demand as the cache has it: the CPUs that each queue keeps busy on average.
-// A controller of a version before it reads no such key and leaves it alone; the record is only
-// written once the packed layout is enabled.
+// Baseline is the cached baseline demand: the average number of CPUs that each class queue keeps
+// busy. Versions without a baseline ignore the record's key. The record is written only after the
+// packed layout is enabled.
 type Baseline struct {
 	Cpus    map[ClassQueue]float64
-	Version uint64 // 0: nothing is known yet
+	Version uint64 // 0: no record
 }
 
-// BaselineRecordOf makes a record of at most limit bytes; the smallest queues are left out
-// where it would be larger.
+// BaselineRecordOf returns the baseline record for the given demand. It omits the smallest queues if
+// the record would otherwise exceed limit bytes.
 func (c *Cache) BaselineRecordOf(cpus map[ClassQueue]float64, limit int) BaselineRecord {
 	var record BaselineRecord
 	for queue, demand := range cpus {
@@ -50,7 +51,7 @@
 	return record
 }
 
-// applyBaseline takes the record of the usual demand.
+// applyBaseline applies a change of the baseline demand record.
 func (c *Cache) applyBaseline(change recordChange) error {
 	if change.deleted {
 		c.Baseline = Baseline{}
@@ -62,7 +63,7 @@
 	}
 	baseline := Baseline{Cpus: map[ClassQueue]float64{}, Version: change.revision}
 	for _, queue := range record.Queues {
-		// A team that the settings name no more has no jobs either.
+		// A team that was removed from the settings has no jobs either.
 		if team := c.TeamIndex.Find(queue.Team); team >= 0 && queue.Cpus > 0 {
 			baseline.Cpus[newClassQueue(team, c.Classes.Index(queue.Class))] = queue.Cpus
 		}
@@ -71,10 +72,11 @@
 	return nil
 }
 
-// Arrivals is what was asked for: jobs, and their work in CPU seconds.
+// Arrivals counts submitted jobs and their estimated work in CPU seconds.
 type Arrivals struct{ Jobs, Work float64 }
 
-// countArrival counts a job that is new to this process.
+// countArrival adds a job that this process reads for the first time to Arrivals. Jobs without an
+// estimate are not counted.
 func (c *Cache) countArrival(job *Job) {
 	if job.Estimate > 0 {
 		queue := ClassQueueOf(job)
--- a/internal/storage/bitmap.go
+++ b/internal/storage/bitmap.go
@@ -6,26 +6,26 @@
 	"math/bits"
 )
 
-// Bitmap is the set of a job's completed tasks, one bit a task.
+// Bitmap is the set of a job's completed tasks, with one bit per task.
 type Bitmap []byte
 
-// NewBitmap returns an empty set with room for so many tasks.
+// NewBitmap returns an empty set for the given number of tasks.
 func NewBitmap(tasks int) Bitmap { return make(Bitmap, (tasks+7)/8) }
 
-// Get tells whether a task is in the set.
+// Get reports whether a task is in the set.
 func (b Bitmap) Get(task int) bool { return b[task>>3]&(1<<(task&7)) != 0 }
 
-// Set adds a task.
+// Set adds a task to the set.
 func (b Bitmap) Set(task int) { b[task>>3] |= 1 << (task & 7) }
 
-// Merge adds another set of the same job.
+// Merge adds the tasks of another set of the same job.
 func (b Bitmap) Merge(other Bitmap) {
 	for i := range min(len(b), len(other)) {
 		b[i] |= other[i]
 	}
 }
 
-// Count returns how many tasks are in the set.
+// Count returns the number of tasks in the set.
 func (b Bitmap) Count() int {
 	count := 0
 	for _, octet := range b {
@@ -34,10 +34,10 @@
 	return count
 }
 
-// Clone copies the set.
+// Clone returns a copy of the set.
 func (b Bitmap) Clone() Bitmap { return append(Bitmap(nil), b...) }
 
-// encode writes the set as base64; an empty set takes no bytes.
+// encode returns the set in base64, or "" for an empty set.
 func (b Bitmap) encode() string {
 	for _, octet := range b {
 		if octet != 0 {
@@ -47,7 +47,8 @@
 	return ""
 }
 
-// decodeBitmap reads what encode wrote for a job of so many tasks. The error wraps ErrCorrupt.
+// decodeBitmap decodes the output of encode for a job with the given number of tasks. An error wraps
+// ErrCorrupt.
 func decodeBitmap(text string, tasks int) (Bitmap, error) {
 	bitmap := NewBitmap(tasks)
 	if text == "" {
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -8,8 +8,8 @@
 	"dykeledge/internal/config"
 )
 
-// Cache is the whole state as the state service has it, up to Revision. Apply sets the exported
-// fields, but for Revision and ForcePlain, which the owner of the cache sets.
+// Cache is a copy of the whole state in the state service as of Revision. Apply sets the exported
+// fields except Revision and ForcePlain, which the cache's owner sets.
 type Cache struct {
 	Teams      []config.Team
 	TeamIndex  *NameIndex
@@ -17,27 +17,28 @@
 	TypeIndex  *NameIndex
 	Images     *NameIndex
 	Classes    *NameIndex
-	Types      []MachineType // by type index; zero Cpus: unknown
+	Types      []MachineType // by type index; Cpus is 0 for types that are not in the catalog
 	NumShards  int
 	Shards     []Shard
 	Members    map[string]*Member // by name
 	Leader     Leader
-	Jobs       []*Job // by index; nil: free
+	Jobs       []*Job // by index; nil: unused index
 	Machines   []*Machine
 	Groups     []*MachineGroup       // by id
-	VictimSets map[string]*VictimSet // by the id of the job that they make room for
+	VictimSets map[string]*VictimSet // by the id of the job that the victims are preempted for
 	Catalog    RawRecord
 	Settings   RawRecord
-	Used       []Usage // by team, all shards
-	// TeamEntries are the teams whose bounds were changed since the settings file; Teams has these.
+	Used       []Usage // by team, over all shards
+	// TeamEntries holds, by team, the records that override the settings file's guarantees and limits;
+	// Teams includes the overrides.
 	TeamEntries map[int]TeamEntry
 	Baseline    Baseline
-	Arrivals    map[ClassQueue]Arrivals // by all jobs that this process has learned of
-	Revision    uint64                  // of the state service, up to which all changes were applied
+	Arrivals    map[ClassQueue]Arrivals // of all jobs that this process has read while they were open
+	Revision    uint64                  // of the state service; all changes up to it were applied
 	Layout      Layout
-	ForcePlain  bool // the layout gate is not looked at, as in the version before it
+	ForcePlain  bool // ignore the layout record and write the plain layout, as versions without it do
 
-	configuredTeams []config.Team // as the settings file has them
+	configuredTeams []config.Team // from the settings file
 	jobs            *jobTable
 	machines        *machineTable
 	dependencies    *dependencyGraph
@@ -47,21 +48,22 @@
 	imageSizes      *imageSizes
 	sorted          *sortedViews
 	feed            *changeFeed
-	revisions       map[string]uint64 // of keys whose revision no other field keeps
+	revisions       map[string]uint64 // by key, for record kinds whose revision no other field holds
 }
 
-// RawRecord is a record that the cache only passes on.
+// RawRecord is a record that the cache keeps in encoded form.
 type RawRecord struct {
 	Value   json.RawMessage
 	Version uint64 // 0: no record
 }
 
-// ShardCount is how many shards a deployment has: one a controller, but none without a team.
+// ShardCount returns a deployment's number of shards: one per controller, but at most one per team
+// and at least 1.
 func ShardCount(deployment *config.Deployment) int {
 	return max(1, min(deployment.Controllers, len(deployment.Teams)))
 }
 
-// NewCache returns a cache of no records. It knows the settings' teams and zones.
+// NewCache returns a cache without records, with the teams and zones of the settings.
 func NewCache(settings *config.Settings) *Cache {
 	deployment := &settings.Deployment
 	feed, jobs := &changeFeed{}, newJobTable()
@@ -98,17 +100,17 @@
 	return cache
 }
 
-// ShardOf is the shard that a team belongs to, whoever owns it.
+// ShardOf returns the shard that a team belongs to.
 func (c *Cache) ShardOf(team int) int { return team % c.NumShards }
 
-// recordChange is one change of one record.
+// recordChange is a write or a deletion of one record.
 type recordChange struct {
 	value    json.RawMessage // nil if deleted
 	revision uint64
 	deleted  bool
 }
 
-// Apply takes one change of a record. A change that is no newer than what is known is dropped
+// Apply applies one change of a record. A change that is not newer than the cached record is dropped
 // without an error. Any error is a RecordError whose cause wraps one of ErrLayout, ErrCorrupt,
 // ErrUnknownReference, ErrInvalidKey and ErrUnexpectedDeletion.
 func (c *Cache) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// applyChange passes a change on by its record's kind. The first kinds keep the revisions of their
-// records themselves.
+// applyChange dispatches a change by the kind of its record. The kinds that it handles itself store
+// their own revisions; applyTracked handles the others.
 func (c *Cache) applyChange(key string, change recordChange) error {
 	if id, ok := keySuffix(key, fleetPrefix); ok {
 		return c.applyFleet(id, change)
@@ -136,7 +138,7 @@
 	if _, ok := keySuffix(key, groupPrefix); ok {
 		id, ok := GroupOf(key)
 		if !ok || id > maxGroupID {
-			return fmt.Errorf("%w: no such machine group", ErrInvalidKey)
+			return fmt.Errorf("%w: machine group number missing or out of range", ErrInvalidKey)
 		}
 		return c.applyGroup(id, change)
 	}
@@ -150,8 +152,8 @@
 	return c.applyTracked(key, change)
 }
 
-// applyTracked takes a change of a kind of record whose revision is in c.revisions. A key that this
-// version does not know is left alone.
+// applyTracked applies a change of a record whose revision is stored in c.revisions. Unknown keys are
+// ignored.
 func (c *Cache) applyTracked(key string, change recordChange) error {
 	if change.deleted {
 		change.value = nil
@@ -183,7 +185,8 @@
 	return nil
 }
 
-// DropUnseen forgets every record that was not seen in a full read begun at revision.
+// DropUnseen removes every cached record that a full read of the state service, begun at revision,
+// did not return.
 func (c *Cache) DropUnseen(seen map[string]bool, revision uint64) error {
 	for id, fleet := range c.machines.fleets {
 		if key := FleetKey(id); len(fleet.record.Machines) > 0 && !seen[key] {
--- a/internal/storage/change_feed.go
+++ b/internal/storage/change_feed.go
@@ -2,8 +2,8 @@
 
 import "github.com/tidwall/btree"
 
-// changeFeed collects which jobs, machines and victim sets have changed, each once, for whoever
-// shows the cache to others. One that is not enabled collects nothing.
+// changeFeed collects the jobs, machines and victim sets that have changed, each once, for consumers
+// that publish the cache's contents. A disabled feed collects nothing.
 type changeFeed struct {
 	enabled    bool
 	jobs       []*Job
@@ -27,7 +27,7 @@
 	}
 }
 
-// addMachines adds all machines of a tree.
+// addMachines adds all machines in a tree.
 func (f *changeFeed) addMachines(machines *btree.BTreeG[*Machine]) {
 	if !f.enabled {
 		return
@@ -70,7 +70,7 @@
 	return ids
 }
 
-// splitAt cuts a list after at most limit entries.
+// splitAt splits a list after at most limit entries.
 func splitAt[T any](list []T, limit int) (head, rest []T) {
 	if len(list) <= limit {
 		return list, nil
@@ -78,13 +78,13 @@
 	return list[:limit:limit], list[limit:]
 }
 
-// EnableChangeFeed begins to collect changes for TakeChanges. It is called before the first record
-// is applied.
+// EnableChangeFeed starts collecting changes for TakeChanges. It must be called before the first
+// record is applied.
 func (c *Cache) EnableChangeFeed() { c.feed.enable() }
 
-// TakeChanges hands over up to limit jobs and as many machines that have changed since they were
-// last handed over, and the jobs of all changed victim sets; more tells that others are left. A job
-// that was forgotten comes a last time, with its final state.
+// TakeChanges removes and returns up to limit changed jobs, up to limit changed machines, and the job
+// ids of all changed victim sets; more reports whether changed jobs or machines are left. A pruned
+// job is returned one last time, with its final state.
 func (c *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, victimSets []string, more bool) {
 	jobs = c.feed.takeJobs(limit)
 	machines = c.feed.takeMachines(limit)
@@ -92,5 +92,5 @@
 	return jobs, machines, victimSets, c.feed.pendingCount() > 0
 }
 
-// PendingChanges is how many changed jobs and machines wait to be handed over.
+// PendingChanges returns the number of changed jobs and machines that TakeChanges has not returned.
 func (c *Cache) PendingChanges() int { return c.feed.pendingCount() }
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -13,33 +13,33 @@
 	"dykeledge/internal/protocol"
 )
 
-// abandonedChunkAge is how long chunks may stay that no job's record names: that record goes out
-// seconds after them, and only if they are still there.
+// abandonedChunkAge is the age at which chunks that no job record names are deleted. The job record
+// is written seconds after its chunks, and only if they still exist.
 const abandonedChunkAge = 10 * time.Minute
 
-// chunkOverheadBytes is how many bytes of a chunk's record are not its text, at most.
+// chunkOverheadBytes is the maximum size of a chunk record without its text.
 const chunkOverheadBytes = 64
 
-// chunkedDescriptions are the descriptions that are longer than a record may be: of thousands of
-// dependencies, or of allowed machine types. One is written in chunks before the job's own record,
-// which names them. The chunks of one attempt to accept a job have a name of their own, so two
-// controllers that are asked to accept the same job do not mix theirs.
+// chunkedDescriptions holds the chunks of job descriptions that exceed the record size limit, such as
+// those with thousands of dependencies or with many allowed machine types. The chunks are written
+// before the job's own record, which names them. Each attempt to accept a job names its chunks
+// differently, so two controllers that are asked to accept the same job do not mix their chunks.
 type chunkedDescriptions struct {
-	sets map[string]*chunkSet // by job id, a slash and the attempt
+	sets map[string]*chunkSet // by "<job id>/<attempt>"
 }
 
-// chunkSet is what is known of the chunks of one description.
+// chunkSet holds the chunks of one description, as written by one attempt to accept the job.
 type chunkSet struct {
-	texts     map[int]string // until they are joined
-	revisions map[int]uint64
-	writtenAt time.Time
+	texts     map[int]string // by chunk number; cleared once they are joined
+	revisions map[int]uint64 // by chunk number
+	writtenAt time.Time      // when the first chunk that was read was written
 }
 
 func newChunkedDescriptions() *chunkedDescriptions {
 	return &chunkedDescriptions{map[string]*chunkSet{}}
 }
 
-// revision is that of a chunk's record; 0 if there is none.
+// revision returns the revision of a chunk's record; 0 if there is none.
 func (d *chunkedDescriptions) revision(name string, chunk int) uint64 {
 	if set := d.sets[name]; set != nil {
 		return set.revisions[chunk]
@@ -67,40 +67,40 @@
 	}
 }
 
-// join puts the chunks of a long description into its job's record. Their text is not kept
-// any longer than until then. The error wraps ErrUnknownReference if a chunk is not known.
+// join decodes a chunked description into its job's record and releases the chunk texts. The error
+// wraps ErrUnknownReference if a chunk is missing.
 func (d *chunkedDescriptions) join(id string, record *JobRecord) error {
 	set := d.sets[id+"/"+record.ChunkSet]
 	text := ""
 	for i := range record.ChunkCount {
 		if set == nil || set.texts[i] == "" {
-			return fmt.Errorf("%w: chunk %d of its description", ErrUnknownReference, i)
+			return fmt.Errorf("%w: chunk %d of the job description", ErrUnknownReference, i)
 		}
 		text += set.texts[i]
 	}
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
-		return wrapCorrupt(fmt.Errorf("its description: %w", err))
+		return wrapCorrupt(fmt.Errorf("job description: %w", err))
 	}
 	description, err := decodeJSON[JobRecord](raw)
 	if err != nil {
-		return fmt.Errorf("its description: %w", err)
+		return fmt.Errorf("job description: %w", err)
 	}
 	record.Spec, record.Dependencies = description.Spec, description.Dependencies
 	clear(set.texts)
 	return nil
 }
 
-// staleRecords are chunks that are needed no more: of jobs that are over, of attempts that lost to
-// another, and of those that were abandoned.
-func (d *chunkedDescriptions) staleRecords(jobs *jobTable, limit int, now time.Time) (records []protocol.Condition) {
+// stale returns up to limit chunk records that are no longer needed: those of final jobs, of
+// attempts that lost to another attempt, and of abandoned attempts.
+func (d *chunkedDescriptions) stale(jobs *jobTable, limit int, now time.Time) (records []protocol.Condition) {
 	for name, set := range d.sets {
 		id, attempt, _ := strings.Cut(name, "/")
 		if set.isNeeded(attempt, jobs.find(id), now) && !jobs.isPruned(id) {
 			continue
 		}
 		chunks := slices.Sorted(maps.Keys(set.revisions))
-		slices.Reverse(chunks) // the last first: the job's record depends on it
+		slices.Reverse(chunks) // the last chunk first: writing the job record is conditional on it
 		for _, chunk := range chunks {
 			if len(records) >= limit {
 				return records
@@ -111,8 +111,8 @@
 	return records
 }
 
-// isNeeded tells whether a job's record names the chunks of an attempt, or may still do so. job is nil
-// if it is not known.
+// isNeeded reports whether a job's record names the chunks of an attempt or may still do so. job is
+// nil if it is not in the cache.
 func (s *chunkSet) isNeeded(attempt string, job *Job, now time.Time) bool {
 	if job == nil {
 		return now.Sub(s.writtenAt) < abandonedChunkAge
@@ -120,7 +120,7 @@
 	return job.ChunkSet == attempt
 }
 
-// dropUnseen forgets the chunks whose keys are not among those seen.
+// dropUnseen removes the chunks whose keys are not in seen.
 func (d *chunkedDescriptions) dropUnseen(seen map[string]bool) {
 	for name, set := range d.sets {
 		for chunk := range set.revisions {
@@ -131,8 +131,8 @@
 	}
 }
 
-// SplitDescription writes a job's record whose description is over the limit in bytes: its chunks,
-// and the record that names them. attempt is the name of this attempt to accept the job.
+// SplitDescription encodes a job record whose description exceeds limit bytes as chunk records and a
+// main record that names them. attempt is the name of this attempt to accept the job.
 func SplitDescription(id, attempt string, record *JobRecord, limit int) (chunks []protocol.Change, main json.RawMessage) {
 	text := base64.RawStdEncoding.EncodeToString(Encode(&JobRecord{Spec: record.Spec, Dependencies: record.Dependencies}))
 	for i := 0; len(text) > 0; i++ {
@@ -146,13 +146,12 @@
 	return chunks, Encode(&short)
 }
 
-// applyChunk takes a chunk of a description; name is the job's id, the attempt and the chunk's
-// number, with slashes between.
+// applyChunk applies a change of a description chunk; name is "<job id>/<attempt>/<chunk number>".
 func (c *Cache) applyChunk(name string, change recordChange) error {
 	separator := strings.LastIndexByte(name, '/')
 	chunk, err := strconv.Atoi(name[separator+1:])
 	if separator < 0 || err != nil || chunk < 0 || chunk > protocol.MaxBody {
-		return fmt.Errorf("%w: no such chunk", ErrInvalidKey)
+		return fmt.Errorf("%w: chunk number missing or out of range", ErrInvalidKey)
 	}
 	setName := name[:separator]
 	if c.descriptions.revision(setName, chunk) >= change.revision {
--- a/internal/storage/completion_sets.go
+++ b/internal/storage/completion_sets.go
@@ -10,29 +10,29 @@
 	"dykeledge/internal/protocol"
 )
 
-// bytesPerCompletionSet is how many bytes of a job's Bitmap one part covers.
+// bytesPerCompletionSet is the number of bytes of a job's Bitmap that one completion set covers.
 const bytesPerCompletionSet = tasksPerCompletionSet / 8
 
-// completionSet is a part of the set of a job's completed tasks.
+// completionSet is one part of the bitmap of a job's completed tasks.
 type completionSet struct {
 	tasks    Bitmap
 	revision uint64
 }
 
-// completionSets are the parts of all jobs' sets of completed tasks. Parts stay until the job
-// is over; then its shard's owner deletes them.
+// completionSets holds the completion sets of all jobs. Their records stay until the job is final;
+// then the leader deletes them.
 type completionSets struct {
-	byJob map[string]map[int]completionSet // by id and part
+	byJob map[string]map[int]completionSet // by job id and part number
 }
 
 func newCompletionSets() *completionSets {
 	return &completionSets{map[string]map[int]completionSet{}}
 }
 
-// parts returns a job's sets by part.
+// parts returns a job's completion sets by part number.
 func (s *completionSets) parts(job string) map[int]completionSet { return s.byJob[job] }
 
-// revision is that of a part's record; 0 if there is none.
+// revision returns the revision of a part's record; 0 if there is none.
 func (s *completionSets) revision(job string, part int) uint64 { return s.byJob[job][part].revision }
 
 func (s *completionSets) put(job string, part int, set completionSet) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// staleRecords returns the records of jobs that are over.
-func (s *completionSets) staleRecords(jobs *jobTable) []protocol.Condition {
+// stale returns the completion records of final jobs.
+func (s *completionSets) stale(jobs *jobTable) []protocol.Condition {
 	var records []protocol.Condition
 	for id, sets := range s.byJob {
 		if _, over := jobs.recordedFinalState(id); !over {
@@ -62,7 +62,7 @@
 	return records
 }
 
-// dropUnseen forgets the parts whose keys are not among those seen.
+// dropUnseen removes the parts whose keys are not in seen.
 func (s *completionSets) dropUnseen(seen map[string]bool) {
 	for id, sets := range s.byJob {
 		for part := range sets {
@@ -73,13 +73,12 @@
 	}
 }
 
-// applyCompletions takes a part of the set of a job's completed tasks; name is the job's id, a
-// slash and the part's number.
+// applyCompletions applies a change of a completion record; name is "<job id>/<part number>".
 func (c *Cache) applyCompletions(name string, change recordChange) error {
 	id, number, _ := strings.Cut(name, "/")
 	part, err := strconv.Atoi(number)
 	if err != nil || part < 0 || part > protocol.MaxTasks/tasksPerCompletionSet {
-		return fmt.Errorf("%w: no such completion set", ErrInvalidKey)
+		return fmt.Errorf("%w: completion set number missing or out of range", ErrInvalidKey)
 	}
 	if c.completions.revision(id, part) >= change.revision {
 		return nil
@@ -97,7 +96,7 @@
 		return wrapCorrupt(err)
 	}
 	if len(tasks) > bytesPerCompletionSet {
-		return fmt.Errorf("%w: a set of over %d tasks", ErrCorrupt, tasksPerCompletionSet)
+		return fmt.Errorf("%w: completion set has more than %d tasks", ErrCorrupt, tasksPerCompletionSet)
 	}
 	c.completions.put(id, part, completionSet{tasks, change.revision})
 	if job := c.jobs.find(id); job != nil {
@@ -107,8 +106,8 @@
 	return nil
 }
 
-// CompletionRecordOf writes the part of a job's set that holds a task, with the version that it
-// replaces; 0: none.
+// CompletionRecordOf returns the record of the completion set that contains a task, and the version
+// of the record that it replaces; 0 if there is none.
 func (c *Cache) CompletionRecordOf(job *Job, done Bitmap, task int) (CompletionRecord, uint64) {
 	part := task / tasksPerCompletionSet
 	from := part * bytesPerCompletionSet
@@ -116,13 +115,13 @@
 	return CompletionRecord{base64.RawStdEncoding.EncodeToString(tasks)}, c.completions.revision(job.ID, part)
 }
 
-// StaleRecords returns up to limit records that are needed no more, with their versions:
-// completion sets of jobs that are over, and chunks of descriptions that were abandoned or whose
-// jobs are over.
+// StaleRecords returns up to limit records that are no longer needed, with their versions: completion
+// sets of final jobs, and description chunks of final jobs and of lost or abandoned attempts to
+// accept a job.
 func (c *Cache) StaleRecords(limit int, now time.Time) []protocol.Condition {
-	stale := c.completions.staleRecords(c.jobs)
+	stale := c.completions.stale(c.jobs)
 	if len(stale) < limit {
-		stale = append(stale, c.descriptions.staleRecords(c.jobs, limit-len(stale), now)...)
+		stale = append(stale, c.descriptions.stale(c.jobs, limit-len(stale), now)...)
 	}
 	return stale[:min(len(stale), limit)]
 }
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -6,28 +6,27 @@
 	"dykeledge/internal/protocol"
 )
 
-// dependencyGraph is the graph of jobs that wait for other jobs. A job names only jobs that
-// were accepted before it was itself, so the graph has no cycles: an edge always leads
-// to an earlier acceptance. Records are read in any order, though, and a job may be
-// known before one that it names.
+// dependencyGraph is the graph of jobs that wait for other jobs. It has no cycles because a job can
+// depend only on jobs that were accepted before it. Records are read in any order, however, so a job
+// may be in the cache before its dependencies.
 type dependencyGraph struct {
 	jobs *jobTable
 	feed *changeFeed
 
-	dependents map[string][]*Job // by id: open jobs that wait for it
-	failed     []*Job            // cancelled with a dependency; those that are over are dropped when they are asked for
-	newlyReady []*Job            // since they were last taken
-	inheritors map[*Job]int      // jobs that have inherited from their dependents
-	changed    bool              // since inherit last ran
+	dependents map[string][]*Job // by the id of a job: the open jobs that wait for it
+	failed     []*Job            // jobs cancelled because of a dependency; openFailedJobs removes the final ones
+	newlyReady []*Job            // jobs that became ready since takeNewlyReady was last called
+	inheritors map[*Job]int      // jobs that have inherited from their dependents; the values are not used
+	changed    bool              // the graph has changed since inherit last ran
 }
 
 func newDependencyGraph(jobs *jobTable, feed *changeFeed) *dependencyGraph {
 	return &dependencyGraph{jobs: jobs, feed: feed, dependents: map[string][]*Job{}}
 }
 
-// addJob takes a new open job into the graph.
+// addJob adds a new open job to the graph.
 func (g *dependencyGraph) addJob(job *Job) {
-	job.unmetDependencies = len(job.Dependencies) // at first: it is not ready before all of them were looked at
+	job.unmetDependencies = len(job.Dependencies) // not ready until the loop has checked all dependencies
 	for _, id := range job.Dependencies {
 		if state, ok := g.jobs.recordedFinalState(id); ok {
 			g.dependencyEnded(job, state)
@@ -41,16 +40,16 @@
 	g.changed = g.changed || len(job.Dependencies) > 0
 }
 
-// dependencyAdded takes in that a job is known now, which others may have named before.
+// dependencyAdded records that a job is now in the cache on which other jobs may already depend.
 func (g *dependencyGraph) dependencyAdded(id string) {
 	if len(g.dependents[id]) > 0 {
 		g.changed = true
 	}
 }
 
-// jobEnded tells the jobs that wait for one that it is over.
+// jobEnded updates the jobs that depend on a job that has become final.
 func (g *dependencyGraph) jobEnded(id string, state FinalState) {
-	// What it needed inherits from it no more.
+	// Its dependencies no longer inherit from it.
 	g.changed = g.changed || len(g.inheritors) > 0
 	dependents := g.dependents[id]
 	if dependents == nil {
@@ -62,8 +61,9 @@
 	}
 }
 
-// dependencyEnded takes in that a dependency of a job is over. From the last one's end on the job's
-// times count: it is read from that dependency's record, and so outlives every owner.
+// dependencyEnded updates a job when one of its dependencies has become final. The job's times count
+// from the end of its last dependency. That time comes from the dependency's record, so it survives
+// a change of the shard's owner.
 func (g *dependencyGraph) dependencyEnded(job *Job, state FinalState) {
 	job.unmetDependencies--
 	g.feed.addJob(job)
@@ -79,9 +79,9 @@
 	}
 }
 
-// failWithDependents marks a job and all its dependents, direct or through others, as cancelled with
-// one before them. That follows from the records alone, so every controller says the same at
-// once; their own final records are written later.
+// failWithDependents marks a job and all its direct and indirect dependents as cancelled because of a
+// failed dependency. The result follows from the records alone, so all controllers reach it without
+// waiting for the jobs' own final records, which are written later.
 func (g *dependencyGraph) failWithDependents(job *Job) {
 	pending := []*Job{job}
 	for len(pending) > 0 {
@@ -97,10 +97,10 @@
 	}
 }
 
-// removeJob drops a job that is over.
-func (g *dependencyGraph) removeJob(job *Job) { delete(g.inheritors, job) }
+// pruneJob removes a final job.
+func (g *dependencyGraph) pruneJob(job *Job) { delete(g.inheritors, job) }
 
-// openFailedJobs drops the failed jobs that are over and returns the others.
+// openFailedJobs removes the final jobs from failed and returns the remaining ones.
 func (g *dependencyGraph) openFailedJobs() []*Job {
 	open := g.failed[:0]
 	for _, job := range g.failed {
@@ -119,17 +119,17 @@
 	return ready
 }
 
-// canRun tells whether a job is known, open and not cancelled with a dependency.
+// canRun reports whether a job is in the cache, open and not cancelled because of a dependency.
 func canRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
 
-// inherit is described at Cache.Inherit.
+// inherit implements Cache.Inherit.
 func (g *dependencyGraph) inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
 	if !g.changed {
 		return
 	}
 	g.changed = false
 	unvisited := g.resetAndCountDependents(finishTimes)
-	// What nothing depends on any more has only its own left.
+	// A job without dependents is left with its own priority and no finish times.
 	for job := range g.inheritors {
 		if _, ok := unvisited[job]; !ok {
 			job.Priority, job.FinishBy, job.FinishLatest = job.OwnPriority, time.Time{}, time.Time{}
@@ -149,8 +149,8 @@
 	}
 }
 
-// resetAndCountDependents returns the jobs of the graph that may run, each with the number of its
-// dependents among them, and sets them back to what they have by themselves.
+// resetAndCountDependents resets the jobs in the graph that can run to their own priority and finish
+// times, and returns each with the number of its dependents that can run.
 func (g *dependencyGraph) resetAndCountDependents(finishTimes func(*Job) (finishBy, finishLatest time.Time)) map[*Job]int {
 	counts := map[*Job]int{}
 	visit := func(job *Job) {
@@ -176,8 +176,8 @@
 	return counts
 }
 
-// propagate lets the dependencies of a job inherit from it, and adds to pending those all of whose
-// dependents were visited now.
+// propagate updates a job's dependencies with its priority and finish times, and appends to pending
+// those whose dependents have all been visited.
 func (g *dependencyGraph) propagate(job *Job, duration time.Duration, unvisited map[*Job]int, pending []*Job) []*Job {
 	for _, id := range job.Dependencies {
 		dependency := g.jobs.find(id)
@@ -194,8 +194,8 @@
 	return pending
 }
 
-// earlierFinish is the earlierFinish of a job's own time and that of a dependent less how long the dependent
-// takes. A zero time is none.
+// earlierFinish returns the earlier of a job's own finish time and the latest finish time that still
+// allows the dependent, which runs for duration, to finish in time. A zero time means no finish time.
 func earlierFinish(own, dependent time.Time, duration time.Duration) time.Time {
 	if dependent.IsZero() {
 		return own
@@ -206,17 +206,18 @@
 	return own
 }
 
-// DependencyFailed returns the jobs that were cancelled with one before them and have no final
-// record of their own yet. The list is valid until the next change.
+// DependencyFailed returns the jobs that were cancelled because of a dependency and have no final
+// record of their own yet. The list is valid until the next change of the cache.
 func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailedJobs() }
 
-// NewlyReady returns the jobs that became ready since it was last called.
+// NewlyReady returns the jobs that became ready since the last call.
 func (c *Cache) NewlyReady() []*Job { return c.dependencies.takeNewlyReady() }
 
-// Inherit works out what jobs inherit from their dependents: the highest priority of
-// any, and the latest time at which they must be over for those to be in time. aims tells
-// when a job itself should be over at best and at the latest (zero: no such time), duration
-// how long it will take. Every job and edge is visited once.
+// Inherit propagates priorities and finish times from jobs to their dependencies: a job gets the
+// highest priority among its own and those of its dependents, and the latest finish times that still
+// allow its dependents to finish in time. finishTimes returns the times by which a job itself should
+// finish at best and at the latest (zero: no such time); duration returns its expected run time. Each
+// job and edge is visited once.
 func (c *Cache) Inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
 	c.dependencies.inherit(finishTimes, duration)
 }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -6,31 +6,32 @@
 	"fmt"
 )
 
-// The reasons for which a change is refused. Apply returns them within a RecordError; they are
-// found with errors.Is. A change that is merely stale is no error: Apply drops it and returns nil.
+// Reasons for rejecting a change. Apply wraps them in a RecordError; use errors.Is to test for them.
+// A stale change is not an error: Apply drops it and returns nil.
 var (
-	// ErrLayout says that the records are of an earlier layout, one key a machine,
-	// which this version does not read: see the operators' handbook.
-	ErrLayout = errors.New("a record of an earlier layout; the state service must be emptied before this version starts")
-	// ErrCorrupt says that a record's value cannot be decoded or contradicts another record.
+	// ErrLayout reports a foreign layout: the records have an earlier layout with one key per
+	// machine, which this version does not read. See the operators' handbook.
+	ErrLayout = errors.New("record has an earlier layout that this version does not read; empty the state service before starting this version")
+	// ErrCorrupt reports a value that cannot be decoded or that contradicts another record.
 	ErrCorrupt = errors.New("corrupt record")
-	// ErrUnknownReference says that a record refers to a job, machine, team or shard that is not
-	// known. Records are read in any order, so the change may be accepted when it is read again.
+	// ErrUnknownReference reports a reference to a job, machine, team, shard or description chunk
+	// that is not in the cache. Records are read in any order, so the change may be accepted when
+	// it is read again.
 	ErrUnknownReference = errors.New("unknown reference")
-	// ErrInvalidKey says that a key names no record that there may be.
+	// ErrInvalidKey reports a key that cannot belong to any record.
 	ErrInvalidKey = errors.New("invalid key")
-	// ErrUnexpectedDeletion says that a record was deleted that never is.
+	// ErrUnexpectedDeletion reports the deletion of a record of a kind that is never deleted.
 	ErrUnexpectedDeletion = errors.New("unexpected deletion")
 )
 
-// RecordError is a change of a record that the cache could not take.
+// RecordError describes a record change that the cache rejected.
 type RecordError struct {
 	Key      string
-	Revision uint64 // of the change, as the state service counts them
+	Revision uint64 // the state service's revision of the change
 	Cause    error  // wraps ErrLayout, ErrCorrupt, ErrUnknownReference, ErrInvalidKey or ErrUnexpectedDeletion
 }
 
-// Error names the record, the change and its cause.
+// Error returns the record's key, the revision of the change and the cause.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("record %s at revision %d: %v", e.Key, e.Revision, e.Cause)
 }
@@ -38,14 +39,14 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// decodeJSON reads a record that is plain JSON. What was read before an error is returned with it;
-// the error wraps ErrCorrupt.
+// decodeJSON decodes a plain JSON record. On an error, which wraps ErrCorrupt, it also returns the
+// fields that were decoded before the error.
 func decodeJSON[T any](raw json.RawMessage) (record T, err error) {
 	err = decodeInto(raw, &record)
 	return record, err
 }
 
-// decodeInto is decodeJSON for a record that is kept where it is.
+// decodeInto is like decodeJSON but decodes into an existing record.
 func decodeInto[T any](raw json.RawMessage, record *T) error {
 	if err := json.Unmarshal(raw, record); err != nil {
 		return wrapCorrupt(err)
@@ -53,5 +54,5 @@
 	return nil
 }
 
-// wrapCorrupt marks a decoder's error as ErrCorrupt and keeps the error itself in the chain.
+// wrapCorrupt wraps a decoder's error with ErrCorrupt; the error itself stays in the chain.
 func wrapCorrupt(err error) error { return fmt.Errorf("%w: %w", ErrCorrupt, err) }
--- a/internal/storage/images.go
+++ b/internal/storage/images.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// maxImagesPerMachine is how many images of a machine are remembered.
+// maxImagesPerMachine is the number of most recently used images kept for a machine.
 const maxImagesPerMachine = 64
 
-// A task has fetched its image once it has been there for the time that the fetch takes, with a
-// margin in proportion to it and one in seconds.
+// A task is assumed to have fetched its image once it has been placed for longer than the expected
+// fetch time multiplied by fetchTimeFactor plus fetchMarginSeconds.
 const (
 	fetchTimeFactor    = 1.3
 	fetchMarginSeconds = 1
 )
 
-// imageSizes are the sizes of images in GB, by index. They outlive the jobs that need them.
+// imageSizes holds the sizes of images in GB, by image index. The sizes are kept after the jobs that
+// use the images are pruned.
 type imageSizes struct {
 	gigabytes []float64
 }
 
-func (s *imageSizes) set(job *Job) {
+func (s *imageSizes) record(job *Job) {
 	for len(s.gigabytes) <= job.Image {
 		s.gigabytes = append(s.gigabytes, 0)
 	}
@@ -34,10 +35,11 @@
 	return 0
 }
 
-// ImageGB is the size of an image, in GB; 0 if no job that was read needs it.
+// ImageGB returns the size of an image in GB; 0 if no job that was read uses the image.
 func (c *Cache) ImageGB(image int) float64 { return c.imageSizes.size(image) }
 
-// UseImage notes an image as the most recently used of a list.
+// UseImage makes an image the last, most recently used entry of a list and returns the list, which is
+// limited to maxImagesPerMachine entries.
 func UseImage(images []int, image int) []int {
 	if last := len(images) - 1; last >= 0 && images[last] == image {
 		return images
@@ -49,10 +51,11 @@
 	return images[max(0, len(images)-maxImagesPerMachine):]
 }
 
-// recordImages notes the images of a machine's tasks that have been there for long enough to
-// have fetched them. What still waits may give its fetch up. Every controller derives the images of
-// machines from the records, so that a new owner knows them too: one that took 90 machines over
-// knew only the images of what ran, and had replicas fetch for half a minute what lay next door.
+// recordImages adds the images of a machine's tasks to its image list if the tasks have been placed
+// long enough to have fetched them; an unfinished fetch may still be abandoned. Every controller
+// derives the lists from the records, so that a new owner of a shard has them too: an owner that took
+// over 90 machines had only the images of running tasks, and replicas spent half a minute fetching
+// images that other machines already had.
 func (c *Cache) recordImages(machine *Machine) {
 	now := time.Now().Unix()
 	for i := range machine.Tasks {
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -6,15 +6,15 @@
 	"dykeledge/internal/protocol"
 )
 
-// Nowhere is the machine of a task that is not placed.
+// Nowhere is the machine index of a task that is not placed.
 const Nowhere = int32(-1)
 
-// anyZone is the zone of a job that may run in every zone.
+// anyZone is the zone index of a job that may run in any zone.
 const anyZone = -1
 
-// Job is an accepted job. Once it is final and none of its tasks is placed,
-// only its final state is kept. CPUs and accelerators are counts, memory and images in GB,
-// estimates and checkpoints in seconds.
+// Job is an accepted job. Once it is final and none of its tasks is placed, only its final state is
+// kept. Cpus and Gpus are counts per task, memory and image sizes are in GB, the estimate and the
+// checkpoint interval and cost are in seconds.
 type Job struct {
 	Index              int32
 	ID                 string
@@ -22,16 +22,16 @@
 	Class              int
 	Shard              int
 	Shape              protocol.Shape
-	Priority           protocol.Priority // the highest of its own and of those of its dependents
+	Priority           protocol.Priority // the highest of OwnPriority and the dependents' priorities
 	Tasks              int
 	Cpus               float64
 	Gpus               float64
 	Mem                float64
-	Size               float64 // of a task, in CPUs: see Cache.sizeOf
+	Size               float64 // of one task, in CPUs; see Cache.sizeOf
 	Image              int
 	ImageGB            float64
 	Types              []int
-	Zone               int // or anyZone, -1
+	Zone               int // zone index, or anyZone (-1)
 	OneZone            bool
 	Spread             bool
 	Spot               bool
@@ -40,57 +40,61 @@
 	CheckpointCost     float64
 	Deadline           time.Duration // 0: none
 	OwnPriority        protocol.Priority
-	// Submitted is when it was; ReadyAt is from when on its times count: its submission,
-	// or the end of the last job that it depended on.
-	Submitted, ReadyAt     time.Time
-	FinishBy, FinishLatest time.Time // when it must be over for itself and all its dependents; zero: no such time
+	// Submitted is the time of submission. ReadyAt is the time from which waiting is measured: the
+	// submission, or the end of the dependency that ended last.
+	Submitted, ReadyAt time.Time
+	// FinishBy and FinishLatest are the times at which the job must finish so that it and all its
+	// dependents meet their deadlines, or at least finish at the latest acceptable time; zero: none.
+	FinishBy, FinishLatest time.Time
 
 	Dependencies      []string // the ids of the jobs that must be done first
-	unmetDependencies int      // of them, those that are not done
-	DependencyFailed  bool     // cancelled with a job that it needs, its own record does not say so yet
-	FinalAtMs         int64    // when it became final, in Unix milliseconds; 0: it is not, or that is unknown
-	ChunkSet          string   // the name of the chunks of its description; "": its record holds it
+	unmetDependencies int      // the number of dependencies that are not done
+	DependencyFailed  bool     // cancelled because of a dependency; its own record may not show it yet
+	FinalAtMs         int64    // when the job became final, in Unix milliseconds; 0: still open, or unknown
+	ChunkSet          string   // the attempt that wrote the description's chunks; "": not chunked
 	chunkCount        int
 
 	Final     protocol.JobStatus // "" while open
-	Done      Bitmap             // all tasks known to be completed
-	SavedDone Bitmap             // those that the job's own record and its completion sets show
+	Done      Bitmap             // all completed tasks, from the job's, its completion sets' and the groups' records
+	SavedDone Bitmap             // the completed tasks in the job's own record and its completion sets
 	DoneCount int
-	Suspect   bool // failed on several machines before any of its tasks had completed
+	Suspect   bool // failed on several machines before any of its tasks completed
 	Version   uint64
 	Spec      *SpecRecord
 
-	MachineOf   []int32  // by task: the machine whose record holds it, or Nowhere
-	AttemptOf   []uint64 // by task: the attempt in that record
+	MachineOf   []int32  // by task: the index of the machine that it is placed on, or Nowhere
+	AttemptOf   []uint64 // by task: the placed attempt; 0 if not placed
 	PlacedCount int
-	ByZone      []int32 // placed tasks by zone
+	ByZone      []int32 // number of placed tasks, by zone index
 
-	firstWaitingBound int // no task before it waits
+	firstWaitingBound int // lower bound of the waiting tasks' numbers
 	inChangeFeed      bool
 }
 
 // FinalState is a job's final state.
 type FinalState struct {
 	Status     protocol.JobStatus
-	Tasks      int32 // that have completed
-	RecordedMs int64 // when it was recorded, in Unix milliseconds; 0: not known
+	Tasks      int32 // number of completed tasks
+	RecordedMs int64 // when the final state was recorded, in Unix milliseconds; 0: unknown
 }
 
-// MaxPerZone is how many tasks of a job that is spread may be in one zone: half, rounded up (PROTOCOL, `scatter`).
+// MaxPerZone returns the maximum number of tasks of a spread job in one zone: half of its tasks,
+// rounded up (see `scatter` in the protocol).
 func (j *Job) MaxPerZone() int { return (j.Tasks + 1) / 2 }
 
-// Open tells whether the job still has work to do.
+// Open reports whether the job has no final state yet.
 func (j *Job) Open() bool { return j.Final == "" }
 
-// Ready tells whether nothing that the job needs is left to wait for. Only the final
-// record of a dependency counts: one whose tasks have all completed may still lose to a
-// cancellation that is on its way, and what started after it would be too early.
+// Ready reports whether all the job's dependencies are done. Only a dependency's final record counts:
+// a job whose tasks have all completed may still become cancelled by a concurrent request, and its
+// dependents would then have started wrongly.
 func (j *Job) Ready() bool { return j.unmetDependencies == 0 && !j.DependencyFailed }
 
-// UnmetDependencies is how many jobs it still waits for.
+// UnmetDependencies returns the number of jobs that the job still waits for.
 func (j *Job) UnmetDependencies() int { return j.unmetDependencies }
 
-// Waiting is the number of tasks that are neither done nor placed, of a job that may start.
+// Waiting returns the number of tasks that are neither completed nor placed; 0 if the job is final or
+// not ready.
 func (j *Job) Waiting() int {
 	if !j.Open() || !j.Ready() {
 		return 0
@@ -98,7 +102,7 @@
 	return j.Tasks - j.DoneCount - j.PlacedCount
 }
 
-// NextWaiting returns the first waiting task at or after from, or -1.
+// NextWaiting returns the number of the first waiting task that is not below from, or -1.
 func (j *Job) NextWaiting(from int) int {
 	if from <= j.firstWaitingBound {
 		for j.firstWaitingBound < j.Tasks && !j.isWaiting(j.firstWaitingBound) {
@@ -116,10 +120,10 @@
 
 func (j *Job) isWaiting(task int) bool { return !j.Done.Get(task) && j.MachineOf[task] == Nowhere }
 
-// finalState is the final state of a job that is over.
+// finalState returns the final state of a job that is final.
 func (j *Job) finalState() FinalState { return FinalState{j.Final, int32(j.DoneCount), j.FinalAtMs} }
 
-// mergeCompletionSet takes in a part of the set of completed tasks.
+// mergeCompletionSet adds the tasks of one completion set to the job's completed tasks.
 func (j *Job) mergeCompletionSet(part int, tasks Bitmap) {
 	if from := part * bytesPerCompletionSet; from < len(j.Done) {
 		j.SavedDone[from:].Merge(tasks)
@@ -128,28 +132,29 @@
 	}
 }
 
-// jobTable finds jobs by id, and keeps the final states of those that were forgotten.
+// jobTable indexes jobs by id and holds the final states of pruned jobs.
 type jobTable struct {
 	byID        map[string]*Job
 	pruned      map[string]FinalState
 	freeIndices []int32
-	ended       []*Job // became final since they were last taken
+	ended       []*Job // jobs that became final since takeEnded was last called
 }
 
 func newJobTable() *jobTable {
 	return &jobTable{byID: map[string]*Job{}, pruned: map[string]FinalState{}}
 }
 
-// find returns a job that is not forgotten, or nil.
+// find returns a job that is not pruned, or nil.
 func (t *jobTable) find(id string) *Job { return t.byID[id] }
 
-// isPruned tells whether only a job's final state is left.
+// isPruned reports whether only the final state of a job is kept.
 func (t *jobTable) isPruned(id string) bool {
 	_, ok := t.pruned[id]
 	return ok
 }
 
-// recordedFinalState is a job's final state as its record has it; ok is false if it is open or unknown.
+// recordedFinalState returns the final state in a job's record; ok is false if the job is open or
+// unknown.
 func (t *jobTable) recordedFinalState(id string) (state FinalState, ok bool) {
 	if state, ok := t.pruned[id]; ok {
 		return state, true
@@ -160,7 +165,7 @@
 	return FinalState{}, false
 }
 
-// add gives a new job an index and returns the jobs by index with it.
+// add assigns an index to a new job and returns byIndex with the job added.
 func (t *jobTable) add(job *Job, byIndex []*Job) []*Job {
 	t.byID[job.ID] = job
 	if free := len(t.freeIndices); free > 0 {
@@ -173,7 +178,7 @@
 	return append(byIndex, job)
 }
 
-// remove frees a job's index.
+// remove removes a job and frees its index.
 func (t *jobTable) remove(job *Job, byIndex []*Job) {
 	delete(t.byID, job.ID)
 	byIndex[job.Index] = nil
@@ -190,12 +195,12 @@
 	return ended
 }
 
-// Job finds an open or not yet forgotten job; nil if there is none.
+// Job returns a job that is open or not pruned yet; nil if there is none.
 func (c *Cache) Job(id string) *Job { return c.jobs.find(id) }
 
-// FinalState returns the final state of a job and how many of its tasks have completed; "" if the
-// job is open or unknown. It is cancelled as soon as one of its dependencies is, whatever its own
-// record says: that one will never be done, so this one can't be either.
+// FinalState returns a job's final state and its number of completed tasks; "" if the job is open or
+// unknown. An open job counts as cancelled as soon as one of its dependencies is cancelled, before
+// its own record shows it: the dependency will never be done, so the job can never run.
 func (c *Cache) FinalState(id string) (protocol.JobStatus, int) {
 	if state, ok := c.jobs.recordedFinalState(id); ok {
 		return state.Status, int(state.Tasks)
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// Root is the prefix of every key, so that one watch sees them all.
+// Root is the common prefix of all keys, so that one watch covers them all.
 const Root = "dykeledge/"
 
-// The prefixes of keys. Their text is part of the stored layout and outlives the names in the code.
+// Key prefixes by kind of record. They are part of the stored layout and don't change when the code's
+// names do.
 const (
 	memberPrefix     = Root + "node/"
 	shardPrefix      = Root + "share/"
@@ -19,59 +20,58 @@
 	victimSetPrefix  = Root + "evict/"
 	completionPrefix = Root + "set/"
 	teamPrefix       = Root + "team/"
-	chunkPrefix      = Root + "bit/"     // sorts before the jobs, whose records name them
-	retiredPrefix    = Root + "machine/" // of a layout that is not read any more
+	chunkPrefix      = Root + "bit/"     // sorts before jobPrefix: job records name their chunks
+	retiredPrefix    = Root + "machine/" // machine records of a foreign layout, and the barrier keys
 )
 
-// The keys of records of which there is one each.
+// Keys of the record kinds that have a single record.
 const (
-	// LeaderKey holds who leads.
+	// LeaderKey is the key of the leadership record.
 	LeaderKey = Root + "leader"
-	// CatalogKey holds the cloud's machine types.
+	// CatalogKey is the key of the catalog of the cloud's machine types.
 	CatalogKey = Root + "catalog"
-	// SettingsKey holds the settings that the cache only passes on.
+	// SettingsKey is the key of the operators' settings, which the cache keeps in encoded form.
 	SettingsKey = Root + "settings"
-	// LayoutKey holds the gate between the layouts.
+	// LayoutKey is the key of the LayoutRecord.
 	LayoutKey = Root + "layout"
-	// BaselineKey holds what the classes of the teams usually ask for.
+	// BaselineKey is the key of the baseline demand of the teams' classes.
 	BaselineKey = Root + "usual"
 )
 
-// The barrier keys keep older versions out: a version that does not read the layout that a barrier
-// announces takes the key for a record of the layout that it refuses, and so does not become ready
-// if it is started again.
+// Barrier keys keep older versions from becoming ready after a restart: a version that can't read the
+// layout that a barrier announces treats the key as a record of the foreign layout and rejects it.
 const (
-	// BarrierKey is written when the packed layout is enabled. A version before it would read packed
-	// groups as empty ones and start what runs there twice.
+	// BarrierKey is written when the packed layout is enabled. An older version would read packed
+	// machine groups as empty and start their running tasks a second time.
 	BarrierKey = retiredPrefix + "packed"
-	// TeamsBarrierKey is written with the first change of a team. A version before it would go by
-	// the settings file.
+	// TeamsBarrierKey is written with the first change of a team's guarantee or limit. An older
+	// version would use the values in the settings file.
 	TeamsBarrierKey = retiredPrefix + "teams"
 )
 
-// isBarrier tells whether a key only keeps older versions out.
+// isBarrier reports whether a key is a barrier key.
 func isBarrier(key string) bool { return key == BarrierKey || key == TeamsBarrierKey }
 
-// MemberKey is where a controller says that it is alive.
+// MemberKey returns the key of a controller's membership record.
 func MemberKey(name string) string { return memberPrefix + name }
 
-// ShardKey holds who owns a shard.
+// ShardKey returns the key of a shard's ownership record.
 func ShardKey(shard int) string { return shardPrefix + strconv.Itoa(shard) }
 
-// JobKey holds a job.
+// JobKey returns the key of a job's record.
 func JobKey(id string) string { return jobPrefix + id }
 
-// JobIDOf returns the id of the job that a key holds; ok is false for a key of another kind.
+// JobIDOf returns the job id in a job record's key; ok is false for a key of another kind.
 func JobIDOf(key string) (id string, ok bool) { return keySuffix(key, jobPrefix) }
 
-// FleetKey holds what does not change of machines that came together.
+// FleetKey returns the key of a fleet's record.
 func FleetKey(id string) string { return fleetPrefix + id }
 
-// GroupKey holds a machine group: the part of its machines' records that changes.
+// GroupKey returns the key of a machine group's record.
 func GroupKey(group int) string { return groupPrefix + strconv.Itoa(group) }
 
-// GroupOf returns the id of the machine group that a key holds; ok is false for a key of another
-// kind or without a number.
+// GroupOf returns the id in a machine group record's key; ok is false for a key of another kind or
+// without a valid number.
 func GroupOf(key string) (group int, ok bool) {
 	number, ok := keySuffix(key, groupPrefix)
 	if !ok {
@@ -81,23 +81,25 @@
 	return group, err == nil && group >= 0
 }
 
-// VictimSetKey holds the victim set that makes room for a job.
+// VictimSetKey returns the key of the victim set that is preempted for a job.
 func VictimSetKey(job string) string { return victimSetPrefix + job }
 
-// TeamKey holds a team's guarantee and limit, if they were changed since the settings file.
+// TeamKey returns the key of the record that overrides a team's guarantee and limit in the settings
+// file.
 func TeamKey(name string) string { return teamPrefix + url.PathEscape(name) }
 
-// CompletionKey holds a part of the set of a job's completed tasks: the part with this task.
+// CompletionKey returns the key of the completion set that contains a job's task.
 func CompletionKey(job string, task int) string {
 	return completionPrefix + job + "/" + strconv.Itoa(task/tasksPerCompletionSet)
 }
 
-// chunkKey holds a chunk of a job's description, as one attempt to accept the job wrote it.
+// chunkKey returns the key of a chunk of a job's description that an attempt to accept the job wrote.
 func chunkKey(job, attempt string, chunk int) string {
 	return chunkPrefix + job + "/" + attempt + "/" + strconv.Itoa(chunk)
 }
 
-// keySuffix returns what follows a prefix of a key; ok is false if nothing does.
+// keySuffix returns the part of a key after a prefix; ok is false if the key does not start with the
+// prefix or nothing follows it.
 func keySuffix(key, prefix string) (suffix string, ok bool) {
 	suffix, ok = strings.CutPrefix(key, prefix)
 	return suffix, ok && suffix != ""
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// PlacedTask is a task in a machine's record.
+// PlacedTask is a task that is placed on a machine.
 type PlacedTask struct {
 	Job      *Job
 	Task     int
 	Attempt  uint64
 	PlacedAt int64  // when it was placed, in Unix seconds
-	WaitedS  uint64 // the seconds it had waited before
+	WaitedS  uint64 // how long it waited before this placement, in seconds
 }
 
-// Machine is a machine as the records have it.
+// Machine is the cached state of a machine, from its fleet's and its group's records.
 type Machine struct {
 	Index         int32
 	Name          string
 	Group         *MachineGroup
-	Shard         int // its group's
+	Shard         int // the shard of its group
 	FencingToken  uint64
 	Incarnation   uint64
 	Addr          string
@@ -26,22 +26,22 @@
 	Returning     bool
 	Draining      bool
 	Unhealthy     bool
-	ProvisionedAt int64 // in Unix seconds, 0: unknown
+	ProvisionedAt int64 // in Unix seconds; 0: unknown
 	Tasks         []PlacedTask
-	Version       uint64 // when its own part of the records last changed
-	Gone          bool   // its record was deleted, or its group is not known yet
-	Moved         bool   // it was in another group before
-	FleetEntries  int    // fleet records that list it
-	Images        []int  // of tasks that were on it, the most recently used last
+	Version       uint64 // revision at which its entry in the records last changed
+	Gone          bool   // no fleet record lists it any more, or its group's record was not read yet
+	Moved         bool   // it has been moved from its original group
+	FleetEntries  int    // number of fleet records that list it
+	Images        []int  // indices of the images that its tasks have fetched, the most recently used last
 
 	Fleet        *Fleet
 	record       FleetMachine
-	exists       bool // a fleet record holds it
-	changed      bool // it is among machineTable.changed
+	exists       bool // a fleet record lists it
+	changed      bool // it is in machineTable.changed
 	inChangeFeed bool
 }
 
-// Find returns the position of a task in the record, or -1.
+// Find returns the position of a task in Tasks, or -1.
 func (m *Machine) Find(job *Job, task int) int {
 	for i := range m.Tasks {
 		if m.Tasks[i].Job == job && m.Tasks[i].Task == task {
@@ -60,24 +60,24 @@
 	group.Machines = append(group.Machines, m)
 }
 
-// machineTable finds machines and fleets by name. It keeps the names of all machines that there
-// were: none gets another index later.
+// machineTable indexes machines by name and fleets by id. It keeps removed machines, so that a
+// machine's index never changes.
 type machineTable struct {
 	byName  map[string]*Machine
 	fleets  map[string]*Fleet // by id
-	changed []*Machine        // since they were last taken
+	changed []*Machine        // machines that changed since takeChanged was last called
 }
 
 func newMachineTable() *machineTable {
 	return &machineTable{byName: map[string]*Machine{}, fleets: map[string]*Fleet{}}
 }
 
-// find returns a machine that has or had a record, or nil.
+// find returns a machine that a fleet record lists or once listed, or nil.
 func (t *machineTable) find(name string) *Machine { return t.byName[name] }
 
 func (t *machineTable) add(machine *Machine) { t.byName[machine.Name] = machine }
 
-// ensureFleet finds a ensureFleet, and makes an empty one that no record describes yet.
+// ensureFleet returns the fleet with the given id and creates an empty one if there is none.
 func (t *machineTable) ensureFleet(id string) *Fleet {
 	fleet := t.fleets[id]
 	if fleet == nil {
@@ -103,7 +103,8 @@
 	return changed
 }
 
-// Machine finds a machine by name; nil if it has no record or its group's is not known yet.
+// Machine returns a machine by name; nil if no fleet record lists it or its group's record was not
+// read yet.
 func (c *Cache) Machine(name string) *Machine {
 	if machine := c.machines.find(name); machine != nil && !machine.Gone {
 		return machine
@@ -111,17 +112,17 @@
 	return nil
 }
 
-// MachineSeen tells whether a machine has or had a record. One whose group has not been
-// read yet counts too: it must not get another.
+// MachineSeen reports whether a fleet record lists or once listed a machine. A machine whose group's
+// record was not read yet counts too: it must not get another record.
 func (c *Cache) MachineSeen(name string) bool { return c.machines.find(name) != nil }
 
-// FencingToken is the token under which a machine is commanded.
+// FencingToken returns the fencing token for commands to a machine.
 func (c *Cache) FencingToken(machine *Machine) uint64 {
 	return max(machine.FencingToken, machine.Group.FencingToken, c.Shards[machine.Shard].FencingToken)
 }
 
-// TakeChanged returns the machines that changed, and the jobs that ended, since it was
-// last called: what follows from a change is worked out for these only.
+// TakeChanged returns the machines that changed and the jobs that became final since the last call,
+// so that the caller can update derived state for these only.
 func (c *Cache) TakeChanged() (machines []*Machine, jobs []*Job) {
 	return c.machines.takeChanged(), c.jobs.takeEnded()
 }
--- a/internal/storage/machine_group.go
+++ b/internal/storage/machine_group.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// MachineGroup is a group of machines whose records change together.
+// MachineGroup is a group of machines that share one record of their changing state.
 type MachineGroup struct {
 	ID           int
 	Shard        int
 	FencingToken uint64
 	Version      uint64 // 0: no record
-	Size         int    // of its record, in bytes
-	Packed       bool   // its record is of the packed layout
+	Size         int    // of the record, in bytes
+	Packed       bool   // the record has the packed layout or lists nothing
 	Machines     []*Machine
 	Completed    []CompletedTask
 }
 
-// CompletedTask is a completed task that its job's own record may not show yet.
+// CompletedTask is a completed task that may not be in its job's own record yet.
 type CompletedTask struct {
 	Job  *Job
 	Task int
 }
 
-// UnsavedCompletions are the completed tasks that must stay in a group's record, since their
-// job's own does not show them.
+// UnsavedCompletions returns the completed tasks that must stay in the group's record because their
+// jobs' own records and completion sets do not contain them yet.
 func (g *MachineGroup) UnsavedCompletions() []CompletedTask {
 	unsaved := make([]CompletedTask, 0, len(g.Completed))
 	for _, completed := range g.Completed {
@@ -32,7 +32,8 @@
 	return unsaved
 }
 
-// ensureGroup finds a ensureGroup, and makes an empty one that no record describes yet.
+// ensureGroup returns the group with the given id; it creates missing groups, without records, up to
+// that id.
 func (c *Cache) ensureGroup(id int) *MachineGroup {
 	for len(c.Groups) <= id {
 		c.Groups = append(c.Groups, &MachineGroup{ID: len(c.Groups)})
@@ -40,7 +41,7 @@
 	return c.Groups[id]
 }
 
-// GroupMachineOf writes a machine's part of its group's record, with other tasks.
+// GroupMachineOf returns a machine's entry for its group's record, with the given tasks.
 func (c *Cache) GroupMachineOf(machine *Machine, tasks []PlacedTask) GroupMachine {
 	entry := GroupMachine{
 		Name:        machine.Name,
@@ -71,14 +72,14 @@
 	m.Tasks[i].Numbers = append(m.Tasks[i].Numbers, uint64(placed.Task), placed.Attempt, uint64(placed.PlacedAt), placed.WaitedS)
 }
 
-// isEmpty tells whether a group's record need not list a machine.
+// isEmpty reports whether the entry holds nothing and can be left out of its group's record.
 func (m *GroupMachine) isEmpty() bool {
 	flagged := m.Returning || m.Unhealthy || m.Draining || m.Moved
 	return !flagged && m.FencingToken == 0 && m.Incarnation == 0 && m.Addr == "" && len(m.Tasks) == 0
 }
 
-// GroupRecordOf writes a group's record. change, if set, changes a machine's part and
-// tells whether the machine stays.
+// GroupRecordOf returns a group's record with the given completed tasks. change, if not nil, returns
+// a machine's new entry and whether the machine stays in the group.
 func (c *Cache) GroupRecordOf(group *MachineGroup, completed []CompletedTask, change func(*Machine) (GroupMachine, bool)) *GroupRecord {
 	record := &GroupRecord{Shard: group.Shard, FencingToken: group.FencingToken, Completed: completedTasksOf(completed)}
 	for _, machine := range group.Machines {
@@ -93,7 +94,7 @@
 	return record
 }
 
-// completedTasksOf writes completed tasks by job, in the order in which each job comes first.
+// completedTasksOf groups completed tasks by job, in the order in which the jobs first occur.
 func completedTasksOf(list []CompletedTask) []CompletedTasks {
 	var records []CompletedTasks
 	position := map[*Job]int{}
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -6,8 +6,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// MachineType is a machine type of the catalog, by index. Memory and caches are in GB, fetches in
-// GB a second, the boot time in seconds; prices are as the cloud gives them.
+// MachineType is a machine type of the cloud's catalog. Memory and image cache sizes are in GB, the
+// fetch rate is in GB/s, the boot time in seconds, prices are in the cloud's unit.
 type MachineType struct {
 	Cpus, Gpus, Mem   float64
 	CacheGB, FetchGBs float64
@@ -16,10 +16,10 @@
 	Zones             []int
 }
 
-// HasCatalog tells whether any machine type is known.
+// HasCatalog reports whether the first machine type has its properties from the catalog.
 func (c *Cache) HasCatalog() bool { return len(c.Types) > 0 && c.Types[0].Cpus > 0 }
 
-// UpdateCatalog takes the cloud's machine types.
+// UpdateCatalog sets the machine types from the cloud's catalog and updates the sizes of all jobs.
 func (c *Cache) UpdateCatalog(catalog *protocol.Catalog) {
 	for _, listed := range catalog.Types {
 		index := c.TypeIndex.Index(listed.Name)
@@ -42,16 +42,18 @@
 	}
 }
 
-// growTypes makes room for types that were named before the catalog lists them.
+// growTypes extends Types to all indices in TypeIndex; types may be named before the catalog lists
+// them.
 func (c *Cache) growTypes() {
 	for len(c.Types) < c.TypeIndex.Len() {
 		c.Types = append(c.Types, MachineType{})
 	}
 }
 
-// sizeOf is what one task of a job takes of a machine, in CPUs: its own, or those that its
-// accelerators or its memory stand for, if these bind. Of several types it is the one of which the
-// task takes least. A machine whose accelerators are all taken has nothing left, however many of its CPUs idle.
+// sizeOf returns the size of one task of a job in CPUs: its requested CPUs, or the CPUs that
+// correspond to its share of a machine's accelerators or memory if that is more. If the task fits
+// several machine types, the smallest size counts. Accelerators and memory count because a machine
+// whose accelerators are all in use has no room left, however many of its CPUs are idle.
 func (c *Cache) sizeOf(job *Job) float64 {
 	least := 0.0
 	for i := range c.Types {
@@ -65,7 +67,8 @@
 	return max(least, job.Cpus)
 }
 
-// fits tells whether a machine of a type has room for a task of the job.
+// fits reports whether an empty machine of a type has room for a task of the job and the job allows
+// the type.
 func (j *Job) fits(index int, machineType *MachineType) bool {
 	if machineType.Cpus <= 0 || j.Cpus > machineType.Cpus || j.Gpus > machineType.Gpus || j.Mem > machineType.Mem {
 		return false
@@ -73,7 +76,8 @@
 	return len(j.Types) == 0 || slices.Contains(j.Types, index)
 }
 
-// sizeOn is the CPUs of a machine of a type that a task of the job stands for.
+// sizeOn returns the size in CPUs of a task of the job on a machine type: its largest share of the
+// machine's CPUs, accelerators or memory.
 func (j *Job) sizeOn(machineType *MachineType) float64 {
 	size := j.Cpus
 	if machineType.Gpus > 0 {
--- a/internal/storage/name_index.go
+++ b/internal/storage/name_index.go
@@ -1,12 +1,12 @@
 package storage
 
-// NameIndex maps names to dense indices.
+// NameIndex assigns dense indices to names.
 type NameIndex struct {
 	index map[string]int
 	names []string
 }
 
-// NewNameIndex returns an index of the given names, in their order.
+// NewNameIndex returns a NameIndex of the given names, in their order.
 func NewNameIndex(names ...string) *NameIndex {
 	nameIndex := &NameIndex{index: make(map[string]int, len(names))}
 	for _, name := range names {
@@ -15,7 +15,7 @@
 	return nameIndex
 }
 
-// Index returns a name's index and gives it one if it is new.
+// Index returns a name's index and assigns the next one to a new name.
 func (n *NameIndex) Index(name string) int {
 	if i, ok := n.index[name]; ok {
 		return i
@@ -26,7 +26,7 @@
 	return i
 }
 
-// Find returns a known name's index, or -1.
+// Find returns a name's index, or -1 if the name has none.
 func (n *NameIndex) Find(name string) int {
 	if i, ok := n.index[name]; ok {
 		return i
@@ -34,8 +34,8 @@
 	return -1
 }
 
-// Name returns the name of an index. It panics if there is none.
+// Name returns the name with an index. It panics if there is none.
 func (n *NameIndex) Name(i int) string { return n.names[i] }
 
-// Len returns how many names there are.
+// Len returns the number of names.
 func (n *NameIndex) Len() int { return len(n.names) }
--- a/internal/storage/packed_records.go
+++ b/internal/storage/packed_records.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// The flags that a machine's packed entry begins with.
+// Flags at the start of a machine's packed entry.
 const (
 	packReturning = 1 << iota
 	packUnhealthy
 	packDraining
 	packFencingToken
-	packIncarnation // other than usualIncarnation
+	packIncarnation // the incarnation differs from defaultIncarnation
 	packAddress
 	packMoved
 	packTasks
 )
 
-// defaultIncarnation is a worker's incarnation that the packed layout does not write.
+// defaultIncarnation is the worker incarnation that the packed layout leaves out.
 const defaultIncarnation = 1
 
-// groupPacker writes a machine group's record; attempts and times by their difference from those
-// of the tasks before.
+// groupPacker packs a machine group's record. Attempts and placement times are written as differences
+// from those of the preceding tasks.
 type groupPacker struct {
 	*packer
 	attempt  uint64
 	placedAt uint64
 }
 
-// pack writes a group's machines and completed tasks.
+// pack returns the group's machines and completed tasks in the packed layout.
 func (r *GroupRecord) pack() string {
 	packer := groupPacker{packer: newPacker()}
 	packer.number(uint64(len(r.Machines)))
@@ -60,7 +60,7 @@
 	}
 }
 
-// packedFlags tells what a machine's packed entry holds.
+// packedFlags returns the flags of the machine's packed entry.
 func (m *GroupMachine) packedFlags() uint64 {
 	flags := uint64(0)
 	for _, flag := range []struct {
@@ -83,8 +83,8 @@
 	return flags
 }
 
-// placedTasks writes the tasks of one job on a machine. Those that were placed together share
-// their attempt, time and mostly what they had waited, which are written once.
+// placedTasks writes the tasks of one job on a machine. Tasks that were placed together share their
+// attempt and placement time, and mostly their waiting time; these are written once per batch.
 func (p *groupPacker) placedTasks(placed PlacedTasks) {
 	p.name(placed.Job)
 	batches := batchTasks(placed.Numbers)
@@ -113,8 +113,8 @@
 	}
 }
 
-// batchTasks cuts the numbers of PlacedTasks into batches of successive tasks that share attempt,
-// time and wait.
+// batchTasks splits PlacedTasks.Numbers into batches of successive tasks that have the same attempt,
+// placement time and waiting time.
 func batchTasks(numbers []uint64) [][]uint64 {
 	var batches [][]uint64
 	for len(numbers) >= numbersPerTask {
@@ -128,14 +128,15 @@
 	return batches
 }
 
-// groupUnpacker reads what a groupPacker wrote.
+// groupUnpacker reads the output of a groupPacker.
 type groupUnpacker struct {
 	*unpacker
 	attempt  uint64
 	placedAt uint64
 }
 
-// unpack reads a group's machines and completed tasks. The error wraps ErrCorrupt.
+// unpack reads a group's machines and completed tasks from the packed layout. An error wraps
+// ErrCorrupt.
 func (r *GroupRecord) unpack(text string) error {
 	unpacker := groupUnpacker{unpacker: newUnpacker(text)}
 	r.Machines = make([]GroupMachine, 0, unpacker.count())
@@ -200,7 +201,7 @@
 	return completed
 }
 
-// pack writes a fleet's machines.
+// pack returns the fleet's machines in the packed layout.
 func (r *FleetRecord) pack() string {
 	packer := newPacker()
 	packer.number(uint64(len(r.Machines)))
@@ -212,7 +213,7 @@
 	return packer.String()
 }
 
-// unpack reads a fleet's machines. The error wraps ErrCorrupt.
+// unpack reads a fleet's machines from the packed layout. An error wraps ErrCorrupt.
 func (r *FleetRecord) unpack(text string) error {
 	unpacker := newUnpacker(text)
 	for range unpacker.count() {
@@ -221,10 +222,10 @@
 	return unpacker.err
 }
 
-// scoreStepsPerUnit is how many steps of a victim's score the packed layout tells apart in 1.
+// scoreStepsPerUnit is the resolution of a victim's score in the packed layout, in steps per 1.0.
 const scoreStepsPerUnit = 10
 
-// pack writes a victim set's victims and reservations.
+// pack returns the victim set's victims and reservations in the packed layout.
 func (r *VictimSetRecord) pack() string {
 	packer := newPacker()
 	packer.number(uint64(len(r.Victims)))
@@ -245,7 +246,8 @@
 	return packer.String()
 }
 
-// unpack reads a victim set's victims and reservations. The error wraps ErrCorrupt.
+// unpack reads a victim set's victims and reservations from the packed layout. An error wraps
+// ErrCorrupt.
 func (r *VictimSetRecord) unpack(text string) error {
 	unpacker := newUnpacker(text)
 	attempt := uint64(0)
--- a/internal/storage/packer.go
+++ b/internal/storage/packer.go
@@ -8,40 +8,41 @@
 	"strings"
 )
 
-// The packed layout writes the lists of machine groups, fleets and victim sets as numbers in a
-// text: the plain one took 25 to 60 bytes a placed task, this one about 5. A group's record of the
-// plain layout that is over a lower limit fits under it when it is written anew.
+// The packed layout encodes the lists of machine groups, fleets and victim sets as base64 text of
+// variable-length numbers. It takes about 5 bytes per placed task; the plain JSON layout takes 25 to
+// 60. A group's plain record that exceeds a lowered record size limit fits it once it is rewritten in
+// the packed layout.
 
-var errMalformedList = fmt.Errorf("%w: a packed list is cut short or malformed", ErrCorrupt)
+var errMalformedList = fmt.Errorf("%w: packed list is cut short or malformed", ErrCorrupt)
 
-// maxNumberDigits is how many trailing digits of a name are taken as a number.
+// maxNumberDigits is the maximum number of trailing digits of a name that are packed as a number.
 const maxNumberDigits = 18
 
-// packer writes numbers and names. A name like host-000231 is the stem host- with six digits, noted
-// once, and a number.
+// packer writes numbers and names. A name like host-000231 consists of the prefix host- with a width
+// of six digits, which is written once, and the number 231.
 type packer struct {
 	buffer      []byte
-	prefixIndex map[string]uint64 // by stem and width
-	nameIndex   map[string]uint64
+	prefixIndex map[string]uint64 // by prefix and width, as "<prefix>#<width>"
+	nameIndex   map[string]uint64 // by name, in the order of first occurrence
 }
 
 func newPacker() *packer {
 	return &packer{prefixIndex: map[string]uint64{}, nameIndex: map[string]uint64{}}
 }
 
-// number writes an unsigned number; small ones take fewer bytes.
+// number writes an unsigned number as a variable-length integer.
 func (p *packer) number(n uint64) { p.buffer = binary.AppendUvarint(p.buffer, n) }
 
-// delta writes a number by its difference from another.
+// delta writes a number as its signed difference from another.
 func (p *packer) delta(n, from uint64) { p.buffer = binary.AppendVarint(p.buffer, int64(n-from)) }
 
-// text writes a string with its length.
+// text writes a string, preceded by its length.
 func (p *packer) text(s string) {
 	p.number(uint64(len(s)))
 	p.buffer = append(p.buffer, s...)
 }
 
-// name writes a name: where it was written before, if it was; else its stem and number.
+// name writes a name: a reference to its first occurrence, or for a new name its prefix and number.
 func (p *packer) name(name string) {
 	if index, ok := p.nameIndex[name]; ok {
 		p.number(index + 1)
@@ -57,7 +58,7 @@
 	}
 }
 
-// prefixLength is the length of a name without the trailing digits that are taken as a number.
+// prefixLength returns the length of a name without the trailing digits that are packed as a number.
 func prefixLength(name string) int {
 	length := len(name)
 	for length > 0 && len(name)-length < maxNumberDigits && name[length-1] >= '0' && name[length-1] <= '9' {
@@ -66,7 +67,7 @@
 	return length
 }
 
-// prefix writes where a prefix was written before; one that is new follows as text.
+// prefix writes a prefix's index, followed by its text if the prefix is new.
 func (p *packer) prefix(prefix string) {
 	index, known := p.prefixIndex[prefix]
 	if !known {
@@ -79,7 +80,8 @@
 	}
 }
 
-// address writes a network address: one like 10.1.0.232:9000 takes seven bytes.
+// address writes a network address. An IPv4 address with a port, like 10.1.0.232:9000, takes seven
+// bytes; any other address is written as text.
 func (p *packer) address(s string) {
 	var ip [4]byte
 	var port uint16
@@ -94,10 +96,11 @@
 	p.buffer = append(p.buffer, s...)
 }
 
-// String returns what was written, as text that JSON need not escape.
+// String returns the packed data as base64 text, which needs no escaping in JSON.
 func (p *packer) String() string { return base64.RawStdEncoding.EncodeToString(p.buffer) }
 
-// unpacker reads what a packer wrote. After an error it reads zeros; err wraps ErrCorrupt.
+// unpacker reads the output of a packer. After an error its methods return zero values, and err wraps
+// ErrCorrupt.
 type unpacker struct {
 	buffer   []byte
 	prefixes []namePrefix
@@ -105,7 +108,7 @@
 	err      error
 }
 
-// namePrefix is a name without its number, and the digits that the number has.
+// namePrefix is a name without its number, and the number of digits of that number.
 type namePrefix struct {
 	text  string
 	width int
@@ -146,7 +149,8 @@
 	return from + uint64(n)
 }
 
-// count reads how many entries follow; none is shorter than a byte.
+// count reads the number of entries that follow. Each entry takes at least one byte, so a larger
+// count than the remaining bytes is malformed.
 func (u *unpacker) count() int {
 	n := u.number()
 	if n > uint64(len(u.buffer)) {
@@ -156,7 +160,7 @@
 	return int(n)
 }
 
-// text reads so many bytes.
+// text reads a string of the given length in bytes.
 func (u *unpacker) text(length uint64) string {
 	if length > uint64(len(u.buffer)) {
 		u.fail()
@@ -221,7 +225,7 @@
 	return fmt.Sprintf("%d.%d.%d.%d:%d", raw[0], raw[1], raw[2], raw[3], binary.BigEndian.Uint16([]byte(raw[4:])))
 }
 
-// PackIDs writes a list of job ids as text; an empty list takes no bytes.
+// PackIDs packs a list of job ids; the result for an empty list is "".
 func PackIDs(ids []string) string {
 	if len(ids) == 0 {
 		return ""
@@ -234,7 +238,7 @@
 	return packer.String()
 }
 
-// unpackIDs reads what PackIDs wrote. The error wraps ErrCorrupt.
+// unpackIDs reads the output of PackIDs. An error wraps ErrCorrupt.
 func unpackIDs(text string) ([]string, error) {
 	if text == "" {
 		return nil, nil
--- a/internal/storage/placements.go
+++ b/internal/storage/placements.go
@@ -1,16 +1,16 @@
 package storage
 
-// Usage is what a team's placed tasks take: CPUs, accelerators and memory in GB.
+// Usage is the resources used by a team's placed tasks: CPUs, accelerators and memory in GB.
 type Usage struct{ Cpus, Gpus, Mem float64 }
 
-// Add adds a number of tasks of a job; a negative number takes them away.
+// Add adds the resources of a number of tasks of a job; a negative number subtracts them.
 func (u *Usage) Add(job *Job, tasks float64) {
 	u.Cpus += tasks * job.Cpus
 	u.Gpus += tasks * job.Gpus
 	u.Mem += tasks * job.Mem
 }
 
-// setTasks replaces the tasks of a machine's record and keeps the counts of its jobs and teams.
+// setTasks replaces a machine's tasks and updates the counts of the jobs and the usage of the teams.
 func (c *Cache) setTasks(machine *Machine, tasks []PlacedTask) {
 	c.recordImages(machine)
 	for i := range machine.Tasks {
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Encode writes a record as JSON. It panics if the record cannot be written, which no record of
-// finite numbers and strings causes.
+// Encode encodes a record as JSON. It panics if that fails, which cannot happen for records that hold
+// only strings and finite numbers.
 func Encode(record any) json.RawMessage {
 	raw, err := json.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("record cannot be written: %v", err))
+		panic(fmt.Sprintf("cannot encode record as JSON: %v", err))
 	}
 	return raw
 }
 
-// EncodeGroup writes a machine group's record, in the packed or the plain layout.
+// EncodeGroup encodes a machine group's record in the packed or the plain layout.
 func EncodeGroup(record *GroupRecord, packed bool) json.RawMessage {
 	if packed {
 		record = &GroupRecord{Shard: record.Shard, FencingToken: record.FencingToken, Packed: record.pack()}
@@ -23,7 +23,7 @@
 	return Encode(record)
 }
 
-// DecodeGroup reads a machine group's record of either layout. The error wraps ErrCorrupt.
+// DecodeGroup decodes a machine group's record in either layout. An error wraps ErrCorrupt.
 func DecodeGroup(raw json.RawMessage) (record GroupRecord, err error) {
 	if record, err = decodeJSON[GroupRecord](raw); err == nil && record.Packed != "" {
 		err = record.unpack(record.Packed)
@@ -31,7 +31,7 @@
 	return record, err
 }
 
-// EncodeFleet writes a fleet's record, in the packed or the plain layout.
+// EncodeFleet encodes a fleet's record in the packed or the plain layout.
 func EncodeFleet(record *FleetRecord, packed bool) json.RawMessage {
 	if packed {
 		packedRecord := *record
@@ -41,7 +41,7 @@
 	return Encode(record)
 }
 
-// DecodeFleet reads a fleet's record of either layout. The error wraps ErrCorrupt.
+// DecodeFleet decodes a fleet's record in either layout. An error wraps ErrCorrupt.
 func DecodeFleet(raw json.RawMessage) (record FleetRecord, err error) {
 	if record, err = decodeJSON[FleetRecord](raw); err == nil && record.Packed != "" {
 		err = record.unpack(record.Packed)
@@ -50,7 +50,7 @@
 	return record, err
 }
 
-// EncodeVictimSet writes a victim set, in the packed or the plain layout.
+// EncodeVictimSet encodes a victim set in the packed or the plain layout.
 func EncodeVictimSet(record *VictimSetRecord, packed bool) json.RawMessage {
 	if packed {
 		record = &VictimSetRecord{Shard: record.Shard, AtMs: record.AtMs, Packed: record.pack()}
@@ -58,7 +58,7 @@
 	return Encode(record)
 }
 
-// DecodeVictimSet reads a victim set of either layout. The error wraps ErrCorrupt.
+// DecodeVictimSet decodes a victim set in either layout. An error wraps ErrCorrupt.
 func DecodeVictimSet(raw json.RawMessage) (record VictimSetRecord, err error) {
 	if record, err = decodeJSON[VictimSetRecord](raw); err == nil && record.Packed != "" {
 		err = record.unpack(record.Packed)
--- a/internal/storage/sorted_views.go
+++ b/internal/storage/sorted_views.go
@@ -2,11 +2,11 @@
 
 import "github.com/tidwall/btree"
 
-// btreeDegree is how many children a node of the sorted views' trees has at least.
+// btreeDegree is the minimum number of children of an inner node in the sorted views' B-trees.
 const btreeDegree = 16
 
-// sortedViews keeps jobs and machines in the order of their names, so that a page of a list costs
-// as much as it shows and not as much as there is.
+// sortedViews holds jobs sorted by id and machines sorted by name, so that the cost of a page of a
+// list depends on the page's size and not on the total number of entries.
 type sortedViews struct {
 	jobs     *btree.BTreeG[*Job]
 	byTeam   []*btree.BTreeG[*Job]
@@ -14,7 +14,7 @@
 }
 
 func newSortedViews(teams int) *sortedViews {
-	// The cache is used by one goroutine at a time.
+	// NoLocks: a Cache is used by one goroutine at a time.
 	options := btree.Options{NoLocks: true, Degree: btreeDegree}
 	newJobs := func() *btree.BTreeG[*Job] {
 		return btree.NewBTreeGOptions(func(a, b *Job) bool { return a.ID < b.ID }, options)
@@ -43,8 +43,8 @@
 
 func (v *sortedViews) removeMachine(machine *Machine) { v.machines.Delete(machine) }
 
-// JobsAfter shows the jobs that are not forgotten, in the order of their ids, beginning after
-// one, until yield returns false; of one team only, unless team is below 0.
+// JobsAfter calls yield for the jobs that are not pruned, in the order of their ids, starting after
+// the given id, until yield returns false. If team is not negative, it includes that team's jobs only.
 func (c *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
 	tree := c.sorted.jobs
 	if team >= 0 {
@@ -53,11 +53,11 @@
 	tree.Ascend(&Job{ID: id}, func(job *Job) bool { return job.ID == id || yield(job) })
 }
 
-// MachineCount is how many machines there are; the cache keeps the names of all that there were.
+// MachineCount returns the number of existing machines. Cache.Machines also holds removed ones.
 func (c *Cache) MachineCount() int { return c.sorted.machines.Len() }
 
-// MachinesAfter shows the machines that are there, in the order of their names, beginning
-// after one, until yield returns false.
+// MachinesAfter calls yield for the existing machines, in the order of their names, starting after
+// the given name, until yield returns false.
 func (c *Cache) MachinesAfter(name string, yield func(*Machine) bool) {
 	c.sorted.machines.Ascend(&Machine{Name: name}, func(machine *Machine) bool {
 		return machine.Name == name || machine.Gone || yield(machine)
--- a/internal/storage/team_bounds.go
+++ b/internal/storage/team_bounds.go
@@ -7,25 +7,26 @@
 	"dykeledge/internal/config"
 )
 
-// BoundsOf are a team's bounds in the settings file.
+// BoundsOf returns a configured team's guarantee and limit.
 func BoundsOf(team config.Team) TeamBounds {
 	return TeamBounds{team.Cpus, team.CpusMax, team.Gpus, team.GpusMax}
 }
 
-// Team is a team with these bounds.
+// Team returns a team with these bounds.
 func (b TeamBounds) Team(name string) config.Team {
 	return config.Team{Name: name, Cpus: b.Cpus, CpusMax: b.CpusMax, Gpus: b.Gpus, GpusMax: b.GpusMax}
 }
 
-// TeamEntry is a changed team as the cache has it. A controller of a version before LayoutTeams
-// reads no such record, and would go by the settings file: they are written only once every
-// controller that the settings name reads them.
+// TeamEntry is a cached team record. Versions without LayoutTeams ignore team records and would use
+// the settings file, so team records are written only once every controller named in the settings can
+// read them.
 type TeamEntry struct {
 	TeamRecord
 	Version uint64
 }
 
-// applyTeam takes a team's record. One of a team that the settings name no more is left alone.
+// applyTeam applies a change of a team's record. Records of teams that are not in the settings are
+// ignored.
 func (c *Cache) applyTeam(escaped string, change recordChange) error {
 	name, err := url.PathUnescape(escaped)
 	if err != nil {
--- a/internal/storage/victim_sets.go
+++ b/internal/storage/victim_sets.go
@@ -1,20 +1,20 @@
 package storage
 
-// VictimSet is a set of attempts that are evicted to make room for a job.
+// VictimSet is a cached victim set: attempts that are preempted for a job.
 type VictimSet struct {
 	VictimSetRecord
 	Job     string
 	Version uint64
 }
 
-// victimAttempt is an attempt that a victim set names.
+// victimAttempt identifies an attempt in a victim set.
 type victimAttempt struct {
 	job     string
 	task    int
 	attempt uint64
 }
 
-// victimIndex finds the attempts of all victim sets.
+// victimIndex is the set of the attempts in all victim sets.
 type victimIndex struct {
 	attempts map[victimAttempt]bool
 }
@@ -33,11 +33,11 @@
 	return len(v.attempts) > 0 && v.attempts[victimAttempt{placed.Job.ID, placed.Task, placed.Attempt}]
 }
 
-// IsVictim tells whether an attempt is in a victim set.
+// IsVictim reports whether an attempt is in a victim set.
 func (c *Cache) IsVictim(placed PlacedTask) bool { return c.victims.contains(placed) }
 
-// applyVictimSet takes the record of a victim set. The revision of a deletion is not kept: there
-// are as many such keys as there were jobs.
+// applyVictimSet applies a change of a victim set's record. The revision of a deletion is not kept,
+// because there may be as many such keys as there have ever been jobs.
 func (c *Cache) applyVictimSet(id string, change recordChange) error {
 	if change.deleted {
 		c.setVictimSet(id, nil)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// setVictimSet replaces the victim set that makes room for a job; nil takes it away.
+// setVictimSet replaces the victim set that is preempted for a job; a nil set removes it.
 func (c *Cache) setVictimSet(id string, set *VictimSet) {
 	c.feed.addVictimSet(id)
 	if job := c.jobs.find(id); job != nil {
