--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// newTestCache returns a cache of a deployment of one controller with zone a.
+// newTestCache returns an empty cache for a deployment with one controller, zone a and the given teams.
 func newTestCache(t *testing.T, teams ...string) *Cache {
 	t.Helper()
 	deployment := config.Deployment{Controllers: 1, Zones: []string{"a"}}
@@ -21,7 +21,7 @@
 	return NewCache(&config.Settings{Deployment: deployment})
 }
 
-// applyRecord applies a record that must be taken.
+// applyRecord applies a record and fails the test if the cache rejects it.
 func applyRecord(t *testing.T, cache *Cache, key string, record any, revision uint64) {
 	t.Helper()
 	if err := cache.Apply(key, Encode(record), revision, false); err != nil {
@@ -34,22 +34,23 @@
 	testMachine = "m"
 )
 
-// cacheChange is a change of a record in TestCache.
+// cacheChange is a record change in TestCache.
 type cacheChange struct {
 	key       string
 	value     json.RawMessage // nil: deleted
 	revision  uint64
 	wantError bool
-	sweepAt   uint64 // the revision reached, after which final jobs are forgotten; 0: none are
+	sweepAt   uint64 // the cache's revision when Sweep is called after the change; 0: Sweep is not called
 }
 
-// jobChange is a record of the test job with two tasks.
+// jobChange writes the record of the test job, which has two tasks.
 func jobChange(revision uint64, final string) cacheChange {
 	record := JobRecord{Spec: &SpecRecord{Cpus: 2, Mem: 1, Image: "i"}, Tasks: 2, Team: "red", Final: final}
 	return cacheChange{key: JobKey(testJob), value: Encode(record), revision: revision}
 }
 
-// groupChange is a group's record with tasks of the test job on the test machine, if any.
+// groupChange writes a group record with the given tasks (as PlacedTasks.Numbers) of the test job on
+// the test machine.
 func groupChange(revision uint64, numbers ...uint64) cacheChange {
 	return cacheChange{key: GroupKey(0), value: placedRecord(numbers...), revision: revision}
 }
@@ -72,8 +73,8 @@
 	return c
 }
 
-// TestCache applies changes in the order in which a controller may learn of them, which
-// is not always the order in which they were committed.
+// TestCache applies changes in orders in which a controller may receive them, which are not always the
+// order in which they were committed.
 func TestCache(t *testing.T) {
 	doneRecord := Encode(JobRecord{Tasks: 2, Team: "red", Final: "done", DoneCount: 2})
 	completedRecord := Encode(GroupRecord{Completed: []CompletedTasks{{testJob, []int{1}}}})
@@ -88,7 +89,7 @@
 			jobChange(1, ""),
 			groupChange(2, 0, 9, 0, 0, 1, 9, 0, 0),
 		}, "", 2, 4},
-		{"an older event changes nothing", []cacheChange{
+		{"a stale change is dropped", []cacheChange{
 			jobChange(1, ""),
 			groupChange(3),
 			groupChange(2, 0, 9, 0, 0),
@@ -97,38 +98,38 @@
 			{key: JobKey(testJob), value: doneRecord, revision: 5},
 			jobChange(1, ""),
 		}, protocol.Done, 0, 0},
-		{"cancelled tasks count until they are gone", []cacheChange{
+		{"placed tasks of a cancelled job still count", []cacheChange{
 			jobChange(1, ""),
 			groupChange(2, 0, 9, 0, 0),
 			jobChange(3, "cancelled").thenSweepAt(3),
 		}, protocol.Cancelled, 1, 2},
-		// The controller cancelled the job itself; what was placed before comes after.
-		{"a cancelled job stays known until the watch has come as far", []cacheChange{
+		// The controller cancelled the job itself and then receives an older placement from the watch.
+		{"a cancelled job is kept until the watch reaches its final record", []cacheChange{
 			jobChange(1, ""),
 			jobChange(3, "cancelled").thenSweepAt(1),
 			groupChange(2, 0, 9, 0, 0),
 		}, protocol.Cancelled, 1, 2},
-		{"a deleted machine frees its tasks", []cacheChange{
+		{"deleting a machine removes its placements", []cacheChange{
 			jobChange(1, ""),
 			groupChange(2, 0, 9, 0, 0),
 			{key: FleetKey(testMachine), revision: 3},
 		}, "", 0, 0},
-		{"a completed task stays so when its group lists it no more", []cacheChange{
+		{"a task stays completed when its group no longer lists it", []cacheChange{
 			jobChange(1, ""),
 			{key: GroupKey(0), value: completedRecord, revision: 2},
 			groupChange(3, 0, 9, 0, 0),
 		}, "", 1, 2},
-		// Read in pages, a group may be newer than the jobs that were read before it.
-		{"a group that names an unknown job is taken when it comes again", []cacheChange{
+		// A full read takes several pages, so a group may be newer than the jobs that were read before it.
+		{"a group that names an unknown job is accepted when it is read again", []cacheChange{
 			groupChange(4, 0, 9, 0, 0).refused(),
 			jobChange(3, ""),
 			groupChange(4, 0, 9, 0, 0),
 		}, "", 1, 2},
-		{"the barrier that keeps the version before from starting on packed records is taken", []cacheChange{
+		{"the barrier key that blocks versions without the packed layout is accepted", []cacheChange{
 			jobChange(1, ""),
 			{key: BarrierKey, value: placedRecord(), revision: 2},
 		}, "", 0, 0},
-		{"a record of the earlier layout is refused", []cacheChange{
+		{"a record of a foreign layout is rejected", []cacheChange{
 			jobChange(1, ""),
 			{key: Root + "machine/m", value: placedRecord(), revision: 2, wantError: true},
 		}, "", 0, 0},
@@ -140,7 +141,7 @@
 			for _, change := range test.changes {
 				err := cache.Apply(change.key, change.value, change.revision, change.value == nil)
 				if (err != nil) != change.wantError {
-					t.Fatalf("%s: %v", change.key, err)
+					t.Fatalf("%s: unexpected result: %v", change.key, err)
 				}
 				if change.sweepAt > 0 {
 					cache.Revision = change.sweepAt
@@ -155,20 +156,21 @@
 				placed = job.PlacedCount
 			}
 			if placed != test.wantPlaced || cache.Used[0].Cpus != test.wantCpus {
-				t.Errorf("%d placed using %v, want %d using %v", placed, cache.Used[0].Cpus, test.wantPlaced, test.wantCpus)
+				t.Errorf("%d tasks placed using %v CPUs, want %d using %v", placed, cache.Used[0].Cpus, test.wantPlaced, test.wantCpus)
 			}
 		})
 	}
 }
 
-// recountTask is a task of a job of TestRecount.
+// recountTask identifies a task in TestDerivedCountsMatchRecords, by job and task number.
 type recountTask struct{ job, task int }
 
-// recountModel is what TestRecount has placed and completed, to write the groups' records from.
+// recountModel holds the tasks that TestDerivedCountsMatchRecords has placed and completed; the group
+// records are written from it.
 type recountModel struct {
 	random    *rand.Rand
 	machineOf map[recountTask]int
-	completed map[recountTask]bool // for good
+	completed map[recountTask]bool // true: completed, never placed again
 }
 
 const (
@@ -178,8 +180,8 @@
 	recountTasks    = 20 // of each job
 )
 
-// TestDerivedCountsMatchRecords applies random changes of groups and compares what the cache keeps
-// beside the records with a full count of them.
+// TestDerivedCountsMatchRecords applies random changes of machine groups and compares the counts that
+// the cache maintains with a full recount of the machines' tasks.
 func TestDerivedCountsMatchRecords(t *testing.T) {
 	cache := NewCache(&config.Settings{Deployment: config.Deployment{Controllers: 1, Zones: []string{"a", "z"}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}})
 	for i := range recountJobs {
@@ -201,7 +203,7 @@
 	}
 }
 
-// changeGroup ends and starts tasks at random on a group's machines and writes its record.
+// changeGroup ends and starts random tasks on a group's machines and returns the group's record.
 func (m *recountModel) changeGroup(group int, revision uint64) GroupRecord {
 	record := GroupRecord{}
 	for machine := group; machine < recountMachines; machine += recountGroups {
@@ -237,7 +239,7 @@
 	return entry
 }
 
-// checkCounts compares what a cache counts with its machines' tasks.
+// checkCounts compares a cache's counts with a recount of its machines' tasks.
 func checkCounts(t *testing.T, cache *Cache, revision uint64) {
 	t.Helper()
 	var used [2]float64
@@ -248,14 +250,14 @@
 				used[task.Job.Team] += task.Job.Cpus
 				placed[task.Job.Index]++
 				if on := task.Job.MachineOf[task.Task]; on != machine.Index {
-					t.Fatalf("revision %d: %s/%d is on %d, not %d", revision, task.Job.ID, task.Task, on, machine.Index)
+					t.Fatalf("revision %d: MachineOf of %s/%d is %d, want %d", revision, task.Job.ID, task.Task, on, machine.Index)
 				}
 			}
 		}
 	}
 	for team, cpus := range used {
 		if math.Abs(cpus-cache.Used[team].Cpus) > 1e-6 {
-			t.Fatalf("revision %d: team %d uses %v, counted %v", revision, team, cache.Used[team].Cpus, cpus)
+			t.Fatalf("revision %d: team %d uses %v CPUs, recount gives %v", revision, team, cache.Used[team].Cpus, cpus)
 		}
 	}
 	for i, job := range cache.Jobs {
@@ -264,13 +266,14 @@
 			inZones += tasks
 		}
 		if job.PlacedCount != placed[i] || int(inZones) != placed[i] || job.DoneCount != job.Done.Count() {
-			t.Fatalf("revision %d: %s has %d placed, %d by zone, %d done; counted %d and %d", revision, job.ID, job.PlacedCount, inZones, job.DoneCount, placed[i], job.Done.Count())
+			t.Fatalf("revision %d: %s has %d tasks placed, %d by zone, %d done; recount gives %d placed, %d done", revision, job.ID, job.PlacedCount, inZones, job.DoneCount, placed[i], job.Done.Count())
 		}
 	}
 }
 
-// TestCompletedTasksCountedOnce reads a job's final record before the group's that lists tasks which have
-// ended: the record counts them all, and a job of two tasks was called done with four.
+// TestCompletedTasksCountedOnce applies a job's final record before the group record that lists its
+// completed tasks. The final record counts them already; counting them again reported a job of two
+// tasks as done with four.
 func TestCompletedTasksCountedOnce(t *testing.T) {
 	cache := newTestCache(t, "red")
 	for i, change := range []struct {
--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -12,24 +12,23 @@
 )
 
 const (
-	// chunkedJob is the job of TestLongDescription.
+	// chunkedJob is the id of the test job with a chunked description.
 	chunkedJob = "job-900000"
-	// recordLimit is the most bytes that a record of it may have.
+	// recordLimit is the maximum size of a record in limitedStore, in bytes.
 	recordLimit = 2 << 10
 )
 
-// limitedStore applies records to a cache as a state service with a limit on their size would keep
-// them.
+// limitedStore imitates a state service with a record size limit and applies its changes to a cache.
 type limitedStore struct {
 	cache    *Cache
 	revision uint64
-	keys     map[string]bool // of the records that are left
+	keys     map[string]bool // of the existing records
 }
 
 func (s *limitedStore) put(t *testing.T, key string, value json.RawMessage) error {
 	t.Helper()
 	if len(value) > recordLimit {
-		t.Fatalf("%s takes %d bytes", key, len(value))
+		t.Fatalf("record %s has %d bytes, more than the limit", key, len(value))
 	}
 	s.keys[key] = true
 	s.revision++
@@ -43,7 +42,7 @@
 	}
 }
 
-// deleteStale deletes the records that the cache says are needed no more, a few at a time.
+// deleteStale deletes the records that the cache reports as stale, up to four at a time.
 func (s *limitedStore) deleteStale(t *testing.T) {
 	t.Helper()
 	for range 1000 {
@@ -53,15 +52,15 @@
 		}
 		for _, record := range stale {
 			if s.revision++; record.Version == 0 || s.cache.Apply(record.Key, nil, s.revision, true) != nil {
-				t.Fatalf("%s cannot be deleted", record.Key)
+				t.Fatalf("record %s has no version or its deletion was rejected", record.Key)
 			}
 			delete(s.keys, record.Key)
 		}
 	}
 }
 
-// TestChunkedDescriptionLifecycle: the longest submissions that the protocol allows are accepted, kept,
-// rewritten and ended in records of 2 KiB.
+// TestChunkedDescriptionLifecycle accepts, rewrites, completes and cancels jobs with the longest
+// descriptions that the protocol allows; no record may exceed 2 KiB.
 func TestChunkedDescriptionLifecycle(t *testing.T) {
 	var ids, types []string
 	for i := range 4500 {
@@ -89,26 +88,27 @@
 			store.cache.Layout.Version = LayoutPacked
 			job := acceptOnSecondAttempt(t, store, record)
 			if !reflect.DeepEqual(job.Dependencies, test.dependencies) || !reflect.DeepEqual(job.Spec, spec) || job.UnmetDependencies() != len(test.dependencies) {
-				t.Fatalf("read as %d dependencies and %d types", len(job.Dependencies), len(job.Spec.Types))
+				t.Fatalf("job differs from its record: %d dependencies and %d types", len(job.Dependencies), len(job.Spec.Types))
 			}
 			rewriteAndComplete(t, store, job)
 			store.cache.Revision = store.revision
 			store.cache.Sweep()
 			store.deleteStale(t)
 			if final, _ := store.cache.FinalState(job.ID); len(store.keys) != 1 || final != protocol.Cancelled {
-				t.Errorf("%d records are left of a job that is %q", len(store.keys), final)
+				t.Errorf("%d records left and final state %q, want 1 record of a cancelled job", len(store.keys), final)
 			}
 		})
 	}
 }
 
-// acceptOnSecondAttempt writes a job as two attempts to accept it, of which the second succeeds.
+// acceptOnSecondAttempt writes the chunks of two attempts to accept a job, and the job record of the
+// second.
 func acceptOnSecondAttempt(t *testing.T, store *limitedStore, record *JobRecord) *Job {
 	t.Helper()
 	lost, _ := SplitDescription(chunkedJob, "1-1", record, recordLimit)
 	chunks, main := SplitDescription(chunkedJob, "2-1", record, recordLimit)
 	if err := store.put(t, JobKey(chunkedJob), main); err == nil {
-		t.Fatal("taken without its chunks")
+		t.Fatal("job record accepted without its chunks")
 	}
 	for _, chunk := range append(lost, chunks...) {
 		store.mustPut(t, chunk.Put, chunk.Value)
@@ -117,41 +117,42 @@
 	return store.cache.Job(chunkedJob)
 }
 
-// rewriteAndComplete rewrites a job's record, completes tasks set by set and cancels the job.
+// rewriteAndComplete rewrites a job's record, completes one task in each of its completion sets and
+// cancels the job.
 func rewriteAndComplete(t *testing.T, store *limitedStore, job *Job) {
 	t.Helper()
 	job.Suspect = true
 	store.mustPut(t, JobKey(job.ID), Encode(store.cache.JobRecordOf(job, job.Done, 0, "")))
 	if store.cache.Job(job.ID) != job {
-		t.Fatal("rewritten as another job")
+		t.Fatal("rewriting the job record created another job")
 	}
 	for task := 0; task < job.Tasks; task += 5000 {
 		job.Done.Set(task)
 		record, _ := store.cache.CompletionRecordOf(job, job.Done, task)
 		store.mustPut(t, CompletionKey(job.ID, task), Encode(record))
 		if !job.SavedDone.Get(task) {
-			t.Fatalf("task %d is not kept", task)
+			t.Fatalf("completed task %d is not in SavedDone", task)
 		}
 	}
 	store.mustPut(t, JobKey(job.ID), Encode(store.cache.JobRecordOf(job, job.Done, job.DoneCount, protocol.Cancelled)))
 }
 
-// TestStaleChunks: chunks stay as long as a job's record names them or may still do so.
+// TestStaleChunks checks that chunks are stale only if no job record names them or may still do so.
 func TestStaleChunks(t *testing.T) {
 	writtenAt := time.UnixMilli(5000)
 	record := &JobRecord{Tasks: 1, Team: "red", SubmittedMs: writtenAt.UnixMilli(), Spec: &SpecRecord{Cpus: 1, Class: "c"}}
 	chunks, main := SplitDescription(chunkedJob, "1-1", record, chunkOverheadBytes+16)
 	cases := []struct {
 		name      string
-		accept    bool // the job's record, which names the chunks, is written
+		accept    bool // write the job record that names the chunks of attempt 1-1
 		attempt   string
 		age       time.Duration
 		wantStale bool
 	}{
-		{"the job's record may still come", false, "1-1", abandonedChunkAge - time.Second, false},
+		{"job record not written yet", false, "1-1", abandonedChunkAge - time.Second, false},
 		{"abandoned", false, "1-1", abandonedChunkAge, true},
 		{"named by an open job", true, "1-1", 2 * abandonedChunkAge, false},
-		{"of an attempt that lost", true, "2-1", 0, true},
+		{"of a lost attempt", true, "2-1", 0, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -166,10 +167,10 @@
 			}
 			stale := cache.StaleRecords(10, writtenAt.Add(test.age))
 			if test.wantStale != (len(stale) == 1) || len(stale) > 1 {
-				t.Fatalf("stale: %v", stale)
+				t.Fatalf("stale records: %v", stale)
 			}
 			if test.wantStale && (stale[0] != protocol.Condition{Key: key, Version: 1}) {
-				t.Errorf("stale: %v, want %s", stale[0], key)
+				t.Errorf("stale record %v, want %s", stale[0], key)
 			}
 		})
 	}
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -10,9 +10,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// newGraphCache applies jobs and ends to a cache, in the order given: "b<a,c" is a job b that depends on
-// a and c, "a+" a that is done, "a-" one that is cancelled. A job's times count in seconds from 1
-// for the first step.
+// newGraphCache applies job records to a cache in the order of the steps. "b<a,c" submits job b, which
+// depends on a and c; "a+" marks job a as done, "a-" as cancelled. The first step is at second 1, each
+// further step a second later.
 func newGraphCache(t *testing.T, steps ...string) (cache *Cache, job func(name string) *Job) {
 	t.Helper()
 	cache = newTestCache(t, "red")
@@ -23,7 +23,7 @@
 	return cache, func(name string) *Job { return cache.Job(graphJobID(name)) }
 }
 
-// graphJobID is the id of the job that a step of graph names by one letter.
+// graphJobID returns the id of a job that a step of newGraphCache names by one character.
 func graphJobID(name string) string { return "job-00000" + name }
 
 func graphRecord(step string, atMs int64) JobRecord {
@@ -43,40 +43,41 @@
 	return record
 }
 
-// TestDependencies: what a job is told of its dependencies, in the orders in which they may be read.
+// TestDependencies checks a job's state after changes of its dependencies, in orders in which the
+// records may be read.
 func TestDependencies(t *testing.T) {
 	cases := []struct {
 		name        string
 		steps       []string
 		job         string
 		ready       bool
-		final       protocol.JobStatus // as users are told
-		readySecond int                // from when its times count
+		final       protocol.JobStatus // as reported to users
+		readySecond int                // ReadyAt, in seconds
 	}{
 		{"waits", []string{"1", "2<1"}, "2", false, "", 2},
-		{"is ready when the last is done", []string{"1", "2", "3<1,2", "2+", "1+"}, "3", true, "", 5},
-		{"waits for the last", []string{"1", "2", "3<1,2", "2+"}, "3", false, "", 4},
-		{"what is done already counts", []string{"1", "1+", "2<1"}, "2", true, "", 3},
-		{"is cancelled with one that it needs", []string{"1", "2<1", "1-"}, "2", false, protocol.Cancelled, 2},
-		{"is cancelled through others", []string{"1", "2<1", "3<2", "4<3,1", "1-"}, "4", false, protocol.Cancelled, 4},
-		{"is cancelled when it names a cancelled one", []string{"1", "1-", "2<1"}, "2", false, protocol.Cancelled, 3},
-		{"is cancelled when it names one that is cancelled with another", []string{"1", "2<1", "1-", "3<2"}, "3", false, protocol.Cancelled, 4},
-		{"a diamond, cancelled at one side", []string{"1", "2<1", "3<1", "4<2,3", "1+", "3-"}, "4", false, protocol.Cancelled, 4},
-		{"done at the other side changes nothing", []string{"1", "2<1", "3<1", "4<2,3", "1+", "3-", "2+"}, "4", false, protocol.Cancelled, 7},
-		// Read in pages, or by the order of their names, a job may come before what it names.
-		{"is known before what it needs", []string{"3<4", "4"}, "3", false, "", 1},
-		{"is known before what it needs, which is done", []string{"3<4", "4+"}, "3", true, "", 2},
-		{"is known before what it needs, which is cancelled with another", []string{"3<4", "4<5", "5-"}, "3", false, protocol.Cancelled, 1},
+		{"ready once the last dependency is done", []string{"1", "2", "3<1,2", "2+", "1+"}, "3", true, "", 5},
+		{"waits for the last dependency", []string{"1", "2", "3<1,2", "2+"}, "3", false, "", 4},
+		{"dependency done before submission", []string{"1", "1+", "2<1"}, "2", true, "", 3},
+		{"dependency cancelled", []string{"1", "2<1", "1-"}, "2", false, protocol.Cancelled, 2},
+		{"indirect dependency cancelled", []string{"1", "2<1", "3<2", "4<3,1", "1-"}, "4", false, protocol.Cancelled, 4},
+		{"dependency cancelled before submission", []string{"1", "1-", "2<1"}, "2", false, protocol.Cancelled, 3},
+		{"indirect dependency cancelled before submission", []string{"1", "2<1", "1-", "3<2"}, "3", false, protocol.Cancelled, 4},
+		{"diamond with one side cancelled", []string{"1", "2<1", "3<1", "4<2,3", "1+", "3-"}, "4", false, protocol.Cancelled, 4},
+		{"diamond with one side cancelled, then the other done", []string{"1", "2<1", "3<1", "4<2,3", "1+", "3-", "2+"}, "4", false, protocol.Cancelled, 7},
+		// Records are read in pages and in key order, so a job may be read before its dependencies.
+		{"read before its dependency", []string{"3<4", "4"}, "3", false, "", 1},
+		{"read before its dependency, which is done", []string{"3<4", "4+"}, "3", true, "", 2},
+		{"read before its dependency, which is cancelled because of its own", []string{"3<4", "4<5", "5-"}, "3", false, protocol.Cancelled, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			cache, find := newGraphCache(t, test.steps...)
 			job := find(test.job)
 			if job.Ready() != test.ready || !job.ReadyAt.Equal(time.UnixMilli(int64(test.readySecond)*1000)) {
-				t.Errorf("ready %v at %v", job.Ready(), job.ReadyAt.UnixMilli())
+				t.Errorf("ready %v, ReadyAt %v ms", job.Ready(), job.ReadyAt.UnixMilli())
 			}
 			if final, _ := cache.FinalState(job.ID); final != test.final {
-				t.Errorf("users are told %q, not %q", final, test.final)
+				t.Errorf("final state %q, want %q", final, test.final)
 			}
 			becameReady := 0
 			for _, ready := range cache.NewlyReady() {
@@ -85,20 +86,20 @@
 				}
 			}
 			if (becameReady == 1) != test.ready || becameReady > 1 {
-				t.Errorf("became ready %d times", becameReady)
+				t.Errorf("NewlyReady returned the job %d times", becameReady)
 			}
 			if (job.Waiting() > 0) != test.ready {
-				t.Errorf("%d tasks wait", job.Waiting())
+				t.Errorf("%d tasks are waiting", job.Waiting())
 			}
 			if failed := slices.Contains(cache.DependencyFailed(), job); failed != (test.final == protocol.Cancelled) {
-				t.Errorf("its own record is still to be written: %v", failed)
+				t.Errorf("job is in DependencyFailed: %v", failed)
 			}
 		})
 	}
 }
 
-// TestDependenciesInAnyOrder: whatever order the records of a graph are read in, every controller comes
-// to the same.
+// TestDependenciesInAnyOrder checks that the result does not depend on the order in which the records
+// of a dependency graph are read.
 func TestDependenciesInAnyOrder(t *testing.T) {
 	steps := []string{"1", "2<1", "3<1", "4<2,3", "5<4", "6", "7<6,5", "8<7", "9<6"}
 	ends := []string{"1+", "", "", "", "", "6-", "", "", ""}
@@ -107,7 +108,7 @@
 	for range 200 {
 		order := random.Perm(len(steps))
 		var list []string
-		for _, i := range order { // a later read brings the job's end, or the end is all there is
+		for _, i := range order { // a final job's open record may not be read at all
 			if ends[i] == "" || random.IntN(2) == 0 {
 				list = append(list, steps[i])
 			}
@@ -121,12 +122,12 @@
 		if want == "" {
 			want = got
 		} else if got != want {
-			t.Fatalf("%v:\n%s\n%s", list, got, want)
+			t.Fatalf("steps %v:\ngot  %s\nwant %s", list, got, want)
 		}
 	}
 }
 
-// describeGraph applies steps in an order and tells what is known of each job.
+// describeGraph applies steps in the given order and returns a description of each job's state.
 func describeGraph(t *testing.T, steps, order []string) string {
 	t.Helper()
 	cache, find := newGraphCache(t, order...)
@@ -142,7 +143,8 @@
 	return description
 }
 
-// TestInherit: jobs inherit priority and times from their dependents, as long as these are open.
+// TestInherit checks that jobs inherit priorities and finish times from their dependents while these
+// are open.
 func TestInherit(t *testing.T) {
 	cache, job := newGraphCache(t, "1", "2<1", "3<1", "4<2,3", "5<1")
 	due := map[string]time.Duration{"job-000004": 100 * time.Second, "job-000005": 200 * time.Second}
@@ -160,21 +162,21 @@
 	for n, by := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(n)
 		if j.Priority != protocol.High || !j.FinishBy.Equal(time.UnixMilli(int64(by)*1000)) {
-			t.Errorf("job %s has priority %v and must be over by %d", n, j.Priority, j.FinishBy.UnixMilli())
+			t.Errorf("job %s has priority %v and FinishBy %d ms", n, j.Priority, j.FinishBy.UnixMilli())
 		}
 	}
 	if j := job("5"); j.Priority != protocol.Low || j.FinishLatest.UnixMilli() != 305_000 {
-		t.Errorf("job 5 has priority %v, late at %d", j.Priority, j.FinishLatest.UnixMilli())
+		t.Errorf("job 5 has priority %v and FinishLatest %d ms", j.Priority, j.FinishLatest.UnixMilli())
 	}
-	// What inherits from a cancelled job no longer does.
+	// The dependencies of a cancelled job no longer inherit from it.
 	if err := cache.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
 		t.Fatal(err)
 	}
 	inherit()
 	if j := job("2"); j.Priority != protocol.Low || !j.FinishBy.IsZero() {
-		t.Errorf("job 2 still has priority %v, by %v", j.Priority, j.FinishBy)
+		t.Errorf("job 2 still has priority %v and FinishBy %v", j.Priority, j.FinishBy)
 	}
 	if j := job("1"); j.Priority != protocol.Low || j.FinishBy.UnixMilli() != 195_000 {
-		t.Errorf("job 1 has priority %v, by %v", j.Priority, j.FinishBy.UnixMilli())
+		t.Errorf("job 1 has priority %v and FinishBy %v ms", j.Priority, j.FinishBy.UnixMilli())
 	}
 }
--- a/internal/storage/errors_test.go
+++ b/internal/storage/errors_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestRecordErrors: each reason for which a change is refused can be told from the others, and the
-// error names the record and the change.
+// TestRecordErrors checks that errors.Is distinguishes the reasons for rejecting a change, and that the
+// error names the record's key and the revision of the change.
 func TestRecordErrors(t *testing.T) {
 	reasons := []error{ErrLayout, ErrCorrupt, ErrUnknownReference, ErrInvalidKey, ErrUnexpectedDeletion}
 	cases := []struct {
@@ -16,15 +16,15 @@
 		key     string
 		value   string // "": deleted
 		reason  error
-		mention string
+		mention string // text that the error must contain
 	}{
 		{"foreign layout", Root + "machine/m", `{}`, ErrLayout, "earlier layout"},
 		{"job cut short", JobKey("job-000001"), `{"n":`, ErrCorrupt, "JSON"},
 		{"job without a description", JobKey("job-000001"), `{"n":1,"tm":"red"}`, ErrCorrupt, "description"},
 		{"job with malformed dependencies", JobKey("job-000001"), `{"s":{},"n":1,"tm":"red","aw":"!"}`, ErrCorrupt, "dependencies"},
-		{"job with a set of other length", JobKey("job-000001"), `{"s":{},"n":1,"tm":"red","d":"AAAA"}`, ErrCorrupt, "bitmap of 1 tasks"},
+		{"job with a bitmap of the wrong length", JobKey("job-000001"), `{"s":{},"n":1,"tm":"red","d":"AAAA"}`, ErrCorrupt, "bitmap of 1 tasks"},
 		{"job of an unknown team", JobKey("job-000001"), `{"s":{},"n":1,"tm":"green"}`, ErrUnknownReference, "green"},
-		{"job whose chunks are not known", JobKey("job-000001"), `{"n":1,"tm":"red","lg":"n0-1","lp":2}`, ErrUnknownReference, "chunk 0"},
+		{"job with missing chunks", JobKey("job-000001"), `{"n":1,"tm":"red","lg":"n0-1","lp":2}`, ErrUnknownReference, "chunk 0"},
 		{"deleted job", JobKey("job-000001"), "", ErrUnexpectedDeletion, "job"},
 		{"group with a malformed list", GroupKey(0), `{"s":0,"y":"!"}`, ErrCorrupt, "base64"},
 		{"group with a list cut short", GroupKey(0), `{"s":0,"y":"BQ"}`, ErrCorrupt, "cut short"},
@@ -34,11 +34,11 @@
 		{"group with completed tasks of an unknown job", GroupKey(0), `{"s":0,"e":[{"j":"job-000009","n":[0]}]}`, ErrUnknownReference, "job-000009"},
 		{"group without a number", groupPrefix + "x", `{}`, ErrInvalidKey, "group"},
 		{"deleted group", GroupKey(0), "", ErrUnexpectedDeletion, "group"},
-		{"fleet that regroups a machine", FleetKey("other"), `{"m":[{"h":"m","r":5}]}`, ErrCorrupt, "machine m cannot be in group 5"},
-		{"shard that there is not", ShardKey(3), `{}`, ErrInvalidKey, "shard"},
+		{"fleet with a machine of another group", FleetKey("other"), `{"m":[{"h":"m","r":5}]}`, ErrCorrupt, "machine m cannot be in group 5"},
+		{"shard number out of range", ShardKey(3), `{}`, ErrInvalidKey, "shard"},
 		{"chunk without a number", chunkPrefix + "job-000001/n0-1/x", `{}`, ErrInvalidKey, "chunk"},
 		{"completion set without a number", completionPrefix + "job-000001", `{}`, ErrInvalidKey, "completion set"},
-		{"completion set that is no base64", CompletionKey("job-000001", 0), `{"d":"!"}`, ErrCorrupt, "base64"},
+		{"completion set that is not base64", CompletionKey("job-000001", 0), `{"d":"!"}`, ErrCorrupt, "base64"},
 		{"team with a malformed name", teamPrefix + "%zz", `{}`, ErrInvalidKey, "%zz"},
 		{"member cut short", MemberKey("n0"), `{`, ErrCorrupt, "JSON"},
 		{"deleted layout", LayoutKey, "", ErrUnexpectedDeletion, "layout"},
@@ -50,14 +50,14 @@
 			err := cache.Apply(test.key, json.RawMessage(test.value), 42, test.value == "")
 			var recordError *RecordError
 			if !errors.As(err, &recordError) {
-				t.Fatalf("error %v is no RecordError", err)
+				t.Fatalf("error %v is not a RecordError", err)
 			}
 			if recordError.Key != test.key || recordError.Revision != 42 {
-				t.Errorf("error names %s at %d", recordError.Key, recordError.Revision)
+				t.Errorf("error has key %s and revision %d", recordError.Key, recordError.Revision)
 			}
 			for _, reason := range reasons {
 				if is := errors.Is(err, reason); is != errors.Is(test.reason, reason) {
-					t.Errorf("%v is %q: %v", err, reason, is)
+					t.Errorf("error %v: errors.Is(%q) is %v", err, reason, is)
 				}
 			}
 			for _, mention := range []string{test.key, "42", test.mention} {
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestStaleChangeIsNoError: a change that is no newer than what is known is dropped, whatever it holds.
+// TestStaleChangeIsNoError checks that a change that is not newer than the cached record is dropped
+// without an error, even if its value is malformed.
 func TestStaleChangeIsNoError(t *testing.T) {
 	cache := newTestCache(t, "red")
 	fleet := FleetRecord{Type: "t", Zone: "a", Machines: []FleetMachine{{Name: testMachine}}}
@@ -90,7 +91,7 @@
 			applyRecord(t, cache, test.key, test.record, 10)
 			for _, revision := range []uint64{9, 10} {
 				if err := cache.Apply(test.key, json.RawMessage(`{`), revision, false); err != nil {
-					t.Errorf("at revision %d: %v", revision, err)
+					t.Errorf("change at revision %d: %v", revision, err)
 				}
 			}
 		})
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -14,11 +14,11 @@
 	"dykeledge/internal/protocol"
 )
 
-// The golden files hold what a released version wrote into the state service. A file's name
-// tells the record and the layout that writes it so; "any" is one that all layouts have in common.
+// The golden files hold records as a released version wrote them into the state service. A file's name
+// consists of the record's kind and the layout that writes it; "any" stands for all layouts.
 // A difference means that controllers of two versions can't read each other's records.
 
-// rewrite reads a record and writes it again.
+// rewrite decodes a record and encodes it again.
 type rewrite func(raw json.RawMessage) (json.RawMessage, error)
 
 func rewriteJSON[T any](raw json.RawMessage) (json.RawMessage, error) {
@@ -36,7 +36,7 @@
 	golden.CheckBytes(t, to, got)
 }
 
-// TestGoldenRecords covers the records that are plain JSON in every layout.
+// TestGoldenRecords checks the records that are plain JSON in every layout.
 func TestGoldenRecords(t *testing.T) {
 	cases := []struct {
 		file    string
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestGoldenLayouts covers the records whose lists the packed layout writes as numbers.
+// TestGoldenLayouts checks the records that differ between the plain and the packed layout.
 func TestGoldenLayouts(t *testing.T) {
 	cases := []struct {
 		record  string
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestGoldenFields requires that every field that a record may have stands in a golden file.
+// TestGoldenFields checks that every field of every record occurs in a golden file.
 func TestGoldenFields(t *testing.T) {
 	records := []struct {
 		record     string
@@ -119,7 +119,7 @@
 		t.Run(test.record, func(t *testing.T) {
 			files, err := filepath.Glob(filepath.Join("testdata", "golden", test.record+`[.\-]*`))
 			if err != nil || len(files) == 0 {
-				t.Fatalf("no golden file (%v)", err)
+				t.Fatalf("no golden file for the record (error: %v)", err)
 			}
 			text := ""
 			for _, file := range files {
@@ -134,7 +134,7 @@
 	}
 }
 
-// wireNames lists the JSON names of a type's fields and of the types within it.
+// wireNames returns the JSON names of a type's fields, including those of nested types.
 func wireNames(recordType reflect.Type) (names []string) {
 	switch recordType.Kind() {
 	case reflect.Pointer, reflect.Slice:
@@ -150,7 +150,7 @@
 	return names
 }
 
-// TestGoldenSpec turns a user's submission into the description that a job's record holds.
+// TestGoldenSpec checks the conversion of a submission into the description in a job's record.
 func TestGoldenSpec(t *testing.T) {
 	submission, err := protocol.ParseSubmission(golden.Read(t, "submission.any.json"))
 	if err != nil {
@@ -159,14 +159,14 @@
 	golden.CheckBytes(t, "spec.any.json", Encode(SpecOf(submission)))
 }
 
-// TestGoldenPackedStrings covers the packed texts within records: lists of job ids and sets of tasks.
+// TestGoldenPackedStrings checks the packed strings in records: lists of job ids and task bitmaps.
 func TestGoldenPackedStrings(t *testing.T) {
 	t.Run("ids", func(t *testing.T) {
 		ids := []string{"job-000398", "job-000399", "job-1234567", "job-000000000000000001", "job-000398"}
 		golden.CheckBytes(t, "ids.any.txt", []byte(PackIDs(ids)))
 		got, err := unpackIDs(string(golden.Read(t, "ids.any.txt")))
 		if err != nil || !reflect.DeepEqual(got, ids) {
-			t.Errorf("read as %v: %v", got, err)
+			t.Errorf("decoded as %v (error: %v)", got, err)
 		}
 	})
 	t.Run("tasks", func(t *testing.T) {
@@ -178,12 +178,13 @@
 		golden.CheckBytes(t, "tasks.any.txt", []byte(done.encode()))
 		got, err := decodeBitmap(string(golden.Read(t, "tasks.any.txt")), tasks)
 		if err != nil || !bytes.Equal(got, done) {
-			t.Errorf("read as %v: %v", got, err)
+			t.Errorf("decoded as %v (error: %v)", got, err)
 		}
 	})
 }
 
-// TestGoldenChunkedDescription splits a long description into chunks and joins them again.
+// TestGoldenChunkedDescription splits a description into chunks, joins them and splits the result
+// again.
 func TestGoldenChunkedDescription(t *testing.T) {
 	const job, attempt, limit = "job-000007", "n0-1-7", 192
 	var record JobRecord
@@ -214,7 +215,7 @@
 	golden.CheckBytes(t, "long-parts.any.json", Encode(again))
 }
 
-// TestGoldenKeys covers the keys under which records stand.
+// TestGoldenKeys checks the keys of the records.
 func TestGoldenKeys(t *testing.T) {
 	keys := []string{
 		MemberKey("n0"), ShardKey(5), JobKey("job-000007"), FleetKey("host-000001"), GroupKey(300), VictimSetKey("job-000007"),
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -8,8 +8,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestMachineImagesFromRecords: what a machine has fetched is known from the records alone; a task that was
-// there too shortly has fetched nothing, and the size of an image outlives its jobs.
+// TestMachineImagesFromRecords checks that a machine's image list follows from the records alone, that a
+// task that was placed for too short a time adds no image, and that an image's size is kept after its
+// jobs are pruned.
 func TestMachineImagesFromRecords(t *testing.T) {
 	cache := newTestCache(t, "red")
 	cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, Gpus: 4, MemGB: 64, FetchGBs: 0.5, CacheGB: 50}}})
@@ -40,12 +41,12 @@
 	}
 	put(JobKey("job-000001"), JobRecord{Tasks: 1, Team: "red", Final: string(protocol.Done), DoneCount: 1})
 	if size := cache.ImageGB(cache.Images.Find("i")); cache.Job("job-000001") != nil || size != 5 {
-		t.Errorf("the job is known: %v, its image's size %v", cache.Job("job-000001") != nil, size)
+		t.Errorf("job in the cache: %v, image size %v GB, want false and 5", cache.Job("job-000001") != nil, size)
 	}
 }
 
-// TestJobSizeUsesBindingResource: sizes count what binds, since a machine whose accelerators are all taken has idle CPUs
-// that nobody can use.
+// TestJobSizeUsesBindingResource checks that a task's size follows from the resource that limits how
+// many tasks fit: idle CPUs of a machine whose accelerators are all in use are of no use.
 func TestJobSizeUsesBindingResource(t *testing.T) {
 	types := []protocol.MachineType{{Name: "cpu", Cpus: 16, MemGB: 64}, {Name: "gpu", Cpus: 48, Gpus: 8, MemGB: 384}}
 	for _, test := range []struct {
@@ -53,11 +54,11 @@
 		spec SpecRecord
 		want float64
 	}{
-		{"CPUs bind", SpecRecord{Cpus: 4, Mem: 15}, 4},
-		{"memory binds on the smaller, so the larger counts", SpecRecord{Cpus: 2, Mem: 24}, 3},
-		{"memory binds where it may run", SpecRecord{Cpus: 2, Mem: 24, Types: []string{"cpu"}}, 6},
-		{"accelerators bind", SpecRecord{Cpus: 4, Gpus: 1, Mem: 29}, 6},
-		{"no type has room: its own CPUs", SpecRecord{Cpus: 99}, 99},
+		{"CPUs limit", SpecRecord{Cpus: 4, Mem: 15}, 4},
+		{"memory limits; the type with the smallest size counts", SpecRecord{Cpus: 2, Mem: 24}, 3},
+		{"memory limits on the only allowed type", SpecRecord{Cpus: 2, Mem: 24, Types: []string{"cpu"}}, 6},
+		{"accelerators limit", SpecRecord{Cpus: 4, Gpus: 1, Mem: 29}, 6},
+		{"no type has room: requested CPUs", SpecRecord{Cpus: 99}, 99},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cache := newTestCache(t, "red")
--- a/internal/storage/packed_records_test.go
+++ b/internal/storage/packed_records_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestPackedRecordsRoundTrip: what is packed is read again as it was, and cut short it is an error, never
-// a panic or another record.
+// TestPackedRecordsRoundTrip checks that packed records decode to the original ones, and that truncated
+// ones never cause a panic or decode to more entries than were packed.
 func TestPackedRecordsRoundTrip(t *testing.T) {
 	longName := strings.Repeat("long-name-", 12)
 	for i, group := range groupsToPack(longName) {
@@ -18,7 +18,7 @@
 	t.Run("fleet", func(t *testing.T) {
 		fleet := FleetRecord{FencingToken: 4, Type: "t", Zone: "a", Spot: true, Machines: []FleetMachine{{"host-000001", 3, "10.0.0.1:9000"}, {longName, 0, ""}}}
 		if got, err := DecodeFleet(EncodeFleet(&fleet, true)); err != nil || !reflect.DeepEqual(got, fleet) {
-			t.Errorf("read as %+v: %v", got, err)
+			t.Errorf("decoded as %+v (error: %v)", got, err)
 		}
 	})
 	t.Run("victim set", func(t *testing.T) {
@@ -28,18 +28,18 @@
 			Reservations: []ReservationRecord{{"host-000001", 2}},
 		}
 		if got, err := DecodeVictimSet(EncodeVictimSet(&set, true)); err != nil || !reflect.DeepEqual(got, set) {
-			t.Errorf("read as %+v: %v", got, err)
+			t.Errorf("decoded as %+v (error: %v)", got, err)
 		}
 	})
 	t.Run("ids", func(t *testing.T) {
 		ids := []string{"job-000398", "job-1234567", "job-000000000000000001"}
 		if got, err := unpackIDs(PackIDs(ids)); err != nil || !reflect.DeepEqual(got, ids) {
-			t.Errorf("read as %v: %v", got, err)
+			t.Errorf("decoded as %v (error: %v)", got, err)
 		}
 	})
 }
 
-// groupsToPack are groups with every field, and some at random.
+// groupsToPack returns groups that use every field, and random ones.
 func groupsToPack(longName string) []GroupRecord {
 	groups := []GroupRecord{
 		{},
@@ -80,7 +80,7 @@
 	return group
 }
 
-// checkPackedGroup reads a packed group again, whole and cut at every byte.
+// checkPackedGroup packs a group and decodes it whole and truncated after each byte.
 func checkPackedGroup(t *testing.T, group *GroupRecord) {
 	t.Helper()
 	got, err := DecodeGroup(EncodeGroup(group, true))
@@ -89,7 +89,7 @@
 		got.Machines = nil
 	}
 	if err != nil || !reflect.DeepEqual(got, *group) {
-		t.Fatalf("%v\n%+v\n%+v", err, got, *group)
+		t.Fatalf("error: %v\ngot  %+v\nwant %+v", err, got, *group)
 	}
 	packed := group.pack()
 	for length := range len(packed) {
@@ -97,12 +97,12 @@
 		err := cut.unpack(packed[:length])
 		more := len(cut.Machines)+len(cut.Completed) > len(group.Machines)+len(group.Completed)
 		if err == nil && length < len(packed)-1 && !reflect.DeepEqual(cut, *group) && more {
-			t.Fatalf("cut at %d gives %+v", length, cut)
+			t.Fatalf("truncated after %d bytes it decodes as %+v", length, cut)
 		}
 	}
 }
 
-// FuzzUnpack reads any text as each packed list: none may panic or take much memory.
+// FuzzUnpack decodes arbitrary text as each kind of packed list; it must not panic or use much memory.
 func FuzzUnpack(f *testing.F) {
 	group := GroupRecord{Machines: []GroupMachine{{Name: "host-000231", Incarnation: 2, Tasks: []PlacedTasks{{"job-000412", []uint64{0, 9, 17, 3}}}}}}
 	f.Add(group.pack())
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -8,9 +8,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// productionRecords are as the version in production before the packed layout writes them (commit
-// a8cf51d). Until the packed layout is enabled this version must read them and write the same, since
-// controllers of that version rewrite what they read and drop what they do not know.
+// productionRecords are records as the production version before the packed layout writes them (commit
+// a8cf51d). Until the packed layout is enabled, this version must read them and write them unchanged,
+// because controllers of that version rewrite the records that they read without unknown fields.
 var productionRecords = []struct{ key, value string }{
 	{Root + "fleet/host-000001", `{"t":4,"h":"t16","b":"a","l":true,"at":1700000000,"m":[{"h":"host-000001","r":0},{"h":"host-000002","r":0,"a":"10.1.0.2:9000"}]}`},
 	{Root + "job/job-000007", `{"s":{"c":"train","p":2,"cpu":4,"mem":4,"img":"img-1","gb":0.5,"ty":["t16"],"l":true,"e":10,"due":90},"at":1700000000123,"n":9,"tm":"red"}`},
@@ -22,7 +22,7 @@
 	{Root + "node/n0", `{"i":1,"p":"10.0.0.1:8080"}`},
 }
 
-// What the version in production reads: the fields of its records and no others, of any type.
+// The record fields that the production version reads, with values of any type.
 type (
 	productionGroup struct {
 		Shard        any `json:"s"`
@@ -103,7 +103,7 @@
 	}
 )
 
-// productionCache has taken in productionRecords.
+// productionCache returns a cache with productionRecords applied.
 func productionCache(t *testing.T) *Cache {
 	t.Helper()
 	cache := newTestCache(t, "red")
@@ -115,7 +115,8 @@
 	return cache
 }
 
-// readStrictly reads a record as the version in production, and refuses a field that it does not know.
+// readStrictly decodes a record into one of the production types and fails the test on an unknown
+// field.
 func readStrictly(t *testing.T, raw json.RawMessage, into any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -125,8 +126,8 @@
 	}
 }
 
-// TestPlainLayoutUntilPackedEnabled: until the packed layout is enabled, records are read and written as in
-// production; from then on they are packed, for good.
+// TestPlainLayoutUntilPackedEnabled checks that records are read and written as in production until
+// the packed layout is enabled, and that they stay packed from then on.
 func TestPlainLayoutUntilPackedEnabled(t *testing.T) {
 	t.Run("written as read", func(t *testing.T) { checkWrittenAsRead(t, productionCache(t)) })
 	t.Run("no unknown field", func(t *testing.T) { checkProductionFields(t, productionCache(t)) })
@@ -151,16 +152,17 @@
 		written[JobKey(id)] = Encode(cache.JobRecordOf(job, job.SavedDone, job.SavedDone.Count(), ""))
 	}
 	if len(written) != len(productionRecords) {
-		t.Errorf("%d of %d records are written", len(written), len(productionRecords))
+		t.Errorf("%d records are written, want %d", len(written), len(productionRecords))
 	}
 	for _, record := range productionRecords {
 		if raw := written[record.key]; string(raw) != record.value {
-			t.Errorf("%s is written as\n%s, not\n%s", record.key, raw, record.value)
+			t.Errorf("%s is written as\n%s, want\n%s", record.key, raw, record.value)
 		}
 	}
 }
 
-// checkProductionFields: whatever else is written, that version knows every field of it.
+// checkProductionFields checks that records in the plain layout have only fields that the production
+// version reads.
 func checkProductionFields(t *testing.T, cache *Cache) {
 	t.Helper()
 	group := GroupRecord{
@@ -179,26 +181,26 @@
 	}
 }
 
-// checkPackedOnceEnabled: a record is written packed once that is enabled, and read as it was; the
-// plain layout never comes back.
+// checkPackedOnceEnabled checks that a record is written packed once the packed layout is enabled, that
+// it decodes to the same state, and that the plain layout can't be enabled again.
 func checkPackedOnceEnabled(t *testing.T, cache *Cache) {
 	t.Helper()
 	group, job := cache.Groups[0], cache.Job("job-000007")
 	if err := cache.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPacked}), 50, false); err != nil || !cache.Packed() {
-		t.Fatal("the packed layout is not enabled", err)
+		t.Fatal("enabling the packed layout failed", err)
 	}
 	raw := EncodeGroup(cache.GroupRecordOf(group, group.Completed, nil), cache.Packed())
 	for _, record := range productionRecords {
 		if record.key == GroupKey(0) && len(raw) >= len(record.value) {
-			t.Errorf("packed it takes %d bytes", len(raw))
+			t.Errorf("the packed record takes %d bytes, no fewer than the plain one", len(raw))
 		}
 	}
 	tasks, done := len(group.Machines[0].Tasks), job.DoneCount
 	err := cache.Apply(Root+"rack/0", raw, 51, false)
 	if err != nil || len(group.Machines[0].Tasks) != tasks || job.DoneCount != done || !group.Machines[1].Unhealthy {
-		t.Errorf("read again: %v, %d tasks", err, len(group.Machines[0].Tasks))
+		t.Errorf("applying the packed record: error %v, %d tasks", err, len(group.Machines[0].Tasks))
 	}
 	if err := cache.Apply(LayoutKey, Encode(LayoutRecord{Version: LayoutPlain}), 52, false); err != nil || !cache.Packed() {
-		t.Error("the packed layout is disabled again", err)
+		t.Error("the packed layout was disabled by an earlier layout record", err)
 	}
 }
