--- a/internal/storage/apply_fleet.go
+++ b/internal/storage/apply_fleet.go
@@ -50,8 +50,8 @@
 // checkFleetMachine rejects a group id that is out of range, or that differs from the machine's
 // group in another fleet's record.
 func (c *Cache) checkFleetMachine(fleet string, entry *FleetMachine) error {
-	known := c.machines.find(entry.Name)
-	regrouped := known != nil && known.exists && known.Fleet.ID != fleet && known.record.Group != entry.Group
+	machine := c.machines.find(entry.Name)
+	regrouped := machine != nil && machine.exists && machine.Fleet.ID != fleet && machine.record.Group != entry.Group
 	if entry.Group < 0 || entry.Group > maxGroupID || regrouped {
 		return fmt.Errorf("%w: machine %s cannot be in group %d", ErrCorrupt, entry.Name, entry.Group)
 	}
--- a/internal/storage/apply_group.go
+++ b/internal/storage/apply_group.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// updateMachine updates a machine from its entry in the group's record. reassigned means that the
-// group's shard or fencing token has changed.
+// updateMachine updates a machine from its entry in the group's record. reassigned means that this is
+// the group's first record or that its shard or fencing token has changed.
 func (c *Cache) updateMachine(machine *Machine, part resolvedMachine, reassigned bool) {
 	entry := part.entry
 	if entry == nil {
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// maxClassesPerTeam is the number of class queues per team. Users choose class names freely, so it
-// bounds the number of queues; the last queue holds all further classes.
+// maxClassesPerTeam is the number of class queues per team. Users choose class names freely, so the
+// number of queues needs a bound. Class indices are shared by all teams; classes whose index is above
+// the bound use a team's last queue together.
 const maxClassesPerTeam = 32
 
 // ClassQueue identifies the queue of one class of one team, by their indices.
@@ -19,7 +20,8 @@
 // ClassQueueCount returns the maximum number of class queues of the given number of teams.
 func ClassQueueCount(teams int) int { return teams * maxClassesPerTeam }
 
-// ClassQueueOf returns a job's class queue. Classes beyond maxClassesPerTeam share one queue.
+// ClassQueueOf returns a job's class queue. Classes with an index of maxClassesPerTeam-1 or more share
+// one queue per team.
 func ClassQueueOf(job *Job) ClassQueue { return newClassQueue(job.Team, job.Class) }
 
 func newClassQueue(team, class int) ClassQueue {
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -8,8 +8,8 @@
 	"dykeledge/internal/config"
 )
 
-// Cache is a copy of the whole state in the state service as of Revision. Apply sets the exported
-// fields except Revision and ForcePlain, which the cache's owner sets.
+// Cache is a copy of the whole state in the state service as of Revision. NewCache, Apply and
+// UpdateCatalog set the exported fields except Revision and ForcePlain, which the cache's owner sets.
 type Cache struct {
 	Teams      []config.Team
 	TeamIndex  *NameIndex
@@ -113,9 +113,9 @@
 // Apply applies one change of a record. A change that is not newer than the cached record is dropped
 // without an error. Any error is a RecordError whose cause wraps one of ErrLayout, ErrCorrupt,
 // ErrUnknownReference, ErrInvalidKey and ErrUnexpectedDeletion.
-func (c *Cache) Apply(key string, value json.RawMessage, version uint64, deleted bool) error {
-	if err := c.applyChange(key, recordChange{value, version, deleted}); err != nil {
-		return &RecordError{Key: key, Revision: version, Cause: err}
+func (c *Cache) Apply(key string, value json.RawMessage, revision uint64, deleted bool) error {
+	if err := c.applyChange(key, recordChange{value, revision, deleted}); err != nil {
+		return &RecordError{Key: key, Revision: revision, Cause: err}
 	}
 	return nil
 }
@@ -197,9 +197,9 @@
 	}
 	c.descriptions.dropUnseen(seen)
 	c.completions.dropUnseen(seen)
-	for key, known := range c.revisions {
+	for key, lastRevision := range c.revisions {
 		if !seen[key] {
-			if err := c.Apply(key, nil, max(revision, known+1), true); err != nil {
+			if err := c.Apply(key, nil, max(revision, lastRevision+1), true); err != nil {
 				return err
 			}
 		}
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -52,10 +52,10 @@
 // groupChange writes a group record with the given tasks (as PlacedTasks.Numbers) of the test job on
 // the test machine.
 func groupChange(revision uint64, numbers ...uint64) cacheChange {
-	return cacheChange{key: GroupKey(0), value: placedRecord(numbers...), revision: revision}
+	return cacheChange{key: GroupKey(0), value: encodeTestGroup(numbers...), revision: revision}
 }
 
-func placedRecord(numbers ...uint64) json.RawMessage {
+func encodeTestGroup(numbers ...uint64) json.RawMessage {
 	record := GroupRecord{}
 	if len(numbers) > 0 {
 		record.Machines = []GroupMachine{{Name: testMachine, Tasks: []PlacedTasks{{testJob, numbers}}}}
@@ -63,7 +63,7 @@
 	return Encode(record)
 }
 
-func (c cacheChange) refused() cacheChange {
+func (c cacheChange) expectError() cacheChange {
 	c.wantError = true
 	return c
 }
@@ -121,17 +121,17 @@
 		}, "", 1, 2},
 		// A full read takes several pages, so a group may be newer than the jobs that were read before it.
 		{"a group that names an unknown job is accepted when it is read again", []cacheChange{
-			groupChange(4, 0, 9, 0, 0).refused(),
+			groupChange(4, 0, 9, 0, 0).expectError(),
 			jobChange(3, ""),
 			groupChange(4, 0, 9, 0, 0),
 		}, "", 1, 2},
 		{"the barrier key that blocks versions without the packed layout is accepted", []cacheChange{
 			jobChange(1, ""),
-			{key: BarrierKey, value: placedRecord(), revision: 2},
+			{key: BarrierKey, value: encodeTestGroup(), revision: 2},
 		}, "", 0, 0},
 		{"a record of a foreign layout is rejected", []cacheChange{
 			jobChange(1, ""),
-			{key: Root + "machine/m", value: placedRecord(), revision: 2, wantError: true},
+			{key: Root + "machine/m", value: encodeTestGroup(), revision: 2, wantError: true},
 		}, "", 0, 0},
 	}
 	for _, test := range cases {
--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -105,12 +105,12 @@
 // second.
 func acceptOnSecondAttempt(t *testing.T, store *limitedStore, record *JobRecord) *Job {
 	t.Helper()
-	lost, _ := SplitDescription(chunkedJob, "1-1", record, recordLimit)
+	lostChunks, _ := SplitDescription(chunkedJob, "1-1", record, recordLimit)
 	chunks, main := SplitDescription(chunkedJob, "2-1", record, recordLimit)
 	if err := store.put(t, JobKey(chunkedJob), main); err == nil {
 		t.Fatal("job record accepted without its chunks")
 	}
-	for _, chunk := range append(lost, chunks...) {
+	for _, chunk := range append(lostChunks, chunks...) {
 		store.mustPut(t, chunk.Put, chunk.Value)
 	}
 	store.mustPut(t, JobKey(chunkedJob), main)
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -16,7 +16,7 @@
 	dependents map[string][]*Job // by the id of a job: the open jobs that wait for it
 	failed     []*Job            // jobs cancelled because of a dependency; openFailedJobs removes the final ones
 	newlyReady []*Job            // jobs that became ready since takeNewlyReady was last called
-	inheritors map[*Job]int      // jobs that have inherited from their dependents; the values are not used
+	inheritors map[*Job]int      // jobs of the graph that could run at the last inherit, which uses the counts
 	changed    bool              // the graph has changed since inherit last ran
 }
 
@@ -79,9 +79,9 @@
 	}
 }
 
-// failWithDependents marks a job and all its direct and indirect dependents as cancelled because of a
-// failed dependency. The result follows from the records alone, so all controllers reach it without
-// waiting for the jobs' own final records, which are written later.
+// failWithDependents marks a job and all its direct and indirect dependents as cancelled because a
+// dependency was cancelled. This follows from the records alone, so all controllers reach the same
+// result at once; the jobs' own final records are written later.
 func (g *dependencyGraph) failWithDependents(job *Job) {
 	pending := []*Job{job}
 	for len(pending) > 0 {
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -159,10 +159,10 @@
 	job("4").OwnPriority, job("2").OwnPriority = protocol.High, protocol.Low
 	cache.dependencies.changed = true
 	inherit()
-	for n, by := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
-		j := job(n)
-		if j.Priority != protocol.High || !j.FinishBy.Equal(time.UnixMilli(int64(by)*1000)) {
-			t.Errorf("job %s has priority %v and FinishBy %d ms", n, j.Priority, j.FinishBy.UnixMilli())
+	for name, wantSecond := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
+		j := job(name)
+		if j.Priority != protocol.High || !j.FinishBy.Equal(time.UnixMilli(int64(wantSecond)*1000)) {
+			t.Errorf("job %s has priority %v and FinishBy %d ms", name, j.Priority, j.FinishBy.UnixMilli())
 		}
 	}
 	if j := job("5"); j.Priority != protocol.Low || j.FinishLatest.UnixMilli() != 305_000 {
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -204,14 +204,14 @@
 			t.Fatal(err)
 		}
 	}
-	var whole JobRecord
-	if err := json.Unmarshal(golden.Read(t, "long-main.any.json"), &whole); err != nil {
+	var joined JobRecord
+	if err := json.Unmarshal(golden.Read(t, "long-main.any.json"), &joined); err != nil {
 		t.Fatal(err)
 	}
-	if err := cache.descriptions.join(job, &whole); err != nil {
+	if err := cache.descriptions.join(job, &joined); err != nil {
 		t.Fatal(err)
 	}
-	again, _ := SplitDescription(job, attempt, &whole, limit)
+	again, _ := SplitDescription(job, attempt, &joined, limit)
 	golden.CheckBytes(t, "long-parts.any.json", Encode(again))
 }
 
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -116,7 +116,8 @@
 // record was not read yet counts too: it must not get another record.
 func (c *Cache) MachineSeen(name string) bool { return c.machines.find(name) != nil }
 
-// FencingToken returns the fencing token for commands to a machine.
+// FencingToken returns the fencing token for commands to a machine: the highest of the tokens of the
+// machine, its group and its shard.
 func (c *Cache) FencingToken(machine *Machine) uint64 {
 	return max(machine.FencingToken, machine.Group.FencingToken, c.Shards[machine.Shard].FencingToken)
 }
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -55,16 +55,16 @@
 // several machine types, the smallest size counts. Accelerators and memory count because a machine
 // whose accelerators are all in use has no room left, however many of its CPUs are idle.
 func (c *Cache) sizeOf(job *Job) float64 {
-	least := 0.0
+	smallest := 0.0
 	for i := range c.Types {
 		if !job.fits(i, &c.Types[i]) {
 			continue
 		}
-		if size := job.sizeOn(&c.Types[i]); least == 0 || size < least {
-			least = size
+		if size := job.sizeOn(&c.Types[i]); smallest == 0 || size < smallest {
+			smallest = size
 		}
 	}
-	return max(least, job.Cpus)
+	return max(smallest, job.Cpus)
 }
 
 // fits reports whether an empty machine of a type has room for a task of the job and the job allows
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -100,8 +100,8 @@
 	Packed        string         `json:"y,omitempty"` // the machines, in the packed layout
 }
 
-// FleetMachine is a machine's entry in a fleet record. Its group does not change here; GroupMachine.Moved
-// marks a machine that has been moved to another group.
+// FleetMachine is a machine's entry in a fleet record, with its original group. GroupMachine.Moved
+// marks a machine that was moved to another group later.
 type FleetMachine struct {
 	Name  string `json:"h"`
 	Group int    `json:"r"`
@@ -190,7 +190,7 @@
 // chunkRecord is one chunk of a description that is too long for its job's record.
 type chunkRecord struct {
 	Text        string `json:"x"`
-	WrittenAtMs int64  `json:"at"` // when it was written, in milliseconds of the time of day
+	WrittenAtMs int64  `json:"at"` // when the chunk was written, in Unix milliseconds
 }
 
 // BaselineRecord is the baseline demand that the leader has estimated, largest queue first.
--- a/internal/storage/sorted_views.go
+++ b/internal/storage/sorted_views.go
@@ -8,9 +8,9 @@
 // sortedViews holds jobs sorted by id and machines sorted by name, so that the cost of a page of a
 // list depends on the page's size and not on the total number of entries.
 type sortedViews struct {
-	jobs     *btree.BTreeG[*Job]
-	byTeam   []*btree.BTreeG[*Job]
-	machines *btree.BTreeG[*Machine]
+	jobs       *btree.BTreeG[*Job]
+	jobsByTeam []*btree.BTreeG[*Job]
+	machines   *btree.BTreeG[*Machine]
 }
 
 func newSortedViews(teams int) *sortedViews {
@@ -24,19 +24,19 @@
 		machines: btree.NewBTreeGOptions(func(a, b *Machine) bool { return a.Name < b.Name }, options),
 	}
 	for range teams {
-		views.byTeam = append(views.byTeam, newJobs())
+		views.jobsByTeam = append(views.jobsByTeam, newJobs())
 	}
 	return views
 }
 
 func (v *sortedViews) addJob(job *Job) {
 	v.jobs.Set(job)
-	v.byTeam[job.Team].Set(job)
+	v.jobsByTeam[job.Team].Set(job)
 }
 
 func (v *sortedViews) removeJob(job *Job) {
 	v.jobs.Delete(job)
-	v.byTeam[job.Team].Delete(job)
+	v.jobsByTeam[job.Team].Delete(job)
 }
 
 func (v *sortedViews) addMachine(machine *Machine) { v.machines.Set(machine) }
@@ -48,7 +48,7 @@
 func (c *Cache) JobsAfter(team int, id string, yield func(*Job) bool) {
 	tree := c.sorted.jobs
 	if team >= 0 {
-		tree = c.sorted.byTeam[team]
+		tree = c.sorted.jobsByTeam[team]
 	}
 	tree.Ascend(&Job{ID: id}, func(job *Job) bool { return job.ID == id || yield(job) })
 }
