--- a/internal/storage/apply_fleet.go
+++ b/internal/storage/apply_fleet.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Fleet is a fleet record as the cache has it.
+// Fleet is the cached state of a fleet record.
 type Fleet struct {
 	ID      string
 	Version uint64
-	Size    int // of its record, in bytes
+	Size    int // of the record, in bytes
 	record  FleetRecord
 }
 
-// applyFleet takes a fleet's record. A machine is in the latest record that lists it: a
-// record that is over a lower limit is worked off by small ones which list its machines
-// anew, in the same groups, and is deleted when it lists none that they do not.
+// applyFleet applies a change of a fleet record. A machine belongs to the latest record that lists
+// it: a record that exceeds a lowered size limit is replaced by smaller records, which list its
+// machines again in the same groups, and is deleted once they list all of its machines.
 func (c *Cache) applyFleet(id string, change recordChange) error {
 	if fleet := c.machines.fleets[id]; fleet != nil && fleet.Version >= change.revision {
 		return nil
@@ -32,13 +32,13 @@
 			return err
 		}
 	}
-	fleet := c.machines.fleet(id)
-	before := fleet.record.Machines
+	fleet := c.machines.ensureFleet(id)
+	previousEntries := fleet.record.Machines
 	fleet.record, fleet.Version, fleet.Size = record, change.revision, len(change.value)
 	for _, entry := range record.Machines {
 		c.addFleetEntry(fleet, entry)
 	}
-	for _, entry := range before { // what is listed still was counted once more just now
+	for _, entry := range previousEntries { // machines that are still listed were counted again above
 		machine := c.machines.find(entry.Name)
 		if machine.FleetEntries--; machine.FleetEntries == 0 {
 			c.removeMachine(machine, change.revision)
@@ -47,18 +47,19 @@
 	return nil
 }
 
-// checkFleetMachine refuses a group that there may not be, or other than that in which the machine
-// is by another fleet's record.
+// checkFleetMachine rejects a group id that is out of range, or that differs from the machine's
+// group in another fleet's record.
 func (c *Cache) checkFleetMachine(fleet string, entry *FleetMachine) error {
-	known := c.machines.find(entry.Name)
-	regrouped := known != nil && known.exists && known.Fleet.ID != fleet && known.record.Group != entry.Group
-	if entry.Group < 0 || entry.Group > maxGroups || regrouped {
+	machine := c.machines.find(entry.Name)
+	regrouped := machine != nil && machine.exists && machine.Fleet.ID != fleet && machine.record.Group != entry.Group
+	if entry.Group < 0 || entry.Group > maxGroupID || regrouped {
 		return fmt.Errorf("%w: machine %s cannot be in group %d", ErrCorrupt, entry.Name, entry.Group)
 	}
 	return nil
 }
 
-// addFleetEntry takes in that a fleet's record lists a machine.
+// addFleetEntry adds a machine that a fleet record lists, or updates it if that record is the latest
+// that lists it.
 func (c *Cache) addFleetEntry(fleet *Fleet, entry FleetMachine) {
 	machine := c.machines.find(entry.Name)
 	if machine == nil {
@@ -74,32 +75,32 @@
 	}
 }
 
-// addMachine takes in a machine that no fleet's record listed before.
+// addMachine initializes a machine that no fleet record listed before this change.
 func (c *Cache) addMachine(machine *Machine, fleet *Fleet, entry FleetMachine) {
 	machine.Fleet, machine.record, machine.exists, machine.Version = fleet, entry, true, fleet.Version
 	machine.Moved = false
 	c.sorted.addMachine(machine)
-	machine.joinGroup(c.group(entry.Group))
+	machine.joinGroup(c.ensureGroup(entry.Group))
 	machine.Shard, machine.Gone = machine.Group.Shard, machine.Group.Version == 0
 	machine.Type = c.TypeIndex.Index(fleet.record.Type)
 	c.growTypes()
 	machine.Zone = c.Zones.Index(fleet.record.Zone)
 	machine.Spot, machine.ProvisionedAt = fleet.record.Spot, fleet.record.ProvisionedAt
 	machine.Addr, machine.FencingToken = entry.Addr, fleet.record.FencingToken
-	c.noteChanged(machine)
+	c.markChanged(machine)
 }
 
-// removeMachine takes out a machine that no fleet's record lists any more.
+// removeMachine removes a machine that no fleet record lists any more.
 func (c *Cache) removeMachine(machine *Machine, revision uint64) {
 	c.setTasks(machine, nil)
 	machine.Gone, machine.exists, machine.Version = true, false, revision
 	machine.leaveGroup()
 	c.sorted.removeMachine(machine)
-	c.noteChanged(machine)
+	c.markChanged(machine)
 }
 
-// OversizedFleet returns a fleet whose record is over a limit in bytes, and whether it fits when it
-// is written packed; nil if there is none.
+// OversizedFleet returns a fleet whose record exceeds a limit in bytes, and whether the record fits
+// in the packed layout; nil if there is no such fleet.
 func (c *Cache) OversizedFleet(limit int) (fleet *Fleet, fits bool) {
 	for _, fleet := range c.machines.fleets {
 		if fleet.Size > limit && len(fleet.record.Machines) > 0 {
@@ -109,15 +110,15 @@
 	return nil, false
 }
 
-// SplitFleet writes a fleet's machines as packed records that are within a limit in bytes, leaving
-// out those that a later record lists.
+// SplitFleet splits a fleet's machines into records that in the packed layout stay within a limit in
+// bytes. Machines that a later record lists are left out.
 func (c *Cache) SplitFleet(fleet *Fleet, limit int) []FleetRecord {
 	var records []FleetRecord
 	for _, entry := range fleet.record.Machines {
 		if machine := c.machines.find(entry.Name); machine == nil || machine.Fleet != fleet {
 			continue
 		}
-		if len(records) > 0 && records[len(records)-1].addWithin(entry, limit) {
+		if len(records) > 0 && records[len(records)-1].appendIfFits(entry, limit) {
 			continue
 		}
 		record := fleet.record
@@ -127,8 +128,9 @@
 	return records
 }
 
-// addWithin adds a machine to a record unless that takes more than so many bytes packed.
-func (r *FleetRecord) addWithin(entry FleetMachine, limit int) bool {
+// appendIfFits appends a machine to the record unless the packed record would exceed limit bytes. It
+// reports whether it appended the machine.
+func (r *FleetRecord) appendIfFits(entry FleetMachine, limit int) bool {
 	r.Machines = append(r.Machines, entry)
 	if len(EncodeFleet(r, true)) <= limit {
 		return true
@@ -137,11 +139,11 @@
 	return false
 }
 
-// FleetWithout writes a fleet's record without some of its machines; none is left
-// if ok is false.
-func (c *Cache) FleetWithout(fleet *Fleet, gone map[*Machine]bool) (record FleetRecord, ok bool) {
+// FleetWithout returns a fleet's record without some of its machines; ok is false if no machine is
+// left.
+func (c *Cache) FleetWithout(fleet *Fleet, removed map[*Machine]bool) (record FleetRecord, ok bool) {
 	record = fleet.record
-	isGone := func(entry FleetMachine) bool { return gone[c.machines.find(entry.Name)] }
-	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), isGone)
+	isRemoved := func(entry FleetMachine) bool { return removed[c.machines.find(entry.Name)] }
+	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), isRemoved)
 	return record, len(record.Machines) > 0
 }
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -6,51 +6,50 @@
 	"dykeledge/internal/protocol"
 )
 
-// dependencyGraph is the graph of jobs that wait for other jobs. A job names only jobs that
-// were accepted before it was itself, so the graph has no cycles: an edge always leads
-// to an earlier acceptance. Records are read in any order, though, and a job may be
-// known before one that it names.
+// dependencyGraph is the graph of jobs that wait for other jobs. It has no cycles because a job can
+// depend only on jobs that were accepted before it. Records are read in any order, however, so a job
+// may be in the cache before its dependencies.
 type dependencyGraph struct {
 	jobs *jobTable
 	feed *changeFeed
 
-	dependents map[string][]*Job // by id: open jobs that wait for it
-	failed     []*Job            // cancelled with a dependency; those that are over are dropped when they are asked for
-	newlyReady []*Job            // since they were last taken
-	inheritors map[*Job]int      // jobs that have inherited from their dependents
-	changed    bool              // since inherit last ran
+	dependents map[string][]*Job // by the id of a job: the open jobs that wait for it
+	failed     []*Job            // jobs cancelled because of a dependency; openFailedJobs removes the final ones
+	newlyReady []*Job            // jobs that became ready since takeNewlyReady was last called
+	inheritors map[*Job]int      // jobs of the graph that could run at the last inherit, which uses the counts
+	changed    bool              // the graph has changed since inherit last ran
 }
 
 func newDependencyGraph(jobs *jobTable, feed *changeFeed) *dependencyGraph {
 	return &dependencyGraph{jobs: jobs, feed: feed, dependents: map[string][]*Job{}}
 }
 
-// addJob takes a new open job into the graph.
+// addJob adds a new open job to the graph.
 func (g *dependencyGraph) addJob(job *Job) {
-	job.unmetDependencies = len(job.Dependencies) // at first: it is not ready before all of them were looked at
+	job.unmetDependencies = len(job.Dependencies) // not ready until the loop has checked all dependencies
 	for _, id := range job.Dependencies {
-		if state, ok := g.jobs.recordedFinal(id); ok {
+		if state, ok := g.jobs.recordedFinalState(id); ok {
 			g.dependencyEnded(job, state)
 			continue
 		}
 		g.dependents[id] = append(g.dependents[id], job)
 		if dependency := g.jobs.find(id); dependency != nil && dependency.DependencyFailed {
-			g.fail(job)
+			g.failWithDependents(job)
 		}
 	}
 	g.changed = g.changed || len(job.Dependencies) > 0
 }
 
-// noteKnown takes in that a job is known now, which others may have named before.
-func (g *dependencyGraph) noteKnown(id string) {
+// dependencyAdded records that a job is now in the cache on which other jobs may already depend.
+func (g *dependencyGraph) dependencyAdded(id string) {
 	if len(g.dependents[id]) > 0 {
 		g.changed = true
 	}
 }
 
-// jobEnded tells the jobs that wait for one that it is over.
+// jobEnded updates the jobs that depend on a job that has become final.
 func (g *dependencyGraph) jobEnded(id string, state FinalState) {
-	// What it needed inherits from it no more.
+	// Its dependencies no longer inherit from it.
 	g.changed = g.changed || len(g.inheritors) > 0
 	dependents := g.dependents[id]
 	if dependents == nil {
@@ -62,13 +61,14 @@
 	}
 }
 
-// dependencyEnded takes in that a dependency of a job is over. From the last one's end on the job's
-// times count: it is read from that dependency's record, and so outlives every owner.
+// dependencyEnded updates a job when one of its dependencies has become final. The job's times count
+// from the end of its last dependency. That time comes from the dependency's record, so it survives
+// a change of the shard's owner.
 func (g *dependencyGraph) dependencyEnded(job *Job, state FinalState) {
 	job.unmetDependencies--
 	g.feed.addJob(job)
 	if state.Status == protocol.Cancelled {
-		g.fail(job)
+		g.failWithDependents(job)
 		return
 	}
 	if endedAt := time.UnixMilli(state.RecordedMs); state.RecordedMs > 0 && endedAt.After(job.ReadyAt) {
@@ -79,10 +79,10 @@
 	}
 }
 
-// fail marks a job and all its dependents, direct or through others, as cancelled with
-// one before them. That follows from the records alone, so every controller says the same at
-// once; their own final records are written later.
-func (g *dependencyGraph) fail(job *Job) {
+// failWithDependents marks a job and all its direct and indirect dependents as cancelled because a
+// dependency was cancelled. This follows from the records alone, so all controllers reach the same
+// result at once; the jobs' own final records are written later.
+func (g *dependencyGraph) failWithDependents(job *Job) {
 	pending := []*Job{job}
 	for len(pending) > 0 {
 		next := pending[len(pending)-1]
@@ -97,11 +97,11 @@
 	}
 }
 
-// forgetJob drops a job that is over.
-func (g *dependencyGraph) forgetJob(job *Job) { delete(g.inheritors, job) }
+// pruneJob removes a final job.
+func (g *dependencyGraph) pruneJob(job *Job) { delete(g.inheritors, job) }
 
-// openFailed drops the failed jobs that are over and returns the others.
-func (g *dependencyGraph) openFailed() []*Job {
+// openFailedJobs removes the final jobs from failed and returns the remaining ones.
+func (g *dependencyGraph) openFailedJobs() []*Job {
 	open := g.failed[:0]
 	for _, job := range g.failed {
 		if job.Open() {
@@ -119,17 +119,17 @@
 	return ready
 }
 
-// mayRun tells whether a job is known, open and not cancelled with a dependency.
-func mayRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
+// canRun reports whether a job is in the cache, open and not cancelled because of a dependency.
+func canRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
 
-// inherit is described at Cache.Inherit.
-func (g *dependencyGraph) inherit(aims func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+// inherit implements Cache.Inherit.
+func (g *dependencyGraph) inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
 	if !g.changed {
 		return
 	}
 	g.changed = false
-	unvisited := g.countDependents(aims)
-	// What nothing depends on any more has only its own left.
+	unvisited := g.resetAndCountDependents(finishTimes)
+	// A job without dependents is left with its own priority and no finish times.
 	for job := range g.inheritors {
 		if _, ok := unvisited[job]; !ok {
 			job.Priority, job.FinishBy, job.FinishLatest = job.OwnPriority, time.Time{}, time.Time{}
@@ -145,29 +145,29 @@
 	for len(pending) > 0 {
 		job := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		pending = g.passOn(job, duration(job), unvisited, pending)
+		pending = g.propagate(job, duration(job), unvisited, pending)
 	}
 }
 
-// countDependents returns the jobs of the graph that may run, each with the number of its
-// dependents among them, and sets them back to what they have by themselves.
-func (g *dependencyGraph) countDependents(aims func(*Job) (finishBy, finishLatest time.Time)) map[*Job]int {
+// resetAndCountDependents resets the jobs in the graph that can run to their own priority and finish
+// times, and returns each with the number of its dependents that can run.
+func (g *dependencyGraph) resetAndCountDependents(finishTimes func(*Job) (finishBy, finishLatest time.Time)) map[*Job]int {
 	counts := map[*Job]int{}
 	visit := func(job *Job) {
 		if _, ok := counts[job]; !ok {
 			counts[job] = 0
 			job.Priority = job.OwnPriority
-			job.FinishBy, job.FinishLatest = aims(job)
+			job.FinishBy, job.FinishLatest = finishTimes(job)
 		}
 	}
 	for id, dependents := range g.dependents {
 		dependency := g.jobs.find(id)
-		if !mayRun(dependency) {
+		if !canRun(dependency) {
 			continue
 		}
 		visit(dependency)
 		for _, job := range dependents {
-			if mayRun(job) {
+			if canRun(job) {
 				visit(job)
 				counts[dependency]++
 			}
@@ -176,17 +176,17 @@
 	return counts
 }
 
-// passOn lets the dependencies of a job inherit from it, and adds to pending those all of whose
-// dependents were visited now.
-func (g *dependencyGraph) passOn(job *Job, takes time.Duration, unvisited map[*Job]int, pending []*Job) []*Job {
+// propagate updates a job's dependencies with its priority and finish times, and appends to pending
+// those whose dependents have all been visited.
+func (g *dependencyGraph) propagate(job *Job, duration time.Duration, unvisited map[*Job]int, pending []*Job) []*Job {
 	for _, id := range job.Dependencies {
 		dependency := g.jobs.find(id)
-		if !mayRun(dependency) {
+		if !canRun(dependency) {
 			continue
 		}
 		dependency.Priority = max(dependency.Priority, job.Priority)
-		dependency.FinishBy = earlier(dependency.FinishBy, job.FinishBy, takes)
-		dependency.FinishLatest = earlier(dependency.FinishLatest, job.FinishLatest, takes)
+		dependency.FinishBy = earlierFinish(dependency.FinishBy, job.FinishBy, duration)
+		dependency.FinishLatest = earlierFinish(dependency.FinishLatest, job.FinishLatest, duration)
 		if unvisited[dependency]--; unvisited[dependency] == 0 {
 			pending = append(pending, dependency)
 		}
@@ -194,29 +194,30 @@
 	return pending
 }
 
-// earlier is the earlier of a job's own time and that of a dependent less how long the dependent
-// takes. A zero time is none.
-func earlier(own, dependent time.Time, takes time.Duration) time.Time {
+// earlierFinish returns the earlier of a job's own finish time and the latest finish time that still
+// allows the dependent, which runs for duration, to finish in time. A zero time means no finish time.
+func earlierFinish(own, dependent time.Time, duration time.Duration) time.Time {
 	if dependent.IsZero() {
 		return own
 	}
-	if latest := dependent.Add(-takes); own.IsZero() || latest.Before(own) {
+	if latest := dependent.Add(-duration); own.IsZero() || latest.Before(own) {
 		return latest
 	}
 	return own
 }
 
-// DependencyFailed returns the jobs that were cancelled with one before them and have no final
-// record of their own yet. The list is valid until the next change.
-func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailed() }
+// DependencyFailed returns the jobs that were cancelled because of a dependency and have no final
+// record of their own yet. The list is valid until the next change of the cache.
+func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailedJobs() }
 
-// NewlyReady returns the jobs that became ready since it was last called.
+// NewlyReady returns the jobs that became ready since the last call.
 func (c *Cache) NewlyReady() []*Job { return c.dependencies.takeNewlyReady() }
 
-// Inherit works out what jobs inherit from their dependents: the highest priority of
-// any, and the latest time at which they must be over for those to be in time. aims tells
-// when a job itself should be over at best and at the latest (zero: no such time), duration
-// how long it will take. Every job and edge is visited once.
-func (c *Cache) Inherit(aims func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
-	c.dependencies.inherit(aims, duration)
+// Inherit propagates priorities and finish times from jobs to their dependencies: a job gets the
+// highest priority among its own and those of its dependents, and the latest finish times that still
+// allow its dependents to finish in time. finishTimes returns the times by which a job itself should
+// finish at best and at the latest (zero: no such time); duration returns its expected run time. Each
+// job and edge is visited once.
+func (c *Cache) Inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+	c.dependencies.inherit(finishTimes, duration)
 }
