--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -11,7 +11,7 @@
 var (
 	// ErrLayout reports a foreign layout: the records have an earlier layout with one key per
 	// machine, which this version does not read. See the operators' handbook.
-	ErrLayout = errors.New("record has an earlier layout that this version does not read; empty the state service before starting this version")
+	ErrLayout = errors.New("a record of an earlier layout; the state service must be emptied before this version starts")
 	// ErrCorrupt reports a value that cannot be decoded or that contradicts another record.
 	ErrCorrupt = errors.New("corrupt record")
 	// ErrUnknownReference reports a reference to a job, machine, team, shard or description chunk
