--- a/internal/controller/autoscale/decide.go
+++ b/internal/controller/autoscale/decide.go
@@ -44,27 +44,27 @@
 }
 
 const (
-	// minFreePart is the free part of a machine up to which it counts as full.
-	minFreePart = 1e-9
-	// minFreePartOfNew is the same for a machine to be scaled out.
-	minFreePartOfNew = 1e-6
-	// minNeed is how many wanted tasks, as a fraction, are not worth another machine.
-	minNeed = 0.05
-	// clearlyCheaper is the part of another offer's price a CPU below which an offer is taken for
+	// minFreeFraction is the free part of a machine up to which it counts as full.
+	minFreeFraction = 1e-9
+	// minNewFreeFraction is the same for a machine to be scaled out.
+	minNewFreeFraction = 1e-6
+	// minUnplacedTasks is how many wanted tasks, as a fraction, are not worth another machine.
+	minUnplacedTasks = 0.05
+	// cheaperPriceRatio is the part of another offer's price a CPU below which an offer is taken for
 	// cheaper however many machines of it there are.
-	clearlyCheaper = 0.99
+	cheaperPriceRatio = 0.99
 )
 
 // planner is one run of Decide.
 type planner struct {
-	machines []Machine
-	freePart []float64 // by machine, from 0 to 1
-	spot     []int     // usable spot machines that are not full yet, in order
-	onDemand []int     // the same for on-demand machines
-	offers   []Offer
-	newPart  map[Pool]float64 // free part of the last machine to be scaled out
-	counts   map[Pool]int     // machines to be scaled out
-	urgent   int
+	machines        []Machine
+	freeFraction    []float64 // by machine, from 0 to 1
+	spot            []int     // usable spot machines that are not full yet, in order
+	onDemand        []int     // the same for on-demand machines
+	offers          []Offer
+	newFreeFraction map[Pool]float64 // free part of the last machine to be scaled out
+	scaleOutCounts  map[Pool]int     // machines to be scaled out
+	urgent          int
 }
 
 // Decide compares demands with machines. The demands that may run on the fewest kinds of machine take
@@ -73,22 +73,22 @@
 // list is changed.
 func Decide(demands []Demand, machines []Machine, offers []Offer, horizon float64) Plan {
 	p := planner{
-		machines: machines,
-		freePart: slices.Repeat([]float64{1}, len(machines)),
-		offers:   sortedOffers(offers),
-		newPart:  map[Pool]float64{},
-		counts:   map[Pool]int{},
+		machines:        machines,
+		freeFraction:    slices.Repeat([]float64{1}, len(machines)),
+		offers:          sortedOffers(offers),
+		newFreeFraction: map[Pool]float64{},
+		scaleOutCounts:  map[Pool]int{},
 	}
 	p.spot, p.onDemand = usableMachines(machines)
 	for _, demand := range rankedDemands(demands) {
-		need := demand.wanted(horizon)
+		unplaced := demand.concurrentTasks(horizon)
 		if demand.Spot {
-			need = p.useMachines(&p.spot, demand, need)
+			unplaced = p.takeCapacity(&p.spot, demand, unplaced)
 		}
 		if !demand.Idle {
-			need = p.useMachines(&p.onDemand, demand, need)
+			unplaced = p.takeCapacity(&p.onDemand, demand, unplaced)
 		}
-		p.scaleOut(demand, need)
+		p.scaleOut(demand, unplaced)
 	}
 	return p.plan()
 }
@@ -129,46 +129,46 @@
 	return spot, onDemand
 }
 
-// useMachines has a demand take what it needs of machines, and returns how many tasks find none there.
-func (p *planner) useMachines(machines *[]int, demand *Demand, need float64) float64 {
+// takeCapacity has a demand take what it needs of machines, and returns how many tasks find none there.
+func (p *planner) takeCapacity(machines *[]int, demand *Demand, unplaced float64) float64 {
 	// Each demand starts with the first machine that still has something free: otherwise
 	// thousands of them look at all machines that those before have filled.
-	for len(*machines) > 0 && p.freePart[(*machines)[0]] <= minFreePart {
+	for len(*machines) > 0 && p.freeFraction[(*machines)[0]] <= minFreeFraction {
 		*machines = (*machines)[1:]
 	}
 	for _, i := range *machines {
-		if need <= 0 {
+		if unplaced <= 0 {
 			break
 		}
 		machine := &p.machines[i]
-		if p.freePart[i] <= minFreePart || !demand.Fits(machine.Pool, machine.Cpus, machine.Gpus, machine.Mem) {
+		if p.freeFraction[i] <= minFreeFraction || !demand.Fits(machine.Pool, machine.Cpus, machine.Gpus, machine.Mem) {
 			continue
 		}
-		perMachine := demand.perMachine(machine.Cpus, machine.Gpus, machine.Mem)
-		if perMachine < 1 {
+		tasksPerMachine := demand.tasksPerMachine(machine.Cpus, machine.Gpus, machine.Mem)
+		if tasksPerMachine < 1 {
 			continue
 		}
-		tasks := min(need, perMachine*p.freePart[i])
-		p.freePart[i] -= tasks / perMachine
-		need -= tasks
+		tasks := min(unplaced, tasksPerMachine*p.freeFraction[i])
+		p.freeFraction[i] -= tasks / tasksPerMachine
+		unplaced -= tasks
 	}
-	return need
+	return unplaced
 }
 
 // scaleOut plans machines for the tasks of a demand that find none, as far as there are offers.
-func (p *planner) scaleOut(demand *Demand, need float64) {
-	for need > minNeed {
+func (p *planner) scaleOut(demand *Demand, unplaced float64) {
+	for unplaced > minUnplacedTasks {
 		offer := p.bestOffer(demand)
 		if offer == nil {
 			return
 		}
-		if p.newPart[offer.Pool] <= minFreePartOfNew {
+		if p.newFreeFraction[offer.Pool] <= minNewFreeFraction {
 			p.addMachine(offer, demand.Idle)
 		}
-		perMachine := demand.perMachine(offer.Cpus, offer.Gpus, offer.Mem)
-		tasks := min(need, perMachine*p.newPart[offer.Pool])
-		p.newPart[offer.Pool] -= tasks / perMachine
-		need -= tasks
+		tasksPerMachine := demand.tasksPerMachine(offer.Cpus, offer.Gpus, offer.Mem)
+		tasks := min(unplaced, tasksPerMachine*p.newFreeFraction[offer.Pool])
+		p.newFreeFraction[offer.Pool] -= tasks / tasksPerMachine
+		unplaced -= tasks
 	}
 }
 
@@ -178,31 +178,31 @@
 	var best *Offer
 	for i := range p.offers {
 		offer := &p.offers[i]
-		if offer.Blocked || !demand.Fits(offer.Pool, offer.Cpus, offer.Gpus, offer.Mem) || demand.perMachine(offer.Cpus, offer.Gpus, offer.Mem) < 1 {
+		if offer.Blocked || !demand.Fits(offer.Pool, offer.Cpus, offer.Gpus, offer.Mem) || demand.tasksPerMachine(offer.Cpus, offer.Gpus, offer.Mem) < 1 {
 			continue
 		}
-		if best == nil || offer.isBetter(best) {
+		if best == nil || offer.isPreferredTo(best) {
 			best = offer
 		}
 	}
 	return best
 }
 
-// isBetter tells whether an offer is clearly cheaper than another, or no more expensive and of a pool
+// isPreferredTo tells whether an offer is clearly cheaper than another, or no more expensive and of a pool
 // with fewer machines.
-func (o *Offer) isBetter(other *Offer) bool {
-	return o.pricePerCPU() < clearlyCheaper*other.Price/other.Cpus ||
+func (o *Offer) isPreferredTo(other *Offer) bool {
+	return o.pricePerCPU() < cheaperPriceRatio*other.Price/other.Cpus ||
 		o.pricePerCPU() <= other.pricePerCPU() && o.Owned < other.Owned
 }
 
 // addMachine plans one more machine of an offer.
 func (p *planner) addMachine(offer *Offer, idle bool) {
-	p.counts[offer.Pool]++
+	p.scaleOutCounts[offer.Pool]++
 	if !idle {
 		p.urgent++
 	}
 	offer.Owned++
-	p.newPart[offer.Pool] = 1
+	p.newFreeFraction[offer.Pool] = 1
 }
 
 // plan is what the planner came to.
@@ -210,12 +210,12 @@
 	plan := Plan{Urgent: p.urgent, Surplus: map[Pool]float64{}}
 	for i := range p.machines {
 		if machine := &p.machines[i]; machine.Usable {
-			plan.Surplus[machine.Pool] += p.freePart[i]
+			plan.Surplus[machine.Pool] += p.freeFraction[i]
 		}
 	}
 	for i := range p.offers {
 		pool := p.offers[i].Pool
-		if count := p.counts[pool]; count > 0 {
+		if count := p.scaleOutCounts[pool]; count > 0 {
 			plan.ScaleOuts = append(plan.ScaleOuts, ScaleOut{Pool: pool, Count: count})
 		}
 	}
--- a/internal/controller/autoscale/decide_test.go
+++ b/internal/controller/autoscale/decide_test.go
@@ -49,8 +49,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			plan := Decide(test.demands, test.machines, test.offers, 0.3)
 			scaledOut := map[Pool]int{}
-			for _, wish := range plan.ScaleOuts {
-				scaledOut[wish.Pool] += wish.Count
+			for _, scaleOut := range plan.ScaleOuts {
+				scaledOut[scaleOut.Pool] += scaleOut.Count
 			}
 			if len(scaledOut) != len(test.want) {
 				t.Fatalf("scales out %v, want %v", scaledOut, test.want)
--- a/internal/controller/autoscale/demand.go
+++ b/internal/controller/autoscale/demand.go
@@ -26,18 +26,18 @@
 
 // Fits tells whether a demand's tasks may run on a pool's machines, which have so much of each resource.
 func (d *Demand) Fits(pool Pool, cpus, gpus, mem float64) bool {
-	return d.mayUse(pool) && d.Cpus <= cpus && d.Gpus <= gpus && d.Mem <= mem
+	return d.mayUsePool(pool) && d.Cpus <= cpus && d.Gpus <= gpus && d.Mem <= mem
 }
 
-// mayUse tells whether a demand's tasks may run in a pool, by spot or on-demand, zone and type.
-func (d *Demand) mayUse(pool Pool) bool {
+// mayUsePool tells whether a demand's tasks may run in a pool, by spot or on-demand, zone and type.
+func (d *Demand) mayUsePool(pool Pool) bool {
 	return (d.Spot || !pool.Spot) && (pool.Spot || !d.Idle) && (d.Zone < 0 || d.Zone == pool.Zone) &&
 		(len(d.Types) == 0 || slices.Contains(d.Types, pool.Type))
 }
 
-// wanted is how many tasks should run at once for the work to be through in time. horizon is as for
+// concurrentTasks is how many tasks should run at once for the work to be through in time. horizon is as for
 // Decide.
-func (d *Demand) wanted(horizon float64) float64 {
+func (d *Demand) concurrentTasks(horizon float64) float64 {
 	tasks := float64(d.Tasks)
 	if d.WithinS > 0 && horizon > 0 {
 		tasks = min(tasks, math.Ceil(d.Work/(horizon*d.WithinS)))
@@ -45,12 +45,12 @@
 	return tasks
 }
 
-// perMachine is how many tasks of a demand fit on an empty machine.
-func (d *Demand) perMachine(cpus, gpus, mem float64) float64 {
+// tasksPerMachine is how many tasks of a demand fit on an empty machine.
+func (d *Demand) tasksPerMachine(cpus, gpus, mem float64) float64 {
 	tasks := math.Inf(1)
-	for _, resource := range [...]struct{ all, each float64 }{{cpus, d.Cpus}, {gpus, d.Gpus}, {mem, d.Mem}} {
-		if resource.each > 0 {
-			tasks = min(tasks, math.Floor(resource.all/resource.each+tolerance))
+	for _, resource := range [...]struct{ capacity, perTask float64 }{{cpus, d.Cpus}, {gpus, d.Gpus}, {mem, d.Mem}} {
+		if resource.perTask > 0 {
+			tasks = min(tasks, math.Floor(resource.capacity/resource.perTask+tolerance))
 		}
 	}
 	return max(tasks, 0)
--- a/internal/controller/autoscale/limits.go
+++ b/internal/controller/autoscale/limits.go
@@ -9,8 +9,8 @@
 // Limit is what a team may use at a time, in CPUs and accelerators; 0: any.
 type Limit struct{ Cpus, Gpus float64 }
 
-// limitUsedUp is what is left of a limit once it is used up; 0 would be no limit.
-const limitUsedUp = 1e-9
+// exhaustedLimit is what is left of a limit once it is used up; 0 would be no limit.
+const exhaustedLimit = 1e-9
 
 // CapToLimits lowers the tasks of demands that together want more than their team's limit lets run. The
 // most urgent ones keep theirs. Where a team's demands want less, nothing changes: the work that waits
@@ -23,24 +23,24 @@
 			byTeam[demand.Team] = append(byTeam[demand.Team], demand)
 		}
 	}
-	for team, ofTeam := range byTeam {
-		slices.SortStableFunc(ofTeam, func(a, b *Demand) int { return cmp.Compare(a.WithinS, b.WithinS) })
-		left := limit(team)
-		for _, demand := range ofTeam {
-			left.Cpus = demand.capTo(left.Cpus, demand.Cpus, horizon)
-			left.Gpus = demand.capTo(left.Gpus, demand.Gpus, horizon)
+	for team, teamDemands := range byTeam {
+		slices.SortStableFunc(teamDemands, func(a, b *Demand) int { return cmp.Compare(a.WithinS, b.WithinS) })
+		remaining := limit(team)
+		for _, demand := range teamDemands {
+			remaining.Cpus = demand.capTasks(remaining.Cpus, demand.Cpus, horizon)
+			remaining.Gpus = demand.capTasks(remaining.Gpus, demand.Gpus, horizon)
 		}
 	}
 }
 
-// capTo lowers a demand's tasks, which take each of a resource, to what is left of its limit. It returns
+// capTasks lowers a demand's tasks, which take each of a resource, to what is left of its limit. It returns
 // what is left beside them.
-func (d *Demand) capTo(left, each, horizon float64) float64 {
-	if left <= 0 || each <= 0 {
-		return left
+func (d *Demand) capTasks(remaining, perTask, horizon float64) float64 {
+	if remaining <= 0 || perTask <= 0 {
+		return remaining
 	}
-	if most := math.Floor(left/each + tolerance); d.wanted(horizon) > most {
-		d.Tasks = int(most)
+	if maxTasks := math.Floor(remaining/perTask + tolerance); d.concurrentTasks(horizon) > maxTasks {
+		d.Tasks = int(maxTasks)
 	}
-	return max(limitUsedUp, left-d.wanted(horizon)*each)
+	return max(exhaustedLimit, remaining-d.concurrentTasks(horizon)*perTask)
 }
--- a/internal/controller/autoscale/limits_test.go
+++ b/internal/controller/autoscale/limits_test.go
@@ -6,8 +6,8 @@
 // nothing changes, and the work that waits behind a limit still makes what may run urgent.
 func TestCapToLimits(t *testing.T) {
 	const horizon = 0.5
-	demand := func(team, tasks int, work, within float64) Demand {
-		return Demand{Team: team, Tasks: tasks, Work: work, WithinS: within, Cpus: 2}
+	demand := func(team, tasks int, work, withinS float64) Demand {
+		return Demand{Team: team, Tasks: tasks, Work: work, WithinS: withinS, Cpus: 2}
 	}
 	for _, test := range []struct {
 		name    string
--- a/internal/controller/baseline/estimator_test.go
+++ b/internal/controller/baseline/estimator_test.go
@@ -15,10 +15,10 @@
 		return storage.Arrivals{Jobs: work / workPerJob, Work: work}
 	}
 	type phase struct {
-		windows   int
-		rate      float64 // work a second of the queue
-		otherRate float64 // work a second of the other queue
-		every     int     // the queue's work comes in one of so many windows; 0: in each
+		windows      int
+		rate         float64 // work a second of the queue
+		otherRate    float64 // work a second of the other queue
+		everyWindows int     // the queue's work comes in one of so many windows; 0: in each
 	}
 	both := Rates{queue: 10, otherQueue: 10}
 	for _, test := range []struct {
@@ -46,7 +46,7 @@
 						estimator = New(estimator.Baseline()) // a successor goes on from the record
 					}
 					asked := map[storage.ClassQueue]storage.Arrivals{queue: arrivals(phase.rate), otherQueue: arrivals(phase.otherRate)}
-					if phase.every > 0 && i%phase.every != 0 {
+					if phase.everyWindows > 0 && i%phase.everyWindows != 0 {
 						delete(asked, queue)
 					}
 					estimator.Window(Step, asked)
--- a/internal/controller/dispatch/commands.go
+++ b/internal/controller/dispatch/commands.go
@@ -16,7 +16,7 @@
 // commanded now. Attempts that are wanted no more and can be proved never to have started go into Gone.
 // answer tells that the commands go into the answer to the latest heartbeat; launches are then noted as
 // sent. No attempt in the record adds a command once there are limit of them.
-func (w *Worker) Commands(machine *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
+func (w *Worker) Commands(machine *storage.Machine, token uint64, desiredState func(storage.PlacedTask) DesiredState, inAnswer bool, limit int) []protocol.Command {
 	commands := w.unplacedCommands()
 	for _, placed := range machine.Tasks {
 		if len(commands) >= limit {
@@ -26,20 +26,20 @@
 		if _, ok := w.Gone[ref]; ok {
 			continue
 		}
-		desired := wish(placed)
-		seen, known := w.Seen[ref]
+		desired := desiredState(placed)
+		reported, isReported := w.Seen[ref]
 		switch {
-		case desired.Stop && known:
-			if seen.State != protocol.TaskCheckpointing || desired.Grace == 0 {
-				commands = append(commands, commandOf(protocol.OpKill, ref, desired.Grace))
+		case desired.Stop && isReported:
+			if reported.State != protocol.TaskCheckpointing || desired.Grace == 0 {
+				commands = append(commands, newCommand(protocol.OpKill, ref, desired.Grace))
 			}
 		case desired.Stop:
 			if w.Absent(machine, ref, token) {
 				w.Gone[ref] = Unsent
 			}
-		case !known && w.Incarnation == machine.Incarnation:
-			commands = append(commands, commandOf(protocol.OpLaunch, ref, 0))
-			if answer {
+		case !isReported && w.Incarnation == machine.Incarnation:
+			commands = append(commands, newCommand(protocol.OpLaunch, ref, 0))
+			if inAnswer {
 				w.Sent[ref] = w.HeartbeatSeq
 			}
 		}
@@ -47,8 +47,8 @@
 	return commands
 }
 
-// commandOf is a command for an attempt, with a grace period in seconds.
-func commandOf(operation string, ref Ref, grace float64) protocol.Command {
+// newCommand is a command for an attempt, with a grace period in seconds.
+func newCommand(operation string, ref Ref, grace float64) protocol.Command {
 	return protocol.Command{Op: operation, Task: protocol.TaskName(ref.Job.ID, ref.Task), Attempt: ref.Attempt, GraceS: grace}
 }
 
--- a/internal/controller/dispatch/heartbeat.go
+++ b/internal/controller/dispatch/heartbeat.go
@@ -8,27 +8,27 @@
 // ApplyHeartbeat takes in a newer heartbeat of a machine's worker. token is the one under which
 // the machine is commanded now; reply tells that the heartbeat is the reply to a direct command; job
 // finds a job by its ID, nil if there is none.
-func (w *Worker) ApplyHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reply bool, job func(string) *storage.Job) {
+func (w *Worker) ApplyHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, isReply bool, findJob func(string) *storage.Job) {
 	if heartbeat.Incarnation != w.Incarnation {
 		clear(w.Sent)
 	}
 	w.Incarnation = heartbeat.Incarnation
 	w.Seq = heartbeat.Seq
 	w.FencingToken = max(w.FencingToken, heartbeat.FencingToken)
-	if !reply {
+	if !isReply {
 		w.HeartbeatSeq = heartbeat.Seq
 	}
-	seenBefore := w.Seen
-	w.applyTasks(machine, heartbeat.Tasks, job)
-	w.findLost(machine, heartbeat, token, seenBefore)
+	reportedBefore := w.Seen
+	w.applyTasks(machine, heartbeat.Tasks, findJob)
+	w.markLost(machine, heartbeat, token, reportedBefore)
 }
 
 // applyTasks replaces what the worker reported of its tasks, and notes which have exited.
-func (w *Worker) applyTasks(machine *storage.Machine, tasks []protocol.TaskStatus, job func(string) *storage.Job) {
+func (w *Worker) applyTasks(machine *storage.Machine, tasks []protocol.TaskStatus, findJob func(string) *storage.Job) {
 	w.Seen = make(map[Ref]TaskSeen, len(tasks))
 	w.Unplaced = w.Unplaced[:0]
 	for _, status := range tasks {
-		ref, ok := placedRef(machine, status, job)
+		ref, ok := findPlacedAttempt(machine, status, findJob)
 		if !ok {
 			w.Unplaced = append(w.Unplaced, status)
 			continue
@@ -40,14 +40,14 @@
 	}
 }
 
-// placedRef names a reported attempt; ok tells whether the job's record places it on the machine.
-func placedRef(machine *storage.Machine, status protocol.TaskStatus, job func(string) *storage.Job) (ref Ref, ok bool) {
+// findPlacedAttempt names a reported attempt; ok tells whether the job's record places it on the machine.
+func findPlacedAttempt(machine *storage.Machine, status protocol.TaskStatus, findJob func(string) *storage.Job) (ref Ref, ok bool) {
 	id, task, _ := protocol.SplitTask(status.Task) // a malformed name is no job's
-	reported := job(id)
-	if reported == nil || task >= reported.Tasks || reported.MachineOf[task] != machine.Index || reported.AttemptOf[task] != status.Attempt {
+	job := findJob(id)
+	if job == nil || task >= job.Tasks || job.MachineOf[task] != machine.Index || job.AttemptOf[task] != status.Attempt {
 		return Ref{}, false
 	}
-	return Ref{reported, task, status.Attempt}, true
+	return Ref{job, task, status.Attempt}, true
 }
 
 // exitOutcome is the outcome of an attempt that has exited for a cause.
@@ -64,8 +64,8 @@
 	}
 }
 
-// findLost notes the attempts of the record as lost that a heartbeat proves to be absent.
-func (w *Worker) findLost(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, seenBefore map[Ref]TaskSeen) {
+// markLost notes the attempts of the record as lost that a heartbeat proves to be absent.
+func (w *Worker) markLost(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reportedBefore map[Ref]TaskSeen) {
 	newSession := heartbeat.Incarnation > machine.Incarnation // the lease ran out: the worker forgot every task
 	provesAbsence := w.provesAbsence(machine, heartbeat, token)
 	for _, placed := range machine.Tasks {
@@ -76,8 +76,8 @@
 		if _, ok := w.Gone[ref]; ok {
 			continue
 		}
-		_, before := seenBefore[ref]
-		if newSession || provesAbsence && before {
+		_, wasReported := reportedBefore[ref]
+		if newSession || provesAbsence && wasReported {
 			w.Gone[ref] = Lost
 		}
 	}
--- a/internal/controller/dispatch/worker.go
+++ b/internal/controller/dispatch/worker.go
@@ -74,14 +74,14 @@
 // Settle forgets what has been committed: attempts that the record no longer holds. Of those, the ones
 // that the worker still reports become Unplaced.
 func (w *Worker) Settle(machine *storage.Machine) {
-	held := make(map[Ref]bool, len(machine.Tasks))
+	placedAttempts := make(map[Ref]bool, len(machine.Tasks))
 	for _, placed := range machine.Tasks {
-		held[RefOf(placed)] = true
+		placedAttempts[RefOf(placed)] = true
 	}
-	deleteUnheld(w.Gone, held)
-	deleteUnheld(w.Sent, held)
+	deleteUnplaced(w.Gone, placedAttempts)
+	deleteUnplaced(w.Sent, placedAttempts)
 	for ref, seen := range w.Seen {
-		if held[ref] {
+		if placedAttempts[ref] {
 			continue
 		}
 		w.Unplaced = append(w.Unplaced, protocol.TaskStatus{
@@ -95,10 +95,10 @@
 	}
 }
 
-// deleteUnheld deletes the attempts that the record does not hold.
-func deleteUnheld[Value any](attempts map[Ref]Value, held map[Ref]bool) {
+// deleteUnplaced deletes the attempts that the record does not hold.
+func deleteUnplaced[Value any](attempts map[Ref]Value, placed map[Ref]bool) {
 	for ref := range attempts {
-		if !held[ref] {
+		if !placed[ref] {
 			delete(attempts, ref)
 		}
 	}
--- a/internal/controller/dispatch/worker_test.go
+++ b/internal/controller/dispatch/worker_test.go
@@ -28,9 +28,9 @@
 	olderToken := func(h *protocol.Heartbeat) { h.FencingToken = token - 1 }
 	laterSession := func(h *protocol.Heartbeat) { h.Incarnation = 4 }
 	type step struct {
-		heartbeat *protocol.Heartbeat
-		reply     bool // it is the reply to a direct command
-		answer    bool // its answer carries commands
+		heartbeat        *protocol.Heartbeat
+		reply            bool // it is the reply to a direct command
+		commandsInAnswer bool // its answer carries commands
 	}
 	cases := []struct {
 		name    string
@@ -56,16 +56,16 @@
 		{name: "running and not wanted", steps: []step{{heartbeat: heartbeat(1, nil, running)}}, stop: true, command: protocol.OpKill},
 		{name: "wanted no more, never sent", steps: []step{{heartbeat: heartbeat(1, nil)}}, stop: true, want: Unsent},
 		// The launch may still be on its way in the answer to the latest heartbeat.
-		{name: "wanted no more, just sent", steps: []step{{heartbeat: heartbeat(1, nil), answer: true}}, stop: true},
+		{name: "wanted no more, just sent", steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}}, stop: true},
 		{
 			name:  "wanted no more, sent and lost",
-			steps: []step{{heartbeat: heartbeat(1, nil), answer: true}, {heartbeat: heartbeat(2, nil)}},
+			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil)}},
 			stop:  true, want: Unsent,
 		},
 		// A direct command's reply is newer, yet the answer to the heartbeat may come after it.
 		{
 			name:  "a reply proves nothing about answers",
-			steps: []step{{heartbeat: heartbeat(1, nil), answer: true}, {heartbeat: heartbeat(2, nil), reply: true}},
+			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil), reply: true}},
 			stop:  true,
 		},
 		{
@@ -103,12 +103,12 @@
 					t.Fatal("heartbeat taken for old")
 				}
 				worker.ApplyHeartbeat(machine, step.heartbeat, token, step.reply, findJob)
-				if step.answer {
+				if step.commandsInAnswer {
 					worker.Commands(machine, token, run, true, 10)
 				}
 			}
-			wish := func(storage.PlacedTask) DesiredState { return DesiredState{Stop: test.stop} }
-			commands := worker.Commands(machine, token, wish, true, 10)
+			desired := func(storage.PlacedTask) DesiredState { return DesiredState{Stop: test.stop} }
+			commands := worker.Commands(machine, token, desired, true, 10)
 			if got := worker.Gone[Ref{job, 0, 7}]; got != test.want {
 				t.Errorf("outcome %d, want %d", got, test.want)
 			}
--- a/internal/controller/membership/assign.go
+++ b/internal/controller/membership/assign.go
@@ -30,7 +30,7 @@
 	}
 	a := newAssignment(owners, members)
 	for _, shard := range a.keepOwners() {
-		a.give(shard, a.leastLoaded())
+		a.assign(shard, a.leastLoaded())
 	}
 	if movable != nil {
 		a.balance(movable)
@@ -71,8 +71,8 @@
 	return least
 }
 
-// give makes a member own a shard that has no owner.
-func (a *assignment) give(shard, member int) {
+// assign makes a member own a shard that has no owner.
+func (a *assignment) assign(shard, member int) {
 	a.owners[shard] = a.members[member]
 	a.counts[member]++
 }
@@ -80,17 +80,17 @@
 // keepOwners leaves shards with their owners if those live, and returns the other shards. An owner that
 // has restarted gets its shards back up to its part of all.
 func (a *assignment) keepOwners() []int {
-	part := (len(a.owners) + len(a.members) - 1) / len(a.members)
+	fairShare := (len(a.owners) + len(a.members) - 1) / len(a.members)
 	var unowned []int
 	for shard, owner := range a.owners {
 		member := a.indexOf(owner.Name)
 		switch {
 		case member < 0:
 			unowned = append(unowned, shard)
-		case a.members[member].Incarnation != owner.Incarnation && a.counts[member] >= part:
+		case a.members[member].Incarnation != owner.Incarnation && a.counts[member] >= fairShare:
 			unowned = append(unowned, shard)
 		default:
-			a.give(shard, member)
+			a.assign(shard, member)
 		}
 	}
 	return unowned
@@ -102,7 +102,7 @@
 		from, to := a.indexOf(a.owners[shard].Name), a.leastLoaded()
 		if a.counts[from] >= a.counts[to]+minImbalance && movable(shard) {
 			a.counts[from]--
-			a.give(shard, to)
+			a.assign(shard, to)
 		}
 	}
 }
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -54,7 +54,7 @@
 
 // rank is where a class queue stands in an overload, and within a rank how much it has of what it
 // stands for there, from 0 to 1: the one that lacks most goes first.
-func (s *QueueState) rank() (rank int, part float64) {
+func (s *QueueState) rank() (rank int, fraction float64) {
 	switch {
 	case s == nil || s.Floor <= 0:
 		return rankSatisfied, 1
@@ -69,8 +69,8 @@
 // state is what is known of a class queue, nil if nothing is.
 func (q *jobQueue) state(input *Input) *QueueState { return input.Queues.At(q.class) }
 
-// leavesOnDemand tells whether a job is kept off on-demand machines, which are left to others.
-func (in *Input) leavesOnDemand(job *storage.Job) bool {
+// mustAvoidOnDemand tells whether a job is kept off on-demand machines, which are left to others.
+func (in *Input) mustAvoidOnDemand(job *storage.Job) bool {
 	if !in.Overloaded || !job.Spot || job.Priority.Top() {
 		return false
 	}
@@ -99,11 +99,11 @@
 
 // effectiveCpus is what part of a slot's capacity comes to in CPUs: with accelerators no more CPUs than
 // belong to those, since the others are of no use without one.
-func (s *Slot) effectiveCpus(part storage.Usage) float64 {
+func (s *Slot) effectiveCpus(amount storage.Usage) float64 {
 	if s.PerGpu > 0 {
-		return max(0, min(part.Cpus, part.Gpus*s.PerGpu))
+		return max(0, min(amount.Cpus, amount.Gpus*s.PerGpu))
 	}
-	return part.Cpus
+	return amount.Cpus
 }
 
 // noQueue marks a team without waiting jobs in nextQueue.
@@ -118,46 +118,46 @@
 	}
 	for i, queue := range queues {
 		team := queue.class.Team
-		if first := firstByTeam[team]; first == noQueue || goesFirstInTeam(input, queue, queues[first]) {
+		if first := firstByTeam[team]; first == noQueue || precedesInTeam(input, queue, queues[first]) {
 			firstByTeam[team] = i
 		}
 	}
 	best := noQueue
 	for _, i := range firstByTeam {
-		if i != noQueue && (best == noQueue || teamGoesBefore(input, queues[i], queues[best])) {
+		if i != noQueue && (best == noQueue || teamPrecedes(input, queues[i], queues[best])) {
 			best = i
 		}
 	}
 	return best
 }
 
-// goesFirstInTeam tells whether a queue's first job goes before that of another queue of its team: by
+// precedesInTeam tells whether a queue's first job goes before that of another queue of its team: by
 // priority, in an overload by what the queues have of their floors, then by latest start.
-func goesFirstInTeam(input *Input, a, b *jobQueue) bool {
+func precedesInTeam(input *Input, a, b *jobQueue) bool {
 	jobA, jobB := a.jobs[0].job, b.jobs[0].job
 	if jobA.Priority != jobB.Priority {
 		return jobA.Priority > jobB.Priority
 	}
-	if order := compareFloors(input, a, b); order != 0 {
+	if order := compareFloorFractions(input, a, b); order != 0 {
 		return order < 0
 	}
 	return compareJobs(a.jobs[0], b.jobs[0]) < 0
 }
 
-// compareFloors compares what class queues have of their floors, in an overload.
-func compareFloors(input *Input, a, b *jobQueue) int {
+// compareFloorFractions compares what class queues have of their floors, in an overload.
+func compareFloorFractions(input *Input, a, b *jobQueue) int {
 	if !input.Overloaded {
 		return 0
 	}
-	rankA, partA := a.state(input).rank()
-	rankB, partB := b.state(input).rank()
-	return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(partA, partB))
+	rankA, fractionA := a.state(input).rank()
+	rankB, fractionB := b.state(input).rank()
+	return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(fractionA, fractionB))
 }
 
-// teamGoesBefore tells whether a team's first job goes before another team's: teams within their
+// teamPrecedes tells whether a team's first job goes before another team's: teams within their
 // guarantee, then higher priority, then, in an overload, queues that have less than their floors; then
 // the smaller dominant share.
-func teamGoesBefore(input *Input, a, b *jobQueue) bool {
+func teamPrecedes(input *Input, a, b *jobQueue) bool {
 	jobA, jobB := a.jobs[0].job, b.jobs[0].job
 	usedA, usedB := input.Used[jobA.Team], input.Used[jobB.Team]
 	guaranteedA := WithinGuarantee(input.Teams[jobA.Team], usedA, jobA)
@@ -168,14 +168,14 @@
 	if jobA.Priority != jobB.Priority {
 		return jobA.Priority > jobB.Priority
 	}
-	if order := compareFloors(input, a, b); order != 0 {
+	if order := compareFloorFractions(input, a, b); order != 0 {
 		return order < 0
 	}
 	return DominantShare(usedA, input.Capacity) < DominantShare(usedB, input.Capacity)
 }
 
-// queueOf finds the queue of a job's class, or adds it to the list.
-func queueOf(queues []*jobQueue, job *storage.Job) ([]*jobQueue, *jobQueue) {
+// findOrAddQueue finds the queue of a job's class, or adds it to the list.
+func findOrAddQueue(queues []*jobQueue, job *storage.Job) ([]*jobQueue, *jobQueue) {
 	class := storage.ClassQueueOf(job)
 	for _, queue := range queues {
 		if queue.class == class {
--- a/internal/controller/schedule/cost.go
+++ b/internal/controller/schedule/cost.go
@@ -3,28 +3,28 @@
 import "dykeledge/internal/storage"
 
 const (
-	// packSeconds is how many seconds longer a fetch may take for a task to be packed with others
+	// maxPackingFetchS is how many seconds longer a fetch may take for a task to be packed with others
 	// rather than to keep another machine from being scaled in.
-	packSeconds = 3
-	// spotLifetime is the estimated time in seconds until a spot machine is taken away.
-	spotLifetime = 7200
-	// minFragileLoss is the expected loss in seconds from which on a task counts as fragile.
-	minFragileLoss = 1
-	// maxFragileCost is the most, in seconds, that the loss of fragile tasks counts.
-	maxFragileCost = 12
+	maxPackingFetchS = 3
+	// spotLifetimeS is the estimated time in seconds until a spot machine is taken away.
+	spotLifetimeS = 7200
+	// minFragileLossS is the expected loss in seconds from which on a task counts as fragile.
+	minFragileLossS = 1
+	// maxFragileCostS is the most, in seconds, that the loss of fragile tasks counts.
+	maxFragileCostS = 12
 	// fragileDivisor is how many fragile tasks on one machine cost as much again as one stands to lose.
 	fragileDivisor = 8
-	// deadlineOnSpotCost is what it costs, in seconds, to put a task of a pipeline with a deadline on a
+	// deadlineOnSpotCostS is what it costs, in seconds, to put a task of a pipeline with a deadline on a
 	// machine that may be taken away.
-	deadlineOnSpotCost = 4
-	// sameServiceCost is what it costs, in seconds for each, to put a replica where others of its service
+	deadlineOnSpotCostS = 4
+	// sameServiceCostS is what it costs, in seconds for each, to put a replica where others of its service
 	// are: the loss of one machine should take few of one service.
-	sameServiceCost = 4
+	sameServiceCostS = 4
 )
 
-// cost is what a placement costs in seconds: the image's fetch behind those already under way, the
+// placementSeconds is what a placement costs in seconds: the image's fetch behind those already under way, the
 // machine's risk, and small terms that only break ties.
-func cost(input *Input, slot *Slot, job *storage.Job) float64 {
+func placementSeconds(input *Input, slot *Slot, job *storage.Job) float64 {
 	total := slot.Risk
 	total += slot.fetchSeconds(job)
 	switch {
@@ -32,40 +32,40 @@
 		// A task that is lost and runs again delays all that waits for it: there is a
 		// deadline behind it, which leaves no time for that.
 		if slot.Machine.Spot {
-			total += deadlineOnSpotCost
+			total += deadlineOnSpotCostS
 		}
 	case job.Spot && !slot.Machine.Spot:
 		total += input.OnDemandWeight // on-demand machines are left to those that need them
 	}
-	if loss := spotLoss(job); job.Spot && loss >= minFragileLoss {
+	if loss := expectedSpotLossSeconds(job); job.Spot && loss >= minFragileLossS {
 		// Fragile tasks spread over the spot machines, but are not driven to on-demand ones by
 		// that: there they would be preempted.
 		if slot.Machine.Spot {
-			total += min(maxFragileCost, loss*float64(slot.Fragile)/fragileDivisor)
+			total += min(maxFragileCostS, loss*float64(slot.Fragile)/fragileDivisor)
 		} else {
-			total += maxFragileCost
+			total += maxFragileCostS
 		}
 	}
 	// Cheap machines first, in a fixed order: as work gets less, whole expensive machines become
 	// empty and can be scaled in.
-	total += packSeconds * slot.Rank
+	total += maxPackingFetchS * slot.Rank
 	return total
 }
 
-// spotLoss is how many seconds a task is expected to lose because its machine is taken away. Long tasks
+// expectedSpotLossSeconds is how many seconds a task is expected to lose because its machine is taken away. Long tasks
 // without checkpoints lose most, and run their whole time again at the end; many of them on one
 // machine would all be late together.
-func spotLoss(job *storage.Job) float64 {
+func expectedSpotLossSeconds(job *storage.Job) float64 {
 	lost := job.Estimate
 	if job.CheckpointInterval > 0 {
 		lost = min(lost, job.CheckpointInterval)
 	}
-	return lost * job.Estimate / spotLifetime
+	return lost * job.Estimate / spotLifetimeS
 }
 
 // AddFragile counts a task that runs on the slot's machine in Fragile, if it stands to lose much.
 func (s *Slot) AddFragile(job *storage.Job) {
-	if spotLoss(job) >= minFragileLoss {
+	if expectedSpotLossSeconds(job) >= minFragileLossS {
 		s.Fragile++
 	}
 }
@@ -82,7 +82,7 @@
 			n++
 		}
 	}
-	return sameServiceCost * float64(n)
+	return sameServiceCostS * float64(n)
 }
 
 // countSlot is how often a slot is in a list.
--- a/internal/controller/schedule/earliest_start.go
+++ b/internal/controller/schedule/earliest_start.go
@@ -13,13 +13,13 @@
 	// preemptionSeconds is about how long a preemption takes until its capacity is free: a record, the
 	// stops, the workers' heartbeats, a record.
 	preemptionSeconds = 4
-	// minStartGain is by how many seconds a task must start sooner on capacity that it preempts for
+	// minStartGainS is by how many seconds a task must start sooner on capacity that it preempts for
 	// free capacity to be left alone. Short fetches are not worth what a preemption loses.
-	minStartGain = 12
-	// sharedFetchGain is the part of an image's fetch by which a task that waits for one under way is
+	minStartGainS = 12
+	// sharedFetchGainFraction is the part of an image's fetch by which a task that waits for one under way is
 	// better off than one that starts another, where both take as long: each machine fetches an image
 	// once.
-	sharedFetchGain = 0.75
+	sharedFetchGainFraction = 0.75
 )
 
 // fetchSeconds is how many seconds a slot's machine needs until it has a job's image.
@@ -27,11 +27,11 @@
 	if s.FetchGBs <= 0 || slices.Contains(s.Images, job.Image) {
 		return 0
 	}
-	own := job.ImageGB / s.FetchGBs
+	imageSeconds := job.ImageGB / s.FetchGBs
 	if slices.Contains(s.FetchingImages, job.Image) {
-		return max(0, s.FetchDoneS-sharedFetchGain*own)
+		return max(0, s.FetchDoneS-sharedFetchGainFraction*imageSeconds)
 	}
-	return s.FetchDoneS + own
+	return s.FetchDoneS + imageSeconds
 }
 
 // startFetch has a slot's machine fetch a job's image, if it neither has nor fetches it.
@@ -45,13 +45,13 @@
 	}
 }
 
-// claimSooner finds where a job's next task starts so much sooner than on the free slot that was found
+// claimSoonerStart finds where a job's next task starts so much sooner than on the free slot that was found
 // for it, which has to fetch its image for longer, that it should wait: for a machine that is
 // starting, or as a top-priority job for capacity that it preempts where its image is. It claims the
 // capacity there, so that the next tasks look elsewhere. nil: the task should not wait.
-func (in *Input) claimSooner(cursor *jobCursor, free *Slot) *Slot {
+func (in *Input) claimSoonerStart(cursor *jobCursor, free *Slot) *Slot {
 	job := cursor.job
-	limit := free.fetchSeconds(job) - minStartGain
+	limit := free.fetchSeconds(job) - minStartGainS
 	if limit <= 0 {
 		return nil
 	}
--- a/internal/controller/schedule/earliest_start_test.go
+++ b/internal/controller/schedule/earliest_start_test.go
@@ -14,7 +14,7 @@
 
 // Replicas fetched images for half a minute and more on whatever machine had free capacity, beside
 // machines that had their image and ran work that may be preempted.
-func TestWhereATaskStartsSoonest(t *testing.T) {
+func TestTaskStartsWhereSoonest(t *testing.T) {
 	const (
 		image    = 7
 		preempts = "preempts"
@@ -66,7 +66,7 @@
 
 // A service's replicas spread over the machines that have its image: the loss of one machine took all
 // of them.
-func TestReplicasSpread(t *testing.T) {
+func TestServiceReplicasSpreadOverMachines(t *testing.T) {
 	const replicas = 6
 	service := job("a", replicas, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
 	var slots []*Slot
--- a/internal/controller/schedule/find_test.go
+++ b/internal/controller/schedule/find_test.go
@@ -15,41 +15,41 @@
 )
 
 // placeByScanning places as Place does, with a scan of every slot for every task.
-func placeByScanning(input *Input) (placed []string, short map[string]int, more bool) {
-	short = map[string]int{}
+func placeByScanning(input *Input) (placed []string, unplacedByJob map[string]int, more bool) {
+	unplacedByJob = map[string]int{}
 	queues := newQueues(input)
 	for len(queues) > 0 && len(placed) < input.Tasks {
-		turn := nextQueue(input, queues, make([]int, len(input.Teams)))
-		queue := queues[turn]
+		queueIndex := nextQueue(input, queues, make([]int, len(input.Teams)))
+		queue := queues[queueIndex]
 		cursor := queue.jobs[0]
 		var slot *Slot
-		bounded := false
-		within := WithinLimit(input.Teams[cursor.job.Team], input.Used[cursor.job.Team], cursor.job, 1)
-		if within {
-			slot, bounded = scanForBest(input, cursor)
+		recordLimited := false
+		withinLimit := WithinLimit(input.Teams[cursor.job.Team], input.Used[cursor.job.Team], cursor.job, 1)
+		if withinLimit {
+			slot, recordLimited = scanForBest(input, cursor)
 		}
 		switch {
 		case slot != nil:
-			take(input, cursor, slot)
+			recordPlacement(input, cursor, slot)
 			placed = append(placed, fmt.Sprintf("%s/%d on %s", cursor.job.ID, cursor.nextTask, slot.Machine.Name))
 			cursor.advance()
-		case bounded:
+		case recordLimited:
 			more = true
 			cursor.tasksLeft = 0
 		default:
-			if within {
-				short[cursor.job.ID] = cursor.tasksLeft
+			if withinLimit {
+				unplacedByJob[cursor.job.ID] = cursor.tasksLeft
 			}
 			cursor.tasksLeft = 0
 		}
 		if cursor.tasksLeft == 0 || cursor.nextTask < 0 {
 			queue.jobs = queue.jobs[1:]
 			if len(queue.jobs) == 0 {
-				queues = slices.Delete(queues, turn, turn+1)
+				queues = slices.Delete(queues, queueIndex, queueIndex+1)
 			}
 		}
 	}
-	return placed, short, more || len(queues) > 0
+	return placed, unplacedByJob, more || len(queues) > 0
 }
 
 // bitSource draws numbers from random bits. The same bits give the same numbers.
@@ -150,8 +150,8 @@
 	return states
 }
 
-// fixDraws has rapid make the same draws every time.
-func fixDraws(t *testing.T, seed, checks string) {
+// fixRapidSeed has rapid make the same draws every time.
+func fixRapidSeed(t *testing.T, seed, checks string) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -162,8 +162,8 @@
 
 // The search keeps options from one task to the next; whatever changes in between, it must
 // find what a scan of every slot would.
-func TestPlaceFindsWhatScanningFinds(t *testing.T) {
-	fixDraws(t, "7", "100")
+func TestPlaceMatchesFullScan(t *testing.T) {
+	fixRapidSeed(t, "7", "100")
 	rapid.Check(t, func(t *rapid.T) {
 		bits := rapid.SliceOfN(rapid.Uint16(), 16, 400).Draw(t, "bits")
 		wantPlaced, wantShort, wantMore := placeByScanning(drawInput(bits))
--- a/internal/controller/schedule/load_factor.go
+++ b/internal/controller/schedule/load_factor.go
@@ -22,8 +22,8 @@
 	finishDelay = 5 * time.Second
 	// estimateMargin is the factor by which run-time estimates are taken to be too low.
 	estimateMargin = 1.2
-	// minEstimate is the least run time, in seconds, that a task's work is counted with.
-	minEstimate = 1
+	// minEstimateS is the least run time, in seconds, that a task's work is counted with.
+	minEstimateS = 1
 )
 
 // WaitingWork is a job's waiting work.
@@ -37,19 +37,19 @@
 // within allow of Job.ReadyAt, 0 if it has no deadline; late tells that it has missed it. ok tells
 // whether it has a deadline that it can still meet.
 func WaitingWorkOf(now time.Time, job *storage.Job, left int, allow time.Duration, late bool) (waiting WaitingWork, ok bool) {
-	slack := slackOf(now, job, job.ReadyAt.Add(allow))
-	waiting = WaitingWork{Slack: slack, Work: workOf(job, left), OnDemand: !job.Spot}
+	slack := slackSeconds(now, job, job.ReadyAt.Add(allow))
+	waiting = WaitingWork{Slack: slack, Work: workOfTasks(job, left), OnDemand: !job.Spot}
 	return waiting, allow > 0 && !late && slack > 0
 }
 
-// slackOf is how many seconds a job has until it must have its capacity in order to meet its deadline.
-func slackOf(now time.Time, job *storage.Job, deadline time.Time) float64 {
+// slackSeconds is how many seconds a job has until it must have its capacity in order to meet its deadline.
+func slackSeconds(now time.Time, job *storage.Job, deadline time.Time) float64 {
 	return deadline.Sub(now).Seconds() - estimateMargin*job.Estimate - finishDelay.Seconds()
 }
 
-// workOf is the work of so many of a job's tasks, in CPU-seconds.
-func workOf(job *storage.Job, tasks int) float64 {
-	return float64(tasks) * job.Size * max(job.Estimate, minEstimate)
+// workOfTasks is the work of so many of a job's tasks, in CPU-seconds.
+func workOfTasks(job *storage.Job, tasks int) float64 {
+	return float64(tasks) * job.Size * max(job.Estimate, minEstimateS)
 }
 
 // Capacity is what machines have for work: All and OnDemand in CPUs, those of on-demand machines being
--- a/internal/controller/schedule/option_heap.go
+++ b/internal/controller/schedule/option_heap.go
@@ -3,9 +3,9 @@
 // option is a slot with what a placement there costs. It is out of date once the slot has
 // changed since.
 type option struct {
-	cost  float64 // seconds, see cost
-	slot  int32   // index in Input.Slots
-	since uint32  // the slot's count of changes when the cost was worked out
+	cost        float64 // seconds, see cost
+	slot        int32   // index in Input.Slots
+	changeCount uint32  // the slot's count of changes when the cost was worked out
 }
 
 // less puts the cheapest first, and of equals the one that comes first among the slots.
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -9,10 +9,10 @@
 // This file orders the jobs of a class queue.
 
 const (
-	// smallFirst is by how many seconds a job's latest start moves back for each second that its
+	// smallJobWeight is by how many seconds a job's latest start moves back for each second that its
 	// remaining work would keep the whole shard busy: under a backlog, more jobs are in time when
 	// the small ones go first.
-	smallFirst = 6
+	smallJobWeight = 6
 	// defaultTimeAllowed is how long jobs without a deadline are allowed to take, for their order only.
 	defaultTimeAllowed = time.Hour
 	// agedFraction is the part of a class queue's capacity that jobs which have waited far too long
@@ -55,7 +55,7 @@
 	if input.TimeAllowed != nil {
 		allowed, late = input.TimeAllowed(job)
 	}
-	c.remainingWork = workOf(job, c.tasksLeft)
+	c.remainingWork = workOfTasks(job, c.tasksLeft)
 	c.urgency = onTime
 	c.deadline = time.Time{}
 	switch {
@@ -66,8 +66,8 @@
 	default:
 		c.deadline = job.ReadyAt.Add(allowed)
 	}
-	back := smallFirst * workOf(job, job.Tasks-job.DoneCount) / max(input.Capacity.Cpus, 1)
-	c.latestStart = job.ReadyAt.Add(allowed + time.Duration((back-job.Estimate)*float64(time.Second)))
+	sizeDelayS := smallJobWeight * workOfTasks(job, job.Tasks-job.DoneCount) / max(input.Capacity.Cpus, 1)
+	c.latestStart = job.ReadyAt.Add(allowed + time.Duration((sizeDelayS-job.Estimate)*float64(time.Second)))
 }
 
 // sort puts the jobs in the order in which they start, by their urgencies as they stand.
@@ -99,7 +99,7 @@
 		for to < len(q.jobs) && q.jobs[to].job.Priority == q.jobs[from].job.Priority {
 			to++
 		}
-		if deferLate(now, q.jobs[from:to], capacity) {
+		if deferUntilFeasible(now, q.jobs[from:to], capacity) {
 			slices.SortStableFunc(q.jobs[from:to], compareJobs)
 		}
 		from = to
--- a/internal/controller/schedule/order_test.go
+++ b/internal/controller/schedule/order_test.go
@@ -13,17 +13,17 @@
 func TestOrderUnderOverload(t *testing.T) {
 	now := time.Unix(1000, 0)
 	type waitingJob struct {
-		id    string // those that start with "never" have had no task placed for too long
-		tasks int
-		age   float64 // seconds since its submission
-		late  bool
+		id             string // those that start with "never" have had no task placed for too long
+		tasks          int
+		age            float64 // seconds since its submission
+		missedDeadline bool
 	}
 	for _, test := range []struct {
-		name     string
-		capacity float64 // CPUs
-		lateUse  float64 // CPUs of the queue used by jobs that have waited far too long
-		jobs     []waitingJob
-		want     string
+		name        string
+		capacity    float64 // CPUs
+		overdueCpus float64 // CPUs of the queue used by jobs that have waited far too long
+		jobs        []waitingJob
+		want        string
 	}{
 		{"capacity for all: the oldest first", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "b c a"},
 		{"too much for the capacity: the largest is deferred", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "c a b"},
@@ -34,16 +34,16 @@
 		{"one that never started goes first, with one task", 8, 2, []waitingJob{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			missedDeadline := map[*storage.Job]bool{}
+			hasMissed := map[*storage.Job]bool{}
 			input := &Input{
 				Now:        now,
 				Capacity:   storage.Usage{Cpus: 1000},
-				Queues:     QueueStates{{Late: test.lateUse, Overloaded: true, Used: test.capacity}},
+				Queues:     QueueStates{{Late: test.overdueCpus, Overloaded: true, Used: test.capacity}},
 				Overloaded: true,
 				Overdue:    func(j *storage.Job) bool { return now.Sub(j.ReadyAt) > 600*time.Second },
 				MustBegin:  func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") },
 				TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
-					return 60 * time.Second, missedDeadline[j]
+					return 60 * time.Second, hasMissed[j]
 				},
 			}
 			queue := &jobQueue{}
@@ -51,7 +51,7 @@
 				j := job(waiting.id, waiting.tasks, 1, protocol.Normal)
 				j.ReadyAt = now.Add(-time.Duration(waiting.age * float64(time.Second)))
 				j.Estimate = 10
-				missedDeadline[j] = waiting.late
+				hasMissed[j] = waiting.missedDeadline
 				cursor := &jobCursor{job: j, tasksLeft: waiting.tasks}
 				cursor.setDeadline(input)
 				queue.jobs = append(queue.jobs, cursor)
--- a/internal/controller/schedule/overload_test.go
+++ b/internal/controller/schedule/overload_test.go
@@ -38,18 +38,18 @@
 }
 
 const (
-	timeAllowed     = 60.0            // seconds from submission in which jobs should be done
-	machineCpus     = 16              // of each machine
-	meanWork        = 5 * 2 * 4 * 2.3 // of a job, in CPU-seconds: tasks, CPUs, seconds, spread of those
-	overloadStart   = 60              // seconds
-	overloadEnd     = 240             // seconds
-	simulationEnd   = 300             // seconds
-	machinesLostAt  = overloadStart + 40
-	judgedEvery     = 60              // seconds
-	judgedFrom      = 2 * timeAllowed // seconds
-	minJobsJudged   = 10              // fewer tell nothing
-	minOthersInTime = 0.8             // part of the jobs of a class queue that is not overloaded
-	minPartOfBound  = 0.4             // of the overloaded class queue's jobs that could be in time
+	timeAllowedS            = 60.0            // seconds from submission in which jobs should be done
+	machineCpus             = 16              // of each machine
+	meanWorkCPUSeconds      = 5 * 2 * 4 * 2.3 // of a job, in CPU-seconds: tasks, CPUs, seconds, spread of those
+	overloadStartS          = 60              // seconds
+	overloadEndS            = 240             // seconds
+	simulationEndS          = 300             // seconds
+	machinesLostAtS         = overloadStartS + 40
+	checkIntervalS          = 60               // seconds
+	firstCheckS             = 2 * timeAllowedS // seconds
+	minJobsChecked          = 10               // fewer tell nothing
+	minOthersInTimeFraction = 0.8              // part of the jobs of a class queue that is not overloaded
+	minFractionOfBound      = 0.4              // of the overloaded class queue's jobs that could be in time
 )
 
 func (s *overloadSimulator) submit(queue storage.ClassQueue) {
@@ -72,8 +72,8 @@
 	s.now++
 	s.endTasks()
 	s.prepareInput()
-	waits := s.enterJobs()
-	s.enterOverload(waits)
+	waits := s.addOpenJobs()
+	s.detectOverload(waits)
 	for _, placement := range Place(s.input).Placed { // Place itself enters what it places in Slots and Used only
 		placement.Job.MachineOf[placement.Task] = 0
 		placement.Job.PlacedCount++
@@ -121,8 +121,8 @@
 	}
 }
 
-// enterJobs enters the open jobs in the input and returns what of them waits.
-func (s *overloadSimulator) enterJobs() []WaitingWork {
+// addOpenJobs enters the open jobs in the input and returns what of them waits.
+func (s *overloadSimulator) addOpenJobs() []WaitingWork {
 	input := s.input
 	var waits []WaitingWork
 	for _, j := range s.jobs {
@@ -141,8 +141,8 @@
 	return waits
 }
 
-// enterOverload tells the input which class queues are overloaded, as the controller does.
-func (s *overloadSimulator) enterOverload(waits []WaitingWork) {
+// detectOverload tells the input which class queues are overloaded, as the controller does.
+func (s *overloadSimulator) detectOverload(waits []WaitingWork) {
 	input := s.input
 	for queue, cpus := range s.baseline {
 		state := input.Queues.At(queue)
@@ -158,8 +158,8 @@
 	s.overloaded = input.Overloaded
 }
 
-// lose takes machines away; what ran on them ends later, as if started again elsewhere.
-func (s *overloadSimulator) lose(n int) {
+// loseMachines takes machines away; what ran on them ends later, as if started again elsewhere.
+func (s *overloadSimulator) loseMachines(n int) {
 	for i := range s.running {
 		if task := &s.running[i]; slices.Contains(s.slots[:n], task.slot) {
 			task.ends += s.runTimes[task.job]
@@ -168,31 +168,31 @@
 	s.slots = s.slots[n:]
 }
 
-// judged are a queue's jobs since a time that are old enough to tell whether they were in time.
-func (s *overloadSimulator) judged(queue storage.ClassQueue, since float64) []*storage.Job {
-	var judged []*storage.Job
+// decidedJobs are a queue's jobs since a time that are old enough to tell whether they were in time.
+func (s *overloadSimulator) decidedJobs(queue storage.ClassQueue, since float64) []*storage.Job {
+	var decidedJobs []*storage.Job
 	for _, j := range s.jobs {
-		if at := float64(j.ReadyAt.Unix()); storage.ClassQueueOf(j) == queue && at >= since && at+timeAllowed <= s.now {
-			judged = append(judged, j)
+		if at := float64(j.ReadyAt.Unix()); storage.ClassQueueOf(j) == queue && at >= since && at+timeAllowedS <= s.now {
+			decidedJobs = append(decidedJobs, j)
 		}
 	}
-	return judged
+	return decidedJobs
 }
 
-// inTime is the part of the jobs that were in time, and how many they are.
-func (s *overloadSimulator) inTime(jobs []*storage.Job) (part float64, n int) {
-	good := 0
+// inTimeFraction is the part of the jobs that were in time, and how many they are.
+func (s *overloadSimulator) inTimeFraction(jobs []*storage.Job) (fraction float64, n int) {
+	inTime := 0
 	for _, j := range jobs {
-		if end, ok := s.ended[j]; ok && end <= float64(j.ReadyAt.Unix())+timeAllowed {
-			good++
+		if end, ok := s.ended[j]; ok && end <= float64(j.ReadyAt.Unix())+timeAllowedS {
+			inTime++
 		}
 	}
-	return float64(good) / float64(max(1, len(jobs))), len(jobs)
+	return float64(inTime) / float64(max(1, len(jobs))), len(jobs)
 }
 
-// bound is the part that could have been in time with all that is known only now: the smallest, as many
+// inTimeUpperBound is the part that could have been in time with all that is known only now: the smallest, as many
 // as so much work takes.
-func (s *overloadSimulator) bound(jobs []*storage.Job, work float64) float64 {
+func (s *overloadSimulator) inTimeUpperBound(jobs []*storage.Job, work float64) float64 {
 	size := func(j *storage.Job) float64 { return float64(j.Tasks) * j.Cpus * s.runTimes[j] }
 	slices.SortFunc(jobs, func(a, b *storage.Job) int { return cmp.Compare(size(a), size(b)) })
 	n := 0
@@ -202,11 +202,11 @@
 	return float64(n) / float64(max(1, len(jobs)))
 }
 
-// submitAll submits what arrives in a second: as much as each class queue's baseline, and so many times
+// submitArrivals submits what arrives in a second: as much as each class queue's baseline, and so many times
 // that of the overloaded one.
-func (s *overloadSimulator) submitAll(queues []storage.ClassQueue, overloaded storage.ClassQueue, factor float64) {
+func (s *overloadSimulator) submitArrivals(queues []storage.ClassQueue, overloaded storage.ClassQueue, factor float64) {
 	for _, queue := range queues {
-		rate := s.baseline[queue] / meanWork
+		rate := s.baseline[queue] / meanWorkCPUSeconds
 		if queue == overloaded {
 			rate *= factor
 		}
@@ -226,8 +226,8 @@
 		baseline: map[storage.ClassQueue]float64{},
 	}
 	s.input = &Input{Teams: make([]config.Team, teams), TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
-		allowed := time.Duration(timeAllowed * float64(time.Second))
-		if s.input.Now.Sub(j.ReadyAt).Seconds()+j.Estimate > timeAllowed {
+		allowed := time.Duration(timeAllowedS * float64(time.Second))
+		if s.input.Now.Sub(j.ReadyAt).Seconds()+j.Estimate > timeAllowedS {
 			return allowed * 3 / 2, true
 		}
 		return allowed, false
@@ -260,8 +260,8 @@
 // machines are lost: the others must hardly notice, at every minute, and the overloaded one must have
 // a good part of what could be had.
 func TestOverloadLeavesOthersInTime(t *testing.T) {
-	fixDraws(t, "11", "20")
-	worstOther, leastOfBound, sumOfBound, runs := 1.0, 1.0, 0.0, 0
+	fixRapidSeed(t, "11", "20")
+	worstOther, minOfBound, sumOfBound, runs := 1.0, 1.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		teams := rapid.IntRange(1, 3).Draw(t, "teams")
@@ -271,31 +271,31 @@
 		simulator := newOverloadSimulator(seed, teams, machines)
 		queues := simulator.drawQueues(machineCpus * float64(machines-lost))
 		overloaded := queues[simulator.random.IntN(len(queues))]
-		for second := range simulationEnd {
+		for second := range simulationEndS {
 			currentFactor := 1.0
-			if second >= overloadStart && second < overloadEnd {
+			if second >= overloadStartS && second < overloadEndS {
 				currentFactor = float64(factor)
 			}
-			simulator.submitAll(queues, overloaded, currentFactor)
-			if second == machinesLostAt {
-				simulator.lose(lost)
+			simulator.submitArrivals(queues, overloaded, currentFactor)
+			if second == machinesLostAtS {
+				simulator.loseMachines(lost)
 			}
 			simulator.step()
-			if (second+1)%judgedEvery != 0 || second < judgedFrom {
+			if (second+1)%checkIntervalS != 0 || second < firstCheckS {
 				continue
 			}
 			for _, queue := range queues {
-				part, n := simulator.inTime(simulator.judged(queue, overloadStart))
-				if queue == overloaded || n < minJobsJudged {
+				fraction, n := simulator.inTimeFraction(simulator.decidedJobs(queue, overloadStartS))
+				if queue == overloaded || n < minJobsChecked {
 					continue
 				}
-				worstOther = min(worstOther, part)
-				if part < minOthersInTime {
-					t.Errorf("after %d s: %.2f of %d jobs of %v in time, %v is overloaded", second+1, part, n, queue, overloaded)
+				worstOther = min(worstOther, fraction)
+				if fraction < minOthersInTimeFraction {
+					t.Errorf("after %d s: %.2f of %d jobs of %v in time, %v is overloaded", second+1, fraction, n, queue, overloaded)
 				}
 			}
 		}
-		part, _ := simulator.inTime(simulator.judged(overloaded, overloadStart))
+		fraction, _ := simulator.inTimeFraction(simulator.decidedJobs(overloaded, overloadStartS))
 		others := 0.0
 		for queue, cpus := range simulator.baseline {
 			if queue != overloaded {
@@ -303,13 +303,13 @@
 			}
 		}
 		capacity := machineCpus*float64(machines) - others
-		best := simulator.bound(simulator.judged(overloaded, overloadStart), capacity*(simulator.now-overloadStart))
-		leastOfBound = min(leastOfBound, part/best)
-		sumOfBound += part / best
+		best := simulator.inTimeUpperBound(simulator.decidedJobs(overloaded, overloadStartS), capacity*(simulator.now-overloadStartS))
+		minOfBound = min(minOfBound, fraction/best)
+		sumOfBound += fraction / best
 		runs++
-		if part < minPartOfBound*best {
-			t.Errorf("%.2f of the overloaded class queue in time, %.2f could be", part, best)
+		if fraction < minFractionOfBound*best {
+			t.Errorf("%.2f of the overloaded class queue in time, %.2f could be", fraction, best)
 		}
 	})
-	t.Logf("worst part of a class queue that is not overloaded: %.3f in time; of the overloaded one's bound: %.3f in the mean, %.3f at least", worstOther, sumOfBound/float64(runs), leastOfBound)
+	t.Logf("worst part of a class queue that is not overloaded: %.3f in time; of the overloaded one's bound: %.3f in the mean, %.3f at least", worstOther, sumOfBound/float64(runs), minOfBound)
 }
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -17,7 +17,7 @@
 	claimed       []*Slot   // by task that waits in this pass for a slot's preemptible capacity or boot
 	latestStart   time.Time // when it should start at the latest
 	deadline      time.Time // zero: it has none that it could still meet
-	slack         float64   // seconds until it must have its capacity in order to be done in time
+	slackS        float64   // seconds until it must have its capacity in order to be done in time
 	remainingWork float64   // of the tasks left to start, in CPU-seconds
 	urgency       urgency
 }
@@ -43,7 +43,7 @@
 			continue
 		}
 		var queue *jobQueue
-		queues, queue = queueOf(queues, job)
+		queues, queue = findOrAddQueue(queues, job)
 		tasksLeft := job.Waiting()
 		if input.MaxTasks != nil {
 			tasksLeft = min(tasksLeft, input.MaxTasks(job))
@@ -78,9 +78,9 @@
 	}
 	firstByTeam := make([]int, len(input.Teams))
 	for len(p.queues) > 0 && len(p.result.Placed) < input.Tasks {
-		turn := nextQueue(input, p.queues, firstByTeam)
-		p.placeNext(p.queues[turn])
-		p.dropIfDone(turn)
+		queueIndex := nextQueue(input, p.queues, firstByTeam)
+		p.placeNext(p.queues[queueIndex])
+		p.dropIfDone(queueIndex)
 	}
 	if len(p.queues) > 0 {
 		p.result.More = true
@@ -98,11 +98,11 @@
 		cursor.tasksLeft = 0
 		return
 	}
-	slot, bounded := p.search.next(&queue.finder, cursor)
+	slot, recordLimited := p.search.next(&queue.finder, cursor)
 	switch {
 	case slot != nil:
 		p.placeOrWait(cursor, slot)
-	case bounded:
+	case recordLimited:
 		p.result.More = true
 		cursor.tasksLeft = 0
 	default:
@@ -113,12 +113,12 @@
 
 // placeOrWait puts a job's next task on a free slot, unless it starts sooner elsewhere and waits.
 func (p *pass) placeOrWait(cursor *jobCursor, slot *Slot) {
-	if soonest := p.input.claimSooner(cursor, slot); soonest != nil {
+	if soonest := p.input.claimSoonerStart(cursor, slot); soonest != nil {
 		if soonest.BootS == 0 {
 			p.result.Short[cursor.job]++
 		}
 	} else {
-		take(p.input, cursor, slot)
+		recordPlacement(p.input, cursor, slot)
 		p.search.update(slot, p.queues)
 		p.result.Placed = append(p.result.Placed, Placement{cursor.job, cursor.nextTask, slot})
 	}
@@ -132,20 +132,20 @@
 }
 
 // dropIfDone takes a queue's first job out if no task of it is left, and the queue with its last job.
-func (p *pass) dropIfDone(turn int) {
-	queue := p.queues[turn]
+func (p *pass) dropIfDone(queueIndex int) {
+	queue := p.queues[queueIndex]
 	if cursor := queue.jobs[0]; cursor.tasksLeft != 0 && cursor.nextTask >= 0 {
 		return
 	}
 	queue.jobs = queue.jobs[1:]
 	if len(queue.jobs) == 0 {
-		p.queues = slices.Delete(p.queues, turn, turn+1)
+		p.queues = slices.Delete(p.queues, queueIndex, queueIndex+1)
 	}
 }
 
-// take enters a placed task into the slot, its record, the job's cursor and what its team and class
+// recordPlacement enters a placed task into the slot, its record, the job's cursor and what its team and class
 // queue use.
-func take(input *Input, cursor *jobCursor, slot *Slot) {
+func recordPlacement(input *Input, cursor *jobCursor, slot *Slot) {
 	job := cursor.job
 	slot.Free.Add(job, -1)
 	slot.AddFragile(job)
--- a/internal/controller/schedule/place_test.go
+++ b/internal/controller/schedule/place_test.go
@@ -177,7 +177,7 @@
 		estimate           float64 // seconds
 		checkpointInterval float64 // seconds; 0: none
 		spot               bool
-		most               int // tasks on one of four machines
+		maxOnOneMachine    int // tasks on one of four machines
 	}{
 		{"long and without checkpoints", 150, 0, true, 14},
 		{"short", 15, 0, true, tasks},
@@ -204,23 +204,23 @@
 				addSlot(test.spot, float64(i)/4)
 			}
 			addSlot(false, 0.9)
-			count, most := map[*Slot]int{}, 0
+			count, maxOnOneMachine := map[*Slot]int{}, 0
 			for _, placement := range Place(input).Placed {
 				if !placement.Slot.Machine.Spot && test.spot {
 					t.Error("a task is on the on-demand machine")
 				}
 				count[placement.Slot]++
-				most = max(most, count[placement.Slot])
+				maxOnOneMachine = max(maxOnOneMachine, count[placement.Slot])
 			}
-			if most > test.most || test.most == tasks && most != tasks {
-				t.Errorf("%d tasks on one machine, want %d", most, test.most)
+			if maxOnOneMachine > test.maxOnOneMachine || test.maxOnOneMachine == tasks && maxOnOneMachine != tasks {
+				t.Errorf("%d tasks on one machine, want %d", maxOnOneMachine, test.maxOnOneMachine)
 			}
 		})
 	}
 }
 
 // With a full fleet each of hundreds of waiting jobs scanned every machine, each pass.
-func TestFullFleetIsScannedOnce(t *testing.T) {
+func TestFullFleetIsScannedFewTimes(t *testing.T) {
 	input := &Input{
 		Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2),
 		Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100,
--- a/internal/controller/schedule/preempt_soonest.go
+++ b/internal/controller/schedule/preempt_soonest.go
@@ -8,14 +8,14 @@
 	"dykeledge/internal/storage"
 )
 
-// fetchSteps are the seconds up to which a machine may fetch a job's image, in the steps in which
+// fetchLimitsS are the seconds up to which a machine may fetch a job's image, in the steps in which
 // PreemptSoonest widens its choice: a job preempts where its image is, if that frees enough for all of its
 // waiting tasks.
-var fetchSteps = [...]float64{4, 10, 20, 40, 80, math.Inf(1)}
+var fetchLimitsS = [...]float64{4, 10, 20, 40, 80, math.Inf(1)}
 
-// fetchStep is the index of the first step in which a slot is considered for a job.
-func fetchStep(slot *Slot, job *storage.Job) int {
-	return slices.IndexFunc(fetchSteps[:], func(limit float64) bool { return slot.fetchSeconds(job) <= limit })
+// fetchLimitIndex is the index of the first step in which a slot is considered for a job.
+func fetchLimitIndex(slot *Slot, job *storage.Job) int {
+	return slices.IndexFunc(fetchLimitsS[:], func(limit float64) bool { return slot.fetchSeconds(job) <= limit })
 }
 
 // PreemptSoonest is Preempt on the machines where the job's tasks start soonest, of all slots: those that
@@ -27,46 +27,46 @@
 // whose work within guarantees preempts all day, preferring machines a few seconds nearer lost more than
 // it gained.
 func PreemptSoonest(job *storage.Job, tasks int, slots []*Slot, ordered []Candidate) []Candidate {
-	if !slices.ContainsFunc(slots, func(slot *Slot) bool { return fetchesForLong(slot, job) }) {
+	if !slices.ContainsFunc(slots, func(slot *Slot) bool { return hasLongFetch(slot, job) }) {
 		return Preempt(job, tasks, slots, ordered)
 	}
-	steps := make(map[*Slot]int, len(slots))
+	limitIndexes := make(map[*Slot]int, len(slots))
 	for _, slot := range slots {
-		steps[slot] = fetchStep(slot, job)
+		limitIndexes[slot] = fetchLimitIndex(slot, job)
 	}
 	sorted := slices.Clone(ordered)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		return cmp.Or(
 			bestEffortFirst(a, b), // wherever it is
-			cmp.Compare(steps[a.Victims[0].Slot], steps[b.Victims[0].Slot]),
+			cmp.Compare(limitIndexes[a.Victims[0].Slot], limitIndexes[b.Victims[0].Slot]),
 		)
 	})
 	var near []*Slot
-	for step := range fetchSteps {
+	for limitIndex := range fetchLimitsS {
 		before := len(near)
 		for _, slot := range slots {
-			if steps[slot] == step {
+			if limitIndexes[slot] == limitIndex {
 				near = append(near, slot)
 			}
 		}
 		if len(near) == before {
 			continue
 		}
-		if len(near) == len(slots) || fitWithAll(job, near, sorted) >= tasks {
+		if len(near) == len(slots) || tasksIfAllPreempted(job, near, sorted) >= tasks {
 			return Preempt(job, tasks, near, sorted)
 		}
 	}
 	return nil
 }
 
-// fetchesForLong tells whether a slot's machine would fetch a job's image, if it has not got it, for so
+// hasLongFetch tells whether a slot's machine would fetch a job's image, if it has not got it, for so
 // long that a preemption elsewhere may be worth while.
-func fetchesForLong(slot *Slot, job *storage.Job) bool {
-	return slot.FetchGBs > 0 && job.ImageGB/slot.FetchGBs > minStartGain
+func hasLongFetch(slot *Slot, job *storage.Job) bool {
+	return slot.FetchGBs > 0 && job.ImageGB/slot.FetchGBs > minStartGainS
 }
 
-// fitWithAll is how many tasks of a job fit on the slots once all candidates are preempted.
-func fitWithAll(job *storage.Job, slots []*Slot, candidates []Candidate) int {
+// tasksIfAllPreempted is how many tasks of a job fit on the slots once all candidates are preempted.
+func tasksIfAllPreempted(job *storage.Job, slots []*Slot, candidates []Candidate) int {
 	capacity := newFreeCapacity(job, slots)
 	for _, candidate := range candidates {
 		capacity.release(candidate)
--- a/internal/controller/schedule/preemption_test.go
+++ b/internal/controller/schedule/preemption_test.go
@@ -18,7 +18,7 @@
 	cases := []struct {
 		name       string
 		alpha      float64
-		n          int
+		tasks      int
 		candidates []Candidate
 		want       []string
 	}{
@@ -45,7 +45,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			RankCandidates(test.alpha, test.candidates)
 			var preempted []string
-			for _, chosen := range Preempt(top, test.n, []*Slot{slotM, slotN}, test.candidates) {
+			for _, chosen := range Preempt(top, test.tasks, []*Slot{slotM, slotN}, test.candidates) {
 				preempted = append(preempted, chosen.Victims[0].Job.ID)
 			}
 			if !slices.Equal(preempted, test.want) {
--- a/internal/controller/schedule/team_limits.go
+++ b/internal/controller/schedule/team_limits.go
@@ -10,13 +10,13 @@
 
 // DominantShare is the largest part, from 0 to 1, that a team uses of any resource of the capacity.
 func DominantShare(used, capacity storage.Usage) float64 {
-	part := func(amount, of float64) float64 {
-		if of <= 0 {
+	fraction := func(amount, total float64) float64 {
+		if total <= 0 {
 			return 0
 		}
-		return amount / of
+		return amount / total
 	}
-	return max(part(used.Cpus, capacity.Cpus), part(used.Gpus, capacity.Gpus), part(used.Mem, capacity.Mem))
+	return max(fraction(used.Cpus, capacity.Cpus), fraction(used.Gpus, capacity.Gpus), fraction(used.Mem, capacity.Mem))
 }
 
 // WithinGuarantee tells whether a team stays within its guarantee with one more task beside what
@@ -37,12 +37,12 @@
 
 // CapacityWithin is how many of n more tasks a team may run within its limit beside what it uses.
 func CapacityWithin(team config.Team, used storage.Usage, job *storage.Job, n int) int {
-	for _, bound := range [...]struct{ limit, used, each float64 }{
+	for _, bound := range [...]struct{ limit, used, perTask float64 }{
 		{team.CpusMax, used.Cpus, job.Cpus},
 		{team.GpusMax, used.Gpus, job.Gpus},
 	} {
-		if bound.limit > 0 && bound.each > 0 {
-			n = min(n, int((bound.limit-bound.used+tolerance)/bound.each))
+		if bound.limit > 0 && bound.perTask > 0 {
+			n = min(n, int((bound.limit-bound.used+tolerance)/bound.perTask))
 		}
 	}
 	return max(0, n)
--- a/internal/controller/schedule/triage.go
+++ b/internal/controller/schedule/triage.go
@@ -11,12 +11,12 @@
 // minQueueCapacity is the least capacity, in CPUs, that a class queue is taken to have.
 const minQueueCapacity = 1
 
-// deferLate defers those of a class queue's jobs that can't be in time, and of the others the ones with
+// deferUntilFeasible defers those of a class queue's jobs that can't be in time, and of the others the ones with
 // the most work until the rest can be. It tells whether it deferred any. jobs are in the order of their
 // latest starts; capacity is in CPUs.
-func deferLate(now time.Time, jobs []*jobCursor, capacity float64) bool {
+func deferUntilFeasible(now time.Time, jobs []*jobCursor, capacity float64) bool {
 	capacity = max(capacity, minQueueCapacity)
-	deferredLate, totalWork, leastSlack := deferHopeless(now, jobs)
+	deferredLate, totalWork, leastSlack := deferUnreachable(now, jobs)
 	if totalWork <= leastSlack*capacity {
 		return deferredLate // all others can be in time
 	}
@@ -24,26 +24,26 @@
 	return deferredLate || deferredLargest
 }
 
-// hasChance tells whether a job has a deadline that it can still meet, as far as is known.
-func (c *jobCursor) hasChance() bool { return c.urgency == onTime && !c.deadline.IsZero() }
+// canMeetDeadline tells whether a job has a deadline that it can still meet, as far as is known.
+func (c *jobCursor) canMeetDeadline() bool { return c.urgency == onTime && !c.deadline.IsZero() }
 
-// deferHopeless works out the slack of jobs with a deadline and defers those that have none left. It
+// deferUnreachable works out the slack of jobs with a deadline and defers those that have none left. It
 // returns whether there are such, and of the others the work in CPU-seconds and the least slack in
 // seconds.
-func deferHopeless(now time.Time, jobs []*jobCursor) (deferredAny bool, totalWork, leastSlack float64) {
+func deferUnreachable(now time.Time, jobs []*jobCursor) (deferredAny bool, totalWork, leastSlack float64) {
 	leastSlack = math.Inf(1)
 	for _, cursor := range jobs {
-		if !cursor.hasChance() {
+		if !cursor.canMeetDeadline() {
 			continue
 		}
-		cursor.slack = slackOf(now, cursor.job, cursor.deadline)
-		if cursor.slack < 0 {
+		cursor.slackS = slackSeconds(now, cursor.job, cursor.deadline)
+		if cursor.slackS < 0 {
 			cursor.urgency = deferred
 			deferredAny = true
 			continue
 		}
 		totalWork += cursor.remainingWork
-		leastSlack = min(leastSlack, cursor.slack)
+		leastSlack = min(leastSlack, cursor.slackS)
 	}
 	return deferredAny, totalWork, leastSlack
 }
@@ -56,12 +56,12 @@
 	totalWork := 0.0
 	var kept largestFirst
 	for _, cursor := range jobs {
-		if !cursor.hasChance() {
+		if !cursor.canMeetDeadline() {
 			continue
 		}
 		heap.Push(&kept, cursor)
 		totalWork += cursor.remainingWork
-		for totalWork > cursor.slack*capacity && len(kept) > 0 {
+		for totalWork > cursor.slackS*capacity && len(kept) > 0 {
 			largest := heap.Pop(&kept).(*jobCursor)
 			largest.urgency = deferred
 			deferredAny = true
--- a/internal/controller/schedule/zones.go
+++ b/internal/controller/schedule/zones.go
@@ -31,15 +31,15 @@
 // allowsZone tells whether the job's next task may go to a zone, by what the job asks for: all tasks in
 // one zone, or not too many in any.
 func (c *jobCursor) allowsZone(input *Input, zone int) bool {
-	if c.job.OneZone && !c.isItsZone(input, zone) {
+	if c.job.OneZone && !c.isChosenZone(input, zone) {
 		return false
 	}
 	return !c.job.Spread || c.tasksInZone(zone)+1 <= c.job.MaxPerZone()
 }
 
-// isItsZone tells whether a zone is the one of a job that wants all its tasks in one: the zone where its
+// isChosenZone tells whether a zone is the one of a job that wants all its tasks in one: the zone where its
 // first task is, and before that the one with capacity for most tasks.
-func (c *jobCursor) isItsZone(input *Input, zone int) bool {
+func (c *jobCursor) isChosenZone(input *Input, zone int) bool {
 	total := 0
 	for other := range max(len(c.job.ByZone), len(c.placedByZone)) {
 		n := c.tasksInZone(other)
