--- a/internal/controller/autoscale/decide.go
+++ b/internal/controller/autoscale/decide.go
@@ -5,72 +5,74 @@
 	"slices"
 )
 
-// Pool is a kind of machine that the cloud offers: a type in a zone, spot or on-demand.
+// Pool is a kind of machine that the cloud offers: a machine type in a zone, spot or on-demand.
 type Pool struct {
 	Type, Zone int
 	Spot       bool
 }
 
-// Offer is a pool with what its machines are and cost.
+// Offer describes the machines of a pool and their price.
 type Offer struct {
 	Pool
-	Cpus, Gpus, Mem float64 // of one machine: CPUs, accelerators, GB
-	Price           float64 // of one machine, by the catalog
-	Boot            float64 // seconds until a machine is up
-	Owned           int     // machines of the pool that are there or on their way
-	Blocked         bool    // refused or partly filled a short while ago
+	Cpus, Gpus, Mem float64 // per machine: CPUs, accelerators, memory in GB
+	Price           float64 // of one machine, as listed in the catalog
+	Boot            float64 // boot time of a machine in seconds
+	Owned           int     // machines of the pool that are running or being started
+	Blocked         bool    // a recent request to the pool was refused or only partly filled
 }
 
-// Machine is a machine that is there or on its way.
+// Machine is a machine that is running or being started.
 type Machine struct {
 	Pool
-	Cpus, Gpus, Mem float64 // CPUs, accelerators, GB
-	Usable          bool    // counts as capacity
+	Cpus, Gpus, Mem float64 // CPUs, accelerators, memory in GB
+	Usable          bool    // its capacity counts
 }
 
-// ScaleOut is a wish for machines of a pool.
+// ScaleOut is the number of machines to request from a pool.
 type ScaleOut struct {
 	Pool
 	Count int
 }
 
-// Plan is what should be there beyond what is, and what is not needed.
+// Plan is the result of Decide: the machines to request, and the capacity that is not needed.
 type Plan struct {
 	ScaleOuts []ScaleOut
-	// Urgent is how many machines are scaled out for more than idle-time work.
+	// Urgent is the number of machines to request for work other than idle-time work.
 	Urgent int
-	// Surplus is how many whole machines of each pool are not needed, summed over parts of machines.
+	// Surplus is the unneeded capacity of each pool, in machines: the sum of the free fractions of its
+	// usable machines.
 	Surplus map[Pool]float64
 }
 
 const (
-	// minFreeFraction is the free part of a machine up to which it counts as full.
+	// minFreeFraction is the free fraction up to which a machine counts as full.
 	minFreeFraction = 1e-9
-	// minNewFreeFraction is the same for a machine to be scaled out.
+	// minNewFreeFraction is the free fraction up to which a machine to be scaled out counts as full.
 	minNewFreeFraction = 1e-6
-	// minUnplacedTasks is how many wanted tasks, as a fraction, are not worth another machine.
+	// minUnplacedTasks is the number of unplaced tasks, which may be a fraction of one, up to which no
+	// further machine is requested.
 	minUnplacedTasks = 0.05
-	// cheaperPriceRatio is the part of another offer's price a CPU below which an offer is taken for
-	// cheaper however many machines of it there are.
+	// cheaperPriceRatio is the ratio of two offers' prices per CPU below which the first offer is
+	// preferred regardless of how many machines its pool has.
 	cheaperPriceRatio = 0.99
 )
 
-// planner is one run of Decide.
+// planner holds the state of one run of Decide.
 type planner struct {
 	machines        []Machine
-	freeFraction    []float64 // by machine, from 0 to 1
-	spot            []int     // usable spot machines that are not full yet, in order
+	freeFraction    []float64 // by machine index, from 0 to 1
+	spot            []int     // indices of the usable spot machines, from the first that is not full
 	onDemand        []int     // the same for on-demand machines
 	offers          []Offer
-	newFreeFraction map[Pool]float64 // free part of the last machine to be scaled out
-	scaleOutCounts  map[Pool]int     // machines to be scaled out
+	newFreeFraction map[Pool]float64 // of the last machine to be scaled out, by pool
+	scaleOutCounts  map[Pool]int     // machines to be scaled out, by pool
 	urgent          int
 }
 
-// Decide compares demands with machines. The demands that may run on the fewest kinds of machine take
-// theirs first; what finds no machine is scaled out from the cheapest offers. horizon is the part, from
-// 0 to 1, of a demand's allowed time that its work may take; 0: all tasks should run at once. Neither
-// list is changed.
+// Decide compares the demands with the machines. Demands that may run on the fewest kinds of machines
+// are assigned capacity first; machines for what remains are requested from the cheapest offers. horizon
+// is the fraction, from 0 to 1, of a demand's allowed time in which its work should be completed; 0: all
+// tasks should run at once. Decide does not modify its arguments.
 func Decide(demands []Demand, machines []Machine, offers []Offer, horizon float64) Plan {
 	p := planner{
 		machines:        machines,
@@ -93,7 +95,7 @@
 	return p.plan()
 }
 
-// rankedDemands are the demands in the order in which they take machines.
+// rankedDemands returns the demands in the order in which they are assigned capacity.
 func rankedDemands(demands []Demand) []*Demand {
 	ranked := make([]*Demand, len(demands))
 	for i := range demands {
@@ -103,7 +105,8 @@
 	return ranked
 }
 
-// sortedOffers are the offers with the cheapest first, and of equals the pool with the fewest machines.
+// sortedOffers returns the offers by rising price per CPU; among equal prices, the pool with the fewest
+// machines comes first.
 func sortedOffers(offers []Offer) []Offer {
 	sorted := slices.Clone(offers)
 	slices.SortStableFunc(sorted, func(a, b Offer) int {
@@ -114,8 +117,8 @@
 
 func (o *Offer) pricePerCPU() float64 { return o.Price / o.Cpus }
 
-// usableMachines are the indices of the usable spot and on-demand machines. Demands use the spot
-// machines first, so that what is surplus is expensive.
+// usableMachines returns the indices of the usable spot and on-demand machines. Demands are assigned spot
+// machines first, so that the surplus consists of the more expensive machines.
 func usableMachines(machines []Machine) (spot, onDemand []int) {
 	for i := range machines {
 		switch machine := &machines[i]; {
@@ -129,10 +132,11 @@
 	return spot, onDemand
 }
 
-// takeCapacity has a demand take what it needs of machines, and returns how many tasks find none there.
+// takeCapacity assigns free capacity of the machines to a demand and returns how many tasks remain
+// unplaced.
 func (p *planner) takeCapacity(machines *[]int, demand *Demand, unplaced float64) float64 {
-	// Each demand starts with the first machine that still has something free: otherwise
-	// thousands of them look at all machines that those before have filled.
+	// Drops full machines from the front of the list: otherwise each of thousands of demands would
+	// scan all machines that earlier demands have filled.
 	for len(*machines) > 0 && p.freeFraction[(*machines)[0]] <= minFreeFraction {
 		*machines = (*machines)[1:]
 	}
@@ -155,7 +159,7 @@
 	return unplaced
 }
 
-// scaleOut plans machines for the tasks of a demand that find none, as far as there are offers.
+// scaleOut adds machines to the plan for a demand's unplaced tasks, as far as there are offers.
 func (p *planner) scaleOut(demand *Demand, unplaced float64) {
 	for unplaced > minUnplacedTasks {
 		offer := p.bestOffer(demand)
@@ -172,8 +176,8 @@
 	}
 }
 
-// bestOffer is the cheapest offer that a demand's tasks may run on, and of those that cost about the
-// same the pool with the fewest machines; nil if there is none.
+// bestOffer returns the cheapest offer that a demand's tasks may run on; among offers of about the same
+// price, it prefers the pool with the fewest machines. It returns nil if there is none.
 func (p *planner) bestOffer(demand *Demand) *Offer {
 	var best *Offer
 	for i := range p.offers {
@@ -188,14 +192,14 @@
 	return best
 }
 
-// isPreferredTo tells whether an offer is clearly cheaper than another, or no more expensive and of a pool
-// with fewer machines.
+// isPreferredTo reports whether an offer is clearly cheaper per CPU than another, or costs no more and
+// belongs to a pool with fewer machines.
 func (o *Offer) isPreferredTo(other *Offer) bool {
 	return o.pricePerCPU() < cheaperPriceRatio*other.Price/other.Cpus ||
 		o.pricePerCPU() <= other.pricePerCPU() && o.Owned < other.Owned
 }
 
-// addMachine plans one more machine of an offer.
+// addMachine adds one machine of an offer to the plan. idle is true if it is for idle-time work.
 func (p *planner) addMachine(offer *Offer, idle bool) {
 	p.scaleOutCounts[offer.Pool]++
 	if !idle {
@@ -205,7 +209,7 @@
 	p.newFreeFraction[offer.Pool] = 1
 }
 
-// plan is what the planner came to.
+// plan returns the resulting plan.
 func (p *planner) plan() Plan {
 	plan := Plan{Urgent: p.urgent, Surplus: map[Pool]float64{}}
 	for i := range p.machines {
--- a/internal/controller/autoscale/decide_test.go
+++ b/internal/controller/autoscale/decide_test.go
@@ -29,19 +29,19 @@
 		surplus  map[Pool]float64
 	}{
 		{"nothing to do", nil, []Machine{machine(spotA, true)}, offers, map[Pool]int{}, map[Pool]float64{spotA: 1}},
-		{"cheap first, spread over zones", []Demand{work(8, true)}, nil, offers, map[Pool]int{spotA: 1, spotB: 1}, nil},
+		{"cheapest first, spread over zones", []Demand{work(8, true)}, nil, offers, map[Pool]int{spotA: 1, spotB: 1}, nil},
 		{"on-demand where spot is not allowed", []Demand{work(8, false)}, nil, offers, map[Pool]int{onDemandA: 2}, nil},
-		{"machines that are there count", []Demand{work(8, true)}, []Machine{machine(spotA, true)}, offers, map[Pool]int{spotB: 1}, nil},
+		{"existing machines count", []Demand{work(8, true)}, []Machine{machine(spotA, true)}, offers, map[Pool]int{spotB: 1}, nil},
 		{"machines that are not usable do not count", []Demand{work(4, true)}, []Machine{machine(spotA, false)}, offers, map[Pool]int{spotB: 1}, nil},
-		{"on-demand when no spot can be had", []Demand{work(4, true)}, nil,
+		{"on-demand when spot is blocked", []Demand{work(4, true)}, nil,
 			[]Offer{offer(spotA, 0.3, true), offer(onDemandA, 1, false)}, map[Pool]int{onDemandA: 1}, nil},
-		{"demands with the least choice take theirs first", []Demand{work(4, true), work(4, false)}, []Machine{machine(onDemandA, true)}, offers,
+		{"demands with the fewest choices are served first", []Demand{work(4, true), work(4, false)}, []Machine{machine(onDemandA, true)}, offers,
 			map[Pool]int{spotA: 1}, nil},
-		{"the expensive one is surplus", []Demand{work(4, true)}, []Machine{machine(onDemandA, true), machine(spotA, true)}, offers,
+		{"the more expensive machine is surplus", []Demand{work(4, true)}, []Machine{machine(onDemandA, true), machine(spotA, true)}, offers,
 			map[Pool]int{}, map[Pool]float64{onDemandA: 1, spotA: 0}},
-		{"idle-time work is worth no on-demand machine", []Demand{idle(4)}, []Machine{machine(onDemandA, true)},
+		{"idle-time work uses no on-demand machine", []Demand{idle(4)}, []Machine{machine(onDemandA, true)},
 			[]Offer{offer(spotA, 0.3, true), offer(onDemandA, 1, false)}, map[Pool]int{}, map[Pool]float64{onDemandA: 1}},
-		{"idle-time work takes what others leave", []Demand{idle(8), work(4, true)}, []Machine{machine(spotA, true)}, offers,
+		{"idle-time work uses what others leave", []Demand{idle(8), work(4, true)}, []Machine{machine(spotA, true)}, offers,
 			map[Pool]int{spotA: 1, spotB: 1}, nil},
 		{"too large for any machine", []Demand{{Spot: true, Zone: -1, Cpus: 32, Tasks: 1, Work: 10, WithinS: 10}}, nil, offers, map[Pool]int{}, nil},
 	}
@@ -56,7 +56,7 @@
 				t.Fatalf("scales out %v, want %v", scaledOut, test.want)
 			}
 			for pool, n := range test.want {
-				// Which of two zones that cost the same comes first does not matter.
+				// Of two zones with the same price, either may be chosen first.
 				otherZone := Pool{Type: pool.Type, Zone: 1 - pool.Zone, Spot: true}
 				if scaledOut[pool] != n && (!pool.Spot || scaledOut[otherZone] != n) {
 					t.Fatalf("scales out %v, want %v", scaledOut, test.want)
--- a/internal/controller/autoscale/demand.go
+++ b/internal/controller/autoscale/demand.go
@@ -5,38 +5,39 @@
 	"slices"
 )
 
-// NoTeam is the team of demands that no limit bounds.
+// NoTeam is the team of demands that are not subject to a team limit.
 const NoTeam = -1
 
-// tolerance is by how much quotients of resources may be off before they are rounded down.
+// tolerance is the rounding error allowed for in quotients of resources before they are rounded down.
 const tolerance = 1e-6
 
-// Demand is work of one kind: what it may run on and how much there is.
+// Demand is the open work of one kind: the machines it may run on, and its amount.
 type Demand struct {
-	Team            int // whose limit bounds it, or NoTeam
+	Team            int // the team whose limit applies, or NoTeam
 	Spot            bool
-	Idle            bool    // idle-time work: worth spot machines only
+	Idle            bool    // idle-time work: only spot machines are scaled out for it
 	Types           []int   // machine types that it may run on; empty: any
-	Zone            int     // that it must run in; -1: any
-	Cpus, Gpus, Mem float64 // of one task: CPUs, accelerators, GB
-	Tasks           int     // waiting and placed
-	Work            float64 // task-seconds still to run
-	WithinS         float64 // seconds in which it should be through; 0: no hurry
+	Zone            int     // the zone that it must run in; -1: any
+	Cpus, Gpus, Mem float64 // per task: CPUs, accelerators, memory in GB
+	Tasks           int     // waiting and placed tasks
+	Work            float64 // remaining work in task-seconds
+	WithinS         float64 // seconds in which the work should be completed; 0: no deadline
 }
 
-// Fits tells whether a demand's tasks may run on a pool's machines, which have so much of each resource.
+// Fits reports whether a demand's tasks may run on machines of a pool that have the given resources.
 func (d *Demand) Fits(pool Pool, cpus, gpus, mem float64) bool {
 	return d.mayUsePool(pool) && d.Cpus <= cpus && d.Gpus <= gpus && d.Mem <= mem
 }
 
-// mayUsePool tells whether a demand's tasks may run in a pool, by spot or on-demand, zone and type.
+// mayUsePool reports whether a pool satisfies a demand's constraints on spot or on-demand machines, zone
+// and machine type.
 func (d *Demand) mayUsePool(pool Pool) bool {
 	return (d.Spot || !pool.Spot) && (pool.Spot || !d.Idle) && (d.Zone < 0 || d.Zone == pool.Zone) &&
 		(len(d.Types) == 0 || slices.Contains(d.Types, pool.Type))
 }
 
-// concurrentTasks is how many tasks should run at once for the work to be through in time. horizon is as for
-// Decide.
+// concurrentTasks returns how many tasks should run at once for the work to be completed in time. horizon
+// is as for Decide.
 func (d *Demand) concurrentTasks(horizon float64) float64 {
 	tasks := float64(d.Tasks)
 	if d.WithinS > 0 && horizon > 0 {
@@ -45,7 +46,7 @@
 	return tasks
 }
 
-// tasksPerMachine is how many tasks of a demand fit on an empty machine.
+// tasksPerMachine returns how many of a demand's tasks fit on an empty machine.
 func (d *Demand) tasksPerMachine(cpus, gpus, mem float64) float64 {
 	tasks := math.Inf(1)
 	for _, resource := range [...]struct{ capacity, perTask float64 }{{cpus, d.Cpus}, {gpus, d.Gpus}, {mem, d.Mem}} {
@@ -56,8 +57,9 @@
 	return max(tasks, 0)
 }
 
-// rank puts the demands that may run on the fewest kinds of machine first: each property that widens
-// the choice outweighs all below it. Idle-time work takes what the others leave.
+// rank orders the demands: those that may run on the fewest kinds of machines have the lowest rank. Each
+// property that widens the choice outweighs all less significant ones together. Idle-time work ranks last
+// and uses the capacity that remains.
 func (d *Demand) rank() int {
 	rank := 0
 	if d.Idle {
--- a/internal/controller/autoscale/idle_retention.go
+++ b/internal/controller/autoscale/idle_retention.go
@@ -3,19 +3,21 @@
 import "time"
 
 const (
-	// defaultBootS is the boot time in seconds that is assumed where none is known.
+	// defaultBootS is the boot time in seconds assumed for machines whose boot time is unknown.
 	defaultBootS = 30
-	// bootsForTimelyMachine is how many boot times jobs must have for a new machine to be in time for them.
+	// bootsForTimelyMachine is the shortest time allowed for a job, in boot times, with which a newly
+	// requested machine is ready in time for the job.
 	bootsForTimelyMachine = 3
-	// longRetentionBoots is for how many boot times an idle machine is kept where a new one would come late.
+	// longRetentionBoots is how long an idle machine is kept, in boot times, if a new machine would be
+	// ready too late.
 	longRetentionBoots = 20
-	// shortRetentionDivisor is the part of a boot time for which an idle machine is kept elsewhere, as a divisor.
+	// shortRetentionDivisor divides the boot time to give how long an idle machine is kept otherwise.
 	shortRetentionDivisor = 6
 )
 
-// IdleRetention is how long an idle machine is kept: long where booting another would take a good part
-// of the time that jobs have, short where it would not. boot is the boot time of a machine, and tightest
-// the least time that a job has from its submission, both in seconds; 0: not known.
+// IdleRetention returns how long an idle machine is kept: long if booting a replacement would take a large
+// part of the time allowed for jobs, short otherwise. bootS is the boot time of a machine, and
+// tightestAllowedS the shortest time that a job is allowed from its submission, both in seconds; 0: unknown.
 func IdleRetention(bootS, tightestAllowedS float64) time.Duration {
 	if bootS <= 0 {
 		bootS = defaultBootS
--- a/internal/controller/autoscale/limits.go
+++ b/internal/controller/autoscale/limits.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Limit is what a team may use at a time, in CPUs and accelerators; 0: any.
+// Limit is how much a team may use at a time, in CPUs and accelerators; 0: unlimited.
 type Limit struct{ Cpus, Gpus float64 }
 
-// exhaustedLimit is what is left of a limit once it is used up; 0 would be no limit.
+// exhaustedLimit is the remainder of a limit that is used up; 0 would mean unlimited.
 const exhaustedLimit = 1e-9
 
-// CapToLimits lowers the tasks of demands that together want more than their team's limit lets run. The
-// most urgent ones keep theirs. Where a team's demands want less, nothing changes: the work that waits
-// behind a limit still tells how soon what may run is needed. horizon is as for Decide; limit is asked
-// for each team of the demands.
+// CapToLimits reduces the task counts of demands that together need more at once than their team's limit
+// allows. The demands with the shortest time are served first. A demand that needs no more than the
+// remaining limit is not changed, so the tasks that wait because of the limit still count towards the
+// urgency of the work that may run. horizon is as for Decide; limit returns the limit of a team.
 func CapToLimits(demands []Demand, horizon float64, limit func(team int) Limit) {
 	byTeam := map[int][]*Demand{}
 	for i := range demands {
@@ -33,8 +33,8 @@
 	}
 }
 
-// capTasks lowers a demand's tasks, which take each of a resource, to what is left of its limit. It returns
-// what is left beside them.
+// capTasks reduces a demand's tasks, each of which uses perTask of a resource, to what the remaining limit
+// allows. It returns the limit that remains after them.
 func (d *Demand) capTasks(remaining, perTask, horizon float64) float64 {
 	if remaining <= 0 || perTask <= 0 {
 		return remaining
--- a/internal/controller/autoscale/limits_test.go
+++ b/internal/controller/autoscale/limits_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A team's demands together ask for no more than its limit, the most urgent first; where they want less,
-// nothing changes, and the work that waits behind a limit still makes what may run urgent.
+// The demands of a team together ask for no more than its limit, the most urgent first. A demand within the
+// limit is not changed: work that waits because of the limit still makes the work that may run urgent.
 func TestCapToLimits(t *testing.T) {
 	const horizon = 0.5
 	demand := func(team, tasks int, work, withinS float64) Demand {
@@ -16,12 +16,12 @@
 		want    []int
 	}{
 		{"no limit", []Demand{demand(NoTeam, 50, 1000, 10)}, Limit{Cpus: 10}, []int{50}},
-		{"they want less", []Demand{demand(0, 50, 20, 10)}, Limit{Cpus: 10}, []int{50}},
-		{"one wants more", []Demand{demand(0, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5}},
+		{"demand within the limit", []Demand{demand(0, 50, 20, 10)}, Limit{Cpus: 10}, []int{50}},
+		{"one demand above the limit", []Demand{demand(0, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5}},
 		{"the more urgent keeps its tasks", []Demand{demand(0, 50, 1000, 90), demand(0, 3, 1000, 10)}, Limit{Cpus: 10}, []int{2, 3}},
-		{"nothing is left", []Demand{demand(0, 50, 1000, 90), demand(0, 9, 1000, 10)}, Limit{Cpus: 10}, []int{0, 5}},
+		{"the more urgent uses up the limit", []Demand{demand(0, 50, 1000, 90), demand(0, 9, 1000, 10)}, Limit{Cpus: 10}, []int{0, 5}},
 		{"teams have their own limits", []Demand{demand(0, 50, 1000, 10), demand(1, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5, 5}},
-		{"accelerators bind", []Demand{{Team: 0, Tasks: 50, Work: 1000, WithinS: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
+		{"limit on accelerators", []Demand{{Team: 0, Tasks: 50, Work: 1000, WithinS: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			CapToLimits(test.demands, horizon, func(int) Limit { return test.limit })
--- a/internal/controller/baseline/doc.go
+++ b/internal/controller/baseline/doc.go
@@ -1,7 +1,7 @@
-// Package baseline learns what the classes of the teams ask for most of the time, so that an overload of
-// one class can be told from what the others ask for always. See "Overloads" in docs/design.md.
+// Package baseline estimates the usual demand of each class queue, so that an overload of one class can be
+// distinguished from the usual demand of the others. See "Overloads" in docs/design.md.
 //
-// Nothing here reads a clock or performs I/O: the leader passes in what arrived in each window of time.
+// Nothing here reads a clock or performs I/O: the leader passes in the arrivals of each time window.
 //
-// See docs/ARCHITECTURE.md for where the package stands among the others.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package baseline
--- a/internal/controller/baseline/estimator.go
+++ b/internal/controller/baseline/estimator.go
@@ -9,48 +9,51 @@
 )
 
 const (
-	// Step is how long a window is whose work is looked at as one.
+	// Step is the length of a window: the arrivals of a window are evaluated together.
 	Step = 10 * time.Second
-	// minEstimateWindows is how many windows the first estimate takes: their median, so that neither
-	// what all users submit when a deployment opens nor an overload that starts soon counts.
+	// minEstimateWindows is the number of windows before the first estimate. The estimate uses their
+	// median, so that neither the burst of submissions when a deployment opens nor an overload that
+	// starts soon afterwards distorts it.
 	minEstimateWindows = 6
-	// maxEstimateWindows is how many windows are looked at before a class queue with few jobs gets its first
+	// maxEstimateWindows is the number of windows before a class queue with few jobs gets its first
 	// estimate.
 	maxEstimateWindows = 30
-	// smoothingTime is the time over which the asked rate is averaged before it is compared.
+	// smoothingTime is the time constant with which the arrival rate is averaged before it is compared
+	// with the baseline.
 	smoothingTime = time.Minute
-	// settlingTime is how fast the baseline follows what is asked: it doubles in 28 minutes of an
-	// overload, however large that is, and halves in 83 minutes of less.
+	// settlingTime sets how fast the baseline follows the arrival rate: it doubles in 28 minutes of an
+	// overload, regardless of the overload's size, and halves in 83 minutes below the baseline.
 	settlingTime = 30 * time.Minute
-	// baselineQuantile is the part of the time in which a class queue asks for no more than its baseline.
+	// baselineQuantile is the fraction of the time in which a class queue's demand does not exceed its
+	// baseline.
 	baselineQuantile = 0.75
-	// idleFraction is the part of its baseline below which a class queue is taken to be at rest: a class
-	// that works by night is not forgotten by day.
+	// idleFraction is the fraction of its baseline below which a class queue counts as idle and its
+	// baseline is kept, so that a class that is active only at night keeps its baseline during the day.
 	idleFraction = 0.05
-	// minRecordChange is the part of its recorded rate by which a class queue must differ from it for the record
-	// to be written anew.
+	// minRecordChange is the fraction by which a class queue's baseline must differ from its recorded
+	// rate for the record to be rewritten.
 	minRecordChange = 0.05
 )
 
-// Rates are by class queue how much work arrives a second, in CPU-seconds.
+// Rates holds the work that arrives in each class queue, in CPU-seconds per second.
 type Rates map[storage.ClassQueue]float64
 
-// Estimator follows what class queues ask for. It belongs to the leader; its successor goes on from
-// the record that it has left.
+// Estimator estimates the baselines of class queues. It runs on the leader; the next leader restores it
+// from the record.
 type Estimator struct {
 	queues   map[storage.ClassQueue]*queueEstimate
-	restored bool // it went on from a record
+	restored bool // it was restored from a record
 }
 
-// queueEstimate is what is known of a class queue.
+// queueEstimate is the state of the estimate of one class queue.
 type queueEstimate struct {
-	jobRates      []float64        // jobs a second in the windows so far, until there is a first estimate
-	totalArrivals storage.Arrivals // in all of them
-	rate          float64          // asked, smoothed, in CPU-seconds a second
-	baseline      float64          // in CPU-seconds a second; 0: there is no estimate yet
+	jobRates      []float64        // jobs per second in each window, until the first estimate
+	totalArrivals storage.Arrivals // sum over the windows until the first estimate
+	rate          float64          // smoothed arrival rate in CPU-seconds per second
+	baseline      float64          // in CPU-seconds per second; 0: no estimate yet
 }
 
-// New returns an estimator that goes on from a record; with none it starts from nothing.
+// New returns an estimator restored from a record. With an empty record it starts without estimates.
 func New(record Rates) *Estimator {
 	e := &Estimator{queues: map[storage.ClassQueue]*queueEstimate{}, restored: len(record) > 0}
 	for queue, rate := range record {
@@ -59,8 +62,7 @@
 	return e
 }
 
-// Window takes in what class queues asked for in a window of time. A window without length tells
-// nothing.
+// Window adds the arrivals of one time window. A window whose length is not positive is ignored.
 func (e *Estimator) Window(duration time.Duration, arrivals map[storage.ClassQueue]storage.Arrivals) {
 	seconds := duration.Seconds()
 	if seconds <= 0 {
@@ -80,9 +82,9 @@
 	}
 }
 
-// adjust moves a baseline towards what was asked for in a window: up by steps that are longer than those
-// down, so that it comes to rest at the quantile of what is asked. The steps do not grow with what is
-// asked, so a large overload moves it no faster than a small one.
+// adjust moves a baseline towards the arrival rate after a window. Upward steps are larger than downward
+// ones, so that the baseline settles at the quantile of the arrival rate. The size of a step does not
+// depend on the rate, so a large overload moves the baseline no faster than a small one.
 func (q *queueEstimate) adjust(arrivals storage.Arrivals, seconds float64) {
 	arrivalRate := arrivals.Work / seconds
 	q.rate += min(1, seconds/smoothingTime.Seconds()) * (arrivalRate - q.rate)
@@ -96,9 +98,9 @@
 	}
 }
 
-// addInitialWindow takes in a window of a class queue without a baseline, and makes the first estimate once there
-// are enough. An overload changes how many jobs come but not what a job is, so the estimate is the
-// median rate of jobs with the mean work of one.
+// addInitialWindow adds a window of a class queue without a baseline and makes the first estimate once
+// there are enough windows. An overload changes how many jobs arrive but not the work of a job, so the
+// estimate is the median job rate multiplied by the mean work per job.
 func (e *Estimator) addInitialWindow(estimate *queueEstimate, arrivals storage.Arrivals, seconds float64) {
 	estimate.totalArrivals.Jobs += arrivals.Jobs
 	estimate.totalArrivals.Work += arrivals.Work
@@ -112,8 +114,8 @@
 		return
 	}
 	if meanBaseline := e.meanBaseline(); e.restored && meanBaseline > 0 {
-		// A class that comes when others are known may come as an overload: it is not given
-		// more than they have on average before it has lasted.
+		// A class that first appears after a record was restored may be an overload: until it has
+		// lasted, its baseline is limited to the mean of the known baselines.
 		rate = min(rate, meanBaseline)
 	}
 	estimate.rate = rate
@@ -121,13 +123,13 @@
 	estimate.jobRates = nil
 }
 
-// dropOldestWindow makes place for another window where longWindows are kept.
+// dropOldestWindow makes room for another window once maxEstimateWindows are kept.
 func (q *queueEstimate) dropOldestWindow() {
 	q.jobRates = q.jobRates[max(0, len(q.jobRates)+1-maxEstimateWindows):]
 }
 
-// typicalJobRate is the median of rates of jobs. A class queue with few jobs has none in most windows:
-// of such, once there are longWindows, it is the mean but for the largest.
+// typicalJobRate returns the median of the job rates. A class queue with few jobs has a median of 0; for
+// it, the result is the mean without the largest rate once there are maxEstimateWindows.
 func typicalJobRate(rates []float64) float64 {
 	sorted := slices.Sorted(slices.Values(rates))
 	median := sorted[len(sorted)/2]
@@ -141,7 +143,7 @@
 	return mean
 }
 
-// meanBaseline is the meanBaseline of the baselines; 0 if there are none.
+// meanBaseline returns the mean of the baselines; 0 if there are none.
 func (e *Estimator) meanBaseline() float64 {
 	sum, count := 0.0, 0
 	for _, estimate := range e.queues {
@@ -153,7 +155,7 @@
 	return sum / float64(max(1, count))
 }
 
-// Baseline is what is known by now: the baselines of class queues that have one.
+// Baseline returns the baselines of the class queues that have one.
 func (e *Estimator) Baseline() Rates {
 	rates := Rates{}
 	for queue, estimate := range e.queues {
@@ -164,7 +166,7 @@
 	return rates
 }
 
-// Differs tells whether a record is so far from what is known that it should be written anew.
+// Differs reports whether the baselines differ from a record so much that it should be rewritten.
 func (e *Estimator) Differs(record Rates) bool {
 	for queue, rate := range e.Baseline() {
 		if math.Abs(rate-record[queue]) > minRecordChange*record[queue] {
--- a/internal/controller/baseline/estimator_test.go
+++ b/internal/controller/baseline/estimator_test.go
@@ -6,7 +6,7 @@
 	"dykeledge/internal/storage"
 )
 
-// The estimator must tell what is asked for always from an overload, whenever that starts.
+// The estimator must distinguish usual demand from an overload, whenever the overload starts.
 func TestEstimator(t *testing.T) {
 	const workPerJob = 10 // CPU-seconds
 	queue, otherQueue := storage.ClassQueue{Team: 0, Class: 0}, storage.ClassQueue{Team: 1, Class: 1}
@@ -16,34 +16,34 @@
 	}
 	type phase struct {
 		windows      int
-		rate         float64 // work a second of the queue
-		otherRate    float64 // work a second of the other queue
-		everyWindows int     // the queue's work comes in one of so many windows; 0: in each
+		rate         float64 // CPU-seconds per second of the queue
+		otherRate    float64 // CPU-seconds per second of the other queue
+		everyWindows int     // the queue's work arrives in one of this many windows; 0: in each
 	}
 	both := Rates{queue: 10, otherQueue: 10}
 	for _, test := range []struct {
 		name        string
 		record      Rates
 		phases      []phase
-		least, most float64 // the queue's baseline in the end
+		least, most float64 // bounds of the queue's final baseline
 	}{
-		{name: "no baseline before there was time to learn", phases: []phase{{5, 10, 10, 0}}},
-		{name: "what all submit at the opening counts little", phases: []phase{{1, 100, 100, 0}, {5, 10, 10, 0}}, least: 9, most: 11},
+		{name: "no baseline before there are enough windows", phases: []phase{{5, 10, 10, 0}}},
+		{name: "submissions when the deployment opens count little", phases: []phase{{1, 100, 100, 0}, {5, 10, 10, 0}}, least: 9, most: 11},
 		{name: "an overload in the first minute", phases: []phase{{4, 10, 10, 0}, {20, 80, 10, 0}}, least: 9, most: 12},
-		{name: "eight times as much for eight minutes", record: both, phases: []phase{{50, 80, 10, 0}}, least: 10, most: 12.5},
-		{name: "twenty times as much changes the baseline no more", record: both, phases: []phase{{50, 200, 10, 0}}, least: 10, most: 12.5},
-		{name: "what lasts for hours becomes the baseline", record: both, phases: []phase{{1440, 80, 10, 0}}, least: 75, most: 85},
-		{name: "a class that rests is not forgotten", record: both, phases: []phase{{3000, 0, 10, 0}}, least: 8, most: 10},
-		{name: "one that asks for less in time has less", record: both, phases: []phase{{2500, 2, 10, 0}}, least: 1.5, most: 2.5},
-		{name: "a class that comes as an overload has no more than others have", record: Rates{otherQueue: 10}, phases: []phase{{12, 500, 10, 0}}, least: 5, most: 11},
-		{name: "a job now and then", phases: []phase{{600, 40, 10, 4}}, least: 7, most: 20},
+		{name: "eightfold overload for eight minutes", record: both, phases: []phase{{50, 80, 10, 0}}, least: 10, most: 12.5},
+		{name: "a twentyfold overload raises the baseline no further", record: both, phases: []phase{{50, 200, 10, 0}}, least: 10, most: 12.5},
+		{name: "an overload that lasts for hours becomes the baseline", record: both, phases: []phase{{1440, 80, 10, 0}}, least: 75, most: 85},
+		{name: "an idle class keeps its baseline", record: both, phases: []phase{{3000, 0, 10, 0}}, least: 8, most: 10},
+		{name: "lower demand lowers the baseline over time", record: both, phases: []phase{{2500, 2, 10, 0}}, least: 1.5, most: 2.5},
+		{name: "a new class that starts with an overload gets at most the mean of the others", record: Rates{otherQueue: 10}, phases: []phase{{12, 500, 10, 0}}, least: 5, most: 11},
+		{name: "jobs in every fourth window only", phases: []phase{{600, 40, 10, 4}}, least: 7, most: 20},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			estimator := New(test.record)
 			for _, phase := range test.phases {
 				for i := range phase.windows {
 					if len(test.record) > 0 && phase.rate > 0 && i%7 == 6 {
-						estimator = New(estimator.Baseline()) // a successor goes on from the record
+						estimator = New(estimator.Baseline()) // the next leader restores the record
 					}
 					asked := map[storage.ClassQueue]storage.Arrivals{queue: arrivals(phase.rate), otherQueue: arrivals(phase.otherRate)}
 					if phase.everyWindows > 0 && i%phase.everyWindows != 0 {
@@ -57,7 +57,7 @@
 				t.Errorf("baseline %.1f, want %.1f to %.1f", rate, test.least, test.most)
 			}
 			if len(test.phases) > 1 && len(learned) > 0 && estimator.Differs(learned) {
-				t.Error("it differs from itself")
+				t.Error("Differs reports a difference from its own baselines")
 			}
 		})
 	}
--- a/internal/controller/dispatch/commands.go
+++ b/internal/controller/dispatch/commands.go
@@ -5,17 +5,17 @@
 	"dykeledge/internal/storage"
 )
 
-// DesiredState is what the record's owner wants of an attempt.
+// DesiredState is the state of an attempt that the controller owning its machine's record requests.
 type DesiredState struct {
 	Stop  bool
-	Grace float64 // seconds in which it may checkpoint; 0: at once
+	Grace float64 // seconds it is given to write a checkpoint; 0: it stops at once
 }
 
-// Commands works out the commands that turn what the worker reports into what the record wants. wish
-// tells what is wanted of an attempt in the record; token is the one under which the machine is
-// commanded now. Attempts that are wanted no more and can be proved never to have started go into Gone.
-// answer tells that the commands go into the answer to the latest heartbeat; launches are then noted as
-// sent. No attempt in the record adds a command once there are limit of them.
+// Commands returns the commands that bring the attempts reported by the worker to the state requested in
+// the record. desiredState returns the desired state of an attempt in the record; token is the fencing
+// token under which the machine is now commanded. Attempts that should stop and provably never started are
+// added to Gone. inAnswer is true if the commands are sent in the answer to the latest heartbeat; launches
+// are then recorded in Sent. Once there are limit commands, no further attempt of the record is considered.
 func (w *Worker) Commands(machine *storage.Machine, token uint64, desiredState func(storage.PlacedTask) DesiredState, inAnswer bool, limit int) []protocol.Command {
 	commands := w.unplacedCommands()
 	for _, placed := range machine.Tasks {
@@ -47,13 +47,13 @@
 	return commands
 }
 
-// newCommand is a command for an attempt, with a grace period in seconds.
+// newCommand returns a command for an attempt, with a grace period in seconds.
 func newCommand(operation string, ref Ref, grace float64) protocol.Command {
 	return protocol.Command{Op: operation, Task: protocol.TaskName(ref.Job.ID, ref.Task), Attempt: ref.Attempt, GraceS: grace}
 }
 
-// unplacedCommands are the commands for reported attempts that the record does not hold: they are
-// stopped, and then cleared.
+// unplacedCommands returns the commands for reported attempts that are not in the record: they are killed,
+// and cleared once they have exited.
 func (w *Worker) unplacedCommands() []protocol.Command {
 	var commands []protocol.Command
 	for _, status := range w.Unplaced {
@@ -61,8 +61,8 @@
 		case status.State != protocol.TaskExited:
 			commands = append(commands, protocol.Command{Op: protocol.OpKill, Task: status.Task, Attempt: status.Attempt})
 		case !w.mayReceiveUncertain(w.FencingToken):
-			// Cleared only once no launch of it can be under way: a worker
-			// that has forgotten an attempt would start it again.
+			// Cleared only once no launch of it can still be in flight: a worker that has cleared an
+			// attempt would start it again.
 			commands = append(commands, protocol.Command{Op: protocol.OpClear, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
--- a/internal/controller/dispatch/heartbeat.go
+++ b/internal/controller/dispatch/heartbeat.go
@@ -5,9 +5,9 @@
 	"dykeledge/internal/storage"
 )
 
-// ApplyHeartbeat takes in a newer heartbeat of a machine's worker. token is the one under which
-// the machine is commanded now; reply tells that the heartbeat is the reply to a direct command; job
-// finds a job by its ID, nil if there is none.
+// ApplyHeartbeat applies a newer heartbeat of a machine's worker. token is the fencing token under which
+// the machine is now commanded; isReply is true if the heartbeat is the reply to a direct command; findJob
+// returns the job with an ID, nil if there is none.
 func (w *Worker) ApplyHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, isReply bool, findJob func(string) *storage.Job) {
 	if heartbeat.Incarnation != w.Incarnation {
 		clear(w.Sent)
@@ -23,7 +23,7 @@
 	w.markLost(machine, heartbeat, token, reportedBefore)
 }
 
-// applyTasks replaces what the worker reported of its tasks, and notes which have exited.
+// applyTasks replaces the reported attempts and records the outcomes of those that have exited.
 func (w *Worker) applyTasks(machine *storage.Machine, tasks []protocol.TaskStatus, findJob func(string) *storage.Job) {
 	w.Seen = make(map[Ref]TaskSeen, len(tasks))
 	w.Unplaced = w.Unplaced[:0]
@@ -40,9 +40,10 @@
 	}
 }
 
-// findPlacedAttempt names a reported attempt; ok tells whether the job's record places it on the machine.
+// findPlacedAttempt returns the reference of a reported attempt; ok reports whether the job's record places
+// it on the machine.
 func findPlacedAttempt(machine *storage.Machine, status protocol.TaskStatus, findJob func(string) *storage.Job) (ref Ref, ok bool) {
-	id, task, _ := protocol.SplitTask(status.Task) // a malformed name is no job's
+	id, task, _ := protocol.SplitTask(status.Task) // a malformed name matches no job
 	job := findJob(id)
 	if job == nil || task >= job.Tasks || job.MachineOf[task] != machine.Index || job.AttemptOf[task] != status.Attempt {
 		return Ref{}, false
@@ -50,7 +51,7 @@
 	return Ref{job, task, status.Attempt}, true
 }
 
-// exitOutcome is the outcome of an attempt that has exited for a cause.
+// exitOutcome returns the outcome of an attempt that exited with a cause.
 func exitOutcome(cause string) Outcome {
 	switch cause {
 	case protocol.CauseDone:
@@ -64,9 +65,9 @@
 	}
 }
 
-// markLost notes the attempts of the record as lost that a heartbeat proves to be absent.
+// markLost records attempts of the record as lost if a heartbeat proves that they are absent.
 func (w *Worker) markLost(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reportedBefore map[Ref]TaskSeen) {
-	newSession := heartbeat.Incarnation > machine.Incarnation // the lease ran out: the worker forgot every task
+	newSession := heartbeat.Incarnation > machine.Incarnation // the session lease expired: the worker dropped every task
 	provesAbsence := w.provesAbsence(machine, heartbeat, token)
 	for _, placed := range machine.Tasks {
 		ref := RefOf(placed)
@@ -83,15 +84,15 @@
 	}
 }
 
-// provesAbsence tells whether a task that was seen before and is not in the heartbeat is gone. Only a
-// worker that has seen the present token drops what was sent under an older one.
+// provesAbsence reports whether a heartbeat proves that previously reported attempts missing from it have
+// ended. Only a worker that has seen the current token drops commands sent under an older one.
 func (w *Worker) provesAbsence(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64) bool {
 	return heartbeat.Incarnation >= machine.Incarnation && heartbeat.FencingToken >= token && !w.mayReceiveUncertain(heartbeat.FencingToken)
 }
 
-// Absent tells whether an attempt that was never reported can no longer start:
-// the worker has seen the token, and every answer that carried the launch was
-// to an older heartbeat than the latest.
+// Absent reports whether an attempt that was never reported can no longer start: the worker has seen the
+// token, no direct command can still reach it, and every answer that carried the launch belonged to a
+// heartbeat older than the latest.
 func (w *Worker) Absent(machine *storage.Machine, ref Ref, token uint64) bool {
 	if _, ok := w.Seen[ref]; ok {
 		return false
--- a/internal/controller/dispatch/worker_test.go
+++ b/internal/controller/dispatch/worker_test.go
@@ -7,10 +7,10 @@
 	"dykeledge/internal/storage"
 )
 
-// token is the fencing token under which the machine is commanded now.
+// token is the fencing token under which the machine is now commanded.
 const token = 50
 
-// heartbeat makes a heartbeat of a machine of session 3 that has seen the token, and changes it.
+// heartbeat returns a heartbeat of a worker of incarnation 3 that has seen the token, modified by change.
 func heartbeat(seq uint64, change func(*protocol.Heartbeat), tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	made := &protocol.Heartbeat{Machine: "m", Incarnation: 3, Seq: seq, FencingToken: token, Tasks: tasks}
 	if change != nil {
@@ -30,39 +30,39 @@
 	type step struct {
 		heartbeat        *protocol.Heartbeat
 		reply            bool // it is the reply to a direct command
-		commandsInAnswer bool // its answer carries commands
+		commandsInAnswer bool // the answer to it carries commands
 	}
 	cases := []struct {
 		name    string
 		steps   []step
 		change  func(*Worker)
 		stop    bool
-		want    Outcome // what is known of the attempt in the end; 0: nothing
-		command string  // the first command in the end
+		want    Outcome // final outcome of the attempt; 0: none
+		command string  // operation of the first command at the end; empty: no command
 	}{
 		{name: "completed", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseDone))}}, want: Completed},
 		{name: "stopped", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseStopped))}}, stop: true, want: Stopped},
 		{name: "failed", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseError))}}, want: Failed},
 		{name: "refused", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseNoCapacity))}}, want: Refused},
 		{name: "lost with its session", steps: []step{{heartbeat: heartbeat(1, laterSession)}}, want: Lost},
-		{name: "seen and then absent", steps: []step{{heartbeat: heartbeat(1, nil, running)}, {heartbeat: heartbeat(2, nil)}}, want: Lost},
+		{name: "reported and then absent", steps: []step{{heartbeat: heartbeat(1, nil, running)}, {heartbeat: heartbeat(2, nil)}}, want: Lost},
 		{
 			name:    "absent, but the worker has not seen the token",
 			steps:   []step{{heartbeat: heartbeat(1, olderToken, running)}, {heartbeat: heartbeat(2, olderToken)}},
 			command: protocol.OpLaunch,
 		},
-		{name: "not there yet: launched", steps: []step{{heartbeat: heartbeat(1, nil)}}, command: protocol.OpLaunch},
-		{name: "running and wanted", steps: []step{{heartbeat: heartbeat(1, nil, running)}}},
-		{name: "running and not wanted", steps: []step{{heartbeat: heartbeat(1, nil, running)}}, stop: true, command: protocol.OpKill},
-		{name: "wanted no more, never sent", steps: []step{{heartbeat: heartbeat(1, nil)}}, stop: true, want: Unsent},
-		// The launch may still be on its way in the answer to the latest heartbeat.
-		{name: "wanted no more, just sent", steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}}, stop: true},
+		{name: "not yet reported: launched", steps: []step{{heartbeat: heartbeat(1, nil)}}, command: protocol.OpLaunch},
+		{name: "running as desired", steps: []step{{heartbeat: heartbeat(1, nil, running)}}},
+		{name: "running but should stop", steps: []step{{heartbeat: heartbeat(1, nil, running)}}, stop: true, command: protocol.OpKill},
+		{name: "should stop, launch never sent", steps: []step{{heartbeat: heartbeat(1, nil)}}, stop: true, want: Unsent},
+		// The launch may still be in flight in the answer to the latest heartbeat.
+		{name: "should stop, launch just sent", steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}}, stop: true},
 		{
-			name:  "wanted no more, sent and lost",
+			name:  "should stop, launch sent but not received",
 			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil)}},
 			stop:  true, want: Unsent,
 		},
-		// A direct command's reply is newer, yet the answer to the heartbeat may come after it.
+		// The reply to a direct command is newer, but the answer to the heartbeat may arrive after it.
 		{
 			name:  "a reply proves nothing about answers",
 			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil), reply: true}},
@@ -75,18 +75,18 @@
 			stop:   true,
 		},
 		{
-			name:   "a direct command is under way",
+			name:   "a direct command is in flight",
 			steps:  []step{{heartbeat: heartbeat(1, nil)}},
 			change: func(w *Worker) { w.DirectInFlight = true },
 			stop:   true,
 		},
 		{
-			name:   "an uncertain command under a lower token is dead",
+			name:   "an uncertain command under a lower token is rejected",
 			steps:  []step{{heartbeat: heartbeat(1, nil)}},
 			change: func(w *Worker) { w.Uncertain = token - 1 },
 			stop:   true, want: Unsent,
 		},
-		{name: "not wanted, old token", steps: []step{{heartbeat: heartbeat(1, olderToken)}}, stop: true},
+		{name: "should stop, worker has not seen the token", steps: []step{{heartbeat: heartbeat(1, olderToken)}}, stop: true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 			run := func(storage.PlacedTask) DesiredState { return DesiredState{} }
 			for _, step := range test.steps {
 				if !worker.Newer(step.heartbeat) {
-					t.Fatal("heartbeat taken for old")
+					t.Fatal("Newer rejects a newer heartbeat")
 				}
 				worker.ApplyHeartbeat(machine, step.heartbeat, token, step.reply, findJob)
 				if step.commandsInAnswer {
@@ -123,8 +123,8 @@
 	}
 }
 
-// A worker that has forgotten an attempt starts it again when a delayed direct
-// command brings its launch once more.
+// A worker that has cleared an attempt starts it again if a delayed direct command delivers its launch a
+// second time.
 func TestClearWaitsForUncertainCommands(t *testing.T) {
 	machine := &storage.Machine{Index: 5, Name: "m", Incarnation: 3}
 	exited := protocol.TaskStatus{Task: "job-000001/0", Attempt: 7, State: protocol.TaskExited, Cause: protocol.CauseDone}
--- a/internal/controller/membership/assign.go
+++ b/internal/controller/membership/assign.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Member is a living controller.
+// Member is a live controller.
 type Member struct {
 	Name        string
-	Incarnation uint64 // of its process: a controller that has restarted has another
+	Incarnation uint64 // of its process; a restarted controller has another
 }
 
-// Owner is who owns a shard; the zero value is nobody.
+// Owner is the owner of a shard; the zero value means that the shard has none.
 type Owner = Member
 
-// minImbalance is by how many shards an owner must exceed another for one to move between them: where
-// they differ by one, a move would only swap their counts.
+// minImbalance is the difference in shard counts from which a shard moves to balance two members: with a
+// difference of one, a move would only swap their counts.
 const minImbalance = 2
 
-// Assign gives every shard a living owner and moves as few as it can: a shard
-// stays with its owner's present incarnation; one whose owner is gone or has
-// restarted goes to its old name if that lives and has no more than its part, else to the controller
-// with the fewest shards. Shards that movable allows to move, if it is set, also move from a controller
-// that owns at least two more than another. The result is by shard, as owners; without any members it
-// is owners itself. Neither list is changed.
+// Assign gives every shard a live owner and moves as few shards as possible. A shard stays with its owner if
+// that is live with the same incarnation. If its owner is gone or was restarted, the shard goes to the member
+// with the owner's name if that is live and owns less than its fair share, else to the member with the
+// fewest shards. If movable is set, shards for which it returns true also move from a member that owns at
+// least two more than another. The result holds the owner of each shard; without members it is owners
+// itself. Assign does not modify its arguments.
 func Assign(owners []Owner, members []Member, movable func(shard int) bool) []Owner {
 	if len(members) == 0 {
 		return owners
@@ -38,11 +38,11 @@
 	return a.owners
 }
 
-// assignment is one run of Assign.
+// assignment holds the state of one run of Assign.
 type assignment struct {
 	owners  []Owner  // by shard
-	members []Member // by name
-	counts  []int    // shards by member
+	members []Member // sorted by name
+	counts  []int    // shards owned, by member index
 }
 
 func newAssignment(owners []Owner, members []Member) *assignment {
@@ -55,12 +55,12 @@
 	return a
 }
 
-// indexOf is the index of the member with a name, -1 if it does not live.
+// indexOf returns the index of the member with a name, -1 if there is none.
 func (a *assignment) indexOf(name string) int {
 	return slices.IndexFunc(a.members, func(member Member) bool { return member.Name == name })
 }
 
-// leastLoaded is the index of the member with the fewest shards, of equals the first by name.
+// leastLoaded returns the index of the member with the fewest shards, the first by name among equals.
 func (a *assignment) leastLoaded() int {
 	least := 0
 	for i, count := range a.counts {
@@ -71,14 +71,14 @@
 	return least
 }
 
-// assign makes a member own a shard that has no owner.
+// assign makes a member the owner of a shard and counts the shard for it.
 func (a *assignment) assign(shard, member int) {
 	a.owners[shard] = a.members[member]
 	a.counts[member]++
 }
 
-// keepOwners leaves shards with their owners if those live, and returns the other shards. An owner that
-// has restarted gets its shards back up to its part of all.
+// keepOwners leaves shards with their live owners and returns the other shards. A member that was restarted
+// gets its shards back up to its fair share.
 func (a *assignment) keepOwners() []int {
 	fairShare := (len(a.owners) + len(a.members) - 1) / len(a.members)
 	var unowned []int
@@ -96,7 +96,7 @@
 	return unowned
 }
 
-// balance moves shards that may move, the last first, to members with fewer shards.
+// balance moves movable shards, the last first, to members with fewer shards.
 func (a *assignment) balance(movable func(shard int) bool) {
 	for shard := len(a.owners) - 1; shard >= 0; shard-- {
 		from, to := a.indexOf(a.owners[shard].Name), a.leastLoaded()
--- a/internal/controller/membership/assign_test.go
+++ b/internal/controller/membership/assign_test.go
@@ -20,15 +20,15 @@
 		want    []Owner
 	}{
 		{"no shard has an owner yet", make([]Owner, 3), []Member{c, a, b}, nil, []Owner{a, b, c}},
-		{"no living member", []Owner{a, b}, nil, nil, []Owner{a, b}},
-		{"one member alone", []Owner{a, b, c}, []Member{b}, nil, []Owner{b, b, b}},
+		{"no live member", []Owner{a, b}, nil, nil, []Owner{a, b}},
+		{"a single member", []Owner{a, b, c}, []Member{b}, nil, []Owner{b, b, b}},
 		{"only the dead member's shard moves", []Owner{a, b, c}, []Member{a, c}, nil, []Owner{a, a, c}},
 		{"a restarted member keeps its shard", []Owner{a, b, c}, []Member{restartedA, b, c}, nil, []Owner{restartedA, b, c}},
-		{"no balance before membership settles", []Owner{a, a, c}, []Member{a, b, c}, nil, []Owner{a, a, c}},
-		{"balance moves one", []Owner{a, a, c}, []Member{a, b, c}, all, []Owner{a, b, c}},
+		{"no balancing without movable", []Owner{a, a, c}, []Member{a, b, c}, nil, []Owner{a, a, c}},
+		{"balancing moves one shard", []Owner{a, a, c}, []Member{a, b, c}, all, []Owner{a, b, c}},
 		{"fewer shards than members", []Owner{a, a}, []Member{a, b, c}, all, []Owner{a, b}},
-		{"only shards that may move", []Owner{a, a, a, b}, []Member{a, b, c}, only(0), []Owner{c, a, a, b}},
-		{"no shard may move", []Owner{a, a, a}, []Member{a, b}, only(), []Owner{a, a, a}},
+		{"only movable shards move", []Owner{a, a, a, b}, []Member{a, b, c}, only(0), []Owner{c, a, a, b}},
+		{"no shard is movable", []Owner{a, a, a}, []Member{a, b}, only(), []Owner{a, a, a}},
 		{"balanced owners stay", []Owner{b, a, c}, []Member{a, b, c}, all, []Owner{b, a, c}},
 	}
 	for _, test := range cases {
--- a/internal/controller/membership/doc.go
+++ b/internal/controller/membership/doc.go
@@ -1,7 +1,7 @@
 // Package membership decides which controller owns which shard.
 //
-// The decision is a function of its input. Nothing here reads a clock or performs I/O: the leader passes
-// in the living controllers and the present owners, and commits the owners that come out.
+// The decision depends on its input alone. Nothing here reads a clock or performs I/O: the leader passes in
+// the live members and the current owners, and commits the returned owners.
 //
-// See docs/ARCHITECTURE.md for where the package stands among the others.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package membership
