--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -7,27 +7,28 @@
 	"dykeledge/internal/storage"
 )
 
-// This file orders class queues: what each may count on, and whose turn it is.
+// This file orders class queues: it computes each queue's capacity and selects the next queue.
 
-// QueueState is what is known of one team's class queue. Its amounts are in CPUs.
+// QueueState is the load of one team's class queue. Its amounts are in CPUs.
 type QueueState struct {
-	Baseline float64 // kept busy most of the time; 0: not known
-	Floor    float64 // kept in an overload before overloaded queues get more than their baseline
+	Baseline float64 // baseline demand; 0: unknown
+	Floor    float64 // capacity it gets in an overload before overloaded queues get more than their baseline
 	Used     float64 // used by its placed tasks, on all shards
-	Open     float64 // that all its tasks would use that run or wait
-	Late     float64 // used by tasks of jobs that have waited far too long
-	// OpenOnDemand is what of Open may not use spot machines.
+	Open     float64 // what all its running and waiting tasks would use
+	Late     float64 // used by tasks of overdue jobs, see Input.Overdue
+	// OpenOnDemand is the part of Open that may not use spot machines.
 	OpenOnDemand float64
-	// Overloaded tells that far more is open than the baseline.
+	// Overloaded is true if Open is far above Baseline.
 	Overloaded bool
-	// LeavesOnDemand tells that its best-effort work which may use spot machines is kept off on-demand ones.
+	// LeavesOnDemand is true if its best-effort work that may use spot machines is kept off on-demand
+	// machines.
 	LeavesOnDemand bool
 }
 
-// QueueStates are class queues by storage.ClassQueue.Index; nil where there is none.
+// QueueStates holds the class queues by storage.ClassQueue.Index; nil for a queue without state.
 type QueueStates []*QueueState
 
-// At is the state of a class queue, nil if there is none.
+// At returns the state of a class queue, nil if it has none.
 func (s QueueStates) At(queue storage.ClassQueue) *QueueState {
 	if i := queue.Index(); i < len(s) {
 		return s[i]
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// Ensure is the state of a class queue, made if there is none. The list must be long enough for it; see
-// storage.ClassQueueCount.
+// Ensure returns the state of a class queue and creates it if there is none. The list must be long enough;
+// see storage.ClassQueueCount.
 func (s QueueStates) Ensure(queue storage.ClassQueue) *QueueState {
 	i := queue.Index()
 	if s[i] == nil {
@@ -45,15 +46,15 @@
 	return s[i]
 }
 
-// The ranks of class queues in an overload, in the order in which they get capacity.
+// The ranks of class queues in an overload. Lower ranks get capacity first.
 const (
-	rankBelowBaseline = iota // has less than its baseline
-	rankBelowFloor           // not overloaded itself, and has less than its floor
-	rankSatisfied            // shares what is left
+	rankBelowBaseline = iota // uses less than its baseline
+	rankBelowFloor           // not overloaded itself, and uses less than its floor
+	rankSatisfied            // gets a share of the remaining capacity
 )
 
-// rank is where a class queue stands in an overload, and within a rank how much it has of what it
-// stands for there, from 0 to 1: the one that lacks most goes first.
+// rank returns the rank of a class queue in an overload, and what fraction, from 0 to 1, it uses of the
+// baseline or floor that the rank refers to. Within a rank, the queue with the lowest fraction goes first.
 func (s *QueueState) rank() (rank int, fraction float64) {
 	switch {
 	case s == nil || s.Floor <= 0:
@@ -66,10 +67,10 @@
 	return rankSatisfied, 1
 }
 
-// state is what is known of a class queue, nil if nothing is.
+// state returns the state of the class queue, nil if it has none.
 func (q *jobQueue) state(input *Input) *QueueState { return input.Queues.At(q.class) }
 
-// mustAvoidOnDemand tells whether a job is kept off on-demand machines, which are left to others.
+// mustAvoidOnDemand reports whether a job is kept off on-demand machines in favor of other jobs.
 func (in *Input) mustAvoidOnDemand(job *storage.Job) bool {
 	if !in.Overloaded || !job.Spot || job.Priority.Top() {
 		return false
@@ -78,8 +79,8 @@
 	return state != nil && state.LeavesOnDemand
 }
 
-// capacityOf is how many CPUs a sorted class queue may count on: what it uses, what is free, what its
-// first job may preempt, and no less than its floor.
+// capacityOf returns the capacity of a sorted class queue in CPUs: what it uses, what is free, and what its
+// first job may preempt, but at least its floor.
 func (in *Input) capacityOf(queue *jobQueue) float64 {
 	state := queue.state(in)
 	mayPreempt := queue.jobs[0].job.Priority.Top()
@@ -97,8 +98,8 @@
 	return max(state.Used+free, state.Floor)
 }
 
-// effectiveCpus is what part of a slot's capacity comes to in CPUs: with accelerators no more CPUs than
-// belong to those, since the others are of no use without one.
+// effectiveCpus converts an amount of a slot's capacity to CPUs. On a machine with accelerators only the
+// CPUs that belong to the amount's accelerators count, since the others can't be used without one.
 func (s *Slot) effectiveCpus(amount storage.Usage) float64 {
 	if s.PerGpu > 0 {
 		return max(0, min(amount.Cpus, amount.Gpus*s.PerGpu))
@@ -109,9 +110,10 @@
 // noQueue marks a team without waiting jobs in nextQueue.
 const noQueue = -1
 
-// nextQueue is the index of the queue whose first job starts next: of each team the queue that goes
-// first in it, and of those the one whose team goes first. A team's guarantee counts for its first job,
-// not for a smaller one of a queue behind it. firstByTeam is scratch memory, one entry a team.
+// nextQueue returns the index of the queue whose first job starts next. It selects the first queue of each
+// team, and among those the queue of the team that goes first. A team's guarantee is applied to the first
+// job of its first queue, not to a smaller job of a later queue. firstByTeam is scratch memory with one
+// entry per team.
 func nextQueue(input *Input, queues []*jobQueue, firstByTeam []int) int {
 	for team := range firstByTeam {
 		firstByTeam[team] = noQueue
@@ -131,8 +133,8 @@
 	return best
 }
 
-// precedesInTeam tells whether a queue's first job goes before that of another queue of its team: by
-// priority, in an overload by what the queues have of their floors, then by latest start.
+// precedesInTeam reports whether a queue's first job goes before that of another queue of its team: by
+// priority, in an overload by the fractions of their floors that the queues use, then by latest start.
 func precedesInTeam(input *Input, a, b *jobQueue) bool {
 	jobA, jobB := a.jobs[0].job, b.jobs[0].job
 	if jobA.Priority != jobB.Priority {
@@ -144,7 +146,8 @@
 	return compareJobs(a.jobs[0], b.jobs[0]) < 0
 }
 
-// compareFloorFractions compares what class queues have of their floors, in an overload.
+// compareFloorFractions compares the ranks and fractions of two class queues in an overload; without an
+// overload it returns 0.
 func compareFloorFractions(input *Input, a, b *jobQueue) int {
 	if !input.Overloaded {
 		return 0
@@ -154,9 +157,9 @@
 	return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(fractionA, fractionB))
 }
 
-// teamPrecedes tells whether a team's first job goes before another team's: teams within their
-// guarantee, then higher priority, then, in an overload, queues that have less than their floors; then
-// the smaller dominant share.
+// teamPrecedes reports whether a team's first job goes before another team's: teams within their guarantee
+// first, then higher priority, then, in an overload, queues below their baselines or floors, then the
+// smaller dominant share.
 func teamPrecedes(input *Input, a, b *jobQueue) bool {
 	jobA, jobB := a.jobs[0].job, b.jobs[0].job
 	usedA, usedB := input.Used[jobA.Team], input.Used[jobB.Team]
@@ -174,7 +177,7 @@
 	return DominantShare(usedA, input.Capacity) < DominantShare(usedB, input.Capacity)
 }
 
-// findOrAddQueue finds the queue of a job's class, or adds it to the list.
+// findOrAddQueue returns the queue of a job's class, adding it to the list if needed.
 func findOrAddQueue(queues []*jobQueue, job *storage.Job) ([]*jobQueue, *jobQueue) {
 	class := storage.ClassQueueOf(job)
 	for _, queue := range queues {
--- a/internal/controller/schedule/earliest_start.go
+++ b/internal/controller/schedule/earliest_start.go
@@ -6,23 +6,24 @@
 	"dykeledge/internal/storage"
 )
 
-// This file finds where a task starts soonest: what a machine still has to fetch for it, and whether a
-// machine that is starting, or capacity that it preempts, serves it better than what is free.
+// This file finds where a task starts soonest. It estimates image fetches, and decides whether a task waits
+// for a booting machine or for preempted capacity instead of using free capacity.
 
 const (
-	// preemptionSeconds is about how long a preemption takes until its capacity is free: a record, the
-	// stops, the workers' heartbeats, a record.
+	// preemptionSeconds is the approximate time from a preemption until its capacity is free: a record is
+	// written, the tasks are stopped, the workers' heartbeats arrive, and another record is written.
 	preemptionSeconds = 4
-	// minStartGainS is by how many seconds a task must start sooner on capacity that it preempts for
-	// free capacity to be left alone. Short fetches are not worth what a preemption loses.
+	// minStartGainS is how many seconds sooner a task must start on preempted capacity or a booting
+	// machine for free capacity to be left unused. Avoiding a short fetch is not worth the work that a
+	// preemption loses.
 	minStartGainS = 12
-	// sharedFetchGainFraction is the part of an image's fetch by which a task that waits for one under way is
-	// better off than one that starts another, where both take as long: each machine fetches an image
-	// once.
+	// sharedFetchGainFraction is the fraction of an image's fetch time by which waiting for a fetch in
+	// progress is preferred over starting another one that takes as long: each machine fetches an image
+	// only once.
 	sharedFetchGainFraction = 0.75
 )
 
-// fetchSeconds is how many seconds a slot's machine needs until it has a job's image.
+// fetchSeconds returns how many seconds a slot's machine needs until it has a job's image.
 func (s *Slot) fetchSeconds(job *storage.Job) float64 {
 	if s.FetchGBs <= 0 || slices.Contains(s.Images, job.Image) {
 		return 0
@@ -34,7 +35,8 @@
 	return s.FetchDoneS + imageSeconds
 }
 
-// startFetch has a slot's machine fetch a job's image, if it neither has nor fetches it.
+// startFetch adds a job's image to the fetches of a slot's machine, unless the machine has it or is fetching
+// it.
 func (s *Slot) startFetch(job *storage.Job) {
 	if slices.Contains(s.Images, job.Image) || slices.Contains(s.FetchingImages, job.Image) {
 		return
@@ -45,10 +47,10 @@
 	}
 }
 
-// claimSoonerStart finds where a job's next task starts so much sooner than on the free slot that was found
-// for it, which has to fetch its image for longer, that it should wait: for a machine that is
-// starting, or as a top-priority job for capacity that it preempts where its image is. It claims the
-// capacity there, so that the next tasks look elsewhere. nil: the task should not wait.
+// claimSoonerStart looks for a slot on which a job's next task starts so much sooner than on the free slot
+// found for it, where its image must be fetched, that the task should wait: on a booting machine or, for a
+// job that MayPreempt allows, on preempted capacity. It claims the capacity there, so that the next tasks
+// do not use it too, and returns the slot; nil if the task should not wait.
 func (in *Input) claimSoonerStart(cursor *jobCursor, free *Slot) *Slot {
 	job := cursor.job
 	limit := free.fetchSeconds(job) - minStartGainS
@@ -67,8 +69,8 @@
 	return best
 }
 
-// soonestBooting is the starting machine on which a job's next task starts soonest, in less than limit
-// seconds, and in how many; nil and the limit if there is none.
+// soonestBooting returns the booting machine on which a job's next task starts soonest, in less than limit
+// seconds, and after how many seconds; nil and the limit if there is none.
 func (in *Input) soonestBooting(cursor *jobCursor, limit float64) (best *Slot, startSeconds float64) {
 	job := cursor.job
 	for _, slot := range in.Booting {
@@ -80,8 +82,8 @@
 	return best, limit
 }
 
-// soonestPreemptible is the slot on which a job's next task starts soonest on capacity that it preempts,
-// in less than limit seconds; nil if there is none.
+// soonestPreemptible returns the slot on which a job's next task starts soonest on capacity that it
+// preempts, in less than limit seconds; nil if there is none.
 func (in *Input) soonestPreemptible(cursor *jobCursor, limit float64) *Slot {
 	job := cursor.job
 	var best *Slot
@@ -94,7 +96,8 @@
 		capacity.Cpus += slot.Preemptible.Cpus
 		capacity.Gpus += slot.Preemptible.Gpus
 		capacity.Mem += slot.Preemptible.Mem
-		// What an earlier preemption for the job has freed there, or is about to free, is its own.
+		// Capacity that an earlier preemption for the job has freed or is freeing there is reserved for
+		// the job.
 		if fitsOne(capacity, job) || slot.reservedFor(job) > countSlot(cursor.claimed, slot) {
 			best, limit = slot, start
 		}
@@ -102,8 +105,8 @@
 	return best
 }
 
-// claim takes the capacity that a job's next task waits for: on a starting machine what is free, and
-// elsewhere what can be preempted.
+// claim takes the capacity for which a job's next task waits: free capacity of a booting machine, or
+// preemptible capacity of another.
 func (c *jobCursor) claim(slot *Slot) {
 	if slot.BootS > 0 {
 		slot.Free.Add(c.job, -1)
--- a/internal/controller/schedule/earliest_start_test.go
+++ b/internal/controller/schedule/earliest_start_test.go
@@ -12,8 +12,8 @@
 	"dykeledge/internal/storage"
 )
 
-// Replicas fetched images for half a minute and more on whatever machine had free capacity, beside
-// machines that had their image and ran work that may be preempted.
+// Guards against replicas that fetch their image for half a minute and more on any machine with free
+// capacity, although other machines have the image and run work that may be preempted.
 func TestTaskStartsWhereSoonest(t *testing.T) {
 	const (
 		image    = 7
@@ -34,14 +34,14 @@
 		booting  []*Slot
 		want     string // machine, preempts or waits
 	}{
-		{"an image that is there beats a cheaper machine", 30, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage)}, nil, "n"},
-		{"preempts where its image is rather than fetch it for long", 30, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage, preemptible)}, nil, preempts},
+		{"a cached image outweighs the order of machines", 30, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage)}, nil, "n"},
+		{"preempts where its image is cached to avoid a long fetch", 30, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage, preemptible)}, nil, preempts},
 		{"a short fetch is not worth a preemption", 5, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage, preemptible)}, nil, "m"},
 		{"best-effort work preempts nothing", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage, preemptible)}, nil, "m"},
-		{"waits for a machine about to be up rather than behind others' fetches", 30, protocol.Normal, []*Slot{slot("m", 0, 8, fetches(1, 60))}, []*Slot{slot("b", 0, 8, boots(10))}, waits},
-		{"does not wait for a machine that boots for as long", 30, protocol.Normal, []*Slot{slot("m", 0, 8, fetches(1, 60))}, []*Slot{slot("b", 0, 8, boots(55))}, "m"},
-		{"waits for a fetch under way rather than start another", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, fetches(image, 28))}, nil, "n"},
-		{"does not wait for a fetch behind others' fetches", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, fetches(image, 80))}, nil, "m"},
+		{"waits for a machine that boots soon rather than behind other fetches", 30, protocol.Normal, []*Slot{slot("m", 0, 8, fetches(1, 60))}, []*Slot{slot("b", 0, 8, boots(10))}, waits},
+		{"does not wait for a machine that boots almost as long", 30, protocol.Normal, []*Slot{slot("m", 0, 8, fetches(1, 60))}, []*Slot{slot("b", 0, 8, boots(55))}, "m"},
+		{"joins a fetch in progress rather than start another", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, fetches(image, 28))}, nil, "n"},
+		{"does not join a fetch that is queued behind others", 30, protocol.Normal, []*Slot{slot("m", 0, 8), slot("n", 0, 8, fetches(image, 80))}, nil, "m"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			waiting := job("a", 1, 4, test.priority, func(j *storage.Job) { j.Image, j.ImageGB, j.Spot = image, test.imageGB, false })
@@ -64,8 +64,8 @@
 	}
 }
 
-// A service's replicas spread over the machines that have its image: the loss of one machine took all
-// of them.
+// Guards against a service's replicas all on one of the machines that have its image, where the loss of that
+// machine stops all of them.
 func TestServiceReplicasSpreadOverMachines(t *testing.T) {
 	const replicas = 6
 	service := job("a", replicas, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
@@ -83,12 +83,12 @@
 		byMachine[placement.Slot.Machine.Name]++
 	}
 	if len(result.Placed) != replicas || len(byMachine) < replicas {
-		t.Errorf("%d replicas on %v", len(result.Placed), byMachine)
+		t.Errorf("%d replicas by machine: %v", len(result.Placed), byMachine)
 	}
 }
 
-// Preemptions choose first where the image is, in the order of their scores there, and further away
-// only for what does not fit.
+// Victims are chosen first on machines that have the image, in the order of their scores, and on other
+// machines only for tasks that do not fit there.
 func TestPreemptSoonest(t *testing.T) {
 	for _, test := range []struct {
 		tasks int
--- a/internal/controller/schedule/exhausted.go
+++ b/internal/controller/schedule/exhausted.go
@@ -2,21 +2,21 @@
 
 import "dykeledge/internal/storage"
 
-// maxExhaustedSizes is how many task sizes a pass remembers: each is compared with every job after it.
+// maxExhaustedSizes limits the task sizes kept in a pass, since each is compared with every later job.
 const maxExhaustedSizes = 16
 
-// exhaustedSizes remembers which task sizes found no slot in this pass. Free capacity only gets less, so a
-// task that is at least as large and may run on no more machines finds none either: hundreds of
-// waiting jobs need no scan of all machines each.
+// exhaustedSizes holds the task sizes that found no slot in a pass. Free capacity only decreases during a
+// pass, so a task that is at least as large and may run on no more machines finds none either. This avoids
+// a scan of all machines for each of hundreds of waiting jobs.
 type exhaustedSizes struct {
 	input    *Input
-	sizes    []storage.Job         // only what exhausted compares is set
-	spotOnly []bool                // by size: it was searched for on spot machines only
-	reserved map[*storage.Job]bool // jobs with capacity reserved for them, which are never covered
+	sizes    []storage.Job         // only the fields that isAtLeastAsDemanding compares are set
+	spotOnly []bool                // by size: only spot machines were searched
+	reserved map[*storage.Job]bool // jobs with reserved capacity, which are never covered
 }
 
-// add remembers that a job's task found no slot. Jobs whose own wishes may have been the reason tell
-// nothing of others.
+// add records that a job's task found no slot. Jobs whose own constraints may be the reason are left out:
+// they imply nothing for other jobs.
 func (e *exhaustedSizes) add(job *storage.Job) {
 	if len(job.Types) > 0 || job.OneZone || job.Spread || len(e.sizes) >= maxExhaustedSizes {
 		return
@@ -25,7 +25,7 @@
 	e.spotOnly = append(e.spotOnly, e.input.mustAvoidOnDemand(job))
 }
 
-// covers tells whether a job's tasks find no slot because smaller ones found none.
+// covers reports whether a job's tasks can find no slot because a task no larger found none.
 func (e *exhaustedSizes) covers(job *storage.Job) bool {
 	if e.reserved[job] {
 		return false
@@ -38,8 +38,8 @@
 	return false
 }
 
-// isAtLeastAsDemanding tells whether a task of a job is at least as large as one of another and may run on no
-// more machines, by spot and zone.
+// isAtLeastAsDemanding reports whether a task of a job is at least as large as a task of another job and
+// may run on no more machines, by spot and zone.
 func isAtLeastAsDemanding(job, other *storage.Job) bool {
 	return job.Cpus >= other.Cpus && job.Gpus >= other.Gpus && job.Mem >= other.Mem &&
 		(other.Spot || !job.Spot) && (other.Zone < 0 || other.Zone == job.Zone)
--- a/internal/controller/schedule/find.go
+++ b/internal/controller/schedule/find.go
@@ -6,23 +6,23 @@
 	"dykeledge/internal/storage"
 )
 
-// This file finds the best slot for a job's next task. A pass over n machines that places m tasks of
-// k jobs computes about k·n costs instead of m·n, and hundreds of jobs that find nothing compute none:
-// what is known of one job holds for all whose tasks are as large.
+// This file finds the best slot for a job's next task. A pass over n machines that places m tasks of k
+// jobs computes about k·n costs instead of m·n. Hundreds of jobs that find no slot compute none, because
+// a task size that found none rules out all jobs with tasks at least as large.
 
-// jobFinder holds the options of one job: of the first in a class queue.
+// jobFinder holds the options of the first job of a class queue.
 type jobFinder struct {
 	job           *storage.Job
 	options       optionHeap
-	recordLimited bool // the job fits on a machine whose record may not be rewritten any more
+	recordLimited bool // the job fits on a machine whose record may no longer be rewritten in this pass
 }
 
-// search is what the finders of a pass share.
+// search holds the state that the finders of a pass share.
 type search struct {
 	input          *Input
-	changes        []uint32           // by slot: how often it was changed in this pass
-	exhaustedSizes exhaustedSizes     // what found no slot at all
-	spentRecords   *spentRecordBudget // nil until no more records may be rewritten
+	changes        []uint32           // by slot index: number of changes in this pass
+	exhaustedSizes exhaustedSizes     // task sizes that found no slot
+	spentRecords   *spentRecordBudget // nil while more records may be rewritten
 	scans          int
 }
 
@@ -41,8 +41,8 @@
 	return s
 }
 
-// next finds the best slot for a job's next task. With none, bounded tells whether there is
-// one that could be used if one more record might be rewritten.
+// next returns the best slot for a job's next task. If there is none, recordLimited reports whether a slot
+// could be used if one more record might be rewritten.
 func (s *search) next(finder *jobFinder, cursor *jobCursor) (best *Slot, recordLimited bool) {
 	job := cursor.job
 	if s.exhaustedSizes.covers(job) {
@@ -50,7 +50,7 @@
 	}
 	if job.OneZone || job.Spread {
 		s.scans++
-		return scanForBest(s.input, cursor) // what a zone allows changes with every task
+		return scanForBest(s.input, cursor) // the allowed zones change with every task
 	}
 	if finder.job != job {
 		s.collectOptions(finder, job)
@@ -67,8 +67,8 @@
 	return nil, finder.recordLimited
 }
 
-// cheapestSlot is the slot of a finder's cheapestSlot option that can still be used, nil if there is none. It
-// drops options that are out of date: a slot that has changed has a newer option if it still suits.
+// cheapestSlot returns the slot of a finder's cheapest option that can still be used, nil if there is none.
+// It drops outdated options: a slot that has changed has a newer option if it still fits the job.
 func (s *search) cheapestSlot(finder *jobFinder) *Slot {
 	for len(finder.options) > 0 {
 		top := finder.options[0]
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// collectOptions collects the options of a job: all slots that one of its tasks could go to.
+// collectOptions collects the options of a job: all slots on which one of its tasks could be placed.
 func (s *search) collectOptions(finder *jobFinder, job *storage.Job) {
 	*finder = jobFinder{job: job, options: finder.options[:0]}
 	if s.input.Records > 0 {
@@ -98,7 +98,7 @@
 	finder.options.init()
 }
 
-// collectTouched collects options where no more records may be rewritten.
+// collectTouched collects options when no more records may be rewritten.
 func (s *search) collectTouched(finder *jobFinder) {
 	if s.spentRecords == nil {
 		s.spentRecords = newSpentRecordBudget(s.input, s.exhaustedSizes.reserved)
@@ -112,15 +112,15 @@
 	}
 }
 
-// collect adds a slot to a finder's options if it takes one of its job's tasks. The options
-// are no heap until all are collected.
+// collect adds a slot to a finder's options if one of its job's tasks can be placed there. The options form
+// a heap only once all are collected.
 func (s *search) collect(finder *jobFinder, index int32) {
 	if slot := s.input.Slots[index]; s.canTake(slot, finder.job) {
 		finder.options = append(finder.options, s.optionOf(slot, index, finder.job))
 	}
 }
 
-// canTake tells whether a slot and its record take one more task of a job.
+// canTake reports whether a slot and its record have room for one more task of a job.
 func (s *search) canTake(slot *Slot, job *storage.Job) bool {
 	return fitsSlot(s.input, slot, job) && slot.Record.Free > 0
 }
@@ -129,7 +129,7 @@
 	return option{placementSeconds(s.input, slot, job), index, s.changes[index]}
 }
 
-// update brings the finders of all queues up to date after a slot has changed.
+// update adds newer options for a changed slot to the finders of all queues.
 func (s *search) update(slot *Slot, queues []*jobQueue) {
 	s.changes[slot.index]++
 	for _, queue := range queues {
@@ -140,8 +140,7 @@
 	}
 }
 
-// scanForBest looks at all slots for the best one for a job's next task. With none, bounded is as for
-// search.next.
+// scanForBest scans all slots for the best one for a job's next task. recordLimited is as for search.next.
 func scanForBest(input *Input, cursor *jobCursor) (best *Slot, recordLimited bool) {
 	job := cursor.job
 	bestCost := math.Inf(1)
--- a/internal/controller/schedule/find_test.go
+++ b/internal/controller/schedule/find_test.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/storage"
 )
 
-// placeByScanning places as Place does, with a scan of every slot for every task.
+// placeByScanning places tasks as Place does, but scans every slot for every task.
 func placeByScanning(input *Input) (placed []string, unplacedByJob map[string]int, more bool) {
 	unplacedByJob = map[string]int{}
 	queues := newQueues(input)
@@ -52,20 +52,20 @@
 	return placed, unplacedByJob, more || len(queues) > 0
 }
 
-// bitSource draws numbers from random bits. The same bits give the same numbers.
+// bitSource generates numbers from random bits. The same bits give the same numbers.
 type bitSource struct {
 	bits  []uint16
 	draws int
 }
 
-// draw returns a number from 0 to below n.
+// draw returns a number in [0, n).
 func (b *bitSource) draw(n int) int {
 	b.draws++
 	return int(b.bits[b.draws%len(b.bits)]+uint16(b.draws*7)) % n
 }
 
-// drawInput draws a fleet with free capacity, groups, images, reservations and limits, and jobs of all
-// kinds. Drawn twice with the same bits it is twice the same.
+// drawInput generates machines with free capacity, groups, images, reservations and limits, and jobs of all
+// kinds. The same bits give the same input.
 func drawInput(bits []uint16) *Input {
 	source := &bitSource{bits: bits}
 	input := &Input{Now: time.Unix(2000, 0), Records: source.draw(4), Tasks: 1 + source.draw(40), OnDemandWeight: float64(source.draw(3))}
@@ -150,7 +150,7 @@
 	return states
 }
 
-// fixRapidSeed has rapid make the same draws every time.
+// fixRapidSeed makes rapid draw the same values in every run.
 func fixRapidSeed(t *testing.T, seed, checks string) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.nofailfile": "true"} {
@@ -160,8 +160,8 @@
 	}
 }
 
-// The search keeps options from one task to the next; whatever changes in between, it must
-// find what a scan of every slot would.
+// Place keeps options from one task to the next. Whatever changes in between, it must choose the slots that
+// a scan of every slot would.
 func TestPlaceMatchesFullScan(t *testing.T) {
 	fixRapidSeed(t, "7", "100")
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/schedule/fit.go
+++ b/internal/controller/schedule/fit.go
@@ -7,11 +7,11 @@
 	"dykeledge/internal/storage"
 )
 
-// maxFitCount bounds Fits for tasks that ask for next to nothing.
+// maxFitCount limits the result of Fits for tasks that request almost no resources.
 const maxFitCount = 1e6
 
-// Allowed tells whether a job's tasks may run on a machine at all, whatever is free on it: by spot or
-// on-demand, zone and machine type.
+// Allowed reports whether a machine satisfies a job's constraints on spot or on-demand machines, zone and
+// machine type, regardless of its free capacity.
 func Allowed(job *storage.Job, machine *storage.Machine) bool {
 	if machine.Spot && !job.Spot {
 		return false
@@ -22,7 +22,7 @@
 	return len(job.Types) == 0 || slices.Contains(job.Types, machine.Type)
 }
 
-// Fits is how many tasks of a job fit into what is free.
+// Fits returns how many tasks of a job fit into free capacity.
 func Fits(free storage.Usage, job *storage.Job) int {
 	n := math.Inf(1)
 	for _, resource := range [...]struct{ free, perTask float64 }{
@@ -37,7 +37,8 @@
 	return int(max(0, min(n, maxFitCount)))
 }
 
-// FreeFor is what a job may use on a slot: what is free there less what is reserved for other jobs.
+// FreeFor returns the capacity of a slot that a job may use: the free capacity without what is reserved for
+// other jobs.
 func FreeFor(slot *Slot, job *storage.Job) storage.Usage {
 	free := slot.Free
 	for _, reservation := range slot.Reservations {
@@ -48,23 +49,24 @@
 	return free
 }
 
-// fitsOne tells whether one task of a job fits into what is free.
+// fitsOne reports whether one task of a job fits into free capacity.
 func fitsOne(free storage.Usage, job *storage.Job) bool {
 	return free.Cpus+tolerance >= job.Cpus && free.Mem+tolerance >= job.Mem && free.Gpus+tolerance >= job.Gpus
 }
 
-// fitsSlot tells whether a slot takes one more task of a job, its zones and records aside.
+// fitsSlot reports whether one more task of a job may be placed on a slot, apart from the job's zone spread
+// and the slot's record.
 func fitsSlot(input *Input, slot *Slot, job *storage.Job) bool {
 	return fitsOne(slot.Free, job) && mayUseMachine(input, slot.Machine, job) &&
 		(len(slot.Reservations) == 0 || Fits(FreeFor(slot, job), job) > 0)
 }
 
-// mayUseMachine tells whether a job may run on a machine in this pass, whatever is free on it.
+// mayUseMachine reports whether a job may run on a machine in this pass, regardless of its free capacity.
 func mayUseMachine(input *Input, machine *storage.Machine, job *storage.Job) bool {
 	return Allowed(job, machine) && (machine.Spot || !input.mustAvoidOnDemand(job))
 }
 
-// reservedFor is how many tasks of a job the slot has capacity reserved for.
+// reservedFor returns the number of tasks of a job for which the slot has reserved capacity.
 func (s *Slot) reservedFor(job *storage.Job) int {
 	n := 0
 	for _, reservation := range s.Reservations {
--- a/internal/controller/schedule/option_heap.go
+++ b/internal/controller/schedule/option_heap.go
@@ -1,36 +1,35 @@
 package schedule
 
-// option is a slot with what a placement there costs. It is out of date once the slot has
-// changed since.
+// option is a slot with the cost of a placement there. It is outdated once the slot has changed since.
 type option struct {
-	cost        float64 // seconds, see cost
+	cost        float64 // seconds, see placementSeconds
 	slot        int32   // index in Input.Slots
-	changeCount uint32  // the slot's count of changes when the cost was worked out
+	changeCount uint32  // the slot's number of changes when the cost was computed
 }
 
-// less puts the cheapest first, and of equals the one that comes first among the slots.
+// less orders options by cost, and options of the same cost by slot index.
 func (o option) less(other option) bool {
 	return o.cost < other.cost || o.cost == other.cost && o.slot < other.slot
 }
 
-// optionHeap is a binary heap of options with the cheapest on top. It stands here in place of
-// container/heap because that allocates for each option that goes in or out.
+// optionHeap is a binary heap of options with the cheapest on top. It is used instead of container/heap,
+// which allocates for each option that is pushed or popped.
 type optionHeap []option
 
-// init orders a heap that was filled in any order.
+// init establishes the heap order of options in any order.
 func (h optionHeap) init() {
 	for i := len(h)/2 - 1; i >= 0; i-- {
 		h.siftDown(i)
 	}
 }
 
-// push puts an option in.
+// push adds an option.
 func (h *optionHeap) push(added option) {
 	*h = append(*h, added)
 	h.siftUp(len(*h) - 1)
 }
 
-// pop takes the cheapest option out.
+// pop removes the cheapest option.
 func (h *optionHeap) pop() {
 	options := *h
 	last := len(options) - 1
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -9,25 +9,25 @@
 // This file orders the jobs of a class queue.
 
 const (
-	// smallJobWeight is by how many seconds a job's latest start moves back for each second that its
-	// remaining work would keep the whole shard busy: under a backlog, more jobs are in time when
-	// the small ones go first.
+	// smallJobWeight is how many seconds later a job's latest start is set for each second that its
+	// remaining work would keep all machines of Input.Capacity busy: with a backlog, more jobs are in
+	// time if small jobs go first.
 	smallJobWeight = 6
-	// defaultTimeAllowed is how long jobs without a deadline are allowed to take, for their order only.
+	// defaultTimeAllowed is the time allowed for jobs without a deadline. It affects only their order.
 	defaultTimeAllowed = time.Hour
-	// agedFraction is the part of a class queue's capacity that jobs which have waited far too long
-	// may take before those that can still be in time.
+	// agedFraction is the fraction of a class queue's capacity that overdue jobs may use before jobs
+	// that can still be in time.
 	agedFraction = 0.25
 )
 
-// urgency is where a job stands among those of its class queue and priority.
+// urgency is the criterion by which jobs of a class queue are ordered within a priority.
 type urgency uint8
 
 const (
-	starving urgency = iota // has waited too long without a placed task: one goes first
-	aged                    // has waited far too long, and may use the capacity set aside for such jobs
+	starving urgency = iota // has waited too long without a placed task: one of its tasks goes first
+	aged                    // overdue, and may use the capacity set aside for such jobs
 	onTime                  // can be in time
-	deferred                // can't be in time, or not if the others are to be
+	deferred                // can't be in time, or would keep other jobs from being in time
 )
 
 // compareJobs compares jobs of a class queue by the order in which they start.
@@ -36,19 +36,18 @@
 		return order
 	}
 	if a.urgency == deferred {
-		// Small before large: most are over soonest.
+		// Small jobs first, so that as many as possible complete soon.
 		return cmp.Or(cmp.Compare(a.remainingWork, b.remainingWork), compareReady(a, b))
 	}
 	return cmp.Or(a.latestStart.Compare(b.latestStart), compareReady(a, b))
 }
 
-// compareReady compares jobs by when they became ready, and then by ID so that the order is total.
+// compareReady compares jobs by the time at which they became ready, then by ID to make the order total.
 func compareReady(a, b *jobCursor) int {
 	return cmp.Or(a.job.ReadyAt.Compare(b.job.ReadyAt), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// setDeadline works out a job's deadline, the latest start with which it meets that, and its
-// remaining work.
+// setDeadline computes a job's deadline, its latest start to meet the deadline, and its remaining work.
 func (c *jobCursor) setDeadline(input *Input) {
 	job := c.job
 	allowed, late := time.Duration(0), false
@@ -70,12 +69,12 @@
 	c.latestStart = job.ReadyAt.Add(allowed + time.Duration((sizeDelayS-job.Estimate)*float64(time.Second)))
 }
 
-// sort puts the jobs in the order in which they start, by their urgencies as they stand.
+// sort sorts the jobs into the order in which they start, by their current urgencies.
 func (q *jobQueue) sort() { slices.SortStableFunc(q.jobs, compareJobs) }
 
-// order puts a class queue's jobs in the order in which they start: by their latest starts as long as
-// the queue is not overloaded. Where more waits than the capacity can do in time, that order makes all
-// jobs late, one after the other; then some are deferred until the others are in time.
+// order sorts a class queue's jobs into the order in which they start: by latest start if the queue is not
+// overloaded. If more work waits than the capacity can complete in time, that order would make all jobs
+// late, one after the other; so some jobs are deferred until the others are in time.
 func (q *jobQueue) order(input *Input) {
 	state := q.state(input)
 	if !input.Overloaded || state == nil || !state.Overloaded {
@@ -92,7 +91,8 @@
 	q.promoteAged(input, agedFraction*capacity-state.Late)
 }
 
-// deferByPriority defers jobs among those of each priority, which stand together.
+// deferByPriority defers jobs separately for each priority. The queue is sorted, so jobs of one priority are
+// adjacent.
 func (q *jobQueue) deferByPriority(now time.Time, capacity float64) {
 	for from := 0; from < len(q.jobs); {
 		to := from + 1
@@ -106,8 +106,8 @@
 	}
 }
 
-// promoteStarving lets one task of each deferred job that has waited too long for its first go before
-// all others: however large the job is, one task costs the others next to nothing.
+// promoteStarving moves one task of each deferred job that has waited too long for its first task ahead of
+// all other jobs: however large the job, a single task hardly delays the others.
 func (q *jobQueue) promoteStarving(input *Input) {
 	if input.MustBegin == nil {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// promoteAged lets deferred jobs that have waited far too long, the oldest first, go before those that
-// can be in time, in a part of the class queue's capacity: so many CPUs.
+// promoteAged moves overdue deferred jobs, the oldest first, ahead of jobs that can be in time, until their
+// tasks use up capacity, in CPUs.
 func (q *jobQueue) promoteAged(input *Input, capacity float64) {
 	if input.Overdue == nil || capacity <= 0 {
 		return
--- a/internal/controller/schedule/order_test.go
+++ b/internal/controller/schedule/order_test.go
@@ -9,11 +9,12 @@
 	"dykeledge/internal/storage"
 )
 
-// In an overload the order by latest start made every job a little late, one after the other.
+// Guards against an overload in which the order by latest start makes every job a little late, one after the
+// other.
 func TestOrderUnderOverload(t *testing.T) {
 	now := time.Unix(1000, 0)
 	type waitingJob struct {
-		id             string // those that start with "never" have had no task placed for too long
+		id             string // jobs whose ID starts with "never" have had no task placed for too long
 		tasks          int
 		age            float64 // seconds since its submission
 		missedDeadline bool
@@ -21,17 +22,17 @@
 	for _, test := range []struct {
 		name        string
 		capacity    float64 // CPUs
-		overdueCpus float64 // CPUs of the queue used by jobs that have waited far too long
+		overdueCpus float64 // CPUs of the queue used by overdue jobs
 		jobs        []waitingJob
 		want        string
 	}{
 		{"capacity for all: the oldest first", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "b c a"},
-		{"too much for the capacity: the largest is deferred", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "c a b"},
-		{"what has missed its deadline is deferred, the small first", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 90, true}, {"c", 2, 80, true}}, "a c b"},
-		{"what can't be in time any more is deferred too", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 49, false}}, "a b"},
-		{"the oldest that waited far too long has its turn", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 900, true}, {"c", 2, 950, true}, {"d", 1, 890, true}}, "c a d b"},
-		{"but not when such have their part already", 8, 2, []waitingJob{{"a", 4, 5, false}, {"b", 40, 900, true}}, "a b"},
-		{"one that never started goes first, with one task", 8, 2, []waitingJob{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
+		{"more work than the capacity: the largest job is deferred", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "c a b"},
+		{"jobs that missed their deadline are deferred, small jobs first", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 90, true}, {"c", 2, 80, true}}, "a c b"},
+		{"a job that can no longer be in time is deferred", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 49, false}}, "a b"},
+		{"the oldest overdue job goes first", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 900, true}, {"c", 2, 950, true}, {"d", 1, 890, true}}, "c a d b"},
+		{"an overdue job is not promoted when such jobs use their fraction already", 8, 2, []waitingJob{{"a", 4, 5, false}, {"b", 40, 900, true}}, "a b"},
+		{"a starving job goes first, with one task", 8, 2, []waitingJob{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			hasMissed := map[*storage.Job]bool{}
--- a/internal/controller/schedule/overload_test.go
+++ b/internal/controller/schedule/overload_test.go
@@ -16,18 +16,18 @@
 	"dykeledge/internal/storage"
 )
 
-// overloadSimulator runs class queues of jobs on machines, a pass a second, with true run times.
+// overloadSimulator runs class queues of jobs on machines, with one pass per second and true run times.
 type overloadSimulator struct {
 	random     *rand.Rand
 	input      *Input
 	slots      []*Slot
 	jobs       []*storage.Job
 	runTimes   map[*storage.Job]float64 // true run time of a task, in seconds
-	ended      map[*storage.Job]float64 // when its last task was done
+	ended      map[*storage.Job]float64 // when its last task ended, in seconds
 	running    []runningTask
 	baseline   map[storage.ClassQueue]float64 // CPUs
 	now        float64                        // seconds
-	overloaded bool                           // the last pass dealt with an overload
+	overloaded bool                           // the last pass had an overload
 }
 
 type runningTask struct {
@@ -40,15 +40,15 @@
 const (
 	timeAllowedS            = 60.0            // seconds from submission in which jobs should be done
 	machineCpus             = 16              // of each machine
-	meanWorkCPUSeconds      = 5 * 2 * 4 * 2.3 // of a job, in CPU-seconds: tasks, CPUs, seconds, spread of those
+	meanWorkCPUSeconds      = 5 * 2 * 4 * 2.3 // per job: mean tasks, CPUs and seconds, and the spread of run times
 	overloadStartS          = 60              // seconds
 	overloadEndS            = 240             // seconds
 	simulationEndS          = 300             // seconds
 	machinesLostAtS         = overloadStartS + 40
 	checkIntervalS          = 60               // seconds
 	firstCheckS             = 2 * timeAllowedS // seconds
-	minJobsChecked          = 10               // fewer tell nothing
-	minOthersInTimeFraction = 0.8              // part of the jobs of a class queue that is not overloaded
+	minJobsChecked          = 10               // fewer jobs are not checked
+	minOthersInTimeFraction = 0.8              // of the jobs of each class queue that is not overloaded
 	minFractionOfBound      = 0.4              // of the overloaded class queue's jobs that could be in time
 )
 
@@ -62,19 +62,19 @@
 	s.jobs = append(s.jobs, j)
 }
 
-// time is the simulated time.
+// time returns the simulated time.
 func (s *overloadSimulator) time() time.Time {
 	return time.Unix(0, 0).Add(time.Duration(s.now * float64(time.Second)))
 }
 
-// step simulates a second: tasks end, and a pass places others.
+// step simulates one second: tasks end, and a pass places others.
 func (s *overloadSimulator) step() {
 	s.now++
 	s.endTasks()
 	s.prepareInput()
 	waits := s.addOpenJobs()
 	s.detectOverload(waits)
-	for _, placement := range Place(s.input).Placed { // Place itself enters what it places in Slots and Used only
+	for _, placement := range Place(s.input).Placed { // Place itself updates only Slots and Used
 		placement.Job.MachineOf[placement.Task] = 0
 		placement.Job.PlacedCount++
 		s.running = append(s.running, runningTask{placement.Job, placement.Task, placement.Slot, s.now + 1 + s.runTimes[placement.Job]})
@@ -98,7 +98,7 @@
 	})
 }
 
-// prepareInput resets what a pass decides on.
+// prepareInput resets the input of the next pass.
 func (s *overloadSimulator) prepareInput() {
 	input := s.input
 	input.Now = s.time()
@@ -121,7 +121,7 @@
 	}
 }
 
-// addOpenJobs enters the open jobs in the input and returns what of them waits.
+// addOpenJobs adds the open jobs to the input and returns their waiting work.
 func (s *overloadSimulator) addOpenJobs() []WaitingWork {
 	input := s.input
 	var waits []WaitingWork
@@ -141,7 +141,7 @@
 	return waits
 }
 
-// detectOverload tells the input which class queues are overloaded, as the controller does.
+// detectOverload marks overloaded class queues in the input, as the controller does.
 func (s *overloadSimulator) detectOverload(waits []WaitingWork) {
 	input := s.input
 	for queue, cpus := range s.baseline {
@@ -158,7 +158,7 @@
 	s.overloaded = input.Overloaded
 }
 
-// loseMachines takes machines away; what ran on them ends later, as if started again elsewhere.
+// loseMachines removes machines; their tasks end later, as if started again elsewhere.
 func (s *overloadSimulator) loseMachines(n int) {
 	for i := range s.running {
 		if task := &s.running[i]; slices.Contains(s.slots[:n], task.slot) {
@@ -168,7 +168,7 @@
 	s.slots = s.slots[n:]
 }
 
-// decidedJobs are a queue's jobs since a time that are old enough to tell whether they were in time.
+// decidedJobs returns a queue's jobs that were submitted since a time and whose allowed time has ended.
 func (s *overloadSimulator) decidedJobs(queue storage.ClassQueue, since float64) []*storage.Job {
 	var decidedJobs []*storage.Job
 	for _, j := range s.jobs {
@@ -179,7 +179,7 @@
 	return decidedJobs
 }
 
-// inTimeFraction is the part of the jobs that were in time, and how many they are.
+// inTimeFraction returns the fraction of the jobs that were in time, and the number of jobs.
 func (s *overloadSimulator) inTimeFraction(jobs []*storage.Job) (fraction float64, n int) {
 	inTime := 0
 	for _, j := range jobs {
@@ -190,8 +190,8 @@
 	return float64(inTime) / float64(max(1, len(jobs))), len(jobs)
 }
 
-// inTimeUpperBound is the part that could have been in time with all that is known only now: the smallest, as many
-// as so much work takes.
+// inTimeUpperBound returns an upper bound of the fraction of the jobs that could have been in time with
+// knowledge of all run times: the smallest jobs whose total work does not exceed work.
 func (s *overloadSimulator) inTimeUpperBound(jobs []*storage.Job, work float64) float64 {
 	size := func(j *storage.Job) float64 { return float64(j.Tasks) * j.Cpus * s.runTimes[j] }
 	slices.SortFunc(jobs, func(a, b *storage.Job) int { return cmp.Compare(size(a), size(b)) })
@@ -202,8 +202,8 @@
 	return float64(n) / float64(max(1, len(jobs)))
 }
 
-// submitArrivals submits what arrives in a second: as much as each class queue's baseline, and so many times
-// that of the overloaded one.
+// submitArrivals submits the jobs that arrive in a second: each class queue's baseline, and factor times the
+// baseline for the overloaded one.
 func (s *overloadSimulator) submitArrivals(queues []storage.ClassQueue, overloaded storage.ClassQueue, factor float64) {
 	for _, queue := range queues {
 		rate := s.baseline[queue] / meanWorkCPUSeconds
@@ -217,7 +217,7 @@
 	}
 }
 
-// newOverloadSimulator makes a simulator of so many teams and machines.
+// newOverloadSimulator returns a simulator with the given numbers of teams and machines.
 func newOverloadSimulator(seed uint64, teams, machines int) *overloadSimulator {
 	s := &overloadSimulator{
 		random:   rand.New(rand.NewPCG(seed, 1)),
@@ -238,8 +238,8 @@
 	return s
 }
 
-// drawQueues draws the classes of each team, at least two in all, and their baselines, which together
-// keep no more than half of the CPUs busy.
+// drawQueues draws the classes of each team, at least two in all, and their baselines, which together keep at
+// most half of the CPUs busy.
 func (s *overloadSimulator) drawQueues(cpus float64) []storage.ClassQueue {
 	var queues []storage.ClassQueue
 	for team := range s.input.Teams {
@@ -256,9 +256,9 @@
 	return queues
 }
 
-// Random classes of random teams, one of which is overloaded up to twentyfold while up to a third of the
-// machines are lost: the others must hardly notice, at every minute, and the overloaded one must have
-// a good part of what could be had.
+// Random classes of random teams; one class is overloaded up to twentyfold while up to a third of the machines
+// are lost. The jobs of the others must stay in time at every check, and the overloaded class must complete a
+// good part of the jobs that could be in time.
 func TestOverloadLeavesOthersInTime(t *testing.T) {
 	fixRapidSeed(t, "11", "20")
 	worstOther, minOfBound, sumOfBound, runs := 1.0, 1.0, 0.0, 0
@@ -308,8 +308,8 @@
 		sumOfBound += fraction / best
 		runs++
 		if fraction < minFractionOfBound*best {
-			t.Errorf("%.2f of the overloaded class queue in time, %.2f could be", fraction, best)
+			t.Errorf("%.2f of the overloaded class queue's jobs in time, %.2f could be", fraction, best)
 		}
 	})
-	t.Logf("worst part of a class queue that is not overloaded: %.3f in time; of the overloaded one's bound: %.3f in the mean, %.3f at least", worstOther, sumOfBound/float64(runs), minOfBound)
+	t.Logf("lowest fraction in time of a class queue that is not overloaded: %.3f; the overloaded one reached %.3f of its bound on average, %.3f at least", worstOther, sumOfBound/float64(runs), minOfBound)
 }
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -7,18 +7,18 @@
 	"dykeledge/internal/storage"
 )
 
-// jobCursor is how far a pass is with one job.
+// jobCursor is the progress of a pass with one job.
 type jobCursor struct {
 	job           *storage.Job
 	nextTask      int
 	tasksLeft     int
-	placedByZone  []int32   // tasks placed or claimed in this pass
-	placedOn      []*Slot   // by task placed in this pass
-	claimed       []*Slot   // by task that waits in this pass for a slot's preemptible capacity or boot
-	latestStart   time.Time // when it should start at the latest
-	deadline      time.Time // zero: it has none that it could still meet
-	slackS        float64   // seconds until it must have its capacity in order to be done in time
-	remainingWork float64   // of the tasks left to start, in CPU-seconds
+	placedByZone  []int32   // by zone, tasks placed or claimed in this pass
+	placedOn      []*Slot   // by task placed in this pass: its slot
+	claimed       []*Slot   // by waiting task: the slot whose boot or preemptible capacity it waits for
+	latestStart   time.Time // latest time at which it should start
+	deadline      time.Time // zero: it has none that it can still meet
+	slackS        float64   // seconds within which it must get its capacity to be in time
+	remainingWork float64   // work of the tasks left to start, in CPU-seconds
 	urgency       urgency
 }
 
@@ -29,12 +29,12 @@
 	finder jobFinder
 }
 
-// newQueues puts the waiting jobs into their class queues and orders each queue.
+// newQueues groups the waiting jobs into class queues and sorts each queue.
 func newQueues(input *Input) []*jobQueue {
 	if input.Scratch == nil {
 		input.Scratch = &Scratch{}
 	}
-	// The queues point into this slice, so it must not grow while the pass lasts.
+	// The queues hold pointers into this slice, so it must not be reallocated during the pass.
 	cursors := slices.Grow(input.Scratch.cursors[:0], len(input.Jobs))
 	input.Scratch.cursors = cursors
 	var queues []*jobQueue
@@ -59,16 +59,16 @@
 	return queues
 }
 
-// pass is one run of Place.
+// pass is the state of one run of Place.
 type pass struct {
 	input  *Input
 	search search
-	queues []*jobQueue // those with jobs left
+	queues []*jobQueue // queues with jobs left
 	result Result
 }
 
-// Place decides which waiting tasks start where. It places one task after the other, each time the
-// next of the class queue whose turn it is, until no job is left or a bound of the input is reached.
+// Place decides which waiting tasks start on which machines. It places one task at a time, always the next
+// task of the first class queue in order, until no job is left or a bound of the input is reached.
 func Place(input *Input) Result {
 	p := pass{
 		input:  input,
@@ -89,8 +89,8 @@
 	return p.result
 }
 
-// placeNext decides on the next task of a queue's first job. A job whose task finds no slot is done
-// with for this pass: its other tasks are alike.
+// placeNext decides on the next task of a queue's first job. If the task finds no slot, the job is finished
+// for this pass, since its other tasks are alike.
 func (p *pass) placeNext(queue *jobQueue) {
 	cursor := queue.jobs[0]
 	job := cursor.job
@@ -111,7 +111,7 @@
 	}
 }
 
-// placeOrWait puts a job's next task on a free slot, unless it starts sooner elsewhere and waits.
+// placeOrWait places a job's next task on a free slot, unless it starts sooner elsewhere and should wait.
 func (p *pass) placeOrWait(cursor *jobCursor, slot *Slot) {
 	if soonest := p.input.claimSoonerStart(cursor, slot); soonest != nil {
 		if soonest.BootS == 0 {
@@ -125,13 +125,13 @@
 	cursor.advance()
 }
 
-// advance goes on to the job's next waiting task.
+// advance moves the cursor to the job's next waiting task.
 func (c *jobCursor) advance() {
 	c.tasksLeft--
 	c.nextTask = c.job.NextWaiting(c.nextTask + 1)
 }
 
-// dropIfDone takes a queue's first job out if no task of it is left, and the queue with its last job.
+// dropIfDone removes a queue's first job if none of its tasks is left, and the queue if it has no more jobs.
 func (p *pass) dropIfDone(queueIndex int) {
 	queue := p.queues[queueIndex]
 	if cursor := queue.jobs[0]; cursor.tasksLeft != 0 && cursor.nextTask >= 0 {
@@ -143,8 +143,8 @@
 	}
 }
 
-// recordPlacement enters a placed task into the slot, its record, the job's cursor and what its team and class
-// queue use.
+// recordPlacement adds a placed task to the slot, its record, the job's cursor and the usage of its team and
+// class queue.
 func recordPlacement(input *Input, cursor *jobCursor, slot *Slot) {
 	job := cursor.job
 	slot.Free.Add(job, -1)
--- a/internal/controller/schedule/place_test.go
+++ b/internal/controller/schedule/place_test.go
@@ -12,7 +12,7 @@
 	"dykeledge/internal/storage"
 )
 
-// job makes a waiting job of team 0 that may run anywhere, and changes it.
+// job returns a waiting job of team 0 that may run anywhere, modified by change.
 func job(id string, tasks int, cpus float64, priority protocol.Priority, change ...func(*storage.Job)) *storage.Job {
 	j := &storage.Job{
 		ID: id, Tasks: tasks, Cpus: cpus, Mem: cpus, Priority: priority, Zone: -1, Spot: true, ReadyAt: time.Unix(1000, 0),
@@ -25,7 +25,7 @@
 	return j
 }
 
-// slot makes an on-demand machine with 4 GB of memory a CPU, all of it free, and changes it.
+// slot returns an on-demand machine with 4 GB of memory per CPU, all of it free, modified by change.
 func slot(name string, zone int, cpus float64, change ...func(*Slot)) *Slot {
 	s := &Slot{
 		Machine:  &storage.Machine{Name: name, Zone: zone},
@@ -47,13 +47,13 @@
 		slots          []*Slot
 		teams          []config.Team
 		used           []storage.Usage
-		records        int            // that may be rewritten; 0: enough
+		records        int            // records that may be rewritten; 0: enough
 		leavesOnDemand bool           // the first class is kept off on-demand machines in an overload
 		want           map[string]int // tasks placed by job/machine
 		short          map[string]int
 		more           bool
 	}{
-		{name: "fills what fits and reports the rest",
+		{name: "places what fits and reports the rest as short",
 			jobs: []*storage.Job{job("a", 3, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 8)},
 			want: map[string]int{"a/m": 2}, short: map[string]int{"a": 1}},
 		{name: "higher priority first",
@@ -62,7 +62,7 @@
 		{name: "a team's limit holds although capacity is free",
 			jobs: []*storage.Job{job("a", 5, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 32)},
 			teams: []config.Team{{CpusMax: 9}}, want: map[string]int{"a/m": 2}},
-		{name: "what a team uses elsewhere counts",
+		{name: "a team's usage on other shards counts",
 			jobs: []*storage.Job{job("a", 5, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 32)},
 			teams: []config.Team{{CpusMax: 9}}, used: []storage.Usage{{Cpus: 4}}, want: map[string]int{"a/m": 1}},
 		{name: "a team within its guarantee goes before higher priority of others",
@@ -73,17 +73,17 @@
 			jobs: []*storage.Job{job("a", 1, 8, protocol.High),
 				job("b", 4, 2, protocol.Normal, func(j *storage.Job) { j.Class = 1 })},
 			slots: []*Slot{slot("m", 0, 8)}, teams: []config.Team{{Cpus: 6}}, want: map[string]int{"a/m": 1}},
-		{name: "a class that is kept off on-demand machines in an overload; that says nothing of others",
+		{name: "a class kept off on-demand machines in an overload does not affect others",
 			jobs: []*storage.Job{job("a", 1, 2, protocol.Normal), job("b", 1, 2, protocol.Normal, func(j *storage.Job) { j.Class = 1 }),
 				job("c", 1, 2, protocol.Normal, func(j *storage.Job) { j.Spot = false }), job("d", 1, 2, protocol.High)},
 			slots: []*Slot{slot("m", 0, 16)}, leavesOnDemand: true, want: map[string]int{"b/m": 1, "c/m": 1, "d/m": 1}, short: map[string]int{"a": 1}},
 		{name: "equal teams share",
 			jobs:  []*storage.Job{job("a", 4, 4, protocol.Normal), job("b", 4, 4, protocol.Normal, team(1))},
 			slots: []*Slot{slot("m", 0, 16)}, teams: []config.Team{{}, {}}, want: map[string]int{"a/m": 2, "b/m": 2}},
-		{name: "no spot machine for a job that forbids it",
+		{name: "no spot machine for a job that does not allow it",
 			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Spot = false })},
 			slots: []*Slot{slot("m", 0, 8, func(s *Slot) { s.Machine.Spot = true })}, short: map[string]int{"a": 1}},
-		{name: "only the zone that is asked for",
+		{name: "only the requested zone",
 			jobs:  []*storage.Job{job("a", 2, 4, protocol.Normal, func(j *storage.Job) { j.Zone = 1 })},
 			slots: []*Slot{slot("m", 0, 8), slot("n", 1, 4)}, want: map[string]int{"a/n": 1}, short: map[string]int{"a": 1}},
 		{name: "all tasks in one zone, the one with most capacity",
@@ -92,7 +92,7 @@
 		{name: "spread: at most half, rounded up, in a zone",
 			jobs:  []*storage.Job{job("a", 5, 4, protocol.Normal, func(j *storage.Job) { j.Spread = true })},
 			slots: []*Slot{slot("m", 0, 32), slot("n", 1, 4)}, want: map[string]int{"a/m": 3, "a/n": 1}, short: map[string]int{"a": 1}},
-		{name: "the machine with the image",
+		{name: "the machine with the cached image",
 			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Image, j.ImageGB = 7, 3 })},
 			slots: []*Slot{slot("m", 0, 8), slot("n", 0, 8, func(s *Slot) { s.Images = []int{7} })},
 			want:  map[string]int{"a/n": 1}},
@@ -102,7 +102,7 @@
 				s.Reservations = []Reservation{{Job: job("x", 1, 4, protocol.High), Slots: 1}}
 			})},
 			want: map[string]int{"a/m": 1}, short: map[string]int{"a": 1}},
-		{name: "no more records than the transaction takes",
+		{name: "no more records than the transaction can rewrite",
 			jobs: []*storage.Job{job("a", 4, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 4), slot("n", 0, 4)},
 			records: 1, want: map[string]int{"a/m": 1}, more: true},
 	}
@@ -168,8 +168,8 @@
 	return counts
 }
 
-// Small tasks of 150 s without checkpoints ran on a spot machine, 60 on one; when that was
-// taken away they all started again, and the day's last work ended two minutes later.
+// Guards against fragile tasks packed on one spot machine: with 60 small tasks of 150 s without checkpoints
+// on one, its loss restarted them all, and the day's last work ended two minutes later.
 func TestFragileTasksSpread(t *testing.T) {
 	const tasks = 40
 	for _, test := range []struct {
@@ -182,7 +182,7 @@
 		{"long and without checkpoints", 150, 0, true, 14},
 		{"short", 15, 0, true, tasks},
 		{"long, but with checkpoints", 150, 10, true, tasks},
-		{"on machines that are not taken away", 150, 0, false, tasks},
+		{"on on-demand machines", 150, 0, false, tasks},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fragile := &storage.Job{
@@ -219,7 +219,7 @@
 	}
 }
 
-// With a full fleet each of hundreds of waiting jobs scanned every machine, each pass.
+// Guards against a pass that scans every machine for each of hundreds of waiting jobs when the fleet is full.
 func TestFullFleetIsScannedFewTimes(t *testing.T) {
 	input := &Input{
 		Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2),
@@ -233,8 +233,8 @@
 		j.Team = i % 2
 		input.Jobs = append(input.Jobs, j)
 	}
-	small := job("small", 1, 1, protocol.Low)         // fits although larger ones do not
-	reserving := job("reserving", 1, 4, protocol.Low) // has capacity reserved for it
+	small := job("small", 1, 1, protocol.Low)         // fits although larger jobs do not
+	reserving := job("reserving", 1, 4, protocol.Low) // has reserved capacity
 	input.Slots[1].Free.Cpus = 4
 	input.Slots[1].Reservations = []Reservation{{Job: reserving, Slots: 1}}
 	input.Jobs = append(input.Jobs, small, reserving)
--- a/internal/controller/schedule/preempt_soonest.go
+++ b/internal/controller/schedule/preempt_soonest.go
@@ -8,24 +8,23 @@
 	"dykeledge/internal/storage"
 )
 
-// fetchLimitsS are the seconds up to which a machine may fetch a job's image, in the steps in which
-// PreemptSoonest widens its choice: a job preempts where its image is, if that frees enough for all of its
-// waiting tasks.
+// fetchLimitsS are limits in seconds on the time to fetch a job's image. PreemptSoonest goes through them in
+// rising order to widen its choice of machines: a job preempts where its image is cached if that frees
+// enough capacity for all of its waiting tasks.
 var fetchLimitsS = [...]float64{4, 10, 20, 40, 80, math.Inf(1)}
 
-// fetchLimitIndex is the index of the first step in which a slot is considered for a job.
+// fetchLimitIndex returns the index of the first of fetchLimitsS that a slot meets for a job.
 func fetchLimitIndex(slot *Slot, job *storage.Job) int {
 	return slices.IndexFunc(fetchLimitsS[:], func(limit float64) bool { return slot.fetchSeconds(job) <= limit })
 }
 
-// PreemptSoonest is Preempt on the machines where the job's tasks start soonest, of all slots: those that
-// have the job's image go first, and those that would have to fetch it for longer are only
-// considered if those before give too little capacity. Among machines alike the order of the candidates
-// is kept.
+// PreemptSoonest is Preempt limited to those of the slots where the job's tasks start soonest. Machines that
+// have the job's image are considered first, and machines that would have to fetch it for longer only if the
+// others free too little capacity. Candidates of equally near machines keep their order.
 //
-// Where no machine fetches the image for long, the score alone decides: on deployments with pipelines,
-// whose work within guarantees preempts all day, preferring machines a few seconds nearer lost more than
-// it gained.
+// If no machine would fetch the image for long, only the score decides: on deployments with pipelines, whose
+// work within guarantees preempts all day, preferring machines that were only a few seconds nearer lost more
+// work than it gained.
 func PreemptSoonest(job *storage.Job, tasks int, slots []*Slot, ordered []Candidate) []Candidate {
 	if !slices.ContainsFunc(slots, func(slot *Slot) bool { return hasLongFetch(slot, job) }) {
 		return Preempt(job, tasks, slots, ordered)
@@ -37,7 +36,7 @@
 	sorted := slices.Clone(ordered)
 	slices.SortStableFunc(sorted, func(a, b Candidate) int {
 		return cmp.Or(
-			bestEffortFirst(a, b), // wherever it is
+			bestEffortFirst(a, b), // regardless of the machine
 			cmp.Compare(limitIndexes[a.Victims[0].Slot], limitIndexes[b.Victims[0].Slot]),
 		)
 	})
@@ -59,13 +58,13 @@
 	return nil
 }
 
-// hasLongFetch tells whether a slot's machine would fetch a job's image, if it has not got it, for so
-// long that a preemption elsewhere may be worth while.
+// hasLongFetch reports whether a slot's machine would need so long to fetch a job's image, if it does not
+// have it, that a preemption on another machine may be worthwhile.
 func hasLongFetch(slot *Slot, job *storage.Job) bool {
 	return slot.FetchGBs > 0 && job.ImageGB/slot.FetchGBs > minStartGainS
 }
 
-// tasksIfAllPreempted is how many tasks of a job fit on the slots once all candidates are preempted.
+// tasksIfAllPreempted returns how many tasks of a job fit on the slots once all candidates are preempted.
 func tasksIfAllPreempted(job *storage.Job, slots []*Slot, candidates []Candidate) int {
 	capacity := newFreeCapacity(job, slots)
 	for _, candidate := range candidates {
--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -9,7 +9,7 @@
 	"dykeledge/internal/storage"
 )
 
-// Victim is one task that a preemption stops.
+// Victim is a task that a preemption stops.
 type Victim struct {
 	Slot    *Slot
 	Job     *storage.Job
@@ -20,22 +20,22 @@
 // Candidate is work that may be preempted: one task of an array, or a whole service.
 type Candidate struct {
 	Victims     []Victim
-	Lost        float64   // task-seconds that would be lost: run since start or last checkpoint
-	Waited      float64   // seconds waited before it last started
-	SubmittedAt time.Time // the job's submission; on ties the younger goes first
+	Lost        float64   // task-seconds lost by a preemption: run since the start or the last checkpoint
+	Waited      float64   // seconds waited before the last start
+	SubmittedAt time.Time // when the job became ready; of equal scores the younger is preempted first
 	Score       float64   // set by RankCandidates
-	// TopPriority tells that it is top-priority work, which only a guarantee may preempt.
+	// TopPriority is true for top-priority work, which may be preempted only for a guarantee.
 	TopPriority bool
 }
 
-// Score is the paper's combinatorial score, its equation (2), of a candidate: alpha is the weight, from
-// 0 to 1, of the lost work (v there) against the waiting time (w there), both in
-// seconds. Low goes first.
+// Score is the combinatorial score of the paper, its equation (2): alpha is the weight, from 0 to 1, of the
+// lost work (v in the paper) against the waiting time (w in the paper), both in seconds. Candidates with a
+// low score are preempted first.
 func Score(alpha, lost, waited float64) float64 { return alpha*lost + (1-alpha)*waited }
 
-// RankCandidates scores candidates and sorts them in rising score, the younger first on ties.
-// Top-priority work comes after all best-effort work: steps of pipelines that had just
-// started had the least to lose, and were preempted for guarantees again and again.
+// RankCandidates scores the candidates and sorts them by rising score, the younger first among equal scores.
+// Top-priority work comes after all best-effort work: otherwise steps of pipelines that had just started
+// would have the lowest scores and be preempted for guarantees again and again.
 func RankCandidates(alpha float64, candidates []Candidate) {
 	for i := range candidates {
 		candidates[i].Score = Score(alpha, candidates[i].Lost, candidates[i].Waited)
@@ -49,7 +49,7 @@
 	})
 }
 
-// bestEffortFirst compares candidates by whether they are top-priority work, which goes last.
+// bestEffortFirst compares candidates so that top-priority work comes last.
 func bestEffortFirst(a, b Candidate) int {
 	switch {
 	case a.TopPriority && !b.TopPriority:
@@ -60,10 +60,10 @@
 	return 0
 }
 
-// Preempt takes candidates in rising score until so many tasks of the job fit on the
-// slots, then drops those that turned out unneeded. It returns nil when all
-// of them would not free enough for a single task more than fits now; when they free enough for
-// fewer tasks, it takes what they free (the job waits for the rest).
+// Preempt takes candidates in rising score until the given number of tasks of the job fit on the slots, then
+// drops candidates that are not needed. If all candidates together free capacity for fewer tasks, Preempt
+// chooses for that many, and the job waits for the rest. It returns nil if they would not make room for a
+// single task more than fits now.
 func Preempt(job *storage.Job, tasks int, slots []*Slot, ordered []Candidate) []Candidate {
 	capacity := newFreeCapacity(job, slots)
 	fitNow := capacity.tasks()
@@ -91,8 +91,8 @@
 	return dropUnneeded(capacity, chosen, tasks)
 }
 
-// dropUnneeded drops candidates, the highest score first, without which so many tasks still fit. capacity is
-// what is free once all of them are preempted.
+// dropUnneeded drops candidates, the highest score first, without which the given number of tasks still
+// fits. capacity is the free capacity with all of them preempted.
 func dropUnneeded(capacity *freeCapacity, chosen []Candidate, tasks int) []Candidate {
 	for i := len(chosen) - 1; i >= 0; i-- {
 		capacity.reclaim(chosen[i])
@@ -111,12 +111,12 @@
 	return kept
 }
 
-// freeCapacity counts how many tasks of a job fit into what is free. A change costs as much as the
-// slots that it changes, not a scan of all.
+// freeCapacity counts how many tasks of a job fit into free capacity. The cost of a change is proportional to
+// the number of slots changed; it does not scan all slots.
 type freeCapacity struct {
 	job   *storage.Job
 	free  map[*Slot]storage.Usage // of the slots that the job may use
-	zones []int                   // tasks that fit, by zone
+	zones []int                   // number of tasks that fit, by zone
 }
 
 func newFreeCapacity(job *storage.Job, slots []*Slot) *freeCapacity {
@@ -132,7 +132,7 @@
 	return capacity
 }
 
-// touches tells whether a candidate uses any slot that the job may use.
+// touches reports whether a candidate uses any slot that the job may use.
 func (f *freeCapacity) touches(candidate Candidate) bool {
 	return slices.ContainsFunc(candidate.Victims, func(victim Victim) bool {
 		_, ok := f.free[victim.Slot]
@@ -140,13 +140,13 @@
 	})
 }
 
-// release frees what a candidate uses.
+// release adds the resources that a candidate uses to the free capacity.
 func (f *freeCapacity) release(candidate Candidate) { f.change(candidate, 1) }
 
 // reclaim undoes release.
 func (f *freeCapacity) reclaim(candidate Candidate) { f.change(candidate, -1) }
 
-// change adds what a candidate uses, times sign, to what is free.
+// change adds the resources that a candidate uses, times sign, to the free capacity.
 func (f *freeCapacity) change(candidate Candidate, sign float64) {
 	for _, victim := range candidate.Victims {
 		free, ok := f.free[victim.Slot]
@@ -161,7 +161,7 @@
 	}
 }
 
-// tasks is how many tasks of the job fit into what is free, by what it asks for of zones.
+// tasks returns how many tasks of the job fit into the free capacity under the job's zone constraints.
 func (f *freeCapacity) tasks() int {
 	job := f.job
 	total := 0
@@ -172,7 +172,7 @@
 		}
 		switch {
 		case job.OneZone && job.PlacedCount > 0 && placed == 0:
-			// Its other tasks run in another zone.
+			// The job's other tasks run in another zone.
 		case job.OneZone:
 			total = max(total, fit)
 		case job.Spread:
@@ -184,8 +184,8 @@
 	return total
 }
 
-// EvictExcess takes candidates of one team in rising score until what it uses is within its limit. Tasks
-// that a victim set contains already must be left out of the candidates, and count as used until they are gone.
+// EvictExcess takes candidates of one team in rising score until the team's usage is within its limit. Tasks
+// that are already in a victim set must not be among the candidates; they count as used until they end.
 func EvictExcess(used storage.Usage, limit config.Team, ordered []Candidate) []Candidate {
 	exceeds := func() bool {
 		return limit.CpusMax > 0 && used.Cpus > limit.CpusMax+tolerance ||
--- a/internal/controller/schedule/preemption_test.go
+++ b/internal/controller/schedule/preemption_test.go
@@ -26,17 +26,17 @@
 			[]Candidate{candidate("a", slotM, 4, 9, 1, old), candidate("b", slotN, 4, 2, 50, old)}, []string{"b"}},
 		{"shortest wait first when alpha is 0", 0, 1,
 			[]Candidate{candidate("a", slotM, 4, 9, 1, old), candidate("b", slotN, 4, 2, 50, old)}, []string{"a"}},
-		{"both weighed", 0.31, 1,
+		{"both weighted", 0.31, 1,
 			[]Candidate{candidate("a", slotM, 4, 100, 1, old), candidate("b", slotN, 4, 2, 30, old)}, []string{"b"}},
-		{"the younger goes on ties", 0.31, 1,
+		{"the younger goes first on ties", 0.31, 1,
 			[]Candidate{candidate("a", slotM, 4, 5, 5, old), candidate("b", slotM, 4, 5, 5, young)}, []string{"b"}},
 		{"stops once it fits", 1, 2,
 			[]Candidate{candidate("a", slotM, 4, 1, 0, old), candidate("b", slotM, 4, 2, 0, old), candidate("c", slotM, 4, 3, 0, old)}, []string{"a", "b"}},
-		{"drops what turned out unneeded", 1, 1,
+		{"drops an unneeded candidate", 1, 1,
 			[]Candidate{candidate("a", slotM, 2, 1, 0, old), candidate("b", slotN, 4, 2, 0, old)}, []string{"b"}},
-		{"takes what can be had when not all fits", 1, 5,
+		{"preempts for fewer tasks when not all fit", 1, 5,
 			[]Candidate{candidate("a", slotM, 4, 1, 0, old)}, []string{"a"}},
-		{"preempts nobody when it would not help", 1, 1,
+		{"preempts nothing when it would not help", 1, 1,
 			[]Candidate{candidate("a", slotM, 2, 1, 0, old)}, nil},
 		{"two small ones free enough for one large", 1, 1,
 			[]Candidate{candidate("a", slotM, 2, 1, 0, old), candidate("b", slotM, 2, 2, 0, old)}, []string{"a", "b"}},
@@ -55,8 +55,8 @@
 	}
 }
 
-// For a guarantee whatever another team runs beyond its own may be preempted, but top-priority work
-// only when best-effort work does not do.
+// Any work that another team runs beyond its own guarantee may be preempted for a guarantee, but top-priority
+// work only if preempting best-effort work is not enough.
 func TestRankCandidates(t *testing.T) {
 	old, young := time.Unix(100, 0), time.Unix(200, 0)
 	candidates := []Candidate{
--- a/internal/controller/schedule/spent_budget.go
+++ b/internal/controller/schedule/spent_budget.go
@@ -6,30 +6,30 @@
 	"dykeledge/internal/storage"
 )
 
-// spentRecordBudget is what is left of a pass when no more records may be rewritten: tasks may go
-// only to machines whose records are rewritten anyway. The others do not change any more, so what
-// they have free is summed up once.
+// spentRecordBudget is the state of a pass once no more records may be rewritten. Tasks may then be placed
+// only on machines whose records are already rewritten. The free capacity of the other machines no longer
+// changes, so it is summarized once.
 type spentRecordBudget struct {
 	input          *Input
 	touched        []int32           // slots whose records are rewritten
-	exhaustedSizes exhaustedSizes    // what found no slot among those
-	untouched      []machineCapacity // of the others, by kind of machine
-	reserved       []int32           // of the others, slots with capacity reserved for certain jobs
+	exhaustedSizes exhaustedSizes    // task sizes that found no slot among touched
+	untouched      []machineCapacity // free capacity of the other slots, by kind of machine
+	reserved       []int32           // those of the other slots that have reservations
 }
 
-// machineKind is what Allowed tells machines apart by.
+// machineKind holds the properties by which Allowed distinguishes machines.
 type machineKind struct {
 	machineType, zone int
 	spot              bool
 }
 
-// machineCapacity is what machines of one kind have free.
+// machineCapacity is the free capacity of machines of one kind.
 type machineCapacity struct {
-	machine *storage.Machine // any of them
-	maximal []storage.Usage  // the free capacities that are not within that of another machine
+	machine *storage.Machine // any machine of the kind
+	maximal []storage.Usage  // free capacities that are not within that of another machine
 }
 
-// newSpentRecordBudget sorts the slots by whether their records are rewritten.
+// newSpentRecordBudget divides the slots by whether their records are rewritten.
 func newSpentRecordBudget(input *Input, reserved map[*storage.Job]bool) *spentRecordBudget {
 	b := &spentRecordBudget{input: input, exhaustedSizes: exhaustedSizes{input: input, reserved: reserved}}
 	indexOf := map[machineKind]int{}
@@ -47,7 +47,7 @@
 	return b
 }
 
-// addUntouched enters a slot's free capacity into that of its kind.
+// addUntouched adds a slot's free capacity to that of its kind of machine.
 func (b *spentRecordBudget) addUntouched(indexOf map[machineKind]int, slot *Slot) {
 	kind := machineKind{slot.Machine.Type, slot.Machine.Zone, slot.Machine.Spot}
 	index, ok := indexOf[kind]
@@ -64,12 +64,12 @@
 	capacity.maximal = append(capacity.maximal, slot.Free)
 }
 
-// isWithin tells whether no resource of inner exceeds that of outer.
+// isWithin reports whether no resource of inner exceeds that of outer.
 func isWithin(inner, outer storage.Usage) bool {
 	return inner.Cpus <= outer.Cpus && inner.Gpus <= outer.Gpus && inner.Mem <= outer.Mem
 }
 
-// fitsUntouched tells whether a job's task fits on a machine whose record may not be rewritten.
+// fitsUntouched reports whether a job's task fits on a machine whose record may not be rewritten.
 func (b *spentRecordBudget) fitsUntouched(job *storage.Job) bool {
 	for i := range b.untouched {
 		capacity := &b.untouched[i]
--- a/internal/controller/schedule/team_limits.go
+++ b/internal/controller/schedule/team_limits.go
@@ -5,10 +5,12 @@
 	"dykeledge/internal/storage"
 )
 
-// tolerance is by how much sums of resources may be off: they are added and subtracted task by task.
+// tolerance is the rounding error allowed for in sums of resources, which are added and subtracted task by
+// task.
 const tolerance = 1e-6
 
-// DominantShare is the largest part, from 0 to 1, that a team uses of any resource of the capacity.
+// DominantShare returns the largest fraction that a team uses of any resource of the capacity, from 0 to 1 if
+// used counts only tasks on that capacity.
 func DominantShare(used, capacity storage.Usage) float64 {
 	fraction := func(amount, total float64) float64 {
 		if total <= 0 {
@@ -19,8 +21,8 @@
 	return max(fraction(used.Cpus, capacity.Cpus), fraction(used.Gpus, capacity.Gpus), fraction(used.Mem, capacity.Mem))
 }
 
-// WithinGuarantee tells whether a team stays within its guarantee with one more task beside what
-// it uses.
+// WithinGuarantee reports whether a team that uses the given resources stays within its guarantee with one
+// more task.
 func WithinGuarantee(team config.Team, used storage.Usage, job *storage.Job) bool {
 	if team.Cpus <= 0 && team.Gpus <= 0 {
 		return false
@@ -28,14 +30,14 @@
 	return used.Cpus+job.Cpus <= team.Cpus+tolerance && used.Gpus+job.Gpus <= team.Gpus+tolerance
 }
 
-// WithinLimit tells whether a team stays within its limit with n more tasks beside what it
-// uses.
+// WithinLimit reports whether a team that uses the given resources stays within its limit with n more tasks.
 func WithinLimit(team config.Team, used storage.Usage, job *storage.Job, n int) bool {
 	return (team.CpusMax <= 0 || used.Cpus+float64(n)*job.Cpus <= team.CpusMax+tolerance) &&
 		(team.GpusMax <= 0 || used.Gpus+float64(n)*job.Gpus <= team.GpusMax+tolerance)
 }
 
-// CapacityWithin is how many of n more tasks a team may run within its limit beside what it uses.
+// CapacityWithin returns how many of n more tasks a team that uses the given resources may run within its
+// limit.
 func CapacityWithin(team config.Team, used storage.Usage, job *storage.Job, n int) int {
 	for _, bound := range [...]struct{ limit, used, perTask float64 }{
 		{team.CpusMax, used.Cpus, job.Cpus},
--- a/internal/controller/schedule/triage.go
+++ b/internal/controller/schedule/triage.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// This file finds out which jobs of an overloaded class queue are deferred.
+// This file decides which jobs of an overloaded class queue are deferred.
 
-// minQueueCapacity is the least capacity, in CPUs, that a class queue is taken to have.
+// minQueueCapacity is the minimum capacity, in CPUs, assumed for a class queue.
 const minQueueCapacity = 1
 
-// deferUntilFeasible defers those of a class queue's jobs that can't be in time, and of the others the ones with
-// the most work until the rest can be. It tells whether it deferred any. jobs are in the order of their
-// latest starts; capacity is in CPUs.
+// deferUntilFeasible defers jobs of a class queue that can't be in time, and of the others those with the
+// most work until the rest can be in time. It reports whether it deferred any. jobs must be sorted by latest
+// start; capacity is in CPUs.
 func deferUntilFeasible(now time.Time, jobs []*jobCursor, capacity float64) bool {
 	capacity = max(capacity, minQueueCapacity)
 	deferredLate, totalWork, leastSlack := deferUnreachable(now, jobs)
@@ -24,12 +24,12 @@
 	return deferredLate || deferredLargest
 }
 
-// canMeetDeadline tells whether a job has a deadline that it can still meet, as far as is known.
+// canMeetDeadline reports whether a job has a deadline and has not been found unable to meet it.
 func (c *jobCursor) canMeetDeadline() bool { return c.urgency == onTime && !c.deadline.IsZero() }
 
-// deferUnreachable works out the slack of jobs with a deadline and defers those that have none left. It
-// returns whether there are such, and of the others the work in CPU-seconds and the least slack in
-// seconds.
+// deferUnreachable computes the slack of jobs with a deadline and defers those whose slack is negative. It
+// reports whether it deferred any, and returns the work of the others in CPU-seconds and their least slack
+// in seconds.
 func deferUnreachable(now time.Time, jobs []*jobCursor) (deferredAny bool, totalWork, leastSlack float64) {
 	leastSlack = math.Inf(1)
 	for _, cursor := range jobs {
@@ -48,9 +48,9 @@
 	return deferredAny, totalWork, leastSlack
 }
 
-// deferLargest defers the jobs with the most work until the others can be in time, and tells whether it
-// deferred any. This is the rule of Moore and Hodgson, which leaves the fewest jobs late on one
-// machine; here a class queue's capacity is taken for one machine that is as fast.
+// deferLargest defers the jobs with the most work until the others can be in time, and reports whether it
+// deferred any. This is the Moore-Hodgson algorithm, which minimizes the number of late jobs on a single
+// machine; here a class queue's capacity is treated as one machine of that speed.
 func deferLargest(jobs []*jobCursor, capacity float64) bool {
 	deferredAny := false
 	totalWork := 0.0
@@ -71,13 +71,13 @@
 	return deferredAny
 }
 
-// largestFirst is a heap.Interface of jobs with the one that has most work left on top.
+// largestFirst is a heap.Interface of jobs with the most remaining work on top.
 type largestFirst []*jobCursor
 
-// Len is the number of jobs.
+// Len returns the number of jobs.
 func (h largestFirst) Len() int { return len(h) }
 
-// Less puts the job with more work left first.
+// Less orders jobs by falling remaining work.
 func (h largestFirst) Less(a, b int) bool { return h[a].remainingWork > h[b].remainingWork }
 
 // Swap exchanges two jobs.
@@ -86,7 +86,7 @@
 // Push appends a job, for heap.Push.
 func (h *largestFirst) Push(x any) { *h = append(*h, x.(*jobCursor)) }
 
-// Pop takes the last job off, for heap.Pop.
+// Pop removes the last job, for heap.Pop.
 func (h *largestFirst) Pop() any {
 	last := len(*h) - 1
 	cursor := (*h)[last]
--- a/internal/controller/schedule/zones.go
+++ b/internal/controller/schedule/zones.go
@@ -2,7 +2,7 @@
 
 import "dykeledge/internal/storage"
 
-// addInZone adds n to a list by zone, which grows as zones appear.
+// addInZone adds n to a zone's entry of a list, which grows as needed.
 func addInZone[Number int | int32](byZone []Number, zone int, n Number) []Number {
 	for len(byZone) <= zone {
 		byZone = append(byZone, 0)
@@ -16,7 +16,7 @@
 	c.placedByZone = addInZone(c.placedByZone, zone, 1)
 }
 
-// tasksInZone is how many of the job's tasks are in a zone, with those of this pass.
+// tasksInZone returns how many of the job's tasks are in a zone, including those of this pass.
 func (c *jobCursor) tasksInZone(zone int) int {
 	n := 0
 	if zone < len(c.job.ByZone) {
@@ -28,8 +28,8 @@
 	return n
 }
 
-// allowsZone tells whether the job's next task may go to a zone, by what the job asks for: all tasks in
-// one zone, or not too many in any.
+// allowsZone reports whether the job's constraints allow its next task in a zone: all tasks in one zone, or
+// a limited number in any zone.
 func (c *jobCursor) allowsZone(input *Input, zone int) bool {
 	if c.job.OneZone && !c.isChosenZone(input, zone) {
 		return false
@@ -37,8 +37,8 @@
 	return !c.job.Spread || c.tasksInZone(zone)+1 <= c.job.MaxPerZone()
 }
 
-// isChosenZone tells whether a zone is the one of a job that wants all its tasks in one: the zone where its
-// first task is, and before that the one with capacity for most tasks.
+// isChosenZone reports whether a zone is the one for a job that runs all its tasks in one zone: the zone of
+// its tasks if it has any, else the zone with capacity for the most of its tasks.
 func (c *jobCursor) isChosenZone(input *Input, zone int) bool {
 	total := 0
 	for other := range max(len(c.job.ByZone), len(c.placedByZone)) {
@@ -51,9 +51,9 @@
 	return total > 0 || zone == largestZone(input, c.job)
 }
 
-// largestZone is the zone with capacity for the most tasks of a job; -1: the job may run on no slot.
+// largestZone returns the zone with capacity for the most tasks of a job; -1 if the job may run on no slot.
 func largestZone(input *Input, job *storage.Job) int {
-	var tasks []int // that fit, by zone
+	var tasks []int // number that fit, by zone
 	best := -1
 	for _, slot := range input.Slots {
 		if !Allowed(job, slot.Machine) {
