--- a/internal/controller/baseline/estimator_test.go
+++ b/internal/controller/baseline/estimator_test.go
@@ -22,21 +22,21 @@
 	}
 	both := Rates{queue: 10, otherQueue: 10}
 	for _, test := range []struct {
-		name        string
-		record      Rates
-		phases      []phase
-		least, most float64 // bounds of the queue's final baseline
+		name                     string
+		record                   Rates
+		phases                   []phase
+		minBaseline, maxBaseline float64 // bounds of the queue's final baseline
 	}{
 		{name: "no baseline before there are enough windows", phases: []phase{{5, 10, 10, 0}}},
-		{name: "submissions when the deployment opens count little", phases: []phase{{1, 100, 100, 0}, {5, 10, 10, 0}}, least: 9, most: 11},
-		{name: "an overload in the first minute", phases: []phase{{4, 10, 10, 0}, {20, 80, 10, 0}}, least: 9, most: 12},
-		{name: "eightfold overload for eight minutes", record: both, phases: []phase{{50, 80, 10, 0}}, least: 10, most: 12.5},
-		{name: "a twentyfold overload raises the baseline no further", record: both, phases: []phase{{50, 200, 10, 0}}, least: 10, most: 12.5},
-		{name: "an overload that lasts for hours becomes the baseline", record: both, phases: []phase{{1440, 80, 10, 0}}, least: 75, most: 85},
-		{name: "an idle class keeps its baseline", record: both, phases: []phase{{3000, 0, 10, 0}}, least: 8, most: 10},
-		{name: "lower demand lowers the baseline over time", record: both, phases: []phase{{2500, 2, 10, 0}}, least: 1.5, most: 2.5},
-		{name: "a new class that starts with an overload gets at most the mean of the others", record: Rates{otherQueue: 10}, phases: []phase{{12, 500, 10, 0}}, least: 5, most: 11},
-		{name: "jobs in every fourth window only", phases: []phase{{600, 40, 10, 4}}, least: 7, most: 20},
+		{name: "submissions when the deployment opens count little", phases: []phase{{1, 100, 100, 0}, {5, 10, 10, 0}}, minBaseline: 9, maxBaseline: 11},
+		{name: "an overload in the first minute", phases: []phase{{4, 10, 10, 0}, {20, 80, 10, 0}}, minBaseline: 9, maxBaseline: 12},
+		{name: "eightfold overload for eight minutes", record: both, phases: []phase{{50, 80, 10, 0}}, minBaseline: 10, maxBaseline: 12.5},
+		{name: "a twentyfold overload raises the baseline no further", record: both, phases: []phase{{50, 200, 10, 0}}, minBaseline: 10, maxBaseline: 12.5},
+		{name: "an overload that lasts for hours becomes the baseline", record: both, phases: []phase{{1440, 80, 10, 0}}, minBaseline: 75, maxBaseline: 85},
+		{name: "an idle class keeps its baseline", record: both, phases: []phase{{3000, 0, 10, 0}}, minBaseline: 8, maxBaseline: 10},
+		{name: "lower demand lowers the baseline over time", record: both, phases: []phase{{2500, 2, 10, 0}}, minBaseline: 1.5, maxBaseline: 2.5},
+		{name: "a new class that starts with an overload gets at most the mean of the others", record: Rates{otherQueue: 10}, phases: []phase{{12, 500, 10, 0}}, minBaseline: 5, maxBaseline: 11},
+		{name: "jobs in every fourth window only", phases: []phase{{600, 40, 10, 4}}, minBaseline: 7, maxBaseline: 20},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			estimator := New(test.record)
@@ -53,8 +53,8 @@
 				}
 			}
 			learned := estimator.Baseline()
-			if rate := learned[queue]; rate < test.least || rate > test.most {
-				t.Errorf("baseline %.1f, want %.1f to %.1f", rate, test.least, test.most)
+			if rate := learned[queue]; rate < test.minBaseline || rate > test.maxBaseline {
+				t.Errorf("baseline %.1f, want %.1f to %.1f", rate, test.minBaseline, test.maxBaseline)
 			}
 			if len(test.phases) > 1 && len(learned) > 0 && estimator.Differs(learned) {
 				t.Error("Differs reports a difference from its own baselines")
--- a/internal/controller/dispatch/worker_test.go
+++ b/internal/controller/dispatch/worker_test.go
@@ -26,7 +26,7 @@
 	running := status(protocol.TaskRunning, "")
 	exited := func(cause string) protocol.TaskStatus { return status(protocol.TaskExited, cause) }
 	olderToken := func(h *protocol.Heartbeat) { h.FencingToken = token - 1 }
-	laterSession := func(h *protocol.Heartbeat) { h.Incarnation = 4 }
+	laterIncarnation := func(h *protocol.Heartbeat) { h.Incarnation = 4 }
 	type step struct {
 		heartbeat        *protocol.Heartbeat
 		reply            bool // it is the reply to a direct command
@@ -44,7 +44,7 @@
 		{name: "stopped", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseStopped))}}, stop: true, want: Stopped},
 		{name: "failed", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseError))}}, want: Failed},
 		{name: "refused", steps: []step{{heartbeat: heartbeat(1, nil, exited(protocol.CauseNoCapacity))}}, want: Refused},
-		{name: "lost with its session", steps: []step{{heartbeat: heartbeat(1, laterSession)}}, want: Lost},
+		{name: "lost with its session", steps: []step{{heartbeat: heartbeat(1, laterIncarnation)}}, want: Lost},
 		{name: "reported and then absent", steps: []step{{heartbeat: heartbeat(1, nil, running)}, {heartbeat: heartbeat(2, nil)}}, want: Lost},
 		{
 			name:    "absent, but the worker has not seen the token",
--- a/internal/controller/schedule/cost.go
+++ b/internal/controller/schedule/cost.go
@@ -57,11 +57,11 @@
 // machine is reclaimed. Long tasks without checkpoints lose most and must run again in full; many of them
 // on one machine would all finish late.
 func expectedSpotLossSeconds(job *storage.Job) float64 {
-	lost := job.Estimate
+	lostSeconds := job.Estimate
 	if job.CheckpointInterval > 0 {
-		lost = min(lost, job.CheckpointInterval)
+		lostSeconds = min(lostSeconds, job.CheckpointInterval)
 	}
-	return lost * job.Estimate / spotLifetimeS
+	return lostSeconds * job.Estimate / spotLifetimeS
 }
 
 // AddFragile adds a task on the slot's machine to Fragile if it is fragile.
--- a/internal/controller/schedule/load_factor.go
+++ b/internal/controller/schedule/load_factor.go
@@ -36,10 +36,10 @@
 // WaitingWorkOf returns the work of the tasks of a job that are left to start. The job should be done within
 // allow of Job.ReadyAt, 0 if it has no deadline; late is true if it has missed the deadline. ok reports
 // whether the job has a deadline that it can still meet.
-func WaitingWorkOf(now time.Time, job *storage.Job, left int, allow time.Duration, late bool) (waiting WaitingWork, ok bool) {
-	slack := slackSeconds(now, job, job.ReadyAt.Add(allow))
-	waiting = WaitingWork{Slack: slack, Work: workOfTasks(job, left), OnDemand: !job.Spot}
-	return waiting, allow > 0 && !late && slack > 0
+func WaitingWorkOf(now time.Time, job *storage.Job, tasksLeft int, allowed time.Duration, late bool) (waiting WaitingWork, ok bool) {
+	slack := slackSeconds(now, job, job.ReadyAt.Add(allowed))
+	waiting = WaitingWork{Slack: slack, Work: workOfTasks(job, tasksLeft), OnDemand: !job.Spot}
+	return waiting, allowed > 0 && !late && slack > 0
 }
 
 // slackSeconds returns how many seconds a job can wait for its capacity and still meet its deadline.
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -15,9 +15,9 @@
 	smallJobWeight = 6
 	// defaultTimeAllowed is the time allowed for jobs without a deadline. It affects only their order.
 	defaultTimeAllowed = time.Hour
-	// agedFraction is the fraction of a class queue's capacity that overdue jobs may use before jobs
+	// overdueFraction is the fraction of a class queue's capacity that overdue jobs may use before jobs
 	// that can still be in time.
-	agedFraction = 0.25
+	overdueFraction = 0.25
 )
 
 // urgency is the criterion by which jobs of a class queue are ordered within a priority.
@@ -25,7 +25,7 @@
 
 const (
 	starving urgency = iota // has waited too long without a placed task: one of its tasks goes first
-	aged                    // overdue, and may use the capacity set aside for such jobs
+	overdue                 // overdue, and may use the capacity set aside for such jobs
 	onTime                  // can be in time
 	deferred                // can't be in time, or would keep other jobs from being in time
 )
@@ -88,7 +88,7 @@
 	capacity := input.capacityOf(q)
 	q.deferByPriority(input.Now, capacity)
 	q.promoteStarving(input)
-	q.promoteAged(input, agedFraction*capacity-state.Late)
+	q.promoteOverdue(input, overdueFraction*capacity-state.Late)
 }
 
 // deferByPriority defers jobs separately for each priority. The queue is sorted, so jobs of one priority are
@@ -125,9 +125,9 @@
 	}
 }
 
-// promoteAged moves overdue deferred jobs, the oldest first, ahead of jobs that can be in time, until their
+// promoteOverdue moves overdue deferred jobs, the oldest first, ahead of jobs that can be in time, until their
 // tasks use up capacity, in CPUs.
-func (q *jobQueue) promoteAged(input *Input, capacity float64) {
+func (q *jobQueue) promoteOverdue(input *Input, capacity float64) {
 	if input.Overdue == nil || capacity <= 0 {
 		return
 	}
@@ -145,7 +145,7 @@
 		if capacity <= 0 {
 			break
 		}
-		cursor.urgency = aged
+		cursor.urgency = overdue
 		capacity -= float64(cursor.tasksLeft) * cursor.job.Size
 	}
 	q.sort()
--- a/internal/controller/schedule/overload_test.go
+++ b/internal/controller/schedule/overload_test.go
@@ -261,15 +261,15 @@
 // good part of the jobs that could be in time.
 func TestOverloadLeavesOthersInTime(t *testing.T) {
 	fixRapidSeed(t, "11", "20")
-	worstOther, minOfBound, sumOfBound, runs := 1.0, 1.0, 0.0, 0
+	minOthersFraction, minBoundFraction, sumBoundFractions, runs := 1.0, 1.0, 0.0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		teams := rapid.IntRange(1, 3).Draw(t, "teams")
 		machines := rapid.IntRange(18, 36).Draw(t, "machines")
 		factor := rapid.IntRange(4, 20).Draw(t, "factor")
-		lost := rapid.IntRange(0, machines/3).Draw(t, "lost")
+		lostMachines := rapid.IntRange(0, machines/3).Draw(t, "lost")
 		simulator := newOverloadSimulator(seed, teams, machines)
-		queues := simulator.drawQueues(machineCpus * float64(machines-lost))
+		queues := simulator.drawQueues(machineCpus * float64(machines-lostMachines))
 		overloaded := queues[simulator.random.IntN(len(queues))]
 		for second := range simulationEndS {
 			currentFactor := 1.0
@@ -278,7 +278,7 @@
 			}
 			simulator.submitArrivals(queues, overloaded, currentFactor)
 			if second == machinesLostAtS {
-				simulator.loseMachines(lost)
+				simulator.loseMachines(lostMachines)
 			}
 			simulator.step()
 			if (second+1)%checkIntervalS != 0 || second < firstCheckS {
@@ -289,7 +289,7 @@
 				if queue == overloaded || n < minJobsChecked {
 					continue
 				}
-				worstOther = min(worstOther, fraction)
+				minOthersFraction = min(minOthersFraction, fraction)
 				if fraction < minOthersInTimeFraction {
 					t.Errorf("after %d s: %.2f of %d jobs of %v in time, %v is overloaded", second+1, fraction, n, queue, overloaded)
 				}
@@ -303,13 +303,13 @@
 			}
 		}
 		capacity := machineCpus*float64(machines) - others
-		best := simulator.inTimeUpperBound(simulator.decidedJobs(overloaded, overloadStartS), capacity*(simulator.now-overloadStartS))
-		minOfBound = min(minOfBound, fraction/best)
-		sumOfBound += fraction / best
+		upperBound := simulator.inTimeUpperBound(simulator.decidedJobs(overloaded, overloadStartS), capacity*(simulator.now-overloadStartS))
+		minBoundFraction = min(minBoundFraction, fraction/upperBound)
+		sumBoundFractions += fraction / upperBound
 		runs++
-		if fraction < minFractionOfBound*best {
-			t.Errorf("%.2f of the overloaded class queue's jobs in time, %.2f could be", fraction, best)
+		if fraction < minFractionOfBound*upperBound {
+			t.Errorf("%.2f of the overloaded class queue's jobs in time, %.2f could be", fraction, upperBound)
 		}
 	})
-	t.Logf("lowest fraction in time of a class queue that is not overloaded: %.3f; the overloaded one reached %.3f of its bound on average, %.3f at least", worstOther, sumOfBound/float64(runs), minOfBound)
+	t.Logf("lowest fraction in time of a class queue that is not overloaded: %.3f; the overloaded one reached %.3f of its bound on average, %.3f at least", minOthersFraction, sumBoundFractions/float64(runs), minBoundFraction)
 }
--- a/internal/controller/schedule/preempt_soonest.go
+++ b/internal/controller/schedule/preempt_soonest.go
@@ -40,19 +40,19 @@
 			cmp.Compare(limitIndexes[a.Victims[0].Slot], limitIndexes[b.Victims[0].Slot]),
 		)
 	})
-	var near []*Slot
+	var considered []*Slot
 	for limitIndex := range fetchLimitsS {
-		before := len(near)
+		countBefore := len(considered)
 		for _, slot := range slots {
 			if limitIndexes[slot] == limitIndex {
-				near = append(near, slot)
+				considered = append(considered, slot)
 			}
 		}
-		if len(near) == before {
+		if len(considered) == countBefore {
 			continue
 		}
-		if len(near) == len(slots) || tasksIfAllPreempted(job, near, sorted) >= tasks {
-			return Preempt(job, tasks, near, sorted)
+		if len(considered) == len(slots) || tasksIfAllPreempted(job, considered, sorted) >= tasks {
+			return Preempt(job, tasks, considered, sorted)
 		}
 	}
 	return nil
--- a/internal/controller/schedule/triage.go
+++ b/internal/controller/schedule/triage.go
@@ -16,12 +16,12 @@
 // start; capacity is in CPUs.
 func deferUntilFeasible(now time.Time, jobs []*jobCursor, capacity float64) bool {
 	capacity = max(capacity, minQueueCapacity)
-	deferredLate, totalWork, leastSlack := deferUnreachable(now, jobs)
-	if totalWork <= leastSlack*capacity {
-		return deferredLate // all others can be in time
+	deferredUnreachable, totalWork, leastSlackS := deferUnreachable(now, jobs)
+	if totalWork <= leastSlackS*capacity {
+		return deferredUnreachable // all others can be in time
 	}
 	deferredLargest := deferLargest(jobs, capacity)
-	return deferredLate || deferredLargest
+	return deferredUnreachable || deferredLargest
 }
 
 // canMeetDeadline reports whether a job has a deadline and has not been found unable to meet it.
@@ -30,8 +30,8 @@
 // deferUnreachable computes the slack of jobs with a deadline and defers those whose slack is negative. It
 // reports whether it deferred any, and returns the work of the others in CPU-seconds and their least slack
 // in seconds.
-func deferUnreachable(now time.Time, jobs []*jobCursor) (deferredAny bool, totalWork, leastSlack float64) {
-	leastSlack = math.Inf(1)
+func deferUnreachable(now time.Time, jobs []*jobCursor) (deferredAny bool, totalWork, leastSlackS float64) {
+	leastSlackS = math.Inf(1)
 	for _, cursor := range jobs {
 		if !cursor.canMeetDeadline() {
 			continue
@@ -43,9 +43,9 @@
 			continue
 		}
 		totalWork += cursor.remainingWork
-		leastSlack = min(leastSlack, cursor.slackS)
+		leastSlackS = min(leastSlackS, cursor.slackS)
 	}
-	return deferredAny, totalWork, leastSlack
+	return deferredAny, totalWork, leastSlackS
 }
 
 // deferLargest defers the jobs with the most work until the others can be in time, and reports whether it
