--- a/internal/controller/dispatch/heartbeat.go
+++ b/internal/controller/dispatch/heartbeat.go
@@ -67,7 +67,7 @@
 
 // markLost records attempts of the record as lost if a heartbeat proves that they are absent.
 func (w *Worker) markLost(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reportedBefore map[Ref]TaskSeen) {
-	newSession := heartbeat.Incarnation > machine.Incarnation // the session lease expired: the worker dropped every task
+	newIncarnation := heartbeat.Incarnation > machine.Incarnation // the session lease expired: the worker dropped every task
 	provesAbsence := w.provesAbsence(machine, heartbeat, token)
 	for _, placed := range machine.Tasks {
 		ref := RefOf(placed)
@@ -78,7 +78,7 @@
 			continue
 		}
 		_, wasReported := reportedBefore[ref]
-		if newSession || provesAbsence && wasReported {
+		if newIncarnation || provesAbsence && wasReported {
 			w.Gone[ref] = Lost
 		}
 	}
--- a/internal/controller/membership/assign.go
+++ b/internal/controller/membership/assign.go
@@ -19,9 +19,9 @@
 const minImbalance = 2
 
 // Assign gives every shard a live owner and moves as few shards as possible. A shard stays with its owner if
-// that is live with the same incarnation. If its owner is gone or was restarted, the shard goes to the member
-// with the owner's name if that is live and owns less than its fair share, else to the member with the
-// fewest shards. If movable is set, shards for which it returns true also move from a member that owns at
+// that is live with the same incarnation. If its owner is not live or was restarted, the shard goes to the
+// member with the owner's name if that is live and owns less than its fair share, else to the member with
+// the fewest shards. If movable is set, shards for which it returns true also move from a member that owns at
 // least two more than another. The result holds the owner of each shard; without members it is owners
 // itself. Assign does not modify its arguments.
 func Assign(owners []Owner, members []Member, movable func(shard int) bool) []Owner {
