--- a/internal/controller/autoscale/limits.go
+++ b/internal/controller/autoscale/limits.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Limit is what a team may use at a time, in CPUs and accelerators; 0: any.
+// Limit is how much a team may use at a time, in CPUs and accelerators; 0: unlimited.
 type Limit struct{ Cpus, Gpus float64 }
 
-// limitUsedUp is what is left of a limit once it is used up; 0 would be no limit.
-const limitUsedUp = 1e-9
+// exhaustedLimit is the remainder of a limit that is used up; 0 would mean unlimited.
+const exhaustedLimit = 1e-9
 
-// CapToLimits lowers the tasks of demands that together want more than their team's limit lets run. The
-// most urgent ones keep theirs. Where a team's demands want less, nothing changes: the work that waits
-// behind a limit still tells how soon what may run is needed. horizon is as for Decide; limit is asked
-// for each team of the demands.
+// CapToLimits reduces the task counts of demands that together need more at once than their team's limit
+// allows. The demands with the shortest time are served first. A demand that needs no more than the
+// remaining limit is not changed, so the tasks that wait because of the limit still count towards the
+// urgency of the work that may run. horizon is as for Decide; limit returns the limit of a team.
 func CapToLimits(demands []Demand, horizon float64, limit func(team int) Limit) {
 	byTeam := map[int][]*Demand{}
 	for i := range demands {
@@ -23,24 +23,24 @@
 			byTeam[demand.Team] = append(byTeam[demand.Team], demand)
 		}
 	}
-	for team, ofTeam := range byTeam {
-		slices.SortStableFunc(ofTeam, func(a, b *Demand) int { return cmp.Compare(a.WithinS, b.WithinS) })
-		left := limit(team)
-		for _, demand := range ofTeam {
-			left.Cpus = demand.capTo(left.Cpus, demand.Cpus, horizon)
-			left.Gpus = demand.capTo(left.Gpus, demand.Gpus, horizon)
+	for team, teamDemands := range byTeam {
+		slices.SortStableFunc(teamDemands, func(a, b *Demand) int { return cmp.Compare(a.WithinS, b.WithinS) })
+		remaining := limit(team)
+		for _, demand := range teamDemands {
+			remaining.Cpus = demand.capTasks(remaining.Cpus, demand.Cpus, horizon)
+			remaining.Gpus = demand.capTasks(remaining.Gpus, demand.Gpus, horizon)
 		}
 	}
 }
 
-// capTo lowers a demand's tasks, which take each of a resource, to what is left of its limit. It returns
-// what is left beside them.
-func (d *Demand) capTo(left, each, horizon float64) float64 {
-	if left <= 0 || each <= 0 {
-		return left
+// capTasks reduces a demand's tasks, each of which uses perTask of a resource, to what the remaining limit
+// allows. It returns the limit that remains after them.
+func (d *Demand) capTasks(remaining, perTask, horizon float64) float64 {
+	if remaining <= 0 || perTask <= 0 {
+		return remaining
 	}
-	if most := math.Floor(left/each + tolerance); d.wanted(horizon) > most {
-		d.Tasks = int(most)
+	if maxTasks := math.Floor(remaining/perTask + tolerance); d.concurrentTasks(horizon) > maxTasks {
+		d.Tasks = int(maxTasks)
 	}
-	return max(limitUsedUp, left-d.wanted(horizon)*each)
+	return max(exhaustedLimit, remaining-d.concurrentTasks(horizon)*perTask)
 }
--- a/internal/controller/baseline/estimator.go
+++ b/internal/controller/baseline/estimator.go
@@ -9,129 +9,131 @@
 )
 
 const (
-	// Step is how long a window is whose work is looked at as one.
+	// Step is the length of a window: the arrivals of a window are evaluated together.
 	Step = 10 * time.Second
-	// firstWindows is how many windows the first estimate takes: their median, so that neither
-	// what all users submit when a deployment opens nor an overload that starts soon counts.
-	firstWindows = 6
-	// longWindows is how many windows are looked at before a class queue with few jobs gets its first
+	// minEstimateWindows is the number of windows before the first estimate. The estimate uses their
+	// median, so that neither the burst of submissions when a deployment opens nor an overload that
+	// starts soon afterwards distorts it.
+	minEstimateWindows = 6
+	// maxEstimateWindows is the number of windows before a class queue with few jobs gets its first
 	// estimate.
-	longWindows = 30
-	// smoothing is the time over which the asked rate is averaged before it is compared.
-	smoothing = time.Minute
-	// settling is how fast the baseline follows what is asked: it doubles in 28 minutes of an
-	// overload, however large that is, and halves in 83 minutes of less.
-	settling = 30 * time.Minute
-	// quantile is the part of the time in which a class queue asks for no more than its baseline.
-	quantile = 0.75
-	// idleFraction is the part of its baseline below which a class queue is taken to be at rest: a class
-	// that works by night is not forgotten by day.
+	maxEstimateWindows = 30
+	// smoothingTime is the time constant with which the arrival rate is averaged before it is compared
+	// with the baseline.
+	smoothingTime = time.Minute
+	// settlingTime sets how fast the baseline follows the arrival rate: it doubles in 28 minutes of an
+	// overload, regardless of the overload's size, and halves in 83 minutes below the baseline.
+	settlingTime = 30 * time.Minute
+	// baselineQuantile is the fraction of the time in which a class queue's demand does not exceed its
+	// baseline.
+	baselineQuantile = 0.75
+	// idleFraction is the fraction of its baseline below which a class queue counts as idle and its
+	// baseline is kept, so that a class that is active only at night keeps its baseline during the day.
 	idleFraction = 0.05
-	// minChange is the part of its recorded rate by which a class queue must differ from it for the record
-	// to be written anew.
-	minChange = 0.05
+	// minRecordChange is the fraction by which a class queue's baseline must differ from its recorded
+	// rate for the record to be rewritten.
+	minRecordChange = 0.05
 )
 
-// Rates are by class queue how much work arrives a second, in CPU-seconds.
+// Rates holds the work that arrives in each class queue, in CPU-seconds per second.
 type Rates map[storage.ClassQueue]float64
 
-// Estimator follows what class queues ask for. It belongs to the leader; its successor goes on from
-// the record that it has left.
+// Estimator estimates the baselines of class queues. It runs on the leader; the next leader restores it
+// from the record.
 type Estimator struct {
-	queues     map[storage.ClassQueue]*queueEstimate
-	fromRecord bool // it went on from a record
+	queues   map[storage.ClassQueue]*queueEstimate
+	restored bool // it was restored from a record
 }
 
-// queueEstimate is what is known of a class queue.
+// queueEstimate is the state of the estimate of one class queue.
 type queueEstimate struct {
-	jobRates []float64        // jobs a second in the windows so far, until there is a first estimate
-	total    storage.Arrivals // in all of them
-	rate     float64          // asked, smoothed, in CPU-seconds a second
-	baseline float64          // in CPU-seconds a second; 0: there is no estimate yet
+	jobRates      []float64        // jobs per second in each window, until the first estimate
+	totalArrivals storage.Arrivals // sum over the windows until the first estimate
+	rate          float64          // smoothed arrival rate in CPU-seconds per second
+	baseline      float64          // in CPU-seconds per second; 0: no estimate yet
 }
 
-// New returns an estimator that goes on from a record; with none it starts from nothing.
+// New returns an estimator restored from a record. With an empty record it starts without estimates.
 func New(record Rates) *Estimator {
-	e := &Estimator{queues: map[storage.ClassQueue]*queueEstimate{}, fromRecord: len(record) > 0}
+	e := &Estimator{queues: map[storage.ClassQueue]*queueEstimate{}, restored: len(record) > 0}
 	for queue, rate := range record {
 		e.queues[queue] = &queueEstimate{rate: rate, baseline: rate}
 	}
 	return e
 }
 
-// Window takes in what class queues asked for in a window of time. A window without length tells
-// nothing.
-func (e *Estimator) Window(duration time.Duration, asked map[storage.ClassQueue]storage.Arrivals) {
+// Window adds the arrivals of one time window. A window whose length is not positive is ignored.
+func (e *Estimator) Window(duration time.Duration, arrivals map[storage.ClassQueue]storage.Arrivals) {
 	seconds := duration.Seconds()
 	if seconds <= 0 {
 		return
 	}
-	for queue := range asked {
+	for queue := range arrivals {
 		if e.queues[queue] == nil {
 			e.queues[queue] = &queueEstimate{}
 		}
 	}
 	for queue, estimate := range e.queues {
 		if estimate.baseline == 0 {
-			e.collect(estimate, asked[queue], seconds)
+			e.addInitialWindow(estimate, arrivals[queue], seconds)
 		} else {
-			estimate.follow(asked[queue], seconds)
+			estimate.adjust(arrivals[queue], seconds)
 		}
 	}
 }
 
-// follow moves a baseline towards what was asked for in a window: up by steps that are longer than those
-// down, so that it comes to rest at the quantile of what is asked. The steps do not grow with what is
-// asked, so a large overload moves it no faster than a small one.
-func (q *queueEstimate) follow(asked storage.Arrivals, seconds float64) {
-	askedRate := asked.Work / seconds
-	q.rate += min(1, seconds/smoothing.Seconds()) * (askedRate - q.rate)
-	part := seconds / settling.Seconds()
+// adjust moves a baseline towards the arrival rate after a window. Upward steps are larger than downward
+// ones, so that the baseline settles at the quantile of the arrival rate. The size of a step does not
+// depend on the rate, so a large overload moves the baseline no faster than a small one.
+func (q *queueEstimate) adjust(arrivals storage.Arrivals, seconds float64) {
+	arrivalRate := arrivals.Work / seconds
+	q.rate += min(1, seconds/smoothingTime.Seconds()) * (arrivalRate - q.rate)
+	settlingFraction := seconds / settlingTime.Seconds()
 	switch {
 	case q.rate < idleFraction*q.baseline:
 	case q.rate > q.baseline:
-		q.baseline *= math.Exp(quantile * part)
+		q.baseline *= math.Exp(baselineQuantile * settlingFraction)
 	default:
-		q.baseline *= math.Exp((quantile - 1) * part)
+		q.baseline *= math.Exp((baselineQuantile - 1) * settlingFraction)
 	}
 }
 
-// collect takes in a window of a class queue without a baseline, and makes the first estimate once there
-// are enough. An overload changes how many jobs come but not what a job is, so the estimate is the
-// median rate of jobs with the mean work of one.
-func (e *Estimator) collect(estimate *queueEstimate, asked storage.Arrivals, seconds float64) {
-	estimate.total.Jobs += asked.Jobs
-	estimate.total.Work += asked.Work
-	estimate.jobRates = append(estimate.jobRates, asked.Jobs/seconds)
-	if len(estimate.jobRates) < firstWindows {
+// addInitialWindow adds a window of a class queue without a baseline and makes the first estimate once
+// there are enough windows. An overload changes how many jobs arrive but not the work of a job, so the
+// estimate is the median job rate multiplied by the mean work per job.
+func (e *Estimator) addInitialWindow(estimate *queueEstimate, arrivals storage.Arrivals, seconds float64) {
+	estimate.totalArrivals.Jobs += arrivals.Jobs
+	estimate.totalArrivals.Work += arrivals.Work
+	estimate.jobRates = append(estimate.jobRates, arrivals.Jobs/seconds)
+	if len(estimate.jobRates) < minEstimateWindows {
 		return
 	}
-	rate := typicalJobRate(estimate.jobRates) * (estimate.total.Work / max(estimate.total.Jobs, 1))
+	rate := typicalJobRate(estimate.jobRates) * (estimate.totalArrivals.Work / max(estimate.totalArrivals.Jobs, 1))
 	if rate == 0 {
-		estimate.dropOldest()
+		estimate.dropOldestWindow()
 		return
 	}
-	if mean := e.mean(); e.fromRecord && mean > 0 {
-		// A class that comes when others are known may come as an overload: it is not given
-		// more than they have on average before it has lasted.
-		rate = min(rate, mean)
+	if meanBaseline := e.meanBaseline(); e.restored && meanBaseline > 0 {
+		// A class that first appears after a record was restored may be an overload: until it has
+		// lasted, its baseline is limited to the mean of the known baselines.
+		rate = min(rate, meanBaseline)
 	}
 	estimate.rate = rate
 	estimate.baseline = rate
 	estimate.jobRates = nil
 }
 
-// dropOldest makes place for another window where longWindows are kept.
-func (q *queueEstimate) dropOldest() {
-	q.jobRates = q.jobRates[max(0, len(q.jobRates)+1-longWindows):]
+// dropOldestWindow makes room for another window once maxEstimateWindows are kept.
+func (q *queueEstimate) dropOldestWindow() {
+	q.jobRates = q.jobRates[max(0, len(q.jobRates)+1-maxEstimateWindows):]
 }
 
-// typicalJobRate is the median of rates of jobs. A class queue with few jobs has none in most windows:
-// of such, once there are longWindows, it is the mean but for the largest.
+// typicalJobRate returns the median of the job rates. A class queue with few jobs has a median of 0; for
+// it, the result is the mean without the largest rate once there are maxEstimateWindows.
 func typicalJobRate(rates []float64) float64 {
 	sorted := slices.Sorted(slices.Values(rates))
 	median := sorted[len(sorted)/2]
-	if median != 0 || len(sorted) < longWindows {
+	if median != 0 || len(sorted) < maxEstimateWindows {
 		return median
 	}
 	mean := 0.0
@@ -141,8 +143,8 @@
 	return mean
 }
 
-// mean is the mean of the baselines; 0 if there are none.
-func (e *Estimator) mean() float64 {
+// meanBaseline returns the mean of the baselines; 0 if there are none.
+func (e *Estimator) meanBaseline() float64 {
 	sum, count := 0.0, 0
 	for _, estimate := range e.queues {
 		if estimate.baseline > 0 {
@@ -153,7 +155,7 @@
 	return sum / float64(max(1, count))
 }
 
-// Baseline is what is known by now: the baselines of class queues that have one.
+// Baseline returns the baselines of the class queues that have one.
 func (e *Estimator) Baseline() Rates {
 	rates := Rates{}
 	for queue, estimate := range e.queues {
@@ -164,10 +166,10 @@
 	return rates
 }
 
-// Differs tells whether a record is so far from what is known that it should be written anew.
+// Differs reports whether the baselines differ from a record so much that it should be rewritten.
 func (e *Estimator) Differs(record Rates) bool {
 	for queue, rate := range e.Baseline() {
-		if math.Abs(rate-record[queue]) > minChange*record[queue] {
+		if math.Abs(rate-record[queue]) > minRecordChange*record[queue] {
 			return true
 		}
 	}
--- a/internal/controller/dispatch/commands.go
+++ b/internal/controller/dispatch/commands.go
@@ -5,18 +5,18 @@
 	"dykeledge/internal/storage"
 )
 
-// DesiredState is what the record's owner wants of an attempt.
+// DesiredState is the state of an attempt that the controller owning its machine's record requests.
 type DesiredState struct {
 	Stop  bool
-	Grace float64 // seconds in which it may checkpoint; 0: at once
+	Grace float64 // seconds it is given to write a checkpoint; 0: it stops at once
 }
 
-// Commands works out the commands that turn what the worker reports into what the record wants. wish
-// tells what is wanted of an attempt in the record; token is the one under which the machine is
-// commanded now. Attempts that are wanted no more and can be proved never to have started go into Gone.
-// answer tells that the commands go into the answer to the latest heartbeat; launches are then noted as
-// sent. No attempt in the record adds a command once there are limit of them.
-func (w *Worker) Commands(machine *storage.Machine, token uint64, wish func(storage.PlacedTask) DesiredState, answer bool, limit int) []protocol.Command {
+// Commands returns the commands that bring the attempts reported by the worker to the state requested in
+// the record. desiredState returns the desired state of an attempt in the record; token is the fencing
+// token under which the machine is now commanded. Attempts that should stop and provably never started are
+// added to Gone. inAnswer is true if the commands are sent in the answer to the latest heartbeat; launches
+// are then recorded in Sent. Once there are limit commands, no further attempt of the record is considered.
+func (w *Worker) Commands(machine *storage.Machine, token uint64, desiredState func(storage.PlacedTask) DesiredState, inAnswer bool, limit int) []protocol.Command {
 	commands := w.unplacedCommands()
 	for _, placed := range machine.Tasks {
 		if len(commands) >= limit {
@@ -26,20 +26,20 @@
 		if _, ok := w.Gone[ref]; ok {
 			continue
 		}
-		desired := wish(placed)
-		seen, known := w.Seen[ref]
+		desired := desiredState(placed)
+		reported, isReported := w.Seen[ref]
 		switch {
-		case desired.Stop && known:
-			if seen.State != protocol.TaskCheckpointing || desired.Grace == 0 {
-				commands = append(commands, commandOf(protocol.OpKill, ref, desired.Grace))
+		case desired.Stop && isReported:
+			if reported.State != protocol.TaskCheckpointing || desired.Grace == 0 {
+				commands = append(commands, newCommand(protocol.OpKill, ref, desired.Grace))
 			}
 		case desired.Stop:
 			if w.Absent(machine, ref, token) {
 				w.Gone[ref] = Unsent
 			}
-		case !known && w.Incarnation == machine.Incarnation:
-			commands = append(commands, commandOf(protocol.OpLaunch, ref, 0))
-			if answer {
+		case !isReported && w.Incarnation == machine.Incarnation:
+			commands = append(commands, newCommand(protocol.OpLaunch, ref, 0))
+			if inAnswer {
 				w.Sent[ref] = w.HeartbeatSeq
 			}
 		}
@@ -47,13 +47,13 @@
 	return commands
 }
 
-// commandOf is a command for an attempt, with a grace period in seconds.
-func commandOf(operation string, ref Ref, grace float64) protocol.Command {
+// newCommand returns a command for an attempt, with a grace period in seconds.
+func newCommand(operation string, ref Ref, grace float64) protocol.Command {
 	return protocol.Command{Op: operation, Task: protocol.TaskName(ref.Job.ID, ref.Task), Attempt: ref.Attempt, GraceS: grace}
 }
 
-// unplacedCommands are the commands for reported attempts that the record does not hold: they are
-// stopped, and then cleared.
+// unplacedCommands returns the commands for reported attempts that are not in the record: they are killed,
+// and cleared once they have exited.
 func (w *Worker) unplacedCommands() []protocol.Command {
 	var commands []protocol.Command
 	for _, status := range w.Unplaced {
@@ -61,8 +61,8 @@
 		case status.State != protocol.TaskExited:
 			commands = append(commands, protocol.Command{Op: protocol.OpKill, Task: status.Task, Attempt: status.Attempt})
 		case !w.mayReceiveUncertain(w.FencingToken):
-			// Cleared only once no launch of it can be under way: a worker
-			// that has forgotten an attempt would start it again.
+			// Cleared only once no launch of it can still be in flight: a worker that has cleared an
+			// attempt would start it again.
 			commands = append(commands, protocol.Command{Op: protocol.OpClear, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
--- a/internal/controller/schedule/find.go
+++ b/internal/controller/schedule/find.go
@@ -6,86 +6,86 @@
 	"dykeledge/internal/storage"
 )
 
-// This file finds the best slot for a job's next task. A pass over n machines that places m tasks of
-// k jobs computes about k·n costs instead of m·n, and hundreds of jobs that find nothing compute none:
-// what is known of one job holds for all whose tasks are as large.
+// This file finds the best slot for a job's next task. A pass over n machines that places m tasks of k
+// jobs computes about k·n costs instead of m·n. Hundreds of jobs that find no slot compute none, because
+// a task size that found none rules out all jobs with tasks at least as large.
 
-// jobFinder holds the options of one job: of the first in a class queue.
+// jobFinder holds the options of the first job of a class queue.
 type jobFinder struct {
-	job     *storage.Job
-	options optionHeap
-	bounded bool // the job fits on a machine whose record may not be rewritten any more
+	job           *storage.Job
+	options       optionHeap
+	recordLimited bool // the job fits on a machine whose record may no longer be rewritten in this pass
 }
 
-// search is what the finders of a pass share.
+// search holds the state that the finders of a pass share.
 type search struct {
-	input     *Input
-	changes   []uint32     // by slot: how often it was changed in this pass
-	exhausted exhausted    // what found no slot at all
-	spent     *spentBudget // nil until no more records may be rewritten
-	scans     int
+	input          *Input
+	changes        []uint32           // by slot index: number of changes in this pass
+	exhaustedSizes exhaustedSizes     // task sizes that found no slot
+	spentRecords   *spentRecordBudget // nil while more records may be rewritten
+	scans          int
 }
 
 func newSearch(input *Input) search {
 	s := search{
-		input:     input,
-		changes:   make([]uint32, len(input.Slots)),
-		exhausted: exhausted{input: input, reserved: map[*storage.Job]bool{}},
+		input:          input,
+		changes:        make([]uint32, len(input.Slots)),
+		exhaustedSizes: exhaustedSizes{input: input, reserved: map[*storage.Job]bool{}},
 	}
 	for i, slot := range input.Slots {
 		slot.index = int32(i)
 		for _, reservation := range slot.Reservations {
-			s.exhausted.reserved[reservation.Job] = true
+			s.exhaustedSizes.reserved[reservation.Job] = true
 		}
 	}
 	return s
 }
 
-// next finds the best slot for a job's next task. With none, bounded tells whether there is
-// one that could be used if one more record might be rewritten.
-func (s *search) next(finder *jobFinder, cursor *jobCursor) (best *Slot, bounded bool) {
+// next returns the best slot for a job's next task. If there is none, recordLimited reports whether a slot
+// could be used if one more record might be rewritten.
+func (s *search) next(finder *jobFinder, cursor *jobCursor) (best *Slot, recordLimited bool) {
 	job := cursor.job
-	if s.exhausted.covers(job) {
+	if s.exhaustedSizes.covers(job) {
 		return nil, false
 	}
 	if job.OneZone || job.Spread {
 		s.scans++
-		return scanForBest(s.input, cursor) // what a zone allows changes with every task
+		return scanForBest(s.input, cursor) // the allowed zones change with every task
 	}
 	if finder.job != job {
-		s.start(finder, job)
+		s.collectOptions(finder, job)
 	}
-	if slot := s.cheapest(finder); slot != nil {
+	if slot := s.cheapestSlot(finder); slot != nil {
 		return slot, false
 	}
-	if s.spent != nil {
-		s.spent.exhausted.note(job)
+	if s.spentRecords != nil {
+		s.spentRecords.exhaustedSizes.add(job)
 	}
-	if !finder.bounded {
-		s.exhausted.note(job)
+	if !finder.recordLimited {
+		s.exhaustedSizes.add(job)
 	}
-	return nil, finder.bounded
+	return nil, finder.recordLimited
 }
 
-// cheapest is the slot of a finder's cheapest option that can still be used, nil if there is none. It
-// drops options that are out of date: a slot that has changed has a newer option if it still suits.
-func (s *search) cheapest(finder *jobFinder) *Slot {
+// cheapestSlot returns the slot of a finder's cheapest option that can still be used, nil if there is none.
+// It drops outdated options: a slot that has changed has a newer option if it still fits the job.
+func (s *search) cheapestSlot(finder *jobFinder) *Slot {
 	for len(finder.options) > 0 {
 		top := finder.options[0]
 		slot := s.input.Slots[top.slot]
-		if top.since == s.changes[top.slot] && slot.Record.Free > 0 {
+		if top.changeCount == s.changes[top.slot] && slot.Record.Free > 0 {
 			if slot.Record.Touched || s.input.Records > 0 {
 				return slot
 			}
-			finder.bounded = true
+			finder.recordLimited = true
 		}
 		finder.options.pop()
 	}
 	return nil
 }
 
-// start collects the options of a job: all slots that one of its tasks could go to.
-func (s *search) start(finder *jobFinder, job *storage.Job) {
+// collectOptions collects the options of a job: all slots on which one of its tasks could be placed.
+func (s *search) collectOptions(finder *jobFinder, job *storage.Job) {
 	*finder = jobFinder{job: job, options: finder.options[:0]}
 	if s.input.Records > 0 {
 		s.scans++
@@ -98,64 +98,63 @@
 	finder.options.init()
 }
 
-// collectTouched collects options where no more records may be rewritten.
+// collectTouched collects options when no more records may be rewritten.
 func (s *search) collectTouched(finder *jobFinder) {
-	if s.spent == nil {
-		s.spent = newSpentBudget(s.input, s.exhausted.reserved)
+	if s.spentRecords == nil {
+		s.spentRecords = newSpentRecordBudget(s.input, s.exhaustedSizes.reserved)
 	}
-	finder.bounded = s.spent.fitsUntouched(finder.job)
-	if s.spent.exhausted.covers(finder.job) {
+	finder.recordLimited = s.spentRecords.fitsUntouched(finder.job)
+	if s.spentRecords.exhaustedSizes.covers(finder.job) {
 		return
 	}
-	for _, i := range s.spent.touched {
+	for _, i := range s.spentRecords.touched {
 		s.collect(finder, i)
 	}
 }
 
-// collect adds a slot to a finder's options if it takes one of its job's tasks. The options
-// are no heap until all are collected.
+// collect adds a slot to a finder's options if one of its job's tasks can be placed there. The options form
+// a heap only once all are collected.
 func (s *search) collect(finder *jobFinder, index int32) {
-	if slot := s.input.Slots[index]; s.takes(slot, finder.job) {
+	if slot := s.input.Slots[index]; s.canTake(slot, finder.job) {
 		finder.options = append(finder.options, s.optionOf(slot, index, finder.job))
 	}
 }
 
-// takes tells whether a slot and its record take one more task of a job.
-func (s *search) takes(slot *Slot, job *storage.Job) bool {
-	return suits(s.input, slot, job) && slot.Record.Free > 0
+// canTake reports whether a slot and its record have room for one more task of a job.
+func (s *search) canTake(slot *Slot, job *storage.Job) bool {
+	return fitsSlot(s.input, slot, job) && slot.Record.Free > 0
 }
 
 func (s *search) optionOf(slot *Slot, index int32, job *storage.Job) option {
-	return option{cost(s.input, slot, job), index, s.changes[index]}
+	return option{placementSeconds(s.input, slot, job), index, s.changes[index]}
 }
 
-// update brings the finders of all queues up to date after a slot has changed.
+// update adds newer options for a changed slot to the finders of all queues.
 func (s *search) update(slot *Slot, queues []*jobQueue) {
 	s.changes[slot.index]++
 	for _, queue := range queues {
 		finder := &queue.finder
-		if finder.job != nil && s.takes(slot, finder.job) {
+		if finder.job != nil && s.canTake(slot, finder.job) {
 			finder.options.push(s.optionOf(slot, slot.index, finder.job))
 		}
 	}
 }
 
-// scanForBest looks at all slots for the best one for a job's next task. With none, bounded is as for
-// search.next.
-func scanForBest(input *Input, cursor *jobCursor) (best *Slot, bounded bool) {
+// scanForBest scans all slots for the best one for a job's next task. recordLimited is as for search.next.
+func scanForBest(input *Input, cursor *jobCursor) (best *Slot, recordLimited bool) {
 	job := cursor.job
 	bestCost := math.Inf(1)
 	for _, slot := range input.Slots {
-		if !suits(input, slot, job) || slot.Record.Free <= 0 || !cursor.allowsZone(input, slot.Machine.Zone) {
+		if !fitsSlot(input, slot, job) || slot.Record.Free <= 0 || !cursor.allowsZone(input, slot.Machine.Zone) {
 			continue
 		}
 		if !slot.Record.Touched && input.Records <= 0 {
-			bounded = true
+			recordLimited = true
 			continue
 		}
-		if slotCost := cost(input, slot, job) + sameServiceSeconds(cursor, slot); slotCost < bestCost {
+		if slotCost := placementSeconds(input, slot, job) + sameServiceSeconds(cursor, slot); slotCost < bestCost {
 			best, bestCost = slot, slotCost
 		}
 	}
-	return best, bounded && best == nil
+	return best, recordLimited && best == nil
 }
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -7,18 +7,18 @@
 	"dykeledge/internal/storage"
 )
 
-// jobCursor is how far a pass is with one job.
+// jobCursor is the progress of a pass with one job.
 type jobCursor struct {
 	job           *storage.Job
 	nextTask      int
 	tasksLeft     int
-	placedByZone  []int32   // tasks placed or claimed in this pass
-	placedOn      []*Slot   // by task placed in this pass
-	claimed       []*Slot   // by task that waits in this pass for a slot's preemptible capacity or boot
-	latestStart   time.Time // when it should start at the latest
-	deadline      time.Time // zero: it has none that it could still meet
-	slack         float64   // seconds until it must have its capacity in order to be done in time
-	remainingWork float64   // of the tasks left to start, in CPU-seconds
+	placedByZone  []int32   // by zone, tasks placed or claimed in this pass
+	placedOn      []*Slot   // by task placed in this pass: its slot
+	claimed       []*Slot   // by waiting task: the slot whose boot or preemptible capacity it waits for
+	latestStart   time.Time // latest time at which it should start
+	deadline      time.Time // zero: it has none that it can still meet
+	slackS        float64   // seconds within which it must get its capacity to be in time
+	remainingWork float64   // work of the tasks left to start, in CPU-seconds
 	urgency       urgency
 }
 
@@ -29,12 +29,12 @@
 	finder jobFinder
 }
 
-// newQueues puts the waiting jobs into their class queues and orders each queue.
+// newQueues groups the waiting jobs into class queues and sorts each queue.
 func newQueues(input *Input) []*jobQueue {
 	if input.Scratch == nil {
 		input.Scratch = &Scratch{}
 	}
-	// The queues point into this slice, so it must not grow while the pass lasts.
+	// The queues hold pointers into this slice, so it must not be reallocated during the pass.
 	cursors := slices.Grow(input.Scratch.cursors[:0], len(input.Jobs))
 	input.Scratch.cursors = cursors
 	var queues []*jobQueue
@@ -43,7 +43,7 @@
 			continue
 		}
 		var queue *jobQueue
-		queues, queue = queueOf(queues, job)
+		queues, queue = findOrAddQueue(queues, job)
 		tasksLeft := job.Waiting()
 		if input.MaxTasks != nil {
 			tasksLeft = min(tasksLeft, input.MaxTasks(job))
@@ -59,16 +59,16 @@
 	return queues
 }
 
-// pass is one run of Place.
+// pass is the state of one run of Place.
 type pass struct {
 	input  *Input
 	search search
-	queues []*jobQueue // those with jobs left
+	queues []*jobQueue // queues with jobs left
 	result Result
 }
 
-// Place decides which waiting tasks start where. It places one task after the other, each time the
-// next of the class queue whose turn it is, until no job is left or a bound of the input is reached.
+// Place decides which waiting tasks start on which machines. It places one task at a time, always the next
+// task of the first class queue in order, until no job is left or a bound of the input is reached.
 func Place(input *Input) Result {
 	p := pass{
 		input:  input,
@@ -78,9 +78,9 @@
 	}
 	firstByTeam := make([]int, len(input.Teams))
 	for len(p.queues) > 0 && len(p.result.Placed) < input.Tasks {
-		turn := nextQueue(input, p.queues, firstByTeam)
-		p.placeNext(p.queues[turn])
-		p.dropIfDone(turn)
+		queueIndex := nextQueue(input, p.queues, firstByTeam)
+		p.placeNext(p.queues[queueIndex])
+		p.dropIfDone(queueIndex)
 	}
 	if len(p.queues) > 0 {
 		p.result.More = true
@@ -89,8 +89,8 @@
 	return p.result
 }
 
-// placeNext decides on the next task of a queue's first job. A job whose task finds no slot is done
-// with for this pass: its other tasks are alike.
+// placeNext decides on the next task of a queue's first job. If the task finds no slot, the job is finished
+// for this pass, since its other tasks are alike.
 func (p *pass) placeNext(queue *jobQueue) {
 	cursor := queue.jobs[0]
 	job := cursor.job
@@ -98,11 +98,11 @@
 		cursor.tasksLeft = 0
 		return
 	}
-	slot, bounded := p.search.next(&queue.finder, cursor)
+	slot, recordLimited := p.search.next(&queue.finder, cursor)
 	switch {
 	case slot != nil:
 		p.placeOrWait(cursor, slot)
-	case bounded:
+	case recordLimited:
 		p.result.More = true
 		cursor.tasksLeft = 0
 	default:
@@ -111,41 +111,41 @@
 	}
 }
 
-// placeOrWait puts a job's next task on a free slot, unless it starts sooner elsewhere and waits.
+// placeOrWait places a job's next task on a free slot, unless it starts sooner elsewhere and should wait.
 func (p *pass) placeOrWait(cursor *jobCursor, slot *Slot) {
-	if soonest := p.input.claimSooner(cursor, slot); soonest != nil {
+	if soonest := p.input.claimSoonerStart(cursor, slot); soonest != nil {
 		if soonest.BootS == 0 {
 			p.result.Short[cursor.job]++
 		}
 	} else {
-		take(p.input, cursor, slot)
+		recordPlacement(p.input, cursor, slot)
 		p.search.update(slot, p.queues)
 		p.result.Placed = append(p.result.Placed, Placement{cursor.job, cursor.nextTask, slot})
 	}
 	cursor.advance()
 }
 
-// advance goes on to the job's next waiting task.
+// advance moves the cursor to the job's next waiting task.
 func (c *jobCursor) advance() {
 	c.tasksLeft--
 	c.nextTask = c.job.NextWaiting(c.nextTask + 1)
 }
 
-// dropIfDone takes a queue's first job out if no task of it is left, and the queue with its last job.
-func (p *pass) dropIfDone(turn int) {
-	queue := p.queues[turn]
+// dropIfDone removes a queue's first job if none of its tasks is left, and the queue if it has no more jobs.
+func (p *pass) dropIfDone(queueIndex int) {
+	queue := p.queues[queueIndex]
 	if cursor := queue.jobs[0]; cursor.tasksLeft != 0 && cursor.nextTask >= 0 {
 		return
 	}
 	queue.jobs = queue.jobs[1:]
 	if len(queue.jobs) == 0 {
-		p.queues = slices.Delete(p.queues, turn, turn+1)
+		p.queues = slices.Delete(p.queues, queueIndex, queueIndex+1)
 	}
 }
 
-// take enters a placed task into the slot, its record, the job's cursor and what its team and class
-// queue use.
-func take(input *Input, cursor *jobCursor, slot *Slot) {
+// recordPlacement adds a placed task to the slot, its record, the job's cursor and the usage of its team and
+// class queue.
+func recordPlacement(input *Input, cursor *jobCursor, slot *Slot) {
 	job := cursor.job
 	slot.Free.Add(job, -1)
 	slot.AddFragile(job)
