--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -14,7 +14,7 @@
 
 // largeCore owns one shard with n machines, four fifths of their room used, and open
 // jobs of which most wait.
-func largeCore(b *testing.B, n, jobs int) *Controller {
+func largeCore(b *testing.B, machines, jobs int) *Controller {
 	b.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
@@ -33,22 +33,22 @@
 		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], SubmittedMs: time.Now().UnixMilli(),
 			Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
 	}
-	const size = 14
+	const groupSize = 14
 	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
-	for i := range n {
-		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / size})
+	for i := range machines {
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / groupSize})
 	}
 	put(storage.FleetKey("m0"), fleet, 4)
-	for k := 0; k*size < n; k++ {
-		rec := storage.GroupRecord{}
-		for i := k * size; i < min(n, (k+1)*size); i++ {
-			x := storage.GroupMachine{Name: fmt.Sprint("m", i), Incarnation: 1}
+	for k := 0; k*groupSize < machines; k++ {
+		record := storage.GroupRecord{}
+		for i := k * groupSize; i < min(machines, (k+1)*groupSize); i++ {
+			entry := storage.GroupMachine{Name: fmt.Sprint("m", i), Incarnation: 1}
 			for t := range uint64(3 + i%2) {
-				x.Tasks = append(x.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
+				entry.Tasks = append(entry.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
 			}
-			rec.Machines = append(rec.Machines, x)
+			record.Machines = append(record.Machines, entry)
 		}
-		put(storage.GroupKey(k), rec, 5)
+		put(storage.GroupKey(k), record, 5)
 	}
 	controller.cache.Revision, controller.follower.highestRevision = 5, 5
 	controller.shards.owned[0] = 2
@@ -59,12 +59,12 @@
 	return controller
 }
 
-func reportOf(m *storage.Machine, seq uint64) *protocol.Heartbeat {
-	r := &protocol.Heartbeat{Machine: m.Name, Incarnation: 1, Seq: seq, FencingToken: 4}
-	for _, p := range m.Tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt, State: protocol.TaskRunning})
+func reportOf(machine *storage.Machine, seq uint64) *protocol.Heartbeat {
+	heartbeat := &protocol.Heartbeat{Machine: machine.Name, Incarnation: 1, Seq: seq, FencingToken: 4}
+	for _, placed := range machine.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: protocol.TaskName(placed.Job.ID, placed.Task), Attempt: placed.Attempt, State: protocol.TaskRunning})
 	}
-	return r
+	return heartbeat
 }
 
 var sizes = []struct{ machines, jobs int }{{50, 50}, {400, 400}, {1250, 5000}, {5000, 20000}}
--- a/internal/controller/capacity_fit.go
+++ b/internal/controller/capacity_fit.go
@@ -18,14 +18,14 @@
 	freeByMachine []storage.Usage // by the records
 }
 
-// accepts tells whether a task of a job fits now on a machine that takes more tasks.
-func (f *fitChecker) accepts(j *storage.Job, m *storage.Machine) bool {
-	return !m.Draining && !f.c.workers.pendingUpdates[m.Index].blocksPlacement() && f.besideTasks(j, m)
+// fitsNow tells whether a task of a job fits now on a machine that takes more tasks.
+func (f *fitChecker) fitsNow(j *storage.Job, m *storage.Machine) bool {
+	return !m.Draining && !f.c.workers.pendingUpdates[m.Index].blocksPlacement() && f.fitsBesideTasks(j, m)
 }
 
-// besideTasks tells whether a task of a job fits on a machine, drained or not, beside what runs
+// fitsBesideTasks tells whether a task of a job fits on a machine, drained or not, beside what runs
 // there and given where the job's other tasks are.
-func (f *fitChecker) besideTasks(j *storage.Job, m *storage.Machine) bool {
+func (f *fitChecker) fitsBesideTasks(j *storage.Job, m *storage.Machine) bool {
 	if m.Gone || m.Returning || m.Unhealthy || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
 		return false
 	}
@@ -40,7 +40,7 @@
 	now := time.Now()
 	return slices.ContainsFunc(f.c.cache.Jobs, func(j *storage.Job) bool {
 		return j != nil && j.Shard == shard && f.c.mayStart(j, now) &&
-			slices.ContainsFunc(group.Machines, func(m *storage.Machine) bool { return f.accepts(j, m) })
+			slices.ContainsFunc(group.Machines, func(m *storage.Machine) bool { return f.fitsNow(j, m) })
 	})
 }
 
@@ -92,12 +92,12 @@
 
 // inZone tells whether a further task of a job may be in a zone, given where its others are.
 func inZone(j *storage.Job, zone int) bool {
-	there := 0
+	tasksInZone := 0
 	if zone < len(j.ByZone) {
-		there = int(j.ByZone[zone])
+		tasksInZone = int(j.ByZone[zone])
 	}
-	if j.OneZone && j.PlacedCount > there {
+	if j.OneZone && j.PlacedCount > tasksInZone {
 		return false
 	}
-	return !j.Spread || there < j.MaxPerZone()
+	return !j.Spread || tasksInZone < j.MaxPerZone()
 }
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if c.commits.inDoubt != nil {
-		c.send(ctx, *c.commits.inDoubt)
+		c.commitAsync(ctx, *c.commits.inDoubt)
 		return
 	}
 	if c.cache.Revision < c.commits.awaitedRevision {
@@ -59,7 +59,7 @@
 		c.commits.cycleRequested = true
 	}
 	c.commits.lastTxnOps = len(txn.Then)
-	c.send(ctx, txn)
+	c.commitAsync(ctx, txn)
 }
 
 // nextTxn plans a transaction that is within the state service's limits: records
@@ -120,21 +120,21 @@
 	return nil
 }
 
-// send commits a transaction in a goroutine of its own, which ends with the transaction's
+// commitAsync commits a transaction in a goroutine of its own, which ends with the transaction's
 // timeout and hands the outcome to sent.
-func (c *Controller) send(ctx context.Context, txn protocol.Txn) {
+func (c *Controller) commitAsync(ctx context.Context, txn protocol.Txn) {
 	c.commits.inFlight = true
 	go func() {
 		timed, cancel := context.WithTimeout(ctx, txnTimeout)
 		revision, failed, err := c.store.Txn(timed, txn, protocol.BackgroundRequest)
 		cancel()
-		c.post(func() { c.sent(txn, revision, failed, err) })
+		c.post(func() { c.handleTxnOutcome(txn, revision, failed, err) })
 	}()
 }
 
-// sent takes the outcome of the cycle's transaction: failed are the keys whose conditions did
+// handleTxnOutcome takes the outcome of the cycle's transaction: failed are the keys whose conditions did
 // not hold.
-func (c *Controller) sent(txn protocol.Txn, revision uint64, failed []string, err error) {
+func (c *Controller) handleTxnOutcome(txn protocol.Txn, revision uint64, failed []string, err error) {
 	c.commits.inFlight = false
 	now := time.Now()
 	c.commits.nextCycleAt = now.Add(c.timing.CommitInterval)
@@ -152,7 +152,7 @@
 }
 
 func (c *Controller) commitSucceeded(txn protocol.Txn, revision uint64, now time.Time) {
-	if settles(txn) {
+	if isResolvingTxn(txn) {
 		c.commits.awaitedRevision = revision // what it settled may have been applied before
 	}
 	c.applyTxn(txn, revision)
@@ -190,7 +190,7 @@
 	case !errors.Is(err, protocol.ErrRefused):
 		c.commits.inDoubt = &txn
 	case errors.Is(err, protocol.ErrTooLarge) && c.commits.inDoubt != nil:
-		c.commits.inDoubt = c.settling(*c.commits.inDoubt)
+		c.commits.inDoubt = c.resolvingTxn(*c.commits.inDoubt)
 	}
 	c.log.Info("commit failed", "err", err, "in_doubt", c.commits.inDoubt != nil)
 	c.commits.nextCycleAt = now.Add(commitRetry)
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -29,7 +29,7 @@
 			builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 			txn := builder.build()
 			controller.workers.directCommands = maxDirectCommands // no workers here
-			controller.sent(txn, test.revision, test.failed, test.err)
+			controller.handleTxnOutcome(txn, test.revision, test.failed, test.err)
 			commits := &controller.commits
 			if (commits.inDoubt != nil) != test.inDoubt || commits.awaitedRevision != test.awaited {
 				t.Fatalf("in doubt: %v, waiting for revision %d", commits.inDoubt != nil, commits.awaitedRevision)
--- a/internal/controller/deadline_inheritance.go
+++ b/internal/controller/deadline_inheritance.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// stepGap and stepMargin are what lies between two jobs of a pipeline beyond the estimate: the last
+	// dependencyStepDelay and stepMargin are what lies between two jobs of a pipeline beyond the estimate: the last
 	// task's heartbeat, the final record, the next placement, the fetch of its image; and an array
 	// lasts as long as its slowest task.
-	stepGap    = 6 * time.Second
-	stepMargin = 1.4
+	dependencyStepDelay = 6 * time.Second
+	estimateMargin      = 1.4
 )
 
 // inheritDeadlines keeps up what jobs inherit from those that need them, and looks at those that
@@ -44,5 +44,5 @@
 
 // expectedDuration is a rough estimate of how long a job takes once it is ready.
 func expectedDuration(job *storage.Job) time.Duration {
-	return stepGap + time.Duration(stepMargin*job.Estimate*float64(time.Second))
+	return dependencyStepDelay + time.Duration(estimateMargin*job.Estimate*float64(time.Second))
 }
--- a/internal/controller/desired_state_test.go
+++ b/internal/controller/desired_state_test.go
@@ -32,12 +32,12 @@
 				{Put: storage.VictimSetKey("job-000001"), Value: storage.Encode(storage.VictimSetRecord{
 					Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000002", Attempt: 9}}})},
 			}}, 10)
-			m := controller.cache.Machine("m")
-			v, p := controller.workerState(m), m.Tasks[0]
-			v.started[dispatch.RefOf(p)] = time.Now().Add(-test.ran)
-			v.Seen[dispatch.RefOf(p)] = dispatch.TaskSeen{State: test.state}
-			if w := controller.desiredState(m, v, p); !w.Stop || w.Grace != test.grace {
-				t.Errorf("%+v, want %v s to save", w, test.grace)
+			machine := controller.cache.Machine("m")
+			worker, placed := controller.workerState(machine), machine.Tasks[0]
+			worker.started[dispatch.RefOf(placed)] = time.Now().Add(-test.ran)
+			worker.Seen[dispatch.RefOf(placed)] = dispatch.TaskSeen{State: test.state}
+			if desired := controller.desiredState(machine, worker, placed); !desired.Stop || desired.Grace != test.grace {
+				t.Errorf("%+v, want %v s to save", desired, test.grace)
 			}
 		})
 	}
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// drainUsageBelow is the used part of a machine below which it may be drained.
-	drainUsageBelow = 0.6
-	// drainAfterS is how many seconds a task must have been placed before it is moved off a
+	// maxDrainUsage is the used part of a machine below which it may be drained.
+	maxDrainUsage = 0.6
+	// minTaskAgeS is how many seconds a task must have been placed before it is moved off a
 	// machine, so that it is not moved again and again.
-	drainAfterS = 20
-	// drainFraction is the part of the fleet that may begin to drain in one pass.
-	drainFraction = 1.0 / 24
+	minTaskAgeS = 20
+	// maxDrainFraction is the part of the fleet that may begin to drain in one pass.
+	maxDrainFraction = 1.0 / 24
 	// minDrainSurplus is how many whole machines a pool must have too many for one of them to be drained.
 	minDrainSurplus = 1.5
-	// neededAfter is how long a job must have waited to be given a machine that is being drained:
+	// restoreAfter is how long a job must have waited to be given a machine that is being drained:
 	// others may be about to be up.
-	neededAfter = 20 * time.Second
+	restoreAfter = 20 * time.Second
 )
 
 // drainingState is what the leader knows of work that waits beside machines that are being drained.
@@ -81,9 +81,9 @@
 			survey.drained = append(survey.drained, machine)
 			continue
 		}
-		used, cpus := c.usedPart(machine, now), c.cache.Types[machine.Type].Cpus
+		used, cpus := c.usedFraction(machine, now), c.cache.Types[machine.Type].Cpus
 		pool := poolOf(machine)
-		if len(machine.Tasks) > 0 && settled(machine, now) && used <= drainUsageBelow &&
+		if len(machine.Tasks) > 0 && tasksOldEnough(machine, now) && used <= maxDrainUsage &&
 			plan.Surplus[pool] >= minDrainSurplus && c.leader.surplusLasts(pool, retention, now) {
 			survey.candidates = append(survey.candidates, drainCandidate{machine, used})
 		}
@@ -107,9 +107,9 @@
 	return waiting
 }
 
-// usedPart is the part of a machine's CPUs that its tasks use. On machines paid in full, idle-time
+// usedFraction is the part of a machine's CPUs that its tasks use. On machines paid in full, idle-time
 // work counts as free capacity.
-func (c *Controller) usedPart(m *storage.Machine, now time.Time) float64 {
+func (c *Controller) usedFraction(m *storage.Machine, now time.Time) float64 {
 	used, cpus := 0.0, c.cache.Types[m.Type].Cpus
 	for _, placed := range m.Tasks {
 		if m.Spot || !c.isIdleWork(placed.Job, now) {
@@ -119,39 +119,39 @@
 	return used
 }
 
-// settled tells whether no task of a machine was moved or started a moment ago. What has neither
+// tasksOldEnough tells whether no task of a machine was moved or started a moment ago. What has neither
 // checkpoints nor replicas is not moved anyway.
-func settled(m *storage.Machine, now time.Time) bool {
+func tasksOldEnough(m *storage.Machine, now time.Time) bool {
 	return !slices.ContainsFunc(m.Tasks, func(placed storage.PlacedTask) bool {
 		ranS := now.Unix() - placed.PlacedAt
-		savesTooSoon := placed.Job.CheckpointInterval != 0 && ranS <= drainAfterS
-		replicaTooSoon := placed.Job.Shape != protocol.Batch && ranS <= int64(relocateAfter.Seconds())
-		return savesTooSoon || replicaTooSoon
+		checkpointedTooNew := placed.Job.CheckpointInterval != 0 && ranS <= minTaskAgeS
+		replicaTooNew := placed.Job.Shape != protocol.Batch && ranS <= int64(minReplicaAge.Seconds())
+		return checkpointedTooNew || replicaTooNew
 	})
 }
 
 // restoreNeeded puts a drained machine back into service if a job fits on no other. Sums of free
 // capacity say nothing of which machine has it, and for what.
 func (c *Controller) restoreNeeded(now time.Time, drained []*storage.Machine) {
-	if machine := c.neededDrained(drained, now); machine != nil {
+	if machine := c.findNeededDrained(drained, now); machine != nil {
 		c.setDraining(machine, false)
 	}
 }
 
-// neededDrained finds a drained machine on which a job fits that has waited for a while and fits
+// findNeededDrained finds a drained machine on which a job fits that has waited for a while and fits
 // on no other; nil: there is none.
-func (c *Controller) neededDrained(drained []*storage.Machine, now time.Time) *storage.Machine {
+func (c *Controller) findNeededDrained(drained []*storage.Machine, now time.Time) *storage.Machine {
 	fit := fitChecker{c: c}
 	examined := 0
 	for _, job := range c.cache.Jobs {
-		if job == nil || len(drained) == 0 || now.Sub(job.ReadyAt) < neededAfter || !c.mayStart(job, now) {
+		if job == nil || len(drained) == 0 || now.Sub(job.ReadyAt) < restoreAfter || !c.mayStart(job, now) {
 			continue
 		}
 		if examined++; examined > maxExaminedJobs {
 			break
 		}
-		i := slices.IndexFunc(drained, func(m *storage.Machine) bool { return fit.besideTasks(job, m) })
-		if i >= 0 && !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return fit.accepts(job, m) }) {
+		i := slices.IndexFunc(drained, func(m *storage.Machine) bool { return fit.fitsBesideTasks(job, m) })
+		if i >= 0 && !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return fit.fitsNow(job, m) }) {
 			return drained[i]
 		}
 	}
@@ -181,8 +181,8 @@
 		return cmp.Or(cmp.Compare(c.cpuPrice(b.machine), c.cpuPrice(a.machine)), cmp.Compare(a.used, b.used),
 			cmp.Compare(a.machine.Name, b.machine.Name))
 	})
-	pace := max(1, int(drainFraction*float64(survey.fleetSize)))
-	count := min(len(survey.candidates), pace, int(survey.surplus)-1)
+	maxPerPass := max(1, int(maxDrainFraction*float64(survey.fleetSize)))
+	count := min(len(survey.candidates), maxPerPass, int(survey.surplus)-1)
 	for i := range max(0, count) {
 		c.setDraining(survey.candidates[i].machine, true)
 	}
--- a/internal/controller/draining_test.go
+++ b/internal/controller/draining_test.go
@@ -25,9 +25,9 @@
 		{"waits for a moment", 1, 0, 0, false, 0, false},
 		{"waits for a while", 1, stuckAfter + time.Second, 0, false, 0, true},
 		{"waits for its team's limit", 1, stuckAfter + time.Second, 10, false, 0, false},
-		{"by the sums there is capacity, but it fits on no other", 0, 0, 0, true, neededAfter + time.Second, true},
-		{"it may not wait for long", 0, 0, 0, true, neededAfter - time.Second, false},
-		{"nor may its team have more", 0, 0, 22, true, neededAfter + time.Second, false},
+		{"by the sums there is capacity, but it fits on no other", 0, 0, 0, true, restoreAfter + time.Second, true},
+		{"it may not wait for long", 0, 0, 0, true, restoreAfter - time.Second, false},
+		{"nor may its team have more", 0, 0, 22, true, restoreAfter + time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newRebalancerCore(t, config.Deployment{Controllers: 1, Zones: []string{"a"},
--- a/internal/controller/idle_work_test.go
+++ b/internal/controller/idle_work_test.go
@@ -103,8 +103,8 @@
 			controller.planner.idleWorkPlaced = true
 			input := &schedule.Input{Teams: controller.cache.Teams, Used: controller.cache.Used, Slots: []*schedule.Slot{{Machine: machine}}}
 			got := 0
-			if controller.mayPreempt(waits, input, controller.claimsUntil()) {
-				got = len(controller.preemptionCandidates(time.Now(), waits, input, nil, controller.claimsUntil()))
+			if controller.mayPreempt(waits, input, controller.guaranteeCutoffs()) {
+				got = len(controller.preemptionCandidates(time.Now(), waits, input, nil, controller.guaranteeCutoffs()))
 			}
 			if got != test.want {
 				t.Errorf("%d candidates, want %d", got, test.want)
--- a/internal/controller/job_objectives.go
+++ b/internal/controller/job_objectives.go
@@ -11,12 +11,12 @@
 // objectiveKindWait is the kind of an objective on starting; others are on finishing.
 const objectiveKindWait = "wait"
 
-// lateJobsAllowed is how many times its latest objective a job that has missed every objective
+// lateAllowanceFactor is how many times its latest objective a job that has missed every objective
 // is given. It steps behind work that can still be in time, but not for ever: it must not starve.
-const lateJobsAllowed = 1.5
+const lateAllowanceFactor = 1.5
 
-// idleFor is how long idle-time work is left to capacity that others leave, at least.
-const idleFor = 10 * time.Minute
+// minIdleWorkWait is how long idle-time work is left to capacity that others leave, at least.
+const minIdleWorkWait = 10 * time.Minute
 
 // timeAllowed is how long after it became ready a job may take in order to meet the tightest
 // objective that its class still can; 0: there is none.
@@ -27,21 +27,21 @@
 
 // objectiveLeft is timeAllowed, and whether every objective is missed.
 func (c *Controller) objectiveLeft(job *storage.Job, now time.Time) (allowed time.Duration, late bool) {
-	needed := now.Sub(job.ReadyAt) + seconds(job.Estimate) // if it started now
+	minDuration := now.Sub(job.ReadyAt) + seconds(job.Estimate) // if it started now
 	var tightest, latest time.Duration
-	consider := func(limit time.Duration) {
+	addObjective := func(limit time.Duration) {
 		latest = max(latest, limit)
-		if limit > needed && (tightest == 0 || limit < tightest) {
+		if limit > minDuration && (tightest == 0 || limit < tightest) {
 			tightest = limit
 		}
 	}
 	due := job.Submitted.Add(job.Deadline).Sub(job.ReadyAt) // a deadline counts from the submission
 	if job.Deadline > 0 {
-		consider(due)
+		addObjective(due)
 	}
 	if !job.FinishBy.IsZero() {
-		consider(job.FinishBy.Sub(job.ReadyAt)) // for the jobs that depend on it
-		consider(job.FinishLatest.Sub(job.ReadyAt))
+		addObjective(job.FinishBy.Sub(job.ReadyAt)) // for the jobs that depend on it
+		addObjective(job.FinishLatest.Sub(job.ReadyAt))
 	}
 	class := c.cache.Classes.Name(job.Class)
 	for _, objective := range c.cfg.Deployment.Objectives {
@@ -49,13 +49,13 @@
 			continue
 		}
 		if limit, ok := objectiveLimit(objective, job, due); ok {
-			consider(limit)
+			addObjective(limit)
 		}
 	}
 	if tightest > 0 {
 		return tightest, false
 	}
-	allowed = time.Duration(lateJobsAllowed * float64(latest))
+	allowed = time.Duration(lateAllowanceFactor * float64(latest))
 	return allowed, allowed > 0
 }
 
@@ -79,6 +79,6 @@
 // is idle-time work no more: an accepted job must run.
 func (c *Controller) isIdleWork(job *storage.Job, now time.Time) bool {
 	return job.Priority == protocol.Low && job.Spot &&
-		now.Sub(job.ReadyAt) < idleFor+4*seconds(job.Estimate) &&
+		now.Sub(job.ReadyAt) < minIdleWorkWait+4*seconds(job.Estimate) &&
 		c.timeAllowed(job, now) == 0
 }
--- a/internal/controller/limit_budget.go
+++ b/internal/controller/limit_budget.go
@@ -41,6 +41,6 @@
 
 // limited tells whether a team has a limit.
 func (c *Controller) limited(team int) bool {
-	t := &c.cache.Teams[team]
-	return t.CpusMax > 0 || t.GpusMax > 0
+	teamLimits := &c.cache.Teams[team]
+	return teamLimits.CpusMax > 0 || teamLimits.GpusMax > 0
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -17,17 +17,17 @@
 	floorMargin = 1.5
 	// overloadFactor is how many times its baseline a queue must have open to be overloaded.
 	overloadFactor = 3
-	// reserveOnDemandFrom is the part of its floor from which a queue leaves on-demand machines to an
+	// reserveOnDemandFraction is the part of its floor from which a queue leaves on-demand machines to an
 	// overload of what may use no others; where there are no spot machines to be had it must not starve.
-	reserveOnDemandFrom = 0.5
+	reserveOnDemandFraction = 0.5
 )
 
 // A job's size counts against it only for a while. The largest of a class must begin within four
 // minutes, and half of them must be served: those that step behind for as long as an overload lasts
 // never were, where it lasts for the rest of the day.
 const (
-	beginAfter = 150 * time.Second // then one of its tasks goes first, if none was placed
-	turnAfter  = 4 * time.Minute   // then it has its turn, if it has missed its latest objective
+	firstTaskDueAfter = 150 * time.Second // then one of its tasks goes first, if none was placed
+	overdueAfter      = 4 * time.Minute   // then it has its turn, if it has missed its latest objective
 )
 
 // queueLoads is how the teams' classes, each a queue, stand.
@@ -95,7 +95,7 @@
 func (l *queueLoads) reserveOnDemand(baselineCpus map[storage.ClassQueue]float64) {
 	for name := range baselineCpus {
 		if queue := l.queues.At(name); queue != nil {
-			queue.LeavesOnDemand = queue.Used >= reserveOnDemandFrom*queue.Floor
+			queue.LeavesOnDemand = queue.Used >= reserveOnDemandFraction*queue.Floor
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		*active = loads.overloaded
 		return loads.overloaded
 	}
-	waits := c.planner.buffers.waits[:0]
+	waits := c.planner.buffers.waitingWork[:0]
 	for _, job := range jobs {
 		if job == nil || job.Suspect || job.Waiting() == 0 {
 			continue
@@ -118,7 +118,7 @@
 			waits = append(waits, work)
 		}
 	}
-	c.planner.buffers.waits = waits
+	c.planner.buffers.waitingWork = waits
 	capacity.Busy = loads.meanBusyS
 	*active = schedule.LoadFactor(waits, capacity) > schedule.OverloadFactor
 	return *active
@@ -137,7 +137,7 @@
 // waitedTooLong tells whether a job has waited too long and has missed its latest objective, if it
 // has one. From then on it has its turn whatever else is asked, in a part of the capacity.
 func (c *Controller) waitedTooLong(j *storage.Job, now time.Time) bool {
-	if now.Sub(j.ReadyAt) < turnAfter {
+	if now.Sub(j.ReadyAt) < overdueAfter {
 		return false
 	}
 	last, late := c.objectiveLeft(j, now)
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -17,9 +17,9 @@
 		want    bool
 	}{
 		{"late, but young", 2 * time.Minute, 60, false},
-		{"can be in time", turnAfter + time.Second, 600, false},
-		{"late", turnAfter + time.Second, 60, true},
-		{"has no objective", turnAfter + time.Second, 0, true},
+		{"can be in time", overdueAfter + time.Second, 600, false},
+		{"late", overdueAfter + time.Second, 60, true},
+		{"has no objective", overdueAfter + time.Second, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
--- a/internal/controller/pending_updates.go
+++ b/internal/controller/pending_updates.go
@@ -15,13 +15,13 @@
 }
 
 // blocksPlacement tells whether nothing more may be placed on the machine.
-func (e *pendingUpdate) blocksPlacement() bool {
-	return e != nil && (e.returning || e.draining != nil && *e.draining)
+func (u *pendingUpdate) blocksPlacement() bool {
+	return u != nil && (u.returning || u.draining != nil && *u.draining)
 }
 
 // differs tells whether a machine's record still has to change.
-func (e *pendingUpdate) differs(m *storage.Machine) bool {
-	return (e.returning && !m.Returning) || (e.draining != nil && *e.draining != m.Draining)
+func (u *pendingUpdate) differs(m *storage.Machine) bool {
+	return (u.returning && !m.Returning) || (u.draining != nil && *u.draining != m.Draining)
 }
 
 // pendingUpdate is the update of a machine's record to add changes to.
@@ -108,9 +108,9 @@
 }
 
 // applyTo changes a machine's entry in its group's record.
-func (e *pendingUpdate) applyTo(x *storage.GroupMachine) {
-	x.Returning = x.Returning || e.returning
-	if e.draining != nil {
-		x.Draining = *e.draining
+func (u *pendingUpdate) applyTo(entry *storage.GroupMachine) {
+	entry.Returning = entry.Returning || u.returning
+	if u.draining != nil {
+		entry.Draining = *u.draining
 	}
 }
--- a/internal/controller/placement_input.go
+++ b/internal/controller/placement_input.go
@@ -19,7 +19,7 @@
 	// What a machine's recent failures, and tasks that run over their estimates, add to its risk.
 	riskPerFailure  = 4
 	riskPerSlowdown = 8
-	slowdownIgnored = 1.3
+	ignoredSlowdown = 1.3
 )
 
 // placementInput is the input of a placement pass over the shards that this controller owns.
@@ -50,17 +50,17 @@
 		Teams:       c.cache.Teams,
 		Used:        slices.Clone(c.cache.Used),
 		Records:     planned.opsLeft(),
-		Tasks:       maxPlace,
+		Tasks:       maxPlacementsPerPass,
 		TimeAllowed: func(job *storage.Job) (time.Duration, bool) { return c.objectiveLeft(job, now) },
 		MustBegin: func(job *storage.Job) bool {
-			return job.PlacedCount+job.DoneCount == 0 && now.Sub(job.ReadyAt) >= beginAfter
+			return job.PlacedCount+job.DoneCount == 0 && now.Sub(job.ReadyAt) >= firstTaskDueAfter
 		},
 		Overdue: func(job *storage.Job) bool { return c.waitedTooLong(job, now) },
 		Hold: func(job *storage.Job) bool {
 			state := c.jobStates[job]
 			return state != nil && now.Before(state.backoff) || c.probing(job)
 		},
-		MayPreempt: func(job *storage.Job) bool { return c.startsSooner(job, now) },
+		MayPreempt: func(job *storage.Job) bool { return c.mayWaitForPreemption(job, now) },
 		MaxTasks: func(job *storage.Job) int {
 			if c.suspect(job) {
 				return 1
@@ -144,23 +144,23 @@
 // addSlot adds a machine that may take tasks now, or notes one that boots; nil: it takes none now.
 func (c *Controller) addSlot(machine *storage.Machine, tasks []storage.PlacedTask, record *schedule.GroupCapacity, now time.Time) *schedule.Slot {
 	machineType := &c.cache.Types[machine.Type]
-	whole := storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}
+	total := storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}
 	worker := c.workerState(machine)
 	buffers := &c.planner.buffers
 	if !c.usable(machine, worker, now) {
 		if c.booting(machine, worker, now) {
 			buffers.booting = append(buffers.booting, &schedule.Slot{
-				Machine: machine, FetchGBs: machineType.FetchGBs, BootS: c.bootLeft(machine, worker, now), Free: whole})
+				Machine: machine, FetchGBs: machineType.FetchGBs, BootS: c.bootLeft(machine, worker, now), Free: total})
 		}
 		return nil
 	}
-	slot := buffers.slot(schedule.Slot{Machine: machine, Record: record, FetchGBs: machineType.FetchGBs, Free: whole})
+	slot := buffers.slot(schedule.Slot{Machine: machine, Record: record, FetchGBs: machineType.FetchGBs, Free: total})
 	slot.Images = c.cachedImages(worker, machineType)
 	c.addTasks(slot, tasks, now)
 	if machineType.Gpus > 0 {
 		slot.PerGpu = machineType.Cpus / machineType.Gpus
 	}
-	slot.Risk = riskPerFailure*c.failedRecently(worker) + riskPerSlowdown*max(0, worker.slowdown-slowdownIgnored)
+	slot.Risk = riskPerFailure*c.failedRecently(worker) + riskPerSlowdown*max(0, worker.slowdown-ignoredSlowdown)
 	return slot
 }
 
@@ -240,14 +240,14 @@
 // planBuffers is memory in which a placement pass works, kept for the next one: a pass
 // allocates in proportion to the tasks that it places, not to the machines and jobs there are.
 type planBuffers struct {
-	slots   []schedule.Slot
-	order   []*schedule.Slot
-	booting []*schedule.Slot
-	records []schedule.GroupCapacity
-	images  []int
-	jobs    []*storage.Job
-	waits   []schedule.WaitingWork
-	place   schedule.Scratch
+	slots       []schedule.Slot
+	order       []*schedule.Slot
+	booting     []*schedule.Slot
+	records     []schedule.GroupCapacity
+	images      []int
+	jobs        []*storage.Job
+	waitingWork []schedule.WaitingWork
+	place       schedule.Scratch
 }
 
 // begin empties the buffers and makes room for all machines, groups and jobs.
@@ -269,7 +269,7 @@
 // slot keeps a machine, likewise, in the order of its addition.
 func (b *planBuffers) slot(slot schedule.Slot) *schedule.Slot {
 	b.slots = append(b.slots, slot)
-	kept := &b.slots[len(b.slots)-1]
-	b.order = append(b.order, kept)
-	return kept
+	stored := &b.slots[len(b.slots)-1]
+	b.order = append(b.order, stored)
+	return stored
 }
--- a/internal/controller/plan_completions.go
+++ b/internal/controller/plan_completions.go
@@ -9,8 +9,8 @@
 	"dykeledge/internal/storage"
 )
 
-// complete tells whether all tasks of a job array are done, if so many of them are.
-func (c *Controller) complete(job *storage.Job, done int) bool {
+// allTasksDone tells whether all tasks of a job array are done, if so many of them are.
+func (c *Controller) allTasksDone(job *storage.Job, done int) bool {
 	return job.Open() && job.Shape == protocol.Batch && done == job.Tasks
 }
 
@@ -25,7 +25,7 @@
 func (c *Controller) finishRecordedElsewhere(planned *plannedTxn, shards map[int]bool) {
 	limit := max(1, planned.maxOps/2)
 	for _, job := range c.cache.Jobs {
-		if job != nil && shards[job.Shard] && c.complete(job, job.DoneCount) && planned.usedOps < limit {
+		if job != nil && shards[job.Shard] && c.allTasksDone(job, job.DoneCount) && planned.usedOps < limit {
 			c.finish(planned, job)
 		}
 	}
@@ -34,7 +34,7 @@
 // finishCompleted makes jobs done whose last tasks complete with this transaction.
 func (c *Controller) finishCompleted(planned *plannedTxn, shards map[int]bool) {
 	for job, reached := range planned.completed {
-		if !shards[job.Shard] || !c.complete(job, reached.n) {
+		if !shards[job.Shard] || !c.allTasksDone(job, reached.doneCount) {
 			continue
 		}
 		if planned.full() {
@@ -60,7 +60,7 @@
 			if machine.Gone || worker == nil {
 				continue
 			}
-			if len(worker.Gone) > 0 || c.changes(machine, worker) {
+			if len(worker.Gone) > 0 || c.machineRecordChanges(machine, worker) {
 				c.planMachine(planned, machine, worker)
 			}
 		}
@@ -75,7 +75,7 @@
 		cost++
 	}
 	leaves := worker.terminated && machine.Returning && len(worker.Gone) >= len(machine.Tasks) && machine.FleetEntries <= 1
-	if leaves && planned.leaving[machine.Fleet] == nil {
+	if leaves && planned.removedMachines[machine.Fleet] == nil {
 		cost++
 	}
 	if planned.usedOps+cost > planned.maxOps {
@@ -84,7 +84,7 @@
 		}
 		return
 	}
-	update := planned.group(machine.Group)
+	update := planned.includeGroup(machine.Group)
 	remaining := make([]storage.PlacedTask, 0, len(machine.Tasks))
 	for _, placed := range machine.Tasks {
 		outcome, gone := worker.Gone[dispatch.RefOf(placed)]
@@ -92,17 +92,17 @@
 		case !gone:
 			remaining = append(remaining, placed)
 		case outcome == dispatch.Completed:
-			planned.complete(update, placed)
+			planned.addCompletion(update, placed)
 		}
 	}
 	planned.remaining[machine.Index] = remaining
 	if leaves && len(remaining) == 0 {
-		planned.leave(machine)
+		planned.removeMachine(machine)
 	}
 }
 
-// changes tells whether a machine's part of the records has to change, tasks aside.
-func (c *Controller) changes(machine *storage.Machine, worker *workerState) bool {
+// machineRecordChanges tells whether a machine's part of the records has to change, tasks aside.
+func (c *Controller) machineRecordChanges(machine *storage.Machine, worker *workerState) bool {
 	if c.needsTokenRaise(machine, worker) || worker.terminated && machine.Returning || worker.unhealthy && !machine.Unhealthy {
 		return true
 	}
@@ -139,27 +139,27 @@
 	return entry
 }
 
-// foldThreshold is how many completed tasks a group's record may list before some of them
+// maxListedCompletions is how many completed tasks a group's record may list before some of them
 // are moved into their jobs' own records.
-const foldThreshold = 300
+const maxListedCompletions = 300
 
 // foldCompletions moves completed tasks from groups that list too many into their jobs' own
 // records, one record a group and transaction.
 func (c *Controller) foldCompletions(planned *plannedTxn) {
-	limit := foldThreshold
+	limit := maxListedCompletions
 	if c.cache.Packed() {
-		limit = min(limit, c.valueLimit()/4/packedSizes.ended)
+		limit = min(limit, c.valueLimit()/4/packedSizes.completedTask)
 	}
 	for _, update := range planned.groups {
-		if len(update.ended) <= limit || planned.full() {
+		if len(update.completedTasks) <= limit || planned.full() {
 			continue
 		}
-		most, key := c.largestFold(planned, update.ended)
+		most, key := c.largestFold(planned, update.completedTasks)
 		if key == "" {
 			continue
 		}
 		c.putCompletions(planned, most, key)
-		update.ended = slices.DeleteFunc(update.ended, func(task storage.CompletedTask) bool { return c.foldKey(task) == key })
+		update.completedTasks = slices.DeleteFunc(update.completedTasks, func(task storage.CompletedTask) bool { return c.foldKey(task) == key })
 	}
 }
 
--- a/internal/controller/plan_placements.go
+++ b/internal/controller/plan_placements.go
@@ -8,8 +8,8 @@
 	"dykeledge/internal/storage"
 )
 
-// maxPlace is how many tasks are placed in one pass.
-const maxPlace = 400
+// maxPlacementsPerPass is how many tasks are placed in one pass.
+const maxPlacementsPerPass = 400
 
 // conditionsPerOp is how many conditions a transaction may have for each of its puts and deletes.
 const conditionsPerOp = 4
@@ -36,7 +36,7 @@
 			}
 			planned.require(key, placement.Job.Version) // if it is cancelled meanwhile, nothing starts
 		}
-		if planned.group(placement.Slot.Machine.Group) == nil {
+		if planned.includeGroup(placement.Slot.Machine.Group) == nil {
 			planned.more = true
 			continue
 		}
--- a/internal/controller/planned_txn.go
+++ b/internal/controller/planned_txn.go
@@ -53,35 +53,35 @@
 // plannedTxn is a transaction of this controller's shards while it is worked out.
 type plannedTxn struct {
 	*txnBuilder
-	maxOps    int // puts and deletes that it may have
-	usedOps   int // of them, those that are spoken for
-	more      bool
-	remaining map[int32][]storage.PlacedTask // tasks that stay, by machine that changes
-	groups    map[*storage.MachineGroup]*groupUpdate
-	completed map[*storage.Job]*progress
-	leaving   map[*storage.Fleet]map[*storage.Machine]bool // machines that leave the records
+	maxOps          int // puts and deletes that it may have
+	usedOps         int // of them, those that are spoken for
+	more            bool
+	remaining       map[int32][]storage.PlacedTask // tasks that stay, by machine that changes
+	groups          map[*storage.MachineGroup]*groupUpdate
+	completed       map[*storage.Job]*progress
+	removedMachines map[*storage.Fleet]map[*storage.Machine]bool // machines that leave the records
 }
 
 func newPlannedTxn(maxOps int) *plannedTxn {
 	return &plannedTxn{
-		txnBuilder: newTxnBuilder(),
-		maxOps:     maxOps,
-		remaining:  map[int32][]storage.PlacedTask{},
-		groups:     map[*storage.MachineGroup]*groupUpdate{},
-		completed:  map[*storage.Job]*progress{},
-		leaving:    map[*storage.Fleet]map[*storage.Machine]bool{},
+		txnBuilder:      newTxnBuilder(),
+		maxOps:          maxOps,
+		remaining:       map[int32][]storage.PlacedTask{},
+		groups:          map[*storage.MachineGroup]*groupUpdate{},
+		completed:       map[*storage.Job]*progress{},
+		removedMachines: map[*storage.Fleet]map[*storage.Machine]bool{},
 	}
 }
 
 // groupUpdate is what changes of a machine group's record, machines aside.
 type groupUpdate struct {
-	ended []storage.CompletedTask // that the record lists
+	completedTasks []storage.CompletedTask // that the record lists
 }
 
 // progress is how far a job is with a transaction.
 type progress struct {
-	done storage.Bitmap
-	n    int // tasks in done
+	done      storage.Bitmap
+	doneCount int // tasks in done
 }
 
 // opsLeft is how many more puts and deletes the transaction may have.
@@ -90,24 +90,24 @@
 // full tells whether the transaction has all the puts and deletes that it may have.
 func (t *plannedTxn) full() bool { return t.usedOps >= t.maxOps }
 
-// group makes a machine group part of the transaction; nil: there is no capacity left for it.
-func (t *plannedTxn) group(group *storage.MachineGroup) *groupUpdate {
+// includeGroup makes a machine includeGroup part of the transaction; nil: there is no capacity left for it.
+func (t *plannedTxn) includeGroup(group *storage.MachineGroup) *groupUpdate {
 	update := t.groups[group]
 	if update == nil && !t.full() {
-		update = &groupUpdate{ended: group.UnsavedCompletions()}
+		update = &groupUpdate{completedTasks: group.UnsavedCompletions()}
 		t.groups[group] = update
 		t.usedOps++
 	}
 	return update
 }
 
-// leave takes a machine out of its fleet's record.
-func (t *plannedTxn) leave(machine *storage.Machine) {
-	if t.leaving[machine.Fleet] == nil {
-		t.leaving[machine.Fleet] = map[*storage.Machine]bool{}
+// removeMachine takes a machine out of its fleet's record.
+func (t *plannedTxn) removeMachine(machine *storage.Machine) {
+	if t.removedMachines[machine.Fleet] == nil {
+		t.removedMachines[machine.Fleet] = map[*storage.Machine]bool{}
 		t.usedOps++
 	}
-	t.leaving[machine.Fleet][machine] = true
+	t.removedMachines[machine.Fleet][machine] = true
 }
 
 // tasksOf are a machine's tasks with this transaction; changed: they are not those of its record.
@@ -118,8 +118,8 @@
 	return machine.Tasks, false
 }
 
-// complete notes that a task has completed.
-func (t *plannedTxn) complete(update *groupUpdate, placed storage.PlacedTask) {
+// addCompletion notes that a task has completed.
+func (t *plannedTxn) addCompletion(update *groupUpdate, placed storage.PlacedTask) {
 	// A service's replicas run until it is cancelled: one that ends is started again.
 	if !placed.Job.Open() || placed.Job.Shape != protocol.Batch || placed.Job.Done.Get(placed.Task) {
 		return
@@ -133,8 +133,8 @@
 		return
 	}
 	job.done.Set(placed.Task)
-	job.n++
-	update.ended = append(update.ended, storage.CompletedTask{Job: placed.Job, Task: placed.Task})
+	job.doneCount++
+	update.completedTasks = append(update.completedTasks, storage.CompletedTask{Job: placed.Job, Task: placed.Task})
 }
 
 // progressOf is how far a job is with this transaction.
@@ -156,7 +156,7 @@
 // finalRecord is a job's record, with when it ended if it is final: the times of its dependents
 // count from there, and so does the deadline by which cancelled tasks must be gone.
 func (c *Controller) finalRecord(job *storage.Job, reached progress, final protocol.JobStatus) *storage.JobRecord {
-	record := c.cache.JobRecordOf(job, reached.done, reached.n, final)
+	record := c.cache.JobRecordOf(job, reached.done, reached.doneCount, final)
 	if final != "" && c.cache.Packed() {
 		record.FinalAtMs = time.Now().UnixMilli()
 	}
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -42,20 +42,20 @@
 	}
 	apply(storage.FleetKey("x0"), fleet, 5)
 	for i := range groups {
-		var p []uint64
+		var numbers []uint64
 		for k := range tasks {
-			p = append(p, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
+			numbers = append(numbers, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
 		}
 		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Incarnation: 1,
-			Tasks: []storage.PlacedTasks{{Job: job, Numbers: p}}}}}, 6)
-		m := controller.cache.Machine(fmt.Sprint("x", i))
-		r := reportOf(m, 1)
-		r.Tasks[0].State, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group has something to say
-		controller.applyHeartbeat(m, controller.workerState(m), r, 4, false)
+			Tasks: []storage.PlacedTasks{{Job: job, Numbers: numbers}}}}}, 6)
+		machine := controller.cache.Machine(fmt.Sprint("x", i))
+		heartbeat := reportOf(machine, 1)
+		heartbeat.Tasks[0].State, heartbeat.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group has something to say
+		controller.applyHeartbeat(machine, controller.workerState(machine), heartbeat, 4, false)
 	}
 	txn, more := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).heard)
-	if n := len(storage.Encode(txn)); n > 64<<10 || len(txn.Then) == 0 || !more {
-		t.Errorf("%d bytes, %d changes, more: %v", n, len(txn.Then), more)
+	if size := len(storage.Encode(txn)); size > 64<<10 || len(txn.Then) == 0 || !more {
+		t.Errorf("%d bytes, %d changes, more: %v", size, len(txn.Then), more)
 	}
 }
 
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// borrowTimeout is how long the leader has to bring free machines of other shards before a
+	// rebalanceGracePeriod is how long the leader has to bring free machines of other shards before a
 	// job preempts.
-	borrowTimeout = 700 * time.Millisecond
-	// A top-priority job may leave free capacity alone for hopeFor, at most once in hopeAgain.
-	hopeFor   = 6 * time.Second
-	hopeAgain = 40 * time.Second
+	rebalanceGracePeriod = 700 * time.Millisecond
+	// A top-priority job may leave free capacity alone for preemptionWait, at most once in hopeAgain.
+	preemptionWait         = 6 * time.Second
+	preemptionWaitInterval = 40 * time.Second
 )
 
 // preemptionClass is what decides whose tasks may be preempted for a job.
@@ -29,28 +29,28 @@
 // planPreemptions deletes the records of victim sets that have served, and adds at most one
 // victim set to the transaction.
 func (c *Controller) planPreemptions(now time.Time, planned *plannedTxn, input *schedule.Input, result schedule.Result) {
-	opsLeft := c.dropServedSets(planned, planned.opsLeft())
+	opsLeft := c.deleteFinishedVictimSets(planned, planned.opsLeft())
 	if opsLeft <= 0 {
 		return
 	}
-	until := c.claimsUntil()
-	jobs := c.jobsShortOfCapacity(now, input, result, until)
-	inVain := map[preemptionClass]bool{} // classes for which there are no candidates
+	cutoffs := c.guaranteeCutoffs()
+	jobs := c.jobsShortOfCapacity(now, input, result, cutoffs)
+	withoutCandidates := map[preemptionClass]bool{} // classes for which there are no candidates
 	for _, job := range jobs {
-		class := preemptionClass{job.Team, job.Zone, job.Priority, job.Spot, claims(job, input, until)}
-		if inVain[class] && len(job.Types) == 0 {
+		class := preemptionClass{job.Team, job.Zone, job.Priority, job.Spot, mayPreemptForGuarantee(job, input, cutoffs)}
+		if withoutCandidates[class] && len(job.Types) == 0 {
 			continue
 		}
 		if !c.mayPreemptNow(job, now) {
 			continue
 		}
-		candidates := c.preemptionCandidates(now, job, input, planned.remaining, until)
+		candidates := c.preemptionCandidates(now, job, input, planned.remaining, cutoffs)
 		if len(candidates) == 0 {
-			inVain[class] = inVain[class] || len(job.Types) == 0
+			withoutCandidates[class] = withoutCandidates[class] || len(job.Types) == 0
 			continue
 		}
 		schedule.RankCandidates(c.planner.alpha, candidates)
-		chosen := c.fitRecord(schedule.PreemptSoonest(job, result.Short[job], input.Slots, candidates))
+		chosen := c.truncateToRecordLimit(schedule.PreemptSoonest(job, result.Short[job], input.Slots, candidates))
 		if len(chosen) > 0 {
 			c.putVictimSet(now, planned.txnBuilder, job, chosen, result.Short[job])
 			return
@@ -58,14 +58,14 @@
 	}
 }
 
-// dropServedSets deletes the records of victim sets that have served, with at most opsLeft
+// deleteFinishedVictimSets deletes the records of victim sets that have served, with at most opsLeft
 // changes, and returns how many are left.
-func (c *Controller) dropServedSets(planned *plannedTxn, opsLeft int) int {
+func (c *Controller) deleteFinishedVictimSets(planned *plannedTxn, opsLeft int) int {
 	for id, set := range c.cache.VictimSets {
 		if opsLeft <= 0 {
 			break
 		}
-		if c.ownsShard(set.Shard) && c.victimSetServed(id, set) {
+		if c.ownsShard(set.Shard) && c.victimSetFinished(id, set) {
 			key := storage.VictimSetKey(id)
 			planned.put(key, set.Version, protocol.Change{Delete: key})
 			opsLeft--
@@ -76,10 +76,10 @@
 
 // jobsShortOfCapacity are the jobs that lack capacity and may preempt, highest priority first
 // and then the earliest; since when they lack it is noted.
-func (c *Controller) jobsShortOfCapacity(now time.Time, input *schedule.Input, result schedule.Result, until []time.Time) []*storage.Job {
+func (c *Controller) jobsShortOfCapacity(now time.Time, input *schedule.Input, result schedule.Result, cutoffs []time.Time) []*storage.Job {
 	jobs := make([]*storage.Job, 0, len(result.Short))
 	for job := range result.Short {
-		if !c.mayPreempt(job, input, until) {
+		if !c.mayPreempt(job, input, cutoffs) {
 			continue
 		}
 		jobs = append(jobs, job)
@@ -103,11 +103,11 @@
 	if c.cache.VictimSets[job.ID] != nil || now.Before(state.backoff) || c.suspect(job) {
 		return false
 	}
-	return now.Sub(state.shortSince) >= borrowTimeout || !c.othersHaveFree(job)
+	return now.Sub(state.shortSince) >= rebalanceGracePeriod || !c.otherShardsHaveFreeMachine(job)
 }
 
-// othersHaveFree tells whether other shards have empty machines that a job may use.
-func (c *Controller) othersHaveFree(job *storage.Job) bool {
+// otherShardsHaveFreeMachine tells whether other shards have empty machines that a job may use.
+func (c *Controller) otherShardsHaveFreeMachine(job *storage.Job) bool {
 	for _, machine := range c.cache.Machines {
 		if !machine.Gone && !machine.Returning && machine.Shard != job.Shard && len(machine.Tasks) == 0 && schedule.Allowed(job, machine) {
 			return true
@@ -116,16 +116,16 @@
 	return false
 }
 
-// startsSooner tells whether a top-priority job may leave free capacity alone since capacity
+// mayWaitForPreemption tells whether a top-priority job may leave free capacity alone since capacity
 // that it preempts serves it sooner. It may do so for a short while only: where no preemption
 // comes of it, what is free is taken.
-func (c *Controller) startsSooner(job *storage.Job, now time.Time) bool {
+func (c *Controller) mayWaitForPreemption(job *storage.Job, now time.Time) bool {
 	if !job.Priority.Top() || c.suspect(job) {
 		return false
 	}
 	state := c.jobState(job)
-	if now.Sub(state.hopesSince) > hopeAgain {
+	if now.Sub(state.hopesSince) > preemptionWaitInterval {
 		state.hopesSince = now
 	}
-	return now.Sub(state.hopesSince) < hopeFor
+	return now.Sub(state.hopesSince) < preemptionWait
 }
--- a/internal/controller/preemption_candidates.go
+++ b/internal/controller/preemption_candidates.go
@@ -13,21 +13,21 @@
 // mayPreempt tells whether a job may preempt at all: a top-priority job may, one that fits into
 // its team's guarantee along with the team's earlier unfinished jobs, and any job but those of
 // the lowest priority may preempt idle-time work.
-func (c *Controller) mayPreempt(job *storage.Job, input *schedule.Input, until []time.Time) bool {
-	return job.Priority.Top() || (job.Priority > protocol.Low && c.planner.idleWorkPlaced) || claims(job, input, until)
+func (c *Controller) mayPreempt(job *storage.Job, input *schedule.Input, cutoffs []time.Time) bool {
+	return job.Priority.Top() || (job.Priority > protocol.Low && c.planner.idleWorkPlaced) || mayPreemptForGuarantee(job, input, cutoffs)
 }
 
-// claims tells whether a job may preempt for its team's guarantee: it fits into that along
+// mayPreemptForGuarantee tells whether a job may preempt for its team's guarantee: it fits into that along
 // with the team's earlier unfinished jobs. A team with more than that has to wait like
 // others: preempting for it would only swap losses.
-func claims(job *storage.Job, input *schedule.Input, until []time.Time) bool {
-	return schedule.WithinGuarantee(input.Teams[job.Team], input.Used[job.Team], job) && !job.ReadyAt.After(until[job.Team])
+func mayPreemptForGuarantee(job *storage.Job, input *schedule.Input, cutoffs []time.Time) bool {
+	return schedule.WithinGuarantee(input.Teams[job.Team], input.Used[job.Team], job) && !job.ReadyAt.After(cutoffs[job.Team])
 }
 
-// claimsUntil is by team up to which time its unfinished jobs, the earliest first, fit into its
+// guaranteeCutoffs is by team up to which time its unfinished jobs, the earliest first, fit into its
 // guarantee together. It is worked out once a pass: hundreds of jobs that are short of capacity
 // each added up all jobs before them.
-func (c *Controller) claimsUntil() []time.Time {
+func (c *Controller) guaranteeCutoffs() []time.Time {
 	open := make([][]*storage.Job, len(c.cache.Teams))
 	for _, job := range c.cache.Jobs {
 		if job == nil || !job.Open() || !job.Ready() {
@@ -37,17 +37,17 @@
 			open[job.Team] = append(open[job.Team], job)
 		}
 	}
-	until := make([]time.Time, len(c.cache.Teams))
+	cutoffs := make([]time.Time, len(c.cache.Teams))
 	for team, jobs := range open {
 		slices.SortFunc(jobs, func(a, b *storage.Job) int { return a.ReadyAt.Compare(b.ReadyAt) })
-		until[team] = fitsGuaranteeUntil(c.cache.Teams[team].Cpus, c.cache.Teams[team].Gpus, jobs)
+		cutoffs[team] = fitsGuaranteeUntil(c.cache.Teams[team].Cpus, c.cache.Teams[team].Gpus, jobs)
 	}
-	return until
+	return cutoffs
 }
 
 // fitsGuaranteeUntil is when the last of the jobs became ready that fit into a guarantee with
 // all before them; jobs are sorted by that time. Those that became ready together count together.
-func fitsGuaranteeUntil(cpus, gpus float64, jobs []*storage.Job) (until time.Time) {
+func fitsGuaranteeUntil(cpus, gpus float64, jobs []*storage.Job) (cutoff time.Time) {
 	var needed storage.Usage
 	for i, job := range jobs {
 		needed.Add(job, float64(job.Tasks-job.DoneCount))
@@ -55,10 +55,10 @@
 			break
 		}
 		if i+1 == len(jobs) || jobs[i+1].ReadyAt.After(job.ReadyAt) {
-			until = job.ReadyAt
+			cutoff = job.ReadyAt
 		}
 	}
-	return until
+	return cutoff
 }
 
 // candidateList collects the candidates of a preemption or an eviction: single tasks of job
@@ -99,9 +99,9 @@
 // top-priority job, for a team below its guarantee whatever another team runs
 // beyond its own, and idle-time work for any other. remaining are the tasks of machines that
 // change with the transaction.
-func (c *Controller) preemptionCandidates(now time.Time, job *storage.Job, input *schedule.Input, remaining map[int32][]storage.PlacedTask, until []time.Time) []schedule.Candidate {
+func (c *Controller) preemptionCandidates(now time.Time, job *storage.Job, input *schedule.Input, remaining map[int32][]storage.PlacedTask, cutoffs []time.Time) []schedule.Candidate {
 	var list candidateList
-	claim := !job.Priority.Top() && claims(job, input, until)
+	forGuarantee := !job.Priority.Top() && mayPreemptForGuarantee(job, input, cutoffs)
 	excess := make([]storage.Usage, len(input.Used)) // by team, beyond its guarantee
 	for team, used := range input.Used {
 		excess[team] = storage.Usage{Cpus: used.Cpus - input.Teams[team].Cpus, Gpus: used.Gpus - input.Teams[team].Gpus}
@@ -117,27 +117,27 @@
 		}
 		for _, placed := range tasks {
 			other := placed.Job
-			over := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
+			teamOverGuarantee := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
 			bestEffort := job.Priority.Top() && !other.Priority.Top()
-			claimed := claim && over
-			if !bestEffort && !claimed && (job.Priority <= other.Priority || !c.isIdleWork(other, now)) {
+			preemptibleForGuarantee := forGuarantee && teamOverGuarantee
+			if !bestEffort && !preemptibleForGuarantee && (job.Priority <= other.Priority || !c.isIdleWork(other, now)) {
 				continue
 			}
 			if !other.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
 				continue // it goes anyway, or only starts with this transaction
 			}
-			if claimed {
+			if preemptibleForGuarantee {
 				excess[other.Team].Add(other, -1)
 			}
-			list.add(slot, placed, lossOf(worker, placed, now))
+			list.add(slot, placed, lostRunSeconds(worker, placed, now))
 		}
 	}
 	return list.candidates
 }
 
-// lossOf is how many seconds of a task's run would be lost if it were stopped now: since its
+// lostRunSeconds is how many seconds of a task's run would be lost if it were stopped now: since its
 // start or its last checkpoint.
-func lossOf(worker *workerState, placed storage.PlacedTask, now time.Time) float64 {
+func lostRunSeconds(worker *workerState, placed storage.PlacedTask, now time.Time) float64 {
 	ref, ran := dispatch.RefOf(placed), 0.0
 	if started, ok := worker.started[ref]; ok {
 		ran = now.Sub(started).Seconds()
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -18,8 +18,8 @@
 	maxMovesPerPass = 6
 	// moveCooldown is how long a group that was moved stays where it is.
 	moveCooldown = 6 * time.Second
-	// misplacedAfter is how long a job must have waited for it to be looked at by itself.
-	misplacedAfter = 5 * time.Second
+	// fitCheckAfter is how long a job must have waited for it to be looked at by itself.
+	fitCheckAfter = 5 * time.Second
 )
 
 // workKind is what a pass looks at.
@@ -40,9 +40,9 @@
 	// idle are jobs of idle-time work that counts as free capacity until nothing else waits: a
 	// shard whose only work it was took machines from teams that had to be in time.
 	idle map[*storage.Job]bool
-	// misplaced are shards with work that waits beside enough free capacity, where none of it fits.
-	misplaced []bool
-	unhelped  []bool // no group helps them
+	// withoutFit are shards with work that waits beside enough free capacity, where none of it fits.
+	withoutFit       []bool
+	withoutCandidate []bool // no group helps them
 }
 
 // rebalancePass moves groups one by one from the least to the most loaded shard, as long as the
@@ -50,13 +50,13 @@
 func (r *rebalancer) rebalancePass(now time.Time, kind workKind) {
 	shardCount := r.c.cache.NumShards
 	pass := &rebalancePass{
-		rebalancer: r,
-		now:        now,
-		kind:       kind,
-		shards:     make([]shardLoad, shardCount),
-		idle:       map[*storage.Job]bool{},
-		misplaced:  make([]bool, shardCount),
-		unhelped:   make([]bool, shardCount),
+		rebalancer:       r,
+		now:              now,
+		kind:             kind,
+		shards:           make([]shardLoad, shardCount),
+		idle:             map[*storage.Job]bool{},
+		withoutFit:       make([]bool, shardCount),
+		withoutCandidate: make([]bool, shardCount),
 	}
 	pass.addJobs()
 	if kind == allWork && r.c.guaranteesTimed() {
@@ -70,7 +70,7 @@
 		pass.addOverloadClaims()
 	}
 	if kind != onDemandWork {
-		pass.findMisplacedWork()
+		pass.findShardsWithoutFit()
 	}
 	pass.moveGroups()
 }
@@ -161,29 +161,29 @@
 	}
 }
 
-// findMisplacedWork finds the shards whose work waits although it seems to have enough capacity.
+// findShardsWithoutFit finds the shards whose work waits although it seems to have enough capacity.
 // Sums say nothing of where capacity is: a job bound to one zone waited beside as much in others, one of
 // large tasks beside many small remainders. Such a shard is short too, of a group on which that
 // job fits now.
-func (p *rebalancePass) findMisplacedWork() {
+func (p *rebalancePass) findShardsWithoutFit() {
 	for i := range p.shards {
 		s := &p.shards[i]
-		p.misplaced[i] = s.waiting > 0 && s.waiting <= s.free && p.hasMisplacedJob(i)
+		p.withoutFit[i] = s.waiting > 0 && s.waiting <= s.free && p.hasJobWithoutFit(i)
 	}
 }
 
-// hasMisplacedJob tells whether a shard has a job that has waited for a while, may run, and fits
+// hasJobWithoutFit tells whether a shard has a job that has waited for a while, may run, and fits
 // on none of the shard's machines.
-func (p *rebalancePass) hasMisplacedJob(shard int) bool {
+func (p *rebalancePass) hasJobWithoutFit(shard int) bool {
 	examined := 0
 	for _, job := range p.c.cache.Jobs {
-		if job == nil || job.Shard != shard || p.idle[job] || p.now.Sub(job.ReadyAt) < misplacedAfter || !p.c.mayStart(job, p.now) {
+		if job == nil || job.Shard != shard || p.idle[job] || p.now.Sub(job.ReadyAt) < fitCheckAfter || !p.c.mayStart(job, p.now) {
 			continue
 		}
 		if examined++; examined > maxExaminedJobs {
 			return false
 		}
-		if !slices.ContainsFunc(p.c.cache.Machines, func(m *storage.Machine) bool { return m.Shard == shard && p.fit.accepts(job, m) }) {
+		if !slices.ContainsFunc(p.c.cache.Machines, func(m *storage.Machine) bool { return m.Shard == shard && p.fit.fitsNow(job, m) }) {
 			return true
 		}
 	}
@@ -193,30 +193,30 @@
 // moveGroups moves groups until nobody waits, nothing helps, or the transaction is full.
 func (p *rebalancePass) moveGroups() {
 	for range maxMovesPerPass {
-		to := p.neediestShard()
+		to := p.mostLoadedShard()
 		if to < 0 || len(p.txn.Then) >= p.c.limits().TxnOps {
 			return
 		}
 		from, index := p.chooseGroup(to)
 		if index < 0 {
-			p.unhelped[to] = true
+			p.withoutCandidate[to] = true
 			continue
 		}
-		p.misplaced[to] = false
-		group := p.shards[from].giveGroup(index, &p.shards[to]).group
+		p.withoutFit[to] = false
+		group := p.shards[from].transferGroup(index, &p.shards[to]).group
 		p.move(group, to)
 	}
 }
 
-// neediestShard is the shard whose work waits that needs machines the most, -1 if there is none.
-func (p *rebalancePass) neediestShard() int {
+// mostLoadedShard is the shard whose work waits that needs machines the most, -1 if there is none.
+func (p *rebalancePass) mostLoadedShard() int {
 	neediest := -1
 	for i := range p.shards {
 		s := &p.shards[i]
-		if p.unhelped[i] || s.waiting <= s.free && !p.misplaced[i] {
+		if p.withoutCandidate[i] || s.waiting <= s.free && !p.withoutFit[i] {
 			continue
 		}
-		if neediest < 0 || s.needsMoreThan(&p.shards[neediest]) {
+		if neediest < 0 || s.precedes(&p.shards[neediest]) {
 			neediest = i
 		}
 	}
@@ -230,7 +230,7 @@
 		if i == except || len(p.shards[i].movable) == 0 {
 			continue
 		}
-		if least < 0 || p.shards[i].perCPU(0) < p.shards[least].perCPU(0) {
+		if least < 0 || p.shards[i].demandPerCPU(0) < p.shards[least].demandPerCPU(0) {
 			least = i
 		}
 	}
@@ -240,52 +240,52 @@
 // chooseGroup finds a group that helps a shard: the shard that gives it, and its index among that
 // shard's movable groups, -1 if there is none.
 func (p *rebalancePass) chooseGroup(to int) (from, index int) {
-	if from = p.leastLoadedShard(to); from >= 0 && !p.misplaced[to] {
-		if index = p.groupEveningLoad(from, to); index >= 0 {
+	if from = p.leastLoadedShard(to); from >= 0 && !p.withoutFit[to] {
+		if index = p.groupBalancingLoad(from, to); index >= 0 {
 			return from, index
 		}
 	}
-	return p.groupToLend(to)
+	return p.groupForStuckShard(to)
 }
 
-// groupEveningLoad finds the first group of a shard whose move brings its load and another's
+// groupBalancingLoad finds the first group of a shard whose move brings its load and another's
 // nearer, -1 if there is none.
-func (p *rebalancePass) groupEveningLoad(from, to int) int {
-	giver, taker := &p.shards[from], &p.shards[to]
-	return slices.IndexFunc(giver.movable, func(g *groupLoad) bool {
-		left := giver.capacity - g.capacity
-		if left < giver.claim {
+func (p *rebalancePass) groupBalancingLoad(from, to int) int {
+	source, target := &p.shards[from], &p.shards[to]
+	return slices.IndexFunc(source.movable, func(g *groupLoad) bool {
+		remaining := source.capacity - g.capacity
+		if remaining < source.claim {
 			return false // it would lack what its own teams are guaranteed
 		}
-		if p.kind == idleWork && left < idleMargin*giver.nonIdleDemand {
+		if p.kind == idleWork && remaining < idleMargin*source.nonIdleDemand {
 			return false
 		}
-		evens := giver.perCPU(-g.capacity)*moveMargin < taker.perCPU(g.capacity)
-		return (taker.short() || evens) && p.c.anyWaitingAllowed(to, g.group)
+		evens := source.demandPerCPU(-g.capacity)*moveMargin < target.demandPerCPU(g.capacity)
+		return (target.short() || evens) && p.c.anyWaitingAllowed(to, g.group)
 	})
 }
 
-// groupToLend finds a group for a shard that waits although no move would even out loads. Loads
+// groupForStuckShard finds a group for a shard that waits although no move would even out loads. Loads
 // say little of a shard that has no group, or would have none: what runs goes along. Where
 // nothing waits, free capacity is of use elsewhere: by the sums there was capacity for all,
 // nothing was provisioned, and a job waited for ever. After a while the same holds for what waits
 // at a shard whose machines are full of work without an end.
-func (p *rebalancePass) groupToLend(to int) (from, index int) {
+func (p *rebalancePass) groupForStuckShard(to int) (from, index int) {
 	p.stuck[to] = true
-	waitedLong := p.now.Sub(p.c.leader.waitStuck(to, p.now)) > stuckAfter
+	waitedLong := p.now.Sub(p.c.leader.markStuck(to, p.now)) > stuckAfter
 	// Shards where nothing waits come first.
-	for _, giverWaits := range []bool{false, true} {
+	for _, sourceWaits := range []bool{false, true} {
 		for i := range p.shards {
-			giver := &p.shards[i]
-			if i == to || giver.waiting > 0 != giverWaits {
+			source := &p.shards[i]
+			if i == to || source.waiting > 0 != sourceWaits {
 				continue
 			}
 			// Loads do tell of a giver that keeps a group and a taker that has one.
-			loadsTell := giver.groupCount > 1 && p.shards[to].capacity > 0
-			if !waitedLong && (giverWaits || loadsTell) {
+			loadsComparable := source.groupCount > 1 && p.shards[to].capacity > 0
+			if !waitedLong && (sourceWaits || loadsComparable) {
 				continue
 			}
-			if index := p.lendableGroup(i, to, giverWaits); index >= 0 {
+			if index := p.spareGroup(i, to, sourceWaits); index >= 0 {
 				return i, index
 			}
 		}
@@ -293,14 +293,14 @@
 	return -1, -1
 }
 
-// lendableGroup finds the first group of a shard that it can do without and on which another's
+// spareGroup finds the first group of a shard that it can do without and on which another's
 // waiting work fits now, -1 if there is none. Where the giver's work waits too, that must not fit there.
-func (p *rebalancePass) lendableGroup(from, to int, giverWaits bool) int {
-	giver := &p.shards[from]
-	return slices.IndexFunc(giver.movable, func(g *groupLoad) bool {
-		if giver.capacity-g.capacity < giver.claim || !p.fit.anyWaitingFits(to, g.group) {
+func (p *rebalancePass) spareGroup(from, to int, sourceWaits bool) int {
+	source := &p.shards[from]
+	return slices.IndexFunc(source.movable, func(g *groupLoad) bool {
+		if source.capacity-g.capacity < source.claim || !p.fit.anyWaitingFits(to, g.group) {
 			return false
 		}
-		return !giverWaits || !p.fit.anyWaitingFits(from, g.group)
+		return !sourceWaits || !p.fit.anyWaitingFits(from, g.group)
 	})
 }
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -30,8 +30,8 @@
 	return rebalancingState{groupMovedAt: map[int]time.Time{}, stuckSinceByShard: map[int]time.Time{}}
 }
 
-// forgetUnstuck drops the shards that no longer wait without a move that helps.
-func (s *rebalancingState) forgetUnstuck(stuck map[int]bool) {
+// removeUnstuck drops the shards that no longer wait without a move that helps.
+func (s *rebalancingState) removeUnstuck(stuck map[int]bool) {
 	for shard := range s.stuckSinceByShard {
 		if !stuck[shard] {
 			delete(s.stuckSinceByShard, shard)
@@ -39,8 +39,8 @@
 	}
 }
 
-// waitStuck notes that a shard waits and no move evens out loads, and returns since when.
-func (s *rebalancingState) waitStuck(shard int, now time.Time) time.Time {
+// markStuck notes that a shard waits and no move evens out loads, and returns since when.
+func (s *rebalancingState) markStuck(shard int, now time.Time) time.Time {
 	since, ok := s.stuckSinceByShard[shard]
 	if !ok {
 		since = now
@@ -61,7 +61,7 @@
 	for _, kind := range []workKind{onDemandWork, allWork, idleWork} {
 		moves.rebalancePass(now, kind)
 	}
-	c.leader.forgetUnstuck(moves.stuck)
+	c.leader.removeUnstuck(moves.stuck)
 	if len(moves.txn.Then) == 0 {
 		return
 	}
--- a/internal/controller/record_splitting.go
+++ b/internal/controller/record_splitting.go
@@ -24,7 +24,7 @@
 	if !c.isLeader() || !c.cache.Packed() || c.gates.fleetWriteInFlight || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	txn := c.fleetTxn()
+	txn := c.fleetRewriteTxn()
 	if len(txn.Then) == 0 {
 		return
 	}
@@ -35,8 +35,8 @@
 	})
 }
 
-// fleetTxn is the next step of rewriting an oversized fleet record.
-func (c *Controller) fleetTxn() protocol.Txn {
+// fleetRewriteTxn is the next step of rewriting an oversized fleet record.
+func (c *Controller) fleetRewriteTxn() protocol.Txn {
 	fleet, fits := c.cache.OversizedFleet(c.valueLimit())
 	if fleet == nil {
 		return protocol.Txn{}
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -181,7 +181,7 @@
 // commit has a transaction carried out.
 func (r *lowerLimitsRun) commit(txn protocol.Txn) {
 	r.version++
-	r.c.sent(txn, r.version, nil, nil)
+	r.c.handleTxnOutcome(txn, r.version, nil, nil)
 	r.c.cache.Revision = r.version
 }
 
@@ -290,7 +290,7 @@
 			apply(protocol.Change{Put: storage.LayoutKey, Value: storage.Encode(storage.LayoutRecord{Version: storage.LayoutPacked})})
 			steps := 0
 			for ; steps < maxSteps; steps++ {
-				txn := controller.fleetTxn()
+				txn := controller.fleetRewriteTxn()
 				if len(txn.Then) == 0 {
 					break
 				}
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -14,18 +14,18 @@
 // takes to save a checkpoint, to place it again, and to fetch its image where it goes.
 
 const (
-	// relocateAfter is how long a replica must have been placed before it is moved, and how long
+	// minReplicaAge is how long a replica must have been placed before it is moved, and how long
 	// its service is left alone after one of its replicas was: it must serve meanwhile.
-	relocateAfter = 40 * time.Second
-	// longFetchS is how many seconds an image must take for its fetch to count when a task is moved.
-	longFetchS = 8
-	// minMoveBenefit is how many times what its move costs a task must still have to run.
-	minMoveBenefit = 2
+	minReplicaAge = 40 * time.Second
+	// minCountedFetchS is how many seconds an image must take for its fetch to count when a task is moved.
+	minCountedFetchS = 8
+	// minRemainingCostFactor is how many times what its move costs a task must still have to run.
+	minRemainingCostFactor = 2
 	// restartS is about how many seconds it takes to stop a task and start it elsewhere, checkpoint
 	// and fetch aside.
 	restartS = 2
-	// minPartLeft is the least part of its estimate that a task is taken to have left.
-	minPartLeft = 0.2
+	// minRemainingFraction is the least part of its estimate that a task is taken to have left.
+	minRemainingFraction = 0.2
 )
 
 // leavesDrained tells whether a task with checkpoints is stopped on a machine that is being drained:
@@ -37,22 +37,22 @@
 	if rate := c.cache.Types[machine.Type].FetchGBs; rate > 0 {
 		fetchS = job.ImageGB / rate
 	}
-	if fetchS < longFetchS {
+	if fetchS < minCountedFetchS {
 		return true // it is elsewhere at once, and the machine is returned sooner
 	}
 	costS := job.CheckpointCost + restartS + fetchS
-	leftS := max(job.Estimate-worker.ranS(placed, now), minPartLeft*job.Estimate)
-	if leftS < minMoveBenefit*costS {
+	remainingS := max(job.Estimate-worker.runSeconds(placed, now), minRemainingFraction*job.Estimate)
+	if remainingS < minRemainingCostFactor*costS {
 		return false
 	}
 	allowed, late := c.objectiveLeft(job, now)
-	untilS := job.ReadyAt.Add(allowed).Sub(now).Seconds()
-	return allowed == 0 || late || leftS > untilS || leftS+minMoveBenefit*costS < untilS
+	untilObjectiveS := job.ReadyAt.Add(allowed).Sub(now).Seconds()
+	return allowed == 0 || late || remainingS > untilObjectiveS || remainingS+minRemainingCostFactor*costS < untilObjectiveS
 }
 
-// ranS is how many seconds a task has run, or been placed as far as nobody saw it start.
-func (v *workerState) ranS(placed storage.PlacedTask, now time.Time) float64 {
-	if startedAt, ok := v.started[dispatch.RefOf(placed)]; ok {
+// runSeconds is how many seconds a task has run, or been placed as far as nobody saw it start.
+func (w *workerState) runSeconds(placed storage.PlacedTask, now time.Time) float64 {
+	if startedAt, ok := w.started[dispatch.RefOf(placed)]; ok {
 		return now.Sub(startedAt).Seconds()
 	}
 	return float64(now.Unix() - placed.PlacedAt)
@@ -84,10 +84,10 @@
 // for a while.
 func (c *Controller) mayRelocate(placed storage.PlacedTask, now time.Time) bool {
 	job := placed.Job
-	if job.Shape != protocol.Service || !job.Open() || job.Waiting() > 0 || now.Unix()-placed.PlacedAt < int64(relocateAfter.Seconds()) {
+	if job.Shape != protocol.Service || !job.Open() || job.Waiting() > 0 || now.Unix()-placed.PlacedAt < int64(minReplicaAge.Seconds()) {
 		return false
 	}
-	return now.Sub(c.jobState(job).relocatedAt) >= relocateAfter
+	return now.Sub(c.jobState(job).relocatedAt) >= minReplicaAge
 }
 
 // relocate stops a replica on a machine that is being drained; the planner then places it again, most
--- a/internal/controller/shard_load.go
+++ b/internal/controller/shard_load.go
@@ -37,16 +37,16 @@
 // short tells whether a shard has less than its teams' work within their guarantees takes.
 func (s *shardLoad) short() bool { return s.capacity < s.claim }
 
-// perCPU is how much work there is for each CPU, if the shard's capacity changed.
-func (s *shardLoad) perCPU(change float64) float64 { return s.demand / max(1, s.capacity+change) }
+// demandPerCPU is how much work there is for each CPU, if the shard's capacity changed.
+func (s *shardLoad) demandPerCPU(change float64) float64 { return s.demand / max(1, s.capacity+change) }
 
-// needsMoreThan tells whether a shard needs machines more than another: work within a guarantee
+// precedes tells whether a shard needs machines more than another: work within a guarantee
 // goes before any other.
-func (s *shardLoad) needsMoreThan(other *shardLoad) bool {
+func (s *shardLoad) precedes(other *shardLoad) bool {
 	if s.short() != other.short() {
 		return s.short()
 	}
-	return s.perCPU(0) > other.perCPU(0)
+	return s.demandPerCPU(0) > other.demandPerCPU(0)
 }
 
 // addGroup counts a group's machines.
@@ -69,8 +69,8 @@
 	})
 }
 
-// giveGroup moves one of a shard's groups to another shard and returns it.
-func (s *shardLoad) giveGroup(index int, to *shardLoad) *groupLoad {
+// transferGroup moves one of a shard's groups to another shard and returns it.
+func (s *shardLoad) transferGroup(index int, to *shardLoad) *groupLoad {
 	g := s.movable[index]
 	s.movable = slices.Delete(s.movable, index, index+1)
 	s.groupCount--
@@ -105,14 +105,14 @@
 			floors[c.cache.ShardOf(queue.Team)] += min(state.Floor, claimMargin*state.Open)
 		}
 	}
-	wanted, claimable := 0.0, 0.0
+	requested, claimable := 0.0, 0.0
 	for i := range shards {
 		floors[i] = max(0, floors[i]-shards[i].claim) // beyond what is guaranteed
-		wanted += floors[i]
+		requested += floors[i]
 		claimable += claimableFraction*shards[i].capacity - shards[i].claim
 	}
 	// Where there is less than all claim, each has its part of what guarantees leave.
-	granted := max(0, min(1, claimable/max(wanted, 1)))
+	granted := max(0, min(1, claimable/max(requested, 1)))
 	for i := range shards {
 		shards[i].claim += floors[i] * granted
 	}
@@ -160,14 +160,14 @@
 func (l *enrollmentLoad) neediest() int {
 	best := 0
 	for shard := range l.demand {
-		if l.workPerCPU(shard) > l.workPerCPU(best) {
+		if l.demandPerCPU(shard) > l.demandPerCPU(best) {
 			best = shard
 		}
 	}
 	return best
 }
 
-// workPerCPU compares a shard's work with its machines, also where it has neither.
-func (l *enrollmentLoad) workPerCPU(shard int) float64 {
+// demandPerCPU compares a shard's work with its machines, also where it has neither.
+func (l *enrollmentLoad) demandPerCPU(shard int) float64 {
 	return (l.demand[shard] + 1) / (l.capacity[shard] + 1)
 }
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -57,11 +57,11 @@
 	}
 }
 
-// settling replaces a transaction in doubt that is refused for its size when it is repeated. The
+// resolvingTxn replaces a transaction in doubt that is refused for its size when it is repeated. The
 // refusal says nothing of the first copy, which may have been carried out under the former limits
 // or be on its way. Rewriting the shard's record that it depends on makes a late copy fail; then
 // the records show what became of it.
-func (c *Controller) settling(t protocol.Txn) *protocol.Txn {
+func (c *Controller) resolvingTxn(t protocol.Txn) *protocol.Txn {
 	for shard := range c.cache.Shards {
 		key := storage.ShardKey(shard)
 		i := slices.IndexFunc(t.If, func(condition protocol.Condition) bool { return condition.Key == key })
@@ -73,7 +73,7 @@
 	return &protocol.Txn{If: t.If[:1]} // every plan depends on a shard; a comparison settles nothing, but ends
 }
 
-// settles tells whether a transaction is one that settling made.
-func settles(t protocol.Txn) bool {
+// isResolvingTxn tells whether a transaction is one that settling made.
+func isResolvingTxn(t protocol.Txn) bool {
 	return len(t.If) == 1 && len(t.Then) <= 1
 }
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -22,19 +22,19 @@
 	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 	txn := builder.build()
 	controller.workers.directCommands = maxDirectCommands
-	controller.sent(txn, 0, nil, protocol.ErrUnknown)
+	controller.handleTxnOutcome(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
-	controller.sent(*controller.commits.inDoubt, 0, nil, tooLarge)
+	controller.handleTxnOutcome(*controller.commits.inDoubt, 0, nil, tooLarge)
 	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
 		t.Fatalf("it is not settled by rewriting the shard's record: %+v", controller.commits.inDoubt)
 	}
 	settle := *controller.commits.inDoubt
-	controller.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
-	controller.sent(settle, 0, nil, protocol.ErrRefused)
+	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
+	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrRefused)
 	if controller.commits.inDoubt == nil {
 		t.Fatal("given up before it was known")
 	}
-	controller.sent(settle, 20, nil, nil)
+	controller.handleTxnOutcome(settle, 20, nil, nil)
 	if controller.commits.inDoubt != nil || controller.commits.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
 		t.Fatalf("in doubt %v, waiting for %d, shard's version %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
 	}
@@ -49,7 +49,7 @@
 	// Where nothing is in doubt a refusal for size is definite.
 	controller = newCore(t)
 	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
-	if controller.sent(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
+	if controller.handleTxnOutcome(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
 		t.Errorf("in doubt %v, lowered %v", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
 	}
 }
@@ -77,8 +77,8 @@
 func runInbox(ctx context.Context, c *Controller) {
 	for {
 		select {
-		case do := <-c.inbox:
-			do()
+		case work := <-c.inbox:
+			work()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/controller/team_bounds.go
+++ b/internal/controller/team_bounds.go
@@ -32,8 +32,8 @@
 	return cpus, gpus
 }
 
-// isUnder tells whether a team's usage is within its limits.
-func isUnder(b storage.TeamBounds, u storage.Usage) bool {
+// withinBounds tells whether a team's usage is within its limits.
+func withinBounds(b storage.TeamBounds, u storage.Usage) bool {
 	cpus, gpus := excessOf(b, u)
 	return cpus <= limitTolerance && gpus <= limitTolerance
 }
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -22,12 +22,12 @@
 const (
 	// limitSetPrefix begins the names of victim sets that bring a team under its limit.
 	limitSetPrefix = "limit:"
-	// limitsPart is the part of a transaction, one in so many, that lowered limits may fill.
-	limitsPart = 4
+	// limitChangesDivisor is the part of a transaction, one in so many, that lowered limits may fill.
+	limitChangesDivisor = 4
 )
 
-// limitSetOf is the name of the victim set for a team's limit.
-func limitSetOf(team int) string { return fmt.Sprintf("%s%d", limitSetPrefix, team) }
+// limitSetName is the name of the victim set for a team's limit.
+func limitSetName(team int) string { return fmt.Sprintf("%s%d", limitSetPrefix, team) }
 
 // limitSetTeam tells whether a victim set is for a team's limit, and which team's.
 func limitSetTeam(id string) (string, bool) { return strings.CutPrefix(id, limitSetPrefix) }
@@ -38,16 +38,16 @@
 // the peak those fill every transaction, and lowered limits waited for a minute.
 func (c *Controller) planLimits(now time.Time, planned *plannedTxn) {
 	for team, entry := range c.cache.TeamEntries {
-		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitsPart) {
+		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitChangesDivisor) {
 			continue
 		}
-		if isUnder(entry.TeamBounds, c.cache.Used[team]) {
+		if withinBounds(entry.TeamBounds, c.cache.Used[team]) {
 			key := storage.TeamKey(c.cache.Teams[team].Name)
 			planned.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
 			planned.usedOps++
 			continue
 		}
-		if c.cache.VictimSets[limitSetOf(team)] == nil {
+		if c.cache.VictimSets[limitSetName(team)] == nil {
 			c.evictForLimit(now, planned, team, entry.TeamBounds)
 		}
 	}
@@ -59,13 +59,13 @@
 	candidates := c.limitCandidates(now, team)
 	schedule.RankCandidates(c.planner.alpha, candidates)
 	chosen := schedule.EvictExcess(c.usedByRunning(team), bounds.Team(""), candidates)
-	chosen = c.fitRecord(chosen)
+	chosen = c.truncateToRecordLimit(chosen)
 	if len(chosen) == 0 {
 		return
 	}
 	record := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli(), Victims: victimRecords(chosen)}
 	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(record.Victims))
-	key := storage.VictimSetKey(limitSetOf(team))
+	key := storage.VictimSetKey(limitSetName(team))
 	planned.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&record, c.cache.Packed())})
 	planned.usedOps++
 }
@@ -102,7 +102,7 @@
 			}
 			worker := c.workerState(machine)
 			if !worker.hasEnded(dispatch.RefOf(placed)) {
-				list.add(slot, placed, lossOf(worker, placed, now))
+				list.add(slot, placed, lostRunSeconds(worker, placed, now))
 			}
 		}
 	}
--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -119,14 +119,14 @@
 			if counts != test.counts || counts && strings.Contains(string(put.Value), "was") || counts && planned.conditions[storage.TeamKey("red")] != 9 {
 				t.Errorf("counts: %v, want %v: %s", counts, test.counts, put.Value)
 			}
-			set, evicts := planned.puts[storage.VictimSetKey(limitSetOf(0))]
+			set, evicts := planned.puts[storage.VictimSetKey(limitSetName(0))]
 			if evicts != (test.victims > 0) {
 				t.Fatalf("evicts: %v, want %d victims", evicts, test.victims)
 			}
 			if evicts {
-				e, err := storage.DecodeVictimSet(set.Value)
-				if err != nil || len(e.Victims) != test.victims || e.Victims[0].Task != 0 {
-					t.Errorf("%+v, %v: want the task that has run for the shortest time", e, err)
+				victimSet, err := storage.DecodeVictimSet(set.Value)
+				if err != nil || len(victimSet.Victims) != test.victims || victimSet.Victims[0].Task != 0 {
+					t.Errorf("%+v, %v: want the task that has run for the shortest time", victimSet, err)
 				}
 			}
 			view := controller.teamView(0, now)
@@ -177,8 +177,8 @@
 	c := newTeamCore(t)
 	none := storage.TeamBounds{}
 	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &none}, 9)
-	b, _ := c.plan(time.Now(), 1)
-	if _, ok := b.puts[storage.TeamKey("red")]; !ok {
-		t.Errorf("a transaction of one change holds %v", b.order)
+	builder, _ := c.plan(time.Now(), 1)
+	if _, ok := builder.puts[storage.TeamKey("red")]; !ok {
+		t.Errorf("a transaction of one change holds %v", builder.order)
 	}
 }
--- a/internal/controller/victim_sets.go
+++ b/internal/controller/victim_sets.go
@@ -19,14 +19,14 @@
 	victimBytesPacked = 24
 )
 
-// fitRecord keeps as many of the chosen candidates as one record can name. A job
+// truncateToRecordLimit keeps as many of the chosen candidates as one record can name. A job
 // that needs more preempts again once this set has served.
-func (c *Controller) fitRecord(chosen []schedule.Candidate) []schedule.Candidate {
-	each := victimBytes
+func (c *Controller) truncateToRecordLimit(chosen []schedule.Candidate) []schedule.Candidate {
+	bytesPerVictim := victimBytes
 	if c.cache.Packed() {
-		each = victimBytesPacked
+		bytesPerVictim = victimBytesPacked
 	}
-	left := c.valueLimit() * 8 / 10 / each
+	left := c.valueLimit() * 8 / 10 / bytesPerVictim
 	for i, candidate := range chosen {
 		if left -= len(candidate.Victims); left < 0 {
 			return chosen[:i]
@@ -131,9 +131,9 @@
 	return reserved
 }
 
-// victimSetServed tells whether a victim set has served: its victims are gone, and the job that
+// victimSetFinished tells whether a victim set has served: its victims are gone, and the job that
 // it freed capacity for has taken it, or is over. A set for a team's limit reserves none.
-func (c *Controller) victimSetServed(id string, set *storage.VictimSet) bool {
+func (c *Controller) victimSetFinished(id string, set *storage.VictimSet) bool {
 	if _, forLimit := limitSetTeam(id); forLimit {
 		return c.victimsGone(set)
 	}
