--- a/internal/controller/capacity_fit.go
+++ b/internal/controller/capacity_fit.go
@@ -8,23 +8,23 @@
 	"dykeledge/internal/storage"
 )
 
-// This file tells on which machines a waiting task would fit. Sums of free capacity don't: a job
-// bound to one zone, or of large tasks, may wait beside much free capacity.
+// This file determines on which machines a waiting task fits. Sums of free capacity are not enough:
+// a job that is bound to one zone, or has large tasks, may wait although much capacity is free.
 
-// fitChecker tells on which machines waiting jobs fit. It serves one pass: it keeps what is free on
-// each machine once it was asked for.
+// fitChecker determines on which machines waiting jobs fit. It is used for a single pass: it
+// computes each machine's free capacity on first use and caches it.
 type fitChecker struct {
 	c             *Controller
-	freeByMachine []storage.Usage // by the records
+	freeByMachine []storage.Usage // free capacity by machine index, according to the records; nil before the first use
 }
 
-// fitsNow tells whether a task of a job fits now on a machine that takes more tasks.
+// fitsNow reports whether a task of a job fits on a machine that accepts more tasks.
 func (f *fitChecker) fitsNow(j *storage.Job, m *storage.Machine) bool {
 	return !m.Draining && !f.c.workers.pendingUpdates[m.Index].blocksPlacement() && f.fitsBesideTasks(j, m)
 }
 
-// fitsBesideTasks tells whether a task of a job fits on a machine, drained or not, beside what runs
-// there and given where the job's other tasks are.
+// fitsBesideTasks reports whether a task of a job fits on a machine, draining or not, given the
+// tasks on it and the zones of the job's other tasks.
 func (f *fitChecker) fitsBesideTasks(j *storage.Job, m *storage.Machine) bool {
 	if m.Gone || m.Returning || m.Unhealthy || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
 		return false
@@ -35,7 +35,8 @@
 	return schedule.Fits(f.freeByMachine[m.Index], j) > 0
 }
 
-// anyWaitingFits tells whether a waiting task of a shard fits beside what runs on one of a group's machines.
+// anyWaitingFits reports whether a waiting task of a shard fits on one of a group's machines, given
+// the tasks placed there.
 func (f *fitChecker) anyWaitingFits(shard int, group *storage.MachineGroup) bool {
 	now := time.Now()
 	return slices.ContainsFunc(f.c.cache.Jobs, func(j *storage.Job) bool {
@@ -44,7 +45,8 @@
 	})
 }
 
-// mayStart tells whether a task of a job waits and its team is under its limit.
+// mayStart reports whether a job has a waiting task, is not in backoff, and its team is within its
+// limit with one more task.
 func (c *Controller) mayStart(j *storage.Job, now time.Time) bool {
 	if !j.Open() || c.wantedTasks(j) == 0 || !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
 		return false
@@ -53,8 +55,8 @@
 	return state == nil || !now.Before(state.backoff)
 }
 
-// anyWaitingAllowed tells whether a shard has waiting work that may run on a group's machines,
-// whatever runs there now.
+// anyWaitingAllowed reports whether a shard has waiting work that is allowed on one of a group's
+// machines, regardless of their free capacity.
 func (c *Controller) anyWaitingAllowed(shard int, group *storage.MachineGroup) bool {
 	for _, job := range c.cache.Jobs {
 		if job == nil || !job.Open() || job.Shard != shard || c.wantedTasks(job) == 0 {
@@ -69,7 +71,7 @@
 	return false
 }
 
-// freeOnMachines is what is free on each machine by its record.
+// freeOnMachines returns the free capacity of each machine by index, according to its record.
 func (c *Controller) freeOnMachines() []storage.Usage {
 	free := make([]storage.Usage, len(c.cache.Machines))
 	for _, machine := range c.cache.Machines {
@@ -80,7 +82,7 @@
 	return free
 }
 
-// freeOn is what is free on a machine by its record.
+// freeOn returns a machine's free capacity according to its record.
 func (c *Controller) freeOn(m *storage.Machine) storage.Usage {
 	machineType := &c.cache.Types[m.Type]
 	free := storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}
@@ -90,7 +92,8 @@
 	return free
 }
 
-// inZone tells whether a further task of a job may be in a zone, given where its others are.
+// inZone reports whether another task of a job may run in a zone, given the zones of its placed
+// tasks.
 func inZone(j *storage.Job, zone int) bool {
 	tasksInZone := 0
 	if zone < len(j.ByZone) {
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -10,28 +10,28 @@
 	"dykeledge/internal/storage"
 )
 
-// commitQueue is the cycle of planning and committing: one transaction of this controller's
-// shards is under way at a time. It is written by this file only, but for cycleRequested.
+// commitQueue is the state of the plan and commit cycle: at most one transaction for this
+// controller's shards is in flight at a time. Only this file writes it, except for cycleRequested.
 type commitQueue struct {
 	cycleRequested  bool
-	nextCycleAt     time.Time     // no cycle before
-	inFlight        bool          // a transaction is under way
-	inDoubt         *protocol.Txn // sent with unknown outcome: repeated until it is known
-	lastTxnOps      int           // changes of the latest transaction
-	awaitedRevision uint64        // no cycle before the cache has come this far
+	nextCycleAt     time.Time     // earliest time of the next cycle
+	inFlight        bool          // a transaction of the cycle has been sent and its outcome is pending
+	inDoubt         *protocol.Txn // transaction with unknown outcome; it is repeated until the outcome is known
+	lastTxnOps      int           // number of puts and deletes in the latest transaction
+	awaitedRevision uint64        // the cache must reach this revision before the next cycle
 }
 
 const (
-	maxTxnBytes = 56 << 10               // of a transaction, as txnBuilder counts them
-	minTxnOps   = 2                      // a transaction of so few changes is sent however large it is
-	txnTimeout  = 4 * time.Second        // then the outcome of the cycle's transaction is unknown
-	commitRetry = 250 * time.Millisecond // after one that was refused or whose outcome is unknown
+	maxTxnBytes = 56 << 10               // limit on a transaction's size, as txnBuilder estimates it
+	minTxnOps   = 2                      // a plan with this limit on operations is sent whatever its size
+	txnTimeout  = 4 * time.Second        // after this the outcome of the cycle's transaction is unknown
+	commitRetry = 250 * time.Millisecond // delay after a transaction that was refused or whose outcome is unknown
 )
 
-// cycle compares what the records hold with what the workers have shown and what
-// should run, and commits the difference of this controller's shards as one
-// transaction. Only one is under way at a time; one whose outcome is unknown is
-// repeated until it is known, since it might still be applied.
+// cycle compares the records with the states that workers report and with the desired state, and
+// commits the difference for this controller's shards as one transaction. At most one such
+// transaction is in flight; one whose outcome is unknown is repeated until the outcome is known,
+// since it might still be applied.
 func (c *Controller) cycle(ctx context.Context) {
 	c.commits.cycleRequested = false
 	now := time.Now()
@@ -43,9 +43,10 @@
 		return
 	}
 	if c.cache.Revision < c.commits.awaitedRevision {
-		return // the watch brings what a refused transaction had missed
+		return // wait until the watch delivers the changes that made a transaction fail
 	}
-	// A plan that waits for the rate budget grows stale: it is made when it can go out.
+	// A plan that waits for the rate limit becomes stale, so planning is postponed until the
+	// transaction can be sent.
 	if wait := c.store.Pace(c.commits.lastTxnOps); wait > 0 {
 		c.commits.nextCycleAt, c.commits.cycleRequested = now.Add(wait), true
 		return
@@ -62,9 +63,9 @@
 	c.commitAsync(ctx, txn)
 }
 
-// nextTxn plans a transaction that is within the state service's limits: records
-// that list much leave room for fewer of them. The second result tells that another transaction
-// is worth planning at once.
+// nextTxn plans a transaction that is within the state service's limits: the larger the records
+// are, the fewer of them fit. The second result reports whether another transaction should be
+// planned immediately.
 func (c *Controller) nextTxn(now time.Time) (protocol.Txn, bool) {
 	if split := c.nextGroupSplit(); len(split.Then) > 0 {
 		return split, true
@@ -86,8 +87,9 @@
 	}
 }
 
-// nextGroupSplit splits a machine group whose record would be over the limit, if there is one:
-// its machines' tasks could not leave it otherwise.
+// nextGroupSplit returns a transaction that splits a machine group whose record would exceed the
+// value limit, or an empty transaction if there is no such group. Without the split, no task could
+// be removed from the group's record.
 func (c *Controller) nextGroupSplit() protocol.Txn {
 	group := c.planner.oversizedGroup
 	c.planner.oversizedGroup = nil
@@ -104,8 +106,8 @@
 	return c.splitGroup(group)
 }
 
-// findOversizedGroup finds an owned group whose record is over the limit and stays so, or
-// nearly so, when it is written again; nil: there is none.
+// findOversizedGroup returns an owned group whose record exceeds the value limit and would still
+// take more than 9/10 of it when written again. It returns nil if there is none.
 func (c *Controller) findOversizedGroup() *storage.MachineGroup {
 	limit := c.valueLimit()
 	for _, group := range c.cache.Groups {
@@ -120,8 +122,8 @@
 	return nil
 }
 
-// commitAsync commits a transaction in a goroutine of its own, which ends with the transaction's
-// timeout and hands the outcome to sent.
+// commitAsync commits a transaction in a new goroutine, which ends at the latest with the
+// transaction's timeout and passes the outcome to handleTxnOutcome.
 func (c *Controller) commitAsync(ctx context.Context, txn protocol.Txn) {
 	c.commits.inFlight = true
 	go func() {
@@ -132,8 +134,8 @@
 	}()
 }
 
-// handleTxnOutcome takes the outcome of the cycle's transaction: failed are the keys whose conditions did
-// not hold.
+// handleTxnOutcome handles the outcome of the cycle's transaction. failed lists the keys whose
+// conditions did not hold.
 func (c *Controller) handleTxnOutcome(txn protocol.Txn, revision uint64, failed []string, err error) {
 	c.commits.inFlight = false
 	now := time.Now()
@@ -153,7 +155,7 @@
 
 func (c *Controller) commitSucceeded(txn protocol.Txn, revision uint64, now time.Time) {
 	if isResolvingTxn(txn) {
-		c.commits.awaitedRevision = revision // what it settled may have been applied before
+		c.commits.awaitedRevision = revision // the transaction that it resolved may have been applied earlier
 	}
 	c.applyTxn(txn, revision)
 	placed := c.planner.plannedTasks
@@ -170,8 +172,8 @@
 	c.dispatchDirect(txn)
 }
 
-// commitConflicted deals with conditions that did not hold: something changed under the plan.
-// Whatever it was, a late copy of the transaction cannot be applied any more.
+// commitConflicted handles a transaction whose conditions did not hold because records changed
+// after it was planned. A late copy of the transaction cannot be applied either.
 func (c *Controller) commitConflicted(revision uint64, failed []string, now time.Time) {
 	c.log.Debug("commit conflicts", "keys", failed)
 	c.commits.awaitedRevision = revision
@@ -180,7 +182,7 @@
 	c.requestCycle()
 }
 
-// commitFailed deals with a transaction that was refused, or whose outcome is unknown.
+// commitFailed handles a transaction that was refused or whose outcome is unknown.
 func (c *Controller) commitFailed(txn protocol.Txn, err error, now time.Time) {
 	if c.storeHealth.failingSince.IsZero() {
 		c.storeHealth.failingSince = now
@@ -197,7 +199,7 @@
 	c.requestCycle()
 }
 
-// logDone logs a job's end with what its waiting and running came to.
+// logDone logs the end of a job with its waiting and running times.
 func (c *Controller) logDone(job *storage.Job, now time.Time) {
 	state := c.jobState(job)
 	c.log.Info("job done", "job", job.ID,
@@ -215,8 +217,8 @@
 		"terminated_tasks", state.terminatedTasks)
 }
 
-// dispatchDirect sends launches that a transaction brought straight to workers that were not
-// told of them yet.
+// dispatchDirect sends the launches in a committed transaction directly to workers that have not
+// been sent them yet.
 func (c *Controller) dispatchDirect(txn protocol.Txn) {
 	for _, change := range txn.Then {
 		id, ok := storage.GroupOf(change.Put)
@@ -231,8 +233,8 @@
 	}
 }
 
-// hasUnsentLaunch tells whether a machine's record holds a task that its worker has neither
-// shown nor been told of.
+// hasUnsentLaunch reports whether a machine's record holds a task that its worker has not reported
+// and has not been sent.
 func (c *Controller) hasUnsentLaunch(machine *storage.Machine) bool {
 	worker := c.workerState(machine)
 	for _, placed := range machine.Tasks {
@@ -246,8 +248,9 @@
 	return false
 }
 
-// commitAside commits a transaction that the cycle has no part in, and applies it. done is
-// called in the core with the outcome; the goroutine ends with ctx.
+// commitAside commits a transaction independently of the cycle, and applies it to the cache. done
+// is called in the controller's event loop with the outcome. The goroutine that it starts ends with
+// ctx.
 func (c *Controller) commitAside(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority, done func(ok bool)) {
 	go func() {
 		revision, failed, err := c.transact(ctx, txn, priority)
@@ -255,7 +258,8 @@
 	}()
 }
 
-// committed hands the outcome of a transaction to the core.
+// committed passes the outcome of a transaction to the controller's event loop, applies the
+// transaction to the cache if it was committed, and calls done.
 func (c *Controller) committed(txn protocol.Txn, revision uint64, ok bool, done func(ok bool)) {
 	c.post(func() {
 		if ok {
@@ -266,12 +270,12 @@
 	})
 }
 
-// applyTxn applies a transaction that was committed with a revision to the cache.
+// applyTxn applies a transaction that was committed at the given revision to the cache.
 func (c *Controller) applyTxn(txn protocol.Txn, revision uint64) {
 	c.follower.highestRevision = max(c.follower.highestRevision, revision)
 	for _, change := range txn.Then {
 		if change.Delete != "" {
-			_ = c.apply(change.Delete, nil, revision, true) // an error is logged there
+			_ = c.apply(change.Delete, nil, revision, true) // apply logs the error
 		} else {
 			_ = c.apply(change.Put, change.Value, revision, false)
 		}
--- a/internal/controller/limit_budget.go
+++ b/internal/controller/limit_budget.go
@@ -8,7 +8,7 @@
 	"dykeledge/internal/storage"
 )
 
-// limitBudget deals out what the teams' limits leave to waiting tasks.
+// limitBudget allocates what the teams' limits still allow to waiting tasks.
 type limitBudget struct {
 	c    *Controller
 	used []storage.Usage // by team
@@ -18,17 +18,19 @@
 	return &limitBudget{c, slices.Clone(c.cache.Used)}
 }
 
-// take takes a job's waiting tasks, as many as may start beside those taken before, and returns how many.
+// take allocates a job's waiting tasks, as many as may start in addition to those allocated before,
+// and returns their number. The number is approximate: it is halved until the tasks fit.
 func (b *limitBudget) take(j *storage.Job) int {
 	tasks := b.c.wantedTasks(j)
 	for tasks > 0 && !schedule.WithinLimit(b.c.cache.Teams[j.Team], b.used[j.Team], j, tasks) {
-		tasks /= 2 // about as many: sums ask for no more
+		tasks /= 2 // an approximation is enough for sums over jobs
 	}
 	b.used[j.Team].Add(j, float64(tasks))
 	return tasks
 }
 
-// runnableWithinLimits is how much of the waiting work, in CPUs, may run as far as its teams' limits go.
+// runnableWithinLimits returns how many CPUs of the waiting work, except idle-time work, may run
+// within the teams' limits.
 func (c *Controller) runnableWithinLimits(now time.Time) float64 {
 	budget, sum := c.newLimitBudget(), 0.0
 	for _, job := range c.cache.Jobs {
@@ -39,7 +41,7 @@
 	return sum
 }
 
-// limited tells whether a team has a limit.
+// limited reports whether a team has a limit.
 func (c *Controller) limited(team int) bool {
 	teamLimits := &c.cache.Teams[team]
 	return teamLimits.CpusMax > 0 || teamLimits.GpusMax > 0
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -7,40 +7,43 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns what is done about overloads: every controller compares what is open with the
-// baseline, which the leader learns (baseline_learning.go).
+// This file detects overloads: every controller compares the open work with the baseline, which the
+// leader learns (baseline_learning.go).
 
 const (
-	// floorMargin is how much more than its baseline a queue is given before others get more than
-	// that: fetches and heartbeats take time beside the estimates, and what a lost machine ran comes
-	// again.
+	// floorMargin is the ratio of a queue's floor, which it is given before other queues get more
+	// than theirs, to its baseline. It is above 1 because image fetches and heartbeats take time in
+	// addition to the estimates, and the work of lost machines is repeated.
 	floorMargin = 1.5
-	// overloadFactor is how many times its baseline a queue must have open to be overloaded.
+	// overloadFactor is the ratio of open work to the baseline above which a queue is overloaded.
 	overloadFactor = 3
-	// reserveOnDemandFraction is the part of its floor from which a queue leaves on-demand machines to an
-	// overload of what may use no others; where there are no spot machines to be had it must not starve.
+	// reserveOnDemandFraction is the fraction of its floor from which on a queue leaves on-demand
+	// machines to overloaded work that must not use spot machines. It is below 1 so that a queue
+	// does not starve where no spot machines are available.
 	reserveOnDemandFraction = 0.5
 )
 
-// A job's size counts against it only for a while. The largest of a class must begin within four
-// minutes, and half of them must be served: those that step behind for as long as an overload lasts
-// never were, where it lasts for the rest of the day.
+// During an overload, large jobs are placed after small ones, but only for a limited time. The
+// largest jobs of a class must begin within four minutes, and half of them must finish in time; in
+// an overload that lasts for the rest of the day they would otherwise never be served.
 const (
-	firstTaskDueAfter = 150 * time.Second // then one of its tasks goes first, if none was placed
-	overdueAfter      = 4 * time.Minute   // then it has its turn, if it has missed its latest objective
+	firstTaskDueAfter = 150 * time.Second // waiting time after which a job without any placed task gets its first task placed with precedence
+	overdueAfter      = 4 * time.Minute   // waiting time after which a job that cannot meet any objective is placed regardless of its size
 )
 
-// queueLoads is how the teams' classes, each a queue, stand.
+// queueLoads is the load of the class queues (one for each class of a team).
 type queueLoads struct {
 	queues schedule.QueueStates
-	// overloaded tells whether any has far more open than its baseline, onDemandOverloaded whether
-	// one of those has work that may not use spot machines.
+	// overloaded reports whether any queue has far more open work than its baseline,
+	// onDemandOverloaded whether any queue's open work that must not use spot machines alone
+	// exceeds it that far.
 	overloaded, onDemandOverloaded bool
-	// meanBusyS estimates how many seconds what runs will take on average.
+	// meanBusyS estimates how many more seconds placed work will run on average.
 	meanBusyS float64
 }
 
-// queueLoads is what the queues may have before others, and what they hold, from the open jobs.
+// queueLoads computes the load and the floor of each queue from the open jobs and those with placed
+// tasks.
 func (c *Controller) queueLoads(now time.Time) queueLoads {
 	loads := queueLoads{queues: make(schedule.QueueStates, storage.ClassQueueCount(len(c.cache.Teams)))}
 	usedByAll := 0.0
@@ -61,7 +64,7 @@
 	return loads
 }
 
-// addToQueue counts a job of which some tasks run.
+// addToQueue adds a job, whose placed tasks use the given number of CPUs, to its queue.
 func addToQueue(queue *schedule.QueueState, job *storage.Job, used float64, late bool) {
 	open := used
 	if !job.Suspect {
@@ -77,7 +80,7 @@
 	}
 }
 
-// compareWithBaseline finds the queues' floors and which are overloaded.
+// compareWithBaseline sets the queues' floors and determines which queues are overloaded.
 func (l *queueLoads) compareWithBaseline(baselineCpus map[storage.ClassQueue]float64) {
 	for name, cpus := range baselineCpus {
 		queue := l.queues.At(name)
@@ -91,7 +94,8 @@
 	}
 }
 
-// reserveOnDemand has queues that have enough leave on-demand machines to what may use no others.
+// reserveOnDemand makes queues that are close enough to their floors leave on-demand machines to
+// work that must not use spot machines.
 func (l *queueLoads) reserveOnDemand(baselineCpus map[storage.ClassQueue]float64) {
 	for name := range baselineCpus {
 		if queue := l.queues.At(name); queue != nil {
@@ -100,9 +104,11 @@
 	}
 }
 
-// detectOverload tells whether there is an overload and far more work of some shards waits than can
-// be in time; with what there is capacity for, the order needs no floors. It lasts, in active, until
-// no queue is overloaded any more: what is late by then waits for no objective, but goes small first still.
+// detectOverload reports whether there is an overload: some queue has far more open work than its
+// baseline, and far more work of the given jobs waits than can finish in time. As long as the
+// capacity suffices, placement needs no floors. An overload, once active, lasts until no queue is
+// overloaded any more. Work that is late by then has no objective left to meet, but small jobs
+// still go first.
 func (c *Controller) detectOverload(loads queueLoads, jobs []*storage.Job, capacity schedule.Capacity, active *bool, now time.Time) bool {
 	if !loads.overloaded || *active {
 		*active = loads.overloaded
@@ -124,7 +130,7 @@
 	return *active
 }
 
-// logOverload logs that an overload begins or ends, and how the queues stand.
+// logOverload logs the start or end of an overload and the state of each queue that has a baseline.
 func (c *Controller) logOverload(loads queueLoads, active bool) {
 	c.log.Info("overload changed", "active", active, "on_demand", loads.onDemandOverloaded)
 	for name := range c.cache.Baseline.Cpus {
@@ -134,8 +140,9 @@
 	}
 }
 
-// waitedTooLong tells whether a job has waited too long and has missed its latest objective, if it
-// has one. From then on it has its turn whatever else is asked, in a part of the capacity.
+// waitedTooLong reports whether a job has waited for overdueAfter and can meet no objective any
+// more, or has none. From then on it is placed regardless of other rules, in a part of the
+// capacity.
 func (c *Controller) waitedTooLong(j *storage.Job, now time.Time) bool {
 	if now.Sub(j.ReadyAt) < overdueAfter {
 		return false
--- a/internal/controller/pending_updates.go
+++ b/internal/controller/pending_updates.go
@@ -7,24 +7,25 @@
 	"dykeledge/internal/storage"
 )
 
-// pendingUpdate is what should change of a machine's record, tasks aside. Its owner writes it
-// with its next transaction, the leader on its own for machines of other owners.
+// pendingUpdate holds changes to a machine's record other than its tasks. The controller that owns
+// the machine writes them with its next transaction; the leader writes those of machines that other
+// controllers own in a transaction of its own.
 type pendingUpdate struct {
 	returning bool
 	draining  *bool
 }
 
-// blocksPlacement tells whether nothing more may be placed on the machine.
+// blocksPlacement reports whether the update forbids placing more tasks on the machine.
 func (u *pendingUpdate) blocksPlacement() bool {
 	return u != nil && (u.returning || u.draining != nil && *u.draining)
 }
 
-// differs tells whether a machine's record still has to change.
+// differs reports whether a machine's record lacks some of the changes.
 func (u *pendingUpdate) differs(m *storage.Machine) bool {
 	return (u.returning && !m.Returning) || (u.draining != nil && *u.draining != m.Draining)
 }
 
-// pendingUpdate is the update of a machine's record to add changes to.
+// pendingUpdate returns the pending update of a machine, creating an empty one if there is none.
 func (c *Controller) pendingUpdate(m *storage.Machine) *pendingUpdate {
 	update := c.workers.pendingUpdates[m.Index]
 	if update == nil {
@@ -35,14 +36,14 @@
 	return update
 }
 
-// setDraining marks a machine to be emptied, or puts it back into service.
+// setDraining starts draining a machine, or returns it to service.
 func (c *Controller) setDraining(m *storage.Machine, on bool) {
 	c.log.Info("machine draining changed", "machine", m.Name, "draining", on, "tasks", len(m.Tasks))
 	c.pendingUpdate(m).draining = &on
 }
 
-// flushPendingUpdates forgets updates that are done or of no concern to this controller, and as
-// the leader commits those of other owners' machines.
+// flushPendingUpdates drops updates that are done or are not this controller's to write. The leader
+// commits the updates of machines that other controllers own.
 func (c *Controller) flushPendingUpdates(ctx context.Context) {
 	groups := c.groupsToUpdate()
 	if len(groups) == 0 || c.leader.editing {
@@ -56,13 +57,13 @@
 	c.commitAside(ctx, txn, protocol.BackgroundRequest, func(bool) {
 		c.leader.editing = false
 		for _, machine := range updated {
-			delete(c.workers.pendingUpdates, machine) // what still has to change is found again
+			delete(c.workers.pendingUpdates, machine) // changes that are still needed are detected again
 		}
 	})
 }
 
-// groupsToUpdate forgets updates that need no transaction of the leader, and returns the groups
-// of the others.
+// groupsToUpdate drops updates that need no transaction of the leader, and returns the groups of
+// the remaining ones.
 func (c *Controller) groupsToUpdate() map[*storage.MachineGroup]bool {
 	groups := map[*storage.MachineGroup]bool{}
 	for index, update := range c.workers.pendingUpdates {
@@ -80,8 +81,8 @@
 	return groups
 }
 
-// pendingUpdatesTxn is the leader's transaction that updates groups' records, and the machines
-// that it updates.
+// pendingUpdatesTxn returns the leader's transaction that updates the records of the given groups,
+// and the indexes of the machines that it updates.
 func (c *Controller) pendingUpdatesTxn(groups map[*storage.MachineGroup]bool) (txn protocol.Txn, updated []int32) {
 	txn = c.leaderTxn()
 	for group := range groups {
@@ -98,7 +99,7 @@
 		})
 		raw := storage.EncodeGroup(record, c.cache.Packed())
 		if len(raw) > c.valueLimit() {
-			continue // its owner splits it first
+			continue // the group's owner must split it first
 		}
 		key := storage.GroupKey(group.ID)
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: group.Version})
@@ -107,7 +108,7 @@
 	return txn, updated
 }
 
-// applyTo changes a machine's entry in its group's record.
+// applyTo applies the update to a machine's entry in its group's record.
 func (u *pendingUpdate) applyTo(entry *storage.GroupMachine) {
 	entry.Returning = entry.Returning || u.returning
 	if u.draining != nil {
--- a/internal/controller/placement_input.go
+++ b/internal/controller/placement_input.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// On-demand machines weigh more while jobs that may use no others have come of late and
-	// are likely to come again.
+	// Weight of using an on-demand machine in the placement score. The higher weight applies for
+	// onDemandNeededFor after a job that must not use spot machines was open, since more such jobs
+	// are likely to follow.
 	onDemandWeight       = 0.2
 	onDemandWeightNeeded = 6
 	onDemandNeededFor    = 5 * time.Minute
 
-	// What a machine's recent failures, and tasks that run over their estimates, add to its risk.
+	// Additions to a machine's risk score: for each recent failure, and for the factor by which its
+	// tasks exceed their estimates, as far as that is above ignoredSlowdown.
 	riskPerFailure  = 4
 	riskPerSlowdown = 8
 	ignoredSlowdown = 1.3
 )
 
-// placementInput is the input of a placement pass over the shards that this controller owns.
+// placementInput returns the input of a placement pass over the shards that this controller owns.
 func (c *Controller) placementInput(now time.Time, shards map[int]bool, planned *plannedTxn) *schedule.Input {
 	input := c.placementRules(now, planned)
 	buffers := &c.planner.buffers
@@ -43,7 +45,7 @@
 	return input
 }
 
-// placementRules is an input without jobs and machines.
+// placementRules returns a placement input without jobs and machines.
 func (c *Controller) placementRules(now time.Time, planned *plannedTxn) *schedule.Input {
 	return &schedule.Input{
 		Now:         now,
@@ -70,7 +72,8 @@
 	}
 }
 
-// addWaitingJobs adds the jobs of the shards that may start, and notes what waits by shard.
+// addWaitingJobs adds the jobs of the given shards that may start, and records the number of
+// waiting tasks by shard.
 func (c *Controller) addWaitingJobs(input *schedule.Input, shards map[int]bool) {
 	clear(c.shards.waiting)
 	c.planner.idleWorkPlaced = false
@@ -90,7 +93,7 @@
 	}
 }
 
-// onDemandWeight is how much it weighs against a placement that it takes an on-demand machine.
+// onDemandWeight returns the current weight of using an on-demand machine in the placement score.
 func (c *Controller) onDemandWeight(now time.Time) float64 {
 	if !c.planner.onDemandNeededAt.IsZero() && now.Sub(c.planner.onDemandNeededAt) < onDemandNeededFor {
 		return onDemandWeightNeeded
@@ -98,8 +101,8 @@
 	return onDemandWeight
 }
 
-// addMachines adds the machines of the shards, as they are with the planned transaction, and
-// returns what all of them have.
+// addMachines adds the machines of the given shards as of the planned transaction, and returns
+// their total capacity.
 func (c *Controller) addMachines(input *schedule.Input, shards map[int]bool, planned *plannedTxn) schedule.Capacity {
 	var total schedule.Capacity
 	reserved := c.reservedCapacity()
@@ -131,7 +134,7 @@
 	return total
 }
 
-// replaceUsage counts other tasks of a machine in the teams' usage.
+// replaceUsage replaces a machine's tasks in the teams' usage.
 func replaceUsage(used []storage.Usage, before, after []storage.PlacedTask) {
 	for _, placed := range before {
 		used[placed.Job.Team].Add(placed.Job, -1)
@@ -141,7 +144,8 @@
 	}
 }
 
-// addSlot adds a machine that may take tasks now, or notes one that boots; nil: it takes none now.
+// addSlot adds a machine that may take tasks now and returns its slot. Otherwise it returns nil,
+// and adds the machine to the booting ones if it is booting.
 func (c *Controller) addSlot(machine *storage.Machine, tasks []storage.PlacedTask, record *schedule.GroupCapacity, now time.Time) *schedule.Slot {
 	machineType := &c.cache.Types[machine.Type]
 	total := storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}
@@ -164,8 +168,8 @@
 	return slot
 }
 
-// cachedImages are the most recently used images that fit into a machine's cache, at least one
-// if any was used.
+// cachedImages returns the most recently used images that fit into a machine's image cache, and at
+// least one if any image was used.
 func (c *Controller) cachedImages(worker *workerState, machineType *storage.MachineType) []int {
 	buffers := &c.planner.buffers
 	first := len(buffers.images)
@@ -177,11 +181,11 @@
 		}
 		buffers.images = append(buffers.images, worker.images[i])
 	}
-	return slices.Clip(buffers.images[first:]) // what is added later must not reach the next machine's
+	return slices.Clip(buffers.images[first:]) // an append must not overwrite the next machine's images
 }
 
-// addTasks takes the tasks of a machine off what is free, and adds what could be preempted and
-// which images are still being fetched.
+// addTasks subtracts a machine's tasks from its free capacity, and records which capacity could be
+// preempted and which images are still being fetched.
 func (c *Controller) addTasks(slot *schedule.Slot, tasks []storage.PlacedTask, now time.Time) {
 	fetchBegan, fetchingGB := now.Unix(), 0.0
 	for _, placed := range tasks {
@@ -202,7 +206,8 @@
 	}
 }
 
-// rankSlots sorts machines by price, the cheapest first, and ranks them from 0 to 1.
+// rankSlots sorts machines by price per CPU, cheapest first, and assigns them ranks from 0 up to,
+// but not including, 1.
 func (c *Controller) rankSlots(slots []*schedule.Slot) {
 	slices.SortFunc(slots, func(a, b *schedule.Slot) int {
 		return cmp.Or(cmp.Compare(c.cpuPrice(a.Machine), c.cpuPrice(b.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
@@ -212,7 +217,7 @@
 	}
 }
 
-// cpuPrice is what a machine costs for each of its CPUs.
+// cpuPrice returns a machine's price per CPU.
 func (c *Controller) cpuPrice(machine *storage.Machine) float64 {
 	machineType := &c.cache.Types[machine.Type]
 	price := machineType.Price
@@ -222,7 +227,7 @@
 	return price / max(machineType.Cpus, 1)
 }
 
-// usable tells whether a machine may take more tasks.
+// usable reports whether a machine may take more tasks.
 func (c *Controller) usable(machine *storage.Machine, worker *workerState, now time.Time) bool {
 	switch {
 	case machine.Returning, machine.Draining, machine.Unhealthy:
@@ -230,15 +235,15 @@
 	case worker.unhealthy, worker.terminated, !worker.preemptedAt.IsZero():
 		return false
 	case worker.Incarnation == 0, worker.Incarnation < machine.Incarnation:
-		return false // not heard yet, or only a process before the recorded one was
+		return false // no heartbeat yet, or only from an earlier process than the recorded one
 	case c.needsTokenRaise(machine, worker), c.workers.pendingUpdates[machine.Index].blocksPlacement(), c.unresponsive(worker, now):
 		return false
 	}
 	return now.Sub(worker.heard) < seconds(2*c.cfg.Deployment.Workers.HeartbeatS+1)
 }
 
-// planBuffers is memory in which a placement pass works, kept for the next one: a pass
-// allocates in proportion to the tasks that it places, not to the machines and jobs there are.
+// planBuffers holds memory that placement passes reuse: a pass allocates in proportion to the tasks
+// that it places, not to the number of machines and jobs.
 type planBuffers struct {
 	slots       []schedule.Slot
 	order       []*schedule.Slot
@@ -250,7 +255,7 @@
 	place       schedule.Scratch
 }
 
-// begin empties the buffers and makes room for all machines, groups and jobs.
+// begin empties the buffers and reserves capacity for all machines, groups and jobs.
 func (b *planBuffers) begin(machines, groups, jobs int) {
 	b.slots = slices.Grow(b.slots[:0], machines)
 	b.order = b.order[:0]
@@ -260,13 +265,15 @@
 	b.jobs = slices.Grow(b.jobs[:0], jobs)
 }
 
-// record keeps a group's capacity. It is not moved while the pass lasts: begin has made room for all.
+// record stores a group's capacity. The pointer stays valid during the pass because begin has
+// reserved capacity for all groups.
 func (b *planBuffers) record(capacity schedule.GroupCapacity) *schedule.GroupCapacity {
 	b.records = append(b.records, capacity)
 	return &b.records[len(b.records)-1]
 }
 
-// slot keeps a machine, likewise, in the order of its addition.
+// slot stores a machine's slot in the order of addition. The pointer stays valid during the pass
+// because begin has reserved capacity for all machines.
 func (b *planBuffers) slot(slot schedule.Slot) *schedule.Slot {
 	b.slots = append(b.slots, slot)
 	stored := &b.slots[len(b.slots)-1]
--- a/internal/controller/plan_completions.go
+++ b/internal/controller/plan_completions.go
@@ -9,19 +9,21 @@
 	"dykeledge/internal/storage"
 )
 
-// allTasksDone tells whether all tasks of a job array are done, if so many of them are.
+// allTasksDone reports whether an open job array is complete once the given number of its tasks
+// is done.
 func (c *Controller) allTasksDone(job *storage.Job, done int) bool {
 	return job.Open() && job.Shape == protocol.Batch && done == job.Tasks
 }
 
-// finish makes a job done. Its shard's owner does so, whoever recorded its tasks.
+// finish marks a job as done. The owner of the job's shard does this, even if another controller
+// recorded its tasks' completions.
 func (c *Controller) finish(planned *plannedTxn, job *storage.Job) {
 	c.planner.completedJobs = append(c.planner.completedJobs, job)
 	c.putJob(planned, job, protocol.Done)
 }
 
-// finishRecordedElsewhere makes jobs done whose last task another owner recorded. They come
-// first, in up to half of the transaction.
+// finishRecordedElsewhere marks jobs as done whose last completion was recorded by another
+// controller. They are planned before other changes and may use up to half of the transaction.
 func (c *Controller) finishRecordedElsewhere(planned *plannedTxn, shards map[int]bool) {
 	limit := max(1, planned.maxOps/2)
 	for _, job := range c.cache.Jobs {
@@ -31,7 +33,7 @@
 	}
 }
 
-// finishCompleted makes jobs done whose last tasks complete with this transaction.
+// finishCompleted marks jobs as done whose last tasks complete in this transaction.
 func (c *Controller) finishCompleted(planned *plannedTxn, shards map[int]bool) {
 	for job, reached := range planned.completed {
 		if !shards[job.Shard] || !c.allTasksDone(job, reached.doneCount) {
@@ -45,11 +47,11 @@
 	}
 }
 
-// planCompletions takes attempts that are proved to be gone out of the records, and puts in
-// what has changed of the machines themselves.
+// planCompletions removes attempts that are proved to have ended from the machines' records, and
+// adds other pending changes of the machines.
 func (c *Controller) planCompletions(planned *plannedTxn, shards map[int]bool) {
 	groups := c.cache.Groups
-	first := c.planner.firstGroup // not always the same groups when there is no capacity for all
+	first := c.planner.firstGroup // rotates, so that every group gets its turn when a transaction cannot hold all
 	for i := range groups {
 		group := groups[(first+i)%len(groups)]
 		if group.Version == 0 || !shards[group.Shard] {
@@ -67,8 +69,8 @@
 	}
 }
 
-// planMachine makes what has changed of a machine and its tasks part of the transaction, if it
-// takes that much more.
+// planMachine adds the changes of a machine and its tasks to the transaction, if the transaction
+// has enough operations left.
 func (c *Controller) planMachine(planned *plannedTxn, machine *storage.Machine, worker *workerState) {
 	cost := 0
 	if planned.groups[machine.Group] == nil {
@@ -101,7 +103,8 @@
 	}
 }
 
-// machineRecordChanges tells whether a machine's part of the records has to change, tasks aside.
+// machineRecordChanges reports whether a machine's entry in its group's record, apart from its
+// tasks, must change.
 func (c *Controller) machineRecordChanges(machine *storage.Machine, worker *workerState) bool {
 	if c.needsTokenRaise(machine, worker) || worker.terminated && machine.Returning || worker.unhealthy && !machine.Unhealthy {
 		return true
@@ -110,13 +113,13 @@
 	return update != nil && update.differs(machine)
 }
 
-// needsTokenRaise tells whether the machine's fencing token must be raised: a direct command
-// under the present one may still be on its way.
+// needsTokenRaise reports whether the machine's fencing token must be raised because a direct
+// command with the current token may still be in transit.
 func (c *Controller) needsTokenRaise(machine *storage.Machine, worker *workerState) bool {
 	return worker.Uncertain > 0 && worker.Uncertain >= c.cache.FencingToken(machine)
 }
 
-// groupMachine is a machine's part of its group's record with this transaction.
+// groupMachine returns a machine's entry in its group's record as of this transaction.
 func (c *Controller) groupMachine(planned *plannedTxn, machine *storage.Machine) storage.GroupMachine {
 	tasks, changed := planned.tasksOf(machine)
 	entry := c.cache.GroupMachineOf(machine, tasks)
@@ -124,10 +127,11 @@
 	if worker == nil {
 		return entry
 	}
-	// That a machine is unhealthy goes into its record, for whichever controller owns it next.
+	// The unhealthy mark is recorded so that a later owner of the machine sees it.
 	entry.Unhealthy = machine.Unhealthy || worker.unhealthy
 	if changed || len(machine.Tasks) == 0 {
-		// The incarnation may change only together with the tasks that a newer one has lost.
+		// The incarnation must change in the same transaction as the tasks that the newer process
+		// has lost.
 		entry.Incarnation = max(machine.Incarnation, worker.Incarnation)
 	}
 	if changed && c.needsTokenRaise(machine, worker) {
@@ -139,12 +143,12 @@
 	return entry
 }
 
-// maxListedCompletions is how many completed tasks a group's record may list before some of them
-// are moved into their jobs' own records.
+// maxListedCompletions is the number of completed tasks that a group's record may list before some
+// of them are moved to their jobs' own records.
 const maxListedCompletions = 300
 
-// foldCompletions moves completed tasks from groups that list too many into their jobs' own
-// records, one record a group and transaction.
+// foldCompletions moves completed tasks from the records of groups that list too many of them to
+// the jobs' own records: one job or completion record per group and transaction.
 func (c *Controller) foldCompletions(planned *plannedTxn) {
 	limit := maxListedCompletions
 	if c.cache.Packed() {
@@ -163,8 +167,8 @@
 	}
 }
 
-// foldKey is the record that a completed task can be moved into: in the packed layout the part
-// of its job's completion set, in the plain one the job's own.
+// foldKey returns the key of the record to which a completed task can be moved: a part of its job's
+// completion set in the packed layout, the job's own record in the plain layout.
 func (c *Controller) foldKey(task storage.CompletedTask) string {
 	if c.cache.Packed() {
 		return storage.CompletionKey(task.Job.ID, task.Task)
@@ -172,8 +176,9 @@
 	return storage.JobKey(task.Job.ID)
 }
 
-// largestFold finds the record, of those that the transaction does not change yet, into which
-// the most of the completed tasks can be moved, and one of these tasks; "": there is none.
+// largestFold returns the key of the record to which the most completed tasks can be moved, among
+// those that the transaction does not change yet, and one of these tasks. The key is "" if there is
+// none.
 func (c *Controller) largestFold(planned *plannedTxn, ended []storage.CompletedTask) (most storage.CompletedTask, key string) {
 	count := map[string]int{}
 	for _, task := range ended {
@@ -186,7 +191,7 @@
 	return most, key
 }
 
-// putCompletions writes the record that a completed task is moved into.
+// putCompletions adds the record to which a completed task is moved to the transaction.
 func (c *Controller) putCompletions(planned *plannedTxn, task storage.CompletedTask, key string) {
 	if !c.cache.Packed() {
 		c.putJob(planned, task.Job, "")
@@ -197,8 +202,8 @@
 	planned.usedOps++
 }
 
-// planDependencyFailed writes up to n final records of jobs that were cancelled with a
-// dependency and, as the leader, deletes records that are needed no more.
+// planDependencyFailed adds up to n final records of jobs that were cancelled because a dependency
+// failed. The leader also deletes records that are no longer needed, as far as n allows.
 func (c *Controller) planDependencyFailed(planned *plannedTxn, shards map[int]bool, n int) {
 	for _, job := range c.cache.DependencyFailed() {
 		if n <= 0 || planned.full() {
--- a/internal/controller/plan_placements.go
+++ b/internal/controller/plan_placements.go
@@ -8,25 +8,26 @@
 	"dykeledge/internal/storage"
 )
 
-// maxPlacementsPerPass is how many tasks are placed in one pass.
+// maxPlacementsPerPass limits the number of tasks placed in one pass.
 const maxPlacementsPerPass = 400
 
-// conditionsPerOp is how many conditions a transaction may have for each of its puts and deletes.
+// conditionsPerOp is the number of conditions that a transaction may have for each of its puts and
+// deletes.
 const conditionsPerOp = 4
 
-// planPlacements places waiting tasks where there is capacity, and returns what the pass went
-// by and came to, for preemptions.
+// planPlacements places waiting tasks on machines with free capacity. It returns the input and the
+// result of the placement pass, which the planning of preemptions uses.
 func (c *Controller) planPlacements(now time.Time, planned *plannedTxn, shards map[int]bool) (*schedule.Input, schedule.Result) {
 	maxConditions := conditionsPerOp*c.limits().TxnOps - len(shards)
 	input := c.placementInput(now, shards, planned)
 	hold := input.Hold
 	input.Hold = func(job *storage.Job) bool {
-		// A task that completes with this transaction must not look like a waiting one.
+		// A job whose last tasks complete in this transaction has nothing waiting.
 		return hold(job) || (planned.completed[job] != nil && job.Waiting() == 0)
 	}
 	result := schedule.Place(input)
 	planned.more = planned.more || result.More
-	attempt := c.nextRevision() // never used before, whichever controller owned the shard
+	attempt := c.nextRevision() // unique across all controllers that have owned the shard
 	for _, placement := range result.Placed {
 		key := storage.JobKey(placement.Job.ID)
 		if _, ok := planned.conditions[key]; !ok {
@@ -34,7 +35,7 @@
 				planned.more = true
 				break
 			}
-			planned.require(key, placement.Job.Version) // if it is cancelled meanwhile, nothing starts
+			planned.require(key, placement.Job.Version) // the transaction fails if the job was cancelled meanwhile
 		}
 		if planned.includeGroup(placement.Slot.Machine.Group) == nil {
 			planned.more = true
@@ -45,7 +46,7 @@
 	return input, result
 }
 
-// place puts a task into its machine's record with this transaction.
+// place adds a task to its machine's record in the transaction.
 func (c *Controller) place(now time.Time, planned *plannedTxn, placement schedule.Placement, attempt uint64) {
 	job, machine := placement.Job, placement.Slot.Machine
 	tasks, changed := planned.tasksOf(machine)
@@ -66,7 +67,7 @@
 	})
 }
 
-// waited is how long a task has waited before it starts now, in seconds.
+// waited returns the seconds from when a task became ready, or was last requeued, until now.
 func (c *Controller) waited(job *storage.Job, task int, now time.Time) uint64 {
 	since := job.ReadyAt
 	if state := c.jobStates[job]; state != nil {
--- a/internal/controller/planned_txn.go
+++ b/internal/controller/planned_txn.go
@@ -7,23 +7,24 @@
 	"dykeledge/internal/storage"
 )
 
-// txnBuilder is a transaction under construction: the versions that it depends on, and the
-// latest change of each key in the order in which the keys were first put.
+// txnBuilder builds a transaction. It holds the key versions that the transaction depends on and
+// the latest change of each key, in the order in which the keys were first changed.
 type txnBuilder struct {
 	conditions map[string]uint64
 	puts       map[string]protocol.Change
 	order      []string
-	bytes      int // about what it takes on the wire
+	bytes      int // estimated encoded size of the changes
 }
 
 func newTxnBuilder() *txnBuilder {
 	return &txnBuilder{conditions: map[string]uint64{}, puts: map[string]protocol.Change{}}
 }
 
-// require makes the transaction depend on a key's version; 0: the key does not exist.
+// require makes the transaction depend on a key's version. Version 0 means that the key must not
+// exist.
 func (b *txnBuilder) require(key string, version uint64) { b.conditions[key] = version }
 
-// put changes a key that has a version now.
+// put adds a change of a key, on the condition that the key still has the given version.
 func (b *txnBuilder) put(key string, version uint64, change protocol.Change) {
 	b.require(key, version)
 	if _, ok := b.puts[key]; !ok {
@@ -34,11 +35,11 @@
 }
 
 const (
-	keysPerChange  = 3  // how often a changed key stands in the transaction and its answer
-	changeOverhead = 80 // bytes of names and punctuation for each change
+	keysPerChange  = 3  // occurrences of a changed key in the transaction and its response
+	changeOverhead = 80 // bytes of field names and punctuation for each change
 )
 
-// build is the transaction as it is sent.
+// build returns the transaction in the form in which it is sent.
 func (b *txnBuilder) build() protocol.Txn {
 	var txn protocol.Txn
 	for key, version := range b.conditions {
@@ -50,16 +51,16 @@
 	return txn
 }
 
-// plannedTxn is a transaction of this controller's shards while it is worked out.
+// plannedTxn is the transaction that a planning pass builds for this controller's shards.
 type plannedTxn struct {
 	*txnBuilder
-	maxOps          int // puts and deletes that it may have
-	usedOps         int // of them, those that are spoken for
+	maxOps          int // limit on puts and deletes
+	usedOps         int // puts and deletes already allotted
 	more            bool
-	remaining       map[int32][]storage.PlacedTask // tasks that stay, by machine that changes
+	remaining       map[int32][]storage.PlacedTask // tasks after this transaction, by index of each changed machine
 	groups          map[*storage.MachineGroup]*groupUpdate
 	completed       map[*storage.Job]*progress
-	removedMachines map[*storage.Fleet]map[*storage.Machine]bool // machines that leave the records
+	removedMachines map[*storage.Fleet]map[*storage.Machine]bool // machines to remove from their fleets' records
 }
 
 func newPlannedTxn(maxOps int) *plannedTxn {
@@ -73,24 +74,25 @@
 	}
 }
 
-// groupUpdate is what changes of a machine group's record, machines aside.
+// groupUpdate holds what changes in a machine group's record apart from its machines.
 type groupUpdate struct {
-	completedTasks []storage.CompletedTask // that the record lists
+	completedTasks []storage.CompletedTask // completed tasks that the record will list
 }
 
-// progress is how far a job is with a transaction.
+// progress holds a job's completed tasks as of a transaction.
 type progress struct {
 	done      storage.Bitmap
-	doneCount int // tasks in done
+	doneCount int // number of tasks in done
 }
 
-// opsLeft is how many more puts and deletes the transaction may have.
+// opsLeft returns the number of puts and deletes that can still be added.
 func (t *plannedTxn) opsLeft() int { return t.maxOps - t.usedOps }
 
-// full tells whether the transaction has all the puts and deletes that it may have.
+// full reports whether the limit on puts and deletes is reached.
 func (t *plannedTxn) full() bool { return t.usedOps >= t.maxOps }
 
-// includeGroup makes a machine includeGroup part of the transaction; nil: there is no capacity left for it.
+// includeGroup adds a machine group's record to the transaction. It returns nil if the transaction
+// is full.
 func (t *plannedTxn) includeGroup(group *storage.MachineGroup) *groupUpdate {
 	update := t.groups[group]
 	if update == nil && !t.full() {
@@ -101,7 +103,7 @@
 	return update
 }
 
-// removeMachine takes a machine out of its fleet's record.
+// removeMachine removes a machine from its fleet's record.
 func (t *plannedTxn) removeMachine(machine *storage.Machine) {
 	if t.removedMachines[machine.Fleet] == nil {
 		t.removedMachines[machine.Fleet] = map[*storage.Machine]bool{}
@@ -110,7 +112,8 @@
 	t.removedMachines[machine.Fleet][machine] = true
 }
 
-// tasksOf are a machine's tasks with this transaction; changed: they are not those of its record.
+// tasksOf returns a machine's tasks as of this transaction; changed reports whether they differ
+// from those in its record.
 func (t *plannedTxn) tasksOf(machine *storage.Machine) (tasks []storage.PlacedTask, changed bool) {
 	if tasks, changed = t.remaining[machine.Index]; changed {
 		return tasks, true
@@ -118,9 +121,9 @@
 	return machine.Tasks, false
 }
 
-// addCompletion notes that a task has completed.
+// addCompletion records that a task has completed.
 func (t *plannedTxn) addCompletion(update *groupUpdate, placed storage.PlacedTask) {
-	// A service's replicas run until it is cancelled: one that ends is started again.
+	// A service's replicas run until the service is cancelled: one that ends is started again.
 	if !placed.Job.Open() || placed.Job.Shape != protocol.Batch || placed.Job.Done.Get(placed.Task) {
 		return
 	}
@@ -137,7 +140,7 @@
 	update.completedTasks = append(update.completedTasks, storage.CompletedTask{Job: placed.Job, Task: placed.Task})
 }
 
-// progressOf is how far a job is with this transaction.
+// progressOf returns a job's completed tasks as of this transaction.
 func (t *plannedTxn) progressOf(job *storage.Job) progress {
 	if changed := t.completed[job]; changed != nil {
 		return *changed
@@ -145,7 +148,8 @@
 	return progress{job.Done, job.DoneCount}
 }
 
-// putJob writes a job's record; final is "" while it is open.
+// putJob adds a job's record to the transaction. final is the job's final status, or "" while the
+// job is open.
 func (c *Controller) putJob(planned *plannedTxn, job *storage.Job, final protocol.JobStatus) {
 	key := storage.JobKey(job.ID)
 	record := c.finalRecord(job, planned.progressOf(job), final)
@@ -153,8 +157,9 @@
 	planned.usedOps++
 }
 
-// finalRecord is a job's record, with when it ended if it is final: the times of its dependents
-// count from there, and so does the deadline by which cancelled tasks must be gone.
+// finalRecord returns a job's record. In the packed layout, a final record holds the time at which
+// the job ended: the times of its dependents count from there, and so does the deadline by which
+// cancelled tasks must have ended.
 func (c *Controller) finalRecord(job *storage.Job, reached progress, final protocol.JobStatus) *storage.JobRecord {
 	record := c.cache.JobRecordOf(job, reached.done, reached.doneCount, final)
 	if final != "" && c.cache.Packed() {
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -7,23 +7,23 @@
 	"dykeledge/internal/storage"
 )
 
-// plannerState is what the planner keeps from one pass to the next. It is written by the
-// planner's files, overload.go and, for alpha, by the operators' settings.
+// plannerState holds the planner's state between passes. It is written by the planner's files, by
+// overload.go and, for alpha, by the operators' settings.
 type plannerState struct {
-	alpha            float64 // weight of lost work against time waited when preemptions are ranked
+	alpha            float64 // weight of lost work against waiting time in the ranking of preemption candidates
 	buffers          planBuffers
-	plannedTasks     int                   // tasks that the latest plan places
-	completedJobs    []*storage.Job        // jobs that the latest plan calls done
-	firstGroup       int                   // the machine group that the next plan begins with
-	oversizedGroup   *storage.MachineGroup // its record would be over the limit: it is split next
-	planCount        int                   // counts plans: final records of failed dependents take turns
-	idleWorkPlaced   bool                  // idle-time work is placed on this controller's machines
-	onDemandNeededAt time.Time             // when a job that may not use spot machines was last open
-	overloaded       bool                  // an overload is dealt with
+	plannedTasks     int                   // number of tasks that the latest plan places
+	completedJobs    []*storage.Job        // jobs that the latest plan marks as done
+	firstGroup       int                   // ID of the machine group with which the next plan starts
+	oversizedGroup   *storage.MachineGroup // group whose record would exceed the value limit; it is split next
+	planCount        int                   // number of plans made; see dependencyFailedPlanInterval
+	idleWorkPlaced   bool                  // idle-time work is placed on some machine
+	onDemandNeededAt time.Time             // when an open job that must not use spot machines was last seen
+	overloaded       bool                  // the latest placement pass detected an overload
 }
 
-// plan works out the next transaction of the shards that this controller owns, with at most
-// maxOps puts and deletes. more tells that another transaction is worth planning at once.
+// plan computes the next transaction for the shards that this controller owns, with at most maxOps
+// puts and deletes. more reports whether another transaction should be planned immediately.
 func (c *Controller) plan(now time.Time, maxOps int) (builder *txnBuilder, more bool) {
 	planned := newPlannedTxn(maxOps)
 	c.planner.plannedTasks, c.planner.completedJobs = 0, c.planner.completedJobs[:0]
@@ -54,12 +54,13 @@
 	return planned.txnBuilder, planned.more
 }
 
-// dependencyFailedPlanInterval is how many plans there are to one that begins with the final record of
-// a job cancelled with a dependency. These records are not urgent, since every controller tells
-// their users so already; under full load they take their turn.
+// dependencyFailedPlanInterval is the number of plans after which one plan starts with the final
+// record of a job that was cancelled because a dependency failed. These records are not urgent,
+// since every controller already reports the cancellation to users; the interval keeps them from
+// being postponed indefinitely under full load.
 const dependencyFailedPlanInterval = 8
 
-// shardsOwned are the shards that this controller owns now.
+// shardsOwned returns the set of shards that this controller owns now.
 func (c *Controller) shardsOwned() map[int]bool {
 	shards := map[int]bool{}
 	for shard := range c.shards.owned {
@@ -70,7 +71,8 @@
 	return shards
 }
 
-// putGroups writes the records of the machine groups that change with this transaction.
+// putGroups adds the records of all machine groups that change to the transaction, and notes the
+// first group whose record would exceed the value limit.
 func (c *Controller) putGroups(planned *plannedTxn) {
 	for group, update := range planned.groups {
 		key := storage.GroupKey(group.ID)
@@ -85,8 +87,8 @@
 	}
 }
 
-// putFleets writes the fleet records of machines that leave with this transaction, and deletes
-// those that list no machine any more.
+// putFleets adds the fleet records from which machines are removed to the transaction. A fleet
+// record that lists no machine any more is deleted.
 func (c *Controller) putFleets(planned *plannedTxn) {
 	for fleet, removed := range planned.removedMachines {
 		key := storage.FleetKey(fleet.ID)
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// rebalanceGracePeriod is how long the leader has to bring free machines of other shards before a
-	// job preempts.
+	// rebalanceGracePeriod is how long a job lacks capacity before it preempts, if other shards
+	// have free machines that it may use: the leader can move these to the job's shard meanwhile.
 	rebalanceGracePeriod = 700 * time.Millisecond
-	// A top-priority job may leave free capacity alone for preemptionWait, at most once in hopeAgain.
+	// A top-priority job may leave free capacity unused for preemptionWait, at most once in
+	// preemptionWaitInterval.
 	preemptionWait         = 6 * time.Second
 	preemptionWaitInterval = 40 * time.Second
 )
 
-// preemptionClass is what decides whose tasks may be preempted for a job.
+// preemptionClass groups jobs that have the same preemption candidates, unless a job requires
+// certain machine types.
 type preemptionClass struct {
 	team, zone      int
 	priority        protocol.Priority
@@ -26,7 +28,7 @@
 	withinGuarantee bool
 }
 
-// planPreemptions deletes the records of victim sets that have served, and adds at most one
+// planPreemptions deletes the records of victim sets that are finished, and adds at most one new
 // victim set to the transaction.
 func (c *Controller) planPreemptions(now time.Time, planned *plannedTxn, input *schedule.Input, result schedule.Result) {
 	opsLeft := c.deleteFinishedVictimSets(planned, planned.opsLeft())
@@ -35,7 +37,7 @@
 	}
 	cutoffs := c.guaranteeCutoffs()
 	jobs := c.jobsShortOfCapacity(now, input, result, cutoffs)
-	withoutCandidates := map[preemptionClass]bool{} // classes for which there are no candidates
+	withoutCandidates := map[preemptionClass]bool{} // classes without preemption candidates
 	for _, job := range jobs {
 		class := preemptionClass{job.Team, job.Zone, job.Priority, job.Spot, mayPreemptForGuarantee(job, input, cutoffs)}
 		if withoutCandidates[class] && len(job.Types) == 0 {
@@ -58,8 +60,8 @@
 	}
 }
 
-// deleteFinishedVictimSets deletes the records of victim sets that have served, with at most opsLeft
-// changes, and returns how many are left.
+// deleteFinishedVictimSets deletes the records of victim sets that are finished, with at most
+// opsLeft changes. It returns the number of changes left.
 func (c *Controller) deleteFinishedVictimSets(planned *plannedTxn, opsLeft int) int {
 	for id, set := range c.cache.VictimSets {
 		if opsLeft <= 0 {
@@ -74,8 +76,9 @@
 	return opsLeft
 }
 
-// jobsShortOfCapacity are the jobs that lack capacity and may preempt, highest priority first
-// and then the earliest; since when they lack it is noted.
+// jobsShortOfCapacity returns the jobs that lack capacity and may preempt, by descending priority
+// and then by the time at which they became ready. It also records since when each of them has
+// lacked capacity.
 func (c *Controller) jobsShortOfCapacity(now time.Time, input *schedule.Input, result schedule.Result, cutoffs []time.Time) []*storage.Job {
 	jobs := make([]*storage.Job, 0, len(result.Short))
 	for job := range result.Short {
@@ -96,8 +99,9 @@
 	return jobs
 }
 
-// mayPreemptNow tells whether it is a job's time to preempt: its last victim set has served, it
-// does not fail everywhere, and free machines of other shards have had their chance.
+// mayPreemptNow reports whether a job that may preempt can do so now: it has no unfinished victim
+// set, is not in backoff and not suspected of failing on every machine, and the leader has had time
+// to move free machines of other shards.
 func (c *Controller) mayPreemptNow(job *storage.Job, now time.Time) bool {
 	state := c.jobState(job)
 	if c.cache.VictimSets[job.ID] != nil || now.Before(state.backoff) || c.suspect(job) {
@@ -106,7 +110,7 @@
 	return now.Sub(state.shortSince) >= rebalanceGracePeriod || !c.otherShardsHaveFreeMachine(job)
 }
 
-// otherShardsHaveFreeMachine tells whether other shards have empty machines that a job may use.
+// otherShardsHaveFreeMachine reports whether other shards have empty machines that a job may use.
 func (c *Controller) otherShardsHaveFreeMachine(job *storage.Job) bool {
 	for _, machine := range c.cache.Machines {
 		if !machine.Gone && !machine.Returning && machine.Shard != job.Shard && len(machine.Tasks) == 0 && schedule.Allowed(job, machine) {
@@ -116,9 +120,9 @@
 	return false
 }
 
-// mayWaitForPreemption tells whether a top-priority job may leave free capacity alone since capacity
-// that it preempts serves it sooner. It may do so for a short while only: where no preemption
-// comes of it, what is free is taken.
+// mayWaitForPreemption reports whether a top-priority job may leave free capacity unused because it
+// would start sooner on preempted capacity. This holds for a short time only, so that the job takes
+// the free capacity if no preemption follows.
 func (c *Controller) mayWaitForPreemption(job *storage.Job, now time.Time) bool {
 	if !job.Priority.Top() || c.suspect(job) {
 		return false
--- a/internal/controller/preemption_candidates.go
+++ b/internal/controller/preemption_candidates.go
@@ -10,23 +10,24 @@
 	"dykeledge/internal/storage"
 )
 
-// mayPreempt tells whether a job may preempt at all: a top-priority job may, one that fits into
-// its team's guarantee along with the team's earlier unfinished jobs, and any job but those of
-// the lowest priority may preempt idle-time work.
+// mayPreempt reports whether a job may preempt at all. A top-priority job may, and so may a job
+// that fits into its team's guarantee together with the team's earlier unfinished jobs. Any job
+// above the lowest priority may preempt idle-time work.
 func (c *Controller) mayPreempt(job *storage.Job, input *schedule.Input, cutoffs []time.Time) bool {
 	return job.Priority.Top() || (job.Priority > protocol.Low && c.planner.idleWorkPlaced) || mayPreemptForGuarantee(job, input, cutoffs)
 }
 
-// mayPreemptForGuarantee tells whether a job may preempt for its team's guarantee: it fits into that along
-// with the team's earlier unfinished jobs. A team with more than that has to wait like
-// others: preempting for it would only swap losses.
+// mayPreemptForGuarantee reports whether a job may preempt for its team's guarantee: it fits into
+// the guarantee together with the team's earlier unfinished jobs. Work beyond the guarantee has to
+// wait like other work, since preempting for it would only shift the loss to another team.
 func mayPreemptForGuarantee(job *storage.Job, input *schedule.Input, cutoffs []time.Time) bool {
 	return schedule.WithinGuarantee(input.Teams[job.Team], input.Used[job.Team], job) && !job.ReadyAt.After(cutoffs[job.Team])
 }
 
-// guaranteeCutoffs is by team up to which time its unfinished jobs, the earliest first, fit into its
-// guarantee together. It is worked out once a pass: hundreds of jobs that are short of capacity
-// each added up all jobs before them.
+// guaranteeCutoffs returns, by team, the ready time up to which the team's unfinished jobs, in the
+// order in which they became ready, fit into its guarantee together. It is computed once a pass,
+// because hundreds of jobs may lack capacity and summing up all earlier jobs for each of them is
+// expensive.
 func (c *Controller) guaranteeCutoffs() []time.Time {
 	open := make([][]*storage.Job, len(c.cache.Teams))
 	for _, job := range c.cache.Jobs {
@@ -45,8 +46,9 @@
 	return cutoffs
 }
 
-// fitsGuaranteeUntil is when the last of the jobs became ready that fit into a guarantee with
-// all before them; jobs are sorted by that time. Those that became ready together count together.
+// fitsGuaranteeUntil returns the ready time of the last job that fits into a guarantee together
+// with all jobs before it. The jobs must be sorted by ready time; those with the same ready time
+// are counted together.
 func fitsGuaranteeUntil(cpus, gpus float64, jobs []*storage.Job) (cutoff time.Time) {
 	var needed storage.Usage
 	for i, job := range jobs {
@@ -61,15 +63,15 @@
 	return cutoff
 }
 
-// candidateList collects the candidates of a preemption or an eviction: single tasks of job
-// arrays, and services whole.
+// candidateList collects the candidates for preemption or eviction. Each task of a job array is a
+// candidate of its own; all replicas of a service form one candidate.
 type candidateList struct {
 	candidates []schedule.Candidate
-	services   map[*storage.Job]int // index of a service's candidate
+	services   map[*storage.Job]int // index in candidates, by service
 }
 
-// add adds a task that was placed on a slot's machine and has run for lost seconds since its
-// start or its last checkpoint.
+// add adds a task that is placed on a slot's machine and would lose the given number of seconds of
+// its run if it were stopped.
 func (l *candidateList) add(slot *schedule.Slot, placed storage.PlacedTask, lost float64) {
 	job := placed.Job
 	victim := schedule.Victim{Slot: slot, Job: job, Task: placed.Task, Attempt: placed.Attempt}
@@ -95,14 +97,14 @@
 	})
 }
 
-// preemptionCandidates are the tasks that may be preempted for a job: best-effort work for a
-// top-priority job, for a team below its guarantee whatever another team runs
-// beyond its own, and idle-time work for any other. remaining are the tasks of machines that
-// change with the transaction.
+// preemptionCandidates returns the tasks that may be preempted for a job. For a top-priority job
+// these are all tasks below top priority, for a job within its team's guarantee the tasks that
+// other teams run beyond theirs, and for any job idle-time work of a lower priority. remaining
+// holds the tasks of the machines that change in the transaction.
 func (c *Controller) preemptionCandidates(now time.Time, job *storage.Job, input *schedule.Input, remaining map[int32][]storage.PlacedTask, cutoffs []time.Time) []schedule.Candidate {
 	var list candidateList
 	forGuarantee := !job.Priority.Top() && mayPreemptForGuarantee(job, input, cutoffs)
-	excess := make([]storage.Usage, len(input.Used)) // by team, beyond its guarantee
+	excess := make([]storage.Usage, len(input.Used)) // usage beyond the guarantee, by team
 	for team, used := range input.Used {
 		excess[team] = storage.Usage{Cpus: used.Cpus - input.Teams[team].Cpus, Gpus: used.Gpus - input.Teams[team].Gpus}
 	}
@@ -124,7 +126,7 @@
 				continue
 			}
 			if !other.Open() || placed.Attempt >= c.nextRevision() || c.cache.IsVictim(placed) {
-				continue // it goes anyway, or only starts with this transaction
+				continue // the task ends anyway, or is only placed by this transaction
 			}
 			if preemptibleForGuarantee {
 				excess[other.Team].Add(other, -1)
@@ -135,8 +137,8 @@
 	return list.candidates
 }
 
-// lostRunSeconds is how many seconds of a task's run would be lost if it were stopped now: since its
-// start or its last checkpoint.
+// lostRunSeconds returns how many seconds of a task's run would be lost if it were stopped now: the
+// time since its start or its last checkpoint.
 func lostRunSeconds(worker *workerState, placed storage.PlacedTask, now time.Time) float64 {
 	ref, ran := dispatch.RefOf(placed), 0.0
 	if started, ok := worker.started[ref]; ok {
--- a/internal/controller/team_bounds.go
+++ b/internal/controller/team_bounds.go
@@ -10,18 +10,20 @@
 	"dykeledge/internal/storage"
 )
 
-// This file compares and checks teams' guarantees and limits. Nothing here depends on a controller.
+// This file compares and validates teams' guarantees and limits. Its functions depend on no
+// controller state.
 
-// limitTolerance is by how much usage may be above a limit, for rounding.
+// limitTolerance is the rounding error by which usage may exceed a limit.
 const limitTolerance = 1e-6
 
-// amountExpected tells what a guarantee or limit has to be.
+// amountExpected describes the valid values of a guarantee or limit in errors.
 const amountExpected = "a number of 0 or more; a limit of 0 is none"
 
-// boundNames are the names of guarantees and limits in a change.
+// boundNames lists the names of guarantees and limits in a change request, in the order in which
+// checkBounds checks them.
 var boundNames = []string{"cpus", "cpus_max", "gpus", "gpus_max"}
 
-// excessOf is what a team uses beyond a limit.
+// excessOf returns by how much a team's usage exceeds its limits. A limit of 0 means no limit.
 func excessOf(b storage.TeamBounds, u storage.Usage) (cpus, gpus float64) {
 	if b.CpusMax > 0 {
 		cpus = max(0, u.Cpus-b.CpusMax)
@@ -32,20 +34,20 @@
 	return cpus, gpus
 }
 
-// withinBounds tells whether a team's usage is within its limits.
+// withinBounds reports whether a team's usage is within its limits.
 func withinBounds(b storage.TeamBounds, u storage.Usage) bool {
 	cpus, gpus := excessOf(b, u)
 	return cpus <= limitTolerance && gpus <= limitTolerance
 }
 
-// tighter tells whether some limit of a is lower than that of b.
+// tighter reports whether any limit of a is lower than that of b.
 func tighter(a, b storage.TeamBounds) bool {
 	lower := func(x, y float64) bool { return x > 0 && (y <= 0 || x < y) }
 	return lower(a.CpusMax, b.CpusMax) || lower(a.GpusMax, b.GpusMax)
 }
 
-// looser has the higher limit of both in each resource, with the guarantees of b: of a change that
-// lowers one limit and raises another, the raised one counts at once.
+// looser returns the higher limit of a and b for each resource, with the guarantees of b. When a
+// change lowers one limit and raises another, the raised one thus takes effect immediately.
 func looser(a, b storage.TeamBounds) storage.TeamBounds {
 	higher := func(x, y float64) float64 {
 		if x <= 0 || y <= 0 {
@@ -57,7 +59,8 @@
 	return b
 }
 
-// changeBounds applies a change, given as a JSON object of names and values; the whole of it is checked.
+// changeBounds applies a change, given as a JSON object of names and values, and validates the
+// result.
 func changeBounds(bounds storage.TeamBounds, change json.RawMessage) (storage.TeamBounds, error) {
 	var values map[string]json.RawMessage
 	if err := json.Unmarshal(change, &values); err != nil || len(values) == 0 {
@@ -81,7 +84,7 @@
 	return bounds, checkBounds(bounds)
 }
 
-// checkBounds refuses amounts that are no amounts, and guarantees above the limit.
+// checkBounds returns an error for an invalid amount or a guarantee above the limit.
 func checkBounds(bounds storage.TeamBounds) error {
 	for i, value := range []float64{bounds.Cpus, bounds.CpusMax, bounds.Gpus, bounds.GpusMax} {
 		if math.IsNaN(value) || value < 0 || math.IsInf(value, 0) {
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -11,31 +11,35 @@
 	"dykeledge/internal/storage"
 )
 
-// This file carries out changes of teams' limits while the deployment serves. A limit that is raised
-// counts at once: an owner that has not seen it places less. A limit that is lowered bounds what
-// starts as soon as the owner of the team's shard reads it, and counts only from when that owner
-// says so in the record, since what its records hold is under it; until then the former limit
-// counts, and tasks beyond the new one are evicted by the ranking of all preemptions. Only the owner
-// places a team's tasks, and its commits depend on its ownership: so an owner that stalls over a
-// change and resumes later may still place by the former limit, while that one counts, and never after.
+// This file applies changes of teams' limits at run time. A raised limit takes effect immediately:
+// an owner that has not seen it places fewer tasks than it could. A lowered limit bounds new
+// placements as soon as the owner of the team's shard reads it. It counts as in force only once
+// that owner writes so in the team's record, because the tasks in its records are within the limit;
+// until then the former limit counts, and tasks beyond the new one are evicted in the order of the
+// preemption ranking. Only the owner places a team's tasks, and its commits are conditional on its
+// ownership. Therefore an owner that stalls during a change and resumes later can place tasks by
+// the former limit only while that limit still counts.
 
 const (
-	// limitSetPrefix begins the names of victim sets that bring a team under its limit.
+	// limitSetPrefix is the prefix of the names of victim sets that bring a team within its limit.
 	limitSetPrefix = "limit:"
-	// limitChangesDivisor is the part of a transaction, one in so many, that lowered limits may fill.
+	// limitChangesDivisor bounds the changes for lowered limits in a transaction: they are added
+	// only while fewer than the maximum number of operations divided by it are used.
 	limitChangesDivisor = 4
 )
 
-// limitSetName is the name of the victim set for a team's limit.
+// limitSetName returns the name of the victim set for a team's limit.
 func limitSetName(team int) string { return fmt.Sprintf("%s%d", limitSetPrefix, team) }
 
-// limitSetTeam tells whether a victim set is for a team's limit, and which team's.
+// limitSetTeam returns the team's index, as text, from the name of a victim set for a team's limit,
+// and reports whether the name is one.
 func limitSetTeam(id string) (string, bool) { return strings.CutPrefix(id, limitSetPrefix) }
 
-// planLimits carries on with limits that are being lowered, of teams whose shard this controller
-// owns: those that the records prove to be kept count from now on (what this transaction places is
-// within them), and tasks beyond the others are evicted. It comes before what ends and starts: at
-// the peak those fill every transaction, and lowered limits waited for a minute.
+// planLimits continues lowering the limits of teams whose shards this controller owns. A lowered
+// limit is recorded as in force if the records show that the team is within it (the tasks placed by
+// this transaction are too); otherwise tasks beyond it are evicted. This is planned before
+// completions and placements, which fill every transaction at peak load: lowered limits then waited
+// for a minute.
 func (c *Controller) planLimits(now time.Time, planned *plannedTxn) {
 	for team, entry := range c.cache.TeamEntries {
 		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitChangesDivisor) {
@@ -53,8 +57,8 @@
 	}
 }
 
-// evictForLimit names the tasks that have to go for a team to be under its limit, as one record
-// before any of them is stopped.
+// evictForLimit adds one record that names the tasks to evict for a team's limit, so that it is
+// written before any of them is stopped.
 func (c *Controller) evictForLimit(now time.Time, planned *plannedTxn, team int, bounds storage.TeamBounds) {
 	candidates := c.limitCandidates(now, team)
 	schedule.RankCandidates(c.planner.alpha, candidates)
@@ -70,7 +74,8 @@
 	planned.usedOps++
 }
 
-// usedByRunning is what a team uses without what is known to have ended, which leaves the records by itself.
+// usedByRunning returns a team's usage without tasks that are known to have ended and are still in
+// the records; those are removed without an eviction.
 func (c *Controller) usedByRunning(team int) storage.Usage {
 	used := c.cache.Used[team]
 	for _, machine := range c.cache.Machines {
@@ -87,8 +92,8 @@
 	return used
 }
 
-// limitCandidates are a team's tasks, wherever they run, that are not known to have ended and that
-// no other set evicts.
+// limitCandidates returns a team's tasks on all machines, except those that are known to have ended
+// or are already victims.
 func (c *Controller) limitCandidates(now time.Time, team int) []schedule.Candidate {
 	var list candidateList
 	for _, machine := range c.cache.Machines {
--- a/internal/controller/victim_sets.go
+++ b/internal/controller/victim_sets.go
@@ -10,17 +10,17 @@
 	"dykeledge/internal/storage"
 )
 
-// A victim set is a record that names the attempts which have to stop for a job or for a team's
-// limit, and the capacity that is kept for the job meanwhile.
+// A victim set is a record that names the attempts to stop for the benefit of a job or because of a
+// team's limit, and the capacity that is reserved for the job meanwhile.
 
-// What a victim takes in a victim set's record, in bytes at most.
+// Upper bounds on the size of a victim's entry in a victim set's record, in bytes.
 const (
 	victimBytes       = 130
 	victimBytesPacked = 24
 )
 
-// truncateToRecordLimit keeps as many of the chosen candidates as one record can name. A job
-// that needs more preempts again once this set has served.
+// truncateToRecordLimit returns as many of the chosen candidates, from the first on, as one record
+// can name. A job that needs more preempts again once this victim set is finished.
 func (c *Controller) truncateToRecordLimit(chosen []schedule.Candidate) []schedule.Candidate {
 	bytesPerVictim := victimBytes
 	if c.cache.Packed() {
@@ -35,7 +35,8 @@
 	return chosen
 }
 
-// victimRecords name the victims of candidates, with their candidate's score to the tenth.
+// victimRecords returns the records of the candidates' victims. Each holds its candidate's score,
+// truncated to one decimal.
 func victimRecords(chosen []schedule.Candidate) []storage.VictimRecord {
 	var records []storage.VictimRecord
 	for _, candidate := range chosen {
@@ -48,8 +49,8 @@
 	return records
 }
 
-// putVictimSet writes the victims chosen for a job as one record, before any of them is stopped.
-// short is how many tasks of the job lack capacity.
+// putVictimSet adds a record of the victims chosen for a job to the transaction, so that it is
+// written before any of them is stopped. short is the number of the job's tasks that lack capacity.
 func (c *Controller) putVictimSet(now time.Time, builder *txnBuilder, job *storage.Job, chosen []schedule.Candidate, short int) {
 	c.requireVictimGroups(builder, chosen)
 	record := storage.VictimSetRecord{
@@ -63,15 +64,16 @@
 	builder.require(storage.JobKey(job.ID), job.Version)
 	raw := storage.EncodeVictimSet(&record, c.cache.Packed())
 	if len(raw) > c.valueLimit() {
-		c.log.Error("victim set does not fit its record", "job", job.ID, "victims", len(record.Victims), "bytes", len(raw))
+		c.log.Error("victim set record exceeds the value limit", "job", job.ID, "victims", len(record.Victims), "bytes", len(raw))
 		return
 	}
 	key := storage.VictimSetKey(job.ID)
 	builder.put(key, 0, protocol.Change{Put: key, Value: raw})
 }
 
-// requireVictimGroups makes the transaction depend on the records that hold the victims, as far
-// as conditions are left. A victim that has ended meanwhile does no harm: its stop finds nothing.
+// requireVictimGroups makes the transaction depend on the group records that hold the victims, as
+// far as the limit on conditions allows. A victim whose group is not covered may have ended
+// meanwhile; stopping it then has no effect.
 func (c *Controller) requireVictimGroups(builder *txnBuilder, chosen []schedule.Candidate) {
 	maxConditions := conditionsPerOp*c.limits().TxnOps - 2 - c.cache.NumShards
 	for _, candidate := range chosen {
@@ -85,8 +87,8 @@
 	}
 }
 
-// reservationsFor is where a job's tasks have capacity once the victims are gone, for at most
-// short of them, by machine name.
+// reservationsFor returns the capacity, by machine name, that a job's tasks will have once the
+// victims have ended, for at most short tasks.
 func reservationsFor(job *storage.Job, chosen []schedule.Candidate, short int) []storage.ReservationRecord {
 	freed := map[*schedule.Slot]storage.Usage{}
 	for _, candidate := range chosen {
@@ -110,7 +112,7 @@
 	return reservations
 }
 
-// reservedCapacity is what victim sets keep for their jobs, by machine name.
+// reservedCapacity returns the capacity that victim sets reserve for their jobs, by machine name.
 func (c *Controller) reservedCapacity() map[string][]schedule.Reservation {
 	reserved := map[string][]schedule.Reservation{}
 	for id, set := range c.cache.VictimSets {
@@ -131,8 +133,9 @@
 	return reserved
 }
 
-// victimSetFinished tells whether a victim set has served: its victims are gone, and the job that
-// it freed capacity for has taken it, or is over. A set for a team's limit reserves none.
+// victimSetFinished reports whether a victim set is finished: its victims have ended, and the job
+// for which capacity was reserved has taken it or needs no more, or the job is over. A set for a
+// team's limit reserves no capacity.
 func (c *Controller) victimSetFinished(id string, set *storage.VictimSet) bool {
 	if _, forLimit := limitSetTeam(id); forLimit {
 		return c.victimsGone(set)
@@ -144,7 +147,7 @@
 	return c.victimsGone(set) && (job.Waiting() == 0 || c.reservationsUsed(set, job))
 }
 
-// victimsGone tells whether no machine's record holds a victim of a set any more.
+// victimsGone reports whether no machine's record holds a victim of a set any more.
 func (c *Controller) victimsGone(set *storage.VictimSet) bool {
 	for _, victim := range set.Victims {
 		machine := c.cache.Machine(victim.Machine)
@@ -160,7 +163,8 @@
 	return true
 }
 
-// reservationsUsed tells whether all capacity that a set keeps is taken by its job, or lost.
+// reservationsUsed reports whether all capacity that a set reserves has been taken by its job or
+// has become unavailable.
 func (c *Controller) reservationsUsed(set *storage.VictimSet, job *storage.Job) bool {
 	for _, reservation := range set.Reservations {
 		machine := c.cache.Machine(reservation.Machine)
@@ -177,7 +181,7 @@
 	return true
 }
 
-// slotsLeft is how many of a reservation's slots its job has not taken.
+// slotsLeft returns how many of a reservation's slots its job has not taken yet.
 func slotsLeft(set *storage.VictimSet, reservation storage.ReservationRecord, job *storage.Job, machine *storage.Machine) int {
 	left := reservation.Slots
 	for _, placed := range machine.Tasks {
