--- a/internal/controller/deadline_inheritance.go
+++ b/internal/controller/deadline_inheritance.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// dependencyStepDelay and stepMargin are what lies between two jobs of a pipeline beyond the estimate: the last
-	// task's heartbeat, the final record, the next placement, the fetch of its image; and an array
-	// lasts as long as its slowest task.
+	// dependencyStepDelay and estimateMargin give the time between two dependent jobs beyond the
+	// estimate. The delay covers the last task's heartbeat, the final record, the next placement
+	// and its image fetch; the margin is needed because an array takes as long as its slowest task.
 	dependencyStepDelay = 6 * time.Second
 	estimateMargin      = 1.4
 )
 
-// inheritDeadlines keeps up what jobs inherit from those that need them, and looks at those that
-// became ready.
+// inheritDeadlines updates the deadlines and priorities that jobs inherit from the jobs that depend
+// on them, and counts and logs jobs that became ready.
 func (c *Controller) inheritDeadlines() {
 	c.cache.Inherit(c.finishTimes, expectedDuration)
 	for _, job := range c.cache.NewlyReady() {
@@ -26,8 +26,8 @@
 	}
 }
 
-// finishTimes is when a job should be over by its own deadline, and by the latest of those that
-// count it as nearly in time; zero for a job without a deadline.
+// finishTimes returns when a job should end by its own deadline, and the latest time at which an
+// objective of its class still counts it. Both are zero for a job without a deadline.
 func (c *Controller) finishTimes(job *storage.Job) (by, late time.Time) {
 	if job.Deadline <= 0 {
 		return by, late
@@ -42,7 +42,8 @@
 	return job.Submitted.Add(job.Deadline), job.Submitted.Add(time.Duration(float64(job.Deadline) * times))
 }
 
-// expectedDuration is a rough estimate of how long a job takes once it is ready.
+// expectedDuration returns a rough estimate of the time from when a job is ready until the jobs
+// that depend on it can start.
 func expectedDuration(job *storage.Job) time.Duration {
 	return dependencyStepDelay + time.Duration(estimateMargin*job.Estimate*float64(time.Second))
 }
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	// maxDrainUsage is the used part of a machine below which it may be drained.
+	// maxDrainUsage is the used fraction of a machine's CPUs up to which it may be drained.
 	maxDrainUsage = 0.6
-	// minTaskAgeS is how many seconds a task must have been placed before it is moved off a
-	// machine, so that it is not moved again and again.
+	// minTaskAgeS is how many seconds a task with checkpoints must have been placed before its
+	// machine may be drained, so that it is not moved again and again.
 	minTaskAgeS = 20
-	// maxDrainFraction is the part of the fleet that may begin to drain in one pass.
+	// maxDrainFraction is the fraction of the fleet that may start draining in one pass.
 	maxDrainFraction = 1.0 / 24
-	// minDrainSurplus is how many whole machines a pool must have too many for one of them to be drained.
+	// minDrainSurplus is the surplus of a pool, in whole machines, from which on one of its
+	// machines may be drained.
 	minDrainSurplus = 1.5
-	// restoreAfter is how long a job must have waited to be given a machine that is being drained:
-	// others may be about to be up.
+	// restoreAfter is how long a job must have waited before a draining machine is returned to
+	// service for it: other machines may be about to come up.
 	restoreAfter = 20 * time.Second
 )
 
-// drainingState is what the leader knows of work that waits beside machines that are being drained.
+// drainingState is the leader's state about work that waits while machines are draining.
 type drainingState struct {
-	// stuckSince is since when work has waited for which only drained machines have capacity.
+	// stuckSince is the time since which work has waited for which only draining machines have
+	// capacity.
 	stuckSince time.Time
 }
 
 // drainCandidate is a machine that may be drained.
 type drainCandidate struct {
 	machine *storage.Machine
-	used    float64 // part of its CPUs
+	used    float64 // used fraction of its CPUs
 }
 
-// drainSurvey is what a pass over the machines tells about draining them.
+// drainSurvey is the result of a pass over all machines: what is needed to decide on draining.
 type drainSurvey struct {
 	fleetSize  int
-	surplus    float64            // whole machines that are not needed, less those that are drained
-	drained    []*storage.Machine // that are being drained
+	surplus    float64            // machines that are not needed, in whole machines, minus those that are draining
+	drained    []*storage.Machine // machines that are draining
 	candidates []drainCandidate
-	waiting    float64 // CPUs of waiting work beyond what is free on the other machines
-	stuck      float64 // the same of work that its team's limit lets run
+	waiting    float64 // CPUs of waiting work minus those free on machines that are not draining
+	stuck      float64 // the same, counting only work within its team's limit
 }
 
-// drainSurplus empties machines that are not needed but still run a few tasks, the most expensive
-// and emptiest first, and puts drained machines back into service when they are needed after
-// all. Tasks without checkpoints run to their end where they are.
+// drainSurplus drains machines that are not needed but still run a few tasks, the most expensive
+// and least used first, and returns draining machines to service when they are needed after all.
+// Tasks without checkpoints run to their end where they are.
 func (c *Controller) drainSurplus(now time.Time, plan autoscale.Plan, retention time.Duration) {
 	survey := c.surveyDraining(now, plan, retention)
 	if plan.Urgent > 0 {
@@ -64,7 +66,7 @@
 	}
 }
 
-// surveyDraining looks at all machines once.
+// surveyDraining collects the data about all machines in one pass.
 func (c *Controller) surveyDraining(now time.Time, plan autoscale.Plan, retention time.Duration) *drainSurvey {
 	survey := &drainSurvey{waiting: c.waitingCpus(now), stuck: c.runnableWithinLimits(now)}
 	for _, machines := range plan.Surplus {
@@ -96,7 +98,7 @@
 	return survey
 }
 
-// waitingCpus is how much work waits, idle-time work aside.
+// waitingCpus returns the CPUs that waiting work needs, except idle-time work.
 func (c *Controller) waitingCpus(now time.Time) float64 {
 	waiting := 0.0
 	for _, job := range c.cache.Jobs {
@@ -107,8 +109,8 @@
 	return waiting
 }
 
-// usedFraction is the part of a machine's CPUs that its tasks use. On machines paid in full, idle-time
-// work counts as free capacity.
+// usedFraction returns the fraction of a machine's CPUs that its tasks use. On on-demand machines,
+// idle-time work counts as free capacity.
 func (c *Controller) usedFraction(m *storage.Machine, now time.Time) float64 {
 	used, cpus := 0.0, c.cache.Types[m.Type].Cpus
 	for _, placed := range m.Tasks {
@@ -119,8 +121,8 @@
 	return used
 }
 
-// tasksOldEnough tells whether no task of a machine was moved or started a moment ago. What has neither
-// checkpoints nor replicas is not moved anyway.
+// tasksOldEnough reports whether no checkpointed task and no replica on a machine was placed too
+// recently to be moved. Other tasks are never moved.
 func tasksOldEnough(m *storage.Machine, now time.Time) bool {
 	return !slices.ContainsFunc(m.Tasks, func(placed storage.PlacedTask) bool {
 		ranS := now.Unix() - placed.PlacedAt
@@ -130,16 +132,17 @@
 	})
 }
 
-// restoreNeeded puts a drained machine back into service if a job fits on no other. Sums of free
-// capacity say nothing of which machine has it, and for what.
+// restoreNeeded returns a draining machine to service if a job fits on no other machine. Sums of
+// free capacity do not show this, because they ignore which machine has the capacity and for which
+// work.
 func (c *Controller) restoreNeeded(now time.Time, drained []*storage.Machine) {
 	if machine := c.findNeededDrained(drained, now); machine != nil {
 		c.setDraining(machine, false)
 	}
 }
 
-// findNeededDrained finds a drained machine on which a job fits that has waited for a while and fits
-// on no other; nil: there is none.
+// findNeededDrained returns a draining machine on which a job fits that has waited for restoreAfter
+// and fits on no other machine, or nil if there is none.
 func (c *Controller) findNeededDrained(drained []*storage.Machine, now time.Time) *storage.Machine {
 	fit := fitChecker{c: c}
 	examined := 0
@@ -158,10 +161,10 @@
 	return nil
 }
 
-// restoreForStuckWork puts a drained machine back into service when work has waited for a while
-// for which only drained machines have capacity. By the sums such a machine is capacity, so
-// nothing is provisioned for that work; but one whose tasks go on for long never empties, and the work
-// would wait as long.
+// restoreForStuckWork returns a draining machine to service when work has waited for stuckAfter for
+// which only draining machines have capacity. In the sums such a machine counts as capacity, so
+// nothing is provisioned for that work; but a machine with long-running tasks does not become
+// empty, and the work would wait as long.
 func (c *Controller) restoreForStuckWork(now time.Time, survey *drainSurvey, urgent bool) {
 	switch {
 	case survey.stuck <= 0 || urgent || len(survey.drained) == 0:
@@ -174,8 +177,8 @@
 	}
 }
 
-// drainCandidates begins to drain the most expensive and emptiest candidates, as many as the
-// surplus and the pace of draining allow.
+// drainCandidates starts draining the most expensive and least used candidates, as many as the
+// surplus and maxDrainFraction allow.
 func (c *Controller) drainCandidates(survey *drainSurvey) {
 	slices.SortFunc(survey.candidates, func(a, b drainCandidate) int {
 		return cmp.Or(cmp.Compare(c.cpuPrice(b.machine), c.cpuPrice(a.machine)), cmp.Compare(a.used, b.used),
--- a/internal/controller/group_allocator.go
+++ b/internal/controller/group_allocator.go
@@ -2,11 +2,11 @@
 
 import "dykeledge/internal/storage"
 
-// maxGroupSize bounds how many machines move, and change their owner, together.
+// maxGroupSize limits how many machines share a group, and so move and change their owner together.
 const maxGroupSize = 24
 
-// groupSize is how many machines share a record: as few as let every group be written about once
-// a second with half of the state service's rate of changes.
+// groupSize returns the number of machines that share a record: the smallest that allows every
+// group's record to be written about once a second with half of the state service's write rate.
 func (c *Controller) groupSize() int {
 	machines := len(c.leader.pendingMachines)
 	for range c.machinesInService() {
@@ -16,15 +16,16 @@
 	return min(maxGroupSize, (machines+groups-1)/groups)
 }
 
-// groupAllocator finds groups for new machines. Spot and on-demand machines do not share a group:
-// work that may not use spot machines moves none of them with it.
+// groupAllocator assigns new machines to groups. Spot and on-demand machines do not share a group,
+// so that a move of on-demand machines for work that must not use spot machines moves no spot
+// machines.
 type groupAllocator struct {
 	groupSize int
 	nextID    int
 	groups    map[int]*groupCapacity
 }
 
-// groupCapacity is how many more machines a group takes, and of which kind.
+// groupCapacity holds how many more machines a group takes, and whether they must be spot machines.
 type groupCapacity struct {
 	shard, free int
 	empty, spot bool
@@ -48,8 +49,8 @@
 	return allocator
 }
 
-// allocate returns the group of a shard with the most free places, and takes one of them; a new
-// group if there is none.
+// allocate takes a place in the shard's group with the most free places and returns the group's ID.
+// It creates a group if none has a free place.
 func (a *groupAllocator) allocate(shard int, spot bool) (id int, created bool) {
 	var best *groupCapacity
 	for candidate := range a.nextID {
--- a/internal/controller/job_objectives.go
+++ b/internal/controller/job_objectives.go
@@ -8,26 +8,30 @@
 	"dykeledge/internal/storage"
 )
 
-// objectiveKindWait is the kind of an objective on starting; others are on finishing.
+// objectiveKindWait is the kind of an objective on the start of jobs; all other kinds are on their
+// end.
 const objectiveKindWait = "wait"
 
-// lateAllowanceFactor is how many times its latest objective a job that has missed every objective
-// is given. It steps behind work that can still be in time, but not for ever: it must not starve.
+// lateAllowanceFactor times its latest objective is the time allowed to a job that has missed every
+// objective. Such a job yields to work that can still be in time, but only for a limited time, so
+// that it does not starve.
 const lateAllowanceFactor = 1.5
 
-// minIdleWorkWait is how long idle-time work is left to capacity that others leave, at least.
+// minIdleWorkWait is the minimum time for which idle-time work only uses capacity that other work
+// leaves free.
 const minIdleWorkWait = 10 * time.Minute
 
-// timeAllowed is how long after it became ready a job may take in order to meet the tightest
-// objective that its class still can; 0: there is none.
+// timeAllowed returns the time, from when a job became ready, within which it must end to meet the
+// tightest objective that it still can meet; 0 means that there is no objective.
 func (c *Controller) timeAllowed(job *storage.Job, now time.Time) time.Duration {
 	allowed, _ := c.objectiveLeft(job, now)
 	return allowed
 }
 
-// objectiveLeft is timeAllowed, and whether every objective is missed.
+// objectiveLeft returns the same time as timeAllowed, and whether every objective is missed. If so,
+// the time is lateAllowanceFactor times the latest objective.
 func (c *Controller) objectiveLeft(job *storage.Job, now time.Time) (allowed time.Duration, late bool) {
-	minDuration := now.Sub(job.ReadyAt) + seconds(job.Estimate) // if it started now
+	minDuration := now.Sub(job.ReadyAt) + seconds(job.Estimate) // duration from ready to end if the job started now
 	var tightest, latest time.Duration
 	addObjective := func(limit time.Duration) {
 		latest = max(latest, limit)
@@ -35,12 +39,12 @@
 			tightest = limit
 		}
 	}
-	due := job.Submitted.Add(job.Deadline).Sub(job.ReadyAt) // a deadline counts from the submission
+	due := job.Submitted.Add(job.Deadline).Sub(job.ReadyAt) // deadlines count from the submission
 	if job.Deadline > 0 {
 		addObjective(due)
 	}
 	if !job.FinishBy.IsZero() {
-		addObjective(job.FinishBy.Sub(job.ReadyAt)) // for the jobs that depend on it
+		addObjective(job.FinishBy.Sub(job.ReadyAt)) // inherited from the jobs that depend on it
 		addObjective(job.FinishLatest.Sub(job.ReadyAt))
 	}
 	class := c.cache.Classes.Name(job.Class)
@@ -59,8 +63,9 @@
 	return allowed, allowed > 0
 }
 
-// objectiveLimit is how long after it became ready a job may take by one objective; ok is false
-// if the objective says nothing of it. due is the job's own deadline, likewise.
+// objectiveLimit returns the time, from when a job became ready, within which it must end to meet
+// an objective; ok is false if the objective does not apply to the job. due is the time of the
+// job's own deadline, also counted from when it became ready.
 func objectiveLimit(objective config.Objective, job *storage.Job, due time.Duration) (limit time.Duration, ok bool) {
 	switch {
 	case objective.Kind == objectiveKindWait && objective.WithinS > 0:
@@ -73,10 +78,10 @@
 	return 0, false
 }
 
-// isIdleWork tells whether a job is idle-time work: of the lowest priority, with no objective,
-// and content with spot machines. It runs in capacity that others leave: no machine moves or is
-// rented on demand for it, and any other work may preempt it. A job that has waited far too long
-// is idle-time work no more: an accepted job must run.
+// isIdleWork reports whether a job is idle-time work: it has the lowest priority and no objective,
+// and may use spot machines. Idle-time work runs in capacity that other work leaves free: no
+// machines are moved or rented on demand for it, and any other work may preempt it. A job that has
+// waited for too long is no longer idle-time work, because every accepted job must run.
 func (c *Controller) isIdleWork(job *storage.Job, now time.Time) bool {
 	return job.Priority == protocol.Low && job.Spot &&
 		now.Sub(job.ReadyAt) < minIdleWorkWait+4*seconds(job.Estimate) &&
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -114,19 +114,19 @@
 		*active = loads.overloaded
 		return loads.overloaded
 	}
-	waits := c.planner.buffers.waitingWork[:0]
+	waitingWork := c.planner.buffers.waitingWork[:0]
 	for _, job := range jobs {
 		if job == nil || job.Suspect || job.Waiting() == 0 {
 			continue
 		}
 		allowed, late := c.objectiveLeft(job, now)
 		if work, ok := schedule.WaitingWorkOf(now, job, job.Waiting(), allowed, late); ok {
-			waits = append(waits, work)
+			waitingWork = append(waitingWork, work)
 		}
 	}
-	c.planner.buffers.waitingWork = waits
+	c.planner.buffers.waitingWork = waitingWork
 	capacity.Busy = loads.meanBusyS
-	*active = schedule.LoadFactor(waits, capacity) > schedule.OverloadFactor
+	*active = schedule.LoadFactor(waitingWork, capacity) > schedule.OverloadFactor
 	return *active
 }
 
--- a/internal/controller/plan_completions.go
+++ b/internal/controller/plan_completions.go
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	update := planned.includeGroup(machine.Group)
+	update := planned.group(machine.Group)
 	remaining := make([]storage.PlacedTask, 0, len(machine.Tasks))
 	for _, placed := range machine.Tasks {
 		outcome, gone := worker.Gone[dispatch.RefOf(placed)]
@@ -152,7 +152,7 @@
 func (c *Controller) foldCompletions(planned *plannedTxn) {
 	limit := maxListedCompletions
 	if c.cache.Packed() {
-		limit = min(limit, c.valueLimit()/4/packedSizes.completedTask)
+		limit = min(limit, c.valueLimit()/4/packedSizes.completedTasks)
 	}
 	for _, update := range planned.groups {
 		if len(update.completedTasks) <= limit || planned.full() {
--- a/internal/controller/plan_placements.go
+++ b/internal/controller/plan_placements.go
@@ -37,7 +37,7 @@
 			}
 			planned.require(key, placement.Job.Version) // the transaction fails if the job was cancelled meanwhile
 		}
-		if planned.includeGroup(placement.Slot.Machine.Group) == nil {
+		if planned.group(placement.Slot.Machine.Group) == nil {
 			planned.more = true
 			continue
 		}
--- a/internal/controller/planned_txn.go
+++ b/internal/controller/planned_txn.go
@@ -91,9 +91,9 @@
 // full reports whether the limit on puts and deletes is reached.
 func (t *plannedTxn) full() bool { return t.usedOps >= t.maxOps }
 
-// includeGroup adds a machine group's record to the transaction. It returns nil if the transaction
+// group adds a machine group's record to the transaction. It returns nil if the transaction
 // is full.
-func (t *plannedTxn) includeGroup(group *storage.MachineGroup) *groupUpdate {
+func (t *plannedTxn) group(group *storage.MachineGroup) *groupUpdate {
 	update := t.groups[group]
 	if update == nil && !t.full() {
 		update = &groupUpdate{completedTasks: group.UnsavedCompletions()}
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -90,9 +90,9 @@
 // putFleets adds the fleet records from which machines are removed to the transaction. A fleet
 // record that lists no machine any more is deleted.
 func (c *Controller) putFleets(planned *plannedTxn) {
-	for fleet, removed := range planned.removedMachines {
+	for fleet, removedMachines := range planned.removedMachines {
 		key := storage.FleetKey(fleet.ID)
-		record, hasMachines := c.cache.FleetWithout(fleet, removed)
+		record, hasMachines := c.cache.FleetWithout(fleet, removedMachines)
 		if hasMachines {
 			planned.put(key, fleet.Version, protocol.Change{Put: key, Value: storage.EncodeFleet(&record, c.cache.Packed())})
 		} else {
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -8,45 +8,48 @@
 )
 
 const (
-	// moveMargin keeps groups from being moved for a small difference in load: a move costs a moment
-	// until the workers have found their new owner.
+	// moveMargin is the ratio of loads below which no group is moved: after a move it takes a
+	// moment until the workers have found their new owner.
 	moveMargin = 1.1
-	// idleMargin is how much more than its own work takes a shard keeps before machines move for
-	// another shard's idle-time work.
+	// idleMargin is the ratio of capacity to non-idle work that a shard keeps when machines move
+	// for another shard's idle-time work.
 	idleMargin = 1.25
-	// maxMovesPerPass bounds how many groups move in one pass.
+	// maxMovesPerPass limits how many groups move in one pass.
 	maxMovesPerPass = 6
-	// moveCooldown is how long a group that was moved stays where it is.
+	// moveCooldown is how long a group stays in its shard after a move.
 	moveCooldown = 6 * time.Second
-	// fitCheckAfter is how long a job must have waited for it to be looked at by itself.
+	// fitCheckAfter is how long a job must have waited before it is checked individually whether it
+	// fits on a machine of its shard.
 	fitCheckAfter = 5 * time.Second
 )
 
-// workKind is what a pass looks at.
+// workKind selects the work that a rebalancing pass considers.
 type workKind uint8
 
 const (
-	onDemandWork workKind = iota // work that may not use spot machines, and on-demand machines
-	allWork                      // all but idle-time work
-	idleWork                     // idle-time work too, once nothing else waits
+	onDemandWork workKind = iota // work that must not use spot machines, and on-demand machines only
+	allWork                      // all work except idle-time work
+	idleWork                     // all work; the pass moves groups only if no other work lacks capacity
 )
 
-// rebalancePass is one pass over one kind of work.
+// rebalancePass is one rebalancing pass over one kind of work.
 type rebalancePass struct {
 	*rebalancer
 	now    time.Time
 	kind   workKind
 	shards []shardLoad
-	// idle are jobs of idle-time work that counts as free capacity until nothing else waits: a
-	// shard whose only work it was took machines from teams that had to be in time.
+	// idle holds the jobs of idle-time work. Their tasks count as free capacity in passes over
+	// other work; otherwise a shard with idle-time work only could draw machines from teams whose
+	// work has objectives.
 	idle map[*storage.Job]bool
-	// withoutFit are shards with work that waits beside enough free capacity, where none of it fits.
+	// withoutFit marks shards with a waiting job that fits on none of their machines although the
+	// sum of free capacity would suffice.
 	withoutFit       []bool
-	withoutCandidate []bool // no group helps them
+	withoutCandidate []bool // shards for which no group to move was found
 }
 
-// rebalancePass moves groups one by one from the least to the most loaded shard, as long as the
-// latter's work waits and the former stays the less loaded one.
+// rebalancePass moves groups one by one from the least loaded shard to the most loaded one with
+// waiting work, as long as the source remains the less loaded one.
 func (r *rebalancer) rebalancePass(now time.Time, kind workKind) {
 	shardCount := r.c.cache.NumShards
 	pass := &rebalancePass{
@@ -75,9 +78,9 @@
 	pass.moveGroups()
 }
 
-// addJobs sums up the shards' work.
+// addJobs adds up the shards' work.
 func (p *rebalancePass) addJobs() {
-	budget := p.c.newLimitBudget() // what exceeds a team's limit waits for the limit, not for capacity
+	budget := p.c.newLimitBudget() // work beyond a team's limit does not wait for capacity
 	for _, job := range p.c.cache.Jobs {
 		if job == nil || !job.Open() || (p.kind == onDemandWork && job.Spot) {
 			continue
@@ -86,7 +89,7 @@
 	}
 }
 
-// addJob counts a job of which some tasks wait.
+// addJob adds a job's placed tasks, and the given number of waiting ones, to its shard's load.
 func (p *rebalancePass) addJob(job *storage.Job, waitingTasks int) {
 	shard := &p.shards[job.Shard]
 	waiting, placed := float64(waitingTasks)*job.Size, float64(job.PlacedCount)*job.Size
@@ -101,13 +104,13 @@
 	}
 	shard.demand += placed
 	if state := p.c.jobStates[job]; state != nil && p.now.Before(state.backoff) {
-		return // its waiting tasks would not start now
+		return // waiting tasks of a job in backoff would not start now
 	}
 	shard.waiting += waiting
 	shard.demand += waiting
 }
 
-// addGroups sums up the shards' machines.
+// addGroups adds up the capacity of the shards' machines.
 func (p *rebalancePass) addGroups() {
 	for _, group := range p.c.cache.Groups {
 		if group.Version == 0 || p.moved[group] {
@@ -121,7 +124,7 @@
 	}
 }
 
-// groupLoad sums up a group's machines.
+// groupLoad adds up the capacity of a group's machines.
 func (p *rebalancePass) groupLoad(group *storage.MachineGroup) *groupLoad {
 	load := &groupLoad{group: group}
 	for _, machine := range group.Machines {
@@ -134,7 +137,7 @@
 	return load
 }
 
-// freeCpus is what a machine has free for waiting work.
+// freeCpus returns the CPUs of a machine that are free for waiting work.
 func (p *rebalancePass) freeCpus(m *storage.Machine) float64 {
 	if p.c.workers.pendingUpdates[m.Index].blocksPlacement() || m.Unhealthy || m.Draining {
 		return 0
@@ -148,12 +151,12 @@
 	return free
 }
 
-// otherWorkWaits tells whether some shard's work other than idle-time work lacks capacity.
+// otherWorkWaits reports whether some shard lacks capacity for work other than idle-time work.
 func (p *rebalancePass) otherWorkWaits() bool {
 	return slices.ContainsFunc(p.shards, func(s shardLoad) bool { return s.nonIdleWaiting > s.free })
 }
 
-// addOverloadClaims lets shards keep what their queues' floors take while there is an overload.
+// addOverloadClaims raises the shards' claims to their queues' floors during an overload.
 func (p *rebalancePass) addOverloadClaims() {
 	loads := p.c.queueLoads(p.now)
 	if p.c.detectOverload(loads, p.c.cache.Jobs, p.c.totalCapacity(), &p.c.leader.overloadActive, p.now) {
@@ -161,10 +164,10 @@
 	}
 }
 
-// findShardsWithoutFit finds the shards whose work waits although it seems to have enough capacity.
-// Sums say nothing of where capacity is: a job bound to one zone waited beside as much in others, one of
-// large tasks beside many small remainders. Such a shard is short too, of a group on which that
-// job fits now.
+// findShardsWithoutFit finds the shards whose work waits although the sum of their free capacity
+// would suffice. Sums do not show where capacity is: a job bound to one zone may wait beside free
+// capacity in other zones, and a job with large tasks beside many small remainders. Such a shard
+// also needs a group, one on which that job fits now.
 func (p *rebalancePass) findShardsWithoutFit() {
 	for i := range p.shards {
 		s := &p.shards[i]
@@ -172,8 +175,8 @@
 	}
 }
 
-// hasJobWithoutFit tells whether a shard has a job that has waited for a while, may run, and fits
-// on none of the shard's machines.
+// hasJobWithoutFit reports whether a shard has a job that has waited for fitCheckAfter, may start,
+// and fits on none of the shard's machines.
 func (p *rebalancePass) hasJobWithoutFit(shard int) bool {
 	examined := 0
 	for _, job := range p.c.cache.Jobs {
@@ -190,7 +193,8 @@
 	return false
 }
 
-// moveGroups moves groups until nobody waits, nothing helps, or the transaction is full.
+// moveGroups moves groups until no shard needs one, no move helps, or a limit on moves or on the
+// transaction is reached.
 func (p *rebalancePass) moveGroups() {
 	for range maxMovesPerPass {
 		to := p.mostLoadedShard()
@@ -208,7 +212,8 @@
 	}
 }
 
-// mostLoadedShard is the shard whose work waits that needs machines the most, -1 if there is none.
+// mostLoadedShard returns the shard that needs machines the most among those whose work waits for
+// capacity, or -1 if there is none.
 func (p *rebalancePass) mostLoadedShard() int {
 	neediest := -1
 	for i := range p.shards {
@@ -223,22 +228,23 @@
 	return neediest
 }
 
-// leastLoadedShard is the least loaded shard, beside one, that has a group to give; -1 if there is none.
+// leastLoadedShard returns the least loaded shard other than the given one that has a movable
+// group, or -1 if there is none.
 func (p *rebalancePass) leastLoadedShard(except int) int {
 	least := -1
 	for i := range p.shards {
 		if i == except || len(p.shards[i].movable) == 0 {
 			continue
 		}
-		if least < 0 || p.shards[i].demandPerCPU(0) < p.shards[least].demandPerCPU(0) {
+		if least < 0 || p.shards[i].loadAfter(0) < p.shards[least].loadAfter(0) {
 			least = i
 		}
 	}
 	return least
 }
 
-// chooseGroup finds a group that helps a shard: the shard that gives it, and its index among that
-// shard's movable groups, -1 if there is none.
+// chooseGroup chooses a group to move to a shard. It returns the shard from which the group moves
+// and the group's index among that shard's movable groups, or index -1 if there is none.
 func (p *rebalancePass) chooseGroup(to int) (from, index int) {
 	if from = p.leastLoadedShard(to); from >= 0 && !p.withoutFit[to] {
 		if index = p.groupBalancingLoad(from, to); index >= 0 {
@@ -248,39 +254,41 @@
 	return p.groupForStuckShard(to)
 }
 
-// groupBalancingLoad finds the first group of a shard whose move brings its load and another's
-// nearer, -1 if there is none.
+// groupBalancingLoad returns the index of the first movable group of a shard whose move to another
+// shard balances their loads, or -1 if there is none. A shard with less capacity than it claims may
+// get a group whatever the loads are.
 func (p *rebalancePass) groupBalancingLoad(from, to int) int {
 	source, target := &p.shards[from], &p.shards[to]
 	return slices.IndexFunc(source.movable, func(g *groupLoad) bool {
 		remaining := source.capacity - g.capacity
 		if remaining < source.claim {
-			return false // it would lack what its own teams are guaranteed
+			return false // the source would have less capacity than it claims for its own teams
 		}
 		if p.kind == idleWork && remaining < idleMargin*source.nonIdleDemand {
 			return false
 		}
-		evens := source.demandPerCPU(-g.capacity)*moveMargin < target.demandPerCPU(g.capacity)
+		evens := source.loadAfter(-g.capacity)*moveMargin < target.loadAfter(g.capacity)
 		return (target.short() || evens) && p.c.anyWaitingAllowed(to, g.group)
 	})
 }
 
-// groupForStuckShard finds a group for a shard that waits although no move would even out loads. Loads
-// say little of a shard that has no group, or would have none: what runs goes along. Where
-// nothing waits, free capacity is of use elsewhere: by the sums there was capacity for all,
-// nothing was provisioned, and a job waited for ever. After a while the same holds for what waits
-// at a shard whose machines are full of work without an end.
+// groupForStuckShard chooses a group for a shard whose work waits although no move balances load.
+// Loads say little about a shard that has no group, or would have none, because the tasks on a
+// group's machines move with it. A group may move immediately from a shard where nothing waits,
+// because free capacity there is of use elsewhere. Otherwise, since the sums show enough capacity
+// for all work, nothing would be provisioned and a job would wait forever. After stuckAfter the
+// same applies to work that waits in a shard whose machines are full of long-running tasks.
 func (p *rebalancePass) groupForStuckShard(to int) (from, index int) {
 	p.stuck[to] = true
 	waitedLong := p.now.Sub(p.c.leader.markStuck(to, p.now)) > stuckAfter
-	// Shards where nothing waits come first.
+	// Shards without waiting work come first.
 	for _, sourceWaits := range []bool{false, true} {
 		for i := range p.shards {
 			source := &p.shards[i]
 			if i == to || source.waiting > 0 != sourceWaits {
 				continue
 			}
-			// Loads do tell of a giver that keeps a group and a taker that has one.
+			// Loads can be compared if the source keeps a group and the target has one.
 			loadsComparable := source.groupCount > 1 && p.shards[to].capacity > 0
 			if !waitedLong && (sourceWaits || loadsComparable) {
 				continue
@@ -293,8 +301,9 @@
 	return -1, -1
 }
 
-// spareGroup finds the first group of a shard that it can do without and on which another's
-// waiting work fits now, -1 if there is none. Where the giver's work waits too, that must not fit there.
+// spareGroup returns the index of the first movable group of a shard that leaves the shard the
+// capacity that it claims and on which another shard's waiting work fits now, or -1 if there is
+// none. If the source's own work waits too, that work must not fit on the group.
 func (p *rebalancePass) spareGroup(from, to int, sourceWaits bool) int {
 	source := &p.shards[from]
 	return slices.IndexFunc(source.movable, func(g *groupLoad) bool {
--- a/internal/controller/record_capacity.go
+++ b/internal/controller/record_capacity.go
@@ -2,25 +2,25 @@
 
 import "dykeledge/internal/storage"
 
-// recordSizes is what a group's record takes, in bytes, at most: by itself, a machine, a task
-// and a completed task.
-type recordSizes struct{ base, machine, task, completedTask int }
+// recordSizes holds upper bounds, in bytes, on what the parts of a group's record take: the record
+// without entries, a machine, a task and a completed task.
+type recordSizes struct{ base, machine, task, completedTasks int }
 
 var (
-	plainSizes  = recordSizes{base: 200, machine: 120, task: 60, completedTask: 8}
-	packedSizes = recordSizes{base: 100, machine: 24, task: 12, completedTask: 3}
+	plainSizes  = recordSizes{base: 200, machine: 120, task: 60, completedTasks: 8}
+	packedSizes = recordSizes{base: 100, machine: 24, task: 12, completedTasks: 3}
 )
 
-// recordCapacity is how many more tasks a group's record can list.
+// recordCapacity returns how many more tasks a group's record can list.
 func (c *Controller) recordCapacity(group *storage.MachineGroup) int {
 	limit, size := c.valueLimit(), plainSizes
 	if c.cache.Packed() {
-		// What ends needs some room too: a completed task stays listed for a while.
+		// Leave room for completed tasks, which stay listed for a while.
 		limit, size = limit*8/10, packedSizes
 	}
 	used := group.Size
-	if !c.cache.Packed() || !group.Packed { // it is not known yet what it will take
-		used = size.base + size.machine*len(group.Machines) + size.completedTask*len(group.Completed)
+	if !c.cache.Packed() || !group.Packed { // the record's size in the packed layout is not known
+		used = size.base + size.machine*len(group.Machines) + size.completedTasks*len(group.Completed)
 		for _, m := range group.Machines {
 			used += size.task * len(m.Tasks)
 		}
--- a/internal/controller/record_splitting.go
+++ b/internal/controller/record_splitting.go
@@ -7,19 +7,22 @@
 	"dykeledge/internal/storage"
 )
 
-// This file splits records that are over the state service's limit of a value's size.
+// This file splits records that exceed the state service's limit on the size of a value.
 
 const (
-	// fleetSplitPercent is how much of the value limit the parts of a split fleet may fill.
+	// fleetSplitPercent is the percentage of the value limit that the parts of a split fleet record
+	// may fill.
 	fleetSplitPercent = 90
-	// groupSplitPercent is how much of the value limit the parts of a split group may fill: their
-	// machines' tasks change.
+	// groupSplitPercent is the percentage of the value limit that the parts of a split group record
+	// may fill. It leaves room because the tasks of the group's machines change.
 	groupSplitPercent = 60
 )
 
-// splitOversizedFleets is the leader's loop over fleets' records that are over the limit: written
-// again they are mostly within it; what is not goes into small records that supersede the large
-// one's entries, and the large one is deleted when they list all of it.
+// splitOversizedFleets commits the leader's next step in rewriting fleet records that exceed the
+// value limit, one step at a time. Most of them are within the limit when written again in the
+// packed layout. Otherwise their machines are written to small records, whose entries supersede
+// those of the large record; the large record is deleted once the small ones list all of its
+// machines.
 func (c *Controller) splitOversizedFleets(ctx context.Context) {
 	if !c.isLeader() || !c.cache.Packed() || c.gates.fleetWriteInFlight || c.cache.Revision < c.cache.Leader.Version {
 		return
@@ -35,7 +38,8 @@
 	})
 }
 
-// fleetRewriteTxn is the next step of rewriting an oversized fleet record.
+// fleetRewriteTxn returns the transaction for the next step of rewriting an oversized fleet record,
+// or an empty one if there is no such record.
 func (c *Controller) fleetRewriteTxn() protocol.Txn {
 	fleet, fits := c.cache.OversizedFleet(c.valueLimit())
 	if fleet == nil {
@@ -51,7 +55,7 @@
 	maxChanges := c.limits().TxnOps
 	parts := c.cache.SplitFleet(fleet, c.valueLimit()*fleetSplitPercent/100)
 	for _, part := range parts[:min(len(parts), maxChanges-1)] {
-		// The large record's own key stays its until it is deleted.
+		// The large record keeps its key until it is deleted, so the parts need other keys.
 		key := storage.FleetKey(part.Machines[0].Name + "+")
 		txn.If = append(txn.If, protocol.Condition{Key: key})
 		txn.Then = append(txn.Then, protocol.Change{Put: key, Value: storage.EncodeFleet(&part, true)})
@@ -62,10 +66,11 @@
 	return txn
 }
 
-// splitGroup splits a group whose record would be over the limit into new groups of the same shard.
-// The machines' new records say that they were moved, whatever their fleet's record says, so all in
-// one change each task stays in one group. If there are more parts than one transaction takes, the
-// old record stays as it is, and its entries of machines that have moved count no more.
+// splitGroup returns a transaction that splits a group whose record would exceed the value limit
+// into new groups of the same shard, or an empty one if the group cannot be split. The machines'
+// new entries are marked as moved, which takes precedence over their fleet's record, so each task
+// stays in exactly one group with every transaction. If there are more parts than one transaction
+// can hold, the old record stays as it is, and its entries of machines that have moved are ignored.
 func (c *Controller) splitGroup(group *storage.MachineGroup) protocol.Txn {
 	parts := c.groupParts(group)
 	if len(parts) == 1 {
@@ -91,11 +96,12 @@
 	return txn
 }
 
-// groupParts are the records that a group's machines fit into; the first one is the group's own.
+// groupParts returns the records into which a group's machines fit. The first one replaces the
+// group's own record.
 func (c *Controller) groupParts(group *storage.MachineGroup) []*storage.GroupRecord {
 	limit := c.valueLimit() * groupSplitPercent / 100
 	own := c.cache.GroupRecordOf(group, group.UnsavedCompletions(), func(*storage.Machine) (storage.GroupMachine, bool) {
-		return storage.GroupMachine{}, false // they are added below
+		return storage.GroupMachine{}, false // machines are added below
 	})
 	parts := []*storage.GroupRecord{own}
 	for _, machine := range group.Machines {
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -10,27 +10,30 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns which tasks leave a machine that is being drained. Stopping one costs what it
-// takes to save a checkpoint, to place it again, and to fetch its image where it goes.
+// This file decides which tasks are stopped on a draining machine. Stopping a task costs the time
+// to save a checkpoint, to place the task again, and to fetch its image on the new machine.
 
 const (
-	// minReplicaAge is how long a replica must have been placed before it is moved, and how long
-	// its service is left alone after one of its replicas was: it must serve meanwhile.
+	// minReplicaAge is how long a replica must have been placed before it is relocated, and how
+	// long its service is left alone after a relocation, so that the service can serve meanwhile.
 	minReplicaAge = 40 * time.Second
-	// minCountedFetchS is how many seconds an image must take for its fetch to count when a task is moved.
+	// minCountedFetchS is how many seconds an image fetch must take to be counted in the cost of
+	// stopping a task.
 	minCountedFetchS = 8
-	// minRemainingCostFactor is how many times what its move costs a task must still have to run.
+	// minRemainingCostFactor is the ratio of a task's remaining run to the cost of stopping it
+	// below which it is not stopped.
 	minRemainingCostFactor = 2
-	// restartS is about how many seconds it takes to stop a task and start it elsewhere, checkpoint
-	// and fetch aside.
+	// restartS is the approximate number of seconds that it takes to stop a task and start it
+	// elsewhere, without checkpoint and image fetch.
 	restartS = 2
-	// minRemainingFraction is the least part of its estimate that a task is taken to have left.
+	// minRemainingFraction is the smallest fraction of its estimate that a task is assumed to have
+	// left.
 	minRemainingFraction = 0.2
 )
 
-// leavesDrained tells whether a task with checkpoints is stopped on a machine that is being drained:
-// not if it will have ended about as soon, and not if its job would be late by that. Two hundred
-// and more such stops a day each fetched 6 GB again, and their jobs were late.
+// leavesDrained reports whether a task with checkpoints is stopped on a draining machine. It is not
+// if it would end about as soon where it is, or if stopping it would make its job late. Otherwise
+// more than two hundred such stops a day each fetched 6 GB again and made their jobs late.
 func (c *Controller) leavesDrained(machine *storage.Machine, worker *workerState, placed storage.PlacedTask, now time.Time) bool {
 	job := placed.Job
 	fetchS := 0.0
@@ -38,7 +41,7 @@
 		fetchS = job.ImageGB / rate
 	}
 	if fetchS < minCountedFetchS {
-		return true // it is elsewhere at once, and the machine is returned sooner
+		return true // the task restarts quickly elsewhere, and the machine can be returned sooner
 	}
 	costS := job.CheckpointCost + restartS + fetchS
 	remainingS := max(job.Estimate-worker.runSeconds(placed, now), minRemainingFraction*job.Estimate)
@@ -50,7 +53,8 @@
 	return allowed == 0 || late || remainingS > untilObjectiveS || remainingS+minRemainingCostFactor*costS < untilObjectiveS
 }
 
-// runSeconds is how many seconds a task has run, or been placed as far as nobody saw it start.
+// runSeconds returns how many seconds a task has run, or has been placed if its start was not
+// observed.
 func (w *workerState) runSeconds(placed storage.PlacedTask, now time.Time) float64 {
 	if startedAt, ok := w.started[dispatch.RefOf(placed)]; ok {
 		return now.Sub(startedAt).Seconds()
@@ -58,8 +62,9 @@
 	return float64(now.Unix() - placed.PlacedAt)
 }
 
-// relocateReplicas decides which replicas leave machines that are being drained: one of a service at
-// a time, to a machine that has its image and capacity, so that it is back within seconds.
+// relocateReplicas decides which replicas are stopped on draining machines: one replica of a
+// service at a time, and only if another machine has its image and enough capacity, so that it is
+// running again within seconds.
 func (c *Controller) relocateReplicas(now time.Time) {
 	var free map[int32]storage.Usage
 	for _, machine := range c.cache.Machines {
@@ -80,8 +85,8 @@
 	}
 }
 
-// mayRelocate tells whether a task is a replica of a service that serves in full and was left alone
-// for a while.
+// mayRelocate reports whether a task is a replica, placed for at least minReplicaAge, of a service
+// that has all its replicas placed and had none relocated within that time.
 func (c *Controller) mayRelocate(placed storage.PlacedTask, now time.Time) bool {
 	job := placed.Job
 	if job.Shape != protocol.Service || !job.Open() || job.Waiting() > 0 || now.Unix()-placed.PlacedAt < int64(minReplicaAge.Seconds()) {
@@ -90,8 +95,8 @@
 	return now.Sub(c.jobState(job).relocatedAt) >= minReplicaAge
 }
 
-// relocate stops a replica on a machine that is being drained; the planner then places it again, most
-// likely on the target.
+// relocate stops a replica on a draining machine. The planner then places it again, most likely on
+// the target.
 func (c *Controller) relocate(placed storage.PlacedTask, from, target *storage.Machine, free map[int32]storage.Usage, now time.Time) {
 	job := placed.Job
 	left := free[target.Index]
@@ -103,7 +108,8 @@
 	c.terminateUnwanted(from)
 }
 
-// freeCapacity is what is free on the machines that this controller may place tasks on.
+// freeCapacity returns the free capacity, by machine index, of the machines on which this
+// controller may place tasks and on which no capacity is reserved.
 func (c *Controller) freeCapacity(now time.Time) map[int32]storage.Usage {
 	free := map[int32]storage.Usage{}
 	reserved := c.reservedCapacity()
@@ -116,7 +122,8 @@
 	return free
 }
 
-// relocationTarget finds a machine with capacity for a replica that has its image, nil if there is none.
+// relocationTarget returns a machine that has the image and enough capacity for a replica, or nil
+// if there is none.
 func (c *Controller) relocationTarget(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
 	for _, machine := range c.cache.Machines {
 		usage, ok := free[machine.Index]
--- a/internal/controller/shard_load.go
+++ b/internal/controller/shard_load.go
@@ -10,46 +10,50 @@
 	"dykeledge/internal/storage"
 )
 
-// This file sums up each shard's work and machines, for the leader to spread machines over shards.
+// This file adds up each shard's work and machines, so that the leader can distribute machines over
+// the shards.
 
 const (
-	// claimableFraction is how much of the machines may be claimed: the rest still moves by load.
+	// claimableFraction is the fraction of the machines that shards can claim; the rest moves by
+	// load.
 	claimableFraction = 0.95
-	// claimMargin leaves a team some capacity for the next job within its guarantee.
+	// claimMargin is the ratio of a claim to the team's work: it leaves some capacity for the next
+	// job within the guarantee.
 	claimMargin = 1.4
 )
 
-// shardLoad is a shard's work and machines, in CPUs, as one rebalancing pass sees them.
+// shardLoad holds a shard's work and machines, in CPUs, as seen by one rebalancing pass.
 type shardLoad struct {
 	waiting, demand, free, capacity float64
-	nonIdleDemand, nonIdleWaiting   float64 // the demand of other than idle-time work, and what of it waits
-	claim                           float64 // what its teams' work within their guarantees takes
+	nonIdleDemand, nonIdleWaiting   float64 // demand of work other than idle-time work, and the waiting part of it
+	claim                           float64 // capacity that the shard keeps for its teams' guarantees and, in an overload, its queues' floors
 	movable                         []*groupLoad
-	groupCount                      int // that have machines of the kind looked at
+	groupCount                      int // number of groups with machines of the kind that the pass considers
 }
 
-// groupLoad is what a group's machines have, in CPUs.
+// groupLoad holds the free and the total capacity of a group's machines, in CPUs.
 type groupLoad struct {
 	group          *storage.MachineGroup
 	free, capacity float64
 }
 
-// short tells whether a shard has less than its teams' work within their guarantees takes.
+// short reports whether a shard has less capacity than it claims.
 func (s *shardLoad) short() bool { return s.capacity < s.claim }
 
-// demandPerCPU is how much work there is for each CPU, if the shard's capacity changed.
-func (s *shardLoad) demandPerCPU(change float64) float64 { return s.demand / max(1, s.capacity+change) }
+// loadAfter returns the demand per CPU if the shard's capacity changed by the given number of
+// CPUs.
+func (s *shardLoad) loadAfter(change float64) float64 { return s.demand / max(1, s.capacity+change) }
 
-// precedes tells whether a shard needs machines more than another: work within a guarantee
-// goes before any other.
+// precedes reports whether a shard needs machines more than another one. A shard with less capacity
+// than it claims precedes any that has enough.
 func (s *shardLoad) precedes(other *shardLoad) bool {
 	if s.short() != other.short() {
 		return s.short()
 	}
-	return s.demandPerCPU(0) > other.demandPerCPU(0)
+	return s.loadAfter(0) > other.loadAfter(0)
 }
 
-// addGroup counts a group's machines.
+// addGroup adds a group's machines to the load.
 func (s *shardLoad) addGroup(g *groupLoad, movable bool) {
 	s.capacity += g.capacity
 	s.free += g.free
@@ -62,14 +66,15 @@
 	}
 }
 
-// sortMovable puts the groups with the most free capacity first.
+// sortMovable sorts the movable groups by descending free capacity.
 func (s *shardLoad) sortMovable() {
 	slices.SortFunc(s.movable, func(a, b *groupLoad) int {
 		return cmp.Or(cmp.Compare(b.free, a.free), cmp.Compare(a.group.ID, b.group.ID))
 	})
 }
 
-// transferGroup moves one of a shard's groups to another shard and returns it.
+// transferGroup moves one of a shard's movable groups to another shard's load, and returns the
+// group.
 func (s *shardLoad) transferGroup(index int, to *shardLoad) *groupLoad {
 	g := s.movable[index]
 	s.movable = slices.Delete(s.movable, index, index+1)
@@ -81,9 +86,9 @@
 	return g
 }
 
-// addGuaranteeClaims works out what the shards' teams may claim by their guarantees. Without it
-// the shard with the most work for its machines took machines from one whose teams had less
-// than they are guaranteed.
+// addGuaranteeClaims adds the capacity that the shards' teams may claim by their guarantees.
+// Without it, the most loaded shard would draw machines from a shard whose teams have less than
+// they are guaranteed.
 func (c *Controller) addGuaranteeClaims(shards []shardLoad) {
 	demand := make([]float64, len(c.cache.Teams))
 	for _, job := range c.cache.Jobs {
@@ -96,8 +101,8 @@
 	}
 }
 
-// addOverloadClaims raises the shards' claims to their queues' floors in an overload. Without it
-// the overloaded shard drew the machines of all others, until those were as late.
+// addOverloadClaims raises the shards' claims to their queues' floors during an overload. Without
+// it, the overloaded shard would draw machines from all other shards until their work was as late.
 func (c *Controller) addOverloadClaims(shards []shardLoad, loads queueLoads) {
 	floors := make([]float64, len(shards))
 	for queue := range c.cache.Baseline.Cpus {
@@ -107,26 +112,27 @@
 	}
 	requested, claimable := 0.0, 0.0
 	for i := range shards {
-		floors[i] = max(0, floors[i]-shards[i].claim) // beyond what is guaranteed
+		floors[i] = max(0, floors[i]-shards[i].claim) // beyond the claims by guarantees
 		requested += floors[i]
 		claimable += claimableFraction*shards[i].capacity - shards[i].claim
 	}
-	// Where there is less than all claim, each has its part of what guarantees leave.
+	// If the capacity is less than the sum of the claims, each shard gets the same fraction of its
+	// claim beyond the guarantees.
 	granted := max(0, min(1, claimable/max(requested, 1)))
 	for i := range shards {
 		shards[i].claim += floors[i] * granted
 	}
 }
 
-// guaranteesTimed tells whether work within a guarantee is expected to start within some time.
-// Where it is not, capacity held ready for it only costs others.
+// guaranteesTimed reports whether an objective requires work within a guarantee to start within
+// some time. If none does, reserving capacity for it would only delay other work.
 func (c *Controller) guaranteesTimed() bool {
 	return slices.ContainsFunc(c.cfg.Deployment.Objectives, func(o config.Objective) bool {
 		return o.Kind == "guarantee" && o.WithinS > 0
 	})
 }
 
-// totalCapacity is what all machines have.
+// totalCapacity returns the capacity of all machines in service.
 func (c *Controller) totalCapacity() (total schedule.Capacity) {
 	for machine := range c.machinesInService() {
 		cpus := c.cache.Types[machine.Type].Cpus
@@ -138,7 +144,8 @@
 	return total
 }
 
-// enrollmentLoad compares each shard's work with its machines, in CPUs: new machines go by it.
+// enrollmentLoad holds each shard's work and machines, in CPUs. It determines to which shard new
+// machines go.
 type enrollmentLoad struct {
 	demand, capacity []float64 // by shard
 }
@@ -156,7 +163,7 @@
 	return load
 }
 
-// neediest is the shard with the most work for its machines.
+// neediest returns the shard with the most demand per CPU.
 func (l *enrollmentLoad) neediest() int {
 	best := 0
 	for shard := range l.demand {
@@ -167,7 +174,8 @@
 	return best
 }
 
-// demandPerCPU compares a shard's work with its machines, also where it has neither.
+// demandPerCPU returns a shard's demand per CPU; 1 is added to both so that it is defined for a
+// shard without machines.
 func (l *enrollmentLoad) demandPerCPU(shard int) float64 {
 	return (l.demand[shard] + 1) / (l.capacity[shard] + 1)
 }
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -10,17 +10,19 @@
 	"dykeledge/internal/storage"
 )
 
-// This file keeps to the state service's limits of records and transactions, also while they change.
+// This file applies the state service's limits on records and transactions, including a change to
+// lower limits.
 
 const (
 	bytesPerKB = 1024
-	// defaultValueLimit is how many bytes a record may have where the settings say nothing.
+	// defaultValueLimit is the limit on a record's size in bytes if the settings have none.
 	defaultValueLimit = 32 * bytesPerKB
 )
 
-// limits are the state service's limits that this controller keeps to. Those to come hold from the
-// gate on, or from the first refusal for size: they come without notice, and what was written small
-// is within them when they do.
+// limits returns the state service's limits that this controller keeps to. The announced lower
+// limits apply as soon as the packed layout is in use or the state service has refused a
+// transaction because of its size: they come into force without notice, and records that are
+// already small enough are then within them.
 func (c *Controller) limits() config.State {
 	if c.cache.Packed() || c.gates.limitsLowered {
 		return c.cfg.Deployment.State.Effective()
@@ -28,7 +30,7 @@
 	return c.cfg.Deployment.State
 }
 
-// valueLimit is how many bytes a record may have.
+// valueLimit returns the limit on a record's size in bytes.
 func (c *Controller) valueLimit() int {
 	if kb := c.limits().ValueKB; kb > 0 {
 		return int(kb * bytesPerKB)
@@ -36,7 +38,8 @@
 	return defaultValueLimit
 }
 
-// transact carries out a transaction, and takes notice when the state service refuses it for its size.
+// transact commits a transaction, and switches to the announced limits if the state service refuses
+// it because of its size.
 func (c *Controller) transact(ctx context.Context, t protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	rev, failed, err = c.store.Txn(ctx, t, priority)
 	if errors.Is(err, protocol.ErrTooLarge) {
@@ -45,7 +48,8 @@
 	return rev, failed, err
 }
 
-// noteTooLarge keeps to the limits to come once the state service has refused something for its size.
+// noteTooLarge switches to the announced limits if err says that the state service refused a
+// transaction because of its size. It also lowers the write rate, once, when these limits apply.
 func (c *Controller) noteTooLarge(err error) {
 	if errors.Is(err, protocol.ErrTooLarge) && !c.gates.limitsLowered {
 		c.gates.limitsLowered = true
@@ -57,10 +61,10 @@
 	}
 }
 
-// resolvingTxn replaces a transaction in doubt that is refused for its size when it is repeated. The
-// refusal says nothing of the first copy, which may have been carried out under the former limits
-// or be on its way. Rewriting the shard's record that it depends on makes a late copy fail; then
-// the records show what became of it.
+// resolvingTxn returns the transaction that replaces an in-doubt transaction whose repetition was
+// refused because of its size. The refusal does not tell whether the first copy was committed under
+// the former limits or may still arrive. Rewriting the shard's record on which that copy depends
+// makes a late copy fail; afterwards the records show whether it was committed.
 func (c *Controller) resolvingTxn(t protocol.Txn) *protocol.Txn {
 	for shard := range c.cache.Shards {
 		key := storage.ShardKey(shard)
@@ -70,10 +74,10 @@
 				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shards[shard].ShardRecord)}}}
 		}
 	}
-	return &protocol.Txn{If: t.If[:1]} // every plan depends on a shard; a comparison settles nothing, but ends
+	return &protocol.Txn{If: t.If[:1]} // not reached for plans, which all depend on a shard; a comparison resolves nothing, but ends the repetition
 }
 
-// isResolvingTxn tells whether a transaction is one that settling made.
+// isResolvingTxn reports whether a transaction has the form of those that resolvingTxn returns.
 func isResolvingTxn(t protocol.Txn) bool {
 	return len(t.If) == 1 && len(t.Then) <= 1
 }
