--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,8 +12,8 @@
 	"dykeledge/internal/storage"
 )
 
-// largeCore owns one shard with n machines, four fifths of their room used, and open
-// jobs of which most wait.
+// largeCore returns a controller that owns one shard with the given numbers of machines, of whose
+// capacity about four fifths are used, and of open jobs, most of whose tasks wait.
 func largeCore(b *testing.B, machines, jobs int) *Controller {
 	b.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
@@ -69,8 +69,8 @@
 
 var sizes = []struct{ machines, jobs int }{{50, 50}, {400, 400}, {1250, 5000}, {5000, 20000}}
 
-// overSizes runs a benchmark over all sizes. prepare gets a controller whose workers are not
-// called, and returns what is measured.
+// overSizes runs a benchmark for all sizes. prepare gets a controller that sends no direct
+// commands, and returns the step to measure.
 func overSizes(b *testing.B, prepare func(ctx context.Context, core *Controller) (step func() error)) {
 	b.Helper()
 	for _, size := range sizes {
@@ -97,7 +97,7 @@
 	})
 }
 
-// BenchmarkPlanFull is a pass over a fleet without free capacity: nothing is placed.
+// BenchmarkPlanFull measures a pass over a fleet without usable machines: nothing is placed.
 func BenchmarkPlanFull(b *testing.B) {
 	overSizes(b, func(_ context.Context, c *Controller) func() error {
 		for _, machine := range c.cache.Machines {
@@ -138,7 +138,7 @@
 	})
 }
 
-// BenchmarkLists reads all jobs and all machines as operators do, page by page.
+// BenchmarkLists measures reading all jobs and all machines page by page, as operators' tools do.
 func BenchmarkLists(b *testing.B) {
 	overSizes(b, func(ctx context.Context, c *Controller) func() error {
 		go serveInbox(ctx, c)
@@ -151,7 +151,7 @@
 	})
 }
 
-// serveInbox does the work that is posted to a controller until ctx ends.
+// serveInbox runs the work that is posted to a controller until ctx ends.
 func serveInbox(ctx context.Context, c *Controller) {
 	for {
 		select {
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -7,8 +7,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// A transaction whose outcome is unknown may still be applied: it is repeated
-// unchanged, and nothing else is committed, until its outcome is known.
+// TestInDoubtTransactions checks that a transaction whose outcome is unknown, and which may
+// therefore still be applied, is repeated unchanged, and that nothing else is committed until its
+// outcome is known.
 func TestInDoubtTransactions(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -17,25 +18,25 @@
 		err      error
 		inDoubt  bool
 		placed   int
-		awaited  uint64 // revision before which nothing is planned
+		awaited  uint64 // revision that the cache must reach before the next plan
 	}{
 		{"committed", 9, nil, nil, false, 2, 0},
-		{"conflict: the watch tells", 9, []string{"x"}, nil, false, 0, 9},
-		{"refused: not executed", 0, nil, protocol.ErrRefused, false, 0, 0},
+		{"conflict: the cache has to catch up", 9, []string{"x"}, nil, false, 0, 9},
+		{"refused: not applied", 0, nil, protocol.ErrRefused, false, 0, 0},
 		{"unknown", 0, nil, protocol.ErrUnknown, true, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
 			builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 			txn := builder.build()
-			controller.workers.directCommands = maxDirectCommands // no workers here
+			controller.workers.directCommands = maxDirectCommands // keeps direct commands from being sent: there are no workers
 			controller.handleTxnOutcome(txn, test.revision, test.failed, test.err)
 			commits := &controller.commits
 			if (commits.inDoubt != nil) != test.inDoubt || commits.awaitedRevision != test.awaited {
-				t.Fatalf("in doubt: %v, waiting for revision %d", commits.inDoubt != nil, commits.awaitedRevision)
+				t.Fatalf("in doubt: %v, awaited revision %d", commits.inDoubt != nil, commits.awaitedRevision)
 			}
 			if commits.inDoubt != nil && !reflect.DeepEqual(*commits.inDoubt, txn) {
-				t.Fatal("another transaction than the one in doubt")
+				t.Fatal("the in-doubt transaction differs from the one that was sent")
 			}
 			if n := controller.cache.Job("job-000001").PlacedCount; n != test.placed {
 				t.Fatalf("%d tasks placed, want %d", n, test.placed)
--- a/internal/controller/desired_state_test.go
+++ b/internal/controller/desired_state_test.go
@@ -9,8 +9,8 @@
 	"dykeledge/internal/storage"
 )
 
-// A victim that would keep little by saving stops at once; one that is saving already is
-// not cut short by the time that passes meanwhile.
+// TestVictimsSave checks that a victim that would save little by a checkpoint stops at once, and
+// that the grace of one that is already saving is not cut short by the time that passes meanwhile.
 func TestVictimsSave(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -18,9 +18,9 @@
 		state string
 		grace float64
 	}{
-		{"little to keep", 17 * time.Second, protocol.TaskRunning, 0},
-		{"much to keep", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMargin},
-		{"saving already", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMargin},
+		{"little to save", 17 * time.Second, protocol.TaskRunning, 0},
+		{"much to save", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMargin},
+		{"already saving", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMargin},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
@@ -37,7 +37,7 @@
 			worker.started[dispatch.RefOf(placed)] = time.Now().Add(-test.ran)
 			worker.Seen[dispatch.RefOf(placed)] = dispatch.TaskSeen{State: test.state}
 			if desired := controller.desiredState(machine, worker, placed); !desired.Stop || desired.Grace != test.grace {
-				t.Errorf("%+v, want %v s to save", desired, test.grace)
+				t.Errorf("desired state %+v, want a stop with a grace of %v s", desired, test.grace)
 			}
 		})
 	}
--- a/internal/controller/draining_test.go
+++ b/internal/controller/draining_test.go
@@ -9,25 +9,26 @@
 	"dykeledge/internal/storage"
 )
 
-// A machine was being drained, with a task on it that ran for an hour. It counted as capacity, so nothing was provisioned for
-// what waited, and as drained, so that nothing was placed on it.
+// TestADrainedMachineThatIsNeededIsGivenBack guards against work that waits while a draining
+// machine runs a task for an hour: the machine counted as capacity, so nothing was provisioned for
+// the work, and as draining, so nothing was placed on it.
 func TestADrainedMachineThatIsNeededIsGivenBack(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		waits int // tasks of 2 CPUs, beside 4 on the machine of 8 that is not drained
-		since time.Duration
-		limit float64 // the team's
-		large bool    // a job of 4 CPUs waits too, and a third machine has 2 free, and a fourth
-		age   time.Duration
-		back  bool
+		waits int           // waiting tasks of 2 CPUs; 4 others fill the machine of 8 CPUs that is not draining
+		since time.Duration // how long work has been stuck
+		limit float64       // CPU limit of the team
+		large bool          // a job of 4 CPUs waits too; a third and a fourth machine have 2 CPUs free each
+		age   time.Duration // how long the large job has waited
+		back  bool          // whether the machine is returned to service
 	}{
 		{"nothing waits", 0, time.Minute, 0, false, 0, false},
-		{"waits for a moment", 1, 0, 0, false, 0, false},
-		{"waits for a while", 1, stuckAfter + time.Second, 0, false, 0, true},
-		{"waits for its team's limit", 1, stuckAfter + time.Second, 10, false, 0, false},
-		{"by the sums there is capacity, but it fits on no other", 0, 0, 0, true, restoreAfter + time.Second, true},
-		{"it may not wait for long", 0, 0, 0, true, restoreAfter - time.Second, false},
-		{"nor may its team have more", 0, 0, 22, true, restoreAfter + time.Second, false},
+		{"work waits for a moment", 1, 0, 0, false, 0, false},
+		{"work waits for longer than stuckAfter", 1, stuckAfter + time.Second, 0, false, 0, true},
+		{"work waits for its team's limit", 1, stuckAfter + time.Second, 10, false, 0, false},
+		{"the sums show enough capacity, but the job fits on no other machine", 0, 0, 0, true, restoreAfter + time.Second, true},
+		{"the job has not waited for restoreAfter", 0, 0, 0, true, restoreAfter - time.Second, false},
+		{"the job's team is at its limit", 0, 0, 22, true, restoreAfter + time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newRebalancerCore(t, config.Deployment{Controllers: 1, Zones: []string{"a"},
@@ -46,13 +47,13 @@
 			controller.drainSurplus(now, autoscale.Plan{}, 0)
 			update := controller.workers.pendingUpdates[controller.cache.Machine("m1").Index]
 			if back := update != nil && update.draining != nil && !*update.draining; back != test.back {
-				t.Errorf("given back: %v, want %v", back, test.back)
+				t.Errorf("returned to service: %v, want %v", back, test.back)
 			}
 		})
 	}
 }
 
-// putLargeJobs adds a job of 4 CPUs that waits, and two machines of 8 on which 6 are used.
+// putLargeJobs adds a waiting job of 4 CPUs, and two machines of 8 CPUs of which 6 are used.
 func putLargeJobs(t *testing.T, c *Controller, spec storage.SpecRecord, age time.Duration) {
 	t.Helper()
 	spec.Cpus = 4
--- a/internal/controller/idle_work_test.go
+++ b/internal/controller/idle_work_test.go
@@ -11,18 +11,19 @@
 	"dykeledge/internal/storage"
 )
 
-// A guest's idle-time work drew a third of the machines to its shard, since it waited as
-// much as all others together; work that had to be in time queued for 100 s beside it.
+// TestIdleWorkMovesNothing guards against moves of machines for idle-time work: a guest team's
+// idle-time work, of which as much waited as of all other work together, drew a third of the
+// machines to its shard, and work with objectives waited for 100 s.
 func TestIdleWorkMovesNothing(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		firm, idle int // waiting tasks of 4 CPUs: of the home team, of the guest
-		placed     int // of the guest's, on its machines
+		firm, idle int // waiting tasks of 4 CPUs of the home team and of the guest team
+		placed     int // tasks of the guest team placed on its shard's machines
 		priority   uint8
-		moves      int // groups to the home team's shard, less those to the guest's
+		moves      int // groups that move to the home team's shard, minus those that move to the guest team's
 	}{
 		{"the home team's work waits", 40, 90, 0, 0, 4},
-		{"the guest's tasks are on its machines: that counts as capacity", 40, 90, 8, 0, 4},
+		{"the guest's placed tasks count as free capacity", 40, 90, 8, 0, 4},
 		{"nothing but the guest's work waits", 0, 90, 0, 0, -4},
 		{"the guest's work is not of the lowest priority", 40, 90, 0, 1, -1},
 	} {
@@ -47,8 +48,8 @@
 	}
 }
 
-// putGuestsMachines adds four groups of one machine to each of two shards; those of the second one
-// may run two of the guest's tasks each.
+// putGuestsMachines adds four groups of one machine to each of two shards. If busy is set, each
+// machine of the second shard has two of the guest team's tasks.
 func putGuestsMachines(t *testing.T, controller *Controller, busy bool) {
 	t.Helper()
 	const groups, groupsPerShard = 8, 4
@@ -68,13 +69,14 @@
 	}
 }
 
-// Idle-time work gives way to any other, also without a guarantee; other work of the
-// lowest priority, and of the same, does not.
+// TestIdleWorkMayBePreempted checks that work of a higher priority may preempt idle-time work, also
+// without a guarantee, and that idle-time work may not. Other work of the lowest priority may not
+// be preempted by work of normal priority.
 func TestIdleWorkMayBePreempted(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		objective bool // an objective names the class of what runs
-		spot      bool // what runs may use spot machines
+		objective bool // an objective applies to the class of the running job
+		spot      bool // the running job may use spot machines
 		waits     protocol.Priority
 		want      int
 	}{
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -7,8 +7,9 @@
 	"dykeledge/internal/config"
 )
 
-// The largest jobs of a class that is overloaded stepped behind the others until ten minutes had gone by: on a day of
-// seven minutes they had no turn.
+// TestSizeCountsOnlyForAWhile guards against overloads in which the largest jobs of a class were
+// placed after all others until they had waited for ten minutes: on a day of seven minutes they
+// were never placed.
 func TestSizeCountsOnlyForAWhile(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -16,8 +17,8 @@
 		withinS float64 // the class's objective, 0: none
 		want    bool
 	}{
-		{"late, but young", 2 * time.Minute, 60, false},
-		{"can be in time", overdueAfter + time.Second, 600, false},
+		{"late, but has not waited long enough", 2 * time.Minute, 60, false},
+		{"can still be in time", overdueAfter + time.Second, 600, false},
 		{"late", overdueAfter + time.Second, 60, true},
 		{"has no objective", overdueAfter + time.Second, 0, true},
 	} {
@@ -30,7 +31,7 @@
 			job := c.cache.Job("job-000001")
 			job.ReadyAt, job.Submitted = now.Add(-test.age), now.Add(-test.age)
 			if got := c.waitedTooLong(job, now); got != test.want {
-				t.Errorf("has its turn: %v, want %v", got, test.want)
+				t.Errorf("waited too long: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -12,19 +12,20 @@
 func TestPlanConditions(t *testing.T) {
 	c := newCore(t)
 	builder, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
-	// A stale owner, a cancelled job or a changed machine must make it fail.
+	// The transaction must fail if the shard has another owner, the job was cancelled or the
+	// machine group changed.
 	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
 	if !reflect.DeepEqual(builder.conditions, want) {
 		t.Fatalf("conditions %v, want %v", builder.conditions, want)
 	}
 	entry := machineIn(t, builder)
 	if len(entry.Tasks) != 1 || len(entry.Tasks[0].Numbers) != 8 || entry.Tasks[0].Numbers[1] <= 4 || entry.Incarnation != 1 {
-		t.Fatalf("record %+v: two tasks under an attempt above every revision so far", entry)
+		t.Fatalf("record %+v: want two tasks with an attempt above every earlier revision", entry)
 	}
 }
 
-// Groups that list hundreds of small tasks must not make a transaction larger than the
-// state service takes: it would refuse it for ever.
+// TestTxnStaysWithinLimits guards against a transaction that the state service refuses forever:
+// groups that list hundreds of small tasks make it larger than the service's limit.
 func TestTxnStaysWithinLimits(t *testing.T) {
 	controller := newCore(t)
 	job := fmt.Sprintf("job-%06d", 7)
@@ -50,28 +51,29 @@
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: numbers}}}}}, 6)
 		machine := controller.cache.Machine(fmt.Sprint("x", i))
 		heartbeat := reportOf(machine, 1)
-		heartbeat.Tasks[0].State, heartbeat.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group has something to say
+		heartbeat.Tasks[0].State, heartbeat.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group's record has to change
 		controller.applyHeartbeat(machine, controller.workerState(machine), heartbeat, 4, false)
 	}
 	txn, more := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).heard)
 	if size := len(storage.Encode(txn)); size > 64<<10 || len(txn.Then) == 0 || !more {
-		t.Errorf("%d bytes, %d changes, more: %v", size, len(txn.Then), more)
+		t.Errorf("transaction of %d bytes with %d changes, more %v: want at most 64 KB, some changes and more", size, len(txn.Then), more)
 	}
 }
 
-// That a machine fails its tasks was forgotten whenever it got another owner, so
-// it went on failing tasks: it belongs into the record.
+// TestUnhealthyIsRecorded checks that a machine's unhealthy mark is written to its record. Without
+// that, the mark was lost when the machine got another owner, and the machine went on failing
+// tasks.
 func TestUnhealthyIsRecorded(t *testing.T) {
 	c := newCore(t)
 	machine := c.cache.Machine("m")
 	c.workerState(machine).unhealthy = true
 	builder, _ := c.plan(c.workerState(machine).heard, 12)
 	if entry := machineIn(t, builder); !entry.Unhealthy || len(entry.Tasks) != 0 {
-		t.Fatalf("record %+v", entry)
+		t.Fatalf("record %+v: want an unhealthy machine without tasks", entry)
 	}
 	c.applyTxn(builder.build(), 9)
 	clear(c.workers.states)
 	if worker := c.workerState(machine); c.usable(machine, worker, worker.heard) {
-		t.Fatal("a new owner would place tasks on it")
+		t.Fatal("a new owner considers the unhealthy machine usable")
 	}
 }
--- a/internal/controller/rebalancer_test.go
+++ b/internal/controller/rebalancer_test.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/storage"
 )
 
-// newRebalancerCore is a controller of a deployment whose only machine type has 8 CPUs.
+// newRebalancerCore returns a controller of a deployment whose only machine type has 8 CPUs.
 func newRebalancerCore(t *testing.T, deployment config.Deployment, memGB float64) *Controller {
 	t.Helper()
 	deployment.State = config.State{TxnOps: 12, WriteRPS: 80}
@@ -21,7 +21,7 @@
 	return c
 }
 
-// putRecord has a controller read a record.
+// putRecord applies a record to a controller's cache.
 func putRecord(t *testing.T, c *Controller, key string, record any) {
 	t.Helper()
 	if err := c.cache.Apply(key, storage.Encode(record), 3, false); err != nil {
@@ -29,14 +29,15 @@
 	}
 }
 
-// putJob has a controller read a job that came some time ago.
+// putJob applies the record of a job that was submitted some time ago to a controller's cache.
 func putJob(t *testing.T, c *Controller, id, team string, tasks int, age time.Duration, spec storage.SpecRecord) {
 	t.Helper()
 	putRecord(t, c, storage.JobKey(id), storage.JobRecord{Tasks: tasks, Team: team,
 		SubmittedMs: time.Now().Add(-age).UnixMilli(), Spec: &spec})
 }
 
-// movesToFirst is how many groups more move to the first of two shards than from it.
+// movesToFirst runs rebalancing passes and returns how many groups move to the first of two shards,
+// minus those that move from it.
 func movesToFirst(c *Controller, kinds ...workKind) int {
 	mv := newRebalancer(c)
 	for _, kind := range kinds {
@@ -49,24 +50,25 @@
 	return moves
 }
 
-// The shard with the most work for its machines took them from one whose team had
-// less than it is guaranteed, whose work then waited for preemptions.
+// TestMovesHonourGuarantees guards against a shard that has the most work for its machines drawing
+// machines from a shard whose team has less than its guarantee, so that this team's work must wait
+// for preemptions.
 func TestMovesHonourGuarantees(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		guarantee float64 // of red, in shard 0; blue has none
-		machines  [2]int  // of 8 CPUs, by shard, each a group of its own
-		demand    [2]int  // tasks of 4 CPUs that wait, by team
-		baseline  [2]float64
-		moves     int // from shard 1 to 0; below 0: the other way
+		guarantee float64    // guarantee of team red, whose shard is 0; team blue (shard 1) has none
+		machines  [2]int     // machines of 8 CPUs by shard, each in a group of its own
+		demand    [2]int     // waiting tasks of 4 CPUs by team
+		baseline  [2]float64 // in CPUs, by team
+		moves     int        // groups that move from shard 1 to shard 0, minus those that move back
 	}{
-		{"to the greater load, without guarantees", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{}, -2},
-		{"not below what is guaranteed", 32, [2]int{4, 4}, [2]int{10, 60}, [2]float64{}, 0},
+		{"to the more loaded shard, without guarantees", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{}, -2},
+		{"not from a shard that needs its guarantee", 32, [2]int{4, 4}, [2]int{10, 60}, [2]float64{}, 0},
 		{"to a team below its guarantee, whatever the load", 32, [2]int{1, 7}, [2]int{10, 60}, [2]float64{}, 3},
-		{"no more than its work takes", 32, [2]int{1, 7}, [2]int{3, 60}, [2]float64{}, 1},
-		{"not for an overload from a team that asks for its baseline", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{20, 8}, 0},
-		{"to the greater load, where it is no overload", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{20, 100}, -2},
-		{"a guarantee goes before another's baseline", 32, [2]int{1, 7}, [2]int{10, 60}, [2]float64{8, 60}, 3},
+		{"to a team below its guarantee, no more than its work needs", 32, [2]int{1, 7}, [2]int{3, 60}, [2]float64{}, 1},
+		{"not to an overloaded queue from a team that needs its baseline", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{20, 8}, 0},
+		{"to the more loaded shard, below the overload threshold", 0, [2]int{4, 4}, [2]int{10, 60}, [2]float64{20, 100}, -2},
+		{"a guarantee precedes another team's baseline", 32, [2]int{1, 7}, [2]int{10, 60}, [2]float64{8, 60}, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
@@ -94,21 +96,23 @@
 	}
 }
 
-// A job bound to one zone waited while its shard had as much free capacity in another: sums of all zones said that nothing was
-// short. It is lent a group on which it fits; what waits for its team's limit, and not for capacity, is lent none.
+// TestWorkWaitingBesideCapacityIsLentAGroup guards against a job that waits because it is bound to
+// one zone while its shard has free capacity in another: sums over all zones show no shortage. The
+// shard must get a group on which the job fits. It must get none for work that waits because of its
+// team's limit.
 func TestWorkWaitingBesideCapacityIsLentAGroup(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		zone  string  // where the job must run; its shard has an empty machine in a, the other shard one in b
-		cpus  float64 // of its task; machines have 8
-		limit float64 // of its team, which runs 2 CPUs
+		zone  string  // where the job must run; its shard's machine is in zone a, the other shard's empty machine in zone b
+		cpus  float64 // CPUs of the job's task; machines have 8
+		limit float64 // CPU limit of the job's team, which uses 2 CPUs
 		stuck time.Duration
-		want  int // groups that move to it
+		want  int // groups that move to the job's shard
 	}{
-		{name: "its own machine will do", zone: "a", cpus: 4, stuck: 11 * time.Second},
+		{name: "it fits on its shard's machine", zone: "a", cpus: 4, stuck: 11 * time.Second},
 		{name: "bound to the other zone", zone: "b", cpus: 4, stuck: 11 * time.Second, want: 1},
-		{name: "at once from a shard with nothing to do", zone: "b", cpus: 4, want: 1},
-		{name: "too large for its own, beside what runs there", cpus: 8, stuck: 11 * time.Second, want: 1},
+		{name: "immediately from a shard without work", zone: "b", cpus: 4, want: 1},
+		{name: "too large for what is free on its shard's machine", cpus: 8, stuck: 11 * time.Second, want: 1},
 		{name: "its team is at its limit", zone: "b", cpus: 4, limit: 5, stuck: 11 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -138,14 +142,14 @@
 	}
 }
 
-// lendingFixture is three groups of one machine each, of two shards.
+// lendingFixture describes three groups of one machine each in two shards.
 type lendingFixture struct {
-	placed [3]int // tasks of 2 CPUs on the machine of 8 of groups 0, 1 and 2
-	shard  [3]int // of those groups, -1: there is none; shard 1 waits for 3 tasks
-	waits  int    // tasks of shard 0
+	placed [3]int // tasks of 2 CPUs placed on the machine (8 CPUs) of groups 0, 1 and 2
+	shard  [3]int // shard of each group, -1 if the group does not exist; shard 1 has 3 waiting tasks
+	waits  int    // waiting tasks of shard 0
 }
 
-// newCore is a controller that has read the fixture's records.
+// newCore returns a controller whose cache holds the fixture's records.
 func (f lendingFixture) newCore(t *testing.T) *Controller {
 	t.Helper()
 	controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
@@ -175,21 +179,22 @@
 	return controller
 }
 
-// Three machines ran what could not end, one of them alone in its shard; by the sums there was capacity, so
-// nothing was provisioned, and no move evened out loads: a shard without a machine waited for ever.
+// TestShardWithoutGroupIsLentOne guards against a shard without machines whose work waits forever.
+// Three machines ran tasks without an end, one of them alone in its shard. By the sums there was
+// enough capacity, so nothing was provisioned, and no move balanced the loads.
 func TestShardWithoutGroupIsLentOne(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		fixture lendingFixture
-		want    int // the group that moves, -1: none
+		want    int // ID of the group that moves, -1 for none
 		stuck   time.Duration
 	}{
-		{"from a shard that would have none", lendingFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 0}, 0, 0},
-		{"from one with more, the one with the most free", lendingFixture{[3]int{3, 1, 2}, [3]int{0, 0, 0}, 0}, 1, 0},
-		{"not from one with more to one that has one", lendingFixture{[3]int{4, 2, 3}, [3]int{1, 0, 0}, 0}, -1, 0},
-		{"but after a while", lendingFixture{[3]int{4, 1, 3}, [3]int{1, 0, 0}, 0}, 1, 11 * time.Second},
-		{"not where something waits too", lendingFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 4}, -1, 0},
-		{"not where nothing would fit", lendingFixture{[3]int{4, 0, 0}, [3]int{0, -1, -1}, 0}, -1, 0},
+		{"from a shard that keeps no group", lendingFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 0}, 0, 0},
+		{"the group with the most free capacity, from a shard with several", lendingFixture{[3]int{3, 1, 2}, [3]int{0, 0, 0}, 0}, 1, 0},
+		{"not from a shard with several to one that has a group", lendingFixture{[3]int{4, 2, 3}, [3]int{1, 0, 0}, 0}, -1, 0},
+		{"from a shard with several to one that has a group, after stuckAfter", lendingFixture{[3]int{4, 1, 3}, [3]int{1, 0, 0}, 0}, 1, 11 * time.Second},
+		{"not from a shard whose own work waits", lendingFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 4}, -1, 0},
+		{"not if no task would fit", lendingFixture{[3]int{4, 0, 0}, [3]int{0, -1, -1}, 0}, -1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := test.fixture.newCore(t)
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -11,56 +11,57 @@
 	"dykeledge/internal/storage"
 )
 
-// lowerState is a state service's limits with much lower ones to come.
+// lowerState has the limits of a state service and, as announced limits, much lower ones.
 var lowerState = config.State{RPS: 200, WriteRPS: 80, ValueKB: 64, TxnOps: 12,
 	Next: &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}}
 
-// What transactions may hold under the lower limits.
+// Limits on transactions under the lower limits.
 const (
 	lowerValueLimit  = 2 << 10
 	lowerChanges     = 4
 	lowerComparisons = 16
 )
 
-// checkLowerLimits fails if a transaction is over the lower limits.
+// checkLowerLimits fails the test if a transaction exceeds the lower limits.
 func checkLowerLimits(t *testing.T, txn protocol.Txn) {
 	t.Helper()
 	if len(txn.Then) > lowerChanges || len(txn.If) > lowerComparisons {
-		t.Fatalf("%d changes on %d conditions", len(txn.Then), len(txn.If))
+		t.Fatalf("transaction has %d changes and %d conditions, more than the lower limits allow", len(txn.Then), len(txn.If))
 	}
 	for _, change := range txn.Then {
 		if len(change.Value) > lowerValueLimit {
-			t.Fatalf("%s takes %d bytes", change.Put, len(change.Value))
+			t.Fatalf("value of %s takes %d bytes, more than the lower limit", change.Put, len(change.Value))
 		}
 	}
 }
 
-// What the state of TestLowerLimits consists of.
+// Sizes of the state that TestLowerLimits starts from.
 const (
 	largeGroups      = 4
 	largeGroupSize   = 24
-	triesPerMachine  = 40 // to place a task
+	triesPerMachine  = 40 // attempts to place a task on each machine
 	largeJobs        = 60
 	maxPlacedPerJob  = 200
 	largeArrayTasks  = 100_000
-	largeArrayStride = 499 // how far apart its placed tasks are
+	largeArrayStride = 499 // difference between the numbers of the large array's placed tasks
 )
 
-// taskOfJob is a task by its job's name and its number.
+// taskOfJob identifies a task by its job's ID and its number.
 type taskOfJob struct {
 	job  string
 	task int
 }
 
-// lowerLimitsRun is a controller with records far over the lower limits, and what the test knows of its tasks.
+// lowerLimitsRun is a controller with records far over the lower limits, and the test's own account
+// of its tasks.
 type lowerLimitsRun struct {
 	t       *testing.T
 	random  *rand.Rand
 	c       *Controller
 	version uint64
-	on      map[taskOfJob]string // name of the machine
-	next    map[string]int       // tasks placed, by job
-	jobs    []string             // the first one is a large array
+	on      map[taskOfJob]string // name of the machine on which each task is placed
+	next    map[string]int       // number of placed tasks, by job
+	jobs    []string             // IDs; the first job is the large array
 }
 
 func newLowerLimitsRun(t *testing.T, seed uint64) *lowerLimitsRun {
@@ -71,7 +72,7 @@
 	r.applyJobs()
 	r.applyGroups()
 	r.apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
-	r.c.workers.directCommands = maxDirectCommands // no workers here
+	r.c.workers.directCommands = maxDirectCommands // keeps direct commands from being sent: there are no workers
 	r.c.changed()
 	for _, machine := range r.c.cache.Machines {
 		if machine.Name != "m" {
@@ -81,7 +82,7 @@
 	return r
 }
 
-// apply has the controller read a record.
+// apply applies a record to the controller's cache at the next revision.
 func (r *lowerLimitsRun) apply(key string, record any) {
 	r.t.Helper()
 	r.version++
@@ -104,7 +105,7 @@
 	}
 }
 
-// applyGroups has the controller read the fleet and the full groups.
+// applyGroups applies the records of the fleet and of the full groups.
 func (r *lowerLimitsRun) applyGroups() {
 	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 	for i := range largeGroups * largeGroupSize {
@@ -121,7 +122,7 @@
 	}
 }
 
-// fullMachine is a machine's entry with tasks of many jobs.
+// fullMachine returns a machine's entry with tasks of many jobs.
 func (r *lowerLimitsRun) fullMachine(name string) storage.GroupMachine {
 	machine := storage.GroupMachine{Name: name, Incarnation: 1}
 	for range triesPerMachine {
@@ -141,7 +142,8 @@
 	return machine
 }
 
-// pauseJobs has nothing more placed: what is there only runs out.
+// pauseJobs puts all jobs into backoff, so that nothing more is placed and the placed tasks run
+// out.
 func (r *lowerLimitsRun) pauseJobs() {
 	for _, job := range r.c.cache.Jobs {
 		if job != nil {
@@ -150,7 +152,8 @@
 	}
 }
 
-// completeSomeTasks has some machines report that some of their tasks are done.
+// completeSomeTasks applies heartbeats in which some machines report that some of their tasks are
+// done.
 func (r *lowerLimitsRun) completeSomeTasks() {
 	for _, machine := range r.c.cache.Machines {
 		if machine.Name == "m" || len(machine.Tasks) == 0 || r.random.IntN(10) > 0 {
@@ -167,7 +170,7 @@
 	}
 }
 
-// placedCount is how many tasks are placed.
+// placedCount returns the number of placed tasks.
 func (r *lowerLimitsRun) placedCount() int {
 	placed := 0
 	for _, job := range r.c.cache.Jobs {
@@ -178,14 +181,15 @@
 	return placed
 }
 
-// commit has a transaction carried out.
+// commit makes the controller handle a transaction as committed.
 func (r *lowerLimitsRun) commit(txn protocol.Txn) {
 	r.version++
 	r.c.handleTxnOutcome(txn, r.version, nil, nil)
 	r.c.cache.Revision = r.version
 }
 
-// placedTasks is which task is on which machine; none may be on two, or be completed.
+// placedTasks returns the machine index of each placed task. It fails the test if a task is on two
+// machines, or is completed and still placed.
 func (r *lowerLimitsRun) placedTasks() map[taskOfJob]int32 {
 	r.t.Helper()
 	seen := map[taskOfJob]int32{}
@@ -193,18 +197,19 @@
 		for _, placed := range machine.Tasks {
 			task := taskOfJob{placed.Job.ID, placed.Task}
 			if other, twice := seen[task]; twice {
-				r.t.Fatalf("%v is on %d and %d", task, other, machine.Index)
+				r.t.Fatalf("task %v is on machines %d and %d", task, other, machine.Index)
 			}
 			seen[task] = machine.Index
 			if placed.Job.Done.Get(placed.Task) {
-				r.t.Fatalf("%v is completed and placed", task)
+				r.t.Fatalf("task %v is completed and still placed", task)
 			}
 		}
 	}
 	return seen
 }
 
-// checkTasks fails if a task has moved or is lost, and forgets those that have ended.
+// checkTasks fails the test if a task has moved or is lost, and removes tasks that have ended from
+// the test's account.
 func (r *lowerLimitsRun) checkTasks() {
 	r.t.Helper()
 	seen := r.placedTasks()
@@ -212,16 +217,17 @@
 		machine, placed := seen[task]
 		switch job := r.c.cache.Job(task.job); {
 		case placed && r.c.cache.Machines[machine].Name != name && machine != 0 && job.AttemptOf[task.task] < 50_100:
-			r.t.Fatalf("%v is on %s, not %s", task, r.c.cache.Machines[machine].Name, name)
+			r.t.Fatalf("task %v is on machine %s, want %s", task, r.c.cache.Machines[machine].Name, name)
 		case !placed && job != nil && job.Open() && !job.Done.Get(task.task):
-			r.t.Fatalf("%v is lost", task)
+			r.t.Fatalf("task %v of an open job is neither placed nor completed", task)
 		case !placed:
 			delete(r.on, task)
 		}
 	}
 }
 
-// step completes some tasks and commits the next transaction; false: nothing is left to do.
+// step completes some tasks and commits the next transaction. It returns false once no task is
+// placed and nothing is left to commit.
 func (r *lowerLimitsRun) step() (more bool) {
 	r.t.Helper()
 	r.completeSomeTasks()
@@ -235,10 +241,10 @@
 	return true
 }
 
-// Records of the plain layout that are far over the limits to come: full groups, whose
-// machines' tasks must be able to leave, a large array with most of its tasks completed,
-// a large victim set. Every transaction keeps to the lower limits, from the gate on or with the
-// limits falling at once, and at the end nothing is left.
+// TestLowerLimits starts from records of the plain layout that are far over the announced limits:
+// full groups, from which tasks must still be removed, and a large array. Every transaction must be
+// within the lower limits, with jobs paused at the start or after 100 steps, and at the end no task
+// is left.
 func TestLowerLimits(t *testing.T) {
 	const maxSteps = 4000
 	for seed := range uint64(6) {
@@ -254,11 +260,11 @@
 				}
 			}
 			if len(run.on) > 0 {
-				t.Fatalf("%d of %d tasks are still there after %d steps", len(run.on), total, steps)
+				t.Fatalf("%d of %d tasks are still placed after %d steps", len(run.on), total, steps)
 			}
 			for _, group := range run.c.cache.Groups {
 				if group.Size > lowerValueLimit {
-					t.Errorf("group %d takes %d bytes", group.ID, group.Size)
+					t.Errorf("record of group %d takes %d bytes, more than the lower limit", group.ID, group.Size)
 				}
 			}
 			t.Logf("%d tasks completed in %d steps, %d groups", total, steps, len(run.c.cache.Groups))
@@ -266,14 +272,14 @@
 	}
 }
 
-// A fleet's record that is over the lower limit even when packed is rewritten in small steps;
-// meanwhile no machine is lost, none counts twice, and none leaves, since the large record would
-// bring it back.
+// TestLargeFleetIsWorkedOff checks that a fleet record that exceeds the lower limit even in the
+// packed layout is rewritten in small steps. After each step every machine is listed; at the end
+// each is listed once.
 func TestLargeFleetIsWorkedOff(t *testing.T) {
 	const machines, maxSteps = 200, 100
 	for _, width := range []int{6, 100} {
 		t.Run(fmt.Sprint("names of width ", width), func(t *testing.T) {
-			controller := newCore(t) // has a machine too
+			controller := newCore(t) // the core has a machine of its own
 			controller.cfg.Deployment.State = lowerState
 			fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
 			for i := range machines {
@@ -300,22 +306,22 @@
 					apply(change)
 				}
 				if there := listedMachines(controller); there != machines+1 {
-					t.Fatalf("%d of %d machines after step %d", there, machines+1, steps)
+					t.Fatalf("%d of %d machines are listed after step %d", there, machines+1, steps)
 				}
 			}
 			if left, _ := controller.cache.OversizedFleet(lowerValueLimit); left != nil || steps == 0 {
-				t.Errorf("still oversized after %d steps", steps)
+				t.Errorf("no step was needed, or a fleet record is still oversized, after %d steps", steps)
 			}
 			for _, machine := range controller.cache.Machines {
 				if machine.FleetEntries != 1 {
-					t.Fatalf("%s is listed %d times", machine.Name, machine.FleetEntries)
+					t.Fatalf("machine %s is listed %d times, want once", machine.Name, machine.FleetEntries)
 				}
 			}
 		})
 	}
 }
 
-// listedMachines is how many machines a fleet's record lists and a group holds.
+// listedMachines returns the number of machines that a fleet's record lists and a group holds.
 func listedMachines(c *Controller) int {
 	listed := 0
 	for _, machine := range c.cache.Machines {
--- a/internal/controller/relocation_test.go
+++ b/internal/controller/relocation_test.go
@@ -9,8 +9,9 @@
 	"dykeledge/internal/storage"
 )
 
-// Tasks that would have ended as soon were stopped to empty machines, fetched their images elsewhere
-// and made their jobs late.
+// TestWhatLeavesADrainedMachine guards against stopping tasks on draining machines that would have
+// ended about as soon where they were: they fetched their images again elsewhere, and their jobs
+// were late.
 func TestWhatLeavesADrainedMachine(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -19,11 +20,11 @@
 		age       time.Duration
 		want      bool
 	}{
-		{"much is left and there is time", 100, 10, 20 * time.Second, true},
-		{"it ends about as soon as it is moved", 100, 80, 90 * time.Second, false},
-		{"its job would be late by it", 100, 10, 75 * time.Second, false},
+		{"much of the run is left, and the job can still be in time", 100, 10, 20 * time.Second, true},
+		{"it would end about as soon where it is", 100, 80, 90 * time.Second, false},
+		{"stopping it would make its job late", 100, 10, 75 * time.Second, false},
 		{"its job is late already", 100, 10, 300 * time.Second, true},
-		{"longer than its owner thought", 100, 130, 10 * time.Second, false},
+		{"it has run longer than estimated", 100, 130, 10 * time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
@@ -36,13 +37,14 @@
 			machine := c.cache.Machine("m")
 			placed := storage.PlacedTask{Job: job, PlacedAt: now.Unix() - test.ranS}
 			if got := c.leavesDrained(machine, c.workerState(machine), placed, now); got != test.want {
-				t.Errorf("leaves: %v, want %v", got, test.want)
+				t.Errorf("task is stopped: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// placeService has a controller read a service, with its first replicas on the named machines.
+// placeService applies the record of a service to a controller's cache, and places its first
+// replicas on the named machines.
 func placeService(t *testing.T, controller *Controller, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
 	controller.follower.highestRevision++
@@ -62,7 +64,8 @@
 	return job
 }
 
-// Replicas leave a drained machine one of a service at a time, and only for one that has their image.
+// TestReplicasMoveOneByOne checks that replicas are relocated from a draining machine one of a
+// service at a time, and only if another machine has their image.
 func TestReplicasMoveOneByOne(t *testing.T) {
 	controller, now := newZonesCore(t, 3), time.Now()
 	for _, machine := range controller.cache.Machines {
@@ -84,10 +87,10 @@
 		return replicas
 	}
 	if n := leaving(); n != 0 {
-		t.Errorf("%d replicas leave although their image is nowhere else", n)
+		t.Errorf("%d replicas are relocated although no other machine has their image", n)
 	}
 	controller.workerState(controller.cache.Machine("c0")).images = []int{one.Image}
 	if n := leaving(); n != 2 || controller.jobState(one).relocating == controller.jobState(two).relocating {
-		t.Errorf("%d replicas leave, want one of each service", n)
+		t.Errorf("%d replicas are relocated, want one of each service", n)
 	}
 }
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -14,9 +14,9 @@
 
 func (idleStore) SetLimit(float64) {}
 
-// A transaction in doubt whose repetition is refused for its size is still in doubt: the
-// first copy may have been carried out before the limits fell, or come late. It was
-// repeated for ever.
+// TestInDoubtTransactionIsSettled guards against repeating an in-doubt transaction forever when the
+// state service refuses the repetition because of its size. The transaction is then still in doubt,
+// since the first copy may have been committed before the limits were lowered, or may arrive late.
 func TestInDoubtTransactionIsSettled(t *testing.T) {
 	controller := newCore(t)
 	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
@@ -26,35 +26,35 @@
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
 	controller.handleTxnOutcome(*controller.commits.inDoubt, 0, nil, tooLarge)
 	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
-		t.Fatalf("it is not settled by rewriting the shard's record: %+v", controller.commits.inDoubt)
+		t.Fatalf("the in-doubt transaction is not replaced by one that rewrites the shard's record: %+v", controller.commits.inDoubt)
 	}
 	settle := *controller.commits.inDoubt
-	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
+	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrUnknown) // the replacement can be in doubt too
 	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrRefused)
 	if controller.commits.inDoubt == nil {
-		t.Fatal("given up before it was known")
+		t.Fatal("the in-doubt transaction was dropped before its outcome was known")
 	}
 	controller.handleTxnOutcome(settle, 20, nil, nil)
 	if controller.commits.inDoubt != nil || controller.commits.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
-		t.Fatalf("in doubt %v, waiting for %d, shard's version %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
+		t.Fatalf("in doubt %v, awaited revision %d, version of the shard's record %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
 		return x.Key == storage.ShardKey(0) && x.Version == controller.cache.Shards[0].Version
 	}) {
-		t.Fatal("a late copy would still be carried out")
+		t.Fatal("a late copy of the transaction would still be committed")
 	}
 	if !controller.gates.limitsLowered {
-		t.Error("the limits to come are not taken up")
+		t.Error("the announced limits are not applied after the refusal")
 	}
-	// Where nothing is in doubt a refusal for size is definite.
+	// If nothing is in doubt, a refusal because of the size is definite.
 	controller = newCore(t)
 	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 	if controller.handleTxnOutcome(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
-		t.Errorf("in doubt %v, lowered %v", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
+		t.Errorf("in doubt %v, limits lowered %v: want false and true", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
 	}
 }
 
-// scriptStore answers transactions by a script, and notes them.
+// scriptStore answers transactions with scripted answers, and records the transactions.
 type scriptStore struct {
 	idleStore
 	answers []scriptAnswer
@@ -73,7 +73,7 @@
 	return answer.rev, answer.failed, answer.err
 }
 
-// runInbox does a controller's work until ctx ends.
+// runInbox runs the work in a controller's inbox until ctx ends.
 func runInbox(ctx context.Context, c *Controller) {
 	for {
 		select {
@@ -85,7 +85,8 @@
 	}
 }
 
-// newScriptedLeader is a controller with a scripted store. It leads, or n1 does.
+// newScriptedLeader returns a controller that uses the given store. The leader is this controller
+// if leads is set, otherwise member n1.
 func newScriptedLeader(t *testing.T, store StateStore, leads bool) *Controller {
 	t.Helper()
 	c := newCore(t)
@@ -99,8 +100,9 @@
 	return c
 }
 
-// The leader's transactions in doubt are settled likewise: its key is rewritten, and the
-// cache is waited for before anybody looks at what became of them.
+// TestLeadersInDoubtTransactionIsSettled checks that a leader's in-doubt transaction is resolved
+// when its repetition is refused because of its size: the leader's key is rewritten, and the
+// outcome is reported only after the cache has reached the revision of that write.
 func TestLeadersInDoubtTransactionIsSettled(t *testing.T) {
 	tooLarge := scriptAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
 	unknown, refused := scriptAnswer{err: protocol.ErrUnknown}, scriptAnswer{err: protocol.ErrRefused}
@@ -108,16 +110,16 @@
 		name    string
 		answers []scriptAnswer
 		leads   bool
-		rewrite bool // the last one rewrites the leader's key
-		waits   bool
-		ok      bool
+		rewrite bool // the last request rewrites the leader's key
+		waits   bool // the outcome is reported only once the cache has reached the revision
+		ok      bool // the transaction is reported as committed
 	}{
-		{"refused with nothing in doubt", []scriptAnswer{tooLarge}, true, false, false, false},
+		{"refused without being in doubt", []scriptAnswer{tooLarge}, true, false, false, false},
 		{"committed after it was in doubt", []scriptAnswer{unknown, {rev: 20}}, true, false, false, true},
-		{"settled", []scriptAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
-		{"settled after it was in doubt again", []scriptAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
-		{"another leads: the late copy fails by itself", []scriptAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
-		{"a comparison settles nothing", []scriptAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
+		{"resolved", []scriptAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
+		{"resolved after the rewrite was in doubt too", []scriptAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
+		{"another member leads: the late copy fails in any case", []scriptAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
+		{"a comparison resolves nothing", []scriptAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -132,17 +134,17 @@
 				go controller.commitWithRetry(ctx, txn, func(committed bool) { done, ok = true, committed })
 				time.Sleep(10 * time.Second)
 				if done == test.waits {
-					t.Fatalf("told before the cache had reached the revision: %v", done)
+					t.Fatalf("outcome reported before the cache reached revision 20: %v", done)
 				}
 				controller.post(func() { controller.cache.Revision = 20 })
 				time.Sleep(time.Second)
 				if !done || ok != test.ok || len(store.asked) != len(test.answers) {
-					t.Fatalf("told %v, %v after %d requests", done, ok, len(store.asked))
+					t.Fatalf("outcome reported %v, committed %v after %d requests", done, ok, len(store.asked))
 				}
 				last := store.asked[len(store.asked)-1]
 				rewrites := len(last.Then) == 1 && last.Then[0].Put == storage.LeaderKey
 				if rewrites != test.rewrite || rewrites && (last.Then[0].Lease != 7 || last.If[0].Version != 5) {
-					t.Errorf("the last request is %+v", last)
+					t.Errorf("unexpected last request %+v", last)
 				}
 			})
 		})
