--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,9 +12,9 @@
 	"dykeledge/internal/storage"
 )
 
-// largeCore returns a controller that owns one shard with the given numbers of machines, of whose
+// newLargeCore returns a controller that owns one shard with the given numbers of machines, of whose
 // capacity about four fifths are used, and of open jobs, most of whose tasks wait.
-func largeCore(b *testing.B, machines, jobs int) *Controller {
+func newLargeCore(b *testing.B, machines, jobs int) *Controller {
 	b.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
@@ -69,13 +69,13 @@
 
 var sizes = []struct{ machines, jobs int }{{50, 50}, {400, 400}, {1250, 5000}, {5000, 20000}}
 
-// overSizes runs a benchmark for all sizes. prepare gets a controller that sends no direct
+// runAllSizes runs a benchmark for all sizes. prepare gets a controller that sends no direct
 // commands, and returns the step to measure.
-func overSizes(b *testing.B, prepare func(ctx context.Context, core *Controller) (step func() error)) {
+func runAllSizes(b *testing.B, prepare func(ctx context.Context, core *Controller) (step func() error)) {
 	b.Helper()
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
-			controller := largeCore(b, size.machines, size.jobs)
+			controller := newLargeCore(b, size.machines, size.jobs)
 			controller.workers.directCommands = maxDirectCommands
 			step := prepare(b.Context(), controller)
 			b.ReportAllocs()
@@ -89,7 +89,7 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	overSizes(b, func(_ context.Context, c *Controller) func() error {
+	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		return func() error {
 			c.plan(time.Now(), 12)
 			return nil
@@ -99,7 +99,7 @@
 
 // BenchmarkPlanFull measures a pass over a fleet without usable machines: nothing is placed.
 func BenchmarkPlanFull(b *testing.B) {
-	overSizes(b, func(_ context.Context, c *Controller) func() error {
+	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		for _, machine := range c.cache.Machines {
 			machine.Draining = true
 		}
@@ -111,7 +111,7 @@
 }
 
 func BenchmarkHeartbeat(b *testing.B) {
-	overSizes(b, func(ctx context.Context, c *Controller) func() error {
+	runAllSizes(b, func(ctx context.Context, c *Controller) func() error {
 		machine := c.cache.Machines[len(c.cache.Machines)/2]
 		seq := uint64(1)
 		return func() error {
@@ -124,7 +124,7 @@
 }
 
 func BenchmarkChange(b *testing.B) {
-	overSizes(b, func(_ context.Context, c *Controller) func() error {
+	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		raw := storage.Encode(c.cache.GroupRecordOf(c.cache.Groups[1], nil, nil))
 		version := uint64(5)
 		return func() error {
@@ -140,7 +140,7 @@
 
 // BenchmarkLists measures reading all jobs and all machines page by page, as operators' tools do.
 func BenchmarkLists(b *testing.B) {
-	overSizes(b, func(ctx context.Context, c *Controller) func() error {
+	runAllSizes(b, func(ctx context.Context, c *Controller) func() error {
 		go serveInbox(ctx, c)
 		return func() error {
 			if err := readAllJobs(ctx, c); err != nil {
--- a/internal/controller/desired_state_test.go
+++ b/internal/controller/desired_state_test.go
@@ -9,9 +9,9 @@
 	"dykeledge/internal/storage"
 )
 
-// TestVictimsSave checks that a victim that would save little by a checkpoint stops at once, and
+// TestVictimCheckpointGrace checks that a victim that would save little by a checkpoint stops at once, and
 // that the grace of one that is already saving is not cut short by the time that passes meanwhile.
-func TestVictimsSave(t *testing.T) {
+func TestVictimCheckpointGrace(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		ran   time.Duration
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -28,9 +28,9 @@
 
 // drainingState is the leader's state about work that waits while machines are draining.
 type drainingState struct {
-	// stuckSince is the time since which work has waited for which only draining machines have
+	// workStuckSince is the time since which work has waited for which only draining machines have
 	// capacity.
-	stuckSince time.Time
+	workStuckSince time.Time
 }
 
 // drainCandidate is a machine that may be drained.
@@ -41,12 +41,12 @@
 
 // drainSurvey is the result of a pass over all machines: what is needed to decide on draining.
 type drainSurvey struct {
-	fleetSize  int
-	surplus    float64            // machines that are not needed, in whole machines, minus those that are draining
-	drained    []*storage.Machine // machines that are draining
-	candidates []drainCandidate
-	waiting    float64 // CPUs of waiting work minus those free on machines that are not draining
-	stuck      float64 // the same, counting only work within its team's limit
+	fleetSize           int
+	surplus             float64            // machines that are not needed, in whole machines, minus those that are draining
+	draining            []*storage.Machine // machines that are draining
+	candidates          []drainCandidate
+	waiting             float64 // CPUs of waiting work minus those free on machines that are not draining
+	waitingWithinLimits float64 // the same, counting only work within its team's limit
 }
 
 // drainSurplus drains machines that are not needed but still run a few tasks, the most expensive
@@ -55,11 +55,11 @@
 func (c *Controller) drainSurplus(now time.Time, plan autoscale.Plan, retention time.Duration) {
 	survey := c.surveyDraining(now, plan, retention)
 	if plan.Urgent > 0 {
-		for _, machine := range survey.drained {
+		for _, machine := range survey.draining {
 			c.setDraining(machine, false)
 		}
 	}
-	c.restoreNeeded(now, survey.drained)
+	c.restoreNeeded(now, survey.draining)
 	c.restoreForStuckWork(now, survey, plan.Urgent > 0)
 	if plan.Urgent == 0 && survey.waiting <= 0 {
 		c.drainCandidates(survey)
@@ -68,7 +68,7 @@
 
 // surveyDraining collects the data about all machines in one pass.
 func (c *Controller) surveyDraining(now time.Time, plan autoscale.Plan, retention time.Duration) *drainSurvey {
-	survey := &drainSurvey{waiting: c.waitingCpus(now), stuck: c.runnableWithinLimits(now)}
+	survey := &drainSurvey{waiting: c.waitingCpus(now), waitingWithinLimits: c.runnableWithinLimits(now)}
 	for _, machines := range plan.Surplus {
 		survey.surplus += machines
 	}
@@ -80,7 +80,7 @@
 		survey.fleetSize++
 		if machine.Draining || update.blocksPlacement() {
 			survey.surplus--
-			survey.drained = append(survey.drained, machine)
+			survey.draining = append(survey.draining, machine)
 			continue
 		}
 		used, cpus := c.usedFraction(machine, now), c.cache.Types[machine.Type].Cpus
@@ -93,7 +93,7 @@
 		if survey.waiting > 0 {
 			survey.waiting -= free
 		}
-		survey.stuck -= free
+		survey.waitingWithinLimits -= free
 	}
 	return survey
 }
@@ -135,27 +135,27 @@
 // restoreNeeded returns a draining machine to service if a job fits on no other machine. Sums of
 // free capacity do not show this, because they ignore which machine has the capacity and for which
 // work.
-func (c *Controller) restoreNeeded(now time.Time, drained []*storage.Machine) {
-	if machine := c.findNeededDrained(drained, now); machine != nil {
+func (c *Controller) restoreNeeded(now time.Time, draining []*storage.Machine) {
+	if machine := c.findNeededDraining(draining, now); machine != nil {
 		c.setDraining(machine, false)
 	}
 }
 
-// findNeededDrained returns a draining machine on which a job fits that has waited for restoreAfter
+// findNeededDraining returns a draining machine on which a job fits that has waited for restoreAfter
 // and fits on no other machine, or nil if there is none.
-func (c *Controller) findNeededDrained(drained []*storage.Machine, now time.Time) *storage.Machine {
+func (c *Controller) findNeededDraining(draining []*storage.Machine, now time.Time) *storage.Machine {
 	fit := fitChecker{c: c}
 	examined := 0
 	for _, job := range c.cache.Jobs {
-		if job == nil || len(drained) == 0 || now.Sub(job.ReadyAt) < restoreAfter || !c.mayStart(job, now) {
+		if job == nil || len(draining) == 0 || now.Sub(job.ReadyAt) < restoreAfter || !c.mayStart(job, now) {
 			continue
 		}
 		if examined++; examined > maxExaminedJobs {
 			break
 		}
-		i := slices.IndexFunc(drained, func(m *storage.Machine) bool { return fit.fitsBesideTasks(job, m) })
+		i := slices.IndexFunc(draining, func(m *storage.Machine) bool { return fit.fitsBesideTasks(job, m) })
 		if i >= 0 && !slices.ContainsFunc(c.cache.Machines, func(m *storage.Machine) bool { return fit.fitsNow(job, m) }) {
-			return drained[i]
+			return draining[i]
 		}
 	}
 	return nil
@@ -167,13 +167,13 @@
 // empty, and the work would wait as long.
 func (c *Controller) restoreForStuckWork(now time.Time, survey *drainSurvey, urgent bool) {
 	switch {
-	case survey.stuck <= 0 || urgent || len(survey.drained) == 0:
-		c.leader.stuckSince = time.Time{}
-	case c.leader.stuckSince.IsZero():
-		c.leader.stuckSince = now
-	case now.Sub(c.leader.stuckSince) > stuckAfter:
-		c.leader.stuckSince = now
-		c.setDraining(survey.drained[0], false)
+	case survey.waitingWithinLimits <= 0 || urgent || len(survey.draining) == 0:
+		c.leader.workStuckSince = time.Time{}
+	case c.leader.workStuckSince.IsZero():
+		c.leader.workStuckSince = now
+	case now.Sub(c.leader.workStuckSince) > stuckAfter:
+		c.leader.workStuckSince = now
+		c.setDraining(survey.draining[0], false)
 	}
 }
 
--- a/internal/controller/draining_test.go
+++ b/internal/controller/draining_test.go
@@ -9,10 +9,10 @@
 	"dykeledge/internal/storage"
 )
 
-// TestADrainedMachineThatIsNeededIsGivenBack guards against work that waits while a draining
+// TestNeededDrainingMachineReturnsToService guards against work that waits while a draining
 // machine runs a task for an hour: the machine counted as capacity, so nothing was provisioned for
 // the work, and as draining, so nothing was placed on it.
-func TestADrainedMachineThatIsNeededIsGivenBack(t *testing.T) {
+func TestNeededDrainingMachineReturnsToService(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		waits int           // waiting tasks of 2 CPUs; 4 others fill the machine of 8 CPUs that is not draining
@@ -43,7 +43,7 @@
 				{Name: "m0", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
 				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
-			controller.leader.stuckSince = now.Add(-test.since)
+			controller.leader.workStuckSince = now.Add(-test.since)
 			controller.drainSurplus(now, autoscale.Plan{}, 0)
 			update := controller.workers.pendingUpdates[controller.cache.Machine("m1").Index]
 			if back := update != nil && update.draining != nil && !*update.draining; back != test.back {
--- a/internal/controller/idle_work_test.go
+++ b/internal/controller/idle_work_test.go
@@ -37,20 +37,20 @@
 			}
 			putJob(t, controller, "job-000001", "guest", test.idle, 0,
 				storage.SpecRecord{Class: "g", Priority: test.priority, Cpus: 4, Mem: 1, Image: "i", Spot: true})
-			putGuestsMachines(t, controller, test.placed > 0)
+			putHomeAndGuestMachines(t, controller, test.placed > 0)
 			if n := controller.cache.Job("job-000001").PlacedCount; n != test.placed {
 				t.Fatalf("%d tasks placed, want %d", n, test.placed)
 			}
-			if moves := movesToFirst(controller, allWork, idleWork); moves != test.moves {
+			if moves := netMovesToFirstShard(controller, allWork, idleWork); moves != test.moves {
 				t.Errorf("%d groups move to the home team's shard, want %d", moves, test.moves)
 			}
 		})
 	}
 }
 
-// putGuestsMachines adds four groups of one machine to each of two shards. If busy is set, each
+// putHomeAndGuestMachines adds four groups of one machine to each of two shards. If busy is set, each
 // machine of the second shard has two of the guest team's tasks.
-func putGuestsMachines(t *testing.T, controller *Controller, busy bool) {
+func putHomeAndGuestMachines(t *testing.T, controller *Controller, busy bool) {
 	t.Helper()
 	const groups, groupsPerShard = 8, 4
 	fleet := storage.FleetRecord{Type: "t", Zone: "a"}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -7,10 +7,10 @@
 	"dykeledge/internal/config"
 )
 
-// TestSizeCountsOnlyForAWhile guards against overloads in which the largest jobs of a class were
+// TestLargeJobsBecomeOverdue guards against overloads in which the largest jobs of a class were
 // placed after all others until they had waited for ten minutes: on a day of seven minutes they
 // were never placed.
-func TestSizeCountsOnlyForAWhile(t *testing.T) {
+func TestLargeJobsBecomeOverdue(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		age     time.Duration
--- a/internal/controller/rebalancer_test.go
+++ b/internal/controller/rebalancer_test.go
@@ -36,9 +36,9 @@
 		SubmittedMs: time.Now().Add(-age).UnixMilli(), Spec: &spec})
 }
 
-// movesToFirst runs rebalancing passes and returns how many groups move to the first of two shards,
+// netMovesToFirstShard runs rebalancing passes and returns how many groups move to the first of two shards,
 // minus those that move from it.
-func movesToFirst(c *Controller, kinds ...workKind) int {
+func netMovesToFirstShard(c *Controller, kinds ...workKind) int {
 	mv := newRebalancer(c)
 	for _, kind := range kinds {
 		mv.rebalancePass(time.Now(), kind)
@@ -89,18 +89,18 @@
 			}
 			baseline := map[storage.ClassQueue]float64{{Team: 0}: test.baseline[0], {Team: 1}: test.baseline[1]}
 			putRecord(t, controller, storage.BaselineKey, controller.cache.BaselineRecordOf(baseline, 2048))
-			if moves := movesToFirst(controller, allWork); moves != test.moves {
+			if moves := netMovesToFirstShard(controller, allWork); moves != test.moves {
 				t.Errorf("%d groups move to the guaranteed team's shard, want %d", moves, test.moves)
 			}
 		})
 	}
 }
 
-// TestWorkWaitingBesideCapacityIsLentAGroup guards against a job that waits because it is bound to
+// TestShardWithoutFitGetsGroup guards against a job that waits because it is bound to
 // one zone while its shard has free capacity in another: sums over all zones show no shortage. The
 // shard must get a group on which the job fits. It must get none for work that waits because of its
 // team's limit.
-func TestWorkWaitingBesideCapacityIsLentAGroup(t *testing.T) {
+func TestShardWithoutFitGetsGroup(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		zone  string  // where the job must run; its shard's machine is in zone a, the other shard's empty machine in zone b
@@ -135,27 +135,27 @@
 			if test.stuck > 0 {
 				controller.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
 			}
-			if got := movesToFirst(controller, allWork); got != -test.want {
+			if got := netMovesToFirstShard(controller, allWork); got != -test.want {
 				t.Errorf("%d groups move to its shard, want %d", -got, test.want)
 			}
 		})
 	}
 }
 
-// lendingFixture describes three groups of one machine each in two shards.
-type lendingFixture struct {
-	placed [3]int // tasks of 2 CPUs placed on the machine (8 CPUs) of groups 0, 1 and 2
-	shard  [3]int // shard of each group, -1 if the group does not exist; shard 1 has 3 waiting tasks
-	waits  int    // waiting tasks of shard 0
+// stuckShardFixture describes three groups of one machine each in two shards.
+type stuckShardFixture struct {
+	placed  [3]int // tasks of 2 CPUs placed on the machine (8 CPUs) of groups 0, 1 and 2
+	shard   [3]int // shard of each group, -1 if the group does not exist; shard 1 has 3 waiting tasks
+	waiting int    // waiting tasks of shard 0
 }
 
 // newCore returns a controller whose cache holds the fixture's records.
-func (f lendingFixture) newCore(t *testing.T) *Controller {
+func (f stuckShardFixture) newCore(t *testing.T) *Controller {
 	t.Helper()
 	controller := newRebalancerCore(t, config.Deployment{Controllers: 2, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, 64)
 	spec := storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}
-	putJob(t, controller, "job-000000", "red", f.placed[0]+f.placed[1]+f.placed[2]+f.waits, 0, spec)
+	putJob(t, controller, "job-000000", "red", f.placed[0]+f.placed[1]+f.placed[2]+f.waiting, 0, spec)
 	putJob(t, controller, "job-000001", "blue", 3, 0, spec)
 	fleet, task := storage.FleetRecord{Type: "t", Zone: "a"}, uint64(0)
 	for group, shard := range f.shard {
@@ -179,22 +179,22 @@
 	return controller
 }
 
-// TestShardWithoutGroupIsLentOne guards against a shard without machines whose work waits forever.
+// TestStuckShardGetsGroup guards against a shard without machines whose work waits forever.
 // Three machines ran tasks without an end, one of them alone in its shard. By the sums there was
 // enough capacity, so nothing was provisioned, and no move balanced the loads.
-func TestShardWithoutGroupIsLentOne(t *testing.T) {
+func TestStuckShardGetsGroup(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		fixture lendingFixture
+		fixture stuckShardFixture
 		want    int // ID of the group that moves, -1 for none
 		stuck   time.Duration
 	}{
-		{"from a shard that keeps no group", lendingFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 0}, 0, 0},
-		{"the group with the most free capacity, from a shard with several", lendingFixture{[3]int{3, 1, 2}, [3]int{0, 0, 0}, 0}, 1, 0},
-		{"not from a shard with several to one that has a group", lendingFixture{[3]int{4, 2, 3}, [3]int{1, 0, 0}, 0}, -1, 0},
-		{"from a shard with several to one that has a group, after stuckAfter", lendingFixture{[3]int{4, 1, 3}, [3]int{1, 0, 0}, 0}, 1, 11 * time.Second},
-		{"not from a shard whose own work waits", lendingFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 4}, -1, 0},
-		{"not if no task would fit", lendingFixture{[3]int{4, 0, 0}, [3]int{0, -1, -1}, 0}, -1, 0},
+		{"from a shard that keeps no group", stuckShardFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 0}, 0, 0},
+		{"the group with the most free capacity, from a shard with several", stuckShardFixture{[3]int{3, 1, 2}, [3]int{0, 0, 0}, 0}, 1, 0},
+		{"not from a shard with several to one that has a group", stuckShardFixture{[3]int{4, 2, 3}, [3]int{1, 0, 0}, 0}, -1, 0},
+		{"from a shard with several to one that has a group, after stuckAfter", stuckShardFixture{[3]int{4, 1, 3}, [3]int{1, 0, 0}, 0}, 1, 11 * time.Second},
+		{"not from a shard whose own work waits", stuckShardFixture{[3]int{1, 0, 0}, [3]int{0, -1, -1}, 4}, -1, 0},
+		{"not if no task would fit", stuckShardFixture{[3]int{4, 0, 0}, [3]int{0, -1, -1}, 0}, -1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := test.fixture.newCore(t)
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -37,13 +37,13 @@
 
 // Sizes of the state that TestLowerLimits starts from.
 const (
-	largeGroups      = 4
-	largeGroupSize   = 24
-	triesPerMachine  = 40 // attempts to place a task on each machine
-	largeJobs        = 60
-	maxPlacedPerJob  = 200
-	largeArrayTasks  = 100_000
-	largeArrayStride = 499 // difference between the numbers of the large array's placed tasks
+	largeGroups                 = 4
+	largeGroupSize              = 24
+	placementAttemptsPerMachine = 40 // attempts to place a task on each machine
+	largeJobs                   = 60
+	maxPlacedPerJob             = 200
+	largeArrayTasks             = 100_000
+	largeArrayStride            = 499 // difference between the numbers of the large array's placed tasks
 )
 
 // taskOfJob identifies a task by its job's ID and its number.
@@ -125,7 +125,7 @@
 // fullMachine returns a machine's entry with tasks of many jobs.
 func (r *lowerLimitsRun) fullMachine(name string) storage.GroupMachine {
 	machine := storage.GroupMachine{Name: name, Incarnation: 1}
-	for range triesPerMachine {
+	for range placementAttemptsPerMachine {
 		id := r.jobs[r.random.IntN(len(r.jobs))]
 		if r.next[id] >= maxPlacedPerJob {
 			continue
@@ -272,10 +272,10 @@
 	}
 }
 
-// TestLargeFleetIsWorkedOff checks that a fleet record that exceeds the lower limit even in the
+// TestLargeFleetRecordIsRewritten checks that a fleet record that exceeds the lower limit even in the
 // packed layout is rewritten in small steps. After each step every machine is listed; at the end
 // each is listed once.
-func TestLargeFleetIsWorkedOff(t *testing.T) {
+func TestLargeFleetRecordIsRewritten(t *testing.T) {
 	const machines, maxSteps = 200, 100
 	for _, width := range []int{6, 100} {
 		t.Run(fmt.Sprint("names of width ", width), func(t *testing.T) {
--- a/internal/controller/relocation_test.go
+++ b/internal/controller/relocation_test.go
@@ -9,10 +9,10 @@
 	"dykeledge/internal/storage"
 )
 
-// TestWhatLeavesADrainedMachine guards against stopping tasks on draining machines that would have
+// TestTasksStoppedOnDrainingMachine guards against stopping tasks on draining machines that would have
 // ended about as soon where they were: they fetched their images again elsewhere, and their jobs
 // were late.
-func TestWhatLeavesADrainedMachine(t *testing.T) {
+func TestTasksStoppedOnDrainingMachine(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		estimateS float64
@@ -64,9 +64,9 @@
 	return job
 }
 
-// TestReplicasMoveOneByOne checks that replicas are relocated from a draining machine one of a
+// TestReplicasRelocatedOneByOne checks that replicas are relocated from a draining machine one of a
 // service at a time, and only if another machine has their image.
-func TestReplicasMoveOneByOne(t *testing.T) {
+func TestReplicasRelocatedOneByOne(t *testing.T) {
 	controller, now := newZonesCore(t, 3), time.Now()
 	for _, machine := range controller.cache.Machines {
 		worker := controller.workerState(machine)
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -14,10 +14,10 @@
 
 func (idleStore) SetLimit(float64) {}
 
-// TestInDoubtTransactionIsSettled guards against repeating an in-doubt transaction forever when the
+// TestInDoubtTransactionIsResolved guards against repeating an in-doubt transaction forever when the
 // state service refuses the repetition because of its size. The transaction is then still in doubt,
 // since the first copy may have been committed before the limits were lowered, or may arrive late.
-func TestInDoubtTransactionIsSettled(t *testing.T) {
+func TestInDoubtTransactionIsResolved(t *testing.T) {
 	controller := newCore(t)
 	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 	txn := builder.build()
@@ -28,13 +28,13 @@
 	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
 		t.Fatalf("the in-doubt transaction is not replaced by one that rewrites the shard's record: %+v", controller.commits.inDoubt)
 	}
-	settle := *controller.commits.inDoubt
-	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrUnknown) // the replacement can be in doubt too
-	controller.handleTxnOutcome(settle, 0, nil, protocol.ErrRefused)
+	resolving := *controller.commits.inDoubt
+	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrUnknown) // the replacement can be in doubt too
+	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrRefused)
 	if controller.commits.inDoubt == nil {
 		t.Fatal("the in-doubt transaction was dropped before its outcome was known")
 	}
-	controller.handleTxnOutcome(settle, 20, nil, nil)
+	controller.handleTxnOutcome(resolving, 20, nil, nil)
 	if controller.commits.inDoubt != nil || controller.commits.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
 		t.Fatalf("in doubt %v, awaited revision %d, version of the shard's record %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
 	}
@@ -54,20 +54,20 @@
 	}
 }
 
-// scriptStore answers transactions with scripted answers, and records the transactions.
-type scriptStore struct {
+// scriptedStore answers transactions with scripted answers, and records the transactions.
+type scriptedStore struct {
 	idleStore
-	answers []scriptAnswer
+	answers []scriptedAnswer
 	asked   []protocol.Txn
 }
 
-type scriptAnswer struct {
+type scriptedAnswer struct {
 	rev    uint64
 	failed []string
 	err    error
 }
 
-func (s *scriptStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
+func (s *scriptedStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
 	answer := s.answers[len(s.asked)]
 	s.asked = append(s.asked, t)
 	return answer.rev, answer.failed, answer.err
@@ -100,32 +100,32 @@
 	return c
 }
 
-// TestLeadersInDoubtTransactionIsSettled checks that a leader's in-doubt transaction is resolved
+// TestLeadersInDoubtTransactionIsResolved checks that a leader's in-doubt transaction is resolved
 // when its repetition is refused because of its size: the leader's key is rewritten, and the
 // outcome is reported only after the cache has reached the revision of that write.
-func TestLeadersInDoubtTransactionIsSettled(t *testing.T) {
-	tooLarge := scriptAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
-	unknown, refused := scriptAnswer{err: protocol.ErrUnknown}, scriptAnswer{err: protocol.ErrRefused}
+func TestLeadersInDoubtTransactionIsResolved(t *testing.T) {
+	tooLarge := scriptedAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
+	unknown, refused := scriptedAnswer{err: protocol.ErrUnknown}, scriptedAnswer{err: protocol.ErrRefused}
 	for _, test := range []struct {
 		name    string
-		answers []scriptAnswer
+		answers []scriptedAnswer
 		leads   bool
 		rewrite bool // the last request rewrites the leader's key
 		waits   bool // the outcome is reported only once the cache has reached the revision
 		ok      bool // the transaction is reported as committed
 	}{
-		{"refused without being in doubt", []scriptAnswer{tooLarge}, true, false, false, false},
-		{"committed after it was in doubt", []scriptAnswer{unknown, {rev: 20}}, true, false, false, true},
-		{"resolved", []scriptAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
-		{"resolved after the rewrite was in doubt too", []scriptAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
-		{"another member leads: the late copy fails in any case", []scriptAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
-		{"a comparison resolves nothing", []scriptAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
+		{"refused without being in doubt", []scriptedAnswer{tooLarge}, true, false, false, false},
+		{"committed after it was in doubt", []scriptedAnswer{unknown, {rev: 20}}, true, false, false, true},
+		{"resolved", []scriptedAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
+		{"resolved after the rewrite was in doubt too", []scriptedAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
+		{"another member leads: the late copy fails in any case", []scriptedAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
+		{"a comparison resolves nothing", []scriptedAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				store := &scriptStore{answers: test.answers}
+				store := &scriptedStore{answers: test.answers}
 				controller := newScriptedLeader(t, store, test.leads)
 				go runInbox(ctx, controller)
 				txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: 5}},
--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestLoweredLimitHasItsPartOfFullTransactions guards against lowered limits that wait for a minute
+// TestLoweredLimitInFullTransaction guards against lowered limits that wait for a minute
 // at peak load, when completions and placements fill every transaction.
-func TestLoweredLimitHasItsPartOfFullTransactions(t *testing.T) {
+func TestLoweredLimitInFullTransaction(t *testing.T) {
 	c := newTeamCore(t)
 	none := storage.TeamBounds{}
 	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &none}, 9)
