--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -39,16 +39,16 @@
 		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / groupSize})
 	}
 	put(storage.FleetKey("m0"), fleet, 4)
-	for k := 0; k*groupSize < machines; k++ {
+	for group := 0; group*groupSize < machines; group++ {
 		record := storage.GroupRecord{}
-		for i := k * groupSize; i < min(machines, (k+1)*groupSize); i++ {
+		for i := group * groupSize; i < min(machines, (group+1)*groupSize); i++ {
 			entry := storage.GroupMachine{Name: fmt.Sprint("m", i), Incarnation: 1}
 			for t := range uint64(3 + i%2) {
 				entry.Tasks = append(entry.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
 			}
 			record.Machines = append(record.Machines, entry)
 		}
-		put(storage.GroupKey(k), record, 5)
+		put(storage.GroupKey(group), record, 5)
 	}
 	controller.cache.Revision, controller.follower.highestRevision = 5, 5
 	controller.shards.owned[0] = 2
--- a/internal/controller/capacity_fit.go
+++ b/internal/controller/capacity_fit.go
@@ -19,20 +19,20 @@
 }
 
 // fitsNow reports whether a task of a job fits on a machine that accepts more tasks.
-func (f *fitChecker) fitsNow(j *storage.Job, m *storage.Machine) bool {
-	return !m.Draining && !f.c.workers.pendingUpdates[m.Index].blocksPlacement() && f.fitsBesideTasks(j, m)
+func (f *fitChecker) fitsNow(job *storage.Job, machine *storage.Machine) bool {
+	return !machine.Draining && !f.c.workers.pendingUpdates[machine.Index].blocksPlacement() && f.fitsBesideTasks(job, machine)
 }
 
 // fitsBesideTasks reports whether a task of a job fits on a machine, draining or not, given the
 // tasks on it and the zones of the job's other tasks.
-func (f *fitChecker) fitsBesideTasks(j *storage.Job, m *storage.Machine) bool {
-	if m.Gone || m.Returning || m.Unhealthy || !schedule.Allowed(j, m) || !inZone(j, m.Zone) {
+func (f *fitChecker) fitsBesideTasks(job *storage.Job, machine *storage.Machine) bool {
+	if machine.Gone || machine.Returning || machine.Unhealthy || !schedule.Allowed(job, machine) || !inZone(job, machine.Zone) {
 		return false
 	}
 	if f.freeByMachine == nil {
 		f.freeByMachine = f.c.freeOnMachines()
 	}
-	return schedule.Fits(f.freeByMachine[m.Index], j) > 0
+	return schedule.Fits(f.freeByMachine[machine.Index], job) > 0
 }
 
 // anyWaitingFits reports whether a waiting task of a shard fits on one of a group's machines, given
@@ -47,11 +47,11 @@
 
 // mayStart reports whether a job has a waiting task, is not in backoff, and its team is within its
 // limit with one more task.
-func (c *Controller) mayStart(j *storage.Job, now time.Time) bool {
-	if !j.Open() || c.wantedTasks(j) == 0 || !schedule.WithinLimit(c.cache.Teams[j.Team], c.cache.Used[j.Team], j, 1) {
+func (c *Controller) mayStart(job *storage.Job, now time.Time) bool {
+	if !job.Open() || c.wantedTasks(job) == 0 || !schedule.WithinLimit(c.cache.Teams[job.Team], c.cache.Used[job.Team], job, 1) {
 		return false
 	}
-	state := c.jobStates[j]
+	state := c.jobStates[job]
 	return state == nil || !now.Before(state.backoff)
 }
 
@@ -83,10 +83,10 @@
 }
 
 // freeOn returns a machine's free capacity according to its record.
-func (c *Controller) freeOn(m *storage.Machine) storage.Usage {
-	machineType := &c.cache.Types[m.Type]
+func (c *Controller) freeOn(machine *storage.Machine) storage.Usage {
+	machineType := &c.cache.Types[machine.Type]
 	free := storage.Usage{Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem}
-	for _, placed := range m.Tasks {
+	for _, placed := range machine.Tasks {
 		free.Add(placed.Job, -1)
 	}
 	return free
@@ -94,13 +94,13 @@
 
 // inZone reports whether another task of a job may run in a zone, given the zones of its placed
 // tasks.
-func inZone(j *storage.Job, zone int) bool {
+func inZone(job *storage.Job, zone int) bool {
 	tasksInZone := 0
-	if zone < len(j.ByZone) {
-		tasksInZone = int(j.ByZone[zone])
+	if zone < len(job.ByZone) {
+		tasksInZone = int(job.ByZone[zone])
 	}
-	if j.OneZone && j.PlacedCount > tasksInZone {
+	if job.OneZone && job.PlacedCount > tasksInZone {
 		return false
 	}
-	return !j.Spread || tasksInZone < j.MaxPerZone()
+	return !job.Spread || tasksInZone < job.MaxPerZone()
 }
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -38,8 +38,8 @@
 			if commits.inDoubt != nil && !reflect.DeepEqual(*commits.inDoubt, txn) {
 				t.Fatal("the in-doubt transaction differs from the one that was sent")
 			}
-			if n := controller.cache.Job("job-000001").PlacedCount; n != test.placed {
-				t.Fatalf("%d tasks placed, want %d", n, test.placed)
+			if placedCount := controller.cache.Job("job-000001").PlacedCount; placedCount != test.placed {
+				t.Fatalf("%d tasks placed, want %d", placedCount, test.placed)
 			}
 		})
 	}
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -111,10 +111,10 @@
 
 // usedFraction returns the fraction of a machine's CPUs that its tasks use. On on-demand machines,
 // idle-time work counts as free capacity.
-func (c *Controller) usedFraction(m *storage.Machine, now time.Time) float64 {
-	used, cpus := 0.0, c.cache.Types[m.Type].Cpus
-	for _, placed := range m.Tasks {
-		if m.Spot || !c.isIdleWork(placed.Job, now) {
+func (c *Controller) usedFraction(machine *storage.Machine, now time.Time) float64 {
+	used, cpus := 0.0, c.cache.Types[machine.Type].Cpus
+	for _, placed := range machine.Tasks {
+		if machine.Spot || !c.isIdleWork(placed.Job, now) {
 			used += placed.Job.Size / cpus
 		}
 	}
@@ -123,8 +123,8 @@
 
 // tasksOldEnough reports whether no checkpointed task and no replica on a machine was placed too
 // recently to be moved. Other tasks are never moved.
-func tasksOldEnough(m *storage.Machine, now time.Time) bool {
-	return !slices.ContainsFunc(m.Tasks, func(placed storage.PlacedTask) bool {
+func tasksOldEnough(machine *storage.Machine, now time.Time) bool {
+	return !slices.ContainsFunc(machine.Tasks, func(placed storage.PlacedTask) bool {
 		ranS := now.Unix() - placed.PlacedAt
 		checkpointedTooNew := placed.Job.CheckpointInterval != 0 && ranS <= minTaskAgeS
 		replicaTooNew := placed.Job.Shape != protocol.Batch && ranS <= int64(minReplicaAge.Seconds())
--- a/internal/controller/draining_test.go
+++ b/internal/controller/draining_test.go
@@ -14,13 +14,13 @@
 // the work, and as draining, so nothing was placed on it.
 func TestNeededDrainingMachineReturnsToService(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		waits int           // waiting tasks of 2 CPUs; 4 others fill the machine of 8 CPUs that is not draining
-		since time.Duration // how long work has been stuck
-		limit float64       // CPU limit of the team
-		large bool          // a job of 4 CPUs waits too; a third and a fourth machine have 2 CPUs free each
-		age   time.Duration // how long the large job has waited
-		back  bool          // whether the machine is returned to service
+		name        string
+		waiting     int           // waiting tasks of 2 CPUs; 4 others fill the machine of 8 CPUs that is not draining
+		stuckFor    time.Duration // how long work has been stuck
+		limit       float64       // CPU limit of the team
+		large       bool          // a job of 4 CPUs waits too; a third and a fourth machine have 2 CPUs free each
+		largeJobAge time.Duration // how long the large job has waited
+		returned    bool          // whether the machine is returned to service
 	}{
 		{"nothing waits", 0, time.Minute, 0, false, 0, false},
 		{"work waits for a moment", 1, 0, 0, false, 0, false},
@@ -34,20 +34,20 @@
 			controller := newRebalancerCore(t, config.Deployment{Controllers: 1, Zones: []string{"a"},
 				Teams: []config.Team{{Name: "red", CpusMax: test.limit}}}, 64)
 			spec := storage.SpecRecord{Class: "c", Priority: 1, Cpus: 2, Mem: 1, Image: "i", Spot: true, Estimate: 3600}
-			putJob(t, controller, "job-000000", "red", 5+test.waits, 0, spec)
+			putJob(t, controller, "job-000000", "red", 5+test.waiting, 0, spec)
 			if test.large {
-				putLargeJobs(t, controller, spec, test.age)
+				putLargeJobs(t, controller, spec, test.largeJobAge)
 			}
 			putRecord(t, controller, storage.FleetKey("m0"), storage.FleetRecord{Type: "t", Zone: "a", Machines: []storage.FleetMachine{{Name: "m0"}, {Name: "m1"}}})
 			putRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{
 				{Name: "m0", Incarnation: 1, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{0, 1, 0, 0, 1, 1, 0, 0, 2, 1, 0, 0, 3, 1, 0, 0}}}},
 				{Name: "m1", Incarnation: 1, Draining: true, Tasks: []storage.PlacedTasks{{Job: "job-000000", Numbers: []uint64{4, 1, 0, 0}}}}}})
 			now := time.Now()
-			controller.leader.workStuckSince = now.Add(-test.since)
+			controller.leader.workStuckSince = now.Add(-test.stuckFor)
 			controller.drainSurplus(now, autoscale.Plan{}, 0)
 			update := controller.workers.pendingUpdates[controller.cache.Machine("m1").Index]
-			if back := update != nil && update.draining != nil && !*update.draining; back != test.back {
-				t.Errorf("returned to service: %v, want %v", back, test.back)
+			if returned := update != nil && update.draining != nil && !*update.draining; returned != test.returned {
+				t.Errorf("returned to service: %v, want %v", returned, test.returned)
 			}
 		})
 	}
--- a/internal/controller/limit_budget.go
+++ b/internal/controller/limit_budget.go
@@ -20,12 +20,12 @@
 
 // take allocates a job's waiting tasks, as many as may start in addition to those allocated before,
 // and returns their number. The number is approximate: it is halved until the tasks fit.
-func (b *limitBudget) take(j *storage.Job) int {
-	tasks := b.c.wantedTasks(j)
-	for tasks > 0 && !schedule.WithinLimit(b.c.cache.Teams[j.Team], b.used[j.Team], j, tasks) {
+func (b *limitBudget) take(job *storage.Job) int {
+	tasks := b.c.wantedTasks(job)
+	for tasks > 0 && !schedule.WithinLimit(b.c.cache.Teams[job.Team], b.used[job.Team], job, tasks) {
 		tasks /= 2 // an approximation is enough for sums over jobs
 	}
-	b.used[j.Team].Add(j, float64(tasks))
+	b.used[job.Team].Add(job, float64(tasks))
 	return tasks
 }
 
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -143,10 +143,10 @@
 // waitedTooLong reports whether a job has waited for overdueAfter and can meet no objective any
 // more, or has none. From then on it is placed regardless of other rules, in a part of the
 // capacity.
-func (c *Controller) waitedTooLong(j *storage.Job, now time.Time) bool {
-	if now.Sub(j.ReadyAt) < overdueAfter {
+func (c *Controller) waitedTooLong(job *storage.Job, now time.Time) bool {
+	if now.Sub(job.ReadyAt) < overdueAfter {
 		return false
 	}
-	last, late := c.objectiveLeft(j, now)
+	last, late := c.objectiveLeft(job, now)
 	return last == 0 || late
 }
--- a/internal/controller/pending_updates.go
+++ b/internal/controller/pending_updates.go
@@ -21,25 +21,25 @@
 }
 
 // differs reports whether a machine's record lacks some of the changes.
-func (u *pendingUpdate) differs(m *storage.Machine) bool {
-	return (u.returning && !m.Returning) || (u.draining != nil && *u.draining != m.Draining)
+func (u *pendingUpdate) differs(machine *storage.Machine) bool {
+	return (u.returning && !machine.Returning) || (u.draining != nil && *u.draining != machine.Draining)
 }
 
 // pendingUpdate returns the pending update of a machine, creating an empty one if there is none.
-func (c *Controller) pendingUpdate(m *storage.Machine) *pendingUpdate {
-	update := c.workers.pendingUpdates[m.Index]
+func (c *Controller) pendingUpdate(machine *storage.Machine) *pendingUpdate {
+	update := c.workers.pendingUpdates[machine.Index]
 	if update == nil {
 		update = &pendingUpdate{}
-		c.workers.pendingUpdates[m.Index] = update
+		c.workers.pendingUpdates[machine.Index] = update
 		c.requestCycle()
 	}
 	return update
 }
 
 // setDraining starts draining a machine, or returns it to service.
-func (c *Controller) setDraining(m *storage.Machine, on bool) {
-	c.log.Info("machine draining changed", "machine", m.Name, "draining", on, "tasks", len(m.Tasks))
-	c.pendingUpdate(m).draining = &on
+func (c *Controller) setDraining(machine *storage.Machine, on bool) {
+	c.log.Info("machine draining changed", "machine", machine.Name, "draining", on, "tasks", len(machine.Tasks))
+	c.pendingUpdate(machine).draining = &on
 }
 
 // flushPendingUpdates drops updates that are done or are not this controller's to write. The leader
--- a/internal/controller/plan_completions.go
+++ b/internal/controller/plan_completions.go
@@ -202,8 +202,8 @@
 	planned.usedOps++
 }
 
-// planDependencyFailed adds up to n final records of jobs that were cancelled because a dependency
-// failed. The leader also deletes records that are no longer needed, as far as n allows.
+// planDependencyFailed adds up to n final records of jobs that were cancelled along with a
+// dependency. The leader also deletes records that are no longer needed, as far as n allows.
 func (c *Controller) planDependencyFailed(planned *plannedTxn, shards map[int]bool, n int) {
 	for _, job := range c.cache.DependencyFailed() {
 		if n <= 0 || planned.full() {
--- a/internal/controller/plan_placements.go
+++ b/internal/controller/plan_placements.go
@@ -22,7 +22,7 @@
 	input := c.placementInput(now, shards, planned)
 	hold := input.Hold
 	input.Hold = func(job *storage.Job) bool {
-		// A job whose last tasks complete in this transaction has nothing waiting.
+		// Tasks that complete in this transaction must not count as waiting.
 		return hold(job) || (planned.completed[job] != nil && job.Waiting() == 0)
 	}
 	result := schedule.Place(input)
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -55,9 +55,9 @@
 }
 
 // dependencyFailedPlanInterval is the number of plans after which one plan starts with the final
-// record of a job that was cancelled because a dependency failed. These records are not urgent,
-// since every controller already reports the cancellation to users; the interval keeps them from
-// being postponed indefinitely under full load.
+// record of a job that was cancelled along with a dependency. These records are not urgent, since
+// every controller already reports the cancellation to users; the interval keeps them from being
+// postponed indefinitely under full load.
 const dependencyFailedPlanInterval = 8
 
 // shardsOwned returns the set of shards that this controller owns now.
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -44,8 +44,8 @@
 	apply(storage.FleetKey("x0"), fleet, 5)
 	for i := range groups {
 		var numbers []uint64
-		for k := range tasks {
-			numbers = append(numbers, uint64(i*tasks+k), 1_000_000, 1_700_000_000, 100)
+		for task := range tasks {
+			numbers = append(numbers, uint64(i*tasks+task), 1_000_000, 1_700_000_000, 100)
 		}
 		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Incarnation: 1,
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: numbers}}}}}, 6)
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -138,12 +138,12 @@
 }
 
 // freeCpus returns the CPUs of a machine that are free for waiting work.
-func (p *rebalancePass) freeCpus(m *storage.Machine) float64 {
-	if p.c.workers.pendingUpdates[m.Index].blocksPlacement() || m.Unhealthy || m.Draining {
+func (p *rebalancePass) freeCpus(machine *storage.Machine) float64 {
+	if p.c.workers.pendingUpdates[machine.Index].blocksPlacement() || machine.Unhealthy || machine.Draining {
 		return 0
 	}
-	free := p.c.cache.Types[m.Type].Cpus
-	for _, placed := range m.Tasks {
+	free := p.c.cache.Types[machine.Type].Cpus
+	for _, placed := range machine.Tasks {
 		if !p.idle[placed.Job] {
 			free -= placed.Job.Size
 		}
--- a/internal/controller/rebalancer_test.go
+++ b/internal/controller/rebalancer_test.go
@@ -39,12 +39,12 @@
 // netMovesToFirstShard runs rebalancing passes and returns how many groups move to the first of two shards,
 // minus those that move from it.
 func netMovesToFirstShard(c *Controller, kinds ...workKind) int {
-	mv := newRebalancer(c)
+	balancer := newRebalancer(c)
 	for _, kind := range kinds {
-		mv.rebalancePass(time.Now(), kind)
+		balancer.rebalancePass(time.Now(), kind)
 	}
 	moves := 0
-	for group := range mv.moved {
+	for group := range balancer.moved {
 		moves += 2*group.Shard - 1 // from the second shard to the first
 	}
 	return moves
@@ -198,17 +198,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := test.fixture.newCore(t)
-			mv := newRebalancer(controller)
+			balancer := newRebalancer(controller)
 			if test.stuck > 0 {
 				controller.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
 			}
-			mv.rebalancePass(time.Now(), allWork)
+			balancer.rebalancePass(time.Now(), allWork)
 			got := -1
-			for group := range mv.moved {
+			for group := range balancer.moved {
 				got = group.ID
 			}
-			if got != test.want || len(mv.moved) > 1 {
-				t.Errorf("group %d moves of %d, want %d", got, len(mv.moved), test.want)
+			if got != test.want || len(balancer.moved) > 1 {
+				t.Errorf("group %d moves of %d, want %d", got, len(balancer.moved), test.want)
 			}
 		})
 	}
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -55,19 +55,19 @@
 // lowerLimitsRun is a controller with records far over the lower limits, and the test's own account
 // of its tasks.
 type lowerLimitsRun struct {
-	t       *testing.T
-	random  *rand.Rand
-	c       *Controller
-	version uint64
-	on      map[taskOfJob]string // name of the machine on which each task is placed
-	next    map[string]int       // number of placed tasks, by job
-	jobs    []string             // IDs; the first job is the large array
+	t           *testing.T
+	random      *rand.Rand
+	c           *Controller
+	version     uint64
+	machineOf   map[taskOfJob]string // name of the machine on which each task is placed
+	placedByJob map[string]int       // number of placed tasks, by job
+	jobs        []string             // IDs; the first job is the large array
 }
 
 func newLowerLimitsRun(t *testing.T, seed uint64) *lowerLimitsRun {
 	t.Helper()
 	r := &lowerLimitsRun{t: t, random: rand.New(rand.NewPCG(seed, 3)), c: newCore(t), version: 10,
-		on: map[taskOfJob]string{}, next: map[string]int{}}
+		machineOf: map[taskOfJob]string{}, placedByJob: map[string]int{}}
 	r.c.cfg.Deployment.State = lowerState
 	r.applyJobs()
 	r.applyGroups()
@@ -127,15 +127,15 @@
 	machine := storage.GroupMachine{Name: name, Incarnation: 1}
 	for range placementAttemptsPerMachine {
 		id := r.jobs[r.random.IntN(len(r.jobs))]
-		if r.next[id] >= maxPlacedPerJob {
+		if r.placedByJob[id] >= maxPlacedPerJob {
 			continue
 		}
-		placed := taskOfJob{id, r.next[id]}
+		placed := taskOfJob{id, r.placedByJob[id]}
 		if id == r.jobs[0] {
-			placed.task = r.next[id] * largeArrayStride
+			placed.task = r.placedByJob[id] * largeArrayStride
 		}
-		r.next[id]++
-		r.on[placed] = name
+		r.placedByJob[id]++
+		r.machineOf[placed] = name
 		machine.Tasks = append(machine.Tasks, storage.PlacedTasks{Job: id,
 			Numbers: []uint64{uint64(placed.task), 5 + r.random.Uint64N(50_000), 1_700_000_000 + r.random.Uint64N(300), r.random.Uint64N(90)}})
 	}
@@ -213,7 +213,7 @@
 func (r *lowerLimitsRun) checkTasks() {
 	r.t.Helper()
 	seen := r.placedTasks()
-	for task, name := range r.on {
+	for task, name := range r.machineOf {
 		machine, placed := seen[task]
 		switch job := r.c.cache.Job(task.job); {
 		case placed && r.c.cache.Machines[machine].Name != name && machine != 0 && job.AttemptOf[task.task] < 50_100:
@@ -221,7 +221,7 @@
 		case !placed && job != nil && job.Open() && !job.Done.Get(task.task):
 			r.t.Fatalf("task %v of an open job is neither placed nor completed", task)
 		case !placed:
-			delete(r.on, task)
+			delete(r.machineOf, task)
 		}
 	}
 }
@@ -250,7 +250,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			run := newLowerLimitsRun(t, seed)
-			total, steps := len(run.on), 0
+			total, steps := len(run.machineOf), 0
 			for ; steps < maxSteps; steps++ {
 				if steps == 100*int(seed%2) {
 					run.pauseJobs()
@@ -259,8 +259,8 @@
 					break
 				}
 			}
-			if len(run.on) > 0 {
-				t.Fatalf("%d of %d tasks are still placed after %d steps", len(run.on), total, steps)
+			if len(run.machineOf) > 0 {
+				t.Fatalf("%d of %d tasks are still placed after %d steps", len(run.machineOf), total, steps)
 			}
 			for _, group := range run.c.cache.Groups {
 				if group.Size > lowerValueLimit {
@@ -305,8 +305,8 @@
 				for _, change := range txn.Then {
 					apply(change)
 				}
-				if there := listedMachines(controller); there != machines+1 {
-					t.Fatalf("%d of %d machines are listed after step %d", there, machines+1, steps)
+				if listed := listedMachines(controller); listed != machines+1 {
+					t.Fatalf("%d of %d machines are listed after step %d", listed, machines+1, steps)
 				}
 			}
 			if left, _ := controller.cache.OversizedFleet(lowerValueLimit); left != nil || steps == 0 {
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -124,13 +124,13 @@
 
 // relocationTarget returns a machine that has the image and enough capacity for a replica, or nil
 // if there is none.
-func (c *Controller) relocationTarget(j *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
+func (c *Controller) relocationTarget(job *storage.Job, from *storage.Machine, free map[int32]storage.Usage) *storage.Machine {
 	for _, machine := range c.cache.Machines {
 		usage, ok := free[machine.Index]
-		if !ok || !schedule.Allowed(j, machine) || schedule.Fits(usage, j) == 0 || !slices.Contains(c.workerState(machine).images, j.Image) {
+		if !ok || !schedule.Allowed(job, machine) || schedule.Fits(usage, job) == 0 || !slices.Contains(c.workerState(machine).images, job.Image) {
 			continue
 		}
-		if machine.Zone != from.Zone && (j.OneZone || !inZone(j, machine.Zone)) {
+		if machine.Zone != from.Zone && (job.OneZone || !inZone(job, machine.Zone)) {
 			continue
 		}
 		return machine
--- a/internal/controller/relocation_test.go
+++ b/internal/controller/relocation_test.go
@@ -48,17 +48,17 @@
 func placeService(t *testing.T, controller *Controller, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
 	controller.follower.highestRevision++
-	rev := controller.follower.highestRevision
+	revision := controller.follower.highestRevision
 	if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
-		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), rev, false); err != nil {
+		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), revision, false); err != nil {
 		t.Fatal(err)
 	}
 	job := controller.cache.Job(id)
 	job.ByZone = make([]int32, 3)
 	for task, name := range on {
 		machine := controller.cache.Machine(name)
-		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: rev})
-		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, rev, job.PlacedCount+1
+		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: revision})
+		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, revision, job.PlacedCount+1
 		job.ByZone[machine.Zone]++
 	}
 	return job
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -40,12 +40,12 @@
 
 // transact commits a transaction, and switches to the announced limits if the state service refuses
 // it because of its size.
-func (c *Controller) transact(ctx context.Context, t protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
-	rev, failed, err = c.store.Txn(ctx, t, priority)
+func (c *Controller) transact(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (revision uint64, failed []string, err error) {
+	revision, failed, err = c.store.Txn(ctx, txn, priority)
 	if errors.Is(err, protocol.ErrTooLarge) {
 		c.post(func() { c.noteTooLarge(err) })
 	}
-	return rev, failed, err
+	return revision, failed, err
 }
 
 // noteTooLarge switches to the announced limits if err says that the state service refused a
@@ -65,19 +65,19 @@
 // refused because of its size. The refusal does not tell whether the first copy was committed under
 // the former limits or may still arrive. Rewriting the shard's record on which that copy depends
 // makes a late copy fail; afterwards the records show whether it was committed.
-func (c *Controller) resolvingTxn(t protocol.Txn) *protocol.Txn {
+func (c *Controller) resolvingTxn(txn protocol.Txn) *protocol.Txn {
 	for shard := range c.cache.Shards {
 		key := storage.ShardKey(shard)
-		i := slices.IndexFunc(t.If, func(condition protocol.Condition) bool { return condition.Key == key })
+		i := slices.IndexFunc(txn.If, func(condition protocol.Condition) bool { return condition.Key == key })
 		if i >= 0 {
-			return &protocol.Txn{If: t.If[i : i+1],
+			return &protocol.Txn{If: txn.If[i : i+1],
 				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shards[shard].ShardRecord)}}}
 		}
 	}
-	return &protocol.Txn{If: t.If[:1]} // not reached for plans, which all depend on a shard; a comparison resolves nothing, but ends the repetition
+	return &protocol.Txn{If: txn.If[:1]} // not reached for plans, which all depend on a shard; a comparison resolves nothing, but ends the repetition
 }
 
 // isResolvingTxn reports whether a transaction has the form of those that resolvingTxn returns.
-func isResolvingTxn(t protocol.Txn) bool {
-	return len(t.If) == 1 && len(t.Then) <= 1
+func isResolvingTxn(txn protocol.Txn) bool {
+	return len(txn.If) == 1 && len(txn.Then) <= 1
 }
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -57,8 +57,8 @@
 // scriptedStore answers transactions with scripted answers, and records the transactions.
 type scriptedStore struct {
 	idleStore
-	answers []scriptedAnswer
-	asked   []protocol.Txn
+	answers  []scriptedAnswer
+	requests []protocol.Txn
 }
 
 type scriptedAnswer struct {
@@ -68,8 +68,8 @@
 }
 
 func (s *scriptedStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
-	answer := s.answers[len(s.asked)]
-	s.asked = append(s.asked, t)
+	answer := s.answers[len(s.requests)]
+	s.requests = append(s.requests, t)
 	return answer.rev, answer.failed, answer.err
 }
 
@@ -138,10 +138,10 @@
 				}
 				controller.post(func() { controller.cache.Revision = 20 })
 				time.Sleep(time.Second)
-				if !done || ok != test.ok || len(store.asked) != len(test.answers) {
-					t.Fatalf("outcome reported %v, committed %v after %d requests", done, ok, len(store.asked))
+				if !done || ok != test.ok || len(store.requests) != len(test.answers) {
+					t.Fatalf("outcome reported %v, committed %v after %d requests", done, ok, len(store.requests))
 				}
-				last := store.asked[len(store.asked)-1]
+				last := store.requests[len(store.requests)-1]
 				rewrites := len(last.Then) == 1 && last.Then[0].Put == storage.LeaderKey
 				if rewrites != test.rewrite || rewrites && (last.Then[0].Lease != 7 || last.If[0].Version != 5) {
 					t.Errorf("unexpected last request %+v", last)
--- a/internal/controller/team_bounds.go
+++ b/internal/controller/team_bounds.go
@@ -24,19 +24,19 @@
 var boundNames = []string{"cpus", "cpus_max", "gpus", "gpus_max"}
 
 // excessOf returns by how much a team's usage exceeds its limits. A limit of 0 means no limit.
-func excessOf(b storage.TeamBounds, u storage.Usage) (cpus, gpus float64) {
-	if b.CpusMax > 0 {
-		cpus = max(0, u.Cpus-b.CpusMax)
+func excessOf(bounds storage.TeamBounds, used storage.Usage) (cpus, gpus float64) {
+	if bounds.CpusMax > 0 {
+		cpus = max(0, used.Cpus-bounds.CpusMax)
 	}
-	if b.GpusMax > 0 {
-		gpus = max(0, u.Gpus-b.GpusMax)
+	if bounds.GpusMax > 0 {
+		gpus = max(0, used.Gpus-bounds.GpusMax)
 	}
 	return cpus, gpus
 }
 
 // withinBounds reports whether a team's usage is within its limits.
-func withinBounds(b storage.TeamBounds, u storage.Usage) bool {
-	cpus, gpus := excessOf(b, u)
+func withinBounds(bounds storage.TeamBounds, used storage.Usage) bool {
+	cpus, gpus := excessOf(bounds, used)
 	return cpus <= limitTolerance && gpus <= limitTolerance
 }
 
