--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -259,7 +259,7 @@
 }
 
 // committed passes the outcome of a transaction to the controller's event loop, applies the
-// transaction to the cache if it was committed, and calls done.
+// transaction to the cache if ok is set, and calls done.
 func (c *Controller) committed(txn protocol.Txn, revision uint64, ok bool, done func(ok bool)) {
 	c.post(func() {
 		if ok {
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -18,17 +18,17 @@
 	// overloadFactor is the ratio of open work to the baseline above which a queue is overloaded.
 	overloadFactor = 3
 	// reserveOnDemandFraction is the fraction of its floor from which on a queue leaves on-demand
-	// machines to overloaded work that must not use spot machines. It is below 1 so that a queue
-	// does not starve where no spot machines are available.
+	// machines to overloaded work that must not use spot machines. Below it a queue may use them,
+	// so that it does not starve where no spot machines are available.
 	reserveOnDemandFraction = 0.5
 )
 
 // During an overload, large jobs are placed after small ones, but only for a limited time. The
-// largest jobs of a class must begin within four minutes, and half of them must finish in time; in
-// an overload that lasts for the rest of the day they would otherwise never be served.
+// largest jobs of a class must begin within four minutes, and half of them must be served; in an
+// overload that lasts for the rest of the day they would otherwise never be served.
 const (
-	firstTaskDueAfter = 150 * time.Second // waiting time after which a job without any placed task gets its first task placed with precedence
-	overdueAfter      = 4 * time.Minute   // waiting time after which a job that cannot meet any objective is placed regardless of its size
+	firstTaskDueAfter = 150 * time.Second // waiting time after which a job's first task is placed before others
+	overdueAfter      = 4 * time.Minute   // waiting time after which a job that can meet no objective is placed regardless of its size
 )
 
 // queueLoads is the load of the class queues (one for each class of a team).
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -101,7 +101,7 @@
 
 // mayPreemptNow reports whether a job that may preempt can do so now: it has no unfinished victim
 // set, is not in backoff and not suspected of failing on every machine, and the leader has had time
-// to move free machines of other shards.
+// to move free machines of other shards, if there are any.
 func (c *Controller) mayPreemptNow(job *storage.Job, now time.Time) bool {
 	state := c.jobState(job)
 	if c.cache.VictimSets[job.ID] != nil || now.Before(state.backoff) || c.suspect(job) {
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -215,17 +215,17 @@
 // mostLoadedShard returns the shard that needs machines the most among those whose work waits for
 // capacity, or -1 if there is none.
 func (p *rebalancePass) mostLoadedShard() int {
-	neediest := -1
+	mostLoaded := -1
 	for i := range p.shards {
 		s := &p.shards[i]
 		if p.withoutCandidate[i] || s.waiting <= s.free && !p.withoutFit[i] {
 			continue
 		}
-		if neediest < 0 || s.precedes(&p.shards[neediest]) {
-			neediest = i
+		if mostLoaded < 0 || s.precedes(&p.shards[mostLoaded]) {
+			mostLoaded = i
 		}
 	}
-	return neediest
+	return mostLoaded
 }
 
 // leastLoadedShard returns the least loaded shard other than the given one that has a movable
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -38,8 +38,8 @@
 // planLimits continues lowering the limits of teams whose shards this controller owns. A lowered
 // limit is recorded as in force if the records show that the team is within it (the tasks placed by
 // this transaction are too); otherwise tasks beyond it are evicted. This is planned before
-// completions and placements, which fill every transaction at peak load: lowered limits then waited
-// for a minute.
+// completions and placements: at peak load those fill every transaction, and lowered limits would
+// wait for a minute.
 func (c *Controller) planLimits(now time.Time, planned *plannedTxn) {
 	for team, entry := range c.cache.TeamEntries {
 		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitChangesDivisor) {
