--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,9 +12,9 @@
 	"dykeledge/internal/storage"
 )
 
-// largeCore owns one shard with n machines, four fifths of their room used, and open
-// jobs of which most wait.
-func largeCore(b *testing.B, n, jobs int) *Controller {
+// newLargeCore returns a controller that owns one shard with the given numbers of machines, of whose
+// capacity about four fifths are used, and of open jobs, most of whose tasks wait.
+func newLargeCore(b *testing.B, machines, jobs int) *Controller {
 	b.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
@@ -33,22 +33,22 @@
 		put(storage.JobKey(job(i)), storage.JobRecord{Tasks: 40, Team: []string{"red", "blue"}[i%2], SubmittedMs: time.Now().UnixMilli(),
 			Spec: &storage.SpecRecord{Class: "c", Cpus: 4, Mem: 15, Image: fmt.Sprint("i", i%12), ImageGB: 0.6, Spot: true, Estimate: 15}}, 3)
 	}
-	const size = 14
+	const groupSize = 14
 	fleet := storage.FleetRecord{Type: "t", Zone: "a", FencingToken: 4}
-	for i := range n {
-		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / size})
+	for i := range machines {
+		fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("m", i), Group: i / groupSize})
 	}
 	put(storage.FleetKey("m0"), fleet, 4)
-	for k := 0; k*size < n; k++ {
-		rec := storage.GroupRecord{}
-		for i := k * size; i < min(n, (k+1)*size); i++ {
-			x := storage.GroupMachine{Name: fmt.Sprint("m", i), Incarnation: 1}
+	for group := 0; group*groupSize < machines; group++ {
+		record := storage.GroupRecord{}
+		for i := group * groupSize; i < min(machines, (group+1)*groupSize); i++ {
+			entry := storage.GroupMachine{Name: fmt.Sprint("m", i), Incarnation: 1}
 			for t := range uint64(3 + i%2) {
-				x.Tasks = append(x.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
+				entry.Tasks = append(entry.Tasks, storage.PlacedTasks{Job: job(i), Numbers: []uint64{t, 4, 1_700_000_000, 2}})
 			}
-			rec.Machines = append(rec.Machines, x)
+			record.Machines = append(record.Machines, entry)
 		}
-		put(storage.GroupKey(k), rec, 5)
+		put(storage.GroupKey(group), record, 5)
 	}
 	controller.cache.Revision, controller.follower.highestRevision = 5, 5
 	controller.shards.owned[0] = 2
@@ -59,23 +59,23 @@
 	return controller
 }
 
-func reportOf(m *storage.Machine, seq uint64) *protocol.Heartbeat {
-	r := &protocol.Heartbeat{Machine: m.Name, Incarnation: 1, Seq: seq, FencingToken: 4}
-	for _, p := range m.Tasks {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName(p.Job.ID, p.Task), Attempt: p.Attempt, State: protocol.TaskRunning})
+func reportOf(machine *storage.Machine, seq uint64) *protocol.Heartbeat {
+	heartbeat := &protocol.Heartbeat{Machine: machine.Name, Incarnation: 1, Seq: seq, FencingToken: 4}
+	for _, placed := range machine.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: protocol.TaskName(placed.Job.ID, placed.Task), Attempt: placed.Attempt, State: protocol.TaskRunning})
 	}
-	return r
+	return heartbeat
 }
 
 var sizes = []struct{ machines, jobs int }{{50, 50}, {400, 400}, {1250, 5000}, {5000, 20000}}
 
-// overSizes runs a benchmark over all sizes. prepare gets a controller whose workers are not
-// called, and returns what is measured.
-func overSizes(b *testing.B, prepare func(ctx context.Context, core *Controller) (step func() error)) {
+// runAllSizes runs a benchmark for all sizes. prepare gets a controller that sends no direct
+// commands, and returns the step to measure.
+func runAllSizes(b *testing.B, prepare func(ctx context.Context, core *Controller) (step func() error)) {
 	b.Helper()
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
-			controller := largeCore(b, size.machines, size.jobs)
+			controller := newLargeCore(b, size.machines, size.jobs)
 			controller.workers.directCommands = maxDirectCommands
 			step := prepare(b.Context(), controller)
 			b.ReportAllocs()
@@ -89,7 +89,7 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	overSizes(b, func(_ context.Context, c *Controller) func() error {
+	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		return func() error {
 			c.plan(time.Now(), 12)
 			return nil
@@ -97,9 +97,9 @@
 	})
 }
 
-// BenchmarkPlanFull is a pass over a fleet without free capacity: nothing is placed.
+// BenchmarkPlanFull measures a pass over a fleet without usable machines: nothing is placed.
 func BenchmarkPlanFull(b *testing.B) {
-	overSizes(b, func(_ context.Context, c *Controller) func() error {
+	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		for _, machine := range c.cache.Machines {
 			machine.Draining = true
 		}
@@ -111,7 +111,7 @@
 }
 
 func BenchmarkHeartbeat(b *testing.B) {
-	overSizes(b, func(ctx context.Context, c *Controller) func() error {
+	runAllSizes(b, func(ctx context.Context, c *Controller) func() error {
 		machine := c.cache.Machines[len(c.cache.Machines)/2]
 		seq := uint64(1)
 		return func() error {
@@ -124,7 +124,7 @@
 }
 
 func BenchmarkChange(b *testing.B) {
-	overSizes(b, func(_ context.Context, c *Controller) func() error {
+	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		raw := storage.Encode(c.cache.GroupRecordOf(c.cache.Groups[1], nil, nil))
 		version := uint64(5)
 		return func() error {
@@ -138,9 +138,9 @@
 	})
 }
 
-// BenchmarkLists reads all jobs and all machines as operators do, page by page.
+// BenchmarkLists measures reading all jobs and all machines page by page, as operators' tools do.
 func BenchmarkLists(b *testing.B) {
-	overSizes(b, func(ctx context.Context, c *Controller) func() error {
+	runAllSizes(b, func(ctx context.Context, c *Controller) func() error {
 		go serveInbox(ctx, c)
 		return func() error {
 			if err := readAllJobs(ctx, c); err != nil {
@@ -151,7 +151,7 @@
 	})
 }
 
-// serveInbox does the work that is posted to a controller until ctx ends.
+// serveInbox runs the work that is posted to a controller until ctx ends.
 func serveInbox(ctx context.Context, c *Controller) {
 	for {
 		select {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// borrowTimeout is how long the leader has to bring free machines of other shards before a
-	// job preempts.
-	borrowTimeout = 700 * time.Millisecond
-	// A top-priority job may leave free capacity alone for hopeFor, at most once in hopeAgain.
-	hopeFor   = 6 * time.Second
-	hopeAgain = 40 * time.Second
+	// rebalanceGracePeriod is how long a job lacks capacity before it preempts, if other shards
+	// have free machines that it may use: the leader can move these to the job's shard meanwhile.
+	rebalanceGracePeriod = 700 * time.Millisecond
+	// A top-priority job may leave free capacity unused for preemptionWait, at most once in
+	// preemptionWaitInterval.
+	preemptionWait         = 6 * time.Second
+	preemptionWaitInterval = 40 * time.Second
 )
 
-// preemptionClass is what decides whose tasks may be preempted for a job.
+// preemptionClass groups jobs that have the same preemption candidates, unless a job requires
+// certain machine types.
 type preemptionClass struct {
 	team, zone      int
 	priority        protocol.Priority
@@ -26,31 +28,31 @@
 	withinGuarantee bool
 }
 
-// planPreemptions deletes the records of victim sets that have served, and adds at most one
+// planPreemptions deletes the records of victim sets that are finished, and adds at most one new
 // victim set to the transaction.
 func (c *Controller) planPreemptions(now time.Time, planned *plannedTxn, input *schedule.Input, result schedule.Result) {
-	opsLeft := c.dropServedSets(planned, planned.opsLeft())
+	opsLeft := c.deleteFinishedVictimSets(planned, planned.opsLeft())
 	if opsLeft <= 0 {
 		return
 	}
-	until := c.claimsUntil()
-	jobs := c.jobsShortOfCapacity(now, input, result, until)
-	inVain := map[preemptionClass]bool{} // classes for which there are no candidates
+	cutoffs := c.guaranteeCutoffs()
+	jobs := c.jobsShortOfCapacity(now, input, result, cutoffs)
+	withoutCandidates := map[preemptionClass]bool{} // classes without preemption candidates
 	for _, job := range jobs {
-		class := preemptionClass{job.Team, job.Zone, job.Priority, job.Spot, claims(job, input, until)}
-		if inVain[class] && len(job.Types) == 0 {
+		class := preemptionClass{job.Team, job.Zone, job.Priority, job.Spot, mayPreemptForGuarantee(job, input, cutoffs)}
+		if withoutCandidates[class] && len(job.Types) == 0 {
 			continue
 		}
 		if !c.mayPreemptNow(job, now) {
 			continue
 		}
-		candidates := c.preemptionCandidates(now, job, input, planned.remaining, until)
+		candidates := c.preemptionCandidates(now, job, input, planned.remaining, cutoffs)
 		if len(candidates) == 0 {
-			inVain[class] = inVain[class] || len(job.Types) == 0
+			withoutCandidates[class] = withoutCandidates[class] || len(job.Types) == 0
 			continue
 		}
 		schedule.RankCandidates(c.planner.alpha, candidates)
-		chosen := c.fitRecord(schedule.PreemptSoonest(job, result.Short[job], input.Slots, candidates))
+		chosen := c.truncateToRecordLimit(schedule.PreemptSoonest(job, result.Short[job], input.Slots, candidates))
 		if len(chosen) > 0 {
 			c.putVictimSet(now, planned.txnBuilder, job, chosen, result.Short[job])
 			return
@@ -58,14 +60,14 @@
 	}
 }
 
-// dropServedSets deletes the records of victim sets that have served, with at most opsLeft
-// changes, and returns how many are left.
-func (c *Controller) dropServedSets(planned *plannedTxn, opsLeft int) int {
+// deleteFinishedVictimSets deletes the records of victim sets that are finished, with at most
+// opsLeft changes. It returns the number of changes left.
+func (c *Controller) deleteFinishedVictimSets(planned *plannedTxn, opsLeft int) int {
 	for id, set := range c.cache.VictimSets {
 		if opsLeft <= 0 {
 			break
 		}
-		if c.ownsShard(set.Shard) && c.victimSetServed(id, set) {
+		if c.ownsShard(set.Shard) && c.victimSetFinished(id, set) {
 			key := storage.VictimSetKey(id)
 			planned.put(key, set.Version, protocol.Change{Delete: key})
 			opsLeft--
@@ -74,12 +76,13 @@
 	return opsLeft
 }
 
-// jobsShortOfCapacity are the jobs that lack capacity and may preempt, highest priority first
-// and then the earliest; since when they lack it is noted.
-func (c *Controller) jobsShortOfCapacity(now time.Time, input *schedule.Input, result schedule.Result, until []time.Time) []*storage.Job {
+// jobsShortOfCapacity returns the jobs that lack capacity and may preempt, by descending priority
+// and then by the time at which they became ready. It also records since when each of them has
+// lacked capacity.
+func (c *Controller) jobsShortOfCapacity(now time.Time, input *schedule.Input, result schedule.Result, cutoffs []time.Time) []*storage.Job {
 	jobs := make([]*storage.Job, 0, len(result.Short))
 	for job := range result.Short {
-		if !c.mayPreempt(job, input, until) {
+		if !c.mayPreempt(job, input, cutoffs) {
 			continue
 		}
 		jobs = append(jobs, job)
@@ -96,18 +99,19 @@
 	return jobs
 }
 
-// mayPreemptNow tells whether it is a job's time to preempt: its last victim set has served, it
-// does not fail everywhere, and free machines of other shards have had their chance.
+// mayPreemptNow reports whether a job that may preempt can do so now: it has no unfinished victim
+// set, is not in backoff and not suspected of failing on every machine, and the leader has had time
+// to move free machines of other shards, if there are any.
 func (c *Controller) mayPreemptNow(job *storage.Job, now time.Time) bool {
 	state := c.jobState(job)
 	if c.cache.VictimSets[job.ID] != nil || now.Before(state.backoff) || c.suspect(job) {
 		return false
 	}
-	return now.Sub(state.shortSince) >= borrowTimeout || !c.othersHaveFree(job)
+	return now.Sub(state.shortSince) >= rebalanceGracePeriod || !c.otherShardsHaveFreeMachine(job)
 }
 
-// othersHaveFree tells whether other shards have empty machines that a job may use.
-func (c *Controller) othersHaveFree(job *storage.Job) bool {
+// otherShardsHaveFreeMachine reports whether other shards have empty machines that a job may use.
+func (c *Controller) otherShardsHaveFreeMachine(job *storage.Job) bool {
 	for _, machine := range c.cache.Machines {
 		if !machine.Gone && !machine.Returning && machine.Shard != job.Shard && len(machine.Tasks) == 0 && schedule.Allowed(job, machine) {
 			return true
@@ -116,16 +120,16 @@
 	return false
 }
 
-// startsSooner tells whether a top-priority job may leave free capacity alone since capacity
-// that it preempts serves it sooner. It may do so for a short while only: where no preemption
-// comes of it, what is free is taken.
-func (c *Controller) startsSooner(job *storage.Job, now time.Time) bool {
+// mayWaitForPreemption reports whether a top-priority job may leave free capacity unused because it
+// would start sooner on preempted capacity. This holds for a short time only, so that the job takes
+// the free capacity if no preemption follows.
+func (c *Controller) mayWaitForPreemption(job *storage.Job, now time.Time) bool {
 	if !job.Priority.Top() || c.suspect(job) {
 		return false
 	}
 	state := c.jobState(job)
-	if now.Sub(state.hopesSince) > hopeAgain {
+	if now.Sub(state.hopesSince) > preemptionWaitInterval {
 		state.hopesSince = now
 	}
-	return now.Sub(state.hopesSince) < hopeFor
+	return now.Sub(state.hopesSince) < preemptionWait
 }
--- a/internal/controller/relocation_test.go
+++ b/internal/controller/relocation_test.go
@@ -9,9 +9,10 @@
 	"dykeledge/internal/storage"
 )
 
-// Tasks that would have ended as soon were stopped to empty machines, fetched their images elsewhere
-// and made their jobs late.
-func TestWhatLeavesADrainedMachine(t *testing.T) {
+// TestTasksStoppedOnDrainingMachine guards against stopping tasks on draining machines that would have
+// ended about as soon where they were: they fetched their images again elsewhere, and their jobs
+// were late.
+func TestTasksStoppedOnDrainingMachine(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		estimateS float64
@@ -19,11 +20,11 @@
 		age       time.Duration
 		want      bool
 	}{
-		{"much is left and there is time", 100, 10, 20 * time.Second, true},
-		{"it ends about as soon as it is moved", 100, 80, 90 * time.Second, false},
-		{"its job would be late by it", 100, 10, 75 * time.Second, false},
+		{"much of the run is left, and the job can still be in time", 100, 10, 20 * time.Second, true},
+		{"it would end about as soon where it is", 100, 80, 90 * time.Second, false},
+		{"stopping it would make its job late", 100, 10, 75 * time.Second, false},
 		{"its job is late already", 100, 10, 300 * time.Second, true},
-		{"longer than its owner thought", 100, 130, 10 * time.Second, false},
+		{"it has run longer than estimated", 100, 130, 10 * time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
@@ -36,34 +37,36 @@
 			machine := c.cache.Machine("m")
 			placed := storage.PlacedTask{Job: job, PlacedAt: now.Unix() - test.ranS}
 			if got := c.leavesDrained(machine, c.workerState(machine), placed, now); got != test.want {
-				t.Errorf("leaves: %v, want %v", got, test.want)
+				t.Errorf("task is stopped: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// placeService has a controller read a service, with its first replicas on the named machines.
+// placeService applies the record of a service to a controller's cache, and places its first
+// replicas on the named machines.
 func placeService(t *testing.T, controller *Controller, id string, tasks int, on ...string) *storage.Job {
 	t.Helper()
 	controller.follower.highestRevision++
-	rev := controller.follower.highestRevision
+	revision := controller.follower.highestRevision
 	if err := controller.cache.Apply(storage.JobKey(id), storage.Encode(storage.JobRecord{Tasks: tasks, Team: "red",
-		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), rev, false); err != nil {
+		Spec: &storage.SpecRecord{Class: "s", Shape: uint8(protocol.Service), Priority: 3, Cpus: 4, Mem: 1, Image: "serve", ImageGB: 8, Spread: true}}), revision, false); err != nil {
 		t.Fatal(err)
 	}
 	job := controller.cache.Job(id)
 	job.ByZone = make([]int32, 3)
 	for task, name := range on {
 		machine := controller.cache.Machine(name)
-		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: rev})
-		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, rev, job.PlacedCount+1
+		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: revision})
+		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, revision, job.PlacedCount+1
 		job.ByZone[machine.Zone]++
 	}
 	return job
 }
 
-// Replicas leave a drained machine one of a service at a time, and only for one that has their image.
-func TestReplicasMoveOneByOne(t *testing.T) {
+// TestReplicasRelocatedOneByOne checks that replicas are relocated from a draining machine one of a
+// service at a time, and only if another machine has their image.
+func TestReplicasRelocatedOneByOne(t *testing.T) {
 	controller, now := newZonesCore(t, 3), time.Now()
 	for _, machine := range controller.cache.Machines {
 		worker := controller.workerState(machine)
@@ -84,10 +87,10 @@
 		return replicas
 	}
 	if n := leaving(); n != 0 {
-		t.Errorf("%d replicas leave although their image is nowhere else", n)
+		t.Errorf("%d replicas are relocated although no other machine has their image", n)
 	}
 	controller.workerState(controller.cache.Machine("c0")).images = []int{one.Image}
 	if n := leaving(); n != 2 || controller.jobState(one).relocating == controller.jobState(two).relocating {
-		t.Errorf("%d replicas leave, want one of each service", n)
+		t.Errorf("%d replicas are relocated, want one of each service", n)
 	}
 }
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -14,78 +14,79 @@
 
 func (idleStore) SetLimit(float64) {}
 
-// A transaction in doubt whose repetition is refused for its size is still in doubt: the
-// first copy may have been carried out before the limits fell, or come late. It was
-// repeated for ever.
-func TestInDoubtTransactionIsSettled(t *testing.T) {
+// TestInDoubtTransactionIsResolved guards against repeating an in-doubt transaction forever when the
+// state service refuses the repetition because of its size. The transaction is then still in doubt,
+// since the first copy may have been committed before the limits were lowered, or may arrive late.
+func TestInDoubtTransactionIsResolved(t *testing.T) {
 	controller := newCore(t)
 	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
 	txn := builder.build()
 	controller.workers.directCommands = maxDirectCommands
-	controller.sent(txn, 0, nil, protocol.ErrUnknown)
+	controller.handleTxnOutcome(txn, 0, nil, protocol.ErrUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
-	controller.sent(*controller.commits.inDoubt, 0, nil, tooLarge)
+	controller.handleTxnOutcome(*controller.commits.inDoubt, 0, nil, tooLarge)
 	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
-		t.Fatalf("it is not settled by rewriting the shard's record: %+v", controller.commits.inDoubt)
+		t.Fatalf("the in-doubt transaction is not replaced by one that rewrites the shard's record: %+v", controller.commits.inDoubt)
 	}
-	settle := *controller.commits.inDoubt
-	controller.sent(settle, 0, nil, protocol.ErrUnknown) // it may be in doubt itself
-	controller.sent(settle, 0, nil, protocol.ErrRefused)
+	resolving := *controller.commits.inDoubt
+	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrUnknown) // the replacement can be in doubt too
+	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrRefused)
 	if controller.commits.inDoubt == nil {
-		t.Fatal("given up before it was known")
+		t.Fatal("the in-doubt transaction was dropped before its outcome was known")
 	}
-	controller.sent(settle, 20, nil, nil)
+	controller.handleTxnOutcome(resolving, 20, nil, nil)
 	if controller.commits.inDoubt != nil || controller.commits.awaitedRevision != 20 || controller.cache.Shards[0].Version != 20 {
-		t.Fatalf("in doubt %v, waiting for %d, shard's version %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
+		t.Fatalf("in doubt %v, awaited revision %d, version of the shard's record %d", controller.commits.inDoubt != nil, controller.commits.awaitedRevision, controller.cache.Shards[0].Version)
 	}
 	if slices.ContainsFunc(txn.If, func(x protocol.Condition) bool {
 		return x.Key == storage.ShardKey(0) && x.Version == controller.cache.Shards[0].Version
 	}) {
-		t.Fatal("a late copy would still be carried out")
+		t.Fatal("a late copy of the transaction would still be committed")
 	}
 	if !controller.gates.limitsLowered {
-		t.Error("the limits to come are not taken up")
+		t.Error("the announced limits are not applied after the refusal")
 	}
-	// Where nothing is in doubt a refusal for size is definite.
+	// If nothing is in doubt, a refusal because of the size is definite.
 	controller = newCore(t)
 	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
-	if controller.sent(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
-		t.Errorf("in doubt %v, lowered %v", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
+	if controller.handleTxnOutcome(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
+		t.Errorf("in doubt %v, limits lowered %v: want false and true", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
 	}
 }
 
-// scriptStore answers transactions by a script, and notes them.
-type scriptStore struct {
+// scriptedStore answers transactions with scripted answers, and records the transactions.
+type scriptedStore struct {
 	idleStore
-	answers []scriptAnswer
-	asked   []protocol.Txn
+	answers  []scriptedAnswer
+	requests []protocol.Txn
 }
 
-type scriptAnswer struct {
+type scriptedAnswer struct {
 	rev    uint64
 	failed []string
 	err    error
 }
 
-func (s *scriptStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
-	answer := s.answers[len(s.asked)]
-	s.asked = append(s.asked, t)
+func (s *scriptedStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
+	answer := s.answers[len(s.requests)]
+	s.requests = append(s.requests, t)
 	return answer.rev, answer.failed, answer.err
 }
 
-// runInbox does a controller's work until ctx ends.
+// runInbox runs the work in a controller's inbox until ctx ends.
 func runInbox(ctx context.Context, c *Controller) {
 	for {
 		select {
-		case do := <-c.inbox:
-			do()
+		case work := <-c.inbox:
+			work()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// newScriptedLeader is a controller with a scripted store. It leads, or n1 does.
+// newScriptedLeader returns a controller that uses the given store. The leader is this controller
+// if leads is set, otherwise member n1.
 func newScriptedLeader(t *testing.T, store StateStore, leads bool) *Controller {
 	t.Helper()
 	c := newCore(t)
@@ -99,31 +100,32 @@
 	return c
 }
 
-// The leader's transactions in doubt are settled likewise: its key is rewritten, and the
-// cache is waited for before anybody looks at what became of them.
-func TestLeadersInDoubtTransactionIsSettled(t *testing.T) {
-	tooLarge := scriptAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
-	unknown, refused := scriptAnswer{err: protocol.ErrUnknown}, scriptAnswer{err: protocol.ErrRefused}
+// TestLeadersInDoubtTransactionIsResolved checks that a leader's in-doubt transaction is resolved
+// when its repetition is refused because of its size: the leader's key is rewritten, and the
+// outcome is reported only after the cache has reached the revision of that write.
+func TestLeadersInDoubtTransactionIsResolved(t *testing.T) {
+	tooLarge := scriptedAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
+	unknown, refused := scriptedAnswer{err: protocol.ErrUnknown}, scriptedAnswer{err: protocol.ErrRefused}
 	for _, test := range []struct {
 		name    string
-		answers []scriptAnswer
+		answers []scriptedAnswer
 		leads   bool
-		rewrite bool // the last one rewrites the leader's key
-		waits   bool
-		ok      bool
+		rewrite bool // the last request rewrites the leader's key
+		waits   bool // the outcome is reported only once the cache has reached the revision
+		ok      bool // the transaction is reported as committed
 	}{
-		{"refused with nothing in doubt", []scriptAnswer{tooLarge}, true, false, false, false},
-		{"committed after it was in doubt", []scriptAnswer{unknown, {rev: 20}}, true, false, false, true},
-		{"settled", []scriptAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
-		{"settled after it was in doubt again", []scriptAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
-		{"another leads: the late copy fails by itself", []scriptAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
-		{"a comparison settles nothing", []scriptAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
+		{"refused without being in doubt", []scriptedAnswer{tooLarge}, true, false, false, false},
+		{"committed after it was in doubt", []scriptedAnswer{unknown, {rev: 20}}, true, false, false, true},
+		{"resolved", []scriptedAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
+		{"resolved after the rewrite was in doubt too", []scriptedAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
+		{"another member leads: the late copy fails in any case", []scriptedAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
+		{"a comparison resolves nothing", []scriptedAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				store := &scriptStore{answers: test.answers}
+				store := &scriptedStore{answers: test.answers}
 				controller := newScriptedLeader(t, store, test.leads)
 				go runInbox(ctx, controller)
 				txn := protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: 5}},
@@ -132,17 +134,17 @@
 				go controller.commitWithRetry(ctx, txn, func(committed bool) { done, ok = true, committed })
 				time.Sleep(10 * time.Second)
 				if done == test.waits {
-					t.Fatalf("told before the cache had reached the revision: %v", done)
+					t.Fatalf("outcome reported before the cache reached revision 20: %v", done)
 				}
 				controller.post(func() { controller.cache.Revision = 20 })
 				time.Sleep(time.Second)
-				if !done || ok != test.ok || len(store.asked) != len(test.answers) {
-					t.Fatalf("told %v, %v after %d requests", done, ok, len(store.asked))
+				if !done || ok != test.ok || len(store.requests) != len(test.answers) {
+					t.Fatalf("outcome reported %v, committed %v after %d requests", done, ok, len(store.requests))
 				}
-				last := store.asked[len(store.asked)-1]
+				last := store.requests[len(store.requests)-1]
 				rewrites := len(last.Then) == 1 && last.Then[0].Put == storage.LeaderKey
 				if rewrites != test.rewrite || rewrites && (last.Then[0].Lease != 7 || last.If[0].Version != 5) {
-					t.Errorf("the last request is %+v", last)
+					t.Errorf("unexpected last request %+v", last)
 				}
 			})
 		})
