--- a/internal/controller/attempt_outcomes.go
+++ b/internal/controller/attempt_outcomes.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// refusedStartBackoff is how long a job waits after a worker has refused to start a task of it.
+	// refusedStartBackoff is how long a job waits after a worker has refused to start one of its tasks.
 	refusedStartBackoff = 300 * time.Millisecond
 	// slowdownSmoothing is the weight of the latest attempt in a worker's measured slowdown.
 	slowdownSmoothing = 0.2
-	// maxSlowdown bounds what one attempt can say of its worker.
+	// maxSlowdown caps the slowdown measured by one attempt.
 	maxSlowdown = 5
-	// minMeasuredEstimateS is the estimate from which on an attempt says anything of its worker's speed.
+	// minMeasuredEstimateS is the estimated run time, in seconds, above which an attempt is used to
+	// measure its worker's slowdown.
 	minMeasuredEstimateS = 1
 )
 
-// noteRunningAttempts notes which attempts a worker shows as running, and since when.
+// noteRunningAttempts records which attempts a worker reports as running, and since when.
 func (c *Controller) noteRunningAttempts(machine *storage.Machine, worker *workerState, now time.Time) {
 	for ref, seen := range worker.Seen {
 		if seen.State != protocol.TaskRunning && seen.State != protocol.TaskCheckpointing {
@@ -34,8 +35,9 @@
 	}
 }
 
-// logReplicaStart logs how long a service's replica took to run: waiting for its place, and then for
-// its image. A new owner sees those that ran before, too: they are left out.
+// logReplicaStart logs how long a service's replica took to start: the time until it was placed, and
+// then until its image was fetched. Replicas that ran before this controller took over a shard are
+// left out.
 func (c *Controller) logReplicaStart(machine *storage.Machine, ref dispatch.Ref, now time.Time) {
 	if ref.Job.Shape != protocol.Service {
 		return
@@ -51,7 +53,7 @@
 	}
 }
 
-// noteOutcome draws conclusions from an attempt's end about its machine and job.
+// noteOutcome updates the state of an attempt's machine and job with its outcome.
 func (c *Controller) noteOutcome(machine *storage.Machine, worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
 	jobState := c.jobState(ref.Job)
 	c.countOutcome(worker, ref, outcome, now)
@@ -76,7 +78,8 @@
 	}
 }
 
-// measureSlowdown compares how long a completed attempt ran with its job's estimate.
+// measureSlowdown updates a worker's smoothed slowdown with a completed attempt's run time relative
+// to its job's estimate.
 func (w *workerState) measureSlowdown(ref dispatch.Ref, now time.Time) {
 	startedAt, ok := w.started[ref]
 	if !ok || ref.Job.Estimate <= minMeasuredEstimateS {
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -10,21 +10,22 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns what a controller knows of cancellations, and until when it knows all of them.
-// Whoever renews a worker's lease must: see cancellationsKnownAt. A controller knows by its own
-// reading of the state service while it is served; in an outage by the digest of every other process,
-// which says that it has confirmed nothing that this controller does not know. A digest lists the
-// cancellations themselves, so that more than one controller knows of each, and owners terminate the
-// tasks by themselves.
-
-// cancellationTracker is what this controller knows of cancellations and what it does to have
-// cancelled tasks ended. It is written by this file, lease_knowledge.go, proxy_renewals.go and
-// terminations.go.
+// This file tracks cancellations, and the time up to which this controller has all of them: a
+// controller that renews workers' leases needs that (see cancellationsKnownAt). While the state
+// service answers, the cache provides it. In an outage, the cancellation digests of all other
+// controllers do: a digest states that its sender has confirmed no cancellation that the receiver
+// does not have. A digest lists the cancellations themselves, so that more than one controller holds
+// each of them, and the owners of the machines terminate the tasks without further messages.
+
+// cancellationTracker holds the cancellations that this controller has learned of, and the state of
+// terminating the cancelled tasks. It is written by this file, lease_knowledge.go,
+// proxy_renewals.go and terminations.go.
 type cancellationTracker struct {
 	digest       digestState
 	unverified   unverifiedRenewals
-	terminations map[int32]*termination // by machine with a cancelled job's task
-	// learnedAt is, by cancelled job whose record does not tell when, since when this process has known.
+	terminations map[int32]*termination // by index of a machine that has a cancelled job's task
+	// learnedAt holds, by job ID, when this process learned of a cancellation whose record does not
+	// hold its time.
 	learnedAt map[string]time.Time
 }
 
@@ -36,27 +37,28 @@
 	}
 }
 
-// finished reports whether nothing of a job is wanted any more: it has its final state, or a peer has
-// gossiped that it is cancelled, which is committed, confirmed and never taken back.
+// finished reports whether none of a job's tasks should run any more: the job has a final state, or a
+// peer's digest lists it as cancelled, which is committed, confirmed and never reverted.
 func (t *cancellationTracker) finished(job *storage.Job) bool {
 	return !job.Open() || t.digest.isGossiped(job.ID)
 }
 
-// cancelled reports whether a job is cancelled, as its record says or a peer that has confirmed it.
+// cancelled reports whether a job is cancelled according to its record or to a peer's digest.
 func (t *cancellationTracker) cancelled(job *storage.Job) bool {
 	return job.Final == protocol.Cancelled || t.digest.isGossiped(job.ID)
 }
 
-// cancellationList are the cancellations that a controller knows of, by their records' versions, the earliest first.
+// cancellationList lists cancellations, ordered by the versions of the jobs' records, lowest first.
 type cancellationList struct {
-	from uint64 // all of later records are listed
+	from uint64 // the list is complete for records with versions above this one
 	list []protocol.Cancellation
 }
 
-// add takes a cancelled job's record.
+// add inserts a cancelled job by the version of its record. When the list grows too long, the
+// earliest cancellations are removed and from is raised.
 func (l *cancellationList) add(version uint64, job string) {
 	if version <= l.from || len(job) > protocol.MaxCancelledName {
-		l.from = max(l.from, version) // it can't be listed: no digest may claim all before it
+		l.from = max(l.from, version) // not listed, so the list is complete only above this version
 		return
 	}
 	at, _ := slices.BinarySearchFunc(l.list, version, func(listed protocol.Cancellation, v uint64) int { return cmp.Compare(listed.Version, v) })
@@ -66,28 +68,34 @@
 		}
 	}
 	l.list = slices.Insert(l.list, at, protocol.Cancellation{Version: version, Job: job})
-	// Those of one record go together: a reader of some of them would think it knew all.
+	// Cancellations with the same version are removed together: from can't express that only some
+	// of them are listed.
 	for len(l.list) > protocol.MaxCancellations {
 		l.from = l.list[0].Version
 		l.list = slices.DeleteFunc(l.list, func(listed protocol.Cancellation) bool { return listed.Version <= l.from })
 	}
 }
 
-// digestState is what this controller has heard of others' cancellations.
+// digestState holds the cancellations read from records and those received in peers' digests.
 type digestState struct {
-	recorded     cancellationList
-	gossiped     map[string]uint64    // cancelled, peers say, by a record of that version: not read yet
-	vouchedUntil map[string]time.Time // by controller: all that it had confirmed until then is known here
+	recorded cancellationList // from records that this controller has read
+	// gossiped holds, by job ID, cancellations from peers' digests whose records this controller has
+	// not read yet, with the versions of those records.
+	gossiped map[string]uint64
+	// vouchedUntil holds, by member, the time up to which this controller has all cancellations that
+	// the member had confirmed.
+	vouchedUntil map[string]time.Time
 }
 
-// isGossiped reports whether a peer has said that a job is cancelled whose record does not show it yet.
+// isGossiped reports whether a peer's digest lists a job as cancelled while this controller's cache
+// does not show it yet.
 func (d *digestState) isGossiped(job string) bool {
 	_, ok := d.gossiped[job]
 	return ok
 }
 
-// learn takes the cancellations of a digest whose records lie after revision, which this
-// controller has read up to, and reports whether one of them is news.
+// learn stores the cancellations of a digest whose records have versions above revision, up to which
+// this controller's cache is current, and reports whether any of them is new.
 func (d *digestState) learn(cancellations []protocol.Cancellation, revision uint64) bool {
 	news := false
 	for _, cancellation := range cancellations {
@@ -99,7 +107,8 @@
 	return news
 }
 
-// dropRead forgets what the records up to a revision show by themselves.
+// dropRead removes the gossiped cancellations whose records have been read: those with versions up to
+// revision.
 func (d *digestState) dropRead(revision uint64) {
 	for id, version := range d.gossiped {
 		if version <= revision {
@@ -108,7 +117,7 @@
 	}
 }
 
-// noteCancellation notes a job's record if it says that the job is cancelled.
+// noteCancellation adds a job to the recorded cancellations if the record at key is a cancelled job's.
 func (c *Controller) noteCancellation(key string, version uint64) {
 	id, ok := storage.JobIDOf(key)
 	if !ok {
@@ -119,7 +128,8 @@
 	}
 }
 
-// currentDigest is what this controller vouches for now, nil while it can't.
+// currentDigest returns this controller's cancellation digest as of now. It is nil while the records
+// have not been read, or where the controller's frame level has no digests.
 func (c *Controller) currentDigest(now time.Time) *protocol.CancellationDigest {
 	if !c.follower.loaded || c.Frames < protocol.FramesCancellationDigest {
 		return nil
@@ -133,8 +143,9 @@
 	}
 }
 
-// CancellationDigest is what this controller vouches for to another member, if that one reads it.
-// It leaves out what the other has read, up to the revision in its peer heartbeat.
+// CancellationDigest returns the digest to send to a member, and whether there is one and the member
+// reads digests. It leaves out the cancellations that the member has read itself, up to the revision
+// in its last peer heartbeat.
 func (c *Controller) CancellationDigest(member string) (protocol.CancellationDigest, bool) {
 	published := c.summary.digest.Load()
 	readers := c.summary.digestReaders.Load()
@@ -154,7 +165,8 @@
 	return digest, true
 }
 
-// digestReaders are the controllers that read digests, and the revision in the last peer heartbeat of each.
+// digestReaders returns the members that read digests, with the revision in the last peer heartbeat
+// of each.
 func (c *Controller) digestReaders() *map[string]uint64 {
 	readers := map[string]uint64{}
 	for name, member := range c.cache.Members {
@@ -165,45 +177,49 @@
 	return &readers
 }
 
-// ReceiveCancellationDigest takes another controller's digest.
+// ReceiveCancellationDigest applies a digest received from another controller.
 func (c *Controller) ReceiveCancellationDigest(member string, digest protocol.CancellationDigest) {
 	c.post(func() { c.applyDigest(member, digest, time.Now()) })
 }
 
+// applyDigest stores the cancellations of a member's digest, has their tasks terminated, and advances
+// the time up to which this controller has all of the member's cancellations.
 func (c *Controller) applyDigest(member string, digest protocol.CancellationDigest, now time.Time) {
 	if !c.follower.loaded {
 		return
 	}
 	if c.cancellations.digest.learn(digest.Cancellations, c.cache.Revision) {
-		c.log.Info("cancellations gossiped", "member", member, "jobs", len(digest.Cancellations))
+		c.log.Info("new cancellations received in a digest", "member", member, "jobs", len(digest.Cancellations))
 		c.terminateGossiped()
 	}
 	clockError := maxClockDifference(c.cfg.Deployment)
 	startedAt := localTime(digest.ProcessStart, now).Add(clockError)
-	// What a process before this one of the same name had confirmed, nobody vouches for: only a reading
-	// after this one began shows it. And a list that begins after this controller's cache has a gap.
+	// The digest does not cover what an earlier process of the same member had confirmed: only records
+	// read after the sender's start show that. And if its list begins above this cache's revision,
+	// cancellations in between are missing.
 	if startedAt.After(c.follower.cacheCurrentAt) || digest.From > c.cache.Revision {
 		return
 	}
-	// It may have been held up on its way: it vouches for what was before it was sent.
+	// The digest may have been delayed in transit: it covers the time until it was sent.
 	until := minTime(now, localTime(digest.At, now).Add(-clockError))
 	if until.After(c.cancellations.digest.vouchedUntil[member]) {
 		c.cancellations.digest.vouchedUntil[member] = until
 	}
 }
 
-// maxClockDifference is how far the clocks of two controllers may be apart.
+// maxClockDifference returns the largest difference between two controllers' clocks.
 func maxClockDifference(d config.Deployment) time.Duration {
 	return 2 * time.Duration(d.ClockSkewMs*float64(time.Millisecond))
 }
 
-// localTime is a time of day in Unix milliseconds with this process's monotonic clock, so that it can be
-// compared with what was noted here although the time of day may be set meanwhile.
+// localTime converts a wall-clock time in Unix milliseconds to a time with this process's monotonic
+// clock reading, so that comparisons with local times stay valid if the wall clock is set meanwhile.
 func localTime(unixMs int64, now time.Time) time.Time {
 	return now.Add(-time.Duration(now.UnixMilli()-unixMs) * time.Millisecond)
 }
 
-// terminateGossiped has the tasks of jobs that peers say are cancelled terminated on this controller's machines.
+// terminateGossiped sends kill commands for the tasks of gossiped cancellations to the machines that
+// this controller owns.
 func (c *Controller) terminateGossiped() {
 	for id := range c.cancellations.digest.gossiped {
 		if job := c.cache.Job(id); job != nil {
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -12,19 +12,24 @@
 )
 
 const (
-	maxCommands       = 200 // in one answer
-	maxDirectCommands = 48  // direct commands at a time
-	checkpointMargin  = 2.0 // seconds of grace beyond what a task needs to save
-	// preemptionMarginS is how many seconds before a preemption a task is commanded to save, beyond
-	// its grace and the next heartbeat.
+	// maxCommands limits the commands in one answer or direct command.
+	maxCommands = 200
+	// maxDirectCommands limits the direct commands in flight at a time.
+	maxDirectCommands = 48
+	// checkpointMargin is the grace period, in seconds, beyond the time that a task needs to save a
+	// checkpoint.
+	checkpointMargin = 2.0
+	// preemptionMarginS is how many seconds earlier than its grace period and the next heartbeat
+	// require a task is stopped before the cloud preempts its machine.
 	preemptionMarginS = 1
 	// directCommandTimeout bounds how long a worker may take to answer commands.
 	directCommandTimeout = 2 * time.Second
-	// directProbeTimeout bounds how long it may take where there is nothing to command.
+	// directProbeTimeout bounds how long a worker may take to answer a probe, which has no commands.
 	directProbeTimeout = 1200 * time.Millisecond
 )
 
-// desiredState is what this owner wants of a placed attempt.
+// desiredState returns whether a placed attempt should go on or be stopped, and with which grace
+// period.
 func (c *Controller) desiredState(machine *storage.Machine, worker *workerState, placed storage.PlacedTask) dispatch.DesiredState {
 	job := placed.Job
 	checkpoints := job.CheckpointInterval > 0
@@ -50,14 +55,14 @@
 	return dispatch.DesiredState{}
 }
 
-// preemptedWithin reports whether the cloud has announced to take the worker's machine within a while.
+// preemptedWithin reports whether the cloud has announced to preempt the worker's machine within d.
 func (w *workerState) preemptedWithin(d time.Duration) bool {
 	return !w.preemptedAt.IsZero() && time.Until(w.preemptedAt) < d
 }
 
-// checkpointedJustNow reports whether an attempt has run for less than a third of its interval since its
-// last checkpoint. Another one would take about as long as the work that it saves, and the room is wanted
-// now. An attempt that is saving already goes on.
+// checkpointedJustNow reports whether an attempt has run for less than a third of its checkpoint
+// interval since its last checkpoint. Another checkpoint would take about as long as the work that it
+// saves, and the capacity is needed now. An attempt that is saving a checkpoint already may finish it.
 func (w *workerState) checkpointedJustNow(placed storage.PlacedTask) bool {
 	interval := placed.Job.CheckpointInterval
 	ref := dispatch.RefOf(placed)
@@ -66,7 +71,8 @@
 		math.Mod(time.Since(startedAt).Seconds(), interval) < interval/3
 }
 
-// commands are what a worker must be sent to bring it to the desired state.
+// commands returns the commands that bring a worker's tasks to their desired states. The answer flag
+// says whether they go into the answer to a heartbeat.
 func (c *Controller) commands(machine *storage.Machine, worker *workerState, answer bool) []protocol.Command {
 	unsent := len(worker.Gone)
 	desired := func(placed storage.PlacedTask) dispatch.DesiredState { return c.desiredState(machine, worker, placed) }
@@ -77,8 +83,8 @@
 	return commands
 }
 
-// sendDirect sends what the record wants straight to a worker, if there is anything; with empty it
-// asks the worker for its heartbeat even if there is not.
+// sendDirect sends a worker its pending commands directly, without waiting for its heartbeat. If there
+// are none, it sends nothing, or, if empty is set, a probe for the worker's heartbeat.
 func (c *Controller) sendDirect(machine *storage.Machine, empty bool) {
 	worker := c.workerState(machine)
 	unknown := worker.Incarnation == 0 && machine.Incarnation == 0
@@ -103,27 +109,27 @@
 	if len(commands.Commands) == 0 {
 		timeout = directProbeTimeout
 	}
-	// The timeout ends this goroutine; nobody waits for it.
+	// The timeout bounds this goroutine; nothing waits for it.
 	go func() {
 		heartbeat, status, err := c.workerLink.Command(addr, commands, timeout)
 		c.post(func() { c.handleDirectReply(machine, worker, commands, directReply{heartbeat, status, err}) })
 	}()
 }
 
-// directReply is what came of a direct command.
+// directReply is the outcome of a direct command.
 type directReply struct {
 	heartbeat *protocol.Heartbeat
 	status    int
 	err       error
 }
 
-// handleDirectReply takes a worker's reply to a direct command, or that there is none.
+// handleDirectReply handles a worker's reply to a direct command, or its failure.
 func (c *Controller) handleDirectReply(machine *storage.Machine, worker *workerState, sent protocol.DirectCommands, reply directReply) {
 	c.workers.directCommands--
 	worker.DirectInFlight = false
 	c.contactWorkers()
 	if c.workers.states[machine.Index] != worker || !c.ownsShard(machine.Shard) || machine.Gone {
-		return // this ownership has ended
+		return // this controller no longer owns the machine, or took it over again since
 	}
 	if reply.err != nil {
 		c.noteDirectFailure(machine, worker, sent, reply.err)
@@ -140,14 +146,14 @@
 	if worker.Newer(heartbeat) {
 		c.applyHeartbeat(machine, worker, heartbeat, c.cache.FencingToken(machine), true)
 		c.requestCycle()
-		// What it shows to run on after a takeover may have been cancelled while nobody owned it.
+		// After a takeover, tasks that still run may have been cancelled while the shard had no owner.
 		c.terminateUnwanted(machine)
 	}
 	c.log.Debug("direct command answered", "machine", machine.Name, "status", reply.status, "commands", len(sent.Commands))
 }
 
-// noteDirectFailure draws conclusions from a direct command without an answer: a launch in it
-// may have happened, unless the worker's machine refused the connection.
+// noteDirectFailure records a direct command without an answer: a launch command in it may have been
+// executed, unless the worker's machine refused the connection.
 func (c *Controller) noteDirectFailure(machine *storage.Machine, worker *workerState, sent protocol.DirectCommands, err error) {
 	c.log.Debug("direct command failed", "machine", machine.Name, "err", err)
 	worker.missedProbes++
@@ -159,8 +165,8 @@
 	c.requestCycle()
 }
 
-// contactWorkers shows this controller to the workers of machines that it has taken over, a few
-// at a time: their replies tell what is on the machines.
+// contactWorkers sends probes to the workers of machines that this controller has taken over, a few
+// at a time. The replies list the tasks on the machines.
 func (c *Controller) contactWorkers() {
 	for len(c.workers.uncontacted) > 0 && c.workers.directCommands < maxDirectCommands {
 		machine := c.workers.uncontacted[0]
@@ -172,7 +178,7 @@
 	}
 }
 
-// terminateJob sends kill commands to the machines that a job's tasks are placed on.
+// terminateJob runs terminateUnwanted on the machines that a job's tasks are placed on.
 func (c *Controller) terminateJob(job *storage.Job) {
 	if job.PlacedCount == 0 {
 		return
@@ -184,7 +190,8 @@
 	}
 }
 
-// terminateUnwanted sends commands that end cancelled and evicted tasks without waiting for a heartbeat.
+// terminateUnwanted sends a machine its commands directly, without waiting for a heartbeat, if one of
+// its tasks is to be stopped and has not exited.
 func (c *Controller) terminateUnwanted(machine *storage.Machine) {
 	if machine.Gone || len(machine.Tasks) == 0 || !c.ownsShard(machine.Shard) {
 		return
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// maxPendingEnrollments is how many machines without a record may wait for theirs.
+	// maxPendingEnrollments is how many unrecorded machines may wait for enrollment.
 	maxPendingEnrollments = 1024
-	// maxHeldReplies is how many heartbeats may wait for a commit before the next are answered at once.
+	// maxHeldReplies is how many heartbeats may wait for a commit; above it, further ones are answered
+	// at once.
 	maxHeldReplies = 1000
-	// minFreeCPUShare is the part of a machine's CPUs that must be free for a commit to be
-	// likely to place something on it.
+	// minFreeCPUShare is the fraction of a machine's CPUs that must be free for the next commit to be
+	// likely to place a task on it.
 	minFreeCPUShare = 0.05
 )
 
-// errNotOwner sends a worker on to another controller.
+// errNotOwner is the body of a refusal after which a worker tries another controller.
 var errNotOwner = protocol.ErrorResponse{Error: "not entitled to command this machine"}
 
 // heartbeatReply answers a heartbeat with a status code and a body. It is called once.
@@ -34,7 +35,7 @@
 	reply     heartbeatReply
 }
 
-// HandleHeartbeat answers a worker's heartbeat: reply is called once, from the core.
+// HandleHeartbeat handles a worker's heartbeat; reply is called once, on the core's goroutine.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
 	began := time.Now()
 	c.post(func() {
@@ -45,7 +46,8 @@
 	})
 }
 
-// handleHeartbeat decides who answers a heartbeat, and answers it if that is this controller.
+// handleHeartbeat chooses how to answer a heartbeat: by whether the records have been read, the
+// machine has a record, and this controller owns its shard.
 func (c *Controller) handleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply heartbeatReply) {
 	if !c.follower.loaded {
 		c.handleHeartbeatUnverified(heartbeat, reply)
@@ -73,10 +75,11 @@
 	c.answerRenewal(heartbeat.Machine, response, reply)
 }
 
-// handleUnrecorded answers the heartbeat of a machine that has no record: the leader enrolls it.
+// handleUnrecorded answers the heartbeat of an unrecorded machine: the leader enrolls the machine, any
+// other controller redirects to the leader.
 func (c *Controller) handleUnrecorded(ctx context.Context, heartbeat *protocol.Heartbeat, reply heartbeatReply) {
 	if c.cache.MachineSeen(heartbeat.Machine) {
-		// The machine is gone and its heartbeat late, or its group is not read yet.
+		// Either the machine is gone and its heartbeat late, or its group's record is not read yet.
 		reply(http.StatusServiceUnavailable, errNotOwner)
 		return
 	}
@@ -93,7 +96,7 @@
 		return
 	}
 	fleet := storage.FleetRecord{
-		FencingToken:  heartbeat.FencingToken + 1, // above all that the worker has seen
+		FencingToken:  heartbeat.FencingToken + 1, // above every token that the worker has seen
 		Type:          heartbeat.Type,
 		Zone:          heartbeat.Zone,
 		Spot:          heartbeat.Spot,
@@ -109,11 +112,11 @@
 }
 
 // handleOthersHeartbeat answers the heartbeat of a machine that another controller owns: it renews
-// the worker's lease where that owner can't, and otherwise sends the worker on.
+// the worker's lease as a proxy if the owner can't, and otherwise redirects the worker.
 func (c *Controller) handleOthersHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, reply heartbeatReply) {
 	token := c.cache.FencingToken(machine)
 	if c.renewsAsProxy(machine, time.Now()) && heartbeat.FencingToken <= token {
-		// The lease goes on under the fencing token of the records.
+		// The lease is renewed under the fencing token in the records.
 		response := protocol.HeartbeatResponse{FencingToken: token, Commands: c.killCommands(machine)}
 		c.answerRenewal(machine.Name, response, reply)
 		return
@@ -125,8 +128,8 @@
 	reply(http.StatusServiceUnavailable, errNotOwner)
 }
 
-// handleOwnHeartbeat takes the heartbeat of a machine whose shard this controller owns. The answer
-// waits for the next commit if that is likely to bring commands.
+// handleOwnHeartbeat handles the heartbeat of a machine whose shard this controller owns. The answer
+// waits for the next commit if that commit is likely to bring commands.
 func (c *Controller) handleOwnHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, reply heartbeatReply) {
 	token := c.cache.FencingToken(machine)
 	worker := c.workerState(machine)
@@ -136,7 +139,7 @@
 		return
 	}
 	if !worker.Newer(heartbeat) {
-		c.log.Debug("old heartbeat dropped", "machine", machine.Name, "incarnation", heartbeat.Incarnation, "seq", heartbeat.Seq)
+		c.log.Debug("dropped outdated heartbeat", "machine", machine.Name, "incarnation", heartbeat.Incarnation, "seq", heartbeat.Seq)
 		reply(http.StatusServiceUnavailable, errNotOwner)
 		return
 	}
@@ -150,13 +153,13 @@
 	c.workers.heldReplies = append(c.workers.heldReplies, held)
 }
 
-// raiseFencingToken deals with a worker that has seen a higher fencing token than its machine's record
-// has. Mostly another controller holds a newer right to command it, and this controller's cache is
-// behind: then what it commits fails. But a group may have moved under a token older than that of the
-// shard's new owner, who had shown it to the worker just before; then nobody could command the machine
-// any more, its tasks stayed in the record and their jobs running for ever. So the record's is raised
-// above it. Every token was committed, so none is above the revision that an up-to-date cache has come
-// to: one that is makes no sense, or not yet.
+// raiseFencingToken requests that the fencing token in a machine's record is raised above a higher one
+// that its worker has seen. Usually another controller owns the machine by now and this controller's
+// cache is behind; then its commits fail. But a group may have moved under a token older than that of
+// its former shard's new owner, which had sent its token to the worker just before. Then no controller
+// could command the machine any more: its tasks stayed in the record, and their jobs never ended.
+// Every token was committed, so none is above the highest revision that an up-to-date cache has seen:
+// a token above it is invalid, or this cache is behind, and it is ignored.
 func (c *Controller) raiseFencingToken(worker *workerState, token uint64) {
 	if token <= c.follower.highestRevision {
 		worker.Uncertain = max(worker.Uncertain, token)
@@ -164,8 +167,8 @@
 	}
 }
 
-// awaitsCommands reports whether a commit is likely to bring commands for a machine. A worker has
-// one heartbeat in flight at a time: an answer that waits for nothing delays its next one.
+// awaitsCommands reports whether the next commit is likely to bring commands for a machine. A worker
+// has one heartbeat in flight at a time, so holding an answer without need delays its next heartbeat.
 func (c *Controller) awaitsCommands(machine *storage.Machine, worker *workerState) bool {
 	if len(worker.Gone) > 0 {
 		return true
@@ -181,7 +184,8 @@
 	return free > minFreeCPUShare*cpus
 }
 
-// applyHeartbeat takes a worker's heartbeat; with reply it is the reply to a direct command.
+// applyHeartbeat updates a worker's state from its heartbeat, or, if reply is set, from its reply to a
+// direct command.
 func (c *Controller) applyHeartbeat(machine *storage.Machine, worker *workerState, heartbeat *protocol.Heartbeat, token uint64, reply bool) {
 	now := time.Now()
 	c.noteUnresponsive(machine, worker, heartbeat, reply, now)
@@ -209,19 +213,20 @@
 	}
 }
 
-// notePreemptionNotice notes when the cloud takes a machine, in so many seconds; nil: it has not announced that.
+// notePreemptionNotice records the announced preemption of a worker's spot machine by the cloud, inS
+// seconds from now. A nil inS means that none is announced.
 func (c *Controller) notePreemptionNotice(machine *storage.Machine, worker *workerState, inS *float64, now time.Time) {
 	if inS == nil {
 		worker.preemptedAt = time.Time{}
 		return
 	}
 	if worker.preemptedAt.IsZero() {
-		c.log.Info("cloud will take the machine", "machine", machine.Name, "in_s", *inS)
+		c.log.Info("cloud announced preemption of the machine", "machine", machine.Name, "in_s", *inS)
 	}
 	worker.preemptedAt = now.Add(seconds(*inS))
 }
 
-// answerHeartbeat answers a heartbeat with what the record holds now.
+// answerHeartbeat answers a heartbeat according to the records as they are now.
 func (c *Controller) answerHeartbeat(held heldReply) {
 	machine := c.cache.Machine(held.machine)
 	if machine == nil {
@@ -234,7 +239,7 @@
 	}
 	worker := c.workerState(machine)
 	response := protocol.HeartbeatResponse{FencingToken: c.cache.FencingToken(machine)}
-	// Commands only answer the latest heartbeat of the incarnation that still is.
+	// Commands go only into the answer to the latest heartbeat of the worker's current incarnation.
 	if worker.Incarnation == held.heartbeat.Incarnation && worker.HeartbeatSeq == held.heartbeat.Seq {
 		response.Commands = c.commands(machine, worker, true)
 	}
@@ -244,7 +249,7 @@
 	c.answerRenewal(machine.Name, response, held.reply)
 }
 
-// flushHeldReplies answers the heartbeats that waited for a commit long enough, or all of them.
+// flushHeldReplies answers the held heartbeats whose waiting time is over, or, if all is set, every one.
 func (c *Controller) flushHeldReplies(now time.Time, all bool) {
 	keep := c.workers.heldReplies[:0]
 	for _, held := range c.workers.heldReplies {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -8,9 +8,9 @@
 	"dykeledge/internal/storage"
 )
 
-// leaderState is what only the leader needs. A new leader begins with an empty one.
-// Each part is written by the file that declares it; after a stall, what was observed before is
-// cleared (stall_detection.go).
+// leaderState is the state that only the leader uses. It is reset when leadership begins.
+// Each part is written by the file that declares it. After a stall of this process, observations
+// made before the stall are cleared (stall_detection.go).
 type leaderState struct {
 	enrollmentState
 	cloudListState
@@ -19,14 +19,15 @@
 	drainingState
 	rebalancingState
 
-	membersVersionSum uint64 // of the members' records when shards were last assigned
-	editing           bool   // pending updates of other owners' machines are being written
-	autoscaledAt      time.Time
+	membersVersionSum uint64    // sum of the member records' versions when shards were last assigned
+	editing           bool      // a transaction with pending updates of other owners' machines is in flight
+	autoscaledAt      time.Time // when autoscale last ran
 	baseline          baselineLearning
 }
 
-// init forgets what an earlier lead of this process knew. Kept are the flags of requests that
-// are still under way, and the number of scale-out requests: their names are never used again.
+// init resets the state left from an earlier leadership of this process. It keeps the flags of
+// requests that are still in flight, and the count of scale-out requests, so that a request name
+// is never used twice.
 func (l *leaderState) init() {
 	l.abandon()
 	*l = leaderState{
@@ -39,16 +40,17 @@
 	}
 }
 
-// leaderTxn is an empty transaction that commits only while this controller still leads.
+// leaderTxn returns a transaction without changes that commits only if the leader record has not
+// changed since this controller's cache read it.
 func (c *Controller) leaderTxn() protocol.Txn {
 	return protocol.Txn{If: []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}}}
 }
 
-// autoscaleAsLeader is the leader's loop over machines: which exist, which should exist, and
-// which shard they serve.
+// autoscaleAsLeader runs the leader's periodic work on machines when it is due: listing the cloud's
+// machines, scaling out and in, and moving machine groups between shards.
 func (c *Controller) autoscaleAsLeader(ctx context.Context, now time.Time) {
 	// Requests to the cloud are not conditional on any record: a controller whose session lease
-	// may have expired would scale out beside the next leader.
+	// may have expired could scale out at the same time as the next leader.
 	if !c.isLeader() || !c.leaseCertain(now) || !c.cache.HasCatalog() || c.storeFailing() {
 		return
 	}
--- a/internal/controller/leader_transactions.go
+++ b/internal/controller/leader_transactions.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// inDoubtRetryDelay is how long after an unknown outcome a transaction is repeated.
+	// inDoubtRetryDelay is the delay before a transaction with an unknown outcome is retried.
 	inDoubtRetryDelay = 300 * time.Millisecond
-	// revisionPollInterval is how often it is checked whether the cache has reached a revision.
+	// revisionPollInterval is the interval at which waitForRevision checks the cache's revision.
 	revisionPollInterval = 100 * time.Millisecond
 )
 
-// commitWithRetry repeats a transaction of the leader until its outcome is known; after a refusal
-// for its conditions it waits until the cache shows why.
+// commitWithRetry retries a transaction of the leader until its outcome is known, and then reports
+// it to then. If a condition of the transaction failed, it first waits until the cache has reached
+// the revision at which it failed.
 func (c *Controller) commitWithRetry(ctx context.Context, txn protocol.Txn, then func(ok bool)) {
-	inDoubt := false // an earlier try may still be applied: a refusal settles only its own
+	inDoubt := false // an earlier try may still be applied: a refusal settles only the latest try
 	for ctx.Err() == nil {
 		rev, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 		if inDoubt && errors.Is(err, protocol.ErrTooLarge) {
 			c.reacquireLeadership(ctx, txn.If[0])
-			c.committed(txn, 0, false, then) // what became of it, the cache shows
+			c.committed(txn, 0, false, then) // the cache shows whether an earlier try was applied
 			return
 		}
 		if err != nil && (inDoubt || !errors.Is(err, protocol.ErrRefused)) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// waitForRevision waits until the cache has reached a revision.
+// waitForRevision waits until the cache has reached a revision or ctx ends.
 func (c *Controller) waitForRevision(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		reached := false
@@ -52,9 +53,9 @@
 	}
 }
 
-// reacquireLeadership settles a leader's transaction in doubt that is refused for its size when
-// it is repeated: it rewrites the leader's key, on which the first copy depends, so that a late
-// copy fails, and waits until the cache shows what became of it.
+// reacquireLeadership settles an in-doubt transaction of the leader whose retry was refused for its
+// size. It rewrites the leader's key, on whose version the first try depends, so that the first try
+// fails if it arrives later, and waits until the cache shows whether it was applied.
 func (c *Controller) reacquireLeadership(ctx context.Context, lead protocol.Condition) {
 	for ctx.Err() == nil {
 		txn := protocol.Txn{If: []protocol.Condition{lead}}
@@ -66,7 +67,7 @@
 			return
 		}
 		rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
-		// A comparison that holds settles nothing: the first copy may still come.
+		// A comparison that holds settles nothing: the first try may still be applied later.
 		if err == nil && (len(failed) > 0 || len(txn.Then) > 0) {
 			if len(failed) == 0 {
 				c.post(func() { c.applyTxn(txn, rev); c.changed() })
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -8,27 +8,27 @@
 	"dykeledge/internal/storage"
 )
 
-// minLeadershipDuration is how long leadership must have lasted before another controller takes it
-// on a mere hint that the leader has ended.
+// minLeadershipDuration is how long a leader's record must have stood before another controller
+// replaces it because the leader seems lost (memberLost), without proof that it has ended.
 const minLeadershipDuration = 10 * time.Second
 
-// leadership is what this controller knows of the leader's record. It is written by this file
-// and where the record is read (followed changes).
+// leadership holds what this controller has seen of the leader record. It is written by this file
+// and by followed_changes.go, where the record is read.
 type leadership struct {
-	version       uint64    // of the leader's key when last looked at
-	since         time.Time // when that version was first seen here
-	writeInFlight bool      // this controller's own record is being written
-	wasLeader     bool      // as noteLeadershipChange last saw it
+	version       uint64    // version of the leader's key when last checked
+	since         time.Time // when this process first saw that version
+	writeInFlight bool      // a write of this controller's own leader record is in flight
+	wasLeader     bool      // whether this process led when noteLeadershipChange last ran
 }
 
-// isLeader tells whether this process is the leader by the record.
+// isLeader reports whether the leader record names this process.
 func (c *Controller) isLeader() bool {
 	leader := &c.cache.Leader
 	return leader.Version > 0 && c.session.incarnation > 0 && leader.Member == c.cfg.MemberName && leader.Incarnation == c.session.incarnation
 }
 
-// acquireLeadership takes leadership if nobody has it, if its holder seems to have ended, or if its
-// holder was this controller before it restarted.
+// acquireLeadership writes this controller into the leader record if there is no leader, if the
+// leader seems to have ended, or if the leader was this controller before it restarted.
 func (c *Controller) acquireLeadership(ctx context.Context) {
 	if c.session.lease == 0 || c.leadership.writeInFlight || c.isLeader() || (c.session.notReady.Load() && c.othersReady()) {
 		return
@@ -50,8 +50,9 @@
 	})
 }
 
-// otherLeads tells whether another controller leads and is to be left to it. Two controllers that
-// do not hear each other must not take leadership from one another again and again.
+// otherLeads reports whether another controller is the leader and must not be replaced. Two
+// controllers that receive nothing from each other must not take leadership from one another
+// again and again.
 func (c *Controller) otherLeads(now time.Time) bool {
 	leader := c.cache.Leader
 	if leader.Version == 0 || leader.Member == c.cfg.MemberName {
@@ -60,8 +61,9 @@
 	return !c.memberLost(leader.Member, now) || now.Sub(c.leadership.since) < minLeadershipDuration
 }
 
-// noteLeadershipChange begins leadership as soon as the record says so: where only the answer to
-// its transaction was lost, a process that had led before went on with what it knew then.
+// noteLeadershipChange resets the leader state as soon as the leader record names this process, not
+// when its transaction is answered: the answer can be lost, and a process that had been leader
+// before would go on with the state of its earlier leadership.
 func (c *Controller) noteLeadershipChange() {
 	leads := c.isLeader()
 	if leads == c.leadership.wasLeader {
--- a/internal/controller/lease_knowledge.go
+++ b/internal/controller/lease_knowledge.go
@@ -8,27 +8,32 @@
 	"dykeledge/internal/protocol"
 )
 
-// This file owns whether this controller knows enough of what was cancelled to renew workers' leases.
+// This file decides whether this controller's information on cancellations is recent enough for it
+// to renew workers' leases.
 
-// leaseMargin is what is left for heartbeats, answers and clocks that drift apart.
+// leaseMargin is the part of the time limits below that is reserved for the delays of heartbeats and
+// their answers, and for clock drift.
 const leaseMargin = 1500 * time.Millisecond
 
-// maxKnowledgeAge is how old a controller's knowledge of what was cancelled may be when it renews a lease.
+// maxKnowledgeAge returns how old a controller's information on cancellations may be when it renews
+// a worker's lease. A lease renewed then expires within cancel_s of any cancellation it missed.
 func maxKnowledgeAge(w config.Workers) time.Duration {
 	return seconds(w.CancelS-w.LeaseS) - leaseMargin
 }
 
-// unverifiedRenewalWindow is how long after its start a controller that has read no records may renew
-// leases; not at all if it is not above 0. A worker whose lease still runs was answered at most lease_s
-// before by a controller that knew its records, and that had terminated what was cancelled until then.
-// What it could not terminate was cancelled later, and must be gone within cancel_s of that. An end of
-// all controllers while one of them renewed without knowing all is what this leaves open: see "Known
-// and open" in docs/ROADMAP.md.
+// unverifiedRenewalWindow returns how long after its start a controller that has read no records may
+// renew workers' leases; if it is not above 0, it may not at all. A worker whose lease has not
+// expired was answered at most lease_s earlier by a controller that had the records and had
+// terminated what was cancelled until then. Any task it could not terminate was cancelled later, and
+// must have ended within cancel_s of its cancellation. The case that remains open is an end of all
+// controllers while one of them was renewing leases without complete information: see "Known and
+// open" in docs/ROADMAP.md.
 func unverifiedRenewalWindow(w config.Workers) time.Duration {
 	return seconds(w.CancelS-2*w.LeaseS) - leaseMargin
 }
 
-// cancellationsKnownAt is until when this controller knows every cancellation that any controller has confirmed.
+// cancellationsKnownAt returns the time up to which this controller has every cancellation that any
+// controller has confirmed: by its cache, or by the digests of all other controllers.
 func (c *Controller) cancellationsKnownAt(now time.Time) time.Time {
 	vouched := now
 	include := func(member string) {
@@ -45,9 +50,10 @@
 	return maxTime(c.follower.cacheCurrentAt, vouched)
 }
 
-// mayRenewLeases reports whether this controller knows enough to renew a worker's lease: every cancellation
-// that was confirmed until some time ago. One that it does not know was confirmed after that, so the last
-// lease that it renews ends within cancel_s of it. A controller that has read no records goes by its start.
+// mayRenewLeases reports whether this controller may renew a worker's lease: its information on
+// cancellations must be no older than maxKnowledgeAge. A cancellation missing from it was confirmed
+// later, so the last lease renewed without it expires within cancel_s of that cancellation. A
+// controller that has read no records is bound by unverifiedRenewalWindow, counted from its start.
 func (c *Controller) mayRenewLeases(now time.Time) bool {
 	workers := c.cfg.Deployment.Workers
 	if !c.follower.loaded {
@@ -56,8 +62,9 @@
 	return now.Sub(c.cancellationsKnownAt(now)) <= maxKnowledgeAge(workers)
 }
 
-// answerRenewal answers a worker's heartbeat, which renews its lease: every such answer passes here. A
-// controller that does not know enough for it sends the worker on, to one that may.
+// answerRenewal answers a worker's heartbeat, which renews its lease; every such answer goes through
+// here. If this controller may not renew leases, it answers 503, and the worker tries another
+// controller.
 func (c *Controller) answerRenewal(machine string, response protocol.HeartbeatResponse, reply heartbeatReply) {
 	now := time.Now()
 	if c.mayRenewLeases(now) {
@@ -65,7 +72,7 @@
 		return
 	}
 	c.metrics.uncertainHeartbeats.Inc()
-	c.log.Debug("lease not renewed: recent cancellations are not known", "machine", machine,
+	c.log.Debug("worker lease not renewed: information on cancellations is too old", "machine", machine,
 		"known_age_s", now.Sub(c.cancellationsKnownAt(now)).Seconds())
 	reply(http.StatusServiceUnavailable, errNotOwner)
 }
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -10,11 +10,11 @@
 	"dykeledge/internal/storage"
 )
 
-// returnReason is why a machine is returned to the cloud, as logs tell it.
+// returnReason is the reason in logs for returning a machine to the cloud.
 type returnReason string
 
 const (
-	reasonFailed       returnReason = "failed" // says the cloud
+	reasonFailed       returnReason = "failed" // as reported by the cloud
 	reasonNotNeeded    returnReason = "not needed"
 	reasonDrained      returnReason = "drained"
 	reasonUnhealthy    returnReason = "unhealthy"
@@ -24,14 +24,15 @@
 )
 
 const (
-	// silentProbes is how many probes in a row a silent machine must have left unanswered to be returned.
+	// silentProbes is how many probes in a row a silent machine must have missed to be returned.
 	silentProbes = 2
-	// newOwnerGrace is how long an owner must have known a machine to conclude that it never came up.
+	// newOwnerGrace is how long an owner must have tracked a machine to conclude that it never came up.
 	newOwnerGrace = 5 * time.Second
 )
 
-// superviseMachines looks for machines that are silent, unhealthy or drained, and returns them.
-// The machines named by lost are returned first: what was cancelled can't be stopped there.
+// superviseMachines returns this controller's machines that are silent, unresponsive, unhealthy,
+// drained or never came up. The machines named by lost are returned first: their cancelled tasks are
+// not proved to have ended.
 func (c *Controller) superviseMachines(ctx context.Context, now time.Time, lost []string) {
 	suspectSelf := c.probeSilentMachines(now)
 	names := lost
@@ -56,8 +57,8 @@
 	c.scaleIn(ctx, names)
 }
 
-// probeSilentMachines asks silent machines' workers for a heartbeat, and tells whether so many are
-// silent at once that the fault may be on this side.
+// probeSilentMachines probes the workers of silent machines, and reports whether so many are silent
+// at once that the fault may be this controller's.
 func (c *Controller) probeSilentMachines(now time.Time) (suspectSelf bool) {
 	quiet := probeAfter(c.cfg.Deployment.Workers)
 	silent, unresponsive, total := 0, 0, 0
@@ -75,18 +76,18 @@
 		}
 		if c.silenceOf(worker.heard, now) > quiet {
 			silent++
-			c.sendDirect(machine, true) // a probe that also shows the worker the present token
+			c.sendDirect(machine, true) // the probe also shows the worker the current fencing token
 		}
 	}
 	c.workers.manyUnresponsive = tooManyAtOnce(unresponsive, total)
 	return tooManyAtOnce(silent, total)
 }
 
-// tooManyAtOnce tells whether so many of all machines show a fault at once that it is more likely
-// on this side.
+// tooManyAtOnce reports whether so many of all machines show a fault at once that its cause is more
+// likely this controller: at least three, and more than 40 %.
 func tooManyAtOnce(faulty, total int) bool { return faulty >= 3 && faulty*10 > total*4 }
 
-// reasonToReturn tells why a machine is to be returned; empty: it is kept.
+// reasonToReturn returns the reason for returning a machine to the cloud, or "" if it is kept.
 func (c *Controller) reasonToReturn(machine *storage.Machine, worker *workerState, suspectSelf bool, lastUp int64, now time.Time) returnReason {
 	workers := c.cfg.Deployment.Workers
 	silenceLimit := unreachableLimit(workers, suspectSelf)
@@ -113,7 +114,7 @@
 	return ""
 }
 
-// noteEmpty notes since when a machine has been empty.
+// noteEmpty records since when a machine has had no tasks.
 func (v *workerState) noteEmpty(empty bool, now time.Time) {
 	if !empty {
 		v.emptySince = time.Time{}
@@ -122,25 +123,25 @@
 	}
 }
 
-// returnMachine marks a machine as being returned.
+// returnMachine queues the update that marks a machine as being returned to the cloud.
 func (c *Controller) returnMachine(m *storage.Machine, reason returnReason) {
 	if c.storeFailing() || c.workers.pendingUpdates[m.Index] != nil && c.workers.pendingUpdates[m.Index].returning {
 		return
 	}
 	c.log.Info("returning machine", "machine", m.Name, "reason", string(reason), "tasks", len(m.Tasks))
 	if reason == reasonNeverUp {
-		c.metrics.neverUpMachines.Inc() // once a machine, however long its update takes
+		c.metrics.neverUpMachines.Inc() // once per machine, however long its update takes
 	}
 	c.pendingUpdate(m).returning = true
 }
 
-// probeAfter is how long a worker must be silent to be probed: it heartbeats every HeartbeatS,
-// give or take a quarter. A dead machine's work waits until two probes have got no answer and the
-// cloud has taken it back.
+// probeAfter returns how long a worker must be silent to be probed: it sends a heartbeat every
+// HeartbeatS seconds, with a quarter of jitter. The tasks of a failed machine wait until two probes
+// have had no answer and the cloud has confirmed the machine's return.
 func probeAfter(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 0.6) }
 
-// unreachableLimit is how long a machine must be silent to be returned. A controller that may
-// itself be the one that is cut off waits for the workers' leases; what was cancelled has its own
+// unreachableLimit returns how long a machine must be silent to be returned. A controller that may
+// be cut off itself waits until the workers' leases have expired. Cancelled tasks have their own
 // deadline (terminations.go).
 func unreachableLimit(w config.Workers, suspectSelf bool) time.Duration {
 	if suspectSelf {
@@ -149,47 +150,52 @@
 	return max(seconds(2*w.HeartbeatS+0.5), 4*time.Second)
 }
 
-// unresponsive tells whether a machine's worker answers what it is asked, but heartbeats to no
-// controller that tells of it: its lease is not renewed, and what is started there ends with it,
-// again and again. One that was never heard may still boot, and one that answers nothing is
-// silent, not unresponsive: in a zone that is cut off it may be kept for long.
+// unresponsive reports whether a machine's worker answers direct commands, but sends no heartbeats to
+// this controller: its lease is not renewed, and every task started there ends when the lease expires.
+// A machine whose worker never sent anything may still be booting. One that answers nothing is silent,
+// not unresponsive: in an unreachable zone it may be kept for long.
 func (c *Controller) unresponsive(v *workerState, now time.Time) bool {
 	after := unresponsiveAfter(c.cfg.Deployment.Workers)
 	return v.Incarnation != 0 && c.silenceOf(v.heard, now) <= after && c.silenceOf(v.heartbeatAt, now) > after
 }
 
-// noteUnresponsive takes from a worker's message what it says of its heartbeats. A lease that runs
-// out while the worker answers whatever it is asked was kept up by nobody: where few are
-// unresponsive their machines are returned then, before a group moves on with them.
+// noteUnresponsive updates heartbeatAt from a worker's message. A worker's new incarnation while it is
+// unresponsive means that its lease expired although it answers direct commands, so no controller
+// renewed the lease: if few are unresponsive, the machine is returned at once, before its group
+// moves to another shard.
 func (c *Controller) noteUnresponsive(m *storage.Machine, v *workerState, r *protocol.Heartbeat, reply bool, now time.Time) {
 	workers := c.cfg.Deployment.Workers
 	switch {
 	case !reply:
 		v.heartbeatAt = now
 	case c.silenceOf(v.heard, now) > unresponsiveAfter(workers):
-		v.heartbeatAt = maxTime(v.heartbeatAt, heartbeatBaseline(workers, now)) // it hung, or was cut off: it may report now
+		v.heartbeatAt = maxTime(v.heartbeatAt, heartbeatBaseline(workers, now)) // it hung or was cut off, and may send heartbeats again
 	case v.Incarnation != 0 && r.Incarnation > v.Incarnation && c.unresponsive(v, now) && !c.workers.manyUnresponsive:
 		c.returnMachine(m, reasonUnresponsive)
 	}
 }
 
-// unresponsiveAfter is how long a worker may take for a heartbeat that nobody asked for. A worker
-// that was shown another token within half a lease does not report before its time.
+// unresponsiveAfter returns the time without a heartbeat after which a worker is unresponsive. It is
+// at least half of a lease: a worker that received a new fencing token within that time does not send
+// its next heartbeat early.
 func unresponsiveAfter(w config.Workers) time.Duration {
 	return max(seconds(2*w.HeartbeatS+1), seconds(w.LeaseS/2))
 }
 
-// firstHeartbeatLimit is how long a worker may take for its first heartbeat to a new owner, which
-// it is shown at once: groups move on, and each new owner would trust an unresponsive machine again.
+// firstHeartbeatLimit returns how long a worker may take for its first heartbeat to a new owner, which
+// contacts it at once. It is short because groups move, and each new owner would otherwise trust an
+// unresponsive machine anew.
 func firstHeartbeatLimit(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 1) }
 
-// heartbeatBaseline is what counts as a worker's last report from when this controller begins to wait for one.
+// heartbeatBaseline returns the value of heartbeatAt with which this controller starts to wait for a
+// worker's heartbeat: the worker is unresponsive after firstHeartbeatLimit.
 func heartbeatBaseline(w config.Workers, now time.Time) time.Time {
 	return now.Add(firstHeartbeatLimit(w) - unresponsiveAfter(w))
 }
 
-// unresponsiveLimit is how long a machine must be unresponsive to be returned: its tasks ended with
-// its lease, and it stands idle. Many at once may hear nobody for a while for another reason.
+// unresponsiveLimit returns the time without a heartbeat after which an unresponsive machine is
+// returned: its tasks have ended with its lease, and it is idle. If many are unresponsive at once,
+// the cause may be temporary and not theirs, and the limit is longer.
 func unresponsiveLimit(w config.Workers, many bool) time.Duration {
 	if many {
 		return seconds(3 * w.LeaseS)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -11,36 +11,37 @@
 	"dykeledge/internal/wait"
 )
 
-// sessionState is this controller's own standing: its incarnation, its session lease with the
-// state service and the member record that hangs on it. It is written by this file and, for
-// readiness, by readiness.go.
+// sessionState holds this controller's incarnation, its session lease with the state service, and
+// the state of its member record, which the lease keeps in place. It is written by this file and,
+// for readiness, by readiness.go.
 type sessionState struct {
-	startedAt           time.Time // of this process
-	incarnation         uint64    // the first lease that this process got; 0: none yet
-	lease               uint64    // 0: none, or it has expired
-	leaseRenewedAt      time.Time // when the latest renewal that worked was sent
-	memberRevision      uint64    // with which this controller's record was last written
-	memberWriteInFlight bool
-	notReady            atomic.Bool // reaches no worker: it gives up shards and leadership
-	lastProbeAt         time.Time   // of a worker, while not ready
-	nextProbe           int         // which worker
+	startedAt           time.Time   // when this process started
+	incarnation         uint64      // ID of the first session lease that this process got; 0: none yet
+	lease               uint64      // ID of the session lease; 0: none, or it has expired
+	leaseRenewedAt      time.Time   // when the latest successful grant or renewal was sent
+	memberRevision      uint64      // revision at which this controller's member record was last written
+	memberWriteInFlight bool        // a write of the member record is in flight
+	notReady            atomic.Bool // no worker can be reached: shards and leadership are given up
+	lastProbeAt         time.Time   // when a worker was last probed, while not ready
+	nextProbe           int         // counter that selects the next worker to probe
 }
 
-// grantRetryInterval is how long to wait before a session lease is asked for again.
+// grantRetryInterval is the delay before a failed request for a session lease is retried.
 const grantRetryInterval = 500 * time.Millisecond
 
-// nextRevision is a revision that no record holds yet. As an attempt or a fencing token it is
-// above all that were committed before, whoever committed them.
+// nextRevision returns a number above every revision that this process has seen. Used as an attempt
+// number or a fencing token, it is above all that were committed before, by any controller.
 func (c *Controller) nextRevision() uint64 { return c.follower.highestRevision + 1 }
 
-// keepSessionLease keeps this controller's session lease and its member record; it ends with ctx.
+// keepSessionLease obtains this controller's session lease, writes its member record and renews the
+// lease; when the lease expires it starts again. It returns when ctx ends.
 func (c *Controller) keepSessionLease(ctx context.Context) {
 	var incarnation uint64
 	for ctx.Err() == nil {
 		sent := time.Now()
 		lease, err := c.store.Grant(ctx, c.timing.SessionLease)
 		if err != nil {
-			c.log.Info("no session lease yet", "err", err)
+			c.log.Info("session lease request failed, retrying", "err", err)
 			wait.For(ctx, grantRetryInterval)
 			continue
 		}
@@ -62,12 +63,14 @@
 	}
 }
 
-// begin takes a session lease that was asked for at a time, with the revision of the member record under it.
+// begin stores a new session lease, the time at which it was requested, and the revision at which
+// the member record was written under it.
 func (s *sessionState) begin(incarnation, lease uint64, sent time.Time, revision uint64) {
 	s.incarnation, s.lease, s.leaseRenewedAt, s.memberRevision = incarnation, lease, sent, revision
 }
 
-// renewSessionLease renews a session lease until it has expired or ctx ends.
+// renewSessionLease renews a session lease four times per lease duration until it has expired or
+// ctx ends.
 func (c *Controller) renewSessionLease(ctx context.Context, lease uint64) {
 	for ctx.Err() == nil {
 		wait.For(ctx, c.timing.SessionLease/4)
@@ -77,14 +80,15 @@
 			c.post(func() { c.storeHealth.servedAt, c.session.leaseRenewedAt = time.Now(), sent })
 		}
 		if errors.Is(err, protocol.ErrNoLease) {
-			c.log.Info("session lease has expired, asking for a new one")
+			c.log.Info("session lease expired, requesting a new one")
 			c.post(func() { c.session.lease = 0 })
 			return
 		}
 	}
 }
 
-// memberChange is the change that says that a controller lives, and whether it is ready.
+// memberChange returns the change that writes this controller's member record, attached to a
+// session lease.
 func (c *Controller) memberChange(incarnation, lease uint64, notReady bool) protocol.Change {
 	record := storage.MemberRecord{
 		Incarnation: incarnation,
@@ -96,10 +100,11 @@
 	return protocol.Change{Put: storage.MemberKey(c.cfg.MemberName), Lease: lease, Value: storage.Encode(record)}
 }
 
-// repairMemberRecord writes this controller's record again when it does not say what this process wrote: a
-// transaction of the process before, or one of its own with unknown outcome, was applied late.
-// With the former process's session lease the record then vanished, and a living controller was no member
-// any more: it got no shard, and the gate between layouts waited for it for ever.
+// repairMemberRecord rewrites this controller's member record when it does not hold what this
+// process wrote. That happens when a transaction of the previous process of the same name, or an
+// in-doubt transaction of this one, is applied late. Without the repair, the record was deleted with
+// the previous process's session lease, and a running controller was no longer a member: it was
+// assigned no shard, and the layout gate waited for it for ever.
 func (c *Controller) repairMemberRecord(ctx context.Context) {
 	if c.session.lease == 0 || c.session.memberWriteInFlight || c.cache.Revision < c.session.memberRevision {
 		return
@@ -112,21 +117,23 @@
 	c.writeMember(ctx, protocol.Txn{}, c.session.notReady.Load(), func(bool) {})
 }
 
-// supersededBy reports whether a member record is of a later process of this name: this one is not wanted any more.
+// supersededBy reports whether a member record was written by a later process of the same name,
+// which replaces this one.
 func (c *Controller) supersededBy(member *storage.Member) bool {
 	return member.Incarnation > c.session.incarnation
 }
 
-// describes reports whether a member record is of this process as it is now.
+// describes reports whether a member record has this process's incarnation, readiness and layout.
 func (c *Controller) describes(member *storage.Member) bool {
 	return member.Incarnation == c.session.incarnation && member.NotReady == c.session.notReady.Load() && member.Layout == c.Layout
 }
 
-// writeMember writes this controller's record with whatever else is in a transaction.
+// writeMember adds this controller's member record to a transaction and commits it in a goroutine;
+// then is called with the outcome.
 func (c *Controller) writeMember(ctx context.Context, txn protocol.Txn, notReady bool, then func(ok bool)) {
 	txn.Then = append(txn.Then, c.memberChange(c.session.incarnation, c.session.lease, notReady))
 	c.session.memberWriteInFlight = true
-	// The transaction's own timeout and ctx end this goroutine; nobody waits for it.
+	// The transaction's timeout and ctx bound this goroutine; nothing waits for it.
 	go func() {
 		revision, failed, err := c.transact(ctx, txn, protocol.UrgentRequest)
 		c.committed(txn, revision, err == nil && len(failed) == 0, func(ok bool) {
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -7,19 +7,21 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns what a controller does for the workers of machines that others own, while the
-// state service does not answer. Nobody can take a shard over then: if its owner is silent, or every
-// controller has ended, the workers' tasks would be killed by their leases, thousands at a time. Nobody
-// relies on a lease's end: a task leaves a group only on proof, so a lease that lasts longer breaks no
-// rule but one. A job's user may have been told that it is cancelled by a controller that ended before it
-// could terminate the tasks: they must be gone within cancel_s, and then the lease is all that ends them.
-// So renewals for others have an end; and since a living owner may not have read what was cancelled
-// just before, a controller that knows of it sends the kill commands.
+// This file renews the leases of workers on machines that other controllers own, while the state
+// service does not answer. No controller can take over a shard then: if its owner is silent, or
+// every controller has ended, the workers' leases would expire and end their tasks, thousands at a
+// time. Nothing depends on the expiry of a worker's lease, since a task is removed from a group's
+// record only on proof that it has ended, with one exception: a controller may have confirmed a
+// cancellation to the user and ended before it could terminate the tasks. They must have ended
+// within cancel_s, and then only the expiry of the lease ends them. Proxy renewals are therefore
+// limited in time. And since a living owner may not have read the latest cancellations, a controller
+// that has them sends the kill commands itself.
 
-// renewsAsProxy reports whether this controller keeps up the lease of another owner's machine: that owner
-// has ended and nobody has its shard yet, or neither it nor the state service is heard. After an end of
-// all controllers workers were sent on to dead owners, and by the time they had tried every other
-// controller their leases had run out.
+// renewsAsProxy reports whether this controller renews the lease of a worker on another owner's
+// machine: the owner has ended and its shard has no new owner yet, or both the owner and the state
+// service are silent. Without this, after an end of all controllers, workers were redirected to
+// owners that had ended, and their leases had expired by the time they had tried every other
+// controller.
 func (c *Controller) renewsAsProxy(machine *storage.Machine, now time.Time) bool {
 	shard := &c.cache.Shards[machine.Shard]
 	if shard.Member == "" || machine.Returning || !c.mayRenewLeases(now) {
@@ -33,22 +35,24 @@
 		c.ownerSilent(shard.Member, now)
 }
 
-// ownerSilent reports whether a shard's owner is not heard. What is heard under the owner's name may be
-// its successor, restarted in the outage, which has read nothing: that one owns nothing.
+// ownerSilent reports whether no recent peer heartbeat of a shard's owner has arrived. A heartbeat
+// without a revision comes from a process of the same name that was restarted in the outage and has
+// read no records: it owns nothing, so the owner counts as silent.
 func (c *Controller) ownerSilent(member string, now time.Time) bool {
 	peer := c.reachability.peers[member]
 	return c.silenceOf(peer.heardAt, now) > peerFresh || peer.heartbeat.Revision == 0
 }
 
-// unverifiedRenewals is a controller's part of keeping up leases before it has read any record.
+// unverifiedRenewals holds the lease renewals that this controller made before it had read any record.
 type unverifiedRenewals struct {
-	since   time.Time            // when this process began
-	renewed map[string]time.Time // by machine
+	since   time.Time            // when this process started
+	renewed map[string]time.Time // by machine name: when its lease was last renewed
 }
 
-// renewUnverified answers the heartbeat of a worker whose tasks would be lost, under the fencing token
-// that the worker itself names. Not twice in a row: a worker stays with a controller that answers, and
-// another may know its records by now.
+// renewUnverified answers the heartbeat of a worker that has tasks, under the fencing token in the
+// heartbeat itself, before this controller has read the records. It reports false if the lease may
+// not be renewed. It does not renew the same worker's lease twice within a third of lease_s: a worker
+// stays with a controller that answers, while another one may have read the records by now.
 func (c *Controller) renewUnverified(heartbeat *protocol.Heartbeat, now time.Time) (protocol.HeartbeatResponse, bool) {
 	retryInterval := seconds(c.cfg.Deployment.Workers.LeaseS / 3)
 	renewedAt := c.cancellations.unverified.renewed[heartbeat.Machine]
@@ -60,9 +64,10 @@
 	return protocol.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []protocol.Command{}}, true
 }
 
-// allRestarted reports whether every other controller is heard and has read no records either: all have
-// ended. Where one has read them, the worker is better off there; and one that is silent may have confirmed
-// cancellations until now, which the controller that answered the worker last could not know.
+// allRestarted reports whether every other controller sends peer heartbeats and has read no records
+// either, so that all of them have restarted. A controller that has read the records should answer
+// the worker instead. A silent one may have confirmed cancellations until now that the controller
+// which last answered the worker did not have.
 func (c *Controller) allRestarted(now time.Time) bool {
 	for _, known := range c.cfg.Known {
 		peer, ok := c.reachability.peers[known.MemberName]
--- a/internal/controller/shard_ownership.go
+++ b/internal/controller/shard_ownership.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// rebalanceDelay is how long membership must have been quiet before shards move to even out
-	// the controllers' load: a move costs a short pause of its workers.
+	// rebalanceDelay is how long membership must have been unchanged before shards move to even out
+	// the controllers' load: a move pauses the shard's workers briefly.
 	rebalanceDelay = 8 * time.Second
-	// firstHeartbeats is how long a new owner is left to answer its workers once before a shard is
-	// passed on: after an end of all controllers the workers' leases are about to run out, and each
-	// change of owner costs them up to half a second and a heartbeat. Where shards were passed on
-	// at once, 183 machines with leases of 10 s lost 825 tasks.
+	// firstHeartbeats is how long a new owner keeps a shard, to answer each of its workers once,
+	// before the shard may move again. After all controllers have ended, the workers' leases are
+	// about to expire, and each change of owner costs a worker up to half a second and a heartbeat.
+	// When shards moved again at once, 183 machines with leases of 10 s lost 825 tasks.
 	firstHeartbeats = 2 * time.Second
-	// takeoverGrace is how long after that a shard which has changed its owner may be passed on to a
-	// controller that has come up since: its new owner knows little yet, and its workers look for it
-	// anyway. After an end of all controllers the first one that was back owned 1235 machines for ten
-	// seconds, with all of its processor time, while four others had nothing to do.
+	// takeoverGrace is how long after firstHeartbeats a shard that has changed its owner may move to
+	// a controller that has started since: its new owner has little state about it yet, and its
+	// workers are looking for their owner anyway. Without this, the first controller to return after
+	// all had ended owned 1235 machines for ten seconds, using all of its processor time, while four
+	// other controllers were idle.
 	takeoverGrace = 3 * time.Second
 )
 
-// shardOwnerships is what this controller knows of who owns which shard, by shard. It is
-// written by this file, by takeOverShard and by the planner (waiting).
+// shardOwnerships holds what this controller has seen of the shards' owners; slices are indexed by
+// shard. It is written by this file, by takeOverShard and by the planner (waiting).
 type shardOwnerships struct {
-	owned               []uint64         // the version under which it is owned here, 0: not
-	history             []shardOwnership // when it last changed its owner
-	historyLoaded       bool             // history was compared with the records once
-	waiting             []int            // tasks that waited when it was last planned
+	owned               []uint64         // version of the shard record under which this process owns it; 0: not owned
+	history             []shardOwnership // the shard's last change of owner
+	historyLoaded       bool             // history has been filled from the records once
+	waiting             []int            // number of waiting tasks when the shard was last planned
 	takenOverAt         time.Time        // when this controller last took over any shard
-	placedSinceTakeover bool
-	writeInFlight       bool      // the leader's assignment is being written
-	membersChangedAt    time.Time // when the leader last saw membership change
+	placedSinceTakeover bool             // a task was placed since takenOverAt
+	writeInFlight       bool             // a transaction with the leader's assignment is in flight
+	membersChangedAt    time.Time        // when the leader last saw membership change
 }
 
-// shardOwnership is what this controller has seen of a shard's owners.
+// shardOwnership holds when this controller last saw a shard change its owner.
 type shardOwnership struct {
-	version   uint64    // of its record when last looked at
-	changedAt time.Time // when it last changed its owner
+	version   uint64    // version of the shard's record when last checked
+	changedAt time.Time // when this process saw the owner change; zero: not since it started
 }
 
 func newShardOwnerships(shards int) shardOwnerships {
@@ -53,13 +54,13 @@
 	}
 }
 
-// ownsAny tells whether this controller owns any shard.
+// ownsAny reports whether this controller owns any shard.
 func (o *shardOwnerships) ownsAny() bool {
 	return slices.ContainsFunc(o.owned, func(version uint64) bool { return version > 0 })
 }
 
-// recordChanges notes which shards have changed their owners. When those that were read at the
-// start changed is not known.
+// recordChanges records the time at which shards changed their owners. The records read at the
+// start of the process do not show when the owner changed, so for them no time is recorded.
 func (o *shardOwnerships) recordChanges(shards []storage.Shard, now time.Time) {
 	for i := range shards {
 		history := &o.history[i]
@@ -74,8 +75,8 @@
 	o.historyLoaded = true
 }
 
-// mayPassOn tells whether a shard may be given to another living controller: once membership has
-// been quiet for a while, or shortly after the shard changed its owner.
+// mayPassOn reports whether a shard may be reassigned although its owner is alive: when membership
+// has not changed for rebalanceDelay, or within takeoverGrace of a new owner's first heartbeats.
 func (o *shardOwnerships) mayPassOn(shard int, now time.Time) bool {
 	if now.Sub(o.membersChangedAt) > rebalanceDelay {
 		return true
@@ -84,12 +85,13 @@
 	return age > firstHeartbeats && age < firstHeartbeats+takeoverGrace
 }
 
-// recordOwnershipChanges notes when shards change their owners.
+// recordOwnershipChanges records which shards have changed their owners since it last ran.
 func (c *Controller) recordOwnershipChanges(now time.Time) {
 	c.shards.recordChanges(c.cache.Shards, now)
 }
 
-// assignShards is the leader's loop over who owns which shard.
+// assignShards computes, on the leader, which controller should own each shard, and commits the
+// shard records that differ.
 func (c *Controller) assignShards(ctx context.Context) {
 	if !c.isLeader() || c.shards.writeInFlight {
 		return
@@ -113,8 +115,8 @@
 	c.commitAside(ctx, txn, protocol.UrgentRequest, func(bool) { c.shards.writeInFlight = false })
 }
 
-// assignableMembers are the controllers that shards may be given to, and the sum of all members'
-// versions, which changes with membership.
+// assignableMembers returns the members to which shards may be assigned, and the sum of all member
+// records' versions, which changes whenever membership does.
 func (c *Controller) assignableMembers(now time.Time) (members []membership.Member, versionSum uint64) {
 	var all []membership.Member
 	for name, record := range c.cache.Members {
@@ -126,12 +128,13 @@
 		}
 	}
 	if len(members) == 0 {
-		members = all // better one that seems not ready than none
+		members = all // an owner that is not ready or seems lost is better than no owner
 	}
 	return members, versionSum
 }
 
-// assignmentTxn writes the shards' new owners.
+// assignmentTxn returns a transaction that writes the records of the shards whose owner changes, at
+// most as many as a transaction may hold.
 func (c *Controller) assignmentTxn(owners, wanted []membership.Owner) protocol.Txn {
 	txn := c.leaderTxn()
 	for shard := range wanted {
@@ -141,7 +144,7 @@
 		record := storage.ShardRecord{Member: wanted[shard].Name, Incarnation: wanted[shard].Incarnation, FencingToken: c.nextRevision()}
 		txn.If = append(txn.If, protocol.Condition{Key: storage.ShardKey(shard), Version: c.cache.Shards[shard].Version})
 		txn.Then = append(txn.Then, protocol.Change{Put: storage.ShardKey(shard), Value: storage.Encode(record)})
-		c.log.Info("shard is assigned", "shard", shard, "member", wanted[shard].Name, "from", owners[shard].Name)
+		c.log.Info("assigning shard to a new owner", "shard", shard, "member", wanted[shard].Name, "from", owners[shard].Name)
 		if len(txn.Then) >= c.limits().TxnOps {
 			break
 		}
@@ -149,9 +152,9 @@
 	return txn
 }
 
-// ownsShard tells whether this process owns a shard. The cache must have reached the record that
-// says so: a leader that assigns a shard to itself learns of it from its own commit, before it has
-// seen what the former owner committed last.
+// ownsShard reports whether this process owns a shard. The cache's revision must have reached the
+// shard record's version: a leader that assigns a shard to itself applies its own commit before its
+// cache holds the former owner's last commits.
 func (c *Controller) ownsShard(shard int) bool {
 	record := &c.cache.Shards[shard]
 	return record.Version > 0 && c.cache.Revision >= record.Version && c.session.incarnation > 0 &&
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -13,36 +13,48 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns that what was cancelled is gone in time. Each cancellation has one deadline, which counts
-// from when it was confirmed (its record says when), whoever owns the machines by then and whatever else is
-// wrong: by half of cancel_s each of its tasks is shown to have ended, or its machine is returned at the
-// cloud. Limits that counted from silence, from a takeover or from the beginning of an outage began again
-// with each of them, and a machine that hung outlived cancel_s where owners changed every few seconds.
+// This file makes sure that cancelled tasks end in time. Each cancellation has one deadline, counted
+// from its confirmation (whose time its record holds), whichever controllers own the machines and
+// whatever else fails: within half of cancel_s each of its tasks is proved to have ended, or its
+// machine is returned to the cloud. Earlier limits counted from a machine's silence, from a takeover
+// or from the start of an outage. They began again with each of these, and a machine that hung
+// outlasted cancel_s when owners changed every few seconds.
 // See docs/incidents/deadlines-that-began-anew.md.
 
-// termination is what this process has tried to have what was cancelled ended on a machine.
+// termination holds this process's tries to terminate the cancelled tasks on one machine.
 type termination struct {
-	failingSince time.Time // in vain since then; zero: not tried yet, or shown to have ended
-	nextTry      time.Time // nothing is tried before
+	failingSince time.Time // time of the first try without proof; zero: not tried yet, or proved to have ended
+	nextTry      time.Time // no try is made before this time
 }
 
 const (
+	// terminationInterval is the time between two tries on a machine.
 	terminationInterval = 2 * time.Second
-	terminationRecheck  = 10 * time.Second // after its worker has shown nothing of it: a launch may still have been under way
-	scaleInRetry        = 2 * time.Second  // its return may have failed, and shows in no record
-	// ownerGrace is how long a cancelled task is its owner's matter alone, while the state service answers.
+	// terminationRecheck is the time to the next try after a worker showed no cancelled task: a launch
+	// command may still have been in flight.
+	terminationRecheck = 10 * time.Second
+	// scaleInRetry is the time after which a machine's return is requested again: the request may have
+	// failed, and no record shows that.
+	scaleInRetry = 2 * time.Second
+	// ownerGrace is how long after a cancellation only the machine's owner terminates its tasks, while
+	// the state service answers.
 	ownerGrace = 6 * time.Second
-	// terminationPatience is how long a process must have tried by itself: it may have stalled, or begun a moment ago.
-	terminationPatience  = 4 * time.Second
-	terminationsPerRound = maxDirectCommands / 2 // so that those which can't be reached leave room
+	// terminationPatience is how long a process must have tried before it returns a machine: it may
+	// have stalled, or started only a moment ago.
+	terminationPatience = 4 * time.Second
+	// terminationsPerRound limits the tries of one round, so that unreachable machines do not use all
+	// of the direct commands.
+	terminationsPerRound = maxDirectCommands / 2
 )
 
-// terminationDeadline is the deadline of a cancellation. What is left of cancel_s is for the cloud, which may refuse for a while.
+// terminationDeadline returns how long after its confirmation a cancellation has its deadline. The
+// rest of cancel_s is left for the cloud, which may refuse requests for a while.
 func terminationDeadline(w config.Workers) time.Duration { return seconds(w.CancelS / 2) }
 
-// cancellationAge is how long ago a job may have been cancelled at most. Where its record doesn't say, since
-// the version before wrote it or it is not read yet, that counts from when this process learned of it,
-// which is kept in noted.
+// cancellationAge returns the longest time that may have passed since a job was cancelled. If the
+// time is not in the job's record, because an earlier version of this program wrote it or the record
+// has not been read yet, the age counts from when this process learned of the cancellation; that time
+// is stored in noted.
 func (c *Controller) cancellationAge(job *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
 	if job.FinalAtMs > 0 {
 		return max(0, now.Sub(time.UnixMilli(job.FinalAtMs))+maxClockDifference(c.cfg.Deployment))
@@ -55,8 +67,8 @@
 	return now.Sub(learnedAt)
 }
 
-// cancellationAgeByMachine is, by machine, the age of the oldest cancellation whose tasks are not shown
-// to have ended there.
+// cancellationAgeByMachine returns, by machine index, the age of the oldest cancellation that has
+// tasks on the machine which are not proved to have ended.
 func (c *Controller) cancellationAgeByMachine(now time.Time) map[int32]time.Duration {
 	ages := map[int32]time.Duration{}
 	noted := map[string]time.Time{}
@@ -75,8 +87,8 @@
 	return ages
 }
 
-// attemptEnded reports whether an attempt is shown to have ended on a machine: that one is gone, or
-// this controller owns it and has the proof.
+// attemptEnded reports whether an attempt is proved to have ended on a machine: the machine is gone,
+// or this controller owns it and has the proof.
 func (c *Controller) attemptEnded(ref dispatch.Ref, machine *storage.Machine) bool {
 	if machine.Gone {
 		return true
@@ -85,11 +97,13 @@
 	return worker != nil && c.ownsShard(machine.Shard) && (worker.terminated || worker.hasEnded(ref))
 }
 
-// superviseTerminations has what was cancelled terminated, on others' machines too where their owners may
-// not know or not be able to, and returns the machines that must be given up since it can't be shown to
-// have ended there. In an outage no record can say that they are, but a return needs none: a machine is gone with
-// all that is on it, whoever asks, and nothing is placed again before its owner has that proof too. A
-// controller that hears no worker at all may be the one that is cut off.
+// superviseTerminations terminates cancelled tasks, also on machines of other owners that may not
+// have the cancellation or may not be able to act on it. It returns the names of the machines that
+// must be returned to the cloud because their cancelled tasks are not proved to have ended. In an
+// outage no record can show such a return, but none is needed: the machine ends with all its tasks,
+// whichever controller requests it, and nothing is placed again before the machine's owner has that
+// proof too. A controller that hears no worker at all returns nothing, since it may be the one that
+// is cut off.
 func (c *Controller) superviseTerminations(now time.Time) (lost []string) {
 	ages := c.cancellationAgeByMachine(now)
 	c.cancellations.dropEndedTerminations(ages)
@@ -114,8 +128,8 @@
 				c.returnMachine(machine, "can't be stopped")
 			}
 		case began < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
-			// The next try is noted so that each round begins with other machines: all began with the
-			// same ones once, and those beyond the first 48 were sent nothing.
+			// begin sets the time of the next try, so that each round starts with other machines. When
+			// every round started with the same ones, those beyond the first 48 were sent nothing.
 			began++
 			attempt.begin(now)
 			if own {
@@ -128,7 +142,7 @@
 	return lost
 }
 
-// dropEndedTerminations forgets the terminations on machines where nothing is left to end.
+// dropEndedTerminations deletes the terminations on machines that have no cancelled task left.
 func (t *cancellationTracker) dropEndedTerminations(ages map[int32]time.Duration) {
 	for index := range t.terminations {
 		if _, ok := ages[index]; !ok {
@@ -137,7 +151,7 @@
 	}
 }
 
-// terminationOn is what has been tried on a machine, made when it is first asked for.
+// terminationOn returns the termination on a machine, and creates it if there is none.
 func (t *cancellationTracker) terminationOn(index int32) *termination {
 	attempt := t.terminations[index]
 	if attempt == nil {
@@ -147,7 +161,7 @@
 	return attempt
 }
 
-// begin notes that a try begins.
+// begin records the start of a try.
 func (t *termination) begin(now time.Time) {
 	t.nextTry = now.Add(terminationInterval)
 	if t.failingSince.IsZero() {
@@ -155,20 +169,20 @@
 	}
 }
 
-// triedLongEnough reports whether this process has tried in vain for as long as it must.
+// triedLongEnough reports whether this process has tried without success for terminationPatience.
 func (c *Controller) triedLongEnough(attempt *termination, now time.Time) bool {
 	return !attempt.failingSince.IsZero() && c.silenceOf(attempt.failingSince, now) > terminationPatience
 }
 
-// oldestFirst are the machines with the oldest cancellations first.
+// oldestFirst returns the machine indexes, those with the oldest cancellations first.
 func oldestFirst(ages map[int32]time.Duration) []int32 {
 	return slices.SortedFunc(maps.Keys(ages), func(a, b int32) int {
 		return cmp.Or(cmp.Compare(ages[b], ages[a]), cmp.Compare(a, b))
 	})
 }
 
-// killCommands are the commands that end what a machine's record still holds of jobs that are over:
-// final states never change, so they are right whoever sends them.
+// killCommands returns kill commands for the tasks of finished jobs that a machine's record still
+// holds. Final states never change, so any controller may send them.
 func (c *Controller) killCommands(machine *storage.Machine) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, placed := range machine.Tasks {
@@ -179,7 +193,8 @@
 	return commands
 }
 
-// killsByRecord are a machine's kill commands under the fencing token and the incarnation of its record.
+// killsByRecord returns a machine's kill commands under the fencing token and the incarnation in its
+// record.
 func (c *Controller) killsByRecord(machine *storage.Machine) protocol.DirectCommands {
 	return protocol.DirectCommands{
 		FencingToken: c.cache.FencingToken(machine),
@@ -188,22 +203,22 @@
 	}
 }
 
-// terminateOn sends kill commands straight to a worker that this controller does not own. If it refuses
-// them since its incarnation or its fencing token is another, its heartbeat tells both, and what of the
-// jobs that are over is on it in truth: with again they are sent once more. Kill commands for what is over
-// are right under any fencing token.
+// terminateOn sends kill commands directly to the worker of a machine that this controller does not
+// own. If the worker refuses them because its incarnation or fencing token differs, its reply holds
+// both, and the tasks that it really has; if again is set, commands for those of finished jobs are
+// sent once more. Killing a finished job's task is correct under any fencing token.
 func (c *Controller) terminateOn(machine *storage.Machine, commands protocol.DirectCommands, again bool) {
 	if len(commands.Commands) == 0 || machine.Addr == "" {
 		return
 	}
 	addr := machine.Addr
 	c.workers.directCommands++
-	// The timeout ends this goroutine; nobody waits for it.
+	// The timeout bounds this goroutine; nothing waits for it.
 	go func() {
 		heartbeat, status, err := c.workerLink.Command(addr, commands, directCommandTimeout)
 		c.post(func() {
 			c.workers.directCommands--
-			c.log.Debug("kill commands for another's machine", "addr", addr, "commands", len(commands.Commands), "status", status, "err", err)
+			c.log.Debug("sent kill commands to another owner's machine", "addr", addr, "commands", len(commands.Commands), "status", status, "err", err)
 			if err != nil || heartbeat == nil || heartbeat.Machine != machine.Name || machine.Gone {
 				return
 			}
@@ -212,8 +227,8 @@
 	}()
 }
 
-// handleKillReply takes the heartbeat of a worker that was sent kill commands; with again it is sent
-// commands for what it still shows.
+// handleKillReply handles the heartbeat with which a worker replied to kill commands. If again is
+// set, it sends commands for the cancelled tasks that the heartbeat still shows.
 func (c *Controller) handleKillReply(machine *storage.Machine, heartbeat *protocol.Heartbeat, again bool) {
 	c.workers.reachedAt = time.Now()
 	left := c.killCommandsFor(heartbeat)
@@ -229,7 +244,7 @@
 	}
 }
 
-// killCommandsFor are the commands that end what a worker's heartbeat shows of jobs that are over.
+// killCommandsFor returns kill commands for the cancelled jobs' tasks that a worker's heartbeat shows.
 func (c *Controller) killCommandsFor(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, status := range heartbeat.Tasks {
--- a/internal/controller/worker_registry.go
+++ b/internal/controller/worker_registry.go
@@ -8,42 +8,42 @@
 	"dykeledge/internal/storage"
 )
 
-// workerRegistry is what this controller knows of the workers of machines whose shards it
-// owns, and what is under way to them. It is written by the files that handle heartbeats,
+// workerRegistry holds the state of the workers on machines whose shards this controller owns, and
+// the messages and updates in flight for them. It is written by the files that handle heartbeats,
 // direct commands, machine supervision and pending updates.
 type workerRegistry struct {
-	states           map[int32]*workerState   // by machine
-	pendingUpdates   map[int32]*pendingUpdate // by machine
+	states           map[int32]*workerState   // by machine index
+	pendingUpdates   map[int32]*pendingUpdate // by machine index
 	heldReplies      []heldReply              // heartbeats whose answer waits for a commit
-	uncontacted      []*storage.Machine       // taken over, and not shown the new owner yet
-	directCommands   int                      // under way now, at most maxDirectCommands
-	anyHeardAt       time.Time                // when any worker was last heard
-	reachedAt        time.Time                // when a worker last answered kill commands
-	manyUnresponsive bool                     // too many workers are unresponsive for it to be their own fault
+	uncontacted      []*storage.Machine       // taken over, and their workers not contacted yet
+	directCommands   int                      // number in flight, at most maxDirectCommands
+	anyHeardAt       time.Time                // when a message of any worker last arrived
+	reachedAt        time.Time                // when a worker on another owner's machine last answered kill commands
+	manyUnresponsive bool                     // so many workers are unresponsive that a common cause is likely
 }
 
 func newWorkerRegistry() workerRegistry {
 	return workerRegistry{states: map[int32]*workerState{}, pendingUpdates: map[int32]*pendingUpdate{}}
 }
 
-// workerState is what this owner knows of the worker on a machine.
+// workerState holds the state of the worker on a machine that this controller owns.
 type workerState struct {
 	*dispatch.Worker
-	since        time.Time                 // known to this owner since
-	heard        time.Time                 // last message of its worker
-	heartbeatAt  time.Time                 // last heartbeat of its own accord: a reply to a direct command renews no lease
-	preemptedAt  time.Time                 // when the cloud takes it; zero: not announced
-	images       []int                     // most recently used last
-	failures     map[*storage.Job]*failing // since it last completed anything
-	unhealthy    bool
-	missedProbes int                        // unanswered in a row
-	started      map[dispatch.Ref]time.Time // seen running since
-	emptySince   time.Time                  // no task is placed on it since
-	slowdown     float64                    // measured run time over estimate, smoothed
-	terminated   bool                       // the cloud confirmed that it is gone
+	since        time.Time                  // when this owner began to track the worker
+	heard        time.Time                  // when the last message of the worker arrived
+	heartbeatAt  time.Time                  // when the last heartbeat arrived; a reply to a direct command renews no lease
+	preemptedAt  time.Time                  // when the cloud preempts the machine; zero: not announced
+	images       []int                      // indexes of the images on the machine, most recently used last
+	failures     map[*storage.Job]*failing  // since a task last completed on the machine
+	unhealthy    bool                       // the machine fails its tasks
+	missedProbes int                        // direct commands and probes without an answer in a row
+	started      map[dispatch.Ref]time.Time // when each attempt was first seen running
+	emptySince   time.Time                  // since when no task is placed on the machine; zero: it has tasks
+	slowdown     float64                    // ratio of measured to estimated run time, smoothed
+	terminated   bool                       // the cloud confirmed that the machine is gone
 }
 
-// workerState is a machine's worker state, made when it is first asked for.
+// workerState returns the state of a machine's worker, and creates it if there is none.
 func (c *Controller) workerState(machine *storage.Machine) *workerState {
 	worker := c.workers.states[machine.Index]
 	if worker == nil {
@@ -64,7 +64,7 @@
 	return worker
 }
 
-// hasEnded reports whether an attempt is proved to be gone.
+// hasEnded reports whether an attempt is proved to have ended.
 func (w *workerState) hasEnded(ref dispatch.Ref) bool {
 	_, ok := w.Gone[ref]
 	return ok
