--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// enrollTries is how often a new machine's record is tried: afterwards the machine list brings
-	// it again.
+	// enrollTries is how many times the enrollment of a provisioned machine is tried. After that, the
+	// cloud's machine list shows the machine as unrecorded, and it is enrolled again.
 	enrollTries = 20
-	// enrollRetryDelay is how long enrollment waits after a refusal.
+	// enrollRetryDelay is the delay before enrollment is tried again after a failure.
 	enrollRetryDelay = 200 * time.Millisecond
 	// maxFleet is how many machines one fleet record holds.
 	maxFleet = 200
-	// fleetFillPercent is how much of the value limit a fleet's record may fill when it is written,
-	// so that addresses which come later fit too.
+	// fleetFillPercent is the percentage of the value size limit that a new fleet record may use. The
+	// rest is left for addresses that are added later.
 	fleetFillPercent = 80
 )
 
-// pendingMachine is a machine that is to get a record.
+// pendingMachine is a machine that waits for enrollment: for its record to be written.
 type pendingMachine struct {
-	fleet storage.FleetRecord // without machines
+	fleet storage.FleetRecord // the fleet record's fields, without machines
 	name  string
 	addr  string
-	tries int
-	done  func(ok bool)
+	tries int           // tries left
+	done  func(ok bool) // called once with the outcome
 }
 
-// enrollmentState is what the leader knows of machines that are to get a record.
+// enrollmentState holds the leader's state of enrollments.
 type enrollmentState struct {
-	pendingMachines []*pendingMachine // that get a record next
-	enrollPending   map[string]bool   // by name: waiting, or in the transaction under way
-	enrolling       bool              // a transaction is under way
+	pendingMachines []*pendingMachine // waiting for the next transaction
+	enrollPending   map[string]bool   // by machine name: waiting, or in the transaction in flight
+	enrolling       bool              // a transaction is in flight
 }
 
 func newEnrollmentState() enrollmentState {
 	return enrollmentState{enrollPending: map[string]bool{}}
 }
 
-// abandon gives up all machines that wait for a record.
+// abandon fails all enrollments that wait for a transaction.
 func (e *enrollmentState) abandon() {
 	abandoned := e.pendingMachines
 	e.pendingMachines = nil
@@ -51,7 +51,8 @@
 	}
 }
 
-// enrollMachine gives a machine a record: it is put in a group of the shard that needs it most.
+// enrollMachine queues a machine for enrollment, unless it is queued already. It is placed in a group
+// of the shard that needs it most.
 func (c *Controller) enrollMachine(ctx context.Context, pending *pendingMachine) {
 	if c.leader.enrollPending[pending.name] {
 		pending.done(false)
@@ -62,11 +63,11 @@
 	c.enrollPending(ctx)
 }
 
-// enrollPending writes the records of new machines, one for all of a kind. That a machine is in
-// one record only rests on three things: only the leader writes them, on the condition that it
-// still leads; it does so once its cache shows all that former leaders wrote; and a transaction
-// with unknown outcome is repeated until the outcome is known, and the cache has come as far,
-// before its machines are looked at again.
+// enrollPending writes the records of the pending machines, one fleet record for each kind. Three
+// rules make sure that no machine gets into two records: only the leader writes them, on the
+// condition that it still leads; it waits until its cache holds everything that former leaders
+// wrote; and an in-doubt transaction is retried until its outcome is known and the cache has reached
+// it, before its machines are considered again.
 func (c *Controller) enrollPending(ctx context.Context) {
 	if c.leader.enrolling || len(c.leader.pendingMachines) == 0 {
 		return
@@ -94,7 +95,8 @@
 	go c.commitWithRetry(ctx, txn, finish)
 }
 
-// finishEnrollment takes in the outcome of a transaction with machines' records.
+// finishEnrollment handles the outcome of a transaction: it reports it to each machine's done
+// function, or queues the machine again if it failed and has tries left.
 func (c *Controller) finishEnrollment(ctx context.Context, included []*pendingMachine, ok bool) {
 	c.leader.enrolling = false
 	for _, pending := range included {
@@ -113,11 +115,12 @@
 	}
 }
 
+// enrollLater runs enrollPending after enrollRetryDelay.
 func (c *Controller) enrollLater(ctx context.Context) {
 	time.AfterFunc(enrollRetryDelay, func() { c.post(func() { c.enrollPending(ctx) }) })
 }
 
-// enrollmentBatch is a transaction with machines' records in the making.
+// enrollmentBatch builds a transaction with the records of new machines.
 type enrollmentBatch struct {
 	c      *Controller
 	txn    protocol.Txn
@@ -129,7 +132,8 @@
 	included, postponed []*pendingMachine
 }
 
-// fleetKind is what the machines of one fleet record have in common.
+// fleetKind identifies the machines that share a fleet record: those of the same type, zone and spot
+// setting.
 type fleetKind struct {
 	typeName, zone string
 	spot           bool
@@ -145,10 +149,10 @@
 	}
 }
 
-// add puts a machine into the batch, or leaves it for the next one.
+// add adds a machine to the batch, or postpones it to the next one.
 func (b *enrollmentBatch) add(pending *pendingMachine) {
 	if b.c.cache.MachineSeen(pending.name) {
-		b.included = append(b.included, pending) // it has a record already
+		b.included = append(b.included, pending) // the machine has a record already
 		return
 	}
 	kind := fleetKind{pending.fleet.Type, pending.fleet.Zone, pending.fleet.Spot}
@@ -169,14 +173,15 @@
 	b.included = append(b.included, pending)
 }
 
-// full tells whether one more machine, with a new group and a new fleet, could exceed a
-// transaction's changes.
+// full reports whether one more machine, with a new group and a new fleet, could exceed the number of
+// changes that a transaction may hold.
 func (b *enrollmentBatch) full() bool {
 	const changesPerMachine = 2
 	return len(b.txn.Then)+len(b.fleets)+changesPerMachine > max(changesPerMachine, b.c.limits().TxnOps)
 }
 
-// allocateGroup finds a group for a machine, and creates it if there is none.
+// allocateGroup returns the number of a group with room for a machine, and adds the group's record to
+// the batch if it is new.
 func (b *enrollmentBatch) allocateGroup(pending *pendingMachine) int {
 	shard := b.load.neediest()
 	if typeIndex := b.c.cache.TypeIndex.Find(pending.fleet.Type); typeIndex >= 0 {
@@ -190,13 +195,13 @@
 	return group
 }
 
-// create adds a record that must not exist yet.
+// create adds a record to the transaction, with the condition that its key does not exist yet.
 func (b *enrollmentBatch) create(key string, value []byte) {
 	b.txn.If = append(b.txn.If, protocol.Condition{Key: key})
 	b.txn.Then = append(b.txn.Then, protocol.Change{Put: key, Value: value})
 }
 
-// transaction is the batch with the fleets' records.
+// transaction adds the fleet records to the batch's transaction and returns it.
 func (b *enrollmentBatch) transaction() protocol.Txn {
 	for _, fleet := range b.order {
 		b.create(storage.FleetKey(fleet.Machines[0].Name), storage.EncodeFleet(fleet, b.c.cache.Packed()))
@@ -204,7 +209,7 @@
 	return b.txn
 }
 
-// fleetFull tells whether a fleet's record takes no further machine.
+// fleetFull reports whether no further machine may be added to a fleet record.
 func (c *Controller) fleetFull(f *storage.FleetRecord) bool {
 	return len(f.Machines) >= maxFleet || len(storage.EncodeFleet(f, c.cache.Packed())) > c.valueLimit()*fleetFillPercent/100
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -7,36 +7,36 @@
 	"dykeledge/internal/storage"
 )
 
-// This file tells faulty machines from faulty jobs: a job with a mistake fails on every machine, a
-// faulty machine fails every job.
+// This file distinguishes faulty machines from faulty jobs: a faulty job fails on every machine, and
+// on a faulty machine every job fails.
 
 const (
-	// machineFailures is how many failures since its last success make a machine suspect.
+	// machineFailures is how many failures since its last success a machine must have to be unhealthy.
 	machineFailures = 2
-	// jobFailures is how many machines a job must fail on to be taken for faulty.
+	// jobFailures is how many machines a job must fail on to be suspect.
 	jobFailures = 3
-	// failureSettles is how long a failure must be past to count against its machine: a faulty job
-	// shows on other machines meanwhile.
+	// failureSettles is the time after the first failure of a job on a machine until its failures count
+	// against the machine: meanwhile, a faulty job fails on other machines too.
 	failureSettles = 2 * time.Second
-	// maxBackoff bounds how long a suspect job's next try is put off, maxBackoffDoublings how often
-	// that time, a second at first, is doubled.
+	// maxBackoff bounds the backoff of a suspect job's next try; maxBackoffDoublings bounds how often
+	// the first backoff of a second is doubled.
 	maxBackoff          = time.Minute
 	maxBackoffDoublings = 6
-	// steady is how long a replica must have run for its service to be sound.
+	// steady is how long a replica must have run to clear its service of suspicion.
 	steady = time.Minute
-	// maxRecentFailures is how many failures count at most when machines are compared.
+	// maxRecentFailures caps the failures of a machine that count when machines are compared.
 	maxRecentFailures = 4
 )
 
-// failing is what a machine has failed of one job since it last completed anything.
+// failing holds one job's failures on a machine since a task last completed there.
 type failing struct {
-	n     int
-	waves int // tries of the job that failed here
-	since time.Time
+	n     int       // failed attempts
+	waves int       // failed attempts that fell outside of the job's backoff
+	since time.Time // time of the first failure
 }
 
-// noteFailure takes in that an attempt failed by itself: by its machine's fault or by its job's,
-// which only others can tell.
+// noteFailure records that an attempt failed by itself. Whether its machine or its job is at fault,
+// only other jobs on the machine or other machines can show.
 func (c *Controller) noteFailure(machine *storage.Machine, worker *workerState, job *storage.Job, now time.Time) {
 	state := c.jobState(job)
 	history := worker.failures[job]
@@ -50,7 +50,7 @@
 		state.failedOn[machine.Index] = true
 	}
 	if now.Before(state.backoff) {
-		return // of the same wave
+		return // the job's other tasks that were started together with one that failed
 	}
 	history.waves++
 	if state.failures >= jobFailures {
@@ -60,24 +60,25 @@
 	}
 }
 
-// backoffAfter is how long a suspect job's next try is put off after some tries.
+// backoffAfter returns the backoff of a suspect job after a number of tries: it doubles with each try.
 func backoffAfter(tries int) time.Duration {
 	return min(maxBackoff, time.Second<<min(tries, maxBackoffDoublings))
 }
 
-// noteSuccess clears a machine and a job of suspicion.
+// noteSuccess clears the recorded failures of a machine and of a job after a completed attempt.
 func (c *Controller) noteSuccess(v *workerState, j *storage.Job) {
 	clear(v.failures)
 	c.jobState(j).clearSuspicion()
 }
 
+// clearSuspicion clears a job's recorded failures.
 func (s *jobState) clearSuspicion() {
 	s.failures, s.suspectTries = 0, 0
 	clear(s.failedOn)
 }
 
-// noteSteady clears a service of suspicion once a replica has run for a while: its replicas never
-// complete.
+// noteSteady clears a service of suspicion once one of its replicas has run for the time steady, since
+// replicas never complete.
 func (c *Controller) noteSteady(v *workerState, j *storage.Job, ran time.Duration) {
 	if j.Shape != protocol.Service || ran < steady || len(v.failures) == 0 && c.jobStates[j] == nil {
 		return
@@ -88,9 +89,9 @@
 	}
 }
 
-// suspect tells whether a job seems to fail wherever it runs: on several machines that are not
-// known to be unhealthy, without a success. From then on it runs one task at a time, and nothing is
-// preempted, provisioned or moved for it, nor is a machine blamed for it.
+// suspect reports whether a job seems to be faulty: it failed on several machines that are not known
+// to be unhealthy, and no task of it has completed. A suspect job runs one task at a time, nothing is
+// preempted, provisioned or moved for it, and its failures do not count against machines.
 func (c *Controller) suspect(j *storage.Job) bool {
 	if j.DoneCount > 0 {
 		return false
@@ -102,10 +103,11 @@
 	return state != nil && len(state.failedOn) >= jobFailures
 }
 
-// probing tells whether a suspect job's one task is placed already.
+// probing reports whether a job is suspect and the one task that it may run is placed.
 func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.PlacedCount > 0 }
 
-// wantedTasks is how many of a job's waiting tasks are worth capacity now.
+// wantedTasks returns how many of a job's waiting tasks should get capacity now: for a suspect job, at
+// most one including those placed.
 func (c *Controller) wantedTasks(j *storage.Job) int {
 	waiting := j.Waiting()
 	if waiting > 0 && c.suspect(j) {
@@ -114,8 +116,8 @@
 	return waiting
 }
 
-// noteSuspects records for other controllers which jobs seem to be faulty: the leader scales out for
-// them, and the shard's next owner would start all of their tasks again.
+// noteSuspects adds changes to a transaction that mark suspect jobs in their records. Otherwise the
+// leader would scale out for them, and the shard's next owner would start all of their tasks again.
 func (c *Controller) noteSuspects(planned *plannedTxn) {
 	for job, state := range c.jobStates {
 		if len(state.failedOn) < jobFailures || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
@@ -132,18 +134,19 @@
 	}
 }
 
-// blame is what speaks against a machine: failures of jobs that do not fail everywhere.
+// blame sums up the failures on a machine of jobs that are not suspect.
 type blame struct {
 	failures, jobs int
-	proved         bool // by a job that is known to be sound, or that this machine failed again and again
+	proved         bool // one of the jobs has completed a task, or failed on this machine again and again
 }
 
-// convincing tells whether the machine is at fault: one job alone can't tell unless it is proved.
+// convincing reports whether the machine is at fault. The failures of a single job do not show that
+// unless proved is set.
 func (b blame) convincing() bool {
 	return b.failures >= machineFailures && (b.jobs > 1 || b.proved)
 }
 
-// blameOf is what speaks against a machine by now.
+// blameOf returns the failures that count against a machine at the time now.
 func (c *Controller) blameOf(worker *workerState, now time.Time) blame {
 	var b blame
 	for job, history := range worker.failures {
@@ -152,15 +155,15 @@
 		}
 		b.failures += history.n
 		b.jobs++
-		// Machines that have not failed a job are preferred: one that has it again and again is the
-		// only one it has, and a job alone cannot tell.
+		// Placement prefers machines on which a job has not failed. A job that fails on one machine
+		// again and again therefore has no other machine, and can't become suspect by failing elsewhere.
 		b.proved = b.proved || job.DoneCount > 0 || history.waves > jobFailures
 	}
 	return b
 }
 
-// judgeHealth finds out whether a machine fails its tasks. A job that completes elsewhere, or
-// another job that does not fail elsewhere, tells.
+// judgeHealth marks a machine as unhealthy if its failures show that it is at fault: by a job that
+// completes tasks elsewhere, by several jobs that are not suspect, or by repeated failures of one job.
 func (c *Controller) judgeHealth(machine *storage.Machine, worker *workerState, now time.Time) {
 	if worker.unhealthy || len(worker.failures) == 0 {
 		return
@@ -172,11 +175,12 @@
 	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", b.failures, "jobs", b.jobs)
 	worker.unhealthy = true
 	for job := range worker.failures {
-		delete(c.jobState(job).failedOn, machine.Index) // that was not the job's fault
+		delete(c.jobState(job).failedOn, machine.Index) // the machine was at fault, not the job
 	}
 }
 
-// failedRecently counts a machine's failures that may be its own, at most a few.
+// failedRecently returns the number of failures on a machine of jobs that are not suspect, capped at
+// maxRecentFailures.
 func (c *Controller) failedRecently(v *workerState) float64 {
 	failures := 0
 	for job, history := range v.failures {
--- a/internal/controller/followed_changes.go
+++ b/internal/controller/followed_changes.go
@@ -7,7 +7,7 @@
 	"dykeledge/internal/storage"
 )
 
-// apply takes one record into the cache, committed by whomever.
+// apply applies one record's change to the cache, whichever controller committed it.
 func (c *Controller) apply(key string, value []byte, version uint64, deleted bool) error {
 	c.follower.highestRevision = max(c.follower.highestRevision, version)
 	err := c.cache.Apply(key, value, version, deleted)
@@ -18,11 +18,11 @@
 	return err
 }
 
-// onEvents takes the answer of a watch request that was sent at a time.
+// onEvents applies the answer of a watch request; sent is when the request was sent.
 func (c *Controller) onEvents(events protocol.Events, sent time.Time) {
 	for _, event := range events.Events {
 		if event.Delete != "" {
-			_ = c.apply(event.Delete, nil, event.Version, true) // logged there
+			_ = c.apply(event.Delete, nil, event.Version, true) // apply logs the error
 		} else {
 			_ = c.apply(event.Put, event.Value, event.Version, false)
 		}
@@ -44,7 +44,8 @@
 	}
 }
 
-// changed looks at what new records mean for this controller.
+// changed updates the state that is derived from the records after they have changed: leadership,
+// shard ownership, settings, and the state of machines and jobs.
 func (c *Controller) changed() {
 	if !c.follower.loaded {
 		return
@@ -64,7 +65,7 @@
 	for _, machine := range machines {
 		c.settleWorkerState(machine)
 		if !machine.Gone && machine.Incarnation > 0 && c.ownsShard(machine.Shard) && c.workers.states[machine.Index] == nil {
-			c.workerState(machine) // a new owner shows itself; the reply tells what is on the machine
+			c.workerState(machine) // the worker is contacted: its reply lists the tasks on the machine
 			c.workers.uncontacted = append(c.workers.uncontacted, machine)
 		}
 		c.terminateUnwanted(machine)
@@ -76,7 +77,7 @@
 	c.requestCycle()
 }
 
-// updateOwnedShards begins and ends ownerships as the shards' records say.
+// updateOwnedShards begins or ends this controller's ownership of the shards whose records have changed.
 func (c *Controller) updateOwnedShards(now time.Time) {
 	for shard := range c.shards.owned {
 		version := uint64(0)
@@ -95,7 +96,7 @@
 func (c *Controller) takeOverShard(shard int, own bool, now time.Time) {
 	for _, machine := range c.cache.Machines {
 		if machine.Shard == shard {
-			delete(c.workers.states, machine.Index) // what an earlier ownership knew is stale
+			delete(c.workers.states, machine.Index) // state of an earlier ownership is out of date
 		}
 	}
 	if !own {
@@ -110,13 +111,13 @@
 	}
 }
 
-// takeOverMachine begins this controller's ownership of a machine, with its shard.
+// takeOverMachine creates the state of a machine's worker when this controller takes over its shard.
 func (c *Controller) takeOverMachine(machine *storage.Machine, now time.Time) {
 	worker := c.workerState(machine)
 	worker.since = now
 	if token := max(machine.FencingToken, machine.Group.FencingToken); token >= c.cache.Shards[machine.Shard].FencingToken {
-		// The former owner raised it while the shard changed hands: only a higher
-		// one proves that nothing it sent is still on its way.
+		// The former owner raised the token while the shard changed owners: only a higher token proves
+		// that none of that owner's commands is still in flight.
 		worker.Uncertain = token
 	}
 	if machine.Incarnation > 0 {
@@ -124,7 +125,8 @@
 	}
 }
 
-// settleWorkerState brings what is known of a machine's worker in line with the records.
+// settleWorkerState updates the state of a machine's worker to the records, and deletes it if the
+// machine is gone or no longer owned by this controller.
 func (c *Controller) settleWorkerState(machine *storage.Machine) {
 	worker := c.workers.states[machine.Index]
 	if worker == nil {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	// peerFresh is how long what was heard of a peer, or of the state service, counts as current.
+	// peerFresh is how long after its last message a peer, or the state service, counts as heard.
 	peerFresh = 2 * time.Second
-	// storeOKWindow is how long after an answer of the state service this controller says that it is served.
+	// storeOKWindow is how long after an answer of the state service this controller's peer heartbeats
+	// report that the service answers it.
 	storeOKWindow = 3 * time.Second
-	// maxPublishedShards is how many shards a peer heartbeat has bits for.
+	// maxPublishedShards is the number of shards in a peer heartbeat's bit set of owned shards.
 	maxPublishedShards = 64
-	// maxShardDemands is how many of the top-priority jobs that lack room are published.
+	// maxShardDemands limits the number of top-priority jobs whose lack of capacity is published.
 	maxShardDemands = 16
 )
 
-// peerState is what a controller last heard of another. Nothing is decided on it
-// alone that could break a rule.
+// peerState holds the last peer heartbeat of another controller. It is a hint: no decision whose
+// correctness matters rests on it alone.
 type peerState struct {
 	heartbeat   protocol.PeerHeartbeat
-	heardAt     time.Time
-	deniedSince time.Time // says since then that the state service does not serve it
+	heardAt     time.Time // when the heartbeat arrived
+	deniedSince time.Time // since when its heartbeats report that the state service refuses it; zero: they don't
 }
 
-// fresh reports whether a peer was heard a moment ago.
+// fresh reports whether the peer's last heartbeat arrived less than peerFresh ago.
 func (p peerState) fresh(now time.Time) bool { return now.Sub(p.heardAt) < peerFresh }
 
-// publishedSummary is what other goroutines may read without asking the core.
+// publishedSummary holds copies of the core's state that other goroutines may read without a call to
+// the core.
 type publishedSummary struct {
 	heartbeat     atomic.Pointer[protocol.PeerHeartbeat]
 	shardDemands  atomic.Pointer[[]protocol.ShardDemand]
 	incarnation   atomic.Uint64
 	digest        atomic.Pointer[protocol.CancellationDigest]
-	digestReaders atomic.Pointer[map[string]uint64] // how far the caches of those are that read digests
+	digestReaders atomic.Pointer[map[string]uint64] // by member that reads digests: its cache's revision
 }
 
-// publish brings up to date what other goroutines read.
+// publish updates the published summary.
 func (c *Controller) publish(now time.Time) {
 	heartbeat := c.currentPeerHeartbeat(now)
 	c.summary.heartbeat.Store(&heartbeat)
@@ -50,7 +52,7 @@
 	c.summary.shardDemands.Store(&demands)
 }
 
-// currentPeerHeartbeat is what the others are to hear of this controller now.
+// currentPeerHeartbeat returns the peer heartbeat that describes this controller now.
 func (c *Controller) currentPeerHeartbeat(now time.Time) protocol.PeerHeartbeat {
 	health := &c.storeHealth
 	heartbeat := protocol.PeerHeartbeat{
@@ -66,7 +68,7 @@
 	return heartbeat
 }
 
-// currentShardDemands are the needs of top-priority jobs that are short of room.
+// currentShardDemands returns the demand of this controller's top-priority jobs that lack capacity.
 func (c *Controller) currentShardDemands() []protocol.ShardDemand {
 	var demands []protocol.ShardDemand
 	for job, state := range c.jobStates {
@@ -80,8 +82,8 @@
 	return demands
 }
 
-// othersChangeRate is how many changes a second the other living controllers make, below 0 if
-// one of them is not heard: it may make as many as it likes.
+// othersChangeRate returns how many changes per second the other members make at the state service.
+// It is below 0 if one of them is silent, since its rate is then unknown.
 func (c *Controller) othersChangeRate(now time.Time) float64 {
 	sum := 0.0
 	for name := range c.cache.Members {
@@ -97,7 +99,7 @@
 	return sum
 }
 
-// PeerHeartbeat is what this controller sends to the others about itself.
+// PeerHeartbeat returns the peer heartbeat to send to the other controllers.
 func (c *Controller) PeerHeartbeat() protocol.PeerHeartbeat {
 	if heartbeat := c.summary.heartbeat.Load(); heartbeat != nil {
 		return *heartbeat
@@ -105,7 +107,7 @@
 	return protocol.PeerHeartbeat{}
 }
 
-// ShardDemands is what this controller's top-priority work lacks.
+// ShardDemands returns the published capacity demand of this controller's top-priority jobs.
 func (c *Controller) ShardDemands() []protocol.ShardDemand {
 	if demands := c.summary.shardDemands.Load(); demands != nil {
 		return *demands
@@ -113,15 +115,15 @@
 	return nil
 }
 
-// Incarnation is this process's own number, 0 before it is a member.
+// Incarnation returns this process's incarnation, 0 before it is a member.
 func (c *Controller) Incarnation() uint64 { return c.summary.incarnation.Load() }
 
-// ReceivePeerHeartbeat takes another controller's peer heartbeat.
+// ReceivePeerHeartbeat stores a peer heartbeat received from another controller.
 func (c *Controller) ReceivePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat) {
 	c.post(func() { c.reachability.hearPeer(member, heartbeat, time.Now()) })
 }
 
-// hearPeer notes a peer's heartbeat.
+// hearPeer stores a peer's heartbeat, and since when the peer has been refused by the state service.
 func (r *reachability) hearPeer(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
 	heard := peerState{heartbeat: heartbeat, heardAt: now}
 	if !heartbeat.StateOK {
@@ -134,7 +136,8 @@
 	delete(r.disconnected, member)
 }
 
-// ReceiveShardDemands makes a leader look at once for machines that can move.
+// ReceiveShardDemands runs a rebalancing pass at once on the leader, unless one ran less than half of
+// the rebalancing interval ago. The demands themselves are not read here.
 func (c *Controller) ReceiveShardDemands(string, protocol.ShardDemands) {
 	c.post(func() {
 		now := time.Now()
@@ -144,15 +147,15 @@
 	})
 }
 
-// PeerDisconnected forgets a controller whose connection has ended.
+// PeerDisconnected records that the connection to another controller has ended.
 func (c *Controller) PeerDisconnected(member string) {
 	c.post(func() { c.reachability.losePeer(member, time.Now()) })
 }
 
-// losePeer notes that a peer's connection has ended.
+// losePeer deletes a peer's state and records that its connection has ended.
 func (r *reachability) losePeer(member string, now time.Time) {
 	if r.peers[member].fresh(now) {
-		r.brokenConnections[member] = now // not for its silence
+		r.brokenConnections[member] = now // the connection did not end because the peer was silent
 	}
 	delete(r.peers, member)
 	r.disconnected[member] = now
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Everything that this controller concludes from silence goes through this file and
-// stall_detection.go. A controller that stalled while its clocks ran on finds every timer due and
-// everything last heard long ago, although it was itself that did not listen.
+// Every conclusion that this controller draws from silence goes through this file and
+// stall_detection.go. After a stall of its own process, every timer is due and every last message is
+// old, although only this process did not handle messages.
 
-// reachability is when this controller itself was running, and whom it hears: peers and zones.
-// It is written by this file, stall_detection.go, peers.go and zones.go.
+// reachability holds when this controller itself was running, and which peers and zones it receives
+// messages from. It is written by this file, stall_detection.go, peers.go and zones.go.
 type reachability struct {
-	lastLoopAt        time.Time            // when the loop last came round
+	lastLoopAt        time.Time            // when the core's loop last began a round
 	resumedAt         time.Time            // when this controller last resumed after a stall
 	peers             map[string]peerState // by member
-	disconnected      map[string]time.Time // members whose connection ended, until they are heard again
-	brokenConnections map[string]time.Time // by member: its connection broke off while it was heard
-	leaseSeenAt       map[string]time.Time // by member: when its session lease was last seen
-	zones             []zoneState          // by zone
+	disconnected      map[string]time.Time // by member: when its connection ended; deleted at its next peer heartbeat
+	brokenConnections map[string]time.Time // by member: when its connection ended although peer heartbeats were recent
+	leaseSeenAt       map[string]time.Time // by member: when its record, which its session lease keeps, was last seen
+	zones             []zoneState          // by zone index
 }
 
 func newReachability() reachability {
@@ -28,31 +28,32 @@
 }
 
 const (
-	// reconnectGrace is how long after a stall peers' connections may break off without meaning
-	// anything: deadlines that passed meanwhile close them, and both sides dial again.
+	// reconnectGrace is the time after a stall during which ended peer connections are ignored:
+	// deadlines that passed during the stall close them, and both sides dial again.
 	reconnectGrace = 3 * time.Second
 
-	// lostAfter is how long a controller whose connection broke off may stay unheard, or may be
-	// refused by the state service, before its shards and its leadership are given to others.
-	// It may be alive: what it commits then fails on the records' versions, so a wrong
-	// guess costs only a pause.
+	// lostAfter is how long a controller may stay disconnected, or refused by the state service, before
+	// its shards and its leadership are given to others. It may be alive: its commits then fail on the
+	// records' versions, so a wrong guess costs only a pause.
 	lostAfter = 1200 * time.Millisecond
 
-	// fewOtherMembers are so few other controllers that the loss of all of them is likely to be theirs.
+	// fewOtherMembers is the number of other controllers up to which the loss of all of them is more
+	// likely to be their failure than this controller's isolation.
 	fewOtherMembers = 2
 )
 
-// silenceOf is how long something last heard at a time has been silent, as far as
-// this controller was running to hear it.
+// silenceOf returns the time since something was last heard, not counting the time before this
+// controller last resumed from a stall.
 func (c *Controller) silenceOf(at, now time.Time) time.Duration {
 	return now.Sub(maxTime(at, c.reachability.resumedAt))
 }
 
-// memberLost reports whether a controller's process seems to have ended, or says itself that the
-// state service refuses it. A lost connection is a hint for as long as the controller's session lease may
-// outlive it: a controller whose record is still there later has renewed its session lease, whatever became
-// of the connection. And a controller that loses most of several others at once is more likely to be
-// isolated itself, or a filter stands between all.
+// memberLost reports whether a controller seems to have ended, or reports itself that the state service
+// refuses it. An ended connection counts only for as long as the controller's session lease may outlast
+// its process: if the member record is still there later, the controller has renewed its session lease
+// and lives, whatever happened to the connection. And if the connections to most of several others end
+// at once, it is more likely that this controller is isolated, or that the network filters traffic
+// between all of them.
 func (c *Controller) memberLost(member string, now time.Time) bool {
 	if c.memberDenied(member, now) {
 		return true
@@ -77,8 +78,7 @@
 	return others <= fewOtherMembers || 2*lost <= others+1
 }
 
-// seemsLost reports whether a member's connection ended longer than lostAfter and less than
-// maxAge ago.
+// seemsLost reports whether a member's connection ended more than lostAfter and less than maxAge ago.
 func (r *reachability) seemsLost(member string, maxAge time.Duration, now time.Time) bool {
 	at, ok := r.disconnected[member]
 	if !ok {
@@ -88,16 +88,17 @@
 	return age > lostAfter && age < maxAge
 }
 
-// memberDenied reports whether a controller says that the state service does not serve it, while
-// it serves this one: its session lease would keep its shards for seconds more.
+// memberDenied reports whether a controller's peer heartbeats say that the state service refuses it,
+// while the service answers this one. Without this check, its session lease would keep its shards for
+// seconds longer.
 func (c *Controller) memberDenied(member string, now time.Time) bool {
 	peer, ok := c.reachability.peers[member]
 	return ok && c.storeHealth.served(now) && peer.fresh(now) && !peer.deniedSince.IsZero() && now.Sub(peer.deniedSince) > lostAfter
 }
 
-// isolatedFromStore reports whether the state service refuses this controller while it serves
-// another: then users are better off elsewhere. In an outage nobody is served,
-// and a controller that stays ready can take requests the moment it ends.
+// isolatedFromStore reports whether the state service does not answer this controller while it answers
+// another, to which users' requests should then go. In an outage it answers no controller, and one
+// that stays ready can accept requests as soon as the outage ends.
 func (c *Controller) isolatedFromStore(now time.Time) bool {
 	if c.silenceOf(c.storeHealth.servedAt, now) < peerFresh {
 		return false
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -10,20 +10,20 @@
 	"dykeledge/internal/wait"
 )
 
-// stateFollower is how far this controller's cache follows the state service. It is written by
+// stateFollower holds how far this controller's cache follows the state service. It is written by
 // this file, followed_changes.go, read_barrier.go and where commits are applied (highestRevision).
 type stateFollower struct {
 	loaded          bool             // every record was read once
-	loadFailed      bool             // the records could not be read yet: there is no answer
+	loadFailed      bool             // the latest read of all records failed, and none has succeeded yet
 	foreignLayout   bool             // the records are of a layout that this version does not read
-	highestRevision uint64           // the highest seen, own commits included
-	cacheCurrentAt  time.Time        // the cache holds all that was committed until then
-	waiters         []revisionWaiter // for the cache to come as far as a revision
-	barrier         barrier          // reads that must not be older than an answer given elsewhere
+	highestRevision uint64           // the highest seen, including those of own commits
+	cacheCurrentAt  time.Time        // the cache holds everything that was committed until then
+	waiters         []revisionWaiter // waiting for the cache to reach a revision
+	barrier         barrier          // reads that must not be older than an answer given by another controller
 }
 
 const (
-	// storeRetryInterval is how long to wait before the state service is asked again after a failure.
+	// storeRetryInterval is the delay before a failed request to the state service is retried.
 	storeRetryInterval = 300 * time.Millisecond
 	// loadPageSize is how many records are read in one request.
 	loadPageSize = 1000
@@ -31,14 +31,15 @@
 	maxWatchWait = time.Second
 )
 
-// followLoop keeps the cache like the state service; it ends with ctx.
+// followLoop reads all records into the cache and then applies the changes of the watch. It reads all
+// records again when the watch has fallen too far behind, and returns when ctx ends.
 func (c *Controller) followLoop(ctx context.Context) {
 	loadedOnce := false
 	for ctx.Err() == nil {
 		revision, err := c.loadAll(ctx, loadedOnce)
 		c.post(func() { c.follower.noteLoad(err) })
 		if err != nil {
-			c.log.Info("cannot read the records yet", "err", err)
+			c.log.Info("reading the records from the state service failed, retrying", "err", err)
 			wait.For(ctx, storeRetryInterval)
 			continue
 		}
@@ -47,7 +48,8 @@
 	}
 }
 
-// loadAll reads the records that accepting a job takes, unless all were read once, and then all.
+// loadAll reads every record. If that has not succeeded before, it first reads the records that are
+// needed to accept a job.
 func (c *Controller) loadAll(ctx context.Context, loadedOnce bool) (uint64, error) {
 	if !loadedOnce {
 		if err := c.loadAcceptanceRecords(ctx); err != nil {
@@ -57,7 +59,7 @@
 	return c.load(ctx)
 }
 
-// noteLoad notes how a read of all records ended.
+// noteLoad records the outcome of a read of all records.
 func (f *stateFollower) noteLoad(err error) {
 	f.loadFailed = err != nil && !f.loaded
 	if err == nil || errors.Is(err, storage.ErrLayout) {
@@ -65,8 +67,8 @@
 	}
 }
 
-// watchFrom applies what is committed after a revision, until ctx ends or the state service no
-// longer has all of it.
+// watchFrom applies the changes committed after a revision, until ctx ends or the state service no
+// longer holds all of them.
 func (c *Controller) watchFrom(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -83,20 +85,22 @@
 		if events.Revision >= revision {
 			revision = events.Revision
 			if c.call(ctx, func() { c.onEvents(events, sent) }) != nil {
-				return // this controller ends
+				return // this controller is shutting down
 			}
 		}
 		wait.For(ctx, c.timing.WatchInterval)
 	}
 }
 
-// watchWait is how long a watch request waits for changes: its answer holds all that was committed
-// before it was sent, so a quiet service must be asked again while what is known of it is young.
+// watchWait returns how long a watch request waits for changes. Its answer proves that the cache is
+// current only up to the time at which the request was sent, so even without changes a new request
+// must be sent well before the cache is older than maxKnowledgeAge.
 func (c *Controller) watchWait() time.Duration {
 	return min(maxWatchWait, maxKnowledgeAge(c.cfg.Deployment.Workers)/4)
 }
 
-// load reads every record. Changes made meanwhile come again with the watch.
+// load reads every record, page by page, and returns the revision of the first page. Changes made
+// meanwhile come again with the watch from that revision.
 func (c *Controller) load(ctx context.Context) (uint64, error) {
 	var first uint64
 	after, began := "", time.Now()
@@ -121,8 +125,8 @@
 	return first, err
 }
 
-// applyPage takes a page of records and notes their keys. A layout that this version does not read
-// is an error: what runs under such records must not be started again.
+// applyPage applies a page of records to the cache and adds their keys to seen. It returns an error
+// for a foreign layout: tasks that run under such records must not be started again.
 func (c *Controller) applyPage(ctx context.Context, page protocol.Page, seen map[string]bool) error {
 	var layoutErr error
 	err := c.call(ctx, func() {
@@ -139,22 +143,24 @@
 	return layoutErr
 }
 
-// finishLoad makes the cache what was read: the keys seen, at the revision of the first page.
+// finishLoad completes a read of all records: it drops the cached records whose keys were not seen, and
+// sets the cache's revision to that of the first page.
 func (c *Controller) finishLoad(seen map[string]bool, revision uint64, began time.Time) {
 	if err := c.cache.DropUnseen(seen, revision); err != nil {
-		c.log.Error("stale record", "err", err)
+		c.log.Error("dropping a record that is no longer in the state service failed", "err", err)
 	}
 	c.cache.Sweep()
 	c.cache.Revision = revision
 	c.follower.highestRevision = max(c.follower.highestRevision, revision)
 	c.follower.loaded = true
 	c.follower.cacheCurrentAt = maxTime(began, c.follower.cacheCurrentAt)
-	c.cancellations.unverified.renewed = nil // this controller knows the records from now on
+	c.cancellations.unverified.renewed = nil // no longer needed once the records have been read
 	c.log.Info("records read", "revision", revision, "records", len(seen))
 	c.changed()
 }
 
-// loadAcceptanceRecords reads what accepting a job takes, before all other records.
+// loadAcceptanceRecords reads the records that are needed to accept a job, before all others: the
+// layout and the catalog.
 func (c *Controller) loadAcceptanceRecords(ctx context.Context) error {
 	for _, key := range []string{storage.LayoutKey, storage.CatalogKey} {
 		page, err := c.store.List(ctx, key, "", 1)
@@ -163,7 +169,7 @@
 		}
 		err = c.call(ctx, func() {
 			for _, item := range page.Items {
-				_ = c.apply(item.Key, item.Value, item.Version, false) // logged there
+				_ = c.apply(item.Key, item.Value, item.Version, false) // apply logs the error
 			}
 		})
 		if err != nil {
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// storeHealth is how the state service treats this controller, and how many changes a second
-// this controller makes there. It is written by this file and where answers of the state
+// storeHealth holds whether the state service answers this controller, and how many changes per
+// second this controller makes there. It is written by this file and where answers of the state
 // service arrive.
 type storeHealth struct {
-	servedAt      time.Time // when it last served this controller
-	failingSince  time.Time // it has not answered well since then; zero: it does
-	changesUsed   uint64    // made by this controller when last looked at
-	changesUsedAt time.Time
-	changeRate    float64 // changes a second, smoothed over about a second
+	servedAt      time.Time // when the state service last answered this controller successfully
+	failingSince  time.Time // since when its requests have failed; zero: they succeed
+	changesUsed   uint64    // total of changes made by this controller at changesUsedAt
+	changesUsedAt time.Time // when changesUsed was last read
+	changeRate    float64   // changes per second, smoothed over about a second
 }
 
 const (
-	// storeFailingAfter is how long the state service must answer badly before nothing waits for it.
+	// storeFailingAfter is how long requests to the state service must fail before answers no longer
+	// wait for commits.
 	storeFailingAfter = time.Second
-	// machineWeight is how much more a controller's part of the machines counts in its share of
-	// the rate than its part of the shards.
+	// machineWeight is the weight of a controller's part of the machines in its share of the rate; its
+	// part of the shards has weight 1.
 	machineWeight = 3
 )
 
-// updateRateShare sets in the state service's client how much of its rate this controller may
-// use: in proportion to the machines that it commits for, which every controller knows.
+// updateRateShare sets the share of the state service's rate that this controller's client may use. It
+// is proportional to the machines and shards that this controller commits for, which every controller
+// can compute from the records.
 func (c *Controller) updateRateShare() {
 	part := c.ownedPart()
 	now := time.Now()
@@ -30,7 +32,7 @@
 	c.store.SetRateShare(part, c.isLeader(), c.storeHealth.changeRate, c.othersChangeRate(now))
 }
 
-// ownedPart is the part of the machines and shards that this controller commits for, from 0 to 1.
+// ownedPart returns the weighted part of all machines and shards that this controller owns, from 0 to 1.
 func (c *Controller) ownedPart() float64 {
 	ownMachines, allMachines := 0, 0
 	for _, machine := range c.cache.Machines {
@@ -52,27 +54,29 @@
 	if allMachines == 0 {
 		return part
 	}
-	// A shard with few machines yet still has to place its first work.
+	// Shards count too, since a shard with few machines still has to place its first tasks.
 	return (part + machineWeight*float64(ownMachines)/float64(allMachines)) / (1 + machineWeight)
 }
 
-// updateChangeRate takes how many changes this controller has made until now.
+// updateChangeRate updates the smoothed rate from the total of changes made until now.
 func (h *storeHealth) updateChangeRate(changesUsed uint64, now time.Time) {
 	elapsedS := now.Sub(h.changesUsedAt).Seconds()
 	if elapsedS <= 0 {
 		return
 	}
 	rate := float64(changesUsed-h.changesUsed) / elapsedS
-	h.changeRate += min(1, elapsedS) * (rate - h.changeRate) // over about a second
+	h.changeRate += min(1, elapsedS) * (rate - h.changeRate) // smoothed over about a second
 	h.changesUsed, h.changesUsedAt = changesUsed, now
 }
 
-// storeFailing reports whether answers should not wait for a commit.
+// storeFailing reports whether requests to the state service have failed for longer than
+// storeFailingAfter, so that answers should not wait for a commit.
 func (c *Controller) storeFailing() bool {
 	return !c.storeHealth.failingSince.IsZero() && time.Since(c.storeHealth.failingSince) > storeFailingAfter
 }
 
-// served reports whether the state service has answered this controller well just now.
+// served reports whether the state service answers this controller: its last successful answer is less
+// than peerFresh old, and no request has failed since.
 func (h *storeHealth) served(now time.Time) bool {
 	return h.failingSince.IsZero() && now.Sub(h.servedAt) < peerFresh
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -9,61 +9,64 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns what is concluded from the silence of a whole zone. One that is cut off goes on
-// working: a controller inside that owned machines there does not know that others own them now,
-// and goes on answering their workers. So replicas of services run on, and returning their
-// machines would end them; and what is provisioned there is up, but of no use, until the partition ends.
+// This file detects unreachable zones: those whose machines are all silent. A zone that is cut off
+// goes on working: a controller inside it that owned machines there has not seen that others own
+// them now, and goes on answering their workers. So the replicas of services go on running, and
+// returning their machines would end them. Machines provisioned there come up, but can't be used
+// until the partition ends.
 
-// zoneState is what this controller has heard of a zone.
+// zoneState holds what this controller has observed of a zone.
 type zoneState struct {
-	heard          time.Time // any worker in it
+	heard          time.Time // when a message of any worker in the zone last arrived
 	unreachable    bool
-	reachableSince time.Time // heard again after it was unreachable
-	probedAt       time.Time // a worker there was last asked for its heartbeat
-	probing        bool
-	missedProbes   int       // unanswered in a row
-	nextProbe      int       // whom to ask
-	emptySince     time.Time // when it is unreachable: no machine is left there that could be heard, since then
+	reachableSince time.Time // when a worker was heard again after the zone was unreachable
+	probedAt       time.Time // when a worker there was last probed
+	probing        bool      // a probe is in flight
+	missedProbes   int       // direct commands and probes without an answer in a row
+	nextProbe      int       // counter that selects the next machine to probe
+	emptySince     time.Time // while unreachable: since when no machine that could answer is left; zero: there is one
 }
 
 const (
-	// zoneMachines are too many to fall silent together by themselves.
+	// zoneMachines is the least number of machines from which a zone's silence counts: so many are
+	// unlikely to fall silent together independently.
 	zoneMachines = 3
-	// zoneMisses is how many of a silent zone's workers must have been asked in vain.
+	// zoneMisses is how many probes in a row a silent zone must have missed to be unreachable.
 	zoneMisses = 2
-	// unownedZoneFactor is how many times as long, and as often in vain, a zone's workers are asked that
-	// heartbeat to another controller.
+	// unownedZoneFactor multiplies the limits of silence and of missed probes for a zone whose workers
+	// send their heartbeats to another controller.
 	unownedZoneFactor = 2
-	// zoneProbeInterval is the least time between two probes of a zone.
+	// zoneProbeInterval is the minimum time between two probes of a zone.
 	zoneProbeInterval = time.Second / 2
-	// otherZonesMargin is how much longer than a heartbeat may take a zone may be silent that is
-	// still taken to be heard, when another one is judged.
+	// otherZonesMargin is added to zoneHeartbeatLimit when it is checked whether any zone is heard.
 	otherZonesMargin = time.Second
-	// endedBefore is how long before its zone fell silent a controller's end still counts: a new
-	// owner hears of the zone's silence only from its own start on.
+	// endedBefore is how long before its zone fell silent a controller's end still counts as the end of
+	// that controller: a new owner measures the zone's silence only from its own start.
 	endedBefore = 10 * time.Second
-	// emptyFor is how long an unreachable zone is left alone after its last machine was given up.
-	// Nobody is left there to be heard: it stayed unreachable for ever, nothing was provisioned in
-	// it, and what may run nowhere else waited.
+	// emptyFor is how long a zone stays unreachable after its last machine was given up. Nothing is
+	// left in it that could answer: without this limit the zone stayed unreachable for ever, nothing
+	// was provisioned in it, and tasks that may not run elsewhere waited.
 	emptyFor = 15 * time.Second
 )
 
-// zoneUnreachableAfter is how long a zone must be silent to be unreachable: longer than its workers
-// may take to report, shorter than what has a single machine given up.
+// zoneUnreachableAfter returns how long a zone must be silent to be unreachable: longer than the
+// interval of its workers' heartbeats, shorter than the silence for which a single machine is returned.
 func zoneUnreachableAfter(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 2) }
 
-// zoneHeartbeatLimit is how long a zone may be silent while all is well.
+// zoneHeartbeatLimit returns the longest silence of a zone in normal operation.
 func zoneHeartbeatLimit(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 0.75) }
 
-// unreachableZoneLimit is how long a machine whose services may run on in an unreachable zone may
-// be silent. A controller inside that owned it goes on answering its worker, another stands in for
-// its owner (proxy_renewals.go), and most partitions are over before the replicas would run
-// elsewhere: their machines' images are there, and with a third of the machines capacity is short.
-// Not for ever, since nobody outside reaches them; where a cancelled job's task is on one, its
-// deadline comes first (terminations.go).
+// unreachableZoneLimit returns how long a machine with replicas in an unreachable zone may be silent
+// before it is returned. A controller inside the zone that owned the machine goes on answering its
+// worker, or another one there renews its lease as a proxy (proxy_renewals.go), and most partitions
+// are over before the replicas would run elsewhere: the machines have their images, and without a
+// third of the machines capacity is short. The time is limited because nobody outside the zone reaches
+// the replicas. A machine with a cancelled job's task is returned at that task's deadline
+// (terminations.go).
 func unreachableZoneLimit(w config.Workers) time.Duration { return seconds(1.5 * w.CancelS) }
 
-// markHeard notes that a worker in the zone was heard, and tells whether the zone was unreachable until then.
+// markHeard records that a worker in the zone was heard, and reports whether the zone was unreachable
+// until then.
 func (z *zoneState) markHeard(now time.Time) (wasUnreachable bool) {
 	z.heard, z.missedProbes = now, 0
 	if !z.unreachable {
@@ -73,8 +76,8 @@
 	return true
 }
 
-// emptyTooLong notes whether a zone has machines that could be heard, and tells whether it has been
-// unreachable without any for so long that it is to be tried again.
+// emptyTooLong records whether a zone has machines that could answer, and reports whether it has been
+// unreachable without any for longer than emptyFor.
 func (z *zoneState) emptyTooLong(machines int, now time.Time) bool {
 	switch {
 	case machines > 0 || !z.unreachable:
@@ -87,8 +90,8 @@
 	return false
 }
 
-// beginProbe tells whether a worker is to be probed now, and which one; index counts on from one
-// probe to the next.
+// beginProbe reports whether a worker should be probed now. The index selects the worker; it increases
+// by one with each probe.
 func (z *zoneState) beginProbe(now time.Time) (index int, ok bool) {
 	if z.probing || now.Sub(z.probedAt) < zoneProbeInterval {
 		return 0, false
@@ -98,7 +101,7 @@
 	return z.nextProbe, true
 }
 
-// zone is what was heard of a zone.
+// zone returns the state of a zone by its index.
 func (r *reachability) zone(zone int) *zoneState {
 	for len(r.zones) <= zone {
 		r.zones = append(r.zones, zoneState{heard: time.Now()})
@@ -106,12 +109,12 @@
 	return &r.zones[zone]
 }
 
-// zoneUnreachable tells whether a zone is cut off from this controller.
+// zoneUnreachable reports whether a zone is unreachable from this controller.
 func (r *reachability) zoneUnreachable(zone int) bool {
 	return zone < len(r.zones) && r.zones[zone].unreachable
 }
 
-// forgetZones begins to wait for all zones from now on.
+// forgetZones resets the state of all zones, as if each was heard now.
 func (r *reachability) forgetZones(now time.Time) {
 	for zone := range r.zones {
 		r.zones[zone] = zoneState{heard: now}
@@ -120,15 +123,15 @@
 
 func (c *Controller) zoneState(z int) *zoneState { return c.reachability.zone(z) }
 
-// hearZone notes that a worker in a zone was heard.
+// hearZone records that a worker in a zone was heard.
 func (c *Controller) hearZone(z int, now time.Time) {
 	if c.reachability.zone(z).markHeard(now) {
 		c.log.Info("zone is reachable again", "zone", c.cache.Zones.Name(z))
 	}
 }
 
-// superviseZones asks silent zones' workers for a heartbeat, one at a time, and finds out which
-// zones are unreachable. The leader does so too where it owns nothing: it must not scale out there.
+// superviseZones probes workers in silent zones, one at a time in each, and determines which zones are
+// unreachable. The leader does so even if it owns no shards, since it must not scale out in such zones.
 func (c *Controller) superviseZones(now time.Time) {
 	for name := range c.cache.Members {
 		c.reachability.leaseSeenAt[name] = now
@@ -144,7 +147,8 @@
 	}
 }
 
-// reachableMachinesByZone are the machines that would answer a probe if all is well.
+// reachableMachinesByZone returns, by zone, the machines in service that have come up and have an
+// address, so that they can be probed.
 func (c *Controller) reachableMachinesByZone() [][]*storage.Machine {
 	machines := make([][]*storage.Machine, c.cache.Zones.Len())
 	for machine := range c.machinesInService() {
@@ -155,7 +159,8 @@
 	return machines
 }
 
-// anyZoneHeard tells whether some zone with machines is heard: where none is, the fault may be on this side.
+// anyZoneHeard reports whether some zone with machines is not silent. If all are silent, the fault may
+// be this controller's.
 func (c *Controller) anyZoneHeard(machines [][]*storage.Machine, now time.Time) bool {
 	limit := zoneHeartbeatLimit(c.cfg.Deployment.Workers) + otherZonesMargin
 	heard := false
@@ -165,13 +170,14 @@
 	return heard
 }
 
-// superviseZone judges one zone by its silence, and probes one of its workers if it is silent.
+// superviseZone marks a zone as unreachable if its silence proves it, and probes one of its workers
+// while it is silent.
 func (c *Controller) superviseZone(z int, machines []*storage.Machine, anyHeard bool, now time.Time) {
 	zone := c.zoneState(z)
 	silence := c.silenceOf(zone.heard, now)
 	if zone.emptyTooLong(len(machines), now) {
 		*zone = zoneState{heard: now}
-		c.log.Info("unreachable zone without machines is tried again", "zone", c.cache.Zones.Name(z))
+		c.log.Info("unreachable zone has no machines left, counting it as reachable again", "zone", c.cache.Zones.Name(z))
 	}
 	if len(machines) == 0 || silence < zoneHeartbeatLimit(c.cfg.Deployment.Workers) {
 		return
@@ -185,17 +191,18 @@
 	}
 }
 
-// provesUnreachable tells whether a zone's silence is long enough and its machines are many enough.
+// provesUnreachable reports whether a zone is unreachable: it has enough machines, has been silent for
+// long enough and has missed enough probes.
 func (c *Controller) provesUnreachable(zone *zoneState, machines []*storage.Machine, silence time.Duration) bool {
 	limit, misses := zoneUnreachableAfter(c.cfg.Deployment.Workers), zoneMisses
 	if !c.ownsShard(machines[0].Shard) {
-		// Nobody there heartbeats to this controller: its probes are all that it hears.
+		// The workers there send no heartbeats to this controller: only its probes can be answered.
 		limit, misses = unownedZoneFactor*limit, unownedZoneFactor*misses
 	}
 	return len(machines) >= zoneMachines && silence > limit && zone.missedProbes >= misses
 }
 
-// probeZone asks one of a zone's workers for its heartbeat.
+// probeZone probes the worker of one of a zone's machines.
 func (c *Controller) probeZone(z int, machine *storage.Machine) {
 	c.probeHeartbeat(machine, func(answered bool) {
 		zone := c.zoneState(z)
@@ -208,15 +215,15 @@
 	})
 }
 
-// hasControllerInside tells whether a controller that lived when a zone fell silent is inside it:
-// its session lease lasted until then, and its connection did not break off, as that of a
-// controller does that ends. A controller that owned machines there goes on answering them;
-// another is found by most workers before their leases end, even where two silent controllers come
-// first in their order.
+// hasControllerInside reports whether a controller inside a zone was alive when the zone fell silent:
+// its session lease had not expired, and its connection had not broken off, as it does when a
+// controller ends. A controller that owned machines there goes on answering their workers. Most
+// workers find another controller before their leases expire, even if two silent controllers come
+// first in the order in which they try them.
 func (c *Controller) hasControllerInside(z int) bool {
 	name, since := c.cache.Zones.Name(z), c.reachability.zones[z].heard
 	if since.Sub(c.session.startedAt) < endedBefore {
-		return false // this process has not seen who ended
+		return false // this process started too late to have seen which controllers ended
 	}
 	return slices.ContainsFunc(c.cfg.Known, func(k config.Peer) bool {
 		return k.Zone == name && c.reachability.leaseSeenAt[k.MemberName].After(since) &&
@@ -224,13 +231,14 @@
 	})
 }
 
-// serves tells whether replicas of services that go on run on a machine.
+// serves reports whether replicas of open services are placed on a machine.
 func serves(m *storage.Machine) bool {
 	return slices.ContainsFunc(m.Tasks, func(p storage.PlacedTask) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
 }
 
-// needsNoReplacement tells whether what runs in a zone needs no capacity elsewhere: while it is
-// unreachable, until machines provisioned from then on would come up too late.
+// needsNoReplacement reports whether the tasks in a zone need no capacity elsewhere: the zone is
+// unreachable, and has been silent for less than half of cancel_s. Machines provisioned later than
+// that would come up too late.
 func (c *Controller) needsNoReplacement(z int, now time.Time) bool {
 	return c.reachability.zoneUnreachable(z) && c.silenceOf(c.reachability.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
 }
