--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -10,36 +10,37 @@
 	"dykeledge/internal/storage"
 )
 
-// An owner that the state service refused alone answered its workers for as long as it believed in its
-// ownership: tasks that others had confirmed as cancelled ran on. Now it answers while it has read what was
-// cancelled lately, or every other process vouches that it has confirmed nothing that this one does not know.
+// Guards against an owner renewing its workers' leases while only it is refused by the state service:
+// tasks whose cancellation other controllers had confirmed ran on. An owner may renew leases only while
+// its cache is recent, or while the digests of all other controllers show that it has every
+// cancellation.
 func TestWhoMayRenew(t *testing.T) {
 	cancelled := []protocol.Cancellation{{Version: 9, Job: "job-000001"}}
 	for _, test := range []struct {
 		name   string
-		read   time.Duration // ago
-		clocks float64       // milliseconds that a clock may be off
-		// n1's digest: sent and its process started so long ago, and the list; n2's is sent now, if it sends any.
+		read   time.Duration // age of the cache
+		clocks float64       // largest clock error in milliseconds
+		// n1's digest: how long ago it was sent and its process started, and its list. n2's digest is sent now.
 		sent, started time.Duration
 		from          uint64
 		list          []protocol.Cancellation
-		silent        bool // n2
+		silent        bool // n2 sends no digest
 		status        int
 		kills         int
 	}{
-		{name: "served", read: time.Second, silent: true, status: 200},
-		{name: "not served for long, one is silent", read: 19 * time.Second, started: time.Hour, silent: true, status: 503},
-		{name: "not served, but all vouch", read: time.Hour, started: 2 * time.Hour, status: 200},
-		{name: "a digest that was held up", read: time.Hour, sent: 19 * time.Second, started: 2 * time.Hour, status: 503},
-		{name: "a digest that was held up, but not for long", read: time.Hour, sent: 15 * time.Second, started: 2 * time.Hour, status: 200},
-		{name: "the same, where clocks may be apart", read: time.Hour, clocks: 2000, sent: 15 * time.Second, started: 2 * time.Hour, status: 503},
-		{name: "of a process younger than the last reading: who vouches for its predecessor?", read: time.Hour, started: time.Minute, status: 503},
-		{name: "its list begins after what this controller has read", read: time.Hour, started: 2 * time.Hour, from: 7, status: 503},
-		{name: "it lists what this controller has not read", read: time.Hour, started: 2 * time.Hour, from: 4, list: cancelled, status: 200, kills: 1},
-		{name: "gossiped in time, but not known to be all", read: 2 * time.Second, started: time.Second, from: 7, list: cancelled, silent: true, status: 200, kills: 1},
+		{name: "the state service answers", read: time.Second, silent: true, status: 200},
+		{name: "no answer of the state service for long, and one controller is silent", read: 19 * time.Second, started: time.Hour, silent: true, status: 503},
+		{name: "no answer of the state service, but digests of all controllers", read: time.Hour, started: 2 * time.Hour, status: 200},
+		{name: "a digest that was delayed", read: time.Hour, sent: 19 * time.Second, started: 2 * time.Hour, status: 503},
+		{name: "a digest that was delayed, but not for long", read: time.Hour, sent: 15 * time.Second, started: 2 * time.Hour, status: 200},
+		{name: "the same delay, with a large clock error", read: time.Hour, clocks: 2000, sent: 15 * time.Second, started: 2 * time.Hour, status: 503},
+		{name: "a digest of a process that started after the cache was current", read: time.Hour, started: time.Minute, status: 503},
+		{name: "a digest whose list begins after the cache's revision", read: time.Hour, started: 2 * time.Hour, from: 7, status: 503},
+		{name: "a digest that lists a cancellation missing from the cache", read: time.Hour, started: 2 * time.Hour, from: 4, list: cancelled, status: 200, kills: 1},
+		{name: "a listed cancellation in a digest that is not complete", read: 2 * time.Second, started: time.Second, from: 7, list: cancelled, silent: true, status: 200, kills: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			controller := newCore(t) // lease 10 s, cancellations 30 s; its cache is at 4
+			controller := newCore(t) // lease_s 10, cancel_s 30; the cache is at revision 4
 			controller.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
 			controller.cfg.Deployment.ClockSkewMs = test.clocks
 			machine := controller.cache.Machine("m")
@@ -70,7 +71,8 @@
 	}
 }
 
-// A list of cancellations never claims more than it holds: whatever order the records come in, and however many.
+// A cancellation list never claims to be complete for a version that it dropped, whatever the order and
+// number of the records.
 func TestEndedListsAreWhole(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -78,10 +80,10 @@
 		from     uint64
 		listed   int
 	}{
-		{"in any order, some twice", []uint64{5, 3, 9, 3, 4}, 0, 4},
-		{"too many: the earliest fall out", sequence(protocol.MaxCancellations + 3), 3, protocol.MaxCancellations},
-		{"those of one record fall out together", append([]uint64{1, 1, 1}, sequence(protocol.MaxCancellations)[1:]...), 1, protocol.MaxCancellations - 1},
-		{"one that comes late, from before the list", append(sequence(protocol.MaxCancellations+3), 2), 3, protocol.MaxCancellations},
+		{"out of order, with duplicates", []uint64{5, 3, 9, 3, 4}, 0, 4},
+		{"too many: the earliest are removed", sequence(protocol.MaxCancellations + 3), 3, protocol.MaxCancellations},
+		{"cancellations with the same version are removed together", append([]uint64{1, 1, 1}, sequence(protocol.MaxCancellations)[1:]...), 1, protocol.MaxCancellations - 1},
+		{"a late one with a version below the list's start", append(sequence(protocol.MaxCancellations+3), 2), 3, protocol.MaxCancellations},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var recorded cancellationList
@@ -93,18 +95,18 @@
 				recorded.add(v, job)
 			}
 			if recorded.from != test.from || len(recorded.list) != test.listed {
-				t.Errorf("%d listed from %d on, want %d from %d", len(recorded.list), recorded.from, test.listed, test.from)
+				t.Errorf("%d cancellations listed above version %d, want %d above %d", len(recorded.list), recorded.from, test.listed, test.from)
 			}
 			for i := 1; i < len(recorded.list); i++ {
 				if recorded.list[i].Version < recorded.list[i-1].Version {
-					t.Error("not in order")
+					t.Error("list is not ordered by version")
 				}
 			}
 		})
 	}
 }
 
-// sequence is the numbers from 1 to n.
+// sequence returns the numbers from 1 to n.
 func sequence(n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
@@ -113,8 +115,9 @@
 	return out
 }
 
-// Digests go only to controllers whose record says that they read them, and only with what those have not read:
-// a controller of the version before would close the connection at the first.
+// Digests are sent only to controllers whose member record says that they read them, and list only
+// cancellations that the receiver has not read. A controller of an earlier version would close the
+// connection when it receives one.
 func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
 	controller := newCore(t)
 	controller.cancellations.digest.recorded.add(6, "job-000006")
@@ -124,32 +127,32 @@
 	controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	controller.publish(time.Now())
 	if w, ok := controller.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
-		t.Errorf("to one that has read up to 7: %+v, %v", w, ok)
+		t.Errorf("digest to a member that has read up to revision 7: %+v, %v; want only version 8", w, ok)
 	}
 	for _, member := range []string{"n2", "n3"} {
 		if _, ok := controller.CancellationDigest(member); ok {
-			t.Errorf("a digest to %s, which does not say that it reads any", member)
+			t.Errorf("a digest for %s, whose record does not say that it reads digests", member)
 		}
 	}
 	controller.Frames = 0
 	controller.publish(time.Now())
 	if _, ok := controller.CancellationDigest("n1"); ok {
-		t.Error("a digest of a controller that knows none")
+		t.Error("a digest from a controller whose frame level has no digests")
 	}
 }
 
-// A watch's answer may be held up on its way for as long as its caller waits: it shows what was committed
-// until it was sent, no later.
+// The answer of a watch request may be delayed for as long as its caller waits. It proves the cache
+// current only up to the time at which the request was sent.
 func TestWatchCountsFromWhenItWasSent(t *testing.T) {
 	c := newCore(t)
 	c.cfg.Known = []config.Peer{{MemberName: "n1"}}
 	now := time.Now()
 	c.onEvents(protocol.Events{Revision: 5}, now.Add(-19*time.Second))
 	if c.mayRenewLeases(now) {
-		t.Error("what was asked for 19 s ago counts as read now")
+		t.Error("leases may be renewed after the answer of a watch request sent 19 s ago")
 	}
 	c.onEvents(protocol.Events{Revision: 5}, now.Add(-time.Second))
 	if !c.mayRenewLeases(now) {
-		t.Error("what was asked for a second ago does not count")
+		t.Error("leases may not be renewed after the answer of a watch request sent 1 s ago")
 	}
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -9,19 +9,19 @@
 	"dykeledge/internal/storage"
 )
 
-// testFailure is that a machine failed a task of a job; a machine from pauseFrom on stands for the
-// one as many below it, after the job's backoff.
+// testFailure is the failure of a task of a job on a machine. A machine number from pauseFrom on means
+// the machine with that number less pauseFrom, after the job's backoff has passed.
 type testFailure struct{ machine, job int }
 
 const pauseFrom = 10
 
-// verdict is which jobs are suspect and which machines unhealthy.
+// verdict lists the suspect jobs and the unhealthy machines.
 type verdict struct {
 	suspect, unhealthy []int
 }
 
-// A job with a mistake had whole arrays started again and again, and good machines
-// given up for it: the two kinds of failure are told apart by where else they show.
+// Guards against a faulty job being taken for faulty machines: its whole arrays were started again and
+// again, and healthy machines were returned. The two kinds of fault differ in where else tasks fail.
 func TestWhoseFault(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -29,17 +29,17 @@
 		fails []testFailure
 		want  verdict
 	}{
-		{"a mistaken job on good machines", nil, []testFailure{{0, 0}, {1, 0}, {2, 0}, {0, 0}, {1, 0}}, verdict{[]int{0}, nil}},
-		{"good jobs on an unhealthy machine", nil, []testFailure{{0, 0}, {0, 1}, {0, 2}}, verdict{nil, []int{0}}},
-		{"a good job that completes elsewhere, on an unhealthy machine", []int{0}, []testFailure{{0, 0}, {0, 0}}, verdict{nil, []int{0}}},
-		{"one failure tells nothing", []int{0}, []testFailure{{0, 0}}, verdict{nil, nil}},
-		{"a job that has one machine only, which fails it each time", nil,
+		{"a faulty job on healthy machines", nil, []testFailure{{0, 0}, {1, 0}, {2, 0}, {0, 0}, {1, 0}}, verdict{[]int{0}, nil}},
+		{"sound jobs on an unhealthy machine", nil, []testFailure{{0, 0}, {0, 1}, {0, 2}}, verdict{nil, []int{0}}},
+		{"a job that completes elsewhere, on an unhealthy machine", []int{0}, []testFailure{{0, 0}, {0, 0}}, verdict{nil, []int{0}}},
+		{"one failure proves nothing", []int{0}, []testFailure{{0, 0}}, verdict{nil, nil}},
+		{"a job that has only one machine, on which it fails each time", nil,
 			[]testFailure{{0, 0}, {0, 0}, {0, 0}, {10, 0}, {10, 0}, {10, 0}, {10, 0}}, verdict{nil, []int{0}}},
-		{"a small job that fails at once on one machine", nil, []testFailure{{0, 0}, {0, 0}, {0, 0}, {0, 0}, {0, 0}, {0, 0}}, verdict{nil, nil}},
-		{"two mistaken jobs on the same good machines", nil,
+		{"a small job whose tasks fail together on one machine", nil, []testFailure{{0, 0}, {0, 0}, {0, 0}, {0, 0}, {0, 0}, {0, 0}}, verdict{nil, nil}},
+		{"two faulty jobs on the same healthy machines", nil,
 			[]testFailure{{0, 0}, {0, 1}, {1, 0}, {1, 1}, {2, 0}, {2, 1}}, verdict{[]int{0, 1}, nil}},
-		{"an unhealthy machine while a mistaken job runs", []int{1}, []testFailure{{0, 0}, {1, 0}, {2, 0}, {3, 0}, {0, 1}, {0, 1}}, verdict{[]int{0}, []int{0}}},
-		{"a job on two unhealthy machines and another", []int{1, 2},
+		{"an unhealthy machine while a faulty job runs", []int{1}, []testFailure{{0, 0}, {1, 0}, {2, 0}, {3, 0}, {0, 1}, {0, 1}}, verdict{[]int{0}, []int{0}}},
+		{"a job that has failed only on two unhealthy machines", []int{1, 2},
 			[]testFailure{{0, 1}, {0, 2}, {1, 1}, {1, 2}, {0, 0}, {1, 0}}, verdict{nil, []int{0, 1}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 				machine := controller.cache.Machine(fmt.Sprint("x", i))
 				worker := controller.workerState(machine)
 				if controller.judgeHealth(machine, worker, start); worker.unhealthy {
-					t.Errorf("machine %d is judged before its failures have settled", i)
+					t.Errorf("machine %d is marked unhealthy before failureSettles has passed since its failures", i)
 				}
 				if controller.judgeHealth(machine, worker, now.Add(2*failureSettles)); worker.unhealthy {
 					got.unhealthy = append(got.unhealthy, i)
@@ -67,7 +67,7 @@
 				}
 				got.suspect = append(got.suspect, i)
 				if n := controller.wantedTasks(job); n != 1 {
-					t.Errorf("%d tasks of a suspect job are worth capacity, want one", n)
+					t.Errorf("%d tasks of a suspect job should get capacity, want 1", n)
 				}
 			}
 			if fmt.Sprint(got) != fmt.Sprint(test.want) {
@@ -80,7 +80,8 @@
 
 const failingMachines = 4
 
-// putFailingJobs has a controller read the machines and three jobs, which it returns.
+// putFailingJobs applies the records of the machines and of three jobs to a controller's cache, and
+// returns the jobs.
 func putFailingJobs(t *testing.T, controller *Controller) []*storage.Job {
 	t.Helper()
 	fleet := storage.FleetRecord{Type: "t", Zone: "a"}
@@ -102,7 +103,7 @@
 	return jobs
 }
 
-// noteFailures has a controller take in failures in their order, and returns the time after the last one.
+// noteFailures reports failures to a controller in their order, and returns the time of the last one.
 func noteFailures(c *Controller, jobs []*storage.Job, failures []testFailure, now time.Time) time.Time {
 	for i, failure := range failures {
 		if failure.machine >= pauseFrom {
@@ -116,8 +117,8 @@
 	return now
 }
 
-// checkSuspectsRecorded: the next owner and the leader know suspect jobs from their records, and one
-// that completes a task after all is cleared.
+// checkSuspectsRecorded checks that suspect jobs are marked in their records, which the next owner and
+// the leader read, and that a job which completes a task is no longer suspect.
 func checkSuspectsRecorded(t *testing.T, controller *Controller, jobs []*storage.Job, suspects int) {
 	t.Helper()
 	planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
@@ -128,7 +129,7 @@
 	for _, job := range jobs {
 		job.Suspect, job.DoneCount = true, 1
 		if controller.suspect(job) {
-			t.Errorf("%s has completed a task and is suspect still", job.ID)
+			t.Errorf("%s has completed a task and is still suspect", job.ID)
 		}
 	}
 }
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -7,8 +7,8 @@
 	"dykeledge/internal/config"
 )
 
-// An objective on starting work within a guarantee was read as the tightest one on
-// finishing, so that idle machines were kept, and paid, for ten minutes.
+// Guards against an objective on starting a guarantee's work being used as the tightest objective on
+// finishing: idle machines were then kept, and paid for, for ten minutes.
 func TestTightestIsOfFinishing(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -18,21 +18,21 @@
 	}{
 		{"none", nil, 0, false},
 		{"finishing", []config.Objective{{Kind: "finished", Class: "c", WithinS: 150}, {Kind: "finished", Class: "d", WithinS: 90}}, 90, false},
-		{"a guarantee's start is no finish", []config.Objective{{Kind: "finished", Class: "c", WithinS: 150}, {Kind: "guarantee", WithinS: 5}}, 150, true},
-		{"deadlines come with the jobs", []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}, 0, false},
+		{"an objective on a guarantee's start is not one on finishing", []config.Objective{{Kind: "finished", Class: "c", WithinS: 150}, {Kind: "guarantee", WithinS: 5}}, 150, true},
+		{"deadlines belong to jobs and are no finishing objective", []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
 			c.cfg.Deployment.Objectives = test.objectives
 			if got, timed := c.tightestFinishObjective(), c.guaranteesTimed(); got != test.want || timed != test.timed {
-				t.Errorf("%v, timed %v; want %v, %v", got, timed, test.want, test.timed)
+				t.Errorf("tightest finish objective %v s, guarantees timed %v; want %v s, %v", got, timed, test.want, test.timed)
 			}
 		})
 	}
 }
 
-// TestGroupAllocator: new machines fill the groups of their shard, spot and on-demand apart. The
-// steps go on from one another.
+// TestGroupAllocator checks that new machines fill the groups of their shard, and that spot and
+// on-demand machines get separate groups. Each step continues from the state after the one before.
 func TestGroupAllocator(t *testing.T) {
 	controller := newCore(t) // group 0 of shard 0 holds one on-demand machine
 	allocator := newGroupAllocator(controller.cache, 3)
--- a/internal/controller/machine_supervision_test.go
+++ b/internal/controller/machine_supervision_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// The wait for a machine that does not come up began again with each new owner, so
-// some were waited for, and paid, all day.
+// Guards against the wait for a machine that does not come up starting again with each new owner: some
+// machines were then waited for, and paid for, all day.
 func TestBootPatience(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
 		name          string
-		rented, known time.Duration // ago; rented 0: not on record
-		lastUp        time.Duration // when the latest that is up was rented, ago; 0: none is
+		rented, known time.Duration // time since it was provisioned (0: not in its record), and since its owner has tracked it
+		lastUp        time.Duration // time since the latest machine that is up was provisioned; 0: none is up
 		up            bool
 		gone          bool
 	}{
-		{"its owner is new", 90 * time.Second, time.Second, 60 * time.Second, false, true},
-		{"in time still", 40 * time.Second, 40 * time.Second, 30 * time.Second, false, false},
-		{"an older record", 0, 90 * time.Second, time.Second, false, true},
+		{"overdue, with a new owner", 90 * time.Second, time.Second, 60 * time.Second, false, true},
+		{"not overdue yet", 40 * time.Second, 40 * time.Second, 30 * time.Second, false, false},
+		{"a record without the time of provisioning", 0, 90 * time.Second, time.Second, false, true},
 		{"it is up", 90 * time.Second, time.Second, 60 * time.Second, true, false},
-		{"none is up: all are late together", 90 * time.Second, 90 * time.Second, 0, false, false},
-		{"only earlier ones are up", 90 * time.Second, 90 * time.Second, 200 * time.Second, false, false},
-		{"late beyond all patience", 140 * time.Second, 90 * time.Second, 0, false, true},
+		{"no machine of the type is up: all are late together", 90 * time.Second, 90 * time.Second, 0, false, false},
+		{"only machines provisioned earlier are up", 90 * time.Second, 90 * time.Second, 200 * time.Second, false, false},
+		{"overdue beyond the limit for all machines", 140 * time.Second, 90 * time.Second, 0, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
@@ -40,7 +40,7 @@
 				last = now.Add(-test.lastUp).Unix()
 			}
 			if got := controller.neverCame(machine, last, now); got != test.gone {
-				t.Errorf("given up %v, want %v", got, test.gone)
+				t.Errorf("never came up: %v, want %v", got, test.gone)
 			}
 		})
 	}
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -9,7 +9,7 @@
 	"dykeledge/internal/storage"
 )
 
-// putStore takes whatever is put.
+// putStore is a state service that accepts every transaction and passes its changes to puts.
 type putStore struct {
 	StateStore
 	puts chan protocol.Change
@@ -24,22 +24,23 @@
 	return 50, nil, nil
 }
 
-// A transaction of the process before was applied late: the record said what that had been,
-// and vanished with its session lease. The controller lived on as no member, and the gate never opened.
+// Guards against a late transaction of the previous process replacing the member record: the record
+// was then deleted with that process's session lease, the running controller was no longer a member,
+// and the layout gate never opened.
 func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
 	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesCancellationDigest}
 	for _, test := range []struct {
 		name string
 		rec  *storage.MemberRecord
-		read uint64 // how far the cache is; the record was written at 40
+		read uint64 // the cache's revision; the record was written at revision 40
 		want bool
 	}{
 		{"its own", &own, 45, false},
-		{"of the process before", &storage.MemberRecord{Incarnation: 3}, 45, true},
-		{"none", nil, 45, true},
-		{"none yet: the cache has not come so far", nil, 39, false},
-		{"not ready, from an attempt with unknown outcome", &storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, NotReady: true}, 45, true},
-		{"of a later process", &storage.MemberRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
+		{"written by the previous process", &storage.MemberRecord{Incarnation: 3}, 45, true},
+		{"no record", nil, 45, true},
+		{"no record, but the cache has not reached its revision yet", nil, 39, false},
+		{"not ready, from an in-doubt transaction", &storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, NotReady: true}, 45, true},
+		{"written by a later process", &storage.MemberRecord{Incarnation: 9, Layout: storage.LayoutPacked}, 45, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
@@ -51,18 +52,18 @@
 			}
 			controller.repairMemberRecord(t.Context())
 			if controller.session.memberWriteInFlight != test.want {
-				t.Fatalf("written again: %v, want %v", controller.session.memberWriteInFlight, test.want)
+				t.Fatalf("member record written again: %v, want %v", controller.session.memberWriteInFlight, test.want)
 			}
 			if !test.want {
 				return
 			}
 			put := <-store.puts
 			if string(put.Value) != string(storage.Encode(own)) || put.Lease != 11 || put.Put != storage.MemberKey("n0") {
-				t.Errorf("%s: %s under session lease %d", put.Put, put.Value, put.Lease)
+				t.Errorf("wrote %s: %s under session lease %d, want this process's record under lease 11", put.Put, put.Value, put.Lease)
 			}
-			(<-controller.inbox)() // its outcome
+			(<-controller.inbox)() // handles the transaction's outcome
 			if controller.repairMemberRecord(t.Context()); controller.session.memberWriteInFlight {
-				t.Error("it is written again although it was just written")
+				t.Error("member record written again right after a successful write")
 			}
 		})
 	}
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -9,8 +9,8 @@
 	"dykeledge/internal/storage"
 )
 
-// A controller that has read no records answers a worker only where that loses nothing and holds
-// it at no controller that can do nothing for it.
+// A controller that has read no records renews a worker's lease only if no cancelled task can outlast
+// its limit by that, and if the worker is not kept from a controller that has read the records.
 func TestUnverifiedRenewals(t *testing.T) {
 	workers := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
 	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
@@ -19,18 +19,18 @@
 		age   time.Duration
 		tasks []protocol.TaskStatus
 		peer  uint64        // the revision of the other controller's cache
-		heard time.Duration // and how long ago it was heard; below 0: never
-		again time.Duration // since this controller last renewed it; 0: never
+		heard time.Duration // how long ago the other controller was heard; below 0: never
+		again time.Duration // how long ago this controller last renewed the lease; 0: never
 		want  bool
 	}{
 		{name: "just restarted", age: time.Second, tasks: running, want: true},
-		{name: "nothing to lose", age: time.Second},
-		{name: "too old: what was cancelled before must end", age: 19 * time.Second, tasks: running},
-		{name: "another knows the records", age: time.Second, tasks: running, peer: 7},
-		{name: "another knew the records, but is silent: it may have confirmed what nobody stopped", age: 9 * time.Second, tasks: running, peer: 7, heard: 4 * time.Second},
-		{name: "another is silent since this one began", age: time.Second, tasks: running, heard: -1},
+		{name: "a worker without tasks", age: time.Second},
+		{name: "started too long ago: tasks cancelled before must end", age: 19 * time.Second, tasks: running},
+		{name: "another controller has read the records", age: time.Second, tasks: running, peer: 7},
+		{name: "another controller had read the records, but is silent: it may have confirmed a cancellation", age: 9 * time.Second, tasks: running, peer: 7, heard: 4 * time.Second},
+		{name: "another controller has been silent since this one started", age: time.Second, tasks: running, heard: -1},
 		{name: "twice in a row", age: 9 * time.Second, tasks: running, again: 1500 * time.Millisecond},
-		{name: "after a round of the others", age: 9 * time.Second, tasks: running, again: 4 * time.Second, want: true},
+		{name: "again after the worker has tried the other controllers", age: 9 * time.Second, tasks: running, again: 4 * time.Second, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
@@ -49,44 +49,44 @@
 				t.Errorf("renewed: %v, want %v", ok, test.want)
 			}
 			if ok && (a.FencingToken != 41 || len(a.Commands) != 0) {
-				t.Errorf("token %d and %d commands, want the worker's own token and none", a.FencingToken, len(a.Commands))
+				t.Errorf("answered with token %d and %d commands, want the worker's own token 41 and none", a.FencingToken, len(a.Commands))
 			}
 		})
 	}
-	// As long as a lease may last on, the last renewal ends within cancel_s of what no controller
-	// could know: for the deployments' times.
+	// With the deployments' settings, the last lease that is renewed without a cancellation expires
+	// within cancel_s of that cancellation.
 	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
 		if end := unverifiedRenewalWindow(w) + seconds(2*w.LeaseS); end > seconds(w.CancelS) {
-			t.Errorf("%+v: a lease may end %v after a cancellation", w, end)
+			t.Errorf("%+v: a lease renewed without records may expire %v after a cancellation", w, end)
 		}
 		if end := maxKnowledgeAge(w) + seconds(w.LeaseS); end > seconds(w.CancelS) {
-			t.Errorf("%+v: a lease renewed as proxy may end %v after a cancellation", w, end)
+			t.Errorf("%+v: a lease renewed as proxy may expire %v after a cancellation", w, end)
 		}
 	}
 }
 
-// A worker is kept alive for an owner that has ended or falls silent in an outage, by a controller
-// whose records are not too old for it.
+// A controller renews a worker's lease as a proxy if the machine's owner has ended or is silent in an
+// outage, and if its own cache is recent enough.
 func TestProxyRenewals(t *testing.T) {
-	const restarted = -time.Second // the owner's name is heard, from a process that has read nothing
+	const restarted = -time.Second // the owner was restarted: its peer heartbeats have no revision
 	for _, test := range []struct {
 		name   string
-		member uint64        // the owner's incarnation as a member; its shard names 3
-		served time.Duration // the state service answered this controller so long ago
-		heard  time.Duration // and the owner was heard
-		read   time.Duration // and the cache was brought up to date
+		member uint64        // the owner's incarnation in its member record; the shard's record has 3
+		served time.Duration // time since the state service last answered this controller
+		heard  time.Duration // time since the owner was last heard
+		read   time.Duration // age of the cache
 		want   bool
 	}{
-		{"it lives", 3, 0, 0, 0, false},
-		{"it has ended, and nobody has its shard yet", 0, 0, 9 * time.Second, 0, true},
-		{"it has restarted", 4, 0, 0, 0, true},
-		{"an outage, but it is heard", 3, 5 * time.Second, 0, 5 * time.Second, false},
-		{"an outage, and it is silent", 3, 5 * time.Second, 5 * time.Second, 5 * time.Second, true},
-		{"for too long", 3, 19 * time.Second, 19 * time.Second, 19 * time.Second, false},
-		{"an outage, and its successor is heard, which has read nothing", 3, 5 * time.Second, restarted, 5 * time.Second, true},
+		{"the owner lives", 3, 0, 0, 0, false},
+		{"the owner has ended, and its shard has no new owner yet", 0, 0, 9 * time.Second, 0, true},
+		{"the owner has restarted", 4, 0, 0, 0, true},
+		{"an outage, but the owner is heard", 3, 5 * time.Second, 0, 5 * time.Second, false},
+		{"an outage, and the owner is silent", 3, 5 * time.Second, 5 * time.Second, 5 * time.Second, true},
+		{"an outage that has lasted too long", 3, 19 * time.Second, 19 * time.Second, 19 * time.Second, false},
+		{"an outage, and the restarted owner is heard, which has read no records", 3, 5 * time.Second, restarted, 5 * time.Second, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			controller := newCore(t) // lease 10 s, cancellations 30 s
+			controller := newCore(t) // lease_s 10, cancel_s 30
 			now := time.Now()
 			controller.cache.Shards[0].Member, controller.cache.Shards[0].Incarnation = "n1", 3
 			if test.member > 0 {
@@ -104,9 +104,9 @@
 	}
 }
 
-// A shard's new owner had shown its token to a worker, and then the machine's group moved to another
-// shard under a token that was worked out before. Nobody could command the worker any more: its
-// heartbeats were refused, what the record placed there stayed placed, and its job ran for ever.
+// Guards against a machine that no controller can command: a shard's new owner had sent its fencing
+// token to a worker, and then the machine's group moved to another shard under a token computed before.
+// The worker's heartbeats were refused, its tasks stayed in the record, and their job never ended.
 func TestFencingTokenBelowTheWorkersIsRaised(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -115,9 +115,9 @@
 		raised bool
 	}{
 		{"equal", 4, 200, false},
-		{"lower: it has not seen the present one", 3, 200, false},
+		{"lower: the worker has not seen the record's token yet", 3, 200, false},
 		{"higher", 9, 421, true},
-		{"higher than any that was committed", 1 << 60, 421, false},
+		{"higher than any committed token", 1 << 60, 421, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
@@ -130,7 +130,7 @@
 			}
 			b, _ := c.plan(time.Now(), 12)
 			if r := machineIn(t, b); (r.FencingToken > test.token) != test.raised {
-				t.Errorf("the record's token is %d, the worker's %d", r.FencingToken, test.token)
+				t.Errorf("the record's token is %d and the worker's %d; whether it is raised is not as wanted", r.FencingToken, test.token)
 			}
 		})
 	}
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -14,14 +14,14 @@
 	"dykeledge/internal/storage"
 )
 
-// slowReader is a state service whose full list never comes to an end.
+// slowReader is a state service that never answers the list of all records.
 type slowReader struct {
 	StateStore
-	layout  int // 0: no record of it
-	catalog bool
-	down    bool
-	taken   bool // the job exists already
-	puts    []string
+	layout  int      // version in the layout record; 0: there is none
+	catalog bool     // whether the catalog record exists
+	down    bool     // whether every request is refused
+	taken   bool     // whether transactions fail because the job exists already
+	puts    []string // keys of the committed changes
 }
 
 func (s *slowReader) List(ctx context.Context, prefix, _ string, _ int) (protocol.Page, error) {
@@ -61,7 +61,7 @@
 }
 func (*slowReader) Revision(context.Context) (uint64, error) { return 0, protocol.ErrRefused }
 
-// noCloud is a cloud that does not answer, or one that has a catalog.
+// noCloud is a cloud that answers no request, or only the one for its catalog.
 type noCloud struct {
 	Cloud
 	catalog bool
@@ -74,7 +74,7 @@
 	return &protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}}, nil
 }
 
-// submissionBody is the body of a small job's submission that awaits others.
+// submissionBody returns the body of a submission of a small job with the given dependencies.
 func submissionBody(t *testing.T, awaits []string) []byte {
 	t.Helper()
 	raw, err := json.Marshal(map[string]any{"id": "job-000007", "jobclass": "c", "crew": "red", "shape": "batch", "urgency": "normal",
@@ -86,27 +86,28 @@
 	return raw
 }
 
-// After an end of all controllers each read every record before it took a submission, seconds
-// with 1235 machines, although accepting a job takes none of them.
+// Guards against restarted controllers refusing submissions until they have read every record: after
+// an end of all controllers that took seconds with 1235 machines, although accepting a job needs only
+// the layout and the catalog.
 func TestRestartedControllerAcceptsBeforeItHasReadAll(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		store  slowReader
 		cloud  bool
 		awaits []string
-		served bool // another controller says that the state service serves it
+		served bool // another controller's peer heartbeat says that the state service answers it
 		ready  bool
 		status int
 	}{
-		{name: "the gate is open and the catalog recorded", store: slowReader{layout: storage.LayoutPacked, catalog: true}, ready: true, status: 201},
+		{name: "the layout gate is open and the catalog is recorded", store: slowReader{layout: storage.LayoutPacked, catalog: true}, ready: true, status: 201},
 		{name: "the catalog comes from the cloud", store: slowReader{layout: storage.LayoutPacked}, cloud: true, ready: true, status: 201},
 		{name: "no machine type is known", store: slowReader{layout: storage.LayoutPacked}, status: 503},
-		{name: "the gate is closed: the records may be of a layout before", store: slowReader{layout: storage.LayoutPlain, catalog: true}, status: 503},
-		{name: "no gate yet", store: slowReader{catalog: true}, status: 503},
-		{name: "the id is taken", store: slowReader{layout: storage.LayoutPacked, catalog: true, taken: true}, ready: true, status: 503},
-		{name: "it awaits another", store: slowReader{layout: storage.LayoutPacked, catalog: true}, awaits: []string{"job-000001"}, ready: true, status: 503},
+		{name: "the layout gate is closed: the records may be of an earlier layout", store: slowReader{layout: storage.LayoutPlain, catalog: true}, status: 503},
+		{name: "no layout record yet", store: slowReader{catalog: true}, status: 503},
+		{name: "the job ID is taken", store: slowReader{layout: storage.LayoutPacked, catalog: true, taken: true}, ready: true, status: 503},
+		{name: "the job has a dependency", store: slowReader{layout: storage.LayoutPacked, catalog: true}, awaits: []string{"job-000001"}, ready: true, status: 503},
 		{name: "an outage", store: slowReader{down: true}, cloud: true, ready: true, status: 503},
-		{name: "refused alone", store: slowReader{down: true}, cloud: true, served: true, status: 503},
+		{name: "the state service refuses only this controller", store: slowReader{down: true}, cloud: true, served: true, status: 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -128,11 +129,11 @@
 					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, test.status)
 				}
 				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (test.status == 201) {
-					t.Errorf("committed: %v", committed)
+					t.Errorf("job record committed: %v, want the opposite", committed)
 				}
-				// It answers nothing about what it has not read.
+				// Queries about records that have not been read are refused.
 				if a := controller.Query(ctx, "job-000001"); a.Status != 503 {
-					t.Errorf("a poll: %d, want 503", a.Status)
+					t.Errorf("query of a job: %d, want 503", a.Status)
 				}
 				cancel()
 				synctest.Wait()
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -11,8 +11,8 @@
 	"dykeledge/internal/storage"
 )
 
-// A controller that had stalled found all others silent: it gave up its shards, or
-// returned machines, although it was the one that had not listened.
+// Guards against a controller that has stalled taking all others for silent: it gave up its shards, or
+// returned machines, although only it had not handled messages.
 func TestStallIsDetected(t *testing.T) {
 	controller := newCore(t)
 	controller.session.lease = 1
@@ -24,36 +24,36 @@
 	start := time.Now()
 	resumed := start.Add(9 * time.Second)
 	controller.session.leaseRenewedAt, controller.storeHealth.servedAt, controller.shards.takenOverAt = start, start, start.Add(-time.Minute)
-	controller.reachability.disconnected["n1"] = resumed.Add(-2 * time.Second) // its deadline passed meanwhile
+	controller.reachability.disconnected["n1"] = resumed.Add(-2 * time.Second) // the connection's deadline passed during the stall
 	worker.heard, worker.since, controller.workers.anyHeardAt = start, start.Add(-time.Minute), start
 	look := func(now time.Time) (silent, lost, isolated bool) {
 		controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
 		return controller.silenceOf(worker.heard, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
 	if silent, lost, isolated := look(resumed); !silent || !lost || !isolated {
-		t.Fatalf("without noticing: silent %v, lost %v, isolated %v: the case proves nothing", silent, lost, isolated)
+		t.Fatalf("before the stall is detected: silent %v, lost %v, isolated %v; want all, otherwise the test proves nothing", silent, lost, isolated)
 	}
 	controller.detectStall(start)
 	controller.detectStall(start.Add(controller.timing.Tick))
 	if !controller.reachability.resumedAt.IsZero() {
-		t.Fatal("a tick in time is no stall")
+		t.Fatal("a tick in time was detected as a stall")
 	}
 	if !controller.leaseCertain(start.Add(time.Second)) || controller.leaseCertain(resumed) {
-		t.Error("a session lease lasts as long as it was last renewed for")
+		t.Error("the session lease must be certain 1 s after its renewal, and uncertain after the stall")
 	}
 	controller.detectStall(resumed)
 	if silent, lost, isolated := look(resumed); silent || lost || isolated {
-		t.Errorf("after noticing: silent %v, lost %v, isolated %v", silent, lost, isolated)
+		t.Errorf("after the stall is detected: silent %v, lost %v, isolated %v; want none", silent, lost, isolated)
 	}
 	if silent, _, _ := look(resumed.Add(5 * time.Second)); !silent {
-		t.Error("silence counts again from when it resumed")
+		t.Error("silence after the stall is not counted")
 	}
 	if !controller.reachability.stalledSince(start) || controller.reachability.stalledSince(resumed) {
-		t.Error("what began before the stall was stalled through, what begins after was not")
+		t.Error("stalledSince must hold for a time before the stall, and not for one after it")
 	}
 }
 
-// scaleOutCounter is a cloud that counts what is asked of it.
+// scaleOutCounter is a cloud that refuses every request and passes its name to asked.
 type scaleOutCounter struct {
 	Cloud
 	asked chan string
@@ -69,7 +69,8 @@
 	return protocol.MachineList{}, errors.New("none")
 }
 
-// A leader that resumes from a stall may lead no more: it must not rent beside its successor.
+// A leader that resumes from a stall may no longer be the leader: it must not scale out at the same time
+// as its successor.
 func TestNoScaleOutWithAnUncertainLease(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -90,31 +91,31 @@
 				<-asked
 			}
 			if got != test.want {
-				t.Errorf("the cloud was asked: %v, want %v", got, test.want)
+				t.Errorf("requests sent to the cloud: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A controller that the state service alone refused kept its shards until its session lease ran out,
-// although it knew, and could tell, at once.
+// Guards against a controller that only the state service refuses keeping its shards until its session
+// lease expires, although its peer heartbeats can report the refusal at once.
 func TestDeniedMembersAreLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name    string
-		refused time.Duration // says so since
-		heard   time.Duration
-		served  bool
+		refused time.Duration // time since the member first reported that it is refused
+		heard   time.Duration // time since its last peer heartbeat
+		served  bool          // whether the state service answers this controller
 		want    bool
 	}{
-		{"for a while, and this controller is served", 2 * time.Second, 0, true, true},
-		{"just now", 500 * time.Millisecond, 0, true, false},
-		{"in an outage nobody is served", 2 * time.Second, 0, false, false},
-		{"not heard any more: that is another matter", 9 * time.Second, 5 * time.Second, true, false},
+		{"refused for a while, and this controller is not", 2 * time.Second, 0, true, true},
+		{"refused just now", 500 * time.Millisecond, 0, true, false},
+		{"an outage for all", 2 * time.Second, 0, false, false},
+		{"no longer heard, so its report is out of date", 9 * time.Second, 5 * time.Second, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
-			c.reachability.resumedAt = now.Add(-time.Second) // what it says itself counts even then
+			c.reachability.resumedAt = now.Add(-time.Second) // a member's own report counts even right after a stall
 			c.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-test.heard), now.Add(-test.refused)}
 			if c.storeHealth.servedAt = now; !test.served {
 				c.storeHealth.servedAt = now.Add(-time.Minute)
@@ -126,27 +127,27 @@
 	}
 }
 
-// Controllers that did not hear each other, although both lived, took leadership and the
-// shards from one another eight times a second for the rest of the day.
+// Guards against two controllers that are both alive, but receive nothing from each other, taking
+// leadership and shards from one another: they did so eight times a second for the rest of the day.
 func TestLostIsAHintWithAnEnd(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	cases := []struct {
 		name    string
-		members int // living by the state service, this one included
-		lost    map[string]time.Time
+		members int                  // number of member records, this controller's included
+		lost    map[string]time.Time // by member: when its connection ended
 		want    bool
 	}{
-		{"not lost", 3, nil, false},
-		{"just now: it may come back", 3, map[string]time.Time{"n1": ago(time.Second)}, false},
-		{"for a while", 3, map[string]time.Time{"n1": ago(2 * time.Second)}, true},
-		{"longer than its session lease: it lives", 3, map[string]time.Time{"n1": ago(20 * time.Second)}, false},
-		{"with half of the others", 5, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
-		{"with most others: a filter, or this controller is isolated", 5, map[string]time.Time{"n1": ago(2 * time.Second),
+		{"connected", 3, nil, false},
+		{"disconnected just now: it may reconnect", 3, map[string]time.Time{"n1": ago(time.Second)}, false},
+		{"disconnected for a while", 3, map[string]time.Time{"n1": ago(2 * time.Second)}, true},
+		{"disconnected for longer than its session lease: it is alive", 3, map[string]time.Time{"n1": ago(20 * time.Second)}, false},
+		{"disconnected together with half of the others", 5, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
+		{"disconnected together with most others: the network filters traffic, or this controller is isolated", 5, map[string]time.Time{"n1": ago(2 * time.Second),
 			"n2": ago(2 * time.Second), "n3": ago(2 * time.Second), "n4": ago(2 * time.Second)}, false},
-		{"others were lost long ago", 4, map[string]time.Time{"n1": ago(2 * time.Second),
+		{"others were disconnected long ago", 4, map[string]time.Time{"n1": ago(2 * time.Second),
 			"n2": ago(time.Minute), "n3": ago(time.Minute)}, true},
-		{"both others of three: two crashes are as likely", 3, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
+		{"both others of three members: two crashes are as likely", 3, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -169,8 +170,9 @@
 	return 0, nil, protocol.ErrRefused
 }
 
-// A controller cut off from its workers kept its shards for 6.5 s where heartbeats are due every
-// 2.5 s, although a hundred workers had been silent for longer than any may be.
+// Guards against a controller that is cut off from its workers keeping its shards for too long: with
+// heartbeats due every 2.5 s it kept them for 6.5 s, although a hundred workers had been silent for
+// longer than any single one may be.
 func TestManySilentWorkersTellSooner(t *testing.T) {
 	for _, test := range []struct {
 		machines int
@@ -202,7 +204,8 @@
 	}
 }
 
-// stallingStore lets its controller stall while it reads the revision.
+// stallingStore is a state service that runs meanwhile during a read of the revision, in which the
+// controller can stall.
 type stallingStore struct {
 	StateStore
 	meanwhile func()
@@ -213,7 +216,8 @@
 	return 1, nil
 }
 
-// What a controller stalled through may be older than what others have told the user since.
+// An answer computed before a stall may be older than answers that other controllers have given the
+// user since.
 func TestAnswersSleptOverAreRefused(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -222,9 +226,9 @@
 		status int
 	}{
 		{"an open job", false, "job-000001", 200},
-		{"an open job, stalled through", true, "job-000001", 503},
+		{"an open job, after a stall during the query", true, "job-000001", 503},
 		{"an unknown job", false, "job-000009", 404},
-		{"an unknown job, stalled through", true, "job-000009", 503},
+		{"an unknown job, after a stall during the query", true, "job-000009", 503},
 		{"a final state never changes", true, "job-000002", 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -10,24 +10,24 @@
 	"dykeledge/internal/storage"
 )
 
-// cancelledTaskCondition is what else holds when a cancellation's deadline comes.
+// cancelledTaskCondition is a set of conditions that hold at a cancellation's deadline.
 type cancelledTaskCondition int
 
 const (
-	taskEnded     cancelledTaskCondition = 1 << iota // the worker has shown that the task ended
-	othersMachine                                    // another controller's machine
+	taskEnded     cancelledTaskCondition = 1 << iota // the worker has proved that the task ended
+	othersMachine                                    // another controller owns the machine
 	storeOutage                                      // the state service does not answer
-	timeUnknown                                      // the job's record doesn't say when it was cancelled
-	onlyGossiped                                     // nor is it read: a peer has told
+	timeUnknown                                      // the job's record does not hold the time of its cancellation
+	onlyGossiped                                     // the job's record is not read; the cancellation is from a peer's digest
 )
 
-// has reports whether any of some conditions holds.
+// has reports whether any of the given conditions holds.
 func (c cancelledTaskCondition) has(some cancelledTaskCondition) bool { return c&some != 0 }
 
-// cancelledTaskCore is a core whose machine has a task of a job that was cancelled a while ago.
+// cancelledTaskCore returns a core whose machine has a task of a job that was cancelled age before now.
 func cancelledTaskCore(t *testing.T, is cancelledTaskCondition, age time.Duration, now time.Time) (*Controller, *storage.Machine) {
 	t.Helper()
-	controller := newCore(t) // cancellations 30 s
+	controller := newCore(t) // cancel_s 30
 	machine := controller.cache.Machine("m")
 	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
@@ -53,61 +53,62 @@
 	return controller, machine
 }
 
-// How long a machine with a cancelled job's task may hang counted from its silence, from the takeover or from
-// the beginning of an outage; where owners changed, or the state service flapped, it began again, and the
-// task was there beyond cancel_s. One deadline holds whoever owns the machine, and whatever became of the silence.
+// Guards against limits that begin again: the time for which a machine with a cancelled job's task may
+// hang counted from its silence, from a takeover or from the start of an outage. When owners changed, or
+// the state service was available only now and then, the task outlasted cancel_s. One deadline holds,
+// whichever controller owns the machine.
 func TestWhatWasCancelledHasOneDeadline(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		is    cancelledTaskCondition
-		age   time.Duration // since it was cancelled
-		tried time.Duration // by this process
-		heard time.Duration // any worker was heard so long ago
-		awake time.Duration // this controller resumed from a stall so long ago; 0: it never stalled
+		age   time.Duration // time since the cancellation
+		tried time.Duration // time since this process first tried to terminate the task
+		heard time.Duration // time since any worker was last heard
+		awake time.Duration // time since this controller resumed from a stall; 0: it never stalled
 		want  bool
 	}{
 		{name: "before the deadline", age: 14 * time.Second, tried: 13 * time.Second},
 		{name: "at the deadline", age: 15 * time.Second, tried: 14 * time.Second, want: true},
-		{name: "its owner has just taken it over", age: 16 * time.Second, tried: 3 * time.Second},
-		{name: "its owner took it over a few seconds ago", age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "the owner has just taken the machine over", age: 16 * time.Second, tried: 3 * time.Second},
+		{name: "the owner took the machine over a few seconds ago", age: 16 * time.Second, tried: 5 * time.Second, want: true},
 		{name: "in an outage", is: storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "another's machine", is: othersMachine, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "another's machine in an outage", is: othersMachine | storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "another controller's machine", is: othersMachine, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "another controller's machine in an outage", is: othersMachine | storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
 		{name: "the task has ended", is: taskEnded, age: 20 * time.Second, tried: 19 * time.Second},
-		{name: "this controller hears nobody: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
+		{name: "this controller hears no worker: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
 		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, awake: time.Second},
-		{name: "nobody knows when: it counts from when this process learned of it", is: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
-		{name: "and then it is over as soon", is: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
-		{name: "a peer has gossiped", is: onlyGossiped | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "time of cancellation unknown: age counts from when this process learned of it", is: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
+		{name: "time of cancellation unknown, at the deadline", is: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "cancellation from a peer's digest", is: onlyGossiped | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
 			controller, machine := cancelledTaskCore(t, test.is, test.age, now)
 			controller.workers.anyHeardAt = now.Add(-test.tried)
 			if lost := controller.superviseTerminations(now.Add(-test.tried)); len(lost) > 0 {
-				t.Fatal("returned before anything was tried")
+				t.Fatal("machine returned before any try to terminate the task")
 			}
 			if controller.workers.anyHeardAt = now.Add(-test.heard); test.awake > 0 {
 				controller.reachability.resumedAt = now.Add(-test.awake)
 			}
 			if lost := controller.superviseTerminations(now); (len(lost) > 0) != test.want {
-				t.Errorf("returned %v, want %v", lost, test.want)
+				t.Errorf("machines to return: %v, want any: %v", lost, test.want)
 			}
 			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (test.want && !test.is.has(othersMachine|storeOutage)) && !test.is.has(storeOutage) {
-				t.Error("its owner returns it without saying so, or another one says so")
+				t.Error("the return is not queued as an update by the owner, or is queued by another controller")
 			}
 		})
 	}
-	// What is left of cancel_s is for the cloud: for the deployments' times.
+	// With the deployments' settings, at least 13 s of cancel_s are left for the cloud.
 	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
 		if left := seconds(w.CancelS) - terminationDeadline(w) - terminationPatience; left < 13*time.Second {
-			t.Errorf("%+v: %v are left once a process that began just then has tried", w, left)
+			t.Errorf("%+v: only %v of cancel_s are left after the tries of a process that started at the deadline", w, left)
 		}
 	}
 }
 
-// What an unresponsive machine runs ends with its lease, again and again: it is given nothing, and returned
-// after a while; its replies to direct commands put off neither.
+// The tasks on an unresponsive machine end whenever its worker's lease expires. It must get no further
+// tasks and be returned after a while, and its replies to direct commands must delay neither.
 func TestUnresponsiveMachines(t *testing.T) {
 	for i, test := range []struct {
 		name     string
@@ -115,15 +116,15 @@
 		usable   bool
 		returned bool
 	}{
-		{"it is silent, in a zone that is unreachable: that has its own limits", 21 * time.Second, false, false},
-		{"it still boots: nothing was heard of it", 21 * time.Second, false, false},
-		{"it has sent a heartbeat", time.Second, true, false},
-		{"not for as long as it may take", 4 * time.Second, true, false},
-		{"for half of its lease", 6 * time.Second, false, false},
-		{"its tasks are lost", 21 * time.Second, false, true},
+		{"silent in an unreachable zone, which has its own limits", 21 * time.Second, false, false},
+		{"still booting: its worker was never heard", 21 * time.Second, false, false},
+		{"heartbeat just received", time.Second, true, false},
+		{"no heartbeat, but within the limit", 4 * time.Second, true, false},
+		{"no heartbeat for more than half of its lease", 6 * time.Second, false, false},
+		{"no heartbeat for more than two leases", 21 * time.Second, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			controller := newCore(t) // heartbeats 1 s, leases 10 s
+			controller := newCore(t) // heartbeat_s 1, lease_s 10
 			machine := controller.cache.Machine("m")
 			worker, now := controller.workerState(machine), time.Now()
 			worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-test.silent)
@@ -149,8 +150,8 @@
 	}
 }
 
-// A leadership whose transaction's answer was lost is known from its record: what an earlier leadership of
-// the same process knew must not stay.
+// Guards against state of an earlier leadership of the same process being used in a new one: if the
+// answer to the transaction is lost, leadership begins when its record is read.
 func TestLeadershipBeginsWithItsRecord(t *testing.T) {
 	controller := newCore(t)
 	controller.leader.enrollPending["m9"], controller.leader.requestCount = true, 7
@@ -160,11 +161,11 @@
 	}
 	lead("n0", 8)
 	if controller.leader.enrollPending["m9"] || controller.leader.requestCount != 7 {
-		t.Errorf("enrolling %v, %d scale-out requests: want none of an earlier leadership, and no request's name again", controller.leader.enrollPending, controller.leader.requestCount)
+		t.Errorf("enrollment pending %v, %d scale-out requests: want no enrollment of an earlier leadership, and the count kept at 7", controller.leader.enrollPending, controller.leader.requestCount)
 	}
 	controller.leader.enrollPending["m9"] = true
-	lead("n0", 9) // its key rewritten by itself
+	lead("n0", 9) // the leader rewrote its own record
 	if !controller.leader.enrollPending["m9"] {
-		t.Error("a leadership that goes on began again")
+		t.Error("leader state was reset although leadership went on")
 	}
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -13,7 +13,7 @@
 	"dykeledge/internal/storage"
 )
 
-// answeringZones is a link to workers of which only those in the named zones answer.
+// answeringZones is a worker link that gets answers only from workers in the named zones.
 type answeringZones string
 
 func (z answeringZones) Command(addr string, cmd protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
@@ -24,7 +24,7 @@
 	return nil, 0, errors.New("no answer")
 }
 
-// newZonesCore is a controller that owns some machines in each of three zones, a to c.
+// newZonesCore returns a controller that owns a number of machines in each of three zones, a to c.
 func newZonesCore(t *testing.T, machinesPerZone int) *Controller {
 	t.Helper()
 	controller := newCore(t)
@@ -47,7 +47,7 @@
 	return controller
 }
 
-// superviseFor has a controller supervise zones for a number of ticks, with a step after each.
+// superviseFor runs a controller's zone supervision for a number of ticks, and afterTick after each.
 func superviseFor(c *Controller, ticks int, afterTick func(tick int)) {
 	for tick := range ticks {
 		c.superviseZones(time.Now())
@@ -59,22 +59,23 @@
 	}
 }
 
-// A zone was cut off: machines were provisioned in it, where nobody reached them until the partition ended, and
-// the replicas that ran on there were lost with their machines' return.
+// Guards against two faults while a zone is cut off: machines were provisioned in it although no
+// controller could reach them until the partition ended, and replicas that went on running there were
+// lost when their machines were returned.
 func TestZoneUnreachable(t *testing.T) {
 	for _, test := range []struct {
 		name               string
-		heard              string // zones that answer
-		machines           int
+		heard              string // names of the zones whose workers answer
+		machines           int    // in each zone
 		before             func(controller *Controller, now time.Time)
-		unreachable, lives bool // lives: somebody inside is taken to live
-		emptied            bool // then its machines are gone
+		unreachable, lives bool // zone b is unreachable; a controller inside it counts as alive
+		emptied            bool // whether the zone's machines are gone at the end
 	}{
-		{"one zone is silent, its controller lived", "ac", 4, func(*Controller, time.Time) {}, true, true, false},
+		{"one zone is silent, its controller was alive", "ac", 4, func(*Controller, time.Time) {}, true, true, false},
 		{"its controller's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.reachability.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false, false},
-		{"its controller was no member any more", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Members, "n1") }, true, false, true},
-		{"this process has only just begun", "ac", 4, func(c *Controller, now time.Time) { c.session.startedAt = now }, true, false, false},
-		{"all are silent: the fault is on this side", "", 4, func(*Controller, time.Time) {}, false, false, false},
+		{"its controller was no longer a member", "ac", 4, func(c *Controller, _ time.Time) { delete(c.cache.Members, "n1") }, true, false, true},
+		{"this process has only just started", "ac", 4, func(c *Controller, now time.Time) { c.session.startedAt = now }, true, false, false},
+		{"all zones are silent: the fault is this controller's", "", 4, func(*Controller, time.Time) {}, false, false, false},
 		{"two machines may fall silent together", "ac", 2, func(*Controller, time.Time) {}, false, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -93,14 +94,14 @@
 				})
 				zone, now := core.cache.Zones.Find("b"), time.Now()
 				if core.reachability.zoneUnreachable(zone) != test.unreachable || test.unreachable && core.hasControllerInside(zone) != test.lives {
-					t.Fatalf("unreachable: %v, controller inside: %v", core.reachability.zoneUnreachable(zone), core.hasControllerInside(zone))
+					t.Fatalf("got unreachable: %v, controller inside: %v", core.reachability.zoneUnreachable(zone), core.hasControllerInside(zone))
 				}
 				if test.unreachable && (!core.needsNoReplacement(zone, now) || core.needsNoReplacement(zone, now.Add(time.Minute))) {
-					t.Error("what runs there needs no other capacity for a while, and then it does")
+					t.Error("the zone's tasks must need no replacement capacity at first, and need it a minute later")
 				}
 				checkEmptyZoneIsTriedAgain(t, core, zone, now, test.unreachable, test.emptied)
 				if core.hearZone(zone, now); core.reachability.zoneUnreachable(zone) {
-					t.Error("a zone that is heard is still unreachable")
+					t.Error("a zone is still unreachable after a worker in it was heard")
 				}
 				time.Sleep(2 * probeTimeout)
 			})
@@ -108,8 +109,8 @@
 	}
 }
 
-// checkEmptyZoneIsTriedAgain: in a zone without machines nobody will ever be heard, so it counts as
-// reachable again after a while, and no other zone does.
+// checkEmptyZoneIsTriedAgain checks that an unreachable zone without machines, in which no worker can
+// answer, counts as reachable again after emptyFor, and that a zone with machines does not.
 func checkEmptyZoneIsTriedAgain(t *testing.T, controller *Controller, zone int, now time.Time, unreachable, emptied bool) {
 	t.Helper()
 	for _, machine := range controller.cache.Machines {
@@ -118,12 +119,12 @@
 	for range 2 {
 		controller.superviseZones(now)
 		if controller.reachability.zoneUnreachable(zone) != unreachable {
-			t.Error("a zone is tried again at once")
+			t.Error("the zone's reachability changed before emptyFor has passed")
 		}
 		controller.superviseZones(now.Add(emptyFor - time.Second))
 	}
 	controller.superviseZones(now.Add(emptyFor + time.Second))
 	if got := controller.reachability.zoneUnreachable(zone); got != (unreachable && !emptied) {
-		t.Errorf("unreachable: %v, without machines in it: %v", got, emptied)
+		t.Errorf("unreachable: %v after emptyFor, with all machines gone: %v", got, emptied)
 	}
 }
