--- a/internal/controller/attempt_outcomes.go
+++ b/internal/controller/attempt_outcomes.go
@@ -31,7 +31,7 @@
 			c.logReplicaStart(machine, ref, now)
 		}
 		worker.images = storage.UseImage(worker.images, ref.Job.Image)
-		c.noteSteady(worker, ref.Job, now.Sub(worker.started[ref]))
+		c.noteSteadyReplica(worker, ref.Job, now.Sub(worker.started[ref]))
 	}
 }
 
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -11,7 +11,7 @@
 )
 
 // This file tracks cancellations, and the time up to which this controller has all of them: a
-// controller that renews workers' leases needs that (see cancellationsKnownAt). While the state
+// controller that renews workers' leases needs that (see cancellationsCompleteUntil). While the state
 // service answers, the cache provides it. In an outage, the cancellation digests of all other
 // controllers do: a digest states that its sender has confirmed no cancellation that the receiver
 // does not have. A digest lists the cancellations themselves, so that more than one controller holds
@@ -24,15 +24,15 @@
 	digest       digestState
 	unverified   unverifiedRenewals
 	terminations map[int32]*termination // by index of a machine that has a cancelled job's task
-	// learnedAt holds, by job ID, when this process learned of a cancellation whose record does not
+	// firstSeenAt holds, by job ID, when this process learned of a cancellation whose record does not
 	// hold its time.
-	learnedAt map[string]time.Time
+	firstSeenAt map[string]time.Time
 }
 
 func newCancellationTracker(now time.Time) cancellationTracker {
 	return cancellationTracker{
-		digest:       digestState{gossiped: map[string]uint64{}, vouchedUntil: map[string]time.Time{}},
-		unverified:   unverifiedRenewals{since: now, renewed: map[string]time.Time{}},
+		digest:       digestState{gossiped: map[string]uint64{}, completeUntil: map[string]time.Time{}},
+		unverified:   unverifiedRenewals{since: now, lastRenewals: map[string]time.Time{}},
 		terminations: map[int32]*termination{},
 	}
 }
@@ -82,9 +82,9 @@
 	// gossiped holds, by job ID, cancellations from peers' digests whose records this controller has
 	// not read yet, with the versions of those records.
 	gossiped map[string]uint64
-	// vouchedUntil holds, by member, the time up to which this controller has all cancellations that
+	// completeUntil holds, by member, the time up to which this controller has all cancellations that
 	// the member had confirmed.
-	vouchedUntil map[string]time.Time
+	completeUntil map[string]time.Time
 }
 
 // isGossiped reports whether a peer's digest lists a job as cancelled while this controller's cache
@@ -94,22 +94,22 @@
 	return ok
 }
 
-// learn stores the cancellations of a digest whose records have versions above revision, up to which
-// this controller's cache is current, and reports whether any of them is new.
-func (d *digestState) learn(cancellations []protocol.Cancellation, revision uint64) bool {
-	news := false
+// addGossiped stores the cancellations of a digest whose records have versions above revision, up to
+// which this controller's cache is current, and reports whether any of them is new.
+func (d *digestState) addGossiped(cancellations []protocol.Cancellation, revision uint64) bool {
+	anyNew := false
 	for _, cancellation := range cancellations {
 		if cancellation.Version > revision {
-			news = news || !d.isGossiped(cancellation.Job)
+			anyNew = anyNew || !d.isGossiped(cancellation.Job)
 			d.gossiped[cancellation.Job] = cancellation.Version
 		}
 	}
-	return news
+	return anyNew
 }
 
-// dropRead removes the gossiped cancellations whose records have been read: those with versions up to
-// revision.
-func (d *digestState) dropRead(revision uint64) {
+// dropGossipedUpTo removes the gossiped cancellations whose records have been read: those with versions
+// up to revision.
+func (d *digestState) dropGossipedUpTo(revision uint64) {
 	for id, version := range d.gossiped {
 		if version <= revision {
 			delete(d.gossiped, id)
@@ -117,8 +117,9 @@
 	}
 }
 
-// noteCancellation adds a job to the recorded cancellations if the record at key is a cancelled job's.
-func (c *Controller) noteCancellation(key string, version uint64) {
+// recordCancellation adds a job to the recorded cancellations if the record at key is a cancelled
+// job's.
+func (c *Controller) recordCancellation(key string, version uint64) {
 	id, ok := storage.JobIDOf(key)
 	if !ok {
 		return
@@ -188,7 +189,7 @@
 	if !c.follower.loaded {
 		return
 	}
-	if c.cancellations.digest.learn(digest.Cancellations, c.cache.Revision) {
+	if c.cancellations.digest.addGossiped(digest.Cancellations, c.cache.Revision) {
 		c.log.Info("new cancellations received in a digest", "member", member, "jobs", len(digest.Cancellations))
 		c.terminateGossiped()
 	}
@@ -202,8 +203,8 @@
 	}
 	// The digest may have been delayed in transit: it covers the time until it was sent.
 	until := minTime(now, localTime(digest.At, now).Add(-clockError))
-	if until.After(c.cancellations.digest.vouchedUntil[member]) {
-		c.cancellations.digest.vouchedUntil[member] = until
+	if until.After(c.cancellations.digest.completeUntil[member]) {
+		c.cancellations.digest.completeUntil[member] = until
 	}
 }
 
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -14,13 +14,14 @@
 // tasks whose cancellation other controllers had confirmed ran on. An owner may renew leases only while
 // its cache is recent, or while the digests of all other controllers show that it has every
 // cancellation.
-func TestWhoMayRenew(t *testing.T) {
+func TestLeaseRenewalRequiresCurrentCancellations(t *testing.T) {
 	cancelled := []protocol.Cancellation{{Version: 9, Job: "job-000001"}}
 	for _, test := range []struct {
-		name   string
-		read   time.Duration // age of the cache
-		clocks float64       // largest clock error in milliseconds
-		// n1's digest: how long ago it was sent and its process started, and its list. n2's digest is sent now.
+		name         string
+		read         time.Duration // age of the cache
+		clockErrorMs float64       // largest clock error in milliseconds
+		// n1's digest: how long ago it was sent and its process started, and its list. n2's digest is sent
+		// now.
 		sent, started time.Duration
 		from          uint64
 		list          []protocol.Cancellation
@@ -33,7 +34,7 @@
 		{name: "no answer of the state service, but digests of all controllers", read: time.Hour, started: 2 * time.Hour, status: 200},
 		{name: "a digest that was delayed", read: time.Hour, sent: 19 * time.Second, started: 2 * time.Hour, status: 503},
 		{name: "a digest that was delayed, but not for long", read: time.Hour, sent: 15 * time.Second, started: 2 * time.Hour, status: 200},
-		{name: "the same delay, with a large clock error", read: time.Hour, clocks: 2000, sent: 15 * time.Second, started: 2 * time.Hour, status: 503},
+		{name: "the same delay, with a large clock error", read: time.Hour, clockErrorMs: 2000, sent: 15 * time.Second, started: 2 * time.Hour, status: 503},
 		{name: "a digest of a process that started after the cache was current", read: time.Hour, started: time.Minute, status: 503},
 		{name: "a digest whose list begins after the cache's revision", read: time.Hour, started: 2 * time.Hour, from: 7, status: 503},
 		{name: "a digest that lists a cancellation missing from the cache", read: time.Hour, started: 2 * time.Hour, from: 4, list: cancelled, status: 200, kills: 1},
@@ -42,7 +43,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t) // lease_s 10, cancel_s 30; the cache is at revision 4
 			controller.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
-			controller.cfg.Deployment.ClockSkewMs = test.clocks
+			controller.cfg.Deployment.ClockSkewMs = test.clockErrorMs
 			machine := controller.cache.Machine("m")
 			applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 				Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
@@ -59,8 +60,8 @@
 			controller.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: 4,
 				Tasks: []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}}, func(s int, body any) {
 				status = s
-				if a, ok := body.(protocol.HeartbeatResponse); ok {
-					kills = len(a.Commands)
+				if response, ok := body.(protocol.HeartbeatResponse); ok {
+					kills = len(response.Commands)
 				}
 			})
 			controller.flushHeldReplies(now, true)
@@ -73,7 +74,7 @@
 
 // A cancellation list never claims to be complete for a version that it dropped, whatever the order and
 // number of the records.
-func TestEndedListsAreWhole(t *testing.T) {
+func TestCancellationListIsComplete(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		versions []uint64
@@ -118,7 +119,7 @@
 // Digests are sent only to controllers whose member record says that they read them, and list only
 // cancellations that the receiver has not read. A controller of an earlier version would close the
 // connection when it receives one.
-func TestDigestsGoToThoseWhoReadThem(t *testing.T) {
+func TestDigestsAreSentOnlyToReaders(t *testing.T) {
 	controller := newCore(t)
 	controller.cancellations.digest.recorded.add(6, "job-000006")
 	controller.cancellations.digest.recorded.add(8, "job-000008")
@@ -126,8 +127,8 @@
 	controller.cache.Members["n2"] = &storage.Member{}
 	controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	controller.publish(time.Now())
-	if w, ok := controller.CancellationDigest("n1"); !ok || w.From != 7 || len(w.Cancellations) != 1 || w.Cancellations[0].Version != 8 {
-		t.Errorf("digest to a member that has read up to revision 7: %+v, %v; want only version 8", w, ok)
+	if outgoing, ok := controller.CancellationDigest("n1"); !ok || outgoing.From != 7 || len(outgoing.Cancellations) != 1 || outgoing.Cancellations[0].Version != 8 {
+		t.Errorf("digest to a member that has read up to revision 7: %+v, %v; want only version 8", outgoing, ok)
 	}
 	for _, member := range []string{"n2", "n3"} {
 		if _, ok := controller.CancellationDigest(member); ok {
@@ -143,16 +144,16 @@
 
 // The answer of a watch request may be delayed for as long as its caller waits. It proves the cache
 // current only up to the time at which the request was sent.
-func TestWatchCountsFromWhenItWasSent(t *testing.T) {
-	c := newCore(t)
-	c.cfg.Known = []config.Peer{{MemberName: "n1"}}
+func TestCacheIsCurrentUpToWatchRequest(t *testing.T) {
+	controller := newCore(t)
+	controller.cfg.Known = []config.Peer{{MemberName: "n1"}}
 	now := time.Now()
-	c.onEvents(protocol.Events{Revision: 5}, now.Add(-19*time.Second))
-	if c.mayRenewLeases(now) {
+	controller.onEvents(protocol.Events{Revision: 5}, now.Add(-19*time.Second))
+	if controller.mayRenewLeases(now) {
 		t.Error("leases may be renewed after the answer of a watch request sent 19 s ago")
 	}
-	c.onEvents(protocol.Events{Revision: 5}, now.Add(-time.Second))
-	if !c.mayRenewLeases(now) {
+	controller.onEvents(protocol.Events{Revision: 5}, now.Add(-time.Second))
+	if !controller.mayRenewLeases(now) {
 		t.Error("leases may not be renewed after the answer of a watch request sent 1 s ago")
 	}
 }
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -41,7 +41,7 @@
 	case c.cancellations.finished(job):
 		return dispatch.DesiredState{Stop: true}
 	case c.cache.IsVictim(placed):
-		if worker.checkpointedJustNow(placed) {
+		if worker.checkpointedRecently(placed) {
 			grace = 0
 		}
 		return dispatch.DesiredState{Stop: true, Grace: grace}
@@ -60,10 +60,10 @@
 	return !w.preemptedAt.IsZero() && time.Until(w.preemptedAt) < d
 }
 
-// checkpointedJustNow reports whether an attempt has run for less than a third of its checkpoint
+// checkpointedRecently reports whether an attempt has run for less than a third of its checkpoint
 // interval since its last checkpoint. Another checkpoint would take about as long as the work that it
 // saves, and the capacity is needed now. An attempt that is saving a checkpoint already may finish it.
-func (w *workerState) checkpointedJustNow(placed storage.PlacedTask) bool {
+func (w *workerState) checkpointedRecently(placed storage.PlacedTask) bool {
 	interval := placed.Job.CheckpointInterval
 	ref := dispatch.RefOf(placed)
 	startedAt, ok := w.started[ref]
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -34,15 +34,15 @@
 type enrollmentState struct {
 	pendingMachines []*pendingMachine // waiting for the next transaction
 	enrollPending   map[string]bool   // by machine name: waiting, or in the transaction in flight
-	enrolling       bool              // a transaction is in flight
+	txnInFlight     bool
 }
 
 func newEnrollmentState() enrollmentState {
 	return enrollmentState{enrollPending: map[string]bool{}}
 }
 
-// abandon fails all enrollments that wait for a transaction.
-func (e *enrollmentState) abandon() {
+// failPending fails all enrollments that wait for a transaction.
+func (e *enrollmentState) failPending() {
 	abandoned := e.pendingMachines
 	e.pendingMachines = nil
 	for _, pending := range abandoned {
@@ -69,11 +69,11 @@
 // wrote; and an in-doubt transaction is retried until its outcome is known and the cache has reached
 // it, before its machines are considered again.
 func (c *Controller) enrollPending(ctx context.Context) {
-	if c.leader.enrolling || len(c.leader.pendingMachines) == 0 {
+	if c.leader.txnInFlight || len(c.leader.pendingMachines) == 0 {
 		return
 	}
 	if !c.isLeader() {
-		c.leader.abandon()
+		c.leader.failPending()
 		return
 	}
 	if c.cache.Revision < c.cache.Leader.Version {
@@ -86,7 +86,7 @@
 	}
 	txn := batch.transaction()
 	c.leader.pendingMachines = batch.postponed
-	c.leader.enrolling = true
+	c.leader.txnInFlight = true
 	finish := func(ok bool) { c.finishEnrollment(ctx, batch.included, ok) }
 	if len(txn.Then) == 0 {
 		finish(true)
@@ -98,7 +98,7 @@
 // finishEnrollment handles the outcome of a transaction: it reports it to each machine's done
 // function, or queues the machine again if it failed and has tries left.
 func (c *Controller) finishEnrollment(ctx context.Context, included []*pendingMachine, ok bool) {
-	c.leader.enrolling = false
+	c.leader.txnInFlight = false
 	for _, pending := range included {
 		pending.tries--
 		if !ok && pending.tries > 0 && c.isLeader() {
@@ -210,6 +210,6 @@
 }
 
 // fleetFull reports whether no further machine may be added to a fleet record.
-func (c *Controller) fleetFull(f *storage.FleetRecord) bool {
-	return len(f.Machines) >= maxFleet || len(storage.EncodeFleet(f, c.cache.Packed())) > c.valueLimit()*fleetFillPercent/100
+func (c *Controller) fleetFull(fleet *storage.FleetRecord) bool {
+	return len(fleet.Machines) >= maxFleet || len(storage.EncodeFleet(fleet, c.cache.Packed())) > c.valueLimit()*fleetFillPercent/100
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -11,28 +11,28 @@
 // on a faulty machine every job fails.
 
 const (
-	// machineFailures is how many failures since its last success a machine must have to be unhealthy.
-	machineFailures = 2
-	// jobFailures is how many machines a job must fail on to be suspect.
-	jobFailures = 3
-	// failureSettles is the time after the first failure of a job on a machine until its failures count
+	// minMachineFailures is how many failures since its last success a machine must have to be unhealthy.
+	minMachineFailures = 2
+	// minFailedMachines is how many machines a job must fail on to be suspect.
+	minFailedMachines = 3
+	// failureSettleTime is the time after the first failure of a job on a machine until its failures count
 	// against the machine: meanwhile, a faulty job fails on other machines too.
-	failureSettles = 2 * time.Second
+	failureSettleTime = 2 * time.Second
 	// maxBackoff bounds the backoff of a suspect job's next try; maxBackoffDoublings bounds how often
 	// the first backoff of a second is doubled.
 	maxBackoff          = time.Minute
 	maxBackoffDoublings = 6
-	// steady is how long a replica must have run to clear its service of suspicion.
-	steady = time.Minute
+	// steadyRunTime is how long a replica must have run to clear its service of suspicion.
+	steadyRunTime = time.Minute
 	// maxRecentFailures caps the failures of a machine that count when machines are compared.
 	maxRecentFailures = 4
 )
 
-// failing holds one job's failures on a machine since a task last completed there.
-type failing struct {
-	n     int       // failed attempts
-	waves int       // failed attempts that fell outside of the job's backoff
-	since time.Time // time of the first failure
+// jobFailureHistory holds one job's failures on a machine since a task last completed there.
+type jobFailureHistory struct {
+	failedAttempts int
+	failedTries    int       // failed attempts that fell outside of the job's backoff
+	firstFailedAt  time.Time // time of the first failure
 }
 
 // noteFailure records that an attempt failed by itself. Whether its machine or its job is at fault,
@@ -41,10 +41,10 @@
 	state := c.jobState(job)
 	history := worker.failures[job]
 	if history == nil {
-		history = &failing{since: now}
+		history = &jobFailureHistory{firstFailedAt: now}
 		worker.failures[job] = history
 	}
-	history.n++
+	history.failedAttempts++
 	state.failures++
 	if !worker.unhealthy && !machine.Unhealthy {
 		state.failedOn[machine.Index] = true
@@ -52,8 +52,8 @@
 	if now.Before(state.backoff) {
 		return // the job's other tasks that were started together with one that failed
 	}
-	history.waves++
-	if state.failures >= jobFailures {
+	history.failedTries++
+	if state.failures >= minFailedMachines {
 		state.suspectTries++
 		state.backoff = now.Add(backoffAfter(state.suspectTries))
 		c.log.Info("job fails", "job", job.ID, "failures", state.failures, "machines", len(state.failedOn), "suspect", c.suspect(job))
@@ -66,9 +66,9 @@
 }
 
 // noteSuccess clears the recorded failures of a machine and of a job after a completed attempt.
-func (c *Controller) noteSuccess(v *workerState, j *storage.Job) {
-	clear(v.failures)
-	c.jobState(j).clearSuspicion()
+func (c *Controller) noteSuccess(worker *workerState, job *storage.Job) {
+	clear(worker.failures)
+	c.jobState(job).clearSuspicion()
 }
 
 // clearSuspicion clears a job's recorded failures.
@@ -77,41 +77,41 @@
 	clear(s.failedOn)
 }
 
-// noteSteady clears a service of suspicion once one of its replicas has run for the time steady, since
-// replicas never complete.
-func (c *Controller) noteSteady(v *workerState, j *storage.Job, ran time.Duration) {
-	if j.Shape != protocol.Service || ran < steady || len(v.failures) == 0 && c.jobStates[j] == nil {
+// noteSteadyReplica clears a service of suspicion once one of its replicas has run for steadyRunTime,
+// since replicas never complete.
+func (c *Controller) noteSteadyReplica(worker *workerState, job *storage.Job, ran time.Duration) {
+	if job.Shape != protocol.Service || ran < steadyRunTime || len(worker.failures) == 0 && c.jobStates[job] == nil {
 		return
 	}
-	if state := c.jobState(j); len(state.failedOn) > 0 || v.failures[j] != nil {
+	if state := c.jobState(job); len(state.failedOn) > 0 || worker.failures[job] != nil {
 		state.clearSuspicion()
-		delete(v.failures, j)
+		delete(worker.failures, job)
 	}
 }
 
 // suspect reports whether a job seems to be faulty: it failed on several machines that are not known
 // to be unhealthy, and no task of it has completed. A suspect job runs one task at a time, nothing is
 // preempted, provisioned or moved for it, and its failures do not count against machines.
-func (c *Controller) suspect(j *storage.Job) bool {
-	if j.DoneCount > 0 {
+func (c *Controller) suspect(job *storage.Job) bool {
+	if job.DoneCount > 0 {
 		return false
 	}
-	if j.Suspect {
+	if job.Suspect {
 		return true
 	}
-	state := c.jobStates[j]
-	return state != nil && len(state.failedOn) >= jobFailures
+	state := c.jobStates[job]
+	return state != nil && len(state.failedOn) >= minFailedMachines
 }
 
 // probing reports whether a job is suspect and the one task that it may run is placed.
-func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.PlacedCount > 0 }
+func (c *Controller) probing(job *storage.Job) bool { return c.suspect(job) && job.PlacedCount > 0 }
 
 // wantedTasks returns how many of a job's waiting tasks should get capacity now: for a suspect job, at
 // most one including those placed.
-func (c *Controller) wantedTasks(j *storage.Job) int {
-	waiting := j.Waiting()
-	if waiting > 0 && c.suspect(j) {
-		return min(waiting, max(0, 1-j.PlacedCount))
+func (c *Controller) wantedTasks(job *storage.Job) int {
+	waiting := job.Waiting()
+	if waiting > 0 && c.suspect(job) {
+		return min(waiting, max(0, 1-job.PlacedCount))
 	}
 	return waiting
 }
@@ -120,7 +120,7 @@
 // leader would scale out for them, and the shard's next owner would start all of their tasks again.
 func (c *Controller) noteSuspects(planned *plannedTxn) {
 	for job, state := range c.jobStates {
-		if len(state.failedOn) < jobFailures || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
+		if len(state.failedOn) < minFailedMachines || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
 			continue
 		}
 		key := storage.JobKey(job.ID)
@@ -134,32 +134,32 @@
 	}
 }
 
-// blame sums up the failures on a machine of jobs that are not suspect.
-type blame struct {
+// machineFaultEvidence sums up the failures on a machine of jobs that are not suspect.
+type machineFaultEvidence struct {
 	failures, jobs int
-	proved         bool // one of the jobs has completed a task, or failed on this machine again and again
+	conclusive     bool // one of the jobs has completed a task, or failed on this machine again and again
 }
 
-// convincing reports whether the machine is at fault. The failures of a single job do not show that
-// unless proved is set.
-func (b blame) convincing() bool {
-	return b.failures >= machineFailures && (b.jobs > 1 || b.proved)
+// provesFault reports whether the machine is at fault. The failures of a single job do not show that
+// unless conclusive is set.
+func (b machineFaultEvidence) provesFault() bool {
+	return b.failures >= minMachineFailures && (b.jobs > 1 || b.conclusive)
 }
 
-// blameOf returns the failures that count against a machine at the time now.
-func (c *Controller) blameOf(worker *workerState, now time.Time) blame {
-	var b blame
+// faultEvidenceOf returns the failures that count against a machine at the time now.
+func (c *Controller) faultEvidenceOf(worker *workerState, now time.Time) machineFaultEvidence {
+	var evidence machineFaultEvidence
 	for job, history := range worker.failures {
-		if c.suspect(job) || now.Sub(history.since) < failureSettles {
+		if c.suspect(job) || now.Sub(history.firstFailedAt) < failureSettleTime {
 			continue
 		}
-		b.failures += history.n
-		b.jobs++
+		evidence.failures += history.failedAttempts
+		evidence.jobs++
 		// Placement prefers machines on which a job has not failed. A job that fails on one machine
 		// again and again therefore has no other machine, and can't become suspect by failing elsewhere.
-		b.proved = b.proved || job.DoneCount > 0 || history.waves > jobFailures
+		evidence.conclusive = evidence.conclusive || job.DoneCount > 0 || history.failedTries > minFailedMachines
 	}
-	return b
+	return evidence
 }
 
 // judgeHealth marks a machine as unhealthy if its failures show that it is at fault: by a job that
@@ -168,11 +168,11 @@
 	if worker.unhealthy || len(worker.failures) == 0 {
 		return
 	}
-	b := c.blameOf(worker, now)
-	if !b.convincing() {
+	evidence := c.faultEvidenceOf(worker, now)
+	if !evidence.provesFault() {
 		return
 	}
-	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", b.failures, "jobs", b.jobs)
+	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", evidence.failures, "jobs", evidence.jobs)
 	worker.unhealthy = true
 	for job := range worker.failures {
 		delete(c.jobState(job).failedOn, machine.Index) // the machine was at fault, not the job
@@ -181,11 +181,11 @@
 
 // failedRecently returns the number of failures on a machine of jobs that are not suspect, capped at
 // maxRecentFailures.
-func (c *Controller) failedRecently(v *workerState) float64 {
+func (c *Controller) failedRecently(worker *workerState) float64 {
 	failures := 0
-	for job, history := range v.failures {
+	for job, history := range worker.failures {
 		if !c.suspect(job) {
-			failures += history.n
+			failures += history.failedAttempts
 		}
 	}
 	return float64(min(failures, maxRecentFailures))
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -9,11 +9,11 @@
 	"dykeledge/internal/storage"
 )
 
-// testFailure is the failure of a task of a job on a machine. A machine number from pauseFrom on means
-// the machine with that number less pauseFrom, after the job's backoff has passed.
+// testFailure is the failure of a task of a job on a machine. A machine number from afterBackoffFrom on
+// means the machine with that number less afterBackoffFrom, after the job's backoff has passed.
 type testFailure struct{ machine, job int }
 
-const pauseFrom = 10
+const afterBackoffFrom = 10
 
 // verdict lists the suspect jobs and the unhealthy machines.
 type verdict struct {
@@ -22,12 +22,12 @@
 
 // Guards against a faulty job being taken for faulty machines: its whole arrays were started again and
 // again, and healthy machines were returned. The two kinds of fault differ in where else tasks fail.
-func TestWhoseFault(t *testing.T) {
+func TestFaultyJobsAndMachines(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		done  []int // jobs that have completed a task somewhere
-		fails []testFailure
-		want  verdict
+		name     string
+		done     []int // jobs that have completed a task somewhere
+		failures []testFailure
+		want     verdict
 	}{
 		{"a faulty job on healthy machines", nil, []testFailure{{0, 0}, {1, 0}, {2, 0}, {0, 0}, {1, 0}}, verdict{[]int{0}, nil}},
 		{"sound jobs on an unhealthy machine", nil, []testFailure{{0, 0}, {0, 1}, {0, 2}}, verdict{nil, []int{0}}},
@@ -49,15 +49,15 @@
 				jobs[i].DoneCount = 1
 			}
 			start := time.Now()
-			now := noteFailures(controller, jobs, test.fails, start)
+			now := noteFailures(controller, jobs, test.failures, start)
 			var got verdict
 			for i := range failingMachines {
 				machine := controller.cache.Machine(fmt.Sprint("x", i))
 				worker := controller.workerState(machine)
 				if controller.judgeHealth(machine, worker, start); worker.unhealthy {
-					t.Errorf("machine %d is marked unhealthy before failureSettles has passed since its failures", i)
+					t.Errorf("machine %d is marked unhealthy before failureSettleTime has passed since its failures", i)
 				}
-				if controller.judgeHealth(machine, worker, now.Add(2*failureSettles)); worker.unhealthy {
+				if controller.judgeHealth(machine, worker, now.Add(2*failureSettleTime)); worker.unhealthy {
 					got.unhealthy = append(got.unhealthy, i)
 				}
 			}
@@ -106,8 +106,8 @@
 // noteFailures reports failures to a controller in their order, and returns the time of the last one.
 func noteFailures(c *Controller, jobs []*storage.Job, failures []testFailure, now time.Time) time.Time {
 	for i, failure := range failures {
-		if failure.machine >= pauseFrom {
-			failure.machine -= pauseFrom
+		if failure.machine >= afterBackoffFrom {
+			failure.machine -= afterBackoffFrom
 			now = now.Add(2 * maxBackoff)
 		}
 		machine := c.cache.Machine(fmt.Sprint("x", failure.machine))
--- a/internal/controller/followed_changes.go
+++ b/internal/controller/followed_changes.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		c.log.Error("bad record", "err", err)
 	}
-	c.noteCancellation(key, version)
+	c.recordCancellation(key, version)
 	return err
 }
 
@@ -33,7 +33,7 @@
 	c.storeHealth.failingSince = time.Time{}
 	c.storeHealth.servedAt = now
 	c.follower.cacheCurrentAt = maxTime(c.follower.cacheCurrentAt, sent)
-	c.cancellations.digest.dropRead(c.cache.Revision)
+	c.cancellations.digest.dropGossipedUpTo(c.cache.Revision)
 	c.follower.releaseWaiters(c.cache.Revision)
 	if len(events.Events) > 0 {
 		c.changed()
@@ -52,7 +52,7 @@
 	}
 	now := time.Now()
 	if version := c.cache.Leader.Version; version != c.leadership.version {
-		c.leadership.version, c.leadership.since = version, now
+		c.leadership.version, c.leadership.versionSeenAt = version, now
 	}
 	c.noteLeadershipChange()
 	c.recordOwnershipChanges(now)
@@ -77,7 +77,8 @@
 	c.requestCycle()
 }
 
-// updateOwnedShards begins or ends this controller's ownership of the shards whose records have changed.
+// updateOwnedShards begins or ends this controller's ownership of the shards whose records have
+// changed.
 func (c *Controller) updateOwnedShards(now time.Time) {
 	for shard := range c.shards.owned {
 		version := uint64(0)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -37,10 +37,10 @@
 
 // HandleHeartbeat handles a worker's heartbeat; reply is called once, on the core's goroutine.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
-	began := time.Now()
+	startedAt := time.Now()
 	c.post(func() {
 		c.handleHeartbeat(ctx, heartbeat, func(status int, body any) {
-			c.metrics.heartbeatSeconds.Observe(time.Since(began).Seconds())
+			c.metrics.heartbeatSeconds.Observe(time.Since(startedAt).Seconds())
 			reply(status, body)
 		})
 	})
@@ -188,7 +188,7 @@
 // direct command.
 func (c *Controller) applyHeartbeat(machine *storage.Machine, worker *workerState, heartbeat *protocol.Heartbeat, token uint64, reply bool) {
 	now := time.Now()
-	c.noteUnresponsive(machine, worker, heartbeat, reply, now)
+	c.updateHeartbeatTime(machine, worker, heartbeat, reply, now)
 	if worker.Incarnation != heartbeat.Incarnation && worker.Incarnation != 0 {
 		c.log.Info("worker has a new incarnation", "machine", machine.Name, "incarnation", heartbeat.Incarnation, "tasks", len(machine.Tasks))
 		worker.images = nil
@@ -200,7 +200,7 @@
 	worker.ApplyHeartbeat(machine, heartbeat, token, reply, c.cache.Job)
 	worker.heard, worker.missedProbes = now, 0
 	c.workers.anyHeardAt = now
-	c.hearZone(machine.Zone, now)
+	c.noteZoneHeard(machine.Zone, now)
 	if heartbeat.Addr != "" {
 		machine.Addr = heartbeat.Addr
 	}
@@ -249,7 +249,8 @@
 	c.answerRenewal(machine.Name, response, held.reply)
 }
 
-// flushHeldReplies answers the held heartbeats whose waiting time is over, or, if all is set, every one.
+// flushHeldReplies answers the held heartbeats whose waiting time is over, or, if all is set, every
+// one.
 func (c *Controller) flushHeldReplies(now time.Time, all bool) {
 	keep := c.workers.heldReplies[:0]
 	for _, held := range c.workers.heldReplies {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -29,7 +29,7 @@
 // requests that are still in flight, and the count of scale-out requests, so that a request name
 // is never used twice.
 func (l *leaderState) init() {
-	l.abandon()
+	l.failPending()
 	*l = leaderState{
 		enrollmentState:  newEnrollmentState(),
 		cloudListState:   newCloudListState(),
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -9,7 +9,7 @@
 
 // Guards against an objective on starting a guarantee's work being used as the tightest objective on
 // finishing: idle machines were then kept, and paid for, for ten minutes.
-func TestTightestIsOfFinishing(t *testing.T) {
+func TestTightestFinishObjective(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		objectives []config.Objective
@@ -22,9 +22,9 @@
 		{"deadlines belong to jobs and are no finishing objective", []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
-			c.cfg.Deployment.Objectives = test.objectives
-			if got, timed := c.tightestFinishObjective(), c.guaranteesTimed(); got != test.want || timed != test.timed {
+			controller := newCore(t)
+			controller.cfg.Deployment.Objectives = test.objectives
+			if got, timed := controller.tightestFinishObjective(), controller.guaranteesTimed(); got != test.want || timed != test.timed {
 				t.Errorf("tightest finish objective %v s, guarantees timed %v; want %v s, %v", got, timed, test.want, test.timed)
 			}
 		})
--- a/internal/controller/leader_transactions.go
+++ b/internal/controller/leader_transactions.go
@@ -25,7 +25,7 @@
 	for ctx.Err() == nil {
 		rev, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 		if inDoubt && errors.Is(err, protocol.ErrTooLarge) {
-			c.reacquireLeadership(ctx, txn.If[0])
+			c.rewriteLeaderRecord(ctx, txn.If[0])
 			c.committed(txn, 0, false, then) // the cache shows whether an earlier try was applied
 			return
 		}
@@ -53,10 +53,10 @@
 	}
 }
 
-// reacquireLeadership settles an in-doubt transaction of the leader whose retry was refused for its
+// rewriteLeaderRecord settles an in-doubt transaction of the leader whose retry was refused for its
 // size. It rewrites the leader's key, on whose version the first try depends, so that the first try
 // fails if it arrives later, and waits until the cache shows whether it was applied.
-func (c *Controller) reacquireLeadership(ctx context.Context, lead protocol.Condition) {
+func (c *Controller) rewriteLeaderRecord(ctx context.Context, lead protocol.Condition) {
 	for ctx.Err() == nil {
 		txn := protocol.Txn{If: []protocol.Condition{lead}}
 		if c.call(ctx, func() {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -16,7 +16,7 @@
 // and by followed_changes.go, where the record is read.
 type leadership struct {
 	version       uint64    // version of the leader's key when last checked
-	since         time.Time // when this process first saw that version
+	versionSeenAt time.Time // when this process first saw that version
 	writeInFlight bool      // a write of this controller's own leader record is in flight
 	wasLeader     bool      // whether this process led when noteLeadershipChange last ran
 }
@@ -58,7 +58,7 @@
 	if leader.Version == 0 || leader.Member == c.cfg.MemberName {
 		return false
 	}
-	return !c.memberLost(leader.Member, now) || now.Sub(c.leadership.since) < minLeadershipDuration
+	return !c.memberLost(leader.Member, now) || now.Sub(c.leadership.versionSeenAt) < minLeadershipDuration
 }
 
 // noteLeadershipChange resets the leader state as soon as the leader record names this process, not
--- a/internal/controller/lease_knowledge.go
+++ b/internal/controller/lease_knowledge.go
@@ -15,9 +15,9 @@
 // their answers, and for clock drift.
 const leaseMargin = 1500 * time.Millisecond
 
-// maxKnowledgeAge returns how old a controller's information on cancellations may be when it renews
-// a worker's lease. A lease renewed then expires within cancel_s of any cancellation it missed.
-func maxKnowledgeAge(w config.Workers) time.Duration {
+// maxCancellationInfoAge returns how old a controller's information on cancellations may be when it
+// renews a worker's lease. A lease renewed then expires within cancel_s of any cancellation it missed.
+func maxCancellationInfoAge(w config.Workers) time.Duration {
 	return seconds(w.CancelS-w.LeaseS) - leaseMargin
 }
 
@@ -32,13 +32,13 @@
 	return seconds(w.CancelS-2*w.LeaseS) - leaseMargin
 }
 
-// cancellationsKnownAt returns the time up to which this controller has every cancellation that any
-// controller has confirmed: by its cache, or by the digests of all other controllers.
-func (c *Controller) cancellationsKnownAt(now time.Time) time.Time {
+// cancellationsCompleteUntil returns the time up to which this controller has every cancellation that
+// any controller has confirmed: by its cache, or by the digests of all other controllers.
+func (c *Controller) cancellationsCompleteUntil(now time.Time) time.Time {
 	vouched := now
 	include := func(member string) {
 		if member != c.cfg.MemberName {
-			vouched = minTime(vouched, c.cancellations.digest.vouchedUntil[member])
+			vouched = minTime(vouched, c.cancellations.digest.completeUntil[member])
 		}
 	}
 	for _, known := range c.cfg.Known {
@@ -51,15 +51,15 @@
 }
 
 // mayRenewLeases reports whether this controller may renew a worker's lease: its information on
-// cancellations must be no older than maxKnowledgeAge. A cancellation missing from it was confirmed
-// later, so the last lease renewed without it expires within cancel_s of that cancellation. A
+// cancellations must be no older than maxCancellationInfoAge. A cancellation missing from it was
+// confirmed later, so the last lease renewed without it expires within cancel_s of that cancellation. A
 // controller that has read no records is bound by unverifiedRenewalWindow, counted from its start.
 func (c *Controller) mayRenewLeases(now time.Time) bool {
 	workers := c.cfg.Deployment.Workers
 	if !c.follower.loaded {
 		return now.Sub(c.cancellations.unverified.since) <= unverifiedRenewalWindow(workers)
 	}
-	return now.Sub(c.cancellationsKnownAt(now)) <= maxKnowledgeAge(workers)
+	return now.Sub(c.cancellationsCompleteUntil(now)) <= maxCancellationInfoAge(workers)
 }
 
 // answerRenewal answers a worker's heartbeat, which renews its lease; every such answer goes through
@@ -73,6 +73,6 @@
 	}
 	c.metrics.uncertainHeartbeats.Inc()
 	c.log.Debug("worker lease not renewed: information on cancellations is too old", "machine", machine,
-		"known_age_s", now.Sub(c.cancellationsKnownAt(now)).Seconds())
+		"known_age_s", now.Sub(c.cancellationsCompleteUntil(now)).Seconds())
 	reply(http.StatusServiceUnavailable, errNotOwner)
 }
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -24,18 +24,18 @@
 )
 
 const (
-	// silentProbes is how many probes in a row a silent machine must have missed to be returned.
-	silentProbes = 2
+	// minMissedProbes is how many probes in a row a silent machine must have missed to be returned.
+	minMissedProbes = 2
 	// newOwnerGrace is how long an owner must have tracked a machine to conclude that it never came up.
 	newOwnerGrace = 5 * time.Second
 )
 
 // superviseMachines returns this controller's machines that are silent, unresponsive, unhealthy,
-// drained or never came up. The machines named by lost are returned first: their cancelled tasks are
-// not proved to have ended.
-func (c *Controller) superviseMachines(ctx context.Context, now time.Time, lost []string) {
+// drained or never came up. The machines named by toReturn are returned first: their cancelled tasks
+// are not proved to have ended.
+func (c *Controller) superviseMachines(ctx context.Context, now time.Time, toReturn []string) {
 	suspectSelf := c.probeSilentMachines(now)
-	names := lost
+	names := toReturn
 	lastUp := c.lastUp()
 	for _, machine := range c.cache.Machines {
 		if machine.Gone || !c.ownsShard(machine.Shard) {
@@ -44,7 +44,7 @@
 		worker := c.workerState(machine)
 		worker.noteEmpty(len(machine.Tasks) == 0, now)
 		if machine.Returning {
-			if !worker.terminated && !slices.Contains(lost, machine.Name) {
+			if !worker.terminated && !slices.Contains(toReturn, machine.Name) {
 				names = append(names, machine.Name)
 			}
 			continue
@@ -91,7 +91,7 @@
 func (c *Controller) reasonToReturn(machine *storage.Machine, worker *workerState, suspectSelf bool, lastUp int64, now time.Time) returnReason {
 	workers := c.cfg.Deployment.Workers
 	silenceLimit := unreachableLimit(workers, suspectSelf)
-	if serves(machine) && c.reachability.zoneUnreachable(machine.Zone) && c.hasControllerInside(machine.Zone) {
+	if hasServiceReplicas(machine) && c.reachability.zoneUnreachable(machine.Zone) && c.hasControllerInside(machine.Zone) {
 		silenceLimit = max(silenceLimit, unreachableZoneLimit(workers))
 	}
 	silence := c.silenceOf(maxTime(worker.heard, c.zoneState(machine.Zone).reachableSince), now)
@@ -106,7 +106,7 @@
 		return reasonUnhealthy
 	case c.silenceOf(worker.since, now) > newOwnerGrace && c.neverCame(machine, lastUp, now):
 		return reasonNeverUp
-	case everHeard && silence > silenceLimit && known > silenceLimit && worker.missedProbes >= silentProbes:
+	case everHeard && silence > silenceLimit && known > silenceLimit && worker.missedProbes >= minMissedProbes:
 		return reasonSilent
 	case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > heartbeatLimit && known > heartbeatLimit:
 		return reasonUnresponsive
@@ -115,24 +115,24 @@
 }
 
 // noteEmpty records since when a machine has had no tasks.
-func (v *workerState) noteEmpty(empty bool, now time.Time) {
+func (w *workerState) noteEmpty(empty bool, now time.Time) {
 	if !empty {
-		v.emptySince = time.Time{}
-	} else if v.emptySince.IsZero() {
-		v.emptySince = now
+		w.emptySince = time.Time{}
+	} else if w.emptySince.IsZero() {
+		w.emptySince = now
 	}
 }
 
 // returnMachine queues the update that marks a machine as being returned to the cloud.
-func (c *Controller) returnMachine(m *storage.Machine, reason returnReason) {
-	if c.storeFailing() || c.workers.pendingUpdates[m.Index] != nil && c.workers.pendingUpdates[m.Index].returning {
+func (c *Controller) returnMachine(machine *storage.Machine, reason returnReason) {
+	if c.storeFailing() || c.workers.pendingUpdates[machine.Index] != nil && c.workers.pendingUpdates[machine.Index].returning {
 		return
 	}
-	c.log.Info("returning machine", "machine", m.Name, "reason", string(reason), "tasks", len(m.Tasks))
+	c.log.Info("returning machine", "machine", machine.Name, "reason", string(reason), "tasks", len(machine.Tasks))
 	if reason == reasonNeverUp {
 		c.metrics.neverUpMachines.Inc() // once per machine, however long its update takes
 	}
-	c.pendingUpdate(m).returning = true
+	c.pendingUpdate(machine).returning = true
 }
 
 // probeAfter returns how long a worker must be silent to be probed: it sends a heartbeat every
@@ -154,24 +154,24 @@
 // this controller: its lease is not renewed, and every task started there ends when the lease expires.
 // A machine whose worker never sent anything may still be booting. One that answers nothing is silent,
 // not unresponsive: in an unreachable zone it may be kept for long.
-func (c *Controller) unresponsive(v *workerState, now time.Time) bool {
+func (c *Controller) unresponsive(worker *workerState, now time.Time) bool {
 	after := unresponsiveAfter(c.cfg.Deployment.Workers)
-	return v.Incarnation != 0 && c.silenceOf(v.heard, now) <= after && c.silenceOf(v.heartbeatAt, now) > after
+	return worker.Incarnation != 0 && c.silenceOf(worker.heard, now) <= after && c.silenceOf(worker.heartbeatAt, now) > after
 }
 
-// noteUnresponsive updates heartbeatAt from a worker's message. A worker's new incarnation while it is
-// unresponsive means that its lease expired although it answers direct commands, so no controller
-// renewed the lease: if few are unresponsive, the machine is returned at once, before its group
-// moves to another shard.
-func (c *Controller) noteUnresponsive(m *storage.Machine, v *workerState, r *protocol.Heartbeat, reply bool, now time.Time) {
+// updateHeartbeatTime updates heartbeatAt from a worker's message. A worker's new incarnation while it
+// is unresponsive means that its lease expired although it answers direct commands, so no controller
+// renewed the lease: if few are unresponsive, the machine is returned at once, before its group moves
+// to another shard.
+func (c *Controller) updateHeartbeatTime(machine *storage.Machine, worker *workerState, heartbeat *protocol.Heartbeat, reply bool, now time.Time) {
 	workers := c.cfg.Deployment.Workers
 	switch {
 	case !reply:
-		v.heartbeatAt = now
-	case c.silenceOf(v.heard, now) > unresponsiveAfter(workers):
-		v.heartbeatAt = maxTime(v.heartbeatAt, heartbeatBaseline(workers, now)) // it hung or was cut off, and may send heartbeats again
-	case v.Incarnation != 0 && r.Incarnation > v.Incarnation && c.unresponsive(v, now) && !c.workers.manyUnresponsive:
-		c.returnMachine(m, reasonUnresponsive)
+		worker.heartbeatAt = now
+	case c.silenceOf(worker.heard, now) > unresponsiveAfter(workers):
+		worker.heartbeatAt = maxTime(worker.heartbeatAt, heartbeatBaseline(workers, now)) // it hung or was cut off, and may send heartbeats again
+	case worker.Incarnation != 0 && heartbeat.Incarnation > worker.Incarnation && c.unresponsive(worker, now) && !c.workers.manyUnresponsive:
+		c.returnMachine(machine, reasonUnresponsive)
 	}
 }
 
--- a/internal/controller/machine_supervision_test.go
+++ b/internal/controller/machine_supervision_test.go
@@ -7,14 +7,14 @@
 
 // Guards against the wait for a machine that does not come up starting again with each new owner: some
 // machines were then waited for, and paid for, all day.
-func TestBootPatience(t *testing.T) {
+func TestMachineThatNeverComesUp(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
-		name          string
-		rented, known time.Duration // time since it was provisioned (0: not in its record), and since its owner has tracked it
-		lastUp        time.Duration // time since the latest machine that is up was provisioned; 0: none is up
-		up            bool
-		gone          bool
+		name                 string
+		provisioned, tracked time.Duration // time since it was provisioned (0: not in its record), and since its owner has tracked it
+		lastUp               time.Duration // time since the latest machine that is up was provisioned; 0: none is up
+		up                   bool
+		neverUp              bool
 	}{
 		{"overdue, with a new owner", 90 * time.Second, time.Second, 60 * time.Second, false, true},
 		{"not overdue yet", 40 * time.Second, 40 * time.Second, 30 * time.Second, false, false},
@@ -29,18 +29,18 @@
 			controller.cache.Types[0].BootS = 30
 			machine := controller.cache.Machine("m")
 			worker := controller.workerState(machine)
-			if worker.since = now.Add(-test.known); !test.up {
+			if worker.since = now.Add(-test.tracked); !test.up {
 				worker.Incarnation = 0
 			}
-			if test.rented > 0 {
-				machine.ProvisionedAt = now.Add(-test.rented).Unix()
+			if test.provisioned > 0 {
+				machine.ProvisionedAt = now.Add(-test.provisioned).Unix()
 			}
 			last := int64(0)
 			if test.lastUp > 0 {
 				last = now.Add(-test.lastUp).Unix()
 			}
-			if got := controller.neverCame(machine, last, now); got != test.gone {
-				t.Errorf("never came up: %v, want %v", got, test.gone)
+			if got := controller.neverCame(machine, last, now); got != test.neverUp {
+				t.Errorf("never came up: %v, want %v", got, test.neverUp)
 			}
 		})
 	}
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -9,15 +9,15 @@
 	"dykeledge/internal/storage"
 )
 
-// putStore is a state service that accepts every transaction and passes its changes to puts.
-type putStore struct {
+// acceptingStore is a state service that accepts every transaction and passes its changes to puts.
+type acceptingStore struct {
 	StateStore
 	puts chan protocol.Change
 }
 
-func (putStore) Pace(int) time.Duration { return 0 }
+func (acceptingStore) Pace(int) time.Duration { return 0 }
 
-func (s putStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
+func (s acceptingStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
 	for _, c := range t.Then {
 		s.puts <- c
 	}
@@ -27,13 +27,13 @@
 // Guards against a late transaction of the previous process replacing the member record: the record
 // was then deleted with that process's session lease, the running controller was no longer a member,
 // and the layout gate never opened.
-func TestARecordThatIsNotItsOwnIsWrittenAnew(t *testing.T) {
+func TestRepairMemberRecord(t *testing.T) {
 	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesCancellationDigest}
 	for _, test := range []struct {
-		name string
-		rec  *storage.MemberRecord
-		read uint64 // the cache's revision; the record was written at revision 40
-		want bool
+		name   string
+		record *storage.MemberRecord
+		read   uint64 // the cache's revision; the record was written at revision 40
+		want   bool
 	}{
 		{"its own", &own, 45, false},
 		{"written by the previous process", &storage.MemberRecord{Incarnation: 3}, 45, true},
@@ -44,11 +44,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			store := putStore{puts: make(chan protocol.Change, 4)}
+			store := acceptingStore{puts: make(chan protocol.Change, 4)}
 			controller.store, controller.cache.Revision = store, test.read
 			controller.session.lease, controller.session.incarnation, controller.session.memberRevision = 11, 7, 40
-			if test.rec != nil {
-				controller.cache.Members["n0"] = &storage.Member{MemberRecord: *test.rec, Version: 41}
+			if test.record != nil {
+				controller.cache.Members["n0"] = &storage.Member{MemberRecord: *test.record, Version: 41}
 			}
 			controller.repairMemberRecord(t.Context())
 			if controller.session.memberWriteInFlight != test.want {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -23,9 +23,9 @@
 // peerState holds the last peer heartbeat of another controller. It is a hint: no decision whose
 // correctness matters rests on it alone.
 type peerState struct {
-	heartbeat   protocol.PeerHeartbeat
-	heardAt     time.Time // when the heartbeat arrived
-	deniedSince time.Time // since when its heartbeats report that the state service refuses it; zero: they don't
+	heartbeat         protocol.PeerHeartbeat
+	heardAt           time.Time // when the heartbeat arrived
+	storeRefusesSince time.Time // since when its heartbeats report that the state service refuses it; zero: they don't
 }
 
 // fresh reports whether the peer's last heartbeat arrived less than peerFresh ago.
@@ -120,16 +120,17 @@
 
 // ReceivePeerHeartbeat stores a peer heartbeat received from another controller.
 func (c *Controller) ReceivePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat) {
-	c.post(func() { c.reachability.hearPeer(member, heartbeat, time.Now()) })
+	c.post(func() { c.reachability.storePeerHeartbeat(member, heartbeat, time.Now()) })
 }
 
-// hearPeer stores a peer's heartbeat, and since when the peer has been refused by the state service.
-func (r *reachability) hearPeer(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
+// storePeerHeartbeat stores a peer's heartbeat, and since when the peer has been refused by the state
+// service.
+func (r *reachability) storePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
 	heard := peerState{heartbeat: heartbeat, heardAt: now}
 	if !heartbeat.StateOK {
-		heard.deniedSince = r.peers[member].deniedSince
-		if heard.deniedSince.IsZero() {
-			heard.deniedSince = now
+		heard.storeRefusesSince = r.peers[member].storeRefusesSince
+		if heard.storeRefusesSince.IsZero() {
+			heard.storeRefusesSince = now
 		}
 	}
 	r.peers[member] = heard
@@ -149,11 +150,11 @@
 
 // PeerDisconnected records that the connection to another controller has ended.
 func (c *Controller) PeerDisconnected(member string) {
-	c.post(func() { c.reachability.losePeer(member, time.Now()) })
+	c.post(func() { c.reachability.notePeerDisconnected(member, time.Now()) })
 }
 
-// losePeer deletes a peer's state and records that its connection has ended.
-func (r *reachability) losePeer(member string, now time.Time) {
+// notePeerDisconnected deletes a peer's state and records that its connection has ended.
+func (r *reachability) notePeerDisconnected(member string, now time.Time) {
 	if r.peers[member].fresh(now) {
 		r.brokenConnections[member] = now // the connection did not end because the peer was silent
 	}
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -45,8 +45,8 @@
 
 // unverifiedRenewals holds the lease renewals that this controller made before it had read any record.
 type unverifiedRenewals struct {
-	since   time.Time            // when this process started
-	renewed map[string]time.Time // by machine name: when its lease was last renewed
+	since        time.Time            // when this process started
+	lastRenewals map[string]time.Time // by machine name: when its lease was last renewed
 }
 
 // renewUnverified answers the heartbeat of a worker that has tasks, under the fencing token in the
@@ -55,11 +55,11 @@
 // stays with a controller that answers, while another one may have read the records by now.
 func (c *Controller) renewUnverified(heartbeat *protocol.Heartbeat, now time.Time) (protocol.HeartbeatResponse, bool) {
 	retryInterval := seconds(c.cfg.Deployment.Workers.LeaseS / 3)
-	renewedAt := c.cancellations.unverified.renewed[heartbeat.Machine]
+	renewedAt := c.cancellations.unverified.lastRenewals[heartbeat.Machine]
 	if len(heartbeat.Tasks) == 0 || !c.mayRenewLeases(now) || !c.allRestarted(now) || now.Sub(renewedAt) < retryInterval {
 		return protocol.HeartbeatResponse{}, false
 	}
-	c.cancellations.unverified.renewed[heartbeat.Machine] = now
+	c.cancellations.unverified.lastRenewals[heartbeat.Machine] = now
 	c.metrics.unverifiedRenewals.Inc()
 	return protocol.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []protocol.Command{}}, true
 }
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -15,13 +15,13 @@
 	workers := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
 	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
 	for _, test := range []struct {
-		name  string
-		age   time.Duration
-		tasks []protocol.TaskStatus
-		peer  uint64        // the revision of the other controller's cache
-		heard time.Duration // how long ago the other controller was heard; below 0: never
-		again time.Duration // how long ago this controller last renewed the lease; 0: never
-		want  bool
+		name       string
+		age        time.Duration
+		tasks      []protocol.TaskStatus
+		peer       uint64        // the revision of the other controller's cache
+		heard      time.Duration // how long ago the other controller was heard; below 0: never
+		renewedAgo time.Duration // how long ago this controller last renewed the lease; 0: never
+		want       bool
 	}{
 		{name: "just restarted", age: time.Second, tasks: running, want: true},
 		{name: "a worker without tasks", age: time.Second},
@@ -29,8 +29,8 @@
 		{name: "another controller has read the records", age: time.Second, tasks: running, peer: 7},
 		{name: "another controller had read the records, but is silent: it may have confirmed a cancellation", age: 9 * time.Second, tasks: running, peer: 7, heard: 4 * time.Second},
 		{name: "another controller has been silent since this one started", age: time.Second, tasks: running, heard: -1},
-		{name: "twice in a row", age: 9 * time.Second, tasks: running, again: 1500 * time.Millisecond},
-		{name: "again after the worker has tried the other controllers", age: 9 * time.Second, tasks: running, again: 4 * time.Second, want: true},
+		{name: "twice in a row", age: 9 * time.Second, tasks: running, renewedAgo: 1500 * time.Millisecond},
+		{name: "again after the worker has tried the other controllers", age: 9 * time.Second, tasks: running, renewedAgo: 4 * time.Second, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
@@ -41,26 +41,26 @@
 			if test.heard >= 0 {
 				controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: test.peer}, heardAt: now.Add(-test.heard)}
 			}
-			if test.again > 0 {
-				controller.cancellations.unverified.renewed["m"] = now.Add(-test.again)
+			if test.renewedAgo > 0 {
+				controller.cancellations.unverified.lastRenewals["m"] = now.Add(-test.renewedAgo)
 			}
-			a, ok := controller.renewUnverified(&protocol.Heartbeat{Machine: "m", Incarnation: 1, FencingToken: 41, Tasks: test.tasks}, now)
+			response, ok := controller.renewUnverified(&protocol.Heartbeat{Machine: "m", Incarnation: 1, FencingToken: 41, Tasks: test.tasks}, now)
 			if ok != test.want {
 				t.Errorf("renewed: %v, want %v", ok, test.want)
 			}
-			if ok && (a.FencingToken != 41 || len(a.Commands) != 0) {
-				t.Errorf("answered with token %d and %d commands, want the worker's own token 41 and none", a.FencingToken, len(a.Commands))
+			if ok && (response.FencingToken != 41 || len(response.Commands) != 0) {
+				t.Errorf("answered with token %d and %d commands, want the worker's own token 41 and none", response.FencingToken, len(response.Commands))
 			}
 		})
 	}
 	// With the deployments' settings, the last lease that is renewed without a cancellation expires
 	// within cancel_s of that cancellation.
-	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
-		if end := unverifiedRenewalWindow(w) + seconds(2*w.LeaseS); end > seconds(w.CancelS) {
-			t.Errorf("%+v: a lease renewed without records may expire %v after a cancellation", w, end)
+	for _, settings := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
+		if end := unverifiedRenewalWindow(settings) + seconds(2*settings.LeaseS); end > seconds(settings.CancelS) {
+			t.Errorf("%+v: a lease renewed without records may expire %v after a cancellation", settings, end)
 		}
-		if end := maxKnowledgeAge(w) + seconds(w.LeaseS); end > seconds(w.CancelS) {
-			t.Errorf("%+v: a lease renewed as proxy may expire %v after a cancellation", w, end)
+		if end := maxCancellationInfoAge(settings) + seconds(settings.LeaseS); end > seconds(settings.CancelS) {
+			t.Errorf("%+v: a lease renewed as proxy may expire %v after a cancellation", settings, end)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 // Guards against a machine that no controller can command: a shard's new owner had sent its fencing
 // token to a worker, and then the machine's group moved to another shard under a token computed before.
 // The worker's heartbeats were refused, its tasks stayed in the record, and their job never ended.
-func TestFencingTokenBelowTheWorkersIsRaised(t *testing.T) {
+func TestFencingTokenIsRaisedAboveWorkers(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		token  uint64
@@ -120,17 +120,17 @@
 		{"higher than any committed token", 1 << 60, 421, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
-			c.follower.highestRevision = 12
+			controller := newCore(t)
+			controller.follower.highestRevision = 12
 			status := 0
-			c.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: test.token}, func(s int, _ any) { status = s })
-			c.flushHeldReplies(time.Now(), true)
+			controller.handleHeartbeat(t.Context(), &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 2, FencingToken: test.token}, func(s int, _ any) { status = s })
+			controller.flushHeldReplies(time.Now(), true)
 			if status != test.status {
 				t.Errorf("answered %d, want %d", status, test.status)
 			}
-			b, _ := c.plan(time.Now(), 12)
-			if r := machineIn(t, b); (r.FencingToken > test.token) != test.raised {
-				t.Errorf("the record's token is %d and the worker's %d; whether it is raised is not as wanted", r.FencingToken, test.token)
+			builder, _ := controller.plan(time.Now(), 12)
+			if record := machineIn(t, builder); (record.FencingToken > test.token) != test.raised {
+				t.Errorf("the record's token is %d and the worker's %d; whether it is raised is not as wanted", record.FencingToken, test.token)
 			}
 		})
 	}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -14,7 +14,7 @@
 	peers             map[string]peerState // by member
 	disconnected      map[string]time.Time // by member: when its connection ended; deleted at its next peer heartbeat
 	brokenConnections map[string]time.Time // by member: when its connection ended although peer heartbeats were recent
-	leaseSeenAt       map[string]time.Time // by member: when its record, which its session lease keeps, was last seen
+	memberSeenAt      map[string]time.Time // by member: when its record, which its session lease keeps, was last seen
 	zones             []zoneState          // by zone index
 }
 
@@ -23,7 +23,7 @@
 		peers:             map[string]peerState{},
 		disconnected:      map[string]time.Time{},
 		brokenConnections: map[string]time.Time{},
-		leaseSeenAt:       map[string]time.Time{},
+		memberSeenAt:      map[string]time.Time{},
 	}
 }
 
@@ -32,10 +32,10 @@
 	// deadlines that passed during the stall close them, and both sides dial again.
 	reconnectGrace = 3 * time.Second
 
-	// lostAfter is how long a controller may stay disconnected, or refused by the state service, before
-	// its shards and its leadership are given to others. It may be alive: its commits then fail on the
-	// records' versions, so a wrong guess costs only a pause.
-	lostAfter = 1200 * time.Millisecond
+	// memberLostAfter is how long a controller may stay disconnected, or refused by the state service,
+	// before its shards and its leadership are given to others. It may be alive: its commits then fail on
+	// the records' versions, so a wrong guess costs only a pause.
+	memberLostAfter = 1200 * time.Millisecond
 
 	// fewOtherMembers is the number of other controllers up to which the loss of all of them is more
 	// likely to be their failure than this controller's isolation.
@@ -55,13 +55,13 @@
 // at once, it is more likely that this controller is isolated, or that the network filters traffic
 // between all of them.
 func (c *Controller) memberLost(member string, now time.Time) bool {
-	if c.memberDenied(member, now) {
+	if c.storeRefusesMember(member, now) {
 		return true
 	}
 	if now.Sub(c.reachability.resumedAt) < reconnectGrace {
 		return false
 	}
-	maxAge := lostAfter + c.timing.SessionLease + time.Second
+	maxAge := memberLostAfter + c.timing.SessionLease + time.Second
 	if !c.reachability.seemsLost(member, maxAge, now) {
 		return false
 	}
@@ -78,22 +78,23 @@
 	return others <= fewOtherMembers || 2*lost <= others+1
 }
 
-// seemsLost reports whether a member's connection ended more than lostAfter and less than maxAge ago.
+// seemsLost reports whether a member's connection ended more than memberLostAfter and less than maxAge
+// ago.
 func (r *reachability) seemsLost(member string, maxAge time.Duration, now time.Time) bool {
 	at, ok := r.disconnected[member]
 	if !ok {
 		return false
 	}
 	age := now.Sub(at)
-	return age > lostAfter && age < maxAge
+	return age > memberLostAfter && age < maxAge
 }
 
-// memberDenied reports whether a controller's peer heartbeats say that the state service refuses it,
-// while the service answers this one. Without this check, its session lease would keep its shards for
-// seconds longer.
-func (c *Controller) memberDenied(member string, now time.Time) bool {
+// storeRefusesMember reports whether a controller's peer heartbeats say that the state service refuses
+// it, while the service answers this one. Without this check, its session lease would keep its shards
+// for seconds longer.
+func (c *Controller) storeRefusesMember(member string, now time.Time) bool {
 	peer, ok := c.reachability.peers[member]
-	return ok && c.storeHealth.served(now) && peer.fresh(now) && !peer.deniedSince.IsZero() && now.Sub(peer.deniedSince) > lostAfter
+	return ok && c.storeHealth.served(now) && peer.fresh(now) && !peer.storeRefusesSince.IsZero() && now.Sub(peer.storeRefusesSince) > memberLostAfter
 }
 
 // isolatedFromStore reports whether the state service does not answer this controller while it answers
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -14,17 +14,17 @@
 	"dykeledge/internal/storage"
 )
 
-// slowReader is a state service that never answers the list of all records.
-type slowReader struct {
+// unfinishedListStore is a state service that never answers the list of all records.
+type unfinishedListStore struct {
 	StateStore
-	layout  int      // version in the layout record; 0: there is none
-	catalog bool     // whether the catalog record exists
-	down    bool     // whether every request is refused
-	taken   bool     // whether transactions fail because the job exists already
-	puts    []string // keys of the committed changes
+	layout    int      // version in the layout record; 0: there is none
+	catalog   bool     // whether the catalog record exists
+	down      bool     // whether every request is refused
+	jobExists bool     // whether transactions fail because the job exists already
+	puts      []string // keys of the committed changes
 }
 
-func (s *slowReader) List(ctx context.Context, prefix, _ string, _ int) (protocol.Page, error) {
+func (s *unfinishedListStore) List(ctx context.Context, prefix, _ string, _ int) (protocol.Page, error) {
 	if s.down {
 		return protocol.Page{}, protocol.ErrRefused
 	}
@@ -43,11 +43,11 @@
 	return protocol.Page{}, nil
 }
 
-func (s *slowReader) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
+func (s *unfinishedListStore) Txn(_ context.Context, t protocol.Txn, _ protocol.RequestPriority) (uint64, []string, error) {
 	switch {
 	case s.down:
 		return 0, nil, protocol.ErrRefused
-	case s.taken:
+	case s.jobExists:
 		return 9, []string{t.If[0].Key}, nil
 	}
 	for _, c := range t.Then {
@@ -56,18 +56,18 @@
 	return 9, nil, nil
 }
 
-func (*slowReader) Grant(context.Context, time.Duration) (uint64, error) {
+func (*unfinishedListStore) Grant(context.Context, time.Duration) (uint64, error) {
 	return 0, protocol.ErrRefused
 }
-func (*slowReader) Revision(context.Context) (uint64, error) { return 0, protocol.ErrRefused }
+func (*unfinishedListStore) Revision(context.Context) (uint64, error) { return 0, protocol.ErrRefused }
 
-// noCloud is a cloud that answers no request, or only the one for its catalog.
-type noCloud struct {
+// partialCloud is a cloud that answers no request, or only the one for its catalog.
+type partialCloud struct {
 	Cloud
 	catalog bool
 }
 
-func (c noCloud) Catalog(context.Context) (*protocol.Catalog, error) {
+func (c partialCloud) Catalog(context.Context) (*protocol.Catalog, error) {
 	if !c.catalog {
 		return nil, protocol.ErrUnknown
 	}
@@ -89,25 +89,25 @@
 // Guards against restarted controllers refusing submissions until they have read every record: after
 // an end of all controllers that took seconds with 1235 machines, although accepting a job needs only
 // the layout and the catalog.
-func TestRestartedControllerAcceptsBeforeItHasReadAll(t *testing.T) {
+func TestRestartedControllerAcceptsJobsBeforeFullLoad(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		store  slowReader
+		store  unfinishedListStore
 		cloud  bool
 		awaits []string
 		served bool // another controller's peer heartbeat says that the state service answers it
 		ready  bool
 		status int
 	}{
-		{name: "the layout gate is open and the catalog is recorded", store: slowReader{layout: storage.LayoutPacked, catalog: true}, ready: true, status: 201},
-		{name: "the catalog comes from the cloud", store: slowReader{layout: storage.LayoutPacked}, cloud: true, ready: true, status: 201},
-		{name: "no machine type is known", store: slowReader{layout: storage.LayoutPacked}, status: 503},
-		{name: "the layout gate is closed: the records may be of an earlier layout", store: slowReader{layout: storage.LayoutPlain, catalog: true}, status: 503},
-		{name: "no layout record yet", store: slowReader{catalog: true}, status: 503},
-		{name: "the job ID is taken", store: slowReader{layout: storage.LayoutPacked, catalog: true, taken: true}, ready: true, status: 503},
-		{name: "the job has a dependency", store: slowReader{layout: storage.LayoutPacked, catalog: true}, awaits: []string{"job-000001"}, ready: true, status: 503},
-		{name: "an outage", store: slowReader{down: true}, cloud: true, ready: true, status: 503},
-		{name: "the state service refuses only this controller", store: slowReader{down: true}, cloud: true, served: true, status: 503},
+		{name: "the layout gate is open and the catalog is recorded", store: unfinishedListStore{layout: storage.LayoutPacked, catalog: true}, ready: true, status: 201},
+		{name: "the catalog comes from the cloud", store: unfinishedListStore{layout: storage.LayoutPacked}, cloud: true, ready: true, status: 201},
+		{name: "no machine type is known", store: unfinishedListStore{layout: storage.LayoutPacked}, status: 503},
+		{name: "the layout gate is closed: the records may be of an earlier layout", store: unfinishedListStore{layout: storage.LayoutPlain, catalog: true}, status: 503},
+		{name: "no layout record yet", store: unfinishedListStore{catalog: true}, status: 503},
+		{name: "the job ID is taken", store: unfinishedListStore{layout: storage.LayoutPacked, catalog: true, jobExists: true}, ready: true, status: 503},
+		{name: "the job has a dependency", store: unfinishedListStore{layout: storage.LayoutPacked, catalog: true}, awaits: []string{"job-000001"}, ready: true, status: 503},
+		{name: "an outage", store: unfinishedListStore{down: true}, cloud: true, ready: true, status: 503},
+		{name: "the state service refuses only this controller", store: unfinishedListStore{down: true}, cloud: true, served: true, status: 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -115,7 +115,7 @@
 				cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
 					Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}, State: config.State{TxnOps: 12, ValueKB: 32}}}
 				store := test.store
-				controller := New(cfg, &store, noCloud{catalog: test.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+				controller := New(cfg, &store, partialCloud{catalog: test.cloud}, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
 				if test.served {
@@ -132,8 +132,8 @@
 					t.Errorf("job record committed: %v, want the opposite", committed)
 				}
 				// Queries about records that have not been read are refused.
-				if a := controller.Query(ctx, "job-000001"); a.Status != 503 {
-					t.Errorf("query of a job: %d, want 503", a.Status)
+				if queried := controller.Query(ctx, "job-000001"); queried.Status != 503 {
+					t.Errorf("query of a job: %d, want 503", queried.Status)
 				}
 				cancel()
 				synctest.Wait()
--- a/internal/controller/shard_ownership.go
+++ b/internal/controller/shard_ownership.go
@@ -14,17 +14,17 @@
 	// rebalanceDelay is how long membership must have been unchanged before shards move to even out
 	// the controllers' load: a move pauses the shard's workers briefly.
 	rebalanceDelay = 8 * time.Second
-	// firstHeartbeats is how long a new owner keeps a shard, to answer each of its workers once,
+	// firstHeartbeatsPeriod is how long a new owner keeps a shard, to answer each of its workers once,
 	// before the shard may move again. After all controllers have ended, the workers' leases are
 	// about to expire, and each change of owner costs a worker up to half a second and a heartbeat.
 	// When shards moved again at once, 183 machines with leases of 10 s lost 825 tasks.
-	firstHeartbeats = 2 * time.Second
-	// takeoverGrace is how long after firstHeartbeats a shard that has changed its owner may move to
-	// a controller that has started since: its new owner has little state about it yet, and its
-	// workers are looking for their owner anyway. Without this, the first controller to return after
-	// all had ended owned 1235 machines for ten seconds, using all of its processor time, while four
-	// other controllers were idle.
-	takeoverGrace = 3 * time.Second
+	firstHeartbeatsPeriod = 2 * time.Second
+	// earlyReassignWindow is how long after firstHeartbeatsPeriod a shard that has changed its owner may
+	// move to a controller that has started since: its new owner has little state about it yet, and its
+	// workers are looking for their owner anyway. Without this, the first controller to return after all
+	// had ended owned 1235 machines for ten seconds, using all of its processor time, while four other
+	// controllers were idle.
+	earlyReassignWindow = 3 * time.Second
 )
 
 // shardOwnerships holds what this controller has seen of the shards' owners; slices are indexed by
@@ -75,14 +75,15 @@
 	o.historyLoaded = true
 }
 
-// mayPassOn reports whether a shard may be reassigned although its owner is alive: when membership
-// has not changed for rebalanceDelay, or within takeoverGrace of a new owner's first heartbeats.
-func (o *shardOwnerships) mayPassOn(shard int, now time.Time) bool {
+// mayReassign reports whether a shard may be reassigned although its owner is alive: when membership
+// has not changed for rebalanceDelay, or within earlyReassignWindow after a new owner's first
+// heartbeats.
+func (o *shardOwnerships) mayReassign(shard int, now time.Time) bool {
 	if now.Sub(o.membersChangedAt) > rebalanceDelay {
 		return true
 	}
 	age := now.Sub(o.history[shard].changedAt)
-	return age > firstHeartbeats && age < firstHeartbeats+takeoverGrace
+	return age > firstHeartbeatsPeriod && age < firstHeartbeatsPeriod+earlyReassignWindow
 }
 
 // recordOwnershipChanges records which shards have changed their owners since it last ran.
@@ -106,7 +107,7 @@
 	for shard, record := range c.cache.Shards {
 		owners[shard] = membership.Owner{Name: record.Member, Incarnation: record.Incarnation}
 	}
-	wanted := membership.Assign(owners, members, func(shard int) bool { return c.shards.mayPassOn(shard, now) })
+	wanted := membership.Assign(owners, members, func(shard int) bool { return c.shards.mayReassign(shard, now) })
 	txn := c.assignmentTxn(owners, wanted)
 	if len(txn.Then) == 0 {
 		return
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -26,11 +26,11 @@
 	controller.session.leaseRenewedAt, controller.storeHealth.servedAt, controller.shards.takenOverAt = start, start, start.Add(-time.Minute)
 	controller.reachability.disconnected["n1"] = resumed.Add(-2 * time.Second) // the connection's deadline passed during the stall
 	worker.heard, worker.since, controller.workers.anyHeardAt = start, start.Add(-time.Minute), start
-	look := func(now time.Time) (silent, lost, isolated bool) {
+	observe := func(now time.Time) (silent, lost, isolated bool) {
 		controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
 		return controller.silenceOf(worker.heard, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
-	if silent, lost, isolated := look(resumed); !silent || !lost || !isolated {
+	if silent, lost, isolated := observe(resumed); !silent || !lost || !isolated {
 		t.Fatalf("before the stall is detected: silent %v, lost %v, isolated %v; want all, otherwise the test proves nothing", silent, lost, isolated)
 	}
 	controller.detectStall(start)
@@ -42,10 +42,10 @@
 		t.Error("the session lease must be certain 1 s after its renewal, and uncertain after the stall")
 	}
 	controller.detectStall(resumed)
-	if silent, lost, isolated := look(resumed); silent || lost || isolated {
+	if silent, lost, isolated := observe(resumed); silent || lost || isolated {
 		t.Errorf("after the stall is detected: silent %v, lost %v, isolated %v; want none", silent, lost, isolated)
 	}
-	if silent, _, _ := look(resumed.Add(5 * time.Second)); !silent {
+	if silent, _, _ := observe(resumed.Add(5 * time.Second)); !silent {
 		t.Error("silence after the stall is not counted")
 	}
 	if !controller.reachability.stalledSince(start) || controller.reachability.stalledSince(resumed) {
@@ -53,25 +53,25 @@
 	}
 }
 
-// scaleOutCounter is a cloud that refuses every request and passes its name to asked.
-type scaleOutCounter struct {
+// refusingCloud is a cloud that refuses every request and passes its name to requests.
+type refusingCloud struct {
 	Cloud
-	asked chan string
+	requests chan string
 }
 
-func (r scaleOutCounter) ScaleOut(_ context.Context, x protocol.ScaleOutRequest) ([]string, error) {
-	r.asked <- x.Name
+func (r refusingCloud) ScaleOut(_ context.Context, x protocol.ScaleOutRequest) ([]string, error) {
+	r.requests <- x.Name
 	return nil, protocol.ErrNoCapacity
 }
 
-func (r scaleOutCounter) List(context.Context, string) (protocol.MachineList, error) {
-	r.asked <- "list"
+func (r refusingCloud) List(context.Context, string) (protocol.MachineList, error) {
+	r.requests <- "list"
 	return protocol.MachineList{}, errors.New("none")
 }
 
-// A leader that resumes from a stall may no longer be the leader: it must not scale out at the same time
-// as its successor.
-func TestNoScaleOutWithAnUncertainLease(t *testing.T) {
+// A leader that resumes from a stall may no longer be the leader: it must not scale out at the same
+// time as its successor.
+func TestNoScaleOutWithUncertainLease(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		since time.Duration
@@ -79,8 +79,8 @@
 	}{{"renewed a moment ago", time.Second, true}, {"renewed before a stall", 6 * time.Second, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			asked := make(chan string, 100)
-			controller.cloud = scaleOutCounter{asked: asked}
+			requests := make(chan string, 100)
+			controller.cloud = refusingCloud{requests: requests}
 			controller.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
 			now := time.Now()
 			controller.session.lease, controller.session.leaseRenewedAt = 1, now.Add(-test.since)
@@ -88,7 +88,7 @@
 			got := false
 			if controller.leader.listing || len(controller.leader.scaleOuts) > 0 {
 				got = true
-				<-asked
+				<-requests
 			}
 			if got != test.want {
 				t.Errorf("requests sent to the cloud: %v, want %v", got, test.want)
@@ -114,13 +114,13 @@
 		{"no longer heard, so its report is out of date", 9 * time.Second, 5 * time.Second, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
-			c.reachability.resumedAt = now.Add(-time.Second) // a member's own report counts even right after a stall
-			c.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-test.heard), now.Add(-test.refused)}
-			if c.storeHealth.servedAt = now; !test.served {
-				c.storeHealth.servedAt = now.Add(-time.Minute)
+			controller := newCore(t)
+			controller.reachability.resumedAt = now.Add(-time.Second) // a member's own report counts even right after a stall
+			controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-test.heard), now.Add(-test.refused)}
+			if controller.storeHealth.servedAt = now; !test.served {
+				controller.storeHealth.servedAt = now.Add(-time.Minute)
 			}
-			if got := c.memberLost("n1", now); got != test.want {
+			if got := controller.memberLost("n1", now); got != test.want {
 				t.Errorf("lost %v, want %v", got, test.want)
 			}
 		})
@@ -129,7 +129,7 @@
 
 // Guards against two controllers that are both alive, but receive nothing from each other, taking
 // leadership and shards from one another: they did so eight times a second for the rest of the day.
-func TestLostIsAHintWithAnEnd(t *testing.T) {
+func TestMemberLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	cases := []struct {
@@ -151,12 +151,12 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
+			controller := newCore(t)
 			for _, n := range []string{"n0", "n1", "n2", "n3", "n4"}[:test.members] {
-				c.cache.Members[n] = &storage.Member{Version: 1}
+				controller.cache.Members[n] = &storage.Member{Version: 1}
 			}
-			c.reachability.disconnected = test.lost
-			if got := c.memberLost("n1", now); got != test.want {
+			controller.reachability.disconnected = test.lost
+			if got := controller.memberLost("n1", now); got != test.want {
 				t.Errorf("lost: %v, want %v", got, test.want)
 			}
 		})
@@ -173,7 +173,7 @@
 // Guards against a controller that is cut off from its workers keeping its shards for too long: with
 // heartbeats due every 2.5 s it kept them for 6.5 s, although a hundred workers had been silent for
 // longer than any single one may be.
-func TestManySilentWorkersTellSooner(t *testing.T) {
+func TestManySilentWorkersShortenReadinessLimit(t *testing.T) {
 	for _, test := range []struct {
 		machines int
 		silent   time.Duration
@@ -191,8 +191,8 @@
 				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 			}
 			applyRecord(t, controller, storage.FleetKey("x0"), fleet, 5)
-			for _, m := range controller.cache.Machines {
-				m.Incarnation = 1
+			for _, machine := range controller.cache.Machines {
+				machine.Incarnation = 1
 			}
 			now := time.Now()
 			controller.workers.anyHeardAt = now.Add(-test.silent)
@@ -218,7 +218,7 @@
 
 // An answer computed before a stall may be older than answers that other controllers have given the
 // user since.
-func TestAnswersSleptOverAreRefused(t *testing.T) {
+func TestAnswersComputedAcrossStallAreRefused(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		stalls bool
@@ -240,8 +240,8 @@
 				}
 			}}
 			serveCalls(t, controller)
-			if a := controller.Query(t.Context(), test.id); a.Status != test.status {
-				t.Errorf("answered %d, want %d", a.Status, test.status)
+			if answer := controller.Query(t.Context(), test.id); answer.Status != test.status {
+				t.Errorf("answered %d, want %d", answer.Status, test.status)
 			}
 		})
 	}
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -94,16 +94,16 @@
 
 // watchWait returns how long a watch request waits for changes. Its answer proves that the cache is
 // current only up to the time at which the request was sent, so even without changes a new request
-// must be sent well before the cache is older than maxKnowledgeAge.
+// must be sent well before the cache is older than maxCancellationInfoAge.
 func (c *Controller) watchWait() time.Duration {
-	return min(maxWatchWait, maxKnowledgeAge(c.cfg.Deployment.Workers)/4)
+	return min(maxWatchWait, maxCancellationInfoAge(c.cfg.Deployment.Workers)/4)
 }
 
 // load reads every record, page by page, and returns the revision of the first page. Changes made
 // meanwhile come again with the watch from that revision.
 func (c *Controller) load(ctx context.Context) (uint64, error) {
-	var first uint64
-	after, began := "", time.Now()
+	var firstRevision uint64
+	after, startedAt := "", time.Now()
 	seen := map[string]bool{}
 	for {
 		page, err := c.store.List(ctx, storage.Root, after, loadPageSize)
@@ -111,7 +111,7 @@
 			return 0, err
 		}
 		if after == "" {
-			first = page.Revision
+			firstRevision = page.Revision
 		}
 		if err := c.applyPage(ctx, page, seen); err != nil {
 			return 0, err
@@ -121,8 +121,8 @@
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
-	err := c.call(ctx, func() { c.finishLoad(seen, first, began) })
-	return first, err
+	err := c.call(ctx, func() { c.finishLoad(seen, firstRevision, startedAt) })
+	return firstRevision, err
 }
 
 // applyPage applies a page of records to the cache and adds their keys to seen. It returns an error
@@ -145,7 +145,7 @@
 
 // finishLoad completes a read of all records: it drops the cached records whose keys were not seen, and
 // sets the cache's revision to that of the first page.
-func (c *Controller) finishLoad(seen map[string]bool, revision uint64, began time.Time) {
+func (c *Controller) finishLoad(seen map[string]bool, revision uint64, startedAt time.Time) {
 	if err := c.cache.DropUnseen(seen, revision); err != nil {
 		c.log.Error("dropping a record that is no longer in the state service failed", "err", err)
 	}
@@ -153,8 +153,8 @@
 	c.cache.Revision = revision
 	c.follower.highestRevision = max(c.follower.highestRevision, revision)
 	c.follower.loaded = true
-	c.follower.cacheCurrentAt = maxTime(began, c.follower.cacheCurrentAt)
-	c.cancellations.unverified.renewed = nil // no longer needed once the records have been read
+	c.follower.cacheCurrentAt = maxTime(startedAt, c.follower.cacheCurrentAt)
+	c.cancellations.unverified.lastRenewals = nil // no longer needed once the records have been read
 	c.log.Info("records read", "revision", revision, "records", len(seen))
 	c.changed()
 }
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -32,7 +32,8 @@
 	c.store.SetRateShare(part, c.isLeader(), c.storeHealth.changeRate, c.othersChangeRate(now))
 }
 
-// ownedPart returns the weighted part of all machines and shards that this controller owns, from 0 to 1.
+// ownedPart returns the weighted part of all machines and shards that this controller owns, from 0 to
+// 1.
 func (c *Controller) ownedPart() float64 {
 	ownMachines, allMachines := 0, 0
 	for _, machine := range c.cache.Machines {
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -30,18 +30,18 @@
 const (
 	// terminationInterval is the time between two tries on a machine.
 	terminationInterval = 2 * time.Second
-	// terminationRecheck is the time to the next try after a worker showed no cancelled task: a launch
-	// command may still have been in flight.
-	terminationRecheck = 10 * time.Second
-	// scaleInRetry is the time after which a machine's return is requested again: the request may have
-	// failed, and no record shows that.
-	scaleInRetry = 2 * time.Second
+	// terminationRecheckInterval is the time to the next try after a worker showed no cancelled task: a
+	// launch command may still have been in flight.
+	terminationRecheckInterval = 10 * time.Second
+	// scaleInRetryInterval is the time after which a machine's return is requested again: the request may
+	// have failed, and no record shows that.
+	scaleInRetryInterval = 2 * time.Second
 	// ownerGrace is how long after a cancellation only the machine's owner terminates its tasks, while
 	// the state service answers.
 	ownerGrace = 6 * time.Second
-	// terminationPatience is how long a process must have tried before it returns a machine: it may
+	// minTerminationTime is how long a process must have tried before it returns a machine: it may
 	// have stalled, or started only a moment ago.
-	terminationPatience = 4 * time.Second
+	minTerminationTime = 4 * time.Second
 	// terminationsPerRound limits the tries of one round, so that unreachable machines do not use all
 	// of the direct commands.
 	terminationsPerRound = maxDirectCommands / 2
@@ -54,36 +54,36 @@
 // cancellationAge returns the longest time that may have passed since a job was cancelled. If the
 // time is not in the job's record, because an earlier version of this program wrote it or the record
 // has not been read yet, the age counts from when this process learned of the cancellation; that time
-// is stored in noted.
-func (c *Controller) cancellationAge(job *storage.Job, now time.Time, noted map[string]time.Time) time.Duration {
+// is stored in stillListed.
+func (c *Controller) cancellationAge(job *storage.Job, now time.Time, stillListed map[string]time.Time) time.Duration {
 	if job.FinalAtMs > 0 {
 		return max(0, now.Sub(time.UnixMilli(job.FinalAtMs))+maxClockDifference(c.cfg.Deployment))
 	}
-	learnedAt, ok := c.cancellations.learnedAt[job.ID]
+	firstSeenAt, ok := c.cancellations.firstSeenAt[job.ID]
 	if !ok {
-		learnedAt = now
+		firstSeenAt = now
 	}
-	noted[job.ID] = learnedAt
-	return now.Sub(learnedAt)
+	stillListed[job.ID] = firstSeenAt
+	return now.Sub(firstSeenAt)
 }
 
 // cancellationAgeByMachine returns, by machine index, the age of the oldest cancellation that has
 // tasks on the machine which are not proved to have ended.
 func (c *Controller) cancellationAgeByMachine(now time.Time) map[int32]time.Duration {
 	ages := map[int32]time.Duration{}
-	noted := map[string]time.Time{}
+	stillListed := map[string]time.Time{}
 	for _, job := range c.cache.Jobs {
 		if job == nil || job.PlacedCount == 0 || !c.cancellations.cancelled(job) {
 			continue
 		}
-		age := c.cancellationAge(job, now, noted)
+		age := c.cancellationAge(job, now, stillListed)
 		for task, index := range job.MachineOf {
 			if index != storage.Nowhere && !c.attemptEnded(dispatch.Ref{Job: job, Task: task, Attempt: job.AttemptOf[task]}, c.cache.Machines[index]) {
 				ages[index] = max(ages[index], age)
 			}
 		}
 	}
-	c.cancellations.learnedAt = noted
+	c.cancellations.firstSeenAt = stillListed
 	return ages
 }
 
@@ -104,13 +104,13 @@
 // whichever controller requests it, and nothing is placed again before the machine's owner has that
 // proof too. A controller that hears no worker at all returns nothing, since it may be the one that
 // is cut off.
-func (c *Controller) superviseTerminations(now time.Time) (lost []string) {
+func (c *Controller) superviseTerminations(now time.Time) (toReturn []string) {
 	ages := c.cancellationAgeByMachine(now)
 	c.cancellations.dropEndedTerminations(ages)
 	workers := c.cfg.Deployment.Workers
 	outage := c.silenceOf(c.storeHealth.servedAt, now) > peerFresh
-	hearsWorkers := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.reachedAt), now) < peerFresh+seconds(workers.HeartbeatS)
-	began := 0
+	hearsWorkers := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.killsAnsweredAt), now) < peerFresh+seconds(workers.HeartbeatS)
+	tries := 0
 	for _, index := range oldestFirst(ages) {
 		machine, age := c.cache.Machines[index], ages[index]
 		own := c.ownsShard(machine.Shard)
@@ -122,24 +122,24 @@
 		case now.Before(attempt.nextTry):
 		case hearsWorkers && age >= terminationDeadline(workers) && c.triedLongEnough(attempt, now):
 			c.log.Info("cancelled tasks not shown to have ended, returning machine", "machine", machine.Name, "own", own, "age_s", age.Seconds())
-			lost = append(lost, machine.Name)
-			attempt.nextTry = now.Add(scaleInRetry)
+			toReturn = append(toReturn, machine.Name)
+			attempt.nextTry = now.Add(scaleInRetryInterval)
 			if own {
 				c.returnMachine(machine, "can't be stopped")
 			}
-		case began < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
+		case tries < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
 			// begin sets the time of the next try, so that each round starts with other machines. When
 			// every round started with the same ones, those beyond the first 48 were sent nothing.
-			began++
-			attempt.begin(now)
+			tries++
+			attempt.beginTry(now)
 			if own {
 				c.sendDirect(machine, true)
 			} else {
-				c.terminateOn(machine, c.killsByRecord(machine), true)
+				c.sendKills(machine, c.killsByRecord(machine), true)
 			}
 		}
 	}
-	return lost
+	return toReturn
 }
 
 // dropEndedTerminations deletes the terminations on machines that have no cancelled task left.
@@ -161,17 +161,17 @@
 	return attempt
 }
 
-// begin records the start of a try.
-func (t *termination) begin(now time.Time) {
+// beginTry records the start of a try.
+func (t *termination) beginTry(now time.Time) {
 	t.nextTry = now.Add(terminationInterval)
 	if t.failingSince.IsZero() {
 		t.failingSince = now
 	}
 }
 
-// triedLongEnough reports whether this process has tried without success for terminationPatience.
+// triedLongEnough reports whether this process has tried without success for minTerminationTime.
 func (c *Controller) triedLongEnough(attempt *termination, now time.Time) bool {
-	return !attempt.failingSince.IsZero() && c.silenceOf(attempt.failingSince, now) > terminationPatience
+	return !attempt.failingSince.IsZero() && c.silenceOf(attempt.failingSince, now) > minTerminationTime
 }
 
 // oldestFirst returns the machine indexes, those with the oldest cancellations first.
@@ -203,11 +203,11 @@
 	}
 }
 
-// terminateOn sends kill commands directly to the worker of a machine that this controller does not
+// sendKills sends kill commands directly to the worker of a machine that this controller does not
 // own. If the worker refuses them because its incarnation or fencing token differs, its reply holds
-// both, and the tasks that it really has; if again is set, commands for those of finished jobs are
+// both, and the tasks that it really has; if retry is set, commands for those of finished jobs are
 // sent once more. Killing a finished job's task is correct under any fencing token.
-func (c *Controller) terminateOn(machine *storage.Machine, commands protocol.DirectCommands, again bool) {
+func (c *Controller) sendKills(machine *storage.Machine, commands protocol.DirectCommands, retry bool) {
 	if len(commands.Commands) == 0 || machine.Addr == "" {
 		return
 	}
@@ -222,30 +222,31 @@
 			if err != nil || heartbeat == nil || heartbeat.Machine != machine.Name || machine.Gone {
 				return
 			}
-			c.handleKillReply(machine, heartbeat, again && status != http.StatusOK)
+			c.handleKillReply(machine, heartbeat, retry && status != http.StatusOK)
 		})
 	}()
 }
 
-// handleKillReply handles the heartbeat with which a worker replied to kill commands. If again is
+// handleKillReply handles the heartbeat with which a worker replied to kill commands. If retry is
 // set, it sends commands for the cancelled tasks that the heartbeat still shows.
-func (c *Controller) handleKillReply(machine *storage.Machine, heartbeat *protocol.Heartbeat, again bool) {
-	c.workers.reachedAt = time.Now()
-	left := c.killCommandsFor(heartbeat)
+func (c *Controller) handleKillReply(machine *storage.Machine, heartbeat *protocol.Heartbeat, retry bool) {
+	c.workers.killsAnsweredAt = time.Now()
+	left := c.killCommandsForHeartbeat(heartbeat)
 	if len(left) == 0 {
 		if attempt := c.cancellations.terminations[machine.Index]; attempt != nil {
-			*attempt = termination{nextTry: c.workers.reachedAt.Add(terminationRecheck)}
+			*attempt = termination{nextTry: c.workers.killsAnsweredAt.Add(terminationRecheckInterval)}
 		}
 		return
 	}
-	if again && c.workers.directCommands < maxDirectCommands {
+	if retry && c.workers.directCommands < maxDirectCommands {
 		kills := protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: left}
-		c.terminateOn(machine, kills, false)
+		c.sendKills(machine, kills, false)
 	}
 }
 
-// killCommandsFor returns kill commands for the cancelled jobs' tasks that a worker's heartbeat shows.
-func (c *Controller) killCommandsFor(heartbeat *protocol.Heartbeat) []protocol.Command {
+// killCommandsForHeartbeat returns kill commands for the cancelled jobs' tasks that a worker's
+// heartbeat shows.
+func (c *Controller) killCommandsForHeartbeat(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, status := range heartbeat.Tasks {
 		id, _, ok := protocol.SplitTask(status.Task)
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -25,84 +25,84 @@
 func (c cancelledTaskCondition) has(some cancelledTaskCondition) bool { return c&some != 0 }
 
 // cancelledTaskCore returns a core whose machine has a task of a job that was cancelled age before now.
-func cancelledTaskCore(t *testing.T, is cancelledTaskCondition, age time.Duration, now time.Time) (*Controller, *storage.Machine) {
+func cancelledTaskCore(t *testing.T, conditions cancelledTaskCondition, age time.Duration, now time.Time) (*Controller, *storage.Machine) {
 	t.Helper()
 	controller := newCore(t) // cancel_s 30
 	machine := controller.cache.Machine("m")
 	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, 3, 0, 0}}}}}}, 5)
 	record := storage.JobRecord{Tasks: 2, Team: "red", Final: "cancelled", FinalAtMs: now.Add(-age).UnixMilli(), Spec: &storage.SpecRecord{Class: "c", Cpus: 4}}
-	if is.has(timeUnknown) {
+	if conditions.has(timeUnknown) {
 		record.FinalAtMs = 0
 	}
-	if is.has(onlyGossiped) {
+	if conditions.has(onlyGossiped) {
 		controller.cancellations.digest.gossiped["job-000001"] = 9
 	} else {
 		applyRecord(t, controller, storage.JobKey("job-000001"), record, 6)
 	}
-	if is.has(taskEnded) {
+	if conditions.has(taskEnded) {
 		controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
 	}
-	if is.has(othersMachine) {
+	if conditions.has(othersMachine) {
 		controller.cache.Shards[0].Member = "n1"
 	}
 	controller.storeHealth.servedAt = now
-	if is.has(storeOutage) {
+	if conditions.has(storeOutage) {
 		controller.storeHealth.servedAt = now.Add(-time.Hour)
 	}
 	return controller, machine
 }
 
 // Guards against limits that begin again: the time for which a machine with a cancelled job's task may
-// hang counted from its silence, from a takeover or from the start of an outage. When owners changed, or
-// the state service was available only now and then, the task outlasted cancel_s. One deadline holds,
-// whichever controller owns the machine.
-func TestWhatWasCancelledHasOneDeadline(t *testing.T) {
+// hang counted from its silence, from a takeover or from the start of an outage. When owners changed,
+// or the state service was available only now and then, the task outlasted cancel_s. One deadline
+// holds, whichever controller owns the machine.
+func TestCancellationHasOneDeadline(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		is    cancelledTaskCondition
-		age   time.Duration // time since the cancellation
-		tried time.Duration // time since this process first tried to terminate the task
-		heard time.Duration // time since any worker was last heard
-		awake time.Duration // time since this controller resumed from a stall; 0: it never stalled
-		want  bool
+		name       string
+		conditions cancelledTaskCondition
+		age        time.Duration // time since the cancellation
+		tried      time.Duration // time since this process first tried to terminate the task
+		heard      time.Duration // time since any worker was last heard
+		resumed    time.Duration // time since this controller resumed from a stall; 0: it never stalled
+		want       bool
 	}{
 		{name: "before the deadline", age: 14 * time.Second, tried: 13 * time.Second},
 		{name: "at the deadline", age: 15 * time.Second, tried: 14 * time.Second, want: true},
 		{name: "the owner has just taken the machine over", age: 16 * time.Second, tried: 3 * time.Second},
 		{name: "the owner took the machine over a few seconds ago", age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "in an outage", is: storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "another controller's machine", is: othersMachine, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "another controller's machine in an outage", is: othersMachine | storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
-		{name: "the task has ended", is: taskEnded, age: 20 * time.Second, tried: 19 * time.Second},
+		{name: "in an outage", conditions: storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "another controller's machine", conditions: othersMachine, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "another controller's machine in an outage", conditions: othersMachine | storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
+		{name: "the task has ended", conditions: taskEnded, age: 20 * time.Second, tried: 19 * time.Second},
 		{name: "this controller hears no worker: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
-		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, awake: time.Second},
-		{name: "time of cancellation unknown: age counts from when this process learned of it", is: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
-		{name: "time of cancellation unknown, at the deadline", is: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
-		{name: "cancellation from a peer's digest", is: onlyGossiped | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, resumed: time.Second},
+		{name: "time of cancellation unknown: age counts from when this process learned of it", conditions: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
+		{name: "time of cancellation unknown, at the deadline", conditions: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "cancellation from a peer's digest", conditions: onlyGossiped | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
-			controller, machine := cancelledTaskCore(t, test.is, test.age, now)
+			controller, machine := cancelledTaskCore(t, test.conditions, test.age, now)
 			controller.workers.anyHeardAt = now.Add(-test.tried)
 			if lost := controller.superviseTerminations(now.Add(-test.tried)); len(lost) > 0 {
 				t.Fatal("machine returned before any try to terminate the task")
 			}
-			if controller.workers.anyHeardAt = now.Add(-test.heard); test.awake > 0 {
-				controller.reachability.resumedAt = now.Add(-test.awake)
+			if controller.workers.anyHeardAt = now.Add(-test.heard); test.resumed > 0 {
+				controller.reachability.resumedAt = now.Add(-test.resumed)
 			}
 			if lost := controller.superviseTerminations(now); (len(lost) > 0) != test.want {
 				t.Errorf("machines to return: %v, want any: %v", lost, test.want)
 			}
-			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != (test.want && !test.is.has(othersMachine|storeOutage)) && !test.is.has(storeOutage) {
+			if update := controller.workers.pendingUpdates[machine.Index]; (update != nil && update.returning) != (test.want && !test.conditions.has(othersMachine|storeOutage)) && !test.conditions.has(storeOutage) {
 				t.Error("the return is not queued as an update by the owner, or is queued by another controller")
 			}
 		})
 	}
 	// With the deployments' settings, at least 13 s of cancel_s are left for the cloud.
-	for _, w := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
-		if left := seconds(w.CancelS) - terminationDeadline(w) - terminationPatience; left < 13*time.Second {
-			t.Errorf("%+v: only %v of cancel_s are left after the tries of a process that started at the deadline", w, left)
+	for _, settings := range []config.Workers{{LeaseS: 10, CancelS: 40}, {LeaseS: 11, CancelS: 41}, {LeaseS: 15.25, CancelS: 45.25}, {LeaseS: 16, CancelS: 36}, {LeaseS: 26.5, CancelS: 46.5}} {
+		if left := seconds(settings.CancelS) - terminationDeadline(settings) - minTerminationTime; left < 13*time.Second {
+			t.Errorf("%+v: only %v of cancel_s are left after the tries of a process that started at the deadline", settings, left)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 			if i == 0 {
 				controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
 				controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
-				controller.reachability.leaseSeenAt["n1"] = now
+				controller.reachability.memberSeenAt["n1"] = now
 				machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
 				worker.heard, worker.missedProbes = worker.heartbeatAt, 9
 			} else if i > 1 {
@@ -143,7 +143,7 @@
 				t.Errorf("usable %v, want %v", got, test.usable)
 			}
 			controller.superviseMachines(t.Context(), now, nil)
-			if e := controller.workers.pendingUpdates[machine.Index]; (e != nil && e.returning) != test.returned {
+			if update := controller.workers.pendingUpdates[machine.Index]; (update != nil && update.returning) != test.returned {
 				t.Errorf("returned %v, want %v", !test.returned, test.returned)
 			}
 		})
@@ -152,7 +152,7 @@
 
 // Guards against state of an earlier leadership of the same process being used in a new one: if the
 // answer to the transaction is lost, leadership begins when its record is read.
-func TestLeadershipBeginsWithItsRecord(t *testing.T) {
+func TestLeadershipBeginsWithLeaderRecord(t *testing.T) {
 	controller := newCore(t)
 	controller.leader.enrollPending["m9"], controller.leader.requestCount = true, 7
 	lead := func(member string, version uint64) {
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -21,18 +21,18 @@
 	unreachable    bool
 	reachableSince time.Time // when a worker was heard again after the zone was unreachable
 	probedAt       time.Time // when a worker there was last probed
-	probing        bool      // a probe is in flight
+	probeInFlight  bool
 	missedProbes   int       // direct commands and probes without an answer in a row
 	nextProbe      int       // counter that selects the next machine to probe
 	emptySince     time.Time // while unreachable: since when no machine that could answer is left; zero: there is one
 }
 
 const (
-	// zoneMachines is the least number of machines from which a zone's silence counts: so many are
+	// minZoneMachines is the least number of machines from which a zone's silence counts: so many are
 	// unlikely to fall silent together independently.
-	zoneMachines = 3
-	// zoneMisses is how many probes in a row a silent zone must have missed to be unreachable.
-	zoneMisses = 2
+	minZoneMachines = 3
+	// minZoneMissedProbes is how many probes in a row a silent zone must have missed to be unreachable.
+	minZoneMissedProbes = 2
 	// unownedZoneFactor multiplies the limits of silence and of missed probes for a zone whose workers
 	// send their heartbeats to another controller.
 	unownedZoneFactor = 2
@@ -40,13 +40,13 @@
 	zoneProbeInterval = time.Second / 2
 	// otherZonesMargin is added to zoneHeartbeatLimit when it is checked whether any zone is heard.
 	otherZonesMargin = time.Second
-	// endedBefore is how long before its zone fell silent a controller's end still counts as the end of
-	// that controller: a new owner measures the zone's silence only from its own start.
-	endedBefore = 10 * time.Second
-	// emptyFor is how long a zone stays unreachable after its last machine was given up. Nothing is
-	// left in it that could answer: without this limit the zone stayed unreachable for ever, nothing
+	// controllerEndWindow is how long before its zone fell silent a controller's end still counts as the
+	// end of that controller: a new owner measures the zone's silence only from its own start.
+	controllerEndWindow = 10 * time.Second
+	// emptyZoneTimeout is how long a zone stays unreachable after its last machine was given up. Nothing
+	// is left in it that could answer: without this limit the zone stayed unreachable for ever, nothing
 	// was provisioned in it, and tasks that may not run elsewhere waited.
-	emptyFor = 15 * time.Second
+	emptyZoneTimeout = 15 * time.Second
 )
 
 // zoneUnreachableAfter returns how long a zone must be silent to be unreachable: longer than the
@@ -77,7 +77,7 @@
 }
 
 // emptyTooLong records whether a zone has machines that could answer, and reports whether it has been
-// unreachable without any for longer than emptyFor.
+// unreachable without any for longer than emptyZoneTimeout.
 func (z *zoneState) emptyTooLong(machines int, now time.Time) bool {
 	switch {
 	case machines > 0 || !z.unreachable:
@@ -85,7 +85,7 @@
 	case z.emptySince.IsZero():
 		z.emptySince = now
 	default:
-		return now.Sub(z.emptySince) > emptyFor
+		return now.Sub(z.emptySince) > emptyZoneTimeout
 	}
 	return false
 }
@@ -93,10 +93,10 @@
 // beginProbe reports whether a worker should be probed now. The index selects the worker; it increases
 // by one with each probe.
 func (z *zoneState) beginProbe(now time.Time) (index int, ok bool) {
-	if z.probing || now.Sub(z.probedAt) < zoneProbeInterval {
+	if z.probeInFlight || now.Sub(z.probedAt) < zoneProbeInterval {
 		return 0, false
 	}
-	z.probing, z.probedAt = true, now
+	z.probeInFlight, z.probedAt = true, now
 	z.nextProbe++
 	return z.nextProbe, true
 }
@@ -114,19 +114,19 @@
 	return zone < len(r.zones) && r.zones[zone].unreachable
 }
 
-// forgetZones resets the state of all zones, as if each was heard now.
-func (r *reachability) forgetZones(now time.Time) {
+// resetZones resets the state of all zones, as if each was heard now.
+func (r *reachability) resetZones(now time.Time) {
 	for zone := range r.zones {
 		r.zones[zone] = zoneState{heard: now}
 	}
 }
 
-func (c *Controller) zoneState(z int) *zoneState { return c.reachability.zone(z) }
+func (c *Controller) zoneState(zoneIndex int) *zoneState { return c.reachability.zone(zoneIndex) }
 
-// hearZone records that a worker in a zone was heard.
-func (c *Controller) hearZone(z int, now time.Time) {
-	if c.reachability.zone(z).markHeard(now) {
-		c.log.Info("zone is reachable again", "zone", c.cache.Zones.Name(z))
+// noteZoneHeard records that a worker in a zone was heard.
+func (c *Controller) noteZoneHeard(zoneIndex int, now time.Time) {
+	if c.reachability.zone(zoneIndex).markHeard(now) {
+		c.log.Info("zone is reachable again", "zone", c.cache.Zones.Name(zoneIndex))
 	}
 }
 
@@ -134,10 +134,10 @@
 // unreachable. The leader does so even if it owns no shards, since it must not scale out in such zones.
 func (c *Controller) superviseZones(now time.Time) {
 	for name := range c.cache.Members {
-		c.reachability.leaseSeenAt[name] = now
+		c.reachability.memberSeenAt[name] = now
 	}
 	if !c.isLeader() && !c.shards.ownsAny() {
-		c.reachability.forgetZones(now)
+		c.reachability.resetZones(now)
 		return
 	}
 	machines := c.reachableMachinesByZone()
@@ -172,43 +172,43 @@
 
 // superviseZone marks a zone as unreachable if its silence proves it, and probes one of its workers
 // while it is silent.
-func (c *Controller) superviseZone(z int, machines []*storage.Machine, anyHeard bool, now time.Time) {
-	zone := c.zoneState(z)
+func (c *Controller) superviseZone(zoneIndex int, machines []*storage.Machine, anyHeard bool, now time.Time) {
+	zone := c.zoneState(zoneIndex)
 	silence := c.silenceOf(zone.heard, now)
 	if zone.emptyTooLong(len(machines), now) {
 		*zone = zoneState{heard: now}
-		c.log.Info("unreachable zone has no machines left, counting it as reachable again", "zone", c.cache.Zones.Name(z))
+		c.log.Info("unreachable zone has no machines left, counting it as reachable again", "zone", c.cache.Zones.Name(zoneIndex))
 	}
 	if len(machines) == 0 || silence < zoneHeartbeatLimit(c.cfg.Deployment.Workers) {
 		return
 	}
 	if !zone.unreachable && anyHeard && c.provesUnreachable(zone, machines, silence) {
 		zone.unreachable = true
-		c.log.Info("zone is unreachable", "zone", c.cache.Zones.Name(z), "machines", len(machines))
+		c.log.Info("zone is unreachable", "zone", c.cache.Zones.Name(zoneIndex), "machines", len(machines))
 	}
 	if index, ok := zone.beginProbe(now); ok {
-		c.probeZone(z, machines[index%len(machines)])
+		c.probeZone(zoneIndex, machines[index%len(machines)])
 	}
 }
 
 // provesUnreachable reports whether a zone is unreachable: it has enough machines, has been silent for
 // long enough and has missed enough probes.
 func (c *Controller) provesUnreachable(zone *zoneState, machines []*storage.Machine, silence time.Duration) bool {
-	limit, misses := zoneUnreachableAfter(c.cfg.Deployment.Workers), zoneMisses
+	limit, misses := zoneUnreachableAfter(c.cfg.Deployment.Workers), minZoneMissedProbes
 	if !c.ownsShard(machines[0].Shard) {
 		// The workers there send no heartbeats to this controller: only its probes can be answered.
 		limit, misses = unownedZoneFactor*limit, unownedZoneFactor*misses
 	}
-	return len(machines) >= zoneMachines && silence > limit && zone.missedProbes >= misses
+	return len(machines) >= minZoneMachines && silence > limit && zone.missedProbes >= misses
 }
 
 // probeZone probes the worker of one of a zone's machines.
-func (c *Controller) probeZone(z int, machine *storage.Machine) {
+func (c *Controller) probeZone(zoneIndex int, machine *storage.Machine) {
 	c.probeHeartbeat(machine, func(answered bool) {
-		zone := c.zoneState(z)
-		zone.probing = false
+		zone := c.zoneState(zoneIndex)
+		zone.probeInFlight = false
 		if answered {
-			c.hearZone(z, time.Now())
+			c.noteZoneHeard(zoneIndex, time.Now())
 		} else {
 			zone.missedProbes++
 		}
@@ -220,25 +220,25 @@
 // controller ends. A controller that owned machines there goes on answering their workers. Most
 // workers find another controller before their leases expire, even if two silent controllers come
 // first in the order in which they try them.
-func (c *Controller) hasControllerInside(z int) bool {
-	name, since := c.cache.Zones.Name(z), c.reachability.zones[z].heard
-	if since.Sub(c.session.startedAt) < endedBefore {
+func (c *Controller) hasControllerInside(zoneIndex int) bool {
+	name, since := c.cache.Zones.Name(zoneIndex), c.reachability.zones[zoneIndex].heard
+	if since.Sub(c.session.startedAt) < controllerEndWindow {
 		return false // this process started too late to have seen which controllers ended
 	}
-	return slices.ContainsFunc(c.cfg.Known, func(k config.Peer) bool {
-		return k.Zone == name && c.reachability.leaseSeenAt[k.MemberName].After(since) &&
-			!c.reachability.brokenConnections[k.MemberName].After(since.Add(-endedBefore))
+	return slices.ContainsFunc(c.cfg.Known, func(known config.Peer) bool {
+		return known.Zone == name && c.reachability.memberSeenAt[known.MemberName].After(since) &&
+			!c.reachability.brokenConnections[known.MemberName].After(since.Add(-controllerEndWindow))
 	})
 }
 
-// serves reports whether replicas of open services are placed on a machine.
-func serves(m *storage.Machine) bool {
-	return slices.ContainsFunc(m.Tasks, func(p storage.PlacedTask) bool { return p.Job.Open() && p.Job.Shape == protocol.Service })
+// hasServiceReplicas reports whether replicas of open services are placed on a machine.
+func hasServiceReplicas(machine *storage.Machine) bool {
+	return slices.ContainsFunc(machine.Tasks, func(placed storage.PlacedTask) bool { return placed.Job.Open() && placed.Job.Shape == protocol.Service })
 }
 
 // needsNoReplacement reports whether the tasks in a zone need no capacity elsewhere: the zone is
 // unreachable, and has been silent for less than half of cancel_s. Machines provisioned later than
 // that would come up too late.
-func (c *Controller) needsNoReplacement(z int, now time.Time) bool {
-	return c.reachability.zoneUnreachable(z) && c.silenceOf(c.reachability.zones[z].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
+func (c *Controller) needsNoReplacement(zoneIndex int, now time.Time) bool {
+	return c.reachability.zoneUnreachable(zoneIndex) && c.silenceOf(c.reachability.zones[zoneIndex].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
 }
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -30,13 +30,13 @@
 	controller := newCore(t)
 	controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
 	controller.cfg.Deployment.Workers.CancelS = 40
-	rev := uint64(10)
+	revision := uint64(10)
 	for _, zone := range []string{"a", "b", "c"} {
 		for i := range machinesPerZone {
-			rev++
+			revision++
 			name := fmt.Sprint(zone, i)
-			if err := controller.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: zone, FencingToken: rev,
-				Machines: []storage.FleetMachine{{Name: name, Addr: name}}}), rev, false); err != nil {
+			if err := controller.cache.Apply(storage.FleetKey(name), storage.Encode(storage.FleetRecord{Type: "t", Zone: zone, FencingToken: revision,
+				Machines: []storage.FleetMachine{{Name: name, Addr: name}}}), revision, false); err != nil {
 				t.Fatal(err)
 			}
 			machine := controller.cache.Machine(name)
@@ -47,8 +47,9 @@
 	return controller
 }
 
-// superviseFor runs a controller's zone supervision for a number of ticks, and afterTick after each.
-func superviseFor(c *Controller, ticks int, afterTick func(tick int)) {
+// superviseZonesFor runs a controller's zone supervision for a number of ticks, and afterTick after
+// each.
+func superviseZonesFor(c *Controller, ticks int, afterTick func(tick int)) {
 	for tick := range ticks {
 		c.superviseZones(time.Now())
 		time.Sleep(250 * time.Millisecond)
@@ -64,12 +65,12 @@
 // lost when their machines were returned.
 func TestZoneUnreachable(t *testing.T) {
 	for _, test := range []struct {
-		name               string
-		heard              string // names of the zones whose workers answer
-		machines           int    // in each zone
-		before             func(controller *Controller, now time.Time)
-		unreachable, lives bool // zone b is unreachable; a controller inside it counts as alive
-		emptied            bool // whether the zone's machines are gone at the end
+		name                          string
+		heard                         string // names of the zones whose workers answer
+		machines                      int    // in each zone
+		before                        func(controller *Controller, now time.Time)
+		unreachable, controllerInside bool // zone b is unreachable; a controller inside it counts as alive
+		emptied                       bool // whether the zone's machines are gone at the end
 	}{
 		{"one zone is silent, its controller was alive", "ac", 4, func(*Controller, time.Time) {}, true, true, false},
 		{"its controller's connection broke off just before", "ac", 4, func(c *Controller, now time.Time) { c.reachability.brokenConnections["n1"] = now.Add(-3 * time.Second) }, true, false, false},
@@ -87,20 +88,20 @@
 				}
 				core.session.startedAt = time.Now().Add(-time.Minute)
 				test.before(core, time.Now())
-				superviseFor(core, 24, func(tick int) {
+				superviseZonesFor(core, 24, func(tick int) {
 					if tick == 10 {
 						delete(core.cache.Members, "n1") // its session lease has expired
 					}
 				})
 				zone, now := core.cache.Zones.Find("b"), time.Now()
-				if core.reachability.zoneUnreachable(zone) != test.unreachable || test.unreachable && core.hasControllerInside(zone) != test.lives {
+				if core.reachability.zoneUnreachable(zone) != test.unreachable || test.unreachable && core.hasControllerInside(zone) != test.controllerInside {
 					t.Fatalf("got unreachable: %v, controller inside: %v", core.reachability.zoneUnreachable(zone), core.hasControllerInside(zone))
 				}
 				if test.unreachable && (!core.needsNoReplacement(zone, now) || core.needsNoReplacement(zone, now.Add(time.Minute))) {
 					t.Error("the zone's tasks must need no replacement capacity at first, and need it a minute later")
 				}
-				checkEmptyZoneIsTriedAgain(t, core, zone, now, test.unreachable, test.emptied)
-				if core.hearZone(zone, now); core.reachability.zoneUnreachable(zone) {
+				checkEmptyZoneBecomesReachable(t, core, zone, now, test.unreachable, test.emptied)
+				if core.noteZoneHeard(zone, now); core.reachability.zoneUnreachable(zone) {
 					t.Error("a zone is still unreachable after a worker in it was heard")
 				}
 				time.Sleep(2 * probeTimeout)
@@ -109,9 +110,9 @@
 	}
 }
 
-// checkEmptyZoneIsTriedAgain checks that an unreachable zone without machines, in which no worker can
-// answer, counts as reachable again after emptyFor, and that a zone with machines does not.
-func checkEmptyZoneIsTriedAgain(t *testing.T, controller *Controller, zone int, now time.Time, unreachable, emptied bool) {
+// checkEmptyZoneBecomesReachable checks that an unreachable zone without machines, in which no worker
+// can answer, counts as reachable again after emptyZoneTimeout, and that a zone with machines does not.
+func checkEmptyZoneBecomesReachable(t *testing.T, controller *Controller, zone int, now time.Time, unreachable, emptied bool) {
 	t.Helper()
 	for _, machine := range controller.cache.Machines {
 		machine.Gone = machine.Zone == zone && emptied
@@ -119,12 +120,12 @@
 	for range 2 {
 		controller.superviseZones(now)
 		if controller.reachability.zoneUnreachable(zone) != unreachable {
-			t.Error("the zone's reachability changed before emptyFor has passed")
+			t.Error("the zone's reachability changed before emptyZoneTimeout has passed")
 		}
-		controller.superviseZones(now.Add(emptyFor - time.Second))
+		controller.superviseZones(now.Add(emptyZoneTimeout - time.Second))
 	}
-	controller.superviseZones(now.Add(emptyFor + time.Second))
+	controller.superviseZones(now.Add(emptyZoneTimeout + time.Second))
 	if got := controller.reachability.zoneUnreachable(zone); got != (unreachable && !emptied) {
-		t.Errorf("unreachable: %v after emptyFor, with all machines gone: %v", got, emptied)
+		t.Errorf("unreachable: %v after emptyZoneTimeout, with all machines gone: %v", got, emptied)
 	}
 }
