--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -74,18 +74,18 @@
 // commands returns the commands that bring a worker's tasks to their desired states. The answer flag
 // says whether they go into the answer to a heartbeat.
 func (c *Controller) commands(machine *storage.Machine, worker *workerState, answer bool) []protocol.Command {
-	unsent := len(worker.Gone)
+	goneBefore := len(worker.Gone)
 	desired := func(placed storage.PlacedTask) dispatch.DesiredState { return c.desiredState(machine, worker, placed) }
 	commands := worker.Commands(machine, c.cache.FencingToken(machine), desired, answer, maxCommands)
-	if len(worker.Gone) > unsent {
+	if len(worker.Gone) > goneBefore {
 		c.requestCycle()
 	}
 	return commands
 }
 
 // sendDirect sends a worker its pending commands directly, without waiting for its heartbeat. If there
-// are none, it sends nothing, or, if empty is set, a probe for the worker's heartbeat.
-func (c *Controller) sendDirect(machine *storage.Machine, empty bool) {
+// are none, it sends nothing, or, if probe is set, a probe for the worker's heartbeat.
+func (c *Controller) sendDirect(machine *storage.Machine, probe bool) {
 	worker := c.workerState(machine)
 	unknown := worker.Incarnation == 0 && machine.Incarnation == 0
 	if worker.DirectInFlight || machine.Addr == "" || c.workers.directCommands >= maxDirectCommands || unknown {
@@ -99,7 +99,7 @@
 	if worker.Incarnation != 0 {
 		commands.Commands = append(commands.Commands, c.commands(machine, worker, false)...)
 	}
-	if len(commands.Commands) == 0 && !empty {
+	if len(commands.Commands) == 0 && !probe {
 		return
 	}
 	worker.DirectInFlight = true
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// enrollTries is how many times the enrollment of a provisioned machine is tried. After that, the
-	// cloud's machine list shows the machine as unrecorded, and it is enrolled again.
+	// enrollTries is how many times the enrollment of a machine from a scale-out request is tried.
+	// After that, the cloud's machine list shows it as an unrecorded machine, and it is enrolled again.
 	enrollTries = 20
 	// enrollRetryDelay is the delay before enrollment is tried again after a failure.
 	enrollRetryDelay = 200 * time.Millisecond
@@ -26,7 +26,7 @@
 	fleet storage.FleetRecord // the fleet record's fields, without machines
 	name  string
 	addr  string
-	tries int           // tries left
+	tries int           // tries left; 0: a single try
 	done  func(ok bool) // called once with the outcome
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// enrollMachine queues a machine for enrollment, unless it is queued already. It is placed in a group
-// of the shard that needs it most.
+// enrollMachine queues a machine for enrollment in a group of the shard that needs it most. If the
+// machine is queued already, its done function is called with a failure.
 func (c *Controller) enrollMachine(ctx context.Context, pending *pendingMachine) {
 	if c.leader.enrollPending[pending.name] {
 		pending.done(false)
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -50,7 +50,7 @@
 		state.failedOn[machine.Index] = true
 	}
 	if now.Before(state.backoff) {
-		return // the job's other tasks that were started together with one that failed
+		return // part of the same try: the backoff after the job's last failure has not passed
 	}
 	history.failedTries++
 	if state.failures >= minFailedMachines {
@@ -155,8 +155,8 @@
 		}
 		evidence.failures += history.failedAttempts
 		evidence.jobs++
-		// Placement prefers machines on which a job has not failed. A job that fails on one machine
-		// again and again therefore has no other machine, and can't become suspect by failing elsewhere.
+		// Placement prefers machines on which a job has not failed. A job that fails on the same machine
+		// again and again can run nowhere else, so no other machine can show which of the two is at fault.
 		evidence.conclusive = evidence.conclusive || job.DoneCount > 0 || history.failedTries > minFailedMachines
 	}
 	return evidence
--- a/internal/controller/followed_changes.go
+++ b/internal/controller/followed_changes.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// settleWorkerState updates the state of a machine's worker to the records, and deletes it if the
+// settleWorkerState updates the state of a machine's worker to match the records, and deletes it if the
 // machine is gone or no longer owned by this controller.
 func (c *Controller) settleWorkerState(machine *storage.Machine) {
 	worker := c.workers.states[machine.Index]
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -25,9 +25,9 @@
 	baseline          baselineLearning
 }
 
-// init resets the state left from an earlier leadership of this process. It keeps the flags of
-// requests that are still in flight, and the count of scale-out requests, so that a request name
-// is never used twice.
+// init resets the state left from an earlier leadership of this process. It keeps the flags that a
+// request to return machines or a write of the baseline is in flight, and the count of scale-out
+// requests, so that a request name is never used twice.
 func (l *leaderState) init() {
 	l.failPending()
 	*l = leaderState{
--- a/internal/controller/lease_knowledge.go
+++ b/internal/controller/lease_knowledge.go
@@ -35,10 +35,10 @@
 // cancellationsCompleteUntil returns the time up to which this controller has every cancellation that
 // any controller has confirmed: by its cache, or by the digests of all other controllers.
 func (c *Controller) cancellationsCompleteUntil(now time.Time) time.Time {
-	vouched := now
+	completeAt := now
 	include := func(member string) {
 		if member != c.cfg.MemberName {
-			vouched = minTime(vouched, c.cancellations.digest.completeUntil[member])
+			completeAt = minTime(completeAt, c.cancellations.digest.completeUntil[member])
 		}
 	}
 	for _, known := range c.cfg.Known {
@@ -47,7 +47,7 @@
 	for name := range c.cache.Members {
 		include(name)
 	}
-	return maxTime(c.follower.cacheCurrentAt, vouched)
+	return maxTime(c.follower.cacheCurrentAt, completeAt)
 }
 
 // mayRenewLeases reports whether this controller may renew a worker's lease: its information on
--- a/internal/controller/shard_ownership.go
+++ b/internal/controller/shard_ownership.go
@@ -76,8 +76,8 @@
 }
 
 // mayReassign reports whether a shard may be reassigned although its owner is alive: when membership
-// has not changed for rebalanceDelay, or within earlyReassignWindow after a new owner's first
-// heartbeats.
+// has not changed for rebalanceDelay, or within earlyReassignWindow after the new owner's
+// firstHeartbeatsPeriod.
 func (o *shardOwnerships) mayReassign(shard int, now time.Time) bool {
 	if now.Sub(o.membersChangedAt) > rebalanceDelay {
 		return true
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -25,7 +25,7 @@
 const (
 	// storeRetryInterval is the delay before a failed request to the state service is retried.
 	storeRetryInterval = 300 * time.Millisecond
-	// loadPageSize is how many records are read in one request.
+	// loadPageSize is the number of records read in one request.
 	loadPageSize = 1000
 	// maxWatchWait bounds how long a watch request waits for changes.
 	maxWatchWait = time.Second
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -7,15 +7,14 @@
 // service arrive.
 type storeHealth struct {
 	servedAt      time.Time // when the state service last answered this controller successfully
-	failingSince  time.Time // since when its requests have failed; zero: they succeed
+	failingSince  time.Time // since when commits have failed; zero: the latest commit or watch succeeded
 	changesUsed   uint64    // total of changes made by this controller at changesUsedAt
 	changesUsedAt time.Time // when changesUsed was last read
 	changeRate    float64   // changes per second, smoothed over about a second
 }
 
 const (
-	// storeFailingAfter is how long requests to the state service must fail before answers no longer
-	// wait for commits.
+	// storeFailingAfter is how long commits must fail before answers no longer wait for them.
 	storeFailingAfter = time.Second
 	// machineWeight is the weight of a controller's part of the machines in its share of the rate; its
 	// part of the shards has weight 1.
@@ -32,8 +31,8 @@
 	c.store.SetRateShare(part, c.isLeader(), c.storeHealth.changeRate, c.othersChangeRate(now))
 }
 
-// ownedPart returns the weighted part of all machines and shards that this controller owns, from 0 to
-// 1.
+// ownedPart returns the weighted part of all machines and shards that this controller owns, from 0
+// to 1.
 func (c *Controller) ownedPart() float64 {
 	ownMachines, allMachines := 0, 0
 	for _, machine := range c.cache.Machines {
@@ -70,14 +69,14 @@
 	h.changesUsed, h.changesUsedAt = changesUsed, now
 }
 
-// storeFailing reports whether requests to the state service have failed for longer than
-// storeFailingAfter, so that answers should not wait for a commit.
+// storeFailing reports whether commits have failed for longer than storeFailingAfter, so that answers
+// should not wait for one.
 func (c *Controller) storeFailing() bool {
 	return !c.storeHealth.failingSince.IsZero() && time.Since(c.storeHealth.failingSince) > storeFailingAfter
 }
 
 // served reports whether the state service answers this controller: its last successful answer is less
-// than peerFresh old, and no request has failed since.
+// than peerFresh old, and no commit has failed since.
 func (h *storeHealth) served(now time.Time) bool {
 	return h.failingSince.IsZero() && now.Sub(h.servedAt) < peerFresh
 }
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -102,8 +102,8 @@
 // must be returned to the cloud because their cancelled tasks are not proved to have ended. In an
 // outage no record can show such a return, but none is needed: the machine ends with all its tasks,
 // whichever controller requests it, and nothing is placed again before the machine's owner has that
-// proof too. A controller that hears no worker at all returns nothing, since it may be the one that
-// is cut off.
+// proof too. A controller that receives messages from no worker returns no machines, since it may be
+// the one that is cut off.
 func (c *Controller) superviseTerminations(now time.Time) (toReturn []string) {
 	ages := c.cancellationAgeByMachine(now)
 	c.cancellations.dropEndedTerminations(ages)
@@ -117,13 +117,13 @@
 		if !own && !outage && age < ownerGrace {
 			continue
 		}
-		attempt := c.cancellations.terminationOn(index)
+		progress := c.cancellations.terminationOn(index)
 		switch {
-		case now.Before(attempt.nextTry):
-		case hearsWorkers && age >= terminationDeadline(workers) && c.triedLongEnough(attempt, now):
+		case now.Before(progress.nextTry):
+		case hearsWorkers && age >= terminationDeadline(workers) && c.triedLongEnough(progress, now):
 			c.log.Info("cancelled tasks not shown to have ended, returning machine", "machine", machine.Name, "own", own, "age_s", age.Seconds())
 			toReturn = append(toReturn, machine.Name)
-			attempt.nextTry = now.Add(scaleInRetryInterval)
+			progress.nextTry = now.Add(scaleInRetryInterval)
 			if own {
 				c.returnMachine(machine, "can't be stopped")
 			}
@@ -131,11 +131,11 @@
 			// begin sets the time of the next try, so that each round starts with other machines. When
 			// every round started with the same ones, those beyond the first 48 were sent nothing.
 			tries++
-			attempt.beginTry(now)
+			progress.beginTry(now)
 			if own {
 				c.sendDirect(machine, true)
 			} else {
-				c.sendKills(machine, c.killsByRecord(machine), true)
+				c.sendKills(machine, c.killCommandsByRecord(machine), true)
 			}
 		}
 	}
@@ -153,12 +153,12 @@
 
 // terminationOn returns the termination on a machine, and creates it if there is none.
 func (t *cancellationTracker) terminationOn(index int32) *termination {
-	attempt := t.terminations[index]
-	if attempt == nil {
-		attempt = &termination{}
-		t.terminations[index] = attempt
+	progress := t.terminations[index]
+	if progress == nil {
+		progress = &termination{}
+		t.terminations[index] = progress
 	}
-	return attempt
+	return progress
 }
 
 // beginTry records the start of a try.
@@ -170,8 +170,8 @@
 }
 
 // triedLongEnough reports whether this process has tried without success for minTerminationTime.
-func (c *Controller) triedLongEnough(attempt *termination, now time.Time) bool {
-	return !attempt.failingSince.IsZero() && c.silenceOf(attempt.failingSince, now) > minTerminationTime
+func (c *Controller) triedLongEnough(progress *termination, now time.Time) bool {
+	return !progress.failingSince.IsZero() && c.silenceOf(progress.failingSince, now) > minTerminationTime
 }
 
 // oldestFirst returns the machine indexes, those with the oldest cancellations first.
@@ -193,9 +193,9 @@
 	return commands
 }
 
-// killsByRecord returns a machine's kill commands under the fencing token and the incarnation in its
+// killCommandsByRecord returns a machine's kill commands under the fencing token and the incarnation in its
 // record.
-func (c *Controller) killsByRecord(machine *storage.Machine) protocol.DirectCommands {
+func (c *Controller) killCommandsByRecord(machine *storage.Machine) protocol.DirectCommands {
 	return protocol.DirectCommands{
 		FencingToken: c.cache.FencingToken(machine),
 		Incarnation:  machine.Incarnation,
@@ -231,15 +231,15 @@
 // set, it sends commands for the cancelled tasks that the heartbeat still shows.
 func (c *Controller) handleKillReply(machine *storage.Machine, heartbeat *protocol.Heartbeat, retry bool) {
 	c.workers.killsAnsweredAt = time.Now()
-	left := c.killCommandsForHeartbeat(heartbeat)
-	if len(left) == 0 {
-		if attempt := c.cancellations.terminations[machine.Index]; attempt != nil {
-			*attempt = termination{nextTry: c.workers.killsAnsweredAt.Add(terminationRecheckInterval)}
+	remaining := c.killCommandsForHeartbeat(heartbeat)
+	if len(remaining) == 0 {
+		if progress := c.cancellations.terminations[machine.Index]; progress != nil {
+			*progress = termination{nextTry: c.workers.killsAnsweredAt.Add(terminationRecheckInterval)}
 		}
 		return
 	}
 	if retry && c.workers.directCommands < maxDirectCommands {
-		kills := protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: left}
+		kills := protocol.DirectCommands{FencingToken: heartbeat.FencingToken, Incarnation: heartbeat.Incarnation, Commands: remaining}
 		c.sendKills(machine, kills, false)
 	}
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -40,8 +40,9 @@
 	zoneProbeInterval = time.Second / 2
 	// otherZonesMargin is added to zoneHeartbeatLimit when it is checked whether any zone is heard.
 	otherZonesMargin = time.Second
-	// controllerEndWindow is how long before its zone fell silent a controller's end still counts as the
-	// end of that controller: a new owner measures the zone's silence only from its own start.
+	// controllerEndWindow is how long before its zone fell silent a controller's connection may have
+	// broken off for the controller to count as ended: a new owner measures the zone's silence only
+	// from its own start.
 	controllerEndWindow = 10 * time.Second
 	// emptyZoneTimeout is how long a zone stays unreachable after its last machine was given up. Nothing
 	// is left in it that could answer: without this limit the zone stayed unreachable for ever, nothing
