--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -116,7 +116,7 @@
 	return out
 }
 
-// Digests are sent only to controllers whose member record says that they read them, and list only
+// Digests are sent only to controllers whose member record shows that they read them, and list only
 // cancellations that the receiver has not read. A controller of an earlier version would close the
 // connection when it receives one.
 func TestDigestsAreSentOnlyToReaders(t *testing.T) {
@@ -132,7 +132,7 @@
 	}
 	for _, member := range []string{"n2", "n3"} {
 		if _, ok := controller.CancellationDigest(member); ok {
-			t.Errorf("a digest for %s, whose record does not say that it reads digests", member)
+			t.Errorf("a digest for %s, whose member record does not show that it reads digests", member)
 		}
 	}
 	controller.Frames = 0
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -72,7 +72,7 @@
 }
 
 // commands returns the commands that bring a worker's tasks to their desired states. The answer flag
-// says whether they go into the answer to a heartbeat.
+// is set if they go into the answer to a heartbeat.
 func (c *Controller) commands(machine *storage.Machine, worker *workerState, answer bool) []protocol.Command {
 	goneBefore := len(worker.Gone)
 	desired := func(placed storage.PlacedTask) dispatch.DesiredState { return c.desiredState(machine, worker, placed) }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -200,7 +200,7 @@
 	worker.ApplyHeartbeat(machine, heartbeat, token, reply, c.cache.Job)
 	worker.heard, worker.missedProbes = now, 0
 	c.workers.anyHeardAt = now
-	c.noteZoneHeard(machine.Zone, now)
+	c.recordZoneMessage(machine.Zone, now)
 	if heartbeat.Addr != "" {
 		machine.Addr = heartbeat.Addr
 	}
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -183,8 +183,8 @@
 }
 
 // firstHeartbeatLimit returns how long a worker may take for its first heartbeat to a new owner, which
-// contacts it at once. It is short because groups move, and each new owner would otherwise trust an
-// unresponsive machine anew.
+// contacts it at once. It is short because groups move, and an unresponsive machine would otherwise
+// count as responsive with each new owner again.
 func firstHeartbeatLimit(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 1) }
 
 // heartbeatBaseline returns the value of heartbeatAt with which this controller starts to wait for a
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// peerFresh is how long after its last message a peer, or the state service, counts as heard.
+	// peerFresh is how long after a peer's last heartbeat, or the state service's last answer, the peer
+	// or the service counts as available.
 	peerFresh = 2 * time.Second
 	// storeOKWindow is how long after an answer of the state service this controller's peer heartbeats
 	// report that the service answers it.
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -19,7 +19,7 @@
 		age        time.Duration
 		tasks      []protocol.TaskStatus
 		peer       uint64        // the revision of the other controller's cache
-		heard      time.Duration // how long ago the other controller was heard; below 0: never
+		heard      time.Duration // time since the other controller's last peer heartbeat; below 0: there was none
 		renewedAgo time.Duration // how long ago this controller last renewed the lease; 0: never
 		want       bool
 	}{
@@ -73,17 +73,17 @@
 		name   string
 		member uint64        // the owner's incarnation in its member record; the shard's record has 3
 		served time.Duration // time since the state service last answered this controller
-		heard  time.Duration // time since the owner was last heard
+		heard  time.Duration // time since the owner's last peer heartbeat
 		read   time.Duration // age of the cache
 		want   bool
 	}{
-		{"the owner lives", 3, 0, 0, 0, false},
+		{"the owner is alive", 3, 0, 0, 0, false},
 		{"the owner has ended, and its shard has no new owner yet", 0, 0, 9 * time.Second, 0, true},
 		{"the owner has restarted", 4, 0, 0, 0, true},
-		{"an outage, but the owner is heard", 3, 5 * time.Second, 0, 5 * time.Second, false},
+		{"an outage, but the owner sends peer heartbeats", 3, 5 * time.Second, 0, 5 * time.Second, false},
 		{"an outage, and the owner is silent", 3, 5 * time.Second, 5 * time.Second, 5 * time.Second, true},
 		{"an outage that has lasted too long", 3, 19 * time.Second, 19 * time.Second, 19 * time.Second, false},
-		{"an outage, and the restarted owner is heard, which has read no records", 3, 5 * time.Second, restarted, 5 * time.Second, true},
+		{"an outage, and the owner sends peer heartbeats, but was restarted and has read no records", 3, 5 * time.Second, restarted, 5 * time.Second, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t) // lease_s 10, cancel_s 30
@@ -130,7 +130,7 @@
 			}
 			builder, _ := controller.plan(time.Now(), 12)
 			if record := machineIn(t, builder); (record.FencingToken > test.token) != test.raised {
-				t.Errorf("the record's token is %d and the worker's %d; whether it is raised is not as wanted", record.FencingToken, test.token)
+				t.Errorf("the record's token is %d and the worker's %d; the former must be raised in the case 'higher' only", record.FencingToken, test.token)
 			}
 		})
 	}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -42,8 +42,8 @@
 	fewOtherMembers = 2
 )
 
-// silenceOf returns the time since something was last heard, not counting the time before this
-// controller last resumed from a stall.
+// silenceOf returns the time since a message that arrived at the given time, not counting the time
+// before this controller last resumed from a stall.
 func (c *Controller) silenceOf(at, now time.Time) time.Duration {
 	return now.Sub(maxTime(at, c.reachability.resumedAt))
 }
@@ -51,8 +51,8 @@
 // memberLost reports whether a controller seems to have ended, or reports itself that the state service
 // refuses it. An ended connection counts only for as long as the controller's session lease may outlast
 // its process: if the member record is still there later, the controller has renewed its session lease
-// and lives, whatever happened to the connection. And if the connections to most of several others end
-// at once, it is more likely that this controller is isolated, or that the network filters traffic
+// and is alive, whatever happened to the connection. And if the connections to most of several others
+// end at once, it is more likely that this controller is isolated, or that the network filters traffic
 // between all of them.
 func (c *Controller) memberLost(member string, now time.Time) bool {
 	if c.storeRefusesMember(member, now) {
@@ -89,7 +89,7 @@
 	return age > memberLostAfter && age < maxAge
 }
 
-// storeRefusesMember reports whether a controller's peer heartbeats say that the state service refuses
+// storeRefusesMember reports whether a controller's peer heartbeats show that the state service refuses
 // it, while the service answers this one. Without this check, its session lease would keep its shards
 // for seconds longer.
 func (c *Controller) storeRefusesMember(member string, now time.Time) bool {
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -95,7 +95,7 @@
 		store  unfinishedListStore
 		cloud  bool
 		awaits []string
-		served bool // another controller's peer heartbeat says that the state service answers it
+		served bool // another controller's peer heartbeat reports that the state service answers it
 		ready  bool
 		status int
 	}{
@@ -129,7 +129,7 @@
 					t.Errorf("submission: %d (Retry-After %d), want %d", answer.Status, answer.RetryAfter, test.status)
 				}
 				if committed := slices.Contains(store.puts, storage.JobKey("job-000007")); committed != (test.status == 201) {
-					t.Errorf("job record committed: %v, want the opposite", committed)
+					t.Errorf("job record committed: %v; it must be committed exactly with status 201", committed)
 				}
 				// Queries about records that have not been read are refused.
 				if queried := controller.Query(ctx, "job-000001"); queried.Status != 503 {
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -99,7 +99,7 @@
 
 // Guards against a controller that only the state service refuses keeping its shards until its session
 // lease expires, although its peer heartbeats can report the refusal at once.
-func TestDeniedMembersAreLost(t *testing.T) {
+func TestMembersRefusedByStoreAreLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name    string
@@ -111,7 +111,7 @@
 		{"refused for a while, and this controller is not", 2 * time.Second, 0, true, true},
 		{"refused just now", 500 * time.Millisecond, 0, true, false},
 		{"an outage for all", 2 * time.Second, 0, false, false},
-		{"no longer heard, so its report is out of date", 9 * time.Second, 5 * time.Second, true, false},
+		{"silent since, so its report is out of date", 9 * time.Second, 5 * time.Second, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -109,7 +109,7 @@
 	c.cancellations.dropEndedTerminations(ages)
 	workers := c.cfg.Deployment.Workers
 	outage := c.silenceOf(c.storeHealth.servedAt, now) > peerFresh
-	hearsWorkers := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.killsAnsweredAt), now) < peerFresh+seconds(workers.HeartbeatS)
+	receivesWorkerMessages := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.killsAnsweredAt), now) < peerFresh+seconds(workers.HeartbeatS)
 	tries := 0
 	for _, index := range oldestFirst(ages) {
 		machine, age := c.cache.Machines[index], ages[index]
@@ -120,7 +120,7 @@
 		progress := c.cancellations.terminationOn(index)
 		switch {
 		case now.Before(progress.nextTry):
-		case hearsWorkers && age >= terminationDeadline(workers) && c.triedLongEnough(progress, now):
+		case receivesWorkerMessages && age >= terminationDeadline(workers) && c.triedLongEnough(progress, now):
 			c.log.Info("cancelled tasks not shown to have ended, returning machine", "machine", machine.Name, "own", own, "age_s", age.Seconds())
 			toReturn = append(toReturn, machine.Name)
 			progress.nextTry = now.Add(scaleInRetryInterval)
@@ -193,8 +193,8 @@
 	return commands
 }
 
-// killCommandsByRecord returns a machine's kill commands under the fencing token and the incarnation in its
-// record.
+// killCommandsByRecord returns a machine's kill commands under the fencing token and the incarnation in
+// its record.
 func (c *Controller) killCommandsByRecord(machine *storage.Machine) protocol.DirectCommands {
 	return protocol.DirectCommands{
 		FencingToken: c.cache.FencingToken(machine),
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -63,7 +63,7 @@
 		conditions cancelledTaskCondition
 		age        time.Duration // time since the cancellation
 		tried      time.Duration // time since this process first tried to terminate the task
-		heard      time.Duration // time since any worker was last heard
+		heard      time.Duration // time since the last message of any worker
 		resumed    time.Duration // time since this controller resumed from a stall; 0: it never stalled
 		want       bool
 	}{
@@ -75,7 +75,7 @@
 		{name: "another controller's machine", conditions: othersMachine, age: 16 * time.Second, tried: 5 * time.Second, want: true},
 		{name: "another controller's machine in an outage", conditions: othersMachine | storeOutage, age: 16 * time.Second, tried: 5 * time.Second, want: true},
 		{name: "the task has ended", conditions: taskEnded, age: 20 * time.Second, tried: 19 * time.Second},
-		{name: "this controller hears no worker: it may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
+		{name: "no messages from any worker: this controller may be the one that is cut off", age: 20 * time.Second, tried: 19 * time.Second, heard: 9 * time.Second},
 		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, resumed: time.Second},
 		{name: "time of cancellation unknown: age counts from when this process learned of it", conditions: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
 		{name: "time of cancellation unknown, at the deadline", conditions: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
@@ -117,7 +117,7 @@
 		returned bool
 	}{
 		{"silent in an unreachable zone, which has its own limits", 21 * time.Second, false, false},
-		{"still booting: its worker was never heard", 21 * time.Second, false, false},
+		{"still booting: its worker has sent nothing yet", 21 * time.Second, false, false},
 		{"heartbeat just received", time.Second, true, false},
 		{"no heartbeat, but within the limit", 4 * time.Second, true, false},
 		{"no heartbeat for more than half of its lease", 6 * time.Second, false, false},
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -19,7 +19,7 @@
 type zoneState struct {
 	heard          time.Time // when a message of any worker in the zone last arrived
 	unreachable    bool
-	reachableSince time.Time // when a worker was heard again after the zone was unreachable
+	reachableSince time.Time // when a worker's message arrived again after the zone was unreachable
 	probedAt       time.Time // when a worker there was last probed
 	probeInFlight  bool
 	missedProbes   int       // direct commands and probes without an answer in a row
@@ -38,7 +38,7 @@
 	unownedZoneFactor = 2
 	// zoneProbeInterval is the minimum time between two probes of a zone.
 	zoneProbeInterval = time.Second / 2
-	// otherZonesMargin is added to zoneHeartbeatLimit when it is checked whether any zone is heard.
+	// otherZonesMargin is added to zoneHeartbeatLimit when anyZoneReachable checks each zone's silence.
 	otherZonesMargin = time.Second
 	// controllerEndWindow is how long before its zone fell silent a controller's connection may have
 	// broken off for the controller to count as ended: a new owner measures the zone's silence only
@@ -66,9 +66,9 @@
 // (terminations.go).
 func unreachableZoneLimit(w config.Workers) time.Duration { return seconds(1.5 * w.CancelS) }
 
-// markHeard records that a worker in the zone was heard, and reports whether the zone was unreachable
-// until then.
-func (z *zoneState) markHeard(now time.Time) (wasUnreachable bool) {
+// recordMessage records that a message of a worker in the zone arrived, and reports whether the zone
+// was unreachable until then.
+func (z *zoneState) recordMessage(now time.Time) (wasUnreachable bool) {
 	z.heard, z.missedProbes = now, 0
 	if !z.unreachable {
 		return false
@@ -115,7 +115,7 @@
 	return zone < len(r.zones) && r.zones[zone].unreachable
 }
 
-// resetZones resets the state of all zones, as if each was heard now.
+// resetZones resets the state of all zones, as if a message from each arrived now.
 func (r *reachability) resetZones(now time.Time) {
 	for zone := range r.zones {
 		r.zones[zone] = zoneState{heard: now}
@@ -124,9 +124,9 @@
 
 func (c *Controller) zoneState(zoneIndex int) *zoneState { return c.reachability.zone(zoneIndex) }
 
-// noteZoneHeard records that a worker in a zone was heard.
-func (c *Controller) noteZoneHeard(zoneIndex int, now time.Time) {
-	if c.reachability.zone(zoneIndex).markHeard(now) {
+// recordZoneMessage records that a message of a worker in a zone arrived.
+func (c *Controller) recordZoneMessage(zoneIndex int, now time.Time) {
+	if c.reachability.zone(zoneIndex).recordMessage(now) {
 		c.log.Info("zone is reachable again", "zone", c.cache.Zones.Name(zoneIndex))
 	}
 }
@@ -142,9 +142,9 @@
 		return
 	}
 	machines := c.reachableMachinesByZone()
-	anyHeard := c.anyZoneHeard(machines, now)
+	anyReachable := c.anyZoneReachable(machines, now)
 	for zone, inZone := range machines {
-		c.superviseZone(zone, inZone, anyHeard, now)
+		c.superviseZone(zone, inZone, anyReachable, now)
 	}
 }
 
@@ -160,9 +160,9 @@
 	return machines
 }
 
-// anyZoneHeard reports whether some zone with machines is not silent. If all are silent, the fault may
-// be this controller's.
-func (c *Controller) anyZoneHeard(machines [][]*storage.Machine, now time.Time) bool {
+// anyZoneReachable reports whether some zone with machines is not silent. If all are silent, the fault
+// may be this controller's.
+func (c *Controller) anyZoneReachable(machines [][]*storage.Machine, now time.Time) bool {
 	limit := zoneHeartbeatLimit(c.cfg.Deployment.Workers) + otherZonesMargin
 	heard := false
 	for zone := range machines {
@@ -173,7 +173,7 @@
 
 // superviseZone marks a zone as unreachable if its silence proves it, and probes one of its workers
 // while it is silent.
-func (c *Controller) superviseZone(zoneIndex int, machines []*storage.Machine, anyHeard bool, now time.Time) {
+func (c *Controller) superviseZone(zoneIndex int, machines []*storage.Machine, anyReachable bool, now time.Time) {
 	zone := c.zoneState(zoneIndex)
 	silence := c.silenceOf(zone.heard, now)
 	if zone.emptyTooLong(len(machines), now) {
@@ -183,7 +183,7 @@
 	if len(machines) == 0 || silence < zoneHeartbeatLimit(c.cfg.Deployment.Workers) {
 		return
 	}
-	if !zone.unreachable && anyHeard && c.provesUnreachable(zone, machines, silence) {
+	if !zone.unreachable && anyReachable && c.provesUnreachable(zone, machines, silence) {
 		zone.unreachable = true
 		c.log.Info("zone is unreachable", "zone", c.cache.Zones.Name(zoneIndex), "machines", len(machines))
 	}
@@ -209,7 +209,7 @@
 		zone := c.zoneState(zoneIndex)
 		zone.probeInFlight = false
 		if answered {
-			c.noteZoneHeard(zoneIndex, time.Now())
+			c.recordZoneMessage(zoneIndex, time.Now())
 		} else {
 			zone.missedProbes++
 		}
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -101,8 +101,8 @@
 					t.Error("the zone's tasks must need no replacement capacity at first, and need it a minute later")
 				}
 				checkEmptyZoneBecomesReachable(t, core, zone, now, test.unreachable, test.emptied)
-				if core.noteZoneHeard(zone, now); core.reachability.zoneUnreachable(zone) {
-					t.Error("a zone is still unreachable after a worker in it was heard")
+				if core.recordZoneMessage(zone, now); core.reachability.zoneUnreachable(zone) {
+					t.Error("a zone is still unreachable after a worker's message arrived")
 				}
 				time.Sleep(2 * probeTimeout)
 			})
