--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -124,7 +124,7 @@
 		{"no heartbeat for more than two leases", 21 * time.Second, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			controller := newCore(t) // heartbeat_s 1, lease_s 10
+			controller := newCore(t) // report_s 1, lease_s 10
 			machine := controller.cache.Machine("m")
 			worker, now := controller.workerState(machine), time.Now()
 			worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-test.silent)
