--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -7,118 +7,120 @@
 	"dykeledge/internal/storage"
 )
 
-// This file tells faulty machines from faulty jobs: a job with a mistake fails on every machine, a
-// faulty machine fails every job.
+// This file distinguishes faulty machines from faulty jobs: a faulty job fails on every machine, and
+// on a faulty machine every job fails.
 
 const (
-	// machineFailures is how many failures since its last success make a machine suspect.
-	machineFailures = 2
-	// jobFailures is how many machines a job must fail on to be taken for faulty.
-	jobFailures = 3
-	// failureSettles is how long a failure must be past to count against its machine: a faulty job
-	// shows on other machines meanwhile.
-	failureSettles = 2 * time.Second
-	// maxBackoff bounds how long a suspect job's next try is put off, maxBackoffDoublings how often
-	// that time, a second at first, is doubled.
+	// minMachineFailures is how many failures since its last success a machine must have to be unhealthy.
+	minMachineFailures = 2
+	// minFailedMachines is how many machines a job must fail on to be suspect.
+	minFailedMachines = 3
+	// failureSettleTime is the time after the first failure of a job on a machine until its failures count
+	// against the machine: meanwhile, a faulty job fails on other machines too.
+	failureSettleTime = 2 * time.Second
+	// maxBackoff bounds the backoff of a suspect job's next try; maxBackoffDoublings bounds how often
+	// the first backoff of a second is doubled.
 	maxBackoff          = time.Minute
 	maxBackoffDoublings = 6
-	// steady is how long a replica must have run for its service to be sound.
-	steady = time.Minute
-	// maxRecentFailures is how many failures count at most when machines are compared.
+	// steadyRunTime is how long a replica must have run to clear its service of suspicion.
+	steadyRunTime = time.Minute
+	// maxRecentFailures caps the failures of a machine that count when machines are compared.
 	maxRecentFailures = 4
 )
 
-// failing is what a machine has failed of one job since it last completed anything.
-type failing struct {
-	n     int
-	waves int // tries of the job that failed here
-	since time.Time
+// jobFailureHistory holds one job's failures on a machine since a task last completed there.
+type jobFailureHistory struct {
+	failedAttempts int
+	failedTries    int       // failed attempts that fell outside of the job's backoff
+	firstFailedAt  time.Time // time of the first failure
 }
 
-// noteFailure takes in that an attempt failed by itself: by its machine's fault or by its job's,
-// which only others can tell.
+// noteFailure records that an attempt failed by itself. Whether its machine or its job is at fault,
+// only other jobs on the machine or other machines can show.
 func (c *Controller) noteFailure(machine *storage.Machine, worker *workerState, job *storage.Job, now time.Time) {
 	state := c.jobState(job)
 	history := worker.failures[job]
 	if history == nil {
-		history = &failing{since: now}
+		history = &jobFailureHistory{firstFailedAt: now}
 		worker.failures[job] = history
 	}
-	history.n++
+	history.failedAttempts++
 	state.failures++
 	if !worker.unhealthy && !machine.Unhealthy {
 		state.failedOn[machine.Index] = true
 	}
 	if now.Before(state.backoff) {
-		return // of the same wave
+		return // part of the same try: the backoff after the job's last failure has not passed
 	}
-	history.waves++
-	if state.failures >= jobFailures {
+	history.failedTries++
+	if state.failures >= minFailedMachines {
 		state.suspectTries++
 		state.backoff = now.Add(backoffAfter(state.suspectTries))
 		c.log.Info("job fails", "job", job.ID, "failures", state.failures, "machines", len(state.failedOn), "suspect", c.suspect(job))
 	}
 }
 
-// backoffAfter is how long a suspect job's next try is put off after some tries.
+// backoffAfter returns the backoff of a suspect job after a number of tries: it doubles with each try.
 func backoffAfter(tries int) time.Duration {
 	return min(maxBackoff, time.Second<<min(tries, maxBackoffDoublings))
 }
 
-// noteSuccess clears a machine and a job of suspicion.
-func (c *Controller) noteSuccess(v *workerState, j *storage.Job) {
-	clear(v.failures)
-	c.jobState(j).clearSuspicion()
+// noteSuccess clears the recorded failures of a machine and of a job after a completed attempt.
+func (c *Controller) noteSuccess(worker *workerState, job *storage.Job) {
+	clear(worker.failures)
+	c.jobState(job).clearSuspicion()
 }
 
+// clearSuspicion clears a job's recorded failures.
 func (s *jobState) clearSuspicion() {
 	s.failures, s.suspectTries = 0, 0
 	clear(s.failedOn)
 }
 
-// noteSteady clears a service of suspicion once a replica has run for a while: its replicas never
-// complete.
-func (c *Controller) noteSteady(v *workerState, j *storage.Job, ran time.Duration) {
-	if j.Shape != protocol.Service || ran < steady || len(v.failures) == 0 && c.jobStates[j] == nil {
+// noteSteadyReplica clears a service of suspicion once one of its replicas has run for steadyRunTime,
+// since replicas never complete.
+func (c *Controller) noteSteadyReplica(worker *workerState, job *storage.Job, ran time.Duration) {
+	if job.Shape != protocol.Service || ran < steadyRunTime || len(worker.failures) == 0 && c.jobStates[job] == nil {
 		return
 	}
-	if state := c.jobState(j); len(state.failedOn) > 0 || v.failures[j] != nil {
+	if state := c.jobState(job); len(state.failedOn) > 0 || worker.failures[job] != nil {
 		state.clearSuspicion()
-		delete(v.failures, j)
+		delete(worker.failures, job)
 	}
 }
 
-// suspect tells whether a job seems to fail wherever it runs: on several machines that are not
-// known to be unhealthy, without a success. From then on it runs one task at a time, and nothing is
-// preempted, provisioned or moved for it, nor is a machine blamed for it.
-func (c *Controller) suspect(j *storage.Job) bool {
-	if j.DoneCount > 0 {
+// suspect reports whether a job seems to be faulty: it failed on several machines that are not known
+// to be unhealthy, and no task of it has completed. A suspect job runs one task at a time, nothing is
+// preempted, provisioned or moved for it, and its failures do not count against machines.
+func (c *Controller) suspect(job *storage.Job) bool {
+	if job.DoneCount > 0 {
 		return false
 	}
-	if j.Suspect {
+	if job.Suspect {
 		return true
 	}
-	state := c.jobStates[j]
-	return state != nil && len(state.failedOn) >= jobFailures
+	state := c.jobStates[job]
+	return state != nil && len(state.failedOn) >= minFailedMachines
 }
 
-// probing tells whether a suspect job's one task is placed already.
-func (c *Controller) probing(j *storage.Job) bool { return c.suspect(j) && j.PlacedCount > 0 }
+// probing reports whether a job is suspect and the one task that it may run is placed.
+func (c *Controller) probing(job *storage.Job) bool { return c.suspect(job) && job.PlacedCount > 0 }
 
-// wantedTasks is how many of a job's waiting tasks are worth capacity now.
-func (c *Controller) wantedTasks(j *storage.Job) int {
-	waiting := j.Waiting()
-	if waiting > 0 && c.suspect(j) {
-		return min(waiting, max(0, 1-j.PlacedCount))
+// wantedTasks returns how many of a job's waiting tasks should get capacity now: for a suspect job, at
+// most one including those placed.
+func (c *Controller) wantedTasks(job *storage.Job) int {
+	waiting := job.Waiting()
+	if waiting > 0 && c.suspect(job) {
+		return min(waiting, max(0, 1-job.PlacedCount))
 	}
 	return waiting
 }
 
-// noteSuspects records for other controllers which jobs seem to be faulty: the leader scales out for
-// them, and the shard's next owner would start all of their tasks again.
+// noteSuspects adds changes to a transaction that mark suspect jobs in their records. Otherwise the
+// leader would scale out for them, and the shard's next owner would start all of their tasks again.
 func (c *Controller) noteSuspects(planned *plannedTxn) {
 	for job, state := range c.jobStates {
-		if len(state.failedOn) < jobFailures || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
+		if len(state.failedOn) < minFailedMachines || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
 			continue
 		}
 		key := storage.JobKey(job.ID)
@@ -132,56 +134,58 @@
 	}
 }
 
-// blame is what speaks against a machine: failures of jobs that do not fail everywhere.
-type blame struct {
+// machineFaultEvidence sums up the failures on a machine of jobs that are not suspect.
+type machineFaultEvidence struct {
 	failures, jobs int
-	proved         bool // by a job that is known to be sound, or that this machine failed again and again
+	conclusive     bool // one of the jobs has completed a task, or failed on this machine again and again
 }
 
-// convincing tells whether the machine is at fault: one job alone can't tell unless it is proved.
-func (b blame) convincing() bool {
-	return b.failures >= machineFailures && (b.jobs > 1 || b.proved)
+// provesFault reports whether the machine is at fault. The failures of a single job do not show that
+// unless conclusive is set.
+func (b machineFaultEvidence) provesFault() bool {
+	return b.failures >= minMachineFailures && (b.jobs > 1 || b.conclusive)
 }
 
-// blameOf is what speaks against a machine by now.
-func (c *Controller) blameOf(worker *workerState, now time.Time) blame {
-	var b blame
+// faultEvidenceOf returns the failures that count against a machine at the time now.
+func (c *Controller) faultEvidenceOf(worker *workerState, now time.Time) machineFaultEvidence {
+	var evidence machineFaultEvidence
 	for job, history := range worker.failures {
-		if c.suspect(job) || now.Sub(history.since) < failureSettles {
+		if c.suspect(job) || now.Sub(history.firstFailedAt) < failureSettleTime {
 			continue
 		}
-		b.failures += history.n
-		b.jobs++
-		// Machines that have not failed a job are preferred: one that has it again and again is the
-		// only one it has, and a job alone cannot tell.
-		b.proved = b.proved || job.DoneCount > 0 || history.waves > jobFailures
+		evidence.failures += history.failedAttempts
+		evidence.jobs++
+		// Placement prefers machines on which a job has not failed. A job that fails on the same machine
+		// again and again can run nowhere else, so no other machine can show which of the two is at fault.
+		evidence.conclusive = evidence.conclusive || job.DoneCount > 0 || history.failedTries > minFailedMachines
 	}
-	return b
+	return evidence
 }
 
-// judgeHealth finds out whether a machine fails its tasks. A job that completes elsewhere, or
-// another job that does not fail elsewhere, tells.
+// judgeHealth marks a machine as unhealthy if its failures show that it is at fault: by a job that
+// completes tasks elsewhere, by several jobs that are not suspect, or by repeated failures of one job.
 func (c *Controller) judgeHealth(machine *storage.Machine, worker *workerState, now time.Time) {
 	if worker.unhealthy || len(worker.failures) == 0 {
 		return
 	}
-	b := c.blameOf(worker, now)
-	if !b.convincing() {
+	evidence := c.faultEvidenceOf(worker, now)
+	if !evidence.provesFault() {
 		return
 	}
-	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", b.failures, "jobs", b.jobs)
+	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", evidence.failures, "jobs", evidence.jobs)
 	worker.unhealthy = true
 	for job := range worker.failures {
-		delete(c.jobState(job).failedOn, machine.Index) // that was not the job's fault
+		delete(c.jobState(job).failedOn, machine.Index) // the machine was at fault, not the job
 	}
 }
 
-// failedRecently counts a machine's failures that may be its own, at most a few.
-func (c *Controller) failedRecently(v *workerState) float64 {
+// failedRecently returns the number of failures on a machine of jobs that are not suspect, capped at
+// maxRecentFailures.
+func (c *Controller) failedRecently(worker *workerState) float64 {
 	failures := 0
-	for job, history := range v.failures {
+	for job, history := range worker.failures {
 		if !c.suspect(job) {
-			failures += history.n
+			failures += history.failedAttempts
 		}
 	}
 	return float64(min(failures, maxRecentFailures))
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -11,8 +11,8 @@
 	"dykeledge/internal/storage"
 )
 
-// A controller that had stalled found all others silent: it gave up its shards, or
-// returned machines, although it was the one that had not listened.
+// Guards against a controller that has stalled taking all others for silent: it gave up its shards, or
+// returned machines, although only it had not handled messages.
 func TestStallIsDetected(t *testing.T) {
 	controller := newCore(t)
 	controller.session.lease = 1
@@ -24,53 +24,54 @@
 	start := time.Now()
 	resumed := start.Add(9 * time.Second)
 	controller.session.leaseRenewedAt, controller.storeHealth.servedAt, controller.shards.takenOverAt = start, start, start.Add(-time.Minute)
-	controller.reachability.disconnected["n1"] = resumed.Add(-2 * time.Second) // its deadline passed meanwhile
+	controller.reachability.disconnected["n1"] = resumed.Add(-2 * time.Second) // the connection's deadline passed during the stall
 	worker.heard, worker.since, controller.workers.anyHeardAt = start, start.Add(-time.Minute), start
-	look := func(now time.Time) (silent, lost, isolated bool) {
+	observe := func(now time.Time) (silent, lost, isolated bool) {
 		controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
 		return controller.silenceOf(worker.heard, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
-	if silent, lost, isolated := look(resumed); !silent || !lost || !isolated {
-		t.Fatalf("without noticing: silent %v, lost %v, isolated %v: the case proves nothing", silent, lost, isolated)
+	if silent, lost, isolated := observe(resumed); !silent || !lost || !isolated {
+		t.Fatalf("before the stall is detected: silent %v, lost %v, isolated %v; want all, otherwise the test proves nothing", silent, lost, isolated)
 	}
 	controller.detectStall(start)
 	controller.detectStall(start.Add(controller.timing.Tick))
 	if !controller.reachability.resumedAt.IsZero() {
-		t.Fatal("a tick in time is no stall")
+		t.Fatal("a tick in time was detected as a stall")
 	}
 	if !controller.leaseCertain(start.Add(time.Second)) || controller.leaseCertain(resumed) {
-		t.Error("a session lease lasts as long as it was last renewed for")
+		t.Error("the session lease must be certain 1 s after its renewal, and uncertain after the stall")
 	}
 	controller.detectStall(resumed)
-	if silent, lost, isolated := look(resumed); silent || lost || isolated {
-		t.Errorf("after noticing: silent %v, lost %v, isolated %v", silent, lost, isolated)
+	if silent, lost, isolated := observe(resumed); silent || lost || isolated {
+		t.Errorf("after the stall is detected: silent %v, lost %v, isolated %v; want none", silent, lost, isolated)
 	}
-	if silent, _, _ := look(resumed.Add(5 * time.Second)); !silent {
-		t.Error("silence counts again from when it resumed")
+	if silent, _, _ := observe(resumed.Add(5 * time.Second)); !silent {
+		t.Error("silence after the stall is not counted")
 	}
 	if !controller.reachability.stalledSince(start) || controller.reachability.stalledSince(resumed) {
-		t.Error("what began before the stall was stalled through, what begins after was not")
+		t.Error("stalledSince must hold for a time before the stall, and not for one after it")
 	}
 }
 
-// scaleOutCounter is a cloud that counts what is asked of it.
-type scaleOutCounter struct {
+// refusingCloud is a cloud that refuses every request and passes its name to requests.
+type refusingCloud struct {
 	Cloud
-	asked chan string
+	requests chan string
 }
 
-func (r scaleOutCounter) ScaleOut(_ context.Context, x protocol.ScaleOutRequest) ([]string, error) {
-	r.asked <- x.Name
+func (r refusingCloud) ScaleOut(_ context.Context, x protocol.ScaleOutRequest) ([]string, error) {
+	r.requests <- x.Name
 	return nil, protocol.ErrNoCapacity
 }
 
-func (r scaleOutCounter) List(context.Context, string) (protocol.MachineList, error) {
-	r.asked <- "list"
+func (r refusingCloud) List(context.Context, string) (protocol.MachineList, error) {
+	r.requests <- "list"
 	return protocol.MachineList{}, errors.New("none")
 }
 
-// A leader that resumes from a stall may lead no more: it must not rent beside its successor.
-func TestNoScaleOutWithAnUncertainLease(t *testing.T) {
+// A leader that resumes from a stall may no longer be the leader: it must not scale out at the same
+// time as its successor.
+func TestNoScaleOutWithUncertainLease(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		since time.Duration
@@ -78,8 +79,8 @@
 	}{{"renewed a moment ago", time.Second, true}, {"renewed before a stall", 6 * time.Second, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			asked := make(chan string, 100)
-			controller.cloud = scaleOutCounter{asked: asked}
+			requests := make(chan string, 100)
+			controller.cloud = refusingCloud{requests: requests}
 			controller.cache.Leader = storage.Leader{LeaderRecord: storage.LeaderRecord{Member: "n0", Incarnation: 1}, Version: 1}
 			now := time.Now()
 			controller.session.lease, controller.session.leaseRenewedAt = 1, now.Add(-test.since)
@@ -87,75 +88,75 @@
 			got := false
 			if controller.leader.listing || len(controller.leader.scaleOuts) > 0 {
 				got = true
-				<-asked
+				<-requests
 			}
 			if got != test.want {
-				t.Errorf("the cloud was asked: %v, want %v", got, test.want)
+				t.Errorf("requests sent to the cloud: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A controller that the state service alone refused kept its shards until its session lease ran out,
-// although it knew, and could tell, at once.
-func TestDeniedMembersAreLost(t *testing.T) {
+// Guards against a controller that only the state service refuses keeping its shards until its session
+// lease expires, although its peer heartbeats can report the refusal at once.
+func TestMembersRefusedByStoreAreLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name    string
-		refused time.Duration // says so since
-		heard   time.Duration
-		served  bool
+		refused time.Duration // time since the member first reported that it is refused
+		heard   time.Duration // time since its last peer heartbeat
+		served  bool          // whether the state service answers this controller
 		want    bool
 	}{
-		{"for a while, and this controller is served", 2 * time.Second, 0, true, true},
-		{"just now", 500 * time.Millisecond, 0, true, false},
-		{"in an outage nobody is served", 2 * time.Second, 0, false, false},
-		{"not heard any more: that is another matter", 9 * time.Second, 5 * time.Second, true, false},
+		{"refused for a while, and this controller is not", 2 * time.Second, 0, true, true},
+		{"refused just now", 500 * time.Millisecond, 0, true, false},
+		{"an outage for all", 2 * time.Second, 0, false, false},
+		{"silent since, so its report is out of date", 9 * time.Second, 5 * time.Second, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
-			c.reachability.resumedAt = now.Add(-time.Second) // what it says itself counts even then
-			c.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-test.heard), now.Add(-test.refused)}
-			if c.storeHealth.servedAt = now; !test.served {
-				c.storeHealth.servedAt = now.Add(-time.Minute)
+			controller := newCore(t)
+			controller.reachability.resumedAt = now.Add(-time.Second) // a member's own report counts even right after a stall
+			controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{}, now.Add(-test.heard), now.Add(-test.refused)}
+			if controller.storeHealth.servedAt = now; !test.served {
+				controller.storeHealth.servedAt = now.Add(-time.Minute)
 			}
-			if got := c.memberLost("n1", now); got != test.want {
+			if got := controller.memberLost("n1", now); got != test.want {
 				t.Errorf("lost %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Controllers that did not hear each other, although both lived, took leadership and the
-// shards from one another eight times a second for the rest of the day.
-func TestLostIsAHintWithAnEnd(t *testing.T) {
+// Guards against two controllers that are both alive, but receive nothing from each other, taking
+// leadership and shards from one another: they did so eight times a second for the rest of the day.
+func TestMemberLost(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	cases := []struct {
 		name    string
-		members int // living by the state service, this one included
-		lost    map[string]time.Time
+		members int                  // number of member records, this controller's included
+		lost    map[string]time.Time // by member: when its connection ended
 		want    bool
 	}{
-		{"not lost", 3, nil, false},
-		{"just now: it may come back", 3, map[string]time.Time{"n1": ago(time.Second)}, false},
-		{"for a while", 3, map[string]time.Time{"n1": ago(2 * time.Second)}, true},
-		{"longer than its session lease: it lives", 3, map[string]time.Time{"n1": ago(20 * time.Second)}, false},
-		{"with half of the others", 5, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
-		{"with most others: a filter, or this controller is isolated", 5, map[string]time.Time{"n1": ago(2 * time.Second),
+		{"connected", 3, nil, false},
+		{"disconnected just now: it may reconnect", 3, map[string]time.Time{"n1": ago(time.Second)}, false},
+		{"disconnected for a while", 3, map[string]time.Time{"n1": ago(2 * time.Second)}, true},
+		{"disconnected for longer than its session lease: it is alive", 3, map[string]time.Time{"n1": ago(20 * time.Second)}, false},
+		{"disconnected together with half of the others", 5, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
+		{"disconnected together with most others: the network filters traffic, or this controller is isolated", 5, map[string]time.Time{"n1": ago(2 * time.Second),
 			"n2": ago(2 * time.Second), "n3": ago(2 * time.Second), "n4": ago(2 * time.Second)}, false},
-		{"others were lost long ago", 4, map[string]time.Time{"n1": ago(2 * time.Second),
+		{"others were disconnected long ago", 4, map[string]time.Time{"n1": ago(2 * time.Second),
 			"n2": ago(time.Minute), "n3": ago(time.Minute)}, true},
-		{"both others of three: two crashes are as likely", 3, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
+		{"both others of three members: two crashes are as likely", 3, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			c := newCore(t)
+			controller := newCore(t)
 			for _, n := range []string{"n0", "n1", "n2", "n3", "n4"}[:test.members] {
-				c.cache.Members[n] = &storage.Member{Version: 1}
+				controller.cache.Members[n] = &storage.Member{Version: 1}
 			}
-			c.reachability.disconnected = test.lost
-			if got := c.memberLost("n1", now); got != test.want {
+			controller.reachability.disconnected = test.lost
+			if got := controller.memberLost("n1", now); got != test.want {
 				t.Errorf("lost: %v, want %v", got, test.want)
 			}
 		})
@@ -169,9 +170,10 @@
 	return 0, nil, protocol.ErrRefused
 }
 
-// A controller cut off from its workers kept its shards for 6.5 s where heartbeats are due every
-// 2.5 s, although a hundred workers had been silent for longer than any may be.
-func TestManySilentWorkersTellSooner(t *testing.T) {
+// Guards against a controller that is cut off from its workers keeping its shards for too long: with
+// heartbeats due every 2.5 s it kept them for 6.5 s, although a hundred workers had been silent for
+// longer than any single one may be.
+func TestManySilentWorkersShortenReadinessLimit(t *testing.T) {
 	for _, test := range []struct {
 		machines int
 		silent   time.Duration
@@ -189,8 +191,8 @@
 				fleet.Machines = append(fleet.Machines, storage.FleetMachine{Name: fmt.Sprint("x", i)})
 			}
 			applyRecord(t, controller, storage.FleetKey("x0"), fleet, 5)
-			for _, m := range controller.cache.Machines {
-				m.Incarnation = 1
+			for _, machine := range controller.cache.Machines {
+				machine.Incarnation = 1
 			}
 			now := time.Now()
 			controller.workers.anyHeardAt = now.Add(-test.silent)
@@ -202,7 +204,8 @@
 	}
 }
 
-// stallingStore lets its controller stall while it reads the revision.
+// stallingStore is a state service that runs meanwhile during a read of the revision, in which the
+// controller can stall.
 type stallingStore struct {
 	StateStore
 	meanwhile func()
@@ -213,8 +216,9 @@
 	return 1, nil
 }
 
-// What a controller stalled through may be older than what others have told the user since.
-func TestAnswersSleptOverAreRefused(t *testing.T) {
+// An answer computed before a stall may be older than answers that other controllers have given the
+// user since.
+func TestAnswersComputedAcrossStallAreRefused(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		stalls bool
@@ -222,9 +226,9 @@
 		status int
 	}{
 		{"an open job", false, "job-000001", 200},
-		{"an open job, stalled through", true, "job-000001", 503},
+		{"an open job, after a stall during the query", true, "job-000001", 503},
 		{"an unknown job", false, "job-000009", 404},
-		{"an unknown job, stalled through", true, "job-000009", 503},
+		{"an unknown job, after a stall during the query", true, "job-000009", 503},
 		{"a final state never changes", true, "job-000002", 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -236,8 +240,8 @@
 				}
 			}}
 			serveCalls(t, controller)
-			if a := controller.Query(t.Context(), test.id); a.Status != test.status {
-				t.Errorf("answered %d, want %d", a.Status, test.status)
+			if answer := controller.Query(t.Context(), test.id); answer.Status != test.status {
+				t.Errorf("answered %d, want %d", answer.Status, test.status)
 			}
 		})
 	}
