--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -19,8 +19,8 @@
 	return names
 }
 
-// leads reports whether a member is the leader by its record.
-func (c *Controller) leads(member string) bool {
+// holdsLeadership reports whether a member is the leader by its record.
+func (c *Controller) holdsLeadership(member string) bool {
 	return c.cache.Leader.Version > 0 && c.cache.Leader.Member == member
 }
 
@@ -58,7 +58,7 @@
 }
 
 func (c *Controller) memberView(name string) MemberView {
-	view := MemberView{Name: name, Leader: c.leads(name), Shards: c.shardsOf(name), HeartbeatAgeS: -1}
+	view := MemberView{Name: name, Leader: c.holdsLeadership(name), Shards: c.shardsOf(name), HeartbeatAgeS: -1}
 	if member := c.cache.Members[name]; member != nil {
 		view.Alive, view.Incarnation = true, member.Incarnation
 	}
--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -9,7 +9,7 @@
 
 // Reading all jobs page by page cost the square of their number, and each page looked at
 // every job and, for each that waits, at every machine.
-func TestListsShowEveryRowOnce(t *testing.T) {
+func TestJobViewsListEachJobOnce(t *testing.T) {
 	for _, test := range []struct {
 		team string
 		want int
--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -16,8 +16,8 @@
 // retryAfterS is how long a user who can't be answered now is asked to wait.
 const retryAfterS = 1
 
-// refuse is an answer with an error's text.
-func refuse(status int, text string) Answer {
+// errorAnswer is an answer with an error's text.
+func errorAnswer(status int, text string) Answer {
 	answer := Answer{Status: status, Body: protocol.ErrorResponse{Error: text}}
 	if status == http.StatusServiceUnavailable {
 		answer.RetryAfter = retryAfterS
@@ -26,11 +26,11 @@
 }
 
 var (
-	retryLater = refuse(http.StatusServiceUnavailable, "the service cannot decide this now, come back shortly")
-	noSuchJob  = refuse(http.StatusNotFound, "no such job")
+	retryLater = errorAnswer(http.StatusServiceUnavailable, "the service cannot decide this now, come back shortly")
+	unknownJob = errorAnswer(http.StatusNotFound, "no such job")
 )
 
-// jobFound answers with a job's state.
-func jobFound(state protocol.JobState) Answer {
+// jobStateAnswer answers with a job's state.
+func jobStateAnswer(state protocol.JobState) Answer {
 	return Answer{Status: http.StatusOK, Body: state}
 }
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -12,21 +12,21 @@
 // This file gathers what the decision on the fleet's size needs (package autoscale) and has it
 // carried out.
 
-// workHorizon is the part of its allowed time in which waiting work should be completed.
-const workHorizon = 0.45
+// targetTimeFraction is the part of its allowed time in which waiting work should be completed.
+const targetTimeFraction = 0.45
 
 // autoscale scales out where demand needs it and scales in what is idle.
 func (c *Controller) autoscale(ctx context.Context, now time.Time) {
 	demands := c.demands(now)
-	if demand, expected := c.nextServices(now); expected {
+	if demand, expected := c.expectedServiceDemand(now); expected {
 		demands = append(demands, demand)
 	}
 	machines, owned := c.autoscaleMachines(now)
 	offers := c.autoscaleOffers(owned, now)
 	c.retryScaleOuts(ctx)
-	plan := autoscale.Decide(demands, machines, offers, workHorizon)
-	for _, wanted := range plan.ScaleOuts {
-		c.requestScaleOut(ctx, wanted)
+	plan := autoscale.Decide(demands, machines, offers, targetTimeFraction)
+	for _, request := range plan.ScaleOuts {
+		c.requestScaleOut(ctx, request)
 	}
 	retention := autoscale.IdleRetention(c.longestBootS(), c.tightestFinishObjective())
 	c.scaleInIdle(now, plan, retention)
@@ -84,7 +84,7 @@
 	if worker != nil && (worker.unhealthy || !worker.preemptedAt.IsZero() || c.unresponsive(worker, now)) {
 		return false
 	}
-	return !c.overdue(m, bootPatience, now) && !c.reachability.zoneUnreachable(m.Zone)
+	return !c.bootOverdue(m, bootTimeoutFactor, now) && !c.reachability.zoneUnreachable(m.Zone)
 }
 
 // autoscaleOffers are the pools that the catalog offers.
@@ -104,7 +104,7 @@
 				pool := autoscale.Pool{Type: typeIndex, Zone: zone, Spot: spot}
 				offers = append(offers, autoscale.Offer{Pool: pool, Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem,
 					Price: price, Boot: machineType.BootS, Owned: owned[pool],
-					Blocked: !c.leader.available(pool, now) || c.reachability.zoneUnreachable(zone)})
+					Blocked: !c.leader.canRequest(pool, now) || c.reachability.zoneUnreachable(zone)})
 			}
 		}
 	}
--- a/internal/controller/baseline_learning.go
+++ b/internal/controller/baseline_learning.go
@@ -25,33 +25,33 @@
 type baselineLearning struct {
 	estimator     *baseline.Estimator
 	lastArrivals  map[storage.ClassQueue]storage.Arrivals // the cache's when last looked at
-	at            time.Time
+	windowStart   time.Time
 	writtenAt     time.Time
 	writeInFlight bool
 }
 
-// begin goes on from a recorded baseline.
-func (l *baselineLearning) begin(recorded map[storage.ClassQueue]float64, arrivals map[storage.ClassQueue]storage.Arrivals, now time.Time) {
+// start goes on from a recorded baseline.
+func (l *baselineLearning) start(recorded map[storage.ClassQueue]float64, arrivals map[storage.ClassQueue]storage.Arrivals, now time.Time) {
 	*l = baselineLearning{
 		estimator:     baseline.New(recorded),
 		lastArrivals:  maps.Clone(arrivals),
-		at:            now,
+		windowStart:   now,
 		writeInFlight: l.writeInFlight,
 	}
 }
 
-// takeWindow takes in what has arrived since the last window, once a step has passed. What is read
+// observeWindow takes in what has arrived since the last window, once a step has passed. What is read
 // at once after a pause is no overload: a window in which this controller stalled or read nothing is
 // left out.
-func (l *baselineLearning) takeWindow(arrivals map[storage.ClassQueue]storage.Arrivals, storeFailing bool, now time.Time) {
-	duration := now.Sub(l.at)
+func (l *baselineLearning) observeWindow(arrivals map[storage.ClassQueue]storage.Arrivals, storeFailing bool, now time.Time) {
+	duration := now.Sub(l.windowStart)
 	if duration < baseline.Step {
 		return
 	}
 	if duration < maxWindowSteps*baseline.Step && !storeFailing {
 		l.estimator.Window(duration, arrivalsSince(l.lastArrivals, arrivals))
 	}
-	l.lastArrivals, l.at = maps.Clone(arrivals), now
+	l.lastArrivals, l.windowStart = maps.Clone(arrivals), now
 }
 
 // arrivalsSince is what has arrived beyond what had before.
@@ -82,10 +82,10 @@
 		return
 	}
 	if learning.estimator == nil {
-		learning.begin(c.cache.Baseline.Cpus, c.cache.Arrivals, now)
+		learning.start(c.cache.Baseline.Cpus, c.cache.Arrivals, now)
 		return
 	}
-	learning.takeWindow(c.cache.Arrivals, c.storeFailing(), now)
+	learning.observeWindow(c.cache.Arrivals, c.storeFailing(), now)
 	if !learning.writeDue(&c.cache.Baseline, now) {
 		return
 	}
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -21,8 +21,8 @@
 	// enrollmentGrace is how long a listed machine may have no record before it is enrolled from the
 	// list: the answer to its scale-out request may still be on its way and goes first.
 	enrollmentGrace = 2 * time.Second
-	// cloudMachineFailed is the cloud's status of a machine that will never work.
-	cloudMachineFailed = "failed"
+	// cloudStatusFailed is the cloud's status of a machine that will never work.
+	cloudStatusFailed = "failed"
 )
 
 // cloudListState is what the leader knows of the cloud's list of machines.
@@ -137,7 +137,7 @@
 		if machine.Addr == "" {
 			machine.Addr = listed.Addr
 		}
-		if listed.Status == cloudMachineFailed && !machine.Returning {
+		if listed.Status == cloudStatusFailed && !machine.Returning {
 			c.returnMachine(machine, reasonFailed)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -174,12 +174,12 @@
 		return
 	}
 	c.cache.Sweep()
-	c.forgetEndedJobs()
+	c.deleteEndedJobStates()
 	c.checkReadiness(ctx, now)
 	c.repairMemberRecord(ctx)
 	c.acquireLeadership(ctx)
 	c.assignShards(ctx)
-	c.openGate(ctx)
+	c.openLayoutGate(ctx)
 	c.splitOversizedFleets(ctx)
 	c.superviseZones(now)
 	c.superviseMachines(ctx, now, c.superviseTerminations(now))
@@ -194,8 +194,8 @@
 	c.requestCycle()
 }
 
-// forgetEndedJobs drops what is known of jobs that are over and have no task placed.
-func (c *Controller) forgetEndedJobs() {
+// deleteEndedJobStates drops what is known of jobs that are over and have no task placed.
+func (c *Controller) deleteEndedJobStates() {
 	for job := range c.jobStates {
 		if !job.Open() && job.PlacedCount == 0 {
 			delete(c.jobStates, job)
--- a/internal/controller/eviction_views.go
+++ b/internal/controller/eviction_views.go
@@ -27,7 +27,7 @@
 		}
 		c.operator.preemptionsSeen[id] = victimSet.Version
 		c.metrics.preemptedTasks.Add(float64(len(victimSet.Victims)))
-		c.operator.keepPreemption(EvictionView{Job: id, At: time.UnixMilli(victimSet.AtMs), Shard: victimSet.Shard, Victims: victimSet.Victims})
+		c.operator.addPreemption(EvictionView{Job: id, At: time.UnixMilli(victimSet.AtMs), Shard: victimSet.Shard, Victims: victimSet.Victims})
 	}
 	for id := range c.operator.preemptionsSeen {
 		if c.cache.VictimSets[id] == nil {
@@ -36,8 +36,8 @@
 	}
 }
 
-// keepPreemption adds to the latest evicted sets.
-func (o *operatorState) keepPreemption(eviction EvictionView) {
+// addPreemption adds to the latest evicted sets.
+func (o *operatorState) addPreemption(eviction EvictionView) {
 	o.recentPreemptions = append(o.recentPreemptions, eviction)
 	if n := len(o.recentPreemptions); n > maxRecentPreemptions {
 		o.recentPreemptions = slices.Clone(o.recentPreemptions[n-maxRecentPreemptions:])
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -16,33 +16,33 @@
 // gauges are read from the core when somebody asks for them.
 type gauges struct{ c *Controller }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("dykeledge_"+name, help, labels, nil)
 }
 
 var (
-	descQueue                = desc("queue_tasks", "Tasks waiting for a machine.", "class", "team")
-	descMachines             = desc("machines", "Machines by state.", "state")
-	descGpus                 = desc("accelerators", "Accelerators of the machines, by use: taken by placed tasks, or free.", "use")
-	descMoneyRate            = desc("money_rate_per_hour", "What the machines cost an hour, at the catalog's prices.")
-	descMemory               = desc("memory_bytes", "Memory obtained from the system.")
-	descLeader               = desc("leader", "1 on the leading node.")
-	descRevision             = desc("revision", "Revision of the state service that this node has seen.")
-	descShards               = desc("shares_owned", "Shares that this node owns.")
-	descReach                = desc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
-	descAwaitingDependencies = desc("awaiting_jobs", "Open jobs that wait for other jobs.")
-	descDependencyFailed     = desc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
-	descLayout               = desc("layout_version", "Layout of the records that is written: 1 plain, 2 packed, 3 packed with changed teams.")
-	descLargest              = desc("largest_record_bytes", "Size of the largest rack's record.")
-	descOverload             = desc("flood", "1 while a class of a team has far more open than is usual for it, and more waits on this node than can be in time.")
-	descBaseline             = desc("usual_cpus", "CPUs that a class of a team usually keeps busy.", "class", "team")
-	descSuspect              = desc("suspect_jobs", "Open jobs that failed on every machine that tried them.")
+	descQueue                = newDesc("queue_tasks", "Tasks waiting for a machine.", "class", "team")
+	descMachines             = newDesc("machines", "Machines by state.", "state")
+	descGpus                 = newDesc("accelerators", "Accelerators of the machines, by use: taken by placed tasks, or free.", "use")
+	descMoneyRate            = newDesc("money_rate_per_hour", "What the machines cost an hour, at the catalog's prices.")
+	descMemory               = newDesc("memory_bytes", "Memory obtained from the system.")
+	descLeader               = newDesc("leader", "1 on the leading node.")
+	descRevision             = newDesc("revision", "Revision of the state service that this node has seen.")
+	descShards               = newDesc("shares_owned", "Shares that this node owns.")
+	descReachable            = newDesc("reaches", "1 if this node reaches a neighbour: the state service, workers, the other nodes (part of them).", "neighbour")
+	descAwaitingDependencies = newDesc("awaiting_jobs", "Open jobs that wait for other jobs.")
+	descDependencyFailed     = newDesc("cascade_jobs", "Jobs cancelled with one that they need whose own final record is still to be written.")
+	descLayout               = newDesc("layout_version", "Layout of the records that is written: 1 plain, 2 packed, 3 packed with changed teams.")
+	descLargestRecord        = newDesc("largest_record_bytes", "Size of the largest rack's record.")
+	descOverload             = newDesc("flood", "1 while a class of a team has far more open than is usual for it, and more waits on this node than can be in time.")
+	descBaseline             = newDesc("usual_cpus", "CPUs that a class of a team usually keeps busy.", "class", "team")
+	descSuspectJobs          = newDesc("suspect_jobs", "Open jobs that failed on every machine that tried them.")
 )
 
 // Describe sends the gauges' descriptions.
 func (g gauges) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descMoneyRate, descMemory, descLeader, descRevision, descShards, descReach, descSuspect,
-		descAwaitingDependencies, descDependencyFailed, descLayout, descLargest, descOverload, descBaseline} {
+	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descMoneyRate, descMemory, descLeader, descRevision, descShards, descReachable, descSuspectJobs,
+		descAwaitingDependencies, descDependencyFailed, descLayout, descLargestRecord, descOverload, descBaseline} {
 		ch <- d
 	}
 }
@@ -52,8 +52,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
 	// The core fills in figures of its own: after the timeout it may still be at it.
-	var collected *figures
-	if err := g.c.call(ctx, func() { collected = g.c.collectFigures(time.Now()) }); err != nil {
+	var collected *gaugeValues
+	if err := g.c.call(ctx, func() { collected = g.c.collectGaugeValues(time.Now()) }); err != nil {
 		return
 	}
 	collected.emit(metrics)
@@ -62,13 +62,13 @@
 // queueLabels are the labels of what is counted by class and team.
 type queueLabels struct{ class, team string }
 
-// figures are the gauges' values at one moment.
-type figures struct {
+// gaugeValues are the gauges' values at one moment.
+type gaugeValues struct {
 	waitingTasks map[queueLabels]float64
 	baselineCpus map[queueLabels]float64
 	machines     map[string]float64 // by state
 	gpus         acceleratorUse
-	reach        reachFigures
+	reach        reachableFractions
 	moneyRate    float64 // per hour
 
 	leader, overloaded bool
@@ -84,16 +84,16 @@
 // acceleratorUse are the machines' accelerators by use.
 type acceleratorUse struct{ taken, free float64 }
 
-// reachFigures are which part of its neighbours a controller reaches, from 0 to 1.
-type reachFigures struct{ state, workers, members float64 }
+// reachableFractions are which part of its neighbours a controller reaches, from 0 to 1.
+type reachableFractions struct{ state, workers, members float64 }
 
-// collectFigures reads the gauges' values.
-func (c *Controller) collectFigures(now time.Time) *figures {
-	collected := &figures{
+// collectGaugeValues reads the gauges' values.
+func (c *Controller) collectGaugeValues(now time.Time) *gaugeValues {
+	collected := &gaugeValues{
 		waitingTasks: map[queueLabels]float64{},
 		baselineCpus: map[queueLabels]float64{},
 		machines:     map[string]float64{},
-		reach:        c.reachFigures(now),
+		reach:        c.reachableFractions(now),
 		leader:       c.isLeader(),
 		overloaded:   c.planner.overloaded,
 		revision:     c.cache.Revision,
@@ -123,7 +123,7 @@
 }
 
 // countJobs counts over a core's open jobs.
-func (f *figures) countJobs(controller *Controller) {
+func (f *gaugeValues) countJobs(controller *Controller) {
 	for _, job := range controller.cache.Jobs {
 		if job == nil || !job.Open() {
 			continue
@@ -141,7 +141,7 @@
 }
 
 // countMachines counts over a core's machines.
-func (f *figures) countMachines(controller *Controller) {
+func (f *gaugeValues) countMachines(controller *Controller) {
 	for _, machine := range controller.cache.Machines {
 		if machine.Gone {
 			continue
@@ -157,33 +157,33 @@
 	}
 }
 
-// reachFigures is which of its neighbours this controller reaches.
-func (c *Controller) reachFigures(now time.Time) reachFigures {
-	reach := reachFigures{members: 1}
+// reachableFractions is which of its neighbours this controller reaches.
+func (c *Controller) reachableFractions(now time.Time) reachableFractions {
+	reach := reachableFractions{members: 1}
 	if c.storeHealth.served(now) {
 		reach.state = 1
 	}
 	if !c.session.notReady.Load() {
 		reach.workers = 1
 	}
-	heard, others := 0, 0
+	reachablePeers, peers := 0, 0
 	for name := range c.cache.Members {
 		if name == c.cfg.MemberName {
 			continue
 		}
-		others++
+		peers++
 		if peer, ok := c.reachability.peers[name]; ok && peer.fresh(now) {
-			heard++
+			reachablePeers++
 		}
 	}
-	if others > 0 {
-		reach.members = float64(heard) / float64(others)
+	if peers > 0 {
+		reach.members = float64(reachablePeers) / float64(peers)
 	}
 	return reach
 }
 
 // emit sends the values.
-func (f *figures) emit(metrics chan<- prometheus.Metric) {
+func (f *gaugeValues) emit(metrics chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
@@ -204,14 +204,14 @@
 	gauge(descLeader, indicator(f.leader))
 	gauge(descRevision, float64(f.revision))
 	gauge(descShards, float64(f.ownedShards))
-	gauge(descReach, f.reach.state, "state")
-	gauge(descReach, f.reach.workers, "workers")
-	gauge(descReach, f.reach.members, "nodes")
-	gauge(descSuspect, float64(f.suspectJobs))
+	gauge(descReachable, f.reach.state, "state")
+	gauge(descReachable, f.reach.workers, "workers")
+	gauge(descReachable, f.reach.members, "nodes")
+	gauge(descSuspectJobs, float64(f.suspectJobs))
 	gauge(descAwaitingDependencies, float64(f.awaitingJobs))
 	gauge(descDependencyFailed, float64(f.dependencyFailedJobs))
 	gauge(descLayout, float64(f.layout))
-	gauge(descLargest, float64(f.largestRecordBytes))
+	gauge(descLargestRecord, float64(f.largestRecordBytes))
 }
 
 // indicator is a condition as a gauge's value.
--- a/internal/controller/golden_settings_test.go
+++ b/internal/controller/golden_settings_test.go
@@ -21,7 +21,7 @@
 	if err := json.Unmarshal(raw, &settings); err != nil {
 		t.Fatal(err)
 	}
-	if settings.Alpha != 0.25 || settings.MoveEveryS != 1.5 || settings.LogLevel != "debug" {
+	if settings.Alpha != 0.25 || settings.RebalanceIntervalS != 1.5 || settings.LogLevel != "debug" {
 		t.Errorf("read as %+v", settings)
 	}
 	golden.CheckText(t, "settings.any.json", string(storage.Encode(settings)))
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -24,8 +24,8 @@
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
 	applyRecord(t, controller, storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
-	was := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
-	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
+	former := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
+	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &former}, 7)
 	controller.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
 	controller.recordPreemptions()
 	serveCalls(t, controller)
@@ -121,7 +121,7 @@
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
 		c.metrics.Observe("state", "answered")
 		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Unsent} {
-			c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
+			c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 		}
 		golden.CheckText(t, "metrics.txt", metricsText(t, c.metrics.Registry))
 	})
@@ -148,12 +148,12 @@
 			b.WriteString("\n")
 		}
 	}
-	fmt.Fprintf(&b, "%d metrics, %d described\n", len(families), described(r))
+	fmt.Fprintf(&b, "%d metrics, %d described\n", len(families), countDescriptions(r))
 	return b.String()
 }
 
-// described is how many metrics a registry knows, gathered or not.
-func described(r *prometheus.Registry) int {
+// countDescriptions is how many metrics a registry knows, gathered or not.
+func countDescriptions(r *prometheus.Registry) int {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		r.Describe(descriptions)
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -8,25 +8,25 @@
 	"dykeledge/internal/storage"
 )
 
-// maxCancelTries is how often a cancellation is tried whose job changes meanwhile.
-const maxCancelTries = 8
+// maxCancelAttempts is how often a cancellation is tried whose job changes meanwhile.
+const maxCancelAttempts = 8
 
 // Cancel answers a cancellation. The final state is one compare-and-set, so a
 // job is never both done and cancelled.
 func (c *Controller) Cancel(ctx context.Context, id string) Answer {
 	if !protocol.ValidJobID(id) {
-		return noSuchJob
+		return unknownJob
 	}
-	for range maxCancelTries {
-		if answer, ok := c.cancelOnce(ctx, id); ok {
+	for range maxCancelAttempts {
+		if answer, ok := c.tryCancel(ctx, id); ok {
 			return answer
 		}
 	}
 	return retryLater
 }
 
-// cancelOnce tries to cancel a job; ok is false when it must be looked at once more.
-func (c *Controller) cancelOnce(ctx context.Context, id string) (answer Answer, ok bool) {
+// tryCancel tries to cancel a job; ok is false when it must be looked at once more.
+func (c *Controller) tryCancel(ctx context.Context, id string) (answer Answer, ok bool) {
 	found, err := c.lookup(ctx, id)
 	if err != nil || !found.loaded {
 		return retryLater, true
@@ -37,11 +37,11 @@
 			return retryLater, true
 		}
 		if !found.known {
-			return noSuchJob, true
+			return unknownJob, true
 		}
 	}
 	if found.final() {
-		return jobFound(found.state), true
+		return jobStateAnswer(found.state), true
 	}
 	var txn protocol.Txn
 	if err := c.call(ctx, func() { txn = c.cancellationTxn(id) }); err != nil {
--- a/internal/controller/job_queries.go
+++ b/internal/controller/job_queries.go
@@ -18,8 +18,8 @@
 // final reports whether a job has its final state, which never changes.
 func (l jobLookup) final() bool { return l.known && l.state.Status.Final() }
 
-// statusOf is an unfinished or finished job's state.
-func (c *Controller) statusOf(job *storage.Job) protocol.JobState {
+// jobStatus is an unfinished or finished job's state.
+func (c *Controller) jobStatus(job *storage.Job) protocol.JobState {
 	state := protocol.JobState{ID: job.ID, Status: protocol.Queued, Done: job.DoneCount, Running: job.PlacedCount}
 	switch {
 	case !job.Open():
@@ -42,7 +42,7 @@
 		if final, done := c.cache.FinalState(id); final != "" {
 			found.state, found.known = protocol.JobState{ID: id, Status: final, Done: done}, true
 		} else if job := c.cache.Job(id); job != nil {
-			found.state, found.known = c.statusOf(job), true
+			found.state, found.known = c.jobStatus(job), true
 		}
 	})
 	return found, err
@@ -52,7 +52,7 @@
 // older answer than another controller has given. What this controller stalled through is as old:
 // others may have given newer answers meanwhile.
 func (c *Controller) lookupLinearizable(ctx context.Context, id string) (jobLookup, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	found, err := c.lookup(ctx, id)
 	if err != nil || found.final() {
 		return found, err
@@ -67,7 +67,7 @@
 		return found, err
 	}
 	stalled := false
-	if err := c.call(ctx, func() { stalled = c.reachability.stalledSince(began) }); err != nil {
+	if err := c.call(ctx, func() { stalled = c.reachability.stalledSince(startedAt) }); err != nil {
 		return found, err
 	}
 	if stalled {
@@ -79,14 +79,14 @@
 // Query answers a poll.
 func (c *Controller) Query(ctx context.Context, id string) Answer {
 	if !protocol.ValidJobID(id) {
-		return noSuchJob
+		return unknownJob
 	}
 	found, err := c.lookupLinearizable(ctx, id)
 	switch {
 	case err != nil:
 		return retryLater
 	case !found.known:
-		return noSuchJob
+		return unknownJob
 	}
-	return jobFound(found.state)
+	return jobStateAnswer(found.state)
 }
--- a/internal/controller/job_views.go
+++ b/internal/controller/job_views.go
@@ -58,7 +58,7 @@
 		Team:     c.cache.Teams[job.Team].Name,
 		Shard:    job.Shard,
 		Priority: job.Priority.String(),
-		Status:   string(c.statusOf(job).Status),
+		Status:   string(c.jobStatus(job).Status),
 		Tasks:    job.Tasks,
 		Done:     job.DoneCount,
 		Placed:   job.PlacedCount,
@@ -68,18 +68,18 @@
 	}
 }
 
-// machineKind is what makes machines alike to a job.
-type machineKind struct {
+// machineCategory is what makes machines alike to a job.
+type machineCategory struct {
 	shard, machineType, zone int
 	spot                     bool
 }
 
 // exampleMachines are one machine of each kind.
 func (c *Controller) exampleMachines() []*storage.Machine {
-	seen := map[machineKind]bool{}
+	seen := map[machineCategory]bool{}
 	var examples []*storage.Machine
 	for _, machine := range c.cache.Machines {
-		kind := machineKind{machine.Shard, machine.Type, machine.Zone, machine.Spot}
+		kind := machineCategory{machine.Shard, machine.Type, machine.Zone, machine.Spot}
 		if !machine.Gone && !seen[kind] {
 			seen[kind] = true
 			examples = append(examples, machine)
@@ -115,7 +115,7 @@
 	if c.cache.VictimSets[job.ID] != nil {
 		return "evicted tasks are still stopping"
 	}
-	return c.roomReason(job, examples, now)
+	return c.capacityReason(job, examples, now)
 }
 
 // retryReason says when a job that failed is tried again, "" if it does not wait for that.
@@ -134,8 +134,8 @@
 	return ""
 }
 
-// roomReason says why a job that may run now has no room.
-func (c *Controller) roomReason(job *storage.Job, examples []*storage.Machine, now time.Time) string {
+// capacityReason says why a job that may run now has no room.
+func (c *Controller) capacityReason(job *storage.Job, examples []*storage.Machine, now time.Time) string {
 	for _, machine := range examples {
 		if machine.Shard == job.Shard && schedule.Allowed(job, machine) {
 			if c.isIdleWork(job, now) {
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -22,15 +22,15 @@
 	descriptionWrites   uint64 // chunked descriptions written by this process
 }
 
-// openGate is the leader's loop over the gate: it opens once every controller that the settings
+// openLayoutGate is the leader's loop over the gate: it opens once every controller that the settings
 // name has shown that it reads the packed layout. Which have is remembered, for one may be down
 // while the last one comes. A leader of the version before does none of it, so the gate waits until
 // a controller that knows of it leads.
-func (c *Controller) openGate(ctx context.Context) {
+func (c *Controller) openLayoutGate(ctx context.Context) {
 	if !c.isLeader() || c.gates.layoutWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	reading := c.readingPacked()
+	reading := c.membersReadingPacked()
 	all := containsAll(reading, c.configuredMembers())
 	if !all && len(reading) == len(c.cache.Layout.Members) {
 		return // nobody new
@@ -55,8 +55,8 @@
 	})
 }
 
-// readingPacked are the controllers that have ever shown that they read the packed layout.
-func (c *Controller) readingPacked() []string {
+// membersReadingPacked are the controllers that have ever shown that they read the packed layout.
+func (c *Controller) membersReadingPacked() []string {
 	reading := slices.Clone(c.cache.Layout.Members)
 	for name, member := range c.cache.Members {
 		if member.Layout >= storage.LayoutPacked && !slices.Contains(reading, name) {
--- a/internal/controller/log_counters.go
+++ b/internal/controller/log_counters.go
@@ -4,17 +4,17 @@
 
 // logCounters are what is logged every logCountersInterval of this controller's work.
 type logCounters struct {
-	passes  int
-	all     time.Duration // of all passes
-	longest time.Duration // of a pass
-	at      time.Time     // when they were last logged
-	changes uint64        // made by this controller until then
+	passes       int
+	total        time.Duration // of all passes
+	longest      time.Duration // of a pass
+	loggedAt     time.Time     // when they were last logged
+	changesAtLog uint64        // made by this controller until then
 }
 
 // pass counts a planning pass.
 func (l *logCounters) pass(d time.Duration) {
 	l.passes++
-	l.all += d
+	l.total += d
 	l.longest = max(l.longest, d)
 }
 
@@ -25,17 +25,17 @@
 // have more of them.
 func (c *Controller) logCounters(now time.Time) {
 	counters := &c.metrics.counters
-	if now.Sub(counters.at) < logCountersInterval {
+	if now.Sub(counters.loggedAt) < logCountersInterval {
 		return
 	}
 	changes := c.store.ChangesUsed()
-	if !counters.at.IsZero() {
-		changesPerS := float64(changes-counters.changes) / now.Sub(counters.at).Seconds()
+	if !counters.loggedAt.IsZero() {
+		changesPerS := float64(changes-counters.changesAtLog) / now.Sub(counters.loggedAt).Seconds()
 		c.log.Info("counters", "machines", c.ownMachines(), "open_jobs", c.ownOpenJobs(), "passes", counters.passes,
-			"pass_mean_ms", millis(counters.all)/float64(max(1, counters.passes)), "pass_longest_ms", millis(counters.longest),
+			"pass_mean_ms", milliseconds(counters.total)/float64(max(1, counters.passes)), "pass_longest_ms", milliseconds(counters.longest),
 			"changes_per_s", float64(int(changesPerS*10))/10, "revision", c.cache.Revision)
 	}
-	*counters = logCounters{at: now, changes: changes}
+	*counters = logCounters{loggedAt: now, changesAtLog: changes}
 }
 
 // ownMachines is how many machines are in this controller's shards.
--- a/internal/controller/machine_views.go
+++ b/internal/controller/machine_views.go
@@ -9,51 +9,51 @@
 
 // MachineInfo is a machine as operators see it.
 type MachineInfo struct {
-	Name         string     `json:"name"`
-	State        string     `json:"state"`
-	Shard        int        `json:"share"`
-	Type         string     `json:"type"`
-	Zone         string     `json:"zone"`
-	Spot         bool       `json:"spot"`
-	Incarnation  uint64     `json:"session"`
-	FencingToken uint64     `json:"token"`
-	Tasks        int        `json:"tasks"`
-	UsedCpus     float64    `json:"used_cpus"`
-	UsedGpus     float64    `json:"used_gpus"`
-	SilentS      float64    `json:"silent_s"` // -1: heartbeats go to another controller
-	Placed       []TaskInfo `json:"placed,omitempty"`
+	Name          string           `json:"name"`
+	State         string           `json:"state"`
+	Shard         int              `json:"share"`
+	Type          string           `json:"type"`
+	Zone          string           `json:"zone"`
+	Spot          bool             `json:"spot"`
+	Incarnation   uint64           `json:"session"`
+	FencingToken  uint64           `json:"token"`
+	Tasks         int              `json:"tasks"`
+	UsedCpus      float64          `json:"used_cpus"`
+	UsedGpus      float64          `json:"used_gpus"`
+	HeartbeatAgeS float64          `json:"silent_s"` // -1: heartbeats go to another controller
+	Placed        []PlacedTaskView `json:"placed,omitempty"`
 }
 
-// TaskInfo is a placed task.
-type TaskInfo struct {
+// PlacedTaskView is a placed task.
+type PlacedTaskView struct {
 	Job     string `json:"job"`
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
 	WaitedS uint64 `json:"waited_s"`
 }
 
-func (c *Controller) machineInfo(machine *storage.Machine, tasks bool) MachineInfo {
+func (c *Controller) machineView(machine *storage.Machine, tasks bool) MachineInfo {
 	info := MachineInfo{
-		Name:         machine.Name,
-		State:        c.machineState(machine),
-		Shard:        machine.Shard,
-		Type:         c.cache.TypeIndex.Name(machine.Type),
-		Zone:         c.cache.Zones.Name(machine.Zone),
-		Spot:         machine.Spot,
-		Incarnation:  machine.Incarnation,
-		FencingToken: c.cache.FencingToken(machine),
-		Tasks:        len(machine.Tasks),
-		SilentS:      -1,
+		Name:          machine.Name,
+		State:         c.machineState(machine),
+		Shard:         machine.Shard,
+		Type:          c.cache.TypeIndex.Name(machine.Type),
+		Zone:          c.cache.Zones.Name(machine.Zone),
+		Spot:          machine.Spot,
+		Incarnation:   machine.Incarnation,
+		FencingToken:  c.cache.FencingToken(machine),
+		Tasks:         len(machine.Tasks),
+		HeartbeatAgeS: -1,
 	}
 	for _, placed := range machine.Tasks {
 		info.UsedCpus += placed.Job.Cpus
 		info.UsedGpus += placed.Job.Gpus
 		if tasks {
-			info.Placed = append(info.Placed, TaskInfo{placed.Job.ID, placed.Task, placed.Attempt, placed.WaitedS})
+			info.Placed = append(info.Placed, PlacedTaskView{placed.Job.ID, placed.Task, placed.Attempt, placed.WaitedS})
 		}
 	}
 	if worker := c.workers.states[machine.Index]; worker != nil && c.ownsShard(machine.Shard) {
-		info.SilentS = time.Since(worker.heard).Seconds()
+		info.HeartbeatAgeS = time.Since(worker.heard).Seconds()
 	}
 	return info
 }
@@ -70,9 +70,9 @@
 		return "sick"
 	case worker != nil && !worker.preemptedAt.IsZero():
 		return "leaving"
-	case !c.cameUp(machine) && c.overdue(machine, bootPatience, time.Now()):
+	case !c.hasBooted(machine) && c.bootOverdue(machine, bootTimeoutFactor, time.Now()):
 		return "overdue"
-	case !c.cameUp(machine):
+	case !c.hasBooted(machine):
 		return "booting"
 	case len(machine.Tasks) == 0:
 		return "idle"
@@ -88,7 +88,7 @@
 			if more = len(infos) == limit; more {
 				return false
 			}
-			infos = append(infos, c.machineInfo(machine, false))
+			infos = append(infos, c.machineView(machine, false))
 			return true
 		})
 	})
@@ -99,7 +99,7 @@
 func (c *Controller) MachineInfo(ctx context.Context, name string) (info MachineInfo, known bool, err error) {
 	err = c.call(ctx, func() {
 		if machine := c.cache.Machine(name); machine != nil {
-			info, known = c.machineInfo(machine, true), true
+			info, known = c.machineView(machine, true), true
 		}
 	})
 	return info, known, err
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -13,7 +13,7 @@
 type Metrics struct {
 	Registry            *prometheus.Registry
 	waitSeconds         *prometheus.HistogramVec
-	outcomes            *prometheus.CounterVec
+	attemptOutcomes     *prometheus.CounterVec
 	launches            prometheus.Counter
 	preemptedTasks      prometheus.Counter
 	lostSeconds         prometheus.Counter
@@ -40,7 +40,7 @@
 		waitSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dykeledge_job_wait_seconds",
 			Help:    "Time from a job's submission until its first task was placed.",
 			Buckets: []float64{0.5, 1, 2, 5, 10, 20, 40, 80, 160, 320, 640}}, []string{"class", "team"}),
-		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_attempts_ended_total",
+		attemptOutcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_attempts_ended_total",
 			Help: "Attempts that ended, by outcome."}, []string{"outcome"}),
 		launches: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_launches_total", Help: "Tasks placed."}),
 		preemptedTasks: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_evicted_tasks_total",
@@ -66,7 +66,7 @@
 		Requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_service_requests_total",
 			Help: "Requests to the state service and the cloud, by outcome."}, []string{"service", "outcome"}),
 	}
-	metrics.Registry.MustRegister(metrics.waitSeconds, metrics.outcomes, metrics.launches, metrics.preemptedTasks,
+	metrics.Registry.MustRegister(metrics.waitSeconds, metrics.attemptOutcomes, metrics.launches, metrics.preemptedTasks,
 		metrics.lostSeconds, metrics.takeovers, metrics.readyJobs, metrics.stalls, metrics.neverUpMachines,
 		metrics.unverifiedRenewals, metrics.uncertainHeartbeats, metrics.heartbeatSeconds, metrics.planSeconds, metrics.Requests)
 	return metrics
@@ -91,7 +91,7 @@
 
 // countOutcome counts an attempt's end and what it lost.
 func (c *Controller) countOutcome(worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
-	c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
+	c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 	startedAt, ran := worker.started[ref]
 	if !ran || outcome == dispatch.Completed {
 		return
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -24,33 +24,33 @@
 
 // OperatorSettings are what operators may change while the service runs.
 type OperatorSettings struct {
-	Alpha      float64 `json:"alpha"`
-	MoveEveryS float64 `json:"move_every_s"`
-	LogLevel   string  `json:"log_level"`
+	Alpha              float64 `json:"alpha"`
+	RebalanceIntervalS float64 `json:"move_every_s"`
+	LogLevel           string  `json:"log_level"`
 }
 
 // Names of the settings.
 const (
-	settingAlpha      = "alpha"
-	settingMoveEveryS = "move_every_s"
-	settingLogLevel   = "log_level"
+	settingAlpha              = "alpha"
+	settingRebalanceIntervalS = "move_every_s"
+	settingLogLevel           = "log_level"
 )
 
 // Bounds of the settings.
 const (
-	maxAlpha      = 1
-	minMoveEveryS = 0.25
-	maxMoveEveryS = 60
+	maxAlpha              = 1
+	minRebalanceIntervalS = 0.25
+	maxRebalanceIntervalS = 60
 )
 
-// logLevelAsStarted leaves the level that each controller was started with.
-const logLevelAsStarted = "as_started"
+// logLevelFromStart leaves the level that each controller was started with.
+const logLevelFromStart = "as_started"
 
-var logLevels = []string{logLevelAsStarted, "error", "info", "debug"}
+var logLevels = []string{logLevelFromStart, "error", "info", "debug"}
 
 // DefaultOperatorSettings hold until an operator changes them.
 func DefaultOperatorSettings() OperatorSettings {
-	return OperatorSettings{Alpha: DefaultAlpha, MoveEveryS: DefaultTiming().RebalanceInterval.Seconds(), LogLevel: logLevelAsStarted}
+	return OperatorSettings{Alpha: DefaultAlpha, RebalanceIntervalS: DefaultTiming().RebalanceInterval.Seconds(), LogLevel: logLevelFromStart}
 }
 
 // SettingInfo explains one setting.
@@ -66,7 +66,7 @@
 	defaults := DefaultOperatorSettings()
 	return []SettingInfo{
 		{settingAlpha, defaults.Alpha, "0 to 1", "weight of work lost against time waited when evictions are ranked; 0 looks only at waiting, 1 only at loss"},
-		{settingMoveEveryS, defaults.MoveEveryS, "0.25 to 60", "how often the leader moves machines between shares"},
+		{settingRebalanceIntervalS, defaults.RebalanceIntervalS, "0.25 to 60", "how often the leader moves machines between shares"},
 		{settingLogLevel, defaults.LogLevel, "as_started, error, info or debug", "how much all nodes log; as_started follows LOG_LEVEL"},
 	}
 }
@@ -109,9 +109,9 @@
 	case settingAlpha:
 		err = json.Unmarshal(value, &s.Alpha)
 		inRange = s.Alpha >= 0 && s.Alpha <= maxAlpha
-	case settingMoveEveryS:
-		err = json.Unmarshal(value, &s.MoveEveryS)
-		inRange = s.MoveEveryS >= minMoveEveryS && s.MoveEveryS <= maxMoveEveryS
+	case settingRebalanceIntervalS:
+		err = json.Unmarshal(value, &s.RebalanceIntervalS)
+		inRange = s.RebalanceIntervalS >= minRebalanceIntervalS && s.RebalanceIntervalS <= maxRebalanceIntervalS
 	case settingLogLevel:
 		err = json.Unmarshal(value, &s.LogLevel)
 		inRange = slices.Contains(logLevels, s.LogLevel)
@@ -146,12 +146,12 @@
 	}
 	c.operator.settings = settings
 	c.planner.alpha = settings.Alpha
-	c.timing.RebalanceInterval = seconds(settings.MoveEveryS)
+	c.timing.RebalanceInterval = seconds(settings.RebalanceIntervalS)
 	if c.OnLogLevel != nil {
 		c.OnLogLevel(settings.LogLevel)
 	}
 	c.log.Info("settings taken up", "version", record.Version, settingAlpha, settings.Alpha,
-		settingMoveEveryS, settings.MoveEveryS, settingLogLevel, settings.LogLevel)
+		settingRebalanceIntervalS, settings.RebalanceIntervalS, settingLogLevel, settings.LogLevel)
 }
 
 // Settings returns the operators' settings with their version.
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -47,8 +47,8 @@
 	return b.next, start
 }
 
-// take returns the run that readers wait for, or nil and that the runs have stopped.
-func (b *barrier) take() *barrierRun {
+// takeRun returns the run that readers wait for, or nil and that the runs have stopped.
+func (b *barrier) takeRun() *barrierRun {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	run := b.next
@@ -76,7 +76,7 @@
 
 // runBarriers serves the readers that wait, until there is none.
 func (c *Controller) runBarriers() {
-	for run := c.follower.barrier.take(); run != nil; run = c.follower.barrier.take() {
+	for run := c.follower.barrier.takeRun(); run != nil; run = c.follower.barrier.takeRun() {
 		ctx, cancel := context.WithTimeout(context.Background(), barrierTimeout)
 		run.err = c.catchUp(ctx)
 		cancel()
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -13,23 +13,23 @@
 // readModel keeps the read model that console, report and scripts share. It belongs to the
 // core's goroutine, all but the hub. It is written by this file.
 type readModel struct {
-	model    *view.Model
-	hub      *view.Hub
-	head     view.Head // of the latest snapshot
-	asOf     time.Time // the cache was certainly complete then
-	shown    time.Time // when a snapshot was last taken
-	whole    bool      // the model is what the cache is
-	stated   bool      // what the head says of the state service
-	readable bool      // the first read is over
+	model            *view.Model
+	hub              *view.Hub
+	head             view.Head // of the latest snapshot
+	asOf             time.Time // the cache was certainly complete then
+	publishedAt      time.Time // when a snapshot was last taken
+	complete         bool      // the model is what the cache is
+	publishedStoreOK bool      // what the head says of the state service
+	loaded           bool      // the first read is over
 }
 
 // How the model follows the cache.
 const (
-	viewBatchRows    = 2000                   // rows that are brought up to date at one go
-	viewInterval     = 250 * time.Millisecond // least time between two snapshots
-	maxDeferredRows  = 5000                   // changed rows that are left alone while nobody reads
-	maxSnapshotAge   = time.Second            // a reader whose snapshot is older has the revision asked for
-	viewFetchTimeout = time.Second            // how long that may take
+	viewBatchRows      = 2000                   // rows that are brought up to date at one go
+	viewInterval       = 250 * time.Millisecond // least time between two snapshots
+	maxDeferredChanges = 5000                   // changed rows that are left alone while nobody reads
+	maxSnapshotAge     = time.Second            // a reader whose snapshot is older has the revision asked for
+	viewRefreshTimeout = time.Second            // how long that may take
 )
 
 // EnableView makes the controller keep a read model. It is called before Run.
@@ -57,28 +57,28 @@
 //
 // A row that changes ten times between two snapshots is made once, and while nobody reads none is
 // made before many wait: rows at every change took 5 to 7 % of a controller's processor time.
-func (c *Controller) showView(now time.Time, ask bool) {
+func (c *Controller) showView(now time.Time, force bool) {
 	readModel := c.readModel
 	if readModel == nil || !c.follower.loaded {
 		return
 	}
 	pending := c.cache.PendingChanges()
-	if !ask && pending < maxDeferredRows && !readModel.due(now) {
-		readModel.whole = false
+	if !force && pending < maxDeferredChanges && !readModel.snapshotDue(now) {
+		readModel.complete = false
 		return
 	}
-	if !readModel.readable {
-		readModel.readable, readModel.head.Since = true, now.UnixMilli()
+	if !readModel.loaded {
+		readModel.loaded, readModel.head.Since = true, now.UnixMilli()
 	}
 	c.updateRows()
-	if readModel.whole && readModel.due(now) {
+	if readModel.complete && readModel.snapshotDue(now) {
 		c.publishView(now)
 	}
 }
 
-// due reports whether somebody reads and the latest snapshot is not too young.
-func (r *readModel) due(now time.Time) bool {
-	return now.Sub(r.shown) >= viewInterval && r.hub.Wanted(now)
+// snapshotDue reports whether somebody reads and the latest snapshot is not too young.
+func (r *readModel) snapshotDue(now time.Time) bool {
+	return now.Sub(r.publishedAt) >= viewInterval && r.hub.Wanted(now)
 }
 
 // updateRows brings the rows of what has changed up to date, as many as one go may take.
@@ -86,7 +86,7 @@
 	readModel := c.readModel
 	atRevision := c.cache.Revision >= c.follower.highestRevision
 	jobs, machines, evicted, more := c.cache.TakeChanges(viewBatchRows)
-	readModel.whole = atRevision && !more
+	readModel.complete = atRevision && !more
 	for _, job := range jobs {
 		readModel.model.PutJob(c.jobRow(job))
 	}
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, id := range evicted {
-		c.showEvicted(id)
+		c.updatePreemptionRow(id)
 	}
 	for team := range c.cache.TeamEntries {
 		readModel.model.SetTeam(teamRow(c.cache.Teams[team]))
@@ -108,7 +108,7 @@
 // publishView hands a snapshot over, in the same time whatever it holds.
 func (c *Controller) publishView(now time.Time) {
 	readModel := c.readModel
-	readModel.shown = now
+	readModel.publishedAt = now
 	head := readModel.head
 	head.Revision = c.cache.Revision
 	head.Now = now.UnixMilli()
@@ -140,21 +140,21 @@
 // refreshView has a snapshot of the present revision published. If that fails the latest one stays,
 // and is shown as old as it is.
 func (c *Controller) refreshView() {
-	began := time.Now()
+	startedAt := time.Now()
 	// Not the reader's context, which may have ended: the next reader has the use of it.
-	ctx, cancel := context.WithTimeout(context.Background(), viewFetchTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viewRefreshTimeout)
 	defer cancel()
 	barrierErr := c.Barrier(ctx)
 	_ = c.call(ctx, func() {
 		readModel := c.readModel
 		now := time.Now()
 		if barrierErr == nil && c.cache.Revision >= c.follower.highestRevision {
-			readModel.asOf = maxTime(readModel.asOf, began)
+			readModel.asOf = maxTime(readModel.asOf, startedAt)
 		}
 		c.showView(now, true)
 		served := c.storeHealth.served(now)
-		if readModel.whole && (barrierErr == nil || served != readModel.stated) {
-			readModel.stated = served
+		if readModel.complete && (barrierErr == nil || served != readModel.publishedStoreOK) {
+			readModel.publishedStoreOK = served
 			c.publishView(now)
 		}
 	})
@@ -173,7 +173,7 @@
 		examples := c.exampleMachines()
 		for _, id := range ids[:min(len(ids), view.MaxReasons)] {
 			job := c.cache.Job(id)
-			if job != nil && c.mayRead(scope, job) {
+			if job != nil && c.allowedToRead(scope, job) {
 				reasons = append(reasons, c.reasonRow(job, examples))
 			}
 		}
@@ -181,7 +181,7 @@
 	return reasons, err
 }
 
-// mayRead reports whether a scope may know of a job: operators of all, a team of its own.
-func (c *Controller) mayRead(scope view.Scope, job *storage.Job) bool {
+// allowedToRead reports whether a scope may know of a job: operators of all, a team of its own.
+func (c *Controller) allowedToRead(scope view.Scope, job *storage.Job) bool {
 	return scope == view.Operators || c.cache.Teams[job.Team].Name == string(scope)
 }
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// manyMachinesCount are too many to fall silent together by themselves.
-	manyMachinesCount = 8
-	// minMachinesToJudge is how many machines a controller must own to judge itself by their silence.
-	minMachinesToJudge = 2
+	// largeMachineCount are too many to fall silent together by themselves.
+	largeMachineCount = 8
+	// minMachinesForReadiness is how many machines a controller must own to judge itself by their silence.
+	minMachinesForReadiness = 2
 	// readinessProbeInterval is how often a controller that is not ready probes a worker.
 	readinessProbeInterval = time.Second
-	// heardAgainWithin is how recently a worker must have been heard for a controller to be ready again.
-	heardAgainWithin = time.Second
+	// recoveryHeartbeatAge is how recently a worker must have been heard for a controller to be ready again.
+	recoveryHeartbeatAge = time.Second
 	// probeTimeout bounds how long a worker that is asked may take.
 	probeTimeout = 900 * time.Millisecond
 	// probeStride is how many eligible machines the search for one to probe counts for each probe,
@@ -32,40 +32,40 @@
 		return
 	}
 	if c.session.notReady.Load() {
-		c.checkReadyAgain(ctx, now)
+		c.checkRecovery(ctx, now)
 		return
 	}
-	machines := c.ownedMachinesUp()
-	limit := c.silenceToNotReady(machines)
-	if machines >= minMachinesToJudge && c.silenceOf(c.workers.anyHeardAt, now) > limit && now.Sub(c.shards.takenOverAt) > limit && c.othersReady() {
+	machines := c.bootedOwnedMachines()
+	limit := c.silenceLimit(machines)
+	if machines >= minMachinesForReadiness && c.silenceOf(c.workers.anyHeardAt, now) > limit && now.Sub(c.shards.takenOverAt) > limit && c.othersReady() {
 		c.log.Info("no worker is heard, giving up shards", "machines", machines)
 		c.setNotReady(ctx, true)
 	}
 }
 
-// checkReadyAgain probes workers until one answers, or until no other controller is left.
-func (c *Controller) checkReadyAgain(ctx context.Context, now time.Time) {
+// checkRecovery probes workers until one answers, or until no other controller is left.
+func (c *Controller) checkRecovery(ctx context.Context, now time.Time) {
 	if now.Sub(c.session.lastProbeAt) > readinessProbeInterval {
 		c.session.lastProbeAt = now
 		c.probeWorker()
 	}
-	if now.Sub(c.workers.anyHeardAt) < heardAgainWithin || !c.othersReady() {
+	if now.Sub(c.workers.anyHeardAt) < recoveryHeartbeatAge || !c.othersReady() {
 		c.setNotReady(ctx, false)
 	}
 }
 
-// silenceToNotReady is how long all workers must be silent for the fault to be on this side. Every
+// silenceLimit is how long all workers must be silent for the fault to be on this side. Every
 // worker heartbeats within 1.25 times HeartbeatS: a few may be dead or hang, but not many at once.
-func (c *Controller) silenceToNotReady(machines int) time.Duration {
+func (c *Controller) silenceLimit(machines int) time.Duration {
 	heartbeatS := c.cfg.Deployment.Workers.HeartbeatS
-	if machines >= manyMachinesCount {
+	if machines >= largeMachineCount {
 		return max(seconds(1.25*heartbeatS+1), 2500*time.Millisecond)
 	}
 	return max(seconds(2*heartbeatS+1.5), 4*time.Second)
 }
 
-// ownedMachinesUp is how many machines of this controller's shards have come up.
-func (c *Controller) ownedMachinesUp() int {
+// bootedOwnedMachines is how many machines of this controller's shards have come up.
+func (c *Controller) bootedOwnedMachines() int {
 	machines := 0
 	for machine := range c.machinesInService() {
 		if machine.Incarnation > 0 && c.ownsShard(machine.Shard) {
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -15,39 +15,39 @@
 const (
 	// serviceWorkS stands for the run time, in seconds, of a service's replica, which never ends.
 	serviceWorkS = 1e6
-	// demandStep is how far apart the allowed times of jobs may be that are summed up as one demand.
-	demandStep = 20 * time.Second
-	// unlimitedWithinS is the allowed time, in seconds, of work that no objective names; other work
+	// allowedTimeStep is how far apart the allowed times of jobs may be that are summed up as one demand.
+	allowedTimeStep = 20 * time.Second
+	// defaultWithinS is the allowed time, in seconds, of work that no objective names; other work
 	// has at least minWithinS.
-	unlimitedWithinS = 120
-	minWithinS       = 5
-	// recentServices is how far back services are counted that came.
-	recentServices = 2 * time.Minute
-	// readyAfterBoots is how many times the longest boot time a new machine takes until it is up and
+	defaultWithinS = 120
+	minWithinS     = 5
+	// recentServiceWindow is how far back services are counted that came.
+	recentServiceWindow = 2 * time.Minute
+	// readyBootFactor is how many times the longest boot time a new machine takes until it is up and
 	// has a service's image.
-	readyAfterBoots = 1.5
+	readyBootFactor = 1.5
 )
 
 // demandKind is what jobs have in common that are summed up as one demand.
 type demandKind struct {
-	spot   bool
-	idle   bool
-	zone   int
-	class  int
-	first  int // machine type that is allowed first, -1 if any is
-	cpus   float64
-	within int // allowed time, in steps
-	team   int // autoscale.NoTeam if it has no limit
+	spot         bool
+	idle         bool
+	zone         int
+	class        int
+	firstType    int // machine type that is allowed first, -1 if any is
+	cpus         float64
+	allowedSteps int // allowed time, in steps
+	team         int // autoscale.NoTeam if it has no limit
 }
 
-// demandSums sums up demands by kind, in the order of their first jobs.
-type demandSums struct {
+// demandTotals sums up demands by kind, in the order of their first jobs.
+type demandTotals struct {
 	index   map[demandKind]int
 	demands []autoscale.Demand
 }
 
 // add counts some of a job's tasks.
-func (s *demandSums) add(kind demandKind, job *storage.Job, tasks int, allowed time.Duration) {
+func (s *demandTotals) add(kind demandKind, job *storage.Job, tasks int, allowed time.Duration) {
 	i, ok := s.index[kind]
 	if !ok {
 		i = len(s.demands)
@@ -67,7 +67,7 @@
 func newDemand(kind demandKind, job *storage.Job, allowed time.Duration) autoscale.Demand {
 	withinS := max(minWithinS, allowed.Seconds())
 	if allowed == 0 {
-		withinS = unlimitedWithinS
+		withinS = defaultWithinS
 	}
 	return autoscale.Demand{Team: kind.team, Spot: kind.spot, Idle: kind.idle, Types: job.Types, Zone: kind.zone,
 		Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, WithinS: withinS}
@@ -77,7 +77,7 @@
 // jobs together ask for no more than the limit lets run. Bounded job by job, a team with many jobs
 // had twice the machines provisioned that it could use.
 func (c *Controller) demands(now time.Time) []autoscale.Demand {
-	sums := demandSums{index: map[demandKind]int{}}
+	sums := demandTotals{index: map[demandKind]int{}}
 	var zones *zoneCapacity
 	for _, job := range c.cache.Jobs {
 		if job == nil || !job.Open() {
@@ -97,11 +97,11 @@
 			}
 			continue
 		}
-		tasks := job.PlacedCount - c.placedUnreachable(job, now) + c.wantedTasks(job)
+		tasks := job.PlacedCount - c.tasksInUnreachableZones(job, now) + c.wantedTasks(job)
 		tasks = schedule.CapacityWithin(c.cache.Teams[job.Team], storage.Usage{}, job, tasks)
 		sums.add(kind, job, tasks, allowed)
 	}
-	autoscale.CapToLimits(sums.demands, workHorizon, func(team int) autoscale.Limit {
+	autoscale.CapToLimits(sums.demands, targetTimeFraction, func(team int) autoscale.Limit {
 		t := c.cache.Teams[team]
 		return autoscale.Limit{Cpus: t.CpusMax, Gpus: t.GpusMax}
 	})
@@ -111,17 +111,17 @@
 // demandKindOf is the kind of demand that a job belongs to, in its own zone.
 func (c *Controller) demandKindOf(job *storage.Job, allowed time.Duration, now time.Time) demandKind {
 	kind := demandKind{
-		spot:   job.Spot,
-		idle:   allowed == 0 && c.isIdleWork(job, now),
-		zone:   job.Zone,
-		class:  job.Class,
-		first:  -1,
-		cpus:   job.Cpus,
-		within: int(allowed / demandStep),
-		team:   autoscale.NoTeam,
+		spot:         job.Spot,
+		idle:         allowed == 0 && c.isIdleWork(job, now),
+		zone:         job.Zone,
+		class:        job.Class,
+		firstType:    -1,
+		cpus:         job.Cpus,
+		allowedSteps: int(allowed / allowedTimeStep),
+		team:         autoscale.NoTeam,
 	}
 	if len(job.Types) > 0 {
-		kind.first = job.Types[0]
+		kind.firstType = job.Types[0]
 	}
 	if c.limited(job.Team) {
 		kind.team = job.Team
@@ -150,7 +150,7 @@
 		}
 	}
 	for machine := range c.machinesInService() {
-		if machine.Spot || machine.Unhealthy || machine.Draining || c.reachability.zoneUnreachable(machine.Zone) || c.overdue(machine, bootPatience, now) {
+		if machine.Spot || machine.Unhealthy || machine.Draining || c.reachability.zoneUnreachable(machine.Zone) || c.bootOverdue(machine, bootTimeoutFactor, now) {
 			continue
 		}
 		left := c.cache.Types[machine.Type].Cpus
@@ -203,18 +203,18 @@
 	return best
 }
 
-// nextServices is the demand of the services that are likely to come before a machine provisioned
+// expectedServiceDemand is the demand of the services that are likely to come before a machine provisioned
 // for them would be up and have their image: as many as came a while ago. What gives way to them
 // counts as capacity. Without it each began with a boot once running services had been brought
 // together on few machines.
-func (c *Controller) nextServices(now time.Time) (demand autoscale.Demand, expected bool) {
+func (c *Controller) expectedServiceDemand(now time.Time) (demand autoscale.Demand, expected bool) {
 	demand = autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: minWithinS}
 	recentCpus := 0.0
 	for _, job := range c.cache.Jobs {
 		if job == nil || job.Shape != protocol.Service || job.Spot || !job.Open() || len(job.Types) > 0 || job.Zone >= 0 {
 			continue
 		}
-		if age := now.Sub(job.Submitted); age < recentServices && age >= 0 {
+		if age := now.Sub(job.Submitted); age < recentServiceWindow && age >= 0 {
 			recentCpus += float64(job.Tasks) * job.Size
 		}
 		if job.Size > demand.Cpus {
@@ -224,23 +224,23 @@
 	if recentCpus == 0 {
 		return demand, false
 	}
-	expectedCpus := recentCpus * min(1, c.readyAheadS()/recentServices.Seconds())
-	demand.Tasks = int(math.Ceil((expectedCpus - c.yieldingCpus()) / demand.Cpus))
+	expectedCpus := recentCpus * min(1, c.provisioningLeadS()/recentServiceWindow.Seconds())
+	demand.Tasks = int(math.Ceil((expectedCpus - c.preemptibleCpus()) / demand.Cpus))
 	demand.Work = serviceWorkS * float64(demand.Tasks)
 	return demand, demand.Tasks > 0
 }
 
-// readyAheadS is how many seconds ahead a machine must be asked for.
-func (c *Controller) readyAheadS() float64 {
-	ahead := 0.0
+// provisioningLeadS is how many seconds ahead a machine must be asked for.
+func (c *Controller) provisioningLeadS() float64 {
+	leadS := 0.0
 	for i := range c.cache.Types {
-		ahead = max(ahead, readyAfterBoots*c.cache.Types[i].BootS)
+		leadS = max(leadS, readyBootFactor*c.cache.Types[i].BootS)
 	}
-	return ahead
+	return leadS
 }
 
-// yieldingCpus is how much runs on on-demand machines that gives way to services.
-func (c *Controller) yieldingCpus() float64 {
+// preemptibleCpus is how much runs on on-demand machines that gives way to services.
+func (c *Controller) preemptibleCpus() float64 {
 	yielding := 0.0
 	for machine := range c.machinesInService() {
 		if machine.Draining || machine.Spot || c.reachability.zoneUnreachable(machine.Zone) {
@@ -255,11 +255,11 @@
 	return yielding
 }
 
-// placedUnreachable is how many of a job's tasks run where this controller reaches nobody: they
+// tasksInUnreachableZones is how many of a job's tasks run where this controller reaches nobody: they
 // need no other capacity.
-func (c *Controller) placedUnreachable(j *storage.Job, now time.Time) int {
+func (c *Controller) tasksInUnreachableZones(job *storage.Job, now time.Time) int {
 	unreachable := 0
-	for zone, tasks := range j.ByZone {
+	for zone, tasks := range job.ByZone {
 		if c.needsNoReplacement(zone, now) {
 			unreachable += int(tasks)
 		}
--- a/internal/controller/scale_demand_test.go
+++ b/internal/controller/scale_demand_test.go
@@ -11,7 +11,7 @@
 
 // Replicas waited for minutes beside free machines in a zone that had its half already: by the sums there was
 // capacity, and nothing was provisioned elsewhere.
-func TestSpreadIsAskedForByZone(t *testing.T) {
+func TestSpreadServiceDemandPerZone(t *testing.T) {
 	controller := newZonesCore(t, 1)
 	controller.leader.init()
 	controller.cache.Types[0].Zones = []int{0, 1, 2}
@@ -31,19 +31,19 @@
 func demandedCpus(demands []autoscale.Demand) float64 {
 	cpus := 0.0
 	for _, demand := range demands {
-		cpus += min(float64(demand.Tasks), math.Ceil(demand.Work/(workHorizon*demand.WithinS))) * demand.Cpus
+		cpus += min(float64(demand.Tasks), math.Ceil(demand.Work/(targetTimeFraction*demand.WithinS))) * demand.Cpus
 	}
 	return cpus
 }
 
 // Scaling out went by each job's own part of its team's limit: once limits bound, a team with many jobs had several
 // times the machines provisioned that it could use.
-func TestDemandsKeepToTeamLimits(t *testing.T) {
+func TestDemandsStayWithinTeamLimits(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		limit         float64
-		jobs, running int     // of six tasks of 4 CPUs each
-		low, high     float64 // CPUs that are asked for; the core's own job has two small tasks that wait
+		name             string
+		limit            float64
+		jobs, running    int     // of six tasks of 4 CPUs each
+		minCpus, maxCpus float64 // CPUs that are asked for; the core's own job has two small tasks that wait
 	}{
 		{"no limit", 0, 5, 0, 120, 128},
 		{"one job under the limit", 40, 1, 0, 24, 32},
@@ -57,16 +57,16 @@
 			controller.leader.init()
 			controller.cache.Teams[0].CpusMax = test.limit
 			for i := range test.jobs {
-				var on []string
+				var machines []string
 				if i == 0 {
-					on = []string{"a0", "b0", "c0", "a1"}[:test.running]
+					machines = []string{"a0", "b0", "c0", "a1"}[:test.running]
 				}
-				job := placeService(t, controller, fmt.Sprintf("job-%06d", 10+i), 6, on...)
+				job := placeService(t, controller, fmt.Sprintf("job-%06d", 10+i), 6, machines...)
 				job.Spread = false
-				controller.cache.Used[job.Team].Add(job, float64(len(on)))
+				controller.cache.Used[job.Team].Add(job, float64(len(machines)))
 			}
-			if got := demandedCpus(controller.demands(time.Now())); got < test.low || got > test.high {
-				t.Errorf("%v CPUs are asked for, want %v to %v", got, test.low, test.high)
+			if got := demandedCpus(controller.demands(time.Now())); got < test.minCpus || got > test.maxCpus {
+				t.Errorf("%v CPUs are asked for, want %v to %v", got, test.minCpus, test.maxCpus)
 			}
 		})
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -15,12 +15,12 @@
 // scaleInState is what the leader knows of machines that are not needed.
 type scaleInState struct {
 	returning     bool // a request to the cloud is under way
-	emptyMachines map[int32]emptyMark
+	emptyMachines map[int32]emptyObservation
 	surplusSince  map[autoscale.Pool]time.Time // the pool has had a whole machine too many since
 }
 
-// emptyMark is when a machine's record was first seen empty at its present version.
-type emptyMark struct {
+// emptyObservation is when a machine's record was first seen empty at its present version.
+type emptyObservation struct {
 	version uint64
 	since   time.Time
 }
@@ -28,7 +28,7 @@
 func newScaleInState(returning bool) scaleInState {
 	return scaleInState{
 		returning:     returning,
-		emptyMachines: map[int32]emptyMark{},
+		emptyMachines: map[int32]emptyObservation{},
 		surplusSince:  map[autoscale.Pool]time.Time{},
 	}
 }
@@ -55,12 +55,12 @@
 
 // emptySince is since when the leader has seen a machine's record unchanged and empty.
 func (s *scaleInState) emptySince(m *storage.Machine, now time.Time) time.Time {
-	mark, ok := s.emptyMachines[m.Index]
-	if !ok || mark.version != m.Version {
-		mark = emptyMark{m.Version, now}
-		s.emptyMachines[m.Index] = mark
+	observation, ok := s.emptyMachines[m.Index]
+	if !ok || observation.version != m.Version {
+		observation = emptyObservation{m.Version, now}
+		s.emptyMachines[m.Index] = observation
 	}
-	return mark.since
+	return observation.since
 }
 
 // scaleInIdle returns machines that have been empty and not needed for the retention time, the
@@ -68,16 +68,16 @@
 func (c *Controller) scaleInIdle(now time.Time, plan autoscale.Plan, retention time.Duration) {
 	candidates := c.emptyMachinesByPrice()
 	c.leader.observeSurplus(plan.Surplus, now)
-	left := map[autoscale.Pool]float64{}
+	remaining := map[autoscale.Pool]float64{}
 	for pool, machines := range plan.Surplus {
-		left[pool] = machines
+		remaining[pool] = machines
 	}
 	for _, machine := range candidates {
 		pool := poolOf(machine)
-		if !c.leader.surplusLasts(pool, retention, now) || left[pool] < 1 || now.Sub(c.leader.emptySince(machine, now)) < retention {
+		if !c.leader.surplusLasts(pool, retention, now) || remaining[pool] < 1 || now.Sub(c.leader.emptySince(machine, now)) < retention {
 			continue
 		}
-		left[pool]--
+		remaining[pool]--
 		c.returnMachine(machine, reasonNotNeeded)
 	}
 }
@@ -116,7 +116,7 @@
 			now := time.Now()
 			for _, name := range names {
 				if machine := c.cache.Machine(name); machine != nil && c.ownsShard(machine.Shard) {
-					c.noteTerminated(machine, now)
+					c.recordTermination(machine, now)
 				}
 			}
 			c.requestCycle()
@@ -124,8 +124,8 @@
 	}()
 }
 
-// noteTerminated takes in that the cloud confirmed a machine's end: what ran on it is lost.
-func (c *Controller) noteTerminated(machine *storage.Machine, now time.Time) {
+// recordTermination takes in that the cloud confirmed a machine's end: what ran on it is lost.
+func (c *Controller) recordTermination(machine *storage.Machine, now time.Time) {
 	worker := c.workerState(machine)
 	worker.terminated = true
 	for _, placed := range machine.Tasks {
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// exhaustedFor is how long a pool is left alone after it could not give all that was asked.
-	exhaustedFor = 8 * time.Second
-	// refusedFor is how long a pool is left alone after the cloud refused a request.
-	refusedFor = 2 * time.Second
+	// exhaustedBackoff is how long a pool is left alone after it could not give all that was asked.
+	exhaustedBackoff = 8 * time.Second
+	// refusedBackoff is how long a pool is left alone after the cloud refused a request.
+	refusedBackoff = 2 * time.Second
 )
 
 // scaleOutState is what the leader knows of its requests for machines.
 type scaleOutState struct {
 	scaleOuts    map[autoscale.Pool]*scaleOut // under way, outcome unknown
-	blocked      map[autoscale.Pool]time.Time // nothing is asked of the pool until then
+	blockedUntil map[autoscale.Pool]time.Time // nothing is asked of the pool until then
 	requestCount int                          // requests named by this process
 }
 
@@ -34,19 +34,19 @@
 func newScaleOutState(requestCount int) scaleOutState {
 	return scaleOutState{
 		scaleOuts:    map[autoscale.Pool]*scaleOut{},
-		blocked:      map[autoscale.Pool]time.Time{},
+		blockedUntil: map[autoscale.Pool]time.Time{},
 		requestCount: requestCount,
 	}
 }
 
-// available tells whether machines of a pool may be asked for.
-func (s *scaleOutState) available(pool autoscale.Pool, now time.Time) bool {
+// canRequest tells whether machines of a pool may be asked for.
+func (s *scaleOutState) canRequest(pool autoscale.Pool, now time.Time) bool {
 	return !s.isBlocked(pool, now) && s.scaleOuts[pool] == nil
 }
 
 // isBlocked tells whether a pool recently could not give what was asked.
 func (s *scaleOutState) isBlocked(pool autoscale.Pool, now time.Time) bool {
-	return now.Before(s.blocked[pool])
+	return now.Before(s.blockedUntil[pool])
 }
 
 // nextRequestName is a name that no controller ever uses again: it holds this process's own number.
@@ -56,16 +56,16 @@
 }
 
 // requestScaleOut asks the cloud for machines under a new name.
-func (c *Controller) requestScaleOut(ctx context.Context, wanted autoscale.ScaleOut) {
+func (c *Controller) requestScaleOut(ctx context.Context, scaleOutPlan autoscale.ScaleOut) {
 	pending := &scaleOut{request: protocol.ScaleOutRequest{
 		Name:  c.leader.nextRequestName(c.session.incarnation),
-		Type:  c.cache.TypeIndex.Name(wanted.Type),
-		Zone:  c.cache.Zones.Name(wanted.Zone),
-		Spot:  wanted.Spot,
-		Count: min(wanted.Count, protocol.MaxScaleOut),
+		Type:  c.cache.TypeIndex.Name(scaleOutPlan.Type),
+		Zone:  c.cache.Zones.Name(scaleOutPlan.Zone),
+		Spot:  scaleOutPlan.Spot,
+		Count: min(scaleOutPlan.Count, protocol.MaxScaleOut),
 	}}
-	c.leader.scaleOuts[wanted.Pool] = pending
-	c.sendScaleOut(ctx, wanted.Pool, pending)
+	c.leader.scaleOuts[scaleOutPlan.Pool] = pending
+	c.sendScaleOut(ctx, scaleOutPlan.Pool, pending)
 }
 
 // retryScaleOuts repeats the requests whose outcome is unknown, under the same names: the cloud
@@ -96,15 +96,15 @@
 	switch {
 	case errors.Is(err, protocol.ErrNoCapacity):
 		delete(c.leader.scaleOuts, pool)
-		c.leader.blocked[pool] = time.Now().Add(exhaustedFor)
+		c.leader.blockedUntil[pool] = time.Now().Add(exhaustedBackoff)
 	case errors.Is(err, protocol.ErrRefused):
 		delete(c.leader.scaleOuts, pool)
-		c.leader.blocked[pool] = time.Now().Add(refusedFor)
+		c.leader.blockedUntil[pool] = time.Now().Add(refusedBackoff)
 	case err != nil:
 		c.log.Info("scale out in doubt", "request", request.Name, "err", err)
 	default:
 		if len(names) < request.Count {
-			c.leader.blocked[pool] = time.Now().Add(exhaustedFor)
+			c.leader.blockedUntil[pool] = time.Now().Add(exhaustedBackoff)
 		}
 		c.enrollScaledOut(ctx, pool, request, names)
 	}
@@ -114,14 +114,14 @@
 // they are written.
 func (c *Controller) enrollScaledOut(ctx context.Context, pool autoscale.Pool, request protocol.ScaleOutRequest, names []string) {
 	c.log.Info("scaled out", "request", request.Name, "machines", len(names))
-	left := len(names)
-	if left == 0 || !c.isLeader() {
+	remaining := len(names)
+	if remaining == 0 || !c.isLeader() {
 		delete(c.leader.scaleOuts, pool)
 		return
 	}
 	scaleOuts := c.leader.scaleOuts // of this lead, which may end meanwhile
 	done := func(bool) {
-		if left--; left == 0 {
+		if remaining--; remaining == 0 {
 			delete(scaleOuts, pool)
 		}
 	}
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -21,19 +21,19 @@
 type TeamView struct {
 	Name string `json:"name"`
 	storage.TeamBounds
-	Version  uint64   `json:"version"` // 0: as the settings file has it
-	State    string   `json:"state"`
-	CpusToGo float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
-	GpusToGo float64  `json:"gpus_to_go,omitempty"`
-	Behind   []string `json:"behind,omitempty"` // controllers that have not shown that they go by it
+	Version        uint64   `json:"version"` // 0: as the settings file has it
+	State          string   `json:"state"`
+	CpusToGo       float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
+	ExcessGpus     float64  `json:"gpus_to_go,omitempty"`
+	LaggingMembers []string `json:"behind,omitempty"` // controllers that have not shown that they go by it
 }
 
 // The states of a team's entry.
 const (
-	TeamFromFile = "settings file"
-	TeamInForce  = "in force"
-	TeamLowering = "being lowered"
-	TeamSpreads  = "not yet in force" // some controller has not shown that it goes by it
+	TeamFromFile    = "settings file"
+	TeamInForce     = "in force"
+	TeamLowering    = "being lowered"
+	TeamPropagating = "not yet in force" // some controller has not shown that it goes by it
 )
 
 // GateError says that not all controllers would go by a change, and which would not.
@@ -86,19 +86,19 @@
 	if !changed {
 		return view
 	}
-	view.Version, view.State, view.Behind = entry.Version, TeamInForce, c.behind(entry.Version, now)
-	if len(view.Behind) > 0 {
-		view.State = TeamSpreads
+	view.Version, view.State, view.LaggingMembers = entry.Version, TeamInForce, c.laggingMembers(entry.Version, now)
+	if len(view.LaggingMembers) > 0 {
+		view.State = TeamPropagating
 	}
 	if entry.Former != nil {
 		view.State = TeamLowering
-		view.CpusToGo, view.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
+		view.CpusToGo, view.ExcessGpus = excessOf(entry.TeamBounds, c.cache.Used[team])
 	}
 	return view
 }
 
-// behind are the living controllers that have not shown that they have read a revision.
-func (c *Controller) behind(revision uint64, now time.Time) []string {
+// laggingMembers are the living controllers that have not shown that they have read a revision.
+func (c *Controller) laggingMembers(revision uint64, now time.Time) []string {
 	var names []string
 	for name := range c.cache.Members {
 		peer, heard := c.reachability.peers[name]
@@ -125,7 +125,7 @@
 	if refused != nil {
 		return view, refused
 	}
-	rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
+	revision, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
 		return view, ErrUnavailable // whether it was done shows in the entry's version
@@ -133,12 +133,12 @@
 		return view, ErrVersion
 	}
 	err = c.call(ctx, func() {
-		c.applyTxn(txn, rev)
+		c.applyTxn(txn, revision)
 		c.changed()
 		c.requestCycle()
 		view = c.teamView(c.cache.TeamIndex.Find(name), time.Now())
 	})
-	c.log.Info("team changed by an operator", "team", name, "version", rev, "change", string(change))
+	c.log.Info("team changed by an operator", "team", name, "version", revision, "change", string(change))
 	return view, err
 }
 
@@ -153,7 +153,7 @@
 	if version != entry.Version {
 		return txn, ErrVersion
 	}
-	if missing := c.notReadingTeams(); len(missing) > 0 {
+	if missing := c.membersNotReadingTeams(); len(missing) > 0 {
 		return txn, &GateError{missing}
 	}
 	current := storage.BoundsOf(c.cache.Teams[team])
@@ -162,7 +162,7 @@
 		return txn, err
 	}
 	if tighter(next, current) {
-		if err := c.checkAccepted(team, next); err != nil {
+		if err := c.checkAcceptedJobsFit(team, next); err != nil {
 			return txn, err
 		}
 	}
@@ -173,33 +173,33 @@
 	txn.If = []protocol.Condition{{Key: key, Version: entry.Version}}
 	txn.Then = []protocol.Change{{Put: key, Value: storage.Encode(teamRecord(next, current))}}
 	if !c.cache.TeamChangesEnabled() {
-		c.closeGateForOlderVersions(&txn)
+		c.requireTeamsLayout(&txn)
 	}
 	return txn, nil
 }
 
 // teamRecord is the record of a team whose bounds become next while other ones count: a limit that
 // is lowered counts only once the records are under it.
-func teamRecord(next, counting storage.TeamBounds) storage.TeamRecord {
+func teamRecord(next, effective storage.TeamBounds) storage.TeamRecord {
 	record := storage.TeamRecord{TeamBounds: next}
-	if tighter(next, counting) {
-		former := looser(next, counting)
+	if tighter(next, effective) {
+		former := looser(next, effective)
 		record.Former = &former
 	}
 	return record
 }
 
-// closeGateForOlderVersions adds to a transaction that from now on no version becomes ready that
+// requireTeamsLayout adds to a transaction that from now on no version becomes ready that
 // does not read changed teams.
-func (c *Controller) closeGateForOlderVersions(txn *protocol.Txn) {
+func (c *Controller) requireTeamsLayout(txn *protocol.Txn) {
 	gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
 	txn.If = append(txn.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
 	txn.Then = append(txn.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
 }
 
-// notReadingTeams are the controllers that the settings name and that have not shown that they read
+// membersNotReadingTeams are the controllers that the settings name and that have not shown that they read
 // changed teams. Once a team has been changed no older version becomes ready, so nobody is missing.
-func (c *Controller) notReadingTeams() []string {
+func (c *Controller) membersNotReadingTeams() []string {
 	if c.cache.TeamChangesEnabled() {
 		return nil
 	}
@@ -213,8 +213,8 @@
 	return missing
 }
 
-// checkAccepted refuses a limit under which an accepted job could never run any more.
-func (c *Controller) checkAccepted(team int, teamBounds storage.TeamBounds) error {
+// checkAcceptedJobsFit refuses a limit under which an accepted job could never run any more.
+func (c *Controller) checkAcceptedJobsFit(team int, teamBounds storage.TeamBounds) error {
 	bounds := teamBounds.Team(c.cache.Teams[team].Name)
 	for _, job := range c.cache.Jobs {
 		if job == nil || job.Team != team || !job.Open() {
--- a/internal/controller/times.go
+++ b/internal/controller/times.go
@@ -20,7 +20,7 @@
 	return b
 }
 
-// millis is a duration in milliseconds, to the hundredth.
-func millis(d time.Duration) float64 {
+// milliseconds is a duration in milliseconds, to the hundredth.
+func milliseconds(d time.Duration) float64 {
 	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
 }
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -12,20 +12,20 @@
 	"dykeledge/internal/view"
 )
 
-// milli is a figure in thousandths.
-func milli(v float64) uint64 { return uint64(math.Round(1000 * v)) }
+// thousandths is a figure in thousandths.
+func thousandths(v float64) uint64 { return uint64(math.Round(1000 * v)) }
 
-// micro is a figure in millionths.
-func micro(v float64) uint64 { return uint64(math.Round(1e6 * v)) }
+// millionths is a figure in millionths.
+func millionths(v float64) uint64 { return uint64(math.Round(1e6 * v)) }
 
 // teamRow is a team's guarantee and limit.
 func teamRow(team config.Team) view.Team {
 	return view.Team{
 		Name:    team.Name,
-		Cpus:    milli(team.Cpus),
-		CpusMax: milli(team.CpusMax),
-		Gpus:    milli(team.Gpus),
-		GpusMax: milli(team.GpusMax),
+		Cpus:    thousandths(team.Cpus),
+		CpusMax: thousandths(team.CpusMax),
+		Gpus:    thousandths(team.Gpus),
+		GpusMax: thousandths(team.GpusMax),
 	}
 }
 
@@ -43,11 +43,11 @@
 		Done:     uint32(job.DoneCount),
 		Placed:   uint32(job.PlacedCount),
 		Shard:    uint32(job.Shard),
-		Cpus:     milli(job.Cpus),
-		Gpus:     milli(job.Gpus),
+		Cpus:     thousandths(job.Cpus),
+		Gpus:     thousandths(job.Gpus),
 		Submit:   job.Submitted.UnixMilli(),
 		From:     job.ReadyAt.UnixMilli(),
-		Estimate: milli(job.Estimate),
+		Estimate: thousandths(job.Estimate),
 		End:      job.FinalAtMs,
 	}
 	switch {
@@ -81,15 +81,15 @@
 		Spot:  machine.Spot,
 		Shard: uint32(machine.Shard),
 		Tasks: uint32(len(machine.Tasks)),
-		Cpus:  milli(machineType.Cpus),
-		Gpus:  milli(machineType.Gpus),
-		Price: micro(price),
+		Cpus:  thousandths(machineType.Cpus),
+		Gpus:  thousandths(machineType.Gpus),
+		Price: millionths(price),
 	}
 	for _, placed := range machine.Tasks {
-		cpus, gpus := milli(placed.Job.Cpus), milli(placed.Job.Gpus)
+		cpus, gpus := thousandths(placed.Job.Cpus), thousandths(placed.Job.Gpus)
 		row.UsedCpus += cpus
 		row.UsedGpus += gpus
-		use := teamUse(&row, c.cache.Teams[placed.Job.Team].Name)
+		use := machineUseByTeam(&row, c.cache.Teams[placed.Job.Team].Name)
 		use.Tasks++
 		use.Cpus += cpus
 		use.Gpus += gpus
@@ -97,8 +97,8 @@
 	return row
 }
 
-// teamUse is what a team uses of a machine, made when it is first asked for; teams are in order.
-func teamUse(row *view.Machine, team string) *view.Use {
+// machineUseByTeam is what a team uses of a machine, made when it is first asked for; teams are in order.
+func machineUseByTeam(row *view.Machine, team string) *view.Use {
 	i, ok := slices.BinarySearchFunc(row.Uses, team, func(use view.Use, name string) int { return strings.Compare(use.Team, name) })
 	if !ok {
 		row.Uses = slices.Insert(row.Uses, i, view.Use{Team: team})
@@ -126,7 +126,7 @@
 
 // memberRow is a controller as the read model shows it.
 func (c *Controller) memberRow(name string) view.Member {
-	row := view.Member{Name: name, Leader: c.leads(name), Shares: []uint32{}}
+	row := view.Member{Name: name, Leader: c.holdsLeadership(name), Shares: []uint32{}}
 	if member := c.cache.Members[name]; member != nil {
 		row.Alive, row.Unfit = true, member.NotReady
 	}
@@ -147,16 +147,16 @@
 	}
 }
 
-// showEvicted brings an evicted set's row up to date. A set that is gone from the records is
+// updatePreemptionRow brings an evicted set's row up to date. A set that is gone from the records is
 // over; its row stays among the latest.
-func (c *Controller) showEvicted(id string) {
+func (c *Controller) updatePreemptionRow(id string) {
 	model := c.readModel.model
-	old, had := model.EvictionOf(id)
+	previous, exists := model.EvictionOf(id)
 	victimSet := c.cache.VictimSets[id]
 	if victimSet == nil {
-		if had && old.Open {
-			old.Open = false
-			model.PutEviction(old)
+		if exists && previous.Open {
+			previous.Open = false
+			model.PutEviction(previous)
 		}
 		return
 	}
@@ -168,8 +168,8 @@
 		Open:    true,
 		Victims: []view.Victim{},
 	}
-	if had && old.Open && old.At == row.At {
-		row.Key = old.Key
+	if exists && previous.Open && previous.At == row.At {
+		row.Key = previous.Key
 	}
 	for _, victim := range victimSet.Victims {
 		row.Victims = append(row.Victims, view.Victim{
