--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -166,18 +166,18 @@
 	if !c.session.notReady.Load() {
 		reach.workers = 1
 	}
-	reachablePeers, peers := 0, 0
+	reachablePeers, peerCount := 0, 0
 	for name := range c.cache.Members {
 		if name == c.cfg.MemberName {
 			continue
 		}
-		peers++
+		peerCount++
 		if peer, ok := c.reachability.peers[name]; ok && peer.fresh(now) {
 			reachablePeers++
 		}
 	}
-	if peers > 0 {
-		reach.members = float64(reachablePeers) / float64(peers)
+	if peerCount > 0 {
+		reach.members = float64(reachablePeers) / float64(peerCount)
 	}
 	return reach
 }
--- a/internal/controller/log_counters.go
+++ b/internal/controller/log_counters.go
@@ -4,11 +4,11 @@
 
 // logCounters are what is logged every logCountersInterval of this controller's work.
 type logCounters struct {
-	passes       int
-	total        time.Duration // of all passes
-	longest      time.Duration // of a pass
-	loggedAt     time.Time     // when they were last logged
-	changesAtLog uint64        // made by this controller until then
+	passes   int
+	total    time.Duration // of all passes
+	longest  time.Duration // of a pass
+	loggedAt time.Time     // when they were last logged
+	changes  uint64        // made by this controller until then
 }
 
 // pass counts a planning pass.
@@ -30,12 +30,12 @@
 	}
 	changes := c.store.ChangesUsed()
 	if !counters.loggedAt.IsZero() {
-		changesPerS := float64(changes-counters.changesAtLog) / now.Sub(counters.loggedAt).Seconds()
+		changesPerS := float64(changes-counters.changes) / now.Sub(counters.loggedAt).Seconds()
 		c.log.Info("counters", "machines", c.ownMachines(), "open_jobs", c.ownOpenJobs(), "passes", counters.passes,
 			"pass_mean_ms", milliseconds(counters.total)/float64(max(1, counters.passes)), "pass_longest_ms", milliseconds(counters.longest),
 			"changes_per_s", float64(int(changesPerS*10))/10, "revision", c.cache.Revision)
 	}
-	*counters = logCounters{loggedAt: now, changesAtLog: changes}
+	*counters = logCounters{loggedAt: now, changes: changes}
 }
 
 // ownMachines is how many machines are in this controller's shards.
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -20,7 +20,7 @@
 	publishedAt      time.Time // when a snapshot was last taken
 	complete         bool      // the model is what the cache is
 	publishedStoreOK bool      // what the head says of the state service
-	loaded           bool      // the first read is over
+	cacheLoaded      bool      // the first read is over
 }
 
 // How the model follows the cache.
@@ -67,8 +67,8 @@
 		readModel.complete = false
 		return
 	}
-	if !readModel.loaded {
-		readModel.loaded, readModel.head.Since = true, now.UnixMilli()
+	if !readModel.cacheLoaded {
+		readModel.cacheLoaded, readModel.head.Since = true, now.UnixMilli()
 	}
 	c.updateRows()
 	if readModel.complete && readModel.snapshotDue(now) {
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -151,10 +151,10 @@
 // over; its row stays among the latest.
 func (c *Controller) updatePreemptionRow(id string) {
 	model := c.readModel.model
-	previous, exists := model.EvictionOf(id)
+	previous, wasShown := model.EvictionOf(id)
 	victimSet := c.cache.VictimSets[id]
 	if victimSet == nil {
-		if exists && previous.Open {
+		if wasShown && previous.Open {
 			previous.Open = false
 			model.PutEviction(previous)
 		}
@@ -168,7 +168,7 @@
 		Open:    true,
 		Victims: []view.Victim{},
 	}
-	if exists && previous.Open && previous.At == row.At {
+	if wasShown && previous.Open && previous.At == row.At {
 		row.Key = previous.Key
 	}
 	for _, victim := range victimSet.Victims {
