--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Page bounds what a list returns.
+// Page is the maximum number of rows in one answer of a list request.
 const Page = 200
 
-// memberNames are the controllers that this one knows, itself included, in order.
+// memberNames returns the names of all configured controllers, this one included, in order.
 func (c *Controller) memberNames() []string {
 	names := []string{c.cfg.MemberName}
 	for _, known := range c.cfg.Known {
@@ -19,12 +19,12 @@
 	return names
 }
 
-// holdsLeadership reports whether a member is the leader by its record.
+// holdsLeadership reports whether the leader record names the member.
 func (c *Controller) holdsLeadership(member string) bool {
 	return c.cache.Leader.Version > 0 && c.cache.Leader.Member == member
 }
 
-// shardsOf are the shards that a member owns by their records.
+// shardsOf returns the indices of the shards whose records name the member as their owner.
 func (c *Controller) shardsOf(member string) []int {
 	shards := []int{}
 	for i, shard := range c.cache.Shards {
@@ -35,18 +35,18 @@
 	return shards
 }
 
-// MemberView is a controller as operators see it.
+// MemberView is the state of a controller as shown to operators.
 type MemberView struct {
 	Name          string  `json:"name"`
 	Alive         bool    `json:"alive"`
 	Leader        bool    `json:"leader"`
 	Incarnation   uint64  `json:"incarnation"`
 	Shards        []int   `json:"shares"`
-	HeartbeatAgeS float64 `json:"pulse_age_s"` // -1: not heard directly
+	HeartbeatAgeS float64 `json:"pulse_age_s"` // age of its last peer heartbeat; -1: none was received directly
 	StateOK       bool    `json:"state_ok"`
 }
 
-// MemberViews lists the controllers.
+// MemberViews returns the views of all configured controllers.
 func (c *Controller) MemberViews(ctx context.Context) ([]MemberView, error) {
 	var views []MemberView
 	err := c.call(ctx, func() {
@@ -71,7 +71,7 @@
 	return view
 }
 
-// ShardView is a shard as operators see it.
+// ShardView is the state of a shard as shown to operators.
 type ShardView struct {
 	Shard        int      `json:"share"`
 	Owner        string   `json:"owner"`
@@ -86,7 +86,7 @@
 	WaitingCpus  float64  `json:"waiting_cpus"`
 }
 
-// ShardViews lists the shards.
+// ShardViews returns the views of all shards.
 func (c *Controller) ShardViews(ctx context.Context) ([]ShardView, error) {
 	var views []ShardView
 	err := c.call(ctx, func() { views = c.shardViews() })
--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -7,8 +7,9 @@
 	"dykeledge/internal/storage"
 )
 
-// Reading all jobs page by page cost the square of their number, and each page looked at
-// every job and, for each that waits, at every machine.
+// Guards the cost of paging through all jobs: it was quadratic in the number of jobs, because each page
+// visited every job and, for each waiting job, every machine. Every job has to appear exactly once, in order
+// of its id.
 func TestJobViewsListEachJobOnce(t *testing.T) {
 	for _, test := range []struct {
 		team string
--- a/internal/controller/answers.go
+++ b/internal/controller/answers.go
@@ -6,17 +6,19 @@
 	"dykeledge/internal/protocol"
 )
 
-// Answer is what a user gets; RetryAfter above 0 is the seconds after which to come back.
+// Answer is the HTTP response to a user. RetryAfter is the delay in seconds before the user should send the
+// request again; 0: no retry is suggested.
 type Answer struct {
 	Status     int
 	Body       any
 	RetryAfter int
 }
 
-// retryAfterS is how long a user who can't be answered now is asked to wait.
+// retryAfterS is the delay, in seconds, after which a user should repeat a request that cannot be answered
+// now.
 const retryAfterS = 1
 
-// errorAnswer is an answer with an error's text.
+// errorAnswer returns an answer with an error text. Status 503 (service unavailable) also gets a retry delay.
 func errorAnswer(status int, text string) Answer {
 	answer := Answer{Status: status, Body: protocol.ErrorResponse{Error: text}}
 	if status == http.StatusServiceUnavailable {
@@ -30,7 +32,7 @@
 	unknownJob = errorAnswer(http.StatusNotFound, "no such job")
 )
 
-// jobStateAnswer answers with a job's state.
+// jobStateAnswer returns an answer with the state of a job.
 func jobStateAnswer(state protocol.JobState) Answer {
 	return Answer{Status: http.StatusOK, Body: state}
 }
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -9,13 +9,13 @@
 	"dykeledge/internal/storage"
 )
 
-// This file gathers what the decision on the fleet's size needs (package autoscale) and has it
-// carried out.
+// This file collects the input of the autoscaling decision (package autoscale) and carries the decision out.
 
-// targetTimeFraction is the part of its allowed time in which waiting work should be completed.
+// targetTimeFraction is the fraction of its allowed time in which waiting work should be completed.
 const targetTimeFraction = 0.45
 
-// autoscale scales out where demand needs it and scales in what is idle.
+// autoscale runs one autoscaling decision: it requests machines that the demand needs and returns or drains
+// surplus ones.
 func (c *Controller) autoscale(ctx context.Context, now time.Time) {
 	demands := c.demands(now)
 	if demand, expected := c.expectedServiceDemand(now); expected {
@@ -33,12 +33,12 @@
 	c.drainSurplus(now, plan, retention)
 }
 
-// poolOf is the pool that a machine belongs to.
+// poolOf returns the pool that a machine belongs to.
 func poolOf(m *storage.Machine) autoscale.Pool {
 	return autoscale.Pool{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// machinePrice is what a machine of a type costs, on demand or as a spot machine.
+// machinePrice returns the price of a machine of a type, either on demand or as a spot machine.
 func machinePrice(t *storage.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -57,8 +57,8 @@
 	}
 }
 
-// autoscaleMachines are the machines as the autoscaler sees them, and how many of each pool are
-// in service.
+// autoscaleMachines returns the machines as input of the autoscaler, and the number of machines of each pool
+// that are not being returned.
 func (c *Controller) autoscaleMachines(now time.Time) (machines []autoscale.Machine, owned map[autoscale.Pool]int) {
 	owned = map[autoscale.Pool]int{}
 	for _, machine := range c.cache.Machines {
@@ -75,7 +75,7 @@
 	return machines, owned
 }
 
-// countsAsCapacity tells whether work that waits may count on a machine, up or booting.
+// countsAsCapacity reports whether a machine, running or still booting, counts as capacity for waiting work.
 func (c *Controller) countsAsCapacity(m *storage.Machine, now time.Time) bool {
 	if m.Returning || m.Unhealthy {
 		return false
@@ -87,7 +87,7 @@
 	return !c.bootOverdue(m, bootTimeoutFactor, now) && !c.reachability.zoneUnreachable(m.Zone)
 }
 
-// autoscaleOffers are the pools that the catalog offers.
+// autoscaleOffers returns the pools that the catalog offers, spot and on-demand.
 func (c *Controller) autoscaleOffers(owned map[autoscale.Pool]int, now time.Time) []autoscale.Offer {
 	var offers []autoscale.Offer
 	for typeIndex := range c.cache.Types {
@@ -111,7 +111,7 @@
 	return offers
 }
 
-// longestBootS is how many seconds the slowest machine type takes to boot.
+// longestBootS returns the boot time, in seconds, of the machine type that boots slowest.
 func (c *Controller) longestBootS() float64 {
 	longest := 0.0
 	for i := range c.cache.Types {
@@ -122,9 +122,10 @@
 	return longest
 }
 
-// tightestFinishObjective is the shortest time that an objective leaves for finishing. An
-// objective on starting work, of a class or within a guarantee, is no reason to keep every idle
-// machine: read as one on finishing, it kept a fleet from ever shrinking.
+// tightestFinishObjective returns the shortest time, in seconds, within which an objective wants jobs
+// finished; 0: there is no such objective. Objectives on the start of work, of a class or within a guarantee,
+// are left out: when they were read as objectives on finishing, every idle machine was retained and the
+// cluster never scaled in.
 func (c *Controller) tightestFinishObjective() float64 {
 	tightest := 0.0
 	for _, objective := range c.cfg.Deployment.Objectives {
--- a/internal/controller/baseline_learning.go
+++ b/internal/controller/baseline_learning.go
@@ -10,27 +10,30 @@
 	"dykeledge/internal/storage"
 )
 
-// This file has the leader learn the baseline of each team's classes, and keep it in the state service.
+// This file lets the leader estimate the baseline demand of each team's classes and store it in the state
+// service.
 
 const (
-	// baselineWriteInterval is the least time between two records of the baseline.
+	// baselineWriteInterval is the minimum time between two writes of the baseline record.
 	baselineWriteInterval = time.Minute
-	// maxWindowSteps is how many steps long a window may be to be learned from.
+	// maxWindowSteps is the maximum length, in steps (baseline.Step), of a window that is used for the
+	// estimate.
 	maxWindowSteps = 3
-	// baselineFillPercent is how much of the value limit the baseline's record may fill.
+	// baselineFillPercent is the part of the record size limit, in percent, that the baseline record may
+	// fill.
 	baselineFillPercent = 80
 )
 
-// baselineLearning is the leader's estimator, and what it has taken in.
+// baselineLearning holds the leader's baseline estimator and the progress of its input and output.
 type baselineLearning struct {
 	estimator     *baseline.Estimator
-	lastArrivals  map[storage.ClassQueue]storage.Arrivals // the cache's when last looked at
+	lastArrivals  map[storage.ClassQueue]storage.Arrivals // arrival counters of the cache at the end of the last window
 	windowStart   time.Time
 	writtenAt     time.Time
 	writeInFlight bool
 }
 
-// start goes on from a recorded baseline.
+// start resets the estimator to a recorded baseline; the first window begins now.
 func (l *baselineLearning) start(recorded map[storage.ClassQueue]float64, arrivals map[storage.ClassQueue]storage.Arrivals, now time.Time) {
 	*l = baselineLearning{
 		estimator:     baseline.New(recorded),
@@ -40,9 +43,9 @@
 	}
 }
 
-// observeWindow takes in what has arrived since the last window, once a step has passed. What is read
-// at once after a pause is no overload: a window in which this controller stalled or read nothing is
-// left out.
+// observeWindow feeds the arrivals since the last window into the estimator once a step has passed. Windows
+// in which this controller stalled or could not read the state service are skipped: arrivals that are read
+// all at once after a pause are not an overload.
 func (l *baselineLearning) observeWindow(arrivals map[storage.ClassQueue]storage.Arrivals, storeFailing bool, now time.Time) {
 	duration := now.Sub(l.windowStart)
 	if duration < baseline.Step {
@@ -54,7 +57,7 @@
 	l.lastArrivals, l.windowStart = maps.Clone(arrivals), now
 }
 
-// arrivalsSince is what has arrived beyond what had before.
+// arrivalsSince returns the arrivals of each class queue between two readings of the counters.
 func arrivalsSince(before, now map[storage.ClassQueue]storage.Arrivals) map[storage.ClassQueue]storage.Arrivals {
 	arrived := map[storage.ClassQueue]storage.Arrivals{}
 	for queue, n := range now {
@@ -65,7 +68,7 @@
 	return arrived
 }
 
-// writeDue tells whether what was learned is to be recorded.
+// writeDue reports whether the estimate should be written to the baseline record now.
 func (l *baselineLearning) writeDue(recorded *storage.Baseline, now time.Time) bool {
 	if l.writeInFlight || now.Sub(l.writtenAt) < baselineWriteInterval && recorded.Version > 0 {
 		return false
@@ -73,9 +76,9 @@
 	return l.estimator.Differs(recorded.Cpus)
 }
 
-// learnBaseline is the leader's loop over the baseline. A new leader goes on from the record: what
-// an earlier one had learned outlives an end of all controllers, and an overload that lasts over it
-// is not taken for the baseline.
+// learnBaseline updates the leader's baseline estimate and stores it. A new leader continues from the record:
+// the estimate of an earlier leader survives a restart of all controllers, and an overload that lasts across
+// the restart is not taken for the baseline.
 func (c *Controller) learnBaseline(ctx context.Context, now time.Time) {
 	learning := &c.leader.baseline
 	if !c.isLeader() || !c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
--- a/internal/controller/boot_patience.go
+++ b/internal/controller/boot_patience.go
@@ -6,21 +6,23 @@
 	"dykeledge/internal/storage"
 )
 
-// A machine that is not up costs money and takes the place of another until it is returned. Most
-// are up after 1.5 times their type's boot time; one that is not when bootTimeoutFactor times that has
-// passed is given up if a machine that was requested after it is up. While the cloud brings up
-// nothing, all come late together: giving them up then would request, pay and return for ever, so
-// they are waited for twice as long, but count as capacity no more.
+// A machine that has not come up costs money and takes the place of another until it is returned. Most
+// machines are up after 1.5 times the boot time of their type. After bootTimeoutFactor times the boot time a
+// machine no longer counts as capacity, and it is given up if a machine of its type that was provisioned at
+// the same time or later is up. While the cloud brings up no machines at all, giving up each of them would
+// request, pay for and return machines without end, so they are waited for twice as long
+// (maxBootTimeoutFactor).
 const (
 	bootTimeoutFactor    = 2.2
 	maxBootTimeoutFactor = 2 * bootTimeoutFactor
-	// minBootS is the least boot time, in seconds, by which lateness is judged.
+	// minBootS is the shortest boot time, in seconds, that a boot timeout is computed from.
 	minBootS = 10
-	// minRemainingBootS is the least time, in seconds, that a machine which is not up still takes.
+	// minBootLeftS is the lower bound, in seconds, of the estimated remaining boot time.
 	minRemainingBootS = 3
 )
 
-// lastUp is when the latest machine of each type that has come up was provisioned, in Unix seconds.
+// lastUp returns for each machine type when the most recently provisioned machine that came up was
+// provisioned, in Unix seconds; 0: no machine of the type has come up.
 func (c *Controller) lastUp() []int64 {
 	lastUp := make([]int64, len(c.cache.Types))
 	for _, machine := range c.cache.Machines {
@@ -31,13 +33,14 @@
 	return lastUp
 }
 
-// hasBooted tells whether a machine's worker was ever heard, as far as this controller knows.
+// hasBooted reports whether the worker of a machine has ever sent a heartbeat, according to the records and
+// to this controller's own state.
 func (c *Controller) hasBooted(m *storage.Machine) bool {
 	worker := c.workers.states[m.Index]
 	return m.Incarnation > 0 || worker != nil && worker.Incarnation > 0
 }
 
-// booting tells whether a machine comes up and may then take tasks.
+// booting reports whether a machine is still booting in time and may take tasks once it is up.
 func (c *Controller) booting(m *storage.Machine, worker *workerState, now time.Time) bool {
 	if c.hasBooted(m) || m.Returning || m.Draining || worker.terminated || c.workers.pendingUpdates[m.Index].blocksPlacement() {
 		return false
@@ -45,14 +48,14 @@
 	return !c.reachability.zoneUnreachable(m.Zone) && !c.bootOverdue(m, bootTimeoutFactor, now)
 }
 
-// bootLeft estimates how many seconds a machine that comes up still takes: most are up after about
-// their type's boot time, and the longer one is late, the later it may be.
+// bootLeft estimates the remaining boot time of a machine in seconds. Most machines are up after about the
+// boot time of their type; beyond that, the estimate grows with the delay.
 func (c *Controller) bootLeft(m *storage.Machine, worker *workerState, now time.Time) float64 {
 	left := c.cache.Types[m.Type].BootS - c.bootAge(m, worker, now).Seconds()
 	return max(minRemainingBootS, left, minRemainingBootS-left/2)
 }
 
-// bootOverdue tells whether a machine takes more than some times its type's boot time.
+// bootOverdue reports whether a machine has not come up within factor times the boot time of its type.
 func (c *Controller) bootOverdue(m *storage.Machine, factor float64, now time.Time) bool {
 	if c.hasBooted(m) {
 		return false
@@ -60,10 +63,11 @@
 	return c.bootAge(m, c.workers.states[m.Index], now) > seconds(factor*max(c.cache.Types[m.Type].BootS, minBootS))
 }
 
-// bootAge is how long ago a machine was provisioned, as far as this controller knows.
+// bootAge returns the time since a machine was provisioned. If that is not recorded, it is the time since
+// this controller first tracked the machine's worker.
 func (c *Controller) bootAge(m *storage.Machine, worker *workerState, now time.Time) time.Duration {
 	switch {
-	case m.ProvisionedAt > 0: // whoever owned it since
+	case m.ProvisionedAt > 0: // independent of which controllers owned it since
 		return now.Sub(time.Unix(m.ProvisionedAt, 0))
 	case worker != nil:
 		return now.Sub(worker.since)
@@ -71,7 +75,7 @@
 	return 0
 }
 
-// neverCame tells whether a machine is to be given up since it does not come up.
+// neverCame reports whether a machine that does not come up has to be given up; lastUp is that of its type.
 func (c *Controller) neverCame(m *storage.Machine, lastUp int64, now time.Time) bool {
 	return c.bootOverdue(m, bootTimeoutFactor, now) && (m.ProvisionedAt <= lastUp || c.bootOverdue(m, maxBootTimeoutFactor, now))
 }
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -9,40 +9,40 @@
 	"dykeledge/internal/wait"
 )
 
-// This file reads the cloud's catalog of machine types and its list of machines.
+// This file reads the catalog of machine types and the list of machines from the cloud.
 
 const (
-	// catalogInterval is how often the catalog is read, catalogRetryInterval how often until the
-	// first answer.
+	// catalogInterval is the time between two reads of the catalog; catalogRetryInterval applies until a read
+	// succeeds.
 	catalogInterval      = 30 * time.Second
 	catalogRetryInterval = time.Second
-	// minCloudListInterval is the least time between two readings of the machine list.
+	// minCloudListInterval is the minimum time between two reads of the machine list.
 	minCloudListInterval = 3 * time.Second
-	// enrollmentGrace is how long a listed machine may have no record before it is enrolled from the
-	// list: the answer to its scale-out request may still be on its way and goes first.
+	// enrollmentGrace is how long a listed machine may have no record before it is enrolled from the list:
+	// the answer to its scale-out request may still be on its way and takes precedence.
 	enrollmentGrace = 2 * time.Second
-	// cloudStatusFailed is the cloud's status of a machine that will never work.
+	// cloudStatusFailed is the status that the cloud gives to a machine that will never work.
 	cloudStatusFailed = "failed"
 )
 
-// cloudListState is what the leader knows of the cloud's list of machines.
+// cloudListState is the leader's state of reading the cloud's machine list.
 type cloudListState struct {
 	listing    bool
 	listedAt   time.Time
-	unrecorded map[string]time.Time // listed without a record since
+	unrecorded map[string]time.Time // when a machine without a record was first listed
 }
 
 func newCloudListState() cloudListState {
 	return cloudListState{unrecorded: map[string]time.Time{}}
 }
 
-// listDue tells whether the machine list is to be read again.
+// listDue reports whether the machine list should be read again.
 func (l *cloudListState) listDue(now time.Time, interval time.Duration) bool {
 	return !l.listing && now.Sub(l.listedAt) > interval
 }
 
-// enrollmentOverdue notes that a machine is listed without a record, and tells whether that
-// has lasted longer than the answer to its scale-out request may take.
+// enrollmentOverdue records when a machine was first listed without a record, and reports whether that is
+// longer ago than the answer to its scale-out request may take.
 func (l *cloudListState) enrollmentOverdue(name string, now time.Time) bool {
 	since, ok := l.unrecorded[name]
 	if !ok {
@@ -56,8 +56,8 @@
 	return true
 }
 
-// catalogLoop reads the machine types. The leader keeps them in the state service, for
-// controllers that start while the cloud does not answer.
+// catalogLoop reads the machine types periodically until ctx ends. The leader stores them in the state
+// service if no catalog is stored there, for controllers that start while the cloud does not answer.
 func (c *Controller) catalogLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		catalog, err := c.cloud.Catalog(ctx)
@@ -77,7 +77,7 @@
 	}
 }
 
-// storeCatalog writes the catalog unless there is one.
+// storeCatalog writes the catalog to the state service unless one is stored already.
 func (c *Controller) storeCatalog(ctx context.Context, catalog *protocol.Catalog) {
 	c.commitAside(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.CatalogKey}},
@@ -85,13 +85,13 @@
 	}, protocol.BackgroundRequest, func(bool) {})
 }
 
-// cloudListInterval is how often the leader reads the machine list: as the list lags behind,
-// more often than twice in that lag shows nothing new.
+// cloudListInterval is the time between two reads of the machine list by the leader. The list lags behind the
+// cloud by Cloud.ListLagS, so reading it more than twice within that lag shows nothing new.
 func (c *Controller) cloudListInterval() time.Duration {
 	return max(minCloudListInterval, seconds(c.cfg.Deployment.Cloud.ListLagS/2))
 }
 
-// listCloudMachines reads the whole machine list and hands it to the core.
+// listCloudMachines reads the whole machine list and hands it to the goroutine that owns the state.
 func (c *Controller) listCloudMachines(ctx context.Context) {
 	machines, err := c.readCloudList(ctx)
 	c.post(func() {
@@ -121,8 +121,8 @@
 	}
 }
 
-// applyCloudList enrolls machines without a record and returns those that failed. The list
-// lags behind: that a machine is missing from it proves nothing.
+// applyCloudList enrolls listed machines that have no record and returns those that the cloud reports as
+// failed. The list lags behind the cloud, so a machine that is missing from it is not treated as gone.
 func (c *Controller) applyCloudList(ctx context.Context, machines []protocol.CloudMachine) {
 	if !c.isLeader() {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// enrollListed enrolls a listed machine that has had no record for too long.
+// enrollListed enrolls a listed machine whose record has been missing for longer than enrollmentGrace.
 func (c *Controller) enrollListed(ctx context.Context, listed protocol.CloudMachine, now time.Time) {
 	if c.cache.MachineSeen(listed.ID) || c.leader.enrollPending[listed.ID] || c.cache.TypeIndex.Find(listed.Type) < 0 {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller is the core of a controller: it follows the state service, which holds the
-// truth, and works out again and again how what is differs from what is desired. One goroutine
-// owns all scheduling state; everything else posts work to it. docs/ARCHITECTURE.md shows the
-// parts and the way of a request through them.
+// Package controller is the core of a controller process. It follows the state service, which holds the
+// authoritative state, and repeatedly compares the actual state with the desired state to plan changes. One
+// goroutine owns all scheduling state; all other goroutines post work to it. docs/ARCHITECTURE.md shows the
+// components and the path of a request through them.
 package controller
 
 import (
@@ -14,9 +14,9 @@
 	"dykeledge/internal/storage"
 )
 
-// Controller is one controller process. Run's goroutine owns all of its state; every other
-// goroutine hands work over with post or call. Each part below is written only by the files
-// that its type's comment names.
+// Controller is one controller process. The goroutine of Run owns all of its state; other goroutines hand
+// work over with post or call. Each field group below is written only by the files that the comment of its
+// type names.
 type Controller struct {
 	environment
 	mailbox
@@ -39,27 +39,27 @@
 	gates         gateState
 	operator      operatorState
 	summary       publishedSummary
-	readModel     *readModel // nil: switched off
+	readModel     *readModel // nil: the read model is disabled
 }
 
-// mailbox hands work to the goroutine that owns the state.
+// mailbox passes work to the goroutine that owns the state.
 type mailbox struct {
 	inbox chan func()
 	done  chan struct{} // closed when Run returns
 }
 
-// Options are set before Run, if at all.
+// Options are optional settings; they may be changed only before Run.
 type Options struct {
-	// Layout is the latest layout of the records that this controller reads. With the plain
-	// one it does as the version before did: for tests of both side by side.
+	// Layout is the latest record layout that this controller reads and writes. With the plain layout it
+	// behaves like the previous version, for tests that run both versions side by side.
 	Layout int
-	// Frames is the level of the peers' frames that this controller reads; 0: no cancellation digests.
+	// Frames is the version of the peer frames that this controller reads; 0: no cancellation digests.
 	Frames int
-	// OnLogLevel takes up a log level that operators choose; nil: nobody does.
+	// OnLogLevel is called with the log level that operators set; nil: the level is not changed.
 	OnLogLevel func(string)
 }
 
-// New makes a controller with an empty cache. It does nothing before Run.
+// New returns a controller with an empty cache. It starts no goroutines and sends no requests before Run.
 func New(cfg *config.Settings, store StateStore, cloud Cloud, workers WorkerLink, log *slog.Logger, timing Timing) *Controller {
 	now := time.Now()
 	cache := storage.NewCache(cfg)
@@ -85,15 +85,14 @@
 	return controller
 }
 
-// inboxSize is how much work may wait for the goroutine that owns the state before post blocks.
+// inboxSize is the number of work items that may be queued before post blocks.
 const inboxSize = 1024
 
-// DefaultAlpha weighs lost work against time waited when preemptions are ranked:
-// the value that the paper chose in its sweep (section 5.1).
+// DefaultAlpha is the weight of lost work against waiting time in the ranking of preemptions (section 5.1 of
+// the paper).
 const DefaultAlpha = 0.31
 
-// Run is the controller's life. It returns when ctx ends; the goroutines that it starts end with
-// ctx, too.
+// Run runs the controller until ctx ends. The goroutines that it starts end with ctx, too.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	c.cache.ForcePlain = c.Layout < storage.LayoutPacked
@@ -120,8 +119,8 @@
 	}
 }
 
-// runDueCycle runs the cycle of planning and committing if it is requested, due, and nothing else
-// waits. If it is only due later, the timer is set, and its channel returned.
+// runDueCycle runs the cycle of planning and committing if it is requested and due and no other work is
+// queued. If it is due later, the timer is set and its channel returned.
 func (c *Controller) runDueCycle(ctx context.Context, timer *time.Timer) <-chan time.Time {
 	if !c.commits.cycleRequested || c.commits.inFlight || len(c.inbox) > 0 {
 		return nil
@@ -135,7 +134,7 @@
 	return timer.C
 }
 
-// post hands work to the goroutine that owns the state. It does not wait for it.
+// post queues work for the goroutine that owns the state and does not wait for its completion.
 func (c *Controller) post(work func()) {
 	select {
 	case c.inbox <- work:
@@ -143,8 +142,8 @@
 	}
 }
 
-// call has work done by the goroutine that owns the state, and waits for it. If ctx ends first,
-// the work may still be done.
+// call runs work on the goroutine that owns the state and waits for its completion. If ctx ends first, the
+// work may still run.
 func (c *Controller) call(ctx context.Context, work func()) error {
 	finished := make(chan struct{})
 	c.post(func() {
@@ -161,11 +160,10 @@
 	}
 }
 
-// requestCycle has the next transaction planned as soon as one may go out.
+// requestCycle requests a planning cycle; it runs once the next transaction may be sent.
 func (c *Controller) requestCycle() { c.commits.cycleRequested = true }
 
-// tick runs each loop over desired state once. Their order matters where one goes by what
-// another has just found.
+// tick runs each reconciliation loop once. The order matters where a loop uses what an earlier one has found.
 func (c *Controller) tick(ctx context.Context) {
 	now := time.Now()
 	c.flushHeldReplies(now, false)
@@ -194,7 +192,7 @@
 	c.requestCycle()
 }
 
-// deleteEndedJobStates drops what is known of jobs that are over and have no task placed.
+// deleteEndedJobStates deletes the state of jobs that have ended and have no placed task.
 func (c *Controller) deleteEndedJobStates() {
 	for job := range c.jobStates {
 		if !job.Open() && job.PlacedCount == 0 {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -11,8 +11,8 @@
 	"dykeledge/internal/storage"
 )
 
-// newCore makes a loaded controller that owns its only shard, with one machine whose
-// worker was heard, and one waiting job.
+// newCore returns a loaded controller that owns its only shard, with one machine whose worker has sent a
+// heartbeat, and one waiting job with two tasks.
 func newCore(t *testing.T) *Controller {
 	t.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
@@ -38,12 +38,12 @@
 	return controller
 }
 
-// idleStore is never asked for anything but its pace.
+// idleStore implements only Pace; any other call panics.
 type idleStore struct{ StateStore }
 
 func (idleStore) Pace(int) time.Duration { return 0 }
 
-// machineIn reads machine m from its group's record in a transaction.
+// machineIn returns machine m from the group record that a transaction writes.
 func machineIn(t *testing.T, builder *txnBuilder) storage.GroupMachine {
 	t.Helper()
 	var record storage.GroupRecord
--- a/internal/controller/eviction_views.go
+++ b/internal/controller/eviction_views.go
@@ -8,7 +8,7 @@
 	"dykeledge/internal/storage"
 )
 
-// EvictionView is an evicted set with the scores that chose it.
+// EvictionView is a preemption as shown to operators: the victim set with the scores that it was chosen by.
 type EvictionView struct {
 	Job     string                 `json:"job"`
 	At      time.Time              `json:"at"`
@@ -16,10 +16,10 @@
 	Victims []storage.VictimRecord `json:"victims"`
 }
 
-// maxRecentPreemptions is how many evicted sets are kept for operators.
+// maxRecentPreemptions is the number of preemptions that are kept for operators.
 const maxRecentPreemptions = 50
 
-// recordPreemptions keeps the latest evicted sets for operators.
+// recordPreemptions keeps the latest victim sets for operators and counts their tasks in the metrics.
 func (c *Controller) recordPreemptions() {
 	for id, victimSet := range c.cache.VictimSets {
 		if c.operator.preemptionsSeen[id] == victimSet.Version {
@@ -36,7 +36,7 @@
 	}
 }
 
-// addPreemption adds to the latest evicted sets.
+// addPreemption adds a preemption to the recent ones and drops the oldest beyond maxRecentPreemptions.
 func (o *operatorState) addPreemption(eviction EvictionView) {
 	o.recentPreemptions = append(o.recentPreemptions, eviction)
 	if n := len(o.recentPreemptions); n > maxRecentPreemptions {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Evictions lists the latest evicted sets that this controller saw, newest first.
+// Evictions returns the recent preemptions that this controller has seen, newest first.
 func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
 	evictions := []EvictionView{}
 	err := c.call(ctx, func() {
--- a/internal/controller/gauges.go
+++ b/internal/controller/gauges.go
@@ -10,10 +10,10 @@
 	"dykeledge/internal/storage"
 )
 
-// collectTimeout bounds how long a scrape waits for the core.
+// collectTimeout bounds the time that a metrics scrape waits for the goroutine that owns the state.
 const collectTimeout = time.Second
 
-// gauges are read from the core when somebody asks for them.
+// gauges is a Prometheus collector that reads the gauges' values from the controller at each scrape.
 type gauges struct{ c *Controller }
 
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
@@ -39,7 +39,7 @@
 	descSuspectJobs          = newDesc("suspect_jobs", "Open jobs that failed on every machine that tried them.")
 )
 
-// Describe sends the gauges' descriptions.
+// Describe sends the descriptions of the gauges.
 func (g gauges) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descQueue, descMachines, descGpus, descMoneyRate, descMemory, descLeader, descRevision, descShards, descReachable, descSuspectJobs,
 		descAwaitingDependencies, descDependencyFailed, descLayout, descLargestRecord, descOverload, descBaseline} {
@@ -47,11 +47,11 @@
 	}
 }
 
-// Collect sends the gauges' values, or none if the core does not answer in time.
+// Collect sends the values of the gauges, or none if they could not be read within collectTimeout.
 func (g gauges) Collect(metrics chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), collectTimeout)
 	defer cancel()
-	// The core fills in figures of its own: after the timeout it may still be at it.
+	// The closure allocates its own values, since it may still run after the time-out.
 	var collected *gaugeValues
 	if err := g.c.call(ctx, func() { collected = g.c.collectGaugeValues(time.Now()) }); err != nil {
 		return
@@ -59,10 +59,10 @@
 	collected.emit(metrics)
 }
 
-// queueLabels are the labels of what is counted by class and team.
+// queueLabels are the labels of gauges that are counted by class and team.
 type queueLabels struct{ class, team string }
 
-// gaugeValues are the gauges' values at one moment.
+// gaugeValues holds the values of the gauges at one point in time.
 type gaugeValues struct {
 	waitingTasks map[queueLabels]float64
 	baselineCpus map[queueLabels]float64
@@ -81,13 +81,14 @@
 	suspectJobs, awaitingJobs, dependencyFailedJobs int
 }
 
-// acceleratorUse are the machines' accelerators by use.
+// acceleratorUse is the number of accelerators of all machines, by use.
 type acceleratorUse struct{ taken, free float64 }
 
-// reachableFractions are which part of its neighbours a controller reaches, from 0 to 1.
+// reachableFractions holds the fraction of the neighbours of each kind that a controller reaches, from 0 to
+// 1.
 type reachableFractions struct{ state, workers, members float64 }
 
-// collectGaugeValues reads the gauges' values.
+// collectGaugeValues reads the values of the gauges from the controller's state.
 func (c *Controller) collectGaugeValues(now time.Time) *gaugeValues {
 	collected := &gaugeValues{
 		waitingTasks: map[queueLabels]float64{},
@@ -122,7 +123,7 @@
 	return queueLabels{c.classLabel(class), c.cache.Teams[team].Name}
 }
 
-// countJobs counts over a core's open jobs.
+// countJobs adds the values that are counted over open jobs.
 func (f *gaugeValues) countJobs(controller *Controller) {
 	for _, job := range controller.cache.Jobs {
 		if job == nil || !job.Open() {
@@ -140,7 +141,7 @@
 	}
 }
 
-// countMachines counts over a core's machines.
+// countMachines adds the values that are counted over machines.
 func (f *gaugeValues) countMachines(controller *Controller) {
 	for _, machine := range controller.cache.Machines {
 		if machine.Gone {
@@ -157,7 +158,7 @@
 	}
 }
 
-// reachableFractions is which of its neighbours this controller reaches.
+// reachableFractions returns the fractions of its neighbours that this controller reaches.
 func (c *Controller) reachableFractions(now time.Time) reachableFractions {
 	reach := reachableFractions{members: 1}
 	if c.storeHealth.served(now) {
@@ -182,7 +183,7 @@
 	return reach
 }
 
-// emit sends the values.
+// emit sends the values as metrics.
 func (f *gaugeValues) emit(metrics chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
@@ -214,7 +215,7 @@
 	gauge(descLargestRecord, float64(f.largestRecordBytes))
 }
 
-// indicator is a condition as a gauge's value.
+// indicator returns 1 for true and 0 for false, the value of a gauge that shows a condition.
 func indicator(v bool) float64 {
 	if v {
 		return 1
@@ -222,7 +223,7 @@
 	return 0
 }
 
-// systemMemory is how many bytes of memory this process has obtained from the system.
+// systemMemory returns the number of bytes of memory that this process has obtained from the system.
 func systemMemory() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/controller/golden_settings_test.go
+++ b/internal/controller/golden_settings_test.go
@@ -10,8 +10,8 @@
 	"dykeledge/internal/storage"
 )
 
-// TestGoldenSettings reads the operators' settings as a landed version wrote them into the
-// state service, and writes them again: the same bytes.
+// TestGoldenSettings decodes the operators' settings as a released version stored them in the state service,
+// and checks that encoding them again gives the same bytes.
 func TestGoldenSettings(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "settings.any.json"))
 	if err != nil {
