--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -16,7 +16,8 @@
 	"dykeledge/internal/storage"
 )
 
-// goldenCore is a core with a placed task, waiting ones, an evicted set and a changed team. It serves calls until the test ends.
+// goldenCore returns a controller with a placed task, waiting tasks, a victim set and a changed team. It
+// serves calls until the test ends.
 func goldenCore(t *testing.T) *Controller {
 	t.Helper()
 	controller := newTeamCore(t)
@@ -32,7 +33,7 @@
 	return controller
 }
 
-// applyRecord puts a record into a core's cache.
+// applyRecord applies a record to a controller's cache.
 func applyRecord(t *testing.T, controller *Controller, key string, record any, version uint64) {
 	t.Helper()
 	if err := controller.cache.Apply(key, storage.Encode(record), version, false); err != nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// serveCalls runs what is posted to a core that does not run itself, until the test ends.
+// serveCalls runs the work that is posted to a controller whose Run is not called, until the test ends.
 func serveCalls(t *testing.T, controller *Controller) {
 	t.Helper()
 	go func() {
@@ -55,10 +56,11 @@
 	}()
 }
 
-// TestGoldenAdminBodies pins the bodies of the administration API that a core makes.
+// TestGoldenAdminBodies compares the bodies of the administration API that are made by this package with
+// golden files.
 func TestGoldenAdminBodies(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // evictions are shown in the controller's own time zone
+	time.Local = time.UTC // preemption times are shown in the controller's local time zone
 	t.Cleanup(func() { time.Local = local })
 	for _, test := range []struct {
 		name string
@@ -102,7 +104,7 @@
 	}
 }
 
-// TestGoldenSettingsRefusals pins what a wrong change of the settings is answered.
+// TestGoldenSettingsRefusals compares the errors for invalid changes of the settings with a golden file.
 func TestGoldenSettingsRefusals(t *testing.T) {
 	var b strings.Builder
 	for _, change := range []string{`x`, `null`, `{}`, `{"beta":1}`, `{"alpha":2}`, `{"alpha":"1"}`, `{"alpha":null}`, `{"move_every_s":0}`,
@@ -113,7 +115,8 @@
 	golden.CheckText(t, "settings-refusals.txt", b.String())
 }
 
-// TestGoldenMetrics pins names, types, help, labels and buckets of the metrics, and the labels' fixed values.
+// TestGoldenMetrics compares names, types, help texts, labels and buckets of the metrics, and the fixed label
+// values, with a golden file.
 func TestGoldenMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := goldenCore(t)
@@ -127,7 +130,7 @@
 	})
 }
 
-// metricsText writes what a registry gathers, without the figures.
+// metricsText returns the gathered metrics of a registry as text, without their values.
 func metricsText(t *testing.T, r *prometheus.Registry) string {
 	t.Helper()
 	families, err := r.Gather()
@@ -152,7 +155,8 @@
 	return b.String()
 }
 
-// countDescriptions is how many metrics a registry knows, gathered or not.
+// countDescriptions returns the number of metrics that a registry describes, whether or not they were
+// gathered.
 func countDescriptions(r *prometheus.Registry) int {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
--- a/internal/controller/job_admission.go
+++ b/internal/controller/job_admission.go
@@ -11,8 +11,8 @@
 	"dykeledge/internal/storage"
 )
 
-// invalidDependency says why a job can't wait for what it names, "" if it can; missing means that
-// it is because this controller knows no such job.
+// invalidDependency returns why a submission's dependencies are refused, or "" if they are not. missing
+// reports whether the reason is that this controller has no record of such a job.
 func (c *Controller) invalidDependency(submission *protocol.Submission) (reason string, missing bool) {
 	for _, id := range submission.Dependencies {
 		if final, _ := c.cache.FinalState(id); final != "" {
@@ -29,7 +29,7 @@
 	return "", false
 }
 
-// unschedulableReason says why a job can never run, "" if it can.
+// unschedulableReason returns why a job could never run, or "" if it could.
 func (c *Controller) unschedulableReason(submission *protocol.Submission) string {
 	team := c.cache.TeamIndex.Find(submission.Team)
 	if team < 0 {
@@ -55,7 +55,8 @@
 	return ""
 }
 
-// fitsSomeType reports whether a task fits a machine type that it may use, in a zone; below 0: in any.
+// fitsSomeType reports whether a task fits a machine type that it may use in a zone; zone below 0: in any
+// zone.
 func (c *Controller) fitsSomeType(submission *protocol.Submission, zone int) bool {
 	for i, machineType := range c.cache.Types {
 		tooSmall := machineType.Cpus <= 0 || submission.Cpus > machineType.Cpus || submission.Gpus > machineType.Gpus || submission.MemGB > machineType.Mem
@@ -68,11 +69,11 @@
 	return false
 }
 
-// acceptsJobs reports whether this controller can accept a job that awaits no other. That takes the machine
-// types, and that the records are of a layout that it reads; whether the id is free is a condition of the
-// commit. So the gate and the catalog are read first, and after an end of all controllers submissions need
-// not wait until each has read every record. Once teams may have been changed it has to have read those,
-// too: it would accept by the settings file what can never run.
+// acceptsJobs reports whether this controller can accept a job without dependencies. That needs only the
+// machine types and a record layout that this controller reads; whether the id is free is a condition of the
+// commit. The layout gate and the catalog are therefore loaded first, so that after a restart of all
+// controllers submissions do not wait until every record is read. Once team changes are enabled all records
+// must have been read, because the limits in the settings file alone could admit jobs that can never run.
 func (c *Controller) acceptsJobs() bool {
 	if !c.cache.HasCatalog() {
 		return false
@@ -80,8 +81,9 @@
 	return c.follower.loaded || c.cache.Packed() && !c.cache.TeamChangesEnabled() && !c.follower.foreignLayout
 }
 
-// Ready reports whether this controller can take requests. In an outage of the state service all
-// controllers stay ready, those that began in it too: they refuse at once, and accept the moment it ends.
+// Ready reports whether this controller can take requests. In an outage of the state service all controllers
+// stay ready, including those that started during the outage: they refuse requests at once, and accept them
+// as soon as the outage ends.
 func (c *Controller) Ready(ctx context.Context) bool {
 	ready := false
 	err := c.call(ctx, func() {
@@ -91,7 +93,8 @@
 	return err == nil && ready
 }
 
-// waitsForStore reports whether all that this controller lacks is an answer of the state service.
+// waitsForStore reports whether an answer of the state service is all that this controller needs to become
+// ready.
 func (c *Controller) waitsForStore(now time.Time) bool {
 	return !c.follower.foreignLayout && c.follower.loadFailed && c.cache.HasCatalog() && now.Sub(c.cancellations.unverified.since) > peerFresh
 }
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -8,10 +8,10 @@
 	"dykeledge/internal/storage"
 )
 
-// maxCancelAttempts is how often a cancellation is tried whose job changes meanwhile.
+// maxCancelAttempts is the number of attempts to cancel a job whose record keeps changing.
 const maxCancelAttempts = 8
 
-// Cancel answers a cancellation. The final state is one compare-and-set, so a
+// Cancel answers a cancellation request. The final state is written by one compare-and-swap transaction, so a
 // job is never both done and cancelled.
 func (c *Controller) Cancel(ctx context.Context, id string) Answer {
 	if !protocol.ValidJobID(id) {
@@ -25,7 +25,7 @@
 	return retryLater
 }
 
-// tryCancel tries to cancel a job; ok is false when it must be looked at once more.
+// tryCancel makes one attempt to cancel a job; ok is false if the job must be looked up again.
 func (c *Controller) tryCancel(ctx context.Context, id string) (answer Answer, ok bool) {
 	found, err := c.lookup(ctx, id)
 	if err != nil || !found.loaded {
@@ -48,12 +48,12 @@
 		return retryLater, true
 	}
 	if len(txn.Then) == 0 {
-		return Answer{}, false // it got its final state meanwhile
+		return Answer{}, false // the job got its final state in the meantime
 	}
 	return c.commitCancellation(ctx, id, txn)
 }
 
-// cancellationTxn is the transaction that cancels a job, empty if the cache has no such open job.
+// cancellationTxn returns the transaction that cancels a job, empty if the cache holds no such open job.
 func (c *Controller) cancellationTxn(id string) protocol.Txn {
 	job := c.cache.Job(id)
 	if job == nil || !job.Open() {
@@ -67,8 +67,8 @@
 	}
 }
 
-// commitCancellation commits a cancellation; ok is false when the job must be looked at once more: it
-// is cancelled now, or its record has changed meanwhile.
+// commitCancellation commits a cancellation. ok is false if the job must be looked up again, because it is
+// cancelled now or its record has changed in the meantime.
 func (c *Controller) commitCancellation(ctx context.Context, id string, txn protocol.Txn) (answer Answer, ok bool) {
 	revision, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 	if err != nil {
--- a/internal/controller/job_queries.go
+++ b/internal/controller/job_queries.go
@@ -8,17 +8,17 @@
 	"dykeledge/internal/storage"
 )
 
-// jobLookup is what the cache holds of a job.
+// jobLookup is the result of looking up a job in the cache.
 type jobLookup struct {
 	state  protocol.JobState
-	known  bool // the cache has such a job
-	loaded bool // the cache holds every record, so a job that it does not have did not exist
+	known  bool // the cache holds the job or its final state
+	loaded bool // the cache holds every record, so a job that is not in it did not exist
 }
 
-// final reports whether a job has its final state, which never changes.
+// final reports whether the job has its final state, which never changes.
 func (l jobLookup) final() bool { return l.known && l.state.Status.Final() }
 
-// jobStatus is an unfinished or finished job's state.
+// jobStatus returns the state of an unfinished or finished job as users see it.
 func (c *Controller) jobStatus(job *storage.Job) protocol.JobState {
 	state := protocol.JobState{ID: job.ID, Status: protocol.Queued, Done: job.DoneCount, Running: job.PlacedCount}
 	switch {
@@ -34,7 +34,7 @@
 	return state
 }
 
-// lookup finds a job's state in the cache.
+// lookup returns the state of a job from the cache.
 func (c *Controller) lookup(ctx context.Context, id string) (jobLookup, error) {
 	var found jobLookup
 	err := c.call(ctx, func() {
@@ -48,9 +48,9 @@
 	return found, err
 }
 
-// lookupLinearizable is lookup with a barrier before anything but a final state: no user may get an
-// older answer than another controller has given. What this controller stalled through is as old:
-// others may have given newer answers meanwhile.
+// lookupLinearizable looks a job up like lookup, but behind a read barrier unless its state is final: no user
+// may get an older answer than another controller has already given. If this controller stalled in between,
+// the lookup is refused, because other controllers may have given newer answers during the stall.
 func (c *Controller) lookupLinearizable(ctx context.Context, id string) (jobLookup, error) {
 	startedAt := time.Now()
 	found, err := c.lookup(ctx, id)
@@ -76,7 +76,7 @@
 	return found, nil
 }
 
-// Query answers a poll.
+// Query answers a request for a job's state.
 func (c *Controller) Query(ctx context.Context, id string) Answer {
 	if !protocol.ValidJobID(id) {
 		return unknownJob
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -27,8 +27,8 @@
 	return c.commitSubmission(ctx, submission)
 }
 
-// answerInvalidSubmission answers a submission that can't be read. A repeated id is answered with the job's
-// state whatever body comes.
+// answerInvalidSubmission answers a submission that cannot be parsed. If a job with its id exists, the answer
+// is the state of that job, whatever the body holds.
 func (c *Controller) answerInvalidSubmission(ctx context.Context, body []byte, parseErr error) Answer {
 	refusal := errorAnswer(http.StatusBadRequest, parseErr.Error())
 	id := lenientJobID(body)
@@ -38,7 +38,7 @@
 	return c.answerExistingJobOr(ctx, id, refusal)
 }
 
-// answerExistingJobOr answers with a job's state if there is such a job, with otherwise if there is none.
+// answerExistingJobOr answers with the state of a job if it exists, else with fallback.
 func (c *Controller) answerExistingJobOr(ctx context.Context, id string, fallback Answer) Answer {
 	found, err := c.lookupLinearizable(ctx, id)
 	switch {
@@ -50,7 +50,8 @@
 	return fallback
 }
 
-// lenientJobID is the id in a submission that can't be read as a whole, "" if it can't be found.
+// lenientJobID extracts the id from a submission that cannot be parsed as a whole; "" if there is no valid
+// id.
 func lenientJobID(body []byte) string {
 	var fields map[string]json.RawMessage
 	var id string
@@ -62,13 +63,14 @@
 
 // submissionCheck is the result of checking a submission before it is committed.
 type submissionCheck struct {
-	exists            bool   // there is such a job already
-	decidable         bool   // this controller can decide on it now
-	refusal           string // why the job can never run; "": it can
-	missingDependency bool   // the refusal is that this controller knows no such job as it awaits
+	exists            bool   // a job with this id exists
+	decidable         bool   // this controller can decide on the submission now
+	refusal           string // why the job could never run; "": it could
+	missingDependency bool   // the refusal is that this controller has no record of a dependency
 }
 
-// checkSubmission reports whether a submission can be accepted; the error means that it can't be decided now.
+// checkSubmission checks whether a submission can be accepted. An error means that this cannot be decided
+// now.
 func (c *Controller) checkSubmission(ctx context.Context, submission *protocol.Submission) (submissionCheck, error) {
 	startedAt := time.Now()
 	var check submissionCheck
@@ -79,7 +81,7 @@
 		return check, nil
 	}
 	if check.decidable && check.missingDependency {
-		// Another controller may have accepted it a moment ago.
+		// Another controller may have accepted the dependency a moment ago.
 		if err := c.Barrier(ctx); err != nil {
 			return check, err
 		}
@@ -97,12 +99,13 @@
 	return check, nil
 }
 
-// checkInCache checks a submission against what the cache holds.
+// checkInCache checks a submission against the cache.
 func (c *Controller) checkInCache(submission *protocol.Submission) submissionCheck {
 	if final, _ := c.cache.FinalState(submission.ID); final != "" || c.cache.Job(submission.ID) != nil {
 		return submissionCheck{exists: true}
 	}
-	// Before the gate opens a controller of the version before would start a job with dependencies too early.
+	// Before the layout gate opens, a controller of the previous version would start a job before its
+	// dependencies are done.
 	acceptsDependencies := c.follower.loaded && c.cache.Packed()
 	if !c.acceptsJobs() || len(submission.Dependencies) > 0 && !acceptsDependencies {
 		return submissionCheck{}
@@ -114,7 +117,7 @@
 	return check
 }
 
-// commitSubmission commits an accepted job's record, if no other controller has committed one with its id.
+// commitSubmission commits the record of a new job, on condition that no record with its id exists.
 func (c *Controller) commitSubmission(ctx context.Context, submission *protocol.Submission) Answer {
 	key := storage.JobKey(submission.ID)
 	record := storage.JobRecord{
@@ -145,23 +148,24 @@
 	return Answer{Status: http.StatusCreated, Body: protocol.JobState{ID: submission.ID, Status: protocol.Queued}}
 }
 
-// chunking is how a description that is too large for its job's record may be written.
+// chunking holds the limits and the identity of one write of a description that may be too large for a job's
+// record.
 type chunking struct {
-	valueLimit int    // bytes of a record
-	txnChanges int    // changes in a transaction
+	valueLimit int    // maximum size of a record in bytes
+	txnChanges int    // maximum number of changes in a transaction
 	packed     bool   // every controller reads chunks
-	member     uint64 // this controller's incarnation; 0: it is no member yet
-	sequence   uint64 // which of its descriptions it is
+	member     uint64 // this controller's incarnation; 0: it is not a member yet
+	sequence   uint64 // sequence number of the description among those of this process
 }
 
-// id sets the chunks of each attempt to write a description apart.
+// id returns a name that is unique to this attempt to write a description; its chunks are stored under it.
 func (k chunking) id() string { return fmt.Sprintf("%d-%d", k.member, k.sequence) }
 
-// allowed reports whether chunks may be written: the version before does not read them, and a
-// controller without an incarnation could not set its own apart.
+// allowed reports whether chunks may be written: the previous version does not read them, and the chunks of a
+// controller without an incarnation would have no unique id.
 func (k chunking) allowed() bool { return k.packed && k.member != 0 }
 
-// nextChunking is how the next description may be written.
+// nextChunking returns the limits and the identity for the next write of a description.
 func (c *Controller) nextChunking() chunking {
 	c.gates.descriptionWrites++
 	return chunking{
@@ -173,8 +177,8 @@
 	}
 }
 
-// storeChunks writes the chunks of a description that is too large for its job's record, and
-// puts the record that names them into the transaction.
+// storeChunks writes the chunks of a description that is too large for its job's record, and puts the record
+// that refers to them into txn. It reports whether txn can be committed.
 func (c *Controller) storeChunks(ctx context.Context, id string, record *storage.JobRecord, txn *protocol.Txn) bool {
 	var chunkPlan chunking
 	if c.call(ctx, func() { chunkPlan = c.nextChunking() }) != nil {
@@ -192,7 +196,7 @@
 		chunkTxn := protocol.Txn{Then: chunks[:count]}
 		revision, _, err := c.transact(ctx, chunkTxn, protocol.UserRequest)
 		if err != nil {
-			return false // what was written is deleted later
+			return false // chunks that were written are deleted later
 		}
 		c.post(func() { c.applyTxn(chunkTxn, revision) })
 		if chunks = chunks[count:]; len(chunks) == 0 {
--- a/internal/controller/job_state.go
+++ b/internal/controller/job_state.go
@@ -7,24 +7,24 @@
 	"dykeledge/internal/storage"
 )
 
-// jobState is what this controller knows of a job beyond the records.
+// jobState is the state that this controller keeps of a job in addition to the records.
 type jobState struct {
-	requeuedAt      map[int]time.Time // by task: waiting again since
-	failures        int               // failures without a success
-	suspectTries    int               // tries since it became suspect
-	backoff         time.Time         // it is not tried again before
-	shortSince      time.Time         // short of room since
+	requeuedAt      map[int]time.Time // by task: when it was queued again
+	failures        int               // failed attempts since the last success
+	suspectTries    int               // failed attempts since the job became suspect
+	backoff         time.Time         // no task is placed before this time
+	shortSince      time.Time         // when the job first lacked capacity
 	relocating      dispatch.Ref      // the replica that was last commanded to leave a draining machine
 	relocatedAt     time.Time
-	hopesSince      time.Time // leaves free room alone for room that it evicts since
-	firstPlacedAt   time.Time // first task placed
-	lastPlacedAt    time.Time // latest task placed
+	hopesSince      time.Time // when it last began to leave free capacity unused in favour of capacity that it preempts
+	firstPlacedAt   time.Time // when the first task was placed
+	lastPlacedAt    time.Time // when the latest task was placed
 	terminatedTasks int       // tasks terminated by command
 	preemptedTasks  int
-	failedOn        map[int32]bool // machines that it failed on without a success, unhealthy ones aside
+	failedOn        map[int32]bool // machines on which it failed without a success, except unhealthy ones
 }
 
-// jobState is a job's state here, made when it is first asked for.
+// jobState returns the state of a job and creates it on first use.
 func (c *Controller) jobState(job *storage.Job) *jobState {
 	state := c.jobStates[job]
 	if state == nil {
--- a/internal/controller/job_times.go
+++ b/internal/controller/job_times.go
@@ -6,8 +6,8 @@
 	"dykeledge/internal/storage"
 )
 
-// sinceReady is how long after a job became ready something was, in seconds; -1: it was not
-// seen here.
+// sinceReady returns the time, in seconds, from when a job became ready until at; -1 if at is not set, that
+// is, this controller did not see the event.
 func (s *jobState) sinceReady(job *storage.Job, at time.Time) float64 {
 	if at.IsZero() {
 		return -1
--- a/internal/controller/job_views.go
+++ b/internal/controller/job_views.go
@@ -9,7 +9,7 @@
 	"dykeledge/internal/storage"
 )
 
-// JobView is an unfinished job as operators see it.
+// JobView is the state of an unfinished job as shown to operators.
 type JobView struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
@@ -22,10 +22,11 @@
 	Placed   int     `json:"placed"`
 	Waiting  int     `json:"waiting"`
 	AgeS     float64 `json:"age_s"`
-	Why      string  `json:"why,omitempty"` // why its tasks wait
+	Why      string  `json:"why,omitempty"` // why its tasks are waiting
 }
 
-// JobViews lists unfinished jobs in id order, beginning after a given one.
+// JobViews returns unfinished jobs of a team (of all teams if team is "") in order of their ids, starting
+// after the id after. more reports whether there are further ones beyond limit.
 func (c *Controller) JobViews(ctx context.Context, team, after string, limit int) (views []JobView, more bool, err error) {
 	views = []JobView{}
 	err = c.call(ctx, func() {
@@ -68,13 +69,13 @@
 	}
 }
 
-// machineCategory is what makes machines alike to a job.
+// machineCategory holds the properties of a machine that decide whether a job may use it.
 type machineCategory struct {
 	shard, machineType, zone int
 	spot                     bool
 }
 
-// exampleMachines are one machine of each kind.
+// exampleMachines returns one machine of each category.
 func (c *Controller) exampleMachines() []*storage.Machine {
 	seen := map[machineCategory]bool{}
 	var examples []*storage.Machine
@@ -88,7 +89,8 @@
 	return examples
 }
 
-// waitReason says why a job's tasks wait, "" if none does; examples are the machines to look at.
+// waitReason returns why tasks of a job are waiting, or "" if none is. examples are the machines that are
+// checked for whether the job may use them.
 func (c *Controller) waitReason(job *storage.Job, examples []*storage.Machine) string {
 	now := time.Now()
 	if n := job.UnmetDependencies(); n > 0 && job.Open() && !job.DependencyFailed {
@@ -118,7 +120,7 @@
 	return c.capacityReason(job, examples, now)
 }
 
-// retryReason says when a job that failed is tried again, "" if it does not wait for that.
+// retryReason returns when a job that failed is tried again, or "" if it is not waiting for a retry.
 func (c *Controller) retryReason(job *storage.Job, now time.Time) string {
 	state := c.jobStates[job]
 	if c.suspect(job) {
@@ -134,7 +136,7 @@
 	return ""
 }
 
-// capacityReason says why a job that may run now has no room.
+// capacityReason returns why there is no capacity for a job that may run now.
 func (c *Controller) capacityReason(job *storage.Job, examples []*storage.Machine, now time.Time) string {
 	for _, machine := range examples {
 		if machine.Shard == job.Shard && schedule.Allowed(job, machine) {
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -8,24 +8,24 @@
 	"dykeledge/internal/storage"
 )
 
-// This file owns the change from one layout of the records to the next while both versions serve.
-// Until the gate opens everything is written as the version in production writes and reads it;
-// what is only needed for that is what asks cache.Packed().
+// This file manages the change from one record layout to the next while controllers of both versions run.
+// Until the layout gate opens, records are written and read as the previous version does. Code that exists
+// only for this transition checks cache.Packed().
 
-// gateState is what this controller does about layouts and limits of records. It is written by
+// gateState holds the state of changes to the record layout and to the limits of records. It is written by
 // this file, state_limits.go, record_splitting.go and by job submission (descriptionWrites).
 type gateState struct {
 	layoutWriteInFlight bool
 	fleetWriteInFlight  bool
-	limitsLowered       bool   // the state service has refused something for its size
-	rateLowered         bool   // the rate of changes to come is kept to already
+	limitsLowered       bool   // the state service has refused a transaction for its size
+	rateLowered         bool   // the change rate is already kept within the limit to come
 	descriptionWrites   uint64 // chunked descriptions written by this process
 }
 
-// openLayoutGate is the leader's loop over the gate: it opens once every controller that the settings
-// name has shown that it reads the packed layout. Which have is remembered, for one may be down
-// while the last one comes. A leader of the version before does none of it, so the gate waits until
-// a controller that knows of it leads.
+// openLayoutGate is the leader's loop over the layout gate. The gate opens once every configured controller
+// has shown that it reads the packed layout. The layout record lists those that have, because one may be down
+// when the last one appears. A leader of the previous version does not do this, so the gate stays closed
+// until a controller of this version leads.
 func (c *Controller) openLayoutGate(ctx context.Context) {
 	if !c.isLeader() || c.gates.layoutWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
@@ -33,7 +33,7 @@
 	reading := c.membersReadingPacked()
 	all := containsAll(reading, c.configuredMembers())
 	if !all && len(reading) == len(c.cache.Layout.Members) {
-		return // nobody new
+		return // no further member reads the packed layout
 	}
 	slices.Sort(reading)
 	record := storage.LayoutRecord{Version: storage.LayoutPlain, Members: reading}
@@ -55,7 +55,7 @@
 	})
 }
 
-// membersReadingPacked are the controllers that have ever shown that they read the packed layout.
+// membersReadingPacked returns the controllers that have at any time shown that they read the packed layout.
 func (c *Controller) membersReadingPacked() []string {
 	reading := slices.Clone(c.cache.Layout.Members)
 	for name, member := range c.cache.Members {
@@ -66,7 +66,7 @@
 	return reading
 }
 
-// configuredMembers are the controllers that the settings name, this one first.
+// configuredMembers returns the names of all configured controllers, this one first.
 func (c *Controller) configuredMembers() []string {
 	names := []string{c.cfg.MemberName}
 	for _, peer := range c.cfg.Known {
@@ -75,7 +75,7 @@
 	return names
 }
 
-// containsAll tells whether a list holds all of some names.
+// containsAll reports whether list contains all names.
 func containsAll(list, names []string) bool {
 	for _, name := range names {
 		if !slices.Contains(list, name) {
--- a/internal/controller/log_counters.go
+++ b/internal/controller/log_counters.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// logCounters are what is logged every logCountersInterval of this controller's work.
+// logCounters holds the counters of this controller's work that are logged every logCountersInterval.
 type logCounters struct {
 	passes   int
-	total    time.Duration // of all passes
-	longest  time.Duration // of a pass
-	loggedAt time.Time     // when they were last logged
-	changes  uint64        // made by this controller until then
+	total    time.Duration // sum over all passes
+	longest  time.Duration // longest pass
+	loggedAt time.Time     // when the counters were last logged
+	changes  uint64        // changes made by this controller until then
 }
 
-// pass counts a planning pass.
+// pass counts a planning pass and its duration.
 func (l *logCounters) pass(d time.Duration) {
 	l.passes++
 	l.total += d
 	l.longest = max(l.longest, d)
 }
 
-// logCountersInterval is how often the counters are logged.
+// logCountersInterval is the time between two log lines with the counters.
 const logCountersInterval = 30 * time.Second
 
-// logCounters logs the figures that operators compare between clusters of different sizes; the metrics
-// have more of them.
+// logCounters logs figures that operators compare between clusters of different sizes; the metrics hold more.
 func (c *Controller) logCounters(now time.Time) {
 	counters := &c.metrics.counters
 	if now.Sub(counters.loggedAt) < logCountersInterval {
@@ -38,7 +37,7 @@
 	*counters = logCounters{loggedAt: now, changes: changes}
 }
 
-// ownMachines is how many machines are in this controller's shards.
+// ownMachines returns the number of machines in this controller's shards.
 func (c *Controller) ownMachines() int {
 	count := 0
 	for _, machine := range c.cache.Machines {
@@ -49,7 +48,7 @@
 	return count
 }
 
-// ownOpenJobs is how many unfinished jobs are in this controller's shards.
+// ownOpenJobs returns the number of unfinished jobs in this controller's shards.
 func (c *Controller) ownOpenJobs() int {
 	count := 0
 	for _, job := range c.cache.Jobs {
--- a/internal/controller/machine_views.go
+++ b/internal/controller/machine_views.go
@@ -7,7 +7,7 @@
 	"dykeledge/internal/storage"
 )
 
-// MachineInfo is a machine as operators see it.
+// MachineInfo is the state of a machine as shown to operators.
 type MachineInfo struct {
 	Name          string           `json:"name"`
 	State         string           `json:"state"`
@@ -20,11 +20,11 @@
 	Tasks         int              `json:"tasks"`
 	UsedCpus      float64          `json:"used_cpus"`
 	UsedGpus      float64          `json:"used_gpus"`
-	HeartbeatAgeS float64          `json:"silent_s"` // -1: heartbeats go to another controller
+	HeartbeatAgeS float64          `json:"silent_s"` // time since its last heartbeat; -1: its heartbeats go to another controller
 	Placed        []PlacedTaskView `json:"placed,omitempty"`
 }
 
-// PlacedTaskView is a placed task.
+// PlacedTaskView is a placed task as shown to operators.
 type PlacedTaskView struct {
 	Job     string `json:"job"`
 	Task    int    `json:"task"`
@@ -32,7 +32,7 @@
 	WaitedS uint64 `json:"waited_s"`
 }
 
-func (c *Controller) machineView(machine *storage.Machine, tasks bool) MachineInfo {
+func (c *Controller) machineInfo(machine *storage.Machine, tasks bool) MachineInfo {
 	info := MachineInfo{
 		Name:          machine.Name,
 		State:         c.machineState(machine),
@@ -58,7 +58,7 @@
 	return info
 }
 
-// machineState is a machine's state as operators and metrics see it.
+// machineState returns the state of a machine as shown to operators and in metrics.
 func (c *Controller) machineState(machine *storage.Machine) string {
 	worker := c.workers.states[machine.Index]
 	switch {
@@ -80,7 +80,8 @@
 	return "busy"
 }
 
-// MachineInfos lists machines in name order, beginning after a given one.
+// MachineInfos returns machines in order of their names, starting after the name after. more reports whether
+// there are further ones beyond limit.
 func (c *Controller) MachineInfos(ctx context.Context, after string, limit int) (infos []MachineInfo, more bool, err error) {
 	infos = []MachineInfo{}
 	err = c.call(ctx, func() {
@@ -88,18 +89,18 @@
 			if more = len(infos) == limit; more {
 				return false
 			}
-			infos = append(infos, c.machineView(machine, false))
+			infos = append(infos, c.machineInfo(machine, false))
 			return true
 		})
 	})
 	return infos, more, err
 }
 
-// MachineInfo is one machine with its tasks.
+// MachineInfo returns one machine with its tasks; known reports whether the machine exists.
 func (c *Controller) MachineInfo(ctx context.Context, name string) (info MachineInfo, known bool, err error) {
 	err = c.call(ctx, func() {
 		if machine := c.cache.Machine(name); machine != nil {
-			info, known = c.machineView(machine, true), true
+			info, known = c.machineInfo(machine, true), true
 		}
 	})
 	return info, known, err
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,8 +8,8 @@
 	"dykeledge/internal/controller/dispatch"
 )
 
-// Metrics are this controller's metrics. Labels are bounded: classes, teams, states
-// and outcomes, never jobs or machines.
+// Metrics holds this controller's metrics. The sets of label values are bounded: classes, teams, states and
+// outcomes, never jobs or machines.
 type Metrics struct {
 	Registry            *prometheus.Registry
 	waitSeconds         *prometheus.HistogramVec
@@ -29,11 +29,11 @@
 	Requests            *prometheus.CounterVec
 }
 
-// maxClasses is how many classes have a label of their own: they come from users, and the
-// others have one in common.
+// maxClasses is the number of classes that have a label value of their own. Classes are named by users, so
+// all further ones share one value.
 const maxClasses = 64
 
-// NewMetrics registers the metrics that are counted as they happen; gauges are collected when asked for.
+// NewMetrics registers the metrics that are updated as events happen. Gauges are collected at each scrape.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -72,12 +72,12 @@
 	return metrics
 }
 
-// Observe counts a request to another service.
+// Observe counts a request to another service by its outcome.
 func (m *Metrics) Observe(service, outcome string) {
 	m.Requests.WithLabelValues(service, outcome).Inc()
 }
 
-// classLabel is the label of a job's class.
+// classLabel returns the label value of a job class.
 func (c *Controller) classLabel(class int) string {
 	if class >= maxClasses {
 		return "other"
@@ -85,11 +85,11 @@
 	return c.cache.Classes.Name(class)
 }
 
-// outcomeNames are the outcomes' labels.
+// outcomeNames maps attempt outcomes to their label values.
 var outcomeNames = map[dispatch.Outcome]string{dispatch.Completed: "done", dispatch.Stopped: "stopped",
 	dispatch.Failed: "failed", dispatch.Refused: "refused", dispatch.Lost: "lost", dispatch.Unsent: "unsent"}
 
-// countOutcome counts an attempt's end and what it lost.
+// countOutcome counts the end of an attempt and the run time, in task-seconds, that was lost with it.
 func (c *Controller) countOutcome(worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
 	c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 	startedAt, ran := worker.started[ref]
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -13,16 +13,16 @@
 	"dykeledge/internal/storage"
 )
 
-// operatorState is the operators' settings in force, and the preemptions shown to them. It is
-// written by this file and eviction_views.go.
+// operatorState holds the operators' settings in force and the recent preemptions that are shown to them. It
+// is written by this file and eviction_views.go.
 type operatorState struct {
 	settings          OperatorSettings
-	version           uint64 // of the settings' record that was last looked at
+	version           uint64 // version of the settings record that was last applied or refused
 	recentPreemptions []EvictionView
-	preemptionsSeen   map[string]uint64 // by job: version of its victim set
+	preemptionsSeen   map[string]uint64 // by job: version of its last recorded victim set
 }
 
-// OperatorSettings are what operators may change while the service runs.
+// OperatorSettings are the settings that operators may change at run time.
 type OperatorSettings struct {
 	Alpha              float64 `json:"alpha"`
 	RebalanceIntervalS float64 `json:"move_every_s"`
@@ -43,17 +43,17 @@
 	maxRebalanceIntervalS = 60
 )
 
-// logLevelFromStart leaves the level that each controller was started with.
+// logLevelFromStart keeps the log level that each controller was started with.
 const logLevelFromStart = "as_started"
 
 var logLevels = []string{logLevelFromStart, "error", "info", "debug"}
 
-// DefaultOperatorSettings hold until an operator changes them.
+// DefaultOperatorSettings returns the settings that apply until an operator changes them.
 func DefaultOperatorSettings() OperatorSettings {
 	return OperatorSettings{Alpha: DefaultAlpha, RebalanceIntervalS: DefaultTiming().RebalanceInterval.Seconds(), LogLevel: logLevelFromStart}
 }
 
-// SettingInfo explains one setting.
+// SettingInfo describes one setting.
 type SettingInfo struct {
 	Name    string `json:"name"`
 	Default any    `json:"default"`
@@ -61,7 +61,7 @@
 	Reason  string `json:"reason"`
 }
 
-// SettingsInfo explains all settings.
+// SettingsInfo returns the descriptions of all settings.
 func SettingsInfo() []SettingInfo {
 	defaults := DefaultOperatorSettings()
 	return []SettingInfo{
@@ -71,20 +71,20 @@
 	}
 }
 
-// FieldError names the setting that was refused.
+// FieldError is the error for an invalid setting: its name and the value that was expected.
 type FieldError struct{ Field, Expected string }
 
-// Error says what the setting must be.
+// Error returns the name of the setting and the expected value.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: expected %s", e.Field, e.Expected) }
 
-// ErrVersion says that the settings have changed since they were read.
+// ErrVersion is returned if the record was changed since the version that the change is based on.
 var ErrVersion = errors.New("the settings have changed since this version was read")
 
-// ErrUnavailable says that the state service does not answer.
+// ErrUnavailable is returned if the state service does not answer.
 var ErrUnavailable = errors.New("the state service does not answer")
 
-// Change applies a change, given as a JSON object of names and values, to
-// settings; the whole of it is checked.
+// Change returns the settings with a change applied, a JSON object of names and values. The change is applied
+// as a whole or refused as a whole.
 func (s OperatorSettings) Change(raw json.RawMessage) (OperatorSettings, error) {
 	var values map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &values); err != nil || values == nil {
@@ -101,7 +101,7 @@
 	return s, nil
 }
 
-// set takes one setting's value, and reports whether it may have that.
+// set sets one setting and reports whether its name is known and the value is within its range.
 func (s *OperatorSettings) set(name string, value json.RawMessage) bool {
 	var err error
 	var inRange bool
@@ -119,7 +119,7 @@
 	return err == nil && inRange && !bytes.Equal(bytes.TrimSpace(value), []byte("null"))
 }
 
-// refusedSetting is the error of a setting that is unknown or out of its range.
+// refusedSetting returns the error for a setting that is unknown or out of range.
 func refusedSetting(name string) error {
 	for _, info := range SettingsInfo() {
 		if info.Name == name {
@@ -129,7 +129,7 @@
 	return &FieldError{name, "a known setting"}
 }
 
-// applySettings takes up what the state service holds.
+// applySettings applies the settings record of the state service if its version has changed.
 func (c *Controller) applySettings() {
 	record := c.cache.Settings
 	if record.Version == c.operator.version {
@@ -154,7 +154,7 @@
 		settingRebalanceIntervalS, settings.RebalanceIntervalS, settingLogLevel, settings.LogLevel)
 }
 
-// Settings returns the operators' settings with their version.
+// Settings returns the operators' settings and their version, read behind a read barrier.
 func (c *Controller) Settings(ctx context.Context) (OperatorSettings, uint64, error) {
 	var settings OperatorSettings
 	var version uint64
@@ -165,7 +165,7 @@
 	return settings, version, err
 }
 
-// ChangeSettings changes the operators' settings if version is still theirs.
+// ChangeSettings changes the operators' settings if version is still their current version.
 func (c *Controller) ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (OperatorSettings, uint64, error) {
 	current, currentVersion, err := c.Settings(ctx)
 	if err != nil {
