--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -78,7 +78,7 @@
 		cancellations: newCancellationTracker(now),
 		reachability:  newReachability(),
 		planner:       plannerState{alpha: DefaultAlpha},
-		operator:      operatorState{settings: DefaultOperatorSettings(), preemptionsSeen: map[string]uint64{}},
+		operator:      operatorState{settings: DefaultOperatorSettings(), recordedVictimSets: map[string]uint64{}},
 	}
 	controller.metrics.Registry.MustRegister(gauges{controller})
 	controller.leader.init()
--- a/internal/controller/eviction_views.go
+++ b/internal/controller/eviction_views.go
@@ -16,31 +16,31 @@
 	Victims []storage.VictimRecord `json:"victims"`
 }
 
-// maxRecentPreemptions is the number of preemptions that are kept for operators.
-const maxRecentPreemptions = 50
+// maxRecentVictimSets is the number of preemptions that are kept for operators.
+const maxRecentVictimSets = 50
 
 // recordPreemptions keeps the latest victim sets for operators and counts their tasks in the metrics.
 func (c *Controller) recordPreemptions() {
 	for id, victimSet := range c.cache.VictimSets {
-		if c.operator.preemptionsSeen[id] == victimSet.Version {
+		if c.operator.recordedVictimSets[id] == victimSet.Version {
 			continue
 		}
-		c.operator.preemptionsSeen[id] = victimSet.Version
+		c.operator.recordedVictimSets[id] = victimSet.Version
 		c.metrics.preemptedTasks.Add(float64(len(victimSet.Victims)))
-		c.operator.addPreemption(EvictionView{Job: id, At: time.UnixMilli(victimSet.AtMs), Shard: victimSet.Shard, Victims: victimSet.Victims})
+		c.operator.addVictimSet(EvictionView{Job: id, At: time.UnixMilli(victimSet.AtMs), Shard: victimSet.Shard, Victims: victimSet.Victims})
 	}
-	for id := range c.operator.preemptionsSeen {
+	for id := range c.operator.recordedVictimSets {
 		if c.cache.VictimSets[id] == nil {
-			delete(c.operator.preemptionsSeen, id)
+			delete(c.operator.recordedVictimSets, id)
 		}
 	}
 }
 
-// addPreemption adds a preemption to the recent ones and drops the oldest beyond maxRecentPreemptions.
-func (o *operatorState) addPreemption(eviction EvictionView) {
-	o.recentPreemptions = append(o.recentPreemptions, eviction)
-	if n := len(o.recentPreemptions); n > maxRecentPreemptions {
-		o.recentPreemptions = slices.Clone(o.recentPreemptions[n-maxRecentPreemptions:])
+// addVictimSet adds a preemption to the recent ones and drops the oldest beyond maxRecentPreemptions.
+func (o *operatorState) addVictimSet(victimSetView EvictionView) {
+	o.recentVictimSets = append(o.recentVictimSets, victimSetView)
+	if n := len(o.recentVictimSets); n > maxRecentVictimSets {
+		o.recentVictimSets = slices.Clone(o.recentVictimSets[n-maxRecentVictimSets:])
 	}
 }
 
@@ -48,7 +48,7 @@
 func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
 	evictions := []EvictionView{}
 	err := c.call(ctx, func() {
-		evictions = append(evictions, c.operator.recentPreemptions...)
+		evictions = append(evictions, c.operator.recentVictimSets...)
 		slices.Reverse(evictions)
 	})
 	return evictions, err
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -16,10 +16,10 @@
 // operatorState holds the operators' settings in force and the recent preemptions that are shown to them. It
 // is written by this file and eviction_views.go.
 type operatorState struct {
-	settings          OperatorSettings
-	version           uint64 // version of the settings record that was last applied or refused
-	recentPreemptions []EvictionView
-	preemptionsSeen   map[string]uint64 // by job: version of its last recorded victim set
+	settings           OperatorSettings
+	version            uint64 // version of the settings record that was last applied or refused
+	recentVictimSets   []EvictionView
+	recordedVictimSets map[string]uint64 // by job: version of its last recorded victim set
 }
 
 // OperatorSettings are the settings that operators may change at run time.
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -98,7 +98,7 @@
 		}
 	}
 	for _, id := range evicted {
-		c.updatePreemptionRow(id)
+		c.updateVictimSetRow(id)
 	}
 	for team := range c.cache.TeamEntries {
 		readModel.model.SetTeam(teamRow(c.cache.Teams[team]))
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// updatePreemptionRow brings an evicted set's row up to date. A set that is gone from the records is
+// updateVictimSetRow brings an evicted set's row up to date. A set that is gone from the records is
 // over; its row stays among the latest.
-func (c *Controller) updatePreemptionRow(id string) {
+func (c *Controller) updateVictimSetRow(id string) {
 	model := c.readModel.model
 	previous, wasShown := model.EvictionOf(id)
 	victimSet := c.cache.VictimSets[id]
