--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -7,7 +7,7 @@
 	"dykeledge/internal/storage"
 )
 
-// Guards the cost of paging through all jobs: it was quadratic in the number of jobs, because each page
+// TestJobViewsListEachJobOnce guards the cost of paging through all jobs: it was quadratic in the number of jobs, because each page
 // visited every job and, for each waiting job, every machine. Every job has to appear exactly once, in order
 // of its id.
 func TestJobViewsListEachJobOnce(t *testing.T) {
@@ -37,7 +37,7 @@
 					count++
 				}
 				if more != (count < test.want) {
-					t.Fatalf("more: %v after %d rows of %d", more, count, test.want)
+					t.Fatalf("more is %v after %d rows of %d", more, count, test.want)
 				}
 				if !more {
 					break
--- a/internal/controller/boot_patience.go
+++ b/internal/controller/boot_patience.go
@@ -17,7 +17,7 @@
 	maxBootTimeoutFactor = 2 * bootTimeoutFactor
 	// minBootS is the shortest boot time, in seconds, that a boot timeout is computed from.
 	minBootS = 10
-	// minBootLeftS is the lower bound, in seconds, of the estimated remaining boot time.
+	// minRemainingBootS is the lower bound, in seconds, of the estimated remaining boot time.
 	minRemainingBootS = 3
 )
 
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -62,7 +62,7 @@
 	for ctx.Err() == nil {
 		catalog, err := c.cloud.Catalog(ctx)
 		if err != nil || len(catalog.Types) == 0 {
-			c.log.Info("catalog not available yet", "err", err)
+			c.log.Info("catalog not available, retrying", "err", err)
 			wait.For(ctx, catalogRetryInterval)
 			continue
 		}
@@ -97,7 +97,7 @@
 	c.post(func() {
 		c.leader.listing = false
 		if err != nil {
-			c.log.Debug("machine list not read", "err", err)
+			c.log.Debug("reading the machine list failed", "err", err)
 			return
 		}
 		c.applyCloudList(ctx, machines)
@@ -121,8 +121,8 @@
 	}
 }
 
-// applyCloudList enrolls listed machines that have no record and returns those that the cloud reports as
-// failed. The list lags behind the cloud, so a machine that is missing from it is not treated as gone.
+// applyCloudList enrolls listed machines that have no record, fills in missing addresses and returns the
+// machines that the cloud reports as failed. The list lags behind the cloud, so a machine that is missing from it is not treated as gone.
 func (c *Controller) applyCloudList(ctx context.Context, machines []protocol.CloudMachine) {
 	if !c.isLeader() {
 		return
@@ -151,7 +151,7 @@
 	if !c.leader.enrollmentOverdue(listed.ID, now) {
 		return
 	}
-	c.log.Info("listed machine has no record", "machine", listed.ID, "status", listed.Status)
+	c.log.Info("enrolling a listed machine that has no record", "machine", listed.ID, "status", listed.Status)
 	c.enrollMachine(ctx, &pendingMachine{name: listed.ID, addr: listed.Addr, done: func(bool) {}, fleet: storage.FleetRecord{
 		Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, ProvisionedAt: now.Unix() - int64(listed.AgeS)}})
 }
--- a/internal/controller/eviction_views.go
+++ b/internal/controller/eviction_views.go
@@ -8,7 +8,7 @@
 	"dykeledge/internal/storage"
 )
 
-// EvictionView is a preemption as shown to operators: the victim set with the scores that it was chosen by.
+// EvictionView is a victim set as shown to operators, with the scores that its victims were chosen by.
 type EvictionView struct {
 	Job     string                 `json:"job"`
 	At      time.Time              `json:"at"`
@@ -16,7 +16,7 @@
 	Victims []storage.VictimRecord `json:"victims"`
 }
 
-// maxRecentVictimSets is the number of preemptions that are kept for operators.
+// maxRecentVictimSets is the number of victim sets that are kept for operators.
 const maxRecentVictimSets = 50
 
 // recordPreemptions keeps the latest victim sets for operators and counts their tasks in the metrics.
@@ -36,7 +36,7 @@
 	}
 }
 
-// addVictimSet adds a preemption to the recent ones and drops the oldest beyond maxRecentPreemptions.
+// addVictimSet adds a victim set to the recent ones and drops the oldest beyond maxRecentVictimSets.
 func (o *operatorState) addVictimSet(victimSetView EvictionView) {
 	o.recentVictimSets = append(o.recentVictimSets, victimSetView)
 	if n := len(o.recentVictimSets); n > maxRecentVictimSets {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Evictions returns the recent preemptions that this controller has seen, newest first.
+// Evictions returns the recent victim sets that this controller has seen, newest first.
 func (c *Controller) Evictions(ctx context.Context) ([]EvictionView, error) {
 	evictions := []EvictionView{}
 	err := c.call(ctx, func() {
--- a/internal/controller/golden_settings_test.go
+++ b/internal/controller/golden_settings_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if settings.Alpha != 0.25 || settings.RebalanceIntervalS != 1.5 || settings.LogLevel != "debug" {
-		t.Errorf("read as %+v", settings)
+		t.Errorf("settings decoded as %+v, want alpha 0.25, interval 1.5 s and log level debug", settings)
 	}
 	golden.CheckText(t, "settings.any.json", string(storage.Encode(settings)))
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -60,7 +60,7 @@
 // golden files.
 func TestGoldenAdminBodies(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // preemption times are shown in the controller's local time zone
+	time.Local = time.UTC // times of victim sets are shown in the controller's local time zone
 	t.Cleanup(func() { time.Local = local })
 	for _, test := range []struct {
 		name string
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -73,7 +73,7 @@
 	revision, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 	if err != nil {
 		if !errors.Is(err, protocol.ErrRefused) {
-			c.log.Info("cancellation in doubt", "job", id, "err", err)
+			c.log.Info("outcome of the cancellation is unknown", "job", id, "err", err)
 		}
 		return retryLater, true
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -137,7 +137,7 @@
 	revision, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		c.log.Info("submission not committed", "job", submission.ID, "err", err)
+		c.log.Info("commit of the submission failed", "job", submission.ID, "err", err)
 		return retryLater
 	case len(failed) > 0:
 		return c.answerExistingJobOr(ctx, submission.ID, retryLater)
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -13,7 +13,7 @@
 	"dykeledge/internal/storage"
 )
 
-// operatorState holds the operators' settings in force and the recent preemptions that are shown to them. It
+// operatorState holds the operators' settings in force and the recent victim sets that are shown to them. It
 // is written by this file and eviction_views.go.
 type operatorState struct {
 	settings           OperatorSettings
@@ -150,7 +150,7 @@
 	if c.OnLogLevel != nil {
 		c.OnLogLevel(settings.LogLevel)
 	}
-	c.log.Info("settings taken up", "version", record.Version, settingAlpha, settings.Alpha,
+	c.log.Info("settings applied", "version", record.Version, settingAlpha, settings.Alpha,
 		settingRebalanceIntervalS, settings.RebalanceIntervalS, settingLogLevel, settings.LogLevel)
 }
 
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// barrierInterval is the least time between two barriers: polls that come meanwhile share
-	// the next. Hundreds of small jobs' polls took the rate of requests otherwise.
+	// barrierInterval is the minimum time between two barriers; requests that arrive in between share the
+	// next one. Without it, the polls of hundreds of small jobs used up the request rate of the state
+	// service.
 	barrierInterval = 80 * time.Millisecond
-	// barrierTimeout bounds how long one barrier waits for the cache.
+	// barrierTimeout bounds the time that one barrier waits for the cache.
 	barrierTimeout = 1800 * time.Millisecond
-	// maxRevisionWaiters is how many may wait for the cache at a time; more run into their timeout.
+	// maxRevisionWaiters is the maximum number of callers that wait for the cache at a time; further ones
+	// time out.
 	maxRevisionWaiters = 1000
 )
 
-// barrier joins readers that need to know that the cache is up to date.
+// barrier combines concurrent read barriers into shared runs.
 type barrier struct {
 	mu      sync.Mutex
 	running bool
-	next    *barrierRun // which readers that come now join
+	next    *barrierRun // the run that new readers join
 }
 
-// barrierRun is one read of the revision, and the wait for the cache to come as far.
+// barrierRun is one read of the latest revision followed by waiting until the cache has reached it.
 type barrierRun struct {
 	done chan struct{} // closed when err is set
 	err  error
 }
 
-// revisionWaiter waits for the cache to come as far as a revision.
+// revisionWaiter waits until the cache has reached a revision.
 type revisionWaiter struct {
 	revision uint64
 	reached  chan struct{}
 }
 
-// join returns the run that a reader waits for; start means that the caller must start the runs.
+// join returns the run that a reader has to wait for. start reports whether the caller must start
+// runBarriers.
 func (b *barrier) join() (run *barrierRun, start bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +50,7 @@
 	return b.next, start
 }
 
-// takeRun returns the run that readers wait for, or nil and that the runs have stopped.
+// takeRun returns the next run, or nil if no reader is waiting, which also marks the runs as stopped.
 func (b *barrier) takeRun() *barrierRun {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,12 +62,12 @@
 	return run
 }
 
-// Barrier waits until the cache holds everything that had been committed when
-// it was called. One read of the revision serves all that wait at a time.
+// Barrier waits until the cache holds everything that was committed before the call. One read of the latest
+// revision serves all readers that wait at the same time.
 func (c *Controller) Barrier(ctx context.Context) error {
 	run, start := c.follower.barrier.join()
 	if start {
-		go c.runBarriers() // ends by itself when nobody waits any more
+		go c.runBarriers() // ends when no reader is waiting
 	}
 	select {
 	case <-run.done:
@@ -74,7 +77,7 @@
 	}
 }
 
-// runBarriers serves the readers that wait, until there is none.
+// runBarriers runs barriers until no reader is waiting.
 func (c *Controller) runBarriers() {
 	for run := c.follower.barrier.takeRun(); run != nil; run = c.follower.barrier.takeRun() {
 		ctx, cancel := context.WithTimeout(context.Background(), barrierTimeout)
@@ -85,7 +88,7 @@
 	}
 }
 
-// catchUp waits until the cache has come as far as the state service is now.
+// catchUp waits until the cache has reached the latest revision of the state service.
 func (c *Controller) catchUp(ctx context.Context) error {
 	revision, err := c.store.Revision(ctx)
 	if err != nil {
@@ -103,7 +106,8 @@
 	}
 }
 
-// await has a waiter released when the cache, which is at current now, has come as far as it needs.
+// await releases a waiter at once if the cache, which is at revision current, is loaded and has reached the
+// waiter's revision; otherwise it registers the waiter, up to maxRevisionWaiters.
 func (f *stateFollower) await(waiter revisionWaiter, current uint64) {
 	if current >= waiter.revision && f.loaded {
 		close(waiter.reached)
@@ -112,7 +116,7 @@
 	}
 }
 
-// releaseWaiters releases those who waited for the cache to come as far as current.
+// releaseWaiters releases the waiters whose revision is not after current.
 func (f *stateFollower) releaseWaiters(current uint64) {
 	keep := f.waiters[:0]
 	for _, waiter := range f.waiters {
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -10,29 +10,29 @@
 	"dykeledge/internal/view"
 )
 
-// readModel keeps the read model that console, report and scripts share. It belongs to the
-// core's goroutine, all but the hub. It is written by this file.
+// readModel holds the read model that serves the console, reports and scripts. Except for hub, only the
+// goroutine that owns the controller's state uses it. It is written by this file.
 type readModel struct {
 	model            *view.Model
 	hub              *view.Hub
-	head             view.Head // of the latest snapshot
-	asOf             time.Time // the cache was certainly complete then
-	publishedAt      time.Time // when a snapshot was last taken
-	complete         bool      // the model is what the cache is
-	publishedStoreOK bool      // what the head says of the state service
-	cacheLoaded      bool      // the first read is over
+	head             view.Head // fields that the heads of all snapshots share
+	asOf             time.Time // the cache held everything that was committed until then
+	publishedAt      time.Time // when the latest snapshot was published
+	complete         bool      // the rows match the cache, which is at its highest revision
+	publishedStoreOK bool      // StateOK when a refresh last published a snapshot
+	cacheLoaded      bool      // every record was read once
 }
 
-// How the model follows the cache.
+// Limits and intervals of updating the read model.
 const (
-	viewBatchRows      = 2000                   // rows that are brought up to date at one go
-	viewInterval       = 250 * time.Millisecond // least time between two snapshots
-	maxDeferredChanges = 5000                   // changed rows that are left alone while nobody reads
-	maxSnapshotAge     = time.Second            // a reader whose snapshot is older has the revision asked for
-	viewRefreshTimeout = time.Second            // how long that may take
+	viewBatchRows      = 2000                   // maximum number of rows updated in one run
+	viewInterval       = 250 * time.Millisecond // minimum time between two snapshots
+	maxDeferredChanges = 5000                   // changed rows that may stay pending while there is no reader
+	maxSnapshotAge     = time.Second            // an older snapshot makes its reader refresh the view
+	viewRefreshTimeout = time.Second            // maximum duration of a refresh
 )
 
-// EnableView makes the controller keep a read model. It is called before Run.
+// EnableView makes the controller keep a read model. It must be called before Run.
 func (c *Controller) EnableView() {
 	teams := make([]view.Team, len(c.cache.Teams))
 	for i, team := range c.cache.Teams {
@@ -50,13 +50,14 @@
 // ViewEnabled reports whether the controller keeps a read model.
 func (c *Controller) ViewEnabled() bool { return c.readModel != nil }
 
-// showView brings the model up to date and takes a snapshot, if somebody reads and the cache is
-// exactly what the state service has at its revision: a controller applies its own commits before
-// its watch brings what others committed in between, and what is shown in such a moment
-// would be the state at no revision.
+// showView updates the read model and publishes a snapshot if there is a reader and the cache is exactly the
+// state at its revision. A controller applies its own commits before its watch delivers what others committed
+// in between; a snapshot of that moment would show a state that existed at no revision. force updates the
+// rows even without a reader.
 //
-// A row that changes ten times between two snapshots is made once, and while nobody reads none is
-// made before many wait: rows at every change took 5 to 7 % of a controller's processor time.
+// A row that changes several times between two snapshots is built once, and without a reader rows are built
+// only when many changes are pending: building rows at every change took 5 to 7 % of a controller's processor
+// time.
 func (c *Controller) showView(now time.Time, force bool) {
 	readModel := c.readModel
 	if readModel == nil || !c.follower.loaded {
@@ -76,12 +77,12 @@
 	}
 }
 
-// snapshotDue reports whether somebody reads and the latest snapshot is not too young.
+// snapshotDue reports whether there is a reader and viewInterval has passed since the latest snapshot.
 func (r *readModel) snapshotDue(now time.Time) bool {
 	return now.Sub(r.publishedAt) >= viewInterval && r.hub.Wanted(now)
 }
 
-// updateRows brings the rows of what has changed up to date, as many as one go may take.
+// updateRows updates the rows of changed records, at most viewBatchRows jobs and as many machines.
 func (c *Controller) updateRows() {
 	readModel := c.readModel
 	atRevision := c.cache.Revision >= c.follower.highestRevision
@@ -105,7 +106,7 @@
 	}
 }
 
-// publishView hands a snapshot over, in the same time whatever it holds.
+// publishView publishes a snapshot. The time that this takes does not depend on the size of the model.
 func (c *Controller) publishView(now time.Time) {
 	readModel := c.readModel
 	readModel.publishedAt = now
@@ -120,10 +121,10 @@
 	readModel.hub.Publish(readModel.model.Snapshot(head))
 }
 
-// View waits for a snapshot that is newer than a cursor, until ctx ends, and returns the
-// latest there is then; nil: there is none yet, or the view is off. One whose revision is not
-// known to be the latest for a second asks for it, as polls do, and so costs at most a
-// request a second.
+// View waits until there is a snapshot newer than the cursor or ctx ends, and returns the latest snapshot;
+// nil if there is none or the read model is disabled. If the snapshot is older than maxSnapshotAge, the view
+// is refreshed with a read barrier, as for polls of jobs, which costs at most one request per second to the
+// state service.
 func (c *Controller) View(ctx context.Context, cursor view.Cursor) *view.Snapshot {
 	readModel := c.readModel
 	if readModel == nil {
@@ -137,11 +138,11 @@
 	return readModel.hub.Latest()
 }
 
-// refreshView has a snapshot of the present revision published. If that fails the latest one stays,
-// and is shown as old as it is.
+// refreshView publishes a snapshot of the latest revision. If that fails, the latest snapshot stays with its
+// time.
 func (c *Controller) refreshView() {
 	startedAt := time.Now()
-	// Not the reader's context, which may have ended: the next reader has the use of it.
+	// The reader's context is not used since it may have ended: the next reader profits from the refresh.
 	ctx, cancel := context.WithTimeout(context.Background(), viewRefreshTimeout)
 	defer cancel()
 	barrierErr := c.Barrier(ctx)
@@ -160,13 +161,14 @@
 	})
 }
 
-// HasTeam reports whether the deployment has a team.
+// HasTeam reports whether the deployment has a team of that name.
 func (c *Controller) HasTeam(name string) bool {
 	return slices.ContainsFunc(c.cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == name })
 }
 
-// Reasons is why jobs wait, for those of them that a scope may know of and that this controller
-// has. Its cost to the core grows with the answer; it is asked for what is on a screen.
+// Reasons returns why jobs wait, for those among ids that the scope may read and that are in the cache; at
+// most view.MaxReasons ids are looked up. The cost grows with the number of jobs; callers ask only for the
+// jobs that are on a screen.
 func (c *Controller) Reasons(ctx context.Context, scope view.Scope, ids []string) (reasons []view.Reason, err error) {
 	reasons = []view.Reason{}
 	err = c.call(ctx, func() {
@@ -181,7 +183,7 @@
 	return reasons, err
 }
 
-// allowedToRead reports whether a scope may know of a job: operators of all, a team of its own.
+// allowedToRead reports whether a scope may read a job: operators read all jobs, a team only its own.
 func (c *Controller) allowedToRead(scope view.Scope, job *storage.Job) bool {
 	return scope == view.Operators || c.cache.Teams[job.Team].Name == string(scope)
 }
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -9,24 +9,27 @@
 )
 
 const (
-	// largeMachineCount are too many to fall silent together by themselves.
+	// largeMachineCount is the number of machines from which on a simultaneous loss of all heartbeats is
+	// unlikely to be caused by the machines.
 	largeMachineCount = 8
-	// minMachinesForReadiness is how many machines a controller must own to judge itself by their silence.
+	// minMachinesForReadiness is the minimum number of owned machines for a controller to become not ready when
+	// all are silent.
 	minMachinesForReadiness = 2
-	// readinessProbeInterval is how often a controller that is not ready probes a worker.
+	// readinessProbeInterval is the time between two probes of a worker by a controller that is not ready.
 	readinessProbeInterval = time.Second
-	// recoveryHeartbeatAge is how recently a worker must have been heard for a controller to be ready again.
+	// recoveryHeartbeatAge is the maximum age of the latest worker heartbeat for a controller to become ready
+	// again.
 	recoveryHeartbeatAge = time.Second
-	// probeTimeout bounds how long a worker that is asked may take.
+	// probeTimeout bounds the time that a probed worker has to respond.
 	probeTimeout = 900 * time.Millisecond
-	// probeStride is how many eligible machines the search for one to probe counts for each probe,
-	// so that not always the same one is asked.
+	// probeStride is the number of eligible machines that the search passes for each probe, so that it does
+	// not always select the same one.
 	probeStride = 3
 )
 
-// checkReadiness gives up shards and leadership when this controller reaches no worker although it
-// owns machines: a controller cut off from everything but the state service keeps its session
-// lease, and nobody else would take its workers before their leases run out.
+// checkReadiness gives up shards and leadership if this controller receives no heartbeat from any worker
+// although it owns machines. A controller that reaches nothing but the state service keeps its session lease,
+// so no other controller would take over its workers before their leases expire.
 func (c *Controller) checkReadiness(ctx context.Context, now time.Time) {
 	if c.session.lease == 0 || c.storeFailing() {
 		return
@@ -43,7 +46,8 @@
 	}
 }
 
-// checkRecovery probes workers until one answers, or until no other controller is left.
+// checkRecovery probes workers. The controller becomes ready again when a worker responds, or when no other
+// controller is ready.
 func (c *Controller) checkRecovery(ctx context.Context, now time.Time) {
 	if now.Sub(c.session.lastProbeAt) > readinessProbeInterval {
 		c.session.lastProbeAt = now
@@ -54,8 +58,9 @@
 	}
 }
 
-// silenceLimit is how long all workers must be silent for the fault to be on this side. Every
-// worker heartbeats within 1.25 times HeartbeatS: a few may be dead or hang, but not many at once.
+// silenceLimit returns how long all workers must be silent before the fault is assumed to be on this
+// controller's side. Every worker sends a heartbeat within 1.25 times HeartbeatS; a few workers may be dead
+// or hang, but not many at once.
 func (c *Controller) silenceLimit(machines int) time.Duration {
 	heartbeatS := c.cfg.Deployment.Workers.HeartbeatS
 	if machines >= largeMachineCount {
@@ -64,7 +69,7 @@
 	return max(seconds(2*heartbeatS+1.5), 4*time.Second)
 }
 
-// bootedOwnedMachines is how many machines of this controller's shards have come up.
+// bootedOwnedMachines returns the number of machines in this controller's shards that have come up.
 func (c *Controller) bootedOwnedMachines() int {
 	machines := 0
 	for machine := range c.machinesInService() {
@@ -75,7 +80,7 @@
 	return machines
 }
 
-// othersReady tells whether another living controller could do this controller's work.
+// othersReady reports whether another live controller is ready and could take over this controller's work.
 func (c *Controller) othersReady() bool {
 	for name, member := range c.cache.Members {
 		if name != c.cfg.MemberName && !member.NotReady {
@@ -85,8 +90,8 @@
 	return false
 }
 
-// setNotReady tells the others whether this controller can do its work; a leader that can't gives
-// up leadership with the same transaction.
+// setNotReady writes to the member record whether this controller is ready. A leader that becomes not ready
+// gives up leadership in the same transaction.
 func (c *Controller) setNotReady(ctx context.Context, notReady bool) {
 	c.session.notReady.Store(notReady)
 	c.log.Info("readiness changed", "ready", !notReady)
@@ -97,12 +102,12 @@
 	}
 	c.writeMember(ctx, txn, notReady, func(ok bool) {
 		if !ok {
-			c.session.notReady.Store(!notReady) // tried again with the next tick
+			c.session.notReady.Store(!notReady) // the next tick retries
 		}
 	})
 }
 
-// probeWorker asks some worker for its heartbeat.
+// probeWorker probes one worker; a response counts as a heartbeat for the readiness of this controller.
 func (c *Controller) probeWorker() {
 	for machine := range c.machinesInService() {
 		if machine.Addr == "" || machine.Incarnation == 0 {
@@ -121,8 +126,8 @@
 	}
 }
 
-// probeHeartbeat asks a worker for its heartbeat, under a token that commands nothing: whatever
-// comes back is an answer.
+// probeHeartbeat requests a worker's heartbeat without commands and without a fencing token. Any HTTP
+// response counts as an answer.
 func (c *Controller) probeHeartbeat(m *storage.Machine, then func(answered bool)) {
 	addr, incarnation := m.Addr, m.Incarnation
 	go func() {
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -10,43 +10,43 @@
 	"dykeledge/internal/storage"
 )
 
-// This file works out what capacity the open work needs, for the leader's scale-out requests.
+// This file computes the capacity that open work needs, the input of the leader's scale-out decisions.
 
 const (
-	// serviceWorkS stands for the run time, in seconds, of a service's replica, which never ends.
+	// serviceWorkS is the run time, in seconds, that is assumed for a replica of a service, which never ends.
 	serviceWorkS = 1e6
-	// allowedTimeStep is how far apart the allowed times of jobs may be that are summed up as one demand.
+	// allowedTimeStep is the width of the steps of allowed time by which jobs are grouped into one demand.
 	allowedTimeStep = 20 * time.Second
-	// defaultWithinS is the allowed time, in seconds, of work that no objective names; other work
-	// has at least minWithinS.
+	// defaultWithinS is the allowed time, in seconds, of work without an objective; the allowed time of other
+	// work is at least minWithinS.
 	defaultWithinS = 120
 	minWithinS     = 5
-	// recentServiceWindow is how far back services are counted that came.
+	// recentServiceWindow is the period in which submitted services count as recent.
 	recentServiceWindow = 2 * time.Minute
-	// readyBootFactor is how many times the longest boot time a new machine takes until it is up and
-	// has a service's image.
+	// readyBootFactor is the time until a new machine is up and has fetched a service's image, as a multiple
+	// of the longest boot time.
 	readyBootFactor = 1.5
 )
 
-// demandKind is what jobs have in common that are summed up as one demand.
+// demandKind holds the properties that jobs must share to be grouped into one demand.
 type demandKind struct {
 	spot         bool
 	idle         bool
 	zone         int
 	class        int
-	firstType    int // machine type that is allowed first, -1 if any is
+	firstType    int // first allowed machine type; -1: any type
 	cpus         float64
-	allowedSteps int // allowed time, in steps
-	team         int // autoscale.NoTeam if it has no limit
+	allowedSteps int // allowed time in units of allowedTimeStep
+	team         int // autoscale.NoTeam if the team has no limit
 }
 
-// demandTotals sums up demands by kind, in the order of their first jobs.
+// demandTotals adds up demands by kind, in the order of the first job of each kind.
 type demandTotals struct {
 	index   map[demandKind]int
 	demands []autoscale.Demand
 }
 
-// add counts some of a job's tasks.
+// add adds tasks of a job to the demand of its kind.
 func (s *demandTotals) add(kind demandKind, job *storage.Job, tasks int, allowed time.Duration) {
 	i, ok := s.index[kind]
 	if !ok {
@@ -63,7 +63,7 @@
 	demand.Work += float64(tasks) * workS
 }
 
-// newDemand is a demand of no tasks yet, like those of a job.
+// newDemand returns a demand with the properties of a job and no tasks.
 func newDemand(kind demandKind, job *storage.Job, allowed time.Duration) autoscale.Demand {
 	withinS := max(minWithinS, allowed.Seconds())
 	if allowed == 0 {
@@ -73,9 +73,10 @@
 		Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, WithinS: withinS}
 }
 
-// demands sums up the open work by what it may run on, and for each team with a limit apart: its
-// jobs together ask for no more than the limit lets run. Bounded job by job, a team with many jobs
-// had twice the machines provisioned that it could use.
+// demands returns the capacity demand of the open work, grouped by what the work may run on, and separately
+// for each team with a limit: the jobs of a team together demand no more than its limit allows to run. When
+// demand was bounded for each job alone, a team with many jobs had twice the machines provisioned that it
+// could use.
 func (c *Controller) demands(now time.Time) []autoscale.Demand {
 	sums := demandTotals{index: map[demandKind]int{}}
 	var zones *zoneCapacity
@@ -108,7 +109,7 @@
 	return sums.demands
 }
 
-// demandKindOf is the kind of demand that a job belongs to, in its own zone.
+// demandKindOf returns the kind of a job's demand, in the zone that the job names.
 func (c *Controller) demandKindOf(job *storage.Job, allowed time.Duration, now time.Time) demandKind {
 	kind := demandKind{
 		spot:         job.Spot,
@@ -129,13 +130,13 @@
 	return kind
 }
 
-// zoneCapacity is what the zones' on-demand machines have for work that is spread over zones, in
-// CPUs as sizes count; below 0 where more is asked for already.
+// zoneCapacity holds the free capacity of on-demand machines by zone, for jobs that are spread over zones.
+// Capacity is in CPUs as job sizes count it, and negative where the demand already exceeds it.
 type zoneCapacity struct {
 	c           *Controller
 	now         time.Time
 	free        []float64
-	canScaleOut []bool // more machines can be had there, as far as is known
+	canScaleOut []bool // machines of some type can be requested in the zone, as far as is known
 }
 
 func (c *Controller) zoneCapacity(now time.Time) *zoneCapacity {
@@ -164,10 +165,10 @@
 	return capacity
 }
 
-// demandByZone tells how much capacity, in tasks, a job that is spread needs in each zone: where its
-// tasks are, and for those that wait where it may have more and there is most. Capacity in a zone
-// that has its half is of no use to it: services waited for minutes beside free machines in the
-// wrong zone, and nothing was provisioned.
+// demandByZone returns the capacity that a spread job needs in each zone, in tasks: in the zones of its
+// placed tasks, and for each waiting task in the zone with the most free capacity that may hold more of the
+// job. Capacity in a zone that already holds half of the job's tasks does not help it: services waited for
+// minutes next to free machines in such a zone while nothing was provisioned elsewhere.
 func (z *zoneCapacity) demandByZone(job *storage.Job) []int {
 	needed := make([]int, len(z.free))
 	placed := make([]int, len(z.free))
@@ -180,7 +181,7 @@
 	for range z.c.wantedTasks(job) {
 		best := z.bestZone(job, placed)
 		if best < 0 {
-			break // nowhere for now
+			break // no zone can hold the remaining tasks at present
 		}
 		placed[best]++
 		needed[best]++
@@ -189,7 +190,7 @@
 	return needed
 }
 
-// bestZone is the zone with the most capacity for one more task of a job, -1 if there is none.
+// bestZone returns the zone with the most capacity for one more task of a job, -1 if there is none.
 func (z *zoneCapacity) bestZone(job *storage.Job, placed []int) int {
 	best := -1
 	for zone, free := range z.free {
@@ -203,10 +204,10 @@
 	return best
 }
 
-// expectedServiceDemand is the demand of the services that are likely to come before a machine provisioned
-// for them would be up and have their image: as many as came a while ago. What gives way to them
-// counts as capacity. Without it each began with a boot once running services had been brought
-// together on few machines.
+// expectedServiceDemand returns the demand of the services that are likely to be submitted before a machine
+// that is requested now would be up and have their image, estimated from recent submissions. Work that
+// services can preempt counts as capacity. Without this demand each new service had to wait for a machine to
+// boot after running services had been consolidated on few machines.
 func (c *Controller) expectedServiceDemand(now time.Time) (demand autoscale.Demand, expected bool) {
 	demand = autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: minWithinS}
 	recentCpus := 0.0
@@ -230,7 +231,7 @@
 	return demand, demand.Tasks > 0
 }
 
-// provisioningLeadS is how many seconds ahead a machine must be asked for.
+// provisioningLeadS returns how many seconds in advance a machine must be requested.
 func (c *Controller) provisioningLeadS() float64 {
 	leadS := 0.0
 	for i := range c.cache.Types {
@@ -239,7 +240,7 @@
 	return leadS
 }
 
-// preemptibleCpus is how much runs on on-demand machines that gives way to services.
+// preemptibleCpus returns the size of the tasks on on-demand machines that services can preempt, in CPUs.
 func (c *Controller) preemptibleCpus() float64 {
 	yielding := 0.0
 	for machine := range c.machinesInService() {
@@ -255,8 +256,8 @@
 	return yielding
 }
 
-// tasksInUnreachableZones is how many of a job's tasks run where this controller reaches nobody: they
-// need no other capacity.
+// tasksInUnreachableZones returns the number of a job's tasks in zones that are unreachable and need no
+// capacity elsewhere.
 func (c *Controller) tasksInUnreachableZones(job *storage.Job, now time.Time) int {
 	unreachable := 0
 	for zone, tasks := range job.ByZone {
--- a/internal/controller/scale_demand_test.go
+++ b/internal/controller/scale_demand_test.go
@@ -9,8 +9,9 @@
 	"dykeledge/internal/controller/autoscale"
 )
 
-// Replicas waited for minutes beside free machines in a zone that had its half already: by the sums there was
-// capacity, and nothing was provisioned elsewhere.
+// TestSpreadServiceDemandPerZone guards against demand that ignores the zone limit of spread jobs: replicas waited for minutes next to free
+// machines in a zone that already held half of them, because the total capacity was sufficient and none was
+// provisioned elsewhere.
 func TestSpreadServiceDemandPerZone(t *testing.T) {
 	controller := newZonesCore(t, 1)
 	controller.leader.init()
@@ -23,11 +24,11 @@
 		}
 	}
 	if a := controller.cache.Zones.Find("a"); needed[a] != 3 || needed[-1] != 0 || needed[0]+needed[1]+needed[2] != 6 {
-		t.Errorf("capacity asked for by zone: %v", needed)
+		t.Errorf("demanded tasks by zone: %v, want 3 in zone a and 6 in all zones", needed)
 	}
 }
 
-// demandedCpus is for how many CPUs demands ask at once, as autoscale.Decide counts them.
+// demandedCpus returns the CPUs that the demands need at once, computed as in autoscale.Decide.
 func demandedCpus(demands []autoscale.Demand) float64 {
 	cpus := 0.0
 	for _, demand := range demands {
@@ -36,21 +37,21 @@
 	return cpus
 }
 
-// Scaling out went by each job's own part of its team's limit: once limits bound, a team with many jobs had several
-// times the machines provisioned that it could use.
+// TestDemandsStayWithinTeamLimits guards against bounding demand by the team's limit for each job alone: a team at its limit with many jobs
+// had several times the machines provisioned that it could use.
 func TestDemandsStayWithinTeamLimits(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		limit            float64
-		jobs, running    int     // of six tasks of 4 CPUs each
-		minCpus, maxCpus float64 // CPUs that are asked for; the core's own job has two small tasks that wait
+		jobs, running    int     // jobs of six tasks of 4 CPUs each; running tasks of the first job
+		minCpus, maxCpus float64 // bounds of the demand in CPUs; the core's own job has two small waiting tasks
 	}{
 		{"no limit", 0, 5, 0, 120, 128},
-		{"one job under the limit", 40, 1, 0, 24, 32},
-		{"many jobs share it", 40, 5, 0, 37, 40},
-		{"what runs counts", 40, 5, 4, 37, 40},
-		{"more runs than may", 12, 5, 4, 9, 12},
-		{"less than a task is left", 19, 5, 4, 16, 19},
+		{"one job within the limit", 40, 1, 0, 24, 32},
+		{"several jobs share the limit", 40, 5, 0, 37, 40},
+		{"running tasks count", 40, 5, 4, 37, 40},
+		{"usage above the limit", 12, 5, 4, 9, 12},
+		{"rest of the limit below one task", 19, 5, 4, 16, 19},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newZonesCore(t, 4)
@@ -66,7 +67,7 @@
 				controller.cache.Used[job.Team].Add(job, float64(len(machines)))
 			}
 			if got := demandedCpus(controller.demands(time.Now())); got < test.minCpus || got > test.maxCpus {
-				t.Errorf("%v CPUs are asked for, want %v to %v", got, test.minCpus, test.maxCpus)
+				t.Errorf("demand of %v CPUs, want %v to %v", got, test.minCpus, test.maxCpus)
 			}
 		})
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -12,14 +12,14 @@
 	"dykeledge/internal/storage"
 )
 
-// scaleInState is what the leader knows of machines that are not needed.
+// scaleInState is the leader's state of machines that are not needed.
 type scaleInState struct {
-	returning     bool // a request to the cloud is under way
+	returning     bool // a scale-in request is in flight
 	emptyMachines map[int32]emptyObservation
-	surplusSince  map[autoscale.Pool]time.Time // the pool has had a whole machine too many since
+	surplusSince  map[autoscale.Pool]time.Time // since when the pool has had at least one surplus machine
 }
 
-// emptyObservation is when a machine's record was first seen empty at its present version.
+// emptyObservation records when the leader first saw a machine's record empty at its present version.
 type emptyObservation struct {
 	version uint64
 	since   time.Time
@@ -33,7 +33,7 @@
 	}
 }
 
-// observeSurplus notes since when pools have had a whole machine too many.
+// observeSurplus records since when each pool has had at least one surplus machine.
 func (s *scaleInState) observeSurplus(surplus map[autoscale.Pool]float64, now time.Time) {
 	for pool := range s.surplusSince {
 		if surplus[pool] < 1 {
@@ -47,13 +47,13 @@
 	}
 }
 
-// surplusLasts tells whether a pool has had a whole machine too many for some time.
+// surplusLasts reports whether a pool has had at least one surplus machine for the retention time.
 func (s *scaleInState) surplusLasts(pool autoscale.Pool, retention time.Duration, now time.Time) bool {
 	since := s.surplusSince[pool]
 	return !since.IsZero() && now.Sub(since) >= retention
 }
 
-// emptySince is since when the leader has seen a machine's record unchanged and empty.
+// emptySince returns since when the leader has seen a machine's record empty and unchanged.
 func (s *scaleInState) emptySince(m *storage.Machine, now time.Time) time.Time {
 	observation, ok := s.emptyMachines[m.Index]
 	if !ok || observation.version != m.Version {
@@ -63,8 +63,8 @@
 	return observation.since
 }
 
-// scaleInIdle returns machines that have been empty and not needed for the retention time, the
-// most expensive first.
+// scaleInIdle returns machines that have been empty and surplus for the retention time, the most expensive
+// first.
 func (c *Controller) scaleInIdle(now time.Time, plan autoscale.Plan, retention time.Duration) {
 	candidates := c.emptyMachinesByPrice()
 	c.leader.observeSurplus(plan.Surplus, now)
@@ -82,7 +82,7 @@
 	}
 }
 
-// emptyMachinesByPrice are the machines without tasks that still take some, the most expensive first.
+// emptyMachinesByPrice returns the machines without tasks that accept placements, the most expensive first.
 func (c *Controller) emptyMachinesByPrice() []*storage.Machine {
 	var empty []*storage.Machine
 	for machine := range c.machinesInService() {
@@ -97,8 +97,8 @@
 	return empty
 }
 
-// scaleIn asks the cloud to take machines back. Its confirmation is the proof that they are gone
-// with all that ran on them; the next cycle then drops their records.
+// scaleIn requests the cloud to take machines back. Its confirmation is proof that the machines and
+// everything that ran on them are gone; the next cycle then deletes their records.
 func (c *Controller) scaleIn(ctx context.Context, names []string) {
 	if len(names) == 0 || c.leader.returning {
 		return
@@ -110,7 +110,7 @@
 		c.post(func() {
 			c.leader.returning = false
 			if err != nil {
-				c.log.Info("scale in failed", "machines", len(names), "err", err)
+				c.log.Info("scale-in request failed", "machines", len(names), "err", err)
 				return
 			}
 			now := time.Now()
@@ -124,7 +124,8 @@
 	}()
 }
 
-// recordTermination takes in that the cloud confirmed a machine's end: what ran on it is lost.
+// recordTermination marks a machine as terminated after the cloud's confirmation, and the tasks that ran on
+// it as lost.
 func (c *Controller) recordTermination(machine *storage.Machine, now time.Time) {
 	worker := c.workerState(machine)
 	worker.terminated = true
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// exhaustedBackoff is how long a pool is left alone after it could not give all that was asked.
+	// exhaustedBackoff is the time without requests to a pool after it provided fewer machines than were
+	// requested.
 	exhaustedBackoff = 8 * time.Second
-	// refusedBackoff is how long a pool is left alone after the cloud refused a request.
+	// refusedBackoff is the time without requests to a pool after the cloud refused a request.
 	refusedBackoff = 2 * time.Second
 )
 
-// scaleOutState is what the leader knows of its requests for machines.
+// scaleOutState is the leader's state of its scale-out requests.
 type scaleOutState struct {
-	scaleOuts    map[autoscale.Pool]*scaleOut // under way, outcome unknown
-	blockedUntil map[autoscale.Pool]time.Time // nothing is asked of the pool until then
-	requestCount int                          // requests named by this process
+	scaleOuts    map[autoscale.Pool]*scaleOut // requests whose outcome is unknown or whose machines are not all enrolled
+	blockedUntil map[autoscale.Pool]time.Time // no requests to the pool before this time
+	requestCount int                          // number of requests named by this process
 }
 
-// scaleOut is a request for machines whose outcome is not known yet.
+// scaleOut is a scale-out request whose outcome is not known yet or whose machines are not all enrolled.
 type scaleOut struct {
 	request  protocol.ScaleOutRequest
 	inFlight bool
@@ -39,23 +40,23 @@
 	}
 }
 
-// canRequest tells whether machines of a pool may be asked for.
+// canRequest reports whether machines of a pool may be requested now.
 func (s *scaleOutState) canRequest(pool autoscale.Pool, now time.Time) bool {
 	return !s.isBlocked(pool, now) && s.scaleOuts[pool] == nil
 }
 
-// isBlocked tells whether a pool recently could not give what was asked.
+// isBlocked reports whether a pool recently refused a request or provided fewer machines than were requested.
 func (s *scaleOutState) isBlocked(pool autoscale.Pool, now time.Time) bool {
 	return now.Before(s.blockedUntil[pool])
 }
 
-// nextRequestName is a name that no controller ever uses again: it holds this process's own number.
+// nextRequestName returns a name that no controller uses again: it contains this process's incarnation.
 func (s *scaleOutState) nextRequestName(incarnation uint64) string {
 	s.requestCount++
 	return fmt.Sprintf("r-%d-%d", incarnation, s.requestCount)
 }
 
-// requestScaleOut asks the cloud for machines under a new name.
+// requestScaleOut requests machines from the cloud under a new name.
 func (c *Controller) requestScaleOut(ctx context.Context, scaleOutPlan autoscale.ScaleOut) {
 	pending := &scaleOut{request: protocol.ScaleOutRequest{
 		Name:  c.leader.nextRequestName(c.session.incarnation),
@@ -68,8 +69,8 @@
 	c.sendScaleOut(ctx, scaleOutPlan.Pool, pending)
 }
 
-// retryScaleOuts repeats the requests whose outcome is unknown, under the same names: the cloud
-// carries out each name once.
+// retryScaleOuts repeats the pending requests that are not in flight, under the same names: the cloud carries
+// out each name only once.
 func (c *Controller) retryScaleOuts(ctx context.Context) {
 	for pool, pending := range c.leader.scaleOuts {
 		if !pending.inFlight {
@@ -81,7 +82,7 @@
 func (c *Controller) sendScaleOut(ctx context.Context, pool autoscale.Pool, pending *scaleOut) {
 	pending.inFlight = true
 	request := pending.request
-	c.log.Info("scale out requested", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count)
+	c.log.Info("scale-out requested", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count)
 	go func() {
 		names, err := c.cloud.ScaleOut(ctx, request)
 		c.post(func() {
@@ -91,7 +92,7 @@
 	}()
 }
 
-// finishScaleOut takes in the cloud's answer to a request.
+// finishScaleOut handles the cloud's response to a request.
 func (c *Controller) finishScaleOut(ctx context.Context, pool autoscale.Pool, request protocol.ScaleOutRequest, names []string, err error) {
 	switch {
 	case errors.Is(err, protocol.ErrNoCapacity):
@@ -101,7 +102,7 @@
 		delete(c.leader.scaleOuts, pool)
 		c.leader.blockedUntil[pool] = time.Now().Add(refusedBackoff)
 	case err != nil:
-		c.log.Info("scale out in doubt", "request", request.Name, "err", err)
+		c.log.Info("outcome of the scale-out request is unknown, retrying", "request", request.Name, "err", err)
 	default:
 		if len(names) < request.Count {
 			c.leader.blockedUntil[pool] = time.Now().Add(exhaustedBackoff)
@@ -110,16 +111,15 @@
 	}
 }
 
-// enrollScaledOut has records written for new machines; the request counts as under way until
-// they are written.
+// enrollScaledOut writes records for new machines. The request counts as pending until they are written.
 func (c *Controller) enrollScaledOut(ctx context.Context, pool autoscale.Pool, request protocol.ScaleOutRequest, names []string) {
-	c.log.Info("scaled out", "request", request.Name, "machines", len(names))
+	c.log.Info("scale-out request completed", "request", request.Name, "machines", len(names))
 	remaining := len(names)
 	if remaining == 0 || !c.isLeader() {
 		delete(c.leader.scaleOuts, pool)
 		return
 	}
-	scaleOuts := c.leader.scaleOuts // of this lead, which may end meanwhile
+	scaleOuts := c.leader.scaleOuts // map of this term of leadership, which may end before the records are written
 	done := func(bool) {
 		if remaining--; remaining == 0 {
 			delete(scaleOuts, pool)
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -14,18 +14,18 @@
 	"dykeledge/internal/storage"
 )
 
-// This file shows teams' guarantees and limits to operators and changes them. A change is one
-// conditional write of the team's own record, by any controller; what becomes of it is in team_limits.go.
+// This file shows teams' guarantees and limits to operators and changes them. Any controller makes a change
+// by one conditional write of the team's own record; team_limits.go carries it out.
 
-// TeamView is a team's guarantee and limit as operators see them.
+// TeamView is the state of a team's guarantee and limit as shown to operators.
 type TeamView struct {
 	Name string `json:"name"`
 	storage.TeamBounds
-	Version        uint64   `json:"version"` // 0: as the settings file has it
+	Version        uint64   `json:"version"` // 0: unchanged from the settings file
 	State          string   `json:"state"`
-	CpusToGo       float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
+	CpusToGo       float64  `json:"cpus_to_go,omitempty"` // usage above a limit that is being lowered
 	ExcessGpus     float64  `json:"gpus_to_go,omitempty"`
-	LaggingMembers []string `json:"behind,omitempty"` // controllers that have not shown that they go by it
+	LaggingMembers []string `json:"behind,omitempty"` // controllers that have not shown that they have read the change
 }
 
 // The states of a team's entry.
@@ -33,21 +33,22 @@
 	TeamFromFile    = "settings file"
 	TeamInForce     = "in force"
 	TeamLowering    = "being lowered"
-	TeamPropagating = "not yet in force" // some controller has not shown that it goes by it
+	TeamPropagating = "not yet in force" // some controller has not shown that it has read the change
 )
 
-// GateError says that not all controllers would go by a change, and which would not.
+// GateError is returned when a change would not be applied by all controllers; Members are those that would
+// not.
 type GateError struct{ Members []string }
 
-// Error names the controllers that do not read changed teams yet.
+// Error returns a text with the names of the controllers that do not read changed teams yet.
 func (e *GateError) Error() string {
 	return "not before all nodes read changed teams; missing: " + strings.Join(e.Members, ", ")
 }
 
-// ErrNoTeam says that the settings name no such team.
+// ErrNoTeam is returned for a team that the settings do not name.
 var ErrNoTeam = errors.New("no such team")
 
-// Teams lists the teams in the settings file's order.
+// Teams returns the teams in the order of the settings file.
 func (c *Controller) Teams(ctx context.Context) ([]TeamView, error) {
 	if err := c.Barrier(ctx); err != nil {
 		return nil, ErrUnavailable
@@ -61,7 +62,7 @@
 	return views, err
 }
 
-// Team tells one team; ErrNoTeam if the settings name none of that name.
+// Team returns one team; ErrNoTeam if the settings name no team of that name.
 func (c *Controller) Team(ctx context.Context, name string) (TeamView, error) {
 	var view TeamView
 	if err := c.Barrier(ctx); err != nil {
@@ -97,7 +98,7 @@
 	return view
 }
 
-// laggingMembers are the living controllers that have not shown that they have read a revision.
+// laggingMembers returns the live controllers that have not shown that they have read a revision.
 func (c *Controller) laggingMembers(revision uint64, now time.Time) []string {
 	var names []string
 	for name := range c.cache.Members {
@@ -111,7 +112,7 @@
 	return names
 }
 
-// ChangeTeam changes a team's guarantee or limit if version is still that of its entry.
+// ChangeTeam changes a team's guarantee or limit if version is still the version of its entry.
 func (c *Controller) ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (TeamView, error) {
 	var view TeamView
 	if err := c.Barrier(ctx); err != nil {
@@ -128,7 +129,7 @@
 	revision, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		return view, ErrUnavailable // whether it was done shows in the entry's version
+		return view, ErrUnavailable // the version of the entry shows whether the change was committed
 	case len(failed) > 0:
 		return view, ErrVersion
 	}
@@ -142,7 +143,7 @@
 	return view, err
 }
 
-// teamTxn is the transaction that changes a team.
+// teamTxn returns the transaction that changes a team.
 func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
 	var txn protocol.Txn
 	team := c.cache.TeamIndex.Find(name)
@@ -167,7 +168,7 @@
 		}
 	}
 	if entry.Former != nil {
-		current = *entry.Former // the limit that counts until the lowering is done
+		current = *entry.Former // the limit that is effective until the lowering is complete
 	}
 	key := storage.TeamKey(name)
 	txn.If = []protocol.Condition{{Key: key, Version: entry.Version}}
@@ -178,8 +179,9 @@
 	return txn, nil
 }
 
-// teamRecord is the record of a team whose bounds become next while other ones count: a limit that
-// is lowered counts only once the records are under it.
+// teamRecord returns the record of a team that changes its bounds to next while the bounds effective apply. A
+// limit that is lowered takes effect only once the team's usage in the records is within it; until then the
+// record also holds the former limits.
 func teamRecord(next, effective storage.TeamBounds) storage.TeamRecord {
 	record := storage.TeamRecord{TeamBounds: next}
 	if tighter(next, effective) {
@@ -189,16 +191,16 @@
 	return record
 }
 
-// requireTeamsLayout adds to a transaction that from now on no version becomes ready that
-// does not read changed teams.
+// requireTeamsLayout adds to a transaction the change to the record layout with changed teams. From then on
+// no controller of a version that does not read changed teams becomes ready.
 func (c *Controller) requireTeamsLayout(txn *protocol.Txn) {
 	gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
 	txn.If = append(txn.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
 	txn.Then = append(txn.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
 }
 
-// membersNotReadingTeams are the controllers that the settings name and that have not shown that they read
-// changed teams. Once a team has been changed no older version becomes ready, so nobody is missing.
+// membersNotReadingTeams returns the configured controllers that have not shown that they read changed teams.
+// Once a team has been changed no older version becomes ready, so none is missing.
 func (c *Controller) membersNotReadingTeams() []string {
 	if c.cache.TeamChangesEnabled() {
 		return nil
@@ -213,7 +215,7 @@
 	return missing
 }
 
-// checkAcceptedJobsFit refuses a limit under which an accepted job could never run any more.
+// checkAcceptedJobsFit returns an error if an accepted job could never run any more within the bounds.
 func (c *Controller) checkAcceptedJobsFit(team int, teamBounds storage.TeamBounds) error {
 	bounds := teamBounds.Team(c.cache.Teams[team].Name)
 	for _, job := range c.cache.Jobs {
--- a/internal/controller/times.go
+++ b/internal/controller/times.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// maxTime is the later of two times.
+// maxTime returns the later of two times.
 func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -12,7 +12,7 @@
 	return b
 }
 
-// minTime is the earlier of two times.
+// minTime returns the earlier of two times.
 func minTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -20,7 +20,7 @@
 	return b
 }
 
-// milliseconds is a duration in milliseconds, to the hundredth.
+// milliseconds returns a duration in milliseconds, rounded to hundredths.
 func milliseconds(d time.Duration) float64 {
 	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
 }
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -12,13 +12,13 @@
 	"dykeledge/internal/view"
 )
 
-// thousandths is a figure in thousandths.
+// thousandths returns a value in thousandths, rounded.
 func thousandths(v float64) uint64 { return uint64(math.Round(1000 * v)) }
 
-// millionths is a figure in millionths.
+// millionths returns a value in millionths, rounded.
 func millionths(v float64) uint64 { return uint64(math.Round(1e6 * v)) }
 
-// teamRow is a team's guarantee and limit.
+// teamRow returns the row of a team with its guarantee and limit.
 func teamRow(team config.Team) view.Team {
 	return view.Team{
 		Name:    team.Name,
@@ -29,7 +29,7 @@
 	}
 }
 
-// jobRow is a job as the read model shows it.
+// jobRow returns the row of a job.
 func (c *Controller) jobRow(job *storage.Job) view.Job {
 	row := view.Job{
 		ID:       job.ID,
@@ -66,7 +66,7 @@
 	return row
 }
 
-// machineRow is a machine as the read model shows it.
+// machineRow returns the row of a machine.
 func (c *Controller) machineRow(machine *storage.Machine) view.Machine {
 	machineType := c.cache.Types[machine.Type]
 	price := machineType.Price
@@ -97,7 +97,8 @@
 	return row
 }
 
-// machineUseByTeam is what a team uses of a machine, made when it is first asked for; teams are in order.
+// machineUseByTeam returns the entry for what a team uses of a machine and creates it on first use. The
+// entries are in order of the teams' names.
 func machineUseByTeam(row *view.Machine, team string) *view.Use {
 	i, ok := slices.BinarySearchFunc(row.Uses, team, func(use view.Use, name string) int { return strings.Compare(use.Team, name) })
 	if !ok {
@@ -106,8 +107,8 @@
 	return &row.Uses[i]
 }
 
-// machineRowState is a machine's state by the records alone, as all of the read model is; machineState
-// also goes by what this controller hears of the worker.
+// machineRowState returns the state of a machine according to the records alone, like all of the read model.
+// machineState also considers the heartbeats that this controller receives from the worker.
 func machineRowState(machine *storage.Machine) view.MachineState {
 	switch {
 	case machine.Returning:
@@ -124,7 +125,7 @@
 	return view.Idle
 }
 
-// memberRow is a controller as the read model shows it.
+// memberRow returns the row of a controller.
 func (c *Controller) memberRow(name string) view.Member {
 	row := view.Member{Name: name, Leader: c.holdsLeadership(name), Shares: []uint32{}}
 	if member := c.cache.Members[name]; member != nil {
@@ -136,7 +137,7 @@
 	return row
 }
 
-// reasonRow is why a job waits; examples are machines of each kind.
+// reasonRow returns why a job waits. examples holds one machine of each category.
 func (c *Controller) reasonRow(job *storage.Job, examples []*storage.Machine) view.Reason {
 	return view.Reason{
 		Job:    job.ID,
@@ -147,8 +148,8 @@
 	}
 }
 
-// updateVictimSetRow brings an evicted set's row up to date. A set that is gone from the records is
-// over; its row stays among the latest.
+// updateVictimSetRow updates the row of a victim set. If the record is gone the row is marked as closed and
+// stays among the latest ones.
 func (c *Controller) updateVictimSetRow(id string) {
 	model := c.readModel.model
 	previous, wasShown := model.EvictionOf(id)
@@ -183,7 +184,7 @@
 	model.PutEviction(row)
 }
 
-// teamOf is the name of a job's team, "" when only its final state is known.
+// teamOf returns the name of a job's team, "" if only the final state of the job is stored.
 func (c *Controller) teamOf(id string) string {
 	if job := c.cache.Job(id); job != nil {
 		return c.cache.Teams[job.Team].Name
