--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -16,9 +16,9 @@
 	"dykeledge/internal/storage"
 )
 
-// goldenCore returns a controller with a placed task, waiting tasks, a victim set and a changed team. It
+// newGoldenController returns a controller with a placed task, waiting tasks, a victim set and a changed team. It
 // serves calls until the test ends.
-func goldenCore(t *testing.T) *Controller {
+func newGoldenController(t *testing.T) *Controller {
 	t.Helper()
 	controller := newTeamCore(t)
 	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
@@ -90,7 +90,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v, err := test.read(t.Context(), goldenCore(t))
+				v, err := test.read(t.Context(), newGoldenController(t))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -119,7 +119,7 @@
 // values, with a golden file.
 func TestGoldenMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := goldenCore(t)
+		c := newGoldenController(t)
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(0), "red").Observe(1)
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
 		c.metrics.Observe("state", "answered")
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -31,7 +31,7 @@
 // is the state of that job, whatever the body holds.
 func (c *Controller) answerInvalidSubmission(ctx context.Context, body []byte, parseErr error) Answer {
 	refusal := errorAnswer(http.StatusBadRequest, parseErr.Error())
-	id := lenientJobID(body)
+	id := extractJobID(body)
 	if id == "" {
 		return refusal
 	}
@@ -50,9 +50,9 @@
 	return fallback
 }
 
-// lenientJobID extracts the id from a submission that cannot be parsed as a whole; "" if there is no valid
+// extractJobID extracts the id from a submission that cannot be parsed as a whole; "" if there is no valid
 // id.
-func lenientJobID(body []byte) string {
+func extractJobID(body []byte) string {
 	var fields map[string]json.RawMessage
 	var id string
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["id"], &id) != nil || !protocol.ValidJobID(id) {
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -30,13 +30,13 @@
 	if !c.isLeader() || c.gates.layoutWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
 	}
-	reading := c.membersReadingPacked()
-	all := containsAll(reading, c.configuredMembers())
-	if !all && len(reading) == len(c.cache.Layout.Members) {
+	members := c.membersReadingPacked()
+	all := containsAll(members, c.configuredMembers())
+	if !all && len(members) == len(c.cache.Layout.Members) {
 		return // no further member reads the packed layout
 	}
-	slices.Sort(reading)
-	record := storage.LayoutRecord{Version: storage.LayoutPlain, Members: reading}
+	slices.Sort(members)
+	record := storage.LayoutRecord{Version: storage.LayoutPlain, Members: members}
 	if all {
 		record = storage.LayoutRecord{Version: storage.LayoutPacked}
 	}
@@ -50,20 +50,20 @@
 	c.commitAside(ctx, txn, protocol.UrgentRequest, func(ok bool) {
 		c.gates.layoutWriteInFlight = false
 		if ok {
-			c.log.Info("layout of the records written", "layout", record.Version, "members", reading)
+			c.log.Info("layout of the records written", "layout", record.Version, "members", members)
 		}
 	})
 }
 
 // membersReadingPacked returns the controllers that have at any time shown that they read the packed layout.
 func (c *Controller) membersReadingPacked() []string {
-	reading := slices.Clone(c.cache.Layout.Members)
+	members := slices.Clone(c.cache.Layout.Members)
 	for name, member := range c.cache.Members {
-		if member.Layout >= storage.LayoutPacked && !slices.Contains(reading, name) {
-			reading = append(reading, name)
+		if member.Layout >= storage.LayoutPacked && !slices.Contains(members, name) {
+			members = append(members, name)
 		}
 	}
-	return reading
+	return members
 }
 
 // configuredMembers returns the names of all configured controllers, this one first.
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -95,7 +95,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		if !s.set(name, values[name]) {
-			return s, refusedSetting(name)
+			return s, settingError(name)
 		}
 	}
 	return s, nil
@@ -119,8 +119,8 @@
 	return err == nil && inRange && !bytes.Equal(bytes.TrimSpace(value), []byte("null"))
 }
 
-// refusedSetting returns the error for a setting that is unknown or out of range.
-func refusedSetting(name string) error {
+// settingError returns the error for a setting that is unknown or out of range.
+func settingError(name string) error {
 	for _, info := range SettingsInfo() {
 		if info.Name == name {
 			return &FieldError{name, info.Range}
