--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -14,8 +14,8 @@
 // targetTimeFraction is the fraction of its allowed time in which waiting work should be completed.
 const targetTimeFraction = 0.45
 
-// autoscale runs one autoscaling decision: it requests machines that the demand needs and returns or drains
-// surplus ones.
+// autoscale runs one autoscaling decision: it requests machines that the demand needs and drains surplus ones or
+// gives them back to the cloud.
 func (c *Controller) autoscale(ctx context.Context, now time.Time) {
 	demands := c.demands(now)
 	if demand, expected := c.expectedServiceDemand(now); expected {
--- a/internal/controller/baseline_learning.go
+++ b/internal/controller/baseline_learning.go
@@ -16,7 +16,7 @@
 const (
 	// baselineWriteInterval is the minimum time between two writes of the baseline record.
 	baselineWriteInterval = time.Minute
-	// maxWindowSteps is the maximum length, in steps (baseline.Step), of a window that is used for the
+	// maxWindowSteps is the length, in steps (baseline.Step), from which on a window is not used for the
 	// estimate.
 	maxWindowSteps = 3
 	// baselineFillPercent is the part of the record size limit, in percent, that the baseline record may
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -18,7 +18,7 @@
 	layoutWriteInFlight bool
 	fleetWriteInFlight  bool
 	limitsLowered       bool   // the state service has refused a transaction for its size
-	rateLowered         bool   // the change rate is already kept within the limit to come
+	rateLowered         bool   // the rate limit of changes has been set to that of the effective limits
 	descriptionWrites   uint64 // chunked descriptions written by this process
 }
 
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -83,8 +83,8 @@
 // ErrUnavailable is returned if the state service does not answer.
 var ErrUnavailable = errors.New("the state service does not answer")
 
-// Change returns the settings with a change applied, a JSON object of names and values. The change is applied
-// as a whole or refused as a whole.
+// Change returns the settings with a change applied, a JSON object of names and values. If any part of it is
+// invalid it returns an error, and the settings that it returns must not be used.
 func (s OperatorSettings) Change(raw json.RawMessage) (OperatorSettings, error) {
 	var values map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &values); err != nil || values == nil {
--- a/internal/controller/scale_demand_test.go
+++ b/internal/controller/scale_demand_test.go
@@ -44,7 +44,7 @@
 		name             string
 		limit            float64
 		jobs, running    int     // jobs of six tasks of 4 CPUs each; running tasks of the first job
-		minCpus, maxCpus float64 // bounds of the demand in CPUs; the core's own job has two small waiting tasks
+		minCpus, maxCpus float64 // bounds of the demand in CPUs; the job of newCore has two waiting tasks of 4 CPUs
 	}{
 		{"no limit", 0, 5, 0, 120, 128},
 		{"one job within the limit", 40, 1, 0, 24, 32},
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -63,8 +63,8 @@
 	return observation.since
 }
 
-// scaleInIdle returns machines that have been empty and surplus for the retention time, the most expensive
-// first.
+// scaleInIdle gives machines back to the cloud that have been empty and surplus for the retention time, the
+// most expensive first.
 func (c *Controller) scaleInIdle(now time.Time, plan autoscale.Plan, retention time.Duration) {
 	candidates := c.emptyMachinesByPrice()
 	c.leader.observeSurplus(plan.Surplus, now)
