--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -7,9 +7,9 @@
 	"dykeledge/internal/storage"
 )
 
-// TestJobViewsListEachJobOnce guards the cost of paging through all jobs: it was quadratic in the number of jobs, because each page
-// visited every job and, for each waiting job, every machine. Every job has to appear exactly once, in order
-// of its id.
+// TestJobViewsListEachJobOnce checks that paging through all jobs yields every job once, in order of their ids.
+// Each page starts after the last id of the page before: when each page visited every job, and every machine
+// for each waiting job, the cost of paging was quadratic in the number of jobs.
 func TestJobViewsListEachJobOnce(t *testing.T) {
 	for _, test := range []struct {
 		team string
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -55,6 +55,6 @@
 			return m
 		}
 	}
-	t.Fatalf("record %+v does not hold the machine", record)
+	t.Fatalf("record %+v does not contain machine m", record)
 	return storage.GroupMachine{}
 }
--- a/internal/controller/scale_demand_test.go
+++ b/internal/controller/scale_demand_test.go
@@ -9,9 +9,9 @@
 	"dykeledge/internal/controller/autoscale"
 )
 
-// TestSpreadServiceDemandPerZone guards against demand that ignores the zone limit of spread jobs: replicas waited for minutes next to free
-// machines in a zone that already held half of them, because the total capacity was sufficient and none was
-// provisioned elsewhere.
+// TestSpreadServiceDemandPerZone guards against demand that ignores the zone limit of spread jobs: replicas
+// waited for minutes next to free machines in a zone that already held half of them, because the total
+// capacity was sufficient and none was provisioned elsewhere.
 func TestSpreadServiceDemandPerZone(t *testing.T) {
 	controller := newZonesCore(t, 1)
 	controller.leader.init()
@@ -37,8 +37,8 @@
 	return cpus
 }
 
-// TestDemandsStayWithinTeamLimits guards against bounding demand by the team's limit for each job alone: a team at its limit with many jobs
-// had several times the machines provisioned that it could use.
+// TestDemandsStayWithinTeamLimits guards against bounding demand by the team's limit for each job alone: a
+// team at its limit with many jobs had several times the machines provisioned that it could use.
 func TestDemandsStayWithinTeamLimits(t *testing.T) {
 	for _, test := range []struct {
 		name             string
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -168,7 +168,7 @@
 		}
 	}
 	if entry.Former != nil {
-		current = *entry.Former // the limit that is effective until the lowering is complete
+		current = *entry.Former // the former limit counts until the lowering is complete
 	}
 	key := storage.TeamKey(name)
 	txn.If = []protocol.Condition{{Key: key, Version: entry.Version}}
@@ -179,9 +179,9 @@
 	return txn, nil
 }
 
-// teamRecord returns the record of a team that changes its bounds to next while the bounds effective apply. A
-// limit that is lowered takes effect only once the team's usage in the records is within it; until then the
-// record also holds the former limits.
+// teamRecord returns the record of a team that changes its bounds to next while the bounds effective apply. If
+// next lowers a limit, the record also holds the former limits: they stay the upper bound of the team's usage
+// until the usage in the records is within the new limits (see team_limits.go).
 func teamRecord(next, effective storage.TeamBounds) storage.TeamRecord {
 	record := storage.TeamRecord{TeamBounds: next}
 	if tighter(next, effective) {
