--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -122,7 +122,7 @@
 	return longest
 }
 
-// tightestFinishObjective returns the shortest time, in seconds, within which an objective wants jobs
+// tightestFinishObjective returns the shortest time, in seconds, within which an objective requires jobs
 // finished; 0: there is no such objective. Objectives on the start of work, of a class or within a guarantee,
 // are left out: when they were read as objectives on finishing, every idle machine was retained and the
 // cluster never scaled in.
