--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -7,9 +7,10 @@
 	"dykeledge/internal/storage"
 )
 
-// Reading all jobs page by page cost the square of their number, and each page looked at
-// every job and, for each that waits, at every machine.
-func TestListsShowEveryRowOnce(t *testing.T) {
+// TestJobViewsListEachJobOnce checks that paging through all jobs yields every job once, in order of their ids.
+// Each page starts after the last id of the page before: when each page visited every job, and every machine
+// for each waiting job, the cost of paging was quadratic in the number of jobs.
+func TestJobViewsListEachJobOnce(t *testing.T) {
 	for _, test := range []struct {
 		team string
 		want int
@@ -36,7 +37,7 @@
 					count++
 				}
 				if more != (count < test.want) {
-					t.Fatalf("more: %v after %d rows of %d", more, count, test.want)
+					t.Fatalf("more is %v after %d rows of %d", more, count, test.want)
 				}
 				if !more {
 					break
--- a/internal/controller/golden_settings_test.go
+++ b/internal/controller/golden_settings_test.go
@@ -10,8 +10,8 @@
 	"dykeledge/internal/storage"
 )
 
-// TestGoldenSettings reads the operators' settings as a landed version wrote them into the
-// state service, and writes them again: the same bytes.
+// TestGoldenSettings decodes the operators' settings as a released version stored them in the state service,
+// and checks that encoding them again gives the same bytes.
 func TestGoldenSettings(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "settings.any.json"))
 	if err != nil {
@@ -21,8 +21,8 @@
 	if err := json.Unmarshal(raw, &settings); err != nil {
 		t.Fatal(err)
 	}
-	if settings.Alpha != 0.25 || settings.MoveEveryS != 1.5 || settings.LogLevel != "debug" {
-		t.Errorf("read as %+v", settings)
+	if settings.Alpha != 0.25 || settings.RebalanceIntervalS != 1.5 || settings.LogLevel != "debug" {
+		t.Errorf("settings decoded as %+v, want alpha 0.25, interval 1.5 s and log level debug", settings)
 	}
 	golden.CheckText(t, "settings.any.json", string(storage.Encode(settings)))
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -16,23 +16,24 @@
 	"dykeledge/internal/storage"
 )
 
-// goldenCore is a core with a placed task, waiting ones, an evicted set and a changed team. It serves calls until the test ends.
-func goldenCore(t *testing.T) *Controller {
+// newGoldenController returns a controller with a placed task, waiting tasks, a victim set and a changed team. It
+// serves calls until the test ends.
+func newGoldenController(t *testing.T) *Controller {
 	t.Helper()
 	controller := newTeamCore(t)
 	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
 	applyRecord(t, controller, storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
-	was := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
-	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &was}, 7)
+	former := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
+	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &former}, 7)
 	controller.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
 	controller.recordPreemptions()
 	serveCalls(t, controller)
 	return controller
 }
 
-// applyRecord puts a record into a core's cache.
+// applyRecord applies a record to a controller's cache.
 func applyRecord(t *testing.T, controller *Controller, key string, record any, version uint64) {
 	t.Helper()
 	if err := controller.cache.Apply(key, storage.Encode(record), version, false); err != nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// serveCalls runs what is posted to a core that does not run itself, until the test ends.
+// serveCalls runs the work that is posted to a controller whose Run is not called, until the test ends.
 func serveCalls(t *testing.T, controller *Controller) {
 	t.Helper()
 	go func() {
@@ -55,10 +56,11 @@
 	}()
 }
 
-// TestGoldenAdminBodies pins the bodies of the administration API that a core makes.
+// TestGoldenAdminBodies compares the bodies of the administration API that are made by this package with
+// golden files.
 func TestGoldenAdminBodies(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // evictions are shown in the controller's own time zone
+	time.Local = time.UTC // times of victim sets are shown in the controller's local time zone
 	t.Cleanup(func() { time.Local = local })
 	for _, test := range []struct {
 		name string
@@ -88,7 +90,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v, err := test.read(t.Context(), goldenCore(t))
+				v, err := test.read(t.Context(), newGoldenController(t))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -102,7 +104,7 @@
 	}
 }
 
-// TestGoldenSettingsRefusals pins what a wrong change of the settings is answered.
+// TestGoldenSettingsRefusals compares the errors for invalid changes of the settings with a golden file.
 func TestGoldenSettingsRefusals(t *testing.T) {
 	var b strings.Builder
 	for _, change := range []string{`x`, `null`, `{}`, `{"beta":1}`, `{"alpha":2}`, `{"alpha":"1"}`, `{"alpha":null}`, `{"move_every_s":0}`,
@@ -113,21 +115,22 @@
 	golden.CheckText(t, "settings-refusals.txt", b.String())
 }
 
-// TestGoldenMetrics pins names, types, help, labels and buckets of the metrics, and the labels' fixed values.
+// TestGoldenMetrics compares names, types, help texts, labels and buckets of the metrics, and the fixed label
+// values, with a golden file.
 func TestGoldenMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := goldenCore(t)
+		c := newGoldenController(t)
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(0), "red").Observe(1)
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
 		c.metrics.Observe("state", "answered")
 		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Unsent} {
-			c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
+			c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 		}
 		golden.CheckText(t, "metrics.txt", metricsText(t, c.metrics.Registry))
 	})
 }
 
-// metricsText writes what a registry gathers, without the figures.
+// metricsText returns the gathered metrics of a registry as text, without their values.
 func metricsText(t *testing.T, r *prometheus.Registry) string {
 	t.Helper()
 	families, err := r.Gather()
@@ -148,12 +151,13 @@
 			b.WriteString("\n")
 		}
 	}
-	fmt.Fprintf(&b, "%d metrics, %d described\n", len(families), described(r))
+	fmt.Fprintf(&b, "%d metrics, %d described\n", len(families), countDescriptions(r))
 	return b.String()
 }
 
-// described is how many metrics a registry knows, gathered or not.
-func described(r *prometheus.Registry) int {
+// countDescriptions returns the number of metrics that a registry describes, whether or not they were
+// gathered.
+func countDescriptions(r *prometheus.Registry) int {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		r.Describe(descriptions)
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -8,25 +8,25 @@
 	"dykeledge/internal/storage"
 )
 
-// maxCancelTries is how often a cancellation is tried whose job changes meanwhile.
-const maxCancelTries = 8
+// maxCancelAttempts is the number of attempts to cancel a job whose record keeps changing.
+const maxCancelAttempts = 8
 
-// Cancel answers a cancellation. The final state is one compare-and-set, so a
+// Cancel answers a cancellation request. The final state is written by one compare-and-swap transaction, so a
 // job is never both done and cancelled.
 func (c *Controller) Cancel(ctx context.Context, id string) Answer {
 	if !protocol.ValidJobID(id) {
-		return noSuchJob
+		return unknownJob
 	}
-	for range maxCancelTries {
-		if answer, ok := c.cancelOnce(ctx, id); ok {
+	for range maxCancelAttempts {
+		if answer, ok := c.tryCancel(ctx, id); ok {
 			return answer
 		}
 	}
 	return retryLater
 }
 
-// cancelOnce tries to cancel a job; ok is false when it must be looked at once more.
-func (c *Controller) cancelOnce(ctx context.Context, id string) (answer Answer, ok bool) {
+// tryCancel makes one attempt to cancel a job; ok is false if the job must be looked up again.
+func (c *Controller) tryCancel(ctx context.Context, id string) (answer Answer, ok bool) {
 	found, err := c.lookup(ctx, id)
 	if err != nil || !found.loaded {
 		return retryLater, true
@@ -37,23 +37,23 @@
 			return retryLater, true
 		}
 		if !found.known {
-			return noSuchJob, true
+			return unknownJob, true
 		}
 	}
 	if found.final() {
-		return jobFound(found.state), true
+		return jobStateAnswer(found.state), true
 	}
 	var txn protocol.Txn
 	if err := c.call(ctx, func() { txn = c.cancellationTxn(id) }); err != nil {
 		return retryLater, true
 	}
 	if len(txn.Then) == 0 {
-		return Answer{}, false // it got its final state meanwhile
+		return Answer{}, false // the job got its final state in the meantime
 	}
 	return c.commitCancellation(ctx, id, txn)
 }
 
-// cancellationTxn is the transaction that cancels a job, empty if the cache has no such open job.
+// cancellationTxn returns the transaction that cancels a job, empty if the cache holds no such open job.
 func (c *Controller) cancellationTxn(id string) protocol.Txn {
 	job := c.cache.Job(id)
 	if job == nil || !job.Open() {
@@ -67,13 +67,13 @@
 	}
 }
 
-// commitCancellation commits a cancellation; ok is false when the job must be looked at once more: it
-// is cancelled now, or its record has changed meanwhile.
+// commitCancellation commits a cancellation. ok is false if the job must be looked up again, because it is
+// cancelled now or its record has changed in the meantime.
 func (c *Controller) commitCancellation(ctx context.Context, id string, txn protocol.Txn) (answer Answer, ok bool) {
 	revision, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 	if err != nil {
 		if !errors.Is(err, protocol.ErrRefused) {
-			c.log.Info("cancellation in doubt", "job", id, "err", err)
+			c.log.Info("outcome of the cancellation is unknown", "job", id, "err", err)
 		}
 		return retryLater, true
 	}
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -15,43 +15,44 @@
 func (c *Controller) Submit(ctx context.Context, body []byte) Answer {
 	submission, err := protocol.ParseSubmission(body)
 	if err != nil {
-		return c.answerUnparsable(ctx, body, err)
+		return c.answerInvalidSubmission(ctx, body, err)
 	}
 	check, err := c.checkSubmission(ctx, submission)
 	if err != nil {
 		return retryLater
 	}
-	if check.known || check.refusal != "" {
-		return c.answerKnownOr(ctx, submission.ID, refuse(http.StatusUnprocessableEntity, check.refusal))
+	if check.exists || check.refusal != "" {
+		return c.answerExistingJobOr(ctx, submission.ID, errorAnswer(http.StatusUnprocessableEntity, check.refusal))
 	}
 	return c.commitSubmission(ctx, submission)
 }
 
-// answerUnparsable answers a submission that can't be read. A repeated id is answered with the job's
-// state whatever body comes.
-func (c *Controller) answerUnparsable(ctx context.Context, body []byte, parseErr error) Answer {
-	refusal := refuse(http.StatusBadRequest, parseErr.Error())
-	id := lenientJobID(body)
+// answerInvalidSubmission answers a submission that cannot be parsed. If a job with its id exists, the answer
+// is the state of that job, whatever the body holds.
+func (c *Controller) answerInvalidSubmission(ctx context.Context, body []byte, parseErr error) Answer {
+	refusal := errorAnswer(http.StatusBadRequest, parseErr.Error())
+	id := extractJobID(body)
 	if id == "" {
 		return refusal
 	}
-	return c.answerKnownOr(ctx, id, refusal)
+	return c.answerExistingJobOr(ctx, id, refusal)
 }
 
-// answerKnownOr answers with a job's state if there is such a job, with otherwise if there is none.
-func (c *Controller) answerKnownOr(ctx context.Context, id string, otherwise Answer) Answer {
+// answerExistingJobOr answers with the state of a job if it exists, else with fallback.
+func (c *Controller) answerExistingJobOr(ctx context.Context, id string, fallback Answer) Answer {
 	found, err := c.lookupLinearizable(ctx, id)
 	switch {
 	case err != nil:
 		return retryLater
 	case found.known:
-		return jobFound(found.state)
+		return jobStateAnswer(found.state)
 	}
-	return otherwise
+	return fallback
 }
 
-// lenientJobID is the id in a submission that can't be read as a whole, "" if it can't be found.
-func lenientJobID(body []byte) string {
+// extractJobID extracts the id from a submission that cannot be parsed as a whole; "" if there is no valid
+// id.
+func extractJobID(body []byte) string {
 	var fields map[string]json.RawMessage
 	var id string
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["id"], &id) != nil || !protocol.ValidJobID(id) {
@@ -62,59 +63,61 @@
 
 // submissionCheck is the result of checking a submission before it is committed.
 type submissionCheck struct {
-	known             bool   // there is such a job already
-	ready             bool   // this controller can decide on it now
-	refusal           string // why the job can never run; "": it can
-	missingDependency bool   // the refusal is that this controller knows no such job as it awaits
+	exists            bool   // a job with this id exists
+	decidable         bool   // this controller can decide on the submission now
+	refusal           string // why the job could never run; "": it could
+	missingDependency bool   // the refusal is that this controller has no record of a dependency
 }
 
-// checkSubmission reports whether a submission can be accepted; the error means that it can't be decided now.
+// checkSubmission checks whether a submission can be accepted. An error means that this cannot be decided
+// now.
 func (c *Controller) checkSubmission(ctx context.Context, submission *protocol.Submission) (submissionCheck, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	var check submissionCheck
 	if err := c.call(ctx, func() { check = c.checkInCache(submission) }); err != nil {
 		return check, err
 	}
-	if check.known {
+	if check.exists {
 		return check, nil
 	}
-	if check.ready && check.missingDependency {
-		// Another controller may have accepted it a moment ago.
+	if check.decidable && check.missingDependency {
+		// Another controller may have accepted the dependency a moment ago.
 		if err := c.Barrier(ctx); err != nil {
 			return check, err
 		}
 		err := c.call(ctx, func() {
 			check.refusal, check.missingDependency = c.invalidDependency(submission)
-			check.ready = !c.reachability.stalledSince(began)
+			check.decidable = !c.reachability.stalledSince(startedAt)
 		})
 		if err != nil {
 			return check, err
 		}
 	}
-	if !check.ready {
+	if !check.decidable {
 		return check, protocol.ErrRefused
 	}
 	return check, nil
 }
 
-// checkInCache checks a submission against what the cache holds.
+// checkInCache checks a submission against the cache.
 func (c *Controller) checkInCache(submission *protocol.Submission) submissionCheck {
 	if final, _ := c.cache.FinalState(submission.ID); final != "" || c.cache.Job(submission.ID) != nil {
-		return submissionCheck{known: true}
+		return submissionCheck{exists: true}
 	}
-	// Before the gate opens a controller of the version before would start a job with dependencies too early.
+	// Before the layout gate opens, a controller of the previous version would start a job before its
+	// dependencies are done.
 	acceptsDependencies := c.follower.loaded && c.cache.Packed()
 	if !c.acceptsJobs() || len(submission.Dependencies) > 0 && !acceptsDependencies {
 		return submissionCheck{}
 	}
-	check := submissionCheck{ready: true, refusal: c.unschedulableReason(submission)}
+	check := submissionCheck{decidable: true, refusal: c.unschedulableReason(submission)}
 	if check.refusal == "" {
 		check.refusal, check.missingDependency = c.invalidDependency(submission)
 	}
 	return check
 }
 
-// commitSubmission commits an accepted job's record, if no other controller has committed one with its id.
+// commitSubmission commits the record of a new job, on condition that no record with its id exists.
 func (c *Controller) commitSubmission(ctx context.Context, submission *protocol.Submission) Answer {
 	key := storage.JobKey(submission.ID)
 	record := storage.JobRecord{
@@ -134,10 +137,10 @@
 	revision, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		c.log.Info("submission not committed", "job", submission.ID, "err", err)
+		c.log.Info("commit of the submission failed", "job", submission.ID, "err", err)
 		return retryLater
 	case len(failed) > 0:
-		return c.answerKnownOr(ctx, submission.ID, retryLater)
+		return c.answerExistingJobOr(ctx, submission.ID, retryLater)
 	}
 	c.log.Info("job accepted", "job", submission.ID, "class", submission.Class, "team", submission.Team, "tasks", submission.Tasks,
 		"cpus", submission.Cpus, "estimate_s", submission.EstimateS, "deadline_s", submission.DeadlineS)
@@ -145,23 +148,24 @@
 	return Answer{Status: http.StatusCreated, Body: protocol.JobState{ID: submission.ID, Status: protocol.Queued}}
 }
 
-// chunking is how a description that is too large for its job's record may be written.
+// chunking holds the limits and the identity of one write of a description that may be too large for a job's
+// record.
 type chunking struct {
-	valueLimit int    // bytes of a record
-	txnChanges int    // changes in a transaction
+	valueLimit int    // maximum size of a record in bytes
+	txnChanges int    // maximum number of changes in a transaction
 	packed     bool   // every controller reads chunks
-	member     uint64 // this controller's incarnation; 0: it is no member yet
-	write      uint64 // which of its descriptions it is
+	member     uint64 // this controller's incarnation; 0: it is not a member yet
+	sequence   uint64 // sequence number of the description among those of this process
 }
 
-// id sets the chunks of each attempt to write a description apart.
-func (k chunking) id() string { return fmt.Sprintf("%d-%d", k.member, k.write) }
+// id returns a name that is unique to this attempt to write a description; its chunks are stored under it.
+func (k chunking) id() string { return fmt.Sprintf("%d-%d", k.member, k.sequence) }
 
-// possible reports whether chunks may be written: the version before does not read them, and a
-// controller without an incarnation could not set its own apart.
-func (k chunking) possible() bool { return k.packed && k.member != 0 }
+// allowed reports whether chunks may be written: the previous version does not read them, and the chunks of a
+// controller without an incarnation would have no unique id.
+func (k chunking) allowed() bool { return k.packed && k.member != 0 }
 
-// nextChunking is how the next description may be written.
+// nextChunking returns the limits and the identity for the next write of a description.
 func (c *Controller) nextChunking() chunking {
 	c.gates.descriptionWrites++
 	return chunking{
@@ -169,36 +173,36 @@
 		txnChanges: c.limits().TxnOps,
 		packed:     c.cache.Packed(),
 		member:     c.session.incarnation,
-		write:      c.gates.descriptionWrites,
+		sequence:   c.gates.descriptionWrites,
 	}
 }
 
-// storeChunks writes the chunks of a description that is too large for its job's record, and
-// puts the record that names them into the transaction.
+// storeChunks writes the chunks of a description that is too large for its job's record, and puts the record
+// that refers to them into txn. It reports whether txn can be committed.
 func (c *Controller) storeChunks(ctx context.Context, id string, record *storage.JobRecord, txn *protocol.Txn) bool {
-	var how chunking
-	if c.call(ctx, func() { how = c.nextChunking() }) != nil {
+	var chunkPlan chunking
+	if c.call(ctx, func() { chunkPlan = c.nextChunking() }) != nil {
 		return false
 	}
-	if len(txn.Then[0].Value) <= how.valueLimit {
+	if len(txn.Then[0].Value) <= chunkPlan.valueLimit {
 		return true
 	}
-	if !how.possible() {
+	if !chunkPlan.allowed() {
 		return false
 	}
-	chunks, main := storage.SplitDescription(id, how.id(), record, how.valueLimit)
+	chunks, mainRecord := storage.SplitDescription(id, chunkPlan.id(), record, chunkPlan.valueLimit)
 	for len(chunks) > 0 {
-		count := min(how.txnChanges, len(chunks))
+		count := min(chunkPlan.txnChanges, len(chunks))
 		chunkTxn := protocol.Txn{Then: chunks[:count]}
 		revision, _, err := c.transact(ctx, chunkTxn, protocol.UserRequest)
 		if err != nil {
-			return false // what was written is deleted later
+			return false // chunks that were written are deleted later
 		}
 		c.post(func() { c.applyTxn(chunkTxn, revision) })
 		if chunks = chunks[count:]; len(chunks) == 0 {
 			txn.If = append(txn.If, protocol.Condition{Key: chunkTxn.Then[count-1].Put, Version: revision})
 		}
 	}
-	txn.Then[0].Value = main
+	txn.Then[0].Value = mainRecord
 	return true
 }
--- a/internal/controller/machine_views.go
+++ b/internal/controller/machine_views.go
@@ -7,25 +7,25 @@
 	"dykeledge/internal/storage"
 )
 
-// MachineInfo is a machine as operators see it.
+// MachineInfo is the state of a machine as shown to operators.
 type MachineInfo struct {
-	Name         string     `json:"name"`
-	State        string     `json:"state"`
-	Shard        int        `json:"share"`
-	Type         string     `json:"type"`
-	Zone         string     `json:"zone"`
-	Spot         bool       `json:"spot"`
-	Incarnation  uint64     `json:"session"`
-	FencingToken uint64     `json:"token"`
-	Tasks        int        `json:"tasks"`
-	UsedCpus     float64    `json:"used_cpus"`
-	UsedGpus     float64    `json:"used_gpus"`
-	SilentS      float64    `json:"silent_s"` // -1: heartbeats go to another controller
-	Placed       []TaskInfo `json:"placed,omitempty"`
+	Name          string           `json:"name"`
+	State         string           `json:"state"`
+	Shard         int              `json:"share"`
+	Type          string           `json:"type"`
+	Zone          string           `json:"zone"`
+	Spot          bool             `json:"spot"`
+	Incarnation   uint64           `json:"session"`
+	FencingToken  uint64           `json:"token"`
+	Tasks         int              `json:"tasks"`
+	UsedCpus      float64          `json:"used_cpus"`
+	UsedGpus      float64          `json:"used_gpus"`
+	HeartbeatAgeS float64          `json:"silent_s"` // time since its last heartbeat; -1: its heartbeats go to another controller
+	Placed        []PlacedTaskView `json:"placed,omitempty"`
 }
 
-// TaskInfo is a placed task.
-type TaskInfo struct {
+// PlacedTaskView is a placed task as shown to operators.
+type PlacedTaskView struct {
 	Job     string `json:"job"`
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
@@ -34,31 +34,31 @@
 
 func (c *Controller) machineInfo(machine *storage.Machine, tasks bool) MachineInfo {
 	info := MachineInfo{
-		Name:         machine.Name,
-		State:        c.machineState(machine),
-		Shard:        machine.Shard,
-		Type:         c.cache.TypeIndex.Name(machine.Type),
-		Zone:         c.cache.Zones.Name(machine.Zone),
-		Spot:         machine.Spot,
-		Incarnation:  machine.Incarnation,
-		FencingToken: c.cache.FencingToken(machine),
-		Tasks:        len(machine.Tasks),
-		SilentS:      -1,
+		Name:          machine.Name,
+		State:         c.machineState(machine),
+		Shard:         machine.Shard,
+		Type:          c.cache.TypeIndex.Name(machine.Type),
+		Zone:          c.cache.Zones.Name(machine.Zone),
+		Spot:          machine.Spot,
+		Incarnation:   machine.Incarnation,
+		FencingToken:  c.cache.FencingToken(machine),
+		Tasks:         len(machine.Tasks),
+		HeartbeatAgeS: -1,
 	}
 	for _, placed := range machine.Tasks {
 		info.UsedCpus += placed.Job.Cpus
 		info.UsedGpus += placed.Job.Gpus
 		if tasks {
-			info.Placed = append(info.Placed, TaskInfo{placed.Job.ID, placed.Task, placed.Attempt, placed.WaitedS})
+			info.Placed = append(info.Placed, PlacedTaskView{placed.Job.ID, placed.Task, placed.Attempt, placed.WaitedS})
 		}
 	}
 	if worker := c.workers.states[machine.Index]; worker != nil && c.ownsShard(machine.Shard) {
-		info.SilentS = time.Since(worker.heard).Seconds()
+		info.HeartbeatAgeS = time.Since(worker.heard).Seconds()
 	}
 	return info
 }
 
-// machineState is a machine's state as operators and metrics see it.
+// machineState returns the state of a machine as shown to operators and in metrics.
 func (c *Controller) machineState(machine *storage.Machine) string {
 	worker := c.workers.states[machine.Index]
 	switch {
@@ -70,9 +70,9 @@
 		return "sick"
 	case worker != nil && !worker.preemptedAt.IsZero():
 		return "leaving"
-	case !c.cameUp(machine) && c.overdue(machine, bootPatience, time.Now()):
+	case !c.hasBooted(machine) && c.bootOverdue(machine, bootTimeoutFactor, time.Now()):
 		return "overdue"
-	case !c.cameUp(machine):
+	case !c.hasBooted(machine):
 		return "booting"
 	case len(machine.Tasks) == 0:
 		return "idle"
@@ -80,7 +80,8 @@
 	return "busy"
 }
 
-// MachineInfos lists machines in name order, beginning after a given one.
+// MachineInfos returns machines in order of their names, starting after the name after. more reports whether
+// there are further ones beyond limit.
 func (c *Controller) MachineInfos(ctx context.Context, after string, limit int) (infos []MachineInfo, more bool, err error) {
 	infos = []MachineInfo{}
 	err = c.call(ctx, func() {
@@ -95,7 +96,7 @@
 	return infos, more, err
 }
 
-// MachineInfo is one machine with its tasks.
+// MachineInfo returns one machine with its tasks; known reports whether the machine exists.
 func (c *Controller) MachineInfo(ctx context.Context, name string) (info MachineInfo, known bool, err error) {
 	err = c.call(ctx, func() {
 		if machine := c.cache.Machine(name); machine != nil {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,12 +8,12 @@
 	"dykeledge/internal/controller/dispatch"
 )
 
-// Metrics are this controller's metrics. Labels are bounded: classes, teams, states
-// and outcomes, never jobs or machines.
+// Metrics holds this controller's metrics. The sets of label values are bounded: classes, teams, states and
+// outcomes, never jobs or machines.
 type Metrics struct {
 	Registry            *prometheus.Registry
 	waitSeconds         *prometheus.HistogramVec
-	outcomes            *prometheus.CounterVec
+	attemptOutcomes     *prometheus.CounterVec
 	launches            prometheus.Counter
 	preemptedTasks      prometheus.Counter
 	lostSeconds         prometheus.Counter
@@ -29,18 +29,18 @@
 	Requests            *prometheus.CounterVec
 }
 
-// maxClasses is how many classes have a label of their own: they come from users, and the
-// others have one in common.
+// maxClasses is the number of classes that have a label value of their own. Classes are named by users, so
+// all further ones share one value.
 const maxClasses = 64
 
-// NewMetrics registers the metrics that are counted as they happen; gauges are collected when asked for.
+// NewMetrics registers the metrics that are updated as events happen. Gauges are collected at each scrape.
 func NewMetrics() *Metrics {
 	metrics := &Metrics{
 		Registry: prometheus.NewRegistry(),
 		waitSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "dykeledge_job_wait_seconds",
 			Help:    "Time from a job's submission until its first task was placed.",
 			Buckets: []float64{0.5, 1, 2, 5, 10, 20, 40, 80, 160, 320, 640}}, []string{"class", "team"}),
-		outcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_attempts_ended_total",
+		attemptOutcomes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_attempts_ended_total",
 			Help: "Attempts that ended, by outcome."}, []string{"outcome"}),
 		launches: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_launches_total", Help: "Tasks placed."}),
 		preemptedTasks: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_evicted_tasks_total",
@@ -66,18 +66,18 @@
 		Requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dykeledge_service_requests_total",
 			Help: "Requests to the state service and the cloud, by outcome."}, []string{"service", "outcome"}),
 	}
-	metrics.Registry.MustRegister(metrics.waitSeconds, metrics.outcomes, metrics.launches, metrics.preemptedTasks,
+	metrics.Registry.MustRegister(metrics.waitSeconds, metrics.attemptOutcomes, metrics.launches, metrics.preemptedTasks,
 		metrics.lostSeconds, metrics.takeovers, metrics.readyJobs, metrics.stalls, metrics.neverUpMachines,
 		metrics.unverifiedRenewals, metrics.uncertainHeartbeats, metrics.heartbeatSeconds, metrics.planSeconds, metrics.Requests)
 	return metrics
 }
 
-// Observe counts a request to another service.
+// Observe counts a request to another service by its outcome.
 func (m *Metrics) Observe(service, outcome string) {
 	m.Requests.WithLabelValues(service, outcome).Inc()
 }
 
-// classLabel is the label of a job's class.
+// classLabel returns the label value of a job class.
 func (c *Controller) classLabel(class int) string {
 	if class >= maxClasses {
 		return "other"
@@ -85,13 +85,13 @@
 	return c.cache.Classes.Name(class)
 }
 
-// outcomeNames are the outcomes' labels.
+// outcomeNames maps attempt outcomes to their label values.
 var outcomeNames = map[dispatch.Outcome]string{dispatch.Completed: "done", dispatch.Stopped: "stopped",
 	dispatch.Failed: "failed", dispatch.Refused: "refused", dispatch.Lost: "lost", dispatch.Unsent: "unsent"}
 
-// countOutcome counts an attempt's end and what it lost.
+// countOutcome counts the end of an attempt and the run time, in task-seconds, that was lost with it.
 func (c *Controller) countOutcome(worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
-	c.metrics.outcomes.WithLabelValues(outcomeNames[outcome]).Inc()
+	c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 	startedAt, ran := worker.started[ref]
 	if !ran || outcome == dispatch.Completed {
 		return
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -14,40 +14,41 @@
 	"dykeledge/internal/storage"
 )
 
-// This file shows teams' guarantees and limits to operators and changes them. A change is one
-// conditional write of the team's own record, by any controller; what becomes of it is in team_limits.go.
+// This file shows teams' guarantees and limits to operators and changes them. Any controller makes a change
+// by one conditional write of the team's own record; team_limits.go carries it out.
 
-// TeamView is a team's guarantee and limit as operators see them.
+// TeamView is the state of a team's guarantee and limit as shown to operators.
 type TeamView struct {
 	Name string `json:"name"`
 	storage.TeamBounds
-	Version  uint64   `json:"version"` // 0: as the settings file has it
-	State    string   `json:"state"`
-	CpusToGo float64  `json:"cpus_to_go,omitempty"` // that the team still uses beyond a limit that is being lowered
-	GpusToGo float64  `json:"gpus_to_go,omitempty"`
-	Behind   []string `json:"behind,omitempty"` // controllers that have not shown that they go by it
+	Version        uint64   `json:"version"` // 0: unchanged from the settings file
+	State          string   `json:"state"`
+	CpusToGo       float64  `json:"cpus_to_go,omitempty"` // usage above a limit that is being lowered
+	ExcessGpus     float64  `json:"gpus_to_go,omitempty"`
+	LaggingMembers []string `json:"behind,omitempty"` // controllers that have not shown that they have read the change
 }
 
 // The states of a team's entry.
 const (
-	TeamFromFile = "settings file"
-	TeamInForce  = "in force"
-	TeamLowering = "being lowered"
-	TeamSpreads  = "not yet in force" // some controller has not shown that it goes by it
+	TeamFromFile    = "settings file"
+	TeamInForce     = "in force"
+	TeamLowering    = "being lowered"
+	TeamPropagating = "not yet in force" // some controller has not shown that it has read the change
 )
 
-// GateError says that not all controllers would go by a change, and which would not.
+// GateError is returned when a change would not be applied by all controllers; Members are those that would
+// not.
 type GateError struct{ Members []string }
 
-// Error names the controllers that do not read changed teams yet.
+// Error returns a text with the names of the controllers that do not read changed teams yet.
 func (e *GateError) Error() string {
 	return "not before all nodes read changed teams; missing: " + strings.Join(e.Members, ", ")
 }
 
-// ErrNoTeam says that the settings name no such team.
+// ErrNoTeam is returned for a team that the settings do not name.
 var ErrNoTeam = errors.New("no such team")
 
-// Teams lists the teams in the settings file's order.
+// Teams returns the teams in the order of the settings file.
 func (c *Controller) Teams(ctx context.Context) ([]TeamView, error) {
 	if err := c.Barrier(ctx); err != nil {
 		return nil, ErrUnavailable
@@ -61,7 +62,7 @@
 	return views, err
 }
 
-// Team tells one team; ErrNoTeam if the settings name none of that name.
+// Team returns one team; ErrNoTeam if the settings name no team of that name.
 func (c *Controller) Team(ctx context.Context, name string) (TeamView, error) {
 	var view TeamView
 	if err := c.Barrier(ctx); err != nil {
@@ -86,19 +87,19 @@
 	if !changed {
 		return view
 	}
-	view.Version, view.State, view.Behind = entry.Version, TeamInForce, c.behind(entry.Version, now)
-	if len(view.Behind) > 0 {
-		view.State = TeamSpreads
+	view.Version, view.State, view.LaggingMembers = entry.Version, TeamInForce, c.laggingMembers(entry.Version, now)
+	if len(view.LaggingMembers) > 0 {
+		view.State = TeamPropagating
 	}
 	if entry.Former != nil {
 		view.State = TeamLowering
-		view.CpusToGo, view.GpusToGo = excessOf(entry.TeamBounds, c.cache.Used[team])
+		view.CpusToGo, view.ExcessGpus = excessOf(entry.TeamBounds, c.cache.Used[team])
 	}
 	return view
 }
 
-// behind are the living controllers that have not shown that they have read a revision.
-func (c *Controller) behind(revision uint64, now time.Time) []string {
+// laggingMembers returns the live controllers that have not shown that they have read a revision.
+func (c *Controller) laggingMembers(revision uint64, now time.Time) []string {
 	var names []string
 	for name := range c.cache.Members {
 		peer, heard := c.reachability.peers[name]
@@ -111,7 +112,7 @@
 	return names
 }
 
-// ChangeTeam changes a team's guarantee or limit if version is still that of its entry.
+// ChangeTeam changes a team's guarantee or limit if version is still the version of its entry.
 func (c *Controller) ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (TeamView, error) {
 	var view TeamView
 	if err := c.Barrier(ctx); err != nil {
@@ -125,24 +126,24 @@
 	if refused != nil {
 		return view, refused
 	}
-	rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
+	revision, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		return view, ErrUnavailable // whether it was done shows in the entry's version
+		return view, ErrUnavailable // the version of the entry shows whether the change was committed
 	case len(failed) > 0:
 		return view, ErrVersion
 	}
 	err = c.call(ctx, func() {
-		c.applyTxn(txn, rev)
+		c.applyTxn(txn, revision)
 		c.changed()
 		c.requestCycle()
 		view = c.teamView(c.cache.TeamIndex.Find(name), time.Now())
 	})
-	c.log.Info("team changed by an operator", "team", name, "version", rev, "change", string(change))
+	c.log.Info("team changed by an operator", "team", name, "version", revision, "change", string(change))
 	return view, err
 }
 
-// teamTxn is the transaction that changes a team.
+// teamTxn returns the transaction that changes a team.
 func (c *Controller) teamTxn(name string, version uint64, change json.RawMessage) (protocol.Txn, error) {
 	var txn protocol.Txn
 	team := c.cache.TeamIndex.Find(name)
@@ -153,7 +154,7 @@
 	if version != entry.Version {
 		return txn, ErrVersion
 	}
-	if missing := c.notReadingTeams(); len(missing) > 0 {
+	if missing := c.membersNotReadingTeams(); len(missing) > 0 {
 		return txn, &GateError{missing}
 	}
 	current := storage.BoundsOf(c.cache.Teams[team])
@@ -162,44 +163,45 @@
 		return txn, err
 	}
 	if tighter(next, current) {
-		if err := c.checkAccepted(team, next); err != nil {
+		if err := c.checkAcceptedJobsFit(team, next); err != nil {
 			return txn, err
 		}
 	}
 	if entry.Former != nil {
-		current = *entry.Former // the limit that counts until the lowering is done
+		current = *entry.Former // the former limit counts until the lowering is complete
 	}
 	key := storage.TeamKey(name)
 	txn.If = []protocol.Condition{{Key: key, Version: entry.Version}}
 	txn.Then = []protocol.Change{{Put: key, Value: storage.Encode(teamRecord(next, current))}}
 	if !c.cache.TeamChangesEnabled() {
-		c.closeGateForOlderVersions(&txn)
+		c.requireTeamsLayout(&txn)
 	}
 	return txn, nil
 }
 
-// teamRecord is the record of a team whose bounds become next while other ones count: a limit that
-// is lowered counts only once the records are under it.
-func teamRecord(next, counting storage.TeamBounds) storage.TeamRecord {
+// teamRecord returns the record of a team that changes its bounds to next while the bounds effective apply. If
+// next lowers a limit, the record also holds the former limits: they stay the upper bound of the team's usage
+// until the usage in the records is within the new limits (see team_limits.go).
+func teamRecord(next, effective storage.TeamBounds) storage.TeamRecord {
 	record := storage.TeamRecord{TeamBounds: next}
-	if tighter(next, counting) {
-		former := looser(next, counting)
+	if tighter(next, effective) {
+		former := looser(next, effective)
 		record.Former = &former
 	}
 	return record
 }
 
-// closeGateForOlderVersions adds to a transaction that from now on no version becomes ready that
-// does not read changed teams.
-func (c *Controller) closeGateForOlderVersions(txn *protocol.Txn) {
+// requireTeamsLayout adds to a transaction the change to the record layout with changed teams. From then on
+// no controller of a version that does not read changed teams becomes ready.
+func (c *Controller) requireTeamsLayout(txn *protocol.Txn) {
 	gate := storage.Encode(storage.LayoutRecord{Version: storage.LayoutTeams})
 	txn.If = append(txn.If, protocol.Condition{Key: storage.LayoutKey, Version: c.cache.Layout.Revision})
 	txn.Then = append(txn.Then, protocol.Change{Put: storage.LayoutKey, Value: gate}, protocol.Change{Put: storage.TeamsBarrierKey, Value: gate})
 }
 
-// notReadingTeams are the controllers that the settings name and that have not shown that they read
-// changed teams. Once a team has been changed no older version becomes ready, so nobody is missing.
-func (c *Controller) notReadingTeams() []string {
+// membersNotReadingTeams returns the configured controllers that have not shown that they read changed teams.
+// Once a team has been changed no older version becomes ready, so none is missing.
+func (c *Controller) membersNotReadingTeams() []string {
 	if c.cache.TeamChangesEnabled() {
 		return nil
 	}
@@ -213,8 +215,8 @@
 	return missing
 }
 
-// checkAccepted refuses a limit under which an accepted job could never run any more.
-func (c *Controller) checkAccepted(team int, teamBounds storage.TeamBounds) error {
+// checkAcceptedJobsFit returns an error if an accepted job could never run any more within the bounds.
+func (c *Controller) checkAcceptedJobsFit(team int, teamBounds storage.TeamBounds) error {
 	bounds := teamBounds.Team(c.cache.Teams[team].Name)
 	for _, job := range c.cache.Jobs {
 		if job == nil || job.Team != team || !job.Open() {
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -12,24 +12,24 @@
 	"dykeledge/internal/view"
 )
 
-// milli is a figure in thousandths.
-func milli(v float64) uint64 { return uint64(math.Round(1000 * v)) }
+// thousandths returns a value in thousandths, rounded.
+func thousandths(v float64) uint64 { return uint64(math.Round(1000 * v)) }
 
-// micro is a figure in millionths.
-func micro(v float64) uint64 { return uint64(math.Round(1e6 * v)) }
+// millionths returns a value in millionths, rounded.
+func millionths(v float64) uint64 { return uint64(math.Round(1e6 * v)) }
 
-// teamRow is a team's guarantee and limit.
+// teamRow returns the row of a team with its guarantee and limit.
 func teamRow(team config.Team) view.Team {
 	return view.Team{
 		Name:    team.Name,
-		Cpus:    milli(team.Cpus),
-		CpusMax: milli(team.CpusMax),
-		Gpus:    milli(team.Gpus),
-		GpusMax: milli(team.GpusMax),
+		Cpus:    thousandths(team.Cpus),
+		CpusMax: thousandths(team.CpusMax),
+		Gpus:    thousandths(team.Gpus),
+		GpusMax: thousandths(team.GpusMax),
 	}
 }
 
-// jobRow is a job as the read model shows it.
+// jobRow returns the row of a job.
 func (c *Controller) jobRow(job *storage.Job) view.Job {
 	row := view.Job{
 		ID:       job.ID,
@@ -43,11 +43,11 @@
 		Done:     uint32(job.DoneCount),
 		Placed:   uint32(job.PlacedCount),
 		Shard:    uint32(job.Shard),
-		Cpus:     milli(job.Cpus),
-		Gpus:     milli(job.Gpus),
+		Cpus:     thousandths(job.Cpus),
+		Gpus:     thousandths(job.Gpus),
 		Submit:   job.Submitted.UnixMilli(),
 		From:     job.ReadyAt.UnixMilli(),
-		Estimate: milli(job.Estimate),
+		Estimate: thousandths(job.Estimate),
 		End:      job.FinalAtMs,
 	}
 	switch {
@@ -66,7 +66,7 @@
 	return row
 }
 
-// machineRow is a machine as the read model shows it.
+// machineRow returns the row of a machine.
 func (c *Controller) machineRow(machine *storage.Machine) view.Machine {
 	machineType := c.cache.Types[machine.Type]
 	price := machineType.Price
@@ -81,15 +81,15 @@
 		Spot:  machine.Spot,
 		Shard: uint32(machine.Shard),
 		Tasks: uint32(len(machine.Tasks)),
-		Cpus:  milli(machineType.Cpus),
-		Gpus:  milli(machineType.Gpus),
-		Price: micro(price),
+		Cpus:  thousandths(machineType.Cpus),
+		Gpus:  thousandths(machineType.Gpus),
+		Price: millionths(price),
 	}
 	for _, placed := range machine.Tasks {
-		cpus, gpus := milli(placed.Job.Cpus), milli(placed.Job.Gpus)
+		cpus, gpus := thousandths(placed.Job.Cpus), thousandths(placed.Job.Gpus)
 		row.UsedCpus += cpus
 		row.UsedGpus += gpus
-		use := teamUse(&row, c.cache.Teams[placed.Job.Team].Name)
+		use := machineUseByTeam(&row, c.cache.Teams[placed.Job.Team].Name)
 		use.Tasks++
 		use.Cpus += cpus
 		use.Gpus += gpus
@@ -97,8 +97,9 @@
 	return row
 }
 
-// teamUse is what a team uses of a machine, made when it is first asked for; teams are in order.
-func teamUse(row *view.Machine, team string) *view.Use {
+// machineUseByTeam returns the entry for what a team uses of a machine and creates it on first use. The
+// entries are in order of the teams' names.
+func machineUseByTeam(row *view.Machine, team string) *view.Use {
 	i, ok := slices.BinarySearchFunc(row.Uses, team, func(use view.Use, name string) int { return strings.Compare(use.Team, name) })
 	if !ok {
 		row.Uses = slices.Insert(row.Uses, i, view.Use{Team: team})
@@ -106,8 +107,8 @@
 	return &row.Uses[i]
 }
 
-// machineRowState is a machine's state by the records alone, as all of the read model is; machineState
-// also goes by what this controller hears of the worker.
+// machineRowState returns the state of a machine according to the records alone, like all of the read model.
+// machineState also considers the heartbeats that this controller receives from the worker.
 func machineRowState(machine *storage.Machine) view.MachineState {
 	switch {
 	case machine.Returning:
@@ -124,9 +125,9 @@
 	return view.Idle
 }
 
-// memberRow is a controller as the read model shows it.
+// memberRow returns the row of a controller.
 func (c *Controller) memberRow(name string) view.Member {
-	row := view.Member{Name: name, Leader: c.leads(name), Shares: []uint32{}}
+	row := view.Member{Name: name, Leader: c.holdsLeadership(name), Shares: []uint32{}}
 	if member := c.cache.Members[name]; member != nil {
 		row.Alive, row.Unfit = true, member.NotReady
 	}
@@ -136,7 +137,7 @@
 	return row
 }
 
-// reasonRow is why a job waits; examples are machines of each kind.
+// reasonRow returns why a job waits. examples holds one machine of each category.
 func (c *Controller) reasonRow(job *storage.Job, examples []*storage.Machine) view.Reason {
 	return view.Reason{
 		Job:    job.ID,
@@ -147,16 +148,16 @@
 	}
 }
 
-// showEvicted brings an evicted set's row up to date. A set that is gone from the records is
-// over; its row stays among the latest.
-func (c *Controller) showEvicted(id string) {
+// updateVictimSetRow updates the row of a victim set. If the record is gone the row is marked as closed and
+// stays among the latest ones.
+func (c *Controller) updateVictimSetRow(id string) {
 	model := c.readModel.model
-	old, had := model.EvictionOf(id)
+	previous, wasShown := model.EvictionOf(id)
 	victimSet := c.cache.VictimSets[id]
 	if victimSet == nil {
-		if had && old.Open {
-			old.Open = false
-			model.PutEviction(old)
+		if wasShown && previous.Open {
+			previous.Open = false
+			model.PutEviction(previous)
 		}
 		return
 	}
@@ -168,8 +169,8 @@
 		Open:    true,
 		Victims: []view.Victim{},
 	}
-	if had && old.Open && old.At == row.At {
-		row.Key = old.Key
+	if wasShown && previous.Open && previous.At == row.At {
+		row.Key = previous.Key
 	}
 	for _, victim := range victimSet.Victims {
 		row.Victims = append(row.Victims, view.Victim{
@@ -183,7 +184,7 @@
 	model.PutEviction(row)
 }
 
-// teamOf is the name of a job's team, "" when only its final state is known.
+// teamOf returns the name of a job's team, "" if only the final state of the job is stored.
 func (c *Controller) teamOf(id string) string {
 	if job := c.cache.Job(id); job != nil {
 		return c.cache.Teams[job.Team].Name
