--- a/cmd/dykeledge/teams_test.go
+++ b/cmd/dykeledge/teams_test.go
@@ -55,7 +55,7 @@
 		return controller.TeamView{}, errLost
 	}
 	if version != c.view.Version {
-		return controller.TeamView{}, controller.ErrVersion
+		return controller.TeamView{}, controller.ErrVersionConflict
 	}
 	var to struct {
 		CpusMax float64 `json:"cpus_max"`
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	r.cache.Revision = to
-	r.cache.Sweep()
+	r.cache.PruneFinalJobs()
 }
 
 // cells are what a job's row must show: team, priority, tasks, done, placed, waiting.
@@ -142,8 +142,8 @@
 	}
 	for i, t := range snapshot.Teams {
 		if t.Queued != sums[i].Queued || t.Running != sums[i].Running || t.Waiting != sums[i].Waiting || t.Placed != sums[i].Placed ||
-			t.UsedCpus != uint64(math.Round(1000*r.cache.Used[i].Cpus)) {
-			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, sums[i], r.cache.Used[i].Cpus)
+			t.UsedCpus != uint64(math.Round(1000*r.cache.TeamUsage[i].Cpus)) {
+			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, sums[i], r.cache.TeamUsage[i].Cpus)
 		}
 	}
 	machines := 0
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Page is the maximum number of rows in one answer of a list request.
-const Page = 200
+// MaxListRows is the maximum number of rows in one answer of a list request.
+const MaxListRows = 200
 
 // memberNames returns the names of all configured controllers, this one included, in order.
 func (c *Controller) memberNames() []string {
@@ -63,7 +63,7 @@
 		view.Alive, view.Incarnation = true, member.Incarnation
 	}
 	if peer, ok := c.reachability.peers[name]; ok {
-		view.HeartbeatAgeS, view.StateOK = time.Since(peer.heardAt).Seconds(), peer.heartbeat.StateOK
+		view.HeartbeatAgeS, view.StateOK = time.Since(peer.receivedAt).Seconds(), peer.heartbeat.StateOK
 	}
 	if name == c.cfg.MemberName {
 		view.HeartbeatAgeS, view.StateOK = 0, c.PeerHeartbeat().StateOK
--- a/internal/controller/attempt_outcomes.go
+++ b/internal/controller/attempt_outcomes.go
@@ -22,7 +22,7 @@
 
 // noteRunningAttempts records which attempts a worker reports as running, and since when.
 func (c *Controller) noteRunningAttempts(machine *storage.Machine, worker *workerState, now time.Time) {
-	for ref, seen := range worker.Seen {
+	for ref, seen := range worker.Reported {
 		if seen.State != protocol.TaskRunning && seen.State != protocol.TaskCheckpointing {
 			continue
 		}
@@ -30,7 +30,7 @@
 			worker.started[ref] = now
 			c.logReplicaStart(machine, ref, now)
 		}
-		worker.images = storage.UseImage(worker.images, ref.Job.Image)
+		worker.images = storage.TouchImage(worker.images, ref.Job.Image)
 		c.noteSteadyReplica(worker, ref.Job, now.Sub(worker.started[ref]))
 	}
 }
@@ -38,23 +38,23 @@
 // logReplicaStart logs how long a service's replica took to start: the time until it was placed, and
 // then until its image was fetched. Replicas that ran before this controller took over a shard are
 // left out.
-func (c *Controller) logReplicaStart(machine *storage.Machine, ref dispatch.Ref, now time.Time) {
+func (c *Controller) logReplicaStart(machine *storage.Machine, ref dispatch.AttemptRef, now time.Time) {
 	if ref.Job.Shape != protocol.Service {
 		return
 	}
 	for _, placed := range machine.Tasks {
 		fetchS := now.Unix() - placed.PlacedAt
-		if dispatch.RefOf(placed) != ref || now.Sub(c.shards.takenOverAt) <= seconds(float64(fetchS)) {
+		if dispatch.AttemptRefOf(placed) != ref || now.Sub(c.shards.takenOverAt) <= seconds(float64(fetchS)) {
 			continue
 		}
 		c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", machine.Name,
-			"waited_s", placed.WaitedS, "fetch_s", fetchS, "image_gb", ref.Job.ImageGB,
+			"waited_s", placed.WaitedSeconds, "fetch_s", fetchS, "image_gb", ref.Job.ImageGB,
 			"age_s", now.Sub(ref.Job.ReadyAt).Round(100*time.Millisecond).Seconds())
 	}
 }
 
 // noteOutcome updates the state of an attempt's machine and job with its outcome.
-func (c *Controller) noteOutcome(machine *storage.Machine, worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
+func (c *Controller) noteOutcome(machine *storage.Machine, worker *workerState, ref dispatch.AttemptRef, outcome dispatch.Outcome, now time.Time) {
 	jobState := c.jobState(ref.Job)
 	c.countOutcome(worker, ref, outcome, now)
 	if outcome != dispatch.Completed {
@@ -71,8 +71,8 @@
 		c.log.Debug("task failed", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task)
 		c.noteFailure(machine, worker, ref.Job, now)
 	case dispatch.Refused:
-		c.log.Info("start refused", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task, "cause", worker.Seen[ref].Cause)
-		jobState.backoff = maxTime(jobState.backoff, now.Add(refusedStartBackoff))
+		c.log.Info("start refused", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task, "cause", worker.Reported[ref].Cause)
+		jobState.retryAt = maxTime(jobState.retryAt, now.Add(refusedStartBackoff))
 	case dispatch.Lost:
 		c.log.Info("task lost", "machine", machine.Name, "job", ref.Job.ID, "task", ref.Task)
 	}
@@ -80,7 +80,7 @@
 
 // measureSlowdown updates a worker's smoothed slowdown with a completed attempt's run time relative
 // to its job's estimate.
-func (w *workerState) measureSlowdown(ref dispatch.Ref, now time.Time) {
+func (w *workerState) measureSlowdown(ref dispatch.AttemptRef, now time.Time) {
 	startedAt, ok := w.started[ref]
 	if !ok || ref.Job.Estimate <= minMeasuredEstimateS {
 		return
--- a/internal/controller/autoscale/decide.go
+++ b/internal/controller/autoscale/decide.go
@@ -16,7 +16,7 @@
 	Pool
 	Cpus, Gpus, Mem float64 // per machine: CPUs, accelerators, memory in GB
 	Price           float64 // of one machine, as listed in the catalog
-	Boot            float64 // boot time of a machine in seconds
+	BootSeconds     float64 // boot time of a machine in seconds
 	Owned           int     // machines of the pool that are running or being started
 	Blocked         bool    // a recent request to the pool was refused or only partly filled
 }
@@ -87,7 +87,7 @@
 		if demand.Spot {
 			unplaced = p.takeCapacity(&p.spot, demand, unplaced)
 		}
-		if !demand.Idle {
+		if !demand.IdleTimeWork {
 			unplaced = p.takeCapacity(&p.onDemand, demand, unplaced)
 		}
 		p.scaleOut(demand, unplaced)
@@ -167,7 +167,7 @@
 			return
 		}
 		if p.newFreeFraction[offer.Pool] <= minNewFreeFraction {
-			p.addMachine(offer, demand.Idle)
+			p.addMachine(offer, demand.IdleTimeWork)
 		}
 		tasksPerMachine := demand.tasksPerMachine(offer.Cpus, offer.Gpus, offer.Mem)
 		tasks := min(unplaced, tasksPerMachine*p.newFreeFraction[offer.Pool])
--- a/internal/controller/autoscale/decide_test.go
+++ b/internal/controller/autoscale/decide_test.go
@@ -8,16 +8,16 @@
 func TestDecide(t *testing.T) {
 	spotA, spotB, onDemandA := Pool{0, 0, true}, Pool{0, 1, true}, Pool{0, 0, false}
 	offer := func(p Pool, price float64, blocked bool) Offer {
-		return Offer{Pool: p, Cpus: 16, Mem: 64, Price: price, Boot: 30, Blocked: blocked}
+		return Offer{Pool: p, Cpus: 16, Mem: 64, Price: price, BootSeconds: 30, Blocked: blocked}
 	}
 	offers := []Offer{offer(spotA, 0.3, false), offer(spotB, 0.3, false), offer(onDemandA, 1, false)}
 	machine := func(p Pool, usable bool) Machine { return Machine{Pool: p, Cpus: 16, Mem: 64, Usable: usable} }
 	work := func(tasks int, spot bool) Demand {
-		return Demand{Spot: spot, Zone: -1, Cpus: 4, Mem: 4, Tasks: tasks, Work: float64(tasks) * 10, WithinS: 10}
+		return Demand{Spot: spot, Zone: -1, Cpus: 4, Mem: 4, Tasks: tasks, TaskSeconds: float64(tasks) * 10, CompleteWithinS: 10}
 	}
 	idle := func(tasks int) Demand {
 		d := work(tasks, true)
-		d.Idle = true
+		d.IdleTimeWork = true
 		return d
 	}
 	cases := []struct {
@@ -43,7 +43,7 @@
 			[]Offer{offer(spotA, 0.3, true), offer(onDemandA, 1, false)}, map[Pool]int{}, map[Pool]float64{onDemandA: 1}},
 		{"idle-time work uses what others leave", []Demand{idle(8), work(4, true)}, []Machine{machine(spotA, true)}, offers,
 			map[Pool]int{spotA: 1, spotB: 1}, nil},
-		{"too large for any machine", []Demand{{Spot: true, Zone: -1, Cpus: 32, Tasks: 1, Work: 10, WithinS: 10}}, nil, offers, map[Pool]int{}, nil},
+		{"too large for any machine", []Demand{{Spot: true, Zone: -1, Cpus: 32, Tasks: 1, TaskSeconds: 10, CompleteWithinS: 10}}, nil, offers, map[Pool]int{}, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -80,11 +80,11 @@
 			}
 			var demands []Demand
 			for i := range size.kinds {
-				demands = append(demands, Demand{Spot: i%4 > 0, Zone: -1, Cpus: 2 + float64(i%97)/40, Mem: 8, WithinS: 50, Work: 1200, Tasks: 40})
+				demands = append(demands, Demand{Spot: i%4 > 0, Zone: -1, Cpus: 2 + float64(i%97)/40, Mem: 8, CompleteWithinS: 50, TaskSeconds: 1200, Tasks: 40})
 			}
 			offers := []Offer{
-				{Pool: Pool{Spot: true}, Cpus: 16, Mem: 64, Price: 0.2, Boot: 30, Blocked: true},
-				{Cpus: 16, Mem: 64, Price: 0.8, Boot: 30, Blocked: true},
+				{Pool: Pool{Spot: true}, Cpus: 16, Mem: 64, Price: 0.2, BootSeconds: 30, Blocked: true},
+				{Cpus: 16, Mem: 64, Price: 0.8, BootSeconds: 30, Blocked: true},
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/controller/autoscale/demand.go
+++ b/internal/controller/autoscale/demand.go
@@ -15,13 +15,13 @@
 type Demand struct {
 	Team            int // the team whose limit applies, or NoTeam
 	Spot            bool
-	Idle            bool    // idle-time work: only spot machines are scaled out for it
+	IdleTimeWork    bool    // idle-time work: only spot machines are scaled out for it
 	Types           []int   // machine types that it may run on; empty: any
 	Zone            int     // the zone that it must run in; -1: any
 	Cpus, Gpus, Mem float64 // per task: CPUs, accelerators, memory in GB
 	Tasks           int     // waiting and placed tasks
-	Work            float64 // remaining work in task-seconds
-	WithinS         float64 // seconds in which the work should be completed; 0: no deadline
+	TaskSeconds     float64 // remaining work in task-seconds
+	CompleteWithinS float64 // seconds in which the work should be completed; 0: no deadline
 }
 
 // Fits reports whether a demand's tasks may run on machines of a pool that have the given resources.
@@ -32,7 +32,7 @@
 // mayUsePool reports whether a pool satisfies a demand's constraints on spot or on-demand machines, zone
 // and machine type.
 func (d *Demand) mayUsePool(pool Pool) bool {
-	return (d.Spot || !pool.Spot) && (pool.Spot || !d.Idle) && (d.Zone < 0 || d.Zone == pool.Zone) &&
+	return (d.Spot || !pool.Spot) && (pool.Spot || !d.IdleTimeWork) && (d.Zone < 0 || d.Zone == pool.Zone) &&
 		(len(d.Types) == 0 || slices.Contains(d.Types, pool.Type))
 }
 
@@ -40,8 +40,8 @@
 // is as for Decide.
 func (d *Demand) concurrentTasks(horizon float64) float64 {
 	tasks := float64(d.Tasks)
-	if d.WithinS > 0 && horizon > 0 {
-		tasks = min(tasks, math.Ceil(d.Work/(horizon*d.WithinS)))
+	if d.CompleteWithinS > 0 && horizon > 0 {
+		tasks = min(tasks, math.Ceil(d.TaskSeconds/(horizon*d.CompleteWithinS)))
 	}
 	return tasks
 }
@@ -62,7 +62,7 @@
 // and uses the capacity that remains.
 func (d *Demand) rank() int {
 	rank := 0
-	if d.Idle {
+	if d.IdleTimeWork {
 		rank += 8
 	}
 	if d.Spot {
--- a/internal/controller/autoscale/limits.go
+++ b/internal/controller/autoscale/limits.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for team, teamDemands := range byTeam {
-		slices.SortStableFunc(teamDemands, func(a, b *Demand) int { return cmp.Compare(a.WithinS, b.WithinS) })
+		slices.SortStableFunc(teamDemands, func(a, b *Demand) int { return cmp.Compare(a.CompleteWithinS, b.CompleteWithinS) })
 		remaining := limit(team)
 		for _, demand := range teamDemands {
 			remaining.Cpus = demand.capTasks(remaining.Cpus, demand.Cpus, horizon)
--- a/internal/controller/autoscale/limits_test.go
+++ b/internal/controller/autoscale/limits_test.go
@@ -7,7 +7,7 @@
 func TestCapToLimits(t *testing.T) {
 	const horizon = 0.5
 	demand := func(team, tasks int, work, withinS float64) Demand {
-		return Demand{Team: team, Tasks: tasks, Work: work, WithinS: withinS, Cpus: 2}
+		return Demand{Team: team, Tasks: tasks, TaskSeconds: work, CompleteWithinS: withinS, Cpus: 2}
 	}
 	for _, test := range []struct {
 		name    string
@@ -21,7 +21,7 @@
 		{"the more urgent keeps its tasks", []Demand{demand(0, 50, 1000, 90), demand(0, 3, 1000, 10)}, Limit{Cpus: 10}, []int{2, 3}},
 		{"the more urgent uses up the limit", []Demand{demand(0, 50, 1000, 90), demand(0, 9, 1000, 10)}, Limit{Cpus: 10}, []int{0, 5}},
 		{"teams have their own limits", []Demand{demand(0, 50, 1000, 10), demand(1, 50, 1000, 10)}, Limit{Cpus: 10}, []int{5, 5}},
-		{"limit on accelerators", []Demand{{Team: 0, Tasks: 50, Work: 1000, WithinS: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
+		{"limit on accelerators", []Demand{{Team: 0, Tasks: 50, TaskSeconds: 1000, CompleteWithinS: 10, Cpus: 2, Gpus: 1}}, Limit{Cpus: 100, Gpus: 3}, []int{3}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			CapToLimits(test.demands, horizon, func(int) Limit { return test.limit })
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -28,7 +28,7 @@
 	for _, request := range plan.ScaleOuts {
 		c.requestScaleOut(ctx, request)
 	}
-	retention := autoscale.IdleRetention(c.longestBootS(), c.tightestFinishObjective())
+	retention := autoscale.IdleRetention(c.longestBootS(), c.shortestFinishObjectiveS())
 	c.scaleInIdle(now, plan, retention)
 	c.drainSurplus(now, plan, retention)
 }
@@ -81,7 +81,7 @@
 		return false
 	}
 	worker := c.workers.states[m.Index]
-	if worker != nil && (worker.unhealthy || !worker.preemptedAt.IsZero() || c.unresponsive(worker, now)) {
+	if worker != nil && (worker.unhealthy || !worker.preemptionAt.IsZero() || c.unresponsive(worker, now)) {
 		return false
 	}
 	return !c.bootOverdue(m, bootTimeoutFactor, now) && !c.reachability.zoneUnreachable(m.Zone)
@@ -103,7 +103,7 @@
 				}
 				pool := autoscale.Pool{Type: typeIndex, Zone: zone, Spot: spot}
 				offers = append(offers, autoscale.Offer{Pool: pool, Cpus: machineType.Cpus, Gpus: machineType.Gpus, Mem: machineType.Mem,
-					Price: price, Boot: machineType.BootS, Owned: owned[pool],
+					Price: price, BootSeconds: machineType.BootSeconds, Owned: owned[pool],
 					Blocked: !c.leader.canRequest(pool, now) || c.reachability.zoneUnreachable(zone)})
 			}
 		}
@@ -116,17 +116,17 @@
 	longest := 0.0
 	for i := range c.cache.Types {
 		if t := &c.cache.Types[i]; t.Cpus > 0 {
-			longest = max(longest, t.BootS)
+			longest = max(longest, t.BootSeconds)
 		}
 	}
 	return longest
 }
 
-// tightestFinishObjective returns the shortest time, in seconds, within which an objective requires jobs
+// shortestFinishObjectiveS returns the shortest time, in seconds, within which an objective requires jobs
 // finished; 0: there is no such objective. Objectives on the start of work, of a class or within a guarantee,
 // are left out: when they were read as objectives on finishing, every idle machine was retained and the
 // cluster never scaled in.
-func (c *Controller) tightestFinishObjective() float64 {
+func (c *Controller) shortestFinishObjectiveS() float64 {
 	tightest := 0.0
 	for _, objective := range c.cfg.Deployment.Objectives {
 		if objective.Kind == "finished" && objective.WithinS > 0 && (tightest == 0 || objective.WithinS < tightest) {
--- a/internal/controller/baseline/estimator.go
+++ b/internal/controller/baseline/estimator.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// Step is the length of a window: the arrivals of a window are evaluated together.
-	Step = 10 * time.Second
+	// WindowLength is the length of a window: the arrivals of a window are evaluated together.
+	WindowLength = 10 * time.Second
 	// minEstimateWindows is the number of windows before the first estimate. The estimate uses their
 	// median, so that neither the burst of submissions when a deployment opens nor an overload that
 	// starts soon afterwards distorts it.
@@ -62,8 +62,8 @@
 	return e
 }
 
-// Window adds the arrivals of one time window. A window whose length is not positive is ignored.
-func (e *Estimator) Window(duration time.Duration, arrivals map[storage.ClassQueue]storage.Arrivals) {
+// AddWindow adds the arrivals of one time window. A window whose length is not positive is ignored.
+func (e *Estimator) AddWindow(duration time.Duration, arrivals map[storage.ClassQueue]storage.Arrivals) {
 	seconds := duration.Seconds()
 	if seconds <= 0 {
 		return
@@ -166,8 +166,8 @@
 	return rates
 }
 
-// Differs reports whether the baselines differ from a record so much that it should be rewritten.
-func (e *Estimator) Differs(record Rates) bool {
+// DiffersFrom reports whether the baselines differ from a record so much that it should be rewritten.
+func (e *Estimator) DiffersFrom(record Rates) bool {
 	for queue, rate := range e.Baseline() {
 		if math.Abs(rate-record[queue]) > minRecordChange*record[queue] {
 			return true
--- a/internal/controller/baseline/estimator_test.go
+++ b/internal/controller/baseline/estimator_test.go
@@ -11,7 +11,7 @@
 	const workPerJob = 10 // CPU-seconds
 	queue, otherQueue := storage.ClassQueue{Team: 0, Class: 0}, storage.ClassQueue{Team: 1, Class: 1}
 	arrivals := func(rate float64) storage.Arrivals {
-		work := rate * Step.Seconds()
+		work := rate * WindowLength.Seconds()
 		return storage.Arrivals{Jobs: work / workPerJob, Work: work}
 	}
 	type phase struct {
@@ -49,15 +49,15 @@
 					if phase.everyWindows > 0 && i%phase.everyWindows != 0 {
 						delete(asked, queue)
 					}
-					estimator.Window(Step, asked)
+					estimator.AddWindow(WindowLength, asked)
 				}
 			}
 			learned := estimator.Baseline()
 			if rate := learned[queue]; rate < test.minBaseline || rate > test.maxBaseline {
 				t.Errorf("baseline %.1f, want %.1f to %.1f", rate, test.minBaseline, test.maxBaseline)
 			}
-			if len(test.phases) > 1 && len(learned) > 0 && estimator.Differs(learned) {
-				t.Error("Differs reports a difference from its own baselines")
+			if len(test.phases) > 1 && len(learned) > 0 && estimator.DiffersFrom(learned) {
+				t.Error("DiffersFrom reports a difference from its own baselines")
 			}
 		})
 	}
--- a/internal/controller/baseline_learning.go
+++ b/internal/controller/baseline_learning.go
@@ -16,7 +16,7 @@
 const (
 	// baselineWriteInterval is the minimum time between two writes of the baseline record.
 	baselineWriteInterval = time.Minute
-	// maxWindowSteps is the length, in steps (baseline.Step), from which on a window is not used for the
+	// maxWindowSteps is the length, in steps (baseline.WindowLength), from which on a window is not used for the
 	// estimate.
 	maxWindowSteps = 3
 	// baselineFillPercent is the part of the record size limit, in percent, that the baseline record may
@@ -48,11 +48,11 @@
 // all at once after a pause are not an overload.
 func (l *baselineLearning) observeWindow(arrivals map[storage.ClassQueue]storage.Arrivals, storeFailing bool, now time.Time) {
 	duration := now.Sub(l.windowStart)
-	if duration < baseline.Step {
+	if duration < baseline.WindowLength {
 		return
 	}
-	if duration < maxWindowSteps*baseline.Step && !storeFailing {
-		l.estimator.Window(duration, arrivalsSince(l.lastArrivals, arrivals))
+	if duration < maxWindowSteps*baseline.WindowLength && !storeFailing {
+		l.estimator.AddWindow(duration, arrivalsSince(l.lastArrivals, arrivals))
 	}
 	l.lastArrivals, l.windowStart = maps.Clone(arrivals), now
 }
@@ -73,7 +73,7 @@
 	if l.writeInFlight || now.Sub(l.writtenAt) < baselineWriteInterval && recorded.Version > 0 {
 		return false
 	}
-	return l.estimator.Differs(recorded.Cpus)
+	return l.estimator.DiffersFrom(recorded.Cpus)
 }
 
 // learnBaseline updates the leader's baseline estimate and stores it. A new leader continues from the record:
@@ -97,5 +97,5 @@
 	txn := c.leaderTxn()
 	txn.If = append(txn.If, protocol.Condition{Key: storage.BaselineKey, Version: c.cache.Baseline.Version})
 	txn.Then = []protocol.Change{{Put: storage.BaselineKey, Value: storage.Encode(record)}}
-	c.commitAside(ctx, txn, protocol.BackgroundRequest, func(bool) { learning.writeInFlight = false })
+	c.commitOutsideCycle(ctx, txn, protocol.BackgroundRequest, func(bool) { learning.writeInFlight = false })
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -19,7 +19,7 @@
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12, ValueKB: 32, WriteRPS: 80}}}
-	controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+	controller := New(cfg, stubStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	controller.follower.loaded, controller.session.incarnation = true, 1
 	controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 16, MemGB: 64, FetchGBs: 0.4, CacheGB: 30}}})
 	put := func(key string, v any, version uint64) {
@@ -53,13 +53,13 @@
 	controller.cache.Revision, controller.follower.highestRevision = 5, 5
 	controller.shards.owned[0] = 2
 	for _, m := range controller.cache.Machines {
-		controller.applyHeartbeat(m, controller.workerState(m), reportOf(m, 1), 4, false)
+		controller.applyHeartbeat(m, controller.workerState(m), heartbeatOf(m, 1), 4, false)
 	}
-	controller.cache.TakeChanged()
+	controller.cache.TakeChangedAndEnded()
 	return controller
 }
 
-func reportOf(machine *storage.Machine, seq uint64) *protocol.Heartbeat {
+func heartbeatOf(machine *storage.Machine, seq uint64) *protocol.Heartbeat {
 	heartbeat := &protocol.Heartbeat{Machine: machine.Name, Incarnation: 1, Seq: seq, FencingToken: 4}
 	for _, placed := range machine.Tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: protocol.TaskName(placed.Job.ID, placed.Task), Attempt: placed.Attempt, State: protocol.TaskRunning})
@@ -116,7 +116,7 @@
 		seq := uint64(1)
 		return func() error {
 			seq++
-			c.handleHeartbeat(ctx, reportOf(machine, seq), func(int, any) {})
+			c.handleHeartbeat(ctx, heartbeatOf(machine, seq), func(int, any) {})
 			c.flushHeldReplies(time.Now(), true)
 			return nil
 		}
@@ -132,7 +132,7 @@
 			if err := c.cache.Apply(storage.GroupKey(1), raw, version, false); err != nil {
 				return err
 			}
-			c.changed()
+			c.onRecordsChanged()
 			return nil
 		}
 	})
@@ -165,7 +165,7 @@
 
 func readAllJobs(ctx context.Context, c *Controller) error {
 	for after, more := "", true; more; {
-		rows, hasMore, err := c.JobViews(ctx, "", after, Page)
+		rows, hasMore, err := c.JobViews(ctx, "", after, MaxListRows)
 		if err != nil {
 			return err
 		}
@@ -176,7 +176,7 @@
 
 func readAllMachines(ctx context.Context, c *Controller) error {
 	for after, more := "", true; more; {
-		rows, hasMore, err := c.MachineInfos(ctx, after, Page)
+		rows, hasMore, err := c.MachineInfos(ctx, after, MaxListRows)
 		if err != nil {
 			return err
 		}
--- a/internal/controller/boot_patience.go
+++ b/internal/controller/boot_patience.go
@@ -48,10 +48,10 @@
 	return !c.reachability.zoneUnreachable(m.Zone) && !c.bootOverdue(m, bootTimeoutFactor, now)
 }
 
-// bootLeft estimates the remaining boot time of a machine in seconds. Most machines are up after about the
+// remainingBootS estimates the remaining boot time of a machine in seconds. Most machines are up after about the
 // boot time of their type; beyond that, the estimate grows with the delay.
-func (c *Controller) bootLeft(m *storage.Machine, worker *workerState, now time.Time) float64 {
-	left := c.cache.Types[m.Type].BootS - c.bootAge(m, worker, now).Seconds()
+func (c *Controller) remainingBootS(m *storage.Machine, worker *workerState, now time.Time) float64 {
+	left := c.cache.Types[m.Type].BootSeconds - c.bootAge(m, worker, now).Seconds()
 	return max(minRemainingBootS, left, minRemainingBootS-left/2)
 }
 
@@ -60,7 +60,7 @@
 	if c.hasBooted(m) {
 		return false
 	}
-	return c.bootAge(m, c.workers.states[m.Index], now) > seconds(factor*max(c.cache.Types[m.Type].BootS, minBootS))
+	return c.bootAge(m, c.workers.states[m.Index], now) > seconds(factor*max(c.cache.Types[m.Type].BootSeconds, minBootS))
 }
 
 // bootAge returns the time since a machine was provisioned. If that is not recorded, it is the time since
@@ -70,12 +70,12 @@
 	case m.ProvisionedAt > 0: // independent of which controllers owned it since
 		return now.Sub(time.Unix(m.ProvisionedAt, 0))
 	case worker != nil:
-		return now.Sub(worker.since)
+		return now.Sub(worker.trackedSince)
 	}
 	return 0
 }
 
-// neverCame reports whether a machine that does not come up has to be given up; lastUp is that of its type.
-func (c *Controller) neverCame(m *storage.Machine, lastUp int64, now time.Time) bool {
+// bootFailed reports whether a machine that does not come up has to be given up; lastUp is that of its type.
+func (c *Controller) bootFailed(m *storage.Machine, lastUp int64, now time.Time) bool {
 	return c.bootOverdue(m, bootTimeoutFactor, now) && (m.ProvisionedAt <= lastUp || c.bootOverdue(m, maxBootTimeoutFactor, now))
 }
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -32,7 +32,7 @@
 func newCancellationTracker(now time.Time) cancellationTracker {
 	return cancellationTracker{
 		digest:       digestState{gossiped: map[string]uint64{}, completeUntil: map[string]time.Time{}},
-		unverified:   unverifiedRenewals{since: now, lastRenewals: map[string]time.Time{}},
+		unverified:   unverifiedRenewals{startedAt: now, lastRenewals: map[string]time.Time{}},
 		terminations: map[int32]*termination{},
 	}
 }
--- a/internal/controller/capacity_fit.go
+++ b/internal/controller/capacity_fit.go
@@ -48,11 +48,11 @@
 // mayStart reports whether a job has a waiting task, is not in backoff, and its team is within its
 // limit with one more task.
 func (c *Controller) mayStart(job *storage.Job, now time.Time) bool {
-	if !job.Open() || c.wantedTasks(job) == 0 || !schedule.WithinLimit(c.cache.Teams[job.Team], c.cache.Used[job.Team], job, 1) {
+	if !job.Open() || c.wantedTasks(job) == 0 || !schedule.WithinLimit(c.cache.Teams[job.Team], c.cache.TeamUsage[job.Team], job, 1) {
 		return false
 	}
 	state := c.jobStates[job]
-	return state == nil || !now.Before(state.backoff)
+	return state == nil || !now.Before(state.retryAt)
 }
 
 // anyWaitingAllowed reports whether a shard has waiting work that is allowed on one of a group's
@@ -96,8 +96,8 @@
 // tasks.
 func inZone(job *storage.Job, zone int) bool {
 	tasksInZone := 0
-	if zone < len(job.ByZone) {
-		tasksInZone = int(job.ByZone[zone])
+	if zone < len(job.PlacedByZone) {
+		tasksInZone = int(job.PlacedByZone[zone])
 	}
 	if job.OneZone && job.PlacedCount > tasksInZone {
 		return false
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -27,9 +27,9 @@
 
 // cloudListState is the leader's state of reading the cloud's machine list.
 type cloudListState struct {
-	listing    bool
-	listedAt   time.Time
-	unrecorded map[string]time.Time // when a machine without a record was first listed
+	listInFlight bool
+	listedAt     time.Time
+	unrecorded   map[string]time.Time // when a machine without a record was first listed
 }
 
 func newCloudListState() cloudListState {
@@ -38,7 +38,7 @@
 
 // listDue reports whether the machine list should be read again.
 func (l *cloudListState) listDue(now time.Time, interval time.Duration) bool {
-	return !l.listing && now.Sub(l.listedAt) > interval
+	return !l.listInFlight && now.Sub(l.listedAt) > interval
 }
 
 // enrollmentOverdue records when a machine was first listed without a record, and reports whether that is
@@ -79,7 +79,7 @@
 
 // storeCatalog writes the catalog to the state service unless one is stored already.
 func (c *Controller) storeCatalog(ctx context.Context, catalog *protocol.Catalog) {
-	c.commitAside(ctx, protocol.Txn{
+	c.commitOutsideCycle(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.CatalogKey}},
 		Then: []protocol.Change{{Put: storage.CatalogKey, Value: storage.Encode(catalog)}},
 	}, protocol.BackgroundRequest, func(bool) {})
@@ -95,7 +95,7 @@
 func (c *Controller) listCloudMachines(ctx context.Context) {
 	machines, err := c.readCloudList(ctx)
 	c.post(func() {
-		c.leader.listing = false
+		c.leader.listInFlight = false
 		if err != nil {
 			c.log.Debug("reading the machine list failed", "err", err)
 			return
@@ -146,7 +146,7 @@
 
 // enrollListed enrolls a listed machine whose record has been missing for longer than enrollmentGrace.
 func (c *Controller) enrollListed(ctx context.Context, listed protocol.CloudMachine, now time.Time) {
-	if c.cache.MachineSeen(listed.ID) || c.leader.enrollPending[listed.ID] || c.cache.TypeIndex.Find(listed.Type) < 0 {
+	if c.cache.MachineEverListed(listed.ID) || c.leader.enrollPending[listed.ID] || c.cache.TypeIndex.Find(listed.Type) < 0 {
 		return
 	}
 	if !c.leader.enrollmentOverdue(listed.ID, now) {
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -74,7 +74,7 @@
 		began := time.Now()
 		builder, more := c.plan(now, ops)
 		took := time.Since(began)
-		c.metrics.counters.pass(took)
+		c.metrics.counters.recordPass(took)
 		c.metrics.planSeconds.Observe(took.Seconds())
 		if c.planner.oversizedGroup != nil {
 			if split := c.nextGroupSplit(); len(split.Then) > 0 {
@@ -167,7 +167,7 @@
 	for _, job := range c.planner.completedJobs {
 		c.logDone(job, now)
 	}
-	c.changed()
+	c.onRecordsChanged()
 	c.flushHeldReplies(now, true)
 	c.dispatchDirect(txn)
 }
@@ -212,8 +212,8 @@
 		"after_s", now.Sub(job.Submitted).Round(100*time.Millisecond).Seconds(),
 		"dependencies", job.Dependencies,
 		"ready_after_s", job.ReadyAt.Sub(job.Submitted).Seconds(),
-		"first_placed_after_s", state.sinceReady(job, state.firstPlacedAt),
-		"last_placed_after_s", state.sinceReady(job, state.lastPlacedAt),
+		"first_placed_after_s", state.secondsSinceReady(job, state.firstPlacedAt),
+		"last_placed_after_s", state.secondsSinceReady(job, state.lastPlacedAt),
 		"terminated_tasks", state.terminatedTasks)
 }
 
@@ -238,9 +238,9 @@
 func (c *Controller) hasUnsentLaunch(machine *storage.Machine) bool {
 	worker := c.workerState(machine)
 	for _, placed := range machine.Tasks {
-		ref := dispatch.RefOf(placed)
-		_, seen := worker.Seen[ref]
-		_, sent := worker.Sent[ref]
+		ref := dispatch.AttemptRefOf(placed)
+		_, seen := worker.Reported[ref]
+		_, sent := worker.LaunchSentSeq[ref]
 		if !seen && !sent {
 			return true
 		}
@@ -248,25 +248,25 @@
 	return false
 }
 
-// commitAside commits a transaction independently of the cycle, and applies it to the cache. done
+// commitOutsideCycle commits a transaction independently of the cycle, and applies it to the cache. done
 // is called in the controller's event loop with the outcome. The goroutine that it starts ends with
 // ctx.
-func (c *Controller) commitAside(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority, done func(ok bool)) {
+func (c *Controller) commitOutsideCycle(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority, done func(ok bool)) {
 	go func() {
 		revision, failed, err := c.transact(ctx, txn, priority)
-		c.committed(txn, revision, err == nil && len(failed) == 0, done)
+		c.postTxnOutcome(txn, revision, err == nil && len(failed) == 0, done)
 	}()
 }
 
-// committed passes the outcome of a transaction to the controller's event loop, applies the
+// postTxnOutcome passes the outcome of a transaction to the controller's event loop, applies the
 // transaction to the cache if ok is set, and calls done.
-func (c *Controller) committed(txn protocol.Txn, revision uint64, ok bool, done func(ok bool)) {
+func (c *Controller) postTxnOutcome(txn protocol.Txn, revision uint64, ok bool, done func(ok bool)) {
 	c.post(func() {
 		if ok {
 			c.applyTxn(txn, revision)
 		}
 		done(ok)
-		c.changed()
+		c.onRecordsChanged()
 	})
 }
 
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+			builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).lastMessageAt, 12)
 			txn := builder.build()
 			controller.workers.directCommands = maxDirectCommands // keeps direct commands from being sent: there are no workers
 			controller.handleTxnOutcome(txn, test.revision, test.failed, test.err)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -95,7 +95,7 @@
 // Run runs the controller until ctx ends. The goroutines that it starts end with ctx, too.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
-	c.cache.ForcePlain = c.Layout < storage.LayoutPacked
+	c.cache.ForcePlainLayout = c.Layout < storage.LayoutPacked
 	go c.keepSessionLease(ctx)
 	go c.followLoop(ctx)
 	go c.catalogLoop(ctx)
@@ -171,7 +171,7 @@
 	if !c.follower.loaded {
 		return
 	}
-	c.cache.Sweep()
+	c.cache.PruneFinalJobs()
 	c.deleteEndedJobStates()
 	c.checkReadiness(ctx, now)
 	c.repairMemberRecord(ctx)
@@ -188,7 +188,7 @@
 	c.contactWorkers()
 	c.updateRateShare()
 	c.logCounters(now)
-	c.showView(now, false)
+	c.updateView(now, false)
 	c.requestCycle()
 }
 
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -18,7 +18,7 @@
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
 		Teams: []config.Team{{Name: "red"}}, Workers: config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 30},
 		State: config.State{TxnOps: 12}}}
-	controller := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+	controller := New(cfg, stubStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	controller.follower.loaded, controller.session.incarnation = true, 1
 	controller.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}})
 	put := func(key string, v any, version uint64) {
@@ -38,10 +38,10 @@
 	return controller
 }
 
-// idleStore implements only Pace; any other call panics.
-type idleStore struct{ StateStore }
+// stubStore implements only Pace; any other call panics.
+type stubStore struct{ StateStore }
 
-func (idleStore) Pace(int) time.Duration { return 0 }
+func (stubStore) Pace(int) time.Duration { return 0 }
 
 // machineIn returns machine m from the group record that a transaction writes.
 func machineIn(t *testing.T, builder *txnBuilder) storage.GroupMachine {
--- a/internal/controller/deadline_inheritance.go
+++ b/internal/controller/deadline_inheritance.go
@@ -17,8 +17,8 @@
 // inheritDeadlines updates the deadlines and priorities that jobs inherit from the jobs that depend
 // on them, and counts and logs jobs that became ready.
 func (c *Controller) inheritDeadlines() {
-	c.cache.Inherit(c.finishTimes, expectedDuration)
-	for _, job := range c.cache.NewlyReady() {
+	c.cache.InheritFromDependents(c.finishTimes, expectedDuration)
+	for _, job := range c.cache.TakeNewlyReady() {
 		if job.Open() {
 			c.metrics.readyJobs.Inc()
 			c.log.Debug("job is ready", "job", job.ID, "waited_s", job.ReadyAt.Sub(job.Submitted).Seconds(), "priority", job.Priority.String())
--- a/internal/controller/desired_state_test.go
+++ b/internal/controller/desired_state_test.go
@@ -19,8 +19,8 @@
 		grace float64
 	}{
 		{"little to save", 17 * time.Second, protocol.TaskRunning, 0},
-		{"much to save", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMargin},
-		{"already saving", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMargin},
+		{"much to save", 28 * time.Second, protocol.TaskRunning, 3 + checkpointMarginS},
+		{"already saving", 31 * time.Second, protocol.TaskCheckpointing, 3 + checkpointMarginS},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
@@ -34,9 +34,9 @@
 			}}, 10)
 			machine := controller.cache.Machine("m")
 			worker, placed := controller.workerState(machine), machine.Tasks[0]
-			worker.started[dispatch.RefOf(placed)] = time.Now().Add(-test.ran)
-			worker.Seen[dispatch.RefOf(placed)] = dispatch.TaskSeen{State: test.state}
-			if desired := controller.desiredState(machine, worker, placed); !desired.Stop || desired.Grace != test.grace {
+			worker.started[dispatch.AttemptRefOf(placed)] = time.Now().Add(-test.ran)
+			worker.Reported[dispatch.AttemptRefOf(placed)] = dispatch.ReportedAttempt{State: test.state}
+			if desired := controller.desiredState(machine, worker, placed); !desired.Stop || desired.GraceS != test.grace {
 				t.Errorf("desired state %+v, want a stop with a grace of %v s", desired, test.grace)
 			}
 		})
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -16,9 +16,9 @@
 	maxCommands = 200
 	// maxDirectCommands limits the direct commands in flight at a time.
 	maxDirectCommands = 48
-	// checkpointMargin is the grace period, in seconds, beyond the time that a task needs to save a
+	// checkpointMarginS is the grace period, in seconds, beyond the time that a task needs to save a
 	// checkpoint.
-	checkpointMargin = 2.0
+	checkpointMarginS = 2.0
 	// preemptionMarginS is how many seconds earlier than its grace period and the next heartbeat
 	// require a task is stopped before the cloud preempts its machine.
 	preemptionMarginS = 1
@@ -35,7 +35,7 @@
 	checkpoints := job.CheckpointInterval > 0
 	grace := 0.0
 	if checkpoints {
-		grace = job.CheckpointCost + checkpointMargin
+		grace = job.CheckpointCost + checkpointMarginS
 	}
 	switch {
 	case c.cancellations.finished(job):
@@ -44,20 +44,20 @@
 		if worker.checkpointedRecently(placed) {
 			grace = 0
 		}
-		return dispatch.DesiredState{Stop: true, Grace: grace}
-	case machine.Draining && checkpoints && c.leavesDrained(machine, worker, placed, time.Now()):
-		return dispatch.DesiredState{Stop: true, Grace: grace}
-	case machine.Draining && c.jobStates[job] != nil && c.jobStates[job].relocating == dispatch.RefOf(placed):
+		return dispatch.DesiredState{Stop: true, GraceS: grace}
+	case machine.Draining && checkpoints && c.stopsForDrain(machine, worker, placed, time.Now()):
+		return dispatch.DesiredState{Stop: true, GraceS: grace}
+	case machine.Draining && c.jobStates[job] != nil && c.jobStates[job].relocating == dispatch.AttemptRefOf(placed):
 		return dispatch.DesiredState{Stop: true}
 	case checkpoints && worker.preemptedWithin(seconds(grace+c.cfg.Deployment.Workers.HeartbeatS+preemptionMarginS)):
-		return dispatch.DesiredState{Stop: true, Grace: grace}
+		return dispatch.DesiredState{Stop: true, GraceS: grace}
 	}
 	return dispatch.DesiredState{}
 }
 
 // preemptedWithin reports whether the cloud has announced to preempt the worker's machine within d.
 func (w *workerState) preemptedWithin(d time.Duration) bool {
-	return !w.preemptedAt.IsZero() && time.Until(w.preemptedAt) < d
+	return !w.preemptionAt.IsZero() && time.Until(w.preemptionAt) < d
 }
 
 // checkpointedRecently reports whether an attempt has run for less than a third of its checkpoint
@@ -65,9 +65,9 @@
 // saves, and the capacity is needed now. An attempt that is saving a checkpoint already may finish it.
 func (w *workerState) checkpointedRecently(placed storage.PlacedTask) bool {
 	interval := placed.Job.CheckpointInterval
-	ref := dispatch.RefOf(placed)
+	ref := dispatch.AttemptRefOf(placed)
 	startedAt, ok := w.started[ref]
-	return ok && interval > 0 && w.Seen[ref].State == protocol.TaskRunning &&
+	return ok && interval > 0 && w.Reported[ref].State == protocol.TaskRunning &&
 		math.Mod(time.Since(startedAt).Seconds(), interval) < interval/3
 }
 
@@ -143,11 +143,11 @@
 		c.raiseFencingToken(worker, heartbeat.FencingToken)
 		return
 	}
-	if worker.Newer(heartbeat) {
+	if worker.IsNewer(heartbeat) {
 		c.applyHeartbeat(machine, worker, heartbeat, c.cache.FencingToken(machine), true)
 		c.requestCycle()
 		// After a takeover, tasks that still run may have been cancelled while the shard had no owner.
-		c.terminateUnwanted(machine)
+		c.sendStopCommands(machine)
 	}
 	c.log.Debug("direct command answered", "machine", machine.Name, "status", reply.status, "commands", len(sent.Commands))
 }
@@ -160,7 +160,7 @@
 	c.zoneState(machine.Zone).missedProbes++
 	launches := slices.ContainsFunc(sent.Commands, func(command protocol.Command) bool { return command.Op == protocol.OpLaunch })
 	if launches && !errors.Is(err, protocol.ErrRefused) {
-		worker.Uncertain = max(worker.Uncertain, sent.FencingToken)
+		worker.UncertainToken = max(worker.UncertainToken, sent.FencingToken)
 	}
 	c.requestCycle()
 }
@@ -178,21 +178,21 @@
 	}
 }
 
-// terminateJob runs terminateUnwanted on the machines that a job's tasks are placed on.
+// terminateJob runs sendStopCommands on the machines that a job's tasks are placed on.
 func (c *Controller) terminateJob(job *storage.Job) {
 	if job.PlacedCount == 0 {
 		return
 	}
 	for _, index := range job.MachineOf {
-		if index != storage.Nowhere {
-			c.terminateUnwanted(c.cache.Machines[index])
+		if index != storage.NotPlaced {
+			c.sendStopCommands(c.cache.Machines[index])
 		}
 	}
 }
 
-// terminateUnwanted sends a machine its commands directly, without waiting for a heartbeat, if one of
+// sendStopCommands sends a machine its commands directly, without waiting for a heartbeat, if one of
 // its tasks is to be stopped and has not exited.
-func (c *Controller) terminateUnwanted(machine *storage.Machine) {
+func (c *Controller) sendStopCommands(machine *storage.Machine) {
 	if machine.Gone || len(machine.Tasks) == 0 || !c.ownsShard(machine.Shard) {
 		return
 	}
@@ -202,8 +202,8 @@
 		if !desired.Stop {
 			continue
 		}
-		seen, ok := worker.Seen[dispatch.RefOf(placed)]
-		if ok && seen.State != protocol.TaskExited && (seen.State != protocol.TaskCheckpointing || desired.Grace == 0) {
+		seen, ok := worker.Reported[dispatch.AttemptRefOf(placed)]
+		if ok && seen.State != protocol.TaskExited && (seen.State != protocol.TaskCheckpointing || desired.GraceS == 0) {
 			c.sendDirect(machine, false)
 			return
 		}
--- a/internal/controller/dispatch/commands.go
+++ b/internal/controller/dispatch/commands.go
@@ -7,40 +7,40 @@
 
 // DesiredState is the state of an attempt that the controller owning its machine's record requests.
 type DesiredState struct {
-	Stop  bool
-	Grace float64 // seconds it is given to write a checkpoint; 0: it stops at once
+	Stop   bool
+	GraceS float64 // seconds it is given to write a checkpoint; 0: it stops at once
 }
 
 // Commands returns the commands that bring the attempts reported by the worker to the state requested in
 // the record. desiredState returns the desired state of an attempt in the record; token is the fencing
 // token under which the machine is now commanded. Attempts that should stop and provably never started are
 // added to Gone. inAnswer is true if the commands are sent in the answer to the latest heartbeat; launches
-// are then recorded in Sent. Once there are limit commands, no further attempt of the record is considered.
+// are then recorded in LaunchSentSeq. Once there are limit commands, no further attempt of the record is considered.
 func (w *Worker) Commands(machine *storage.Machine, token uint64, desiredState func(storage.PlacedTask) DesiredState, inAnswer bool, limit int) []protocol.Command {
 	commands := w.unplacedCommands()
 	for _, placed := range machine.Tasks {
 		if len(commands) >= limit {
 			break
 		}
-		ref := RefOf(placed)
+		ref := AttemptRefOf(placed)
 		if _, ok := w.Gone[ref]; ok {
 			continue
 		}
 		desired := desiredState(placed)
-		reported, isReported := w.Seen[ref]
+		reported, isReported := w.Reported[ref]
 		switch {
 		case desired.Stop && isReported:
-			if reported.State != protocol.TaskCheckpointing || desired.Grace == 0 {
-				commands = append(commands, newCommand(protocol.OpKill, ref, desired.Grace))
+			if reported.State != protocol.TaskCheckpointing || desired.GraceS == 0 {
+				commands = append(commands, newCommand(protocol.OpKill, ref, desired.GraceS))
 			}
 		case desired.Stop:
-			if w.Absent(machine, ref, token) {
-				w.Gone[ref] = Unsent
+			if w.CannotStart(machine, ref, token) {
+				w.Gone[ref] = Undelivered
 			}
 		case !isReported && w.Incarnation == machine.Incarnation:
 			commands = append(commands, newCommand(protocol.OpLaunch, ref, 0))
 			if inAnswer {
-				w.Sent[ref] = w.HeartbeatSeq
+				w.LaunchSentSeq[ref] = w.HeartbeatSeq
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 }
 
 // newCommand returns a command for an attempt, with a grace period in seconds.
-func newCommand(operation string, ref Ref, grace float64) protocol.Command {
+func newCommand(operation string, ref AttemptRef, grace float64) protocol.Command {
 	return protocol.Command{Op: operation, Task: protocol.TaskName(ref.Job.ID, ref.Task), Attempt: ref.Attempt, GraceS: grace}
 }
 
--- a/internal/controller/dispatch/heartbeat.go
+++ b/internal/controller/dispatch/heartbeat.go
@@ -10,7 +10,7 @@
 // returns the job with an ID, nil if there is none.
 func (w *Worker) ApplyHeartbeat(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, isReply bool, findJob func(string) *storage.Job) {
 	if heartbeat.Incarnation != w.Incarnation {
-		clear(w.Sent)
+		clear(w.LaunchSentSeq)
 	}
 	w.Incarnation = heartbeat.Incarnation
 	w.Seq = heartbeat.Seq
@@ -18,14 +18,14 @@
 	if !isReply {
 		w.HeartbeatSeq = heartbeat.Seq
 	}
-	reportedBefore := w.Seen
+	reportedBefore := w.Reported
 	w.applyTasks(machine, heartbeat.Tasks, findJob)
 	w.markLost(machine, heartbeat, token, reportedBefore)
 }
 
 // applyTasks replaces the reported attempts and records the outcomes of those that have exited.
 func (w *Worker) applyTasks(machine *storage.Machine, tasks []protocol.TaskStatus, findJob func(string) *storage.Job) {
-	w.Seen = make(map[Ref]TaskSeen, len(tasks))
+	w.Reported = make(map[AttemptRef]ReportedAttempt, len(tasks))
 	w.Unplaced = w.Unplaced[:0]
 	for _, status := range tasks {
 		ref, ok := findPlacedAttempt(machine, status, findJob)
@@ -33,7 +33,7 @@
 			w.Unplaced = append(w.Unplaced, status)
 			continue
 		}
-		w.Seen[ref] = TaskSeen{State: status.State, Cause: status.Cause, Checkpointed: status.Checkpointed}
+		w.Reported[ref] = ReportedAttempt{State: status.State, Cause: status.Cause, Checkpointed: status.Checkpointed}
 		if status.State == protocol.TaskExited {
 			w.Gone[ref] = exitOutcome(status.Cause)
 		}
@@ -42,13 +42,13 @@
 
 // findPlacedAttempt returns the reference of a reported attempt; ok reports whether the job's record places
 // it on the machine.
-func findPlacedAttempt(machine *storage.Machine, status protocol.TaskStatus, findJob func(string) *storage.Job) (ref Ref, ok bool) {
+func findPlacedAttempt(machine *storage.Machine, status protocol.TaskStatus, findJob func(string) *storage.Job) (ref AttemptRef, ok bool) {
 	id, task, _ := protocol.SplitTask(status.Task) // a malformed name matches no job
 	job := findJob(id)
 	if job == nil || task >= job.Tasks || job.MachineOf[task] != machine.Index || job.AttemptOf[task] != status.Attempt {
-		return Ref{}, false
+		return AttemptRef{}, false
 	}
-	return Ref{job, task, status.Attempt}, true
+	return AttemptRef{job, task, status.Attempt}, true
 }
 
 // exitOutcome returns the outcome of an attempt that exited with a cause.
@@ -66,12 +66,12 @@
 }
 
 // markLost records attempts of the record as lost if a heartbeat proves that they are absent.
-func (w *Worker) markLost(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reportedBefore map[Ref]TaskSeen) {
+func (w *Worker) markLost(machine *storage.Machine, heartbeat *protocol.Heartbeat, token uint64, reportedBefore map[AttemptRef]ReportedAttempt) {
 	newIncarnation := heartbeat.Incarnation > machine.Incarnation // the session lease expired: the worker dropped every task
 	provesAbsence := w.provesAbsence(machine, heartbeat, token)
 	for _, placed := range machine.Tasks {
-		ref := RefOf(placed)
-		if _, ok := w.Seen[ref]; ok {
+		ref := AttemptRefOf(placed)
+		if _, ok := w.Reported[ref]; ok {
 			continue
 		}
 		if _, ok := w.Gone[ref]; ok {
@@ -90,16 +90,16 @@
 	return heartbeat.Incarnation >= machine.Incarnation && heartbeat.FencingToken >= token && !w.mayReceiveUncertain(heartbeat.FencingToken)
 }
 
-// Absent reports whether an attempt that was never reported can no longer start: the worker has seen the
+// CannotStart reports whether an attempt that was never reported can no longer start: the worker has seen the
 // token, no direct command can still reach it, and every answer that carried the launch belonged to a
 // heartbeat older than the latest.
-func (w *Worker) Absent(machine *storage.Machine, ref Ref, token uint64) bool {
-	if _, ok := w.Seen[ref]; ok {
+func (w *Worker) CannotStart(machine *storage.Machine, ref AttemptRef, token uint64) bool {
+	if _, ok := w.Reported[ref]; ok {
 		return false
 	}
-	if w.Incarnation != machine.Incarnation || w.FencingToken < token || w.FencingToken <= w.Uncertain || w.DirectInFlight {
+	if w.Incarnation != machine.Incarnation || w.FencingToken < token || w.FencingToken <= w.UncertainToken || w.DirectInFlight {
 		return false
 	}
-	sentSeq, sent := w.Sent[ref]
+	sentSeq, sent := w.LaunchSentSeq[ref]
 	return !sent || sentSeq < w.HeartbeatSeq
 }
--- a/internal/controller/dispatch/worker_test.go
+++ b/internal/controller/dispatch/worker_test.go
@@ -54,13 +54,13 @@
 		{name: "not yet reported: launched", steps: []step{{heartbeat: heartbeat(1, nil)}}, command: protocol.OpLaunch},
 		{name: "running as desired", steps: []step{{heartbeat: heartbeat(1, nil, running)}}},
 		{name: "running but should stop", steps: []step{{heartbeat: heartbeat(1, nil, running)}}, stop: true, command: protocol.OpKill},
-		{name: "should stop, launch never sent", steps: []step{{heartbeat: heartbeat(1, nil)}}, stop: true, want: Unsent},
+		{name: "should stop, launch never sent", steps: []step{{heartbeat: heartbeat(1, nil)}}, stop: true, want: Undelivered},
 		// The launch may still be in flight in the answer to the latest heartbeat.
 		{name: "should stop, launch just sent", steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}}, stop: true},
 		{
 			name:  "should stop, launch sent but not received",
 			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil)}},
-			stop:  true, want: Unsent,
+			stop:  true, want: Undelivered,
 		},
 		// The reply to a direct command is newer, but the answer to the heartbeat may arrive after it.
 		{
@@ -71,7 +71,7 @@
 		{
 			name:   "a direct command may still arrive",
 			steps:  []step{{heartbeat: heartbeat(1, nil)}},
-			change: func(w *Worker) { w.Uncertain = token },
+			change: func(w *Worker) { w.UncertainToken = token },
 			stop:   true,
 		},
 		{
@@ -83,8 +83,8 @@
 		{
 			name:   "an uncertain command under a lower token is rejected",
 			steps:  []step{{heartbeat: heartbeat(1, nil)}},
-			change: func(w *Worker) { w.Uncertain = token - 1 },
-			stop:   true, want: Unsent,
+			change: func(w *Worker) { w.UncertainToken = token - 1 },
+			stop:   true, want: Undelivered,
 		},
 		{name: "should stop, worker has not seen the token", steps: []step{{heartbeat: heartbeat(1, olderToken)}}, stop: true},
 	}
@@ -99,8 +99,8 @@
 			}
 			run := func(storage.PlacedTask) DesiredState { return DesiredState{} }
 			for _, step := range test.steps {
-				if !worker.Newer(step.heartbeat) {
-					t.Fatal("Newer rejects a newer heartbeat")
+				if !worker.IsNewer(step.heartbeat) {
+					t.Fatal("IsNewer rejects a newer heartbeat")
 				}
 				worker.ApplyHeartbeat(machine, step.heartbeat, token, step.reply, findJob)
 				if step.commandsInAnswer {
@@ -109,7 +109,7 @@
 			}
 			desired := func(storage.PlacedTask) DesiredState { return DesiredState{Stop: test.stop} }
 			commands := worker.Commands(machine, token, desired, true, 10)
-			if got := worker.Gone[Ref{job, 0, 7}]; got != test.want {
+			if got := worker.Gone[AttemptRef{job, 0, 7}]; got != test.want {
 				t.Errorf("outcome %d, want %d", got, test.want)
 			}
 			first := ""
@@ -139,7 +139,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worker := NewWorker()
-			worker.Uncertain = test.uncertain
+			worker.UncertainToken = test.uncertain
 			worker.ApplyHeartbeat(machine, heartbeat(1, nil, exited), token, false, func(string) *storage.Job { return nil })
 			commands := worker.Commands(machine, token, nil, true, 10)
 			if len(commands) != test.clears {
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -86,7 +86,7 @@
 		used, cpus := c.usedFraction(machine, now), c.cache.Types[machine.Type].Cpus
 		pool := poolOf(machine)
 		if len(machine.Tasks) > 0 && tasksOldEnough(machine, now) && used <= maxDrainUsage &&
-			plan.Surplus[pool] >= minDrainSurplus && c.leader.surplusLasts(pool, retention, now) {
+			plan.Surplus[pool] >= minDrainSurplus && c.leader.surplusPersists(pool, retention, now) {
 			survey.candidates = append(survey.candidates, drainCandidate{machine, used})
 		}
 		free := max(0, (1-used)*cpus)
@@ -103,7 +103,7 @@
 	waiting := 0.0
 	for _, job := range c.cache.Jobs {
 		if job != nil && !c.isIdleWork(job, now) {
-			waiting += float64(c.wantedTasks(job)) * job.Size
+			waiting += float64(c.wantedTasks(job)) * job.TaskSize
 		}
 	}
 	return waiting
@@ -115,7 +115,7 @@
 	used, cpus := 0.0, c.cache.Types[machine.Type].Cpus
 	for _, placed := range machine.Tasks {
 		if machine.Spot || !c.isIdleWork(placed.Job, now) {
-			used += placed.Job.Size / cpus
+			used += placed.Job.TaskSize / cpus
 		}
 	}
 	return used
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -23,11 +23,11 @@
 
 // pendingMachine is a machine that waits for enrollment: for its record to be written.
 type pendingMachine struct {
-	fleet storage.FleetRecord // the fleet record's fields, without machines
-	name  string
-	addr  string
-	tries int           // tries left; 0: a single try
-	done  func(ok bool) // called once with the outcome
+	fleet     storage.FleetRecord // the fleet record's fields, without machines
+	name      string
+	addr      string
+	triesLeft int           // tries left; 0: a single try
+	done      func(ok bool) // called once with the outcome
 }
 
 // enrollmentState holds the leader's state of enrollments.
@@ -100,8 +100,8 @@
 func (c *Controller) finishEnrollment(ctx context.Context, included []*pendingMachine, ok bool) {
 	c.leader.txnInFlight = false
 	for _, pending := range included {
-		pending.tries--
-		if !ok && pending.tries > 0 && c.isLeader() {
+		pending.triesLeft--
+		if !ok && pending.triesLeft > 0 && c.isLeader() {
 			c.leader.pendingMachines = append(c.leader.pendingMachines, pending)
 			continue
 		}
@@ -151,7 +151,7 @@
 
 // add adds a machine to the batch, or postpones it to the next one.
 func (b *enrollmentBatch) add(pending *pendingMachine) {
-	if b.c.cache.MachineSeen(pending.name) {
+	if b.c.cache.MachineEverListed(pending.name) {
 		b.included = append(b.included, pending) // the machine has a record already
 		return
 	}
@@ -183,7 +183,7 @@
 // allocateGroup returns the number of a group with room for a machine, and adds the group's record to
 // the batch if it is new.
 func (b *enrollmentBatch) allocateGroup(pending *pendingMachine) int {
-	shard := b.load.neediest()
+	shard := b.load.shardForNewMachines()
 	if typeIndex := b.c.cache.TypeIndex.Find(pending.fleet.Type); typeIndex >= 0 {
 		b.load.capacity[shard] += b.c.cache.Types[typeIndex].Cpus
 	}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -47,16 +47,16 @@
 	history.failedAttempts++
 	state.failures++
 	if !worker.unhealthy && !machine.Unhealthy {
-		state.failedOn[machine.Index] = true
+		state.failedMachines[machine.Index] = true
 	}
-	if now.Before(state.backoff) {
+	if now.Before(state.retryAt) {
 		return // part of the same try: the backoff after the job's last failure has not passed
 	}
 	history.failedTries++
 	if state.failures >= minFailedMachines {
-		state.suspectTries++
-		state.backoff = now.Add(backoffAfter(state.suspectTries))
-		c.log.Info("job fails", "job", job.ID, "failures", state.failures, "machines", len(state.failedOn), "suspect", c.suspect(job))
+		state.suspectAttempts++
+		state.retryAt = now.Add(backoffAfter(state.suspectAttempts))
+		c.log.Info("job fails", "job", job.ID, "failures", state.failures, "machines", len(state.failedMachines), "suspect", c.suspect(job))
 	}
 }
 
@@ -73,8 +73,8 @@
 
 // clearSuspicion clears a job's recorded failures.
 func (s *jobState) clearSuspicion() {
-	s.failures, s.suspectTries = 0, 0
-	clear(s.failedOn)
+	s.failures, s.suspectAttempts = 0, 0
+	clear(s.failedMachines)
 }
 
 // noteSteadyReplica clears a service of suspicion once one of its replicas has run for steadyRunTime,
@@ -83,7 +83,7 @@
 	if job.Shape != protocol.Service || ran < steadyRunTime || len(worker.failures) == 0 && c.jobStates[job] == nil {
 		return
 	}
-	if state := c.jobState(job); len(state.failedOn) > 0 || worker.failures[job] != nil {
+	if state := c.jobState(job); len(state.failedMachines) > 0 || worker.failures[job] != nil {
 		state.clearSuspicion()
 		delete(worker.failures, job)
 	}
@@ -100,11 +100,13 @@
 		return true
 	}
 	state := c.jobStates[job]
-	return state != nil && len(state.failedOn) >= minFailedMachines
+	return state != nil && len(state.failedMachines) >= minFailedMachines
 }
 
-// probing reports whether a job is suspect and the one task that it may run is placed.
-func (c *Controller) probing(job *storage.Job) bool { return c.suspect(job) && job.PlacedCount > 0 }
+// suspectTaskPlaced reports whether a job is suspect and the one task that it may run is placed.
+func (c *Controller) suspectTaskPlaced(job *storage.Job) bool {
+	return c.suspect(job) && job.PlacedCount > 0
+}
 
 // wantedTasks returns how many of a job's waiting tasks should get capacity now: for a suspect job, at
 // most one including those placed.
@@ -120,7 +122,7 @@
 // leader would scale out for them, and the shard's next owner would start all of their tasks again.
 func (c *Controller) noteSuspects(planned *plannedTxn) {
 	for job, state := range c.jobStates {
-		if len(state.failedOn) < minFailedMachines || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
+		if len(state.failedMachines) < minFailedMachines || job.Suspect || job.Shape == protocol.Service || !job.Open() || job.DoneCount > 0 || planned.usedOps >= planned.maxOps {
 			continue
 		}
 		key := storage.JobKey(job.ID)
@@ -175,7 +177,7 @@
 	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", evidence.failures, "jobs", evidence.jobs)
 	worker.unhealthy = true
 	for job := range worker.failures {
-		delete(c.jobState(job).failedOn, machine.Index) // the machine was at fault, not the job
+		delete(c.jobState(job).failedMachines, machine.Index) // the machine was at fault, not the job
 	}
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -111,7 +111,7 @@
 			now = now.Add(2 * maxBackoff)
 		}
 		machine := c.cache.Machine(fmt.Sprint("x", failure.machine))
-		ref := dispatch.Ref{Job: jobs[failure.job], Task: i}
+		ref := dispatch.AttemptRef{Job: jobs[failure.job], Task: i}
 		c.noteOutcome(machine, c.workerState(machine), ref, dispatch.Failed, now)
 	}
 	return now
--- a/internal/controller/followed_changes.go
+++ b/internal/controller/followed_changes.go
@@ -36,17 +36,17 @@
 	c.cancellations.digest.dropGossipedUpTo(c.cache.Revision)
 	c.follower.releaseWaiters(c.cache.Revision)
 	if len(events.Events) > 0 {
-		c.changed()
+		c.onRecordsChanged()
 	}
 	if c.readModel != nil {
 		c.readModel.asOf = maxTime(c.readModel.asOf, sent)
-		c.showView(now, false)
+		c.updateView(now, false)
 	}
 }
 
-// changed updates the state that is derived from the records after they have changed: leadership,
+// onRecordsChanged updates the state that is derived from the records after they have onRecordsChanged: leadership,
 // shard ownership, settings, and the state of machines and jobs.
-func (c *Controller) changed() {
+func (c *Controller) onRecordsChanged() {
 	if !c.follower.loaded {
 		return
 	}
@@ -58,9 +58,9 @@
 	c.recordOwnershipChanges(now)
 	c.applySettings()
 	c.noteTooLarge(nil)
-	c.recordPreemptions()
+	c.recordVictimSets()
 	c.inheritDeadlines()
-	machines, jobs := c.cache.TakeChanged()
+	machines, jobs := c.cache.TakeChangedAndEnded()
 	c.updateOwnedShards(now)
 	for _, machine := range machines {
 		c.settleWorkerState(machine)
@@ -68,7 +68,7 @@
 			c.workerState(machine) // the worker is contacted: its reply lists the tasks on the machine
 			c.workers.uncontacted = append(c.workers.uncontacted, machine)
 		}
-		c.terminateUnwanted(machine)
+		c.sendStopCommands(machine)
 	}
 	for _, job := range jobs {
 		c.terminateJob(job)
@@ -115,11 +115,11 @@
 // takeOverMachine creates the state of a machine's worker when this controller takes over its shard.
 func (c *Controller) takeOverMachine(machine *storage.Machine, now time.Time) {
 	worker := c.workerState(machine)
-	worker.since = now
+	worker.trackedSince = now
 	if token := max(machine.FencingToken, machine.Group.FencingToken); token >= c.cache.Shards[machine.Shard].FencingToken {
 		// The former owner raised the token while the shard changed owners: only a higher token proves
 		// that none of that owner's commands is still in flight.
-		worker.Uncertain = token
+		worker.UncertainToken = token
 	}
 	if machine.Incarnation > 0 {
 		c.workers.uncontacted = append(c.workers.uncontacted, machine)
@@ -137,7 +137,7 @@
 		delete(c.workers.states, machine.Index)
 		return
 	}
-	worker.Settle(machine)
+	worker.DropCommitted(machine)
 	for ref := range worker.started {
 		if ref.Job.MachineOf[ref.Task] != machine.Index || ref.Job.AttemptOf[ref.Task] != ref.Attempt {
 			delete(worker.started, ref)
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -23,12 +23,12 @@
 	controller := newTeamCore(t)
 	applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
 		Tasks: []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{1, 4, 5, 6}}}}}}, 5)
-	applyRecord(t, controller, storage.VictimSetKey("job-000001"), storage.VictimSetRecord{AtMs: 1000,
+	applyRecord(t, controller, storage.VictimSetKey("job-000001"), storage.VictimSetRecord{ChosenAtMs: 1000,
 		Victims: []storage.VictimRecord{{Machine: "m", Job: "job-000001", Task: 1, Attempt: 4, Score: 2.5}}}, 6)
 	former := storage.TeamBounds{CpusMax: 40, GpusMax: 4}
-	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, Former: &former}, 7)
+	applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{Cpus: 1, CpusMax: 2, Gpus: 1, GpusMax: 2}, PreviousBounds: &former}, 7)
 	controller.cache.Baseline.Cpus = map[storage.ClassQueue]float64{{}: 3}
-	controller.recordPreemptions()
+	controller.recordVictimSets()
 	serveCalls(t, controller)
 	return controller
 }
@@ -123,7 +123,7 @@
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(0), "red").Observe(1)
 		c.metrics.waitSeconds.WithLabelValues(c.classLabel(maxClasses), "red").Observe(1)
 		c.metrics.Observe("state", "answered")
-		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Unsent} {
+		for _, outcome := range []dispatch.Outcome{dispatch.Completed, dispatch.Stopped, dispatch.Failed, dispatch.Refused, dispatch.Lost, dispatch.Undelivered} {
 			c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 		}
 		golden.CheckText(t, "metrics.txt", metricsText(t, c.metrics.Registry))
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -78,7 +78,7 @@
 // handleUnrecorded answers the heartbeat of an unrecorded machine: the leader enrolls the machine, any
 // other controller redirects to the leader.
 func (c *Controller) handleUnrecorded(ctx context.Context, heartbeat *protocol.Heartbeat, reply heartbeatReply) {
-	if c.cache.MachineSeen(heartbeat.Machine) {
+	if c.cache.MachineEverListed(heartbeat.Machine) {
 		// Either the machine is gone and its heartbeat late, or its group's record is not read yet.
 		reply(http.StatusServiceUnavailable, errNotOwner)
 		return
@@ -138,7 +138,7 @@
 		reply(http.StatusMisdirectedRequest, protocol.Redirect{})
 		return
 	}
-	if !worker.Newer(heartbeat) {
+	if !worker.IsNewer(heartbeat) {
 		c.log.Debug("dropped outdated heartbeat", "machine", machine.Name, "incarnation", heartbeat.Incarnation, "seq", heartbeat.Seq)
 		reply(http.StatusServiceUnavailable, errNotOwner)
 		return
@@ -162,7 +162,7 @@
 // a token above it is invalid, or this cache is behind, and it is ignored.
 func (c *Controller) raiseFencingToken(worker *workerState, token uint64) {
 	if token <= c.follower.highestRevision {
-		worker.Uncertain = max(worker.Uncertain, token)
+		worker.UncertainToken = max(worker.UncertainToken, token)
 		c.requestCycle()
 	}
 }
@@ -173,13 +173,13 @@
 	if len(worker.Gone) > 0 {
 		return true
 	}
-	if c.shards.waiting[machine.Shard] == 0 || !c.usable(machine, worker, worker.heard) {
+	if c.shards.waitingTasks[machine.Shard] == 0 || !c.usable(machine, worker, worker.lastMessageAt) {
 		return false
 	}
 	cpus := c.cache.Types[machine.Type].Cpus
 	free := cpus
 	for _, placed := range machine.Tasks {
-		free -= placed.Job.Size
+		free -= placed.Job.TaskSize
 	}
 	return free > minFreeCPUShare*cpus
 }
@@ -193,13 +193,13 @@
 		c.log.Info("worker has a new incarnation", "machine", machine.Name, "incarnation", heartbeat.Incarnation, "tasks", len(machine.Tasks))
 		worker.images = nil
 	}
-	known := make(map[dispatch.Ref]bool, len(worker.Gone))
+	known := make(map[dispatch.AttemptRef]bool, len(worker.Gone))
 	for ref := range worker.Gone {
 		known[ref] = true
 	}
 	worker.ApplyHeartbeat(machine, heartbeat, token, reply, c.cache.Job)
-	worker.heard, worker.missedProbes = now, 0
-	c.workers.anyHeardAt = now
+	worker.lastMessageAt, worker.missedProbes = now, 0
+	c.workers.lastWorkerMessageAt = now
 	c.recordZoneMessage(machine.Zone, now)
 	if heartbeat.Addr != "" {
 		machine.Addr = heartbeat.Addr
@@ -217,13 +217,13 @@
 // seconds from now. A nil inS means that none is announced.
 func (c *Controller) notePreemptionNotice(machine *storage.Machine, worker *workerState, inS *float64, now time.Time) {
 	if inS == nil {
-		worker.preemptedAt = time.Time{}
+		worker.preemptionAt = time.Time{}
 		return
 	}
-	if worker.preemptedAt.IsZero() {
+	if worker.preemptionAt.IsZero() {
 		c.log.Info("cloud announced preemption of the machine", "machine", machine.Name, "in_s", *inS)
 	}
-	worker.preemptedAt = now.Add(seconds(*inS))
+	worker.preemptionAt = now.Add(seconds(*inS))
 }
 
 // answerHeartbeat answers a heartbeat according to the records as they are now.
--- a/internal/controller/idle_work_test.go
+++ b/internal/controller/idle_work_test.go
@@ -103,7 +103,7 @@
 			machine := controller.cache.Machine("m")
 			machine.Tasks = []storage.PlacedTask{{Job: runs, Attempt: 1}}
 			controller.planner.idleWorkPlaced = true
-			input := &schedule.Input{Teams: controller.cache.Teams, Used: controller.cache.Used, Slots: []*schedule.Slot{{Machine: machine}}}
+			input := &schedule.Input{Teams: controller.cache.Teams, Used: controller.cache.TeamUsage, Slots: []*schedule.Slot{{Machine: machine}}}
 			got := 0
 			if controller.mayPreempt(waits, input, controller.guaranteeCutoffs()) {
 				got = len(controller.preemptionCandidates(time.Now(), waits, input, nil, controller.guaranteeCutoffs()))
--- a/internal/controller/job_admission.go
+++ b/internal/controller/job_admission.go
@@ -94,7 +94,7 @@
 }
 
 // waitsForStore reports whether an answer of the state service is all that this controller needs to become
-// ready. Within peerFresh of its start it reports false.
+// ready. Within peerFreshPeriod of its start it reports false.
 func (c *Controller) waitsForStore(now time.Time) bool {
-	return !c.follower.foreignLayout && c.follower.loadFailed && c.cache.HasCatalog() && now.Sub(c.cancellations.unverified.since) > peerFresh
+	return !c.follower.foreignLayout && c.follower.loadFailed && c.cache.HasCatalog() && now.Sub(c.cancellations.unverified.startedAt) > peerFreshPeriod
 }
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -80,7 +80,7 @@
 	if len(failed) > 0 {
 		err = c.Barrier(ctx)
 	} else {
-		err = c.call(ctx, func() { c.applyTxn(txn, revision); c.changed() })
+		err = c.call(ctx, func() { c.applyTxn(txn, revision); c.onRecordsChanged() })
 	}
 	if err != nil {
 		return retryLater, true
--- a/internal/controller/job_objectives.go
+++ b/internal/controller/job_objectives.go
@@ -43,9 +43,9 @@
 	if job.Deadline > 0 {
 		addObjective(due)
 	}
-	if !job.FinishBy.IsZero() {
-		addObjective(job.FinishBy.Sub(job.ReadyAt)) // inherited from the jobs that depend on it
-		addObjective(job.FinishLatest.Sub(job.ReadyAt))
+	if !job.TargetFinish.IsZero() {
+		addObjective(job.TargetFinish.Sub(job.ReadyAt)) // inherited from the jobs that depend on it
+		addObjective(job.LatestFinish.Sub(job.ReadyAt))
 	}
 	class := c.cache.Classes.Name(job.Class)
 	for _, objective := range c.cfg.Deployment.Objectives {
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -144,7 +144,7 @@
 	}
 	c.log.Info("job accepted", "job", submission.ID, "class", submission.Class, "team", submission.Team, "tasks", submission.Tasks,
 		"cpus", submission.Cpus, "estimate_s", submission.EstimateS, "deadline_s", submission.DeadlineS)
-	c.post(func() { c.applyTxn(txn, revision); c.changed() })
+	c.post(func() { c.applyTxn(txn, revision); c.onRecordsChanged() })
 	return Answer{Status: http.StatusCreated, Body: protocol.JobState{ID: submission.ID, Status: protocol.Queued}}
 }
 
--- a/internal/controller/job_times.go
+++ b/internal/controller/job_times.go
@@ -6,9 +6,9 @@
 	"dykeledge/internal/storage"
 )
 
-// sinceReady returns the time, in seconds, from when a job became ready until at; -1 if at is not set, that
+// secondsSinceReady returns the time, in seconds, from when a job became ready until at; -1 if at is not set, that
 // is, this controller did not see the event.
-func (s *jobState) sinceReady(job *storage.Job, at time.Time) float64 {
+func (s *jobState) secondsSinceReady(job *storage.Job, at time.Time) float64 {
 	if at.IsZero() {
 		return -1
 	}
--- a/internal/controller/job_views.go
+++ b/internal/controller/job_views.go
@@ -111,7 +111,7 @@
 	if reason := c.retryReason(job, now); reason != "" {
 		return reason
 	}
-	if !schedule.WithinLimit(c.cache.Teams[job.Team], c.cache.Used[job.Team], job, 1) {
+	if !schedule.WithinLimit(c.cache.Teams[job.Team], c.cache.TeamUsage[job.Team], job, 1) {
 		return "the team's limit is reached"
 	}
 	if c.cache.VictimSets[job.ID] != nil {
@@ -126,12 +126,12 @@
 	if c.suspect(job) {
 		againS := 0.0
 		if state != nil {
-			againS = max(0, state.backoff.Sub(now).Seconds())
+			againS = max(0, state.retryAt.Sub(now).Seconds())
 		}
 		return fmt.Sprintf("fails on every machine that tried it, one task is tried again in %.0f s", againS)
 	}
-	if state != nil && now.Before(state.backoff) {
-		return fmt.Sprintf("failed %d times, tried again in %.0f s", state.failures, state.backoff.Sub(now).Seconds())
+	if state != nil && now.Before(state.retryAt) {
+		return fmt.Sprintf("failed %d times, tried again in %.0f s", state.failures, state.retryAt.Sub(now).Seconds())
 	}
 	return ""
 }
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -47,7 +47,7 @@
 		txn.Then = append(txn.Then, protocol.Change{Put: storage.BarrierKey, Value: storage.Encode(record)})
 	}
 	c.gates.layoutWriteInFlight = true
-	c.commitAside(ctx, txn, protocol.UrgentRequest, func(ok bool) {
+	c.commitOutsideCycle(ctx, txn, protocol.UrgentRequest, func(ok bool) {
 		c.gates.layoutWriteInFlight = false
 		if ok {
 			c.log.Info("layout of the records written", "layout", record.Version, "members", members)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -20,7 +20,7 @@
 	rebalancingState
 
 	membersVersionSum uint64    // sum of the member records' versions when shards were last assigned
-	editing           bool      // a transaction with pending updates of other owners' machines is in flight
+	updatesInFlight   bool      // a transaction with pending updates of other owners' machines is in flight
 	autoscaledAt      time.Time // when autoscale last ran
 	baseline          baselineLearning
 }
@@ -55,7 +55,7 @@
 		return
 	}
 	if c.leader.listDue(now, c.cloudListInterval()) {
-		c.leader.listing = true
+		c.leader.listInFlight = true
 		c.leader.listedAt = now
 		go c.listCloudMachines(ctx)
 	}
--- a/internal/controller/leader_test.go
+++ b/internal/controller/leader_test.go
@@ -24,7 +24,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
 			controller.cfg.Deployment.Objectives = test.objectives
-			if got, timed := controller.tightestFinishObjective(), controller.guaranteesTimed(); got != test.want || timed != test.timed {
+			if got, timed := controller.shortestFinishObjectiveS(), controller.guaranteesTimed(); got != test.want || timed != test.timed {
 				t.Errorf("tightest finish objective %v s, guarantees timed %v; want %v s, %v", got, timed, test.want, test.timed)
 			}
 		})
--- a/internal/controller/leader_transactions.go
+++ b/internal/controller/leader_transactions.go
@@ -26,7 +26,7 @@
 		rev, failed, err := c.transact(ctx, txn, protocol.UserRequest)
 		if inDoubt && errors.Is(err, protocol.ErrTooLarge) {
 			c.rewriteLeaderRecord(ctx, txn.If[0])
-			c.committed(txn, 0, false, then) // the cache shows whether an earlier try was applied
+			c.postTxnOutcome(txn, 0, false, then) // the cache shows whether an earlier try was applied
 			return
 		}
 		if err != nil && (inDoubt || !errors.Is(err, protocol.ErrRefused)) {
@@ -37,7 +37,7 @@
 		if err == nil && len(failed) > 0 {
 			c.waitForRevision(ctx, rev)
 		}
-		c.committed(txn, rev, err == nil && len(failed) == 0, then)
+		c.postTxnOutcome(txn, rev, err == nil && len(failed) == 0, then)
 		return
 	}
 }
@@ -70,7 +70,7 @@
 		// A comparison that holds settles nothing: the first try may still be applied later.
 		if err == nil && (len(failed) > 0 || len(txn.Then) > 0) {
 			if len(failed) == 0 {
-				c.post(func() { c.applyTxn(txn, rev); c.changed() })
+				c.post(func() { c.applyTxn(txn, rev); c.onRecordsChanged() })
 			}
 			c.waitForRevision(ctx, rev)
 			return
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -30,7 +30,7 @@
 // acquireLeadership writes this controller into the leader record if there is no leader, if the
 // leader seems to have ended, or if the leader was this controller before it restarted.
 func (c *Controller) acquireLeadership(ctx context.Context) {
-	if c.session.lease == 0 || c.leadership.writeInFlight || c.isLeader() || (c.session.notReady.Load() && c.othersReady()) {
+	if c.session.lease == 0 || c.leadership.writeInFlight || c.isLeader() || (c.session.notReady.Load() && c.anotherControllerReady()) {
 		return
 	}
 	if c.otherLeads(time.Now()) {
@@ -38,7 +38,7 @@
 	}
 	c.leadership.writeInFlight = true
 	record := storage.Encode(storage.LeaderRecord{Member: c.cfg.MemberName, Incarnation: c.session.incarnation})
-	c.commitAside(ctx, protocol.Txn{
+	c.commitOutsideCycle(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: c.cache.Leader.Version}},
 		Then: []protocol.Change{{Put: storage.LeaderKey, Value: record, Lease: c.session.lease}},
 	}, protocol.UrgentRequest, func(ok bool) {
--- a/internal/controller/lease_knowledge.go
+++ b/internal/controller/lease_knowledge.go
@@ -57,7 +57,7 @@
 func (c *Controller) mayRenewLeases(now time.Time) bool {
 	workers := c.cfg.Deployment.Workers
 	if !c.follower.loaded {
-		return now.Sub(c.cancellations.unverified.since) <= unverifiedRenewalWindow(workers)
+		return now.Sub(c.cancellations.unverified.startedAt) <= unverifiedRenewalWindow(workers)
 	}
 	return now.Sub(c.cancellationsCompleteUntil(now)) <= maxCancellationInfoAge(workers)
 }
@@ -71,7 +71,7 @@
 		reply(http.StatusOK, response)
 		return
 	}
-	c.metrics.uncertainHeartbeats.Inc()
+	c.metrics.refusedHeartbeats.Inc()
 	c.log.Debug("worker lease not renewed: information on cancellations is too old", "machine", machine,
 		"known_age_s", now.Sub(c.cancellationsCompleteUntil(now)).Seconds())
 	reply(http.StatusServiceUnavailable, errNotOwner)
--- a/internal/controller/limit_budget.go
+++ b/internal/controller/limit_budget.go
@@ -15,7 +15,7 @@
 }
 
 func (c *Controller) newLimitBudget() *limitBudget {
-	return &limitBudget{c, slices.Clone(c.cache.Used)}
+	return &limitBudget{c, slices.Clone(c.cache.TeamUsage)}
 }
 
 // take allocates a job's waiting tasks, as many as may start in addition to those allocated before,
@@ -35,7 +35,7 @@
 	budget, sum := c.newLimitBudget(), 0.0
 	for _, job := range c.cache.Jobs {
 		if job != nil && job.Open() && !c.isIdleWork(job, now) {
-			sum += float64(budget.take(job)) * job.Size
+			sum += float64(budget.take(job)) * job.TaskSize
 		}
 	}
 	return sum
--- a/internal/controller/log_counters.go
+++ b/internal/controller/log_counters.go
@@ -11,8 +11,8 @@
 	changes  uint64        // changes made by this controller until then
 }
 
-// pass counts a planning pass and its duration.
-func (l *logCounters) pass(d time.Duration) {
+// recordPass counts a planning recordPass and its duration.
+func (l *logCounters) recordPass(d time.Duration) {
 	l.passes++
 	l.total += d
 	l.longest = max(l.longest, d)
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -74,7 +74,7 @@
 		if c.unresponsive(worker, now) {
 			unresponsive++
 		}
-		if c.silenceOf(worker.heard, now) > quiet {
+		if c.silenceOf(worker.lastMessageAt, now) > quiet {
 			silent++
 			c.sendDirect(machine, true) // the probe also shows the worker the current fencing token
 		}
@@ -94,9 +94,9 @@
 	if hasServiceReplicas(machine) && c.reachability.zoneUnreachable(machine.Zone) && c.hasControllerInside(machine.Zone) {
 		silenceLimit = max(silenceLimit, unreachableZoneLimit(workers))
 	}
-	silence := c.silenceOf(maxTime(worker.heard, c.zoneState(machine.Zone).reachableSince), now)
+	silence := c.silenceOf(maxTime(worker.lastMessageAt, c.zoneState(machine.Zone).reachableSince), now)
 	everHeard := worker.Incarnation != 0 || machine.Incarnation != 0
-	known := now.Sub(worker.since)
+	known := now.Sub(worker.trackedSince)
 	heartbeatLimit := unresponsiveLimit(workers, c.workers.manyUnresponsive)
 	empty := len(machine.Tasks) == 0
 	switch {
@@ -104,7 +104,7 @@
 		return reasonDrained
 	case (worker.unhealthy || machine.Unhealthy) && empty, worker.unhealthy && len(worker.failures) > 1:
 		return reasonUnhealthy
-	case c.silenceOf(worker.since, now) > newOwnerGrace && c.neverCame(machine, lastUp, now):
+	case c.silenceOf(worker.trackedSince, now) > newOwnerGrace && c.bootFailed(machine, lastUp, now):
 		return reasonNeverUp
 	case everHeard && silence > silenceLimit && known > silenceLimit && worker.missedProbes >= minMissedProbes:
 		return reasonSilent
@@ -130,7 +130,7 @@
 	}
 	c.log.Info("returning machine", "machine", machine.Name, "reason", string(reason), "tasks", len(machine.Tasks))
 	if reason == reasonNeverUp {
-		c.metrics.neverUpMachines.Inc() // once per machine, however long its update takes
+		c.metrics.bootFailedMachines.Inc() // once per machine, however long its update takes
 	}
 	c.pendingUpdate(machine).returning = true
 }
@@ -156,7 +156,7 @@
 // not unresponsive: in an unreachable zone it may be kept for long.
 func (c *Controller) unresponsive(worker *workerState, now time.Time) bool {
 	after := unresponsiveAfter(c.cfg.Deployment.Workers)
-	return worker.Incarnation != 0 && c.silenceOf(worker.heard, now) <= after && c.silenceOf(worker.heartbeatAt, now) > after
+	return worker.Incarnation != 0 && c.silenceOf(worker.lastMessageAt, now) <= after && c.silenceOf(worker.heartbeatAt, now) > after
 }
 
 // updateHeartbeatTime updates heartbeatAt from a worker's message. A worker's new incarnation while it
@@ -168,7 +168,7 @@
 	switch {
 	case !reply:
 		worker.heartbeatAt = now
-	case c.silenceOf(worker.heard, now) > unresponsiveAfter(workers):
+	case c.silenceOf(worker.lastMessageAt, now) > unresponsiveAfter(workers):
 		worker.heartbeatAt = maxTime(worker.heartbeatAt, heartbeatBaseline(workers, now)) // it hung or was cut off, and may send heartbeats again
 	case worker.Incarnation != 0 && heartbeat.Incarnation > worker.Incarnation && c.unresponsive(worker, now) && !c.workers.manyUnresponsive:
 		c.returnMachine(machine, reasonUnresponsive)
--- a/internal/controller/machine_supervision_test.go
+++ b/internal/controller/machine_supervision_test.go
@@ -26,10 +26,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
-			controller.cache.Types[0].BootS = 30
+			controller.cache.Types[0].BootSeconds = 30
 			machine := controller.cache.Machine("m")
 			worker := controller.workerState(machine)
-			if worker.since = now.Add(-test.tracked); !test.up {
+			if worker.trackedSince = now.Add(-test.tracked); !test.up {
 				worker.Incarnation = 0
 			}
 			if test.provisioned > 0 {
@@ -39,7 +39,7 @@
 			if test.lastUp > 0 {
 				last = now.Add(-test.lastUp).Unix()
 			}
-			if got := controller.neverCame(machine, last, now); got != test.neverUp {
+			if got := controller.bootFailed(machine, last, now); got != test.neverUp {
 				t.Errorf("never came up: %v, want %v", got, test.neverUp)
 			}
 		})
--- a/internal/controller/machine_views.go
+++ b/internal/controller/machine_views.go
@@ -49,11 +49,11 @@
 		info.UsedCpus += placed.Job.Cpus
 		info.UsedGpus += placed.Job.Gpus
 		if tasks {
-			info.Placed = append(info.Placed, PlacedTaskView{placed.Job.ID, placed.Task, placed.Attempt, placed.WaitedS})
+			info.Placed = append(info.Placed, PlacedTaskView{placed.Job.ID, placed.Task, placed.Attempt, placed.WaitedSeconds})
 		}
 	}
 	if worker := c.workers.states[machine.Index]; worker != nil && c.ownsShard(machine.Shard) {
-		info.HeartbeatAgeS = time.Since(worker.heard).Seconds()
+		info.HeartbeatAgeS = time.Since(worker.lastMessageAt).Seconds()
 	}
 	return info
 }
@@ -68,7 +68,7 @@
 		return "draining"
 	case machine.Unhealthy || worker != nil && worker.unhealthy:
 		return "sick"
-	case worker != nil && !worker.preemptedAt.IsZero():
+	case worker != nil && !worker.preemptionAt.IsZero():
 		return "leaving"
 	case !c.hasBooted(machine) && c.bootOverdue(machine, bootTimeoutFactor, time.Now()):
 		return "overdue"
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -57,7 +57,7 @@
 		}
 		c.post(func() {
 			c.session.begin(incarnation, lease, sent, revision)
-			c.changed()
+			c.onRecordsChanged()
 		})
 		c.renewSessionLease(ctx, lease)
 	}
@@ -92,7 +92,7 @@
 func (c *Controller) memberChange(incarnation, lease uint64, notReady bool) protocol.Change {
 	record := storage.MemberRecord{
 		Incarnation: incarnation,
-		Public:      c.cfg.PublicAddr,
+		PublicAddr:  c.cfg.PublicAddr,
 		NotReady:    notReady,
 		Layout:      c.Layout,
 		FrameLevel:  c.Frames,
@@ -136,7 +136,7 @@
 	// The transaction's timeout and ctx bound this goroutine; nothing waits for it.
 	go func() {
 		revision, failed, err := c.transact(ctx, txn, protocol.UrgentRequest)
-		c.committed(txn, revision, err == nil && len(failed) == 0, func(ok bool) {
+		c.postTxnOutcome(txn, revision, err == nil && len(failed) == 0, func(ok bool) {
 			c.session.memberWriteInFlight = false
 			if ok {
 				c.session.memberRevision = max(c.session.memberRevision, revision)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -11,22 +11,22 @@
 // Metrics holds this controller's metrics. The sets of label values are bounded: classes, teams, states and
 // outcomes, never jobs or machines.
 type Metrics struct {
-	Registry            *prometheus.Registry
-	waitSeconds         *prometheus.HistogramVec
-	attemptOutcomes     *prometheus.CounterVec
-	launches            prometheus.Counter
-	preemptedTasks      prometheus.Counter
-	lostSeconds         prometheus.Counter
-	takeovers           prometheus.Counter
-	readyJobs           prometheus.Counter
-	stalls              prometheus.Counter
-	neverUpMachines     prometheus.Counter
-	unverifiedRenewals  prometheus.Counter
-	uncertainHeartbeats prometheus.Counter
-	heartbeatSeconds    prometheus.Histogram
-	planSeconds         prometheus.Histogram
-	counters            logCounters // logged every logCountersInterval
-	Requests            *prometheus.CounterVec
+	Registry           *prometheus.Registry
+	waitSeconds        *prometheus.HistogramVec
+	attemptOutcomes    *prometheus.CounterVec
+	launches           prometheus.Counter
+	preemptedTasks     prometheus.Counter
+	lostSeconds        prometheus.Counter
+	takeovers          prometheus.Counter
+	readyJobs          prometheus.Counter
+	stalls             prometheus.Counter
+	bootFailedMachines prometheus.Counter
+	unverifiedRenewals prometheus.Counter
+	refusedHeartbeats  prometheus.Counter
+	heartbeatSeconds   prometheus.Histogram
+	planSeconds        prometheus.Histogram
+	counters           logCounters // logged every logCountersInterval
+	Requests           *prometheus.CounterVec
 }
 
 // maxClasses is the number of classes that have a label value of their own. Classes are named by users, so
@@ -53,11 +53,11 @@
 			Help: "Jobs that became ready since all that they awaited was done."}),
 		stalls: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_standstills_total",
 			Help: "Times that this node stood still for a second or more while its clocks ran on."}),
-		neverUpMachines: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_machines_never_up_total",
+		bootFailedMachines: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_machines_never_up_total",
 			Help: "Rented machines given up because they did not come up."}),
 		unverifiedRenewals: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_blind_renewals_total",
 			Help: "Workers' leases renewed by this node before it could read the records."}),
-		uncertainHeartbeats: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_unsure_reports_total",
+		refusedHeartbeats: prometheus.NewCounter(prometheus.CounterOpts{Name: "dykeledge_unsure_reports_total",
 			Help: "Workers' reports refused because this node did not know what had been cancelled lately."}),
 		heartbeatSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "dykeledge_report_answer_seconds",
 			Help: "Time until a worker's report was answered.", Buckets: []float64{.001, .005, .01, .05, .1, .2, .5, 1, 2, 4}}),
@@ -67,8 +67,8 @@
 			Help: "Requests to the state service and the cloud, by outcome."}, []string{"service", "outcome"}),
 	}
 	metrics.Registry.MustRegister(metrics.waitSeconds, metrics.attemptOutcomes, metrics.launches, metrics.preemptedTasks,
-		metrics.lostSeconds, metrics.takeovers, metrics.readyJobs, metrics.stalls, metrics.neverUpMachines,
-		metrics.unverifiedRenewals, metrics.uncertainHeartbeats, metrics.heartbeatSeconds, metrics.planSeconds, metrics.Requests)
+		metrics.lostSeconds, metrics.takeovers, metrics.readyJobs, metrics.stalls, metrics.bootFailedMachines,
+		metrics.unverifiedRenewals, metrics.refusedHeartbeats, metrics.heartbeatSeconds, metrics.planSeconds, metrics.Requests)
 	return metrics
 }
 
@@ -87,10 +87,10 @@
 
 // outcomeNames maps attempt outcomes to their label values.
 var outcomeNames = map[dispatch.Outcome]string{dispatch.Completed: "done", dispatch.Stopped: "stopped",
-	dispatch.Failed: "failed", dispatch.Refused: "refused", dispatch.Lost: "lost", dispatch.Unsent: "unsent"}
+	dispatch.Failed: "failed", dispatch.Refused: "refused", dispatch.Lost: "lost", dispatch.Undelivered: "unsent"}
 
 // countOutcome counts the end of an attempt and the run time, in task-seconds, that was lost with it.
-func (c *Controller) countOutcome(worker *workerState, ref dispatch.Ref, outcome dispatch.Outcome, now time.Time) {
+func (c *Controller) countOutcome(worker *workerState, ref dispatch.AttemptRef, outcome dispatch.Outcome, now time.Time) {
 	c.metrics.attemptOutcomes.WithLabelValues(outcomeNames[outcome]).Inc()
 	startedAt, ran := worker.started[ref]
 	if !ran || outcome == dispatch.Completed {
@@ -102,7 +102,7 @@
 			lostS -= ref.Job.CheckpointInterval
 		}
 	}
-	if outcome == dispatch.Stopped && worker.Seen[ref].Checkpointed {
+	if outcome == dispatch.Stopped && worker.Reported[ref].Checkpointed {
 		lostS = 0
 	}
 	c.metrics.lostSeconds.Add(lostS)
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -18,7 +18,7 @@
 type operatorState struct {
 	settings           OperatorSettings
 	version            uint64 // version of the settings record that was last applied or refused
-	recentVictimSets   []EvictionView
+	recentVictimSets   []VictimSetView
 	recordedVictimSets map[string]uint64 // by job: version of its last recorded victim set
 }
 
@@ -77,11 +77,11 @@
 // Error returns the name of the setting and the expected value.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: expected %s", e.Field, e.Expected) }
 
-// ErrVersion is returned if the record was changed since the version that the change is based on.
-var ErrVersion = errors.New("the settings have changed since this version was read")
+// ErrVersionConflict is returned if the record was changed since the version that the change is based on.
+var ErrVersionConflict = errors.New("the settings have changed since this version was read")
 
-// ErrUnavailable is returned if the state service does not answer.
-var ErrUnavailable = errors.New("the state service does not answer")
+// ErrStoreUnavailable is returned if the state service does not answer.
+var ErrStoreUnavailable = errors.New("the state service does not answer")
 
 // Change returns the settings with a change applied, a JSON object of names and values. If any part of it is
 // invalid it returns an error, and the settings that it returns must not be used.
@@ -159,7 +159,7 @@
 	var settings OperatorSettings
 	var version uint64
 	if err := c.Barrier(ctx); err != nil {
-		return settings, 0, ErrUnavailable
+		return settings, 0, ErrStoreUnavailable
 	}
 	err := c.call(ctx, func() { settings, version = c.operator.settings, c.cache.Settings.Version })
 	return settings, version, err
@@ -176,7 +176,7 @@
 		return current, currentVersion, err
 	}
 	if version != currentVersion {
-		return current, currentVersion, ErrVersion
+		return current, currentVersion, ErrVersionConflict
 	}
 	txn := protocol.Txn{
 		If:   []protocol.Condition{{Key: storage.SettingsKey, Version: currentVersion}},
@@ -185,11 +185,11 @@
 	revision, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		return current, currentVersion, ErrUnavailable
+		return current, currentVersion, ErrStoreUnavailable
 	case len(failed) > 0:
-		return current, currentVersion, ErrVersion
+		return current, currentVersion, ErrVersionConflict
 	}
-	err = c.call(ctx, func() { c.applyTxn(txn, revision); c.changed() })
+	err = c.call(ctx, func() { c.applyTxn(txn, revision); c.onRecordsChanged() })
 	c.log.Info("settings changed by an operator", "version", revision, "change", string(change))
 	return next, revision, err
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -51,7 +51,7 @@
 		if job == nil || job.PlacedCount == 0 && !job.Open() {
 			continue
 		}
-		used := float64(job.PlacedCount) * job.Size
+		used := float64(job.PlacedCount) * job.TaskSize
 		loads.meanBusyS += used * job.Estimate / 2
 		usedByAll += used
 		addToQueue(loads.queues.Ensure(storage.ClassQueueOf(job)), job, used, c.waitedTooLong(job, now))
@@ -68,7 +68,7 @@
 func addToQueue(queue *schedule.QueueState, job *storage.Job, used float64, late bool) {
 	open := used
 	if !job.Suspect {
-		open += float64(job.Waiting()) * job.Size
+		open += float64(job.Waiting()) * job.TaskSize
 	}
 	queue.Used += used
 	queue.Open += open
@@ -76,7 +76,7 @@
 		queue.OpenOnDemand += open
 	}
 	if late {
-		queue.Late += used
+		queue.UsedByOverdue += used
 	}
 }
 
@@ -99,7 +99,7 @@
 func (l *queueLoads) reserveOnDemand(baselineCpus map[storage.ClassQueue]float64) {
 	for name := range baselineCpus {
 		if queue := l.queues.At(name); queue != nil {
-			queue.LeavesOnDemand = queue.Used >= reserveOnDemandFraction*queue.Floor
+			queue.AvoidsOnDemand = queue.Used >= reserveOnDemandFraction*queue.Floor
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		}
 	}
 	c.planner.buffers.waitingWork = waitingWork
-	capacity.Busy = loads.meanBusyS
+	capacity.BusyS = loads.meanBusyS
 	*active = schedule.LoadFactor(waitingWork, capacity) > schedule.OverloadFactor
 	return *active
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// peerFresh is how long after a peer's last heartbeat, or the state service's last answer, the peer
+	// peerFreshPeriod is how long after a peer's last heartbeat, or the state service's last answer, the peer
 	// or the service counts as available.
-	peerFresh = 2 * time.Second
+	peerFreshPeriod = 2 * time.Second
 	// storeOKWindow is how long after an answer of the state service this controller's peer heartbeats
 	// report that the service answers it.
 	storeOKWindow = 3 * time.Second
@@ -25,12 +25,12 @@
 // correctness matters rests on it alone.
 type peerState struct {
 	heartbeat         protocol.PeerHeartbeat
-	heardAt           time.Time // when the heartbeat arrived
+	receivedAt        time.Time // when the heartbeat arrived
 	storeRefusesSince time.Time // since when its heartbeats report that the state service refuses it; zero: they don't
 }
 
-// fresh reports whether the peer's last heartbeat arrived less than peerFresh ago.
-func (p peerState) fresh(now time.Time) bool { return now.Sub(p.heardAt) < peerFresh }
+// fresh reports whether the peer's last heartbeat arrived less than peerFreshPeriod ago.
+func (p peerState) fresh(now time.Time) bool { return now.Sub(p.receivedAt) < peerFreshPeriod }
 
 // publishedSummary holds copies of the core's state that other goroutines may read without a call to
 // the core.
@@ -73,11 +73,11 @@
 func (c *Controller) currentShardDemands() []protocol.ShardDemand {
 	var demands []protocol.ShardDemand
 	for job, state := range c.jobStates {
-		if !job.Open() || !job.Priority.Top() || state.shortSince.IsZero() || len(demands) >= maxShardDemands {
+		if !job.Open() || !job.Priority.Top() || state.capacityShortSince.IsZero() || len(demands) >= maxShardDemands {
 			continue
 		}
 		if wanted := c.wantedTasks(job); wanted > 0 {
-			demands = append(demands, protocol.ShardDemand{Shard: uint32(job.Shard), OnDemand: !job.Spot, Cpus: float64(wanted) * job.Size})
+			demands = append(demands, protocol.ShardDemand{Shard: uint32(job.Shard), OnDemand: !job.Spot, Cpus: float64(wanted) * job.TaskSize})
 		}
 	}
 	return demands
@@ -92,7 +92,7 @@
 			continue
 		}
 		peer, ok := c.reachability.peers[name]
-		if !ok || now.Sub(peer.heardAt) > peerFresh {
+		if !ok || now.Sub(peer.receivedAt) > peerFreshPeriod {
 			return -1
 		}
 		sum += float64(peer.heartbeat.ChangeRateMilli) / 1000
@@ -127,7 +127,7 @@
 // storePeerHeartbeat stores a peer's heartbeat, and since when the peer has been refused by the state
 // service.
 func (r *reachability) storePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
-	heard := peerState{heartbeat: heartbeat, heardAt: now}
+	heard := peerState{heartbeat: heartbeat, receivedAt: now}
 	if !heartbeat.StateOK {
 		heard.storeRefusesSince = r.peers[member].storeRefusesSince
 		if heard.storeRefusesSince.IsZero() {
--- a/internal/controller/pending_updates.go
+++ b/internal/controller/pending_updates.go
@@ -46,16 +46,16 @@
 // commits the updates of machines that other controllers own.
 func (c *Controller) flushPendingUpdates(ctx context.Context) {
 	groups := c.groupsToUpdate()
-	if len(groups) == 0 || c.leader.editing {
+	if len(groups) == 0 || c.leader.updatesInFlight {
 		return
 	}
 	txn, updated := c.pendingUpdatesTxn(groups)
 	if len(txn.Then) == 0 {
 		return
 	}
-	c.leader.editing = true
-	c.commitAside(ctx, txn, protocol.BackgroundRequest, func(bool) {
-		c.leader.editing = false
+	c.leader.updatesInFlight = true
+	c.commitOutsideCycle(ctx, txn, protocol.BackgroundRequest, func(bool) {
+		c.leader.updatesInFlight = false
 		for _, machine := range updated {
 			delete(c.workers.pendingUpdates, machine) // changes that are still needed are detected again
 		}
--- a/internal/controller/placement_input.go
+++ b/internal/controller/placement_input.go
@@ -33,7 +33,7 @@
 	c.addWaitingJobs(input, shards)
 	loads := c.queueLoads(now)
 	input.Queues = loads.queues
-	input.OnDemandWeight = c.onDemandWeight(now)
+	input.OnDemandCostS = c.onDemandWeight(now)
 	total := c.addMachines(input, shards, planned)
 	wasOverloaded := c.planner.overloaded
 	input.Overloaded = c.detectOverload(loads, input.Jobs, total, &c.planner.overloaded, now)
@@ -48,22 +48,22 @@
 // placementRules returns a placement input without jobs and machines.
 func (c *Controller) placementRules(now time.Time, planned *plannedTxn) *schedule.Input {
 	return &schedule.Input{
-		Now:         now,
-		Teams:       c.cache.Teams,
-		Used:        slices.Clone(c.cache.Used),
-		Records:     planned.opsLeft(),
-		Tasks:       maxPlacementsPerPass,
-		TimeAllowed: func(job *storage.Job) (time.Duration, bool) { return c.objectiveLeft(job, now) },
-		MustBegin: func(job *storage.Job) bool {
+		Now:          now,
+		Teams:        c.cache.Teams,
+		Used:         slices.Clone(c.cache.TeamUsage),
+		RecordBudget: planned.opsLeft(),
+		Tasks:        maxPlacementsPerPass,
+		TimeAllowed:  func(job *storage.Job) (time.Duration, bool) { return c.objectiveLeft(job, now) },
+		Starving: func(job *storage.Job) bool {
 			return job.PlacedCount+job.DoneCount == 0 && now.Sub(job.ReadyAt) >= firstTaskDueAfter
 		},
 		Overdue: func(job *storage.Job) bool { return c.waitedTooLong(job, now) },
-		Hold: func(job *storage.Job) bool {
+		Held: func(job *storage.Job) bool {
 			state := c.jobStates[job]
-			return state != nil && now.Before(state.backoff) || c.probing(job)
+			return state != nil && now.Before(state.retryAt) || c.suspectTaskPlaced(job)
 		},
 		MayPreempt: func(job *storage.Job) bool { return c.mayWaitForPreemption(job, now) },
-		MaxTasks: func(job *storage.Job) int {
+		MaxTasksOf: func(job *storage.Job) int {
 			if c.suspect(job) {
 				return 1
 			}
@@ -75,7 +75,7 @@
 // addWaitingJobs adds the jobs of the given shards that may start, and records the number of
 // waiting tasks by shard.
 func (c *Controller) addWaitingJobs(input *schedule.Input, shards map[int]bool) {
-	clear(c.shards.waiting)
+	clear(c.shards.waitingTasks)
 	c.planner.idleWorkPlaced = false
 	for _, job := range c.cache.Jobs {
 		if job == nil {
@@ -86,7 +86,7 @@
 			continue
 		}
 		input.Jobs = append(input.Jobs, job)
-		c.shards.waiting[job.Shard] += c.wantedTasks(job)
+		c.shards.waitingTasks[job.Shard] += c.wantedTasks(job)
 		if !job.Spot {
 			c.planner.onDemandNeededAt = input.Now
 		}
@@ -110,7 +110,7 @@
 		if group.Version == 0 || !shards[group.Shard] {
 			continue
 		}
-		record := c.planner.buffers.record(schedule.GroupCapacity{Touched: planned.groups[group] != nil, Free: c.recordCapacity(group)})
+		record := c.planner.buffers.record(schedule.GroupCapacity{Rewritten: planned.groups[group] != nil, Free: c.recordCapacity(group)})
 		for _, machine := range group.Machines {
 			if machine.Gone {
 				continue
@@ -154,17 +154,17 @@
 	if !c.usable(machine, worker, now) {
 		if c.booting(machine, worker, now) {
 			buffers.booting = append(buffers.booting, &schedule.Slot{
-				Machine: machine, FetchGBs: machineType.FetchGBs, BootS: c.bootLeft(machine, worker, now), Free: total})
+				Machine: machine, FetchGBs: machineType.FetchGBPerSecond, BootRemainingS: c.remainingBootS(machine, worker, now), Free: total})
 		}
 		return nil
 	}
-	slot := buffers.slot(schedule.Slot{Machine: machine, Record: record, FetchGBs: machineType.FetchGBs, Free: total})
+	slot := buffers.slot(schedule.Slot{Machine: machine, Record: record, FetchGBs: machineType.FetchGBPerSecond, Free: total})
 	slot.Images = c.cachedImages(worker, machineType)
 	c.addTasks(slot, tasks, now)
 	if machineType.Gpus > 0 {
-		slot.PerGpu = machineType.Cpus / machineType.Gpus
+		slot.CpusPerGpu = machineType.Cpus / machineType.Gpus
 	}
-	slot.Risk = riskPerFailure*c.failedRecently(worker) + riskPerSlowdown*max(0, worker.slowdown-ignoredSlowdown)
+	slot.RiskS = riskPerFailure*c.failedRecently(worker) + riskPerSlowdown*max(0, worker.slowdown-ignoredSlowdown)
 	return slot
 }
 
@@ -202,7 +202,7 @@
 		}
 	}
 	if slot.FetchGBs > 0 && fetchingGB > 0 {
-		slot.FetchDoneS = max(1, fetchingGB/slot.FetchGBs-float64(now.Unix()-fetchBegan))
+		slot.FetchRemainingS = max(1, fetchingGB/slot.FetchGBs-float64(now.Unix()-fetchBegan))
 	}
 }
 
@@ -213,7 +213,7 @@
 		return cmp.Or(cmp.Compare(c.cpuPrice(a.Machine), c.cpuPrice(b.Machine)), cmp.Compare(a.Machine.Name, b.Machine.Name))
 	})
 	for i, slot := range slots {
-		slot.Rank = float64(i) / float64(len(slots))
+		slot.PriceRank = float64(i) / float64(len(slots))
 	}
 }
 
@@ -232,14 +232,14 @@
 	switch {
 	case machine.Returning, machine.Draining, machine.Unhealthy:
 		return false
-	case worker.unhealthy, worker.terminated, !worker.preemptedAt.IsZero():
+	case worker.unhealthy, worker.terminated, !worker.preemptionAt.IsZero():
 		return false
 	case worker.Incarnation == 0, worker.Incarnation < machine.Incarnation:
 		return false // no heartbeat yet, or only from an earlier process than the recorded one
 	case c.needsTokenRaise(machine, worker), c.workers.pendingUpdates[machine.Index].blocksPlacement(), c.unresponsive(worker, now):
 		return false
 	}
-	return now.Sub(worker.heard) < seconds(2*c.cfg.Deployment.Workers.HeartbeatS+1)
+	return now.Sub(worker.lastMessageAt) < seconds(2*c.cfg.Deployment.Workers.HeartbeatS+1)
 }
 
 // planBuffers holds memory that placement passes reuse: a pass allocates in proportion to the tasks
--- a/internal/controller/plan_completions.go
+++ b/internal/controller/plan_completions.go
@@ -89,7 +89,7 @@
 	update := planned.group(machine.Group)
 	remaining := make([]storage.PlacedTask, 0, len(machine.Tasks))
 	for _, placed := range machine.Tasks {
-		outcome, gone := worker.Gone[dispatch.RefOf(placed)]
+		outcome, gone := worker.Gone[dispatch.AttemptRefOf(placed)]
 		switch {
 		case !gone:
 			remaining = append(remaining, placed)
@@ -116,7 +116,7 @@
 // needsTokenRaise reports whether the machine's fencing token must be raised because a direct
 // command with the current token may still be in transit.
 func (c *Controller) needsTokenRaise(machine *storage.Machine, worker *workerState) bool {
-	return worker.Uncertain > 0 && worker.Uncertain >= c.cache.FencingToken(machine)
+	return worker.UncertainToken > 0 && worker.UncertainToken >= c.cache.FencingToken(machine)
 }
 
 // groupMachine returns a machine's entry in its group's record as of this transaction.
@@ -205,7 +205,7 @@
 // planDependencyFailed adds up to n final records of jobs that were cancelled along with a
 // dependency. The leader also deletes records that are no longer needed, as far as n allows.
 func (c *Controller) planDependencyFailed(planned *plannedTxn, shards map[int]bool, n int) {
-	for _, job := range c.cache.DependencyFailed() {
+	for _, job := range c.cache.JobsWithFailedDependency() {
 		if n <= 0 || planned.full() {
 			return
 		}
--- a/internal/controller/plan_placements.go
+++ b/internal/controller/plan_placements.go
@@ -20,13 +20,13 @@
 func (c *Controller) planPlacements(now time.Time, planned *plannedTxn, shards map[int]bool) (*schedule.Input, schedule.Result) {
 	maxConditions := conditionsPerOp*c.limits().TxnOps - len(shards)
 	input := c.placementInput(now, shards, planned)
-	hold := input.Hold
-	input.Hold = func(job *storage.Job) bool {
+	hold := input.Held
+	input.Held = func(job *storage.Job) bool {
 		// Tasks that complete in this transaction must not count as waiting.
 		return hold(job) || (planned.completed[job] != nil && job.Waiting() == 0)
 	}
 	result := schedule.Place(input)
-	planned.more = planned.more || result.More
+	planned.more = planned.more || result.Incomplete
 	attempt := c.nextRevision() // unique across all controllers that have owned the shard
 	for _, placement := range result.Placed {
 		key := storage.JobKey(placement.Job.ID)
@@ -63,7 +63,7 @@
 	c.planner.plannedTasks++
 	planned.remaining[machine.Index] = append(tasks, storage.PlacedTask{
 		Job: job, Task: placement.Task, Attempt: attempt,
-		PlacedAt: now.Unix(), WaitedS: c.waited(job, placement.Task, now),
+		PlacedAt: now.Unix(), WaitedSeconds: c.waited(job, placement.Task, now),
 	})
 }
 
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -92,7 +92,7 @@
 func (c *Controller) putFleets(planned *plannedTxn) {
 	for fleet, removedMachines := range planned.removedMachines {
 		key := storage.FleetKey(fleet.ID)
-		record, hasMachines := c.cache.FleetWithout(fleet, removedMachines)
+		record, hasMachines := c.cache.FleetRecordWithout(fleet, removedMachines)
 		if hasMachines {
 			planned.put(key, fleet.Version, protocol.Change{Put: key, Value: storage.EncodeFleet(&record, c.cache.Packed())})
 		} else {
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -11,7 +11,7 @@
 
 func TestPlanConditions(t *testing.T) {
 	c := newCore(t)
-	builder, _ := c.plan(c.workerState(c.cache.Machine("m")).heard, 12)
+	builder, _ := c.plan(c.workerState(c.cache.Machine("m")).lastMessageAt, 12)
 	// The transaction must fail if the shard has another owner, the job was cancelled or the
 	// machine group changed.
 	want := map[string]uint64{storage.ShardKey(0): 2, storage.JobKey("job-000001"): 3, storage.GroupKey(0): 4}
@@ -50,11 +50,11 @@
 		apply(storage.GroupKey(i+1), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: fmt.Sprint("x", i), Incarnation: 1,
 			Tasks: []storage.PlacedTasks{{Job: job, Numbers: numbers}}}}}, 6)
 		machine := controller.cache.Machine(fmt.Sprint("x", i))
-		heartbeat := reportOf(machine, 1)
+		heartbeat := heartbeatOf(machine, 1)
 		heartbeat.Tasks[0].State, heartbeat.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone // each group's record has to change
 		controller.applyHeartbeat(machine, controller.workerState(machine), heartbeat, 4, false)
 	}
-	txn, more := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).heard)
+	txn, more := controller.nextTxn(controller.workerState(controller.cache.Machine("m")).lastMessageAt)
 	if size := len(storage.Encode(txn)); size > 64<<10 || len(txn.Then) == 0 || !more {
 		t.Errorf("transaction of %d bytes with %d changes, more %v: want at most 64 KB, some changes and more", size, len(txn.Then), more)
 	}
@@ -67,13 +67,13 @@
 	c := newCore(t)
 	machine := c.cache.Machine("m")
 	c.workerState(machine).unhealthy = true
-	builder, _ := c.plan(c.workerState(machine).heard, 12)
+	builder, _ := c.plan(c.workerState(machine).lastMessageAt, 12)
 	if entry := machineIn(t, builder); !entry.Unhealthy || len(entry.Tasks) != 0 {
 		t.Fatalf("record %+v: want an unhealthy machine without tasks", entry)
 	}
 	c.applyTxn(builder.build(), 9)
 	clear(c.workers.states)
-	if worker := c.workerState(machine); c.usable(machine, worker, worker.heard) {
+	if worker := c.workerState(machine); c.usable(machine, worker, worker.lastMessageAt) {
 		t.Fatal("a new owner considers the unhealthy machine usable")
 	}
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -52,9 +52,9 @@
 			continue
 		}
 		schedule.RankCandidates(c.planner.alpha, candidates)
-		chosen := c.truncateToRecordLimit(schedule.PreemptSoonest(job, result.Short[job], input.Slots, candidates))
+		chosen := c.truncateToRecordLimit(schedule.PreemptSoonest(job, result.UnplacedTasks[job], input.Slots, candidates))
 		if len(chosen) > 0 {
-			c.putVictimSet(now, planned.txnBuilder, job, chosen, result.Short[job])
+			c.putVictimSet(now, planned.txnBuilder, job, chosen, result.UnplacedTasks[job])
 			return
 		}
 	}
@@ -80,14 +80,14 @@
 // and then by the time at which they became ready. It also records since when each of them has
 // lacked capacity.
 func (c *Controller) jobsShortOfCapacity(now time.Time, input *schedule.Input, result schedule.Result, cutoffs []time.Time) []*storage.Job {
-	jobs := make([]*storage.Job, 0, len(result.Short))
-	for job := range result.Short {
+	jobs := make([]*storage.Job, 0, len(result.UnplacedTasks))
+	for job := range result.UnplacedTasks {
 		if !c.mayPreempt(job, input, cutoffs) {
 			continue
 		}
 		jobs = append(jobs, job)
-		if state := c.jobState(job); state.shortSince.IsZero() {
-			state.shortSince = now
+		if state := c.jobState(job); state.capacityShortSince.IsZero() {
+			state.capacityShortSince = now
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *storage.Job) int {
@@ -104,10 +104,10 @@
 // to move free machines of other shards, if there are any.
 func (c *Controller) mayPreemptNow(job *storage.Job, now time.Time) bool {
 	state := c.jobState(job)
-	if c.cache.VictimSets[job.ID] != nil || now.Before(state.backoff) || c.suspect(job) {
+	if c.cache.VictimSets[job.ID] != nil || now.Before(state.retryAt) || c.suspect(job) {
 		return false
 	}
-	return now.Sub(state.shortSince) >= rebalanceGracePeriod || !c.otherShardsHaveFreeMachine(job)
+	return now.Sub(state.capacityShortSince) >= rebalanceGracePeriod || !c.otherShardsHaveFreeMachine(job)
 }
 
 // otherShardsHaveFreeMachine reports whether other shards have empty machines that a job may use.
@@ -128,8 +128,8 @@
 		return false
 	}
 	state := c.jobState(job)
-	if now.Sub(state.hopesSince) > preemptionWaitInterval {
-		state.hopesSince = now
+	if now.Sub(state.awaitingPreemptionSince) > preemptionWaitInterval {
+		state.awaitingPreemptionSince = now
 	}
-	return now.Sub(state.hopesSince) < preemptionWait
+	return now.Sub(state.awaitingPreemptionSince) < preemptionWait
 }
--- a/internal/controller/preemption_candidates.go
+++ b/internal/controller/preemption_candidates.go
@@ -78,8 +78,8 @@
 	if i, ok := l.services[job]; ok {
 		service := &l.candidates[i]
 		service.Victims = append(service.Victims, victim)
-		service.Lost += lost
-		service.Waited = max(service.Waited, float64(placed.WaitedS))
+		service.LostTaskSeconds += lost
+		service.WaitSeconds = max(service.WaitSeconds, float64(placed.WaitedSeconds))
 		return
 	}
 	if job.Shape == protocol.Service {
@@ -89,11 +89,11 @@
 		l.services[job] = len(l.candidates)
 	}
 	l.candidates = append(l.candidates, schedule.Candidate{
-		Victims:     []schedule.Victim{victim},
-		Lost:        lost,
-		Waited:      float64(placed.WaitedS),
-		SubmittedAt: job.ReadyAt,
-		TopPriority: job.Priority.Top(),
+		Victims:         []schedule.Victim{victim},
+		LostTaskSeconds: lost,
+		WaitSeconds:     float64(placed.WaitedSeconds),
+		ReadySince:      job.ReadyAt,
+		TopPriority:     job.Priority.Top(),
 	})
 }
 
@@ -140,10 +140,10 @@
 // lostRunSeconds returns how many seconds of a task's run would be lost if it were stopped now: the
 // time since its start or its last checkpoint.
 func lostRunSeconds(worker *workerState, placed storage.PlacedTask, now time.Time) float64 {
-	ref, ran := dispatch.RefOf(placed), 0.0
+	ref, ran := dispatch.AttemptRefOf(placed), 0.0
 	if started, ok := worker.started[ref]; ok {
 		ran = now.Sub(started).Seconds()
-	} else if _, ok := worker.Seen[ref]; !ok {
+	} else if _, ok := worker.Reported[ref]; !ok {
 		ran = max(0, float64(now.Unix()-placed.PlacedAt))
 	}
 	if interval := placed.Job.CheckpointInterval; interval > 0 {
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -31,7 +31,7 @@
 		return true
 	}
 	return shard.Member != c.cfg.MemberName &&
-		c.silenceOf(c.storeHealth.servedAt, now) > peerFresh &&
+		c.silenceOf(c.storeHealth.servedAt, now) > peerFreshPeriod &&
 		c.ownerSilent(shard.Member, now)
 }
 
@@ -40,12 +40,12 @@
 // read no records: it owns nothing, so the owner counts as silent.
 func (c *Controller) ownerSilent(member string, now time.Time) bool {
 	peer := c.reachability.peers[member]
-	return c.silenceOf(peer.heardAt, now) > peerFresh || peer.heartbeat.Revision == 0
+	return c.silenceOf(peer.receivedAt, now) > peerFreshPeriod || peer.heartbeat.Revision == 0
 }
 
 // unverifiedRenewals holds the lease renewals that this controller made before it had read any record.
 type unverifiedRenewals struct {
-	since        time.Time            // when this process started
+	startedAt    time.Time            // when this process started
 	lastRenewals map[string]time.Time // by machine name: when its lease was last renewed
 }
 
@@ -71,7 +71,7 @@
 func (c *Controller) allRestarted(now time.Time) bool {
 	for _, known := range c.cfg.Known {
 		peer, ok := c.reachability.peers[known.MemberName]
-		if !ok || now.Sub(peer.heardAt) >= peerFresh || peer.heartbeat.Revision > 0 {
+		if !ok || now.Sub(peer.receivedAt) >= peerFreshPeriod || peer.heartbeat.Revision > 0 {
 			return false
 		}
 	}
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -36,10 +36,10 @@
 			controller := newCore(t)
 			controller.follower.loaded, controller.cfg.Deployment.Workers = false, workers
 			now := time.Now()
-			controller.cancellations.unverified.since = now.Add(-test.age)
+			controller.cancellations.unverified.startedAt = now.Add(-test.age)
 			controller.cfg.Known = []config.Peer{{MemberName: "n1"}}
 			if test.heard >= 0 {
-				controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: test.peer}, heardAt: now.Add(-test.heard)}
+				controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: test.peer}, receivedAt: now.Add(-test.heard)}
 			}
 			if test.renewedAgo > 0 {
 				controller.cancellations.unverified.lastRenewals["m"] = now.Add(-test.renewedAgo)
@@ -93,9 +93,9 @@
 				controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{Incarnation: test.member}, Version: 1}
 			}
 			controller.storeHealth.servedAt, controller.follower.cacheCurrentAt = now.Add(-test.served), now.Add(-test.read)
-			controller.reachability.peers["n1"] = peerState{heardAt: now.Add(-test.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
+			controller.reachability.peers["n1"] = peerState{receivedAt: now.Add(-test.heard), heartbeat: protocol.PeerHeartbeat{Revision: 4}}
 			if test.heard == restarted {
-				controller.reachability.peers["n1"] = peerState{heardAt: now}
+				controller.reachability.peers["n1"] = peerState{receivedAt: now}
 			}
 			if got := controller.renewsAsProxy(controller.cache.Machine("m"), now); got != test.want {
 				t.Errorf("renews as proxy: %v, want %v", got, test.want)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -101,7 +101,7 @@
 // another, to which users' requests should then go. In an outage it answers no controller, and one
 // that stays ready can accept requests as soon as the outage ends.
 func (c *Controller) isolatedFromStore(now time.Time) bool {
-	if c.silenceOf(c.storeHealth.servedAt, now) < peerFresh {
+	if c.silenceOf(c.storeHealth.servedAt, now) < peerFreshPeriod {
 		return false
 	}
 	for _, peer := range c.reachability.peers {
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -50,7 +50,7 @@
 // ViewEnabled reports whether the controller keeps a read model.
 func (c *Controller) ViewEnabled() bool { return c.readModel != nil }
 
-// showView updates the read model and publishes a snapshot if there is a reader and the cache is exactly the
+// updateView updates the read model and publishes a snapshot if there is a reader and the cache is exactly the
 // state at its revision. A controller applies its own commits before its watch delivers what others committed
 // in between; a snapshot of that moment would show a state that existed at no revision. force updates the
 // rows even without a reader.
@@ -58,7 +58,7 @@
 // A row that changes several times between two snapshots is built once, and without a reader rows are built
 // only when many changes are pending: building rows at every change took 5 to 7 % of a controller's processor
 // time.
-func (c *Controller) showView(now time.Time, force bool) {
+func (c *Controller) updateView(now time.Time, force bool) {
 	readModel := c.readModel
 	if readModel == nil || !c.follower.loaded {
 		return
@@ -86,7 +86,7 @@
 func (c *Controller) updateRows() {
 	readModel := c.readModel
 	atRevision := c.cache.Revision >= c.follower.highestRevision
-	jobs, machines, evicted, more := c.cache.TakeChanges(viewBatchRows)
+	jobs, machines, evicted, more := c.cache.TakeFeedChanges(viewBatchRows)
 	readModel.complete = atRevision && !more
 	for _, job := range jobs {
 		readModel.model.PutJob(c.jobRow(job))
@@ -152,7 +152,7 @@
 		if barrierErr == nil && c.cache.Revision >= c.follower.highestRevision {
 			readModel.asOf = maxTime(readModel.asOf, startedAt)
 		}
-		c.showView(now, true)
+		c.updateView(now, true)
 		served := c.storeHealth.served(now)
 		if readModel.complete && (barrierErr == nil || served != readModel.publishedStoreOK) {
 			readModel.publishedStoreOK = served
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -40,7 +40,7 @@
 	}
 	machines := c.bootedOwnedMachines()
 	limit := c.silenceLimit(machines)
-	if machines >= minMachinesForReadiness && c.silenceOf(c.workers.anyHeardAt, now) > limit && now.Sub(c.shards.takenOverAt) > limit && c.othersReady() {
+	if machines >= minMachinesForReadiness && c.silenceOf(c.workers.lastWorkerMessageAt, now) > limit && now.Sub(c.shards.takenOverAt) > limit && c.anotherControllerReady() {
 		c.log.Info("no worker is heard, giving up shards", "machines", machines)
 		c.setNotReady(ctx, true)
 	}
@@ -53,7 +53,7 @@
 		c.session.lastProbeAt = now
 		c.probeWorker()
 	}
-	if now.Sub(c.workers.anyHeardAt) < recoveryHeartbeatAge || !c.othersReady() {
+	if now.Sub(c.workers.lastWorkerMessageAt) < recoveryHeartbeatAge || !c.anotherControllerReady() {
 		c.setNotReady(ctx, false)
 	}
 }
@@ -80,8 +80,8 @@
 	return machines
 }
 
-// othersReady reports whether another live controller is ready and could take over this controller's work.
-func (c *Controller) othersReady() bool {
+// anotherControllerReady reports whether another live controller is ready and could take over this controller's work.
+func (c *Controller) anotherControllerReady() bool {
 	for name, member := range c.cache.Members {
 		if name != c.cfg.MemberName && !member.NotReady {
 			return true
@@ -119,7 +119,7 @@
 		}
 		c.probeHeartbeat(machine, func(answered bool) {
 			if answered {
-				c.workers.anyHeardAt = time.Now()
+				c.workers.lastWorkerMessageAt = time.Now()
 			}
 		})
 		return
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -92,18 +92,18 @@
 // addJob adds a job's placed tasks, and the given number of waiting ones, to its shard's load.
 func (p *rebalancePass) addJob(job *storage.Job, waitingTasks int) {
 	shard := &p.shards[job.Shard]
-	waiting, placed := float64(waitingTasks)*job.Size, float64(job.PlacedCount)*job.Size
+	waiting, placed := float64(waitingTasks)*job.TaskSize, float64(job.PlacedCount)*job.TaskSize
 	if p.c.isIdleWork(job, p.now) {
 		if p.kind != idleWork {
 			p.idle[job] = true
 			return
 		}
 	} else {
-		shard.nonIdleDemand += float64(job.PlacedCount+waitingTasks) * job.Size
+		shard.nonIdleDemand += float64(job.PlacedCount+waitingTasks) * job.TaskSize
 		shard.nonIdleWaiting += waiting
 	}
 	shard.demand += placed
-	if state := p.c.jobStates[job]; state != nil && p.now.Before(state.backoff) {
+	if state := p.c.jobStates[job]; state != nil && p.now.Before(state.retryAt) {
 		return // waiting tasks of a job in backoff would not start now
 	}
 	shard.waiting += waiting
@@ -145,7 +145,7 @@
 	free := p.c.cache.Types[machine.Type].Cpus
 	for _, placed := range machine.Tasks {
 		if !p.idle[placed.Job] {
-			free -= placed.Job.Size
+			free -= placed.Job.TaskSize
 		}
 	}
 	return free
--- a/internal/controller/rebalancer.go
+++ b/internal/controller/rebalancer.go
@@ -67,7 +67,7 @@
 	}
 	c.leader.moveInFlight = true
 	c.leader.movedAt = now
-	c.commitAside(ctx, moves.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
+	c.commitOutsideCycle(ctx, moves.txn, protocol.BackgroundRequest, func(bool) { c.leader.moveInFlight = false })
 }
 
 // rebalancer collects the moves of machine groups for one transaction.
--- a/internal/controller/rebalancer_test.go
+++ b/internal/controller/rebalancer_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	deployment.State = config.State{TxnOps: 12, WriteRPS: 80}
 	cfg := &config.Settings{MemberName: "n0", Deployment: deployment}
-	c := New(cfg, idleStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
+	c := New(cfg, stubStore{}, nil, nil, slog.New(slog.DiscardHandler), DefaultTiming())
 	c.cache.UpdateCatalog(&protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: memGB}}})
 	return c
 }
--- a/internal/controller/record_splitting.go
+++ b/internal/controller/record_splitting.go
@@ -32,7 +32,7 @@
 		return
 	}
 	c.gates.fleetWriteInFlight = true
-	c.commitAside(ctx, txn, protocol.BackgroundRequest, func(ok bool) {
+	c.commitOutsideCycle(ctx, txn, protocol.BackgroundRequest, func(ok bool) {
 		c.gates.fleetWriteInFlight = false
 		c.log.Info("oversized fleet record rewritten", "changes", len(txn.Then), "ok", ok)
 	})
@@ -48,7 +48,7 @@
 	txn := c.leaderTxn()
 	txn.If = append(txn.If, protocol.Condition{Key: storage.FleetKey(fleet.ID), Version: fleet.Version})
 	if fits {
-		record, _ := c.cache.FleetWithout(fleet, nil)
+		record, _ := c.cache.FleetRecordWithout(fleet, nil)
 		txn.Then = append(txn.Then, protocol.Change{Put: storage.FleetKey(fleet.ID), Value: storage.EncodeFleet(&record, true)})
 		return txn
 	}
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -73,10 +73,10 @@
 	r.applyGroups()
 	r.apply(storage.LayoutKey, storage.LayoutRecord{Version: storage.LayoutPacked})
 	r.c.workers.directCommands = maxDirectCommands // keeps direct commands from being sent: there are no workers
-	r.c.changed()
+	r.c.onRecordsChanged()
 	for _, machine := range r.c.cache.Machines {
 		if machine.Name != "m" {
-			r.c.applyHeartbeat(machine, r.c.workerState(machine), reportOf(machine, 1), 4, false)
+			r.c.applyHeartbeat(machine, r.c.workerState(machine), heartbeatOf(machine, 1), 4, false)
 		}
 	}
 	return r
@@ -147,7 +147,7 @@
 func (r *lowerLimitsRun) pauseJobs() {
 	for _, job := range r.c.cache.Jobs {
 		if job != nil {
-			r.c.jobState(job).backoff = time.Now().Add(time.Hour)
+			r.c.jobState(job).retryAt = time.Now().Add(time.Hour)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 			continue
 		}
 		worker := r.c.workerState(machine)
-		report := reportOf(machine, worker.Seq+1)
+		report := heartbeatOf(machine, worker.Seq+1)
 		for i := range report.Tasks {
 			if r.random.IntN(3) == 0 {
 				report.Tasks[i].State, report.Tasks[i].Cause = protocol.TaskExited, protocol.CauseDone
@@ -231,7 +231,7 @@
 func (r *lowerLimitsRun) step() (more bool) {
 	r.t.Helper()
 	r.completeSomeTasks()
-	txn, _ := r.c.nextTxn(r.c.workerState(r.c.cache.Machine("m")).heard)
+	txn, _ := r.c.nextTxn(r.c.workerState(r.c.cache.Machine("m")).lastMessageAt)
 	if len(txn.Then) == 0 {
 		return r.placedCount() > 0
 	}
@@ -325,7 +325,7 @@
 func listedMachines(c *Controller) int {
 	listed := 0
 	for _, machine := range c.cache.Machines {
-		if c.cache.MachineSeen(machine.Name) && machine.Fleet != nil && machine.FleetEntries > 0 && len(machine.Group.Machines) > 0 {
+		if c.cache.MachineEverListed(machine.Name) && machine.Fleet != nil && machine.FleetEntries > 0 && len(machine.Group.Machines) > 0 {
 			listed++
 		}
 	}
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -31,13 +31,13 @@
 	minRemainingFraction = 0.2
 )
 
-// leavesDrained reports whether a task with checkpoints is stopped on a draining machine. It is not
+// stopsForDrain reports whether a task with checkpoints is stopped on a draining machine. It is not
 // if it would end about as soon where it is, or if stopping it would make its job late. Otherwise
 // more than two hundred such stops a day each fetched 6 GB again and made their jobs late.
-func (c *Controller) leavesDrained(machine *storage.Machine, worker *workerState, placed storage.PlacedTask, now time.Time) bool {
+func (c *Controller) stopsForDrain(machine *storage.Machine, worker *workerState, placed storage.PlacedTask, now time.Time) bool {
 	job := placed.Job
 	fetchS := 0.0
-	if rate := c.cache.Types[machine.Type].FetchGBs; rate > 0 {
+	if rate := c.cache.Types[machine.Type].FetchGBPerSecond; rate > 0 {
 		fetchS = job.ImageGB / rate
 	}
 	if fetchS < minCountedFetchS {
@@ -56,7 +56,7 @@
 // runSeconds returns how many seconds a task has run, or has been placed if its start was not
 // observed.
 func (w *workerState) runSeconds(placed storage.PlacedTask, now time.Time) float64 {
-	if startedAt, ok := w.started[dispatch.RefOf(placed)]; ok {
+	if startedAt, ok := w.started[dispatch.AttemptRefOf(placed)]; ok {
 		return now.Sub(startedAt).Seconds()
 	}
 	return float64(now.Unix() - placed.PlacedAt)
@@ -103,9 +103,9 @@
 	left.Add(job, -1)
 	free[target.Index] = left
 	state := c.jobState(job)
-	state.relocating, state.relocatedAt = dispatch.RefOf(placed), now
+	state.relocating, state.relocatedAt = dispatch.AttemptRefOf(placed), now
 	c.log.Info("replica is relocated", "job", job.ID, "task", placed.Task, "from", from.Name, "to", target.Name)
-	c.terminateUnwanted(from)
+	c.sendStopCommands(from)
 }
 
 // freeCapacity returns the free capacity, by machine index, of the machines on which this
--- a/internal/controller/relocation_test.go
+++ b/internal/controller/relocation_test.go
@@ -29,14 +29,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newCore(t)
 			c.cfg.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "c", WithinS: 180}}
-			c.cache.Types[0].FetchGBs = 0.25
+			c.cache.Types[0].FetchGBPerSecond = 0.25
 			now := time.Now()
 			job := c.cache.Job("job-000001")
 			job.Estimate, job.CheckpointCost, job.CheckpointInterval = test.estimateS, 3, 15
 			job.ImageGB, job.ReadyAt = 5, now.Add(-test.age)
 			machine := c.cache.Machine("m")
 			placed := storage.PlacedTask{Job: job, PlacedAt: now.Unix() - test.ranS}
-			if got := c.leavesDrained(machine, c.workerState(machine), placed, now); got != test.want {
+			if got := c.stopsForDrain(machine, c.workerState(machine), placed, now); got != test.want {
 				t.Errorf("task is stopped: %v, want %v", got, test.want)
 			}
 		})
@@ -54,12 +54,12 @@
 		t.Fatal(err)
 	}
 	job := controller.cache.Job(id)
-	job.ByZone = make([]int32, 3)
+	job.PlacedByZone = make([]int32, 3)
 	for task, name := range on {
 		machine := controller.cache.Machine(name)
 		machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: revision})
 		job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, revision, job.PlacedCount+1
-		job.ByZone[machine.Zone]++
+		job.PlacedByZone[machine.Zone]++
 	}
 	return job
 }
@@ -70,7 +70,7 @@
 	controller, now := newZonesCore(t, 3), time.Now()
 	for _, machine := range controller.cache.Machines {
 		worker := controller.workerState(machine)
-		worker.Incarnation, worker.heard = 1, now
+		worker.Incarnation, worker.lastMessageAt = 1, now
 	}
 	one := placeService(t, controller, "job-000010", 3, "a0", "b0", "a0")
 	two := placeService(t, controller, "job-000011", 1, "a0")
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -60,7 +60,7 @@
 	if job.Shape != protocol.Service {
 		workS = max(job.Estimate, 1)
 	}
-	demand.Work += float64(tasks) * workS
+	demand.TaskSeconds += float64(tasks) * workS
 }
 
 // newDemand returns a demand with the properties of a job and no tasks.
@@ -69,8 +69,8 @@
 	if allowed == 0 {
 		withinS = defaultWithinS
 	}
-	return autoscale.Demand{Team: kind.team, Spot: kind.spot, Idle: kind.idle, Types: job.Types, Zone: kind.zone,
-		Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, WithinS: withinS}
+	return autoscale.Demand{Team: kind.team, Spot: kind.spot, IdleTimeWork: kind.idle, Types: job.Types, Zone: kind.zone,
+		Cpus: job.Cpus, Gpus: job.Gpus, Mem: job.Mem, CompleteWithinS: withinS}
 }
 
 // demands returns the capacity demand of the open work, grouped by what the work may run on, and separately
@@ -157,7 +157,7 @@
 		left := c.cache.Types[machine.Type].Cpus
 		for _, placed := range machine.Tasks {
 			if placed.Job.Priority.Top() {
-				left -= placed.Job.Size
+				left -= placed.Job.TaskSize
 			}
 		}
 		capacity.free[machine.Zone] += max(0, left)
@@ -172,7 +172,7 @@
 func (z *zoneCapacity) demandByZone(job *storage.Job) []int {
 	needed := make([]int, len(z.free))
 	placed := make([]int, len(z.free))
-	for zone, tasks := range job.ByZone {
+	for zone, tasks := range job.PlacedByZone {
 		placed[zone] = int(tasks)
 		if !z.c.needsNoReplacement(zone, z.now) {
 			needed[zone] = int(tasks)
@@ -185,7 +185,7 @@
 		}
 		placed[best]++
 		needed[best]++
-		z.free[best] -= job.Size
+		z.free[best] -= job.TaskSize
 	}
 	return needed
 }
@@ -194,7 +194,7 @@
 func (z *zoneCapacity) bestZone(job *storage.Job, placed []int) int {
 	best := -1
 	for zone, free := range z.free {
-		if placed[zone] >= job.MaxPerZone() || z.c.reachability.zoneUnreachable(zone) || free < job.Size && !z.canScaleOut[zone] {
+		if placed[zone] >= job.MaxPerZone() || z.c.reachability.zoneUnreachable(zone) || free < job.TaskSize && !z.canScaleOut[zone] {
 			continue
 		}
 		if best < 0 || free > z.free[best] {
@@ -209,17 +209,17 @@
 // services can preempt counts as capacity. Without this demand each new service had to wait for a machine to
 // boot after running services had been consolidated on few machines.
 func (c *Controller) expectedServiceDemand(now time.Time) (demand autoscale.Demand, expected bool) {
-	demand = autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, WithinS: minWithinS}
+	demand = autoscale.Demand{Team: autoscale.NoTeam, Zone: -1, CompleteWithinS: minWithinS}
 	recentCpus := 0.0
 	for _, job := range c.cache.Jobs {
 		if job == nil || job.Shape != protocol.Service || job.Spot || !job.Open() || len(job.Types) > 0 || job.Zone >= 0 {
 			continue
 		}
 		if age := now.Sub(job.Submitted); age < recentServiceWindow && age >= 0 {
-			recentCpus += float64(job.Tasks) * job.Size
+			recentCpus += float64(job.Tasks) * job.TaskSize
 		}
-		if job.Size > demand.Cpus {
-			demand.Cpus, demand.Gpus, demand.Mem = job.Size, job.Gpus, job.Mem
+		if job.TaskSize > demand.Cpus {
+			demand.Cpus, demand.Gpus, demand.Mem = job.TaskSize, job.Gpus, job.Mem
 		}
 	}
 	if recentCpus == 0 {
@@ -227,7 +227,7 @@
 	}
 	expectedCpus := recentCpus * min(1, c.provisioningLeadS()/recentServiceWindow.Seconds())
 	demand.Tasks = int(math.Ceil((expectedCpus - c.preemptibleCpus()) / demand.Cpus))
-	demand.Work = serviceWorkS * float64(demand.Tasks)
+	demand.TaskSeconds = serviceWorkS * float64(demand.Tasks)
 	return demand, demand.Tasks > 0
 }
 
@@ -235,7 +235,7 @@
 func (c *Controller) provisioningLeadS() float64 {
 	leadS := 0.0
 	for i := range c.cache.Types {
-		leadS = max(leadS, readyBootFactor*c.cache.Types[i].BootS)
+		leadS = max(leadS, readyBootFactor*c.cache.Types[i].BootSeconds)
 	}
 	return leadS
 }
@@ -249,7 +249,7 @@
 		}
 		for _, placed := range machine.Tasks {
 			if !placed.Job.Priority.Top() {
-				yielding += placed.Job.Size
+				yielding += placed.Job.TaskSize
 			}
 		}
 	}
@@ -260,7 +260,7 @@
 // capacity elsewhere.
 func (c *Controller) tasksInUnreachableZones(job *storage.Job, now time.Time) int {
 	unreachable := 0
-	for zone, tasks := range job.ByZone {
+	for zone, tasks := range job.PlacedByZone {
 		if c.needsNoReplacement(zone, now) {
 			unreachable += int(tasks)
 		}
--- a/internal/controller/scale_demand_test.go
+++ b/internal/controller/scale_demand_test.go
@@ -32,7 +32,7 @@
 func demandedCpus(demands []autoscale.Demand) float64 {
 	cpus := 0.0
 	for _, demand := range demands {
-		cpus += min(float64(demand.Tasks), math.Ceil(demand.Work/(targetTimeFraction*demand.WithinS))) * demand.Cpus
+		cpus += min(float64(demand.Tasks), math.Ceil(demand.TaskSeconds/(targetTimeFraction*demand.CompleteWithinS))) * demand.Cpus
 	}
 	return cpus
 }
@@ -64,7 +64,7 @@
 				}
 				job := placeService(t, controller, fmt.Sprintf("job-%06d", 10+i), 6, machines...)
 				job.Spread = false
-				controller.cache.Used[job.Team].Add(job, float64(len(machines)))
+				controller.cache.TeamUsage[job.Team].Add(job, float64(len(machines)))
 			}
 			if got := demandedCpus(controller.demands(time.Now())); got < test.minCpus || got > test.maxCpus {
 				t.Errorf("demand of %v CPUs, want %v to %v", got, test.minCpus, test.maxCpus)
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// surplusLasts reports whether a pool has had at least one surplus machine for the retention time.
-func (s *scaleInState) surplusLasts(pool autoscale.Pool, retention time.Duration, now time.Time) bool {
+// surplusPersists reports whether a pool has had at least one surplus machine for the retention time.
+func (s *scaleInState) surplusPersists(pool autoscale.Pool, retention time.Duration, now time.Time) bool {
 	since := s.surplusSince[pool]
 	return !since.IsZero() && now.Sub(since) >= retention
 }
@@ -74,7 +74,7 @@
 	}
 	for _, machine := range candidates {
 		pool := poolOf(machine)
-		if !c.leader.surplusLasts(pool, retention, now) || remaining[pool] < 1 || now.Sub(c.leader.emptySince(machine, now)) < retention {
+		if !c.leader.surplusPersists(pool, retention, now) || remaining[pool] < 1 || now.Sub(c.leader.emptySince(machine, now)) < retention {
 			continue
 		}
 		remaining[pool]--
@@ -130,7 +130,7 @@
 	worker := c.workerState(machine)
 	worker.terminated = true
 	for _, placed := range machine.Tasks {
-		ref := dispatch.RefOf(placed)
+		ref := dispatch.AttemptRefOf(placed)
 		if !worker.hasEnded(ref) {
 			worker.Gone[ref] = dispatch.Lost
 			c.noteOutcome(machine, worker, ref, dispatch.Lost, now)
--- a/internal/controller/scale_out.go
+++ b/internal/controller/scale_out.go
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, name := range names {
-		c.enrollMachine(ctx, &pendingMachine{name: name, tries: enrollTries, done: done, fleet: storage.FleetRecord{
+		c.enrollMachine(ctx, &pendingMachine{name: name, triesLeft: enrollTries, done: done, fleet: storage.FleetRecord{
 			Type: request.Type, Zone: request.Zone, Spot: request.Spot, ProvisionedAt: time.Now().Unix()}})
 	}
 }
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -11,18 +11,18 @@
 
 // QueueState is the load of one team's class queue. Its amounts are in CPUs.
 type QueueState struct {
-	Baseline float64 // baseline demand; 0: unknown
-	Floor    float64 // capacity it gets in an overload before overloaded queues get more than their baseline
-	Used     float64 // used by its placed tasks, on all shards
-	Open     float64 // what all its running and waiting tasks would use
-	Late     float64 // used by tasks of overdue jobs, see Input.Overdue
+	Baseline      float64 // baseline demand; 0: unknown
+	Floor         float64 // capacity it gets in an overload before overloaded queues get more than their baseline
+	Used          float64 // used by its placed tasks, on all shards
+	Open          float64 // what all its running and waiting tasks would use
+	UsedByOverdue float64 // used by tasks of overdue jobs, see Input.Overdue
 	// OpenOnDemand is the part of Open that may not use spot machines.
 	OpenOnDemand float64
 	// Overloaded is true if Open is far above Baseline.
 	Overloaded bool
-	// LeavesOnDemand is true if its best-effort work that may use spot machines is kept off on-demand
+	// AvoidsOnDemand is true if its best-effort work that may use spot machines is kept off on-demand
 	// machines.
-	LeavesOnDemand bool
+	AvoidsOnDemand bool
 }
 
 // QueueStates holds the class queues by storage.ClassQueue.Index; nil for a queue without state.
@@ -76,7 +76,7 @@
 		return false
 	}
 	state := in.Queues.At(storage.ClassQueueOf(job))
-	return state != nil && state.LeavesOnDemand
+	return state != nil && state.AvoidsOnDemand
 }
 
 // capacityOf returns the capacity of a sorted class queue in CPUs: what it uses, what is free, and what its
@@ -101,8 +101,8 @@
 // effectiveCpus converts an amount of a slot's capacity to CPUs. On a machine with accelerators only the
 // CPUs that belong to the amount's accelerators count, since the others can't be used without one.
 func (s *Slot) effectiveCpus(amount storage.Usage) float64 {
-	if s.PerGpu > 0 {
-		return max(0, min(amount.Cpus, amount.Gpus*s.PerGpu))
+	if s.CpusPerGpu > 0 {
+		return max(0, min(amount.Cpus, amount.Gpus*s.CpusPerGpu))
 	}
 	return amount.Cpus
 }
--- a/internal/controller/schedule/cost.go
+++ b/internal/controller/schedule/cost.go
@@ -26,30 +26,30 @@
 // placementSeconds returns the cost of a placement in seconds: the fetch of the image behind those in
 // progress, the machine's risk, and small terms that only break ties.
 func placementSeconds(input *Input, slot *Slot, job *storage.Job) float64 {
-	total := slot.Risk
+	total := slot.RiskS
 	total += slot.fetchSeconds(job)
 	switch {
-	case job.Spot && !job.FinishBy.IsZero():
+	case job.Spot && !job.TargetFinish.IsZero():
 		// A task that is lost and runs again delays all jobs that depend on it, and their deadline leaves no
 		// time for that.
 		if slot.Machine.Spot {
 			total += deadlineOnSpotCostS
 		}
 	case job.Spot && !slot.Machine.Spot:
-		total += input.OnDemandWeight // leaves on-demand machines to tasks that need them
+		total += input.OnDemandCostS // leaves on-demand machines to tasks that need them
 	}
 	if loss := expectedSpotLossSeconds(job); job.Spot && loss >= minFragileLossS {
 		// Fragile tasks are spread over the spot machines, but this cost must not move them to on-demand
 		// machines, where they would be preempted.
 		if slot.Machine.Spot {
-			total += min(maxFragileCostS, loss*float64(slot.Fragile)/fragileDivisor)
+			total += min(maxFragileCostS, loss*float64(slot.FragileTasks)/fragileDivisor)
 		} else {
 			total += maxFragileCostS
 		}
 	}
 	// Cheap machines first, in a fixed order: when there is less work, the more expensive machines
 	// become empty and can be scaled in.
-	total += maxPackingFetchS * slot.Rank
+	total += maxPackingFetchS * slot.PriceRank
 	return total
 }
 
@@ -64,10 +64,10 @@
 	return lostSeconds * job.Estimate / spotLifetimeS
 }
 
-// AddFragile adds a task on the slot's machine to Fragile if it is fragile.
+// AddFragile adds a task on the slot's machine to FragileTasks if it is fragile.
 func (s *Slot) AddFragile(job *storage.Job) {
 	if expectedSpotLossSeconds(job) >= minFragileLossS {
-		s.Fragile++
+		s.FragileTasks++
 	}
 }
 
--- a/internal/controller/schedule/earliest_start.go
+++ b/internal/controller/schedule/earliest_start.go
@@ -30,9 +30,9 @@
 	}
 	imageSeconds := job.ImageGB / s.FetchGBs
 	if slices.Contains(s.FetchingImages, job.Image) {
-		return max(0, s.FetchDoneS-sharedFetchGainFraction*imageSeconds)
+		return max(0, s.FetchRemainingS-sharedFetchGainFraction*imageSeconds)
 	}
-	return s.FetchDoneS + imageSeconds
+	return s.FetchRemainingS + imageSeconds
 }
 
 // startFetch adds a job's image to the fetches of a slot's machine, unless the machine has it or is fetching
@@ -43,7 +43,7 @@
 	}
 	s.FetchingImages = append(s.FetchingImages, job.Image)
 	if s.FetchGBs > 0 {
-		s.FetchDoneS += job.ImageGB / s.FetchGBs
+		s.FetchRemainingS += job.ImageGB / s.FetchGBs
 	}
 }
 
@@ -74,7 +74,7 @@
 func (in *Input) soonestBooting(cursor *jobCursor, limit float64) (best *Slot, startSeconds float64) {
 	job := cursor.job
 	for _, slot := range in.Booting {
-		start := slot.BootS + slot.fetchSeconds(job)
+		start := slot.BootRemainingS + slot.fetchSeconds(job)
 		if start < limit && Allowed(job, slot.Machine) && cursor.allowsZone(in, slot.Machine.Zone) && fitsOne(slot.Free, job) {
 			best, limit = slot, start
 		}
@@ -108,7 +108,7 @@
 // claim takes the capacity for which a job's next task waits: free capacity of a booting machine, or
 // preemptible capacity of another.
 func (c *jobCursor) claim(slot *Slot) {
-	if slot.BootS > 0 {
+	if slot.BootRemainingS > 0 {
 		slot.Free.Add(c.job, -1)
 		slot.startFetch(c.job)
 	} else {
--- a/internal/controller/schedule/earliest_start_test.go
+++ b/internal/controller/schedule/earliest_start_test.go
@@ -22,9 +22,9 @@
 	)
 	hasImage := func(s *Slot) { s.Images = []int{image} }
 	preemptible := func(s *Slot) { s.Free.Cpus, s.Preemptible = 0, storage.Usage{Cpus: 8, Mem: 32} }
-	boots := func(seconds float64) func(*Slot) { return func(s *Slot) { s.BootS = seconds } }
+	boots := func(seconds float64) func(*Slot) { return func(s *Slot) { s.BootRemainingS = seconds } }
 	fetches := func(image int, seconds float64) func(*Slot) {
-		return func(s *Slot) { s.FetchingImages, s.FetchDoneS = []int{image}, seconds }
+		return func(s *Slot) { s.FetchingImages, s.FetchRemainingS = []int{image}, seconds }
 	}
 	for _, test := range []struct {
 		name     string
@@ -48,13 +48,13 @@
 			result := Place(&Input{
 				Now: time.Unix(1000, 0), Slots: test.slots, Booting: test.booting, Jobs: []*storage.Job{waiting},
 				Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1), Capacity: storage.Usage{Cpus: 100, Mem: 400},
-				Records: 9, Tasks: 9, MayPreempt: func(j *storage.Job) bool { return j.Priority.Top() },
+				RecordBudget: 9, Tasks: 9, MayPreempt: func(j *storage.Job) bool { return j.Priority.Top() },
 			})
 			got := waits
 			switch {
 			case len(result.Placed) > 0:
 				got = result.Placed[0].Slot.Machine.Name
-			case result.Short[waiting] > 0:
+			case result.UnplacedTasks[waiting] > 0:
 				got = preempts
 			}
 			if got != test.want {
@@ -71,12 +71,12 @@
 	service := job("a", replicas, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
 	var slots []*Slot
 	for i := range replicas {
-		slots = append(slots, slot(fmt.Sprint("m", i), i%2, 8, func(s *Slot) { s.Images, s.Rank = []int{7}, float64(i)/6 }))
+		slots = append(slots, slot(fmt.Sprint("m", i), i%2, 8, func(s *Slot) { s.Images, s.PriceRank = []int{7}, float64(i)/6 }))
 	}
 	result := Place(&Input{
 		Now: time.Unix(1000, 0), Slots: slots, Jobs: []*storage.Job{service},
 		Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1), Capacity: storage.Usage{Cpus: 100, Mem: 400},
-		Records: 9, Tasks: 9,
+		RecordBudget: 9, Tasks: 9,
 	})
 	byMachine := map[string]int{}
 	for _, placement := range result.Placed {
@@ -100,7 +100,7 @@
 			var candidates []Candidate
 			for i, s := range []*Slot{slotM, slotM, slotN, slotN} {
 				victim := job(fmt.Sprint(s.Machine.Name, i%2+1), 1, 4, protocol.Low)
-				candidates = append(candidates, Candidate{Victims: []Victim{{Slot: s, Job: victim}}, Lost: float64(i)})
+				candidates = append(candidates, Candidate{Victims: []Victim{{Slot: s, Job: victim}}, LostTaskSeconds: float64(i)})
 			}
 			RankCandidates(0.31, candidates)
 			var preempted []string
--- a/internal/controller/schedule/find.go
+++ b/internal/controller/schedule/find.go
@@ -74,7 +74,7 @@
 		top := finder.options[0]
 		slot := s.input.Slots[top.slot]
 		if top.changeCount == s.changes[top.slot] && slot.Record.Free > 0 {
-			if slot.Record.Touched || s.input.Records > 0 {
+			if slot.Record.Rewritten || s.input.RecordBudget > 0 {
 				return slot
 			}
 			finder.recordLimited = true
@@ -87,7 +87,7 @@
 // collectOptions collects the options of a job: all slots on which one of its tasks could be placed.
 func (s *search) collectOptions(finder *jobFinder, job *storage.Job) {
 	*finder = jobFinder{job: job, options: finder.options[:0]}
-	if s.input.Records > 0 {
+	if s.input.RecordBudget > 0 {
 		s.scans++
 		for i := range s.input.Slots {
 			s.collect(finder, int32(i))
@@ -148,7 +148,7 @@
 		if !fitsSlot(input, slot, job) || slot.Record.Free <= 0 || !cursor.allowsZone(input, slot.Machine.Zone) {
 			continue
 		}
-		if !slot.Record.Touched && input.Records <= 0 {
+		if !slot.Record.Rewritten && input.RecordBudget <= 0 {
 			recordLimited = true
 			continue
 		}
--- a/internal/controller/schedule/find_test.go
+++ b/internal/controller/schedule/find_test.go
@@ -68,7 +68,7 @@
 // kinds. The same bits give the same input.
 func drawInput(bits []uint16) *Input {
 	source := &bitSource{bits: bits}
-	input := &Input{Now: time.Unix(2000, 0), Records: source.draw(4), Tasks: 1 + source.draw(40), OnDemandWeight: float64(source.draw(3))}
+	input := &Input{Now: time.Unix(2000, 0), RecordBudget: source.draw(4), Tasks: 1 + source.draw(40), OnDemandCostS: float64(source.draw(3))}
 	for range 1 + source.draw(3) {
 		input.Teams = append(input.Teams, config.Team{Cpus: float64(source.draw(3) * 8), CpusMax: float64(source.draw(2) * 40)})
 		input.Used = append(input.Used, storage.Usage{Cpus: float64(source.draw(12))})
@@ -113,7 +113,7 @@
 func (b *bitSource) drawSlots(jobs []*storage.Job) []*Slot {
 	var records []*GroupCapacity
 	for range 1 + b.draw(5) {
-		records = append(records, &GroupCapacity{Touched: b.draw(4) == 0, Free: b.draw(12)})
+		records = append(records, &GroupCapacity{Rewritten: b.draw(4) == 0, Free: b.draw(12)})
 	}
 	var slots []*Slot
 	for i := range 1 + b.draw(20) {
@@ -123,9 +123,9 @@
 			s.Record = records[b.draw(len(records))]
 			s.Images = []int{b.draw(4)}
 			s.FetchingImages = []int{b.draw(4)}
-			s.FetchDoneS = float64(b.draw(3))
-			s.Risk = float64(b.draw(2))
-			s.Rank = float64(i) / 100
+			s.FetchRemainingS = float64(b.draw(3))
+			s.RiskS = float64(b.draw(2))
+			s.PriceRank = float64(i) / 100
 			if b.draw(6) == 0 {
 				s.Reservations = []Reservation{{Job: jobs[b.draw(len(jobs))], Slots: 1 + b.draw(2)}}
 			}
@@ -143,7 +143,7 @@
 				Floor:          float64(b.draw(20)),
 				Used:           float64(b.draw(20)),
 				Overloaded:     b.draw(2) > 0,
-				LeavesOnDemand: b.draw(3) == 0,
+				AvoidsOnDemand: b.draw(3) == 0,
 			}
 		}
 	}
@@ -173,11 +173,11 @@
 			placed = append(placed, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Task, p.Slot.Machine.Name))
 		}
 		short := map[string]int{}
-		for j, n := range res.Short {
+		for j, n := range res.UnplacedTasks {
 			short[j.ID] = n
 		}
-		if !slices.Equal(placed, wantPlaced) || fmt.Sprint(short) != fmt.Sprint(wantShort) || res.More != wantMore {
-			t.Fatalf("placed %v\nshort %v more %v\nwant   %v\nshort %v more %v", placed, short, res.More, wantPlaced, wantShort, wantMore)
+		if !slices.Equal(placed, wantPlaced) || fmt.Sprint(short) != fmt.Sprint(wantShort) || res.Incomplete != wantMore {
+			t.Fatalf("placed %v\nshort %v more %v\nwant   %v\nshort %v more %v", placed, short, res.Incomplete, wantPlaced, wantShort, wantMore)
 		}
 	})
 }
--- a/internal/controller/schedule/load_factor.go
+++ b/internal/controller/schedule/load_factor.go
@@ -15,7 +15,7 @@
 	// are treated as overloaded. At load factors just above 1, the order by latest start completes more
 	// jobs in time.
 	OverloadFactor = 1.5
-	// minSlackS is how many seconds more than Capacity.Busy a job must be able to wait to be counted.
+	// minSlackS is how many seconds more than Capacity.BusyS a job must be able to wait to be counted.
 	minSlackS = 10
 	// finishDelay is the time from the end of a job's tasks until the job is done: fetch, heartbeats,
 	// records.
@@ -28,7 +28,7 @@
 
 // WaitingWork is the waiting work of a job.
 type WaitingWork struct {
-	Slack    float64 // seconds within which it must get its capacity to be in time
+	SlackS   float64 // seconds within which it must get its capacity to be in time
 	Work     float64 // CPU-seconds
 	OnDemand bool    // may not use spot machines
 }
@@ -38,7 +38,7 @@
 // whether the job has a deadline that it can still meet.
 func WaitingWorkOf(now time.Time, job *storage.Job, tasksLeft int, allowed time.Duration, late bool) (waiting WaitingWork, ok bool) {
 	slack := slackSeconds(now, job, job.ReadyAt.Add(allowed))
-	waiting = WaitingWork{Slack: slack, Work: workOfTasks(job, tasksLeft), OnDemand: !job.Spot}
+	waiting = WaitingWork{SlackS: slack, Work: workOfTasks(job, tasksLeft), OnDemand: !job.Spot}
 	return waiting, allowed > 0 && !late && slack > 0
 }
 
@@ -49,36 +49,36 @@
 
 // workOfTasks returns the work of a number of a job's tasks, in CPU-seconds.
 func workOfTasks(job *storage.Job, tasks int) float64 {
-	return float64(tasks) * job.Size * max(job.Estimate, minEstimateS)
+	return float64(tasks) * job.TaskSize * max(job.Estimate, minEstimateS)
 }
 
 // Capacity is the capacity of machines in CPUs. OnDemand is the part of All that is on on-demand machines.
 type Capacity struct {
 	All, OnDemand float64
-	// Busy is the average time in seconds until the tasks on the machines have ended.
-	Busy float64
+	// BusyS is the average time in seconds until the tasks on the machines have ended.
+	BusyS float64
 }
 
 // LoadFactor returns the ratio of waiting work to the work that the machines can complete in time, with the
 // earliest latest starts first. Above 1, no order completes all work in time; 0 means that no work waits.
 // It sorts waits by slack.
 func LoadFactor(waits []WaitingWork, capacity Capacity) float64 {
-	slices.SortFunc(waits, func(a, b WaitingWork) int { return cmp.Compare(a.Slack, b.Slack) })
+	slices.SortFunc(waits, func(a, b WaitingWork) int { return cmp.Compare(a.SlackS, b.SlackS) })
 	// CPU-seconds of the running work and of the waiting work with no more slack than the current job.
-	allWork := capacity.Busy * capacity.All
-	onDemandWork := capacity.Busy * capacity.OnDemand
+	allWork := capacity.BusyS * capacity.All
+	onDemandWork := capacity.BusyS * capacity.OnDemand
 	load := 0.0
 	for _, waiting := range waits {
 		allWork += waiting.Work
 		if waiting.OnDemand {
 			onDemandWork += waiting.Work
 		}
-		if waiting.Slack < capacity.Busy+minSlackS {
+		if waiting.SlackS < capacity.BusyS+minSlackS {
 			continue // late regardless of the capacity
 		}
-		load = max(load, allWork/max(1, capacity.All*waiting.Slack))
+		load = max(load, allWork/max(1, capacity.All*waiting.SlackS))
 		if waiting.OnDemand {
-			load = max(load, onDemandWork/max(1, capacity.OnDemand*waiting.Slack))
+			load = max(load, onDemandWork/max(1, capacity.OnDemand*waiting.SlackS))
 		}
 	}
 	return load
--- a/internal/controller/schedule/load_factor_test.go
+++ b/internal/controller/schedule/load_factor_test.go
@@ -7,7 +7,7 @@
 
 // A burst of jobs that can all be completed in time must not count as an overload.
 func TestLoadFactor(t *testing.T) {
-	capacity := Capacity{All: 100, OnDemand: 10, Busy: 5}
+	capacity := Capacity{All: 100, OnDemand: 10, BusyS: 5}
 	for _, test := range []struct {
 		name  string
 		waits []WaitingWork
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -88,7 +88,7 @@
 	capacity := input.capacityOf(q)
 	q.deferByPriority(input.Now, capacity)
 	q.promoteStarving(input)
-	q.promoteOverdue(input, overdueFraction*capacity-state.Late)
+	q.promoteOverdue(input, overdueFraction*capacity-state.UsedByOverdue)
 }
 
 // deferByPriority defers jobs separately for each priority. The queue is sorted, so jobs of one priority are
@@ -109,12 +109,12 @@
 // promoteStarving moves one task of each deferred job that has waited too long for its first task ahead of
 // all other jobs: however large the job, a single task hardly delays the others.
 func (q *jobQueue) promoteStarving(input *Input) {
-	if input.MustBegin == nil {
+	if input.Starving == nil {
 		return
 	}
 	promoted := false
 	for _, cursor := range q.jobs {
-		if cursor.urgency == deferred && input.MustBegin(cursor.job) {
+		if cursor.urgency == deferred && input.Starving(cursor.job) {
 			cursor.urgency = starving
 			cursor.tasksLeft = 1
 			promoted = true
@@ -146,7 +146,7 @@
 			break
 		}
 		cursor.urgency = overdue
-		capacity -= float64(cursor.tasksLeft) * cursor.job.Size
+		capacity -= float64(cursor.tasksLeft) * cursor.job.TaskSize
 	}
 	q.sort()
 }
--- a/internal/controller/schedule/order_test.go
+++ b/internal/controller/schedule/order_test.go
@@ -39,10 +39,10 @@
 			input := &Input{
 				Now:        now,
 				Capacity:   storage.Usage{Cpus: 1000},
-				Queues:     QueueStates{{Late: test.overdueCpus, Overloaded: true, Used: test.capacity}},
+				Queues:     QueueStates{{UsedByOverdue: test.overdueCpus, Overloaded: true, Used: test.capacity}},
 				Overloaded: true,
 				Overdue:    func(j *storage.Job) bool { return now.Sub(j.ReadyAt) > 600*time.Second },
-				MustBegin:  func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") },
+				Starving:   func(j *storage.Job) bool { return strings.HasPrefix(j.ID, "never") },
 				TimeAllowed: func(j *storage.Job) (time.Duration, bool) {
 					return 60 * time.Second, hasMissed[j]
 				},
@@ -61,7 +61,7 @@
 			var order []string
 			for _, cursor := range queue.jobs {
 				order = append(order, cursor.job.ID)
-				if input.MustBegin(cursor.job) && cursor.tasksLeft != 1 {
+				if input.Starving(cursor.job) && cursor.tasksLeft != 1 {
 					t.Errorf("%d tasks of %s go first, want 1", cursor.tasksLeft, cursor.job.ID)
 				}
 			}
--- a/internal/controller/schedule/overload_test.go
+++ b/internal/controller/schedule/overload_test.go
@@ -104,7 +104,7 @@
 	input.Now = s.time()
 	input.Jobs = input.Jobs[:0]
 	input.Slots = s.slots
-	input.Records = 999
+	input.RecordBudget = 999
 	input.Tasks = 9999
 	input.Queues = make(QueueStates, storage.ClassQueueCount(len(input.Teams)))
 	input.Overloaded = false
@@ -153,7 +153,7 @@
 	for _, task := range s.running {
 		busy += (task.ends - s.now) * task.job.Cpus
 	}
-	load := LoadFactor(waits, Capacity{All: input.Capacity.Cpus, OnDemand: input.Capacity.Cpus, Busy: busy / input.Capacity.Cpus})
+	load := LoadFactor(waits, Capacity{All: input.Capacity.Cpus, OnDemand: input.Capacity.Cpus, BusyS: busy / input.Capacity.Cpus})
 	input.Overloaded = input.Overloaded && (s.overloaded || load > OverloadFactor)
 	s.overloaded = input.Overloaded
 }
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -39,14 +39,14 @@
 	input.Scratch.cursors = cursors
 	var queues []*jobQueue
 	for _, job := range input.Jobs {
-		if job.Waiting() == 0 || (input.Hold != nil && input.Hold(job)) {
+		if job.Waiting() == 0 || (input.Held != nil && input.Held(job)) {
 			continue
 		}
 		var queue *jobQueue
 		queues, queue = findOrAddQueue(queues, job)
 		tasksLeft := job.Waiting()
-		if input.MaxTasks != nil {
-			tasksLeft = min(tasksLeft, input.MaxTasks(job))
+		if input.MaxTasksOf != nil {
+			tasksLeft = min(tasksLeft, input.MaxTasksOf(job))
 		}
 		cursors = append(cursors, jobCursor{job: job, nextTask: job.NextWaiting(0), tasksLeft: tasksLeft})
 		cursor := &cursors[len(cursors)-1]
@@ -74,7 +74,7 @@
 		input:  input,
 		queues: newQueues(input),
 		search: newSearch(input),
-		result: Result{Short: map[*storage.Job]int{}},
+		result: Result{UnplacedTasks: map[*storage.Job]int{}},
 	}
 	firstByTeam := make([]int, len(input.Teams))
 	for len(p.queues) > 0 && len(p.result.Placed) < input.Tasks {
@@ -83,7 +83,7 @@
 		p.dropIfDone(queueIndex)
 	}
 	if len(p.queues) > 0 {
-		p.result.More = true
+		p.result.Incomplete = true
 	}
 	p.result.Scans = p.search.scans
 	return p.result
@@ -103,10 +103,10 @@
 	case slot != nil:
 		p.placeOrWait(cursor, slot)
 	case recordLimited:
-		p.result.More = true
+		p.result.Incomplete = true
 		cursor.tasksLeft = 0
 	default:
-		p.result.Short[job] += cursor.tasksLeft
+		p.result.UnplacedTasks[job] += cursor.tasksLeft
 		cursor.tasksLeft = 0
 	}
 }
@@ -114,8 +114,8 @@
 // placeOrWait places a job's next task on a free slot, unless it starts sooner elsewhere and should wait.
 func (p *pass) placeOrWait(cursor *jobCursor, slot *Slot) {
 	if soonest := p.input.claimSoonerStart(cursor, slot); soonest != nil {
-		if soonest.BootS == 0 {
-			p.result.Short[cursor.job]++
+		if soonest.BootRemainingS == 0 {
+			p.result.UnplacedTasks[cursor.job]++
 		}
 	} else {
 		recordPlacement(p.input, cursor, slot)
@@ -157,13 +157,13 @@
 	slot.startFetch(job)
 	cursor.placedOn = append(cursor.placedOn, slot)
 	slot.Record.Free--
-	if !slot.Record.Touched {
-		slot.Record.Touched = true
-		input.Records--
+	if !slot.Record.Rewritten {
+		slot.Record.Rewritten = true
+		input.RecordBudget--
 	}
 	cursor.countInZone(slot.Machine.Zone)
 	input.Used[job.Team].Add(job, 1)
 	if state := input.Queues.At(storage.ClassQueueOf(job)); state != nil {
-		state.Used += job.Size
+		state.Used += job.TaskSize
 	}
 }
--- a/internal/controller/schedule/place_test.go
+++ b/internal/controller/schedule/place_test.go
@@ -16,12 +16,12 @@
 func job(id string, tasks int, cpus float64, priority protocol.Priority, change ...func(*storage.Job)) *storage.Job {
 	j := &storage.Job{
 		ID: id, Tasks: tasks, Cpus: cpus, Mem: cpus, Priority: priority, Zone: -1, Spot: true, ReadyAt: time.Unix(1000, 0),
-		Done: storage.NewBitmap(tasks), MachineOf: slices.Repeat([]int32{storage.Nowhere}, tasks), AttemptOf: make([]uint64, tasks),
+		Done: storage.NewBitmap(tasks), MachineOf: slices.Repeat([]int32{storage.NotPlaced}, tasks), AttemptOf: make([]uint64, tasks),
 	}
 	for _, apply := range change {
 		apply(j)
 	}
-	j.Size = j.Cpus
+	j.TaskSize = j.Cpus
 	return j
 }
 
@@ -118,23 +118,23 @@
 				test.records = 100
 			}
 			queues := make(QueueStates, storage.ClassQueueCount(len(test.teams)))
-			queues.Ensure(storage.ClassQueue{}).LeavesOnDemand = test.leavesOnDemand
+			queues.Ensure(storage.ClassQueue{}).AvoidsOnDemand = test.leavesOnDemand
 			result := Place(&Input{
-				Slots:      test.slots,
-				Jobs:       test.jobs,
-				Teams:      test.teams,
-				Used:       test.used,
-				Queues:     queues,
-				Overloaded: test.leavesOnDemand,
-				Capacity:   storage.Usage{Cpus: 100, Mem: 400},
-				Records:    test.records,
-				Tasks:      100,
+				Slots:        test.slots,
+				Jobs:         test.jobs,
+				Teams:        test.teams,
+				Used:         test.used,
+				Queues:       queues,
+				Overloaded:   test.leavesOnDemand,
+				Capacity:     storage.Usage{Cpus: 100, Mem: 400},
+				RecordBudget: test.records,
+				Tasks:        100,
 			})
 			if placed := countPlaced(t, result.Placed); !maps.Equal(placed, test.want) {
 				t.Fatalf("placed %v, want %v", placed, test.want)
 			}
 			short := map[string]int{}
-			for j, n := range result.Short {
+			for j, n := range result.UnplacedTasks {
 				short[j.ID] = n
 			}
 			for id, n := range test.short {
@@ -142,8 +142,8 @@
 					t.Fatalf("short %v, want %d of %s", short, n, id)
 				}
 			}
-			if result.More != test.more {
-				t.Fatalf("more %v, want %v", result.More, test.more)
+			if result.Incomplete != test.more {
+				t.Fatalf("more %v, want %v", result.Incomplete, test.more)
 			}
 		})
 	}
@@ -188,16 +188,16 @@
 			fragile := &storage.Job{
 				ID: "j", Tasks: tasks, Cpus: 0.25, Spot: true, Zone: -1,
 				Estimate: test.estimate, CheckpointInterval: test.checkpointInterval,
-				Done: storage.NewBitmap(tasks), MachineOf: slices.Repeat([]int32{storage.Nowhere}, tasks),
+				Done: storage.NewBitmap(tasks), MachineOf: slices.Repeat([]int32{storage.NotPlaced}, tasks),
 			}
 			input := &Input{
 				Now: time.Now(), Jobs: []*storage.Job{fragile}, Teams: []config.Team{{}}, Used: make([]storage.Usage, 1),
-				Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100, OnDemandWeight: 0.2,
+				Capacity: storage.Usage{Cpus: 64}, RecordBudget: 9, Tasks: 100, OnDemandCostS: 0.2,
 			}
 			addSlot := func(spot bool, rank float64) {
 				input.Slots = append(input.Slots, &Slot{
 					Machine: &storage.Machine{Spot: spot}, Free: storage.Usage{Cpus: 16, Mem: 9},
-					Images: []int{0}, Rank: rank, Record: &GroupCapacity{Free: 99},
+					Images: []int{0}, PriceRank: rank, Record: &GroupCapacity{Free: 99},
 				})
 			}
 			for i := range 4 {
@@ -223,7 +223,7 @@
 func TestFullFleetIsScannedFewTimes(t *testing.T) {
 	input := &Input{
 		Now: time.Now(), Teams: []config.Team{{}, {}}, Used: make([]storage.Usage, 2),
-		Capacity: storage.Usage{Cpus: 64}, Records: 9, Tasks: 100,
+		Capacity: storage.Usage{Cpus: 64}, RecordBudget: 9, Tasks: 100,
 	}
 	for range 4 {
 		input.Slots = append(input.Slots, &Slot{Machine: &storage.Machine{Spot: true}, Free: storage.Usage{Cpus: 1, Mem: 64}, Record: &GroupCapacity{Free: 99}})
@@ -239,8 +239,8 @@
 	input.Slots[1].Reservations = []Reservation{{Job: reserving, Slots: 1}}
 	input.Jobs = append(input.Jobs, small, reserving)
 	result := Place(input)
-	if len(result.Short) != 500 || len(result.Placed) != 2 {
-		t.Errorf("%d jobs short, %d tasks placed; want 500 and 2", len(result.Short), len(result.Placed))
+	if len(result.UnplacedTasks) != 500 || len(result.Placed) != 2 {
+		t.Errorf("%d jobs short, %d tasks placed; want 500 and 2", len(result.UnplacedTasks), len(result.Placed))
 	}
 	if result.Scans > 5 {
 		t.Errorf("%d scans of all machines, want at most 5", result.Scans)
--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -19,11 +19,11 @@
 
 // Candidate is work that may be preempted: one task of an array, or a whole service.
 type Candidate struct {
-	Victims     []Victim
-	Lost        float64   // task-seconds lost by a preemption: run since the start or the last checkpoint
-	Waited      float64   // seconds waited before the last start
-	SubmittedAt time.Time // when the job became ready; of equal scores the younger is preempted first
-	Score       float64   // set by RankCandidates
+	Victims         []Victim
+	LostTaskSeconds float64   // task-seconds lost by a preemption: run since the start or the last checkpoint
+	WaitSeconds     float64   // seconds waited before the last start
+	ReadySince      time.Time // when the job became ready; of equal scores the younger is preempted first
+	Score           float64   // set by RankCandidates
 	// TopPriority is true for top-priority work, which may be preempted only for a guarantee.
 	TopPriority bool
 }
@@ -38,13 +38,13 @@
 // would have the lowest scores and be preempted for guarantees again and again.
 func RankCandidates(alpha float64, candidates []Candidate) {
 	for i := range candidates {
-		candidates[i].Score = Score(alpha, candidates[i].Lost, candidates[i].Waited)
+		candidates[i].Score = Score(alpha, candidates[i].LostTaskSeconds, candidates[i].WaitSeconds)
 	}
 	slices.SortStableFunc(candidates, func(a, b Candidate) int {
 		return cmp.Or(
 			bestEffortFirst(a, b),
 			cmp.Compare(a.Score, b.Score),
-			b.SubmittedAt.Compare(a.SubmittedAt),
+			b.ReadySince.Compare(a.ReadySince),
 		)
 	})
 }
@@ -167,8 +167,8 @@
 	total := 0
 	for zone, fit := range f.zones {
 		placed := 0
-		if zone < len(job.ByZone) {
-			placed = int(job.ByZone[zone])
+		if zone < len(job.PlacedByZone) {
+			placed = int(job.PlacedByZone[zone])
 		}
 		switch {
 		case job.OneZone && job.PlacedCount > 0 && placed == 0:
--- a/internal/controller/schedule/preemption_test.go
+++ b/internal/controller/schedule/preemption_test.go
@@ -12,7 +12,7 @@
 	slotM, slotN := slot("m", 0, 0), slot("n", 0, 1)
 	young, old := time.Unix(2000, 0), time.Unix(1000, 0)
 	candidate := func(id string, s *Slot, cpus, lost, waited float64, submitted time.Time) Candidate {
-		return Candidate{Victims: []Victim{{Slot: s, Job: job(id, 1, cpus, protocol.Normal)}}, Lost: lost, Waited: waited, SubmittedAt: submitted}
+		return Candidate{Victims: []Victim{{Slot: s, Job: job(id, 1, cpus, protocol.Normal)}}, LostTaskSeconds: lost, WaitSeconds: waited, ReadySince: submitted}
 	}
 	top := job("top", 9, 4, protocol.High)
 	cases := []struct {
@@ -60,18 +60,18 @@
 func TestRankCandidates(t *testing.T) {
 	old, young := time.Unix(100, 0), time.Unix(200, 0)
 	candidates := []Candidate{
-		{Lost: 1, TopPriority: true, SubmittedAt: old},
-		{Lost: 90, Waited: 10, SubmittedAt: old},
-		{Lost: 5, Waited: 5, SubmittedAt: old},
-		{Lost: 5, Waited: 5, SubmittedAt: young},
-		{TopPriority: true, SubmittedAt: young},
+		{LostTaskSeconds: 1, TopPriority: true, ReadySince: old},
+		{LostTaskSeconds: 90, WaitSeconds: 10, ReadySince: old},
+		{LostTaskSeconds: 5, WaitSeconds: 5, ReadySince: old},
+		{LostTaskSeconds: 5, WaitSeconds: 5, ReadySince: young},
+		{TopPriority: true, ReadySince: young},
 	}
 	RankCandidates(0.5, candidates)
 	var scores []float64
 	for _, candidate := range candidates {
 		scores = append(scores, candidate.Score)
 	}
-	if !slices.Equal(scores, []float64{5, 5, 50, 0, 0.5}) || candidates[0].SubmittedAt != young || !candidates[3].TopPriority {
+	if !slices.Equal(scores, []float64{5, 5, 50, 0, 0.5}) || candidates[0].ReadySince != young || !candidates[3].TopPriority {
 		t.Errorf("order %+v", candidates)
 	}
 }
--- a/internal/controller/schedule/spent_budget.go
+++ b/internal/controller/schedule/spent_budget.go
@@ -36,7 +36,7 @@
 	for i, slot := range input.Slots {
 		switch {
 		case slot.Record.Free <= 0:
-		case slot.Record.Touched:
+		case slot.Record.Rewritten:
 			b.touched = append(b.touched, int32(i))
 		case len(slot.Reservations) > 0:
 			b.reserved = append(b.reserved, int32(i))
--- a/internal/controller/schedule/zones.go
+++ b/internal/controller/schedule/zones.go
@@ -19,8 +19,8 @@
 // tasksInZone returns how many of the job's tasks are in a zone, including those of this pass.
 func (c *jobCursor) tasksInZone(zone int) int {
 	n := 0
-	if zone < len(c.job.ByZone) {
-		n += int(c.job.ByZone[zone])
+	if zone < len(c.job.PlacedByZone) {
+		n += int(c.job.PlacedByZone[zone])
 	}
 	if zone < len(c.placedByZone) {
 		n += int(c.placedByZone[zone])
@@ -41,7 +41,7 @@
 // its tasks if it has any, else the zone with capacity for the most of its tasks.
 func (c *jobCursor) isChosenZone(input *Input, zone int) bool {
 	total := 0
-	for other := range max(len(c.job.ByZone), len(c.placedByZone)) {
+	for other := range max(len(c.job.PlacedByZone), len(c.placedByZone)) {
 		n := c.tasksInZone(other)
 		if n > 0 && other != zone {
 			return false
--- a/internal/controller/shard_load.go
+++ b/internal/controller/shard_load.go
@@ -154,7 +154,7 @@
 	load := enrollmentLoad{demand: make([]float64, c.cache.NumShards), capacity: make([]float64, c.cache.NumShards)}
 	for _, job := range c.cache.Jobs {
 		if job != nil && job.Open() && !c.isIdleWork(job, now) {
-			load.demand[job.Shard] += float64(c.wantedTasks(job)+job.PlacedCount) * job.Size
+			load.demand[job.Shard] += float64(c.wantedTasks(job)+job.PlacedCount) * job.TaskSize
 		}
 	}
 	for machine := range c.machinesInService() {
@@ -163,8 +163,8 @@
 	return load
 }
 
-// neediest returns the shard with the most demand per CPU.
-func (l *enrollmentLoad) neediest() int {
+// shardForNewMachines returns the shard with the most demand per CPU.
+func (l *enrollmentLoad) shardForNewMachines() int {
 	best := 0
 	for shard := range l.demand {
 		if l.demandPerCPU(shard) > l.demandPerCPU(best) {
--- a/internal/controller/shard_ownership.go
+++ b/internal/controller/shard_ownership.go
@@ -33,7 +33,7 @@
 	owned               []uint64         // version of the shard record under which this process owns it; 0: not owned
 	history             []shardOwnership // the shard's last change of owner
 	historyLoaded       bool             // history has been filled from the records once
-	waiting             []int            // number of waiting tasks when the shard was last planned
+	waitingTasks        []int            // number of waiting tasks when the shard was last planned
 	takenOverAt         time.Time        // when this controller last took over any shard
 	placedSinceTakeover bool             // a task was placed since takenOverAt
 	writeInFlight       bool             // a transaction with the leader's assignment is in flight
@@ -48,9 +48,9 @@
 
 func newShardOwnerships(shards int) shardOwnerships {
 	return shardOwnerships{
-		owned:   make([]uint64, shards),
-		history: make([]shardOwnership, shards),
-		waiting: make([]int, shards),
+		owned:        make([]uint64, shards),
+		history:      make([]shardOwnership, shards),
+		waitingTasks: make([]int, shards),
 	}
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	c.shards.writeInFlight = true
-	c.commitAside(ctx, txn, protocol.UrgentRequest, func(bool) { c.shards.writeInFlight = false })
+	c.commitOutsideCycle(ctx, txn, protocol.UrgentRequest, func(bool) { c.shards.writeInFlight = false })
 }
 
 // assignableMembers returns the members to which shards may be assigned, and the sum of all member
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -25,10 +25,10 @@
 	resumed := start.Add(9 * time.Second)
 	controller.session.leaseRenewedAt, controller.storeHealth.servedAt, controller.shards.takenOverAt = start, start, start.Add(-time.Minute)
 	controller.reachability.disconnected["n1"] = resumed.Add(-2 * time.Second) // the connection's deadline passed during the stall
-	worker.heard, worker.since, controller.workers.anyHeardAt = start, start.Add(-time.Minute), start
+	worker.lastMessageAt, worker.trackedSince, controller.workers.lastWorkerMessageAt = start, start.Add(-time.Minute), start
 	observe := func(now time.Time) (silent, lost, isolated bool) {
 		controller.reachability.peers["n1"] = peerState{protocol.PeerHeartbeat{StateOK: true}, now, time.Time{}}
-		return controller.silenceOf(worker.heard, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
+		return controller.silenceOf(worker.lastMessageAt, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
 	if silent, lost, isolated := observe(resumed); !silent || !lost || !isolated {
 		t.Fatalf("before the stall is detected: silent %v, lost %v, isolated %v; want all, otherwise the test proves nothing", silent, lost, isolated)
@@ -86,7 +86,7 @@
 			controller.session.lease, controller.session.leaseRenewedAt = 1, now.Add(-test.since)
 			controller.autoscaleAsLeader(t.Context(), now)
 			got := false
-			if controller.leader.listing || len(controller.leader.scaleOuts) > 0 {
+			if controller.leader.listInFlight || len(controller.leader.scaleOuts) > 0 {
 				got = true
 				<-requests
 			}
@@ -195,7 +195,7 @@
 				machine.Incarnation = 1
 			}
 			now := time.Now()
-			controller.workers.anyHeardAt = now.Add(-test.silent)
+			controller.workers.lastWorkerMessageAt = now.Add(-test.silent)
 			controller.checkReadiness(t.Context(), now)
 			if controller.session.notReady.Load() != test.notReady {
 				t.Errorf("not ready: %v, want %v", controller.session.notReady.Load(), test.notReady)
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -62,7 +62,7 @@
 // noteLoad records the outcome of a read of all records.
 func (f *stateFollower) noteLoad(err error) {
 	f.loadFailed = err != nil && !f.loaded
-	if err == nil || errors.Is(err, storage.ErrLayout) {
+	if err == nil || errors.Is(err, storage.ErrForeignLayout) {
 		f.foreignLayout = err != nil
 	}
 }
@@ -132,7 +132,7 @@
 	err := c.call(ctx, func() {
 		for _, item := range page.Items {
 			seen[item.Key] = true
-			if err := c.apply(item.Key, item.Value, item.Version, false); errors.Is(err, storage.ErrLayout) {
+			if err := c.apply(item.Key, item.Value, item.Version, false); errors.Is(err, storage.ErrForeignLayout) {
 				layoutErr = err
 			}
 		}
@@ -149,14 +149,14 @@
 	if err := c.cache.DropUnseen(seen, revision); err != nil {
 		c.log.Error("dropping a record that is no longer in the state service failed", "err", err)
 	}
-	c.cache.Sweep()
+	c.cache.PruneFinalJobs()
 	c.cache.Revision = revision
 	c.follower.highestRevision = max(c.follower.highestRevision, revision)
 	c.follower.loaded = true
 	c.follower.cacheCurrentAt = maxTime(startedAt, c.follower.cacheCurrentAt)
 	c.cancellations.unverified.lastRenewals = nil // no longer needed once the records have been read
 	c.log.Info("records read", "revision", revision, "records", len(seen))
-	c.changed()
+	c.onRecordsChanged()
 }
 
 // loadAcceptanceRecords reads the records that are needed to accept a job, before all others: the
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -12,14 +12,14 @@
 	"dykeledge/internal/storage"
 )
 
-func (idleStore) SetLimit(float64) {}
+func (stubStore) SetLimit(float64) {}
 
 // TestInDoubtTransactionIsResolved guards against repeating an in-doubt transaction forever when the
 // state service refuses the repetition because of its size. The transaction is then still in doubt,
 // since the first copy may have been committed before the limits were lowered, or may arrive late.
 func TestInDoubtTransactionIsResolved(t *testing.T) {
 	controller := newCore(t)
-	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).lastMessageAt, 12)
 	txn := builder.build()
 	controller.workers.directCommands = maxDirectCommands
 	controller.handleTxnOutcome(txn, 0, nil, protocol.ErrUnknown)
@@ -48,7 +48,7 @@
 	}
 	// If nothing is in doubt, a refusal because of the size is definite.
 	controller = newCore(t)
-	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).heard, 12)
+	builder, _ = controller.plan(controller.workerState(controller.cache.Machine("m")).lastMessageAt, 12)
 	if controller.handleTxnOutcome(builder.build(), 0, nil, tooLarge); controller.commits.inDoubt != nil || !controller.gates.limitsLowered {
 		t.Errorf("in doubt %v, limits lowered %v: want false and true", controller.commits.inDoubt != nil, controller.gates.limitsLowered)
 	}
@@ -56,7 +56,7 @@
 
 // scriptedStore answers transactions with scripted answers, and records the transactions.
 type scriptedStore struct {
-	idleStore
+	stubStore
 	answers  []scriptedAnswer
 	requests []protocol.Txn
 }
--- a/internal/controller/store_health.go
+++ b/internal/controller/store_health.go
@@ -76,7 +76,7 @@
 }
 
 // served reports whether the state service answers this controller: its last successful answer is less
-// than peerFresh old, and no commit has failed since.
+// than peerFreshPeriod old, and no commit has failed since.
 func (h *storeHealth) served(now time.Time) bool {
-	return h.failingSince.IsZero() && now.Sub(h.servedAt) < peerFresh
+	return h.failingSince.IsZero() && now.Sub(h.servedAt) < peerFreshPeriod
 }
--- a/internal/controller/team_bounds.go
+++ b/internal/controller/team_bounds.go
@@ -40,15 +40,15 @@
 	return cpus <= limitTolerance && gpus <= limitTolerance
 }
 
-// tighter reports whether any limit of a is lower than that of b.
-func tighter(a, b storage.TeamBounds) bool {
+// lowersLimit reports whether any limit of a is lower than that of b.
+func lowersLimit(a, b storage.TeamBounds) bool {
 	lower := func(x, y float64) bool { return x > 0 && (y <= 0 || x < y) }
 	return lower(a.CpusMax, b.CpusMax) || lower(a.GpusMax, b.GpusMax)
 }
 
-// looser returns the higher limit of a and b for each resource, with the guarantees of b. When a
+// higherLimits returns the higher limit of a and b for each resource, with the guarantees of b. When a
 // change lowers one limit and raises another, the raised one thus takes effect immediately.
-func looser(a, b storage.TeamBounds) storage.TeamBounds {
+func higherLimits(a, b storage.TeamBounds) storage.TeamBounds {
 	higher := func(x, y float64) float64 {
 		if x <= 0 || y <= 0 {
 			return 0 // none
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -23,7 +23,7 @@
 	storage.TeamBounds
 	Version        uint64   `json:"version"` // 0: unchanged from the settings file
 	State          string   `json:"state"`
-	CpusToGo       float64  `json:"cpus_to_go,omitempty"` // usage above a limit that is being lowered
+	ExcessCpus     float64  `json:"cpus_to_go,omitempty"` // usage above a limit that is being lowered
 	ExcessGpus     float64  `json:"gpus_to_go,omitempty"`
 	LaggingMembers []string `json:"behind,omitempty"` // controllers that have not shown that they have read the change
 }
@@ -36,22 +36,22 @@
 	TeamPropagating = "not yet in force" // some controller has not shown that it has read the change
 )
 
-// GateError is returned when a change would not be applied by all controllers; Members are those that would
+// LayoutGateError is returned when a change would not be applied by all controllers; Members are those that would
 // not.
-type GateError struct{ Members []string }
+type LayoutGateError struct{ Members []string }
 
 // Error returns a text with the names of the controllers that do not read changed teams yet.
-func (e *GateError) Error() string {
+func (e *LayoutGateError) Error() string {
 	return "not before all nodes read changed teams; missing: " + strings.Join(e.Members, ", ")
 }
 
-// ErrNoTeam is returned for a team that the settings do not name.
-var ErrNoTeam = errors.New("no such team")
+// ErrUnknownTeam is returned for a team that the settings do not name.
+var ErrUnknownTeam = errors.New("no such team")
 
 // Teams returns the teams in the order of the settings file.
 func (c *Controller) Teams(ctx context.Context) ([]TeamView, error) {
 	if err := c.Barrier(ctx); err != nil {
-		return nil, ErrUnavailable
+		return nil, ErrStoreUnavailable
 	}
 	var views []TeamView
 	err := c.call(ctx, func() {
@@ -62,11 +62,11 @@
 	return views, err
 }
 
-// Team returns one team; ErrNoTeam if the settings name no team of that name.
+// Team returns one team; ErrUnknownTeam if the settings name no team of that name.
 func (c *Controller) Team(ctx context.Context, name string) (TeamView, error) {
 	var view TeamView
 	if err := c.Barrier(ctx); err != nil {
-		return view, ErrUnavailable
+		return view, ErrStoreUnavailable
 	}
 	known := false
 	err := c.call(ctx, func() {
@@ -75,7 +75,7 @@
 		}
 	})
 	if err == nil && !known {
-		err = ErrNoTeam
+		err = ErrUnknownTeam
 	}
 	return view, err
 }
@@ -91,9 +91,9 @@
 	if len(view.LaggingMembers) > 0 {
 		view.State = TeamPropagating
 	}
-	if entry.Former != nil {
+	if entry.PreviousBounds != nil {
 		view.State = TeamLowering
-		view.CpusToGo, view.ExcessGpus = excessOf(entry.TeamBounds, c.cache.Used[team])
+		view.ExcessCpus, view.ExcessGpus = excessOf(entry.TeamBounds, c.cache.TeamUsage[team])
 	}
 	return view
 }
@@ -103,7 +103,7 @@
 	var names []string
 	for name := range c.cache.Members {
 		peer, heard := c.reachability.peers[name]
-		if name == c.cfg.MemberName || heard && now.Sub(peer.heardAt) < peerFresh && peer.heartbeat.Revision >= revision {
+		if name == c.cfg.MemberName || heard && now.Sub(peer.receivedAt) < peerFreshPeriod && peer.heartbeat.Revision >= revision {
 			continue
 		}
 		names = append(names, name)
@@ -116,7 +116,7 @@
 func (c *Controller) ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (TeamView, error) {
 	var view TeamView
 	if err := c.Barrier(ctx); err != nil {
-		return view, ErrUnavailable
+		return view, ErrStoreUnavailable
 	}
 	var txn protocol.Txn
 	var refused error
@@ -129,13 +129,13 @@
 	revision, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
 	switch {
 	case err != nil:
-		return view, ErrUnavailable // the version of the entry shows whether the change was committed
+		return view, ErrStoreUnavailable // the version of the entry shows whether the change was committed
 	case len(failed) > 0:
-		return view, ErrVersion
+		return view, ErrVersionConflict
 	}
 	err = c.call(ctx, func() {
 		c.applyTxn(txn, revision)
-		c.changed()
+		c.onRecordsChanged()
 		c.requestCycle()
 		view = c.teamView(c.cache.TeamIndex.Find(name), time.Now())
 	})
@@ -148,27 +148,27 @@
 	var txn protocol.Txn
 	team := c.cache.TeamIndex.Find(name)
 	if team < 0 {
-		return txn, ErrNoTeam
+		return txn, ErrUnknownTeam
 	}
 	entry := c.cache.TeamEntries[team]
 	if version != entry.Version {
-		return txn, ErrVersion
+		return txn, ErrVersionConflict
 	}
 	if missing := c.membersNotReadingTeams(); len(missing) > 0 {
-		return txn, &GateError{missing}
+		return txn, &LayoutGateError{missing}
 	}
 	current := storage.BoundsOf(c.cache.Teams[team])
 	next, err := changeBounds(current, change)
 	if err != nil {
 		return txn, err
 	}
-	if tighter(next, current) {
+	if lowersLimit(next, current) {
 		if err := c.checkAcceptedJobsFit(team, next); err != nil {
 			return txn, err
 		}
 	}
-	if entry.Former != nil {
-		current = *entry.Former // the former limit counts until the lowering is complete
+	if entry.PreviousBounds != nil {
+		current = *entry.PreviousBounds // the former limit counts until the lowering is complete
 	}
 	key := storage.TeamKey(name)
 	txn.If = []protocol.Condition{{Key: key, Version: entry.Version}}
@@ -184,9 +184,9 @@
 // until the usage in the records is within the new limits (see team_limits.go).
 func teamRecord(next, effective storage.TeamBounds) storage.TeamRecord {
 	record := storage.TeamRecord{TeamBounds: next}
-	if tighter(next, effective) {
-		former := looser(next, effective)
-		record.Former = &former
+	if lowersLimit(next, effective) {
+		former := higherLimits(next, effective)
+		record.PreviousBounds = &former
 	}
 	return record
 }
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -42,10 +42,10 @@
 // wait for a minute.
 func (c *Controller) planLimits(now time.Time, planned *plannedTxn) {
 	for team, entry := range c.cache.TeamEntries {
-		if entry.Former == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitChangesDivisor) {
+		if entry.PreviousBounds == nil || !c.ownsShard(c.cache.ShardOf(team)) || planned.usedOps >= max(1, planned.maxOps/limitChangesDivisor) {
 			continue
 		}
-		if withinBounds(entry.TeamBounds, c.cache.Used[team]) {
+		if withinBounds(entry.TeamBounds, c.cache.TeamUsage[team]) {
 			key := storage.TeamKey(c.cache.Teams[team].Name)
 			planned.put(key, entry.Version, protocol.Change{Put: key, Value: storage.Encode(storage.TeamRecord{TeamBounds: entry.TeamBounds})})
 			planned.usedOps++
@@ -67,7 +67,7 @@
 	if len(chosen) == 0 {
 		return
 	}
-	record := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), AtMs: now.UnixMilli(), Victims: victimRecords(chosen)}
+	record := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), ChosenAtMs: now.UnixMilli(), Victims: victimRecords(chosen)}
 	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(record.Victims))
 	key := storage.VictimSetKey(limitSetName(team))
 	planned.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&record, c.cache.Packed())})
@@ -77,14 +77,14 @@
 // usedByRunning returns a team's usage without tasks that are known to have ended and are still in
 // the records; those are removed without an eviction.
 func (c *Controller) usedByRunning(team int) storage.Usage {
-	used := c.cache.Used[team]
+	used := c.cache.TeamUsage[team]
 	for _, machine := range c.cache.Machines {
 		worker := c.workers.states[machine.Index]
 		if machine.Gone || worker == nil || len(worker.Gone) == 0 {
 			continue
 		}
 		for _, placed := range machine.Tasks {
-			if placed.Job.Team == team && worker.hasEnded(dispatch.RefOf(placed)) {
+			if placed.Job.Team == team && worker.hasEnded(dispatch.AttemptRefOf(placed)) {
 				used.Add(placed.Job, -1)
 			}
 		}
@@ -106,7 +106,7 @@
 				continue
 			}
 			worker := c.workerState(machine)
-			if !worker.hasEnded(dispatch.RefOf(placed)) {
+			if !worker.hasEnded(dispatch.AttemptRefOf(placed)) {
 				list.add(slot, placed, lostRunSeconds(worker, placed, now))
 			}
 		}
--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -49,14 +49,14 @@
 		{name: "the packed layout is not in use yet", prepare: func(c *Controller) { c.cache.Layout.Version = storage.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "limit raised while it is being lowered", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
-			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &was}, 9)
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, PreviousBounds: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":20}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":0,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":0}}`},
 		{name: "one limit lowered, the other raised", prepare: func(c *Controller) {
 			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 40, GpusMax: 4}}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":20,"gpus_max":8}`, want: `{"cpus":0,"cpus_max":20,"gpus":0,"gpus_max":8,"was":{"cpus":0,"cpus_max":40,"gpus":0,"gpus_max":8}}`},
 		{name: "limit raised above the former one while being lowered", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
-			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &was}, 9)
+			applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, PreviousBounds: &was}, 9)
 		}, team: "red", version: 9, change: `{"cpus_max":50}`, want: `{"cpus":0,"cpus_max":50,"gpus":0,"gpus_max":0}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -112,9 +112,9 @@
 					machine.Tasks = append(machine.Tasks, storage.PlacedTask{Job: job, Task: task, Attempt: 4, PlacedAt: now.Unix() - 10*int64(task)})
 					job.MachineOf[task], job.AttemptOf[task], job.PlacedCount = machine.Index, 4, job.PlacedCount+1
 				}
-				controller.cache.Used[0].Add(job, 2)
+				controller.cache.TeamUsage[0].Add(job, 2)
 			}
-			applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: test.limit}, Former: &none}, 9)
+			applyTeamRecord(t, controller, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: test.limit}, PreviousBounds: &none}, 9)
 			planned := &plannedTxn{txnBuilder: newTxnBuilder(), maxOps: 12}
 			controller.planLimits(now, planned)
 			put, counts := planned.puts[storage.TeamKey("red")]
@@ -132,7 +132,7 @@
 				}
 			}
 			view := controller.teamView(0, now)
-			if want := 8 - test.limit; !test.stopped && (view.State != TeamLowering || view.CpusToGo != want) {
+			if want := 8 - test.limit; !test.stopped && (view.State != TeamLowering || view.ExcessCpus != want) {
 				t.Errorf("team view %+v, want a limit being lowered with %v CPUs to go", view, want)
 			}
 		})
@@ -161,7 +161,7 @@
 		{storage.TeamsBarrierKey, limit(5), 11, false, 8},
 		{storage.TeamKey("red"), nil, 12, true, 0},
 	} {
-		if err := controller.cache.Apply(test.key, storage.Encode(test.rec), test.version, test.deleted); err != nil && !errors.Is(err, storage.ErrLayout) {
+		if err := controller.cache.Apply(test.key, storage.Encode(test.rec), test.version, test.deleted); err != nil && !errors.Is(err, storage.ErrForeignLayout) {
 			t.Fatal(err)
 		} else if err != nil {
 			t.Errorf("reading %s gives a layout error, which keeps this version out", test.key)
@@ -180,7 +180,7 @@
 func TestLoweredLimitInFullTransaction(t *testing.T) {
 	c := newTeamCore(t)
 	none := storage.TeamBounds{}
-	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, Former: &none}, 9)
+	applyTeamRecord(t, c, storage.TeamRecord{TeamBounds: storage.TeamBounds{CpusMax: 8}, PreviousBounds: &none}, 9)
 	builder, _ := c.plan(time.Now(), 1)
 	if _, ok := builder.puts[storage.TeamKey("red")]; !ok {
 		t.Errorf("a transaction of one change holds %v, want the team's record", builder.order)
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -78,7 +78,7 @@
 		}
 		age := c.cancellationAge(job, now, stillListed)
 		for task, index := range job.MachineOf {
-			if index != storage.Nowhere && !c.attemptEnded(dispatch.Ref{Job: job, Task: task, Attempt: job.AttemptOf[task]}, c.cache.Machines[index]) {
+			if index != storage.NotPlaced && !c.attemptEnded(dispatch.AttemptRef{Job: job, Task: task, Attempt: job.AttemptOf[task]}, c.cache.Machines[index]) {
 				ages[index] = max(ages[index], age)
 			}
 		}
@@ -89,7 +89,7 @@
 
 // attemptEnded reports whether an attempt is proved to have ended on a machine: the machine is gone,
 // or this controller owns it and has the proof.
-func (c *Controller) attemptEnded(ref dispatch.Ref, machine *storage.Machine) bool {
+func (c *Controller) attemptEnded(ref dispatch.AttemptRef, machine *storage.Machine) bool {
 	if machine.Gone {
 		return true
 	}
@@ -108,8 +108,8 @@
 	ages := c.cancellationAgeByMachine(now)
 	c.cancellations.dropEndedTerminations(ages)
 	workers := c.cfg.Deployment.Workers
-	outage := c.silenceOf(c.storeHealth.servedAt, now) > peerFresh
-	receivesWorkerMessages := c.silenceOf(maxTime(c.workers.anyHeardAt, c.workers.killsAnsweredAt), now) < peerFresh+seconds(workers.HeartbeatS)
+	outage := c.silenceOf(c.storeHealth.servedAt, now) > peerFreshPeriod
+	receivesWorkerMessages := c.silenceOf(maxTime(c.workers.lastWorkerMessageAt, c.workers.killsAnsweredAt), now) < peerFreshPeriod+seconds(workers.HeartbeatS)
 	tries := 0
 	for _, index := range oldestFirst(ages) {
 		machine, age := c.cache.Machines[index], ages[index]
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -41,7 +41,7 @@
 		applyRecord(t, controller, storage.JobKey("job-000001"), record, 6)
 	}
 	if conditions.has(taskEnded) {
-		controller.workerState(machine).Gone[dispatch.RefOf(machine.Tasks[0])] = dispatch.Stopped
+		controller.workerState(machine).Gone[dispatch.AttemptRefOf(machine.Tasks[0])] = dispatch.Stopped
 	}
 	if conditions.has(othersMachine) {
 		controller.cache.Shards[0].Member = "n1"
@@ -84,11 +84,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
 			controller, machine := cancelledTaskCore(t, test.conditions, test.age, now)
-			controller.workers.anyHeardAt = now.Add(-test.tried)
+			controller.workers.lastWorkerMessageAt = now.Add(-test.tried)
 			if lost := controller.superviseTerminations(now.Add(-test.tried)); len(lost) > 0 {
 				t.Fatal("machine returned before any try to terminate the task")
 			}
-			if controller.workers.anyHeardAt = now.Add(-test.heard); test.resumed > 0 {
+			if controller.workers.lastWorkerMessageAt = now.Add(-test.heard); test.resumed > 0 {
 				controller.reachability.resumedAt = now.Add(-test.resumed)
 			}
 			if lost := controller.superviseTerminations(now); (len(lost) > 0) != test.want {
@@ -127,17 +127,17 @@
 			controller := newCore(t) // report_s 1, lease_s 10
 			machine := controller.cache.Machine("m")
 			worker, now := controller.workerState(machine), time.Now()
-			worker.since, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-test.silent)
+			worker.trackedSince, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-test.silent)
 			if i == 0 {
-				controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).heard, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
+				controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).lastMessageAt, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
 				controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
 				controller.reachability.memberSeenAt["n1"] = now
 				machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
-				worker.heard, worker.missedProbes = worker.heartbeatAt, 9
+				worker.lastMessageAt, worker.missedProbes = worker.heartbeatAt, 9
 			} else if i > 1 {
 				controller.applyHeartbeat(machine, worker, &protocol.Heartbeat{Machine: "m", Incarnation: 1, Seq: 9, FencingToken: 4}, 4, true)
 			} else {
-				worker.Worker, worker.heard, worker.since = dispatch.NewWorker(), now, worker.heartbeatAt
+				worker.Worker, worker.lastMessageAt, worker.trackedSince = dispatch.NewWorker(), now, worker.heartbeatAt
 			}
 			if got := controller.usable(machine, worker, now); got != test.usable {
 				t.Errorf("usable %v, want %v", got, test.usable)
@@ -157,7 +157,7 @@
 	controller.leader.enrollPending["m9"], controller.leader.requestCount = true, 7
 	lead := func(member string, version uint64) {
 		applyRecord(t, controller, storage.LeaderKey, storage.LeaderRecord{Member: member, Incarnation: 1}, version)
-		controller.changed()
+		controller.onRecordsChanged()
 	}
 	lead("n0", 8)
 	if controller.leader.enrollPending["m9"] || controller.leader.requestCount != 7 {
--- a/internal/controller/victim_sets.go
+++ b/internal/controller/victim_sets.go
@@ -55,7 +55,7 @@
 	c.requireVictimGroups(builder, chosen)
 	record := storage.VictimSetRecord{
 		Shard:        job.Shard,
-		AtMs:         now.UnixMilli(),
+		ChosenAtMs:   now.UnixMilli(),
 		Victims:      victimRecords(chosen),
 		Reservations: reservationsFor(job, chosen, short),
 	}
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -164,7 +164,7 @@
 	row := view.Eviction{
 		Job:     id,
 		Team:    c.teamOf(id),
-		At:      victimSet.AtMs,
+		At:      victimSet.ChosenAtMs,
 		Shard:   uint32(victimSet.Shard),
 		Open:    true,
 		Victims: []view.Victim{},
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -17,7 +17,7 @@
 
 // zoneState holds what this controller has observed of a zone.
 type zoneState struct {
-	heard          time.Time // when a message of any worker in the zone last arrived
+	lastMessageAt  time.Time // when a message of any worker in the zone last arrived
 	unreachable    bool
 	reachableSince time.Time // when a worker's message arrived again after the zone was unreachable
 	probedAt       time.Time // when a worker there was last probed
@@ -69,7 +69,7 @@
 // recordMessage records that a message of a worker in the zone arrived, and reports whether the zone
 // was unreachable until then.
 func (z *zoneState) recordMessage(now time.Time) (wasUnreachable bool) {
-	z.heard, z.missedProbes = now, 0
+	z.lastMessageAt, z.missedProbes = now, 0
 	if !z.unreachable {
 		return false
 	}
@@ -105,7 +105,7 @@
 // zone returns the state of a zone by its index.
 func (r *reachability) zone(zone int) *zoneState {
 	for len(r.zones) <= zone {
-		r.zones = append(r.zones, zoneState{heard: time.Now()})
+		r.zones = append(r.zones, zoneState{lastMessageAt: time.Now()})
 	}
 	return &r.zones[zone]
 }
@@ -118,7 +118,7 @@
 // resetZones resets the state of all zones, as if a message from each arrived now.
 func (r *reachability) resetZones(now time.Time) {
 	for zone := range r.zones {
-		r.zones[zone] = zoneState{heard: now}
+		r.zones[zone] = zoneState{lastMessageAt: now}
 	}
 }
 
@@ -166,7 +166,7 @@
 	limit := zoneHeartbeatLimit(c.cfg.Deployment.Workers) + otherZonesMargin
 	heard := false
 	for zone := range machines {
-		heard = heard || len(machines[zone]) > 0 && c.silenceOf(c.zoneState(zone).heard, now) < limit
+		heard = heard || len(machines[zone]) > 0 && c.silenceOf(c.zoneState(zone).lastMessageAt, now) < limit
 	}
 	return heard
 }
@@ -175,9 +175,9 @@
 // while it is silent.
 func (c *Controller) superviseZone(zoneIndex int, machines []*storage.Machine, anyReachable bool, now time.Time) {
 	zone := c.zoneState(zoneIndex)
-	silence := c.silenceOf(zone.heard, now)
+	silence := c.silenceOf(zone.lastMessageAt, now)
 	if zone.emptyTooLong(len(machines), now) {
-		*zone = zoneState{heard: now}
+		*zone = zoneState{lastMessageAt: now}
 		c.log.Info("unreachable zone has no machines left, counting it as reachable again", "zone", c.cache.Zones.Name(zoneIndex))
 	}
 	if len(machines) == 0 || silence < zoneHeartbeatLimit(c.cfg.Deployment.Workers) {
@@ -222,7 +222,7 @@
 // workers find another controller before their leases expire, even if two silent controllers come
 // first in the order in which they try them.
 func (c *Controller) hasControllerInside(zoneIndex int) bool {
-	name, since := c.cache.Zones.Name(zoneIndex), c.reachability.zones[zoneIndex].heard
+	name, since := c.cache.Zones.Name(zoneIndex), c.reachability.zones[zoneIndex].lastMessageAt
 	if since.Sub(c.session.startedAt) < controllerEndWindow {
 		return false // this process started too late to have seen which controllers ended
 	}
@@ -241,5 +241,5 @@
 // unreachable, and has been silent for less than half of cancel_s. Machines provisioned later than
 // that would come up too late.
 func (c *Controller) needsNoReplacement(zoneIndex int, now time.Time) bool {
-	return c.reachability.zoneUnreachable(zoneIndex) && c.silenceOf(c.reachability.zones[zoneIndex].heard, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
+	return c.reachability.zoneUnreachable(zoneIndex) && c.silenceOf(c.reachability.zones[zoneIndex].lastMessageAt, now) < seconds(c.cfg.Deployment.Workers.CancelS/2)
 }
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -128,7 +128,7 @@
 				evicted.Add(1)
 			}
 			var r storage.TeamRecord
-			if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.Former != nil {
+			if c.Put == storage.TeamKey("red") && json.Unmarshal(c.Value, &r) == nil && r.PreviousBounds != nil {
 				lowered.Add(1)
 			}
 		}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -177,8 +177,8 @@
 			c.violation("record %s cannot be read", change.Put)
 		}
 		counts := record.TeamBounds
-		if record.Former != nil {
-			counts = *record.Former
+		if record.PreviousBounds != nil {
+			counts = *record.PreviousBounds
 		}
 		c.limits[team.Name] = counts.CpusMax
 		c.checkLimit(team.Name, counts.CpusMax)
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -162,7 +162,7 @@
 		if _, _, err = sim.Controller(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = sim.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersion) {
+		if _, _, err = sim.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersionConflict) {
 			t.Fatalf("a change of an old version: %v", err)
 		}
 		sim.Start(2)
@@ -175,7 +175,7 @@
 		sim.Store.SetDown(true)
 		short, stop := context.WithTimeout(ctx, 3*time.Second)
 		defer stop()
-		if _, _, err := sim.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrUnavailable) {
+		if _, _, err := sim.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrStoreUnavailable) {
 			t.Errorf("in an outage: %v", err)
 		}
 	})
