--- a/internal/storage/apply_fleet.go
+++ b/internal/storage/apply_fleet.go
@@ -139,9 +139,9 @@
 	return false
 }
 
-// FleetWithout returns a fleet's record without some of its machines; ok is false if no machine is
+// FleetRecordWithout returns a fleet's record without some of its machines; ok is false if no machine is
 // left.
-func (c *Cache) FleetWithout(fleet *Fleet, removed map[*Machine]bool) (record FleetRecord, ok bool) {
+func (c *Cache) FleetRecordWithout(fleet *Fleet, removed map[*Machine]bool) (record FleetRecord, ok bool) {
 	record = fleet.record
 	isRemoved := func(entry FleetMachine) bool { return removed[c.machines.find(entry.Name)] }
 	record.Machines = slices.DeleteFunc(slices.Clone(record.Machines), isRemoved)
--- a/internal/storage/apply_job.go
+++ b/internal/storage/apply_job.go
@@ -125,7 +125,7 @@
 func (j *Job) initTasks() {
 	j.MachineOf = make([]int32, j.Tasks)
 	for task := range j.MachineOf {
-		j.MachineOf[task] = Nowhere
+		j.MachineOf[task] = NotPlaced
 	}
 	j.AttemptOf = make([]uint64, j.Tasks)
 	j.Done, j.SavedDone = NewBitmap(j.Tasks), NewBitmap(j.Tasks)
@@ -142,7 +142,7 @@
 	if job.Spec.Zone != "" {
 		job.Zone = c.Zones.Index(job.Spec.Zone)
 	}
-	job.Size = c.sizeOf(job)
+	job.TaskSize = c.sizeOf(job)
 }
 
 // updateJob updates the fields of a job that may change after its submission.
@@ -185,11 +185,11 @@
 	c.jobs.remove(job, c.Jobs)
 }
 
-// Sweep prunes final jobs that have no placed task; only their final states are kept. A cancelled job
+// PruneFinalJobs prunes final jobs that have no placed task; only their final states are kept. A cancelled job
 // stays until then because its tasks still use resources and quota. A job also stays until the watch
 // has reached the revision of its final record: the controller that cancelled it may still receive
 // older machine group records that name the job, and could not resolve them.
-func (c *Cache) Sweep() {
+func (c *Cache) PruneFinalJobs() {
 	for _, job := range c.Jobs {
 		if job != nil && !job.Open() && job.PlacedCount == 0 && job.Version <= c.Revision {
 			c.pruneJob(job.ID, job, job.finalState())
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -83,6 +83,6 @@
 	if job.Estimate > 0 {
 		queue := ClassQueueOf(job)
 		previous := c.Arrivals[queue]
-		c.Arrivals[queue] = Arrivals{previous.Jobs + 1, previous.Work + float64(job.Tasks)*job.Size*job.Estimate}
+		c.Arrivals[queue] = Arrivals{previous.Jobs + 1, previous.Work + float64(job.Tasks)*job.TaskSize*job.Estimate}
 	}
 }
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -9,7 +9,7 @@
 )
 
 // Cache is a copy of the whole state in the state service as of Revision. NewCache, Apply and
-// UpdateCatalog set the exported fields except Revision and ForcePlain, which the cache's owner sets.
+// UpdateCatalog set the exported fields except Revision and ForcePlainLayout, which the cache's owner sets.
 type Cache struct {
 	Teams      []config.Team
 	TeamIndex  *NameIndex
@@ -28,15 +28,15 @@
 	VictimSets map[string]*VictimSet // by the id of the job that the victims are preempted for
 	Catalog    RawRecord
 	Settings   RawRecord
-	Used       []Usage // by team, over all shards
+	TeamUsage  []Usage // by team, over all shards
 	// TeamEntries holds, by team, the records that override the settings file's guarantees and limits;
 	// Teams includes the overrides.
-	TeamEntries map[int]TeamEntry
-	Baseline    Baseline
-	Arrivals    map[ClassQueue]Arrivals // of all jobs that this process has read while they were open
-	Revision    uint64                  // of the state service; all changes up to it were applied
-	Layout      Layout
-	ForcePlain  bool // ignore the layout record and write the plain layout, as versions without it do
+	TeamEntries      map[int]TeamEntry
+	Baseline         Baseline
+	Arrivals         map[ClassQueue]Arrivals // of all jobs that this process has read while they were open
+	Revision         uint64                  // of the state service; all changes up to it were applied
+	Layout           Layout
+	ForcePlainLayout bool // ignore the layout record and write the plain layout, as versions without it do
 
 	configuredTeams []config.Team // from the settings file
 	jobs            *jobTable
@@ -78,7 +78,7 @@
 		Shards:      make([]Shard, ShardCount(deployment)),
 		Members:     map[string]*Member{},
 		VictimSets:  map[string]*VictimSet{},
-		Used:        make([]Usage, len(deployment.Teams)),
+		TeamUsage:   make([]Usage, len(deployment.Teams)),
 		TeamEntries: map[int]TeamEntry{},
 		Arrivals:    map[ClassQueue]Arrivals{},
 
@@ -111,7 +111,7 @@
 }
 
 // Apply applies one change of a record. A change that is not newer than the cached record is dropped
-// without an error. Any error is a RecordError whose cause wraps one of ErrLayout, ErrCorrupt,
+// without an error. Any error is a RecordError whose cause wraps one of ErrForeignLayout, ErrCorrupt,
 // ErrUnknownReference, ErrInvalidKey and ErrUnexpectedDeletion.
 func (c *Cache) Apply(key string, value json.RawMessage, revision uint64, deleted bool) error {
 	if err := c.applyChange(key, recordChange{value, revision, deleted}); err != nil {
@@ -143,7 +143,7 @@
 		return c.applyGroup(id, change)
 	}
 	if _, ok := keySuffix(key, retiredPrefix); ok && !change.deleted && !isBarrier(key) {
-		return ErrLayout
+		return ErrForeignLayout
 	}
 	if c.revisions[key] >= change.revision {
 		return nil
--- a/internal/storage/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -40,7 +40,7 @@
 	value     json.RawMessage // nil: deleted
 	revision  uint64
 	wantError bool
-	sweepAt   uint64 // the cache's revision when Sweep is called after the change; 0: Sweep is not called
+	sweepAt   uint64 // the cache's revision when PruneFinalJobs is called after the change; 0: PruneFinalJobs is not called
 }
 
 // jobChange writes the record of the test job, which has two tasks.
@@ -145,7 +145,7 @@
 				}
 				if change.sweepAt > 0 {
 					cache.Revision = change.sweepAt
-					cache.Sweep()
+					cache.PruneFinalJobs()
 				}
 			}
 			if final, _ := cache.FinalState(testJob); final != test.wantFinal {
@@ -155,8 +155,8 @@
 			if job := cache.Job(testJob); job != nil {
 				placed = job.PlacedCount
 			}
-			if placed != test.wantPlaced || cache.Used[0].Cpus != test.wantCpus {
-				t.Errorf("%d tasks placed using %v CPUs, want %d using %v", placed, cache.Used[0].Cpus, test.wantPlaced, test.wantCpus)
+			if placed != test.wantPlaced || cache.TeamUsage[0].Cpus != test.wantCpus {
+				t.Errorf("%d tasks placed using %v CPUs, want %d using %v", placed, cache.TeamUsage[0].Cpus, test.wantPlaced, test.wantCpus)
 			}
 		})
 	}
@@ -256,13 +256,13 @@
 		}
 	}
 	for team, cpus := range used {
-		if math.Abs(cpus-cache.Used[team].Cpus) > 1e-6 {
-			t.Fatalf("revision %d: team %d uses %v CPUs, recount gives %v", revision, team, cache.Used[team].Cpus, cpus)
+		if math.Abs(cpus-cache.TeamUsage[team].Cpus) > 1e-6 {
+			t.Fatalf("revision %d: team %d uses %v CPUs, recount gives %v", revision, team, cache.TeamUsage[team].Cpus, cpus)
 		}
 	}
 	for i, job := range cache.Jobs {
 		inZones := int32(0)
-		for _, tasks := range job.ByZone {
+		for _, tasks := range job.PlacedByZone {
 			inZones += tasks
 		}
 		if job.PlacedCount != placed[i] || int(inZones) != placed[i] || job.DoneCount != job.Done.Count() {
--- a/internal/storage/change_feed.go
+++ b/internal/storage/change_feed.go
@@ -78,19 +78,19 @@
 	return list[:limit:limit], list[limit:]
 }
 
-// EnableChangeFeed starts collecting changes for TakeChanges. It must be called before the first
+// EnableChangeFeed starts collecting changes for TakeFeedChanges. It must be called before the first
 // record is applied.
 func (c *Cache) EnableChangeFeed() { c.feed.enable() }
 
-// TakeChanges removes and returns up to limit changed jobs, up to limit changed machines, and the job
+// TakeFeedChanges removes and returns up to limit changed jobs, up to limit changed machines, and the job
 // ids of all changed victim sets; more reports whether changed jobs or machines are left. A pruned
 // job is returned one last time, with its final state.
-func (c *Cache) TakeChanges(limit int) (jobs []*Job, machines []*Machine, victimSets []string, more bool) {
+func (c *Cache) TakeFeedChanges(limit int) (jobs []*Job, machines []*Machine, victimSets []string, more bool) {
 	jobs = c.feed.takeJobs(limit)
 	machines = c.feed.takeMachines(limit)
 	victimSets = c.feed.takeVictimSets()
 	return jobs, machines, victimSets, c.feed.pendingCount() > 0
 }
 
-// PendingChanges returns the number of changed jobs and machines that TakeChanges has not returned.
+// PendingChanges returns the number of changed jobs and machines that TakeFeedChanges has not returned.
 func (c *Cache) PendingChanges() int { return c.feed.pendingCount() }
--- a/internal/storage/chunked_descriptions_test.go
+++ b/internal/storage/chunked_descriptions_test.go
@@ -92,7 +92,7 @@
 			}
 			rewriteAndComplete(t, store, job)
 			store.cache.Revision = store.revision
-			store.cache.Sweep()
+			store.cache.PruneFinalJobs()
 			store.deleteStale(t)
 			if final, _ := store.cache.FinalState(job.ID); len(store.keys) != 1 || final != protocol.Cancelled {
 				t.Errorf("%d records left and final state %q, want 1 record of a cancelled job", len(store.keys), final)
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -122,7 +122,7 @@
 // canRun reports whether a job is in the cache, open and not cancelled because of a dependency.
 func canRun(job *Job) bool { return job != nil && job.Open() && !job.DependencyFailed }
 
-// inherit implements Cache.Inherit.
+// inherit implements Cache.InheritFromDependents.
 func (g *dependencyGraph) inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
 	if !g.changed {
 		return
@@ -132,7 +132,7 @@
 	// A job without dependents is left with its own priority and no finish times.
 	for job := range g.inheritors {
 		if _, ok := unvisited[job]; !ok {
-			job.Priority, job.FinishBy, job.FinishLatest = job.OwnPriority, time.Time{}, time.Time{}
+			job.Priority, job.TargetFinish, job.LatestFinish = job.OwnPriority, time.Time{}, time.Time{}
 		}
 	}
 	g.inheritors = unvisited
@@ -157,7 +157,7 @@
 		if _, ok := counts[job]; !ok {
 			counts[job] = 0
 			job.Priority = job.OwnPriority
-			job.FinishBy, job.FinishLatest = finishTimes(job)
+			job.TargetFinish, job.LatestFinish = finishTimes(job)
 		}
 	}
 	for id, dependents := range g.dependents {
@@ -185,8 +185,8 @@
 			continue
 		}
 		dependency.Priority = max(dependency.Priority, job.Priority)
-		dependency.FinishBy = earlierFinish(dependency.FinishBy, job.FinishBy, duration)
-		dependency.FinishLatest = earlierFinish(dependency.FinishLatest, job.FinishLatest, duration)
+		dependency.TargetFinish = earlierFinish(dependency.TargetFinish, job.TargetFinish, duration)
+		dependency.LatestFinish = earlierFinish(dependency.LatestFinish, job.LatestFinish, duration)
 		if unvisited[dependency]--; unvisited[dependency] == 0 {
 			pending = append(pending, dependency)
 		}
@@ -206,18 +206,18 @@
 	return own
 }
 
-// DependencyFailed returns the jobs that were cancelled because of a dependency and have no final
+// JobsWithFailedDependency returns the jobs that were cancelled because of a dependency and have no final
 // record of their own yet. The list is valid until the next change of the cache.
-func (c *Cache) DependencyFailed() []*Job { return c.dependencies.openFailedJobs() }
+func (c *Cache) JobsWithFailedDependency() []*Job { return c.dependencies.openFailedJobs() }
 
-// NewlyReady returns the jobs that became ready since the last call.
-func (c *Cache) NewlyReady() []*Job { return c.dependencies.takeNewlyReady() }
+// TakeNewlyReady returns the jobs that became ready since the last call.
+func (c *Cache) TakeNewlyReady() []*Job { return c.dependencies.takeNewlyReady() }
 
-// Inherit propagates priorities and finish times from jobs to their dependencies: a job gets the
+// InheritFromDependents propagates priorities and finish times from jobs to their dependencies: a job gets the
 // highest priority among its own and those of its dependents, and the latest finish times that still
 // allow its dependents to finish in time. finishTimes returns the times by which a job itself should
 // finish at best and at the latest (zero: no such time); duration returns its expected run time. Each
 // job and edge is visited once.
-func (c *Cache) Inherit(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
+func (c *Cache) InheritFromDependents(finishTimes func(*Job) (finishBy, finishLatest time.Time), duration func(*Job) time.Duration) {
 	c.dependencies.inherit(finishTimes, duration)
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -80,7 +80,7 @@
 				t.Errorf("final state %q, want %q", final, test.final)
 			}
 			becameReady := 0
-			for _, ready := range cache.NewlyReady() {
+			for _, ready := range cache.TakeNewlyReady() {
 				if ready == job {
 					becameReady++
 				}
@@ -91,7 +91,7 @@
 			if (job.Waiting() > 0) != test.ready {
 				t.Errorf("%d tasks are waiting", job.Waiting())
 			}
-			if failed := slices.Contains(cache.DependencyFailed(), job); failed != (test.final == protocol.Cancelled) {
+			if failed := slices.Contains(cache.JobsWithFailedDependency(), job); failed != (test.final == protocol.Cancelled) {
 				t.Errorf("job is in DependencyFailed: %v", failed)
 			}
 		})
@@ -149,7 +149,7 @@
 	cache, job := newGraphCache(t, "1", "2<1", "3<1", "4<2,3", "5<1")
 	due := map[string]time.Duration{"job-000004": 100 * time.Second, "job-000005": 200 * time.Second}
 	inherit := func() {
-		cache.Inherit(func(j *Job) (time.Time, time.Time) {
+		cache.InheritFromDependents(func(j *Job) (time.Time, time.Time) {
 			if d := due[j.ID]; d > 0 {
 				return j.Submitted.Add(d), j.Submitted.Add(d * 3 / 2)
 			}
@@ -161,22 +161,22 @@
 	inherit()
 	for name, wantSecond := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(name)
-		if j.Priority != protocol.High || !j.FinishBy.Equal(time.UnixMilli(int64(wantSecond)*1000)) {
-			t.Errorf("job %s has priority %v and FinishBy %d ms", name, j.Priority, j.FinishBy.UnixMilli())
+		if j.Priority != protocol.High || !j.TargetFinish.Equal(time.UnixMilli(int64(wantSecond)*1000)) {
+			t.Errorf("job %s has priority %v and FinishBy %d ms", name, j.Priority, j.TargetFinish.UnixMilli())
 		}
 	}
-	if j := job("5"); j.Priority != protocol.Low || j.FinishLatest.UnixMilli() != 305_000 {
-		t.Errorf("job 5 has priority %v and FinishLatest %d ms", j.Priority, j.FinishLatest.UnixMilli())
+	if j := job("5"); j.Priority != protocol.Low || j.LatestFinish.UnixMilli() != 305_000 {
+		t.Errorf("job 5 has priority %v and FinishLatest %d ms", j.Priority, j.LatestFinish.UnixMilli())
 	}
 	// The dependencies of a cancelled job no longer inherit from it.
 	if err := cache.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
 		t.Fatal(err)
 	}
 	inherit()
-	if j := job("2"); j.Priority != protocol.Low || !j.FinishBy.IsZero() {
-		t.Errorf("job 2 still has priority %v and FinishBy %v", j.Priority, j.FinishBy)
+	if j := job("2"); j.Priority != protocol.Low || !j.TargetFinish.IsZero() {
+		t.Errorf("job 2 still has priority %v and FinishBy %v", j.Priority, j.TargetFinish)
 	}
-	if j := job("1"); j.Priority != protocol.Low || j.FinishBy.UnixMilli() != 195_000 {
-		t.Errorf("job 1 has priority %v and FinishBy %v ms", j.Priority, j.FinishBy.UnixMilli())
+	if j := job("1"); j.Priority != protocol.Low || j.TargetFinish.UnixMilli() != 195_000 {
+		t.Errorf("job 1 has priority %v and FinishBy %v ms", j.Priority, j.TargetFinish.UnixMilli())
 	}
 }
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -9,9 +9,9 @@
 // Reasons for rejecting a change. Apply wraps them in a RecordError; use errors.Is to test for them.
 // A stale change is not an error: Apply drops it and returns nil.
 var (
-	// ErrLayout reports a foreign layout: the records have an earlier layout with one key per
+	// ErrForeignLayout reports a foreign layout: the records have an earlier layout with one key per
 	// machine, which this version does not read. See the operators' handbook.
-	ErrLayout = errors.New("a record of an earlier layout; the state service must be emptied before this version starts")
+	ErrForeignLayout = errors.New("a record of an earlier layout; the state service must be emptied before this version starts")
 	// ErrCorrupt reports a value that cannot be decoded or that contradicts another record.
 	ErrCorrupt = errors.New("corrupt record")
 	// ErrUnknownReference reports a reference to a job, machine, team, shard or description chunk
@@ -28,7 +28,7 @@
 type RecordError struct {
 	Key      string
 	Revision uint64 // the state service's revision of the change
-	Cause    error  // wraps ErrLayout, ErrCorrupt, ErrUnknownReference, ErrInvalidKey or ErrUnexpectedDeletion
+	Cause    error  // wraps ErrForeignLayout, ErrCorrupt, ErrUnknownReference, ErrInvalidKey or ErrUnexpectedDeletion
 }
 
 // Error returns the record's key, the revision of the change and the cause.
--- a/internal/storage/errors_test.go
+++ b/internal/storage/errors_test.go
@@ -10,7 +10,7 @@
 // TestRecordErrors checks that errors.Is distinguishes the reasons for rejecting a change, and that the
 // error names the record's key and the revision of the change.
 func TestRecordErrors(t *testing.T) {
-	reasons := []error{ErrLayout, ErrCorrupt, ErrUnknownReference, ErrInvalidKey, ErrUnexpectedDeletion}
+	reasons := []error{ErrForeignLayout, ErrCorrupt, ErrUnknownReference, ErrInvalidKey, ErrUnexpectedDeletion}
 	cases := []struct {
 		name    string
 		key     string
@@ -18,7 +18,7 @@
 		reason  error
 		mention string // text that the error must contain
 	}{
-		{"foreign layout", Root + "machine/m", `{}`, ErrLayout, "earlier layout"},
+		{"foreign layout", Root + "machine/m", `{}`, ErrForeignLayout, "earlier layout"},
 		{"job cut short", JobKey("job-000001"), `{"n":`, ErrCorrupt, "JSON"},
 		{"job without a description", JobKey("job-000001"), `{"n":1,"tm":"red"}`, ErrCorrupt, "description"},
 		{"job with malformed dependencies", JobKey("job-000001"), `{"s":{},"n":1,"tm":"red","aw":"!"}`, ErrCorrupt, "dependencies"},
--- a/internal/storage/images.go
+++ b/internal/storage/images.go
@@ -38,9 +38,9 @@
 // ImageGB returns the size of an image in GB; 0 if no job that was read uses the image.
 func (c *Cache) ImageGB(image int) float64 { return c.imageSizes.size(image) }
 
-// UseImage makes an image the last, most recently used entry of a list and returns the list, which is
+// TouchImage makes an image the last, most recently used entry of a list and returns the list, which is
 // limited to maxImagesPerMachine entries.
-func UseImage(images []int, image int) []int {
+func TouchImage(images []int, image int) []int {
 	if last := len(images) - 1; last >= 0 && images[last] == image {
 		return images
 	}
@@ -61,11 +61,11 @@
 	for i := range machine.Tasks {
 		placed := &machine.Tasks[i]
 		fetchSeconds := 0.0
-		if rate := c.Types[machine.Type].FetchGBs; rate > 0 {
+		if rate := c.Types[machine.Type].FetchGBPerSecond; rate > 0 {
 			fetchSeconds = placed.Job.ImageGB / rate
 		}
 		if float64(now-placed.PlacedAt) > fetchTimeFactor*fetchSeconds+fetchMarginSeconds {
-			machine.Images = UseImage(machine.Images, placed.Job.Image)
+			machine.Images = TouchImage(machine.Images, placed.Job.Image)
 		}
 	}
 }
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -65,7 +65,7 @@
 			test.spec.Class, test.spec.Image = "c", "i"
 			applyRecord(t, cache, JobKey(testJob), JobRecord{Tasks: 1, Team: "red", Spec: &test.spec}, 2)
 			cache.UpdateCatalog(&protocol.Catalog{Types: types})
-			if got := cache.Job(testJob).Size; got != test.want {
+			if got := cache.Job(testJob).TaskSize; got != test.want {
 				t.Errorf("size %v, want %v", got, test.want)
 			}
 		})
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -6,8 +6,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// Nowhere is the machine index of a task that is not placed.
-const Nowhere = int32(-1)
+// NotPlaced is the machine index of a task that is not placed.
+const NotPlaced = int32(-1)
 
 // anyZone is the zone index of a job that may run in any zone.
 const anyZone = -1
@@ -27,7 +27,7 @@
 	Cpus               float64
 	Gpus               float64
 	Mem                float64
-	Size               float64 // of one task, in CPUs; see Cache.sizeOf
+	TaskSize           float64 // of one task, in CPUs; see Cache.sizeOf
 	Image              int
 	ImageGB            float64
 	Types              []int
@@ -43,9 +43,9 @@
 	// Submitted is the time of submission. ReadyAt is the time from which waiting is measured: the
 	// submission, or the end of the dependency that ended last.
 	Submitted, ReadyAt time.Time
-	// FinishBy and FinishLatest are the times at which the job must finish so that it and all its
+	// TargetFinish and LatestFinish are the times at which the job must finish so that it and all its
 	// dependents meet their deadlines, or at least finish at the latest acceptable time; zero: none.
-	FinishBy, FinishLatest time.Time
+	TargetFinish, LatestFinish time.Time
 
 	Dependencies      []string // the ids of the jobs that must be done first
 	unmetDependencies int      // the number of dependencies that are not done
@@ -62,10 +62,10 @@
 	Version   uint64
 	Spec      *SpecRecord
 
-	MachineOf   []int32  // by task: the index of the machine that it is placed on, or Nowhere
-	AttemptOf   []uint64 // by task: the placed attempt; 0 if not placed
-	PlacedCount int
-	ByZone      []int32 // number of placed tasks, by zone index
+	MachineOf    []int32  // by task: the index of the machine that it is placed on, or NotPlaced
+	AttemptOf    []uint64 // by task: the placed attempt; 0 if not placed
+	PlacedCount  int
+	PlacedByZone []int32 // number of placed tasks, by zone index
 
 	firstWaitingBound int // lower bound of the waiting tasks' numbers
 	inChangeFeed      bool
@@ -118,7 +118,7 @@
 	return -1
 }
 
-func (j *Job) isWaiting(task int) bool { return !j.Done.Get(task) && j.MachineOf[task] == Nowhere }
+func (j *Job) isWaiting(task int) bool { return !j.Done.Get(task) && j.MachineOf[task] == NotPlaced }
 
 // finalState returns the final state of a job that is final.
 func (j *Job) finalState() FinalState { return FinalState{j.Final, int32(j.DoneCount), j.FinalAtMs} }
--- a/internal/storage/layout.go
+++ b/internal/storage/layout.go
@@ -14,7 +14,9 @@
 // TeamChangesEnabled reports whether team records may be written: every controller can read them.
 func (c *Cache) TeamChangesEnabled() bool { return c.layoutEnabled(LayoutTeams) }
 
-func (c *Cache) layoutEnabled(layout int) bool { return c.Layout.Version >= layout && !c.ForcePlain }
+func (c *Cache) layoutEnabled(layout int) bool {
+	return c.Layout.Version >= layout && !c.ForcePlainLayout
+}
 
 // applyLayout applies a change of the layout record. An earlier layout than the enabled one is
 // ignored.
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -4,11 +4,11 @@
 
 // PlacedTask is a task that is placed on a machine.
 type PlacedTask struct {
-	Job      *Job
-	Task     int
-	Attempt  uint64
-	PlacedAt int64  // when it was placed, in Unix seconds
-	WaitedS  uint64 // how long it waited before this placement, in seconds
+	Job           *Job
+	Task          int
+	Attempt       uint64
+	PlacedAt      int64  // when it was placed, in Unix seconds
+	WaitedSeconds uint64 // how long it waited before this placement, in seconds
 }
 
 // Machine is the cached state of a machine, from its fleet's and its group's records.
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// MachineSeen reports whether a fleet record lists or once listed a machine. A machine whose group's
+// MachineEverListed reports whether a fleet record lists or once listed a machine. A machine whose group's
 // record was not read yet counts too: it must not get another record.
-func (c *Cache) MachineSeen(name string) bool { return c.machines.find(name) != nil }
+func (c *Cache) MachineEverListed(name string) bool { return c.machines.find(name) != nil }
 
 // FencingToken returns the fencing token for commands to a machine: the highest of the tokens of the
 // machine, its group and its shard.
@@ -122,9 +122,9 @@
 	return max(machine.FencingToken, machine.Group.FencingToken, c.Shards[machine.Shard].FencingToken)
 }
 
-// TakeChanged returns the machines that changed and the jobs that became final since the last call,
+// TakeChangedAndEnded returns the machines that changed and the jobs that became final since the last call,
 // so that the caller can update derived state for these only.
-func (c *Cache) TakeChanged() (machines []*Machine, jobs []*Job) {
+func (c *Cache) TakeChangedAndEnded() (machines []*Machine, jobs []*Job) {
 	return c.machines.takeChanged(), c.jobs.takeEnded()
 }
 
--- a/internal/storage/machine_group.go
+++ b/internal/storage/machine_group.go
@@ -69,7 +69,7 @@
 		i = len(m.Tasks)
 		m.Tasks = append(m.Tasks, PlacedTasks{Job: placed.Job.ID})
 	}
-	m.Tasks[i].Numbers = append(m.Tasks[i].Numbers, uint64(placed.Task), placed.Attempt, uint64(placed.PlacedAt), placed.WaitedS)
+	m.Tasks[i].Numbers = append(m.Tasks[i].Numbers, uint64(placed.Task), placed.Attempt, uint64(placed.PlacedAt), placed.WaitedSeconds)
 }
 
 // isEmpty reports whether the entry holds nothing and can be left out of its group's record.
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -9,11 +9,11 @@
 // MachineType is a machine type of the cloud's catalog. Memory and image cache sizes are in GB, the
 // fetch rate is in GB/s, the boot time in seconds, prices are in the cloud's unit.
 type MachineType struct {
-	Cpus, Gpus, Mem   float64
-	CacheGB, FetchGBs float64
-	Price, SpotPrice  float64
-	BootS             float64
-	Zones             []int
+	Cpus, Gpus, Mem           float64
+	CacheGB, FetchGBPerSecond float64
+	Price, SpotPrice          float64
+	BootSeconds               float64
+	Zones                     []int
 }
 
 // HasCatalog reports whether the first machine type has its properties from the catalog.
@@ -26,9 +26,9 @@
 		c.growTypes()
 		machineType := MachineType{
 			Cpus: listed.Cpus, Gpus: listed.Gpus, Mem: listed.MemGB,
-			CacheGB: listed.CacheGB, FetchGBs: listed.FetchGBs,
+			CacheGB: listed.CacheGB, FetchGBPerSecond: listed.FetchGBs,
 			Price: listed.Price, SpotPrice: listed.SpotPrice,
-			BootS: listed.BootS,
+			BootSeconds: listed.BootS,
 		}
 		for _, zone := range listed.Zones {
 			machineType.Zones = append(machineType.Zones, c.Zones.Index(zone))
@@ -37,7 +37,7 @@
 	}
 	for _, job := range c.Jobs {
 		if job != nil {
-			job.Size = c.sizeOf(job)
+			job.TaskSize = c.sizeOf(job)
 		}
 	}
 }
--- a/internal/storage/packed_records_test.go
+++ b/internal/storage/packed_records_test.go
@@ -23,7 +23,7 @@
 	})
 	t.Run("victim set", func(t *testing.T) {
 		set := VictimSetRecord{
-			Shard: 1, AtMs: 5,
+			Shard: 1, ChosenAtMs: 5,
 			Victims:      []VictimRecord{{"host-000001", "job-000001", 3, 1 << 50, 12.5}, {"host-000001", "job-000002", 0, 7, 0}},
 			Reservations: []ReservationRecord{{"host-000001", 2}},
 		}
--- a/internal/storage/placements.go
+++ b/internal/storage/placements.go
@@ -25,12 +25,12 @@
 func (c *Cache) removePlacement(machine *Machine, placed *PlacedTask) {
 	job, task := placed.Job, placed.Task
 	if job.MachineOf[task] == machine.Index {
-		job.MachineOf[task], job.AttemptOf[task] = Nowhere, 0
+		job.MachineOf[task], job.AttemptOf[task] = NotPlaced, 0
 	}
 	job.PlacedCount--
-	job.ByZone[machine.Zone]--
+	job.PlacedByZone[machine.Zone]--
 	job.firstWaitingBound = min(job.firstWaitingBound, task)
-	c.Used[job.Team].Add(job, -1)
+	c.TeamUsage[job.Team].Add(job, -1)
 	c.feed.addJob(job)
 }
 
@@ -38,10 +38,10 @@
 	job, task := placed.Job, placed.Task
 	job.MachineOf[task], job.AttemptOf[task] = machine.Index, placed.Attempt
 	job.PlacedCount++
-	for len(job.ByZone) <= machine.Zone {
-		job.ByZone = append(job.ByZone, 0)
+	for len(job.PlacedByZone) <= machine.Zone {
+		job.PlacedByZone = append(job.PlacedByZone, 0)
 	}
-	job.ByZone[machine.Zone]++
-	c.Used[job.Team].Add(job, 1)
+	job.PlacedByZone[machine.Zone]++
+	c.TeamUsage[job.Team].Add(job, 1)
 	c.feed.addJob(job)
 }
--- a/internal/storage/production_layout_test.go
+++ b/internal/storage/production_layout_test.go
@@ -138,7 +138,7 @@
 	t.Helper()
 	group := cache.Groups[0]
 	victims := cache.VictimSets["job-000007"].VictimSetRecord
-	fleet, _ := cache.FleetWithout(cache.machines.fleets["host-000001"], nil)
+	fleet, _ := cache.FleetRecordWithout(cache.machines.fleets["host-000001"], nil)
 	written := map[string]json.RawMessage{
 		Root + "rack/0":            EncodeGroup(cache.GroupRecordOf(group, group.Completed, nil), cache.Packed()),
 		Root + "fleet/host-000001": EncodeFleet(&fleet, cache.Packed()),
@@ -170,7 +170,7 @@
 		Machines:  []GroupMachine{{"h", 1, 2, "a", true, true, true, false, []PlacedTasks{{"j", []uint64{1, 2, 3, 4}}}}},
 		Completed: []CompletedTasks{{"j", []int{1}}},
 	}
-	fleet, _ := cache.FleetWithout(cache.machines.fleets["host-000001"], nil)
+	fleet, _ := cache.FleetRecordWithout(cache.machines.fleets["host-000001"], nil)
 	victims := cache.VictimSets["job-000007"].VictimSetRecord
 	readStrictly(t, EncodeGroup(&group, cache.Packed()), &productionGroup{})
 	readStrictly(t, EncodeFleet(&fleet, cache.Packed()), &productionFleet{})
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -53,7 +53,7 @@
 // EncodeVictimSet encodes a victim set in the packed or the plain layout.
 func EncodeVictimSet(record *VictimSetRecord, packed bool) json.RawMessage {
 	if packed {
-		record = &VictimSetRecord{Shard: record.Shard, AtMs: record.AtMs, Packed: record.pack()}
+		record = &VictimSetRecord{Shard: record.Shard, ChosenAtMs: record.ChosenAtMs, Packed: record.pack()}
 	}
 	return Encode(record)
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -24,7 +24,7 @@
 // MemberRecord is the membership record of a running controller.
 type MemberRecord struct {
 	Incarnation uint64 `json:"i"`
-	Public      string `json:"p"`
+	PublicAddr  string `json:"p"`
 	NotReady    bool   `json:"u,omitempty"` // the controller reaches no worker and must own no shard
 	Layout      int    `json:"v,omitempty"` // the latest layout that the controller reads
 	FrameLevel  int    `json:"f,omitempty"` // the level of peer frames that the controller reads
@@ -159,7 +159,7 @@
 	Shard        int                 `json:"s"`
 	Victims      []VictimRecord      `json:"v,omitempty"`
 	Reservations []ReservationRecord `json:"r,omitempty"`
-	AtMs         int64               `json:"at"`          // when the set was chosen, in Unix milliseconds
+	ChosenAtMs   int64               `json:"at"`          // when the set was chosen, in Unix milliseconds
 	Packed       string              `json:"y,omitempty"` // victims and reservations, in the packed layout
 }
 
@@ -210,9 +210,9 @@
 // TeamRecord overrides a team's guarantee and limit in the settings file.
 type TeamRecord struct {
 	TeamBounds
-	// Former holds the previous bounds. Its limit still counts while the team uses more than the new
+	// PreviousBounds holds the previous bounds. Its limit still counts while the team uses more than the new
 	// one; no more of the team's tasks start meanwhile.
-	Former *TeamBounds `json:"was,omitempty"`
+	PreviousBounds *TeamBounds `json:"was,omitempty"`
 }
 
 // TeamBounds holds a team's guarantee (Cpus, Gpus) and limit (CpusMax, GpusMax), in CPUs and
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -28,7 +28,7 @@
 	JobViews(ctx context.Context, team, after string, limit int) ([]controller.JobView, bool, error)
 	MachineInfos(ctx context.Context, after string, limit int) ([]controller.MachineInfo, bool, error)
 	MachineInfo(ctx context.Context, name string) (controller.MachineInfo, bool, error)
-	Evictions(ctx context.Context) ([]controller.EvictionView, error)
+	Evictions(ctx context.Context) ([]controller.VictimSetView, error)
 	Teams(ctx context.Context) ([]controller.TeamView, error)
 	Team(ctx context.Context, name string) (controller.TeamView, error)
 	ChangeTeam(ctx context.Context, name string, version uint64, change json.RawMessage) (controller.TeamView, error)
@@ -149,9 +149,9 @@
 	switch {
 	case errors.As(err, &fieldError):
 		return send(c, fiber.StatusBadRequest, AdminRefusal{err.Error(), fieldError.Field})
-	case errors.Is(err, controller.ErrVersion):
+	case errors.Is(err, controller.ErrVersionConflict):
 		return send(c, fiber.StatusConflict, AdminRefusal{Error: err.Error()})
-	case errors.Is(err, controller.ErrNoTeam), errors.Is(err, errNoMachine):
+	case errors.Is(err, controller.ErrUnknownTeam), errors.Is(err, errNoMachine):
 		return send(c, fiber.StatusNotFound, AdminRefusal{Error: err.Error()})
 	}
 	return sendRetryLater(c, err.Error())
@@ -316,11 +316,11 @@
 func pageLimit(c *fiber.Ctx) (int, error) {
 	text := c.Query("limit")
 	if text == "" {
-		return controller.Page, nil
+		return controller.MaxListRows, nil
 	}
 	limit, err := strconv.Atoi(text)
-	if err != nil || limit < 1 || limit > controller.Page {
-		return 0, &controller.FieldError{Field: "limit", Expected: "a count from 1 to " + strconv.Itoa(controller.Page)}
+	if err != nil || limit < 1 || limit > controller.MaxListRows {
+		return 0, &controller.FieldError{Field: "limit", Expected: "a count from 1 to " + strconv.Itoa(controller.MaxListRows)}
 	}
 	return limit, nil
 }
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -125,8 +125,8 @@
 	return filled[controller.MachineInfo](), !s.unknown, s.err
 }
 
-func (s *stubCore) Evictions(context.Context) ([]controller.EvictionView, error) {
-	return filled[[]controller.EvictionView](), s.err
+func (s *stubCore) Evictions(context.Context) ([]controller.VictimSetView, error) {
+	return filled[[]controller.VictimSetView](), s.err
 }
 
 func (s *stubCore) Teams(context.Context) ([]controller.TeamView, error) {
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -49,7 +49,7 @@
 	busy := stubCore{answer: controller.Answer{Status: 503, Body: filled[protocol.ErrorResponse](), RetryAfter: 2}}
 	heartbeat := stubCore{answer: controller.Answer{Status: 200}, reply: filled[protocol.HeartbeatResponse]()}
 	redirect := stubCore{answer: controller.Answer{Status: 421}, reply: filled[protocol.Redirect]()}
-	down := stubCore{err: controller.ErrUnavailable}
+	down := stubCore{err: controller.ErrStoreUnavailable}
 	const runs, settings, red = "/v2/runs", "/admin/v1/settings", "/admin/v1/teams/red"
 	for _, test := range []struct {
 		name, method, path, body string
@@ -74,19 +74,19 @@
 		{"settings-change", "PUT", settings, `{"version":7,"settings":{"alpha":0.5}}`, stubCore{}},
 		{"settings-no-json", "PUT", settings, `x`, stubCore{}},
 		{"settings-no-version", "PUT", settings, `{"settings":{}}`, stubCore{}},
-		{"settings-old-version", "PUT", settings, `{"version":6,"settings":{}}`, stubCore{err: controller.ErrVersion}},
+		{"settings-old-version", "PUT", settings, `{"version":6,"settings":{}}`, stubCore{err: controller.ErrVersionConflict}},
 		{"settings-bad-field", "PUT", settings, `{"version":7,"settings":{}}`, stubCore{err: &controller.FieldError{Field: "alpha", Expected: "0 to 1"}}},
 		{"settings-change-down", "PUT", settings, `{"version":7,"settings":{}}`, down},
 		{"settings-deleted", "DELETE", settings, "", stubCore{}},
 		{"teams", "GET", "/admin/v1/teams", "", stubCore{}},
 		{"teams-down", "GET", "/admin/v1/teams", "", down},
 		{"team", "GET", red + "%20%2F1", "", stubCore{}},
-		{"team-unknown", "GET", red, "", stubCore{err: controller.ErrNoTeam}},
+		{"team-unknown", "GET", red, "", stubCore{err: controller.ErrUnknownTeam}},
 		{"team-with-percent", "GET", "/admin/v1/teams/%25zz", "", stubCore{}},
 		{"team-change", "PUT", red, `{"version":7,"team":{"cpus":8}}`, stubCore{}},
 		{"team-no-json", "PUT", red, `x`, stubCore{}},
 		{"team-no-version", "PUT", red, `{"team":{}}`, stubCore{}},
-		{"team-gate", "PUT", red, `{"version":7,"team":{}}`, stubCore{err: &controller.GateError{Members: []string{"n1", "n2"}}}},
+		{"team-gate", "PUT", red, `{"version":7,"team":{}}`, stubCore{err: &controller.LayoutGateError{Members: []string{"n1", "n2"}}}},
 		{"nodes", "GET", "/admin/v1/nodes", "", stubCore{}},
 		{"shares", "GET", "/admin/v1/shares", "", stubCore{}},
 		{"jobs", "GET", "/admin/v1/jobs?team=red&after=job-000001&limit=5", "", stubCore{}},
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -41,13 +41,13 @@
 func (f *fakeCore) ReceiveShardDemands(member string, _ protocol.ShardDemands) {
 	f.heard <- "demands " + member
 }
-func (f *fakeCore) PeerDisconnected(member string)                               { f.heard <- "lost " + member }
-func (f *fakeCore) Metrics() *controller.Metrics                                 { return controller.NewMetrics() }
-func (f *fakeCore) Evictions(context.Context) ([]controller.EvictionView, error) { return nil, nil }
+func (f *fakeCore) PeerDisconnected(member string)                                { f.heard <- "lost " + member }
+func (f *fakeCore) Metrics() *controller.Metrics                                  { return controller.NewMetrics() }
+func (f *fakeCore) Evictions(context.Context) ([]controller.VictimSetView, error) { return nil, nil }
 
 func (f *fakeCore) Settings(context.Context) (controller.OperatorSettings, uint64, error) {
 	if f.down {
-		return controller.OperatorSettings{}, 0, controller.ErrUnavailable
+		return controller.OperatorSettings{}, 0, controller.ErrStoreUnavailable
 	}
 	return controller.DefaultOperatorSettings(), f.version, nil
 }
@@ -58,14 +58,14 @@
 		return settings, current, err
 	}
 	if settings, err = settings.Change(raw); err == nil && version != current {
-		err = controller.ErrVersion
+		err = controller.ErrVersionConflict
 	}
 	return settings, current + 1, err
 }
 
 func (f *fakeCore) Teams(context.Context) ([]controller.TeamView, error) {
 	if f.down {
-		return nil, controller.ErrUnavailable
+		return nil, controller.ErrStoreUnavailable
 	}
 	return []controller.TeamView{{Name: "red", Version: f.version, State: controller.TeamInForce}}, nil
 }
@@ -73,7 +73,7 @@
 func (f *fakeCore) Team(ctx context.Context, name string) (controller.TeamView, error) {
 	teams, err := f.Teams(ctx)
 	if err != nil || name != teams[0].Name {
-		return controller.TeamView{}, cmp.Or(err, controller.ErrNoTeam)
+		return controller.TeamView{}, cmp.Or(err, controller.ErrUnknownTeam)
 	}
 	return teams[0], nil
 }
@@ -84,11 +84,11 @@
 	case err != nil:
 		return controller.TeamView{}, err
 	case name == "old controller":
-		return controller.TeamView{}, &controller.GateError{Members: []string{"n1"}}
+		return controller.TeamView{}, &controller.LayoutGateError{Members: []string{"n1"}}
 	case name != teams[0].Name:
-		return controller.TeamView{}, controller.ErrNoTeam
+		return controller.TeamView{}, controller.ErrUnknownTeam
 	case version != f.version:
-		return controller.TeamView{}, controller.ErrVersion
+		return controller.TeamView{}, controller.ErrVersionConflict
 	case string(raw) != `{"cpus":1}`:
 		return controller.TeamView{}, &controller.FieldError{Field: "cpus", Expected: "1"}
 	}
