--- a/internal/cicheck/known_red_test.go
+++ b/internal/cicheck/known_red_test.go
@@ -35,6 +35,20 @@
 
 func TestFirst(t *testing.T)  { t.Error("not fixed yet") }
 func TestSecond(t *testing.T) { t.Error("not fixed yet") }
+`,
+	"parent/parent_test.go": `package parent
+
+import "testing"
+
+// TestNeedsSecond fails when its second subtest does not run.
+func TestNeedsSecond(t *testing.T) {
+	ran := false
+	t.Run("first", func(t *testing.T) {})
+	t.Run("second", func(t *testing.T) { ran = true })
+	if !ran {
+		t.Error("the second subtest did not run")
+	}
+}
 `,
 	"prefix/prefix_test.go": `package prefix
 
@@ -108,6 +122,10 @@
 			[]string{"TestPasses passes here; if its command passes too, remove its entry: failed once"}},
 		{"a passing subtest does not excuse its sibling", []string{"red"},
 			entryFails + "red TestGroup/passes; go test ./red; failed once; 13\n", false, []string{"--- FAIL: TestGroup/fails"}},
+		{"a listed subtest passes whose parent fails without the others", []string{"parent"},
+			"parent TestNeedsSecond/first; go test ./parent; failed once; 16\n", true, []string{"TestNeedsSecond/first passes here"}},
+		{"the parent fails without a listed subtest", []string{"parent"},
+			"parent TestNeedsSecond/second; go test ./parent; failed once; 16\n", false, []string{"--- FAIL: TestNeedsSecond"}},
 		{"unknown test", []string{"good"}, "good TestMissing; go test ./good; fails; 17\n", false,
 			[]string{"./good TestMissing does not exist or does not build"}},
 		{"unknown package", []string{"good"}, "missing TestPasses; go test ./missing; fails; 17\n", false,
