--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -20,7 +20,7 @@
 // checker keeps the first thing that is wrong with a file. Fields are named by their whole keys.
 type checker struct{ err error }
 
-func (c *checker) want(ok bool, field, expected string) {
+func (c *checker) require(ok bool, field, expected string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{field, expected}
 	}
@@ -30,28 +30,28 @@
 	host, port, err := net.SplitHostPort(value)
 	number, portErr := strconv.Atoi(port)
 	valid := err == nil && host != "" && portErr == nil && number >= 0 && number <= maxPort
-	c.want(valid, field, "an address like 10.0.0.1:8080")
+	c.require(valid, field, "an address like 10.0.0.1:8080")
 }
 
 func (c *checker) positive(value float64, field string) {
-	c.want(value > 0 && !math.IsInf(value, 0), field, "a number above 0")
+	c.require(value > 0 && !math.IsInf(value, 0), field, "a number above 0")
 }
 
-func (c *checker) amount(value float64, field string) {
-	c.want(value >= 0 && !math.IsInf(value, 0), field, "a number of 0 or more")
+func (c *checker) nonNegative(value float64, field string) {
+	c.require(value >= 0 && !math.IsInf(value, 0), field, "a number of 0 or more")
 }
 
-func (c *checker) countAtLeast(value, least int, field string) {
-	c.want(value >= least, field, fmt.Sprintf("a count of at least %d", least))
+func (c *checker) countAtLeast(value, minimum int, field string) {
+	c.require(value >= minimum, field, fmt.Sprintf("a count of at least %d", minimum))
 }
 
 func (c *checker) memberName(value, field string) {
-	c.want(value != "" && !strings.ContainsAny(value, " /"), field, "a name without spaces or slashes")
+	c.require(value != "" && !strings.ContainsAny(value, " /"), field, "a name without spaces or slashes")
 }
 
-// unused wants a name that is not in use yet, and marks it as used.
-func (c *checker) unused(name string, used map[string]bool, field string) {
-	c.want(!used[name], field, "a name that is not used twice")
+// unique wants a name that is not in use yet, and marks it as used.
+func (c *checker) unique(name string, used map[string]bool, field string) {
+	c.require(!used[name], field, "a name that is not used twice")
 	used[name] = true
 }
 
@@ -59,7 +59,7 @@
 func (s *Settings) check() error {
 	c := &checker{}
 	c.controller(s)
-	c.known(s)
+	c.knownPeers(s)
 	c.external(&s.External)
 	c.deployment(&s.Deployment)
 	c.teams(s.Deployment.Teams)
@@ -74,17 +74,17 @@
 
 func (c *checker) controller(settings *Settings) {
 	c.memberName(settings.MemberName, "node_name")
-	c.want(settings.Zone != "", "zone", "a zone's name")
+	c.require(settings.Zone != "", "zone", "a zone's name")
 	c.address(settings.PublicAddr, "public_addr")
 	c.address(settings.PeerListen, "peer_listen")
 }
 
-func (c *checker) known(settings *Settings) {
+func (c *checker) knownPeers(settings *Settings) {
 	used := map[string]bool{settings.MemberName: true}
 	for i, peer := range settings.Known {
 		section := fmt.Sprintf("known[%d].", i)
 		c.memberName(peer.MemberName, section+"node_name")
-		c.unused(peer.MemberName, used, section+"node_name")
+		c.unique(peer.MemberName, used, section+"node_name")
 		c.address(peer.Address, section+"address")
 	}
 }
@@ -96,31 +96,31 @@
 
 func (c *checker) deployment(deployment *Deployment) {
 	c.countAtLeast(deployment.Controllers, minControllers, "deployment.nodes")
-	c.want(len(deployment.Zones) > 0, "deployment.zones", "a list of zones")
-	c.amount(deployment.ClockSkewMs, "deployment.clock_off_ms")
+	c.require(len(deployment.Zones) > 0, "deployment.zones", "a list of zones")
+	c.nonNegative(deployment.ClockSkewMs, "deployment.clock_off_ms")
 }
 
 func (c *checker) teams(teams []Team) {
-	c.want(len(teams) > 0, "deployment.teams", "at least one team")
+	c.require(len(teams) > 0, "deployment.teams", "at least one team")
 	used := map[string]bool{}
 	for i, team := range teams {
 		section := fmt.Sprintf("deployment.teams[%d].", i)
-		c.want(team.Name != "", section+"name", "a name")
-		c.unused(team.Name, used, section+"name")
-		c.amount(team.Cpus, section+"cpus")
-		c.amount(team.CpusMax, section+"cpus_max")
-		c.amount(team.Gpus, section+"gpus")
-		c.amount(team.GpusMax, section+"gpus_max")
+		c.require(team.Name != "", section+"name", "a name")
+		c.unique(team.Name, used, section+"name")
+		c.nonNegative(team.Cpus, section+"cpus")
+		c.nonNegative(team.CpusMax, section+"cpus_max")
+		c.nonNegative(team.Gpus, section+"gpus")
+		c.nonNegative(team.GpusMax, section+"gpus_max")
 	}
 }
 
 func (c *checker) objectives(objectives []Objective) {
 	for i, objective := range objectives {
 		section := fmt.Sprintf("deployment.objectives[%d].", i)
-		c.want(objective.Kind != "", section+"kind", "a kind of objective")
-		c.amount(objective.WithinS, section+"within_s")
-		c.amount(objective.Times, section+"times")
-		c.amount(objective.Share, section+"share")
+		c.require(objective.Kind != "", section+"kind", "a kind of objective")
+		c.nonNegative(objective.WithinS, section+"within_s")
+		c.nonNegative(objective.Times, section+"times")
+		c.nonNegative(objective.Share, section+"share")
 	}
 }
 
@@ -144,13 +144,13 @@
 	}
 	c.positive(next.WriteRPS, "deployment.state.next.write_rps")
 	valid := next.ValueKB >= minValueKB && !math.IsInf(next.ValueKB, 0)
-	c.want(valid, "deployment.state.next.value_kb", fmt.Sprintf("a size of at least %d", minValueKB))
+	c.require(valid, "deployment.state.next.value_kb", fmt.Sprintf("a size of at least %d", minValueKB))
 	c.countAtLeast(next.TxnOps, minTxnOps, "deployment.state.next.txn_ops")
 }
 
 func (c *checker) cloud(cloud *Cloud) {
 	c.positive(cloud.RPS, "deployment.cloud.rps")
-	c.amount(cloud.ListLagS, "deployment.cloud.list_lag_s")
+	c.nonNegative(cloud.ListLagS, "deployment.cloud.list_lag_s")
 }
 
 func (c *checker) resources(resources *Resources) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-const good = `
+const validSettings = `
 node_name = "n-0"
 zone = "a"
 public_addr = "10.0.0.1:8080"
@@ -64,7 +64,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			settings, err := Parse([]byte(strings.Replace(good, test.old, test.new, 1)))
+			settings, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
 			switch {
 			case test.want == "" && (err != nil || settings.Deployment.Teams[0].Cpus != 4):
 				t.Fatalf("refused: %v", err)
@@ -121,7 +121,7 @@
 // The typed errors keep what they come from, so that callers can tell them apart.
 func TestErrorTypes(t *testing.T) {
 	t.Run("missing field", func(t *testing.T) {
-		_, err := Parse([]byte(strings.Replace(good, `zone = "a"`, "", 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, `zone = "a"`, "", 1)))
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != "zone" {
 			t.Errorf("got %#v, want a FieldError of zone", err)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -19,7 +19,7 @@
 		read func() (any, error)
 	}{
 		{"every-key", func() (any, error) { return Load("testdata/every-key.toml") }},
-		{"required-keys", func() (any, error) { return Parse([]byte(good)) }},
+		{"required-keys", func() (any, error) { return Parse([]byte(validSettings)) }},
 		{"limits-to-come", func() (any, error) {
 			settings, err := Load("testdata/every-key.toml")
 			if err != nil {
@@ -32,11 +32,11 @@
 		{"features-deployed", func() (any, error) { return LoadFeatures("../../deploy/features.toml") }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			read, err := test.read()
+			value, err := test.read()
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden.CheckText(t, test.name+".txt", dump("", reflect.ValueOf(read)))
+			golden.CheckText(t, test.name+".txt", dump("", reflect.ValueOf(value)))
 		})
 	}
 }
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -15,8 +15,8 @@
 	FrameVersion = 2
 	MaxFrame     = 4 << 10 // bytes of payload
 
-	frameLengthAt = 3 // where the payload's length stands
-	frameHeader   = 7 // bytes before the payload
+	frameLengthOffset = 3 // where the payload's length stands
+	frameHeaderSize   = 7 // bytes before the payload
 )
 
 // AppendFrame appends a message to data as a frame. On an error, which wraps ErrFrame, data comes back
@@ -28,13 +28,13 @@
 	if err != nil {
 		return data, err
 	}
-	length := len(framed) - start - frameHeader
-	binary.BigEndian.PutUint32(framed[start+frameLengthAt:], uint32(length))
+	length := len(framed) - start - frameHeaderSize
+	binary.BigEndian.PutUint32(framed[start+frameLengthOffset:], uint32(length))
 	return framed, nil
 }
 
 func (h Hello) appendPayload(payload []byte) ([]byte, error) {
-	if h.Member == "" || len(h.Member) > maxPeerName {
+	if h.Member == "" || len(h.Member) > maxMemberNameBytes {
 		return nil, fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(h.Member))
 	}
 	payload = appendText(payload, h.Member)
@@ -95,7 +95,7 @@
 // ReadFrame reads one message. An error that wraps ErrFrame says that the frame is malformed; others
 // are the reader's.
 func ReadFrame(reader io.Reader) (PeerMessage, error) {
-	var header [frameHeader]byte
+	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	if version != FrameVersion {
 		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, version, FrameVersion)
 	}
-	length := binary.BigEndian.Uint32(header[frameLengthAt:])
+	length := binary.BigEndian.Uint32(header[frameLengthOffset:])
 	if length > MaxFrame {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, length)
 	}
@@ -148,7 +148,7 @@
 
 func (r *payloadReader) hello() Hello {
 	var hello Hello
-	hello.Member = r.text(maxPeerName)
+	hello.Member = r.text(maxMemberNameBytes)
 	hello.Incarnation = r.uint64()
 	return hello
 }
@@ -227,9 +227,9 @@
 }
 
 // count is the length of a list of up to most entries.
-func (r *payloadReader) count(most int) int {
+func (r *payloadReader) count(maximum int) int {
 	count := int(r.uint8())
-	r.expect(count <= most)
+	r.expect(count <= maximum)
 	if r.malformed {
 		return 0
 	}
@@ -237,9 +237,9 @@
 }
 
 // text is a text of 1 to most bytes.
-func (r *payloadReader) text(most int) string {
+func (r *payloadReader) text(maximum int) string {
 	length := int(r.uint8())
-	r.expect(length > 0 && length <= most)
+	r.expect(length > 0 && length <= maximum)
 	if r.malformed {
 		return ""
 	}
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -3,10 +3,10 @@
 // Limits of the messages between controllers. Digests of MaxCancellations jobs with names of
 // MaxCancelledName bytes fit into a frame.
 const (
-	MaxCancellations = 64 // entries of a CancellationDigest
-	MaxCancelledName = 48 // bytes of a job's id in it
-	maxPeerName      = 128
-	maxShardDemands  = 64
+	MaxCancellations   = 64 // entries of a CancellationDigest
+	MaxCancelledName   = 48 // bytes of a job's id in it
+	maxMemberNameBytes = 128
+	maxShardDemands    = 64
 )
 
 // The kinds of peer message.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -8,8 +8,8 @@
 
 // Limits of single values.
 const (
-	maxName   = 128 // bytes
-	maxAmount = 1e9 // of whatever unit the field has
+	maxNameBytes = 128 // bytes
+	maxAmount    = 1e9 // of whatever unit the field has
 )
 
 // The names of a submission's fields on the wire.
@@ -22,7 +22,7 @@
 	fieldTasks          = "shards"
 	fieldCpus           = "cpus"
 	fieldGpus           = "accelerators"
-	fieldMem            = "ramGb"
+	fieldMemory         = "ramGb"
 	fieldImage          = "kit"
 	fieldImageSize      = "pullGb"
 	fieldTypes          = "hulls"
@@ -152,7 +152,7 @@
 		{fieldTasks, &message.Tasks, false},
 		{fieldCpus, &message.Cpus, false},
 		{fieldGpus, &message.Gpus, false},
-		{fieldMem, &message.MemGB, false},
+		{fieldMemory, &message.MemGB, false},
 		{fieldImage, &message.Image, false},
 		{fieldImageSize, &message.ImageGB, false},
 		{fieldTypes, &message.Types, true},
@@ -239,7 +239,7 @@
 		{fieldImage, m.Image},
 	} {
 		if !validName(field.value) {
-			return fieldError(field.name, "is not a name of 1 to %d bytes", maxName)
+			return fieldError(field.name, "is not a name of 1 to %d bytes", maxNameBytes)
 		}
 	}
 	return nil
@@ -255,7 +255,7 @@
 	}{
 		{fieldCpus, m.Cpus},
 		{fieldGpus, m.Gpus},
-		{fieldMem, m.MemGB},
+		{fieldMemory, m.MemGB},
 		{fieldImageSize, m.ImageGB},
 		{fieldEstimate, m.EstimateS},
 		{fieldCheckpoint, m.CheckpointS},
@@ -303,7 +303,7 @@
 	return nil
 }
 
-func validName(name string) bool { return name != "" && len(name) <= maxName }
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
 // submission is the message in the program's terms; check has accepted it.
 func (m *submissionMessage) submission() *Submission {
@@ -328,7 +328,7 @@
 		EstimateS:       m.EstimateS,
 		CheckpointS:     m.CheckpointS,
 		CheckpointCostS: m.CheckpointCostS,
-		Dependencies:    withoutRepeats(m.Dependencies),
+		Dependencies:    removeDuplicates(m.Dependencies),
 	}
 	if m.Zone != nil {
 		submission.Zone = *m.Zone
@@ -339,8 +339,8 @@
 	return submission
 }
 
-// withoutRepeats drops, in place, what has stood in the list before.
-func withoutRepeats(names []string) []string {
+// removeDuplicates drops, in place, what has stood in the list before.
+func removeDuplicates(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	unique := names[:0]
 	for _, name := range names {
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -69,22 +69,22 @@
 
 // Limits of the administration server's connections and requests.
 const (
-	adminTimeout      = 3 * time.Second // until the controller has to have an answer
-	adminReadTimeout  = 10 * time.Second
-	adminIdleTimeout  = 30 * time.Second
-	defaultSendWithin = 5 * time.Second
-	retryAfterSeconds = "1"
+	adminTimeout        = 3 * time.Second // until the controller has to have an answer
+	adminReadTimeout    = 10 * time.Second
+	adminIdleTimeout    = 30 * time.Second
+	defaultWriteTimeout = 5 * time.Second
+	retryAfterSeconds   = "1"
 )
 
 // AdminLimits bound what readers of the administration API cost a controller.
 type AdminLimits struct {
-	ViewReaders int           // requests for the view that are served at a time
-	SendWithin  time.Duration // a reader that takes longer to take an answer is dropped
+	ViewReaders  int           // requests for the view that are served at a time
+	WriteTimeout time.Duration // a reader that takes longer to take an answer is dropped
 }
 
 // DefaultAdminLimits suit machines with a tenth of a core.
 func DefaultAdminLimits() AdminLimits {
-	return AdminLimits{ViewReaders: config.DefaultReaders, SendWithin: defaultSendWithin}
+	return AdminLimits{ViewReaders: config.DefaultReaders, WriteTimeout: defaultWriteTimeout}
 }
 
 // AdminServer serves the administration API.
@@ -102,7 +102,7 @@
 		Concurrency:           maxPeerConns,
 		ReadTimeout:           adminReadTimeout,
 		IdleTimeout:           adminIdleTimeout,
-		WriteTimeout:          limits.SendWithin,
+		WriteTimeout:          limits.WriteTimeout,
 		CaseSensitive:         true,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
 			return send(c, fiberStatus(err), AdminRefusal{Error: err.Error()})
@@ -133,25 +133,25 @@
 		defer cancel()
 		body, err := handler(ctx, c)
 		if err != nil {
-			return refuse(c, err)
+			return sendError(c, err)
 		}
 		return send(c, fiber.StatusOK, body)
 	}
 }
 
-// errNoMachine says that a machine is not known.
-var errNoMachine = errors.New("no such machine")
+// errUnknownMachine says that a machine is not known.
+var errUnknownMachine = errors.New("no such machine")
 
-// refuse answers with the status that an error stands for. What is not a mistake of the operator may
+// sendError answers with the status that an error stands for. What is not a mistake of the operator may
 // work later.
-func refuse(c *fiber.Ctx, err error) error {
+func sendError(c *fiber.Ctx, err error) error {
 	var fieldError *controller.FieldError
 	switch {
 	case errors.As(err, &fieldError):
 		return send(c, fiber.StatusBadRequest, AdminRefusal{err.Error(), fieldError.Field})
 	case errors.Is(err, controller.ErrVersionConflict):
 		return send(c, fiber.StatusConflict, AdminRefusal{Error: err.Error()})
-	case errors.Is(err, controller.ErrUnknownTeam), errors.Is(err, errNoMachine):
+	case errors.Is(err, controller.ErrUnknownTeam), errors.Is(err, errUnknownMachine):
 		return send(c, fiber.StatusNotFound, AdminRefusal{Error: err.Error()})
 	}
 	return sendRetryLater(c, err.Error())
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	if change.Version == nil {
-		return nil, versionMissing()
+		return nil, missingVersionError()
 	}
 	settings, version, err := a.core.ChangeSettings(ctx, *change.Version, change.Settings)
 	return SettingsView{Version: version, Settings: settings}, err
@@ -223,7 +223,7 @@
 		return nil, err
 	}
 	if change.Version == nil {
-		return nil, versionMissing()
+		return nil, missingVersionError()
 	}
 	return a.core.ChangeTeam(ctx, name, *change.Version, change.Team)
 }
@@ -280,7 +280,7 @@
 func (a adminAPI) machine(ctx context.Context, c *fiber.Ctx) (any, error) {
 	machine, known, err := a.core.MachineInfo(ctx, pathParam(c, "name"))
 	if err == nil && !known {
-		err = errNoMachine
+		err = errUnknownMachine
 	}
 	return machine, err
 }
@@ -293,8 +293,8 @@
 	return nil
 }
 
-// versionMissing refuses a change that does not say on which version it is based.
-func versionMissing() error {
+// missingVersionError refuses a change that does not say on which version it is based.
+func missingVersionError() error {
 	return &controller.FieldError{Field: "version", Expected: "the version that was read"}
 }
 
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -10,41 +10,41 @@
 // dig deeper into it; the level may even be below 0, a debt that later callers wait for. The unit of
 // amounts is what the owner counts: requests, or changes in the state service.
 type Budget struct {
-	mu       sync.Mutex
-	rate     float64 // units a second
-	burst    float64 // units
-	level    float64 // units to be had at filledAt
-	filledAt time.Time
+	mu         sync.Mutex
+	rate       float64 // units a second
+	burst      float64 // units
+	level      float64 // units to be had at filledAt
+	refilledAt time.Time
 }
 
 // NewBudget allows rate units a second, with bursts of up to burst units. It begins full.
 func NewBudget(rate, burst float64) *Budget {
-	return &Budget{rate: rate, burst: burst, level: burst, filledAt: time.Now()}
+	return &Budget{rate: rate, burst: burst, level: burst, refilledAt: time.Now()}
 }
 
 // Take takes amount if at least keep would stay; otherwise it returns how long to wait.
-func (b *Budget) Take(amount, keep float64) time.Duration {
-	wait, _ := b.Reserve(amount, keep, 0)
+func (b *Budget) Take(amount, reserve float64) time.Duration {
+	wait, _ := b.Reserve(amount, reserve, 0)
 	return wait
 }
 
 // Delay is how long it takes until amount can be taken with keep left.
-func (b *Budget) Delay(amount, keep float64) time.Duration {
+func (b *Budget) Delay(amount, reserve float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill()
-	return b.untilLevel(amount + keep)
+	b.refill()
+	return b.timeToLevel(amount + reserve)
 }
 
 // Reserve takes amount now and tells how long to wait until it counts, with keep left; it takes
 // nothing when that is longer than within. Unlike with Wait, those that come later see what those
 // before them took.
-func (b *Budget) Reserve(amount, keep float64, within time.Duration) (time.Duration, bool) {
+func (b *Budget) Reserve(amount, reserve float64, maxWait time.Duration) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill()
-	wait := b.untilLevel(amount + keep)
-	if wait > within {
+	b.refill()
+	wait := b.timeToLevel(amount + reserve)
+	if wait > maxWait {
 		return wait, false
 	}
 	b.level -= amount
@@ -55,7 +55,7 @@
 func (b *Budget) SetRate(rate float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill()
+	b.refill()
 	b.rate = rate
 }
 
@@ -63,19 +63,19 @@
 func (b *Budget) Drain(duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill()
+	b.refill()
 	b.level = min(b.level, -b.rate*duration.Seconds())
 }
 
-// fill adds what has come since it was last called.
-func (b *Budget) fill() {
+// refill adds what has come since it was last called.
+func (b *Budget) refill() {
 	now := time.Now()
-	b.level = min(b.burst, b.level+b.rate*now.Sub(b.filledAt).Seconds())
-	b.filledAt = now
+	b.level = min(b.burst, b.level+b.rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// untilLevel is how long it takes until the level is reached, or the burst if that is lower.
-func (b *Budget) untilLevel(level float64) time.Duration {
+// timeToLevel is how long it takes until the level is reached, or the burst if that is lower.
+func (b *Budget) timeToLevel(level float64) time.Duration {
 	if need := min(level, b.burst); b.level < need {
 		return time.Duration((need-b.level)/b.rate*float64(time.Second)) + time.Millisecond
 	}
@@ -90,9 +90,9 @@
 }
 
 // Wait waits until amount can be taken with keep left, and takes it.
-func (b *Budget) Wait(ctx context.Context, amount, keep float64) error {
+func (b *Budget) Wait(ctx context.Context, amount, reserve float64) error {
 	for {
-		wait := b.Take(amount, keep)
+		wait := b.Take(amount, reserve)
 		if wait == 0 {
 			return nil
 		}
--- a/internal/transport/cloudclient.go
+++ b/internal/transport/cloudclient.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	cloudConns     = 8
-	cloudTimeout   = 10 * time.Second // until an answer has to be there
-	cloudService   = "cloud"          // as metrics name it
-	cloudRatePart  = 0.8              // of the cloud's rate: the leader uses it nearly alone
-	minCloudBurst  = 1.0              // requests
-	noCapacityText = "no capacity"    // the cloud's text for a request that it has no machines for
+	cloudConns        = 8
+	cloudTimeout      = 10 * time.Second // until an answer has to be there
+	cloudService      = "cloud"          // as metrics name it
+	cloudRateFraction = 0.8              // of the cloud's rate: the leader uses it nearly alone
+	minCloudBurst     = 1.0              // requests
+	noCapacityText    = "no capacity"    // the cloud's text for a request that it has no machines for
 )
 
 // Cloud is the client of the cloud.
@@ -41,13 +41,13 @@
 // CloudBudget keeps a controller under the cloud's rate, which the leader uses nearly alone. Its unit
 // is requests.
 func CloudBudget(deployment *config.Deployment) *Budget {
-	rate := cloudRatePart * deployment.Cloud.RPS
+	rate := cloudRateFraction * deployment.Cloud.RPS
 	return NewBudget(rate, max(minCloudBurst, rate))
 }
 
 func (c *Cloud) call(ctx context.Context, request serviceRequest, out any) error {
 	if err := c.budget.Wait(ctx, 1, 0); err != nil {
-		return refused(err)
+		return notExecuted(err)
 	}
 	status, err := call(ctx, c.client, request, out, cloudTimeout)
 	if c.Observe != nil {
@@ -63,15 +63,15 @@
 	return &catalog, err
 }
 
-// scaleOutAnswer is the body of an answer to a ScaleOutRequest: the machines' names or a refusal.
-type scaleOutAnswer struct {
+// scaleOutResponse is the body of an answer to a ScaleOutRequest: the machines' names or a refusal.
+type scaleOutResponse struct {
 	protocol.MachineNames
 	Error string `json:"error"`
 }
 
 // ScaleOut rents machines and returns their names. protocol.ErrNoCapacity says that there are none.
 func (c *Cloud) ScaleOut(ctx context.Context, request protocol.ScaleOutRequest) ([]string, error) {
-	var answer scaleOutAnswer
+	var answer scaleOutResponse
 	err := c.call(ctx, serviceRequest{http.MethodPost, "/hosts", request}, &answer)
 	if err != nil && answer.Error == noCapacityText {
 		return nil, protocol.ErrNoCapacity
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -18,7 +18,7 @@
 const (
 	serviceDialTimeout = 2 * time.Second
 	serviceIdleTimeout = time.Minute
-	maxServiceAnswer   = 64 << 20 // bytes
+	maxServiceResponse = 64 << 20 // bytes
 	serviceReadBuffer  = 8 << 10  // bytes
 )
 
@@ -26,12 +26,12 @@
 func newHostClient(addr string, maxConns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                          addr,
-		Dial:                          dialWithin(serviceDialTimeout),
+		Dial:                          dialWithTimeout(serviceDialTimeout),
 		MaxConns:                      maxConns,
 		MaxIdleConnDuration:           serviceIdleTimeout,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr:                    neverRetry,
-		MaxResponseBodySize:           maxServiceAnswer,
+		MaxResponseBodySize:           maxServiceResponse,
 		ReadBufferSize:                serviceReadBuffer,
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
@@ -39,8 +39,8 @@
 	}
 }
 
-// dialWithin makes a dial function with a time limit. fasthttp hands it no context to dial with.
-func dialWithin(timeout time.Duration) fasthttp.DialFunc {
+// dialWithTimeout makes a dial function with a time limit. fasthttp hands it no context to dial with.
+func dialWithTimeout(timeout time.Duration) fasthttp.DialFunc {
 	dialer := &net.Dialer{Timeout: timeout}
 	return func(addr string) (net.Conn, error) {
 		return dialer.DialContext(context.Background(), "tcp4", addr)
@@ -65,13 +65,13 @@
 // String names the request in errors.
 func (r serviceRequest) String() string { return r.method + " " + r.path }
 
-// answerReader reads the body of an answer. It must not keep the body.
-type answerReader func(status int, body []byte) error
+// responseReader reads the body of an answer. It must not keep the body.
+type responseReader func(status int, body []byte) error
 
 // exchange sends a request once and hands the answer's body to read. Errors wrap protocol.ErrRefused
 // if the request certainly was not executed, and protocol.ErrUnknown if it may have been; the status
 // is 0 without an answer.
-func exchange(client httpClient, addr string, request serviceRequest, deadline time.Time, read answerReader) (int, error) {
+func exchange(client httpClient, addr string, request serviceRequest, deadline time.Time, read responseReader) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -79,7 +79,7 @@
 		return 0, err
 	}
 	if err := client.DoDeadline(req, resp, deadline); err != nil {
-		return 0, fmt.Errorf("%w: %s: %w", failureKind(err), request, err)
+		return 0, fmt.Errorf("%w: %s: %w", outcomeOfFailure(err), request, err)
 	}
 	status := resp.StatusCode()
 	if err := read(status, resp.Body()); err != nil {
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// failureKind tells whether a request that got no answer can have been executed.
-func failureKind(err error) error {
+// outcomeOfFailure tells whether a request that got no answer can have been executed.
+func outcomeOfFailure(err error) error {
 	if errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return protocol.ErrRefused
 	}
@@ -124,13 +124,13 @@
 		deadline = ctxDeadline
 	}
 	if err := ctx.Err(); err != nil {
-		return 0, refused(err)
+		return 0, notExecuted(err)
 	}
 	return exchange(client, client.Addr, request, deadline, jsonReader(out))
 }
 
 // jsonReader reads JSON into out. The body of a refusal need not be JSON: its status says enough.
-func jsonReader(out any) answerReader {
+func jsonReader(out any) responseReader {
 	return func(status int, body []byte) error {
 		if out == nil || len(body) == 0 {
 			return nil
@@ -166,10 +166,10 @@
 
 // The outcomes of requests as metrics count them.
 const (
-	outcomeNoAnswer = "no_answer"
-	outcomeOverRate = "over_rate"
-	outcomeRefused  = "refused"
-	outcomeAnswered = "answered"
+	outcomeNoAnswer    = "no_answer"
+	outcomeRateLimited = "over_rate"
+	outcomeRefused     = "refused"
+	outcomeAnswered    = "answered"
 )
 
 // requestOutcome is the outcome of a request under which metrics count it.
@@ -178,7 +178,7 @@
 	case err != nil:
 		return outcomeNoAnswer
 	case status == http.StatusTooManyRequests:
-		return outcomeOverRate
+		return outcomeRateLimited
 	case status >= http.StatusInternalServerError:
 		return outcomeRefused
 	}
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -20,8 +20,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// service is a service that writes down the request and gives one answer; status 0 breaks the connection off.
-func service(t *testing.T, status int, body string) (addr string, request *string) {
+// startService is a startService that writes down the request and gives one answer; status 0 breaks the connection off.
+func startService(t *testing.T, status int, body string) (addr string, request *string) {
 	t.Helper()
 	request = new(string)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, received *http.Request) {
@@ -62,7 +62,7 @@
 		return NewState(goldenSettings(addr)).List(ctx, "k/ü &", "k/1=2", 100)
 	}},
 	{"state-txn", `{"failed":["k/1"],"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
-		rev, conflicts, err := NewState(goldenSettings(addr)).Txn(ctx, filled[protocol.Txn](), protocol.UrgentRequest)
+		rev, conflicts, err := NewState(goldenSettings(addr)).Txn(ctx, filledValue[protocol.Txn](), protocol.UrgentRequest)
 		return []any{rev, conflicts}, err
 	}},
 	{"state-grant", `{"tenure":5}`, func(ctx context.Context, addr string) (any, error) {
@@ -79,7 +79,7 @@
 			return NewCloud(goldenSettings(addr)).Catalog(ctx)
 		}},
 	{"cloud-rent", `{"hosts":["host-000001","host-000002"]}`, func(ctx context.Context, addr string) (any, error) {
-		return NewCloud(goldenSettings(addr)).ScaleOut(ctx, filled[protocol.ScaleOutRequest]())
+		return NewCloud(goldenSettings(addr)).ScaleOut(ctx, filledValue[protocol.ScaleOutRequest]())
 	}},
 	{"cloud-return", `{}`, func(ctx context.Context, addr string) (any, error) {
 		return nil, NewCloud(goldenSettings(addr)).ScaleIn(ctx, []string{"host-000001"})
@@ -92,7 +92,7 @@
 		return NewCloud(goldenSettings(addr)).List(ctx, "host-000001")
 	}},
 	{"worker-command", workerHeartbeat, func(_ context.Context, addr string) (any, error) {
-		heartbeat, status, err := NewWorkers().Command(addr, filled[protocol.DirectCommands](), time.Minute)
+		heartbeat, status, err := NewWorkers().Command(addr, filledValue[protocol.DirectCommands](), time.Minute)
 		return []any{heartbeat, status}, err
 	}},
 }
@@ -109,7 +109,7 @@
 				{200, test.good}, {409, test.good}, {200, "no JSON"}, {400, `{"error":"no such lease"}`}, {400, `{"error":"too many"}`}, {403, ""}, {404, ""},
 				{409, `{"error":"no capacity"}`}, {410, ""}, {429, ""}, {500, ""}, {503, `{"error":"no capacity"}`}, {0, ""},
 			} {
-				addr, request := service(t, answer.status, answer.body)
+				addr, request := startService(t, answer.status, answer.body)
 				out, err := test.call(t.Context(), addr)
 				if text == "" {
 					text = *request
@@ -144,11 +144,11 @@
 // peerStub is a controller that always has everything to say.
 type peerStub struct{ PeerCore }
 
-func (peerStub) PeerHeartbeat() protocol.PeerHeartbeat { return filled[protocol.PeerHeartbeat]() }
+func (peerStub) PeerHeartbeat() protocol.PeerHeartbeat { return filledValue[protocol.PeerHeartbeat]() }
 func (peerStub) Incarnation() uint64                   { return 77 }
-func (peerStub) ShardDemands() []protocol.ShardDemand  { return filled[[]protocol.ShardDemand]() }
+func (peerStub) ShardDemands() []protocol.ShardDemand  { return filledValue[[]protocol.ShardDemand]() }
 func (peerStub) CancellationDigest(string) (protocol.CancellationDigest, bool) {
-	return filled[protocol.CancellationDigest](), true
+	return filledValue[protocol.CancellationDigest](), true
 }
 
 // TestGoldenPeers pins the bytes with which a controller begins to speak to another.
@@ -157,7 +157,7 @@
 	peers := NewPeers(&config.Settings{MemberName: "n-0"}, peerStub{}, slog.New(slog.DiscardHandler))
 	var speaking sync.WaitGroup
 	t.Cleanup(speaking.Wait)
-	speaking.Go(func() { peers.speak(t.Context(), here, "n-1") })
+	speaking.Go(func() { peers.sendMessages(t.Context(), here, "n-1") })
 	frames := make([]byte, 4<<10)
 	length, err := there.Read(frames)
 	if err != nil {
--- a/internal/transport/golden_stub_test.go
+++ b/internal/transport/golden_stub_test.go
@@ -12,8 +12,8 @@
 	"dykeledge/internal/view"
 )
 
-// filled is a value with something in each field, the same at every call.
-func filled[T any]() T {
+// filledValue is a value with something in each field, the same at every call.
+func filledValue[T any]() T {
 	var filled T
 	count := 0
 	fill(reflect.ValueOf(&filled).Elem(), &count)
@@ -58,97 +58,97 @@
 // stubCore answers with fixed values, or with an error if it has one.
 type stubCore struct {
 	AdminCore
-	answer  controller.Answer
-	starts  bool
-	reply   any // to a worker, with answer's status
-	err     error
-	unknown bool
-	asked   string
+	answer   controller.Answer
+	starting bool
+	reply    any // to a worker, with answer's status
+	err      error
+	unknown  bool
+	calls    string
 }
 
-func (s *stubCore) note(format string, args ...any) { s.asked += fmt.Sprintf(format, args...) }
+func (s *stubCore) recordCall(format string, args ...any) { s.calls += fmt.Sprintf(format, args...) }
 
 func (s *stubCore) Submit(_ context.Context, body []byte) controller.Answer {
-	s.note("submit %s", body)
+	s.recordCall("submit %s", body)
 	return s.answer
 }
 
 func (s *stubCore) Query(_ context.Context, id string) controller.Answer {
-	s.note("query %s", id)
+	s.recordCall("query %s", id)
 	return s.answer
 }
 
 func (s *stubCore) Cancel(_ context.Context, id string) controller.Answer {
-	s.note("cancel %s", id)
+	s.recordCall("cancel %s", id)
 	return s.answer
 }
 
-func (s *stubCore) Ready(context.Context) bool { return !s.starts }
+func (s *stubCore) Ready(context.Context) bool { return !s.starting }
 
 func (s *stubCore) HandleHeartbeat(_ context.Context, heartbeat *protocol.Heartbeat, reply func(status int, body any)) {
 	raw, err := json.Marshal(heartbeat)
-	s.note("report %s, %v", raw, err)
+	s.recordCall("report %s, %v", raw, err)
 	if s.answer.Status != 0 {
 		reply(s.answer.Status, s.reply)
 	}
 }
 
 func (s *stubCore) Settings(context.Context) (controller.OperatorSettings, uint64, error) {
-	return filled[controller.OperatorSettings](), 7, s.err
+	return filledValue[controller.OperatorSettings](), 7, s.err
 }
 
 func (s *stubCore) ChangeSettings(_ context.Context, version uint64, raw json.RawMessage) (controller.OperatorSettings, uint64, error) {
-	s.note("settings %d %s", version, raw)
-	return filled[controller.OperatorSettings](), version + 1, s.err
+	s.recordCall("settings %d %s", version, raw)
+	return filledValue[controller.OperatorSettings](), version + 1, s.err
 }
 
 func (s *stubCore) MemberViews(context.Context) ([]controller.MemberView, error) {
-	return filled[[]controller.MemberView](), s.err
+	return filledValue[[]controller.MemberView](), s.err
 }
 
 func (s *stubCore) ShardViews(context.Context) ([]controller.ShardView, error) {
-	return filled[[]controller.ShardView](), s.err
+	return filledValue[[]controller.ShardView](), s.err
 }
 
 func (s *stubCore) JobViews(_ context.Context, team, after string, limit int) ([]controller.JobView, bool, error) {
-	s.note("jobs team=%q after=%q limit=%d", team, after, limit)
-	return filled[[]controller.JobView](), true, s.err
+	s.recordCall("jobs team=%q after=%q limit=%d", team, after, limit)
+	return filledValue[[]controller.JobView](), true, s.err
 }
 
 func (s *stubCore) MachineInfos(_ context.Context, after string, limit int) ([]controller.MachineInfo, bool, error) {
-	s.note("machines after=%q limit=%d", after, limit)
-	return filled[[]controller.MachineInfo](), true, s.err
+	s.recordCall("machines after=%q limit=%d", after, limit)
+	return filledValue[[]controller.MachineInfo](), true, s.err
 }
 
 func (s *stubCore) MachineInfo(_ context.Context, name string) (controller.MachineInfo, bool, error) {
-	s.note("machine %q", name)
-	return filled[controller.MachineInfo](), !s.unknown, s.err
+	s.recordCall("machine %q", name)
+	return filledValue[controller.MachineInfo](), !s.unknown, s.err
 }
 
 func (s *stubCore) Evictions(context.Context) ([]controller.VictimSetView, error) {
-	return filled[[]controller.VictimSetView](), s.err
+	return filledValue[[]controller.VictimSetView](), s.err
 }
 
 func (s *stubCore) Teams(context.Context) ([]controller.TeamView, error) {
-	return filled[[]controller.TeamView](), s.err
+	return filledValue[[]controller.TeamView](), s.err
 }
 
 func (s *stubCore) Team(_ context.Context, name string) (controller.TeamView, error) {
-	s.note("team %q", name)
-	return filled[controller.TeamView](), s.err
+	s.recordCall("team %q", name)
+	return filledValue[controller.TeamView](), s.err
 }
 
 func (s *stubCore) ChangeTeam(_ context.Context, name string, version uint64, raw json.RawMessage) (controller.TeamView, error) {
-	s.note("team %q %d %s", name, version, raw)
-	return filled[controller.TeamView](), s.err
+	s.recordCall("team %q %d %s", name, version, raw)
+	return filledValue[controller.TeamView](), s.err
 }
 
 func (s *stubCore) Metrics() *controller.Metrics { return controller.NewMetrics() }
-func (s *stubCore) ViewEnabled() bool            { return !s.starts }
+func (s *stubCore) ViewEnabled() bool            { return !s.starting }
 func (s *stubCore) HasTeam(name string) bool     { return name == "red" }
 
 func (s *stubCore) View(_ context.Context, cursor view.Cursor) *view.Snapshot {
-	s.note("view after %d of %d", cursor.Seq, cursor.Epoch)
+	s.recordCall("view after %d of %d", cursor.Seq, cursor.Epoch)
 	if s.unknown {
 		return nil
 	}
@@ -156,6 +156,6 @@
 }
 
 func (s *stubCore) Reasons(_ context.Context, scope view.Scope, ids []string) ([]view.Reason, error) {
-	s.note("reasons of %q for %q", ids, scope)
-	return filled[[]view.Reason](), s.err
+	s.recordCall("reasons of %q for %q", ids, scope)
+	return filledValue[[]view.Reason](), s.err
 }
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -45,26 +45,26 @@
 
 // TestGoldenAnswers pins what the servers answer to each request, and what they hand on of it.
 func TestGoldenAnswers(t *testing.T) {
-	state := stubCore{answer: controller.Answer{Status: 200, Body: filled[protocol.JobState]()}}
-	busy := stubCore{answer: controller.Answer{Status: 503, Body: filled[protocol.ErrorResponse](), RetryAfter: 2}}
-	heartbeat := stubCore{answer: controller.Answer{Status: 200}, reply: filled[protocol.HeartbeatResponse]()}
-	redirect := stubCore{answer: controller.Answer{Status: 421}, reply: filled[protocol.Redirect]()}
+	success := stubCore{answer: controller.Answer{Status: 200, Body: filledValue[protocol.JobState]()}}
+	busy := stubCore{answer: controller.Answer{Status: 503, Body: filledValue[protocol.ErrorResponse](), RetryAfter: 2}}
+	heartbeat := stubCore{answer: controller.Answer{Status: 200}, reply: filledValue[protocol.HeartbeatResponse]()}
+	redirect := stubCore{answer: controller.Answer{Status: 421}, reply: filledValue[protocol.Redirect]()}
 	down := stubCore{err: controller.ErrStoreUnavailable}
 	const runs, settings, red = "/v2/runs", "/admin/v1/settings", "/admin/v1/teams/red"
 	for _, test := range []struct {
 		name, method, path, body string
 		core                     stubCore
 	}{
-		{"submit", "POST", runs, `{"id":"job-000001"}`, state},
+		{"submit", "POST", runs, `{"id":"job-000001"}`, success},
 		{"submit-busy", "POST", runs, `{}`, busy},
-		{"query", "GET", runs + "/job-000001", "", state},
+		{"query", "GET", runs + "/job-000001", "", success},
 		{"query-busy", "GET", runs + "/job-000001", "", busy},
-		{"cancel", "POST", runs + "/job-000001/cancel", "", state},
+		{"cancel", "POST", runs + "/job-000001/cancel", "", success},
 		{"cancel-busy", "POST", runs + "/job-000001/cancel", "", busy},
-		{"list-of-runs", "GET", runs, "", state},
-		{"no-such-path", "GET", "/v2/Runs/job-000001", "", state},
-		{"ready", "GET", "/ready", "", state},
-		{"ready-starting", "GET", "/ready", "", stubCore{starts: true}},
+		{"list-of-runs", "GET", runs, "", success},
+		{"no-such-path", "GET", "/v2/Runs/job-000001", "", success},
+		{"ready", "GET", "/ready", "", success},
+		{"ready-starting", "GET", "/ready", "", stubCore{starting: true}},
 		{"beat", "POST", "/agent/beat", workerHeartbeat, heartbeat},
 		{"beat-redirect", "POST", "/agent/beat", workerHeartbeat, redirect},
 		{"beat-malformed", "POST", "/agent/beat", `{"host":"a/b"}`, heartbeat},
@@ -99,7 +99,7 @@
 		{"machine-down", "GET", "/admin/v1/machines/host-000231", "", down},
 		{"evictions", "GET", "/admin/v1/evictions", "", stubCore{}},
 		{"view", "GET", "/admin/v1/view?team=red&epoch=1&seq=2&wait_ms=3", "", stubCore{}},
-		{"view-off", "GET", "/admin/v1/view", "", stubCore{starts: true}},
+		{"view-off", "GET", "/admin/v1/view", "", stubCore{starting: true}},
 		{"view-unknown-team", "GET", "/admin/v1/view?team=grey", "", stubCore{}},
 		{"view-unread", "GET", "/admin/v1/view", "", stubCore{unknown: true}},
 		{"view-bad-cursor", "GET", "/admin/v1/view?wait_ms=2001", "", stubCore{}},
@@ -114,8 +114,8 @@
 			if strings.HasPrefix(test.path, "/admin") || test.path == "/metrics" {
 				app = adminApp(&test.core)
 			}
-			answer := ask(t, app, test.method, test.path, test.body)
-			golden.CheckText(t, "answer-"+test.name+".txt", test.method+" "+test.path+"\n"+answer+"core: "+test.core.asked+"\n")
+			answer := requestText(t, app, test.method, test.path, test.body)
+			golden.CheckText(t, "answer-"+test.name+".txt", test.method+" "+test.path+"\n"+answer+"core: "+test.core.calls+"\n")
 		})
 	}
 }
@@ -127,7 +127,7 @@
 	go func() { _ = server.Serve(&pipeListener{conns}) }() // ends with the test
 	here, there := net.Pipe()
 	conns <- there
-	if _, err := fmt.Fprintf(here, "POST /v2/runs HTTP/1.1\r\nHost: node\r\nContent-Length: %d\r\n\r\n", bodyCeiling+1); err != nil {
+	if _, err := fmt.Fprintf(here, "POST /v2/runs HTTP/1.1\r\nHost: node\r\nContent-Length: %d\r\n\r\n", maxReadBody+1); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(here), nil)
@@ -137,8 +137,8 @@
 	golden.CheckText(t, "answer-submit-too-large.txt", answerText(resp, readBody(t, resp)))
 }
 
-// ask sends a request to a server and writes down the answer.
-func ask(t *testing.T, app *fiber.App, method, path, body string) string {
+// requestText sends a request to a server and writes down the answer.
+func requestText(t *testing.T, app *fiber.App, method, path, body string) string {
 	t.Helper()
 	request := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
 	resp, err := app.Test(request, -1)
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -15,11 +15,11 @@
 
 // Timing and limits of the connections between controllers.
 const (
-	frameWithin           = 10 * time.Second // until the next frame has to be there, whole
+	frameReadTimeout      = 10 * time.Second // until the next frame has to be there, whole
 	peerHeartbeatInterval = 500 * time.Millisecond
 	peerDialTimeout       = 2 * time.Second
 	peerWriteTimeout      = 2 * time.Second
-	peerRedialAfter       = time.Second
+	peerRedialDelay       = time.Second
 	peerReadBuffer        = 512 // bytes
 	maxPeerConns          = 64  // on the shared port, peers and HTTP together
 )
@@ -63,19 +63,19 @@
 	for ctx.Err() == nil {
 		conn, err := dialer.DialContext(ctx, "tcp4", peer.Address)
 		if err == nil {
-			p.speak(ctx, conn, peer.MemberName)
+			p.sendMessages(ctx, conn, peer.MemberName)
 		}
-		_ = sleep(ctx, peerRedialAfter) // the loop sees whether the context has ended
+		_ = sleep(ctx, peerRedialDelay) // the loop sees whether the context has ended
 	}
 }
 
-// speak tells a peer how this controller fares until the context or the connection ends; then it
+// sendMessages tells a peer how this controller fares until the context or the connection ends; then it
 // closes the connection.
-func (p *Peers) speak(ctx context.Context, conn net.Conn, member string) {
-	ended := watchEnd(conn)
+func (p *Peers) sendMessages(ctx context.Context, conn net.Conn, member string) {
+	closed := detectClose(conn)
 	defer func() {
 		_ = conn.Close() // what was written are hints: whether they have arrived does not matter
-		<-ended
+		<-closed
 	}()
 	// Before it is a member its number is 0: in an outage restarted controllers must hear one another.
 	hello := protocol.Hello{Member: p.cfg.MemberName, Incarnation: p.core.Incarnation()}
@@ -98,22 +98,22 @@
 		frames = frames[:0]
 		select {
 		case <-ctx.Done():
-		case <-ended:
+		case <-closed:
 			return
 		case <-time.After(peerHeartbeatInterval):
 		}
 	}
 }
 
-// watchEnd tells when a connection on which the other side never sends has ended: a read ends when it
+// detectClose tells when a connection on which the other side never sends has ended: a read ends when it
 // closes. Without one, a connection that it has given up could be written to for ever.
-func watchEnd(conn net.Conn) <-chan struct{} {
-	ended := make(chan struct{})
+func detectClose(conn net.Conn) <-chan struct{} {
+	closed := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(closed)
 		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection is over
 	}()
-	return ended
+	return closed
 }
 
 // appendMessages appends the frames of what there is to tell a peer now. It fails only by a fault in this
@@ -139,19 +139,19 @@
 	return frames, true
 }
 
-// hear reads a peer's frames until the connection ends, one is malformed, or it turns out not to be a
+// receiveMessages reads a peer's frames until the connection ends, one is malformed, or it turns out not to be a
 // peer's; then it closes the connection.
-func (p *Peers) hear(conn net.Conn, reader io.Reader) {
+func (p *Peers) receiveMessages(conn net.Conn, reader io.Reader) {
 	defer func() { _ = conn.Close() }() // nothing was written to it
 	member := ""                        // who speaks, once it has said so
 	buffered := bufio.NewReaderSize(reader, peerReadBuffer)
 	for {
-		if conn.SetReadDeadline(time.Now().Add(frameWithin)) != nil {
+		if conn.SetReadDeadline(time.Now().Add(frameReadTimeout)) != nil {
 			return
 		}
 		message, err := protocol.ReadFrame(buffered)
 		if err != nil {
-			p.hearEnd(conn, member, err)
+			p.connectionEnded(conn, member, err)
 			return
 		}
 		if hello, ok := message.(protocol.Hello); ok {
@@ -167,8 +167,8 @@
 	}
 }
 
-// hearEnd tells the controller that a peer can no longer be heard.
-func (p *Peers) hearEnd(conn net.Conn, member string, err error) {
+// connectionEnded tells the controller that a peer can no longer be heard.
+func (p *Peers) connectionEnded(conn net.Conn, member string, err error) {
 	if errors.Is(err, protocol.ErrFrame) {
 		p.log.Info("peer connection closed", "peer", member, "from", conn.RemoteAddr().String(), "err", err)
 	}
@@ -178,13 +178,13 @@
 }
 
 // identify is the known controller that a hello names, or the one from before if it names none.
-func (p *Peers) identify(hello protocol.Hello, before string) string {
+func (p *Peers) identify(hello protocol.Hello, current string) string {
 	for _, peer := range p.cfg.Known {
 		if peer.MemberName == hello.Member {
 			return hello.Member
 		}
 	}
-	return before
+	return current
 }
 
 // receive hands a peer's message to the controller.
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -21,32 +21,32 @@
 
 type fakeCore struct {
 	AdminCore
-	heard   chan string
-	version uint64
-	down    bool
+	received         chan string
+	version          uint64
+	stateServiceDown bool
 }
 
 func (f *fakeCore) PeerHeartbeat() protocol.PeerHeartbeat { return protocol.PeerHeartbeat{} }
 func (f *fakeCore) Incarnation() uint64                   { return 1 }
 func (f *fakeCore) ShardDemands() []protocol.ShardDemand  { return nil }
 func (f *fakeCore) ReceivePeerHeartbeat(member string, _ protocol.PeerHeartbeat) {
-	f.heard <- "heartbeat " + member
+	f.received <- "heartbeat " + member
 }
 func (f *fakeCore) CancellationDigest(string) (protocol.CancellationDigest, bool) {
 	return protocol.CancellationDigest{}, false
 }
 func (f *fakeCore) ReceiveCancellationDigest(member string, _ protocol.CancellationDigest) {
-	f.heard <- "digest " + member
+	f.received <- "digest " + member
 }
 func (f *fakeCore) ReceiveShardDemands(member string, _ protocol.ShardDemands) {
-	f.heard <- "demands " + member
+	f.received <- "demands " + member
 }
-func (f *fakeCore) PeerDisconnected(member string)                                { f.heard <- "lost " + member }
+func (f *fakeCore) PeerDisconnected(member string)                                { f.received <- "lost " + member }
 func (f *fakeCore) Metrics() *controller.Metrics                                  { return controller.NewMetrics() }
 func (f *fakeCore) Evictions(context.Context) ([]controller.VictimSetView, error) { return nil, nil }
 
 func (f *fakeCore) Settings(context.Context) (controller.OperatorSettings, uint64, error) {
-	if f.down {
+	if f.stateServiceDown {
 		return controller.OperatorSettings{}, 0, controller.ErrStoreUnavailable
 	}
 	return controller.DefaultOperatorSettings(), f.version, nil
@@ -64,7 +64,7 @@
 }
 
 func (f *fakeCore) Teams(context.Context) ([]controller.TeamView, error) {
-	if f.down {
+	if f.stateServiceDown {
 		return nil, controller.ErrStoreUnavailable
 	}
 	return []controller.TeamView{{Name: "red", Version: f.version, State: controller.TeamInForce}}, nil
@@ -128,11 +128,11 @@
 	}
 	hello := frames(protocol.Hello{Member: "n-1", Incarnation: 4}, protocol.PeerHeartbeat{StateOK: true})
 	cases := []struct {
-		name  string
-		parts [][]byte // written a second apart
-		http  bool     // the connection reaches the HTTP server, whole
-		heard []string
-		ends  bool // the port closes it by itself
+		name       string
+		writes     [][]byte // written a second apart
+		http       bool     // the connection reaches the HTTP server, whole
+		received   []string
+		portCloses bool // the port closes it by itself
 	}{
 		{"HTTP", [][]byte{[]byte("GET /metrics HTTP/1.1\r\n\r\n")}, true, nil, false},
 		{"HTTP, one byte first", [][]byte{[]byte("G"), []byte("ET /metrics HTTP/1.1\r\n\r\n")}, true, nil, false},
@@ -148,14 +148,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				port := openSharedPort()
-				for _, part := range test.parts {
+				for _, part := range test.writes {
 					_, _ = port.conn.Write(part) // the port may have closed it before
 					time.Sleep(time.Second)
 				}
-				ended := make(chan struct{})
+				closed := make(chan struct{})
 				go func() {
 					_, _ = io.ReadAll(port.conn) // only its end matters
-					close(ended)
+					close(closed)
 				}()
 				time.Sleep(5 * time.Second) // less than a frame may take: what is open stays open
 				if test.name == "a frame that never ends" {
@@ -163,9 +163,9 @@
 				}
 				synctest.Wait()
 				port.checkHTTP(t, test.http)
-				port.checkHeard(t, test.heard)
-				if isClosed(ended) != test.ends {
-					t.Errorf("the port has closed the connection: %t, want %t", isClosed(ended), test.ends)
+				port.checkReceived(t, test.received)
+				if isClosed(closed) != test.portCloses {
+					t.Errorf("the port has closed the connection: %t, want %t", isClosed(closed), test.portCloses)
 				}
 				port.close(t)
 			})
@@ -184,14 +184,14 @@
 // openSharedPort serves a port that knows peer n-1, and connects to it.
 func openSharedPort() *sharedPort {
 	port := &sharedPort{
-		core:      &fakeCore{heard: make(chan string, 10)},
+		core:      &fakeCore{received: make(chan string, 10)},
 		listener:  &pipeListener{make(chan net.Conn, 1)},
 		firstLine: make(chan string, 1),
 	}
 	cfg := &config.Settings{MemberName: "n-0", Known: []config.Peer{{MemberName: "n-1"}}}
-	forHTTP := NewPeers(cfg, port.core, slog.New(slog.DiscardHandler)).Split(port.listener)
+	httpConns := NewPeers(cfg, port.core, slog.New(slog.DiscardHandler)).Split(port.listener)
 	go func() {
-		conn, err := forHTTP.Accept()
+		conn, err := httpConns.Accept()
 		if err != nil {
 			return
 		}
@@ -205,26 +205,26 @@
 }
 
 // checkHTTP expects that HTTP has got the request, whole, or nothing.
-func (p *sharedPort) checkHTTP(t *testing.T, wanted bool) {
+func (p *sharedPort) checkHTTP(t *testing.T, want bool) {
 	t.Helper()
 	select {
 	case line := <-p.firstLine:
-		if !wanted || !strings.HasPrefix(line, "GET /metrics") {
+		if !want || !strings.HasPrefix(line, "GET /metrics") {
 			t.Errorf("HTTP got %q", line)
 		}
 	default:
-		if wanted {
+		if want {
 			t.Error("HTTP got nothing")
 		}
 	}
 }
 
-// checkHeard expects that the controller has heard these things first.
-func (p *sharedPort) checkHeard(t *testing.T, wanted []string) {
+// checkReceived expects that the controller has heard these things first.
+func (p *sharedPort) checkReceived(t *testing.T, wanted []string) {
 	t.Helper()
 	for _, want := range wanted {
 		select {
-		case heard := <-p.core.heard:
+		case heard := <-p.core.received:
 			if heard != want {
 				t.Errorf("heard %q, want %q", heard, want)
 			}
@@ -291,7 +291,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := NewAdminServer(&fakeCore{version: 7, down: test.down}, DefaultAdminLimits())
+			server := NewAdminServer(&fakeCore{version: 7, stateServiceDown: test.down}, DefaultAdminLimits())
 			checkAdminAnswer(t, server, test.method, test.path, test.body, test.status, test.want)
 		})
 	}
@@ -319,14 +319,14 @@
 
 // A link whose other side had given it up was written to for ever, so that side
 // never heard this controller again.
-func TestSpeakEndsWithTheOtherSide(t *testing.T) {
+func TestSendMessagesEndsWhenPeerCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		core := &fakeCore{heard: make(chan string, 10)}
+		core := &fakeCore{received: make(chan string, 10)}
 		peers := NewPeers(&config.Settings{MemberName: "n-0"}, core, slog.New(slog.DiscardHandler))
 		mine, theirs := net.Pipe()
 		ended := make(chan struct{})
 		go func() {
-			peers.speak(t.Context(), halfOpen{mine}, "n-1")
+			peers.sendMessages(t.Context(), discardingConn{mine}, "n-1")
 			close(ended)
 		}()
 		go func() { _, _ = io.Copy(io.Discard, theirs) }() // ends with the connection
@@ -345,7 +345,7 @@
 	})
 }
 
-// halfOpen takes whatever is written, as a socket does whose other side is silent.
-type halfOpen struct{ net.Conn }
+// discardingConn takes whatever is written, as a socket does whose other side is silent.
+type discardingConn struct{ net.Conn }
 
-func (h halfOpen) Write(b []byte) (int, error) { return len(b), nil }
+func (h discardingConn) Write(b []byte) (int, error) { return len(b), nil }
--- a/internal/transport/sharedport.go
+++ b/internal/transport/sharedport.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// firstByteWithin is how long a connection may stay silent before it is closed, and how long an
+	// firstByteTimeout is how long a connection may stay silent before it is closed, and how long an
 	// HTTP connection may wait for the server to take it.
-	firstByteWithin = 3 * time.Second
-	// acceptAgainAfter is how long to wait after a connection could not be accepted.
-	acceptAgainAfter = 50 * time.Millisecond
+	firstByteTimeout = 3 * time.Second
+	// acceptRetryDelay is how long to wait after a connection could not be accepted.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
 // Split serves a port for peers and returns a listener for what speaks HTTP on it. It ends with the
 // listener that it was given.
-func (p *Peers) Split(listener net.Listener) net.Listener {
-	forHTTP := &httpListener{Listener: listener, conns: make(chan net.Conn), done: make(chan struct{})}
-	go p.acceptAll(listener, forHTTP)
-	return forHTTP
+func (p *Peers) Split(port net.Listener) net.Listener {
+	httpConns := &httpListener{Listener: port, conns: make(chan net.Conn), done: make(chan struct{})}
+	go p.acceptAll(port, httpConns)
+	return httpConns
 }
 
 // acceptAll routes connections until the listener is closed, and waits for those that it has routed.
-func (p *Peers) acceptAll(listener net.Listener, forHTTP *httpListener) {
+func (p *Peers) acceptAll(port net.Listener, httpConns *httpListener) {
 	var routed sync.WaitGroup
 	defer routed.Wait()
 	for {
-		conn, err := listener.Accept()
+		conn, err := port.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			_ = forHTTP.Close() // ends HTTP's side; the listener is closed already
+			_ = httpConns.Close() // ends HTTP's side; the listener is closed already
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptAgainAfter) // out of sockets for now
+			time.Sleep(acceptRetryDelay) // out of sockets for now
 			continue
 		}
 		select {
@@ -48,13 +48,13 @@
 		}
 		routed.Go(func() {
 			defer func() { <-p.slots }()
-			p.route(conn, forHTTP)
+			p.route(conn, httpConns)
 		})
 	}
 }
 
 // route hears a connection if its first byte is that of a frame, and otherwise hands it to HTTP.
-func (p *Peers) route(conn net.Conn, forHTTP *httpListener) {
+func (p *Peers) route(conn net.Conn, httpConns *httpListener) {
 	first, err := readFirstByte(conn)
 	if err != nil {
 		_ = conn.Close() // silent or gone; nothing was written to it
@@ -62,17 +62,17 @@
 	}
 	replayed := &replayedConn{conn, first}
 	if first[0] == protocol.FrameMagic {
-		p.hear(conn, replayed)
+		p.receiveMessages(conn, replayed)
 		return
 	}
-	if conn.SetReadDeadline(time.Time{}) != nil || !forHTTP.offer(replayed) {
+	if conn.SetReadDeadline(time.Time{}) != nil || !httpConns.offer(replayed) {
 		_ = conn.Close() // nothing was written to it
 	}
 }
 
 // readFirstByte waits for the first byte of a connection.
 func readFirstByte(conn net.Conn) ([]byte, error) {
-	if err := conn.SetReadDeadline(time.Now().Add(firstByteWithin)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(firstByteTimeout)); err != nil {
 		return nil, err
 	}
 	first := make([]byte, 1)
@@ -111,7 +111,7 @@
 		return true
 	case <-l.done:
 		return false
-	case <-time.After(firstByteWithin):
+	case <-time.After(firstByteTimeout):
 		return false
 	}
 }
--- a/internal/transport/statebudget_test.go
+++ b/internal/transport/statebudget_test.go
@@ -20,7 +20,7 @@
 
 // After an outage submissions waited 4.5 s for what a controller's own work had left of the
 // budget, and were refused then. They go ahead of it, and what cannot is refused at once.
-func TestUsersGoAheadOnCredit(t *testing.T) {
+func TestUserChangesPrecedeBackgroundChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stateBudget := newTestBudget()
 		for stateBudget.Pace(12) == 0 {
@@ -29,24 +29,24 @@
 			}
 		}
 		began := time.Now()
-		var taken, refused atomic.Int32
+		var accepted, rejected atomic.Int32
 		var waitGroup sync.WaitGroup
 		for range 100 {
 			waitGroup.Go(func() {
 				err := stateBudget.Admit(t.Context(), 1, protocol.UserRequest)
 				switch waited := time.Since(began); {
-				case err == nil && waited <= userWait+10*time.Millisecond:
-					taken.Add(1)
+				case err == nil && waited <= maxUserWait+10*time.Millisecond:
+					accepted.Add(1)
 				case errors.Is(err, protocol.ErrRefused) && waited == 0:
-					refused.Add(1)
+					rejected.Add(1)
 				default:
 					t.Errorf("after %v: %v", waited, err)
 				}
 			})
 		}
 		waitGroup.Wait()
-		if taken.Load() < 15 || refused.Load() < 60 {
-			t.Errorf("%d submissions taken, %d refused at once", taken.Load(), refused.Load())
+		if accepted.Load() < 15 || rejected.Load() < 60 {
+			t.Errorf("%d submissions taken, %d refused at once", accepted.Load(), rejected.Load())
 		}
 		if stateBudget.Pace(12) == 0 {
 			t.Error("the controller's own work does not pay the credit back")
@@ -64,10 +64,10 @@
 
 // The parts of all controllers together stay under the service's rate, whoever leads and
 // however the machines are spread.
-func TestPartsAddUp(t *testing.T) {
+func TestRateSharesStayBelowServiceRate(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		parts []float64 // by controller: of what is committed
+		name       string
+		ownedParts []float64 // by controller: of what is committed
 	}{
 		{"all alike", []float64{0.2, 0.2, 0.2, 0.2, 0.2}},
 		{"one has everything", []float64{1, 0, 0, 0, 0}},
@@ -75,7 +75,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			sum := 0.0
-			for i, part := range test.parts {
+			for i, part := range test.ownedParts {
 				budget := newTestBudget()
 				budget.SetRateShare(part, i == 0, 0, -1)
 				sum += budget.changes.rate
@@ -89,12 +89,12 @@
 
 // In an overload of small jobs controllers that own nothing refused submissions, while the owners
 // left most of the rate unused.
-func TestUnusedRateIsLent(t *testing.T) {
+func TestUnusedRateIsRedistributed(t *testing.T) {
 	cases := []struct {
-		name string
-		used []float64 // by controller: changes a second, of 80
-		want []float64 // at least
-		most float64   // all together, as far as they use more than before
+		name     string
+		ownRates []float64 // by controller: changes a second, of 80
+		minRates []float64 // at least
+		maxTotal float64   // all together, as far as they use more than before
 	}{
 		{"all idle", []float64{0, 0, 0, 0, 0}, []float64{14, 14, 14, 14, 14}, 72},
 		{"one is overloaded", []float64{5, 5, 5, 2.5, 2.5}, []float64{15, 15, 15, 12, 12}, 72},
@@ -103,23 +103,23 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			usedByAll := 0.0
-			for _, used := range test.used {
-				usedByAll += used
+			totalRate := 0.0
+			for _, used := range test.ownRates {
+				totalRate += used
 			}
-			allowed := 0.0
-			for i, used := range test.used {
+			allowedTotal := 0.0
+			for i, used := range test.ownRates {
 				budget := newTestBudget()
-				budget.SetRateShare(0, false, used, usedByAll-used)
-				if allowed += budget.changes.rate; budget.changes.rate < test.want[i] {
-					t.Errorf("controller %d may make %.1f changes a second, want %.1f", i, budget.changes.rate, test.want[i])
+				budget.SetRateShare(0, false, used, totalRate-used)
+				if allowedTotal += budget.changes.rate; budget.changes.rate < test.minRates[i] {
+					t.Errorf("controller %d may make %.1f changes a second, want %.1f", i, budget.changes.rate, test.minRates[i])
 				}
 				if budget.SetRateShare(0, false, used, -1); budget.changes.rate > 3 {
 					t.Errorf("controller %d borrows %.1f although it does not hear the others", i, budget.changes.rate)
 				}
 			}
-			if allowed > test.most {
-				t.Errorf("%.1f changes a second together, of %.0f", allowed, test.most)
+			if allowedTotal > test.maxTotal {
+				t.Errorf("%.1f changes a second together, of %.0f", allowedTotal, test.maxTotal)
 			}
 		})
 	}
--- a/internal/transport/stateclient.go
+++ b/internal/transport/stateclient.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	stateTimeout     = 3 * time.Second  // until an answer has to be there
-	stateService     = "state"          // as metrics name it
-	maxUserTxnTries  = 3                // of a user's transaction that the service refuses for its rate
-	revisionProbeKey = "dykeledge/none" // a key that never exists
-	noSuchLease      = "no such lease"  // the state service's text for a session lease that has ended
+	stateTimeout       = 3 * time.Second  // until an answer has to be there
+	stateService       = "state"          // as metrics name it
+	maxUserTxnAttempts = 3                // of a user's transaction that the service refuses for its rate
+	revisionProbeKey   = "dykeledge/none" // a key that never exists
+	noSuchLeaseText    = "no such lease"  // the state service's text for a session lease that has ended
 )
 
 // State is the client of the state service.
@@ -99,16 +99,16 @@
 // wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown.
 // A user's transaction that the service refuses for its rate is tried again a few times.
 func (s *State) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		if err := s.Admit(ctx, len(txn.Then), priority); err != nil {
 			return 0, nil, err
 		}
 		outcome, err := s.commit(ctx, txn)
-		if !outcome.overRate {
+		if !outcome.rateLimited {
 			return outcome.revision, outcome.failed, err
 		}
 		wait := s.StepBack()
-		if priority != protocol.UserRequest || try >= maxUserTxnTries || sleep(ctx, wait) != nil {
+		if priority != protocol.UserRequest || attempt >= maxUserTxnAttempts || sleep(ctx, wait) != nil {
 			return outcome.revision, outcome.failed, err
 		}
 	}
@@ -116,20 +116,20 @@
 
 // txnOutcome is what became of a transaction.
 type txnOutcome struct {
-	revision uint64   // the state service's revision after it
-	failed   []string // keys whose conditions did not hold; "" if the service does not tell
-	overRate bool     // refused because all controllers together are too fast
+	revision    uint64   // the state service's revision after it
+	failed      []string // keys whose conditions did not hold; "" if the service does not tell
+	rateLimited bool     // refused because all controllers together are too fast
 }
 
-// txnAnswer is the body of an answer to a transaction: its result or a refusal.
-type txnAnswer struct {
+// txnResponse is the body of an answer to a transaction: its result or a refusal.
+type txnResponse struct {
 	protocol.TxnResult
 	Error string `json:"error"`
 }
 
 // commit sends a transaction once.
 func (s *State) commit(ctx context.Context, txn protocol.Txn) (txnOutcome, error) {
-	var answer txnAnswer
+	var answer txnResponse
 	status, err := s.call(ctx, s.client, txnRequest(txn), &answer, s.Timeout)
 	if err != nil {
 		return txnOutcome{}, err
@@ -145,12 +145,12 @@
 	case http.StatusBadRequest:
 		return txnOutcome{}, badTxnError(answer.Error)
 	}
-	return txnOutcome{overRate: status == http.StatusTooManyRequests}, statusError(status, nil)
+	return txnOutcome{rateLimited: status == http.StatusTooManyRequests}, statusError(status, nil)
 }
 
 // badTxnError is the error that the text of a status 400 stands for.
 func badTxnError(text string) error {
-	if text == noSuchLease {
+	if text == noSuchLeaseText {
 		return protocol.ErrNoLease
 	}
 	return fmt.Errorf("%w: %w: %s", protocol.ErrRefused, protocol.ErrTooLarge, text)
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -26,15 +26,15 @@
 // How long a controller may take for an answer. Users and workers wait a little longer.
 const (
 	submitTimeout    = 4500 * time.Millisecond
-	pollTimeout      = 1900 * time.Millisecond
+	queryTimeout     = 1900 * time.Millisecond
 	readyTimeout     = 900 * time.Millisecond
 	heartbeatTimeout = 3500 * time.Millisecond
 )
 
 // Limits of the public server's connections.
 const (
-	bodyCeiling       = 4 * protocol.MaxBody // bytes; beyond this a body is not even read
-	otherConns        = 64                   // sockets that stay for the other services
+	maxReadBody       = 4 * protocol.MaxBody // bytes; beyond this a body is not even read
+	reservedConns     = 64                   // sockets that stay for the other services
 	minPublicConns    = 16
 	publicIdleTimeout = 2 * time.Minute
 	publicReadBuffer  = 8 << 10 // bytes a connection
@@ -49,13 +49,13 @@
 	api := publicAPI{core, log}
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		BodyLimit:             bodyCeiling,
-		Concurrency:           max(minPublicConns, maxConns-otherConns),
+		BodyLimit:             maxReadBody,
+		Concurrency:           max(minPublicConns, maxConns-reservedConns),
 		ReadBufferSize:        publicReadBuffer,
 		WriteBufferSize:       publicWriteBuffer,
 		IdleTimeout:           publicIdleTimeout,
 		CaseSensitive:         true,
-		ErrorHandler:          api.fail,
+		ErrorHandler:          api.handleError,
 	})
 	app.Post("/v2/runs", api.submit)
 	app.Get("/v2/runs/:id", api.query)
@@ -74,8 +74,8 @@
 	log  *slog.Logger
 }
 
-// fail answers a request that no handler has answered.
-func (a publicAPI) fail(c *fiber.Ctx, err error) error {
+// handleError answers a request that no handler has answered.
+func (a publicAPI) handleError(c *fiber.Ctx, err error) error {
 	status := fiberStatus(err)
 	if status == fiber.StatusRequestEntityTooLarge {
 		status = fiber.StatusBadRequest // the protocol knows no other status for it
@@ -93,7 +93,7 @@
 }
 
 func (a publicAPI) query(c *fiber.Ctx) error {
-	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	return sendAnswer(c, a.core.Query(ctx, pathParam(c, "id")))
 }
--- a/internal/transport/view_test.go
+++ b/internal/transport/view_test.go
@@ -15,14 +15,14 @@
 
 type viewCore struct {
 	AdminCore
-	off, unread bool
-	block       chan struct{}
-	entered     chan struct{}
-	snap        *view.Snapshot
+	disabled, notLoaded bool
+	block               chan struct{}
+	entered             chan struct{}
+	snapshot            *view.Snapshot
 }
 
 func (c *viewCore) Metrics() *controller.Metrics { return controller.NewMetrics() }
-func (c *viewCore) ViewEnabled() bool            { return !c.off }
+func (c *viewCore) ViewEnabled() bool            { return !c.disabled }
 func (c *viewCore) HasTeam(name string) bool     { return name == "red" }
 func (c *viewCore) Reasons(_ context.Context, _ view.Scope, ids []string) ([]view.Reason, error) {
 	return []view.Reason{{Job: ids[0], Why: "no room", Member: "n1"}}, nil
@@ -32,10 +32,10 @@
 		c.entered <- struct{}{}
 		<-c.block
 	}
-	if c.unread {
+	if c.notLoaded {
 		return nil
 	}
-	return c.snap
+	return c.snapshot
 }
 
 func largeSnapshot(rows int) *view.Snapshot {
@@ -56,8 +56,8 @@
 		{"page", "/view", viewCore{}, 200, "red"},
 		{"a team's page", "/view?team=red&epoch=1&seq=1&wait_ms=10", viewCore{}, 200, ""},
 		{"unknown team", "/view?team=grey", viewCore{}, 404, `"field":"team"`},
-		{"switched off", "/view", viewCore{off: true}, 404, "switched off"},
-		{"nothing read yet", "/view", viewCore{unread: true}, 503, "not read"},
+		{"switched off", "/view", viewCore{disabled: true}, 404, "switched off"},
+		{"nothing read yet", "/view", viewCore{notLoaded: true}, 503, "not read"},
 		{"bad cursor", "/view?seq=-1", viewCore{}, 400, "whole numbers"},
 		{"waits too long", "/view?wait_ms=2001", viewCore{}, 400, "2000"},
 		{"reasons", "/view/reasons?jobs=job-000001,job-000002", viewCore{}, 200, "no room"},
@@ -65,7 +65,7 @@
 		{"too many reasons", "/view/reasons?jobs=" + strings.Repeat("job-000001,", 64) + "job-000001", viewCore{}, 400, "64"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			test.core.snap = largeSnapshot(3)
+			test.core.snapshot = largeSnapshot(3)
 			server := NewAdminServer(&test.core, DefaultAdminLimits())
 			checkAdminAnswer(t, server, http.MethodGet, test.path, "", test.status, test.want)
 		})
@@ -76,11 +76,11 @@
 // than its bound, so what it costs until then is bounded; more readers than are allowed at a
 // time are refused at once.
 func TestSlowReaders(t *testing.T) {
-	core := &viewCore{snap: largeSnapshot(5000), block: make(chan struct{}), entered: make(chan struct{}, 9)}
-	adminServer := NewAdminServer(core, AdminLimits{ViewReaders: 1, SendWithin: 50 * time.Millisecond})
+	core := &viewCore{snapshot: largeSnapshot(5000), block: make(chan struct{}), entered: make(chan struct{}, 9)}
+	adminServer := NewAdminServer(core, AdminLimits{ViewReaders: 1, WriteTimeout: 50 * time.Millisecond})
 	conns := make(chan net.Conn)
 	go func() { _ = adminServer.Serve(&pipeListener{conns}) }() // ends with the test
-	ask := func() net.Conn {
+	sendRequest := func() net.Conn {
 		t.Helper()
 		mine, theirs := net.Pipe()
 		conns <- theirs
@@ -89,9 +89,9 @@
 		}
 		return mine
 	}
-	slow := ask()
+	slow := sendRequest()
 	<-core.entered // it waits inside; the next is refused
-	next := ask()
+	next := sendRequest()
 	data := make([]byte, 12)
 	if _, err := io.ReadFull(next, data); err != nil || string(data) != "HTTP/1.1 503" {
 		t.Fatalf("%q, %v", data, err)
@@ -105,7 +105,7 @@
 	if strings.Contains(string(raw), "HTTP/1.1 200") && len(raw) >= view.MaxPage {
 		t.Errorf("%d bytes went to a reader that did not take them in time", len(raw))
 	}
-	if page := core.snap.AppendPage(nil, view.Operators, view.Cursor{}, 0); len(page) > view.MaxPage+1024 {
+	if page := core.snapshot.AppendPage(nil, view.Operators, view.Cursor{}, 0); len(page) > view.MaxPage+1024 {
 		t.Errorf("a page of %d bytes", len(page))
 	}
 }
--- a/internal/transport/workerclient.go
+++ b/internal/transport/workerclient.go
@@ -14,7 +14,7 @@
 	workerDialTimeout = time.Second
 	workerIdleTimeout = 20 * time.Second
 	connsPerWorker    = 2
-	maxWorkerAnswer   = 1 << 20 // bytes
+	maxWorkerResponse = 1 << 20 // bytes
 )
 
 // Workers is the client of the workers.
@@ -23,13 +23,13 @@
 // NewWorkers makes a client for the workers' addresses.
 func NewWorkers() *Workers {
 	return &Workers{client: &fasthttp.Client{
-		Dial:                      dialWithin(workerDialTimeout),
+		Dial:                      dialWithTimeout(workerDialTimeout),
 		MaxConnsPerHost:           connsPerWorker,
 		MaxIdleConnDuration:       workerIdleTimeout,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                neverRetry,
 		NoDefaultUserAgentHeader:  true,
-		MaxResponseBodySize:       maxWorkerAnswer,
+		MaxResponseBodySize:       maxWorkerResponse,
 	}}
 }
 
