--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,18 +8,20 @@
 	"strings"
 )
 
-// The least values with which a controller can work.
+// The smallest values with which a controller can work.
 const (
 	minControllers = 1
-	minTxnOps      = 4  // changes that belong together and have to fit into one transaction
+	minTxnOps      = 4  // the most changes that must be made in one transaction
 	minValueKB     = 1  // KB
 	minConnections = 16 // sockets
 	maxPort        = 65535
 )
 
-// checker keeps the first thing that is wrong with a file. Fields are named by their whole keys.
+// checker validates fields and keeps the error for the first invalid one. Fields are named by their
+// full keys, such as deployment.state.rps.
 type checker struct{ err error }
 
+// require records an error for field unless ok is true. expected describes a valid value.
 func (c *checker) require(ok bool, field, expected string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{field, expected}
@@ -49,13 +51,14 @@
 	c.require(value != "" && !strings.ContainsAny(value, " /"), field, "a name without spaces or slashes")
 }
 
-// unique wants a name that is not in use yet, and marks it as used.
+// unique requires that name is not in used, and adds it.
 func (c *checker) unique(name string, used map[string]bool, field string) {
 	c.require(!used[name], field, "a name that is not used twice")
 	used[name] = true
 }
 
-// check finds the first setting that is missing or invalid, in the order of the file's sections.
+// check returns an error for the first setting that is missing or invalid, in the order of the file's
+// sections.
 func (s *Settings) check() error {
 	c := &checker{}
 	c.controller(s)
@@ -124,7 +127,7 @@
 	}
 }
 
-// workers does not check the timing of gangs, which nothing uses.
+// workers does not check the gang settings, which are not used.
 func (c *checker) workers(workers *Workers) {
 	c.positive(workers.HeartbeatS, "deployment.workers.report_s")
 	c.positive(workers.LeaseS, "deployment.workers.lease_s")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -50,28 +50,28 @@
 
 func TestParse(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
-		{"as documented", "", "", ""},
-		{"no name", `node_name = "n-0"`, ``, "node_name"},
-		{"name used twice", `node_name = "n-1"`, `node_name = "n-0"`, "known[0].node_name"},
+		{"valid settings", "", "", ""},
+		{"missing controller name", `node_name = "n-0"`, ``, "node_name"},
+		{"duplicate controller name", `node_name = "n-1"`, `node_name = "n-0"`, "known[0].node_name"},
 		{"address without port", `"10.0.0.1:8080"`, `"10.0.0.1"`, "public_addr"},
-		{"port beyond range", `"10.0.0.2:8081"`, `"10.0.0.2:99999"`, "known[0].address"},
+		{"port out of range", `"10.0.0.2:8081"`, `"10.0.0.2:99999"`, "known[0].address"},
 		{"wrong type", `nodes = 2`, `nodes = "two"`, "deployment.nodes"},
 		{"no teams", "[[deployment.teams]]\nname = \"red\"\ncpus = 4.0\n", "", "deployment.teams"},
 		{"negative guarantee", `cpus = 4.0`, `cpus = -4.0`, "teams[0].cpus"},
-		{"not a number", `rps = 200.0`, `rps = nan`, "deployment.state.rps"},
+		{"rate is NaN", `rps = 200.0`, `rps = nan`, "deployment.state.rps"},
 		{"missing rate", `write_rps = 80.0`, ``, "deployment.state.write_rps"},
-		{"no TOML", `[external]`, `[external`, "expected"},
+		{"malformed TOML", `[external]`, `[external`, "expected"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			settings, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
 			switch {
 			case test.want == "" && (err != nil || settings.Deployment.Teams[0].Cpus != 4):
-				t.Fatalf("refused: %v", err)
+				t.Fatalf("valid settings rejected or decoded wrongly: %v", err)
 			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "expected")):
-				t.Fatalf("got %v, want %s and what was expected", err, test.want)
+				t.Fatalf("got error %v, want one that names %s and the expected value", err, test.want)
 			case err != nil && strings.Contains(err.Error(), "\n"):
-				t.Fatalf("more than one line: %q", err)
+				t.Fatalf("error is longer than one line: %q", err)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 		{"empty file", "", false, ""},
 		{"view enabled", "[view]\nenabled = true\n", true, ""},
 		{"no readers", "[view]\nenabled = true\nreaders = 0\n", false, "view.readers"},
-		{"unknown name", "[view]\nenable = true\n", false, "view.enable"},
+		{"unknown key", "[view]\nenable = true\n", false, "view.enable"},
 		{"wrong type", "[view]\nenabled = \"yes\"\n", false, "line 2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 			case test.want == "" && (err != nil || features.View.Enabled != test.enabled || features.View.Readers != DefaultReaders):
 				t.Errorf("%+v, %v", features, err)
 			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")):
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("got error %v, want one line with the path and %q", err, test.want)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 		enabled    bool
 	}{
 		{"no file", "", false},
-		{"the deployed file", "../../deploy/features.toml", true},
+		{"deployed file", "../../deploy/features.toml", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if features, err := LoadFeatures(test.path); err != nil || features.View.Enabled != test.enabled {
@@ -118,13 +118,14 @@
 	}
 }
 
-// The typed errors keep what they come from, so that callers can tell them apart.
+// TestErrorTypes checks that callers can get the typed errors, and their causes, with errors.As and
+// errors.Is.
 func TestErrorTypes(t *testing.T) {
 	t.Run("missing field", func(t *testing.T) {
 		_, err := Parse([]byte(strings.Replace(validSettings, `zone = "a"`, "", 1)))
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != "zone" {
-			t.Errorf("got %#v, want a FieldError of zone", err)
+			t.Errorf("got %#v, want a FieldError for zone", err)
 		}
 	})
 	t.Run("wrong type", func(t *testing.T) {
@@ -132,10 +133,10 @@
 		var position *PositionError
 		var cause *toml.DecodeError
 		if !errors.As(err, &position) || position.Field != "zone" || position.Line != 1 || !errors.As(err, &cause) {
-			t.Errorf("got %#v, want a PositionError of zone in line 1", err)
+			t.Errorf("got %#v, want a PositionError for zone at line 1", err)
 		}
 	})
-	t.Run("no error of the TOML library", func(t *testing.T) {
+	t.Run("error of another package", func(t *testing.T) {
 		cause := errors.New("two\nlines")
 		if err := TOMLError(cause); !errors.Is(err, cause) || err.Error() != "expected TOML: two lines" {
 			t.Errorf("got %v", err)
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,7 +1,8 @@
-// Package config reads and checks the two files that a controller is started with: the settings that
-// the platform hands it ([Load]), and the features that a deployment switches on ([LoadFeatures]).
+// Package config loads and validates the two files that a controller is started with: the settings
+// file, which the platform provides ([Load]), and the features file, which enables optional features
+// of a deployment ([LoadFeatures]).
 //
-// Field tags give the keys in the files; the fields have the names that the program uses. Suffixes of
-// keys and fields are units: S seconds, Ms milliseconds, KB and MB 1024 and 1024² bytes, RPS requests
-// a second. docs/ARCHITECTURE.md shows how the package fits in with the others.
+// Field tags hold the keys in the files; the Go fields use the program's own names. Suffixes of keys
+// and fields are units: S for seconds, Ms for milliseconds, KB and MB for 1024 and 1024² bytes, RPS for
+// requests per second. docs/ARCHITECTURE.md shows how the package relates to the others.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,29 +8,30 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FieldError names the field of the settings that is missing or invalid.
+// FieldError is the error for a field that is missing or invalid.
 type FieldError struct{ Field, Expected string }
 
-// Error is the text for the operator.
+// Error returns the message for the operator.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: expected %s", e.Field, e.Expected) }
 
-// PositionError names the field and the place of a TOML text that can't be read.
+// PositionError is the error for a TOML text that can't be decoded, with the field and its position.
 type PositionError struct {
-	Field        string // its whole key, with dots
-	Line, Column int    // from 1
+	Field        string // full key, separated by dots
+	Line, Column int    // both start at 1
 	Expected     string
-	Err          error // what the TOML library says
+	Err          error // the TOML library's error
 }
 
-// Error is the text for the operator, on one line.
+// Error returns the message for the operator, on one line.
 func (e *PositionError) Error() string {
 	return fmt.Sprintf("field %s (line %d, column %d): expected %s", e.Field, e.Line, e.Column, e.Expected)
 }
 
-// Unwrap is the TOML library's error.
+// Unwrap returns the TOML library's error.
 func (e *PositionError) Unwrap() error { return e.Err }
 
-// TOMLError says on one line where a TOML text is wrong.
+// TOMLError converts an error of the TOML library to one with a one-line message; if the position of
+// the fault is known, it is a *PositionError.
 func TOMLError(err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
@@ -48,11 +49,11 @@
 	return &PositionError{Field: strings.Join(err.Key(), "."), Line: line, Column: column, Expected: expected, Err: err}
 }
 
-// oneLineError is an error whose text is put on one line.
+// oneLineError wraps an error and replaces line breaks in its message by spaces.
 type oneLineError struct{ err error }
 
-// Error is the error's text.
+// Error returns the wrapped error's message on one line.
 func (e oneLineError) Error() string { return strings.ReplaceAll(e.err.Error(), "\n", " ") }
 
-// Unwrap is the error itself.
+// Unwrap returns the wrapped error.
 func (e oneLineError) Unwrap() error { return e.err }
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -5,28 +5,28 @@
 	"os"
 )
 
-// Features switches on what a deployment needs beyond the protocol. Without a file all of it
-// is off, and costs nothing.
+// Features enables the optional features of a deployment, those beyond the protocol. Without a features
+// file all of them are off and use no resources.
 type Features struct {
 	View ViewFeature `toml:"view"`
 }
 
-// ViewFeature is the read model for console, report and scripts.
+// ViewFeature configures the read model, which the console, reports and scripts use.
 type ViewFeature struct {
 	Enabled bool `toml:"enabled"`
-	Readers int  `toml:"readers"` // requests served at a time, from 1 to 64
+	Readers int  `toml:"readers"` // requests served at the same time, from 1 to 64
 }
 
-// DefaultReaders is how many requests for the view are served at a time unless the file says
-// otherwise: enough for the consoles of a duty room and a report.
+// DefaultReaders is the default number of view requests served at the same time. It is enough for the
+// consoles of all operators on duty and one report.
 const DefaultReaders = 16
 
-// maxReaders bounds the memory that readers of the view take.
+// maxReaders limits the memory that concurrent view requests use.
 const maxReaders = 64
 
-// LoadFeatures reads and checks a features file; "" switches everything off. Its errors fit on
-// one line and name file, field and what was expected. A name that is not known is an error:
-// a switch that does nothing would be taken for one that works.
+// LoadFeatures reads and validates a features file. If path is "", all features are off. Its errors are
+// one line long and name the file, the field and the expected value. An unknown key is an error, since
+// a misspelt switch would otherwise be ignored silently.
 func LoadFeatures(path string) (*Features, error) {
 	features := &Features{View: ViewFeature{Readers: DefaultReaders}}
 	if path == "" {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,7 +12,8 @@
 	"dykeledge/internal/golden"
 )
 
-// TestGoldenSettings pins what settings and features files say, by the names in the files.
+// TestGoldenSettings compares decoded settings and features files with golden files, by the keys in the
+// files.
 func TestGoldenSettings(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -41,7 +42,7 @@
 	}
 }
 
-// TestGoldenEveryKey: the file with every key sets each of them to something that is not the zero value.
+// TestGoldenEveryKey checks that every-key.toml sets every key to a value other than the zero value.
 func TestGoldenEveryKey(t *testing.T) {
 	settings, err := Load("testdata/every-key.toml")
 	if err != nil {
@@ -49,12 +50,12 @@
 	}
 	for _, line := range strings.Split(dump("", reflect.ValueOf(settings)), "\n") {
 		if strings.HasSuffix(line, " = 0") || strings.HasSuffix(line, " = \"\"") || strings.HasSuffix(line, " = none") {
-			t.Errorf("not set: %s", line)
+			t.Errorf("every-key.toml does not set a key: %s", line)
 		}
 	}
 }
 
-// TestGoldenRefusals pins the messages about settings that are missing or wrong.
+// TestGoldenRefusals compares the error messages for missing and invalid settings with a golden file.
 func TestGoldenRefusals(t *testing.T) {
 	raw, err := os.ReadFile("testdata/every-key.toml")
 	if err != nil {
@@ -77,15 +78,15 @@
 	golden.CheckText(t, "refusals.txt", refusals.String())
 }
 
-// goName is the TOML library's mention of a field of a Go type.
+// goName matches the Go field name in an error message of the TOML library.
 var goName = regexp.MustCompile(`struct field \S+ of type`)
 
-// withoutGoNames is an error's text without names that only the program's source has.
+// withoutGoNames returns an error's message without Go field names, which may change.
 func withoutGoNames(err error) string {
 	return goName.ReplaceAllString(fmt.Sprint(err), "struct field ... of type")
 }
 
-// dump writes a value as one line a key, named as in the file.
+// dump formats a value with one line per key, named as in the file.
 func dump(key string, value reflect.Value) string {
 	switch value.Kind() {
 	case reflect.Pointer:
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,9 +1,9 @@
 // Package protocol defines the messages that a controller exchanges with users, workers, the cloud,
-// the state service and other controllers, and checks what comes from outside.
+// the state service and other controllers, and validates the messages that it receives.
 //
-// The protocol's JSON names come from its theme (host, hull, berth, helm, crew, ...). They are mapped
-// here, once, by the struct tags and the constants of field names; the rest of the program uses the
-// field names of the Go types. The main terms:
+// The JSON names of the protocol differ from this program's terms. The struct tags and the constants of
+// field names in this package map between them; the rest of the program uses the names of the Go types.
+// The main terms, with the JSON name first:
 //
 //	host, hosts      machine, machines        crew       team
 //	hull, hulls      machine type, types      shards     tasks (of a job or a machine)
@@ -14,6 +14,6 @@
 //	helm             fencing token            tenure     session lease
 //	recallS          preemption notice        ledgerRev  revision of the state service
 //
-// Controllers talk to one another in binary frames, see [AppendFrame]. docs/ARCHITECTURE.md shows how
-// the package fits in with the others.
+// Controllers exchange binary frames with one another, see [AppendFrame]. docs/ARCHITECTURE.md shows
+// how the package relates to the others.
 package protocol
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -5,65 +5,66 @@
 	"fmt"
 )
 
-// The outcomes of a request to another service. Errors of clients wrap one of them.
+// The outcomes of a failed request to another service. Errors of clients wrap one of them.
 var (
-	// ErrRefused says that the request was certainly not executed.
+	// ErrRefused means that the request was certainly not executed.
 	ErrRefused = errors.New("refused")
-	// ErrUnknown says that the request may have been executed, or may be executed later.
+	// ErrUnknown means that the request may have been executed, or may still be executed later.
 	ErrUnknown = errors.New("outcome unknown")
-	// ErrNotFound says that what the request names does not exist (status 404).
+	// ErrNotFound means that the object that the request names does not exist (status 404).
 	ErrNotFound = errors.New("not found")
-	// ErrTooOld says that the state service no longer has the revision to watch from; the watcher has
-	// to read everything anew (status 410).
+	// ErrTooOld means that the state service no longer has the revision to watch from. The watcher must
+	// read all keys again (status 410).
 	ErrTooOld = errors.New("revision is too old")
-	// ErrTooLarge says that a value or a transaction exceeds a limit of the state service (status 400).
-	// It comes along with ErrRefused.
+	// ErrTooLarge means that a value or a transaction exceeds a size limit of the state service (status
+	// 400). Errors that wrap it wrap ErrRefused too.
 	ErrTooLarge = errors.New("over a limit of size")
-	// ErrNoLease says that a session lease has ended.
+	// ErrNoLease means that a session lease has expired.
 	ErrNoLease = errors.New("no such hold")
-	// ErrNoCapacity says that the cloud has no machine of the type, zone and market to rent now.
+	// ErrNoCapacity means that the cloud has no machine of the requested type and zone, spot or on-demand
+	// as requested, available now.
 	ErrNoCapacity = errors.New("no capacity")
 )
 
-// The reasons for which a user's request is refused before its fields are read.
+// The errors for a user's request that is rejected before its fields are decoded.
 var (
-	// ErrBodyTooLarge says that the body is larger than MaxBody.
+	// ErrBodyTooLarge means that the body is larger than MaxBody.
 	ErrBodyTooLarge = errors.New("body is larger than 64 KiB")
-	// ErrNotObject says that the body is something else than a JSON object.
+	// ErrNotObject means that the body is not a JSON object.
 	ErrNotObject = errors.New("body is not a JSON object")
-	// ErrNotJSON says that the body begins like a JSON object but is malformed.
+	// ErrNotJSON means that the body begins like a JSON object but is malformed.
 	ErrNotJSON = errors.New("body is not valid JSON")
 )
 
-// ErrFrame says that a frame is malformed; the connection that it came from must be closed.
+// ErrFrame means that a frame is malformed. The connection on which it was received must be closed.
 var ErrFrame = errors.New("malformed frame")
 
-// FieldError says which field of a submission is wrong, by its name on the wire, and what of it:
-// "field shards is not between 1 and 100000". Its text is for the user.
+// FieldError is the error for an invalid field of a submission. Its message is for the user and names
+// the field as in the JSON: "field shards is not between 1 and 100000".
 type FieldError struct {
-	Field   string // the field's name on the wire
-	Problem string // what was expected and is not so
+	Field   string // the field's name in the JSON
+	Problem string // which requirement the value violates
 }
 
-// Error is the text for the user.
+// Error returns the message for the user.
 func (e *FieldError) Error() string { return "field " + e.Field + " " + e.Problem }
 
-// fieldError makes a FieldError with a formatted problem.
+// fieldError returns a FieldError with a formatted problem.
 func fieldError(field, format string, args ...any) *FieldError {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// HeartbeatError says what is wrong with a worker's heartbeat.
+// HeartbeatError is the error for an invalid heartbeat of a worker.
 type HeartbeatError struct {
 	Problem string
-	Err     error // the cause, if another error is one
+	Err     error // the cause; nil if there is none
 }
 
-// Error is the text that the worker gets.
+// Error returns the message that is sent to the worker.
 func (e *HeartbeatError) Error() string { return "report: " + e.Problem }
 
-// Unwrap is the cause, or nil.
+// Unwrap returns the cause, or nil.
 func (e *HeartbeatError) Unwrap() error { return e.Err }
 
-// ErrHeartbeatNotObject says that a heartbeat is something else than a JSON object.
+// ErrHeartbeatNotObject means that a heartbeat is not a JSON object.
 var ErrHeartbeatNotObject = errors.New("report is not a JSON object")
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -7,20 +7,20 @@
 	"math"
 )
 
-// A frame is a magic byte that no HTTP request begins with, the format's version, the message's kind,
-// the payload's length in four bytes, and the payload. Numbers are big-endian. All that goes over it
-// is a hint; losing any of it costs only speed.
+// A frame consists of a magic byte with which no HTTP request begins, the version of the format, the
+// message kind, the length of the payload in four bytes, and the payload. Numbers are big-endian.
+// Messages between controllers are hints: a lost message causes delays, but no errors.
 const (
 	FrameMagic   = 0xD7
 	FrameVersion = 2
 	MaxFrame     = 4 << 10 // bytes of payload
 
-	frameLengthOffset = 3 // where the payload's length stands
-	frameHeaderSize   = 7 // bytes before the payload
+	frameLengthOffset = 3 // offset of the payload's length in the header
+	frameHeaderSize   = 7 // bytes in the header, which precedes the payload
 )
 
-// AppendFrame appends a message to data as a frame. On an error, which wraps ErrFrame, data comes back
-// as it was.
+// AppendFrame appends a message to data as a frame. On an error, which wraps ErrFrame, it returns data
+// unchanged.
 func AppendFrame(data []byte, peerMessage PeerMessage) ([]byte, error) {
 	start := len(data)
 	framed := append(data, FrameMagic, FrameVersion, peerMessage.kind(), 0, 0, 0, 0)
@@ -35,7 +35,7 @@
 
 func (h Hello) appendPayload(payload []byte) ([]byte, error) {
 	if h.Member == "" || len(h.Member) > maxMemberNameBytes {
-		return nil, fmt.Errorf("%w: node name of %d bytes", ErrFrame, len(h.Member))
+		return nil, fmt.Errorf("%w: member name is empty or too long (%d bytes)", ErrFrame, len(h.Member))
 	}
 	payload = appendText(payload, h.Member)
 	return binary.BigEndian.AppendUint64(payload, h.Incarnation), nil
@@ -50,7 +50,7 @@
 
 func (d ShardDemands) appendPayload(payload []byte) ([]byte, error) {
 	if len(d.Shards) > maxShardDemands {
-		return nil, fmt.Errorf("%w: %d needs", ErrFrame, len(d.Shards))
+		return nil, fmt.Errorf("%w: %d shard demands exceed the maximum", ErrFrame, len(d.Shards))
 	}
 	payload = append(payload, byte(len(d.Shards)))
 	for _, demand := range d.Shards {
@@ -63,7 +63,7 @@
 
 func (d CancellationDigest) appendPayload(payload []byte) ([]byte, error) {
 	if len(d.Cancellations) > MaxCancellations {
-		return nil, fmt.Errorf("%w: %d cancellations", ErrFrame, len(d.Cancellations))
+		return nil, fmt.Errorf("%w: %d cancellations exceed the maximum", ErrFrame, len(d.Cancellations))
 	}
 	payload = binary.BigEndian.AppendUint64(payload, uint64(d.At))
 	payload = binary.BigEndian.AppendUint64(payload, uint64(d.ProcessStart))
@@ -71,7 +71,7 @@
 	payload = append(payload, byte(len(d.Cancellations)))
 	for _, cancellation := range d.Cancellations {
 		if cancellation.Job == "" || len(cancellation.Job) > MaxCancelledName {
-			return nil, fmt.Errorf("%w: job name of %d bytes", ErrFrame, len(cancellation.Job))
+			return nil, fmt.Errorf("%w: job ID is empty or too long (%d bytes)", ErrFrame, len(cancellation.Job))
 		}
 		payload = binary.BigEndian.AppendUint64(payload, cancellation.Version)
 		payload = appendText(payload, cancellation.Job)
@@ -79,7 +79,7 @@
 	return payload, nil
 }
 
-// appendText writes a text of up to 255 bytes after its length.
+// appendText appends the length of a text, in one byte, and the text, which has at most 255 bytes.
 func appendText(payload []byte, text string) []byte {
 	payload = append(payload, byte(len(text)))
 	return append(payload, text...)
@@ -92,8 +92,8 @@
 	return append(payload, 0)
 }
 
-// ReadFrame reads one message. An error that wraps ErrFrame says that the frame is malformed; others
-// are the reader's.
+// ReadFrame reads one message. An error that wraps ErrFrame means that the frame is malformed; all other
+// errors are those of the reader.
 func ReadFrame(reader io.Reader) (PeerMessage, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -101,14 +101,14 @@
 	}
 	magic, version, kind := header[0], header[1], header[2]
 	if magic != FrameMagic {
-		return nil, fmt.Errorf("%w: begins with %#x", ErrFrame, magic)
+		return nil, fmt.Errorf("%w: first byte is %#x, not the magic byte", ErrFrame, magic)
 	}
 	if version != FrameVersion {
-		return nil, fmt.Errorf("%w: version %d, want %d", ErrFrame, version, FrameVersion)
+		return nil, fmt.Errorf("%w: format version is %d, want %d", ErrFrame, version, FrameVersion)
 	}
 	length := binary.BigEndian.Uint32(header[frameLengthOffset:])
 	if length > MaxFrame {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, length)
+		return nil, fmt.Errorf("%w: payload of %d bytes exceeds the maximum", ErrFrame, length)
 	}
 	payload := make([]byte, length)
 	if _, err := io.ReadFull(reader, payload); err != nil {
@@ -117,7 +117,7 @@
 	return decodePayload(kind, payload)
 }
 
-// decodePayload reads the payload of a frame; all of it has to be the message.
+// decodePayload decodes the payload of a frame. It is malformed if bytes remain after the message.
 func decodePayload(kind byte, payload []byte) (PeerMessage, error) {
 	reader := &payloadReader{rest: payload}
 	var message PeerMessage
@@ -131,18 +131,18 @@
 	case KindCancellationDigest:
 		message = reader.cancellationDigest()
 	default:
-		return nil, fmt.Errorf("%w: kind %d", ErrFrame, kind)
+		return nil, fmt.Errorf("%w: unknown message kind %d", ErrFrame, kind)
 	}
 	if reader.malformed || len(reader.rest) != 0 {
-		return nil, fmt.Errorf("%w: kind %d with %d bytes", ErrFrame, kind, len(payload))
+		return nil, fmt.Errorf("%w: message kind %d has an invalid payload of %d bytes", ErrFrame, kind, len(payload))
 	}
 	return message, nil
 }
 
-// payloadReader takes a payload apart from its beginning. After the first mistake it is malformed and
-// yields only zeros.
+// payloadReader decodes a payload from its beginning. After the first invalid value malformed is set and
+// all further values are zero.
 type payloadReader struct {
-	rest      []byte
+	rest      []byte // the bytes that have not been read
 	malformed bool
 }
 
@@ -175,7 +175,7 @@
 	demand.Shard = r.uint32()
 	demand.OnDemand = r.flag()
 	demand.Cpus = math.Float64frombits(r.uint64())
-	r.expect(demand.Cpus >= 0 && !math.IsInf(demand.Cpus, 0)) // false for what is not a number, too
+	r.expect(demand.Cpus >= 0 && !math.IsInf(demand.Cpus, 0)) // also false for NaN
 	return demand
 }
 
@@ -198,14 +198,14 @@
 	return cancellation
 }
 
-// expect makes the payload malformed unless a condition on what was read holds.
+// expect sets malformed unless a condition on the values that were read holds.
 func (r *payloadReader) expect(holds bool) {
 	if !holds {
 		r.malformed = true
 	}
 }
 
-// take is the next length bytes.
+// take reads and returns the next length bytes; zeros if there are too few or the payload is malformed.
 func (r *payloadReader) take(length int) []byte {
 	if r.malformed || len(r.rest) < length {
 		r.malformed = true
@@ -226,7 +226,7 @@
 	return value == 1
 }
 
-// count is the length of a list of up to most entries.
+// count reads the length of a list, at most maximum entries.
 func (r *payloadReader) count(maximum int) int {
 	count := int(r.uint8())
 	r.expect(count <= maximum)
@@ -236,7 +236,7 @@
 	return count
 }
 
-// text is a text of 1 to most bytes.
+// text reads a text of 1 to maximum bytes.
 func (r *payloadReader) text(maximum int) string {
 	length := int(r.uint8())
 	r.expect(length > 0 && length <= maximum)
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// Limits of what users send.
+// Limits of requests from users.
 const (
-	// MaxBody is the size of a request's body, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody = 64 << 10
-	// MaxTasks is the number of tasks of a job.
+	// MaxTasks is the maximum number of tasks of a job.
 	MaxTasks = 100_000
 )
 
-// Shape says how the tasks of a job belong together.
+// Shape determines how the tasks of a job relate to one another.
 type Shape uint8
 
 // The shapes of a job.
 const (
 	Batch   Shape = iota // an array of tasks that run independently of one another
-	Service              // tasks that serve together and are evicted together
+	Service              // replicas of one service, which are preempted or evicted together
 )
 
-// String is the shape's name on the wire.
+// String returns the shape's name in the JSON.
 func (s Shape) String() string { return [...]string{"batch", "daemon"}[s] }
 
-// Priority of a job; a larger one goes first.
+// Priority is the priority of a job. Jobs with a higher priority are placed first.
 type Priority uint8
 
 // The priorities, lowest first.
@@ -36,15 +36,16 @@
 	Production
 )
 
-// Top tells whether a job may make room by eviction.
+// Top reports whether this is a top priority, whose jobs may preempt all jobs of lower priorities than
+// the top ones.
 func (p Priority) Top() bool { return p >= High }
 
-// String is the priority's name on the wire.
+// String returns the priority's name in the JSON.
 func (p Priority) String() string {
 	return [...]string{"low", "normal", "high", "production"}[p]
 }
 
-// ParsePriority finds the priority with a name on the wire.
+// ParsePriority returns the priority with a JSON name, and whether there is one.
 func ParsePriority(name string) (Priority, bool) {
 	for priority := Low; priority <= Production; priority++ {
 		if priority.String() == name {
@@ -54,7 +55,7 @@
 	return 0, false
 }
 
-// parseShape finds the shape with a name on the wire.
+// parseShape returns the shape with a JSON name, and whether there is one.
 func parseShape(name string) (Shape, bool) {
 	for shape := Batch; shape <= Service; shape++ {
 		if shape.String() == name {
@@ -64,7 +65,7 @@
 	return 0, false
 }
 
-// Submission is a job as a user describes it, checked by ParseSubmission.
+// Submission is a user's description of a job. ParseSubmission has validated it.
 type Submission struct {
 	ID              string
 	Class           string // the job class, which objectives refer to
@@ -72,27 +73,27 @@
 	Shape           Shape
 	Priority        Priority
 	Tasks           int
-	Cpus            float64  // cores of each task
+	Cpus            float64  // CPU cores of each task
 	Gpus            float64  // accelerators of each task
 	MemGB           float64  // memory of each task, in GB
 	Image           string   // the container image
 	ImageGB         float64  // size of the image, in GB
-	Types           []string // the machine types that may run it; empty: any
-	Zone            string   // the zone that has to run it; empty: any
-	OneZone         bool     // all tasks in one zone
-	Spread          bool     // at most half of the tasks, rounded up, in one zone
-	Spot            bool     // may run on spot machines
-	EstimateS       float64  // expected run time, in seconds
-	CheckpointS     float64  // time between two checkpoints, in seconds
-	CheckpointCostS float64  // time that a checkpoint takes, in seconds
-	DeadlineS       float64  // time from submission within which it should be done, in seconds; 0: none
-	Dependencies    []string // jobs that have to be done before, each once
+	Types           []string // the machine types that may run the job; empty: any
+	Zone            string   // the zone that must run the job; empty: any
+	OneZone         bool     // all tasks must run in one zone
+	Spread          bool     // at most half of the tasks, rounded up, may run in one zone
+	Spot            bool     // the job may run on spot machines
+	EstimateS       float64  // estimated run time, in seconds
+	CheckpointS     float64  // interval between checkpoints, in seconds
+	CheckpointCostS float64  // duration of writing a checkpoint, in seconds
+	DeadlineS       float64  // time from submission until the job should be done, in seconds; 0: none
+	Dependencies    []string // IDs of the jobs that must be done before, without duplicates
 }
 
-// JobStatus is the state of a job that users see.
+// JobStatus is the state of a job as users see it.
 type JobStatus string
 
-// The states that users see.
+// The states of a job as users see it.
 const (
 	Queued    JobStatus = "queued"
 	Running   JobStatus = "running"
@@ -100,31 +101,31 @@
 	Cancelled JobStatus = "cancelled"
 )
 
-// Final tells whether a state is kept for good.
+// Final reports whether a job in this state never changes its state again.
 func (s JobStatus) Final() bool { return s == Done || s == Cancelled }
 
-// JobState answers a submission, a query and a cancellation.
+// JobState is the answer to a submission, a query and a cancellation.
 type JobState struct {
 	ID                string    `json:"id"`
 	Status            JobStatus `json:"status"`
-	Done              int       `json:"done"`               // tasks that are done
-	Running           int       `json:"running"`            // tasks that run
-	UnmetDependencies int       `json:"awaiting,omitempty"` // jobs that it still waits for
+	Done              int       `json:"done"`               // number of tasks that are done
+	Running           int       `json:"running"`            // number of tasks that are running
+	UnmetDependencies int       `json:"awaiting,omitempty"` // number of dependencies that are not done
 }
 
-// ErrorResponse is the body of an answer that refuses a request.
+// ErrorResponse is the body of an answer that rejects a request.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// The form of a job's id: a prefix and a number with leading zeros.
+// The format of a job ID: a prefix and a number with leading zeros.
 const (
 	jobPrefix    = "job-"
 	minJobDigits = 6
 	maxJobDigits = 18
 )
 
-// ValidJobID tells whether an id has the form job-000412.
+// ValidJobID reports whether an ID has the form job-000412.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobPrefix)
 	if !ok || len(digits) < minJobDigits || len(digits) > maxJobDigits {
@@ -138,10 +139,11 @@
 	return true
 }
 
-// TaskName is a task's name on the wire: job-000412/3.
+// TaskName returns a task's name in messages: job-000412/3.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// SplitTask takes a task's name apart. Only what TaskName writes of a valid job is accepted.
+// SplitTask splits a task's name into the job ID and the task's number. It accepts only names that
+// TaskName returns for a valid job ID.
 func SplitTask(name string) (job string, task int, ok bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 {
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -1,25 +1,25 @@
 package protocol
 
-// Limits of the messages between controllers. Digests of MaxCancellations jobs with names of
-// MaxCancelledName bytes fit into a frame.
+// Limits of the messages between controllers. A digest of MaxCancellations jobs with IDs of
+// MaxCancelledName bytes fits into a frame.
 const (
-	MaxCancellations   = 64 // entries of a CancellationDigest
-	MaxCancelledName   = 48 // bytes of a job's id in it
+	MaxCancellations   = 64 // entries in a CancellationDigest
+	MaxCancelledName   = 48 // bytes of a job ID in a CancellationDigest
 	maxMemberNameBytes = 128
-	maxShardDemands    = 64
+	maxShardDemands    = 64 // entries in a ShardDemands message
 )
 
-// The kinds of peer message.
+// The kinds of messages between controllers.
 const (
 	KindHello              byte = 1
 	KindPeerHeartbeat      byte = 2
 	KindShardDemands       byte = 3
-	KindCancellationDigest byte = 4 // only to controllers of FramesCancellationDigest
+	KindCancellationDigest byte = 4 // sent only to controllers with frame level FramesCancellationDigest or above
 )
 
-// FramesCancellationDigest is the level of frames from which on a controller reads cancellation
-// digests. Its membership record says which level it reads: a kind that it does not know would end
-// the connection.
+// FramesCancellationDigest is the lowest frame level at which a controller can read cancellation digests.
+// The level of each controller is in its member record, so that it is sent only kinds that it can read:
+// it closes the connection on an unknown kind.
 const FramesCancellationDigest = 1
 
 // PeerMessage is any message between controllers.
@@ -28,46 +28,46 @@
 	appendPayload(payload []byte) ([]byte, error)
 }
 
-// Hello opens a connection.
+// Hello is the first message on a connection. It identifies the sender.
 type Hello struct {
-	Member      string // the sender's name
-	Incarnation uint64 // the number of the sender's membership; 0: it is no member yet
+	Member      string // the sender's member name
+	Incarnation uint64 // the incarnation of the sender's process; 0: it is not a member yet
 }
 
-// PeerHeartbeat says how the sender fares.
+// PeerHeartbeat reports the state of the sender.
 type PeerHeartbeat struct {
-	StateOK         bool   // the state service served it within the last second or two
-	Revision        uint64 // how far its cache is
-	OwnedShards     uint64 // shards it owns, bit n for shard n
-	ChangeRateMilli uint32 // changes in the state service that it makes, in thousandths a second
+	StateOK         bool   // the state service has answered the sender within the last few seconds, with no failure since
+	Revision        uint64 // the revision up to which the sender's cache is current
+	OwnedShards     uint64 // bit n is set if the sender owns shard n
+	ChangeRateMilli uint32 // rate at which the sender changes keys of the state service, in thousandths of a change per second
 }
 
-// ShardDemands asks the leader for machines for the top-priority work of shards that lack room.
+// ShardDemands requests machines from the leader for top-priority jobs of shards that lack capacity.
 type ShardDemands struct {
 	Shards []ShardDemand
 }
 
-// ShardDemand is what one shard lacks.
+// ShardDemand is the capacity that one shard lacks.
 type ShardDemand struct {
 	Shard    uint32
-	OnDemand bool    // spot machines would not do
-	Cpus     float64 // cores
+	OnDemand bool    // the demand can't be met by spot machines
+	Cpus     float64 // CPU cores
 }
 
-// CancellationDigest vouches for what the sender has confirmed to users until it was made: every
-// cancellation whose record is later than From is listed. Times are the sender's time of day in
-// milliseconds since 1970.
+// CancellationDigest lists all cancellations that the sender had confirmed to users when it created the
+// digest, except those whose records have versions up to From. Times are those of the sender's clock, in
+// milliseconds since 1970 (Unix time).
 type CancellationDigest struct {
-	At            int64          // when it was made
-	ProcessStart  int64          // when the sender's process began
-	From          uint64         // a revision of the state service
-	Cancellations []Cancellation // by their records' versions, the earliest first
+	At            int64          // when the digest was created
+	ProcessStart  int64          // when the sender's process started
+	From          uint64         // revision of the state service
+	Cancellations []Cancellation // ordered by the versions of their records, lowest first
 }
 
-// Cancellation is a job whose final record says that it is cancelled.
+// Cancellation is a job with a final record that marks it as cancelled.
 type Cancellation struct {
-	Version uint64 // of that record
-	Job     string // the job's id
+	Version uint64 // version of that record
+	Job     string // the job ID
 }
 
 func (Hello) kind() byte              { return KindHello }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// Limits of single values.
+// Limits of the values of single fields.
 const (
 	maxNameBytes = 128 // bytes
-	maxAmount    = 1e9 // of whatever unit the field has
+	maxAmount    = 1e9 // in the unit of the field
 )
 
-// The names of a submission's fields on the wire.
+// The JSON names of a submission's fields.
 const (
 	fieldID             = "id"
 	fieldClass          = "jobclass"
@@ -37,8 +37,8 @@
 	fieldDependencies   = "awaits"
 )
 
-// submissionMessage is a submission on the wire; Submission describes the fields. A nil pointer or
-// slice is null.
+// submissionMessage is the JSON form of a submission; Submission documents the fields. A nil pointer or
+// slice stands for null.
 type submissionMessage struct {
 	ID              string   `json:"id"`
 	Class           string   `json:"jobclass"`
@@ -63,7 +63,7 @@
 	Dependencies    []string `json:"awaits,omitempty"`
 }
 
-// EncodeSubmission writes a submission as users send it; ParseSubmission reads it back.
+// EncodeSubmission encodes a submission as users send it. It is the inverse of ParseSubmission.
 func EncodeSubmission(submission *Submission) ([]byte, error) {
 	message := submissionMessage{
 		ID:              submission.ID,
@@ -95,9 +95,9 @@
 	return json.Marshal(message)
 }
 
-// ParseSubmission checks a submission's form. It does not know which teams, zones and machine types
-// there are. Its errors are for the user: ErrBodyTooLarge, ErrNotObject, ErrNotJSON, or a *FieldError
-// for the first field that is wrong.
+// ParseSubmission decodes and validates a submission. It does not check whether its team, zone and
+// machine types exist. Its errors are for the user: ErrBodyTooLarge, ErrNotObject, ErrNotJSON, or a
+// *FieldError for the first invalid field.
 func ParseSubmission(body []byte) (*Submission, error) {
 	values, err := splitObject(body)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return message.submission(), nil
 }
 
-// splitObject takes a JSON object apart into its fields.
+// splitObject splits a JSON object into its fields, which are not decoded.
 func splitObject(body []byte) (map[string]json.RawMessage, error) {
 	if len(body) > MaxBody {
 		return nil, ErrBodyTooLarge
@@ -128,15 +128,15 @@
 	return values, nil
 }
 
-// looksLikeObject tells whether a JSON text begins as an object does.
+// looksLikeObject reports whether a JSON text begins like an object.
 func looksLikeObject(body []byte) bool {
 	text := bytes.TrimLeft(body, " \t\r\n")
 	return len(text) > 0 && text[0] == '{'
 }
 
-// decodeSubmission reads each field into the type that it has to have. The fields are read one by one
-// and not as one struct: each error names its field, names are case-sensitive, and a null is a missing
-// field unless the field may be null.
+// decodeSubmission decodes each field into its type. The fields are decoded one by one and not as one
+// struct, so that each error names its field, field names are case-sensitive, and null counts as a
+// missing field unless the field is nullable.
 func decodeSubmission(values map[string]json.RawMessage) (*submissionMessage, error) {
 	var message submissionMessage
 	for _, field := range []struct {
@@ -173,7 +173,7 @@
 	return &message, nil
 }
 
-// decodeField reads one field; one that is null or left out stays as it is if it may be null.
+// decodeField decodes one field. A nullable field that is null or missing is left unchanged.
 func decodeField(values map[string]json.RawMessage, name string, into any, nullable bool) error {
 	raw, present := values[name]
 	if !present || bytes.Equal(raw, []byte("null")) {
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// check finds the first field whose value is not allowed. The order decides which error a user sees.
+// check returns an error for the first field with an invalid value. The order determines which error a
+// user sees.
 func (m *submissionMessage) check() error {
 	for _, checkPart := range []func() error{
 		m.checkID,
@@ -305,10 +306,10 @@
 
 func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// submission is the message in the program's terms; check has accepted it.
+// submission converts the message, which check has accepted, to a Submission.
 func (m *submissionMessage) submission() *Submission {
-	shape, _ := parseShape(m.Shape)          // known: checkKind has seen it
-	priority, _ := ParsePriority(m.Priority) // known: checkKind has seen it
+	shape, _ := parseShape(m.Shape)          // valid: checkKind has accepted it
+	priority, _ := ParsePriority(m.Priority) // valid: checkKind has accepted it
 	submission := &Submission{
 		ID:              m.ID,
 		Class:           m.Class,
@@ -339,7 +340,7 @@
 	return submission
 }
 
-// removeDuplicates drops, in place, what has stood in the list before.
+// removeDuplicates removes repeated names from a list, in place.
 func removeDuplicates(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	unique := names[:0]
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -7,85 +7,87 @@
 	"strings"
 )
 
-// Heartbeat is what a worker tells of itself, regularly and in answer to direct commands.
+// Heartbeat reports a worker's state. Workers send it at regular intervals and in answer to direct
+// commands.
 type Heartbeat struct {
 	Machine           string       `json:"host"`    // the machine's name
-	Addr              string       `json:"addr"`    // where the worker takes direct commands, as host:port
+	Addr              string       `json:"addr"`    // address at which the worker accepts direct commands, as host:port
 	Type              string       `json:"hull"`    // the machine's type
 	Zone              string       `json:"berth"`   // the machine's zone
-	Spot              bool         `json:"loaners"` // a spot machine, which the cloud may take back
-	Incarnation       uint64       `json:"watch"`   // the worker's session; a newer one is higher, and begins without tasks
-	Seq               uint64       `json:"tally"`   // grows with each heartbeat of an incarnation
-	FencingToken      uint64       `json:"helm"`    // the highest token that the worker has seen
-	PreemptionNoticeS *float64     `json:"recallS"` // seconds until the cloud takes the machine; nil: no notice
-	Tasks             []TaskStatus `json:"shards"`  // the tasks that the machine holds
+	Spot              bool         `json:"loaners"` // whether it is a spot machine, which the cloud may preempt
+	Incarnation       uint64       `json:"watch"`   // incarnation of the worker process; a restarted one has a higher number and no tasks
+	Seq               uint64       `json:"tally"`   // sequence number, which increases with each heartbeat of an incarnation
+	FencingToken      uint64       `json:"helm"`    // the highest fencing token that the worker has received
+	PreemptionNoticeS *float64     `json:"recallS"` // time until the cloud preempts the machine, in seconds; nil: no notice
+	Tasks             []TaskStatus `json:"shards"`  // the tasks on the machine
 }
 
 // The states of a task on its machine.
 const (
-	TaskFetching      = "pulling"  // the machine fetches its image
-	TaskRunning       = "running"  // it runs
-	TaskCheckpointing = "flushing" // it was told to stop and writes a checkpoint first
-	TaskExited        = "exited"   // it has ended; kept until a command clears it
+	TaskFetching      = "pulling"  // the machine is fetching its container image
+	TaskRunning       = "running"  // it is running
+	TaskCheckpointing = "flushing" // it is being stopped and is writing a checkpoint
+	TaskExited        = "exited"   // it has ended; reported until a command clears it
 )
 
-// taskGathering is a state of gangs: a task waits for the others. No shape of job asks for gangs, so it
-// is accepted but has no meaning to the scheduler.
+// taskGathering is the state of a gang's task that waits for the other tasks of the gang. No job shape is
+// a gang, so the state is accepted but the scheduler does not use it.
 const taskGathering = "gathering"
 
-// Why a task ended.
+// The causes for which a task ended.
 const (
-	CauseDone       = "done"    // its work is complete
-	CauseStopped    = "stopped" // a command stopped it
-	CauseError      = "error"   // it failed
-	CauseNoCapacity = "no_room" // not started: the machine has too little room for it
-	CauseBusy       = "in_use"  // not started: another attempt of it is still on the machine
-	CauseUnknown    = "unknown" // not started: the worker does not know the job
+	CauseDone       = "done"    // the task completed
+	CauseStopped    = "stopped" // a command stopped the task
+	CauseError      = "error"   // the task failed
+	CauseNoCapacity = "no_room" // not started: the machine lacks capacity for the task
+	CauseBusy       = "in_use"  // not started: another attempt of the task is still on the machine
+	CauseUnknown    = "unknown" // not started: the job is unknown to the worker
 )
 
-// TaskStatus is one task of a heartbeat.
+// TaskStatus is the state of one task in a heartbeat.
 type TaskStatus struct {
-	Task         string `json:"shard"`           // as TaskName writes it
-	Attempt      uint64 `json:"try"`             // the attempt that was launched
-	State        string `json:"status"`          // one of the states of a task
-	Cause        string `json:"cause,omitempty"` // of an exited task: why it ended
-	Checkpointed bool   `json:"saved,omitempty"` // its last checkpoint is kept
+	Task         string `json:"shard"`           // name of the task, as returned by TaskName
+	Attempt      uint64 `json:"try"`             // number of the attempt that was launched
+	State        string `json:"status"`          // one of the task states
+	Cause        string `json:"cause,omitempty"` // cause of the end of an exited task
+	Checkpointed bool   `json:"saved,omitempty"` // whether the task's last checkpoint was saved
 }
 
 // The operations of a command.
 const (
-	OpLaunch = "launch" // start an attempt of a task
-	OpKill   = "kill"   // stop it
-	OpClear  = "clear"  // forget its exit
+	OpLaunch = "launch" // starts an attempt of a task
+	OpKill   = "kill"   // stops an attempt
+	OpClear  = "clear"  // removes an exited attempt from the heartbeats
 )
 
 // Command is one command to a worker.
 type Command struct {
 	Op      string  `json:"verb"`
-	Task    string  `json:"shard"` // as TaskName writes it
+	Task    string  `json:"shard"` // name of the task, as returned by TaskName
 	Attempt uint64  `json:"try"`
-	GraceS  float64 `json:"windDownS,omitempty"` // of a kill: seconds in which it may write a checkpoint; 0: stop at once
+	GraceS  float64 `json:"windDownS,omitempty"` // for a kill: time for writing a checkpoint, in seconds; 0: stop at once
 }
 
-// HeartbeatResponse answers a heartbeat.
+// HeartbeatResponse is the answer to a heartbeat.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"helm"` // the worker refuses commands with a lower one from now on
+	FencingToken uint64    `json:"helm"` // from now on the worker rejects commands with a lower token
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect sends a worker to the controller that owns its machine.
+// Redirect is the answer to a heartbeat from a worker whose machine belongs to another controller.
 type Redirect struct {
-	Member string `json:"master,omitempty"` // that controller's name; empty: not known now
+	Member string `json:"master,omitempty"` // name of the controller that owns the machine; empty: not known at present
 }
 
-// DirectCommands goes straight to a worker, between two heartbeats.
+// DirectCommands is a request to a worker with commands that do not wait for its next heartbeat.
 type DirectCommands struct {
 	FencingToken uint64    `json:"helm"`
-	Incarnation  uint64    `json:"watch"` // the worker refuses commands for another incarnation
+	Incarnation  uint64    `json:"watch"` // the worker rejects commands for another incarnation
 	Commands     []Command `json:"orders"`
 }
 
-// ParseHeartbeat checks a worker's heartbeat. Its errors are ErrHeartbeatNotObject or a *HeartbeatError.
+// ParseHeartbeat decodes and validates a worker's heartbeat. Its errors are ErrHeartbeatNotObject or a
+// *HeartbeatError.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	if !looksLikeObject(body) {
 		return nil, ErrHeartbeatNotObject
@@ -100,7 +102,7 @@
 	return &heartbeat, nil
 }
 
-// problem is the first thing that is wrong with a heartbeat, by the names on the wire; "": nothing.
+// problem describes the first invalid field of a heartbeat by its JSON name; "" means that all are valid.
 func (h *Heartbeat) problem() string {
 	switch {
 	case !validName(h.Machine) || strings.ContainsAny(h.Machine, " /\n"):
@@ -110,7 +112,7 @@
 	case !validName(h.Type) || !validName(h.Zone):
 		return "hull or berth is missing"
 	case h.PreemptionNoticeS != nil && (math.IsNaN(*h.PreemptionNoticeS) || *h.PreemptionNoticeS > maxAmount):
-		return "recallS is out of range" // a negative one is allowed: the time is over
+		return "recallS is out of range" // a negative value is allowed: the time has passed
 	}
 	for _, task := range h.Tasks {
 		if problem := task.problem(); problem != "" {
@@ -120,7 +122,7 @@
 	return ""
 }
 
-// problem is what is wrong with a task of a heartbeat; "": nothing.
+// problem describes the first invalid field of a task in a heartbeat; "" means that all are valid.
 func (t *TaskStatus) problem() string {
 	if _, _, ok := SplitTask(t.Task); !ok {
 		return fmt.Sprintf("%.60q is no task", t.Task)
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -19,7 +19,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// AdminCore is what the administration API needs of a controller.
+// AdminCore is the part of a controller that the administration API uses.
 type AdminCore interface {
 	Settings(ctx context.Context) (controller.OperatorSettings, uint64, error)
 	ChangeSettings(ctx context.Context, version uint64, change json.RawMessage) (controller.OperatorSettings, uint64, error)
@@ -36,26 +36,28 @@
 	ViewCore
 }
 
-// SettingsView is the administration API's view of the settings.
+// SettingsView is the response body with the operators' settings.
 type SettingsView struct {
 	Version  uint64                      `json:"version"`
 	Settings controller.OperatorSettings `json:"settings"`
 	Info     []controller.SettingInfo    `json:"info,omitempty"`
 }
 
-// SettingsChange asks for a change, conditional on the version that was read.
+// SettingsChange is the request body for a change of the settings. The change is made only if their
+// version is still Version.
 type SettingsChange struct {
 	Version  *uint64         `json:"version"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// TeamChange asks for a change of a team, conditional on the version of its entry that was read.
+// TeamChange is the request body for a change of a team. The change is made only if the version of the
+// team's entry is still Version.
 type TeamChange struct {
 	Version *uint64         `json:"version"`
 	Team    json.RawMessage `json:"team"`
 }
 
-// AdminRefusal is the body of an answer that refuses an operator's request.
+// AdminRefusal is the response body for a rejected request.
 type AdminRefusal struct {
 	Error string `json:"error"`
 	Field string `json:"field,omitempty"`
@@ -69,32 +71,32 @@
 
 // Limits of the administration server's connections and requests.
 const (
-	adminTimeout        = 3 * time.Second // until the controller has to have an answer
+	adminTimeout        = 3 * time.Second // for the controller to answer a request
 	adminReadTimeout    = 10 * time.Second
 	adminIdleTimeout    = 30 * time.Second
 	defaultWriteTimeout = 5 * time.Second
 	retryAfterSeconds   = "1"
 )
 
-// AdminLimits bound what readers of the administration API cost a controller.
+// AdminLimits limits the resources that clients of the administration API use.
 type AdminLimits struct {
-	ViewReaders  int           // requests for the view that are served at a time
-	WriteTimeout time.Duration // a reader that takes longer to take an answer is dropped
+	ViewReaders  int           // view requests served at the same time
+	WriteTimeout time.Duration // the connection is closed if sending a response takes longer
 }
 
-// DefaultAdminLimits suit machines with a tenth of a core.
+// DefaultAdminLimits returns limits that are suitable for machines with a tenth of a CPU core.
 func DefaultAdminLimits() AdminLimits {
 	return AdminLimits{ViewReaders: config.DefaultReaders, WriteTimeout: defaultWriteTimeout}
 }
 
-// AdminServer serves the administration API.
+// AdminServer serves the administration API and the metrics.
 type AdminServer struct{ app *fiber.App }
 
-// Serve serves until the listener is closed.
+// Serve accepts and serves connections until the listener is closed.
 func (s *AdminServer) Serve(ln net.Listener) error { return s.app.Listener(ln) }
 
-// NewAdminServer makes the server of the administration API and the metrics. It
-// only ever gets connections of peer_listen, which users do not reach.
+// NewAdminServer returns a server of the administration API and the metrics. It must be given only
+// connections to peer_listen, which users can't reach.
 func NewAdminServer(core AdminCore, limits AdminLimits) *AdminServer {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
@@ -120,13 +122,13 @@
 	return &AdminServer{app}
 }
 
-// adminAPI answers the requests of operators with what a controller tells.
+// adminAPI handles the requests of operators by calling the controller.
 type adminAPI struct{ core AdminCore }
 
-// adminHandler makes the body of an answer, or an error that refuse knows.
+// adminHandler returns the body of a response, or an error that sendError converts to a status.
 type adminHandler func(ctx context.Context, c *fiber.Ctx) (any, error)
 
-// handle makes a fiber handler of one that answers within adminTimeout.
+// handle converts an adminHandler to a fiber handler. The context expires after adminTimeout.
 func handle(handler adminHandler) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
@@ -139,11 +141,11 @@
 	}
 }
 
-// errUnknownMachine says that a machine is not known.
+// errUnknownMachine means that there is no machine with the requested name.
 var errUnknownMachine = errors.New("no such machine")
 
-// sendError answers with the status that an error stands for. What is not a mistake of the operator may
-// work later.
+// sendError answers with the status for an error. Errors that the request did not cause are answered
+// with 503 and Retry-After, since a repetition may succeed.
 func sendError(c *fiber.Ctx, err error) error {
 	var fieldError *controller.FieldError
 	switch {
@@ -157,13 +159,13 @@
 	return sendRetryLater(c, err.Error())
 }
 
-// sendRetryLater answers that the controller can't serve the request now.
+// sendRetryLater answers with 503 and Retry-After: the controller can't serve the request at present.
 func sendRetryLater(c *fiber.Ctx, text string) error {
 	c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
 	return send(c, fiber.StatusServiceUnavailable, AdminRefusal{Error: text})
 }
 
-// fiberStatus is the status that an error of the web framework stands for.
+// fiberStatus returns the status for an error of the web framework.
 func fiberStatus(err error) int {
 	var fiberError *fiber.Error
 	if errors.As(err, &fiberError) {
@@ -228,7 +230,7 @@
 	return a.core.ChangeTeam(ctx, name, *change.Version, change.Team)
 }
 
-// mountControllers adds what is told of the controllers and of the shards that they own.
+// mountControllers adds the routes that list the controllers and the shards.
 func (a adminAPI) mountControllers(router fiber.Router) {
 	router.Get("/nodes", handle(a.members))
 	router.Get("/shares", handle(a.shards))
@@ -285,7 +287,8 @@
 	return machine, err
 }
 
-// decodeChange reads the body of a request into change; form shows how it has to look.
+// decodeChange decodes the body of a request into change. form is an example of a valid body, for the
+// error message.
 func decodeChange(c *fiber.Ctx, change any, form string) error {
 	if err := json.Unmarshal(c.Body(), change); err != nil {
 		return &controller.FieldError{Field: "body", Expected: form}
@@ -293,17 +296,17 @@
 	return nil
 }
 
-// missingVersionError refuses a change that does not say on which version it is based.
+// missingVersionError returns the error for a change without the version that it is based on.
 func missingVersionError() error {
 	return &controller.FieldError{Field: "version", Expected: "the version that was read"}
 }
 
-// query is a value of the query, and pathParam one of the path. They are copies: the framework uses
-// its own memory anew for the next request, and the controller may keep them for longer.
+// query returns a parameter of the query, and pathParam a parameter of the path. Both return copies:
+// the framework reuses its buffers for the next request, and the controller may keep the values longer.
 func query(c *fiber.Ctx, name string) string     { return strings.Clone(c.Query(name)) }
 func pathParam(c *fiber.Ctx, name string) string { return strings.Clone(c.Params(name)) }
 
-// teamName is the team that a path names.
+// teamName returns the name of the team in the path.
 func teamName(c *fiber.Ctx) (string, error) {
 	name, err := url.PathUnescape(pathParam(c, "name"))
 	if err != nil {
@@ -312,7 +315,7 @@
 	return name, nil
 }
 
-// pageLimit is how many items a request wants on a page.
+// pageLimit returns the maximum number of items on a page that a request asks for.
 func pageLimit(c *fiber.Ctx) (int, error) {
 	text := c.Query("limit")
 	if text == "" {
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Budget is a token bucket: it fills at a rate and holds up to a burst. Callers that matter more may
-// dig deeper into it; the level may even be below 0, a debt that later callers wait for. The unit of
-// amounts is what the owner counts: requests, or changes in the state service.
+// Budget is a token bucket: it is refilled at a rate and holds at most a burst. Callers of lower
+// importance leave a reserve for the others. The level may fall below 0; later callers then wait until
+// that is refilled. The unit of amounts depends on the use: requests, or changes in the state service.
 type Budget struct {
 	mu         sync.Mutex
-	rate       float64 // units a second
+	rate       float64 // units per second
 	burst      float64 // units
-	level      float64 // units to be had at filledAt
+	level      float64 // units available at refilledAt
 	refilledAt time.Time
 }
 
-// NewBudget allows rate units a second, with bursts of up to burst units. It begins full.
+// NewBudget returns a full budget of rate units per second, with bursts of up to burst units.
 func NewBudget(rate, burst float64) *Budget {
 	return &Budget{rate: rate, burst: burst, level: burst, refilledAt: time.Now()}
 }
 
-// Take takes amount if at least keep would stay; otherwise it returns how long to wait.
+// Take takes amount and returns 0 if at least reserve remains afterwards. Otherwise it takes nothing and
+// returns the time until that is the case.
 func (b *Budget) Take(amount, reserve float64) time.Duration {
 	wait, _ := b.Reserve(amount, reserve, 0)
 	return wait
 }
 
-// Delay is how long it takes until amount can be taken with keep left.
+// Delay returns the time until amount can be taken so that reserve remains.
 func (b *Budget) Delay(amount, reserve float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,9 +37,9 @@
 	return b.timeToLevel(amount + reserve)
 }
 
-// Reserve takes amount now and tells how long to wait until it counts, with keep left; it takes
-// nothing when that is longer than within. Unlike with Wait, those that come later see what those
-// before them took.
+// Reserve takes amount at once and returns the time that the caller must wait before it uses it, so that
+// reserve remains. If that time is longer than maxWait, it takes nothing and returns false. Unlike with
+// Wait, callers that wait have already taken their amounts, which later callers take into account.
 func (b *Budget) Reserve(amount, reserve float64, maxWait time.Duration) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,7 +52,7 @@
 	return wait, true
 }
 
-// SetRate changes the rate, in units a second.
+// SetRate sets the rate, in units per second.
 func (b *Budget) SetRate(rate float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +60,8 @@
 	b.rate = rate
 }
 
-// Drain empties the budget for a while: the service has said that it is too much.
+// Drain lowers the level so that it takes at least duration to return to 0. It is used when the service
+// has rejected a request for its rate.
 func (b *Budget) Drain(duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,14 +69,14 @@
 	b.level = min(b.level, -b.rate*duration.Seconds())
 }
 
-// refill adds what has come since it was last called.
+// refill adds the units for the time since the last refill.
 func (b *Budget) refill() {
 	now := time.Now()
 	b.level = min(b.burst, b.level+b.rate*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// timeToLevel is how long it takes until the level is reached, or the burst if that is lower.
+// timeToLevel returns the time until the budget reaches level, or its burst if that is lower.
 func (b *Budget) timeToLevel(level float64) time.Duration {
 	if need := min(level, b.burst); b.level < need {
 		return time.Duration((need-b.level)/b.rate*float64(time.Second)) + time.Millisecond
@@ -82,14 +84,14 @@
 	return 0
 }
 
-// Debit takes amount whatever is left: for what must not wait.
+// Debit takes amount whatever the level is, for requests that must not wait.
 func (b *Budget) Debit(amount float64) {
 	b.mu.Lock()
 	b.level -= amount
 	b.mu.Unlock()
 }
 
-// Wait waits until amount can be taken with keep left, and takes it.
+// Wait waits until amount can be taken so that reserve remains, and takes it.
 func (b *Budget) Wait(ctx context.Context, amount, reserve float64) error {
 	for {
 		wait := b.Take(amount, reserve)
@@ -102,7 +104,7 @@
 	}
 }
 
-// sleep waits for a time, or until the context ends: then it returns why.
+// sleep waits for duration. If the context is done before, it returns the context's error.
 func sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/transport/cloudclient.go
+++ b/internal/transport/cloudclient.go
@@ -15,22 +15,22 @@
 
 const (
 	cloudConns        = 8
-	cloudTimeout      = 10 * time.Second // until an answer has to be there
-	cloudService      = "cloud"          // as metrics name it
-	cloudRateFraction = 0.8              // of the cloud's rate: the leader uses it nearly alone
+	cloudTimeout      = 10 * time.Second // for a response
+	cloudService      = "cloud"          // label in the metrics
+	cloudRateFraction = 0.8              // of the cloud's rate limit, which the leader uses nearly alone
 	minCloudBurst     = 1.0              // requests
-	noCapacityText    = "no capacity"    // the cloud's text for a request that it has no machines for
+	noCapacityText    = "no capacity"    // error text of the cloud for a request for which it has no machines
 )
 
-// Cloud is the client of the cloud.
+// Cloud is a client of the cloud.
 type Cloud struct {
 	client *fasthttp.HostClient
 	budget *Budget // in requests
-	// Observe, if set, counts requests by service and outcome.
+	// Observe, if set, is called with the service and the outcome of each request.
 	Observe func(service, outcome string)
 }
 
-// NewCloud makes a client that stays under the cloud's rate.
+// NewCloud returns a client that stays within the cloud's rate limit.
 func NewCloud(settings *config.Settings) *Cloud {
 	return &Cloud{
 		client: newHostClient(settings.External.Cloud, cloudConns),
@@ -38,8 +38,8 @@
 	}
 }
 
-// CloudBudget keeps a controller under the cloud's rate, which the leader uses nearly alone. Its unit
-// is requests.
+// CloudBudget returns the budget that keeps a controller within the cloud's rate limit, which the leader
+// uses nearly alone. Its unit is requests.
 func CloudBudget(deployment *config.Deployment) *Budget {
 	rate := cloudRateFraction * deployment.Cloud.RPS
 	return NewBudget(rate, max(minCloudBurst, rate))
@@ -56,20 +56,21 @@
 	return statusError(status, err)
 }
 
-// Catalog reads the machine types.
+// Catalog returns the machine types that the cloud offers.
 func (c *Cloud) Catalog(ctx context.Context) (*protocol.Catalog, error) {
 	var catalog protocol.Catalog
 	err := c.call(ctx, serviceRequest{http.MethodGet, "/catalog", nil}, &catalog)
 	return &catalog, err
 }
 
-// scaleOutResponse is the body of an answer to a ScaleOutRequest: the machines' names or a refusal.
+// scaleOutResponse is the body of the response to a ScaleOutRequest: the machines' names or an error.
 type scaleOutResponse struct {
 	protocol.MachineNames
 	Error string `json:"error"`
 }
 
-// ScaleOut rents machines and returns their names. protocol.ErrNoCapacity says that there are none.
+// ScaleOut rents machines and returns their names. It returns protocol.ErrNoCapacity if the cloud has
+// none available.
 func (c *Cloud) ScaleOut(ctx context.Context, request protocol.ScaleOutRequest) ([]string, error) {
 	var answer scaleOutResponse
 	err := c.call(ctx, serviceRequest{http.MethodPost, "/hosts", request}, &answer)
@@ -79,13 +80,13 @@
 	return answer.Machines, err
 }
 
-// ScaleIn gives machines back; after nil they are gone.
+// ScaleIn returns machines to the cloud. If it returns nil, they no longer exist.
 func (c *Cloud) ScaleIn(ctx context.Context, names []string) error {
 	request := serviceRequest{http.MethodPost, "/hosts/return", protocol.MachineNames{Machines: names}}
 	return c.call(ctx, request, nil)
 }
 
-// List reads a page of the machine list, of the machines after the one with id after.
+// List returns a page of the machine list, which begins after the machine with ID after.
 func (c *Cloud) List(ctx context.Context, after string) (protocol.MachineList, error) {
 	path := "/hosts?limit=" + strconv.Itoa(protocol.MaxList)
 	if after != "" {
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// Limits of the clients' connections.
+// Limits of the connections to other services.
 const (
 	serviceDialTimeout = 2 * time.Second
 	serviceIdleTimeout = time.Minute
@@ -22,7 +22,7 @@
 	serviceReadBuffer  = 8 << 10  // bytes
 )
 
-// newHostClient makes a client of one service with up to maxConns connections.
+// newHostClient returns a client of one service that opens up to maxConns connections.
 func newHostClient(addr string, maxConns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                          addr,
@@ -39,7 +39,8 @@
 	}
 }
 
-// dialWithTimeout makes a dial function with a time limit. fasthttp hands it no context to dial with.
+// dialWithTimeout returns a dial function with a timeout. It dials without a caller's context, since
+// fasthttp does not pass one.
 func dialWithTimeout(timeout time.Duration) fasthttp.DialFunc {
 	dialer := &net.Dialer{Timeout: timeout}
 	return func(addr string) (net.Conn, error) {
@@ -47,10 +48,11 @@
 	}
 }
 
-// neverRetry leaves repetitions to the caller: a request that failed may have been executed.
+// neverRetry disables fasthttp's retries, since a failed request may have been executed. Callers decide
+// whether to repeat it.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// httpClient is a fasthttp client of one host or of many.
+// httpClient is implemented by the fasthttp clients for one host and for several hosts.
 type httpClient interface {
 	DoDeadline(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error
 }
@@ -58,19 +60,19 @@
 // serviceRequest is a request to another service.
 type serviceRequest struct {
 	method string
-	path   string // with the query
+	path   string // includes the query
 	body   any    // sent as JSON; nil: no body
 }
 
-// String names the request in errors.
+// String returns the method and path, which identify the request in errors.
 func (r serviceRequest) String() string { return r.method + " " + r.path }
 
-// responseReader reads the body of an answer. It must not keep the body.
+// responseReader decodes the body of a response. It must not retain the body.
 type responseReader func(status int, body []byte) error
 
-// exchange sends a request once and hands the answer's body to read. Errors wrap protocol.ErrRefused
-// if the request certainly was not executed, and protocol.ErrUnknown if it may have been; the status
-// is 0 without an answer.
+// exchange sends a request once and passes the body of the response to read. Errors wrap
+// protocol.ErrRefused if the request was certainly not executed, and protocol.ErrUnknown if it may have
+// been. It returns the status of the response, or 0 if there was none.
 func exchange(client httpClient, addr string, request serviceRequest, deadline time.Time, read responseReader) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -88,7 +90,7 @@
 	return status, nil
 }
 
-// write fills in a request to the service at an address.
+// write sets the method, URI and body of a request to the service at addr.
 func (r serviceRequest) write(req *fasthttp.Request, addr string) error {
 	req.Header.SetMethod(r.method)
 	req.SetRequestURI("http://" + addr + r.path)
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// outcomeOfFailure tells whether a request that got no answer can have been executed.
+// outcomeOfFailure returns protocol.ErrRefused if a request that failed with err was certainly not sent,
+// and protocol.ErrUnknown if it may have been executed.
 func outcomeOfFailure(err error) error {
 	if errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return protocol.ErrRefused
@@ -116,8 +119,8 @@
 	return protocol.ErrUnknown
 }
 
-// call sends a request within a context and a timeout, and reads the JSON of the answer into out if
-// that is not nil. It returns the answer's status, or 0 with an error.
+// call sends a request, limited by the deadline of ctx and by timeout, and decodes the JSON body of the
+// response into out if out is not nil. Its results are those of exchange.
 func call(ctx context.Context, client *fasthttp.HostClient, request serviceRequest, out any, timeout time.Duration) (int, error) {
 	deadline := time.Now().Add(timeout)
 	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(deadline) {
@@ -129,7 +132,8 @@
 	return exchange(client, client.Addr, request, deadline, jsonReader(out))
 }
 
-// jsonReader reads JSON into out. The body of a refusal need not be JSON: its status says enough.
+// jsonReader decodes JSON into out. The body of an error response may be something else than JSON: its
+// status is sufficient.
 func jsonReader(out any) responseReader {
 	return func(status int, body []byte) error {
 		if out == nil || len(body) == 0 {
@@ -142,8 +146,8 @@
 	}
 }
 
-// statusError is the error that an answer's status stands for, nil for 200; err is what went wrong
-// before, and goes first.
+// statusError returns the error for the status of a response, nil for 200. If err, the error of the
+// request itself, is not nil, it returns err.
 func statusError(status int, err error) error {
 	switch {
 	case err != nil:
@@ -164,7 +168,7 @@
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// The outcomes of requests as metrics count them.
+// The values of the outcome label in the request metrics.
 const (
 	outcomeNoAnswer    = "no_answer"
 	outcomeRateLimited = "over_rate"
@@ -172,7 +176,7 @@
 	outcomeAnswered    = "answered"
 )
 
-// requestOutcome is the outcome of a request under which metrics count it.
+// requestOutcome returns the outcome label of a request.
 func requestOutcome(status int, err error) string {
 	switch {
 	case err != nil:
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -15,16 +15,17 @@
 
 // Timing and limits of the connections between controllers.
 const (
-	frameReadTimeout      = 10 * time.Second // until the next frame has to be there, whole
+	frameReadTimeout      = 10 * time.Second // for the whole next frame to arrive
 	peerHeartbeatInterval = 500 * time.Millisecond
 	peerDialTimeout       = 2 * time.Second
 	peerWriteTimeout      = 2 * time.Second
 	peerRedialDelay       = time.Second
 	peerReadBuffer        = 512 // bytes
-	maxPeerConns          = 64  // on the shared port, peers and HTTP together
+	maxPeerConns          = 64  // connections on the shared port, of peers and HTTP together
 )
 
-// PeerCore is what the peer links need of a controller. All of it is hints.
+// PeerCore is the part of a controller that the peer connections use. All messages are hints: losing one
+// causes delays, but no errors.
 type PeerCore interface {
 	PeerHeartbeat() protocol.PeerHeartbeat
 	Incarnation() uint64
@@ -36,28 +37,30 @@
 	PeerDisconnected(member string)
 }
 
-// Peers talks with the other controllers, and tells their frames from HTTP on
-// the same port by the first byte.
+// Peers exchanges messages with the other controllers. Their connections share a port with HTTP; the
+// first byte of a connection distinguishes them.
 type Peers struct {
 	core  PeerCore
 	cfg   *config.Settings
 	log   *slog.Logger
-	slots chan struct{} // one for each connection of the shared port
+	slots chan struct{} // semaphore: holds one element for each open connection of the shared port
 }
 
-// NewPeers makes the links.
+// NewPeers returns a Peers for the controllers that the settings list.
 func NewPeers(cfg *config.Settings, core PeerCore, log *slog.Logger) *Peers {
 	return &Peers{core: core, cfg: cfg, log: log, slots: make(chan struct{}, maxPeerConns)}
 }
 
-// Run keeps a connection to every known controller until the context ends. It does not wait for that.
+// Run starts goroutines that keep a connection to every known controller until the context is done, and
+// returns at once.
 func (p *Peers) Run(ctx context.Context) {
 	for _, peer := range p.cfg.Known {
 		go p.keepConnected(ctx, peer)
 	}
 }
 
-// keepConnected speaks to a peer over one connection after the other.
+// keepConnected sends messages to a peer and reconnects whenever the connection ends, until the context
+// is done.
 func (p *Peers) keepConnected(ctx context.Context, peer config.Peer) {
 	dialer := &net.Dialer{Timeout: peerDialTimeout}
 	for ctx.Err() == nil {
@@ -65,23 +68,24 @@
 		if err == nil {
 			p.sendMessages(ctx, conn, peer.MemberName)
 		}
-		_ = sleep(ctx, peerRedialDelay) // the loop sees whether the context has ended
+		_ = sleep(ctx, peerRedialDelay) // the loop condition checks the context
 	}
 }
 
-// sendMessages tells a peer how this controller fares until the context or the connection ends; then it
-// closes the connection.
+// sendMessages sends this controller's state to a peer at regular intervals until the context is done or
+// the connection ends. Then it closes the connection.
 func (p *Peers) sendMessages(ctx context.Context, conn net.Conn, member string) {
 	closed := detectClose(conn)
 	defer func() {
-		_ = conn.Close() // what was written are hints: whether they have arrived does not matter
+		_ = conn.Close() // only hints were written, so it does not matter whether they arrived
 		<-closed
 	}()
-	// Before it is a member its number is 0: in an outage restarted controllers must hear one another.
+	// The incarnation is 0 before this controller is a member. It connects nevertheless, so that restarted
+	// controllers can exchange messages in an outage of the state service.
 	hello := protocol.Hello{Member: p.cfg.MemberName, Incarnation: p.core.Incarnation()}
 	frames, err := protocol.AppendFrame(nil, hello)
 	if err != nil {
-		p.log.Error("hello cannot be written", "err", err)
+		p.log.Error("hello message can't be encoded, closing peer connection", "err", err)
 		return
 	}
 	for ctx.Err() == nil {
@@ -105,45 +109,46 @@
 	}
 }
 
-// detectClose tells when a connection on which the other side never sends has ended: a read ends when it
-// closes. Without one, a connection that it has given up could be written to for ever.
+// detectClose returns a channel that is closed when a connection ends on which the other side never
+// sends: a pending read returns then. Without a pending read, a connection that the other side has
+// closed could be written to for ever.
 func detectClose(conn net.Conn) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection is over
+		_, _ = conn.Read(make([]byte, 1)) // whatever it returns, the connection has ended
 	}()
 	return closed
 }
 
-// appendMessages appends the frames of what there is to tell a peer now. It fails only by a fault in this
-// controller, which it logs.
+// appendMessages appends the frames to send to a peer now. It returns false only if a message of this
+// controller can't be encoded, which is a bug and is logged.
 func (p *Peers) appendMessages(frames []byte, member string) ([]byte, bool) {
 	frames, err := protocol.AppendFrame(frames, p.core.PeerHeartbeat())
 	if err != nil {
-		p.log.Error("peer heartbeat not written", "err", err)
+		p.log.Error("peer heartbeat can't be encoded, closing peer connection", "err", err)
 		return frames, false
 	}
 	if demands := p.core.ShardDemands(); len(demands) > 0 {
 		if frames, err = protocol.AppendFrame(frames, protocol.ShardDemands{Shards: demands}); err != nil {
-			p.log.Error("shard demands not written", "err", err)
+			p.log.Error("shard demands can't be encoded, closing peer connection", "err", err)
 			return frames, false
 		}
 	}
 	if digest, ok := p.core.CancellationDigest(member); ok {
 		if frames, err = protocol.AppendFrame(frames, digest); err != nil {
-			p.log.Error("cancellation digest not written", "err", err)
+			p.log.Error("cancellation digest can't be encoded, closing peer connection", "err", err)
 			return frames, false
 		}
 	}
 	return frames, true
 }
 
-// receiveMessages reads a peer's frames until the connection ends, one is malformed, or it turns out not to be a
-// peer's; then it closes the connection.
+// receiveMessages reads frames until the connection ends, a frame is malformed, or the sender is not a
+// known controller. Then it closes the connection.
 func (p *Peers) receiveMessages(conn net.Conn, reader io.Reader) {
 	defer func() { _ = conn.Close() }() // nothing was written to it
-	member := ""                        // who speaks, once it has said so
+	member := ""                        // the sender's name, once it has sent a hello message
 	buffered := bufio.NewReaderSize(reader, peerReadBuffer)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(frameReadTimeout)) != nil {
@@ -156,7 +161,7 @@
 		}
 		if hello, ok := message.(protocol.Hello); ok {
 			if member = p.identify(hello, member); member == "" {
-				p.log.Info("unknown peer", "peer", hello.Member)
+				p.log.Info("peer is not in the settings, closing connection", "peer", hello.Member)
 				return
 			}
 			continue
@@ -167,7 +172,7 @@
 	}
 }
 
-// connectionEnded tells the controller that a peer can no longer be heard.
+// connectionEnded reports the end of a peer's connection to the controller, and logs malformed frames.
 func (p *Peers) connectionEnded(conn net.Conn, member string, err error) {
 	if errors.Is(err, protocol.ErrFrame) {
 		p.log.Info("peer connection closed", "peer", member, "from", conn.RemoteAddr().String(), "err", err)
@@ -177,7 +182,8 @@
 	}
 }
 
-// identify is the known controller that a hello names, or the one from before if it names none.
+// identify returns the name in a hello message if it is that of a known controller, and otherwise the
+// current name.
 func (p *Peers) identify(hello protocol.Hello, current string) string {
 	for _, peer := range p.cfg.Known {
 		if peer.MemberName == hello.Member {
@@ -187,7 +193,7 @@
 	return current
 }
 
-// receive hands a peer's message to the controller.
+// receive passes a peer's message to the controller.
 func (p *Peers) receive(member string, message protocol.PeerMessage) {
 	switch message := message.(type) {
 	case protocol.PeerHeartbeat:
--- a/internal/transport/sharedport.go
+++ b/internal/transport/sharedport.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// firstByteTimeout is how long a connection may stay silent before it is closed, and how long an
-	// HTTP connection may wait for the server to take it.
+	// firstByteTimeout is the time after which a connection without any data is closed, and the time for
+	// which an HTTP connection may wait until the server accepts it.
 	firstByteTimeout = 3 * time.Second
-	// acceptRetryDelay is how long to wait after a connection could not be accepted.
+	// acceptRetryDelay is the delay after an accept has failed.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Split serves a port for peers and returns a listener for what speaks HTTP on it. It ends with the
-// listener that it was given.
+// Split serves the peers' connections on a port and returns a listener for the HTTP connections on the
+// same port. Both end when the port is closed.
 func (p *Peers) Split(port net.Listener) net.Listener {
 	httpConns := &httpListener{Listener: port, conns: make(chan net.Conn), done: make(chan struct{})}
 	go p.acceptAll(port, httpConns)
 	return httpConns
 }
 
-// acceptAll routes connections until the listener is closed, and waits for those that it has routed.
+// acceptAll routes connections until the port is closed. Then it waits for the routed ones to end.
 func (p *Peers) acceptAll(port net.Listener, httpConns *httpListener) {
 	var routed sync.WaitGroup
 	defer routed.Wait()
 	for {
 		conn, err := port.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			_ = httpConns.Close() // ends HTTP's side; the listener is closed already
+			_ = httpConns.Close() // ends the HTTP listener; the port is already closed
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryDelay) // out of sockets for now
+			time.Sleep(acceptRetryDelay) // no more sockets are available for now
 			continue
 		}
 		select {
 		case p.slots <- struct{}{}:
 		default:
-			_ = conn.Close() // too many at a time; nothing was written to it
+			_ = conn.Close() // too many connections; nothing was written to it
 			continue
 		}
 		routed.Go(func() {
@@ -53,11 +53,12 @@
 	}
 }
 
-// route hears a connection if its first byte is that of a frame, and otherwise hands it to HTTP.
+// route receives a peer's messages if the first byte of the connection is that of a frame, and otherwise
+// passes the connection to the HTTP listener.
 func (p *Peers) route(conn net.Conn, httpConns *httpListener) {
 	first, err := readFirstByte(conn)
 	if err != nil {
-		_ = conn.Close() // silent or gone; nothing was written to it
+		_ = conn.Close() // no data in time, or closed; nothing was written to it
 		return
 	}
 	replayed := &replayedConn{conn, first}
@@ -70,7 +71,7 @@
 	}
 }
 
-// readFirstByte waits for the first byte of a connection.
+// readFirstByte reads the first byte of a connection, with a timeout.
 func readFirstByte(conn net.Conn) ([]byte, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(firstByteTimeout)); err != nil {
 		return nil, err
@@ -80,13 +81,13 @@
 	return first, err
 }
 
-// replayedConn is a connection whose first bytes have been looked at.
+// replayedConn is a connection whose first bytes have been read and are returned again by Read.
 type replayedConn struct {
 	net.Conn
-	first []byte // what is still to be read of them
+	first []byte // the bytes that Read has not returned yet
 }
 
-// Read reads what has been looked at, and then from the connection.
+// Read returns the bytes that have been read before, and then reads from the connection.
 func (c *replayedConn) Read(data []byte) (int, error) {
 	if len(c.first) > 0 {
 		n := copy(data, c.first)
@@ -96,7 +97,7 @@
 	return c.Conn.Read(data)
 }
 
-// httpListener hands the HTTP connections of a shared port to a server.
+// httpListener is the listener for the HTTP connections of a shared port.
 type httpListener struct {
 	net.Listener
 	conns chan net.Conn
@@ -104,7 +105,7 @@
 	done  chan struct{} // closed with the listener
 }
 
-// offer hands a connection to the server; it fails if the server does not take it in time.
+// offer passes a connection to Accept, and reports whether it was accepted within firstByteTimeout.
 func (l *httpListener) offer(conn net.Conn) bool {
 	select {
 	case l.conns <- conn:
@@ -126,7 +127,7 @@
 	}
 }
 
-// Close closes the port, for peers too.
+// Close closes the port, for HTTP and for peers.
 func (l *httpListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.Listener.Close()
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -12,42 +12,43 @@
 	"dykeledge/internal/protocol"
 )
 
-// How the state service's rates are divided. Rates are in requests or changes a second; the parts are
-// of the whole rate, which all controllers share.
+// The division of the state service's rate limits, which apply to all controllers together. Rates are in
+// requests or changes per second; fractions refer to the limit for all controllers.
 const (
-	usableRequestFraction = 0.9 // the part of the rate of requests that is divided
-	requestOvercommit     = 1.5 // times its even part of that a controller may use: not all are busy at once
-	urgentReserve         = 4   // requests, and changes, that are kept for what must not wait
-	largestTxnChanges     = 12  // changes; a budget holds at least one such transaction
+	usableRequestFraction = 0.9 // the part of the request rate limit that is divided
+	requestOvercommit     = 1.5 // factor on a controller's even share of it: not all controllers are busy at the same time
+	urgentReserve         = 4   // requests, and changes, that are reserved for urgent ones
+	largestTxnChanges     = 12  // changes; the burst allows at least one transaction of this size
 
 	evenFraction          = 0.16 // divided evenly among the controllers
-	leaderFraction        = 0.07 // for the leader on top
-	ownedFraction         = 0.7  // divided by what each controller commits for
-	redistributedFraction = 0.9  // up to which controllers lend one another what they do not use
+	leaderFraction        = 0.07 // added to the leader's share
+	ownedFraction         = 0.7  // divided by the machines and shards that each controller owns
+	redistributedFraction = 0.9  // limit for all controllers when each also uses a part of what the others leave unused
 )
 
-// maxUserWait is how long a user's change may wait for the budget; what would wait
-// longer is refused at once, and the user told to come back.
+// maxUserWait is the longest time that a user's change may wait for the budget. A change that would wait
+// longer is rejected at once, and the user is told to repeat it later.
 const maxUserWait = 600 * time.Millisecond
 
-// How long a controller steps back when the service is overloaded: a random time, so that controllers
-// do not come back together.
+// The back-off after the state service has rejected a request for its rate. It is random, so that the
+// controllers do not resume at the same time.
 const (
 	minBackoff      = 100 * time.Millisecond
-	backoffJitterMs = 200 // milliseconds on top, at random
+	backoffJitterMs = 200 // upper bound of the random part, in milliseconds
 )
 
-// StateBudget keeps one controller under its part of the state service's rates.
+// StateBudget keeps one controller within its share of the state service's rate limits.
 type StateBudget struct {
 	requests    *Budget       // in requests
 	changes     *Budget       // in changes
-	reserve     float64       // requests and changes kept for what must not wait
-	limit       atomic.Uint64 // changes a second for all controllers, as bits of a float64
+	reserve     float64       // requests, and changes, reserved for urgent ones
+	limit       atomic.Uint64 // changes per second for all controllers, as the bits of a float64
 	controllers float64
-	changesUsed atomic.Uint64 // changes so far
+	changesUsed atomic.Uint64 // number of changes so far
 }
 
-// NewStateBudget gives every controller the same part, until SetRateShare.
+// NewStateBudget returns a budget with an even share of the rate limits. SetRateShare changes the share
+// of the rate of changes.
 func NewStateBudget(deployment *config.Deployment) *StateBudget {
 	controllers := float64(max(1, deployment.Controllers))
 	requestLimit := usableRequestFraction * deployment.State.RPS
@@ -64,10 +65,12 @@
 	return b
 }
 
-// SetRateShare sets this controller's part of the rate of changes: a little for every controller,
-// some for the leader, and most in proportion to what the controller commits for (part, from 0 to 1).
-// What the controllers together leave unused each may use evenly: used is what this controller makes
-// of it in changes a second and others what the others do, below 0 if that is not known.
+// SetRateShare sets this controller's share of the rate of changes. A small part of the limit is divided
+// evenly among the controllers, a part is added for the leader, and most is divided in proportion to the
+// machines and shards that each controller owns (ownedPart, from 0 to 1). The part that all controllers
+// together leave unused is divided evenly on top: ownRate is the rate at which this controller makes
+// changes and othersRate that of the others, in changes per second; othersRate is below 0 if it is not
+// known.
 func (b *StateBudget) SetRateShare(ownedPart float64, isLeader bool, ownRate, othersRate float64) {
 	rate := evenFraction/b.controllers + ownedFraction*ownedPart
 	if isLeader {
@@ -81,37 +84,39 @@
 	b.changes.SetRate(rate)
 }
 
-// SetLimit sets the rate of changes for all controllers, in changes a second; SetRateShare divides it.
+// SetLimit sets the rate limit for the changes of all controllers, in changes per second. It changes
+// this controller's rate with the next SetRateShare.
 func (b *StateBudget) SetLimit(rate float64) { b.limit.Store(math.Float64bits(rate)) }
 
-// totalRate is the rate of changes for all controllers, in changes a second.
+// totalRate returns the rate limit for the changes of all controllers, in changes per second.
 func (b *StateBudget) totalRate() float64 { return math.Float64frombits(b.limit.Load()) }
 
-// ChangesUsed is how many changes this controller has made.
+// ChangesUsed returns the number of changes that this budget has admitted.
 func (b *StateBudget) ChangesUsed() uint64 { return b.changesUsed.Load() }
 
-// Pace is how long it takes until a transaction of some changes may go out.
+// Pace returns the time until a transaction with the given number of changes may be sent.
 func (b *StateBudget) Pace(changes int) time.Duration {
 	return max(b.changes.Delay(float64(changes), b.reserve), b.requests.Delay(1, b.reserve))
 }
 
-// StepBack is called when the service says that all controllers together were too fast:
-// each steps back for a moment of its own. It returns how long.
+// StepBack reduces the budget of changes for a random back-off time after the service has rejected a
+// request because all controllers together exceed its rate. It returns that time.
 func (b *StateBudget) StepBack() time.Duration {
 	wait := minBackoff + time.Duration(rand.IntN(backoffJitterMs))*time.Millisecond
 	b.changes.Drain(wait)
 	return wait
 }
 
-// Request waits until a request without changes may go out.
+// Request waits until a request without changes may be sent.
 func (b *StateBudget) Request(ctx context.Context) error {
 	return notExecuted(b.requests.Wait(ctx, 1, b.reserve))
 }
 
-// Owe counts a request that must not wait.
+// Owe charges a request that must not wait.
 func (b *StateBudget) Owe() { b.requests.Debit(1) }
 
-// Admit waits until a transaction of some changes may go out. Errors wrap protocol.ErrRefused.
+// Admit waits until a transaction with the given number of changes may be sent. Errors wrap
+// protocol.ErrRefused.
 func (b *StateBudget) Admit(ctx context.Context, changes int, priority protocol.RequestPriority) error {
 	switch priority {
 	case protocol.UrgentRequest:
@@ -129,13 +134,13 @@
 	b.changesUsed.Add(uint64(changes))
 }
 
-// admitUser lets a user's changes go ahead of the controller's own, on credit: after an outage all
-// users come at once.
+// admitUser admits a user's changes before the controller's own, even if the budget falls below 0: after
+// an outage all users send requests at the same time.
 func (b *StateBudget) admitUser(ctx context.Context, changes int) error {
 	credit := b.totalRate() / b.controllers
 	wait, ok := b.changes.Reserve(float64(changes), -credit, maxUserWait)
 	if !ok {
-		return fmt.Errorf("%w: the budget allows it in %v", protocol.ErrRefused, wait)
+		return fmt.Errorf("%w: the state service's rate limit allows the change only in %v", protocol.ErrRefused, wait)
 	}
 	b.Owe()
 	b.changesUsed.Add(uint64(changes))
@@ -153,7 +158,8 @@
 	return nil
 }
 
-// notExecuted says of an error, if it is one, that the request was not sent because of it.
+// notExecuted wraps an error because of which a request was not sent with protocol.ErrRefused. It returns
+// nil for nil.
 func notExecuted(err error) error {
 	if err == nil {
 		return nil
--- a/internal/transport/stateclient.go
+++ b/internal/transport/stateclient.go
@@ -15,8 +15,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// The state client's connections: watches and renewals have their own, so that they never wait for
-// transactions.
+// The maximum numbers of connections to the state service. Watches and lease renewals have connections
+// of their own, so that they never wait for transactions.
 const (
 	stateConns      = 32
 	stateWatchConns = 4
@@ -24,26 +24,26 @@
 )
 
 const (
-	stateTimeout       = 3 * time.Second  // until an answer has to be there
-	stateService       = "state"          // as metrics name it
-	maxUserTxnAttempts = 3                // of a user's transaction that the service refuses for its rate
+	stateTimeout       = 3 * time.Second  // for a response
+	stateService       = "state"          // label in the metrics
+	maxUserTxnAttempts = 3                // for a user's transaction that the service rejects for its rate
 	revisionProbeKey   = "dykeledge/none" // a key that never exists
-	noSuchLeaseText    = "no such lease"  // the state service's text for a session lease that has ended
+	noSuchLeaseText    = "no such lease"  // error text of the state service for an expired session lease
 )
 
-// State is the client of the state service.
+// State is a client of the state service.
 type State struct {
 	client      *fasthttp.HostClient
 	watchClient *fasthttp.HostClient
 	leaseClient *fasthttp.HostClient
 	*StateBudget
-	// Timeout is how long an answer may take.
+	// Timeout is the maximum time for a response.
 	Timeout time.Duration
-	// Observe, if set, counts requests by service and outcome.
+	// Observe, if set, is called with the service and the outcome of each request.
 	Observe func(service, outcome string)
 }
 
-// NewState makes a client that stays under its part of the service's rates.
+// NewState returns a client that stays within its share of the service's rate limits.
 func NewState(settings *config.Settings) *State {
 	addr := settings.External.State
 	return &State{
@@ -67,7 +67,7 @@
 	return serviceRequest{http.MethodPost, "/txn", txn}
 }
 
-// Revision learns the current revision, by a transaction that changes nothing.
+// Revision returns the current revision. It reads it with a transaction that changes nothing.
 func (s *State) Revision(ctx context.Context) (uint64, error) {
 	if err := s.Request(ctx); err != nil {
 		return 0, err
@@ -81,7 +81,7 @@
 	return result.Revision, err
 }
 
-// List reads a page of up to limit keys with a prefix, those after the key after.
+// List returns a page of up to limit keys with a prefix, which begins after the key after.
 func (s *State) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
 	var page protocol.Page
 	if err := s.Request(ctx); err != nil {
@@ -95,9 +95,9 @@
 	return page, statusError(status, err)
 }
 
-// Txn carries out a transaction. On a conflict, failed is not empty. Errors
-// wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown.
-// A user's transaction that the service refuses for its rate is tried again a few times.
+// Txn commits a transaction. If conditions do not hold, failed is not empty and nothing was changed.
+// Errors wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown. A user's
+// transaction that the service rejects for its rate is repeated, up to maxUserTxnAttempts attempts.
 func (s *State) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	for attempt := 1; ; attempt++ {
 		if err := s.Admit(ctx, len(txn.Then), priority); err != nil {
@@ -114,20 +114,20 @@
 	}
 }
 
-// txnOutcome is what became of a transaction.
+// txnOutcome is the outcome of one attempt to commit a transaction.
 type txnOutcome struct {
-	revision    uint64   // the state service's revision after it
-	failed      []string // keys whose conditions did not hold; "" if the service does not tell
-	rateLimited bool     // refused because all controllers together are too fast
+	revision    uint64   // revision of the state service after the transaction
+	failed      []string // keys whose conditions did not hold; one "" if the service does not name them
+	rateLimited bool     // rejected because all controllers together exceed the rate limit
 }
 
-// txnResponse is the body of an answer to a transaction: its result or a refusal.
+// txnResponse is the body of the response to a transaction: its result or an error.
 type txnResponse struct {
 	protocol.TxnResult
 	Error string `json:"error"`
 }
 
-// commit sends a transaction once.
+// commit sends a transaction once, without waiting for the budget.
 func (s *State) commit(ctx context.Context, txn protocol.Txn) (txnOutcome, error) {
 	var answer txnResponse
 	status, err := s.call(ctx, s.client, txnRequest(txn), &answer, s.Timeout)
@@ -139,7 +139,7 @@
 		return txnOutcome{revision: answer.Revision}, nil
 	case http.StatusConflict:
 		if len(answer.Failed) == 0 {
-			answer.Failed = []string{""} // a conflict has to be seen as one
+			answer.Failed = []string{""} // failed must not be empty on a conflict
 		}
 		return txnOutcome{revision: answer.Revision, failed: answer.Failed}, nil
 	case http.StatusBadRequest:
@@ -148,7 +148,7 @@
 	return txnOutcome{rateLimited: status == http.StatusTooManyRequests}, statusError(status, nil)
 }
 
-// badTxnError is the error that the text of a status 400 stands for.
+// badTxnError returns the error for the text of a response with status 400.
 func badTxnError(text string) error {
 	if text == noSuchLeaseText {
 		return protocol.ErrNoLease
@@ -156,17 +156,17 @@
 	return fmt.Errorf("%w: %w: %s", protocol.ErrRefused, protocol.ErrTooLarge, text)
 }
 
-// leaseRequest asks for a session lease.
+// leaseRequest is the request body for a new session lease.
 type leaseRequest struct {
-	TTLMs int64 `json:"ttlMs"` // milliseconds without a renewal after which it ends
+	TTLMs int64 `json:"ttlMs"` // time without a renewal after which the lease expires, in milliseconds
 }
 
-// leaseGrant answers a leaseRequest.
+// leaseGrant is the response body for a leaseRequest.
 type leaseGrant struct {
 	Lease uint64 `json:"tenure"`
 }
 
-// Grant takes a new session lease, which ends unless it is renewed within ttl.
+// Grant creates a session lease, which expires unless it is renewed within ttl, and returns its ID.
 func (s *State) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	s.Owe()
 	request := serviceRequest{http.MethodPost, "/holds", leaseRequest{TTLMs: ttl.Milliseconds()}}
@@ -175,7 +175,7 @@
 	return grant.Lease, statusError(status, err)
 }
 
-// Renew renews a session lease. protocol.ErrNoLease says that it has ended.
+// Renew renews a session lease. It returns protocol.ErrNoLease if the lease has expired.
 func (s *State) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
 	s.Owe()
 	path := "/holds/" + strconv.FormatUint(lease, 10) + "/extend"
@@ -187,7 +187,8 @@
 	return err
 }
 
-// Watch waits, up to a time, for changes after a revision of keys with a prefix.
+// Watch returns the changes of keys with a prefix after the revision from. If there are none, it waits
+// for up to wait.
 func (s *State) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	s.Owe()
 	path := "/follow?starts=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// Core is what the public server needs of a controller.
+// Core is the part of a controller that the public server uses.
 type Core interface {
 	Submit(ctx context.Context, body []byte) controller.Answer
 	Query(ctx context.Context, id string) controller.Answer
@@ -23,7 +23,7 @@
 	HandleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(status int, body any))
 }
 
-// How long a controller may take for an answer. Users and workers wait a little longer.
+// The maximum times in which a controller answers. Users and workers wait slightly longer.
 const (
 	submitTimeout    = 4500 * time.Millisecond
 	queryTimeout     = 1900 * time.Millisecond
@@ -33,18 +33,19 @@
 
 // Limits of the public server's connections.
 const (
-	maxReadBody       = 4 * protocol.MaxBody // bytes; beyond this a body is not even read
-	reservedConns     = 64                   // sockets that stay for the other services
+	maxReadBody       = 4 * protocol.MaxBody // bytes; a larger body is rejected without being read
+	reservedConns     = 64                   // sockets reserved for connections other than those of users and workers
 	minPublicConns    = 16
 	publicIdleTimeout = 2 * time.Minute
-	publicReadBuffer  = 8 << 10 // bytes a connection
-	publicWriteBuffer = 4 << 10 // bytes a connection
+	publicReadBuffer  = 8 << 10 // bytes per connection
+	publicWriteBuffer = 4 << 10 // bytes per connection
 )
 
 // PublicServer serves users, workers and health checks.
 type PublicServer struct{ app *fiber.App }
 
-// NewPublicServer makes the server of public_addr.
+// NewPublicServer returns the server for public_addr. maxConns is the maximum number of open sockets of
+// the process.
 func NewPublicServer(core Core, maxConns int, log *slog.Logger) *PublicServer {
 	api := publicAPI{core, log}
 	app := fiber.New(fiber.Config{
@@ -65,23 +66,23 @@
 	return &PublicServer{app}
 }
 
-// Serve serves until the listener is closed.
+// Serve accepts and serves connections until the listener is closed.
 func (s *PublicServer) Serve(ln net.Listener) error { return s.app.Listener(ln) }
 
-// publicAPI answers the requests of users, workers and health checks with what a controller tells.
+// publicAPI handles the requests of users, workers and health checks by calling the controller.
 type publicAPI struct {
 	core Core
 	log  *slog.Logger
 }
 
-// handleError answers a request that no handler has answered.
+// handleError answers a request that failed before a handler answered it, and logs server errors.
 func (a publicAPI) handleError(c *fiber.Ctx, err error) error {
 	status := fiberStatus(err)
 	if status == fiber.StatusRequestEntityTooLarge {
-		status = fiber.StatusBadRequest // the protocol knows no other status for it
+		status = fiber.StatusBadRequest // the protocol has no other status for it
 	}
-	if status >= fiber.StatusInternalServerError && status != fiber.StatusBadGateway { // that one is a connection that broke off
-		a.log.Error("request failed", "path", c.Path(), "err", err)
+	if status >= fiber.StatusInternalServerError && status != fiber.StatusBadGateway { // 502: the connection was interrupted
+		a.log.Error("public request failed", "path", c.Path(), "err", err)
 	}
 	return send(c, status, protocol.ErrorResponse{Error: err.Error()})
 }
@@ -122,11 +123,11 @@
 func (a publicAPI) heartbeat(request *fiber.Ctx) error {
 	heartbeat, err := protocol.ParseHeartbeat(request.Body())
 	if err != nil {
-		a.log.Info("malformed report", "err", err)
+		a.log.Info("malformed heartbeat rejected", "err", err)
 		return send(request, fiber.StatusBadRequest, protocol.ErrorResponse{Error: err.Error()})
 	}
-	replies := make(chan heartbeatReply, 1) // with room for a reply that comes too late
-	// No timeout: the controller takes the heartbeat in even if the worker no longer waits.
+	replies := make(chan heartbeatReply, 1) // buffered, so that a reply after the timeout does not block
+	// The context has no deadline: the controller processes the heartbeat even if the worker no longer waits.
 	a.core.HandleHeartbeat(context.Background(), heartbeat, func(status int, body any) {
 		replies <- heartbeatReply{status, body}
 	})
@@ -140,7 +141,7 @@
 	}
 }
 
-// sendAnswer sends what a controller answers to a user.
+// sendAnswer sends a controller's answer to a user.
 func sendAnswer(c *fiber.Ctx, answer controller.Answer) error {
 	if answer.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(answer.RetryAfter))
@@ -148,7 +149,7 @@
 	return send(c, answer.Status, answer.Body)
 }
 
-// send answers with JSON.
+// send answers with a status and a JSON body.
 func send(c *fiber.Ctx, status int, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/internal/transport/view.go
+++ b/internal/transport/view.go
@@ -13,7 +13,7 @@
 	"dykeledge/internal/view"
 )
 
-// ViewCore is what readers of the view need of a controller.
+// ViewCore is the part of a controller that the view requests use.
 type ViewCore interface {
 	ViewEnabled() bool
 	HasTeam(name string) bool
@@ -22,32 +22,34 @@
 }
 
 const (
-	// maxViewWait is how long a request may wait for something new.
+	// maxViewWait is the longest time that a request may wait for changes.
 	maxViewWait = 2 * time.Second
-	// viewPageSize is the room that a page begins with, in bytes; it grows as needed.
+	// viewPageSize is the initial capacity of a page's buffer, in bytes.
 	viewPageSize = 4 << 10
 )
 
-// mountView adds the read model's requests: GET /view hands over pages of changes in the
-// feed's binary format, GET /view/reasons tells why jobs wait. No more than readers requests
-// are served at a time; the others are refused at once. A page is bounded and a connection
-// that does not take it in time is closed, so a slow reader costs bounded memory.
+// mountView adds the routes of the read model: GET /view returns pages of changes in the feed's binary
+// format, GET /view/reasons the reasons why jobs wait. At most readers requests are served at the same
+// time; others are rejected at once. The size of a page is limited and the connection of a client that
+// does not read it in time is closed, so that slow clients use a limited amount of memory.
 func mountView(router fiber.Router, core ViewCore, readers int) {
 	api := viewAPI{core: core, slots: make(chan struct{}, readers)}
 	router.Get("/view", api.serve(api.page))
 	router.Get("/view/reasons", api.serve(api.reasons))
 }
 
-// viewAPI answers the requests of the view's readers.
+// viewAPI handles the view requests.
 type viewAPI struct {
 	core  ViewCore
-	slots chan struct{} // one for each request that is being served
+	slots chan struct{} // semaphore: holds one element for each request that is being served
 }
 
-// viewHandler answers a request for what a scope may see: a team, or the operators.
+// viewHandler answers a request with the rows that are visible in a scope: those of a team, or for
+// operators all.
 type viewHandler func(c *fiber.Ctx, scope view.Scope) error
 
-// serve makes a fiber handler that refuses what the view can't serve, and keeps to the number of slots.
+// serve converts a viewHandler to a fiber handler that rejects requests while the view is disabled, for
+// unknown teams, and while all slots are in use.
 func (a viewAPI) serve(handler viewHandler) fiber.Handler {
 	return func(request *fiber.Ctx) error {
 		if !a.core.ViewEnabled() {
@@ -67,7 +69,8 @@
 	}
 }
 
-// page answers with what has changed after a cursor, if need be once something has.
+// page answers with the changes after the client's cursor. If there are none, it waits for them, up to the
+// time that the client asks for.
 func (a viewAPI) page(request *fiber.Ctx, scope view.Scope) error {
 	cursor, wait, ok := viewQuery(request)
 	if !ok {
@@ -83,7 +86,8 @@
 	return request.Send(snapshot.AppendPage(make([]byte, 0, viewPageSize), scope, cursor, time.Now().UnixMilli()))
 }
 
-// viewQuery reads what a reader has already and how long it will wait for more.
+// viewQuery returns the cursor in a request and how long the client waits for changes, and whether both
+// are valid.
 func viewQuery(c *fiber.Ctx) (cursor view.Cursor, wait time.Duration, ok bool) {
 	epoch, epochErr := queryNumber(c, "epoch")
 	seq, seqErr := queryNumber(c, "seq")
@@ -94,12 +98,12 @@
 	return view.Cursor{Epoch: epoch, Seq: seq}, time.Duration(waitMs) * time.Millisecond, true
 }
 
-// queryNumber is a whole number of the query, 0 if it is left out.
+// queryNumber returns a whole number of the query, 0 if it is missing.
 func queryNumber(c *fiber.Ctx, name string) (uint64, error) {
 	return strconv.ParseUint(c.Query(name, "0"), 10, 64)
 }
 
-// reasons answers with why jobs wait.
+// reasons answers with the reasons why jobs wait.
 func (a viewAPI) reasons(c *fiber.Ctx, scope view.Scope) error {
 	ids := strings.Split(query(c, "jobs"), ",")
 	if !validReasonIDs(ids) {
--- a/internal/transport/workerclient.go
+++ b/internal/transport/workerclient.go
@@ -17,10 +17,10 @@
 	maxWorkerResponse = 1 << 20 // bytes
 )
 
-// Workers is the client of the workers.
+// Workers is a client of the workers.
 type Workers struct{ client *fasthttp.Client }
 
-// NewWorkers makes a client for the workers' addresses.
+// NewWorkers returns a client that sends direct commands to workers at their addresses.
 func NewWorkers() *Workers {
 	return &Workers{client: &fasthttp.Client{
 		Dial:                      dialWithTimeout(workerDialTimeout),
@@ -33,7 +33,8 @@
 	}}
 }
 
-// Command sends commands straight to a worker and returns its heartbeat, with the answer's status.
+// Command sends direct commands to a worker. It returns the heartbeat in the worker's response, and the
+// status of the response.
 func (w *Workers) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	var heartbeat *protocol.Heartbeat
 	readHeartbeat := func(_ int, body []byte) (err error) {
