--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,7 +11,7 @@
 // The smallest values with which a controller can work.
 const (
 	minControllers = 1
-	minTxnOps      = 4  // the most changes that must be made in one transaction
+	minTxnOps      = 4  // changes; a controller needs transactions of this size
 	minValueKB     = 1  // KB
 	minConnections = 16 // sockets
 	maxPort        = 65535
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -36,8 +36,8 @@
 	Production
 )
 
-// Top reports whether this is a top priority, whose jobs may preempt all jobs of lower priorities than
-// the top ones.
+// Top reports whether this is a top priority. Top-priority jobs may preempt tasks of all other
+// priorities.
 func (p Priority) Top() bool { return p >= High }
 
 // String returns the priority's name in the JSON.
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -7,8 +7,8 @@
 )
 
 // Budget is a token bucket: it is refilled at a rate and holds at most a burst. Callers of lower
-// importance leave a reserve for the others. The level may fall below 0; later callers then wait until
-// that is refilled. The unit of amounts depends on the use: requests, or changes in the state service.
+// importance leave a reserve for the others. The level may fall below 0; later callers then wait
+// until the debt is refilled. The unit of amounts depends on the use: requests, or changes in the state service.
 type Budget struct {
 	mu         sync.Mutex
 	rate       float64 // units per second
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -70,9 +70,10 @@
 // responseReader decodes the body of a response. It must not retain the body.
 type responseReader func(status int, body []byte) error
 
-// exchange sends a request once and passes the body of the response to read. Errors wrap
-// protocol.ErrRefused if the request was certainly not executed, and protocol.ErrUnknown if it may have
-// been. It returns the status of the response, or 0 if there was none.
+// exchange sends a request once and passes the body of the response to read. It returns the status of the
+// response, or 0 if there was none. Errors wrap protocol.ErrRefused if the request was certainly not
+// executed, and protocol.ErrUnknown if it may have been. An error in encoding the body wraps neither; the
+// request was not sent then.
 func exchange(client httpClient, addr string, request serviceRequest, deadline time.Time, read responseReader) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -21,7 +21,7 @@
 	peerWriteTimeout      = 2 * time.Second
 	peerRedialDelay       = time.Second
 	peerReadBuffer        = 512 // bytes
-	maxPeerConns          = 64  // connections on the shared port, of peers and HTTP together
+	maxPeerConns          = 64  // on the shared port: being routed or received from, and in addition of HTTP clients
 )
 
 // PeerCore is the part of a controller that the peer connections use. All messages are hints: losing one
@@ -43,7 +43,7 @@
 	core  PeerCore
 	cfg   *config.Settings
 	log   *slog.Logger
-	slots chan struct{} // semaphore: holds one element for each open connection of the shared port
+	slots chan struct{} // semaphore: one element for each connection that is being routed or received from
 }
 
 // NewPeers returns a Peers for the controllers that the settings list.
--- a/internal/transport/sharedport.go
+++ b/internal/transport/sharedport.go
@@ -26,7 +26,8 @@
 	return httpConns
 }
 
-// acceptAll routes connections until the port is closed. Then it waits for the routed ones to end.
+// acceptAll accepts connections and routes each in a goroutine of its own until the port is closed. Then
+// it waits for these goroutines.
 func (p *Peers) acceptAll(port net.Listener, httpConns *httpListener) {
 	var routed sync.WaitGroup
 	defer routed.Wait()
@@ -43,7 +44,7 @@
 		select {
 		case p.slots <- struct{}{}:
 		default:
-			_ = conn.Close() // too many connections; nothing was written to it
+			_ = conn.Close() // no free slot; nothing was written to it
 			continue
 		}
 		routed.Go(func() {
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -18,7 +18,7 @@
 	usableRequestFraction = 0.9 // the part of the request rate limit that is divided
 	requestOvercommit     = 1.5 // factor on a controller's even share of it: not all controllers are busy at the same time
 	urgentReserve         = 4   // requests, and changes, that are reserved for urgent ones
-	largestTxnChanges     = 12  // changes; the burst allows at least one transaction of this size
+	largestTxnChanges     = 12  // the burst allows a transaction with this many changes, if the state service does
 
 	evenFraction          = 0.16 // divided evenly among the controllers
 	leaderFraction        = 0.07 // added to the leader's share
@@ -67,10 +67,10 @@
 
 // SetRateShare sets this controller's share of the rate of changes. A small part of the limit is divided
 // evenly among the controllers, a part is added for the leader, and most is divided in proportion to the
-// machines and shards that each controller owns (ownedPart, from 0 to 1). The part that all controllers
-// together leave unused is divided evenly on top: ownRate is the rate at which this controller makes
-// changes and othersRate that of the others, in changes per second; othersRate is below 0 if it is not
-// known.
+// machines and shards that each controller owns (ownedPart, from 0 to 1). In addition each controller may
+// use an even part of what all leave unused: its share is at least ownRate, the rate at which it makes
+// changes, plus that part. othersRate is the rate of all other controllers, below 0 if it is not known;
+// nothing is added then. Rates are in changes per second.
 func (b *StateBudget) SetRateShare(ownedPart float64, isLeader bool, ownRate, othersRate float64) {
 	rate := evenFraction/b.controllers + ownedFraction*ownedPart
 	if isLeader {
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -25,7 +25,7 @@
 
 // The maximum times in which a controller answers. Users and workers wait slightly longer.
 const (
-	submitTimeout    = 4500 * time.Millisecond
+	submitTimeout    = 4500 * time.Millisecond // for submissions and cancellations
 	queryTimeout     = 1900 * time.Millisecond
 	readyTimeout     = 900 * time.Millisecond
 	heartbeatTimeout = 3500 * time.Millisecond
