--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -96,7 +96,7 @@
 			}
 			features, err := LoadFeatures(path)
 			switch {
-			case test.want == "" && (err != nil || features.View.Enabled != test.enabled || features.View.Readers != DefaultReaders):
+			case test.want == "" && (err != nil || features.View.Enabled != test.enabled || features.View.Readers != DefaultViewReaders):
 				t.Errorf("%+v, %v", features, err)
 			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")):
 				t.Errorf("got error %v, want one line with the path and %q", err, test.want)
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -17,18 +17,18 @@
 	Readers int  `toml:"readers"` // requests served at the same time, from 1 to 64
 }
 
-// DefaultReaders is the default number of view requests served at the same time. It is enough for the
+// DefaultViewReaders is the default number of view requests served at the same time. It is enough for the
 // consoles of all operators on duty and one report.
-const DefaultReaders = 16
+const DefaultViewReaders = 16
 
-// maxReaders limits the memory that concurrent view requests use.
-const maxReaders = 64
+// maxViewReaders limits the memory that concurrent view requests use.
+const maxViewReaders = 64
 
 // LoadFeatures reads and validates a features file. If path is "", all features are off. Its errors are
 // one line long and name the file, the field and the expected value. An unknown key is an error, since
 // a misspelt switch would otherwise be ignored silently.
 func LoadFeatures(path string) (*Features, error) {
-	features := &Features{View: ViewFeature{Readers: DefaultReaders}}
+	features := &Features{View: ViewFeature{Readers: DefaultViewReaders}}
 	if path == "" {
 		return features, nil
 	}
@@ -39,8 +39,8 @@
 	if err := Strict(raw, features); err != nil {
 		return nil, fmt.Errorf("features %s: %w", path, err)
 	}
-	if features.View.Readers < 1 || features.View.Readers > maxReaders {
-		expected := fmt.Sprintf("a count from 1 to %d", maxReaders)
+	if features.View.Readers < 1 || features.View.Readers > maxViewReaders {
+		expected := fmt.Sprintf("a count from 1 to %d", maxViewReaders)
 		return nil, fmt.Errorf("features %s: %w", path, &FieldError{"view.readers", expected})
 	}
 	return features, nil
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -36,8 +36,9 @@
 	ErrNotJSON = errors.New("body is not valid JSON")
 )
 
-// ErrFrame means that a frame is malformed. The connection on which it was received must be closed.
-var ErrFrame = errors.New("malformed frame")
+// ErrMalformedFrame means that a frame does not have the expected format. The connection on which it was
+// received must be closed.
+var ErrMalformedFrame = errors.New("malformed frame")
 
 // FieldError is the error for an invalid field of a submission. Its message is for the user and names
 // the field as in the JSON: "field shards is not between 1 and 100000".
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -11,16 +11,16 @@
 // message kind, the length of the payload in four bytes, and the payload. Numbers are big-endian.
 // Messages between controllers are hints: a lost message causes delays, but no errors.
 const (
-	FrameMagic   = 0xD7
-	FrameVersion = 2
-	MaxFrame     = 4 << 10 // bytes of payload
+	FrameMagic      = 0xD7
+	FrameVersion    = 2
+	MaxFramePayload = 4 << 10 // bytes of payload
 
 	frameLengthOffset = 3 // offset of the payload's length in the header
 	frameHeaderSize   = 7 // bytes in the header, which precedes the payload
 )
 
-// AppendFrame appends a message to data as a frame. On an error, which wraps ErrFrame, it returns data
-// unchanged.
+// AppendFrame appends a message to data as a frame. On an error, which wraps ErrMalformedFrame, it returns
+// data unchanged.
 func AppendFrame(data []byte, peerMessage PeerMessage) ([]byte, error) {
 	start := len(data)
 	framed := append(data, FrameMagic, FrameVersion, peerMessage.kind(), 0, 0, 0, 0)
@@ -35,7 +35,7 @@
 
 func (h Hello) appendPayload(payload []byte) ([]byte, error) {
 	if h.Member == "" || len(h.Member) > maxMemberNameBytes {
-		return nil, fmt.Errorf("%w: member name is empty or too long (%d bytes)", ErrFrame, len(h.Member))
+		return nil, fmt.Errorf("%w: member name is empty or too long (%d bytes)", ErrMalformedFrame, len(h.Member))
 	}
 	payload = appendText(payload, h.Member)
 	return binary.BigEndian.AppendUint64(payload, h.Incarnation), nil
@@ -50,7 +50,7 @@
 
 func (d ShardDemands) appendPayload(payload []byte) ([]byte, error) {
 	if len(d.Shards) > maxShardDemands {
-		return nil, fmt.Errorf("%w: %d shard demands exceed the maximum", ErrFrame, len(d.Shards))
+		return nil, fmt.Errorf("%w: %d shard demands exceed the maximum", ErrMalformedFrame, len(d.Shards))
 	}
 	payload = append(payload, byte(len(d.Shards)))
 	for _, demand := range d.Shards {
@@ -63,7 +63,7 @@
 
 func (d CancellationDigest) appendPayload(payload []byte) ([]byte, error) {
 	if len(d.Cancellations) > MaxCancellations {
-		return nil, fmt.Errorf("%w: %d cancellations exceed the maximum", ErrFrame, len(d.Cancellations))
+		return nil, fmt.Errorf("%w: %d cancellations exceed the maximum", ErrMalformedFrame, len(d.Cancellations))
 	}
 	payload = binary.BigEndian.AppendUint64(payload, uint64(d.At))
 	payload = binary.BigEndian.AppendUint64(payload, uint64(d.ProcessStart))
@@ -71,7 +71,7 @@
 	payload = append(payload, byte(len(d.Cancellations)))
 	for _, cancellation := range d.Cancellations {
 		if cancellation.Job == "" || len(cancellation.Job) > MaxCancelledName {
-			return nil, fmt.Errorf("%w: job ID is empty or too long (%d bytes)", ErrFrame, len(cancellation.Job))
+			return nil, fmt.Errorf("%w: job ID is empty or too long (%d bytes)", ErrMalformedFrame, len(cancellation.Job))
 		}
 		payload = binary.BigEndian.AppendUint64(payload, cancellation.Version)
 		payload = appendText(payload, cancellation.Job)
@@ -92,7 +92,7 @@
 	return append(payload, 0)
 }
 
-// ReadFrame reads one message. An error that wraps ErrFrame means that the frame is malformed; all other
+// ReadFrame reads one message. If the frame is malformed, the error wraps ErrMalformedFrame; all other
 // errors are those of the reader.
 func ReadFrame(reader io.Reader) (PeerMessage, error) {
 	var header [frameHeaderSize]byte
@@ -101,14 +101,14 @@
 	}
 	magic, version, kind := header[0], header[1], header[2]
 	if magic != FrameMagic {
-		return nil, fmt.Errorf("%w: first byte is %#x, not the magic byte", ErrFrame, magic)
+		return nil, fmt.Errorf("%w: first byte is %#x, not the magic byte", ErrMalformedFrame, magic)
 	}
 	if version != FrameVersion {
-		return nil, fmt.Errorf("%w: format version is %d, want %d", ErrFrame, version, FrameVersion)
+		return nil, fmt.Errorf("%w: format version is %d, want %d", ErrMalformedFrame, version, FrameVersion)
 	}
 	length := binary.BigEndian.Uint32(header[frameLengthOffset:])
-	if length > MaxFrame {
-		return nil, fmt.Errorf("%w: payload of %d bytes exceeds the maximum", ErrFrame, length)
+	if length > MaxFramePayload {
+		return nil, fmt.Errorf("%w: payload of %d bytes exceeds the maximum", ErrMalformedFrame, length)
 	}
 	payload := make([]byte, length)
 	if _, err := io.ReadFull(reader, payload); err != nil {
@@ -131,10 +131,10 @@
 	case KindCancellationDigest:
 		message = reader.cancellationDigest()
 	default:
-		return nil, fmt.Errorf("%w: unknown message kind %d", ErrFrame, kind)
+		return nil, fmt.Errorf("%w: unknown message kind %d", ErrMalformedFrame, kind)
 	}
 	if reader.malformed || len(reader.rest) != 0 {
-		return nil, fmt.Errorf("%w: message kind %d has an invalid payload of %d bytes", ErrFrame, kind, len(payload))
+		return nil, fmt.Errorf("%w: message kind %d has an invalid payload of %d bytes", ErrMalformedFrame, kind, len(payload))
 	}
 	return message, nil
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -205,7 +205,7 @@
 		{"hello without a name", []byte{FrameMagic, FrameVersion, KindHello, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if _, err := ReadFrame(bytes.NewReader(test.raw)); !errors.Is(err, ErrFrame) {
+			if _, err := ReadFrame(bytes.NewReader(test.raw)); !errors.Is(err, ErrMalformedFrame) {
 				t.Errorf("got %v, want a malformed frame", err)
 			}
 		})
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -86,7 +86,7 @@
 
 // DefaultAdminLimits returns limits that are suitable for machines with a tenth of a CPU core.
 func DefaultAdminLimits() AdminLimits {
-	return AdminLimits{ViewReaders: config.DefaultReaders, WriteTimeout: defaultWriteTimeout}
+	return AdminLimits{ViewReaders: config.DefaultViewReaders, WriteTimeout: defaultWriteTimeout}
 }
 
 // AdminServer serves the administration API and the metrics.
--- a/internal/transport/cloudclient.go
+++ b/internal/transport/cloudclient.go
@@ -22,8 +22,8 @@
 	noCapacityText    = "no capacity"    // error text of the cloud for a request for which it has no machines
 )
 
-// Cloud is a client of the cloud.
-type Cloud struct {
+// CloudClient is a client of the cloud.
+type CloudClient struct {
 	client *fasthttp.HostClient
 	budget *Budget // in requests
 	// Observe, if set, is called with the service and the outcome of each request.
@@ -31,8 +31,8 @@
 }
 
 // NewCloud returns a client that stays within the cloud's rate limit.
-func NewCloud(settings *config.Settings) *Cloud {
-	return &Cloud{
+func NewCloud(settings *config.Settings) *CloudClient {
+	return &CloudClient{
 		client: newHostClient(settings.External.Cloud, cloudConns),
 		budget: CloudBudget(&settings.Deployment),
 	}
@@ -45,7 +45,7 @@
 	return NewBudget(rate, max(minCloudBurst, rate))
 }
 
-func (c *Cloud) call(ctx context.Context, request serviceRequest, out any) error {
+func (c *CloudClient) call(ctx context.Context, request serviceRequest, out any) error {
 	if err := c.budget.Wait(ctx, 1, 0); err != nil {
 		return notExecuted(err)
 	}
@@ -57,7 +57,7 @@
 }
 
 // Catalog returns the machine types that the cloud offers.
-func (c *Cloud) Catalog(ctx context.Context) (*protocol.Catalog, error) {
+func (c *CloudClient) Catalog(ctx context.Context) (*protocol.Catalog, error) {
 	var catalog protocol.Catalog
 	err := c.call(ctx, serviceRequest{http.MethodGet, "/catalog", nil}, &catalog)
 	return &catalog, err
@@ -71,7 +71,7 @@
 
 // ScaleOut rents machines and returns their names. It returns protocol.ErrNoCapacity if the cloud has
 // none available.
-func (c *Cloud) ScaleOut(ctx context.Context, request protocol.ScaleOutRequest) ([]string, error) {
+func (c *CloudClient) ScaleOut(ctx context.Context, request protocol.ScaleOutRequest) ([]string, error) {
 	var answer scaleOutResponse
 	err := c.call(ctx, serviceRequest{http.MethodPost, "/hosts", request}, &answer)
 	if err != nil && answer.Error == noCapacityText {
@@ -81,13 +81,13 @@
 }
 
 // ScaleIn returns machines to the cloud. If it returns nil, they no longer exist.
-func (c *Cloud) ScaleIn(ctx context.Context, names []string) error {
+func (c *CloudClient) ScaleIn(ctx context.Context, names []string) error {
 	request := serviceRequest{http.MethodPost, "/hosts/return", protocol.MachineNames{Machines: names}}
 	return c.call(ctx, request, nil)
 }
 
 // List returns a page of the machine list, which begins after the machine with ID after.
-func (c *Cloud) List(ctx context.Context, after string) (protocol.MachineList, error) {
+func (c *CloudClient) List(ctx context.Context, after string) (protocol.MachineList, error) {
 	path := "/hosts?limit=" + strconv.Itoa(protocol.MaxList)
 	if after != "" {
 		path += "&from=" + url.QueryEscape(after)
--- a/internal/transport/stateclient.go
+++ b/internal/transport/stateclient.go
@@ -31,8 +31,8 @@
 	noSuchLeaseText    = "no such lease"  // error text of the state service for an expired session lease
 )
 
-// State is a client of the state service.
-type State struct {
+// StateClient is a client of the state service.
+type StateClient struct {
 	client      *fasthttp.HostClient
 	watchClient *fasthttp.HostClient
 	leaseClient *fasthttp.HostClient
@@ -44,9 +44,9 @@
 }
 
 // NewState returns a client that stays within its share of the service's rate limits.
-func NewState(settings *config.Settings) *State {
+func NewState(settings *config.Settings) *StateClient {
 	addr := settings.External.State
-	return &State{
+	return &StateClient{
 		client:      newHostClient(addr, stateConns),
 		watchClient: newHostClient(addr, stateWatchConns),
 		leaseClient: newHostClient(addr, stateLeaseConns),
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *State) call(ctx context.Context, client *fasthttp.HostClient, request serviceRequest, out any, timeout time.Duration) (int, error) {
+func (s *StateClient) call(ctx context.Context, client *fasthttp.HostClient, request serviceRequest, out any, timeout time.Duration) (int, error) {
 	status, err := call(ctx, client, request, out, timeout)
 	if s.Observe != nil {
 		s.Observe(stateService, requestOutcome(status, err))
@@ -68,7 +68,7 @@
 }
 
 // Revision returns the current revision. It reads it with a transaction that changes nothing.
-func (s *State) Revision(ctx context.Context) (uint64, error) {
+func (s *StateClient) Revision(ctx context.Context) (uint64, error) {
 	if err := s.Request(ctx); err != nil {
 		return 0, err
 	}
@@ -82,7 +82,7 @@
 }
 
 // List returns a page of up to limit keys with a prefix, which begins after the key after.
-func (s *State) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
+func (s *StateClient) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
 	var page protocol.Page
 	if err := s.Request(ctx); err != nil {
 		return page, err
@@ -98,7 +98,7 @@
 // Txn commits a transaction. If conditions do not hold, failed is not empty and nothing was changed.
 // Errors wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown. A user's
 // transaction that the service rejects for its rate is repeated, up to maxUserTxnAttempts attempts.
-func (s *State) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
+func (s *StateClient) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	for attempt := 1; ; attempt++ {
 		if err := s.Admit(ctx, len(txn.Then), priority); err != nil {
 			return 0, nil, err
@@ -128,7 +128,7 @@
 }
 
 // commit sends a transaction once, without waiting for the budget.
-func (s *State) commit(ctx context.Context, txn protocol.Txn) (txnOutcome, error) {
+func (s *StateClient) commit(ctx context.Context, txn protocol.Txn) (txnOutcome, error) {
 	var answer txnResponse
 	status, err := s.call(ctx, s.client, txnRequest(txn), &answer, s.Timeout)
 	if err != nil {
@@ -167,7 +167,7 @@
 }
 
 // Grant creates a session lease, which expires unless it is renewed within ttl, and returns its ID.
-func (s *State) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (s *StateClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	s.Owe()
 	request := serviceRequest{http.MethodPost, "/holds", leaseRequest{TTLMs: ttl.Milliseconds()}}
 	var grant leaseGrant
@@ -176,7 +176,7 @@
 }
 
 // Renew renews a session lease. It returns protocol.ErrNoLease if the lease has expired.
-func (s *State) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
+func (s *StateClient) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
 	s.Owe()
 	path := "/holds/" + strconv.FormatUint(lease, 10) + "/extend"
 	status, err := s.call(ctx, s.leaseClient, serviceRequest{http.MethodPost, path, nil}, nil, timeout)
@@ -189,7 +189,7 @@
 
 // Watch returns the changes of keys with a prefix after the revision from. If there are none, it waits
 // for up to wait.
-func (s *State) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
+func (s *StateClient) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	s.Owe()
 	path := "/follow?starts=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
--- a/internal/transport/workerclient.go
+++ b/internal/transport/workerclient.go
@@ -17,12 +17,12 @@
 	maxWorkerResponse = 1 << 20 // bytes
 )
 
-// Workers is a client of the workers.
-type Workers struct{ client *fasthttp.Client }
+// WorkerClient is a client of the workers.
+type WorkerClient struct{ client *fasthttp.Client }
 
 // NewWorkers returns a client that sends direct commands to workers at their addresses.
-func NewWorkers() *Workers {
-	return &Workers{client: &fasthttp.Client{
+func NewWorkers() *WorkerClient {
+	return &WorkerClient{client: &fasthttp.Client{
 		Dial:                      dialWithTimeout(workerDialTimeout),
 		MaxConnsPerHost:           connsPerWorker,
 		MaxIdleConnDuration:       workerIdleTimeout,
@@ -35,7 +35,7 @@
 
 // Command sends direct commands to a worker. It returns the heartbeat in the worker's response, and the
 // status of the response.
-func (w *Workers) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
+func (w *WorkerClient) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	var heartbeat *protocol.Heartbeat
 	readHeartbeat := func(_ int, body []byte) (err error) {
 		heartbeat, err = protocol.ParseHeartbeat(body)
