--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -257,7 +257,7 @@
 func TestAdminAPI(t *testing.T) {
 	cases := []struct {
 		name, method, path, body string
-		down                     bool
+		stateServiceDown         bool
 		status                   int
 		want                     string
 	}{
@@ -291,7 +291,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			server := NewAdminServer(&fakeCore{version: 7, stateServiceDown: test.down}, DefaultAdminLimits())
+			server := NewAdminServer(&fakeCore{version: 7, stateServiceDown: test.stateServiceDown}, DefaultAdminLimits())
 			checkAdminAnswer(t, server, test.method, test.path, test.body, test.status, test.want)
 		})
 	}
@@ -348,4 +348,4 @@
 // discardingConn accepts and discards all writes, like a socket whose other side does not answer.
 type discardingConn struct{ net.Conn }
 
-func (h discardingConn) Write(b []byte) (int, error) { return len(b), nil }
+func (c discardingConn) Write(b []byte) (int, error) { return len(b), nil }
