--- a/internal/transport/stateclient.go
+++ b/internal/transport/stateclient.go
@@ -15,8 +15,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// The state client's connections: watches and renewals have their own, so that they never wait for
-// transactions.
+// The maximum numbers of connections to the state service. Watches and lease renewals have connections
+// of their own, so that they never wait for transactions.
 const (
 	stateConns      = 32
 	stateWatchConns = 4
@@ -24,29 +24,29 @@
 )
 
 const (
-	stateTimeout     = 3 * time.Second  // until an answer has to be there
-	stateService     = "state"          // as metrics name it
-	maxUserTxnTries  = 3                // of a user's transaction that the service refuses for its rate
-	revisionProbeKey = "dykeledge/none" // a key that never exists
-	noSuchLease      = "no such lease"  // the state service's text for a session lease that has ended
+	stateTimeout       = 3 * time.Second  // for a response
+	stateService       = "state"          // label in the metrics
+	maxUserTxnAttempts = 3                // for a user's transaction that the service rejects for its rate
+	revisionProbeKey   = "dykeledge/none" // a key that never exists
+	noSuchLeaseText    = "no such lease"  // error text of the state service for an expired session lease
 )
 
-// State is the client of the state service.
-type State struct {
+// StateClient is a client of the state service.
+type StateClient struct {
 	client      *fasthttp.HostClient
 	watchClient *fasthttp.HostClient
 	leaseClient *fasthttp.HostClient
 	*StateBudget
-	// Timeout is how long an answer may take.
+	// Timeout is the maximum time for a response.
 	Timeout time.Duration
-	// Observe, if set, counts requests by service and outcome.
+	// Observe, if set, is called with the service and the outcome of each request.
 	Observe func(service, outcome string)
 }
 
-// NewState makes a client that stays under its part of the service's rates.
-func NewState(settings *config.Settings) *State {
+// NewState returns a client that stays within its share of the service's rate limits.
+func NewState(settings *config.Settings) *StateClient {
 	addr := settings.External.State
-	return &State{
+	return &StateClient{
 		client:      newHostClient(addr, stateConns),
 		watchClient: newHostClient(addr, stateWatchConns),
 		leaseClient: newHostClient(addr, stateLeaseConns),
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *State) call(ctx context.Context, client *fasthttp.HostClient, request serviceRequest, out any, timeout time.Duration) (int, error) {
+func (s *StateClient) call(ctx context.Context, client *fasthttp.HostClient, request serviceRequest, out any, timeout time.Duration) (int, error) {
 	status, err := call(ctx, client, request, out, timeout)
 	if s.Observe != nil {
 		s.Observe(stateService, requestOutcome(status, err))
@@ -67,8 +67,8 @@
 	return serviceRequest{http.MethodPost, "/txn", txn}
 }
 
-// Revision learns the current revision, by a transaction that changes nothing.
-func (s *State) Revision(ctx context.Context) (uint64, error) {
+// Revision returns the current revision. It reads it with a transaction that changes nothing.
+func (s *StateClient) Revision(ctx context.Context) (uint64, error) {
 	if err := s.Request(ctx); err != nil {
 		return 0, err
 	}
@@ -81,8 +81,8 @@
 	return result.Revision, err
 }
 
-// List reads a page of up to limit keys with a prefix, those after the key after.
-func (s *State) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
+// List returns a page of up to limit keys with a prefix, which begins after the key after.
+func (s *StateClient) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
 	var page protocol.Page
 	if err := s.Request(ctx); err != nil {
 		return page, err
@@ -95,41 +95,41 @@
 	return page, statusError(status, err)
 }
 
-// Txn carries out a transaction. On a conflict, failed is not empty. Errors
-// wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown.
-// A user's transaction that the service refuses for its rate is tried again a few times.
-func (s *State) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
-	for try := 1; ; try++ {
+// Txn commits a transaction. If conditions do not hold, failed is not empty and nothing was changed.
+// Errors wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown. A user's
+// transaction that the service rejects for its rate is repeated, up to maxUserTxnAttempts attempts.
+func (s *StateClient) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
+	for attempt := 1; ; attempt++ {
 		if err := s.Admit(ctx, len(txn.Then), priority); err != nil {
 			return 0, nil, err
 		}
 		outcome, err := s.commit(ctx, txn)
-		if !outcome.overRate {
+		if !outcome.rateLimited {
 			return outcome.revision, outcome.failed, err
 		}
 		wait := s.StepBack()
-		if priority != protocol.UserRequest || try >= maxUserTxnTries || sleep(ctx, wait) != nil {
+		if priority != protocol.UserRequest || attempt >= maxUserTxnAttempts || sleep(ctx, wait) != nil {
 			return outcome.revision, outcome.failed, err
 		}
 	}
 }
 
-// txnOutcome is what became of a transaction.
+// txnOutcome is the outcome of one attempt to commit a transaction.
 type txnOutcome struct {
-	revision uint64   // the state service's revision after it
-	failed   []string // keys whose conditions did not hold; "" if the service does not tell
-	overRate bool     // refused because all controllers together are too fast
+	revision    uint64   // revision of the state service after the transaction
+	failed      []string // keys whose conditions did not hold; one "" if the service does not name them
+	rateLimited bool     // rejected because all controllers together exceed the rate limit
 }
 
-// txnAnswer is the body of an answer to a transaction: its result or a refusal.
-type txnAnswer struct {
+// txnResponse is the body of the response to a transaction: its result or an error.
+type txnResponse struct {
 	protocol.TxnResult
 	Error string `json:"error"`
 }
 
-// commit sends a transaction once.
-func (s *State) commit(ctx context.Context, txn protocol.Txn) (txnOutcome, error) {
-	var answer txnAnswer
+// commit sends a transaction once, without waiting for the budget.
+func (s *StateClient) commit(ctx context.Context, txn protocol.Txn) (txnOutcome, error) {
+	var answer txnResponse
 	status, err := s.call(ctx, s.client, txnRequest(txn), &answer, s.Timeout)
 	if err != nil {
 		return txnOutcome{}, err
@@ -139,35 +139,35 @@
 		return txnOutcome{revision: answer.Revision}, nil
 	case http.StatusConflict:
 		if len(answer.Failed) == 0 {
-			answer.Failed = []string{""} // a conflict has to be seen as one
+			answer.Failed = []string{""} // failed must not be empty on a conflict
 		}
 		return txnOutcome{revision: answer.Revision, failed: answer.Failed}, nil
 	case http.StatusBadRequest:
 		return txnOutcome{}, badTxnError(answer.Error)
 	}
-	return txnOutcome{overRate: status == http.StatusTooManyRequests}, statusError(status, nil)
+	return txnOutcome{rateLimited: status == http.StatusTooManyRequests}, statusError(status, nil)
 }
 
-// badTxnError is the error that the text of a status 400 stands for.
+// badTxnError returns the error for the text of a response with status 400.
 func badTxnError(text string) error {
-	if text == noSuchLease {
+	if text == noSuchLeaseText {
 		return protocol.ErrNoLease
 	}
 	return fmt.Errorf("%w: %w: %s", protocol.ErrRefused, protocol.ErrTooLarge, text)
 }
 
-// leaseRequest asks for a session lease.
+// leaseRequest is the request body for a new session lease.
 type leaseRequest struct {
-	TTLMs int64 `json:"ttlMs"` // milliseconds without a renewal after which it ends
+	TTLMs int64 `json:"ttlMs"` // time without a renewal after which the lease expires, in milliseconds
 }
 
-// leaseGrant answers a leaseRequest.
+// leaseGrant is the response body for a leaseRequest.
 type leaseGrant struct {
 	Lease uint64 `json:"tenure"`
 }
 
-// Grant takes a new session lease, which ends unless it is renewed within ttl.
-func (s *State) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+// Grant creates a session lease, which expires unless it is renewed within ttl, and returns its ID.
+func (s *StateClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	s.Owe()
 	request := serviceRequest{http.MethodPost, "/holds", leaseRequest{TTLMs: ttl.Milliseconds()}}
 	var grant leaseGrant
@@ -175,8 +175,8 @@
 	return grant.Lease, statusError(status, err)
 }
 
-// Renew renews a session lease. protocol.ErrNoLease says that it has ended.
-func (s *State) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
+// Renew renews a session lease. It returns protocol.ErrNoLease if the lease has expired.
+func (s *StateClient) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
 	s.Owe()
 	path := "/holds/" + strconv.FormatUint(lease, 10) + "/extend"
 	status, err := s.call(ctx, s.leaseClient, serviceRequest{http.MethodPost, path, nil}, nil, timeout)
@@ -187,8 +187,9 @@
 	return err
 }
 
-// Watch waits, up to a time, for changes after a revision of keys with a prefix.
-func (s *State) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
+// Watch returns the changes of keys with a prefix after the revision from. If there are none, it waits
+// for up to wait.
+func (s *StateClient) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	s.Owe()
 	path := "/follow?starts=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
--- a/internal/transport/workerclient.go
+++ b/internal/transport/workerclient.go
@@ -14,27 +14,28 @@
 	workerDialTimeout = time.Second
 	workerIdleTimeout = 20 * time.Second
 	connsPerWorker    = 2
-	maxWorkerAnswer   = 1 << 20 // bytes
+	maxWorkerResponse = 1 << 20 // bytes
 )
 
-// Workers is the client of the workers.
-type Workers struct{ client *fasthttp.Client }
+// WorkerClient is a client of the workers.
+type WorkerClient struct{ client *fasthttp.Client }
 
-// NewWorkers makes a client for the workers' addresses.
-func NewWorkers() *Workers {
-	return &Workers{client: &fasthttp.Client{
-		Dial:                      dialWithin(workerDialTimeout),
+// NewWorkers returns a client that sends direct commands to workers at their addresses.
+func NewWorkers() *WorkerClient {
+	return &WorkerClient{client: &fasthttp.Client{
+		Dial:                      dialWithTimeout(workerDialTimeout),
 		MaxConnsPerHost:           connsPerWorker,
 		MaxIdleConnDuration:       workerIdleTimeout,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                neverRetry,
 		NoDefaultUserAgentHeader:  true,
-		MaxResponseBodySize:       maxWorkerAnswer,
+		MaxResponseBodySize:       maxWorkerResponse,
 	}}
 }
 
-// Command sends commands straight to a worker and returns its heartbeat, with the answer's status.
-func (w *Workers) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
+// Command sends direct commands to a worker. It returns the heartbeat in the worker's response, and the
+// status of the response.
+func (w *WorkerClient) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	var heartbeat *protocol.Heartbeat
 	readHeartbeat := func(_ int, body []byte) (err error) {
 		heartbeat, err = protocol.ParseHeartbeat(body)
