--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -16,67 +16,69 @@
 	"dykeledge/internal/wait"
 )
 
-// How long a user waits and repeats, as the protocol has it.
+// Time-outs and retry intervals that the protocol prescribes for clients.
 const (
-	submitAnswer = 5 * time.Second
-	pollAnswer   = 2 * time.Second
-	readyAnswer  = time.Second
-	retryAfter   = time.Second
-	longestAfter = 30 * time.Second
-	repeatFor    = time.Minute
+	submitAnswer = 5 * time.Second  // time-out of one try to submit, cancel or upload
+	pollAnswer   = 2 * time.Second  // time-out of a status request
+	readyAnswer  = time.Second      // time-out of a readiness request
+	retryAfter   = time.Second      // shortest pause before a retry
+	longestAfter = 30 * time.Second // upper bound for the pause that a Retry-After header asks for
+	repeatFor    = time.Minute      // total time for the tries of one request
 )
 
-// Errors of a request.
+// Errors that requests return.
 var (
-	// ErrRejected: the request is wrong and was not repeated (400, 422).
+	// ErrRejected means that the server found the request invalid (status 400 or 422). It is not retried.
 	ErrRejected = errors.New("rejected")
-	// ErrNotFound: no such job was ever accepted.
+	// ErrNotFound means that no job with this id has been accepted (status 404).
 	ErrNotFound = errors.New("no such job")
-	// ErrGaveUp: no certain answer came in time. A submitted job may exist all the same: ask
-	// for it, or submit it again under its id.
+	// ErrGaveUp means that no conclusive response came before the time for retries ran out or the context ended.
+	// A submitted job may have been accepted nevertheless: query its status, or submit it again under the same id.
 	ErrGaveUp = errors.New("no certain answer")
 )
 
-// Users speaks with the public address of a deployment. Any number of goroutines may use it.
+// Users is an HTTP client of a deployment's public address. It is safe for concurrent use.
 type Users struct {
 	address string
 	client  *fasthttp.Client
-	// Retried, if set, is told of every answer after which the request is repeated. It is set before the first
-	// request, and called by the goroutines that make requests.
+	// Retried, if not nil, is called with the outcome of every try after which the request is retried: the status,
+	// or the error if there was no response. It must be set before the first request; the goroutines that make
+	// requests call it concurrently.
 	Retried func(status int, err error)
 }
 
-// New returns a user of the load balancer, or of a controller, at an address.
+// New returns a client of the load balancer or controller at address.
 func New(address string) *Users {
 	return &Users{address: address, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitAnswer, MaxResponseBodySize: 1 << 20,
 		Dial: Dial}}
 }
 
-// dialWithin is how long a connection may take to open.
+// dialWithin is the time-out for opening a connection.
 const dialWithin = time.Second
 
-// Dial opens a TCP connection within a second. It is for fasthttp.Client.Dial, which hands no context on.
+// Dial opens a TCP connection to address with a time-out of one second. It is meant for the field Dial of
+// fasthttp.Client, which passes no context.
 func Dial(address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialWithin}
 	return dialer.DialContext(context.Background(), "tcp", address)
 }
 
-// Ready tells whether a load balancer or controller at an address takes requests: whether it answers
-// so within a second.
+// Ready reports whether the load balancer or controller at address accepts requests: whether /ready returns
+// status 200 within a second.
 func Ready(address string) bool {
 	status, _, err := fasthttp.GetTimeout(nil, "http://"+address+"/ready", readyAnswer)
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// answer is an answer as it came.
+// answer is an HTTP response.
 type answer struct {
 	status int
-	after  time.Duration // to wait before the next try
+	after  time.Duration // pause before the next try, from the Retry-After header; 0 if there is none
 	body   []byte
 }
 
-// once sends a request once.
+// once sends a request without retries and returns the response. The time-out is within.
 func (u *Users) once(method, path string, body []byte, within time.Duration) (answer, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -97,9 +99,10 @@
 	return a, nil
 }
 
-// repeat sends a request until an answer is certain, as the protocol asks: after a second or
-// Retry-After, for a minute in all. A little is added at random, so that those who were refused
-// together don't come back together.
+// repeat retries a request until it gets a conclusive response (200, 201, 400, 404 or 422), as the protocol
+// prescribes: it pauses for a second, or for longer if Retry-After says so, and gives up after a minute. A random
+// part of up to a quarter of a second is added to each pause, so that clients that were refused at the same time
+// don't retry at the same time.
 func (u *Users) repeat(ctx context.Context, method, path string, body []byte) (protocol.JobState, error) {
 	var state protocol.JobState
 	deadline := time.Now().Add(repeatFor)
@@ -108,7 +111,7 @@
 		switch {
 		case err == nil && (answer.status == 200 || answer.status == 201):
 			if err := json.Unmarshal(answer.body, &state); err != nil {
-				return state, fmt.Errorf("answer cannot be read: %w", err)
+				return state, fmt.Errorf("decode the job state in the response: %w", err)
 			}
 			return state, nil
 		case err == nil && (answer.status == 400 || answer.status == 422):
@@ -132,7 +135,7 @@
 	}
 }
 
-// reason is what an answer says against a request.
+// reason returns the error text of a response, or its status if the body holds none.
 func reason(a answer) string {
 	var r protocol.ErrorResponse
 	if json.Unmarshal(a.body, &r) != nil || r.Error == "" {
@@ -141,18 +144,19 @@
 	return r.Error
 }
 
-// Submit submits a job. Its body is the protocol's; its id makes repeats safe. Errors wrap
-// ErrRejected or ErrGaveUp.
+// Submit submits a job. The body is an encoded protocol.Submission; the job id in it makes retries idempotent.
+// Errors wrap ErrRejected or ErrGaveUp.
 func (u *Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
 	return u.repeat(ctx, fasthttp.MethodPost, "/v2/runs", body)
 }
 
-// Cancel cancels a job; it may turn out to be done. Errors wrap ErrNotFound or ErrGaveUp.
+// Cancel cancels a job and returns its state, which is done if the job completed first. Errors wrap ErrNotFound
+// or ErrGaveUp.
 func (u *Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
 	return u.repeat(ctx, fasthttp.MethodPost, "/v2/runs/"+id+"/cancel", nil)
 }
 
-// Status asks for a job once. Errors wrap ErrNotFound, or tell why no answer came.
+// Status queries the state of a job, without retries. The error wraps ErrNotFound if no such job has been accepted.
 func (u *Users) Status(id string) (protocol.JobState, error) {
 	var state protocol.JobState
 	answer, err := u.once(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollAnswer)
@@ -165,13 +169,13 @@
 		return state, errors.New(reason(answer))
 	}
 	if err := json.Unmarshal(answer.body, &state); err != nil {
-		return state, fmt.Errorf("answer cannot be read: %w", err)
+		return state, fmt.Errorf("decode the job state in the response: %w", err)
 	}
 	return state, nil
 }
 
-// Describe returns a job's description as workers need it: the submission, how long each task runs,
-// and whether it fails on every machine.
+// Describe returns the description of a job that workers fetch, encoded as JSON: the submission, the run time of
+// each task, and whether the tasks fail on every machine.
 func Describe(submission []byte, run time.Duration, fails bool) ([]byte, error) {
 	return json.Marshal(struct {
 		Spec  json.RawMessage `json:"spec"`
@@ -180,15 +184,15 @@
 	}{submission, run.Seconds(), fails})
 }
 
-// Upload puts a job's description where workers fetch it; what they run is in it. It is for a
-// client of the place that takes them.
+// Upload stores a job's description, as Describe returns it, at the address that workers fetch descriptions from.
+// The client must have been made for that address.
 func (u *Users) Upload(id string, description []byte) error {
 	a, err := u.once(fasthttp.MethodPut, "/descriptions/"+id, description, submitAnswer)
 	switch {
 	case err != nil:
-		return fmt.Errorf("description of %s is not uploaded: %w", id, err)
+		return fmt.Errorf("upload the description of job %s: %w", id, err)
 	case a.status != 200:
-		return fmt.Errorf("description of %s is refused: %s", id, reason(a))
+		return fmt.Errorf("upload the description of job %s: refused: %s", id, reason(a))
 	}
 	return nil
 }
--- a/internal/commandtest/commandtest.go
+++ b/internal/commandtest/commandtest.go
@@ -1,5 +1,5 @@
-// Package commandtest is for the tests of the commands: it compares what a command prints with golden
-// files, and finds all commands by their help texts. Only tests import it.
+// Package commandtest helps to test command-line programs: it compares what a command prints with golden files,
+// and finds all subcommands from the help texts. Only tests import it.
 //
 // docs/ARCHITECTURE.md says which programs and packages there are.
 package commandtest
@@ -12,11 +12,11 @@
 	"dykeledge/internal/golden"
 )
 
-// Invoke runs a command with arguments and returns what it prints and its exit code, as one text.
+// Invoke runs a command with args and returns its output and exit code as one text.
 type Invoke func(t *testing.T, args ...string) string
 
-// CheckHelp compares the help of every command with a golden file of its own, in a subtest each, and the
-// number of the commands with help-count.txt.
+// CheckHelp compares the help text of each command with the command's own golden file, in a subtest per command,
+// and the number of commands with help-count.txt.
 func CheckHelp(t *testing.T, invoke Invoke) {
 	t.Helper()
 	seen := 0
@@ -33,7 +33,8 @@
 	golden.CheckText(t, "help-count.txt", fmt.Sprintf("commands: %d\n", seen))
 }
 
-// subcommands are the commands that a help text lists. Those that the command library adds are left out.
+// subcommands returns the subcommands that a help text lists, without help and completion, which the command library
+// adds.
 func subcommands(help string) []string {
 	var names []string
 	_, list, _ := strings.Cut(help, "Available Commands:\n")
@@ -49,13 +50,13 @@
 	return names
 }
 
-// WrongUse is a wrong use of a command.
+// WrongUse is an invocation of a command with invalid arguments.
 type WrongUse struct {
-	Name string // of the subtest, and in the name of its golden file
+	Name string // name of the subtest, also part of the name of its golden file
 	Args []string
 }
 
-// CheckWrongUse compares messages and exit codes of wrong uses with golden files, in a subtest each.
+// CheckWrongUse compares the output and exit code of each invocation with a golden file, in a subtest per invocation.
 func CheckWrongUse(t *testing.T, invoke Invoke, uses []WrongUse) {
 	t.Helper()
 	for _, use := range uses {
--- a/internal/contexts/contexts.go
+++ b/internal/contexts/contexts.go
@@ -17,22 +17,23 @@
 	"dykeledge/internal/config"
 )
 
-// File is the configuration file.
+// File is the content of dykectl's configuration file.
 type File struct {
-	Current  string             `toml:"current"`
-	Contexts map[string]Context `toml:"contexts"`
+	Current  string             `toml:"current"`  // name of the context that is used if a command names none
+	Contexts map[string]Context `toml:"contexts"` // by name
 }
 
-// Context names a cluster's addresses.
+// Context holds the addresses of one cluster, and options of the commands for it.
 type Context struct {
-	Users   string   `toml:"users"`             // the load balancer, or a node's public_addr
-	Nodes   []string `toml:"nodes"`             // each node's peer_listen
-	Uploads string   `toml:"uploads,omitempty"` // where descriptions of jobs are put, if the cluster takes them
-	Team    string   `toml:"team,omitempty"`    // the view shows this team only
-	History string   `toml:"history,omitempty"` // what the recorder writes, for reports
+	Users   string   `toml:"users"`             // address of the load balancer, or public_addr of a controller
+	Nodes   []string `toml:"nodes"`             // peer_listen of each controller
+	Uploads string   `toml:"uploads,omitempty"` // address that job descriptions are uploaded to; empty if the cluster accepts none
+	Team    string   `toml:"team,omitempty"`    // the only team that the view shows; empty for all teams
+	History string   `toml:"history,omitempty"` // what the recorder writes, which reports are made from
 }
 
-// Path returns where the file is unless somebody says otherwise.
+// Path returns the path of the configuration file: DYKECTL_CONFIG if set, otherwise dykeledge/dykectl.toml in the
+// user's configuration directory.
 func Path() (string, error) {
 	if p := os.Getenv("DYKECTL_CONFIG"); p != "" {
 		return p, nil
@@ -44,8 +45,8 @@
 	return filepath.Join(dir, "dykeledge", "dykectl.toml"), nil
 }
 
-// Load reads and checks the file; one that is not there is empty. Errors fit on one line and
-// name file, field and what was expected.
+// Load reads and validates the configuration file. A file that does not exist counts as empty. Errors fit on one
+// line and name the file, the field and what was expected.
 func Load(path string) (*File, error) {
 	file := &File{}
 	raw, err := os.ReadFile(path)
@@ -64,7 +65,8 @@
 	return file, nil
 }
 
-// check returns a *config.FieldError of the first field that is wrong, by the names of the contexts.
+// check validates the file and returns a *config.FieldError for the first invalid field; contexts are checked in the
+// order of their names.
 func (f *File) check() error {
 	if _, ok := f.Contexts[f.Current]; f.Current != "" && !ok {
 		return &config.FieldError{Field: "current", Expected: "the name of one of the contexts"}
@@ -89,14 +91,15 @@
 	return nil
 }
 
-// isAddress tells whether a text is a host and a port.
+// isAddress reports whether text has the form host:port, with a port from 1 to 65535.
 func isAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	number, portErr := strconv.Atoi(port)
 	return err == nil && host != "" && portErr == nil && number > 0 && number <= 65535
 }
 
-// Get finds a context by its name; "" means the current one. Errors say what to do.
+// Get returns the context with a name, or the current context if name is empty. The error tells the user how to
+// proceed.
 func (f *File) Get(name string) (Context, error) {
 	if name == "" {
 		name = f.Current
@@ -111,7 +114,8 @@
 	return c, nil
 }
 
-// Change rewrites the file by a function, whole or not at all. Two changes at a time may lose one of them.
+// Change loads the file, applies the function to it, and replaces the file atomically by renaming a temporary file.
+// There is no lock: of two concurrent changes, one may be lost.
 func Change(path string, by func(*File)) error {
 	file, err := Load(path)
 	if err != nil {
@@ -137,7 +141,7 @@
 		err = os.Rename(tmp.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(tmp.Name()) // what matters is the error before
+		_ = os.Remove(tmp.Name()) // the error that led here is the one to return
 		return fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return nil
--- a/internal/contexts/doc.go
+++ b/internal/contexts/doc.go
@@ -1,5 +1,5 @@
-// Package contexts owns dykectl's configuration file: which clusters there are, and which one
-// is meant.
+// Package contexts reads and writes dykectl's configuration file, which lists the clusters (contexts) and names the
+// current one.
 //
 // docs/ARCHITECTURE.md says which programs and packages there are.
 package contexts
--- a/internal/fieldcheck/fieldcheck.go
+++ b/internal/fieldcheck/fieldcheck.go
@@ -1,25 +1,26 @@
-// Package fieldcheck checks the fields of a file that a person has written.
+// Package fieldcheck validates the fields of a hand-written settings file.
 //
 // docs/ARCHITECTURE.md says which programs and packages there are.
 package fieldcheck
 
 import "dykeledge/internal/config"
 
-// Checker keeps the first field that is not as it should be. A Checker is for one goroutine.
+// Checker records the first invalid field. It is not safe for concurrent use.
 type Checker struct {
 	prefix string
 	err    error
 }
 
-// Under returns a checker of fields whose names begin with a prefix, "" for none.
+// Under returns a checker that puts prefix before the names of the fields it reports.
 func Under(prefix string) *Checker { return &Checker{prefix: prefix} }
 
-// Want notes a field unless it is as it should be. expected says in a few words what would be.
+// Want records field as invalid if ok is false and no field has been recorded before. expected says in a few words
+// which values are valid.
 func (c *Checker) Want(ok bool, field, expected string) {
 	if !ok && c.err == nil {
 		c.err = &config.FieldError{Field: c.prefix + field, Expected: expected}
 	}
 }
 
-// Err returns a *config.FieldError of the first field that is not as it should be, nil if all are.
+// Err returns a *config.FieldError for the first invalid field, or nil if all are valid.
 func (c *Checker) Err() error { return c.err }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what tests produce with files in testdata/golden of the package under
-// test. With the flag -update the files are written instead; CI refuses that. Only tests import it.
+// Package golden compares the output of tests with golden files in testdata/golden of the package under test. With
+// the flag -update the files are written instead, except in CI, where the test fails. Only tests import it.
 //
 // docs/ARCHITECTURE.md says which programs and packages there are.
 package golden
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them; refused in CI")
 
-// Read returns the content of testdata/golden/name.
+// Read returns the content of testdata/golden/name, and ends the test if it can't be read.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(path(name))
@@ -25,7 +25,7 @@
 	return raw
 }
 
-// CheckBytes compares bytes with testdata/golden/name, or writes that file with -update.
+// CheckBytes compares got with testdata/golden/name, or writes that file with -update.
 func CheckBytes(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if *update {
@@ -37,8 +37,8 @@
 	}
 }
 
-// CheckText compares a text with testdata/golden/name and ends the test at the first line that
-// differs, or writes that file with -update.
+// CheckText compares got with testdata/golden/name line by line and ends the test at the first difference, or
+// writes that file with -update.
 func CheckText(t *testing.T, name, got string) {
 	t.Helper()
 	if *update {
@@ -55,7 +55,7 @@
 
 func path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// lineAt is a line of a text, or a remark that the text has ended before.
+// lineAt returns line i, or a placeholder if the text has fewer lines.
 func lineAt(lines []string, i int) string {
 	if i >= len(lines) {
 		return "(no such line)"
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,7 +1,7 @@
-// Package loadgen makes jobs come to a deployment as a file describes them, whether or not
-// earlier ones have been answered, and measures what becomes of them.
+// Package loadgen is an open-loop load generator: it submits jobs to a deployment at the times that a profile file
+// describes, whether or not earlier requests have been answered, and measures latencies and outcomes.
 //
-// A Profile is the file, Profile.Plan draws the jobs of it, a Runner submits them at their times.
+// Profile is the content of the file, Profile.Plan draws the jobs from it, and Runner submits them at their times.
 //
 // docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
 package loadgen
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestPlan: the same seed draws the same jobs, another draws others; all of them are valid and
-// await only jobs that come before them.
+// TestPlan checks that the same seed yields the same jobs and another seed other jobs, and that all jobs are valid
+// and depend only on jobs with an earlier arrival.
 func TestPlan(t *testing.T) {
 	red, err := Parse([]byte(profile))
 	if err != nil {
@@ -50,7 +50,7 @@
 	again, err2 := red.Plan(7)
 	other, err3 := red.Plan(8)
 	if err := errors.Join(err1, err2, err3); err != nil || !reflect.DeepEqual(arrivals, again) || reflect.DeepEqual(arrivals, other) || len(arrivals) < 200 || len(arrivals) > 400 {
-		t.Fatalf("%d jobs and %d, %v", len(arrivals), len(other), err)
+		t.Fatalf("seed 7: %d jobs, seed 8: %d jobs, %v; want 200 to 400 jobs that depend on the seed only", len(arrivals), len(other), err)
 	}
 	at := map[string]time.Duration{}
 	for _, arrival := range arrivals {
@@ -64,14 +64,15 @@
 		}
 		for _, id := range arrival.Job.Dependencies {
 			if _, ok := at[id]; !ok {
-				t.Fatalf("%s awaits %s, which has not come", arrival.Job.ID, id)
+				t.Fatalf("%s depends on %s, which arrives later or never", arrival.Job.ID, id)
 			}
 		}
 		at[arrival.Job.ID] = arrival.At
 	}
 }
 
-// slow answers submissions after 20 s, and says of one job that it runs after it was done.
+// slow is a deployment that answers submissions after 20 s, and that reports one job as running again after it
+// reported it as done.
 type slow struct {
 	mu   sync.Mutex
 	jobs map[string]time.Time
@@ -105,8 +106,8 @@
 	return protocol.JobState{ID: id, Status: protocol.Done}, nil
 }
 
-// TestOpenLoop: jobs come at their times although none has been answered yet, and a job that
-// goes back is noticed.
+// TestOpenLoop checks that jobs are submitted at their times although earlier submissions have not been answered yet,
+// and that a job whose final status is followed by another status is counted.
 func TestOpenLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		red, err := Parse([]byte(strings.Replace(profile, "chain_part = 0.2", "", 1)))
@@ -120,7 +121,7 @@
 		s := &slow{jobs: map[string]time.Time{}, back: plan[3].Job.ID}
 		r := (&Runner{To: s}).Run(t.Context(), plan, 5*time.Minute)
 		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.Behind.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
-			t.Errorf("%+v of %d", r, len(plan))
+			t.Errorf("result %+v for %d jobs", r, len(plan))
 		}
 		var b strings.Builder
 		if err := r.Print(&b); err != nil || !strings.Contains(b.String(), "1 went back") {
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -15,56 +15,55 @@
 	"dykeledge/internal/protocol"
 )
 
-// Profile describes a load.
+// Profile describes a load: how long it lasts, and the streams of jobs in it.
 type Profile struct {
-	ForS    float64  `toml:"for_s"`
+	ForS    float64  `toml:"for_s"` // duration of the load, in seconds
 	Streams []Stream `toml:"stream"`
 }
 
-// Range is a list of one number, or of two between which is drawn evenly.
+// Range holds one number, which is used as it is, or the two bounds of a uniform distribution.
 type Range []float64
 
-// Stream is jobs of one kind that come at random, independently of one another.
+// Stream describes jobs of one kind, which arrive as a Poisson process.
 type Stream struct {
 	Team         string  `toml:"team"`
 	Class        string  `toml:"class"`
-	Priority     string  `toml:"priority"` // low, normal, high or production
-	PerMinute    float64 `toml:"per_minute"`
-	FromS        float64 `toml:"from_s"` // when in the load it begins
-	ForS         float64 `toml:"for_s"`  // and for how long; 0: to the end
-	Tasks        Range   `toml:"tasks"`
-	Cpus         Range   `toml:"cpus"`
+	Priority     string  `toml:"priority"`   // low, normal, high or production
+	PerMinute    float64 `toml:"per_minute"` // mean arrival rate, in jobs per minute
+	FromS        float64 `toml:"from_s"`     // start of the stream, in seconds from the start of the load
+	ForS         float64 `toml:"for_s"`      // duration of the stream, in seconds; 0: until the load ends
+	Tasks        Range   `toml:"tasks"`      // tasks of a job
+	Cpus         Range   `toml:"cpus"`       // CPUs, GPUs and memory of a task
 	Gpus         Range   `toml:"gpus"`
 	MemGB        Range   `toml:"mem_gb"`
-	RunS         Range   `toml:"run_s"`   // how long a task really runs
-	OffBy        float64 `toml:"off_by"`  // the owner's estimate is wrong by up to this part
-	DueIn        float64 `toml:"due_in"`  // deadline, in times the estimate; 0: none
-	Service      bool    `toml:"service"` // runs until it is cancelled
-	OnDemandOnly bool    `toml:"ordinary"`
+	RunS         Range   `toml:"run_s"`    // actual run time of a task, in seconds
+	OffBy        float64 `toml:"off_by"`   // largest relative error of the run time estimate in the submission
+	DueIn        float64 `toml:"due_in"`   // deadline, as a multiple of the estimate; 0: none
+	Service      bool    `toml:"service"`  // the job runs until it is cancelled
+	OnDemandOnly bool    `toml:"ordinary"` // the job does not accept spot machines
 	CheckpointS  float64 `toml:"checkpoint_s"`
-	SaveS        float64 `toml:"save_s"`
-	ImageGB      float64 `toml:"image_gb"`
-	Images       int     `toml:"images"`       // how many different ones
-	CancelPart   float64 `toml:"cancel_part"`  // of the jobs, cancelled by their users
-	CancelIn     Range   `toml:"cancel_in_s"`  // after they were accepted
-	FailPart     float64 `toml:"fail_part"`    // of the jobs, submitted with a mistake
-	ChainPart    float64 `toml:"chain_part"`   // of the jobs, that await the stream's latest one
-	SameZone     bool    `toml:"same_zone"`    // all tasks in one zone
-	HalfAZone    bool    `toml:"half_a_zone"`  // at most half of the tasks in one zone
-	MachineType  string  `toml:"machine_type"` // the only allowed one
+	SaveS        float64 `toml:"save_s"`       // time that a checkpoint takes, in seconds
+	ImageGB      float64 `toml:"image_gb"`     // size of an image
+	Images       int     `toml:"images"`       // number of different images
+	CancelPart   float64 `toml:"cancel_part"`  // fraction of the jobs that their users cancel
+	CancelIn     Range   `toml:"cancel_in_s"`  // time from acceptance to cancellation, in seconds
+	FailPart     float64 `toml:"fail_part"`    // fraction of the jobs whose tasks fail on every machine
+	ChainPart    float64 `toml:"chain_part"`   // fraction of the jobs that depend on the stream's previous job
+	SameZone     bool    `toml:"same_zone"`    // all tasks of a job run in one zone
+	HalfAZone    bool    `toml:"half_a_zone"`  // at most half of a job's tasks run in one zone
+	MachineType  string  `toml:"machine_type"` // the only machine type that the job accepts; empty: any
 }
 
-// Arrival is a job that comes.
+// Arrival is a job with the time at which it is submitted.
 type Arrival struct {
-	At          time.Duration // after the load's beginning
+	At          time.Duration // since the start of the load
 	Job         protocol.Submission
-	Run         time.Duration // how long each task really runs
-	Fails       bool
-	CancelAfter time.Duration // after it was accepted; 0: not
+	Run         time.Duration // actual run time of each task
+	Fails       bool          // the tasks fail on every machine
+	CancelAfter time.Duration // time from acceptance to cancellation; 0: the job is not cancelled
 }
 
-// Load reads and checks a profile. Errors fit on one line and name file, field and what was
-// expected.
+// Load reads and validates a profile. Errors fit on one line and name the file, the field and what was expected.
 func Load(path string) (*Profile, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +76,7 @@
 	return p, nil
 }
 
-// Parse reads and checks a profile's text.
+// Parse decodes and validates the text of a profile, which is TOML.
 func Parse(raw []byte) (*Profile, error) {
 	profile := &Profile{}
 	if err := config.Strict(raw, profile); err != nil {
@@ -97,7 +96,7 @@
 	return profile, nil
 }
 
-// check checks a stream and fills in what it leaves out.
+// check fills in the defaults of a stream and validates it; at is the prefix of field names in errors.
 func (s *Stream) check(at string) error {
 	fill := func(r *Range, v float64) {
 		if len(*r) == 0 {
@@ -132,18 +131,19 @@
 	check.Want(s.MemGB.within(0, 1e6), "mem_gb", "a list of one or two numbers of 0 or more")
 	check.Want(s.RunS.within(0, 1e6), "run_s", "a list of one or two numbers of seconds")
 	check.Want(s.CancelIn.within(0, 1e6), "cancel_in_s", "a list of one or two numbers of seconds")
-	check.Want(part(s.OffBy), "off_by", "a part from 0 to 1")
-	check.Want(part(s.CancelPart), "cancel_part", "a part from 0 to 1")
-	check.Want(part(s.FailPart), "fail_part", "a part from 0 to 1")
-	check.Want(part(s.ChainPart), "chain_part", "a part from 0 to 1")
+	check.Want(part(s.OffBy), "off_by", "a fraction from 0 to 1")
+	check.Want(part(s.CancelPart), "cancel_part", "a fraction from 0 to 1")
+	check.Want(part(s.FailPart), "fail_part", "a fraction from 0 to 1")
+	check.Want(part(s.ChainPart), "chain_part", "a fraction from 0 to 1")
 	check.Want(amount(s.DueIn), "due_in", "a number of 0 or more")
 	check.Want(amount(s.CheckpointS), "checkpoint_s", "seconds of 0 or more")
 	check.Want(amount(s.SaveS), "save_s", "seconds of 0 or more")
 	check.Want(amount(s.ImageGB), "image_gb", "a size of 0 or more")
-	check.Want(!s.Service || s.ChainPart == 0, "chain_part", "0 for services: nothing can await them")
+	check.Want(!s.Service || s.ChainPart == 0, "chain_part", "0 for services: no job can depend on them")
 	return check.Err()
 }
 
+// within reports whether r holds one number or two in ascending order, all from low to high.
 func (r Range) within(low, high float64) bool {
 	return len(r) >= 1 && len(r) <= 2 && slices.IsSorted(r) && r[0] >= low && r[len(r)-1] <= high
 }
@@ -152,11 +152,11 @@
 	return r[0] + rnd.Float64()*(r[len(r)-1]-r[0])
 }
 
-// ErrTooMany says that a profile asks for more than a load tool should do to one machine.
-var ErrTooMany = errors.New("more than 200000 jobs")
+// ErrTooMany means that a profile yields more than 200000 jobs, the most that the load generator plays on one machine.
+var ErrTooMany = errors.New("the profile yields more than 200000 jobs")
 
-// Plan draws the jobs of a profile: the same for the same seed. Ids come in no order, and
-// another seed's are others.
+// Plan draws the jobs of a profile and returns them in the order of arrival. The same seed yields the same jobs, other
+// seeds yield other job ids. Job ids are random, so their order is not the order of arrival.
 func (p *Profile) Plan(seed uint64) ([]Arrival, error) {
 	var out []Arrival
 	used := map[string]bool{}
@@ -188,11 +188,11 @@
 	return out, nil
 }
 
-// draw draws one job of a stream.
+// draw draws one job of a stream, without arrival time, id and dependencies.
 func (s *Stream) draw(rnd *rand.Rand) Arrival {
 	round := func(v float64) float64 { return math.Round(v*100) / 100 }
 	run := round(s.RunS.draw(rnd))
-	prio, _ := protocol.ParsePriority(s.Priority) // checked
+	prio, _ := protocol.ParsePriority(s.Priority) // check has validated it
 	submission := protocol.Submission{Class: s.Class, Team: s.Team, Priority: prio, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
 		Gpus: math.Round(s.Gpus.draw(rnd)), MemGB: round(s.MemGB.draw(rnd)), Image: fmt.Sprintf("%s-%d", s.Class, rnd.IntN(s.Images)), ImageGB: s.ImageGB,
 		OneZone: s.SameZone, Spread: s.HalfAZone, Spot: !s.OnDemandOnly, CheckpointS: s.CheckpointS, CheckpointCostS: s.SaveS}
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,7 +17,7 @@
 	"dykeledge/internal/wait"
 )
 
-// Deployment is what jobs are given to; client.Users is one. Any number of goroutines call it. Errors wrap
+// Deployment accepts jobs; *client.Users implements it. Its methods are called concurrently, and their errors wrap
 // those of package client.
 type Deployment interface {
 	Submit(ctx context.Context, body []byte) (protocol.JobState, error)
@@ -25,27 +25,27 @@
 	Status(id string) (protocol.JobState, error)
 }
 
-// Result counts what became of the jobs, and how long it took. Times are in milliseconds.
+// Result holds the outcomes of the jobs of a run, and latencies in milliseconds.
 type Result struct {
 	Seed      uint64 `json:"seed"`
 	Jobs      int    `json:"jobs"`
 	Accepted  int    `json:"accepted"`
-	Rejected  int    `json:"rejected"` // 400 or 422: a mistake in the profile
-	GaveUp    int    `json:"gave_up"`  // no certain answer within a minute
+	Rejected  int    `json:"rejected"` // jobs refused as invalid (400 or 422), or whose description could not be uploaded
+	GaveUp    int    `json:"gave_up"`  // submissions without a conclusive response within a minute
 	Retries   int    `json:"retries"`
 	Done      int    `json:"done"`
 	Cancelled int    `json:"cancelled"`
-	Open      int    `json:"open"` // when the load was over
-	Late      int    `json:"late"` // of those with a deadline: done after it, or open beyond it
+	Open      int    `json:"open"` // jobs without a final status at the end of the run
+	Late      int    `json:"late"` // jobs with a deadline that were done after it, or still open beyond it
 	WithDue   int    `json:"with_deadline"`
-	WentBack  int    `json:"went_back"` // a job that was over was told to be something else: must be 0
-	Accept    Span   `json:"accept_ms"`
-	Complete  Span   `json:"complete_ms"`
-	Answers   Span   `json:"poll_ms"`
-	Behind    Span   `json:"generator_behind_ms"` // by how much jobs came later than planned
+	WentBack  int    `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
+	Accept    Span   `json:"accept_ms"`           // from the first try to the acceptance
+	Complete  Span   `json:"complete_ms"`         // from the first try until a poll showed the job as done
+	Answers   Span   `json:"poll_ms"`             // latency of status requests
+	Behind    Span   `json:"generator_behind_ms"` // how much later than planned jobs were submitted
 }
 
-// Span tells of a distribution.
+// Span summarizes a distribution of times in milliseconds.
 type Span struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -53,28 +53,30 @@
 	Max   int64 `json:"max"`
 }
 
-// longest time that is told apart, in milliseconds.
+// longest is the largest value that a timer records, in milliseconds: one day. Longer times count as this one.
 const longest = 24 * 3600 * 1000
 
-// timer counts times in milliseconds.
+// timer is a histogram of times in milliseconds.
 type timer struct{ h *hdrhistogram.Histogram }
 
 func newTimer() timer { return timer{hdrhistogram.New(1, longest, 3)} }
 
 func (t timer) add(d time.Duration) {
-	_ = t.h.RecordValue(max(1, min(longest, d.Milliseconds()))) // within its bounds
+	_ = t.h.RecordValue(max(1, min(longest, d.Milliseconds()))) // no error: the value is within the bounds
 }
 
 func (t timer) span() Span {
 	return Span{t.h.TotalCount(), t.h.ValueAtQuantile(50), t.h.ValueAtQuantile(99), t.h.Max()}
 }
 
-// Runner gives a plan to a deployment. It is for one Run.
+// Runner submits the jobs of a plan to a deployment and follows them until they are final. A Runner is good for one
+// call of Run.
 type Runner struct {
+	// To is the deployment that the jobs are submitted to.
 	To Deployment
-	// Upload, if set, puts a job's description where workers fetch it, before it is submitted.
+	// Upload, if not nil, stores a job's description where workers fetch it. It is called before the job is submitted.
 	Upload func(id string, description []byte) error
-	// PollEvery is about how often a job's user asks for it; 0: every five seconds.
+	// PollEvery is the mean time between two status requests for a job; 0 stands for five seconds.
 	PollEvery time.Duration
 
 	mu                                sync.Mutex
@@ -82,13 +84,14 @@
 	accept, complete, answers, behind timer
 }
 
-// Run lets the jobs come at their times, waits until all are over or ctx ends, and at most as
-// long as drain after the last one has come. No job waits for another's answer.
+// Run submits the jobs at their times and returns the result when all are final, when ctx ends, or when drain has
+// passed since the last arrival. A submission does not wait for the responses to earlier ones, except that a job is
+// submitted only after the jobs it depends on have been accepted.
 func (r *Runner) Run(ctx context.Context, plan []Arrival, drain time.Duration) Result {
 	r.accept, r.complete, r.answers, r.behind = newTimer(), newTimer(), newTimer(), newTimer()
 	r.res = Result{Jobs: len(plan)}
 	if r.PollEvery == 0 {
-		r.PollEvery = 5 * time.Second // as the protocol's users do
+		r.PollEvery = 5 * time.Second // the interval that the protocol prescribes for users
 	}
 	began := time.Now()
 	var all sync.WaitGroup
@@ -135,21 +138,22 @@
 	return r.res
 }
 
-// Retried counts a request that is repeated. Any number of goroutines may call it.
+// Retried counts a request that is retried; it fits client.Users.Retried. It is safe for concurrent use.
 func (r *Runner) Retried(int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.res.Retries++
 }
 
-// count changes the result under its lock.
+// count applies f to the result while holding the lock.
 func (r *Runner) count(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.res)
 }
 
-// one is the life of one job's user.
+// one plays the user of one job: it uploads and submits the job and follows it until it is final. It calls accepted
+// once the job has been accepted.
 func (r *Runner) one(ctx context.Context, arrival *Arrival, accepted func()) {
 	body, err := protocol.EncodeSubmission(&arrival.Job)
 	if err == nil && r.Upload != nil {
@@ -193,7 +197,7 @@
 	})
 }
 
-// upload puts a job's description where workers fetch it.
+// upload stores a job's description where workers fetch it.
 func (r *Runner) upload(a *Arrival, body []byte) error {
 	raw, err := client.Describe(body, a.Run, a.Fails)
 	if err != nil {
@@ -202,8 +206,8 @@
 	return r.Upload(a.Job.ID, raw)
 }
 
-// watch polls a job until it is over and cancels it if its user wants to. A last poll some
-// time after the end finds out whether it was told otherwise.
+// watch polls a job until its status is final, and cancels it when the plan says so. It returns the last status and
+// the time since began. One more poll, PollEvery after the final status, checks that the status has not changed.
 func (r *Runner) watch(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
 	asked := time.Now()
 	cancelled := arrival.CancelAfter == 0
@@ -239,7 +243,7 @@
 	return state.Status, took
 }
 
-// Print writes a result for people. An error is the output's.
+// Print writes the result as a table. The error is the first one of the writer.
 func (r *Result) Print(w io.Writer) error {
 	table := textout.NewTable(w, tabwriter.AlignRight)
 	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -20,63 +20,65 @@
 	"dykeledge/internal/wait"
 )
 
-// Options say what cluster to run.
+// Options configure a local cluster.
 type Options struct {
-	Program  string       // the controller
-	Features string       // its features file, "" for none
-	Machines int          // that can be rented in all
-	Up       int          // of these, up at the start
-	Seed     uint64       // of the machines' boot times, prices and faults
-	Speed    float64      // how many times as fast as stated machines come up, fetch and work
-	Dir      string       // for settings and logs
-	Faults   *Schedule    // nil: none
-	Log      *slog.Logger // of faults and of controllers' ends
+	Program  string       // path of the controller program
+	Features string       // path of the controllers' features file; empty: none
+	Machines int          // number of machines that the cloud can rent out
+	Up       int          // number of machines that run at the start
+	Seed     uint64       // seed for boot times, prices and faults of the machines
+	Speed    float64      // factor by which machines boot, fetch images and run tasks faster than stated
+	Dir      string       // directory for settings files and logs
+	Faults   *Schedule    // faults to inject; nil: none
+	Log      *slog.Logger // receives faults and exits of controller processes
 
-	// Deployment is what is played; the zero value stands for Settings().
+	// Deployment holds the settings of the deployment. If it has no zones, Settings() is used.
 	Deployment config.Deployment
-	// Catalog is what the cloud rents; without types it stands for Catalog of the deployment's zones.
+	// Catalog lists the machine types that the cloud rents out. If it is empty, Catalog(zones) is used.
 	Catalog protocol.Catalog
-	// Addresses tells where things listen; its fields may be nil.
+	// Addresses chooses listen addresses; its fields may be nil.
 	Addresses Addresses
-	// Delay, if set, is how long a message takes between two zones.
+	// Delay, if not nil, returns the one-way delay of a message between two zones.
 	Delay func(from, to string) time.Duration
-	// SharedTicker is for some hundred workers and more: see simulator.Simulation.
+	// SharedTicker makes all workers share one ticker, see simulator.Simulation. It is meant for several hundred
+	// workers and more.
 	SharedTicker bool
 }
 
-// Addresses tells where things of a cluster listen, all of them on loopback. What is nil gets ports from the system.
+// Addresses chooses the loopback addresses that workers and controllers listen on. Where a field is nil, the system
+// chooses the ports.
 type Addresses struct {
 	Worker     func(number int) string
 	Controller func(i int) (public, peer string)
 }
 
-// ControllerMeters count what passes between one controller and what is around it.
+// ControllerMeters count the traffic between one controller and the services and peers around it.
 type ControllerMeters struct {
-	State, Cloud, Peers simulator.Meter // Peers: of connections that this controller has opened
+	State, Cloud, Peers simulator.Meter // Peers counts the connections that this controller opened
 	Requests            *simulator.StateRequests
 }
 
-// Cluster is a running cluster.
+// Cluster is a running local cluster.
 type Cluster struct {
 	Simulation   *simulator.Simulation
-	Users        string   // the load balancer
-	Uploads      string   // where descriptions of jobs are put
-	Controllers  []string // the controllers' peer_listen
-	Dir          string
-	Meters       []*ControllerMeters // by controller
-	LoadBalancer simulator.Meter     // users' connections to the load balancer
+	Users        string              // address of the load balancer
+	Uploads      string              // address that job descriptions are uploaded to
+	Controllers  []string            // peer_listen of each controller
+	Dir          string              // directory of settings files and logs
+	Meters       []*ControllerMeters // one per controller
+	LoadBalancer simulator.Meter     // counts users' connections to the load balancer
 
-	public    []string // the controllers' public_addr
+	public    []string // public_addr of each controller
 	processes []*process
 	ports     *simulator.WorkerPorts
-	files     []*os.File
+	files     []*os.File // log files of the controllers
 	listeners []net.Listener
-	all       sync.WaitGroup // ends with the context
-	servers   sync.WaitGroup // end with their listeners
+	all       sync.WaitGroup // goroutines that end with the context
+	servers   sync.WaitGroup // goroutines that end when their listeners are closed
 	cancel    context.CancelFunc
 }
 
-// Settings returns the deployment that a local cluster plays unless Options name another.
+// Settings returns the deployment of a local cluster whose Options name none.
 func Settings() config.Deployment {
 	return config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"}, ClockSkewMs: 50,
 		Teams:     []config.Team{{Name: "red", Cpus: 64, CpusMax: 256}, {Name: "blue", Cpus: 64, Gpus: 4}, {Name: "green", Cpus: 16}, {Name: "guest"}},
@@ -86,7 +88,7 @@
 		Resources: config.Resources{CPU: 1, MemMB: 256, MaxConnections: 2000}}
 }
 
-// Catalog returns what the cloud of a local cluster rents unless Options name another.
+// Catalog returns the machine types of a local cluster whose Options name none.
 func Catalog(zones []string) protocol.Catalog {
 	return protocol.Catalog{Types: []protocol.MachineType{
 		{Name: "c8", Cpus: 8, MemGB: 32, CacheGB: 40, FetchGBs: 0.5, Price: 0.4, SpotPrice: 0.14, BootS: 12, Zones: zones},
@@ -95,17 +97,17 @@
 	}}
 }
 
-// Of the machines that are rented, so many come late, and so many never.
+// Boot faults of rented machines.
 const (
-	lateBoots  = 0.03
-	neverBoots = 0.01
+	lateBoots  = 0.03 // fraction of the machines that boot late
+	neverBoots = 0.01 // fraction of the machines that never boot
 )
 
-// readyAskedEvery is the time between two questions whether the cluster takes requests.
+// readyAskedEvery is the interval between readiness checks of the load balancer.
 const readyAskedEvery = 200 * time.Millisecond
 
-// Start starts a cluster, which runs until ctx ends or Stop is called; Stop must be called in any case.
-// An error says what could not be started; then nothing runs.
+// Start starts a cluster, which runs until ctx ends or Stop is called. The caller must call Stop in both cases. If
+// Start returns an error, it has stopped everything that it had started.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	cluster := &Cluster{Dir: options.Dir, cancel: cancel}
@@ -134,7 +136,9 @@
 		return err
 	}
 	files, err := c.startAround(ctx, &options)
-	release() // as late as can be: a controller listens there next, and starts again if it finds a port taken
+	// The ports are released just before the controllers start and listen on them. A controller that finds its port in
+	// use exits and is restarted.
+	release()
 	if err != nil {
 		return err
 	}
@@ -150,7 +154,7 @@
 	return nil
 }
 
-// startSimulation makes the state service, the cloud and the workers' ports.
+// startSimulation creates the simulated state service, cloud and workers, and opens the workers' ports.
 func (c *Cluster) startSimulation(ctx context.Context, options *Options) {
 	deployment := &options.Deployment
 	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
@@ -170,14 +174,15 @@
 	}
 }
 
-// chooseAddresses chooses where the controllers will listen. Ports that the system chose are held until release.
+// chooseAddresses chooses the listen addresses of the controllers. Ports that the system chose stay reserved by a
+// listener until release is called.
 func (c *Cluster) chooseAddresses(ctx context.Context, options *Options) (release func(), err error) {
 	count := options.Deployment.Controllers
 	c.public, c.Controllers = make([]string, count), make([]string, count)
 	var held []net.Listener
 	release = func() {
 		for _, ln := range held {
-			_ = ln.Close() // nobody was served
+			_ = ln.Close() // it accepted no connections
 		}
 	}
 	for i := range count {
@@ -198,7 +203,7 @@
 	return release, nil
 }
 
-// startAround starts what is around the controllers, and writes their settings files.
+// startAround starts the services, the load balancer and the upload server, and writes the controllers' settings files.
 func (c *Cluster) startAround(ctx context.Context, options *Options) (files []string, err error) {
 	loadBalancer := simulator.NewLoadBalancer()
 	zones := options.Deployment.Zones
@@ -232,7 +237,8 @@
 	return files, nil
 }
 
-// startServices starts what one controller calls, and returns the controller's settings.
+// startServices starts the servers that one controller connects to (state service, cloud, and a relay to each peer),
+// and returns the controller's settings.
 func (c *Cluster) startServices(ctx context.Context, index int, options *Options) (*config.Settings, error) {
 	simulation, process, meters := c.Simulation, c.Simulation.Controller(index), c.Meters[index]
 	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[index], PeerListen: c.Controllers[index], Deployment: options.Deployment}
@@ -282,14 +288,17 @@
 	}
 	for _, controller := range c.processes {
 		c.all.Go(func() {
-			runtime.LockOSThread() // a process that ends with its parent does so with the thread that began it
+			// Pdeathsig (see process.start) is sent when the thread that started the child exits, not the process, so
+			// this goroutine keeps its thread.
+			runtime.LockOSThread()
 			controller.run(ctx)
 		})
 	}
 	return nil
 }
 
-// serve serves on a loopback port until the cluster stops; what passes there is counted where there is a meter.
+// serve runs a server on a new loopback port until the cluster stops, and returns its address. If meter is not nil, it
+// counts the traffic.
 func (c *Cluster) serve(ctx context.Context, meter *simulator.Meter, serve func(net.Listener) error) (string, error) {
 	ln, err := listenOnLoopback(ctx)
 	if err != nil {
@@ -299,7 +308,7 @@
 		ln = meter.Listen(ln)
 	}
 	c.listeners = append(c.listeners, ln)
-	c.servers.Go(func() { _ = serve(ln) }) // it ends as its listener is closed, and says so
+	c.servers.Go(func() { _ = serve(ln) }) // the error only says that the listener was closed
 	return ln.Addr().String(), nil
 }
 
@@ -309,8 +318,8 @@
 	return listenConfig.Listen(ctx, "tcp4", "127.0.0.1:0")
 }
 
-// Ready waits until the load balancer finds a controller that takes requests, as ask tells of an address.
-// An error says that ctx has ended before.
+// Ready waits until ask reports that the load balancer's address accepts requests, that is, until a controller
+// behind it is ready. It returns an error if ctx ends first.
 func (c *Cluster) Ready(ctx context.Context, ask func(addr string) bool) error {
 	for !ask(c.Users) {
 		if !wait.For(ctx, readyAskedEvery) {
@@ -320,8 +329,8 @@
 	return nil
 }
 
-// Pids returns the ids of the controllers' processes, 0 for one that does not run now. It may be called
-// by any goroutine.
+// Pids returns the process ids of the controllers, 0 for one that does not run at the moment. It is safe for concurrent
+// use.
 func (c *Cluster) Pids() []int {
 	out := make([]int, len(c.processes))
 	for i, p := range c.processes {
@@ -330,7 +339,8 @@
 	return out
 }
 
-// Ends returns how many times a controller ended that nobody had asked to. It may be called by any goroutine.
+// Ends returns how many times a controller process exited without a fault having killed it. It is safe for concurrent
+// use.
 func (c *Cluster) Ends() int {
 	n := 0
 	for _, p := range c.processes {
@@ -341,18 +351,18 @@
 	return n
 }
 
-// Stop ends all that was started and waits for it. It is called once.
+// Stop stops all processes, servers and goroutines of the cluster and waits for them. It must be called only once.
 func (c *Cluster) Stop() {
 	c.cancel()
 	c.all.Wait()
 	for _, ln := range c.listeners {
-		_ = ln.Close() // nobody is served any more
+		_ = ln.Close() // the controllers have exited
 	}
 	c.servers.Wait()
 	if c.ports != nil {
-		_ = c.ports.Close() // likewise
+		_ = c.ports.Close() // the controllers have exited
 	}
 	for _, f := range c.files {
-		_ = f.Close() // the processes have ended
+		_ = f.Close() // the controllers have exited
 	}
 }
--- a/internal/localcluster/doc.go
+++ b/internal/localcluster/doc.go
@@ -1,8 +1,8 @@
-// Package localcluster runs a cluster on one machine: the controllers as real processes, and
-// around them, in this process, the state service, the cloud, the workers and the load
-// balancer, which are the stand-ins of the tests in real time over HTTP on loopback ports.
+// Package localcluster runs a cluster on one machine. The controllers are real processes. The state service, the
+// cloud, the workers and the load balancer are the simulated ones of the tests (package simulator); they run in this
+// process, in real time, and serve HTTP on loopback ports.
 //
-// A Schedule of faults may be played on the cluster: crashes, cuts, outages, machines that die.
+// A Schedule injects faults into the cluster: crashes, network partitions, outages and machine failures.
 //
 // docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
 package localcluster
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -11,8 +11,8 @@
 	"dykeledge/internal/wait"
 )
 
-// play brings the faults about, each at its time, and waits for their ends, or until ctx ends. A fault
-// that lasts when ctx ends goes on.
+// play injects the faults, each at its time, and returns when all have ended or ctx ends. A fault that is active when
+// ctx ends is not undone.
 func (s *Schedule) play(ctx context.Context, cluster *Cluster, log *slog.Logger) {
 	began := time.Now()
 	var ends sync.WaitGroup
@@ -30,7 +30,7 @@
 		ends.Go(func() {
 			if wait.For(ctx, seconds(fault.ForS)) {
 				end()
-				log.Info("fault is over", "kind", fault.Kind, "controller", fault.Node)
+				log.Info("fault ends", "kind", fault.Kind, "controller", fault.Node)
 			}
 		})
 	}
@@ -38,7 +38,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// begin brings a fault about and returns what ends it, nil if nothing does.
+// begin injects a fault and returns a function that ends it, or nil if the fault has no end.
 func (f *Fault) begin(cluster *Cluster) (end func()) {
 	need := kinds[f.Kind]
 	switch {
@@ -50,7 +50,7 @@
 	return f.beginOnServices(cluster.Simulation)
 }
 
-// beginOnControllers brings about a fault of one controller or all.
+// beginOnControllers injects a fault into one controller or all.
 func (f *Fault) beginOnControllers(cluster *Cluster) (end func()) {
 	simulation := cluster.Simulation
 	each := func(do func(i int)) {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// cuts are what a cut separates a controller from: all that can be, unless the fault names some.
+// cuts returns the connections that a network partition severs: those that the fault names, or all if it names none.
 func (f *Fault) cuts() simulator.Cuts {
 	if len(f.From) == 0 {
 		return simulator.AllCut | simulator.NoPeers
@@ -89,7 +89,7 @@
 	return cuts
 }
 
-// beginOnServices brings about an outage of a service, or cuts a zone off.
+// beginOnServices injects an outage of a service, or partitions a zone from all others.
 func (f *Fault) beginOnServices(simulation *simulator.Simulation) (end func()) {
 	switch f.Kind {
 	case kindOutage:
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// beginOnMachines brings about a fault of the machines that it meets.
+// beginOnMachines injects a fault into the machines that it applies to.
 func (f *Fault) beginOnMachines(simulation *simulator.Simulation) (end func()) {
 	met := f.meets(simulation)
 	each := func(do func(*simulator.Machine)) {
@@ -136,7 +136,8 @@
 	return nil
 }
 
-// meets chooses the machines that a fault meets.
+// meets chooses the machines that a fault applies to: Count machines with adjacent names,
+// or each machine with the probability Part.
 func (f *Fault) meets(simulation *simulator.Simulation) []*simulator.Machine {
 	var candidates []*simulator.Machine
 	for _, machine := range simulation.Machines() {
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/wait"
 )
 
-// process keeps one controller running: a real process, started again whenever it ends.
+// process supervises one controller: it runs the program and restarts it whenever it exits.
 type process struct {
 	name    string
 	program string
@@ -24,29 +24,29 @@
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	ended   chan struct{} // when the process that runs now has ended
-	asked   bool          // its next end is asked for
-	unasked int           // ends that nobody asked for
+	ended   chan struct{} // closed when the current process has exited
+	asked   bool          // kill was called, so the next exit is expected
+	unasked int           // number of unexpected exits
 }
 
-// How soon a process is started again: at once after a long life, later if it ends again and
-// again.
+// Back-off of restarts: the pause doubles with every exit, from firstRestartPause to longestRestartPause, and starts
+// over after a process has run for longer than longLife.
 const (
 	firstRestartPause   = 500 * time.Millisecond
 	longestRestartPause = 10 * time.Second
 	longLife            = 20 * time.Second
 )
 
-// endWithin is how long a process may take to end once it is asked to, before it is killed.
+// endWithin is how long a process may take to exit after SIGTERM before it is killed.
 const endWithin = 3 * time.Second
 
-// run keeps the process until ctx ends, and then ends it.
+// run keeps the process running until ctx ends, and then terminates it.
 func (p *process) run(ctx context.Context) {
 	pause := firstRestartPause
 	for ctx.Err() == nil {
 		began := time.Now()
 		if ended, err := p.start(ctx); err != nil {
-			p.log.Error("controller does not start", "controller", p.name, "err", err)
+			p.log.Error("controller process failed to start", "controller", p.name, "err", err)
 		} else {
 			<-ended
 			if ctx.Err() != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// noteEnd counts an end that nobody asked for, and logs every end.
+// noteEnd logs an exit of the process, and counts it if it was unexpected.
 func (p *process) noteEnd() {
 	p.mu.Lock()
 	asked := p.asked
@@ -71,22 +71,23 @@
 	}
 	p.asked = false
 	p.mu.Unlock()
-	p.log.Info("controller has ended", "controller", p.name, "asked", asked, "state", p.cmd.ProcessState.String())
+	p.log.Info("controller process exited", "controller", p.name, "asked", asked, "state", p.cmd.ProcessState.String())
 }
 
-// start starts the process and returns what is closed when it has ended, which it does at the latest
-// endWithin after ctx.
+// start starts the process and returns a channel that is closed when it has exited, which happens at the latest
+// endWithin after ctx ends.
 func (p *process) start(ctx context.Context) (ended <-chan struct{}, err error) {
 	cmd := exec.CommandContext(ctx, p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = p.output, p.output
-	// It ends with this process, however that ends, and gets no signal of the terminal's.
+	// The controller is killed when this process exits for any reason. In a process group of its own it does not
+	// receive signals from the terminal.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error {
-		p.signal(syscall.SIGCONT) // one that a fault has stopped would not see the other signal
+		p.signal(syscall.SIGCONT) // a process that a fault has stopped would not handle SIGTERM
 		p.signal(syscall.SIGTERM)
 		return nil
 	}
-	cmd.WaitDelay = endWithin // then it is killed
+	cmd.WaitDelay = endWithin // after this it is killed
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.program, err)
 	}
@@ -95,13 +96,13 @@
 	p.cmd, p.ended = cmd, done
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // how it ended is in its state
+		_ = cmd.Wait() // noteEnd logs ProcessState
 		close(done)
 	}()
 	return done, nil
 }
 
-// signal sends a signal to the process that runs now, if one does.
+// signal sends a signal to the current process, if there is one.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,11 +110,11 @@
 		return
 	}
 	if err := p.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.log.Error("controller can't be signalled", "controller", p.name, "err", err)
+		p.log.Error("sending a signal to the controller process failed", "controller", p.name, "err", err)
 	}
 }
 
-// kill ends the process as a crash does; it is started again.
+// kill kills the process with SIGKILL, as in a crash; run restarts it.
 func (p *process) kill() {
 	p.mu.Lock()
 	p.asked = true
@@ -121,13 +122,13 @@
 	p.signal(syscall.SIGKILL)
 }
 
-// stop stops the process until resume lets it go on.
+// stop suspends the process with SIGSTOP until resume is called.
 func (p *process) stop() { p.signal(syscall.SIGSTOP) }
 
-// resume lets a process go on that was stopped.
+// resume continues a suspended process with SIGCONT.
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// pid is the process that runs now, 0 if none does.
+// pid returns the id of the current process, or 0 if none runs.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -13,48 +13,50 @@
 	"dykeledge/internal/simulator"
 )
 
-// Schedule is a list of faults.
+// Schedule is a list of faults to inject into a cluster.
 type Schedule struct {
 	Faults []Fault `toml:"fault"`
 }
 
-// Fault is one fault, and when it comes.
+// Fault describes one fault and its time.
 type Fault struct {
-	AtS     float64  `toml:"at_s"`  // after the start
-	Kind    string   `toml:"kind"`  // see kinds
-	Node    string   `toml:"node"`  // n1 to n9, or all
-	ForS    float64  `toml:"for_s"` // how long it lasts
-	From    []string `toml:"from"`  // of a cut: state, cloud, users, heartbeats, peers; none: all of them
-	Part    float64  `toml:"part"`  // of the machines that can be met
-	NoticeS float64  `toml:"notice_s"`
-	Zone    string   `toml:"zone"`  // only its machines; of zone_cut, the one that is cut off
-	Count   int      `toml:"count"` // machines that are next to one another by their names, in place of part
+	AtS     float64  `toml:"at_s"`     // start, in seconds from the start of the schedule
+	Kind    string   `toml:"kind"`     // one of the constants below
+	Node    string   `toml:"node"`     // the controller: n1 to n9, or all
+	ForS    float64  `toml:"for_s"`    // duration in seconds
+	From    []string `toml:"from"`     // of a cut: connections to sever, of state, cloud, users, reports, peers; empty: all of them
+	Part    float64  `toml:"part"`     // probability that the fault applies to a machine that matches kind and zone
+	NoticeS float64  `toml:"notice_s"` // of a reclaimed spot machine: seconds from the notice to the end
+	Zone    string   `toml:"zone"`     // limits the fault to machines in this zone; of zone_cut: the partitioned zone
+	Count   int      `toml:"count"`    // instead of part: number of machines, with adjacent names, that the fault applies to
 }
 
-// cutsByName are what a controller can be cut off from. Direct commands to workers are not among them:
-// a worker's port can't tell which controller speaks.
+// cutsByName maps the names in a fault's field from to the connections of a controller that a fault can sever. Direct
+// commands to workers are not among them: a worker's port can't tell which controller a request comes from.
 var cutsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
 // Kinds of faults.
 const (
-	kindCrash        = "crash"         // a controller's process is killed, and started again
-	kindStill        = "still"         // a controller's process is stopped, and goes on
-	kindCut          = "cut"           // a controller is cut off from what `from` names
-	kindRefuse       = "refuse"        // the state service refuses one controller
-	kindOutage       = "outage"        // of the state service
-	kindCloudOutage  = "cloud_outage"  // of the cloud
-	kindZoneCut      = "zone_cut"      // a zone is cut off from everything
-	kindTaken        = "taken"         // the cloud takes spot machines back, with notice_s
-	kindMachineDies  = "machine_dies"  // for good
-	kindMachineHangs = "machine_hangs" // for a while
-	kindMachineSick  = "machine_sick"  // it fails whatever it runs
-	kindMachineCut   = "machine_cut"   // off from all controllers
+	kindCrash        = "crash"         // a controller process is killed and restarted
+	kindStill        = "still"         // a controller process is suspended and continued
+	kindCut          = "cut"           // a controller loses the connections that the field from names
+	kindRefuse       = "refuse"        // the state service answers a controller with 503
+	kindOutage       = "outage"        // the state service is down
+	kindCloudOutage  = "cloud_outage"  // the cloud's API is down
+	kindZoneCut      = "zone_cut"      // a zone is partitioned from the rest of the cluster
+	kindTaken        = "taken"         // the cloud reclaims spot machines with a notice of notice_s
+	kindMachineDies  = "machine_dies"  // machines fail permanently
+	kindMachineHangs = "machine_hangs" // machines hang for for_s
+	kindMachineSick  = "machine_sick"  // machines are unhealthy: every task on them fails
+	kindMachineCut   = "machine_cut"   // machines lose the connection to all controllers
 )
 
-// needs are what a fault of a kind has to name.
+// needs lists which fields a fault of a kind must set: the controller it applies to, its duration (lasts), the machines
+// it applies to, and the zone.
 type needs struct{ controller, lasts, machines, zone bool }
 
+// kinds holds the required fields of each kind of fault.
 var kinds = map[string]needs{
 	kindCrash:        {controller: true},
 	kindStill:        {controller: true, lasts: true},
@@ -70,8 +72,8 @@
 	kindMachineCut:   {machines: true, lasts: true},
 }
 
-// LoadSchedule reads and checks a schedule's file as ParseSchedule does its text. Errors fit on one
-// line and name file, field and what was expected.
+// LoadSchedule reads a schedule's file and parses it with ParseSchedule. Errors fit on one line and name the file, the
+// field and what was expected.
 func LoadSchedule(path string) (*Schedule, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -84,8 +86,8 @@
 	return s, nil
 }
 
-// ParseSchedule reads and checks a schedule's text, which is TOML, for the cluster of Settings, and puts
-// it in the order of time. A *config.FieldError says what is wrong.
+// ParseSchedule decodes a schedule from TOML, validates it for a cluster with the deployment of Settings, and sorts it by
+// time. The error for an invalid field wraps a *config.FieldError.
 func ParseSchedule(raw []byte) (*Schedule, error) {
 	schedule := &Schedule{}
 	if err := config.Strict(raw, schedule); err != nil {
@@ -104,11 +106,12 @@
 	return schedule, nil
 }
 
-// Sort puts the faults in the order of time.
+// Sort sorts the faults by time.
 func (s *Schedule) Sort() {
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtS, b.AtS) })
 }
 
+// check validates a fault and fills in the default of Part; at is the prefix of field names in errors.
 func (f *Fault) check(at string) error {
 	want, known := kinds[f.Kind]
 	if want.machines && f.Part == 0 && f.Count == 0 {
@@ -122,28 +125,28 @@
 	check.Want(known, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 	check.Want(f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400")
 	check.Want(!want.lasts || f.ForS > 0 && f.ForS <= 86400, "for_s", "seconds from above 0 to 86400")
-	check.Want(want.lasts || f.ForS == 0, "for_s", "nothing: it does not last")
+	check.Want(want.lasts || f.ForS == 0, "for_s", "no value: this kind of fault has no duration")
 	check.Want(!want.controller || controllerIndex(f.Node) != noController, "node", "n1 to n9, or all")
-	check.Want(want.controller || f.Node == "", "node", "nothing: it meets no node")
+	check.Want(want.controller || f.Node == "", "node", "no value: this kind of fault applies to no node")
 	check.Want(!unknownPart && (f.Kind == kindCut || len(f.From) == 0), "from", "for a cut any of state, cloud, users, reports, peers")
 	check.Want(f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more")
-	check.Want(want.machines && f.Count > 0 && f.Part == 0 || want.machines && f.Part > 0 && f.Part <= 1 || !want.machines && f.Part == 0, "part", "for machines a part from above 0 to 1, or a count")
-	check.Want(f.NoticeS == 0 || f.Kind == kindTaken && f.NoticeS > 0, "notice_s", "for machines that are taken seconds of 0 or more")
-	check.Want(f.Zone == "" || want.machines || want.zone, "zone", "for machines a zone's name")
-	check.Want(f.Zone != "" || !want.zone, "zone", "the name of the zone that is cut off")
+	check.Want(want.machines && f.Count > 0 && f.Part == 0 || want.machines && f.Part > 0 && f.Part <= 1 || !want.machines && f.Part == 0, "part", "for machines a fraction from above 0 to 1, or a count")
+	check.Want(f.NoticeS == 0 || f.Kind == kindTaken && f.NoticeS > 0, "notice_s", "for machines that are taken, seconds of 0 or more")
+	check.Want(f.Zone == "" || want.machines || want.zone, "zone", "no value, or for machines the name of a zone")
+	check.Want(f.Zone != "" || !want.zone, "zone", "the name of the zone to partition")
 	return check.Err()
 }
 
-// Indexes of controllers that are none.
+// Results of controllerIndex that are not an index.
 const (
-	noController   = -2
+	noController   = -2 // the name is invalid
 	allControllers = -1
 )
 
-// everyController names all controllers in a schedule.
+// everyController is the name that stands for all controllers in a schedule.
 const everyController = "all"
 
-// controllerIndex is the index of the controller with a name, noController or allControllers.
+// controllerIndex returns the index of the controller with a name (0 for n1), allControllers or noController.
 func controllerIndex(name string) int {
 	switch {
 	case name == everyController:
@@ -154,7 +157,7 @@
 	return noController
 }
 
-// fits tells whether a deployment has the controllers and zones that a schedule names.
+// fits returns an error if the schedule names a controller or zone that the deployment does not have.
 func (s *Schedule) fits(deployment *config.Deployment) error {
 	for i := range s.Faults {
 		fault := &s.Faults[i]
--- a/internal/localcluster/schedule_test.go
+++ b/internal/localcluster/schedule_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSchedule(t *testing.T) {
-	for _, test := range []struct{ text, want string }{ // want: the field that the error names, "" for none
+	for _, test := range []struct{ text, want string }{ // want: the field that the error names, empty if the fault is valid
 		{"at_s = 5\nkind = \"crash\"\nnode = \"n1\"", ""},
 		{"at_s = 5\nkind = \"cut\"\nnode = \"all\"\nfor_s = 3\nfrom = [\"state\", \"peers\"]", ""},
 		{"at_s = 5\nkind = \"taken\"\nnotice_s = 4\npart = 0.5\nzone = \"a\"", ""},
@@ -29,7 +29,7 @@
 				t.Errorf("%v, want %q", err, test.want)
 			}
 			if err == nil && schedule.Faults[0].AtS != 1 {
-				t.Error("not in the order of time")
+				t.Error("the faults are not sorted by time")
 			}
 		})
 	}
--- a/internal/pagecheck/doc.go
+++ b/internal/pagecheck/doc.go
@@ -1,4 +1,3 @@
-// Package pagecheck holds tests only: they compare what the pages under docs say about the code with
-// the sources, so that a rename or a changed log line fails a test instead of misleading whoever reads
-// the pages during an incident.
+// Package pagecheck holds only tests, which compare names and log lines quoted in the pages under docs with the
+// sources. A rename or a changed log line thus fails a test instead of misleading readers during an incident.
 package pagecheck
--- a/internal/pagecheck/pagecheck_test.go
+++ b/internal/pagecheck/pagecheck_test.go
@@ -8,16 +8,17 @@
 	"testing"
 )
 
-// codeQuote is what a page sets in code quotes.
+// codeQuote matches a text in backquotes.
 var codeQuote = regexp.MustCompile("`([^`\n]+)`")
 
-// codeName is a package, or a function, method or type of one: internal/controller/schedule.Place.
+// codeName matches a package, or a function, method or type of one, like internal/controller/schedule.Place.
 var codeName = regexp.MustCompile(`^((?:cmd|internal)(?:/[a-z]+)+)((?:\.[A-Za-z]+)*)$`)
 
-// sourceFile is a Go file of the repository.
+// sourceFile matches the path of a Go file of the repository.
 var sourceFile = regexp.MustCompile(`^(?:cmd|internal)/[a-z_/]+\.go$`)
 
-// TestArchitectureNames: what the architecture page names of the code exists.
+// TestArchitectureNames checks that the files, packages, functions, methods and types that the architecture page names
+// exist.
 func TestArchitectureNames(t *testing.T) {
 	known := parseSources(t)
 	checked := 0
@@ -42,32 +43,32 @@
 		}
 	}
 	if checked == 0 {
-		t.Error("docs/ARCHITECTURE.md names nothing of the code: the test proves nothing")
+		t.Error("docs/ARCHITECTURE.md names no file or identifier of the sources, so this test has checked nothing")
 	}
 }
 
-// logMessage is the message of a log line as the log prints it: msg=word or msg="some words".
+// logMessage matches the message of a log line as the log prints it: msg=word or msg="some words".
 var logMessage = regexp.MustCompile(`^msg=(?:"([^"]+)"|([^\s"]+))$`)
 
-// logAttribute is an attribute of a log line: key=value or key="some words".
+// logAttribute matches an attribute of a log line: key=value or key="some words".
 var logAttribute = regexp.MustCompile(`^([a-z_]+)=(?:"[^"]*"|[^\s"]+)$`)
 
-// logLineSections are the sections of the operators' handbook that an engineer looks log lines up in.
+// logLineSections lists the sections of the operators' handbook in which log lines are looked up.
 var logLineSections = []string{"Log lines that ask for action", "From symptom to cause"}
 
-// TestLogLinesOfThePages: the log lines that the operators' handbook quotes are written by the sources, with
-// the attributes that it quotes beside them.
+// TestLogLinesOfThePages checks that the sources write the log lines that the operators' handbook quotes, with the
+// attributes that it quotes on the same line.
 func TestLogLinesOfThePages(t *testing.T) {
 	known := parseSources(t)
 	page := readPage(t, "operations.md")
 	for _, title := range logLineSections {
 		if !strings.Contains(section(page, title), "`msg=") {
-			t.Errorf("docs/operations.md quotes no log line under %q: the test proves nothing", title)
+			t.Errorf("docs/operations.md quotes no log line under %q, so this test has checked nothing there", title)
 		}
 	}
 	for _, row := range strings.Split(section(page, logLineSections[0]), "\n") {
 		if strings.HasPrefix(row, "| `") && !strings.HasPrefix(row, "| `msg=") {
-			t.Errorf("docs/operations.md, %q: a row that does not begin with a line in the form msg=\"...\": %s", logLineSections[0], row)
+			t.Errorf("docs/operations.md, %q: expected a row that begins with msg=\"...\", found %s", logLineSections[0], row)
 		}
 	}
 	for i, line := range strings.Split(page, "\n") {
@@ -124,7 +125,7 @@
 	return out
 }
 
-// section is what stands under a heading of the second level, up to the next one.
+// section returns the text below a second-level heading, up to the next one.
 func section(page, title string) string {
 	_, rest, _ := strings.Cut(page, "\n## "+title+"\n")
 	text, _, _ := strings.Cut(rest, "\n## ")
--- a/internal/pagecheck/sources_test.go
+++ b/internal/pagecheck/sources_test.go
@@ -12,23 +12,23 @@
 	"testing"
 )
 
-// repositoryRoot is where the tests of this package find the repository.
+// repositoryRoot is the path from this package's directory, in which its tests run, to the repository.
 const repositoryRoot = "../.."
 
-// logCall is a call of a logger.
+// logCall is a call of a logger with a literal message.
 type logCall struct {
 	message string
-	keys    map[string]bool // of the message's attributes, as far as they are literals
+	keys    map[string]bool // all string literals in the other arguments, among them the attributes' keys
 }
 
-// sources is what the pages may name of the code.
+// sources indexes the names and log calls that pages can refer to.
 type sources struct {
-	packages map[string]bool // directories that hold a package, as in "internal/storage"
-	names    map[string]bool // "internal/storage.Cache", "internal/storage.Cache.Apply"
-	logCalls map[string][]logCall
+	packages map[string]bool      // directories that hold a package, like "internal/storage"
+	names    map[string]bool      // functions, methods and types, like "internal/storage.Cache.Apply"
+	logCalls map[string][]logCall // by message
 }
 
-// parseSources reads all Go files under cmd and internal but for the tests.
+// parseSources indexes all Go files under cmd and internal except for tests.
 func parseSources(t *testing.T) sources {
 	t.Helper()
 	found := sources{packages: map[string]bool{}, names: map[string]bool{}, logCalls: map[string][]logCall{}}
@@ -87,7 +87,7 @@
 	}
 }
 
-// receiverType is the name of a method's receiver type, without pointer and type parameters.
+// receiverType returns the name of a method's receiver type, without pointer and type parameters.
 func receiverType(expression ast.Expr) string {
 	switch receiver := expression.(type) {
 	case *ast.StarExpr:
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// addLogCall notes a call if it is one of a logger with a literal message.
+// addLogCall records a call if it is a call of a logger with a literal message.
 func (s *sources) addLogCall(call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !isLogMethod(selector.Sel.Name) || !isLogger(selector.X) {
@@ -132,8 +132,8 @@
 	return false
 }
 
-// isLogger tells whether an expression is a logger by its name: log, Log, logger or slog, alone, as a
-// field or as what With returns.
+// isLogger reports whether an expression looks like a logger: an identifier or field named log, logger or slog in any
+// case, or a call of the method With of one.
 func isLogger(expression ast.Expr) bool {
 	switch logger := expression.(type) {
 	case *ast.Ident:
--- a/internal/textout/textout.go
+++ b/internal/textout/textout.go
@@ -1,5 +1,5 @@
-// Package textout prints text and tables for people and keeps the first error of the output, so
-// that a printer of many lines checks once, at the end.
+// Package textout prints text and tables to a writer and keeps the first write error, so that code that prints many
+// lines checks for errors once, at the end.
 //
 // docs/ARCHITECTURE.md says which programs and packages there are.
 package textout
@@ -10,19 +10,18 @@
 	"text/tabwriter"
 )
 
-// Printer prints to a writer. After the first error it prints nothing more. A Printer is for one
-// goroutine.
+// Printer prints to a writer. After the first write error it prints nothing more. It is not safe for concurrent use.
 type Printer struct {
 	writer io.Writer
-	flush  func() error // nil: the writer holds nothing back
+	flush  func() error // flushes the writer; nil if it is unbuffered
 	err    error
 }
 
-// New returns a printer to a writer, unbuffered.
+// New returns a Printer that prints to writer without a buffer of its own.
 func New(writer io.Writer) *Printer { return &Printer{writer: writer} }
 
-// NewTable returns a printer that aligns cells, which end in tabs, with two blanks between columns.
-// flags are those of text/tabwriter. Nothing is certain to be written before Flush.
+// NewTable returns a Printer that aligns tab-terminated cells in columns with two spaces between them. flags are
+// those of text/tabwriter. Output is buffered until Flush.
 func NewTable(writer io.Writer, flags uint) *Printer {
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', flags)
 	return &Printer{writer: table, flush: table.Flush}
@@ -42,7 +41,7 @@
 	}
 }
 
-// Flush writes what is held back and returns the first error of all the output.
+// Flush writes buffered output and returns the first error since the Printer was made.
 func (p *Printer) Flush() error {
 	if p.err == nil && p.flush != nil {
 		p.err = p.flush()
--- a/internal/textout/textout_test.go
+++ b/internal/textout/textout_test.go
@@ -21,7 +21,7 @@
 
 var errFull = errors.New("disk full")
 
-// fullAfter takes so many writes and then fails.
+// fullAfter is a writer that accepts left more writes and then fails.
 type fullAfter struct{ left int }
 
 func (f *fullAfter) Write(text []byte) (int, error) {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait lets a goroutine pause without outliving its context.
+// Package wait provides sleeps that end early when a context ends.
 //
 // docs/ARCHITECTURE.md says which programs and packages there are.
 package wait
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// For waits for a duration and tells whether it passed in whole: false means that ctx ended
-// before. A duration of 0 or less passes at once, unless ctx has already ended.
+// For sleeps for duration and reports whether it elapsed; false means that ctx ended first. A duration of 0 or less
+// elapses at once, unless ctx has already ended.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -24,8 +24,8 @@
 	}
 }
 
-// Until waits until a moment and tells whether it came: false means that ctx ended before. A moment
-// in the past has come, unless ctx has already ended.
+// Until sleeps until moment and reports whether it was reached; false means that ctx ended first. A moment in the
+// past counts as reached, unless ctx has already ended.
 func Until(ctx context.Context, moment time.Time) bool {
 	return For(ctx, time.Until(moment))
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -11,7 +11,7 @@
 	for _, test := range []struct {
 		name       string
 		duration   time.Duration
-		contextEnd time.Duration // 0: the context has ended before
+		contextEnd time.Duration // time-out of the context; 0 if it has ended before the call
 		want       bool
 		took       time.Duration
 	}{
@@ -42,10 +42,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		if !Until(t.Context(), began.Add(time.Minute)) || time.Since(began) != time.Minute {
-			t.Errorf("a minute ahead: returned after %v", time.Since(began))
+			t.Errorf("Until a minute ahead returned after %v", time.Since(began))
 		}
 		if !Until(t.Context(), began) {
-			t.Error("a moment in the past has not come")
+			t.Error("Until a moment in the past: false, want true")
 		}
 	})
 }
