--- a/internal/scaletest/arrivals.go
+++ b/internal/scaletest/arrivals.go
@@ -12,27 +12,28 @@
 	"dykeledge/internal/protocol"
 )
 
-// Classes of the jobs that are drawn.
+// Job classes of the load.
 const (
 	urgentClass = "urgent"
 	arrayClass  = "array"
 )
 
-// What is drawn beside the profile's figures.
+// Parameters of the load that are not in the profile.
 const (
-	// backlogTimes is how much work each team has at the start, in times what it gets done in a run: a day's large arrays run
-	// for much longer than a run lasts, so that the teams' limits are what bounds the running tasks.
+	// backlogTimes is the work of each team at the start, as a multiple of what the team completes in a run. In a
+	// deployment, the large arrays of a day take much longer than a run lasts, so that the teams' limits bound the number
+	// of running tasks; the backlogs have the same effect in a run.
 	backlogTimes  = 1.2
-	runSpread     = 0.5 // tasks run by up to as much longer or shorter than the mean
-	urgentTaskS   = 5.0 // how long an urgent task runs
-	shortestTaskS = 1.0
-	estimateOff   = 0.5 // an estimate is wrong by up to this part
+	runSpread     = 0.5 // largest relative deviation of a task's run time from the mean
+	urgentTaskS   = 5.0 // run time of an urgent task, in seconds
+	shortestTaskS = 1.0 // shortest run time of a task, in seconds
+	estimateOff   = 0.5 // largest relative error of a run time estimate
 	taskMemGB     = 1
-	// leastUrgent is how many urgent jobs come in a run at least: fewer tell nothing of their waits.
+	// leastUrgent is the minimum number of urgent jobs in a run; fewer give no useful distribution of waiting times.
 	leastUrgent = 120
 )
 
-// drawing draws a cell's jobs.
+// drawing generates the jobs of a cell at random.
 type drawing struct {
 	cell   *Cell
 	rand   *rand.Rand
@@ -40,8 +41,8 @@
 	number int
 }
 
-// Arrivals draws the jobs of a run, in the order of their times: the teams' backlogs, arrays that come meanwhile, and
-// urgent jobs.
+// Arrivals returns the jobs of a run in the order of arrival: the teams' backlogs at the start, and arrays and urgent
+// jobs throughout the run. The same cell yields the same jobs.
 func (c *Cell) Arrivals() []loadgen.Arrival {
 	d := &drawing{cell: c, rand: rand.New(rand.NewPCG(c.Seed, uint64(c.Index)+1)), teams: c.teams()}
 	out := d.backlogs()
@@ -51,9 +52,10 @@
 	return out
 }
 
+// lasts returns the duration of a run in seconds.
 func (c *Cell) lasts() float64 { return c.WarmUpS + c.MeasureS }
 
-// backlogs are what each team has to do from the start on. Submissions of the first seconds come one after another.
+// backlogs returns the jobs that each team has at the start, submitted evenly over the first submitWithinS seconds.
 func (d *drawing) backlogs() []loadgen.Arrival {
 	var out []loadgen.Arrival
 	for i, t := range d.teams {
@@ -63,7 +65,7 @@
 		tasks := int(math.Ceil(t.weight * d.cell.StartsPerS * d.cell.lasts() * backlogTimes))
 		tasks = max(tasks, int(t.limit))
 		at := submitWithinS * float64(i) / float64(len(d.teams))
-		for tasks > 0 { // what is larger than any job may be comes as several
+		for tasks > 0 { // a backlog above the largest job size is split into several jobs
 			part := min(tasks, d.cell.LargestJob, protocol.MaxTasks)
 			out = append(out, d.job(at, t, arrayClass, protocol.Normal, part, d.cell.taskS()))
 			tasks -= part
@@ -72,10 +74,11 @@
 	return out
 }
 
-// submitWithinS is how long it takes until all backlogs are submitted.
+// submitWithinS is the time over which the backlogs are submitted, in seconds.
 const submitWithinS = 5.0
 
-// arrays come at even times with some jitter, of sizes after a bounded power law, to teams by their part of the work.
+// arrays returns the arrays that arrive during the run: evenly spaced with jitter, with sizes from a bounded Pareto
+// distribution, and distributed over the teams by their weights.
 func (d *drawing) arrays() []loadgen.Arrival {
 	count := int(math.Round(d.cell.JobsPerS * (1 - d.cell.Profile.UrgentPart) * d.cell.lasts()))
 	var out []loadgen.Arrival
@@ -87,7 +90,7 @@
 	return out
 }
 
-// urgent jobs are small and of high priority.
+// urgent returns the urgent jobs, which are small and of high priority and arrive evenly spaced with jitter.
 func (d *drawing) urgent() []loadgen.Arrival {
 	count := max(leastUrgent, int(math.Round(d.cell.JobsPerS*d.cell.Profile.UrgentPart*d.cell.lasts())))
 	var out []loadgen.Arrival
@@ -98,7 +101,7 @@
 	return out
 }
 
-// anyTeam draws a team by the teams' parts of the work of their kind.
+// anyTeam draws a team at random by weight, from the urgent teams or from the others.
 func (d *drawing) anyTeam(urgent bool) team {
 	at, last := d.rand.Float64(), d.teams[0]
 	for _, t := range d.teams {
@@ -113,14 +116,15 @@
 	return last
 }
 
-// boundedPareto maps an even draw to a size from 1 to the largest, of which there are fewer in proportion as they are larger.
+// boundedPareto maps a uniform draw u from [0, 1) to a size of a bounded Pareto distribution, from 1 to largest. The
+// fraction of sizes above x falls roughly as 1/x.
 func boundedPareto(u, largest float64) float64 { return 1 / (1 - u*(1-1/max(1, largest))) }
 
 func (d *drawing) job(at float64, t team, class string, priority protocol.Priority, tasks int, runS float64) loadgen.Arrival {
 	d.number++
 	runS = max(shortestTaskS, runS)
 	estimate := math.Round(100*runS*(1+estimateOff*(2*d.rand.Float64()-1))) / 100
-	// Ids come in no order, and regions and seeds have their own.
+	// Ids don't follow the order of arrival, and differ between regions and seeds.
 	id := fmt.Sprintf("job-%02d%07d", d.cell.Index, (uint64(d.number)*7_654_321+d.cell.Seed*104_729)%9_999_991)
 	return loadgen.Arrival{At: time.Duration(at * float64(time.Second)), Run: time.Duration(runS * float64(time.Second)),
 		Job: protocol.Submission{ID: id, Class: class, Team: t.name, Priority: priority, Tasks: max(1, tasks), Cpus: 1, MemGB: taskMemGB,
--- a/internal/scaletest/cell.go
+++ b/internal/scaletest/cell.go
@@ -8,43 +8,43 @@
 	"dykeledge/internal/protocol"
 )
 
-// Cell is what one region plays in one run: everything that its process has to know.
+// Cell describes what one region plays in one run. It is the input of the cell's process.
 type Cell struct {
 	Run        string   `json:"run"`
 	Cut        Cut      `json:"cut"`
 	Commit     string   `json:"commit"`
 	Fraction   float64  `json:"fraction"`
 	Region     string   `json:"region"`
-	Index      int      `json:"index"` // of the region
+	Index      int      `json:"index"` // index of the region in the profile
 	Zones      []string `json:"zones"`
 	Workers    int      `json:"workers"`
-	Running    int      `json:"running"`
+	Running    int      `json:"running"` // tasks that run at a time
 	StartsPerS float64  `json:"starts_per_s"`
 	JobsPerS   float64  `json:"jobs_per_s"`
-	LargestJob int      `json:"largest_job"`
+	LargestJob int      `json:"largest_job"` // tasks of the largest job
 	Seed       uint64   `json:"seed"`
 	WarmUpS    float64  `json:"warm_up_s"`
 	MeasureS   float64  `json:"measure_s"`
 	Profile    Profile  `json:"profile"`
-	Program    string   `json:"program"`
-	Dir        string   `json:"dir"`
+	Program    string   `json:"program"` // path of the controller program
+	Dir        string   `json:"dir"`     // parent of the directory for settings files and logs
 }
 
-// Request is what a run is asked to play.
+// Request holds the options of a run.
 type Request struct {
-	Run      string
-	Commit   string // of the sources that are measured, for the points
+	Run      string // name of the run, stored in the points
+	Commit   string // commit of the measured sources, stored in the points
 	Cut      Cut
 	Regions  Regions
-	Fraction float64 // of the profile's figures
+	Fraction float64 // size of the run as a fraction of the profile
 	Seed     uint64
-	WarmUpS  float64
-	MeasureS float64
-	Program  string // the controller
-	Dir      string
+	WarmUpS  float64 // seconds before the measurement
+	MeasureS float64 // seconds of the measurement
+	Program  string  // path of the controller program
+	Dir      string  // directory for settings files and logs
 }
 
-// Cells parts a request over the profile's regions.
+// Cells returns the cells that a run of the request plays, one per region, each with its part of the profile's load.
 func (p *Profile) Cells(request Request) []Cell {
 	var cells []Cell
 	zone := 0
@@ -74,8 +74,10 @@
 
 const secondsADay = 86_400
 
+// scaled returns a fraction of a count, rounded, but at least 1.
 func scaled(whole, part float64) int { return max(1, int(math.Round(whole*part))) }
 
+// largestRegion returns the index of the region with the largest part of the load.
 func (p *Profile) largestRegion() int {
 	best := 0
 	for i, r := range p.Regions {
@@ -86,10 +88,10 @@
 	return best
 }
 
-// taskS is how long a task runs on average, in seconds.
+// taskS returns the mean run time of an array task, in seconds.
 func (c *Cell) taskS() float64 { return float64(c.Running) / c.StartsPerS }
 
-// Deployment is what the cell's controllers are told.
+// Deployment returns the deployment settings of the cell's controllers.
 func (c *Cell) Deployment() config.Deployment {
 	profile := &c.Profile
 	deployment := config.Deployment{Controllers: profile.Controller.PerRegion, Zones: c.Zones, ClockSkewMs: 50,
@@ -108,25 +110,25 @@
 	return deployment
 }
 
-// team is a team with its part of the work of its kind, and its limit in CPUs.
+// team is a team of the load.
 type team struct {
 	name   string
-	weight float64
-	limit  float64
-	urgent bool // it submits urgent jobs only: they must not wait behind its own limit
+	weight float64 // fraction of the work of its kind, urgent jobs or arrays
+	limit  float64 // in CPUs
+	urgent bool    // the team submits only urgent jobs, so that these don't wait for a limit that arrays use up
 }
 
-// One team of so many submits urgent jobs.
+// urgentTeamOf sets the number of urgent teams: one team of 10.
 const urgentTeamOf = 10
 
-// What urgent teams may use, beyond any load that is drawn for them.
+// urgentTeamCpus is the limit of an urgent team, in CPUs. It is above any load that is drawn for such a team.
 const urgentTeamCpus = 400
 
-// guaranteedPart is a team's guarantee, in times its limit.
+// guaranteedPart is a team's guarantee as a fraction of its limit.
 const guaranteedPart = 0.5
 
-// teams are the cell's teams. The limits of those with arrays add up to the tasks that are to run: with the backlogs that
-// they have, as many do.
+// teams returns the cell's teams. The limits of the teams with arrays add up to the number of tasks that should run at a
+// time. Since these teams have backlogs, that many tasks do run.
 func (c *Cell) teams() []team {
 	n := c.Profile.Teams
 	urgent := (n + urgentTeamOf - 1) / urgentTeamOf
@@ -145,21 +147,21 @@
 	return out
 }
 
-// The aims of the two classes.
+// Objectives of the two job classes.
 const (
-	urgentWithinS = 1.7
-	arrayAim      = 1.5 // times a task's mean
+	urgentWithinS = 1.7 // seconds within which an urgent job starts
+	arrayAim      = 1.5 // time within which an array finishes, as a multiple of the mean run time of a task
 )
 
-// Catalog is what the cell's cloud rents: one type, everywhere.
+// Catalog returns the machine types of the cell's cloud: one type, in all zones.
 func (c *Cell) Catalog() protocol.Catalog {
 	w := &c.Profile.Worker
 	return protocol.Catalog{Types: []protocol.MachineType{{Name: "m8", Cpus: w.Cpus, MemGB: w.MemGB, CacheGB: 50, FetchGBs: 1,
 		Price: 1, SpotPrice: 0.3, BootS: w.BootS, Zones: c.Zones}}}
 }
 
-// teamWeights are the teams' parts of the work, which sum up to 1: a power law whose exponent gives the first tenth the
-// part that is asked for.
+// teamWeights returns the weights of n teams, which add up to 1. They follow a power law; its exponent is found by
+// bisection so that the first tenth of the teams has hottestPart of the work.
 func teamWeights(n int, hottestPart float64) []float64 {
 	low, high := 0.0, 8.0
 	for range 60 {
@@ -173,6 +175,7 @@
 	return powerLaw(n, high)
 }
 
+// powerLaw returns n weights that add up to 1; weight i is proportional to (i+1) to the power -exponent.
 func powerLaw(n int, exponent float64) []float64 {
 	weights, sum := make([]float64, n), 0.0
 	for i := range weights {
@@ -185,6 +188,7 @@
 	return weights
 }
 
+// tenthOf returns the sum of the first tenth of the weights.
 func tenthOf(weights []float64) float64 {
 	sum := 0.0
 	for _, w := range weights[:(len(weights)+9)/10] {
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -16,37 +16,37 @@
 	"dykeledge/internal/wait"
 )
 
-// How operators' changes are made and watched.
+// Timing and mix of configuration changes.
 const (
-	changeWithin    = 5 * time.Second        // an answer takes no longer
-	forceAskedEvery = 100 * time.Millisecond // of a controller, whether a change is in force
-	forceWithin     = 60 * time.Second       // then a change has failed
-	lowersEach      = 10                     // one change of so many lowers a limit, the others change a guarantee
+	changeWithin    = 5 * time.Second        // time-out of one request to the administration API
+	forceAskedEvery = 100 * time.Millisecond // interval between polls of a change's state
+	forceWithin     = 60 * time.Second       // a change that is not in force after this time has failed
+	lowersEach      = 10                     // one change of 10 lowers a limit, the others change a guarantee
 )
 
-// operators change teams' bounds through the administration API at the profile's rate, as operators of a fleet do, and
-// measure how long it takes until a change is in force on all controllers of the cell.
+// operators simulates operators who change the guarantees and limits of teams through the administration API at the
+// profile's rate, and measures the time until a change is in force on all controllers of the cell.
 type operators struct {
-	controllers []string
+	controllers []string // addresses of the administration API
 	teams       []team
 	rand        *rand.Rand
 
 	mu     sync.Mutex
-	from   time.Time // changes before are not measured
-	raised *hdrhistogram.Histogram
-	lower  *hdrhistogram.Histogram
+	from   time.Time               // start of the measured time; while it is zero, changes are not counted
+	raised *hdrhistogram.Histogram // time until a changed guarantee was in force
+	lower  *hdrhistogram.Histogram // time until a lowered limit was in force
 	made   int
-	failed int // never in force, or without an answer
+	failed int // changes that were not in force within forceWithin
 }
 
 func newOperators(c *Cell, controllers []string) *operators {
 	return &operators{controllers: controllers, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
 }
 
-// changesStream keeps the draws of changes apart from those of jobs.
+// changesStream selects a random stream for changes that differs from those of the jobs.
 const changesStream = 1 << 20
 
-// run makes changes at a rate until ctx ends. None waits for another.
+// run makes changes at a rate until ctx ends. A change does not wait for earlier ones.
 func (o *operators) run(ctx context.Context, perSecond float64) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -56,7 +56,7 @@
 	}
 }
 
-// teamEntry is a team as the administration API tells it.
+// teamEntry is a team in a response of the administration API.
 type teamEntry struct {
 	Cpus    float64 `json:"cpus"`
 	CpusMax float64 `json:"cpus_max"`
@@ -64,10 +64,10 @@
 	State   string  `json:"state"`
 }
 
-// inForce is the state of a change that all controllers go by, as the administration API words it.
+// inForce is the value of teamEntry.State when all controllers apply the change.
 const inForce = "in force"
 
-// one makes a change and watches it until it is in force. One that lowers a limit is taken back afterwards.
+// one makes a change and polls it until it is in force. A lowered limit is restored afterwards.
 func (o *operators) one(ctx context.Context, address string, target team, lowers bool) {
 	took, err := o.change(ctx, address, target.name, func(entry teamEntry) map[string]float64 {
 		if lowers && entry.CpusMax > 2 {
@@ -80,13 +80,13 @@
 	}
 	o.note(took, lowers, err)
 	if lowers && err == nil {
-		_, _ = o.change(ctx, address, target.name, func(teamEntry) map[string]float64 { // as it was: what fails is counted by others
+		_, _ = o.change(ctx, address, target.name, func(teamEntry) map[string]float64 { // restores the limit; this change is not measured
 			return map[string]float64{"cpus_max": target.limit}
 		})
 	}
 }
 
-// note counts a change, unless the measured time has not begun.
+// note records a change if the measured time has begun.
 func (o *operators) note(took time.Duration, lowers bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,11 +104,11 @@
 	}
 }
 
-// errNotInForce says that a change was not in force in time.
-var errNotInForce = errors.New("a change is not in force")
+// errNotInForce means that a change was not in force within forceWithin, or that the context ended first.
+var errNotInForce = errors.New("the change was not in force in time")
 
-// change reads a team, changes it on the version that was read, and waits until it is in force. What is refused or not
-// answered is tried again, at any controller; the time counts from the first try.
+// change reads a team, changes it on condition that its version is still the one read, and waits until the change is in
+// force. A failed request is retried at the next controller. The duration it returns counts from the first try.
 func (o *operators) change(ctx context.Context, address, name string, to func(teamEntry) map[string]float64) (time.Duration, error) {
 	began, version := time.Now(), uint64(0)
 	for time.Since(began) < forceWithin && ctx.Err() == nil {
@@ -127,7 +127,7 @@
 	return 0, errNotInForce
 }
 
-// another is the address of the next controller.
+// another returns the address of the controller after the one at address.
 func (o *operators) another(address string) string {
 	for i, controller := range o.controllers {
 		if controller == address {
@@ -141,7 +141,7 @@
 	return "http://" + address + "/admin/v1/teams/" + url.PathEscape(name)
 }
 
-// readTeam asks a controller for a team.
+// readTeam reads a team from the controller at address.
 func readTeam(address, name string) (teamEntry, error) {
 	var entry teamEntry
 	status, body, err := fasthttp.GetTimeout(nil, teamPath(address, name), changeWithin)
@@ -155,7 +155,7 @@
 	return entry, err
 }
 
-// putTeam changes a team if version is still that of its entry, and returns the new version.
+// putTeam changes a team on condition that version is its current version, and returns the new version.
 func putTeam(address, name string, version uint64, to map[string]float64) (uint64, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/scaletest/doc.go
+++ b/internal/scaletest/doc.go
@@ -1,9 +1,10 @@
-// Package scaletest runs a deployment at a size that no operator has yet: real controllers as processes, one or several cells
-// of them, each with its own state service, cloud, load balancer, users and thousands of workers in one process.
-// It measures what each role costs, keeps the measurements as lines of JSON, and works out slopes and tables from them.
+// Package scaletest measures controllers at sizes beyond those of any existing deployment. A run plays one or several
+// cells, one per region. A cell has real controllers as processes of their own, and one process that simulates its state
+// service, cloud, load balancer, users and thousands of workers. The package measures the resources that each role of a
+// controller uses, stores the measurements as lines of JSON, and derives growth rates and tables from them.
 //
-// The workers are hollow: they answer the controllers as real workers do and run nothing. All that surrounds the controllers
-// is called the hollow side; a run whose hollow side was overloaded says nothing of the controllers.
+// The workers are hollow: they answer the controllers as real workers do but run no tasks. The simulated part of a cell is
+// called the hollow side. If the hollow side was overloaded, the measurements of the controllers are not valid.
 //
 // docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
 package scaletest
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -6,17 +6,20 @@
 	"dykeledge/internal/localcluster"
 )
 
-// Faults of a run come in the measured time, at these parts of it and for these seconds. A day's failures and replacements
-// are pressed into the measured time.
+// Times and sizes of the faults of a run.
 const (
+	// The larger faults start at these fractions of the measured time: the loss of a rack, a failed switch, a partitioned
+	// zone, a crash of one controller, and a crash of all controllers.
 	rackAt, switchAt, zoneAt, oneEndsAt, allEndAt = 0.10, 0.25, 0.40, 0.65, 0.80
-	cutForS                                       = 15.0
-	cutPart                                       = 0.15 // and no longer than this part of the measured time
-	noticeS                                       = 10
-	switchRacks                                   = 3
+
+	cutForS     = 15.0 // duration of a partition, in seconds
+	cutPart     = 0.15 // upper bound for the duration of a partition, as a fraction of the measured time
+	noticeS     = 10   // seconds from the preemption notice of a spot machine to its end
+	switchRacks = 3    // racks that a failed switch partitions
 )
 
-// schedule is what befalls a cell in a run with faults.
+// schedule returns the faults of a cell in a run of the cut Faults. The machine failures and replacements of a whole day
+// happen within the measured time.
 func (c *Cell) schedule() *localcluster.Schedule {
 	profile, cutFor := &c.Profile, min(cutForS, cutPart*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
@@ -34,7 +37,7 @@
 	return schedule
 }
 
-// spread has a fault come so many times, evenly over the measured time.
+// spread returns a fault repeated a number of times, evenly over the measured time.
 func (c *Cell) spread(times float64, f localcluster.Fault) []localcluster.Fault {
 	n := int(math.Round(times))
 	out := make([]localcluster.Fault, n)
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -7,27 +7,28 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Line is a figure's growth over a ladder of sizes, by least squares.
+// Line describes how a quantity grows with size: a least-squares line, and a power law for comparison.
 type Line struct {
 	Points           int
 	From, To         float64 // range of x
 	Intercept, Slope float64
 	R2               float64
-	Residual         float64 // the largest distance of a point from the line, in parts of the largest value
-	Power            float64 // exponent of the power law that fits best; 0 where there is none
-	Bent             bool    // the power law fits far better than the line
+	Residual         float64 // largest distance of a point from the line, relative to the largest absolute value of y
+	Power            float64 // exponent of the power law that fits best; 0 if there are too few positive points
+	Bent             bool    // the power law fits much better than the line
 }
 
-// What still counts as a line.
+// Criteria for linear growth.
 const (
-	leastSizes   = 4
-	leastR2      = 0.95
-	mostResidual = 0.20
-	// farBetter is the part of the line's squared error below which the power law's is far better.
+	leastSizes   = 4    // different sizes that a fit needs
+	leastR2      = 0.95 // lowest coefficient of determination
+	mostResidual = 0.20 // largest relative residual
+	// farBetter is the ratio of squared errors, power law to line, below which the power law counts as much better.
 	farBetter = 0.25
 )
 
-// fitLine fits a line. It needs leastSizes different values of x.
+// fitLine fits a line to the points. It returns false if there are fewer than leastSizes different values of x, or if
+// all values of y are 0.
 func fitLine(x, y []float64) (Line, bool) {
 	sizes := map[float64]bool{}
 	line := Line{Points: len(x), From: math.Inf(1)}
@@ -53,9 +54,10 @@
 	return line, true
 }
 
-// rounding is the residual of a line through points that lie on it.
+// rounding is the relative residual up to which a deviation from the line is a rounding error.
 const rounding = 1e-6
 
+// squaredError returns the sum of the squared distances of the points from f.
 func squaredError(x, y []float64, f func(float64) float64) float64 {
 	sum := 0.0
 	for i := range x {
@@ -64,7 +66,8 @@
 	return sum
 }
 
-// fitPower fits factor·x^power.
+// fitPower fits factor·x^power to the points with positive coordinates; it returns 0, 0 if there are fewer than
+// leastSizes of them.
 func fitPower(x, y []float64) (power, factor float64) {
 	var logX, logY []float64
 	for i := range x {
@@ -81,10 +84,10 @@
 
 func (l Line) at(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// isLine tells whether a line describes the growth.
+// isLine reports whether the growth is linear.
 func (l Line) isLine() bool { return l.R2 >= leastR2 && l.Residual <= mostResidual && !l.Bent }
 
-// growth names how a figure grows.
+// growth classifies the growth, for the tables: line, flat, or the exponent of the power law.
 func (l Line) growth() string {
 	switch {
 	case l.isLine():
@@ -95,5 +98,5 @@
 	return fmt.Sprintf("no line: power %.2f", l.Power)
 }
 
-// flatPower is the exponent below which a figure doesn't grow with size.
+// flatPower is the exponent below which a quantity counts as independent of the size.
 const flatPower = 0.15
--- a/internal/scaletest/launch.go
+++ b/internal/scaletest/launch.go
@@ -16,24 +16,27 @@
 	"time"
 )
 
-// endWithin is how long a cell's process may take to end all that it started, once it is asked to.
+// endWithin is how long a cell's process may take to stop everything that it started, after SIGTERM.
 const endWithin = 10 * time.Second
 
-// Launcher plays cells, each in a process of its own: a process has too few files and too much to collect for all of them.
+// Launcher plays cells, each in a process of its own: for all cells together, one process would have too few file
+// descriptors and too much garbage to collect.
 type Launcher struct {
-	Command func(ctx context.Context) *exec.Cmd // the process that reads a cell and writes its point, see ServeCell
-	Errs    io.Writer                           // gets what the processes log
+	Command func(ctx context.Context) *exec.Cmd // returns the command that reads a cell and writes its point, see ServeCell
+	Errs    io.Writer                           // receives the standard error of the processes
 }
 
-// Run plays cells side by side and returns their points, in the cells' order, as far as there are any. When ctx ends, all
-// that was started ends too.
+// Run plays cells concurrently and returns their points in the order of the cells, nil for a cell that failed. When ctx
+// ends, all started processes are terminated.
 func (l *Launcher) Run(ctx context.Context, cells []Cell) ([]*Point, error) {
 	points, failures := make([]*Point, len(cells)), make([]error, len(cells))
 	errs := &lockedWriter{to: l.Errs}
 	var all sync.WaitGroup
 	for i := range cells {
 		all.Go(func() {
-			runtime.LockOSThread() // a process that ends with its parent does so with the thread that began it
+			// Pdeathsig (see play) is sent when the thread that started the child exits, not the process, so this goroutine
+			// keeps its thread.
+			runtime.LockOSThread()
 			points[i], failures[i] = l.play(ctx, &cells[i], errs)
 		})
 	}
@@ -41,6 +44,7 @@
 	return points, errors.Join(failures...)
 }
 
+// play plays one cell in a new process and returns its point.
 func (l *Launcher) play(ctx context.Context, cell *Cell, errs io.Writer) (*Point, error) {
 	raw, err := json.Marshal(cell)
 	if err != nil {
@@ -50,7 +54,8 @@
 	cmd.Stdin, cmd.Stderr = bytes.NewReader(raw), errs
 	var out bytes.Buffer
 	cmd.Stdout = &out
-	// The process gets no signal of the terminal's: it is asked to end, and ends with this one however that does.
+	// In a process group of its own the process does not receive signals from the terminal. It gets SIGTERM when ctx
+	// ends, or when this process exits for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	cmd.WaitDelay = endWithin
@@ -60,16 +65,16 @@
 	}
 	var p Point
 	if err := json.Unmarshal(out.Bytes(), &p); err != nil {
-		return nil, fmt.Errorf("cell %s: no point: %w", cell.Region, errors.Join(runErr, err))
+		return nil, fmt.Errorf("cell %s: its process wrote no valid point: %w", cell.Region, errors.Join(runErr, err))
 	}
 	return &p, nil
 }
 
-// ServeCell is what a cell's process does: it reads a cell, plays it, and writes its point.
+// ServeCell is the main function of a cell's process: it reads a cell from in, plays it, and writes its point to out.
 func ServeCell(ctx context.Context, in io.Reader, out io.Writer, log *slog.Logger) error {
 	var c Cell
 	if err := json.NewDecoder(bufio.NewReader(in)).Decode(&c); err != nil {
-		return fmt.Errorf("cell: %w", err)
+		return fmt.Errorf("decode the cell to play: %w", err)
 	}
 	p, err := c.Play(ctx, log)
 	if err != nil {
@@ -78,20 +83,21 @@
 	return p.Write(out)
 }
 
-// lockedWriter lets several processes write whole pieces.
+// lockedWriter serializes the writes of several processes, so that their log lines don't mix.
 type lockedWriter struct {
 	mu sync.Mutex
 	to io.Writer
 }
 
-// Write writes data in one piece.
+// Write writes data while holding the lock.
 func (w *lockedWriter) Write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.to.Write(data)
 }
 
-// Verdict tells what is wrong with a point: broken rules, and controllers that ended by themselves. Times have no part in it.
+// Verdict returns an error if the cell broke a rule, if a controller exited unexpectedly, or if no task was started.
+// Latencies are not judged.
 func (p *Point) Verdict() error {
 	var bad []error
 	for _, b := range p.BrokenRules {
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -22,20 +22,21 @@
 	"dykeledge/internal/wait"
 )
 
-// How a run is watched.
+// Intervals and limits of a measurement.
 const (
-	readyWithin   = 60 * time.Second
-	sampleEvery   = time.Second
-	peaksEvery    = 5  // samples
-	progressEvery = 10 // samples
-	ticksEvery    = 20 * time.Millisecond
-	// mostLateness is how late the hollow side's timers may be, at the 99th percentile, before its own lateness would count
-	// as the controllers'.
-	mostLateness = 50.0 // milliseconds
+	readyWithin   = 60 * time.Second      // time-out for the first controller to become ready
+	sampleEvery   = time.Second           // interval between checks for task starts
+	peaksEvery    = 5                     // checks between two samples of the controllers' memory, sockets and threads
+	progressEvery = 10                    // checks between two progress log lines
+	ticksEvery    = 20 * time.Millisecond // timer interval with which the lateness of timers is measured
+	// mostLateness is the 99th percentile of timer lateness on the hollow side, in milliseconds, above which the run counts
+	// as overloaded: the hollow side's own delays would then be attributed to the controllers.
+	mostLateness = 50.0
 )
 
-// Loopback addresses of a cell: a network 127.N.0.0/16 that no other cell on this machine has. Workers and controllers have
-// fixed ports below those that the system hands out, so that no outgoing connection can take them.
+// Loopback addresses of a cell. Each cell uses a network 127.N.0.0/16 that no other cell on this machine uses. The ports of
+// workers and controllers are fixed and below the system's ephemeral port range, so that no outgoing connection can take
+// them.
 const (
 	firstNetwork   = 64
 	lastNetwork    = 250
@@ -46,8 +47,9 @@
 	controllersNet = 255
 )
 
-// reserveNetwork finds a network that no other cell on this machine uses, of this run or another's: two cells at the same addresses would play each
-// other's workers. The network is held until the listener is closed.
+// reserveNetwork returns the number N of a network 127.N.0.0/16 that no other cell on this machine uses, in this run or
+// another: controllers of cells at the same addresses would reach each other's workers. The network stays reserved until
+// the listener is closed.
 func reserveNetwork(ctx context.Context) (int, net.Listener, error) {
 	var listenConfig net.ListenConfig
 	for network := firstNetwork; network <= lastNetwork; network++ {
@@ -56,29 +58,30 @@
 			return network, listener, nil
 		}
 	}
-	return 0, nil, errors.New("no free loopback network for a cell")
+	return 0, nil, errors.New("all loopback networks for cells are in use")
 }
 
-// watch gathers what a run measures while it goes on.
+// watch collects the measurements of a run while it is in progress.
 type watch struct {
 	cell    *Cell
 	cluster *localcluster.Cluster
 	log     *slog.Logger
 
 	mu       sync.Mutex
-	from     time.Time // of the measured time
-	urgent   *hdrhistogram.Histogram
-	launched map[string]bool // urgent tasks that a worker has taken up before
-	lateness *hdrhistogram.Histogram
+	from     time.Time               // start of the measured time; zero before
+	urgent   *hdrhistogram.Histogram // time from the submission of an urgent task to its first launch
+	launched map[string]bool         // urgent tasks that have been launched on a worker
+	lateness *hdrhistogram.Histogram // lateness of this process's timers
 
-	operators *operators // nil: nothing is changed
-	peaks     []peaks
-	gap       time.Duration // the longest time without a start
-	started   int
-	lastMove  time.Time
+	operators *operators    // nil in runs without configuration changes
+	peaks     []peaks       // by controller
+	gap       time.Duration // longest time without a task start
+	started   int           // task starts at the last check
+	lastMove  time.Time     // last check that found new task starts
 }
 
-// Play plays a cell in this process until its time is over, and returns what it measured. Progress goes to the log.
+// Play plays a cell, with its simulated side in this process, until the measured time is over, and returns the
+// measurements. Progress is logged.
 func (c *Cell) Play(ctx context.Context, log *slog.Logger) (*Point, error) {
 	dir := filepath.Join(c.Dir, c.Region)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -88,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = held.Close() }() // nobody was served
+	defer func() { _ = held.Close() }() // it accepted no connections
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cluster, err := localcluster.Start(ctx, c.options(dir, network, log))
@@ -130,7 +133,7 @@
 	return point, nil
 }
 
-// usersRules are the rules whose breach users notice.
+// usersRules returns the rules that were broken in the responses to users.
 func usersRules(r *loadgen.Result) (broken []string) {
 	if r.WentBack > 0 {
 		broken = append(broken, fmt.Sprintf("went_back: %d jobs", r.WentBack))
@@ -143,7 +146,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// options is the cluster that a cell plays.
+// options returns the options of the local cluster that a cell runs.
 func (c *Cell) options(dir string, network int, log *slog.Logger) localcluster.Options {
 	o := localcluster.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
 		Deployment: c.Deployment(), Catalog: c.Catalog(), SharedTicker: true, Delay: c.delay,
@@ -159,7 +162,8 @@
 	return o
 }
 
-// delay is how long a message takes between two zones; one whose sender can't be told takes the longer time.
+// delay returns the one-way delay of a message between two zones. If the sender's zone is unknown, this is the longer
+// delay, that between zones.
 func (c *Cell) delay(from, to string) time.Duration {
 	ms := c.Profile.Delays.BetweenZonesMs
 	if from == to {
@@ -168,7 +172,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// newWatch makes a watch that is told of every launch from now on.
+// newWatch returns a watch and registers it as the simulation's callback for task launches.
 func newWatch(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *watch {
 	w := &watch{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
@@ -176,7 +180,7 @@
 	return w
 }
 
-// upload puts a job's description where the hollow workers read it; a job counts as submitted from then on.
+// upload stores a job's description where the hollow workers read it. The waiting time of the job counts from then on.
 func (w *watch) upload(_ string, description []byte) error {
 	var u simulator.Upload
 	if err := json.Unmarshal(description, &u); err != nil {
@@ -186,7 +190,8 @@
 	return w.cluster.Simulation.AddJob(u)
 }
 
-// onLaunch measures urgent tasks from their submission to their first launch. The simulation is locked.
+// onLaunch records the time from the submission of an urgent task to its first launch. It is called with the
+// simulation's lock held.
 func (w *watch) onLaunch(job *simulator.Job, index int) {
 	if job.Spec["jobclass"] != urgentClass {
 		return
@@ -203,7 +208,7 @@
 	}
 }
 
-// measureLateness finds out by how much this process's timers are late.
+// measureLateness records by how much the timers of this process are late, until ctx ends.
 func (w *watch) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := time.Now().Add(ticksEvery)
@@ -216,7 +221,7 @@
 	}
 }
 
-// measure watches the cell for its measured time, and makes its point.
+// measure takes the measurements for the cell's measured time, and returns its point.
 func (w *watch) measure(ctx context.Context) (*Point, error) {
 	w.mu.Lock()
 	w.from = time.Now()
@@ -243,7 +248,8 @@
 	return w.point(first, last), nil
 }
 
-// watchStarts notes how long no task has been started; n counts the samples.
+// watchStarts updates the longest time without a task start, and logs the progress every progressEvery checks; n
+// counts the checks.
 func (w *watch) watchStarts(n int) {
 	now, stats := time.Now(), w.cluster.Simulation.Stats()
 	if stats.Started > w.started {
@@ -255,7 +261,7 @@
 	}
 }
 
-// notePeaks notes what the controllers hold now.
+// notePeaks updates the peaks of the controllers' memory, sockets and threads.
 func (w *watch) notePeaks() {
 	for i, pid := range w.cluster.Pids() {
 		if u, err := usageOf(pid); err == nil {
@@ -264,7 +270,7 @@
 	}
 }
 
-// point works out what was measured between two samples.
+// point computes the point from the samples at the start and the end of the measured time.
 func (w *watch) point(first, last sample) *Point {
 	cell, simulation, took := w.cell, w.cluster.Simulation, last.at.Sub(first.at)
 	perSecond := func(n float64) float64 { return n / took.Seconds() }
@@ -277,7 +283,8 @@
 		UserConns: w.cluster.LoadBalancer.Opened.Load()}
 	point.StateKeys, point.StateBytes = simulation.Store.Size()
 	perWorker := func(n int64) float64 { return perSecond(float64(n)) / float64(max(1, point.Up)) }
-	// A worker sends heartbeats, and heartbeats as answers to commands; it gets answers, and commands.
+	// A worker sends heartbeats, also as responses to direct commands; it receives responses to heartbeats, and direct
+	// commands.
 	point.WorkerOutBps = perWorker(last.reports.out - first.reports.out + last.commands.out - first.commands.out)
 	point.WorkerInBps = perWorker(last.reports.in - first.reports.in + last.commands.in - first.commands.in)
 	point.HeartbeatsPerS = perWorker(last.reports.messages - first.reports.messages)
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of processor times in /proc on Linux.
+// ticksPerSecond is the resolution of CPU times in /proc on Linux, in ticks per second.
 const ticksPerSecond = 100
 
-// processUsage is what a process has used and holds.
+// processUsage is the resource usage of a process.
 type processUsage struct {
-	cpu     time.Duration // since it began
-	memMB   float64       // resident
+	cpu     time.Duration // CPU time since the process started
+	memMB   float64       // resident memory
 	threads int
-	sockets int
+	sockets int // open sockets
 }
 
-// usageOf reads a process's figures from /proc.
+// usageOf reads the resource usage of a process from /proc.
 func usageOf(pid int) (processUsage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	var usage processUsage
@@ -38,7 +38,7 @@
 	}
 	for line := range strings.Lines(string(status)) {
 		name, value, _ := strings.Cut(line, ":")
-		number, _ := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 64) // 0 where it is no number
+		number, _ := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 64) // 0 if it is not a number
 		switch name {
 		case "VmRSS":
 			usage.memMB = number / 1024
@@ -50,9 +50,10 @@
 	return usage, nil
 }
 
-// cpuOf reads user and system time from the text of /proc/PID/stat, whose second field may hold spaces and brackets.
+// cpuOf returns the user and system time in the text of /proc/PID/stat. The second field, the program name in
+// parentheses, may itself contain spaces and parentheses, so the fields are counted from the last closing one.
 func cpuOf(stat []byte) (time.Duration, error) {
-	const userTime, systemTime = 11, 12 // fields after the name
+	const userTime, systemTime = 11, 12 // indexes of the fields after the program name
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= systemTime {
 		return 0, fmt.Errorf("usage of a process: expected %d fields in stat, found %d", systemTime+1, len(fields))
@@ -68,10 +69,11 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
+// socketsOf counts the open sockets in a process's directory of file descriptors.
 func socketsOf(dir string) int {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return 0 // it has ended
+		return 0 // the process has exited
 	}
 	n := 0
 	for _, e := range entries {
@@ -82,13 +84,13 @@
 	return n
 }
 
-// hostLoad is the machine's load over the last minute.
+// hostLoad returns the load average of the host over the last minute, 0 if it can't be read.
 func hostLoad() float64 {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0
 	}
 	first, _, _ := strings.Cut(string(raw), " ")
-	load, _ := strconv.ParseFloat(first, 64) // 0 where it is no number
+	load, _ := strconv.ParseFloat(first, 64) // 0 if it is not a number
 	return load
 }
--- a/internal/scaletest/profile.go
+++ b/internal/scaletest/profile.go
@@ -8,23 +8,23 @@
 	"dykeledge/internal/fieldcheck"
 )
 
-// Profile describes the deployment at its whole size, and how a run at a part of it is played. One second of a run is one
-// second of the deployment; faults alone come more often than they do there.
+// Profile describes the full size of a deployment, from which runs of any fraction are derived. One second of a run
+// stands for one second of the deployment; only faults are more frequent in a run.
 type Profile struct {
-	Workers        int     `toml:"workers"`       // in all regions
-	RunningTasks   int     `toml:"running_tasks"` // at a time, in all regions
-	StartsPerS     float64 `toml:"starts_per_s"`  // task starts at the peak
-	JobsPerDay     float64 `toml:"jobs_per_day"`
-	PeakOfJobs     float64 `toml:"peak_of_jobs"`   // submissions at the peak, in times their mean
-	LargestJob     int     `toml:"largest_job"`    // tasks
-	UrgentPart     float64 `toml:"urgent_part"`    // of the jobs
-	UrgentTasks    int     `toml:"urgent_tasks"`   // at most, of an urgent job
-	Teams          int     `toml:"teams"`          //
-	HottestPart    float64 `toml:"hottest_part"`   // of the work, that the hottest tenth of the teams has
-	FailuresADay   float64 `toml:"failures_a_day"` // machines that die
-	ReplacedADay   float64 `toml:"replaced_a_day"` // machines that are taken with a notice
-	WorkersPerRack int     `toml:"rack_workers"`   // machines behind one switch
-	ChangesADay    float64 `toml:"changes_a_day"`  // of the configuration; each cell gets all of them
+	Workers        int     `toml:"workers"`        // in all regions
+	RunningTasks   int     `toml:"running_tasks"`  // tasks that run at a time, in all regions
+	StartsPerS     float64 `toml:"starts_per_s"`   // task starts per second at the peak, in all regions
+	JobsPerDay     float64 `toml:"jobs_per_day"`   // in all regions
+	PeakOfJobs     float64 `toml:"peak_of_jobs"`   // submission rate at the peak, as a multiple of the mean
+	LargestJob     int     `toml:"largest_job"`    // tasks of the largest job
+	UrgentPart     float64 `toml:"urgent_part"`    // fraction of the jobs that are urgent
+	UrgentTasks    int     `toml:"urgent_tasks"`   // largest number of tasks of an urgent job
+	Teams          int     `toml:"teams"`          // in each region
+	HottestPart    float64 `toml:"hottest_part"`   // fraction of the work that belongs to the busiest tenth of the teams
+	FailuresADay   float64 `toml:"failures_a_day"` // machines that fail per day, in all regions
+	ReplacedADay   float64 `toml:"replaced_a_day"` // spot machines that the cloud reclaims per day, in all regions
+	WorkersPerRack int     `toml:"rack_workers"`   // machines in one rack
+	ChangesADay    float64 `toml:"changes_a_day"`  // configuration changes per day; each cell makes all of them
 
 	Regions    []Region   `toml:"region"`
 	Worker     Worker     `toml:"worker"`
@@ -33,24 +33,25 @@
 	Delays     Delays     `toml:"delays"`
 }
 
-// Region is one cell: its part of everything, and its zones.
+// Region describes one region, which a run plays as one cell.
 type Region struct {
 	Name  string  `toml:"name"`
-	Part  float64 `toml:"part"`
+	Part  float64 `toml:"part"` // fraction of the deployment's load and workers
 	Zones int     `toml:"zones"`
 }
 
-// Worker is what each machine has, and how its worker heartbeats.
+// Worker describes a machine and the timing of its worker.
 type Worker struct {
 	Cpus    float64 `toml:"cpus"`
 	MemGB   float64 `toml:"mem_gb"`
 	BootS   float64 `toml:"boot_s"`
-	ReportS float64 `toml:"report_s"`
+	ReportS float64 `toml:"report_s"` // interval between heartbeats, in seconds
 	LeaseS  float64 `toml:"lease_s"`
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// Controller is what each controller may use. Cpu above 1 gives it all cores that the machine has.
+// Controller holds the number and the resource limits of controllers. With a CPU limit above 1 a controller may use all
+// cores of the host.
 type Controller struct {
 	PerRegion      int     `toml:"per_region"`
 	CPU            float64 `toml:"cpu"`
@@ -58,7 +59,7 @@
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// State is what a region's state service and cloud admit.
+// State holds the limits of a region's state service, and the request rate limit of its cloud.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -67,13 +68,14 @@
 	CloudRPS float64 `toml:"cloud_rps"`
 }
 
-// Delays are one-way times of messages, in milliseconds.
+// Delays holds the one-way network delays of messages, in milliseconds.
 type Delays struct {
 	WithinZoneMs   float64 `toml:"within_zone_ms"`
 	BetweenZonesMs float64 `toml:"between_zones_ms"`
 }
 
-// DefaultProfile is the operators' letter, and what had to be assumed beside it: see docs/CAPACITY.md.
+// DefaultProfile returns the deployment size that the operators require, with assumptions where they require nothing; see
+// docs/CAPACITY.md.
 func DefaultProfile() Profile {
 	return Profile{Workers: 17_000, RunningTasks: 110_000, StartsPerS: 7_600, JobsPerDay: 73_000, PeakOfJobs: 20, LargestJob: 100_000,
 		UrgentPart: 0.1, UrgentTasks: 8, Teams: 460, HottestPart: 0.5, FailuresADay: 86, ReplacedADay: 2_900, WorkersPerRack: 32, ChangesADay: 55_000,
@@ -84,8 +86,8 @@
 		Delays:     Delays{WithinZoneMs: 0.2, BetweenZonesMs: 1}}
 }
 
-// LoadProfile reads and checks a profile; what the file leaves out is as DefaultProfile has it. Errors fit on one line and
-// name file, field and what was expected.
+// LoadProfile reads and validates a profile; fields that the file omits have the values of DefaultProfile. Errors fit on
+// one line and name the file, the field and what was expected.
 func LoadProfile(path string) (Profile, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -98,7 +100,7 @@
 	return p, nil
 }
 
-// ParseProfile reads and checks a profile's text.
+// ParseProfile decodes a profile from TOML and validates it.
 func ParseProfile(raw []byte) (Profile, error) {
 	p := DefaultProfile()
 	regions := p.Regions
@@ -112,15 +114,16 @@
 	return p, p.check()
 }
 
-// Bounds of what one machine can play.
+// Upper bounds of profiles that can be played on one machine.
 const (
 	mostWorkers = 60_000 // each hollow worker has a loopback address of its own
 	mostTeams   = 10_000
 	mostRegions = 32
 	mostZones   = 16
-	partSlack   = 1e-6
+	partSlack   = 1e-6 // tolerance for rounding errors in the sum of the regions' parts
 )
 
+// check validates a profile and returns a *config.FieldError for the first invalid field.
 func (p *Profile) check() error {
 	check := fieldcheck.Under("")
 	check.Want(p.Workers >= 1 && p.Workers <= mostWorkers, "workers", "a count from 1 to 60000")
@@ -129,10 +132,10 @@
 	check.Want(p.JobsPerDay > 0 && p.JobsPerDay <= 1e8, "jobs_per_day", "a count above 0")
 	check.Want(p.PeakOfJobs >= 1 && p.PeakOfJobs <= 1e4, "peak_of_jobs", "a factor from 1")
 	check.Want(p.LargestJob >= 1 && p.LargestJob <= 100_000, "largest_job", "tasks from 1 to 100000")
-	check.Want(p.UrgentPart >= 0 && p.UrgentPart < 1, "urgent_part", "a part from 0 to below 1")
+	check.Want(p.UrgentPart >= 0 && p.UrgentPart < 1, "urgent_part", "a fraction from 0 to below 1")
 	check.Want(p.UrgentTasks >= 1 && p.UrgentTasks <= 1000, "urgent_tasks", "tasks from 1 to 1000")
 	check.Want(p.Teams >= 2 && p.Teams <= mostTeams, "teams", "a count from 2 to 10000")
-	check.Want(p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a part from 0.1 to below 1")
+	check.Want(p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a fraction from 0.1 to below 1")
 	check.Want(p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more")
 	check.Want(p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more")
 	check.Want(p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more")
@@ -140,7 +143,7 @@
 	check.Want(len(p.Regions) <= mostRegions, "region", "at most 32 regions")
 	check.Want(p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0")
 	check.Want(p.Worker.BootS > 0, "worker.boot_s", "seconds above 0")
-	check.Want(p.Worker.ReportS > 0 && p.Worker.LeaseS > 2*p.Worker.ReportS, "worker.lease_s", "more than two reports")
+	check.Want(p.Worker.ReportS > 0 && p.Worker.LeaseS > 2*p.Worker.ReportS, "worker.lease_s", "more than twice report_s")
 	check.Want(p.Worker.CancelS > 0, "worker.cancel_s", "seconds above 0")
 	check.Want(p.Controller.PerRegion >= 1 && p.Controller.PerRegion <= 9, "controller.per_region", "a count from 1 to 9")
 	check.Want(p.Controller.CPU > 0, "controller.cpu", "cores above 0")
@@ -157,6 +160,7 @@
 	return p.checkRegions()
 }
 
+// checkRegions validates the regions of a profile.
 func (p *Profile) checkRegions() error {
 	parts, seen := 0.0, map[string]bool{}
 	for i, r := range p.Regions {
@@ -165,7 +169,7 @@
 		case r.Name == "" || seen[r.Name]:
 			return &config.FieldError{Field: field + "name", Expected: "a name that no other region has"}
 		case !(r.Part > 0 && r.Part <= 1):
-			return &config.FieldError{Field: field + "part", Expected: "a part from above 0 to 1"}
+			return &config.FieldError{Field: field + "part", Expected: "a fraction from above 0 to 1"}
 		case r.Zones < 1 || r.Zones > mostZones:
 			return &config.FieldError{Field: field + "zones", Expected: "a count from 1 to 16"}
 		}
@@ -173,35 +177,36 @@
 		parts += r.Part
 	}
 	if parts > 1+partSlack {
-		return &config.FieldError{Field: "region", Expected: "parts that are no more than 1 together"}
+		return &config.FieldError{Field: "region", Expected: "parts that add up to at most 1"}
 	}
 	return nil
 }
 
-// Cut says which part of the whole a run plays, where one machine can't hold all of it.
+// Cut selects the aspect of the full load that a run plays, since one machine can't play all aspects at once.
 type Cut string
 
 const (
 	// Peak plays task starts at the rate of the peak.
 	Peak Cut = "peak"
-	// Population plays the running tasks and workers at a start rate that is lower, since tasks run for longer.
+	// Population plays all workers and running tasks, at a lower start rate, since its tasks run longer.
 	Population Cut = "population"
-	// Changes is Peak with changes of the configuration.
+	// Changes is Peak with configuration changes.
 	Changes Cut = "changes"
-	// Faults is Changes with failures, a group, a switch, a zone and ends of controllers.
+	// Faults is Changes with faults: machine failures, the loss of a rack, a failed switch, a partitioned zone, and crashes
+	// of controllers.
 	Faults Cut = "troubles"
 )
 
-// populationTaskS is how long the tasks of a Population run take, in seconds.
+// populationTaskS is the mean run time of a task in a Population run, in seconds.
 const populationTaskS = 300
 
-// Cuts are all of them.
+// Cuts returns all cuts.
 func Cuts() []Cut { return []Cut{Peak, Population, Changes, Faults} }
 
-// Regions says which regions a run plays.
+// Regions selects the regions that a run plays.
 type Regions string
 
-// The regions that a run may play.
+// The values of Regions.
 const (
 	LargestRegion Regions = "largest"
 	AllRegions    Regions = "all"
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -12,12 +12,12 @@
 	"dykeledge/internal/textout"
 )
 
-// Ladder is the name of the run whose points are fitted: one profile at several sizes.
+// Ladder is the name of the run whose points are fitted: the same profile at several sizes.
 const Ladder = "ladder"
 
-// Report prints the tables that come of points, as Markdown: the runs, how each role's figures grow over the ladder of the
-// peak, what a worker costs, and what the other cuts showed. Points whose hollow side was overloaded are listed, and left out of
-// the fits.
+// Report prints tables of points as Markdown: for each cut its runs, controllers and configuration changes, and for the
+// ladder of the peak the growth of each role's and worker's resource usage with the number of workers. Points whose
+// hollow side was overloaded are listed, but left out of the fits.
 func Report(writer io.Writer, points []Point) error {
 	buffer := bufio.NewWriter(writer)
 	out := textout.New(buffer)
@@ -56,7 +56,7 @@
 	return errors.Join(out.Flush(), buffer.Flush())
 }
 
-// runsTable has a row a point.
+// runsTable prints a row for each point.
 func runsTable(out *textout.Printer, points []Point) {
 	out.Println("| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
 	out.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -72,8 +72,8 @@
 	out.Println()
 }
 
-// controllersTable has a row a controller of points that no line is fitted through. One that ended meanwhile, or changed its role,
-// is marked, since its processor time is of a part of the time.
+// controllersTable prints a row for each controller of points that are not fitted. A controller that was restarted or
+// changed its role during the measurement is marked, since its CPU usage covers only a part of that time.
 func controllersTable(out *textout.Printer, points []Point) {
 	if len(points) == 0 {
 		return
@@ -93,7 +93,7 @@
 	out.Println()
 }
 
-// changesTable has a row a point in which the configuration was changed.
+// changesTable prints a row for each point with configuration changes.
 func changesTable(out *textout.Printer, points []Point) {
 	points = slices.DeleteFunc(slices.Clone(points), func(p Point) bool { return p.ChangesMade == 0 })
 	if len(points) == 0 {
@@ -108,7 +108,7 @@
 	out.Println()
 }
 
-// fractionText writes 0.25 as 1/4.
+// fractionText formats a fraction as 1/n if it is one, for example 0.25 as 1/4, and as a decimal number otherwise.
 func fractionText(f float64) string {
 	if n := 1 / f; f < 1 && n == float64(int(n)) {
 		return fmt.Sprintf("1/%d", int(n))
@@ -116,7 +116,7 @@
 	return fmt.Sprintf("%g", f)
 }
 
-// controllerFigure is one figure of a controller that the tables show.
+// controllerFigure is a quantity of a controller that the tables show.
 type controllerFigure struct {
 	name   string
 	format string
@@ -142,7 +142,8 @@
 
 const fitHead = "measured at the largest size | a 1,000 workers | at 0 | R² | worst residual | growth | sizes and points |"
 
-// rolesTable has a row for each role and figure. Controllers that changed their process or role meanwhile are left out.
+// rolesTable prints the growth of each quantity for each role. Controllers whose process or role changed during the
+// measurement are left out.
 func rolesTable(out *textout.Printer, points []Point) {
 	out.Printf("| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, role := range []Role{Leader, Owner, Member} {
@@ -161,7 +162,7 @@
 	out.Println()
 }
 
-// pointFigure is one figure of a cell that the tables show.
+// pointFigure is a quantity of a cell that the tables show.
 type pointFigure struct {
 	name   string
 	format string
@@ -184,7 +185,7 @@
 	{"submissions: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.AcceptMs.P99 }},
 }
 
-// workerTable has a row for each figure of a cell.
+// workerTable prints the growth of each quantity of a cell.
 func workerTable(out *textout.Printer, points []Point) {
 	out.Printf("| figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, f := range pointFigures {
@@ -199,7 +200,8 @@
 	out.Println()
 }
 
-// fitRow prints a figure's growth; without enough sizes it says so, and without points nothing.
+// fitRow prints the growth of one quantity y with the size x. It prints nothing if there are no points, and a remark if
+// there are too few sizes for a fit.
 func fitRow(out *textout.Printer, name, format string, x, y []float64) {
 	if len(x) == 0 {
 		return
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -9,31 +9,31 @@
 	"dykeledge/internal/simulator"
 )
 
-// controllerSample is all that is known of one controller at one moment.
+// controllerSample holds the counters of one controller at one moment.
 type controllerSample struct {
-	pid      int // 0: no process runs
+	pid      int // 0 if no process runs
 	usage    processUsage
-	counters counters
-	scraped  bool
+	counters counters // from the controller's metrics
+	scraped  bool     // the metrics could be read
 
-	reads, txns, leases, watches int64
+	reads, txns, leases, watches int64 // requests to the state service
 	stateIn, stateOut, peerBytes int64
 }
 
-// sample is all that is known of a cell at one moment.
+// sample holds the counters of a cell at one moment.
 type sample struct {
 	at          time.Time
 	controllers []controllerSample
 	hollow      processUsage // of the hollow side, see the package comment
 	stats       simulator.Stats
-	reports     networkBytes
-	commands    networkBytes
+	reports     networkBytes // heartbeats of all workers, and the responses
+	commands    networkBytes // direct commands to all workers, and the responses
 }
 
-// networkBytes is what a meter has counted.
+// networkBytes holds the counters of a meter: bytes in both directions, and messages.
 type networkBytes struct{ in, out, messages int64 }
 
-// read reads a meter.
+// read returns the current counters of a meter.
 func read(m *simulator.Meter) networkBytes {
 	return networkBytes{m.In.Load(), m.Out.Load(), m.Messages.Load()}
 }
@@ -42,22 +42,22 @@
 	return networkBytes{w.in + o.in, w.out + o.out, w.messages + o.messages}
 }
 
-// take samples a cell. What a controller does not tell now is left out, and logged.
+// take samples a cell. Figures of a controller that can't be read are left out and logged.
 func take(cluster *localcluster.Cluster, log *slog.Logger) sample {
 	taken := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: read(&cluster.Simulation.Commands)}
 	var err error
 	if taken.hollow, err = usageOf(os.Getpid()); err != nil {
-		log.Warn("no figures of the hollow side", "err", err)
+		log.Warn("reading the resource usage of the hollow side failed", "err", err)
 	}
 	for i, pid := range cluster.Pids() {
 		meters := cluster.Meters[i]
 		controller := controllerSample{pid: pid, reads: meters.Requests.Reads.Load(), txns: meters.Requests.Transactions.Load(), leases: meters.Requests.Leases.Load(),
 			watches: meters.Requests.Watches.Load(), stateIn: meters.State.In.Load(), stateOut: meters.State.Out.Load(), peerBytes: meters.Peers.In.Load() + meters.Peers.Out.Load()}
 		if controller.usage, err = usageOf(pid); err != nil {
-			log.Warn("no figures of a controller", "controller", i+1, "err", err)
+			log.Warn("reading the resource usage of a controller failed", "controller", i+1, "err", err)
 		}
 		if controller.counters, err = scrape(cluster.Controllers[i]); err != nil {
-			log.Warn("no metrics of a controller", "controller", i+1, "err", err)
+			log.Warn("scraping the metrics of a controller failed", "controller", i+1, "err", err)
 		}
 		controller.scraped = err == nil
 		taken.controllers = append(taken.controllers, controller)
@@ -66,7 +66,7 @@
 	return taken
 }
 
-// peaks are the most that a controller held at any time.
+// peaks holds the peak resource usage of a controller over all samples.
 type peaks struct {
 	memMB   float64
 	sockets int
@@ -77,7 +77,7 @@
 	p.memMB, p.sockets, p.threads = max(p.memMB, u.memMB), max(p.sockets, u.sockets), max(p.threads, u.threads)
 }
 
-// between works out what a controller cost from one sample to another.
+// between computes the resource usage of a controller between two samples.
 func between(name string, before, after controllerSample, most peaks, took time.Duration) ControllerPoint {
 	per := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
 	count := func(from, to int64) float64 { return per(float64(from), float64(to)) }
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestCells: a run of all regions holds the whole of the profile, each zone once, and one of the largest its part.
+// TestCells checks that the cells of all regions add up to the whole profile and use each zone once, and that a run of
+// the largest region at a quarter of the size has a quarter of that region's workers.
 func TestCells(t *testing.T) {
 	profile := DefaultProfile()
 	workers, running, zones, starts := 0, 0, map[string]bool{}, 0.0
@@ -50,25 +51,25 @@
 			}
 		}
 		if math.Abs(limits/float64(cell.Running)-1) > 0.05 {
-			t.Errorf("%s: the teams' limits hold %.0f tasks of %d", cell.Region, limits, cell.Running)
+			t.Errorf("%s: the limits of the teams with arrays add up to %.0f CPUs, want %d, one per running task", cell.Region, limits, cell.Running)
 		}
 	}
 	if workers != profile.Workers || running != profile.RunningTasks || len(zones) != 22 || math.Abs(starts-profile.StartsPerS) > 1 {
-		t.Errorf("%d workers, %d tasks, %d zones, %.0f starts a second", workers, running, len(zones), starts)
+		t.Errorf("all cells have %d workers, %d tasks, %d zones and %.0f starts per second, want those of the profile", workers, running, len(zones), starts)
 	}
 	if cells := profile.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 0.25}); len(cells) != 1 || cells[0].Workers != 1190 {
-		t.Errorf("the largest region at a quarter: %+v", cells)
+		t.Errorf("the largest region at a quarter of the size: %+v, want one cell with 1190 workers", cells)
 	}
 }
 
-// TestArrivals: the same seed draws the same jobs; all are valid, none is too large, and a tenth of the teams has half of
-// what there is to do at the start.
+// TestArrivals checks that the same seed yields the same jobs, that all jobs are valid and none exceeds the largest size,
+// and that a tenth of the teams has half of the backlog.
 func TestArrivals(t *testing.T) {
 	profile := DefaultProfile()
 	cell := profile.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 1, Seed: 3, WarmUpS: 20, MeasureS: 40})[0]
 	jobs := cell.Arrivals()
 	if !reflect.DeepEqual(jobs, cell.Arrivals()) {
-		t.Error("the same seed draws other jobs")
+		t.Error("the same seed yields different jobs")
 	}
 	byTeam, all, ids := map[string]int{}, 0, map[string]bool{}
 	for i, arrival := range jobs {
@@ -90,7 +91,7 @@
 		hottest += byTeam[team.name]
 	}
 	if part := float64(hottest) / float64(all); math.Abs(part-profile.HottestPart) > 0.05 {
-		t.Errorf("the hottest tenth has %.2f of the work", part)
+		t.Errorf("the busiest tenth of the teams has %.2f of the work, want the part that the profile states", part)
 	}
 }
 
@@ -135,15 +136,15 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := parseCounters([]byte("no metrics {")); err == nil {
-		t.Error("a text that holds no metrics was read")
+		t.Error("parseCounters accepted a text that is not in the metrics format")
 	}
 	cpu, err := cpuOf([]byte("12 (a (b) c) S 1 1 1 0 -1 0 0 0 0 0 150 50 0 0 20 0 9 0"))
 	if err != nil || cpu.Seconds() != 2 {
-		t.Errorf("processor time %v, %v", cpu, err)
+		t.Errorf("CPU time %v, %v, want 2 s", cpu, err)
 	}
 }
 
-// TestPage: the tables of the capacity page are those that come of the stored points.
+// TestPage checks that the capacity page contains the tables that Report prints from the stored points.
 func TestPage(t *testing.T) {
 	points, err := ReadPoints("../../docs/scale")
 	if err != nil {
--- a/internal/scaletest/scrape.go
+++ b/internal/scaletest/scrape.go
@@ -10,10 +10,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// scrapeWithin is how long a controller may take to tell its metrics.
+// scrapeWithin is the time-out for reading a controller's metrics.
 const scrapeWithin = 3 * time.Second
 
-// The controllers' metrics that a run reads.
+// Names of the controllers' metrics that a run reads.
 const (
 	metricLaunches   = "dykeledge_launches_total"
 	metricPlanning   = "dykeledge_plan_seconds"
@@ -25,13 +25,14 @@
 	serviceCloud     = "cloud"
 )
 
-// counters are one controller's metrics at one moment.
+// counters holds the metrics of one controller at one moment.
 type counters struct {
-	launches, planning, heartbeats, cloud float64
+	launches, planning, heartbeats, cloud float64 // launches, seconds of planning, answered heartbeats, cloud requests
 	leader                                bool
-	shards                                int
+	shards                                int // shards that the controller owns
 }
 
+// role returns the controller's role according to its metrics.
 func (c counters) role() Role {
 	switch {
 	case c.leader:
@@ -42,7 +43,7 @@
 	return Member
 }
 
-// scrape asks a controller for its metrics.
+// scrape reads the metrics of the controller at address.
 func scrape(address string) (counters, error) {
 	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", scrapeWithin)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return parseCounters(body)
 }
 
-// parseCounters reads the text of a controller's metrics. What is missing counts as 0.
+// parseCounters parses a controller's metrics in the text format. Missing metrics count as 0.
 func parseCounters(text []byte) (counters, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(bytes.NewReader(text))
