--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -18,12 +18,12 @@
 
 // Time-outs and retry intervals that the protocol prescribes for clients.
 const (
-	submitAnswer = 5 * time.Second  // time-out of one try to submit, cancel or upload
-	pollAnswer   = 2 * time.Second  // time-out of a status request
-	readyAnswer  = time.Second      // time-out of a readiness request
-	retryAfter   = time.Second      // shortest pause before a retry
-	longestAfter = 30 * time.Second // upper bound for the pause that a Retry-After header asks for
-	repeatFor    = time.Minute      // total time for the tries of one request
+	submitTimeout = 5 * time.Second  // time-out of one try to submit, cancel or upload
+	pollTimeout   = 2 * time.Second  // time-out of a status request
+	readyTimeout  = time.Second      // time-out of a readiness request
+	minRetryPause = time.Second      // shortest pause before a retry
+	maxRetryAfter = 30 * time.Second // upper bound for the pause that a Retry-After header asks for
+	retryBudget   = time.Minute      // total time for the tries of one request
 )
 
 // Errors that requests return.
@@ -50,36 +50,36 @@
 // New returns a client of the load balancer or controller at address.
 func New(address string) *Users {
 	return &Users{address: address, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitAnswer, MaxResponseBodySize: 1 << 20,
+		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitTimeout, MaxResponseBodySize: 1 << 20,
 		Dial: Dial}}
 }
 
-// dialWithin is the time-out for opening a connection.
-const dialWithin = time.Second
+// dialTimeout is the time-out for opening a connection.
+const dialTimeout = time.Second
 
 // Dial opens a TCP connection to address with a time-out of one second. It is meant for the field Dial of
 // fasthttp.Client, which passes no context.
 func Dial(address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialWithin}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	return dialer.DialContext(context.Background(), "tcp", address)
 }
 
 // Ready reports whether the load balancer or controller at address accepts requests: whether /ready returns
 // status 200 within a second.
 func Ready(address string) bool {
-	status, _, err := fasthttp.GetTimeout(nil, "http://"+address+"/ready", readyAnswer)
+	status, _, err := fasthttp.GetTimeout(nil, "http://"+address+"/ready", readyTimeout)
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// answer is an HTTP response.
-type answer struct {
-	status int
-	after  time.Duration // pause before the next try, from the Retry-After header; 0 if there is none
-	body   []byte
+// httpReply is an HTTP response.
+type httpReply struct {
+	status     int
+	retryAfter time.Duration // pause before the next try, from the Retry-After header; 0 if there is none
+	body       []byte
 }
 
-// once sends a request without retries and returns the response. The time-out is within.
-func (u *Users) once(method, path string, body []byte, within time.Duration) (answer, error) {
+// send sends a request without retries and returns the response. The time-out is within.
+func (u *Users) send(method, path string, body []byte, within time.Duration) (httpReply, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -90,24 +90,24 @@
 		request.SetBodyRaw(body)
 	}
 	if err := u.client.DoTimeout(request, response, within); err != nil {
-		return answer{}, err
+		return httpReply{}, err
 	}
-	a := answer{status: response.StatusCode(), body: append([]byte(nil), response.Body()...)}
+	a := httpReply{status: response.StatusCode(), body: append([]byte(nil), response.Body()...)}
 	if n, err := strconv.Atoi(string(response.Header.Peek("Retry-After"))); err == nil && n > 0 {
-		a.after = min(longestAfter, time.Duration(n)*time.Second)
+		a.retryAfter = min(maxRetryAfter, time.Duration(n)*time.Second)
 	}
 	return a, nil
 }
 
-// repeat retries a request until it gets a conclusive response (200, 201, 400, 404 or 422), as the protocol
+// sendWithRetries retries a request until it gets a conclusive response (200, 201, 400, 404 or 422), as the protocol
 // prescribes: it pauses for a second, or for longer if Retry-After says so, and gives up after a minute. A random
 // part of up to a quarter of a second is added to each pause, so that clients that were refused at the same time
 // don't retry at the same time.
-func (u *Users) repeat(ctx context.Context, method, path string, body []byte) (protocol.JobState, error) {
+func (u *Users) sendWithRetries(ctx context.Context, method, path string, body []byte) (protocol.JobState, error) {
 	var state protocol.JobState
-	deadline := time.Now().Add(repeatFor)
+	deadline := time.Now().Add(retryBudget)
 	for {
-		answer, err := u.once(method, path, body, submitAnswer)
+		answer, err := u.send(method, path, body, submitTimeout)
 		switch {
 		case err == nil && (answer.status == 200 || answer.status == 201):
 			if err := json.Unmarshal(answer.body, &state); err != nil {
@@ -115,19 +115,19 @@
 			}
 			return state, nil
 		case err == nil && (answer.status == 400 || answer.status == 422):
-			return state, fmt.Errorf("%w: %s", ErrRejected, reason(answer))
+			return state, fmt.Errorf("%w: %s", ErrRejected, errorText(answer))
 		case err == nil && answer.status == 404:
 			return state, ErrNotFound
 		}
 		if u.Retried != nil {
 			u.Retried(answer.status, err)
 		}
-		pause := max(retryAfter, answer.after) + time.Duration(rand.Int64N(int64(retryAfter/4)))
+		pause := max(minRetryPause, answer.retryAfter) + time.Duration(rand.Int64N(int64(minRetryPause/4)))
 		if err == nil {
-			err = errors.New(reason(answer))
+			err = errors.New(errorText(answer))
 		}
 		if time.Now().Add(pause).After(deadline) {
-			return state, fmt.Errorf("%w after %v: %w", ErrGaveUp, repeatFor, err)
+			return state, fmt.Errorf("%w after %v: %w", ErrGaveUp, retryBudget, err)
 		}
 		if !wait.For(ctx, pause) {
 			return state, fmt.Errorf("%w: %w", ErrGaveUp, ctx.Err())
@@ -135,8 +135,8 @@
 	}
 }
 
-// reason returns the error text of a response, or its status if the body holds none.
-func reason(a answer) string {
+// errorText returns the error text of a response, or its status if the body holds none.
+func errorText(a httpReply) string {
 	var r protocol.ErrorResponse
 	if json.Unmarshal(a.body, &r) != nil || r.Error == "" {
 		return "status " + strconv.Itoa(a.status)
@@ -147,26 +147,26 @@
 // Submit submits a job. The body is an encoded protocol.Submission; the job id in it makes retries idempotent.
 // Errors wrap ErrRejected or ErrGaveUp.
 func (u *Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
-	return u.repeat(ctx, fasthttp.MethodPost, "/v2/runs", body)
+	return u.sendWithRetries(ctx, fasthttp.MethodPost, "/v2/runs", body)
 }
 
 // Cancel cancels a job and returns its state, which is done if the job completed first. Errors wrap ErrNotFound
 // or ErrGaveUp.
 func (u *Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
-	return u.repeat(ctx, fasthttp.MethodPost, "/v2/runs/"+id+"/cancel", nil)
+	return u.sendWithRetries(ctx, fasthttp.MethodPost, "/v2/runs/"+id+"/cancel", nil)
 }
 
 // Status queries the state of a job, without retries. The error wraps ErrNotFound if no such job has been accepted.
 func (u *Users) Status(id string) (protocol.JobState, error) {
 	var state protocol.JobState
-	answer, err := u.once(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollAnswer)
+	answer, err := u.send(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollTimeout)
 	switch {
 	case err != nil:
 		return state, fmt.Errorf("no answer: %w", err)
 	case answer.status == 404:
 		return state, ErrNotFound
 	case answer.status != 200:
-		return state, errors.New(reason(answer))
+		return state, errors.New(errorText(answer))
 	}
 	if err := json.Unmarshal(answer.body, &state); err != nil {
 		return state, fmt.Errorf("decode the job state in the response: %w", err)
@@ -187,12 +187,12 @@
 // Upload stores a job's description, as Describe returns it, at the address that workers fetch descriptions from.
 // The client must have been made for that address.
 func (u *Users) Upload(id string, description []byte) error {
-	a, err := u.once(fasthttp.MethodPut, "/descriptions/"+id, description, submitAnswer)
+	a, err := u.send(fasthttp.MethodPut, "/descriptions/"+id, description, submitTimeout)
 	switch {
 	case err != nil:
 		return fmt.Errorf("upload the description of job %s: %w", id, err)
 	case a.status != 200:
-		return fmt.Errorf("upload the description of job %s: refused: %s", id, reason(a))
+		return fmt.Errorf("upload the description of job %s: refused: %s", id, errorText(a))
 	}
 	return nil
 }
--- a/internal/fieldcheck/fieldcheck.go
+++ b/internal/fieldcheck/fieldcheck.go
@@ -11,12 +11,12 @@
 	err    error
 }
 
-// Under returns a checker that puts prefix before the names of the fields it reports.
-func Under(prefix string) *Checker { return &Checker{prefix: prefix} }
+// WithPrefix returns a checker that puts prefix before the names of the fields it reports.
+func WithPrefix(prefix string) *Checker { return &Checker{prefix: prefix} }
 
-// Want records field as invalid if ok is false and no field has been recorded before. expected says in a few words
+// Require records field as invalid if ok is false and no field has been recorded before. expected says in a few words
 // which values are valid.
-func (c *Checker) Want(ok bool, field, expected string) {
+func (c *Checker) Require(ok bool, field, expected string) {
 	if !ok && c.err == nil {
 		c.err = &config.FieldError{Field: c.prefix + field, Expected: expected}
 	}
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -71,16 +71,16 @@
 	}
 }
 
-// slow is a deployment that answers submissions after 20 s, and that reports one job as running again after it
+// slowDeployment is a deployment that answers submissions after 20 s, and that reports one job as running again after it
 // reported it as done.
-type slow struct {
-	mu   sync.Mutex
-	jobs map[string]time.Time
-	back string
-	told bool
+type slowDeployment struct {
+	mu           sync.Mutex
+	jobs         map[string]time.Time
+	regressing   string
+	reportedDone bool
 }
 
-func (s *slow) Submit(_ context.Context, body []byte) (protocol.JobState, error) {
+func (s *slowDeployment) Submit(_ context.Context, body []byte) (protocol.JobState, error) {
 	p, err := protocol.ParseSubmission(body)
 	if err != nil {
 		return protocol.JobState{}, err
@@ -92,17 +92,17 @@
 	return protocol.JobState{ID: p.ID, Status: protocol.Queued}, nil
 }
 
-func (s *slow) Cancel(context.Context, string) (protocol.JobState, error) {
+func (s *slowDeployment) Cancel(context.Context, string) (protocol.JobState, error) {
 	return protocol.JobState{}, client.ErrGaveUp
 }
 
-func (s *slow) Status(id string) (protocol.JobState, error) {
+func (s *slowDeployment) Status(id string) (protocol.JobState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.jobs[id]) < 5*time.Second || id == s.back && s.told {
+	if time.Since(s.jobs[id]) < 5*time.Second || id == s.regressing && s.reportedDone {
 		return protocol.JobState{ID: id, Status: protocol.Running}, nil
 	}
-	s.told = s.told || id == s.back
+	s.reportedDone = s.reportedDone || id == s.regressing
 	return protocol.JobState{ID: id, Status: protocol.Done}, nil
 }
 
@@ -118,9 +118,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &slow{jobs: map[string]time.Time{}, back: plan[3].Job.ID}
+		s := &slowDeployment{jobs: map[string]time.Time{}, regressing: plan[3].Job.ID}
 		r := (&Runner{To: s}).Run(t.Context(), plan, 5*time.Minute)
-		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.Behind.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
+		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.SubmissionDelays.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
 			t.Errorf("result %+v for %d jobs", r, len(plan))
 		}
 		var b strings.Builder
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -27,46 +27,46 @@
 
 // Result holds the outcomes of the jobs of a run, and latencies in milliseconds.
 type Result struct {
-	Seed      uint64 `json:"seed"`
-	Jobs      int    `json:"jobs"`
-	Accepted  int    `json:"accepted"`
-	Rejected  int    `json:"rejected"` // jobs refused as invalid (400 or 422), or whose description could not be uploaded
-	GaveUp    int    `json:"gave_up"`  // submissions without a conclusive response within a minute
-	Retries   int    `json:"retries"`
-	Done      int    `json:"done"`
-	Cancelled int    `json:"cancelled"`
-	Open      int    `json:"open"` // jobs without a final status at the end of the run
-	Late      int    `json:"late"` // jobs with a deadline that were done after it, or still open beyond it
-	WithDue   int    `json:"with_deadline"`
-	WentBack  int    `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
-	Accept    Span   `json:"accept_ms"`           // from the first try to the acceptance
-	Complete  Span   `json:"complete_ms"`         // from the first try until a poll showed the job as done
-	Answers   Span   `json:"poll_ms"`             // latency of status requests
-	Behind    Span   `json:"generator_behind_ms"` // how much later than planned jobs were submitted
+	Seed             uint64       `json:"seed"`
+	Jobs             int          `json:"jobs"`
+	Accepted         int          `json:"accepted"`
+	Rejected         int          `json:"rejected"` // jobs refused as invalid (400 or 422), or whose description could not be uploaded
+	GaveUp           int          `json:"gave_up"`  // submissions without a conclusive response within a minute
+	Retries          int          `json:"retries"`
+	Done             int          `json:"done"`
+	Cancelled        int          `json:"cancelled"`
+	Open             int          `json:"open"` // jobs without a final status at the end of the run
+	Late             int          `json:"late"` // jobs with a deadline that were done after it, or still open beyond it
+	WithDeadline     int          `json:"with_deadline"`
+	WentBack         int          `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
+	Accept           Distribution `json:"accept_ms"`           // from the first try to the acceptance
+	Complete         Distribution `json:"complete_ms"`         // from the first try until a poll showed the job as done
+	PollTimes        Distribution `json:"poll_ms"`             // latency of status requests
+	SubmissionDelays Distribution `json:"generator_behind_ms"` // how much later than planned jobs were submitted
 }
 
-// Span summarizes a distribution of times in milliseconds.
-type Span struct {
+// Distribution summarizes a distribution of times in milliseconds.
+type Distribution struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
 	P99   int64 `json:"p99"`
 	Max   int64 `json:"max"`
 }
 
-// longest is the largest value that a timer records, in milliseconds: one day. Longer times count as this one.
-const longest = 24 * 3600 * 1000
+// maxRecordedMs is the largest value that a timer records, in milliseconds: one day. Longer times count as this one.
+const maxRecordedMs = 24 * 3600 * 1000
 
-// timer is a histogram of times in milliseconds.
-type timer struct{ h *hdrhistogram.Histogram }
+// histogram is a histogram of times in milliseconds.
+type histogram struct{ hdr *hdrhistogram.Histogram }
 
-func newTimer() timer { return timer{hdrhistogram.New(1, longest, 3)} }
+func newHistogram() histogram { return histogram{hdrhistogram.New(1, maxRecordedMs, 3)} }
 
-func (t timer) add(d time.Duration) {
-	_ = t.h.RecordValue(max(1, min(longest, d.Milliseconds()))) // no error: the value is within the bounds
+func (t histogram) add(d time.Duration) {
+	_ = t.hdr.RecordValue(max(1, min(maxRecordedMs, d.Milliseconds()))) // no error: the value is within the bounds
 }
 
-func (t timer) span() Span {
-	return Span{t.h.TotalCount(), t.h.ValueAtQuantile(50), t.h.ValueAtQuantile(99), t.h.Max()}
+func (t histogram) distribution() Distribution {
+	return Distribution{t.hdr.TotalCount(), t.hdr.ValueAtQuantile(50), t.hdr.ValueAtQuantile(99), t.hdr.Max()}
 }
 
 // Runner submits the jobs of a plan to a deployment and follows them until they are final. A Runner is good for one
@@ -79,17 +79,17 @@
 	// PollEvery is the mean time between two status requests for a job; 0 stands for five seconds.
 	PollEvery time.Duration
 
-	mu                                sync.Mutex
-	res                               Result
-	accept, complete, answers, behind timer
+	mu                                                        sync.Mutex
+	result                                                    Result
+	acceptTimes, completionTimes, pollTimes, submissionDelays histogram
 }
 
 // Run submits the jobs at their times and returns the result when all are final, when ctx ends, or when drain has
 // passed since the last arrival. A submission does not wait for the responses to earlier ones, except that a job is
 // submitted only after the jobs it depends on have been accepted.
 func (r *Runner) Run(ctx context.Context, plan []Arrival, drain time.Duration) Result {
-	r.accept, r.complete, r.answers, r.behind = newTimer(), newTimer(), newTimer(), newTimer()
-	r.res = Result{Jobs: len(plan)}
+	r.acceptTimes, r.completionTimes, r.pollTimes, r.submissionDelays = newHistogram(), newHistogram(), newHistogram(), newHistogram()
+	r.result = Result{Jobs: len(plan)}
 	if r.PollEvery == 0 {
 		r.PollEvery = 5 * time.Second // the interval that the protocol prescribes for users
 	}
@@ -108,7 +108,7 @@
 		}
 		late := time.Since(began.Add(arrival.At))
 		r.mu.Lock()
-		r.behind.add(late)
+		r.submissionDelays.add(late)
 		r.mu.Unlock()
 		all.Go(func() {
 			for _, id := range arrival.Job.Dependencies {
@@ -118,7 +118,7 @@
 					return
 				}
 			}
-			r.one(until, arrival, func() { close(accepted[arrival.Job.ID]) })
+			r.runJob(until, arrival, func() { close(accepted[arrival.Job.ID]) })
 		})
 	}
 	over := make(chan struct{})
@@ -134,58 +134,58 @@
 	<-over
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Accept, r.res.Complete, r.res.Answers, r.res.Behind = r.accept.span(), r.complete.span(), r.answers.span(), r.behind.span()
-	return r.res
+	r.result.Accept, r.result.Complete, r.result.PollTimes, r.result.SubmissionDelays = r.acceptTimes.distribution(), r.completionTimes.distribution(), r.pollTimes.distribution(), r.submissionDelays.distribution()
+	return r.result
 }
 
 // Retried counts a request that is retried; it fits client.Users.Retried. It is safe for concurrent use.
 func (r *Runner) Retried(int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Retries++
+	r.result.Retries++
 }
 
-// count applies f to the result while holding the lock.
-func (r *Runner) count(f func(*Result)) {
+// updateResult applies f to the result while holding the lock.
+func (r *Runner) updateResult(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.res)
+	f(&r.result)
 }
 
-// one plays the user of one job: it uploads and submits the job and follows it until it is final. It calls accepted
+// runJob plays the user of runJob job: it uploads and submits the job and follows it until it is final. It calls accepted
 // once the job has been accepted.
-func (r *Runner) one(ctx context.Context, arrival *Arrival, accepted func()) {
+func (r *Runner) runJob(ctx context.Context, arrival *Arrival, accepted func()) {
 	body, err := protocol.EncodeSubmission(&arrival.Job)
 	if err == nil && r.Upload != nil {
 		err = r.upload(arrival, body)
 	}
 	if err != nil {
-		r.count(func(s *Result) { s.Rejected++ })
+		r.updateResult(func(s *Result) { s.Rejected++ })
 		return
 	}
 	began := time.Now()
 	state, err := r.To.Submit(ctx, body)
 	switch {
 	case errors.Is(err, client.ErrRejected):
-		r.count(func(s *Result) { s.Rejected++ })
+		r.updateResult(func(s *Result) { s.Rejected++ })
 		return
 	case err != nil:
-		r.count(func(s *Result) { s.GaveUp++ })
+		r.updateResult(func(s *Result) { s.GaveUp++ })
 		return
 	}
 	took := time.Since(began)
-	r.count(func(s *Result) { s.Accepted++; r.accept.add(took) })
+	r.updateResult(func(s *Result) { s.Accepted++; r.acceptTimes.add(took) })
 	accepted()
 	due := time.Duration(arrival.Job.DeadlineS * float64(time.Second))
 	if due > 0 {
-		r.count(func(s *Result) { s.WithDue++ })
+		r.updateResult(func(s *Result) { s.WithDeadline++ })
 	}
-	final, at := r.watch(ctx, arrival, state, began)
-	r.count(func(result *Result) {
+	final, at := r.followJob(ctx, arrival, state, began)
+	r.updateResult(func(result *Result) {
 		switch final {
 		case protocol.Done:
 			result.Done++
-			r.complete.add(at)
+			r.completionTimes.add(at)
 		case protocol.Cancelled:
 			result.Cancelled++
 		default:
@@ -199,16 +199,16 @@
 
 // upload stores a job's description where workers fetch it.
 func (r *Runner) upload(a *Arrival, body []byte) error {
-	raw, err := client.Describe(body, a.Run, a.Fails)
+	raw, err := client.Describe(body, a.TaskDuration, a.Fails)
 	if err != nil {
 		return err
 	}
 	return r.Upload(a.Job.ID, raw)
 }
 
-// watch polls a job until its status is final, and cancels it when the plan says so. It returns the last status and
+// followJob polls a job until its status is final, and cancels it when the plan says so. It returns the last status and
 // the time since began. One more poll, PollEvery after the final status, checks that the status has not changed.
-func (r *Runner) watch(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
+func (r *Runner) followJob(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
 	asked := time.Now()
 	cancelled := arrival.CancelAfter == 0
 	for !state.Status.Final() {
@@ -228,7 +228,7 @@
 			sent := time.Now()
 			next, err = r.To.Status(arrival.Job.ID)
 			took := time.Since(sent)
-			r.count(func(*Result) { r.answers.add(took) })
+			r.updateResult(func(*Result) { r.pollTimes.add(took) })
 		}
 		if err == nil {
 			state = next
@@ -237,7 +237,7 @@
 	took := time.Since(began)
 	if wait.For(ctx, r.PollEvery) {
 		if again, err := r.To.Status(arrival.Job.ID); err == nil && again.Status != state.Status || errors.Is(err, client.ErrNotFound) {
-			r.count(func(s *Result) { s.WentBack++ })
+			r.updateResult(func(s *Result) { s.WentBack++ })
 		}
 	}
 	return state.Status, took
@@ -247,12 +247,12 @@
 func (r *Result) Print(w io.Writer) error {
 	table := textout.NewTable(w, tabwriter.AlignRight)
 	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
-	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDue, r.WentBack)
+	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDeadline, r.WentBack)
 	table.Println("ms\tcount\tp50\tp99\tmax\t")
 	for _, x := range []struct {
 		name string
-		s    Span
-	}{{"accepted after", r.Accept}, {"done after", r.Complete}, {"polls answered in", r.Answers}, {"came later than planned by", r.Behind}} {
+		s    Distribution
+	}{{"accepted after", r.Accept}, {"done after", r.Complete}, {"polls answered in", r.PollTimes}, {"came later than planned by", r.SubmissionDelays}} {
 		table.Printf("%s\t%d\t%d\t%d\t%d\t\n", x.name, x.s.Count, x.s.P50, x.s.P99, x.s.Max)
 	}
 	return table.Flush()
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -22,15 +22,15 @@
 
 // Options configure a local cluster.
 type Options struct {
-	Program  string       // path of the controller program
-	Features string       // path of the controllers' features file; empty: none
-	Machines int          // number of machines that the cloud can rent out
-	Up       int          // number of machines that run at the start
-	Seed     uint64       // seed for boot times, prices and faults of the machines
-	Speed    float64      // factor by which machines boot, fetch images and run tasks faster than stated
-	Dir      string       // directory for settings files and logs
-	Faults   *Schedule    // faults to inject; nil: none
-	Log      *slog.Logger // receives faults and exits of controller processes
+	Program         string       // path of the controller program
+	Features        string       // path of the controllers' features file; empty: none
+	Machines        int          // number of machines that the cloud can rent out
+	MachinesAtStart int          // number of machines that run at the start
+	Seed            uint64       // seed for boot times, prices and faults of the machines
+	Speed           float64      // factor by which machines boot, fetch images and run tasks faster than stated
+	Dir             string       // directory for settings files and logs
+	Faults          *Schedule    // faults to inject; nil: none
+	Log             *slog.Logger // receives faults and exits of controller processes
 
 	// Deployment holds the settings of the deployment. If it has no zones, Settings() is used.
 	Deployment config.Deployment
@@ -68,14 +68,14 @@
 	Meters       []*ControllerMeters // one per controller
 	LoadBalancer simulator.Meter     // counts users' connections to the load balancer
 
-	public    []string // public_addr of each controller
-	processes []*process
-	ports     *simulator.WorkerPorts
-	files     []*os.File // log files of the controllers
-	listeners []net.Listener
-	all       sync.WaitGroup // goroutines that end with the context
-	servers   sync.WaitGroup // goroutines that end when their listeners are closed
-	cancel    context.CancelFunc
+	public     []string // public_addr of each controller
+	processes  []*process
+	ports      *simulator.WorkerPorts
+	files      []*os.File // log files of the controllers
+	listeners  []net.Listener
+	background sync.WaitGroup // goroutines that end with the context
+	servers    sync.WaitGroup // goroutines that end when their listeners are closed
+	cancel     context.CancelFunc
 }
 
 // Settings returns the deployment of a local cluster whose Options name none.
@@ -99,12 +99,12 @@
 
 // Boot faults of rented machines.
 const (
-	lateBoots  = 0.03 // fraction of the machines that boot late
-	neverBoots = 0.01 // fraction of the machines that never boot
+	lateBootFraction  = 0.03 // fraction of the machines that boot late
+	neverBootFraction = 0.01 // fraction of the machines that never boot
 )
 
-// readyAskedEvery is the interval between readiness checks of the load balancer.
-const readyAskedEvery = 200 * time.Millisecond
+// readyPollInterval is the interval between readiness checks of the load balancer.
+const readyPollInterval = 200 * time.Millisecond
 
 // Start starts a cluster, which runs until ctx ends or Stop is called. The caller must call Stop in both cases. If
 // Start returns an error, it has stopped everything that it had started.
@@ -126,7 +126,7 @@
 		options.Catalog = Catalog(options.Deployment.Zones)
 	}
 	if options.Faults != nil {
-		if err := options.Faults.fits(&options.Deployment); err != nil {
+		if err := options.Faults.validateFor(&options.Deployment); err != nil {
 			return err
 		}
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	files, err := c.startAround(ctx, &options)
+	files, err := c.startServers(ctx, &options)
 	// The ports are released just before the controllers start and listen on them. A controller that finds its port in
 	// use exits and is restarted.
 	release()
@@ -145,11 +145,11 @@
 	if err := c.startControllers(ctx, &options, files); err != nil {
 		return err
 	}
-	for i := range options.Up {
+	for i := range options.MachinesAtStart {
 		c.Simulation.AddMachine(options.Deployment.Zones[i%len(options.Deployment.Zones)], true)
 	}
 	if options.Faults != nil {
-		c.all.Go(func() { options.Faults.play(ctx, c, options.Log) })
+		c.background.Go(func() { options.Faults.run(ctx, c, options.Log) })
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	deployment := &options.Deployment
 	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
 	simulation.Catalog, simulation.CapacityOf, simulation.Speed, simulation.Log, simulation.Delay = options.Catalog, options.Machines, options.Speed, options.Log, options.Delay
-	simulation.LateBoots, simulation.NeverBoots = lateBoots, neverBoots
+	simulation.LateBoots, simulation.NeverBoots = lateBootFraction, neverBootFraction
 	simulation.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
 	simulation.Store.MaxValue, simulation.Store.MaxOps = int(deployment.State.ValueKB*1024), deployment.State.TxnOps
 	simulation.LimitCloud(deployment.Cloud.RPS)
@@ -170,7 +170,7 @@
 	c.Simulation, c.ports = simulation, simulation.ServeWorkers(workerAddress)
 	if options.SharedTicker {
 		simulation.SharedTicker = true
-		c.all.Go(simulation.RunTicker)
+		c.background.Go(simulation.RunTicker)
 	}
 }
 
@@ -203,8 +203,8 @@
 	return release, nil
 }
 
-// startAround starts the services, the load balancer and the upload server, and writes the controllers' settings files.
-func (c *Cluster) startAround(ctx context.Context, options *Options) (files []string, err error) {
+// startServers starts the services, the load balancer and the upload server, and writes the controllers' settings files.
+func (c *Cluster) startServers(ctx context.Context, options *Options) (files []string, err error) {
 	loadBalancer := simulator.NewLoadBalancer()
 	zones := options.Deployment.Zones
 	for i := range options.Deployment.Controllers {
@@ -213,7 +213,7 @@
 		c.Meters = append(c.Meters, &ControllerMeters{})
 	}
 	for i := range options.Deployment.Controllers {
-		settings, err := c.startServices(ctx, i, options)
+		settings, err := c.startControllerServices(ctx, i, options)
 		if err != nil {
 			return nil, err
 		}
@@ -237,9 +237,9 @@
 	return files, nil
 }
 
-// startServices starts the servers that one controller connects to (state service, cloud, and a relay to each peer),
+// startControllerServices starts the servers that one controller connects to (state service, cloud, and a relay to each peer),
 // and returns the controller's settings.
-func (c *Cluster) startServices(ctx context.Context, index int, options *Options) (*config.Settings, error) {
+func (c *Cluster) startControllerServices(ctx context.Context, index int, options *Options) (*config.Settings, error) {
 	simulation, process, meters := c.Simulation, c.Simulation.Controller(index), c.Meters[index]
 	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[index], PeerListen: c.Controllers[index], Deployment: options.Deployment}
 	link := simulation.Store.Open(process)
@@ -287,7 +287,7 @@
 		c.processes = append(c.processes, controller)
 	}
 	for _, controller := range c.processes {
-		c.all.Go(func() {
+		c.background.Go(func() {
 			// Pdeathsig (see process.start) is sent when the thread that started the child exits, not the process, so
 			// this goroutine keeps its thread.
 			runtime.LockOSThread()
@@ -322,7 +322,7 @@
 // behind it is ready. It returns an error if ctx ends first.
 func (c *Cluster) Ready(ctx context.Context, ask func(addr string) bool) error {
 	for !ask(c.Users) {
-		if !wait.For(ctx, readyAskedEvery) {
+		if !wait.For(ctx, readyPollInterval) {
 			return errors.New("no controller became ready: see the logs in " + c.Dir)
 		}
 	}
@@ -345,7 +345,7 @@
 	n := 0
 	for _, p := range c.processes {
 		p.mu.Lock()
-		n += p.unasked
+		n += p.unexpectedExits
 		p.mu.Unlock()
 	}
 	return n
@@ -354,7 +354,7 @@
 // Stop stops all processes, servers and goroutines of the cluster and waits for them. It must be called only once.
 func (c *Cluster) Stop() {
 	c.cancel()
-	c.all.Wait()
+	c.background.Wait()
 	for _, ln := range c.listeners {
 		_ = ln.Close() // the controllers have exited
 	}
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -11,9 +11,9 @@
 	"dykeledge/internal/wait"
 )
 
-// play injects the faults, each at its time, and returns when all have ended or ctx ends. A fault that is active when
+// run injects the faults, each at its time, and returns when all have ended or ctx ends. A fault that is active when
 // ctx ends is not undone.
-func (s *Schedule) play(ctx context.Context, cluster *Cluster, log *slog.Logger) {
+func (s *Schedule) run(ctx context.Context, cluster *Cluster, log *slog.Logger) {
 	began := time.Now()
 	var ends sync.WaitGroup
 	defer ends.Wait()
@@ -22,15 +22,15 @@
 		if !wait.Until(ctx, began.Add(seconds(fault.AtS))) {
 			return
 		}
-		log.Info("fault begins", "kind", fault.Kind, "controller", fault.Node, "for_s", fault.ForS, "part", fault.Part)
-		end := fault.begin(cluster)
+		log.Info("fault begins", "kind", fault.Kind, "controller", fault.Controller, "for_s", fault.DurationS, "part", fault.Fraction)
+		end := fault.inject(cluster)
 		if end == nil {
 			continue
 		}
 		ends.Go(func() {
-			if wait.For(ctx, seconds(fault.ForS)) {
+			if wait.For(ctx, seconds(fault.DurationS)) {
 				end()
-				log.Info("fault ends", "kind", fault.Kind, "controller", fault.Node)
+				log.Info("fault ends", "kind", fault.Kind, "controller", fault.Controller)
 			}
 		})
 	}
@@ -38,24 +38,24 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// begin injects a fault and returns a function that ends it, or nil if the fault has no end.
-func (f *Fault) begin(cluster *Cluster) (end func()) {
-	need := kinds[f.Kind]
+// inject injects a fault and returns a function that ends it, or nil if the fault has no end.
+func (f *Fault) inject(cluster *Cluster) (end func()) {
+	need := requiredByKind[f.Kind]
 	switch {
 	case need.controller:
-		return f.beginOnControllers(cluster)
+		return f.injectIntoControllers(cluster)
 	case need.machines:
-		return f.beginOnMachines(cluster.Simulation)
+		return f.injectIntoMachines(cluster.Simulation)
 	}
-	return f.beginOnServices(cluster.Simulation)
+	return f.injectIntoServices(cluster.Simulation)
 }
 
-// beginOnControllers injects a fault into one controller or all.
-func (f *Fault) beginOnControllers(cluster *Cluster) (end func()) {
+// injectIntoControllers injects a fault into one controller or all.
+func (f *Fault) injectIntoControllers(cluster *Cluster) (end func()) {
 	simulation := cluster.Simulation
 	each := func(do func(i int)) {
 		for i := range cluster.processes {
-			if named := controllerIndex(f.Node); named == allControllers || named == i {
+			if named := controllerIndex(f.Controller); named == allControllers || named == i {
 				do(i)
 			}
 		}
@@ -63,51 +63,51 @@
 	switch f.Kind {
 	case kindCrash:
 		each(func(i int) { cluster.processes[i].kill() })
-	case kindStill:
-		each(func(i int) { cluster.processes[i].stop() })
+	case kindSuspend:
+		each(func(i int) { cluster.processes[i].suspend() })
 		return func() { each(func(i int) { cluster.processes[i].resume() }) }
-	case kindCut:
-		cuts := f.cuts()
+	case kindPartition:
+		cuts := f.severedConnections()
 		each(func(i int) { simulation.Controller(i).Cut(cuts) })
 		return func() { each(func(i int) { simulation.Controller(i).Cut(0) }) }
-	case kindRefuse:
+	case kindStateRefusal:
 		each(func(i int) { simulation.Store.Deny(simulation.Controller(i).Name, true) })
 		return func() { each(func(i int) { simulation.Store.Deny(simulation.Controller(i).Name, false) }) }
 	}
 	return nil
 }
 
-// cuts returns the connections that a network partition severs: those that the fault names, or all if it names none.
-func (f *Fault) cuts() simulator.Cuts {
-	if len(f.From) == 0 {
+// severedConnections returns the connections that a network partition severs: those that the fault names, or all if it names none.
+func (f *Fault) severedConnections() simulator.Cuts {
+	if len(f.Connections) == 0 {
 		return simulator.AllCut | simulator.NoPeers
 	}
 	var cuts simulator.Cuts
-	for _, name := range f.From {
-		cuts |= cutsByName[name]
+	for _, name := range f.Connections {
+		cuts |= connectionsByName[name]
 	}
 	return cuts
 }
 
-// beginOnServices injects an outage of a service, or partitions a zone from all others.
-func (f *Fault) beginOnServices(simulation *simulator.Simulation) (end func()) {
+// injectIntoServices injects an outage of a service, or partitions a zone from all others.
+func (f *Fault) injectIntoServices(simulation *simulator.Simulation) (end func()) {
 	switch f.Kind {
-	case kindOutage:
+	case kindStateOutage:
 		simulation.Store.SetDown(true)
 		return func() { simulation.Store.SetDown(false) }
 	case kindCloudOutage:
 		simulation.SetCloudDown(true)
 		return func() { simulation.SetCloudDown(false) }
-	case kindZoneCut:
+	case kindZonePartition:
 		simulation.PartitionZone(f.Zone)
 		return func() { simulation.PartitionZone("") }
 	}
 	return nil
 }
 
-// beginOnMachines injects a fault into the machines that it applies to.
-func (f *Fault) beginOnMachines(simulation *simulator.Simulation) (end func()) {
-	met := f.meets(simulation)
+// injectIntoMachines injects a fault into the machines that it applies to.
+func (f *Fault) injectIntoMachines(simulation *simulator.Simulation) (end func()) {
+	met := f.affectedMachines(simulation)
 	each := func(do func(*simulator.Machine)) {
 		for _, machine := range met {
 			do(machine)
@@ -120,7 +120,7 @@
 		}
 	}
 	switch f.Kind {
-	case kindTaken:
+	case kindSpotReclaim:
 		each(func(machine *simulator.Machine) {
 			simulation.Set(machine, simulator.PreemptionNotice(seconds(f.NoticeS)))
 		})
@@ -128,20 +128,20 @@
 		each(simulation.Die)
 	case kindMachineHangs:
 		return switchOnAndOff(simulator.HangingMachine)
-	case kindMachineSick:
+	case kindMachineUnhealthy:
 		return switchOnAndOff(simulator.UnhealthyMachine)
-	case kindMachineCut:
+	case kindMachinePartition:
 		return switchOnAndOff(simulator.CutOff)
 	}
 	return nil
 }
 
-// meets chooses the machines that a fault applies to: Count machines with adjacent names,
+// affectedMachines chooses the machines that a fault applies to: Count machines with adjacent names,
 // or each machine with the probability Part.
-func (f *Fault) meets(simulation *simulator.Simulation) []*simulator.Machine {
+func (f *Fault) affectedMachines(simulation *simulator.Simulation) []*simulator.Machine {
 	var candidates []*simulator.Machine
 	for _, machine := range simulation.Machines() {
-		if (f.Zone == "" || f.Zone == machine.Zone) && (f.Kind != kindTaken || machine.Spot) {
+		if (f.Zone == "" || f.Zone == machine.Zone) && (f.Kind != kindSpotReclaim || machine.Spot) {
 			candidates = append(candidates, machine)
 		}
 	}
@@ -149,5 +149,5 @@
 		from := simulation.Random.IntN(max(1, len(candidates)-f.Count+1))
 		return candidates[from:min(len(candidates), from+f.Count)]
 	}
-	return slices.DeleteFunc(candidates, func(*simulator.Machine) bool { return simulation.Random.Float64() >= f.Part })
+	return slices.DeleteFunc(candidates, func(*simulator.Machine) bool { return simulation.Random.Float64() >= f.Fraction })
 }
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -22,27 +22,27 @@
 	output  *os.File
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{} // closed when the current process has exited
-	asked   bool          // kill was called, so the next exit is expected
-	unasked int           // number of unexpected exits
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	exited          chan struct{} // closed when the current process has exited
+	exitExpected    bool          // kill was called, so the next exit is expected
+	unexpectedExits int           // number of unexpected exits
 }
 
-// Back-off of restarts: the pause doubles with every exit, from firstRestartPause to longestRestartPause, and starts
-// over after a process has run for longer than longLife.
+// Back-off of restarts: the pause doubles with every exit, from minRestartPause to maxRestartPause, and starts
+// over after a process has run for longer than stableRunTime.
 const (
-	firstRestartPause   = 500 * time.Millisecond
-	longestRestartPause = 10 * time.Second
-	longLife            = 20 * time.Second
+	minRestartPause = 500 * time.Millisecond
+	maxRestartPause = 10 * time.Second
+	stableRunTime   = 20 * time.Second
 )
 
-// endWithin is how long a process may take to exit after SIGTERM before it is killed.
-const endWithin = 3 * time.Second
+// terminationTimeout is how long a process may take to exit after SIGTERM before it is killed.
+const terminationTimeout = 3 * time.Second
 
 // run keeps the process running until ctx ends, and then terminates it.
 func (p *process) run(ctx context.Context) {
-	pause := firstRestartPause
+	pause := minRestartPause
 	for ctx.Err() == nil {
 		began := time.Now()
 		if ended, err := p.start(ctx); err != nil {
@@ -52,24 +52,24 @@
 			if ctx.Err() != nil {
 				return
 			}
-			p.noteEnd()
+			p.recordExit()
 		}
-		if time.Since(began) > longLife {
-			pause = firstRestartPause
+		if time.Since(began) > stableRunTime {
+			pause = minRestartPause
 		}
 		wait.For(ctx, pause)
-		pause = min(longestRestartPause, 2*pause)
+		pause = min(maxRestartPause, 2*pause)
 	}
 }
 
-// noteEnd logs an exit of the process, and counts it if it was unexpected.
-func (p *process) noteEnd() {
+// recordExit logs an exit of the process, and counts it if it was unexpected.
+func (p *process) recordExit() {
 	p.mu.Lock()
-	asked := p.asked
+	asked := p.exitExpected
 	if !asked {
-		p.unasked++
+		p.unexpectedExits++
 	}
-	p.asked = false
+	p.exitExpected = false
 	p.mu.Unlock()
 	p.log.Info("controller process exited", "controller", p.name, "asked", asked, "state", p.cmd.ProcessState.String())
 }
@@ -87,13 +87,13 @@
 		p.signal(syscall.SIGTERM)
 		return nil
 	}
-	cmd.WaitDelay = endWithin // after this it is killed
+	cmd.WaitDelay = terminationTimeout // after this it is killed
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.program, err)
 	}
 	done := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended = cmd, done
+	p.cmd, p.exited = cmd, done
 	p.mu.Unlock()
 	go func() {
 		_ = cmd.Wait() // noteEnd logs ProcessState
@@ -117,13 +117,13 @@
 // kill kills the process with SIGKILL, as in a crash; run restarts it.
 func (p *process) kill() {
 	p.mu.Lock()
-	p.asked = true
+	p.exitExpected = true
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 }
 
-// stop suspends the process with SIGSTOP until resume is called.
-func (p *process) stop() { p.signal(syscall.SIGSTOP) }
+// suspend suspends the process with SIGSTOP until resume is called.
+func (p *process) suspend() { p.signal(syscall.SIGSTOP) }
 
 // resume continues a suspended process with SIGCONT.
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
@@ -136,7 +136,7 @@
 		return 0
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return 0
 	default:
 		return p.cmd.Process.Pid
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -20,56 +20,56 @@
 
 // Fault describes one fault and its time.
 type Fault struct {
-	AtS     float64  `toml:"at_s"`     // start, in seconds from the start of the schedule
-	Kind    string   `toml:"kind"`     // one of the constants below
-	Node    string   `toml:"node"`     // the controller: n1 to n9, or all
-	ForS    float64  `toml:"for_s"`    // duration in seconds
-	From    []string `toml:"from"`     // of a cut: connections to sever, of state, cloud, users, reports, peers; empty: all of them
-	Part    float64  `toml:"part"`     // probability that the fault applies to a machine that matches kind and zone
-	NoticeS float64  `toml:"notice_s"` // of a reclaimed spot machine: seconds from the notice to the end
-	Zone    string   `toml:"zone"`     // limits the fault to machines in this zone; of zone_cut: the partitioned zone
-	Count   int      `toml:"count"`    // instead of part: number of machines, with adjacent names, that the fault applies to
+	AtS         float64  `toml:"at_s"`     // start, in seconds from the start of the schedule
+	Kind        string   `toml:"kind"`     // one of the constants below
+	Controller  string   `toml:"node"`     // the controller: n1 to n9, or all
+	DurationS   float64  `toml:"for_s"`    // duration in seconds
+	Connections []string `toml:"from"`     // of a cut: connections to sever, of state, cloud, users, reports, peers; empty: all of them
+	Fraction    float64  `toml:"part"`     // probability that the fault applies to a machine that matches kind and zone
+	NoticeS     float64  `toml:"notice_s"` // of a reclaimed spot machine: seconds from the notice to the end
+	Zone        string   `toml:"zone"`     // limits the fault to machines in this zone; of zone_cut: the partitioned zone
+	Count       int      `toml:"count"`    // instead of part: number of machines, with adjacent names, that the fault applies to
 }
 
-// cutsByName maps the names in a fault's field from to the connections of a controller that a fault can sever. Direct
+// connectionsByName maps the names in a fault's field from to the connections of a controller that a fault can sever. Direct
 // commands to workers are not among them: a worker's port can't tell which controller a request comes from.
-var cutsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
+var connectionsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
 // Kinds of faults.
 const (
-	kindCrash        = "crash"         // a controller process is killed and restarted
-	kindStill        = "still"         // a controller process is suspended and continued
-	kindCut          = "cut"           // a controller loses the connections that the field from names
-	kindRefuse       = "refuse"        // the state service answers a controller with 503
-	kindOutage       = "outage"        // the state service is down
-	kindCloudOutage  = "cloud_outage"  // the cloud's API is down
-	kindZoneCut      = "zone_cut"      // a zone is partitioned from the rest of the cluster
-	kindTaken        = "taken"         // the cloud reclaims spot machines with a notice of notice_s
-	kindMachineDies  = "machine_dies"  // machines fail permanently
-	kindMachineHangs = "machine_hangs" // machines hang for for_s
-	kindMachineSick  = "machine_sick"  // machines are unhealthy: every task on them fails
-	kindMachineCut   = "machine_cut"   // machines lose the connection to all controllers
+	kindCrash            = "crash"         // a controller process is killed and restarted
+	kindSuspend          = "still"         // a controller process is suspended and continued
+	kindPartition        = "cut"           // a controller loses the connections that the field from names
+	kindStateRefusal     = "refuse"        // the state service answers a controller with 503
+	kindStateOutage      = "outage"        // the state service is down
+	kindCloudOutage      = "cloud_outage"  // the cloud's API is down
+	kindZonePartition    = "zone_cut"      // a zone is partitioned from the rest of the cluster
+	kindSpotReclaim      = "taken"         // the cloud reclaims spot machines with a notice of notice_s
+	kindMachineDies      = "machine_dies"  // machines fail permanently
+	kindMachineHangs     = "machine_hangs" // machines hang for for_s
+	kindMachineUnhealthy = "machine_sick"  // machines are unhealthy: every task on them fails
+	kindMachinePartition = "machine_cut"   // machines lose the connection to all controllers
 )
 
-// needs lists which fields a fault of a kind must set: the controller it applies to, its duration (lasts), the machines
+// requiredFields lists which fields a fault of a kind must set: the controller it applies to, its duration (lasts), the machines
 // it applies to, and the zone.
-type needs struct{ controller, lasts, machines, zone bool }
-
-// kinds holds the required fields of each kind of fault.
-var kinds = map[string]needs{
-	kindCrash:        {controller: true},
-	kindStill:        {controller: true, lasts: true},
-	kindCut:          {controller: true, lasts: true},
-	kindRefuse:       {controller: true, lasts: true},
-	kindOutage:       {lasts: true},
-	kindCloudOutage:  {lasts: true},
-	kindZoneCut:      {lasts: true, zone: true},
-	kindTaken:        {machines: true},
-	kindMachineDies:  {machines: true},
-	kindMachineHangs: {machines: true, lasts: true},
-	kindMachineSick:  {machines: true, lasts: true},
-	kindMachineCut:   {machines: true, lasts: true},
+type requiredFields struct{ controller, duration, machines, zone bool }
+
+// requiredByKind holds the required fields of each kind of fault.
+var requiredByKind = map[string]requiredFields{
+	kindCrash:            {controller: true},
+	kindSuspend:          {controller: true, duration: true},
+	kindPartition:        {controller: true, duration: true},
+	kindStateRefusal:     {controller: true, duration: true},
+	kindStateOutage:      {duration: true},
+	kindCloudOutage:      {duration: true},
+	kindZonePartition:    {duration: true, zone: true},
+	kindSpotReclaim:      {machines: true},
+	kindMachineDies:      {machines: true},
+	kindMachineHangs:     {machines: true, duration: true},
+	kindMachineUnhealthy: {machines: true, duration: true},
+	kindMachinePartition: {machines: true, duration: true},
 }
 
 // LoadSchedule reads a schedule's file and parses it with ParseSchedule. Errors fit on one line and name the file, the
@@ -99,7 +99,7 @@
 		}
 	}
 	deployment := Settings()
-	if err := schedule.fits(&deployment); err != nil {
+	if err := schedule.validateFor(&deployment); err != nil {
 		return nil, err
 	}
 	schedule.Sort()
@@ -113,27 +113,27 @@
 
 // check validates a fault and fills in the default of Part; at is the prefix of field names in errors.
 func (f *Fault) check(at string) error {
-	want, known := kinds[f.Kind]
-	if want.machines && f.Part == 0 && f.Count == 0 {
-		f.Part = 1
+	want, known := requiredByKind[f.Kind]
+	if want.machines && f.Fraction == 0 && f.Count == 0 {
+		f.Fraction = 1
 	}
-	unknownPart := slices.ContainsFunc(f.From, func(part string) bool {
-		_, ok := cutsByName[part]
+	unknownPart := slices.ContainsFunc(f.Connections, func(part string) bool {
+		_, ok := connectionsByName[part]
 		return !ok
 	})
-	check := fieldcheck.Under(at)
-	check.Want(known, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
-	check.Want(f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400")
-	check.Want(!want.lasts || f.ForS > 0 && f.ForS <= 86400, "for_s", "seconds from above 0 to 86400")
-	check.Want(want.lasts || f.ForS == 0, "for_s", "no value: this kind of fault has no duration")
-	check.Want(!want.controller || controllerIndex(f.Node) != noController, "node", "n1 to n9, or all")
-	check.Want(want.controller || f.Node == "", "node", "no value: this kind of fault applies to no node")
-	check.Want(!unknownPart && (f.Kind == kindCut || len(f.From) == 0), "from", "for a cut any of state, cloud, users, reports, peers")
-	check.Want(f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more")
-	check.Want(want.machines && f.Count > 0 && f.Part == 0 || want.machines && f.Part > 0 && f.Part <= 1 || !want.machines && f.Part == 0, "part", "for machines a fraction from above 0 to 1, or a count")
-	check.Want(f.NoticeS == 0 || f.Kind == kindTaken && f.NoticeS > 0, "notice_s", "for machines that are taken, seconds of 0 or more")
-	check.Want(f.Zone == "" || want.machines || want.zone, "zone", "no value, or for machines the name of a zone")
-	check.Want(f.Zone != "" || !want.zone, "zone", "the name of the zone to partition")
+	check := fieldcheck.WithPrefix(at)
+	check.Require(known, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(requiredByKind)), ", "))
+	check.Require(f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400")
+	check.Require(!want.duration || f.DurationS > 0 && f.DurationS <= 86400, "for_s", "seconds from above 0 to 86400")
+	check.Require(want.duration || f.DurationS == 0, "for_s", "no value: this kind of fault has no duration")
+	check.Require(!want.controller || controllerIndex(f.Controller) != noController, "node", "n1 to n9, or all")
+	check.Require(want.controller || f.Controller == "", "node", "no value: this kind of fault applies to no node")
+	check.Require(!unknownPart && (f.Kind == kindPartition || len(f.Connections) == 0), "from", "for a cut any of state, cloud, users, reports, peers")
+	check.Require(f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more")
+	check.Require(want.machines && f.Count > 0 && f.Fraction == 0 || want.machines && f.Fraction > 0 && f.Fraction <= 1 || !want.machines && f.Fraction == 0, "part", "for machines a fraction from above 0 to 1, or a count")
+	check.Require(f.NoticeS == 0 || f.Kind == kindSpotReclaim && f.NoticeS > 0, "notice_s", "for machines that are taken, seconds of 0 or more")
+	check.Require(f.Zone == "" || want.machines || want.zone, "zone", "no value, or for machines the name of a zone")
+	check.Require(f.Zone != "" || !want.zone, "zone", "the name of the zone to partition")
 	return check.Err()
 }
 
@@ -143,13 +143,13 @@
 	allControllers = -1
 )
 
-// everyController is the name that stands for all controllers in a schedule.
-const everyController = "all"
+// allControllersName is the name that stands for all controllers in a schedule.
+const allControllersName = "all"
 
 // controllerIndex returns the index of the controller with a name (0 for n1), allControllers or noController.
 func controllerIndex(name string) int {
 	switch {
-	case name == everyController:
+	case name == allControllersName:
 		return allControllers
 	case len(name) == 2 && name[0] == 'n' && name[1] >= '1' && name[1] <= '9':
 		return int(name[1] - '1')
@@ -157,11 +157,11 @@
 	return noController
 }
 
-// fits returns an error if the schedule names a controller or zone that the deployment does not have.
-func (s *Schedule) fits(deployment *config.Deployment) error {
+// validateFor returns an error if the schedule names a controller or zone that the deployment does not have.
+func (s *Schedule) validateFor(deployment *config.Deployment) error {
 	for i := range s.Faults {
 		fault := &s.Faults[i]
-		if controllerIndex(fault.Node) >= deployment.Controllers {
+		if controllerIndex(fault.Controller) >= deployment.Controllers {
 			return &config.FieldError{Field: fmt.Sprintf("fault[%d].node", i), Expected: fmt.Sprintf("one of %d nodes", deployment.Controllers)}
 		}
 		if fault.Zone != "" && !slices.Contains(deployment.Zones, fault.Zone) {
--- a/internal/pagecheck/pagecheck_test.go
+++ b/internal/pagecheck/pagecheck_test.go
@@ -22,7 +22,7 @@
 func TestArchitectureNames(t *testing.T) {
 	known := parseSources(t)
 	checked := 0
-	for _, quote := range quotes(readPage(t, "ARCHITECTURE.md")) {
+	for _, quote := range quotedTexts(readPage(t, "ARCHITECTURE.md")) {
 		if sourceFile.MatchString(quote) {
 			checked++
 			if _, err := os.Stat(filepath.Join(repositoryRoot, quote)); err != nil {
@@ -77,11 +77,11 @@
 }
 
 // checkLogLines checks the log lines that one line of the page quotes.
-func checkLogLines(t *testing.T, known sources, lineNumber int, line string) {
+func checkLogLines(t *testing.T, known sourceIndex, lineNumber int, line string) {
 	t.Helper()
 	var calls []logCall
 	var attributes []string
-	for _, quote := range quotes(line) {
+	for _, quote := range quotedTexts(line) {
 		if message := logMessage.FindStringSubmatch(quote); message != nil {
 			text := message[1] + message[2]
 			if len(known.logCalls[text]) == 0 {
@@ -117,7 +117,7 @@
 	return string(page)
 }
 
-func quotes(text string) []string {
+func quotedTexts(text string) []string {
 	var out []string
 	for _, match := range codeQuote.FindAllStringSubmatch(text, -1) {
 		out = append(out, match[1])
--- a/internal/pagecheck/sources_test.go
+++ b/internal/pagecheck/sources_test.go
@@ -21,17 +21,17 @@
 	keys    map[string]bool // all string literals in the other arguments, among them the attributes' keys
 }
 
-// sources indexes the names and log calls that pages can refer to.
-type sources struct {
+// sourceIndex indexes the names and log calls that pages can refer to.
+type sourceIndex struct {
 	packages map[string]bool      // directories that hold a package, like "internal/storage"
 	names    map[string]bool      // functions, methods and types, like "internal/storage.Cache.Apply"
 	logCalls map[string][]logCall // by message
 }
 
 // parseSources indexes all Go files under cmd and internal except for tests.
-func parseSources(t *testing.T) sources {
+func parseSources(t *testing.T) sourceIndex {
 	t.Helper()
-	found := sources{packages: map[string]bool{}, names: map[string]bool{}, logCalls: map[string][]logCall{}}
+	found := sourceIndex{packages: map[string]bool{}, names: map[string]bool{}, logCalls: map[string][]logCall{}}
 	for _, top := range []string{"cmd", "internal"} {
 		root := filepath.Join(repositoryRoot, top)
 		err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
@@ -47,7 +47,7 @@
 	return found
 }
 
-func (s *sources) addFile(file string) error {
+func (s *sourceIndex) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (s *sources) addDeclaration(directory string, declaration ast.Decl) {
+func (s *sourceIndex) addDeclaration(directory string, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
 		name := declared.Name.Name
@@ -101,7 +101,7 @@
 }
 
 // addLogCall records a call if it is a call of a logger with a literal message.
-func (s *sources) addLogCall(call *ast.CallExpr) {
+func (s *sourceIndex) addLogCall(call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !isLogMethod(selector.Sel.Name) || !isLogger(selector.X) {
 		return
--- a/internal/scaletest/cell.go
+++ b/internal/scaletest/cell.go
@@ -60,7 +60,7 @@
 		part := region.Part * request.Fraction
 		c := Cell{Run: request.Run, Cut: request.Cut, Commit: request.Commit, Fraction: request.Fraction, Region: region.Name, Index: i, Zones: zones,
 			Workers: scaled(float64(p.Workers), part), Running: scaled(float64(p.RunningTasks), part),
-			StartsPerS: p.StartsPerS * part, JobsPerS: p.JobsPerDay / secondsADay * p.PeakOfJobs * part,
+			StartsPerS: p.StartsPerS * part, JobsPerS: p.JobsPerDay / secondsPerDay * p.PeakOfJobs * part,
 			LargestJob: scaled(float64(p.LargestJob), part), Seed: request.Seed + uint64(i), WarmUpS: request.WarmUpS, MeasureS: request.MeasureS,
 			Profile: *p, Program: request.Program, Dir: request.Dir}
 		if request.Cut == Population {
@@ -72,7 +72,7 @@
 	return cells
 }
 
-const secondsADay = 86_400
+const secondsPerDay = 86_400
 
 // scaled returns a fraction of a count, rounded, but at least 1.
 func scaled(whole, part float64) int { return max(1, int(math.Round(whole*part))) }
@@ -103,9 +103,9 @@
 		Objectives: []config.Objective{
 			{Kind: "wait", Class: urgentClass, Share: 0.99, WithinS: urgentWithinS},
 			{Kind: "finished", Class: urgentClass, Share: 0.99, WithinS: urgentWithinS + 2*urgentTaskS},
-			{Kind: "finished", Class: arrayClass, Share: 0.95, WithinS: arrayAim * c.taskS()}}}
+			{Kind: "finished", Class: arrayClass, Share: 0.95, WithinS: arrayFinishFactor * c.taskS()}}}
 	for _, t := range c.teams() {
-		deployment.Teams = append(deployment.Teams, config.Team{Name: t.name, Cpus: math.Floor(t.limit * guaranteedPart), CpusMax: t.limit})
+		deployment.Teams = append(deployment.Teams, config.Team{Name: t.name, Cpus: math.Floor(t.limit * guaranteeFraction), CpusMax: t.limit})
 	}
 	return deployment
 }
@@ -118,24 +118,24 @@
 	urgent bool    // the team submits only urgent jobs, so that these don't wait for a limit that arrays use up
 }
 
-// urgentTeamOf sets the number of urgent teams: one team of 10.
-const urgentTeamOf = 10
+// teamsPerUrgentTeam sets the number of urgent teams: one team of 10.
+const teamsPerUrgentTeam = 10
 
 // urgentTeamCpus is the limit of an urgent team, in CPUs. It is above any load that is drawn for such a team.
 const urgentTeamCpus = 400
 
-// guaranteedPart is a team's guarantee as a fraction of its limit.
-const guaranteedPart = 0.5
+// guaranteeFraction is a team's guarantee as a fraction of its limit.
+const guaranteeFraction = 0.5
 
 // teams returns the cell's teams. The limits of the teams with arrays add up to the number of tasks that should run at a
 // time. Since these teams have backlogs, that many tasks do run.
 func (c *Cell) teams() []team {
 	n := c.Profile.Teams
-	urgent := (n + urgentTeamOf - 1) / urgentTeamOf
+	urgent := (n + teamsPerUrgentTeam - 1) / teamsPerUrgentTeam
 	weights := teamWeights(max(1, n-urgent), c.Profile.HottestPart)
 	var out []team
 	for i := range n {
-		t := team{name: fmt.Sprintf("team-%03d", i), urgent: i%urgentTeamOf == urgentTeamOf-1}
+		t := team{name: fmt.Sprintf("team-%03d", i), urgent: i%teamsPerUrgentTeam == teamsPerUrgentTeam-1}
 		if t.urgent || len(weights) == 0 {
 			t.urgent, t.weight, t.limit = true, 1/float64(urgent), urgentTeamCpus
 		} else {
@@ -149,8 +149,8 @@
 
 // Objectives of the two job classes.
 const (
-	urgentWithinS = 1.7 // seconds within which an urgent job starts
-	arrayAim      = 1.5 // time within which an array finishes, as a multiple of the mean run time of a task
+	urgentWithinS     = 1.7 // seconds within which an urgent job starts
+	arrayFinishFactor = 1.5 // time within which an array finishes, as a multiple of the mean run time of a task
 )
 
 // Catalog returns the machine types of the cell's cloud: one type, in all zones.
@@ -166,7 +166,7 @@
 	low, high := 0.0, 8.0
 	for range 60 {
 		mid := (low + high) / 2
-		if tenthOf(powerLaw(n, mid)) < hottestPart {
+		if topTenthSum(powerLaw(n, mid)) < hottestPart {
 			low = mid
 		} else {
 			high = mid
@@ -188,8 +188,8 @@
 	return weights
 }
 
-// tenthOf returns the sum of the first tenth of the weights.
-func tenthOf(weights []float64) float64 {
+// topTenthSum returns the sum of the first tenth of the weights.
+func topTenthSum(weights []float64) float64 {
 	sum := 0.0
 	for _, w := range weights[:(len(weights)+9)/10] {
 		sum += w
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -18,10 +18,10 @@
 
 // Timing and mix of configuration changes.
 const (
-	changeWithin    = 5 * time.Second        // time-out of one request to the administration API
-	forceAskedEvery = 100 * time.Millisecond // interval between polls of a change's state
-	forceWithin     = 60 * time.Second       // a change that is not in force after this time has failed
-	lowersEach      = 10                     // one change of 10 lowers a limit, the others change a guarantee
+	requestTimeout      = 5 * time.Second        // time-out of one request to the administration API
+	inForcePollInterval = 100 * time.Millisecond // interval between polls of a change's state
+	inForceTimeout      = 60 * time.Second       // a change that is not in force after this time has failed
+	changesPerLowering  = 10                     // one change of 10 lowers a limit, the others change a guarantee
 )
 
 // operators simulates operators who change the guarantees and limits of teams through the administration API at the
@@ -31,20 +31,20 @@
 	teams       []team
 	rand        *rand.Rand
 
-	mu     sync.Mutex
-	from   time.Time               // start of the measured time; while it is zero, changes are not counted
-	raised *hdrhistogram.Histogram // time until a changed guarantee was in force
-	lower  *hdrhistogram.Histogram // time until a lowered limit was in force
-	made   int
-	failed int // changes that were not in force within forceWithin
+	mu                sync.Mutex
+	measureStart      time.Time               // start of the measured time; while it is zero, changes are not counted
+	guaranteeTimes    *hdrhistogram.Histogram // time until a changed guarantee was in force
+	loweredLimitTimes *hdrhistogram.Histogram // time until a lowered limit was in force
+	made              int
+	failed            int // changes that were not in force within forceWithin
 }
 
 func newOperators(c *Cell, controllers []string) *operators {
-	return &operators{controllers: controllers, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesStream)), raised: newHistogram(), lower: newHistogram()}
+	return &operators{controllers: controllers, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesRandomStream)), guaranteeTimes: newHistogram(), loweredLimitTimes: newHistogram()}
 }
 
-// changesStream selects a random stream for changes that differs from those of the jobs.
-const changesStream = 1 << 20
+// changesRandomStream selects a random stream for changes that differs from those of the jobs.
+const changesRandomStream = 1 << 20
 
 // run makes changes at a rate until ctx ends. A change does not wait for earlier ones.
 func (o *operators) run(ctx context.Context, perSecond float64) {
@@ -52,7 +52,7 @@
 	defer all.Wait()
 	for n := 1; wait.For(ctx, seconds(1/perSecond)); n++ {
 		target, address := o.teams[o.rand.IntN(len(o.teams))], o.controllers[o.rand.IntN(len(o.controllers))]
-		all.Go(func() { o.one(ctx, address, target, n%lowersEach == 0) })
+		all.Go(func() { o.makeChange(ctx, address, target, n%changesPerLowering == 0) })
 	}
 }
 
@@ -67,8 +67,8 @@
 // inForce is the value of teamEntry.State when all controllers apply the change.
 const inForce = "in force"
 
-// one makes a change and polls it until it is in force. A lowered limit is restored afterwards.
-func (o *operators) one(ctx context.Context, address string, target team, lowers bool) {
+// makeChange makes a change and polls it until it is in force. A lowered limit is restored afterwards.
+func (o *operators) makeChange(ctx context.Context, address string, target team, lowers bool) {
 	took, err := o.change(ctx, address, target.name, func(entry teamEntry) map[string]float64 {
 		if lowers && entry.CpusMax > 2 {
 			return map[string]float64{"cpus_max": entry.CpusMax - 1, "cpus": 0}
@@ -78,7 +78,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	o.note(took, lowers, err)
+	o.recordChange(took, lowers, err)
 	if lowers && err == nil {
 		_, _ = o.change(ctx, address, target.name, func(teamEntry) map[string]float64 { // restores the limit; this change is not measured
 			return map[string]float64{"cpus_max": target.limit}
@@ -86,11 +86,11 @@
 	}
 }
 
-// note records a change if the measured time has begun.
-func (o *operators) note(took time.Duration, lowers bool, err error) {
+// recordChange records a change if the measured time has begun.
+func (o *operators) recordChange(took time.Duration, lowers bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.from.IsZero() {
+	if o.measureStart.IsZero() {
 		return
 	}
 	o.made++
@@ -98,9 +98,9 @@
 	case err != nil:
 		o.failed++
 	case lowers:
-		record(o.lower, took)
+		record(o.loweredLimitTimes, took)
 	default:
-		record(o.raised, took)
+		record(o.guaranteeTimes, took)
 	}
 }
 
@@ -111,7 +111,7 @@
 // force. A failed request is retried at the next controller. The duration it returns counts from the first try.
 func (o *operators) change(ctx context.Context, address, name string, to func(teamEntry) map[string]float64) (time.Duration, error) {
 	began, version := time.Now(), uint64(0)
-	for time.Since(began) < forceWithin && ctx.Err() == nil {
+	for time.Since(began) < inForceTimeout && ctx.Err() == nil {
 		entry, err := readTeam(address, name)
 		switch {
 		case err == nil && version > 0 && entry.Version >= version && entry.State == inForce:
@@ -120,15 +120,15 @@
 			version, err = putTeam(address, name, entry.Version, to(entry))
 		}
 		if err != nil {
-			address = o.another(address)
+			address = o.nextController(address)
 		}
-		wait.For(ctx, forceAskedEvery)
+		wait.For(ctx, inForcePollInterval)
 	}
 	return 0, errNotInForce
 }
 
-// another returns the address of the controller after the one at address.
-func (o *operators) another(address string) string {
+// nextController returns the address of the controller after the one at address.
+func (o *operators) nextController(address string) string {
 	for i, controller := range o.controllers {
 		if controller == address {
 			return o.controllers[(i+1)%len(o.controllers)]
@@ -144,7 +144,7 @@
 // readTeam reads a team from the controller at address.
 func readTeam(address, name string) (teamEntry, error) {
 	var entry teamEntry
-	status, body, err := fasthttp.GetTimeout(nil, teamPath(address, name), changeWithin)
+	status, body, err := fasthttp.GetTimeout(nil, teamPath(address, name), requestTimeout)
 	if err != nil {
 		return entry, err
 	}
@@ -170,7 +170,7 @@
 	request.Header.SetMethod(fasthttp.MethodPut)
 	request.SetRequestURI(teamPath(address, name))
 	request.SetBodyRaw(raw)
-	if err := fasthttp.DoTimeout(request, response, changeWithin); err != nil {
+	if err := fasthttp.DoTimeout(request, response, requestTimeout); err != nil {
 		return 0, err
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -15,16 +15,16 @@
 	R2               float64
 	Residual         float64 // largest distance of a point from the line, relative to the largest absolute value of y
 	Power            float64 // exponent of the power law that fits best; 0 if there are too few positive points
-	Bent             bool    // the power law fits much better than the line
+	FollowsPowerLaw  bool    // the power law fits much better than the line
 }
 
 // Criteria for linear growth.
 const (
-	leastSizes   = 4    // different sizes that a fit needs
-	leastR2      = 0.95 // lowest coefficient of determination
-	mostResidual = 0.20 // largest relative residual
-	// farBetter is the ratio of squared errors, power law to line, below which the power law counts as much better.
-	farBetter = 0.25
+	minSizes    = 4    // different sizes that a fit needs
+	minR2       = 0.95 // lowest coefficient of determination
+	maxResidual = 0.20 // largest relative residual
+	// muchBetterRatio is the ratio of squared errors, power law to line, below which the power law counts as much better.
+	muchBetterRatio = 0.25
 )
 
 // fitLine fits a line to the points. It returns false if there are fewer than leastSizes different values of x, or if
@@ -38,7 +38,7 @@
 		line.From, line.To = min(line.From, x[i]), max(line.To, x[i])
 		largest = max(largest, math.Abs(y[i]))
 	}
-	if len(sizes) < leastSizes || largest == 0 {
+	if len(sizes) < minSizes || largest == 0 {
 		return Line{}, false
 	}
 	line.Intercept, line.Slope = stat.LinearRegression(x, y, nil, false)
@@ -50,12 +50,12 @@
 	line.Power = power
 	byLine := squaredError(x, y, line.at)
 	byPower := squaredError(x, y, func(v float64) float64 { return factor * math.Pow(v, power) })
-	line.Bent = power != 0 && byPower < farBetter*byLine && line.Residual > rounding
+	line.FollowsPowerLaw = power != 0 && byPower < muchBetterRatio*byLine && line.Residual > roundingError
 	return line, true
 }
 
-// rounding is the relative residual up to which a deviation from the line is a rounding error.
-const rounding = 1e-6
+// roundingError is the relative residual up to which a deviation from the line is a roundingError error.
+const roundingError = 1e-6
 
 // squaredError returns the sum of the squared distances of the points from f.
 func squaredError(x, y []float64, f func(float64) float64) float64 {
@@ -75,7 +75,7 @@
 			logX, logY = append(logX, math.Log(x[i])), append(logY, math.Log(y[i]))
 		}
 	}
-	if len(logX) < leastSizes {
+	if len(logX) < minSizes {
 		return 0, 0
 	}
 	logFactor, power := stat.LinearRegression(logX, logY, nil, false)
@@ -84,19 +84,21 @@
 
 func (l Line) at(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// isLine reports whether the growth is linear.
-func (l Line) isLine() bool { return l.R2 >= leastR2 && l.Residual <= mostResidual && !l.Bent }
+// isLinear reports whether the growth is linear.
+func (l Line) isLinear() bool {
+	return l.R2 >= minR2 && l.Residual <= maxResidual && !l.FollowsPowerLaw
+}
 
 // growth classifies the growth, for the tables: line, flat, or the exponent of the power law.
 func (l Line) growth() string {
 	switch {
-	case l.isLine():
+	case l.isLinear():
 		return "line"
-	case l.R2 < leastR2 && math.Abs(l.Power) < flatPower:
+	case l.R2 < minR2 && math.Abs(l.Power) < maxFlatPower:
 		return "flat"
 	}
 	return fmt.Sprintf("no line: power %.2f", l.Power)
 }
 
-// flatPower is the exponent below which a quantity counts as independent of the size.
-const flatPower = 0.15
+// maxFlatPower is the exponent below which a quantity counts as independent of the size.
+const maxFlatPower = 0.15
--- a/internal/scaletest/launch.go
+++ b/internal/scaletest/launch.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// endWithin is how long a cell's process may take to stop everything that it started, after SIGTERM.
-const endWithin = 10 * time.Second
+// terminationTimeout is how long a cell's process may take to stop everything that it started, after SIGTERM.
+const terminationTimeout = 10 * time.Second
 
 // Launcher plays cells, each in a process of its own: for all cells together, one process would have too few file
 // descriptors and too much garbage to collect.
@@ -30,7 +30,7 @@
 // ends, all started processes are terminated.
 func (l *Launcher) Run(ctx context.Context, cells []Cell) ([]*Point, error) {
 	points, failures := make([]*Point, len(cells)), make([]error, len(cells))
-	errs := &lockedWriter{to: l.Errs}
+	errs := &synchronizedWriter{writer: l.Errs}
 	var all sync.WaitGroup
 	for i := range cells {
 		all.Go(func() {
@@ -58,7 +58,7 @@
 	// ends, or when this process exits for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGTERM}
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
-	cmd.WaitDelay = endWithin
+	cmd.WaitDelay = terminationTimeout
 	runErr := cmd.Run()
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("cell %s: %w", cell.Region, ctx.Err())
@@ -83,17 +83,17 @@
 	return p.Write(out)
 }
 
-// lockedWriter serializes the writes of several processes, so that their log lines don't mix.
-type lockedWriter struct {
-	mu sync.Mutex
-	to io.Writer
+// synchronizedWriter serializes the writes of several processes, so that their log lines don't mix.
+type synchronizedWriter struct {
+	mu     sync.Mutex
+	writer io.Writer
 }
 
 // Write writes data while holding the lock.
-func (w *lockedWriter) Write(data []byte) (int, error) {
+func (w *synchronizedWriter) Write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.to.Write(data)
+	return w.writer.Write(data)
 }
 
 // Verdict returns an error if the cell broke a rule, if a controller exited unexpectedly, or if no task was started.
@@ -103,8 +103,8 @@
 	for _, b := range p.BrokenRules {
 		bad = append(bad, fmt.Errorf("%s: broken rule: %s", p.Region, b))
 	}
-	if p.Ends > 0 {
-		bad = append(bad, fmt.Errorf("%s: %d controllers ended by themselves", p.Region, p.Ends))
+	if p.UnexpectedExits > 0 {
+		bad = append(bad, fmt.Errorf("%s: %d controllers ended by themselves", p.Region, p.UnexpectedExits))
 	}
 	if p.StartsPerS == 0 {
 		bad = append(bad, fmt.Errorf("%s: no task was started", p.Region))
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -24,27 +24,27 @@
 
 // Intervals and limits of a measurement.
 const (
-	readyWithin   = 60 * time.Second      // time-out for the first controller to become ready
-	sampleEvery   = time.Second           // interval between checks for task starts
-	peaksEvery    = 5                     // checks between two samples of the controllers' memory, sockets and threads
-	progressEvery = 10                    // checks between two progress log lines
-	ticksEvery    = 20 * time.Millisecond // timer interval with which the lateness of timers is measured
-	// mostLateness is the 99th percentile of timer lateness on the hollow side, in milliseconds, above which the run counts
+	readyTimeout         = 60 * time.Second      // time-out for the first controller to become ready
+	checkInterval        = time.Second           // interval between checks for task starts
+	checksPerPeakSample  = 5                     // checks between two samples of the controllers' memory, sockets and threads
+	checksPerProgressLog = 10                    // checks between two progress log lines
+	latenessTickInterval = 20 * time.Millisecond // timer interval with which the lateness of timers is measured
+	// maxLatenessMs is the 99th percentile of timer lateness on the hollow side, in milliseconds, above which the run counts
 	// as overloaded: the hollow side's own delays would then be attributed to the controllers.
-	mostLateness = 50.0
+	maxLatenessMs = 50.0
 )
 
 // Loopback addresses of a cell. Each cell uses a network 127.N.0.0/16 that no other cell on this machine uses. The ports of
 // workers and controllers are fixed and below the system's ephemeral port range, so that no outgoing connection can take
 // them.
 const (
-	firstNetwork   = 64
-	lastNetwork    = 250
-	workerPort     = 9000
-	publicPort     = 8080
-	peerPort       = 8081
-	lockPort       = 8079
-	controllersNet = 255
+	firstNetwork     = 64
+	lastNetwork      = 250
+	workerPort       = 9000
+	publicPort       = 8080
+	peerPort         = 8081
+	reservationPort  = 8079
+	controllerSubnet = 255
 )
 
 // reserveNetwork returns the number N of a network 127.N.0.0/16 that no other cell on this machine uses, in this run or
@@ -53,7 +53,7 @@
 func reserveNetwork(ctx context.Context) (int, net.Listener, error) {
 	var listenConfig net.ListenConfig
 	for network := firstNetwork; network <= lastNetwork; network++ {
-		address := fmt.Sprintf("127.%d.%d.254:%d", network, controllersNet, lockPort)
+		address := fmt.Sprintf("127.%d.%d.254:%d", network, controllerSubnet, reservationPort)
 		if listener, err := listenConfig.Listen(ctx, "tcp4", address); err == nil {
 			return network, listener, nil
 		}
@@ -61,23 +61,23 @@
 	return 0, nil, errors.New("all loopback networks for cells are in use")
 }
 
-// watch collects the measurements of a run while it is in progress.
-type watch struct {
+// monitor collects the measurements of a run while it is in progress.
+type monitor struct {
 	cell    *Cell
 	cluster *localcluster.Cluster
 	log     *slog.Logger
 
-	mu       sync.Mutex
-	from     time.Time               // start of the measured time; zero before
-	urgent   *hdrhistogram.Histogram // time from the submission of an urgent task to its first launch
-	launched map[string]bool         // urgent tasks that have been launched on a worker
-	lateness *hdrhistogram.Histogram // lateness of this process's timers
+	mu           sync.Mutex
+	measureStart time.Time               // start of the measured time; zero before
+	urgent       *hdrhistogram.Histogram // time from the submission of an urgent task to its first launch
+	launched     map[string]bool         // urgent tasks that have been launched on a worker
+	lateness     *hdrhistogram.Histogram // lateness of this process's timers
 
-	operators *operators    // nil in runs without configuration changes
-	peaks     []peaks       // by controller
-	gap       time.Duration // longest time without a task start
-	started   int           // task starts at the last check
-	lastMove  time.Time     // last check that found new task starts
+	operators  *operators    // nil in runs without configuration changes
+	peaks      []peaks       // by controller
+	longestGap time.Duration // longest time without a task start
+	started    int           // task starts at the last check
+	lastStart  time.Time     // last check that found new task starts
 }
 
 // Play plays a cell, with its simulated side in this process, until the measured time is over, and returns the
@@ -99,8 +99,8 @@
 		return nil, err
 	}
 	defer cluster.Stop()
-	watch := newWatch(c, cluster, log)
-	within, stop := context.WithTimeout(ctx, readyWithin)
+	watch := newMonitor(c, cluster, log)
+	within, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	if err := cluster.Ready(within, client.Ready); err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 	background.Go(func() { watch.measureLateness(ctx) })
 	if (c.Cut == Changes || c.Cut == Faults) && c.Profile.ChangesADay > 0 {
 		watch.operators = newOperators(c, cluster.Controllers)
-		background.Go(func() { watch.operators.run(ctx, c.Profile.ChangesADay/secondsADay) })
+		background.Go(func() { watch.operators.run(ctx, c.Profile.ChangesADay/secondsPerDay) })
 	}
 	if !wait.For(ctx, seconds(c.WarmUpS)) {
 		return nil, ctx.Err()
@@ -127,14 +127,14 @@
 	}
 	cancel()
 	result := <-done
-	point.AcceptMs = Span{result.Accept.Count, float64(result.Accept.P50), float64(result.Accept.P99), float64(result.Accept.Max)}
+	point.AcceptMs = Distribution{result.Accept.Count, float64(result.Accept.P50), float64(result.Accept.P99), float64(result.Accept.Max)}
 	point.Retries = result.Retries
-	point.BrokenRules = append(point.BrokenRules, usersRules(&result)...)
+	point.BrokenRules = append(point.BrokenRules, brokenUserRules(&result)...)
 	return point, nil
 }
 
-// usersRules returns the rules that were broken in the responses to users.
-func usersRules(r *loadgen.Result) (broken []string) {
+// brokenUserRules returns the rules that were broken in the responses to users.
+func brokenUserRules(r *loadgen.Result) (broken []string) {
 	if r.WentBack > 0 {
 		broken = append(broken, fmt.Sprintf("went_back: %d jobs", r.WentBack))
 	}
@@ -148,16 +148,16 @@
 
 // options returns the options of the local cluster that a cell runs.
 func (c *Cell) options(dir string, network int, log *slog.Logger) localcluster.Options {
-	o := localcluster.Options{Program: c.Program, Machines: c.Workers, Up: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
+	o := localcluster.Options{Program: c.Program, Machines: c.Workers, MachinesAtStart: c.Workers, Seed: c.Seed, Speed: 1, Dir: dir, Log: log,
 		Deployment: c.Deployment(), Catalog: c.Catalog(), SharedTicker: true, Delay: c.delay,
 		Addresses: localcluster.Addresses{
 			Worker: func(n int) string { return fmt.Sprintf("127.%d.%d.%d:%d", network, n>>8&0xff, n&0xff, workerPort) },
 			Controller: func(i int) (string, string) {
-				host := fmt.Sprintf("127.%d.%d.%d", network, controllersNet, i+1)
+				host := fmt.Sprintf("127.%d.%d.%d", network, controllerSubnet, i+1)
 				return fmt.Sprintf("%s:%d", host, publicPort), fmt.Sprintf("%s:%d", host, peerPort)
 			}}}
 	if c.Cut == Faults {
-		o.Faults = c.schedule()
+		o.Faults = c.faultSchedule()
 	}
 	return o
 }
@@ -172,16 +172,16 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// newWatch returns a watch and registers it as the simulation's callback for task launches.
-func newWatch(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *watch {
-	w := &watch{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
+// newMonitor returns a watch and registers it as the simulation's callback for task launches.
+func newMonitor(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *monitor {
+	w := &monitor{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
 	cluster.Simulation.Launched = w.onLaunch
 	return w
 }
 
 // upload stores a job's description where the hollow workers read it. The waiting time of the job counts from then on.
-func (w *watch) upload(_ string, description []byte) error {
+func (w *monitor) upload(_ string, description []byte) error {
 	var u simulator.Upload
 	if err := json.Unmarshal(description, &u); err != nil {
 		return err
@@ -192,7 +192,7 @@
 
 // onLaunch records the time from the submission of an urgent task to its first launch. It is called with the
 // simulation's lock held.
-func (w *watch) onLaunch(job *simulator.Job, index int) {
+func (w *monitor) onLaunch(job *simulator.Job, index int) {
 	if job.Spec["jobclass"] != urgentClass {
 		return
 	}
@@ -203,16 +203,16 @@
 		return
 	}
 	w.launched[task] = true
-	if !w.from.IsZero() && job.At.After(w.from) {
+	if !w.measureStart.IsZero() && job.At.After(w.measureStart) {
 		record(w.urgent, time.Since(job.At))
 	}
 }
 
 // measureLateness records by how much the timers of this process are late, until ctx ends.
-func (w *watch) measureLateness(ctx context.Context) {
+func (w *monitor) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
-		due := time.Now().Add(ticksEvery)
-		if !wait.For(ctx, ticksEvery) {
+		due := time.Now().Add(latenessTickInterval)
+		if !wait.For(ctx, latenessTickInterval) {
 			return
 		}
 		w.mu.Lock()
@@ -222,85 +222,85 @@
 }
 
 // measure takes the measurements for the cell's measured time, and returns its point.
-func (w *watch) measure(ctx context.Context) (*Point, error) {
+func (w *monitor) measure(ctx context.Context) (*Point, error) {
 	w.mu.Lock()
-	w.from = time.Now()
+	w.measureStart = time.Now()
 	w.lateness.Reset()
 	w.mu.Unlock()
 	if o := w.operators; o != nil {
 		o.mu.Lock()
-		o.from = w.from
+		o.measureStart = w.measureStart
 		o.mu.Unlock()
 	}
-	first := take(w.cluster, w.log)
-	w.started, w.lastMove = first.stats.Started, first.at
+	first := takeSample(w.cluster, w.log)
+	w.started, w.lastStart = first.stats.Started, first.at
 	for n := 1; time.Since(first.at) < seconds(w.cell.MeasureS); n++ {
-		if !wait.For(ctx, sampleEvery) {
+		if !wait.For(ctx, checkInterval) {
 			return nil, ctx.Err()
 		}
-		w.watchStarts(n)
-		if n%peaksEvery == 0 {
-			w.notePeaks()
+		w.checkStarts(n)
+		if n%checksPerPeakSample == 0 {
+			w.updatePeaks()
 		}
 	}
-	last := take(w.cluster, w.log)
-	w.notePeaks()
+	last := takeSample(w.cluster, w.log)
+	w.updatePeaks()
 	return w.point(first, last), nil
 }
 
-// watchStarts updates the longest time without a task start, and logs the progress every progressEvery checks; n
+// checkStarts updates the longest time without a task start, and logs the progress every progressEvery checks; n
 // counts the checks.
-func (w *watch) watchStarts(n int) {
+func (w *monitor) checkStarts(n int) {
 	now, stats := time.Now(), w.cluster.Simulation.Stats()
 	if stats.Started > w.started {
-		w.started, w.lastMove = stats.Started, now
+		w.started, w.lastStart = stats.Started, now
 	}
-	w.gap = max(w.gap, now.Sub(w.lastMove))
-	if n%progressEvery == 0 {
+	w.longestGap = max(w.longestGap, now.Sub(w.lastStart))
+	if n%checksPerProgressLog == 0 {
 		w.log.Info("measuring", "region", w.cell.Region, "started", stats.Started, "running", w.cluster.Simulation.Running(), "broken_rules", len(w.cluster.Simulation.BrokenRules()))
 	}
 }
 
-// notePeaks updates the peaks of the controllers' memory, sockets and threads.
-func (w *watch) notePeaks() {
+// updatePeaks updates the peaks of the controllers' memory, sockets and threads.
+func (w *monitor) updatePeaks() {
 	for i, pid := range w.cluster.Pids() {
 		if u, err := usageOf(pid); err == nil {
-			w.peaks[i].note(u)
+			w.peaks[i].update(u)
 		}
 	}
 }
 
 // point computes the point from the samples at the start and the end of the measured time.
-func (w *watch) point(first, last sample) *Point {
+func (w *monitor) point(first, last sample) *Point {
 	cell, simulation, took := w.cell, w.cluster.Simulation, last.at.Sub(first.at)
 	perSecond := func(n float64) float64 { return n / took.Seconds() }
 	point := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
 		Workers: cell.Workers, Up: len(simulation.Machines()), OfferedS: cell.StartsPerS, MeasureS: took.Seconds(),
 		StartsPerS: perSecond(float64(last.stats.Started - first.stats.Started)),
-		Running:    simulation.Running(), LongestGapS: w.gap.Seconds(), LeaseKills: last.stats.LeaseKills, Ends: w.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
+		Running:    simulation.Running(), LongestGapS: w.longestGap.Seconds(), LeaseKills: last.stats.LeaseKills, UnexpectedExits: w.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
 		HollowCores: perSecond((last.hollow.cpu - first.hollow.cpu).Seconds()), HollowMB: last.hollow.memMB, HostLoad: hostLoad(),
-		WritesPerS: perSecond(float64(last.stats.Writes - first.stats.Writes)), OverPerS: perSecond(float64(last.stats.Over - first.stats.Over)),
+		WritesPerS: perSecond(float64(last.stats.Writes - first.stats.Writes)), ThrottledPerS: perSecond(float64(last.stats.Over - first.stats.Over)),
 		UserConns: w.cluster.LoadBalancer.Opened.Load()}
 	point.StateKeys, point.StateBytes = simulation.Store.Size()
 	perWorker := func(n int64) float64 { return perSecond(float64(n)) / float64(max(1, point.Up)) }
 	// A worker sends heartbeats, also as responses to direct commands; it receives responses to heartbeats, and direct
 	// commands.
-	point.WorkerOutBps = perWorker(last.reports.out - first.reports.out + last.commands.out - first.commands.out)
-	point.WorkerInBps = perWorker(last.reports.in - first.reports.in + last.commands.in - first.commands.in)
-	point.HeartbeatsPerS = perWorker(last.reports.messages - first.reports.messages)
+	point.WorkerOutBps = perWorker(last.heartbeats.out - first.heartbeats.out + last.commands.out - first.commands.out)
+	point.WorkerInBps = perWorker(last.heartbeats.in - first.heartbeats.in + last.commands.in - first.commands.in)
+	point.HeartbeatsPerS = perWorker(last.heartbeats.messages - first.heartbeats.messages)
 	point.CommandsPerS = perWorker(last.commands.messages - first.commands.messages)
 	w.mu.Lock()
-	point.UrgentMs, point.LatenessMs = spanOf(w.urgent), spanOf(w.lateness)
+	point.UrgentMs, point.LatenessMs = distributionOf(w.urgent), distributionOf(w.lateness)
 	w.mu.Unlock()
 	if operators := w.operators; operators != nil {
 		operators.mu.Lock()
 		point.ChangesMade, point.ChangesFailed = operators.made, operators.failed
-		point.ChangeMs, point.LowerMs = spanOf(operators.raised), spanOf(operators.lower)
+		point.ChangeMs, point.LowerMs = distributionOf(operators.guaranteeTimes), distributionOf(operators.loweredLimitTimes)
 		operators.mu.Unlock()
 	}
-	point.Overloaded = point.LatenessMs.P99 > mostLateness
+	point.Overloaded = point.LatenessMs.P99 > maxLatenessMs
 	for i := range last.controllers {
-		point.Controllers = append(point.Controllers, between(fmt.Sprintf("n%d", i+1), first.controllers[i], last.controllers[i], w.peaks[i], took))
+		point.Controllers = append(point.Controllers, controllerUsage(fmt.Sprintf("n%d", i+1), first.controllers[i], last.controllers[i], w.peaks[i], took))
 	}
 	return point
 }
--- a/internal/scaletest/profile.go
+++ b/internal/scaletest/profile.go
@@ -116,44 +116,44 @@
 
 // Upper bounds of profiles that can be played on one machine.
 const (
-	mostWorkers = 60_000 // each hollow worker has a loopback address of its own
-	mostTeams   = 10_000
-	mostRegions = 32
-	mostZones   = 16
-	partSlack   = 1e-6 // tolerance for rounding errors in the sum of the regions' parts
+	maxWorkers   = 60_000 // each hollow worker has a loopback address of its own
+	maxTeams     = 10_000
+	maxRegions   = 32
+	maxZones     = 16
+	sumTolerance = 1e-6 // tolerance for rounding errors in the sum of the regions' parts
 )
 
 // check validates a profile and returns a *config.FieldError for the first invalid field.
 func (p *Profile) check() error {
-	check := fieldcheck.Under("")
-	check.Want(p.Workers >= 1 && p.Workers <= mostWorkers, "workers", "a count from 1 to 60000")
-	check.Want(p.RunningTasks >= 1 && p.RunningTasks <= 1_000_000, "running_tasks", "a count from 1 to 1000000")
-	check.Want(p.StartsPerS > 0 && p.StartsPerS <= 1e5, "starts_per_s", "a rate from above 0 to 100000")
-	check.Want(p.JobsPerDay > 0 && p.JobsPerDay <= 1e8, "jobs_per_day", "a count above 0")
-	check.Want(p.PeakOfJobs >= 1 && p.PeakOfJobs <= 1e4, "peak_of_jobs", "a factor from 1")
-	check.Want(p.LargestJob >= 1 && p.LargestJob <= 100_000, "largest_job", "tasks from 1 to 100000")
-	check.Want(p.UrgentPart >= 0 && p.UrgentPart < 1, "urgent_part", "a fraction from 0 to below 1")
-	check.Want(p.UrgentTasks >= 1 && p.UrgentTasks <= 1000, "urgent_tasks", "tasks from 1 to 1000")
-	check.Want(p.Teams >= 2 && p.Teams <= mostTeams, "teams", "a count from 2 to 10000")
-	check.Want(p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a fraction from 0.1 to below 1")
-	check.Want(p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more")
-	check.Want(p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more")
-	check.Want(p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more")
-	check.Want(p.WorkersPerRack >= 1, "rack_workers", "a count above 0")
-	check.Want(len(p.Regions) <= mostRegions, "region", "at most 32 regions")
-	check.Want(p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0")
-	check.Want(p.Worker.BootS > 0, "worker.boot_s", "seconds above 0")
-	check.Want(p.Worker.ReportS > 0 && p.Worker.LeaseS > 2*p.Worker.ReportS, "worker.lease_s", "more than twice report_s")
-	check.Want(p.Worker.CancelS > 0, "worker.cancel_s", "seconds above 0")
-	check.Want(p.Controller.PerRegion >= 1 && p.Controller.PerRegion <= 9, "controller.per_region", "a count from 1 to 9")
-	check.Want(p.Controller.CPU > 0, "controller.cpu", "cores above 0")
-	check.Want(p.Controller.MemMB >= 64, "controller.mem_mb", "at least 64")
-	check.Want(p.Controller.MaxConnections >= 100, "controller.max_connections", "at least 100")
-	check.Want(p.State.RPS > 0 && p.State.WriteRPS > 0, "state.rps", "rates above 0")
-	check.Want(p.State.ValueKB >= 1, "state.value_kb", "at least 1")
-	check.Want(p.State.TxnOps >= 4, "state.txn_ops", "at least 4")
-	check.Want(p.State.CloudRPS > 0, "state.cloud_rps", "a rate above 0")
-	check.Want(p.Delays.WithinZoneMs >= 0 && p.Delays.BetweenZonesMs >= 0, "delays", "milliseconds of 0 or more")
+	check := fieldcheck.WithPrefix("")
+	check.Require(p.Workers >= 1 && p.Workers <= maxWorkers, "workers", "a count from 1 to 60000")
+	check.Require(p.RunningTasks >= 1 && p.RunningTasks <= 1_000_000, "running_tasks", "a count from 1 to 1000000")
+	check.Require(p.StartsPerS > 0 && p.StartsPerS <= 1e5, "starts_per_s", "a rate from above 0 to 100000")
+	check.Require(p.JobsPerDay > 0 && p.JobsPerDay <= 1e8, "jobs_per_day", "a count above 0")
+	check.Require(p.PeakOfJobs >= 1 && p.PeakOfJobs <= 1e4, "peak_of_jobs", "a factor from 1")
+	check.Require(p.LargestJob >= 1 && p.LargestJob <= 100_000, "largest_job", "tasks from 1 to 100000")
+	check.Require(p.UrgentPart >= 0 && p.UrgentPart < 1, "urgent_part", "a fraction from 0 to below 1")
+	check.Require(p.UrgentTasks >= 1 && p.UrgentTasks <= 1000, "urgent_tasks", "tasks from 1 to 1000")
+	check.Require(p.Teams >= 2 && p.Teams <= maxTeams, "teams", "a count from 2 to 10000")
+	check.Require(p.HottestPart >= 0.1 && p.HottestPart < 1, "hottest_part", "a fraction from 0.1 to below 1")
+	check.Require(p.FailuresADay >= 0, "failures_a_day", "a count of 0 or more")
+	check.Require(p.ReplacedADay >= 0, "replaced_a_day", "a count of 0 or more")
+	check.Require(p.ChangesADay >= 0, "changes_a_day", "a count of 0 or more")
+	check.Require(p.WorkersPerRack >= 1, "rack_workers", "a count above 0")
+	check.Require(len(p.Regions) <= maxRegions, "region", "at most 32 regions")
+	check.Require(p.Worker.Cpus > 0 && p.Worker.MemGB > 0, "worker.cpus", "CPUs and memory above 0")
+	check.Require(p.Worker.BootS > 0, "worker.boot_s", "seconds above 0")
+	check.Require(p.Worker.ReportS > 0 && p.Worker.LeaseS > 2*p.Worker.ReportS, "worker.lease_s", "more than twice report_s")
+	check.Require(p.Worker.CancelS > 0, "worker.cancel_s", "seconds above 0")
+	check.Require(p.Controller.PerRegion >= 1 && p.Controller.PerRegion <= 9, "controller.per_region", "a count from 1 to 9")
+	check.Require(p.Controller.CPU > 0, "controller.cpu", "cores above 0")
+	check.Require(p.Controller.MemMB >= 64, "controller.mem_mb", "at least 64")
+	check.Require(p.Controller.MaxConnections >= 100, "controller.max_connections", "at least 100")
+	check.Require(p.State.RPS > 0 && p.State.WriteRPS > 0, "state.rps", "rates above 0")
+	check.Require(p.State.ValueKB >= 1, "state.value_kb", "at least 1")
+	check.Require(p.State.TxnOps >= 4, "state.txn_ops", "at least 4")
+	check.Require(p.State.CloudRPS > 0, "state.cloud_rps", "a rate above 0")
+	check.Require(p.Delays.WithinZoneMs >= 0 && p.Delays.BetweenZonesMs >= 0, "delays", "milliseconds of 0 or more")
 	if err := check.Err(); err != nil {
 		return err
 	}
@@ -170,13 +170,13 @@
 			return &config.FieldError{Field: field + "name", Expected: "a name that no other region has"}
 		case !(r.Part > 0 && r.Part <= 1):
 			return &config.FieldError{Field: field + "part", Expected: "a fraction from above 0 to 1"}
-		case r.Zones < 1 || r.Zones > mostZones:
+		case r.Zones < 1 || r.Zones > maxZones:
 			return &config.FieldError{Field: field + "zones", Expected: "a count from 1 to 16"}
 		}
 		seen[r.Name] = true
 		parts += r.Part
 	}
-	if parts > 1+partSlack {
+	if parts > 1+sumTolerance {
 		return &config.FieldError{Field: "region", Expected: "parts that add up to at most 1"}
 	}
 	return nil
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -67,7 +67,7 @@
 		}
 		out.Printf("| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
 			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
-			len(p.BrokenRules), p.Ends, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
+			len(p.BrokenRules), p.UnexpectedExits, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
 	}
 	out.Println()
 }
@@ -83,7 +83,7 @@
 	for _, p := range points {
 		for _, c := range p.Controllers {
 			role := string(c.Role)
-			if !c.Whole {
+			if !c.Uninterrupted {
 				role += ", not all the time"
 			}
 			out.Printf("| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
@@ -151,7 +151,7 @@
 			var x, y []float64
 			for i := range points {
 				for k := range points[i].Controllers {
-					if c := &points[i].Controllers[k]; c.Whole && c.Role == role && !points[i].Overloaded {
+					if c := &points[i].Controllers[k]; c.Uninterrupted && c.Role == role && !points[i].Overloaded {
 						x, y = append(x, float64(points[i].Up)), append(y, f.of(c))
 					}
 				}
@@ -178,7 +178,7 @@
 	{"worker: part of a core, % (at most: the whole hollow side by its workers)", "%.3f", func(p *Point) float64 { return 100 * p.HollowCores / float64(max(1, p.Up)) }},
 	{"state service: changes a second", "%.0f", func(p *Point) float64 { return p.WritesPerS }},
 	{"state service: starts a change", "%.2f", func(p *Point) float64 { return p.StartsPerS / max(1, p.WritesPerS) }},
-	{"state service: refused for its rate, 1/s", "%.2f", func(p *Point) float64 { return p.OverPerS }},
+	{"state service: refused for its rate, 1/s", "%.2f", func(p *Point) float64 { return p.ThrottledPerS }},
 	{"state service: keys", "%.0f", func(p *Point) float64 { return float64(p.StateKeys) }},
 	{"state service: KB", "%.0f", func(p *Point) float64 { return float64(p.StateBytes) / 1000 }},
 	{"urgent: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.UrgentMs.P99 }},
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -26,25 +26,25 @@
 	controllers []controllerSample
 	hollow      processUsage // of the hollow side, see the package comment
 	stats       simulator.Stats
-	reports     networkBytes // heartbeats of all workers, and the responses
-	commands    networkBytes // direct commands to all workers, and the responses
+	heartbeats  traffic // heartbeats of all workers, and the responses
+	commands    traffic // direct commands to all workers, and the responses
 }
 
-// networkBytes holds the counters of a meter: bytes in both directions, and messages.
-type networkBytes struct{ in, out, messages int64 }
+// traffic holds the counters of a meter: bytes in both directions, and messages.
+type traffic struct{ in, out, messages int64 }
 
-// read returns the current counters of a meter.
-func read(m *simulator.Meter) networkBytes {
-	return networkBytes{m.In.Load(), m.Out.Load(), m.Messages.Load()}
+// readMeter returns the current counters of a meter.
+func readMeter(m *simulator.Meter) traffic {
+	return traffic{m.In.Load(), m.Out.Load(), m.Messages.Load()}
 }
 
-func (w networkBytes) plus(o networkBytes) networkBytes {
-	return networkBytes{w.in + o.in, w.out + o.out, w.messages + o.messages}
+func (w traffic) plus(o traffic) traffic {
+	return traffic{w.in + o.in, w.out + o.out, w.messages + o.messages}
 }
 
-// take samples a cell. Figures of a controller that can't be read are left out and logged.
-func take(cluster *localcluster.Cluster, log *slog.Logger) sample {
-	taken := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: read(&cluster.Simulation.Commands)}
+// takeSample samples a cell. Figures of a controller that can't be read are left out and logged.
+func takeSample(cluster *localcluster.Cluster, log *slog.Logger) sample {
+	taken := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: readMeter(&cluster.Simulation.Commands)}
 	var err error
 	if taken.hollow, err = usageOf(os.Getpid()); err != nil {
 		log.Warn("reading the resource usage of the hollow side failed", "err", err)
@@ -61,7 +61,7 @@
 		}
 		controller.scraped = err == nil
 		taken.controllers = append(taken.controllers, controller)
-		taken.reports = taken.reports.plus(read(&cluster.Simulation.Controller(i).HeartbeatMeter))
+		taken.heartbeats = taken.heartbeats.plus(readMeter(&cluster.Simulation.Controller(i).HeartbeatMeter))
 	}
 	return taken
 }
@@ -73,17 +73,17 @@
 	threads int
 }
 
-func (p *peaks) note(u processUsage) {
+func (p *peaks) update(u processUsage) {
 	p.memMB, p.sockets, p.threads = max(p.memMB, u.memMB), max(p.sockets, u.sockets), max(p.threads, u.threads)
 }
 
-// between computes the resource usage of a controller between two samples.
-func between(name string, before, after controllerSample, most peaks, took time.Duration) ControllerPoint {
+// controllerUsage computes the resource usage of a controller controllerUsage two samples.
+func controllerUsage(name string, before, after controllerSample, most peaks, took time.Duration) ControllerPoint {
 	per := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
 	count := func(from, to int64) float64 { return per(float64(from), float64(to)) }
 	return ControllerPoint{Name: name, Role: after.counters.role(), Shards: after.counters.shards,
-		Whole: before.pid == after.pid && before.pid != 0 && before.scraped && after.scraped && before.counters.role() == after.counters.role() && before.counters.shards == after.counters.shards,
-		Cores: per(before.usage.cpu.Seconds(), after.usage.cpu.Seconds()), PlanCores: per(before.counters.planning, after.counters.planning),
+		Uninterrupted: before.pid == after.pid && before.pid != 0 && before.scraped && after.scraped && before.counters.role() == after.counters.role() && before.counters.shards == after.counters.shards,
+		Cores:         per(before.usage.cpu.Seconds(), after.usage.cpu.Seconds()), PlanCores: per(before.counters.planning, after.counters.planning),
 		MemMB: most.memMB, Sockets: most.sockets, Threads: most.threads,
 		HeartbeatsS: per(before.counters.heartbeats, after.counters.heartbeats), LaunchesS: per(before.counters.launches, after.counters.launches),
 		ReadsS: count(before.reads, after.reads), TxnsS: count(before.txns, after.txns), LeasesS: count(before.leases, after.leases), WatchesS: count(before.watches, after.watches),
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -81,7 +81,7 @@
 			t.Fatalf("job %+v: %v", arrival.Job, err)
 		}
 		ids[arrival.Job.ID] = true
-		if arrival.Job.Class == arrayClass && arrival.At.Seconds() < submitWithinS {
+		if arrival.Job.Class == arrayClass && arrival.At.Seconds() < backlogSubmitS {
 			byTeam[arrival.Job.Team] += arrival.Job.Tasks
 			all += arrival.Job.Tasks
 		}
--- a/internal/scaletest/scrape.go
+++ b/internal/scaletest/scrape.go
@@ -10,16 +10,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// scrapeWithin is the time-out for reading a controller's metrics.
-const scrapeWithin = 3 * time.Second
+// scrapeTimeout is the time-out for reading a controller's metrics.
+const scrapeTimeout = 3 * time.Second
 
 // Names of the controllers' metrics that a run reads.
 const (
 	metricLaunches   = "dykeledge_launches_total"
 	metricPlanning   = "dykeledge_plan_seconds"
-	metricReports    = "dykeledge_report_answer_seconds"
+	metricHeartbeats = "dykeledge_report_answer_seconds"
 	metricLeader     = "dykeledge_leader"
-	metricPartitions = "dykeledge_shares_owned"
+	metricShards     = "dykeledge_shares_owned"
 	metricRequests   = "dykeledge_service_requests_total"
 	labelService     = "service"
 	serviceCloud     = "cloud"
@@ -45,7 +45,7 @@
 
 // scrape reads the metrics of the controller at address.
 func scrape(address string) (counters, error) {
-	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", scrapeWithin)
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/metrics", scrapeTimeout)
 	if err != nil {
 		return counters{}, fmt.Errorf("metrics of %s: %w", address, err)
 	}
@@ -70,11 +70,11 @@
 				found.launches += m.GetCounter().GetValue()
 			case metricPlanning:
 				found.planning += m.GetHistogram().GetSampleSum()
-			case metricReports:
+			case metricHeartbeats:
 				found.heartbeats += float64(m.GetHistogram().GetSampleCount())
 			case metricLeader:
 				found.leader = m.GetGauge().GetValue() > 0
-			case metricPartitions:
+			case metricShards:
 				found.shards = int(m.GetGauge().GetValue())
 			case metricRequests:
 				for _, label := range m.GetLabel() {
