--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -79,7 +79,7 @@
 }
 
 // send sends a request without retries and returns the response. The time-out is within.
-func (u *Users) send(method, path string, body []byte, within time.Duration) (httpReply, error) {
+func (u *Users) send(method, path string, body []byte, timeout time.Duration) (httpReply, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -89,7 +89,7 @@
 		request.Header.SetContentType("application/json")
 		request.SetBodyRaw(body)
 	}
-	if err := u.client.DoTimeout(request, response, within); err != nil {
+	if err := u.client.DoTimeout(request, response, timeout); err != nil {
 		return httpReply{}, err
 	}
 	a := httpReply{status: response.StatusCode(), body: append([]byte(nil), response.Body()...)}
@@ -107,24 +107,24 @@
 	var state protocol.JobState
 	deadline := time.Now().Add(retryBudget)
 	for {
-		answer, err := u.send(method, path, body, submitTimeout)
+		reply, err := u.send(method, path, body, submitTimeout)
 		switch {
-		case err == nil && (answer.status == 200 || answer.status == 201):
-			if err := json.Unmarshal(answer.body, &state); err != nil {
+		case err == nil && (reply.status == 200 || reply.status == 201):
+			if err := json.Unmarshal(reply.body, &state); err != nil {
 				return state, fmt.Errorf("decode the job state in the response: %w", err)
 			}
 			return state, nil
-		case err == nil && (answer.status == 400 || answer.status == 422):
-			return state, fmt.Errorf("%w: %s", ErrRejected, errorText(answer))
-		case err == nil && answer.status == 404:
+		case err == nil && (reply.status == 400 || reply.status == 422):
+			return state, fmt.Errorf("%w: %s", ErrRejected, errorText(reply))
+		case err == nil && reply.status == 404:
 			return state, ErrNotFound
 		}
 		if u.Retried != nil {
-			u.Retried(answer.status, err)
+			u.Retried(reply.status, err)
 		}
-		pause := max(minRetryPause, answer.retryAfter) + time.Duration(rand.Int64N(int64(minRetryPause/4)))
+		pause := max(minRetryPause, reply.retryAfter) + time.Duration(rand.Int64N(int64(minRetryPause/4)))
 		if err == nil {
-			err = errors.New(errorText(answer))
+			err = errors.New(errorText(reply))
 		}
 		if time.Now().Add(pause).After(deadline) {
 			return state, fmt.Errorf("%w after %v: %w", ErrGaveUp, retryBudget, err)
@@ -159,16 +159,16 @@
 // Status queries the state of a job, without retries. The error wraps ErrNotFound if no such job has been accepted.
 func (u *Users) Status(id string) (protocol.JobState, error) {
 	var state protocol.JobState
-	answer, err := u.send(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollTimeout)
+	reply, err := u.send(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollTimeout)
 	switch {
 	case err != nil:
 		return state, fmt.Errorf("no answer: %w", err)
-	case answer.status == 404:
+	case reply.status == 404:
 		return state, ErrNotFound
-	case answer.status != 200:
-		return state, errors.New(errorText(answer))
+	case reply.status != 200:
+		return state, errors.New(errorText(reply))
 	}
-	if err := json.Unmarshal(answer.body, &state); err != nil {
+	if err := json.Unmarshal(reply.body, &state); err != nil {
 		return state, fmt.Errorf("decode the job state in the response: %w", err)
 	}
 	return state, nil
--- a/internal/contexts/contexts.go
+++ b/internal/contexts/contexts.go
@@ -72,20 +72,20 @@
 		return &config.FieldError{Field: "current", Expected: "the name of one of the contexts"}
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Contexts)) {
-		context, at := f.Contexts[name], "contexts."+name+"."
+		context, prefix := f.Contexts[name], "contexts."+name+"."
 		if !isAddress(context.Users) {
-			return &config.FieldError{Field: at + "users", Expected: "an address like 10.0.0.1:8080"}
+			return &config.FieldError{Field: prefix + "users", Expected: "an address like 10.0.0.1:8080"}
 		}
 		if len(context.Nodes) == 0 {
-			return &config.FieldError{Field: at + "nodes", Expected: "at least one node's peer_listen"}
+			return &config.FieldError{Field: prefix + "nodes", Expected: "at least one node's peer_listen"}
 		}
 		for i, n := range context.Nodes {
 			if !isAddress(n) {
-				return &config.FieldError{Field: fmt.Sprintf("%snodes[%d]", at, i), Expected: "an address like 10.0.0.1:8081"}
+				return &config.FieldError{Field: fmt.Sprintf("%snodes[%d]", prefix, i), Expected: "an address like 10.0.0.1:8081"}
 			}
 		}
 		if context.Uploads != "" && !isAddress(context.Uploads) {
-			return &config.FieldError{Field: at + "uploads", Expected: "an address like 10.0.0.1:8082"}
+			return &config.FieldError{Field: prefix + "uploads", Expected: "an address like 10.0.0.1:8082"}
 		}
 	}
 	return nil
@@ -116,7 +116,7 @@
 
 // Change loads the file, applies the function to it, and replaces the file atomically by renaming a temporary file.
 // There is no lock: of two concurrent changes, one may be lost.
-func Change(path string, by func(*File)) error {
+func Change(path string, modify func(*File)) error {
 	file, err := Load(path)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	if file.Contexts == nil {
 		file.Contexts = map[string]Context{}
 	}
-	by(file)
+	modify(file)
 	raw, err := toml.Marshal(file)
 	if err != nil {
 		return fmt.Errorf("configuration %s: %w", path, err)
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -97,18 +97,18 @@
 }
 
 // check fills in the defaults of a stream and validates it; at is the prefix of field names in errors.
-func (s *Stream) check(at string) error {
-	fill := func(r *Range, v float64) {
+func (s *Stream) check(prefix string) error {
+	setDefault := func(r *Range, v float64) {
 		if len(*r) == 0 {
 			*r = Range{v}
 		}
 	}
-	fill(&s.Tasks, 1)
-	fill(&s.Cpus, 1)
-	fill(&s.Gpus, 0)
-	fill(&s.MemGB, 1)
-	fill(&s.RunS, 10)
-	fill(&s.CancelAfterS, 5)
+	setDefault(&s.Tasks, 1)
+	setDefault(&s.Cpus, 1)
+	setDefault(&s.Gpus, 0)
+	setDefault(&s.MemGB, 1)
+	setDefault(&s.RunS, 10)
+	setDefault(&s.CancelAfterS, 5)
 	if s.Priority == "" {
 		s.Priority = protocol.Normal.String()
 	}
@@ -116,29 +116,29 @@
 		s.Class = "load"
 	}
 	s.ImageCount = max(1, s.ImageCount)
-	_, known := protocol.ParsePriority(s.Priority)
-	part := func(v float64) bool { return v >= 0 && v <= 1 }
-	amount := func(v float64) bool { return v >= 0 && v <= 1e6 }
-	check := fieldcheck.WithPrefix(at)
+	_, validPriority := protocol.ParsePriority(s.Priority)
+	isFraction := func(v float64) bool { return v >= 0 && v <= 1 }
+	isAmount := func(v float64) bool { return v >= 0 && v <= 1e6 }
+	check := fieldcheck.WithPrefix(prefix)
 	check.Require(s.Team != "", "team", "a team's name")
-	check.Require(known, "priority", "low, normal, high or production")
+	check.Require(validPriority, "priority", "low, normal, high or production")
 	check.Require(s.PerMinute > 0 && s.PerMinute <= 60_000, "per_minute", "a rate from above 0 to 60000")
-	check.Require(amount(s.StartS), "from_s", "seconds of 0 or more")
-	check.Require(amount(s.DurationS), "for_s", "seconds of 0 or more")
+	check.Require(isAmount(s.StartS), "from_s", "seconds of 0 or more")
+	check.Require(isAmount(s.DurationS), "for_s", "seconds of 0 or more")
 	check.Require(s.Tasks.inBounds(1, protocol.MaxTasks), "tasks", "a list of one or two counts from 1 to 100000")
 	check.Require(s.Cpus.inBounds(1e-3, 1e4), "cpus", "a list of one or two numbers above 0")
 	check.Require(s.Gpus.inBounds(0, 1e4), "gpus", "a list of one or two numbers of 0 or more")
 	check.Require(s.MemGB.inBounds(0, 1e6), "mem_gb", "a list of one or two numbers of 0 or more")
 	check.Require(s.RunS.inBounds(0, 1e6), "run_s", "a list of one or two numbers of seconds")
 	check.Require(s.CancelAfterS.inBounds(0, 1e6), "cancel_in_s", "a list of one or two numbers of seconds")
-	check.Require(part(s.EstimateError), "off_by", "a fraction from 0 to 1")
-	check.Require(part(s.CancelFraction), "cancel_part", "a fraction from 0 to 1")
-	check.Require(part(s.FailFraction), "fail_part", "a fraction from 0 to 1")
-	check.Require(part(s.DependentFraction), "chain_part", "a fraction from 0 to 1")
-	check.Require(amount(s.DeadlineFactor), "due_in", "a number of 0 or more")
-	check.Require(amount(s.CheckpointS), "checkpoint_s", "seconds of 0 or more")
-	check.Require(amount(s.CheckpointCostS), "save_s", "seconds of 0 or more")
-	check.Require(amount(s.ImageGB), "image_gb", "a size of 0 or more")
+	check.Require(isFraction(s.EstimateError), "off_by", "a fraction from 0 to 1")
+	check.Require(isFraction(s.CancelFraction), "cancel_part", "a fraction from 0 to 1")
+	check.Require(isFraction(s.FailFraction), "fail_part", "a fraction from 0 to 1")
+	check.Require(isFraction(s.DependentFraction), "chain_part", "a fraction from 0 to 1")
+	check.Require(isAmount(s.DeadlineFactor), "due_in", "a number of 0 or more")
+	check.Require(isAmount(s.CheckpointS), "checkpoint_s", "seconds of 0 or more")
+	check.Require(isAmount(s.CheckpointCostS), "save_s", "seconds of 0 or more")
+	check.Require(isAmount(s.ImageGB), "image_gb", "a size of 0 or more")
 	check.Require(!s.Service || s.DependentFraction == 0, "chain_part", "0 for services: no job can depend on them")
 	return check.Err()
 }
@@ -158,7 +158,7 @@
 // Plan draws the jobs of a profile and returns them in the order of arrival. The same seed yields the same jobs, other
 // seeds yield other job ids. Job ids are random, so their order is not the order of arrival.
 func (p *Profile) Plan(seed uint64) ([]Arrival, error) {
-	var out []Arrival
+	var arrivals []Arrival
 	used := map[string]bool{}
 	for i := range p.Streams {
 		stream := &p.Streams[i]
@@ -179,21 +179,21 @@
 				arrival.Job.Dependencies = []string{last}
 			}
 			last = arrival.Job.ID
-			if out = append(out, arrival); len(out) > 200_000 {
+			if arrivals = append(arrivals, arrival); len(arrivals) > 200_000 {
 				return nil, ErrTooManyJobs
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
-	return out, nil
+	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+	return arrivals, nil
 }
 
 // draw draws one job of a stream, without arrival time, id and dependencies.
 func (s *Stream) draw(rnd *rand.Rand) Arrival {
 	round := func(v float64) float64 { return math.Round(v*100) / 100 }
 	run := round(s.RunS.draw(rnd))
-	prio, _ := protocol.ParsePriority(s.Priority) // check has validated it
-	submission := protocol.Submission{Class: s.Class, Team: s.Team, Priority: prio, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
+	priority, _ := protocol.ParsePriority(s.Priority) // check has validated it
+	submission := protocol.Submission{Class: s.Class, Team: s.Team, Priority: priority, Tasks: int(math.Round(s.Tasks.draw(rnd))), Cpus: round(s.Cpus.draw(rnd)),
 		Gpus: math.Round(s.Gpus.draw(rnd)), MemGB: round(s.MemGB.draw(rnd)), Image: fmt.Sprintf("%s-%d", s.Class, rnd.IntN(s.ImageCount)), ImageGB: s.ImageGB,
 		OneZone: s.SameZone, Spread: s.SpreadZones, Spot: !s.OnDemandOnly, CheckpointS: s.CheckpointS, CheckpointCostS: s.CheckpointCostS}
 	submission.Cpus = max(0.01, submission.Cpus)
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -94,8 +94,8 @@
 		r.PollEvery = 5 * time.Second // the interval that the protocol prescribes for users
 	}
 	began := time.Now()
-	var all sync.WaitGroup
-	until, cancel := context.WithCancel(ctx)
+	var jobs sync.WaitGroup
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	accepted := map[string]chan struct{}{}
 	for i := range plan {
@@ -106,32 +106,32 @@
 		if !wait.Until(ctx, began.Add(arrival.At)) {
 			break
 		}
-		late := time.Since(began.Add(arrival.At))
+		delay := time.Since(began.Add(arrival.At))
 		r.mu.Lock()
-		r.submissionDelays.add(late)
+		r.submissionDelays.add(delay)
 		r.mu.Unlock()
-		all.Go(func() {
+		jobs.Go(func() {
 			for _, id := range arrival.Job.Dependencies {
 				select {
 				case <-accepted[id]:
-				case <-until.Done():
+				case <-runCtx.Done():
 					return
 				}
 			}
-			r.runJob(until, arrival, func() { close(accepted[arrival.Job.ID]) })
+			r.runJob(runCtx, arrival, func() { close(accepted[arrival.Job.ID]) })
 		})
 	}
-	over := make(chan struct{})
-	go func() { all.Wait(); close(over) }()
+	finished := make(chan struct{})
+	go func() { jobs.Wait(); close(finished) }()
 	timer := time.NewTimer(drain)
 	defer timer.Stop()
 	select {
-	case <-over:
+	case <-finished:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	cancel()
-	<-over
+	<-finished
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Accept, r.result.Complete, r.result.PollTimes, r.result.SubmissionDelays = r.acceptTimes.distribution(), r.completionTimes.distribution(), r.pollTimes.distribution(), r.submissionDelays.distribution()
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -256,13 +256,13 @@
 			continue
 		}
 		other := simulation.Controller(otherIndex)
-		way := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
+		direction := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
 			return process.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || simulation.ZonesPartitioned(process.Zone, other.Zone)
 		}}
 		if options.Delay != nil {
-			way.Delay = func() time.Duration { return options.Delay(process.Zone, other.Zone) }
+			direction.Delay = func() time.Duration { return options.Delay(process.Zone, other.Zone) }
 		}
-		address, err := c.serve(ctx, nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[otherIndex], way) })
+		address, err := c.serve(ctx, nil, func(ln net.Listener) error { return simulator.Relay(ln, c.Controllers[otherIndex], direction) })
 		if err != nil {
 			return nil, err
 		}
@@ -320,8 +320,8 @@
 
 // Ready waits until ask reports that the load balancer's address accepts requests, that is, until a controller
 // behind it is ready. It returns an error if ctx ends first.
-func (c *Cluster) Ready(ctx context.Context, ask func(addr string) bool) error {
-	for !ask(c.Users) {
+func (c *Cluster) Ready(ctx context.Context, isReady func(addr string) bool) error {
+	for !isReady(c.Users) {
 		if !wait.For(ctx, readyPollInterval) {
 			return errors.New("no controller became ready: see the logs in " + c.Dir)
 		}
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -67,8 +67,8 @@
 		each(func(i int) { cluster.processes[i].suspend() })
 		return func() { each(func(i int) { cluster.processes[i].resume() }) }
 	case kindPartition:
-		cuts := f.severedConnections()
-		each(func(i int) { simulation.Controller(i).Cut(cuts) })
+		severed := f.severedConnections()
+		each(func(i int) { simulation.Controller(i).Cut(severed) })
 		return func() { each(func(i int) { simulation.Controller(i).Cut(0) }) }
 	case kindStateRefusal:
 		each(func(i int) { simulation.Store.Deny(simulation.Controller(i).Name, true) })
@@ -82,11 +82,11 @@
 	if len(f.Connections) == 0 {
 		return simulator.AllCut | simulator.NoPeers
 	}
-	var cuts simulator.Cuts
+	var severed simulator.Cuts
 	for _, name := range f.Connections {
-		cuts |= connectionsByName[name]
+		severed |= connectionsByName[name]
 	}
-	return cuts
+	return severed
 }
 
 // injectIntoServices injects an outage of a service, or partitions a zone from all others.
@@ -107,9 +107,9 @@
 
 // injectIntoMachines injects a fault into the machines that it applies to.
 func (f *Fault) injectIntoMachines(simulation *simulator.Simulation) (end func()) {
-	met := f.affectedMachines(simulation)
+	affected := f.affectedMachines(simulation)
 	each := func(do func(*simulator.Machine)) {
-		for _, machine := range met {
+		for _, machine := range affected {
 			do(machine)
 		}
 	}
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -45,10 +45,10 @@
 	pause := minRestartPause
 	for ctx.Err() == nil {
 		began := time.Now()
-		if ended, err := p.start(ctx); err != nil {
+		if exited, err := p.start(ctx); err != nil {
 			p.log.Error("controller process failed to start", "controller", p.name, "err", err)
 		} else {
-			<-ended
+			<-exited
 			if ctx.Err() != nil {
 				return
 			}
@@ -65,18 +65,18 @@
 // recordExit logs an exit of the process, and counts it if it was unexpected.
 func (p *process) recordExit() {
 	p.mu.Lock()
-	asked := p.exitExpected
-	if !asked {
+	expected := p.exitExpected
+	if !expected {
 		p.unexpectedExits++
 	}
 	p.exitExpected = false
 	p.mu.Unlock()
-	p.log.Info("controller process exited", "controller", p.name, "asked", asked, "state", p.cmd.ProcessState.String())
+	p.log.Info("controller process exited", "controller", p.name, "asked", expected, "state", p.cmd.ProcessState.String())
 }
 
 // start starts the process and returns a channel that is closed when it has exited, which happens at the latest
 // endWithin after ctx ends.
-func (p *process) start(ctx context.Context) (ended <-chan struct{}, err error) {
+func (p *process) start(ctx context.Context) (exited <-chan struct{}, err error) {
 	cmd := exec.CommandContext(ctx, p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = p.output, p.output
 	// The controller is killed when this process exits for any reason. In a process group of its own it does not
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -112,28 +112,28 @@
 }
 
 // check validates a fault and fills in the default of Part; at is the prefix of field names in errors.
-func (f *Fault) check(at string) error {
-	want, known := requiredByKind[f.Kind]
-	if want.machines && f.Fraction == 0 && f.Count == 0 {
+func (f *Fault) check(prefix string) error {
+	required, validKind := requiredByKind[f.Kind]
+	if required.machines && f.Fraction == 0 && f.Count == 0 {
 		f.Fraction = 1
 	}
 	unknownPart := slices.ContainsFunc(f.Connections, func(part string) bool {
 		_, ok := connectionsByName[part]
 		return !ok
 	})
-	check := fieldcheck.WithPrefix(at)
-	check.Require(known, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(requiredByKind)), ", "))
+	check := fieldcheck.WithPrefix(prefix)
+	check.Require(validKind, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(requiredByKind)), ", "))
 	check.Require(f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400")
-	check.Require(!want.duration || f.DurationS > 0 && f.DurationS <= 86400, "for_s", "seconds from above 0 to 86400")
-	check.Require(want.duration || f.DurationS == 0, "for_s", "no value: this kind of fault has no duration")
-	check.Require(!want.controller || controllerIndex(f.Controller) != noController, "node", "n1 to n9, or all")
-	check.Require(want.controller || f.Controller == "", "node", "no value: this kind of fault applies to no node")
+	check.Require(!required.duration || f.DurationS > 0 && f.DurationS <= 86400, "for_s", "seconds from above 0 to 86400")
+	check.Require(required.duration || f.DurationS == 0, "for_s", "no value: this kind of fault has no duration")
+	check.Require(!required.controller || controllerIndex(f.Controller) != noController, "node", "n1 to n9, or all")
+	check.Require(required.controller || f.Controller == "", "node", "no value: this kind of fault applies to no node")
 	check.Require(!unknownPart && (f.Kind == kindPartition || len(f.Connections) == 0), "from", "for a cut any of state, cloud, users, reports, peers")
-	check.Require(f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more")
-	check.Require(want.machines && f.Count > 0 && f.Fraction == 0 || want.machines && f.Fraction > 0 && f.Fraction <= 1 || !want.machines && f.Fraction == 0, "part", "for machines a fraction from above 0 to 1, or a count")
+	check.Require(f.Count >= 0 && (required.machines || f.Count == 0), "count", "for machines a count of 0 or more")
+	check.Require(required.machines && f.Count > 0 && f.Fraction == 0 || required.machines && f.Fraction > 0 && f.Fraction <= 1 || !required.machines && f.Fraction == 0, "part", "for machines a fraction from above 0 to 1, or a count")
 	check.Require(f.NoticeS == 0 || f.Kind == kindSpotReclaim && f.NoticeS > 0, "notice_s", "for machines that are taken, seconds of 0 or more")
-	check.Require(f.Zone == "" || want.machines || want.zone, "zone", "no value, or for machines the name of a zone")
-	check.Require(f.Zone != "" || !want.zone, "zone", "the name of the zone to partition")
+	check.Require(f.Zone == "" || required.machines || required.zone, "zone", "no value, or for machines the name of a zone")
+	check.Require(f.Zone != "" || !required.zone, "zone", "the name of the zone to partition")
 	return check.Err()
 }
 
--- a/internal/scaletest/arrivals.go
+++ b/internal/scaletest/arrivals.go
@@ -45,11 +45,11 @@
 // jobs throughout the run. The same cell yields the same jobs.
 func (c *Cell) Arrivals() []loadgen.Arrival {
 	d := &generator{cell: c, rand: rand.New(rand.NewPCG(c.Seed, uint64(c.Index)+1)), teams: c.teams()}
-	out := d.backlogs()
-	out = append(out, d.arrays()...)
-	out = append(out, d.urgent()...)
-	slices.SortStableFunc(out, func(a, b loadgen.Arrival) int { return cmp.Compare(a.At, b.At) })
-	return out
+	arrivals := d.backlogs()
+	arrivals = append(arrivals, d.arrays()...)
+	arrivals = append(arrivals, d.urgent()...)
+	slices.SortStableFunc(arrivals, func(a, b loadgen.Arrival) int { return cmp.Compare(a.At, b.At) })
+	return arrivals
 }
 
 // durationS returns the duration of a run in seconds.
@@ -57,7 +57,7 @@
 
 // backlogs returns the jobs that each team has at the start, submitted evenly over the first submitWithinS seconds.
 func (d *generator) backlogs() []loadgen.Arrival {
-	var out []loadgen.Arrival
+	var arrivals []loadgen.Arrival
 	for i, t := range d.teams {
 		if t.urgent {
 			continue
@@ -67,11 +67,11 @@
 		at := backlogSubmitS * float64(i) / float64(len(d.teams))
 		for tasks > 0 { // a backlog above the largest job size is split into several jobs
 			part := min(tasks, d.cell.LargestJob, protocol.MaxTasks)
-			out = append(out, d.job(at, t, arrayClass, protocol.Normal, part, d.cell.taskS()))
+			arrivals = append(arrivals, d.job(at, t, arrayClass, protocol.Normal, part, d.cell.taskS()))
 			tasks -= part
 		}
 	}
-	return out
+	return arrivals
 }
 
 // backlogSubmitS is the time over which the backlogs are submitted, in seconds.
@@ -81,24 +81,24 @@
 // distribution, and distributed over the teams by their weights.
 func (d *generator) arrays() []loadgen.Arrival {
 	count := int(math.Round(d.cell.JobsPerS * (1 - d.cell.Profile.UrgentPart) * d.cell.durationS()))
-	var out []loadgen.Arrival
+	var arrivals []loadgen.Arrival
 	for i := range count {
 		at := d.cell.durationS() * (float64(i) + d.rand.Float64()) / float64(count)
 		size := int(boundedPareto(d.rand.Float64(), float64(min(d.cell.LargestJob, protocol.MaxTasks))))
-		out = append(out, d.job(at, d.drawTeam(false), arrayClass, protocol.Normal, size, d.cell.taskS()))
+		arrivals = append(arrivals, d.job(at, d.drawTeam(false), arrayClass, protocol.Normal, size, d.cell.taskS()))
 	}
-	return out
+	return arrivals
 }
 
 // urgent returns the urgent jobs, which are small and of high priority and arrive evenly spaced with jitter.
 func (d *generator) urgent() []loadgen.Arrival {
 	count := max(minUrgentJobs, int(math.Round(d.cell.JobsPerS*d.cell.Profile.UrgentPart*d.cell.durationS())))
-	var out []loadgen.Arrival
+	var arrivals []loadgen.Arrival
 	for i := range count {
 		at := d.cell.durationS() * (float64(i) + d.rand.Float64()) / float64(count)
-		out = append(out, d.job(at, d.drawTeam(true), urgentClass, protocol.High, 1+d.rand.IntN(d.cell.Profile.UrgentTasks), urgentTaskS))
+		arrivals = append(arrivals, d.job(at, d.drawTeam(true), urgentClass, protocol.High, 1+d.rand.IntN(d.cell.Profile.UrgentTasks), urgentTaskS))
 	}
-	return out
+	return arrivals
 }
 
 // drawTeam draws a team at random by weight, from the urgent teams or from the others.
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -48,11 +48,11 @@
 
 // run makes changes at a rate until ctx ends. A change does not wait for earlier ones.
 func (o *operators) run(ctx context.Context, perSecond float64) {
-	var all sync.WaitGroup
-	defer all.Wait()
+	var changes sync.WaitGroup
+	defer changes.Wait()
 	for n := 1; wait.For(ctx, seconds(1/perSecond)); n++ {
 		target, address := o.teams[o.rand.IntN(len(o.teams))], o.controllers[o.rand.IntN(len(o.controllers))]
-		all.Go(func() { o.makeChange(ctx, address, target, n%changesPerLowering == 0) })
+		changes.Go(func() { o.makeChange(ctx, address, target, n%changesPerLowering == 0) })
 	}
 }
 
--- a/internal/scaletest/launch.go
+++ b/internal/scaletest/launch.go
@@ -31,16 +31,16 @@
 func (l *Launcher) Run(ctx context.Context, cells []Cell) ([]*Point, error) {
 	points, failures := make([]*Point, len(cells)), make([]error, len(cells))
 	errs := &synchronizedWriter{writer: l.Errs}
-	var all sync.WaitGroup
+	var processes sync.WaitGroup
 	for i := range cells {
-		all.Go(func() {
+		processes.Go(func() {
 			// Pdeathsig (see play) is sent when the thread that started the child exits, not the process, so this goroutine
 			// keeps its thread.
 			runtime.LockOSThread()
 			points[i], failures[i] = l.play(ctx, &cells[i], errs)
 		})
 	}
-	all.Wait()
+	processes.Wait()
 	return points, errors.Join(failures...)
 }
 
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -99,10 +99,10 @@
 		return nil, err
 	}
 	defer cluster.Stop()
-	watch := newMonitor(c, cluster, log)
-	within, stop := context.WithTimeout(ctx, readyTimeout)
+	runMonitor := newMonitor(c, cluster, log)
+	readyCtx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
-	if err := cluster.Ready(within, client.Ready); err != nil {
+	if err := cluster.Ready(readyCtx, client.Ready); err != nil {
 		return nil, err
 	}
 	var background sync.WaitGroup
@@ -110,18 +110,18 @@
 	defer cancel()
 	done := make(chan loadgen.Result, 1)
 	users := client.New(cluster.Users)
-	runner := &loadgen.Runner{To: users, Upload: watch.upload}
+	runner := &loadgen.Runner{To: users, Upload: runMonitor.upload}
 	users.Retried = runner.Retried
 	background.Go(func() { done <- runner.Run(ctx, c.Arrivals(), 0) })
-	background.Go(func() { watch.measureLateness(ctx) })
+	background.Go(func() { runMonitor.measureLateness(ctx) })
 	if (c.Cut == Changes || c.Cut == Faults) && c.Profile.ChangesADay > 0 {
-		watch.operators = newOperators(c, cluster.Controllers)
-		background.Go(func() { watch.operators.run(ctx, c.Profile.ChangesADay/secondsPerDay) })
+		runMonitor.operators = newOperators(c, cluster.Controllers)
+		background.Go(func() { runMonitor.operators.run(ctx, c.Profile.ChangesADay/secondsPerDay) })
 	}
 	if !wait.For(ctx, seconds(c.WarmUpS)) {
 		return nil, ctx.Err()
 	}
-	point, err := watch.measure(ctx)
+	point, err := runMonitor.measure(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -44,9 +44,9 @@
 
 // takeSample samples a cell. Figures of a controller that can't be read are left out and logged.
 func takeSample(cluster *localcluster.Cluster, log *slog.Logger) sample {
-	taken := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: readMeter(&cluster.Simulation.Commands)}
+	result := sample{at: time.Now(), stats: cluster.Simulation.Stats(), commands: readMeter(&cluster.Simulation.Commands)}
 	var err error
-	if taken.hollow, err = usageOf(os.Getpid()); err != nil {
+	if result.hollow, err = usageOf(os.Getpid()); err != nil {
 		log.Warn("reading the resource usage of the hollow side failed", "err", err)
 	}
 	for i, pid := range cluster.Pids() {
@@ -60,10 +60,10 @@
 			log.Warn("scraping the metrics of a controller failed", "controller", i+1, "err", err)
 		}
 		controller.scraped = err == nil
-		taken.controllers = append(taken.controllers, controller)
-		taken.heartbeats = taken.heartbeats.plus(readMeter(&cluster.Simulation.Controller(i).HeartbeatMeter))
+		result.controllers = append(result.controllers, controller)
+		result.heartbeats = result.heartbeats.plus(readMeter(&cluster.Simulation.Controller(i).HeartbeatMeter))
 	}
-	return taken
+	return result
 }
 
 // peaks holds the peak resource usage of a controller over all samples.
@@ -78,15 +78,15 @@
 }
 
 // controllerUsage computes the resource usage of a controller controllerUsage two samples.
-func controllerUsage(name string, before, after controllerSample, most peaks, took time.Duration) ControllerPoint {
-	per := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
-	count := func(from, to int64) float64 { return per(float64(from), float64(to)) }
+func controllerUsage(name string, before, after controllerSample, peak peaks, took time.Duration) ControllerPoint {
+	rate := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
+	countRate := func(from, to int64) float64 { return rate(float64(from), float64(to)) }
 	return ControllerPoint{Name: name, Role: after.counters.role(), Shards: after.counters.shards,
 		Uninterrupted: before.pid == after.pid && before.pid != 0 && before.scraped && after.scraped && before.counters.role() == after.counters.role() && before.counters.shards == after.counters.shards,
-		Cores:         per(before.usage.cpu.Seconds(), after.usage.cpu.Seconds()), PlanCores: per(before.counters.planning, after.counters.planning),
-		MemMB: most.memMB, Sockets: most.sockets, Threads: most.threads,
-		HeartbeatsS: per(before.counters.heartbeats, after.counters.heartbeats), LaunchesS: per(before.counters.launches, after.counters.launches),
-		ReadsS: count(before.reads, after.reads), TxnsS: count(before.txns, after.txns), LeasesS: count(before.leases, after.leases), WatchesS: count(before.watches, after.watches),
-		StateInS: count(before.stateIn, after.stateIn), StateOutS: count(before.stateOut, after.stateOut),
-		CloudS: per(before.counters.cloud, after.counters.cloud), PeerBytesS: count(before.peerBytes, after.peerBytes)}
+		Cores:         rate(before.usage.cpu.Seconds(), after.usage.cpu.Seconds()), PlanCores: rate(before.counters.planning, after.counters.planning),
+		MemMB: peak.memMB, Sockets: peak.sockets, Threads: peak.threads,
+		HeartbeatsS: rate(before.counters.heartbeats, after.counters.heartbeats), LaunchesS: rate(before.counters.launches, after.counters.launches),
+		ReadsS: countRate(before.reads, after.reads), TxnsS: countRate(before.txns, after.txns), LeasesS: countRate(before.leases, after.leases), WatchesS: countRate(before.watches, after.watches),
+		StateInS: countRate(before.stateIn, after.stateIn), StateOutS: countRate(before.stateOut, after.stateOut),
+		CloudS: rate(before.counters.cloud, after.counters.cloud), PeerBytesS: countRate(before.peerBytes, after.peerBytes)}
 }
