--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -78,7 +78,7 @@
 	body       []byte
 }
 
-// send sends a request without retries and returns the response. The time-out is within.
+// send sends a request without retries and returns the response.
 func (u *Users) send(method, path string, body []byte, timeout time.Duration) (httpReply, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/commandtest/commandtest.go
+++ b/internal/commandtest/commandtest.go
@@ -1,7 +1,7 @@
 // Package commandtest helps to test command-line programs: it compares what a command prints with golden files,
 // and finds all subcommands from the help texts. Only tests import it.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package commandtest
 
 import (
--- a/internal/contexts/contexts_test.go
+++ b/internal/contexts/contexts_test.go
@@ -27,7 +27,7 @@
 			}
 			_, err := Load(path)
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+				t.Errorf("file %q: error %v, want one line that contains the path and %q", test.text, err, test.want)
 			}
 			// Change must not touch an invalid file.
 			if err := Change(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (test.want == "") {
@@ -45,6 +45,6 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Get(""); err == nil || !strings.Contains(err.Error(), "dykectl up") {
-		t.Error(err)
+		t.Errorf("Get without a current context: error %v, want one that mentions dykectl up", err)
 	}
 }
--- a/internal/contexts/doc.go
+++ b/internal/contexts/doc.go
@@ -1,5 +1,5 @@
 // Package contexts reads and writes dykectl's configuration file, which lists the clusters (contexts) and names the
 // current one.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package contexts
--- a/internal/fieldcheck/fieldcheck.go
+++ b/internal/fieldcheck/fieldcheck.go
@@ -1,6 +1,6 @@
 // Package fieldcheck validates the fields of a hand-written settings file.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package fieldcheck
 
 import "dykeledge/internal/config"
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
 // Package golden compares the output of tests with golden files in testdata/golden of the package under test. With
 // the flag -update the files are written instead, except in CI, where the test fails. Only tests import it.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package golden
 
 import (
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -3,5 +3,5 @@
 //
 // Profile is the content of the file, Profile.Plan draws the jobs from it, and Runner submits them at their times.
 //
-// docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package loadgen
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -33,7 +33,7 @@
 		t.Run("error "+strconv.Quote(test.want), func(t *testing.T) {
 			_, err := Parse([]byte(test.text))
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+				t.Errorf("profile %q: error %v, want one line that contains %q", test.text, err, test.want)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 		}
 		back, err := protocol.ParseSubmission(raw)
 		if err != nil || back.ID != arrival.Job.ID || back.Tasks != arrival.Job.Tasks || back.DeadlineS != arrival.Job.DeadlineS || fmt.Sprint(back.Dependencies) != fmt.Sprint(arrival.Job.Dependencies) {
-			t.Fatalf("%s: %+v, %v", raw, back, err)
+			t.Fatalf("submission %s was decoded as %+v, %v; want the drawn job", raw, back, err)
 		}
 		for _, id := range arrival.Job.Dependencies {
 			if _, ok := at[id]; !ok {
@@ -121,7 +121,7 @@
 		s := &slowDeployment{jobs: map[string]time.Time{}, regressing: plan[3].Job.ID}
 		r := (&Runner{To: s}).Run(t.Context(), plan, 5*time.Minute)
 		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.SubmissionDelays.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
-			t.Errorf("result %+v for %d jobs", r, len(plan))
+			t.Errorf("result %+v, want all of %d jobs accepted, done and late, accepted after 20 s, and one that went back", r, len(plan))
 		}
 		var b strings.Builder
 		if err := r.Print(&b); err != nil || !strings.Contains(b.String(), "1 went back") {
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -96,7 +96,7 @@
 	return profile, nil
 }
 
-// check fills in the defaults of a stream and validates it; at is the prefix of field names in errors.
+// check fills in the defaults of a stream and validates it; prefix is put before the names of fields in errors.
 func (s *Stream) check(prefix string) error {
 	setDefault := func(r *Range, v float64) {
 		if len(*r) == 0 {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -35,7 +35,7 @@
 	Retries          int          `json:"retries"`
 	Done             int          `json:"done"`
 	Cancelled        int          `json:"cancelled"`
-	Open             int          `json:"open"` // jobs without a final status at the end of the run
+	Open             int          `json:"open"` // accepted jobs without a final status at the end of the run
 	Late             int          `json:"late"` // jobs with a deadline that were done after it, or still open beyond it
 	WithDeadline     int          `json:"with_deadline"`
 	WentBack         int          `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
@@ -53,7 +53,7 @@
 	Max   int64 `json:"max"`
 }
 
-// maxRecordedMs is the largest value that a timer records, in milliseconds: one day. Longer times count as this one.
+// maxRecordedMs is the largest value that a histogram records, in milliseconds: one day. Longer times count as this one.
 const maxRecordedMs = 24 * 3600 * 1000
 
 // histogram is a histogram of times in milliseconds.
@@ -152,7 +152,7 @@
 	f(&r.result)
 }
 
-// runJob plays the user of runJob job: it uploads and submits the job and follows it until it is final. It calls accepted
+// runJob plays the user of one job: it uploads and submits the job and follows it until it is final. It calls accepted
 // once the job has been accepted.
 func (r *Runner) runJob(ctx context.Context, arrival *Arrival, accepted func()) {
 	body, err := protocol.EncodeSubmission(&arrival.Job)
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// startSimulation creates the simulated state service, cloud and workers, and opens the workers' ports.
+// startSimulation creates the simulated state service, cloud and workers, and lets each
+// worker listen on a loopback port.
 func (c *Cluster) startSimulation(ctx context.Context, options *Options) {
 	deployment := &options.Deployment
 	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
@@ -318,7 +319,7 @@
 	return listenConfig.Listen(ctx, "tcp4", "127.0.0.1:0")
 }
 
-// Ready waits until ask reports that the load balancer's address accepts requests, that is, until a controller
+// Ready waits until isReady reports that the load balancer's address accepts requests, that is, until a controller
 // behind it is ready. It returns an error if ctx ends first.
 func (c *Cluster) Ready(ctx context.Context, isReady func(addr string) bool) error {
 	for !isReady(c.Users) {
--- a/internal/localcluster/doc.go
+++ b/internal/localcluster/doc.go
@@ -4,5 +4,5 @@
 //
 // A Schedule injects faults into the cluster: crashes, network partitions, outages and machine failures.
 //
-// docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package localcluster
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -137,7 +137,7 @@
 }
 
 // affectedMachines chooses the machines that a fault applies to: Count machines with adjacent names,
-// or each machine with the probability Part.
+// or each machine with the probability Fraction.
 func (f *Fault) affectedMachines(simulation *simulator.Simulation) []*simulator.Machine {
 	var candidates []*simulator.Machine
 	for _, machine := range simulation.Machines() {
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -75,7 +75,7 @@
 }
 
 // start starts the process and returns a channel that is closed when it has exited, which happens at the latest
-// endWithin after ctx ends.
+// terminationTimeout after ctx ends.
 func (p *process) start(ctx context.Context) (exited <-chan struct{}, err error) {
 	cmd := exec.CommandContext(ctx, p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = p.output, p.output
@@ -96,7 +96,7 @@
 	p.cmd, p.exited = cmd, done
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // noteEnd logs ProcessState
+		_ = cmd.Wait() // recordExit logs ProcessState
 		close(done)
 	}()
 	return done, nil
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -52,7 +52,7 @@
 	kindMachinePartition = "machine_cut"   // machines lose the connection to all controllers
 )
 
-// requiredFields lists which fields a fault of a kind must set: the controller it applies to, its duration (lasts), the machines
+// requiredFields lists which fields a fault of a kind must set: the controller it applies to, its duration, the machines
 // it applies to, and the zone.
 type requiredFields struct{ controller, duration, machines, zone bool }
 
@@ -111,7 +111,8 @@
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtS, b.AtS) })
 }
 
-// check validates a fault and fills in the default of Part; at is the prefix of field names in errors.
+// check validates a fault and fills in the default of Fraction; prefix is put before the names of
+// fields in errors.
 func (f *Fault) check(prefix string) error {
 	required, validKind := requiredByKind[f.Kind]
 	if required.machines && f.Fraction == 0 && f.Count == 0 {
--- a/internal/localcluster/schedule_test.go
+++ b/internal/localcluster/schedule_test.go
@@ -26,7 +26,7 @@
 		t.Run(strings.ReplaceAll(test.text, "\n", " "), func(t *testing.T) {
 			schedule, err := ParseSchedule([]byte("[[fault]]\n" + test.text + "\n[[fault]]\nat_s = 1\nkind = \"machine_dies\"\n"))
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%v, want %q", err, test.want)
+				t.Errorf("error %v, want one line that contains %q", err, test.want)
 			}
 			if err == nil && schedule.Faults[0].AtS != 1 {
 				t.Error("the faults are not sorted by time")
--- a/internal/scaletest/arrivals.go
+++ b/internal/scaletest/arrivals.go
@@ -55,7 +55,7 @@
 // durationS returns the duration of a run in seconds.
 func (c *Cell) durationS() float64 { return c.WarmUpS + c.MeasureS }
 
-// backlogs returns the jobs that each team has at the start, submitted evenly over the first submitWithinS seconds.
+// backlogs returns the jobs that each team has at the start, submitted evenly over the first backlogSubmitS seconds.
 func (d *generator) backlogs() []loadgen.Arrival {
 	var arrivals []loadgen.Arrival
 	for i, t := range d.teams {
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -36,7 +36,7 @@
 	guaranteeTimes    *hdrhistogram.Histogram // time until a changed guarantee was in force
 	loweredLimitTimes *hdrhistogram.Histogram // time until a lowered limit was in force
 	made              int
-	failed            int // changes that were not in force within forceWithin
+	failed            int // changes that were not in force within inForceTimeout
 }
 
 func newOperators(c *Cell, controllers []string) *operators {
@@ -104,7 +104,7 @@
 	}
 }
 
-// errNotInForce means that a change was not in force within forceWithin, or that the context ended first.
+// errNotInForce means that a change was not in force within inForceTimeout, or that the context ended first.
 var errNotInForce = errors.New("the change was not in force in time")
 
 // change reads a team, changes it on condition that its version is still the one read, and waits until the change is in
--- a/internal/scaletest/doc.go
+++ b/internal/scaletest/doc.go
@@ -6,5 +6,5 @@
 // The workers are hollow: they answer the controllers as real workers do but run no tasks. The simulated part of a cell is
 // called the hollow side. If the hollow side was overloaded, the measurements of the controllers are not valid.
 //
-// docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package scaletest
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -27,7 +27,7 @@
 	muchBetterRatio = 0.25
 )
 
-// fitLine fits a line to the points. It returns false if there are fewer than leastSizes different values of x, or if
+// fitLine fits a line to the points. It returns false if there are fewer than minSizes different values of x, or if
 // all values of y are 0.
 func fitLine(x, y []float64) (Line, bool) {
 	sizes := map[float64]bool{}
@@ -67,7 +67,7 @@
 }
 
 // fitPower fits factor·x^power to the points with positive coordinates; it returns 0, 0 if there are fewer than
-// leastSizes of them.
+// minSizes of them.
 func fitPower(x, y []float64) (power, factor float64) {
 	var logX, logY []float64
 	for i := range x {
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -172,7 +172,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// newMonitor returns a watch and registers it as the simulation's callback for task launches.
+// newMonitor returns a monitor and registers it as the simulation's callback for task launches.
 func newMonitor(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *monitor {
 	w := &monitor{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
@@ -248,7 +248,7 @@
 	return w.point(first, last), nil
 }
 
-// checkStarts updates the longest time without a task start, and logs the progress every progressEvery checks; n
+// checkStarts updates the longest time without a task start, and logs the progress every checksPerProgressLog checks; n
 // counts the checks.
 func (w *monitor) checkStarts(n int) {
 	now, stats := time.Now(), w.cluster.Simulation.Stats()
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -61,7 +61,7 @@
 	Controllers []ControllerPoint `json:"controllers"`
 }
 
-// ControllerPoint holds the resource usage of one controller of a cell. If Whole is false, the controller is marked in the
+// ControllerPoint holds the resource usage of one controller of a cell. If Uninterrupted is false, the controller is marked in the
 // table of controllers and left out of the fits by role.
 type ControllerPoint struct {
 	Name          string  `json:"name"`
@@ -153,7 +153,7 @@
 	return out, nil
 }
 
-// maxLineBytes is the largest size of a line that readFile accepts, in bytes.
+// maxLineBytes is the largest size of a line that readPointsFile accepts, in bytes.
 const maxLineBytes = 4 << 20
 
 // readPointsFile reads the points of one file.
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -77,7 +77,7 @@
 	p.memMB, p.sockets, p.threads = max(p.memMB, u.memMB), max(p.sockets, u.sockets), max(p.threads, u.threads)
 }
 
-// controllerUsage computes the resource usage of a controller controllerUsage two samples.
+// controllerUsage computes the resource usage of a controller between two samples.
 func controllerUsage(name string, before, after controllerSample, peak peaks, took time.Duration) ControllerPoint {
 	rate := func(from, to float64) float64 { return max(0, to-from) / took.Seconds() }
 	countRate := func(from, to int64) float64 { return rate(float64(from), float64(to)) }
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -28,7 +28,7 @@
 		t.Run("error "+strconv.Quote(test.want), func(t *testing.T) {
 			_, err := ParseProfile([]byte(test.text))
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+				t.Errorf("profile %q: error %v, want one line that contains %q", test.text, err, test.want)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 			_, err = protocol.ParseSubmission(raw)
 		}
 		if err != nil || arrival.Job.Tasks > cell.LargestJob || ids[arrival.Job.ID] || i > 0 && arrival.At < jobs[i-1].At {
-			t.Fatalf("job %+v: %v", arrival.Job, err)
+			t.Fatalf("job %+v is invalid, too large, a duplicate or out of order: %v", arrival.Job, err)
 		}
 		ids[arrival.Job.ID] = true
 		if arrival.Job.Class == arrayClass && arrival.At.Seconds() < backlogSubmitS {
@@ -111,18 +111,18 @@
 	}{
 		{"line", x, of(func(v float64) float64 { return 3 + 2*v }), true, "line"},
 		{"square", x, of(func(v float64) float64 { return v * v }), true, "no line: power 2.00"},
-		{"root", x, of(math.Sqrt), true, "no line: power 0.50"},
+		{"square root", x, of(math.Sqrt), true, "no line: power 0.50"},
 		{"flat", x, []float64{5, 5.2, 4.9, 5.1, 5}, true, "flat"},
 		{"three sizes", []float64{1, 2, 4, 4}, []float64{1, 2, 4, 4}, false, ""},
-		{"nothing", x, make([]float64, 5), false, ""},
+		{"all values zero", x, make([]float64, 5), false, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			line, ok := fitLine(test.x, test.y)
 			if ok != test.ok || ok && line.growth() != test.growth {
-				t.Errorf("%+v, %s, %v", line, line.growth(), ok)
+				t.Errorf("fitted %+v with growth %q, ok %v", line, line.growth(), ok)
 			}
 			if test.growth == "line" && (math.Abs(line.Slope-2) > 1e-9 || math.Abs(line.Intercept-3) > 1e-9) {
-				t.Errorf("%+v", line)
+				t.Errorf("fitted %+v, want slope 2 and intercept 3", line)
 			}
 		})
 	}
@@ -133,7 +133,7 @@
 		"# TYPE dykeledge_service_requests_total counter\ndykeledge_service_requests_total{service=\"cloud\",outcome=\"ok\"} 3\n" +
 		"dykeledge_service_requests_total{service=\"state\",outcome=\"ok\"} 9\n"))
 	if want := (counters{launches: 7, cloud: 3, leader: true}); err != nil || got != want || got.role() != Leader {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("parsed %+v, %v", got, err)
 	}
 	if _, err := parseCounters([]byte("no metrics {")); err == nil {
 		t.Error("parseCounters accepted a text that is not in the metrics format")
--- a/internal/textout/textout.go
+++ b/internal/textout/textout.go
@@ -1,7 +1,7 @@
 // Package textout prints text and tables to a writer and keeps the first write error, so that code that prints many
 // lines checks for errors once, at the end.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package textout
 
 import (
--- a/internal/textout/textout_test.go
+++ b/internal/textout/textout_test.go
@@ -21,7 +21,7 @@
 
 var errFull = errors.New("disk full")
 
-// fullAfter is a writer that accepts left more writes and then fails.
+// fullAfter is a writer that accepts left more writes and then fails with errFull.
 type fullAfter struct{ left int }
 
 func (f *fullAfter) Write(text []byte) (int, error) {
@@ -38,7 +38,7 @@
 		writes int
 		want   error
 	}{
-		{"all is written", 2, nil},
+		{"no write fails", 2, nil},
 		{"the second write fails", 1, errFull},
 		{"the first write fails", 0, errFull},
 	} {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,6 +1,6 @@
 // Package wait provides sleeps that end early when a context ends.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are.
+// See docs/ARCHITECTURE.md for the package's place in the system.
 package wait
 
 import (
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -15,12 +15,12 @@
 		want       bool
 		took       time.Duration
 	}{
-		{"passes", time.Minute, time.Hour, true, time.Minute},
-		{"context ends before", time.Minute, time.Second, false, time.Second},
-		{"context has ended", time.Minute, 0, false, 0},
-		{"nothing to wait for", 0, time.Hour, true, 0},
+		{"duration elapses", time.Minute, time.Hour, true, time.Minute},
+		{"context ends first", time.Minute, time.Second, false, time.Second},
+		{"context has already ended", time.Minute, 0, false, 0},
+		{"zero duration", 0, time.Hour, true, 0},
 		{"negative duration", -time.Second, time.Hour, true, 0},
-		{"negative duration and context has ended", -time.Second, 0, false, 0},
+		{"negative duration and context has already ended", -time.Second, 0, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
