--- a/internal/contexts/contexts_test.go
+++ b/internal/contexts/contexts_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestFile(t *testing.T) {
+func TestLoadAndChange(t *testing.T) {
 	good := "current = \"a\"\n[contexts.a]\nusers = \"10.0.0.1:80\"\nnodes = [\"10.0.0.1:81\"]\n"
 	for _, test := range []struct{ text, want string }{
 		{good, ""},
@@ -45,6 +45,6 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Get(""); err == nil || !strings.Contains(err.Error(), "dykectl up") {
-		t.Errorf("Get without a current context: error %v, want one that mentions dykectl up", err)
+		t.Error(err)
 	}
 }
--- a/internal/pagecheck/pagecheck_test.go
+++ b/internal/pagecheck/pagecheck_test.go
@@ -56,9 +56,9 @@
 // logLineSections lists the sections of the operators' handbook in which log lines are looked up.
 var logLineSections = []string{"Log lines that ask for action", "From symptom to cause"}
 
-// TestLogLinesOfThePages checks that the sources write the log lines that the operators' handbook quotes, with the
+// TestQuotedLogLines checks that the sources write the log lines that the operators' handbook quotes, with the
 // attributes that it quotes on the same line.
-func TestLogLinesOfThePages(t *testing.T) {
+func TestQuotedLogLines(t *testing.T) {
 	known := parseSources(t)
 	page := readPage(t, "operations.md")
 	for _, title := range logLineSections {
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestFit(t *testing.T) {
+func TestFitLine(t *testing.T) {
 	x := []float64{1, 2, 4, 8, 16}
 	of := func(f func(float64) float64) (y []float64) {
 		for _, v := range x {
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestCounters(t *testing.T) {
+func TestParseCountersAndCPUTime(t *testing.T) {
 	got, err := parseCounters([]byte("# TYPE dykeledge_launches_total counter\ndykeledge_launches_total 7\n# TYPE dykeledge_leader gauge\ndykeledge_leader 1\n" +
 		"# TYPE dykeledge_service_requests_total counter\ndykeledge_service_requests_total{service=\"cloud\",outcome=\"ok\"} 3\n" +
 		"dykeledge_service_requests_total{service=\"state\",outcome=\"ok\"} 9\n"))
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestPage checks that the capacity page contains the tables that Report prints from the stored points.
-func TestPage(t *testing.T) {
+// TestCapacityPageTables checks that the capacity page contains the tables that Report prints from the stored points.
+func TestCapacityPageTables(t *testing.T) {
 	points, err := ReadPoints("../../docs/scale")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/textout/textout_test.go
+++ b/internal/textout/textout_test.go
@@ -21,14 +21,14 @@
 
 var errFull = errors.New("disk full")
 
-// fullAfter is a writer that accepts left more writes and then fails with errFull.
-type fullAfter struct{ left int }
+// limitedWriter is a writer that accepts left more writes and then fails with errFull.
+type limitedWriter struct{ writesLeft int }
 
-func (f *fullAfter) Write(text []byte) (int, error) {
-	if f.left == 0 {
+func (f *limitedWriter) Write(text []byte) (int, error) {
+	if f.writesLeft == 0 {
 		return 0, errFull
 	}
-	f.left--
+	f.writesLeft--
 	return len(text), nil
 }
 
@@ -43,7 +43,7 @@
 		{"the first write fails", 0, errFull},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			printer := New(&fullAfter{left: test.writes})
+			printer := New(&limitedWriter{writesLeft: test.writes})
 			printer.Println("one")
 			printer.Printf("%d\n", 2)
 			if err := printer.Flush(); !errors.Is(err, test.want) {
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -15,7 +15,7 @@
 		want       bool
 		took       time.Duration
 	}{
-		{"duration elapses", time.Minute, time.Hour, true, time.Minute},
+		{"passes", time.Minute, time.Hour, true, time.Minute},
 		{"context ends first", time.Minute, time.Second, false, time.Second},
 		{"context has already ended", time.Minute, 0, false, 0},
 		{"zero duration", 0, time.Hour, true, 0},
