--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -92,11 +92,11 @@
 	if err := u.client.DoTimeout(request, response, timeout); err != nil {
 		return httpReply{}, err
 	}
-	a := httpReply{status: response.StatusCode(), body: append([]byte(nil), response.Body()...)}
+	reply := httpReply{status: response.StatusCode(), body: append([]byte(nil), response.Body()...)}
 	if n, err := strconv.Atoi(string(response.Header.Peek("Retry-After"))); err == nil && n > 0 {
-		a.retryAfter = min(maxRetryAfter, time.Duration(n)*time.Second)
+		reply.retryAfter = min(maxRetryAfter, time.Duration(n)*time.Second)
 	}
-	return a, nil
+	return reply, nil
 }
 
 // sendWithRetries retries a request until it gets a conclusive response (200, 201, 400, 404 or 422), as the protocol
@@ -136,10 +136,10 @@
 }
 
 // errorText returns the error text of a response, or its status if the body holds none.
-func errorText(a httpReply) string {
+func errorText(reply httpReply) string {
 	var r protocol.ErrorResponse
-	if json.Unmarshal(a.body, &r) != nil || r.Error == "" {
-		return "status " + strconv.Itoa(a.status)
+	if json.Unmarshal(reply.body, &r) != nil || r.Error == "" {
+		return "status " + strconv.Itoa(reply.status)
 	}
 	return r.Error
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -180,18 +180,18 @@
 	if due > 0 {
 		r.updateResult(func(s *Result) { s.WithDeadline++ })
 	}
-	final, at := r.followJob(ctx, arrival, state, began)
+	final, elapsed := r.followJob(ctx, arrival, state, began)
 	r.updateResult(func(result *Result) {
 		switch final {
 		case protocol.Done:
 			result.Done++
-			r.completionTimes.add(at)
+			r.completionTimes.add(elapsed)
 		case protocol.Cancelled:
 			result.Cancelled++
 		default:
 			result.Open++
 		}
-		if due > 0 && final != protocol.Cancelled && at > due {
+		if due > 0 && final != protocol.Cancelled && elapsed > due {
 			result.Late++
 		}
 	})
@@ -209,19 +209,19 @@
 // followJob polls a job until its status is final, and cancels it when the plan says so. It returns the last status and
 // the time since began. One more poll, PollEvery after the final status, checks that the status has not changed.
 func (r *Runner) followJob(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
-	asked := time.Now()
+	acceptedAt := time.Now()
 	cancelled := arrival.CancelAfter == 0
 	for !state.Status.Final() {
 		pause := r.PollEvery*3/4 + rand.N(r.PollEvery/2)
 		if !cancelled {
-			pause = min(pause, time.Until(asked.Add(arrival.CancelAfter)))
+			pause = min(pause, time.Until(acceptedAt.Add(arrival.CancelAfter)))
 		}
 		if !wait.For(ctx, pause) {
 			return state.Status, time.Since(began)
 		}
 		var next protocol.JobState
 		var err error
-		if !cancelled && time.Since(asked) >= arrival.CancelAfter {
+		if !cancelled && time.Since(acceptedAt) >= arrival.CancelAfter {
 			next, err = r.To.Cancel(ctx, arrival.Job.ID)
 			cancelled = err == nil
 		} else {
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -68,14 +68,14 @@
 	Meters       []*ControllerMeters // one per controller
 	LoadBalancer simulator.Meter     // counts users' connections to the load balancer
 
-	public     []string // public_addr of each controller
-	processes  []*process
-	ports      *simulator.WorkerPorts
-	files      []*os.File // log files of the controllers
-	listeners  []net.Listener
-	background sync.WaitGroup // goroutines that end with the context
-	servers    sync.WaitGroup // goroutines that end when their listeners are closed
-	cancel     context.CancelFunc
+	publicAddresses []string // public_addr of each controller
+	processes       []*process
+	workerPorts     *simulator.WorkerPorts
+	logFiles        []*os.File // log files of the controllers
+	listeners       []net.Listener
+	background      sync.WaitGroup // goroutines that end with the context
+	serverGroup     sync.WaitGroup // goroutines that end when their listeners are closed
+	cancel          context.CancelFunc
 }
 
 // Settings returns the deployment of a local cluster whose Options name none.
@@ -168,7 +168,7 @@
 	if workerAddress == nil {
 		workerAddress = simulator.AnyPort
 	}
-	c.Simulation, c.ports = simulation, simulation.ServeWorkers(workerAddress)
+	c.Simulation, c.workerPorts = simulation, simulation.ServeWorkers(workerAddress)
 	if options.SharedTicker {
 		simulation.SharedTicker = true
 		c.background.Go(simulation.RunTicker)
@@ -179,7 +179,7 @@
 // listener until release is called.
 func (c *Cluster) chooseAddresses(ctx context.Context, options *Options) (release func(), err error) {
 	count := options.Deployment.Controllers
-	c.public, c.Controllers = make([]string, count), make([]string, count)
+	c.publicAddresses, c.Controllers = make([]string, count), make([]string, count)
 	var held []net.Listener
 	release = func() {
 		for _, ln := range held {
@@ -188,10 +188,10 @@
 	}
 	for i := range count {
 		if options.Addresses.Controller != nil {
-			c.public[i], c.Controllers[i] = options.Addresses.Controller(i)
+			c.publicAddresses[i], c.Controllers[i] = options.Addresses.Controller(i)
 			continue
 		}
-		for _, address := range []*string{&c.public[i], &c.Controllers[i]} {
+		for _, address := range []*string{&c.publicAddresses[i], &c.Controllers[i]} {
 			ln, err := listenOnLoopback(ctx)
 			if err != nil {
 				release()
@@ -209,8 +209,8 @@
 	loadBalancer := simulator.NewLoadBalancer()
 	zones := options.Deployment.Zones
 	for i := range options.Deployment.Controllers {
-		controller := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.public[i])
-		loadBalancer.AddController(controller, c.public[i])
+		controller := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.publicAddresses[i])
+		loadBalancer.AddController(controller, c.publicAddresses[i])
 		c.Meters = append(c.Meters, &ControllerMeters{})
 	}
 	for i := range options.Deployment.Controllers {
@@ -242,7 +242,7 @@
 // and returns the controller's settings.
 func (c *Cluster) startControllerServices(ctx context.Context, index int, options *Options) (*config.Settings, error) {
 	simulation, process, meters := c.Simulation, c.Simulation.Controller(index), c.Meters[index]
-	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.public[index], PeerListen: c.Controllers[index], Deployment: options.Deployment}
+	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.publicAddresses[index], PeerListen: c.Controllers[index], Deployment: options.Deployment}
 	link := simulation.Store.Open(process)
 	meters.Requests = &link.Requests
 	var err error
@@ -280,7 +280,7 @@
 		if err != nil {
 			return err
 		}
-		c.files = append(c.files, out)
+		c.logFiles = append(c.logFiles, out)
 		controller := &process{name: name, program: options.Program, args: []string{"--config", file}, output: out, log: options.Log}
 		if options.Features != "" {
 			controller.args = append(controller.args, "--features", options.Features)
@@ -309,7 +309,7 @@
 		ln = meter.Listen(ln)
 	}
 	c.listeners = append(c.listeners, ln)
-	c.servers.Go(func() { _ = serve(ln) }) // the error only says that the listener was closed
+	c.serverGroup.Go(func() { _ = serve(ln) }) // the error only says that the listener was closed
 	return ln.Addr().String(), nil
 }
 
@@ -359,11 +359,11 @@
 	for _, ln := range c.listeners {
 		_ = ln.Close() // the controllers have exited
 	}
-	c.servers.Wait()
-	if c.ports != nil {
-		_ = c.ports.Close() // the controllers have exited
+	c.serverGroup.Wait()
+	if c.workerPorts != nil {
+		_ = c.workerPorts.Close() // the controllers have exited
 	}
-	for _, f := range c.files {
+	for _, f := range c.logFiles {
 		_ = f.Close() // the controllers have exited
 	}
 }
--- a/internal/scaletest/cell.go
+++ b/internal/scaletest/cell.go
@@ -59,9 +59,9 @@
 		}
 		part := region.Part * request.Fraction
 		c := Cell{Run: request.Run, Cut: request.Cut, Commit: request.Commit, Fraction: request.Fraction, Region: region.Name, Index: i, Zones: zones,
-			Workers: scaled(float64(p.Workers), part), Running: scaled(float64(p.RunningTasks), part),
+			Workers: scaleCount(float64(p.Workers), part), Running: scaleCount(float64(p.RunningTasks), part),
 			StartsPerS: p.StartsPerS * part, JobsPerS: p.JobsPerDay / secondsPerDay * p.PeakOfJobs * part,
-			LargestJob: scaled(float64(p.LargestJob), part), Seed: request.Seed + uint64(i), WarmUpS: request.WarmUpS, MeasureS: request.MeasureS,
+			LargestJob: scaleCount(float64(p.LargestJob), part), Seed: request.Seed + uint64(i), WarmUpS: request.WarmUpS, MeasureS: request.MeasureS,
 			Profile: *p, Program: request.Program, Dir: request.Dir}
 		if request.Cut == Population {
 			c.StartsPerS = float64(c.Running) / populationTaskS
@@ -74,8 +74,8 @@
 
 const secondsPerDay = 86_400
 
-// scaled returns a fraction of a count, rounded, but at least 1.
-func scaled(whole, part float64) int { return max(1, int(math.Round(whole*part))) }
+// scaleCount returns a fraction of a count, rounded, but at least 1.
+func scaleCount(whole, part float64) int { return max(1, int(math.Round(whole*part))) }
 
 // largestRegion returns the index of the region with the largest part of the load.
 func (p *Profile) largestRegion() int {
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -35,8 +35,8 @@
 	measureStart      time.Time               // start of the measured time; while it is zero, changes are not counted
 	guaranteeTimes    *hdrhistogram.Histogram // time until a changed guarantee was in force
 	loweredLimitTimes *hdrhistogram.Histogram // time until a lowered limit was in force
-	made              int
-	failed            int // changes that were not in force within inForceTimeout
+	changesMade       int
+	changesFailed     int // changes that were not in force within inForceTimeout
 }
 
 func newOperators(c *Cell, controllers []string) *operators {
@@ -93,10 +93,10 @@
 	if o.measureStart.IsZero() {
 		return
 	}
-	o.made++
+	o.changesMade++
 	switch {
 	case err != nil:
-		o.failed++
+		o.changesFailed++
 	case lowers:
 		record(o.loweredLimitTimes, took)
 	default:
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -21,12 +21,12 @@
 // faultSchedule returns the faults of a cell in a run of the cut Faults. The machine failures and replacements of a whole day
 // happen within the measured time.
 func (c *Cell) faultSchedule() *localcluster.Schedule {
-	profile, cutFor := &c.Profile, min(partitionS, maxPartitionFraction*c.MeasureS)
+	profile, partitionFor := &c.Profile, min(partitionS, maxPartitionFraction*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
 	schedule := &localcluster.Schedule{Faults: []localcluster.Fault{
 		{AtS: at(rackFailureAt), Kind: "machine_dies", Count: profile.WorkersPerRack},
-		{AtS: at(switchFailureAt), Kind: "machine_cut", Count: racksPerSwitch * profile.WorkersPerRack, DurationS: cutFor},
-		{AtS: at(zonePartitionAt), Kind: "zone_cut", Zone: c.Zones[0], DurationS: cutFor},
+		{AtS: at(switchFailureAt), Kind: "machine_cut", Count: racksPerSwitch * profile.WorkersPerRack, DurationS: partitionFor},
+		{AtS: at(zonePartitionAt), Kind: "zone_cut", Zone: c.Zones[0], DurationS: partitionFor},
 		{AtS: at(controllerCrashAt), Kind: "crash", Controller: "n1"},
 		{AtS: at(allControllersCrashAt), Kind: "crash", Controller: "all"},
 	}}
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -94,11 +94,11 @@
 	switch {
 	case l.isLinear():
 		return "line"
-	case l.R2 < minR2 && math.Abs(l.Power) < maxFlatPower:
+	case l.R2 < minR2 && math.Abs(l.Power) < flatPowerLimit:
 		return "flat"
 	}
 	return fmt.Sprintf("no line: power %.2f", l.Power)
 }
 
-// maxFlatPower is the exponent below which a quantity counts as independent of the size.
-const maxFlatPower = 0.15
+// flatPowerLimit is the exponent below which a quantity counts as independent of the size.
+const flatPowerLimit = 0.15
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -174,113 +174,113 @@
 
 // newMonitor returns a monitor and registers it as the simulation's callback for task launches.
 func newMonitor(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *monitor {
-	w := &monitor{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
+	m := &monitor{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
-	cluster.Simulation.Launched = w.onLaunch
-	return w
+	cluster.Simulation.Launched = m.onLaunch
+	return m
 }
 
 // upload stores a job's description where the hollow workers read it. The waiting time of the job counts from then on.
-func (w *monitor) upload(_ string, description []byte) error {
+func (m *monitor) upload(_ string, description []byte) error {
 	var u simulator.Upload
 	if err := json.Unmarshal(description, &u); err != nil {
 		return err
 	}
 	u.Spread = runSpread
-	return w.cluster.Simulation.AddJob(u)
+	return m.cluster.Simulation.AddJob(u)
 }
 
 // onLaunch records the time from the submission of an urgent task to its first launch. It is called with the
 // simulation's lock held.
-func (w *monitor) onLaunch(job *simulator.Job, index int) {
+func (m *monitor) onLaunch(job *simulator.Job, index int) {
 	if job.Spec["jobclass"] != urgentClass {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	task := protocol.TaskName(job.ID, index)
-	if w.launched[task] {
+	if m.launched[task] {
 		return
 	}
-	w.launched[task] = true
-	if !w.measureStart.IsZero() && job.At.After(w.measureStart) {
-		record(w.urgent, time.Since(job.At))
+	m.launched[task] = true
+	if !m.measureStart.IsZero() && job.At.After(m.measureStart) {
+		record(m.urgent, time.Since(job.At))
 	}
 }
 
 // measureLateness records by how much the timers of this process are late, until ctx ends.
-func (w *monitor) measureLateness(ctx context.Context) {
+func (m *monitor) measureLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := time.Now().Add(latenessTickInterval)
 		if !wait.For(ctx, latenessTickInterval) {
 			return
 		}
-		w.mu.Lock()
-		record(w.lateness, time.Since(due))
-		w.mu.Unlock()
+		m.mu.Lock()
+		record(m.lateness, time.Since(due))
+		m.mu.Unlock()
 	}
 }
 
 // measure takes the measurements for the cell's measured time, and returns its point.
-func (w *monitor) measure(ctx context.Context) (*Point, error) {
-	w.mu.Lock()
-	w.measureStart = time.Now()
-	w.lateness.Reset()
-	w.mu.Unlock()
-	if o := w.operators; o != nil {
+func (m *monitor) measure(ctx context.Context) (*Point, error) {
+	m.mu.Lock()
+	m.measureStart = time.Now()
+	m.lateness.Reset()
+	m.mu.Unlock()
+	if o := m.operators; o != nil {
 		o.mu.Lock()
-		o.measureStart = w.measureStart
+		o.measureStart = m.measureStart
 		o.mu.Unlock()
 	}
-	first := takeSample(w.cluster, w.log)
-	w.started, w.lastStart = first.stats.Started, first.at
-	for n := 1; time.Since(first.at) < seconds(w.cell.MeasureS); n++ {
+	first := takeSample(m.cluster, m.log)
+	m.started, m.lastStart = first.stats.Started, first.at
+	for n := 1; time.Since(first.at) < seconds(m.cell.MeasureS); n++ {
 		if !wait.For(ctx, checkInterval) {
 			return nil, ctx.Err()
 		}
-		w.checkStarts(n)
+		m.checkStarts(n)
 		if n%checksPerPeakSample == 0 {
-			w.updatePeaks()
+			m.updatePeaks()
 		}
 	}
-	last := takeSample(w.cluster, w.log)
-	w.updatePeaks()
-	return w.point(first, last), nil
+	last := takeSample(m.cluster, m.log)
+	m.updatePeaks()
+	return m.point(first, last), nil
 }
 
 // checkStarts updates the longest time without a task start, and logs the progress every checksPerProgressLog checks; n
 // counts the checks.
-func (w *monitor) checkStarts(n int) {
-	now, stats := time.Now(), w.cluster.Simulation.Stats()
-	if stats.Started > w.started {
-		w.started, w.lastStart = stats.Started, now
+func (m *monitor) checkStarts(n int) {
+	now, stats := time.Now(), m.cluster.Simulation.Stats()
+	if stats.Started > m.started {
+		m.started, m.lastStart = stats.Started, now
 	}
-	w.longestGap = max(w.longestGap, now.Sub(w.lastStart))
+	m.longestGap = max(m.longestGap, now.Sub(m.lastStart))
 	if n%checksPerProgressLog == 0 {
-		w.log.Info("measuring", "region", w.cell.Region, "started", stats.Started, "running", w.cluster.Simulation.Running(), "broken_rules", len(w.cluster.Simulation.BrokenRules()))
+		m.log.Info("measuring", "region", m.cell.Region, "started", stats.Started, "running", m.cluster.Simulation.Running(), "broken_rules", len(m.cluster.Simulation.BrokenRules()))
 	}
 }
 
 // updatePeaks updates the peaks of the controllers' memory, sockets and threads.
-func (w *monitor) updatePeaks() {
-	for i, pid := range w.cluster.Pids() {
+func (m *monitor) updatePeaks() {
+	for i, pid := range m.cluster.Pids() {
 		if u, err := usageOf(pid); err == nil {
-			w.peaks[i].update(u)
+			m.peaks[i].update(u)
 		}
 	}
 }
 
 // point computes the point from the samples at the start and the end of the measured time.
-func (w *monitor) point(first, last sample) *Point {
-	cell, simulation, took := w.cell, w.cluster.Simulation, last.at.Sub(first.at)
+func (m *monitor) point(first, last sample) *Point {
+	cell, simulation, took := m.cell, m.cluster.Simulation, last.at.Sub(first.at)
 	perSecond := func(n float64) float64 { return n / took.Seconds() }
 	point := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
 		Workers: cell.Workers, Up: len(simulation.Machines()), OfferedS: cell.StartsPerS, MeasureS: took.Seconds(),
 		StartsPerS: perSecond(float64(last.stats.Started - first.stats.Started)),
-		Running:    simulation.Running(), LongestGapS: w.longestGap.Seconds(), LeaseKills: last.stats.LeaseKills, UnexpectedExits: w.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
+		Running:    simulation.Running(), LongestGapS: m.longestGap.Seconds(), LeaseKills: last.stats.LeaseKills, UnexpectedExits: m.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
 		HollowCores: perSecond((last.hollow.cpu - first.hollow.cpu).Seconds()), HollowMB: last.hollow.memMB, HostLoad: hostLoad(),
 		WritesPerS: perSecond(float64(last.stats.Writes - first.stats.Writes)), ThrottledPerS: perSecond(float64(last.stats.Over - first.stats.Over)),
-		UserConns: w.cluster.LoadBalancer.Opened.Load()}
+		UserConns: m.cluster.LoadBalancer.Opened.Load()}
 	point.StateKeys, point.StateBytes = simulation.Store.Size()
 	perWorker := func(n int64) float64 { return perSecond(float64(n)) / float64(max(1, point.Up)) }
 	// A worker sends heartbeats, also as responses to direct commands; it receives responses to heartbeats, and direct
@@ -289,18 +289,18 @@
 	point.WorkerInBps = perWorker(last.heartbeats.in - first.heartbeats.in + last.commands.in - first.commands.in)
 	point.HeartbeatsPerS = perWorker(last.heartbeats.messages - first.heartbeats.messages)
 	point.CommandsPerS = perWorker(last.commands.messages - first.commands.messages)
-	w.mu.Lock()
-	point.UrgentMs, point.LatenessMs = distributionOf(w.urgent), distributionOf(w.lateness)
-	w.mu.Unlock()
-	if operators := w.operators; operators != nil {
+	m.mu.Lock()
+	point.UrgentMs, point.LatenessMs = distributionOf(m.urgent), distributionOf(m.lateness)
+	m.mu.Unlock()
+	if operators := m.operators; operators != nil {
 		operators.mu.Lock()
-		point.ChangesMade, point.ChangesFailed = operators.made, operators.failed
+		point.ChangesMade, point.ChangesFailed = operators.changesMade, operators.changesFailed
 		point.ChangeMs, point.LowerMs = distributionOf(operators.guaranteeTimes), distributionOf(operators.loweredLimitTimes)
 		operators.mu.Unlock()
 	}
 	point.Overloaded = point.LatenessMs.P99 > maxLatenessMs
 	for i := range last.controllers {
-		point.Controllers = append(point.Controllers, controllerUsage(fmt.Sprintf("n%d", i+1), first.controllers[i], last.controllers[i], w.peaks[i], took))
+		point.Controllers = append(point.Controllers, controllerUsage(fmt.Sprintf("n%d", i+1), first.controllers[i], last.controllers[i], m.peaks[i], took))
 	}
 	return point
 }
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -46,12 +46,12 @@
 			changesTable(out, list)
 		}
 	}
-	list := slices.DeleteFunc(byCut[Peak], func(p Point) bool { return p.Run != Ladder })
-	if len(list) > 0 {
+	ladder := slices.DeleteFunc(byCut[Peak], func(p Point) bool { return p.Run != Ladder })
+	if len(ladder) > 0 {
 		out.Printf("### What a controller costs, by role, over the ladder\n\n")
-		rolesTable(out, list)
+		rolesTable(out, ladder)
 		out.Printf("### What a worker costs, and the state service holds, over the ladder\n\n")
-		workerTable(out, list)
+		workerTable(out, ladder)
 	}
 	return errors.Join(out.Flush(), buffer.Flush())
 }
@@ -206,28 +206,28 @@
 	if len(x) == 0 {
 		return
 	}
-	largest, at := slices.Max(x), []float64{}
+	largest, atLargest := slices.Max(x), []float64{}
 	sizes := map[float64]bool{}
 	for i := range x {
 		sizes[x[i]] = true
 		if x[i] == largest {
-			at = append(at, y[i])
+			atLargest = append(atLargest, y[i])
 		}
 	}
-	slices.Sort(at)
-	measured := fmt.Sprintf(format, at[0])
-	if last := fmt.Sprintf(format, at[len(at)-1]); last != measured {
+	slices.Sort(atLargest)
+	measured := fmt.Sprintf(format, atLargest[0])
+	if last := fmt.Sprintf(format, atLargest[len(atLargest)-1]); last != measured {
 		measured += " to " + last
 	}
 	count := fmt.Sprintf("%d, %d", len(sizes), len(x))
-	l, ok := fitLine(x, y)
+	line, ok := fitLine(x, y)
 	if !ok {
 		out.Printf("| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
 		return
 	}
-	per1000, zero := fmt.Sprintf(format, 1000*l.Slope), fmt.Sprintf(format, l.Intercept)
-	if !strings.HasPrefix(l.growth(), "line") {
+	per1000, zero := fmt.Sprintf(format, 1000*line.Slope), fmt.Sprintf(format, line.Intercept)
+	if !strings.HasPrefix(line.growth(), "line") {
 		per1000, zero = "", ""
 	}
-	out.Printf("| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
+	out.Printf("| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, line.R2, 100*line.Residual, line.growth(), count)
 }
