--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// path returns the path of a golden file, relative to the directory of the package under test.
 func path(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // lineAt returns line i, or a placeholder if the text has fewer lines.
@@ -63,6 +64,7 @@
 	return lines[i]
 }
 
+// write writes a golden file. In CI it ends the test instead.
 func write(t *testing.T, name string, content []byte) {
 	t.Helper()
 	if os.Getenv("CI") == "true" {
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -148,6 +148,7 @@
 	return len(r) >= 1 && len(r) <= 2 && slices.IsSorted(r) && r[0] >= low && r[len(r)-1] <= high
 }
 
+// draw draws a value from the range.
 func (r Range) draw(rnd *rand.Rand) float64 {
 	return r[0] + rnd.Float64()*(r[len(r)-1]-r[0])
 }
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -118,6 +118,7 @@
 	return cluster, nil
 }
 
+// start starts the servers, controllers and machines of the cluster. After an error the caller must call Stop.
 func (c *Cluster) start(ctx context.Context, options Options) error {
 	if len(options.Deployment.Zones) == 0 {
 		options.Deployment = Settings()
@@ -238,8 +239,8 @@
 	return files, nil
 }
 
-// startControllerServices starts the servers that one controller connects to (state service, cloud, and a relay to each peer),
-// and returns the controller's settings.
+// startControllerServices starts the servers that one controller connects to (state service, cloud, and a relay to
+// each peer), and returns the controller's settings.
 func (c *Cluster) startControllerServices(ctx context.Context, index int, options *Options) (*config.Settings, error) {
 	simulation, process, meters := c.Simulation, c.Simulation.Controller(index), c.Meters[index]
 	settings := &config.Settings{MemberName: process.Name, Zone: process.Zone, PublicAddr: c.publicAddresses[index], PeerListen: c.Controllers[index], Deployment: options.Deployment}
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// severedConnections returns the connections that a network partition severs: those that the fault names, or all if it names none.
+// severedConnections returns the connections that a fault of kind cut severs: those that it names, or all if it names
+// none.
 func (f *Fault) severedConnections() simulator.Cuts {
 	if len(f.Connections) == 0 {
 		return simulator.AllCut | simulator.NoPeers
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -31,8 +31,8 @@
 	Count       int      `toml:"count"`    // instead of part: number of machines, with adjacent names, that the fault applies to
 }
 
-// connectionsByName maps the names in a fault's field from to the connections of a controller that a fault can sever. Direct
-// commands to workers are not among them: a worker's port can't tell which controller a request comes from.
+// connectionsByName maps the names in a fault's field from to the connections of a controller that a fault can sever.
+// Direct commands to workers are not among them: a worker's port can't tell which controller a request comes from.
 var connectionsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
@@ -52,8 +52,8 @@
 	kindMachinePartition = "machine_cut"   // machines lose the connection to all controllers
 )
 
-// requiredFields lists which fields a fault of a kind must set: the controller it applies to, its duration, the machines
-// it applies to, and the zone.
+// requiredFields lists what a fault of a kind must state: the controller it applies to, its duration, the machines it
+// applies to, and the zone.
 type requiredFields struct{ controller, duration, machines, zone bool }
 
 // requiredByKind holds the required fields of each kind of fault.
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -39,6 +39,7 @@
 	changesFailed     int // changes that were not in force within inForceTimeout
 }
 
+// newOperators returns simulated operators who change the teams of a cell through the controllers at these addresses.
 func newOperators(c *Cell, controllers []string) *operators {
 	return &operators{controllers: controllers, teams: c.teams(), rand: rand.New(rand.NewPCG(c.Seed, changesRandomStream)), guaranteeTimes: newHistogram(), loweredLimitTimes: newHistogram()}
 }
@@ -137,6 +138,7 @@
 	return address
 }
 
+// teamPath returns the URL of a team in the administration API.
 func teamPath(address, name string) string {
 	return "http://" + address + "/admin/v1/teams/" + url.PathEscape(name)
 }
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -18,8 +18,8 @@
 	racksPerSwitch       = 3    // racks that a failed switch partitions
 )
 
-// faultSchedule returns the faults of a cell in a run of the cut Faults. The machine failures and replacements of a whole day
-// happen within the measured time.
+// faultSchedule returns the faults of a cell in a run of the cut Faults. The machine failures and replacements of a
+// whole day happen within the measured time.
 func (c *Cell) faultSchedule() *localcluster.Schedule {
 	profile, partitionFor := &c.Profile, min(partitionS, maxPartitionFraction*c.MeasureS)
 	at := func(part float64) float64 { return c.WarmUpS + part*c.MeasureS }
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -248,8 +248,8 @@
 	return m.point(first, last), nil
 }
 
-// checkStarts updates the longest time without a task start, and logs the progress every checksPerProgressLog checks; n
-// counts the checks.
+// checkStarts updates the longest time without a task start, and logs the progress every checksPerProgressLog checks.
+// The number of the check is n.
 func (m *monitor) checkStarts(n int) {
 	now, stats := time.Now(), m.cluster.Simulation.Stats()
 	if stats.Started > m.started {
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -61,8 +61,8 @@
 	Controllers []ControllerPoint `json:"controllers"`
 }
 
-// ControllerPoint holds the resource usage of one controller of a cell. If Uninterrupted is false, the controller is marked in the
-// table of controllers and left out of the fits by role.
+// ControllerPoint holds the resource usage of one controller of a cell. If Uninterrupted is false, the controller is
+// marked in the table of controllers and left out of the fits by role.
 type ControllerPoint struct {
 	Name          string  `json:"name"`
 	Role          Role    `json:"role"`
