--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -68,7 +68,8 @@
 // inForce is the value of teamEntry.State when all controllers apply the change.
 const inForce = "in force"
 
-// makeChange makes a change and polls it until it is in force. A lowered limit is restored afterwards.
+// makeChange makes a change and polls it until it is in force. A lowered limit is restored afterwards, but not the
+// guarantee, which the lowering sets to 0.
 func (o *operators) makeChange(ctx context.Context, address string, target team, lowers bool) {
 	took, err := o.change(ctx, address, target.name, func(entry teamEntry) map[string]float64 {
 		if lowers && entry.CpusMax > 2 {
