--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -33,14 +33,14 @@
 		t.Run("error "+strconv.Quote(test.want), func(t *testing.T) {
 			_, err := Parse([]byte(test.text))
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("%q: %v, want %q", test.text, err, test.want)
+				t.Errorf("profile %q: error %v, want one line that contains %q", test.text, err, test.want)
 			}
 		})
 	}
 }
 
-// TestPlan: the same seed draws the same jobs, another draws others; all of them are valid and
-// await only jobs that come before them.
+// TestPlan checks that the same seed yields the same jobs and another seed other jobs, and that all jobs are valid
+// and depend only on jobs with an earlier arrival.
 func TestPlan(t *testing.T) {
 	red, err := Parse([]byte(profile))
 	if err != nil {
@@ -50,7 +50,7 @@
 	again, err2 := red.Plan(7)
 	other, err3 := red.Plan(8)
 	if err := errors.Join(err1, err2, err3); err != nil || !reflect.DeepEqual(arrivals, again) || reflect.DeepEqual(arrivals, other) || len(arrivals) < 200 || len(arrivals) > 400 {
-		t.Fatalf("%d jobs and %d, %v", len(arrivals), len(other), err)
+		t.Fatalf("seed 7: %d jobs, seed 8: %d jobs, %v; want 200 to 400 jobs that depend on the seed only", len(arrivals), len(other), err)
 	}
 	at := map[string]time.Duration{}
 	for _, arrival := range arrivals {
@@ -60,26 +60,27 @@
 		}
 		back, err := protocol.ParseSubmission(raw)
 		if err != nil || back.ID != arrival.Job.ID || back.Tasks != arrival.Job.Tasks || back.DeadlineS != arrival.Job.DeadlineS || fmt.Sprint(back.Dependencies) != fmt.Sprint(arrival.Job.Dependencies) {
-			t.Fatalf("%s: %+v, %v", raw, back, err)
+			t.Fatalf("submission %s was decoded as %+v, %v; want the drawn job", raw, back, err)
 		}
 		for _, id := range arrival.Job.Dependencies {
 			if _, ok := at[id]; !ok {
-				t.Fatalf("%s awaits %s, which has not come", arrival.Job.ID, id)
+				t.Fatalf("%s depends on %s, which arrives later or never", arrival.Job.ID, id)
 			}
 		}
 		at[arrival.Job.ID] = arrival.At
 	}
 }
 
-// slow answers submissions after 20 s, and says of one job that it runs after it was done.
-type slow struct {
-	mu   sync.Mutex
-	jobs map[string]time.Time
-	back string
-	told bool
+// slowDeployment is a deployment that answers submissions after 20 s, and that reports one job as running again after it
+// reported it as done.
+type slowDeployment struct {
+	mu           sync.Mutex
+	jobs         map[string]time.Time
+	regressing   string
+	reportedDone bool
 }
 
-func (s *slow) Submit(_ context.Context, body []byte) (protocol.JobState, error) {
+func (s *slowDeployment) Submit(_ context.Context, body []byte) (protocol.JobState, error) {
 	p, err := protocol.ParseSubmission(body)
 	if err != nil {
 		return protocol.JobState{}, err
@@ -91,22 +92,22 @@
 	return protocol.JobState{ID: p.ID, Status: protocol.Queued}, nil
 }
 
-func (s *slow) Cancel(context.Context, string) (protocol.JobState, error) {
+func (s *slowDeployment) Cancel(context.Context, string) (protocol.JobState, error) {
 	return protocol.JobState{}, client.ErrGaveUp
 }
 
-func (s *slow) Status(id string) (protocol.JobState, error) {
+func (s *slowDeployment) Status(id string) (protocol.JobState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.jobs[id]) < 5*time.Second || id == s.back && s.told {
+	if time.Since(s.jobs[id]) < 5*time.Second || id == s.regressing && s.reportedDone {
 		return protocol.JobState{ID: id, Status: protocol.Running}, nil
 	}
-	s.told = s.told || id == s.back
+	s.reportedDone = s.reportedDone || id == s.regressing
 	return protocol.JobState{ID: id, Status: protocol.Done}, nil
 }
 
-// TestOpenLoop: jobs come at their times although none has been answered yet, and a job that
-// goes back is noticed.
+// TestOpenLoop checks that jobs are submitted at their times although earlier submissions have not been answered yet,
+// and that a job whose final status is followed by another status is counted.
 func TestOpenLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		red, err := Parse([]byte(strings.Replace(profile, "chain_part = 0.2", "", 1)))
@@ -117,10 +118,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &slow{jobs: map[string]time.Time{}, back: plan[3].Job.ID}
+		s := &slowDeployment{jobs: map[string]time.Time{}, regressing: plan[3].Job.ID}
 		r := (&Runner{To: s}).Run(t.Context(), plan, 5*time.Minute)
-		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.Behind.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
-			t.Errorf("%+v of %d", r, len(plan))
+		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.SubmissionDelays.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
+			t.Errorf("result %+v, want all of %d jobs accepted, done and late, accepted after 20 s, and one that went back", r, len(plan))
 		}
 		var b strings.Builder
 		if err := r.Print(&b); err != nil || !strings.Contains(b.String(), "1 went back") {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,7 +17,7 @@
 	"dykeledge/internal/wait"
 )
 
-// Deployment is what jobs are given to; client.Users is one. Any number of goroutines call it. Errors wrap
+// Deployment accepts jobs; *client.Users implements it. Its methods are called concurrently, and their errors wrap
 // those of package client.
 type Deployment interface {
 	Submit(ctx context.Context, body []byte) (protocol.JobState, error)
@@ -25,74 +25,77 @@
 	Status(id string) (protocol.JobState, error)
 }
 
-// Result counts what became of the jobs, and how long it took. Times are in milliseconds.
+// Result holds the outcomes of the jobs of a run, and latencies in milliseconds.
 type Result struct {
-	Seed      uint64 `json:"seed"`
-	Jobs      int    `json:"jobs"`
-	Accepted  int    `json:"accepted"`
-	Rejected  int    `json:"rejected"` // 400 or 422: a mistake in the profile
-	GaveUp    int    `json:"gave_up"`  // no certain answer within a minute
-	Retries   int    `json:"retries"`
-	Done      int    `json:"done"`
-	Cancelled int    `json:"cancelled"`
-	Open      int    `json:"open"` // when the load was over
-	Late      int    `json:"late"` // of those with a deadline: done after it, or open beyond it
-	WithDue   int    `json:"with_deadline"`
-	WentBack  int    `json:"went_back"` // a job that was over was told to be something else: must be 0
-	Accept    Span   `json:"accept_ms"`
-	Complete  Span   `json:"complete_ms"`
-	Answers   Span   `json:"poll_ms"`
-	Behind    Span   `json:"generator_behind_ms"` // by how much jobs came later than planned
+	Seed             uint64       `json:"seed"`
+	Jobs             int          `json:"jobs"`
+	Accepted         int          `json:"accepted"`
+	Rejected         int          `json:"rejected"` // jobs refused as invalid (400 or 422), or whose description could not be uploaded
+	GaveUp           int          `json:"gave_up"`  // submissions without a conclusive response within a minute
+	Retries          int          `json:"retries"`
+	Done             int          `json:"done"`
+	Cancelled        int          `json:"cancelled"`
+	Open             int          `json:"open"` // accepted jobs without a final status at the end of the run
+	Late             int          `json:"late"` // jobs with a deadline that were done after it, or still open beyond it
+	WithDeadline     int          `json:"with_deadline"`
+	WentBack         int          `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
+	Accept           Distribution `json:"accept_ms"`           // from the first try to the acceptance
+	Complete         Distribution `json:"complete_ms"`         // from the first try until a poll showed the job as done
+	PollTimes        Distribution `json:"poll_ms"`             // latency of status requests
+	SubmissionDelays Distribution `json:"generator_behind_ms"` // how much later than planned jobs were submitted
 }
 
-// Span tells of a distribution.
-type Span struct {
+// Distribution summarizes a distribution of times in milliseconds.
+type Distribution struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
 	P99   int64 `json:"p99"`
 	Max   int64 `json:"max"`
 }
 
-// longest time that is told apart, in milliseconds.
-const longest = 24 * 3600 * 1000
+// maxRecordedMs is the largest value that a histogram records, in milliseconds: one day. Longer times count as this one.
+const maxRecordedMs = 24 * 3600 * 1000
 
-// timer counts times in milliseconds.
-type timer struct{ h *hdrhistogram.Histogram }
+// histogram is a histogram of times in milliseconds.
+type histogram struct{ hdr *hdrhistogram.Histogram }
 
-func newTimer() timer { return timer{hdrhistogram.New(1, longest, 3)} }
+func newHistogram() histogram { return histogram{hdrhistogram.New(1, maxRecordedMs, 3)} }
 
-func (t timer) add(d time.Duration) {
-	_ = t.h.RecordValue(max(1, min(longest, d.Milliseconds()))) // within its bounds
+func (t histogram) add(d time.Duration) {
+	_ = t.hdr.RecordValue(max(1, min(maxRecordedMs, d.Milliseconds()))) // no error: the value is within the bounds
 }
 
-func (t timer) span() Span {
-	return Span{t.h.TotalCount(), t.h.ValueAtQuantile(50), t.h.ValueAtQuantile(99), t.h.Max()}
+func (t histogram) distribution() Distribution {
+	return Distribution{t.hdr.TotalCount(), t.hdr.ValueAtQuantile(50), t.hdr.ValueAtQuantile(99), t.hdr.Max()}
 }
 
-// Runner gives a plan to a deployment. It is for one Run.
+// Runner submits the jobs of a plan to a deployment and follows them until they are final. A Runner is good for one
+// call of Run.
 type Runner struct {
+	// To is the deployment that the jobs are submitted to.
 	To Deployment
-	// Upload, if set, puts a job's description where workers fetch it, before it is submitted.
+	// Upload, if not nil, stores a job's description where workers fetch it. It is called before the job is submitted.
 	Upload func(id string, description []byte) error
-	// PollEvery is about how often a job's user asks for it; 0: every five seconds.
+	// PollEvery is the mean time between two status requests for a job; 0 stands for five seconds.
 	PollEvery time.Duration
 
-	mu                                sync.Mutex
-	res                               Result
-	accept, complete, answers, behind timer
+	mu                                                        sync.Mutex
+	result                                                    Result
+	acceptTimes, completionTimes, pollTimes, submissionDelays histogram
 }
 
-// Run lets the jobs come at their times, waits until all are over or ctx ends, and at most as
-// long as drain after the last one has come. No job waits for another's answer.
+// Run submits the jobs at their times and returns the result when all are final, when ctx ends, or when drain has
+// passed since the last arrival. A submission does not wait for the responses to earlier ones, except that a job is
+// submitted only after the jobs it depends on have been accepted.
 func (r *Runner) Run(ctx context.Context, plan []Arrival, drain time.Duration) Result {
-	r.accept, r.complete, r.answers, r.behind = newTimer(), newTimer(), newTimer(), newTimer()
-	r.res = Result{Jobs: len(plan)}
+	r.acceptTimes, r.completionTimes, r.pollTimes, r.submissionDelays = newHistogram(), newHistogram(), newHistogram(), newHistogram()
+	r.result = Result{Jobs: len(plan)}
 	if r.PollEvery == 0 {
-		r.PollEvery = 5 * time.Second // as the protocol's users do
+		r.PollEvery = 5 * time.Second // the interval that the protocol prescribes for users
 	}
 	began := time.Now()
-	var all sync.WaitGroup
-	until, cancel := context.WithCancel(ctx)
+	var jobs sync.WaitGroup
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	accepted := map[string]chan struct{}{}
 	for i := range plan {
@@ -103,128 +106,129 @@
 		if !wait.Until(ctx, began.Add(arrival.At)) {
 			break
 		}
-		late := time.Since(began.Add(arrival.At))
+		delay := time.Since(began.Add(arrival.At))
 		r.mu.Lock()
-		r.behind.add(late)
+		r.submissionDelays.add(delay)
 		r.mu.Unlock()
-		all.Go(func() {
+		jobs.Go(func() {
 			for _, id := range arrival.Job.Dependencies {
 				select {
 				case <-accepted[id]:
-				case <-until.Done():
+				case <-runCtx.Done():
 					return
 				}
 			}
-			r.one(until, arrival, func() { close(accepted[arrival.Job.ID]) })
+			r.runJob(runCtx, arrival, func() { close(accepted[arrival.Job.ID]) })
 		})
 	}
-	over := make(chan struct{})
-	go func() { all.Wait(); close(over) }()
+	finished := make(chan struct{})
+	go func() { jobs.Wait(); close(finished) }()
 	timer := time.NewTimer(drain)
 	defer timer.Stop()
 	select {
-	case <-over:
+	case <-finished:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	cancel()
-	<-over
+	<-finished
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Accept, r.res.Complete, r.res.Answers, r.res.Behind = r.accept.span(), r.complete.span(), r.answers.span(), r.behind.span()
-	return r.res
+	r.result.Accept, r.result.Complete, r.result.PollTimes, r.result.SubmissionDelays = r.acceptTimes.distribution(), r.completionTimes.distribution(), r.pollTimes.distribution(), r.submissionDelays.distribution()
+	return r.result
 }
 
-// Retried counts a request that is repeated. Any number of goroutines may call it.
+// Retried counts a request that is retried; it fits client.Users.Retried. It is safe for concurrent use.
 func (r *Runner) Retried(int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Retries++
+	r.result.Retries++
 }
 
-// count changes the result under its lock.
-func (r *Runner) count(f func(*Result)) {
+// updateResult applies f to the result while holding the lock.
+func (r *Runner) updateResult(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.res)
+	f(&r.result)
 }
 
-// one is the life of one job's user.
-func (r *Runner) one(ctx context.Context, arrival *Arrival, accepted func()) {
+// runJob plays the user of one job: it uploads and submits the job and follows it until it is final. It calls accepted
+// once the job has been accepted.
+func (r *Runner) runJob(ctx context.Context, arrival *Arrival, accepted func()) {
 	body, err := protocol.EncodeSubmission(&arrival.Job)
 	if err == nil && r.Upload != nil {
 		err = r.upload(arrival, body)
 	}
 	if err != nil {
-		r.count(func(s *Result) { s.Rejected++ })
+		r.updateResult(func(s *Result) { s.Rejected++ })
 		return
 	}
 	began := time.Now()
 	state, err := r.To.Submit(ctx, body)
 	switch {
 	case errors.Is(err, client.ErrRejected):
-		r.count(func(s *Result) { s.Rejected++ })
+		r.updateResult(func(s *Result) { s.Rejected++ })
 		return
 	case err != nil:
-		r.count(func(s *Result) { s.GaveUp++ })
+		r.updateResult(func(s *Result) { s.GaveUp++ })
 		return
 	}
 	took := time.Since(began)
-	r.count(func(s *Result) { s.Accepted++; r.accept.add(took) })
+	r.updateResult(func(s *Result) { s.Accepted++; r.acceptTimes.add(took) })
 	accepted()
 	due := time.Duration(arrival.Job.DeadlineS * float64(time.Second))
 	if due > 0 {
-		r.count(func(s *Result) { s.WithDue++ })
+		r.updateResult(func(s *Result) { s.WithDeadline++ })
 	}
-	final, at := r.watch(ctx, arrival, state, began)
-	r.count(func(result *Result) {
+	final, elapsed := r.followJob(ctx, arrival, state, began)
+	r.updateResult(func(result *Result) {
 		switch final {
 		case protocol.Done:
 			result.Done++
-			r.complete.add(at)
+			r.completionTimes.add(elapsed)
 		case protocol.Cancelled:
 			result.Cancelled++
 		default:
 			result.Open++
 		}
-		if due > 0 && final != protocol.Cancelled && at > due {
+		if due > 0 && final != protocol.Cancelled && elapsed > due {
 			result.Late++
 		}
 	})
 }
 
-// upload puts a job's description where workers fetch it.
+// upload stores a job's description where workers fetch it.
 func (r *Runner) upload(a *Arrival, body []byte) error {
-	raw, err := client.Describe(body, a.Run, a.Fails)
+	raw, err := client.Describe(body, a.TaskDuration, a.Fails)
 	if err != nil {
 		return err
 	}
 	return r.Upload(a.Job.ID, raw)
 }
 
-// watch polls a job until it is over and cancels it if its user wants to. A last poll some
-// time after the end finds out whether it was told otherwise.
-func (r *Runner) watch(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
-	asked := time.Now()
+// followJob polls a job until its status is final, and cancels it when the plan says so. It returns the last status and
+// the time since began. One more poll, PollEvery after the final status, checks that the status has not changed.
+func (r *Runner) followJob(ctx context.Context, arrival *Arrival, state protocol.JobState, began time.Time) (protocol.JobStatus, time.Duration) {
+	acceptedAt := time.Now()
 	cancelled := arrival.CancelAfter == 0
 	for !state.Status.Final() {
 		pause := r.PollEvery*3/4 + rand.N(r.PollEvery/2)
 		if !cancelled {
-			pause = min(pause, time.Until(asked.Add(arrival.CancelAfter)))
+			pause = min(pause, time.Until(acceptedAt.Add(arrival.CancelAfter)))
 		}
 		if !wait.For(ctx, pause) {
 			return state.Status, time.Since(began)
 		}
 		var next protocol.JobState
 		var err error
-		if !cancelled && time.Since(asked) >= arrival.CancelAfter {
+		if !cancelled && time.Since(acceptedAt) >= arrival.CancelAfter {
 			next, err = r.To.Cancel(ctx, arrival.Job.ID)
 			cancelled = err == nil
 		} else {
 			sent := time.Now()
 			next, err = r.To.Status(arrival.Job.ID)
 			took := time.Since(sent)
-			r.count(func(*Result) { r.answers.add(took) })
+			r.updateResult(func(*Result) { r.pollTimes.add(took) })
 		}
 		if err == nil {
 			state = next
@@ -233,22 +237,22 @@
 	took := time.Since(began)
 	if wait.For(ctx, r.PollEvery) {
 		if again, err := r.To.Status(arrival.Job.ID); err == nil && again.Status != state.Status || errors.Is(err, client.ErrNotFound) {
-			r.count(func(s *Result) { s.WentBack++ })
+			r.updateResult(func(s *Result) { s.WentBack++ })
 		}
 	}
 	return state.Status, took
 }
 
-// Print writes a result for people. An error is the output's.
+// Print writes the result as a table. The error is the first one of the writer.
 func (r *Result) Print(w io.Writer) error {
 	table := textout.NewTable(w, tabwriter.AlignRight)
 	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
-	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDue, r.WentBack)
+	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDeadline, r.WentBack)
 	table.Println("ms\tcount\tp50\tp99\tmax\t")
 	for _, x := range []struct {
 		name string
-		s    Span
-	}{{"accepted after", r.Accept}, {"done after", r.Complete}, {"polls answered in", r.Answers}, {"came later than planned by", r.Behind}} {
+		s    Distribution
+	}{{"accepted after", r.Accept}, {"done after", r.Complete}, {"polls answered in", r.PollTimes}, {"came later than planned by", r.SubmissionDelays}} {
 		table.Printf("%s\t%d\t%d\t%d\t%d\t\n", x.name, x.s.Count, x.s.P50, x.s.P99, x.s.Max)
 	}
 	return table.Flush()
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/wait"
 )
 
-// process keeps one controller running: a real process, started again whenever it ends.
+// process supervises one controller: it runs the program and restarts it whenever it exits.
 type process struct {
 	name    string
 	program string
@@ -22,86 +22,87 @@
 	output  *os.File
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{} // when the process that runs now has ended
-	asked   bool          // its next end is asked for
-	unasked int           // ends that nobody asked for
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	exited          chan struct{} // closed when the current process has exited
+	exitExpected    bool          // kill was called, so the next exit is expected
+	unexpectedExits int           // number of unexpected exits
 }
 
-// How soon a process is started again: at once after a long life, later if it ends again and
-// again.
+// Back-off of restarts: the pause doubles with every exit, from minRestartPause to maxRestartPause, and starts
+// over after a process has run for longer than stableRunTime.
 const (
-	firstRestartPause   = 500 * time.Millisecond
-	longestRestartPause = 10 * time.Second
-	longLife            = 20 * time.Second
+	minRestartPause = 500 * time.Millisecond
+	maxRestartPause = 10 * time.Second
+	stableRunTime   = 20 * time.Second
 )
 
-// endWithin is how long a process may take to end once it is asked to, before it is killed.
-const endWithin = 3 * time.Second
+// terminationTimeout is how long a process may take to exit after SIGTERM before it is killed.
+const terminationTimeout = 3 * time.Second
 
-// run keeps the process until ctx ends, and then ends it.
+// run keeps the process running until ctx ends, and then terminates it.
 func (p *process) run(ctx context.Context) {
-	pause := firstRestartPause
+	pause := minRestartPause
 	for ctx.Err() == nil {
 		began := time.Now()
-		if ended, err := p.start(ctx); err != nil {
-			p.log.Error("controller does not start", "controller", p.name, "err", err)
+		if exited, err := p.start(ctx); err != nil {
+			p.log.Error("controller process failed to start", "controller", p.name, "err", err)
 		} else {
-			<-ended
+			<-exited
 			if ctx.Err() != nil {
 				return
 			}
-			p.noteEnd()
+			p.recordExit()
 		}
-		if time.Since(began) > longLife {
-			pause = firstRestartPause
+		if time.Since(began) > stableRunTime {
+			pause = minRestartPause
 		}
 		wait.For(ctx, pause)
-		pause = min(longestRestartPause, 2*pause)
+		pause = min(maxRestartPause, 2*pause)
 	}
 }
 
-// noteEnd counts an end that nobody asked for, and logs every end.
-func (p *process) noteEnd() {
+// recordExit logs an exit of the process, and counts it if it was unexpected.
+func (p *process) recordExit() {
 	p.mu.Lock()
-	asked := p.asked
-	if !asked {
-		p.unasked++
+	expected := p.exitExpected
+	if !expected {
+		p.unexpectedExits++
 	}
-	p.asked = false
+	p.exitExpected = false
 	p.mu.Unlock()
-	p.log.Info("controller has ended", "controller", p.name, "asked", asked, "state", p.cmd.ProcessState.String())
+	p.log.Info("controller process exited", "controller", p.name, "asked", expected, "state", p.cmd.ProcessState.String())
 }
 
-// start starts the process and returns what is closed when it has ended, which it does at the latest
-// endWithin after ctx.
-func (p *process) start(ctx context.Context) (ended <-chan struct{}, err error) {
+// start starts the process and returns a channel that is closed when it has exited, which happens at the latest
+// terminationTimeout after ctx ends.
+func (p *process) start(ctx context.Context) (exited <-chan struct{}, err error) {
 	cmd := exec.CommandContext(ctx, p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = p.output, p.output
-	// It ends with this process, however that ends, and gets no signal of the terminal's.
+	// The controller is killed when this process exits for any reason. In a process group of its own it does not
+	// receive signals from the terminal.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error {
-		p.signal(syscall.SIGCONT) // one that a fault has stopped would not see the other signal
+		p.signal(syscall.SIGCONT) // a process that a fault has stopped would not handle SIGTERM
 		p.signal(syscall.SIGTERM)
 		return nil
 	}
-	cmd.WaitDelay = endWithin // then it is killed
+	cmd.WaitDelay = terminationTimeout // after this it is killed
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.program, err)
 	}
 	done := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended = cmd, done
+	p.cmd, p.exited = cmd, done
 	p.mu.Unlock()
 	go func() {
-		_ = cmd.Wait() // how it ended is in its state
+		_ = cmd.Wait() // recordExit logs ProcessState
 		close(done)
 	}()
 	return done, nil
 }
 
-// signal sends a signal to the process that runs now, if one does.
+// signal sends a signal to the current process, if there is one.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,25 +110,25 @@
 		return
 	}
 	if err := p.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.log.Error("controller can't be signalled", "controller", p.name, "err", err)
+		p.log.Error("sending a signal to the controller process failed", "controller", p.name, "err", err)
 	}
 }
 
-// kill ends the process as a crash does; it is started again.
+// kill kills the process with SIGKILL, as in a crash; run restarts it.
 func (p *process) kill() {
 	p.mu.Lock()
-	p.asked = true
+	p.exitExpected = true
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 }
 
-// stop stops the process until resume lets it go on.
-func (p *process) stop() { p.signal(syscall.SIGSTOP) }
+// suspend suspends the process with SIGSTOP until resume is called.
+func (p *process) suspend() { p.signal(syscall.SIGSTOP) }
 
-// resume lets a process go on that was stopped.
+// resume continues a suspended process with SIGCONT.
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// pid is the process that runs now, 0 if none does.
+// pid returns the id of the current process, or 0 if none runs.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +136,7 @@
 		return 0
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return 0
 	default:
 		return p.cmd.Process.Pid
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -13,65 +13,67 @@
 	"dykeledge/internal/simulator"
 )
 
-// Schedule is a list of faults.
+// Schedule is a list of faults to inject into a cluster.
 type Schedule struct {
 	Faults []Fault `toml:"fault"`
 }
 
-// Fault is one fault, and when it comes.
+// Fault describes one fault and its time.
 type Fault struct {
-	AtS     float64  `toml:"at_s"`  // after the start
-	Kind    string   `toml:"kind"`  // see kinds
-	Node    string   `toml:"node"`  // n1 to n9, or all
-	ForS    float64  `toml:"for_s"` // how long it lasts
-	From    []string `toml:"from"`  // of a cut: state, cloud, users, heartbeats, peers; none: all of them
-	Part    float64  `toml:"part"`  // of the machines that can be met
-	NoticeS float64  `toml:"notice_s"`
-	Zone    string   `toml:"zone"`  // only its machines; of zone_cut, the one that is cut off
-	Count   int      `toml:"count"` // machines that are next to one another by their names, in place of part
+	AtS         float64  `toml:"at_s"`     // start, in seconds from the start of the schedule
+	Kind        string   `toml:"kind"`     // one of the constants below
+	Controller  string   `toml:"node"`     // the controller: n1 to n9, or all
+	DurationS   float64  `toml:"for_s"`    // duration in seconds
+	Connections []string `toml:"from"`     // of a cut: connections to sever, of state, cloud, users, reports, peers; empty: all of them
+	Fraction    float64  `toml:"part"`     // probability that the fault applies to a machine that matches kind and zone
+	NoticeS     float64  `toml:"notice_s"` // of a reclaimed spot machine: seconds from the notice to the end
+	Zone        string   `toml:"zone"`     // limits the fault to machines in this zone; of zone_cut: the partitioned zone
+	Count       int      `toml:"count"`    // instead of part: number of machines, with adjacent names, that the fault applies to
 }
 
-// cutsByName are what a controller can be cut off from. Direct commands to workers are not among them:
-// a worker's port can't tell which controller speaks.
-var cutsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
+// connectionsByName maps the names in a fault's field from to the connections of a controller that a fault can sever.
+// Direct commands to workers are not among them: a worker's port can't tell which controller a request comes from.
+var connectionsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
 // Kinds of faults.
 const (
-	kindCrash        = "crash"         // a controller's process is killed, and started again
-	kindStill        = "still"         // a controller's process is stopped, and goes on
-	kindCut          = "cut"           // a controller is cut off from what `from` names
-	kindRefuse       = "refuse"        // the state service refuses one controller
-	kindOutage       = "outage"        // of the state service
-	kindCloudOutage  = "cloud_outage"  // of the cloud
-	kindZoneCut      = "zone_cut"      // a zone is cut off from everything
-	kindTaken        = "taken"         // the cloud takes spot machines back, with notice_s
-	kindMachineDies  = "machine_dies"  // for good
-	kindMachineHangs = "machine_hangs" // for a while
-	kindMachineSick  = "machine_sick"  // it fails whatever it runs
-	kindMachineCut   = "machine_cut"   // off from all controllers
+	kindCrash            = "crash"         // a controller process is killed and restarted
+	kindSuspend          = "still"         // a controller process is suspended and continued
+	kindPartition        = "cut"           // a controller loses the connections that the field from names
+	kindStateRefusal     = "refuse"        // the state service answers a controller with 503
+	kindStateOutage      = "outage"        // the state service is down
+	kindCloudOutage      = "cloud_outage"  // the cloud's API is down
+	kindZonePartition    = "zone_cut"      // a zone is partitioned from the rest of the cluster
+	kindSpotReclaim      = "taken"         // the cloud reclaims spot machines with a notice of notice_s
+	kindMachineDies      = "machine_dies"  // machines fail permanently
+	kindMachineHangs     = "machine_hangs" // machines hang for for_s
+	kindMachineUnhealthy = "machine_sick"  // machines are unhealthy: every task on them fails
+	kindMachinePartition = "machine_cut"   // machines lose the connection to all controllers
 )
 
-// needs are what a fault of a kind has to name.
-type needs struct{ controller, lasts, machines, zone bool }
-
-var kinds = map[string]needs{
-	kindCrash:        {controller: true},
-	kindStill:        {controller: true, lasts: true},
-	kindCut:          {controller: true, lasts: true},
-	kindRefuse:       {controller: true, lasts: true},
-	kindOutage:       {lasts: true},
-	kindCloudOutage:  {lasts: true},
-	kindZoneCut:      {lasts: true, zone: true},
-	kindTaken:        {machines: true},
-	kindMachineDies:  {machines: true},
-	kindMachineHangs: {machines: true, lasts: true},
-	kindMachineSick:  {machines: true, lasts: true},
-	kindMachineCut:   {machines: true, lasts: true},
+// requiredFields lists what a fault of a kind must state: the controller it applies to, its duration, the machines it
+// applies to, and the zone.
+type requiredFields struct{ controller, duration, machines, zone bool }
+
+// requiredByKind holds the required fields of each kind of fault.
+var requiredByKind = map[string]requiredFields{
+	kindCrash:            {controller: true},
+	kindSuspend:          {controller: true, duration: true},
+	kindPartition:        {controller: true, duration: true},
+	kindStateRefusal:     {controller: true, duration: true},
+	kindStateOutage:      {duration: true},
+	kindCloudOutage:      {duration: true},
+	kindZonePartition:    {duration: true, zone: true},
+	kindSpotReclaim:      {machines: true},
+	kindMachineDies:      {machines: true},
+	kindMachineHangs:     {machines: true, duration: true},
+	kindMachineUnhealthy: {machines: true, duration: true},
+	kindMachinePartition: {machines: true, duration: true},
 }
 
-// LoadSchedule reads and checks a schedule's file as ParseSchedule does its text. Errors fit on one
-// line and name file, field and what was expected.
+// LoadSchedule reads a schedule's file and parses it with ParseSchedule. Errors fit on one line and name the file, the
+// field and what was expected.
 func LoadSchedule(path string) (*Schedule, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -84,8 +86,8 @@
 	return s, nil
 }
 
-// ParseSchedule reads and checks a schedule's text, which is TOML, for the cluster of Settings, and puts
-// it in the order of time. A *config.FieldError says what is wrong.
+// ParseSchedule decodes a schedule from TOML, validates it for a cluster with the deployment of Settings, and sorts it by
+// time. The error for an invalid field wraps a *config.FieldError.
 func ParseSchedule(raw []byte) (*Schedule, error) {
 	schedule := &Schedule{}
 	if err := config.Strict(raw, schedule); err != nil {
@@ -97,56 +99,58 @@
 		}
 	}
 	deployment := Settings()
-	if err := schedule.fits(&deployment); err != nil {
+	if err := schedule.validateFor(&deployment); err != nil {
 		return nil, err
 	}
 	schedule.Sort()
 	return schedule, nil
 }
 
-// Sort puts the faults in the order of time.
+// Sort sorts the faults by time.
 func (s *Schedule) Sort() {
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.AtS, b.AtS) })
 }
 
-func (f *Fault) check(at string) error {
-	want, known := kinds[f.Kind]
-	if want.machines && f.Part == 0 && f.Count == 0 {
-		f.Part = 1
+// check validates a fault and fills in the default of Fraction; prefix is put before the names of
+// fields in errors.
+func (f *Fault) check(prefix string) error {
+	required, validKind := requiredByKind[f.Kind]
+	if required.machines && f.Fraction == 0 && f.Count == 0 {
+		f.Fraction = 1
 	}
-	unknownPart := slices.ContainsFunc(f.From, func(part string) bool {
-		_, ok := cutsByName[part]
+	unknownPart := slices.ContainsFunc(f.Connections, func(part string) bool {
+		_, ok := connectionsByName[part]
 		return !ok
 	})
-	check := fieldcheck.Under(at)
-	check.Want(known, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
-	check.Want(f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400")
-	check.Want(!want.lasts || f.ForS > 0 && f.ForS <= 86400, "for_s", "seconds from above 0 to 86400")
-	check.Want(want.lasts || f.ForS == 0, "for_s", "nothing: it does not last")
-	check.Want(!want.controller || controllerIndex(f.Node) != noController, "node", "n1 to n9, or all")
-	check.Want(want.controller || f.Node == "", "node", "nothing: it meets no node")
-	check.Want(!unknownPart && (f.Kind == kindCut || len(f.From) == 0), "from", "for a cut any of state, cloud, users, reports, peers")
-	check.Want(f.Count >= 0 && (want.machines || f.Count == 0), "count", "for machines a count of 0 or more")
-	check.Want(want.machines && f.Count > 0 && f.Part == 0 || want.machines && f.Part > 0 && f.Part <= 1 || !want.machines && f.Part == 0, "part", "for machines a part from above 0 to 1, or a count")
-	check.Want(f.NoticeS == 0 || f.Kind == kindTaken && f.NoticeS > 0, "notice_s", "for machines that are taken seconds of 0 or more")
-	check.Want(f.Zone == "" || want.machines || want.zone, "zone", "for machines a zone's name")
-	check.Want(f.Zone != "" || !want.zone, "zone", "the name of the zone that is cut off")
+	check := fieldcheck.WithPrefix(prefix)
+	check.Require(validKind, "kind", "one of "+strings.Join(slices.Sorted(maps.Keys(requiredByKind)), ", "))
+	check.Require(f.AtS >= 0 && f.AtS <= 86400, "at_s", "seconds from 0 to 86400")
+	check.Require(!required.duration || f.DurationS > 0 && f.DurationS <= 86400, "for_s", "seconds from above 0 to 86400")
+	check.Require(required.duration || f.DurationS == 0, "for_s", "no value: this kind of fault has no duration")
+	check.Require(!required.controller || controllerIndex(f.Controller) != noController, "node", "n1 to n9, or all")
+	check.Require(required.controller || f.Controller == "", "node", "no value: this kind of fault applies to no node")
+	check.Require(!unknownPart && (f.Kind == kindPartition || len(f.Connections) == 0), "from", "for a cut any of state, cloud, users, reports, peers")
+	check.Require(f.Count >= 0 && (required.machines || f.Count == 0), "count", "for machines a count of 0 or more")
+	check.Require(required.machines && f.Count > 0 && f.Fraction == 0 || required.machines && f.Fraction > 0 && f.Fraction <= 1 || !required.machines && f.Fraction == 0, "part", "for machines a fraction from above 0 to 1, or a count")
+	check.Require(f.NoticeS == 0 || f.Kind == kindSpotReclaim && f.NoticeS > 0, "notice_s", "for machines that are taken, seconds of 0 or more")
+	check.Require(f.Zone == "" || required.machines || required.zone, "zone", "no value, or for machines the name of a zone")
+	check.Require(f.Zone != "" || !required.zone, "zone", "the name of the zone to partition")
 	return check.Err()
 }
 
-// Indexes of controllers that are none.
+// Results of controllerIndex that are not an index.
 const (
-	noController   = -2
+	noController   = -2 // the name is invalid
 	allControllers = -1
 )
 
-// everyController names all controllers in a schedule.
-const everyController = "all"
+// allControllersName is the name that stands for all controllers in a schedule.
+const allControllersName = "all"
 
-// controllerIndex is the index of the controller with a name, noController or allControllers.
+// controllerIndex returns the index of the controller with a name (0 for n1), allControllers or noController.
 func controllerIndex(name string) int {
 	switch {
-	case name == everyController:
+	case name == allControllersName:
 		return allControllers
 	case len(name) == 2 && name[0] == 'n' && name[1] >= '1' && name[1] <= '9':
 		return int(name[1] - '1')
@@ -154,11 +158,11 @@
 	return noController
 }
 
-// fits tells whether a deployment has the controllers and zones that a schedule names.
-func (s *Schedule) fits(deployment *config.Deployment) error {
+// validateFor returns an error if the schedule names a controller or zone that the deployment does not have.
+func (s *Schedule) validateFor(deployment *config.Deployment) error {
 	for i := range s.Faults {
 		fault := &s.Faults[i]
-		if controllerIndex(fault.Node) >= deployment.Controllers {
+		if controllerIndex(fault.Controller) >= deployment.Controllers {
 			return &config.FieldError{Field: fmt.Sprintf("fault[%d].node", i), Expected: fmt.Sprintf("one of %d nodes", deployment.Controllers)}
 		}
 		if fault.Zone != "" && !slices.Contains(deployment.Zones, fault.Zone) {
--- a/internal/pagecheck/pagecheck_test.go
+++ b/internal/pagecheck/pagecheck_test.go
@@ -8,20 +8,21 @@
 	"testing"
 )
 
-// codeQuote is what a page sets in code quotes.
+// codeQuote matches a text in backquotes.
 var codeQuote = regexp.MustCompile("`([^`\n]+)`")
 
-// codeName is a package, or a function, method or type of one: internal/controller/schedule.Place.
+// codeName matches a package, or a function, method or type of one, like internal/controller/schedule.Place.
 var codeName = regexp.MustCompile(`^((?:cmd|internal)(?:/[a-z]+)+)((?:\.[A-Za-z]+)*)$`)
 
-// sourceFile is a Go file of the repository.
+// sourceFile matches the path of a Go file of the repository.
 var sourceFile = regexp.MustCompile(`^(?:cmd|internal)/[a-z_/]+\.go$`)
 
-// TestArchitectureNames: what the architecture page names of the code exists.
+// TestArchitectureNames checks that the files, packages, functions, methods and types that the architecture page names
+// exist.
 func TestArchitectureNames(t *testing.T) {
 	known := parseSources(t)
 	checked := 0
-	for _, quote := range quotes(readPage(t, "ARCHITECTURE.md")) {
+	for _, quote := range quotedTexts(readPage(t, "ARCHITECTURE.md")) {
 		if sourceFile.MatchString(quote) {
 			checked++
 			if _, err := os.Stat(filepath.Join(repositoryRoot, quote)); err != nil {
@@ -42,32 +43,32 @@
 		}
 	}
 	if checked == 0 {
-		t.Error("docs/ARCHITECTURE.md names nothing of the code: the test proves nothing")
+		t.Error("docs/ARCHITECTURE.md names no file or identifier of the sources, so this test has checked nothing")
 	}
 }
 
-// logMessage is the message of a log line as the log prints it: msg=word or msg="some words".
+// logMessage matches the message of a log line as the log prints it: msg=word or msg="some words".
 var logMessage = regexp.MustCompile(`^msg=(?:"([^"]+)"|([^\s"]+))$`)
 
-// logAttribute is an attribute of a log line: key=value or key="some words".
+// logAttribute matches an attribute of a log line: key=value or key="some words".
 var logAttribute = regexp.MustCompile(`^([a-z_]+)=(?:"[^"]*"|[^\s"]+)$`)
 
-// logLineSections are the sections of the operators' handbook that an engineer looks log lines up in.
+// logLineSections lists the sections of the operators' handbook in which log lines are looked up.
 var logLineSections = []string{"Log lines that ask for action", "From symptom to cause"}
 
-// TestLogLinesOfThePages: the log lines that the operators' handbook quotes are written by the sources, with
-// the attributes that it quotes beside them.
-func TestLogLinesOfThePages(t *testing.T) {
+// TestQuotedLogLines checks that the sources write the log lines that the operators' handbook quotes, with the
+// attributes that it quotes on the same line.
+func TestQuotedLogLines(t *testing.T) {
 	known := parseSources(t)
 	page := readPage(t, "operations.md")
 	for _, title := range logLineSections {
 		if !strings.Contains(section(page, title), "`msg=") {
-			t.Errorf("docs/operations.md quotes no log line under %q: the test proves nothing", title)
+			t.Errorf("docs/operations.md quotes no log line under %q, so this test has checked nothing there", title)
 		}
 	}
 	for _, row := range strings.Split(section(page, logLineSections[0]), "\n") {
 		if strings.HasPrefix(row, "| `") && !strings.HasPrefix(row, "| `msg=") {
-			t.Errorf("docs/operations.md, %q: a row that does not begin with a line in the form msg=\"...\": %s", logLineSections[0], row)
+			t.Errorf("docs/operations.md, %q: expected a row that begins with msg=\"...\", found %s", logLineSections[0], row)
 		}
 	}
 	for i, line := range strings.Split(page, "\n") {
@@ -76,11 +77,11 @@
 }
 
 // checkLogLines checks the log lines that one line of the page quotes.
-func checkLogLines(t *testing.T, known sources, lineNumber int, line string) {
+func checkLogLines(t *testing.T, known sourceIndex, lineNumber int, line string) {
 	t.Helper()
 	var calls []logCall
 	var attributes []string
-	for _, quote := range quotes(line) {
+	for _, quote := range quotedTexts(line) {
 		if message := logMessage.FindStringSubmatch(quote); message != nil {
 			text := message[1] + message[2]
 			if len(known.logCalls[text]) == 0 {
@@ -116,7 +117,7 @@
 	return string(page)
 }
 
-func quotes(text string) []string {
+func quotedTexts(text string) []string {
 	var out []string
 	for _, match := range codeQuote.FindAllStringSubmatch(text, -1) {
 		out = append(out, match[1])
@@ -124,7 +125,7 @@
 	return out
 }
 
-// section is what stands under a heading of the second level, up to the next one.
+// section returns the text below a second-level heading, up to the next one.
 func section(page, title string) string {
 	_, rest, _ := strings.Cut(page, "\n## "+title+"\n")
 	text, _, _ := strings.Cut(rest, "\n## ")
--- a/internal/pagecheck/sources_test.go
+++ b/internal/pagecheck/sources_test.go
@@ -12,26 +12,26 @@
 	"testing"
 )
 
-// repositoryRoot is where the tests of this package find the repository.
+// repositoryRoot is the path from this package's directory, in which its tests run, to the repository.
 const repositoryRoot = "../.."
 
-// logCall is a call of a logger.
+// logCall is a call of a logger with a literal message.
 type logCall struct {
 	message string
-	keys    map[string]bool // of the message's attributes, as far as they are literals
+	keys    map[string]bool // all string literals in the other arguments, among them the attributes' keys
 }
 
-// sources is what the pages may name of the code.
-type sources struct {
-	packages map[string]bool // directories that hold a package, as in "internal/storage"
-	names    map[string]bool // "internal/storage.Cache", "internal/storage.Cache.Apply"
-	logCalls map[string][]logCall
+// sourceIndex indexes the names and log calls that pages can refer to.
+type sourceIndex struct {
+	packages map[string]bool      // directories that hold a package, like "internal/storage"
+	names    map[string]bool      // functions, methods and types, like "internal/storage.Cache.Apply"
+	logCalls map[string][]logCall // by message
 }
 
-// parseSources reads all Go files under cmd and internal but for the tests.
-func parseSources(t *testing.T) sources {
+// parseSources indexes all Go files under cmd and internal except for tests.
+func parseSources(t *testing.T) sourceIndex {
 	t.Helper()
-	found := sources{packages: map[string]bool{}, names: map[string]bool{}, logCalls: map[string][]logCall{}}
+	found := sourceIndex{packages: map[string]bool{}, names: map[string]bool{}, logCalls: map[string][]logCall{}}
 	for _, top := range []string{"cmd", "internal"} {
 		root := filepath.Join(repositoryRoot, top)
 		err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
@@ -47,7 +47,7 @@
 	return found
 }
 
-func (s *sources) addFile(file string) error {
+func (s *sourceIndex) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (s *sources) addDeclaration(directory string, declaration ast.Decl) {
+func (s *sourceIndex) addDeclaration(directory string, declaration ast.Decl) {
 	switch declared := declaration.(type) {
 	case *ast.FuncDecl:
 		name := declared.Name.Name
@@ -87,7 +87,7 @@
 	}
 }
 
-// receiverType is the name of a method's receiver type, without pointer and type parameters.
+// receiverType returns the name of a method's receiver type, without pointer and type parameters.
 func receiverType(expression ast.Expr) string {
 	switch receiver := expression.(type) {
 	case *ast.StarExpr:
@@ -100,8 +100,8 @@
 	return ""
 }
 
-// addLogCall notes a call if it is one of a logger with a literal message.
-func (s *sources) addLogCall(call *ast.CallExpr) {
+// addLogCall records a call if it is a call of a logger with a literal message.
+func (s *sourceIndex) addLogCall(call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !isLogMethod(selector.Sel.Name) || !isLogger(selector.X) {
 		return
@@ -132,8 +132,8 @@
 	return false
 }
 
-// isLogger tells whether an expression is a logger by its name: log, Log, logger or slog, alone, as a
-// field or as what With returns.
+// isLogger reports whether an expression looks like a logger: an identifier or field named log, logger or slog in any
+// case, or a call of the method With of one.
 func isLogger(expression ast.Expr) bool {
 	switch logger := expression.(type) {
 	case *ast.Ident:
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -12,12 +12,12 @@
 	"dykeledge/internal/textout"
 )
 
-// Ladder is the name of the run whose points are fitted: one profile at several sizes.
+// Ladder is the name of the run whose points are fitted: the same profile at several sizes.
 const Ladder = "ladder"
 
-// Report prints the tables that come of points, as Markdown: the runs, how each role's figures grow over the ladder of the
-// peak, what a worker costs, and what the other cuts showed. Points whose hollow side was overloaded are listed, and left out of
-// the fits.
+// Report prints tables of points as Markdown: for each cut its runs, controllers and configuration changes, and for the
+// ladder of the peak the growth of each role's and worker's resource usage with the number of workers. Points whose
+// hollow side was overloaded are listed, but left out of the fits.
 func Report(writer io.Writer, points []Point) error {
 	buffer := bufio.NewWriter(writer)
 	out := textout.New(buffer)
@@ -46,17 +46,17 @@
 			changesTable(out, list)
 		}
 	}
-	list := slices.DeleteFunc(byCut[Peak], func(p Point) bool { return p.Run != Ladder })
-	if len(list) > 0 {
+	ladder := slices.DeleteFunc(byCut[Peak], func(p Point) bool { return p.Run != Ladder })
+	if len(ladder) > 0 {
 		out.Printf("### What a controller costs, by role, over the ladder\n\n")
-		rolesTable(out, list)
+		rolesTable(out, ladder)
 		out.Printf("### What a worker costs, and the state service holds, over the ladder\n\n")
-		workerTable(out, list)
+		workerTable(out, ladder)
 	}
 	return errors.Join(out.Flush(), buffer.Flush())
 }
 
-// runsTable has a row a point.
+// runsTable prints a row for each point.
 func runsTable(out *textout.Printer, points []Point) {
 	out.Println("| run | part of the letter | region | commit | workers | starts/s offered | started | running | urgent ms p50 / p99 / max | longest time without a start, s | killed by leases | broken rules | ended by themselves | hollow side: cores, p99 late ms | load of the machine |")
 	out.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -67,13 +67,13 @@
 		}
 		out.Printf("| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
 			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
-			len(p.BrokenRules), p.Ends, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
+			len(p.BrokenRules), p.UnexpectedExits, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
 	}
 	out.Println()
 }
 
-// controllersTable has a row a controller of points that no line is fitted through. One that ended meanwhile, or changed its role,
-// is marked, since its processor time is of a part of the time.
+// controllersTable prints a row for each controller of points that are not fitted. A controller that was restarted or
+// changed its role during the measurement is marked, since its CPU usage covers only a part of that time.
 func controllersTable(out *textout.Printer, points []Point) {
 	if len(points) == 0 {
 		return
@@ -83,7 +83,7 @@
 	for _, p := range points {
 		for _, c := range p.Controllers {
 			role := string(c.Role)
-			if !c.Whole {
+			if !c.Uninterrupted {
 				role += ", not all the time"
 			}
 			out.Printf("| %s | %s | %s | %s | %d | %.3f | %.3f | %.0f | %d | %.0f | %.0f | %.1f | %.0f |\n", p.Run, fractionText(p.Fraction), p.Region, role, c.Shards,
@@ -93,7 +93,7 @@
 	out.Println()
 }
 
-// changesTable has a row a point in which the configuration was changed.
+// changesTable prints a row for each point with configuration changes.
 func changesTable(out *textout.Printer, points []Point) {
 	points = slices.DeleteFunc(slices.Clone(points), func(p Point) bool { return p.ChangesMade == 0 })
 	if len(points) == 0 {
@@ -108,7 +108,7 @@
 	out.Println()
 }
 
-// fractionText writes 0.25 as 1/4.
+// fractionText formats a fraction as 1/n if it is one, for example 0.25 as 1/4, and as a decimal number otherwise.
 func fractionText(f float64) string {
 	if n := 1 / f; f < 1 && n == float64(int(n)) {
 		return fmt.Sprintf("1/%d", int(n))
@@ -116,7 +116,7 @@
 	return fmt.Sprintf("%g", f)
 }
 
-// controllerFigure is one figure of a controller that the tables show.
+// controllerFigure is a quantity of a controller that the tables show.
 type controllerFigure struct {
 	name   string
 	format string
@@ -142,7 +142,8 @@
 
 const fitHead = "measured at the largest size | a 1,000 workers | at 0 | R² | worst residual | growth | sizes and points |"
 
-// rolesTable has a row for each role and figure. Controllers that changed their process or role meanwhile are left out.
+// rolesTable prints the growth of each quantity for each role. Controllers whose process or role changed during the
+// measurement are left out.
 func rolesTable(out *textout.Printer, points []Point) {
 	out.Printf("| role | figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, role := range []Role{Leader, Owner, Member} {
@@ -150,7 +151,7 @@
 			var x, y []float64
 			for i := range points {
 				for k := range points[i].Controllers {
-					if c := &points[i].Controllers[k]; c.Whole && c.Role == role && !points[i].Overloaded {
+					if c := &points[i].Controllers[k]; c.Uninterrupted && c.Role == role && !points[i].Overloaded {
 						x, y = append(x, float64(points[i].Up)), append(y, f.of(c))
 					}
 				}
@@ -161,7 +162,7 @@
 	out.Println()
 }
 
-// pointFigure is one figure of a cell that the tables show.
+// pointFigure is a quantity of a cell that the tables show.
 type pointFigure struct {
 	name   string
 	format string
@@ -177,14 +178,14 @@
 	{"worker: part of a core, % (at most: the whole hollow side by its workers)", "%.3f", func(p *Point) float64 { return 100 * p.HollowCores / float64(max(1, p.Up)) }},
 	{"state service: changes a second", "%.0f", func(p *Point) float64 { return p.WritesPerS }},
 	{"state service: starts a change", "%.2f", func(p *Point) float64 { return p.StartsPerS / max(1, p.WritesPerS) }},
-	{"state service: refused for its rate, 1/s", "%.2f", func(p *Point) float64 { return p.OverPerS }},
+	{"state service: refused for its rate, 1/s", "%.2f", func(p *Point) float64 { return p.ThrottledPerS }},
 	{"state service: keys", "%.0f", func(p *Point) float64 { return float64(p.StateKeys) }},
 	{"state service: KB", "%.0f", func(p *Point) float64 { return float64(p.StateBytes) / 1000 }},
 	{"urgent: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.UrgentMs.P99 }},
 	{"submissions: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.AcceptMs.P99 }},
 }
 
-// workerTable has a row for each figure of a cell.
+// workerTable prints the growth of each quantity of a cell.
 func workerTable(out *textout.Printer, points []Point) {
 	out.Printf("| figure | %s\n| --- | --- | --- | --- | --- | --- | --- | --- |\n", fitHead)
 	for _, f := range pointFigures {
@@ -199,33 +200,34 @@
 	out.Println()
 }
 
-// fitRow prints a figure's growth; without enough sizes it says so, and without points nothing.
+// fitRow prints the growth of one quantity y with the size x. It prints nothing if there are no points, and a remark if
+// there are too few sizes for a fit.
 func fitRow(out *textout.Printer, name, format string, x, y []float64) {
 	if len(x) == 0 {
 		return
 	}
-	largest, at := slices.Max(x), []float64{}
+	largest, atLargest := slices.Max(x), []float64{}
 	sizes := map[float64]bool{}
 	for i := range x {
 		sizes[x[i]] = true
 		if x[i] == largest {
-			at = append(at, y[i])
+			atLargest = append(atLargest, y[i])
 		}
 	}
-	slices.Sort(at)
-	measured := fmt.Sprintf(format, at[0])
-	if last := fmt.Sprintf(format, at[len(at)-1]); last != measured {
+	slices.Sort(atLargest)
+	measured := fmt.Sprintf(format, atLargest[0])
+	if last := fmt.Sprintf(format, atLargest[len(atLargest)-1]); last != measured {
 		measured += " to " + last
 	}
 	count := fmt.Sprintf("%d, %d", len(sizes), len(x))
-	l, ok := fitLine(x, y)
+	line, ok := fitLine(x, y)
 	if !ok {
 		out.Printf("| %s | %s | | | | | too few sizes, or nothing | %s |\n", name, measured, count)
 		return
 	}
-	per1000, zero := fmt.Sprintf(format, 1000*l.Slope), fmt.Sprintf(format, l.Intercept)
-	if !strings.HasPrefix(l.growth(), "line") {
+	per1000, zero := fmt.Sprintf(format, 1000*line.Slope), fmt.Sprintf(format, line.Intercept)
+	if !strings.HasPrefix(line.growth(), "line") {
 		per1000, zero = "", ""
 	}
-	out.Printf("| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, l.R2, 100*l.Residual, l.growth(), count)
+	out.Printf("| %s | %s | %s | %s | %.3f | %.0f %% | %s | %s |\n", name, measured, per1000, zero, line.R2, 100*line.Residual, line.growth(), count)
 }
