--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -28,7 +28,7 @@
 type simulationSource struct {
 	simulation *simulator.Simulation
 	nodes      int
-	garbles    func([]byte) []byte
+	corrupt    func([]byte) []byte
 }
 
 func (s simulationSource) Controllers() (out []string) {
@@ -39,22 +39,22 @@
 }
 
 func (s simulationSource) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
-	process := s.simulation.Controller(node)
-	if process.Ended() {
+	controller := s.simulation.Controller(node)
+	if controller.Ended() {
 		return nil, errors.New("does not answer")
 	}
-	short, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	snap := process.Core.View(short, cur)
+	snap := controller.Core.View(waitCtx, cur)
 	switch {
-	case process.Ended():
+	case controller.Ended():
 		return nil, errors.New("does not answer")
 	case snap == nil:
 		return nil, errors.New("has not read the records yet")
 	}
 	raw := snap.AppendPage(nil, scope, cur, time.Now().UnixMilli())
-	if s.garbles != nil {
-		raw = s.garbles(raw)
+	if s.corrupt != nil {
+		raw = s.corrupt(raw)
 	}
 	return raw, nil
 }
@@ -80,8 +80,8 @@
 	r.cache.PruneFinalJobs()
 }
 
-// cells are what a job's row must show: team, priority, tasks, done, placed, waiting.
-func (r *reference) cells(j *storage.Job) []string {
+// expectedCells are what a job's row must show: team, priority, tasks, done, placed, waiting.
+func (r *reference) expectedCells(j *storage.Job) []string {
 	waits := fmt.Sprint(j.Waiting())
 	if !j.Ready() && j.Open() && !j.DependencyFailed {
 		waits = "-"
@@ -90,9 +90,9 @@
 	return []string{j.ID, r.cache.Teams[j.Team].Name, prio[:min(4, len(prio))], fmt.Sprint(j.Tasks), fmt.Sprint(j.DoneCount), fmt.Sprint(j.PlacedCount), waits}
 }
 
-// differs tells how a snapshot differs from the reference at its revision, "" if it does not.
-func (r *reference) differs(snapshot *view.Snapshot) string {
-	sums := make([]view.Totals, len(r.cache.Teams))
+// difference tells how a snapshot difference from the reference at its revision, "" if it does not.
+func (r *reference) difference(snapshot *view.Snapshot) string {
+	totals := make([]view.Totals, len(r.cache.Teams))
 	open := 0
 	for _, job := range r.cache.Jobs {
 		if job == nil {
@@ -118,7 +118,7 @@
 			row.Team != r.cache.Teams[job.Team].Name || row.Priority != job.OwnPriority {
 			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", job.ID, *row, want, job.PlacedCount, job.DoneCount)
 		}
-		sum := &sums[job.Team]
+		sum := &totals[job.Team]
 		switch want {
 		case view.Queued:
 			sum.Queued++
@@ -128,22 +128,22 @@
 		sum.Waiting += uint64(job.Waiting())
 		sum.Placed += uint64(job.PlacedCount)
 	}
-	shown, wrong := 0, ""
+	openShown, mismatch := 0, ""
 	snapshot.Jobs("", func(j *view.Job) bool {
 		if !j.Status.Final() {
-			shown++
-		} else if f, _ := r.cache.FinalState(j.ID); string(f) != j.Status.String() {
-			wrong = fmt.Sprintf("%s is shown %s and is %q", j.ID, j.Status, f)
+			openShown++
+		} else if final, _ := r.cache.FinalState(j.ID); string(final) != j.Status.String() {
+			mismatch = fmt.Sprintf("%s is shown %s and is %q", j.ID, j.Status, final)
 		}
-		return wrong == ""
+		return mismatch == ""
 	})
-	if wrong != "" || shown != open {
-		return fmt.Sprintf("%d open jobs are shown of %d. %s", shown, open, wrong)
+	if mismatch != "" || openShown != open {
+		return fmt.Sprintf("%d open jobs are shown of %d. %s", openShown, open, mismatch)
 	}
 	for i, t := range snapshot.Teams {
-		if t.Queued != sums[i].Queued || t.Running != sums[i].Running || t.Waiting != sums[i].Waiting || t.Placed != sums[i].Placed ||
+		if t.Queued != totals[i].Queued || t.Running != totals[i].Running || t.Waiting != totals[i].Waiting || t.Placed != totals[i].Placed ||
 			t.UsedCpus != uint64(math.Round(1000*r.cache.TeamUsage[i].Cpus)) {
-			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, sums[i], r.cache.TeamUsage[i].Cpus)
+			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, totals[i], r.cache.TeamUsage[i].Cpus)
 		}
 	}
 	machines := 0
@@ -153,11 +153,11 @@
 		}
 		machines++
 		found := false
-		snapshot.Machines(func(x *view.Machine) bool {
-			if x.Name == machine.Name {
-				found = int(x.Tasks) == len(machine.Tasks) && int(x.Shard) == machine.Shard
+		snapshot.Machines(func(row *view.Machine) bool {
+			if row.Name == machine.Name {
+				found = int(row.Tasks) == len(machine.Tasks) && int(row.Shard) == machine.Shard
 			}
-			return x.Name != machine.Name
+			return row.Name != machine.Name
 		})
 		if !found {
 			return "machine " + machine.Name + " is not shown as it is"
@@ -169,9 +169,9 @@
 	return ""
 }
 
-// expectedScreen holds what is drawn against the reference: every row on the screen cell by cell, all
+// screenDifference holds what is drawn against the reference: every row on the screen cell by cell, all
 // rows of the table by their number, and the sums above them.
-func (r *reference) expectedScreen(model *Model) string {
+func (r *reference) screenDifference(model *Model) string {
 	lines := strings.Split(ansi.Strip(model.View()), "\n")
 	if len(lines) != model.height {
 		return fmt.Sprintf("%d lines on a screen of %d", len(lines), model.height)
@@ -210,55 +210,55 @@
 			return fmt.Sprintf("%q, want %d %d %d %d", lines[1], queued, running, wait, placed)
 		}
 	}
-	want, table := -1, model.tables[model.tab].Name
+	wantRows, table := -1, model.tables[model.tab].Name
 	switch table {
 	case Queue:
-		want = inQueue
+		wantRows = inQueue
 	case Running:
-		want = inRunning
+		wantRows = inRunning
 	}
-	if want >= 0 && len(model.cached) != want {
-		return fmt.Sprintf("%d rows in %s, want %d", len(model.cached), table, want)
+	if wantRows >= 0 && len(model.rows) != wantRows {
+		return fmt.Sprintf("%d rows in %s, want %d", len(model.rows), table, wantRows)
 	}
-	if want < 0 {
+	if wantRows < 0 {
 		return ""
 	}
-	for i := range model.visible() {
-		f := strings.Fields(strings.TrimLeft(lines[4+i], ">!? "))
-		other := r.cache.Job(f[0])
-		if other == nil {
+	for i := range model.visibleRows() {
+		fields := strings.Fields(strings.TrimLeft(lines[4+i], ">!? "))
+		job := r.cache.Job(fields[0])
+		if job == nil {
 			return fmt.Sprintf("%q is of no job", lines[4+i])
 		}
-		cells := r.cells(other)
+		cells := r.expectedCells(job)
 		if model.width < 90 && table == Queue { // without those done
 			cells = slices.Delete(cells, 4, 5)
 		}
 		if model.width >= 100 { // the class comes third then
-			cells = slices.Insert(cells, 2, r.cache.Classes.Name(other.Class))
+			cells = slices.Insert(cells, 2, r.cache.Classes.Name(job.Class))
 		}
-		if len(f) < len(cells) || !slices.Equal(f[:len(cells)], cells) {
+		if len(fields) < len(cells) || !slices.Equal(fields[:len(cells)], cells) {
 			return fmt.Sprintf("%q, want %v", lines[4+i], cells)
 		}
 	}
 	return ""
 }
 
-// seesChanges tells whether the comparison notices a row that is dropped, two that are swapped,
+// detectsChanges tells whether the comparison notices a row that is dropped, two that are swapped,
 // and a snapshot with a row changed, dropped or brought back.
-func (r *reference) seesChanges(model *Model) bool {
-	rows := model.cached
-	defer func() { model.cached = rows }()
-	model.cached = slices.Concat(rows[:1], rows[2:])
-	if r.expectedScreen(model) == "" {
+func (r *reference) detectsChanges(model *Model) bool {
+	rows := model.rows
+	defer func() { model.rows = rows }()
+	model.rows = slices.Concat(rows[:1], rows[2:])
+	if r.screenDifference(model) == "" {
 		return false
 	}
-	model.cached = slices.Clone(rows)
-	first, second := model.cached[0], model.cached[1]
+	model.rows = slices.Clone(rows)
+	first, second := model.rows[0], model.rows[1]
 	first.Cells, second.Cells = slices.Clone(first.Cells), slices.Clone(second.Cells)
 	first.Cells[1], second.Cells[1] = second.Cells[1], first.Cells[1] // the ids change places
 	first.Cells[2], second.Cells[2] = "x", first.Cells[2]
-	model.cached[0], model.cached[1] = first, second
-	if r.expectedScreen(model) == "" {
+	model.rows[0], model.rows[1] = first, second
+	if r.screenDifference(model) == "" {
 		return false
 	}
 	for _, change := range []func(*view.Model, view.Job){
@@ -269,11 +269,11 @@
 		s, mirror := model.state.Snapshot, view.NewMirror()
 		s.Jobs("", func(j *view.Job) bool { return mirror.PutJob(*j) })
 		s.Machines(func(x *view.Machine) bool { mirror.PutMachine(*x); return true })
-		if r.differs(mirror.Mirrored(s.Head)) != "" {
+		if r.difference(mirror.SnapshotWithHead(s.Head)) != "" {
 			return false // the copy is the same so far
 		}
 		change(mirror, *s.Job(rows[0].Key))
-		if r.differs(mirror.Mirrored(s.Head)) == "" {
+		if r.difference(mirror.SnapshotWithHead(s.Head)) == "" {
 			return false
 		}
 	}
@@ -291,46 +291,46 @@
 	return s
 }
 
-// TestScreensAreTrue replays a recorded burst, kept as a profile and a seed, over the
+// TestScreensMatchState replays a recorded burst, kept as a profile and a seed, over the
 // stand-ins, through what may happen to the controller that is asked. Whatever is drawn is the
 // scheduler's own state at the revision that the screen states, and is no older than 2 s or
 // says so. What was shown as over is never shown as open again.
-func TestScreensAreTrue(t *testing.T) {
+func TestScreensMatchState(t *testing.T) {
 	raw, err := os.ReadFile("testdata/burst.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
-		name  string
-		part  float64 // of the burst
-		fault func(sim *simulator.Simulation)
-		warns bool // the screen has to say that it is old
+		name        string
+		loadFactor  float64 // of the burst
+		fault       func(sim *simulator.Simulation)
+		wantWarning bool // the screen has to say that it is old
 	}{
-		{name: "the node that is asked ends", part: 1, fault: func(w *simulator.Simulation) {
+		{name: "the node that is asked ends", loadFactor: 1, fault: func(sim *simulator.Simulation) {
 			time.Sleep(30 * time.Second)
-			w.Kill(0)
+			sim.Kill(0)
 			time.Sleep(6 * time.Second)
-			w.Start(0)
+			sim.Start(0)
 		}},
-		{name: "the state service is out", part: 0.1, warns: true, fault: func(w *simulator.Simulation) {
+		{name: "the state service is out", loadFactor: 0.1, wantWarning: true, fault: func(sim *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
-			w.Store.SetDown(true)
+			sim.Store.SetDown(true)
 			time.Sleep(12 * time.Second)
-			w.Store.SetDown(false)
+			sim.Store.SetDown(false)
 		}},
-		{name: "the node that is asked is refused alone, and follows from too far back", part: 0.1, fault: func(w *simulator.Simulation) {
+		{name: "the node that is asked is refused alone, and follows from too far back", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
-			w.Store.Deny("n0", true)
+			sim.Store.Deny("n0", true)
 			time.Sleep(9 * time.Second)
-			w.Store.Compact()
-			w.Store.Deny("n0", false)
+			sim.Store.Compact()
+			sim.Store.Deny("n0", false)
 		}},
-		{name: "all shares change hands", part: 0.1, fault: func(w *simulator.Simulation) {
+		{name: "all shares change hands", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
 			for i := range 3 {
 				time.Sleep(10 * time.Second)
-				w.Controller(i).Cut(simulator.NoWorkers | simulator.NoUsers)
+				sim.Controller(i).Cut(simulator.NoWorkers | simulator.NoUsers)
 				time.Sleep(8 * time.Second)
-				w.Controller(i).Cut(0)
+				sim.Controller(i).Cut(0)
 			}
 		}},
 	} {
@@ -341,7 +341,7 @@
 					t.Fatal(err)
 				}
 				for i := range profile.Streams {
-					profile.Streams[i].PerMinute *= test.part
+					profile.Streams[i].PerMinute *= test.loadFactor
 				}
 				plan, err := profile.Plan(18)
 				if err != nil {
@@ -359,8 +359,8 @@
 				}
 				ref := &reference{simulation.Store, storage.NewCache(simulation.Settings)}
 				follower := viewclient.NewFollower(simulationSource{simulation: simulation, nodes: 3}, view.Operators, 300*time.Millisecond)
-				ended := make(chan error, 1)
-				go func() { ended <- follower.Run(ctx) }()
+				followerErr := make(chan error, 1)
+				go func() { followerErr <- follower.Run(ctx) }()
 				model := New(ctx, follower, "burst")
 				time.Sleep(3 * time.Second)
 				go test.fault(simulation)
@@ -371,60 +371,60 @@
 					}
 					return simulation.AddJob(u)
 				}}
-				res := make(chan loadgen.Result, 1)
-				go func() { res <- users.Run(ctx, plan, 2*time.Minute) }()
-				final := map[string]view.Status{}
-				screens, old, most, lastRev, provedWrong := 0, 0, 0, uint64(0), false
+				results := make(chan loadgen.Result, 1)
+				go func() { results <- users.Run(ctx, plan, 2*time.Minute) }()
+				finalStatus := map[string]view.Status{}
+				screensChecked, staleScreens, maxRows, lastRevision, changesDetected := 0, 0, 0, uint64(0), false
 				began := time.Now()
-				look := func() string {
+				checkScreens := func() string {
 					model.state = follower.State()
 					snapshot := model.state.Snapshot
 					if snapshot == nil {
 						return ""
 					}
-					if snapshot.Revision < lastRev {
-						return fmt.Sprintf("revision %d after %d", snapshot.Revision, lastRev)
+					if snapshot.Revision < lastRevision {
+						return fmt.Sprintf("revision %d after %d", snapshot.Revision, lastRevision)
 					}
-					if snapshot.Revision > lastRev {
-						lastRev = snapshot.Revision
+					if snapshot.Revision > lastRevision {
+						lastRevision = snapshot.Revision
 						ref.advance(t, snapshot.Revision)
-						if d := ref.differs(snapshot); d != "" {
+						if d := ref.difference(snapshot); d != "" {
 							return fmt.Sprintf("revision %d: %s", snapshot.Revision, d)
 						}
-						back := ""
+						reverted := ""
 						snapshot.Jobs("", func(j *view.Job) bool {
-							if was, ok := final[j.ID]; ok && was != j.Status {
-								back = fmt.Sprintf("%s was shown %s and is shown %s", j.ID, was, j.Status)
+							if was, ok := finalStatus[j.ID]; ok && was != j.Status {
+								reverted = fmt.Sprintf("%s was shown %s and is shown %s", j.ID, was, j.Status)
 							}
 							if j.Status.Final() {
-								final[j.ID] = j.Status
+								finalStatus[j.ID] = j.Status
 							}
-							return back == ""
+							return reverted == ""
 						})
-						if back != "" {
-							return back
+						if reverted != "" {
+							return reverted
 						}
 					}
 					for tab := range model.tables {
 						model.width, model.height = 80, 24
-						if screens%2 == 0 {
+						if screensChecked%2 == 0 {
 							model.width, model.height = 160, 50
 						}
-						model.turn(tab)
-						model.list()
-						if d := ref.expectedScreen(model); d != "" {
+						model.selectTable(tab)
+						model.refreshRows()
+						if d := ref.screenDifference(model); d != "" {
 							return fmt.Sprintf("revision %d, table %s: %s\n%s", snapshot.Revision, model.tables[tab].Name, d, ansi.Strip(model.View()))
 						}
-						screens++
-						if !provedWrong && tab < 2 && len(model.visible()) > 2 {
-							if provedWrong = true; !ref.seesChanges(model) {
+						screensChecked++
+						if !changesDetected && tab < 2 && len(model.visibleRows()) > 2 {
+							if changesDetected = true; !ref.detectsChanges(model) {
 								return "a changed screen is taken for a true one"
 							}
 						}
-						most = max(most, len(model.cached))
+						maxRows = max(maxRows, len(model.rows))
 					}
-					if age := model.state.Age(time.Now()); age > viewclient.Fresh {
-						if old++; !strings.Contains(ansi.Strip(model.View()), "THIS IS") {
+					if age := model.state.Age(time.Now()); age > viewclient.MaxFreshAge {
+						if staleScreens++; !strings.Contains(ansi.Strip(model.View()), "THIS IS") {
 							return fmt.Sprintf("it is %v old and does not say so", age)
 						}
 					}
@@ -432,27 +432,27 @@
 				}
 				for time.Since(began) < 100*time.Second && !t.Failed() {
 					time.Sleep(250 * time.Millisecond)
-					if wrong := look(); wrong != "" {
-						t.Error(wrong)
+					if mismatch := checkScreens(); mismatch != "" {
+						t.Error(mismatch)
 						cancel()
 					}
 				}
-				result := <-res
-				t.Logf("%d screens, %d jobs on one, old on %d; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screens, most, old, result.Jobs, result.Accepted, result.Done, result.Accept, result.Complete)
-				if result.Accepted != result.Jobs || result.Open > 0 || result.WentBack > 0 || len(final) < result.Jobs*9/10 {
-					t.Errorf("%+v, %d seen over", result, len(final))
+				result := <-results
+				t.Logf("%d screens, %d jobs on one, old on %d; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screensChecked, maxRows, staleScreens, result.Jobs, result.Accepted, result.Done, result.Accept, result.Complete)
+				if result.Accepted != result.Jobs || result.Open > 0 || result.WentBack > 0 || len(finalStatus) < result.Jobs*9/10 {
+					t.Errorf("%+v, %d seen over", result, len(finalStatus))
 				}
-				if !provedWrong {
+				if !changesDetected {
 					t.Error("no screen was changed to see whether that is noticed")
 				}
-				if (old > 0) != test.warns && test.warns {
+				if (staleScreens > 0) != test.wantWarning && test.wantWarning {
 					t.Error("an outage was not told")
 				}
-				for _, b := range simulation.BrokenRules() {
-					t.Error(b)
+				for _, rule := range simulation.BrokenRules() {
+					t.Error(rule)
 				}
 				cancel()
-				if err := <-ended; err != nil {
+				if err := <-followerErr; err != nil {
 					t.Error(err)
 				}
 				time.Sleep(time.Minute)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,43 +12,43 @@
 
 // Model is the screen of the duty room. bubbletea calls it from one goroutine.
 type Model struct {
-	follow   *viewclient.Follower
-	cluster  string
-	ctx      context.Context //nolint:containedctx // bubbletea calls Init, Update and View without one
-	tables   []Table
-	state    *viewclient.State
-	why      map[string]viewclient.Why
-	asking   bool
-	askedAt  time.Time
-	width    int
-	height   int
-	tab      int
-	order    []int // by table
-	reversed []bool
-	row      int // chosen, of all rows
-	top      int // first row on the screen
-	chosen   string
-	filter   string
-	typing   bool
-	detail   bool
-	help     bool
-	err      error
-	now      func() time.Time
-	cached   []Row // of the present table and state
+	follower           *viewclient.Follower
+	cluster            string
+	ctx                context.Context //nolint:containedctx // bubbletea calls Init, Update and View without one
+	tables             []Table
+	state              *viewclient.State
+	reasons            map[string]viewclient.Why
+	reasonsPending     bool
+	reasonsRequestedAt time.Time
+	width              int
+	height             int
+	tab                int
+	order              []int // by table
+	reversed           []bool
+	selectedRow        int // chosen, of all rows
+	firstVisibleRow    int // first row on the screen
+	selectedKey        string
+	filter             string
+	editingFilter      bool
+	showDetails        bool
+	showHelp           bool
+	err                error
+	now                func() time.Time
+	rows               []Row // of the present table and state
 }
 
 // New returns a console of a follower that runs elsewhere; ctx bounds its questions.
 func New(ctx context.Context, f *viewclient.Follower, cluster string) *Model {
-	m := &Model{follow: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), why: map[string]viewclient.Why{}, width: 80, height: 24, now: time.Now}
+	m := &Model{follower: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), reasons: map[string]viewclient.Why{}, width: 80, height: 24, now: time.Now}
 	m.order, m.reversed = make([]int, len(m.tables)), make([]bool, len(m.tables))
-	m.list()
+	m.refreshRows()
 	return m
 }
 
 type (
-	stateMsg struct{}
-	tickMsg  struct{}
-	whyMsg   map[string]viewclient.Why
+	stateMsg   struct{}
+	tickMsg    struct{}
+	reasonsMsg map[string]viewclient.Why
 	// EndMsg ends the console with an error that it shows.
 	EndMsg struct{ Err error }
 )
@@ -57,12 +57,12 @@
 func (m *Model) Err() error { return m.err }
 
 // Init begins to wait for the first state.
-func (m *Model) Init() tea.Cmd { return tea.Batch(m.await(), tick()) }
+func (m *Model) Init() tea.Cmd { return tea.Batch(m.waitForState(), tick()) }
 
-// await waits for a newer state.
-func (m *Model) await() tea.Cmd {
-	ch := m.follow.Changed()
-	if m.follow.State() != m.state {
+// waitForState waits for a newer state.
+func (m *Model) waitForState() tea.Cmd {
+	ch := m.follower.Changed()
+	if m.follower.State() != m.state {
 		return func() tea.Msg { return stateMsg{} }
 	}
 	return func() tea.Msg {
@@ -77,27 +77,27 @@
 // tick makes ages grow on the screen.
 func tick() tea.Cmd { return tea.Tick(time.Second, func(time.Time) tea.Msg { return tickMsg{} }) }
 
-// askEvery is how often the controllers are asked why the jobs on the screen wait.
-const askEvery = 2 * time.Second
+// reasonsInterval is how often the controllers are asked why the jobs on the screen wait.
+const reasonsInterval = 2 * time.Second
 
-// ask asks why the jobs on the screen wait.
-func (m *Model) ask() tea.Cmd {
-	if m.asking || m.now().Sub(m.askedAt) < askEvery || m.state.Snapshot == nil {
+// requestReasons asks why the jobs on the screen wait.
+func (m *Model) requestReasons() tea.Cmd {
+	if m.reasonsPending || m.now().Sub(m.reasonsRequestedAt) < reasonsInterval || m.state.Snapshot == nil {
 		return nil
 	}
 	var ids []string
-	if name := m.tables[m.tab].Name; m.detail && m.chosen != "" && name != Machines && name != Members && name != Teams && name != Evictions {
-		ids = []string{m.chosen}
+	if name := m.tables[m.tab].Name; m.showDetails && m.selectedKey != "" && name != Machines && name != Members && name != Teams && name != Evictions {
+		ids = []string{m.selectedKey}
 	} else if name == Queue {
-		for _, r := range m.visible() {
+		for _, r := range m.visibleRows() {
 			ids = append(ids, r.Key)
 		}
 	}
 	if len(ids) == 0 {
 		return nil
 	}
-	m.asking, m.askedAt = true, m.now()
-	return func() tea.Msg { return whyMsg(m.follow.Reasons(m.ctx, ids)) }
+	m.reasonsPending, m.reasonsRequestedAt = true, m.now()
+	return func() tea.Msg { return reasonsMsg(m.follower.Reasons(m.ctx, ids)) }
 }
 
 // Update takes a key or news.
@@ -105,57 +105,57 @@
 	switch x := msg.(type) {
 	case tea.WindowSizeMsg:
 		m.width, m.height = x.Width, x.Height
-		m.list()
+		m.refreshRows()
 	case stateMsg:
 		if m.ctx.Err() != nil {
 			return m, tea.Quit
 		}
-		m.state = m.follow.State()
-		m.list()
-		return m, tea.Batch(m.await(), m.ask())
+		m.state = m.follower.State()
+		m.refreshRows()
+		return m, tea.Batch(m.waitForState(), m.requestReasons())
 	case tickMsg:
-		m.list()
-		return m, tea.Batch(tick(), m.ask())
-	case whyMsg:
-		m.asking, m.why = false, x
-		m.list()
+		m.refreshRows()
+		return m, tea.Batch(tick(), m.requestReasons())
+	case reasonsMsg:
+		m.reasonsPending, m.reasons = false, x
+		m.refreshRows()
 	case EndMsg:
 		m.err = x.Err
 		return m, tea.Quit
 	case tea.KeyMsg:
-		if quit := m.key(x.String(), x); quit {
+		if quit := m.handleKey(x.String(), x); quit {
 			return m, tea.Quit
 		}
-		m.askedAt = time.Time{}
-		return m, m.ask()
+		m.reasonsRequestedAt = time.Time{}
+		return m, m.requestReasons()
 	}
 	return m, nil
 }
 
-// key takes a key and tells whether it ends the console.
-func (m *Model) key(name string, msg tea.KeyMsg) (quit bool) {
+// handleKey takes a handleKey and tells whether it ends the console.
+func (m *Model) handleKey(name string, msg tea.KeyMsg) (quit bool) {
 	if name == "ctrl+c" {
 		return true
 	}
 	switch {
-	case m.typing:
-		m.typeFilter(name, msg)
+	case m.editingFilter:
+		m.editFilter(name, msg)
 	case name == "q":
 		return true
-	case !m.moveKey(name) && !m.tableKey(name):
-		m.tableNumber(name)
+	case !m.handleMoveKey(name) && !m.handleTableKey(name):
+		m.selectTableByNumber(name)
 	}
-	m.list()
+	m.refreshRows()
 	return false
 }
 
-// typeFilter takes a key while a filter is typed.
-func (m *Model) typeFilter(name string, msg tea.KeyMsg) {
+// editFilter takes a key while a filter is typed.
+func (m *Model) editFilter(name string, msg tea.KeyMsg) {
 	switch name {
 	case "enter":
-		m.typing = false
+		m.editingFilter = false
 	case "esc":
-		m.typing, m.filter = false, ""
+		m.editingFilter, m.filter = false, ""
 	case "backspace":
 		if typed := []rune(m.filter); len(typed) > 0 {
 			m.filter = string(typed[:len(typed)-1])
@@ -167,121 +167,121 @@
 	}
 }
 
-// moveKey takes a key that chooses another row, and tells whether it was one.
-func (m *Model) moveKey(name string) bool {
-	page := max(1, m.room()-1)
+// handleMoveKey takes a key that chooses another row, and tells whether it was one.
+func (m *Model) handleMoveKey(name string) bool {
+	page := max(1, m.visibleRowCount()-1)
 	switch name {
 	case "down", "j":
-		m.move(1)
+		m.moveSelection(1)
 	case "up", "k":
-		m.move(-1)
+		m.moveSelection(-1)
 	case "pgdown", " ":
-		m.move(page)
+		m.moveSelection(page)
 	case "pgup", "b":
-		m.move(-page)
+		m.moveSelection(-page)
 	case "home", "g":
-		m.move(-len(m.cached))
+		m.moveSelection(-len(m.rows))
 	case "end", "G":
-		m.move(len(m.cached))
+		m.moveSelection(len(m.rows))
 	default:
 		return false
 	}
 	return true
 }
 
-// tableKey takes a key that changes what is shown, and tells whether it was one.
-func (m *Model) tableKey(name string) bool {
+// handleTableKey takes a key that changes what is shown, and tells whether it was one.
+func (m *Model) handleTableKey(name string) bool {
 	switch name {
 	case "?":
-		m.help = !m.help
+		m.showHelp = !m.showHelp
 	case "esc":
 		m.back()
 	case "enter":
-		m.detail = !m.detail && m.chosen != ""
+		m.showDetails = !m.showDetails && m.selectedKey != ""
 	case "/":
-		m.typing = true
+		m.editingFilter = true
 	case "s":
 		m.order[m.tab] = (m.order[m.tab] + 1) % len(m.tables[m.tab].Orders)
 	case "r":
 		m.reversed[m.tab] = !m.reversed[m.tab]
 	case "tab", "right", "l":
-		m.turn((m.tab + 1) % len(m.tables))
+		m.selectTable((m.tab + 1) % len(m.tables))
 	case "shift+tab", "left", "h":
-		m.turn((m.tab + len(m.tables) - 1) % len(m.tables))
+		m.selectTable((m.tab + len(m.tables) - 1) % len(m.tables))
 	default:
 		return false
 	}
 	return true
 }
 
-// tableNumber turns to the table with a number.
-func (m *Model) tableNumber(name string) {
+// selectTableByNumber turns to the table with a number.
+func (m *Model) selectTableByNumber(name string) {
 	if len(name) == 1 && name[0] >= '1' && int(name[0]-'1') < len(m.tables) {
-		m.turn(int(name[0] - '1'))
+		m.selectTable(int(name[0] - '1'))
 	}
 }
 
 // back leaves the help, the details, or else the filter.
 func (m *Model) back() {
 	switch {
-	case m.help:
-		m.help = false
-	case m.detail:
-		m.detail = false
+	case m.showHelp:
+		m.showHelp = false
+	case m.showDetails:
+		m.showDetails = false
 	default:
 		m.filter = ""
 	}
 }
 
-// turn turns to a table.
-func (m *Model) turn(tab int) {
+// selectTable turns to a table.
+func (m *Model) selectTable(tab int) {
 	if tab != m.tab {
-		m.tab, m.row, m.top, m.chosen, m.detail = tab, 0, 0, "", false
+		m.tab, m.selectedRow, m.firstVisibleRow, m.selectedKey, m.showDetails = tab, 0, 0, "", false
 	}
 }
 
-// move chooses the row so many further down.
-func (m *Model) move(by int) {
-	m.row = max(0, min(m.row+by, len(m.cached)-1))
-	if m.row < len(m.cached) {
-		m.chosen = m.cached[m.row].Key
+// moveSelection chooses the row so many further down.
+func (m *Model) moveSelection(by int) {
+	m.selectedRow = max(0, min(m.selectedRow+by, len(m.rows)-1))
+	if m.selectedRow < len(m.rows) {
+		m.selectedKey = m.rows[m.selectedRow].Key
 	}
 }
 
-// list brings the rows up to date. The chosen row stays chosen when others come and go.
-func (m *Model) list() {
+// refreshRows brings the rows up to date. The chosen row stays chosen when others come and go.
+func (m *Model) refreshRows() {
 	table := m.tables[m.tab]
-	m.cached = table.Rows(m.state, m.clock(), m.why, m.order[m.tab], m.reversed[m.tab], m.filter)
-	if i := slices.IndexFunc(m.cached, func(r Row) bool { return r.Key == m.chosen }); i >= 0 && m.row > 0 {
-		m.row = i
+	m.rows = table.Rows(m.state, m.controllerNowMs(), m.reasons, m.order[m.tab], m.reversed[m.tab], m.filter)
+	if i := slices.IndexFunc(m.rows, func(r Row) bool { return r.Key == m.selectedKey }); i >= 0 && m.selectedRow > 0 {
+		m.selectedRow = i
 	}
-	m.row = max(0, min(m.row, len(m.cached)-1))
-	if !m.detail {
-		m.chosen = ""
-		if m.row < len(m.cached) {
-			m.chosen = m.cached[m.row].Key
+	m.selectedRow = max(0, min(m.selectedRow, len(m.rows)-1))
+	if !m.showDetails {
+		m.selectedKey = ""
+		if m.selectedRow < len(m.rows) {
+			m.selectedKey = m.rows[m.selectedRow].Key
 		}
 	}
-	if room := m.room(); m.row < m.top {
-		m.top = m.row
-	} else if m.row >= m.top+room {
-		m.top = m.row - room + 1
+	if room := m.visibleRowCount(); m.selectedRow < m.firstVisibleRow {
+		m.firstVisibleRow = m.selectedRow
+	} else if m.selectedRow >= m.firstVisibleRow+room {
+		m.firstVisibleRow = m.selectedRow - room + 1
 	}
-	m.top = max(0, min(m.top, len(m.cached)-1))
+	m.firstVisibleRow = max(0, min(m.firstVisibleRow, len(m.rows)-1))
 }
 
-// clock is the time of day by the clock of the controller that the state came from, in milliseconds.
-func (m *Model) clock() int64 {
+// controllerNowMs is the time of day by the controllerNowMs of the controller that the state came from, in milliseconds.
+func (m *Model) controllerNowMs() int64 {
 	if m.state.Snapshot == nil {
 		return 0
 	}
 	return m.state.Now + m.now().Sub(m.state.Sent).Milliseconds()
 }
 
-// room is how many rows fit on the screen.
-func (m *Model) room() int { return max(1, m.height-frameLines) }
+// visibleRowCount is how many rows fit on the screen.
+func (m *Model) visibleRowCount() int { return max(1, m.height-frameLines) }
 
-// visible are the rows on the screen.
-func (m *Model) visible() []Row {
-	return m.cached[min(m.top, len(m.cached)):min(m.top+m.room(), len(m.cached))]
+// visibleRows are the rows on the screen.
+func (m *Model) visibleRows() []Row {
+	return m.rows[min(m.firstVisibleRow, len(m.rows)):min(m.firstVisibleRow+m.visibleRowCount(), len(m.rows))]
 }
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -25,28 +25,28 @@
 
 // View draws the screen.
 func (m *Model) View() string {
-	lines := []string{bold.Render(m.fit(m.title())), m.fit(m.summary()), m.tabs()}
+	lines := []string{bold.Render(m.truncate(m.title())), m.truncate(m.summary()), m.tabs()}
 	if s := m.warning(); s != "" {
-		lines[1] = alarm.Render(m.fit("! " + s))
+		lines[1] = alarm.Render(m.truncate("! " + s))
 	}
 	switch {
-	case m.help:
-		lines = append(lines, m.pad(strings.Split(helpText, "\n"), m.room()+1)...)
-	case m.detail:
-		lines = append(lines, m.pad(m.details(), m.room()+1)...)
+	case m.showHelp:
+		lines = append(lines, m.padLines(strings.Split(helpText, "\n"), m.visibleRowCount()+1)...)
+	case m.showDetails:
+		lines = append(lines, m.padLines(m.detailLines(), m.visibleRowCount()+1)...)
 	default:
-		lines = append(lines, m.table()...)
+		lines = append(lines, m.tableLines()...)
 	}
-	return strings.Join(append(lines, faint.Render(m.fit(m.keys()))), "\n")
+	return strings.Join(append(lines, faint.Render(m.truncate(m.keyHints()))), "\n")
 }
 
-// fit cuts a line to the screen's width.
-func (m *Model) fit(s string) string { return ansi.Truncate(s, max(1, m.width), "…") }
+// truncate cuts a line to the screen's width.
+func (m *Model) truncate(s string) string { return ansi.Truncate(s, max(1, m.width), "…") }
 
-func (m *Model) pad(lines []string, n int) []string {
+func (m *Model) padLines(lines []string, n int) []string {
 	out := make([]string, n)
 	for i := range min(n, len(lines)) {
-		out[i] = m.fit(lines[i])
+		out[i] = m.truncate(lines[i])
 	}
 	return out
 }
@@ -54,36 +54,36 @@
 func (m *Model) title() string {
 	s := m.state
 	if s.Snapshot == nil {
-		return "dykeledge " + clean(m.cluster) + ": no state yet"
+		return "dykeledge " + printable(m.cluster) + ": no state yet"
 	}
 	who := ""
 	if s.Scope != "" {
-		who = " team " + clean(s.Scope)
+		who = " team " + printable(s.Scope)
 	}
-	return fmt.Sprintf("dykeledge %s%s  revision %d  %s  from %s", clean(m.cluster), who, s.Revision, ageText(s.Age(m.now())), clean(s.Asked))
+	return fmt.Sprintf("dykeledge %s%s  revision %d  %s  from %s", printable(m.cluster), who, s.Revision, ageText(s.Age(m.now())), printable(s.Controller))
 }
 
 func ageText(d time.Duration) string {
 	if d < 10*time.Second {
 		return fmt.Sprintf("%.1f s old", d.Seconds())
 	}
-	return span(d.Milliseconds()) + " old"
+	return formatDuration(d.Milliseconds()) + " old"
 }
 
 // warning says why the screen may be wrong, "" if it is not.
 func (m *Model) warning() string {
 	s := m.state
 	if s.Snapshot == nil {
-		return clean(s.Warning)
+		return printable(s.Warning)
 	}
-	if age := s.Age(m.now()); age > viewclient.Fresh {
+	if age := s.Age(m.now()); age > viewclient.MaxFreshAge {
 		why := s.Warning
 		if why == "" {
 			why = "no newer answer yet"
 		}
-		return fmt.Sprintf("THIS IS %s: %s", strings.ToUpper(ageText(age)), clean(why))
+		return fmt.Sprintf("THIS IS %s: %s", strings.ToUpper(ageText(age)), printable(why))
 	}
-	return clean(s.Warning)
+	return printable(s.Warning)
 }
 
 func (m *Model) summary() string {
@@ -97,7 +97,7 @@
 		all.Queued, all.Running = all.Queued+t.Queued, all.Running+t.Running
 		all.Waiting, all.Placed = all.Waiting+t.Waiting, all.Placed+t.Placed
 	}
-	late, now := 0, m.clock()
+	late, now := 0, m.controllerNowMs()
 	state.Jobs("", func(j *view.Job) bool {
 		if !j.Status.Final() && j.Behind(now) > 0 {
 			late++
@@ -117,86 +117,86 @@
 		}
 		out = append(out, name)
 	}
-	return m.fit(strings.Join(out, " "))
+	return m.truncate(strings.Join(out, " "))
 }
 
-// table draws titles and rows.
-func (m *Model) table() []string {
+// tableLines draws titles and rows.
+func (m *Model) tableLines() []string {
 	table := m.tables[m.tab]
-	cols, at := m.columns(table)
-	titles := make([]string, len(cols))
-	for i, c := range cols {
+	columns, indexes := m.visibleColumns(table)
+	titles := make([]string, len(columns))
+	for i, c := range columns {
 		titles[i] = cell(c.Title, c)
 	}
-	lines := []string{bold.Render(m.fit("  " + strings.Join(titles, " ")))}
-	for i, row := range m.visible() {
-		cells := make([]string, len(cols))
-		for k, c := range cols {
-			cells[k] = cell(row.Cells[at[k]], c)
+	lines := []string{bold.Render(m.truncate("  " + strings.Join(titles, " ")))}
+	for i, row := range m.visibleRows() {
+		cells := make([]string, len(columns))
+		for k, c := range columns {
+			cells[k] = cell(row.Cells[indexes[k]], c)
 		}
 		mark := "  "
-		if m.top+i == m.row {
+		if m.firstVisibleRow+i == m.selectedRow {
 			mark = "> "
 		}
-		line := m.fit(mark + strings.TrimRight(strings.Join(cells, " "), " "))
-		if row.Late {
+		line := m.truncate(mark + strings.TrimRight(strings.Join(cells, " "), " "))
+		if row.BehindSchedule {
 			line = alarm.Render(line)
 		}
 		lines = append(lines, line)
 	}
-	if len(m.cached) == 0 {
-		nothing := "  nothing here"
+	if len(m.rows) == 0 {
+		message := "  nothing here"
 		if m.filter != "" {
-			nothing = "  nothing holds " + fmt.Sprintf("%q", m.filter)
+			message = "  nothing holds " + fmt.Sprintf("%q", m.filter)
 		}
-		lines = append(lines, faint.Render(m.fit(nothing)))
+		lines = append(lines, faint.Render(m.truncate(message)))
 	}
-	for len(lines) < m.room()+1 {
+	for len(lines) < m.visibleRowCount()+1 {
 		lines = append(lines, "")
 	}
 	return lines
 }
 
-// columns are those that the screen is wide enough for, and where they are in a row. The last
+// visibleColumns are those that the screen is wide enough for, and where they are in a row. The last
 // one takes what is left.
-func (m *Model) columns(table Table) (cols []Column, at []int) {
+func (m *Model) visibleColumns(table Table) (columns []Column, indexes []int) {
 	left := m.width - 2
 	for i, c := range table.Columns {
-		if m.width >= c.Need {
-			if c.Width == jobWidth && m.width >= wideScreen {
-				c.Width = jobWideWidth
+		if m.width >= c.MinScreenWidth {
+			if c.Width == jobColumnWidth && m.width >= wideScreenWidth {
+				c.Width = wideJobColumnWidth
 			}
-			cols, at = append(cols, c), append(at, i)
+			columns, indexes = append(columns, c), append(indexes, i)
 			left -= c.Width + 1
 		}
 	}
-	if last := &cols[len(cols)-1]; !last.Right {
+	if last := &columns[len(columns)-1]; !last.AlignRight {
 		last.Width = max(8, last.Width+left+1)
 	}
-	return cols, at
+	return columns, indexes
 }
 
 func cell(s string, c Column) string {
 	s = ansi.Truncate(s, c.Width, "…")
 	fill := strings.Repeat(" ", max(0, c.Width-ansi.StringWidth(s)))
-	if c.Right {
+	if c.AlignRight {
 		return fill + s
 	}
 	return s + fill
 }
 
-func (m *Model) keys() string {
-	if m.typing {
-		return "filter: " + clean(m.filter) + "_   enter keeps it, esc drops it"
+func (m *Model) keyHints() string {
+	if m.editingFilter {
+		return "filter: " + printable(m.filter) + "_   enter keeps it, esc drops it"
 	}
 	t := m.tables[m.tab]
 	order := t.Orders[m.order[m.tab]]
 	if m.reversed[m.tab] {
 		order += ", reversed"
 	}
-	s := fmt.Sprintf("%d of %d  by %s  ", min(m.row+1, len(m.cached)), len(m.cached), order)
+	s := fmt.Sprintf("%d of %d  by %s  ", min(m.selectedRow+1, len(m.rows)), len(m.rows), order)
 	if m.filter != "" {
-		s += "with " + clean(m.filter) + "  "
+		s += "with " + printable(m.filter) + "  "
 	}
 	return s + "? help  enter detail  / filter  s sort  q quit"
 }
@@ -217,27 +217,27 @@
   Why a job waits is known only to the node that decides it, and is asked for what
   is on the screen.`
 
-// details tell all of what is chosen.
-func (m *Model) details() []string {
+// detailLines tell all of what is chosen.
+func (m *Model) detailLines() []string {
 	state := m.state
 	if state.Snapshot == nil {
 		return nil
 	}
-	now := m.clock()
+	now := m.controllerNowMs()
 	switch m.tables[m.tab].Name {
 	case Queue, Running, Finished:
-		j := state.Job(m.chosen)
+		j := state.Job(m.selectedKey)
 		if j == nil {
-			return []string{"", "  " + clean(m.chosen) + " is not listed any more"}
+			return []string{"", "  " + printable(m.selectedKey) + " is not listed any more"}
 		}
-		return m.jobDetails(j, now)
+		return m.jobDetailLines(j, now)
 	case Evictions:
 		var out []string
 		state.Evictions(func(e *view.Eviction) bool {
-			if e.Key == m.chosen {
-				out = append(out, "", fmt.Sprintf("  room for %s of %s, %s ago", clean(e.Job), clean(e.Team), span(now-e.At)), "")
+			if e.Key == m.selectedKey {
+				out = append(out, "", fmt.Sprintf("  room for %s of %s, %s ago", printable(e.Job), printable(e.Team), formatDuration(now-e.At)), "")
 				for _, v := range e.Victims {
-					out = append(out, fmt.Sprintf("  %s/%d of %s, attempt %d, score %.4f", clean(v.Job), v.Task, clean(v.Team), v.Attempt, v.Score))
+					out = append(out, fmt.Sprintf("  %s/%d of %s, attempt %d, score %.4f", printable(v.Job), v.Task, printable(v.Team), v.Attempt, v.Score))
 				}
 			}
 			return true
@@ -246,8 +246,8 @@
 	}
 	t := m.tables[m.tab]
 	out := []string{""}
-	for _, r := range m.cached {
-		if r.Key == m.chosen {
+	for _, r := range m.rows {
+		if r.Key == m.selectedKey {
 			for i, c := range t.Columns {
 				out = append(out, fmt.Sprintf("  %-10s %s", strings.ToLower(c.Title), r.Cells[i]))
 			}
@@ -256,12 +256,12 @@
 	return out
 }
 
-func (m *Model) jobDetails(job *view.Job, now int64) []string {
+func (m *Model) jobDetailLines(job *view.Job, now int64) []string {
 	clock := func(ms int64) string {
 		if ms == 0 {
 			return "-"
 		}
-		return time.UnixMilli(ms).Format("15:04:05") + fmt.Sprintf(" (%s ago)", span(now-ms))
+		return time.UnixMilli(ms).Format("15:04:05") + fmt.Sprintf(" (%s ago)", formatDuration(now-ms))
 	}
 	kind := "array"
 	if job.Service {
@@ -271,26 +271,26 @@
 	if job.Due > 0 {
 		schedule = "due " + time.UnixMilli(job.Due).Format("15:04:05")
 		if b := job.Behind(now); b > 0 {
-			schedule += ", BEHIND by " + span(b)
+			schedule += ", BEHIND by " + formatDuration(b)
 		} else {
-			schedule += ", " + span(-b) + " in hand"
+			schedule += ", " + formatDuration(-b) + " in hand"
 		}
 	}
 	why := "-"
-	if w, ok := m.why[job.ID]; ok && w.Why != "" {
-		by := "told by " + clean(w.Member) + ", which does not decide it"
+	if w, ok := m.reasons[job.ID]; ok && w.Why != "" {
+		by := "told by " + printable(w.Member) + ", which does not decide it"
 		if w.Owner {
-			by = "decided by " + clean(w.Member)
+			by = "decided by " + printable(w.Member)
 		}
-		why = fmt.Sprintf("%s (%s, %s ago)", clean(w.Why), by, span(m.now().Sub(w.Got).Milliseconds()))
-	} else if t := whyText(job, m.why); t != "" {
+		why = fmt.Sprintf("%s (%s, %s ago)", printable(w.Why), by, formatDuration(m.now().Sub(w.ReceivedAt).Milliseconds()))
+	} else if t := waitReasonText(job, m.reasons); t != "" {
 		why = t
 	}
-	return []string{"", "  " + clean(job.ID) + "  " + job.Status.String(), "",
-		fmt.Sprintf("  team       %s, class %s, share %d", clean(job.Team), clean(job.Class), job.Shard),
+	return []string{"", "  " + printable(job.ID) + "  " + job.Status.String(), "",
+		fmt.Sprintf("  team       %s, class %s, share %d", printable(job.Team), printable(job.Class), job.Shard),
 		fmt.Sprintf("  priority   %s, %s", job.Priority, kind),
 		fmt.Sprintf("  tasks      %d: %d done, %d placed, %d waiting", job.Tasks, job.Done, job.Placed, job.Waiting()),
-		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", milli(job.Cpus), milli(job.Gpus), span(int64(job.Estimate))),
+		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", formatMilli(job.Cpus), formatMilli(job.Gpus), formatDuration(int64(job.Estimate))),
 		"  submitted  " + clock(job.Submit),
 		"  counts     from " + clock(job.From),
 		"  ended      " + clock(job.End),
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -16,18 +16,18 @@
 
 // Column is a column of a table. Need says how wide a screen must be to show it; 0: always.
 type Column struct {
-	Title string
-	Width int
-	Right bool
-	Need  int
+	Title          string
+	Width          int
+	AlignRight     bool
+	MinScreenWidth int
 }
 
 // Row is a row: the cells, what it is about, and what it is sorted by.
 type Row struct {
-	Key   string // a job's id, a machine's or controller's or team's name, an evicted set's key
-	Cells []string
-	Late  bool // behind schedule
-	sort  []float64
+	Key            string // a job's id, a machine's or controller's or team's name, an evicted set's key
+	Cells          []string
+	BehindSchedule bool // behind schedule
+	sortValues     []float64
 }
 
 // Table is one of the screen's tables.
@@ -40,9 +40,9 @@
 
 // A job's id is cut on a narrow screen; details tell it whole.
 const (
-	jobWidth     = 13
-	jobWideWidth = 22
-	wideScreen   = 110
+	jobColumnWidth     = 13
+	wideJobColumnWidth = 22
+	wideScreenWidth    = 110
 )
 
 // Names of the tables, in the order of their keys.
@@ -58,17 +58,17 @@
 
 // Tables returns all tables, in the order of their keys.
 func Tables() []Table {
-	jobs := func(done int, last Column, more ...Column) []Column {
-		return append(append([]Column{{"", 1, false, 0}, {"JOB", jobWidth, false, 0}, {"TEAM", 8, false, 0}, {"CLASS", 10, false, 100}, {"PRIO", 4, false, 0},
-			{"TASKS", 6, true, 0}, {"DONE", 6, true, done}, {"PLACED", 6, true, 0}}, more...), last)
+	jobColumns := func(doneMinWidth int, last Column, more ...Column) []Column {
+		return append(append([]Column{{"", 1, false, 0}, {"JOB", jobColumnWidth, false, 0}, {"TEAM", 8, false, 0}, {"CLASS", 10, false, 100}, {"PRIO", 4, false, 0},
+			{"TASKS", 6, true, 0}, {"DONE", 6, true, doneMinWidth}, {"PLACED", 6, true, 0}}, more...), last)
 	}
-	byJob := []string{"schedule", "priority", "age", "tasks", "name"}
+	jobOrders := []string{"schedule", "priority", "age", "tasks", "name"}
 	return []Table{
-		{Queue, jobs(90, Column{"WHY IT WAITS", 40, false, 0}, Column{"WAITS", 6, true, 0}, Column{"AGE", 6, true, 0}, Column{"DUE IN", 8, true, 110}), byJob,
+		{Queue, jobColumns(90, Column{"WHY IT WAITS", 40, false, 0}, Column{"WAITS", 6, true, 0}, Column{"AGE", 6, true, 0}, Column{"DUE IN", 8, true, 110}), jobOrders,
 			jobRows(func(j *view.Job) bool { return !j.Status.Final() && (j.Waiting() > 0 || j.Awaits > 0) }, true)},
-		{Running, jobs(0, Column{"DUE IN", 8, true, 0}, Column{"WAITS", 6, true, 0}, Column{"AGE", 7, true, 0}, Column{"CPUS", 8, true, 0}), byJob,
+		{Running, jobColumns(0, Column{"DUE IN", 8, true, 0}, Column{"WAITS", 6, true, 0}, Column{"AGE", 7, true, 0}, Column{"CPUS", 8, true, 0}), jobOrders,
 			jobRows(func(j *view.Job) bool { return !j.Status.Final() && j.Placed > 0 }, false)},
-		{Finished, jobs(0, Column{"LATE", 8, true, 0}, Column{"ENDED", 7, true, 0}, Column{"STATUS", 9, false, 0}), []string{"end", "schedule", "priority", "tasks", "name"}, finishedRows},
+		{Finished, jobColumns(0, Column{"LATE", 8, true, 0}, Column{"ENDED", 7, true, 0}, Column{"STATUS", 9, false, 0}), []string{"end", "schedule", "priority", "tasks", "name"}, finishedRows},
 		{Teams, []Column{{"TEAM", 8, false, 0}, {"GUARANT.", 8, true, 0}, {"LIMIT", 8, true, 0}, {"USED", 8, true, 0}, {"BORROWED", 8, true, 0},
 			{"DOMINANT", 8, true, 0}, {"WAITING", 8, true, 0}, {"JOBS", 6, true, 0}, {"RUNNING", 7, true, 0}, {"GPUS", 7, true, 90}, {"MONEY/H", 9, true, 100}},
 			[]string{"dominant", "waiting", "name"}, teamRows},
@@ -77,7 +77,7 @@
 			[]string{"name", "tasks", "used", "price"}, machineRows},
 		{Members, []Column{{"NODE", 16, false, 0}, {"STATE", 10, false, 0}, {"LEADS", 5, false, 0}, {"SHARES", 30, false, 0}}, []string{"name"}, memberRows},
 		{Evictions, []Column{{"AGO", 7, true, 0}, {"FOR JOB", 12, false, 0}, {"TEAM", 9, false, 0}, {"OPEN", 5, false, 0}, {"VICTIMS", 7, true, 0},
-			{"WHOSE", 36, false, 0}}, []string{"latest", "victims"}, evictionRows},
+			{"WHOSE", 36, false, 0}}, []string{"latest", "victims"}, victimSetRows},
 	}
 }
 
@@ -96,7 +96,7 @@
 	slices.SortStableFunc(rows, func(a, b Row) int {
 		c := 0
 		if !name {
-			c = cmp.Compare(b.sort[order], a.sort[order]) // the most of anything first
+			c = cmp.Compare(b.sortValues[order], a.sortValues[order]) // the most of anything first
 		}
 		if c == 0 {
 			c = cmp.Compare(a.Key, b.Key)
@@ -118,16 +118,16 @@
 	case j.Suspect:
 		mark = "?"
 	}
-	return []string{mark, clean(j.ID), clean(j.Team), clean(j.Class), prio(j), num(j.Tasks), num(j.Done), num(j.Placed)}, late
+	return []string{mark, printable(j.ID), printable(j.Team), printable(j.Class), priorityText(j), formatInt(j.Tasks), formatInt(j.Done), formatInt(j.Placed)}, late
 }
 
-func prio(j *view.Job) string {
+func priorityText(j *view.Job) string {
 	p := j.Priority.String()
 	return p[:min(len(p), 4)]
 }
 
-// jobOrder is what jobs are sorted by: how far behind, priority, age, tasks.
-func jobOrder(j *view.Job, now int64) []float64 {
+// jobSortValues is what jobs are sorted by: how far behind, priority, age, tasks.
+func jobSortValues(j *view.Job, now int64) []float64 {
 	behind := math.Inf(-1)
 	if j.Due != 0 && j.Behind(now) > 0 {
 		behind = float64(j.Behind(now))
@@ -138,40 +138,40 @@
 	return []float64{behind, float64(j.Priority), float64(now - j.From), float64(j.Tasks), 0}
 }
 
-func jobRows(of func(*view.Job) bool, queue bool) func(*viewclient.State, int64, map[string]viewclient.Why) []Row {
+func jobRows(include func(*view.Job) bool, forQueue bool) func(*viewclient.State, int64, map[string]viewclient.Why) []Row {
 	return func(state *viewclient.State, now int64, why map[string]viewclient.Why) (rows []Row) {
 		state.Jobs("", func(job *view.Job) bool {
-			if !of(job) {
+			if !include(job) {
 				return true
 			}
 			cells, late := jobCells(job, now)
-			waits := num(job.Waiting())
+			waits := formatInt(job.Waiting())
 			if job.Awaits > 0 {
 				waits = "-"
 			}
-			cells = append(cells, waits, span(now-job.From))
-			if queue {
-				cells = append(cells, due(job, now), whyText(job, why))
+			cells = append(cells, waits, formatDuration(now-job.From))
+			if forQueue {
+				cells = append(cells, deadlineText(job, now), waitReasonText(job, why))
 			} else {
-				cells = append(cells, milli(job.Cpus*uint64(job.Placed)), due(job, now))
+				cells = append(cells, formatMilli(job.Cpus*uint64(job.Placed)), deadlineText(job, now))
 			}
-			rows = append(rows, Row{Key: job.ID, Cells: cells, Late: late, sort: jobOrder(job, now)})
+			rows = append(rows, Row{Key: job.ID, Cells: cells, BehindSchedule: late, sortValues: jobSortValues(job, now)})
 			return true
 		})
 		return rows
 	}
 }
 
-// whyText is why a job waits as far as its row tells, or the controller that decides it.
-func whyText(job *view.Job, why map[string]viewclient.Why) string {
+// waitReasonText is why a job waits as far as its row tells, or the controller that decides it.
+func waitReasonText(job *view.Job, why map[string]viewclient.Why) string {
 	if job.Awaits > 0 {
 		return fmt.Sprintf("waits for %d other jobs", job.Awaits)
 	}
 	if w, ok := why[job.ID]; ok {
-		if age := time.Since(w.Got); age > viewclient.Fresh {
-			return fmt.Sprintf("%s (%s ago)", clean(w.Why), span(age.Milliseconds()))
+		if age := time.Since(w.ReceivedAt); age > viewclient.MaxFreshAge {
+			return fmt.Sprintf("%s (%s ago)", printable(w.Why), formatDuration(age.Milliseconds()))
 		}
-		return clean(w.Why)
+		return printable(w.Why)
 	}
 	if job.Evicting {
 		return "evicted tasks are still stopping"
@@ -187,14 +187,14 @@
 		cells, late := jobCells(job, now)
 		lateBy, ended := "", ""
 		if late {
-			lateBy = span(job.Behind(now))
+			lateBy = formatDuration(job.Behind(now))
 		}
 		if job.End > 0 {
-			ended = span(now - job.End)
+			ended = formatDuration(now - job.End)
 		}
-		order := jobOrder(job, now)
+		order := jobSortValues(job, now)
 		order[0], order[1], order[2] = float64(job.End), order[0], order[1]
-		rows = append(rows, Row{Key: job.ID, Cells: append(cells, ended, job.Status.String(), lateBy), Late: late, sort: order})
+		rows = append(rows, Row{Key: job.ID, Cells: append(cells, ended, job.Status.String(), lateBy), BehindSchedule: late, sortValues: order})
 		return true
 	})
 	return rows
@@ -206,15 +206,15 @@
 		borrowed, _ := t.Borrowed()
 		limit := "-"
 		if t.CpusMax > 0 {
-			limit = milli(t.CpusMax)
+			limit = formatMilli(t.CpusMax)
 		}
-		rows = append(rows, Row{Key: t.Name, Cells: []string{clean(t.Name), milli(t.Cpus), limit, milli(t.UsedCpus), milli(borrowed),
-			fmt.Sprintf("%.1f%%", float64(t.DominantPM)/10), milli(t.WaitsCpus), num(t.Queued + t.Running), num(t.Running), milli(t.UsedGpus), money(t.RateMicro)},
-			sort: []float64{float64(t.DominantPM), float64(t.WaitsCpus), 0}})
+		rows = append(rows, Row{Key: t.Name, Cells: []string{printable(t.Name), formatMilli(t.Cpus), limit, formatMilli(t.UsedCpus), formatMilli(borrowed),
+			fmt.Sprintf("%.1f%%", float64(t.DominantPM)/10), formatMilli(t.WaitingCpus), formatInt(t.Queued + t.Running), formatInt(t.Running), formatMilli(t.UsedGpus), formatMoney(t.RateMicro)},
+			sortValues: []float64{float64(t.DominantPM), float64(t.WaitingCpus), 0}})
 	}
 	if o := state.Others; o != nil {
-		rows = append(rows, Row{Key: "~", Cells: []string{"all others", "", "", milli(o.UsedCpus), "", "", milli(o.WaitsCpus), num(o.Queued + o.Running),
-			num(o.Running), milli(o.UsedGpus), ""}, sort: []float64{-1, -1, 0}})
+		rows = append(rows, Row{Key: "~", Cells: []string{"all others", "", "", formatMilli(o.UsedCpus), "", "", formatMilli(o.WaitingCpus), formatInt(o.Queued + o.Running),
+			formatInt(o.Running), formatMilli(o.UsedGpus), ""}, sortValues: []float64{-1, -1, 0}})
 	}
 	return rows
 }
@@ -227,11 +227,11 @@
 		}
 		var teams []string
 		for _, u := range machine.Uses {
-			teams = append(teams, fmt.Sprintf("%s %s", clean(u.Team), milli(u.Cpus)))
+			teams = append(teams, fmt.Sprintf("%s %s", printable(u.Team), formatMilli(u.Cpus)))
 		}
-		rows = append(rows, Row{Key: machine.Name, Cells: []string{clean(machine.Name), machine.State.String(), clean(machine.Type), clean(machine.Zone), kind, num(machine.Shard), num(machine.Tasks),
-			milli(machine.UsedCpus) + "/" + milli(machine.Cpus), milli(machine.UsedGpus) + "/" + milli(machine.Gpus), money(machine.Price), strings.Join(teams, ", ")},
-			sort: []float64{0, float64(machine.Tasks), float64(machine.UsedCpus), float64(machine.Price)}})
+		rows = append(rows, Row{Key: machine.Name, Cells: []string{printable(machine.Name), machine.State.String(), printable(machine.Type), printable(machine.Zone), kind, formatInt(machine.Shard), formatInt(machine.Tasks),
+			formatMilli(machine.UsedCpus) + "/" + formatMilli(machine.Cpus), formatMilli(machine.UsedGpus) + "/" + formatMilli(machine.Gpus), formatMoney(machine.Price), strings.Join(teams, ", ")},
+			sortValues: []float64{0, float64(machine.Tasks), float64(machine.UsedCpus), float64(machine.Price)}})
 		return true
 	})
 	return rows
@@ -239,54 +239,54 @@
 
 func memberRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
 	for _, member := range state.Members {
-		stands, leads, shards := "gone", "", make([]string, len(member.Shares))
+		memberState, leads, shards := "gone", "", make([]string, len(member.Shares))
 		switch {
 		case member.Alive && member.Unfit:
-			stands = "no workers"
+			memberState = "no workers"
 		case member.Alive:
-			stands = "alive"
+			memberState = "alive"
 		}
 		if member.Leader {
 			leads = "yes"
 		}
 		for i, shard := range member.Shares {
-			shards[i] = num(shard)
+			shards[i] = formatInt(shard)
 		}
-		rows = append(rows, Row{Key: member.Name, Cells: []string{clean(member.Name), stands, leads, strings.Join(shards, " ")}, sort: []float64{0}})
+		rows = append(rows, Row{Key: member.Name, Cells: []string{printable(member.Name), memberState, leads, strings.Join(shards, " ")}, sortValues: []float64{0}})
 	}
 	return rows
 }
 
-func evictionRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
+func victimSetRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
 	state.Evictions(func(eviction *view.Eviction) bool {
 		count := map[string]int{}
-		var whose []string
+		var victimTeams []string
 		for _, v := range eviction.Victims {
 			if count[v.Team]++; count[v.Team] == 1 {
-				whose = append(whose, v.Team)
+				victimTeams = append(victimTeams, v.Team)
 			}
 		}
-		slices.Sort(whose)
-		for i, t := range whose {
-			whose[i] = fmt.Sprintf("%s %d", clean(t), count[t])
+		slices.Sort(victimTeams)
+		for i, t := range victimTeams {
+			victimTeams[i] = fmt.Sprintf("%s %d", printable(t), count[t])
 		}
-		job, team, open := clean(eviction.Job), clean(eviction.Team), "over"
+		job, team, status := printable(eviction.Job), printable(eviction.Team), "over"
 		if job == "" {
 			job, team = "another", "-"
 		}
 		if eviction.Open {
-			open = "open"
+			status = "open"
 		}
-		rows = append(rows, Row{Key: eviction.Key, Cells: []string{span(now - eviction.At), job, team, open, num(len(eviction.Victims)), strings.Join(whose, ", ")},
-			sort: []float64{float64(eviction.At), float64(len(eviction.Victims))}})
+		rows = append(rows, Row{Key: eviction.Key, Cells: []string{formatDuration(now - eviction.At), job, team, status, formatInt(len(eviction.Victims)), strings.Join(victimTeams, ", ")},
+			sortValues: []float64{float64(eviction.At), float64(len(eviction.Victims))}})
 		return true
 	})
 	return rows
 }
 
-// clean makes a name that others chose fit for a screen: a terminal would obey its control
+// printable makes a name that others chose fit for a screen: a terminal would obey its control
 // characters.
-func clean(s string) string {
+func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
 			return '·'
@@ -295,15 +295,15 @@
 	}, s)
 }
 
-func num[T ~int | ~uint32 | ~uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
+func formatInt[T ~int | ~uint32 | ~uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
 
-// milli shows thousandths.
-func milli(v uint64) string { return strconv.FormatFloat(float64(v)/1000, 'f', -1, 64) }
+// formatMilli shows thousandths.
+func formatMilli(v uint64) string { return strconv.FormatFloat(float64(v)/1000, 'f', -1, 64) }
 
-func money(micro uint64) string { return strconv.FormatFloat(float64(micro)/1e6, 'f', 2, 64) }
+func formatMoney(micro uint64) string { return strconv.FormatFloat(float64(micro)/1e6, 'f', 2, 64) }
 
-// span shows a time span in milliseconds in at most seven characters.
-func span(ms int64) string {
+// formatDuration shows a time formatDuration in milliseconds in at most seven characters.
+func formatDuration(ms int64) string {
 	s := ms / 1000
 	sign := ""
 	if s < 0 {
@@ -320,10 +320,10 @@
 	return fmt.Sprintf("%s%dd%02dh", sign, s/86400, s/3600%24)
 }
 
-// due is how long a job has left, or by how much it is late.
-func due(j *view.Job, now int64) string {
+// deadlineText is how long a job has left, or by how much it is late.
+func deadlineText(j *view.Job, now int64) string {
 	if j.Due == 0 {
 		return "-"
 	}
-	return span(j.Due - now)
+	return formatDuration(j.Due - now)
 }
--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -55,21 +55,21 @@
 	Money        float64      `json:"money"`
 	Done         int          `json:"jobs_done"`
 	Cancelled    int          `json:"jobs_cancelled"`
-	Waits        Spread       `json:"waits_s"`
+	Waits        Distribution `json:"waits_s"`
 	WithDue      int          `json:"jobs_with_deadline"`
 	Late         int          `json:"jobs_late"`
-	LateBy       Spread       `json:"late_by_s"`
+	LateBy       Distribution `json:"late_by_s"`
 	Evicted      int          `json:"tasks_evicted"`     // of this team
 	EvictedFor   int          `json:"tasks_evicted_for"` // its jobs
 	Series       []Point      `json:"series"`
 	Latest       []LateJob    `json:"worst_late_jobs"`
-	waits        []float64    // of jobs that started, in seconds
-	lates        [][2]float64 // when a job ended (seconds of the day's clock) and by how much it was late
-	evicts       [][3]float64 // when a set was evicted, its tasks in it, and tasks evicted for it, all so far
+	waitSeconds  []float64    // of jobs that started, in seconds
+	lateness     [][2]float64 // when a job ended (seconds of the day's clock) and by how much it was late
+	evictedSoFar [][3]float64 // when a set was evicted, its tasks in it, and tasks evicted for it, all so far
 }
 
-// Spread tells of a distribution.
-type Spread struct {
+// Distribution tells of a distribution.
+type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P90   float64 `json:"p90"`
@@ -94,44 +94,44 @@
 
 // Bounds of a report.
 const (
-	mostPoints = 300 // of a team's series
-	mostLate   = 20  // jobs that are listed
-	gapTimes   = 4   // a pause between samples this many times as long as usual is a gap
+	maxPoints   = 300 // of a team's series
+	maxLateJobs = 20  // jobs that are listed
+	gapFactor   = 4   // a pause between samples this many times as long as usual is a gap
 )
 
-func round(v float64) float64 { return math.Round(v*100) / 100 }
+func roundHundredths(v float64) float64 { return math.Round(v*100) / 100 }
 
-// exact rounds money, of which there may be little.
-func exact(v float64) float64 { return math.Round(v*1e4) / 1e4 }
+// roundMoney rounds money, of which there may be little.
+func roundMoney(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
-func cpus(milli uint64) float64 { return float64(milli) / 1000 }
+func fromMilli(milli uint64) float64 { return float64(milli) / 1000 }
 
 // Make works a report out of a history, which is as the scope may see it.
 func Make(history *History, title string, scope view.Scope, made time.Time) *Report {
 	report := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(history.From), To: time.UnixMilli(history.To),
-		Samples: len(history.Samples), Broken: history.Broken, Gaps: []Gap{}, Teams: []TeamReport{}}
+		Samples: len(history.Samples), Broken: history.UnreadableLines, Gaps: []Gap{}, Teams: []TeamReport{}}
 	report.KnownFrom = report.To
 	if len(history.Samples) > 0 {
 		report.KnownFrom = time.UnixMilli(history.Samples[0].At)
 	}
-	totals := &totals{teams: map[string]*sums{}}
-	usual := usualPause(history.Samples)
+	totals := &totals{teams: map[string]*teamSums{}}
+	interval := medianInterval(history.Samples)
 	for i := range history.Samples {
-		sample, lasts := &history.Samples[i], 0.0
+		sample, seconds := &history.Samples[i], 0.0
 		if i+1 < len(history.Samples) {
 			next := &history.Samples[i+1]
-			lasts = float64(next.At-sample.At) / 1000
-			if lasts > gapTimes*usual {
-				from := sample.At + int64(usual*1000)
-				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(next.At), round(lasts - usual)})
-				lasts = usual
+			seconds = float64(next.At-sample.At) / 1000
+			if seconds > gapFactor*interval {
+				from := sample.At + int64(interval*1000)
+				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(next.At), roundHundredths(seconds - interval)})
+				seconds = interval
 			}
 		}
-		totals.add(sample, lasts)
+		totals.add(sample, seconds)
 	}
-	report.Cpus = totals.mean(totals.all)
+	report.Cpus = totals.mean(totals.cpuSeconds)
 	if scope != view.Operators {
-		report.Others = &Others{totals.mean(totals.others), round(totals.mostOthers)}
+		report.Others = &Others{totals.mean(totals.otherCpuSeconds), roundHundredths(totals.maxOtherCpus)}
 	}
 	for _, name := range slices.Sorted(maps.Keys(totals.teams)) {
 		report.Teams = append(report.Teams, totals.teams[name].report(name, totals.mean, history))
@@ -141,24 +141,24 @@
 
 // totals is what samples add up to: processors times seconds, and the seconds.
 type totals struct {
-	teams       map[string]*sums
-	spanned     float64
-	all, others float64
-	mostOthers  float64 // processors
+	teams                       map[string]*teamSums
+	seconds                     float64
+	cpuSeconds, otherCpuSeconds float64
+	maxOtherCpus                float64 // processors
 }
 
 // add adds a sample that stands for so many seconds.
 func (t *totals) add(sample *Sample, seconds float64) {
-	t.spanned += seconds
-	t.all += seconds * cpus(sample.Fleet.Cpus)
+	t.seconds += seconds
+	t.cpuSeconds += seconds * fromMilli(sample.Fleet.Cpus)
 	if sample.Others != nil {
-		t.others += seconds * cpus(sample.Others.UsedCpus)
-		t.mostOthers = max(t.mostOthers, cpus(sample.Others.UsedCpus))
+		t.otherCpuSeconds += seconds * fromMilli(sample.Others.UsedCpus)
+		t.maxOtherCpus = max(t.maxOtherCpus, fromMilli(sample.Others.UsedCpus))
 	}
 	for i := range sample.Teams {
 		team := &sample.Teams[i]
 		if t.teams[team.Name] == nil {
-			t.teams[team.Name] = &sums{}
+			t.teams[team.Name] = &teamSums{}
 		}
 		t.teams[team.Name].add(team, time.UnixMilli(sample.At), seconds)
 	}
@@ -166,14 +166,14 @@
 
 // mean is a sum's mean over the time that the samples stand for.
 func (t *totals) mean(sum float64) float64 {
-	if t.spanned == 0 {
+	if t.seconds == 0 {
 		return 0
 	}
-	return round(sum / t.spanned)
+	return roundHundredths(sum / t.seconds)
 }
 
-// usualPause is the median pause between samples, in seconds.
-func usualPause(samples []Sample) float64 {
+// medianInterval is the median pause between samples, in seconds.
+func medianInterval(samples []Sample) float64 {
 	var pauses []int64
 	for i := 1; i < len(samples); i++ {
 		pauses = append(pauses, samples[i].At-samples[i-1].At)
@@ -185,40 +185,40 @@
 	return float64(pauses[len(pauses)/2]) / 1000
 }
 
-// sums is what a team's samples add up to.
-type sums struct {
+// teamSums is what a team's samples add up to.
+type teamSums struct {
 	last                                         view.Team
 	used, borrowed, dominant, most, short, money float64
 	points                                       []Point
 }
 
 // add adds a team's part of a sample that stands for so many seconds.
-func (s *sums) add(team *view.Team, at time.Time, seconds float64) {
+func (s *teamSums) add(team *view.Team, at time.Time, seconds float64) {
 	s.last = *team
 	borrowed, _ := team.Borrowed()
-	s.used += seconds * cpus(team.UsedCpus)
-	s.borrowed += seconds * cpus(borrowed)
+	s.used += seconds * fromMilli(team.UsedCpus)
+	s.borrowed += seconds * fromMilli(borrowed)
 	s.dominant += seconds * float64(team.DominantPM) / 10
-	s.most = max(s.most, cpus(team.UsedCpus))
-	if team.UsedCpus < team.Cpus && team.WaitsCpus > 0 {
+	s.most = max(s.most, fromMilli(team.UsedCpus))
+	if team.UsedCpus < team.Cpus && team.WaitingCpus > 0 {
 		s.short += seconds
 	}
-	s.points = append(s.points, Point{at, round(cpus(team.UsedCpus)), round(cpus(team.WaitsCpus)), exact(s.money)})
+	s.points = append(s.points, Point{at, roundHundredths(fromMilli(team.UsedCpus)), roundHundredths(fromMilli(team.WaitingCpus)), roundMoney(s.money)})
 	s.money += seconds / 3600 * float64(team.RateMicro) / 1e6
 }
 
 // report works out a team's part of a report.
-func (s *sums) report(name string, mean func(float64) float64, history *History) TeamReport {
-	report := TeamReport{Name: name, Guarantee: round(cpus(s.last.Cpus)), Limit: round(cpus(s.last.CpusMax)), MeanCpus: mean(s.used), MostCpus: round(s.most),
-		MeanBorrowed: mean(s.borrowed), MeanDominant: mean(s.dominant), ShortS: round(s.short), Money: exact(s.money), Series: thin(s.points), Latest: []LateJob{}}
+func (s *teamSums) report(name string, mean func(float64) float64, history *History) TeamReport {
+	report := TeamReport{Name: name, Guarantee: roundHundredths(fromMilli(s.last.Cpus)), Limit: roundHundredths(fromMilli(s.last.CpusMax)), MeanCpus: mean(s.used), MostCpus: roundHundredths(s.most),
+		MeanBorrowed: mean(s.borrowed), MeanDominant: mean(s.dominant), ShortS: roundHundredths(s.short), Money: roundMoney(s.money), Series: downsample(s.points), Latest: []LateJob{}}
 	report.addJobs(history.Jobs)
-	report.addEvictions(history.Evicts)
+	report.addEvictions(history.VictimSets)
 	return report
 }
 
 // addJobs counts a team's jobs that are over, their waits and how late they were.
-func (t *TeamReport) addJobs(jobs []JobEnd) {
-	waits, lates := newSpread(), newSpread()
+func (t *TeamReport) addJobs(jobs []FinalJob) {
+	waits, lates := newDurationHistogram(), newDurationHistogram()
 	for i := range jobs {
 		job := &jobs[i]
 		if job.Team != t.Name {
@@ -229,26 +229,26 @@
 			continue
 		}
 		t.Done++
-		if job.Started > 0 {
-			wait := float64(max(0, job.Started-job.From)) / 1000
+		if job.StartedMs > 0 {
+			wait := float64(max(0, job.StartedMs-job.From)) / 1000
 			waits.add(wait)
-			t.waits = append(t.waits, wait)
+			t.waitSeconds = append(t.waitSeconds, wait)
 		}
 		if job.Due == 0 {
 			continue
 		}
 		t.WithDue++
-		lateS := float64(job.Behind(job.Seen)) / 1000
+		lateS := float64(job.Behind(job.SeenFinalMs)) / 1000
 		if lateS > 0 {
 			t.Late++
 			lates.add(lateS)
-			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.End), round(lateS)})
+			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.End), roundHundredths(lateS)})
 		}
-		t.lates = append(t.lates, [2]float64{float64(job.End) / 1000, lateS})
+		t.lateness = append(t.lateness, [2]float64{float64(job.End) / 1000, lateS})
 	}
-	t.Waits, t.LateBy = waits.spread(), lates.spread()
+	t.Waits, t.LateBy = waits.distribution(), lates.distribution()
 	slices.SortStableFunc(t.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
-	t.Latest = t.Latest[:min(len(t.Latest), mostLate)]
+	t.Latest = t.Latest[:min(len(t.Latest), maxLateJobs)]
 }
 
 // addEvictions counts the team's evicted tasks, and those that were evicted for its jobs.
@@ -262,13 +262,13 @@
 		if eviction.Team == t.Name {
 			t.EvictedFor += len(eviction.Victims)
 		}
-		t.evicts = append(t.evicts, [3]float64{float64(eviction.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
+		t.evictedSoFar = append(t.evictedSoFar, [3]float64{float64(eviction.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
 	}
 }
 
-// thin keeps every nth point, and the last.
-func thin(points []Point) []Point {
-	n := (len(points) + mostPoints - 1) / mostPoints
+// downsample keeps every nth point, and the last.
+func downsample(points []Point) []Point {
+	n := (len(points) + maxPoints - 1) / maxPoints
 	if n <= 1 {
 		return points
 	}
@@ -282,19 +282,21 @@
 	return out
 }
 
-// spread counts times in hundredths of a second.
-type spread struct{ h *hdrhistogram.Histogram }
+// durationHistogram counts times in hundredths of a second.
+type durationHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// longestCentiseconds is the longest time that a spread tells apart, a month, in its unit.
-const longestCentiseconds = 30 * 86400 * 100
+// maxCentiseconds is the longest time that a spread tells apart, a month, in its unit.
+const maxCentiseconds = 30 * 86400 * 100
 
-func newSpread() spread { return spread{hdrhistogram.New(1, longestCentiseconds, 4)} }
+func newDurationHistogram() durationHistogram {
+	return durationHistogram{hdrhistogram.New(1, maxCentiseconds, 4)}
+}
 
-func (s spread) add(seconds float64) {
-	_ = s.h.RecordValue(int64(min(longestCentiseconds, max(0, math.Round(seconds*100))))) // within its bounds
+func (s durationHistogram) add(seconds float64) {
+	_ = s.histogram.RecordValue(int64(min(maxCentiseconds, max(0, math.Round(seconds*100))))) // within its bounds
 }
 
-func (s spread) spread() Spread {
-	at := func(q float64) float64 { return round(float64(s.h.ValueAtQuantile(q)) / 100) }
-	return Spread{s.h.TotalCount(), at(50), at(90), round(float64(s.h.Max()) / 100)}
+func (s durationHistogram) distribution() Distribution {
+	at := func(q float64) float64 { return roundHundredths(float64(s.histogram.ValueAtQuantile(q)) / 100) }
+	return Distribution{s.histogram.TotalCount(), at(50), at(90), roundHundredths(float64(s.histogram.Max()) / 100)}
 }
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -23,9 +23,9 @@
 
 // Line is one line of a history; one of its parts is set.
 type Line struct {
-	Sample *Sample        `json:"sample,omitempty"`
-	Job    *JobEnd        `json:"job,omitempty"`
-	Evict  *view.Eviction `json:"evict,omitempty"`
+	Sample    *Sample        `json:"sample,omitempty"`
+	Job       *FinalJob      `json:"job,omitempty"`
+	VictimSet *view.Eviction `json:"evict,omitempty"`
 }
 
 // Sample is the sums at a time.
@@ -37,37 +37,37 @@
 	Others   *view.Totals `json:"others,omitempty"` // made by a scope only
 }
 
-// JobEnd is a job that is over.
-type JobEnd struct {
+// FinalJob is a job that is over.
+type FinalJob struct {
 	view.Job
-	// Started is when a task of it was first seen on a machine, 0: never. It is as exact as the
+	// StartedMs is when a task of it was first seen on a machine, 0: never. It is as exact as the
 	// recorder looks often.
-	Started int64 `json:"started_ms"`
-	Seen    int64 `json:"seen_ms"` // over
+	StartedMs   int64 `json:"started_ms"`
+	SeenFinalMs int64 `json:"seen_ms"` // over
 }
 
 // Recorder writes a history. It is for one goroutine.
 type Recorder struct {
-	w        io.Writer
-	every    time.Duration
-	started  map[string]int64
-	over     map[string]bool
-	evicted  map[string]int // by key: its victims
-	sampled  time.Time
-	first    bool
-	Recorded int // lines written
+	w                  io.Writer
+	sampleInterval     time.Duration
+	startedMs          map[string]int64
+	recordedJobs       map[string]bool
+	recordedVictimSets map[string]int // by key: its victims
+	sampledAt          time.Time
+	firstState         bool
+	Recorded           int // lines written
 }
 
 // NewRecorder returns a recorder that writes a sample every so often, and jobs and evicted sets as they come.
 func NewRecorder(w io.Writer, every time.Duration) *Recorder {
-	return &Recorder{w: w, every: every, started: map[string]int64{}, over: map[string]bool{}, evicted: map[string]int{}, first: true}
+	return &Recorder{w: w, sampleInterval: every, startedMs: map[string]int64{}, recordedJobs: map[string]bool{}, recordedVictimSets: map[string]int{}, firstState: true}
 }
 
 // Run records what a follower brings until ctx ends, or until something cannot be written.
 func (r *Recorder) Run(ctx context.Context, f *viewclient.Follower) error {
 	for ctx.Err() == nil {
 		changed := f.Changed()
-		if err := r.Take(f.State(), time.Now()); err != nil {
+		if err := r.Record(f.State(), time.Now()); err != nil {
 			return err
 		}
 		select {
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// Take records a state.
-func (r *Recorder) Take(state *viewclient.State, now time.Time) error {
-	if state.Snapshot == nil || state.Age(now) > viewclient.Fresh {
+// Record records a state.
+func (r *Recorder) Record(state *viewclient.State, now time.Time) error {
+	if state.Snapshot == nil || state.Age(now) > viewclient.MaxFreshAge {
 		return nil // a stale state would be recorded as if it were the present
 	}
 	var err error
@@ -92,49 +92,49 @@
 	listed := map[string]bool{}
 	state.Jobs("", func(job *view.Job) bool {
 		listed[job.ID] = true
-		if (job.Placed > 0 || job.Done > 0) && r.started[job.ID] == 0 {
-			r.started[job.ID] = state.Now
+		if (job.Placed > 0 || job.Done > 0) && r.startedMs[job.ID] == 0 {
+			r.startedMs[job.ID] = state.Now
 		}
-		if job.Status.Final() && !r.over[job.ID] {
-			r.over[job.ID] = true
+		if job.Status.Final() && !r.recordedJobs[job.ID] {
+			r.recordedJobs[job.ID] = true
 			// What was over before the recorder began has no known start, and may be recorded already.
-			if !r.first {
-				write(Line{Job: &JobEnd{*job, r.started[job.ID], state.Now}})
+			if !r.firstState {
+				write(Line{Job: &FinalJob{*job, r.startedMs[job.ID], state.Now}})
 			}
 		}
 		return true
 	})
-	for id := range r.started {
+	for id := range r.startedMs {
 		if !listed[id] {
-			delete(r.started, id)
+			delete(r.startedMs, id)
 		}
 	}
-	for id := range r.over {
+	for id := range r.recordedJobs {
 		if !listed[id] {
-			delete(r.over, id)
+			delete(r.recordedJobs, id)
 		}
 	}
 	seen := map[string]bool{}
 	state.Evictions(func(e *view.Eviction) bool {
 		seen[e.Key] = true
-		if _, known := r.evicted[e.Key]; !known {
-			r.evicted[e.Key] = len(e.Victims)
-			if !r.first {
-				write(Line{Evict: e})
+		if _, known := r.recordedVictimSets[e.Key]; !known {
+			r.recordedVictimSets[e.Key] = len(e.Victims)
+			if !r.firstState {
+				write(Line{VictimSet: e})
 			}
 		}
 		return true
 	})
-	for key := range r.evicted {
+	for key := range r.recordedVictimSets {
 		if !seen[key] {
-			delete(r.evicted, key)
+			delete(r.recordedVictimSets, key)
 		}
 	}
-	if now.Sub(r.sampled) >= r.every {
-		r.sampled = now
+	if now.Sub(r.sampledAt) >= r.sampleInterval {
+		r.sampledAt = now
 		write(Line{Sample: &Sample{At: state.Now, Revision: state.Revision, Teams: state.Teams, Fleet: state.Fleet}})
 	}
-	r.first = false
+	r.firstState = false
 	return err
 }
 
@@ -151,18 +151,18 @@
 	return nil
 }
 
-// Within is what of a line a scope may see, false if nothing. As in the view, it is applied
+// ForScope is what of a line a scope may see, false if nothing. As in the view, it is applied
 // before anybody draws.
-func (l Line) Within(scope view.Scope) (Line, bool) {
+func (l Line) ForScope(scope view.Scope) (Line, bool) {
 	if scope == view.Operators {
 		return l, true
 	}
 	switch {
 	case l.Job != nil:
 		return l, l.Job.Team == string(scope)
-	case l.Evict != nil:
-		e := scope.Eviction(l.Evict)
-		return Line{Evict: e}, e != nil
+	case l.VictimSet != nil:
+		e := scope.VictimSet(l.VictimSet)
+		return Line{VictimSet: e}, e != nil
 	case l.Sample != nil:
 		h := scope.Head(view.Head{Teams: l.Sample.Teams, Fleet: l.Sample.Fleet})
 		return Line{Sample: &Sample{At: l.Sample.At, Revision: l.Sample.Revision, Teams: h.Teams, Fleet: h.Fleet, Others: h.Others}}, true
@@ -172,18 +172,18 @@
 
 // History is what was recorded in a span of time, as a scope may see it.
 type History struct {
-	From, To int64 // asked for
-	Since    int64 // the first sample there is at all, whatever was asked for; 0: none
-	Samples  []Sample
-	Jobs     []JobEnd
-	Evicts   []view.Eviction
-	Broken   int // lines that could not be read
+	From, To        int64 // asked for
+	FirstSampleMs   int64 // the first sample there is at all, whatever was asked for; 0: none
+	Samples         []Sample
+	Jobs            []FinalJob
+	VictimSets      []view.Eviction
+	UnreadableLines int // lines that could not be read
 }
 
 // Read reads histories. Files that are missing are an error; lines that can't be read are counted.
 func Read(paths []string, scope view.Scope, from, to int64) (*History, error) {
 	history := &History{From: from, To: to}
-	jobs, evicts, samples := map[string]bool{}, map[string]bool{}, map[int64]bool{}
+	seenJobs, victimSets, seenSamples := map[string]bool{}, map[string]bool{}, map[int64]bool{}
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -196,30 +196,30 @@
 		for scanner.Scan() {
 			var line Line
 			if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
-				history.Broken++
+				history.UnreadableLines++
 				continue
 			}
-			if line.Sample != nil && (history.Since == 0 || line.Sample.At < history.Since) {
-				history.Since = line.Sample.At
+			if line.Sample != nil && (history.FirstSampleMs == 0 || line.Sample.At < history.FirstSampleMs) {
+				history.FirstSampleMs = line.Sample.At
 			}
-			line, ok := line.Within(scope)
+			line, ok := line.ForScope(scope)
 			if !ok {
 				continue
 			}
-			in := func(at int64) bool { return at >= from && at < to }
+			inRange := func(at int64) bool { return at >= from && at < to }
 			switch {
-			case line.Sample != nil && in(line.Sample.At) && !samples[line.Sample.At]:
-				samples[line.Sample.At] = true
+			case line.Sample != nil && inRange(line.Sample.At) && !seenSamples[line.Sample.At]:
+				seenSamples[line.Sample.At] = true
 				history.Samples = append(history.Samples, *line.Sample)
-			case line.Job != nil && in(line.Job.Seen) && !jobs[line.Job.ID]:
-				jobs[line.Job.ID] = true
+			case line.Job != nil && inRange(line.Job.SeenFinalMs) && !seenJobs[line.Job.ID]:
+				seenJobs[line.Job.ID] = true
 				history.Jobs = append(history.Jobs, *line.Job)
-			case line.Evict != nil && in(line.Evict.At):
+			case line.VictimSet != nil && inRange(line.VictimSet.At):
 				// Two recorders, or one and another controller's keys, may tell of one set.
-				key := fmt.Sprint(line.Evict.At, line.Evict.Job, len(line.Evict.Victims))
-				if !evicts[key] {
-					evicts[key] = true
-					history.Evicts = append(history.Evicts, *line.Evict)
+				key := fmt.Sprint(line.VictimSet.At, line.VictimSet.Job, len(line.VictimSet.Victims))
+				if !victimSets[key] {
+					victimSets[key] = true
+					history.VictimSets = append(history.VictimSets, *line.VictimSet)
 				}
 			}
 		}
@@ -229,7 +229,7 @@
 		}
 	}
 	slices.SortFunc(history.Samples, func(a, b Sample) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(history.Evicts, func(a, b view.Eviction) int { return cmp.Compare(a.At, b.At) })
-	slices.SortFunc(history.Jobs, func(a, b JobEnd) int { return cmp.Compare(a.Seen, b.Seen) })
+	slices.SortStableFunc(history.VictimSets, func(a, b view.Eviction) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(history.Jobs, func(a, b FinalJob) int { return cmp.Compare(a.SeenFinalMs, b.SeenFinalMs) })
 	return history, nil
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -33,7 +33,7 @@
 func (r *Report) Page(out io.Writer) error {
 	page, err := template.New("page.html").Funcs(template.FuncMap{
 		"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05") },
-		"add":  func(a, b float64) float64 { return round(a + b) },
+		"add":  func(a, b float64) float64 { return roundHundredths(a + b) },
 		"share": func(t TeamReport) (figure, error) {
 			text := fmt.Sprintf("Processors of %s over time: %v on average, %v at most; guarantee %v, ", t.Name, t.MeanCpus, t.MostCpus, t.Guarantee)
 			if t.Limit > 0 {
@@ -50,7 +50,7 @@
 				t.Waits.Count, t.Name, t.Waits.P50, t.Waits.P90, t.Waits.Most)}, err
 		},
 		"lates": func(t TeamReport) (figure, error) {
-			svg, err := latesSVG(t)
+			svg, err := latenessSVG(t)
 			text := fmt.Sprintf("Ends of %d jobs of %s against their deadlines (0): ", t.WithDue, t.Name)
 			if t.Late == 0 {
 				text += "none late."
@@ -109,9 +109,9 @@
 	return chart
 }
 
-// drawn is a plot as SVG to be put into a page. No name that others chose is in it.
-func drawn(chart *plot.Plot) (template.HTML, error) {
-	headroom(chart)
+// renderSVG is a plot as SVG to be put into a page. No name that others chose is in it.
+func renderSVG(chart *plot.Plot) (template.HTML, error) {
+	addHeadroom(chart)
 	c := vgsvg.New(plotWidth, plotHeight)
 	chart.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -126,7 +126,7 @@
 	return template.HTML(strings.Replace(s[at:], "<svg", `<svg aria-hidden="true"`, 1)), nil
 }
 
-func line(p *plot.Plot, name string, xy plotter.XYs, c color.Color, dashes ...vg.Length) error {
+func addLine(p *plot.Plot, name string, xy plotter.XYs, c color.Color, dashes ...vg.Length) error {
 	if len(xy) == 0 {
 		return nil
 	}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func series(t TeamReport, y func(Point) float64) plotter.XYs {
+func seriesPoints(t TeamReport, y func(Point) float64) plotter.XYs {
 	var xy plotter.XYs
 	for _, p := range t.Series {
 		xy = append(xy, plotter.XY{X: float64(p.At.UnixMilli()) / 1000, Y: y(p)})
@@ -150,24 +150,24 @@
 
 func shareSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("processors", team.span())
-	err := line(chart, "used", series(team, func(p Point) float64 { return p.Cpus }), blue)
+	err := addLine(chart, "used", seriesPoints(team, func(p Point) float64 { return p.Cpus }), blue)
 	if err == nil {
-		err = line(chart, "waiting", series(team, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
+		err = addLine(chart, "waiting", seriesPoints(team, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
 	}
 	if err == nil {
-		err = line(chart, "guarantee", series(team, func(Point) float64 { return team.Guarantee }), grey, vg.Points(6), vg.Points(3))
+		err = addLine(chart, "guarantee", seriesPoints(team, func(Point) float64 { return team.Guarantee }), grey, vg.Points(6), vg.Points(3))
 	}
 	if err == nil && team.Limit > 0 {
-		err = line(chart, "limit", series(team, func(Point) float64 { return team.Limit }), grey, vg.Points(2), vg.Points(2))
+		err = addLine(chart, "limit", seriesPoints(team, func(Point) float64 { return team.Limit }), grey, vg.Points(2), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
-// headroom keeps lines clear of the legend.
-func headroom(p *plot.Plot) { p.Y.Max += (p.Y.Max - p.Y.Min) / 3 }
+// addHeadroom keeps lines clear of the legend.
+func addHeadroom(p *plot.Plot) { p.Y.Max += (p.Y.Max - p.Y.Min) / 3 }
 
 // span is the time that a team's series cover.
 func (t TeamReport) span() time.Duration {
@@ -179,10 +179,10 @@
 
 func moneySVG(t TeamReport) (template.HTML, error) {
 	p := newPlot("money", t.span())
-	if err := line(p, "so far", series(t, func(p Point) float64 { return p.Money }), blue); err != nil {
+	if err := addLine(p, "so far", seriesPoints(t, func(p Point) float64 { return p.Money }), blue); err != nil {
 		return "", err
 	}
-	return drawn(p)
+	return renderSVG(p)
 }
 
 // waitsSVG shows which part of the jobs had started within how long.
@@ -190,19 +190,19 @@
 	chart := newPlot("jobs, %", 0)
 	chart.X.Label.Text = "started within, seconds"
 	chart.X.Min = 0
-	w := slices.Sorted(slices.Values(team.waits))
+	w := slices.Sorted(slices.Values(team.waitSeconds))
 	var xy plotter.XYs
-	step := max(1, len(w)/mostPoints)
+	step := max(1, len(w)/maxPoints)
 	for i := 0; i < len(w); i += step {
 		xy = append(xy, plotter.XY{X: w[i], Y: 100 * float64(i+1) / float64(len(w))})
 	}
 	if n := len(w); n > 0 {
 		xy = append(xy, plotter.XY{X: w[n-1], Y: 100})
 	}
-	if err := line(chart, "started", xy, blue); err != nil {
+	if err := addLine(chart, "started", xy, blue); err != nil {
 		return "", err
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
 // evictionsSVG shows the evicted tasks so far.
@@ -211,7 +211,7 @@
 	steps := func(of int) plotter.XYs {
 		xy := plotter.XYs{}
 		last := 0.0
-		for i, e := range team.evicts {
+		for i, e := range team.evictedSoFar {
 			if i == 0 && len(team.Series) > 0 {
 				xy = append(xy, plotter.XY{X: float64(team.Series[0].At.UnixMilli()) / 1000})
 			}
@@ -220,21 +220,21 @@
 		}
 		return xy
 	}
-	err := line(chart, "its own", steps(1), orange)
+	err := addLine(chart, "its own", steps(1), orange)
 	if err == nil {
-		err = line(chart, "for its jobs", steps(2), blue, vg.Points(4), vg.Points(2))
+		err = addLine(chart, "for its jobs", steps(2), blue, vg.Points(4), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
-// latesSVG shows each job's end against its deadline.
-func latesSVG(team TeamReport) (template.HTML, error) {
+// latenessSVG shows each job's end against its deadline.
+func latenessSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("late by, s", team.span())
 	var xy plotter.XYs
-	for _, l := range team.lates {
+	for _, l := range team.lateness {
 		xy = append(xy, plotter.XY{X: l[0], Y: l[1]})
 		chart.Y.Min = min(chart.Y.Min, l[1])
 	}
@@ -248,7 +248,7 @@
 		chart.Legend.Add("a job", s)
 		chart.Add(plotter.NewFunction(func(float64) float64 { return 0 }))
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
 // Beside returns the file with the figures that belongs to a page.
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -15,9 +15,9 @@
 	"dykeledge/internal/viewclient"
 )
 
-// recorded plays a small life of three teams through a recorder, with a pause, and returns the
+// recordHistory plays a small life of three teams through a recorder, with a pause, and returns the
 // file. One class holds markup.
-func recorded(t *testing.T, began time.Time) string {
+func recordHistory(t *testing.T, began time.Time) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "history.jsonl")
 	file, err := os.Create(path)
@@ -29,7 +29,7 @@
 	model.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
 		Uses: []view.Use{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
 	recorder := NewRecorder(file, 10*time.Second)
-	put := func(team string, i int, s view.Status, placed uint32, at time.Time) {
+	putJob := func(team string, i int, s view.Status, placed uint32, at time.Time) {
 		j := view.Job{ID: fmt.Sprintf("job-of-%s-%d", team, i), Team: team, Class: "class-<script>-of-" + team, Tasks: 2, Placed: placed, Cpus: 1000, Status: s,
 			Submit: began.UnixMilli(), From: began.UnixMilli(), Due: began.Add(time.Minute).UnixMilli()}
 		if s.Final() {
@@ -38,28 +38,28 @@
 		model.PutJob(j)
 	}
 	for sec := range 300 {
-		at := began.Add(time.Duration(sec) * time.Second)
+		now := began.Add(time.Duration(sec) * time.Second)
 		for i, team := range []string{"team-red-x", "team-blue-x"} {
 			switch sec {
 			case 1:
-				put(team, 1, view.Queued, 0, at)
+				putJob(team, 1, view.Queued, 0, now)
 			case 20 + i:
-				put(team, 1, view.Running, 2, at)
+				putJob(team, 1, view.Running, 2, now)
 			case 40:
-				put(team, 2, view.Running, 1, at)
-				model.PutEviction(view.Eviction{Job: "job-of-team-red-x-2", Team: "team-red-x", At: at.UnixMilli(),
+				putJob(team, 2, view.Running, 1, now)
+				model.PutEviction(view.Eviction{Job: "job-of-team-red-x-2", Team: "team-red-x", At: now.UnixMilli(),
 					Victims: []view.Victim{{Job: "job-of-team-blue-x-2", Team: "team-blue-x"}, {Job: "job-of-team-green-x-1", Team: "team-green-x"}}})
 			case 90 + i:
-				put(team, 1, view.Done, 0, at)
+				putJob(team, 1, view.Done, 0, now)
 			case 100:
-				put(team, 2, view.Cancelled, 0, at)
+				putJob(team, 2, view.Cancelled, 0, now)
 			}
 		}
 		if sec >= 120 && sec < 200 {
 			continue // nobody records
 		}
-		s := model.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: at.UnixMilli(), AsOf: at.UnixMilli()})
-		if err := recorder.Take(&viewclient.State{Snapshot: s, Sent: at}, at); err != nil {
+		s := model.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: now.UnixMilli(), AsOf: now.UnixMilli()})
+		if err := recorder.Record(&viewclient.State{Snapshot: s, Sent: now}, now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -73,7 +73,7 @@
 // JSON beside it, and a team's page names no other team's anything.
 func TestReport(t *testing.T) {
 	began := time.Date(2026, 11, 30, 18, 0, 0, 0, time.Local)
-	path := recorded(t, began)
+	path := recordHistory(t, began)
 	for _, test := range []struct {
 		scope view.Scope
 		teams int
@@ -97,7 +97,7 @@
 				t.Fatal(err)
 			}
 			made := Make(history, "Night <of> the 30th", test.scope, began.Add(time.Hour))
-			if len(made.Teams) != test.teams || !test.check(made) || len(made.Gaps) != 1 || made.Gaps[0].S < 60 || history.Broken != 2 || !made.KnownFrom.Equal(began) {
+			if len(made.Teams) != test.teams || !test.check(made) || len(made.Gaps) != 1 || made.Gaps[0].S < 60 || history.UnreadableLines != 2 || !made.KnownFrom.Equal(began) {
 				raw, _ := json.MarshalIndent(made, "", " ")
 				t.Fatalf("%s", raw)
 			}
@@ -147,11 +147,11 @@
 }
 
 // What is stale is not recorded as if it were the present.
-func TestStaleIsNotRecorded(t *testing.T) {
+func TestRecorderSkipsStaleState(t *testing.T) {
 	var b bytes.Buffer
 	r := NewRecorder(&b, time.Second)
 	s := view.NewModel(nil).Snapshot(view.Head{Now: 10_000, AsOf: 1_000})
-	if err := r.Take(&viewclient.State{Snapshot: s, Sent: time.Now()}, time.Now()); err != nil || b.Len() > 0 {
+	if err := r.Record(&viewclient.State{Snapshot: s, Sent: time.Now()}, time.Now()); err != nil || b.Len() > 0 {
 		t.Error(b.String(), err)
 	}
 }
--- a/internal/view/feed_reader.go
+++ b/internal/view/feed_reader.go
@@ -7,15 +7,15 @@
 	"dykeledge/internal/protocol"
 )
 
-// reader takes a page apart. Once something is malformed it stays bad, and what it returns means nothing.
-type reader struct {
-	data []byte
-	bad  bool
+// pageDecoder takes a page apart. Once something is malformed it stays bad, and what it returns means nothing.
+type pageDecoder struct {
+	data      []byte
+	malformed bool
 }
 
-func (r *reader) byte() byte {
+func (r *pageDecoder) byte() byte {
 	if len(r.data) == 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	x := r.data[0]
@@ -23,50 +23,50 @@
 	return x
 }
 
-func (r *reader) below(n byte) byte {
+func (r *pageDecoder) byteBelow(n byte) byte {
 	x := r.byte()
 	if x >= n {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	return x
 }
 
-func (r *reader) flag() bool { return r.below(2) == 1 }
+func (r *pageDecoder) flag() bool { return r.byteBelow(2) == 1 }
 
-func (r *reader) uint() uint64 {
+func (r *pageDecoder) uint() uint64 {
 	v, n := binary.Uvarint(r.data)
 	if n <= 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	r.data = r.data[n:]
 	return v
 }
 
-func (r *reader) u32() uint32 {
+func (r *pageDecoder) uint32() uint32 {
 	v := r.uint()
 	if v > math.MaxUint32 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	return uint32(v)
 }
 
-func (r *reader) int() int64 {
+func (r *pageDecoder) int() int64 {
 	v, n := binary.Varint(r.data)
 	if n <= 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	r.data = r.data[n:]
 	return v
 }
 
-func (r *reader) text() string {
+func (r *pageDecoder) text() string {
 	n := r.uint()
-	if n > maxText || n > uint64(len(r.data)) {
-		r.bad = true
+	if n > maxTextBytes || n > uint64(len(r.data)) {
+		r.malformed = true
 		return ""
 	}
 	s := string(r.data[:n])
@@ -75,51 +75,51 @@
 }
 
 // count reads how many things follow that take at least a byte each.
-func (r *reader) count() int {
+func (r *pageDecoder) count() int {
 	n := r.uint()
 	if n > uint64(len(r.data)) {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	return int(n)
 }
 
-func (r *reader) row(page *Page, k byte) {
-	if k&flagGone != 0 {
+func (r *pageDecoder) row(page *Page, k byte) {
+	if k&flagRemoved != 0 {
 		key := r.text()
-		switch kind(k &^ flagGone) {
+		switch rowKind(k &^ flagRemoved) {
 		case kindJob:
-			page.rows = append(page.rows, func(m *Model) { m.DropJob(key) })
+			page.changes = append(page.changes, func(m *Model) { m.DropJob(key) })
 		case kindMachine:
-			page.rows = append(page.rows, func(m *Model) { m.DropMachine(key) })
-		case kindEviction:
-			page.rows = append(page.rows, func(m *Model) { m.DropEviction(key) })
+			page.changes = append(page.changes, func(m *Model) { m.DropMachine(key) })
+		case kindVictimSet:
+			page.changes = append(page.changes, func(m *Model) { m.DropVictimSet(key) })
 		default:
-			r.bad = true
+			r.malformed = true
 		}
 		return
 	}
-	switch kind(k) {
+	switch rowKind(k) {
 	case kindJob:
 		j := r.job()
-		page.rows = append(page.rows, func(m *Model) { m.PutJob(j) })
+		page.changes = append(page.changes, func(m *Model) { m.PutJob(j) })
 	case kindMachine:
 		x := r.machine()
-		page.rows = append(page.rows, func(m *Model) { m.PutMachine(x) })
-	case kindEviction:
+		page.changes = append(page.changes, func(m *Model) { m.PutMachine(x) })
+	case kindVictimSet:
 		e := r.eviction()
-		page.rows = append(page.rows, func(m *Model) { m.PutEviction(e) })
+		page.changes = append(page.changes, func(m *Model) { m.PutEviction(e) })
 	default:
-		r.bad = true
+		r.malformed = true
 	}
 }
 
-func (r *reader) job() Job {
+func (r *pageDecoder) job() Job {
 	job := Job{ID: r.text(), Team: r.text(), Class: r.text()}
-	job.Priority, job.Status = protocol.Priority(r.below(byte(protocol.Production)+1)), Status(r.below(byte(Cancelled)+1))
+	job.Priority, job.Status = protocol.Priority(r.byteBelow(byte(protocol.Production)+1)), Status(r.byteBelow(byte(Cancelled)+1))
 	job.Service, job.Suspect, job.Evicting = r.flag(), r.flag(), r.flag()
 	for _, v := range []*uint32{&job.Tasks, &job.Done, &job.Placed, &job.Awaits, &job.Shard} {
-		*v = r.u32()
+		*v = r.uint32()
 	}
 	for _, v := range []*uint64{&job.Cpus, &job.Gpus, &job.Estimate} {
 		*v = r.uint()
@@ -130,57 +130,57 @@
 	return job
 }
 
-func (r *reader) machine() Machine {
+func (r *pageDecoder) machine() Machine {
 	m := Machine{Name: r.text(), Type: r.text(), Zone: r.text(), Spot: r.flag()}
-	m.State = MachineState(r.below(byte(Returning) + 1))
-	m.Shard, m.Tasks = r.u32(), r.u32()
+	m.State = MachineState(r.byteBelow(byte(Returning) + 1))
+	m.Shard, m.Tasks = r.uint32(), r.uint32()
 	for _, v := range []*uint64{&m.Cpus, &m.Gpus, &m.UsedCpus, &m.UsedGpus, &m.Price} {
 		*v = r.uint()
 	}
 	for range r.count() {
-		m.Uses = append(m.Uses, Use{r.text(), r.u32(), r.uint(), r.uint()})
+		m.Uses = append(m.Uses, Use{r.text(), r.uint32(), r.uint(), r.uint()})
 	}
 	return m
 }
 
-func (r *reader) eviction() Eviction {
-	e := Eviction{Key: r.text(), Job: r.text(), Team: r.text(), At: r.int(), Shard: r.u32(), Open: r.flag()}
+func (r *pageDecoder) eviction() Eviction {
+	e := Eviction{Key: r.text(), Job: r.text(), Team: r.text(), At: r.int(), Shard: r.uint32(), Open: r.flag()}
 	if e.Key == "" {
-		r.bad = true
+		r.malformed = true
 	}
 	for range r.count() {
-		v := Victim{Job: r.text(), Team: r.text(), Task: r.u32(), Attempt: r.uint(), Score: math.Float64frombits(r.uint())}
+		v := Victim{Job: r.text(), Team: r.text(), Task: r.uint32(), Attempt: r.uint(), Score: math.Float64frombits(r.uint())}
 		if math.IsNaN(v.Score) || math.IsInf(v.Score, 0) {
-			r.bad = true // JSON has no such numbers
+			r.malformed = true // JSON has no such numbers
 		}
 		e.Victims = append(e.Victims, v)
 	}
 	return e
 }
 
-func (r *reader) all(fields []*uint64) {
+func (r *pageDecoder) uints(fields []*uint64) {
 	for _, f := range fields {
 		*f = r.uint()
 	}
 }
 
-func (r *reader) head(epoch uint64) *Head {
+func (r *pageDecoder) head(epoch uint64) *Head {
 	head := &Head{Epoch: epoch, Member: r.text(), Seq: r.uint(), Revision: r.uint(), Now: r.int(), AsOf: r.int(), Since: r.int(),
 		StateOK: r.flag(), Scope: r.text(), Teams: []Team{}, Members: []Member{}}
 	for range r.count() {
 		t := Team{Name: r.text()}
-		r.all(t.fields())
+		r.uints(t.fields())
 		head.Teams = append(head.Teams, t)
 	}
 	if r.flag() {
 		head.Others = &Totals{}
-		r.all(head.Others.fields())
+		r.uints(head.Others.fields())
 	}
-	r.all(head.Fleet.fields())
+	r.uints(head.Fleet.fields())
 	for range r.count() {
 		n := Member{Name: r.text(), Alive: r.flag(), Leader: r.flag(), Unfit: r.flag(), Shares: []uint32{}}
 		for range r.count() {
-			n.Shares = append(n.Shares, r.u32())
+			n.Shares = append(n.Shares, r.uint32())
 		}
 		head.Members = append(head.Members, n)
 	}
--- a/internal/view/feed_writer.go
+++ b/internal/view/feed_writer.go
@@ -5,17 +5,17 @@
 	"math"
 )
 
-// writer appends what a page is made of.
-type writer struct{ data []byte }
+// pageEncoder appends what a page is made of.
+type pageEncoder struct{ data []byte }
 
-func (w *writer) uint(v uint64) { w.data = binary.AppendUvarint(w.data, v) }
-func (w *writer) int(v int64)   { w.data = binary.AppendVarint(w.data, v) }
-func (w *writer) text(s string) {
-	s = s[:min(len(s), maxText)]
+func (w *pageEncoder) uint(v uint64) { w.data = binary.AppendUvarint(w.data, v) }
+func (w *pageEncoder) int(v int64)   { w.data = binary.AppendVarint(w.data, v) }
+func (w *pageEncoder) text(s string) {
+	s = s[:min(len(s), maxTextBytes)]
 	w.uint(uint64(len(s)))
 	w.data = append(w.data, s...)
 }
-func (w *writer) flag(v bool) {
+func (w *pageEncoder) flag(v bool) {
 	x := byte(0)
 	if v {
 		x = 1
@@ -23,13 +23,13 @@
 	w.data = append(w.data, x)
 }
 
-func (w *writer) row(snapshot *Snapshot, scope Scope, changed entry) {
-	if changed.gone {
-		if changed.job != nil && scope.job(changed.job) == nil || changed.eviction != nil && scope.Eviction(changed.eviction) == nil ||
+func (w *pageEncoder) row(snapshot *Snapshot, scope Scope, changed logEntry) {
+	if changed.removed {
+		if changed.job != nil && scope.job(changed.job) == nil || changed.victimSet != nil && scope.VictimSet(changed.victimSet) == nil ||
 			changed.kind == kindMachine && scope != Operators {
 			return
 		}
-		w.data = append(w.data, byte(changed.kind)|flagGone)
+		w.data = append(w.data, byte(changed.kind)|flagRemoved)
 		w.text(changed.key)
 		return
 	}
@@ -42,15 +42,15 @@
 		if m, _ := snapshot.machines.Get(changed.key); scope.machine(m) != nil {
 			w.machine(m)
 		}
-	case kindEviction:
+	case kindVictimSet:
 		v, _ := snapshot.evictions.Get(changed.key)
-		if v = scope.Eviction(v); v != nil {
+		if v = scope.VictimSet(v); v != nil {
 			w.eviction(v)
 		}
 	}
 }
 
-func (w *writer) job(job *Job) {
+func (w *pageEncoder) job(job *Job) {
 	w.data = append(w.data, byte(kindJob))
 	w.text(job.ID)
 	w.text(job.Team)
@@ -67,7 +67,7 @@
 	}
 }
 
-func (w *writer) machine(machine *Machine) {
+func (w *pageEncoder) machine(machine *Machine) {
 	w.data = append(w.data, byte(kindMachine))
 	w.text(machine.Name)
 	w.text(machine.Type)
@@ -85,8 +85,8 @@
 	}
 }
 
-func (w *writer) eviction(eviction *Eviction) {
-	w.data = append(w.data, byte(kindEviction))
+func (w *pageEncoder) eviction(eviction *Eviction) {
+	w.data = append(w.data, byte(kindVictimSet))
 	w.text(eviction.Key)
 	w.text(eviction.Job)
 	w.text(eviction.Team)
@@ -105,7 +105,7 @@
 }
 
 func (s *Totals) fields() []*uint64 {
-	return []*uint64{&s.Queued, &s.Running, &s.Finished, &s.Waiting, &s.Placed, &s.UsedCpus, &s.UsedGpus, &s.WaitsCpus}
+	return []*uint64{&s.Queued, &s.Running, &s.Finished, &s.Waiting, &s.Placed, &s.UsedCpus, &s.UsedGpus, &s.WaitingCpus}
 }
 
 func (f *Fleet) fields() []*uint64 {
@@ -116,13 +116,13 @@
 	return append([]*uint64{&t.Cpus, &t.CpusMax, &t.Gpus, &t.GpusMax, &t.RateMicro, &t.DominantPM}, t.Totals.fields()...)
 }
 
-func (w *writer) all(fields []*uint64) {
+func (w *pageEncoder) uints(fields []*uint64) {
 	for _, f := range fields {
 		w.uint(*f)
 	}
 }
 
-func (w *writer) head(head Head) {
+func (w *pageEncoder) head(head Head) {
 	w.text(head.Member)
 	w.uint(head.Seq)
 	w.uint(head.Revision)
@@ -134,13 +134,13 @@
 	w.uint(uint64(len(head.Teams)))
 	for i := range head.Teams {
 		w.text(head.Teams[i].Name)
-		w.all(head.Teams[i].fields())
+		w.uints(head.Teams[i].fields())
 	}
 	w.flag(head.Others != nil)
 	if head.Others != nil {
-		w.all(head.Others.fields())
+		w.uints(head.Others.fields())
 	}
-	w.all(head.Fleet.fields())
+	w.uints(head.Fleet.fields())
 	w.uint(uint64(len(head.Members)))
 	for _, n := range head.Members {
 		w.text(n.Name)
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -48,8 +48,8 @@
 	return model
 }
 
-// change replaces the first row of each kind and drops the last one.
-func (content *goldenModel) change(model *Model) {
+// applyChanges replaces the first row of each kind and drops the last one.
+func (content *goldenModel) applyChanges(model *Model) {
 	job, machine := content.Jobs[0], content.Machines[0]
 	job.Placed++
 	machine.Spot = false
@@ -58,7 +58,7 @@
 	model.DropJob(content.Jobs[len(content.Jobs)-1].ID)
 	model.DropMachine(content.Machines[len(content.Machines)-1].Name)
 	newest, _, _ := model.evictions.Max()
-	model.DropEviction(newest)
+	model.DropVictimSet(newest)
 }
 
 // goldenClock is the controller's clock when it writes a page.
@@ -88,8 +88,8 @@
 	return page
 }
 
-// content tells as JSON what the reader has after a page.
-func (r *goldenReader) content(t *testing.T, page *Page) []byte {
+// contentJSON tells as JSON what the reader has after a page.
+func (r *goldenReader) contentJSON(t *testing.T, page *Page) []byte {
 	t.Helper()
 	content := struct {
 		Reset     bool        `json:"reset"`
@@ -118,10 +118,10 @@
 			content := readGoldenModel(t)
 			model, reader := content.build(), newGoldenReader(test.scope)
 			page := reader.read(t, model.Snapshot(content.Head), "first."+test.reader)
-			golden.CheckBytes(t, "first."+test.reader+".json", reader.content(t, page))
-			content.change(model)
+			golden.CheckBytes(t, "first."+test.reader+".json", reader.contentJSON(t, page))
+			content.applyChanges(model)
 			page = reader.read(t, model.Snapshot(content.Head), "changes."+test.reader)
-			golden.CheckBytes(t, "changes."+test.reader+".json", reader.content(t, page))
+			golden.CheckBytes(t, "changes."+test.reader+".json", reader.contentJSON(t, page))
 		})
 	}
 }
@@ -135,7 +135,7 @@
 	}
 	mirror := NewMirror()
 	page.Apply(mirror)
-	golden.CheckBytes(t, file, mirror.Mirrored(*page.Head).AppendPage(nil, Operators, Cursor{}, goldenClock))
+	golden.CheckBytes(t, file, mirror.SnapshotWithHead(*page.Head).AppendPage(nil, Operators, Cursor{}, goldenClock))
 }
 
 // TestGoldenFullPage cuts a long feed after a full page and sends the rest in a second one.
@@ -145,8 +145,8 @@
 	for i := range 130 {
 		job := content.Jobs[0]
 		job.ID = fmt.Sprintf("job-%06d", 1000+i)
-		job.Class = strings.Repeat("c", 2*maxText) // is cut to the longest text
-		job.Team = strings.Repeat("t", 2*maxText)
+		job.Class = strings.Repeat("c", 2*maxTextBytes) // is cut to the longest text
+		job.Team = strings.Repeat("t", 2*maxTextBytes)
 		model.PutJob(job)
 	}
 	snapshot := model.Snapshot(content.Head)
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -10,53 +10,53 @@
 
 // What a model keeps of the past.
 const (
-	keptFinished  = 2000 // jobs that are over
-	keptEvictions = 50
-	keptGone      = 4000 // removed rows: a reader that is further behind begins anew
+	maxFinalJobs  = 2000 // jobs that are over
+	maxVictimSets = 50
+	maxRemovals   = 4000 // removed rows: a reader that is further behind begins anew
 )
 
-// kind of a row.
-type kind uint8
+// rowKind of a row.
+type rowKind uint8
 
 const (
-	kindJob kind = iota + 1
+	kindJob rowKind = iota + 1
 	kindMachine
-	kindEviction
+	kindVictimSet
 )
 
-// entry says which row changed last under a sequence number. Each row has one entry.
-type entry struct {
-	kind     kind
-	key      string
-	gone     bool
-	job      *Job      // of a removed row, for whoever may not know of it
-	eviction *Eviction // likewise
+// logEntry says which row changed last under a sequence number. Each row has one logEntry.
+type logEntry struct {
+	kind      rowKind
+	key       string
+	removed   bool
+	job       *Job      // of a removed row, for whoever may not know of it
+	victimSet *Eviction // likewise
 }
 
 // Model is the read model. One goroutine owns it. Its maps are copied on write: a copy of a
 // whole map costs nothing, and a change after it copies the few tree nodes on its way.
 type Model struct {
-	teams     []Team // guarantee and limit only
-	team      map[string]int
-	jobs      *btree.Map[string, *Job]
-	machines  *btree.Map[string, *Machine]
-	evictions *btree.Map[string, *Eviction]
-	log       *btree.Map[uint64, entry]
-	seq       uint64
-	floor     uint64   // changes up to it are not all in the log any more
-	finished  []string // jobs, in the order of their ends
-	gone      []uint64 // sequence numbers of removals
-	sums      []Totals // by team
-	rates     []uint64 // by team
-	fleet     Fleet
-	mirror    bool   // a copy of another model, which alone decides what is dropped
-	sets      uint64 // evicted sets so far
-	unlisted  Totals // jobs of teams that are not in the head
+	teams          []Team // guarantee and limit only
+	teamIndex      map[string]int
+	jobs           *btree.Map[string, *Job]
+	machines       *btree.Map[string, *Machine]
+	evictions      *btree.Map[string, *Eviction]
+	log            *btree.Map[uint64, logEntry]
+	seq            uint64
+	logFloor       uint64   // changes up to it are not all in the log any more
+	finalJobs      []string // jobs, in the order of their ends
+	removals       []uint64 // sequence numbers of removals
+	totals         []Totals // by team
+	ratesMicro     []uint64 // by team
+	fleet          Fleet
+	mirror         bool   // a copy of another model, which alone decides what is dropped
+	victimSetCount uint64 // evicted sets so far
+	unlistedTotals Totals // jobs of teams that are not in the head
 }
 
 // SetTeam takes a team's changed guarantee and limit.
 func (m *Model) SetTeam(t Team) {
-	if i, ok := m.team[t.Name]; ok {
+	if i, ok := m.teamIndex[t.Name]; ok {
 		t.Totals, t.RateMicro, t.DominantPM = Totals{}, 0, 0
 		m.teams[i] = t
 	}
@@ -64,12 +64,12 @@
 
 // NewModel is empty; teams tell guarantees and limits.
 func NewModel(teams []Team) *Model {
-	m := &Model{teams: slices.Clone(teams), team: map[string]int{}, sums: make([]Totals, len(teams)), rates: make([]uint64, len(teams)),
+	m := &Model{teams: slices.Clone(teams), teamIndex: map[string]int{}, totals: make([]Totals, len(teams)), ratesMicro: make([]uint64, len(teams)),
 		jobs: btree.NewMap[string, *Job](16), machines: btree.NewMap[string, *Machine](16),
-		evictions: btree.NewMap[string, *Eviction](16), log: btree.NewMap[uint64, entry](16)}
+		evictions: btree.NewMap[string, *Eviction](16), log: btree.NewMap[uint64, logEntry](16)}
 	for i := range m.teams {
 		m.teams[i].Totals, m.teams[i].RateMicro, m.teams[i].DominantPM = Totals{}, 0, 0
-		m.team[m.teams[i].Name] = i
+		m.teamIndex[m.teams[i].Name] = i
 	}
 	return m
 }
@@ -81,33 +81,33 @@
 	return m
 }
 
-// Mirrored is the model as it is now under a whole head, such as came with a mirror's last page.
-func (m *Model) Mirrored(h Head) *Snapshot {
-	return &Snapshot{Head: h, jobs: m.jobs.Copy(), machines: m.machines.Copy(), evictions: m.evictions.Copy(), log: m.log.Copy(), floor: m.floor}
+// SnapshotWithHead is the model as it is now under a whole head, such as came with a mirror's last page.
+func (m *Model) SnapshotWithHead(h Head) *Snapshot {
+	return &Snapshot{Head: h, jobs: m.jobs.Copy(), machines: m.machines.Copy(), evictions: m.evictions.Copy(), log: m.log.Copy(), logFloor: m.logFloor}
 }
 
-// note writes down that a row changed, and returns its sequence number.
-func (m *Model) note(old uint64, changed entry) uint64 {
+// logChange writes down that a row changed, and returns its sequence number.
+func (m *Model) logChange(old uint64, changed logEntry) uint64 {
 	if old > 0 {
 		m.log.Delete(old)
 	}
 	m.seq++
 	m.log.Set(m.seq, changed)
-	if changed.gone {
-		if m.gone = append(m.gone, m.seq); len(m.gone) > keptGone {
-			m.floor = m.gone[0]
-			m.log.Delete(m.gone[0])
-			m.gone = m.gone[1:]
+	if changed.removed {
+		if m.removals = append(m.removals, m.seq); len(m.removals) > maxRemovals {
+			m.logFloor = m.removals[0]
+			m.log.Delete(m.removals[0])
+			m.removals = m.removals[1:]
 		}
 	}
 	return m.seq
 }
 
-func (m *Model) sum(team string) *Totals {
-	if i, ok := m.team[team]; ok {
-		return &m.sums[i]
+func (m *Model) totalsOf(team string) *Totals {
+	if i, ok := m.teamIndex[team]; ok {
+		return &m.totals[i]
 	}
-	return &m.unlisted
+	return &m.unlistedTotals
 }
 
 // PutJob puts a job's row in the place of the one before. A final row is never replaced by
@@ -122,15 +122,15 @@
 		if job == *old {
 			return true
 		}
-		m.sum(old.Team).add(old, -1)
+		m.totalsOf(old.Team).add(old, -1)
 	}
-	job.seq = m.note(job.seq, entry{kind: kindJob, key: job.ID})
+	job.seq = m.logChange(job.seq, logEntry{kind: kindJob, key: job.ID})
 	m.jobs.Set(job.ID, &job)
-	m.sum(job.Team).add(&job, 1)
+	m.totalsOf(job.Team).add(&job, 1)
 	if job.Status.Final() && (!had || !old.Status.Final()) && !m.mirror {
-		m.finished = append(m.finished, job.ID)
-		for len(m.finished) > keptFinished {
-			m.DropJob(m.finished[0])
+		m.finalJobs = append(m.finalJobs, job.ID)
+		for len(m.finalJobs) > maxFinalJobs {
+			m.DropJob(m.finalJobs[0])
 		}
 	}
 	return true
@@ -139,20 +139,20 @@
 // DropJob removes a job's row.
 func (m *Model) DropJob(id string) {
 	if old, ok := m.jobs.Delete(id); ok {
-		m.sum(old.Team).add(old, -1)
-		m.note(old.seq, entry{kind: kindJob, key: id, gone: true, job: old})
-		if i := slices.Index(m.finished, id); i >= 0 && !m.mirror {
-			m.finished = slices.Delete(m.finished, i, i+1)
+		m.totalsOf(old.Team).add(old, -1)
+		m.logChange(old.seq, logEntry{kind: kindJob, key: id, removed: true, job: old})
+		if i := slices.Index(m.finalJobs, id); i >= 0 && !m.mirror {
+			m.finalJobs = slices.Delete(m.finalJobs, i, i+1)
 		}
 	}
 }
 
-// count adds a machine to the sums, or takes it away with sign -1.
-func (m *Model) count(machine *Machine, sign int64) {
+// addMachine adds a machine to the sums, or takes it away with sign -1.
+func (m *Model) addMachine(machine *Machine, sign int64) {
 	m.fleet.add(machine, sign)
 	for _, use := range machine.Uses {
-		if i, ok := m.team[use.Team]; ok {
-			m.rates[i] += uint64(sign) * use.rate(machine)
+		if i, ok := m.teamIndex[use.Team]; ok {
+			m.ratesMicro[i] += uint64(sign) * use.rateMicro(machine)
 		}
 	}
 }
@@ -160,19 +160,19 @@
 // PutMachine puts a machine's row in the place of the one before.
 func (m *Model) PutMachine(machine Machine) {
 	if old, had := m.machines.Get(machine.Name); had {
-		m.count(old, -1)
+		m.addMachine(old, -1)
 		machine.seq = old.seq
 	}
-	machine.seq = m.note(machine.seq, entry{kind: kindMachine, key: machine.Name})
+	machine.seq = m.logChange(machine.seq, logEntry{kind: kindMachine, key: machine.Name})
 	m.machines.Set(machine.Name, &machine)
-	m.count(&machine, 1)
+	m.addMachine(&machine, 1)
 }
 
 // DropMachine removes a machine's row.
 func (m *Model) DropMachine(name string) {
 	if old, ok := m.machines.Delete(name); ok {
-		m.count(old, -1)
-		m.note(old.seq, entry{kind: kindMachine, key: name, gone: true})
+		m.addMachine(old, -1)
+		m.logChange(old.seq, logEntry{kind: kindMachine, key: name, removed: true})
 	}
 }
 
@@ -181,24 +181,24 @@
 // has a victim of theirs need not know for whom.
 func (m *Model) PutEviction(eviction Eviction) {
 	if eviction.Key == "" {
-		m.sets++
-		eviction.Key = fmt.Sprintf("%015d/%d", eviction.At, m.sets)
+		m.victimSetCount++
+		eviction.Key = fmt.Sprintf("%015d/%d", eviction.At, m.victimSetCount)
 	}
 	if old, had := m.evictions.Get(eviction.Key); had {
 		eviction.seq = old.seq
 	}
-	eviction.seq = m.note(eviction.seq, entry{kind: kindEviction, key: eviction.Key})
+	eviction.seq = m.logChange(eviction.seq, logEntry{kind: kindVictimSet, key: eviction.Key})
 	m.evictions.Set(eviction.Key, &eviction)
-	for m.evictions.Len() > keptEvictions && !m.mirror {
+	for m.evictions.Len() > maxVictimSets && !m.mirror {
 		key, _, _ := m.evictions.Min()
-		m.DropEviction(key)
+		m.DropVictimSet(key)
 	}
 }
 
-// DropEviction removes an evicted set's row.
-func (m *Model) DropEviction(key string) {
+// DropVictimSet removes an evicted set's row.
+func (m *Model) DropVictimSet(key string) {
 	if old, ok := m.evictions.Delete(key); ok {
-		m.note(old.seq, entry{kind: kindEviction, key: key, gone: true, eviction: old})
+		m.logChange(old.seq, logEntry{kind: kindVictimSet, key: key, removed: true, victimSet: old})
 	}
 }
 
@@ -221,11 +221,11 @@
 	h.Seq, h.Fleet = m.seq, m.fleet
 	h.Teams = make([]Team, len(m.teams))
 	for i, t := range m.teams {
-		t.Totals, t.RateMicro = m.sums[i], m.rates[i]
+		t.Totals, t.RateMicro = m.totals[i], m.ratesMicro[i]
 		t.DominantPM = max(permille(t.UsedCpus, m.fleet.Cpus), permille(t.UsedGpus, m.fleet.Gpus))
 		h.Teams[i] = t
 	}
-	return m.Mirrored(h)
+	return m.SnapshotWithHead(h)
 }
 
 func permille(part, all uint64) uint64 {
@@ -241,8 +241,8 @@
 	jobs      *btree.Map[string, *Job]
 	machines  *btree.Map[string, *Machine]
 	evictions *btree.Map[string, *Eviction]
-	log       *btree.Map[uint64, entry]
-	floor     uint64
+	log       *btree.Map[uint64, logEntry]
+	logFloor  uint64
 }
 
 // Jobs shows the jobs' rows in the order of their ids, beginning after one, until yield
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -122,9 +122,9 @@
 	Gpus  uint64 `json:"gpus_milli"`
 }
 
-// rate is the part of a machine's price that a use pays: that of the resource of which it
+// rateMicro is the part of a machine's price that a use pays: that of the resource of which it
 // takes the larger part.
-func (u Use) rate(m *Machine) uint64 {
+func (u Use) rateMicro(m *Machine) uint64 {
 	part := func(use, all uint64) uint64 {
 		if all == 0 {
 			return 0
@@ -176,37 +176,37 @@
 
 // Totals counts jobs and tasks.
 type Totals struct {
-	Queued    uint64 `json:"queued_jobs"`
-	Running   uint64 `json:"running_jobs"`
-	Finished  uint64 `json:"finished_jobs"` // of those that are still listed
-	Waiting   uint64 `json:"waiting_tasks"`
-	Placed    uint64 `json:"placed_tasks"`
-	UsedCpus  uint64 `json:"used_cpus_milli"`
-	UsedGpus  uint64 `json:"used_gpus_milli"`
-	WaitsCpus uint64 `json:"waiting_cpus_milli"`
+	Queued      uint64 `json:"queued_jobs"`
+	Running     uint64 `json:"running_jobs"`
+	Finished    uint64 `json:"finished_jobs"` // of those that are still listed
+	Waiting     uint64 `json:"waiting_tasks"`
+	Placed      uint64 `json:"placed_tasks"`
+	UsedCpus    uint64 `json:"used_cpus_milli"`
+	UsedGpus    uint64 `json:"used_gpus_milli"`
+	WaitingCpus uint64 `json:"waiting_cpus_milli"`
 }
 
 // add adds a job's part, or takes it away with sign -1.
 func (s *Totals) add(job *Job, sign int64) {
-	times := uint64(sign) // sums wrap around, and come back exactly
+	factor := uint64(sign) // sums wrap around, and come back exactly
 	switch job.Status {
 	case Queued:
-		s.Queued += times
+		s.Queued += factor
 	case Running:
-		s.Running += times
+		s.Running += factor
 	default:
-		s.Finished += times
+		s.Finished += factor
 	}
 	waiting, placed := uint64(job.Waiting()), uint64(job.Placed)
-	s.Waiting += times * waiting
-	s.Placed += times * placed
-	s.UsedCpus += times * placed * job.Cpus
-	s.UsedGpus += times * placed * job.Gpus
-	s.WaitsCpus += times * waiting * job.Cpus
+	s.Waiting += factor * waiting
+	s.Placed += factor * placed
+	s.UsedCpus += factor * placed * job.Cpus
+	s.UsedGpus += factor * placed * job.Gpus
+	s.WaitingCpus += factor * waiting * job.Cpus
 }
 
-// plus adds another sum.
-func (s *Totals) plus(other Totals) {
+// addTotals adds another sum.
+func (s *Totals) addTotals(other Totals) {
 	from := other.fields()
 	for i, field := range s.fields() {
 		*field += *from[i]
@@ -226,16 +226,16 @@
 
 // add adds a machine's part, or takes it away with sign -1.
 func (f *Fleet) add(machine *Machine, sign int64) {
-	times := uint64(sign)
-	f.Machines += times
+	factor := uint64(sign)
+	f.Machines += factor
 	if machine.State == Booting {
-		f.Booting += times
+		f.Booting += factor
 	}
-	f.Cpus += times * machine.Cpus
-	f.Gpus += times * machine.Gpus
-	f.UsedCpus += times * machine.UsedCpus
-	f.UsedGpus += times * machine.UsedGpus
-	f.RateMicro += times * machine.Price
+	f.Cpus += factor * machine.Cpus
+	f.Gpus += factor * machine.Gpus
+	f.UsedCpus += factor * machine.UsedCpus
+	f.UsedGpus += factor * machine.UsedGpus
+	f.RateMicro += factor * machine.Price
 }
 
 // Member is a controller's row: one member of the group of controllers.
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -26,9 +26,9 @@
 	return m
 }
 
-// Eviction is what of an evicted set may be seen. One that concerns a team through a victim
+// VictimSet is what of an evicted set may be seen. One that concerns a team through a victim
 // of its own shows that victim only, and not for whom.
-func (s Scope) Eviction(eviction *Eviction) *Eviction {
+func (s Scope) VictimSet(eviction *Eviction) *Eviction {
 	if s == Operators {
 		return eviction
 	}
@@ -55,15 +55,15 @@
 			own = append(own, t)
 			continue
 		}
-		others.plus(t.Totals)
+		others.addTotals(t.Totals)
 	}
 	head.Teams, head.Others = own, &others
 	head.Member, head.Members, head.Fleet.RateMicro = "", []Member{}, 0
 	return head
 }
 
-// Within is the snapshot as a scope sees it, whole.
-func (s *Snapshot) Within(scope Scope) *Snapshot {
+// ForScope is the snapshot as a scope sees it, whole.
+func (s *Snapshot) ForScope(scope Scope) *Snapshot {
 	if scope == Operators {
 		return s
 	}
@@ -75,10 +75,10 @@
 		return true
 	})
 	s.evictions.Scan(func(_ string, e *Eviction) bool {
-		if e = scope.Eviction(e); e != nil {
+		if e = scope.VictimSet(e); e != nil {
 			model.evictions.Set(e.Key, e)
 		}
 		return true
 	})
-	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, evictions: model.evictions, log: model.log, floor: s.floor}
+	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, evictions: model.evictions, log: model.log, logFloor: s.logFloor}
 }
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -16,8 +16,8 @@
 
 var teams = []Team{{Name: "team-red-x", Cpus: 4000}, {Name: "team-blue-x", CpusMax: 9000}, {Name: "team-green-x"}}
 
-// drawJob draws a job whose every name tells its team.
-func drawJob(t *rapid.T) Job {
+// randomJob draws a job whose every name tells its team.
+func randomJob(t *rapid.T) Job {
 	team := rapid.SampledFrom(teams).Draw(t, "team").Name
 	tasks := rapid.Uint32Range(1, 9).Draw(t, "tasks")
 	done := rapid.Uint32Range(0, tasks).Draw(t, "done")
@@ -30,15 +30,15 @@
 	return j
 }
 
-// change changes a model at random, as a core does.
-func change(t *rapid.T, model *Model) {
+// applyRandomChange changes a model at random, as a core does.
+func applyRandomChange(t *rapid.T, model *Model) {
 	switch rapid.IntRange(0, 9).Draw(t, "change") {
 	case 0:
-		model.DropJob(drawJob(t).ID)
+		model.DropJob(randomJob(t).ID)
 	case 1:
 		model.DropMachine(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")))
 	case 2, 3:
-		a, b := drawJob(t), drawJob(t)
+		a, b := randomJob(t), randomJob(t)
 		e := Eviction{Job: a.ID, Team: a.Team, At: rapid.Int64Range(0, 50).Draw(t, "at"), Open: true, Victims: []Victim{{Job: b.ID, Team: b.Team, Task: 1, Attempt: 7, Score: 0.5}}}
 		if old, ok := model.EvictionOf(a.ID); ok && rapid.Bool().Draw(t, "same") {
 			old.Open = false
@@ -48,32 +48,32 @@
 	case 4:
 		x := Machine{Name: fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")), Type: "t", Zone: "z", Cpus: 16000, Price: 1_500_000,
 			State: MachineState(rapid.IntRange(0, 5).Draw(t, "state"))}
-		j := drawJob(t)
+		j := randomJob(t)
 		x.Uses, x.UsedCpus, x.Tasks = []Use{{j.Team, 1, j.Cpus, 0}}, j.Cpus, 1
 		model.PutMachine(x)
 	default:
-		model.PutJob(drawJob(t))
+		model.PutJob(randomJob(t))
 	}
 }
 
-// TestFeed lets a reader follow a model that changes at random, from any cursor and over
+// TestFeedReproducesModel lets a reader follow a model that changes at random, from any cursor and over
 // pages that are cut short anywhere: whatever it holds when a head comes is the model as it
 // was then, and its sums add up.
-func TestFeed(t *testing.T) {
+func TestFeedReproducesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model, mirror, cur := NewModel(teams), NewMirror(), Cursor{}
+		model, mirror, cursor := NewModel(teams), NewMirror(), Cursor{}
 		scope := Scope(rapid.SampledFrom([]string{"", teams[0].Name}).Draw(t, "scope"))
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 40).Draw(t, "changes") {
-				change(t, model)
+				applyRandomChange(t, model)
 			}
 			snapshot := model.Snapshot(Head{Epoch: 7, Revision: model.seq})
 			if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
-				cur = Cursor{Epoch: rapid.Uint64Range(6, 7).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, model.seq+1).Draw(t, "seq")}
+				cursor = Cursor{Epoch: rapid.Uint64Range(6, 7).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, model.seq+1).Draw(t, "seq")}
 				mirror = NewMirror()
-				cur.Epoch = 6 // a reader that lost its rows says so by an epoch of nobody's
+				cursor.Epoch = 6 // a reader that lost its rows says so by an epoch of nobody's
 			}
-			raw := snapshot.AppendPage(nil, scope, cur, 5)
+			raw := snapshot.AppendPage(nil, scope, cursor, 5)
 			page, err := ReadPage(raw)
 			if err != nil {
 				t.Fatal(err)
@@ -82,12 +82,12 @@
 				mirror = NewMirror()
 			}
 			page.Apply(mirror)
-			cur = page.Next
-			got := mirror.Mirrored(*page.Head)
+			cursor = page.Next
+			got := mirror.SnapshotWithHead(*page.Head)
 			if err := got.Check(); err != nil {
 				t.Fatal(err)
 			}
-			want := snapshot.Within(scope)
+			want := snapshot.ForScope(scope)
 			var a, b []string
 			list := func(s *Snapshot) (out []string) {
 				s.Jobs("", func(j *Job) bool { x := *j; x.seq = 0; out = append(out, fmt.Sprintf("%+v", x)); return true })
@@ -105,40 +105,40 @@
 	})
 }
 
-// TestScopes lets random models be seen by each team: nothing that reaches it names another
+// TestScopeHidesOtherTeams lets random models be seen by each team: nothing that reaches it names another
 // team, or a job or class of another team's.
-func TestScopes(t *testing.T) {
+func TestScopeHidesOtherTeams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := NewModel(teams)
 		for range rapid.IntRange(0, 60).Draw(t, "changes") {
-			change(t, model)
+			applyRandomChange(t, model)
 		}
-		me := rapid.SampledFrom(teams).Draw(t, "me").Name
+		team := rapid.SampledFrom(teams).Draw(t, "me").Name
 		head := Head{Epoch: 7, Member: "node-of-nobody", Members: []Member{{Name: "node-of-nobody"}}}
 		snapshot := model.Snapshot(head)
 		var out bytes.Buffer
 		for seq := uint64(0); seq <= model.seq; seq += 1 + model.seq/9 {
-			out.Write(snapshot.AppendPage(nil, Scope(me), Cursor{7, seq}, 5))
+			out.Write(snapshot.AppendPage(nil, Scope(team), Cursor{7, seq}, 5))
 		}
-		seen := snapshot.Within(Scope(me))
+		seen := snapshot.ForScope(Scope(team))
 		enc := json.NewEncoder(&out)
 		_ = enc.Encode(seen.Head)
 		seen.Jobs("", func(j *Job) bool { return enc.Encode(j) == nil })
 		seen.Machines(func(x *Machine) bool { return enc.Encode(x) == nil })
 		seen.Evictions(func(e *Eviction) bool { return enc.Encode(e) == nil })
 		for _, other := range teams {
-			if other.Name != me && strings.Contains(out.String(), other.Name) {
-				t.Fatalf("%s sees %s: %q", me, other.Name, out.String())
+			if other.Name != team && strings.Contains(out.String(), other.Name) {
+				t.Fatalf("%s sees %s: %q", team, other.Name, out.String())
 			}
 		}
 		if strings.Contains(out.String(), "node-of-nobody") {
 			t.Fatal("a node's name")
 		}
 		// What it does see is all of its own, and the others as one sum.
-		own, others := model.sums[model.team[me]], Totals{}
-		for i := range model.sums {
-			if i != model.team[me] {
-				others.plus(model.sums[i])
+		own, others := model.totals[model.teamIndex[team]], Totals{}
+		for i := range model.totals {
+			if i != model.teamIndex[team] {
+				others.addTotals(model.totals[i])
 			}
 		}
 		if len(seen.Teams) != 1 || seen.Teams[0].Totals != own || *seen.Others != others || seen.Check() != nil {
@@ -159,7 +159,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := ReadPage(raw)
 		if err != nil {
-			if !errors.Is(err, ErrFeed) {
+			if !errors.Is(err, ErrMalformedPage) {
 				t.Fatal(err)
 			}
 			return
@@ -167,25 +167,25 @@
 		mirror := NewMirror()
 		p.Apply(mirror)
 		if p.Head != nil {
-			_ = mirror.Mirrored(*p.Head).Check() // it may well be torn
+			_ = mirror.SnapshotWithHead(*p.Head).Check() // it may well be torn
 		}
 	})
 }
 
 // A final state is kept for good; a row that says otherwise comes from a state that is older.
-func TestFinalStays(t *testing.T) {
+func TestFinalJobIsNotReopened(t *testing.T) {
 	m := NewMirror()
 	m.PutJob(Job{ID: "job-000001", Tasks: 1, Done: 1, Status: Done})
 	if m.PutJob(Job{ID: "job-000001", Tasks: 1, Placed: 1, Status: Running}) {
 		t.Error("a job that is done runs again")
 	}
-	if s := m.Mirrored(Head{}); s.Job("job-000001").Status != Done {
+	if s := m.SnapshotWithHead(Head{}); s.Job("job-000001").Status != Done {
 		t.Error(s.Job("job-000001"))
 	}
 }
 
-// large is a model with many open jobs on many machines.
-func large(jobs, machines int) *Model {
+// largeModel is a model with many open jobs on many machines.
+func largeModel(jobs, machines int) *Model {
 	m := NewModel(teams)
 	for i := range jobs {
 		m.PutJob(Job{ID: fmt.Sprintf("job-%09d", i), Team: teams[i%3].Name, Class: "c", Tasks: 3, Placed: uint32(i % 2), Cpus: 1000})
@@ -200,7 +200,7 @@
 // copies the controllers on its way.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
-		m := large(n, n/16)
+		m := largeModel(n, n/16)
 		b.Run(fmt.Sprintf("alone/jobs=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				m.Snapshot(Head{})
@@ -218,7 +218,7 @@
 // BenchmarkPage is what a reader costs that has all but the latest 100 changes, and one that
 // has nothing (all pages).
 func BenchmarkPage(b *testing.B) {
-	model := large(20000, 1250)
+	model := largeModel(20000, 1250)
 	snapshot := model.Snapshot(Head{Epoch: 1})
 	b.Run("latest=100", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -24,14 +24,14 @@
 
 // Errors of a source that another controller would not answer better.
 var (
-	ErrOff    = errors.New("the view is switched off on this node")
-	ErrNoTeam = errors.New("no such team")
+	ErrViewDisabled = errors.New("the view is switched off on this node")
+	ErrUnknownTeam  = errors.New("no such team")
 )
 
 // State is what a view client shows now. It never changes, and may be read by any number of goroutines.
 type State struct {
 	*view.Snapshot        // nil: nothing yet
-	Asked          string // the controller that it came from
+	Controller     string // the controller that it came from
 	Sent           time.Time
 	Warning        string // why it may be older than it should, "" if all is well
 }
@@ -45,33 +45,33 @@
 	return time.Duration(s.Now-s.AsOf)*time.Millisecond + now.Sub(s.Sent)
 }
 
-// Fresh is how old a state may be without its age being shown as a warning.
-const Fresh = 2 * time.Second
+// MaxFreshAge is how old a state may be without its age being shown as a warning.
+const MaxFreshAge = 2 * time.Second
 
 // How a follower asks.
 const (
-	waitNew    = 500 * time.Millisecond // a controller may wait for something new
-	answerIn   = 4 * time.Second
-	retryFirst = 200 * time.Millisecond
-	retryMost  = 5 * time.Second
-	turnFirst  = 3 * time.Second // a controller that is behind is left after
-	turnMost   = time.Minute
+	pollWait         = 500 * time.Millisecond // a controller may wait for something new
+	answerTimeout    = 4 * time.Second
+	minRetryDelay    = 200 * time.Millisecond
+	maxRetryDelay    = 5 * time.Second
+	minBehindTimeout = 3 * time.Second // a controller that is behind is left after
+	maxBehindTimeout = time.Minute
 )
 
 // Follower keeps a state up to date while Run runs.
 type Follower struct {
-	source Source
-	scope  view.Scope
-	pause  time.Duration
-	state  atomic.Pointer[State]
-	mu     sync.Mutex
-	fresh  chan struct{}
-	turn   time.Duration
+	source        Source
+	scope         view.Scope
+	pollInterval  time.Duration
+	state         atomic.Pointer[State]
+	mu            sync.Mutex
+	changed       chan struct{}
+	behindTimeout time.Duration
 }
 
 // NewFollower returns a follower of what a scope may see; pause is the least time between two requests.
 func NewFollower(source Source, scope view.Scope, pause time.Duration) *Follower {
-	f := &Follower{source: source, scope: scope, pause: pause, fresh: make(chan struct{}), turn: turnFirst}
+	f := &Follower{source: source, scope: scope, pollInterval: pause, changed: make(chan struct{}), behindTimeout: minBehindTimeout}
 	f.state.Store(&State{Warning: "asking " + source.Controllers()[0]})
 	return f
 }
@@ -83,28 +83,28 @@
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh
+	return f.changed
 }
 
-func (f *Follower) set(s *State) {
+func (f *Follower) setState(s *State) {
 	f.state.Store(s)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.fresh)
-	f.fresh = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-// warn keeps what is shown, and says what is wrong.
-func (f *Follower) warn(why string) {
+// setWarning keeps what is shown, and says what is wrong.
+func (f *Follower) setWarning(why string) {
 	s := *f.state.Load()
 	s.Warning = why
-	f.set(&s)
+	f.setState(&s)
 }
 
 // Run follows until ctx ends, or until a controller gives an answer that no other would change:
 // the view is off everywhere, or there is no such team.
 func (f *Follower) Run(ctx context.Context) error {
-	retry, off := retryFirst, 0
+	retryDelay, disabledCount := minRetryDelay, 0
 	for controller := 0; ctx.Err() == nil; controller = (controller + 1) % len(f.source.Controllers()) {
 		name := f.source.Controllers()[controller]
 		before := f.State().Snapshot
@@ -112,21 +112,21 @@
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case errors.Is(err, ErrNoTeam):
+		case errors.Is(err, ErrUnknownTeam):
 			return err
-		case errors.Is(err, ErrOff):
-			if off++; off >= len(f.source.Controllers()) {
+		case errors.Is(err, ErrViewDisabled):
+			if disabledCount++; disabledCount >= len(f.source.Controllers()) {
 				return err
 			}
 		default:
-			off = 0
+			disabledCount = 0
 		}
-		f.warn(fmt.Sprintf("%s: %v", name, err))
+		f.setWarning(fmt.Sprintf("%s: %v", name, err))
 		if f.State().Snapshot != before {
-			retry = retryFirst
+			retryDelay = minRetryDelay
 		}
-		wait.For(ctx, retry)
-		retry = min(retryMost, 2*retry)
+		wait.For(ctx, retryDelay)
+		retryDelay = min(maxRetryDelay, 2*retryDelay)
 	}
 	return nil
 }
@@ -146,27 +146,27 @@
 	session := &session{controller: controller, mirror: view.NewMirror()}
 	for ctx.Err() == nil {
 		sent := time.Now()
-		snapshot, err := f.read(ctx, session)
+		snapshot, err := f.readPage(ctx, session)
 		if err != nil {
 			return err
 		}
 		if snapshot == nil {
 			continue
 		}
-		f.show(session, &State{Snapshot: snapshot, Asked: f.source.Controllers()[controller], Sent: sent})
-		if f.leaves(session) {
+		f.showIfNewer(session, &State{Snapshot: snapshot, Controller: f.source.Controllers()[controller], Sent: sent})
+		if f.shouldSwitch(session) {
 			return errBehind
 		}
-		wait.For(ctx, f.pause)
+		wait.For(ctx, f.pollInterval)
 	}
 	return ctx.Err()
 }
 
-// read asks for one page and returns the snapshot that it completes, nil if more pages have to follow.
-func (f *Follower) read(ctx context.Context, session *session) (*view.Snapshot, error) {
-	within, cancel := context.WithTimeout(ctx, waitNew+answerIn)
+// readPage asks for one page and returns the snapshot that it completes, nil if more pages have to follow.
+func (f *Follower) readPage(ctx context.Context, session *session) (*view.Snapshot, error) {
+	requestCtx, cancel := context.WithTimeout(ctx, pollWait+answerTimeout)
 	defer cancel()
-	raw, err := f.source.Page(within, session.controller, f.scope, session.cursor, waitNew)
+	raw, err := f.source.Page(requestCtx, session.controller, f.scope, session.cursor, pollWait)
 	if err != nil {
 		return nil, err
 	}
@@ -182,52 +182,52 @@
 	if page.Head == nil {
 		return nil, nil
 	}
-	snapshot := session.mirror.Mirrored(*page.Head)
+	snapshot := session.mirror.SnapshotWithHead(*page.Head)
 	if err := snapshot.Check(); err != nil {
 		return nil, err // never shown
 	}
 	return snapshot, nil
 }
 
-// show shows a state, unless a newer one was shown before, and notes since when its controller is behind.
-func (f *Follower) show(session *session, next *State) {
+// showIfNewer shows a state, unless a newer one was shown before, and notes since when its controller is behind.
+func (f *Follower) showIfNewer(session *session, next *State) {
 	now := time.Now()
-	old := next.Age(now) > Fresh
-	if !old {
-		session.behindSince, f.turn = time.Time{}, turnFirst
+	stale := next.Age(now) > MaxFreshAge
+	if !stale {
+		session.behindSince, f.behindTimeout = time.Time{}, minBehindTimeout
 	} else if session.behindSince.IsZero() {
 		session.behindSince = now
 	}
 	switch {
 	case !next.StateOK:
 		next.Warning = "the state service does not answer"
-	case old:
+	case stale:
 		next.Warning = "behind the state service"
 	}
 	if shown := f.State(); shown.Snapshot == nil || next.Revision >= shown.Revision {
-		f.set(next)
+		f.setState(next)
 		return
 	}
 	// What was shown before is newer: a job that was shown as over would be open again.
-	f.warn(next.Asked + " is behind what is shown")
+	f.setWarning(next.Controller + " is behind what is shown")
 	if session.behindSince.IsZero() {
 		session.behindSince = now
 	}
 }
 
-// leaves tells whether it is another controller's turn.
-func (f *Follower) leaves(session *session) bool {
-	if session.behindSince.IsZero() || time.Since(session.behindSince) <= f.turn || len(f.source.Controllers()) < 2 {
+// shouldSwitch tells whether it is another controller's turn.
+func (f *Follower) shouldSwitch(session *session) bool {
+	if session.behindSince.IsZero() || time.Since(session.behindSince) <= f.behindTimeout || len(f.source.Controllers()) < 2 {
 		return false
 	}
-	f.turn = min(turnMost, 2*f.turn) // in an outage all controllers are behind
+	f.behindTimeout = min(maxBehindTimeout, 2*f.behindTimeout) // in an outage all controllers are behind
 	return true
 }
 
 // Why is why a job waits, and when that was heard.
 type Why struct {
 	view.Reason
-	Got time.Time
+	ReceivedAt time.Time
 }
 
 // Reasons tells why jobs wait, from the controllers that decide it where they answer. What only such
@@ -242,14 +242,14 @@
 		list []view.Reason
 		at   time.Time
 	}
-	within, cancel := context.WithTimeout(ctx, answerIn)
+	requestCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	controllers := f.source.Controllers()
 	answers := make(chan answer, len(controllers))
 	for i := range controllers {
 		go func() {
 			at := time.Now()
-			list, err := f.source.Reasons(within, i, f.scope, ids)
+			list, err := f.source.Reasons(requestCtx, i, f.scope, ids)
 			if err != nil {
 				list = nil // others may know it
 			}
@@ -259,7 +259,7 @@
 	for range controllers {
 		a := <-answers
 		for _, r := range a.list {
-			if old, ok := out[r.Job]; !ok || r.Owner && !old.Owner {
+			if previous, ok := out[r.Job]; !ok || r.Owner && !previous.Owner {
 				out[r.Job] = Why{r, a.at}
 			}
 		}
--- a/internal/viewclient/http.go
+++ b/internal/viewclient/http.go
@@ -41,7 +41,7 @@
 	request.SetRequestURI("http://" + h.addresses[controller] + "/admin/v1" + path + "?" + query.Encode())
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(answerIn)
+		deadline = time.Now().Add(answerTimeout)
 	}
 	if err := h.client.DoDeadline(request, response, deadline); err != nil {
 		return nil, fmt.Errorf("does not answer: %w", err)
@@ -55,9 +55,9 @@
 	}
 	switch {
 	case response.StatusCode() == fasthttp.StatusNotFound && refusal.Field == "team":
-		return nil, ErrNoTeam
+		return nil, ErrUnknownTeam
 	case response.StatusCode() == fasthttp.StatusNotFound:
-		return nil, fmt.Errorf("%w: %s", ErrOff, refusal.Error)
+		return nil, fmt.Errorf("%w: %s", ErrViewDisabled, refusal.Error)
 	}
 	return nil, errors.New(refusal.Error)
 }
