--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -10,7 +10,7 @@
 	"dykeledge/internal/viewclient"
 )
 
-// Model is the screen of the duty room. bubbletea calls it from one goroutine.
+// Model is the interactive screen. bubbletea calls its methods from one goroutine.
 type Model struct {
 	follower           *viewclient.Follower
 	cluster            string
@@ -23,10 +23,10 @@
 	width              int
 	height             int
 	tab                int
-	order              []int // by table
+	order              []int // by table: index into Table.Orders
 	reversed           []bool
-	selectedRow        int // chosen, of all rows
-	firstVisibleRow    int // first row on the screen
+	selectedRow        int // index into rows
+	firstVisibleRow    int // index into rows of the first row on the screen
 	selectedKey        string
 	filter             string
 	editingFilter      bool
@@ -34,10 +34,11 @@
 	showHelp           bool
 	err                error
 	now                func() time.Time
-	rows               []Row // of the present table and state
+	rows               []Row // of the selected table, filtered and sorted
 }
 
-// New returns a console of a follower that runs elsewhere; ctx bounds its questions.
+// New returns a screen of the states of a follower, which the caller runs. ctx bounds the requests for reasons
+// and ends the screen.
 func New(ctx context.Context, f *viewclient.Follower, cluster string) *Model {
 	m := &Model{follower: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), reasons: map[string]viewclient.Why{}, width: 80, height: 24, now: time.Now}
 	m.order, m.reversed = make([]int, len(m.tables)), make([]bool, len(m.tables))
@@ -49,17 +50,17 @@
 	stateMsg   struct{}
 	tickMsg    struct{}
 	reasonsMsg map[string]viewclient.Why
-	// EndMsg ends the console with an error that it shows.
+	// EndMsg ends the console with an error.
 	EndMsg struct{ Err error }
 )
 
-// Err returns what ended the console, nil if its user did.
+// Err returns the error that ended the console, nil if the user ended it.
 func (m *Model) Err() error { return m.err }
 
-// Init begins to wait for the first state.
+// Init returns the commands that wait for the first state and start the tick.
 func (m *Model) Init() tea.Cmd { return tea.Batch(m.waitForState(), tick()) }
 
-// waitForState waits for a newer state.
+// waitForState returns a command that waits for a newer state than the shown one.
 func (m *Model) waitForState() tea.Cmd {
 	ch := m.follower.Changed()
 	if m.follower.State() != m.state {
@@ -74,13 +75,14 @@
 	}
 }
 
-// tick makes ages grow on the screen.
+// tick returns a command that redraws the screen after a second, to update the ages on it.
 func tick() tea.Cmd { return tea.Tick(time.Second, func(time.Time) tea.Msg { return tickMsg{} }) }
 
-// reasonsInterval is how often the controllers are asked why the jobs on the screen wait.
+// reasonsInterval is the minimum interval between automatic requests for the reasons why jobs wait. A key
+// press sends a request at once.
 const reasonsInterval = 2 * time.Second
 
-// requestReasons asks why the jobs on the screen wait.
+// requestReasons returns a command that requests why the jobs on the screen wait, nil if none is due.
 func (m *Model) requestReasons() tea.Cmd {
 	if m.reasonsPending || m.now().Sub(m.reasonsRequestedAt) < reasonsInterval || m.state.Snapshot == nil {
 		return nil
@@ -100,7 +102,7 @@
 	return func() tea.Msg { return reasonsMsg(m.follower.Reasons(m.ctx, ids)) }
 }
 
-// Update takes a key or news.
+// Update handles a message: a key, a new screen size, a new state, a tick or reasons.
 func (m *Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch x := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -132,7 +134,7 @@
 	return m, nil
 }
 
-// handleKey takes a handleKey and tells whether it ends the console.
+// handleKey handles a key and reports whether it ends the console.
 func (m *Model) handleKey(name string, msg tea.KeyMsg) (quit bool) {
 	if name == "ctrl+c" {
 		return true
@@ -149,7 +151,7 @@
 	return false
 }
 
-// editFilter takes a key while a filter is typed.
+// editFilter handles a key while the filter is edited.
 func (m *Model) editFilter(name string, msg tea.KeyMsg) {
 	switch name {
 	case "enter":
@@ -167,7 +169,7 @@
 	}
 }
 
-// handleMoveKey takes a key that chooses another row, and tells whether it was one.
+// handleMoveKey handles a key that moves the selection, and reports whether it was one.
 func (m *Model) handleMoveKey(name string) bool {
 	page := max(1, m.visibleRowCount()-1)
 	switch name {
@@ -189,7 +191,7 @@
 	return true
 }
 
-// handleTableKey takes a key that changes what is shown, and tells whether it was one.
+// handleTableKey handles a key that changes the table or its display, and reports whether it was one.
 func (m *Model) handleTableKey(name string) bool {
 	switch name {
 	case "?":
@@ -214,14 +216,14 @@
 	return true
 }
 
-// selectTableByNumber turns to the table with a number.
+// selectTableByNumber selects the table whose number is the key, if there is one.
 func (m *Model) selectTableByNumber(name string) {
 	if len(name) == 1 && name[0] >= '1' && int(name[0]-'1') < len(m.tables) {
 		m.selectTable(int(name[0] - '1'))
 	}
 }
 
-// back leaves the help, the details, or else the filter.
+// back closes the help or else the details, or else removes the filter.
 func (m *Model) back() {
 	switch {
 	case m.showHelp:
@@ -233,14 +235,14 @@
 	}
 }
 
-// selectTable turns to a table.
+// selectTable selects a table and its first row.
 func (m *Model) selectTable(tab int) {
 	if tab != m.tab {
 		m.tab, m.selectedRow, m.firstVisibleRow, m.selectedKey, m.showDetails = tab, 0, 0, "", false
 	}
 }
 
-// moveSelection chooses the row so many further down.
+// moveSelection moves the selection down by a number of rows, up if it is negative.
 func (m *Model) moveSelection(by int) {
 	m.selectedRow = max(0, min(m.selectedRow+by, len(m.rows)-1))
 	if m.selectedRow < len(m.rows) {
@@ -248,7 +250,8 @@
 	}
 }
 
-// refreshRows brings the rows up to date. The chosen row stays chosen when others come and go.
+// refreshRows recomputes the rows. The selection follows its row when other rows are added or removed, except
+// that a selection of the first row stays on the first row. While details are shown the selected key is kept.
 func (m *Model) refreshRows() {
 	table := m.tables[m.tab]
 	m.rows = table.Rows(m.state, m.controllerNowMs(), m.reasons, m.order[m.tab], m.reversed[m.tab], m.filter)
@@ -270,7 +273,8 @@
 	m.firstVisibleRow = max(0, min(m.firstVisibleRow, len(m.rows)-1))
 }
 
-// controllerNowMs is the time of day by the controllerNowMs of the controller that the state came from, in milliseconds.
+// controllerNowMs returns the present Unix time in milliseconds by the clock of the controller that sent the
+// state, 0 without a state.
 func (m *Model) controllerNowMs() int64 {
 	if m.state.Snapshot == nil {
 		return 0
@@ -278,10 +282,10 @@
 	return m.state.Now + m.now().Sub(m.state.Sent).Milliseconds()
 }
 
-// visibleRowCount is how many rows fit on the screen.
+// visibleRowCount returns how many rows fit on the screen, at least 1.
 func (m *Model) visibleRowCount() int { return max(1, m.height-frameLines) }
 
-// visibleRows are the rows on the screen.
+// visibleRows returns the rows on the screen.
 func (m *Model) visibleRows() []Row {
 	return m.rows[min(m.firstVisibleRow, len(m.rows)):min(m.firstVisibleRow+m.visibleRowCount(), len(m.rows))]
 }
--- a/internal/console/doc.go
+++ b/internal/console/doc.go
@@ -1,5 +1,5 @@
-// Package console draws the read model for people: as tables, and as a screen for the duty
-// room that keeps itself up to date.
+// Package console displays the read model as tables and as an interactive terminal screen that updates
+// itself.
 //
-// docs/ARCHITECTURE.md says how the read model gets from the controllers to those who read it.
+// See docs/ARCHITECTURE.md for how the read model gets from the controllers to its readers.
 package console
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -12,10 +12,11 @@
 	"dykeledge/internal/viewclient"
 )
 
-// frameLines are the lines around the rows: two of state, the tables, the titles, the keys.
+// frameLines is the number of lines around the rows: the title, the summary or warning, the tabs, the column
+// titles and the key hints.
 const frameLines = 5
 
-// Nothing is said by colour alone: what is late carries a mark, what is chosen an arrow.
+// Colour never carries information alone: late jobs also have a mark, and the selected row has an arrow.
 var (
 	bold   = lipgloss.NewStyle().Bold(true)
 	faint  = lipgloss.NewStyle().Faint(true)
@@ -23,7 +24,7 @@
 	active = lipgloss.NewStyle().Bold(true).Underline(true)
 )
 
-// View draws the screen.
+// View returns the screen as text.
 func (m *Model) View() string {
 	lines := []string{bold.Render(m.truncate(m.title())), m.truncate(m.summary()), m.tabs()}
 	if s := m.warning(); s != "" {
@@ -40,7 +41,7 @@
 	return strings.Join(append(lines, faint.Render(m.truncate(m.keyHints()))), "\n")
 }
 
-// truncate cuts a line to the screen's width.
+// truncate cuts a line to the width of the screen.
 func (m *Model) truncate(s string) string { return ansi.Truncate(s, max(1, m.width), "…") }
 
 func (m *Model) padLines(lines []string, n int) []string {
@@ -70,7 +71,7 @@
 	return formatDuration(d.Milliseconds()) + " old"
 }
 
-// warning says why the screen may be wrong, "" if it is not.
+// warning returns why the screen may be out of date, "" if it is not.
 func (m *Model) warning() string {
 	s := m.state
 	if s.Snapshot == nil {
@@ -120,7 +121,7 @@
 	return m.truncate(strings.Join(out, " "))
 }
 
-// tableLines draws titles and rows.
+// tableLines returns the lines of the column titles and the rows on the screen.
 func (m *Model) tableLines() []string {
 	table := m.tables[m.tab]
 	columns, indexes := m.visibleColumns(table)
@@ -157,8 +158,8 @@
 	return lines
 }
 
-// visibleColumns are those that the screen is wide enough for, and where they are in a row. The last
-// one takes what is left.
+// visibleColumns returns the columns that fit the width of the screen, with their indexes into Row.Cells. The
+// last column is extended to the remaining width if it is aligned left.
 func (m *Model) visibleColumns(table Table) (columns []Column, indexes []int) {
 	left := m.width - 2
 	for i, c := range table.Columns {
@@ -217,7 +218,7 @@
   Why a job waits is known only to the node that decides it, and is asked for what
   is on the screen.`
 
-// detailLines tell all of what is chosen.
+// detailLines returns the lines with all details of the selected row.
 func (m *Model) detailLines() []string {
 	state := m.state
 	if state.Snapshot == nil {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/viewclient"
 )
 
-// Column is a column of a table. Need says how wide a screen must be to show it; 0: always.
+// Column is a column of a table. It is shown if the screen has at least MinScreenWidth columns of text.
 type Column struct {
 	Title          string
 	Width          int
@@ -22,30 +22,30 @@
 	MinScreenWidth int
 }
 
-// Row is a row: the cells, what it is about, and what it is sorted by.
+// Row is a row of a table.
 type Row struct {
-	Key            string // a job's id, a machine's or controller's or team's name, an evicted set's key
+	Key            string // a job's id, the name of a machine, controller or team, or a victim set's key
 	Cells          []string
-	BehindSchedule bool // behind schedule
-	sortValues     []float64
+	BehindSchedule bool      // the deadline has passed or is expected to be missed, see view.Job.Behind
+	sortValues     []float64 // by order, see Table.Orders
 }
 
-// Table is one of the screen's tables.
+// Table is a table that the console shows.
 type Table struct {
 	Name    string
 	Columns []Column
-	Orders  []string // what it can be sorted by; the first is the usual order
+	Orders  []string // names of the sort orders; the first is the default
 	rows    func(s *viewclient.State, now int64, why map[string]viewclient.Why) []Row
 }
 
-// A job's id is cut on a narrow screen; details tell it whole.
+// Widths of the column with the job id. A narrow screen truncates the id; the details show it in full.
 const (
 	jobColumnWidth     = 13
 	wideJobColumnWidth = 22
 	wideScreenWidth    = 110
 )
 
-// Names of the tables, in the order of their keys.
+// Names of the tables, in the order of their number keys.
 const (
 	Queue     = "queue"
 	Running   = "running"
@@ -56,7 +56,7 @@
 	Evictions = "evictions"
 )
 
-// Tables returns all tables, in the order of their keys.
+// Tables returns all tables, in the order of their number keys.
 func Tables() []Table {
 	jobColumns := func(doneMinWidth int, last Column, more ...Column) []Column {
 		return append(append([]Column{{"", 1, false, 0}, {"JOB", jobColumnWidth, false, 0}, {"TEAM", 8, false, 0}, {"CLASS", 10, false, 100}, {"PRIO", 4, false, 0},
@@ -81,8 +81,8 @@
 	}
 }
 
-// Rows returns the rows of a table that hold a text, in one of its orders, reversed if asked. now is the time
-// in milliseconds by the clock of the controller that the state came from.
+// Rows returns the rows of the table that contain the filter text, ignoring case, sorted by Orders[order]. now
+// is the Unix time in milliseconds by the clock of the controller that sent the state.
 func (t Table) Rows(state *viewclient.State, now int64, why map[string]viewclient.Why, order int, reversed bool, filter string) []Row {
 	if state.Snapshot == nil {
 		return nil
@@ -96,7 +96,7 @@
 	slices.SortStableFunc(rows, func(a, b Row) int {
 		c := 0
 		if !name {
-			c = cmp.Compare(b.sortValues[order], a.sortValues[order]) // the most of anything first
+			c = cmp.Compare(b.sortValues[order], a.sortValues[order]) // largest value first
 		}
 		if c == 0 {
 			c = cmp.Compare(a.Key, b.Key)
@@ -126,14 +126,15 @@
 	return p[:min(len(p), 4)]
 }
 
-// jobSortValues is what jobs are sorted by: how far behind, priority, age, tasks.
+// jobSortValues returns the sort values of a job: schedule, priority, age, number of tasks, and 0 for the
+// name.
 func jobSortValues(j *view.Job, now int64) []float64 {
 	behind := math.Inf(-1)
 	if j.Due != 0 && j.Behind(now) > 0 {
 		behind = float64(j.Behind(now))
 	}
 	if math.IsInf(behind, -1) {
-		behind = -1e15 + float64(j.Priority)*1e14 + float64(now-j.From) // those in time by priority and age
+		behind = -1e15 + float64(j.Priority)*1e14 + float64(now-j.From) // jobs in time come after late ones, by priority and age
 	}
 	return []float64{behind, float64(j.Priority), float64(now - j.From), float64(j.Tasks), 0}
 }
@@ -162,7 +163,8 @@
 	}
 }
 
-// waitReasonText is why a job waits as far as its row tells, or the controller that decides it.
+// waitReasonText returns why a job waits: the unmet dependencies of its row, or else the reason that a
+// controller returned, with its age if that exceeds viewclient.MaxFreshAge. It returns "" if neither is known.
 func waitReasonText(job *view.Job, why map[string]viewclient.Why) string {
 	if job.Awaits > 0 {
 		return fmt.Sprintf("waits for %d other jobs", job.Awaits)
@@ -284,8 +286,8 @@
 	return rows
 }
 
-// printable makes a name that others chose fit for a screen: a terminal would obey its control
-// characters.
+// printable replaces the unprintable characters of a name that users chose, because a terminal would execute
+// control characters.
 func printable(s string) string {
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -297,12 +299,12 @@
 
 func formatInt[T ~int | ~uint32 | ~uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
 
-// formatMilli shows thousandths.
+// formatMilli formats a value in thousandths.
 func formatMilli(v uint64) string { return strconv.FormatFloat(float64(v)/1000, 'f', -1, 64) }
 
 func formatMoney(micro uint64) string { return strconv.FormatFloat(float64(micro)/1e6, 'f', 2, 64) }
 
-// formatDuration shows a time formatDuration in milliseconds in at most seven characters.
+// formatDuration formats a duration in milliseconds, in at most seven characters if it is below 100 days.
 func formatDuration(ms int64) string {
 	s := ms / 1000
 	sign := ""
@@ -320,7 +322,7 @@
 	return fmt.Sprintf("%s%dd%02dh", sign, s/86400, s/3600%24)
 }
 
-// deadlineText is how long a job has left, or by how much it is late.
+// deadlineText returns the time until the deadline of a job, negative after it, "-" without a deadline.
 func deadlineText(j *view.Job, now int64) string {
 	if j.Due == 0 {
 		return "-"
--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -12,15 +12,16 @@
 	"dykeledge/internal/view"
 )
 
-// Report is what a page shows; the JSON beside the page is this. Figures are rounded here, so
-// that both say the same. Amounts are processors, seconds, and the catalog's money.
+// Report holds the figures of a report. It is written as an HTML page and as a JSON file; the figures are
+// rounded here so that both show the same values. Amounts are in processors, seconds, and the currency of
+// the machine catalog.
 type Report struct {
 	Title     string       `json:"title"`
-	Scope     string       `json:"scope"` // the team that it is for, "" for operators
+	Scope     string       `json:"scope"` // the team that the report is for, "" for operators
 	Made      time.Time    `json:"made"`
 	From      time.Time    `json:"from"`
 	To        time.Time    `json:"to"`
-	KnownFrom time.Time    `json:"known_from"` // no figure is of an earlier time
+	KnownFrom time.Time    `json:"known_from"` // time of the first sample; there are no figures of an earlier time
 	Samples   int          `json:"samples"`
 	Gaps      []Gap        `json:"gaps"`
 	Broken    int          `json:"broken_lines"`
@@ -29,24 +30,24 @@
 	Others    *Others      `json:"all_others,omitempty"`
 }
 
-// Gap is a time of which nothing is known, as nobody recorded.
+// Gap is a time without samples because no recorder was running.
 type Gap struct {
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
 	S    float64   `json:"s"`
 }
 
-// Others is what all other teams together had.
+// Others is the usage of all other teams together, in the report of one team.
 type Others struct {
 	MeanCpus float64 `json:"mean_cpus"`
 	MostCpus float64 `json:"most_cpus"`
 }
 
-// TeamReport is one team's part.
+// TeamReport holds the figures of one team.
 type TeamReport struct {
 	Name         string       `json:"team"`
 	Guarantee    float64      `json:"guarantee_cpus"`
-	Limit        float64      `json:"limit_cpus"` // 0: none
+	Limit        float64      `json:"limit_cpus"` // 0: no limit
 	MeanCpus     float64      `json:"mean_cpus"`
 	MostCpus     float64      `json:"most_cpus"`
 	MeanBorrowed float64      `json:"mean_borrowed_cpus"`
@@ -59,16 +60,16 @@
 	WithDue      int          `json:"jobs_with_deadline"`
 	Late         int          `json:"jobs_late"`
 	LateBy       Distribution `json:"late_by_s"`
-	Evicted      int          `json:"tasks_evicted"`     // of this team
-	EvictedFor   int          `json:"tasks_evicted_for"` // its jobs
+	Evicted      int          `json:"tasks_evicted"`     // tasks of this team that were victims
+	EvictedFor   int          `json:"tasks_evicted_for"` // victims of any team that made room for jobs of this team
 	Series       []Point      `json:"series"`
 	Latest       []LateJob    `json:"worst_late_jobs"`
-	waitSeconds  []float64    // of jobs that started, in seconds
-	lateness     [][2]float64 // when a job ended (seconds of the day's clock) and by how much it was late
-	evictedSoFar [][3]float64 // when a set was evicted, its tasks in it, and tasks evicted for it, all so far
+	waitSeconds  []float64    // waiting times of the jobs that started, in seconds
+	lateness     [][2]float64 // per job with a deadline: when it ended, in Unix seconds, and by how many seconds it was late
+	evictedSoFar [][3]float64 // per victim set: its time in Unix seconds, and the values of Evicted and EvictedFor up to then
 }
 
-// Distribution tells of a distribution.
+// Distribution summarizes the distribution of a value.
 type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -76,15 +77,15 @@
 	Most  float64 `json:"most"`
 }
 
-// Point is one moment of a team.
+// Point is the usage of a team at one time.
 type Point struct {
 	At      time.Time `json:"at"`
 	Cpus    float64   `json:"cpus"`
 	Waiting float64   `json:"waiting_cpus"`
-	Money   float64   `json:"money"` // since the beginning
+	Money   float64   `json:"money"` // cost since the first sample
 }
 
-// LateJob is a job that was late.
+// LateJob is a job that ended after its deadline.
 type LateJob struct {
 	ID    string    `json:"id"`
 	Class string    `json:"class"`
@@ -92,21 +93,21 @@
 	LateS float64   `json:"late_s"`
 }
 
-// Bounds of a report.
+// Limits of a report.
 const (
-	maxPoints   = 300 // of a team's series
-	maxLateJobs = 20  // jobs that are listed
-	gapFactor   = 4   // a pause between samples this many times as long as usual is a gap
+	maxPoints   = 300 // in the series of a team
+	maxLateJobs = 20  // listed per team
+	gapFactor   = 4   // an interval between samples that is this many times the median is a gap
 )
 
 func roundHundredths(v float64) float64 { return math.Round(v*100) / 100 }
 
-// roundMoney rounds money, of which there may be little.
+// roundMoney rounds to four decimals, because amounts of money may be small.
 func roundMoney(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
 func fromMilli(milli uint64) float64 { return float64(milli) / 1000 }
 
-// Make works a report out of a history, which is as the scope may see it.
+// Make computes a report from a history that was read for the same scope.
 func Make(history *History, title string, scope view.Scope, made time.Time) *Report {
 	report := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(history.From), To: time.UnixMilli(history.To),
 		Samples: len(history.Samples), Broken: history.UnreadableLines, Gaps: []Gap{}, Teams: []TeamReport{}}
@@ -139,15 +140,15 @@
 	return report
 }
 
-// totals is what samples add up to: processors times seconds, and the seconds.
+// totals accumulates samples, each weighted by the seconds that it stands for.
 type totals struct {
 	teams                       map[string]*teamSums
 	seconds                     float64
 	cpuSeconds, otherCpuSeconds float64
-	maxOtherCpus                float64 // processors
+	maxOtherCpus                float64 // the maximum of all samples, in processors
 }
 
-// add adds a sample that stands for so many seconds.
+// add adds a sample that stands for the given number of seconds.
 func (t *totals) add(sample *Sample, seconds float64) {
 	t.seconds += seconds
 	t.cpuSeconds += seconds * fromMilli(sample.Fleet.Cpus)
@@ -164,7 +165,7 @@
 	}
 }
 
-// mean is a sum's mean over the time that the samples stand for.
+// mean returns the mean of a weighted sum over the time that the samples stand for.
 func (t *totals) mean(sum float64) float64 {
 	if t.seconds == 0 {
 		return 0
@@ -172,7 +173,7 @@
 	return roundHundredths(sum / t.seconds)
 }
 
-// medianInterval is the median pause between samples, in seconds.
+// medianInterval returns the median interval between samples, in seconds.
 func medianInterval(samples []Sample) float64 {
 	var pauses []int64
 	for i := 1; i < len(samples); i++ {
@@ -185,14 +186,14 @@
 	return float64(pauses[len(pauses)/2]) / 1000
 }
 
-// teamSums is what a team's samples add up to.
+// teamSums accumulates the samples of one team, each weighted by the seconds that it stands for.
 type teamSums struct {
 	last                                         view.Team
 	used, borrowed, dominant, most, short, money float64
 	points                                       []Point
 }
 
-// add adds a team's part of a sample that stands for so many seconds.
+// add adds the team's row of a sample that stands for the given number of seconds.
 func (s *teamSums) add(team *view.Team, at time.Time, seconds float64) {
 	s.last = *team
 	borrowed, _ := team.Borrowed()
@@ -207,7 +208,7 @@
 	s.money += seconds / 3600 * float64(team.RateMicro) / 1e6
 }
 
-// report works out a team's part of a report.
+// report computes the figures of the team.
 func (s *teamSums) report(name string, mean func(float64) float64, history *History) TeamReport {
 	report := TeamReport{Name: name, Guarantee: roundHundredths(fromMilli(s.last.Cpus)), Limit: roundHundredths(fromMilli(s.last.CpusMax)), MeanCpus: mean(s.used), MostCpus: roundHundredths(s.most),
 		MeanBorrowed: mean(s.borrowed), MeanDominant: mean(s.dominant), ShortS: roundHundredths(s.short), Money: roundMoney(s.money), Series: downsample(s.points), Latest: []LateJob{}}
@@ -216,7 +217,7 @@
 	return report
 }
 
-// addJobs counts a team's jobs that are over, their waits and how late they were.
+// addJobs adds the team's final jobs: their number, their waiting times and their lateness.
 func (t *TeamReport) addJobs(jobs []FinalJob) {
 	waits, lates := newDurationHistogram(), newDurationHistogram()
 	for i := range jobs {
@@ -251,7 +252,8 @@
 	t.Latest = t.Latest[:min(len(t.Latest), maxLateJobs)]
 }
 
-// addEvictions counts the team's evicted tasks, and those that were evicted for its jobs.
+// addEvictions adds the number of the team's tasks that were victims, and the number of victims that made
+// room for the team's jobs.
 func (t *TeamReport) addEvictions(evictions []view.Eviction) {
 	for _, eviction := range evictions {
 		for _, victim := range eviction.Victims {
@@ -266,7 +268,7 @@
 	}
 }
 
-// downsample keeps every nth point, and the last.
+// downsample returns every nth point, with n chosen so that at most maxPoints remain, and the last point.
 func downsample(points []Point) []Point {
 	n := (len(points) + maxPoints - 1) / maxPoints
 	if n <= 1 {
@@ -282,10 +284,10 @@
 	return out
 }
 
-// durationHistogram counts times in hundredths of a second.
+// durationHistogram is a histogram of durations in hundredths of a second.
 type durationHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// maxCentiseconds is the longest time that a spread tells apart, a month, in its unit.
+// maxCentiseconds is the longest duration that a durationHistogram distinguishes: 30 days.
 const maxCentiseconds = 30 * 86400 * 100
 
 func newDurationHistogram() durationHistogram {
@@ -293,7 +295,7 @@
 }
 
 func (s durationHistogram) add(seconds float64) {
-	_ = s.histogram.RecordValue(int64(min(maxCentiseconds, max(0, math.Round(seconds*100))))) // within its bounds
+	_ = s.histogram.RecordValue(int64(min(maxCentiseconds, max(0, math.Round(seconds*100))))) // RecordValue fails only for values out of range
 }
 
 func (s durationHistogram) distribution() Distribution {
--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,5 +1,5 @@
-// Package report records what the read model shows over time, and makes a page of it: a Recorder
-// writes a history, Read reads it, Make works out the figures and Report.Write draws them.
+// Package report records the read model over time and makes a report of it: a Recorder writes a history,
+// Read reads it, Make computes the figures and Report.Write writes them as an HTML page and as JSON.
 //
-// docs/ARCHITECTURE.md says how the read model gets from the controllers to those who read it.
+// See docs/ARCHITECTURE.md for how the read model gets from the controllers to its readers.
 package report
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -17,53 +17,54 @@
 	"dykeledge/internal/viewclient"
 )
 
-// A history is a file of lines, each a JSON object: samples of the sums, jobs when they are
-// over, evicted sets when they are made. Lines are only added; one that was cut short by a
-// crash is passed over. Several recorders' files may be read together.
+// A history is a file with one JSON object per line: samples of the totals, jobs when they become final, and
+// victim sets when they are chosen. Lines are only appended. A line that a crash truncated is skipped and
+// counted. The files of several recorders may be read together.
 
-// Line is one line of a history; one of its parts is set.
+// Line is one line of a history. Exactly one of its fields is set.
 type Line struct {
 	Sample    *Sample        `json:"sample,omitempty"`
 	Job       *FinalJob      `json:"job,omitempty"`
 	VictimSet *view.Eviction `json:"evict,omitempty"`
 }
 
-// Sample is the sums at a time.
+// Sample holds the totals at one time.
 type Sample struct {
 	At       int64        `json:"at_ms"`
 	Revision uint64       `json:"revision"`
 	Teams    []view.Team  `json:"teams"`
 	Fleet    view.Fleet   `json:"fleet"`
-	Others   *view.Totals `json:"others,omitempty"` // made by a scope only
+	Others   *view.Totals `json:"others,omitempty"` // set by Line.ForScope for a team
 }
 
-// FinalJob is a job that is over.
+// FinalJob is the row of a job that is done or cancelled.
 type FinalJob struct {
 	view.Job
-	// StartedMs is when a task of it was first seen on a machine, 0: never. It is as exact as the
-	// recorder looks often.
+	// StartedMs is when the recorder first saw a task of the job placed or done; 0 if it never did. Its
+	// precision is the interval between the states that the recorder receives.
 	StartedMs   int64 `json:"started_ms"`
-	SeenFinalMs int64 `json:"seen_ms"` // over
+	SeenFinalMs int64 `json:"seen_ms"` // when the recorder first saw the job final
 }
 
-// Recorder writes a history. It is for one goroutine.
+// Recorder writes a history. Only one goroutine may use it.
 type Recorder struct {
 	w                  io.Writer
 	sampleInterval     time.Duration
 	startedMs          map[string]int64
 	recordedJobs       map[string]bool
-	recordedVictimSets map[string]int // by key: its victims
+	recordedVictimSets map[string]int // by key: number of victims
 	sampledAt          time.Time
 	firstState         bool
 	Recorded           int // lines written
 }
 
-// NewRecorder returns a recorder that writes a sample every so often, and jobs and evicted sets as they come.
+// NewRecorder returns a recorder that writes a sample at most once per interval every, and final jobs and
+// victim sets when they first appear.
 func NewRecorder(w io.Writer, every time.Duration) *Recorder {
 	return &Recorder{w: w, sampleInterval: every, startedMs: map[string]int64{}, recordedJobs: map[string]bool{}, recordedVictimSets: map[string]int{}, firstState: true}
 }
 
-// Run records what a follower brings until ctx ends, or until something cannot be written.
+// Run records the states of a follower until ctx ends or a line cannot be written.
 func (r *Recorder) Run(ctx context.Context, f *viewclient.Follower) error {
 	for ctx.Err() == nil {
 		changed := f.Changed()
@@ -78,10 +79,10 @@
 	return nil
 }
 
-// Record records a state.
+// Record writes what is new in a state. It ignores states older than viewclient.MaxFreshAge.
 func (r *Recorder) Record(state *viewclient.State, now time.Time) error {
 	if state.Snapshot == nil || state.Age(now) > viewclient.MaxFreshAge {
-		return nil // a stale state would be recorded as if it were the present
+		return nil // a stale state would be recorded with the present time
 	}
 	var err error
 	write := func(l Line) {
@@ -97,7 +98,8 @@
 		}
 		if job.Status.Final() && !r.recordedJobs[job.ID] {
 			r.recordedJobs[job.ID] = true
-			// What was over before the recorder began has no known start, and may be recorded already.
+			// The start of a job that was final before the recorder started is not known, and the job may be
+			// recorded already.
 			if !r.firstState {
 				write(Line{Job: &FinalJob{*job, r.startedMs[job.ID], state.Now}})
 			}
@@ -141,18 +143,18 @@
 func (r *Recorder) write(l Line) error {
 	raw, err := json.Marshal(l)
 	if err != nil {
-		return fmt.Errorf("history: %w", err)
+		return fmt.Errorf("encode history line: %w", err)
 	}
-	// One write a line: two recorders that share a file don't mix theirs.
+	// Each line is one write, so that the lines of two recorders that share a file do not mix.
 	if _, err := r.w.Write(append(raw, '\n')); err != nil {
-		return fmt.Errorf("history: %w", err)
+		return fmt.Errorf("write history: %w", err)
 	}
 	r.Recorded++
 	return nil
 }
 
-// ForScope is what of a line a scope may see, false if nothing. As in the view, it is applied
-// before anybody draws.
+// ForScope returns the part of a line that the scope may see, false if nothing. As in the read model it is
+// applied before anything is displayed.
 func (l Line) ForScope(scope view.Scope) (Line, bool) {
 	if scope == view.Operators {
 		return l, true
@@ -170,26 +172,27 @@
 	return l, false
 }
 
-// History is what was recorded in a span of time, as a scope may see it.
+// History is what was recorded in a period, as far as a scope may see it. Times are Unix times in
+// milliseconds.
 type History struct {
-	From, To        int64 // asked for
-	FirstSampleMs   int64 // the first sample there is at all, whatever was asked for; 0: none
+	From, To        int64 // the requested period; To is exclusive
+	FirstSampleMs   int64 // time of the first sample in the files, also outside of the period; 0 if there is none
 	Samples         []Sample
 	Jobs            []FinalJob
 	VictimSets      []view.Eviction
-	UnreadableLines int // lines that could not be read
+	UnreadableLines int // lines that are not valid JSON
 }
 
-// Read reads histories. Files that are missing are an error; lines that can't be read are counted.
+// Read reads the given history files. A missing file is an error; unreadable lines are counted.
 func Read(paths []string, scope view.Scope, from, to int64) (*History, error) {
 	history := &History{From: from, To: to}
 	seenJobs, victimSets, seenSamples := map[string]bool{}, map[string]bool{}, map[int64]bool{}
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil, fmt.Errorf("history %s: there is none; dykectl record writes one, and dykectl up does", path)
+			return nil, fmt.Errorf("history %s: no such file; dykectl record and dykectl up write one", path)
 		} else if err != nil {
-			return nil, fmt.Errorf("history: %w", err)
+			return nil, fmt.Errorf("open history: %w", err)
 		}
 		scanner := bufio.NewScanner(file)
 		scanner.Buffer(make([]byte, 64<<10), 16<<20)
@@ -215,7 +218,8 @@
 				seenJobs[line.Job.ID] = true
 				history.Jobs = append(history.Jobs, *line.Job)
 			case line.VictimSet != nil && inRange(line.VictimSet.At):
-				// Two recorders, or one and another controller's keys, may tell of one set.
+				// Two recorders, or one recorder that switched to a controller with other keys, may record
+				// the same victim set twice.
 				key := fmt.Sprint(line.VictimSet.At, line.VictimSet.Job, len(line.VictimSet.Victims))
 				if !victimSets[key] {
 					victimSets[key] = true
@@ -225,7 +229,7 @@
 		}
 		err = errors.Join(scanner.Err(), file.Close())
 		if err != nil {
-			return nil, fmt.Errorf("history %s: %w", path, err)
+			return nil, fmt.Errorf("read history %s: %w", path, err)
 		}
 	}
 	slices.SortFunc(history.Samples, func(a, b Sample) int { return cmp.Compare(a.At, b.At) })
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -23,13 +23,13 @@
 //go:embed page.html
 var files embed.FS
 
-// figure is a plot with what it says in words.
+// figure is a plot with a description of it in words.
 type figure struct {
 	SVG  template.HTML
 	Text string
 }
 
-// Page writes a report as one HTML page that needs nothing else.
+// Page writes the report as one self-contained HTML page.
 func (r *Report) Page(out io.Writer) error {
 	page, err := template.New("page.html").Funcs(template.FuncMap{
 		"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05") },
@@ -69,15 +69,16 @@
 		},
 	}).ParseFS(files, "page.html")
 	if err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("parse report page template: %w", err)
 	}
 	if err := page.Execute(out, r); err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("render report page: %w", err)
 	}
 	return nil
 }
 
-// The colours differ in lightness too, and lines in their dashes: the page may be printed in black.
+// The colours also differ in lightness, and the lines in their dashes, because the page may be printed in
+// black and white.
 var (
 	blue   = color.RGBA{0x1f, 0x4e, 0x8c, 0xff}
 	orange = color.RGBA{0xc8, 0x5a, 0x00, 0xff}
@@ -89,7 +90,8 @@
 	plotHeight = 5.2 * vg.Centimeter
 )
 
-// newPlot has a time axis that shows seconds for short spans, or none if span is 0.
+// newPlot returns an empty plot with the given label of the y axis. Its x axis shows the time of day, with
+// seconds if the span is below an hour; if span is 0 it is not a time axis.
 func newPlot(y string, span time.Duration) *plot.Plot {
 	chart := plot.New()
 	chart.Y.Label.Text = y
@@ -109,19 +111,20 @@
 	return chart
 }
 
-// renderSVG is a plot as SVG to be put into a page. No name that others chose is in it.
+// renderSVG renders a plot as SVG to be embedded in the page without escaping. Plots must not contain names
+// that users chose.
 func renderSVG(chart *plot.Plot) (template.HTML, error) {
 	addHeadroom(chart)
 	c := vgsvg.New(plotWidth, plotHeight)
 	chart.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
-		return "", fmt.Errorf("plot: %w", err)
+		return "", fmt.Errorf("write plot as SVG: %w", err)
 	}
 	s := b.String()
 	at := strings.Index(s, "<svg")
 	if at < 0 {
-		return "", fmt.Errorf("plot: no SVG")
+		return "", fmt.Errorf("plot: output has no svg element")
 	}
 	return template.HTML(strings.Replace(s[at:], "<svg", `<svg aria-hidden="true"`, 1)), nil
 }
@@ -132,7 +135,7 @@
 	}
 	l, err := plotter.NewLine(xy)
 	if err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("plot line: %w", err)
 	}
 	l.Color, l.Dashes, l.Width = c, dashes, vg.Points(1.2)
 	p.Add(l)
@@ -166,10 +169,10 @@
 	return renderSVG(chart)
 }
 
-// addHeadroom keeps lines clear of the legend.
+// addHeadroom extends the y axis so that the lines don't cross the legend.
 func addHeadroom(p *plot.Plot) { p.Y.Max += (p.Y.Max - p.Y.Min) / 3 }
 
-// span is the time that a team's series cover.
+// span returns the time that the team's series covers.
 func (t TeamReport) span() time.Duration {
 	if len(t.Series) < 2 {
 		return time.Second
@@ -185,7 +188,7 @@
 	return renderSVG(p)
 }
 
-// waitsSVG shows which part of the jobs had started within how long.
+// waitsSVG plots the percentage of the team's jobs that started within a waiting time.
 func waitsSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("jobs, %", 0)
 	chart.X.Label.Text = "started within, seconds"
@@ -205,7 +208,7 @@
 	return renderSVG(chart)
 }
 
-// evictionsSVG shows the evicted tasks so far.
+// evictionsSVG plots the cumulative number of victims over time.
 func evictionsSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("tasks", team.span())
 	steps := func(of int) plotter.XYs {
@@ -230,7 +233,7 @@
 	return renderSVG(chart)
 }
 
-// latenessSVG shows each job's end against its deadline.
+// latenessSVG plots the lateness of each job over the time of its end.
 func latenessSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("late by, s", team.span())
 	var xy plotter.XYs
@@ -241,7 +244,7 @@
 	if len(xy) > 0 {
 		s, err := plotter.NewScatter(xy)
 		if err != nil {
-			return "", fmt.Errorf("plot: %w", err)
+			return "", fmt.Errorf("plot job ends: %w", err)
 		}
 		s.Color, s.Radius, s.Shape = orange, vg.Points(1.6), draw.CircleGlyph{}
 		chart.Add(s)
@@ -251,10 +254,10 @@
 	return renderSVG(chart)
 }
 
-// Beside returns the file with the figures that belongs to a page.
+// Beside returns the name of the JSON file with the figures of a page.
 func Beside(page string) string { return strings.TrimSuffix(page, ".html") + ".json" }
 
-// Write writes the page and, beside it, its figures; each file whole or not at all.
+// Write writes the page and the JSON file with its figures. Each file is written completely or not at all.
 func (r *Report) Write(page string) error {
 	var buffer bytes.Buffer
 	if err := r.Page(&buffer); err != nil {
@@ -262,7 +265,7 @@
 	}
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("encode report figures: %w", err)
 	}
 	for _, f := range []struct {
 		name string
@@ -270,10 +273,10 @@
 	}{{Beside(page), append(raw, '\n')}, {page, buffer.Bytes()}} {
 		tmp := f.name + ".part"
 		if err := os.WriteFile(tmp, f.body, 0o600); err != nil {
-			return fmt.Errorf("report: %w", err)
+			return fmt.Errorf("write report: %w", err)
 		}
 		if err := os.Rename(tmp, f.name); err != nil {
-			return fmt.Errorf("report: %w", err)
+			return fmt.Errorf("write report: %w", err)
 		}
 	}
 	return nil
--- a/internal/view/doc.go
+++ b/internal/view/doc.go
@@ -1,14 +1,14 @@
-// Package view is the read model of a deployment that console, report and scripts share:
-// jobs, machines, evicted sets and the sums over them, all at one stated revision of the
-// state service. A Model is kept by one goroutine; a Snapshot of it is taken in constant
-// time, never changes, and may be read by any number of goroutines.
+// Package view is the read model of a deployment, used by the console, reports and scripts. It holds
+// rows for jobs, machines and victim sets and their totals, all at one stated revision of the state
+// service. A Model is owned by one goroutine. A Snapshot of it is taken in constant time, is immutable
+// and may be read by any number of goroutines.
 //
-// Amounts are whole thousandths (processors, accelerators) and millionths (money), so that
-// sums are exact however often something is added and taken away. Fields that end in PM are
-// permille; times are milliseconds of the day's clock.
+// Amounts are integers, in thousandths (processors, accelerators) and millionths (money), so that
+// totals stay exact over any number of additions and subtractions. Fields that end in PM are in
+// permille. Times are Unix times in milliseconds.
 //
-// A Hub hands snapshots to readers in a controller; pages of a feed (AppendPage, ReadPage) hand
-// them over the network, where Model.Mirrored makes them whole again.
+// A Hub passes snapshots to readers in the same process. Pages of a feed (AppendPage, ReadPage) carry
+// them over the network to a mirror, from which Model.SnapshotWithHead builds a snapshot again.
 //
-// docs/ARCHITECTURE.md says how controllers, state service, cloud and workers work together.
+// See docs/ARCHITECTURE.md for how controllers, state service, cloud and workers work together.
 package view
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -6,36 +6,38 @@
 	"fmt"
 )
 
-// A feed hands a snapshot's changes over in pages, oldest change first. A reader names the
-// last change that it has, so a controller keeps nothing for it; what it has is whole once a page
-// says that no more follow, and that page carries the head. Between two pages the controller may
-// have taken a newer snapshot: a row that changed meanwhile moves towards the end and comes
-// there, so the last page still completes one revision.
+// A feed sends the changes of a snapshot in pages, oldest change first. The reader sends a cursor with
+// the last change that it has read, so the controller keeps no state per reader. The last page, which is
+// not marked with flagMore, carries the head; with it the reader has a complete snapshot. The controller
+// may take a newer snapshot between two pages: a row that changed in between moves to the end of the
+// log and is sent there, so the last page still completes exactly one revision.
 
-// The format: a magic byte that neither HTTP nor the peers' frames begin with, the version,
-// flags, and whole numbers of variable length.
+// A page begins with a magic byte that is the first byte of neither an HTTP message nor a peer frame,
+// the version and the flags. Integers are encoded as varints.
 const (
 	feedMagic       = 0xD9
 	feedVersion     = 1
-	flagReset       = 1 // forget everything first
-	flagMore        = 2
-	flagRemoved     = 0x80
-	pageHeaderBytes = 3 // bytes before the first number: magic, version, flags
-	// MaxPage is about how many bytes a page has at most: with it the memory that slow
-	// readers cost a controller is bounded.
+	flagReset       = 1    // the reader must discard its rows first
+	flagMore        = 2    // more pages follow
+	flagRemoved     = 0x80 // set in the kind of a row that was removed
+	pageHeaderBytes = 3    // bytes before the first integer: magic, version, flags
+	// MaxPage is the size in bytes after which a page takes no further row. It bounds the memory
+	// that slow readers use in a controller.
 	MaxPage      = 64 << 10
 	maxTextBytes = 256
 	maxVictims   = 100_000
 )
 
-// Cursor is how far a reader is.
+// Cursor is the position of a reader in a feed: the last sequence number that it has read, and the
+// epoch of the model that assigned it.
 type Cursor struct{ Epoch, Seq uint64 }
 
-// ErrMalformedPage says that what came is no valid page; the reader has to begin anew.
-var ErrMalformedPage = errors.New("malformed page of the view")
+// ErrMalformedPage is returned for a page that cannot be decoded. The reader must restart from an empty
+// mirror.
+var ErrMalformedPage = errors.New("malformed page of the view feed")
 
-// AppendPage writes the changes after a cursor as far as a page holds them. now is the controller's
-// clock, in milliseconds of the day's: against it readers tell how old the snapshot is.
+// AppendPage appends a page with the changes after the cursor that the scope may see. now is the
+// controller's clock as Unix time in milliseconds, from which readers compute the age of the snapshot.
 func (s *Snapshot) AppendPage(data []byte, scope Scope, cursor Cursor, now int64) []byte {
 	flags := byte(0)
 	if cursor.Epoch != s.Epoch || cursor.Seq > s.Seq || cursor.Seq > 0 && cursor.Seq < s.logFloor {
@@ -45,7 +47,7 @@
 		flags = flagReset
 	}
 	start := len(data)
-	data = append(data, feedMagic, feedVersion, 0) // flags are filled in below
+	data = append(data, feedMagic, feedVersion, 0) // the flags are set below
 	data = binary.AppendUvarint(data, s.Epoch)
 	page := pageEncoder{data: data}
 	next := cursor.Seq
@@ -60,7 +62,7 @@
 		}
 		return true
 	})
-	page.data = append(page.data, 0) // no kind: the end of the rows
+	page.data = append(page.data, 0) // kind 0 ends the rows
 	if flags&flagMore == 0 {
 		next = s.Seq
 		head := scope.Head(s.Head)
@@ -72,29 +74,30 @@
 	return page.data
 }
 
-// Page is a page as its reader has it. Next is how far the reader is with it; Reset says that what it has
-// from before is void.
+// Page is a decoded page. Next is the reader's cursor after the page. If Reset is set, the reader must
+// discard the rows of earlier pages.
 type Page struct {
 	Reset   bool
 	Next    Cursor
-	Head    *Head // nil: more pages follow before what the reader has is whole
+	Head    *Head // nil if more pages follow
 	changes []func(*Model)
 }
 
-// Apply puts a page's rows into a reader's model, which must be no other goroutine's at the time.
+// Apply applies the changes of the page to the reader's model, which no other goroutine may use
+// meanwhile.
 func (p *Page) Apply(model *Model) {
 	for _, apply := range p.changes {
 		apply(model)
 	}
 }
 
-// ReadPage reads a page. Its errors wrap ErrFeed.
+// ReadPage decodes a page. Its errors wrap ErrMalformedPage.
 func ReadPage(data []byte) (*Page, error) {
 	if len(data) < pageHeaderBytes || data[0] != feedMagic {
-		return nil, fmt.Errorf("%w: no page of a view", ErrMalformedPage)
+		return nil, fmt.Errorf("%w: no page header", ErrMalformedPage)
 	}
 	if data[1] != feedVersion {
-		return nil, fmt.Errorf("%w: version %d, want %d", ErrMalformedPage, data[1], feedVersion)
+		return nil, fmt.Errorf("%w: format version %d, want %d", ErrMalformedPage, data[1], feedVersion)
 	}
 	flags := data[2]
 	decoder := &pageDecoder{data: data[pageHeaderBytes:]}
@@ -111,7 +114,7 @@
 	}
 	page.Next.Seq = decoder.uint()
 	if decoder.malformed || len(decoder.data) > 0 || flags&^(flagReset|flagMore) != 0 {
-		return nil, fmt.Errorf("%w: %d bytes with flags %#x", ErrMalformedPage, len(data), flags)
+		return nil, fmt.Errorf("%w: truncated, trailing or out-of-range data in %d bytes with flags %#x", ErrMalformedPage, len(data), flags)
 	}
 	return page, nil
 }
--- a/internal/view/feed_reader.go
+++ b/internal/view/feed_reader.go
@@ -7,7 +7,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// pageDecoder takes a page apart. Once something is malformed it stays bad, and what it returns means nothing.
+// pageDecoder decodes a page. After the first decoding error malformed stays set and the values that its
+// methods return are meaningless.
 type pageDecoder struct {
 	data      []byte
 	malformed bool
@@ -74,7 +75,8 @@
 	return s
 }
 
-// count reads how many things follow that take at least a byte each.
+// count reads the number of items that follow. Each item takes at least one byte, so a count larger than
+// the remaining bytes is malformed.
 func (r *pageDecoder) count() int {
 	n := r.uint()
 	if n > uint64(len(r.data)) {
@@ -151,7 +153,7 @@
 	for range r.count() {
 		v := Victim{Job: r.text(), Team: r.text(), Task: r.uint32(), Attempt: r.uint(), Score: math.Float64frombits(r.uint())}
 		if math.IsNaN(v.Score) || math.IsInf(v.Score, 0) {
-			r.malformed = true // JSON has no such numbers
+			r.malformed = true // JSON cannot encode these values
 		}
 		e.Victims = append(e.Victims, v)
 	}
--- a/internal/view/feed_writer.go
+++ b/internal/view/feed_writer.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// pageEncoder appends what a page is made of.
+// pageEncoder appends the encoded parts of a page to data.
 type pageEncoder struct{ data []byte }
 
 func (w *pageEncoder) uint(v uint64) { w.data = binary.AppendUvarint(w.data, v) }
--- a/internal/view/hub.go
+++ b/internal/view/hub.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Hub hands the latest snapshot from the goroutine that keeps the model to all who read it.
+// Hub passes the latest snapshot from the goroutine that owns the model to any number of readers.
 type Hub struct {
 	latest    atomic.Pointer[Snapshot]
-	readUntil atomic.Int64 // until when somebody reads, on the clock of now
+	readUntil atomic.Int64 // Unix time in nanoseconds until which there is a reader
 	mu        sync.Mutex
 	changed   chan struct{}
 }
 
-// NewHub has no snapshot yet.
+// NewHub returns a hub without a snapshot.
 func NewHub() *Hub { return &Hub{changed: make(chan struct{})} }
 
-// readerTimeout is how long after its last request a reader is taken to be there.
+// readerTimeout is how long after its last request a reader counts as present.
 const readerTimeout = 5 * time.Second
 
-// Wanted tells whether anybody reads. While nobody does, no snapshot needs to be taken.
+// Wanted reports whether there is a reader. Without one no snapshot needs to be taken.
 func (h *Hub) Wanted(now time.Time) bool { return now.UnixNano() < h.readUntil.Load() }
 
-// Publish hands over a snapshot. It never waits for a reader.
+// Publish makes a snapshot the latest one and wakes the waiting readers. It never waits for a reader.
 func (h *Hub) Publish(s *Snapshot) {
 	h.latest.Store(s)
 	h.mu.Lock()
@@ -33,8 +33,9 @@
 	h.changed = make(chan struct{})
 }
 
-// Wait returns the first snapshot that is newer than a cursor, or the latest one when ctx
-// ends before; nil if there is none. A reader that asks for another epoch gets the latest.
+// Wait waits for a snapshot that is newer than the cursor and returns it. If ctx ends first it returns
+// the latest snapshot, nil if there is none. For a cursor of another epoch it returns the latest snapshot
+// at once.
 func (h *Hub) Wait(ctx context.Context, cursor Cursor) *Snapshot {
 	h.readUntil.Store(time.Now().Add(readerTimeout).UnixNano())
 	for {
@@ -53,5 +54,5 @@
 	}
 }
 
-// Latest is the latest snapshot, nil if there is none.
+// Latest returns the latest snapshot, nil if there is none.
 func (h *Hub) Latest() *Snapshot { return h.latest.Load() }
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -8,14 +8,14 @@
 	"github.com/tidwall/btree"
 )
 
-// What a model keeps of the past.
+// How many rows and log entries of the past a model keeps.
 const (
-	maxFinalJobs  = 2000 // jobs that are over
+	maxFinalJobs  = 2000 // done and cancelled jobs
 	maxVictimSets = 50
-	maxRemovals   = 4000 // removed rows: a reader that is further behind begins anew
+	maxRemovals   = 4000 // log entries of removed rows; a reader that is further behind must start again
 )
 
-// rowKind of a row.
+// rowKind is the kind of a row.
 type rowKind uint8
 
 const (
@@ -24,37 +24,37 @@
 	kindVictimSet
 )
 
-// logEntry says which row changed last under a sequence number. Each row has one logEntry.
+// logEntry is the latest change of a row. The log holds one entry per row, by sequence number.
 type logEntry struct {
 	kind      rowKind
 	key       string
 	removed   bool
-	job       *Job      // of a removed row, for whoever may not know of it
-	victimSet *Eviction // likewise
+	job       *Job      // the removed row, to decide which scopes may see its removal
+	victimSet *Eviction // the removed row, for the same purpose
 }
 
-// Model is the read model. One goroutine owns it. Its maps are copied on write: a copy of a
-// whole map costs nothing, and a change after it copies the few tree nodes on its way.
+// Model is the read model, owned by one goroutine. Its maps are copy-on-write B-trees: copying a whole
+// map takes constant time, and a change after a copy copies only the tree nodes on its path.
 type Model struct {
-	teams          []Team // guarantee and limit only
-	teamIndex      map[string]int
+	teams          []Team         // names, guarantees and limits only
+	teamIndex      map[string]int // by name, index into teams, totals and ratesMicro
 	jobs           *btree.Map[string, *Job]
 	machines       *btree.Map[string, *Machine]
 	evictions      *btree.Map[string, *Eviction]
 	log            *btree.Map[uint64, logEntry]
-	seq            uint64
-	logFloor       uint64   // changes up to it are not all in the log any more
-	finalJobs      []string // jobs, in the order of their ends
-	removals       []uint64 // sequence numbers of removals
+	seq            uint64   // sequence number of the latest change
+	logFloor       uint64   // the log is incomplete for cursors before this sequence number
+	finalJobs      []string // ids of done and cancelled jobs, in the order in which they became final
+	removals       []uint64 // sequence numbers of removed rows in the log
 	totals         []Totals // by team
-	ratesMicro     []uint64 // by team
+	ratesMicro     []uint64 // cost per hour by team, in millionths
 	fleet          Fleet
-	mirror         bool   // a copy of another model, which alone decides what is dropped
-	victimSetCount uint64 // evicted sets so far
-	unlistedTotals Totals // jobs of teams that are not in the head
+	mirror         bool   // copies another model, which alone decides which rows are dropped
+	victimSetCount uint64 // number of victim sets that were given a key
+	unlistedTotals Totals // totals of jobs whose team is not in teams
 }
 
-// SetTeam takes a team's changed guarantee and limit.
+// SetTeam updates the guarantee and limit of a team that the model has. Other teams are ignored.
 func (m *Model) SetTeam(t Team) {
 	if i, ok := m.teamIndex[t.Name]; ok {
 		t.Totals, t.RateMicro, t.DominantPM = Totals{}, 0, 0
@@ -62,7 +62,7 @@
 	}
 }
 
-// NewModel is empty; teams tell guarantees and limits.
+// NewModel returns a model without rows. teams holds the guarantees and limits.
 func NewModel(teams []Team) *Model {
 	m := &Model{teams: slices.Clone(teams), teamIndex: map[string]int{}, totals: make([]Totals, len(teams)), ratesMicro: make([]uint64, len(teams)),
 		jobs: btree.NewMap[string, *Job](16), machines: btree.NewMap[string, *Machine](16),
@@ -74,19 +74,21 @@
 	return m
 }
 
-// NewMirror is an empty copy of a controller's model, for one who reads its feed.
+// NewMirror returns an empty model to which the pages of a controller's feed are applied.
 func NewMirror() *Model {
 	m := NewModel(nil)
 	m.mirror = true
 	return m
 }
 
-// SnapshotWithHead is the model as it is now under a whole head, such as came with a mirror's last page.
+// SnapshotWithHead returns the present rows with the given head, for example the one that the last page of
+// a feed carried for a mirror.
 func (m *Model) SnapshotWithHead(h Head) *Snapshot {
 	return &Snapshot{Head: h, jobs: m.jobs.Copy(), machines: m.machines.Copy(), evictions: m.evictions.Copy(), log: m.log.Copy(), logFloor: m.logFloor}
 }
 
-// logChange writes down that a row changed, and returns its sequence number.
+// logChange logs a change of a row in place of its previous change, which has sequence number old, and
+// returns the new sequence number.
 func (m *Model) logChange(old uint64, changed logEntry) uint64 {
 	if old > 0 {
 		m.log.Delete(old)
@@ -110,8 +112,8 @@
 	return &m.unlistedTotals
 }
 
-// PutJob puts a job's row in the place of the one before. A final row is never replaced by
-// one that is not: such a row is dropped, and false returned.
+// PutJob inserts or replaces the row of a job. It ignores a row that is not final, and returns false, if
+// the present row is final.
 func (m *Model) PutJob(job Job) bool {
 	old, had := m.jobs.Get(job.ID)
 	if had {
@@ -136,7 +138,7 @@
 	return true
 }
 
-// DropJob removes a job's row.
+// DropJob removes the row of a job.
 func (m *Model) DropJob(id string) {
 	if old, ok := m.jobs.Delete(id); ok {
 		m.totalsOf(old.Team).add(old, -1)
@@ -147,7 +149,7 @@
 	}
 }
 
-// addMachine adds a machine to the sums, or takes it away with sign -1.
+// addMachine adds a machine to the totals, or subtracts it if sign is -1.
 func (m *Model) addMachine(machine *Machine, sign int64) {
 	m.fleet.add(machine, sign)
 	for _, use := range machine.Uses {
@@ -157,7 +159,7 @@
 	}
 }
 
-// PutMachine puts a machine's row in the place of the one before.
+// PutMachine inserts or replaces the row of a machine.
 func (m *Model) PutMachine(machine Machine) {
 	if old, had := m.machines.Get(machine.Name); had {
 		m.addMachine(old, -1)
@@ -168,7 +170,7 @@
 	m.addMachine(&machine, 1)
 }
 
-// DropMachine removes a machine's row.
+// DropMachine removes the row of a machine.
 func (m *Model) DropMachine(name string) {
 	if old, ok := m.machines.Delete(name); ok {
 		m.addMachine(old, -1)
@@ -176,9 +178,9 @@
 	}
 }
 
-// PutEviction puts an evicted set's row in the place of the one before, or in a new place if
-// it has no key yet. The latest are kept. A key names no job: those who see a set because it
-// has a victim of theirs need not know for whom.
+// PutEviction replaces the row of a victim set, or inserts it under a new key if it has none. The latest
+// maxVictimSets rows are kept. The key does not contain the id of the job that needs the room: a team that
+// sees the set because one of its own tasks is a victim must not learn for which job.
 func (m *Model) PutEviction(eviction Eviction) {
 	if eviction.Key == "" {
 		m.victimSetCount++
@@ -195,14 +197,14 @@
 	}
 }
 
-// DropVictimSet removes an evicted set's row.
+// DropVictimSet removes the row of a victim set.
 func (m *Model) DropVictimSet(key string) {
 	if old, ok := m.evictions.Delete(key); ok {
 		m.logChange(old.seq, logEntry{kind: kindVictimSet, key: key, removed: true, victimSet: old})
 	}
 }
 
-// EvictionOf finds the latest row of the set that makes room for a job.
+// EvictionOf returns the latest victim set that makes room for a job.
 func (m *Model) EvictionOf(job string) (Eviction, bool) {
 	var found Eviction
 	ok := false
@@ -215,8 +217,8 @@
 	return found, ok
 }
 
-// Snapshot is the model as it is now, with a head that tells what only its maker knows. It
-// takes as long whatever the model holds.
+// Snapshot returns the present state of the model. h holds the fields of the head that the model does not
+// compute. The time that it takes does not depend on the number of rows.
 func (m *Model) Snapshot(h Head) *Snapshot {
 	h.Seq, h.Fleet = m.seq, m.fleet
 	h.Teams = make([]Team, len(m.teams))
@@ -235,7 +237,7 @@
 	return 1000 * part / all
 }
 
-// Snapshot is a model at one revision. It never changes.
+// Snapshot is the state of a model at one revision. It is immutable.
 type Snapshot struct {
 	Head
 	jobs      *btree.Map[string, *Job]
@@ -245,35 +247,35 @@
 	logFloor  uint64
 }
 
-// Jobs shows the jobs' rows in the order of their ids, beginning after one, until yield
-// returns false.
+// Jobs calls yield for the rows of the jobs whose id is greater than after, in the order of their ids, until
+// yield returns false.
 func (s *Snapshot) Jobs(after string, yield func(*Job) bool) {
 	s.jobs.Ascend(after, func(id string, j *Job) bool { return id == after || yield(j) })
 }
 
-// Job finds a job's row, nil if there is none.
+// Job returns the row of a job, nil if there is none.
 func (s *Snapshot) Job(id string) *Job {
 	j, _ := s.jobs.Get(id)
 	return j
 }
 
-// Machines shows the machines' rows in the order of their names.
+// Machines calls yield for the rows of the machines in the order of their names, until yield returns false.
 func (s *Snapshot) Machines(yield func(*Machine) bool) {
 	s.machines.Scan(func(_ string, m *Machine) bool { return yield(m) })
 }
 
-// Evictions shows the latest evicted sets, newest first.
+// Evictions calls yield for the latest victim sets, newest first, until yield returns false.
 func (s *Snapshot) Evictions(yield func(*Eviction) bool) {
 	s.evictions.Reverse(func(_ string, e *Eviction) bool { return yield(e) })
 }
 
-// Counts is how many jobs, machines and evicted sets it lists.
+// Counts returns the numbers of jobs, machines and victim sets in the snapshot.
 func (s *Snapshot) Counts() (jobs, machines, evictions int) {
 	return s.jobs.Len(), s.machines.Len(), s.evictions.Len()
 }
 
-// Check holds the sums of the head against the rows, whatever made both. An error names the
-// first sum that is off: then the snapshot is torn and must not be shown.
+// Check compares the totals of the head with the totals of the rows. Its error names the first difference;
+// the snapshot is then inconsistent and must not be shown.
 func (s *Snapshot) Check() error {
 	sums := map[string]*Totals{}
 	s.jobs.Scan(func(_ string, j *Job) bool {
@@ -290,14 +292,14 @@
 		}
 		delete(sums, t.Name)
 		if got != t.Totals {
-			return fmt.Errorf("revision %d: rows of team %s sum up to %+v, the head says %+v", s.Revision, t.Name, got, t.Totals)
+			return fmt.Errorf("revision %d: totals of the job rows of team %s are %+v, the head has %+v", s.Revision, t.Name, got, t.Totals)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
-		return fmt.Errorf("revision %d: rows of team %s, which the head does not list", s.Revision, name)
+		return fmt.Errorf("revision %d: there are job rows of team %s, which the head does not list", s.Revision, name)
 	}
 	if s.Scope != "" {
-		return nil // machines are not listed
+		return nil // the scope of a team has no machine rows
 	}
 	var f Fleet
 	s.machines.Scan(func(_ string, m *Machine) bool {
@@ -305,7 +307,7 @@
 		return true
 	})
 	if f != s.Fleet {
-		return fmt.Errorf("revision %d: machines sum up to %+v, the head says %+v", s.Revision, f, s.Fleet)
+		return fmt.Errorf("revision %d: totals of the machine rows are %+v, the head has %+v", s.Revision, f, s.Fleet)
 	}
 	return nil
 }
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -6,11 +6,11 @@
 	"dykeledge/internal/protocol"
 )
 
-// Status is how a job stands.
+// Status is the status of a job.
 type Status uint8
 
-// A job is queued while no task of it is placed, running while one is. Done and cancelled
-// are kept for good.
+// The statuses of a job. A job is Queued while none of its tasks is placed and Running while at least one
+// is. Done and Cancelled are final.
 const (
 	Queued Status = iota
 	Running
@@ -18,41 +18,42 @@
 	Cancelled
 )
 
-// String returns the name that people and scripts see.
+// String returns the name that users and scripts see.
 func (s Status) String() string {
 	return [...]string{"queued", "running", "done", "cancelled"}[s]
 }
 
-// Final tells whether a status never changes again.
+// Final reports whether the status never changes again.
 func (s Status) Final() bool { return s >= Done }
 
-// Job is a job's row. Rows are never changed once they are in a model.
+// Job is the row of a job. A row is not modified once it is in a model.
 type Job struct {
 	ID       string            `json:"id"`
 	Team     string            `json:"team"`
 	Class    string            `json:"class"`
-	Priority protocol.Priority `json:"priority"` // its own
+	Priority protocol.Priority `json:"priority"` // as submitted, without what it inherits from dependents
 	Service  bool              `json:"service,omitempty"`
 	Status   Status            `json:"status"`
 	Suspect  bool              `json:"suspect,omitempty"`  // failed on several machines before any of its tasks had completed
-	Evicting bool              `json:"evicting,omitempty"` // tasks of others stop for it
+	Evicting bool              `json:"evicting,omitempty"` // has a victim set whose tasks are still stopping
 	Tasks    uint32            `json:"tasks"`
 	Done     uint32            `json:"done"`
 	Placed   uint32            `json:"placed"`
-	Awaits   uint32            `json:"awaits,omitempty"` // jobs that it still waits for
+	Awaits   uint32            `json:"awaits,omitempty"` // number of unmet dependencies
 	Shard    uint32            `json:"share"`
-	Cpus     uint64            `json:"cpus_milli"` // a task
+	Cpus     uint64            `json:"cpus_milli"` // of one task, as Gpus
 	Gpus     uint64            `json:"gpus_milli"`
-	Submit   int64             `json:"submitted_ms"` // time of day in ms, as all whose key ends in _ms
-	From     int64             `json:"from_ms"`      // from when on its times count
+	Submit   int64             `json:"submitted_ms"` // Unix time in ms, as all fields whose key ends in _ms except estimate_ms
+	From     int64             `json:"from_ms"`      // when the job became ready; its waiting time counts from then
 	Due      int64             `json:"due_ms,omitempty"`
-	Estimate uint64            `json:"estimate_ms"` // its owner's estimate of a task's run time
+	Estimate uint64            `json:"estimate_ms"` // the submitter's estimate of the run time of one task, in ms
 	End      int64             `json:"end_ms,omitempty"`
 
 	seq uint64
 }
 
-// Waiting is how many tasks are neither done nor placed, of a job that may start.
+// Waiting returns the number of tasks that are neither done nor placed, 0 for a job that is final or has
+// unmet dependencies.
 func (j *Job) Waiting() uint32 {
 	if j.Status.Final() || j.Awaits > 0 {
 		return 0
@@ -60,9 +61,9 @@
 	return j.Tasks - min(j.Tasks, j.Done+j.Placed)
 }
 
-// Behind is by how many milliseconds a job will miss its deadline, or has missed it, if
-// what is left of it starts now and takes as long as was estimated; 0 or less: it will not.
-// Of a job without a deadline it is the least number.
+// Behind returns by how many milliseconds the job has missed its deadline, or will miss it if its remaining
+// tasks start now and take the estimated time. It is 0 or less if the job is in time, and math.MinInt64 for
+// a cancelled job or one without a deadline.
 func (j *Job) Behind(now int64) int64 {
 	switch {
 	case j.Due == 0 || j.Status == Cancelled:
@@ -77,7 +78,7 @@
 	return now + left - j.Due
 }
 
-// MachineState is how a machine stands, as far as the records tell.
+// MachineState is the state of a machine according to the records in the state service.
 type MachineState uint8
 
 // The states of a machine.
@@ -90,12 +91,12 @@
 	Returning
 )
 
-// String returns the name that people and scripts see.
+// String returns the name that users and scripts see.
 func (s MachineState) String() string {
 	return [...]string{"booting", "idle", "busy", "sick", "draining", "returning"}[s]
 }
 
-// Machine is a machine's row.
+// Machine is the row of a machine.
 type Machine struct {
 	Name     string       `json:"name"`
 	Type     string       `json:"type"`
@@ -109,12 +110,12 @@
 	UsedCpus uint64       `json:"used_cpus_milli"`
 	UsedGpus uint64       `json:"used_gpus_milli"`
 	Price    uint64       `json:"price_micro_per_hour"`
-	Uses     []Use        `json:"uses,omitempty"` // by team, in the order of their names
+	Uses     []Use        `json:"uses,omitempty"` // one entry per team, in the order of the team names
 
 	seq uint64
 }
 
-// Use is what one team's tasks take of a machine.
+// Use is the part of a machine that the tasks of one team use.
 type Use struct {
 	Team  string `json:"team"`
 	Tasks uint32 `json:"tasks"`
@@ -122,8 +123,8 @@
 	Gpus  uint64 `json:"gpus_milli"`
 }
 
-// rateMicro is the part of a machine's price that a use pays: that of the resource of which it
-// takes the larger part.
+// rateMicro returns the part of the machine's price, in millionths per hour, that is charged to the use: in
+// proportion to the resource of which it takes the larger part.
 func (u Use) rateMicro(m *Machine) uint64 {
 	part := func(use, all uint64) uint64 {
 		if all == 0 {
@@ -134,20 +135,20 @@
 	return max(part(u.Cpus, m.Cpus), part(u.Gpus, m.Gpus))
 }
 
-// Eviction is an evicted set's row.
+// Eviction is the row of a victim set.
 type Eviction struct {
-	Key     string   `json:"key"` // time and job: rows sort by it
-	Job     string   `json:"job"` // that needs the room
+	Key     string   `json:"key"` // time and sequence number; rows are sorted by it
+	Job     string   `json:"job"` // the job that needs the room
 	Team    string   `json:"team"`
 	At      int64    `json:"at_ms"`
 	Shard   uint32   `json:"share"`
-	Open    bool     `json:"open"` // its victims are still stopping
+	Open    bool     `json:"open"` // the victims are still stopping
 	Victims []Victim `json:"victims"`
 
 	seq uint64
 }
 
-// Victim is one task of an evicted set.
+// Victim is one task of a victim set.
 type Victim struct {
 	Job     string  `json:"job"`
 	Team    string  `json:"team"`
@@ -156,29 +157,28 @@
 	Score   float64 `json:"score"`
 }
 
-// Team is a team's guarantee, limit and what it has. The sums are over the rows.
+// Team is the row of a team: its guarantee, limit and usage. The totals are those of the job rows.
 type Team struct {
 	Name       string `json:"name"`
 	Cpus       uint64 `json:"guarantee_cpus_milli"`
-	CpusMax    uint64 `json:"limit_cpus_milli"` // 0: none
+	CpusMax    uint64 `json:"limit_cpus_milli"` // 0: no limit
 	Gpus       uint64 `json:"guarantee_gpus_milli"`
 	GpusMax    uint64 `json:"limit_gpus_milli"`
 	Totals     `json:"sum"`
 	RateMicro  uint64 `json:"money_micro_per_hour"`
-	DominantPM uint64 `json:"dominant_share_permille"` // of all machines, the larger one of processors and accelerators
+	DominantPM uint64 `json:"dominant_share_permille"` // the larger of the team's shares of all processors and of all accelerators
 }
 
-// Borrowed is what a team uses beyond its guarantee, in thousandths of processors and
-// accelerators.
+// Borrowed returns what the team uses beyond its guarantee, in thousandths of processors and accelerators.
 func (t *Team) Borrowed() (cpus, gpus uint64) {
 	return t.UsedCpus - min(t.UsedCpus, t.Cpus), t.UsedGpus - min(t.UsedGpus, t.Gpus)
 }
 
-// Totals counts jobs and tasks.
+// Totals holds the totals of job rows.
 type Totals struct {
 	Queued      uint64 `json:"queued_jobs"`
 	Running     uint64 `json:"running_jobs"`
-	Finished    uint64 `json:"finished_jobs"` // of those that are still listed
+	Finished    uint64 `json:"finished_jobs"` // done and cancelled jobs that are still listed
 	Waiting     uint64 `json:"waiting_tasks"`
 	Placed      uint64 `json:"placed_tasks"`
 	UsedCpus    uint64 `json:"used_cpus_milli"`
@@ -186,9 +186,9 @@
 	WaitingCpus uint64 `json:"waiting_cpus_milli"`
 }
 
-// add adds a job's part, or takes it away with sign -1.
+// add adds a job, or subtracts it if sign is -1.
 func (s *Totals) add(job *Job, sign int64) {
-	factor := uint64(sign) // sums wrap around, and come back exactly
+	factor := uint64(sign) // the unsigned totals wrap around, so subtraction is exact
 	switch job.Status {
 	case Queued:
 		s.Queued += factor
@@ -205,7 +205,7 @@
 	s.WaitingCpus += factor * waiting * job.Cpus
 }
 
-// addTotals adds another sum.
+// addTotals adds other totals.
 func (s *Totals) addTotals(other Totals) {
 	from := other.fields()
 	for i, field := range s.fields() {
@@ -213,7 +213,7 @@
 	}
 }
 
-// Fleet sums up the machines.
+// Fleet holds the totals of machine rows.
 type Fleet struct {
 	Machines  uint64 `json:"machines"`
 	Booting   uint64 `json:"booting"`
@@ -224,7 +224,7 @@
 	RateMicro uint64 `json:"money_micro_per_hour"`
 }
 
-// add adds a machine's part, or takes it away with sign -1.
+// add adds a machine, or subtracts it if sign is -1.
 func (f *Fleet) add(machine *Machine, sign int64) {
 	factor := uint64(sign)
 	f.Machines += factor
@@ -238,33 +238,33 @@
 	f.RateMicro += factor * machine.Price
 }
 
-// Member is a controller's row: one member of the group of controllers.
+// Member is the row of a controller.
 type Member struct {
 	Name   string   `json:"name"`
 	Alive  bool     `json:"alive"`
 	Leader bool     `json:"leader"`
-	Unfit  bool     `json:"unfit,omitempty"` // reaches no worker
+	Unfit  bool     `json:"unfit,omitempty"` // the controller reaches no worker
 	Shares []uint32 `json:"shares"`
 }
 
-// Head is what a snapshot says of itself, and the sums at its revision.
+// Head describes a snapshot and holds the totals at its revision.
 type Head struct {
-	Member   string   `json:"node"`  // that made it
-	Epoch    uint64   `json:"epoch"` // of that controller's model: sequence numbers compare within one only
+	Member   string   `json:"node"`  // the controller that took the snapshot
+	Epoch    uint64   `json:"epoch"` // identifies the model; sequence numbers are comparable only within one epoch
 	Seq      uint64   `json:"seq"`
 	Revision uint64   `json:"revision"`
-	Now      int64    `json:"now_ms"`   // the controller's clock when it answered
-	AsOf     int64    `json:"as_of_ms"` // when the revision was certainly the latest one, by the same clock
-	Since    int64    `json:"since_ms"` // jobs that ended before are not listed
-	StateOK  bool     `json:"state_ok"` // the state service serves the controller
-	Scope    string   `json:"scope"`    // the team that it is for, "" for operators
+	Now      int64    `json:"now_ms"`   // the controller's clock when it sent the page
+	AsOf     int64    `json:"as_of_ms"` // the latest time at which the revision was known to be the newest one, by the same clock
+	Since    int64    `json:"since_ms"` // jobs that ended earlier are not listed
+	StateOK  bool     `json:"state_ok"` // the state service answers the controller
+	Scope    string   `json:"scope"`    // the team whose view it is, "" for operators
 	Teams    []Team   `json:"teams"`
-	Others   *Totals  `json:"others,omitempty"` // all teams that the scope leaves out
+	Others   *Totals  `json:"others,omitempty"` // totals of the teams that the scope leaves out
 	Fleet    Fleet    `json:"fleet"`
 	Members  []Member `json:"nodes"`
 }
 
-// Team finds a team of the head, nil if it is not listed.
+// Team returns the row of a team, nil if the head does not list it.
 func (h *Head) Team(name string) *Team {
 	for i := range h.Teams {
 		if h.Teams[i].Name == name {
@@ -274,15 +274,15 @@
 	return nil
 }
 
-// Reason says why a job's tasks wait, as the controller that was asked knows it.
+// Reason is why the tasks of a job wait, according to the controller that was asked.
 type Reason struct {
 	Job    string `json:"job"`
-	Why    string `json:"why"` // "": none of its tasks waits
+	Why    string `json:"why"` // "" if none of its tasks waits
 	Member string `json:"node"`
-	// Owner tells that the controller owns the job's shard, and so decides.
+	// Owner is set if the controller owns the shard of the job and so decides on its placement.
 	Owner bool  `json:"owner"`
 	At    int64 `json:"at_ms"`
 }
 
-// MaxReasons is how many jobs one request may ask about.
+// MaxReasons is the maximum number of jobs in one request for reasons.
 const MaxReasons = 64
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Scope is whose view it is: one team's, or the operators' if it is empty. What a team may
-// not know leaves out here, where the view is made, and never reaches the one who draws it:
-// of other teams it sees one sum. It is given no machines (others' tasks are on them) and no
-// controller's name.
+// Scope limits a view to what one team may see; the empty scope is the operators'. The limit is applied
+// where the view is made, so that what a team may not see never reaches the program that displays it. A team
+// sees the other teams as one total. It sees no machines, because tasks of other teams run on them, and no
+// names of controllers.
 type Scope string
 
-// Operators see everything.
+// Operators is the scope that sees everything.
 const Operators Scope = ""
 
-// job is what of a job's row may be seen, nil if nothing.
+// job returns the row if the scope may see it, nil otherwise.
 func (s Scope) job(j *Job) *Job {
 	if s != Operators && j.Team != string(s) {
 		return nil
@@ -26,8 +26,8 @@
 	return m
 }
 
-// VictimSet is what of an evicted set may be seen. One that concerns a team through a victim
-// of its own shows that victim only, and not for whom.
+// VictimSet returns the part of a victim set that the scope may see, nil if nothing. A team sees only its own
+// tasks among the victims, and the job that needs the room only if that job is its own.
 func (s Scope) VictimSet(eviction *Eviction) *Eviction {
 	if s == Operators {
 		return eviction
@@ -43,7 +43,7 @@
 	return &out
 }
 
-// Head is what of a head may be seen.
+// Head returns the part of a head that the scope may see.
 func (s Scope) Head(head Head) Head {
 	head.Scope = string(s)
 	if s == Operators {
@@ -62,7 +62,7 @@
 	return head
 }
 
-// ForScope is the snapshot as a scope sees it, whole.
+// ForScope returns the complete snapshot as the scope may see it.
 func (s *Snapshot) ForScope(scope Scope) *Snapshot {
 	if scope == Operators {
 		return s
--- a/internal/viewclient/doc.go
+++ b/internal/viewclient/doc.go
@@ -1,6 +1,6 @@
-// Package viewclient follows a deployment's read model from outside: it asks one controller, goes on to
-// the next when that one fails, and shows only what is whole and no older than what it
-// has shown before.
+// Package viewclient follows the read model of a deployment over the network. It polls one controller,
+// switches to the next one when that controller fails or is behind, and publishes only complete states,
+// never one of an earlier revision than before.
 //
-// docs/ARCHITECTURE.md says how the read model gets from the controllers to those who read it.
+// See docs/ARCHITECTURE.md for how the read model gets from the controllers to its readers.
 package viewclient
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -12,32 +12,33 @@
 	"dykeledge/internal/wait"
 )
 
-// Source asks the controllers of a deployment.
+// Source sends requests to the controllers of a deployment.
 type Source interface {
-	// Controllers returns the names by which the controllers are called in messages to people.
+	// Controllers returns the names of the controllers for messages to users.
 	Controllers() []string
-	// Page asks a controller for the changes after a cursor, and lets it wait that long for some.
+	// Page requests the changes after a cursor. The controller may wait up to wait until there are some.
 	Page(ctx context.Context, controller int, scope view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error)
-	// Reasons asks a controller why jobs wait.
+	// Reasons requests why jobs wait.
 	Reasons(ctx context.Context, controller int, scope view.Scope, ids []string) ([]view.Reason, error)
 }
 
-// Errors of a source that another controller would not answer better.
+// Errors of a Source that end Follower.Run: ErrUnknownTeam at once, ErrViewDisabled once all controllers have
+// returned it in a row.
 var (
 	ErrViewDisabled = errors.New("the view is switched off on this node")
 	ErrUnknownTeam  = errors.New("no such team")
 )
 
-// State is what a view client shows now. It never changes, and may be read by any number of goroutines.
+// State is what a view client shows at a time. It is immutable and may be read by any number of goroutines.
 type State struct {
-	*view.Snapshot        // nil: nothing yet
-	Controller     string // the controller that it came from
-	Sent           time.Time
-	Warning        string // why it may be older than it should, "" if all is well
+	*view.Snapshot           // nil until the first one was received
+	Controller     string    // the controller that sent the snapshot
+	Sent           time.Time // when the page was requested
+	Warning        string    // why the state may be out of date, "" if it is not
 }
 
-// Age is how old the state may be at most: the time since its revision was certainly the
-// latest one. Only differences of one clock are used.
+// Age returns the maximum age of the state: the time since its revision was known to be the newest one. It
+// adds differences of times of the same clock, so the clocks need not agree.
 func (s *State) Age(now time.Time) time.Duration {
 	if s.Snapshot == nil {
 		return 0
@@ -45,16 +46,16 @@
 	return time.Duration(s.Now-s.AsOf)*time.Millisecond + now.Sub(s.Sent)
 }
 
-// MaxFreshAge is how old a state may be without its age being shown as a warning.
+// MaxFreshAge is the maximum age of a state that is shown without a warning.
 const MaxFreshAge = 2 * time.Second
 
-// How a follower asks.
+// Times of a follower.
 const (
-	pollWait         = 500 * time.Millisecond // a controller may wait for something new
-	answerTimeout    = 4 * time.Second
+	pollWait         = 500 * time.Millisecond // how long a controller may wait for changes before it answers
+	answerTimeout    = 4 * time.Second        // for a request, besides pollWait
 	minRetryDelay    = 200 * time.Millisecond
 	maxRetryDelay    = 5 * time.Second
-	minBehindTimeout = 3 * time.Second // a controller that is behind is left after
+	minBehindTimeout = 3 * time.Second // a controller that is behind for longer is left
 	maxBehindTimeout = time.Minute
 )
 
@@ -69,17 +70,18 @@
 	behindTimeout time.Duration
 }
 
-// NewFollower returns a follower of what a scope may see; pause is the least time between two requests.
+// NewFollower returns a follower of what a scope may see. pause is the time between a complete state and the
+// next request.
 func NewFollower(source Source, scope view.Scope, pause time.Duration) *Follower {
 	f := &Follower{source: source, scope: scope, pollInterval: pause, changed: make(chan struct{}), behindTimeout: minBehindTimeout}
 	f.state.Store(&State{Warning: "asking " + source.Controllers()[0]})
 	return f
 }
 
-// State returns what there is to show now. It may be called by any goroutine.
+// State returns the present state. It may be called by any goroutine.
 func (f *Follower) State() *State { return f.state.Load() }
 
-// Changed returns a channel that is closed when the state changes next. It may be called by any goroutine.
+// Changed returns a channel that is closed at the next change of the state. It may be called by any goroutine.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,15 +96,15 @@
 	f.changed = make(chan struct{})
 }
 
-// setWarning keeps what is shown, and says what is wrong.
+// setWarning replaces the warning of the state and keeps its snapshot.
 func (f *Follower) setWarning(why string) {
 	s := *f.state.Load()
 	s.Warning = why
 	f.setState(&s)
 }
 
-// Run follows until ctx ends, or until a controller gives an answer that no other would change:
-// the view is off everywhere, or there is no such team.
+// Run polls the controllers until ctx ends. It returns an error if the view is disabled on all controllers or
+// the team does not exist.
 func (f *Follower) Run(ctx context.Context) error {
 	retryDelay, disabledCount := minRetryDelay, 0
 	for controller := 0; ctx.Err() == nil; controller = (controller + 1) % len(f.source.Controllers()) {
@@ -133,15 +135,15 @@
 
 var errBehind = errors.New("behind the state service, asking another node")
 
-// session is what has been read of one controller's feed.
+// session is the state of reading one controller's feed.
 type session struct {
 	controller  int
 	mirror      *view.Model
 	cursor      view.Cursor
-	behindSince time.Time // zero: it is not behind
+	behindSince time.Time // zero if the controller is not behind
 }
 
-// follow reads one controller's feed until something is wrong with it.
+// follow reads one controller's feed until a request fails, the controller is behind for too long, or ctx ends.
 func (f *Follower) follow(ctx context.Context, controller int) error {
 	session := &session{controller: controller, mirror: view.NewMirror()}
 	for ctx.Err() == nil {
@@ -162,7 +164,7 @@
 	return ctx.Err()
 }
 
-// readPage asks for one page and returns the snapshot that it completes, nil if more pages have to follow.
+// readPage requests one page and returns the snapshot that it completes, nil if more pages follow.
 func (f *Follower) readPage(ctx context.Context, session *session) (*view.Snapshot, error) {
 	requestCtx, cancel := context.WithTimeout(ctx, pollWait+answerTimeout)
 	defer cancel()
@@ -184,12 +186,13 @@
 	}
 	snapshot := session.mirror.SnapshotWithHead(*page.Head)
 	if err := snapshot.Check(); err != nil {
-		return nil, err // never shown
+		return nil, err // an inconsistent snapshot is never published
 	}
 	return snapshot, nil
 }
 
-// showIfNewer shows a state, unless a newer one was shown before, and notes since when its controller is behind.
+// showIfNewer publishes a state unless one of a later revision was published before, and records since when its
+// controller is behind.
 func (f *Follower) showIfNewer(session *session, next *State) {
 	now := time.Now()
 	stale := next.Age(now) > MaxFreshAge
@@ -208,30 +211,32 @@
 		f.setState(next)
 		return
 	}
-	// What was shown before is newer: a job that was shown as over would be open again.
+	// The published state is newer. With the older one, a job that was shown as final would be open again.
 	f.setWarning(next.Controller + " is behind what is shown")
 	if session.behindSince.IsZero() {
 		session.behindSince = now
 	}
 }
 
-// shouldSwitch tells whether it is another controller's turn.
+// shouldSwitch reports whether the follower should switch to another controller. It doubles the time after
+// which it does so again, because in an outage of the state service all controllers are behind.
 func (f *Follower) shouldSwitch(session *session) bool {
 	if session.behindSince.IsZero() || time.Since(session.behindSince) <= f.behindTimeout || len(f.source.Controllers()) < 2 {
 		return false
 	}
-	f.behindTimeout = min(maxBehindTimeout, 2*f.behindTimeout) // in an outage all controllers are behind
+	f.behindTimeout = min(maxBehindTimeout, 2*f.behindTimeout)
 	return true
 }
 
-// Why is why a job waits, and when that was heard.
+// Why is the reason why a job waits, with the time at which it was requested.
 type Why struct {
 	view.Reason
 	ReceivedAt time.Time
 }
 
-// Reasons tells why jobs wait, from the controllers that decide it where they answer. What only such
-// a controller's memory holds is as old as its answer.
+// Reasons asks all controllers why jobs wait, for the first view.MaxReasons ids. The answer of the controller
+// that owns a job's shard has precedence. Some reasons exist only in that controller's memory, so they are as
+// old as its answer.
 func (f *Follower) Reasons(ctx context.Context, ids []string) map[string]Why {
 	ids = ids[:min(len(ids), view.MaxReasons)]
 	out := map[string]Why{}
@@ -251,7 +256,7 @@
 			at := time.Now()
 			list, err := f.source.Reasons(requestCtx, i, f.scope, ids)
 			if err != nil {
-				list = nil // others may know it
+				list = nil // other controllers may answer
 			}
 			answers <- answer{list, at}
 		}()
--- a/internal/viewclient/http.go
+++ b/internal/viewclient/http.go
@@ -16,24 +16,24 @@
 	"dykeledge/internal/view"
 )
 
-// HTTP is a Source that asks controllers through their administration API. Any number of goroutines may
-// use it.
+// HTTP is a Source that uses the administration API of the controllers. Any number of goroutines may use it.
 type HTTP struct {
 	addresses []string
 	client    *fasthttp.Client
 }
 
-// NewHTTP returns a source that asks the controllers at these addresses, their peer_listen.
+// NewHTTP returns a source for the controllers at the given addresses, which are their peer_listen settings.
 func NewHTTP(addresses []string) *HTTP {
 	return &HTTP{addresses: addresses, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxResponseBodySize: 4 * view.MaxPage, MaxIdleConnDuration: 10 * time.Second,
 		Dial: client.Dial}}
 }
 
-// Controllers returns the addresses of the controllers that are asked.
+// Controllers returns the addresses of the controllers.
 func (h *HTTP) Controllers() []string { return h.addresses }
 
-// get sends one request and returns the body of its answer. Only the deadline of ctx bounds it.
+// get sends one request and returns the body of the response. It observes the deadline of ctx but not its
+// cancellation; without a deadline it uses answerTimeout.
 func (h *HTTP) get(ctx context.Context, controller int, path string, query url.Values) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -62,13 +62,13 @@
 	return nil, errors.New(refusal.Error)
 }
 
-// Page asks a controller for changes. Errors may wrap ErrOff or ErrNoTeam.
+// Page requests the changes after a cursor. Errors may wrap ErrViewDisabled or ErrUnknownTeam.
 func (h *HTTP) Page(ctx context.Context, controller int, scope view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error) {
 	return h.get(ctx, controller, "/view", url.Values{"team": {string(scope)}, "epoch": {strconv.FormatUint(cursor.Epoch, 10)},
 		"seq": {strconv.FormatUint(cursor.Seq, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}})
 }
 
-// Reasons asks a controller why jobs wait. Errors may wrap ErrOff or ErrNoTeam.
+// Reasons requests why jobs wait. Errors may wrap ErrViewDisabled or ErrUnknownTeam.
 func (h *HTTP) Reasons(ctx context.Context, controller int, scope view.Scope, ids []string) ([]view.Reason, error) {
 	raw, err := h.get(ctx, controller, "/view/reasons", url.Values{"team": {string(scope)}, "jobs": {strings.Join(ids, ",")}})
 	if err != nil {
@@ -78,7 +78,7 @@
 		Items []view.Reason `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return nil, fmt.Errorf("answer: %w", err)
+		return nil, fmt.Errorf("decode reasons: %w", err)
 	}
 	return p.Items, nil
 }
