--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -26,41 +26,41 @@
 
 // simulationSource asks the controllers of a played deployment.
 type simulationSource struct {
-	simulation *simulator.Simulation
-	nodes      int
-	corrupt    func([]byte) []byte
+	simulation      *simulator.Simulation
+	controllerCount int
+	corrupt         func([]byte) []byte
 }
 
 func (s simulationSource) Controllers() (out []string) {
-	for i := range s.nodes {
+	for i := range s.controllerCount {
 		out = append(out, fmt.Sprintf("n%d", i))
 	}
 	return out
 }
 
-func (s simulationSource) Page(ctx context.Context, node int, scope view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
-	controller := s.simulation.Controller(node)
+func (s simulationSource) Page(ctx context.Context, index int, scope view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error) {
+	controller := s.simulation.Controller(index)
 	if controller.Ended() {
 		return nil, errors.New("does not answer")
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	snap := controller.Core.View(waitCtx, cur)
+	snapshot := controller.Core.View(waitCtx, cursor)
 	switch {
 	case controller.Ended():
 		return nil, errors.New("does not answer")
-	case snap == nil:
+	case snapshot == nil:
 		return nil, errors.New("has not read the records yet")
 	}
-	raw := snap.AppendPage(nil, scope, cur, time.Now().UnixMilli())
+	raw := snapshot.AppendPage(nil, scope, cursor, time.Now().UnixMilli())
 	if s.corrupt != nil {
 		raw = s.corrupt(raw)
 	}
 	return raw, nil
 }
 
-func (s simulationSource) Reasons(ctx context.Context, node int, scope view.Scope, ids []string) ([]view.Reason, error) {
-	return s.simulation.Controller(node).Core.Reasons(ctx, scope, ids)
+func (s simulationSource) Reasons(ctx context.Context, index int, scope view.Scope, ids []string) ([]view.Reason, error) {
+	return s.simulation.Controller(index).Core.Reasons(ctx, scope, ids)
 }
 
 // reference is the scheduler's own state, made anew from what the state service holds.
@@ -358,7 +358,7 @@
 					simulation.AddMachine(simulation.Settings.Deployment.Zones[i%3], i%2 == 0)
 				}
 				ref := &reference{simulation.Store, storage.NewCache(simulation.Settings)}
-				follower := viewclient.NewFollower(simulationSource{simulation: simulation, nodes: 3}, view.Operators, 300*time.Millisecond)
+				follower := viewclient.NewFollower(simulationSource{simulation: simulation, controllerCount: 3}, view.Operators, 300*time.Millisecond)
 				followerErr := make(chan error, 1)
 				go func() { followerErr <- follower.Run(ctx) }()
 				model := New(ctx, follower, "burst")
@@ -375,7 +375,7 @@
 				go func() { results <- users.Run(ctx, plan, 2*time.Minute) }()
 				finalStatus := map[string]view.Status{}
 				screensChecked, staleScreens, maxRows, lastRevision, changesDetected := 0, 0, 0, uint64(0), false
-				began := time.Now()
+				startedAt := time.Now()
 				checkScreens := func() string {
 					model.state = follower.State()
 					snapshot := model.state.Snapshot
@@ -430,7 +430,7 @@
 					}
 					return ""
 				}
-				for time.Since(began) < 100*time.Second && !t.Failed() {
+				for time.Since(startedAt) < 100*time.Second && !t.Failed() {
 					time.Sleep(250 * time.Millisecond)
 					if mismatch := checkScreens(); mismatch != "" {
 						t.Error(mismatch)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -62,13 +62,13 @@
 
 // waitForState returns a command that waits for a newer state than the shown one.
 func (m *Model) waitForState() tea.Cmd {
-	ch := m.follower.Changed()
+	changed := m.follower.Changed()
 	if m.follower.State() != m.state {
 		return func() tea.Msg { return stateMsg{} }
 	}
 	return func() tea.Msg {
 		select {
-		case <-ch:
+		case <-changed:
 		case <-m.ctx.Done():
 		}
 		return stateMsg{}
--- a/internal/view/hub.go
+++ b/internal/view/hub.go
@@ -40,14 +40,14 @@
 	h.readUntil.Store(time.Now().Add(readerTimeout).UnixNano())
 	for {
 		h.mu.Lock()
-		ch := h.changed
+		changed := h.changed
 		h.mu.Unlock()
 		s := h.latest.Load()
 		if s != nil && (s.Epoch != cursor.Epoch || s.Seq > cursor.Seq) {
 			return s
 		}
 		select {
-		case <-ch:
+		case <-changed:
 		case <-ctx.Done():
 			return h.Latest()
 		}
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -126,13 +126,13 @@
 // rateMicro returns the part of the machine's price, in millionths per hour, that is charged to the use: in
 // proportion to the resource of which it takes the larger part.
 func (u Use) rateMicro(m *Machine) uint64 {
-	part := func(use, all uint64) uint64 {
+	proportional := func(use, all uint64) uint64 {
 		if all == 0 {
 			return 0
 		}
 		return m.Price * use / all
 	}
-	return max(part(u.Cpus, m.Cpus), part(u.Gpus, m.Gpus))
+	return max(proportional(u.Cpus, m.Cpus), proportional(u.Gpus, m.Gpus))
 }
 
 // Eviction is the row of a victim set.
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -14,29 +14,29 @@
 
 // scriptedSource is a source whose controllers answer as told.
 type scriptedSource struct {
-	controllers []func(cur view.Cursor) ([]byte, error)
+	controllers []func(cursor view.Cursor) ([]byte, error)
 	asked       []int
 	reason      func(controller int) []view.Reason
 }
 
 func (s *scriptedSource) Controllers() []string { return []string{"n1", "n2"}[:len(s.controllers)] }
-func (s *scriptedSource) Page(_ context.Context, controller int, _ view.Scope, cur view.Cursor, wait time.Duration) ([]byte, error) {
+func (s *scriptedSource) Page(_ context.Context, controller int, _ view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error) {
 	s.asked = append(s.asked, controller)
 	time.Sleep(wait)
-	return s.controllers[controller](cur)
+	return s.controllers[controller](cursor)
 }
 func (s *scriptedSource) Reasons(_ context.Context, controller int, _ view.Scope, _ []string) ([]view.Reason, error) {
 	return s.reason(controller), nil
 }
 
 // answerWith answerWith with a job in a state at a revision, as old as told.
-func answerWith(epoch, rev uint64, status view.Status, age time.Duration, stateOK bool) func(view.Cursor) ([]byte, error) {
-	return func(cur view.Cursor) ([]byte, error) {
+func answerWith(epoch, revision uint64, status view.Status, age time.Duration, stateOK bool) func(view.Cursor) ([]byte, error) {
+	return func(cursor view.Cursor) ([]byte, error) {
 		m := view.NewModel([]view.Team{{Name: "red"}})
 		m.PutJob(view.Job{ID: "job-000001", Team: "red", Tasks: 1, Status: status})
 		now := time.Now().UnixMilli()
-		s := m.Snapshot(view.Head{Epoch: epoch, Revision: rev, AsOf: now - age.Milliseconds(), StateOK: stateOK})
-		return s.AppendPage(nil, view.Operators, cur, now), nil
+		s := m.Snapshot(view.Head{Epoch: epoch, Revision: revision, AsOf: now - age.Milliseconds(), StateOK: stateOK})
+		return s.AppendPage(nil, view.Operators, cursor, now), nil
 	}
 }
 
@@ -98,17 +98,17 @@
 		startedAt := time.Now()
 		first := answerWith(1, 9, view.Done, 0, true)
 		follower := NewFollower(&scriptedSource{controllers: []func(view.Cursor) ([]byte, error){
-			func(cur view.Cursor) ([]byte, error) {
+			func(cursor view.Cursor) ([]byte, error) {
 				if time.Since(startedAt) > 5*time.Second {
 					return nil, errors.New("does not answer")
 				}
-				return first(cur)
+				return first(cursor)
 			},
-			func(cur view.Cursor) ([]byte, error) {
+			func(cursor view.Cursor) ([]byte, error) {
 				if time.Since(startedAt) > 20*time.Second {
-					return answerWith(2, 12, view.Done, 0, true)(cur)
+					return answerWith(2, 12, view.Done, 0, true)(cursor)
 				}
-				return answerWith(2, 7, view.Running, 0, true)(cur)
+				return answerWith(2, 7, view.Running, 0, true)(cursor)
 			},
 		}}, view.Operators, 200*time.Millisecond)
 		var warned atomic.Bool
