--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -24,7 +24,7 @@
 	"dykeledge/internal/viewclient"
 )
 
-// simulationSource asks the controllers of a played deployment.
+// simulationSource is a Source that asks the controllers of a simulated deployment.
 type simulationSource struct {
 	simulation      *simulator.Simulation
 	controllerCount int
@@ -63,12 +63,14 @@
 	return s.simulation.Controller(index).Core.Reasons(ctx, scope, ids)
 }
 
-// reference is the scheduler's own state, made anew from what the state service holds.
+// reference is the scheduler's state, rebuilt independently of the view from the changes in the state
+// service.
 type reference struct {
 	store *simulator.Store
 	cache *storage.Cache
 }
 
+// advance applies the changes of the state service up to a revision.
 func (r *reference) advance(t *testing.T, to uint64) {
 	t.Helper()
 	for _, e := range r.store.Changes(r.cache.Revision, to) {
@@ -80,7 +82,8 @@
 	r.cache.PruneFinalJobs()
 }
 
-// expectedCells are what a job's row must show: team, priority, tasks, done, placed, waiting.
+// expectedCells returns the cells that the row of a job must show: id, team, priority, tasks, done, placed and
+// waiting.
 func (r *reference) expectedCells(j *storage.Job) []string {
 	waits := fmt.Sprint(j.Waiting())
 	if !j.Ready() && j.Open() && !j.DependencyFailed {
@@ -90,7 +93,8 @@
 	return []string{j.ID, r.cache.Teams[j.Team].Name, prio[:min(4, len(prio))], fmt.Sprint(j.Tasks), fmt.Sprint(j.DoneCount), fmt.Sprint(j.PlacedCount), waits}
 }
 
-// difference tells how a snapshot difference from the reference at its revision, "" if it does not.
+// difference describes the first difference between a snapshot and the reference at the same revision, "" if
+// there is none.
 func (r *reference) difference(snapshot *view.Snapshot) string {
 	totals := make([]view.Totals, len(r.cache.Teams))
 	open := 0
@@ -100,7 +104,7 @@
 		}
 		row := snapshot.Job(job.ID)
 		if row == nil {
-			return fmt.Sprintf("%s is not shown", job.ID)
+			return fmt.Sprintf("%s is missing in the snapshot", job.ID)
 		}
 		want := view.Queued
 		switch {
@@ -116,7 +120,7 @@
 		}
 		if row.Status != want || int(row.Placed) != job.PlacedCount || int(row.Done) != job.DoneCount || int(row.Tasks) != job.Tasks || row.Waiting() != uint32(job.Waiting()) ||
 			row.Team != r.cache.Teams[job.Team].Name || row.Priority != job.OwnPriority {
-			return fmt.Sprintf("%s is %+v, want %s with %d placed and %d done", job.ID, *row, want, job.PlacedCount, job.DoneCount)
+			return fmt.Sprintf("row of %s is %+v, want status %s with %d placed and %d done", job.ID, *row, want, job.PlacedCount, job.DoneCount)
 		}
 		sum := &totals[job.Team]
 		switch want {
@@ -133,17 +137,17 @@
 		if !j.Status.Final() {
 			openShown++
 		} else if final, _ := r.cache.FinalState(j.ID); string(final) != j.Status.String() {
-			mismatch = fmt.Sprintf("%s is shown %s and is %q", j.ID, j.Status, final)
+			mismatch = fmt.Sprintf("%s has status %s, want %q", j.ID, j.Status, final)
 		}
 		return mismatch == ""
 	})
 	if mismatch != "" || openShown != open {
-		return fmt.Sprintf("%d open jobs are shown of %d. %s", openShown, open, mismatch)
+		return fmt.Sprintf("%d rows of open jobs, want %d. %s", openShown, open, mismatch)
 	}
 	for i, t := range snapshot.Teams {
 		if t.Queued != totals[i].Queued || t.Running != totals[i].Running || t.Waiting != totals[i].Waiting || t.Placed != totals[i].Placed ||
 			t.UsedCpus != uint64(math.Round(1000*r.cache.TeamUsage[i].Cpus)) {
-			return fmt.Sprintf("team %s sums up to %+v, want %+v and %v cpus", t.Name, t.Totals, totals[i], r.cache.TeamUsage[i].Cpus)
+			return fmt.Sprintf("totals of team %s are %+v, want %+v and %v cpus", t.Name, t.Totals, totals[i], r.cache.TeamUsage[i].Cpus)
 		}
 	}
 	machines := 0
@@ -160,32 +164,32 @@
 			return row.Name != machine.Name
 		})
 		if !found {
-			return "machine " + machine.Name + " is not shown as it is"
+			return "machine " + machine.Name + " is missing or has another shard or number of tasks"
 		}
 	}
 	if uint64(machines) != snapshot.Fleet.Machines {
-		return fmt.Sprintf("%d machines are shown of %d", snapshot.Fleet.Machines, machines)
+		return fmt.Sprintf("%d machines in the totals, want %d", snapshot.Fleet.Machines, machines)
 	}
 	return ""
 }
 
-// screenDifference holds what is drawn against the reference: every row on the screen cell by cell, all
-// rows of the table by their number, and the sums above them.
+// screenDifference compares the drawn screen with the reference: the cells of every row on the screen, the
+// number of rows in the table, and the totals in the summary. It returns "" if they are equal.
 func (r *reference) screenDifference(model *Model) string {
 	lines := strings.Split(ansi.Strip(model.View()), "\n")
 	if len(lines) != model.height {
-		return fmt.Sprintf("%d lines on a screen of %d", len(lines), model.height)
+		return fmt.Sprintf("%d lines on a screen of %d lines", len(lines), model.height)
 	}
 	for _, l := range lines {
 		if ansi.StringWidth(l) > model.width {
-			return fmt.Sprintf("line of %d on a screen of %d: %q", ansi.StringWidth(l), model.width, l)
+			return fmt.Sprintf("line of %d columns on a screen of %d: %q", ansi.StringWidth(l), model.width, l)
 		}
 	}
 	queued, running, wait, placed, inQueue, inRunning := 0, 0, 0, 0, 0, 0
 	for _, job := range r.cache.Jobs {
 		if job == nil || !job.Open() || job.DependencyFailed {
 			if job != nil {
-				placed += job.PlacedCount // a cancelled job's, until they are gone
+				placed += job.PlacedCount // tasks of a cancelled job count as placed until they have stopped
 			}
 			continue
 		}
@@ -207,7 +211,7 @@
 			return fmt.Sprintf("%q: %v", lines[1], err)
 		}
 		if got != [4]int{queued, running, wait, placed} {
-			return fmt.Sprintf("%q, want %d %d %d %d", lines[1], queued, running, wait, placed)
+			return fmt.Sprintf("summary %q, want %d queued, %d running, %d waiting, %d placed", lines[1], queued, running, wait, placed)
 		}
 	}
 	wantRows, table := -1, model.tables[model.tab].Name
@@ -218,7 +222,7 @@
 		wantRows = inRunning
 	}
 	if wantRows >= 0 && len(model.rows) != wantRows {
-		return fmt.Sprintf("%d rows in %s, want %d", len(model.rows), table, wantRows)
+		return fmt.Sprintf("%d rows in table %s, want %d", len(model.rows), table, wantRows)
 	}
 	if wantRows < 0 {
 		return ""
@@ -227,24 +231,24 @@
 		fields := strings.Fields(strings.TrimLeft(lines[4+i], ">!? "))
 		job := r.cache.Job(fields[0])
 		if job == nil {
-			return fmt.Sprintf("%q is of no job", lines[4+i])
+			return fmt.Sprintf("row %q is of no known job", lines[4+i])
 		}
 		cells := r.expectedCells(job)
-		if model.width < 90 && table == Queue { // without those done
+		if model.width < 90 && table == Queue { // a narrow screen has no column of done tasks
 			cells = slices.Delete(cells, 4, 5)
 		}
-		if model.width >= 100 { // the class comes third then
+		if model.width >= 100 { // a wide screen has the class as the third column
 			cells = slices.Insert(cells, 2, r.cache.Classes.Name(job.Class))
 		}
 		if len(fields) < len(cells) || !slices.Equal(fields[:len(cells)], cells) {
-			return fmt.Sprintf("%q, want %v", lines[4+i], cells)
+			return fmt.Sprintf("row %q, want %v", lines[4+i], cells)
 		}
 	}
 	return ""
 }
 
-// detectsChanges tells whether the comparison notices a row that is dropped, two that are swapped,
-// and a snapshot with a row changed, dropped or brought back.
+// detectsChanges reports whether the comparisons detect a dropped row, two swapped rows, and a snapshot with a
+// row changed, dropped or added under another id.
 func (r *reference) detectsChanges(model *Model) bool {
 	rows := model.rows
 	defer func() { model.rows = rows }()
@@ -255,7 +259,7 @@
 	model.rows = slices.Clone(rows)
 	first, second := model.rows[0], model.rows[1]
 	first.Cells, second.Cells = slices.Clone(first.Cells), slices.Clone(second.Cells)
-	first.Cells[1], second.Cells[1] = second.Cells[1], first.Cells[1] // the ids change places
+	first.Cells[1], second.Cells[1] = second.Cells[1], first.Cells[1] // swap the ids
 	first.Cells[2], second.Cells[2] = "x", first.Cells[2]
 	model.rows[0], model.rows[1] = first, second
 	if r.screenDifference(model) == "" {
@@ -270,7 +274,7 @@
 		s.Jobs("", func(j *view.Job) bool { return mirror.PutJob(*j) })
 		s.Machines(func(x *view.Machine) bool { mirror.PutMachine(*x); return true })
 		if r.difference(mirror.SnapshotWithHead(s.Head)) != "" {
-			return false // the copy is the same so far
+			return false // the unchanged copy must equal the reference
 		}
 		change(mirror, *s.Job(rows[0].Key))
 		if r.difference(mirror.SnapshotWithHead(s.Head)) == "" {
@@ -291,10 +295,10 @@
 	return s
 }
 
-// TestScreensMatchState replays a recorded burst, kept as a profile and a seed, over the
-// stand-ins, through what may happen to the controller that is asked. Whatever is drawn is the
-// scheduler's own state at the revision that the screen states, and is no older than 2 s or
-// says so. What was shown as over is never shown as open again.
+// TestScreensMatchState replays a recorded burst, stored as a profile and a seed, in the simulator with faults
+// of the polled controller and of the state service. Every screen must show the scheduler's state at the stated
+// revision and must warn if it is older than 2 s. A job that was shown as final must never be shown as open
+// again.
 func TestScreensMatchState(t *testing.T) {
 	raw, err := os.ReadFile("testdata/burst.toml")
 	if err != nil {
@@ -302,30 +306,30 @@
 	}
 	for _, test := range []struct {
 		name        string
-		loadFactor  float64 // of the burst
+		loadFactor  float64 // part of the recorded burst that is replayed
 		fault       func(sim *simulator.Simulation)
-		wantWarning bool // the screen has to say that it is old
+		wantWarning bool // the screen must warn that it is out of date
 	}{
-		{name: "the node that is asked ends", loadFactor: 1, fault: func(sim *simulator.Simulation) {
+		{name: "polled controller ends", loadFactor: 1, fault: func(sim *simulator.Simulation) {
 			time.Sleep(30 * time.Second)
 			sim.Kill(0)
 			time.Sleep(6 * time.Second)
 			sim.Start(0)
 		}},
-		{name: "the state service is out", loadFactor: 0.1, wantWarning: true, fault: func(sim *simulator.Simulation) {
+		{name: "state service outage", loadFactor: 0.1, wantWarning: true, fault: func(sim *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
 			sim.Store.SetDown(true)
 			time.Sleep(12 * time.Second)
 			sim.Store.SetDown(false)
 		}},
-		{name: "the node that is asked is refused alone, and follows from too far back", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
+		{name: "state service refuses polled controller, then compacts", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
 			sim.Store.Deny("n0", true)
 			time.Sleep(9 * time.Second)
 			sim.Store.Compact()
 			sim.Store.Deny("n0", false)
 		}},
-		{name: "all shares change hands", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
+		{name: "all shards change owners", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
 			for i := range 3 {
 				time.Sleep(10 * time.Second)
 				sim.Controller(i).Cut(simulator.NoWorkers | simulator.NoUsers)
@@ -383,7 +387,7 @@
 						return ""
 					}
 					if snapshot.Revision < lastRevision {
-						return fmt.Sprintf("revision %d after %d", snapshot.Revision, lastRevision)
+						return fmt.Sprintf("shown revision %d after %d", snapshot.Revision, lastRevision)
 					}
 					if snapshot.Revision > lastRevision {
 						lastRevision = snapshot.Revision
@@ -394,7 +398,7 @@
 						reverted := ""
 						snapshot.Jobs("", func(j *view.Job) bool {
 							if was, ok := finalStatus[j.ID]; ok && was != j.Status {
-								reverted = fmt.Sprintf("%s was shown %s and is shown %s", j.ID, was, j.Status)
+								reverted = fmt.Sprintf("%s was shown as %s and is now shown as %s", j.ID, was, j.Status)
 							}
 							if j.Status.Final() {
 								finalStatus[j.ID] = j.Status
@@ -418,14 +422,14 @@
 						screensChecked++
 						if !changesDetected && tab < 2 && len(model.visibleRows()) > 2 {
 							if changesDetected = true; !ref.detectsChanges(model) {
-								return "a changed screen is taken for a true one"
+								return "the comparison does not detect a changed screen or snapshot"
 							}
 						}
 						maxRows = max(maxRows, len(model.rows))
 					}
 					if age := model.state.Age(time.Now()); age > viewclient.MaxFreshAge {
 						if staleScreens++; !strings.Contains(ansi.Strip(model.View()), "THIS IS") {
-							return fmt.Sprintf("it is %v old and does not say so", age)
+							return fmt.Sprintf("the state is %v old and the screen has no warning", age)
 						}
 					}
 					return ""
@@ -438,15 +442,15 @@
 					}
 				}
 				result := <-results
-				t.Logf("%d screens, %d jobs on one, old on %d; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screensChecked, maxRows, staleScreens, result.Jobs, result.Accepted, result.Done, result.Accept, result.Complete)
+				t.Logf("%d screens checked, up to %d rows, %d stale states; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screensChecked, maxRows, staleScreens, result.Jobs, result.Accepted, result.Done, result.Accept, result.Complete)
 				if result.Accepted != result.Jobs || result.Open > 0 || result.WentBack > 0 || len(finalStatus) < result.Jobs*9/10 {
-					t.Errorf("%+v, %d seen over", result, len(finalStatus))
+					t.Errorf("%+v, %d jobs shown as final", result, len(finalStatus))
 				}
 				if !changesDetected {
-					t.Error("no screen was changed to see whether that is noticed")
+					t.Error("no screen had enough rows to check that changes are detected")
 				}
 				if (staleScreens > 0) != test.wantWarning && test.wantWarning {
-					t.Error("an outage was not told")
+					t.Error("the screen did not warn of the outage")
 				}
 				for _, rule := range simulation.BrokenRules() {
 					t.Error(rule)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -15,8 +15,8 @@
 	"dykeledge/internal/viewclient"
 )
 
-// recordHistory plays a small life of three teams through a recorder, with a pause, and returns the
-// file. One class holds markup.
+// recordHistory records 300 s of three teams, with a gap from second 120 to 200 and a truncated last line, and
+// returns the file. The names of the classes contain markup.
 func recordHistory(t *testing.T, began time.Time) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "history.jsonl")
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // the file is only read after this
 	model := view.NewModel([]view.Team{{Name: "team-red-x", Cpus: 8000, CpusMax: 20000}, {Name: "team-blue-x", Cpus: 4000}, {Name: "team-green-x"}})
 	model.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
 		Uses: []view.Use{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
@@ -56,21 +56,21 @@
 			}
 		}
 		if sec >= 120 && sec < 200 {
-			continue // nobody records
+			continue // no recorder is running
 		}
 		s := model.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: now.UnixMilli(), AsOf: now.UnixMilli()})
 		if err := recorder.Record(&viewclient.State{Snapshot: s, Sent: now}, now); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := file.WriteString("{\"sample\":{\"at_ms\":1"); err != nil { // a crash
+	if _, err := file.WriteString("{\"sample\":{\"at_ms\":1"); err != nil { // as after a crash
 		t.Fatal(err)
 	}
 	return path
 }
 
-// TestReport: figures are those of the life that was recorded, the page says the same as the
-// JSON beside it, and a team's page names no other team's anything.
+// TestReport checks that the figures match what was recorded, that the page shows the figures of the JSON file,
+// and that the files for one team contain no name of another team.
 func TestReport(t *testing.T) {
 	began := time.Date(2026, 11, 30, 18, 0, 0, 0, time.Local)
 	path := recordHistory(t, began)
@@ -115,13 +115,13 @@
 			}
 			for _, other := range []string{"team-red-x", "team-blue-x", "team-green-x"} {
 				if test.scope != view.Operators && other != string(test.scope) && (bytes.Contains(page, []byte(other)) || bytes.Contains(raw, []byte(other))) {
-					t.Errorf("%s is on the page of %s", other, test.scope)
+					t.Errorf("%s is named in the report for %s", other, test.scope)
 				}
 			}
 			if bytes.Contains(page, []byte("<script>")) || bytes.Contains(page, []byte("<of>")) || regexp.MustCompile(`(src|href)="?http`).Match(page) {
-				t.Error("markup of others, or something from elsewhere, is in the page")
+				t.Error("the page contains unescaped markup or a link to an external resource")
 			}
-			// Each figure of the JSON is on the page as it is.
+			// Each figure of the JSON file appears on the page with the same value.
 			var doc struct {
 				Teams []map[string]any `json:"teams"`
 			}
@@ -132,12 +132,12 @@
 			for _, team := range doc.Teams {
 				for name, v := range team {
 					if n, ok := v.(float64); ok && (n != 0 || name != "limit_cpus") && !strings.Contains(text, ">"+fmt.Sprint(n)+"<") {
-						t.Errorf("%s is %v in the JSON and not on the page", name, n)
+						t.Errorf("%s is %v in the JSON file and missing on the page", name, n)
 					}
 				}
 			}
 			if n := strings.Count(string(page), "<svg"); n != 5*test.teams || strings.Count(string(page), "<figcaption>") != n {
-				t.Errorf("%d plots, each needs its words", n)
+				t.Errorf("%d plots, want 5 for each team, each with a caption", n)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-// What is stale is not recorded as if it were the present.
+// TestRecorderSkipsStaleState checks that a stale state is not recorded as if it were the present one.
 func TestRecorderSkipsStaleState(t *testing.T) {
 	var b bytes.Buffer
 	r := NewRecorder(&b, time.Second)
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -10,9 +10,9 @@
 	"dykeledge/internal/golden"
 )
 
-// The golden files hold what a landed version's feed sends: the pages of a model that
-// model.json describes, each named by what it brings and to whom, and beside it what its
-// reader has then. A difference means that a reader of another version can't follow.
+// The golden files hold the pages that a released version sends for the model in model.json, named by their
+// content and the reader's scope, and as JSON what the reader has after each page. A difference means that a
+// reader of another version cannot decode the feed.
 
 // goldenModel is the content of model.json.
 type goldenModel struct {
@@ -33,7 +33,7 @@
 	return content
 }
 
-// build puts all rows of the content into a new model.
+// build returns a new model with all rows of the content.
 func (content *goldenModel) build() *Model {
 	model := NewModel(content.Teams)
 	for _, job := range content.Jobs {
@@ -48,7 +48,8 @@
 	return model
 }
 
-// applyChanges replaces the first row of each kind and drops the last one.
+// applyChanges replaces the first job and the first machine and drops the last job, the last machine and the
+// newest victim set.
 func (content *goldenModel) applyChanges(model *Model) {
 	job, machine := content.Jobs[0], content.Machines[0]
 	job.Placed++
@@ -64,7 +65,7 @@
 // goldenClock is the controller's clock when it writes a page.
 const goldenClock = 1700000006000
 
-// goldenReader follows a feed and holds each of its pages against the golden files.
+// goldenReader reads a feed and compares each page with its golden file.
 type goldenReader struct {
 	scope  Scope
 	cursor Cursor
@@ -75,7 +76,7 @@
 	return &goldenReader{scope: scope, mirror: NewMirror()}
 }
 
-// read takes the next page, which must be the file's, and returns it.
+// read compares the next page with its golden file, applies it to the mirror and returns it.
 func (r *goldenReader) read(t *testing.T, snapshot *Snapshot, name string) *Page {
 	t.Helper()
 	golden.CheckBytes(t, name+".bin", snapshot.AppendPage(nil, r.scope, r.cursor, goldenClock))
@@ -88,7 +89,7 @@
 	return page
 }
 
-// contentJSON tells as JSON what the reader has after a page.
+// contentJSON returns as JSON what the reader has after a page.
 func (r *goldenReader) contentJSON(t *testing.T, page *Page) []byte {
 	t.Helper()
 	content := struct {
@@ -108,7 +109,7 @@
 	return append(text, '\n')
 }
 
-// TestGoldenPages follows a model over a first page and one of changes.
+// TestGoldenPages reads a first page with all rows and a second one with changes.
 func TestGoldenPages(t *testing.T) {
 	for _, test := range []struct {
 		reader string
@@ -126,7 +127,7 @@
 	}
 }
 
-// TestGoldenMirror writes a page from what its reader has: the same bytes.
+// TestGoldenMirror checks that a mirror encodes the page that it was read from byte for byte.
 func TestGoldenMirror(t *testing.T) {
 	const file = "first.operators.bin"
 	page, err := ReadPage(golden.Read(t, file))
@@ -138,20 +139,21 @@
 	golden.CheckBytes(t, file, mirror.SnapshotWithHead(*page.Head).AppendPage(nil, Operators, Cursor{}, goldenClock))
 }
 
-// TestGoldenFullPage cuts a long feed after a full page and sends the rest in a second one.
+// TestGoldenFullPage checks that a feed longer than MaxPage is split into a full page and a second page with
+// the rest.
 func TestGoldenFullPage(t *testing.T) {
 	content := readGoldenModel(t)
 	model, reader := content.build(), newGoldenReader(Operators)
 	for i := range 130 {
 		job := content.Jobs[0]
 		job.ID = fmt.Sprintf("job-%06d", 1000+i)
-		job.Class = strings.Repeat("c", 2*maxTextBytes) // is cut to the longest text
+		job.Class = strings.Repeat("c", 2*maxTextBytes) // is truncated to maxTextBytes
 		job.Team = strings.Repeat("t", 2*maxTextBytes)
 		model.PutJob(job)
 	}
 	snapshot := model.Snapshot(content.Head)
 	if page := reader.read(t, snapshot, "full.operators"); page.Head != nil {
-		t.Error("a page that others follow has a head")
+		t.Error("a page that is not the last one has a head")
 	}
 	if page := reader.read(t, snapshot, "rest.operators"); page.Head == nil {
 		t.Error("the last page has no head")
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -16,7 +16,7 @@
 
 var teams = []Team{{Name: "team-red-x", Cpus: 4000}, {Name: "team-blue-x", CpusMax: 9000}, {Name: "team-green-x"}}
 
-// randomJob draws a job whose every name tells its team.
+// randomJob draws a job whose id and class contain the name of its team.
 func randomJob(t *rapid.T) Job {
 	team := rapid.SampledFrom(teams).Draw(t, "team").Name
 	tasks := rapid.Uint32Range(1, 9).Draw(t, "tasks")
@@ -30,7 +30,7 @@
 	return j
 }
 
-// applyRandomChange changes a model at random, as a core does.
+// applyRandomChange applies one random change to a model, of the kinds that a controller makes.
 func applyRandomChange(t *rapid.T, model *Model) {
 	switch rapid.IntRange(0, 9).Draw(t, "change") {
 	case 0:
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestFeedReproducesModel lets a reader follow a model that changes at random, from any cursor and over
-// pages that are cut short anywhere: whatever it holds when a head comes is the model as it
-// was then, and its sums add up.
+// TestFeedReproducesModel reads the feed of a model that changes at random, and restarts at times from a
+// cursor of another epoch. After each page the reader must have the rows of the snapshot, as far as its scope
+// may see them, and consistent totals.
 func TestFeedReproducesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model, mirror, cursor := NewModel(teams), NewMirror(), Cursor{}
@@ -71,7 +71,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 				cursor = Cursor{Epoch: rapid.Uint64Range(6, 7).Draw(t, "epoch"), Seq: rapid.Uint64Range(0, model.seq+1).Draw(t, "seq")}
 				mirror = NewMirror()
-				cursor.Epoch = 6 // a reader that lost its rows says so by an epoch of nobody's
+				cursor.Epoch = 6 // a reader without rows restarts with an epoch that no model has
 			}
 			raw := snapshot.AppendPage(nil, scope, cursor, 5)
 			page, err := ReadPage(raw)
@@ -99,14 +99,14 @@
 				want = snapshot
 			}
 			if a, b = list(got), list(want); !slices.Equal(a, b) {
-				t.Fatalf("the reader has\n%s\nthe model\n%s", strings.Join(a, "\n"), strings.Join(b, "\n"))
+				t.Fatalf("the reader has rows\n%s\nthe model has\n%s", strings.Join(a, "\n"), strings.Join(b, "\n"))
 			}
 		}
 	})
 }
 
-// TestScopeHidesOtherTeams lets random models be seen by each team: nothing that reaches it names another
-// team, or a job or class of another team's.
+// TestScopeHidesOtherTeams checks for random models that nothing sent to a team contains the name of another
+// team, of one of its jobs or classes, or of a controller.
 func TestScopeHidesOtherTeams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := NewModel(teams)
@@ -132,9 +132,9 @@
 			}
 		}
 		if strings.Contains(out.String(), "node-of-nobody") {
-			t.Fatal("a node's name")
+			t.Fatal("the view of a team contains the name of a controller")
 		}
-		// What it does see is all of its own, and the others as one sum.
+		// The team sees its own totals, and those of all others as one total.
 		own, others := model.totals[model.teamIndex[team]], Totals{}
 		for i := range model.totals {
 			if i != model.teamIndex[team] {
@@ -142,12 +142,12 @@
 			}
 		}
 		if len(seen.Teams) != 1 || seen.Teams[0].Totals != own || *seen.Others != others || seen.Check() != nil {
-			t.Fatalf("%+v, want %+v and %+v", seen.Head, own, others)
+			t.Fatalf("head %+v, want own totals %+v and totals of others %+v", seen.Head, own, others)
 		}
 	})
 }
 
-// FuzzReadPage reads whatever comes: an error or a page, never a panic or a huge allocation.
+// FuzzReadPage checks that any input gives a page or ErrMalformedPage, never a panic or a huge allocation.
 func FuzzReadPage(f *testing.F) {
 	model := NewModel(teams)
 	model.PutJob(Job{ID: "job-000001", Team: teams[0].Name, Tasks: 3, Placed: 1, Status: Running})
@@ -167,24 +167,25 @@
 		mirror := NewMirror()
 		p.Apply(mirror)
 		if p.Head != nil {
-			_ = mirror.SnapshotWithHead(*p.Head).Check() // it may well be torn
+			_ = mirror.SnapshotWithHead(*p.Head).Check() // may fail: the totals of a decoded page need not match its rows
 		}
 	})
 }
 
-// A final state is kept for good; a row that says otherwise comes from a state that is older.
+// TestFinalJobIsNotReopened checks that a row with an open status, which comes from an older state, does not
+// replace a final row.
 func TestFinalJobIsNotReopened(t *testing.T) {
 	m := NewMirror()
 	m.PutJob(Job{ID: "job-000001", Tasks: 1, Done: 1, Status: Done})
 	if m.PutJob(Job{ID: "job-000001", Tasks: 1, Placed: 1, Status: Running}) {
-		t.Error("a job that is done runs again")
+		t.Error("a Running row replaced a Done row")
 	}
 	if s := m.SnapshotWithHead(Head{}); s.Job("job-000001").Status != Done {
 		t.Error(s.Job("job-000001"))
 	}
 }
 
-// largeModel is a model with many open jobs on many machines.
+// largeModel returns a model with many open jobs on many machines.
 func largeModel(jobs, machines int) *Model {
 	m := NewModel(teams)
 	for i := range jobs {
@@ -196,8 +197,8 @@
 	return m
 }
 
-// BenchmarkSnapshot is what the core's goroutine pays: a snapshot, and a change after it, which
-// copies the controllers on its way.
+// BenchmarkSnapshot measures the cost for the goroutine that owns the model: a snapshot alone, and a snapshot
+// with a change after it, which copies the tree nodes on its path.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{200, 2000, 20000} {
 		m := largeModel(n, n/16)
@@ -215,8 +216,8 @@
 	}
 }
 
-// BenchmarkPage is what a reader costs that has all but the latest 100 changes, and one that
-// has nothing (all pages).
+// BenchmarkPage measures the cost of a reader that lacks the latest 100 changes, and of one that has nothing
+// and reads all pages.
 func BenchmarkPage(b *testing.B) {
 	model := largeModel(20000, 1250)
 	snapshot := model.Snapshot(Head{Epoch: 1})
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -12,7 +12,7 @@
 	"dykeledge/internal/view"
 )
 
-// scriptedSource is a source whose controllers answer as told.
+// scriptedSource is a Source whose controllers give scripted answers.
 type scriptedSource struct {
 	controllers []func(cursor view.Cursor) ([]byte, error)
 	asked       []int
@@ -29,7 +29,8 @@
 	return s.reason(controller), nil
 }
 
-// answerWith answerWith with a job in a state at a revision, as old as told.
+// answerWith returns a controller that answers with one job of the given status at a revision, in a snapshot of
+// the given age.
 func answerWith(epoch, revision uint64, status view.Status, age time.Duration, stateOK bool) func(view.Cursor) ([]byte, error) {
 	return func(cursor view.Cursor) ([]byte, error) {
 		m := view.NewModel([]view.Team{{Name: "red"}})
@@ -47,26 +48,26 @@
 func TestFollower(t *testing.T) {
 	torn := func(view.Cursor) ([]byte, error) {
 		raw, _ := answerWith(1, 9, view.Done, 0, true)(view.Cursor{})
-		raw[len(raw)-30]++ // some sum of the head
+		raw[len(raw)-30]++ // changes a total in the head
 		return raw, nil
 	}
 	off := func(view.Cursor) ([]byte, error) { return nil, ErrViewDisabled }
 	for _, test := range []struct {
 		name         string
 		controllers  []func(view.Cursor) ([]byte, error)
-		wantRevision uint64 // shown in the end; 0: nothing
-		wantWarning  string // said in the end
+		wantRevision uint64 // of the last state; 0: no snapshot
+		wantWarning  string // part of the warning of the last state
 		wantErr      error
 	}{
-		{"one answers", []func(view.Cursor) ([]byte, error){answerWith(1, 9, view.Done, 0, true), failWith("x")}, 9, "", nil},
-		{"the first is dead", []func(view.Cursor) ([]byte, error){failWith("does not answer"), answerWith(1, 9, view.Done, 0, true)}, 9, "", nil},
-		{"the first is behind", []func(view.Cursor) ([]byte, error){answerWith(1, 7, view.Running, time.Minute, true), answerWith(2, 9, view.Done, 0, true)}, 9, "", nil},
-		{"an outage", []func(view.Cursor) ([]byte, error){answerWith(1, 9, view.Done, time.Minute, false), answerWith(2, 9, view.Done, time.Minute, false)}, 9, "state service", nil},
-		{"garbage", []func(view.Cursor) ([]byte, error){func(view.Cursor) ([]byte, error) { return []byte("<html>"), nil }, answerWith(1, 9, view.Done, 0, true)}, 9, "", nil},
-		{"torn pages are not shown", []func(view.Cursor) ([]byte, error){torn}, 0, "n1", nil},
-		{"all are dead", []func(view.Cursor) ([]byte, error){failWith("does not answer"), failWith("does not answer")}, 0, "does not answer", nil},
-		{"the view is off", []func(view.Cursor) ([]byte, error){off, off}, 0, "off", ErrViewDisabled},
-		{"off on one", []func(view.Cursor) ([]byte, error){off, answerWith(1, 9, view.Done, 0, true)}, 9, "", nil},
+		{"first controller answers", []func(view.Cursor) ([]byte, error){answerWith(1, 9, view.Done, 0, true), failWith("x")}, 9, "", nil},
+		{"first controller does not answer", []func(view.Cursor) ([]byte, error){failWith("does not answer"), answerWith(1, 9, view.Done, 0, true)}, 9, "", nil},
+		{"first controller is behind", []func(view.Cursor) ([]byte, error){answerWith(1, 7, view.Running, time.Minute, true), answerWith(2, 9, view.Done, 0, true)}, 9, "", nil},
+		{"state service outage", []func(view.Cursor) ([]byte, error){answerWith(1, 9, view.Done, time.Minute, false), answerWith(2, 9, view.Done, time.Minute, false)}, 9, "state service", nil},
+		{"answer is not a page", []func(view.Cursor) ([]byte, error){func(view.Cursor) ([]byte, error) { return []byte("<html>"), nil }, answerWith(1, 9, view.Done, 0, true)}, 9, "", nil},
+		{"snapshot with inconsistent totals is not shown", []func(view.Cursor) ([]byte, error){torn}, 0, "n1", nil},
+		{"no controller answers", []func(view.Cursor) ([]byte, error){failWith("does not answer"), failWith("does not answer")}, 0, "does not answer", nil},
+		{"view is disabled on all controllers", []func(view.Cursor) ([]byte, error){off, off}, 0, "off", ErrViewDisabled},
+		{"view is disabled on one controller", []func(view.Cursor) ([]byte, error){off, answerWith(1, 9, view.Done, 0, true)}, 9, "", nil},
 		{"no such team", []func(view.Cursor) ([]byte, error){func(view.Cursor) ([]byte, error) { return nil, ErrUnknownTeam }}, 0, "", ErrUnknownTeam},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -75,22 +76,22 @@
 				defer cancel()
 				f := NewFollower(&scriptedSource{controllers: test.controllers}, view.Operators, 200*time.Millisecond)
 				if err := f.Run(ctx); !errors.Is(err, test.wantErr) {
-					t.Errorf("ended with %v, want %v", err, test.wantErr)
+					t.Errorf("Run returned %v, want %v", err, test.wantErr)
 				}
 				s := f.State()
 				if s.Snapshot == nil != (test.wantRevision == 0) || s.Snapshot != nil && s.Revision != test.wantRevision {
-					t.Errorf("shows %+v, want revision %d", s.Snapshot, test.wantRevision)
+					t.Errorf("snapshot is %+v, want revision %d", s.Snapshot, test.wantRevision)
 				}
 				if !strings.Contains(s.Warning, test.wantWarning) || test.wantWarning == "" && test.wantRevision > 0 && s.Warning != "" {
-					t.Errorf("says %q, want %q", s.Warning, test.wantWarning)
+					t.Errorf("warning is %q, want %q", s.Warning, test.wantWarning)
 				}
 			})
 		})
 	}
 }
 
-// TestRevisionNeverGoesBack: when the controller that is asked ends, the next one may know less. What was shown
-// stays until it knows as much.
+// TestRevisionNeverGoesBack checks that the published state stays when the polled controller ends and the next
+// one is at an earlier revision, until that one has caught up.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -116,7 +117,7 @@
 			for ctx.Err() == nil {
 				if s := follower.State(); s.Snapshot != nil {
 					if j := s.Job("job-000001"); j.Status != view.Done {
-						t.Errorf("shown %s after it was shown done, at revision %d", j.Status, s.Revision)
+						t.Errorf("job shown as %s after it was shown as done, at revision %d", j.Status, s.Revision)
 					}
 					if strings.Contains(s.Warning, "behind what is shown") {
 						warned.Store(true)
@@ -129,13 +130,14 @@
 			t.Error(err)
 		}
 		if s := follower.State(); s.Revision != 12 || !warned.Load() {
-			t.Errorf("revision %d in the end, told %v", s.Revision, warned.Load())
+			t.Errorf("last revision %d, want 12; warned of a controller that is behind: %v", s.Revision, warned.Load())
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// TestReasonsPreferShardOwner: the controller that decides why a job waits is believed, whoever answers first.
+// TestReasonsPreferShardOwner checks that the answer of the controller that owns a job's shard has precedence,
+// in whatever order the answers arrive.
 func TestReasonsPreferShardOwner(t *testing.T) {
 	src := &scriptedSource{controllers: make([]func(view.Cursor) ([]byte, error), 2), reason: func(controller int) []view.Reason {
 		if controller == 1 {
