--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -258,7 +258,7 @@
 }
 
 func (m *Model) jobDetailLines(job *view.Job, now int64) []string {
-	clock := func(ms int64) string {
+	formatTime := func(ms int64) string {
 		if ms == 0 {
 			return "-"
 		}
@@ -277,24 +277,24 @@
 			schedule += ", " + formatDuration(-b) + " in hand"
 		}
 	}
-	why := "-"
+	reason := "-"
 	if w, ok := m.reasons[job.ID]; ok && w.Why != "" {
 		by := "told by " + printable(w.Member) + ", which does not decide it"
 		if w.Owner {
 			by = "decided by " + printable(w.Member)
 		}
-		why = fmt.Sprintf("%s (%s, %s ago)", printable(w.Why), by, formatDuration(m.now().Sub(w.ReceivedAt).Milliseconds()))
+		reason = fmt.Sprintf("%s (%s, %s ago)", printable(w.Why), by, formatDuration(m.now().Sub(w.ReceivedAt).Milliseconds()))
 	} else if t := waitReasonText(job, m.reasons); t != "" {
-		why = t
+		reason = t
 	}
 	return []string{"", "  " + printable(job.ID) + "  " + job.Status.String(), "",
 		fmt.Sprintf("  team       %s, class %s, share %d", printable(job.Team), printable(job.Class), job.Shard),
 		fmt.Sprintf("  priority   %s, %s", job.Priority, kind),
 		fmt.Sprintf("  tasks      %d: %d done, %d placed, %d waiting", job.Tasks, job.Done, job.Placed, job.Waiting()),
 		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", formatMilli(job.Cpus), formatMilli(job.Gpus), formatDuration(int64(job.Estimate))),
-		"  submitted  " + clock(job.Submit),
-		"  counts     from " + clock(job.From),
-		"  ended      " + clock(job.End),
+		"  submitted  " + formatTime(job.Submit),
+		"  counts     from " + formatTime(job.From),
+		"  ended      " + formatTime(job.End),
 		"  schedule   " + schedule,
-		"  waits      " + why}
+		"  waits      " + reason}
 }
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -260,10 +260,10 @@
 }
 
 func victimSetRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
-	state.Evictions(func(eviction *view.Eviction) bool {
+	state.Evictions(func(victimSet *view.Eviction) bool {
 		count := map[string]int{}
 		var victimTeams []string
-		for _, v := range eviction.Victims {
+		for _, v := range victimSet.Victims {
 			if count[v.Team]++; count[v.Team] == 1 {
 				victimTeams = append(victimTeams, v.Team)
 			}
@@ -272,15 +272,15 @@
 		for i, t := range victimTeams {
 			victimTeams[i] = fmt.Sprintf("%s %d", printable(t), count[t])
 		}
-		job, team, status := printable(eviction.Job), printable(eviction.Team), "over"
+		job, team, status := printable(victimSet.Job), printable(victimSet.Team), "over"
 		if job == "" {
 			job, team = "another", "-"
 		}
-		if eviction.Open {
+		if victimSet.Open {
 			status = "open"
 		}
-		rows = append(rows, Row{Key: eviction.Key, Cells: []string{formatDuration(now - eviction.At), job, team, status, formatInt(len(eviction.Victims)), strings.Join(victimTeams, ", ")},
-			sortValues: []float64{float64(eviction.At), float64(len(eviction.Victims))}})
+		rows = append(rows, Row{Key: victimSet.Key, Cells: []string{formatDuration(now - victimSet.At), job, team, status, formatInt(len(victimSet.Victims)), strings.Join(victimTeams, ", ")},
+			sortValues: []float64{float64(victimSet.At), float64(len(victimSet.Victims))}})
 		return true
 	})
 	return rows
--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -132,7 +132,7 @@
 	}
 	report.Cpus = totals.mean(totals.cpuSeconds)
 	if scope != view.Operators {
-		report.Others = &Others{totals.mean(totals.otherCpuSeconds), roundHundredths(totals.maxOtherCpus)}
+		report.Others = &Others{totals.mean(totals.otherCPUSeconds), roundHundredths(totals.maxOtherCpus)}
 	}
 	for _, name := range slices.Sorted(maps.Keys(totals.teams)) {
 		report.Teams = append(report.Teams, totals.teams[name].report(name, totals.mean, history))
@@ -144,7 +144,7 @@
 type totals struct {
 	teams                       map[string]*teamSums
 	seconds                     float64
-	cpuSeconds, otherCpuSeconds float64
+	cpuSeconds, otherCPUSeconds float64
 	maxOtherCpus                float64 // the maximum of all samples, in processors
 }
 
@@ -153,7 +153,7 @@
 	t.seconds += seconds
 	t.cpuSeconds += seconds * fromMilli(sample.Fleet.Cpus)
 	if sample.Others != nil {
-		t.otherCpuSeconds += seconds * fromMilli(sample.Others.UsedCpus)
+		t.otherCPUSeconds += seconds * fromMilli(sample.Others.UsedCpus)
 		t.maxOtherCpus = max(t.maxOtherCpus, fromMilli(sample.Others.UsedCpus))
 	}
 	for i := range sample.Teams {
@@ -175,34 +175,34 @@
 
 // medianInterval returns the median interval between samples, in seconds.
 func medianInterval(samples []Sample) float64 {
-	var pauses []int64
+	var intervals []int64
 	for i := 1; i < len(samples); i++ {
-		pauses = append(pauses, samples[i].At-samples[i-1].At)
+		intervals = append(intervals, samples[i].At-samples[i-1].At)
 	}
-	if len(pauses) == 0 {
+	if len(intervals) == 0 {
 		return 0
 	}
-	slices.Sort(pauses)
-	return float64(pauses[len(pauses)/2]) / 1000
+	slices.Sort(intervals)
+	return float64(intervals[len(intervals)/2]) / 1000
 }
 
 // teamSums accumulates the samples of one team, each weighted by the seconds that it stands for.
 type teamSums struct {
-	last                                         view.Team
-	used, borrowed, dominant, most, short, money float64
-	points                                       []Point
+	last                                                                                                  view.Team
+	usedCPUSeconds, borrowedCPUSeconds, dominantPercentSeconds, maxUsedCpus, belowGuaranteeSeconds, money float64
+	points                                                                                                []Point
 }
 
 // add adds the team's row of a sample that stands for the given number of seconds.
 func (s *teamSums) add(team *view.Team, at time.Time, seconds float64) {
 	s.last = *team
 	borrowed, _ := team.Borrowed()
-	s.used += seconds * fromMilli(team.UsedCpus)
-	s.borrowed += seconds * fromMilli(borrowed)
-	s.dominant += seconds * float64(team.DominantPM) / 10
-	s.most = max(s.most, fromMilli(team.UsedCpus))
+	s.usedCPUSeconds += seconds * fromMilli(team.UsedCpus)
+	s.borrowedCPUSeconds += seconds * fromMilli(borrowed)
+	s.dominantPercentSeconds += seconds * float64(team.DominantPM) / 10
+	s.maxUsedCpus = max(s.maxUsedCpus, fromMilli(team.UsedCpus))
 	if team.UsedCpus < team.Cpus && team.WaitingCpus > 0 {
-		s.short += seconds
+		s.belowGuaranteeSeconds += seconds
 	}
 	s.points = append(s.points, Point{at, roundHundredths(fromMilli(team.UsedCpus)), roundHundredths(fromMilli(team.WaitingCpus)), roundMoney(s.money)})
 	s.money += seconds / 3600 * float64(team.RateMicro) / 1e6
@@ -210,10 +210,10 @@
 
 // report computes the figures of the team.
 func (s *teamSums) report(name string, mean func(float64) float64, history *History) TeamReport {
-	report := TeamReport{Name: name, Guarantee: roundHundredths(fromMilli(s.last.Cpus)), Limit: roundHundredths(fromMilli(s.last.CpusMax)), MeanCpus: mean(s.used), MostCpus: roundHundredths(s.most),
-		MeanBorrowed: mean(s.borrowed), MeanDominant: mean(s.dominant), ShortS: roundHundredths(s.short), Money: roundMoney(s.money), Series: downsample(s.points), Latest: []LateJob{}}
+	report := TeamReport{Name: name, Guarantee: roundHundredths(fromMilli(s.last.Cpus)), Limit: roundHundredths(fromMilli(s.last.CpusMax)), MeanCpus: mean(s.usedCPUSeconds), MostCpus: roundHundredths(s.maxUsedCpus),
+		MeanBorrowed: mean(s.borrowedCPUSeconds), MeanDominant: mean(s.dominantPercentSeconds), ShortS: roundHundredths(s.belowGuaranteeSeconds), Money: roundMoney(s.money), Series: downsample(s.points), Latest: []LateJob{}}
 	report.addJobs(history.Jobs)
-	report.addEvictions(history.VictimSets)
+	report.addVictimSets(history.VictimSets)
 	return report
 }
 
@@ -252,19 +252,19 @@
 	t.Latest = t.Latest[:min(len(t.Latest), maxLateJobs)]
 }
 
-// addEvictions adds the number of the team's tasks that were victims, and the number of victims that made
+// addVictimSets adds the number of the team's tasks that were victims, and the number of victims that made
 // room for the team's jobs.
-func (t *TeamReport) addEvictions(evictions []view.Eviction) {
-	for _, eviction := range evictions {
-		for _, victim := range eviction.Victims {
+func (t *TeamReport) addVictimSets(victimSets []view.Eviction) {
+	for _, victimSet := range victimSets {
+		for _, victim := range victimSet.Victims {
 			if victim.Team == t.Name {
 				t.Evicted++
 			}
 		}
-		if eviction.Team == t.Name {
-			t.EvictedFor += len(eviction.Victims)
+		if victimSet.Team == t.Name {
+			t.EvictedFor += len(victimSet.Victims)
 		}
-		t.evictedSoFar = append(t.evictedSoFar, [3]float64{float64(eviction.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
+		t.evictedSoFar = append(t.evictedSoFar, [3]float64{float64(victimSet.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
 	}
 }
 
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -60,8 +60,8 @@
 
 // NewRecorder returns a recorder that writes a sample at most once per interval every, and final jobs and
 // victim sets when they first appear.
-func NewRecorder(w io.Writer, every time.Duration) *Recorder {
-	return &Recorder{w: w, sampleInterval: every, startedMs: map[string]int64{}, recordedJobs: map[string]bool{}, recordedVictimSets: map[string]int{}, firstState: true}
+func NewRecorder(w io.Writer, sampleInterval time.Duration) *Recorder {
+	return &Recorder{w: w, sampleInterval: sampleInterval, startedMs: map[string]int64{}, recordedJobs: map[string]bool{}, recordedVictimSets: map[string]int{}, firstState: true}
 }
 
 // Run records the states of a follower until ctx ends or a line cannot be written.
--- a/internal/view/feed_reader.go
+++ b/internal/view/feed_reader.go
@@ -109,7 +109,7 @@
 		x := r.machine()
 		page.changes = append(page.changes, func(m *Model) { m.PutMachine(x) })
 	case kindVictimSet:
-		e := r.eviction()
+		e := r.victimSet()
 		page.changes = append(page.changes, func(m *Model) { m.PutEviction(e) })
 	default:
 		r.malformed = true
@@ -145,7 +145,7 @@
 	return m
 }
 
-func (r *pageDecoder) eviction() Eviction {
+func (r *pageDecoder) victimSet() Eviction {
 	e := Eviction{Key: r.text(), Job: r.text(), Team: r.text(), At: r.int(), Shard: r.uint32(), Open: r.flag()}
 	if e.Key == "" {
 		r.malformed = true
--- a/internal/view/feed_writer.go
+++ b/internal/view/feed_writer.go
@@ -43,9 +43,9 @@
 			w.machine(m)
 		}
 	case kindVictimSet:
-		v, _ := snapshot.evictions.Get(changed.key)
+		v, _ := snapshot.victimSets.Get(changed.key)
 		if v = scope.VictimSet(v); v != nil {
-			w.eviction(v)
+			w.victimSet(v)
 		}
 	}
 }
@@ -85,17 +85,17 @@
 	}
 }
 
-func (w *pageEncoder) eviction(eviction *Eviction) {
+func (w *pageEncoder) victimSet(victimSet *Eviction) {
 	w.data = append(w.data, byte(kindVictimSet))
-	w.text(eviction.Key)
-	w.text(eviction.Job)
-	w.text(eviction.Team)
-	w.int(eviction.At)
-	w.uint(uint64(eviction.Shard))
-	w.flag(eviction.Open)
-	n := min(len(eviction.Victims), maxVictims)
+	w.text(victimSet.Key)
+	w.text(victimSet.Job)
+	w.text(victimSet.Team)
+	w.int(victimSet.At)
+	w.uint(uint64(victimSet.Shard))
+	w.flag(victimSet.Open)
+	n := min(len(victimSet.Victims), maxVictims)
 	w.uint(uint64(n))
-	for _, v := range eviction.Victims[:n] {
+	for _, v := range victimSet.Victims[:n] {
 		w.text(v.Job)
 		w.text(v.Team)
 		w.uint(uint64(v.Task))
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -42,8 +42,8 @@
 	for _, machine := range content.Machines {
 		model.PutMachine(machine)
 	}
-	for _, eviction := range content.Evictions {
-		model.PutEviction(eviction)
+	for _, victimSet := range content.Evictions {
+		model.PutEviction(victimSet)
 	}
 	return model
 }
@@ -58,7 +58,7 @@
 	model.PutMachine(machine)
 	model.DropJob(content.Jobs[len(content.Jobs)-1].ID)
 	model.DropMachine(content.Machines[len(content.Machines)-1].Name)
-	newest, _, _ := model.evictions.Max()
+	newest, _, _ := model.victimSets.Max()
 	model.DropVictimSet(newest)
 }
 
@@ -101,7 +101,7 @@
 		Machines  []*Machine  `json:"machines"`
 		Evictions []*Eviction `json:"evictions"`
 	}{page.Reset, page.Next.Epoch, page.Next.Seq, page.Head,
-		r.mirror.jobs.Values(), r.mirror.machines.Values(), r.mirror.evictions.Values()}
+		r.mirror.jobs.Values(), r.mirror.machines.Values(), r.mirror.victimSets.Values()}
 	text, err := json.MarshalIndent(content, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -40,7 +40,7 @@
 	teamIndex      map[string]int // by name, index into teams, totals and ratesMicro
 	jobs           *btree.Map[string, *Job]
 	machines       *btree.Map[string, *Machine]
-	evictions      *btree.Map[string, *Eviction]
+	victimSets     *btree.Map[string, *Eviction]
 	log            *btree.Map[uint64, logEntry]
 	seq            uint64   // sequence number of the latest change
 	logFloor       uint64   // the log is incomplete for cursors before this sequence number
@@ -66,7 +66,7 @@
 func NewModel(teams []Team) *Model {
 	m := &Model{teams: slices.Clone(teams), teamIndex: map[string]int{}, totals: make([]Totals, len(teams)), ratesMicro: make([]uint64, len(teams)),
 		jobs: btree.NewMap[string, *Job](16), machines: btree.NewMap[string, *Machine](16),
-		evictions: btree.NewMap[string, *Eviction](16), log: btree.NewMap[uint64, logEntry](16)}
+		victimSets: btree.NewMap[string, *Eviction](16), log: btree.NewMap[uint64, logEntry](16)}
 	for i := range m.teams {
 		m.teams[i].Totals, m.teams[i].RateMicro, m.teams[i].DominantPM = Totals{}, 0, 0
 		m.teamIndex[m.teams[i].Name] = i
@@ -84,7 +84,7 @@
 // SnapshotWithHead returns the present rows with the given head, for example the one that the last page of
 // a feed carried for a mirror.
 func (m *Model) SnapshotWithHead(h Head) *Snapshot {
-	return &Snapshot{Head: h, jobs: m.jobs.Copy(), machines: m.machines.Copy(), evictions: m.evictions.Copy(), log: m.log.Copy(), logFloor: m.logFloor}
+	return &Snapshot{Head: h, jobs: m.jobs.Copy(), machines: m.machines.Copy(), victimSets: m.victimSets.Copy(), log: m.log.Copy(), logFloor: m.logFloor}
 }
 
 // logChange logs a change of a row in place of its previous change, which has sequence number old, and
@@ -181,25 +181,25 @@
 // PutEviction replaces the row of a victim set, or inserts it under a new key if it has none. The latest
 // maxVictimSets rows are kept. The key does not contain the id of the job that needs the room: a team that
 // sees the set because one of its own tasks is a victim must not learn for which job.
-func (m *Model) PutEviction(eviction Eviction) {
-	if eviction.Key == "" {
+func (m *Model) PutEviction(victimSet Eviction) {
+	if victimSet.Key == "" {
 		m.victimSetCount++
-		eviction.Key = fmt.Sprintf("%015d/%d", eviction.At, m.victimSetCount)
+		victimSet.Key = fmt.Sprintf("%015d/%d", victimSet.At, m.victimSetCount)
 	}
-	if old, had := m.evictions.Get(eviction.Key); had {
-		eviction.seq = old.seq
+	if old, had := m.victimSets.Get(victimSet.Key); had {
+		victimSet.seq = old.seq
 	}
-	eviction.seq = m.logChange(eviction.seq, logEntry{kind: kindVictimSet, key: eviction.Key})
-	m.evictions.Set(eviction.Key, &eviction)
-	for m.evictions.Len() > maxVictimSets && !m.mirror {
-		key, _, _ := m.evictions.Min()
+	victimSet.seq = m.logChange(victimSet.seq, logEntry{kind: kindVictimSet, key: victimSet.Key})
+	m.victimSets.Set(victimSet.Key, &victimSet)
+	for m.victimSets.Len() > maxVictimSets && !m.mirror {
+		key, _, _ := m.victimSets.Min()
 		m.DropVictimSet(key)
 	}
 }
 
 // DropVictimSet removes the row of a victim set.
 func (m *Model) DropVictimSet(key string) {
-	if old, ok := m.evictions.Delete(key); ok {
+	if old, ok := m.victimSets.Delete(key); ok {
 		m.logChange(old.seq, logEntry{kind: kindVictimSet, key: key, removed: true, victimSet: old})
 	}
 }
@@ -208,7 +208,7 @@
 func (m *Model) EvictionOf(job string) (Eviction, bool) {
 	var found Eviction
 	ok := false
-	m.evictions.Reverse(func(_ string, e *Eviction) bool {
+	m.victimSets.Reverse(func(_ string, e *Eviction) bool {
 		if ok = e.Job == job; ok {
 			found = *e
 		}
@@ -240,11 +240,11 @@
 // Snapshot is the state of a model at one revision. It is immutable.
 type Snapshot struct {
 	Head
-	jobs      *btree.Map[string, *Job]
-	machines  *btree.Map[string, *Machine]
-	evictions *btree.Map[string, *Eviction]
-	log       *btree.Map[uint64, logEntry]
-	logFloor  uint64
+	jobs       *btree.Map[string, *Job]
+	machines   *btree.Map[string, *Machine]
+	victimSets *btree.Map[string, *Eviction]
+	log        *btree.Map[uint64, logEntry]
+	logFloor   uint64
 }
 
 // Jobs calls yield for the rows of the jobs whose id is greater than after, in the order of their ids, until
@@ -266,12 +266,12 @@
 
 // Evictions calls yield for the latest victim sets, newest first, until yield returns false.
 func (s *Snapshot) Evictions(yield func(*Eviction) bool) {
-	s.evictions.Reverse(func(_ string, e *Eviction) bool { return yield(e) })
+	s.victimSets.Reverse(func(_ string, e *Eviction) bool { return yield(e) })
 }
 
 // Counts returns the numbers of jobs, machines and victim sets in the snapshot.
-func (s *Snapshot) Counts() (jobs, machines, evictions int) {
-	return s.jobs.Len(), s.machines.Len(), s.evictions.Len()
+func (s *Snapshot) Counts() (jobs, machines, victimSets int) {
+	return s.jobs.Len(), s.machines.Len(), s.victimSets.Len()
 }
 
 // Check compares the totals of the head with the totals of the rows. Its error names the first difference;
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -28,13 +28,13 @@
 
 // VictimSet returns the part of a victim set that the scope may see, nil if nothing. A team sees only its own
 // tasks among the victims, and the job that needs the room only if that job is its own.
-func (s Scope) VictimSet(eviction *Eviction) *Eviction {
+func (s Scope) VictimSet(victimSet *Eviction) *Eviction {
 	if s == Operators {
-		return eviction
+		return victimSet
 	}
-	out := *eviction
-	out.Victims = slices.DeleteFunc(slices.Clone(eviction.Victims), func(v Victim) bool { return v.Team != string(s) })
-	if eviction.Team != string(s) {
+	out := *victimSet
+	out.Victims = slices.DeleteFunc(slices.Clone(victimSet.Victims), func(v Victim) bool { return v.Team != string(s) })
+	if victimSet.Team != string(s) {
 		if len(out.Victims) == 0 {
 			return nil
 		}
@@ -74,11 +74,11 @@
 		}
 		return true
 	})
-	s.evictions.Scan(func(_ string, e *Eviction) bool {
+	s.victimSets.Scan(func(_ string, e *Eviction) bool {
 		if e = scope.VictimSet(e); e != nil {
-			model.evictions.Set(e.Key, e)
+			model.victimSets.Set(e.Key, e)
 		}
 		return true
 	})
-	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, evictions: model.evictions, log: model.log, logFloor: s.logFloor}
+	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, victimSets: model.victimSets, log: model.log, logFloor: s.logFloor}
 }
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -72,8 +72,8 @@
 
 // NewFollower returns a follower of what a scope may see. pause is the time between a complete state and the
 // next request.
-func NewFollower(source Source, scope view.Scope, pause time.Duration) *Follower {
-	f := &Follower{source: source, scope: scope, pollInterval: pause, changed: make(chan struct{}), behindTimeout: minBehindTimeout}
+func NewFollower(source Source, scope view.Scope, pollInterval time.Duration) *Follower {
+	f := &Follower{source: source, scope: scope, pollInterval: pollInterval, changed: make(chan struct{}), behindTimeout: minBehindTimeout}
 	f.state.Store(&State{Warning: "asking " + source.Controllers()[0]})
 	return f
 }
