--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -50,16 +50,16 @@
 type Recorder struct {
 	w                  io.Writer
 	sampleInterval     time.Duration
-	startedMs          map[string]int64
-	recordedJobs       map[string]bool
-	recordedVictimSets map[string]int // by key: number of victims
-	sampledAt          time.Time
-	firstState         bool
-	Recorded           int // lines written
+	startedMs          map[string]int64 // by job id, see FinalJob.StartedMs
+	recordedJobs       map[string]bool  // by id: final jobs that were seen
+	recordedVictimSets map[string]int   // by key: number of victims
+	sampledAt          time.Time        // when the latest sample was written
+	firstState         bool             // no state was recorded yet
+	Recorded           int              // lines written
 }
 
-// NewRecorder returns a recorder that writes a sample at most once per interval every, and final jobs and
-// victim sets when they first appear.
+// NewRecorder returns a recorder that writes at most one sample per sampleInterval, and final jobs and victim
+// sets when they first appear.
 func NewRecorder(w io.Writer, sampleInterval time.Duration) *Recorder {
 	return &Recorder{w: w, sampleInterval: sampleInterval, startedMs: map[string]int64{}, recordedJobs: map[string]bool{}, recordedVictimSets: map[string]int{}, firstState: true}
 }
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -24,8 +24,8 @@
 	// MaxPage is the size in bytes after which a page takes no further row. It bounds the memory
 	// that slow readers use in a controller.
 	MaxPage      = 64 << 10
-	maxTextBytes = 256
-	maxVictims   = 100_000
+	maxTextBytes = 256     // longer texts are truncated when written and malformed when read
+	maxVictims   = 100_000 // further victims of a set are left out
 )
 
 // Cursor is the position of a reader in a feed: the last sequence number that it has read, and the
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -65,13 +65,13 @@
 	scope         view.Scope
 	pollInterval  time.Duration
 	state         atomic.Pointer[State]
-	mu            sync.Mutex
-	changed       chan struct{}
-	behindTimeout time.Duration
+	mu            sync.Mutex    // guards changed
+	changed       chan struct{} // closed at the next change of the state
+	behindTimeout time.Duration // a controller that is behind for longer is left
 }
 
-// NewFollower returns a follower of what a scope may see. pause is the time between a complete state and the
-// next request.
+// NewFollower returns a follower of what a scope may see. pollInterval is the time between a complete state and
+// the next request.
 func NewFollower(source Source, scope view.Scope, pollInterval time.Duration) *Follower {
 	f := &Follower{source: source, scope: scope, pollInterval: pollInterval, changed: make(chan struct{}), behindTimeout: minBehindTimeout}
 	f.state.Store(&State{Warning: "asking " + source.Controllers()[0]})
