--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -12,15 +12,16 @@
 	"dykeledge/internal/view"
 )
 
-// Report is what a page shows; the JSON beside the page is this. Figures are rounded here, so
-// that both say the same. Amounts are processors, seconds, and the catalog's money.
+// Report holds the figures of a report. It is written as an HTML page and as a JSON file; the figures are
+// rounded here so that both show the same values. Amounts are in processors, seconds, and the currency of
+// the machine catalog.
 type Report struct {
 	Title     string       `json:"title"`
-	Scope     string       `json:"scope"` // the team that it is for, "" for operators
+	Scope     string       `json:"scope"` // the team that the report is for, "" for operators
 	Made      time.Time    `json:"made"`
 	From      time.Time    `json:"from"`
 	To        time.Time    `json:"to"`
-	KnownFrom time.Time    `json:"known_from"` // no figure is of an earlier time
+	KnownFrom time.Time    `json:"known_from"` // time of the first sample; there are no figures of an earlier time
 	Samples   int          `json:"samples"`
 	Gaps      []Gap        `json:"gaps"`
 	Broken    int          `json:"broken_lines"`
@@ -29,24 +30,24 @@
 	Others    *Others      `json:"all_others,omitempty"`
 }
 
-// Gap is a time of which nothing is known, as nobody recorded.
+// Gap is a time without samples because no recorder was running.
 type Gap struct {
 	From time.Time `json:"from"`
 	To   time.Time `json:"to"`
 	S    float64   `json:"s"`
 }
 
-// Others is what all other teams together had.
+// Others is the usage of all other teams together, in the report of one team.
 type Others struct {
 	MeanCpus float64 `json:"mean_cpus"`
 	MostCpus float64 `json:"most_cpus"`
 }
 
-// TeamReport is one team's part.
+// TeamReport holds the figures of one team.
 type TeamReport struct {
 	Name         string       `json:"team"`
 	Guarantee    float64      `json:"guarantee_cpus"`
-	Limit        float64      `json:"limit_cpus"` // 0: none
+	Limit        float64      `json:"limit_cpus"` // 0: no limit
 	MeanCpus     float64      `json:"mean_cpus"`
 	MostCpus     float64      `json:"most_cpus"`
 	MeanBorrowed float64      `json:"mean_borrowed_cpus"`
@@ -55,36 +56,36 @@
 	Money        float64      `json:"money"`
 	Done         int          `json:"jobs_done"`
 	Cancelled    int          `json:"jobs_cancelled"`
-	Waits        Spread       `json:"waits_s"`
+	Waits        Distribution `json:"waits_s"`
 	WithDue      int          `json:"jobs_with_deadline"`
 	Late         int          `json:"jobs_late"`
-	LateBy       Spread       `json:"late_by_s"`
-	Evicted      int          `json:"tasks_evicted"`     // of this team
-	EvictedFor   int          `json:"tasks_evicted_for"` // its jobs
+	LateBy       Distribution `json:"late_by_s"`
+	Evicted      int          `json:"tasks_evicted"`     // tasks of this team that were victims
+	EvictedFor   int          `json:"tasks_evicted_for"` // victims of any team that made room for jobs of this team
 	Series       []Point      `json:"series"`
 	Latest       []LateJob    `json:"worst_late_jobs"`
-	waits        []float64    // of jobs that started, in seconds
-	lates        [][2]float64 // when a job ended (seconds of the day's clock) and by how much it was late
-	evicts       [][3]float64 // when a set was evicted, its tasks in it, and tasks evicted for it, all so far
+	waitSeconds  []float64    // waiting times of the jobs that started, in seconds
+	lateness     [][2]float64 // per job with a deadline: when it ended, in Unix seconds, and by how many seconds it was late
+	evictedSoFar [][3]float64 // per victim set: its time in Unix seconds, and the values of Evicted and EvictedFor up to then
 }
 
-// Spread tells of a distribution.
-type Spread struct {
+// Distribution summarizes the distribution of a value.
+type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P90   float64 `json:"p90"`
 	Most  float64 `json:"most"`
 }
 
-// Point is one moment of a team.
+// Point is the usage of a team at one time.
 type Point struct {
 	At      time.Time `json:"at"`
 	Cpus    float64   `json:"cpus"`
 	Waiting float64   `json:"waiting_cpus"`
-	Money   float64   `json:"money"` // since the beginning
+	Money   float64   `json:"money"` // cost since the first sample
 }
 
-// LateJob is a job that was late.
+// LateJob is a job that ended after its deadline.
 type LateJob struct {
 	ID    string    `json:"id"`
 	Class string    `json:"class"`
@@ -92,46 +93,46 @@
 	LateS float64   `json:"late_s"`
 }
 
-// Bounds of a report.
+// Limits of a report.
 const (
-	mostPoints = 300 // of a team's series
-	mostLate   = 20  // jobs that are listed
-	gapTimes   = 4   // a pause between samples this many times as long as usual is a gap
+	maxPoints   = 300 // in the series of a team
+	maxLateJobs = 20  // listed per team
+	gapFactor   = 4   // an interval between samples that is this many times the median is a gap
 )
 
-func round(v float64) float64 { return math.Round(v*100) / 100 }
+func roundHundredths(v float64) float64 { return math.Round(v*100) / 100 }
 
-// exact rounds money, of which there may be little.
-func exact(v float64) float64 { return math.Round(v*1e4) / 1e4 }
+// roundMoney rounds to four decimals, because amounts of money may be small.
+func roundMoney(v float64) float64 { return math.Round(v*1e4) / 1e4 }
 
-func cpus(milli uint64) float64 { return float64(milli) / 1000 }
+func fromMilli(milli uint64) float64 { return float64(milli) / 1000 }
 
-// Make works a report out of a history, which is as the scope may see it.
+// Make computes a report from a history that was read for the same scope.
 func Make(history *History, title string, scope view.Scope, made time.Time) *Report {
 	report := &Report{Title: title, Scope: string(scope), Made: made.Truncate(time.Second), From: time.UnixMilli(history.From), To: time.UnixMilli(history.To),
-		Samples: len(history.Samples), Broken: history.Broken, Gaps: []Gap{}, Teams: []TeamReport{}}
+		Samples: len(history.Samples), Broken: history.UnreadableLines, Gaps: []Gap{}, Teams: []TeamReport{}}
 	report.KnownFrom = report.To
 	if len(history.Samples) > 0 {
 		report.KnownFrom = time.UnixMilli(history.Samples[0].At)
 	}
-	totals := &totals{teams: map[string]*sums{}}
-	usual := usualPause(history.Samples)
+	totals := &totals{teams: map[string]*teamSums{}}
+	interval := medianInterval(history.Samples)
 	for i := range history.Samples {
-		sample, lasts := &history.Samples[i], 0.0
+		sample, seconds := &history.Samples[i], 0.0
 		if i+1 < len(history.Samples) {
 			next := &history.Samples[i+1]
-			lasts = float64(next.At-sample.At) / 1000
-			if lasts > gapTimes*usual {
-				from := sample.At + int64(usual*1000)
-				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(next.At), round(lasts - usual)})
-				lasts = usual
+			seconds = float64(next.At-sample.At) / 1000
+			if seconds > gapFactor*interval {
+				from := sample.At + int64(interval*1000)
+				report.Gaps = append(report.Gaps, Gap{time.UnixMilli(from), time.UnixMilli(next.At), roundHundredths(seconds - interval)})
+				seconds = interval
 			}
 		}
-		totals.add(sample, lasts)
+		totals.add(sample, seconds)
 	}
-	report.Cpus = totals.mean(totals.all)
+	report.Cpus = totals.mean(totals.cpuSeconds)
 	if scope != view.Operators {
-		report.Others = &Others{totals.mean(totals.others), round(totals.mostOthers)}
+		report.Others = &Others{totals.mean(totals.otherCPUSeconds), roundHundredths(totals.maxOtherCpus)}
 	}
 	for _, name := range slices.Sorted(maps.Keys(totals.teams)) {
 		report.Teams = append(report.Teams, totals.teams[name].report(name, totals.mean, history))
@@ -139,86 +140,86 @@
 	return report
 }
 
-// totals is what samples add up to: processors times seconds, and the seconds.
+// totals accumulates samples, each weighted by the seconds that it stands for.
 type totals struct {
-	teams       map[string]*sums
-	spanned     float64
-	all, others float64
-	mostOthers  float64 // processors
+	teams                       map[string]*teamSums
+	seconds                     float64
+	cpuSeconds, otherCPUSeconds float64
+	maxOtherCpus                float64 // the maximum of all samples, in processors
 }
 
-// add adds a sample that stands for so many seconds.
+// add adds a sample that stands for the given number of seconds.
 func (t *totals) add(sample *Sample, seconds float64) {
-	t.spanned += seconds
-	t.all += seconds * cpus(sample.Fleet.Cpus)
+	t.seconds += seconds
+	t.cpuSeconds += seconds * fromMilli(sample.Fleet.Cpus)
 	if sample.Others != nil {
-		t.others += seconds * cpus(sample.Others.UsedCpus)
-		t.mostOthers = max(t.mostOthers, cpus(sample.Others.UsedCpus))
+		t.otherCPUSeconds += seconds * fromMilli(sample.Others.UsedCpus)
+		t.maxOtherCpus = max(t.maxOtherCpus, fromMilli(sample.Others.UsedCpus))
 	}
 	for i := range sample.Teams {
 		team := &sample.Teams[i]
 		if t.teams[team.Name] == nil {
-			t.teams[team.Name] = &sums{}
+			t.teams[team.Name] = &teamSums{}
 		}
 		t.teams[team.Name].add(team, time.UnixMilli(sample.At), seconds)
 	}
 }
 
-// mean is a sum's mean over the time that the samples stand for.
+// mean returns the mean of a weighted sum over the time that the samples stand for.
 func (t *totals) mean(sum float64) float64 {
-	if t.spanned == 0 {
+	if t.seconds == 0 {
 		return 0
 	}
-	return round(sum / t.spanned)
+	return roundHundredths(sum / t.seconds)
 }
 
-// usualPause is the median pause between samples, in seconds.
-func usualPause(samples []Sample) float64 {
-	var pauses []int64
+// medianInterval returns the median interval between samples, in seconds.
+func medianInterval(samples []Sample) float64 {
+	var intervals []int64
 	for i := 1; i < len(samples); i++ {
-		pauses = append(pauses, samples[i].At-samples[i-1].At)
+		intervals = append(intervals, samples[i].At-samples[i-1].At)
 	}
-	if len(pauses) == 0 {
+	if len(intervals) == 0 {
 		return 0
 	}
-	slices.Sort(pauses)
-	return float64(pauses[len(pauses)/2]) / 1000
+	slices.Sort(intervals)
+	return float64(intervals[len(intervals)/2]) / 1000
 }
 
-// sums is what a team's samples add up to.
-type sums struct {
-	last                                         view.Team
-	used, borrowed, dominant, most, short, money float64
-	points                                       []Point
+// teamSums accumulates the samples of one team, each weighted by the seconds that it stands for.
+type teamSums struct {
+	last                                                                                                  view.Team
+	usedCPUSeconds, borrowedCPUSeconds, dominantPercentSeconds, maxUsedCpus, belowGuaranteeSeconds, money float64
+	points                                                                                                []Point
 }
 
-// add adds a team's part of a sample that stands for so many seconds.
-func (s *sums) add(team *view.Team, at time.Time, seconds float64) {
+// add adds the team's row of a sample that stands for the given number of seconds.
+func (s *teamSums) add(team *view.Team, at time.Time, seconds float64) {
 	s.last = *team
 	borrowed, _ := team.Borrowed()
-	s.used += seconds * cpus(team.UsedCpus)
-	s.borrowed += seconds * cpus(borrowed)
-	s.dominant += seconds * float64(team.DominantPM) / 10
-	s.most = max(s.most, cpus(team.UsedCpus))
-	if team.UsedCpus < team.Cpus && team.WaitsCpus > 0 {
-		s.short += seconds
+	s.usedCPUSeconds += seconds * fromMilli(team.UsedCpus)
+	s.borrowedCPUSeconds += seconds * fromMilli(borrowed)
+	s.dominantPercentSeconds += seconds * float64(team.DominantPM) / 10
+	s.maxUsedCpus = max(s.maxUsedCpus, fromMilli(team.UsedCpus))
+	if team.UsedCpus < team.Cpus && team.WaitingCpus > 0 {
+		s.belowGuaranteeSeconds += seconds
 	}
-	s.points = append(s.points, Point{at, round(cpus(team.UsedCpus)), round(cpus(team.WaitsCpus)), exact(s.money)})
+	s.points = append(s.points, Point{at, roundHundredths(fromMilli(team.UsedCpus)), roundHundredths(fromMilli(team.WaitingCpus)), roundMoney(s.money)})
 	s.money += seconds / 3600 * float64(team.RateMicro) / 1e6
 }
 
-// report works out a team's part of a report.
-func (s *sums) report(name string, mean func(float64) float64, history *History) TeamReport {
-	report := TeamReport{Name: name, Guarantee: round(cpus(s.last.Cpus)), Limit: round(cpus(s.last.CpusMax)), MeanCpus: mean(s.used), MostCpus: round(s.most),
-		MeanBorrowed: mean(s.borrowed), MeanDominant: mean(s.dominant), ShortS: round(s.short), Money: exact(s.money), Series: thin(s.points), Latest: []LateJob{}}
+// report computes the figures of the team.
+func (s *teamSums) report(name string, mean func(float64) float64, history *History) TeamReport {
+	report := TeamReport{Name: name, Guarantee: roundHundredths(fromMilli(s.last.Cpus)), Limit: roundHundredths(fromMilli(s.last.CpusMax)), MeanCpus: mean(s.usedCPUSeconds), MostCpus: roundHundredths(s.maxUsedCpus),
+		MeanBorrowed: mean(s.borrowedCPUSeconds), MeanDominant: mean(s.dominantPercentSeconds), ShortS: roundHundredths(s.belowGuaranteeSeconds), Money: roundMoney(s.money), Series: downsample(s.points), Latest: []LateJob{}}
 	report.addJobs(history.Jobs)
-	report.addEvictions(history.Evicts)
+	report.addVictimSets(history.VictimSets)
 	return report
 }
 
-// addJobs counts a team's jobs that are over, their waits and how late they were.
-func (t *TeamReport) addJobs(jobs []JobEnd) {
-	waits, lates := newSpread(), newSpread()
+// addJobs adds the team's final jobs: their number, their waiting times and their lateness.
+func (t *TeamReport) addJobs(jobs []FinalJob) {
+	waits, lates := newDurationHistogram(), newDurationHistogram()
 	for i := range jobs {
 		job := &jobs[i]
 		if job.Team != t.Name {
@@ -229,46 +230,47 @@
 			continue
 		}
 		t.Done++
-		if job.Started > 0 {
-			wait := float64(max(0, job.Started-job.From)) / 1000
+		if job.StartedMs > 0 {
+			wait := float64(max(0, job.StartedMs-job.From)) / 1000
 			waits.add(wait)
-			t.waits = append(t.waits, wait)
+			t.waitSeconds = append(t.waitSeconds, wait)
 		}
 		if job.Due == 0 {
 			continue
 		}
 		t.WithDue++
-		lateS := float64(job.Behind(job.Seen)) / 1000
+		lateS := float64(job.Behind(job.SeenFinalMs)) / 1000
 		if lateS > 0 {
 			t.Late++
 			lates.add(lateS)
-			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.End), round(lateS)})
+			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.End), roundHundredths(lateS)})
 		}
-		t.lates = append(t.lates, [2]float64{float64(job.End) / 1000, lateS})
+		t.lateness = append(t.lateness, [2]float64{float64(job.End) / 1000, lateS})
 	}
-	t.Waits, t.LateBy = waits.spread(), lates.spread()
+	t.Waits, t.LateBy = waits.distribution(), lates.distribution()
 	slices.SortStableFunc(t.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
-	t.Latest = t.Latest[:min(len(t.Latest), mostLate)]
+	t.Latest = t.Latest[:min(len(t.Latest), maxLateJobs)]
 }
 
-// addEvictions counts the team's evicted tasks, and those that were evicted for its jobs.
-func (t *TeamReport) addEvictions(evictions []view.Eviction) {
-	for _, eviction := range evictions {
-		for _, victim := range eviction.Victims {
+// addVictimSets adds the number of the team's tasks that were victims, and the number of victims that made
+// room for the team's jobs.
+func (t *TeamReport) addVictimSets(victimSets []view.Eviction) {
+	for _, victimSet := range victimSets {
+		for _, victim := range victimSet.Victims {
 			if victim.Team == t.Name {
 				t.Evicted++
 			}
 		}
-		if eviction.Team == t.Name {
-			t.EvictedFor += len(eviction.Victims)
+		if victimSet.Team == t.Name {
+			t.EvictedFor += len(victimSet.Victims)
 		}
-		t.evicts = append(t.evicts, [3]float64{float64(eviction.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
+		t.evictedSoFar = append(t.evictedSoFar, [3]float64{float64(victimSet.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
 	}
 }
 
-// thin keeps every nth point, and the last.
-func thin(points []Point) []Point {
-	n := (len(points) + mostPoints - 1) / mostPoints
+// downsample returns every nth point, with n chosen so that at most maxPoints remain, and the last point.
+func downsample(points []Point) []Point {
+	n := (len(points) + maxPoints - 1) / maxPoints
 	if n <= 1 {
 		return points
 	}
@@ -282,19 +284,21 @@
 	return out
 }
 
-// spread counts times in hundredths of a second.
-type spread struct{ h *hdrhistogram.Histogram }
+// durationHistogram is a histogram of durations in hundredths of a second.
+type durationHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// longestCentiseconds is the longest time that a spread tells apart, a month, in its unit.
-const longestCentiseconds = 30 * 86400 * 100
+// maxCentiseconds is the longest duration that a durationHistogram distinguishes: 30 days.
+const maxCentiseconds = 30 * 86400 * 100
 
-func newSpread() spread { return spread{hdrhistogram.New(1, longestCentiseconds, 4)} }
+func newDurationHistogram() durationHistogram {
+	return durationHistogram{hdrhistogram.New(1, maxCentiseconds, 4)}
+}
 
-func (s spread) add(seconds float64) {
-	_ = s.h.RecordValue(int64(min(longestCentiseconds, max(0, math.Round(seconds*100))))) // within its bounds
+func (s durationHistogram) add(seconds float64) {
+	_ = s.histogram.RecordValue(int64(min(maxCentiseconds, max(0, math.Round(seconds*100))))) // RecordValue fails only for values out of range
 }
 
-func (s spread) spread() Spread {
-	at := func(q float64) float64 { return round(float64(s.h.ValueAtQuantile(q)) / 100) }
-	return Spread{s.h.TotalCount(), at(50), at(90), round(float64(s.h.Max()) / 100)}
+func (s durationHistogram) distribution() Distribution {
+	at := func(q float64) float64 { return roundHundredths(float64(s.histogram.ValueAtQuantile(q)) / 100) }
+	return Distribution{s.histogram.TotalCount(), at(50), at(90), roundHundredths(float64(s.histogram.Max()) / 100)}
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -23,17 +23,17 @@
 //go:embed page.html
 var files embed.FS
 
-// figure is a plot with what it says in words.
+// figure is a plot with a description of it in words.
 type figure struct {
 	SVG  template.HTML
 	Text string
 }
 
-// Page writes a report as one HTML page that needs nothing else.
+// Page writes the report as one self-contained HTML page.
 func (r *Report) Page(out io.Writer) error {
 	page, err := template.New("page.html").Funcs(template.FuncMap{
 		"when": func(t time.Time) string { return t.Format("2006-01-02 15:04:05") },
-		"add":  func(a, b float64) float64 { return round(a + b) },
+		"add":  func(a, b float64) float64 { return roundHundredths(a + b) },
 		"share": func(t TeamReport) (figure, error) {
 			text := fmt.Sprintf("Processors of %s over time: %v on average, %v at most; guarantee %v, ", t.Name, t.MeanCpus, t.MostCpus, t.Guarantee)
 			if t.Limit > 0 {
@@ -50,7 +50,7 @@
 				t.Waits.Count, t.Name, t.Waits.P50, t.Waits.P90, t.Waits.Most)}, err
 		},
 		"lates": func(t TeamReport) (figure, error) {
-			svg, err := latesSVG(t)
+			svg, err := latenessSVG(t)
 			text := fmt.Sprintf("Ends of %d jobs of %s against their deadlines (0): ", t.WithDue, t.Name)
 			if t.Late == 0 {
 				text += "none late."
@@ -69,15 +69,16 @@
 		},
 	}).ParseFS(files, "page.html")
 	if err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("parse report page template: %w", err)
 	}
 	if err := page.Execute(out, r); err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("render report page: %w", err)
 	}
 	return nil
 }
 
-// The colours differ in lightness too, and lines in their dashes: the page may be printed in black.
+// The colours also differ in lightness, and the lines in their dashes, because the page may be printed in
+// black and white.
 var (
 	blue   = color.RGBA{0x1f, 0x4e, 0x8c, 0xff}
 	orange = color.RGBA{0xc8, 0x5a, 0x00, 0xff}
@@ -89,7 +90,8 @@
 	plotHeight = 5.2 * vg.Centimeter
 )
 
-// newPlot has a time axis that shows seconds for short spans, or none if span is 0.
+// newPlot returns an empty plot with the given label of the y axis. Its x axis shows the time of day, with
+// seconds if the span is below an hour; if span is 0 it is not a time axis.
 func newPlot(y string, span time.Duration) *plot.Plot {
 	chart := plot.New()
 	chart.Y.Label.Text = y
@@ -109,30 +111,31 @@
 	return chart
 }
 
-// drawn is a plot as SVG to be put into a page. No name that others chose is in it.
-func drawn(chart *plot.Plot) (template.HTML, error) {
-	headroom(chart)
+// renderSVG renders a plot as SVG to be embedded in the page without escaping. Plots must not contain names
+// that users chose.
+func renderSVG(chart *plot.Plot) (template.HTML, error) {
+	addHeadroom(chart)
 	c := vgsvg.New(plotWidth, plotHeight)
 	chart.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
-		return "", fmt.Errorf("plot: %w", err)
+		return "", fmt.Errorf("write plot as SVG: %w", err)
 	}
 	s := b.String()
 	at := strings.Index(s, "<svg")
 	if at < 0 {
-		return "", fmt.Errorf("plot: no SVG")
+		return "", fmt.Errorf("plot: output has no svg element")
 	}
 	return template.HTML(strings.Replace(s[at:], "<svg", `<svg aria-hidden="true"`, 1)), nil
 }
 
-func line(p *plot.Plot, name string, xy plotter.XYs, c color.Color, dashes ...vg.Length) error {
+func addLine(p *plot.Plot, name string, xy plotter.XYs, c color.Color, dashes ...vg.Length) error {
 	if len(xy) == 0 {
 		return nil
 	}
 	l, err := plotter.NewLine(xy)
 	if err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("plot line: %w", err)
 	}
 	l.Color, l.Dashes, l.Width = c, dashes, vg.Points(1.2)
 	p.Add(l)
@@ -140,7 +143,7 @@
 	return nil
 }
 
-func series(t TeamReport, y func(Point) float64) plotter.XYs {
+func seriesPoints(t TeamReport, y func(Point) float64) plotter.XYs {
 	var xy plotter.XYs
 	for _, p := range t.Series {
 		xy = append(xy, plotter.XY{X: float64(p.At.UnixMilli()) / 1000, Y: y(p)})
@@ -150,26 +153,26 @@
 
 func shareSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("processors", team.span())
-	err := line(chart, "used", series(team, func(p Point) float64 { return p.Cpus }), blue)
+	err := addLine(chart, "used", seriesPoints(team, func(p Point) float64 { return p.Cpus }), blue)
 	if err == nil {
-		err = line(chart, "waiting", series(team, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
+		err = addLine(chart, "waiting", seriesPoints(team, func(p Point) float64 { return p.Waiting }), orange, vg.Points(1), vg.Points(2))
 	}
 	if err == nil {
-		err = line(chart, "guarantee", series(team, func(Point) float64 { return team.Guarantee }), grey, vg.Points(6), vg.Points(3))
+		err = addLine(chart, "guarantee", seriesPoints(team, func(Point) float64 { return team.Guarantee }), grey, vg.Points(6), vg.Points(3))
 	}
 	if err == nil && team.Limit > 0 {
-		err = line(chart, "limit", series(team, func(Point) float64 { return team.Limit }), grey, vg.Points(2), vg.Points(2))
+		err = addLine(chart, "limit", seriesPoints(team, func(Point) float64 { return team.Limit }), grey, vg.Points(2), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
-// headroom keeps lines clear of the legend.
-func headroom(p *plot.Plot) { p.Y.Max += (p.Y.Max - p.Y.Min) / 3 }
+// addHeadroom extends the y axis so that the lines don't cross the legend.
+func addHeadroom(p *plot.Plot) { p.Y.Max += (p.Y.Max - p.Y.Min) / 3 }
 
-// span is the time that a team's series cover.
+// span returns the time that the team's series covers.
 func (t TeamReport) span() time.Duration {
 	if len(t.Series) < 2 {
 		return time.Second
@@ -179,39 +182,39 @@
 
 func moneySVG(t TeamReport) (template.HTML, error) {
 	p := newPlot("money", t.span())
-	if err := line(p, "so far", series(t, func(p Point) float64 { return p.Money }), blue); err != nil {
+	if err := addLine(p, "so far", seriesPoints(t, func(p Point) float64 { return p.Money }), blue); err != nil {
 		return "", err
 	}
-	return drawn(p)
+	return renderSVG(p)
 }
 
-// waitsSVG shows which part of the jobs had started within how long.
+// waitsSVG plots the percentage of the team's jobs that started within a waiting time.
 func waitsSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("jobs, %", 0)
 	chart.X.Label.Text = "started within, seconds"
 	chart.X.Min = 0
-	w := slices.Sorted(slices.Values(team.waits))
+	w := slices.Sorted(slices.Values(team.waitSeconds))
 	var xy plotter.XYs
-	step := max(1, len(w)/mostPoints)
+	step := max(1, len(w)/maxPoints)
 	for i := 0; i < len(w); i += step {
 		xy = append(xy, plotter.XY{X: w[i], Y: 100 * float64(i+1) / float64(len(w))})
 	}
 	if n := len(w); n > 0 {
 		xy = append(xy, plotter.XY{X: w[n-1], Y: 100})
 	}
-	if err := line(chart, "started", xy, blue); err != nil {
+	if err := addLine(chart, "started", xy, blue); err != nil {
 		return "", err
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
-// evictionsSVG shows the evicted tasks so far.
+// evictionsSVG plots the cumulative number of victims over time.
 func evictionsSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("tasks", team.span())
 	steps := func(of int) plotter.XYs {
 		xy := plotter.XYs{}
 		last := 0.0
-		for i, e := range team.evicts {
+		for i, e := range team.evictedSoFar {
 			if i == 0 && len(team.Series) > 0 {
 				xy = append(xy, plotter.XY{X: float64(team.Series[0].At.UnixMilli()) / 1000})
 			}
@@ -220,41 +223,41 @@
 		}
 		return xy
 	}
-	err := line(chart, "its own", steps(1), orange)
+	err := addLine(chart, "its own", steps(1), orange)
 	if err == nil {
-		err = line(chart, "for its jobs", steps(2), blue, vg.Points(4), vg.Points(2))
+		err = addLine(chart, "for its jobs", steps(2), blue, vg.Points(4), vg.Points(2))
 	}
 	if err != nil {
 		return "", err
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
-// latesSVG shows each job's end against its deadline.
-func latesSVG(team TeamReport) (template.HTML, error) {
+// latenessSVG plots the lateness of each job over the time of its end.
+func latenessSVG(team TeamReport) (template.HTML, error) {
 	chart := newPlot("late by, s", team.span())
 	var xy plotter.XYs
-	for _, l := range team.lates {
+	for _, l := range team.lateness {
 		xy = append(xy, plotter.XY{X: l[0], Y: l[1]})
 		chart.Y.Min = min(chart.Y.Min, l[1])
 	}
 	if len(xy) > 0 {
 		s, err := plotter.NewScatter(xy)
 		if err != nil {
-			return "", fmt.Errorf("plot: %w", err)
+			return "", fmt.Errorf("plot job ends: %w", err)
 		}
 		s.Color, s.Radius, s.Shape = orange, vg.Points(1.6), draw.CircleGlyph{}
 		chart.Add(s)
 		chart.Legend.Add("a job", s)
 		chart.Add(plotter.NewFunction(func(float64) float64 { return 0 }))
 	}
-	return drawn(chart)
+	return renderSVG(chart)
 }
 
-// Beside returns the file with the figures that belongs to a page.
+// Beside returns the name of the JSON file with the figures of a page.
 func Beside(page string) string { return strings.TrimSuffix(page, ".html") + ".json" }
 
-// Write writes the page and, beside it, its figures; each file whole or not at all.
+// Write writes the page and the JSON file with its figures. Each file is written completely or not at all.
 func (r *Report) Write(page string) error {
 	var buffer bytes.Buffer
 	if err := r.Page(&buffer); err != nil {
@@ -262,7 +265,7 @@
 	}
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("encode report figures: %w", err)
 	}
 	for _, f := range []struct {
 		name string
@@ -270,10 +273,10 @@
 	}{{Beside(page), append(raw, '\n')}, {page, buffer.Bytes()}} {
 		tmp := f.name + ".part"
 		if err := os.WriteFile(tmp, f.body, 0o600); err != nil {
-			return fmt.Errorf("report: %w", err)
+			return fmt.Errorf("write report: %w", err)
 		}
 		if err := os.Rename(tmp, f.name); err != nil {
-			return fmt.Errorf("report: %w", err)
+			return fmt.Errorf("write report: %w", err)
 		}
 	}
 	return nil
--- a/internal/view/hub.go
+++ b/internal/view/hub.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Hub hands the latest snapshot from the goroutine that keeps the model to all who read it.
+// Hub passes the latest snapshot from the goroutine that owns the model to any number of readers.
 type Hub struct {
-	latest  atomic.Pointer[Snapshot]
-	wanted  atomic.Int64 // until when somebody reads, on the clock of now
-	mu      sync.Mutex
-	changed chan struct{}
+	latest    atomic.Pointer[Snapshot]
+	readUntil atomic.Int64 // Unix time in nanoseconds until which there is a reader
+	mu        sync.Mutex
+	changed   chan struct{}
 }
 
-// NewHub has no snapshot yet.
+// NewHub returns a hub without a snapshot.
 func NewHub() *Hub { return &Hub{changed: make(chan struct{})} }
 
-// readerStays is how long after its last request a reader is taken to be there.
-const readerStays = 5 * time.Second
+// readerTimeout is how long after its last request a reader counts as present.
+const readerTimeout = 5 * time.Second
 
-// Wanted tells whether anybody reads. While nobody does, no snapshot needs to be taken.
-func (h *Hub) Wanted(now time.Time) bool { return now.UnixNano() < h.wanted.Load() }
+// Wanted reports whether there is a reader. Without one no snapshot needs to be taken.
+func (h *Hub) Wanted(now time.Time) bool { return now.UnixNano() < h.readUntil.Load() }
 
-// Publish hands over a snapshot. It never waits for a reader.
+// Publish makes a snapshot the latest one and wakes the waiting readers. It never waits for a reader.
 func (h *Hub) Publish(s *Snapshot) {
 	h.latest.Store(s)
 	h.mu.Lock()
@@ -33,25 +33,26 @@
 	h.changed = make(chan struct{})
 }
 
-// Wait returns the first snapshot that is newer than a cursor, or the latest one when ctx
-// ends before; nil if there is none. A reader that asks for another epoch gets the latest.
+// Wait waits for a snapshot that is newer than the cursor and returns it. If ctx ends first it returns
+// the latest snapshot, nil if there is none. For a cursor of another epoch it returns the latest snapshot
+// at once.
 func (h *Hub) Wait(ctx context.Context, cursor Cursor) *Snapshot {
-	h.wanted.Store(time.Now().Add(readerStays).UnixNano())
+	h.readUntil.Store(time.Now().Add(readerTimeout).UnixNano())
 	for {
 		h.mu.Lock()
-		ch := h.changed
+		changed := h.changed
 		h.mu.Unlock()
 		s := h.latest.Load()
 		if s != nil && (s.Epoch != cursor.Epoch || s.Seq > cursor.Seq) {
 			return s
 		}
 		select {
-		case <-ch:
+		case <-changed:
 		case <-ctx.Done():
 			return h.Latest()
 		}
 	}
 }
 
-// Latest is the latest snapshot, nil if there is none.
+// Latest returns the latest snapshot, nil if there is none.
 func (h *Hub) Latest() *Snapshot { return h.latest.Load() }
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Scope is whose view it is: one team's, or the operators' if it is empty. What a team may
-// not know leaves out here, where the view is made, and never reaches the one who draws it:
-// of other teams it sees one sum. It is given no machines (others' tasks are on them) and no
-// controller's name.
+// Scope limits a view to what one team may see; the empty scope is the operators'. The limit is applied
+// where the view is made, so that what a team may not see never reaches the program that displays it. A team
+// sees the other teams as one total. It sees no machines, because tasks of other teams run on them, and no
+// names of controllers.
 type Scope string
 
-// Operators see everything.
+// Operators is the scope that sees everything.
 const Operators Scope = ""
 
-// job is what of a job's row may be seen, nil if nothing.
+// job returns the row if the scope may see it, nil otherwise.
 func (s Scope) job(j *Job) *Job {
 	if s != Operators && j.Team != string(s) {
 		return nil
@@ -26,15 +26,15 @@
 	return m
 }
 
-// Eviction is what of an evicted set may be seen. One that concerns a team through a victim
-// of its own shows that victim only, and not for whom.
-func (s Scope) Eviction(eviction *Eviction) *Eviction {
+// VictimSet returns the part of a victim set that the scope may see, nil if nothing. A team sees only its own
+// tasks among the victims, and the job that needs the room only if that job is its own.
+func (s Scope) VictimSet(victimSet *Eviction) *Eviction {
 	if s == Operators {
-		return eviction
+		return victimSet
 	}
-	out := *eviction
-	out.Victims = slices.DeleteFunc(slices.Clone(eviction.Victims), func(v Victim) bool { return v.Team != string(s) })
-	if eviction.Team != string(s) {
+	out := *victimSet
+	out.Victims = slices.DeleteFunc(slices.Clone(victimSet.Victims), func(v Victim) bool { return v.Team != string(s) })
+	if victimSet.Team != string(s) {
 		if len(out.Victims) == 0 {
 			return nil
 		}
@@ -43,7 +43,7 @@
 	return &out
 }
 
-// Head is what of a head may be seen.
+// Head returns the part of a head that the scope may see.
 func (s Scope) Head(head Head) Head {
 	head.Scope = string(s)
 	if s == Operators {
@@ -55,15 +55,15 @@
 			own = append(own, t)
 			continue
 		}
-		others.plus(t.Totals)
+		others.addTotals(t.Totals)
 	}
 	head.Teams, head.Others = own, &others
 	head.Member, head.Members, head.Fleet.RateMicro = "", []Member{}, 0
 	return head
 }
 
-// Within is the snapshot as a scope sees it, whole.
-func (s *Snapshot) Within(scope Scope) *Snapshot {
+// ForScope returns the complete snapshot as the scope may see it.
+func (s *Snapshot) ForScope(scope Scope) *Snapshot {
 	if scope == Operators {
 		return s
 	}
@@ -74,11 +74,11 @@
 		}
 		return true
 	})
-	s.evictions.Scan(func(_ string, e *Eviction) bool {
-		if e = scope.Eviction(e); e != nil {
-			model.evictions.Set(e.Key, e)
+	s.victimSets.Scan(func(_ string, e *Eviction) bool {
+		if e = scope.VictimSet(e); e != nil {
+			model.victimSets.Set(e.Key, e)
 		}
 		return true
 	})
-	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, evictions: model.evictions, log: model.log, floor: s.floor}
+	return &Snapshot{Head: scope.Head(s.Head), jobs: model.jobs, machines: model.machines, victimSets: model.victimSets, log: model.log, logFloor: s.logFloor}
 }
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -12,32 +12,33 @@
 	"dykeledge/internal/wait"
 )
 
-// Source asks the controllers of a deployment.
+// Source sends requests to the controllers of a deployment.
 type Source interface {
-	// Controllers returns the names by which the controllers are called in messages to people.
+	// Controllers returns the names of the controllers for messages to users.
 	Controllers() []string
-	// Page asks a controller for the changes after a cursor, and lets it wait that long for some.
+	// Page requests the changes after a cursor. The controller may wait up to wait until there are some.
 	Page(ctx context.Context, controller int, scope view.Scope, cursor view.Cursor, wait time.Duration) ([]byte, error)
-	// Reasons asks a controller why jobs wait.
+	// Reasons requests why jobs wait.
 	Reasons(ctx context.Context, controller int, scope view.Scope, ids []string) ([]view.Reason, error)
 }
 
-// Errors of a source that another controller would not answer better.
+// Errors of a Source that end Follower.Run: ErrUnknownTeam at once, ErrViewDisabled once all controllers have
+// returned it in a row.
 var (
-	ErrOff    = errors.New("the view is switched off on this node")
-	ErrNoTeam = errors.New("no such team")
+	ErrViewDisabled = errors.New("the view is switched off on this node")
+	ErrUnknownTeam  = errors.New("no such team")
 )
 
-// State is what a view client shows now. It never changes, and may be read by any number of goroutines.
+// State is what a view client shows at a time. It is immutable and may be read by any number of goroutines.
 type State struct {
-	*view.Snapshot        // nil: nothing yet
-	Asked          string // the controller that it came from
-	Sent           time.Time
-	Warning        string // why it may be older than it should, "" if all is well
+	*view.Snapshot           // nil until the first one was received
+	Controller     string    // the controller that sent the snapshot
+	Sent           time.Time // when the page was requested
+	Warning        string    // why the state may be out of date, "" if it is not
 }
 
-// Age is how old the state may be at most: the time since its revision was certainly the
-// latest one. Only differences of one clock are used.
+// Age returns the maximum age of the state: the time since its revision was known to be the newest one. It
+// adds differences of times of the same clock, so the clocks need not agree.
 func (s *State) Age(now time.Time) time.Duration {
 	if s.Snapshot == nil {
 		return 0
@@ -45,66 +46,67 @@
 	return time.Duration(s.Now-s.AsOf)*time.Millisecond + now.Sub(s.Sent)
 }
 
-// Fresh is how old a state may be without its age being shown as a warning.
-const Fresh = 2 * time.Second
+// MaxFreshAge is the maximum age of a state that is shown without a warning.
+const MaxFreshAge = 2 * time.Second
 
-// How a follower asks.
+// Times of a follower.
 const (
-	waitNew    = 500 * time.Millisecond // a controller may wait for something new
-	answerIn   = 4 * time.Second
-	retryFirst = 200 * time.Millisecond
-	retryMost  = 5 * time.Second
-	turnFirst  = 3 * time.Second // a controller that is behind is left after
-	turnMost   = time.Minute
+	pollWait         = 500 * time.Millisecond // how long a controller may wait for changes before it answers
+	answerTimeout    = 4 * time.Second        // for a request, besides pollWait
+	minRetryDelay    = 200 * time.Millisecond
+	maxRetryDelay    = 5 * time.Second
+	minBehindTimeout = 3 * time.Second // a controller that is behind for longer is left
+	maxBehindTimeout = time.Minute
 )
 
 // Follower keeps a state up to date while Run runs.
 type Follower struct {
-	source Source
-	scope  view.Scope
-	pause  time.Duration
-	state  atomic.Pointer[State]
-	mu     sync.Mutex
-	fresh  chan struct{}
-	turn   time.Duration
+	source        Source
+	scope         view.Scope
+	pollInterval  time.Duration
+	state         atomic.Pointer[State]
+	mu            sync.Mutex    // guards changed
+	changed       chan struct{} // closed at the next change of the state
+	behindTimeout time.Duration // a controller that is behind for longer is left
 }
 
-// NewFollower returns a follower of what a scope may see; pause is the least time between two requests.
-func NewFollower(source Source, scope view.Scope, pause time.Duration) *Follower {
-	f := &Follower{source: source, scope: scope, pause: pause, fresh: make(chan struct{}), turn: turnFirst}
+// NewFollower returns a follower of what a scope may see. pollInterval is the time between a complete state and
+// the next request.
+func NewFollower(source Source, scope view.Scope, pollInterval time.Duration) *Follower {
+	f := &Follower{source: source, scope: scope, pollInterval: pollInterval, changed: make(chan struct{}), behindTimeout: minBehindTimeout}
 	f.state.Store(&State{Warning: "asking " + source.Controllers()[0]})
 	return f
 }
 
-// State returns what there is to show now. It may be called by any goroutine.
+// State returns the present state. It may be called by any goroutine.
 func (f *Follower) State() *State { return f.state.Load() }
 
-// Changed returns a channel that is closed when the state changes next. It may be called by any goroutine.
+// Changed returns a channel that is closed at the next change of the state. It may be called by any goroutine.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh
+	return f.changed
 }
 
-func (f *Follower) set(s *State) {
+func (f *Follower) setState(s *State) {
 	f.state.Store(s)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.fresh)
-	f.fresh = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-// warn keeps what is shown, and says what is wrong.
-func (f *Follower) warn(why string) {
+// setWarning replaces the warning of the state and keeps its snapshot.
+func (f *Follower) setWarning(why string) {
 	s := *f.state.Load()
 	s.Warning = why
-	f.set(&s)
+	f.setState(&s)
 }
 
-// Run follows until ctx ends, or until a controller gives an answer that no other would change:
-// the view is off everywhere, or there is no such team.
+// Run polls the controllers until ctx ends. It returns an error if the view is disabled on all controllers or
+// the team does not exist.
 func (f *Follower) Run(ctx context.Context) error {
-	retry, off := retryFirst, 0
+	retryDelay, disabledCount := minRetryDelay, 0
 	for controller := 0; ctx.Err() == nil; controller = (controller + 1) % len(f.source.Controllers()) {
 		name := f.source.Controllers()[controller]
 		before := f.State().Snapshot
@@ -112,61 +114,61 @@
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case errors.Is(err, ErrNoTeam):
+		case errors.Is(err, ErrUnknownTeam):
 			return err
-		case errors.Is(err, ErrOff):
-			if off++; off >= len(f.source.Controllers()) {
+		case errors.Is(err, ErrViewDisabled):
+			if disabledCount++; disabledCount >= len(f.source.Controllers()) {
 				return err
 			}
 		default:
-			off = 0
+			disabledCount = 0
 		}
-		f.warn(fmt.Sprintf("%s: %v", name, err))
+		f.setWarning(fmt.Sprintf("%s: %v", name, err))
 		if f.State().Snapshot != before {
-			retry = retryFirst
+			retryDelay = minRetryDelay
 		}
-		wait.For(ctx, retry)
-		retry = min(retryMost, 2*retry)
+		wait.For(ctx, retryDelay)
+		retryDelay = min(maxRetryDelay, 2*retryDelay)
 	}
 	return nil
 }
 
 var errBehind = errors.New("behind the state service, asking another node")
 
-// session is what has been read of one controller's feed.
+// session is the state of reading one controller's feed.
 type session struct {
 	controller  int
 	mirror      *view.Model
 	cursor      view.Cursor
-	behindSince time.Time // zero: it is not behind
+	behindSince time.Time // zero if the controller is not behind
 }
 
-// follow reads one controller's feed until something is wrong with it.
+// follow reads one controller's feed until a request fails, the controller is behind for too long, or ctx ends.
 func (f *Follower) follow(ctx context.Context, controller int) error {
 	session := &session{controller: controller, mirror: view.NewMirror()}
 	for ctx.Err() == nil {
 		sent := time.Now()
-		snapshot, err := f.read(ctx, session)
+		snapshot, err := f.readPage(ctx, session)
 		if err != nil {
 			return err
 		}
 		if snapshot == nil {
 			continue
 		}
-		f.show(session, &State{Snapshot: snapshot, Asked: f.source.Controllers()[controller], Sent: sent})
-		if f.leaves(session) {
+		f.showIfNewer(session, &State{Snapshot: snapshot, Controller: f.source.Controllers()[controller], Sent: sent})
+		if f.shouldSwitch(session) {
 			return errBehind
 		}
-		wait.For(ctx, f.pause)
+		wait.For(ctx, f.pollInterval)
 	}
 	return ctx.Err()
 }
 
-// read asks for one page and returns the snapshot that it completes, nil if more pages have to follow.
-func (f *Follower) read(ctx context.Context, session *session) (*view.Snapshot, error) {
-	within, cancel := context.WithTimeout(ctx, waitNew+answerIn)
+// readPage requests one page and returns the snapshot that it completes, nil if more pages follow.
+func (f *Follower) readPage(ctx context.Context, session *session) (*view.Snapshot, error) {
+	requestCtx, cancel := context.WithTimeout(ctx, pollWait+answerTimeout)
 	defer cancel()
-	raw, err := f.source.Page(within, session.controller, f.scope, session.cursor, waitNew)
+	raw, err := f.source.Page(requestCtx, session.controller, f.scope, session.cursor, pollWait)
 	if err != nil {
 		return nil, err
 	}
@@ -182,56 +184,59 @@
 	if page.Head == nil {
 		return nil, nil
 	}
-	snapshot := session.mirror.Mirrored(*page.Head)
+	snapshot := session.mirror.SnapshotWithHead(*page.Head)
 	if err := snapshot.Check(); err != nil {
-		return nil, err // never shown
+		return nil, err // an inconsistent snapshot is never published
 	}
 	return snapshot, nil
 }
 
-// show shows a state, unless a newer one was shown before, and notes since when its controller is behind.
-func (f *Follower) show(session *session, next *State) {
+// showIfNewer publishes a state unless one of a later revision was published before, and records since when its
+// controller is behind.
+func (f *Follower) showIfNewer(session *session, next *State) {
 	now := time.Now()
-	old := next.Age(now) > Fresh
-	if !old {
-		session.behindSince, f.turn = time.Time{}, turnFirst
+	stale := next.Age(now) > MaxFreshAge
+	if !stale {
+		session.behindSince, f.behindTimeout = time.Time{}, minBehindTimeout
 	} else if session.behindSince.IsZero() {
 		session.behindSince = now
 	}
 	switch {
 	case !next.StateOK:
 		next.Warning = "the state service does not answer"
-	case old:
+	case stale:
 		next.Warning = "behind the state service"
 	}
 	if shown := f.State(); shown.Snapshot == nil || next.Revision >= shown.Revision {
-		f.set(next)
+		f.setState(next)
 		return
 	}
-	// What was shown before is newer: a job that was shown as over would be open again.
-	f.warn(next.Asked + " is behind what is shown")
+	// The published state is newer. With the older one, a job that was shown as final would be open again.
+	f.setWarning(next.Controller + " is behind what is shown")
 	if session.behindSince.IsZero() {
 		session.behindSince = now
 	}
 }
 
-// leaves tells whether it is another controller's turn.
-func (f *Follower) leaves(session *session) bool {
-	if session.behindSince.IsZero() || time.Since(session.behindSince) <= f.turn || len(f.source.Controllers()) < 2 {
+// shouldSwitch reports whether the follower should switch to another controller. It doubles the time after
+// which it does so again, because in an outage of the state service all controllers are behind.
+func (f *Follower) shouldSwitch(session *session) bool {
+	if session.behindSince.IsZero() || time.Since(session.behindSince) <= f.behindTimeout || len(f.source.Controllers()) < 2 {
 		return false
 	}
-	f.turn = min(turnMost, 2*f.turn) // in an outage all controllers are behind
+	f.behindTimeout = min(maxBehindTimeout, 2*f.behindTimeout)
 	return true
 }
 
-// Why is why a job waits, and when that was heard.
+// Why is the reason why a job waits, with the time at which it was requested.
 type Why struct {
 	view.Reason
-	Got time.Time
+	ReceivedAt time.Time
 }
 
-// Reasons tells why jobs wait, from the controllers that decide it where they answer. What only such
-// a controller's memory holds is as old as its answer.
+// Reasons asks all controllers why jobs wait, for the first view.MaxReasons ids. The answer of the controller
+// that owns a job's shard has precedence. Some reasons exist only in that controller's memory, so they are as
+// old as its answer.
 func (f *Follower) Reasons(ctx context.Context, ids []string) map[string]Why {
 	ids = ids[:min(len(ids), view.MaxReasons)]
 	out := map[string]Why{}
@@ -242,16 +247,16 @@
 		list []view.Reason
 		at   time.Time
 	}
-	within, cancel := context.WithTimeout(ctx, answerIn)
+	requestCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	controllers := f.source.Controllers()
 	answers := make(chan answer, len(controllers))
 	for i := range controllers {
 		go func() {
 			at := time.Now()
-			list, err := f.source.Reasons(within, i, f.scope, ids)
+			list, err := f.source.Reasons(requestCtx, i, f.scope, ids)
 			if err != nil {
-				list = nil // others may know it
+				list = nil // other controllers may answer
 			}
 			answers <- answer{list, at}
 		}()
@@ -259,7 +264,7 @@
 	for range controllers {
 		a := <-answers
 		for _, r := range a.list {
-			if old, ok := out[r.Job]; !ok || r.Owner && !old.Owner {
+			if previous, ok := out[r.Job]; !ok || r.Owner && !previous.Owner {
 				out[r.Job] = Why{r, a.at}
 			}
 		}
