--- a/cmd/dykectl/config.go
+++ b/cmd/dykectl/config.go
@@ -29,7 +29,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	command.AddCommand(&cobra.Command{Use: "check [FILE]", Short: "Check a configuration file and exit", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			path, err := a.path()
+			path, err := a.configPath()
 			if err != nil {
 				return err
 			}
@@ -38,23 +38,23 @@
 			}
 			f, err := contexts.Load(path)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "ok: %s, %d contexts\n", path, len(f.Contexts))
 			return err
 		}}, &cobra.Command{Use: "contexts", Short: "List the clusters", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			file, err := a.file()
+			file, err := a.loadConfig()
 			if err != nil {
 				return err
 			}
 			var rows [][]string
 			for _, n := range slices.Sorted(maps.Keys(file.Contexts)) {
-				x, mark := file.Contexts[n], ""
+				entry, mark := file.Contexts[n], ""
 				if n == file.Current {
 					mark = "*"
 				}
-				rows = append(rows, []string{mark, n, x.Users, strings.Join(x.Nodes, ","), x.Team})
+				rows = append(rows, []string{mark, n, entry.Users, strings.Join(entry.Nodes, ","), entry.Team})
 			}
 			return a.print(cmd.OutOrStdout(), file, []string{"", "NAME", "USERS", "NODES", "TEAM"}, rows)
 		}}, &cobra.Command{Use: "use NAME", Short: "Choose the current cluster", Args: cobra.ExactArgs(1),
@@ -62,12 +62,12 @@
 			return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			path, err := a.path()
+			path, err := a.configPath()
 			if err != nil {
 				return err
 			}
 			if !slices.Contains(a.contextNames(), args[0]) {
-				return usage(errors.New("no context " + args[0] + ": see dykectl config contexts"))
+				return usageError(errors.New("no context " + args[0] + ": see dykectl config contexts"))
 			}
 			if err := contexts.Change(path, func(f *contexts.File) { f.Current = args[0] }); err != nil {
 				return failed(err)
--- a/cmd/dykectl/golden_test.go
+++ b/cmd/dykectl/golden_test.go
@@ -12,8 +12,8 @@
 	commandtest.CheckHelp(t, invoke)
 }
 
-// TestGoldenWrongUse pins exit codes and messages of wrong use, and the help of a hidden command.
-func TestGoldenWrongUse(t *testing.T) {
+// TestGoldenUsageErrors pins exit codes and messages of wrong use, and the help of a hidden command.
+func TestGoldenUsageErrors(t *testing.T) {
 	commandtest.CheckWrongUse(t, invoke, []commandtest.WrongUse{
 		{Name: "unknown-command", Args: []string{"fly"}},
 		{Name: "unknown-flag", Args: []string{"--fly"}},
@@ -28,6 +28,6 @@
 // invoke runs the program and returns what it prints and its exit code.
 func invoke(t *testing.T, args ...string) string {
 	t.Helper()
-	out, errs, code := prog{t, "missing.toml"}.run(args...)
+	out, errs, code := testProgram{t, "missing.toml"}.run(args...)
 	return fmt.Sprintf("%s%sexit code %d\n", out, errs, code)
 }
--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -17,8 +17,8 @@
 	"dykeledge/internal/wait"
 )
 
-// users speaks with the cluster as its users do, and says when it has to repeat itself.
-func (a *app) users(address string) *client.Users {
+// usersClient speaks with the cluster as its users do, and says when it has to repeat itself.
+func (a *app) usersClient(address string) *client.Users {
 	users := client.New(address)
 	users.Retried = func(status int, err error) {
 		a.log.Info("no certain answer, asking again", "status", status, "err", err)
@@ -26,8 +26,8 @@
 	return users
 }
 
-// outcome turns what a user's request came to into an exit code.
-func outcome(err error) error {
+// requestError turns what a user's request came to into an exit code.
+func requestError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -48,17 +48,17 @@
 
 // submitOptions are the flags of submit.
 type submitOptions struct {
-	job                             protocol.Submission
-	file, priority                  string
-	service, onDemandOnly           bool
-	estimate, checkpoint, save, due time.Duration
-	run                             time.Duration // on a local cluster: how long each task really runs; 0: as estimated
-	fails                           bool          // on a local cluster: it fails on every machine
-	wait                            bool
+	job                                            protocol.Submission
+	file, priority                                 string
+	service, onDemandOnly                          bool
+	estimate, checkpoint, checkpointCost, deadline time.Duration
+	actualRunTime                                  time.Duration // on a local cluster: how long each task really runs; 0: as estimated
+	alwaysFails                                    bool          // on a local cluster: it fails on every machine
+	wait                                           bool
 }
 
-// submitPolledEvery is the time between two questions for a job whose end is waited for.
-const submitPolledEvery = 2 * time.Second
+// submitPollInterval is the time between two questions for a job whose end is waited for.
+const submitPollInterval = 2 * time.Second
 
 func (a *app) submitCommand() *cobra.Command {
 	options := &submitOptions{}
@@ -96,36 +96,36 @@
 	flags.BoolVar(&o.service, "service", false, "runs until it is cancelled")
 	flags.DurationVar(&o.estimate, "estimate", 10*time.Second, "how long a task will run")
 	flags.DurationVar(&o.checkpoint, "checkpoint", 0, "progress after which a task saves (0: never)")
-	flags.DurationVar(&o.save, "save", 0, "how long saving takes when it is stopped")
-	flags.DurationVar(&o.due, "due", 0, "deadline, from now (0: none)")
+	flags.DurationVar(&o.checkpointCost, "save", 0, "how long saving takes when it is stopped")
+	flags.DurationVar(&o.deadline, "due", 0, "deadline, from now (0: none)")
 	flags.StringSliceVar(&o.job.Dependencies, "after", nil, "`ID` of a job that must be done before (may be repeated)")
-	flags.DurationVar(&o.run, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
-	flags.BoolVar(&o.fails, "fails", false, "on an emulated cluster: it fails on every machine")
+	flags.DurationVar(&o.actualRunTime, "run", 0, "on an emulated cluster: how long a task really runs (default: as estimated)")
+	flags.BoolVar(&o.alwaysFails, "fails", false, "on an emulated cluster: it fails on every machine")
 	flags.BoolVar(&o.wait, "wait", false, "wait until the job is over")
 }
 
 // submit submits a job and waits for its end if that is asked for.
 func (a *app) submit(ctx context.Context, out io.Writer, options *submitOptions) error {
-	_, cluster, err := a.cluster()
+	_, cluster, err := a.selectedContext()
 	if err != nil {
 		return err
 	}
 	body, err := options.body()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if cluster.Uploads != "" {
 		if err := options.upload(cluster.Uploads, body); err != nil {
 			return err
 		}
 	}
-	users, id := a.users(cluster.Users), options.job.ID
+	users, id := a.usersClient(cluster.Users), options.job.ID
 	state, err := users.Submit(ctx, body)
 	if err != nil {
-		return outcome(fmt.Errorf("%s: %w", id, err))
+		return requestError(fmt.Errorf("%s: %w", id, err))
 	}
 	for options.wait && !state.Status.Final() {
-		if !wait.For(ctx, submitPolledEvery) {
+		if !wait.For(ctx, submitPollInterval) {
 			return failed(fmt.Errorf("%s goes on: it is %s", id, state.Status))
 		}
 		if next, err := users.Status(id); err == nil {
@@ -138,7 +138,7 @@
 // body is the job as the protocol has it, of the file or of the flags. It leaves the job in o.job.
 func (o *submitOptions) body() ([]byte, error) {
 	if o.file == "" {
-		return o.bodyOfFlags()
+		return o.bodyFromFlags()
 	}
 	body, err := os.ReadFile(o.file)
 	if err != nil {
@@ -152,7 +152,7 @@
 	return body, nil
 }
 
-func (o *submitOptions) bodyOfFlags() ([]byte, error) {
+func (o *submitOptions) bodyFromFlags() ([]byte, error) {
 	priority, ok := protocol.ParsePriority(o.priority)
 	if !ok {
 		return nil, errors.New("--priority is low, normal, high or production")
@@ -165,7 +165,7 @@
 		o.job.ID = fmt.Sprintf("job-%012d", rand.Uint64N(1e12))
 	}
 	o.job.EstimateS, o.job.CheckpointS = o.estimate.Seconds(), o.checkpoint.Seconds()
-	o.job.CheckpointCostS, o.job.DeadlineS = o.save.Seconds(), o.due.Seconds()
+	o.job.CheckpointCostS, o.job.DeadlineS = o.checkpointCost.Seconds(), o.deadline.Seconds()
 	body, err := protocol.EncodeSubmission(&o.job)
 	if err != nil {
 		return nil, err
@@ -176,13 +176,13 @@
 
 // upload puts the job's description where the workers of a local cluster fetch it.
 func (o *submitOptions) upload(address string, body []byte) error {
-	run := o.run
+	run := o.actualRunTime
 	if run == 0 {
 		run = time.Duration(o.job.EstimateS * float64(time.Second))
 	}
-	description, err := client.Describe(body, run, o.fails)
+	description, err := client.Describe(body, run, o.alwaysFails)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if err := client.New(address).Upload(o.job.ID, description); err != nil {
 		return failed(err)
@@ -192,28 +192,28 @@
 
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status JOB...", Short: "Tell how jobs stand", Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return a.each(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Status(id) })
+		return a.forEachJob(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Status(id) })
 	}}
 }
 
 func (a *app) cancelCommand() *cobra.Command {
 	return &cobra.Command{Use: "cancel JOB...", Short: "Cancel jobs", Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return a.each(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Cancel(cmd.Context(), id) })
+		return a.forEachJob(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Cancel(cmd.Context(), id) })
 	}}
 }
 
-// each does something with each job and prints all that worked; the first error is returned.
-func (a *app) each(cmd *cobra.Command, ids []string, do func(*client.Users, string) (protocol.JobState, error)) error {
-	_, cluster, err := a.cluster()
+// forEachJob does something with each job and prints all that worked; the first error is returned.
+func (a *app) forEachJob(cmd *cobra.Command, ids []string, do func(*client.Users, string) (protocol.JobState, error)) error {
+	_, cluster, err := a.selectedContext()
 	if err != nil {
 		return err
 	}
 	for _, id := range ids {
 		if !protocol.ValidJobID(id) {
-			return usage(fmt.Errorf("%q is no job's id: they are like job-000412", id))
+			return usageError(fmt.Errorf("%q is no job's id: they are like job-000412", id))
 		}
 	}
-	users := a.users(cluster.Users)
+	users := a.usersClient(cluster.Users)
 	list := []protocol.JobState{}
 	var first error
 	for _, id := range ids {
@@ -231,5 +231,5 @@
 			return failed(err)
 		}
 	}
-	return outcome(first)
+	return requestError(first)
 }
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -16,8 +16,8 @@
 
 // loadOptions are the flags of load.
 type loadOptions struct {
-	seed        uint64 // 0: one that is drawn
-	drain, poll time.Duration
+	seed                       uint64 // 0: one that is drawn
+	drainTimeout, pollInterval time.Duration
 }
 
 func (a *app) loadCommand() *cobra.Command {
@@ -30,20 +30,20 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			profile, err := loadgen.Load(args[0])
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			return a.load(cmd.Context(), cmd.OutOrStdout(), profile, options)
 		},
 	}
 	command.Flags().Uint64Var(&options.seed, "seed", 0, "the same seed draws the same jobs (default: another each time)")
-	command.Flags().DurationVar(&options.drain, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
-	command.Flags().DurationVar(&options.poll, "poll", 5*time.Second, "about how often each job's user asks for it")
+	command.Flags().DurationVar(&options.drainTimeout, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
+	command.Flags().DurationVar(&options.pollInterval, "poll", 5*time.Second, "about how often each job's user asks for it")
 	return command
 }
 
 // load gives a profile's jobs to the cluster and prints what became of them.
 func (a *app) load(ctx context.Context, out io.Writer, profile *loadgen.Profile, options *loadOptions) error {
-	_, cluster, err := a.cluster()
+	_, cluster, err := a.selectedContext()
 	if err != nil {
 		return err
 	}
@@ -53,16 +53,16 @@
 	}
 	plan, err := profile.Plan(seed)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	a.log.Info("load begins", "jobs", len(plan), "seed", seed)
 	users := client.New(cluster.Users)
-	runner := &loadgen.Runner{To: users, PollEvery: options.poll}
+	runner := &loadgen.Runner{To: users, PollEvery: options.pollInterval}
 	users.Retried = runner.Retried
 	if cluster.Uploads != "" {
 		runner.Upload = client.New(cluster.Uploads).Upload
 	}
-	result := runner.Run(ctx, plan, options.drain)
+	result := runner.Run(ctx, plan, options.drainTimeout)
 	result.Seed = seed
 	if a.output == outputJSON {
 		err = json.NewEncoder(out).Encode(result)
--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -49,26 +49,26 @@
 // failed is the error of a command that was used rightly and did not succeed.
 func failed(err error) error { return &exitError{exitFailed, err} }
 
-// usage is the error of a command that was used wrongly.
-func usage(err error) error { return &exitError{exitUsage, err} }
+// usageError is the error of a command that was used wrongly.
+func usageError(err error) error { return &exitError{exitUsage, err} }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // app is what all commands share.
 type app struct {
-	config  string // path of the configuration file, "" for the usual one
-	context string // name of a cluster, "" for the current one
-	output  string // outputTable or outputJSON
-	level   string // of the log
-	log     *slog.Logger
-	errs    io.Writer
+	configFlag  string // path of the configuration file, "" for the usual one
+	contextFlag string // name of a cluster, "" for the current one
+	output      string // outputTable or outputJSON
+	logLevel    string // of the log
+	log         *slog.Logger
+	stderr      io.Writer
 }
 
 // run runs the program with its arguments and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	a := &app{errs: errs, log: slog.New(slog.DiscardHandler)}
+	a := &app{stderr: errs, log: slog.New(slog.DiscardHandler)}
 	root := a.rootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -92,10 +92,10 @@
 		PersistentPreRunE: func(*cobra.Command, []string) error { return a.checkFlags() },
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&a.config, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
-	flags.StringVar(&a.context, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
+	flags.StringVar(&a.configFlag, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
+	flags.StringVar(&a.contextFlag, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
 	flags.StringVarP(&a.output, "output", "o", outputTable, "table or json")
-	flags.StringVar(&a.level, "log-level", "warn", "error, warn, info or debug, to standard error")
+	flags.StringVar(&a.logLevel, "log-level", "warn", "error, warn, info or debug, to standard error")
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp)) // the flag is there
 	_ = root.RegisterFlagCompletionFunc("context", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
@@ -114,59 +114,59 @@
 // checkFlags checks the flags that all commands have, and opens the log.
 func (a *app) checkFlags() error {
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(a.level)); err != nil {
-		return usage(errors.New("--log-level is error, warn, info or debug"))
+	if err := level.UnmarshalText([]byte(a.logLevel)); err != nil {
+		return usageError(errors.New("--log-level is error, warn, info or debug"))
 	}
-	a.log = slog.New(slog.NewTextHandler(a.errs, &slog.HandlerOptions{Level: level}))
+	a.log = slog.New(slog.NewTextHandler(a.stderr, &slog.HandlerOptions{Level: level}))
 	if a.output != outputTable && a.output != outputJSON {
-		return usage(errors.New("--output is table or json"))
+		return usageError(errors.New("--output is table or json"))
 	}
 	return nil
 }
 
-// path is where the configuration file is.
-func (a *app) path() (string, error) {
-	if a.config != "" {
-		return a.config, nil
+// configPath is where the configuration file is.
+func (a *app) configPath() (string, error) {
+	if a.configFlag != "" {
+		return a.configFlag, nil
 	}
 	p, err := contexts.Path()
 	if err != nil {
-		return "", usage(err)
+		return "", usageError(err)
 	}
 	return p, nil
 }
 
-// file is the configuration file as it is now.
-func (a *app) file() (*contexts.File, error) {
-	p, err := a.path()
+// loadConfig is the configuration file as it is now.
+func (a *app) loadConfig() (*contexts.File, error) {
+	p, err := a.configPath()
 	if err != nil {
 		return nil, err
 	}
 	f, err := contexts.Load(p)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	return f, nil
 }
 
-// cluster returns the name of the context that is meant, and the context.
-func (a *app) cluster() (string, contexts.Context, error) {
-	f, err := a.file()
+// selectedContext returns the name of the context that is meant, and the context.
+func (a *app) selectedContext() (string, contexts.Context, error) {
+	f, err := a.loadConfig()
 	if err != nil {
 		return "", contexts.Context{}, err
 	}
-	c, err := f.Get(a.context)
+	c, err := f.Get(a.contextFlag)
 	if err != nil {
-		return "", c, usage(err)
+		return "", c, usageError(err)
 	}
-	if a.context != "" {
-		return a.context, c, nil
+	if a.contextFlag != "" {
+		return a.contextFlag, c, nil
 	}
 	return f.Current, c, nil
 }
 
 func (a *app) contextNames() []string {
-	f, err := a.file()
+	f, err := a.loadConfig()
 	if err != nil {
 		return nil
 	}
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -23,21 +23,21 @@
 	os.Exit(m.Run())
 }
 
-// prog runs the program for a test, with a configuration file.
-type prog struct {
-	t    *testing.T
-	conf string
+// testProgram runs the program for a test, with a configuration file.
+type testProgram struct {
+	t          *testing.T
+	configPath string
 }
 
 // command is the program with arguments, which is killed if it still runs when the test is over.
-func (p prog) command(args ...string) *exec.Cmd {
+func (p testProgram) command(args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(p.t.Context(), os.Args[0], args...)
-	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.conf)
+	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.configPath)
 	return cmd
 }
 
 // run runs the program with arguments to its end.
-func (p prog) run(args ...string) (out, errs string, code int) {
+func (p testProgram) run(args ...string) (out, errs string, code int) {
 	p.t.Helper()
 	cmd := p.command(args...)
 	var o, e bytes.Buffer
@@ -48,7 +48,7 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
-func TestUse(t *testing.T) {
+func TestExitCodesAndMessages(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -99,7 +99,7 @@
 			if conf == "" {
 				conf = filepath.Join(dir, "none.toml")
 			}
-			out, errs, code := prog{t, conf}.run(strings.Fields(test.args)...)
+			out, errs, code := testProgram{t, conf}.run(strings.Fields(test.args)...)
 			if code != test.code || !strings.Contains(out+errs, test.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
 				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, test.code, test.want)
 			}
@@ -133,7 +133,7 @@
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", controller, "dykeledge/cmd/dykeledge").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
+	dykectl := testProgram{t, filepath.Join(dir, "dykectl.toml")}
 	faults := filepath.Join(dir, "faults.toml")
 	if err := os.WriteFile(faults, []byte("[[fault]]\nat_s = 6\nkind = \"crash\"\nnode = \"n1\"\n[[fault]]\nat_s = 9\nkind = \"cut\"\nnode = \"n2\"\nfor_s = 2\n[[fault]]\nat_s = 8\nkind = \"taken\"\npart = 0.3\nnotice_s = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -36,7 +36,7 @@
 	}, &cobra.Command{
 		Use: cellCommand, Short: "Play one cell that is read from standard input", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			log := slog.New(slog.NewTextHandler(a.errs, nil))
+			log := slog.New(slog.NewTextHandler(a.stderr, nil))
 			if err := scaletest.ServeCell(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log); err != nil {
 				return failed(err)
 			}
@@ -48,12 +48,12 @@
 
 // scaleOptions are the flags of a scale test.
 type scaleOptions struct {
-	profile, cut, fraction string
-	regions                string
-	program, dir, out      string
-	run, commit            string
-	seed                   uint64
-	warmUp, measure        time.Duration
+	profile, cut, fraction             string
+	regions                            string
+	controllerProgram, dir, pointsFile string
+	runName, commit                    string
+	seed                               uint64
+	warmUp, measure                    time.Duration
 }
 
 func (a *app) scaleRunCommand() *cobra.Command {
@@ -76,10 +76,10 @@
 	flags.StringVar(&options.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
 	flags.StringVar(&options.regions, "regions", string(scaletest.LargestRegion), "largest or all")
 	flags.StringVar(&options.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
-	flags.StringVar(&options.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	flags.StringVar(&options.controllerProgram, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
 	flags.StringVar(&options.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
-	flags.StringVar(&options.out, "out", "", "`FILE` to which the points are added as lines of JSON")
-	flags.StringVar(&options.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
+	flags.StringVar(&options.pointsFile, "out", "", "`FILE` to which the points are added as lines of JSON")
+	flags.StringVar(&options.runName, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
 	flags.StringVar(&options.commit, "commit", "", "commit of the controller that is measured, for the points")
 	flags.Uint64Var(&options.seed, "seed", 1, "of the load and the machines")
 	flags.DurationVar(&options.warmUp, "warm-up", 40*time.Second, "time before it is measured")
@@ -89,11 +89,11 @@
 
 // parseFraction reads 0.25 or 1/4.
 func parseFraction(text string) (float64, error) {
-	above, below, parted := strings.Cut(text, "/")
-	n, err := strconv.ParseFloat(above, 64)
+	numerator, denominator, hasDenominator := strings.Cut(text, "/")
+	n, err := strconv.ParseFloat(numerator, 64)
 	d := 1.0
-	if err == nil && parted {
-		d, err = strconv.ParseFloat(below, 64)
+	if err == nil && hasDenominator {
+		d, err = strconv.ParseFloat(denominator, 64)
 	}
 	if err != nil || !(n > 0 && d > 0 && n/d <= 1) {
 		return 0, errors.New("--fraction is a part from above 0 to 1, as 0.25 or 1/4")
@@ -104,7 +104,7 @@
 // request checks the flags and returns what they ask for.
 func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
 	profile := scaletest.DefaultProfile()
-	request := scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
+	request := scaletest.Request{Run: o.runName, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
@@ -123,7 +123,7 @@
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
 		return profile, request, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
 	}
-	request.Program, err = controller(o.program)
+	request.Program, err = findControllerProgram(o.controllerProgram)
 	return profile, request, err
 }
 
@@ -131,7 +131,7 @@
 func (a *app) scaleRun(ctx context.Context, out io.Writer, options *scaleOptions) (err error) {
 	profile, request, err := options.request()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if request.Dir == "" {
 		if request.Dir, err = os.MkdirTemp("", "dykectl-scale-"); err != nil {
@@ -150,24 +150,24 @@
 	if err != nil {
 		return failed(err)
 	}
-	launcher := scaletest.Launcher{Errs: a.errs, Command: func(ctx context.Context) *exec.Cmd {
+	launcher := scaletest.Launcher{Errs: a.stderr, Command: func(ctx context.Context) *exec.Cmd {
 		return exec.CommandContext(ctx, self, "scale", cellCommand)
 	}}
 	points, err := launcher.Run(ctx, profile.Cells(request))
 	if err != nil {
 		err = fmt.Errorf("%w (logs are in %s)", err, request.Dir)
 	}
-	if err = errors.Join(err, options.keep(points), a.printPoints(out, points)); err != nil {
+	if err = errors.Join(err, options.writePoints(points), a.printPoints(out, points)); err != nil {
 		return failed(err)
 	}
 	return nil
 }
 
-// keep adds points to the file that was asked for, and tells what is wrong with them.
-func (o *scaleOptions) keep(points []*scaletest.Point) (err error) {
+// writePoints adds points to the file that was asked for, and tells what is wrong with them.
+func (o *scaleOptions) writePoints(points []*scaletest.Point) (err error) {
 	out := io.Discard
-	if o.out != "" {
-		file, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	if o.pointsFile != "" {
+		file, err := os.OpenFile(o.pointsFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
 			return err
 		}
@@ -215,7 +215,7 @@
 			}
 			points, err := scaletest.ReadPoints(dir)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := scaletest.Report(cmd.OutOrStdout(), points); err != nil {
 				return failed(err)
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -43,7 +43,7 @@
 	if err := os.WriteFile(profile, []byte(smallProfile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
+	dykectl := testProgram{t, filepath.Join(dir, "dykectl.toml")}
 	text, errs, code := dykectl.run("scale", "run", "--controller", program, "--profile", profile, "--cut", "troubles", "--regions", "all", "--fraction", "1",
 		"--warm-up", "8s", "--measure", "16s", "--out", out)
 	if code != 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestScaleUse(t *testing.T) {
+func TestScaleUsageErrors(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("workers = 0\n"), 0o600); err != nil {
@@ -81,7 +81,7 @@
 		{"scale report " + dir, "*.jsonl"},
 	} {
 		t.Run(strings.ReplaceAll(test.args, dir, ""), func(t *testing.T) {
-			dykectl := prog{t, filepath.Join(dir, "dykectl.toml")}
+			dykectl := testProgram{t, filepath.Join(dir, "dykectl.toml")}
 			if _, errs, code := dykectl.run(strings.Fields(test.args)...); code != exitUsage || !strings.Contains(errs, test.want) || strings.Count(errs, "\n") != 1 {
 				t.Errorf("exit code %d, %q, want %q", code, errs, test.want)
 			}
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -25,17 +25,17 @@
 
 // How soon a cluster has to take requests, and how often it is recorded.
 const (
-	readyWithin = 30 * time.Second
-	sampleEvery = 5 * time.Second
+	readyTimeout   = 30 * time.Second
+	sampleInterval = 5 * time.Second
 )
 
 // upOptions are the flags of up.
 type upOptions struct {
-	program, features, dir, faults string
-	lasts                          time.Duration
-	machines                       int
-	seed                           uint64
-	speed                          float64
+	controllerProgram, featuresFile, dir, faultsFile string
+	duration                                         time.Duration
+	machines                                         int
+	seed                                             uint64
+	speed                                            float64
 }
 
 func (a *app) upCommand() *cobra.Command {
@@ -51,19 +51,19 @@
 		},
 	}
 	flags := command.Flags()
-	flags.DurationVar(&options.lasts, "for", 0, "end after this time (default: when interrupted)")
+	flags.DurationVar(&options.duration, "for", 0, "end after this time (default: when interrupted)")
 	flags.IntVar(&options.machines, "machines", 40, "how many machines the cloud has")
 	flags.Uint64Var(&options.seed, "seed", 1, "of the machines' boot times, prices and troubles")
 	flags.Float64Var(&options.speed, "speed", 1, "how many times as fast as stated machines boot, fetch images and work; controllers keep their time")
-	flags.StringVar(&options.faults, "fail", "", "`FILE` of troubles to bring about: see docs/dykectl.md")
-	flags.StringVar(&options.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
-	flags.StringVar(&options.features, "features", "", "the controllers' features `FILE` (default: the view is on)")
+	flags.StringVar(&options.faultsFile, "fail", "", "`FILE` of troubles to bring about: see docs/dykectl.md")
+	flags.StringVar(&options.controllerProgram, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	flags.StringVar(&options.featuresFile, "features", "", "the controllers' features `FILE` (default: the view is on)")
 	flags.StringVar(&options.dir, "dir", "", "`FOLDER` for settings, logs and history, kept afterwards (default: one that is removed)")
 	return command
 }
 
-// controller finds the controller's program.
-func controller(named string) (string, error) {
+// findControllerProgram finds the controller's program.
+func findControllerProgram(named string) (string, error) {
 	if named != "" {
 		return exec.LookPath(named)
 	}
@@ -79,22 +79,22 @@
 	return "", errors.New("no dykeledge beside this program, in target or on the path: build it, or name it with --controller")
 }
 
-// check checks the flags and returns what cluster they ask for.
-func (o *upOptions) check() (clusterOptions localcluster.Options, err error) {
+// toClusterOptions checks the flags and returns what cluster they ask for.
+func (o *upOptions) toClusterOptions() (clusterOptions localcluster.Options, err error) {
 	switch {
 	case o.machines < 1 || o.machines > 500:
 		return clusterOptions, errors.New("--machines is from 1 to 500")
 	case !(o.speed >= 0.01 && o.speed <= 100):
 		return clusterOptions, errors.New("--speed is from 0.01 to 100")
-	case o.lasts < 0:
+	case o.duration < 0:
 		return clusterOptions, errors.New("--for is a time above 0")
 	}
-	clusterOptions = localcluster.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.features}
-	if clusterOptions.Program, err = controller(o.program); err != nil {
+	clusterOptions = localcluster.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.featuresFile}
+	if clusterOptions.Program, err = findControllerProgram(o.controllerProgram); err != nil {
 		return clusterOptions, err
 	}
-	if o.faults != "" {
-		if clusterOptions.Faults, err = localcluster.LoadSchedule(o.faults); err != nil {
+	if o.faultsFile != "" {
+		if clusterOptions.Faults, err = localcluster.LoadSchedule(o.faultsFile); err != nil {
 			return clusterOptions, err
 		}
 	}
@@ -103,18 +103,18 @@
 
 // localCluster is a cluster that `dykectl up` runs, with its entry in the configuration file.
 type localCluster struct {
-	cluster *localcluster.Cluster
-	name    string // of its context
-	config  string // path of the configuration file
-	entry   contexts.Context
-	before  string // the context that was the current one
+	cluster         *localcluster.Cluster
+	contextName     string // of its context
+	configPath      string // path of the configuration file
+	entry           contexts.Context
+	previousContext string // the context that was the current one
 }
 
 // up runs a cluster until ctx ends or its time is over, and tells what happened in it.
 func (a *app) up(ctx context.Context, out io.Writer, options upOptions) (err error) {
-	clusterOptions, err := options.check()
+	clusterOptions, err := options.toClusterOptions()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	local, err := a.newLocalCluster()
 	if err != nil {
@@ -129,7 +129,7 @@
 			err = removeDir()
 		}
 	}()
-	if err := a.complete(&clusterOptions, options.dir); err != nil {
+	if err := a.completeOptions(&clusterOptions, options.dir); err != nil {
 		return failed(err)
 	}
 	var recording sync.WaitGroup
@@ -154,35 +154,35 @@
 	}()
 	progress := textout.New(out) // a cluster goes on though its terminal is gone
 	local.printStart(progress, &options)
-	if options.lasts > 0 {
+	if options.duration > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, options.lasts)
+		ctx, stop = context.WithTimeout(ctx, options.duration)
 		defer stop()
 	}
-	a.record(ctx, &recording, local.cluster.Controllers, local.entry.History)
+	a.recordInBackground(ctx, &recording, local.cluster.Controllers, local.entry.History)
 	<-ctx.Done()
 	progress.Println("ending")
-	return a.sumUp(out, local.cluster)
+	return a.printSummary(out, local.cluster)
 }
 
 // newLocalCluster chooses a context for a cluster that is to start, one that no running cluster has.
 func (a *app) newLocalCluster() (*localCluster, error) {
-	name := a.context
+	name := a.contextFlag
 	if name == "" {
 		name = "local"
 	}
-	path, err := a.path()
+	path, err := a.configPath()
 	if err != nil {
 		return nil, err
 	}
 	file, err := contexts.Load(path)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	if old, ok := file.Contexts[name]; ok && client.Ready(old.Users) {
-		return nil, usage(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
+		return nil, usageError(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
 	}
-	return &localCluster{name: name, config: path, before: file.Current}, nil
+	return &localCluster{contextName: name, configPath: path, previousContext: file.Current}, nil
 }
 
 // makeDir makes the folder for settings, logs and history, and returns what removes it again unless it was
@@ -195,8 +195,8 @@
 	return func() error { return os.RemoveAll(o.dir) }, err
 }
 
-// complete adds folder, features and log to a cluster's options.
-func (a *app) complete(options *localcluster.Options, dir string) error {
+// completeOptions adds folder, features and log to a cluster's options.
+func (a *app) completeOptions(options *localcluster.Options, dir string) error {
 	if options.Features == "" {
 		options.Features = filepath.Join(dir, "features.toml")
 		if err := os.WriteFile(options.Features, []byte("[view]\nenabled = true\n"), 0o600); err != nil {
@@ -206,14 +206,14 @@
 	options.Dir, options.Log = dir, a.log
 	if options.Faults != nil {
 		// What is brought about is told, whatever else is not.
-		options.Log = slog.New(slog.NewTextHandler(a.errs, nil))
+		options.Log = slog.New(slog.NewTextHandler(a.stderr, nil))
 	}
 	return nil
 }
 
 // awaitReady waits until a cluster takes requests.
 func awaitReady(ctx context.Context, cluster *localcluster.Cluster) error {
-	within, cancel := context.WithTimeout(ctx, readyWithin)
+	within, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return cluster.Ready(within, client.Ready)
 }
@@ -221,21 +221,21 @@
 // addContext writes the cluster into the configuration file, as the current one.
 func (l *localCluster) addContext(history string) error {
 	l.entry = contexts.Context{Users: l.cluster.Users, Nodes: l.cluster.Controllers, Uploads: l.cluster.Uploads, History: history}
-	return contexts.Change(l.config, func(file *contexts.File) { file.Contexts[l.name], file.Current = l.entry, l.name })
+	return contexts.Change(l.configPath, func(file *contexts.File) { file.Contexts[l.contextName], file.Current = l.entry, l.contextName })
 }
 
 // removeContext takes the cluster out of the configuration file, unless another has its name by now.
 func (l *localCluster) removeContext() error {
-	return contexts.Change(l.config, func(file *contexts.File) {
-		if file.Contexts[l.name].Users != l.entry.Users {
+	return contexts.Change(l.configPath, func(file *contexts.File) {
+		if file.Contexts[l.contextName].Users != l.entry.Users {
 			return
 		}
-		delete(file.Contexts, l.name)
-		if file.Current == l.name {
+		delete(file.Contexts, l.contextName)
+		if file.Current == l.contextName {
 			file.Current = ""
 		}
-		if _, ok := file.Contexts[l.before]; ok && file.Current == "" {
-			file.Current = l.before
+		if _, ok := file.Contexts[l.previousContext]; ok && file.Current == "" {
+			file.Current = l.previousContext
 		}
 	})
 }
@@ -243,7 +243,7 @@
 // printStart tells where the cluster is and what to try with it.
 func (l *localCluster) printStart(out *textout.Printer, options *upOptions) {
 	controllers := l.cluster.Controllers
-	out.Printf("cluster %s is up: 3 controllers, %d machines to rent\n", l.name, options.machines)
+	out.Printf("cluster %s is up: 3 controllers, %d machines to rent\n", l.contextName, options.machines)
 	out.Printf("  users    %s\n", l.cluster.Users)
 	out.Printf("  nodes    %s %s %s\n", controllers[0], controllers[1], controllers[2])
 	out.Printf("  uploads  %s\n", l.cluster.Uploads)
@@ -251,37 +251,37 @@
 	out.Printf("try, in another terminal:\n  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n")
 }
 
-// record writes the history of a cluster until ctx ends; recording ends with it.
-func (a *app) record(ctx context.Context, recording *sync.WaitGroup, controllers []string, path string) {
+// recordInBackground writes the history of a cluster until ctx ends; recording ends with it.
+func (a *app) recordInBackground(ctx context.Context, recording *sync.WaitGroup, controllers []string, path string) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		a.log.Error("nothing is recorded", "err", err)
 		return
 	}
-	follower := viewclient.NewFollower(viewclient.NewHTTP(controllers), view.Operators, viewPause)
+	follower := viewclient.NewFollower(viewclient.NewHTTP(controllers), view.Operators, minViewInterval)
 	recording.Go(func() {
 		if err := follower.Run(ctx); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
 		}
 	})
 	recording.Go(func() {
-		err := report.NewRecorder(file, sampleEvery).Run(ctx, follower)
+		err := report.NewRecorder(file, sampleInterval).Run(ctx, follower)
 		if err = errors.Join(err, file.Close()); err != nil {
 			a.log.Error("nothing is recorded any more", "err", err)
 		}
 	})
 }
 
-// sumUp tells what happened in a cluster's life.
-func (a *app) sumUp(out io.Writer, cluster *localcluster.Cluster) error {
+// printSummary tells what happened in a cluster's life.
+func (a *app) printSummary(out io.Writer, cluster *localcluster.Cluster) error {
 	simulation := cluster.Simulation
 	stats := simulation.Stats()
-	told := textout.New(out) // broken rules come back as an error, whether or not they could be printed
-	told.Printf("%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
+	printer := textout.New(out) // broken rules come back as an error, whether or not they could be printed
+	printer.Printf("%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
 		stats.Started, stats.LeaseKills, simulation.CostSpent(), stats.Requests, stats.Writes, stats.Over, cluster.Ends())
 	broken := simulation.BrokenRules()
 	for _, rule := range broken {
-		told.Println("BROKEN RULE", rule)
+		printer.Println("BROKEN RULE", rule)
 	}
 	if len(broken)+cluster.Ends() > 0 {
 		return failed(fmt.Errorf("%d rules were broken, %d controllers ended by themselves; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -20,24 +20,24 @@
 	"dykeledge/internal/viewclient"
 )
 
-// viewPause is the least time between two requests for the view.
-const viewPause = 500 * time.Millisecond
+// minViewInterval is the least time between two requests for the view.
+const minViewInterval = 500 * time.Millisecond
 
-// viewWithin is how long a command waits for the first whole view.
-const viewWithin = 15 * time.Second
+// viewTimeout is how long a command waits for the first whole view.
+const viewTimeout = 15 * time.Second
 
-// scope is the team that a command shows: the one asked for, or the context's.
-func scope(team string, cluster contexts.Context) view.Scope {
+// scopeFor is the team that a command shows: the one asked for, or the context's.
+func scopeFor(team string, cluster contexts.Context) view.Scope {
 	if team == "" {
 		team = cluster.Team
 	}
 	return view.Scope(team)
 }
 
-// follow follows a cluster's view, and fails when no controller can ever give it.
+// startFollower follows a cluster's view, and fails when no controller can ever give it.
 // Its end comes through ended, which need not be read.
-func follow(ctx context.Context, cluster contexts.Context, shown view.Scope) (follower *viewclient.Follower, ended <-chan error) {
-	follower = viewclient.NewFollower(viewclient.NewHTTP(cluster.Nodes), shown, viewPause)
+func startFollower(ctx context.Context, cluster contexts.Context, shown view.Scope) (follower *viewclient.Follower, ended <-chan error) {
+	follower = viewclient.NewFollower(viewclient.NewHTTP(cluster.Nodes), shown, minViewInterval)
 	result := make(chan error, 1)
 	go func() { result <- follower.Run(ctx) }()
 	return follower, result
@@ -59,16 +59,16 @@
 				}
 			}
 			if table == nil {
-				return usage(fmt.Errorf("no table %q: there are %s", args[0], strings.Join(names, ", ")))
+				return usageError(fmt.Errorf("no table %q: there are %s", args[0], strings.Join(names, ", ")))
 			}
-			_, cluster, err := a.cluster()
+			_, cluster, err := a.selectedContext()
 			if err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(cmd.Context(), viewWithin)
+			ctx, cancel := context.WithTimeout(cmd.Context(), viewTimeout)
 			defer cancel()
-			follower, ended := follow(ctx, cluster, scope(team, cluster))
-			state, err := first(ctx, follower, ended)
+			follower, ended := startFollower(ctx, cluster, scopeFor(team, cluster))
+			state, err := awaitSnapshot(ctx, follower, ended)
 			if err != nil {
 				return failed(err)
 			}
@@ -80,8 +80,8 @@
 	return command
 }
 
-// first waits for the first whole view.
-func first(ctx context.Context, follower *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
+// awaitSnapshot waits for the first whole view.
+func awaitSnapshot(ctx context.Context, follower *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
 	for {
 		changed := follower.Changed()
 		if state := follower.State(); state.Snapshot != nil {
@@ -114,7 +114,7 @@
 		rows = table.Rows(state, now, why, 0, false, filter)
 	}
 	if a.output == outputJSON {
-		return a.print(out, document(state, table, rows, why), nil, nil)
+		return a.print(out, jsonTable(state, table, rows, why), nil, nil)
 	}
 	var titles []string
 	for _, c := range table.Columns {
@@ -131,8 +131,8 @@
 	return err
 }
 
-// document is a table for scripts: the rows as they are, with the head that they belong to.
-func document(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) any {
+// jsonTable is a table for scripts: the rows as they are, with the head that they belong to.
+func jsonTable(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) any {
 	out := struct {
 		view.Head
 		AgeS  float64                `json:"age_s"`
@@ -175,12 +175,12 @@
 		Use: "console", Short: "Watch the cluster on a screen that keeps itself up to date", Args: cobra.NoArgs,
 		Long: "Watch the cluster on a screen that keeps itself up to date. Keys are told by ?. Colour is never needed to read it;\nNO_COLOR or --plain switch it off.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			name, cluster, err := a.cluster()
+			name, cluster, err := a.selectedContext()
 			if err != nil {
 				return err
 			}
 			if st, err := os.Stdout.Stat(); err != nil || st.Mode()&os.ModeCharDevice == 0 {
-				return usage(errors.New("the console needs a terminal: for scripts there is dykectl show"))
+				return usageError(errors.New("the console needs a terminal: for scripts there is dykectl show"))
 			}
 			if plain {
 				if err := os.Setenv("NO_COLOR", "1"); err != nil {
@@ -189,7 +189,7 @@
 			}
 			ctx, cancel := context.WithCancel(cmd.Context())
 			defer cancel()
-			follower, ended := follow(ctx, cluster, scope(team, cluster))
+			follower, ended := startFollower(ctx, cluster, scopeFor(team, cluster))
 			model := console.New(ctx, follower, name)
 			program := tea.NewProgram(model, tea.WithAltScreen(), tea.WithContext(ctx), tea.WithFPS(10))
 			go func() {
@@ -213,34 +213,34 @@
 
 func (a *app) recordCommand() *cobra.Command {
 	var path string
-	var every time.Duration
+	var interval time.Duration
 	command := &cobra.Command{
 		Use: "record", Short: "Record the cluster's history for reports, until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return a.recordHistory(cmd.Context(), cmd.OutOrStdout(), path, every)
+			return a.recordHistory(cmd.Context(), cmd.OutOrStdout(), path, interval)
 		},
 	}
 	command.Flags().StringVar(&path, "file", "", "add to this `FILE` (default: the context's history)")
-	command.Flags().DurationVar(&every, "every", 10*time.Second, "time between samples")
+	command.Flags().DurationVar(&interval, "every", 10*time.Second, "time between samples")
 	return command
 }
 
 // recordHistory adds a cluster's history to a file, "" for the context's, until ctx ends or no controller
 // can ever give the view.
-func (a *app) recordHistory(ctx context.Context, out io.Writer, path string, every time.Duration) (err error) {
-	_, cluster, err := a.cluster()
+func (a *app) recordHistory(ctx context.Context, out io.Writer, path string, interval time.Duration) (err error) {
+	_, cluster, err := a.selectedContext()
 	if err != nil {
 		return err
 	}
 	if path == "" {
 		path = cluster.History
 	}
-	if path == "" || every < time.Second {
-		return usage(errors.New("--file FILE is missing, and the context names no history; --every is at least 1s"))
+	if path == "" || interval < time.Second {
+		return usageError(errors.New("--file FILE is missing, and the context names no history; --every is at least 1s"))
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	defer func() {
 		if closeErr := file.Close(); closeErr != nil && err == nil {
@@ -249,8 +249,8 @@
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	follower, ended := follow(ctx, cluster, view.Operators)
-	recorder := report.NewRecorder(file, every)
+	follower, ended := startFollower(ctx, cluster, view.Operators)
+	recorder := report.NewRecorder(file, interval)
 	recorded := make(chan error, 1)
 	go func() { recorded <- recorder.Run(ctx, follower) }()
 	select {
@@ -266,8 +266,8 @@
 	return err
 }
 
-// instant reads a time: a date, a time of today, or a span before now.
-func instant(text string, now time.Time) (time.Time, error) {
+// parseTime reads a time: a date, a time of today, or a span before now.
+func parseTime(text string, now time.Time) (time.Time, error) {
 	if text == "now" {
 		return now, nil
 	}
@@ -287,8 +287,8 @@
 
 // reportOptions are the flags of report.
 type reportOptions struct {
-	team, from, to, out, title string
-	histories                  []string
+	team, from, to, outFile, title string
+	histories                      []string
 }
 
 func (a *app) reportCommand() *cobra.Command {
@@ -304,7 +304,7 @@
 	flags.StringVar(&options.team, "team", "", "only what this `TEAM` may see (default: the context's, or all)")
 	flags.StringVar(&options.from, "from", "-24h", "`TIME`: a date, a time of today, or a span before now")
 	flags.StringVar(&options.to, "to", "now", "`TIME` before which it ends")
-	flags.StringVar(&options.out, "file", "", "write the page to this `FILE.html`, and its figures to FILE.json beside it")
+	flags.StringVar(&options.outFile, "file", "", "write the page to this `FILE.html`, and its figures to FILE.json beside it")
 	flags.StringVar(&options.title, "title", "", "the page's title")
 	flags.StringSliceVar(&options.histories, "history", nil, "read this `FILE` (may be repeated; default: the context's history)")
 	return command
@@ -314,12 +314,12 @@
 func (a *app) report(out io.Writer, options *reportOptions, now time.Time) error {
 	begin, end, err := options.interval(now)
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
-	if filepath.Ext(options.out) != ".html" {
-		return usage(errors.New("--file is missing, or does not end in .html"))
+	if filepath.Ext(options.outFile) != ".html" {
+		return usageError(errors.New("--file is missing, or does not end in .html"))
 	}
-	histories, shown, err := a.histories(options)
+	histories, shown, err := a.historyFiles(options)
 	if err != nil {
 		return err
 	}
@@ -327,19 +327,19 @@
 	if err != nil {
 		return failed(err)
 	}
-	if err := report.Make(history, options.titleFor(shown), shown, now).Write(options.out); err != nil {
+	if err := report.Make(history, options.titleFor(shown), shown, now).Write(options.outFile); err != nil {
 		return failed(err)
 	}
-	_, err = fmt.Fprintf(out, "%s and %s: %d samples, %d jobs\n", options.out, report.Beside(options.out), len(history.Samples), len(history.Jobs))
+	_, err = fmt.Fprintf(out, "%s and %s: %d samples, %d jobs\n", options.outFile, report.Beside(options.outFile), len(history.Samples), len(history.Jobs))
 	return err
 }
 
 // interval reads from when to when the page is.
 func (o *reportOptions) interval(now time.Time) (begin, end time.Time, err error) {
-	if begin, err = instant(o.from, now); err != nil {
+	if begin, err = parseTime(o.from, now); err != nil {
 		return begin, end, fmt.Errorf("--from: %w", err)
 	}
-	if end, err = instant(o.to, now); err != nil {
+	if end, err = parseTime(o.to, now); err != nil {
 		return begin, end, fmt.Errorf("--to: %w", err)
 	}
 	if !end.After(begin) {
@@ -348,19 +348,19 @@
 	return begin, end, nil
 }
 
-// histories are the files to read, and whose view the page shows.
-func (a *app) histories(options *reportOptions) ([]string, view.Scope, error) {
+// historyFiles are the files to read, and whose view the page shows.
+func (a *app) historyFiles(options *reportOptions) ([]string, view.Scope, error) {
 	if len(options.histories) > 0 {
 		return options.histories, view.Scope(options.team), nil
 	}
-	_, cluster, err := a.cluster()
+	_, cluster, err := a.selectedContext()
 	if err != nil {
 		return nil, "", err
 	}
 	if cluster.History == "" {
-		return nil, "", usage(errors.New("the context names no history: use --history FILE"))
+		return nil, "", usageError(errors.New("the context names no history: use --history FILE"))
 	}
-	return []string{cluster.History}, scope(options.team, cluster), nil
+	return []string{cluster.History}, scopeFor(options.team, cluster), nil
 }
 
 // titleFor is the page's title: the one asked for, or one that says whose view it is.
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -14,8 +14,8 @@
 	"dykeledge/internal/textout"
 )
 
-// rowsAtMost is how many rows the administration API hands out at one go.
-const rowsAtMost = 200
+// maxRows is how many rows the administration API hands out at one go.
+const maxRows = 200
 
 // adminCommands are the operators' commands. The names leave room for the
 // users' submit, queue, cancel and accounting.
@@ -66,7 +66,7 @@
 	command := l.client.addFlags(&cobra.Command{Use: l.use, Short: l.short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.OutOrStdout()) }})
 	if l.paged {
-		command.Flags().IntVar(&l.limit, "limit", rowsAtMost, "rows at most, up to 200")
+		command.Flags().IntVar(&l.limit, "limit", maxRows, "rows at most, up to 200")
 		command.Flags().StringVar(&l.after, "after", "", "begin after this `NAME`")
 	}
 	return command
@@ -122,7 +122,7 @@
 	}
 	change, err := parseChange(args)
 	if err != nil {
-		return wrongUse(err)
+		return invalidUsage(err)
 	}
 	body, err := c.changeSettings(change)
 	if err != nil {
--- a/cmd/dykeledge/admin_client.go
+++ b/cmd/dykeledge/admin_client.go
@@ -14,8 +14,8 @@
 	"dykeledge/internal/transport"
 )
 
-// answerWithin is how long a controller may take to answer.
-const answerWithin = 10 * time.Second
+// requestTimeout is how long a controller may take to answer.
+const requestTimeout = 10 * time.Second
 
 // adminClient speaks with the administration API of one controller and prints what it answers.
 type adminClient struct {
@@ -32,10 +32,10 @@
 // check tells whether the flags make sense.
 func (c *adminClient) check() error {
 	if c.address == "" {
-		return wrongUse(errors.New("--node ADDRESS is missing: the peer_listen address of any node"))
+		return invalidUsage(errors.New("--node ADDRESS is missing: the peer_listen address of any node"))
 	}
 	if c.output != outputTable && c.output != outputJSON {
-		return wrongUse(errors.New("--output is table or json"))
+		return invalidUsage(errors.New("--output is table or json"))
 	}
 	return nil
 }
@@ -55,18 +55,18 @@
 		request.SetBodyRaw(raw)
 	}
 	httpClient := fasthttp.Client{MaxIdemponentCallAttempts: 1}
-	if err := httpClient.DoTimeout(request, response, answerWithin); err != nil {
+	if err := httpClient.DoTimeout(request, response, requestTimeout); err != nil {
 		return nil, failed(fmt.Errorf("node %s does not answer: %w", c.address, err))
 	}
 	body := append([]byte(nil), response.Body()...)
 	if response.StatusCode() != fasthttp.StatusOK {
-		return nil, failed(refusal(response.StatusCode(), body))
+		return nil, failed(refusalError(response.StatusCode(), body))
 	}
 	return body, nil
 }
 
-// refusal is what a controller says against a request.
-func refusal(status int, body []byte) error {
+// refusalError is what a controller says against a request.
+func refusalError(status int, body []byte) error {
 	var refused transport.AdminRefusal
 	if json.Unmarshal(body, &refused) != nil || refused.Error == "" {
 		refused.Error = "status " + strconv.Itoa(status)
--- a/cmd/dykeledge/golden_test.go
+++ b/cmd/dykeledge/golden_test.go
@@ -12,8 +12,8 @@
 	commandtest.CheckHelp(t, invoke)
 }
 
-// TestGoldenWrongUse pins exit codes and messages of wrong use.
-func TestGoldenWrongUse(t *testing.T) {
+// TestGoldenUsageErrors pins exit codes and messages of wrong use.
+func TestGoldenUsageErrors(t *testing.T) {
 	commandtest.CheckWrongUse(t, invoke, []commandtest.WrongUse{
 		{Name: "unknown-command", Args: []string{"fly"}},
 		{Name: "unknown-flag", Args: []string{"--fly"}},
@@ -29,6 +29,6 @@
 // invoke runs the program and returns what it prints and its exit code.
 func invoke(t *testing.T, args ...string) string {
 	t.Helper()
-	out, errs, code := program(t, args...)
+	out, errs, code := runProgram(t, args...)
 	return fmt.Sprintf("%s%sexit code %d\n", out, errs, code)
 }
--- a/cmd/dykeledge/main.go
+++ b/cmd/dykeledge/main.go
@@ -35,8 +35,8 @@
 // failed is the error of a command that was used rightly and did not succeed.
 func failed(err error) error { return &exitError{exitFailed, err} }
 
-// wrongUse is the error of a command that was used wrongly.
-func wrongUse(err error) error { return &exitError{exitUsage, err} }
+// invalidUsage is the error of a command that was used wrongly.
+func invalidUsage(err error) error { return &exitError{exitUsage, err} }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -67,15 +67,15 @@
 		Args:          cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if settingsFile == "" {
-				return wrongUse(errors.New("--config FILE is missing; see dykeledge --help"))
+				return invalidUsage(errors.New("--config FILE is missing; see dykeledge --help"))
 			}
 			settings, err := config.Load(settingsFile)
 			if err != nil {
-				return wrongUse(err)
+				return invalidUsage(err)
 			}
 			features, err := config.LoadFeatures(featuresFile)
 			if err != nil {
-				return wrongUse(err)
+				return invalidUsage(err)
 			}
 			return serve(cmd.Context(), settings, features)
 		},
@@ -102,7 +102,7 @@
 		Use: "check FILE", Short: "Check a settings file and exit", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := config.Load(args[0]); err != nil {
-				return wrongUse(err)
+				return invalidUsage(err)
 			}
 			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "ok") // the exit code says the same
 			return nil
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -27,8 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// program runs the program with arguments to its end.
-func program(t *testing.T, args ...string) (out, errs string, code int) {
+// runProgram runs the program with arguments to its end.
+func runProgram(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "DYKELEDGE_AS_PROGRAM=1")
@@ -72,7 +72,7 @@
 	return response.StatusCode, string(raw)
 }
 
-func settingsFile(t *testing.T, i int, public, peer []string, state, cloud string) string {
+func writeSettings(t *testing.T, i int, public, peer []string, state, cloud string) string {
 	t.Helper()
 	var b strings.Builder
 	fmt.Fprintf(&b, "node_name = \"n-%d\"\nzone = \"a\"\npublic_addr = %q\npeer_listen = %q\n", i, public[i], peer[i])
@@ -125,7 +125,7 @@
 	t.Fatalf("never: %s", what)
 }
 
-func TestUse(t *testing.T) {
+func TestExitCodesAndMessages(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("node_name = \"x\"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 		{[]string{"submit"}, 2, "unknown command"},
 	} {
 		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
-			out, errs, code := program(t, test.args...)
+			out, errs, code := runProgram(t, test.args...)
 			if code != test.code || !strings.Contains(out+errs, test.want) || (code != 0) != (errs != "") || strings.Count(errs, "\n") > 1 {
 				t.Errorf("exit %d, %q, %q; want exit %d and %q", code, out, errs, test.code, test.want)
 			}
@@ -156,20 +156,20 @@
 	}
 }
 
-// TestThreeProcesses runs the operators' commands against three real controllers.
-func TestThreeProcesses(t *testing.T) {
-	public, peer := startThree(t)
-	awaitThree(t, public, peer)
+// TestThreeControllerProcesses runs the operators' commands against three real controllers.
+func TestThreeControllerProcesses(t *testing.T) {
+	public, peer := startControllers(t)
+	awaitControllers(t, public, peer)
 	eventually(t, "accepted", func() bool {
 		status, _ := request(t, http.MethodPost, "http://"+public[0]+"/v2/runs", submission)
 		return status == 201 || status == 200
 	})
-	t.Run("pipeline", func(t *testing.T) { checkPipeline(t, public) })
+	t.Run("pipeline", func(t *testing.T) { checkDependencies(t, public) })
 	t.Run("commands", func(t *testing.T) { checkCommands(t, peer) })
 }
 
-// startThree starts three controllers with a state service and a cloud without machines, and returns their addresses.
-func startThree(t *testing.T) (public, peer []string) {
+// startControllers starts three controllers with a state service and a cloud without machines, and returns their addresses.
+func startControllers(t *testing.T) (public, peer []string) {
 	t.Helper()
 	state, cloud := listen(t), listen(t)
 	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
@@ -185,7 +185,7 @@
 		}
 	}
 	for i := range 3 {
-		cmd := exec.CommandContext(t.Context(), os.Args[0], "--config", settingsFile(t, i, public, peer, state.Addr().String(), cloud.Addr().String()))
+		cmd := exec.CommandContext(t.Context(), os.Args[0], "--config", writeSettings(t, i, public, peer, state.Addr().String(), cloud.Addr().String()))
 		cmd.Env = append(os.Environ(), "DYKELEDGE_AS_PROGRAM=1")
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
@@ -195,8 +195,8 @@
 	return public, peer
 }
 
-// awaitThree waits until three controllers are ready, and checks which address serves what.
-func awaitThree(t *testing.T, public, peer []string) {
+// awaitControllers waits until three controllers are ready, and checks which address serves what.
+func awaitControllers(t *testing.T, public, peer []string) {
 	t.Helper()
 	get := func(url string) int {
 		status, _ := request(t, http.MethodGet, url, "")
@@ -217,9 +217,9 @@
 const submission = `{"id":"job-000412","jobclass":"train","crew":"red","shape":"batch","urgency":"high","shards":2,"cpus":8.0,"accelerators":0.0,
 		"ramGb":4.0,"kit":"i","pullGb":1.0,"together":false,"scatter":false,"loaners":true,"expectedS":9.0,"markEveryS":0.0,"markCostS":0.0}`
 
-// checkPipeline submits jobs that await others. A pipeline is as the README describes it: once all three
+// checkDependencies submits jobs that await others. A pipeline is as the README describes it: once all three
 // controllers have shown the new layout it is accepted, on any of them, and what names a job that nobody accepted is not.
-func checkPipeline(t *testing.T, public []string) {
+func checkDependencies(t *testing.T, public []string) {
 	t.Helper()
 	post := func(address, id, awaits string) (status int, answer string) {
 		body := strings.Replace(strings.Replace(submission, "job-000412", id, 1), `"markCostS":0.0`, `"markCostS":0.0,"awaits":`+awaits, 1)
@@ -258,20 +258,20 @@
 // checkCommands runs the operators' commands against any of the controllers.
 func checkCommands(t *testing.T, peer []string) {
 	t.Helper()
-	if out, errs, code := program(t, "settings", "set", "alpha=0.5", "--node", peer[0]); code != 0 || !strings.Contains(out, "0.5") {
+	if out, errs, code := runProgram(t, "settings", "set", "alpha=0.5", "--node", peer[0]); code != 0 || !strings.Contains(out, "0.5") {
 		t.Fatalf("set: %d %s %s", code, out, errs)
 	}
-	if _, errs, code := program(t, "settings", "set", "alpha=7", "--node", peer[1]); code != 1 || !strings.Contains(errs, "alpha") {
+	if _, errs, code := runProgram(t, "settings", "set", "alpha=7", "--node", peer[1]); code != 1 || !strings.Contains(errs, "alpha") {
 		t.Errorf("out of range: %d %s", code, errs)
 	}
 	for _, c := range []struct{ command, want string }{
 		{"settings get", "0.5"}, {"nodes", "n-2"}, {"shares", "red"}, {"machines", "NAME"}, {"evictions", "VICTIMS"}, {"jobs", "job-000412"},
 	} {
 		eventually(t, c.command, func() bool {
-			out, _, code := program(t, append(strings.Fields(c.command), "--node", peer[2])...)
+			out, _, code := runProgram(t, append(strings.Fields(c.command), "--node", peer[2])...)
 			return code == 0 && strings.Contains(out, c.want)
 		})
-		if out, _, code := program(t, append(strings.Fields(c.command), "--node", peer[1], "--output", "json")...); code != 0 || !strings.HasPrefix(out, "{") {
+		if out, _, code := runProgram(t, append(strings.Fields(c.command), "--node", peer[1], "--output", "json")...); code != 0 || !strings.HasPrefix(out, "{") {
 			t.Errorf("%s as json: %d %s", c.command, code, out)
 		}
 	}
--- a/cmd/dykeledge/serve.go
+++ b/cmd/dykeledge/serve.go
@@ -16,17 +16,17 @@
 
 // How the runtime keeps within what one controller may use.
 const (
-	memoryLimitPart  = 0.6 // of the memory that the deployment grants
-	gcPercent        = 200
-	bytesPerMB       = 1 << 20
-	logLevelVariable = "LOG_LEVEL"
-	logLevelAsBegun  = "as_started" // the operators' setting that brings back the environment's level
+	memoryLimitFraction = 0.6 // of the memory that the deployment grants
+	gcPercent           = 200
+	bytesPerMB          = 1 << 20
+	logLevelVariable    = "LOG_LEVEL"
+	logLevelAsStarted   = "as_started" // the operators' setting that brings back the environment's level
 )
 
 // serve runs a controller. It returns only if the controller cannot listen or its public server ends;
 // the program ends with it, and with the program all goroutines that are started here.
 func serve(ctx context.Context, settings *config.Settings, features *config.Features) error {
-	tune(settings)
+	limitRuntime(settings)
 	level := &slog.LevelVar{}
 	level.Set(logLevel(os.Getenv(logLevelVariable)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("controller", settings.MemberName)
@@ -71,7 +71,7 @@
 	core := controller.New(settings, state, cloud, transport.NewWorkers(), log, controller.DefaultTiming())
 	state.Observe, cloud.Observe = core.Metrics().Observe, core.Metrics().Observe
 	core.OnLogLevel = func(name string) {
-		if name == logLevelAsBegun {
+		if name == logLevelAsStarted {
 			name = os.Getenv(logLevelVariable)
 		}
 		level.Set(logLevel(name))
@@ -93,11 +93,11 @@
 	return slog.LevelError
 }
 
-// tune keeps the runtime within what one controller may use.
-func tune(settings *config.Settings) {
+// limitRuntime keeps the runtime within what one controller may use.
+func limitRuntime(settings *config.Settings) {
 	if settings.Deployment.Resources.CPU <= 1 {
 		runtime.GOMAXPROCS(1)
 	}
-	debug.SetMemoryLimit(int64(settings.Deployment.Resources.MemMB * memoryLimitPart * bytesPerMB))
+	debug.SetMemoryLimit(int64(settings.Deployment.Resources.MemMB * memoryLimitFraction * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
 }
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -29,7 +29,7 @@
 	}
 	change, err := parseChange(values)
 	if err != nil {
-		return wrongUse(err)
+		return invalidUsage(err)
 	}
 	team, err := c.Team(name)
 	if err != nil {
@@ -42,11 +42,11 @@
 	return json.NewEncoder(out).Encode(changed)
 }
 
-// moveWithin is how long a move waits for the lowered limit to count.
-const moveWithin = 10 * time.Minute
+// moveTimeout is how long a move waits for the lowered limit to count.
+const moveTimeout = 10 * time.Minute
 
-// forceAskedEvery is the time between two questions whether it counts.
-const forceAskedEvery = time.Second
+// inForcePollInterval is the time between two questions whether it counts.
+const inForcePollInterval = time.Second
 
 // teamsMoveCommand moves a part of a team's limit from one cell to another.
 func (c *adminClient) teamsMoveCommand() *cobra.Command {
@@ -60,12 +60,12 @@
 				return err
 			}
 			if to == "" || !(cpus > 0) {
-				return wrongUse(errors.New("--to ADDRESS and --cpus above 0 are needed"))
+				return invalidUsage(errors.New("--to ADDRESS and --cpus above 0 are needed"))
 			}
-			ctx, cancel := context.WithTimeout(cmd.Context(), moveWithin)
+			ctx, cancel := context.WithTimeout(cmd.Context(), moveTimeout)
 			defer cancel()
 			other := &adminClient{address: to, output: c.output}
-			if err := moveLimit(ctx, c, other, args[0], cpus, forceAskedEvery, cmd.OutOrStdout()); err != nil {
+			if err := moveLimit(ctx, c, other, args[0], cpus, inForcePollInterval, cmd.OutOrStdout()); err != nil {
 				return failed(err)
 			}
 			return nil
@@ -84,29 +84,29 @@
 // moveLimit moves CPUs of a team's limit from one cell to another: lowered and in force in the first, then raised in the second.
 // Each change is conditional on the version that was read, and is made once: one whose answer is lost is looked for, never
 // repeated. An error says what was done and what is left to do.
-func moveLimit(ctx context.Context, from, to teamsAPI, team string, cpus float64, pause time.Duration, out io.Writer) error {
-	there, err := to.Team(team)
+func moveLimit(ctx context.Context, from, to teamsAPI, team string, cpus float64, pollInterval time.Duration, out io.Writer) error {
+	destination, err := to.Team(team)
 	if err != nil {
 		return fmt.Errorf("nothing was changed: the other cell: %w", err)
 	}
-	here, err := from.Team(team)
+	source, err := from.Team(team)
 	if err != nil {
 		return fmt.Errorf("nothing was changed: %w", err)
 	}
-	if here.CpusMax <= cpus || there.CpusMax <= 0 {
-		return fmt.Errorf("nothing was changed: limits are %g and %g CPUs, 0 is none: both need one, and the first more than %g", here.CpusMax, there.CpusMax, cpus)
+	if source.CpusMax <= cpus || destination.CpusMax <= 0 {
+		return fmt.Errorf("nothing was changed: limits are %g and %g CPUs, 0 is none: both need one, and the first more than %g", source.CpusMax, destination.CpusMax, cpus)
 	}
 	progress := textout.New(out) // what cannot be told must not stop a move halfway
-	lowered, raised := here.CpusMax-cpus, there.CpusMax+cpus
-	if _, err := from.Change(team, here.Version, limitChange(lowered)); err != nil {
+	lowered, raised := source.CpusMax-cpus, destination.CpusMax+cpus
+	if _, err := from.Change(team, source.Version, limitChange(lowered)); err != nil {
 		return fmt.Errorf("it is not certain whether the limit was lowered to %g CPUs in the first cell, and it was not raised in the other: %w", lowered, err)
 	}
 	progress.Printf("lowered to %g CPUs in the first cell\n", lowered)
-	if err := awaitForce(ctx, from, team, lowered, pause); err != nil {
+	if err := awaitInForce(ctx, from, team, lowered, pollInterval); err != nil {
 		return fmt.Errorf("the limit is being lowered to %g CPUs in the first cell; once it is in force there, raise it to %g in the other: %w", lowered, raised, err)
 	}
 	progress.Println("in force there")
-	if _, err := to.Change(team, there.Version, limitChange(raised)); err != nil {
+	if _, err := to.Change(team, destination.Version, limitChange(raised)); err != nil {
 		return fmt.Errorf("the limit is %g CPUs in the first cell; it is not certain whether it was raised to %g in the other: look, and raise it if not: %w", lowered, raised, err)
 	}
 	progress.Printf("raised to %g CPUs in the other cell\n", raised)
@@ -117,20 +117,20 @@
 	return json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpus))
 }
 
-// errChanged says that somebody else has changed the team meanwhile.
-var errChanged = errors.New("somebody else has changed the team meanwhile")
+// errTeamChanged says that somebody else has changed the team meanwhile.
+var errTeamChanged = errors.New("somebody else has changed the team meanwhile")
 
-// awaitForce waits until a lowered limit is in force in a cell.
-func awaitForce(ctx context.Context, cell teamsAPI, team string, cpusMax float64, pause time.Duration) error {
+// awaitInForce waits until a lowered limit is in force in a cell.
+func awaitInForce(ctx context.Context, cell teamsAPI, team string, cpusMax float64, pollInterval time.Duration) error {
 	for {
 		current, err := cell.Team(team)
 		switch {
 		case err == nil && current.CpusMax != cpusMax:
-			return errChanged
+			return errTeamChanged
 		case err == nil && current.State == controller.TeamInForce:
 			return nil
 		}
-		if !wait.For(ctx, pause) {
+		if !wait.For(ctx, pollInterval) {
 			return errors.Join(ctx.Err(), err)
 		}
 	}
