--- a/cmd/dykectl/config.go
+++ b/cmd/dykectl/config.go
@@ -12,6 +12,7 @@
 	"dykeledge/internal/contexts"
 )
 
+// configHelp is the help text of the config command, with an example of the configuration file.
 const configHelp = `The configuration file names clusters:
 
   current = "harbour"
--- a/cmd/dykectl/doc.go
+++ b/cmd/dykectl/doc.go
@@ -1,7 +1,8 @@
-// Command dykectl is the people's side of dykeledge: users' and operators' commands, a console,
-// reports, scale tests, and a whole cluster on one machine.
+// Command dykectl is the command-line client of dykeledge. It submits, lists and cancels jobs, shows
+// the state of a cluster in a console or as tables, records histories and makes reports of them, runs
+// load and scale tests, and runs a whole cluster on one machine.
 //
-// Exit codes: 0 done, 1 failed, 2 wrong use. What it prints for scripts is JSON (--output json).
+// Exit codes: 0 success, 1 failure, 2 usage error. With --output json it prints JSON for scripts.
 //
-// docs/ARCHITECTURE.md says which programs and packages there are, docs/dykectl.md how it is used.
+// docs/ARCHITECTURE.md lists the programs and packages; docs/dykectl.md describes the commands.
 package main
--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -17,27 +17,28 @@
 	"dykeledge/internal/wait"
 )
 
-// usersClient speaks with the cluster as its users do, and says when it has to repeat itself.
+// usersClient returns a client of the users' API at an address. The client logs each request that it retries.
 func (a *app) usersClient(address string) *client.Users {
 	users := client.New(address)
 	users.Retried = func(status int, err error) {
-		a.log.Info("no certain answer, asking again", "status", status, "err", err)
+		a.log.Info("request got no definite answer, retrying", "status", status, "err", err)
 	}
 	return users
 }
 
-// requestError turns what a user's request came to into an exit code.
+// requestError converts the error of a user's request to one that carries the exit code. If the outcome of
+// the request is unknown, it adds how to find it out.
 func requestError(err error) error {
 	if err == nil {
 		return nil
 	}
 	if errors.Is(err, client.ErrGaveUp) {
-		err = fmt.Errorf("%w; the job may exist all the same: ask with dykectl status, or repeat the command with its id", err)
+		err = fmt.Errorf("%w; the request may still have been applied: check the job with dykectl status, or repeat the command with the same job id", err)
 	}
 	return failed(err)
 }
 
-// printJobs prints how jobs stand.
+// printJobs prints the states of jobs as a table or as JSON.
 func (a *app) printJobs(w io.Writer, list []protocol.JobState) error {
 	var rows [][]string
 	for _, s := range list {
@@ -46,18 +47,18 @@
 	return a.print(w, list, []string{"JOB", "STATUS", "DONE", "RUNNING", "AWAITS"}, rows)
 }
 
-// submitOptions are the flags of submit.
+// submitOptions holds the flags of the submit command.
 type submitOptions struct {
 	job                                            protocol.Submission
 	file, priority                                 string
 	service, onDemandOnly                          bool
 	estimate, checkpoint, checkpointCost, deadline time.Duration
-	actualRunTime                                  time.Duration // on a local cluster: how long each task really runs; 0: as estimated
-	alwaysFails                                    bool          // on a local cluster: it fails on every machine
+	actualRunTime                                  time.Duration // on a local cluster: how long each task runs; 0: its estimate
+	alwaysFails                                    bool          // on a local cluster: tasks fail on every machine
 	wait                                           bool
 }
 
-// submitPollInterval is the time between two questions for a job whose end is waited for.
+// submitPollInterval is the time between two status requests of submit --wait.
 const submitPollInterval = 2 * time.Second
 
 func (a *app) submitCommand() *cobra.Command {
@@ -104,7 +105,7 @@
 	flags.BoolVar(&o.wait, "wait", false, "wait until the job is over")
 }
 
-// submit submits a job and waits for its end if that is asked for.
+// submit submits a job and, with --wait, waits until it has a final status.
 func (a *app) submit(ctx context.Context, out io.Writer, options *submitOptions) error {
 	_, cluster, err := a.selectedContext()
 	if err != nil {
@@ -126,7 +127,7 @@
 	}
 	for options.wait && !state.Status.Final() {
 		if !wait.For(ctx, submitPollInterval) {
-			return failed(fmt.Errorf("%s goes on: it is %s", id, state.Status))
+			return failed(fmt.Errorf("job %s has not ended: its status is %s", id, state.Status))
 		}
 		if next, err := users.Status(id); err == nil {
 			state = next
@@ -135,7 +136,8 @@
 	return a.printJobs(out, []protocol.JobState{state})
 }
 
-// body is the job as the protocol has it, of the file or of the flags. It leaves the job in o.job.
+// body returns the JSON body of the submission, from the file if one is given and from the flags otherwise.
+// It also stores the job in o.job.
 func (o *submitOptions) body() ([]byte, error) {
 	if o.file == "" {
 		return o.bodyFromFlags()
@@ -152,10 +154,11 @@
 	return body, nil
 }
 
+// bodyFromFlags returns the JSON body of the job that the flags describe, with a random id if none is given.
 func (o *submitOptions) bodyFromFlags() ([]byte, error) {
 	priority, ok := protocol.ParsePriority(o.priority)
 	if !ok {
-		return nil, errors.New("--priority is low, normal, high or production")
+		return nil, errors.New("--priority must be low, normal, high or production")
 	}
 	o.job.Priority, o.job.Spot = priority, !o.onDemandOnly
 	if o.service {
@@ -174,7 +177,7 @@
 	return body, err
 }
 
-// upload puts the job's description where the workers of a local cluster fetch it.
+// upload stores the job's description at the address from which the workers of a local cluster fetch it.
 func (o *submitOptions) upload(address string, body []byte) error {
 	run := o.actualRunTime
 	if run == 0 {
@@ -202,7 +205,8 @@
 	}}
 }
 
-// forEachJob does something with each job and prints all that worked; the first error is returned.
+// forEachJob calls do for each job id and prints the states that it returns. It goes on after an error and
+// returns the first one.
 func (a *app) forEachJob(cmd *cobra.Command, ids []string, do func(*client.Users, string) (protocol.JobState, error)) error {
 	_, cluster, err := a.selectedContext()
 	if err != nil {
@@ -210,7 +214,7 @@
 	}
 	for _, id := range ids {
 		if !protocol.ValidJobID(id) {
-			return usageError(fmt.Errorf("%q is no job's id: they are like job-000412", id))
+			return usageError(fmt.Errorf("invalid job id %q: expected an id like job-000412", id))
 		}
 	}
 	users := a.usersClient(cluster.Users)
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -14,9 +14,9 @@
 	"dykeledge/internal/loadgen"
 )
 
-// loadOptions are the flags of load.
+// loadOptions holds the flags of the load command.
 type loadOptions struct {
-	seed                       uint64 // 0: one that is drawn
+	seed                       uint64 // 0: a random seed
 	drainTimeout, pollInterval time.Duration
 }
 
@@ -41,7 +41,8 @@
 	return command
 }
 
-// load gives a profile's jobs to the cluster and prints what became of them.
+// load submits the jobs of a profile to the cluster and prints the measured result. It fails if a job was
+// reported with another status after a final one, was rejected, or got no definite answer.
 func (a *app) load(ctx context.Context, out io.Writer, profile *loadgen.Profile, options *loadOptions) error {
 	_, cluster, err := a.selectedContext()
 	if err != nil {
@@ -55,7 +56,7 @@
 	if err != nil {
 		return usageError(err)
 	}
-	a.log.Info("load begins", "jobs", len(plan), "seed", seed)
+	a.log.Info("load run started", "jobs", len(plan), "seed", seed)
 	users := client.New(cluster.Users)
 	runner := &loadgen.Runner{To: users, PollEvery: options.pollInterval}
 	users.Retried = runner.Retried
--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -19,52 +19,53 @@
 	"dykeledge/internal/textout"
 )
 
-// version of the commands.
+// version is the version that dykectl version prints.
 const version = "0.1.0"
 
-// Exit codes, as dykeledge has them.
+// Exit codes, the same as those of dykeledge.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// Forms of output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// exitError is an error with the exit code that it ends the program with.
+// exitError is an error with the exit code that the program returns for it.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error is the text of the error itself.
+// Error returns the text of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// failed is the error of a command that was used rightly and did not succeed.
+// failed wraps the error of a command that was used correctly but did not succeed.
 func failed(err error) error { return &exitError{exitFailed, err} }
 
-// usageError is the error of a command that was used wrongly.
+// usageError wraps an error in the arguments, the flags or the configuration file.
 func usageError(err error) error { return &exitError{exitUsage, err} }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// app is what all commands share.
+// app holds the flags and the log that all commands share.
 type app struct {
-	configFlag  string // path of the configuration file, "" for the usual one
-	contextFlag string // name of a cluster, "" for the current one
+	configFlag  string // path of the configuration file; "": the default path
+	contextFlag string // name of a context; "": the current one
 	output      string // outputTable or outputJSON
-	logLevel    string // of the log
+	logLevel    string // minimum level of the log
 	log         *slog.Logger
 	stderr      io.Writer
 }
 
-// run runs the program with its arguments and returns the exit code.
+// run executes the command that args name and returns the exit code. An error
+// without an exit code, such as one from parsing the command line, counts as a usage error.
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -77,7 +78,7 @@
 	if err == nil {
 		return 0
 	}
-	_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // the exit code stays
+	_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // a failed write does not change the exit code
 	var exit *exitError
 	if errors.As(err, &exit) {
 		return exit.code
@@ -96,7 +97,7 @@
 	flags.StringVar(&a.contextFlag, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
 	flags.StringVarP(&a.output, "output", "o", outputTable, "table or json")
 	flags.StringVar(&a.logLevel, "log-level", "warn", "error, warn, info or debug, to standard error")
-	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp)) // the flag is there
+	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp)) // fails only if the flag is not defined
 	_ = root.RegisterFlagCompletionFunc("context", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
 	})
@@ -107,11 +108,11 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-		_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version) // a terminal that is gone wants no answer
+		_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version) // a failed write to the terminal is ignored
 	}}
 }
 
-// checkFlags checks the flags that all commands have, and opens the log.
+// checkFlags checks the persistent flags and creates the log.
 func (a *app) checkFlags() error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(a.logLevel)); err != nil {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// configPath is where the configuration file is.
+// configPath returns the path of the configuration file.
 func (a *app) configPath() (string, error) {
 	if a.configFlag != "" {
 		return a.configFlag, nil
@@ -136,7 +137,7 @@
 	return p, nil
 }
 
-// loadConfig is the configuration file as it is now.
+// loadConfig reads the configuration file.
 func (a *app) loadConfig() (*contexts.File, error) {
 	p, err := a.configPath()
 	if err != nil {
@@ -149,7 +150,7 @@
 	return f, nil
 }
 
-// selectedContext returns the name of the context that is meant, and the context.
+// selectedContext returns the name and the content of the context that --context names, or of the current one.
 func (a *app) selectedContext() (string, contexts.Context, error) {
 	f, err := a.loadConfig()
 	if err != nil {
@@ -165,6 +166,7 @@
 	return f.Current, c, nil
 }
 
+// contextNames returns the sorted names of the contexts, or none if the configuration file cannot be read.
 func (a *app) contextNames() []string {
 	f, err := a.loadConfig()
 	if err != nil {
@@ -178,7 +180,7 @@
 	return names
 }
 
-// print writes v as JSON, or as a table made of titles and rows.
+// print writes v as JSON, or a table of titles and rows, depending on --output.
 func (a *app) print(w io.Writer, v any, titles []string, rows [][]string) error {
 	if a.output == outputJSON {
 		return json.NewEncoder(w).Encode(v)
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -86,7 +86,7 @@
 		{dead, "submit --file " + bad, 2, "JSON"},
 		{dead, "console", 2, "terminal"},
 		{dead, "report --file x.txt", 2, ".html"},
-		{dead, "report --file x.html --from tomorrow", 2, "no time"},
+		{dead, "report --file x.html --from tomorrow", 2, "invalid time"},
 		{dead, "report --file x.html", 2, "--history"},
 		{dead, "record", 2, "--file"},
 		{dead, "load " + bad, 2, "current"},
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -22,7 +22,8 @@
 	"dykeledge/internal/textout"
 )
 
-const cellCommand = "cell" // what `dykectl scale run` starts for each cell
+// cellCommand is the hidden subcommand that `dykectl scale run` starts as a process for each cell.
+const cellCommand = "cell"
 
 func (a *app) scaleCommand() *cobra.Command {
 	command := &cobra.Command{Use: "scale", Short: "Measure controllers at a size that is yet to come",
@@ -46,7 +47,7 @@
 	return command
 }
 
-// scaleOptions are the flags of a scale test.
+// scaleOptions holds the flags of the scale run command.
 type scaleOptions struct {
 	profile, cut, fraction             string
 	regions                            string
@@ -87,7 +88,7 @@
 	return command
 }
 
-// parseFraction reads 0.25 or 1/4.
+// parseFraction parses a fraction above 0 and up to 1, written as 0.25 or 1/4.
 func parseFraction(text string) (float64, error) {
 	numerator, denominator, hasDenominator := strings.Cut(text, "/")
 	n, err := strconv.ParseFloat(numerator, 64)
@@ -96,12 +97,12 @@
 		d, err = strconv.ParseFloat(denominator, 64)
 	}
 	if err != nil || !(n > 0 && d > 0 && n/d <= 1) {
-		return 0, errors.New("--fraction is a part from above 0 to 1, as 0.25 or 1/4")
+		return 0, errors.New("--fraction must be above 0 and at most 1, written as 0.25 or 1/4")
 	}
 	return n / d, nil
 }
 
-// request checks the flags and returns what they ask for.
+// request validates the flags and returns the profile and the request that they describe.
 func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
 	profile := scaletest.DefaultProfile()
 	request := scaletest.Request{Run: o.runName, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
@@ -117,17 +118,18 @@
 	}
 	switch {
 	case !slices.Contains(scaletest.Cuts(), request.Cut):
-		return profile, request, errors.New("--cut is peak, population, changes or troubles")
+		return profile, request, errors.New("--cut must be peak, population, changes or troubles")
 	case request.Regions != scaletest.LargestRegion && request.Regions != scaletest.AllRegions:
-		return profile, request, errors.New("--regions is largest or all")
+		return profile, request, errors.New("--regions must be largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
-		return profile, request, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
+		return profile, request, errors.New("--warm-up and --measure must each be at least 1s, and together at most 1h")
 	}
 	request.Program, err = findControllerProgram(o.controllerProgram)
 	return profile, request, err
 }
 
-// scaleRun plays all cells of a request, each in a process of its own, and keeps and prints their points.
+// scaleRun runs the cells of a request, each in its own process, and writes and prints their points. A
+// temporary folder is removed only if the run succeeds.
 func (a *app) scaleRun(ctx context.Context, out io.Writer, options *scaleOptions) (err error) {
 	profile, request, err := options.request()
 	if err != nil {
@@ -138,7 +140,7 @@
 			return failed(err)
 		}
 		defer func() {
-			if err == nil { // what went wrong is in the logs
+			if err == nil { // the logs in the folder are needed to find the cause of an error
 				err = os.RemoveAll(request.Dir)
 			}
 		}()
@@ -163,7 +165,8 @@
 	return nil
 }
 
-// writePoints adds points to the file that was asked for, and tells what is wrong with them.
+// writePoints appends the points to the file that --out names, if any. It returns the errors of writing and
+// the verdicts of the points. An entry is nil if its cell returned no point.
 func (o *scaleOptions) writePoints(points []*scaletest.Point) (err error) {
 	out := io.Discard
 	if o.pointsFile != "" {
@@ -183,7 +186,7 @@
 	return errors.Join(bad...)
 }
 
-// printPoints prints a row for each cell that was measured.
+// printPoints prints a table with a row for each cell that returned a point.
 func (a *app) printPoints(out io.Writer, points []*scaletest.Point) error {
 	table := textout.NewTable(out, tabwriter.AlignRight)
 	table.Println("region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -23,13 +23,12 @@
 	"dykeledge/internal/viewclient"
 )
 
-// How soon a cluster has to take requests, and how often it is recorded.
 const (
-	readyTimeout   = 30 * time.Second
-	sampleInterval = 5 * time.Second
+	readyTimeout   = 30 * time.Second // for a started cluster to accept requests
+	sampleInterval = 5 * time.Second  // between two samples of the recorded history
 )
 
-// upOptions are the flags of up.
+// upOptions holds the flags of the up command.
 type upOptions struct {
 	controllerProgram, featuresFile, dir, faultsFile string
 	duration                                         time.Duration
@@ -62,7 +61,8 @@
 	return command
 }
 
-// findControllerProgram finds the controller's program.
+// findControllerProgram returns the path of the controller's program: the one named, or the first dykeledge
+// found in this program's folder, in target, or on the PATH.
 func findControllerProgram(named string) (string, error) {
 	if named != "" {
 		return exec.LookPath(named)
@@ -76,18 +76,18 @@
 			return filepath.Abs(found)
 		}
 	}
-	return "", errors.New("no dykeledge beside this program, in target or on the path: build it, or name it with --controller")
+	return "", errors.New("no dykeledge program in this program's folder, in target or on the PATH: build it, or set --controller")
 }
 
-// toClusterOptions checks the flags and returns what cluster they ask for.
+// toClusterOptions validates the flags and returns the options of the cluster that they describe.
 func (o *upOptions) toClusterOptions() (clusterOptions localcluster.Options, err error) {
 	switch {
 	case o.machines < 1 || o.machines > 500:
-		return clusterOptions, errors.New("--machines is from 1 to 500")
+		return clusterOptions, errors.New("--machines must be from 1 to 500")
 	case !(o.speed >= 0.01 && o.speed <= 100):
-		return clusterOptions, errors.New("--speed is from 0.01 to 100")
+		return clusterOptions, errors.New("--speed must be from 0.01 to 100")
 	case o.duration < 0:
-		return clusterOptions, errors.New("--for is a time above 0")
+		return clusterOptions, errors.New("--for must not be negative")
 	}
 	clusterOptions = localcluster.Options{Machines: o.machines, Seed: o.seed, Speed: o.speed, Features: o.featuresFile}
 	if clusterOptions.Program, err = findControllerProgram(o.controllerProgram); err != nil {
@@ -101,16 +101,17 @@
 	return clusterOptions, nil
 }
 
-// localCluster is a cluster that `dykectl up` runs, with its entry in the configuration file.
+// localCluster is a cluster that `dykectl up` runs, with its context in the configuration file.
 type localCluster struct {
 	cluster         *localcluster.Cluster
-	contextName     string // of its context
+	contextName     string // name of the cluster's context
 	configPath      string // path of the configuration file
 	entry           contexts.Context
-	previousContext string // the context that was the current one
+	previousContext string // name of the context that was current before
 }
 
-// up runs a cluster until ctx ends or its time is over, and tells what happened in it.
+// up runs a cluster until ctx ends or the time of --for has passed, and prints a summary. A temporary folder
+// is removed only if there was no error.
 func (a *app) up(ctx context.Context, out io.Writer, options upOptions) (err error) {
 	clusterOptions, err := options.toClusterOptions()
 	if err != nil {
@@ -125,7 +126,7 @@
 		return failed(err)
 	}
 	defer func() {
-		if err == nil { // what went wrong is in the logs
+		if err == nil { // the logs in the folder are needed to find the cause of an error
 			err = removeDir()
 		}
 	}()
@@ -152,7 +153,7 @@
 			err = failed(removeErr)
 		}
 	}()
-	progress := textout.New(out) // a cluster goes on though its terminal is gone
+	progress := textout.New(out) // write errors are ignored: the cluster runs on without its terminal
 	local.printStart(progress, &options)
 	if options.duration > 0 {
 		var stop context.CancelFunc
@@ -165,7 +166,8 @@
 	return a.printSummary(out, local.cluster)
 }
 
-// newLocalCluster chooses a context for a cluster that is to start, one that no running cluster has.
+// newLocalCluster chooses the context name of a cluster to be started. It fails if a running cluster uses
+// the name.
 func (a *app) newLocalCluster() (*localCluster, error) {
 	name := a.contextFlag
 	if name == "" {
@@ -180,13 +182,13 @@
 		return nil, usageError(err)
 	}
 	if old, ok := file.Contexts[name]; ok && client.Ready(old.Users) {
-		return nil, usageError(fmt.Errorf("a cluster %q is there and answers: choose another name with --context", name))
+		return nil, usageError(fmt.Errorf("cluster %q is already running and answers: choose another name with --context", name))
 	}
 	return &localCluster{contextName: name, configPath: path, previousContext: file.Current}, nil
 }
 
-// makeDir makes the folder for settings, logs and history, and returns what removes it again unless it was
-// asked for by name.
+// makeDir creates the folder for settings, logs and history. The function that it returns removes a temporary
+// folder; a folder that --dir names is kept.
 func (o *upOptions) makeDir() (remove func() error, err error) {
 	if o.dir != "" {
 		return func() error { return nil }, os.MkdirAll(o.dir, 0o700)
@@ -195,7 +197,8 @@
 	return func() error { return os.RemoveAll(o.dir) }, err
 }
 
-// completeOptions adds folder, features and log to a cluster's options.
+// completeOptions sets the folder, the features file and the log in a cluster's options. Without a features
+// file it writes one that enables the view.
 func (a *app) completeOptions(options *localcluster.Options, dir string) error {
 	if options.Features == "" {
 		options.Features = filepath.Join(dir, "features.toml")
@@ -205,26 +208,27 @@
 	}
 	options.Dir, options.Log = dir, a.log
 	if options.Faults != nil {
-		// What is brought about is told, whatever else is not.
+		// Injected faults are logged whatever --log-level is.
 		options.Log = slog.New(slog.NewTextHandler(a.stderr, nil))
 	}
 	return nil
 }
 
-// awaitReady waits until a cluster takes requests.
+// awaitReady waits up to readyTimeout until a cluster accepts requests.
 func awaitReady(ctx context.Context, cluster *localcluster.Cluster) error {
 	within, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return cluster.Ready(within, client.Ready)
 }
 
-// addContext writes the cluster into the configuration file, as the current one.
+// addContext adds the cluster's context to the configuration file and makes it the current one.
 func (l *localCluster) addContext(history string) error {
 	l.entry = contexts.Context{Users: l.cluster.Users, Nodes: l.cluster.Controllers, Uploads: l.cluster.Uploads, History: history}
 	return contexts.Change(l.configPath, func(file *contexts.File) { file.Contexts[l.contextName], file.Current = l.entry, l.contextName })
 }
 
-// removeContext takes the cluster out of the configuration file, unless another has its name by now.
+// removeContext removes the cluster's context from the configuration file, unless another cluster uses the
+// name by now. If it was the current context, the previous one becomes current again if it still exists.
 func (l *localCluster) removeContext() error {
 	return contexts.Change(l.configPath, func(file *contexts.File) {
 		if file.Contexts[l.contextName].Users != l.entry.Users {
@@ -240,7 +244,7 @@
 	})
 }
 
-// printStart tells where the cluster is and what to try with it.
+// printStart prints the cluster's addresses and example commands.
 func (l *localCluster) printStart(out *textout.Printer, options *upOptions) {
 	controllers := l.cluster.Controllers
 	out.Printf("cluster %s is up: 3 controllers, %d machines to rent\n", l.contextName, options.machines)
@@ -251,32 +255,34 @@
 	out.Printf("try, in another terminal:\n  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n")
 }
 
-// recordInBackground writes the history of a cluster until ctx ends; recording ends with it.
+// recordInBackground appends the history of a cluster to a file until ctx ends. The wait group recording
+// counts its goroutines. If the history cannot be recorded, the error is only logged.
 func (a *app) recordInBackground(ctx context.Context, recording *sync.WaitGroup, controllers []string, path string) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		a.log.Error("nothing is recorded", "err", err)
+		a.log.Error("cannot open history file, not recording", "err", err)
 		return
 	}
 	follower := viewclient.NewFollower(viewclient.NewHTTP(controllers), view.Operators, minViewInterval)
 	recording.Go(func() {
 		if err := follower.Run(ctx); err != nil {
-			a.log.Error("nothing is recorded any more", "err", err)
+			a.log.Error("view cannot be followed, history is no longer recorded", "err", err)
 		}
 	})
 	recording.Go(func() {
 		err := report.NewRecorder(file, sampleInterval).Run(ctx, follower)
 		if err = errors.Join(err, file.Close()); err != nil {
-			a.log.Error("nothing is recorded any more", "err", err)
+			a.log.Error("writing history failed, recording stopped", "err", err)
 		}
 	})
 }
 
-// printSummary tells what happened in a cluster's life.
+// printSummary prints the statistics of a cluster's run. It returns an error if a rule of the
+// protocol was violated or a controller exited unexpectedly.
 func (a *app) printSummary(out io.Writer, cluster *localcluster.Cluster) error {
 	simulation := cluster.Simulation
 	stats := simulation.Stats()
-	printer := textout.New(out) // broken rules come back as an error, whether or not they could be printed
+	printer := textout.New(out) // write errors are ignored: violated rules are also returned as an error
 	printer.Printf("%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
 		stats.Started, stats.LeaseKills, simulation.CostSpent(), stats.Requests, stats.Writes, stats.Over, cluster.Ends())
 	broken := simulation.BrokenRules()
@@ -284,7 +290,7 @@
 		printer.Println("BROKEN RULE", rule)
 	}
 	if len(broken)+cluster.Ends() > 0 {
-		return failed(fmt.Errorf("%d rules were broken, %d controllers ended by themselves; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
+		return failed(fmt.Errorf("%d rules of the protocol were violated, %d controllers exited unexpectedly; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
 	}
 	return nil
 }
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -20,13 +20,14 @@
 	"dykeledge/internal/viewclient"
 )
 
-// minViewInterval is the least time between two requests for the view.
+// minViewInterval is the minimum time between two requests for the view.
 const minViewInterval = 500 * time.Millisecond
 
-// viewTimeout is how long a command waits for the first whole view.
+// viewTimeout is how long a command waits for the first complete snapshot of the view.
 const viewTimeout = 15 * time.Second
 
-// scopeFor is the team that a command shows: the one asked for, or the context's.
+// scopeFor returns the scope of the view that a command shows: that of the given team, of the context's team
+// if none is given, or of all teams.
 func scopeFor(team string, cluster contexts.Context) view.Scope {
 	if team == "" {
 		team = cluster.Team
@@ -34,8 +35,9 @@
 	return view.Scope(team)
 }
 
-// startFollower follows a cluster's view, and fails when no controller can ever give it.
-// Its end comes through ended, which need not be read.
+// startFollower starts a goroutine that follows a cluster's view until ctx ends, or until it fails because the
+// view is disabled on all controllers or the team does not exist. The result is sent to ended, which is
+// buffered and need not be read.
 func startFollower(ctx context.Context, cluster contexts.Context, shown view.Scope) (follower *viewclient.Follower, ended <-chan error) {
 	follower = viewclient.NewFollower(viewclient.NewHTTP(cluster.Nodes), shown, minViewInterval)
 	result := make(chan error, 1)
@@ -59,7 +61,7 @@
 				}
 			}
 			if table == nil {
-				return usageError(fmt.Errorf("no table %q: there are %s", args[0], strings.Join(names, ", ")))
+				return usageError(fmt.Errorf("no table %q: expected one of %s", args[0], strings.Join(names, ", ")))
 			}
 			_, cluster, err := a.selectedContext()
 			if err != nil {
@@ -80,7 +82,7 @@
 	return command
 }
 
-// awaitSnapshot waits for the first whole view.
+// awaitSnapshot waits for the first complete snapshot of the view.
 func awaitSnapshot(ctx context.Context, follower *viewclient.Follower, ended <-chan error) (*viewclient.State, error) {
 	for {
 		changed := follower.Changed()
@@ -95,12 +97,13 @@
 			}
 			return nil, err
 		case <-ctx.Done():
-			return nil, fmt.Errorf("no view of the cluster: %s", follower.State().Warning)
+			return nil, fmt.Errorf("no complete view of the cluster received: %s", follower.State().Warning)
 		}
 	}
 }
 
-// show prints a table, or for scripts the rows as they are.
+// show prints the table, or its rows as JSON. The queue also gets the reasons why its jobs wait; they are
+// requested separately.
 func (a *app) show(ctx context.Context, out io.Writer, follower *viewclient.Follower, state *viewclient.State, table console.Table, filter string) error {
 	now := state.Now + time.Since(state.Sent).Milliseconds()
 	rows := table.Rows(state, now, nil, 0, false, filter)
@@ -131,7 +134,7 @@
 	return err
 }
 
-// jsonTable is a table for scripts: the rows as they are, with the head that they belong to.
+// jsonTable returns the JSON form of a table: the view's records behind the rows, with the head of the view.
 func jsonTable(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) any {
 	out := struct {
 		view.Head
@@ -180,7 +183,7 @@
 				return err
 			}
 			if st, err := os.Stdout.Stat(); err != nil || st.Mode()&os.ModeCharDevice == 0 {
-				return usageError(errors.New("the console needs a terminal: for scripts there is dykectl show"))
+				return usageError(errors.New("the console needs a terminal: use dykectl show in scripts"))
 			}
 			if plain {
 				if err := os.Setenv("NO_COLOR", "1"); err != nil {
@@ -225,8 +228,8 @@
 	return command
 }
 
-// recordHistory adds a cluster's history to a file, "" for the context's, until ctx ends or no controller
-// can ever give the view.
+// recordHistory appends a cluster's history to a file until ctx ends or the view cannot be followed any more.
+// If path is "", the history file of the context is used.
 func (a *app) recordHistory(ctx context.Context, out io.Writer, path string, interval time.Duration) (err error) {
 	_, cluster, err := a.selectedContext()
 	if err != nil {
@@ -236,7 +239,7 @@
 		path = cluster.History
 	}
 	if path == "" || interval < time.Second {
-		return usageError(errors.New("--file FILE is missing, and the context names no history; --every is at least 1s"))
+		return usageError(errors.New("expected --file FILE or a context with a history, and --every of at least 1s"))
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -266,7 +269,8 @@
 	return err
 }
 
-// parseTime reads a time: a date, a time of today, or a span before now.
+// parseTime parses a point in time: now, a date with or without a time, a time of today, or a negative
+// duration relative to now.
 func parseTime(text string, now time.Time) (time.Time, error) {
 	if text == "now" {
 		return now, nil
@@ -282,10 +286,10 @@
 	if t, err := time.ParseInLocation("15:04", text, time.Local); err == nil {
 		return time.Date(now.Year(), now.Month(), now.Day(), t.Hour(), t.Minute(), 0, 0, time.Local), nil
 	}
-	return now, fmt.Errorf("%q is no time: use 2006-01-02 15:04, 15:04 of today, or -24h", text)
+	return now, fmt.Errorf("invalid time %q: expected 2006-01-02 15:04, 15:04 of today, or -24h", text)
 }
 
-// reportOptions are the flags of report.
+// reportOptions holds the flags of the report command.
 type reportOptions struct {
 	team, from, to, outFile, title string
 	histories                      []string
@@ -310,14 +314,14 @@
 	return command
 }
 
-// report makes a page of the histories and says where it is.
+// report writes a report page of the histories, with a file of its figures, and prints the paths of both.
 func (a *app) report(out io.Writer, options *reportOptions, now time.Time) error {
 	begin, end, err := options.interval(now)
 	if err != nil {
 		return usageError(err)
 	}
 	if filepath.Ext(options.outFile) != ".html" {
-		return usageError(errors.New("--file is missing, or does not end in .html"))
+		return usageError(errors.New("--file must be set and must end in .html"))
 	}
 	histories, shown, err := a.historyFiles(options)
 	if err != nil {
@@ -334,7 +338,7 @@
 	return err
 }
 
-// interval reads from when to when the page is.
+// interval returns the time range that the report covers.
 func (o *reportOptions) interval(now time.Time) (begin, end time.Time, err error) {
 	if begin, err = parseTime(o.from, now); err != nil {
 		return begin, end, fmt.Errorf("--from: %w", err)
@@ -348,7 +352,8 @@
 	return begin, end, nil
 }
 
-// historyFiles are the files to read, and whose view the page shows.
+// historyFiles returns the history files to read and the scope of the report. With --history the context
+// is not read, so that only --team sets the scope.
 func (a *app) historyFiles(options *reportOptions) ([]string, view.Scope, error) {
 	if len(options.histories) > 0 {
 		return options.histories, view.Scope(options.team), nil
@@ -358,12 +363,12 @@
 		return nil, "", err
 	}
 	if cluster.History == "" {
-		return nil, "", usageError(errors.New("the context names no history: use --history FILE"))
+		return nil, "", usageError(errors.New("the context has no history file: use --history FILE"))
 	}
 	return []string{cluster.History}, scopeFor(options.team, cluster), nil
 }
 
-// titleFor is the page's title: the one asked for, or one that says whose view it is.
+// titleFor returns the report's title: that of --title, or a default that names the scope.
 func (o *reportOptions) titleFor(shown view.Scope) string {
 	switch {
 	case o.title != "":
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -14,11 +14,11 @@
 	"dykeledge/internal/textout"
 )
 
-// maxRows is how many rows the administration API hands out at one go.
+// maxRows is the maximum number of rows in one page of the administration API.
 const maxRows = 200
 
-// adminCommands are the operators' commands. The names leave room for the
-// users' submit, queue, cancel and accounting.
+// adminCommands returns the operators' commands. Their names avoid submit, queue, cancel and accounting,
+// which are reserved for users' commands.
 func adminCommands() []*cobra.Command {
 	client := &adminClient{}
 	jobs := &listCommand{client: client, use: "jobs", short: "List unfinished jobs and why they wait", path: "/jobs", paged: true,
@@ -41,25 +41,25 @@
 		members.command(), shards.command(), machines.command(), evictions.command()}
 }
 
-// addFlags adds the flags that all operators' commands have.
+// addFlags adds the flags that all operators' commands share and returns the command.
 func (c *adminClient) addFlags(command *cobra.Command) *cobra.Command {
 	command.Flags().StringVar(&c.address, "node", "", "peer_listen `ADDRESS` of any node")
 	command.Flags().StringVar(&c.output, "output", outputTable, "table or json")
 	return command
 }
 
-// listCommand prints one of the lists of the administration API.
+// listCommand is a command that prints one of the lists of the administration API.
 type listCommand struct {
 	client  *adminClient
 	use     string
 	short   string
-	path    string   // of the list, below /admin/v1
-	paged   bool     // it comes in pages of up to limit rows
-	columns []string // names in the answer
+	path    string   // path of the list below /admin/v1
+	paged   bool     // the list is returned in pages of up to limit rows
+	columns []string // names of the fields in the answer, in the order of the table
 
 	limit int
-	after string // the last name of the page before
-	team  string // "": of all teams
+	after string // last name of the previous page
+	team  string // only this team; "": all teams
 }
 
 func (l *listCommand) command() *cobra.Command {
@@ -131,7 +131,7 @@
 	return c.printSettings(out, body)
 }
 
-// parseChange reads NAME=VALUE pairs; what is no number is text.
+// parseChange converts NAME=VALUE pairs to a JSON object. A value that is not a number is sent as a string.
 func parseChange(args []string) (json.RawMessage, error) {
 	change := map[string]any{}
 	for _, arg := range args {
@@ -148,7 +148,7 @@
 	return json.Marshal(change)
 }
 
-// printList prints rows as a table, or the answer as it came.
+// printList prints the rows of an answer as a table, or the answer unchanged as JSON.
 func (c *adminClient) printList(out io.Writer, body []byte, columns []string) error {
 	if c.output == outputJSON {
 		return printRaw(out, body)
@@ -175,7 +175,8 @@
 	return table.Flush()
 }
 
-// printSettings prints settings with what is known of each as a table, or the answer as it came.
+// printSettings prints the settings as a table, with the default, range and reason of each if the answer has
+// them, or the answer unchanged as JSON.
 func (c *adminClient) printSettings(out io.Writer, body []byte) error {
 	if c.output == outputJSON {
 		return printRaw(out, body)
@@ -204,14 +205,14 @@
 	return table.Flush()
 }
 
-// printRaw prints an answer as it came.
+// printRaw prints an answer unchanged.
 func printRaw(out io.Writer, body []byte) error {
 	_, err := fmt.Fprintln(out, string(body))
 	return err
 }
 
-// cellText is a value of an answer as a table shows it. A list of tasks, as evicted sets have, is
-// written as JOB/TASK(SCORE).
+// cellText returns the text of a value in a table. The elements of a list are separated by commas. A task
+// in a list, such as a victim in an evicted set, is written as JOB/TASK(SCORE).
 func cellText(value any) string {
 	switch typed := value.(type) {
 	case nil:
--- a/cmd/dykeledge/admin_client.go
+++ b/cmd/dykeledge/admin_client.go
@@ -14,22 +14,22 @@
 	"dykeledge/internal/transport"
 )
 
-// requestTimeout is how long a controller may take to answer.
+// requestTimeout is the time-out of a request to the administration API.
 const requestTimeout = 10 * time.Second
 
-// adminClient speaks with the administration API of one controller and prints what it answers.
+// adminClient sends requests to the administration API of one controller and prints the answers.
 type adminClient struct {
-	address string // peer_listen of the controller
+	address string // peer_listen address of the controller
 	output  string // outputTable or outputJSON
 }
 
-// Forms of output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// check tells whether the flags make sense.
+// check returns a usage error if --node or --output is missing or invalid.
 func (c *adminClient) check() error {
 	if c.address == "" {
 		return invalidUsage(errors.New("--node ADDRESS is missing: the peer_listen address of any node"))
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// call sends one request and returns the body of its answer. in, unless it is nil, is sent as JSON.
+// call sends one request, without retries, and returns the body of the answer. If in is not nil, it is sent as
+// JSON.
 func (c *adminClient) call(method, path string, in any) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -65,7 +66,8 @@
 	return body, nil
 }
 
-// refusalError is what a controller says against a request.
+// refusalError returns the error that a controller gave for refusing a request, or the status code if the
+// body holds none.
 func refusalError(status int, body []byte) error {
 	var refused transport.AdminRefusal
 	if json.Unmarshal(body, &refused) != nil || refused.Error == "" {
@@ -74,20 +76,21 @@
 	return errors.New(refused.Error)
 }
 
-// decode reads an answer.
+// decode parses the JSON body of an answer.
 func decode(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
-		return failed(fmt.Errorf("the node's answer cannot be read: %w", err))
+		return failed(fmt.Errorf("cannot decode the node's answer: %w", err))
 	}
 	return nil
 }
 
-// settings reads the operators' settings as they come.
+// settings returns the operators' settings as the JSON body of the answer.
 func (c *adminClient) settings() ([]byte, error) {
 	return c.call(fasthttp.MethodGet, "/settings", nil)
 }
 
-// changeSettings changes settings on the version that they have now, and returns the new ones as they come.
+// changeSettings reads the version of the settings and changes them on condition of that version. It returns
+// the new settings as the JSON body of the answer.
 func (c *adminClient) changeSettings(change json.RawMessage) ([]byte, error) {
 	body, err := c.settings()
 	if err != nil {
@@ -100,12 +103,12 @@
 	return c.call(fasthttp.MethodPut, "/settings", transport.SettingsChange{Version: &current.Version, Settings: change})
 }
 
-// Team reads a team.
+// Team returns a team's entry.
 func (c *adminClient) Team(name string) (controller.TeamView, error) {
 	return c.callTeam(fasthttp.MethodGet, name, nil)
 }
 
-// Change changes a team if version is still that of its entry.
+// Change changes a team on condition that its entry still has the given version.
 func (c *adminClient) Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error) {
 	return c.callTeam(fasthttp.MethodPut, name, transport.TeamChange{Version: &version, Team: change})
 }
--- a/cmd/dykeledge/main.go
+++ b/cmd/dykeledge/main.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/config"
 )
 
-// version of the service.
+// version is the version that dykeledge version prints and that a controller logs at its start.
 const version = "0.1.0"
 
 // Exit codes.
@@ -20,27 +20,28 @@
 	exitUsage  = 2
 )
 
-// exitError is an error with the exit code that it ends the program with.
+// exitError is an error with the exit code that the program returns for it.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error is the text of the error itself.
+// Error returns the text of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// failed is the error of a command that was used rightly and did not succeed.
+// failed wraps the error of a command that was used correctly but did not succeed.
 func failed(err error) error { return &exitError{exitFailed, err} }
 
-// invalidUsage is the error of a command that was used wrongly.
+// invalidUsage wraps an error in the arguments, the flags, or the settings or features file.
 func invalidUsage(err error) error { return &exitError{exitUsage, err} }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs the program with its arguments and returns the exit code.
+// run executes the command that args name and returns the exit code. An error without an exit code, such as
+// one from parsing the command line, counts as a usage error.
 func run(args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -56,7 +57,7 @@
 	return exitUsage
 }
 
-// rootCommand runs a controller; all other commands are below it.
+// rootCommand returns the root command, which runs a controller, with all other commands as subcommands.
 func rootCommand() *cobra.Command {
 	var settingsFile, featuresFile string
 	root := &cobra.Command{
@@ -92,7 +93,7 @@
 	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykeledge", version) // a terminal that is gone wants no answer
+			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykeledge", version) // a failed write to the terminal is ignored
 		},
 	}
 }
@@ -104,7 +105,7 @@
 			if _, err := config.Load(args[0]); err != nil {
 				return invalidUsage(err)
 			}
-			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "ok") // the exit code says the same
+			_, _ = fmt.Fprintln(cmd.OutOrStdout(), "ok") // a failed write is ignored: the exit code carries the result
 			return nil
 		},
 	}
--- a/cmd/dykeledge/serve.go
+++ b/cmd/dykeledge/serve.go
@@ -14,17 +14,16 @@
 	"dykeledge/internal/transport"
 )
 
-// How the runtime keeps within what one controller may use.
 const (
-	memoryLimitFraction = 0.6 // of the memory that the deployment grants
-	gcPercent           = 200
+	memoryLimitFraction = 0.6 // of the memory that the deployment grants to a controller; soft limit of the Go runtime
+	gcPercent           = 200 // as GOGC
 	bytesPerMB          = 1 << 20
 	logLevelVariable    = "LOG_LEVEL"
-	logLevelAsStarted   = "as_started" // the operators' setting that brings back the environment's level
+	logLevelAsStarted   = "as_started" // value of the operators' setting that restores the level given by the environment
 )
 
-// serve runs a controller. It returns only if the controller cannot listen or its public server ends;
-// the program ends with it, and with the program all goroutines that are started here.
+// serve runs a controller. It returns only if the controller cannot listen or its public server ends. The
+// program then exits, which ends all goroutines that are started here.
 func serve(ctx context.Context, settings *config.Settings, features *config.Features) error {
 	limitRuntime(settings)
 	level := &slog.LevelVar{}
@@ -43,7 +42,7 @@
 	limits.ViewReaders = features.View.Readers
 	go func() {
 		if err := transport.NewAdminServer(core, limits).Serve(adminListener); err != nil {
-			log.Error("administration server ended", "err", err)
+			log.Error("administration server stopped serving", "err", err)
 		}
 	}()
 	log.Info("started", "version", version, "public", settings.PublicAddr)
@@ -53,7 +52,7 @@
 	return nil
 }
 
-// openListeners opens the two addresses of a controller. Errors name the setting.
+// openListeners opens the listeners of a controller's public and peer addresses. Errors name the setting.
 func openListeners(ctx context.Context, settings *config.Settings) (public, peer net.Listener, err error) {
 	var listenConfig net.ListenConfig
 	if public, err = listenConfig.Listen(ctx, "tcp4", settings.PublicAddr); err != nil {
@@ -65,7 +64,8 @@
 	return public, peer, nil
 }
 
-// newController makes the controller and connects it with state service, cloud, workers and log level.
+// newController returns a controller that is connected to the state service, the cloud and the workers, and
+// whose log level follows the operators' setting.
 func newController(settings *config.Settings, features *config.Features, level *slog.LevelVar, log *slog.Logger) *controller.Controller {
 	state, cloud := transport.NewState(settings), transport.NewCloud(settings)
 	core := controller.New(settings, state, cloud, transport.NewWorkers(), log, controller.DefaultTiming())
@@ -82,7 +82,7 @@
 	return core
 }
 
-// logLevel reads a level's name; what is no level counts as error.
+// logLevel returns the level with the given name, and slog.LevelError for any other name.
 func logLevel(name string) slog.Level {
 	switch name {
 	case "debug":
@@ -93,7 +93,7 @@
 	return slog.LevelError
 }
 
-// limitRuntime keeps the runtime within what one controller may use.
+// limitRuntime configures the Go runtime for the CPU and memory that the deployment grants to a controller.
 func limitRuntime(settings *config.Settings) {
 	if settings.Deployment.Resources.CPU <= 1 {
 		runtime.GOMAXPROCS(1)
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -15,7 +15,8 @@
 	"dykeledge/internal/wait"
 )
 
-// teamsSetCommand changes a team, conditional on what the controller says of it now.
+// teamsSetCommand returns the command that changes a team. The change is conditional on the version of the
+// team's entry that the command reads first.
 func (c *adminClient) teamsSetCommand() *cobra.Command {
 	return &cobra.Command{Use: "set TEAM NAME=VALUE...", Short: "Change a team's guarantee or limit: cpus, cpus_max, gpus, gpus_max", Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -42,13 +43,13 @@
 	return json.NewEncoder(out).Encode(changed)
 }
 
-// moveTimeout is how long a move waits for the lowered limit to count.
+// moveTimeout limits the time of a whole move, most of which is spent until the lowered limit is in force.
 const moveTimeout = 10 * time.Minute
 
-// inForcePollInterval is the time between two questions whether it counts.
+// inForcePollInterval is the time between two requests that check whether a lowered limit is in force.
 const inForcePollInterval = time.Second
 
-// teamsMoveCommand moves a part of a team's limit from one cell to another.
+// teamsMoveCommand returns the command that moves a part of a team's limit from one cell to another.
 func (c *adminClient) teamsMoveCommand() *cobra.Command {
 	var to string
 	var cpus float64
@@ -75,31 +76,32 @@
 	return command
 }
 
-// teamsAPI is what a move needs of a cell's administration API.
+// teamsAPI is the part of a cell's administration API that a move uses.
 type teamsAPI interface {
 	Team(name string) (controller.TeamView, error)
 	Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error)
 }
 
-// moveLimit moves CPUs of a team's limit from one cell to another: lowered and in force in the first, then raised in the second.
-// Each change is conditional on the version that was read, and is made once: one whose answer is lost is looked for, never
-// repeated. An error says what was done and what is left to do.
+// moveLimit moves CPUs of a team's limit from one cell to another. It lowers the limit in the first cell, waits until
+// that is in force, and only then raises it in the other, so that the limits in force never add up to more than before.
+// Each change is conditional on the version that was read, and is sent once: a change whose answer is lost is not
+// repeated. The error tells what was done and what is left to do.
 func moveLimit(ctx context.Context, from, to teamsAPI, team string, cpus float64, pollInterval time.Duration, out io.Writer) error {
 	destination, err := to.Team(team)
 	if err != nil {
-		return fmt.Errorf("nothing was changed: the other cell: %w", err)
+		return fmt.Errorf("nothing was changed: cannot read the team in the other cell: %w", err)
 	}
 	source, err := from.Team(team)
 	if err != nil {
-		return fmt.Errorf("nothing was changed: %w", err)
+		return fmt.Errorf("nothing was changed: cannot read the team in the first cell: %w", err)
 	}
 	if source.CpusMax <= cpus || destination.CpusMax <= 0 {
-		return fmt.Errorf("nothing was changed: limits are %g and %g CPUs, 0 is none: both need one, and the first more than %g", source.CpusMax, destination.CpusMax, cpus)
+		return fmt.Errorf("nothing was changed: the limits are %g CPUs in the first cell and %g in the other (0: no limit); both must be set, and the first must be above %g", source.CpusMax, destination.CpusMax, cpus)
 	}
-	progress := textout.New(out) // what cannot be told must not stop a move halfway
+	progress := textout.New(out) // write errors are ignored: they must not stop a move halfway
 	lowered, raised := source.CpusMax-cpus, destination.CpusMax+cpus
 	if _, err := from.Change(team, source.Version, limitChange(lowered)); err != nil {
-		return fmt.Errorf("it is not certain whether the limit was lowered to %g CPUs in the first cell, and it was not raised in the other: %w", lowered, err)
+		return fmt.Errorf("the limit may or may not have been lowered to %g CPUs in the first cell; it was not raised in the other: %w", lowered, err)
 	}
 	progress.Printf("lowered to %g CPUs in the first cell\n", lowered)
 	if err := awaitInForce(ctx, from, team, lowered, pollInterval); err != nil {
@@ -107,7 +109,7 @@
 	}
 	progress.Println("in force there")
 	if _, err := to.Change(team, destination.Version, limitChange(raised)); err != nil {
-		return fmt.Errorf("the limit is %g CPUs in the first cell; it is not certain whether it was raised to %g in the other: look, and raise it if not: %w", lowered, raised, err)
+		return fmt.Errorf("the limit is %g CPUs in the first cell; it may or may not have been raised to %g in the other: check it there, and raise it if it was not: %w", lowered, raised, err)
 	}
 	progress.Printf("raised to %g CPUs in the other cell\n", raised)
 	return nil
@@ -117,10 +119,10 @@
 	return json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpus))
 }
 
-// errTeamChanged says that somebody else has changed the team meanwhile.
-var errTeamChanged = errors.New("somebody else has changed the team meanwhile")
+// errTeamChanged is returned if the limit read during a move is not the one that the move set.
+var errTeamChanged = errors.New("the team's limit was changed by another request during the move")
 
-// awaitInForce waits until a lowered limit is in force in a cell.
+// awaitInForce waits until the limit cpusMax is in force in a cell. Failed requests are retried until ctx ends.
 func awaitInForce(ctx context.Context, cell teamsAPI, team string, cpusMax float64, pollInterval time.Duration) error {
 	for {
 		current, err := cell.Team(team)
