--- a/cmd/dykectl/config.go
+++ b/cmd/dykectl/config.go
@@ -30,7 +30,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() }}
 	command.AddCommand(&cobra.Command{Use: "check [FILE]", Short: "Check a configuration file and exit", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			path, err := a.configPath()
+			path, err := a.configFilePath()
 			if err != nil {
 				return err
 			}
@@ -63,7 +63,7 @@
 			return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			path, err := a.configPath()
+			path, err := a.configFilePath()
 			if err != nil {
 				return err
 			}
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -16,8 +16,8 @@
 
 // loadOptions holds the flags of the load command.
 type loadOptions struct {
-	seed                       uint64 // 0: a random seed
-	drainTimeout, pollInterval time.Duration
+	seed                             uint64 // 0: a random seed
+	drainTimeout, statusPollInterval time.Duration
 }
 
 func (a *app) loadCommand() *cobra.Command {
@@ -37,7 +37,7 @@
 	}
 	command.Flags().Uint64Var(&options.seed, "seed", 0, "the same seed draws the same jobs (default: another each time)")
 	command.Flags().DurationVar(&options.drainTimeout, "drain", 2*time.Minute, "how long to wait for open jobs after the last one has come")
-	command.Flags().DurationVar(&options.pollInterval, "poll", 5*time.Second, "about how often each job's user asks for it")
+	command.Flags().DurationVar(&options.statusPollInterval, "poll", 5*time.Second, "about how often each job's user asks for it")
 	return command
 }
 
@@ -58,7 +58,7 @@
 	}
 	a.log.Info("load run started", "jobs", len(plan), "seed", seed)
 	users := client.New(cluster.Users)
-	runner := &loadgen.Runner{To: users, PollEvery: options.pollInterval}
+	runner := &loadgen.Runner{To: users, PollEvery: options.statusPollInterval}
 	users.Retried = runner.Retried
 	if cluster.Uploads != "" {
 		runner.Upload = client.New(cluster.Uploads).Upload
--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// configPath returns the path of the configuration file.
-func (a *app) configPath() (string, error) {
+// configFilePath returns the path of the configuration file.
+func (a *app) configFilePath() (string, error) {
 	if a.configFlag != "" {
 		return a.configFlag, nil
 	}
@@ -139,7 +139,7 @@
 
 // loadConfig reads the configuration file.
 func (a *app) loadConfig() (*contexts.File, error) {
-	p, err := a.configPath()
+	p, err := a.configFilePath()
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -26,13 +26,13 @@
 // testProgram runs the program for a test, with a configuration file.
 type testProgram struct {
 	t          *testing.T
-	configPath string
+	configFile string
 }
 
 // command is the program with arguments, which is killed if it still runs when the test is over.
 func (p testProgram) command(args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(p.t.Context(), os.Args[0], args...)
-	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.configPath)
+	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.configFile)
 	return cmd
 }
 
@@ -48,7 +48,7 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
-func TestExitCodesAndMessages(t *testing.T) {
+func TestExitCodesAndOutput(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -177,13 +177,13 @@
 		defer func() { err = errors.Join(err, file.Close()) }()
 		out = file
 	}
-	var bad []error
+	var problems []error
 	for _, p := range points {
 		if p != nil {
-			bad = append(bad, p.Write(out), p.Verdict())
+			problems = append(problems, p.Write(out), p.Verdict())
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(problems...)
 }
 
 // printPoints prints a table with a row for each cell that returned a point.
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -53,9 +53,9 @@
 	if err != nil || len(points) != 2 {
 		t.Fatalf("%d points, %v", len(points), err)
 	}
-	for _, x := range points {
-		if len(x.Controllers) != 3 || x.StateKeys == 0 || x.WorkerOutBps == 0 || x.ChangesMade == 0 {
-			t.Errorf("measured too little: %+v", x)
+	for _, point := range points {
+		if len(point.Controllers) != 3 || point.StateKeys == 0 || point.WorkerOutBps == 0 || point.ChangesMade == 0 {
+			t.Errorf("measured too little: %+v", point)
 		}
 	}
 	report, errs, code := dykectl.run("scale", "report", dir)
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -173,7 +173,7 @@
 	if name == "" {
 		name = "local"
 	}
-	path, err := a.configPath()
+	path, err := a.configFilePath()
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -157,8 +157,8 @@
 		case console.Evictions:
 			out.Items = append(out.Items, evictions[row.Key])
 		case console.Teams:
-			if x := state.Team(row.Key); x != nil {
-				out.Items = append(out.Items, x)
+			if team := state.Team(row.Key); team != nil {
+				out.Items = append(out.Items, team)
 			}
 		case console.Members:
 			for i := range state.Members {
@@ -182,7 +182,7 @@
 			if err != nil {
 				return err
 			}
-			if st, err := os.Stdout.Stat(); err != nil || st.Mode()&os.ModeCharDevice == 0 {
+			if stdoutInfo, err := os.Stdout.Stat(); err != nil || stdoutInfo.Mode()&os.ModeCharDevice == 0 {
 				return usageError(errors.New("the console needs a terminal: use dykectl show in scripts"))
 			}
 			if plain {
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -125,7 +125,7 @@
 	t.Fatalf("never: %s", what)
 }
 
-func TestExitCodesAndMessages(t *testing.T) {
+func TestExitCodesAndOutput(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("node_name = \"x\"\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/dykeledge/teams_test.go
+++ b/cmd/dykeledge/teams_test.go
@@ -23,7 +23,7 @@
 	cancelMove   context.CancelFunc
 }
 
-var errAnswerLost = errors.New("the answer is lost")
+var errCallLost = errors.New("the answer is lost")
 
 // drawFault draws what befalls a call: nothing, a lost request, a lost answer, or the end of the one who moves.
 func (c *modelCell) drawFault() string {
@@ -37,10 +37,10 @@
 func (c *modelCell) Team(string) (controller.TeamView, error) {
 	switch c.drawFault() {
 	case "request lost", "answer lost":
-		return controller.TeamView{}, errAnswerLost
+		return controller.TeamView{}, errCallLost
 	case "ends":
 		c.cancelMove()
-		return controller.TeamView{}, errAnswerLost
+		return controller.TeamView{}, errCallLost
 	}
 	if c.view.State == controller.TeamLowering && rapid.Bool().Draw(c.t, "kept") {
 		c.limitInForce, c.view.State = c.view.CpusMax, controller.TeamInForce
@@ -52,7 +52,7 @@
 func (c *modelCell) Change(_ string, version uint64, change json.RawMessage) (controller.TeamView, error) {
 	event := c.drawFault()
 	if event == "request lost" {
-		return controller.TeamView{}, errAnswerLost
+		return controller.TeamView{}, errCallLost
 	}
 	if version != c.view.Version {
 		return controller.TeamView{}, controller.ErrVersionConflict
@@ -71,7 +71,7 @@
 	}
 	c.checkTotal()
 	if event != "" {
-		return controller.TeamView{}, errAnswerLost
+		return controller.TeamView{}, errCallLost
 	}
 	return c.view, nil
 }
