--- a/cmd/dykectl/golden_test.go
+++ b/cmd/dykectl/golden_test.go
@@ -7,12 +7,13 @@
 	"dykeledge/internal/commandtest"
 )
 
-// TestGoldenHelp pins the help of every command with its flags, defaults and usage.
+// TestGoldenHelp compares the help of every command, with its flags, defaults and usage, with golden files.
 func TestGoldenHelp(t *testing.T) {
 	commandtest.CheckHelp(t, invoke)
 }
 
-// TestGoldenUsageErrors pins exit codes and messages of wrong use, and the help of a hidden command.
+// TestGoldenUsageErrors compares the exit codes and messages of usage errors, and the help of the hidden scale
+// cell command, with golden files.
 func TestGoldenUsageErrors(t *testing.T) {
 	commandtest.CheckWrongUse(t, invoke, []commandtest.WrongUse{
 		{Name: "unknown-command", Args: []string{"fly"}},
@@ -25,7 +26,7 @@
 	})
 }
 
-// invoke runs the program and returns what it prints and its exit code.
+// invoke runs the program without a configuration file and returns its output and exit code as one text.
 func invoke(t *testing.T, args ...string) string {
 	t.Helper()
 	out, errs, code := testProgram{t, "missing.toml"}.run(args...)
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -16,8 +16,8 @@
 
 // loadOptions holds the flags of the load command.
 type loadOptions struct {
-	seed                             uint64 // 0: a random seed
-	drainTimeout, statusPollInterval time.Duration
+	seed                             uint64        // 0: a random seed
+	drainTimeout, statusPollInterval time.Duration // how long to wait for open jobs at the end; between status requests for a job
 }
 
 func (a *app) loadCommand() *cobra.Command {
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -15,7 +15,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestMain lets the test binary be the program, so that tests start real processes.
+// TestMain runs the program instead of the tests if DYKECTL_AS_PROGRAM is set, so that tests can start the
+// program as a process of the test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("DYKECTL_AS_PROGRAM") == "1" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -23,20 +24,21 @@
 	os.Exit(m.Run())
 }
 
-// testProgram runs the program for a test, with a configuration file.
+// testProgram runs dykectl with a configuration file for a test.
 type testProgram struct {
 	t          *testing.T
 	configFile string
 }
 
-// command is the program with arguments, which is killed if it still runs when the test is over.
+// command returns a command that runs dykectl with arguments. The process is killed if it still runs when the
+// test ends.
 func (p testProgram) command(args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(p.t.Context(), os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "DYKECTL_AS_PROGRAM=1", "DYKECTL_CONFIG="+p.configFile)
 	return cmd
 }
 
-// run runs the program with arguments to its end.
+// run runs dykectl with arguments until it exits, and returns its output and exit code.
 func (p testProgram) run(args ...string) (out, errs string, code int) {
 	p.t.Helper()
 	cmd := p.command(args...)
@@ -48,6 +50,8 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
+// TestExitCodesAndOutput checks the exit codes of commands and a part of their output. A failed command prints
+// exactly one line to standard error, a successful one none.
 func TestExitCodesAndOutput(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -63,7 +67,7 @@
 		conf string
 		args string
 		code int
-		want string // in either output
+		want string // in standard output or standard error
 	}{
 		{"", "version", 0, "dykectl"},
 		{"", "--help", 0, "Exit codes"},
@@ -107,7 +111,7 @@
 	}
 }
 
-// lockedBuffer is what a running program has written; it may be read meanwhile.
+// lockedBuffer collects the output of a running program and can be read while the program writes.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -125,8 +129,8 @@
 	return b.text.String()
 }
 
-// TestClusterOnOneMachine does what a newcomer would: a cluster with faults, jobs, a load, the
-// view, a report, and the end of it all.
+// TestClusterOnOneMachine runs a local cluster with injected faults and uses it as a new user would: it submits
+// jobs, runs a load, shows the view, makes a report and ends the cluster.
 func TestClusterOnOneMachine(t *testing.T) {
 	dir := t.TempDir()
 	controller := filepath.Join(dir, "dykeledge")
@@ -149,23 +153,24 @@
 	t.Cleanup(func() { _ = command.Process.Kill(); <-over })
 	eventually := func(what string, f func() bool) {
 		t.Helper()
-		for range 600 { // only a bound: a slow machine takes longer, not another way
+		for range 600 { // only an upper bound, so that slow machines pass: 600 tries, 100 ms apart
 			if f() {
 				return
 			}
 			select {
 			case <-over:
-				t.Fatalf("%s: the cluster has ended: %s %s", what, upOut.String(), upErr.String())
+				t.Fatalf("condition not met: %s: the cluster has ended: %s %s", what, upOut.String(), upErr.String())
 			case <-time.After(100 * time.Millisecond):
 			}
 		}
-		t.Fatalf("never: %s", what)
+		t.Fatalf("condition not met in time: %s", what)
 	}
-	eventually("a context", func() bool { out, _, _ := dykectl.run("config", "contexts"); return strings.Contains(out, "local") })
-	// A controller lists no job that ended before its own process had read the records, and n1 is asked
-	// first: it was chance whether it listed a job that was done before its crash.
+	eventually("the configuration file has the cluster's context", func() bool { out, _, _ := dykectl.run("config", "contexts"); return strings.Contains(out, "local") })
+	// A controller does not list jobs that ended before its process had read the records, and n1 is the first
+	// that is asked. Without waiting for its crash and restart, it would depend on timing whether n1 lists a
+	// job that was done before the crash.
 	eventually("n1 has crashed", func() bool { return strings.Contains(upErr.String(), "controller=n1 asked=true") })
-	eventually("n1 answers again", func() bool {
+	eventually("n1 answers after its restart", func() bool {
 		out, _, code := dykectl.run("show", "nodes", "-o", "json")
 		var head struct{ Node string }
 		return code == 0 && json.Unmarshal([]byte(out), &head) == nil && head.Node == "n1"
@@ -173,19 +178,19 @@
 
 	out, errs, code := dykectl.run("submit", "--id", "job-000412", "--team", "red", "--class", "train", "--tasks", "4", "--estimate", "8s", "--due", "5m", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") {
-		t.Fatalf("submit: %d %s %s", code, out, errs)
+		t.Fatalf("submit: exit code %d, output %s, errors %s", code, out, errs)
 	}
 	if out, errs, code = dykectl.run("submit", "--team", "blue", "--after", "job-000412", "--estimate", "2s"); code != 0 {
-		t.Errorf("a pipeline: %d %s %s", code, out, errs)
+		t.Errorf("submitting a job with a dependency: exit code %d, output %s, errors %s", code, out, errs)
 	}
 	if _, errs, code := dykectl.run("submit", "--team", "grey"); code != 1 || !strings.Contains(errs, "unknown team") {
-		t.Errorf("an unknown team: %d %s", code, errs)
+		t.Errorf("submitting for an unknown team: exit code %d, errors %s", code, errs)
 	}
 	if out, errs, code = dykectl.run("submit", "--id", "job-000413", "--team", "green", "--tasks", "2", "--service"); code != 0 {
-		t.Errorf("a service: %d %s %s", code, out, errs)
+		t.Errorf("submitting a service: exit code %d, output %s, errors %s", code, out, errs)
 	}
 	if _, errs, code := dykectl.run("status", "job-000414"); code != 1 || !strings.Contains(errs, "no such job") {
-		t.Errorf("a job of nobody: %d %s", code, errs)
+		t.Errorf("status of a job that was never submitted: exit code %d, errors %s", code, errs)
 	}
 	profile := filepath.Join(dir, "load.toml")
 	if err := os.WriteFile(profile, []byte("for_s = 8\n[[stream]]\nteam = \"guest\"\nper_minute = 300\ncpus = [0.5, 1]\nrun_s = [2, 8]\n[[stream]]\nteam = \"red\"\npriority = \"high\"\nper_minute = 60\nrun_s = [4]\ndue_in = 50\ncancel_part = 0.3\n"), 0o600); err != nil {
@@ -194,7 +199,7 @@
 	out, errs, code = dykectl.run("load", profile, "--seed", "3", "--poll", "1s", "-o", "json")
 	var res struct{ Jobs, Accepted, Done, Cancelled, Open int }
 	if err := json.Unmarshal([]byte(out), &res); err != nil || code != 0 || res.Accepted != res.Jobs || res.Done+res.Cancelled != res.Jobs || res.Jobs < 20 {
-		t.Errorf("load: %d %s %s %v", code, out, errs, err)
+		t.Errorf("load: exit code %d, output %s, errors %s, decoding %v", code, out, errs, err)
 	}
 	eventually("done", func() bool {
 		out, _, code := dykectl.run("status", "job-000412", "-o", "json")
@@ -209,22 +214,22 @@
 	}
 	out, _, code = dykectl.run("show", "finished", "--team", "red", "-o", "json")
 	if code != 0 || !strings.Contains(out, "job-000412") || strings.Contains(out, "guest") || strings.Contains(out, "job-000413") {
-		t.Errorf("a team's view: %d %s", code, out)
+		t.Errorf("view of team red: exit code %d, output %s", code, out)
 	}
 	if _, errs, code := dykectl.run("show", "teams", "--team", "nobody"); code != 1 || !strings.Contains(errs, "no such team") {
-		t.Errorf("a team of nobody: %d %s", code, errs)
+		t.Errorf("view of an unknown team: exit code %d, errors %s", code, errs)
 	}
 	if out, errs, code = dykectl.run("cancel", "job-000413"); code != 0 || !strings.Contains(out, "cancelled") {
-		t.Errorf("cancel: %d %s %s", code, out, errs)
+		t.Errorf("cancel: exit code %d, output %s, errors %s", code, out, errs)
 	}
 	page := filepath.Join(dir, "page.html")
-	eventually("a report", func() bool {
+	eventually("a report has the jobs of team red", func() bool {
 		out, _, code := dykectl.run("report", "--team", "red", "--file", page)
 		raw, err := os.ReadFile(page)
 		return code == 0 && err == nil && strings.Contains(string(raw), "Team red") && !strings.Contains(string(raw), "guest") && !strings.Contains(out, " 0 jobs")
 	})
 	if _, errs, code := dykectl.run("up", "--controller", controller); code != 2 || !strings.Contains(errs, "--context") {
-		t.Errorf("a second cluster of the name: %d %s", code, errs)
+		t.Errorf("starting a second cluster of the same name: exit code %d, errors %s", code, errs)
 	}
 	if err := command.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
@@ -232,18 +237,18 @@
 	select {
 	case <-over:
 	case <-time.After(time.Minute):
-		t.Fatal("it does not end")
+		t.Fatal("dykectl up did not end within a minute of the interrupt")
 	}
 	if code := command.ProcessState.ExitCode(); code != 0 || !strings.Contains(upOut.String(), "tasks started") {
-		t.Errorf("exit %d\n%s\n%s", code, upOut.String(), upErr.String())
+		t.Errorf("up: exit code %d\n%s\n%s", code, upOut.String(), upErr.String())
 	}
 	if !strings.Contains(upErr.String(), "asked=true") {
-		t.Error("no controller was crashed")
+		t.Error("no controller was crashed by the injected fault")
 	}
 	if out, _, _ := dykectl.run("config", "contexts"); strings.Contains(out, "local") {
-		t.Error("the context of an ended cluster is left")
+		t.Error("the context of the ended cluster is still in the configuration file")
 	}
 	if found, _ := exec.CommandContext(t.Context(), "pgrep", "-f", controller).Output(); len(found) > 0 {
-		t.Errorf("processes are left: %s", found)
+		t.Errorf("controller processes still run after the end of the cluster: %s", found)
 	}
 }
--- a/cmd/dykectl/scale_test.go
+++ b/cmd/dykectl/scale_test.go
@@ -10,6 +10,7 @@
 	"dykeledge/internal/scaletest"
 )
 
+// smallProfile is a scale test profile of two regions, small enough for a test.
 const smallProfile = `workers = 60
 running_tasks = 300
 starts_per_s = 40.0
@@ -31,9 +32,9 @@
 zones = 2
 `
 
-// TestScaleRun plays two regions with real controllers through a group, a switch and a zone that are lost, ends of
-// controllers, and changes of teams' limits. Its verdict is that of the command: broken rules, controllers that end by themselves, nothing
-// started; no time decides it.
+// TestScaleRun runs a scale test of two regions with real controllers while a machine group, a switch and a zone fail,
+// controllers are ended, and teams' limits change. It fails if the command does: if a rule of the protocol is violated,
+// a controller exits unexpectedly, or no task is started. No measured time decides the result.
 func TestScaleRun(t *testing.T) {
 	dir := t.TempDir()
 	program, profile, out := filepath.Join(dir, "dykeledge"), filepath.Join(dir, "small.toml"), filepath.Join(dir, "points.jsonl")
@@ -55,7 +56,7 @@
 	}
 	for _, point := range points {
 		if len(point.Controllers) != 3 || point.StateKeys == 0 || point.WorkerOutBps == 0 || point.ChangesMade == 0 {
-			t.Errorf("measured too little: %+v", point)
+			t.Errorf("point lacks controllers, state keys, worker traffic or team changes: %+v", point)
 		}
 	}
 	report, errs, code := dykectl.run("scale", "report", dir)
@@ -64,6 +65,8 @@
 	}
 }
 
+// TestScaleUsageErrors checks that invalid flags and arguments of the scale commands end with the exit code of a
+// usage error and one line that names the cause.
 func TestScaleUsageErrors(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -19,7 +19,8 @@
 	"dykeledge/internal/simulator"
 )
 
-// TestMain lets the test binary be the program, so that tests start real processes.
+// TestMain runs the program instead of the tests if DYKELEDGE_AS_PROGRAM is set, so that tests can start the
+// program as a process of the test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("DYKELEDGE_AS_PROGRAM") == "1" {
 		os.Exit(run(os.Args[1:]))
@@ -27,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// runProgram runs the program with arguments to its end.
+// runProgram runs dykeledge with arguments until it exits, and returns its output and exit code.
 func runProgram(t *testing.T, args ...string) (out, errs string, code int) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], args...)
@@ -41,10 +42,11 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
+// listen returns a listener on a free port of a random loopback address.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	// An address of its own: a connection that anybody opens from 127.0.0.1 could take a
-	// port between its choice and the controller that is to listen there.
+	// The address is not 127.0.0.1: an outgoing connection from 127.0.0.1 could take the port after it was
+	// chosen and before the controller listens there.
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250)))
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +55,8 @@
 	return ln
 }
 
-// request sends one HTTP request; a body is JSON. The status is 0 if no answer came.
+// request sends one HTTP request and returns the status and the body of the answer. A body that is sent is
+// JSON. The status is 0 if there was no answer.
 func request(t *testing.T, method, url, body string) (status int, answer string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -67,11 +70,13 @@
 	if err != nil {
 		return 0, ""
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end
-	raw, _ := io.ReadAll(response.Body)          // an answer that breaks off fails the comparison
+	defer func() { _ = response.Body.Close() }() // an error does not matter: the body has been read
+	raw, _ := io.ReadAll(response.Body)          // a truncated answer fails the caller's comparison
 	return response.StatusCode, string(raw)
 }
 
+// writeSettings writes the settings file of controller i, which is one of those listening on the given public
+// and peer addresses, and returns its path.
 func writeSettings(t *testing.T, i int, public, peer []string, state, cloud string) string {
 	t.Helper()
 	var b strings.Builder
@@ -114,17 +119,20 @@
 	return path
 }
 
+// eventually waits until f returns true. It fails the test after 600 tries, 100 ms apart.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for range 600 { // only a bound: a slow machine takes longer, not another way
+	for range 600 { // only an upper bound, so that slow machines pass
 		if f() {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("condition not met in time: %s", what)
 }
 
+// TestExitCodesAndOutput checks the exit codes of commands and a part of their output. A failed command prints
+// exactly one line to standard error, a successful one none.
 func TestExitCodesAndOutput(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("node_name = \"x\"\n"), 0o600); err != nil {
@@ -133,7 +141,7 @@
 	for _, test := range []struct {
 		args []string
 		code int
-		want string // in either output
+		want string // in standard output or standard error
 	}{
 		{[]string{"version"}, 0, "dykeledge"},
 		{[]string{"--help"}, 0, "--config"},
@@ -156,7 +164,8 @@
 	}
 }
 
-// TestThreeControllerProcesses runs the operators' commands against three real controllers.
+// TestThreeControllerProcesses starts three controllers as processes, submits jobs with dependencies to them,
+// and runs the operators' commands against them.
 func TestThreeControllerProcesses(t *testing.T) {
 	public, peer := startControllers(t)
 	awaitControllers(t, public, peer)
@@ -164,15 +173,16 @@
 		status, _ := request(t, http.MethodPost, "http://"+public[0]+"/v2/runs", submission)
 		return status == 201 || status == 200
 	})
-	t.Run("pipeline", func(t *testing.T) { checkDependencies(t, public) })
+	t.Run("dependencies", func(t *testing.T) { checkDependencies(t, public) })
 	t.Run("commands", func(t *testing.T) { checkCommands(t, peer) })
 }
 
-// startControllers starts three controllers with a state service and a cloud without machines, and returns their addresses.
+// startControllers starts three controllers, a state service and a cloud without capacity, and returns the
+// controllers' addresses.
 func startControllers(t *testing.T) (public, peer []string) {
 	t.Helper()
 	state, cloud := listen(t), listen(t)
-	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // ends with its listener
+	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // returns when its listener is closed
 	simulation := simulator.NewSimulation(t.Context(), &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
 	simulation.CapacityOf = 0
 	simulation.Catalog.Types[0].Cpus = 8
@@ -181,7 +191,7 @@
 		for _, list := range []*[]string{&public, &peer} {
 			ln := listen(t)
 			*list = append(*list, ln.Addr().String())
-			_ = ln.Close() // the controller listens there next
+			_ = ln.Close() // freed for the controller
 		}
 	}
 	for i := range 3 {
@@ -195,7 +205,8 @@
 	return public, peer
 }
 
-// awaitControllers waits until three controllers are ready, and checks which address serves what.
+// awaitControllers waits until three controllers are ready. It checks that the administration API is not served
+// on the public address, and that the metrics are served on the peer address.
 func awaitControllers(t *testing.T, public, peer []string) {
 	t.Helper()
 	get := func(url string) int {
@@ -205,27 +216,28 @@
 	for i := range 3 {
 		eventually(t, "ready", func() bool { return get("http://"+public[i]+"/ready") == 200 })
 		if s := get("http://" + public[i] + "/admin/v1/settings"); s != 404 {
-			t.Errorf("the administration API is on public_addr: %d", s)
+			t.Errorf("administration API on public_addr: status %d, want 404", s)
 		}
 		if s := get("http://" + peer[i] + "/metrics"); s != 200 {
-			t.Errorf("metrics: %d", s)
+			t.Errorf("metrics on peer_listen: status %d, want 200", s)
 		}
 	}
 }
 
-// submission is a job that needs no machine to be accepted.
+// submission is a job that is accepted although there is no machine to run it.
 const submission = `{"id":"job-000412","jobclass":"train","crew":"red","shape":"batch","urgency":"high","shards":2,"cpus":8.0,"accelerators":0.0,
 		"ramGb":4.0,"kit":"i","pullGb":1.0,"together":false,"scatter":false,"loaners":true,"expectedS":9.0,"markEveryS":0.0,"markCostS":0.0}`
 
-// checkDependencies submits jobs that await others. A pipeline is as the README describes it: once all three
-// controllers have shown the new layout it is accepted, on any of them, and what names a job that nobody accepted is not.
+// checkDependencies submits jobs with dependencies, as the README describes them. Once all three controllers have
+// shown that they support the record layout this needs, any of them accepts such a job. A job that depends on one
+// that was never accepted is rejected.
 func checkDependencies(t *testing.T, public []string) {
 	t.Helper()
 	post := func(address, id, awaits string) (status int, answer string) {
 		body := strings.Replace(strings.Replace(submission, "job-000412", id, 1), `"markCostS":0.0`, `"markCostS":0.0,"awaits":`+awaits, 1)
 		return request(t, http.MethodPost, "http://"+address+"/v2/runs", body)
 	}
-	eventually(t, "a pipeline is accepted", func() bool {
+	eventually(t, "a job with a dependency is accepted", func() bool {
 		status, _ := post(public[1], "job-000413", `["job-000412"]`)
 		return status == 201 || status == 200
 	})
@@ -250,19 +262,19 @@
 			return status != 503 && status != 0
 		})
 		if status != test.status && (test.status != 201 || status != 200) || !strings.Contains(answer, test.want) {
-			t.Errorf("%s awaits %s: %d %s", test.id, test.awaits, status, answer)
+			t.Errorf("%s awaits %s: status %d, answer %s", test.id, test.awaits, status, answer)
 		}
 	}
 }
 
-// checkCommands runs the operators' commands against any of the controllers.
+// checkCommands checks the operators' commands against each of the controllers.
 func checkCommands(t *testing.T, peer []string) {
 	t.Helper()
 	if out, errs, code := runProgram(t, "settings", "set", "alpha=0.5", "--node", peer[0]); code != 0 || !strings.Contains(out, "0.5") {
-		t.Fatalf("set: %d %s %s", code, out, errs)
+		t.Fatalf("settings set: exit code %d, output %s, errors %s", code, out, errs)
 	}
 	if _, errs, code := runProgram(t, "settings", "set", "alpha=7", "--node", peer[1]); code != 1 || !strings.Contains(errs, "alpha") {
-		t.Errorf("out of range: %d %s", code, errs)
+		t.Errorf("setting out of range: exit code %d, errors %s", code, errs)
 	}
 	for _, c := range []struct{ command, want string }{
 		{"settings get", "0.5"}, {"nodes", "n-2"}, {"shares", "red"}, {"machines", "NAME"}, {"evictions", "VICTIMS"}, {"jobs", "job-000412"},
@@ -272,7 +284,7 @@
 			return code == 0 && strings.Contains(out, c.want)
 		})
 		if out, _, code := runProgram(t, append(strings.Fields(c.command), "--node", peer[1], "--output", "json")...); code != 0 || !strings.HasPrefix(out, "{") {
-			t.Errorf("%s as json: %d %s", c.command, code, out)
+			t.Errorf("%s as JSON: exit code %d, output %s", c.command, code, out)
 		}
 	}
 }
--- a/cmd/dykeledge/serve.go
+++ b/cmd/dykeledge/serve.go
@@ -16,7 +16,7 @@
 
 const (
 	memoryLimitFraction = 0.6 // of the memory that the deployment grants to a controller; soft limit of the Go runtime
-	gcPercent           = 200 // as GOGC
+	gcPercent           = 200 // as of GOGC: the heap may grow by 200 % between two collections
 	bytesPerMB          = 1 << 20
 	logLevelVariable    = "LOG_LEVEL"
 	logLevelAsStarted   = "as_started" // value of the operators' setting that restores the level given by the environment
--- a/cmd/dykeledge/teams_test.go
+++ b/cmd/dykeledge/teams_test.go
@@ -12,24 +12,26 @@
 	"dykeledge/internal/controller"
 )
 
-// modelCell is a cell whose answers and whose evictions go as they are drawn. counts is the limit that counts in it.
+// modelCell is a model of a cell's administration API. Lost requests, lost answers and the time at which a
+// lowered limit comes into force are drawn at random.
 type modelCell struct {
 	t            *rapid.T
-	name         string
-	view         controller.TeamView
-	limitInForce float64
-	checkTotal   func()
-	calls        int
-	cancelMove   context.CancelFunc
+	name         string              // label of its draws
+	view         controller.TeamView // the team's entry as the API returns it
+	limitInForce float64             // in CPUs
+	checkTotal   func()              // called after each change of limitInForce
+	calls        int                 // in the current move
+	cancelMove   context.CancelFunc  // cancels the context of the current move
 }
 
-var errCallLost = errors.New("the answer is lost")
+var errCallLost = errors.New("request or answer lost")
 
-// drawFault draws what befalls a call: nothing, a lost request, a lost answer, or the end of the one who moves.
+// drawFault draws the fault of a call: none, a lost request, a lost answer, or "ends": the move is cancelled
+// (in Change, "ends" has the effect of a lost answer). After 40 calls of a cell in a move there are no more faults.
 func (c *modelCell) drawFault() string {
 	c.calls++
 	if c.calls > 40 {
-		return "" // a run of losses ends
+		return "" // so that a sequence of lost answers ends
 	}
 	return rapid.SampledFrom([]string{"", "", "", "request lost", "answer lost", "ends"}).Draw(c.t, c.name)
 }
@@ -42,7 +44,7 @@
 		c.cancelMove()
 		return controller.TeamView{}, errCallLost
 	}
-	if c.view.State == controller.TeamLowering && rapid.Bool().Draw(c.t, "kept") {
+	if c.view.State == controller.TeamLowering && rapid.Bool().Draw(c.t, "lowered limit in force") {
 		c.limitInForce, c.view.State = c.view.CpusMax, controller.TeamInForce
 		c.checkTotal()
 	}
@@ -76,8 +78,9 @@
 	return c.view, nil
 }
 
-// TestMoveLimitKeepsTotal moves parts of a limit between two cells, any number of times and both ways, while requests and answers
-// get lost and moves end at any step: the limits that count in the cells add up to no more than the total at any time.
+// TestMoveLimitKeepsTotal moves parts of a limit between two cells, several times and in both directions, while requests and
+// answers are lost and moves are cancelled at any step. The limits in force in the cells must never add up to more than the
+// total.
 func TestMoveLimitKeepsTotal(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const total = 100.0
@@ -87,13 +90,13 @@
 			c.view.CpusMax = c.limitInForce
 			c.checkTotal = func() {
 				if first.limitInForce+second.limitInForce > total {
-					rt.Fatalf("limits of %g and %g count", first.limitInForce, second.limitInForce)
+					rt.Fatalf("limits of %g and %g CPUs are in force, together above the total", first.limitInForce, second.limitInForce)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 6).Draw(rt, "moves") {
 			from, to := first, second
-			if rapid.Bool().Draw(rt, "back") {
+			if rapid.Bool().Draw(rt, "reverse direction") {
 				from, to = second, first
 			}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -101,9 +104,10 @@
 			cpus, before := float64(rapid.IntRange(1, 50).Draw(rt, "cpus")), [2]float64{from.view.CpusMax, to.view.CpusMax}
 			err := moveLimit(ctx, from, to, "red", cpus, 0, io.Discard)
 			cancel()
-			// The other cell's limit may still be being lowered by an earlier move that ended: then it is lowered less.
+			// The destination's limit may still be being lowered by an earlier move that was cancelled. The raise then
+			// only lowers it by less, so its limit in force is not checked.
 			if err == nil && (from.view.State != controller.TeamInForce || from.limitInForce != before[0]-cpus || to.view.CpusMax != before[1]+cpus) {
-				rt.Fatalf("moved %g, but from %v to limits of %g (%s) and %g", cpus, before, from.limitInForce, from.view.State, to.view.CpusMax)
+				rt.Fatalf("moved %g CPUs from limits %v, got %g in force (%s) in the source and limit %g in the destination", cpus, before, from.limitInForce, from.view.State, to.view.CpusMax)
 			}
 		}
 	})
