--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -55,7 +55,7 @@
 	estimate, checkpoint, checkpointCost, deadline time.Duration
 	actualRunTime                                  time.Duration // on a local cluster: how long each task runs; 0: its estimate
 	alwaysFails                                    bool          // on a local cluster: tasks fail on every machine
-	wait                                           bool
+	wait                                           bool          // until the job has a final status
 }
 
 // submitPollInterval is the time between two status requests of submit --wait.
@@ -76,6 +76,7 @@
 	return command
 }
 
+// addFlags defines the flags of the submit command.
 func (o *submitOptions) addFlags(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVarP(&o.file, "file", "f", "", "submit what this `FILE` holds, as JSON; the other flags are not used")
--- a/cmd/dykectl/main_test.go
+++ b/cmd/dykectl/main_test.go
@@ -117,12 +117,14 @@
 	text bytes.Buffer
 }
 
+// Write appends data to the buffer.
 func (b *lockedBuffer) Write(data []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(data)
 }
 
+// String returns all that was written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -49,10 +49,10 @@
 
 // scaleOptions holds the flags of the scale run command.
 type scaleOptions struct {
-	profile, cut, fraction             string
+	profile, cut, fraction             string // profile is the path of a file; "": the default profile
 	regions                            string
 	controllerProgram, dir, pointsFile string
-	runName, commit                    string
+	runName, commit                    string // stored in the points
 	seed                               uint64
 	warmUp, measure                    time.Duration
 }
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -31,7 +31,7 @@
 // upOptions holds the flags of the up command.
 type upOptions struct {
 	controllerProgram, featuresFile, dir, faultsFile string
-	duration                                         time.Duration
+	duration                                         time.Duration // 0: until interrupted
 	machines                                         int
 	seed                                             uint64
 	speed                                            float64
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -62,6 +62,7 @@
 	team  string // only this team; "": all teams
 }
 
+// command returns the cobra command, with --limit and --after if the list is paged.
 func (l *listCommand) command() *cobra.Command {
 	command := l.client.addFlags(&cobra.Command{Use: l.use, Short: l.short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.OutOrStdout()) }})
@@ -72,6 +73,7 @@
 	return command
 }
 
+// run requests the list and prints it.
 func (l *listCommand) run(out io.Writer) error {
 	if err := l.client.check(); err != nil {
 		return err
@@ -83,6 +85,7 @@
 	return l.client.printList(out, body, l.columns)
 }
 
+// query returns the query parameters of the request.
 func (l *listCommand) query() url.Values {
 	query := url.Values{}
 	if l.paged {
@@ -95,6 +98,7 @@
 	return query
 }
 
+// settingsCommand returns the command settings with its subcommands get and set.
 func (c *adminClient) settingsCommand() *cobra.Command {
 	command := &cobra.Command{Use: "settings", Short: "Read or change the operators' settings"}
 	command.AddCommand(
@@ -116,6 +120,7 @@
 	return c.printSettings(out, body)
 }
 
+// setSettings changes the settings that args name, as NAME=VALUE, and prints all settings.
 func (c *adminClient) setSettings(out io.Writer, args []string) error {
 	if err := c.check(); err != nil {
 		return err
@@ -229,6 +234,8 @@
 	return fmt.Sprint(value)
 }
 
+// elementText returns the text of one element of a list: an object is taken for a task with the fields j (job),
+// t (task) and x (score).
 func elementText(element any) string {
 	if task, ok := element.(map[string]any); ok {
 		return fmt.Sprintf("%v/%v(%v)", cellText(task["j"]), cellText(task["t"]), cellText(task["x"]))
--- a/cmd/dykeledge/admin_client.go
+++ b/cmd/dykeledge/admin_client.go
@@ -113,6 +113,7 @@
 	return c.callTeam(fasthttp.MethodPut, name, transport.TeamChange{Version: &version, Team: change})
 }
 
+// callTeam sends a request about one team and returns the team's entry from the answer.
 func (c *adminClient) callTeam(method, name string, in any) (controller.TeamView, error) {
 	body, err := c.call(method, "/teams/"+url.PathEscape(name), in)
 	if err != nil {
--- a/cmd/dykeledge/teams.go
+++ b/cmd/dykeledge/teams.go
@@ -24,6 +24,8 @@
 		}}
 }
 
+// setTeam changes the values that are given as NAME=VALUE, on condition of the version that it reads first, and
+// prints the changed entry as JSON.
 func (c *adminClient) setTeam(out io.Writer, name string, values []string) error {
 	if err := c.check(); err != nil {
 		return err
@@ -115,6 +117,7 @@
 	return nil
 }
 
+// limitChange returns the JSON of a change of the CPU limit.
 func limitChange(cpus float64) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"cpus_max":%g}`, cpus))
 }
--- a/cmd/dykeledge/teams_test.go
+++ b/cmd/dykeledge/teams_test.go
@@ -24,6 +24,7 @@
 	cancelMove   context.CancelFunc  // cancels the context of the current move
 }
 
+// errCallLost is returned to the caller after any drawn fault.
 var errCallLost = errors.New("request or answer lost")
 
 // drawFault draws the fault of a call: none, a lost request, a lost answer, or "ends": the move is cancelled
@@ -36,6 +37,7 @@
 	return rapid.SampledFrom([]string{"", "", "", "request lost", "answer lost", "ends"}).Draw(c.t, c.name)
 }
 
+// Team returns the entry. A limit that is being lowered may come into force first.
 func (c *modelCell) Team(string) (controller.TeamView, error) {
 	switch c.drawFault() {
 	case "request lost", "answer lost":
@@ -51,6 +53,8 @@
 	return c.view, nil
 }
 
+// Change changes the limit if version is that of the entry. A raised limit is in force at once, a lowered one
+// only after a later call of Team.
 func (c *modelCell) Change(_ string, version uint64, change json.RawMessage) (controller.TeamView, error) {
 	event := c.drawFault()
 	if event == "request lost" {
