--- a/cmd/dykectl/main.go
+++ b/cmd/dykectl/main.go
@@ -19,56 +19,57 @@
 	"dykeledge/internal/textout"
 )
 
-// version of the commands.
+// version is the version that dykectl version prints.
 const version = "0.1.0"
 
-// Exit codes, as dykeledge has them.
+// Exit codes, the same as those of dykeledge.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// Forms of output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// exitError is an error with the exit code that it ends the program with.
+// exitError is an error with the exit code that the program returns for it.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error is the text of the error itself.
+// Error returns the text of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// failed is the error of a command that was used rightly and did not succeed.
+// failed wraps the error of a command that was used correctly but did not succeed.
 func failed(err error) error { return &exitError{exitFailed, err} }
 
-// usage is the error of a command that was used wrongly.
-func usage(err error) error { return &exitError{exitUsage, err} }
+// usageError wraps an error in the arguments, the flags or the configuration file.
+func usageError(err error) error { return &exitError{exitUsage, err} }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// app is what all commands share.
+// app holds the flags and the log that all commands share.
 type app struct {
-	config  string // path of the configuration file, "" for the usual one
-	context string // name of a cluster, "" for the current one
-	output  string // outputTable or outputJSON
-	level   string // of the log
-	log     *slog.Logger
-	errs    io.Writer
+	configFlag  string // path of the configuration file; "": the default path
+	contextFlag string // name of a context; "": the current one
+	output      string // outputTable or outputJSON
+	logLevel    string // minimum level of the log
+	log         *slog.Logger
+	stderr      io.Writer
 }
 
-// run runs the program with its arguments and returns the exit code.
+// run executes the command that args name and returns the exit code. An error
+// without an exit code, such as one from parsing the command line, counts as a usage error.
 func run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	a := &app{errs: errs, log: slog.New(slog.DiscardHandler)}
+	a := &app{stderr: errs, log: slog.New(slog.DiscardHandler)}
 	root := a.rootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -77,7 +78,7 @@
 	if err == nil {
 		return 0
 	}
-	_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // the exit code stays
+	_, _ = fmt.Fprintln(errs, "dykectl:", strings.ReplaceAll(err.Error(), "\n", " ")) // a failed write does not change the exit code
 	var exit *exitError
 	if errors.As(err, &exit) {
 		return exit.code
@@ -92,11 +93,11 @@
 		PersistentPreRunE: func(*cobra.Command, []string) error { return a.checkFlags() },
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&a.config, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
-	flags.StringVar(&a.context, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
+	flags.StringVar(&a.configFlag, "config", "", "configuration `FILE` (default: $DYKECTL_CONFIG, or dykeledge/dykectl.toml in your configuration folder)")
+	flags.StringVar(&a.contextFlag, "context", "", "`NAME` of the cluster in the configuration (default: the current one)")
 	flags.StringVarP(&a.output, "output", "o", outputTable, "table or json")
-	flags.StringVar(&a.level, "log-level", "warn", "error, warn, info or debug, to standard error")
-	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp)) // the flag is there
+	flags.StringVar(&a.logLevel, "log-level", "warn", "error, warn, info or debug, to standard error")
+	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{outputTable, outputJSON}, cobra.ShellCompDirectiveNoFileComp)) // fails only if the flag is not defined
 	_ = root.RegisterFlagCompletionFunc("context", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return a.contextNames(), cobra.ShellCompDirectiveNoFileComp
 	})
@@ -107,66 +108,67 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-		_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version) // a terminal that is gone wants no answer
+		_, _ = fmt.Fprintln(cmd.OutOrStdout(), "dykectl", version) // a failed write to the terminal is ignored
 	}}
 }
 
-// checkFlags checks the flags that all commands have, and opens the log.
+// checkFlags checks the persistent flags and creates the log.
 func (a *app) checkFlags() error {
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(a.level)); err != nil {
-		return usage(errors.New("--log-level is error, warn, info or debug"))
+	if err := level.UnmarshalText([]byte(a.logLevel)); err != nil {
+		return usageError(errors.New("--log-level is error, warn, info or debug"))
 	}
-	a.log = slog.New(slog.NewTextHandler(a.errs, &slog.HandlerOptions{Level: level}))
+	a.log = slog.New(slog.NewTextHandler(a.stderr, &slog.HandlerOptions{Level: level}))
 	if a.output != outputTable && a.output != outputJSON {
-		return usage(errors.New("--output is table or json"))
+		return usageError(errors.New("--output is table or json"))
 	}
 	return nil
 }
 
-// path is where the configuration file is.
-func (a *app) path() (string, error) {
-	if a.config != "" {
-		return a.config, nil
+// configFilePath returns the path of the configuration file.
+func (a *app) configFilePath() (string, error) {
+	if a.configFlag != "" {
+		return a.configFlag, nil
 	}
 	p, err := contexts.Path()
 	if err != nil {
-		return "", usage(err)
+		return "", usageError(err)
 	}
 	return p, nil
 }
 
-// file is the configuration file as it is now.
-func (a *app) file() (*contexts.File, error) {
-	p, err := a.path()
+// loadConfig reads the configuration file.
+func (a *app) loadConfig() (*contexts.File, error) {
+	p, err := a.configFilePath()
 	if err != nil {
 		return nil, err
 	}
 	f, err := contexts.Load(p)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	return f, nil
 }
 
-// cluster returns the name of the context that is meant, and the context.
-func (a *app) cluster() (string, contexts.Context, error) {
-	f, err := a.file()
+// selectedContext returns the name and the content of the context that --context names, or of the current one.
+func (a *app) selectedContext() (string, contexts.Context, error) {
+	f, err := a.loadConfig()
 	if err != nil {
 		return "", contexts.Context{}, err
 	}
-	c, err := f.Get(a.context)
+	c, err := f.Get(a.contextFlag)
 	if err != nil {
-		return "", c, usage(err)
+		return "", c, usageError(err)
 	}
-	if a.context != "" {
-		return a.context, c, nil
+	if a.contextFlag != "" {
+		return a.contextFlag, c, nil
 	}
 	return f.Current, c, nil
 }
 
+// contextNames returns the sorted names of the contexts, or none if the configuration file cannot be read.
 func (a *app) contextNames() []string {
-	f, err := a.file()
+	f, err := a.loadConfig()
 	if err != nil {
 		return nil
 	}
@@ -178,7 +180,7 @@
 	return names
 }
 
-// print writes v as JSON, or as a table made of titles and rows.
+// print writes v as JSON, or a table of titles and rows, depending on --output.
 func (a *app) print(w io.Writer, v any, titles []string, rows [][]string) error {
 	if a.output == outputJSON {
 		return json.NewEncoder(w).Encode(v)
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -22,7 +22,8 @@
 	"dykeledge/internal/textout"
 )
 
-const cellCommand = "cell" // what `dykectl scale run` starts for each cell
+// cellCommand is the hidden subcommand that `dykectl scale run` starts as a process for each cell.
+const cellCommand = "cell"
 
 func (a *app) scaleCommand() *cobra.Command {
 	command := &cobra.Command{Use: "scale", Short: "Measure controllers at a size that is yet to come",
@@ -36,7 +37,7 @@
 	}, &cobra.Command{
 		Use: cellCommand, Short: "Play one cell that is read from standard input", Args: cobra.NoArgs, Hidden: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			log := slog.New(slog.NewTextHandler(a.errs, nil))
+			log := slog.New(slog.NewTextHandler(a.stderr, nil))
 			if err := scaletest.ServeCell(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log); err != nil {
 				return failed(err)
 			}
@@ -46,14 +47,14 @@
 	return command
 }
 
-// scaleOptions are the flags of a scale test.
+// scaleOptions holds the flags of the scale run command.
 type scaleOptions struct {
-	profile, cut, fraction string
-	regions                string
-	program, dir, out      string
-	run, commit            string
-	seed                   uint64
-	warmUp, measure        time.Duration
+	profile, cut, fraction             string // profile is the path of a file; "": the default profile
+	regions                            string
+	controllerProgram, dir, pointsFile string
+	runName, commit                    string // stored in the points
+	seed                               uint64
+	warmUp, measure                    time.Duration
 }
 
 func (a *app) scaleRunCommand() *cobra.Command {
@@ -76,10 +77,10 @@
 	flags.StringVar(&options.cut, "cut", string(scaletest.Peak), "peak, population, changes or troubles")
 	flags.StringVar(&options.regions, "regions", string(scaletest.LargestRegion), "largest or all")
 	flags.StringVar(&options.fraction, "fraction", "1/32", "part of the profile's size, as 0.25 or 1/4")
-	flags.StringVar(&options.program, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
+	flags.StringVar(&options.controllerProgram, "controller", "", "the controller's `PROGRAM` (default: dykeledge beside this one, in target, or on the path)")
 	flags.StringVar(&options.dir, "dir", "", "`FOLDER` for settings and logs, kept afterwards (default: one that is removed)")
-	flags.StringVar(&options.out, "out", "", "`FILE` to which the points are added as lines of JSON")
-	flags.StringVar(&options.run, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
+	flags.StringVar(&options.pointsFile, "out", "", "`FILE` to which the points are added as lines of JSON")
+	flags.StringVar(&options.runName, "name", "run", "name of the run in its points; lines are fitted through those of \"ladder\"")
 	flags.StringVar(&options.commit, "commit", "", "commit of the controller that is measured, for the points")
 	flags.Uint64Var(&options.seed, "seed", 1, "of the load and the machines")
 	flags.DurationVar(&options.warmUp, "warm-up", 40*time.Second, "time before it is measured")
@@ -87,24 +88,24 @@
 	return command
 }
 
-// parseFraction reads 0.25 or 1/4.
+// parseFraction parses a fraction above 0 and up to 1, written as 0.25 or 1/4.
 func parseFraction(text string) (float64, error) {
-	above, below, parted := strings.Cut(text, "/")
-	n, err := strconv.ParseFloat(above, 64)
+	numerator, denominator, hasDenominator := strings.Cut(text, "/")
+	n, err := strconv.ParseFloat(numerator, 64)
 	d := 1.0
-	if err == nil && parted {
-		d, err = strconv.ParseFloat(below, 64)
+	if err == nil && hasDenominator {
+		d, err = strconv.ParseFloat(denominator, 64)
 	}
 	if err != nil || !(n > 0 && d > 0 && n/d <= 1) {
-		return 0, errors.New("--fraction is a part from above 0 to 1, as 0.25 or 1/4")
+		return 0, errors.New("--fraction must be above 0 and at most 1, written as 0.25 or 1/4")
 	}
 	return n / d, nil
 }
 
-// request checks the flags and returns what they ask for.
+// request validates the flags and returns the profile and the request that they describe.
 func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
 	profile := scaletest.DefaultProfile()
-	request := scaletest.Request{Run: o.run, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
+	request := scaletest.Request{Run: o.runName, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
@@ -117,28 +118,29 @@
 	}
 	switch {
 	case !slices.Contains(scaletest.Cuts(), request.Cut):
-		return profile, request, errors.New("--cut is peak, population, changes or troubles")
+		return profile, request, errors.New("--cut must be peak, population, changes or troubles")
 	case request.Regions != scaletest.LargestRegion && request.Regions != scaletest.AllRegions:
-		return profile, request, errors.New("--regions is largest or all")
+		return profile, request, errors.New("--regions must be largest or all")
 	case o.warmUp < time.Second || o.measure < time.Second || o.warmUp+o.measure > time.Hour:
-		return profile, request, errors.New("--warm-up and --measure are from 1s, and an hour at most together")
+		return profile, request, errors.New("--warm-up and --measure must each be at least 1s, and together at most 1h")
 	}
-	request.Program, err = controller(o.program)
+	request.Program, err = findControllerProgram(o.controllerProgram)
 	return profile, request, err
 }
 
-// scaleRun plays all cells of a request, each in a process of its own, and keeps and prints their points.
+// scaleRun runs the cells of a request, each in its own process, and writes and prints their points. A
+// temporary folder is removed only if the run succeeds.
 func (a *app) scaleRun(ctx context.Context, out io.Writer, options *scaleOptions) (err error) {
 	profile, request, err := options.request()
 	if err != nil {
-		return usage(err)
+		return usageError(err)
 	}
 	if request.Dir == "" {
 		if request.Dir, err = os.MkdirTemp("", "dykectl-scale-"); err != nil {
 			return failed(err)
 		}
 		defer func() {
-			if err == nil { // what went wrong is in the logs
+			if err == nil { // the logs in the folder are needed to find the cause of an error
 				err = os.RemoveAll(request.Dir)
 			}
 		}()
@@ -150,40 +152,41 @@
 	if err != nil {
 		return failed(err)
 	}
-	launcher := scaletest.Launcher{Errs: a.errs, Command: func(ctx context.Context) *exec.Cmd {
+	launcher := scaletest.Launcher{Errs: a.stderr, Command: func(ctx context.Context) *exec.Cmd {
 		return exec.CommandContext(ctx, self, "scale", cellCommand)
 	}}
 	points, err := launcher.Run(ctx, profile.Cells(request))
 	if err != nil {
 		err = fmt.Errorf("%w (logs are in %s)", err, request.Dir)
 	}
-	if err = errors.Join(err, options.keep(points), a.printPoints(out, points)); err != nil {
+	if err = errors.Join(err, options.writePoints(points), a.printPoints(out, points)); err != nil {
 		return failed(err)
 	}
 	return nil
 }
 
-// keep adds points to the file that was asked for, and tells what is wrong with them.
-func (o *scaleOptions) keep(points []*scaletest.Point) (err error) {
+// writePoints appends the points to the file that --out names, if any. It returns the errors of writing and
+// the verdicts of the points. An entry is nil if its cell returned no point.
+func (o *scaleOptions) writePoints(points []*scaletest.Point) (err error) {
 	out := io.Discard
-	if o.out != "" {
-		file, err := os.OpenFile(o.out, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	if o.pointsFile != "" {
+		file, err := os.OpenFile(o.pointsFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
 			return err
 		}
 		defer func() { err = errors.Join(err, file.Close()) }()
 		out = file
 	}
-	var bad []error
+	var problems []error
 	for _, p := range points {
 		if p != nil {
-			bad = append(bad, p.Write(out), p.Verdict())
+			problems = append(problems, p.Write(out), p.Verdict())
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(problems...)
 }
 
-// printPoints prints a row for each cell that was measured.
+// printPoints prints a table with a row for each cell that returned a point.
 func (a *app) printPoints(out io.Writer, points []*scaletest.Point) error {
 	table := textout.NewTable(out, tabwriter.AlignRight)
 	table.Println("region\tworkers\toffered/s\tstarts/s\trunning\turgent p50\tp99\tmax ms\tworker B/s\tlease kills\thollow cores\tlate p99 ms\tcontrollers: cores, MB, sockets\t")
@@ -215,7 +218,7 @@
 			}
 			points, err := scaletest.ReadPoints(dir)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			if err := scaletest.Report(cmd.OutOrStdout(), points); err != nil {
 				return failed(err)
--- a/cmd/dykeledge/admin.go
+++ b/cmd/dykeledge/admin.go
@@ -14,11 +14,11 @@
 	"dykeledge/internal/textout"
 )
 
-// rowsAtMost is how many rows the administration API hands out at one go.
-const rowsAtMost = 200
+// maxRows is the maximum number of rows in one page of the administration API.
+const maxRows = 200
 
-// adminCommands are the operators' commands. The names leave room for the
-// users' submit, queue, cancel and accounting.
+// adminCommands returns the operators' commands. Their names avoid submit, queue, cancel and accounting,
+// which are reserved for users' commands.
 func adminCommands() []*cobra.Command {
 	client := &adminClient{}
 	jobs := &listCommand{client: client, use: "jobs", short: "List unfinished jobs and why they wait", path: "/jobs", paged: true,
@@ -41,37 +41,39 @@
 		members.command(), shards.command(), machines.command(), evictions.command()}
 }
 
-// addFlags adds the flags that all operators' commands have.
+// addFlags adds the flags that all operators' commands share and returns the command.
 func (c *adminClient) addFlags(command *cobra.Command) *cobra.Command {
 	command.Flags().StringVar(&c.address, "node", "", "peer_listen `ADDRESS` of any node")
 	command.Flags().StringVar(&c.output, "output", outputTable, "table or json")
 	return command
 }
 
-// listCommand prints one of the lists of the administration API.
+// listCommand is a command that prints one of the lists of the administration API.
 type listCommand struct {
 	client  *adminClient
 	use     string
 	short   string
-	path    string   // of the list, below /admin/v1
-	paged   bool     // it comes in pages of up to limit rows
-	columns []string // names in the answer
+	path    string   // path of the list below /admin/v1
+	paged   bool     // the list is returned in pages of up to limit rows
+	columns []string // names of the fields in the answer, in the order of the table
 
 	limit int
-	after string // the last name of the page before
-	team  string // "": of all teams
+	after string // last name of the previous page
+	team  string // only this team; "": all teams
 }
 
+// command returns the cobra command, with --limit and --after if the list is paged.
 func (l *listCommand) command() *cobra.Command {
 	command := l.client.addFlags(&cobra.Command{Use: l.use, Short: l.short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return l.run(cmd.OutOrStdout()) }})
 	if l.paged {
-		command.Flags().IntVar(&l.limit, "limit", rowsAtMost, "rows at most, up to 200")
+		command.Flags().IntVar(&l.limit, "limit", maxRows, "rows at most, up to 200")
 		command.Flags().StringVar(&l.after, "after", "", "begin after this `NAME`")
 	}
 	return command
 }
 
+// run requests the list and prints it.
 func (l *listCommand) run(out io.Writer) error {
 	if err := l.client.check(); err != nil {
 		return err
@@ -83,6 +85,7 @@
 	return l.client.printList(out, body, l.columns)
 }
 
+// query returns the query parameters of the request.
 func (l *listCommand) query() url.Values {
 	query := url.Values{}
 	if l.paged {
@@ -95,6 +98,7 @@
 	return query
 }
 
+// settingsCommand returns the command settings with its subcommands get and set.
 func (c *adminClient) settingsCommand() *cobra.Command {
 	command := &cobra.Command{Use: "settings", Short: "Read or change the operators' settings"}
 	command.AddCommand(
@@ -116,13 +120,14 @@
 	return c.printSettings(out, body)
 }
 
+// setSettings changes the settings that args name, as NAME=VALUE, and prints all settings.
 func (c *adminClient) setSettings(out io.Writer, args []string) error {
 	if err := c.check(); err != nil {
 		return err
 	}
 	change, err := parseChange(args)
 	if err != nil {
-		return wrongUse(err)
+		return invalidUsage(err)
 	}
 	body, err := c.changeSettings(change)
 	if err != nil {
@@ -131,7 +136,7 @@
 	return c.printSettings(out, body)
 }
 
-// parseChange reads NAME=VALUE pairs; what is no number is text.
+// parseChange converts NAME=VALUE pairs to a JSON object. A value that is not a number is sent as a string.
 func parseChange(args []string) (json.RawMessage, error) {
 	change := map[string]any{}
 	for _, arg := range args {
@@ -148,7 +153,7 @@
 	return json.Marshal(change)
 }
 
-// printList prints rows as a table, or the answer as it came.
+// printList prints the rows of an answer as a table, or the answer unchanged as JSON.
 func (c *adminClient) printList(out io.Writer, body []byte, columns []string) error {
 	if c.output == outputJSON {
 		return printRaw(out, body)
@@ -175,7 +180,8 @@
 	return table.Flush()
 }
 
-// printSettings prints settings with what is known of each as a table, or the answer as it came.
+// printSettings prints the settings as a table, with the default, range and reason of each if the answer has
+// them, or the answer unchanged as JSON.
 func (c *adminClient) printSettings(out io.Writer, body []byte) error {
 	if c.output == outputJSON {
 		return printRaw(out, body)
@@ -204,14 +210,14 @@
 	return table.Flush()
 }
 
-// printRaw prints an answer as it came.
+// printRaw prints an answer unchanged.
 func printRaw(out io.Writer, body []byte) error {
 	_, err := fmt.Fprintln(out, string(body))
 	return err
 }
 
-// cellText is a value of an answer as a table shows it. A list of tasks, as evicted sets have, is
-// written as JOB/TASK(SCORE).
+// cellText returns the text of a value in a table. The elements of a list are separated by commas. A task
+// in a list, such as a victim in an evicted set, is written as JOB/TASK(SCORE).
 func cellText(value any) string {
 	switch typed := value.(type) {
 	case nil:
@@ -228,6 +234,8 @@
 	return fmt.Sprint(value)
 }
 
+// elementText returns the text of one element of a list: an object is taken for a task with the fields j (job),
+// t (task) and x (score).
 func elementText(element any) string {
 	if task, ok := element.(map[string]any); ok {
 		return fmt.Sprintf("%v/%v(%v)", cellText(task["j"]), cellText(task["t"]), cellText(task["x"]))
--- a/cmd/dykeledge/admin_client.go
+++ b/cmd/dykeledge/admin_client.go
@@ -14,33 +14,34 @@
 	"dykeledge/internal/transport"
 )
 
-// answerWithin is how long a controller may take to answer.
-const answerWithin = 10 * time.Second
+// requestTimeout is the time-out of a request to the administration API.
+const requestTimeout = 10 * time.Second
 
-// adminClient speaks with the administration API of one controller and prints what it answers.
+// adminClient sends requests to the administration API of one controller and prints the answers.
 type adminClient struct {
-	address string // peer_listen of the controller
+	address string // peer_listen address of the controller
 	output  string // outputTable or outputJSON
 }
 
-// Forms of output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// check tells whether the flags make sense.
+// check returns a usage error if --node or --output is missing or invalid.
 func (c *adminClient) check() error {
 	if c.address == "" {
-		return wrongUse(errors.New("--node ADDRESS is missing: the peer_listen address of any node"))
+		return invalidUsage(errors.New("--node ADDRESS is missing: the peer_listen address of any node"))
 	}
 	if c.output != outputTable && c.output != outputJSON {
-		return wrongUse(errors.New("--output is table or json"))
+		return invalidUsage(errors.New("--output is table or json"))
 	}
 	return nil
 }
 
-// call sends one request and returns the body of its answer. in, unless it is nil, is sent as JSON.
+// call sends one request, without retries, and returns the body of the answer. If in is not nil, it is sent as
+// JSON.
 func (c *adminClient) call(method, path string, in any) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -55,18 +56,19 @@
 		request.SetBodyRaw(raw)
 	}
 	httpClient := fasthttp.Client{MaxIdemponentCallAttempts: 1}
-	if err := httpClient.DoTimeout(request, response, answerWithin); err != nil {
+	if err := httpClient.DoTimeout(request, response, requestTimeout); err != nil {
 		return nil, failed(fmt.Errorf("node %s does not answer: %w", c.address, err))
 	}
 	body := append([]byte(nil), response.Body()...)
 	if response.StatusCode() != fasthttp.StatusOK {
-		return nil, failed(refusal(response.StatusCode(), body))
+		return nil, failed(refusalError(response.StatusCode(), body))
 	}
 	return body, nil
 }
 
-// refusal is what a controller says against a request.
-func refusal(status int, body []byte) error {
+// refusalError returns the error that a controller gave for refusing a request, or the status code if the
+// body holds none.
+func refusalError(status int, body []byte) error {
 	var refused transport.AdminRefusal
 	if json.Unmarshal(body, &refused) != nil || refused.Error == "" {
 		refused.Error = "status " + strconv.Itoa(status)
@@ -74,20 +76,21 @@
 	return errors.New(refused.Error)
 }
 
-// decode reads an answer.
+// decode parses the JSON body of an answer.
 func decode(body []byte, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
-		return failed(fmt.Errorf("the node's answer cannot be read: %w", err))
+		return failed(fmt.Errorf("cannot decode the node's answer: %w", err))
 	}
 	return nil
 }
 
-// settings reads the operators' settings as they come.
+// settings returns the operators' settings as the JSON body of the answer.
 func (c *adminClient) settings() ([]byte, error) {
 	return c.call(fasthttp.MethodGet, "/settings", nil)
 }
 
-// changeSettings changes settings on the version that they have now, and returns the new ones as they come.
+// changeSettings reads the version of the settings and changes them on condition of that version. It returns
+// the new settings as the JSON body of the answer.
 func (c *adminClient) changeSettings(change json.RawMessage) ([]byte, error) {
 	body, err := c.settings()
 	if err != nil {
@@ -100,16 +103,17 @@
 	return c.call(fasthttp.MethodPut, "/settings", transport.SettingsChange{Version: &current.Version, Settings: change})
 }
 
-// Team reads a team.
+// Team returns a team's entry.
 func (c *adminClient) Team(name string) (controller.TeamView, error) {
 	return c.callTeam(fasthttp.MethodGet, name, nil)
 }
 
-// Change changes a team if version is still that of its entry.
+// Change changes a team on condition that its entry still has the given version.
 func (c *adminClient) Change(name string, version uint64, change json.RawMessage) (controller.TeamView, error) {
 	return c.callTeam(fasthttp.MethodPut, name, transport.TeamChange{Version: &version, Team: change})
 }
 
+// callTeam sends a request about one team and returns the team's entry from the answer.
 func (c *adminClient) callTeam(method, name string, in any) (controller.TeamView, error) {
 	body, err := c.call(method, "/teams/"+url.PathEscape(name), in)
 	if err != nil {
--- a/cmd/dykeledge/golden_test.go
+++ b/cmd/dykeledge/golden_test.go
@@ -7,13 +7,13 @@
 	"dykeledge/internal/commandtest"
 )
 
-// TestGoldenHelp pins the help of every command with its flags, defaults and usage.
+// TestGoldenHelp compares the help of every command, with its flags, defaults and usage, with golden files.
 func TestGoldenHelp(t *testing.T) {
 	commandtest.CheckHelp(t, invoke)
 }
 
-// TestGoldenWrongUse pins exit codes and messages of wrong use.
-func TestGoldenWrongUse(t *testing.T) {
+// TestGoldenUsageErrors compares the exit codes and messages of usage errors with golden files.
+func TestGoldenUsageErrors(t *testing.T) {
 	commandtest.CheckWrongUse(t, invoke, []commandtest.WrongUse{
 		{Name: "unknown-command", Args: []string{"fly"}},
 		{Name: "unknown-flag", Args: []string{"--fly"}},
@@ -26,9 +26,9 @@
 	})
 }
 
-// invoke runs the program and returns what it prints and its exit code.
+// invoke runs the program and returns its output and exit code as one text.
 func invoke(t *testing.T, args ...string) string {
 	t.Helper()
-	out, errs, code := program(t, args...)
+	out, errs, code := runProgram(t, args...)
 	return fmt.Sprintf("%s%sexit code %d\n", out, errs, code)
 }
