--- a/internal/simulator/answers.go
+++ b/internal/simulator/answers.go
@@ -25,8 +25,8 @@
 	return answer.Status >= http.StatusBadRequest && answer.Status < http.StatusTooManyRequests
 }
 
-// violated notes a rule that is broken. The simulation is not locked.
-func (sim *Simulation) violated(format string, arguments ...any) {
+// reportViolation notes a rule that is broken. The simulation is not locked.
+func (sim *Simulation) reportViolation(format string, arguments ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.violation(format, arguments...)
@@ -43,12 +43,12 @@
 	if state.Status == protocol.Done && len(job.done) < job.Tasks {
 		sim.violation("not_done: %s with %d of %d tasks", job.ID, len(job.done), job.Tasks)
 	}
-	if state.Status == protocol.Cancelled && !job.asked {
+	if state.Status == protocol.Cancelled && !job.cancelRequested {
 		if asked, _ := job.hasCancelledDependency(); !asked {
 			sim.violation("went_back: %s is cancelled although nobody asked", job.ID)
 		}
 	}
-	job.take(state.Status)
+	job.noteAnswer(state.Status)
 }
 
 // checkAnswer takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
@@ -57,12 +57,12 @@
 	if state, ok := stateIn(answer); ok {
 		sim.checkState(job, state, asked)
 		if answer.Status == http.StatusCreated && asked.accepted {
-			sim.violated("accepted twice: %s", job.ID)
+			sim.reportViolation("accepted twice: %s", job.ID)
 		}
 		return true
 	}
 	if isRefusal(answer) && asked.accepted {
-		sim.violated("forgotten: %s got %d", job.ID, answer.Status)
+		sim.reportViolation("forgotten: %s got %d", job.ID, answer.Status)
 	}
 	return false
 }
@@ -70,19 +70,19 @@
 // checkNeverSubmitted asks for a job that nobody has submitted: no controller may know it.
 func (sim *Simulation) checkNeverSubmitted(id string) {
 	if answer := sim.query(id); answer.Status == http.StatusOK {
-		sim.violated("invented: %s, a job that nobody submitted", id)
+		sim.reportViolation("invented: %s, a job that nobody submitted", id)
 	}
 }
 
 const (
-	closeLookRounds   = 3
-	closeLookInterval = 3 * time.Millisecond
+	queryAllRounds   = 3
+	queryAllInterval = 3 * time.Millisecond
 )
 
 // CloseLook asks for a job at all controllers within milliseconds, again and again, and repeats its submission there.
 func (sim *Simulation) CloseLook(job *Job) {
 	body, _ := json.Marshal(job.Spec) // a job's description holds only what JSON can
-	for range closeLookRounds {
+	for range queryAllRounds {
 		for i := range sim.Settings.Deployment.Controllers {
 			process := sim.Controller(i)
 			if process.ended() || process.isPartitionedFrom(NoUsers) {
@@ -93,15 +93,15 @@
 				func(ctx context.Context) controller.Answer { return process.Core.Query(ctx, job.ID) },
 				func(ctx context.Context) controller.Answer { return process.Core.Submit(ctx, body) },
 			} {
-				go sim.lookAt(process, job, asked, request)
+				go sim.queryController(process, job, asked, request)
 			}
 		}
-		time.Sleep(closeLookInterval)
+		time.Sleep(queryAllInterval)
 	}
 }
 
-// lookAt sends a request about a job to one controller, and checks the answer.
-func (sim *Simulation) lookAt(process *ControllerProcess, job *Job, asked lastAnswer, request func(ctx context.Context) controller.Answer) {
+// queryController sends a request about a job to one controller, and checks the answer.
+func (sim *Simulation) queryController(process *ControllerProcess, job *Job, asked lastAnswer, request func(ctx context.Context) controller.Answer) {
 	ctx, cancel := context.WithTimeout(sim.ctx, queryTimeout)
 	defer cancel()
 	answer := request(ctx)
@@ -110,8 +110,8 @@
 	}
 }
 
-// look is a close look, where users take them.
-func (sim *Simulation) look(j *Job) {
+// queryAllIfEnabled is a close queryAllIfEnabled, where users take them.
+func (sim *Simulation) queryAllIfEnabled(j *Job) {
 	sim.mu.Lock()
 	on := sim.CloseLooks
 	sim.mu.Unlock()
@@ -122,9 +122,9 @@
 
 // oddRequest is a submission that repeats a job's with another body, or that can't be accepted.
 type oddRequest struct {
-	body  []byte
-	known bool // the job was submitted before, and its state is told
-	want  int  // the status otherwise
+	body            []byte
+	submittedBefore bool // the job was submitted before, and its state is told
+	want            int  // the status otherwise
 }
 
 // oddRequestsOf are a job's submission with other bodies, and what can't run or lacks a field.
@@ -140,9 +140,9 @@
 		return body
 	}
 	return []oddRequest{
-		{body: with(job.ID, "shards", 77), known: true, want: http.StatusOK},
-		{body: with(job.ID, "cpus", nil), known: true, want: http.StatusOK},
-		{body: with(job.ID, "cpus", 500.0), known: true, want: http.StatusOK},
+		{body: with(job.ID, "shards", 77), submittedBefore: true, want: http.StatusOK},
+		{body: with(job.ID, "cpus", nil), submittedBefore: true, want: http.StatusOK},
+		{body: with(job.ID, "cpus", 500.0), submittedBefore: true, want: http.StatusOK},
 		{body: with(unusedID, "cpus", 500.0), want: http.StatusUnprocessableEntity},
 		{body: with(unusedID, "shape", nil), want: http.StatusBadRequest},
 		{body: with(unusedID, "crew", "nobody"), want: http.StatusUnprocessableEntity},
@@ -164,10 +164,10 @@
 			continue
 		}
 		checked++
-		if odd.known {
+		if odd.submittedBefore {
 			sim.checkAnswer(job, answer, asked)
 		} else if answer.Status != odd.want {
-			sim.violated("accepted though it can't be: %s got %d, want %d", odd.body, answer.Status, odd.want)
+			sim.reportViolation("accepted though it can't be: %s got %d, want %d", odd.body, answer.Status, odd.want)
 		}
 	}
 	sim.checkNeverSubmitted(unusedID)
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -10,14 +10,14 @@
 // attempts are what the groups' records have held: an attempt that has left them must never come again, whoever
 // wrote it, since workers that have forgotten it would start it.
 type attempts struct {
-	there map[int]map[string]uint64 // by group and task
-	last  map[string]uint64         // by task: the latest that has left
+	current     map[int]map[string]uint64 // by group and task
+	lastRemoved map[string]uint64         // by task: the latest that has left
 }
 
 // note takes in a transaction and tells which tasks it places under attempts that were used before.
 func (a *attempts) note(txn protocol.Txn) (reused []string) {
-	if a.there == nil {
-		a.there, a.last = map[int]map[string]uint64{}, map[string]uint64{}
+	if a.current == nil {
+		a.current, a.lastRemoved = map[int]map[string]uint64{}, map[string]uint64{}
 	}
 	gone, now := map[string]uint64{}, map[string]uint64{}
 	for _, change := range txn.Then {
@@ -29,7 +29,7 @@
 		if err != nil {
 			return []string{err.Error()}
 		}
-		for task, n := range a.there[group] {
+		for task, n := range a.current[group] {
 			gone[task] = n
 		}
 		tasks := map[string]uint64{}
@@ -41,16 +41,16 @@
 				}
 			}
 		}
-		a.there[group] = tasks
+		a.current[group] = tasks
 	}
 	for task, n := range now {
-		if n <= a.last[task] {
+		if n <= a.lastRemoved[task] {
 			reused = append(reused, fmt.Sprintf("records: %s is placed under attempt %d, which it had before", task, n))
 		}
 	}
 	for task, n := range gone {
 		if now[task] != n {
-			a.last[task] = max(a.last[task], n)
+			a.lastRemoved[task] = max(a.lastRemoved[task], n)
 		}
 	}
 	return reused
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// failureShownAfter is how long a machine that died goes on being listed as running.
-	failureShownAfter = 30 * time.Second
-	// leastCharged is what a machine that is returned costs at least.
-	leastCharged = time.Minute
+	// failureListingDelay is how long a machine that died goes on being listed as running.
+	failureListingDelay = 30 * time.Second
+	// minimumChargedTime is what a machine that is returned costs at least.
+	minimumChargedTime = time.Minute
 	// lateBootFactor is how many times as long as usual a late machine takes to come up.
 	lateBootFactor = 4
 	// scaleOutAnswersPerLoss is how many rentals there are for one whose answer gets lost, on average.
@@ -25,12 +25,12 @@
 
 // simulatedCloud rents machines out and takes them back.
 type simulatedCloud struct {
-	machines     map[string]*Machine
-	machineCount int                 // ever rented
-	requestNames map[string][]string // by rental request: the machines that it got
-	cloudRate    bucket
-	cloudDown    bool
-	costSpent    float64
+	machines              map[string]*Machine
+	machineCount          int                 // ever rented
+	machineNamesByRequest map[string][]string // by rental request: the machines that it got
+	cloudBucket           bucket
+	cloudDown             bool
+	costSpent             float64
 
 	// Catalog lists the machine types that can be rented.
 	Catalog protocol.Catalog
@@ -50,9 +50,9 @@
 
 func newSimulatedCloud(cfg *config.Settings) simulatedCloud {
 	return simulatedCloud{
-		machines:     map[string]*Machine{},
-		requestNames: map[string][]string{},
-		CapacityOf:   defaultCapacity,
+		machines:              map[string]*Machine{},
+		machineNamesByRequest: map[string][]string{},
+		CapacityOf:            defaultCapacity,
 		Catalog: protocol.Catalog{Types: []protocol.MachineType{{Name: "t16", Cpus: 16, MemGB: 64, CacheGB: 30, FetchGBs: 0.5,
 			Price: 1, SpotPrice: 0.3, BootS: 10, Zones: cfg.Deployment.Zones}}},
 	}
@@ -72,7 +72,7 @@
 func (c *simulatedCloud) admit(limited bool) error {
 	c.CloudCalls++
 	switch {
-	case limited && !c.cloudRate.take(1):
+	case limited && !c.cloudBucket.take(1):
 		c.CloudOver++
 		return errOverRate
 	case c.cloudDown:
@@ -128,7 +128,7 @@
 func (c *simulatedCloud) charge(m *Machine) {
 	rented := time.Since(m.provisionedAt)
 	if m.failed.IsZero() {
-		rented = max(rented, leastCharged)
+		rented = max(rented, minimumChargedTime)
 	}
 	c.costSpent += rented.Hours() * m.price()
 }
@@ -157,7 +157,7 @@
 
 func (m *Machine) listedStatus() string {
 	switch {
-	case !m.failed.IsZero() && time.Since(m.failed) > failureShownAfter:
+	case !m.failed.IsZero() && time.Since(m.failed) > failureListingDelay:
 		return "failed"
 	case m.up:
 		return "running"
@@ -187,7 +187,7 @@
 func (sim *Simulation) scaleOut(request protocol.ScaleOutRequest) ([]string, error) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if names, ok := sim.requestNames[request.Name]; ok {
+	if names, ok := sim.machineNamesByRequest[request.Name]; ok {
 		return names, nil
 	}
 	count := min(request.Count, sim.available())
@@ -198,12 +198,12 @@
 	for range count {
 		machine := sim.rent(request.Type, request.Zone, request.Spot)
 		names = append(names, machine.Name)
-		usual := sim.fast(seconds(machine.machineType.BootS * (0.5 + sim.Random.Float64())))
+		usual := sim.scaledTime(seconds(machine.machineType.BootS * (0.5 + sim.Random.Float64())))
 		if boot := sim.bootTime(usual, sim.Random); boot > 0 {
 			sim.startWorker(machine, boot)
 		}
 	}
-	sim.requestNames[request.Name] = names
+	sim.machineNamesByRequest[request.Name] = names
 	if sim.Random.IntN(scaleOutAnswersPerLoss) == 0 {
 		return nil, protocol.ErrUnknown
 	}
@@ -220,7 +220,7 @@
 			continue
 		}
 		if !m.gone {
-			sim.remove(m)
+			sim.removeMachine(m)
 			sim.charge(m)
 		}
 		m.failed = time.Time{} // a failed one is listed until now
@@ -256,7 +256,7 @@
 }
 
 // LimitCloud makes the cloud enforce its rate, where the store enforces its own.
-func (sim *Simulation) LimitCloud(rps float64) { sim.cloudRate = bucket{rate: rps, burst: 2 * rps} }
+func (sim *Simulation) LimitCloud(rps float64) { sim.cloudBucket = bucket{rate: rps, burst: 2 * rps} }
 
 // SetCloudDown begins or ends an outage of the cloud.
 func (sim *Simulation) SetCloudDown(down bool) {
--- a/internal/simulator/cloud_link.go
+++ b/internal/simulator/cloud_link.go
@@ -22,13 +22,13 @@
 	cloudLatency = 50 * time.Millisecond
 	// cloudPartitionDelay is how long a request waits that doesn't reach the cloud.
 	cloudPartitionDelay = 5 * time.Second
-	// lateScaleOutDelay is how long a request waits that the cloud carries out late.
-	lateScaleOutDelay = 2 * time.Second
+	// lateScaleOutWait is how long a request waits that the cloud carries out late.
+	lateScaleOutWait = 2 * time.Second
 )
 
 // begin takes a request to the cloud, and tells why the cloud refuses it, if it does.
 func (l *cloudLink) begin() error {
-	l.controller.pause()
+	l.controller.waitWhileStalled()
 	time.Sleep(cloudLatency)
 	sim := l.simulation
 	if l.budget != nil {
@@ -70,7 +70,7 @@
 				time.Sleep(delay)
 				_, _ = sim.scaleOut(request) // nobody waits for it any more
 			}()
-			time.Sleep(lateScaleOutDelay)
+			time.Sleep(lateScaleOutWait)
 			return nil, protocol.ErrUnknown
 		}
 	}
--- a/internal/simulator/cloud_server.go
+++ b/internal/simulator/cloud_server.go
@@ -49,7 +49,7 @@
 	var request protocol.ScaleOutRequest
 	err := json.Unmarshal(fiberCtx.Body(), &request)
 	if err != nil || request.Name == "" || request.Count < 1 || request.Count > protocol.MaxScaleOut {
-		return malformed(fiberCtx, "no rental of 1 to 50 machines")
+		return respondBadRequest(fiberCtx, "no rental of 1 to 50 machines")
 	}
 	names, err := s.link.ScaleOut(context.Background(), request)
 	switch {
@@ -64,7 +64,7 @@
 func (s *cloudServer) scaleIn(c *fiber.Ctx) error {
 	var request protocol.MachineNames
 	if err := json.Unmarshal(c.Body(), &request); err != nil || len(request.Machines) > protocol.MaxScaleIn {
-		return malformed(c, "no list of up to 100 machines")
+		return respondBadRequest(c, "no list of up to 100 machines")
 	}
 	if err := s.link.ScaleIn(context.Background(), request.Machines); err != nil {
 		return fail(c, err)
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -15,7 +15,7 @@
 func (sim *Simulation) execute(machine *Machine, commands []protocol.Command) {
 	for _, command := range commands {
 		jobID, index, _ := protocol.SplitTask(command.Task)
-		position := machine.find(jobID, index, command.Attempt)
+		position := machine.findAttempt(jobID, index, command.Attempt)
 		switch command.Op {
 		case protocol.OpLaunch:
 			if position < 0 {
@@ -44,10 +44,10 @@
 		return
 	}
 	launched := &taskAttempt{job: job, index: index, attempt: attempt, state: protocol.TaskFetching}
-	if cause := refusal(machine, job, index); cause != "" {
+	if cause := launchRefusal(machine, job, index); cause != "" {
 		launched.state, launched.cause = protocol.TaskExited, cause
 	} else {
-		launched.ends = sim.fetch(machine, job)
+		launched.stateEnds = sim.startFetch(machine, job)
 		if sim.Launched != nil {
 			sim.Launched(job, index)
 		}
@@ -56,12 +56,12 @@
 	machine.wake()
 }
 
-// refusal tells why a worker doesn't run a job's task, "" if it does.
-func refusal(machine *Machine, job *Job, index int) string {
+// launchRefusal tells why a worker doesn't run a job's task, "" if it does.
+func launchRefusal(machine *Machine, job *Job, index int) string {
 	if machine.hasTask(job, index) {
 		return protocol.CauseBusy
 	}
-	if !machine.leftWith(job).atLeast(-resourceSlack) {
+	if !machine.remainingWith(job).atLeast(-resourceSlack) {
 		return protocol.CauseNoCapacity
 	}
 	return ""
@@ -69,10 +69,10 @@
 
 // killTask stops a task, after it has saved a checkpoint where it does that and the grace is long enough.
 func (sim *Simulation) killTask(machine *Machine, t *taskAttempt, graceS float64) {
-	save := t.job.spec("markCostS")
+	save := t.job.specNumber("markCostS")
 	switch {
-	case t.state == protocol.TaskRunning && t.job.spec("markEveryS") > 0 && graceS >= save:
-		t.state, t.ends = protocol.TaskCheckpointing, time.Now().Add(sim.fast(seconds(save)))
+	case t.state == protocol.TaskRunning && t.job.specNumber("markEveryS") > 0 && graceS >= save:
+		t.state, t.stateEnds = protocol.TaskCheckpointing, time.Now().Add(sim.scaledTime(seconds(save)))
 	case t.state != protocol.TaskCheckpointing || graceS == 0:
 		sim.taskStopped(machine, t)
 		sim.keepCheckpoint(t)
@@ -81,9 +81,9 @@
 	machine.wake()
 }
 
-// fetch tells when a job's image is on a machine. Images come one after another, as they
+// startFetch tells when a job's image is on a machine. Images come one after another, as they
 // use the rate together, and the first of those that no task needs is evicted.
-func (sim *Simulation) fetch(machine *Machine, job *Job) time.Time {
+func (sim *Simulation) startFetch(machine *Machine, job *Job) time.Time {
 	name, _ := job.Spec["kit"].(string)
 	now := time.Now()
 	if at, ok := machine.images[name]; ok {
@@ -91,14 +91,14 @@
 	}
 	takes := time.Duration(0)
 	if machine.machineType.FetchGBs > 0 {
-		takes = sim.fast(seconds(job.spec("pullGb") / machine.machineType.FetchGBs))
+		takes = sim.scaledTime(seconds(job.specNumber("pullGb") / machine.machineType.FetchGBs))
 	}
-	machine.fetches = latest(machine.fetches, now).Add(takes)
-	if len(machine.images) >= max(1, int(machine.machineType.CacheGB/max(0.1, job.spec("pullGb")))) {
+	machine.fetchesEnd = latest(machine.fetchesEnd, now).Add(takes)
+	if len(machine.images) >= max(1, int(machine.machineType.CacheGB/max(0.1, job.specNumber("pullGb")))) {
 		delete(machine.images, machine.oldestUnusedImage())
 	}
-	machine.images[name] = machine.fetches
-	return machine.fetches
+	machine.images[name] = machine.fetchesEnd
+	return machine.fetchesEnd
 }
 
 // oldestUnusedImage is the first fetched of the images that no task needs, "" if there is none.
@@ -173,7 +173,7 @@
 // Command sends commands straight to a worker.
 func (l *workerLink) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	time.Sleep(time.Millisecond)
-	l.controller.pause()
+	l.controller.waitWhileStalled()
 	began := time.Now()
 	heartbeat, status, took := l.send(addr, commands)
 	if took < 0 || took >= timeout {
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -18,7 +18,7 @@
 	simulation      *Simulation
 	stop            context.CancelFunc
 	handleHeartbeat func(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
-	gone            atomic.Bool
+	killed          atomic.Bool
 	partitions      atomic.Uint32
 	stalledUntil    atomic.Int64 // in nanoseconds since the epoch
 
@@ -41,8 +41,8 @@
 	AllCut = NoState | NoWorkers | NoUsers | NoCloud
 )
 
-// partitionZone is what a controller in a partitioned zone can't reach; it reaches the workers there.
-const partitionZone = NoState | NoUsers | NoCloud
+// zonePartitions is what a controller in a partitioned zone can't reach; it reaches the workers there.
+const zonePartitions = NoState | NoUsers | NoCloud
 
 // Cut sets what a controller is partitioned from.
 func (p *ControllerProcess) Cut(c Cuts) { p.partitions.Store(uint32(c)) }
@@ -55,17 +55,17 @@
 // Ended tells whether a controller was killed.
 func (p *ControllerProcess) Ended() bool { return p.ended() }
 
-func (p *ControllerProcess) ended() bool { return p.gone.Load() }
+func (p *ControllerProcess) ended() bool { return p.killed.Load() }
 
 // Stall stops a controller for a while; its clocks run on, and so does the simulation.
 func (p *ControllerProcess) Stall(d time.Duration) {
 	p.stalledUntil.Store(time.Now().Add(d).UnixNano())
 	// The core answers an unknown worker's heartbeat at once: it is blocked by that answer for as long.
-	go p.Core.HandleHeartbeat(p.simulation.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { p.pause() })
+	go p.Core.HandleHeartbeat(p.simulation.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { p.waitWhileStalled() })
 }
 
-// pause waits while the controller is stalled.
-func (p *ControllerProcess) pause() {
+// waitWhileStalled waits while the controller is stalled.
+func (p *ControllerProcess) waitWhileStalled() {
 	for {
 		left := time.Until(time.Unix(0, p.stalledUntil.Load()))
 		if left <= 0 {
@@ -78,6 +78,6 @@
 // stalledThrough waits while the controller is stalled, and tells whether a call that began
 // at a time has run out of its time meanwhile.
 func (p *ControllerProcess) stalledThrough(began time.Time, within time.Duration) bool {
-	p.pause()
+	p.waitWhileStalled()
 	return time.Since(began) > within
 }
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -57,8 +57,8 @@
 	return serving
 }
 
-// noteLeader takes the leader's record and tells whether another leader has begun.
-func (c *controllerSet) noteLeader(raw []byte) bool {
+// noteLeaderRecord takes the leader's record and tells whether another leader has begun.
+func (c *controllerSet) noteLeaderRecord(raw []byte) bool {
 	var leader storage.LeaderRecord
 	if json.Unmarshal(raw, &leader) != nil || leader == c.lastLeader {
 		return false
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(sim.ctx)
 	process := &ControllerProcess{Name: cfg.MemberName, Zone: cfg.Zone, simulation: sim, stop: cancel}
 	if cfg.Zone == sim.partitionedZone() {
-		process.Cut(partitionZone)
+		process.Cut(zonePartitions)
 	}
 	process.Link = sim.newStoreLink(i, process)
 	cloud := &cloudLink{simulation: sim, controller: process}
@@ -144,7 +144,7 @@
 			sim.mu.Unlock()
 			for _, from := range processes {
 				for _, to := range processes {
-					if from != to && sim.canHearPeer(from, to) {
+					if from != to && sim.peerHeartbeatArrives(from, to) {
 						sendPeerHeartbeat(from, to)
 					}
 				}
@@ -153,8 +153,8 @@
 	}()
 }
 
-// canHearPeer tells whether a controller's peer heartbeat reaches another one now. The simulation is not locked.
-func (sim *Simulation) canHearPeer(from, to *ControllerProcess) bool {
+// peerHeartbeatArrives tells whether a controller's peer heartbeat reaches another one now. The simulation is not locked.
+func (sim *Simulation) peerHeartbeatArrives(from, to *ControllerProcess) bool {
 	switch {
 	case sim.ZonesPartitioned(from.Zone, to.Zone):
 		return false
@@ -175,7 +175,7 @@
 func (sim *Simulation) Kill(i int) {
 	process := sim.Controller(i)
 	sim.KillCount.Add(1)
-	process.gone.Store(true)
+	process.killed.Store(true)
 	process.stop()
 }
 
--- a/internal/simulator/heartbeats.go
+++ b/internal/simulator/heartbeats.go
@@ -58,12 +58,12 @@
 		exchange := sim.newExchange(machine)
 		sim.mu.Unlock()
 
-		sim.deliverLater(exchange, exchange.copyAfter, true)
-		sim.deliverLater(exchange, exchange.delay, false)
+		sim.deliverAfter(exchange, exchange.copyAfter, true)
+		sim.deliverAfter(exchange, exchange.delay, false)
 		answer := sim.exchangeHeartbeat(exchange)
 
 		sim.mu.Lock()
-		wait := sim.takeAnswer(machine, exchange, answer)
+		wait := sim.applyHeartbeatAnswer(machine, exchange, answer)
 		sim.mu.Unlock()
 		sim.awaitNextHeartbeat(machine, exchange, answer, wait)
 	}
@@ -84,9 +84,9 @@
 	return exchange
 }
 
-// deliverLater delivers a heartbeat after a time, if there is one, to the controller that then has the number of the one
+// deliverAfter delivers a heartbeat after a time, if there is one, to the controller that then has the number of the one
 // it was sent to. Nobody waits for the answer. The simulation is not locked.
-func (sim *Simulation) deliverLater(exchange *heartbeatExchange, after time.Duration, isCopy bool) {
+func (sim *Simulation) deliverAfter(exchange *heartbeatExchange, after time.Duration, isCopy bool) {
 	if after <= 0 {
 		return
 	}
@@ -151,8 +151,8 @@
 	return answer
 }
 
-// takeAnswer carries out the answer to a heartbeat, and tells how long to wait before the next one.
-func (sim *Simulation) takeAnswer(machine *Machine, exchange *heartbeatExchange, answer heartbeatAnswer) time.Duration {
+// applyHeartbeatAnswer carries out the answer to a heartbeat, and tells how long to wait before the next one.
+func (sim *Simulation) applyHeartbeatAnswer(machine *Machine, exchange *heartbeatExchange, answer heartbeatAnswer) time.Duration {
 	switch {
 	case machine.gone || machine.hanging:
 	case answer.status == http.StatusOK:
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -41,7 +41,7 @@
 	return request.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
 }
 
-// malformed refuses a request that can't be read.
-func malformed(c *fiber.Ctx, why string) error {
+// respondBadRequest refuses a request that can't be read.
+func respondBadRequest(c *fiber.Ctx, why string) error {
 	return c.Status(fiber.StatusBadRequest).JSON(protocol.ErrorResponse{Error: why})
 }
--- a/internal/simulator/job.go
+++ b/internal/simulator/job.go
@@ -8,47 +8,47 @@
 
 // Job is a submitted job and what really became of it.
 type Job struct {
-	Spec      map[string]any
-	ID, Team  string
-	Class     string
-	At        time.Time // first submitted
-	Tasks     int
-	Run       time.Duration
-	Cpus      float64
-	Spot      bool
-	Broken    bool // fails on every machine
-	done      map[int]bool
-	began     map[[2]uint64]bool    // by task and attempt
-	saved     map[int]time.Duration // by task: progress in its checkpoint
-	on        map[int]*Machine
-	cancelled time.Time // when its user was told
-	told      protocol.JobStatus
-	accepted  bool
-	lastDone  time.Time
-	awaits    []*Job
-	asked     bool // its user has asked to cancel it
-	runs      []time.Duration
-	answered  time.Time // when its user last had an answer
+	Spec            map[string]any
+	ID, Team        string
+	Class           string
+	At              time.Time // first submitted
+	Tasks           int
+	Run             time.Duration
+	Cpus            float64
+	Spot            bool
+	Broken          bool // fails on every machine
+	done            map[int]bool
+	startedAttempts map[[2]uint64]bool    // by task and attempt
+	savedProgress   map[int]time.Duration // by task: progress in its checkpoint
+	on              map[int]*Machine
+	cancelled       time.Time // when its user was told
+	told            protocol.JobStatus
+	accepted        bool
+	lastDone        time.Time
+	awaits          []*Job
+	cancelRequested bool // its user has asked to cancel it
+	taskRunTimes    []time.Duration
+	lastAnswered    time.Time // when its user last had an answer
 }
 
-// spec is an amount of the job's description.
-func (j *Job) spec(name string) float64 {
+// specNumber is an amount of the job's description.
+func (j *Job) specNumber(name string) float64 {
 	v, _ := j.Spec[name].(float64)
 	return v
 }
 
 // run is how long a task runs.
 func (j *Job) run(task int) time.Duration {
-	if task < len(j.runs) {
-		return j.runs[task]
+	if task < len(j.taskRunTimes) {
+		return j.taskRunTimes[task]
 	}
 	return j.Run
 }
 
-// save keeps what a task has done since it began.
-func (j *Job) save(t *taskAttempt, ran time.Duration, speed float64) {
-	if ran > 0 && j.saved != nil {
-		j.saved[t.index] = min(j.run(t.index), j.saved[t.index]+time.Duration(float64(ran)*speed))
+// saveProgress keeps what a task has done since it began.
+func (j *Job) saveProgress(t *taskAttempt, ran time.Duration, speed float64) {
+	if ran > 0 && j.savedProgress != nil {
+		j.savedProgress[t.index] = min(j.run(t.index), j.savedProgress[t.index]+time.Duration(float64(ran)*speed))
 	}
 }
 
@@ -57,7 +57,7 @@
 
 // needs is what each of the job's tasks takes.
 func (j *Job) needs() resources {
-	return resources{j.Cpus, j.spec("accelerators"), j.spec("ramGb")}
+	return resources{j.Cpus, j.specNumber("accelerators"), j.specNumber("ramGb")}
 }
 
 func (r resources) minus(other resources) resources {
@@ -74,7 +74,7 @@
 func (j *Job) hasCancelledDependency() (asked bool, told time.Time) {
 	for _, dependency := range j.awaits {
 		askedBefore, toldBefore := dependency.hasCancelledDependency()
-		asked = asked || askedBefore || dependency.asked
+		asked = asked || askedBefore || dependency.cancelRequested
 		for _, at := range []time.Time{toldBefore, dependency.cancelled} {
 			if !at.IsZero() && (told.IsZero() || at.Before(told)) {
 				told = at
@@ -87,7 +87,7 @@
 // isWaiting tells whether the job is accepted and has tasks that neither run nor are done, though nothing that it needs
 // is missing.
 func (j *Job) isWaiting() bool {
-	if !j.accepted || j.asked || j.told.Final() || len(j.on)+len(j.done) >= j.Tasks {
+	if !j.accepted || j.cancelRequested || j.told.Final() || len(j.on)+len(j.done) >= j.Tasks {
 		return false
 	}
 	for _, dependency := range j.awaits {
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -41,7 +41,7 @@
 
 // begin takes a request to the store, and tells why the store refuses it, if it does.
 func (l *StoreLink) begin(ctx context.Context) error {
-	l.controller.pause()
+	l.controller.waitWhileStalled()
 	time.Sleep(stateLatency)
 	if l.store.Slow != nil {
 		time.Sleep(l.store.Slow(l.controller.Name))
@@ -112,7 +112,7 @@
 
 // Txn carries out a transaction.
 func (l *StoreLink) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (uint64, []string, error) {
-	if err := l.admit(ctx, txn, priority); err != nil {
+	if err := l.admitTxn(ctx, txn, priority); err != nil {
 		return 0, nil, err
 	}
 	if err := l.begin(ctx); err != nil {
@@ -142,8 +142,8 @@
 	return rev, failed, err
 }
 
-// admit waits until the controller's budget allows a transaction, and tells whether the store refuses it for its rate.
-func (l *StoreLink) admit(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) error {
+// admitTxn waits until the controller's budget allows a transaction, and tells whether the store refuses it for its rate.
+func (l *StoreLink) admitTxn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) error {
 	if l.budget != nil {
 		if err := l.budget.Admit(ctx, len(txn.Then), priority); err != nil {
 			return err
@@ -299,7 +299,7 @@
 			if l.store.Lag != nil {
 				time.Sleep(l.store.Lag(l.controller.Name))
 			}
-			l.controller.pause()
+			l.controller.waitWhileStalled()
 			return events, nil
 		}
 		if err := awaitChange(ctx, changed, unreachable); err != nil {
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -23,37 +23,37 @@
 
 // backend is a controller as the balancer sees it.
 type backend struct {
-	process       *ControllerProcess
-	addr          string
-	conns         map[net.Conn]bool
-	healthy       bool
-	everHealthy   bool
-	failedProbes  []bool // of the last probes, whether each failed
-	healthyProbes int    // successes in a row
-	changed       time.Time
-	removed       time.Time
-	pause         time.Duration // before it may become healthy again
-	refused       int           // connections in a row
-	skipUntil     time.Time
+	process         *ControllerProcess
+	addr            string
+	conns           map[net.Conn]bool
+	healthy         bool
+	everHealthy     bool
+	failedProbes    []bool // of the last probes, whether each failed
+	healthyProbes   int    // successes in a row
+	healthChangedAt time.Time
+	removedAt       time.Time
+	returnDelay     time.Duration // before it may become healthy again
+	refused         int           // connections in a row
+	skipUntil       time.Time
 }
 
 // The balancer's timing, as the protocol has it.
 const (
-	probeEvery   = time.Second
-	connectIn    = 500 * time.Millisecond
-	skipRefusing = 3 * time.Second
-	firstPause   = 3 * time.Second
-	longestPause = time.Minute
-	resetAfter   = 5 * time.Second
-	rampOver     = 10 * time.Second
-	forgiveAfter = 2 * time.Minute
-	triesAConn   = 3
+	probeInterval        = time.Second
+	connectTimeout       = 500 * time.Millisecond
+	refusedSkipTime      = 3 * time.Second
+	initialReturnDelay   = 3 * time.Second
+	maxReturnDelay       = time.Minute
+	connectionResetDelay = 5 * time.Second
+	rampDuration         = 10 * time.Second
+	returnDelayResetTime = 2 * time.Minute
+	maxConnectAttempts   = 3
 )
 
 const (
-	probesKept   = 6   // the last probes of a controller that count
-	failuresKept = 3   // a controller with as many failures among them is removed
-	startingLoad = 0.1 // the part of the load that a controller gets as it becomes healthy
+	probeWindow         = 6   // the last probes of a controller that count
+	maxProbeFailures    = 3   // a controller with as many failures among them is removed
+	initialLoadFraction = 0.1 // the part of the load that a controller gets as it becomes healthy
 )
 
 // NewLoadBalancer makes a balancer; AddController adds the controllers, then Run probes and Serve serves.
@@ -61,7 +61,7 @@
 
 // AddController adds a controller that listens at an address.
 func (l *LoadBalancer) AddController(process *ControllerProcess, addr string) {
-	l.backends = append(l.backends, &backend{process: process, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
+	l.backends = append(l.backends, &backend{process: process, addr: addr, conns: map[net.Conn]bool{}, returnDelay: initialReturnDelay})
 }
 
 // Run probes the controllers until ctx ends.
@@ -71,7 +71,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				l.probed(b, b.probe(client), time.Now())
-				wait.For(ctx, probeEvery)
+				wait.For(ctx, probeInterval)
 			}
 		}()
 	}
@@ -82,7 +82,7 @@
 	if b.process.isPartitionedFrom(NoUsers) {
 		return false
 	}
-	status, _, err := client.GetTimeout(nil, "http://"+b.addr+"/ready", probeEvery)
+	status, _, err := client.GetTimeout(nil, "http://"+b.addr+"/ready", probeInterval)
 	return err == nil && status == fasthttp.StatusOK
 }
 
@@ -95,9 +95,9 @@
 	case b.healthy && !ok && b.mustBeRemoved():
 		b.remove(now)
 	case !b.healthy && ok && b.mayReturn(now):
-		b.healthy, b.everHealthy, b.changed, b.failedProbes = true, true, now, nil
+		b.healthy, b.everHealthy, b.healthChangedAt, b.failedProbes = true, true, now, nil
 	}
-	if !b.healthy && b.everHealthy && now.Sub(b.changed) > resetAfter {
+	if !b.healthy && b.everHealthy && now.Sub(b.healthChangedAt) > connectionResetDelay {
 		for c := range b.conns {
 			_ = c.Close() // a reset: its user connects anew
 		}
@@ -107,7 +107,7 @@
 
 func (b *backend) noteProbe(ok bool) {
 	b.failedProbes = append(b.failedProbes, !ok)
-	if len(b.failedProbes) > probesKept {
+	if len(b.failedProbes) > probeWindow {
 		b.failedProbes = b.failedProbes[1:]
 	}
 	b.healthyProbes++
@@ -125,22 +125,22 @@
 		}
 	}
 	probes := len(b.failedProbes)
-	return probes >= 2 && b.failedProbes[probes-2] || failures >= failuresKept
+	return probes >= 2 && b.failedProbes[probes-2] || failures >= maxProbeFailures
 }
 
 // remove gives a controller no new connections; one that was removed a while ago waits for longer than before.
 func (b *backend) remove(now time.Time) {
-	if !b.removed.IsZero() && now.Sub(b.removed) < forgiveAfter {
-		b.pause = min(longestPause, 2*b.pause)
+	if !b.removedAt.IsZero() && now.Sub(b.removedAt) < returnDelayResetTime {
+		b.returnDelay = min(maxReturnDelay, 2*b.returnDelay)
 	} else {
-		b.pause = firstPause
+		b.returnDelay = initialReturnDelay
 	}
-	b.healthy, b.changed, b.removed = false, now, now
+	b.healthy, b.healthChangedAt, b.removedAt = false, now, now
 }
 
 // mayReturn tells, after a probe that succeeded, whether the controller gets connections again.
 func (b *backend) mayReturn(now time.Time) bool {
-	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.changed) >= b.pause
+	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.healthChangedAt) >= b.returnDelay
 }
 
 // pick chooses a controller for a new connection, leaving out those that were tried.
@@ -153,7 +153,7 @@
 		if !b.healthy || now.Before(b.skipUntil) || slices.Contains(tried, b) {
 			continue
 		}
-		part := min(1, startingLoad+now.Sub(b.changed).Seconds()/rampOver.Seconds())
+		part := min(1, initialLoadFraction+now.Sub(b.healthChangedAt).Seconds()/rampDuration.Seconds())
 		if load := float64(len(b.conns)+1) / part; best == nil || load < least {
 			best, least = b, load
 		}
@@ -168,15 +168,15 @@
 		if err != nil {
 			return err
 		}
-		go l.join(c)
+		go l.forward(c)
 	}
 }
 
-// join passes a user's connection on to a controller.
-func (l *LoadBalancer) join(conn net.Conn) {
+// forward passes a user's connection on to a controller.
+func (l *LoadBalancer) forward(conn net.Conn) {
 	defer closeConn(conn)
 	var tried []*backend
-	for range triesAConn {
+	for range maxConnectAttempts {
 		b := l.pick(tried, time.Now())
 		if b == nil {
 			return
@@ -194,10 +194,10 @@
 // connect opens a connection to a controller; one that users don't reach does not answer.
 func (b *backend) connect() (net.Conn, error) {
 	if b.process.isPartitionedFrom(NoUsers) {
-		time.Sleep(connectIn)
+		time.Sleep(connectTimeout)
 		return nil, io.ErrClosedPipe
 	}
-	return dial(b.addr, connectIn)
+	return dial(b.addr, connectTimeout)
 }
 
 // connected notes whether a user's connection was passed on to a controller; one that refuses several in a row is left
@@ -206,8 +206,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		if b.refused++; b.refused >= triesAConn {
-			b.skipUntil, b.refused = time.Now().Add(skipRefusing), 0
+		if b.refused++; b.refused >= maxConnectAttempts {
+			b.skipUntil, b.refused = time.Now().Add(refusedSkipTime), 0
 		}
 		return false
 	}
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -10,14 +10,14 @@
 
 // taskAttempt is an attempt of a task on a machine.
 type taskAttempt struct {
-	job     *Job
-	index   int
-	attempt uint64
-	state   string
-	cause   string
-	saved   bool
-	ends    time.Time // of the present state
-	began   time.Time // to run
+	job          *Job
+	index        int
+	attempt      uint64
+	state        string
+	cause        string
+	checkpointed bool
+	stateEnds    time.Time // of the present state
+	started      time.Time // to run
 }
 
 // Machine is a rented machine with its worker.
@@ -44,7 +44,7 @@
 	wakeUp           chan struct{}
 	tasks            []*taskAttempt
 	images           map[string]time.Time // since when each is there, or when its fetch will end
-	fetches          time.Time            // when the last of its fetches ends
+	fetchesEnd       time.Time            // when the last of its fetches ends
 }
 
 // machineFaults are the faults that a machine has now.
@@ -107,8 +107,8 @@
 	return resources{m.machineType.Cpus, m.machineType.Gpus, m.machineType.MemGB}
 }
 
-// leftWith is what a task of a job would leave of the machine, beside the attempts that have not exited.
-func (m *Machine) leftWith(job *Job) resources {
+// remainingWith is what a task of a job would leave of the machine, beside the attempts that have not exited.
+func (m *Machine) remainingWith(job *Job) resources {
 	left := m.capacity().minus(job.needs())
 	for _, t := range m.tasks {
 		if t.state != protocol.TaskExited {
@@ -125,8 +125,8 @@
 	})
 }
 
-// find is the position of an attempt on the machine, -1 if it is not there.
-func (m *Machine) find(jobID string, index int, attempt uint64) int {
+// findAttempt is the position of an attempt on the machine, -1 if it is not there.
+func (m *Machine) findAttempt(jobID string, index int, attempt uint64) int {
 	return slices.IndexFunc(m.tasks, func(t *taskAttempt) bool {
 		return t.job.ID == jobID && t.index == index && t.attempt == attempt
 	})
@@ -143,7 +143,7 @@
 	}
 	for _, t := range m.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: protocol.TaskName(t.job.ID, t.index), Attempt: t.attempt,
-			State: t.state, Cause: t.cause, Checkpointed: t.saved})
+			State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
 	}
 	return heartbeat
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -10,8 +10,8 @@
 // network is what lies between the parts of a simulation: partitions, and hooks that delay, repeat and lose messages. A
 // hook that is not set changes nothing; tests set them before the simulation begins.
 type network struct {
-	isolated string                // the zone that is partitioned from all others
-	kept     []*protocol.Heartbeat // for the next leader
+	isolatedZone string                // the zone that is partitioned from all others
+	kept         []*protocol.Heartbeat // for the next leader
 
 	// Delay is how long a message takes between two zones of controllers and workers that speak HTTP.
 	Delay func(from, to string) time.Duration
@@ -35,11 +35,11 @@
 
 // separates tells whether the partition is between a controller and a machine.
 func (n *network) separates(process *ControllerProcess, machine *Machine) bool {
-	return n.isolated != "" && (process.Zone == n.isolated) != (machine.Zone == n.isolated)
+	return n.isolatedZone != "" && (process.Zone == n.isolatedZone) != (machine.Zone == n.isolatedZone)
 }
 
 // isIsolated tells whether a zone is the one that is partitioned from all others.
-func (n *network) isIsolated(zone string) bool { return zone != "" && zone == n.isolated }
+func (n *network) isIsolated(zone string) bool { return zone != "" && zone == n.isolatedZone }
 
 // heartbeatDelays asks the hooks what becomes of a heartbeat, and keeps it back for the next leader where they say so.
 func (n *network) heartbeatDelays(heartbeat *protocol.Heartbeat) (delay, copyAfter time.Duration) {
@@ -55,8 +55,8 @@
 	return delay, copyAfter
 }
 
-// takeKept returns the heartbeats that were kept back for the next leader.
-func (n *network) takeKept() []*protocol.Heartbeat {
+// takeHeldHeartbeats returns the heartbeats that were kept back for the next leader.
+func (n *network) takeHeldHeartbeats() []*protocol.Heartbeat {
 	kept := n.kept
 	n.kept = nil
 	return kept
@@ -81,12 +81,12 @@
 // PartitionZone partitions a zone from everything outside; "" ends that. What is inside goes on among itself.
 func (sim *Simulation) PartitionZone(zone string) {
 	sim.mu.Lock()
-	sim.isolated = zone
+	sim.isolatedZone = zone
 	processes := slices.Clone(sim.controllers)
 	sim.mu.Unlock()
 	for _, process := range processes {
 		if process.Cut(0); process.Zone == zone {
-			process.Cut(partitionZone)
+			process.Cut(zonePartitions)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 func (sim *Simulation) partitionedZone() string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return sim.isolated
+	return sim.isolatedZone
 }
 
 // ZonesPartitioned tells whether a partition is between two zones.
@@ -103,8 +103,8 @@
 	return a != b && isolated != "" && (a == isolated || b == isolated)
 }
 
-// sendDelayed waits for as long as a message takes between two zones.
-func (sim *Simulation) sendDelayed(from, to string) {
+// waitZoneDelay waits for as long as a message takes between two zones.
+func (sim *Simulation) waitZoneDelay(from, to string) {
 	if sim.Delay != nil {
 		time.Sleep(sim.Delay(from, to))
 	}
@@ -112,15 +112,15 @@
 
 // Copies of heartbeats are delivered to a new leader as it begins, and again until it has taken shards.
 const (
-	keptDeliveries       = 20
-	keptDeliveryInterval = 30 * time.Millisecond
+	heldDeliveryRounds   = 20
+	heldDeliveryInterval = 30 * time.Millisecond
 )
 
-// deliverKeptHeartbeats delivers what was kept back for the next leader to every controller.
-func (sim *Simulation) deliverKeptHeartbeats() {
-	kept, processes := sim.takeKept(), slices.Clone(sim.controllers)
+// deliverHeldHeartbeats delivers what was kept back for the next leader to every controller.
+func (sim *Simulation) deliverHeldHeartbeats() {
+	kept, processes := sim.takeHeldHeartbeats(), slices.Clone(sim.controllers)
 	go func() {
-		for range keptDeliveries {
+		for range heldDeliveryRounds {
 			for _, process := range processes {
 				for _, heartbeat := range kept {
 					if !process.ended() && !process.isPartitionedFrom(NoWorkers) {
@@ -129,7 +129,7 @@
 					}
 				}
 			}
-			time.Sleep(keptDeliveryInterval)
+			time.Sleep(heldDeliveryInterval)
 		}
 	}()
 }
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -13,39 +13,39 @@
 	machine string
 }
 
-// recordCheck checks every transaction against what the records must never say: a task in two machines' records, an
+// recordChecker checks every transaction against what the records must never say: a task in two machines' records, an
 // attempt that comes again, a machine in two fleet records. What it costs goes by what a transaction changes.
-type recordCheck struct {
+type recordChecker struct {
 	simulation *Simulation
 	placed     map[string]placement // by task
 	groups     map[int][]string     // by group: its tasks
 	fleets     map[string][]string  // by fleet record: the machines that it lists
-	listedIn   map[string]string    // by machine: the fleet record that lists it
-	used       attempts
+	fleetOf    map[string]string    // by machine: the fleet record that lists it
+	attempts   attempts
 }
 
-// newRecordCheck is a check that has seen no records yet.
-func newRecordCheck(sim *Simulation) *recordCheck {
-	return &recordCheck{
+// newRecordChecker is a check that has seen no records yet.
+func newRecordChecker(sim *Simulation) *recordChecker {
+	return &recordChecker{
 		simulation: sim,
 		placed:     map[string]placement{},
 		groups:     map[int][]string{},
 		fleets:     map[string][]string{},
-		listedIn:   map[string]string{},
+		fleetOf:    map[string]string{},
 	}
 }
 
 // note checks a transaction that was applied.
-func (c *recordCheck) note(txn protocol.Txn) {
+func (c *recordChecker) note(txn protocol.Txn) {
 	c.simulation.mu.Lock()
 	defer c.simulation.mu.Unlock()
-	for _, reused := range c.used.note(txn) {
+	for _, reused := range c.attempts.note(txn) {
 		c.simulation.violation("%s", reused)
 	}
 	for _, change := range txn.Then {
 		if change.Put == storage.LeaderKey {
-			if c.simulation.noteLeader(change.Value) {
-				c.simulation.deliverKeptHeartbeats()
+			if c.simulation.noteLeaderRecord(change.Value) {
+				c.simulation.deliverHeldHeartbeats()
 			}
 		}
 		c.noteFleet(change)
@@ -55,7 +55,7 @@
 }
 
 // noteFleet takes a fleet record that is written or deleted.
-func (c *recordCheck) noteFleet(change protocol.Change) {
+func (c *recordChecker) noteFleet(change protocol.Change) {
 	c.forgetFleet(change.Delete)
 	if !strings.HasPrefix(change.Put, storage.FleetKey("")) {
 		return
@@ -66,25 +66,25 @@
 	}
 	c.forgetFleet(change.Put)
 	for _, m := range fleet.Machines {
-		if other, twice := c.listedIn[m.Name]; twice {
+		if other, twice := c.fleetOf[m.Name]; twice {
 			c.simulation.violation("records: machine %s is in %s and %s", m.Name, other, change.Put)
 		}
-		c.listedIn[m.Name] = change.Put
+		c.fleetOf[m.Name] = change.Put
 		c.fleets[change.Put] = append(c.fleets[change.Put], m.Name)
 	}
 }
 
-func (c *recordCheck) forgetFleet(key string) {
+func (c *recordChecker) forgetFleet(key string) {
 	for _, name := range c.fleets[key] {
-		if c.listedIn[name] == key {
-			delete(c.listedIn, name)
+		if c.fleetOf[name] == key {
+			delete(c.fleetOf, name)
 		}
 	}
 	delete(c.fleets, key)
 }
 
 // noteGroups takes the groups that a transaction writes as one change: tasks may go from one to another.
-func (c *recordCheck) noteGroups(txn protocol.Txn) {
+func (c *recordChecker) noteGroups(txn protocol.Txn) {
 	written := map[int]storage.GroupRecord{}
 	for _, change := range txn.Then {
 		group, ok := storage.GroupOf(change.Put)
@@ -111,7 +111,7 @@
 }
 
 // place notes the tasks that a group's record places.
-func (c *recordCheck) place(group int, record storage.GroupRecord) {
+func (c *recordChecker) place(group int, record storage.GroupRecord) {
 	for _, m := range record.Machines {
 		for _, p := range m.Tasks {
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -28,9 +28,9 @@
 	clients := &workerClients{address: public, meter: &process.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
 	process.handleHeartbeat = func(_ context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
 		go func() {
-			sim.sendDelayed(heartbeat.Zone, zone)
+			sim.waitZoneDelay(heartbeat.Zone, zone)
 			status, body := clients.send(heartbeat)
-			sim.sendDelayed(zone, heartbeat.Zone)
+			sim.waitZoneDelay(zone, heartbeat.Zone)
 			reply(status, body)
 		}()
 	}
@@ -42,9 +42,9 @@
 
 // Limits of a worker's way to a controller.
 const (
-	workerConns    = 2                // a worker has one heartbeat in flight; a second connection while the first is given up
-	workerIdle     = 10 * time.Second // a connection that is not used for as long is closed: the worker heartbeats elsewhere
-	workerConnects = time.Second
+	maxWorkerConns       = 2                // a worker has one heartbeat in flight; a second connection while the first is given up
+	workerIdleTimeout    = 10 * time.Second // a connection that is not used for as long is closed: the worker heartbeats elsewhere
+	workerConnectTimeout = time.Second
 )
 
 // workerClients are the workers' connections to one controller: each worker has its own, as real ones do.
@@ -61,7 +61,7 @@
 	defer c.mu.Unlock()
 	client := c.byName[worker]
 	if client == nil {
-		client = &fasthttp.HostClient{Addr: c.address, MaxConns: workerConns, MaxIdleConnDuration: workerIdle, MaxIdemponentCallAttempts: 1,
+		client = &fasthttp.HostClient{Addr: c.address, MaxConns: maxWorkerConns, MaxIdleConnDuration: workerIdleTimeout, MaxIdemponentCallAttempts: 1,
 			NoDefaultUserAgentHeader: true, Dial: c.dial}
 		c.byName[worker] = client
 	}
@@ -69,7 +69,7 @@
 }
 
 func (c *workerClients) dial(address string) (net.Conn, error) {
-	conn, err := dial(address, workerConnects)
+	conn, err := dial(address, workerConnectTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 func (p *WorkerPorts) commands(fiberCtx *fiber.Ctx) error {
 	var request commandsRequest
 	if err := json.Unmarshal(fiberCtx.Body(), &request); err != nil || request.Token == nil || request.Session == nil {
-		return malformed(fiberCtx, "helm or watch is missing")
+		return respondBadRequest(fiberCtx, "helm or watch is missing")
 	}
 	sim := p.simulation
 	sim.Commands.Messages.Add(1)
@@ -139,7 +139,7 @@
 	if !sim.reachable(m, true) {
 		return silent(fiberCtx)
 	}
-	sim.sendDelayed("", m.Zone) // which zone's controller has sent it can't be told
+	sim.waitZoneDelay("", m.Zone) // which zone's controller has sent it can't be told
 	sim.mu.Lock()
 	heartbeat, status := sim.executeCommand(m, protocol.DirectCommands{FencingToken: *request.Token, Incarnation: *request.Session, Commands: request.Commands})
 	sim.mu.Unlock()
@@ -238,14 +238,14 @@
 		return errors.New("field run_s is out of range")
 	}
 	job := &Job{ID: sub.ID, Team: sub.Team, Tasks: sub.Tasks, Run: seconds(upload.RunS), Cpus: sub.Cpus, Spot: sub.Spot, Broken: upload.Fails,
-		done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{}, At: time.Now()}
+		done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, At: time.Now()}
 	if err := json.Unmarshal(upload.Spec, &job.Spec); err != nil {
 		return err
 	}
 	if upload.Spread > 0 {
-		job.runs = make([]time.Duration, job.Tasks)
-		for i := range job.runs {
-			job.runs[i] = time.Duration(float64(job.Run) * (1 + upload.Spread*(2*sim.Random.Float64()-1)))
+		job.taskRunTimes = make([]time.Duration, job.Tasks)
+		for i := range job.taskRunTimes {
+			job.taskRunTimes[i] = time.Duration(float64(job.Run) * (1 + upload.Spread*(2*sim.Random.Float64()-1)))
 		}
 	}
 	sim.mu.Lock()
@@ -269,13 +269,13 @@
 	app.Put("/descriptions/:id", func(c *fiber.Ctx) error {
 		var u Upload
 		if err := json.Unmarshal(c.Body(), &u); err != nil {
-			return malformed(c, "no description: "+err.Error())
+			return respondBadRequest(c, "no description: "+err.Error())
 		}
 		if s, err := protocol.ParseSubmission(u.Spec); err == nil && s.ID != c.Params("id") {
-			return malformed(c, "the description is of another job")
+			return respondBadRequest(c, "the description is of another job")
 		}
 		if err := sim.AddJob(u); err != nil {
-			return malformed(c, err.Error())
+			return respondBadRequest(c, err.Error())
 		}
 		return c.SendStatus(fiber.StatusOK)
 	})
--- a/internal/simulator/retrying_users.go
+++ b/internal/simulator/retrying_users.go
@@ -24,7 +24,7 @@
 // Error tells the request and the status.
 func (e *statusError) Error() string { return fmt.Sprintf("%s got %d", e.request, e.status) }
 
-func (u Users) repeat(ctx context.Context, name string, request func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
+func (u Users) retryUntilFinal(ctx context.Context, name string, request func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
 	for ctx.Err() == nil {
 		answer := u.Simulation.ask(submitTimeout, request)
 		if state, ok := stateIn(answer); ok {
@@ -41,12 +41,12 @@
 
 // Submit submits a job until that is certain.
 func (u Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
-	return u.repeat(ctx, "a submission", func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Submit(ctx, body) })
+	return u.retryUntilFinal(ctx, "a submission", func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Submit(ctx, body) })
 }
 
 // Cancel cancels a job until that is certain.
 func (u Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
-	return u.repeat(ctx, id, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Cancel(ctx, id) })
+	return u.retryUntilFinal(ctx, id, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Cancel(ctx, id) })
 }
 
 // Status asks for a job once.
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -17,15 +17,15 @@
 // ruleChecker holds what really runs against the protocol's rules, and notes every rule that is broken. The usage of
 // teams is kept up to date as tasks come and go: adding it up at every start costs as much as there are jobs.
 type ruleChecker struct {
-	startTime   time.Time
-	settings    *config.Settings
-	brokenRules []string
-	used        map[string]float64 // by team: the CPUs of its running tasks
-	limits      map[string]float64 // by team whose entry was changed: the CPUs that it may use; 0: any
+	startTime     time.Time
+	settings      *config.Settings
+	brokenRules   []string
+	usedCPUs      map[string]float64 // by team: the CPUs of its running tasks
+	changedLimits map[string]float64 // by team whose entry was changed: the CPUs that it may use; 0: any
 }
 
 func newRuleChecker(start time.Time, cfg *config.Settings) ruleChecker {
-	return ruleChecker{startTime: start, settings: cfg, used: map[string]float64{}, limits: map[string]float64{}}
+	return ruleChecker{startTime: start, settings: cfg, usedCPUs: map[string]float64{}, changedLimits: map[string]float64{}}
 }
 
 // violation notes a rule that is broken.
@@ -45,25 +45,25 @@
 func (c *ruleChecker) taskStopped(m *Machine, t *taskAttempt) {
 	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
 		delete(t.job.on, t.index)
-		c.used[t.job.Team] -= t.job.Cpus
+		c.usedCPUs[t.job.Team] -= t.job.Cpus
 	}
 }
 
-// taskRuns notes a task that starts, and every rule that is broken by it.
-func (c *ruleChecker) taskRuns(m *Machine, t *taskAttempt) {
+// checkTaskStart notes a task that starts, and every rule that is broken by it.
+func (c *ruleChecker) checkTaskStart(m *Machine, t *taskAttempt) {
 	c.checkRunsOnce(m, t)
-	c.place(m, t)
+	c.noteTaskStart(m, t)
 	c.checkDependencies(t)
-	c.checkPlace(m, t)
+	c.checkPlacement(m, t)
 	c.checkCancelled(t)
 	c.checkAttempt(t)
 	c.checkLimit(t.job.Team, c.limitOf(t.job.Team))
 }
 
-// place notes that a job's task runs on a machine, and what its team uses.
-func (c *ruleChecker) place(m *Machine, t *taskAttempt) {
+// noteTaskStart notes that a job's task runs on a machine, and what its team uses.
+func (c *ruleChecker) noteTaskStart(m *Machine, t *taskAttempt) {
 	if t.job.on[t.index] == nil {
-		c.used[t.job.Team] += t.job.Cpus
+		c.usedCPUs[t.job.Team] += t.job.Cpus
 	}
 	t.job.on[t.index] = m
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-func (c *ruleChecker) checkPlace(machine *Machine, t *taskAttempt) {
+func (c *ruleChecker) checkPlacement(machine *Machine, t *taskAttempt) {
 	job := t.job
 	if machine.Spot && !job.Spot {
 		c.violation("wrong_place: %s/%d on a spot machine", job.ID, t.index)
@@ -123,19 +123,19 @@
 // launch is repeated, or comes late.
 func (c *ruleChecker) checkAttempt(t *taskAttempt) {
 	job := t.job
-	if job.began == nil {
-		job.began = map[[2]uint64]bool{}
+	if job.startedAttempts == nil {
+		job.startedAttempts = map[[2]uint64]bool{}
 	}
 	key := [2]uint64{uint64(t.index), t.attempt}
-	if job.began[key] {
+	if job.startedAttempts[key] {
 		c.violation("began again: %s/%d, attempt %d", job.ID, t.index, t.attempt)
 		return
 	}
-	job.began[key] = true
+	job.startedAttempts[key] = true
 }
 
-// checkCancelledAreGone finds tasks of cancelled jobs that are on a machine for too long.
-func (c *ruleChecker) checkCancelledAreGone(m *Machine, now time.Time) {
+// checkCancelledTasksStopped finds tasks of cancelled jobs that are on a machine for too long.
+func (c *ruleChecker) checkCancelledTasksStopped(m *Machine, now time.Time) {
 	within := seconds(c.settings.Deployment.Workers.CancelS) + time.Second
 	for _, t := range m.tasks {
 		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelled.IsZero() && now.Sub(t.job.cancelled) > within {
@@ -147,14 +147,14 @@
 
 // checkLimit compares what a team uses with a limit.
 func (c *ruleChecker) checkLimit(team string, limit float64) {
-	if used := c.used[team]; limit > 0 && used > limit+usageSlack {
+	if used := c.usedCPUs[team]; limit > 0 && used > limit+usageSlack {
 		c.violation("quota: %s uses %.1f of %.1f", team, used, limit)
 	}
 }
 
 // limitOf is the limit that counts for a team, in CPUs; 0: none.
 func (c *ruleChecker) limitOf(team string) float64 {
-	if limit, changed := c.limits[team]; changed {
+	if limit, changed := c.changedLimits[team]; changed {
 		return limit
 	}
 	for _, t := range c.settings.Deployment.Teams {
@@ -180,7 +180,7 @@
 		if record.PreviousBounds != nil {
 			counts = *record.PreviousBounds
 		}
-		c.limits[team.Name] = counts.CpusMax
+		c.changedLimits[team.Name] = counts.CpusMax
 		c.checkLimit(team.Name, counts.CpusMax)
 	}
 }
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -16,14 +16,14 @@
 
 // Limits of the state service's interface, as the protocol has them.
 const (
-	maxListed     = 1000
-	maxBlock      = time.Minute
-	maxTxn        = 64 << 10
-	maxKey        = 200
-	minLease      = 100 * time.Millisecond
-	maxLease      = 10 * time.Minute
-	pendingWatch  = 30 * time.Second // a watch that an outage delays is given up after as long
-	defaultListed = 200
+	maxPageItems       = 1000
+	maxWatchWait       = time.Minute
+	maxTxnBytes        = 64 << 10
+	maxKeyBytes        = 200
+	minLeaseTTL        = 100 * time.Millisecond
+	maxLeaseTTL        = 10 * time.Minute
+	watchOutageTimeout = 30 * time.Second // a watch that an outage delays is given up after as long
+	defaultPageItems   = 200
 )
 
 // Open is a way to the store for one caller; the controller, if it is not nil, may be partitioned from it.
@@ -60,9 +60,9 @@
 }
 
 func (s *stateServer) list(c *fiber.Ctx) error {
-	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListed)))
-	if err != nil || limit < 1 || limit > maxListed {
-		return malformed(c, "limit is not between 1 and 1000")
+	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultPageItems)))
+	if err != nil || limit < 1 || limit > maxPageItems {
+		return respondBadRequest(c, "limit is not between 1 and 1000")
 	}
 	page, err := s.link.List(context.Background(), strings.Clone(c.Query("starts")), strings.Clone(c.Query("from")), limit)
 	if err != nil {
@@ -87,18 +87,18 @@
 
 func (s *stateServer) transaction(request *fiber.Ctx) error {
 	var txn protocol.Txn
-	if err := json.Unmarshal(request.Body(), &txn); err != nil || len(request.Body()) > maxTxn {
-		return malformed(request, "no transaction, or over 64 KiB")
+	if err := json.Unmarshal(request.Body(), &txn); err != nil || len(request.Body()) > maxTxnBytes {
+		return respondBadRequest(request, "no transaction, or over 64 KiB")
 	}
 	for _, change := range txn.Then {
 		if !namesOneKey(change) {
-			return malformed(request, "a change names no key")
+			return respondBadRequest(request, "a change names no key")
 		}
 	}
 	rev, failed, err := s.link.Txn(context.Background(), txn, protocol.BackgroundRequest)
 	switch {
 	case errors.Is(err, protocol.ErrNoLease):
-		return malformed(request, "no such lease")
+		return respondBadRequest(request, "no such lease")
 	case err != nil:
 		return fail(request, err)
 	case len(failed) > 0:
@@ -110,7 +110,7 @@
 // namesOneKey tells whether a change puts or deletes one key of a form that the state service takes.
 func namesOneKey(change protocol.Change) bool {
 	key := change.Put + change.Delete
-	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKey && !strings.Contains(key, " ")
+	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKeyBytes && !strings.Contains(key, " ")
 }
 
 func (s *stateServer) grant(fiberCtx *fiber.Ctx) error {
@@ -118,11 +118,11 @@
 		TTL int64 `json:"ttlMs"`
 	}
 	if err := json.Unmarshal(fiberCtx.Body(), &request); err != nil {
-		return malformed(fiberCtx, "no ttlMs")
+		return respondBadRequest(fiberCtx, "no ttlMs")
 	}
 	ttl := time.Duration(request.TTL) * time.Millisecond
-	if ttl < minLease || ttl > maxLease {
-		return malformed(fiberCtx, "ttlMs is not between 100 and 600000")
+	if ttl < minLeaseTTL || ttl > maxLeaseTTL {
+		return respondBadRequest(fiberCtx, "ttlMs is not between 100 and 600000")
 	}
 	id, err := s.link.Grant(context.Background(), ttl)
 	if err != nil {
@@ -152,10 +152,10 @@
 	from, fromErr := strconv.ParseUint(request.Query("from", "0"), 10, 64)
 	milliseconds, waitErr := strconv.Atoi(request.Query("blockMs", "0"))
 	wait := time.Duration(milliseconds) * time.Millisecond
-	if fromErr != nil || waitErr != nil || wait < 0 || wait > maxBlock {
-		return malformed(request, "from or blockMs is out of range")
+	if fromErr != nil || waitErr != nil || wait < 0 || wait > maxWatchWait {
+		return respondBadRequest(request, "from or blockMs is out of range")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), wait+pendingWatch)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+watchOutageTimeout)
 	defer cancel()
 	events, err := s.link.Watch(ctx, strings.Clone(request.Query("starts")), from, wait)
 	if err != nil {
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -16,8 +16,8 @@
 // errOverRate is a refusal for the rate; the outside sees 429.
 var errOverRate = fmt.Errorf("%w: over the rate", protocol.ErrRefused)
 
-// keptChanges is how many changes a watch may lag behind before it has to read again.
-const keptChanges = 10_000
+// defaultKeptChanges is how many changes a watch may lag behind before it has to read again.
+const defaultKeptChanges = 10_000
 
 // entry is what is kept under a key.
 type entry struct {
@@ -28,26 +28,26 @@
 
 // lease is a controller's session lease: what is attached to it is removed as it ends.
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // renew gives the lease its full time again.
-func (l *lease) renew() { l.ends = time.Now().Add(l.ttl) }
+func (l *lease) renew() { l.expires = time.Now().Add(l.ttl) }
 
 // Store stands in for the state service.
 type Store struct {
-	mu          sync.Mutex
-	keys        *btree.Map[string, entry]
-	rev         uint64
-	log         []protocol.Event
-	compactedTo uint64 // changes up to this revision are not kept any more
-	changed     chan struct{}
-	leases      map[uint64]*lease
-	lastID      uint64
-	down        bool
-	denied      map[string]bool // controllers that alone get 503
-	Writes      int
+	mu                 sync.Mutex
+	keys               *btree.Map[string, entry]
+	rev                uint64
+	log                []protocol.Event
+	compactedTo        uint64 // changes up to this revision are not kept any more
+	changed            chan struct{}
+	leases             map[uint64]*lease
+	lastLeaseID        uint64
+	down               bool
+	refusedControllers map[string]bool // controllers that alone get 503
+	Writes             int
 	// Limited makes the store refuse what is over the deployment's rates.
 	Limited  bool
 	Requests int
@@ -71,19 +71,19 @@
 
 // bucket is one of a service's limits.
 type bucket struct {
-	rate, burst, have float64
-	at                time.Time
+	rate, burst, tokens float64
+	at                  time.Time
 }
 
 // take takes a number of requests from the bucket, if it holds so many.
 func (b *bucket) take(n float64) bool {
 	now := time.Now()
-	b.have = min(b.burst, b.have+b.rate*now.Sub(b.at).Seconds())
+	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.at).Seconds())
 	b.at = now
-	if b.have < n {
+	if b.tokens < n {
 		return false
 	}
-	b.have -= n
+	b.tokens -= n
 	return true
 }
 
@@ -156,7 +156,7 @@
 }
 
 // refuses tells whether the store answers a controller with 503; called with the lock held.
-func (s *Store) refuses(controller string) bool { return s.down || s.denied[controller] }
+func (s *Store) refuses(controller string) bool { return s.down || s.refusedControllers[controller] }
 
 // treeDegree is the degree of the tree that holds the keys.
 const treeDegree = 32
@@ -164,10 +164,10 @@
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		keys:    btree.NewMap[string, entry](treeDegree),
-		changed: make(chan struct{}),
-		leases:  map[uint64]*lease{},
-		denied:  map[string]bool{},
+		keys:               btree.NewMap[string, entry](treeDegree),
+		changed:            make(chan struct{}),
+		leases:             map[uint64]*lease{},
+		refusedControllers: map[string]bool{},
 	}
 }
 
@@ -187,16 +187,16 @@
 func (s *Store) Deny(controller string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.denied[controller] = on
+	s.refusedControllers[controller] = on
 }
 
 // grant gives a lease and returns its number; called with the lock held.
 func (s *Store) grant(ttl time.Duration) uint64 {
-	s.lastID++
+	s.lastLeaseID++
 	granted := &lease{ttl: ttl}
 	granted.renew()
-	s.leases[s.lastID] = granted
-	return s.lastID
+	s.leases[s.lastLeaseID] = granted
+	return s.lastLeaseID
 }
 
 // endLease ends a lease and removes what is attached to it; called with the lock held.
@@ -213,7 +213,7 @@
 	}
 	now := time.Now()
 	for id, held := range s.leases {
-		if now.After(held.ends) {
+		if now.After(held.expires) {
 			s.endLease(id)
 		}
 	}
@@ -229,7 +229,7 @@
 		return true
 	})
 	for _, k := range keys {
-		s.change(protocol.Event{Delete: k, Version: s.rev})
+		s.recordEvent(protocol.Event{Delete: k, Version: s.rev})
 	}
 }
 
@@ -270,12 +270,12 @@
 	return events
 }
 
-// change notes a change of a key; called with the lock held.
-func (s *Store) change(event protocol.Event) {
+// recordEvent notes a recordEvent of a key; called with the lock held.
+func (s *Store) recordEvent(event protocol.Event) {
 	if event.Delete != "" {
 		s.keys.Delete(event.Delete)
 	}
-	keep := keptChanges
+	keep := defaultKeptChanges
 	if s.Keep > 0 {
 		keep = s.Keep
 	}
@@ -330,12 +330,12 @@
 		s.Writes++
 		if c.Delete != "" {
 			if _, ok := s.keys.Get(c.Delete); ok {
-				s.change(protocol.Event{Delete: c.Delete, Version: s.rev})
+				s.recordEvent(protocol.Event{Delete: c.Delete, Version: s.rev})
 			}
 			continue
 		}
 		s.keys.Set(c.Put, entry{slices.Clone(c.Value), s.rev, c.Lease})
-		s.change(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.rev})
+		s.recordEvent(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.rev})
 	}
 	if s.Check != nil {
 		s.Check(txn)
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -41,9 +41,9 @@
 	accepted bool
 }
 
-// take takes an answer about a job.
-func (j *Job) take(status protocol.JobStatus) {
-	j.answered = time.Now()
+// noteAnswer takes an answer about a job.
+func (j *Job) noteAnswer(status protocol.JobStatus) {
+	j.lastAnswered = time.Now()
 	j.accepted = true
 	if !j.told.Final() {
 		j.told = status
@@ -75,7 +75,7 @@
 	defer sim.mu.Unlock()
 	var unanswered []*Job
 	for _, id := range sim.order {
-		if j := sim.jobs[id]; j.accepted && j.answered.Before(since) {
+		if j := sim.jobs[id]; j.accepted && j.lastAnswered.Before(since) {
 			unanswered = append(unanswered, j)
 		}
 	}
@@ -129,7 +129,7 @@
 	var served []ServedJobs
 	for _, id := range sim.order {
 		job := sim.jobs[id]
-		if !job.accepted || job.asked || time.Since(job.At) < within {
+		if !job.accepted || job.cancelRequested || time.Since(job.At) < within {
 			continue
 		}
 		class := slices.IndexFunc(served, func(s ServedJobs) bool { return s.Team == job.Team && s.Class == job.Class })
@@ -189,7 +189,7 @@
 		if zone := job.Spec["berth"]; zone != nil && zone != machine.Zone {
 			continue
 		}
-		if machine.leftWith(job).atLeast(0) {
+		if machine.remainingWith(job).atLeast(0) {
 			return true
 		}
 	}
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -52,11 +52,11 @@
 // advance brings a machine's tasks up to now.
 func (sim *Simulation) advance(machine *Machine, now time.Time) {
 	if !machine.preemptionNotice.IsZero() && now.After(machine.preemptionNotice) {
-		sim.remove(machine)
+		sim.removeMachine(machine)
 		sim.charge(machine)
 		return
 	}
-	sim.checkCancelledAreGone(machine, now)
+	sim.checkCancelledTasksStopped(machine, now)
 	if machine.hanging {
 		return
 	}
@@ -64,7 +64,7 @@
 		sim.expireLease(machine, now)
 	}
 	for _, t := range machine.tasks {
-		if t.state != protocol.TaskExited && !now.Before(t.ends) {
+		if t.state != protocol.TaskExited && !now.Before(t.stateEnds) {
 			sim.advanceTask(machine, t, now)
 			machine.wake()
 		}
@@ -90,26 +90,26 @@
 		sim.endTask(machine, t, now)
 	case protocol.TaskCheckpointing:
 		sim.taskStopped(machine, t)
-		t.state, t.cause, t.saved = protocol.TaskExited, protocol.CauseStopped, true
-		t.job.save(t, now.Sub(t.began)-sim.fast(seconds(t.job.spec("markCostS"))), sim.speed())
+		t.state, t.cause, t.checkpointed = protocol.TaskExited, protocol.CauseStopped, true
+		t.job.saveProgress(t, now.Sub(t.started)-sim.scaledTime(seconds(t.job.specNumber("markCostS"))), sim.speed())
 	}
 }
 
 // startTask begins to run a task whose image is there.
 func (sim *Simulation) startTask(machine *Machine, t *taskAttempt, now time.Time) {
 	job := t.job
-	t.state, t.began = protocol.TaskRunning, now
-	t.ends = now.Add(sim.fast(job.run(t.index) - job.saved[t.index]))
+	t.state, t.started = protocol.TaskRunning, now
+	t.stateEnds = now.Add(sim.scaledTime(job.run(t.index) - job.savedProgress[t.index]))
 	switch {
 	case job.done[t.index]:
-		t.ends = now // its result is kept
+		t.stateEnds = now // its result is kept
 	case job.Spec["shape"] == "daemon":
-		t.ends = now.Add(serviceRuns)
+		t.stateEnds = now.Add(serviceRuns)
 	}
 	sim.taskStarted(t)
-	sim.taskRuns(machine, t)
+	sim.checkTaskStart(machine, t)
 	if machine.unhealthy || job.Broken {
-		t.ends = now.Add(failureAfter)
+		t.stateEnds = now.Add(failureAfter)
 	}
 }
 
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -14,12 +14,12 @@
 
 // The users' timing.
 const (
-	submitTimeout     = 5 * time.Second
-	queryTimeout      = 2 * time.Second
-	queryInterval     = 2 * time.Second
-	submitRetry       = time.Second
-	dependencyPoll    = 200 * time.Millisecond
-	noControllerDelay = 500 * time.Millisecond // as long as no controller can be reached
+	submitTimeout          = 5 * time.Second
+	queryTimeout           = 2 * time.Second
+	queryInterval          = 2 * time.Second
+	submitRetryInterval    = time.Second
+	dependencyPollInterval = 200 * time.Millisecond
+	noControllerDelay      = 500 * time.Millisecond // as long as no controller can be reached
 )
 
 // neverSubmitted is the ID of a job that nobody submits.
@@ -49,8 +49,8 @@
 // newJob is the job that a description asks for.
 func (want JobSpec) newJob(id string) *Job {
 	class := cmp.Or(want.Class, "c")
-	job := &Job{ID: id, Team: want.Team, Class: class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, runs: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
-		Broken: want.Broken, done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{}, awaits: want.Dependencies,
+	job := &Job{ID: id, Team: want.Team, Class: class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, taskRunTimes: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
+		Broken: want.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, awaits: want.Dependencies,
 		Spec: map[string]any{"id": id, "jobclass": class, "crew": want.Team, "shape": cmp.Or(want.Shape, "batch"), "urgency": cmp.Or(want.Urgency, "normal"),
 			"shards": want.Tasks, "cpus": want.Cpus, "accelerators": want.Gpus, "ramGb": cmp.Or(want.MemGB, 4), "kit": cmp.Or(want.Image, "img-1"), "pullGb": cmp.Or(want.ImageGB, 0.5),
 			"hulls": nil, "berth": nil, "together": want.Together, "scatter": want.Scatter, "loaners": !want.NoSpot,
@@ -86,7 +86,7 @@
 // userLoop is one user's work on a job: to submit it, to poll it, and to cancel it after a time, if there is one.
 func (sim *Simulation) userLoop(job *Job, cancelAfter time.Duration) {
 	for sim.ctx.Err() == nil && !sim.dependenciesAccepted(job) {
-		time.Sleep(dependencyPoll)
+		time.Sleep(dependencyPollInterval)
 	}
 	if !sim.submit(job) {
 		return
@@ -119,14 +119,14 @@
 		})
 		if state, ok := stateIn(answer); ok {
 			sim.checkState(job, state, asked)
-			sim.look(job)
+			sim.queryAllIfEnabled(job)
 			return true
 		}
 		if isRefusal(answer) {
-			sim.violated("forgotten: submission of %s got %d", job.ID, answer.Status)
+			sim.reportViolation("forgotten: submission of %s got %d", job.ID, answer.Status)
 			return false
 		}
-		time.Sleep(submitRetry)
+		time.Sleep(submitRetryInterval)
 	}
 	return true
 }
@@ -140,7 +140,7 @@
 	}
 	state, _ := stateIn(answer)
 	if state.Status.Final() && !asked.status.Final() {
-		sim.look(job)
+		sim.queryAllIfEnabled(job)
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -213,7 +213,7 @@
 func (sim *Simulation) noteCancelRequest(job *Job) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	job.asked = true
+	job.cancelRequested = true
 }
 
 // cancelConfirmed takes the answer to a cancellation.
@@ -224,14 +224,14 @@
 		j.cancelled = time.Now()
 	}
 	sim.mu.Unlock()
-	sim.look(j)
+	sim.queryAllIfEnabled(j)
 }
 
 // CancelNow has a job's user cancel it, again and again until that is answered.
 func (sim *Simulation) CancelNow(j *Job) {
 	go func() {
 		for sim.ctx.Err() == nil && !sim.cancelJob(j) {
-			time.Sleep(submitRetry)
+			time.Sleep(submitRetryInterval)
 		}
 	}()
 }
--- a/internal/simulator/workers.go
+++ b/internal/simulator/workers.go
@@ -30,8 +30,8 @@
 	return 1
 }
 
-// fast is how long work takes that is stated to take d: machines work at the simulation's speed.
-func (w *workerSet) fast(d time.Duration) time.Duration {
+// scaledTime is how long work takes that is stated to take d: machines work at the simulation's speed.
+func (w *workerSet) scaledTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / w.speed())
 }
 
@@ -58,14 +58,14 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if !m.gone {
-		sim.remove(m)
+		sim.removeMachine(m)
 		m.failed = time.Now()
 		sim.charge(m)
 	}
 }
 
-// remove ends a machine and the tasks on it. What their checkpoints hold stays.
-func (sim *Simulation) remove(m *Machine) {
+// removeMachine ends a machine and the tasks on it. What their checkpoints hold stays.
+func (sim *Simulation) removeMachine(m *Machine) {
 	m.gone = true
 	m.disconnect()
 	for _, t := range m.tasks {
@@ -77,8 +77,8 @@
 
 // keepCheckpoint keeps the latest checkpoint that a task which ends now has saved by itself.
 func (sim *Simulation) keepCheckpoint(t *taskAttempt) {
-	if every := sim.fast(seconds(t.job.spec("markEveryS"))); every > 0 && t.state == protocol.TaskRunning {
-		t.job.save(t, time.Since(t.began)/every*every, sim.speed())
+	if every := sim.scaledTime(seconds(t.job.specNumber("markEveryS"))); every > 0 && t.state == protocol.TaskRunning {
+		t.job.saveProgress(t, time.Since(t.started)/every*every, sim.speed())
 	}
 }
 
