--- a/internal/simulator/answers.go
+++ b/internal/simulator/answers.go
@@ -13,8 +13,8 @@
 
 // This file checks what users are told against what was said before, and what is.
 
-// stateIn is the job's state in an answer, if there is one.
-func stateIn(answer controller.Answer) (protocol.JobState, bool) {
+// decodeJobState is the job's state in an answer, if there is one.
+func decodeJobState(answer controller.Answer) (protocol.JobState, bool) {
 	raw, err := json.Marshal(answer.Body)
 	var state protocol.JobState
 	return state, err == nil && answer.Status >= 200 && answer.Status < 300 && json.Unmarshal(raw, &state) == nil
@@ -34,17 +34,17 @@
 
 // checkState checks an answer about a job against what was said when it was asked for, and what is. The simulation is
 // not locked.
-func (sim *Simulation) checkState(job *Job, state protocol.JobState, asked lastAnswer) {
+func (sim *Simulation) checkState(job *Job, state protocol.JobState, previous lastAnswer) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if asked.status.Final() && state.Status != asked.status || job.told.Final() && state.Status.Final() && state.Status != job.told {
-		sim.violation("went_back: %s was %s and is %s", job.ID, job.told, state.Status)
+	if previous.status.Final() && state.Status != previous.status || job.reportedStatus.Final() && state.Status.Final() && state.Status != job.reportedStatus {
+		sim.violation("went_back: %s was %s and is %s", job.ID, job.reportedStatus, state.Status)
 	}
 	if state.Status == protocol.Done && len(job.done) < job.Tasks {
 		sim.violation("not_done: %s with %d of %d tasks", job.ID, len(job.done), job.Tasks)
 	}
 	if state.Status == protocol.Cancelled && !job.cancelRequested {
-		if asked, _ := job.hasCancelledDependency(); !asked {
+		if requested, _ := job.hasCancelledDependency(); !requested {
 			sim.violation("went_back: %s is cancelled although nobody asked", job.ID)
 		}
 	}
@@ -53,15 +53,15 @@
 
 // checkAnswer takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
 // It tells whether there is a state in it. The simulation is not locked.
-func (sim *Simulation) checkAnswer(job *Job, answer controller.Answer, asked lastAnswer) bool {
-	if state, ok := stateIn(answer); ok {
-		sim.checkState(job, state, asked)
-		if answer.Status == http.StatusCreated && asked.accepted {
+func (sim *Simulation) checkAnswer(job *Job, answer controller.Answer, previous lastAnswer) bool {
+	if state, ok := decodeJobState(answer); ok {
+		sim.checkState(job, state, previous)
+		if answer.Status == http.StatusCreated && previous.accepted {
 			sim.reportViolation("accepted twice: %s", job.ID)
 		}
 		return true
 	}
-	if isRefusal(answer) && asked.accepted {
+	if isRefusal(answer) && previous.accepted {
 		sim.reportViolation("forgotten: %s got %d", job.ID, answer.Status)
 	}
 	return false
@@ -88,12 +88,12 @@
 			if process.ended() || process.isPartitionedFrom(NoUsers) {
 				continue
 			}
-			asked := sim.lastAnswerOf(job)
+			previous := sim.lastAnswerOf(job)
 			for _, request := range []func(ctx context.Context) controller.Answer{
 				func(ctx context.Context) controller.Answer { return process.Core.Query(ctx, job.ID) },
 				func(ctx context.Context) controller.Answer { return process.Core.Submit(ctx, body) },
 			} {
-				go sim.queryController(process, job, asked, request)
+				go sim.queryController(process, job, previous, request)
 			}
 		}
 		time.Sleep(queryAllInterval)
@@ -101,11 +101,11 @@
 }
 
 // queryController sends a request about a job to one controller, and checks the answer.
-func (sim *Simulation) queryController(process *ControllerProcess, job *Job, asked lastAnswer, request func(ctx context.Context) controller.Answer) {
+func (sim *Simulation) queryController(process *ControllerProcess, job *Job, previous lastAnswer, request func(ctx context.Context) controller.Answer) {
 	ctx, cancel := context.WithTimeout(sim.ctx, queryTimeout)
 	defer cancel()
 	answer := request(ctx)
-	if !process.ended() && !process.isPartitionedFrom(NoUsers) && sim.checkAnswer(job, answer, asked) {
+	if !process.ended() && !process.isPartitionedFrom(NoUsers) && sim.checkAnswer(job, answer, previous) {
 		sim.Looks.Add(1)
 	}
 }
@@ -113,9 +113,9 @@
 // queryAllIfEnabled is a close queryAllIfEnabled, where users take them.
 func (sim *Simulation) queryAllIfEnabled(j *Job) {
 	sim.mu.Lock()
-	on := sim.CloseLooks
+	enabled := sim.CloseLooks
 	sim.mu.Unlock()
-	if on {
+	if enabled {
 		sim.CloseLook(j)
 	}
 }
@@ -124,7 +124,7 @@
 type oddRequest struct {
 	body            []byte
 	submittedBefore bool // the job was submitted before, and its state is told
-	want            int  // the status otherwise
+	wantStatus      int  // the status otherwise
 }
 
 // oddRequestsOf are a job's submission with other bodies, and what can't run or lacks a field.
@@ -140,12 +140,12 @@
 		return body
 	}
 	return []oddRequest{
-		{body: with(job.ID, "shards", 77), submittedBefore: true, want: http.StatusOK},
-		{body: with(job.ID, "cpus", nil), submittedBefore: true, want: http.StatusOK},
-		{body: with(job.ID, "cpus", 500.0), submittedBefore: true, want: http.StatusOK},
-		{body: with(unusedID, "cpus", 500.0), want: http.StatusUnprocessableEntity},
-		{body: with(unusedID, "shape", nil), want: http.StatusBadRequest},
-		{body: with(unusedID, "crew", "nobody"), want: http.StatusUnprocessableEntity},
+		{body: with(job.ID, "shards", 77), submittedBefore: true, wantStatus: http.StatusOK},
+		{body: with(job.ID, "cpus", nil), submittedBefore: true, wantStatus: http.StatusOK},
+		{body: with(job.ID, "cpus", 500.0), submittedBefore: true, wantStatus: http.StatusOK},
+		{body: with(unusedID, "cpus", 500.0), wantStatus: http.StatusUnprocessableEntity},
+		{body: with(unusedID, "shape", nil), wantStatus: http.StatusBadRequest},
+		{body: with(unusedID, "crew", "nobody"), wantStatus: http.StatusUnprocessableEntity},
 	}
 }
 
@@ -156,7 +156,7 @@
 	unusedID := sim.nextUnusedID()
 	sim.mu.Unlock()
 	for _, odd := range oddRequestsOf(job, unusedID) {
-		asked := sim.lastAnswerOf(job)
+		previous := sim.lastAnswerOf(job)
 		answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, odd.body)
 		})
@@ -165,9 +165,9 @@
 		}
 		checked++
 		if odd.submittedBefore {
-			sim.checkAnswer(job, answer, asked)
-		} else if answer.Status != odd.want {
-			sim.reportViolation("accepted though it can't be: %s got %d, want %d", odd.body, answer.Status, odd.want)
+			sim.checkAnswer(job, answer, previous)
+		} else if answer.Status != odd.wantStatus {
+			sim.reportViolation("accepted though it can't be: %s got %d, want %d", odd.body, answer.Status, odd.wantStatus)
 		}
 	}
 	sim.checkNeverSubmitted(unusedID)
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -19,7 +19,7 @@
 	if a.current == nil {
 		a.current, a.lastRemoved = map[int]map[string]uint64{}, map[string]uint64{}
 	}
-	gone, now := map[string]uint64{}, map[string]uint64{}
+	removed, placed := map[string]uint64{}, map[string]uint64{}
 	for _, change := range txn.Then {
 		group, ok := storage.GroupOf(change.Put)
 		if !ok {
@@ -29,28 +29,28 @@
 		if err != nil {
 			return []string{err.Error()}
 		}
-		for task, n := range a.current[group] {
-			gone[task] = n
+		for task, attempt := range a.current[group] {
+			removed[task] = attempt
 		}
 		tasks := map[string]uint64{}
 		for _, m := range record.Machines {
 			for _, p := range m.Tasks {
 				for i := 0; i+3 < len(p.Numbers); i += 4 {
 					task := protocol.TaskName(p.Job, int(p.Numbers[i]))
-					tasks[task], now[task] = p.Numbers[i+1], p.Numbers[i+1]
+					tasks[task], placed[task] = p.Numbers[i+1], p.Numbers[i+1]
 				}
 			}
 		}
 		a.current[group] = tasks
 	}
-	for task, n := range now {
-		if n <= a.lastRemoved[task] {
-			reused = append(reused, fmt.Sprintf("records: %s is placed under attempt %d, which it had before", task, n))
+	for task, attempt := range placed {
+		if attempt <= a.lastRemoved[task] {
+			reused = append(reused, fmt.Sprintf("records: %s is placed under attempt %d, which it had before", task, attempt))
 		}
 	}
-	for task, n := range gone {
-		if now[task] != n {
-			a.lastRemoved[task] = max(a.lastRemoved[task], n)
+	for task, attempt := range removed {
+		if placed[task] != attempt {
+			a.lastRemoved[task] = max(a.lastRemoved[task], attempt)
 		}
 	}
 	return reused
--- a/internal/simulator/cloud_server.go
+++ b/internal/simulator/cloud_server.go
@@ -29,7 +29,7 @@
 func (s *cloudServer) catalog(c *fiber.Ctx) error {
 	catalog, err := s.link.Catalog(context.Background())
 	if err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(catalog)
 }
@@ -37,7 +37,7 @@
 func (s *cloudServer) list(c *fiber.Ctx) error {
 	list, err := s.link.List(context.Background(), strings.Clone(c.Query("from")))
 	if err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	if list.Machines == nil {
 		list.Machines = []protocol.CloudMachine{}
@@ -56,7 +56,7 @@
 	case errors.Is(err, protocol.ErrNoCapacity):
 		return fiberCtx.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
 	case err != nil:
-		return fail(fiberCtx, err)
+		return respondError(fiberCtx, err)
 	}
 	return fiberCtx.JSON(protocol.MachineNames{Machines: names})
 }
@@ -67,7 +67,7 @@
 		return respondBadRequest(c, "no list of up to 100 machines")
 	}
 	if err := s.link.ScaleIn(context.Background(), request.Machines); err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.SendStatus(fiber.StatusOK)
 }
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -89,11 +89,11 @@
 	if at, ok := machine.images[name]; ok {
 		return at
 	}
-	takes := time.Duration(0)
+	fetchTime := time.Duration(0)
 	if machine.machineType.FetchGBs > 0 {
-		takes = sim.scaledTime(seconds(job.specNumber("pullGb") / machine.machineType.FetchGBs))
+		fetchTime = sim.scaledTime(seconds(job.specNumber("pullGb") / machine.machineType.FetchGBs))
 	}
-	machine.fetchesEnd = latest(machine.fetchesEnd, now).Add(takes)
+	machine.fetchesEnd = latest(machine.fetchesEnd, now).Add(fetchTime)
 	if len(machine.images) >= max(1, int(machine.machineType.CacheGB/max(0.1, job.specNumber("pullGb")))) {
 		delete(machine.images, machine.oldestUnusedImage())
 	}
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -34,8 +34,8 @@
 	IsLeader atomic.Int32
 }
 
-// set makes a process controller i.
-func (c *controllerSet) set(i int, process *ControllerProcess) {
+// setController makes a process controller i.
+func (c *controllerSet) setController(i int, process *ControllerProcess) {
 	for len(c.controllers) <= i {
 		c.controllers = append(c.controllers, nil)
 	}
@@ -95,7 +95,7 @@
 	if sim.Old[i] {
 		process.Core.Layout, process.Core.Frames = storage.LayoutPlain, 0
 	}
-	sim.set(i, process)
+	sim.setController(i, process)
 	sim.mu.Unlock()
 	go process.Core.Run(ctx)
 }
--- a/internal/simulator/counters.go
+++ b/internal/simulator/counters.go
@@ -37,7 +37,7 @@
 // taskStarted counts a task that starts.
 func (c *counters) taskStarted(t *taskAttempt) {
 	c.Started++
-	if !t.job.cancelled.IsZero() {
+	if !t.job.cancelConfirmedAt.IsZero() {
 		c.StartsAfterCancel++
 	}
 	if t.job.done[t.index] {
--- a/internal/simulator/heartbeats.go
+++ b/internal/simulator/heartbeats.go
@@ -162,8 +162,8 @@
 			machine.fencingToken = response.FencingToken
 			sim.execute(machine, response.Commands)
 		}
-		every := seconds(sim.Settings.Deployment.Workers.HeartbeatS)
-		return every*3/4 + time.Duration(sim.Random.IntN(int(every)/2))
+		interval := seconds(sim.Settings.Deployment.Workers.HeartbeatS)
+		return interval*3/4 + time.Duration(sim.Random.IntN(int(interval)/2))
 	case answer.status == http.StatusMisdirectedRequest:
 		named := sim.indexOf(answer.redirect.Member)
 		if named >= 0 && named != machine.controllerIndex%len(sim.controllers) {
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -16,19 +16,19 @@
 	return fiber.New(fiber.Config{DisableStartupMessage: true, CaseSensitive: true, IdleTimeout: 2 * time.Minute, ReadBufferSize: 8 << 10})
 }
 
-// silent ends the connection without an answer: the caller can't know what became of its request.
-func silent(c *fiber.Ctx) error {
+// dropConnection ends the connection without an answer: the caller can't know what became of its request.
+func dropConnection(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(net.Conn) {})
 	return nil
 }
 
-// fail answers as an outside service does; what is in doubt gets no answer.
-func fail(request *fiber.Ctx, err error) error {
+// respondError answers as an outside service does; what is in doubt gets no answer.
+func respondError(request *fiber.Ctx, err error) error {
 	status := fiber.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, protocol.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
-		return silent(request)
+		return dropConnection(request)
 	case errors.Is(err, errOverRate):
 		status = fiber.StatusTooManyRequests
 	case errors.Is(err, protocol.ErrTooLarge):
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -60,7 +60,7 @@
 	if l.store.refuses(l.controller.Name) {
 		return protocol.ErrRefused
 	}
-	if l.store.over() {
+	if l.store.overRequestRate() {
 		return errOverRate
 	}
 	return nil
@@ -97,15 +97,15 @@
 }
 
 // Read reads one key.
-func (l *StoreLink) Read(ctx context.Context, key string) (it protocol.Item, lease, rev uint64, err error) {
+func (l *StoreLink) Read(ctx context.Context, key string) (item protocol.Item, lease, rev uint64, err error) {
 	if err := l.begin(ctx); err != nil {
-		return it, 0, 0, err
+		return item, 0, 0, err
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	e, ok := l.store.keys.Get(key)
 	if !ok {
-		return it, 0, l.store.rev, protocol.ErrNotFound
+		return item, 0, l.store.rev, protocol.ErrNotFound
 	}
 	return protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version}, e.lease, l.store.rev, nil
 }
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -33,7 +33,7 @@
 	healthChangedAt time.Time
 	removedAt       time.Time
 	returnDelay     time.Duration // before it may become healthy again
-	refused         int           // connections in a row
+	connectFailures int           // connections in a row
 	skipUntil       time.Time
 }
 
@@ -148,14 +148,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *backend
-	least := 0.0
+	leastLoad := 0.0
 	for _, b := range l.backends {
 		if !b.healthy || now.Before(b.skipUntil) || slices.Contains(tried, b) {
 			continue
 		}
-		part := min(1, initialLoadFraction+now.Sub(b.healthChangedAt).Seconds()/rampDuration.Seconds())
-		if load := float64(len(b.conns)+1) / part; best == nil || load < least {
-			best, least = b, load
+		fraction := min(1, initialLoadFraction+now.Sub(b.healthChangedAt).Seconds()/rampDuration.Seconds())
+		if load := float64(len(b.conns)+1) / fraction; best == nil || load < leastLoad {
+			best, leastLoad = b, load
 		}
 	}
 	return best
@@ -182,9 +182,9 @@
 			return
 		}
 		tried = append(tried, b)
-		to, err := b.connect()
+		target, err := b.connect()
 		if l.connected(b, conn, err) {
-			splice(conn, to, Direction{Held: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
+			splice(conn, target, Direction{Held: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
 			l.disconnected(b, conn)
 			return
 		}
@@ -206,12 +206,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		if b.refused++; b.refused >= maxConnectAttempts {
-			b.skipUntil, b.refused = time.Now().Add(refusedSkipTime), 0
+		if b.connectFailures++; b.connectFailures >= maxConnectAttempts {
+			b.skipUntil, b.connectFailures = time.Now().Add(refusedSkipTime), 0
 		}
 		return false
 	}
-	b.refused = 0
+	b.connectFailures = 0
 	b.conns[conn] = true
 	return true
 }
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -109,13 +109,13 @@
 
 // remainingWith is what a task of a job would leave of the machine, beside the attempts that have not exited.
 func (m *Machine) remainingWith(job *Job) resources {
-	left := m.capacity().minus(job.needs())
+	remaining := m.capacity().minus(job.needs())
 	for _, t := range m.tasks {
 		if t.state != protocol.TaskExited {
-			left = left.minus(t.job.needs())
+			remaining = remaining.minus(t.job.needs())
 		}
 	}
-	return left
+	return remaining
 }
 
 // hasTask tells whether an attempt of a job's task is on the machine that has not exited.
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -10,8 +10,8 @@
 // network is what lies between the parts of a simulation: partitions, and hooks that delay, repeat and lose messages. A
 // hook that is not set changes nothing; tests set them before the simulation begins.
 type network struct {
-	isolatedZone string                // the zone that is partitioned from all others
-	kept         []*protocol.Heartbeat // for the next leader
+	isolatedZone   string                // the zone that is partitioned from all others
+	heldHeartbeats []*protocol.Heartbeat // for the next leader
 
 	// Delay is how long a message takes between two zones of controllers and workers that speak HTTP.
 	Delay func(from, to string) time.Duration
@@ -50,15 +50,15 @@
 		copyAfter = n.CopiedHeartbeats(heartbeat.Machine)
 	}
 	if n.KeptHeartbeats != nil && n.KeptHeartbeats(heartbeat.Machine) {
-		n.kept = append(n.kept, heartbeat)
+		n.heldHeartbeats = append(n.heldHeartbeats, heartbeat)
 	}
 	return delay, copyAfter
 }
 
 // takeHeldHeartbeats returns the heartbeats that were kept back for the next leader.
 func (n *network) takeHeldHeartbeats() []*protocol.Heartbeat {
-	kept := n.kept
-	n.kept = nil
+	kept := n.heldHeartbeats
+	n.heldHeartbeats = nil
 	return kept
 }
 
--- a/internal/simulator/relay.go
+++ b/internal/simulator/relay.go
@@ -30,24 +30,24 @@
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
 // splice passes on what both sides send until either ends.
-func splice(a, b net.Conn, way Direction) {
+func splice(a, b net.Conn, options Direction) {
 	var passing sync.WaitGroup
-	passing.Go(func() { way.pass(a, b) })
-	passing.Go(func() { way.pass(b, a) })
+	passing.Go(func() { options.pass(a, b) })
+	passing.Go(func() { options.pass(b, a) })
 	passing.Wait()
 }
 
 // pass passes on what one side sends until either ends.
-func (way Direction) pass(conn, from net.Conn) {
+func (options Direction) pass(conn, from net.Conn) {
 	defer closeConn(conn)
 	defer closeConn(from)
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, readErr := from.Read(buffer)
-		if way.Delay != nil {
-			time.Sleep(way.Delay())
+		if options.Delay != nil {
+			time.Sleep(options.Delay())
 		}
-		for way.Held() {
+		for options.Held() {
 			time.Sleep(heldPollInterval)
 		}
 		if n > 0 {
@@ -62,27 +62,27 @@
 }
 
 // Relay passes connections between two controllers on, so that the way between them can be partitioned.
-func Relay(listener net.Listener, to string, way Direction) error {
+func Relay(listener net.Listener, to string, options Direction) error {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return err
 		}
-		go relayConn(conn, to, way)
+		go relayConn(conn, to, options)
 	}
 }
 
-func relayConn(conn net.Conn, to string, way Direction) {
+func relayConn(conn net.Conn, to string, options Direction) {
 	defer closeConn(conn)
-	if way.Held() {
+	if options.Held() {
 		return
 	}
 	target, err := dial(to, relayConnectTimeout)
 	if err != nil {
 		return
 	}
-	if way.Meter != nil {
-		target = way.Meter.Conn(target)
+	if options.Meter != nil {
+		target = options.Meter.Conn(target)
 	}
-	splice(conn, target, way)
+	splice(conn, target, options)
 }
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -36,7 +36,7 @@
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.set(i, process)
+	sim.setController(i, process)
 	return process
 }
 
@@ -97,11 +97,11 @@
 
 // WorkerPorts are the loopback addresses at which the simulation's workers take direct commands.
 type WorkerPorts struct {
-	simulation *Simulation
-	address    func(number int) string
-	server     *fasthttp.Server
-	mu         sync.Mutex
-	at         map[string]*Machine
+	simulation    *Simulation
+	address       func(number int) string
+	server        *fasthttp.Server
+	mu            sync.Mutex
+	machineByAddr map[string]*Machine
 }
 
 // AnyPort lets the system choose each worker's port.
@@ -110,7 +110,7 @@
 // ServeWorkers lets every machine that comes from now on listen at a loopback address of its own, which goes by the
 // machine's number. Call Close when the simulation is over.
 func (sim *Simulation) ServeWorkers(address func(number int) string) *WorkerPorts {
-	workerPorts := &WorkerPorts{simulation: sim, address: address, at: map[string]*Machine{}}
+	workerPorts := &WorkerPorts{simulation: sim, address: address, machineByAddr: map[string]*Machine{}}
 	app := newApp()
 	app.Post("/commands", workerPorts.commands)
 	app.Get("/status", workerPorts.status)
@@ -137,7 +137,7 @@
 	sim.Commands.Messages.Add(1)
 	m := p.machine(fiberCtx)
 	if !sim.reachable(m, true) {
-		return silent(fiberCtx)
+		return dropConnection(fiberCtx)
 	}
 	sim.waitZoneDelay("", m.Zone) // which zone's controller has sent it can't be told
 	sim.mu.Lock()
@@ -151,7 +151,7 @@
 	m := p.machine(c)
 	sim := p.simulation
 	if !sim.reachable(m, false) {
-		return silent(c)
+		return dropConnection(c)
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -169,7 +169,7 @@
 	machine.port = listener
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.at[listener.Addr().String()] = machine
+	p.machineByAddr[listener.Addr().String()] = machine
 	go func() {
 		if err := p.server.Serve(p.simulation.Commands.Listen(listener)); err != nil && !errors.Is(err, net.ErrClosed) {
 			p.simulation.Log.Error("a worker's port ended", "machine", machine.Name, "err", err)
@@ -182,7 +182,7 @@
 func (p *WorkerPorts) machine(c *fiber.Ctx) *Machine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.at[c.Context().LocalAddr().String()]
+	return p.machineByAddr[c.Context().LocalAddr().String()]
 }
 
 // Close ends all workers' ports.
@@ -198,7 +198,7 @@
 // reachable tells whether a machine answers now. In a partitioned zone none does, not even to a controller inside: a
 // port can't tell which controller speaks. One that hangs carries commands out once it goes on, when nobody waits for
 // the answer any more.
-func (sim *Simulation) reachable(machine *Machine, waits bool) bool {
+func (sim *Simulation) reachable(machine *Machine, waitWhileHanging bool) bool {
 	for sim.ctx.Err() == nil && machine != nil {
 		sim.mu.Lock()
 		running, hanging, partitioned := machine.isRunning(), machine.hanging, machine.partitioned || sim.isIsolated(machine.Zone)
@@ -208,7 +208,7 @@
 			return false
 		case !hanging:
 			return true
-		case !waits:
+		case !waitWhileHanging:
 			return false
 		}
 		wait.For(sim.ctx, resumePollInterval)
@@ -227,7 +227,7 @@
 
 // AddJob takes a job's description. One that was uploaded before stays as it was.
 func (sim *Simulation) AddJob(upload Upload) error {
-	sub, err := protocol.ParseSubmission(upload.Spec)
+	submission, err := protocol.ParseSubmission(upload.Spec)
 	if err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 	if !(upload.RunS >= 0 && upload.RunS <= 1e9) {
 		return errors.New("field run_s is out of range")
 	}
-	job := &Job{ID: sub.ID, Team: sub.Team, Tasks: sub.Tasks, Run: seconds(upload.RunS), Cpus: sub.Cpus, Spot: sub.Spot, Broken: upload.Fails,
+	job := &Job{ID: submission.ID, Team: submission.Team, Tasks: submission.Tasks, Run: seconds(upload.RunS), Cpus: submission.Cpus, Spot: submission.Spot, Broken: upload.Fails,
 		done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, At: time.Now()}
 	if err := json.Unmarshal(upload.Spec, &job.Spec); err != nil {
 		return err
@@ -250,12 +250,12 @@
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if sim.jobs[sub.ID] != nil {
+	if sim.jobs[submission.ID] != nil {
 		return nil
 	}
-	for _, id := range sub.Dependencies {
+	for _, id := range submission.Dependencies {
 		if dependency := sim.jobs[id]; dependency != nil {
-			job.awaits = append(job.awaits, dependency)
+			job.dependencies = append(job.dependencies, dependency)
 		}
 	}
 	sim.add(job)
--- a/internal/simulator/retrying_users.go
+++ b/internal/simulator/retrying_users.go
@@ -27,7 +27,7 @@
 func (u Users) retryUntilFinal(ctx context.Context, name string, request func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
 	for ctx.Err() == nil {
 		answer := u.Simulation.ask(submitTimeout, request)
-		if state, ok := stateIn(answer); ok {
+		if state, ok := decodeJobState(answer); ok {
 			return state, nil
 		}
 		switch answer.Status {
@@ -52,7 +52,7 @@
 // Status asks for a job once.
 func (u Users) Status(id string) (protocol.JobState, error) {
 	answer := u.Simulation.query(id)
-	if state, ok := stateIn(answer); ok {
+	if state, ok := decodeJobState(answer); ok {
 		return state, nil
 	}
 	return protocol.JobState{}, &statusError{id, answer.Status}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -75,8 +75,8 @@
 }
 
 func (c *ruleChecker) checkDependencies(t *taskAttempt) {
-	for _, dependency := range t.job.awaits {
-		if len(dependency.done) < dependency.Tasks || dependency.told == protocol.Cancelled {
+	for _, dependency := range t.job.dependencies {
+		if len(dependency.done) < dependency.Tasks || dependency.reportedStatus == protocol.Cancelled {
 			c.violation("too_early: %s/%d starts before %s is done", t.job.ID, t.index, dependency.ID)
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 func (c *ruleChecker) checkCancelled(t *taskAttempt) {
-	if !t.job.cancelled.IsZero() && time.Since(t.job.cancelled) > seconds(c.settings.Deployment.Workers.CancelS) {
+	if !t.job.cancelConfirmedAt.IsZero() && time.Since(t.job.cancelConfirmedAt) > seconds(c.settings.Deployment.Workers.CancelS) {
 		c.violation("ran_cancelled: %s/%d starts", t.job.ID, t.index)
 	}
 }
@@ -138,9 +138,9 @@
 func (c *ruleChecker) checkCancelledTasksStopped(m *Machine, now time.Time) {
 	within := seconds(c.settings.Deployment.Workers.CancelS) + time.Second
 	for _, t := range m.tasks {
-		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelled.IsZero() && now.Sub(t.job.cancelled) > within {
+		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelConfirmedAt.IsZero() && now.Sub(t.job.cancelConfirmedAt) > within {
 			c.violation("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
-			t.job.cancelled = now
+			t.job.cancelConfirmedAt = now
 		}
 	}
 }
@@ -176,11 +176,11 @@
 		if err := json.Unmarshal(change.Value, &record); err != nil {
 			c.violation("record %s cannot be read", change.Put)
 		}
-		counts := record.TeamBounds
+		bounds := record.TeamBounds
 		if record.PreviousBounds != nil {
-			counts = *record.PreviousBounds
+			bounds = *record.PreviousBounds
 		}
-		c.changedLimits[team.Name] = counts.CpusMax
-		c.checkLimit(team.Name, counts.CpusMax)
+		c.changedLimits[team.Name] = bounds.CpusMax
+		c.checkLimit(team.Name, bounds.CpusMax)
 	}
 }
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -66,7 +66,7 @@
 	}
 	page, err := s.link.List(context.Background(), strings.Clone(c.Query("starts")), strings.Clone(c.Query("from")), limit)
 	if err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(page)
 }
@@ -77,7 +77,7 @@
 	case errors.Is(err, protocol.ErrNotFound):
 		return c.Status(fiber.StatusNotFound).JSON(protocol.TxnResult{Revision: rev})
 	case err != nil:
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(struct {
 		protocol.Item
@@ -100,7 +100,7 @@
 	case errors.Is(err, protocol.ErrNoLease):
 		return respondBadRequest(request, "no such lease")
 	case err != nil:
-		return fail(request, err)
+		return respondError(request, err)
 	case len(failed) > 0:
 		return request.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
 	}
@@ -126,7 +126,7 @@
 	}
 	id, err := s.link.Grant(context.Background(), ttl)
 	if err != nil {
-		return fail(fiberCtx, err)
+		return respondError(fiberCtx, err)
 	}
 	return fiberCtx.JSON(struct {
 		Lease uint64 `json:"tenure"`
@@ -138,11 +138,11 @@
 }
 
 // onLease handles a request about the lease that its path names.
-func onLease(do func(context.Context, uint64) error) fiber.Handler {
+func onLease(handle func(context.Context, uint64) error) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // 0 is no lease
-		if err := do(context.Background(), id); err != nil {
-			return fail(c, err)
+		if err := handle(context.Background(), id); err != nil {
+			return respondError(c, err)
 		}
 		return c.SendStatus(fiber.StatusOK)
 	}
@@ -159,7 +159,7 @@
 	defer cancel()
 	events, err := s.link.Watch(ctx, strings.Clone(request.Query("starts")), from, wait)
 	if err != nil {
-		return fail(request, err)
+		return respondError(request, err)
 	}
 	return request.JSON(events)
 }
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -72,14 +72,14 @@
 // bucket is one of a service's limits.
 type bucket struct {
 	rate, burst, tokens float64
-	at                  time.Time
+	refilledAt          time.Time
 }
 
 // take takes a number of requests from the bucket, if it holds so many.
 func (b *bucket) take(n float64) bool {
 	now := time.Now()
-	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < n {
 		return false
 	}
@@ -136,8 +136,8 @@
 	return s.keys.Len(), bytes
 }
 
-// over counts a request; called with the lock held.
-func (s *Store) over() bool {
+// overRequestRate counts a request; called with the lock held.
+func (s *Store) overRequestRate() bool {
 	s.Requests++
 	if s.Limited && !s.rates.requests.take(1) {
 		s.OverRate++
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -45,8 +45,8 @@
 func (j *Job) noteAnswer(status protocol.JobStatus) {
 	j.lastAnswered = time.Now()
 	j.accepted = true
-	if !j.told.Final() {
-		j.told = status
+	if !j.reportedStatus.Final() {
+		j.reportedStatus = status
 	}
 }
 
@@ -54,7 +54,7 @@
 func (sim *Simulation) lastAnswerOf(j *Job) lastAnswer {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return lastAnswer{j.told, j.accepted}
+	return lastAnswer{j.reportedStatus, j.accepted}
 }
 
 // Told is what the job's user was last told.
@@ -161,18 +161,18 @@
 func (sim *Simulation) Beside() []*Job {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	used := map[string]float64{}
+	usedCPUs := map[string]float64{}
 	for _, j := range sim.jobs {
-		used[j.Team] += float64(len(j.on)) * j.Cpus
+		usedCPUs[j.Team] += float64(len(j.on)) * j.Cpus
 	}
-	limits := map[string]float64{}
+	limitCPUs := map[string]float64{}
 	for _, t := range sim.Settings.Deployment.Teams {
-		limits[t.Name] = t.CpusMax
+		limitCPUs[t.Name] = t.CpusMax
 	}
 	var waiting []*Job
 	for _, id := range sim.order {
 		j := sim.jobs[id]
-		underLimit := limits[j.Team] == 0 || used[j.Team]+j.Cpus <= limits[j.Team]
+		underLimit := limitCPUs[j.Team] == 0 || usedCPUs[j.Team]+j.Cpus <= limitCPUs[j.Team]
 		if underLimit && j.isWaiting() && sim.hasCapacityFor(j) {
 			waiting = append(waiting, j)
 		}
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -99,7 +99,7 @@
 func (sim *Simulation) startTask(machine *Machine, t *taskAttempt, now time.Time) {
 	job := t.job
 	t.state, t.started = protocol.TaskRunning, now
-	t.stateEnds = now.Add(sim.scaledTime(job.run(t.index) - job.savedProgress[t.index]))
+	t.stateEnds = now.Add(sim.scaledTime(job.taskRunTime(t.index) - job.savedProgress[t.index]))
 	switch {
 	case job.done[t.index]:
 		t.stateEnds = now // its result is kept
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -50,7 +50,7 @@
 func (want JobSpec) newJob(id string) *Job {
 	class := cmp.Or(want.Class, "c")
 	job := &Job{ID: id, Team: want.Team, Class: class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, taskRunTimes: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
-		Broken: want.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, awaits: want.Dependencies,
+		Broken: want.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, dependencies: want.Dependencies,
 		Spec: map[string]any{"id": id, "jobclass": class, "crew": want.Team, "shape": cmp.Or(want.Shape, "batch"), "urgency": cmp.Or(want.Urgency, "normal"),
 			"shards": want.Tasks, "cpus": want.Cpus, "accelerators": want.Gpus, "ramGb": cmp.Or(want.MemGB, 4), "kit": cmp.Or(want.Image, "img-1"), "pullGb": cmp.Or(want.ImageGB, 0.5),
 			"hulls": nil, "berth": nil, "together": want.Together, "scatter": want.Scatter, "loaners": !want.NoSpot,
@@ -106,19 +106,19 @@
 func (sim *Simulation) dependenciesAccepted(job *Job) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return !slices.ContainsFunc(job.awaits, func(dependency *Job) bool { return !dependency.accepted })
+	return !slices.ContainsFunc(job.dependencies, func(dependency *Job) bool { return !dependency.accepted })
 }
 
 // submit submits a job until it is accepted, and tells whether its user goes on: not if it is refused.
 func (sim *Simulation) submit(job *Job) bool {
 	body, _ := json.Marshal(job.Spec) // a job's description holds only what JSON can
 	for sim.ctx.Err() == nil {
-		asked := sim.lastAnswerOf(job)
+		previous := sim.lastAnswerOf(job)
 		answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, body)
 		})
-		if state, ok := stateIn(answer); ok {
-			sim.checkState(job, state, asked)
+		if state, ok := decodeJobState(answer); ok {
+			sim.checkState(job, state, previous)
 			sim.queryAllIfEnabled(job)
 			return true
 		}
@@ -133,19 +133,19 @@
 
 // poll asks for a job once, and checks the answer.
 func (sim *Simulation) poll(job *Job) {
-	asked := sim.lastAnswerOf(job)
+	previous := sim.lastAnswerOf(job)
 	answer := sim.query(job.ID)
-	if !sim.checkAnswer(job, answer, asked) {
+	if !sim.checkAnswer(job, answer, previous) {
 		return
 	}
-	state, _ := stateIn(answer)
-	if state.Status.Final() && !asked.status.Final() {
+	state, _ := decodeJobState(answer)
+	if state.Status.Final() && !previous.status.Final() {
 		sim.queryAllIfEnabled(job)
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	_, told := job.hasCancelledDependency()
-	if !state.Status.Final() && !told.IsZero() && time.Since(told) > seconds(sim.Settings.Deployment.Workers.CancelS) {
+	_, confirmedAt := job.hasCancelledDependency()
+	if !state.Status.Final() && !confirmedAt.IsZero() && time.Since(confirmedAt) > seconds(sim.Settings.Deployment.Workers.CancelS) {
 		sim.violation("orphaned: %s is %s", job.ID, state.Status)
 	}
 }
@@ -195,18 +195,18 @@
 // cancelJob asks some controller once to cancel a job, and tells whether its user got a final answer.
 func (sim *Simulation) cancelJob(job *Job) bool {
 	sim.noteCancelRequest(job)
-	asked := sim.lastAnswerOf(job)
+	previous := sim.lastAnswerOf(job)
 	answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 		return c.Cancel(ctx, job.ID)
 	})
-	state, ok := stateIn(answer)
+	state, ok := decodeJobState(answer)
 	if !ok || !state.Status.Final() {
 		if answer.Status == 404 {
-			sim.checkAnswer(job, answer, asked)
+			sim.checkAnswer(job, answer, previous)
 		}
 		return false
 	}
-	sim.cancelConfirmed(job, state, asked)
+	sim.cancelConfirmed(job, state, previous)
 	return true
 }
 
@@ -217,11 +217,11 @@
 }
 
 // cancelConfirmed takes the answer to a cancellation.
-func (sim *Simulation) cancelConfirmed(j *Job, state protocol.JobState, asked lastAnswer) {
-	sim.checkState(j, state, asked)
+func (sim *Simulation) cancelConfirmed(j *Job, state protocol.JobState, previous lastAnswer) {
+	sim.checkState(j, state, previous)
 	sim.mu.Lock()
-	if state.Status == protocol.Cancelled && j.cancelled.IsZero() {
-		j.cancelled = time.Now()
+	if state.Status == protocol.Cancelled && j.cancelConfirmedAt.IsZero() {
+		j.cancelConfirmedAt = time.Now()
 	}
 	sim.mu.Unlock()
 	sim.queryAllIfEnabled(j)
@@ -239,13 +239,13 @@
 // CancelAt asks controller i to cancel a job, once, and tells whether it confirmed that.
 func (sim *Simulation) CancelAt(job *Job, i int) bool {
 	sim.noteCancelRequest(job)
-	process, asked := sim.Controller(i), sim.lastAnswerOf(job)
+	process, previous := sim.Controller(i), sim.lastAnswerOf(job)
 	ctx, cancel := context.WithTimeout(sim.ctx, submitTimeout)
 	defer cancel()
-	state, ok := stateIn(process.Core.Cancel(ctx, job.ID))
+	state, ok := decodeJobState(process.Core.Cancel(ctx, job.ID))
 	if !ok || state.Status != protocol.Cancelled || process.ended() || process.isPartitionedFrom(NoUsers) {
 		return false
 	}
-	sim.cancelConfirmed(job, state, asked)
+	sim.cancelConfirmed(job, state, previous)
 	return true
 }
--- a/internal/simulator/workers.go
+++ b/internal/simulator/workers.go
@@ -77,8 +77,8 @@
 
 // keepCheckpoint keeps the latest checkpoint that a task which ends now has saved by itself.
 func (sim *Simulation) keepCheckpoint(t *taskAttempt) {
-	if every := sim.scaledTime(seconds(t.job.specNumber("markEveryS"))); every > 0 && t.state == protocol.TaskRunning {
-		t.job.saveProgress(t, time.Since(t.started)/every*every, sim.speed())
+	if interval := sim.scaledTime(seconds(t.job.specNumber("markEveryS"))); interval > 0 && t.state == protocol.TaskRunning {
+		t.job.saveProgress(t, time.Since(t.started)/interval*interval, sim.speed())
 	}
 }
 
