--- a/internal/simulator/answers.go
+++ b/internal/simulator/answers.go
@@ -11,29 +11,29 @@
 	"dykeledge/internal/protocol"
 )
 
-// This file checks what users are told against what was said before, and what is.
+// This file checks the answers that users get, both against earlier answers and against the simulated state.
 
-// decodeJobState is the job's state in an answer, if there is one.
+// decodeJobState returns the job state that a successful answer holds, and whether it holds one.
 func decodeJobState(answer controller.Answer) (protocol.JobState, bool) {
 	raw, err := json.Marshal(answer.Body)
 	var state protocol.JobState
 	return state, err == nil && answer.Status >= 200 && answer.Status < 300 && json.Unmarshal(raw, &state) == nil
 }
 
-// isRefusal tells whether an answer refuses a request for good.
+// isRefusal reports whether an answer refuses a request permanently. Status 429 and above are temporary.
 func isRefusal(answer controller.Answer) bool {
 	return answer.Status >= http.StatusBadRequest && answer.Status < http.StatusTooManyRequests
 }
 
-// reportViolation notes a rule that is broken. The simulation is not locked.
+// reportViolation records a violated rule. It acquires the simulation's mutex, so the caller must not hold it.
 func (sim *Simulation) reportViolation(format string, arguments ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.violation(format, arguments...)
 }
 
-// checkState checks an answer about a job against what was said when it was asked for, and what is. The simulation is
-// not locked.
+// checkState checks the state in an answer about a job against what users had been told when the request was sent,
+// and against the simulated state of the job. The caller must not hold the simulation's mutex.
 func (sim *Simulation) checkState(job *Job, state protocol.JobState, previous lastAnswer) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -45,14 +45,15 @@
 	}
 	if state.Status == protocol.Cancelled && !job.cancelRequested {
 		if requested, _ := job.hasCancelledDependency(); !requested {
-			sim.violation("went_back: %s is cancelled although nobody asked", job.ID)
+			sim.violation("went_back: %s is cancelled although no cancellation was requested", job.ID)
 		}
 	}
 	job.noteAnswer(state.Status)
 }
 
-// checkAnswer takes an answer to a question about a job, or to its repeated submission: only a state, or none for now.
-// It tells whether there is a state in it. The simulation is not locked.
+// checkAnswer checks an answer to a status request for a job or to its repeated submission. For an
+// accepted job, the answer holds a state or is a temporary error. It reports whether the answer holds a state. The
+// caller must not hold the simulation's mutex.
 func (sim *Simulation) checkAnswer(job *Job, answer controller.Answer, previous lastAnswer) bool {
 	if state, ok := decodeJobState(answer); ok {
 		sim.checkState(job, state, previous)
@@ -62,15 +63,16 @@
 		return true
 	}
 	if isRefusal(answer) && previous.accepted {
-		sim.reportViolation("forgotten: %s got %d", job.ID, answer.Status)
+		sim.reportViolation("forgotten: accepted job %s was answered with status %d", job.ID, answer.Status)
 	}
 	return false
 }
 
-// checkNeverSubmitted asks for a job that nobody has submitted: no controller may know it.
+// checkNeverSubmitted requests the status of a job that was never submitted: no controller may report a state for
+// it.
 func (sim *Simulation) checkNeverSubmitted(id string) {
 	if answer := sim.query(id); answer.Status == http.StatusOK {
-		sim.reportViolation("invented: %s, a job that nobody submitted", id)
+		sim.reportViolation("invented: a state was reported for %s, which was never submitted", id)
 	}
 }
 
@@ -79,9 +81,10 @@
 	queryAllInterval = 3 * time.Millisecond
 )
 
-// CloseLook asks for a job at all controllers within milliseconds, again and again, and repeats its submission there.
+// CloseLook requests the status of a job from every controller that users reach, and repeats the job's submission
+// there, in several rounds within milliseconds. It checks each answer.
 func (sim *Simulation) CloseLook(job *Job) {
-	body, _ := json.Marshal(job.Spec) // a job's description holds only what JSON can
+	body, _ := json.Marshal(job.Spec) // the specification holds only JSON values
 	for range queryAllRounds {
 		for i := range sim.Settings.Deployment.Controllers {
 			process := sim.Controller(i)
@@ -100,7 +103,7 @@
 	}
 }
 
-// queryController sends a request about a job to one controller, and checks the answer.
+// queryController sends a request about a job to one controller and checks the answer.
 func (sim *Simulation) queryController(process *ControllerProcess, job *Job, previous lastAnswer, request func(ctx context.Context) controller.Answer) {
 	ctx, cancel := context.WithTimeout(sim.ctx, queryTimeout)
 	defer cancel()
@@ -110,7 +113,7 @@
 	}
 }
 
-// queryAllIfEnabled is a close queryAllIfEnabled, where users take them.
+// queryAllIfEnabled calls CloseLook for a job if CloseLooks is set.
 func (sim *Simulation) queryAllIfEnabled(j *Job) {
 	sim.mu.Lock()
 	enabled := sim.CloseLooks
@@ -120,14 +123,15 @@
 	}
 }
 
-// oddRequest is a submission that repeats a job's with another body, or that can't be accepted.
+// oddRequest is a submission that either repeats a job's ID with another body, or must be refused.
 type oddRequest struct {
 	body            []byte
-	submittedBefore bool // the job was submitted before, and its state is told
-	wantStatus      int  // the status otherwise
+	submittedBefore bool // the job was submitted before: the answer holds its state
+	wantStatus      int  // the expected status if submittedBefore is false
 }
 
-// oddRequestsOf are a job's submission with other bodies, and what can't run or lacks a field.
+// oddRequestsOf returns submissions that repeat a job's ID with other bodies, and submissions with an unused ID
+// that ask for too many CPUs, lack a field or name an unknown team.
 func oddRequestsOf(job *Job, unusedID string) []oddRequest {
 	with := func(id, field string, value any) []byte {
 		spec := maps.Clone(job.Spec)
@@ -136,7 +140,7 @@
 		} else {
 			spec[field] = value
 		}
-		body, _ := json.Marshal(spec) // a job's description holds only what JSON can
+		body, _ := json.Marshal(spec) // the specification holds only JSON values
 		return body
 	}
 	return []oddRequest{
@@ -149,8 +153,8 @@
 	}
 }
 
-// OddRequests repeats a job's submission with other bodies, and sends what can't run and what lacks a field: nothing of
-// that may be accepted. It returns how many answers it checked.
+// OddRequests sends the submissions of oddRequestsOf and checks that none is accepted as a new job. It returns the
+// number of checked answers.
 func (sim *Simulation) OddRequests(job *Job) (checked int) {
 	sim.mu.Lock()
 	unusedID := sim.nextUnusedID()
@@ -167,7 +171,7 @@
 		if odd.submittedBefore {
 			sim.checkAnswer(job, answer, previous)
 		} else if answer.Status != odd.wantStatus {
-			sim.reportViolation("accepted though it can't be: %s got %d, want %d", odd.body, answer.Status, odd.wantStatus)
+			sim.reportViolation("invalid submission %s was answered with status %d, expected %d", odd.body, answer.Status, odd.wantStatus)
 		}
 	}
 	sim.checkNeverSubmitted(unusedID)
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -7,14 +7,15 @@
 	"dykeledge/internal/storage"
 )
 
-// attempts are what the groups' records have held: an attempt that has left them must never come again, whoever
-// wrote it, since workers that have forgotten it would start it.
+// attempts records which attempts the machine groups' records have held. An attempt that was removed from the
+// records must not be placed again, by any controller: a worker that has cleared the attempt would start it again.
 type attempts struct {
-	current     map[int]map[string]uint64 // by group and task
-	lastRemoved map[string]uint64         // by task: the latest that has left
+	current     map[int]map[string]uint64 // attempt number by group and task
+	lastRemoved map[string]uint64         // by task: the highest attempt number that was removed
 }
 
-// note takes in a transaction and tells which tasks it places under attempts that were used before.
+// note updates the history with a transaction, and returns a message for each task that the transaction places
+// under an attempt number that the task had before.
 func (a *attempts) note(txn protocol.Txn) (reused []string) {
 	if a.current == nil {
 		a.current, a.lastRemoved = map[int]map[string]uint64{}, map[string]uint64{}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// failureListingDelay is how long a machine that died goes on being listed as running.
+	// failureListingDelay is how long the machine list keeps showing a machine that died as running.
 	failureListingDelay = 30 * time.Second
-	// minimumChargedTime is what a machine that is returned costs at least.
+	// minimumChargedTime is the shortest time charged for a machine that did not die.
 	minimumChargedTime = time.Minute
-	// lateBootFactor is how many times as long as usual a late machine takes to come up.
+	// lateBootFactor is the factor by which the boot time of a late machine exceeds the usual one.
 	lateBootFactor = 4
-	// scaleOutAnswersPerLoss is how many rentals there are for one whose answer gets lost, on average.
+	// scaleOutAnswersPerLoss is the average number of scale-out requests per lost answer.
 	scaleOutAnswersPerLoss = 4
-	// defaultCapacity is how many machines can be rented unless a test says otherwise.
+	// defaultCapacity is the number of machines that the cloud has, unless a test sets another one.
 	defaultCapacity = 6
 )
 
-// simulatedCloud rents machines out and takes them back.
+// simulatedCloud simulates the cloud: it rents machines out, takes them back and adds up their cost.
 type simulatedCloud struct {
 	machines              map[string]*Machine
-	machineCount          int                 // ever rented
-	machineNamesByRequest map[string][]string // by rental request: the machines that it got
+	machineCount          int                 // machines ever rented; numbers the next one
+	machineNamesByRequest map[string][]string // names of the rented machines, by the request's name
 	cloudBucket           bucket
 	cloudDown             bool
 	costSpent             float64
 
 	// Catalog lists the machine types that can be rented.
 	Catalog protocol.Catalog
-	// CapacityOf is how many machines can be rented in all.
+	// CapacityOf is the number of machines that can be rented at the same time.
 	CapacityOf int
-	// CloudCalls and CloudOver count the cloud's requests, and those over its rate,
-	// where the store enforces its own.
+	// CloudCalls counts requests to the cloud. CloudOver counts those that were refused because of the rate limit,
+	// which is enforced if the store enforces its own.
 	CloudCalls, CloudOver int
-	// Boot, if set, is how long a rented machine takes to come up; 0: it never does.
+	// Boot, if set, returns the boot time of a rented machine. 0: the machine never boots.
 	Boot func() time.Duration
-	// LateBoots and NeverBoots are the parts of the rented machines that take four times as long
-	// as usual to come up, and that never do.
+	// LateBoots and NeverBoots are the fractions of rented machines that take four times the usual time to boot,
+	// and that never boot.
 	LateBoots, NeverBoots float64
-	// ListLag, if set, is how old the machine list is.
+	// ListLag, if set, returns the age of the machine list.
 	ListLag func() time.Duration
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// typeOf is the machine type of a name; an empty one where the catalog has none.
+// typeOf returns the machine type with a name, or an empty type if the catalog has none.
 func (c *simulatedCloud) typeOf(name string) protocol.MachineType {
 	for _, t := range c.Catalog.Types {
 		if t.Name == name {
@@ -68,7 +68,7 @@
 	return protocol.MachineType{}
 }
 
-// admit counts a request, and tells why the cloud refuses it, if it does.
+// admit counts a request, and returns an error if the cloud refuses it. The rate limit applies if limited is set.
 func (c *simulatedCloud) admit(limited bool) error {
 	c.CloudCalls++
 	switch {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// available is how many machines can still be rented.
+// available returns the number of machines that can still be rented.
 func (c *simulatedCloud) available() int {
 	left := c.CapacityOf
 	for _, m := range c.machines {
@@ -92,7 +92,7 @@
 	return left
 }
 
-// newMachine rents a machine of a type; its worker starts later.
+// newMachine adds a machine of a type; its worker is started separately.
 func (c *simulatedCloud) newMachine(typeName, zone string, spot bool) *Machine {
 	c.machineCount++
 	m := &Machine{Name: fmt.Sprintf("host-%06d", c.machineCount), Zone: zone, Type: typeName, Spot: spot, machineType: c.typeOf(typeName),
@@ -101,7 +101,7 @@
 	return m
 }
 
-// machineAt is the running machine whose worker listens at an address, nil if there is none.
+// machineAt returns the running machine whose worker listens at an address, or nil.
 func (c *simulatedCloud) machineAt(addr string) (found *Machine) {
 	for _, m := range c.machines {
 		if m.Addr == addr && m.isRunning() {
@@ -111,7 +111,7 @@
 	return found
 }
 
-// bootTime is how long a rented machine takes to come up, given how long one of its type usually takes; 0: it never does.
+// bootTime returns how long a rented machine takes to boot, given the usual time. 0: it never boots.
 func (c *simulatedCloud) bootTime(usual time.Duration, random *Source) time.Duration {
 	switch chance := random.Float64(); {
 	case c.Boot != nil:
@@ -124,7 +124,7 @@
 	return usual
 }
 
-// charge adds up what a machine has cost, once it is gone.
+// charge adds the cost of a machine that is gone. For a machine that died, only the rented time is charged.
 func (c *simulatedCloud) charge(m *Machine) {
 	rented := time.Since(m.provisionedAt)
 	if m.failed.IsZero() {
@@ -140,7 +140,8 @@
 	return m.machineType.Price
 }
 
-// list lists the machines after a name that are at least so old, in the order of their names.
+// list returns, sorted by name, the machines after a name that were rented longer than the list's lag ago. Machines
+// that died are listed until they are scaled in.
 func (c *simulatedCloud) list(after string, lag time.Duration) (list protocol.MachineList) {
 	for _, m := range c.machines {
 		if m.Name > after && (!m.gone || !m.failed.IsZero()) && time.Since(m.provisionedAt) > lag {
@@ -165,7 +166,7 @@
 	return "booting"
 }
 
-// AddMachine brings a machine up at once.
+// AddMachine adds a machine and starts its worker at once.
 func (sim *Simulation) AddMachine(zone string, spot bool) *Machine {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -174,7 +175,7 @@
 	return m
 }
 
-// rent rents a machine, and has its worker listen where workers have ports.
+// rent adds a machine, and sets its worker's address if workers listen on ports.
 func (sim *Simulation) rent(typeName, zone string, spot bool) *Machine {
 	m := sim.newMachine(typeName, zone, spot)
 	if sim.Listen != nil {
@@ -183,7 +184,8 @@
 	return m
 }
 
-// scaleOut rents machines for a request; repeated, it tells the same machines again. Now and then the answer gets lost.
+// scaleOut rents machines for a request. A repeated request returns the same machines. One answer in
+// scaleOutAnswersPerLoss is lost on average: the machines are rented and protocol.ErrUnknown is returned.
 func (sim *Simulation) scaleOut(request protocol.ScaleOutRequest) ([]string, error) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -210,7 +212,7 @@
 	return names, nil
 }
 
-// scaleIn takes machines back.
+// scaleIn returns machines to the cloud.
 func (sim *Simulation) scaleIn(names []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -223,12 +225,12 @@
 			sim.removeMachine(m)
 			sim.charge(m)
 		}
-		m.failed = time.Time{} // a failed one is listed until now
+		m.failed = time.Time{} // a machine that died is listed until it is scaled in
 	}
 }
 
-// CostSpent is what all machines have cost so far, at the catalog's prices; those that are
-// still there are charged up to now.
+// CostSpent returns the cost of all machines so far at the catalog's prices. Machines that are not gone are charged
+// up to now.
 func (sim *Simulation) CostSpent() float64 {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -241,7 +243,7 @@
 	return sum
 }
 
-// Machines lists the machines that are running, by name.
+// Machines returns the running machines, sorted by name.
 func (sim *Simulation) Machines() []*Machine {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -255,7 +257,8 @@
 	return running
 }
 
-// LimitCloud makes the cloud enforce its rate, where the store enforces its own.
+// LimitCloud sets the cloud's rate limit in requests per second. The limit is enforced if the store enforces its
+// own.
 func (sim *Simulation) LimitCloud(rps float64) { sim.cloudBucket = bucket{rate: rps, burst: 2 * rps} }
 
 // SetCloudDown begins or ends an outage of the cloud.
--- a/internal/simulator/cloud_link.go
+++ b/internal/simulator/cloud_link.go
@@ -8,25 +8,25 @@
 	"dykeledge/internal/transport"
 )
 
-// cloudLink is one controller's way to the cloud.
+// cloudLink is one controller's connection to the simulated cloud.
 type cloudLink struct {
 	simulation *Simulation
 	controller *ControllerProcess
-	budget     *transport.Budget // nil: none
+	budget     *transport.Budget // limits the request rate; nil: no limit
 }
 
 const (
-	// cloudTimeout is how long a controller waits for the cloud.
+	// cloudTimeout is how long a controller waits for the cloud's answer.
 	cloudTimeout = 10 * time.Second
 	// cloudLatency is how long a request takes.
 	cloudLatency = 50 * time.Millisecond
-	// cloudPartitionDelay is how long a request waits that doesn't reach the cloud.
+	// cloudPartitionDelay is how long a request takes to fail if it cannot reach the cloud.
 	cloudPartitionDelay = 5 * time.Second
-	// lateScaleOutWait is how long a request waits that the cloud carries out late.
+	// lateScaleOutWait is how long a controller waits for a scale-out that the cloud carries out late.
 	lateScaleOutWait = 2 * time.Second
 )
 
-// begin takes a request to the cloud, and tells why the cloud refuses it, if it does.
+// begin admits a request to the cloud, or returns the error with which it fails.
 func (l *cloudLink) begin() error {
 	l.controller.waitWhileStalled()
 	time.Sleep(cloudLatency)
@@ -58,7 +58,7 @@
 	return &catalog, nil
 }
 
-// ScaleOut rents machines; now and then the answer gets lost.
+// ScaleOut rents machines. The answer may be lost.
 func (l *cloudLink) ScaleOut(_ context.Context, request protocol.ScaleOutRequest) ([]string, error) {
 	if err := l.begin(); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 		if delay := sim.LateScaleOuts(); delay > 0 {
 			go func() {
 				time.Sleep(delay)
-				_, _ = sim.scaleOut(request) // nobody waits for it any more
+				_, _ = sim.scaleOut(request) // the caller has already returned
 			}()
 			time.Sleep(lateScaleOutWait)
 			return nil, protocol.ErrUnknown
@@ -82,7 +82,7 @@
 	return names, err
 }
 
-// ScaleIn takes machines back.
+// ScaleIn returns machines to the cloud.
 func (l *cloudLink) ScaleIn(_ context.Context, names []string) error {
 	if err := l.begin(); err != nil {
 		return err
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// List lists the machines, as they were a while ago.
+// List returns the machines after a name. The list is out of date by the list lag.
 func (l *cloudLink) List(_ context.Context, after string) (protocol.MachineList, error) {
 	if err := l.begin(); err != nil {
 		return protocol.MachineList{}, err
--- a/internal/simulator/cloud_server.go
+++ b/internal/simulator/cloud_server.go
@@ -12,7 +12,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// ServeCloud serves one controller's way to the simulated cloud over HTTP. It ends with the listener.
+// ServeCloud serves one controller's connection to the simulated cloud over HTTP, until the listener is closed.
 func (sim *Simulation) ServeCloud(process *ControllerProcess, listener net.Listener) error {
 	server := &cloudServer{&cloudLink{simulation: sim, controller: process}}
 	app := newApp()
@@ -23,7 +23,7 @@
 	return app.Listener(listener)
 }
 
-// cloudServer answers a controller's requests to the cloud.
+// cloudServer answers a controller's requests to the cloud over HTTP.
 type cloudServer struct{ link *cloudLink }
 
 func (s *cloudServer) catalog(c *fiber.Ctx) error {
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -8,10 +8,10 @@
 	"dykeledge/internal/protocol"
 )
 
-// resourceSlack is by how much tasks may exceed a machine, for rounding.
+// resourceSlack is by how much the needs of tasks may exceed a machine's capacity, because of rounding.
 const resourceSlack = 1e-6
 
-// execute carries out commands as a worker does.
+// execute executes commands as a worker does.
 func (sim *Simulation) execute(machine *Machine, commands []protocol.Command) {
 	for _, command := range commands {
 		jobID, index, _ := protocol.SplitTask(command.Task)
@@ -34,7 +34,7 @@
 	}
 }
 
-// launch takes up an attempt of a task; one that can't run here exits at once.
+// launch adds an attempt of a task to a machine. An attempt that cannot run there exits at once.
 func (sim *Simulation) launch(machine *Machine, jobID string, index int, attempt uint64) {
 	job := sim.jobs[jobID]
 	if job == nil || index >= job.Tasks {
@@ -56,7 +56,8 @@
 	machine.wake()
 }
 
-// launchRefusal tells why a worker doesn't run a job's task, "" if it does.
+// launchRefusal returns the cause with which a worker refuses to launch a job's task, or "" if it launches the
+// task.
 func launchRefusal(machine *Machine, job *Job, index int) string {
 	if machine.hasTask(job, index) {
 		return protocol.CauseBusy
@@ -67,7 +68,7 @@
 	return ""
 }
 
-// killTask stops a task, after it has saved a checkpoint where it does that and the grace is long enough.
+// killTask stops a task. A running task that saves checkpoints saves one first if the grace period is long enough.
 func (sim *Simulation) killTask(machine *Machine, t *taskAttempt, graceS float64) {
 	save := t.job.specNumber("markCostS")
 	switch {
@@ -81,8 +82,9 @@
 	machine.wake()
 }
 
-// startFetch tells when a job's image is on a machine. Images come one after another, as they
-// use the rate together, and the first of those that no task needs is evicted.
+// startFetch returns when a job's image is on a machine, and starts to fetch it if necessary. Images are fetched
+// one after another, since they share the fetch rate. If the cache is full, the image that was fetched first among
+// those that no task needs is removed.
 func (sim *Simulation) startFetch(machine *Machine, job *Job) time.Time {
 	name, _ := job.Spec["kit"].(string)
 	now := time.Now()
@@ -101,7 +103,8 @@
 	return machine.fetchesEnd
 }
 
-// oldestUnusedImage is the first fetched of the images that no task needs, "" if there is none.
+// oldestUnusedImage returns the image that was fetched first among those that no task needs, or "" if there is
+// none.
 func (m *Machine) oldestUnusedImage() (oldest string) {
 	for name, at := range m.images {
 		needed := slices.ContainsFunc(m.tasks, func(t *taskAttempt) bool {
@@ -121,7 +124,8 @@
 	return b
 }
 
-// executeCommand carries out direct commands if token and session allow it, and answers with a heartbeat.
+// executeCommand executes direct commands if their fencing token and incarnation are valid, and answers with a
+// heartbeat.
 func (sim *Simulation) executeCommand(m *Machine, commands protocol.DirectCommands) (*protocol.Heartbeat, int) {
 	status := http.StatusConflict
 	if commands.FencingToken >= m.fencingToken && commands.Incarnation == m.incarnation {
@@ -133,7 +137,7 @@
 	return m.nextHeartbeat(), status
 }
 
-// executeLate carries out direct commands after a time. The simulation is not locked.
+// executeLate executes direct commands after a delay. The caller must not hold the simulation's mutex.
 func (sim *Simulation) executeLate(machine *Machine, commands protocol.DirectCommands, after time.Duration) {
 	time.Sleep(after)
 	sim.mu.Lock()
@@ -143,7 +147,8 @@
 	}
 }
 
-// executeOnResume carries out direct commands once a machine that hangs goes on. The simulation is not locked.
+// executeOnResume executes direct commands once a hanging machine resumes. The caller must not hold the
+// simulation's mutex.
 func (sim *Simulation) executeOnResume(machine *Machine, commands protocol.DirectCommands) {
 	executed := func() bool {
 		sim.mu.Lock()
@@ -164,13 +169,13 @@
 	}
 }
 
-// workerLink is a controller's way to the workers.
+// workerLink is one controller's connection to the workers.
 type workerLink struct {
 	simulation *Simulation
 	controller *ControllerProcess
 }
 
-// Command sends commands straight to a worker.
+// Command sends direct commands to a worker and waits for the answer.
 func (l *workerLink) Command(addr string, commands protocol.DirectCommands, timeout time.Duration) (*protocol.Heartbeat, int, error) {
 	time.Sleep(time.Millisecond)
 	l.controller.waitWhileStalled()
@@ -187,10 +192,10 @@
 	return heartbeat, status, nil
 }
 
-// noAnswer is how long an answer takes that never comes.
+// noAnswer, as the time that an answer takes, means that no answer arrives.
 const noAnswer time.Duration = -1
 
-// send has a worker carry out commands, now or later, and tells how long the answer takes.
+// send has a worker execute commands, now or later, and returns how long the answer takes.
 func (l *workerLink) send(addr string, commands protocol.DirectCommands) (heartbeat *protocol.Heartbeat, status int, took time.Duration) {
 	sim := l.simulation
 	sim.mu.Lock()
@@ -210,7 +215,7 @@
 	return heartbeat, status, max(time.Millisecond, sim.answerDelay(machine))
 }
 
-// reaches tells whether commands reach a machine that carries them out at once.
+// reaches reports whether a controller's commands reach a machine that executes them at once.
 func (l *workerLink) reaches(machine *Machine) bool {
 	if machine == nil || machine.hanging || machine.partitioned || machine.deafToController {
 		return false
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -20,17 +20,17 @@
 	handleHeartbeat func(ctx context.Context, r *protocol.Heartbeat, reply func(status int, body any))
 	killed          atomic.Bool
 	partitions      atomic.Uint32
-	stalledUntil    atomic.Int64 // in nanoseconds since the epoch
+	stalledUntil    atomic.Int64 // nanoseconds since the Unix epoch
 
-	// HeartbeatMeter meters the workers' connections to a controller that speaks HTTP.
+	// HeartbeatMeter measures the workers' connections to a controller that is reached over HTTP.
 	HeartbeatMeter Meter
 }
 
-// Cuts are what a controller is partitioned from.
+// Cuts is a set of services that a controller is partitioned from.
 type Cuts uint32
 
-// What a controller can be partitioned from. With NoAnswers, its requests to the state service
-// are carried out and the answers are lost.
+// The services that a controller can be partitioned from. With NoAnswers, its requests to the state service are
+// carried out, but their answers are lost.
 const (
 	NoState Cuts = 1 << iota
 	NoWorkers
@@ -41,30 +41,31 @@
 	AllCut = NoState | NoWorkers | NoUsers | NoCloud
 )
 
-// zonePartitions is what a controller in a partitioned zone can't reach; it reaches the workers there.
+// zonePartitions is what a controller in a partitioned zone cannot reach. It still reaches the workers of its zone.
 const zonePartitions = NoState | NoUsers | NoCloud
 
-// Cut sets what a controller is partitioned from.
+// Cut sets what a controller is partitioned from; 0 ends all partitions.
 func (p *ControllerProcess) Cut(c Cuts) { p.partitions.Store(uint32(c)) }
 
-// IsCut tells whether a controller is partitioned from any of these.
+// IsCut reports whether a controller is partitioned from any of the given services.
 func (p *ControllerProcess) IsCut(c Cuts) bool { return p.isPartitionedFrom(c) }
 
 func (p *ControllerProcess) isPartitionedFrom(c Cuts) bool { return Cuts(p.partitions.Load())&c != 0 }
 
-// Ended tells whether a controller was killed.
+// Ended reports whether a controller was killed.
 func (p *ControllerProcess) Ended() bool { return p.ended() }
 
 func (p *ControllerProcess) ended() bool { return p.killed.Load() }
 
-// Stall stops a controller for a while; its clocks run on, and so does the simulation.
+// Stall stops a controller for a time, while its clocks and the simulation run on.
 func (p *ControllerProcess) Stall(d time.Duration) {
 	p.stalledUntil.Store(time.Now().Add(d).UnixNano())
-	// The core answers an unknown worker's heartbeat at once: it is blocked by that answer for as long.
+	// The controller's core answers the heartbeat of an unknown worker at once, so sending the answer blocks it for
+	// the time of the stall.
 	go p.Core.HandleHeartbeat(p.simulation.ctx, &protocol.Heartbeat{Machine: "nobody"}, func(int, any) { p.waitWhileStalled() })
 }
 
-// waitWhileStalled waits while the controller is stalled.
+// waitWhileStalled returns once the controller is not stalled.
 func (p *ControllerProcess) waitWhileStalled() {
 	for {
 		left := time.Until(time.Unix(0, p.stalledUntil.Load()))
@@ -75,8 +76,8 @@
 	}
 }
 
-// stalledThrough waits while the controller is stalled, and tells whether a call that began
-// at a time has run out of its time meanwhile.
+// stalledThrough waits until the controller is not stalled, and then reports whether a call that began at a time
+// has exceeded its time-out.
 func (p *ControllerProcess) stalledThrough(began time.Time, within time.Duration) bool {
 	p.waitWhileStalled()
 	return time.Since(began) > within
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -15,26 +15,27 @@
 	"dykeledge/internal/transport"
 )
 
-// peerHeartbeatInterval is how often the controllers hear from one another.
+// peerHeartbeatInterval is the time between two peer heartbeats of a controller.
 const peerHeartbeatInterval = 500 * time.Millisecond
 
-// controllerSet are the controllers of a simulation.
+// controllerSet holds the controllers of a simulation.
 type controllerSet struct {
 	controllers []*ControllerProcess
 	lastLeader  storage.LeaderRecord
-	// Old are the controllers that start as the version before, which can't read packed records.
+	// Old holds the indexes of controllers that start as the previous version, which cannot read packed records.
 	Old map[int]bool
-	// Views has the controllers keep a read model.
+	// Views makes each controller keep a read model.
 	Views bool
-	// After is called when a controller's transaction was applied, before the controller learns of it.
+	// After, if set, is called after a transaction of controller i was applied, before the controller gets the
+	// answer.
 	After func(i int, t protocol.Txn)
-	// KillCount counts controllers that were killed.
+	// KillCount counts the controllers that were killed.
 	KillCount atomic.Int32
-	// IsLeader counts the times that leadership was taken.
+	// IsLeader counts the changes of leadership.
 	IsLeader atomic.Int32
 }
 
-// setController makes a process controller i.
+// setController sets the process of controller i.
 func (c *controllerSet) setController(i int, process *ControllerProcess) {
 	for len(c.controllers) <= i {
 		c.controllers = append(c.controllers, nil)
@@ -42,12 +43,12 @@
 	c.controllers[i] = process
 }
 
-// indexOf is the number of the controller of a name, -1 if there is none.
+// indexOf returns the index of the controller with a name, or -1.
 func (c *controllerSet) indexOf(name string) int {
 	return slices.IndexFunc(c.controllers, func(process *ControllerProcess) bool { return process.Name == name })
 }
 
-// servingUsers lists the controllers that users reach.
+// servingUsers returns the controllers that users reach.
 func (c *controllerSet) servingUsers() (serving []*ControllerProcess) {
 	for _, process := range c.controllers {
 		if !process.ended() && !process.isPartitionedFrom(NoUsers) {
@@ -57,7 +58,7 @@
 	return serving
 }
 
-// noteLeaderRecord takes the leader's record and tells whether another leader has begun.
+// noteLeaderRecord decodes the leader's record, and reports whether it differs from the previous one.
 func (c *controllerSet) noteLeaderRecord(raw []byte) bool {
 	var leader storage.LeaderRecord
 	if json.Unmarshal(raw, &leader) != nil || leader == c.lastLeader {
@@ -68,10 +69,10 @@
 	return true
 }
 
-// controllerName is the name under which controller i starts.
+// controllerName returns the name of controller i.
 func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// Start starts controller i, anew if it ran before.
+// Start starts controller i, or restarts it if it ran before.
 func (sim *Simulation) Start(i int) {
 	cfg := sim.controllerSettings(i)
 	ctx, cancel := context.WithCancel(sim.ctx)
@@ -100,7 +101,7 @@
 	go process.Core.Run(ctx)
 }
 
-// controllerSettings are the settings that controller i starts with.
+// controllerSettings returns the settings of controller i.
 func (sim *Simulation) controllerSettings(i int) *config.Settings {
 	cfg := *sim.Settings
 	zones := cfg.Deployment.Zones
@@ -115,7 +116,8 @@
 	return &cfg
 }
 
-// newStoreLink is controller i's way to the store, with the hooks that delay its transactions and watch them.
+// newStoreLink returns controller i's connection to the store, with the hooks that delay and observe its
+// transactions.
 func (sim *Simulation) newStoreLink(i int, process *ControllerProcess) *StoreLink {
 	return &StoreLink{
 		store:      sim.Store,
@@ -134,7 +136,7 @@
 	}
 }
 
-// PeerDelay lets the controllers hear one another's peer heartbeats.
+// PeerDelay starts the exchange of peer heartbeats and cancellation digests between the controllers.
 func (sim *Simulation) PeerDelay() {
 	go func() {
 		for sim.ctx.Err() == nil {
@@ -153,7 +155,8 @@
 	}()
 }
 
-// peerHeartbeatArrives tells whether a controller's peer heartbeat reaches another one now. The simulation is not locked.
+// peerHeartbeatArrives reports whether a controller's peer heartbeat reaches another controller now. The caller
+// must not hold the simulation's mutex.
 func (sim *Simulation) peerHeartbeatArrives(from, to *ControllerProcess) bool {
 	switch {
 	case sim.ZonesPartitioned(from.Zone, to.Zone):
@@ -171,7 +174,7 @@
 	}
 }
 
-// Kill ends controller i without any notice.
+// Kill ends controller i without a shutdown.
 func (sim *Simulation) Kill(i int) {
 	process := sim.Controller(i)
 	sim.KillCount.Add(1)
@@ -179,7 +182,7 @@
 	process.stop()
 }
 
-// Again ends controllers and starts them anew a moment later.
+// Again kills controllers and restarts them after a delay.
 func (sim *Simulation) Again(back time.Duration, indexes ...int) {
 	for _, i := range indexes {
 		if !sim.Controller(i).ended() {
@@ -194,7 +197,7 @@
 	}
 }
 
-// Owner is the controller that owns a shard, -1 if nobody does.
+// Owner returns the index of the controller that owns a shard, or -1 if none reports that it does.
 func (sim *Simulation) Owner(shard int) int {
 	for i := range sim.Settings.Deployment.Controllers {
 		views, err := sim.Controller(i).Core.ShardViews(sim.ctx)
@@ -205,7 +208,7 @@
 	return -1
 }
 
-// Leader is the controller that leads, -1 if nobody is known to.
+// Leader returns the index of the controller that the leader's record names, or -1.
 func (sim *Simulation) Leader() int {
 	raw, ok := sim.Store.Value(storage.LeaderKey)
 	var leader storage.LeaderRecord
@@ -215,7 +218,7 @@
 	return sim.indexOf(leader.Member)
 }
 
-// Controller returns controller i as it runs now.
+// Controller returns the current process of controller i.
 func (sim *Simulation) Controller(i int) *ControllerProcess {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/counters.go
+++ b/internal/simulator/counters.go
@@ -8,25 +8,26 @@
 	"dykeledge/internal/storage"
 )
 
-// counters count what has happened in a simulation, so that a test can tell whether a fault came about at all.
+// counters counts events of a simulation, so that a test can check whether the fault that it guards against
+// occurred.
 type counters struct {
-	// Started counts tasks that started.
+	// Started counts task starts.
 	Started int
-	// LeaseKills counts tasks that were killed because their worker's lease ran out.
+	// LeaseKills counts tasks that were killed because their worker's lease expired.
 	LeaseKills int
-	// StartsAfterCancel counts tasks that started after their job's user was told that it is cancelled.
+	// StartsAfterCancel counts task starts after the cancellation of the job was confirmed to its user.
 	StartsAfterCancel int
-	// RanAgain counts tasks that started although they had completed.
+	// RanAgain counts task starts after the task had completed.
 	RanAgain int
-	// AnswersLost counts transactions that took effect and whose answer was lost, by the first key's kind.
+	// AnswersLost counts transactions that were applied and whose answer was lost, by the kind of their first key.
 	AnswersLost map[string]int
-	// LateDone and LateDenied count transactions that were applied late, and refused then.
+	// LateDone counts late transactions that were applied, LateDenied those that were refused.
 	LateDone, LateDenied atomic.Int32
-	// Copies counts copies of heartbeats that arrived again.
+	// Copies counts duplicate heartbeats that arrived.
 	Copies atomic.Int32
-	// CopiesToNext counts copies of heartbeats that were delivered to a controller as a new leader began.
+	// CopiesToNext counts held heartbeats that were delivered to a controller after a change of leadership.
 	CopiesToNext atomic.Int32
-	// Looks counts the answers to close looks.
+	// Looks counts the answers with a job state that CloseLook checked.
 	Looks atomic.Int32
 }
 
@@ -34,7 +35,7 @@
 	return counters{AnswersLost: map[string]int{}}
 }
 
-// taskStarted counts a task that starts.
+// taskStarted counts a task start.
 func (c *counters) taskStarted(t *taskAttempt) {
 	c.Started++
 	if !t.job.cancelConfirmedAt.IsZero() {
@@ -45,17 +46,17 @@
 	}
 }
 
-// leaseExpired counts the tasks that a worker kills as its lease runs out.
+// leaseExpired counts the tasks that a worker kills because its lease expired.
 func (c *counters) leaseExpired(tasks int) { c.LeaseKills += tasks }
 
-// answerLost counts a transaction that took effect and whose answer is lost.
+// answerLost counts a transaction that was applied and whose answer is lost.
 func (c *counters) answerLost(txn protocol.Txn) {
 	first := txn.Then[0]
 	kind, _, _ := strings.Cut(strings.TrimPrefix(first.Put+first.Delete, storage.Root), "/")
 	c.AnswersLost[kind]++
 }
 
-// lateTransaction counts a transaction that was applied late.
+// lateTransaction counts a late transaction by whether it was applied.
 func (c *counters) lateTransaction(applied bool) {
 	if applied {
 		c.LateDone.Add(1)
@@ -64,13 +65,13 @@
 	}
 }
 
-// Stats are counts of what has happened.
+// Stats holds counts of events.
 type Stats struct {
 	Started, LeaseKills    int
-	Requests, Writes, Over int // of the state service
+	Requests, Writes, Over int // at the state service; Over were refused because of the rate limit
 }
 
-// Stats counts what has happened so far.
+// Stats returns the counts so far.
 func (sim *Simulation) Stats() Stats {
 	sim.Store.mu.Lock()
 	stats := Stats{Requests: sim.Store.Requests, Writes: sim.Store.Writes, Over: sim.Store.OverRate}
--- a/internal/simulator/heartbeats.go
+++ b/internal/simulator/heartbeats.go
@@ -8,41 +8,41 @@
 	"dykeledge/internal/protocol"
 )
 
-// The workers' timing.
+// Timing of the workers' heartbeats.
 const (
-	heartbeatAnswerTimeout = 4 * time.Second        // without an answer after as long, a heartbeat counts as lost
-	heartbeatRetryInterval = time.Second            // after a heartbeat without a usable answer
-	redirectedInterval     = 100 * time.Millisecond // before a heartbeat to the controller that another one named
-	earlyHeartbeatInterval = 500 * time.Millisecond // the least between two heartbeats where something has changed
+	heartbeatAnswerTimeout = 4 * time.Second        // a heartbeat without an answer counts as lost after this time
+	heartbeatRetryInterval = time.Second            // delay after a heartbeat without a usable answer
+	redirectedInterval     = 100 * time.Millisecond // delay before a heartbeat to the controller that a redirect named
+	earlyHeartbeatInterval = 500 * time.Millisecond // least time between two heartbeats if a task's state has changed
 	hangingPollInterval    = 200 * time.Millisecond
 	resumePollInterval     = 300 * time.Millisecond
 )
 
-// heartbeatExchange is a heartbeat on its way to a controller.
+// heartbeatExchange is a heartbeat in flight to a controller, and the faults that it meets.
 type heartbeatExchange struct {
 	heartbeat  *protocol.Heartbeat
 	sent       time.Time
-	index      int // of the controller
+	index      int // the controller's index
 	controller *ControllerProcess
-	lost       bool          // neither it nor its answer arrives
-	answerLost bool          // it arrives, and the answer doesn't
-	delay      time.Duration // it arrives so much later, and its sender learns nothing
-	copyAfter  time.Duration // a copy of it arrives so much later
+	lost       bool          // neither the heartbeat nor its answer arrives
+	answerLost bool          // the heartbeat arrives, but its answer does not
+	delay      time.Duration // if above 0, the heartbeat arrives this much later and the sender gets no answer
+	copyAfter  time.Duration // if above 0, a duplicate of the heartbeat arrives this much later
 }
 
-// heartbeatAnswer is a controller's answer to a heartbeat; status 0: none came.
+// heartbeatAnswer is a controller's answer to a heartbeat. Status 0: no answer arrived.
 type heartbeatAnswer struct {
 	status   int
-	response protocol.HeartbeatResponse // with http.StatusOK
-	redirect protocol.Redirect          // with any other status
+	response protocol.HeartbeatResponse // if status is http.StatusOK
+	redirect protocol.Redirect          // if status is any other
 }
 
-// isFromController tells whether a controller has answered, be it that another one is to be asked.
+// isFromController reports whether a controller answered, be it with a redirect to another one.
 func (a heartbeatAnswer) isFromController() bool {
 	return a.status == http.StatusOK || a.status == http.StatusMisdirectedRequest
 }
 
-// heartbeatLoop sends a machine's heartbeats and carries out the answers, until the machine is gone.
+// heartbeatLoop sends a machine's heartbeats and executes the commands in their answers, until the machine is gone.
 func (sim *Simulation) heartbeatLoop(machine *Machine) {
 	for sim.ctx.Err() == nil {
 		sim.mu.Lock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// newExchange is a machine's next heartbeat, and what the network will do to it.
+// newExchange returns a machine's next heartbeat with the faults that it will meet.
 func (sim *Simulation) newExchange(machine *Machine) *heartbeatExchange {
 	index := machine.controllerIndex % len(sim.controllers)
 	exchange := &heartbeatExchange{
@@ -84,8 +84,8 @@
 	return exchange
 }
 
-// deliverAfter delivers a heartbeat after a time, if there is one, to the controller that then has the number of the one
-// it was sent to. Nobody waits for the answer. The simulation is not locked.
+// deliverAfter delivers a heartbeat after a delay, if there is one, to the process that then has the index of the
+// original receiver. The answer is dropped. The caller must not hold the simulation's mutex.
 func (sim *Simulation) deliverAfter(exchange *heartbeatExchange, after time.Duration, isCopy bool) {
 	if after <= 0 {
 		return
@@ -103,7 +103,7 @@
 	}()
 }
 
-// exchangeHeartbeat sends a heartbeat and waits for the answer. The simulation is not locked.
+// exchangeHeartbeat sends a heartbeat and waits for the answer. The caller must not hold the simulation's mutex.
 func (sim *Simulation) exchangeHeartbeat(exchange *heartbeatExchange) heartbeatAnswer {
 	process := exchange.controller
 	switch {
@@ -119,11 +119,11 @@
 	return heartbeatAnswer{}
 }
 
-// askController sends a heartbeat to a controller that it reaches, and waits for the answer.
+// askController sends a heartbeat that reaches its controller, and waits for the answer.
 func (sim *Simulation) askController(process *ControllerProcess, heartbeat *protocol.Heartbeat) heartbeatAnswer {
 	answers := make(chan heartbeatAnswer, 1)
 	process.handleHeartbeat(sim.ctx, heartbeat, func(status int, body any) {
-		if !process.isPartitionedFrom(NoWorkers) { // otherwise it was partitioned while it held the answer back, which is lost
+		if !process.isPartitionedFrom(NoWorkers) { // otherwise the partition began while the controller delayed the answer, and the answer is lost
 			answers <- decodeHeartbeatAnswer(status, body)
 		}
 	})
@@ -138,11 +138,11 @@
 	}
 }
 
-// decodeHeartbeatAnswer takes an answer over JSON, as if it had come over the network. What can't be read leaves the
-// fields empty, which a worker refuses.
+// decodeHeartbeatAnswer encodes an answer as JSON and decodes it, as if it had passed the network. Fields that
+// cannot be decoded stay empty, which a worker refuses.
 func decodeHeartbeatAnswer(status int, body any) heartbeatAnswer {
 	answer := heartbeatAnswer{status: status}
-	raw, _ := json.Marshal(body) // nothing is decoded from what can't be encoded
+	raw, _ := json.Marshal(body) // if the encoding fails, the decoding does too and leaves the fields empty
 	if status == http.StatusOK {
 		_ = json.Unmarshal(raw, &answer.response)
 	} else {
@@ -151,7 +151,8 @@
 	return answer
 }
 
-// applyHeartbeatAnswer carries out the answer to a heartbeat, and tells how long to wait before the next one.
+// applyHeartbeatAnswer executes the commands in an answer to a heartbeat, and returns the delay before the next
+// heartbeat.
 func (sim *Simulation) applyHeartbeatAnswer(machine *Machine, exchange *heartbeatExchange, answer heartbeatAnswer) time.Duration {
 	switch {
 	case machine.gone || machine.hanging:
@@ -177,8 +178,8 @@
 	return heartbeatRetryInterval
 }
 
-// awaitNextHeartbeat waits before the next heartbeat, for less time where something changes on the machine meanwhile.
-// The simulation is not locked.
+// awaitNextHeartbeat waits for the delay before the next heartbeat, or for less if a task's state changes on the
+// machine. The caller must not hold the simulation's mutex.
 func (sim *Simulation) awaitNextHeartbeat(machine *Machine, exchange *heartbeatExchange, answer heartbeatAnswer, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -11,19 +11,21 @@
 	"dykeledge/internal/protocol"
 )
 
-// newApp is a server without routes, with the limits that outside services have.
+// newApp returns a server without routes, with the limits of the real external services.
 func newApp() *fiber.App {
 	return fiber.New(fiber.Config{DisableStartupMessage: true, CaseSensitive: true, IdleTimeout: 2 * time.Minute, ReadBufferSize: 8 << 10})
 }
 
-// dropConnection ends the connection without an answer: the caller can't know what became of its request.
+// dropConnection closes the connection without an answer: the caller cannot tell whether its request was carried
+// out.
 func dropConnection(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(net.Conn) {})
 	return nil
 }
 
-// respondError answers as an outside service does; what is in doubt gets no answer.
+// respondError answers with the status that an external service uses for an error. If the outcome of the request is
+// in doubt, it sends no answer.
 func respondError(request *fiber.Ctx, err error) error {
 	status := fiber.StatusServiceUnavailable
 	switch {
@@ -41,7 +43,7 @@
 	return request.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
 }
 
-// respondBadRequest refuses a request that can't be read.
+// respondBadRequest refuses a malformed request.
 func respondBadRequest(c *fiber.Ctx, why string) error {
 	return c.Status(fiber.StatusBadRequest).JSON(protocol.ErrorResponse{Error: why})
 }
--- a/internal/simulator/job.go
+++ b/internal/simulator/job.go
@@ -6,38 +6,38 @@
 	"dykeledge/internal/protocol"
 )
 
-// Job is a submitted job and what really became of it.
+// Job is a submitted job and the simulated state of its tasks.
 type Job struct {
 	Spec              map[string]any
 	ID, Team          string
 	Class             string
-	At                time.Time // first submitted
+	At                time.Time // when it was first submitted
 	Tasks             int
 	Run               time.Duration
 	Cpus              float64
 	Spot              bool
-	Broken            bool // fails on every machine
+	Broken            bool // its tasks fail on every machine
 	done              map[int]bool
 	startedAttempts   map[[2]uint64]bool    // by task and attempt
-	savedProgress     map[int]time.Duration // by task: progress in its checkpoint
+	savedProgress     map[int]time.Duration // by task: the run time that its latest checkpoint covers
 	on                map[int]*Machine
-	cancelConfirmedAt time.Time // when its user was told
+	cancelConfirmedAt time.Time // when the cancellation was confirmed to its user; zero: it was not
 	reportedStatus    protocol.JobStatus
 	accepted          bool
 	lastDone          time.Time
 	dependencies      []*Job
-	cancelRequested   bool // its user has asked to cancel it
+	cancelRequested   bool // its user has requested the cancellation
 	taskRunTimes      []time.Duration
-	lastAnswered      time.Time // when its user last had an answer
+	lastAnswered      time.Time // when its user last got an answer
 }
 
-// specNumber is an amount of the job's description.
+// specNumber returns a number of the job's specification, or 0 if it has none under that name.
 func (j *Job) specNumber(name string) float64 {
 	v, _ := j.Spec[name].(float64)
 	return v
 }
 
-// taskRunTime is how long a task runs.
+// taskRunTime returns how long a task runs.
 func (j *Job) taskRunTime(task int) time.Duration {
 	if task < len(j.taskRunTimes) {
 		return j.taskRunTimes[task]
@@ -45,17 +45,17 @@
 	return j.Run
 }
 
-// saveProgress keeps what a task has done since it began.
+// saveProgress adds the run time of an attempt to the progress that the task's checkpoint covers.
 func (j *Job) saveProgress(t *taskAttempt, ran time.Duration, speed float64) {
 	if ran > 0 && j.savedProgress != nil {
 		j.savedProgress[t.index] = min(j.taskRunTime(t.index), j.savedProgress[t.index]+time.Duration(float64(ran)*speed))
 	}
 }
 
-// resources are what a task takes, or what a machine has.
+// resources are the needs of a task or the capacity of a machine. Memory is in GB.
 type resources struct{ cpus, gpus, mem float64 }
 
-// needs is what each of the job's tasks takes.
+// needs returns the resources that each task of the job needs.
 func (j *Job) needs() resources {
 	return resources{j.Cpus, j.specNumber("accelerators"), j.specNumber("ramGb")}
 }
@@ -64,13 +64,13 @@
 	return resources{r.cpus - other.cpus, r.gpus - other.gpus, r.mem - other.mem}
 }
 
-// atLeast tells whether there is so much of everything.
+// atLeast reports whether each amount is at least a number.
 func (r resources) atLeast(least float64) bool {
 	return r.cpus >= least && r.gpus >= least && r.mem >= least
 }
 
-// hasCancelledDependency tells whether a user has asked to cancel a job that this one needs, directly or through
-// others, and since when one was told so.
+// hasCancelledDependency reports whether a user has requested to cancel a direct or indirect dependency of the job,
+// and returns when the first such cancellation was confirmed; zero: none was.
 func (j *Job) hasCancelledDependency() (requested bool, confirmedAt time.Time) {
 	for _, dependency := range j.dependencies {
 		dependencyRequested, dependencyConfirmedAt := dependency.hasCancelledDependency()
@@ -84,8 +84,8 @@
 	return requested, confirmedAt
 }
 
-// isWaiting tells whether the job is accepted and has tasks that neither run nor are done, though nothing that it needs
-// is missing.
+// isWaiting reports whether the job is accepted, all its dependencies are done, and it has tasks that neither run
+// nor are done. Cancelled and finished jobs do not wait.
 func (j *Job) isWaiting() bool {
 	if !j.accepted || j.cancelRequested || j.reportedStatus.Final() || len(j.on)+len(j.done) >= j.Tasks {
 		return false
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -10,36 +10,35 @@
 	"dykeledge/internal/transport"
 )
 
-// StoreLink is one controller's way to the store.
+// StoreLink is one controller's connection to the store.
 type StoreLink struct {
 	store      *Store
 	controller *ControllerProcess
-	budget     *transport.StateBudget // nil: none
-	// Late delays transactions: the caller learns nothing, and they apply later.
+	budget     *transport.StateBudget // limits the request rates; nil: no limit
+	// Late, if set, returns the delay of a transaction. The caller of a delayed transaction gets no answer.
 	Late func(protocol.Txn) time.Duration
-	// After, if set, is called once a transaction is applied, before the caller
-	// learns of it.
+	// After, if set, is called after a transaction was applied, before the caller gets the answer.
 	After func(protocol.Txn)
-	// Requests counts what came over HTTP.
+	// Requests counts the requests that arrived over HTTP.
 	Requests StateRequests
 }
 
 const (
-	// maxPageBytes is about how much one page of a read holds.
+	// maxPageBytes is the approximate size limit of one page of a listing.
 	maxPageBytes = 480 << 10
-	// stateTimeout is how long a controller waits for the state service.
+	// stateTimeout is how long a controller waits for the state service's answer.
 	stateTimeout = 3 * time.Second
-	// stateLatency is how long a request takes, and so does a transaction's answer.
+	// stateLatency is how long a request takes to arrive. The answer to a transaction takes as long again.
 	stateLatency = 2 * time.Millisecond
-	// statePartitionDelay is how long a request waits that doesn't reach the state service.
+	// statePartitionDelay is how long a request takes to fail if it cannot reach the state service.
 	statePartitionDelay = 2 * time.Second
-	// lostAnswerDelay is how long a caller waits, at most, for a transaction whose answer is lost.
+	// lostAnswerDelay is the longest time that a caller waits for a transaction whose answer is lost.
 	lostAnswerDelay = time.Second
-	// watchPollInterval is how often a watch without changes looks at whether it may go on.
+	// watchPollInterval is the time after which a waiting watch checks again whether it must answer or fail.
 	watchPollInterval = 200 * time.Millisecond
 )
 
-// begin takes a request to the store, and tells why the store refuses it, if it does.
+// begin admits a request to the store, or returns the error with which it fails.
 func (l *StoreLink) begin(ctx context.Context) error {
 	l.controller.waitWhileStalled()
 	time.Sleep(stateLatency)
@@ -66,12 +65,13 @@
 	return nil
 }
 
-// answerIsLost tells whether the answer to a request that began at a time reaches the controller too late, or not at all.
+// answerIsLost reports whether the answer to a request that began at a time reaches the controller too late or not
+// at all.
 func (l *StoreLink) answerIsLost(began time.Time, cuts Cuts) bool {
 	return l.controller.stalledThrough(began, stateTimeout) || l.controller.isPartitionedFrom(cuts)
 }
 
-// Revision learns the revision.
+// Revision returns the store's revision.
 func (l *StoreLink) Revision(ctx context.Context) (uint64, error) {
 	if l.budget != nil {
 		if err := l.budget.Request(ctx); err != nil {
@@ -86,7 +86,7 @@
 	return l.store.rev, nil
 }
 
-// List reads a page.
+// List returns a page of the items whose keys have a prefix and come after a key.
 func (l *StoreLink) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
 	if err := l.begin(ctx); err != nil {
 		return protocol.Page{}, err
@@ -96,7 +96,7 @@
 	return l.store.page(prefix, after, limit), nil
 }
 
-// Read reads one key.
+// Read returns one item, with the lease that it is attached to and the store's revision.
 func (l *StoreLink) Read(ctx context.Context, key string) (item protocol.Item, lease, rev uint64, err error) {
 	if err := l.begin(ctx); err != nil {
 		return item, 0, 0, err
@@ -110,7 +110,7 @@
 	return protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version}, e.lease, l.store.rev, nil
 }
 
-// Txn carries out a transaction.
+// Txn applies a transaction. It returns the new revision, or the keys whose conditions failed.
 func (l *StoreLink) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (uint64, []string, error) {
 	if err := l.admitTxn(ctx, txn, priority); err != nil {
 		return 0, nil, err
@@ -142,7 +142,8 @@
 	return rev, failed, err
 }
 
-// admitTxn waits until the controller's budget allows a transaction, and tells whether the store refuses it for its rate.
+// admitTxn waits until the controller's budget allows a transaction. It returns an error if the store's write rate
+// is exceeded.
 func (l *StoreLink) admitTxn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) error {
 	if l.budget != nil {
 		if err := l.budget.Admit(ctx, len(txn.Then), priority); err != nil {
@@ -161,18 +162,18 @@
 	return errOverRate
 }
 
-// apply has the store apply a transaction.
+// apply applies a transaction and counts it if it is too large.
 func (l *StoreLink) apply(txn protocol.Txn) (uint64, []string, error) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	rev, failed, err := l.store.apply(txn)
 	if errors.Is(err, protocol.ErrTooLarge) {
-		l.store.TooLarge++ // a late copy from before the limits fell is not counted: nobody waits for it
+		l.store.TooLarge++ // a late copy is not counted, as nobody waits for its answer: it may date from before the limits were lowered
 	}
 	return rev, failed, err
 }
 
-// applyLate has the store apply a transaction after a time, when nobody waits for it any more.
+// applyLate applies a transaction after a delay, when the caller no longer waits for it.
 func (l *StoreLink) applyLate(txn protocol.Txn, delay time.Duration) {
 	time.Sleep(delay)
 	l.store.mu.Lock()
@@ -181,7 +182,8 @@
 	l.controller.simulation.lateTransaction(err == nil && len(failed) == 0)
 }
 
-// losesAnswer asks the hook whether the answer to a transaction is lost, and counts those of the ones that took effect.
+// losesAnswer reports whether the hook lets the answer to a transaction be lost. It counts the lost answers of
+// transactions that were applied.
 func (l *StoreLink) losesAnswer(txn protocol.Txn, applied bool) bool {
 	sim := l.controller.simulation
 	if sim == nil || sim.LostAnswers == nil || !sim.LostAnswers(l.controller.Name, txn) {
@@ -195,7 +197,7 @@
 	return true
 }
 
-// Pace is how long it takes until n changes may go out.
+// Pace returns how long it takes until the budget allows n changes.
 func (l *StoreLink) Pace(n int) time.Duration {
 	if l.budget == nil {
 		return 0
@@ -203,7 +205,7 @@
 	return l.budget.Pace(n)
 }
 
-// ChangesUsed is how many changes the controller has made, where there is a budget.
+// ChangesUsed returns how many changes the controller has made; 0 without a budget.
 func (l *StoreLink) ChangesUsed() uint64 {
 	if l.budget == nil {
 		return 0
@@ -211,21 +213,21 @@
 	return l.budget.ChangesUsed()
 }
 
-// SetLimit sets the rate for all controllers.
+// SetLimit sets the rate limit of all controllers together, in changes per second.
 func (l *StoreLink) SetLimit(changes float64) {
 	if l.budget != nil {
 		l.budget.SetLimit(changes)
 	}
 }
 
-// SetRateShare sets the controller's part of the rate.
+// SetRateShare sets the controller's share of the rate limit.
 func (l *StoreLink) SetRateShare(part float64, leads bool, used, others float64) {
 	if l.budget != nil {
 		l.budget.SetRateShare(part, leads, used, others)
 	}
 }
 
-// Grant takes a session lease.
+// Grant grants a session lease.
 func (l *StoreLink) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if l.budget != nil {
 		l.budget.Owe()
@@ -243,7 +245,7 @@
 	return id, nil
 }
 
-// End ends a session lease and removes what is attached to it.
+// End ends a session lease and removes the items that are attached to it.
 func (l *StoreLink) End(ctx context.Context, lease uint64) error {
 	if err := l.begin(ctx); err != nil {
 		return err
@@ -281,7 +283,8 @@
 	return nil
 }
 
-// Watch waits for changes.
+// Watch waits until keys with a prefix have changed after a revision, or until the time is over, and returns the
+// changes.
 func (l *StoreLink) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	if l.budget != nil {
 		l.budget.Owe()
@@ -308,8 +311,8 @@
 	}
 }
 
-// changesNow reads the changes after a revision. Where the store is unreachable now, they don't reach the controller;
-// changed is closed with the next change.
+// changesNow returns the changes after a revision. unreachable reports that the controller cannot receive them now.
+// The channel is closed at the next change.
 func (l *StoreLink) changesNow(prefix string, from uint64) (events protocol.Events, unreachable bool, changed <-chan struct{}, err error) {
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
@@ -321,7 +324,7 @@
 	return l.store.eventsAfter(prefix, from), unreachable, l.store.changed, nil
 }
 
-// awaitChange waits for the next change, or until it is time to look again.
+// awaitChange waits for the next change or for watchPollInterval.
 func awaitChange(ctx context.Context, changed <-chan struct{}, unreachable bool) error {
 	timer := time.NewTimer(watchPollInterval)
 	defer timer.Stop()
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -13,31 +13,30 @@
 	"dykeledge/internal/wait"
 )
 
-// LoadBalancer stands in for the load balancer between users and controllers. It works at the connection
-// level: each new connection goes to a healthy controller, fewer open ones first, and no request
-// is looked at.
+// LoadBalancer stands in for the load balancer between users and controllers. It balances connections and does not
+// inspect requests: each new connection goes to a healthy controller, preferably to one with few open connections.
 type LoadBalancer struct {
 	mu       sync.Mutex
 	backends []*backend
 }
 
-// backend is a controller as the balancer sees it.
+// backend is the load balancer's record of a controller.
 type backend struct {
 	process         *ControllerProcess
 	addr            string
 	conns           map[net.Conn]bool
 	healthy         bool
 	everHealthy     bool
-	failedProbes    []bool // of the last probes, whether each failed
-	healthyProbes   int    // successes in a row
+	failedProbes    []bool // for each of the last probes, whether it failed
+	healthyProbes   int    // consecutive successful probes
 	healthChangedAt time.Time
 	removedAt       time.Time
-	returnDelay     time.Duration // before it may become healthy again
-	connectFailures int           // connections in a row
+	returnDelay     time.Duration // how long it stays unhealthy after its removal, at least
+	connectFailures int           // consecutive failed connection attempts
 	skipUntil       time.Time
 }
 
-// The balancer's timing, as the protocol has it.
+// Timing of the load balancer, as the protocol specifies it.
 const (
 	probeInterval        = time.Second
 	connectTimeout       = 500 * time.Millisecond
@@ -51,12 +50,13 @@
 )
 
 const (
-	probeWindow         = 6   // the last probes of a controller that count
-	maxProbeFailures    = 3   // a controller with as many failures among them is removed
-	initialLoadFraction = 0.1 // the part of the load that a controller gets as it becomes healthy
+	probeWindow         = 6   // number of latest probes that are counted
+	maxProbeFailures    = 3   // a controller with this many failures in the probe window is removed
+	initialLoadFraction = 0.1 // fraction of the normal load that a controller gets when it becomes healthy
 )
 
-// NewLoadBalancer makes a balancer; AddController adds the controllers, then Run probes and Serve serves.
+// NewLoadBalancer returns a load balancer without controllers. AddController adds them; then Run probes them and
+// Serve accepts connections.
 func NewLoadBalancer() *LoadBalancer { return &LoadBalancer{} }
 
 // AddController adds a controller that listens at an address.
@@ -77,7 +77,7 @@
 	}
 }
 
-// probe asks a controller whether it is ready.
+// probe requests a controller's readiness and reports whether it is ready.
 func (b *backend) probe(client *fasthttp.Client) bool {
 	if b.process.isPartitionedFrom(NoUsers) {
 		return false
@@ -86,7 +86,7 @@
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// probed takes a probe's outcome.
+// probed applies the result of a probe.
 func (l *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 	if !b.healthy && b.everHealthy && now.Sub(b.healthChangedAt) > connectionResetDelay {
 		for c := range b.conns {
-			_ = c.Close() // a reset: its user connects anew
+			_ = c.Close() // the reset makes the user connect to another controller
 		}
 		clear(b.conns)
 	}
@@ -116,7 +116,8 @@
 	}
 }
 
-// mustBeRemoved tells, after a probe that failed, whether the one before failed too, or too many of the last ones.
+// mustBeRemoved reports, after a failed probe, whether the previous probe failed too or the probe window holds too
+// many failures.
 func (b *backend) mustBeRemoved() bool {
 	failures := 0
 	for _, failed := range b.failedProbes {
@@ -128,7 +129,8 @@
 	return probes >= 2 && b.failedProbes[probes-2] || failures >= maxProbeFailures
 }
 
-// remove gives a controller no new connections; one that was removed a while ago waits for longer than before.
+// remove marks a controller as unhealthy, so that it gets no new connections. If its previous removal was recent,
+// its return delay doubles.
 func (b *backend) remove(now time.Time) {
 	if !b.removedAt.IsZero() && now.Sub(b.removedAt) < returnDelayResetTime {
 		b.returnDelay = min(maxReturnDelay, 2*b.returnDelay)
@@ -138,12 +140,13 @@
 	b.healthy, b.healthChangedAt, b.removedAt = false, now, now
 }
 
-// mayReturn tells, after a probe that succeeded, whether the controller gets connections again.
+// mayReturn reports, after a successful probe, whether the controller becomes healthy.
 func (b *backend) mayReturn(now time.Time) bool {
 	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.healthChangedAt) >= b.returnDelay
 }
 
-// pick chooses a controller for a new connection, leaving out those that were tried.
+// pick returns the controller for a new connection, leaving out those that were tried. It returns nil if there is
+// none.
 func (l *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +164,7 @@
 	return best
 }
 
-// Serve takes users' connections until the listener is closed.
+// Serve accepts users' connections until the listener is closed.
 func (l *LoadBalancer) Serve(ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
@@ -172,7 +175,7 @@
 	}
 }
 
-// forward passes a user's connection on to a controller.
+// forward connects a user's connection to a controller and relays the bytes of both.
 func (l *LoadBalancer) forward(conn net.Conn) {
 	defer closeConn(conn)
 	var tried []*backend
@@ -191,7 +194,7 @@
 	}
 }
 
-// connect opens a connection to a controller; one that users don't reach does not answer.
+// connect opens a connection to a controller. If users do not reach the controller, the attempt times out.
 func (b *backend) connect() (net.Conn, error) {
 	if b.process.isPartitionedFrom(NoUsers) {
 		time.Sleep(connectTimeout)
@@ -200,8 +203,8 @@
 	return dial(b.addr, connectTimeout)
 }
 
-// connected notes whether a user's connection was passed on to a controller; one that refuses several in a row is left
-// out for a while.
+// connected records whether the load balancer connected to a controller for a user, and returns whether it did. A
+// controller that refuses several attempts in a row is skipped for a time.
 func (l *LoadBalancer) connected(b *backend, conn net.Conn, err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -16,8 +16,8 @@
 	state        string
 	cause        string
 	checkpointed bool
-	stateEnds    time.Time // of the present state
-	started      time.Time // to run
+	stateEnds    time.Time // when the present state ends
+	started      time.Time // when it began to run
 }
 
 // Machine is a rented machine with its worker.
@@ -26,68 +26,70 @@
 	Spot             bool
 	Addr             string
 
-	// What the cloud knows of it.
+	// The cloud's state of the machine.
 	machineType   protocol.MachineType
 	provisionedAt time.Time
 	up            bool
 	gone          bool
-	failed        time.Time // died by itself
+	failed        time.Time // when it died; zero: it did not, or it has been scaled in since
 
 	machineFaults
 
 	// The worker's state.
-	port             net.Listener // where it has one
+	port             net.Listener // accepts direct commands; nil if workers have no ports
 	incarnation, seq uint64
 	fencingToken     uint64
 	leaseRenewedAt   time.Time
-	controllerIndex  int // of the controller that it sends its heartbeats to, beyond their number after retries
+	controllerIndex  int // index of the controller that gets the heartbeats, modulo the number of controllers
 	wakeUp           chan struct{}
 	tasks            []*taskAttempt
-	images           map[string]time.Time // since when each is there, or when its fetch will end
-	fetchesEnd       time.Time            // when the last of its fetches ends
+	images           map[string]time.Time // by name: when the fetch of the image ended or will end
+	fetchesEnd       time.Time            // when the last queued fetch ends
 }
 
-// machineFaults are the faults that a machine has now.
+// machineFaults are the present faults of a machine.
 type machineFaults struct {
 	hanging             bool
 	unhealthy           bool
-	partitioned         bool // its heartbeats and answers get lost
-	deafToController    bool // its heartbeats arrive; answers and direct commands get lost
-	silentToControllers bool // it reaches no controller; direct commands reach it
+	partitioned         bool // neither its heartbeats nor their answers arrive
+	deafToController    bool // its heartbeats arrive, but answers and direct commands are lost
+	silentToControllers bool // its heartbeats are lost, but direct commands arrive
 	preemptionNotice    time.Time
 }
 
-// HangingMachine is a change for Set: the machine does nothing until that ends, and then goes on.
+// HangingMachine returns a change for Set: while on, the machine does nothing; afterwards it resumes.
 func HangingMachine(on bool) func(*Machine) { return func(m *Machine) { m.hanging = on } }
 
-// UnhealthyMachine is a change for Set: all tasks fail on the machine.
+// UnhealthyMachine returns a change for Set: while on, all tasks fail on the machine.
 func UnhealthyMachine(on bool) func(*Machine) { return func(m *Machine) { m.unhealthy = on } }
 
-// CutOff is a change for Set: the machine and the controllers don't reach one another.
+// CutOff returns a change for Set: while on, the machine and the controllers cannot reach one another.
 func CutOff(on bool) func(*Machine) { return func(m *Machine) { m.partitioned = on } }
 
-// DeafMachine is a change for Set: the machine's heartbeats arrive, and what controllers send to it is lost.
+// DeafMachine returns a change for Set: while on, the machine's heartbeats arrive, but answers and direct commands
+// to it are lost.
 func DeafMachine(on bool) func(*Machine) { return func(m *Machine) { m.deafToController = on } }
 
-// MuteMachine is a change for Set: the machine reaches no controller, and what controllers send to it arrives.
+// MuteMachine returns a change for Set: while on, the machine's heartbeats are lost, but direct commands to it
+// arrive.
 func MuteMachine(on bool) func(*Machine) { return func(m *Machine) { m.silentToControllers = on } }
 
-// PreemptionNotice is a change for Set: the cloud takes the spot machine back after a time.
+// PreemptionNotice returns a change for Set: the cloud takes the spot machine back after a time.
 func PreemptionNotice(d time.Duration) func(*Machine) {
 	return func(m *Machine) { m.preemptionNotice = time.Now().Add(d) }
 }
 
-// Set changes a machine. The functions that return a change begin or end a fault.
+// Set applies a change to a machine. The functions above return changes that begin or end a fault.
 func (sim *Simulation) Set(m *Machine, change func(*Machine)) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	change(m)
 }
 
-// isRunning tells whether a machine is there and has booted.
+// isRunning reports whether a machine has booted and is not gone.
 func (m *Machine) isRunning() bool { return m.up && !m.gone }
 
-// wake has the worker send its next heartbeat soon.
+// wake makes the worker send its next heartbeat early.
 func (m *Machine) wake() {
 	select {
 	case m.wakeUp <- struct{}{}:
@@ -98,16 +100,17 @@
 // disconnect closes the port of a machine that is gone.
 func (m *Machine) disconnect() {
 	if m.port != nil {
-		_ = m.port.Close() // it may be closed already
+		_ = m.port.Close() // the port may be closed already
 	}
 }
 
-// capacity is what the machine's type has.
+// capacity returns the resources of the machine's type.
 func (m *Machine) capacity() resources {
 	return resources{m.machineType.Cpus, m.machineType.Gpus, m.machineType.MemGB}
 }
 
-// remainingWith is what a task of a job would leave of the machine, beside the attempts that have not exited.
+// remainingWith returns the resources left on the machine if a task of a job is added to the attempts that have not
+// exited. Negative amounts are missing.
 func (m *Machine) remainingWith(job *Job) resources {
 	remaining := m.capacity().minus(job.needs())
 	for _, t := range m.tasks {
@@ -118,21 +121,21 @@
 	return remaining
 }
 
-// hasTask tells whether an attempt of a job's task is on the machine that has not exited.
+// hasTask reports whether the machine has an attempt of a job's task that has not exited.
 func (m *Machine) hasTask(job *Job, index int) bool {
 	return slices.ContainsFunc(m.tasks, func(t *taskAttempt) bool {
 		return t.state != protocol.TaskExited && t.job == job && t.index == index
 	})
 }
 
-// findAttempt is the position of an attempt on the machine, -1 if it is not there.
+// findAttempt returns the position of an attempt on the machine, or -1.
 func (m *Machine) findAttempt(jobID string, index int, attempt uint64) int {
 	return slices.IndexFunc(m.tasks, func(t *taskAttempt) bool {
 		return t.job.ID == jobID && t.index == index && t.attempt == attempt
 	})
 }
 
-// nextHeartbeat is what the worker tells of itself and its tasks now.
+// nextHeartbeat returns the worker's next heartbeat, with the present states of its tasks.
 func (m *Machine) nextHeartbeat() *protocol.Heartbeat {
 	m.seq++
 	heartbeat := &protocol.Heartbeat{Machine: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
--- a/internal/simulator/meter.go
+++ b/internal/simulator/meter.go
@@ -6,18 +6,18 @@
 	"sync/atomic"
 )
 
-// Meter counts what passes over connections of one kind, in bytes of TCP payload: with HTTP's headers, without those of
-// TCP and IP.
+// Meter counts the traffic of connections of one kind, in bytes of TCP payload: including the headers of HTTP,
+// without those of TCP and IP.
 type Meter struct {
 	In, Out  atomic.Int64 // bytes read and written by this process
 	Opened   atomic.Int64 // connections
-	Messages atomic.Int64 // requests, where whoever serves them counts
+	Messages atomic.Int64 // requests, if the server of the connections counts them
 }
 
-// Listen meters the connections that a listener accepts.
+// Listen returns a listener whose accepted connections are metered.
 func (m *Meter) Listen(ln net.Listener) net.Listener { return &meteredListener{ln, m} }
 
-// Conn meters one connection.
+// Conn returns a metered connection.
 func (m *Meter) Conn(c net.Conn) net.Conn {
 	m.Opened.Add(1)
 	return &meteredConn{c, m}
@@ -29,7 +29,7 @@
 	meter *Meter
 }
 
-// Accept accepts a connection that is metered.
+// Accept accepts a connection and meters it.
 func (l *meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return l.meter.Conn(c), nil
 }
 
-// meteredConn meters one connection.
+// meteredConn counts the traffic of one connection.
 type meteredConn struct {
 	net.Conn
 	meter *Meter
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -7,41 +7,45 @@
 	"dykeledge/internal/protocol"
 )
 
-// network is what lies between the parts of a simulation: partitions, and hooks that delay, repeat and lose messages. A
-// hook that is not set changes nothing; tests set them before the simulation begins.
+// network holds the faults of the network between the parts of a simulation: a zone partition, and hooks that
+// delay, duplicate and lose messages. A hook that is nil changes nothing. Tests set the hooks before the simulation
+// begins.
 type network struct {
-	isolatedZone   string                // the zone that is partitioned from all others
-	heldHeartbeats []*protocol.Heartbeat // for the next leader
+	isolatedZone   string                // the zone that is partitioned from all others; "" if none is
+	heldHeartbeats []*protocol.Heartbeat // to be delivered after the next change of leadership
 
-	// Delay is how long a message takes between two zones of controllers and workers that speak HTTP.
+	// Delay returns how long a message takes between two zones, for workers and controllers that communicate over
+	// HTTP.
 	Delay func(from, to string) time.Duration
-	// Late delays transactions; their sender learns nothing.
+	// Late returns the delay of a transaction. The sender of a delayed transaction gets no answer.
 	Late func(controller string, t protocol.Txn) time.Duration
-	// LostAnswers has a transaction carried out at once and its answer lost.
+	// LostAnswers reports whether a transaction is applied at once, but its answer is lost.
 	LostAnswers func(controller string, t protocol.Txn) bool
-	// LateCommands delays direct commands; their sender learns nothing.
+	// LateCommands returns the delay of direct commands. The sender of delayed commands gets no answer.
 	LateCommands func(machine string, commands protocol.DirectCommands) time.Duration
-	// LateAnswers delays the answer to a direct command, which was carried out.
+	// LateAnswers returns the delay of the answer to direct commands, which were executed.
 	LateAnswers func(machine string) time.Duration
-	// LateHeartbeats delays heartbeats; their sender learns nothing.
+	// LateHeartbeats returns the delay of a heartbeat. The sender of a delayed heartbeat gets no answer.
 	LateHeartbeats func(machine string) time.Duration
-	// CopiedHeartbeats has a copy of a heartbeat arrive again, so much later; 0: none.
+	// CopiedHeartbeats returns the delay after which a duplicate of a heartbeat arrives; 0: there is no duplicate.
 	CopiedHeartbeats func(machine string) time.Duration
-	// KeptHeartbeats has a copy of a heartbeat kept back, which every controller gets as the next leader begins.
+	// KeptHeartbeats reports whether a duplicate of a heartbeat is held until the next change of leadership, when
+	// it is delivered to every controller.
 	KeptHeartbeats func(machine string) bool
-	// LateScaleOuts delays rental requests; their sender learns nothing.
+	// LateScaleOuts returns the delay of a scale-out request. The sender of a delayed request gets no answer.
 	LateScaleOuts func() time.Duration
 }
 
-// separates tells whether the partition is between a controller and a machine.
+// separates reports whether the zone partition lies between a controller and a machine.
 func (n *network) separates(process *ControllerProcess, machine *Machine) bool {
 	return n.isolatedZone != "" && (process.Zone == n.isolatedZone) != (machine.Zone == n.isolatedZone)
 }
 
-// isIsolated tells whether a zone is the one that is partitioned from all others.
+// isIsolated reports whether a zone is the one that is partitioned from all others.
 func (n *network) isIsolated(zone string) bool { return zone != "" && zone == n.isolatedZone }
 
-// heartbeatDelays asks the hooks what becomes of a heartbeat, and keeps it back for the next leader where they say so.
+// heartbeatDelays returns the delays of a heartbeat and its duplicate, 0 if there are none. If the hook demands it,
+// the heartbeat is also held for delivery after the next change of leadership.
 func (n *network) heartbeatDelays(heartbeat *protocol.Heartbeat) (delay, copyAfter time.Duration) {
 	if n.LateHeartbeats != nil {
 		delay = n.LateHeartbeats(heartbeat.Machine)
@@ -55,14 +59,14 @@
 	return delay, copyAfter
 }
 
-// takeHeldHeartbeats returns the heartbeats that were kept back for the next leader.
+// takeHeldHeartbeats removes and returns the held heartbeats.
 func (n *network) takeHeldHeartbeats() []*protocol.Heartbeat {
 	kept := n.heldHeartbeats
 	n.heldHeartbeats = nil
 	return kept
 }
 
-// commandDelay asks the hook how long direct commands take to arrive.
+// commandDelay returns the delay of direct commands to a machine.
 func (n *network) commandDelay(machine *Machine, commands protocol.DirectCommands) time.Duration {
 	if machine == nil || n.LateCommands == nil {
 		return 0
@@ -70,7 +74,7 @@
 	return n.LateCommands(machine.Name, commands)
 }
 
-// answerDelay asks the hook how long the answer to direct commands takes.
+// answerDelay returns the delay of the answer to direct commands.
 func (n *network) answerDelay(machine *Machine) time.Duration {
 	if n.LateAnswers == nil {
 		return 0
@@ -78,7 +82,8 @@
 	return n.LateAnswers(machine.Name)
 }
 
-// PartitionZone partitions a zone from everything outside; "" ends that. What is inside goes on among itself.
+// PartitionZone partitions a zone from all others, the state service, the users and the cloud; "" ends the
+// partition. Within the zone, messages still arrive.
 func (sim *Simulation) PartitionZone(zone string) {
 	sim.mu.Lock()
 	sim.isolatedZone = zone
@@ -97,7 +102,7 @@
 	return sim.isolatedZone
 }
 
-// ZonesPartitioned tells whether a partition is between two zones.
+// ZonesPartitioned reports whether a partition lies between two zones.
 func (sim *Simulation) ZonesPartitioned(a, b string) bool {
 	isolated := sim.partitionedZone()
 	return a != b && isolated != "" && (a == isolated || b == isolated)
@@ -110,13 +115,14 @@
 	}
 }
 
-// Copies of heartbeats are delivered to a new leader as it begins, and again until it has taken shards.
+// Held heartbeats are delivered to each controller several times after a change of leadership, until the new leader
+// has taken over shards.
 const (
 	heldDeliveryRounds   = 20
 	heldDeliveryInterval = 30 * time.Millisecond
 )
 
-// deliverHeldHeartbeats delivers what was kept back for the next leader to every controller.
+// deliverHeldHeartbeats delivers the held heartbeats to every controller.
 func (sim *Simulation) deliverHeldHeartbeats() {
 	kept, processes := sim.takeHeldHeartbeats(), slices.Clone(sim.controllers)
 	go func() {
--- a/internal/simulator/random.go
+++ b/internal/simulator/random.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// randomStream tells the simulation's random numbers from those of other users of the same seed.
+// randomStream is the stream of the simulation's generator; other users of the same seed have other streams.
 const randomStream = 7
 
-// Source is seeded randomness that many goroutines may use.
+// Source is a seeded random number generator that is safe for concurrent use.
 type Source struct {
 	mu     sync.Mutex
 	random *rand.Rand
@@ -18,14 +18,14 @@
 	return &Source{random: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// IntN is a number from 0 to below n.
+// IntN returns a number in [0, n).
 func (s *Source) IntN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-// Float64 is a number from 0 to below 1.
+// Float64 returns a number in [0, 1).
 func (s *Source) Float64() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -7,14 +7,15 @@
 	"dykeledge/internal/storage"
 )
 
-// placement is where the records say that a task is.
+// placement is the machine that the records place a task on.
 type placement struct {
 	group   int
 	machine string
 }
 
-// recordChecker checks every transaction against what the records must never say: a task in two machines' records, an
-// attempt that comes again, a machine in two fleet records. What it costs goes by what a transaction changes.
+// recordChecker checks every transaction for states that the records must never have: a task placed on two
+// machines, an attempt that is placed again after its removal, a machine in two fleet records. The cost of a check
+// depends only on the size of what the transaction changes.
 type recordChecker struct {
 	simulation *Simulation
 	placed     map[string]placement // by task
@@ -24,7 +25,7 @@
 	attempts   attempts
 }
 
-// newRecordChecker is a check that has seen no records yet.
+// newRecordChecker returns a checker for an empty store.
 func newRecordChecker(sim *Simulation) *recordChecker {
 	return &recordChecker{
 		simulation: sim,
@@ -54,7 +55,7 @@
 	c.noteGroups(txn)
 }
 
-// noteFleet takes a fleet record that is written or deleted.
+// noteFleet checks a change that writes or deletes a fleet record.
 func (c *recordChecker) noteFleet(change protocol.Change) {
 	c.forgetFleet(change.Delete)
 	if !strings.HasPrefix(change.Put, storage.FleetKey("")) {
@@ -83,7 +84,8 @@
 	delete(c.fleets, key)
 }
 
-// noteGroups takes the groups that a transaction writes as one change: tasks may go from one to another.
+// noteGroups checks all group records that a transaction writes together, since it may move a task from one group
+// to another.
 func (c *recordChecker) noteGroups(txn protocol.Txn) {
 	written := map[int]storage.GroupRecord{}
 	for _, change := range txn.Then {
@@ -110,7 +112,7 @@
 	}
 }
 
-// place notes the tasks that a group's record places.
+// place records the tasks that a group's record places.
 func (c *recordChecker) place(group int, record storage.GroupRecord) {
 	for _, m := range record.Machines {
 		for _, p := range m.Tasks {
--- a/internal/simulator/relay.go
+++ b/internal/simulator/relay.go
@@ -13,14 +13,14 @@
 	heldPollInterval    = 50 * time.Millisecond
 )
 
-// Direction is what lies between two ends of connections.
+// Direction holds the conditions on connections between two ends, in both directions.
 type Direction struct {
-	Held  func() bool          // whether bytes are held back now; they go out in order afterwards
-	Delay func() time.Duration // how long a piece of bytes takes; nil: no time
-	Meter *Meter               // nil: nothing is counted
+	Held  func() bool          // reports whether bytes are held back now; afterwards they are sent in order
+	Delay func() time.Duration // returns how long each chunk of bytes takes; nil: no delay
+	Meter *Meter               // counts the bytes; nil: they are not counted
 }
 
-// dial connects to an address within a time.
+// dial connects to an address, with a time-out.
 func dial(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(context.Background(), "tcp4", address)
@@ -29,7 +29,7 @@
 // closeConn closes a connection that may be closed already.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// splice passes on what both sides send until either ends.
+// splice relays bytes between two connections until either is closed.
 func splice(a, b net.Conn, options Direction) {
 	var passing sync.WaitGroup
 	passing.Go(func() { options.pass(a, b) })
@@ -37,7 +37,7 @@
 	passing.Wait()
 }
 
-// pass passes on what one side sends until either ends.
+// pass relays the bytes that arrive from one connection to the other until either is closed.
 func (options Direction) pass(conn, from net.Conn) {
 	defer closeConn(conn)
 	defer closeConn(from)
@@ -61,7 +61,8 @@
 	}
 }
 
-// Relay passes connections between two controllers on, so that the way between them can be partitioned.
+// Relay accepts connections and relays each to an address, so that the network between two controllers can be
+// partitioned.
 func Relay(listener net.Listener, to string, options Direction) error {
 	for {
 		conn, err := listener.Accept()
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -15,14 +15,14 @@
 	"dykeledge/internal/wait"
 )
 
-// This file joins the simulation with processes outside: controllers and workers that speak HTTP, and
-// descriptions of jobs that users upload.
+// This file connects the simulation with other processes: controllers that are reached over HTTP, and users who
+// upload job descriptions. It also serves the workers' ports over HTTP.
 
-// heartbeatTimeout is how long a worker waits for the answer to a heartbeat; a little less than the
-// four seconds after which it drops it.
+// heartbeatTimeout is how long a worker waits for the answer to a heartbeat. It is a little less than the four
+// seconds of heartbeatAnswerTimeout, after which the worker drops the answer.
 const heartbeatTimeout = 3900 * time.Millisecond
 
-// Connect makes controller i one that runs elsewhere, in a zone, and listens at an address.
+// Connect sets controller i to one that runs in another process, in a zone, and listens at an address.
 func (sim *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
 	process := &ControllerProcess{Name: name, Zone: zone, simulation: sim, stop: func() {}}
 	clients := &workerClients{address: public, meter: &process.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
@@ -40,14 +40,14 @@
 	return process
 }
 
-// Limits of a worker's way to a controller.
+// Limits of a worker's connections to a controller.
 const (
-	maxWorkerConns       = 2                // a worker has one heartbeat in flight; a second connection while the first is given up
-	workerIdleTimeout    = 10 * time.Second // a connection that is not used for as long is closed: the worker heartbeats elsewhere
+	maxWorkerConns       = 2                // one for the heartbeat in flight, and one more while the first is given up
+	workerIdleTimeout    = 10 * time.Second // an idle connection is closed after this time, since the worker then sends its heartbeats elsewhere
 	workerConnectTimeout = time.Second
 )
 
-// workerClients are the workers' connections to one controller: each worker has its own, as real ones do.
+// workerClients holds the workers' connections to one controller. Each worker has its own, as real workers do.
 type workerClients struct {
 	address string
 	meter   *Meter
@@ -55,7 +55,7 @@
 	byName  map[string]*fasthttp.HostClient
 }
 
-// client is a worker's client.
+// client returns a worker's client.
 func (c *workerClients) client(worker string) *fasthttp.HostClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,14 +76,14 @@
 	return c.meter.Conn(conn), nil
 }
 
-// send sends a heartbeat and returns the answer; status 0: none came.
+// send sends a heartbeat and returns the status and body of the answer. Status 0: no answer arrived.
 func (c *workerClients) send(heartbeat *protocol.Heartbeat) (int, any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	raw, err := json.Marshal(heartbeat)
 	if err != nil {
-		return 0, nil // a heartbeat holds only finite numbers and strings
+		return 0, nil // cannot fail: a heartbeat holds only finite numbers and strings
 	}
 	c.meter.Messages.Add(1)
 	req.Header.SetMethod(fiber.MethodPost)
@@ -95,7 +95,7 @@
 	return resp.StatusCode(), json.RawMessage(append([]byte(nil), resp.Body()...))
 }
 
-// WorkerPorts are the loopback addresses at which the simulation's workers take direct commands.
+// WorkerPorts serves the loopback addresses at which the simulation's workers accept direct commands.
 type WorkerPorts struct {
 	simulation    *Simulation
 	address       func(number int) string
@@ -104,10 +104,10 @@
 	machineByAddr map[string]*Machine
 }
 
-// AnyPort lets the system choose each worker's port.
+// AnyPort returns an address for which the system chooses the port.
 func AnyPort(int) string { return "127.0.0.1:0" }
 
-// ServeWorkers lets every machine that comes from now on listen at a loopback address of its own, which goes by the
+// ServeWorkers makes every machine that is added from now on listen at a loopback address of its own, chosen by the
 // machine's number. Call Close when the simulation is over.
 func (sim *Simulation) ServeWorkers(address func(number int) string) *WorkerPorts {
 	workerPorts := &WorkerPorts{simulation: sim, address: address, machineByAddr: map[string]*Machine{}}
@@ -119,15 +119,15 @@
 	return workerPorts
 }
 
-// commandsRequest is a request with direct commands. The pointers tell what is missing; the embedded fields of the same
-// names are shadowed.
+// commandsRequest is a request with direct commands. The pointers show which fields are missing; they shadow the
+// embedded fields with the same JSON names.
 type commandsRequest struct {
 	Token   *uint64 `json:"helm"`
 	Session *uint64 `json:"watch"`
 	protocol.DirectCommands
 }
 
-// commands has a worker carry out direct commands.
+// commands makes a worker execute direct commands.
 func (p *WorkerPorts) commands(fiberCtx *fiber.Ctx) error {
 	var request commandsRequest
 	if err := json.Unmarshal(fiberCtx.Body(), &request); err != nil || request.Token == nil || request.Session == nil {
@@ -139,7 +139,7 @@
 	if !sim.reachable(m, true) {
 		return dropConnection(fiberCtx)
 	}
-	sim.waitZoneDelay("", m.Zone) // which zone's controller has sent it can't be told
+	sim.waitZoneDelay("", m.Zone) // the sender's zone is unknown here
 	sim.mu.Lock()
 	heartbeat, status := sim.executeCommand(m, protocol.DirectCommands{FencingToken: *request.Token, Incarnation: *request.Session, Commands: request.Commands})
 	sim.mu.Unlock()
@@ -158,13 +158,13 @@
 	return c.JSON(m.nextHeartbeat())
 }
 
-// listen has a new machine's worker listen, and returns its address.
+// listen makes a new machine's worker listen and returns its address.
 func (p *WorkerPorts) listen(machine *Machine) string {
 	var config net.ListenConfig
 	listener, err := config.Listen(p.simulation.ctx, "tcp4", p.address(p.simulation.machineCount))
 	if err != nil {
-		p.simulation.Log.Error("no port for a worker", "machine", machine.Name, "err", err)
-		return "127.0.0.1:1" // nobody listens there: it is reached through its heartbeats only
+		p.simulation.Log.Error("worker cannot listen for direct commands", "machine", machine.Name, "err", err)
+		return "127.0.0.1:1" // no worker listens at this address: its commands travel only in answers to heartbeats
 	}
 	machine.port = listener
 	p.mu.Lock()
@@ -172,20 +172,20 @@
 	p.machineByAddr[listener.Addr().String()] = machine
 	go func() {
 		if err := p.server.Serve(p.simulation.Commands.Listen(listener)); err != nil && !errors.Is(err, net.ErrClosed) {
-			p.simulation.Log.Error("a worker's port ended", "machine", machine.Name, "err", err)
+			p.simulation.Log.Error("server of a worker's port ended", "machine", machine.Name, "err", err)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// machine is the machine at whose port a request has arrived.
+// machine returns the machine at whose port a request arrived.
 func (p *WorkerPorts) machine(c *fiber.Ctx) *Machine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.machineByAddr[c.Context().LocalAddr().String()]
 }
 
-// Close ends all workers' ports.
+// Close closes the ports of all workers and shuts the server down.
 func (p *WorkerPorts) Close() error {
 	p.simulation.mu.Lock()
 	for _, m := range p.simulation.machines {
@@ -195,9 +195,10 @@
 	return p.server.Shutdown()
 }
 
-// reachable tells whether a machine answers now. In a partitioned zone none does, not even to a controller inside: a
-// port can't tell which controller speaks. One that hangs carries commands out once it goes on, when nobody waits for
-// the answer any more.
+// reachable reports whether a machine answers a request now. In a partitioned zone no machine does, not even to a
+// controller in the zone, since a port cannot tell which controller sent the request. If waitWhileHanging is set,
+// reachable waits until a hanging machine resumes: it then executes the commands although the sender no longer
+// waits for the answer.
 func (sim *Simulation) reachable(machine *Machine, waitWhileHanging bool) bool {
 	for sim.ctx.Err() == nil && machine != nil {
 		sim.mu.Lock()
@@ -216,16 +217,16 @@
 	return false
 }
 
-// Upload is a job's description as workers need it: what they run, and for how long.
+// Upload is a job's description as workers need it: what they run and for how long.
 type Upload struct {
-	Spec json.RawMessage `json:"spec"` // the submission, as the protocol has it
+	Spec json.RawMessage `json:"spec"` // the submission, as the protocol defines it
 	RunS float64         `json:"run_s"`
-	// Spread has each task run by up to this part longer or shorter.
+	// Spread is the largest fraction by which a task's run time differs from RunS, from 0 to 1.
 	Spread float64 `json:"spread,omitempty"`
-	Fails  bool    `json:"fails,omitempty"` // on every machine
+	Fails  bool    `json:"fails,omitempty"` // its tasks fail on every machine
 }
 
-// AddJob takes a job's description. One that was uploaded before stays as it was.
+// AddJob adds a job by its description. If the job was added before, its first description stays in force.
 func (sim *Simulation) AddJob(upload Upload) error {
 	submission, err := protocol.ParseSubmission(upload.Spec)
 	if err != nil {
@@ -262,8 +263,8 @@
 	return nil
 }
 
-// ServeUploads serves the place where users put the descriptions of their jobs before they
-// submit them. It ends with the listener.
+// ServeUploads serves the address to which users upload the descriptions of their jobs before they submit them,
+// until the listener is closed.
 func (sim *Simulation) ServeUploads(listener net.Listener) error {
 	app := newApp()
 	app.Put("/descriptions/:id", func(c *fiber.Ctx) error {
--- a/internal/simulator/retrying_users.go
+++ b/internal/simulator/retrying_users.go
@@ -11,18 +11,20 @@
 	"dykeledge/internal/wait"
 )
 
-// Users are users of the simulation's controllers who repeat what has no certain answer, as the protocol
-// asks them to. They do as the load tool's do over HTTP.
+// Users are users who repeat a request until its answer is final, as the protocol demands. The load tool's users do
+// the same over HTTP.
 type Users struct{ Simulation *Simulation }
 
-// statusError is an answer that is final and holds no state.
+// statusError is a final answer that holds no job state.
 type statusError struct {
 	request string
 	status  int
 }
 
-// Error tells the request and the status.
-func (e *statusError) Error() string { return fmt.Sprintf("%s got %d", e.request, e.status) }
+// Error returns the request and the status of its answer.
+func (e *statusError) Error() string {
+	return fmt.Sprintf("%s: final answer with status %d", e.request, e.status)
+}
 
 func (u Users) retryUntilFinal(ctx context.Context, name string, request func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
 	for ctx.Err() == nil {
@@ -39,17 +41,17 @@
 	return protocol.JobState{}, ctx.Err()
 }
 
-// Submit submits a job until that is certain.
+// Submit submits a job and repeats the submission until it gets a final answer.
 func (u Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
-	return u.retryUntilFinal(ctx, "a submission", func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Submit(ctx, body) })
+	return u.retryUntilFinal(ctx, "submission", func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Submit(ctx, body) })
 }
 
-// Cancel cancels a job until that is certain.
+// Cancel cancels a job and repeats the request until it gets a final answer.
 func (u Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
 	return u.retryUntilFinal(ctx, id, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Cancel(ctx, id) })
 }
 
-// Status asks for a job once.
+// Status requests a job's state once.
 func (u Users) Status(id string) (protocol.JobState, error) {
 	answer := u.Simulation.query(id)
 	if state, ok := decodeJobState(answer); ok {
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -11,37 +11,38 @@
 	"dykeledge/internal/storage"
 )
 
-// usageSlack is by how many CPUs a team's usage may differ from its limit, for rounding.
+// usageSlack is by how many CPUs a team's usage may exceed its limit, because of rounding.
 const usageSlack = 1e-6
 
-// ruleChecker holds what really runs against the protocol's rules, and notes every rule that is broken. The usage of
-// teams is kept up to date as tasks come and go: adding it up at every start costs as much as there are jobs.
+// ruleChecker checks the simulated tasks against the rules of the protocol and records each violation. It updates
+// the usage of a team when a task starts or stops, because adding it up at each start would take time proportional
+// to the number of jobs.
 type ruleChecker struct {
 	startTime     time.Time
 	settings      *config.Settings
 	brokenRules   []string
 	usedCPUs      map[string]float64 // by team: the CPUs of its running tasks
-	changedLimits map[string]float64 // by team whose entry was changed: the CPUs that it may use; 0: any
+	changedLimits map[string]float64 // by team whose record was written: its limit in CPUs; 0: no limit
 }
 
 func newRuleChecker(start time.Time, cfg *config.Settings) ruleChecker {
 	return ruleChecker{startTime: start, settings: cfg, usedCPUs: map[string]float64{}, changedLimits: map[string]float64{}}
 }
 
-// violation notes a rule that is broken.
+// violation records a violated rule with the time since the start of the simulation.
 func (c *ruleChecker) violation(format string, arguments ...any) {
 	at := fmt.Sprintf("%.1f s: ", time.Since(c.startTime).Seconds())
 	c.brokenRules = append(c.brokenRules, at+fmt.Sprintf(format, arguments...))
 }
 
-// BrokenRules lists the rules that were broken.
+// BrokenRules returns the violations so far.
 func (sim *Simulation) BrokenRules() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.brokenRules)
 }
 
-// taskStopped notes that a task does not run on a machine any more.
+// taskStopped records that a task no longer runs on a machine.
 func (c *ruleChecker) taskStopped(m *Machine, t *taskAttempt) {
 	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
 		delete(t.job.on, t.index)
@@ -49,7 +50,7 @@
 	}
 }
 
-// checkTaskStart notes a task that starts, and every rule that is broken by it.
+// checkTaskStart checks the start of a task against each rule, and records that the task runs.
 func (c *ruleChecker) checkTaskStart(m *Machine, t *taskAttempt) {
 	c.checkRunsOnce(m, t)
 	c.noteTaskStart(m, t)
@@ -60,7 +61,7 @@
 	c.checkLimit(t.job.Team, c.limitOf(t.job.Team))
 }
 
-// noteTaskStart notes that a job's task runs on a machine, and what its team uses.
+// noteTaskStart records that a task runs on a machine, and adds its CPUs to its team's usage.
 func (c *ruleChecker) noteTaskStart(m *Machine, t *taskAttempt) {
 	if t.job.on[t.index] == nil {
 		c.usedCPUs[t.job.Team] += t.job.Cpus
@@ -92,14 +93,14 @@
 	}
 	inZone, total := job.othersIn(machine.Zone, t.index)
 	if job.Spec["together"] == true && inZone != total {
-		c.violation("wrong_place: %s/%d is apart from its job", job.ID, t.index)
+		c.violation("wrong_place: %s/%d is not in the zone of its job", job.ID, t.index)
 	}
 	if job.Spec["scatter"] == true && inZone+1 > (job.Tasks+1)/2 {
 		c.violation("wrong_place: %s has too many tasks in %s", job.ID, machine.Zone)
 	}
 }
 
-// othersIn counts the job's running tasks except one, in a zone and in all.
+// othersIn counts the running tasks of the job other than a given one, in a zone and in total.
 func (j *Job) othersIn(zone string, except int) (inZone, total int) {
 	for i, machine := range j.on {
 		if i == except {
@@ -115,12 +116,12 @@
 
 func (c *ruleChecker) checkCancelled(t *taskAttempt) {
 	if !t.job.cancelConfirmedAt.IsZero() && time.Since(t.job.cancelConfirmedAt) > seconds(c.settings.Deployment.Workers.CancelS) {
-		c.violation("ran_cancelled: %s/%d starts", t.job.ID, t.index)
+		c.violation("ran_cancelled: %s/%d starts after its job was cancelled", t.job.ID, t.index)
 	}
 }
 
-// checkAttempt finds an attempt that begins twice: a worker that has cleared an attempt starts it again if its
-// launch is repeated, or comes late.
+// checkAttempt finds an attempt that starts twice. A worker that has cleared an attempt starts it again if the
+// launch command is repeated or arrives late.
 func (c *ruleChecker) checkAttempt(t *taskAttempt) {
 	job := t.job
 	if job.startedAttempts == nil {
@@ -134,7 +135,8 @@
 	job.startedAttempts[key] = true
 }
 
-// checkCancelledTasksStopped finds tasks of cancelled jobs that are on a machine for too long.
+// checkCancelledTasksStopped finds tasks that are still on a machine too long after the cancellation of their job
+// was confirmed.
 func (c *ruleChecker) checkCancelledTasksStopped(m *Machine, now time.Time) {
 	within := seconds(c.settings.Deployment.Workers.CancelS) + time.Second
 	for _, t := range m.tasks {
@@ -145,14 +147,14 @@
 	}
 }
 
-// checkLimit compares what a team uses with a limit.
+// checkLimit compares a team's usage with a limit.
 func (c *ruleChecker) checkLimit(team string, limit float64) {
 	if used := c.usedCPUs[team]; limit > 0 && used > limit+usageSlack {
-		c.violation("quota: %s uses %.1f of %.1f", team, used, limit)
+		c.violation("quota: team %s uses %.1f CPUs, limit %.1f", team, used, limit)
 	}
 }
 
-// limitOf is the limit that counts for a team, in CPUs; 0: none.
+// limitOf returns the limit in force for a team, in CPUs; 0: no limit.
 func (c *ruleChecker) limitOf(team string) float64 {
 	if limit, changed := c.changedLimits[team]; changed {
 		return limit
@@ -165,8 +167,8 @@
 	return 0
 }
 
-// noteTeam takes a change of a team. A limit that is being lowered counts from when the records say that it is kept to; it
-// must be by then.
+// noteTeam checks a change of a team's record. While a limit is being lowered, the record holds the previous limit
+// too, and that one is in force. Once the record holds only the lower limit, the team's usage must be within it.
 func (c *ruleChecker) noteTeam(change protocol.Change) {
 	for _, team := range c.settings.Deployment.Teams {
 		if change.Put != storage.TeamKey(team.Name) {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -10,9 +10,9 @@
 	"dykeledge/internal/config"
 )
 
-// Simulation is a simulated deployment: its controllers, and all that they talk to. Each part owns its state; the mutex
-// guards the state of all parts except the store, since most events change several of them at once. Methods of the
-// parts are called with it held, unless they say otherwise.
+// Simulation is a simulated deployment: the controllers and everything that they depend on. Each embedded part has
+// its own state. The mutex guards the state of all parts except the store, since most events change several parts
+// at once. The parts' methods are called with the mutex held, unless their comments say otherwise.
 type Simulation struct {
 	StartTime time.Time
 	Settings  *config.Settings
@@ -20,7 +20,7 @@
 	Random    *Source
 	Log       *slog.Logger
 
-	//nolint:containedctx // it is the lifetime of everything that the simulation starts
+	//nolint:containedctx // the context ends everything that the simulation starts
 	ctx context.Context
 	mu  sync.Mutex
 
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -14,7 +14,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// Limits of the state service's interface, as the protocol has them.
+// Limits of the state service's interface, as the protocol specifies them.
 const (
 	maxPageItems       = 1000
 	maxWatchWait       = time.Minute
@@ -22,11 +22,12 @@
 	maxKeyBytes        = 200
 	minLeaseTTL        = 100 * time.Millisecond
 	maxLeaseTTL        = 10 * time.Minute
-	watchOutageTimeout = 30 * time.Second // a watch that an outage delays is given up after as long
+	watchOutageTimeout = 30 * time.Second // a watch that an outage delays fails this long after its requested wait
 	defaultPageItems   = 200
 )
 
-// Open is a way to the store for one caller; the controller, if it is not nil, may be partitioned from it.
+// Open returns a connection to the store for a controller, which can be partitioned from the store. If the
+// controller is nil, the connection is for another caller.
 func (s *Store) Open(process *ControllerProcess) *StoreLink {
 	if process == nil {
 		process = &ControllerProcess{Name: "http"}
@@ -34,8 +35,8 @@
 	return &StoreLink{store: s, controller: process}
 }
 
-// ServeState serves one controller's way to a store over HTTP, as the state service does. It
-// ends with the listener.
+// ServeState serves one controller's connection to the store over HTTP, as the state service does, until the
+// listener is closed.
 func ServeState(storeLink *StoreLink, listener net.Listener) error {
 	server := &stateServer{storeLink}
 	app := newApp()
@@ -50,8 +51,8 @@
 	return app.Listener(listener)
 }
 
-// stateServer answers a controller's requests to the state service. A request's context ends with its handler in fiber,
-// not with its connection: the calls that wait have bounds of their own.
+// stateServer answers a controller's requests to the state service. In fiber, a request's context ends with its
+// handler and not with its connection, so the calls that wait have time-outs of their own.
 type stateServer struct{ link *StoreLink }
 
 func (s *stateServer) count(c *fiber.Ctx) error {
@@ -107,7 +108,7 @@
 	return request.JSON(protocol.TxnResult{Revision: rev})
 }
 
-// namesOneKey tells whether a change puts or deletes one key of a form that the state service takes.
+// namesOneKey reports whether a change puts or deletes exactly one key, and the key's form is valid.
 func namesOneKey(change protocol.Change) bool {
 	key := change.Put + change.Delete
 	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKeyBytes && !strings.Contains(key, " ")
@@ -137,10 +138,10 @@
 	return s.link.Renew(ctx, lease, 0)
 }
 
-// onLease handles a request about the lease that its path names.
+// onLease returns a handler for requests about the lease that their path names.
 func onLease(handle func(context.Context, uint64) error) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // 0 is no lease
+		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // a malformed ID becomes 0, which no lease has
 		if err := handle(context.Background(), id); err != nil {
 			return respondError(c, err)
 		}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -13,26 +13,27 @@
 	"dykeledge/internal/protocol"
 )
 
-// errOverRate is a refusal for the rate; the outside sees 429.
+// errOverRate is a refusal because of a rate limit. Over HTTP it becomes status 429.
 var errOverRate = fmt.Errorf("%w: over the rate", protocol.ErrRefused)
 
-// defaultKeptChanges is how many changes a watch may lag behind before it has to read again.
+// defaultKeptChanges is how many changes the store keeps for watches by default. A watch that needs older ones
+// fails, and its caller has to read the records again.
 const defaultKeptChanges = 10_000
 
-// entry is what is kept under a key.
+// entry is the value of a key, with its version and the lease that it is attached to.
 type entry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
-// lease is a controller's session lease: what is attached to it is removed as it ends.
+// lease is a controller's session lease. The keys that are attached to it are removed when it ends.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// renew gives the lease its full time again.
+// renew extends the lease by its full time to live.
 func (l *lease) renew() { l.expires = time.Now().Add(l.ttl) }
 
 // Store stands in for the state service.
@@ -41,41 +42,41 @@
 	keys               *btree.Map[string, entry]
 	rev                uint64
 	log                []protocol.Event
-	compactedTo        uint64 // changes up to this revision are not kept any more
+	compactedTo        uint64 // changes up to this revision are no longer kept
 	changed            chan struct{}
 	leases             map[uint64]*lease
 	lastLeaseID        uint64
 	down               bool
-	refusedControllers map[string]bool // controllers that alone get 503
+	refusedControllers map[string]bool // controllers whose requests are refused with status 503
 	Writes             int
-	// Limited makes the store refuse what is over the deployment's rates.
+	// Limited makes the store enforce the deployment's rate limits.
 	Limited  bool
 	Requests int
-	OverRate int // requests refused for their rate
+	OverRate int // requests refused because of their rate
 	rates    stateRates
-	// MaxValue and MaxOps, if set, are how many bytes a value may have and how many
-	// changes a transaction; four times as many conditions.
+	// MaxValue is the largest size of a value in bytes, and MaxOps the largest number of changes in a transaction;
+	// 0: no limit. A transaction may have four times as many conditions as changes.
 	MaxValue, MaxOps int
-	Keep             int // changes that are kept for watches; 0: as many as the protocol says
-	TooLarge         int // transactions refused for their size
-	// Check, if set, looks at every transaction once it is applied.
+	Keep             int // changes kept for watches; 0: defaultKeptChanges
+	TooLarge         int // transactions refused because of their size
+	// Check, if set, is called with every transaction after it was applied.
 	Check func(protocol.Txn)
-	// Slow, if set, is how long a controller's request takes to be looked at.
+	// Slow, if set, returns by how much a controller's requests are delayed.
 	Slow func(controller string) time.Duration
-	// Lag, if set, is how long a watch's answer takes to a controller.
+	// Lag, if set, returns by how much the answers to a controller's watches are delayed.
 	Lag func(controller string) time.Duration
 }
 
-// stateRates are the rates that the store enforces.
+// stateRates are the rate limits of the store, for requests and for changes.
 type stateRates struct{ requests, writes bucket }
 
-// bucket is one of a service's limits.
+// bucket is a token bucket: it refills at a rate per second up to its burst.
 type bucket struct {
 	rate, burst, tokens float64
 	refilledAt          time.Time
 }
 
-// take takes a number of requests from the bucket, if it holds so many.
+// take removes n tokens and reports true, or reports false if the bucket holds fewer.
 func (b *bucket) take(n float64) bool {
 	now := time.Now()
 	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
@@ -87,7 +88,7 @@
 	return true
 }
 
-// Value is what is kept under a key.
+// Value returns the value of a key, and whether the key exists.
 func (s *Store) Value(key string) (json.RawMessage, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	return e.value, ok
 }
 
-// Changes are the changes after a revision up to another, as far as they are kept.
+// Changes returns the changes after a revision up to and including another, as far as they are kept.
 func (s *Store) Changes(after, upTo uint64) []protocol.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,15 +109,15 @@
 	return out
 }
 
-// Compact refuses watches from before now, as if more changes than the service keeps had come
-// since: whoever is behind has to read again.
+// Compact makes a watch from an earlier revision fail, so that its caller has to read the records again, as if more
+// changes had followed than the service keeps.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactedTo = s.rev
 }
 
-// Limit makes the store enforce its rates, as the state service does.
+// Limit sets the store's rate limits in requests and changes per second, and makes the store enforce them.
 func (s *Store) Limit(rps, writes float64) {
 	s.Limited = true
 	s.rates = stateRates{
@@ -125,7 +126,7 @@
 	}
 }
 
-// Size is how many keys the store holds, and the bytes of keys and values.
+// Size returns the number of keys, and the total size of keys and values in bytes.
 func (s *Store) Size() (keys, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +137,8 @@
 	return s.keys.Len(), bytes
 }
 
-// overRequestRate counts a request; called with the lock held.
+// overRequestRate counts a request and reports whether it exceeds the rate limit. The caller must hold the store's
+// mutex.
 func (s *Store) overRequestRate() bool {
 	s.Requests++
 	if s.Limited && !s.rates.requests.take(1) {
@@ -146,7 +148,8 @@
 	return false
 }
 
-// overWriteRate counts a transaction's changes, and tells whether they are over the rate; called with the lock held.
+// overWriteRate reports whether a number of changes exceeds the rate limit for changes. The caller must hold the
+// store's mutex.
 func (s *Store) overWriteRate(changes int) bool {
 	if s.Limited && !s.down && changes > 0 && !s.rates.writes.take(float64(changes)) {
 		s.OverRate++
@@ -155,10 +158,10 @@
 	return false
 }
 
-// refuses tells whether the store answers a controller with 503; called with the lock held.
+// refuses reports whether the store answers a controller with status 503. The caller must hold the store's mutex.
 func (s *Store) refuses(controller string) bool { return s.down || s.refusedControllers[controller] }
 
-// treeDegree is the degree of the tree that holds the keys.
+// treeDegree is the degree of the B-tree that holds the keys.
 const treeDegree = 32
 
 // NewStore returns an empty store.
@@ -171,7 +174,7 @@
 	}
 }
 
-// SetDown begins or ends an outage; after one every lease has its full time again.
+// SetDown begins or ends an outage. When an outage ends, every lease is renewed for its full time to live.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,14 +186,14 @@
 	s.down = down
 }
 
-// Deny lets one controller alone get 503.
+// Deny begins or ends the refusal of a single controller's requests with status 503.
 func (s *Store) Deny(controller string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusedControllers[controller] = on
 }
 
-// grant gives a lease and returns its number; called with the lock held.
+// grant grants a lease and returns its ID. The caller must hold the store's mutex.
 func (s *Store) grant(ttl time.Duration) uint64 {
 	s.lastLeaseID++
 	granted := &lease{ttl: ttl}
@@ -199,14 +202,14 @@
 	return s.lastLeaseID
 }
 
-// endLease ends a lease and removes what is attached to it; called with the lock held.
+// endLease ends a lease and removes the keys that are attached to it. The caller must hold the store's mutex.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	s.rev++
 	s.release(id)
 }
 
-// expire ends the leases whose time is over; called with the lock held.
+// expire ends the leases that have expired, except during an outage. The caller must hold the store's mutex.
 func (s *Store) expire() {
 	if s.down {
 		return
@@ -219,7 +222,7 @@
 	}
 }
 
-// release removes what is attached to a lease that has ended.
+// release removes the keys that are attached to a lease that has ended. The caller must hold the store's mutex.
 func (s *Store) release(id uint64) {
 	var keys []string
 	s.keys.Scan(func(k string, e entry) bool {
@@ -233,7 +236,8 @@
 	}
 }
 
-// page reads a page of the keys after one; called with the lock held.
+// page returns a page of the items whose keys have a prefix and come after a key. The caller must hold the store's
+// mutex.
 func (s *Store) page(prefix, after string, limit int) protocol.Page {
 	page, size := protocol.Page{Revision: s.rev}, 0
 	s.keys.Ascend(max(prefix, after), func(key string, e entry) bool {
@@ -253,7 +257,8 @@
 	return page
 }
 
-// eventsAfter lists the changes after a revision that are kept; called with the lock held.
+// eventsAfter returns the kept changes after a revision, of keys with a prefix. The caller must hold the store's
+// mutex.
 func (s *Store) eventsAfter(prefix string, revision uint64) protocol.Events {
 	events := protocol.Events{Revision: s.rev}
 	first, _ := slices.BinarySearchFunc(s.log, revision, func(e protocol.Event, r uint64) int {
@@ -270,7 +275,8 @@
 	return events
 }
 
-// recordEvent notes a recordEvent of a key; called with the lock held.
+// recordEvent adds a change to the kept changes, and removes the key if it is a deletion. The caller must hold the
+// store's mutex.
 func (s *Store) recordEvent(event protocol.Event) {
 	if event.Delete != "" {
 		s.keys.Delete(event.Delete)
@@ -287,7 +293,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Shrink lowers the store's limits, without notice.
+// Shrink lowers the store's limits while it runs.
 func (s *Store) Shrink(value, ops int, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,7 +301,7 @@
 	s.rates.writes.rate, s.rates.writes.burst = writes, writes
 }
 
-// tooLarge tells whether a transaction is over the limits of size.
+// tooLarge reports whether a transaction exceeds the size limits.
 func (s *Store) tooLarge(t protocol.Txn) bool {
 	if s.MaxOps > 0 && (len(t.Then) > s.MaxOps || len(t.If) > 4*s.MaxOps) {
 		return true
@@ -303,7 +309,8 @@
 	return s.MaxValue > 0 && slices.ContainsFunc(t.Then, func(c protocol.Change) bool { return len(c.Value) > s.MaxValue })
 }
 
-// apply carries out a transaction, or tells which conditions don't hold; called with the lock held.
+// apply applies a transaction and returns the new revision, or returns the keys whose conditions failed. The caller
+// must hold the store's mutex.
 func (s *Store) apply(txn protocol.Txn) (uint64, []string, error) {
 	if s.tooLarge(txn) {
 		return 0, nil, fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -10,12 +10,12 @@
 	"dykeledge/internal/protocol"
 )
 
-// submissions are the jobs of a simulation, and what their users were told.
+// submissions holds the jobs of a simulation, in the order of their submission.
 type submissions struct {
 	jobs        map[string]*Job
-	order       []string // the jobs' IDs as they were submitted
-	oddRequests int      // odd requests made
-	// CloseLooks has users ask at all controllers at once as soon as they were told something.
+	order       []string // IDs of the jobs in the order of their submission
+	oddRequests int      // odd requests so far; numbers their unused job IDs
+	// CloseLooks makes users call CloseLook when a submission is accepted and when a job's state becomes final.
 	CloseLooks bool
 }
 
@@ -23,25 +23,26 @@
 	return submissions{jobs: map[string]*Job{}}
 }
 
-// add takes a job that is submitted.
+// add adds a submitted job.
 func (s *submissions) add(job *Job) {
 	s.jobs[job.ID] = job
 	s.order = append(s.order, job.ID)
 }
 
-// nextUnusedID is the ID of a job that nobody submits.
+// nextUnusedID returns an ID that no job ever gets.
 func (s *submissions) nextUnusedID() string {
 	s.oddRequests++
 	return fmt.Sprintf("job-99%05d", s.oddRequests)
 }
 
-// lastAnswer is what a job's users had been told when one of them asked: no answer may be older than that.
+// lastAnswer is what users had been told about a job when a request was sent. The answer must not be older than
+// that.
 type lastAnswer struct {
 	status   protocol.JobStatus
 	accepted bool
 }
 
-// noteAnswer takes an answer about a job.
+// noteAnswer records the state in an answer about a job.
 func (j *Job) noteAnswer(status protocol.JobStatus) {
 	j.lastAnswered = time.Now()
 	j.accepted = true
@@ -50,26 +51,27 @@
 	}
 }
 
-// lastAnswerOf is what a job's users have been told so far.
+// lastAnswerOf returns what users have been told about a job so far.
 func (sim *Simulation) lastAnswerOf(j *Job) lastAnswer {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return lastAnswer{j.reportedStatus, j.accepted}
 }
 
-// Told is what the job's user was last told.
+// Told returns the job state that users were last told.
 func (sim *Simulation) Told(j *Job) protocol.JobStatus {
 	return sim.lastAnswerOf(j).status
 }
 
-// SetCloseLooks has users look closely from now on, or no more.
+// SetCloseLooks sets CloseLooks.
 func (sim *Simulation) SetCloseLooks(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.CloseLooks = on
 }
 
-// Unanswered lists the accepted jobs whose users have had no answer since a time, as forgotten ones are.
+// Unanswered returns the accepted jobs whose users have had no answer since a time: a controller may have lost
+// them.
 func (sim *Simulation) Unanswered(since time.Time) []*Job {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -82,14 +84,14 @@
 	return unanswered
 }
 
-// On is how many of a job's tasks are on machines.
+// On returns how many of a job's tasks are on machines.
 func (sim *Simulation) On(j *Job) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return len(j.on)
 }
 
-// machinesOf lists the machines that a job's tasks are on.
+// machinesOf returns the machines that a job's tasks are on.
 func (sim *Simulation) machinesOf(j *Job) (machines []*Machine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -101,14 +103,15 @@
 	return machines
 }
 
-// ServedJobs is a class of a team: how many of its jobs were accepted and not cancelled, and how many of them are done.
+// ServedJobs counts the jobs of a class of a team: how many were accepted and not cancelled, and how many of them
+// are done.
 type ServedJobs struct {
 	Team, Class string
 	Due, Done   int
-	InTime      int // done within the time that was asked about
+	InTime      int // done within the time that Served was called with
 }
 
-// Part is the part that is done; 1 where there is nothing to do.
+// Part returns the fraction of the jobs that is done; 1 if there are no jobs.
 func (s ServedJobs) Part() float64 {
 	if s.Due == 0 {
 		return 1
@@ -116,13 +119,13 @@
 	return float64(s.Done) / float64(s.Due)
 }
 
-// String tells the counts in words.
+// String returns the counts as text.
 func (s ServedJobs) String() string {
 	return fmt.Sprintf("%s of %s: %d of %d done, %d in time", s.Class, s.Team, s.Done, s.Due, s.InTime)
 }
 
-// Served tells by class and team what became of the jobs that were first submitted more than
-// a time ago.
+// Served counts, by class and team, the jobs that were first submitted at least a time ago, and those of them that
+// are done.
 func (sim *Simulation) Served(within time.Duration) []ServedJobs {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -157,7 +160,8 @@
 	}
 }
 
-// Beside lists the jobs that wait although a machine that fits has capacity and their team is under its limit.
+// Beside returns the jobs that wait although a machine has capacity for one of their tasks and their team is within
+// its limit.
 func (sim *Simulation) Beside() []*Job {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -180,7 +184,8 @@
 	return waiting
 }
 
-// hasCapacityFor tells whether a machine has capacity for a task of a job, wherever its other tasks are.
+// hasCapacityFor reports whether a healthy machine has capacity for a task of a job, regardless of where the job's
+// other tasks run.
 func (sim *Simulation) hasCapacityFor(job *Job) bool {
 	for _, machine := range sim.machines {
 		if !machine.isRunning() || machine.unhealthy || machine.Spot && !job.Spot {
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -9,15 +9,15 @@
 // This file runs the tasks on the simulated machines.
 
 const (
-	// tickInterval is how often a machine looks at its tasks.
+	// tickInterval is the time between two updates of a machine's tasks.
 	tickInterval = 100 * time.Millisecond
-	// failureAfter is how long a task runs that fails.
+	// failureAfter is how long a failing task runs.
 	failureAfter = 300 * time.Millisecond
-	// serviceRuns is how long a service runs unless it is stopped: longer than any simulation.
+	// serviceRuns is how long a service runs unless it is stopped. It is longer than any simulation.
 	serviceRuns = 1000 * time.Hour
 )
 
-// tasksLoop runs what is on one machine, until the machine is gone.
+// tasksLoop runs the tasks of one machine until the machine is gone.
 func (sim *Simulation) tasksLoop(machine *Machine) {
 	for sim.ctx.Err() == nil {
 		time.Sleep(tickInterval)
@@ -33,8 +33,8 @@
 	}
 }
 
-// RunTicker runs what is on all machines, until the simulation ends. It is for simulations with SharedTicker: a
-// goroutine and a timer a machine take most of a core at some thousand machines.
+// RunTicker runs the tasks of all machines until the simulation ends. It is for simulations with SharedTicker: with
+// thousands of machines, a goroutine and a timer for each would use most of a core.
 func (sim *Simulation) RunTicker() {
 	for sim.ctx.Err() == nil {
 		time.Sleep(tickInterval)
@@ -49,7 +49,7 @@
 	}
 }
 
-// advance brings a machine's tasks up to now.
+// advance updates a machine's tasks to the present time.
 func (sim *Simulation) advance(machine *Machine, now time.Time) {
 	if !machine.preemptionNotice.IsZero() && now.After(machine.preemptionNotice) {
 		sim.removeMachine(machine)
@@ -71,7 +71,7 @@
 	}
 }
 
-// expireLease has a worker kill and forget all its tasks, and begin its next session.
+// expireLease makes a worker kill and drop all its tasks, and increments its incarnation.
 func (sim *Simulation) expireLease(m *Machine, now time.Time) {
 	for _, t := range m.tasks {
 		sim.taskStopped(m, t)
@@ -81,7 +81,7 @@
 	m.wake()
 }
 
-// advanceTask takes a task whose present state is over to the next one.
+// advanceTask moves a task whose present state has ended to the next state.
 func (sim *Simulation) advanceTask(machine *Machine, t *taskAttempt, now time.Time) {
 	switch t.state {
 	case protocol.TaskFetching:
@@ -95,14 +95,14 @@
 	}
 }
 
-// startTask begins to run a task whose image is there.
+// startTask starts a task whose image has been fetched.
 func (sim *Simulation) startTask(machine *Machine, t *taskAttempt, now time.Time) {
 	job := t.job
 	t.state, t.started = protocol.TaskRunning, now
 	t.stateEnds = now.Add(sim.scaledTime(job.taskRunTime(t.index) - job.savedProgress[t.index]))
 	switch {
 	case job.done[t.index]:
-		t.stateEnds = now // its result is kept
+		t.stateEnds = now // the task has completed before and its result is kept
 	case job.Spec["shape"] == "daemon":
 		t.stateEnds = now.Add(serviceRuns)
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// endTask ends a task that has run for as long as it takes, or that fails.
+// endTask ends a task that has run for its run time, or that fails.
 func (sim *Simulation) endTask(machine *Machine, t *taskAttempt, now time.Time) {
 	job := t.job
 	sim.taskStopped(machine, t)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -12,30 +12,30 @@
 	"dykeledge/internal/protocol"
 )
 
-// The users' timing.
+// Timing of the users' requests.
 const (
 	submitTimeout          = 5 * time.Second
 	queryTimeout           = 2 * time.Second
 	queryInterval          = 2 * time.Second
 	submitRetryInterval    = time.Second
 	dependencyPollInterval = 200 * time.Millisecond
-	noControllerDelay      = 500 * time.Millisecond // as long as no controller can be reached
+	noControllerDelay      = 500 * time.Millisecond // delay of a request while no controller can be reached
 )
 
-// neverSubmitted is the ID of a job that nobody submits.
+// neverSubmitted is the ID of a job that is never submitted.
 const neverSubmitted = "job-999999"
 
 // JobSpec describes a job to submit.
 type JobSpec struct {
 	Team, Urgency, Shape string
-	Class                string // "c" if it is not given
+	Class                string // default "c"
 	Tasks                int
 	Cpus                 float64
-	Gpus, MemGB          float64 // 0: none, and 4
-	Image                string  // "img-1" if it is not given
-	ImageGB              float64 // 0.5 if it is not given
+	Gpus, MemGB          float64 // default 0 and 4
+	Image                string  // default "img-1"
+	ImageGB              float64 // default 0.5
 	Run                  time.Duration
-	Runs                 []time.Duration // by task, where they differ
+	Runs                 []time.Duration // run times by task, if they differ
 	NoSpot               bool
 	Together, Scatter    bool
 	Zone                 string
@@ -46,7 +46,7 @@
 	Due                  float64
 }
 
-// newJob is the job that a description asks for.
+// newJob returns the job that a JobSpec describes.
 func (want JobSpec) newJob(id string) *Job {
 	class := cmp.Or(want.Class, "c")
 	job := &Job{ID: id, Team: want.Team, Class: class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, taskRunTimes: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
@@ -71,11 +71,11 @@
 	return job
 }
 
-// User submits a job, polls it and perhaps cancels it, as users do, and checks
-// what it is told.
+// User submits a job in the background, polls its state and, if the description says so, cancels it. It checks
+// every answer.
 func (sim *Simulation) User(want JobSpec) *Job {
 	sim.mu.Lock()
-	id := fmt.Sprintf("job-%06d", len(sim.jobs)+1+sim.Random.IntN(9)*100_000) // in no order
+	id := fmt.Sprintf("job-%06d", len(sim.jobs)+1+sim.Random.IntN(9)*100_000) // the IDs are in no order
 	job := want.newJob(id)
 	sim.add(job)
 	sim.mu.Unlock()
@@ -83,7 +83,7 @@
 	return job
 }
 
-// userLoop is one user's work on a job: to submit it, to poll it, and to cancel it after a time, if there is one.
+// userLoop submits a job and polls it. It cancels the job after a time, unless that is 0.
 func (sim *Simulation) userLoop(job *Job, cancelAfter time.Duration) {
 	for sim.ctx.Err() == nil && !sim.dependenciesAccepted(job) {
 		time.Sleep(dependencyPollInterval)
@@ -109,9 +109,10 @@
 	return !slices.ContainsFunc(job.dependencies, func(dependency *Job) bool { return !dependency.accepted })
 }
 
-// submit submits a job until it is accepted, and tells whether its user goes on: not if it is refused.
+// submit submits a job until it is accepted, and reports whether its user goes on. A user whose submission is
+// refused does not.
 func (sim *Simulation) submit(job *Job) bool {
-	body, _ := json.Marshal(job.Spec) // a job's description holds only what JSON can
+	body, _ := json.Marshal(job.Spec) // the specification holds only JSON values
 	for sim.ctx.Err() == nil {
 		previous := sim.lastAnswerOf(job)
 		answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
@@ -123,7 +124,7 @@
 			return true
 		}
 		if isRefusal(answer) {
-			sim.reportViolation("forgotten: submission of %s got %d", job.ID, answer.Status)
+			sim.reportViolation("forgotten: submission of %s was refused with status %d", job.ID, answer.Status)
 			return false
 		}
 		time.Sleep(submitRetryInterval)
@@ -131,7 +132,7 @@
 	return true
 }
 
-// poll asks for a job once, and checks the answer.
+// poll requests a job's state once and checks the answer.
 func (sim *Simulation) poll(job *Job) {
 	previous := sim.lastAnswerOf(job)
 	answer := sim.query(job.ID)
@@ -146,18 +147,19 @@
 	defer sim.mu.Unlock()
 	_, confirmedAt := job.hasCancelledDependency()
 	if !state.Status.Final() && !confirmedAt.IsZero() && time.Since(confirmedAt) > seconds(sim.Settings.Deployment.Workers.CancelS) {
-		sim.violation("orphaned: %s is %s", job.ID, state.Status)
+		sim.violation("orphaned: %s is %s although a dependency was cancelled", job.ID, state.Status)
 	}
 }
 
-// query asks some controller for a job.
+// query requests a job's state from some controller.
 func (sim *Simulation) query(id string) controller.Answer {
 	return sim.ask(queryTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 		return c.Query(ctx, id)
 	})
 }
 
-// ask sends a request to some controller, as the load balancer would.
+// ask sends a request to some controller, as the load balancer does. It returns an empty answer if no answer
+// arrives.
 func (sim *Simulation) ask(timeout time.Duration, request func(context.Context, *controller.Controller) controller.Answer) controller.Answer {
 	process := sim.anyController()
 	if process == nil {
@@ -181,7 +183,7 @@
 	}
 }
 
-// anyController is some controller that users reach, nil if there is none.
+// anyController returns a random controller that users reach, or nil.
 func (sim *Simulation) anyController() *ControllerProcess {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -192,7 +194,8 @@
 	return serving[sim.Random.IntN(len(serving))]
 }
 
-// cancelJob asks some controller once to cancel a job, and tells whether its user got a final answer.
+// cancelJob requests the cancellation of a job from some controller once, and reports whether the answer held a
+// final state.
 func (sim *Simulation) cancelJob(job *Job) bool {
 	sim.noteCancelRequest(job)
 	previous := sim.lastAnswerOf(job)
@@ -216,7 +219,7 @@
 	job.cancelRequested = true
 }
 
-// cancelConfirmed takes the answer to a cancellation.
+// cancelConfirmed checks the answer to a cancellation and records when it was confirmed.
 func (sim *Simulation) cancelConfirmed(j *Job, state protocol.JobState, previous lastAnswer) {
 	sim.checkState(j, state, previous)
 	sim.mu.Lock()
@@ -227,7 +230,7 @@
 	sim.queryAllIfEnabled(j)
 }
 
-// CancelNow has a job's user cancel it, again and again until that is answered.
+// CancelNow makes a job's user cancel the job in the background, until the answer holds a final state.
 func (sim *Simulation) CancelNow(j *Job) {
 	go func() {
 		for sim.ctx.Err() == nil && !sim.cancelJob(j) {
@@ -236,7 +239,8 @@
 	}()
 }
 
-// CancelAt asks controller i to cancel a job, once, and tells whether it confirmed that.
+// CancelAt requests the cancellation of a job from controller i once, and reports whether the controller confirmed
+// it.
 func (sim *Simulation) CancelAt(job *Job, i int) bool {
 	sim.noteCancelRequest(job)
 	process, previous := sim.Controller(i), sim.lastAnswerOf(job)
--- a/internal/simulator/workers.go
+++ b/internal/simulator/workers.go
@@ -6,23 +6,23 @@
 	"dykeledge/internal/protocol"
 )
 
-// workerSet is what the workers of all machines have in common.
+// workerSet holds what the workers of all machines have in common.
 type workerSet struct {
-	// Speed, if above 0, is how many times as fast as stated machines come up, fetch and work.
+	// Speed, if above 0, is the factor by which machines boot, fetch images and run tasks faster than stated.
 	Speed float64
-	// Listen, if set, tells the address at which a new machine's worker will listen.
+	// Listen, if set, starts the port of a new machine's worker and returns its address.
 	Listen func(m *Machine) string
-	// SharedTicker has one goroutine, RunTicker, run the tasks of all machines.
+	// SharedTicker makes one goroutine, RunTicker, run the tasks of all machines.
 	SharedTicker bool
-	// Launched, if set, is called for each launch that a worker takes up, with the simulation locked.
+	// Launched, if set, is called with the simulation's mutex held for each attempt that a worker launches.
 	Launched func(j *Job, index int)
-	// AtEnd, if set, is called as the last task of a job completes.
+	// AtEnd, if set, is called when the last task of a job completes.
 	AtEnd func(j *Job)
-	// Commands meters the workers' ports.
+	// Commands meters the connections to the workers' ports.
 	Commands Meter
 }
 
-// speed is how many times as fast as stated machines work.
+// speed returns the factor by which machines work faster than stated.
 func (w *workerSet) speed() float64 {
 	if w.Speed > 0 {
 		return w.Speed
@@ -30,12 +30,12 @@
 	return 1
 }
 
-// scaledTime is how long work takes that is stated to take d: machines work at the simulation's speed.
+// scaledTime returns how long work takes whose stated time is d.
 func (w *workerSet) scaledTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / w.speed())
 }
 
-// startWorker starts a machine's worker once the machine has booted.
+// startWorker starts a machine's worker after the machine's boot time.
 func (sim *Simulation) startWorker(machine *Machine, after time.Duration) {
 	go func() {
 		time.Sleep(after)
@@ -53,7 +53,7 @@
 	}()
 }
 
-// Die stops a machine with all that is on it.
+// Die makes a machine fail, with all tasks on it.
 func (sim *Simulation) Die(m *Machine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// removeMachine ends a machine and the tasks on it. What their checkpoints hold stays.
+// removeMachine removes a machine and stops its tasks. The progress in their checkpoints is kept.
 func (sim *Simulation) removeMachine(m *Machine) {
 	m.gone = true
 	m.disconnect()
@@ -75,14 +75,14 @@
 	m.tasks = nil
 }
 
-// keepCheckpoint keeps the latest checkpoint that a task which ends now has saved by itself.
+// keepCheckpoint keeps the latest periodic checkpoint of a running task that ends now.
 func (sim *Simulation) keepCheckpoint(t *taskAttempt) {
 	if interval := sim.scaledTime(seconds(t.job.specNumber("markEveryS"))); interval > 0 && t.state == protocol.TaskRunning {
 		t.job.saveProgress(t, time.Since(t.started)/interval*interval, sim.speed())
 	}
 }
 
-// Running is how many tasks are on machines now.
+// Running returns how many tasks are on machines.
 func (sim *Simulation) Running() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
