--- a/internal/simulator/answers.go
+++ b/internal/simulator/answers.go
@@ -51,9 +51,9 @@
 	job.noteAnswer(state.Status)
 }
 
-// checkAnswer checks an answer to a status request for a job or to its repeated submission. For an
-// accepted job, the answer holds a state or is a temporary error. It reports whether the answer holds a state. The
-// caller must not hold the simulation's mutex.
+// checkAnswer checks an answer to a status request for a job or to its repeated submission. For an accepted job, it
+// must hold a state or be a temporary error. It reports whether the answer holds a state. The caller must not hold
+// the simulation's mutex.
 func (sim *Simulation) checkAnswer(job *Job, answer controller.Answer, previous lastAnswer) bool {
 	if state, ok := decodeJobState(answer); ok {
 		sim.checkState(job, state, previous)
@@ -68,8 +68,7 @@
 	return false
 }
 
-// checkNeverSubmitted requests the status of a job that was never submitted: no controller may report a state for
-// it.
+// checkNeverSubmitted requests the status of a job that was never submitted: no controller may report a state.
 func (sim *Simulation) checkNeverSubmitted(id string) {
 	if answer := sim.query(id); answer.Status == http.StatusOK {
 		sim.reportViolation("invented: a state was reported for %s, which was never submitted", id)
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -140,8 +140,8 @@
 	return m.machineType.Price
 }
 
-// list returns, sorted by name, the machines after a name that were rented longer than the list's lag ago. Machines
-// that died are listed until they are scaled in.
+// list returns a page of the machines after a name, sorted by name. Machines that were rented within the lag are left
+// out. Machines that died are listed until they are scaled in.
 func (c *simulatedCloud) list(after string, lag time.Duration) (list protocol.MachineList) {
 	for _, m := range c.machines {
 		if m.Name > after && (!m.gone || !m.failed.IsZero()) && time.Since(m.provisionedAt) > lag {
@@ -257,8 +257,7 @@
 	return running
 }
 
-// LimitCloud sets the cloud's rate limit in requests per second. The limit is enforced if the store enforces its
-// own.
+// LimitCloud sets the cloud's limit in requests per second. The limit is enforced if the store enforces its own.
 func (sim *Simulation) LimitCloud(rps float64) { sim.cloudBucket = bucket{rate: rps, burst: 2 * rps} }
 
 // SetCloudDown begins or ends an outage of the cloud.
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -56,8 +56,7 @@
 	machine.wake()
 }
 
-// launchRefusal returns the cause with which a worker refuses to launch a job's task, or "" if it launches the
-// task.
+// launchRefusal returns the cause with which a worker refuses to launch a job's task, or "" if it launches it.
 func launchRefusal(machine *Machine, job *Job, index int) string {
 	if machine.hasTask(job, index) {
 		return protocol.CauseBusy
@@ -103,8 +102,7 @@
 	return machine.fetchesEnd
 }
 
-// oldestUnusedImage returns the image that was fetched first among those that no task needs, or "" if there is
-// none.
+// oldestUnusedImage returns the first fetched image among those that no task needs, or "" if there is none.
 func (m *Machine) oldestUnusedImage() (oldest string) {
 	for name, at := range m.images {
 		needed := slices.ContainsFunc(m.tasks, func(t *taskAttempt) bool {
--- a/internal/simulator/job.go
+++ b/internal/simulator/job.go
@@ -13,18 +13,18 @@
 	Class             string
 	At                time.Time // when it was first submitted
 	Tasks             int
-	Run               time.Duration
+	Run               time.Duration // run time of each task, unless taskRunTimes has its own
 	Cpus              float64
 	Spot              bool
-	Broken            bool // its tasks fail on every machine
-	done              map[int]bool
+	Broken            bool                  // its tasks fail on every machine
+	done              map[int]bool          // by task: whether it has completed
 	startedAttempts   map[[2]uint64]bool    // by task and attempt
 	savedProgress     map[int]time.Duration // by task: the run time that its latest checkpoint covers
-	on                map[int]*Machine
-	cancelConfirmedAt time.Time // when the cancellation was confirmed to its user; zero: it was not
-	reportedStatus    protocol.JobStatus
-	accepted          bool
-	lastDone          time.Time
+	on                map[int]*Machine      // by task: the machine that it runs on
+	cancelConfirmedAt time.Time             // when the cancellation was confirmed to its user; zero: it was not
+	reportedStatus    protocol.JobStatus    // the status that its user was last told
+	accepted          bool                  // a state of the job has been reported to its user
+	lastDone          time.Time             // when its latest task completed
 	dependencies      []*Job
 	cancelRequested   bool // its user has requested the cancellation
 	taskRunTimes      []time.Duration
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -99,7 +99,7 @@
 	}
 	if !b.healthy && b.everHealthy && now.Sub(b.healthChangedAt) > connectionResetDelay {
 		for c := range b.conns {
-			_ = c.Close() // the reset makes the user connect to another controller
+			_ = c.Close() // the reset makes the user reconnect
 		}
 		clear(b.conns)
 	}
@@ -145,8 +145,7 @@
 	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.healthChangedAt) >= b.returnDelay
 }
 
-// pick returns the controller for a new connection, leaving out those that were tried. It returns nil if there is
-// none.
+// pick returns the controller for a new connection, leaving out those that were tried, or nil if there is none.
 func (l *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -47,39 +47,39 @@
 }
 
 // newJob returns the job that a JobSpec describes.
-func (want JobSpec) newJob(id string) *Job {
-	class := cmp.Or(want.Class, "c")
-	job := &Job{ID: id, Team: want.Team, Class: class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, taskRunTimes: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
-		Broken: want.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, dependencies: want.Dependencies,
-		Spec: map[string]any{"id": id, "jobclass": class, "crew": want.Team, "shape": cmp.Or(want.Shape, "batch"), "urgency": cmp.Or(want.Urgency, "normal"),
-			"shards": want.Tasks, "cpus": want.Cpus, "accelerators": want.Gpus, "ramGb": cmp.Or(want.MemGB, 4), "kit": cmp.Or(want.Image, "img-1"), "pullGb": cmp.Or(want.ImageGB, 0.5),
-			"hulls": nil, "berth": nil, "together": want.Together, "scatter": want.Scatter, "loaners": !want.NoSpot,
-			"expectedS": want.Run.Seconds(), "markEveryS": want.CheckpointS, "markCostS": 1.0, "dueS": nil}}
-	if len(want.Dependencies) > 0 {
+func (spec JobSpec) newJob(id string) *Job {
+	class := cmp.Or(spec.Class, "c")
+	job := &Job{ID: id, Team: spec.Team, Class: class, At: time.Now(), Tasks: spec.Tasks, Run: spec.Run, taskRunTimes: spec.Runs, Cpus: spec.Cpus, Spot: !spec.NoSpot,
+		Broken: spec.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, dependencies: spec.Dependencies,
+		Spec: map[string]any{"id": id, "jobclass": class, "crew": spec.Team, "shape": cmp.Or(spec.Shape, "batch"), "urgency": cmp.Or(spec.Urgency, "normal"),
+			"shards": spec.Tasks, "cpus": spec.Cpus, "accelerators": spec.Gpus, "ramGb": cmp.Or(spec.MemGB, 4), "kit": cmp.Or(spec.Image, "img-1"), "pullGb": cmp.Or(spec.ImageGB, 0.5),
+			"hulls": nil, "berth": nil, "together": spec.Together, "scatter": spec.Scatter, "loaners": !spec.NoSpot,
+			"expectedS": spec.Run.Seconds(), "markEveryS": spec.CheckpointS, "markCostS": 1.0, "dueS": nil}}
+	if len(spec.Dependencies) > 0 {
 		var ids []string
-		for _, dependency := range want.Dependencies {
+		for _, dependency := range spec.Dependencies {
 			ids = append(ids, dependency.ID)
 		}
 		job.Spec["awaits"] = ids
 	}
-	if want.Due > 0 {
-		job.Spec["dueS"] = want.Due
+	if spec.Due > 0 {
+		job.Spec["dueS"] = spec.Due
 	}
-	if want.Zone != "" {
-		job.Spec["berth"] = want.Zone
+	if spec.Zone != "" {
+		job.Spec["berth"] = spec.Zone
 	}
 	return job
 }
 
 // User submits a job in the background, polls its state and, if the description says so, cancels it. It checks
 // every answer.
-func (sim *Simulation) User(want JobSpec) *Job {
+func (sim *Simulation) User(spec JobSpec) *Job {
 	sim.mu.Lock()
 	id := fmt.Sprintf("job-%06d", len(sim.jobs)+1+sim.Random.IntN(9)*100_000) // the IDs are in no order
-	job := want.newJob(id)
+	job := spec.newJob(id)
 	sim.add(job)
 	sim.mu.Unlock()
-	go sim.userLoop(job, want.CancelAfter)
+	go sim.userLoop(job, spec.CancelAfter)
 	return job
 }
 
