--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -28,7 +28,7 @@
 	machines              map[string]*Machine
 	machineCount          int                 // machines ever rented; numbers the next one
 	machineNamesByRequest map[string][]string // names of the rented machines, by the request's name
-	cloudBucket           bucket
+	cloudBucket           tokenBucket
 	cloudDown             bool
 	costSpent             float64
 
@@ -160,7 +160,7 @@
 	switch {
 	case !m.failed.IsZero() && time.Since(m.failed) > failureListingDelay:
 		return "failed"
-	case m.up:
+	case m.booted:
 		return "running"
 	}
 	return "booting"
@@ -258,7 +258,9 @@
 }
 
 // LimitCloud sets the cloud's limit in requests per second. The limit is enforced if the store enforces its own.
-func (sim *Simulation) LimitCloud(rps float64) { sim.cloudBucket = bucket{rate: rps, burst: 2 * rps} }
+func (sim *Simulation) LimitCloud(rps float64) {
+	sim.cloudBucket = tokenBucket{rate: rps, burst: 2 * rps}
+}
 
 // SetCloudDown begins or ends an outage of the cloud.
 func (sim *Simulation) SetCloudDown(down bool) {
--- a/internal/simulator/cloud_link.go
+++ b/internal/simulator/cloud_link.go
@@ -26,8 +26,8 @@
 	lateScaleOutWait = 2 * time.Second
 )
 
-// begin admits a request to the cloud, or returns the error with which it fails.
-func (l *cloudLink) begin() error {
+// admitRequest admits a request to the cloud, or returns the error with which it fails.
+func (l *cloudLink) admitRequest() error {
 	l.controller.waitWhileStalled()
 	time.Sleep(cloudLatency)
 	sim := l.simulation
@@ -51,7 +51,7 @@
 
 // Catalog returns the machine types.
 func (l *cloudLink) Catalog(context.Context) (*protocol.Catalog, error) {
-	if err := l.begin(); err != nil {
+	if err := l.admitRequest(); err != nil {
 		return nil, err
 	}
 	catalog := l.simulation.Catalog
@@ -60,7 +60,7 @@
 
 // ScaleOut rents machines. The answer may be lost.
 func (l *cloudLink) ScaleOut(_ context.Context, request protocol.ScaleOutRequest) ([]string, error) {
-	if err := l.begin(); err != nil {
+	if err := l.admitRequest(); err != nil {
 		return nil, err
 	}
 	sim := l.simulation
@@ -84,7 +84,7 @@
 
 // ScaleIn returns machines to the cloud.
 func (l *cloudLink) ScaleIn(_ context.Context, names []string) error {
-	if err := l.begin(); err != nil {
+	if err := l.admitRequest(); err != nil {
 		return err
 	}
 	began := time.Now()
@@ -97,7 +97,7 @@
 
 // List returns the machines after a name. The list is out of date by the list lag.
 func (l *cloudLink) List(_ context.Context, after string) (protocol.MachineList, error) {
-	if err := l.begin(); err != nil {
+	if err := l.admitRequest(); err != nil {
 		return protocol.MachineList{}, err
 	}
 	sim := l.simulation
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -38,8 +38,8 @@
 	watchPollInterval = 200 * time.Millisecond
 )
 
-// begin admits a request to the store, or returns the error with which it fails.
-func (l *StoreLink) begin(ctx context.Context) error {
+// admitRequest admits a request to the store, or returns the error with which it fails.
+func (l *StoreLink) admitRequest(ctx context.Context) error {
 	l.controller.waitWhileStalled()
 	time.Sleep(stateLatency)
 	if l.store.Slow != nil {
@@ -78,17 +78,17 @@
 			return 0, err
 		}
 	}
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return 0, err
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
-	return l.store.rev, nil
+	return l.store.revision, nil
 }
 
 // List returns a page of the items whose keys have a prefix and come after a key.
 func (l *StoreLink) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return protocol.Page{}, err
 	}
 	l.store.mu.Lock()
@@ -98,16 +98,16 @@
 
 // Read returns one item, with the lease that it is attached to and the store's revision.
 func (l *StoreLink) Read(ctx context.Context, key string) (item protocol.Item, lease, rev uint64, err error) {
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return item, 0, 0, err
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	e, ok := l.store.keys.Get(key)
 	if !ok {
-		return item, 0, l.store.rev, protocol.ErrNotFound
+		return item, 0, l.store.revision, protocol.ErrNotFound
 	}
-	return protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version}, e.lease, l.store.rev, nil
+	return protocol.Item{Key: key, Value: slices.Clone(e.value), Version: e.version}, e.lease, l.store.revision, nil
 }
 
 // Txn applies a transaction. It returns the new revision, or the keys whose conditions failed.
@@ -115,7 +115,7 @@
 	if err := l.admitTxn(ctx, txn, priority); err != nil {
 		return 0, nil, err
 	}
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return 0, nil, err
 	}
 	if l.Late != nil {
@@ -232,7 +232,7 @@
 	if l.budget != nil {
 		l.budget.Owe()
 	}
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return 0, err
 	}
 	began := time.Now()
@@ -247,7 +247,7 @@
 
 // End ends a session lease and removes the items that are attached to it.
 func (l *StoreLink) End(ctx context.Context, lease uint64) error {
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return err
 	}
 	l.store.mu.Lock()
@@ -264,7 +264,7 @@
 	if l.budget != nil {
 		l.budget.Owe()
 	}
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return err
 	}
 	began := time.Now()
@@ -289,7 +289,7 @@
 	if l.budget != nil {
 		l.budget.Owe()
 	}
-	if err := l.begin(ctx); err != nil {
+	if err := l.admitRequest(ctx); err != nil {
 		return protocol.Events{}, err
 	}
 	deadline := time.Now().Add(wait)
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -29,7 +29,7 @@
 	// The cloud's state of the machine.
 	machineType   protocol.MachineType
 	provisionedAt time.Time
-	up            bool
+	booted        bool
 	gone          bool
 	failed        time.Time // when it died; zero: it did not, or it has been scaled in since
 
@@ -87,7 +87,7 @@
 }
 
 // isRunning reports whether a machine has booted and is not gone.
-func (m *Machine) isRunning() bool { return m.up && !m.gone }
+func (m *Machine) isRunning() bool { return m.booted && !m.gone }
 
 // wake makes the worker send its next heartbeat early.
 func (m *Machine) wake() {
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// note checks a transaction that was applied.
+// note checks a transaction that was applied, and delivers the held heartbeats if it changed the leader.
 func (c *recordChecker) note(txn protocol.Txn) {
 	c.simulation.mu.Lock()
 	defer c.simulation.mu.Unlock()
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -45,8 +45,8 @@
 	app.Get("/store/*", server.read)
 	app.Post("/txn", server.transaction)
 	app.Post("/holds", server.grant)
-	app.Post("/holds/:id/extend", onLease(server.renew))
-	app.Delete("/holds/:id", onLease(storeLink.End))
+	app.Post("/holds/:id/extend", leaseHandler(server.renew))
+	app.Delete("/holds/:id", leaseHandler(storeLink.End))
 	app.Get("/follow", server.watch)
 	return app.Listener(listener)
 }
@@ -138,8 +138,8 @@
 	return s.link.Renew(ctx, lease, 0)
 }
 
-// onLease returns a handler for requests about the lease that their path names.
-func onLease(handle func(context.Context, uint64) error) fiber.Handler {
+// leaseHandler returns a handler for requests about the lease that their path names.
+func leaseHandler(handle func(context.Context, uint64) error) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // a malformed ID becomes 0, which no lease has
 		if err := handle(context.Background(), id); err != nil {
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -40,7 +40,7 @@
 type Store struct {
 	mu                 sync.Mutex
 	keys               *btree.Map[string, entry]
-	rev                uint64
+	revision           uint64
 	log                []protocol.Event
 	compactedTo        uint64 // changes up to this revision are no longer kept
 	changed            chan struct{}
@@ -68,16 +68,16 @@
 }
 
 // stateRates are the rate limits of the store, for requests and for changes.
-type stateRates struct{ requests, writes bucket }
+type stateRates struct{ requests, writes tokenBucket }
 
-// bucket is a token bucket: it refills at a rate per second up to its burst.
-type bucket struct {
+// tokenBucket limits a rate: it refills at a rate per second up to its burst.
+type tokenBucket struct {
 	rate, burst, tokens float64
 	refilledAt          time.Time
 }
 
 // take removes n tokens and reports true, or reports false if the bucket holds fewer.
-func (b *bucket) take(n float64) bool {
+func (b *tokenBucket) take(n float64) bool {
 	now := time.Now()
 	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
@@ -114,15 +114,15 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.compactedTo = s.rev
+	s.compactedTo = s.revision
 }
 
 // Limit sets the store's rate limits in requests and changes per second, and makes the store enforce them.
 func (s *Store) Limit(rps, writes float64) {
 	s.Limited = true
 	s.rates = stateRates{
-		requests: bucket{rate: rps, burst: rps},
-		writes:   bucket{rate: writes, burst: writes},
+		requests: tokenBucket{rate: rps, burst: rps},
+		writes:   tokenBucket{rate: writes, burst: writes},
 	}
 }
 
@@ -205,8 +205,8 @@
 // endLease ends a lease and removes the keys that are attached to it. The caller must hold the store's mutex.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
-	s.rev++
-	s.release(id)
+	s.revision++
+	s.removeAttached(id)
 }
 
 // expire ends the leases that have expired, except during an outage. The caller must hold the store's mutex.
@@ -222,8 +222,8 @@
 	}
 }
 
-// release removes the keys that are attached to a lease that has ended. The caller must hold the store's mutex.
-func (s *Store) release(id uint64) {
+// removeAttached removes the keys that are attached to a lease that has ended. The caller must hold the store's mutex.
+func (s *Store) removeAttached(id uint64) {
 	var keys []string
 	s.keys.Scan(func(k string, e entry) bool {
 		if e.lease == id {
@@ -232,14 +232,14 @@
 		return true
 	})
 	for _, k := range keys {
-		s.recordEvent(protocol.Event{Delete: k, Version: s.rev})
+		s.recordEvent(protocol.Event{Delete: k, Version: s.revision})
 	}
 }
 
 // page returns a page of the items whose keys have a prefix and come after a key. The caller must hold the store's
 // mutex.
 func (s *Store) page(prefix, after string, limit int) protocol.Page {
-	page, size := protocol.Page{Revision: s.rev}, 0
+	page, size := protocol.Page{Revision: s.revision}, 0
 	s.keys.Ascend(max(prefix, after), func(key string, e entry) bool {
 		if key == after {
 			return true
@@ -260,7 +260,7 @@
 // eventsAfter returns the kept changes after a revision, of keys with a prefix. The caller must hold the store's
 // mutex.
 func (s *Store) eventsAfter(prefix string, revision uint64) protocol.Events {
-	events := protocol.Events{Revision: s.rev}
+	events := protocol.Events{Revision: s.revision}
 	first, _ := slices.BinarySearchFunc(s.log, revision, func(e protocol.Event, r uint64) int {
 		if e.Version <= r {
 			return -1
@@ -323,7 +323,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return s.rev, failed, nil
+		return s.revision, failed, nil
 	}
 	for _, c := range txn.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
@@ -331,21 +331,21 @@
 		}
 	}
 	if len(txn.Then) > 0 {
-		s.rev++
+		s.revision++
 	}
 	for _, c := range txn.Then {
 		s.Writes++
 		if c.Delete != "" {
 			if _, ok := s.keys.Get(c.Delete); ok {
-				s.recordEvent(protocol.Event{Delete: c.Delete, Version: s.rev})
+				s.recordEvent(protocol.Event{Delete: c.Delete, Version: s.revision})
 			}
 			continue
 		}
-		s.keys.Set(c.Put, entry{slices.Clone(c.Value), s.rev, c.Lease})
-		s.recordEvent(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.rev})
+		s.keys.Set(c.Put, entry{slices.Clone(c.Value), s.revision, c.Lease})
+		s.recordEvent(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.revision})
 	}
 	if s.Check != nil {
 		s.Check(txn)
 	}
-	return s.rev, nil, nil
+	return s.revision, nil, nil
 }
--- a/internal/simulator/workers.go
+++ b/internal/simulator/workers.go
@@ -44,7 +44,7 @@
 			sim.mu.Unlock()
 			return
 		}
-		machine.up, machine.incarnation, machine.leaseRenewedAt = true, 1, time.Now()
+		machine.booted, machine.incarnation, machine.leaseRenewedAt = true, 1, time.Now()
 		sim.mu.Unlock()
 		if !sim.SharedTicker {
 			go sim.tasksLoop(machine)
