--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -7,19 +7,20 @@
 	"dykeledge/internal/storage"
 )
 
-// attempts are what the groups' records have held: an attempt that has left them must never come again, whoever
-// wrote it, since workers that have forgotten it would start it.
+// attempts records which attempts the machine groups' records have held. An attempt that was removed from the
+// records must not be placed again, by any controller: a worker that has cleared the attempt would start it again.
 type attempts struct {
-	there map[int]map[string]uint64 // by group and task
-	last  map[string]uint64         // by task: the latest that has left
+	current     map[int]map[string]uint64 // attempt number by group and task
+	lastRemoved map[string]uint64         // by task: the highest attempt number that was removed
 }
 
-// note takes in a transaction and tells which tasks it places under attempts that were used before.
+// note updates the history with a transaction, and returns a message for each task that the transaction places
+// under an attempt number that the task had before.
 func (a *attempts) note(txn protocol.Txn) (reused []string) {
-	if a.there == nil {
-		a.there, a.last = map[int]map[string]uint64{}, map[string]uint64{}
+	if a.current == nil {
+		a.current, a.lastRemoved = map[int]map[string]uint64{}, map[string]uint64{}
 	}
-	gone, now := map[string]uint64{}, map[string]uint64{}
+	removed, placed := map[string]uint64{}, map[string]uint64{}
 	for _, change := range txn.Then {
 		group, ok := storage.GroupOf(change.Put)
 		if !ok {
@@ -29,28 +30,28 @@
 		if err != nil {
 			return []string{err.Error()}
 		}
-		for task, n := range a.there[group] {
-			gone[task] = n
+		for task, attempt := range a.current[group] {
+			removed[task] = attempt
 		}
 		tasks := map[string]uint64{}
 		for _, m := range record.Machines {
 			for _, p := range m.Tasks {
 				for i := 0; i+3 < len(p.Numbers); i += 4 {
 					task := protocol.TaskName(p.Job, int(p.Numbers[i]))
-					tasks[task], now[task] = p.Numbers[i+1], p.Numbers[i+1]
+					tasks[task], placed[task] = p.Numbers[i+1], p.Numbers[i+1]
 				}
 			}
 		}
-		a.there[group] = tasks
+		a.current[group] = tasks
 	}
-	for task, n := range now {
-		if n <= a.last[task] {
-			reused = append(reused, fmt.Sprintf("records: %s is placed under attempt %d, which it had before", task, n))
+	for task, attempt := range placed {
+		if attempt <= a.lastRemoved[task] {
+			reused = append(reused, fmt.Sprintf("records: %s is placed under attempt %d, which it had before", task, attempt))
 		}
 	}
-	for task, n := range gone {
-		if now[task] != n {
-			a.last[task] = max(a.last[task], n)
+	for task, attempt := range removed {
+		if placed[task] != attempt {
+			a.lastRemoved[task] = max(a.lastRemoved[task], attempt)
 		}
 	}
 	return reused
--- a/internal/simulator/cloud_server.go
+++ b/internal/simulator/cloud_server.go
@@ -12,7 +12,7 @@
 	"dykeledge/internal/protocol"
 )
 
-// ServeCloud serves one controller's way to the simulated cloud over HTTP. It ends with the listener.
+// ServeCloud serves one controller's connection to the simulated cloud over HTTP, until the listener is closed.
 func (sim *Simulation) ServeCloud(process *ControllerProcess, listener net.Listener) error {
 	server := &cloudServer{&cloudLink{simulation: sim, controller: process}}
 	app := newApp()
@@ -23,13 +23,13 @@
 	return app.Listener(listener)
 }
 
-// cloudServer answers a controller's requests to the cloud.
+// cloudServer answers a controller's requests to the cloud over HTTP.
 type cloudServer struct{ link *cloudLink }
 
 func (s *cloudServer) catalog(c *fiber.Ctx) error {
 	catalog, err := s.link.Catalog(context.Background())
 	if err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(catalog)
 }
@@ -37,7 +37,7 @@
 func (s *cloudServer) list(c *fiber.Ctx) error {
 	list, err := s.link.List(context.Background(), strings.Clone(c.Query("from")))
 	if err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	if list.Machines == nil {
 		list.Machines = []protocol.CloudMachine{}
@@ -49,14 +49,14 @@
 	var request protocol.ScaleOutRequest
 	err := json.Unmarshal(fiberCtx.Body(), &request)
 	if err != nil || request.Name == "" || request.Count < 1 || request.Count > protocol.MaxScaleOut {
-		return malformed(fiberCtx, "no rental of 1 to 50 machines")
+		return respondBadRequest(fiberCtx, "no rental of 1 to 50 machines")
 	}
 	names, err := s.link.ScaleOut(context.Background(), request)
 	switch {
 	case errors.Is(err, protocol.ErrNoCapacity):
 		return fiberCtx.Status(fiber.StatusServiceUnavailable).JSON(protocol.ErrorResponse{Error: "no capacity"})
 	case err != nil:
-		return fail(fiberCtx, err)
+		return respondError(fiberCtx, err)
 	}
 	return fiberCtx.JSON(protocol.MachineNames{Machines: names})
 }
@@ -64,10 +64,10 @@
 func (s *cloudServer) scaleIn(c *fiber.Ctx) error {
 	var request protocol.MachineNames
 	if err := json.Unmarshal(c.Body(), &request); err != nil || len(request.Machines) > protocol.MaxScaleIn {
-		return malformed(c, "no list of up to 100 machines")
+		return respondBadRequest(c, "no list of up to 100 machines")
 	}
 	if err := s.link.ScaleIn(context.Background(), request.Machines); err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.SendStatus(fiber.StatusOK)
 }
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -11,24 +11,26 @@
 	"dykeledge/internal/protocol"
 )
 
-// newApp is a server without routes, with the limits that outside services have.
+// newApp returns a server without routes, with the limits of the real external services.
 func newApp() *fiber.App {
 	return fiber.New(fiber.Config{DisableStartupMessage: true, CaseSensitive: true, IdleTimeout: 2 * time.Minute, ReadBufferSize: 8 << 10})
 }
 
-// silent ends the connection without an answer: the caller can't know what became of its request.
-func silent(c *fiber.Ctx) error {
+// dropConnection closes the connection without an answer: the caller cannot tell whether its request was carried
+// out.
+func dropConnection(c *fiber.Ctx) error {
 	c.Context().HijackSetNoResponse(true)
 	c.Context().Hijack(func(net.Conn) {})
 	return nil
 }
 
-// fail answers as an outside service does; what is in doubt gets no answer.
-func fail(request *fiber.Ctx, err error) error {
+// respondError answers with the status that an external service uses for an error. If the outcome of the request is
+// in doubt, it sends no answer.
+func respondError(request *fiber.Ctx, err error) error {
 	status := fiber.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, protocol.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
-		return silent(request)
+		return dropConnection(request)
 	case errors.Is(err, errOverRate):
 		status = fiber.StatusTooManyRequests
 	case errors.Is(err, protocol.ErrTooLarge):
@@ -41,7 +43,7 @@
 	return request.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
 }
 
-// malformed refuses a request that can't be read.
-func malformed(c *fiber.Ctx, why string) error {
+// respondBadRequest refuses a malformed request.
+func respondBadRequest(c *fiber.Ctx, why string) error {
 	return c.Status(fiber.StatusBadRequest).JSON(protocol.ErrorResponse{Error: why})
 }
--- a/internal/simulator/job.go
+++ b/internal/simulator/job.go
@@ -6,91 +6,91 @@
 	"dykeledge/internal/protocol"
 )
 
-// Job is a submitted job and what really became of it.
+// Job is a submitted job and the simulated state of its tasks.
 type Job struct {
-	Spec      map[string]any
-	ID, Team  string
-	Class     string
-	At        time.Time // first submitted
-	Tasks     int
-	Run       time.Duration
-	Cpus      float64
-	Spot      bool
-	Broken    bool // fails on every machine
-	done      map[int]bool
-	began     map[[2]uint64]bool    // by task and attempt
-	saved     map[int]time.Duration // by task: progress in its checkpoint
-	on        map[int]*Machine
-	cancelled time.Time // when its user was told
-	told      protocol.JobStatus
-	accepted  bool
-	lastDone  time.Time
-	awaits    []*Job
-	asked     bool // its user has asked to cancel it
-	runs      []time.Duration
-	answered  time.Time // when its user last had an answer
+	Spec              map[string]any
+	ID, Team          string
+	Class             string
+	At                time.Time // when it was first submitted
+	Tasks             int
+	Run               time.Duration // run time of each task, unless taskRunTimes has its own
+	Cpus              float64
+	Spot              bool
+	Broken            bool                  // its tasks fail on every machine
+	done              map[int]bool          // by task: whether it has completed
+	startedAttempts   map[[2]uint64]bool    // by task and attempt
+	savedProgress     map[int]time.Duration // by task: the run time that its latest checkpoint covers
+	on                map[int]*Machine      // by task: the machine that it runs on
+	cancelConfirmedAt time.Time             // when the cancellation was confirmed to its user; zero: it was not
+	reportedStatus    protocol.JobStatus    // the status that its user was last told
+	accepted          bool                  // a state of the job has been reported to its user
+	lastDone          time.Time             // when its latest task completed
+	dependencies      []*Job
+	cancelRequested   bool // its user has requested the cancellation
+	taskRunTimes      []time.Duration
+	lastAnswered      time.Time // when its user last got an answer
 }
 
-// spec is an amount of the job's description.
-func (j *Job) spec(name string) float64 {
+// specNumber returns a number of the job's specification, or 0 if it has none under that name.
+func (j *Job) specNumber(name string) float64 {
 	v, _ := j.Spec[name].(float64)
 	return v
 }
 
-// run is how long a task runs.
-func (j *Job) run(task int) time.Duration {
-	if task < len(j.runs) {
-		return j.runs[task]
+// taskRunTime returns how long a task runs.
+func (j *Job) taskRunTime(task int) time.Duration {
+	if task < len(j.taskRunTimes) {
+		return j.taskRunTimes[task]
 	}
 	return j.Run
 }
 
-// save keeps what a task has done since it began.
-func (j *Job) save(t *taskAttempt, ran time.Duration, speed float64) {
-	if ran > 0 && j.saved != nil {
-		j.saved[t.index] = min(j.run(t.index), j.saved[t.index]+time.Duration(float64(ran)*speed))
+// saveProgress adds the run time of an attempt to the progress that the task's checkpoint covers.
+func (j *Job) saveProgress(t *taskAttempt, ran time.Duration, speed float64) {
+	if ran > 0 && j.savedProgress != nil {
+		j.savedProgress[t.index] = min(j.taskRunTime(t.index), j.savedProgress[t.index]+time.Duration(float64(ran)*speed))
 	}
 }
 
-// resources are what a task takes, or what a machine has.
+// resources are the needs of a task or the capacity of a machine. Memory is in GB.
 type resources struct{ cpus, gpus, mem float64 }
 
-// needs is what each of the job's tasks takes.
+// needs returns the resources that each task of the job needs.
 func (j *Job) needs() resources {
-	return resources{j.Cpus, j.spec("accelerators"), j.spec("ramGb")}
+	return resources{j.Cpus, j.specNumber("accelerators"), j.specNumber("ramGb")}
 }
 
 func (r resources) minus(other resources) resources {
 	return resources{r.cpus - other.cpus, r.gpus - other.gpus, r.mem - other.mem}
 }
 
-// atLeast tells whether there is so much of everything.
+// atLeast reports whether each amount is at least a number.
 func (r resources) atLeast(least float64) bool {
 	return r.cpus >= least && r.gpus >= least && r.mem >= least
 }
 
-// hasCancelledDependency tells whether a user has asked to cancel a job that this one needs, directly or through
-// others, and since when one was told so.
-func (j *Job) hasCancelledDependency() (asked bool, told time.Time) {
-	for _, dependency := range j.awaits {
-		askedBefore, toldBefore := dependency.hasCancelledDependency()
-		asked = asked || askedBefore || dependency.asked
-		for _, at := range []time.Time{toldBefore, dependency.cancelled} {
-			if !at.IsZero() && (told.IsZero() || at.Before(told)) {
-				told = at
+// hasCancelledDependency reports whether a user has requested to cancel a direct or indirect dependency of the job,
+// and returns when the first such cancellation was confirmed; zero: none was.
+func (j *Job) hasCancelledDependency() (requested bool, confirmedAt time.Time) {
+	for _, dependency := range j.dependencies {
+		dependencyRequested, dependencyConfirmedAt := dependency.hasCancelledDependency()
+		requested = requested || dependencyRequested || dependency.cancelRequested
+		for _, at := range []time.Time{dependencyConfirmedAt, dependency.cancelConfirmedAt} {
+			if !at.IsZero() && (confirmedAt.IsZero() || at.Before(confirmedAt)) {
+				confirmedAt = at
 			}
 		}
 	}
-	return asked, told
+	return requested, confirmedAt
 }
 
-// isWaiting tells whether the job is accepted and has tasks that neither run nor are done, though nothing that it needs
-// is missing.
+// isWaiting reports whether the job is accepted, all its dependencies are done, and it has tasks that neither run
+// nor are done. Cancelled and finished jobs do not wait.
 func (j *Job) isWaiting() bool {
-	if !j.accepted || j.asked || j.told.Final() || len(j.on)+len(j.done) >= j.Tasks {
+	if !j.accepted || j.cancelRequested || j.reportedStatus.Final() || len(j.on)+len(j.done) >= j.Tasks {
 		return false
 	}
-	for _, dependency := range j.awaits {
+	for _, dependency := range j.dependencies {
 		if len(dependency.done) != dependency.Tasks {
 			return false
 		}
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -13,55 +13,55 @@
 	"dykeledge/internal/wait"
 )
 
-// LoadBalancer stands in for the load balancer between users and controllers. It works at the connection
-// level: each new connection goes to a healthy controller, fewer open ones first, and no request
-// is looked at.
+// LoadBalancer stands in for the load balancer between users and controllers. It balances connections and does not
+// inspect requests: each new connection goes to a healthy controller, preferably to one with few open connections.
 type LoadBalancer struct {
 	mu       sync.Mutex
 	backends []*backend
 }
 
-// backend is a controller as the balancer sees it.
+// backend is the load balancer's record of a controller.
 type backend struct {
-	process       *ControllerProcess
-	addr          string
-	conns         map[net.Conn]bool
-	healthy       bool
-	everHealthy   bool
-	failedProbes  []bool // of the last probes, whether each failed
-	healthyProbes int    // successes in a row
-	changed       time.Time
-	removed       time.Time
-	pause         time.Duration // before it may become healthy again
-	refused       int           // connections in a row
-	skipUntil     time.Time
-}
-
-// The balancer's timing, as the protocol has it.
+	process         *ControllerProcess
+	addr            string
+	conns           map[net.Conn]bool
+	healthy         bool
+	everHealthy     bool
+	failedProbes    []bool // for each of the last probes, whether it failed
+	healthyProbes   int    // consecutive successful probes
+	healthChangedAt time.Time
+	removedAt       time.Time
+	returnDelay     time.Duration // how long it stays unhealthy after its removal, at least
+	connectFailures int           // consecutive failed connection attempts
+	skipUntil       time.Time
+}
+
+// Timing of the load balancer, as the protocol specifies it.
 const (
-	probeEvery   = time.Second
-	connectIn    = 500 * time.Millisecond
-	skipRefusing = 3 * time.Second
-	firstPause   = 3 * time.Second
-	longestPause = time.Minute
-	resetAfter   = 5 * time.Second
-	rampOver     = 10 * time.Second
-	forgiveAfter = 2 * time.Minute
-	triesAConn   = 3
+	probeInterval        = time.Second
+	connectTimeout       = 500 * time.Millisecond
+	refusedSkipTime      = 3 * time.Second
+	initialReturnDelay   = 3 * time.Second
+	maxReturnDelay       = time.Minute
+	connectionResetDelay = 5 * time.Second
+	rampDuration         = 10 * time.Second
+	returnDelayResetTime = 2 * time.Minute
+	maxConnectAttempts   = 3
 )
 
 const (
-	probesKept   = 6   // the last probes of a controller that count
-	failuresKept = 3   // a controller with as many failures among them is removed
-	startingLoad = 0.1 // the part of the load that a controller gets as it becomes healthy
+	probeWindow         = 6   // number of latest probes that are counted
+	maxProbeFailures    = 3   // a controller with this many failures in the probe window is removed
+	initialLoadFraction = 0.1 // fraction of the normal load that a controller gets when it becomes healthy
 )
 
-// NewLoadBalancer makes a balancer; AddController adds the controllers, then Run probes and Serve serves.
+// NewLoadBalancer returns a load balancer without controllers. AddController adds them; then Run probes them and
+// Serve accepts connections.
 func NewLoadBalancer() *LoadBalancer { return &LoadBalancer{} }
 
 // AddController adds a controller that listens at an address.
 func (l *LoadBalancer) AddController(process *ControllerProcess, addr string) {
-	l.backends = append(l.backends, &backend{process: process, addr: addr, conns: map[net.Conn]bool{}, pause: firstPause})
+	l.backends = append(l.backends, &backend{process: process, addr: addr, conns: map[net.Conn]bool{}, returnDelay: initialReturnDelay})
 }
 
 // Run probes the controllers until ctx ends.
@@ -71,22 +71,22 @@
 		go func() {
 			for ctx.Err() == nil {
 				l.probed(b, b.probe(client), time.Now())
-				wait.For(ctx, probeEvery)
+				wait.For(ctx, probeInterval)
 			}
 		}()
 	}
 }
 
-// probe asks a controller whether it is ready.
+// probe requests a controller's readiness and reports whether it is ready.
 func (b *backend) probe(client *fasthttp.Client) bool {
 	if b.process.isPartitionedFrom(NoUsers) {
 		return false
 	}
-	status, _, err := client.GetTimeout(nil, "http://"+b.addr+"/ready", probeEvery)
+	status, _, err := client.GetTimeout(nil, "http://"+b.addr+"/ready", probeInterval)
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// probed takes a probe's outcome.
+// probed applies the result of a probe.
 func (l *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,11 +95,11 @@
 	case b.healthy && !ok && b.mustBeRemoved():
 		b.remove(now)
 	case !b.healthy && ok && b.mayReturn(now):
-		b.healthy, b.everHealthy, b.changed, b.failedProbes = true, true, now, nil
+		b.healthy, b.everHealthy, b.healthChangedAt, b.failedProbes = true, true, now, nil
 	}
-	if !b.healthy && b.everHealthy && now.Sub(b.changed) > resetAfter {
+	if !b.healthy && b.everHealthy && now.Sub(b.healthChangedAt) > connectionResetDelay {
 		for c := range b.conns {
-			_ = c.Close() // a reset: its user connects anew
+			_ = c.Close() // the reset makes the user reconnect
 		}
 		clear(b.conns)
 	}
@@ -107,7 +107,7 @@
 
 func (b *backend) noteProbe(ok bool) {
 	b.failedProbes = append(b.failedProbes, !ok)
-	if len(b.failedProbes) > probesKept {
+	if len(b.failedProbes) > probeWindow {
 		b.failedProbes = b.failedProbes[1:]
 	}
 	b.healthyProbes++
@@ -116,7 +116,8 @@
 	}
 }
 
-// mustBeRemoved tells, after a probe that failed, whether the one before failed too, or too many of the last ones.
+// mustBeRemoved reports, after a failed probe, whether the previous probe failed too or the probe window holds too
+// many failures.
 func (b *backend) mustBeRemoved() bool {
 	failures := 0
 	for _, failed := range b.failedProbes {
@@ -125,93 +126,94 @@
 		}
 	}
 	probes := len(b.failedProbes)
-	return probes >= 2 && b.failedProbes[probes-2] || failures >= failuresKept
+	return probes >= 2 && b.failedProbes[probes-2] || failures >= maxProbeFailures
 }
 
-// remove gives a controller no new connections; one that was removed a while ago waits for longer than before.
+// remove marks a controller as unhealthy, so that it gets no new connections. If its previous removal was recent,
+// its return delay doubles.
 func (b *backend) remove(now time.Time) {
-	if !b.removed.IsZero() && now.Sub(b.removed) < forgiveAfter {
-		b.pause = min(longestPause, 2*b.pause)
+	if !b.removedAt.IsZero() && now.Sub(b.removedAt) < returnDelayResetTime {
+		b.returnDelay = min(maxReturnDelay, 2*b.returnDelay)
 	} else {
-		b.pause = firstPause
+		b.returnDelay = initialReturnDelay
 	}
-	b.healthy, b.changed, b.removed = false, now, now
+	b.healthy, b.healthChangedAt, b.removedAt = false, now, now
 }
 
-// mayReturn tells, after a probe that succeeded, whether the controller gets connections again.
+// mayReturn reports, after a successful probe, whether the controller becomes healthy.
 func (b *backend) mayReturn(now time.Time) bool {
-	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.changed) >= b.pause
+	return !b.everHealthy || b.healthyProbes >= 2 && now.Sub(b.healthChangedAt) >= b.returnDelay
 }
 
-// pick chooses a controller for a new connection, leaving out those that were tried.
+// pick returns the controller for a new connection, leaving out those that were tried, or nil if there is none.
 func (l *LoadBalancer) pick(tried []*backend, now time.Time) *backend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best *backend
-	least := 0.0
+	leastLoad := 0.0
 	for _, b := range l.backends {
 		if !b.healthy || now.Before(b.skipUntil) || slices.Contains(tried, b) {
 			continue
 		}
-		part := min(1, startingLoad+now.Sub(b.changed).Seconds()/rampOver.Seconds())
-		if load := float64(len(b.conns)+1) / part; best == nil || load < least {
-			best, least = b, load
+		fraction := min(1, initialLoadFraction+now.Sub(b.healthChangedAt).Seconds()/rampDuration.Seconds())
+		if load := float64(len(b.conns)+1) / fraction; best == nil || load < leastLoad {
+			best, leastLoad = b, load
 		}
 	}
 	return best
 }
 
-// Serve takes users' connections until the listener is closed.
+// Serve accepts users' connections until the listener is closed.
 func (l *LoadBalancer) Serve(ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return err
 		}
-		go l.join(c)
+		go l.forward(c)
 	}
 }
 
-// join passes a user's connection on to a controller.
-func (l *LoadBalancer) join(conn net.Conn) {
+// forward connects a user's connection to a controller and relays the bytes of both.
+func (l *LoadBalancer) forward(conn net.Conn) {
 	defer closeConn(conn)
 	var tried []*backend
-	for range triesAConn {
+	for range maxConnectAttempts {
 		b := l.pick(tried, time.Now())
 		if b == nil {
 			return
 		}
 		tried = append(tried, b)
-		to, err := b.connect()
+		target, err := b.connect()
 		if l.connected(b, conn, err) {
-			splice(conn, to, Direction{Held: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
+			splice(conn, target, Direction{Held: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
 			l.disconnected(b, conn)
 			return
 		}
 	}
 }
 
-// connect opens a connection to a controller; one that users don't reach does not answer.
+// connect opens a connection to a controller. If users do not reach the controller, the attempt times out.
 func (b *backend) connect() (net.Conn, error) {
 	if b.process.isPartitionedFrom(NoUsers) {
-		time.Sleep(connectIn)
+		time.Sleep(connectTimeout)
 		return nil, io.ErrClosedPipe
 	}
-	return dial(b.addr, connectIn)
+	return dial(b.addr, connectTimeout)
 }
 
-// connected notes whether a user's connection was passed on to a controller; one that refuses several in a row is left
-// out for a while.
+// connected records whether the load balancer connected to a controller for a user, and returns whether it did. A
+// controller that refuses several attempts in a row is skipped for a time.
 func (l *LoadBalancer) connected(b *backend, conn net.Conn, err error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		if b.refused++; b.refused >= triesAConn {
-			b.skipUntil, b.refused = time.Now().Add(skipRefusing), 0
+		if b.connectFailures++; b.connectFailures >= maxConnectAttempts {
+			b.skipUntil, b.connectFailures = time.Now().Add(refusedSkipTime), 0
 		}
 		return false
 	}
-	b.refused = 0
+	b.connectFailures = 0
 	b.conns[conn] = true
 	return true
 }
--- a/internal/simulator/relay.go
+++ b/internal/simulator/relay.go
@@ -13,14 +13,14 @@
 	heldPollInterval    = 50 * time.Millisecond
 )
 
-// Direction is what lies between two ends of connections.
+// Direction holds the conditions on connections between two ends, in both directions.
 type Direction struct {
-	Held  func() bool          // whether bytes are held back now; they go out in order afterwards
-	Delay func() time.Duration // how long a piece of bytes takes; nil: no time
-	Meter *Meter               // nil: nothing is counted
+	Held  func() bool          // reports whether bytes are held back now; afterwards they are sent in order
+	Delay func() time.Duration // returns how long each chunk of bytes takes; nil: no delay
+	Meter *Meter               // counts the bytes; nil: they are not counted
 }
 
-// dial connects to an address within a time.
+// dial connects to an address, with a time-out.
 func dial(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(context.Background(), "tcp4", address)
@@ -29,25 +29,25 @@
 // closeConn closes a connection that may be closed already.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// splice passes on what both sides send until either ends.
-func splice(a, b net.Conn, way Direction) {
+// splice relays bytes between two connections until either is closed.
+func splice(a, b net.Conn, options Direction) {
 	var passing sync.WaitGroup
-	passing.Go(func() { way.pass(a, b) })
-	passing.Go(func() { way.pass(b, a) })
+	passing.Go(func() { options.pass(a, b) })
+	passing.Go(func() { options.pass(b, a) })
 	passing.Wait()
 }
 
-// pass passes on what one side sends until either ends.
-func (way Direction) pass(conn, from net.Conn) {
+// pass relays the bytes that arrive from one connection to the other until either is closed.
+func (options Direction) pass(conn, from net.Conn) {
 	defer closeConn(conn)
 	defer closeConn(from)
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, readErr := from.Read(buffer)
-		if way.Delay != nil {
-			time.Sleep(way.Delay())
+		if options.Delay != nil {
+			time.Sleep(options.Delay())
 		}
-		for way.Held() {
+		for options.Held() {
 			time.Sleep(heldPollInterval)
 		}
 		if n > 0 {
@@ -61,28 +61,29 @@
 	}
 }
 
-// Relay passes connections between two controllers on, so that the way between them can be partitioned.
-func Relay(listener net.Listener, to string, way Direction) error {
+// Relay accepts connections and relays each to an address, so that the network between two controllers can be
+// partitioned.
+func Relay(listener net.Listener, to string, options Direction) error {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return err
 		}
-		go relayConn(conn, to, way)
+		go relayConn(conn, to, options)
 	}
 }
 
-func relayConn(conn net.Conn, to string, way Direction) {
+func relayConn(conn net.Conn, to string, options Direction) {
 	defer closeConn(conn)
-	if way.Held() {
+	if options.Held() {
 		return
 	}
 	target, err := dial(to, relayConnectTimeout)
 	if err != nil {
 		return
 	}
-	if way.Meter != nil {
-		target = way.Meter.Conn(target)
+	if options.Meter != nil {
+		target = options.Meter.Conn(target)
 	}
-	splice(conn, target, way)
+	splice(conn, target, options)
 }
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -14,19 +14,20 @@
 	"dykeledge/internal/protocol"
 )
 
-// Limits of the state service's interface, as the protocol has them.
+// Limits of the state service's interface, as the protocol specifies them.
 const (
-	maxListed     = 1000
-	maxBlock      = time.Minute
-	maxTxn        = 64 << 10
-	maxKey        = 200
-	minLease      = 100 * time.Millisecond
-	maxLease      = 10 * time.Minute
-	pendingWatch  = 30 * time.Second // a watch that an outage delays is given up after as long
-	defaultListed = 200
+	maxPageItems       = 1000
+	maxWatchWait       = time.Minute
+	maxTxnBytes        = 64 << 10
+	maxKeyBytes        = 200
+	minLeaseTTL        = 100 * time.Millisecond
+	maxLeaseTTL        = 10 * time.Minute
+	watchOutageTimeout = 30 * time.Second // a watch that an outage delays fails this long after its requested wait
+	defaultPageItems   = 200
 )
 
-// Open is a way to the store for one caller; the controller, if it is not nil, may be partitioned from it.
+// Open returns a connection to the store for a controller, which can be partitioned from the store. If the
+// controller is nil, the connection is for another caller.
 func (s *Store) Open(process *ControllerProcess) *StoreLink {
 	if process == nil {
 		process = &ControllerProcess{Name: "http"}
@@ -34,8 +35,8 @@
 	return &StoreLink{store: s, controller: process}
 }
 
-// ServeState serves one controller's way to a store over HTTP, as the state service does. It
-// ends with the listener.
+// ServeState serves one controller's connection to the store over HTTP, as the state service does, until the
+// listener is closed.
 func ServeState(storeLink *StoreLink, listener net.Listener) error {
 	server := &stateServer{storeLink}
 	app := newApp()
@@ -44,14 +45,14 @@
 	app.Get("/store/*", server.read)
 	app.Post("/txn", server.transaction)
 	app.Post("/holds", server.grant)
-	app.Post("/holds/:id/extend", onLease(server.renew))
-	app.Delete("/holds/:id", onLease(storeLink.End))
+	app.Post("/holds/:id/extend", leaseHandler(server.renew))
+	app.Delete("/holds/:id", leaseHandler(storeLink.End))
 	app.Get("/follow", server.watch)
 	return app.Listener(listener)
 }
 
-// stateServer answers a controller's requests to the state service. A request's context ends with its handler in fiber,
-// not with its connection: the calls that wait have bounds of their own.
+// stateServer answers a controller's requests to the state service. In fiber, a request's context ends with its
+// handler and not with its connection, so the calls that wait have time-outs of their own.
 type stateServer struct{ link *StoreLink }
 
 func (s *stateServer) count(c *fiber.Ctx) error {
@@ -60,13 +61,13 @@
 }
 
 func (s *stateServer) list(c *fiber.Ctx) error {
-	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultListed)))
-	if err != nil || limit < 1 || limit > maxListed {
-		return malformed(c, "limit is not between 1 and 1000")
+	limit, err := strconv.Atoi(c.Query("limit", strconv.Itoa(defaultPageItems)))
+	if err != nil || limit < 1 || limit > maxPageItems {
+		return respondBadRequest(c, "limit is not between 1 and 1000")
 	}
 	page, err := s.link.List(context.Background(), strings.Clone(c.Query("starts")), strings.Clone(c.Query("from")), limit)
 	if err != nil {
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(page)
 }
@@ -77,7 +78,7 @@
 	case errors.Is(err, protocol.ErrNotFound):
 		return c.Status(fiber.StatusNotFound).JSON(protocol.TxnResult{Revision: rev})
 	case err != nil:
-		return fail(c, err)
+		return respondError(c, err)
 	}
 	return c.JSON(struct {
 		protocol.Item
@@ -87,30 +88,30 @@
 
 func (s *stateServer) transaction(request *fiber.Ctx) error {
 	var txn protocol.Txn
-	if err := json.Unmarshal(request.Body(), &txn); err != nil || len(request.Body()) > maxTxn {
-		return malformed(request, "no transaction, or over 64 KiB")
+	if err := json.Unmarshal(request.Body(), &txn); err != nil || len(request.Body()) > maxTxnBytes {
+		return respondBadRequest(request, "no transaction, or over 64 KiB")
 	}
 	for _, change := range txn.Then {
 		if !namesOneKey(change) {
-			return malformed(request, "a change names no key")
+			return respondBadRequest(request, "a change names no key")
 		}
 	}
 	rev, failed, err := s.link.Txn(context.Background(), txn, protocol.BackgroundRequest)
 	switch {
 	case errors.Is(err, protocol.ErrNoLease):
-		return malformed(request, "no such lease")
+		return respondBadRequest(request, "no such lease")
 	case err != nil:
-		return fail(request, err)
+		return respondError(request, err)
 	case len(failed) > 0:
 		return request.Status(fiber.StatusConflict).JSON(protocol.TxnResult{Failed: failed, Revision: rev})
 	}
 	return request.JSON(protocol.TxnResult{Revision: rev})
 }
 
-// namesOneKey tells whether a change puts or deletes one key of a form that the state service takes.
+// namesOneKey reports whether a change puts or deletes exactly one key, and the key's form is valid.
 func namesOneKey(change protocol.Change) bool {
 	key := change.Put + change.Delete
-	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKey && !strings.Contains(key, " ")
+	return (change.Put == "") != (change.Delete == "") && len(key) <= maxKeyBytes && !strings.Contains(key, " ")
 }
 
 func (s *stateServer) grant(fiberCtx *fiber.Ctx) error {
@@ -118,15 +119,15 @@
 		TTL int64 `json:"ttlMs"`
 	}
 	if err := json.Unmarshal(fiberCtx.Body(), &request); err != nil {
-		return malformed(fiberCtx, "no ttlMs")
+		return respondBadRequest(fiberCtx, "no ttlMs")
 	}
 	ttl := time.Duration(request.TTL) * time.Millisecond
-	if ttl < minLease || ttl > maxLease {
-		return malformed(fiberCtx, "ttlMs is not between 100 and 600000")
+	if ttl < minLeaseTTL || ttl > maxLeaseTTL {
+		return respondBadRequest(fiberCtx, "ttlMs is not between 100 and 600000")
 	}
 	id, err := s.link.Grant(context.Background(), ttl)
 	if err != nil {
-		return fail(fiberCtx, err)
+		return respondError(fiberCtx, err)
 	}
 	return fiberCtx.JSON(struct {
 		Lease uint64 `json:"tenure"`
@@ -137,12 +138,12 @@
 	return s.link.Renew(ctx, lease, 0)
 }
 
-// onLease handles a request about the lease that its path names.
-func onLease(do func(context.Context, uint64) error) fiber.Handler {
+// leaseHandler returns a handler for requests about the lease that their path names.
+func leaseHandler(handle func(context.Context, uint64) error) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // 0 is no lease
-		if err := do(context.Background(), id); err != nil {
-			return fail(c, err)
+		id, _ := strconv.ParseUint(c.Params("id"), 10, 64) // a malformed ID becomes 0, which no lease has
+		if err := handle(context.Background(), id); err != nil {
+			return respondError(c, err)
 		}
 		return c.SendStatus(fiber.StatusOK)
 	}
@@ -152,14 +153,14 @@
 	from, fromErr := strconv.ParseUint(request.Query("from", "0"), 10, 64)
 	milliseconds, waitErr := strconv.Atoi(request.Query("blockMs", "0"))
 	wait := time.Duration(milliseconds) * time.Millisecond
-	if fromErr != nil || waitErr != nil || wait < 0 || wait > maxBlock {
-		return malformed(request, "from or blockMs is out of range")
+	if fromErr != nil || waitErr != nil || wait < 0 || wait > maxWatchWait {
+		return respondBadRequest(request, "from or blockMs is out of range")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), wait+pendingWatch)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+watchOutageTimeout)
 	defer cancel()
 	events, err := s.link.Watch(ctx, strings.Clone(request.Query("starts")), from, wait)
 	if err != nil {
-		return fail(request, err)
+		return respondError(request, err)
 	}
 	return request.JSON(events)
 }
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -13,81 +13,82 @@
 	"dykeledge/internal/protocol"
 )
 
-// errOverRate is a refusal for the rate; the outside sees 429.
+// errOverRate is a refusal because of a rate limit. Over HTTP it becomes status 429.
 var errOverRate = fmt.Errorf("%w: over the rate", protocol.ErrRefused)
 
-// keptChanges is how many changes a watch may lag behind before it has to read again.
-const keptChanges = 10_000
+// defaultKeptChanges is how many changes the store keeps for watches by default. A watch that needs older ones
+// fails, and its caller has to read the records again.
+const defaultKeptChanges = 10_000
 
-// entry is what is kept under a key.
+// entry is the value of a key, with its version and the lease that it is attached to.
 type entry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64
 }
 
-// lease is a controller's session lease: what is attached to it is removed as it ends.
+// lease is a controller's session lease. The keys that are attached to it are removed when it ends.
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
-// renew gives the lease its full time again.
-func (l *lease) renew() { l.ends = time.Now().Add(l.ttl) }
+// renew extends the lease by its full time to live.
+func (l *lease) renew() { l.expires = time.Now().Add(l.ttl) }
 
 // Store stands in for the state service.
 type Store struct {
-	mu          sync.Mutex
-	keys        *btree.Map[string, entry]
-	rev         uint64
-	log         []protocol.Event
-	compactedTo uint64 // changes up to this revision are not kept any more
-	changed     chan struct{}
-	leases      map[uint64]*lease
-	lastID      uint64
-	down        bool
-	denied      map[string]bool // controllers that alone get 503
-	Writes      int
-	// Limited makes the store refuse what is over the deployment's rates.
+	mu                 sync.Mutex
+	keys               *btree.Map[string, entry]
+	revision           uint64
+	log                []protocol.Event
+	compactedTo        uint64 // changes up to this revision are no longer kept
+	changed            chan struct{}
+	leases             map[uint64]*lease
+	lastLeaseID        uint64
+	down               bool
+	refusedControllers map[string]bool // controllers whose requests are refused with status 503
+	Writes             int
+	// Limited makes the store enforce the deployment's rate limits.
 	Limited  bool
 	Requests int
-	OverRate int // requests refused for their rate
+	OverRate int // requests refused because of their rate
 	rates    stateRates
-	// MaxValue and MaxOps, if set, are how many bytes a value may have and how many
-	// changes a transaction; four times as many conditions.
+	// MaxValue is the largest size of a value in bytes, and MaxOps the largest number of changes in a transaction;
+	// 0: no limit. A transaction may have four times as many conditions as changes.
 	MaxValue, MaxOps int
-	Keep             int // changes that are kept for watches; 0: as many as the protocol says
-	TooLarge         int // transactions refused for their size
-	// Check, if set, looks at every transaction once it is applied.
+	Keep             int // changes kept for watches; 0: defaultKeptChanges
+	TooLarge         int // transactions refused because of their size
+	// Check, if set, is called with every transaction after it was applied.
 	Check func(protocol.Txn)
-	// Slow, if set, is how long a controller's request takes to be looked at.
+	// Slow, if set, returns by how much a controller's requests are delayed.
 	Slow func(controller string) time.Duration
-	// Lag, if set, is how long a watch's answer takes to a controller.
+	// Lag, if set, returns by how much the answers to a controller's watches are delayed.
 	Lag func(controller string) time.Duration
 }
 
-// stateRates are the rates that the store enforces.
-type stateRates struct{ requests, writes bucket }
+// stateRates are the rate limits of the store, for requests and for changes.
+type stateRates struct{ requests, writes tokenBucket }
 
-// bucket is one of a service's limits.
-type bucket struct {
-	rate, burst, have float64
-	at                time.Time
+// tokenBucket limits a rate: it refills at a rate per second up to its burst.
+type tokenBucket struct {
+	rate, burst, tokens float64
+	refilledAt          time.Time
 }
 
-// take takes a number of requests from the bucket, if it holds so many.
-func (b *bucket) take(n float64) bool {
+// take removes n tokens and reports true, or reports false if the bucket holds fewer.
+func (b *tokenBucket) take(n float64) bool {
 	now := time.Now()
-	b.have = min(b.burst, b.have+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
-	if b.have < n {
+	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
+	if b.tokens < n {
 		return false
 	}
-	b.have -= n
+	b.tokens -= n
 	return true
 }
 
-// Value is what is kept under a key.
+// Value returns the value of a key, and whether the key exists.
 func (s *Store) Value(key string) (json.RawMessage, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	return e.value, ok
 }
 
-// Changes are the changes after a revision up to another, as far as they are kept.
+// Changes returns the changes after a revision up to and including another, as far as they are kept.
 func (s *Store) Changes(after, upTo uint64) []protocol.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,24 +109,24 @@
 	return out
 }
 
-// Compact refuses watches from before now, as if more changes than the service keeps had come
-// since: whoever is behind has to read again.
+// Compact makes a watch from an earlier revision fail, so that its caller has to read the records again, as if more
+// changes had followed than the service keeps.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.compactedTo = s.rev
+	s.compactedTo = s.revision
 }
 
-// Limit makes the store enforce its rates, as the state service does.
+// Limit sets the store's rate limits in requests and changes per second, and makes the store enforce them.
 func (s *Store) Limit(rps, writes float64) {
 	s.Limited = true
 	s.rates = stateRates{
-		requests: bucket{rate: rps, burst: rps},
-		writes:   bucket{rate: writes, burst: writes},
+		requests: tokenBucket{rate: rps, burst: rps},
+		writes:   tokenBucket{rate: writes, burst: writes},
 	}
 }
 
-// Size is how many keys the store holds, and the bytes of keys and values.
+// Size returns the number of keys, and the total size of keys and values in bytes.
 func (s *Store) Size() (keys, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +137,9 @@
 	return s.keys.Len(), bytes
 }
 
-// over counts a request; called with the lock held.
-func (s *Store) over() bool {
+// overRequestRate counts a request and reports whether it exceeds the rate limit. The caller must hold the store's
+// mutex.
+func (s *Store) overRequestRate() bool {
 	s.Requests++
 	if s.Limited && !s.rates.requests.take(1) {
 		s.OverRate++
@@ -146,7 +148,8 @@
 	return false
 }
 
-// overWriteRate counts a transaction's changes, and tells whether they are over the rate; called with the lock held.
+// overWriteRate reports whether a number of changes exceeds the rate limit for changes. The caller must hold the
+// store's mutex.
 func (s *Store) overWriteRate(changes int) bool {
 	if s.Limited && !s.down && changes > 0 && !s.rates.writes.take(float64(changes)) {
 		s.OverRate++
@@ -155,23 +158,23 @@
 	return false
 }
 
-// refuses tells whether the store answers a controller with 503; called with the lock held.
-func (s *Store) refuses(controller string) bool { return s.down || s.denied[controller] }
+// refuses reports whether the store answers a controller with status 503. The caller must hold the store's mutex.
+func (s *Store) refuses(controller string) bool { return s.down || s.refusedControllers[controller] }
 
-// treeDegree is the degree of the tree that holds the keys.
+// treeDegree is the degree of the B-tree that holds the keys.
 const treeDegree = 32
 
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		keys:    btree.NewMap[string, entry](treeDegree),
-		changed: make(chan struct{}),
-		leases:  map[uint64]*lease{},
-		denied:  map[string]bool{},
+		keys:               btree.NewMap[string, entry](treeDegree),
+		changed:            make(chan struct{}),
+		leases:             map[uint64]*lease{},
+		refusedControllers: map[string]bool{},
 	}
 }
 
-// SetDown begins or ends an outage; after one every lease has its full time again.
+// SetDown begins or ends an outage. When an outage ends, every lease is renewed for its full time to live.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,44 +186,44 @@
 	s.down = down
 }
 
-// Deny lets one controller alone get 503.
+// Deny begins or ends the refusal of a single controller's requests with status 503.
 func (s *Store) Deny(controller string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.denied[controller] = on
+	s.refusedControllers[controller] = on
 }
 
-// grant gives a lease and returns its number; called with the lock held.
+// grant grants a lease and returns its ID. The caller must hold the store's mutex.
 func (s *Store) grant(ttl time.Duration) uint64 {
-	s.lastID++
+	s.lastLeaseID++
 	granted := &lease{ttl: ttl}
 	granted.renew()
-	s.leases[s.lastID] = granted
-	return s.lastID
+	s.leases[s.lastLeaseID] = granted
+	return s.lastLeaseID
 }
 
-// endLease ends a lease and removes what is attached to it; called with the lock held.
+// endLease ends a lease and removes the keys that are attached to it. The caller must hold the store's mutex.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
-	s.rev++
-	s.release(id)
+	s.revision++
+	s.removeAttached(id)
 }
 
-// expire ends the leases whose time is over; called with the lock held.
+// expire ends the leases that have expired, except during an outage. The caller must hold the store's mutex.
 func (s *Store) expire() {
 	if s.down {
 		return
 	}
 	now := time.Now()
 	for id, held := range s.leases {
-		if now.After(held.ends) {
+		if now.After(held.expires) {
 			s.endLease(id)
 		}
 	}
 }
 
-// release removes what is attached to a lease that has ended.
-func (s *Store) release(id uint64) {
+// removeAttached removes the keys that are attached to a lease that has ended. The caller must hold the store's mutex.
+func (s *Store) removeAttached(id uint64) {
 	var keys []string
 	s.keys.Scan(func(k string, e entry) bool {
 		if e.lease == id {
@@ -229,13 +232,14 @@
 		return true
 	})
 	for _, k := range keys {
-		s.change(protocol.Event{Delete: k, Version: s.rev})
+		s.recordEvent(protocol.Event{Delete: k, Version: s.revision})
 	}
 }
 
-// page reads a page of the keys after one; called with the lock held.
+// page returns a page of the items whose keys have a prefix and come after a key. The caller must hold the store's
+// mutex.
 func (s *Store) page(prefix, after string, limit int) protocol.Page {
-	page, size := protocol.Page{Revision: s.rev}, 0
+	page, size := protocol.Page{Revision: s.revision}, 0
 	s.keys.Ascend(max(prefix, after), func(key string, e entry) bool {
 		if key == after {
 			return true
@@ -253,9 +257,10 @@
 	return page
 }
 
-// eventsAfter lists the changes after a revision that are kept; called with the lock held.
+// eventsAfter returns the kept changes after a revision, of keys with a prefix. The caller must hold the store's
+// mutex.
 func (s *Store) eventsAfter(prefix string, revision uint64) protocol.Events {
-	events := protocol.Events{Revision: s.rev}
+	events := protocol.Events{Revision: s.revision}
 	first, _ := slices.BinarySearchFunc(s.log, revision, func(e protocol.Event, r uint64) int {
 		if e.Version <= r {
 			return -1
@@ -270,12 +275,13 @@
 	return events
 }
 
-// change notes a change of a key; called with the lock held.
-func (s *Store) change(event protocol.Event) {
+// recordEvent adds a change to the kept changes, and removes the key if it is a deletion. The caller must hold the
+// store's mutex.
+func (s *Store) recordEvent(event protocol.Event) {
 	if event.Delete != "" {
 		s.keys.Delete(event.Delete)
 	}
-	keep := keptChanges
+	keep := defaultKeptChanges
 	if s.Keep > 0 {
 		keep = s.Keep
 	}
@@ -287,7 +293,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Shrink lowers the store's limits, without notice.
+// Shrink lowers the store's limits while it runs.
 func (s *Store) Shrink(value, ops int, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,7 +301,7 @@
 	s.rates.writes.rate, s.rates.writes.burst = writes, writes
 }
 
-// tooLarge tells whether a transaction is over the limits of size.
+// tooLarge reports whether a transaction exceeds the size limits.
 func (s *Store) tooLarge(t protocol.Txn) bool {
 	if s.MaxOps > 0 && (len(t.Then) > s.MaxOps || len(t.If) > 4*s.MaxOps) {
 		return true
@@ -303,7 +309,8 @@
 	return s.MaxValue > 0 && slices.ContainsFunc(t.Then, func(c protocol.Change) bool { return len(c.Value) > s.MaxValue })
 }
 
-// apply carries out a transaction, or tells which conditions don't hold; called with the lock held.
+// apply applies a transaction and returns the new revision, or returns the keys whose conditions failed. The caller
+// must hold the store's mutex.
 func (s *Store) apply(txn protocol.Txn) (uint64, []string, error) {
 	if s.tooLarge(txn) {
 		return 0, nil, fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
@@ -316,7 +323,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return s.rev, failed, nil
+		return s.revision, failed, nil
 	}
 	for _, c := range txn.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
@@ -324,21 +331,21 @@
 		}
 	}
 	if len(txn.Then) > 0 {
-		s.rev++
+		s.revision++
 	}
 	for _, c := range txn.Then {
 		s.Writes++
 		if c.Delete != "" {
 			if _, ok := s.keys.Get(c.Delete); ok {
-				s.change(protocol.Event{Delete: c.Delete, Version: s.rev})
+				s.recordEvent(protocol.Event{Delete: c.Delete, Version: s.revision})
 			}
 			continue
 		}
-		s.keys.Set(c.Put, entry{slices.Clone(c.Value), s.rev, c.Lease})
-		s.change(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.rev})
+		s.keys.Set(c.Put, entry{slices.Clone(c.Value), s.revision, c.Lease})
+		s.recordEvent(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.revision})
 	}
 	if s.Check != nil {
 		s.Check(txn)
 	}
-	return s.rev, nil, nil
+	return s.revision, nil, nil
 }
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -9,15 +9,15 @@
 // This file runs the tasks on the simulated machines.
 
 const (
-	// tickInterval is how often a machine looks at its tasks.
+	// tickInterval is the time between two updates of a machine's tasks.
 	tickInterval = 100 * time.Millisecond
-	// failureAfter is how long a task runs that fails.
+	// failureAfter is how long a failing task runs.
 	failureAfter = 300 * time.Millisecond
-	// serviceRuns is how long a service runs unless it is stopped: longer than any simulation.
+	// serviceRuns is how long a service runs unless it is stopped. It is longer than any simulation.
 	serviceRuns = 1000 * time.Hour
 )
 
-// tasksLoop runs what is on one machine, until the machine is gone.
+// tasksLoop runs the tasks of one machine until the machine is gone.
 func (sim *Simulation) tasksLoop(machine *Machine) {
 	for sim.ctx.Err() == nil {
 		time.Sleep(tickInterval)
@@ -33,8 +33,8 @@
 	}
 }
 
-// RunTicker runs what is on all machines, until the simulation ends. It is for simulations with SharedTicker: a
-// goroutine and a timer a machine take most of a core at some thousand machines.
+// RunTicker runs the tasks of all machines until the simulation ends. It is for simulations with SharedTicker: with
+// thousands of machines, a goroutine and a timer for each would use most of a core.
 func (sim *Simulation) RunTicker() {
 	for sim.ctx.Err() == nil {
 		time.Sleep(tickInterval)
@@ -49,14 +49,14 @@
 	}
 }
 
-// advance brings a machine's tasks up to now.
+// advance updates a machine's tasks to the present time.
 func (sim *Simulation) advance(machine *Machine, now time.Time) {
 	if !machine.preemptionNotice.IsZero() && now.After(machine.preemptionNotice) {
-		sim.remove(machine)
+		sim.removeMachine(machine)
 		sim.charge(machine)
 		return
 	}
-	sim.checkCancelledAreGone(machine, now)
+	sim.checkCancelledTasksStopped(machine, now)
 	if machine.hanging {
 		return
 	}
@@ -64,14 +64,14 @@
 		sim.expireLease(machine, now)
 	}
 	for _, t := range machine.tasks {
-		if t.state != protocol.TaskExited && !now.Before(t.ends) {
+		if t.state != protocol.TaskExited && !now.Before(t.stateEnds) {
 			sim.advanceTask(machine, t, now)
 			machine.wake()
 		}
 	}
 }
 
-// expireLease has a worker kill and forget all its tasks, and begin its next session.
+// expireLease makes a worker kill and drop all its tasks, and increments its incarnation.
 func (sim *Simulation) expireLease(m *Machine, now time.Time) {
 	for _, t := range m.tasks {
 		sim.taskStopped(m, t)
@@ -81,7 +81,7 @@
 	m.wake()
 }
 
-// advanceTask takes a task whose present state is over to the next one.
+// advanceTask moves a task whose present state has ended to the next state.
 func (sim *Simulation) advanceTask(machine *Machine, t *taskAttempt, now time.Time) {
 	switch t.state {
 	case protocol.TaskFetching:
@@ -90,30 +90,30 @@
 		sim.endTask(machine, t, now)
 	case protocol.TaskCheckpointing:
 		sim.taskStopped(machine, t)
-		t.state, t.cause, t.saved = protocol.TaskExited, protocol.CauseStopped, true
-		t.job.save(t, now.Sub(t.began)-sim.fast(seconds(t.job.spec("markCostS"))), sim.speed())
+		t.state, t.cause, t.checkpointed = protocol.TaskExited, protocol.CauseStopped, true
+		t.job.saveProgress(t, now.Sub(t.started)-sim.scaledTime(seconds(t.job.specNumber("markCostS"))), sim.speed())
 	}
 }
 
-// startTask begins to run a task whose image is there.
+// startTask starts a task whose image has been fetched.
 func (sim *Simulation) startTask(machine *Machine, t *taskAttempt, now time.Time) {
 	job := t.job
-	t.state, t.began = protocol.TaskRunning, now
-	t.ends = now.Add(sim.fast(job.run(t.index) - job.saved[t.index]))
+	t.state, t.started = protocol.TaskRunning, now
+	t.stateEnds = now.Add(sim.scaledTime(job.taskRunTime(t.index) - job.savedProgress[t.index]))
 	switch {
 	case job.done[t.index]:
-		t.ends = now // its result is kept
+		t.stateEnds = now // the task has completed before and its result is kept
 	case job.Spec["shape"] == "daemon":
-		t.ends = now.Add(serviceRuns)
+		t.stateEnds = now.Add(serviceRuns)
 	}
 	sim.taskStarted(t)
-	sim.taskRuns(machine, t)
+	sim.checkTaskStart(machine, t)
 	if machine.unhealthy || job.Broken {
-		t.ends = now.Add(failureAfter)
+		t.stateEnds = now.Add(failureAfter)
 	}
 }
 
-// endTask ends a task that has run for as long as it takes, or that fails.
+// endTask ends a task that has run for its run time, or that fails.
 func (sim *Simulation) endTask(machine *Machine, t *taskAttempt, now time.Time) {
 	job := t.job
 	sim.taskStopped(machine, t)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -12,30 +12,30 @@
 	"dykeledge/internal/protocol"
 )
 
-// The users' timing.
+// Timing of the users' requests.
 const (
-	submitTimeout     = 5 * time.Second
-	queryTimeout      = 2 * time.Second
-	queryInterval     = 2 * time.Second
-	submitRetry       = time.Second
-	dependencyPoll    = 200 * time.Millisecond
-	noControllerDelay = 500 * time.Millisecond // as long as no controller can be reached
+	submitTimeout          = 5 * time.Second
+	queryTimeout           = 2 * time.Second
+	queryInterval          = 2 * time.Second
+	submitRetryInterval    = time.Second
+	dependencyPollInterval = 200 * time.Millisecond
+	noControllerDelay      = 500 * time.Millisecond // delay of a request while no controller can be reached
 )
 
-// neverSubmitted is the ID of a job that nobody submits.
+// neverSubmitted is the ID of a job that is never submitted.
 const neverSubmitted = "job-999999"
 
 // JobSpec describes a job to submit.
 type JobSpec struct {
 	Team, Urgency, Shape string
-	Class                string // "c" if it is not given
+	Class                string // default "c"
 	Tasks                int
 	Cpus                 float64
-	Gpus, MemGB          float64 // 0: none, and 4
-	Image                string  // "img-1" if it is not given
-	ImageGB              float64 // 0.5 if it is not given
+	Gpus, MemGB          float64 // default 0 and 4
+	Image                string  // default "img-1"
+	ImageGB              float64 // default 0.5
 	Run                  time.Duration
-	Runs                 []time.Duration // by task, where they differ
+	Runs                 []time.Duration // run times by task, if they differ
 	NoSpot               bool
 	Together, Scatter    bool
 	Zone                 string
@@ -46,47 +46,47 @@
 	Due                  float64
 }
 
-// newJob is the job that a description asks for.
-func (want JobSpec) newJob(id string) *Job {
-	class := cmp.Or(want.Class, "c")
-	job := &Job{ID: id, Team: want.Team, Class: class, At: time.Now(), Tasks: want.Tasks, Run: want.Run, runs: want.Runs, Cpus: want.Cpus, Spot: !want.NoSpot,
-		Broken: want.Broken, done: map[int]bool{}, saved: map[int]time.Duration{}, on: map[int]*Machine{}, awaits: want.Dependencies,
-		Spec: map[string]any{"id": id, "jobclass": class, "crew": want.Team, "shape": cmp.Or(want.Shape, "batch"), "urgency": cmp.Or(want.Urgency, "normal"),
-			"shards": want.Tasks, "cpus": want.Cpus, "accelerators": want.Gpus, "ramGb": cmp.Or(want.MemGB, 4), "kit": cmp.Or(want.Image, "img-1"), "pullGb": cmp.Or(want.ImageGB, 0.5),
-			"hulls": nil, "berth": nil, "together": want.Together, "scatter": want.Scatter, "loaners": !want.NoSpot,
-			"expectedS": want.Run.Seconds(), "markEveryS": want.CheckpointS, "markCostS": 1.0, "dueS": nil}}
-	if len(want.Dependencies) > 0 {
+// newJob returns the job that a JobSpec describes.
+func (spec JobSpec) newJob(id string) *Job {
+	class := cmp.Or(spec.Class, "c")
+	job := &Job{ID: id, Team: spec.Team, Class: class, At: time.Now(), Tasks: spec.Tasks, Run: spec.Run, taskRunTimes: spec.Runs, Cpus: spec.Cpus, Spot: !spec.NoSpot,
+		Broken: spec.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, dependencies: spec.Dependencies,
+		Spec: map[string]any{"id": id, "jobclass": class, "crew": spec.Team, "shape": cmp.Or(spec.Shape, "batch"), "urgency": cmp.Or(spec.Urgency, "normal"),
+			"shards": spec.Tasks, "cpus": spec.Cpus, "accelerators": spec.Gpus, "ramGb": cmp.Or(spec.MemGB, 4), "kit": cmp.Or(spec.Image, "img-1"), "pullGb": cmp.Or(spec.ImageGB, 0.5),
+			"hulls": nil, "berth": nil, "together": spec.Together, "scatter": spec.Scatter, "loaners": !spec.NoSpot,
+			"expectedS": spec.Run.Seconds(), "markEveryS": spec.CheckpointS, "markCostS": 1.0, "dueS": nil}}
+	if len(spec.Dependencies) > 0 {
 		var ids []string
-		for _, dependency := range want.Dependencies {
+		for _, dependency := range spec.Dependencies {
 			ids = append(ids, dependency.ID)
 		}
 		job.Spec["awaits"] = ids
 	}
-	if want.Due > 0 {
-		job.Spec["dueS"] = want.Due
+	if spec.Due > 0 {
+		job.Spec["dueS"] = spec.Due
 	}
-	if want.Zone != "" {
-		job.Spec["berth"] = want.Zone
+	if spec.Zone != "" {
+		job.Spec["berth"] = spec.Zone
 	}
 	return job
 }
 
-// User submits a job, polls it and perhaps cancels it, as users do, and checks
-// what it is told.
-func (sim *Simulation) User(want JobSpec) *Job {
+// User submits a job in the background, polls its state and, if the description says so, cancels it. It checks
+// every answer.
+func (sim *Simulation) User(spec JobSpec) *Job {
 	sim.mu.Lock()
-	id := fmt.Sprintf("job-%06d", len(sim.jobs)+1+sim.Random.IntN(9)*100_000) // in no order
-	job := want.newJob(id)
+	id := fmt.Sprintf("job-%06d", len(sim.jobs)+1+sim.Random.IntN(9)*100_000) // the IDs are in no order
+	job := spec.newJob(id)
 	sim.add(job)
 	sim.mu.Unlock()
-	go sim.userLoop(job, want.CancelAfter)
+	go sim.userLoop(job, spec.CancelAfter)
 	return job
 }
 
-// userLoop is one user's work on a job: to submit it, to poll it, and to cancel it after a time, if there is one.
+// userLoop submits a job and polls it. It cancels the job after a time, unless that is 0.
 func (sim *Simulation) userLoop(job *Job, cancelAfter time.Duration) {
 	for sim.ctx.Err() == nil && !sim.dependenciesAccepted(job) {
-		time.Sleep(dependencyPoll)
+		time.Sleep(dependencyPollInterval)
 	}
 	if !sim.submit(job) {
 		return
@@ -106,58 +106,60 @@
 func (sim *Simulation) dependenciesAccepted(job *Job) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return !slices.ContainsFunc(job.awaits, func(dependency *Job) bool { return !dependency.accepted })
+	return !slices.ContainsFunc(job.dependencies, func(dependency *Job) bool { return !dependency.accepted })
 }
 
-// submit submits a job until it is accepted, and tells whether its user goes on: not if it is refused.
+// submit submits a job until it is accepted, and reports whether its user goes on. A user whose submission is
+// refused does not.
 func (sim *Simulation) submit(job *Job) bool {
-	body, _ := json.Marshal(job.Spec) // a job's description holds only what JSON can
+	body, _ := json.Marshal(job.Spec) // the specification holds only JSON values
 	for sim.ctx.Err() == nil {
-		asked := sim.lastAnswerOf(job)
+		previous := sim.lastAnswerOf(job)
 		answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 			return c.Submit(ctx, body)
 		})
-		if state, ok := stateIn(answer); ok {
-			sim.checkState(job, state, asked)
-			sim.look(job)
+		if state, ok := decodeJobState(answer); ok {
+			sim.checkState(job, state, previous)
+			sim.queryAllIfEnabled(job)
 			return true
 		}
 		if isRefusal(answer) {
-			sim.violated("forgotten: submission of %s got %d", job.ID, answer.Status)
+			sim.reportViolation("forgotten: submission of %s was refused with status %d", job.ID, answer.Status)
 			return false
 		}
-		time.Sleep(submitRetry)
+		time.Sleep(submitRetryInterval)
 	}
 	return true
 }
 
-// poll asks for a job once, and checks the answer.
+// poll requests a job's state once and checks the answer.
 func (sim *Simulation) poll(job *Job) {
-	asked := sim.lastAnswerOf(job)
+	previous := sim.lastAnswerOf(job)
 	answer := sim.query(job.ID)
-	if !sim.checkAnswer(job, answer, asked) {
+	if !sim.checkAnswer(job, answer, previous) {
 		return
 	}
-	state, _ := stateIn(answer)
-	if state.Status.Final() && !asked.status.Final() {
-		sim.look(job)
+	state, _ := decodeJobState(answer)
+	if state.Status.Final() && !previous.status.Final() {
+		sim.queryAllIfEnabled(job)
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	_, told := job.hasCancelledDependency()
-	if !state.Status.Final() && !told.IsZero() && time.Since(told) > seconds(sim.Settings.Deployment.Workers.CancelS) {
-		sim.violation("orphaned: %s is %s", job.ID, state.Status)
+	_, confirmedAt := job.hasCancelledDependency()
+	if !state.Status.Final() && !confirmedAt.IsZero() && time.Since(confirmedAt) > seconds(sim.Settings.Deployment.Workers.CancelS) {
+		sim.violation("orphaned: %s is %s although a dependency was cancelled", job.ID, state.Status)
 	}
 }
 
-// query asks some controller for a job.
+// query requests a job's state from some controller.
 func (sim *Simulation) query(id string) controller.Answer {
 	return sim.ask(queryTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 		return c.Query(ctx, id)
 	})
 }
 
-// ask sends a request to some controller, as the load balancer would.
+// ask sends a request to some controller, as the load balancer does. It returns an empty answer if no answer
+// arrives.
 func (sim *Simulation) ask(timeout time.Duration, request func(context.Context, *controller.Controller) controller.Answer) controller.Answer {
 	process := sim.anyController()
 	if process == nil {
@@ -181,7 +183,7 @@
 	}
 }
 
-// anyController is some controller that users reach, nil if there is none.
+// anyController returns a random controller that users reach, or nil.
 func (sim *Simulation) anyController() *ControllerProcess {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -192,60 +194,62 @@
 	return serving[sim.Random.IntN(len(serving))]
 }
 
-// cancelJob asks some controller once to cancel a job, and tells whether its user got a final answer.
+// cancelJob requests the cancellation of a job from some controller once, and reports whether the answer held a
+// final state.
 func (sim *Simulation) cancelJob(job *Job) bool {
 	sim.noteCancelRequest(job)
-	asked := sim.lastAnswerOf(job)
+	previous := sim.lastAnswerOf(job)
 	answer := sim.ask(submitTimeout, func(ctx context.Context, c *controller.Controller) controller.Answer {
 		return c.Cancel(ctx, job.ID)
 	})
-	state, ok := stateIn(answer)
+	state, ok := decodeJobState(answer)
 	if !ok || !state.Status.Final() {
 		if answer.Status == 404 {
-			sim.checkAnswer(job, answer, asked)
+			sim.checkAnswer(job, answer, previous)
 		}
 		return false
 	}
-	sim.cancelConfirmed(job, state, asked)
+	sim.cancelConfirmed(job, state, previous)
 	return true
 }
 
 func (sim *Simulation) noteCancelRequest(job *Job) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	job.asked = true
+	job.cancelRequested = true
 }
 
-// cancelConfirmed takes the answer to a cancellation.
-func (sim *Simulation) cancelConfirmed(j *Job, state protocol.JobState, asked lastAnswer) {
-	sim.checkState(j, state, asked)
+// cancelConfirmed checks the answer to a cancellation and records when it was confirmed.
+func (sim *Simulation) cancelConfirmed(j *Job, state protocol.JobState, previous lastAnswer) {
+	sim.checkState(j, state, previous)
 	sim.mu.Lock()
-	if state.Status == protocol.Cancelled && j.cancelled.IsZero() {
-		j.cancelled = time.Now()
+	if state.Status == protocol.Cancelled && j.cancelConfirmedAt.IsZero() {
+		j.cancelConfirmedAt = time.Now()
 	}
 	sim.mu.Unlock()
-	sim.look(j)
+	sim.queryAllIfEnabled(j)
 }
 
-// CancelNow has a job's user cancel it, again and again until that is answered.
+// CancelNow makes a job's user cancel the job in the background, until the answer holds a final state.
 func (sim *Simulation) CancelNow(j *Job) {
 	go func() {
 		for sim.ctx.Err() == nil && !sim.cancelJob(j) {
-			time.Sleep(submitRetry)
+			time.Sleep(submitRetryInterval)
 		}
 	}()
 }
 
-// CancelAt asks controller i to cancel a job, once, and tells whether it confirmed that.
+// CancelAt requests the cancellation of a job from controller i once, and reports whether the controller confirmed
+// it.
 func (sim *Simulation) CancelAt(job *Job, i int) bool {
 	sim.noteCancelRequest(job)
-	process, asked := sim.Controller(i), sim.lastAnswerOf(job)
+	process, previous := sim.Controller(i), sim.lastAnswerOf(job)
 	ctx, cancel := context.WithTimeout(sim.ctx, submitTimeout)
 	defer cancel()
-	state, ok := stateIn(process.Core.Cancel(ctx, job.ID))
+	state, ok := decodeJobState(process.Core.Cancel(ctx, job.ID))
 	if !ok || state.Status != protocol.Cancelled || process.ended() || process.isPartitionedFrom(NoUsers) {
 		return false
 	}
-	sim.cancelConfirmed(job, state, asked)
+	sim.cancelConfirmed(job, state, previous)
 	return true
 }
