--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -10,13 +10,13 @@
 	"dykeledge/internal/protocol"
 )
 
-// stallAfter stalls a controller the moment that such a transaction of its own was
+// stallAfterCommit stalls a controller the moment that such a transaction of its own was
 // applied, before it learns of that, a few times in all.
-func stallAfter(sim *Simulation, key string, d time.Duration) {
-	var n atomic.Int32
+func stallAfterCommit(sim *Simulation, keyPart string, d time.Duration) {
+	var stalls atomic.Int32
 	sim.After = func(i int, txn protocol.Txn) {
 		for _, c := range txn.Then {
-			if strings.Contains(c.Put, key) && time.Since(sim.StartTime) > 4*time.Second && n.Add(1) <= 4 {
+			if strings.Contains(c.Put, keyPart) && time.Since(sim.StartTime) > 4*time.Second && stalls.Add(1) <= 4 {
 				sim.KillCount.Add(1)
 				sim.Controller(i).Stall(d)
 				return
@@ -57,9 +57,9 @@
 				time.Sleep(duration)
 				sim.Start(0)
 			}},
-			{"between a commit and its launches", func(sim *Simulation) { stallAfter(sim, "/rack/", duration) }, nil},
-			{"between a machine's record and what follows", func(sim *Simulation) { stallAfter(sim, "/fleet/", duration) }, nil},
-			{"while shards are given away", func(sim *Simulation) { stallAfter(sim, "/share/", duration) }, func(sim *Simulation) {
+			{"between a commit and its launches", func(sim *Simulation) { stallAfterCommit(sim, "/rack/", duration) }, nil},
+			{"between a machine's record and what follows", func(sim *Simulation) { stallAfterCommit(sim, "/fleet/", duration) }, nil},
+			{"while shards are given away", func(sim *Simulation) { stallAfterCommit(sim, "/share/", duration) }, func(sim *Simulation) {
 				for i := range 3 {
 					time.Sleep(7 * time.Second)
 					sim.Kill(i)
@@ -69,13 +69,13 @@
 			}},
 		}
 		for _, c := range cases {
-			t.Run(fmt.Sprintf("%v/%s", duration, c.name), func(t *testing.T) { playDay(t, 11, c.setup, c.fault, nil) })
+			t.Run(fmt.Sprintf("%v/%s", duration, c.name), func(t *testing.T) { runMixedLoad(t, 11, c.setup, c.fault, nil) })
 		}
 	}
 }
 
-// heal ends the faults of controllers, machines and the state service.
-func heal(sim *Simulation) {
+// healComponents ends the faults of controllers, machines and the state service.
+func healComponents(sim *Simulation) {
 	sim.Store.SetDown(false)
 	for i := range 3 {
 		sim.Store.Deny(fmt.Sprintf("n%d", i), false)
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestFaults overlaps faults by seed: partitions by direction and neighbour, refusals,
+// TestRandomFaults overlaps faults by seed: partitions by direction and neighbour, refusals,
 // stalls, deaths, late machines and lagging lists.
-func TestFaults(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	faults := []func(sim *Simulation, i int){
 		func(sim *Simulation, i int) { sim.Controller(i).Cut(AllCut) },
 		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoState) },
@@ -121,7 +121,7 @@
 	}
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 100+seed, func(sim *Simulation) {
+			runMixedLoad(t, 100+seed, func(sim *Simulation) {
 				if seed%2 == 1 {
 					sim.PeerDelay() // hints must make no difference to the rules
 				}
@@ -148,7 +148,7 @@
 						time.Sleep(time.Duration(sim.Random.IntN(4000)) * time.Millisecond)
 					}
 					time.Sleep(time.Duration(1000+sim.Random.IntN(12000)) * time.Millisecond)
-					heal(sim)
+					healComponents(sim)
 				}
 			}, nil)
 		})
@@ -157,10 +157,10 @@
 
 // An owner fell silent in an outage of the state service. Nobody could take over, the
 // other controllers sent its workers back to it, and 1460 tasks were killed by their leases.
-func TestLeasesOutliveASilentOwnerInAnOutage(t *testing.T) {
+func TestLeasesSurviveStalledOwnerInOutage(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			playDay(t, 7, func(sim *Simulation) { sim.Settings.Deployment.Workers.CancelS = 36 }, func(sim *Simulation) {
+			runMixedLoad(t, 7, func(sim *Simulation) { sim.Settings.Deployment.Workers.CancelS = 36 }, func(sim *Simulation) {
 				time.Sleep(8 * time.Second)
 				sim.Store.SetDown(true)
 				time.Sleep(3 * time.Second)
--- a/internal/simulator/gpu_cluster_test.go
+++ b/internal/simulator/gpu_cluster_test.go
@@ -18,7 +18,7 @@
 func TestGPUCluster(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playGPUCluster(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runGPUCluster(t, seed) })
 		})
 	}
 }
@@ -29,23 +29,23 @@
 	services, arrays []*Job
 }
 
-func playGPUCluster(t *testing.T, seed uint64) {
+func runGPUCluster(t *testing.T, seed uint64) {
 	t.Helper()
 	ctx := simulationContext(t)
 	cluster := newGPUCluster(ctx, seed)
 	for range 8 {
-		cluster.serve()
-		cluster.sweep()
+		cluster.submitService()
+		cluster.submitArray()
 	}
 	for i := range 26 {
 		time.Sleep(10 * time.Second)
-		cluster.sweep()
+		cluster.submitArray()
 		if i%4 == 0 {
-			cluster.serve()
+			cluster.submitService()
 		}
 		switch i {
 		case 11:
-			cluster.partitionInABurst(int(seed) % 3)
+			cluster.partitionZoneDuringBurst(int(seed) % 3)
 		case 16:
 			cluster.loseMachines()
 		case 20: // an end of all within an outage
@@ -57,25 +57,25 @@
 		}
 	}
 	time.Sleep(100 * time.Second)
-	up, want := 0, 0
+	running, expected := 0, 0
 	for _, j := range cluster.services {
-		want += j.Tasks
-		up += cluster.On(j)
+		expected += j.Tasks
+		running += cluster.On(j)
 	}
 	cluster.awaitAll(t, cluster.arrays, 400)
 	for _, b := range cluster.BrokenRules() {
 		t.Error(b)
 	}
 	t.Logf("%d of %d replicas up, arrays done after %v, %d starts, %d changes, %d killed by leases",
-		up, want, time.Since(cluster.StartTime), cluster.Started, cluster.Store.Writes, cluster.LeaseKills)
-	if up < want*95/100 {
-		t.Errorf("%d of %d replicas are up", up, want)
+		running, expected, time.Since(cluster.StartTime), cluster.Started, cluster.Store.Writes, cluster.LeaseKills)
+	if running < expected*95/100 {
+		t.Errorf("%d of %d replicas are up", running, expected)
 	}
 }
 
 // newGPUCluster starts three small controllers for one team with machines of eight accelerators.
 func newGPUCluster(ctx context.Context, seed uint64) *gpuCluster {
-	cfg := settings()
+	cfg := testSettings()
 	deployment := &cfg.Deployment
 	deployment.Teams = []config.Team{{Name: "gpu"}}
 	deployment.Workers = config.Workers{HeartbeatS: 1, LeaseS: 11, GangWaitS: 45, GangPeerS: 5, CancelS: 41}
@@ -97,28 +97,28 @@
 	return cluster
 }
 
-// serve submits a service of some replicas.
-func (c *gpuCluster) serve() {
+// submitService submits a service of some replicas.
+func (c *gpuCluster) submitService() {
 	replicas := []int{3, 3, 6, 8}[c.Random.IntN(4)]
 	image := c.Random.IntN(6)
 	c.services = append(c.services, c.User(JobSpec{Team: "gpu", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: replicas, Cpus: 4, Gpus: 1,
 		MemGB: 29, Image: fmt.Sprint("serve-", image), ImageGB: float64(4 + 2*image), NoSpot: true, Scatter: true}))
 }
 
-// sweep submits an array that saves checkpoints.
-func (c *gpuCluster) sweep() {
+// submitArray submits an array that saves checkpoints.
+func (c *gpuCluster) submitArray() {
 	image := c.Random.IntN(8)
 	c.arrays = append(c.arrays, c.User(JobSpec{Team: "gpu", Class: "sweep", Urgency: "low", Tasks: 8 + c.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
 		Image: fmt.Sprint("sweep-", image), ImageGB: float64(3 + image), Run: time.Duration(30+c.Random.IntN(60)) * time.Second, CheckpointS: 15}))
 }
 
-// partitionInABurst submits a burst while a zone is partitioned with what it runs, and a controller ends.
-func (c *gpuCluster) partitionInABurst(ends int) {
+// partitionZoneDuringBurst submits a burst while a zone is partitioned with what it runs, and a controller ends.
+func (c *gpuCluster) partitionZoneDuringBurst(killed int) {
 	for range 6 {
-		c.serve()
+		c.submitService()
 	}
 	c.PartitionZone(c.Settings.Deployment.Zones[c.Random.IntN(3)])
-	c.Again(5*time.Second, ends)
+	c.Again(5*time.Second, killed)
 	time.Sleep(30 * time.Second)
 	c.PartitionZone("")
 }
--- a/internal/simulator/hooks_test.go
+++ b/internal/simulator/hooks_test.go
@@ -8,69 +8,75 @@
 	"dykeledge/internal/protocol"
 )
 
-// hooks switch the delays, losses and copies of a simulation on and off, while it runs.
-type hooks struct {
-	mu                                                                   sync.Mutex
-	cancelled                                                            []*Job // long jobs that are cancelled sooner or later
-	copies, heartbeats, slow, late, commands, answers, lost, keep, atEnd atomic.Bool
+// faultHooks switch the delays, losses and copies of a simulation on and off, while it runs.
+type faultHooks struct {
+	mu           sync.Mutex
+	jobsToCancel []*Job // long jobs that are cancelled sooner or later
+	duplicateHeartbeats, delayHeartbeats, slowStore, delayTransactions, delayCommands,
+	delayAnswers, loseAnswers, keepHeartbeats, cancelAtEnd atomic.Bool
 }
 
 // install sets the simulation's hooks, all off.
-func (h *hooks) install(sim *Simulation) {
-	some := func(on *atomic.Bool, part float64, least, most time.Duration) time.Duration {
-		if !on.Load() || sim.Random.Float64() >= part {
+func (h *faultHooks) install(sim *Simulation) {
+	delayIfOn := func(on *atomic.Bool, probability float64, shortest, longest time.Duration) time.Duration {
+		if !on.Load() || sim.Random.Float64() >= probability {
 			return 0
 		}
-		return sim.randomDuration(least, most)
+		return sim.randomDuration(shortest, longest)
+	}
+	sim.CopiedHeartbeats = func(string) time.Duration {
+		return delayIfOn(&h.duplicateHeartbeats, 0.3, 2*time.Second, 25*time.Second)
+	}
+	sim.LateHeartbeats = func(string) time.Duration { return delayIfOn(&h.delayHeartbeats, 0.1, time.Second, 8*time.Second) }
+	sim.Store.Slow = func(string) time.Duration { return delayIfOn(&h.slowStore, 0.5, 0, 1500*time.Millisecond) }
+	sim.Late = func(string, protocol.Txn) time.Duration {
+		return delayIfOn(&h.delayTransactions, 0.15, 2*time.Second, 12*time.Second)
 	}
-	sim.CopiedHeartbeats = func(string) time.Duration { return some(&h.copies, 0.3, 2*time.Second, 25*time.Second) }
-	sim.LateHeartbeats = func(string) time.Duration { return some(&h.heartbeats, 0.1, time.Second, 8*time.Second) }
-	sim.Store.Slow = func(string) time.Duration { return some(&h.slow, 0.5, 0, 1500*time.Millisecond) }
-	sim.Late = func(string, protocol.Txn) time.Duration { return some(&h.late, 0.15, 2*time.Second, 12*time.Second) }
 	sim.LateCommands = func(string, protocol.DirectCommands) time.Duration {
-		return some(&h.commands, 0.3, time.Second, 8*time.Second)
+		return delayIfOn(&h.delayCommands, 0.3, time.Second, 8*time.Second)
 	}
-	sim.KeptHeartbeats = func(string) bool { return h.keep.Load() && sim.Random.IntN(3) == 0 }
-	sim.LostAnswers = func(string, protocol.Txn) bool { return h.lost.Load() && sim.Random.IntN(3) == 0 }
+	sim.KeptHeartbeats = func(string) bool { return h.keepHeartbeats.Load() && sim.Random.IntN(3) == 0 }
+	sim.LostAnswers = func(string, protocol.Txn) bool { return h.loseAnswers.Load() && sim.Random.IntN(3) == 0 }
 	sim.AtEnd = func(j *Job) {
-		if h.atEnd.Load() && sim.Random.IntN(3) == 0 {
+		if h.cancelAtEnd.Load() && sim.Random.IntN(3) == 0 {
 			sim.CancelNow(j)
 		}
 	}
-	sim.LateAnswers = func(string) time.Duration { return some(&h.answers, 0.3, time.Second, 4*time.Second) }
+	sim.LateAnswers = func(string) time.Duration { return delayIfOn(&h.delayAnswers, 0.3, time.Second, 4*time.Second) }
 }
 
 // randomDuration is a time from a shortest one to below a longest one.
-func (sim *Simulation) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(sim.Random.Float64()*float64(most-least))
+func (sim *Simulation) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(sim.Random.Float64()*float64(longest-shortest))
 }
 
 // healAll ends every fault.
-func healAll(sim *Simulation, h *hooks) {
-	for _, on := range []*atomic.Bool{&h.copies, &h.heartbeats, &h.slow, &h.late, &h.commands, &h.answers, &h.lost, &h.keep, &h.atEnd} {
+func healAll(sim *Simulation, h *faultHooks) {
+	for _, on := range []*atomic.Bool{&h.duplicateHeartbeats, &h.delayHeartbeats, &h.slowStore, &h.delayTransactions,
+		&h.delayCommands, &h.delayAnswers, &h.loseAnswers, &h.keepHeartbeats, &h.cancelAtEnd} {
 		on.Store(false)
 	}
 	sim.PartitionZone("")
 	sim.SetCloseLooks(false)
-	heal(sim)
+	healComponents(sim)
 }
 
-// add notes a job that is cancelled.
-func (h *hooks) add(j *Job) {
+// addJobToCancel notes a job that is cancelled.
+func (h *faultHooks) addJobToCancel(j *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cancelled = append(h.cancelled, j)
+	h.jobsToCancel = append(h.jobsToCancel, j)
 }
 
 // cancelAll has the users of all jobs that run for long cancel them now, and up to eight of their machines hang.
-func (h *hooks) cancelAll(sim *Simulation, hang bool) {
+func (h *faultHooks) cancelAll(sim *Simulation, hang bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := 0
-	for _, j := range h.cancelled {
+	machines := 0
+	for _, j := range h.jobsToCancel {
 		sim.CancelNow(j)
 		for _, m := range sim.machinesOf(j) {
-			if n++; hang && n <= 8 {
+			if machines++; hang && machines <= 8 {
 				sim.Set(m, HangingMachine(true))
 			}
 		}
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -10,33 +10,33 @@
 	"dykeledge/internal/config"
 )
 
-// isolationDay is one course of the overlapping faults that users named before all others.
-type isolationDay struct {
-	workers       config.Workers
-	refused       time.Duration // the leader alone is refused so long before the outage
-	cancellations time.Duration // the first of the jobs is cancelled so long before the outage
-	outage        float64       // times cancel_s
-	old           int           // so many controllers are of the version before: no digests, no time in the cancellation's record
+// isolationCase is one course of the overlapping faults that users named before all others.
+type isolationCase struct {
+	workers         config.Workers
+	deniedBefore    time.Duration // the leader alone is refused so long before the outage
+	cancelledBefore time.Duration // the first of the jobs is cancelled so long before the outage
+	outageFactor    float64       // times cancel_s
+	oldControllers  int           // so many controllers are of the version before: no digests, no time in the cancellation's record
 }
 
-// playIsolated has the state service refuse the leader alone, other controllers confirm cancellations, and then the
+// runIsolated has the state service refuse the leader alone, other controllers confirm cancellations, and then the
 // state service refuse everybody, while the workers keep sending heartbeats to the old leader. It returns how many
 // tasks of cancelled jobs were on machines as the outage began, and those killed by their leases.
-func playIsolated(t *testing.T, seed uint64, day isolationDay, then func(sim *Simulation, lead int)) (cancelled, killed int) {
+func runIsolated(t *testing.T, seed uint64, c isolationCase, inject func(sim *Simulation, denied int)) (cancelledTasks, killedTasks int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
-		sim, jobs := day.begin(ctx, seed)
-		lead := max(0, sim.Leader())
+		sim, jobs := c.begin(ctx, seed)
+		denied := max(0, sim.Leader())
 		if seed%2 == 1 { // an owner that does not lead
-			lead = (lead + 1) % 3
+			denied = (denied + 1) % 3
 		}
-		sim.Store.Deny(sim.Controller(lead).Name, true)
-		cancelled = day.cancelAtOthers(t, sim, jobs[:4], lead)
+		sim.Store.Deny(sim.Controller(denied).Name, true)
+		cancelledTasks = c.cancelAtOthers(t, sim, jobs[:4], denied)
 		sim.Store.SetDown(true)
-		then(sim, lead)
-		time.Sleep(seconds(day.outage * day.workers.CancelS))
-		killed = sim.Stats().LeaseKills
+		inject(sim, denied)
+		time.Sleep(seconds(c.outageFactor * c.workers.CancelS))
+		killedTasks = sim.Stats().LeaseKills
 		sim.Store.SetDown(false)
 		eachController(func(i int) {
 			sim.Store.Deny(controllerName(i), false)
@@ -48,7 +48,7 @@
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
 			if sim.On(j) < j.Tasks {
-				shards, err := sim.Controller(lead).Core.ShardViews(ctx)
+				shards, err := sim.Controller(denied).Core.ShardViews(ctx)
 				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v, %v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards, err)
 			}
 		}
@@ -56,17 +56,17 @@
 			t.Error(b)
 		}
 	})
-	return cancelled, killed
+	return cancelledTasks, killedTasks
 }
 
 // begin starts a simulation in which eight jobs run for as long as the course takes.
-func (d isolationDay) begin(ctx context.Context, seed uint64) (*Simulation, []*Job) {
-	cfg := settings()
-	cfg.Deployment.Workers = d.workers
+func (c isolationCase) begin(ctx context.Context, seed uint64) (*Simulation, []*Job) {
+	cfg := testSettings()
+	cfg.Deployment.Workers = c.workers
 	sim := NewSimulation(ctx, cfg, seed)
 	sim.CapacityOf = 20
 	sim.Old = map[int]bool{}
-	for i := range d.old {
+	for i := range c.oldControllers {
 		sim.Old[(int(seed)+i)%3] = true
 	}
 	eachController(sim.Start)
@@ -85,94 +85,94 @@
 
 // cancelAtOthers has the controllers beside one confirm cancellations, as long before the outage as the course says, and
 // returns how many of the jobs' tasks were on machines then.
-func (d isolationDay) cancelAtOthers(t *testing.T, sim *Simulation, jobs []*Job, lead int) (tasks int) {
+func (c isolationCase) cancelAtOthers(t *testing.T, sim *Simulation, jobs []*Job, denied int) (tasks int) {
 	t.Helper()
-	if d.refused > d.cancellations {
-		time.Sleep(d.refused - d.cancellations)
+	if c.deniedBefore > c.cancelledBefore {
+		time.Sleep(c.deniedBefore - c.cancelledBefore)
 	}
 	confirmed := 0
 	for k, j := range jobs {
-		if sim.CancelAt(j, (lead+1+k%2)%3) {
+		if sim.CancelAt(j, (denied+1+k%2)%3) {
 			confirmed++
 			tasks += sim.On(j)
 		}
-		time.Sleep(d.cancellations / 4)
+		time.Sleep(c.cancelledBefore / 4)
 	}
 	if confirmed == 0 {
 		t.Error("no cancellation was confirmed: the case proves nothing")
 	}
-	if d.refused < d.cancellations { // the last of them before
-		time.Sleep(d.refused)
+	if c.deniedBefore < c.cancelledBefore { // the last of them before
+		time.Sleep(c.deniedBefore)
 	}
 	return tasks
 }
 
-// others calls f for all controllers beside one.
-func others(lead int, f func(i int)) {
+// eachOther calls f for all controllers beside one.
+func eachOther(denied int, f func(i int)) {
 	for i := range 3 {
-		if i != lead {
+		if i != denied {
 			f(i)
 		}
 	}
 }
 
-// isolationOutcomes are what becomes of the controllers that are not refused alone, as the outage begins.
-var isolationOutcomes = []struct {
-	name string
-	do   func(sim *Simulation, lead int)
+// isolationFaults are what becomes of the controllers that are not refused alone, as the outage begins.
+var isolationFaults = []struct {
+	name   string
+	inject func(sim *Simulation, denied int)
 }{
 	{"they live on", func(*Simulation, int) {}},
-	{"they are killed", func(sim *Simulation, lead int) { others(lead, sim.Kill) }},
-	{"they stall", func(sim *Simulation, lead int) {
-		others(lead, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
+	{"they are killed", func(sim *Simulation, denied int) { eachOther(denied, sim.Kill) }},
+	{"they stall", func(sim *Simulation, denied int) {
+		eachOther(denied, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
 	}},
-	{"they lose peers and workers", func(sim *Simulation, lead int) {
-		others(lead, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
+	{"they lose peers and workers", func(sim *Simulation, denied int) {
+		eachOther(denied, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
 	}},
-	{"they lose their workers", func(sim *Simulation, lead int) { others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
-	{"the leader loses its peers", func(sim *Simulation, lead int) {
-		sim.Controller(lead).Cut(NoPeers)
-		others(lead, func(i int) { sim.Controller(i).Cut(NoWorkers) })
+	{"they lose their workers", func(sim *Simulation, denied int) { eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
+	{"the leader loses its peers", func(sim *Simulation, denied int) {
+		sim.Controller(denied).Cut(NoPeers)
+		eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) })
 	}},
-	{"all end, one is back within a second", func(sim *Simulation, lead int) {
+	{"all end, one is back within a second", func(sim *Simulation, denied int) {
 		time.Sleep(3 * time.Second)
 		for i := range 3 {
 			sim.Kill(i)
 		}
 		time.Sleep(300 * time.Millisecond)
-		sim.Start(lead)
+		sim.Start(denied)
 	}},
 }
 
-// TestOneDeniedThenAll: an owner that the state service refuses alone goes on answering its workers.
+// TestDeniedControllerThenOutage: an owner that the state service refuses alone goes on answering its workers.
 // What others confirm as cancelled it can't read, and if they can't reach the workers either, nobody stops
 // those tasks: before owners were bound too, they ran on for as long as the outage lasted.
-func TestOneDeniedThenAll(t *testing.T) {
-	cancelled, seed := 0, uint64(0)
+func TestDeniedControllerThenOutage(t *testing.T) {
+	cancelledTasks, seed := 0, uint64(0)
 	for _, workers := range []config.Workers{
 		{HeartbeatS: 1, LeaseS: 10, GangWaitS: 30, GangPeerS: 4, CancelS: 40},
 		{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5},
 	} {
-		for _, then := range isolationOutcomes {
-			for _, day := range []isolationDay{
-				{refused: 200 * time.Millisecond, cancellations: 150 * time.Millisecond, outage: 2},
-				{refused: time.Second, cancellations: 600 * time.Millisecond, outage: 1.2},
-				{refused: 3 * time.Second, cancellations: 3 * time.Second, outage: 4},
-				{refused: 20 * time.Second, cancellations: 300 * time.Millisecond, outage: 1.5},
-				{refused: time.Second, cancellations: time.Second, outage: 1.4, old: 1},
-				{refused: 3 * time.Second, cancellations: 2 * time.Second, outage: 1.4, old: 2},
+		for _, fault := range isolationFaults {
+			for _, c := range []isolationCase{
+				{deniedBefore: 200 * time.Millisecond, cancelledBefore: 150 * time.Millisecond, outageFactor: 2},
+				{deniedBefore: time.Second, cancelledBefore: 600 * time.Millisecond, outageFactor: 1.2},
+				{deniedBefore: 3 * time.Second, cancelledBefore: 3 * time.Second, outageFactor: 4},
+				{deniedBefore: 20 * time.Second, cancelledBefore: 300 * time.Millisecond, outageFactor: 1.5},
+				{deniedBefore: time.Second, cancelledBefore: time.Second, outageFactor: 1.4, oldControllers: 1},
+				{deniedBefore: 3 * time.Second, cancelledBefore: 2 * time.Second, outageFactor: 1.4, oldControllers: 2},
 			} {
-				day.workers = workers
+				c.workers = workers
 				seed++
-				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, then.name, day.refused, day.old), func(t *testing.T) {
-					d, killed := playIsolated(t, seed, day, then.do)
-					cancelled += d
-					t.Logf("%d tasks of cancelled jobs as the outage began, %d killed by leases", d, killed)
+				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, fault.name, c.deniedBefore, c.oldControllers), func(t *testing.T) {
+					cancelled, killed := runIsolated(t, seed, c, fault.inject)
+					cancelledTasks += cancelled
+					t.Logf("%d tasks of cancelled jobs as the outage began, %d killed by leases", cancelled, killed)
 				})
 			}
 		}
 	}
-	if cancelled == 0 {
+	if cancelledTasks == 0 {
 		t.Error("no task of a cancelled job ever ran: nothing is proved")
 	}
 }
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -14,21 +14,21 @@
 // finished task, more than the service allows at this size.
 func TestLargeSimulation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const controllers, up, rentable = 5, 120, 260
+		const controllers, initialMachines, rentableMachines = 5, 120, 260
 		ctx := simulationContext(t)
-		cfg := settings()
+		cfg := testSettings()
 		cfg.Deployment.Controllers = controllers
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "green"}, {Name: "grey", CpusMax: 1200}, {Name: "teal"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
 		sim := NewSimulation(ctx, cfg, 3)
-		sim.CapacityOf = rentable
+		sim.CapacityOf = rentableMachines
 		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		sim.LimitCloud(cfg.Deployment.Cloud.RPS)
 		for i := range controllers {
 			sim.Start(i)
 		}
-		for i := range up {
+		for i := range initialMachines {
 			sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 		}
 		jobs, tasks := sim.submitLargeLoad()
@@ -37,11 +37,11 @@
 			t.Error(b)
 		}
 		t.Logf("%d tasks, %d starts, %d changes, %d requests, %d over the rate, %v", tasks, sim.Started, sim.Store.Writes, sim.Store.Requests, sim.Store.OverRate, time.Since(sim.StartTime))
-		if perTask := float64(sim.Store.Writes) / float64(tasks); perTask > 1 {
-			t.Errorf("%.2f changes a task", perTask)
+		if writesPerTask := float64(sim.Store.Writes) / float64(tasks); writesPerTask > 1 {
+			t.Errorf("%.2f changes a task", writesPerTask)
 		}
-		if part := float64(sim.Store.OverRate) / float64(sim.Store.Requests); part > 0.02 {
-			t.Errorf("%.3f of the requests were over the rate", part)
+		if overRate := float64(sim.Store.OverRate) / float64(sim.Store.Requests); overRate > 0.02 {
+			t.Errorf("%.3f of the requests were over the rate", overRate)
 		}
 		t.Logf("%d calls of the cloud, %d over its rate", sim.CloudCalls, sim.CloudOver)
 		if sim.CloudCalls == 0 || sim.CloudOver*20 > sim.CloudCalls {
@@ -88,15 +88,15 @@
 	return jobs, tasks
 }
 
-// TestGuestsOverload lets a guest team overload the home teams: idle-time work for the whole
+// TestGuestTeamOverload lets a guest team overload the home teams: idle-time work for the whole
 // fleet, one array of thousands of tasks and hundreds of single ones within 40 s, while
 // two controllers end. Controllers without shards refused the guests for want of a rate that
 // others left unused, and the home teams waited behind idle-time work.
-func TestGuestsOverload(t *testing.T) {
+func TestGuestTeamOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const controllers = 5
 		ctx := simulationContext(t)
-		cfg := settings()
+		cfg := testSettings()
 		cfg.Deployment.Controllers = controllers
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
@@ -112,15 +112,15 @@
 			sim.AddMachine(cfg.Deployment.Zones[i%3], i%2 == 0)
 		}
 		time.Sleep(3 * time.Second)
-		idle := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, CheckpointS: 10})
-		giant := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
+		idleArray := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, CheckpointS: 10})
+		largeArray := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
 		time.Sleep(5 * time.Second)
-		before := sim.Store.Writes
-		var home, singles []*Job
+		writesBefore := sim.Store.Writes
+		var homeJobs, singleTaskJobs []*Job
 		for i := range 800 {
-			singles = append(singles, sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
+			singleTaskJobs = append(singleTaskJobs, sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
 			if i%40 == 0 {
-				home = append(home, sim.User(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
+				homeJobs = append(homeJobs, sim.User(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
 			}
 			if i == 300 || i == 600 {
 				sim.Kill(i / 300)
@@ -128,16 +128,16 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		sim.awaitAll(t, home, 60)
+		sim.awaitAll(t, homeJobs, 60)
 		t.Logf("home teams done after %v", time.Since(sim.StartTime))
-		sim.awaitAll(t, append(singles, giant), 200)
+		sim.awaitAll(t, append(singleTaskJobs, largeArray), 200)
 		t.Logf("guests done after %v; %.2f changes a single job with all others, %d of %d requests over the rate, %d of the idle-time tasks on machines",
-			time.Since(sim.StartTime), float64(sim.Store.Writes-before)/800, sim.Store.OverRate, sim.Store.Requests, sim.On(idle))
+			time.Since(sim.StartTime), float64(sim.Store.Writes-writesBefore)/800, sim.Store.OverRate, sim.Store.Requests, sim.On(idleArray))
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
-		if each := float64(sim.Store.Writes-before) / 800; each > 5 {
-			t.Errorf("%.2f changes a single job", each)
+		if writesPerJob := float64(sim.Store.Writes-writesBefore) / 800; writesPerJob > 5 {
+			t.Errorf("%.2f changes a single job", writesPerJob)
 		}
 		if sim.Store.OverRate*50 > sim.Store.Requests {
 			t.Errorf("%d of %d requests were over the rate", sim.Store.OverRate, sim.Store.Requests)
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -10,27 +10,27 @@
 	"dykeledge/internal/storage"
 )
 
-// killed is whether tasks are killed by their leases.
-type killed int
+// killExpectation is whether tasks are killExpectation by their leases.
+type killExpectation int
 
 const (
-	_ killed = iota // never
-	may
-	must
+	_ killExpectation = iota // never
+	mayKill
+	mustKill
 )
 
-// endIn ends all controllers, begins an outage, and starts them again in it.
-func endIn(sim *Simulation, outage, again time.Duration) {
+// restartAllInOutage ends all controllers, begins an outage, and starts them again in it.
+func restartAllInOutage(sim *Simulation, outage, secondRestart time.Duration) {
 	eachController(sim.Kill)
 	sim.Store.SetDown(true)
 	time.Sleep(5 * time.Second)
 	eachController(sim.Start)
-	if again > 0 {
-		time.Sleep(again - 5*time.Second)
+	if secondRestart > 0 {
+		time.Sleep(secondRestart - 5*time.Second)
 		eachController(sim.Kill)
 		time.Sleep(5 * time.Second)
 		eachController(sim.Start)
-		time.Sleep(outage - again - 5*time.Second)
+		time.Sleep(outage - secondRestart - 5*time.Second)
 	} else {
 		time.Sleep(outage - 5*time.Second)
 	}
@@ -40,49 +40,49 @@
 // All controllers ended 2 s before an outage of 20 s: nobody knew the workers' token, every
 // heartbeat was refused, and 4225 tasks were killed by their leases. Now restarted controllers keep the
 // leases up, but not for so long that a task outlives its job's cancellation, whose last witness ended.
-func TestLeasesOverAnEndOfAllControllers(t *testing.T) {
+func TestLeasesAcrossRestartOfAllControllers(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		lease, cancel float64
-		outage, again time.Duration
-		cancelled     bool // a job, whose tasks no controller can reach any more
-		killed        killed
+		name                  string
+		lease, cancel         float64
+		outage, secondRestart time.Duration
+		cancelled             bool // a job, whose tasks no controller can reach any more
+		kills                 killExpectation
 	}{
 		{name: "short", lease: 10, cancel: 40, outage: 8 * time.Second},
 		{name: "longer than a lease", lease: 10, cancel: 40, outage: 22 * time.Second},
-		{name: "longer than a lease, a job was cancelled just before", lease: 10, cancel: 40, outage: 22 * time.Second, cancelled: true, killed: may},
-		{name: "longer than cancel_s", lease: 10, cancel: 40, outage: 60 * time.Second, killed: must},
-		{name: "longer than cancel_s, a job was cancelled just before", lease: 10, cancel: 40, outage: 60 * time.Second, cancelled: true, killed: must},
-		{name: "twice in one outage", lease: 10, cancel: 40, outage: 30 * time.Second, again: 12 * time.Second, cancelled: true, killed: may},
-		{name: "leases that leave no time", lease: 14, cancel: 28, outage: 60 * time.Second, cancelled: true, killed: must},
+		{name: "longer than a lease, a job was cancelled just before", lease: 10, cancel: 40, outage: 22 * time.Second, cancelled: true, kills: mayKill},
+		{name: "longer than cancel_s", lease: 10, cancel: 40, outage: 60 * time.Second, kills: mustKill},
+		{name: "longer than cancel_s, a job was cancelled just before", lease: 10, cancel: 40, outage: 60 * time.Second, cancelled: true, kills: mustKill},
+		{name: "twice in one outage", lease: 10, cancel: 40, outage: 30 * time.Second, secondRestart: 12 * time.Second, cancelled: true, kills: mayKill},
+		{name: "leases that leave no time", lease: 14, cancel: 28, outage: 60 * time.Second, cancelled: true, kills: mustKill},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			ran := 0
-			playDay(t, 5, func(sim *Simulation) {
+			runningTasks := 0
+			runMixedLoad(t, 5, func(sim *Simulation) {
 				sim.Settings.Deployment.Workers.LeaseS, sim.Settings.Deployment.Workers.CancelS = test.lease, test.cancel
 				sim.PeerDelay()
 			}, func(sim *Simulation) {
 				time.Sleep(9 * time.Second)
 				if test.cancelled {
-					cancelUnseen(t, sim, func() {})
+					cancelAndCutWorkers(t, sim, func() {})
 				}
-				ran = sim.Running()
-				endIn(sim, test.outage, test.again)
+				runningTasks = sim.Running()
+				restartAllInOutage(sim, test.outage, test.secondRestart)
 			}, func(sim *Simulation) {
-				if ran == 0 {
+				if runningTasks == 0 {
 					t.Error("no task ran when the controllers ended: the case proves nothing")
 				}
-				if test.killed != may && (sim.LeaseKills > 0) != (test.killed == must) {
-					t.Errorf("%d tasks were killed by their leases, must be: %v", sim.LeaseKills, test.killed == must)
+				if test.kills != mayKill && (sim.LeaseKills > 0) != (test.kills == mustKill) {
+					t.Errorf("%d tasks were killed by their leases, must be: %v", sim.LeaseKills, test.kills == mustKill)
 				}
 			})
 		})
 	}
 }
 
-// cancelUnseen has a job cancelled, whose user is told, and partitions all controllers from the workers
+// cancelAndCutWorkers has a job cancelled, whose user is told, and partitions all controllers from the workers
 // before any of them has sent a stop.
-func cancelUnseen(t *testing.T, sim *Simulation, then func()) {
+func cancelAndCutWorkers(t *testing.T, sim *Simulation, onCommit func()) {
 	t.Helper()
 	job := sim.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
 	for range 400 { // where machines are still coming up it waits for room first
@@ -96,7 +96,7 @@
 				for i := range 3 {
 					sim.Controller(i).Cut(NoWorkers)
 				}
-				then()
+				onCommit()
 			}
 		}
 	}
@@ -115,30 +115,30 @@
 
 // An outage longer than cancel_s begins just as a job was cancelled: whatever of that its
 // owner has read, and whoever ends, the job's tasks must end.
-func TestCancelledTasksEndInAnOutage(t *testing.T) {
+func TestCancelledTasksEndInOutage(t *testing.T) {
 	for _, outage := range []time.Duration{15 * time.Second, 70 * time.Second} {
 		for seed := range uint64(8) {
-			read, ends := seed%2 == 0, int(seed/2) // there is no controller 3: none ends
-			t.Run(fmt.Sprintf("%v/others have read it %v/controller %d ends", outage, read, ends), func(t *testing.T) {
-				playDay(t, seed, func(sim *Simulation) {
+			othersRead, killed := seed%2 == 0, int(seed/2) // there is no controller 3: none ends
+			t.Run(fmt.Sprintf("%v/others have read it %v/controller %d ends", outage, othersRead, killed), func(t *testing.T) {
+				runMixedLoad(t, seed, func(sim *Simulation) {
 					sim.Settings.Deployment.Workers.CancelS = 36
 					sim.PeerDelay()
 				}, func(sim *Simulation) {
 					time.Sleep(4 * time.Second)
-					cancelUnseen(t, sim, func() { sim.Store.SetDown(!read) })
+					cancelAndCutWorkers(t, sim, func() { sim.Store.SetDown(!othersRead) })
 					time.Sleep(200 * time.Millisecond)
 					sim.Store.SetDown(true)
 					for i := range 3 {
 						sim.Controller(i).Cut(0)
 					}
 					time.Sleep(4 * time.Second)
-					if ends < 3 {
-						sim.Kill(ends)
+					if killed < 3 {
+						sim.Kill(killed)
 					}
 					time.Sleep(outage)
 					sim.Store.SetDown(false)
-					if ends < 3 {
-						sim.Start(ends)
+					if killed < 3 {
+						sim.Start(killed)
 					}
 				}, nil)
 			})
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -38,8 +38,8 @@
 	t.Errorf("the limit of %s can't be changed", team)
 }
 
-// stateOf is a team's state as a controller tells it, "" where none does.
-func (sim *Simulation) stateOf(team string) string {
+// teamState is a team's state as a controller tells it, "" where none does.
+func (sim *Simulation) teamState(team string) string {
 	for i := range 3 {
 		views, err := sim.Controller(i).Core.Teams(sim.ctx)
 		if err != nil {
@@ -79,15 +79,15 @@
 	}},
 }
 
-// TestLimitsChangeWhileItServes raises and lowers a busy team's limit through any controller, while owners end, stall over
+// TestLimitChangesUnderFaults raises and lowers a busy team's limit through any controller, while owners end, stall over
 // a change and go on later, answers get lost and transactions come late. The checker compares every start with the limit that
 // counts, and every limit that is said to be in force against what really runs.
-func TestLimitsChangeWhileItServes(t *testing.T) {
+func TestLimitChangesUnderFaults(t *testing.T) {
 	for _, test := range limitFaults {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				var evicted, lowered atomic.Int32
-				playDay(t, 700+seed, func(sim *Simulation) {
+				runMixedLoad(t, 700+seed, func(sim *Simulation) {
 					sim.CapacityOf = 8
 					sim.Late = func(string, protocol.Txn) time.Duration {
 						if sim.Random.IntN(60) > 0 {
@@ -105,7 +105,7 @@
 					}
 					sim.setRedLimit(t, 40)
 				}, func(sim *Simulation) {
-					if state := sim.stateOf("red"); state != controller.TeamInForce {
+					if state := sim.teamState("red"); state != controller.TeamInForce {
 						t.Errorf("the last limit is %q", state)
 					}
 					if lowered.Load() == 0 {
@@ -120,9 +120,9 @@
 
 // countLimitChanges counts the records that lower team red's limit, and the sets of tasks that are evicted for one.
 func (sim *Simulation) countLimitChanges(lowered, evicted *atomic.Int32) {
-	records := sim.Store.Check
+	previousCheck := sim.Store.Check
 	sim.Store.Check = func(t protocol.Txn) {
-		records(t)
+		previousCheck(t)
 		for _, c := range t.Then {
 			if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
 				evicted.Add(1)
@@ -137,10 +137,10 @@
 
 // A limit was counted as kept by a controller that saw little of the team running, while the transaction of the shard's owner
 // that placed more was on its way: only the owner may say so.
-func TestOwnersTransactionIsOnItsWayAsTheLimitFalls(t *testing.T) {
+func TestLimitLoweredWithOwnerTransactionInFlight(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playDay(t, 760+seed, func(sim *Simulation) { sim.CapacityOf = 8 }, func(sim *Simulation) {
+			runMixedLoad(t, 760+seed, func(sim *Simulation) { sim.CapacityOf = 8 }, func(sim *Simulation) {
 				sim.PeerDelay()
 				shard := slices.IndexFunc(sim.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
 				for range 12 {
@@ -149,9 +149,9 @@
 						time.Sleep(time.Second)
 						continue
 					}
-					slow := sim.Controller(owner).Name
+					slowOwner := sim.Controller(owner).Name
 					sim.Store.Slow = func(controller string) time.Duration {
-						if controller != slow {
+						if controller != slowOwner {
 							return 0
 						}
 						return time.Duration(300+sim.Random.IntN(600)) * time.Millisecond
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -9,8 +9,8 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestBalancer compares the balancer's judgement of a controller with the protocol.
-func TestBalancer(t *testing.T) {
+// TestLoadBalancerHealth compares the balancer's judgement of a controller with the protocol.
+func TestLoadBalancerHealth(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		probes string // one a second: + answers, - does not
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -10,8 +10,8 @@
 	"dykeledge/internal/storage"
 )
 
-// baselineOf is what the records say is usual for a class.
-func (sim *Simulation) baselineOf(class string) (cpus float64) {
+// baselineCPUs is what the records say is usual for a class.
+func (sim *Simulation) baselineCPUs(class string) (cpus float64) {
 	var r storage.BaselineRecord
 	raw, _ := sim.Store.Value(storage.BaselineKey)
 	_ = json.Unmarshal(raw, &r) // none: nothing is usual
@@ -23,8 +23,8 @@
 	return cpus
 }
 
-// loseMachines has a third of the machines die, and no other rented.
-func loseMachines(sim *Simulation) {
+// killThirdOfMachines has a third of the machines die, and no other rented.
+func killThirdOfMachines(sim *Simulation) {
 	for i, m := range sim.Machines() {
 		if i%3 == 0 {
 			sim.Die(m)
@@ -39,33 +39,33 @@
 // soon as it was older. And the overload must not have become the usual after an end of all controllers.
 func TestOverload(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		part  float64 // of the overload that must be done in the end
-		fault func(sim *Simulation)
+		name      string
+		minServed float64 // of the overload that must be done in the end
+		fault     func(sim *Simulation)
 	}{
-		{"a third of the machines die", 0.35, loseMachines},
+		{"a third of the machines die", 0.35, killThirdOfMachines},
 		{"owner and leader end, one after the other", 0.5, func(sim *Simulation) {
 			eachController(func(i int) { sim.Kill(i); time.Sleep(6 * time.Second); sim.Start(i); time.Sleep(6 * time.Second) })
 		}},
 		{"all controllers end, and a third of the machines", 0.35, func(sim *Simulation) {
 			eachController(sim.Kill)
-			loseMachines(sim)
+			killThirdOfMachines(sim)
 			time.Sleep(5 * time.Second)
 			eachController(sim.Start)
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { playOverload(t, test.part, test.fault) })
+			synctest.Test(t, func(t *testing.T) { runOverload(t, test.minServed, test.fault) })
 		})
 	}
 }
 
-// playOverload plays a fault during an overload; so large a part of it must be done in the end.
-func playOverload(t *testing.T, leastPart float64, fault func(sim *Simulation)) {
+// runOverload plays a fault during an overload; so large a part of it must be done in the end.
+func runOverload(t *testing.T, minServed float64, fault func(sim *Simulation)) {
 	t.Helper()
 	ctx := simulationContext(t)
-	cfg := settings()
+	cfg := testSettings()
 	cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 	cfg.Deployment.Workers.CancelS = 36
 	for _, class := range []string{"steady", "overload"} {
@@ -78,16 +78,16 @@
 	for i := range sim.CapacityOf {
 		sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 	}
-	before := sim.submitOverload(fault)
+	baselineBefore := sim.submitOverload(fault)
 	for _, served := range sim.Served(60 * time.Second) {
 		inTime := float64(served.InTime) / float64(served.Due)
 		t.Logf("%v", served)
-		if served.Class == "steady" && (served.Part() < 0.97 || inTime < 0.9) || served.Part() < leastPart {
+		if served.Class == "steady" && (served.Part() < 0.97 || inTime < 0.9) || served.Part() < minServed {
 			t.Errorf("%v", served)
 		}
 	}
-	if after := sim.baselineOf("overload"); before == 0 || after > 1.5*before {
-		t.Errorf("usual of the overload %.0f CPUs before, %.0f after", before, after)
+	if baselineAfter := sim.baselineCPUs("overload"); baselineBefore == 0 || baselineAfter > 1.5*baselineBefore {
+		t.Errorf("usual of the overload %.0f CPUs before, %.0f after", baselineBefore, baselineAfter)
 	}
 	for _, b := range sim.BrokenRules() {
 		t.Error(b)
@@ -96,24 +96,24 @@
 
 // submitOverload submits jobs of all classes, and returns what was usual for the overloading one before. The steady
 // classes ask for 96 of 288 CPUs, the overloading one for 48 and then for twenty times that.
-func (sim *Simulation) submitOverload(fault func(sim *Simulation)) (before float64) {
-	const begins, ends, over = 80, 160, 260 // in seconds
-	for second := range over {
-		if second%2 == 0 && second < over-60 {
+func (sim *Simulation) submitOverload(fault func(sim *Simulation)) (baselineBefore float64) {
+	const overloadStart, overloadEnd, duration = 80, 160, 260 // in seconds
+	for second := range duration {
+		if second%2 == 0 && second < duration-60 {
 			for _, team := range []string{"red", "blue"} {
 				sim.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + sim.Random.IntN(5), Cpus: 2, Run: time.Duration(8+sim.Random.IntN(8)) * time.Second})
 			}
 		}
-		for range (1 + 19*min(1, second/begins)*(1-min(1, second/ends))) * (1 - second%2) {
+		for range (1 + 19*min(1, second/overloadStart)*(1-min(1, second/overloadEnd))) * (1 - second%2) {
 			sim.User(JobSpec{Team: "red", Class: "overload", Tasks: 1 + sim.Random.IntN(7), Cpus: 2, Run: time.Duration(4+sim.Random.IntN(16)) * time.Second})
 		}
-		if second == begins {
-			before = sim.baselineOf("overload")
+		if second == overloadStart {
+			baselineBefore = sim.baselineCPUs("overload")
 		}
-		if second == begins+30 {
+		if second == overloadStart+30 {
 			go fault(sim)
 		}
 		time.Sleep(time.Second)
 	}
-	return before
+	return baselineBefore
 }
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -15,36 +15,36 @@
 // restartCases are restarts within a fraction of a second.
 var restartCases = []struct {
 	name  string
-	setup func(sim *Simulation, back time.Duration)
-	fault func(sim *Simulation, back time.Duration)
+	setup func(sim *Simulation, downtime time.Duration)
+	fault func(sim *Simulation, downtime time.Duration)
 }{
-	{"one five times in ten seconds", nil, func(sim *Simulation, back time.Duration) {
+	{"one five times in ten seconds", nil, func(sim *Simulation, downtime time.Duration) {
 		for range 5 {
-			sim.Again(back, 1)
+			sim.Again(downtime, 1)
 			time.Sleep(2 * time.Second)
 		}
 	}},
-	{"all, and again in the election", nil, func(sim *Simulation, back time.Duration) {
-		sim.Again(back, 0, 1, 2)
+	{"all, and again in the election", nil, func(sim *Simulation, downtime time.Duration) {
+		sim.Again(downtime, 0, 1, 2)
 		time.Sleep(150 * time.Millisecond)
-		sim.Again(back, 0, 1, 2)
+		sim.Again(downtime, 0, 1, 2)
 		time.Sleep(900 * time.Millisecond)
-		sim.Again(back, 0, 1)
+		sim.Again(downtime, 0, 1)
 	}},
-	{"between a commit and its answer", func(sim *Simulation, back time.Duration) {
-		var n atomic.Int32
+	{"between a commit and its answer", func(sim *Simulation, downtime time.Duration) {
+		var commits atomic.Int32
 		sim.After = func(i int, txn protocol.Txn) {
-			if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && n.Add(1)%9 == 0 && n.Load() < 50 {
+			if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && commits.Add(1)%9 == 0 && commits.Load() < 50 {
 				sim.Kill(i)
-				go func() { time.Sleep(back); sim.Start(i) }()
+				go func() { time.Sleep(downtime); sim.Start(i) }()
 			}
 		}
 	}, nil},
-	{"in an outage", nil, func(sim *Simulation, back time.Duration) {
+	{"in an outage", nil, func(sim *Simulation, downtime time.Duration) {
 		sim.Store.SetDown(true)
-		sim.Again(back+3*time.Second, 0, 1, 2)
+		sim.Again(downtime+3*time.Second, 0, 1, 2)
 		sim.Store.SetDown(false)
-		sim.Again(back, 2)
+		sim.Again(downtime, 2)
 	}},
 	{"with late transactions and heartbeats", func(sim *Simulation, _ time.Duration) {
 		sim.Late = func(string, protocol.Txn) time.Duration {
@@ -59,43 +59,43 @@
 			}
 			return 0
 		}
-	}, func(sim *Simulation, back time.Duration) {
+	}, func(sim *Simulation, downtime time.Duration) {
 		for i := range 6 {
-			sim.Again(back, i%3)
+			sim.Again(downtime, i%3)
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}},
 }
 
-// TestRestartAtOnce ends processes that are back within a fraction of a second under the same name, while
+// TestQuickRestarts ends processes that are back within a fraction of a second under the same name, while
 // their predecessors' leases have not run out and what those sent is applied late: one controller again and again, the
 // leader, the owner the moment that a commit was applied, all in the middle of an election, in an outage.
 // The rules hold, no attempt is used twice, and shards do not wander.
-func TestRestartAtOnce(t *testing.T) {
-	for round, back := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, time.Second} {
+func TestQuickRestarts(t *testing.T) {
+	for round, downtime := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, time.Second} {
 		for _, test := range restartCases {
-			t.Run(fmt.Sprintf("%v/%s", back, test.name), func(t *testing.T) {
-				var hands atomic.Int32
-				playDay(t, 700+uint64(round), func(sim *Simulation) {
+			t.Run(fmt.Sprintf("%v/%s", downtime, test.name), func(t *testing.T) {
+				var ownerChanges atomic.Int32
+				runMixedLoad(t, 700+uint64(round), func(sim *Simulation) {
 					sim.Settings.Deployment.Workers.CancelS = 36
 					sim.PeerDelay()
-					records := sim.Store.Check
+					previousCheck := sim.Store.Check
 					sim.Store.Check = func(txn protocol.Txn) {
-						records(txn)
+						previousCheck(txn)
 						if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/share/") }) {
-							hands.Add(1)
+							ownerChanges.Add(1)
 						}
 					}
 					if test.setup != nil {
-						test.setup(sim, back)
+						test.setup(sim, downtime)
 					}
 				}, func(sim *Simulation) {
 					time.Sleep(5 * time.Second)
 					if test.fault != nil {
-						test.fault(sim, back)
+						test.fault(sim, downtime)
 					}
 					time.Sleep(20 * time.Second)
-					if n := hands.Load(); n > 40 {
+					if n := ownerChanges.Load(); n > 40 {
 						t.Errorf("shards changed hands %d times", n)
 					}
 				}, nil)
@@ -105,22 +105,22 @@
 }
 
 // The checker must find what it is there for: an attempt that left a group and comes again.
-func TestAttemptsChecked(t *testing.T) {
+func TestAttemptCheckFindsReuse(t *testing.T) {
 	for _, test := range []struct {
 		attempts []uint64
-		bad      bool
+		reused   bool
 	}{{[]uint64{5, 5, 0, 6}, false}, {[]uint64{5, 0, 5}, true}, {[]uint64{5, 6, 5}, true}} {
 		var a attempts
-		n := 0
+		found := 0
 		for _, attempt := range test.attempts {
 			r := storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m"}}}
 			if attempt > 0 {
 				r.Machines[0].Tasks = []storage.PlacedTasks{{Job: "job-000001", Numbers: []uint64{0, attempt, 0, 0}}}
 			}
-			n += len(a.note(protocol.Txn{Then: []protocol.Change{{Put: storage.GroupKey(1), Value: storage.EncodeGroup(&r, false)}}}))
+			found += len(a.note(protocol.Txn{Then: []protocol.Change{{Put: storage.GroupKey(1), Value: storage.EncodeGroup(&r, false)}}}))
 		}
-		if (n > 0) != test.bad {
-			t.Errorf("%v: %d found", test.attempts, n)
+		if (found > 0) != test.reused {
+			t.Errorf("%v: %d found", test.attempts, found)
 		}
 	}
 }
--- a/internal/simulator/scenarios_messages_test.go
+++ b/internal/simulator/scenarios_messages_test.go
@@ -13,7 +13,7 @@
 		s.PartitionZone(zone)
 		time.Sleep(time.Second)
 		s.preferJobsIn(zone)
-		s.cancelJob(6)
+		s.cancelLongJobs(6)
 		for _, j := range s.cancelled {
 			for _, m := range s.machinesOf(j) {
 				if m.Zone == zone {
@@ -24,22 +24,22 @@
 		time.Sleep(45 * time.Second) // longer than cancel_s
 	}, "tasks there"},
 	{"old heartbeats at every controller as a leader begins", 9016, func(s *scenario) {
-		s.KeptHeartbeats = func(string) bool { return s.hooks.keep.Load() && s.Random.IntN(2) == 0 }
+		s.KeptHeartbeats = func(string) bool { return s.hooks.keepHeartbeats.Load() && s.Random.IntN(2) == 0 }
 	}, func(s *scenario) {
-		s.isLeader(func() {
+		s.countLeaderChanges(func() {
 			for range 4 {
-				s.hooks.keep.Store(true)
+				s.hooks.keepHeartbeats.Store(true)
 				time.Sleep(3 * time.Second)
-				s.hooks.keep.Store(false)
-				s.cancelJob(1)
-				n := len(s.long)
-				s.more(4, JobSpec{Cpus: 1}) // the kept heartbeats know nothing of them
+				s.hooks.keepHeartbeats.Store(false)
+				s.cancelLongJobs(1)
+				first := len(s.longJobs)
+				s.submitLongJobs(4, JobSpec{Cpus: 1}) // the kept heartbeats know nothing of them
 				time.Sleep(s.randomDuration(4*time.Second, 8*time.Second))
-				hit := s.hit(9, HangingMachine(true), s.long[n:]...) // and are the first that their new owners hear
-				led := s.IsLeader.Load()
-				s.next(6 * time.Second)
+				hit := s.changeMachinesOf(9, HangingMachine(true), s.longJobs[first:]...) // and are the first that their new owners hear
+				leadersBefore := s.IsLeader.Load()
+				s.restartLeader(6 * time.Second)
 				for range 60 {
-					if time.Sleep(100 * time.Millisecond); s.IsLeader.Load() > led {
+					if time.Sleep(100 * time.Millisecond); s.IsLeader.Load() > leadersBefore {
 						break
 					}
 				}
@@ -54,65 +54,65 @@
 	}, "leads, copies"},
 	{"every kind of record late, after newer ones", 9021, func(s *scenario) {
 		s.Late = func(_ string, t protocol.Txn) time.Duration {
-			if !s.hooks.late.Load() || !s.everyThird("late ", t) {
+			if !s.hooks.delayTransactions.Load() || !s.isEveryThird("late ", t) {
 				return 0
 			}
 			return s.randomDuration(2*time.Second, 12*time.Second)
 		}
 	}, func(s *scenario) {
-		s.hooks.late.Store(true)
+		s.hooks.delayTransactions.Store(true)
 		for range 5 {
-			s.cancelJob(1)
-			s.next(2 * time.Second)
-			s.stream(8 * time.Second)
+			s.cancelLongJobs(1)
+			s.restartLeader(2 * time.Second)
+			s.submitStream(8 * time.Second)
 		}
 	}, "late job, late rack, late share, late leader, late node"},
 	{"answers lost at once of every kind of record", 9022, func(s *scenario) {
-		s.LostAnswers = func(_ string, t protocol.Txn) bool { return s.hooks.lost.Load() && s.everyThird("sent ", t) }
+		s.LostAnswers = func(_ string, t protocol.Txn) bool { return s.hooks.loseAnswers.Load() && s.isEveryThird("sent ", t) }
 		s.CloseLooks = true
 	}, func(s *scenario) {
-		s.hooks.lost.Store(true)
+		s.hooks.loseAnswers.Store(true)
 		for range 5 {
-			s.cancelJob(1)
-			s.next(2 * time.Second)
-			s.stream(8 * time.Second)
+			s.cancelLongJobs(1)
+			s.restartLeader(2 * time.Second)
+			s.submitStream(8 * time.Second)
 		}
-		s.lostKinds("job", "rack", "share", "leader", "node")
+		s.countLostAnswers("job", "rack", "share", "leader", "node")
 	}, "lost job, lost rack, lost share, lost leader, lost node"},
 	{"old heartbeats after newer ones, of earlier sessions too", 9023, nil, func(s *scenario) {
-		s.hooks.copies.Store(true)
-		hit := s.hit(2, CutOff(true), s.long[:2]...)
-		s.stream(14 * time.Second)
+		s.hooks.duplicateHeartbeats.Store(true)
+		hit := s.changeMachinesOf(2, CutOff(true), s.longJobs[:2]...)
+		s.submitStream(14 * time.Second)
 		for _, m := range hit { // with a new session
 			s.Set(m, CutOff(false))
 		}
-		s.cancelJob(4)
-		s.next(3 * time.Second)
-		s.stream(20 * time.Second)
+		s.cancelLongJobs(4)
+		s.restartLeader(3 * time.Second)
+		s.submitStream(20 * time.Second)
 		s.count("copies", int(s.Copies.Load()))
 	}, "copies"},
 	{"commands and answers delayed, machines go on", 9024, func(s *scenario) {
 		s.LateCommands = func(string, protocol.DirectCommands) time.Duration {
-			if !s.hooks.commands.Load() || s.Random.IntN(3) > 0 {
+			if !s.hooks.delayCommands.Load() || s.Random.IntN(3) > 0 {
 				return 0
 			}
 			s.count("commands", 1)
 			return s.randomDuration(time.Second, 14*time.Second)
 		}
 	}, func(s *scenario) {
-		s.hooks.commands.Store(true)
-		s.hooks.answers.Store(true)
+		s.hooks.delayCommands.Store(true)
+		s.hooks.delayAnswers.Store(true)
 		for i := range 3 {
-			hit := s.hit(2, HangingMachine(true), s.long...)
-			s.cancelJob(2)
-			s.stream(7 * time.Second)
+			hit := s.changeMachinesOf(2, HangingMachine(true), s.longJobs...)
+			s.cancelLongJobs(2)
+			s.submitStream(7 * time.Second)
 			for _, m := range hit {
 				s.Set(m, HangingMachine(false))
 			}
 			if i == 1 {
-				s.next(3 * time.Second)
+				s.restartLeader(3 * time.Second)
 			}
-			s.stream(5 * time.Second)
+			s.submitStream(5 * time.Second)
 		}
 		time.Sleep(10 * time.Second)
 	}, "commands"},
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -21,46 +21,46 @@
 // scenario is a course of overlapping faults, brought about in a simulation of three controllers, nine machines and long jobs.
 type scenario struct {
 	*Simulation
-	hooks     *hooks
-	long      []*Job // uncancelled, two tasks each that run for an hour
-	cancelled []*Job
-	far       []*Job // tasks that end far apart
-	counting  sync.Mutex
-	counts    map[string]int
+	hooks       *faultHooks
+	longJobs    []*Job // uncancelled, two tasks each that run for an hour
+	cancelled   []*Job
+	awaitedJobs []*Job // tasks that end far apart
+	countsMu    sync.Mutex
+	counts      map[string]int
 }
 
 // count notes that something of the scenario came about.
-func (s *scenario) count(what string, n int) {
-	s.counting.Lock()
-	defer s.counting.Unlock()
-	s.counts[what] += n
+func (s *scenario) count(event string, n int) {
+	s.countsMu.Lock()
+	defer s.countsMu.Unlock()
+	s.counts[event] += n
 }
 
-// cancelJob has users cancel so many of the long jobs now.
-func (s *scenario) cancelJob(n int) {
-	n = min(n, len(s.long))
-	for _, j := range s.long[:n] {
+// cancelLongJobs has users cancel so many of the long jobs now.
+func (s *scenario) cancelLongJobs(n int) {
+	n = min(n, len(s.longJobs))
+	for _, j := range s.longJobs[:n] {
 		s.CancelNow(j)
 	}
-	s.cancelled, s.long = append(s.cancelled, s.long[:n]...), s.long[n:]
+	s.cancelled, s.longJobs = append(s.cancelled, s.longJobs[:n]...), s.longJobs[n:]
 }
 
 // preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled first.
 func (s *scenario) preferJobsIn(zone string) {
 	isInZone := func(m *Machine) bool { return m.Zone == zone }
 	var inZone, others []*Job
-	for _, job := range s.long {
+	for _, job := range s.longJobs {
 		if slices.ContainsFunc(s.machinesOf(job), isInZone) {
 			inZone = append(inZone, job)
 		} else {
 			others = append(others, job)
 		}
 	}
-	s.long = append(inZone, others...)
+	s.longJobs = append(inZone, others...)
 }
 
-// told is how many of the jobs that were cancelled are known to their users to be cancelled.
-func (s *scenario) told() (n int) {
+// confirmedCancellations is how many of the jobs that were cancelled are known to their users to be cancelled.
+func (s *scenario) confirmedCancellations() (n int) {
 	for _, j := range s.cancelled {
 		if s.Told(j) == protocol.Cancelled {
 			n++
@@ -69,57 +69,57 @@
 	return n
 }
 
-// more submits long jobs of every team.
-func (s *scenario) more(n int, want JobSpec) {
+// submitLongJobs submits long jobs of every team.
+func (s *scenario) submitLongJobs(n int, spec JobSpec) {
 	for i := range n {
-		want.Team = s.Settings.Deployment.Teams[i%4].Name
-		want.Tasks, want.Cpus, want.Run = cmp.Or(want.Tasks, 2), cmp.Or(want.Cpus, 4), time.Hour
-		s.long = append(s.long, s.User(want))
+		spec.Team = s.Settings.Deployment.Teams[i%4].Name
+		spec.Tasks, spec.Cpus, spec.Run = cmp.Or(spec.Tasks, 2), cmp.Or(spec.Cpus, 4), time.Hour
+		s.longJobs = append(s.longJobs, s.User(spec))
 	}
 }
 
-// stream submits one-task jobs, four a second; a quarter is cancelled, within three seconds.
-func (s *scenario) stream(d time.Duration) {
-	for i := range int(4 * d.Seconds()) {
-		want := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
+// submitStream submits one-task jobs, four a second; a quarter is cancelled, within three seconds.
+func (s *scenario) submitStream(duration time.Duration) {
+	for i := range int(4 * duration.Seconds()) {
+		spec := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
 		if i%4 == 1 {
-			want.CancelAfter = s.randomDuration(time.Millisecond, 3*time.Second)
+			spec.CancelAfter = s.randomDuration(time.Millisecond, 3*time.Second)
 		}
-		s.far = append(s.far, s.User(want))
+		s.awaitedJobs = append(s.awaitedJobs, s.User(spec))
 		time.Sleep(250 * time.Millisecond)
 	}
 }
 
-// hit changes machines that hold tasks of the jobs that a test is about, so many at most.
-func (s *scenario) hit(most int, f func(*Machine), jobs ...*Job) (hit []*Machine) {
+// changeMachinesOf changes machines that hold tasks of the jobs that a test is about, so many at most.
+func (s *scenario) changeMachinesOf(limit int, change func(*Machine), jobs ...*Job) (changed []*Machine) {
 	for _, j := range jobs {
 		for _, m := range s.machinesOf(j) {
-			if len(hit) < most && !slices.Contains(hit, m) {
-				hit = append(hit, m)
-				s.Set(m, f)
+			if len(changed) < limit && !slices.Contains(changed, m) {
+				changed = append(changed, m)
+				s.Set(m, change)
 			}
 		}
 	}
-	return hit
+	return changed
 }
 
-// next ends the leader and brings it back a while later.
-func (s *scenario) next(back time.Duration) {
-	i := theLeader(s.Simulation)
+// restartLeader ends the leader and brings it back a while later.
+func (s *scenario) restartLeader(downtime time.Duration) {
+	i := leaderOrFirst(s.Simulation)
 	if s.Controller(i).ended() {
 		return
 	}
 	s.Kill(i)
 	go func() {
-		time.Sleep(back)
+		time.Sleep(downtime)
 		if s.Controller(i).ended() {
 			s.Start(i)
 		}
 	}()
 }
 
-// isLeader is how often leadership was taken while f ran.
-func (s *scenario) isLeader(f func()) {
+// countLeaderChanges is how often leadership was taken while f ran.
+func (s *scenario) countLeaderChanges(f func()) {
 	before := s.IsLeader.Load()
 	f()
 	s.count("leads", int(s.IsLeader.Load()-before))
@@ -127,27 +127,27 @@
 
 // scenarioCase is a scenario to play. What must have come about is counted: a scenario whose count stays 0 fails.
 type scenarioCase struct {
-	name  string
-	seed  uint64
-	setup func(s *scenario)
-	play  func(s *scenario)
-	must  string // what must have come about, or must not with "!", beside cancellations that users were told
+	name     string
+	seed     uint64
+	setup    func(s *scenario)
+	run      func(s *scenario)
+	expected string // what must have come about, or must not with "!", beside cancellations that users were told
 }
 
 // scenarios are the overlapping faults that users have asked about and that no other test brings about for certain.
 var scenarios = slices.Concat(userScenarios, controllerScenarios, machineScenarios, messageScenarios)
 
-// everyThird tells whether a transaction is the first, the fourth, the seventh and so on of its kind.
-func (s *scenario) everyThird(what string, t protocol.Txn) bool {
+// isEveryThird tells whether a transaction is the first, the fourth, the seventh and so on of its kind.
+func (s *scenario) isEveryThird(prefix string, t protocol.Txn) bool {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
-	s.count(what+kind, 1)
-	s.counting.Lock()
-	defer s.counting.Unlock()
-	return s.counts[what+kind]%3 == 1
+	s.count(prefix+kind, 1)
+	s.countsMu.Lock()
+	defer s.countsMu.Unlock()
+	return s.counts[prefix+kind]%3 == 1
 }
 
-// lostKinds counts the kinds of records whose writers lost an answer.
-func (s *scenario) lostKinds(kinds ...string) {
+// countLostAnswers counts the kinds of records whose writers lost an answer.
+func (s *scenario) countLostAnswers(kinds ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range kinds {
@@ -160,8 +160,8 @@
 	s.Settings.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5}
 }
 
-// limit gives every team a limit that its jobs reach, and checks that they have.
-func (s *scenario) limit() {
+// limitTeams gives every team a limitTeams that its jobs reach, and checks that they have.
+func (s *scenario) limitTeams() {
 	for i := range s.Settings.Deployment.Teams {
 		s.Settings.Deployment.Teams[i].CpusMax = 24
 	}
@@ -181,13 +181,13 @@
 	}()
 }
 
-// watchOwnershipChanges counts cancellations that are committed while a job's shard is without its owner, or within two
+// countCancellationsBetweenOwners counts cancellations that are committed while a job's shard is without its owner, or within two
 // seconds of its next one.
-func (s *scenario) watchOwnershipChanges() {
+func (s *scenario) countCancellationsBetweenOwners() {
 	changedAt := map[int]time.Time{} // by shard
-	records := s.Store.Check
+	previousCheck := s.Store.Check
 	s.Store.Check = func(txn protocol.Txn) {
-		records(txn)
+		previousCheck(txn)
 		for _, change := range txn.Then {
 			var shard int
 			if n, _ := fmt.Sscanf(change.Put, storage.Root+"share/%d", &shard); n == 1 {
@@ -218,39 +218,39 @@
 // once all is over every job is answered and nothing waits beside capacity.
 func TestScenarios(t *testing.T) {
 	for _, c := range scenarios {
-		t.Run(c.name, func(t *testing.T) { playScenario(t, c) })
+		t.Run(c.name, func(t *testing.T) { runScenario(t, c) })
 	}
 }
 
-// playScenario plays a scenario, ends all faults, and checks what became of it.
-func playScenario(t *testing.T, c scenarioCase) {
+// runScenario plays a scenario, ends all faults, and checks what became of it.
+func runScenario(t *testing.T, c scenarioCase) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
 		scenario := newScenario(ctx, c)
-		scenario.begin()
-		c.play(scenario)
+		scenario.start()
+		c.run(scenario)
 		healAll(scenario.Simulation, scenario.hooks)
 		scenario.checkAllServed(t)
-		if scenario.told() == 0 && len(scenario.cancelled) > 0 {
+		if scenario.confirmedCancellations() == 0 && len(scenario.cancelled) > 0 {
 			t.Error("no user was told of a cancellation: nothing is proved")
 		}
-		scenario.cancelJob(len(scenario.long))
-		scenario.awaitAll(t, append(scenario.far, scenario.cancelled...), 120)
+		scenario.cancelLongJobs(len(scenario.longJobs))
+		scenario.awaitAll(t, append(scenario.awaitedJobs, scenario.cancelled...), 120)
 		time.Sleep(seconds(scenario.Settings.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
 		for _, b := range scenario.BrokenRules() {
 			t.Error(b)
 		}
-		scenario.checkCounts(t, c.must)
+		scenario.checkCounts(t, c.expected)
 	})
 }
 
 // newScenario sets a scenario up.
 func newScenario(ctx context.Context, c scenarioCase) *scenario {
-	cfg := settings()
+	cfg := testSettings()
 	cfg.Deployment.Teams[0].CpusMax = 0
 	cfg.Deployment.Workers.CancelS = 36
-	s := &scenario{Simulation: NewSimulation(ctx, cfg, c.seed), hooks: &hooks{}, counts: map[string]int{}}
+	s := &scenario{Simulation: NewSimulation(ctx, cfg, c.seed), hooks: &faultHooks{}, counts: map[string]int{}}
 	s.CapacityOf = 14
 	if os.Getenv("SCENARIO_LOG") != "" {
 		s.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -262,8 +262,8 @@
 	return s
 }
 
-// begin starts the controllers and machines, and submits the jobs that are there as the faults begin.
-func (s *scenario) begin() {
+// start starts the controllers and machines, and submits the jobs that are there as the faults start.
+func (s *scenario) start() {
 	for i := range 3 {
 		s.Start(i)
 	}
@@ -272,42 +272,42 @@
 		s.AddMachine(s.Settings.Deployment.Zones[i%3], false)
 	}
 	time.Sleep(3 * time.Second)
-	s.more(16, JobSpec{})
-	s.far = append(s.far, s.submitFarApart()...)
+	s.submitLongJobs(16, JobSpec{})
+	s.awaitedJobs = append(s.awaitedJobs, s.submitSpreadJobs()...)
 	time.Sleep(12 * time.Second)
 }
 
 // checkCounts checks that all came about that must, and nothing that must not.
-func (s *scenario) checkCounts(t *testing.T, must string) {
+func (s *scenario) checkCounts(t *testing.T, expected string) {
 	t.Helper()
-	for _, k := range strings.Split(must, ", ") {
-		if what, no := strings.CutPrefix(k, "!"); k != "" && (s.counts[what] > 0) == no {
-			t.Errorf("%q came about %d times", what, s.counts[what])
+	for _, event := range strings.Split(expected, ", ") {
+		if name, forbidden := strings.CutPrefix(event, "!"); event != "" && (s.counts[name] > 0) == forbidden {
+			t.Errorf("%q came about %d times", name, s.counts[name])
 		}
 	}
-	for what, n := range s.counts {
-		t.Logf("%s: %d", what, n)
+	for event, n := range s.counts {
+		t.Logf("%s: %d", event, n)
 	}
 	t.Logf("%d controllers ended, lead taken %d times, %d cancellations, %d starts after one, %d tasks killed by leases",
-		s.KillCount.Load(), s.IsLeader.Load(), s.told(), s.StartsAfterCancel, s.LeaseKills)
+		s.KillCount.Load(), s.IsLeader.Load(), s.confirmedCancellations(), s.StartsAfterCancel, s.LeaseKills)
 }
 
-// watchWaitingBesideCapacity watches for a time after all faults: nobody may wait beside capacity for 90 s of it.
-func (sim *Simulation) watchWaitingBesideCapacity(t *testing.T, duration time.Duration) {
+// checkNoWaitBesideCapacity watches for a time after all faults: nobody may wait beside capacity for 90 s of it.
+func (sim *Simulation) checkNoWaitBesideCapacity(t *testing.T, duration time.Duration) {
 	t.Helper()
-	since := map[*Job]time.Time{}
+	waitingSince := map[*Job]time.Time{}
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Second)
-		now := map[*Job]time.Time{}
+		stillWaiting := map[*Job]time.Time{}
 		for _, j := range sim.Beside() {
-			at, ok := since[j]
+			at, ok := waitingSince[j]
 			if !ok {
 				at = time.Now()
 			}
-			if now[j] = at; time.Since(at) > 90*time.Second {
+			if stillWaiting[j] = at; time.Since(at) > 90*time.Second {
 				t.Errorf("%s of %s has waited for 90 s beside capacity", j.ID, j.Team)
 			}
 		}
-		since = now
+		waitingSince = stillWaiting
 	}
 }
--- a/internal/simulator/scenarios_users_test.go
+++ b/internal/simulator/scenarios_users_test.go
@@ -10,27 +10,27 @@
 // userScenarios are about what users ask and are told.
 var userScenarios = []scenarioCase{
 	{"close looks, cancelled at once too", 9000, func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
-		go func() { time.Sleep(8 * time.Second); s.next(3 * time.Second) }()
-		s.stream(25 * time.Second)
-		s.cancelJob(4)
+		go func() { time.Sleep(8 * time.Second); s.restartLeader(3 * time.Second) }()
+		s.submitStream(25 * time.Second)
+		s.cancelLongJobs(4)
 		time.Sleep(5 * time.Second)
 		s.count("looks", int(s.Looks.Load()))
 	}, "looks"},
 	{"close looks while only answers are lost", 9001, func(s *scenario) {
 		s.CloseLooks = true
-		s.LostAnswers = func(string, protocol.Txn) bool { return s.hooks.lost.Load() && s.Random.IntN(3) == 0 }
+		s.LostAnswers = func(string, protocol.Txn) bool { return s.hooks.loseAnswers.Load() && s.Random.IntN(3) == 0 }
 	}, func(s *scenario) {
-		s.hooks.lost.Store(true)
-		s.stream(25 * time.Second)
-		s.cancelJob(4)
+		s.hooks.loseAnswers.Store(true)
+		s.submitStream(25 * time.Second)
+		s.cancelLongJobs(4)
 		time.Sleep(5 * time.Second)
 		s.count("looks", int(s.Looks.Load()))
-		s.lostKinds("job", "rack")
+		s.countLostAnswers("job", "rack")
 	}, "lost job, lost rack"},
 	{"one-task jobs for two minutes, a quarter cancelled", 9002, nil, func(s *scenario) {
-		go func() { time.Sleep(40 * time.Second); s.next(3 * time.Second) }()
-		s.stream(120 * time.Second)
-		s.count("jobs", len(s.far))
+		go func() { time.Sleep(40 * time.Second); s.restartLeader(3 * time.Second) }()
+		s.submitStream(120 * time.Second)
+		s.count("jobs", len(s.awaitedJobs))
 	}, "jobs"},
 	{"cancelled, asked and submitted again at the end of the last task", 9014, func(s *scenario) {
 		s.CloseLooks = true
@@ -42,28 +42,28 @@
 			s.CloseLook(j)
 		}
 	}, func(s *scenario) {
-		s.hooks.slow.Store(true) // the end may be committed between a look and the cancellation
+		s.hooks.slowStore.Store(true) // the end may be committed between a look and the cancellation
 		for i := range 40 {
-			s.far = append(s.far, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1 + i%3, Cpus: 1, Run: s.randomDuration(time.Second, 3*time.Second)}))
+			s.awaitedJobs = append(s.awaitedJobs, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1 + i%3, Cpus: 1, Run: s.randomDuration(time.Second, 3*time.Second)}))
 			time.Sleep(300 * time.Millisecond)
 		}
 	}, "at the end"},
 	{"more work than room, urgent and not, over slow links", 9020, func(s *scenario) { s.CapacityOf = 9 }, func(s *scenario) {
-		s.hooks.slow.Store(true)
+		s.hooks.slowStore.Store(true)
 		for i := range 24 {
 			urgency := []string{"low", "normal", "high", "production"}[i%4]
-			s.far = append(s.far, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 5, Cpus: 4, Run: 12 * time.Second, Urgency: urgency}))
+			s.awaitedJobs = append(s.awaitedJobs, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 5, Cpus: 4, Run: 12 * time.Second, Urgency: urgency}))
 		}
 		time.Sleep(20 * time.Second)
-		s.count("waiting", 2*len(s.long)+5*24-s.Running())
-		s.cancelJob(4)
+		s.count("waiting", 2*len(s.longJobs)+5*24-s.Running())
+		s.cancelLongJobs(4)
 		time.Sleep(10 * time.Second)
 	}, "waiting"},
 	{"odd requests", 9026, nil, func(s *scenario) {
-		s.stream(10 * time.Second)
-		s.cancelJob(3)
+		s.submitStream(10 * time.Second)
+		s.cancelLongJobs(3)
 		time.Sleep(4 * time.Second)
-		for _, j := range append(slices.Clone(s.far[:12]), append(s.cancelled, s.long...)...) {
+		for _, j := range append(slices.Clone(s.awaitedJobs[:12]), append(s.cancelled, s.longJobs...)...) {
 			s.count("answers", s.OddRequests(j))
 			if s.Told(j) == protocol.Done {
 				s.CancelNow(j) // done already: that stays
--- a/internal/simulator/simulation_cases_test.go
+++ b/internal/simulator/simulation_cases_test.go
@@ -92,21 +92,21 @@
 	}, fault: func(sim *Simulation) {
 		for i := range 12 {
 			time.Sleep(3 * time.Second)
-			gone := sim.Controller(i % 3)
+			suspected := sim.Controller(i % 3)
 			for k := range 3 {
-				if n := sim.Controller(k); n != gone {
-					n.Core.PeerDisconnected(gone.Name)
+				if observer := sim.Controller(k); observer != suspected {
+					observer.Core.PeerDisconnected(suspected.Name)
 				}
 			}
 			time.Sleep(2500 * time.Millisecond)
 			for k := range 3 {
-				sim.Controller(k).Core.ReceivePeerHeartbeat(gone.Name, protocol.PeerHeartbeat{StateOK: true})
+				sim.Controller(k).Core.ReceivePeerHeartbeat(suspected.Name, protocol.PeerHeartbeat{StateOK: true})
 			}
 		}
 	}},
 	{name: "transactions are applied late", setup: func(sim *Simulation) {
 		sim.Late = func(_ string, txn protocol.Txn) time.Duration {
-			if launches(txn) && sim.Random.IntN(6) == 0 {
+			if placesTasks(txn) && sim.Random.IntN(6) == 0 {
 				return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
 			}
 			return 0
@@ -127,8 +127,8 @@
 			sim.Start(i % 3)
 		}
 	}},
-	{name: "controllers are killed between record and launch", setup: func(sim *Simulation) { killAfter(sim, launches) }},
-	{name: "controllers are killed between the evicted set and the stops", setup: func(sim *Simulation) { killAfter(sim, evicts) }},
+	{name: "controllers are killed between record and launch", setup: func(sim *Simulation) { killAfterCommit(sim, placesTasks) }},
+	{name: "controllers are killed between the evicted set and the stops", setup: func(sim *Simulation) { killAfterCommit(sim, writesVictimSet) }},
 	{name: "rentals are carried out late", setup: func(sim *Simulation) {
 		sim.LateScaleOuts = func() time.Duration {
 			return time.Duration(sim.Random.IntN(3)*sim.Random.IntN(20000)) * time.Millisecond
@@ -181,8 +181,8 @@
 	}},
 }
 
-// launches tells whether a transaction places tasks.
-func launches(txn protocol.Txn) bool {
+// placesTasks tells whether a transaction places tasks.
+func placesTasks(txn protocol.Txn) bool {
 	for _, c := range txn.Then {
 		if _, ok := storage.GroupOf(c.Put); ok {
 			r, _ := storage.DecodeGroup(c.Value)
@@ -194,8 +194,8 @@
 	return false
 }
 
-// evicts tells whether a transaction writes a set of tasks to evict.
-func evicts(txn protocol.Txn) bool {
+// writesVictimSet tells whether a transaction writes a set of tasks to evict.
+func writesVictimSet(txn protocol.Txn) bool {
 	for _, c := range txn.Then {
 		if strings.Contains(c.Put, "/evict/") {
 			return true
@@ -204,12 +204,12 @@
 	return false
 }
 
-// killAfter kills a controller the moment that such a transaction of its own was
+// killAfterCommit kills a controller the moment that such a transaction of its own was
 // applied, four times in all, and starts it anew 4 s later.
-func killAfter(sim *Simulation, such func(protocol.Txn) bool) {
+func killAfterCommit(sim *Simulation, matches func(protocol.Txn) bool) {
 	var kills atomic.Int32
 	sim.After = func(i int, txn protocol.Txn) {
-		if such(txn) && kills.Add(1) <= 4 {
+		if matches(txn) && kills.Add(1) <= 4 {
 			sim.Kill(i)
 			go func() {
 				time.Sleep(4 * time.Second)
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -12,7 +12,7 @@
 	"dykeledge/internal/controller"
 )
 
-func settings() *config.Settings {
+func testSettings() *config.Settings {
 	s := &config.Settings{MemberName: "n0", Zone: "a", PublicAddr: "10.0.0.1:1", PeerListen: "10.0.0.1:2"}
 	s.Deployment = config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"},
 		Teams:     []config.Team{{Name: "red", CpusMax: 40}, {Name: "blue", Cpus: 16}, {Name: "green"}, {Name: "grey"}},
@@ -38,10 +38,10 @@
 	}
 }
 
-// load submits a mixed load and returns its jobs.
-func load(sim *Simulation) []*Job {
+// submitMixedLoad submits a mixed submitMixedLoad and returns its jobs.
+func submitMixedLoad(sim *Simulation) []*Job {
 	var jobs []*Job
-	wants := []JobSpec{
+	specs := []JobSpec{
 		{Team: "red", Tasks: 12, Cpus: 4, Run: 6 * time.Second},
 		{Team: "blue", Tasks: 5, Cpus: 8, Run: 8 * time.Second, NoSpot: true, Urgency: "high"},
 		{Team: "green", Tasks: 9, Cpus: 2, Run: 5 * time.Second, Scatter: true},
@@ -53,8 +53,8 @@
 	}
 	for round := range 2 {
 		first := len(jobs)
-		for _, want := range wants {
-			jobs = append(jobs, sim.User(want))
+		for _, spec := range specs {
+			jobs = append(jobs, sim.User(spec))
 			time.Sleep(time.Duration(sim.Random.IntN(1500)) * time.Millisecond)
 		}
 		// A pipeline over teams and shards with a diamond, one that hangs on a cancelled job,
@@ -73,10 +73,10 @@
 }
 
 // awaitAll waits until all users were told that their jobs are over.
-func (sim *Simulation) awaitAll(t *testing.T, jobs []*Job, seconds int) {
+func (sim *Simulation) awaitAll(t *testing.T, jobs []*Job, timeoutSeconds int) {
 	t.Helper()
 	isOpen := func(j *Job) bool { return !sim.Told(j).Final() }
-	for range seconds {
+	for range timeoutSeconds {
 		time.Sleep(time.Second)
 		if !slices.ContainsFunc(jobs, isOpen) {
 			return
@@ -97,7 +97,7 @@
 func TestSimulation(t *testing.T) {
 	for _, c := range simulationCases {
 		t.Run(c.name, func(t *testing.T) {
-			playDay(t, 5, c.setup, c.fault, func(sim *Simulation) {
+			runMixedLoad(t, 5, c.setup, c.fault, func(sim *Simulation) {
 				if sim.After != nil && sim.KillCount.Load() == 0 {
 					t.Error("no such transaction came, nothing was killed")
 				}
@@ -106,12 +106,12 @@
 	}
 }
 
-// playDay plays a mixed load through a fault, and checks every rule.
-func playDay(t *testing.T, seed uint64, setup, fault, check func(sim *Simulation)) {
+// runMixedLoad plays a mixed load through a fault, and checks every rule.
+func runMixedLoad(t *testing.T, seed uint64, setup, fault, check func(sim *Simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
-		sim := NewSimulation(ctx, settings(), seed)
+		sim := NewSimulation(ctx, testSettings(), seed)
 		if setup != nil {
 			setup(sim)
 		}
@@ -123,16 +123,16 @@
 		}
 		sim.AddMachine("a", true)
 		time.Sleep(3 * time.Second)
-		over := make(chan struct{})
+		faultDone := make(chan struct{})
 		go func() {
-			defer close(over)
+			defer close(faultDone)
 			if fault != nil {
 				fault(sim)
 			}
 		}()
-		jobs := load(sim)
+		jobs := submitMixedLoad(sim)
 		sim.awaitAll(t, jobs, 300)
-		<-over
+		<-faultDone
 		time.Sleep(35 * time.Second) // cancelled tasks must be gone by now
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
@@ -147,22 +147,22 @@
 	})
 }
 
-// TestSettingsSpread: a change is taken up by all controllers, and by one that starts later.
-func TestSettingsSpread(t *testing.T) {
+// TestSettingsPropagate: a change is taken up by all controllers, and by one that starts later.
+func TestSettingsPropagate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
-		sim := NewSimulation(ctx, settings(), 5)
+		sim := NewSimulation(ctx, testSettings(), 5)
 		sim.Start(0)
 		sim.Start(1)
 		time.Sleep(2 * time.Second)
-		_, v, err := sim.Controller(0).Core.Settings(ctx)
+		_, version, err := sim.Controller(0).Core.Settings(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = sim.Controller(0).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.7}`)); err != nil {
+		if _, _, err = sim.Controller(0).Core.ChangeSettings(ctx, version, []byte(`{"alpha":0.7}`)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err = sim.Controller(1).Core.ChangeSettings(ctx, v, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersionConflict) {
+		if _, _, err = sim.Controller(1).Core.ChangeSettings(ctx, version, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersionConflict) {
 			t.Fatalf("a change of an old version: %v", err)
 		}
 		sim.Start(2)
@@ -173,9 +173,9 @@
 			}
 		}
 		sim.Store.SetDown(true)
-		short, stop := context.WithTimeout(ctx, 3*time.Second)
-		defer stop()
-		if _, _, err := sim.Controller(0).Core.ChangeSettings(short, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrStoreUnavailable) {
+		shortCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		defer cancel()
+		if _, _, err := sim.Controller(0).Core.ChangeSettings(shortCtx, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrStoreUnavailable) {
 			t.Errorf("in an outage: %v", err)
 		}
 	})
--- a/internal/simulator/upgrade_test.go
+++ b/internal/simulator/upgrade_test.go
@@ -14,11 +14,11 @@
 	"dykeledge/internal/storage"
 )
 
-// upgrade is one course of TestUpgrade.
-type upgrade struct {
-	seed  uint64
-	gate  atomic.Bool // packed records are allowed from now on
-	kills atomic.Int32
+// upgradeRun is one course of TestUpgrade.
+type upgradeRun struct {
+	seed     uint64
+	gateOpen atomic.Bool // packed records are allowed from now on
+	kills    atomic.Int32
 }
 
 // TestUpgrade rolls the controllers from the version before to this one, through crashes, a controller
@@ -27,16 +27,16 @@
 func TestUpgrade(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			u := &upgrade{seed: seed}
+			u := &upgradeRun{seed: seed}
 			lowered := false
-			playDay(t, 300+seed, func(sim *Simulation) { u.prepare(t, sim) }, func(sim *Simulation) {
-				u.roll(sim)
+			runMixedLoad(t, 300+seed, func(sim *Simulation) { u.prepare(t, sim) }, func(sim *Simulation) {
+				u.rollOut(sim)
 				u.awaitGate()
 				sim.Store.Shrink(2<<10, 4, 56)
 				lowered = true
 				u.restartAll(sim)
 			}, func(sim *Simulation) {
-				if !u.gate.Load() || !lowered {
+				if !u.gateOpen.Load() || !lowered {
 					t.Error("the gate did not open")
 				}
 				if sim.Store.TooLarge > 0 {
@@ -47,21 +47,21 @@
 	}
 }
 
-// replace ends controller i, if it runs, and starts it: there are never two processes of one name.
-func replace(sim *Simulation, i int) {
+// restartController ends controller i, if it runs, and starts it: there are never two processes of one name.
+func restartController(sim *Simulation, i int) {
 	if !sim.Controller(i).ended() {
 		sim.Kill(i)
 	}
 	sim.Start(i)
 }
 
-// writesGate tells whether a transaction writes the record that says which layout is allowed.
-func writesGate(txn protocol.Txn) bool {
+// writesLayout tells whether a transaction writes the record that says which layout is allowed.
+func writesLayout(txn protocol.Txn) bool {
 	return slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return c.Put == storage.LayoutKey })
 }
 
 // prepare has all controllers start as the version before, and watches the gate.
-func (u *upgrade) prepare(t *testing.T, sim *Simulation) {
+func (u *upgradeRun) prepare(t *testing.T, sim *Simulation) {
 	t.Helper()
 	deployment := &sim.Settings.Deployment
 	deployment.State.Next = &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}
@@ -69,15 +69,15 @@
 	sim.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
 	sim.Store.MaxValue, sim.Store.MaxOps = 32<<10, 12
 	sim.LimitCloud(deployment.Cloud.RPS)
-	records := sim.Store.Check
+	previousCheck := sim.Store.Check
 	sim.Store.Check = func(txn protocol.Txn) { // whoever learns of it
-		records(txn)
+		previousCheck(txn)
 		u.checkGate(t, sim, txn)
 	}
 	sim.After = func(i int, txn protocol.Txn) {
-		if writesGate(txn) && u.seed%3 == 1 && u.kills.Add(1) <= 3 {
+		if writesLayout(txn) && u.seed%3 == 1 && u.kills.Add(1) <= 3 {
 			sim.Kill(i)
-			go func() { time.Sleep(3 * time.Second); replace(sim, i) }()
+			go func() { time.Sleep(3 * time.Second); restartController(sim, i) }()
 		}
 	}
 	if u.seed%4 == 3 {
@@ -92,13 +92,13 @@
 
 // checkGate checks a transaction that opens the gate: no controller of the version before may serve any more, nor become
 // ready afterwards.
-func (u *upgrade) checkGate(t *testing.T, sim *Simulation, txn protocol.Txn) {
+func (u *upgradeRun) checkGate(t *testing.T, sim *Simulation, txn protocol.Txn) {
 	t.Helper()
 	var layout storage.LayoutRecord
-	if !writesGate(txn) || json.Unmarshal(txn.Then[0].Value, &layout) != nil || layout.Version < storage.LayoutPacked {
+	if !writesLayout(txn) || json.Unmarshal(txn.Then[0].Value, &layout) != nil || layout.Version < storage.LayoutPacked {
 		return
 	}
-	u.gate.Store(true)
+	u.gateOpen.Store(true)
 	if len(txn.Then) != 2 || !strings.HasPrefix(txn.Then[1].Put, storage.Root+"machine/") {
 		t.Error("the version before would become ready on packed records")
 	}
@@ -109,13 +109,13 @@
 	}
 }
 
-// roll replaces one controller after the other by this version.
-func (u *upgrade) roll(sim *Simulation) {
+// rollOut replaces one controller after the other by this version.
+func (u *upgradeRun) rollOut(sim *Simulation) {
 	time.Sleep(time.Duration(2000+sim.Random.IntN(4000)) * time.Millisecond)
 	if u.seed%2 == 1 { // dies before its turn and comes back old
 		sim.Kill(2)
 		time.Sleep(2 * time.Second)
-		replace(sim, 2)
+		restartController(sim, 2)
 	}
 	for i := range 3 {
 		sim.Kill(i)
@@ -123,23 +123,23 @@
 		sim.mu.Lock()
 		delete(sim.Old, i)
 		sim.mu.Unlock()
-		replace(sim, i)
+		restartController(sim, i)
 		time.Sleep(time.Duration(1000+sim.Random.IntN(5000)) * time.Millisecond)
 	}
 	time.Sleep(time.Duration(sim.Random.IntN(8000)) * time.Millisecond)
 }
 
 // awaitGate waits until packed records are allowed, for 100 s at most.
-func (u *upgrade) awaitGate() {
+func (u *upgradeRun) awaitGate() {
 	for range 1000 {
-		if time.Sleep(100 * time.Millisecond); u.gate.Load() {
+		if time.Sleep(100 * time.Millisecond); u.gateOpen.Load() {
 			return
 		}
 	}
 }
 
 // restartAll ends all controllers at once in some of the courses, and brings them back.
-func (u *upgrade) restartAll(sim *Simulation) {
+func (u *upgradeRun) restartAll(sim *Simulation) {
 	if u.seed%5 != 0 {
 		return
 	}
@@ -148,6 +148,6 @@
 	}
 	time.Sleep(2 * time.Second)
 	for i := range 3 {
-		replace(sim, i)
+		restartController(sim, i)
 	}
 }
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -9,14 +9,14 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestCancelledInAPartitionedZone cancels a job just after the zone of its machines' owner was partitioned, with four in
+// TestCancelledJobEndsInPartitionedZone cancels a job just after the zone of its machines' owner was partitioned, with four in
 // ten machines and more: the owner inside keeps up their leases, and the one outside suspects itself. With its limit
 // of three leases alone, here longer than cancel_s, the job's tasks ran on; so would they on machines that are kept
 // since services run on them. The services go on, and run everywhere once the partition is over.
-func TestCancelledInAPartitionedZone(t *testing.T) {
+func TestCancelledJobEndsInPartitionedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
-		cfg := settings()
+		cfg := testSettings()
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 45}
 		sim := NewSimulation(ctx, cfg, 9)
