--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -10,8 +10,9 @@
 	"dykeledge/internal/protocol"
 )
 
-// stallAfterCommit stalls a controller the moment that such a transaction of its own was
-// applied, before it learns of that, a few times in all.
+// stallAfterCommit stalls a controller for d right after one of its transactions that writes a key
+// containing keyPart is applied, before the controller receives the answer. It does so four times at most,
+// and not in the first 4 s of the simulation.
 func stallAfterCommit(sim *Simulation, keyPart string, d time.Duration) {
 	var stalls atomic.Int32
 	sim.After = func(i int, txn protocol.Txn) {
@@ -25,8 +26,8 @@
 	}
 }
 
-// TestStalls: a controller stalls while its clocks run on, and goes on as if
-// nothing had happened: shorter than its lease, about as long, and far longer.
+// TestStalls stalls controllers while their clocks run on, for less than a session lease, about as long,
+// and far longer. A stalled controller resumes as if no time had passed.
 func TestStalls(t *testing.T) {
 	for _, duration := range []time.Duration{2, 4, 5, 6, 9, 14, 45} {
 		duration *= time.Second
@@ -35,14 +36,14 @@
 			setup func(sim *Simulation)
 			fault func(sim *Simulation)
 		}{
-			{"one after the other", nil, func(sim *Simulation) {
+			{"one controller after another", nil, func(sim *Simulation) {
 				for i := range 3 {
 					time.Sleep(5 * time.Second)
 					sim.Controller(i).Stall(duration)
 					time.Sleep(duration)
 				}
 			}},
-			{"two at once", nil, func(sim *Simulation) {
+			{"two controllers at once", nil, func(sim *Simulation) {
 				time.Sleep(6 * time.Second)
 				sim.Controller(0).Stall(duration)
 				sim.Controller(1).Stall(duration)
@@ -57,9 +58,9 @@
 				time.Sleep(duration)
 				sim.Start(0)
 			}},
-			{"between a commit and its launches", func(sim *Simulation) { stallAfterCommit(sim, "/rack/", duration) }, nil},
-			{"between a machine's record and what follows", func(sim *Simulation) { stallAfterCommit(sim, "/fleet/", duration) }, nil},
-			{"while shards are given away", func(sim *Simulation) { stallAfterCommit(sim, "/share/", duration) }, func(sim *Simulation) {
+			{"between the commit of a placement and its launches", func(sim *Simulation) { stallAfterCommit(sim, "/rack/", duration) }, nil},
+			{"after the commit of a fleet record", func(sim *Simulation) { stallAfterCommit(sim, "/fleet/", duration) }, nil},
+			{"after the commit of a shard's new owner", func(sim *Simulation) { stallAfterCommit(sim, "/share/", duration) }, func(sim *Simulation) {
 				for i := range 3 {
 					time.Sleep(7 * time.Second)
 					sim.Kill(i)
@@ -74,7 +75,8 @@
 	}
 }
 
-// healComponents ends the faults of controllers, machines and the state service.
+// healComponents ends the faults of the controllers, the machines and the state service, and restarts the
+// controllers that have ended.
 func healComponents(sim *Simulation) {
 	sim.Store.SetDown(false)
 	for i := range 3 {
@@ -92,8 +94,9 @@
 	}
 }
 
-// TestRandomFaults overlaps faults by seed: partitions by direction and neighbour, refusals,
-// stalls, deaths, late machines and lagging lists.
+// TestRandomFaults injects overlapping faults that the seed chooses: partitions of a controller from one
+// or several neighbours or in one direction, refusals by the state service, stalls, ends of controllers,
+// machines that boot late or never, and an outdated machine list.
 func TestRandomFaults(t *testing.T) {
 	faults := []func(sim *Simulation, i int){
 		func(sim *Simulation, i int) { sim.Controller(i).Cut(AllCut) },
@@ -123,10 +126,10 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runMixedLoad(t, 100+seed, func(sim *Simulation) {
 				if seed%2 == 1 {
-					sim.PeerDelay() // hints must make no difference to the rules
+					sim.PeerDelay() // the rules must hold with and without peer heartbeats
 				}
-				// Faults overlap for up to half a minute, and a machine that hangs with what
-				// was cancelled can't be emptied before: deployments allow 36 s and more.
+				// Faults overlap for up to 30 s, and cancelled tasks on a machine that hangs can't be
+				// terminated before it resumes. Deployments set cancel_s to 36 s or more.
 				sim.Settings.Deployment.Workers.CancelS = 36
 				sim.CapacityOf = 12
 				sim.Boot = func() time.Duration {
@@ -155,8 +158,10 @@
 	}
 }
 
-// An owner fell silent in an outage of the state service. Nobody could take over, the
-// other controllers sent its workers back to it, and 1460 tasks were killed by their leases.
+// TestLeasesSurviveStalledOwnerInOutage checks that no task is killed when a controller stalls during an
+// outage of the state service. In the fault that this test guards against, no controller could take over
+// the stalled owner's shards, the other controllers redirected its workers to it, and 1460 tasks were
+// killed by their expired leases.
 func TestLeasesSurviveStalledOwnerInOutage(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -165,14 +170,14 @@
 				sim.Store.SetDown(true)
 				time.Sleep(3 * time.Second)
 				if sim.LeaseKills > 0 {
-					t.Error("tasks were killed before the owner fell silent: the case proves nothing")
+					t.Error("tasks were killed by expired leases before the owner stalled: the stall can't be shown to be harmless")
 				}
 				sim.Controller(i).Stall(20 * time.Second)
 				time.Sleep(20 * time.Second)
 				sim.Store.SetDown(false)
 			}, func(sim *Simulation) {
 				if sim.LeaseKills > 0 {
-					t.Errorf("%d tasks were killed by their leases", sim.LeaseKills)
+					t.Errorf("%d tasks were killed by expired leases, want none", sim.LeaseKills)
 				}
 			})
 		})
--- a/internal/simulator/gpu_cluster_test.go
+++ b/internal/simulator/gpu_cluster_test.go
@@ -11,10 +11,12 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestGPUCluster plays services of top priority over arrays that save, on machines whose accelerators bind,
-// with images that take as long as a boot, one team and so one shard, three small controllers: bursts, a
-// zone that is partitioned and goes on inside, dead and taken machines, owners that end, an end of all in an outage. All
-// rules hold, services are back within a minute and a half, and no array is starved.
+// TestGPUCluster runs services of top priority beside arrays that save checkpoints, on machines whose GPUs
+// are the scarce resource and with images that take as long to fetch as a machine to boot. One team, and
+// so one shard, is served by three controllers with low limits. The faults are bursts of submissions, a
+// partitioned zone that keeps running inside, dead and preempted machines, ends of shard owners, and the
+// end of all controllers during an outage of the state service. No rule may be broken, 95 % of the service
+// replicas must run 100 s after the last submission, and every array must complete.
 func TestGPUCluster(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -23,12 +25,13 @@
 	}
 }
 
-// gpuCluster is a simulated cluster with the services and arrays that run on it.
+// gpuCluster is a simulated cluster with the services and arrays submitted to it.
 type gpuCluster struct {
 	*Simulation
 	services, arrays []*Job
 }
 
+// runGPUCluster runs TestGPUCluster with one seed.
 func runGPUCluster(t *testing.T, seed uint64) {
 	t.Helper()
 	ctx := simulationContext(t)
@@ -48,7 +51,7 @@
 			cluster.partitionZoneDuringBurst(int(seed) % 3)
 		case 16:
 			cluster.loseMachines()
-		case 20: // an end of all within an outage
+		case 20: // all controllers end during an outage of the state service
 			cluster.Store.SetDown(true)
 			time.Sleep(4 * time.Second)
 			cluster.Again(5*time.Second, 0, 1, 2)
@@ -66,14 +69,15 @@
 	for _, b := range cluster.BrokenRules() {
 		t.Error(b)
 	}
-	t.Logf("%d of %d replicas up, arrays done after %v, %d starts, %d changes, %d killed by leases",
+	t.Logf("%d of %d replicas running, arrays done after %v, %d task starts, %d writes, %d tasks killed by expired leases",
 		running, expected, time.Since(cluster.StartTime), cluster.Started, cluster.Store.Writes, cluster.LeaseKills)
 	if running < expected*95/100 {
-		t.Errorf("%d of %d replicas are up", running, expected)
+		t.Errorf("%d of %d service replicas are running, want at least 95 %%", running, expected)
 	}
 }
 
-// newGPUCluster starts three small controllers for one team with machines of eight accelerators.
+// newGPUCluster starts three controllers under low limits of the state service and the cloud, with one
+// team and machines of eight GPUs.
 func newGPUCluster(ctx context.Context, seed uint64) *gpuCluster {
 	cfg := testSettings()
 	deployment := &cfg.Deployment
@@ -97,7 +101,7 @@
 	return cluster
 }
 
-// submitService submits a service of some replicas.
+// submitService submits a service of three to eight replicas.
 func (c *gpuCluster) submitService() {
 	replicas := []int{3, 3, 6, 8}[c.Random.IntN(4)]
 	image := c.Random.IntN(6)
@@ -105,14 +109,15 @@
 		MemGB: 29, Image: fmt.Sprint("serve-", image), ImageGB: float64(4 + 2*image), NoSpot: true, Scatter: true}))
 }
 
-// submitArray submits an array that saves checkpoints.
+// submitArray submits an array whose tasks save checkpoints.
 func (c *gpuCluster) submitArray() {
 	image := c.Random.IntN(8)
 	c.arrays = append(c.arrays, c.User(JobSpec{Team: "gpu", Class: "sweep", Urgency: "low", Tasks: 8 + c.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
 		Image: fmt.Sprint("sweep-", image), ImageGB: float64(3 + image), Run: time.Duration(30+c.Random.IntN(60)) * time.Second, CheckpointS: 15}))
 }
 
-// partitionZoneDuringBurst submits a burst while a zone is partitioned with what it runs, and a controller ends.
+// partitionZoneDuringBurst submits six services while a random zone is partitioned from everything
+// outside, and restarts one controller meanwhile.
 func (c *gpuCluster) partitionZoneDuringBurst(killed int) {
 	for range 6 {
 		c.submitService()
@@ -123,7 +128,7 @@
 	c.PartitionZone("")
 }
 
-// loseMachines has some machines die, and some taken by the cloud.
+// loseMachines makes every seventh machine die, and has the cloud preempt some of the spot machines.
 func (c *gpuCluster) loseMachines() {
 	for i, m := range c.Machines() {
 		if i%7 == 0 {
--- a/internal/simulator/hooks_test.go
+++ b/internal/simulator/hooks_test.go
@@ -8,15 +8,16 @@
 	"dykeledge/internal/protocol"
 )
 
-// faultHooks switch the delays, losses and copies of a simulation on and off, while it runs.
+// faultHooks switches the simulation's message faults (delays, losses and duplicates) on and off while it
+// runs.
 type faultHooks struct {
 	mu           sync.Mutex
-	jobsToCancel []*Job // long jobs that are cancelled sooner or later
+	jobsToCancel []*Job // long-running jobs that are cancelled during the test
 	duplicateHeartbeats, delayHeartbeats, slowStore, delayTransactions, delayCommands,
 	delayAnswers, loseAnswers, keepHeartbeats, cancelAtEnd atomic.Bool
 }
 
-// install sets the simulation's hooks, all off.
+// install sets the simulation's hooks, with all faults switched off.
 func (h *faultHooks) install(sim *Simulation) {
 	delayIfOn := func(on *atomic.Bool, probability float64, shortest, longest time.Duration) time.Duration {
 		if !on.Load() || sim.Random.Float64() >= probability {
@@ -45,7 +46,7 @@
 	sim.LateAnswers = func(string) time.Duration { return delayIfOn(&h.delayAnswers, 0.3, time.Second, 4*time.Second) }
 }
 
-// randomDuration is a time from a shortest one to below a longest one.
+// randomDuration returns a random duration from shortest up to, but not including, longest.
 func (sim *Simulation) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(sim.Random.Float64()*float64(longest-shortest))
 }
@@ -61,14 +62,15 @@
 	healComponents(sim)
 }
 
-// addJobToCancel notes a job that is cancelled.
+// addJobToCancel records a long-running job that is cancelled during the test.
 func (h *faultHooks) addJobToCancel(j *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobsToCancel = append(h.jobsToCancel, j)
 }
 
-// cancelAll has the users of all jobs that run for long cancel them now, and up to eight of their machines hang.
+// cancelAll has the users of all recorded jobs cancel them now. If hang is set, up to eight of the
+// machines that run their tasks hang.
 func (h *faultHooks) cancelAll(sim *Simulation, hang bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -10,25 +10,27 @@
 	"dykeledge/internal/config"
 )
 
-// isolationCase is one course of the overlapping faults that users named before all others.
+// isolationCase is one case of TestDeniedControllerThenOutage.
 type isolationCase struct {
 	workers         config.Workers
-	deniedBefore    time.Duration // the leader alone is refused so long before the outage
-	cancelledBefore time.Duration // the first of the jobs is cancelled so long before the outage
-	outageFactor    float64       // times cancel_s
-	oldControllers  int           // so many controllers are of the version before: no digests, no time in the cancellation's record
+	deniedBefore    time.Duration // time from the refusal of one controller to the outage
+	cancelledBefore time.Duration // time from the first cancellation to the outage
+	outageFactor    float64       // length of the outage as a multiple of cancel_s
+	oldControllers  int           // controllers of the previous version: no cancellation digests, no time in the cancellation's record
 }
 
-// runIsolated has the state service refuse the leader alone, other controllers confirm cancellations, and then the
-// state service refuse everybody, while the workers keep sending heartbeats to the old leader. It returns how many
-// tasks of cancelled jobs were on machines as the outage began, and those killed by their leases.
+// runIsolated has the state service refuse one controller (the leader, or with odd seeds the controller
+// after it), has the others confirm cancellations, and then begins an outage and injects a fault. The
+// workers keep sending heartbeats to the refused controller. It returns how many tasks of the cancelled
+// jobs were on machines when the cancellations were confirmed, and how many tasks were killed by expired
+// leases until the end of the outage.
 func runIsolated(t *testing.T, seed uint64, c isolationCase, inject func(sim *Simulation, denied int)) (cancelledTasks, killedTasks int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
 		sim, jobs := c.begin(ctx, seed)
 		denied := max(0, sim.Leader())
-		if seed%2 == 1 { // an owner that does not lead
+		if seed%2 == 1 { // a shard owner that is not the leader
 			denied = (denied + 1) % 3
 		}
 		sim.Store.Deny(sim.Controller(denied).Name, true)
@@ -49,7 +51,7 @@
 		for _, j := range jobs[4:] {
 			if sim.On(j) < j.Tasks {
 				shards, err := sim.Controller(denied).Core.ShardViews(ctx)
-				t.Errorf("%s of %s is %s with %d of %d tasks on machines 75 s after all is over: %+v, %v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards, err)
+				t.Errorf("%s of team %s is %s with %d of %d tasks on machines 75 s after the end of the faults; shards %+v, error %v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards, err)
 			}
 		}
 		for _, b := range sim.BrokenRules() {
@@ -59,7 +61,7 @@
 	return cancelledTasks, killedTasks
 }
 
-// begin starts a simulation in which eight jobs run for as long as the course takes.
+// begin starts a simulation with eight jobs that run for an hour, longer than the case takes.
 func (c isolationCase) begin(ctx context.Context, seed uint64) (*Simulation, []*Job) {
 	cfg := testSettings()
 	cfg.Deployment.Workers = c.workers
@@ -83,8 +85,9 @@
 	return sim, jobs
 }
 
-// cancelAtOthers has the controllers beside one confirm cancellations, as long before the outage as the course says, and
-// returns how many of the jobs' tasks were on machines then.
+// cancelAtOthers cancels the jobs through the controllers that are not denied, the first one
+// cancelledBefore ahead of the outage. It returns how many tasks of the jobs whose cancellation was
+// confirmed were on machines then.
 func (c isolationCase) cancelAtOthers(t *testing.T, sim *Simulation, jobs []*Job, denied int) (tasks int) {
 	t.Helper()
 	if c.deniedBefore > c.cancelledBefore {
@@ -99,15 +102,15 @@
 		time.Sleep(c.cancelledBefore / 4)
 	}
 	if confirmed == 0 {
-		t.Error("no cancellation was confirmed: the case proves nothing")
+		t.Error("no cancellation was confirmed: the case checks nothing")
 	}
-	if c.deniedBefore < c.cancelledBefore { // the last of them before
+	if c.deniedBefore < c.cancelledBefore { // the last cancellation precedes the outage by deniedBefore
 		time.Sleep(c.deniedBefore)
 	}
 	return tasks
 }
 
-// eachOther calls f for all controllers beside one.
+// eachOther calls f for each controller except the denied one.
 func eachOther(denied int, f func(i int)) {
 	for i := range 3 {
 		if i != denied {
@@ -116,25 +119,26 @@
 	}
 }
 
-// isolationFaults are what becomes of the controllers that are not refused alone, as the outage begins.
+// isolationFaults are the faults that are injected as the outage begins. In their names, the others are
+// the controllers that the state service did not refuse before the outage.
 var isolationFaults = []struct {
 	name   string
 	inject func(sim *Simulation, denied int)
 }{
-	{"they live on", func(*Simulation, int) {}},
-	{"they are killed", func(sim *Simulation, denied int) { eachOther(denied, sim.Kill) }},
-	{"they stall", func(sim *Simulation, denied int) {
+	{"the others keep running", func(*Simulation, int) {}},
+	{"the others are killed", func(sim *Simulation, denied int) { eachOther(denied, sim.Kill) }},
+	{"the others stall", func(sim *Simulation, denied int) {
 		eachOther(denied, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
 	}},
-	{"they lose peers and workers", func(sim *Simulation, denied int) {
+	{"the others lose peers and workers", func(sim *Simulation, denied int) {
 		eachOther(denied, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
 	}},
-	{"they lose their workers", func(sim *Simulation, denied int) { eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
-	{"the leader loses its peers", func(sim *Simulation, denied int) {
+	{"the others lose their workers", func(sim *Simulation, denied int) { eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
+	{"the denied controller loses its peers, the others their workers", func(sim *Simulation, denied int) {
 		sim.Controller(denied).Cut(NoPeers)
 		eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) })
 	}},
-	{"all end, one is back within a second", func(sim *Simulation, denied int) {
+	{"all are killed, the denied one restarts within a second", func(sim *Simulation, denied int) {
 		time.Sleep(3 * time.Second)
 		for i := range 3 {
 			sim.Kill(i)
@@ -144,9 +148,11 @@
 	}},
 }
 
-// TestDeniedControllerThenOutage: an owner that the state service refuses alone goes on answering its workers.
-// What others confirm as cancelled it can't read, and if they can't reach the workers either, nobody stops
-// those tasks: before owners were bound too, they ran on for as long as the outage lasted.
+// TestDeniedControllerThenOutage checks that tasks of cancelled jobs end although the state service
+// refuses their shard's owner, and then every controller. The owner keeps answering its workers, but can't
+// read the cancellations that other controllers confirm; if those can't reach the workers, nobody
+// terminates the tasks. Before the limits on lease renewals also applied to such an owner, these tasks ran
+// for as long as the outage lasted.
 func TestDeniedControllerThenOutage(t *testing.T) {
 	cancelledTasks, seed := 0, uint64(0)
 	for _, workers := range []config.Workers{
@@ -164,15 +170,15 @@
 			} {
 				c.workers = workers
 				seed++
-				t.Run(fmt.Sprintf("lease %v/%s/%v before, %d old", workers.LeaseS, fault.name, c.deniedBefore, c.oldControllers), func(t *testing.T) {
+				t.Run(fmt.Sprintf("lease %v/%s/denied %v before, %d of the previous version", workers.LeaseS, fault.name, c.deniedBefore, c.oldControllers), func(t *testing.T) {
 					cancelled, killed := runIsolated(t, seed, c, fault.inject)
 					cancelledTasks += cancelled
-					t.Logf("%d tasks of cancelled jobs as the outage began, %d killed by leases", cancelled, killed)
+					t.Logf("%d tasks on machines when their jobs were cancelled, %d tasks killed by expired leases", cancelled, killed)
 				})
 			}
 		}
 	}
 	if cancelledTasks == 0 {
-		t.Error("no task of a cancelled job ever ran: nothing is proved")
+		t.Error("no task of a cancelled job was on a machine: the test checks nothing")
 	}
 }
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -8,10 +8,10 @@
 	"dykeledge/internal/config"
 )
 
-// TestLargeSimulation plays hundreds of machines and thousands of tasks against a state
-// service and a cloud that refuse what is over their rates, through a wave of lost machines, a
-// takeover and the restart of all controllers. One record a machine took 2 changes a
-// finished task, more than the service allows at this size.
+// TestLargeSimulation runs hundreds of machines and thousands of tasks against a state service and a cloud
+// that refuse requests over their rate limits. Meanwhile many machines die at once, the shards of an ended
+// controller are taken over, and all controllers restart. With one record per machine, a finished task
+// took 2 writes, more than the state service allows at this size.
 func TestLargeSimulation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const controllers, initialMachines, rentableMachines = 5, 120, 260
@@ -36,22 +36,23 @@
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
-		t.Logf("%d tasks, %d starts, %d changes, %d requests, %d over the rate, %v", tasks, sim.Started, sim.Store.Writes, sim.Store.Requests, sim.Store.OverRate, time.Since(sim.StartTime))
+		t.Logf("%d tasks, %d task starts, %d writes, %d requests, %d over the rate limit, %v", tasks, sim.Started, sim.Store.Writes, sim.Store.Requests, sim.Store.OverRate, time.Since(sim.StartTime))
 		if writesPerTask := float64(sim.Store.Writes) / float64(tasks); writesPerTask > 1 {
-			t.Errorf("%.2f changes a task", writesPerTask)
+			t.Errorf("%.2f writes per task, want at most 1", writesPerTask)
 		}
 		if overRate := float64(sim.Store.OverRate) / float64(sim.Store.Requests); overRate > 0.02 {
-			t.Errorf("%.3f of the requests were over the rate", overRate)
+			t.Errorf("%.3f of the requests to the state service were over its rate limit, want at most 0.02", overRate)
 		}
-		t.Logf("%d calls of the cloud, %d over its rate", sim.CloudCalls, sim.CloudOver)
+		t.Logf("%d requests to the cloud, %d over its rate limit", sim.CloudCalls, sim.CloudOver)
 		if sim.CloudCalls == 0 || sim.CloudOver*20 > sim.CloudCalls {
-			t.Errorf("%d of %d calls of the cloud were over its rate", sim.CloudOver, sim.CloudCalls)
+			t.Errorf("%d of %d requests to the cloud were over its rate limit, want some requests and at most 5 %% over", sim.CloudOver, sim.CloudCalls)
 		}
 	})
 }
 
-// submitLargeLoad submits 110 jobs through a wave of lost machines, a takeover and the restart of all controllers, and
-// returns them with the number of their tasks.
+// submitLargeLoad submits 110 jobs. Meanwhile an eighth of the machines die, one controller is down for 6
+// s so that its shards are taken over, and all controllers restart. It returns the jobs and the number of
+// their tasks.
 func (sim *Simulation) submitLargeLoad() (jobs []*Job, tasks int) {
 	deployment := &sim.Settings.Deployment
 	for i := range 110 {
@@ -88,10 +89,11 @@
 	return jobs, tasks
 }
 
-// TestGuestTeamOverload lets a guest team overload the home teams: idle-time work for the whole
-// fleet, one array of thousands of tasks and hundreds of single ones within 40 s, while
-// two controllers end. Controllers without shards refused the guests for want of a rate that
-// others left unused, and the home teams waited behind idle-time work.
+// TestGuestTeamOverload has a guest team overload the home teams: idle-time work for all machines, one
+// array of thousands of tasks, and hundreds of single-task jobs within 40 s, while two controllers
+// restart. In the fault that this test guards against, controllers without shards refused the guest team's
+// jobs for lack of a rate that other controllers left unused, and the home teams' jobs waited behind
+// idle-time work.
 func TestGuestTeamOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const controllers = 5
@@ -129,18 +131,18 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		sim.awaitAll(t, homeJobs, 60)
-		t.Logf("home teams done after %v", time.Since(sim.StartTime))
+		t.Logf("jobs of the home teams done after %v", time.Since(sim.StartTime))
 		sim.awaitAll(t, append(singleTaskJobs, largeArray), 200)
-		t.Logf("guests done after %v; %.2f changes a single job with all others, %d of %d requests over the rate, %d of the idle-time tasks on machines",
+		t.Logf("jobs of the guest team done after %v; %.2f writes per single-task job, those of all other jobs included; %d of %d requests over the rate limit, %d idle-time tasks on machines",
 			time.Since(sim.StartTime), float64(sim.Store.Writes-writesBefore)/800, sim.Store.OverRate, sim.Store.Requests, sim.On(idleArray))
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
 		if writesPerJob := float64(sim.Store.Writes-writesBefore) / 800; writesPerJob > 5 {
-			t.Errorf("%.2f changes a single job", writesPerJob)
+			t.Errorf("%.2f writes per single-task job, want at most 5", writesPerJob)
 		}
 		if sim.Store.OverRate*50 > sim.Store.Requests {
-			t.Errorf("%d of %d requests were over the rate", sim.Store.OverRate, sim.Store.Requests)
+			t.Errorf("%d of %d requests to the state service were over its rate limit, want at most 2 %%", sim.Store.OverRate, sim.Store.Requests)
 		}
 	})
 }
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -10,16 +10,18 @@
 	"dykeledge/internal/storage"
 )
 
-// killExpectation is whether tasks are killExpectation by their leases.
+// killExpectation states whether a test case expects tasks to be killed by expired leases.
 type killExpectation int
 
 const (
-	_ killExpectation = iota // never
+	_ killExpectation = iota // no task may be killed
 	mayKill
 	mustKill
 )
 
-// restartAllInOutage ends all controllers, begins an outage, and starts them again in it.
+// restartAllInOutage ends all controllers, begins an outage of the state service, and starts the
+// controllers again 5 s later. If secondRestart is above 0, it restarts them once more, so long after the
+// outage began.
 func restartAllInOutage(sim *Simulation, outage, secondRestart time.Duration) {
 	eachController(sim.Kill)
 	sim.Store.SetDown(true)
@@ -37,24 +39,26 @@
 	sim.Store.SetDown(false)
 }
 
-// All controllers ended 2 s before an outage of 20 s: nobody knew the workers' token, every
-// heartbeat was refused, and 4225 tasks were killed by their leases. Now restarted controllers keep the
-// leases up, but not for so long that a task outlives its job's cancellation, whose last witness ended.
+// TestLeasesAcrossRestartOfAllControllers restarts all controllers in an outage of the state service. When
+// all controllers had ended 2 s before an outage of 20 s, none of the new processes had the workers'
+// fencing token: every heartbeat was refused, and 4225 tasks were killed by their expired leases.
+// Restarted controllers must renew the leases, but only for so long that no task outlives cancel_s after
+// its job's cancellation, even if every controller that had read the cancellation has ended.
 func TestLeasesAcrossRestartOfAllControllers(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
 		lease, cancel         float64
 		outage, secondRestart time.Duration
-		cancelled             bool // a job, whose tasks no controller can reach any more
+		cancelled             bool // a job is cancelled just before, and no controller can reach its tasks any more
 		kills                 killExpectation
 	}{
-		{name: "short", lease: 10, cancel: 40, outage: 8 * time.Second},
-		{name: "longer than a lease", lease: 10, cancel: 40, outage: 22 * time.Second},
-		{name: "longer than a lease, a job was cancelled just before", lease: 10, cancel: 40, outage: 22 * time.Second, cancelled: true, kills: mayKill},
-		{name: "longer than cancel_s", lease: 10, cancel: 40, outage: 60 * time.Second, kills: mustKill},
-		{name: "longer than cancel_s, a job was cancelled just before", lease: 10, cancel: 40, outage: 60 * time.Second, cancelled: true, kills: mustKill},
-		{name: "twice in one outage", lease: 10, cancel: 40, outage: 30 * time.Second, secondRestart: 12 * time.Second, cancelled: true, kills: mayKill},
-		{name: "leases that leave no time", lease: 14, cancel: 28, outage: 60 * time.Second, cancelled: true, kills: mustKill},
+		{name: "outage shorter than a lease", lease: 10, cancel: 40, outage: 8 * time.Second},
+		{name: "outage longer than a lease", lease: 10, cancel: 40, outage: 22 * time.Second},
+		{name: "outage longer than a lease, a job was cancelled just before", lease: 10, cancel: 40, outage: 22 * time.Second, cancelled: true, kills: mayKill},
+		{name: "outage longer than cancel_s", lease: 10, cancel: 40, outage: 60 * time.Second, kills: mustKill},
+		{name: "outage longer than cancel_s, a job was cancelled just before", lease: 10, cancel: 40, outage: 60 * time.Second, cancelled: true, kills: mustKill},
+		{name: "two restarts in one outage", lease: 10, cancel: 40, outage: 30 * time.Second, secondRestart: 12 * time.Second, cancelled: true, kills: mayKill},
+		{name: "cancel_s leaves no time for unverified renewals", lease: 14, cancel: 28, outage: 60 * time.Second, cancelled: true, kills: mustKill},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runningTasks := 0
@@ -70,22 +74,23 @@
 				restartAllInOutage(sim, test.outage, test.secondRestart)
 			}, func(sim *Simulation) {
 				if runningTasks == 0 {
-					t.Error("no task ran when the controllers ended: the case proves nothing")
+					t.Error("no task ran when the controllers ended: the case checks nothing")
 				}
 				if test.kills != mayKill && (sim.LeaseKills > 0) != (test.kills == mustKill) {
-					t.Errorf("%d tasks were killed by their leases, must be: %v", sim.LeaseKills, test.kills == mustKill)
+					t.Errorf("%d tasks were killed by expired leases, want any: %v", sim.LeaseKills, test.kills == mustKill)
 				}
 			})
 		})
 	}
 }
 
-// cancelAndCutWorkers has a job cancelled, whose user is told, and partitions all controllers from the workers
-// before any of them has sent a stop.
+// cancelAndCutWorkers runs a job and has its user cancel it. As the cancellation is committed, it
+// partitions all controllers from the workers, before any of them has sent a command to terminate the
+// tasks, and calls onCommit. It returns when the user has received the confirmation.
 func cancelAndCutWorkers(t *testing.T, sim *Simulation, onCommit func()) {
 	t.Helper()
 	job := sim.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
-	for range 400 { // where machines are still coming up it waits for room first
+	for range 400 { // the job waits for capacity while machines boot
 		if time.Sleep(100 * time.Millisecond); sim.On(job) == 3 {
 			break
 		}
@@ -109,17 +114,18 @@
 	}
 	sim.After = nil
 	if sim.Told(job) != protocol.Cancelled || sim.On(job) == 0 {
-		t.Errorf("its user was told %q, %d tasks are on machines: the case proves nothing", sim.Told(job), sim.On(job))
+		t.Errorf("the job's last reported status is %q, %d of its tasks are on machines: the case checks nothing", sim.Told(job), sim.On(job))
 	}
 }
 
-// An outage longer than cancel_s begins just as a job was cancelled: whatever of that its
-// owner has read, and whoever ends, the job's tasks must end.
+// TestCancelledTasksEndInOutage begins an outage of the state service just after a job is cancelled, one
+// shorter and one longer than cancel_s. The job's tasks must end in time, whether or not the other
+// controllers have read the cancellation, and whichever controller is killed.
 func TestCancelledTasksEndInOutage(t *testing.T) {
 	for _, outage := range []time.Duration{15 * time.Second, 70 * time.Second} {
 		for seed := range uint64(8) {
-			othersRead, killed := seed%2 == 0, int(seed/2) // there is no controller 3: none ends
-			t.Run(fmt.Sprintf("%v/others have read it %v/controller %d ends", outage, othersRead, killed), func(t *testing.T) {
+			othersRead, killed := seed%2 == 0, int(seed/2) // controller 3 does not exist: no controller is killed
+			t.Run(fmt.Sprintf("%v/others have read the cancellation %v/controller %d is killed", outage, othersRead, killed), func(t *testing.T) {
 				runMixedLoad(t, seed, func(sim *Simulation) {
 					sim.Settings.Deployment.Workers.CancelS = 36
 					sim.PeerDelay()
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -16,7 +16,8 @@
 	"dykeledge/internal/storage"
 )
 
-// setRedLimit changes the limit of team red through any controller that lives, until it is done or refused for good.
+// setRedLimit sets team red's CPU limit through random controllers, until one has made the change or
+// rejected its value.
 func (sim *Simulation) setRedLimit(t *testing.T, cpusMax float64) {
 	t.Helper()
 	const team = "red"
@@ -35,10 +36,11 @@
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	t.Errorf("the limit of %s can't be changed", team)
+	t.Errorf("the limit of team %s was neither changed nor rejected in 200 attempts", team)
 }
 
-// teamState is a team's state as a controller tells it, "" where none does.
+// teamState returns the state of a team's limit from the first controller that answers, or "" if none
+// does.
 func (sim *Simulation) teamState(team string) string {
 	for i := range 3 {
 		views, err := sim.Controller(i).Core.Teams(sim.ctx)
@@ -54,19 +56,19 @@
 	return ""
 }
 
-// limitFaults are faults that come between two changes of a limit.
+// limitFaults are the faults that are injected after each change of a limit.
 var limitFaults = []struct {
 	name  string
 	fault func(sim *Simulation, step int)
 }{
 	{"no fault", func(*Simulation, int) {}},
-	{"owners end", func(sim *Simulation, step int) {
+	{"controllers restart", func(sim *Simulation, step int) {
 		sim.Again(time.Duration(sim.Random.IntN(4000))*time.Millisecond, step%3)
 	}},
-	{"controllers stall over changes", func(sim *Simulation, step int) {
+	{"controllers stall during changes", func(sim *Simulation, step int) {
 		sim.Controller(step % 3).Stall(time.Duration(2+sim.Random.IntN(9)) * time.Second)
 	}},
-	{"an outage, and a controller refused alone", func(sim *Simulation, step int) {
+	{"outages, and refusals of a single controller", func(sim *Simulation, step int) {
 		if step%2 == 0 {
 			sim.Store.SetDown(true)
 			time.Sleep(4 * time.Second)
@@ -79,9 +81,10 @@
 	}},
 }
 
-// TestLimitChangesUnderFaults raises and lowers a busy team's limit through any controller, while owners end, stall over
-// a change and go on later, answers get lost and transactions come late. The checker compares every start with the limit that
-// counts, and every limit that is said to be in force against what really runs.
+// TestLimitChangesUnderFaults raises and lowers a busy team's limit through any controller, while shard
+// owners end, controllers stall during a change and resume later, answers are lost and transactions are
+// applied late. The rule checker compares the team's usage with its effective limit at every task start,
+// and with each limit when its record says that it is in force.
 func TestLimitChangesUnderFaults(t *testing.T) {
 	for _, test := range limitFaults {
 		for seed := range uint64(3) {
@@ -106,19 +109,20 @@
 					sim.setRedLimit(t, 40)
 				}, func(sim *Simulation) {
 					if state := sim.teamState("red"); state != controller.TeamInForce {
-						t.Errorf("the last limit is %q", state)
+						t.Errorf("the last limit is in state %q, want it in force", state)
 					}
 					if lowered.Load() == 0 {
-						t.Error("no limit was lowered")
+						t.Error("no record lowered a limit: the case checks nothing")
 					}
 				})
-				t.Logf("%d limits lowered, %d sets evicted for one", lowered.Load(), evicted.Load())
+				t.Logf("%d limits lowered, %d victim sets evicted for a limit", lowered.Load(), evicted.Load())
 			})
 		}
 	}
 }
 
-// countLimitChanges counts the records that lower team red's limit, and the sets of tasks that are evicted for one.
+// countLimitChanges counts the records that lower team red's limit, and the victim sets that are evicted
+// for a limit.
 func (sim *Simulation) countLimitChanges(lowered, evicted *atomic.Int32) {
 	previousCheck := sim.Store.Check
 	sim.Store.Check = func(t protocol.Txn) {
@@ -135,8 +139,9 @@
 	}
 }
 
-// A limit was counted as kept by a controller that saw little of the team running, while the transaction of the shard's owner
-// that placed more was on its way: only the owner may say so.
+// TestLimitLoweredWithOwnerTransactionInFlight guards against a lowered limit that a controller other than
+// the shard's owner recorded as in force: it saw few of the team's tasks running while a transaction of
+// the owner that placed more was in flight. Only the owner may record this.
 func TestLimitLoweredWithOwnerTransactionInFlight(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -9,18 +9,19 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestLoadBalancerHealth compares the balancer's judgement of a controller with the protocol.
+// TestLoadBalancerHealth compares when the load balancer counts a controller as healthy with the rules of
+// the protocol.
 func TestLoadBalancerHealth(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		probes string // one a second: + answers, - does not
-		want   string // healthy after each
+		probes string // one probe per second: + succeeds, - fails
+		want   string // after each probe: h healthy, . unhealthy
 	}{
-		{"never healthy needs one", "-+", ".h"},
-		{"one failure is nothing", "+-+-+", "hhhhh"},
-		{"two in a row", "+--", "hh."},
-		{"three of six", "+-+-+-", "hhhhh."},
-		{"back after two, not before three seconds", "+--++++", "hh...hh"},
+		{"a new controller is healthy after one success", "-+", ".h"},
+		{"single failures are tolerated", "+-+-+", "hhhhh"},
+		{"removed after two failures in a row", "+--", "hh."},
+		{"removed after three failures in six probes", "+-+-+-", "hhhhh."},
+		{"healthy again after two successes, and not within three seconds", "+--++++", "hh...hh"},
 		{"each removal doubles the pause", "+--+++--++++++++", "hh...hh......hhh"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,13 +39,13 @@
 				}
 			}
 			if got != test.want {
-				t.Errorf("%s gives %s, want %s", test.probes, got, test.want)
+				t.Errorf("probes %s: health is %s, want %s", test.probes, got, test.want)
 			}
 		})
 	}
 }
 
-// TestStoreLimits compares the state service's refusals with the protocol.
+// TestStoreLimits compares the requests that the simulated state service refuses with the protocol.
 func TestStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
@@ -64,10 +65,10 @@
 			}
 		}
 		if _, err := storeLink.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
-			t.Errorf("a watch from before what is kept: %v", err)
+			t.Errorf("watch from a revision that is no longer kept: error %v, want ErrTooOld", err)
 		}
 		if ev, err := storeLink.Watch(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
-			t.Errorf("%d events, %v", len(ev.Events), err)
+			t.Errorf("watch from a kept revision: %d events, error %v; want 5 events", len(ev.Events), err)
 		}
 		id, err := storeLink.Grant(t.Context(), time.Minute)
 		if err != nil {
@@ -80,7 +81,7 @@
 			t.Fatal(err)
 		}
 		if _, _, _, err := storeLink.Read(t.Context(), "h"); !errors.Is(err, protocol.ErrNotFound) {
-			t.Errorf("a key outlives its lease: %v", err)
+			t.Errorf("read of a key whose lease has ended: error %v, want ErrNotFound", err)
 		}
 		store.Shrink(10, 2, 1000)
 		store.Limit(5, 3)
@@ -90,7 +91,7 @@
 			want  error
 		}{{1, `12345678901`, protocol.ErrTooLarge}, {2, `1`, nil}, {2, `1`, errOverRate}} {
 			if err := put(c.n, c.value); !errors.Is(err, c.want) {
-				t.Errorf("%d of %s: %v, want %v", c.n, c.value, err, c.want)
+				t.Errorf("transaction with %d writes of %s: error %v, want %v", c.n, c.value, err, c.want)
 			}
 			if errors.Is(c.want, protocol.ErrTooLarge) {
 				time.Sleep(time.Second)
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -10,17 +10,18 @@
 )
 
 var (
-	overlappingSimulations     = flag.Int("pairs", 24, "simulations of two faults at once that TestOverlappingFaults runs")
-	firstOverlappingSimulation = flag.Int("from", 0, "the first of them")
+	overlappingSimulations     = flag.Int("pairs", 24, "number of simulations that TestOverlappingFaults runs; each overlaps several pairs of faults")
+	firstOverlappingSimulation = flag.Int("from", 0, "number of the first simulation that TestOverlappingFaults runs")
 )
 
-// faultKind is one of two overlapping faults. It lasts until healAll.
+// faultKind is one kind of fault to overlap with another. Its effect lasts until healAll.
 type faultKind struct {
 	name   string
 	inject func(sim *Simulation, h *faultHooks)
 }
 
-// changeSomeMachines changes some of the machines.
+// changeSomeMachines returns a fault that applies a change to each machine with a probability of one
+// third.
 func changeSomeMachines(change func(*Machine)) func(*Simulation, *faultHooks) {
 	return func(sim *Simulation, _ *faultHooks) {
 		for _, m := range sim.Machines() {
@@ -31,31 +32,33 @@
 	}
 }
 
+// leaderOrFirst returns the number of the leader, or 0 if there is none.
 func leaderOrFirst(sim *Simulation) int { return max(0, sim.Leader()) }
 
+// overlappingFaultKinds are the faults that TestOverlappingFaults combines.
 var overlappingFaultKinds = []faultKind{
-	{"the leader loses state and peers", func(sim *Simulation, _ *faultHooks) { sim.Controller(leaderOrFirst(sim)).Cut(NoState | NoPeers) }},
-	{"another loses state and peers", func(sim *Simulation, _ *faultHooks) {
+	{"the leader loses the state service and its peers", func(sim *Simulation, _ *faultHooks) { sim.Controller(leaderOrFirst(sim)).Cut(NoState | NoPeers) }},
+	{"another controller loses the state service and its peers", func(sim *Simulation, _ *faultHooks) {
 		sim.Controller((leaderOrFirst(sim) + 1) % 3).Cut(NoState | NoPeers)
 	}},
-	{"old heartbeats", func(_ *Simulation, h *faultHooks) { h.duplicateHeartbeats.Store(true) }},
-	{"heartbeats delayed", func(_ *Simulation, h *faultHooks) { h.delayHeartbeats.Store(true) }},
-	{"the leader ends", func(sim *Simulation, _ *faultHooks) { sim.Kill(leaderOrFirst(sim)) }},
-	{"deaf machines", changeSomeMachines(DeafMachine(true))},
-	{"machines partitioned", changeSomeMachines(CutOff(true))},
-	{"machines that hang", changeSomeMachines(HangingMachine(true))},
-	{"slow state service", func(_ *Simulation, h *faultHooks) { h.slowStore.Store(true) }},
-	{"refused alone, then all for long", func(sim *Simulation, _ *faultHooks) {
+	{"heartbeats are delivered again later", func(_ *Simulation, h *faultHooks) { h.duplicateHeartbeats.Store(true) }},
+	{"heartbeats are delayed", func(_ *Simulation, h *faultHooks) { h.delayHeartbeats.Store(true) }},
+	{"the leader is killed", func(sim *Simulation, _ *faultHooks) { sim.Kill(leaderOrFirst(sim)) }},
+	{"machines receive nothing from controllers", changeSomeMachines(DeafMachine(true))},
+	{"machines are partitioned", changeSomeMachines(CutOff(true))},
+	{"machines hang", changeSomeMachines(HangingMachine(true))},
+	{"the state service is slow", func(_ *Simulation, h *faultHooks) { h.slowStore.Store(true) }},
+	{"the leader is refused, then an outage of the state service", func(sim *Simulation, _ *faultHooks) {
 		sim.Store.Deny(sim.Controller(leaderOrFirst(sim)).Name, true)
 		time.Sleep(sim.randomDuration(100*time.Millisecond, 3*time.Second))
 		sim.Store.SetDown(true)
 		time.Sleep(sim.randomDuration(0, 45*time.Second))
 	}},
-	{"late transactions", func(_ *Simulation, h *faultHooks) { h.delayTransactions.Store(true) }},
-	{"commands delayed", func(_ *Simulation, h *faultHooks) { h.delayCommands.Store(true) }},
-	{"answers delayed", func(_ *Simulation, h *faultHooks) { h.delayAnswers.Store(true) }},
-	{"all end, back at once", func(sim *Simulation, _ *faultHooks) { sim.Again(sim.randomDuration(0, time.Second), 0, 1, 2) }},
-	{"all end, one is back", func(sim *Simulation, _ *faultHooks) {
+	{"transactions are applied late", func(_ *Simulation, h *faultHooks) { h.delayTransactions.Store(true) }},
+	{"direct commands are delayed", func(_ *Simulation, h *faultHooks) { h.delayCommands.Store(true) }},
+	{"answers to direct commands are delayed", func(_ *Simulation, h *faultHooks) { h.delayAnswers.Store(true) }},
+	{"all controllers restart", func(sim *Simulation, _ *faultHooks) { sim.Again(sim.randomDuration(0, time.Second), 0, 1, 2) }},
+	{"all controllers are killed, one restarts", func(sim *Simulation, _ *faultHooks) {
 		for i := range 3 {
 			if !sim.Controller(i).ended() {
 				sim.Kill(i)
@@ -64,7 +67,7 @@
 		time.Sleep(sim.randomDuration(0, time.Second))
 		sim.Start(sim.Random.IntN(3))
 	}},
-	{"a controller flaps", func(sim *Simulation, _ *faultHooks) {
+	{"random controllers restart repeatedly", func(sim *Simulation, _ *faultHooks) {
 		for range 4 {
 			sim.Again(sim.randomDuration(0, time.Second), sim.Random.IntN(3))
 			time.Sleep(sim.randomDuration(0, 3*time.Second))
@@ -76,14 +79,14 @@
 	{"a zone is partitioned", func(sim *Simulation, _ *faultHooks) {
 		sim.PartitionZone(sim.Settings.Deployment.Zones[sim.Random.IntN(3)])
 	}},
-	{"mute machines", changeSomeMachines(MuteMachine(true))},
-	{"heartbeats kept for the next leader", func(_ *Simulation, h *faultHooks) { h.keepHeartbeats.Store(true) }},
-	{"answers lost at once", func(_ *Simulation, h *faultHooks) { h.loseAnswers.Store(true) }},
-	{"cancelled now, machines hang", func(sim *Simulation, h *faultHooks) { h.cancelAll(sim, true) }},
-	{"cancelled now", func(sim *Simulation, h *faultHooks) { h.cancelAll(sim, false) }},
-	{"cancelled at the end", func(_ *Simulation, h *faultHooks) { h.cancelAtEnd.Store(true) }},
-	{"close looks", func(sim *Simulation, _ *faultHooks) { sim.SetCloseLooks(true) }},
-	{"odd requests", func(sim *Simulation, h *faultHooks) {
+	{"machines reach no controller", changeSomeMachines(MuteMachine(true))},
+	{"heartbeats are delivered again to the next leader", func(_ *Simulation, h *faultHooks) { h.keepHeartbeats.Store(true) }},
+	{"answers of the state service are lost", func(_ *Simulation, h *faultHooks) { h.loseAnswers.Store(true) }},
+	{"long-running jobs are cancelled, their machines hang", func(sim *Simulation, h *faultHooks) { h.cancelAll(sim, true) }},
+	{"long-running jobs are cancelled", func(sim *Simulation, h *faultHooks) { h.cancelAll(sim, false) }},
+	{"jobs are cancelled as their last task completes", func(_ *Simulation, h *faultHooks) { h.cancelAtEnd.Store(true) }},
+	{"users query all controllers at once", func(sim *Simulation, _ *faultHooks) { sim.SetCloseLooks(true) }},
+	{"conflicting and invalid submissions", func(sim *Simulation, h *faultHooks) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for _, j := range h.jobsToCancel {
@@ -100,12 +103,12 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 	}},
-	{"machines up at once, more work", func(sim *Simulation, h *faultHooks) {
+	{"more long-running jobs", func(sim *Simulation, h *faultHooks) {
 		for i := range 4 {
 			h.addJobToCancel(sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[i].Name, Tasks: 3, Cpus: 6, Run: 20 * time.Minute, CancelAfter: sim.randomDuration(15*time.Second, 40*time.Second)}))
 		}
 	}},
-	{"arrays bound to a zone lose machines", func(sim *Simulation, _ *faultHooks) {
+	{"an array bound to a zone loses machines", func(sim *Simulation, _ *faultHooks) {
 		sim.User(JobSpec{Team: "green", Tasks: 5, Cpus: 4, Run: 20 * time.Second, Zone: "b"})
 		time.Sleep(7 * time.Second)
 		for _, m := range sim.Machines() {
@@ -114,7 +117,7 @@
 			}
 		}
 	}},
-	{"leaders end one after the other", func(sim *Simulation, _ *faultHooks) {
+	{"one leader after another restarts", func(sim *Simulation, _ *faultHooks) {
 		for range 4 {
 			sim.Again(sim.randomDuration(0, 2*time.Second), leaderOrFirst(sim))
 			time.Sleep(3 * time.Second)
@@ -122,7 +125,8 @@
 	}},
 }
 
-// faultPairs are all ordered pairs of two faults, in an order in which few simulations in a row have much of everything.
+// faultPairs returns all ordered pairs of two different faults, in an order in which a few consecutive
+// simulations cover most kinds of faults.
 func faultPairs() (out [][2]faultKind) {
 	n := len(overlappingFaultKinds)
 	for offset := 1; offset < n; offset++ {
@@ -133,12 +137,12 @@
 	return out
 }
 
-// overlapCounts count what came about in the simulations of TestOverlappingFaults.
+// overlapCounts counts events in the simulations of TestOverlappingFaults.
 type overlapCounts struct {
 	duplicates, duplicatesToNextLeader, closeLooks, answersLost, lateApplied, lateRefused, kills, cancellations int
 }
 
-// add counts what came about in a simulation that is over.
+// add adds the events of a simulation that has ended.
 func (c *overlapCounts) add(sim *Simulation, cancelled []*Job) {
 	c.duplicates += int(sim.Copies.Load())
 	c.duplicatesToNextLeader += int(sim.CopiesToNext.Load())
@@ -156,19 +160,20 @@
 	}
 }
 
-// check fails the test if any of what it counts did not come about.
+// check fails the test if an event that is counted did not occur.
 func (c *overlapCounts) check(t *testing.T) {
 	t.Helper()
-	for event, n := range map[string]int{"copies": c.duplicates, "copies for the next leader": c.duplicatesToNextLeader, "close looks": c.closeLooks, "answers lost": c.answersLost,
-		"late transactions": c.lateApplied + c.lateRefused, "ends of controllers": c.kills, "cancellations": c.cancellations} {
+	for event, n := range map[string]int{"duplicate heartbeats": c.duplicates, "duplicate heartbeats to a new leader": c.duplicatesToNextLeader, "answers to queries at all controllers": c.closeLooks, "lost answers of the state service": c.answersLost,
+		"late transactions": c.lateApplied + c.lateRefused, "killed controllers": c.kills, "cancellations": c.cancellations} {
 		if n == 0 {
-			t.Errorf("no %s came about: the simulations prove nothing", event)
+			t.Errorf("no %s occurred: the simulations check nothing", event)
 		}
 	}
 }
 
-// TestOverlappingFaults overlaps faults two and two, each pair in its turn, over a load with long tasks, jobs whose tasks end far
-// apart, and many cancellations. More of them:
+// TestOverlappingFaults injects pairs of overlapping faults, each pair in turn, into a load with
+// long-running jobs, jobs whose tasks end at different times, and many cancellations. To run more
+// simulations:
 //
 //	go test ./internal/simulator -timeout 2h -run TestOverlappingFaults -pairs 1000
 func TestOverlappingFaults(t *testing.T) {
@@ -195,7 +200,7 @@
 			}, func(sim *Simulation) { counts.add(sim, h.jobsToCancel) })
 		})
 	}
-	t.Logf("%d of %d pairs; %+v", min(pairsPerSimulation**overlappingSimulations, len(all)), len(all), counts)
+	t.Logf("%d of %d pairs of faults; counts %+v", min(pairsPerSimulation**overlappingSimulations, len(all)), len(all), counts)
 	if *overlappingSimulations >= minSimulationsForCounts {
 		counts.check(t)
 	}
@@ -203,10 +208,10 @@
 
 const (
 	pairsPerSimulation      = 3
-	minSimulationsForCounts = 24 // with fewer simulations, some of what is counted may not come about
+	minSimulationsForCounts = 24 // with fewer simulations, some of the counted events may not occur
 )
 
-// submitSpreadJobs submits jobs whose tasks end far apart.
+// submitSpreadJobs submits jobs whose tasks end at different times.
 func (sim *Simulation) submitSpreadJobs() (jobs []*Job) {
 	for k := range 3 {
 		jobs = append(jobs, sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1,
@@ -215,11 +220,12 @@
 	return jobs
 }
 
-// runFaultPair lets two faults overlap, with jobs that are cancelled meanwhile, and ends them.
+// runFaultPair submits jobs that are cancelled during the faults, injects two faults one shortly after the
+// other, and ends them.
 func (sim *Simulation) runFaultPair(t *testing.T, pair [2]faultKind, h *faultHooks) {
 	t.Helper()
 	first, second := pair[0], pair[1]
-	t.Logf("%v: %s, %s", time.Since(sim.StartTime), first.name, second.name)
+	t.Logf("at %v: %s; %s", time.Since(sim.StartTime), first.name, second.name)
 	for range 4 {
 		h.addJobToCancel(sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[sim.Random.IntN(4)].Name, Tasks: 2, Cpus: 1, Run: 20 * time.Minute,
 			CancelAfter: sim.randomDuration(time.Second, 25*time.Second)}))
@@ -232,11 +238,12 @@
 	healAll(sim, h)
 }
 
-// checkAllServed checks, once all faults are over, that nothing waits beside capacity and that every user is answered.
+// checkAllServed checks, after the end of all faults, that no job keeps waiting while a machine has
+// capacity for it, and that every user is answered.
 func (sim *Simulation) checkAllServed(t *testing.T) {
 	t.Helper()
 	sim.checkNoWaitBesideCapacity(t, 95*time.Second)
 	for _, j := range sim.Unanswered(time.Now().Add(-75 * time.Second)) {
-		t.Errorf("%s has had no answer for 75 s after all is over", j.ID)
+		t.Errorf("users of %s have had no answer for 75 s after the end of the faults", j.ID)
 	}
 }
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -10,11 +10,11 @@
 	"dykeledge/internal/storage"
 )
 
-// baselineCPUs is what the records say is usual for a class.
+// baselineCPUs returns the recorded baseline demand of a class over all teams, in CPUs.
 func (sim *Simulation) baselineCPUs(class string) (cpus float64) {
 	var r storage.BaselineRecord
 	raw, _ := sim.Store.Value(storage.BaselineKey)
-	_ = json.Unmarshal(raw, &r) // none: nothing is usual
+	_ = json.Unmarshal(raw, &r) // without a record the baseline demand is 0
 	for _, l := range r.Queues {
 		if l.Class == class {
 			cpus += l.Cpus
@@ -23,7 +23,7 @@
 	return cpus
 }
 
-// killThirdOfMachines has a third of the machines die, and no other rented.
+// killThirdOfMachines makes a third of the machines die, and lets no further machine be rented.
 func killThirdOfMachines(sim *Simulation) {
 	for i, m := range sim.Machines() {
 		if i%3 == 0 {
@@ -33,21 +33,22 @@
 	sim.CapacityOf = 0
 }
 
-// TestOverload lets one class of a team ask for ten times what the fleet can run, beside
-// another class of the same team and one of another that ask for what they always do. Those
-// must hardly notice, whoever ends meanwhile: before, within a team the overload went first as
-// soon as it was older. And the overload must not have become the usual after an end of all controllers.
+// TestOverload raises the demand of one class of a team to twenty times its usual one, far more than the
+// machines can run, while another class of the team and one of another team demand what they always do.
+// These must hardly be affected, whichever controllers restart meanwhile; in an earlier version the
+// overload took precedence within its team once its jobs were older. After a restart of all controllers,
+// the overload must not have become the baseline demand.
 func TestOverload(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		minServed float64 // of the overload that must be done in the end
+		minServed float64 // part of each class's jobs that must be done at the end
 		fault     func(sim *Simulation)
 	}{
 		{"a third of the machines die", 0.35, killThirdOfMachines},
-		{"owner and leader end, one after the other", 0.5, func(sim *Simulation) {
+		{"each controller restarts, one after another", 0.5, func(sim *Simulation) {
 			eachController(func(i int) { sim.Kill(i); time.Sleep(6 * time.Second); sim.Start(i); time.Sleep(6 * time.Second) })
 		}},
-		{"all controllers end, and a third of the machines", 0.35, func(sim *Simulation) {
+		{"all controllers restart, and a third of the machines die", 0.35, func(sim *Simulation) {
 			eachController(sim.Kill)
 			killThirdOfMachines(sim)
 			time.Sleep(5 * time.Second)
@@ -61,7 +62,8 @@
 	}
 }
 
-// runOverload plays a fault during an overload; so large a part of it must be done in the end.
+// runOverload injects a fault during an overload. At the end, at least the part minServed of every class's
+// jobs must be done.
 func runOverload(t *testing.T, minServed float64, fault func(sim *Simulation)) {
 	t.Helper()
 	ctx := simulationContext(t)
@@ -87,15 +89,16 @@
 		}
 	}
 	if baselineAfter := sim.baselineCPUs("overload"); baselineBefore == 0 || baselineAfter > 1.5*baselineBefore {
-		t.Errorf("usual of the overload %.0f CPUs before, %.0f after", baselineBefore, baselineAfter)
+		t.Errorf("baseline demand of the overloading class: %.0f CPUs before the overload, %.0f after it, want above 0 and at most 1.5 times as much", baselineBefore, baselineAfter)
 	}
 	for _, b := range sim.BrokenRules() {
 		t.Error(b)
 	}
 }
 
-// submitOverload submits jobs of all classes, and returns what was usual for the overloading one before. The steady
-// classes ask for 96 of 288 CPUs, the overloading one for 48 and then for twenty times that.
+// submitOverload submits jobs of all classes, and returns the baseline demand of the overloading class
+// from before the overload. The steady classes demand 96 of 288 CPUs, the overloading class 48 and then
+// twenty times that.
 func (sim *Simulation) submitOverload(fault func(sim *Simulation)) (baselineBefore float64) {
 	const overloadStart, overloadEnd, duration = 80, 160, 260 // in seconds
 	for second := range duration {
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -12,26 +12,26 @@
 	"dykeledge/internal/storage"
 )
 
-// restartCases are restarts within a fraction of a second.
+// restartCases are restarts after which processes are back within a second.
 var restartCases = []struct {
 	name  string
 	setup func(sim *Simulation, downtime time.Duration)
 	fault func(sim *Simulation, downtime time.Duration)
 }{
-	{"one five times in ten seconds", nil, func(sim *Simulation, downtime time.Duration) {
+	{"one controller five times in ten seconds", nil, func(sim *Simulation, downtime time.Duration) {
 		for range 5 {
 			sim.Again(downtime, 1)
 			time.Sleep(2 * time.Second)
 		}
 	}},
-	{"all, and again in the election", nil, func(sim *Simulation, downtime time.Duration) {
+	{"all controllers, and again during the election", nil, func(sim *Simulation, downtime time.Duration) {
 		sim.Again(downtime, 0, 1, 2)
 		time.Sleep(150 * time.Millisecond)
 		sim.Again(downtime, 0, 1, 2)
 		time.Sleep(900 * time.Millisecond)
 		sim.Again(downtime, 0, 1)
 	}},
-	{"between a commit and its answer", func(sim *Simulation, downtime time.Duration) {
+	{"the committing controller, between a commit and its answer", func(sim *Simulation, downtime time.Duration) {
 		var commits atomic.Int32
 		sim.After = func(i int, txn protocol.Txn) {
 			if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && commits.Add(1)%9 == 0 && commits.Load() < 50 {
@@ -40,7 +40,7 @@
 			}
 		}
 	}, nil},
-	{"in an outage", nil, func(sim *Simulation, downtime time.Duration) {
+	{"during an outage of the state service", nil, func(sim *Simulation, downtime time.Duration) {
 		sim.Store.SetDown(true)
 		sim.Again(downtime+3*time.Second, 0, 1, 2)
 		sim.Store.SetDown(false)
@@ -67,10 +67,11 @@
 	}},
 }
 
-// TestQuickRestarts ends processes that are back within a fraction of a second under the same name, while
-// their predecessors' leases have not run out and what those sent is applied late: one controller again and again, the
-// leader, the owner the moment that a commit was applied, all in the middle of an election, in an outage.
-// The rules hold, no attempt is used twice, and shards do not wander.
+// TestQuickRestarts restarts controllers under the same name within a second, while the session leases of
+// the previous processes have not expired and their late transactions are still being applied: one
+// controller repeatedly, the leader, or the owner right after a commit is applied, also during an election
+// or an outage of the state service. No rule may be broken, no attempt may be used twice, and shards may
+// not keep changing owner.
 func TestQuickRestarts(t *testing.T) {
 	for round, downtime := range []time.Duration{0, 50 * time.Millisecond, 300 * time.Millisecond, time.Second} {
 		for _, test := range restartCases {
@@ -96,7 +97,7 @@
 					}
 					time.Sleep(20 * time.Second)
 					if n := ownerChanges.Load(); n > 40 {
-						t.Errorf("shards changed hands %d times", n)
+						t.Errorf("shards changed owner %d times, want at most 40", n)
 					}
 				}, nil)
 			})
@@ -104,7 +105,8 @@
 	}
 }
 
-// The checker must find what it is there for: an attempt that left a group and comes again.
+// TestAttemptCheckFindsReuse checks that the simulator's record check reports an attempt that returns to a
+// machine group's record after it has left it. In the lists of attempts, 0 is a record without the task.
 func TestAttemptCheckFindsReuse(t *testing.T) {
 	for _, test := range []struct {
 		attempts []uint64
@@ -120,7 +122,7 @@
 			found += len(a.note(protocol.Txn{Then: []protocol.Change{{Put: storage.GroupKey(1), Value: storage.EncodeGroup(&r, false)}}}))
 		}
 		if (found > 0) != test.reused {
-			t.Errorf("%v: %d found", test.attempts, found)
+			t.Errorf("attempts %v: %d reported as reused", test.attempts, found)
 		}
 	}
 }
--- a/internal/simulator/scenarios_machines_test.go
+++ b/internal/simulator/scenarios_machines_test.go
@@ -6,15 +6,15 @@
 	"dykeledge/internal/protocol"
 )
 
-// machineScenarios are about machines that hang, are lost or lose messages.
+// machineScenarios are the scenarios in which machines hang, are lost or lose messages.
 var machineScenarios = []scenarioCase{
-	{"the leader ends while machines can't be reached or are deaf", 9004, nil, func(s *scenario) {
+	{"the leader restarts while machines are partitioned or receive nothing", 9004, nil, func(s *scenario) {
 		machines := len(s.changeMachinesOf(2, CutOff(true), s.longJobs[:2]...)) + len(s.changeMachinesOf(2, DeafMachine(true), s.longJobs[2:4]...))
 		s.count("machines", machines)
 		s.cancelLongJobs(4)
 		s.countLeaderChanges(func() { s.restartLeader(8 * time.Second); time.Sleep(50 * time.Second) })
-	}, "machines, leads"},
-	{"teams at their limit, cancelled on machines that hang, new leaders", 9005, func(s *scenario) { s.limitTeams(); s.slowHeartbeats() }, func(s *scenario) {
+	}, "machines, leadership taken"},
+	{"teams at their limit, cancellations on hanging machines, new leaders", 9005, func(s *scenario) { s.limitTeams(); s.slowHeartbeats() }, func(s *scenario) {
 		s.cancelLongJobs(6)
 		hit := s.changeMachinesOf(6, HangingMachine(true), s.cancelled...)
 		s.count("machines", len(hit))
@@ -25,8 +25,8 @@
 				time.Sleep(7 * time.Second)
 			}
 		})
-	}, "machines, leads, at the limit"},
-	{"teams at their limit, cancelled on partitioned machines, a new leader", 9006, func(s *scenario) { s.limitTeams() }, func(s *scenario) {
+	}, "machines, leadership taken, at the limit"},
+	{"teams at their limit, cancellations on partitioned machines, a new leader", 9006, func(s *scenario) { s.limitTeams() }, func(s *scenario) {
 		hit := s.changeMachinesOf(4, CutOff(true), s.longJobs[:4]...)
 		s.count("machines", len(hit))
 		s.countLeaderChanges(func() {
@@ -35,16 +35,16 @@
 			s.cancelLongJobs(4)
 			time.Sleep(30 * time.Second)
 		})
-	}, "machines, leads, at the limit"},
-	{"cancelled on machines that hang, while owners change", 9007, func(s *scenario) { s.slowHeartbeats() }, func(s *scenario) {
+	}, "machines, leadership taken, at the limit"},
+	{"cancellations on hanging machines while shards change owner", 9007, func(s *scenario) { s.slowHeartbeats() }, func(s *scenario) {
 		s.cancelLongJobs(6)
 		s.count("machines", len(s.changeMachinesOf(4, HangingMachine(true), s.cancelled...)))
-		for i := range 14 { // no owner is left for as long as it takes to call a machine silent
+		for i := range 14 { // no owner keeps a shard for long enough to return a silent machine
 			time.Sleep(2500 * time.Millisecond)
 			s.Again(time.Second, i%3)
 		}
 	}, "machines"},
-	{"cancelled on machines that hang, at a state service that flaps", 9008, nil, func(s *scenario) {
+	{"cancellations on hanging machines during repeated outages of the state service", 9008, nil, func(s *scenario) {
 		s.cancelLongJobs(6)
 		s.count("machines", len(s.changeMachinesOf(4, HangingMachine(true), s.cancelled...)))
 		for range 9 {
@@ -54,7 +54,7 @@
 			time.Sleep(800 * time.Millisecond)
 		}
 	}, "machines"},
-	{"cancelled on deaf machines, four in ten and more", 9009, func(s *scenario) { s.slowHeartbeats() }, func(s *scenario) {
+	{"cancellations on machines that receive nothing, up to seven of nine", 9009, func(s *scenario) { s.slowHeartbeats() }, func(s *scenario) {
 		s.count("machines", len(s.changeMachinesOf(7, DeafMachine(true), s.longJobs...)))
 		s.cancelLongJobs(6)
 		time.Sleep(45 * time.Second)
@@ -71,11 +71,11 @@
 		s.restartLeader(3 * time.Second)
 		time.Sleep(20 * time.Second)
 	}, "machines"},
-	{"mute machines", 9017, nil, func(s *scenario) {
+	{"machines that reach no controller", 9017, nil, func(s *scenario) {
 		hit := s.changeMachinesOf(3, MuteMachine(true), s.longJobs...)
 		s.count("machines", len(hit))
-		// What they lose must not begin again and again where no lease can be kept up.
-		time.Sleep(16 * time.Second) // their leases have run out by now
+		// Their tasks must not be started again and again where no lease can be renewed.
+		time.Sleep(16 * time.Second) // their leases have expired by now
 		statsBefore := s.Stats()
 		late := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 25 * time.Second})
 		s.awaitedJobs = append(s.awaitedJobs, late)
@@ -88,7 +88,7 @@
 			s.count("not done", 1)
 		}
 	}, "machines, !killed again, !not done"},
-	{"deaf machines and a job that waits", 9018, nil, func(s *scenario) {
+	{"machines that receive nothing, and a waiting job", 9018, nil, func(s *scenario) {
 		s.count("machines", len(s.changeMachinesOf(3, DeafMachine(true), s.longJobs...)))
 		late := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 10 * time.Second})
 		s.awaitedJobs = append(s.awaitedJobs, late)
@@ -97,7 +97,7 @@
 			s.count("not done", 1)
 		}
 	}, "machines, !not done"},
-	{"machines up within two seconds, writes lag, the leader ends", 9019, func(s *scenario) {
+	{"machines boot within two seconds, transactions are late, the leader restarts", 9019, func(s *scenario) {
 		s.Boot = func() time.Duration { return s.randomDuration(300*time.Millisecond, 2*time.Second) }
 		s.CapacityOf = 18
 		s.Late = func(string, protocol.Txn) time.Duration {
@@ -117,7 +117,7 @@
 		s.count("late", int(s.LateDone.Load()+s.LateDenied.Load()))
 		s.count("machines", len(s.Machines())-machinesBefore)
 	}, "late, machines"},
-	{"users cancel many jobs at once, their machines hang", 9027, nil, func(s *scenario) {
+	{"many cancellations at once, the machines hang", 9027, nil, func(s *scenario) {
 		s.cancelLongJobs(8)
 		s.count("machines", len(s.changeMachinesOf(8, HangingMachine(true), s.cancelled...)))
 		time.Sleep(45 * time.Second) // longer than cancel_s
--- a/internal/simulator/scenarios_messages_test.go
+++ b/internal/simulator/scenarios_messages_test.go
@@ -6,9 +6,10 @@
 	"dykeledge/internal/protocol"
 )
 
-// messageScenarios are about messages that are late, repeated or lost, and about a partition.
+// messageScenarios are the scenarios with delayed, duplicated or lost messages, and one with a partitioned
+// zone.
 var messageScenarios = []scenarioCase{
-	{"a zone with its controller partitioned, cancelled meanwhile", 9011, nil, func(s *scenario) {
+	{"a zone is partitioned with its controller, cancellations meanwhile", 9011, nil, func(s *scenario) {
 		zone := s.Controller(max(0, s.Owner(0))).Zone
 		s.PartitionZone(zone)
 		time.Sleep(time.Second)
@@ -17,13 +18,13 @@
 		for _, j := range s.cancelled {
 			for _, m := range s.machinesOf(j) {
 				if m.Zone == zone {
-					s.count("tasks there", 1)
+					s.count("tasks in the zone", 1)
 				}
 			}
 		}
 		time.Sleep(45 * time.Second) // longer than cancel_s
-	}, "tasks there"},
-	{"old heartbeats at every controller as a leader begins", 9016, func(s *scenario) {
+	}, "tasks in the zone"},
+	{"duplicate heartbeats at every controller as leadership changes", 9016, func(s *scenario) {
 		s.KeptHeartbeats = func(string) bool { return s.hooks.keepHeartbeats.Load() && s.Random.IntN(2) == 0 }
 	}, func(s *scenario) {
 		s.countLeaderChanges(func() {
@@ -33,9 +34,9 @@
 				s.hooks.keepHeartbeats.Store(false)
 				s.cancelLongJobs(1)
 				first := len(s.longJobs)
-				s.submitLongJobs(4, JobSpec{Cpus: 1}) // the kept heartbeats know nothing of them
+				s.submitLongJobs(4, JobSpec{Cpus: 1}) // the kept heartbeats don't contain their tasks
 				time.Sleep(s.randomDuration(4*time.Second, 8*time.Second))
-				hit := s.changeMachinesOf(9, HangingMachine(true), s.longJobs[first:]...) // and are the first that their new owners hear
+				hit := s.changeMachinesOf(9, HangingMachine(true), s.longJobs[first:]...) // so that the kept heartbeats are the first that the new owners receive
 				leadersBefore := s.IsLeader.Load()
 				s.restartLeader(6 * time.Second)
 				for range 60 {
@@ -50,9 +51,9 @@
 				time.Sleep(4 * time.Second)
 			}
 		})
-		s.count("copies", int(s.CopiesToNext.Load()))
-	}, "leads, copies"},
-	{"every kind of record late, after newer ones", 9021, func(s *scenario) {
+		s.count("duplicates", int(s.CopiesToNext.Load()))
+	}, "leadership taken, duplicates"},
+	{"transactions with every kind of record are applied late", 9021, func(s *scenario) {
 		s.Late = func(_ string, t protocol.Txn) time.Duration {
 			if !s.hooks.delayTransactions.Load() || !s.isEveryThird("late ", t) {
 				return 0
@@ -67,7 +68,7 @@
 			s.submitStream(8 * time.Second)
 		}
 	}, "late job, late rack, late share, late leader, late node"},
-	{"answers lost at once of every kind of record", 9022, func(s *scenario) {
+	{"lost answers to transactions with every kind of record", 9022, func(s *scenario) {
 		s.LostAnswers = func(_ string, t protocol.Txn) bool { return s.hooks.loseAnswers.Load() && s.isEveryThird("sent ", t) }
 		s.CloseLooks = true
 	}, func(s *scenario) {
@@ -79,19 +80,19 @@
 		}
 		s.countLostAnswers("job", "rack", "share", "leader", "node")
 	}, "lost job, lost rack, lost share, lost leader, lost node"},
-	{"old heartbeats after newer ones, of earlier sessions too", 9023, nil, func(s *scenario) {
+	{"duplicate heartbeats after newer ones, also of earlier incarnations", 9023, nil, func(s *scenario) {
 		s.hooks.duplicateHeartbeats.Store(true)
 		hit := s.changeMachinesOf(2, CutOff(true), s.longJobs[:2]...)
 		s.submitStream(14 * time.Second)
-		for _, m := range hit { // with a new session
+		for _, m := range hit { // as a new incarnation
 			s.Set(m, CutOff(false))
 		}
 		s.cancelLongJobs(4)
 		s.restartLeader(3 * time.Second)
 		s.submitStream(20 * time.Second)
-		s.count("copies", int(s.Copies.Load()))
-	}, "copies"},
-	{"commands and answers delayed, machines go on", 9024, func(s *scenario) {
+		s.count("duplicates", int(s.Copies.Load()))
+	}, "duplicates"},
+	{"delayed commands and answers, hanging machines resume", 9024, func(s *scenario) {
 		s.LateCommands = func(string, protocol.DirectCommands) time.Duration {
 			if !s.hooks.delayCommands.Load() || s.Random.IntN(3) > 0 {
 				return 0
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -18,25 +18,26 @@
 	"dykeledge/internal/storage"
 )
 
-// scenario is a course of overlapping faults, brought about in a simulation of three controllers, nine machines and long jobs.
+// scenario is a test case with overlapping faults, in a simulation of three controllers, nine machines and
+// long-running jobs.
 type scenario struct {
 	*Simulation
 	hooks       *faultHooks
-	longJobs    []*Job // uncancelled, two tasks each that run for an hour
+	longJobs    []*Job // not cancelled yet; their tasks run for an hour
 	cancelled   []*Job
-	awaitedJobs []*Job // tasks that end far apart
+	awaitedJobs []*Job // jobs that must reach a final status by the end
 	countsMu    sync.Mutex
 	counts      map[string]int
 }
 
-// count notes that something of the scenario came about.
+// count adds to the number of times that an event occurred.
 func (s *scenario) count(event string, n int) {
 	s.countsMu.Lock()
 	defer s.countsMu.Unlock()
 	s.counts[event] += n
 }
 
-// cancelLongJobs has users cancel so many of the long jobs now.
+// cancelLongJobs has the users of the first n long jobs cancel them now.
 func (s *scenario) cancelLongJobs(n int) {
 	n = min(n, len(s.longJobs))
 	for _, j := range s.longJobs[:n] {
@@ -45,7 +46,8 @@
 	s.cancelled, s.longJobs = append(s.cancelled, s.longJobs[:n]...), s.longJobs[n:]
 }
 
-// preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled first.
+// preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled
+// first.
 func (s *scenario) preferJobsIn(zone string) {
 	isInZone := func(m *Machine) bool { return m.Zone == zone }
 	var inZone, others []*Job
@@ -59,7 +61,7 @@
 	s.longJobs = append(inZone, others...)
 }
 
-// confirmedCancellations is how many of the jobs that were cancelled are known to their users to be cancelled.
+// confirmedCancellations returns how many of the cancelled jobs were reported to their users as cancelled.
 func (s *scenario) confirmedCancellations() (n int) {
 	for _, j := range s.cancelled {
 		if s.Told(j) == protocol.Cancelled {
@@ -69,7 +71,7 @@
 	return n
 }
 
-// submitLongJobs submits long jobs of every team.
+// submitLongJobs submits n jobs that run for an hour, for each team in turn.
 func (s *scenario) submitLongJobs(n int, spec JobSpec) {
 	for i := range n {
 		spec.Team = s.Settings.Deployment.Teams[i%4].Name
@@ -78,7 +80,8 @@
 	}
 }
 
-// submitStream submits one-task jobs, four a second; a quarter is cancelled, within three seconds.
+// submitStream submits four single-task jobs a second; a quarter of them are cancelled within three
+// seconds.
 func (s *scenario) submitStream(duration time.Duration) {
 	for i := range int(4 * duration.Seconds()) {
 		spec := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
@@ -90,7 +93,8 @@
 	}
 }
 
-// changeMachinesOf changes machines that hold tasks of the jobs that a test is about, so many at most.
+// changeMachinesOf applies a change to at most limit machines that run tasks of the jobs, and returns
+// these machines.
 func (s *scenario) changeMachinesOf(limit int, change func(*Machine), jobs ...*Job) (changed []*Machine) {
 	for _, j := range jobs {
 		for _, m := range s.machinesOf(j) {
@@ -103,7 +107,7 @@
 	return changed
 }
 
-// restartLeader ends the leader and brings it back a while later.
+// restartLeader kills the leader and starts it again after downtime.
 func (s *scenario) restartLeader(downtime time.Duration) {
 	i := leaderOrFirst(s.Simulation)
 	if s.Controller(i).ended() {
@@ -118,26 +122,28 @@
 	}()
 }
 
-// countLeaderChanges is how often leadership was taken while f ran.
+// countLeaderChanges counts how often leadership was taken while f ran.
 func (s *scenario) countLeaderChanges(f func()) {
 	before := s.IsLeader.Load()
 	f()
-	s.count("leads", int(s.IsLeader.Load()-before))
+	s.count("leadership taken", int(s.IsLeader.Load()-before))
 }
 
-// scenarioCase is a scenario to play. What must have come about is counted: a scenario whose count stays 0 fails.
+// scenarioCase is a scenario with the events that must occur in it: a scenario that fails to cause them
+// fails the test.
 type scenarioCase struct {
 	name     string
 	seed     uint64
 	setup    func(s *scenario)
 	run      func(s *scenario)
-	expected string // what must have come about, or must not with "!", beside cancellations that users were told
+	expected string // events that must occur, or with "!" must not, separated by ", "
 }
 
-// scenarios are the overlapping faults that users have asked about and that no other test brings about for certain.
+// scenarios are overlapping faults that no other test is certain to cause.
 var scenarios = slices.Concat(userScenarios, controllerScenarios, machineScenarios, messageScenarios)
 
-// isEveryThird tells whether a transaction is the first, the fourth, the seventh and so on of its kind.
+// isEveryThird counts a transaction by the kind of its first record, and reports whether it is the first,
+// fourth, seventh and so on of its kind.
 func (s *scenario) isEveryThird(prefix string, t protocol.Txn) bool {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
 	s.count(prefix+kind, 1)
@@ -146,7 +152,7 @@
 	return s.counts[prefix+kind]%3 == 1
 }
 
-// countLostAnswers counts the kinds of records whose writers lost an answer.
+// countLostAnswers counts the lost answers to transactions with the given kinds of records.
 func (s *scenario) countLostAnswers(kinds ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,12 +161,12 @@
 	}
 }
 
-// slowHeartbeats has workers send heartbeats as seldom as those of the largest deployments.
+// slowHeartbeats has workers send heartbeats as rarely as in the largest deployments.
 func (s *scenario) slowHeartbeats() {
 	s.Settings.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5}
 }
 
-// limitTeams gives every team a limitTeams that its jobs reach, and checks that they have.
+// limitTeams gives every team a limit that its jobs reach, and counts the teams at their limit after 15 s.
 func (s *scenario) limitTeams() {
 	for i := range s.Settings.Deployment.Teams {
 		s.Settings.Deployment.Teams[i].CpusMax = 24
@@ -181,8 +187,8 @@
 	}()
 }
 
-// countCancellationsBetweenOwners counts cancellations that are committed while a job's shard is without its owner, or within two
-// seconds of its next one.
+// countCancellationsBetweenOwners counts the cancellations that are committed while any controller is
+// down, or within two seconds of a change of the owner of the job's shard.
 func (s *scenario) countCancellationsBetweenOwners() {
 	changedAt := map[int]time.Time{} // by shard
 	previousCheck := s.Store.Check
@@ -202,11 +208,12 @@
 	}
 }
 
+// hasEndedController reports whether any controller is down.
 func (s *scenario) hasEndedController() bool {
 	return slices.ContainsFunc(s.controllers, func(process *ControllerProcess) bool { return process.ended() })
 }
 
-// shardOf is the shard of a job's team.
+// shardOf returns the shard of a job's team.
 func (s *scenario) shardOf(jobID string) int {
 	s.mu.Lock()
 	job := s.jobs[jobID]
@@ -214,15 +221,16 @@
 	return slices.IndexFunc(s.Settings.Deployment.Teams, func(team config.Team) bool { return team.Name == job.Team }) % 3
 }
 
-// TestScenarios plays the scenarios one by one, and checks that each came about, every rule, and that
-// once all is over every job is answered and nothing waits beside capacity.
+// TestScenarios runs the scenarios and checks that the expected events occur and that no rule is broken.
+// After the faults, every job must reach a final status, and no job may keep waiting while a machine has
+// capacity for it.
 func TestScenarios(t *testing.T) {
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) { runScenario(t, c) })
 	}
 }
 
-// runScenario plays a scenario, ends all faults, and checks what became of it.
+// runScenario runs a scenario, ends all faults, and checks the outcome.
 func runScenario(t *testing.T, c scenarioCase) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -233,7 +241,7 @@
 		healAll(scenario.Simulation, scenario.hooks)
 		scenario.checkAllServed(t)
 		if scenario.confirmedCancellations() == 0 && len(scenario.cancelled) > 0 {
-			t.Error("no user was told of a cancellation: nothing is proved")
+			t.Error("no cancellation was confirmed to a user: the scenario checks nothing")
 		}
 		scenario.cancelLongJobs(len(scenario.longJobs))
 		scenario.awaitAll(t, append(scenario.awaitedJobs, scenario.cancelled...), 120)
@@ -245,7 +253,8 @@
 	})
 }
 
-// newScenario sets a scenario up.
+// newScenario creates a scenario's simulation. If SCENARIO_LOG is set, the controllers log to standard
+// error.
 func newScenario(ctx context.Context, c scenarioCase) *scenario {
 	cfg := testSettings()
 	cfg.Deployment.Teams[0].CpusMax = 0
@@ -262,7 +271,7 @@
 	return s
 }
 
-// start starts the controllers and machines, and submits the jobs that are there as the faults start.
+// start starts the controllers and machines, and submits the jobs that run when the faults begin.
 func (s *scenario) start() {
 	for i := range 3 {
 		s.Start(i)
@@ -277,22 +286,23 @@
 	time.Sleep(12 * time.Second)
 }
 
-// checkCounts checks that all came about that must, and nothing that must not.
+// checkCounts checks that the expected events occurred, and that those with "!" did not.
 func (s *scenario) checkCounts(t *testing.T, expected string) {
 	t.Helper()
 	for _, event := range strings.Split(expected, ", ") {
 		if name, forbidden := strings.CutPrefix(event, "!"); event != "" && (s.counts[name] > 0) == forbidden {
-			t.Errorf("%q came about %d times", name, s.counts[name])
+			t.Errorf("event %q occurred %d times", name, s.counts[name])
 		}
 	}
 	for event, n := range s.counts {
 		t.Logf("%s: %d", event, n)
 	}
-	t.Logf("%d controllers ended, lead taken %d times, %d cancellations, %d starts after one, %d tasks killed by leases",
+	t.Logf("%d controllers killed, leadership taken %d times, %d cancellations confirmed, %d task starts after one, %d tasks killed by expired leases",
 		s.KillCount.Load(), s.IsLeader.Load(), s.confirmedCancellations(), s.StartsAfterCancel, s.LeaseKills)
 }
 
-// checkNoWaitBesideCapacity watches for a time after all faults: nobody may wait beside capacity for 90 s of it.
+// checkNoWaitBesideCapacity watches the jobs for a time after the faults: none may wait for more than 90 s
+// of it while a machine has capacity for it.
 func (sim *Simulation) checkNoWaitBesideCapacity(t *testing.T, duration time.Duration) {
 	t.Helper()
 	waitingSince := map[*Job]time.Time{}
@@ -305,7 +315,7 @@
 				at = time.Now()
 			}
 			if stillWaiting[j] = at; time.Since(at) > 90*time.Second {
-				t.Errorf("%s of %s has waited for 90 s beside capacity", j.ID, j.Team)
+				t.Errorf("%s of team %s has waited for more than 90 s although a machine has capacity for it", j.ID, j.Team)
 			}
 		}
 		waitingSince = stillWaiting
--- a/internal/simulator/scenarios_users_test.go
+++ b/internal/simulator/scenarios_users_test.go
@@ -7,16 +7,16 @@
 	"dykeledge/internal/protocol"
 )
 
-// userScenarios are about what users ask and are told.
+// userScenarios are the scenarios about users' requests and the answers to them.
 var userScenarios = []scenarioCase{
-	{"close looks, cancelled at once too", 9000, func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
+	{"queries at all controllers at once, and cancellations", 9000, func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
 		go func() { time.Sleep(8 * time.Second); s.restartLeader(3 * time.Second) }()
 		s.submitStream(25 * time.Second)
 		s.cancelLongJobs(4)
 		time.Sleep(5 * time.Second)
-		s.count("looks", int(s.Looks.Load()))
-	}, "looks"},
-	{"close looks while only answers are lost", 9001, func(s *scenario) {
+		s.count("checked answers", int(s.Looks.Load()))
+	}, "checked answers"},
+	{"queries at all controllers at once, lost answers of the state service", 9001, func(s *scenario) {
 		s.CloseLooks = true
 		s.LostAnswers = func(string, protocol.Txn) bool { return s.hooks.loseAnswers.Load() && s.Random.IntN(3) == 0 }
 	}, func(s *scenario) {
@@ -24,31 +24,31 @@
 		s.submitStream(25 * time.Second)
 		s.cancelLongJobs(4)
 		time.Sleep(5 * time.Second)
-		s.count("looks", int(s.Looks.Load()))
+		s.count("checked answers", int(s.Looks.Load()))
 		s.countLostAnswers("job", "rack")
 	}, "lost job, lost rack"},
-	{"one-task jobs for two minutes, a quarter cancelled", 9002, nil, func(s *scenario) {
+	{"single-task jobs for two minutes, a quarter of them cancelled", 9002, nil, func(s *scenario) {
 		go func() { time.Sleep(40 * time.Second); s.restartLeader(3 * time.Second) }()
 		s.submitStream(120 * time.Second)
 		s.count("jobs", len(s.awaitedJobs))
 	}, "jobs"},
-	{"cancelled, asked and submitted again at the end of the last task", 9014, func(s *scenario) {
+	{"cancelled, queried and submitted again as the last task completes", 9014, func(s *scenario) {
 		s.CloseLooks = true
 		s.AtEnd = func(j *Job) {
 			if s.Random.IntN(2) == 0 {
-				s.count("at the end", 1)
+				s.count("cancelled at the end", 1)
 				s.CancelNow(j)
 			}
 			s.CloseLook(j)
 		}
 	}, func(s *scenario) {
-		s.hooks.slowStore.Store(true) // the end may be committed between a look and the cancellation
+		s.hooks.slowStore.Store(true) // the completion may be committed between a query and the cancellation
 		for i := range 40 {
 			s.awaitedJobs = append(s.awaitedJobs, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1 + i%3, Cpus: 1, Run: s.randomDuration(time.Second, 3*time.Second)}))
 			time.Sleep(300 * time.Millisecond)
 		}
-	}, "at the end"},
-	{"more work than room, urgent and not, over slow links", 9020, func(s *scenario) { s.CapacityOf = 9 }, func(s *scenario) {
+	}, "cancelled at the end"},
+	{"more demand than capacity, jobs of all urgencies, a slow state service", 9020, func(s *scenario) { s.CapacityOf = 9 }, func(s *scenario) {
 		s.hooks.slowStore.Store(true)
 		for i := range 24 {
 			urgency := []string{"low", "normal", "high", "production"}[i%4]
@@ -59,14 +59,14 @@
 		s.cancelLongJobs(4)
 		time.Sleep(10 * time.Second)
 	}, "waiting"},
-	{"odd requests", 9026, nil, func(s *scenario) {
+	{"conflicting and invalid submissions", 9026, nil, func(s *scenario) {
 		s.submitStream(10 * time.Second)
 		s.cancelLongJobs(3)
 		time.Sleep(4 * time.Second)
 		for _, j := range append(slices.Clone(s.awaitedJobs[:12]), append(s.cancelled, s.longJobs...)...) {
 			s.count("answers", s.OddRequests(j))
 			if s.Told(j) == protocol.Done {
-				s.CancelNow(j) // done already: that stays
+				s.CancelNow(j) // the job must stay done
 				s.count("done cancelled", 1)
 			}
 		}
--- a/internal/simulator/simulation_cases_test.go
+++ b/internal/simulator/simulation_cases_test.go
@@ -10,16 +10,17 @@
 	"dykeledge/internal/storage"
 )
 
-// simulationCase is a fault that TestSimulation plays a mixed load through.
+// simulationCase is a fault that TestSimulation injects into a mixed load.
 type simulationCase struct {
 	name  string
 	setup func(sim *Simulation)
 	fault func(sim *Simulation)
 }
 
+// simulationCases are the cases of TestSimulation.
 var simulationCases = []simulationCase{
-	{name: "quiet"},
-	{name: "a controller is killed and comes back", fault: func(sim *Simulation) {
+	{name: "no fault"},
+	{name: "each controller is killed and restarts", fault: func(sim *Simulation) {
 		for i := range 3 {
 			time.Sleep(6 * time.Second)
 			sim.Kill(i)
@@ -27,7 +28,7 @@
 			sim.Start(i)
 		}
 	}},
-	{name: "all controllers are killed", fault: func(sim *Simulation) {
+	{name: "all controllers are killed and restart", fault: func(sim *Simulation) {
 		time.Sleep(8 * time.Second)
 		for i := range 3 {
 			sim.Kill(i)
@@ -37,7 +38,7 @@
 			sim.Start(i)
 		}
 	}},
-	{name: "one controller alone serves", fault: func(sim *Simulation) {
+	{name: "two of three controllers are killed", fault: func(sim *Simulation) {
 		time.Sleep(5 * time.Second)
 		sim.Kill(1)
 		sim.Kill(2)
@@ -67,7 +68,7 @@
 		time.Sleep(25 * time.Second)
 		sim.Store.Deny("n0", false)
 	}},
-	{name: "a controller is partitioned and comes back", fault: func(sim *Simulation) {
+	{name: "a controller is partitioned for 20 s", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
 		sim.Controller(0).Cut(AllCut)
 		time.Sleep(20 * time.Second)
@@ -79,9 +80,9 @@
 		time.Sleep(40 * time.Second)
 		sim.Controller(0).Cut(0)
 	}},
-	// A new owner that learnt of its shard from its own commit had not yet seen
-	// what the former owner committed just before, and placed tasks twice.
-	{name: "peers are taken for dead while controllers watch slowly", setup: func(sim *Simulation) {
+	// A new owner that learned from its own commit that a shard is its own had not yet received what the
+	// previous owner committed just before, and placed tasks twice.
+	{name: "live peers are considered lost while watches lag", setup: func(sim *Simulation) {
 		sim.Store.Lag = func(string) time.Duration { return time.Duration(sim.Random.IntN(1200)) * time.Millisecond }
 		go func() {
 			for i := range 500 {
@@ -127,9 +128,9 @@
 			sim.Start(i % 3)
 		}
 	}},
-	{name: "controllers are killed between record and launch", setup: func(sim *Simulation) { killAfterCommit(sim, placesTasks) }},
-	{name: "controllers are killed between the evicted set and the stops", setup: func(sim *Simulation) { killAfterCommit(sim, writesVictimSet) }},
-	{name: "rentals are carried out late", setup: func(sim *Simulation) {
+	{name: "controllers are killed between the commit of a placement and its launches", setup: func(sim *Simulation) { killAfterCommit(sim, placesTasks) }},
+	{name: "controllers are killed between the commit of a victim set and its terminations", setup: func(sim *Simulation) { killAfterCommit(sim, writesVictimSet) }},
+	{name: "rental requests are carried out late", setup: func(sim *Simulation) {
 		sim.LateScaleOuts = func() time.Duration {
 			return time.Duration(sim.Random.IntN(3)*sim.Random.IntN(20000)) * time.Millisecond
 		}
@@ -162,26 +163,26 @@
 		time.Sleep(20 * time.Second)
 		sim.Set(m, HangingMachine(false))
 	}},
-	{name: "a worker loses its session", fault: func(sim *Simulation) {
+	{name: "a worker is partitioned for longer than its lease", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
 		m := sim.Machines()[0]
 		sim.Set(m, CutOff(true))
 		time.Sleep(13 * time.Second)
 		sim.Set(m, CutOff(false))
 	}},
-	{name: "machines die, are taken and fail their tasks", fault: func(sim *Simulation) {
+	{name: "a machine dies, one fails its tasks, one is preempted", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
 		ms := sim.Machines()
 		sim.Die(ms[0])
 		sim.Set(ms[1], UnhealthyMachine(true))
 		sim.Set(ms[2], PreemptionNotice(8*time.Second))
 	}},
-	{name: "a job fails everywhere", setup: func(sim *Simulation) {
+	{name: "a job fails on every machine", setup: func(sim *Simulation) {
 		sim.User(JobSpec{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Broken: true, Urgency: "high"})
 	}},
 }
 
-// placesTasks tells whether a transaction places tasks.
+// placesTasks reports whether a transaction writes a machine group's record with tasks.
 func placesTasks(txn protocol.Txn) bool {
 	for _, c := range txn.Then {
 		if _, ok := storage.GroupOf(c.Put); ok {
@@ -194,7 +195,7 @@
 	return false
 }
 
-// writesVictimSet tells whether a transaction writes a set of tasks to evict.
+// writesVictimSet reports whether a transaction writes a victim set.
 func writesVictimSet(txn protocol.Txn) bool {
 	for _, c := range txn.Then {
 		if strings.Contains(c.Put, "/evict/") {
@@ -204,8 +205,8 @@
 	return false
 }
 
-// killAfterCommit kills a controller the moment that such a transaction of its own was
-// applied, four times in all, and starts it anew 4 s later.
+// killAfterCommit kills a controller right after one of its transactions that match is applied, four times
+// in all, and starts it again 4 s later.
 func killAfterCommit(sim *Simulation, matches func(protocol.Txn) bool) {
 	var kills atomic.Int32
 	sim.After = func(i int, txn protocol.Txn) {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -12,6 +12,7 @@
 	"dykeledge/internal/controller"
 )
 
+// testSettings returns the settings of a deployment with three controllers, three zones and four teams.
 func testSettings() *config.Settings {
 	s := &config.Settings{MemberName: "n0", Zone: "a", PublicAddr: "10.0.0.1:1", PeerListen: "10.0.0.1:2"}
 	s.Deployment = config.Deployment{Controllers: 3, Zones: []string{"a", "b", "c"},
@@ -23,8 +24,8 @@
 	return s
 }
 
-// simulationContext is a context for a simulation, which ends with the test: what was started with it has a minute of
-// virtual time to end before the test's bubble does.
+// simulationContext returns a context for a simulation that ends with the test. What was started with it
+// then has a minute of virtual time to end before the test's synctest bubble does.
 func simulationContext(t *testing.T) context.Context {
 	t.Helper()
 	t.Cleanup(func() { time.Sleep(time.Minute) })
@@ -38,7 +39,8 @@
 	}
 }
 
-// submitMixedLoad submits a mixed submitMixedLoad and returns its jobs.
+// submitMixedLoad submits jobs of different shapes and urgencies, with and without dependencies, and
+// returns them.
 func submitMixedLoad(sim *Simulation) []*Job {
 	var jobs []*Job
 	specs := []JobSpec{
@@ -57,8 +59,8 @@
 			jobs = append(jobs, sim.User(spec))
 			time.Sleep(time.Duration(sim.Random.IntN(1500)) * time.Millisecond)
 		}
-		// A pipeline over teams and shards with a diamond, one that hangs on a cancelled job,
-		// and a last job that comes when the others are over.
+		// Jobs that depend on one another across teams and shards: a diamond, one that needs a cancelled
+		// job, and a last job that becomes ready after the others.
 		root := sim.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
 		left := sim.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{root}})
 		right := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{root}})
@@ -72,7 +74,7 @@
 	return jobs
 }
 
-// awaitAll waits until all users were told that their jobs are over.
+// awaitAll waits until the users of all jobs have received a final status.
 func (sim *Simulation) awaitAll(t *testing.T, jobs []*Job, timeoutSeconds int) {
 	t.Helper()
 	isOpen := func(j *Job) bool { return !sim.Told(j).Final() }
@@ -85,7 +87,7 @@
 	for _, j := range jobs {
 		if isOpen(j) {
 			shards, _ := sim.Controller(0).Core.ShardViews(sim.ctx)
-			t.Errorf("%s of %s is still %q after %v, %d tasks on machines; shards %+v", j.ID, j.Team, sim.Told(j), time.Since(sim.StartTime), sim.On(j), shards)
+			t.Errorf("%s of team %s is still %q after %v, with %d tasks on machines; shards %+v", j.ID, j.Team, sim.Told(j), time.Since(sim.StartTime), sim.On(j), shards)
 			for _, m := range sim.Machines() {
 				t.Logf("%s in %s, spot %v: %d tasks", m.Name, m.Zone, m.Spot, len(m.tasks))
 			}
@@ -93,20 +95,21 @@
 	}
 }
 
-// TestSimulation plays a deployment through faults and checks every rule of the protocol.
+// TestSimulation runs a deployment through the simulationCases and checks every rule of the protocol.
 func TestSimulation(t *testing.T) {
 	for _, c := range simulationCases {
 		t.Run(c.name, func(t *testing.T) {
 			runMixedLoad(t, 5, c.setup, c.fault, func(sim *Simulation) {
 				if sim.After != nil && sim.KillCount.Load() == 0 {
-					t.Error("no such transaction came, nothing was killed")
+					t.Error("no transaction matched, so no controller was killed or stalled: the case checks nothing")
 				}
 			})
 		})
 	}
 }
 
-// runMixedLoad plays a mixed load through a fault, and checks every rule.
+// runMixedLoad runs a mixed load during a fault and checks every rule. setup is called before the
+// controllers start, fault while the jobs are submitted, and check at the end; each may be nil.
 func runMixedLoad(t *testing.T, seed uint64, setup, fault, check func(sim *Simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -143,11 +146,13 @@
 		if check != nil {
 			check(sim)
 		}
-		t.Logf("done after %v, %d starts, %d writes", time.Since(sim.StartTime), sim.Started, sim.Store.Writes)
+		t.Logf("done after %v, %d task starts, %d writes", time.Since(sim.StartTime), sim.Started, sim.Store.Writes)
 	})
 }
 
-// TestSettingsPropagate: a change is taken up by all controllers, and by one that starts later.
+// TestSettingsPropagate checks that a change of the operators' settings reaches all controllers, also one
+// that starts later, and that a change is refused with an old version or in an outage of the state
+// service.
 func TestSettingsPropagate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
@@ -163,20 +168,20 @@
 			t.Fatal(err)
 		}
 		if _, _, err = sim.Controller(1).Core.ChangeSettings(ctx, version, []byte(`{"alpha":0.9}`)); !errors.Is(err, controller.ErrVersionConflict) {
-			t.Fatalf("a change of an old version: %v", err)
+			t.Fatalf("change with an old version: error %v, want ErrVersionConflict", err)
 		}
 		sim.Start(2)
 		time.Sleep(2 * time.Second)
 		for i := range 3 {
 			if s, _, err := sim.Controller(i).Core.Settings(ctx); err != nil || s.Alpha != 0.7 {
-				t.Errorf("controller %d: %+v, %v", i, s, err)
+				t.Errorf("controller %d: settings %+v, error %v; want alpha 0.7", i, s, err)
 			}
 		}
 		sim.Store.SetDown(true)
 		shortCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		if _, _, err := sim.Controller(0).Core.ChangeSettings(shortCtx, 1, []byte(`{"alpha":0.1}`)); !errors.Is(err, controller.ErrStoreUnavailable) {
-			t.Errorf("in an outage: %v", err)
+			t.Errorf("change during an outage: error %v, want ErrStoreUnavailable", err)
 		}
 	})
 }
--- a/internal/simulator/upgrade_test.go
+++ b/internal/simulator/upgrade_test.go
@@ -14,16 +14,16 @@
 	"dykeledge/internal/storage"
 )
 
-// upgradeRun is one course of TestUpgrade.
+// upgradeRun is one run of TestUpgrade.
 type upgradeRun struct {
 	seed     uint64
-	gateOpen atomic.Bool // packed records are allowed from now on
+	gateOpen atomic.Bool // packed records may be written
 	kills    atomic.Int32
 }
 
-// TestUpgrade rolls the controllers from the version before to this one, through crashes, a controller
-// that comes back old and the leader's end at every step of the gate, and lowers the state
-// service's limits at some time afterwards without notice.
+// TestUpgrade upgrades the controllers one after another from the previous version to this one.
+// Controllers end, one may restart as the previous version, and the leader may end at each step of the
+// layout gate. After the gate has opened, the state service's limits are lowered without notice.
 func TestUpgrade(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -37,17 +37,18 @@
 				u.restartAll(sim)
 			}, func(sim *Simulation) {
 				if !u.gateOpen.Load() || !lowered {
-					t.Error("the gate did not open")
+					t.Error("the layout gate did not open")
 				}
 				if sim.Store.TooLarge > 0 {
-					t.Errorf("%d transactions were over the lower limits", sim.Store.TooLarge)
+					t.Errorf("%d transactions were over the lowered size limits, want none", sim.Store.TooLarge)
 				}
 			})
 		})
 	}
 }
 
-// restartController ends controller i, if it runs, and starts it: there are never two processes of one name.
+// restartController kills controller i if it runs, and starts it: there are never two processes of one
+// name.
 func restartController(sim *Simulation, i int) {
 	if !sim.Controller(i).ended() {
 		sim.Kill(i)
@@ -55,12 +56,12 @@
 	sim.Start(i)
 }
 
-// writesLayout tells whether a transaction writes the record that says which layout is allowed.
+// writesLayout reports whether a transaction writes the layout record.
 func writesLayout(txn protocol.Txn) bool {
 	return slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return c.Put == storage.LayoutKey })
 }
 
-// prepare has all controllers start as the version before, and watches the gate.
+// prepare has all controllers start as the previous version, and installs the check of the layout gate.
 func (u *upgradeRun) prepare(t *testing.T, sim *Simulation) {
 	t.Helper()
 	deployment := &sim.Settings.Deployment
@@ -70,7 +71,7 @@
 	sim.Store.MaxValue, sim.Store.MaxOps = 32<<10, 12
 	sim.LimitCloud(deployment.Cloud.RPS)
 	previousCheck := sim.Store.Check
-	sim.Store.Check = func(txn protocol.Txn) { // whoever learns of it
+	sim.Store.Check = func(txn protocol.Txn) { // also sees transactions whose sender gets no answer
 		previousCheck(txn)
 		u.checkGate(t, sim, txn)
 	}
@@ -90,8 +91,8 @@
 	}
 }
 
-// checkGate checks a transaction that opens the gate: no controller of the version before may serve any more, nor become
-// ready afterwards.
+// checkGate checks a transaction that opens the layout gate: no controller of the previous version may be
+// serving, and the barrier key in the transaction keeps one from becoming ready later.
 func (u *upgradeRun) checkGate(t *testing.T, sim *Simulation, txn protocol.Txn) {
 	t.Helper()
 	var layout storage.LayoutRecord
@@ -100,19 +101,19 @@
 	}
 	u.gateOpen.Store(true)
 	if len(txn.Then) != 2 || !strings.HasPrefix(txn.Then[1].Put, storage.Root+"machine/") {
-		t.Error("the version before would become ready on packed records")
+		t.Error("the transaction that opens the layout gate writes no barrier key: the previous version would become ready on packed records")
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if len(sim.Old) > 0 {
-		sim.violation("the gate opens while old controllers serve")
+		sim.violation("the layout gate opens while controllers of the previous version serve")
 	}
 }
 
-// rollOut replaces one controller after the other by this version.
+// rollOut replaces the controllers one after another by this version.
 func (u *upgradeRun) rollOut(sim *Simulation) {
 	time.Sleep(time.Duration(2000+sim.Random.IntN(4000)) * time.Millisecond)
-	if u.seed%2 == 1 { // dies before its turn and comes back old
+	if u.seed%2 == 1 { // ends before its turn and restarts as the previous version
 		sim.Kill(2)
 		time.Sleep(2 * time.Second)
 		restartController(sim, 2)
@@ -129,7 +130,7 @@
 	time.Sleep(time.Duration(sim.Random.IntN(8000)) * time.Millisecond)
 }
 
-// awaitGate waits until packed records are allowed, for 100 s at most.
+// awaitGate waits until the layout gate is open, for 100 s at most.
 func (u *upgradeRun) awaitGate() {
 	for range 1000 {
 		if time.Sleep(100 * time.Millisecond); u.gateOpen.Load() {
@@ -138,7 +139,7 @@
 	}
 }
 
-// restartAll ends all controllers at once in some of the courses, and brings them back.
+// restartAll restarts all controllers at once in some of the runs.
 func (u *upgradeRun) restartAll(sim *Simulation) {
 	if u.seed%5 != 0 {
 		return
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -9,10 +9,12 @@
 	"dykeledge/internal/protocol"
 )
 
-// TestCancelledJobEndsInPartitionedZone cancels a job just after the zone of its machines' owner was partitioned, with four in
-// ten machines and more: the owner inside keeps up their leases, and the one outside suspects itself. With its limit
-// of three leases alone, here longer than cancel_s, the job's tasks ran on; so would they on machines that are kept
-// since services run on them. The services go on, and run everywhere once the partition is over.
+// TestCancelledJobEndsInPartitionedZone cancels a job just after the zone of its shard's owner is
+// partitioned together with more than 40 % of the machines. The owner inside the zone renews the leases of
+// the workers there. The owner outside takes its own isolation for the more likely cause and returns
+// silent machines only after three leases, here longer than cancel_s; with this limit alone, the job's
+// tasks would run for too long. So would tasks on machines that are kept because replicas of a service run
+// on them. The service must keep running, and all its replicas must run once the partition has ended.
 func TestCancelledJobEndsInPartitionedZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
@@ -39,13 +41,13 @@
 		time.Sleep(12 * time.Second)
 		sim.PartitionZone(sim.Controller(owner).Zone)
 		if sim.On(service) < 8 || sim.On(cancelledJob) < 20 {
-			t.Fatalf("%d replicas and %d tasks run when the zone is partitioned: the case proves nothing", sim.On(service), sim.On(cancelledJob))
+			t.Fatalf("%d service replicas and %d tasks run when the zone is partitioned, want 8 and at least 20: the test checks nothing", sim.On(service), sim.On(cancelledJob))
 		}
 		time.Sleep(60 * time.Second)
 		sim.PartitionZone("")
 		time.Sleep(60 * time.Second)
 		if sim.Told(cancelledJob) != protocol.Cancelled || sim.On(cancelledJob) > 0 || sim.On(service) < 8 {
-			t.Errorf("the job is %s with %d tasks on machines, %d of 8 replicas run", sim.Told(cancelledJob), sim.On(cancelledJob), sim.On(service))
+			t.Errorf("the cancelled job is %s with %d tasks on machines, %d of 8 service replicas run", sim.Told(cancelledJob), sim.On(cancelledJob), sim.On(service))
 		}
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
