--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -93,7 +93,7 @@
 			go sim.OddRequests(j)
 		}
 	}},
-	{"one-task jobs", func(sim *Simulation, _ *faultHooks) {
+	{"single-task jobs", func(sim *Simulation, _ *faultHooks) {
 		for i := range 60 {
 			spec := JobSpec{Team: sim.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: 3 * time.Second}
 			if i%4 == 1 {
--- a/internal/simulator/scenarios_machines_test.go
+++ b/internal/simulator/scenarios_machines_test.go
@@ -16,8 +16,8 @@
 	}, "machines, leadership taken"},
 	{"teams at their limit, cancellations on hanging machines, new leaders", 9005, func(s *scenario) { s.limitTeams(); s.slowHeartbeats() }, func(s *scenario) {
 		s.cancelLongJobs(6)
-		hit := s.changeMachinesOf(6, HangingMachine(true), s.cancelled...)
-		s.count("machines", len(hit))
+		changed := s.changeMachinesOf(6, HangingMachine(true), s.cancelled...)
+		s.count("machines", len(changed))
 		s.countLeaderChanges(func() {
 			for range 4 {
 				time.Sleep(2 * time.Second)
@@ -27,8 +27,8 @@
 		})
 	}, "machines, leadership taken, at the limit"},
 	{"teams at their limit, cancellations on partitioned machines, a new leader", 9006, func(s *scenario) { s.limitTeams() }, func(s *scenario) {
-		hit := s.changeMachinesOf(4, CutOff(true), s.longJobs[:4]...)
-		s.count("machines", len(hit))
+		changed := s.changeMachinesOf(4, CutOff(true), s.longJobs[:4]...)
+		s.count("machines", len(changed))
 		s.countLeaderChanges(func() {
 			s.restartLeader(5 * time.Second)
 			time.Sleep(time.Second)
@@ -72,28 +72,28 @@
 		time.Sleep(20 * time.Second)
 	}, "machines"},
 	{"machines that reach no controller", 9017, nil, func(s *scenario) {
-		hit := s.changeMachinesOf(3, MuteMachine(true), s.longJobs...)
-		s.count("machines", len(hit))
+		changed := s.changeMachinesOf(3, MuteMachine(true), s.longJobs...)
+		s.count("machines", len(changed))
 		// Their tasks must not be started again and again where no lease can be renewed.
 		time.Sleep(16 * time.Second) // their leases have expired by now
 		statsBefore := s.Stats()
-		late := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 25 * time.Second})
-		s.awaitedJobs = append(s.awaitedJobs, late)
+		waitingJob := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 25 * time.Second})
+		s.awaitedJobs = append(s.awaitedJobs, waitingJob)
 		s.cancelLongJobs(3)
 		time.Sleep(60 * time.Second)
 		if killed := s.Stats().LeaseKills - statsBefore.LeaseKills; killed > 0 {
 			s.count("killed again", killed)
 		}
-		if s.Told(late) != protocol.Done {
+		if s.Told(waitingJob) != protocol.Done {
 			s.count("not done", 1)
 		}
 	}, "machines, !killed again, !not done"},
 	{"machines that receive nothing, and a waiting job", 9018, nil, func(s *scenario) {
 		s.count("machines", len(s.changeMachinesOf(3, DeafMachine(true), s.longJobs...)))
-		late := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 10 * time.Second})
-		s.awaitedJobs = append(s.awaitedJobs, late)
+		waitingJob := s.User(JobSpec{Team: "red", Tasks: 6, Cpus: 4, Run: 10 * time.Second})
+		s.awaitedJobs = append(s.awaitedJobs, waitingJob)
 		time.Sleep(60 * time.Second)
-		if s.Told(late) != protocol.Done {
+		if s.Told(waitingJob) != protocol.Done {
 			s.count("not done", 1)
 		}
 	}, "machines, !not done"},
--- a/internal/simulator/scenarios_messages_test.go
+++ b/internal/simulator/scenarios_messages_test.go
@@ -36,7 +36,7 @@
 				first := len(s.longJobs)
 				s.submitLongJobs(4, JobSpec{Cpus: 1}) // the kept heartbeats don't contain their tasks
 				time.Sleep(s.randomDuration(4*time.Second, 8*time.Second))
-				hit := s.changeMachinesOf(9, HangingMachine(true), s.longJobs[first:]...) // so that the kept heartbeats are the first that the new owners receive
+				changed := s.changeMachinesOf(9, HangingMachine(true), s.longJobs[first:]...) // so that the kept heartbeats are the first that the new owners receive
 				leadersBefore := s.IsLeader.Load()
 				s.restartLeader(6 * time.Second)
 				for range 60 {
@@ -45,7 +45,7 @@
 					}
 				}
 				time.Sleep(700 * time.Millisecond)
-				for _, m := range hit {
+				for _, m := range changed {
 					s.Set(m, HangingMachine(false))
 				}
 				time.Sleep(4 * time.Second)
@@ -82,9 +82,9 @@
 	}, "lost job, lost rack, lost share, lost leader, lost node"},
 	{"duplicate heartbeats after newer ones, also of earlier incarnations", 9023, nil, func(s *scenario) {
 		s.hooks.duplicateHeartbeats.Store(true)
-		hit := s.changeMachinesOf(2, CutOff(true), s.longJobs[:2]...)
+		changed := s.changeMachinesOf(2, CutOff(true), s.longJobs[:2]...)
 		s.submitStream(14 * time.Second)
-		for _, m := range hit { // as a new incarnation
+		for _, m := range changed { // as a new incarnation
 			s.Set(m, CutOff(false))
 		}
 		s.cancelLongJobs(4)
@@ -104,10 +104,10 @@
 		s.hooks.delayCommands.Store(true)
 		s.hooks.delayAnswers.Store(true)
 		for i := range 3 {
-			hit := s.changeMachinesOf(2, HangingMachine(true), s.longJobs...)
+			changed := s.changeMachinesOf(2, HangingMachine(true), s.longJobs...)
 			s.cancelLongJobs(2)
 			s.submitStream(7 * time.Second)
-			for _, m := range hit {
+			for _, m := range changed {
 				s.Set(m, HangingMachine(false))
 			}
 			if i == 1 {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -65,11 +65,11 @@
 		left := sim.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{root}})
 		right := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{root}})
 		joined := sim.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{left, right}})
-		orphan := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{left, jobs[first+4]}})
-		last := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{orphan, joined}})
+		needsCancelled := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{left, jobs[first+4]}})
+		last := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{needsCancelled, joined}})
 		cancelled := sim.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{root}})
-		late := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{cancelled, jobs[first+5]}})
-		jobs = append(jobs, root, left, right, joined, orphan, last, cancelled, late)
+		needsTwoCancelled := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{cancelled, jobs[first+5]}})
+		jobs = append(jobs, root, left, right, joined, needsCancelled, last, cancelled, needsTwoCancelled)
 	}
 	return jobs
 }
