--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -18,49 +18,51 @@
 	"dykeledge/internal/storage"
 )
 
-// scenario is a course of overlapping faults, brought about in a simulation of three controllers, nine machines and long jobs.
+// scenario is a test case with overlapping faults, in a simulation of three controllers, nine machines and
+// long-running jobs.
 type scenario struct {
 	*Simulation
-	hooks     *hooks
-	long      []*Job // uncancelled, two tasks each that run for an hour
-	cancelled []*Job
-	far       []*Job // tasks that end far apart
-	counting  sync.Mutex
-	counts    map[string]int
+	hooks       *faultHooks
+	longJobs    []*Job // not cancelled yet; their tasks run for an hour
+	cancelled   []*Job
+	awaitedJobs []*Job // jobs that must reach a final status by the end
+	countsMu    sync.Mutex
+	counts      map[string]int
 }
 
-// count notes that something of the scenario came about.
-func (s *scenario) count(what string, n int) {
-	s.counting.Lock()
-	defer s.counting.Unlock()
-	s.counts[what] += n
+// count adds to the number of times that an event occurred.
+func (s *scenario) count(event string, n int) {
+	s.countsMu.Lock()
+	defer s.countsMu.Unlock()
+	s.counts[event] += n
 }
 
-// cancelJob has users cancel so many of the long jobs now.
-func (s *scenario) cancelJob(n int) {
-	n = min(n, len(s.long))
-	for _, j := range s.long[:n] {
+// cancelLongJobs has the users of the first n long jobs cancel them now.
+func (s *scenario) cancelLongJobs(n int) {
+	n = min(n, len(s.longJobs))
+	for _, j := range s.longJobs[:n] {
 		s.CancelNow(j)
 	}
-	s.cancelled, s.long = append(s.cancelled, s.long[:n]...), s.long[n:]
+	s.cancelled, s.longJobs = append(s.cancelled, s.longJobs[:n]...), s.longJobs[n:]
 }
 
-// preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled first.
+// preferJobsIn moves the long jobs that have a task in a zone to the front, so that they are cancelled
+// first.
 func (s *scenario) preferJobsIn(zone string) {
 	isInZone := func(m *Machine) bool { return m.Zone == zone }
 	var inZone, others []*Job
-	for _, job := range s.long {
+	for _, job := range s.longJobs {
 		if slices.ContainsFunc(s.machinesOf(job), isInZone) {
 			inZone = append(inZone, job)
 		} else {
 			others = append(others, job)
 		}
 	}
-	s.long = append(inZone, others...)
+	s.longJobs = append(inZone, others...)
 }
 
-// told is how many of the jobs that were cancelled are known to their users to be cancelled.
-func (s *scenario) told() (n int) {
+// confirmedCancellations returns how many of the cancelled jobs were reported to their users as cancelled.
+func (s *scenario) confirmedCancellations() (n int) {
 	for _, j := range s.cancelled {
 		if s.Told(j) == protocol.Cancelled {
 			n++
@@ -69,85 +71,89 @@
 	return n
 }
 
-// more submits long jobs of every team.
-func (s *scenario) more(n int, want JobSpec) {
+// submitLongJobs submits n jobs that run for an hour, for each team in turn.
+func (s *scenario) submitLongJobs(n int, spec JobSpec) {
 	for i := range n {
-		want.Team = s.Settings.Deployment.Teams[i%4].Name
-		want.Tasks, want.Cpus, want.Run = cmp.Or(want.Tasks, 2), cmp.Or(want.Cpus, 4), time.Hour
-		s.long = append(s.long, s.User(want))
+		spec.Team = s.Settings.Deployment.Teams[i%4].Name
+		spec.Tasks, spec.Cpus, spec.Run = cmp.Or(spec.Tasks, 2), cmp.Or(spec.Cpus, 4), time.Hour
+		s.longJobs = append(s.longJobs, s.User(spec))
 	}
 }
 
-// stream submits one-task jobs, four a second; a quarter is cancelled, within three seconds.
-func (s *scenario) stream(d time.Duration) {
-	for i := range int(4 * d.Seconds()) {
-		want := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
+// submitStream submits four single-task jobs a second; a quarter of them are cancelled within three
+// seconds.
+func (s *scenario) submitStream(duration time.Duration) {
+	for i := range int(4 * duration.Seconds()) {
+		spec := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
 		if i%4 == 1 {
-			want.CancelAfter = s.randomDuration(time.Millisecond, 3*time.Second)
+			spec.CancelAfter = s.randomDuration(time.Millisecond, 3*time.Second)
 		}
-		s.far = append(s.far, s.User(want))
+		s.awaitedJobs = append(s.awaitedJobs, s.User(spec))
 		time.Sleep(250 * time.Millisecond)
 	}
 }
 
-// hit changes machines that hold tasks of the jobs that a test is about, so many at most.
-func (s *scenario) hit(most int, f func(*Machine), jobs ...*Job) (hit []*Machine) {
+// changeMachinesOf applies a change to at most limit machines that run tasks of the jobs, and returns
+// these machines.
+func (s *scenario) changeMachinesOf(limit int, change func(*Machine), jobs ...*Job) (changed []*Machine) {
 	for _, j := range jobs {
 		for _, m := range s.machinesOf(j) {
-			if len(hit) < most && !slices.Contains(hit, m) {
-				hit = append(hit, m)
-				s.Set(m, f)
+			if len(changed) < limit && !slices.Contains(changed, m) {
+				changed = append(changed, m)
+				s.Set(m, change)
 			}
 		}
 	}
-	return hit
+	return changed
 }
 
-// next ends the leader and brings it back a while later.
-func (s *scenario) next(back time.Duration) {
-	i := theLeader(s.Simulation)
+// restartLeader kills the leader and starts it again after downtime.
+func (s *scenario) restartLeader(downtime time.Duration) {
+	i := leaderOrFirst(s.Simulation)
 	if s.Controller(i).ended() {
 		return
 	}
 	s.Kill(i)
 	go func() {
-		time.Sleep(back)
+		time.Sleep(downtime)
 		if s.Controller(i).ended() {
 			s.Start(i)
 		}
 	}()
 }
 
-// isLeader is how often leadership was taken while f ran.
-func (s *scenario) isLeader(f func()) {
+// countLeaderChanges counts how often leadership was taken while f ran.
+func (s *scenario) countLeaderChanges(f func()) {
 	before := s.IsLeader.Load()
 	f()
-	s.count("leads", int(s.IsLeader.Load()-before))
+	s.count("leadership taken", int(s.IsLeader.Load()-before))
 }
 
-// scenarioCase is a scenario to play. What must have come about is counted: a scenario whose count stays 0 fails.
+// scenarioCase is a scenario with the events that must occur in it: a scenario that fails to cause them
+// fails the test.
 type scenarioCase struct {
-	name  string
-	seed  uint64
-	setup func(s *scenario)
-	play  func(s *scenario)
-	must  string // what must have come about, or must not with "!", beside cancellations that users were told
+	name     string
+	seed     uint64
+	setup    func(s *scenario)
+	run      func(s *scenario)
+	expected string // events that must occur, or with "!" must not, separated by ", "
 }
 
-// scenarios are the overlapping faults that users have asked about and that no other test brings about for certain.
+// scenarios are overlapping faults that no other test is certain to cause.
 var scenarios = slices.Concat(userScenarios, controllerScenarios, machineScenarios, messageScenarios)
 
-// everyThird tells whether a transaction is the first, the fourth, the seventh and so on of its kind.
-func (s *scenario) everyThird(what string, t protocol.Txn) bool {
+// isEveryThird counts a transaction by the kind of its first record, and reports whether it is the first,
+// fourth, seventh and so on of its kind.
+func (s *scenario) isEveryThird(prefix string, t protocol.Txn) bool {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(t.Then[0].Put+t.Then[0].Delete, storage.Root), "/")
-	s.count(what+kind, 1)
-	s.counting.Lock()
-	defer s.counting.Unlock()
-	return s.counts[what+kind]%3 == 1
+	s.count(prefix+kind, 1)
+	s.countsMu.Lock()
+	defer s.countsMu.Unlock()
+	return s.counts[prefix+kind]%3 == 1
 }
 
-// lostKinds counts the kinds of records whose writers lost an answer.
-func (s *scenario) lostKinds(kinds ...string) {
+// countLostAnswers counts the lost answers to transactions with the given kinds of records.
+func (s *scenario) countLostAnswers(kinds ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range kinds {
@@ -155,13 +161,13 @@
 	}
 }
 
-// slowHeartbeats has workers send heartbeats as seldom as those of the largest deployments.
+// slowHeartbeats has workers send heartbeats as rarely as in the largest deployments.
 func (s *scenario) slowHeartbeats() {
 	s.Settings.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 26.5, GangWaitS: 30, GangPeerS: 4, CancelS: 46.5}
 }
 
-// limit gives every team a limit that its jobs reach, and checks that they have.
-func (s *scenario) limit() {
+// limitTeams gives every team a limit that its jobs reach, and counts the teams at their limit after 15 s.
+func (s *scenario) limitTeams() {
 	for i := range s.Settings.Deployment.Teams {
 		s.Settings.Deployment.Teams[i].CpusMax = 24
 	}
@@ -181,13 +187,13 @@
 	}()
 }
 
-// watchOwnershipChanges counts cancellations that are committed while a job's shard is without its owner, or within two
-// seconds of its next one.
-func (s *scenario) watchOwnershipChanges() {
+// countCancellationsBetweenOwners counts the cancellations that are committed while any controller is
+// down, or within two seconds of a change of the owner of the job's shard.
+func (s *scenario) countCancellationsBetweenOwners() {
 	changedAt := map[int]time.Time{} // by shard
-	records := s.Store.Check
+	previousCheck := s.Store.Check
 	s.Store.Check = func(txn protocol.Txn) {
-		records(txn)
+		previousCheck(txn)
 		for _, change := range txn.Then {
 			var shard int
 			if n, _ := fmt.Sscanf(change.Put, storage.Root+"share/%d", &shard); n == 1 {
@@ -202,11 +208,12 @@
 	}
 }
 
+// hasEndedController reports whether any controller is down.
 func (s *scenario) hasEndedController() bool {
 	return slices.ContainsFunc(s.controllers, func(process *ControllerProcess) bool { return process.ended() })
 }
 
-// shardOf is the shard of a job's team.
+// shardOf returns the shard of a job's team.
 func (s *scenario) shardOf(jobID string) int {
 	s.mu.Lock()
 	job := s.jobs[jobID]
@@ -214,43 +221,45 @@
 	return slices.IndexFunc(s.Settings.Deployment.Teams, func(team config.Team) bool { return team.Name == job.Team }) % 3
 }
 
-// TestScenarios plays the scenarios one by one, and checks that each came about, every rule, and that
-// once all is over every job is answered and nothing waits beside capacity.
+// TestScenarios runs the scenarios and checks that the expected events occur and that no rule is broken.
+// After the faults, every job must reach a final status, and no job may keep waiting while a machine has
+// capacity for it.
 func TestScenarios(t *testing.T) {
 	for _, c := range scenarios {
-		t.Run(c.name, func(t *testing.T) { playScenario(t, c) })
+		t.Run(c.name, func(t *testing.T) { runScenario(t, c) })
 	}
 }
 
-// playScenario plays a scenario, ends all faults, and checks what became of it.
-func playScenario(t *testing.T, c scenarioCase) {
+// runScenario runs a scenario, ends all faults, and checks the outcome.
+func runScenario(t *testing.T, c scenarioCase) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx := simulationContext(t)
 		scenario := newScenario(ctx, c)
-		scenario.begin()
-		c.play(scenario)
+		scenario.start()
+		c.run(scenario)
 		healAll(scenario.Simulation, scenario.hooks)
 		scenario.checkAllServed(t)
-		if scenario.told() == 0 && len(scenario.cancelled) > 0 {
-			t.Error("no user was told of a cancellation: nothing is proved")
+		if scenario.confirmedCancellations() == 0 && len(scenario.cancelled) > 0 {
+			t.Error("no cancellation was confirmed to a user: the scenario checks nothing")
 		}
-		scenario.cancelJob(len(scenario.long))
-		scenario.awaitAll(t, append(scenario.far, scenario.cancelled...), 120)
+		scenario.cancelLongJobs(len(scenario.longJobs))
+		scenario.awaitAll(t, append(scenario.awaitedJobs, scenario.cancelled...), 120)
 		time.Sleep(seconds(scenario.Settings.Deployment.Workers.CancelS + 2)) // cancelled tasks must be gone by now
 		for _, b := range scenario.BrokenRules() {
 			t.Error(b)
 		}
-		scenario.checkCounts(t, c.must)
+		scenario.checkCounts(t, c.expected)
 	})
 }
 
-// newScenario sets a scenario up.
+// newScenario creates a scenario's simulation. If SCENARIO_LOG is set, the controllers log to standard
+// error.
 func newScenario(ctx context.Context, c scenarioCase) *scenario {
-	cfg := settings()
+	cfg := testSettings()
 	cfg.Deployment.Teams[0].CpusMax = 0
 	cfg.Deployment.Workers.CancelS = 36
-	s := &scenario{Simulation: NewSimulation(ctx, cfg, c.seed), hooks: &hooks{}, counts: map[string]int{}}
+	s := &scenario{Simulation: NewSimulation(ctx, cfg, c.seed), hooks: &faultHooks{}, counts: map[string]int{}}
 	s.CapacityOf = 14
 	if os.Getenv("SCENARIO_LOG") != "" {
 		s.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -262,8 +271,8 @@
 	return s
 }
 
-// begin starts the controllers and machines, and submits the jobs that are there as the faults begin.
-func (s *scenario) begin() {
+// start starts the controllers and machines, and submits the jobs that run when the faults begin.
+func (s *scenario) start() {
 	for i := range 3 {
 		s.Start(i)
 	}
@@ -272,42 +281,43 @@
 		s.AddMachine(s.Settings.Deployment.Zones[i%3], false)
 	}
 	time.Sleep(3 * time.Second)
-	s.more(16, JobSpec{})
-	s.far = append(s.far, s.submitFarApart()...)
+	s.submitLongJobs(16, JobSpec{})
+	s.awaitedJobs = append(s.awaitedJobs, s.submitSpreadJobs()...)
 	time.Sleep(12 * time.Second)
 }
 
-// checkCounts checks that all came about that must, and nothing that must not.
-func (s *scenario) checkCounts(t *testing.T, must string) {
+// checkCounts checks that the expected events occurred, and that those with "!" did not.
+func (s *scenario) checkCounts(t *testing.T, expected string) {
 	t.Helper()
-	for _, k := range strings.Split(must, ", ") {
-		if what, no := strings.CutPrefix(k, "!"); k != "" && (s.counts[what] > 0) == no {
-			t.Errorf("%q came about %d times", what, s.counts[what])
+	for _, event := range strings.Split(expected, ", ") {
+		if name, forbidden := strings.CutPrefix(event, "!"); event != "" && (s.counts[name] > 0) == forbidden {
+			t.Errorf("event %q occurred %d times", name, s.counts[name])
 		}
 	}
-	for what, n := range s.counts {
-		t.Logf("%s: %d", what, n)
+	for event, n := range s.counts {
+		t.Logf("%s: %d", event, n)
 	}
-	t.Logf("%d controllers ended, lead taken %d times, %d cancellations, %d starts after one, %d tasks killed by leases",
-		s.KillCount.Load(), s.IsLeader.Load(), s.told(), s.StartsAfterCancel, s.LeaseKills)
+	t.Logf("%d controllers killed, leadership taken %d times, %d cancellations confirmed, %d task starts after one, %d tasks killed by expired leases",
+		s.KillCount.Load(), s.IsLeader.Load(), s.confirmedCancellations(), s.StartsAfterCancel, s.LeaseKills)
 }
 
-// watchWaitingBesideCapacity watches for a time after all faults: nobody may wait beside capacity for 90 s of it.
-func (sim *Simulation) watchWaitingBesideCapacity(t *testing.T, duration time.Duration) {
+// checkNoWaitBesideCapacity watches the jobs for a time after the faults: none may wait for more than 90 s
+// of it while a machine has capacity for it.
+func (sim *Simulation) checkNoWaitBesideCapacity(t *testing.T, duration time.Duration) {
 	t.Helper()
-	since := map[*Job]time.Time{}
+	waitingSince := map[*Job]time.Time{}
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Second)
-		now := map[*Job]time.Time{}
+		stillWaiting := map[*Job]time.Time{}
 		for _, j := range sim.Beside() {
-			at, ok := since[j]
+			at, ok := waitingSince[j]
 			if !ok {
 				at = time.Now()
 			}
-			if now[j] = at; time.Since(at) > 90*time.Second {
-				t.Errorf("%s of %s has waited for 90 s beside capacity", j.ID, j.Team)
+			if stillWaiting[j] = at; time.Since(at) > 90*time.Second {
+				t.Errorf("%s of team %s has waited for more than 90 s although a machine has capacity for it", j.ID, j.Team)
 			}
 		}
-		since = now
+		waitingSince = stillWaiting
 	}
 }
