--- a/internal/controller/attempt_outcomes.go
+++ b/internal/controller/attempt_outcomes.go
@@ -47,7 +47,7 @@
 		if dispatch.AttemptRefOf(placed) != ref || now.Sub(c.shards.takenOverAt) <= seconds(float64(fetchS)) {
 			continue
 		}
-		c.log.Info("replica runs", "job", ref.Job.ID, "task", ref.Task, "machine", machine.Name,
+		c.log.Info("service replica started", "job", ref.Job.ID, "task", ref.Task, "machine", machine.Name,
 			"waited_s", placed.WaitedSeconds, "fetch_s", fetchS, "image_gb", ref.Job.ImageGB,
 			"age_s", now.Sub(ref.Job.ReadyAt).Round(100*time.Millisecond).Seconds())
 	}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -56,7 +56,7 @@
 	if state.failures >= minFailedMachines {
 		state.suspectAttempts++
 		state.retryAt = now.Add(backoffAfter(state.suspectAttempts))
-		c.log.Info("job fails", "job", job.ID, "failures", state.failures, "machines", len(state.failedMachines), "suspect", c.suspect(job))
+		c.log.Info("job failed repeatedly, backing off", "job", job.ID, "failures", state.failures, "machines", len(state.failedMachines), "suspect", c.suspect(job))
 	}
 }
 
@@ -174,7 +174,7 @@
 	if !evidence.provesFault() {
 		return
 	}
-	c.log.Info("machine fails its tasks, marked unhealthy", "machine", machine.Name, "failures", evidence.failures, "jobs", evidence.jobs)
+	c.log.Info("machine marked unhealthy after task failures", "machine", machine.Name, "failures", evidence.failures, "jobs", evidence.jobs)
 	worker.unhealthy = true
 	for job := range worker.failures {
 		delete(c.jobState(job).failedMachines, machine.Index) // the machine was at fault, not the job
--- a/internal/controller/followed_changes.go
+++ b/internal/controller/followed_changes.go
@@ -87,7 +87,7 @@
 		}
 		if version != c.shards.owned[shard] {
 			c.shards.owned[shard] = version
-			c.log.Info("shard changed hands", "shard", shard, "owner", c.cache.Shards[shard].Member, "own", version > 0)
+			c.log.Info("shard owner changed", "shard", shard, "owner", c.cache.Shards[shard].Member, "own", version > 0)
 			c.takeOverShard(shard, version > 0, now)
 		}
 	}
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -50,7 +50,7 @@
 	c.commitOutsideCycle(ctx, txn, protocol.UrgentRequest, func(ok bool) {
 		c.gates.layoutWriteInFlight = false
 		if ok {
-			c.log.Info("layout of the records written", "layout", record.Version, "members", members)
+			c.log.Info("record layout written", "layout", record.Version, "members", members)
 		}
 	})
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -113,7 +113,7 @@
 	if member != nil && (c.supersededBy(member) || c.describes(member)) {
 		return
 	}
-	c.log.Info("member record is not this process's, writing it again", "present", member != nil)
+	c.log.Info("member record does not match this process, rewriting it", "present", member != nil)
 	c.writeMember(ctx, protocol.Txn{}, c.session.notReady.Load(), func(bool) {})
 }
 
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -140,7 +140,7 @@
 	if record.Value != nil {
 		var err error
 		if settings, err = settings.Change(record.Value); err != nil {
-			c.log.Error("settings in the state service are not taken up", "err", err)
+			c.log.Error("invalid settings record in the state service, keeping the current settings", "err", err)
 			return
 		}
 	}
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -41,7 +41,7 @@
 	machines := c.bootedOwnedMachines()
 	limit := c.silenceLimit(machines)
 	if machines >= minMachinesForReadiness && c.silenceOf(c.workers.lastWorkerMessageAt, now) > limit && now.Sub(c.shards.takenOverAt) > limit && c.anotherControllerReady() {
-		c.log.Info("no worker is heard, giving up shards", "machines", machines)
+		c.log.Info("no worker heartbeats received, giving up shards", "machines", machines)
 		c.setNotReady(ctx, true)
 	}
 }
--- a/internal/controller/record_splitting.go
+++ b/internal/controller/record_splitting.go
@@ -92,7 +92,7 @@
 	if len(parts) <= maxChanges {
 		txn.Then = append(txn.Then, protocol.Change{Put: storage.GroupKey(group.ID), Value: storage.EncodeGroup(parts[0], true)})
 	}
-	c.log.Info("group is split", "group", group.ID, "machines", len(group.Machines), "parts", len(parts))
+	c.log.Info("splitting oversized machine group record", "group", group.ID, "machines", len(group.Machines), "parts", len(parts))
 	return txn
 }
 
--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -104,7 +104,7 @@
 	free[target.Index] = left
 	state := c.jobState(job)
 	state.relocating, state.relocatedAt = dispatch.AttemptRefOf(placed), now
-	c.log.Info("replica is relocated", "job", job.ID, "task", placed.Task, "from", from.Name, "to", target.Name)
+	c.log.Info("relocating replica from draining machine", "job", job.ID, "task", placed.Task, "from", from.Name, "to", target.Name)
 	c.sendStopCommands(from)
 }
 
--- a/internal/controller/stall_detection.go
+++ b/internal/controller/stall_detection.go
@@ -14,7 +14,7 @@
 	if last.IsZero() || now.Sub(last) < c.timing.Tick+stallThreshold {
 		return
 	}
-	c.log.Info("this process stalled", "stalled_s", now.Sub(last).Round(10*time.Millisecond).Seconds(), "session_lease_certain", c.leaseCertain(now))
+	c.log.Info("process stall detected", "stalled_s", now.Sub(last).Round(10*time.Millisecond).Seconds(), "session_lease_certain", c.leaseCertain(now))
 	c.metrics.stalls.Inc()
 	c.reachability.resumedAt = now
 	// Observations of idle, surplus or unrecorded machines from before the stall are out of date.
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -53,7 +53,7 @@
 func (c *Controller) noteTooLarge(err error) {
 	if errors.Is(err, protocol.ErrTooLarge) && !c.gates.limitsLowered {
 		c.gates.limitsLowered = true
-		c.log.Info("state service refused a transaction for its size, keeping to the limits to come")
+		c.log.Info("state service refused a transaction because of its size, applying announced limits")
 	}
 	if (c.gates.limitsLowered || c.cache.Packed()) && !c.gates.rateLowered {
 		c.gates.rateLowered = true
--- a/internal/controller/team_limits.go
+++ b/internal/controller/team_limits.go
@@ -68,7 +68,7 @@
 		return
 	}
 	record := storage.VictimSetRecord{Shard: c.cache.ShardOf(team), ChosenAtMs: now.UnixMilli(), Victims: victimRecords(chosen)}
-	c.log.Info("evicting for a limit", "team", c.cache.Teams[team].Name, "victims", len(record.Victims))
+	c.log.Info("evicting tasks above team limit", "team", c.cache.Teams[team].Name, "victims", len(record.Victims))
 	key := storage.VictimSetKey(limitSetName(team))
 	planned.put(key, 0, protocol.Change{Put: key, Value: storage.EncodeVictimSet(&record, c.cache.Packed())})
 	planned.usedOps++
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -121,7 +121,7 @@
 		switch {
 		case now.Before(progress.nextTry):
 		case receivesWorkerMessages && age >= terminationDeadline(workers) && c.triedLongEnough(progress, now):
-			c.log.Info("cancelled tasks not shown to have ended, returning machine", "machine", machine.Name, "own", own, "age_s", age.Seconds())
+			c.log.Info("cancelled tasks not proved to have ended by the deadline, returning machine", "machine", machine.Name, "own", own, "age_s", age.Seconds())
 			toReturn = append(toReturn, machine.Name)
 			progress.nextTry = now.Add(scaleInRetryInterval)
 			if own {
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -175,7 +175,7 @@
 // connectionEnded reports the end of a peer's connection to the controller, and logs malformed frames.
 func (p *Peers) connectionEnded(conn net.Conn, member string, err error) {
 	if errors.Is(err, protocol.ErrMalformedFrame) {
-		p.log.Info("peer connection closed", "peer", member, "from", conn.RemoteAddr().String(), "err", err)
+		p.log.Info("malformed frame from peer, connection closed", "peer", member, "from", conn.RemoteAddr().String(), "err", err)
 	}
 	if member != "" {
 		p.core.PeerDisconnected(member)
