--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -11,7 +11,8 @@
 
 // This file collects the input of the autoscaling decision (package autoscale) and carries the decision out.
 
-// targetTimeFraction is the fraction of its allowed time in which waiting work should be completed.
+// targetTimeFraction is the fraction of its allowed time in which waiting work should be completed. With
+// a larger one fewer machines are requested, but jobs end later and work within guarantees starts later.
 const targetTimeFraction = 0.45
 
 // autoscale runs one autoscaling decision: it requests machines that the demand needs and drains surplus ones or
--- a/internal/controller/baseline_learning.go
+++ b/internal/controller/baseline_learning.go
@@ -17,7 +17,7 @@
 	// baselineWriteInterval is the minimum time between two writes of the baseline record.
 	baselineWriteInterval = time.Minute
 	// maxWindowSteps is the length, in steps (baseline.WindowLength), from which on a window is not used for the
-	// estimate.
+	// estimate: this controller stalled, and arrivals that it then reads all at once are not an overload.
 	maxWindowSteps = 3
 	// baselineFillPercent is the part of the record size limit, in percent, that the baseline record may
 	// fill.
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -22,6 +22,8 @@
 }
 
 const (
+	// The state service accepts transactions of up to 64 KiB. maxTxnBytes leaves room for conditions on
+	// keys that a transaction does not change, which the estimate omits.
 	maxTxnBytes = 56 << 10               // limit on a transaction's size, as txnBuilder estimates it
 	minTxnOps   = 2                      // a plan with this limit on operations is sent whatever its size
 	txnTimeout  = 4 * time.Second        // after this the outcome of the cycle's transaction is unknown
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -16,7 +16,8 @@
 	// minTaskAgeS is how many seconds a task with checkpoints must have been placed before its
 	// machine may be drained, so that it is not moved again and again.
 	minTaskAgeS = 20
-	// maxDrainFraction is the fraction of the fleet that may start draining in one pass.
+	// maxDrainFraction is the fraction of the fleet that may start draining in one pass. If only single
+	// machines are drained, many that are hardly used are paid for long after a peak in load.
 	maxDrainFraction = 1.0 / 24
 	// minDrainSurplus is the surplus of a pool, in whole machines, from which on one of its
 	// machines may be drained.
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -141,8 +141,9 @@
 func probeAfter(w config.Workers) time.Duration { return seconds(1.25*w.HeartbeatS + 0.6) }
 
 // unreachableLimit returns how long a machine must be silent to be returned. A controller that may
-// be cut off itself waits until the workers' leases have expired. Cancelled tasks have their own
-// deadline (terminations.go).
+// be cut off itself waits until the workers' leases have expired, since it would otherwise return all
+// of its machines. Without that suspicion two heartbeat intervals suffice: with more, the tasks of a
+// lost machine would only run again later. Cancelled tasks have their own deadline (terminations.go).
 func unreachableLimit(w config.Workers, suspectSelf bool) time.Duration {
 	if suspectSelf {
 		return seconds(3 * w.LeaseS)
--- a/internal/controller/placement_input.go
+++ b/internal/controller/placement_input.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// Weight of using an on-demand machine in the placement score. The higher weight applies for
-	// onDemandNeededFor after a job that must not use spot machines was open, since more such jobs
-	// are likely to follow.
+	// Cost, in seconds (schedule.Input.OnDemandCostS), of placing work that may use a spot machine on
+	// an on-demand one. The higher cost applies for onDemandNeededFor after a job that must not use
+	// spot machines was open, since more such jobs are likely to follow.
 	onDemandWeight       = 0.2
 	onDemandWeightNeeded = 6
 	onDemandNeededFor    = 5 * time.Minute
 
-	// Additions to a machine's risk score: for each recent failure, and for the factor by which its
-	// tasks exceed their estimates, as far as that is above ignoredSlowdown.
+	// Additions to a machine's risk, in seconds (schedule.Slot.RiskS): for each recent failure, and
+	// for the factor by which its tasks exceed their estimates, as far as that is above
+	// ignoredSlowdown.
 	riskPerFailure  = 4
 	riskPerSlowdown = 8
 	ignoredSlowdown = 1.3
@@ -93,7 +94,7 @@
 	}
 }
 
-// onDemandWeight returns the current weight of using an on-demand machine in the placement score.
+// onDemandWeight returns the current cost, in seconds, of using an on-demand machine.
 func (c *Controller) onDemandWeight(now time.Time) float64 {
 	if !c.planner.onDemandNeededAt.IsZero() && now.Sub(c.planner.onDemandNeededAt) < onDemandNeededFor {
 		return onDemandWeightNeeded
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -11,10 +11,12 @@
 
 const (
 	// rebalanceGracePeriod is how long a job lacks capacity before it preempts, if other shards
-	// have free machines that it may use: the leader can move these to the job's shard meanwhile.
+	// have free machines that it may use: the leader can move these to the job's shard meanwhile. It is
+	// longer than the default interval between rebalancing passes.
 	rebalanceGracePeriod = 700 * time.Millisecond
 	// A top-priority job may leave free capacity unused for preemptionWait, at most once in
-	// preemptionWaitInterval.
+	// preemptionWaitInterval: between two waits it takes the free capacity, so that it does not wait
+	// forever for a preemption that never comes.
 	preemptionWait         = 6 * time.Second
 	preemptionWaitInterval = 40 * time.Second
 )
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -16,7 +16,9 @@
 	idleMargin = 1.25
 	// maxMovesPerPass limits how many groups move in one pass.
 	maxMovesPerPass = 6
-	// moveCooldown is how long a group stays in its shard after a move.
+	// moveCooldown is how long a group stays in its shard after a move. Without it, groups move back
+	// and forth, and after each move their machines take no tasks until the workers have found their
+	// new owner.
 	moveCooldown = 6 * time.Second
 	// fitCheckAfter is how long a job must have waited before it is checked individually whether it
 	// fits on a machine of its shard.
--- a/internal/controller/record_splitting.go
+++ b/internal/controller/record_splitting.go
@@ -11,7 +11,7 @@
 
 const (
 	// fleetSplitPercent is the percentage of the value limit that the parts of a split fleet record
-	// may fill.
+	// may fill. Later changes only remove machines from a fleet record, so it needs little room.
 	fleetSplitPercent = 90
 	// groupSplitPercent is the percentage of the value limit that the parts of a split group record
 	// may fill. It leaves room because the tasks of the group's machines change.
--- a/internal/controller/schedule/cost.go
+++ b/internal/controller/schedule/cost.go
@@ -2,6 +2,8 @@
 
 import "dykeledge/internal/storage"
 
+// The costs of a placement are in seconds and are added to the time to fetch its image: a cost of 4 on one
+// machine outweighs a fetch that takes up to 4 s longer on another.
 const (
 	// maxPackingFetchS is how many seconds longer an image fetch may take on a machine of lower rank for
 	// tasks to be packed there, so that machines of higher rank become empty and can be scaled in.
@@ -10,7 +12,8 @@
 	spotLifetimeS = 7200
 	// minFragileLossS is the expected loss in seconds from which a task counts as fragile.
 	minFragileLossS = 1
-	// maxFragileCostS limits the cost, in seconds, of placing fragile tasks together.
+	// maxFragileCostS limits the cost, in seconds, of placing fragile tasks together. It is also
+	// the cost of placing a fragile task on an on-demand machine.
 	maxFragileCostS = 12
 	// fragileDivisor is the number of fragile tasks on one machine that add a cost equal to the expected
 	// loss of one of them.
--- a/internal/controller/schedule/order.go
+++ b/internal/controller/schedule/order.go
@@ -11,7 +11,7 @@
 const (
 	// smallJobWeight is how many seconds later a job's latest start is set for each second that its
 	// remaining work would keep all machines of Input.Capacity busy: with a backlog, more jobs are in
-	// time if small jobs go first.
+	// time if small jobs go first. A larger weight gains more with a backlog, but loses without one.
 	smallJobWeight = 6
 	// defaultTimeAllowed is the time allowed for jobs without a deadline. It affects only their order.
 	defaultTimeAllowed = time.Hour
--- a/internal/controller/shard_load.go
+++ b/internal/controller/shard_load.go
@@ -18,7 +18,7 @@
 	// load.
 	claimableFraction = 0.95
 	// claimMargin is the ratio of a claim to the team's work: it leaves some capacity for the next
-	// job within the guarantee.
+	// job within the guarantee, which would otherwise wait for moves or preemptions.
 	claimMargin = 1.4
 )
 
--- a/internal/controller/stall_detection.go
+++ b/internal/controller/stall_detection.go
@@ -17,7 +17,9 @@
 	c.log.Info("this process stalled", "stalled_s", now.Sub(last).Round(10*time.Millisecond).Seconds(), "session_lease_certain", c.leaseCertain(now))
 	c.metrics.stalls.Inc()
 	c.reachability.resumedAt = now
-	// Observations of idle, surplus or unrecorded machines from before the stall are out of date.
+	// The leader scales in surplus and empty machines and enrolls unrecorded ones by how long it has
+	// observed them; observations from before the stall are out of date. Silence needs no reset:
+	// silenceOf counts it from resumedAt.
 	clear(c.leader.surplusSince)
 	clear(c.leader.emptyMachines)
 	clear(c.leader.unrecorded)
--- a/internal/storage/apply_control.go
+++ b/internal/storage/apply_control.go
@@ -81,7 +81,7 @@
 	}
 	c.Catalog = RawRecord{change.value, change.revision}
 	c.UpdateCatalog(&catalog)
-	c.feed.addMachines(c.sorted.machines) // machine prices may have changed
+	c.feed.addMachines(c.sorted.machines) // machine prices, in currency units per hour, may have changed
 	return nil
 }
 
--- a/internal/storage/baseline.go
+++ b/internal/storage/baseline.go
@@ -24,6 +24,8 @@
 // one queue per team.
 func ClassQueueOf(job *Job) ClassQueue { return newClassQueue(job.Team, job.Class) }
 
+// newClassQueue returns the queue of a class of a team. Class indices are shared by all teams, so even a
+// team with few classes may have some in its last queue.
 func newClassQueue(team, class int) ClassQueue {
 	return ClassQueue{team, min(class, maxClassesPerTeam-1)}
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -27,7 +27,7 @@
 	PublicAddr  string `json:"p"`
 	NotReady    bool   `json:"u,omitempty"` // the controller reaches no worker and must own no shard
 	Layout      int    `json:"v,omitempty"` // the latest layout that the controller reads
-	FrameLevel  int    `json:"f,omitempty"` // the level of peer frames that the controller reads
+	FrameLevel  int    `json:"f,omitempty"` // highest level of peer frames that the controller reads, see protocol.FramesCancellationDigest
 }
 
 // LeaderRecord identifies the leader.
@@ -178,7 +178,8 @@
 	Slots   int    `json:"n"`
 }
 
-// tasksPerCompletionSet is the number of tasks that one completion set covers.
+// tasksPerCompletionSet is the number of tasks that one completion set covers: 1 KiB of the bitmap, which
+// takes 1.4 KB of its record in base64.
 const tasksPerCompletionSet = 8192
 
 // CompletionRecord is the record of one completion set: a part of the bitmap of a job's completed
