--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,8 +88,8 @@
 // inboxSize is the number of work items that may be queued before post blocks.
 const inboxSize = 1024
 
-// DefaultAlpha is the weight of lost work against waiting time in the ranking of preemptions; see
-// docs/design.md.
+// DefaultAlpha is the weight of lost work against waiting time in the ranking of preemptions (section 5.1 of
+// the paper that docs/design.md cites).
 const DefaultAlpha = 0.31
 
 // Run runs the controller until ctx ends. The goroutines that it starts end with ctx, too.
--- a/internal/controller/schedule/preemption.go
+++ b/internal/controller/schedule/preemption.go
@@ -28,9 +28,9 @@
 	TopPriority bool
 }
 
-// Score returns the score of a preemption candidate (see docs/design.md): alpha is the weight, from 0 to 1,
-// of the lost work against the waiting time, both in seconds. Candidates with a low score are preempted
-// first.
+// Score returns the score of a preemption candidate, equation (2) of the paper that docs/design.md cites:
+// alpha is the weight, from 0 to 1, of the lost work (v in the paper) against the waiting time (w in the
+// paper), both in seconds. Candidates with a low score are preempted first.
 func Score(alpha, lost, waited float64) float64 { return alpha*lost + (1-alpha)*waited }
 
 // RankCandidates scores the candidates and sorts them by rising score, the younger first among equal scores.
