--- a/cmd/dykectl/config.go
+++ b/cmd/dykectl/config.go
@@ -70,7 +70,7 @@
 			if !slices.Contains(a.contextNames(), args[0]) {
 				return usageError(errors.New("no context " + args[0] + ": see dykectl config contexts"))
 			}
-			if err := contexts.Change(path, func(f *contexts.File) { f.Current = args[0] }); err != nil {
+			if err := contexts.Update(path, func(f *contexts.File) { f.Current = args[0] }); err != nil {
 				return failed(err)
 			}
 			_, err = fmt.Fprintln(cmd.OutOrStdout(), "current context is", args[0])
--- a/cmd/dykectl/jobs.go
+++ b/cmd/dykectl/jobs.go
@@ -18,7 +18,7 @@
 )
 
 // usersClient returns a client of the users' API at an address. The client logs each request that it retries.
-func (a *app) usersClient(address string) *client.Users {
+func (a *app) usersClient(address string) *client.Client {
 	users := client.New(address)
 	users.Retried = func(status int, err error) {
 		a.log.Info("request got no definite answer, retrying", "status", status, "err", err)
@@ -32,7 +32,7 @@
 	if err == nil {
 		return nil
 	}
-	if errors.Is(err, client.ErrGaveUp) {
+	if errors.Is(err, client.ErrInconclusive) {
 		err = fmt.Errorf("%w; the request may still have been applied: check the job with dykectl status, or repeat the command with the same job id", err)
 	}
 	return failed(err)
@@ -196,19 +196,19 @@
 
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status JOB...", Short: "Tell how jobs stand", Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return a.forEachJob(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Status(id) })
+		return a.forEachJob(cmd, args, func(u *client.Client, id string) (protocol.JobState, error) { return u.Status(id) })
 	}}
 }
 
 func (a *app) cancelCommand() *cobra.Command {
 	return &cobra.Command{Use: "cancel JOB...", Short: "Cancel jobs", Args: cobra.MinimumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		return a.forEachJob(cmd, args, func(u *client.Users, id string) (protocol.JobState, error) { return u.Cancel(cmd.Context(), id) })
+		return a.forEachJob(cmd, args, func(u *client.Client, id string) (protocol.JobState, error) { return u.Cancel(cmd.Context(), id) })
 	}}
 }
 
 // forEachJob calls do for each job id and prints the states that it returns. It goes on after an error and
 // returns the first one.
-func (a *app) forEachJob(cmd *cobra.Command, ids []string, do func(*client.Users, string) (protocol.JobState, error)) error {
+func (a *app) forEachJob(cmd *cobra.Command, ids []string, do func(*client.Client, string) (protocol.JobState, error)) error {
 	_, cluster, err := a.selectedContext()
 	if err != nil {
 		return err
--- a/cmd/dykectl/load.go
+++ b/cmd/dykectl/load.go
@@ -58,7 +58,7 @@
 	}
 	a.log.Info("load run started", "jobs", len(plan), "seed", seed)
 	users := client.New(cluster.Users)
-	runner := &loadgen.Runner{To: users, PollEvery: options.statusPollInterval}
+	runner := &loadgen.Runner{Deployment: users, PollEvery: options.statusPollInterval}
 	users.Retried = runner.Retried
 	if cluster.Uploads != "" {
 		runner.Upload = client.New(cluster.Uploads).Upload
@@ -70,8 +70,8 @@
 	} else {
 		err = result.Print(out)
 	}
-	if err == nil && result.WentBack+result.Rejected+result.GaveUp > 0 {
-		err = fmt.Errorf("%d jobs went back, %d were rejected, %d got no certain answer", result.WentBack, result.Rejected, result.GaveUp)
+	if err == nil && result.Regressed+result.Rejected+result.Inconclusive > 0 {
+		err = fmt.Errorf("%d jobs went back, %d were rejected, %d got no certain answer", result.Regressed, result.Rejected, result.Inconclusive)
 	}
 	if err != nil {
 		return failed(err)
--- a/cmd/dykectl/scale.go
+++ b/cmd/dykectl/scale.go
@@ -105,7 +105,7 @@
 // request validates the flags and returns the profile and the request that they describe.
 func (o *scaleOptions) request() (scaletest.Profile, scaletest.Request, error) {
 	profile := scaletest.DefaultProfile()
-	request := scaletest.Request{Run: o.runName, Commit: o.commit, Cut: scaletest.Cut(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
+	request := scaletest.Request{Run: o.runName, Commit: o.commit, Scenario: scaletest.Scenario(o.cut), Regions: scaletest.Regions(o.regions), Seed: o.seed,
 		WarmUpS: o.warmUp.Seconds(), MeasureS: o.measure.Seconds(), Dir: o.dir}
 	var err error
 	if o.profile != "" {
@@ -117,7 +117,7 @@
 		return profile, request, err
 	}
 	switch {
-	case !slices.Contains(scaletest.Cuts(), request.Cut):
+	case !slices.Contains(scaletest.Scenarios(), request.Scenario):
 		return profile, request, errors.New("--cut must be peak, population, changes or troubles")
 	case request.Regions != scaletest.LargestRegion && request.Regions != scaletest.AllRegions:
 		return profile, request, errors.New("--regions must be largest or all")
@@ -152,7 +152,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	launcher := scaletest.Launcher{Errs: a.stderr, Command: func(ctx context.Context) *exec.Cmd {
+	launcher := scaletest.Launcher{Stderr: a.stderr, Command: func(ctx context.Context) *exec.Cmd {
 		return exec.CommandContext(ctx, self, "scale", cellCommand)
 	}}
 	points, err := launcher.Run(ctx, profile.Cells(request))
@@ -198,8 +198,8 @@
 		if point.Overloaded {
 			mark = " OVERLOADED"
 		}
-		table.Printf("%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", point.Region, point.Up, point.OfferedS, point.StartsPerS, point.Running,
-			point.UrgentMs.P50, point.UrgentMs.P99, point.UrgentMs.Max, point.WorkerOutBps+point.WorkerInBps, point.LeaseKills, point.HollowCores, point.LatenessMs.P99, mark)
+		table.Printf("%s\t%d\t%.1f\t%.1f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%.2f\t%.1f%s\t", point.Region, point.WorkersUp, point.OfferedStartsPerS, point.StartsPerS, point.Running,
+			point.UrgentWaitMs.P50, point.UrgentWaitMs.P99, point.UrgentWaitMs.Max, point.WorkerOutBps+point.WorkerInBps, point.LeaseKills, point.HollowCores, point.LatenessMs.P99, mark)
 		for _, c := range point.Controllers {
 			table.Printf(" %s %.2f, %.0f, %d;", c.Role, c.Cores, c.MemMB, c.Sockets)
 		}
--- a/cmd/dykectl/up.go
+++ b/cmd/dykectl/up.go
@@ -223,14 +223,14 @@
 
 // addContext adds the cluster's context to the configuration file and makes it the current one.
 func (l *localCluster) addContext(history string) error {
-	l.entry = contexts.Context{Users: l.cluster.Users, Nodes: l.cluster.Controllers, Uploads: l.cluster.Uploads, History: history}
-	return contexts.Change(l.configPath, func(file *contexts.File) { file.Contexts[l.contextName], file.Current = l.entry, l.contextName })
+	l.entry = contexts.Context{Users: l.cluster.UsersAddress, Nodes: l.cluster.Controllers, Uploads: l.cluster.UploadAddress, History: history}
+	return contexts.Update(l.configPath, func(file *contexts.File) { file.Contexts[l.contextName], file.Current = l.entry, l.contextName })
 }
 
 // removeContext removes the cluster's context from the configuration file, unless another cluster uses the
 // name by now. If it was the current context, the previous one becomes current again if it still exists.
 func (l *localCluster) removeContext() error {
-	return contexts.Change(l.configPath, func(file *contexts.File) {
+	return contexts.Update(l.configPath, func(file *contexts.File) {
 		if file.Contexts[l.contextName].Users != l.entry.Users {
 			return
 		}
@@ -248,9 +248,9 @@
 func (l *localCluster) printStart(out *textout.Printer, options *upOptions) {
 	controllers := l.cluster.Controllers
 	out.Printf("cluster %s is up: 3 controllers, %d machines to rent\n", l.contextName, options.machines)
-	out.Printf("  users    %s\n", l.cluster.Users)
+	out.Printf("  users    %s\n", l.cluster.UsersAddress)
 	out.Printf("  nodes    %s %s %s\n", controllers[0], controllers[1], controllers[2])
-	out.Printf("  uploads  %s\n", l.cluster.Uploads)
+	out.Printf("  uploads  %s\n", l.cluster.UploadAddress)
 	out.Printf("  folder   %s\n", options.dir)
 	out.Printf("try, in another terminal:\n  dykectl submit --team red --tasks 8 --estimate 30s\n  dykectl console\n")
 }
@@ -284,13 +284,13 @@
 	stats := simulation.Stats()
 	printer := textout.New(out) // write errors are ignored: violated rules are also returned as an error
 	printer.Printf("%d tasks started, %d killed as a lease ran out; money %.3f; state service: %d requests, %d changes, %d over its rates; controllers ended by themselves: %d\n",
-		stats.Started, stats.LeaseKills, simulation.CostSpent(), stats.Requests, stats.Writes, stats.Over, cluster.Ends())
+		stats.Started, stats.LeaseKills, simulation.CostSpent(), stats.Requests, stats.Writes, stats.OverRate, cluster.UnexpectedExits())
 	broken := simulation.BrokenRules()
 	for _, rule := range broken {
 		printer.Println("BROKEN RULE", rule)
 	}
-	if len(broken)+cluster.Ends() > 0 {
-		return failed(fmt.Errorf("%d rules of the protocol were violated, %d controllers exited unexpectedly; logs are in %s", len(broken), cluster.Ends(), cluster.Dir))
+	if len(broken)+cluster.UnexpectedExits() > 0 {
+		return failed(fmt.Errorf("%d rules of the protocol were violated, %d controllers exited unexpectedly; logs are in %s", len(broken), cluster.UnexpectedExits(), cluster.Dir))
 	}
 	return nil
 }
--- a/cmd/dykectl/view.go
+++ b/cmd/dykectl/view.go
@@ -105,9 +105,9 @@
 // show prints the table, or its rows as JSON. The queue also gets the reasons why its jobs wait; they are
 // requested separately.
 func (a *app) show(ctx context.Context, out io.Writer, follower *viewclient.Follower, state *viewclient.State, table console.Table, filter string) error {
-	now := state.Now + time.Since(state.Sent).Milliseconds()
+	now := state.NowMs + time.Since(state.RequestedAt).Milliseconds()
 	rows := table.Rows(state, now, nil, 0, false, filter)
-	var why map[string]viewclient.Why
+	var why map[string]viewclient.WaitReason
 	if table.Name == console.Queue {
 		var ids []string
 		for _, r := range rows {
@@ -135,7 +135,7 @@
 }
 
 // jsonTable returns the JSON form of a table: the view's records behind the rows, with the head of the view.
-func jsonTable(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.Why) any {
+func jsonTable(state *viewclient.State, table console.Table, rows []console.Row, why map[string]viewclient.WaitReason) any {
 	out := struct {
 		view.Head
 		AgeS  float64                `json:"age_s"`
@@ -145,16 +145,16 @@
 	for id, w := range why {
 		out.Why[id] = w.Reason
 	}
-	machines, evictions := map[string]*view.Machine{}, map[string]*view.Eviction{}
+	machines, evictions := map[string]*view.Machine{}, map[string]*view.VictimSet{}
 	state.Machines(func(m *view.Machine) bool { machines[m.Name] = m; return true })
-	state.Evictions(func(e *view.Eviction) bool { evictions[e.Key] = e; return true })
+	state.VictimSets(func(e *view.VictimSet) bool { evictions[e.Key] = e; return true })
 	for _, row := range rows {
 		switch table.Name {
 		case console.Queue, console.Running, console.Finished:
 			out.Items = append(out.Items, state.Job(row.Key))
 		case console.Machines:
 			out.Items = append(out.Items, machines[row.Key])
-		case console.Evictions:
+		case console.VictimSets:
 			out.Items = append(out.Items, evictions[row.Key])
 		case console.Teams:
 			if team := state.Team(row.Key); team != nil {
@@ -265,7 +265,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	_, err = fmt.Fprintf(out, "%d lines recorded in %s\n", recorder.Recorded, path)
+	_, err = fmt.Fprintf(out, "%d lines recorded in %s\n", recorder.LinesWritten, path)
 	return err
 }
 
@@ -334,7 +334,7 @@
 	if err := report.Make(history, options.titleFor(shown), shown, now).Write(options.outFile); err != nil {
 		return failed(err)
 	}
-	_, err = fmt.Fprintf(out, "%s and %s: %d samples, %d jobs\n", options.outFile, report.Beside(options.outFile), len(history.Samples), len(history.Jobs))
+	_, err = fmt.Fprintf(out, "%s and %s: %d samples, %d jobs\n", options.outFile, report.FiguresPath(options.outFile), len(history.Samples), len(history.Jobs))
 	return err
 }
 
--- a/cmd/dykeledge/admin_client.go
+++ b/cmd/dykeledge/admin_client.go
@@ -69,7 +69,7 @@
 // refusalError returns the error that a controller gave for refusing a request, or the status code if the
 // body holds none.
 func refusalError(status int, body []byte) error {
-	var refused transport.AdminRefusal
+	var refused transport.AdminErrorResponse
 	if json.Unmarshal(body, &refused) != nil || refused.Error == "" {
 		refused.Error = "status " + strconv.Itoa(status)
 	}
--- a/cmd/dykeledge/main_test.go
+++ b/cmd/dykeledge/main_test.go
@@ -184,7 +184,7 @@
 	state, cloud := listen(t), listen(t)
 	go func() { _ = simulator.ServeState(simulator.NewStore().Open(nil), state) }() // returns when its listener is closed
 	simulation := simulator.NewSimulation(t.Context(), &config.Settings{Deployment: config.Deployment{Zones: []string{"a"}}}, 1)
-	simulation.CapacityOf = 0
+	simulation.Capacity = 0
 	simulation.Catalog.Types[0].Cpus = 8
 	go func() { _ = simulation.ServeCloud(&simulator.ControllerProcess{Name: "all"}, cloud) }()
 	for range 3 {
--- a/cmd/dykeledge/serve.go
+++ b/cmd/dykeledge/serve.go
@@ -67,8 +67,8 @@
 // newController returns a controller that is connected to the state service, the cloud and the workers, and
 // whose log level follows the operators' setting.
 func newController(settings *config.Settings, features *config.Features, level *slog.LevelVar, log *slog.Logger) *controller.Controller {
-	state, cloud := transport.NewState(settings), transport.NewCloud(settings)
-	core := controller.New(settings, state, cloud, transport.NewWorkers(), log, controller.DefaultTiming())
+	state, cloud := transport.NewStateClient(settings), transport.NewCloudClient(settings)
+	core := controller.New(settings, state, cloud, transport.NewWorkerClient(), log, controller.DefaultTiming())
 	state.Observe, cloud.Observe = core.Metrics().Observe, core.Metrics().Observe
 	core.OnLogLevel = func(name string) {
 		if name == logLevelAsStarted {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -32,13 +32,13 @@
 	ErrRejected = errors.New("rejected")
 	// ErrNotFound means that no job with this id has been accepted (status 404).
 	ErrNotFound = errors.New("no such job")
-	// ErrGaveUp means that no conclusive response came before the time for retries ran out or the context ended.
+	// ErrInconclusive means that no conclusive response came before the time for retries ran out or the context ended.
 	// A submitted job may have been accepted nevertheless: query its status, or submit it again under the same id.
-	ErrGaveUp = errors.New("no certain answer")
+	ErrInconclusive = errors.New("no certain answer")
 )
 
-// Users is an HTTP client of a deployment's public address. It is safe for concurrent use.
-type Users struct {
+// Client is an HTTP client of a deployment's public address. It is safe for concurrent use.
+type Client struct {
 	address string
 	client  *fasthttp.Client
 	// Retried, if not nil, is called with the outcome of every try after which the request is retried: the status,
@@ -48,8 +48,8 @@
 }
 
 // New returns a client of the load balancer or controller at address.
-func New(address string) *Users {
-	return &Users{address: address, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+func New(address string) *Client {
+	return &Client{address: address, client: &fasthttp.Client{MaxConnsPerHost: 2048, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxIdleConnDuration: 5 * time.Second, MaxConnWaitTimeout: submitTimeout, MaxResponseBodySize: 1 << 20,
 		Dial: Dial}}
 }
@@ -79,7 +79,7 @@
 }
 
 // send sends a request without retries and returns the response.
-func (u *Users) send(method, path string, body []byte, timeout time.Duration) (httpReply, error) {
+func (u *Client) send(method, path string, body []byte, timeout time.Duration) (httpReply, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -103,7 +103,7 @@
 // prescribes: it pauses for a second, or for longer if Retry-After says so, and gives up after a minute. A random
 // part of up to a quarter of a second is added to each pause, so that clients that were refused at the same time
 // don't retry at the same time.
-func (u *Users) sendWithRetries(ctx context.Context, method, path string, body []byte) (protocol.JobState, error) {
+func (u *Client) sendWithRetries(ctx context.Context, method, path string, body []byte) (protocol.JobState, error) {
 	var state protocol.JobState
 	deadline := time.Now().Add(retryBudget)
 	for {
@@ -127,10 +127,10 @@
 			err = errors.New(errorText(reply))
 		}
 		if time.Now().Add(pause).After(deadline) {
-			return state, fmt.Errorf("%w after %v: %w", ErrGaveUp, retryBudget, err)
+			return state, fmt.Errorf("%w after %v: %w", ErrInconclusive, retryBudget, err)
 		}
 		if !wait.For(ctx, pause) {
-			return state, fmt.Errorf("%w: %w", ErrGaveUp, ctx.Err())
+			return state, fmt.Errorf("%w: %w", ErrInconclusive, ctx.Err())
 		}
 	}
 }
@@ -145,19 +145,19 @@
 }
 
 // Submit submits a job. The body is an encoded protocol.Submission; the job id in it makes retries idempotent.
-// Errors wrap ErrRejected or ErrGaveUp.
-func (u *Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
+// Errors wrap ErrRejected or ErrInconclusive.
+func (u *Client) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
 	return u.sendWithRetries(ctx, fasthttp.MethodPost, "/v2/runs", body)
 }
 
 // Cancel cancels a job and returns its state, which is done if the job completed first. Errors wrap ErrNotFound
-// or ErrGaveUp.
-func (u *Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
+// or ErrInconclusive.
+func (u *Client) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
 	return u.sendWithRetries(ctx, fasthttp.MethodPost, "/v2/runs/"+id+"/cancel", nil)
 }
 
 // Status queries the state of a job, without retries. The error wraps ErrNotFound if no such job has been accepted.
-func (u *Users) Status(id string) (protocol.JobState, error) {
+func (u *Client) Status(id string) (protocol.JobState, error) {
 	var state protocol.JobState
 	reply, err := u.send(fasthttp.MethodGet, "/v2/runs/"+id, nil, pollTimeout)
 	switch {
@@ -186,7 +186,7 @@
 
 // Upload stores a job's description, as Describe returns it, at the address that workers fetch descriptions from.
 // The client must have been made for that address.
-func (u *Users) Upload(id string, description []byte) error {
+func (u *Client) Upload(id string, description []byte) error {
 	a, err := u.send(fasthttp.MethodPut, "/descriptions/"+id, description, submitTimeout)
 	switch {
 	case err != nil:
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -84,7 +84,7 @@
 
 func (c *checker) knownPeers(settings *Settings) {
 	used := map[string]bool{settings.MemberName: true}
-	for i, peer := range settings.Known {
+	for i, peer := range settings.KnownPeers {
 		section := fmt.Sprintf("known[%d].", i)
 		c.memberName(peer.MemberName, section+"node_name")
 		c.unique(peer.MemberName, used, section+"node_name")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	PublicAddr string `toml:"public_addr"` // address for users and workers, as host:port
 	PeerListen string `toml:"peer_listen"` // address for other controllers and operators, as host:port
 
-	Known      []Peer     `toml:"known"` // the other controllers
+	KnownPeers []Peer     `toml:"known"` // the other controllers
 	External   External   `toml:"external"`
 	Deployment Deployment `toml:"deployment"`
 }
@@ -140,9 +140,9 @@
 	return &settings, nil
 }
 
-// Strict decodes a TOML text and returns an error for unknown keys: a misspelt key would otherwise be
+// DecodeStrict decodes a TOML text and returns an error for unknown keys: a misspelt key would otherwise be
 // ignored silently. Its errors are one line long and name the field and its position.
-func Strict(raw []byte, into any) error {
+func DecodeStrict(raw []byte, into any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("features %s: expected a readable file: %w", path, err)
 	}
-	if err := Strict(raw, features); err != nil {
+	if err := DecodeStrict(raw, features); err != nil {
 		return nil, fmt.Errorf("features %s: %w", path, err)
 	}
 	if features.View.Readers < 1 || features.View.Readers > maxViewReaders {
--- a/internal/console/burst_test.go
+++ b/internal/console/burst_test.go
@@ -324,17 +324,17 @@
 		}},
 		{name: "state service refuses polled controller, then compacts", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
 			time.Sleep(20 * time.Second)
-			sim.Store.Deny("n0", true)
+			sim.Store.RefuseController("n0", true)
 			time.Sleep(9 * time.Second)
 			sim.Store.Compact()
-			sim.Store.Deny("n0", false)
+			sim.Store.RefuseController("n0", false)
 		}},
 		{name: "all shards change owners", loadFactor: 0.1, fault: func(sim *simulator.Simulation) {
 			for i := range 3 {
 				time.Sleep(10 * time.Second)
-				sim.Controller(i).Cut(simulator.NoWorkers | simulator.NoUsers)
+				sim.Controller(i).SetPartitions(simulator.NoWorkers | simulator.NoUsers)
 				time.Sleep(8 * time.Second)
-				sim.Controller(i).Cut(0)
+				sim.Controller(i).SetPartitions(0)
 			}
 		}},
 	} {
@@ -353,11 +353,11 @@
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				simulation := simulator.NewSimulation(ctx, burstSettings(), 18)
-				simulation.CapacityOf, simulation.Views, simulation.Store.Keep = 90, true, 1<<30
+				simulation.Capacity, simulation.Views, simulation.Store.MaxKeptChanges = 90, true, 1<<30
 				for i := range 3 {
 					simulation.Start(i)
 				}
-				simulation.PeerDelay()
+				simulation.ExchangePeerHeartbeats()
 				for i := range 45 {
 					simulation.AddMachine(simulation.Settings.Deployment.Zones[i%3], i%2 == 0)
 				}
@@ -368,7 +368,7 @@
 				model := New(ctx, follower, "burst")
 				time.Sleep(3 * time.Second)
 				go test.fault(simulation)
-				users := &loadgen.Runner{To: simulator.Users{Simulation: simulation}, Upload: func(_ string, raw []byte) error {
+				users := &loadgen.Runner{Deployment: simulator.RetryingUsers{Simulation: simulation}, Upload: func(_ string, raw []byte) error {
 					var u simulator.Upload
 					if err := json.Unmarshal(raw, &u); err != nil {
 						return err
@@ -442,8 +442,8 @@
 					}
 				}
 				result := <-results
-				t.Logf("%d screens checked, up to %d rows, %d stale states; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screensChecked, maxRows, staleScreens, result.Jobs, result.Accepted, result.Done, result.Accept, result.Complete)
-				if result.Accepted != result.Jobs || result.Open > 0 || result.WentBack > 0 || len(finalStatus) < result.Jobs*9/10 {
+				t.Logf("%d screens checked, up to %d rows, %d stale states; %d jobs, %d accepted, %d done, accepted within %+v ms, done within %+v ms", screensChecked, maxRows, staleScreens, result.Jobs, result.Accepted, result.Done, result.AcceptTimes, result.CompletionTimes)
+				if result.Accepted != result.Jobs || result.Open > 0 || result.Regressed > 0 || len(finalStatus) < result.Jobs*9/10 {
 					t.Errorf("%+v, %d jobs shown as final", result, len(finalStatus))
 				}
 				if !changesDetected {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -17,7 +17,7 @@
 	ctx                context.Context //nolint:containedctx // bubbletea calls Init, Update and View without one
 	tables             []Table
 	state              *viewclient.State
-	reasons            map[string]viewclient.Why
+	reasons            map[string]viewclient.WaitReason
 	reasonsPending     bool
 	reasonsRequestedAt time.Time
 	width              int
@@ -40,7 +40,7 @@
 // New returns a screen of the states of a follower, which the caller runs. ctx bounds the requests for reasons
 // and ends the screen.
 func New(ctx context.Context, f *viewclient.Follower, cluster string) *Model {
-	m := &Model{follower: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), reasons: map[string]viewclient.Why{}, width: 80, height: 24, now: time.Now}
+	m := &Model{follower: f, cluster: cluster, ctx: ctx, tables: Tables(), state: f.State(), reasons: map[string]viewclient.WaitReason{}, width: 80, height: 24, now: time.Now}
 	m.order, m.reversed = make([]int, len(m.tables)), make([]bool, len(m.tables))
 	m.refreshRows()
 	return m
@@ -49,7 +49,7 @@
 type (
 	stateMsg   struct{}
 	tickMsg    struct{}
-	reasonsMsg map[string]viewclient.Why
+	reasonsMsg map[string]viewclient.WaitReason
 	// EndMsg ends the console with an error.
 	EndMsg struct{ Err error }
 )
@@ -88,7 +88,7 @@
 		return nil
 	}
 	var ids []string
-	if name := m.tables[m.tab].Name; m.showDetails && m.selectedKey != "" && name != Machines && name != Members && name != Teams && name != Evictions {
+	if name := m.tables[m.tab].Name; m.showDetails && m.selectedKey != "" && name != Machines && name != Members && name != Teams && name != VictimSets {
 		ids = []string{m.selectedKey}
 	} else if name == Queue {
 		for _, r := range m.visibleRows() {
@@ -279,7 +279,7 @@
 	if m.state.Snapshot == nil {
 		return 0
 	}
-	return m.state.Now + m.now().Sub(m.state.Sent).Milliseconds()
+	return m.state.NowMs + m.now().Sub(m.state.RequestedAt).Milliseconds()
 }
 
 // visibleRowCount returns how many rows fit on the screen, at least 1.
--- a/internal/console/draw.go
+++ b/internal/console/draw.go
@@ -232,11 +232,11 @@
 			return []string{"", "  " + printable(m.selectedKey) + " is not listed any more"}
 		}
 		return m.jobDetailLines(j, now)
-	case Evictions:
+	case VictimSets:
 		var out []string
-		state.Evictions(func(e *view.Eviction) bool {
+		state.VictimSets(func(e *view.VictimSet) bool {
 			if e.Key == m.selectedKey {
-				out = append(out, "", fmt.Sprintf("  room for %s of %s, %s ago", printable(e.Job), printable(e.Team), formatDuration(now-e.At)), "")
+				out = append(out, "", fmt.Sprintf("  room for %s of %s, %s ago", printable(e.Job), printable(e.Team), formatDuration(now-e.ChosenAtMs)), "")
 				for _, v := range e.Victims {
 					out = append(out, fmt.Sprintf("  %s/%d of %s, attempt %d, score %.4f", printable(v.Job), v.Task, printable(v.Team), v.Attempt, v.Score))
 				}
@@ -269,8 +269,8 @@
 		kind = "service"
 	}
 	schedule := "no deadline"
-	if job.Due > 0 {
-		schedule = "due " + time.UnixMilli(job.Due).Format("15:04:05")
+	if job.DeadlineMs > 0 {
+		schedule = "due " + time.UnixMilli(job.DeadlineMs).Format("15:04:05")
 		if b := job.Behind(now); b > 0 {
 			schedule += ", BEHIND by " + formatDuration(b)
 		} else {
@@ -280,7 +280,7 @@
 	reason := "-"
 	if w, ok := m.reasons[job.ID]; ok && w.Why != "" {
 		by := "told by " + printable(w.Member) + ", which does not decide it"
-		if w.Owner {
+		if w.OwnsShard {
 			by = "decided by " + printable(w.Member)
 		}
 		reason = fmt.Sprintf("%s (%s, %s ago)", printable(w.Why), by, formatDuration(m.now().Sub(w.ReceivedAt).Milliseconds()))
@@ -291,10 +291,10 @@
 		fmt.Sprintf("  team       %s, class %s, share %d", printable(job.Team), printable(job.Class), job.Shard),
 		fmt.Sprintf("  priority   %s, %s", job.Priority, kind),
 		fmt.Sprintf("  tasks      %d: %d done, %d placed, %d waiting", job.Tasks, job.Done, job.Placed, job.Waiting()),
-		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", formatMilli(job.Cpus), formatMilli(job.Gpus), formatDuration(int64(job.Estimate))),
-		"  submitted  " + formatTime(job.Submit),
-		"  counts     from " + formatTime(job.From),
-		"  ended      " + formatTime(job.End),
+		fmt.Sprintf("  each       %s cpus, %s gpus, estimated %s", formatMilli(job.Cpus), formatMilli(job.Gpus), formatDuration(int64(job.EstimateMs))),
+		"  submitted  " + formatTime(job.SubmittedMs),
+		"  counts     from " + formatTime(job.ReadyMs),
+		"  ended      " + formatTime(job.EndedMs),
 		"  schedule   " + schedule,
 		"  waits      " + reason}
 }
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -35,7 +35,7 @@
 	Name    string
 	Columns []Column
 	Orders  []string // names of the sort orders; the first is the default
-	rows    func(s *viewclient.State, now int64, why map[string]viewclient.Why) []Row
+	rows    func(s *viewclient.State, now int64, why map[string]viewclient.WaitReason) []Row
 }
 
 // Widths of the column with the job id. A narrow screen truncates the id; the details show it in full.
@@ -47,13 +47,13 @@
 
 // Names of the tables, in the order of their number keys.
 const (
-	Queue     = "queue"
-	Running   = "running"
-	Finished  = "finished"
-	Teams     = "teams"
-	Machines  = "machines"
-	Members   = "nodes"
-	Evictions = "evictions"
+	Queue      = "queue"
+	Running    = "running"
+	Finished   = "finished"
+	Teams      = "teams"
+	Machines   = "machines"
+	Members    = "nodes"
+	VictimSets = "evictions"
 )
 
 // Tables returns all tables, in the order of their number keys.
@@ -65,7 +65,7 @@
 	jobOrders := []string{"schedule", "priority", "age", "tasks", "name"}
 	return []Table{
 		{Queue, jobColumns(90, Column{"WHY IT WAITS", 40, false, 0}, Column{"WAITS", 6, true, 0}, Column{"AGE", 6, true, 0}, Column{"DUE IN", 8, true, 110}), jobOrders,
-			jobRows(func(j *view.Job) bool { return !j.Status.Final() && (j.Waiting() > 0 || j.Awaits > 0) }, true)},
+			jobRows(func(j *view.Job) bool { return !j.Status.Final() && (j.Waiting() > 0 || j.UnmetDependencies > 0) }, true)},
 		{Running, jobColumns(0, Column{"DUE IN", 8, true, 0}, Column{"WAITS", 6, true, 0}, Column{"AGE", 7, true, 0}, Column{"CPUS", 8, true, 0}), jobOrders,
 			jobRows(func(j *view.Job) bool { return !j.Status.Final() && j.Placed > 0 }, false)},
 		{Finished, jobColumns(0, Column{"LATE", 8, true, 0}, Column{"ENDED", 7, true, 0}, Column{"STATUS", 9, false, 0}), []string{"end", "schedule", "priority", "tasks", "name"}, finishedRows},
@@ -76,14 +76,14 @@
 			{"SHARE", 5, true, 0}, {"TASKS", 5, true, 0}, {"CPUS", 11, true, 0}, {"GPUS", 9, true, 100}, {"PRICE/H", 9, true, 90}, {"TEAMS", 30, false, 110}},
 			[]string{"name", "tasks", "used", "price"}, machineRows},
 		{Members, []Column{{"NODE", 16, false, 0}, {"STATE", 10, false, 0}, {"LEADS", 5, false, 0}, {"SHARES", 30, false, 0}}, []string{"name"}, memberRows},
-		{Evictions, []Column{{"AGO", 7, true, 0}, {"FOR JOB", 12, false, 0}, {"TEAM", 9, false, 0}, {"OPEN", 5, false, 0}, {"VICTIMS", 7, true, 0},
+		{VictimSets, []Column{{"AGO", 7, true, 0}, {"FOR JOB", 12, false, 0}, {"TEAM", 9, false, 0}, {"OPEN", 5, false, 0}, {"VICTIMS", 7, true, 0},
 			{"WHOSE", 36, false, 0}}, []string{"latest", "victims"}, victimSetRows},
 	}
 }
 
 // Rows returns the rows of the table that contain the filter text, ignoring case, sorted by Orders[order]. now
 // is the Unix time in milliseconds by the clock of the controller that sent the state.
-func (t Table) Rows(state *viewclient.State, now int64, why map[string]viewclient.Why, order int, reversed bool, filter string) []Row {
+func (t Table) Rows(state *viewclient.State, now int64, why map[string]viewclient.WaitReason, order int, reversed bool, filter string) []Row {
 	if state.Snapshot == nil {
 		return nil
 	}
@@ -130,27 +130,27 @@
 // name.
 func jobSortValues(j *view.Job, now int64) []float64 {
 	behind := math.Inf(-1)
-	if j.Due != 0 && j.Behind(now) > 0 {
+	if j.DeadlineMs != 0 && j.Behind(now) > 0 {
 		behind = float64(j.Behind(now))
 	}
 	if math.IsInf(behind, -1) {
-		behind = -1e15 + float64(j.Priority)*1e14 + float64(now-j.From) // jobs in time come after late ones, by priority and age
+		behind = -1e15 + float64(j.Priority)*1e14 + float64(now-j.ReadyMs) // jobs in time come after late ones, by priority and age
 	}
-	return []float64{behind, float64(j.Priority), float64(now - j.From), float64(j.Tasks), 0}
+	return []float64{behind, float64(j.Priority), float64(now - j.ReadyMs), float64(j.Tasks), 0}
 }
 
-func jobRows(include func(*view.Job) bool, forQueue bool) func(*viewclient.State, int64, map[string]viewclient.Why) []Row {
-	return func(state *viewclient.State, now int64, why map[string]viewclient.Why) (rows []Row) {
+func jobRows(include func(*view.Job) bool, forQueue bool) func(*viewclient.State, int64, map[string]viewclient.WaitReason) []Row {
+	return func(state *viewclient.State, now int64, why map[string]viewclient.WaitReason) (rows []Row) {
 		state.Jobs("", func(job *view.Job) bool {
 			if !include(job) {
 				return true
 			}
 			cells, late := jobCells(job, now)
 			waits := formatInt(job.Waiting())
-			if job.Awaits > 0 {
+			if job.UnmetDependencies > 0 {
 				waits = "-"
 			}
-			cells = append(cells, waits, formatDuration(now-job.From))
+			cells = append(cells, waits, formatDuration(now-job.ReadyMs))
 			if forQueue {
 				cells = append(cells, deadlineText(job, now), waitReasonText(job, why))
 			} else {
@@ -165,9 +165,9 @@
 
 // waitReasonText returns why a job waits: the unmet dependencies of its row, or else the reason that a
 // controller returned, with its age if that exceeds viewclient.MaxFreshAge. It returns "" if neither is known.
-func waitReasonText(job *view.Job, why map[string]viewclient.Why) string {
-	if job.Awaits > 0 {
-		return fmt.Sprintf("waits for %d other jobs", job.Awaits)
+func waitReasonText(job *view.Job, why map[string]viewclient.WaitReason) string {
+	if job.UnmetDependencies > 0 {
+		return fmt.Sprintf("waits for %d other jobs", job.UnmetDependencies)
 	}
 	if w, ok := why[job.ID]; ok {
 		if age := time.Since(w.ReceivedAt); age > viewclient.MaxFreshAge {
@@ -175,13 +175,13 @@
 		}
 		return printable(w.Why)
 	}
-	if job.Evicting {
+	if job.Preempting {
 		return "evicted tasks are still stopping"
 	}
 	return ""
 }
 
-func finishedRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
+func finishedRows(state *viewclient.State, now int64, _ map[string]viewclient.WaitReason) (rows []Row) {
 	state.Jobs("", func(job *view.Job) bool {
 		if !job.Status.Final() {
 			return true
@@ -191,18 +191,18 @@
 		if late {
 			lateBy = formatDuration(job.Behind(now))
 		}
-		if job.End > 0 {
-			ended = formatDuration(now - job.End)
+		if job.EndedMs > 0 {
+			ended = formatDuration(now - job.EndedMs)
 		}
 		order := jobSortValues(job, now)
-		order[0], order[1], order[2] = float64(job.End), order[0], order[1]
+		order[0], order[1], order[2] = float64(job.EndedMs), order[0], order[1]
 		rows = append(rows, Row{Key: job.ID, Cells: append(cells, ended, job.Status.String(), lateBy), BehindSchedule: late, sortValues: order})
 		return true
 	})
 	return rows
 }
 
-func teamRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+func teamRows(state *viewclient.State, _ int64, _ map[string]viewclient.WaitReason) (rows []Row) {
 	for i := range state.Teams {
 		t := &state.Teams[i]
 		borrowed, _ := t.Borrowed()
@@ -221,7 +221,7 @@
 	return rows
 }
 
-func machineRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+func machineRows(state *viewclient.State, _ int64, _ map[string]viewclient.WaitReason) (rows []Row) {
 	state.Machines(func(machine *view.Machine) bool {
 		kind := "ordinary"
 		if machine.Spot {
@@ -239,11 +239,11 @@
 	return rows
 }
 
-func memberRows(state *viewclient.State, _ int64, _ map[string]viewclient.Why) (rows []Row) {
+func memberRows(state *viewclient.State, _ int64, _ map[string]viewclient.WaitReason) (rows []Row) {
 	for _, member := range state.Members {
-		memberState, leads, shards := "gone", "", make([]string, len(member.Shares))
+		memberState, leads, shards := "gone", "", make([]string, len(member.Shards))
 		switch {
-		case member.Alive && member.Unfit:
+		case member.Alive && member.NotReady:
 			memberState = "no workers"
 		case member.Alive:
 			memberState = "alive"
@@ -251,7 +251,7 @@
 		if member.Leader {
 			leads = "yes"
 		}
-		for i, shard := range member.Shares {
+		for i, shard := range member.Shards {
 			shards[i] = formatInt(shard)
 		}
 		rows = append(rows, Row{Key: member.Name, Cells: []string{printable(member.Name), memberState, leads, strings.Join(shards, " ")}, sortValues: []float64{0}})
@@ -259,8 +259,8 @@
 	return rows
 }
 
-func victimSetRows(state *viewclient.State, now int64, _ map[string]viewclient.Why) (rows []Row) {
-	state.Evictions(func(victimSet *view.Eviction) bool {
+func victimSetRows(state *viewclient.State, now int64, _ map[string]viewclient.WaitReason) (rows []Row) {
+	state.VictimSets(func(victimSet *view.VictimSet) bool {
 		count := map[string]int{}
 		var victimTeams []string
 		for _, v := range victimSet.Victims {
@@ -279,8 +279,8 @@
 		if victimSet.Open {
 			status = "open"
 		}
-		rows = append(rows, Row{Key: victimSet.Key, Cells: []string{formatDuration(now - victimSet.At), job, team, status, formatInt(len(victimSet.Victims)), strings.Join(victimTeams, ", ")},
-			sortValues: []float64{float64(victimSet.At), float64(len(victimSet.Victims))}})
+		rows = append(rows, Row{Key: victimSet.Key, Cells: []string{formatDuration(now - victimSet.ChosenAtMs), job, team, status, formatInt(len(victimSet.Victims)), strings.Join(victimTeams, ", ")},
+			sortValues: []float64{float64(victimSet.ChosenAtMs), float64(len(victimSet.Victims))}})
 		return true
 	})
 	return rows
@@ -324,8 +324,8 @@
 
 // deadlineText returns the time until the deadline of a job, negative after it, "-" without a deadline.
 func deadlineText(j *view.Job, now int64) string {
-	if j.Due == 0 {
+	if j.DeadlineMs == 0 {
 		return "-"
 	}
-	return formatDuration(j.Due - now)
+	return formatDuration(j.DeadlineMs - now)
 }
--- a/internal/contexts/contexts.go
+++ b/internal/contexts/contexts.go
@@ -56,7 +56,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("configuration %s: expected a readable file: %w", path, err)
 	}
-	if err := config.Strict(raw, file); err != nil {
+	if err := config.DecodeStrict(raw, file); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if err := file.check(); err != nil {
@@ -114,9 +114,9 @@
 	return c, nil
 }
 
-// Change loads the file, applies the function to it, and replaces the file atomically by renaming a temporary file.
+// Update loads the file, applies the function to it, and replaces the file atomically by renaming a temporary file.
 // There is no lock: of two concurrent changes, one may be lost.
-func Change(path string, modify func(*File)) error {
+func Update(path string, modify func(*File)) error {
 	file, err := Load(path)
 	if err != nil {
 		return err
--- a/internal/contexts/contexts_test.go
+++ b/internal/contexts/contexts_test.go
@@ -29,14 +29,14 @@
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), path) || strings.Contains(err.Error(), "\n")) {
 				t.Errorf("file %q: error %v, want one line that contains the path and %q", test.text, err, test.want)
 			}
-			// Change must not touch an invalid file.
-			if err := Change(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (test.want == "") {
-				t.Errorf("%q: Change: %v", test.text, err)
+			// Update must not touch an invalid file.
+			if err := Update(path, func(f *File) { f.Contexts["new"] = Context{Users: "10.0.0.1:80", Nodes: []string{"10.0.0.1:81"}} }); (err == nil) != (test.want == "") {
+				t.Errorf("%q: Update: %v", test.text, err)
 			}
 			if raw, _ := os.ReadFile(path); test.want != "" && string(raw) != test.text {
-				t.Errorf("Change rewrote the invalid file %q to %q", test.text, raw)
+				t.Errorf("Update rewrote the invalid file %q to %q", test.text, raw)
 			} else if f, err := Load(path); test.want == "" && (err != nil || f.Contexts["new"].Users == "") {
-				t.Errorf("%q: after Change got %+v, %v, want a context \"new\"", test.text, f, err)
+				t.Errorf("%q: after Update got %+v, %v, want a context \"new\"", test.text, f, err)
 			}
 		})
 	}
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -57,7 +57,7 @@
 // add inserts a cancelled job by the version of its record. When the list grows too long, the
 // earliest cancellations are removed and from is raised.
 func (l *cancellationList) add(version uint64, job string) {
-	if version <= l.from || len(job) > protocol.MaxCancelledName {
+	if version <= l.from || len(job) > protocol.MaxCancelledIDBytes {
 		l.from = max(l.from, version) // not listed, so the list is complete only above this version
 		return
 	}
@@ -132,15 +132,15 @@
 // currentDigest returns this controller's cancellation digest as of now. It is nil while the records
 // have not been read, or where the controller's frame level has no digests.
 func (c *Controller) currentDigest(now time.Time) *protocol.CancellationDigest {
-	if !c.follower.loaded || c.Frames < protocol.FramesCancellationDigest {
+	if !c.follower.loaded || c.Frames < protocol.FrameLevelCancellationDigest {
 		return nil
 	}
 	recorded := c.cancellations.digest.recorded
 	return &protocol.CancellationDigest{
-		At:            now.UnixMilli(),
-		ProcessStart:  c.session.startedAt.UnixMilli(),
-		From:          recorded.from,
-		Cancellations: slices.Clone(recorded.list),
+		CreatedAtMs:    now.UnixMilli(),
+		ProcessStartMs: c.session.startedAt.UnixMilli(),
+		AfterVersion:   recorded.from,
+		Cancellations:  slices.Clone(recorded.list),
 	}
 }
 
@@ -158,8 +158,8 @@
 		return protocol.CancellationDigest{}, false
 	}
 	digest := *published
-	if revision > digest.From {
-		digest.From = revision
+	if revision > digest.AfterVersion {
+		digest.AfterVersion = revision
 		digest.Cancellations = slices.DeleteFunc(slices.Clone(published.Cancellations),
 			func(listed protocol.Cancellation) bool { return listed.Version <= revision })
 	}
@@ -171,7 +171,7 @@
 func (c *Controller) digestReaders() *map[string]uint64 {
 	readers := map[string]uint64{}
 	for name, member := range c.cache.Members {
-		if name != c.cfg.MemberName && member.FrameLevel >= protocol.FramesCancellationDigest {
+		if name != c.cfg.MemberName && member.FrameLevel >= protocol.FrameLevelCancellationDigest {
 			readers[name] = c.reachability.peers[name].heartbeat.Revision
 		}
 	}
@@ -194,15 +194,15 @@
 		c.terminateGossiped()
 	}
 	clockError := maxClockDifference(c.cfg.Deployment)
-	startedAt := localTime(digest.ProcessStart, now).Add(clockError)
+	startedAt := localTime(digest.ProcessStartMs, now).Add(clockError)
 	// The digest does not cover what an earlier process of the same member had confirmed: only records
 	// read after the sender's start show that. And if its list begins above this cache's revision,
 	// cancellations in between are missing.
-	if startedAt.After(c.follower.cacheCurrentAt) || digest.From > c.cache.Revision {
+	if startedAt.After(c.follower.cacheCurrentAt) || digest.AfterVersion > c.cache.Revision {
 		return
 	}
 	// The digest may have been delayed in transit: it covers the time until it was sent.
-	until := minTime(now, localTime(digest.At, now).Add(-clockError))
+	until := minTime(now, localTime(digest.CreatedAtMs, now).Add(-clockError))
 	if until.After(c.cancellations.digest.completeUntil[member]) {
 		c.cancellations.digest.completeUntil[member] = until
 	}
--- a/internal/controller/cancellation_digest_test.go
+++ b/internal/controller/cancellation_digest_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t) // lease_s 10, cancel_s 30; the cache is at revision 4
-			controller.cfg.Known = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
+			controller.cfg.KnownPeers = []config.Peer{{MemberName: "n1"}, {MemberName: "n2"}}
 			controller.cfg.Deployment.ClockSkewMs = test.clockErrorMs
 			machine := controller.cache.Machine("m")
 			applyRecord(t, controller, storage.GroupKey(0), storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m", Incarnation: 1,
@@ -50,7 +50,7 @@
 			now := time.Now()
 			controller.follower.cacheCurrentAt = now.Add(-test.read)
 			receive := func(member string, sent, started time.Duration, from uint64, list []protocol.Cancellation) {
-				controller.applyDigest(member, protocol.CancellationDigest{At: now.Add(-sent).UnixMilli(), ProcessStart: now.Add(-started).UnixMilli(), From: from, Cancellations: list}, now)
+				controller.applyDigest(member, protocol.CancellationDigest{CreatedAtMs: now.Add(-sent).UnixMilli(), ProcessStartMs: now.Add(-started).UnixMilli(), AfterVersion: from, Cancellations: list}, now)
 			}
 			receive("n1", test.sent, test.started, test.from, test.list)
 			if !test.silent {
@@ -123,11 +123,11 @@
 	controller := newCore(t)
 	controller.cancellations.digest.recorded.add(6, "job-000006")
 	controller.cancellations.digest.recorded.add(8, "job-000008")
-	controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FramesCancellationDigest}}
+	controller.cache.Members["n1"] = &storage.Member{MemberRecord: storage.MemberRecord{FrameLevel: protocol.FrameLevelCancellationDigest}}
 	controller.cache.Members["n2"] = &storage.Member{}
 	controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: 7}}
 	controller.publish(time.Now())
-	if outgoing, ok := controller.CancellationDigest("n1"); !ok || outgoing.From != 7 || len(outgoing.Cancellations) != 1 || outgoing.Cancellations[0].Version != 8 {
+	if outgoing, ok := controller.CancellationDigest("n1"); !ok || outgoing.AfterVersion != 7 || len(outgoing.Cancellations) != 1 || outgoing.Cancellations[0].Version != 8 {
 		t.Errorf("digest to a member that has read up to revision 7: %+v, %v; want only version 8", outgoing, ok)
 	}
 	for _, member := range []string{"n2", "n3"} {
@@ -146,7 +146,7 @@
 // current only up to the time at which the request was sent.
 func TestCacheIsCurrentUpToWatchRequest(t *testing.T) {
 	controller := newCore(t)
-	controller.cfg.Known = []config.Peer{{MemberName: "n1"}}
+	controller.cfg.KnownPeers = []config.Peer{{MemberName: "n1"}}
 	now := time.Now()
 	controller.onEvents(protocol.Events{Revision: 5}, now.Add(-19*time.Second))
 	if controller.mayRenewLeases(now) {
--- a/internal/controller/commit_queue_test.go
+++ b/internal/controller/commit_queue_test.go
@@ -23,7 +23,7 @@
 		{"committed", 9, nil, nil, false, 2, 0},
 		{"conflict: the cache has to catch up", 9, []string{"x"}, nil, false, 0, 9},
 		{"refused: not applied", 0, nil, protocol.ErrRefused, false, 0, 0},
-		{"unknown", 0, nil, protocol.ErrUnknown, true, 0, 0},
+		{"unknown", 0, nil, protocol.ErrOutcomeUnknown, true, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -69,7 +69,7 @@
 			log: log, timing: timing, metrics: NewMetrics(),
 		},
 		mailbox:       mailbox{inbox: make(chan func(), inboxSize), done: make(chan struct{})},
-		Options:       Options{Layout: storage.LayoutTeams, Frames: protocol.FramesCancellationDigest},
+		Options:       Options{Layout: storage.LayoutTeams, Frames: protocol.FrameLevelCancellationDigest},
 		cache:         cache,
 		jobStates:     map[*storage.Job]*jobState{},
 		session:       sessionState{startedAt: now},
--- a/internal/controller/dispatch/heartbeat.go
+++ b/internal/controller/dispatch/heartbeat.go
@@ -43,7 +43,7 @@
 // findPlacedAttempt returns the reference of a reported attempt; ok reports whether the job's record places
 // it on the machine.
 func findPlacedAttempt(machine *storage.Machine, status protocol.TaskStatus, findJob func(string) *storage.Job) (ref AttemptRef, ok bool) {
-	id, task, _ := protocol.SplitTask(status.Task) // a malformed name matches no job
+	id, task, _ := protocol.ParseTaskName(status.Task) // a malformed name matches no job
 	job := findJob(id)
 	if job == nil || task >= job.Tasks || job.MachineOf[task] != machine.Index || job.AttemptOf[task] != status.Attempt {
 		return AttemptRef{}, false
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -18,7 +18,7 @@
 	// after.
 	List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error)
 	// Txn commits a compare-and-swap transaction. failed holds the keys whose conditions did not hold;
-	// nothing was changed in that case. After protocol.ErrUnknown the transaction may still be carried out.
+	// nothing was changed in that case. After protocol.ErrOutcomeUnknown the transaction may still be carried out.
 	Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (revision uint64, failed []string, err error)
 	// Pace returns the delay until the rate limit allows a transaction of n changes.
 	Pace(n int) time.Duration
@@ -32,9 +32,9 @@
 	ChangesUsed() uint64
 	// Grant creates a lease. Keys that are put with it are deleted when it expires.
 	Grant(ctx context.Context, ttl time.Duration) (lease uint64, err error)
-	// Renew renews a lease; protocol.ErrNoLease means that it has expired.
+	// Renew renews a lease; protocol.ErrLeaseExpired means that it has expired.
 	Renew(ctx context.Context, lease uint64, timeout time.Duration) error
-	// Watch waits up to wait for changes after the revision from; protocol.ErrTooOld means that the records
+	// Watch waits up to wait for changes after the revision from; protocol.ErrRevisionTooOld means that the records
 	// have to be read again.
 	Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error)
 }
--- a/internal/controller/followed_changes.go
+++ b/internal/controller/followed_changes.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// onRecordsChanged updates the state that is derived from the records after they have onRecordsChanged: leadership,
+// onRecordsChanged updates the state that is derived from the records after they have changed: leadership,
 // shard ownership, settings, and the state of machines and jobs.
 func (c *Controller) onRecordsChanged() {
 	if !c.follower.loaded {
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -69,7 +69,7 @@
 // configuredMembers returns the names of all configured controllers, this one first.
 func (c *Controller) configuredMembers() []string {
 	names := []string{c.cfg.MemberName}
-	for _, peer := range c.cfg.Known {
+	for _, peer := range c.cfg.KnownPeers {
 		names = append(names, peer.MemberName)
 	}
 	return names
--- a/internal/controller/lease_knowledge.go
+++ b/internal/controller/lease_knowledge.go
@@ -41,7 +41,7 @@
 			completeAt = minTime(completeAt, c.cancellations.digest.completeUntil[member])
 		}
 	}
-	for _, known := range c.cfg.Known {
+	for _, known := range c.cfg.KnownPeers {
 		include(known.MemberName)
 	}
 	for name := range c.cache.Members {
--- a/internal/controller/log_counters.go
+++ b/internal/controller/log_counters.go
@@ -11,7 +11,7 @@
 	changes  uint64        // changes made by this controller until then
 }
 
-// recordPass counts a planning recordPass and its duration.
+// recordPass counts a planning pass and its duration.
 func (l *logCounters) recordPass(d time.Duration) {
 	l.passes++
 	l.total += d
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -79,7 +79,7 @@
 		if err == nil {
 			c.post(func() { c.storeHealth.servedAt, c.session.leaseRenewedAt = time.Now(), sent })
 		}
-		if errors.Is(err, protocol.ErrNoLease) {
+		if errors.Is(err, protocol.ErrLeaseExpired) {
 			c.log.Info("session lease expired, requesting a new one")
 			c.post(func() { c.session.lease = 0 })
 			return
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -28,7 +28,7 @@
 // was then deleted with that process's session lease, the running controller was no longer a member,
 // and the layout gate never opened.
 func TestRepairMemberRecord(t *testing.T) {
-	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FramesCancellationDigest}
+	own := storage.MemberRecord{Incarnation: 7, Layout: storage.LayoutTeams, FrameLevel: protocol.FrameLevelCancellationDigest}
 	for _, test := range []struct {
 		name   string
 		record *storage.MemberRecord
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -73,7 +73,7 @@
 func (c *Controller) currentShardDemands() []protocol.ShardDemand {
 	var demands []protocol.ShardDemand
 	for job, state := range c.jobStates {
-		if !job.Open() || !job.Priority.Top() || state.capacityShortSince.IsZero() || len(demands) >= maxShardDemands {
+		if !job.Open() || !job.Priority.IsTop() || state.capacityShortSince.IsZero() || len(demands) >= maxShardDemands {
 			continue
 		}
 		if wanted := c.wantedTasks(job); wanted > 0 {
--- a/internal/controller/placement_input.go
+++ b/internal/controller/placement_input.go
@@ -13,16 +13,16 @@
 	// Cost, in seconds (schedule.Input.OnDemandCostS), of placing work that may use a spot machine on
 	// an on-demand one. The higher cost applies for onDemandNeededFor after a job that must not use
 	// spot machines was open, since more such jobs are likely to follow.
-	onDemandWeight       = 0.2
-	onDemandWeightNeeded = 6
-	onDemandNeededFor    = 5 * time.Minute
+	onDemandCostS       = 0.2
+	neededOnDemandCostS = 6
+	onDemandNeededFor   = 5 * time.Minute
 
 	// Additions to a machine's risk, in seconds (schedule.Slot.RiskS): for each recent failure, and
 	// for the factor by which its tasks exceed their estimates, as far as that is above
 	// ignoredSlowdown.
-	riskPerFailure  = 4
-	riskPerSlowdown = 8
-	ignoredSlowdown = 1.3
+	riskPerFailureS  = 4
+	riskPerSlowdownS = 8
+	ignoredSlowdown  = 1.3
 )
 
 // placementInput returns the input of a placement pass over the shards that this controller owns.
@@ -34,7 +34,7 @@
 	c.addWaitingJobs(input, shards)
 	loads := c.queueLoads(now)
 	input.Queues = loads.queues
-	input.OnDemandCostS = c.onDemandWeight(now)
+	input.OnDemandCostS = c.currentOnDemandCostS(now)
 	total := c.addMachines(input, shards, planned)
 	wasOverloaded := c.planner.overloaded
 	input.Overloaded = c.detectOverload(loads, input.Jobs, total, &c.planner.overloaded, now)
@@ -94,12 +94,12 @@
 	}
 }
 
-// onDemandWeight returns the current cost, in seconds, of using an on-demand machine.
-func (c *Controller) onDemandWeight(now time.Time) float64 {
+// currentOnDemandCostS returns the current cost, in seconds, of using an on-demand machine.
+func (c *Controller) currentOnDemandCostS(now time.Time) float64 {
 	if !c.planner.onDemandNeededAt.IsZero() && now.Sub(c.planner.onDemandNeededAt) < onDemandNeededFor {
-		return onDemandWeightNeeded
+		return neededOnDemandCostS
 	}
-	return onDemandWeight
+	return onDemandCostS
 }
 
 // addMachines adds the machines of the given shards as of the planned transaction, and returns
@@ -165,7 +165,7 @@
 	if machineType.Gpus > 0 {
 		slot.CpusPerGpu = machineType.Cpus / machineType.Gpus
 	}
-	slot.RiskS = riskPerFailure*c.failedRecently(worker) + riskPerSlowdown*max(0, worker.slowdown-ignoredSlowdown)
+	slot.RiskS = riskPerFailureS*c.failedRecently(worker) + riskPerSlowdownS*max(0, worker.slowdown-ignoredSlowdown)
 	return slot
 }
 
@@ -193,7 +193,7 @@
 		job := placed.Job
 		slot.Free.Add(job, -1)
 		slot.AddFragile(job)
-		if !job.Priority.Top() && job.Open() && !c.cache.IsVictim(placed) {
+		if !job.Priority.IsTop() && job.Open() && !c.cache.IsVictim(placed) {
 			slot.Preemptible.Add(job, 1)
 		}
 		if !slices.Contains(slot.Images, job.Image) && !slices.Contains(slot.FetchingImages, job.Image) {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -126,7 +126,7 @@
 // would start sooner on preempted capacity. This holds for a short time only, so that the job takes
 // the free capacity if no preemption follows.
 func (c *Controller) mayWaitForPreemption(job *storage.Job, now time.Time) bool {
-	if !job.Priority.Top() || c.suspect(job) {
+	if !job.Priority.IsTop() || c.suspect(job) {
 		return false
 	}
 	state := c.jobState(job)
--- a/internal/controller/preemption_candidates.go
+++ b/internal/controller/preemption_candidates.go
@@ -14,7 +14,7 @@
 // that fits into its team's guarantee together with the team's earlier unfinished jobs. Any job
 // above the lowest priority may preempt idle-time work.
 func (c *Controller) mayPreempt(job *storage.Job, input *schedule.Input, cutoffs []time.Time) bool {
-	return job.Priority.Top() || (job.Priority > protocol.Low && c.planner.idleWorkPlaced) || mayPreemptForGuarantee(job, input, cutoffs)
+	return job.Priority.IsTop() || (job.Priority > protocol.Low && c.planner.idleWorkPlaced) || mayPreemptForGuarantee(job, input, cutoffs)
 }
 
 // mayPreemptForGuarantee reports whether a job may preempt for its team's guarantee: it fits into
@@ -93,7 +93,7 @@
 		LostTaskSeconds: lost,
 		WaitSeconds:     float64(placed.WaitedSeconds),
 		ReadySince:      job.ReadyAt,
-		TopPriority:     job.Priority.Top(),
+		TopPriority:     job.Priority.IsTop(),
 	})
 }
 
@@ -103,7 +103,7 @@
 // holds the tasks of the machines that change in the transaction.
 func (c *Controller) preemptionCandidates(now time.Time, job *storage.Job, input *schedule.Input, remaining map[int32][]storage.PlacedTask, cutoffs []time.Time) []schedule.Candidate {
 	var list candidateList
-	forGuarantee := !job.Priority.Top() && mayPreemptForGuarantee(job, input, cutoffs)
+	forGuarantee := !job.Priority.IsTop() && mayPreemptForGuarantee(job, input, cutoffs)
 	excess := make([]storage.Usage, len(input.Used)) // usage beyond the guarantee, by team
 	for team, used := range input.Used {
 		excess[team] = storage.Usage{Cpus: used.Cpus - input.Teams[team].Cpus, Gpus: used.Gpus - input.Teams[team].Gpus}
@@ -120,7 +120,7 @@
 		for _, placed := range tasks {
 			other := placed.Job
 			teamOverGuarantee := other.Team != job.Team && (excess[other.Team].Cpus >= other.Cpus || other.Gpus > 0 && excess[other.Team].Gpus >= other.Gpus)
-			bestEffort := job.Priority.Top() && !other.Priority.Top()
+			bestEffort := job.Priority.IsTop() && !other.Priority.IsTop()
 			preemptibleForGuarantee := forGuarantee && teamOverGuarantee
 			if !bestEffort && !preemptibleForGuarantee && (job.Priority <= other.Priority || !c.isIdleWork(other, now)) {
 				continue
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -69,7 +69,7 @@
 // the worker instead. A silent one may have confirmed cancellations until now that the controller
 // which last answered the worker did not have.
 func (c *Controller) allRestarted(now time.Time) bool {
-	for _, known := range c.cfg.Known {
+	for _, known := range c.cfg.KnownPeers {
 		peer, ok := c.reachability.peers[known.MemberName]
 		if !ok || now.Sub(peer.receivedAt) >= peerFreshPeriod || peer.heartbeat.Revision > 0 {
 			return false
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -37,7 +37,7 @@
 			controller.follower.loaded, controller.cfg.Deployment.Workers = false, workers
 			now := time.Now()
 			controller.cancellations.unverified.startedAt = now.Add(-test.age)
-			controller.cfg.Known = []config.Peer{{MemberName: "n1"}}
+			controller.cfg.KnownPeers = []config.Peer{{MemberName: "n1"}}
 			if test.heard >= 0 {
 				controller.reachability.peers["n1"] = peerState{heartbeat: protocol.PeerHeartbeat{Revision: test.peer}, receivedAt: now.Add(-test.heard)}
 			}
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -19,7 +19,7 @@
 	asOf             time.Time // the cache held everything that was committed until then
 	publishedAt      time.Time // when the latest snapshot was published
 	complete         bool      // the rows match the cache, which is at its highest revision
-	publishedStoreOK bool      // StateOK when a refresh last published a snapshot
+	publishedStoreOK bool      // StateServiceOK when a refresh last published a snapshot
 	cacheLoaded      bool      // every record was read once
 }
 
@@ -42,7 +42,7 @@
 	c.readModel = &readModel{
 		model: view.NewModel(teams),
 		hub:   view.NewHub(),
-		head:  view.Head{Epoch: uint64(now.UnixNano()), Since: now.UnixMilli(), Member: c.cfg.MemberName},
+		head:  view.Head{Epoch: uint64(now.UnixNano()), FinalSinceMs: now.UnixMilli(), Member: c.cfg.MemberName},
 	}
 	c.cache.EnableChangeFeed()
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	if !readModel.cacheLoaded {
-		readModel.cacheLoaded, readModel.head.Since = true, now.UnixMilli()
+		readModel.cacheLoaded, readModel.head.FinalSinceMs = true, now.UnixMilli()
 	}
 	c.updateRows()
 	if readModel.complete && readModel.snapshotDue(now) {
@@ -79,7 +79,7 @@
 
 // snapshotDue reports whether there is a reader and viewInterval has passed since the latest snapshot.
 func (r *readModel) snapshotDue(now time.Time) bool {
-	return now.Sub(r.publishedAt) >= viewInterval && r.hub.Wanted(now)
+	return now.Sub(r.publishedAt) >= viewInterval && r.hub.HasReaders(now)
 }
 
 // updateRows updates the rows of changed records, at most viewBatchRows jobs and as many machines.
@@ -112,9 +112,9 @@
 	readModel.publishedAt = now
 	head := readModel.head
 	head.Revision = c.cache.Revision
-	head.Now = now.UnixMilli()
-	head.AsOf = readModel.asOf.UnixMilli()
-	head.StateOK = c.storeHealth.served(now)
+	head.NowMs = now.UnixMilli()
+	head.AsOfMs = readModel.asOf.UnixMilli()
+	head.StateServiceOK = c.storeHealth.served(now)
 	for _, name := range c.memberNames() {
 		head.Members = append(head.Members, c.memberRow(name))
 	}
@@ -131,7 +131,7 @@
 		return nil
 	}
 	snapshot := readModel.hub.Wait(ctx, cursor)
-	if snapshot != nil && time.Since(time.UnixMilli(snapshot.AsOf)) < maxSnapshotAge {
+	if snapshot != nil && time.Since(time.UnixMilli(snapshot.AsOfMs)) < maxSnapshotAge {
 		return snapshot
 	}
 	c.refreshView()
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -69,7 +69,7 @@
 
 func (c partialCloud) Catalog(context.Context) (*protocol.Catalog, error) {
 	if !c.catalog {
-		return nil, protocol.ErrUnknown
+		return nil, protocol.ErrOutcomeUnknown
 	}
 	return &protocol.Catalog{Types: []protocol.MachineType{{Name: "t", Cpus: 8, MemGB: 8}}}, nil
 }
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -156,7 +156,7 @@
 		}
 		left := c.cache.Types[machine.Type].Cpus
 		for _, placed := range machine.Tasks {
-			if placed.Job.Priority.Top() {
+			if placed.Job.Priority.IsTop() {
 				left -= placed.Job.TaskSize
 			}
 		}
@@ -248,7 +248,7 @@
 			continue
 		}
 		for _, placed := range machine.Tasks {
-			if !placed.Job.Priority.Top() {
+			if !placed.Job.Priority.IsTop() {
 				yielding += placed.Job.TaskSize
 			}
 		}
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -72,7 +72,7 @@
 
 // mustAvoidOnDemand reports whether a job is kept off on-demand machines in favor of other jobs.
 func (in *Input) mustAvoidOnDemand(job *storage.Job) bool {
-	if !in.Overloaded || !job.Spot || job.Priority.Top() {
+	if !in.Overloaded || !job.Spot || job.Priority.IsTop() {
 		return false
 	}
 	state := in.Queues.At(storage.ClassQueueOf(job))
@@ -83,7 +83,7 @@
 // first job may preempt, but at least its floor.
 func (in *Input) capacityOf(queue *jobQueue) float64 {
 	state := queue.state(in)
-	mayPreempt := queue.jobs[0].job.Priority.Top()
+	mayPreempt := queue.jobs[0].job.Priority.IsTop()
 	usesSpot := slices.ContainsFunc(queue.jobs, func(cursor *jobCursor) bool { return cursor.job.Spot })
 	free := 0.0
 	for _, slot := range in.Slots {
--- a/internal/controller/schedule/earliest_start_test.go
+++ b/internal/controller/schedule/earliest_start_test.go
@@ -48,7 +48,7 @@
 			result := Place(&Input{
 				Now: time.Unix(1000, 0), Slots: test.slots, Booting: test.booting, Jobs: []*storage.Job{waiting},
 				Teams: make([]config.Team, 1), Used: make([]storage.Usage, 1), Capacity: storage.Usage{Cpus: 100, Mem: 400},
-				RecordBudget: 9, Tasks: 9, MayPreempt: func(j *storage.Job) bool { return j.Priority.Top() },
+				RecordBudget: 9, Tasks: 9, MayPreempt: func(j *storage.Job) bool { return j.Priority.IsTop() },
 			})
 			got := waits
 			switch {
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -73,7 +73,7 @@
 	for ctx.Err() == nil {
 		sent := time.Now()
 		events, err := c.store.Watch(ctx, storage.Root, revision, c.watchWait())
-		if errors.Is(err, protocol.ErrTooOld) {
+		if errors.Is(err, protocol.ErrRevisionTooOld) {
 			c.log.Info("watch is too far behind, reading all records again", "revision", revision)
 			return
 		}
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -22,14 +22,14 @@
 	builder, _ := controller.plan(controller.workerState(controller.cache.Machine("m")).lastMessageAt, 12)
 	txn := builder.build()
 	controller.workers.directCommands = maxDirectCommands
-	controller.handleTxnOutcome(txn, 0, nil, protocol.ErrUnknown)
+	controller.handleTxnOutcome(txn, 0, nil, protocol.ErrOutcomeUnknown)
 	tooLarge := fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)
 	controller.handleTxnOutcome(*controller.commits.inDoubt, 0, nil, tooLarge)
 	if controller.commits.inDoubt == nil || len(controller.commits.inDoubt.Then) != 1 || controller.commits.inDoubt.Then[0].Put != storage.ShardKey(0) || controller.commits.inDoubt.If[0].Version != 2 {
 		t.Fatalf("the in-doubt transaction is not replaced by one that rewrites the shard's record: %+v", controller.commits.inDoubt)
 	}
 	resolving := *controller.commits.inDoubt
-	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrUnknown) // the replacement can be in doubt too
+	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrOutcomeUnknown) // the replacement can be in doubt too
 	controller.handleTxnOutcome(resolving, 0, nil, protocol.ErrRefused)
 	if controller.commits.inDoubt == nil {
 		t.Fatal("the in-doubt transaction was dropped before its outcome was known")
@@ -105,7 +105,7 @@
 // outcome is reported only after the cache has reached the revision of that write.
 func TestLeadersInDoubtTransactionIsResolved(t *testing.T) {
 	tooLarge := scriptedAnswer{err: fmt.Errorf("%w: %w", protocol.ErrRefused, protocol.ErrTooLarge)}
-	unknown, refused := scriptedAnswer{err: protocol.ErrUnknown}, scriptedAnswer{err: protocol.ErrRefused}
+	unknown, refused := scriptedAnswer{err: protocol.ErrOutcomeUnknown}, scriptedAnswer{err: protocol.ErrRefused}
 	for _, test := range []struct {
 		name    string
 		answers []scriptedAnswer
--- a/internal/controller/team_limits_test.go
+++ b/internal/controller/team_limits_test.go
@@ -45,7 +45,7 @@
 		{name: "a guarantee above the limit", team: "red", change: `{"cpus":9,"cpus_max":8}`, refused: "field cpus"},
 		{name: "an accepted job could never run", team: "red", change: `{"cpus_max":3}`, refused: "job-000001"},
 		{name: "a member cannot read changed teams", prepare: func(c *Controller) { c.cache.Members["n0"].Layout = storage.LayoutPacked }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
-		{name: "a known controller has no member record", prepare: func(c *Controller) { c.cfg.Known = []config.Peer{{MemberName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
+		{name: "a known controller has no member record", prepare: func(c *Controller) { c.cfg.KnownPeers = []config.Peer{{MemberName: "n1"}} }, team: "red", change: `{"cpus":8}`, refused: "missing: n1"},
 		{name: "the packed layout is not in use yet", prepare: func(c *Controller) { c.cache.Layout.Version = storage.LayoutPlain }, team: "red", change: `{"cpus":8}`, refused: "missing: n0"},
 		{name: "limit raised while it is being lowered", prepare: func(c *Controller) {
 			was := storage.TeamBounds{CpusMax: 40}
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -249,7 +249,7 @@
 func (c *Controller) killCommandsForHeartbeat(heartbeat *protocol.Heartbeat) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, status := range heartbeat.Tasks {
-		id, _, ok := protocol.SplitTask(status.Task)
+		id, _, ok := protocol.ParseTaskName(status.Task)
 		if !ok || status.State == protocol.TaskExited || len(commands) >= maxCommands {
 			continue
 		}
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -130,7 +130,7 @@
 			worker.trackedSince, worker.heartbeatAt = now.Add(-time.Minute), now.Add(-test.silent)
 			if i == 0 {
 				controller.zoneState(machine.Zone).unreachable, controller.zoneState(machine.Zone).lastMessageAt, controller.session.startedAt = true, now.Add(-21*time.Second), now.Add(-time.Hour)
-				controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "a"}}
+				controller.cfg.KnownPeers = []config.Peer{{MemberName: "n1", Zone: "a"}}
 				controller.reachability.memberSeenAt["n1"] = now
 				machine.Tasks = []storage.PlacedTask{{Job: &storage.Job{Shape: protocol.Service}}}
 				worker.lastMessageAt, worker.missedProbes = worker.heartbeatAt, 9
--- a/internal/controller/view_rows.go
+++ b/internal/controller/view_rows.go
@@ -32,23 +32,23 @@
 // jobRow returns the row of a job.
 func (c *Controller) jobRow(job *storage.Job) view.Job {
 	row := view.Job{
-		ID:       job.ID,
-		Team:     c.cache.Teams[job.Team].Name,
-		Class:    c.cache.Classes.Name(job.Class),
-		Priority: job.OwnPriority,
-		Service:  job.Shape == protocol.Service,
-		Suspect:  job.Suspect,
-		Evicting: c.cache.VictimSets[job.ID] != nil,
-		Tasks:    uint32(job.Tasks),
-		Done:     uint32(job.DoneCount),
-		Placed:   uint32(job.PlacedCount),
-		Shard:    uint32(job.Shard),
-		Cpus:     thousandths(job.Cpus),
-		Gpus:     thousandths(job.Gpus),
-		Submit:   job.Submitted.UnixMilli(),
-		From:     job.ReadyAt.UnixMilli(),
-		Estimate: thousandths(job.Estimate),
-		End:      job.FinalAtMs,
+		ID:          job.ID,
+		Team:        c.cache.Teams[job.Team].Name,
+		Class:       c.cache.Classes.Name(job.Class),
+		Priority:    job.OwnPriority,
+		Service:     job.Shape == protocol.Service,
+		Suspect:     job.Suspect,
+		Preempting:  c.cache.VictimSets[job.ID] != nil,
+		Tasks:       uint32(job.Tasks),
+		Done:        uint32(job.DoneCount),
+		Placed:      uint32(job.PlacedCount),
+		Shard:       uint32(job.Shard),
+		Cpus:        thousandths(job.Cpus),
+		Gpus:        thousandths(job.Gpus),
+		SubmittedMs: job.Submitted.UnixMilli(),
+		ReadyMs:     job.ReadyAt.UnixMilli(),
+		EstimateMs:  thousandths(job.Estimate),
+		EndedMs:     job.FinalAtMs,
 	}
 	switch {
 	case job.Final == protocol.Done:
@@ -58,10 +58,10 @@
 	case job.PlacedCount > 0:
 		row.Status = view.Running
 	default:
-		row.Awaits = uint32(job.UnmetDependencies())
+		row.UnmetDependencies = uint32(job.UnmetDependencies())
 	}
 	if job.Deadline > 0 {
-		row.Due = row.Submit + job.Deadline.Milliseconds()
+		row.DeadlineMs = row.SubmittedMs + job.Deadline.Milliseconds()
 	}
 	return row
 }
@@ -99,10 +99,10 @@
 
 // machineUseByTeam returns the entry for what a team uses of a machine and creates it on first use. The
 // entries are in order of the teams' names.
-func machineUseByTeam(row *view.Machine, team string) *view.Use {
-	i, ok := slices.BinarySearchFunc(row.Uses, team, func(use view.Use, name string) int { return strings.Compare(use.Team, name) })
+func machineUseByTeam(row *view.Machine, team string) *view.MachineUse {
+	i, ok := slices.BinarySearchFunc(row.Uses, team, func(use view.MachineUse, name string) int { return strings.Compare(use.Team, name) })
 	if !ok {
-		row.Uses = slices.Insert(row.Uses, i, view.Use{Team: team})
+		row.Uses = slices.Insert(row.Uses, i, view.MachineUse{Team: team})
 	}
 	return &row.Uses[i]
 }
@@ -116,7 +116,7 @@
 	case machine.Draining:
 		return view.Draining
 	case machine.Unhealthy:
-		return view.Sick
+		return view.Unhealthy
 	case machine.Incarnation == 0:
 		return view.Booting
 	case len(machine.Tasks) > 0:
@@ -127,12 +127,12 @@
 
 // memberRow returns the row of a controller.
 func (c *Controller) memberRow(name string) view.Member {
-	row := view.Member{Name: name, Leader: c.holdsLeadership(name), Shares: []uint32{}}
+	row := view.Member{Name: name, Leader: c.holdsLeadership(name), Shards: []uint32{}}
 	if member := c.cache.Members[name]; member != nil {
-		row.Alive, row.Unfit = true, member.NotReady
+		row.Alive, row.NotReady = true, member.NotReady
 	}
 	for _, shard := range c.shardsOf(name) {
-		row.Shares = append(row.Shares, uint32(shard))
+		row.Shards = append(row.Shards, uint32(shard))
 	}
 	return row
 }
@@ -140,11 +140,11 @@
 // reasonRow returns why a job waits. examples holds one machine of each category.
 func (c *Controller) reasonRow(job *storage.Job, examples []*storage.Machine) view.Reason {
 	return view.Reason{
-		Job:    job.ID,
-		Why:    c.waitReason(job, examples),
-		Member: c.cfg.MemberName,
-		Owner:  c.ownsShard(job.Shard),
-		At:     time.Now().UnixMilli(),
+		Job:       job.ID,
+		Why:       c.waitReason(job, examples),
+		Member:    c.cfg.MemberName,
+		OwnsShard: c.ownsShard(job.Shard),
+		AtMs:      time.Now().UnixMilli(),
 	}
 }
 
@@ -152,24 +152,24 @@
 // stays among the latest ones.
 func (c *Controller) updateVictimSetRow(id string) {
 	model := c.readModel.model
-	previous, wasShown := model.EvictionOf(id)
+	previous, wasShown := model.LatestVictimSet(id)
 	victimSet := c.cache.VictimSets[id]
 	if victimSet == nil {
 		if wasShown && previous.Open {
 			previous.Open = false
-			model.PutEviction(previous)
+			model.PutVictimSet(previous)
 		}
 		return
 	}
-	row := view.Eviction{
-		Job:     id,
-		Team:    c.teamOf(id),
-		At:      victimSet.ChosenAtMs,
-		Shard:   uint32(victimSet.Shard),
-		Open:    true,
-		Victims: []view.Victim{},
+	row := view.VictimSet{
+		Job:        id,
+		Team:       c.teamOf(id),
+		ChosenAtMs: victimSet.ChosenAtMs,
+		Shard:      uint32(victimSet.Shard),
+		Open:       true,
+		Victims:    []view.Victim{},
 	}
-	if wasShown && previous.Open && previous.At == row.At {
+	if wasShown && previous.Open && previous.ChosenAtMs == row.ChosenAtMs {
 		row.Key = previous.Key
 	}
 	for _, victim := range victimSet.Victims {
@@ -181,7 +181,7 @@
 			Score:   victim.Score,
 		})
 	}
-	model.PutEviction(row)
+	model.PutVictimSet(row)
 }
 
 // teamOf returns the name of a job's team, "" if only the final state of the job is stored.
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -226,7 +226,7 @@
 	if since.Sub(c.session.startedAt) < controllerEndWindow {
 		return false // this process started too late to have seen which controllers ended
 	}
-	return slices.ContainsFunc(c.cfg.Known, func(known config.Peer) bool {
+	return slices.ContainsFunc(c.cfg.KnownPeers, func(known config.Peer) bool {
 		return known.Zone == name && c.reachability.memberSeenAt[known.MemberName].After(since) &&
 			!c.reachability.brokenConnections[known.MemberName].After(since.Add(-controllerEndWindow))
 	})
--- a/internal/controller/zones_test.go
+++ b/internal/controller/zones_test.go
@@ -28,7 +28,7 @@
 func newZonesCore(t *testing.T, machinesPerZone int) *Controller {
 	t.Helper()
 	controller := newCore(t)
-	controller.cfg.Known = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
+	controller.cfg.KnownPeers = []config.Peer{{MemberName: "n1", Zone: "b"}, {MemberName: "n2", Zone: "c"}}
 	controller.cfg.Deployment.Workers.CancelS = 40
 	revision := uint64(10)
 	for _, zone := range []string{"a", "b", "c"} {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -93,7 +93,7 @@
 }
 
 func (s *slowDeployment) Cancel(context.Context, string) (protocol.JobState, error) {
-	return protocol.JobState{}, client.ErrGaveUp
+	return protocol.JobState{}, client.ErrInconclusive
 }
 
 func (s *slowDeployment) Status(id string) (protocol.JobState, error) {
@@ -119,8 +119,8 @@
 			t.Fatal(err)
 		}
 		s := &slowDeployment{jobs: map[string]time.Time{}, regressing: plan[3].Job.ID}
-		r := (&Runner{To: s}).Run(t.Context(), plan, 5*time.Minute)
-		if r.Accepted != len(plan) || r.Done != len(plan) || r.WentBack != 1 || r.SubmissionDelays.Max > 2 || r.Accept.P50 < 19_900 || r.Accept.P50 > 20_100 || r.Late != len(plan) {
+		r := (&Runner{Deployment: s}).Run(t.Context(), plan, 5*time.Minute)
+		if r.Accepted != len(plan) || r.Done != len(plan) || r.Regressed != 1 || r.SubmissionDelays.Max > 2 || r.AcceptTimes.P50 < 19_900 || r.AcceptTimes.P50 > 20_100 || r.Late != len(plan) {
 			t.Errorf("result %+v, want all of %d jobs accepted, done and late, accepted after 20 s, and one that went back", r, len(plan))
 		}
 		var b strings.Builder
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -79,7 +79,7 @@
 // Parse decodes and validates the text of a profile, which is TOML.
 func Parse(raw []byte) (*Profile, error) {
 	profile := &Profile{}
-	if err := config.Strict(raw, profile); err != nil {
+	if err := config.DecodeStrict(raw, profile); err != nil {
 		return nil, err
 	}
 	if !(profile.DurationS > 0) || profile.DurationS > 86400 {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,7 +17,7 @@
 	"dykeledge/internal/wait"
 )
 
-// Deployment accepts jobs; *client.Users implements it. Its methods are called concurrently, and their errors wrap
+// Deployment accepts jobs; *client.Client implements it. Its methods are called concurrently, and their errors wrap
 // those of package client.
 type Deployment interface {
 	Submit(ctx context.Context, body []byte) (protocol.JobState, error)
@@ -31,16 +31,16 @@
 	Jobs             int          `json:"jobs"`
 	Accepted         int          `json:"accepted"`
 	Rejected         int          `json:"rejected"` // jobs refused as invalid (400 or 422), or whose description could not be uploaded
-	GaveUp           int          `json:"gave_up"`  // submissions without a conclusive response within a minute
+	Inconclusive     int          `json:"gave_up"`  // submissions without a conclusive response within a minute
 	Retries          int          `json:"retries"`
 	Done             int          `json:"done"`
 	Cancelled        int          `json:"cancelled"`
 	Open             int          `json:"open"` // accepted jobs without a final status at the end of the run
 	Late             int          `json:"late"` // jobs with a deadline that were done after it, or still open beyond it
 	WithDeadline     int          `json:"with_deadline"`
-	WentBack         int          `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
-	Accept           Distribution `json:"accept_ms"`           // from the first try to the acceptance
-	Complete         Distribution `json:"complete_ms"`         // from the first try until a poll showed the job as done
+	Regressed        int          `json:"went_back"`           // jobs whose status changed, or that were not found, after a final status; must be 0
+	AcceptTimes      Distribution `json:"accept_ms"`           // from the first try to the acceptance
+	CompletionTimes  Distribution `json:"complete_ms"`         // from the first try until a poll showed the job as done
 	PollTimes        Distribution `json:"poll_ms"`             // latency of status requests
 	SubmissionDelays Distribution `json:"generator_behind_ms"` // how much later than planned jobs were submitted
 }
@@ -72,8 +72,8 @@
 // Runner submits the jobs of a plan to a deployment and follows them until they are final. A Runner is good for one
 // call of Run.
 type Runner struct {
-	// To is the deployment that the jobs are submitted to.
-	To Deployment
+	// Deployment is the deployment that the jobs are submitted to.
+	Deployment Deployment
 	// Upload, if not nil, stores a job's description where workers fetch it. It is called before the job is submitted.
 	Upload func(id string, description []byte) error
 	// PollEvery is the mean time between two status requests for a job; 0 stands for five seconds.
@@ -134,11 +134,11 @@
 	<-finished
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Accept, r.result.Complete, r.result.PollTimes, r.result.SubmissionDelays = r.acceptTimes.distribution(), r.completionTimes.distribution(), r.pollTimes.distribution(), r.submissionDelays.distribution()
+	r.result.AcceptTimes, r.result.CompletionTimes, r.result.PollTimes, r.result.SubmissionDelays = r.acceptTimes.distribution(), r.completionTimes.distribution(), r.pollTimes.distribution(), r.submissionDelays.distribution()
 	return r.result
 }
 
-// Retried counts a request that is retried; it fits client.Users.Retried. It is safe for concurrent use.
+// Retried counts a request that is retried; it fits client.Client.Retried. It is safe for concurrent use.
 func (r *Runner) Retried(int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,13 +164,13 @@
 		return
 	}
 	began := time.Now()
-	state, err := r.To.Submit(ctx, body)
+	state, err := r.Deployment.Submit(ctx, body)
 	switch {
 	case errors.Is(err, client.ErrRejected):
 		r.updateResult(func(s *Result) { s.Rejected++ })
 		return
 	case err != nil:
-		r.updateResult(func(s *Result) { s.GaveUp++ })
+		r.updateResult(func(s *Result) { s.Inconclusive++ })
 		return
 	}
 	took := time.Since(began)
@@ -222,11 +222,11 @@
 		var next protocol.JobState
 		var err error
 		if !cancelled && time.Since(acceptedAt) >= arrival.CancelAfter {
-			next, err = r.To.Cancel(ctx, arrival.Job.ID)
+			next, err = r.Deployment.Cancel(ctx, arrival.Job.ID)
 			cancelled = err == nil
 		} else {
 			sent := time.Now()
-			next, err = r.To.Status(arrival.Job.ID)
+			next, err = r.Deployment.Status(arrival.Job.ID)
 			took := time.Since(sent)
 			r.updateResult(func(*Result) { r.pollTimes.add(took) })
 		}
@@ -236,8 +236,8 @@
 	}
 	took := time.Since(began)
 	if wait.For(ctx, r.PollEvery) {
-		if again, err := r.To.Status(arrival.Job.ID); err == nil && again.Status != state.Status || errors.Is(err, client.ErrNotFound) {
-			r.updateResult(func(s *Result) { s.WentBack++ })
+		if again, err := r.Deployment.Status(arrival.Job.ID); err == nil && again.Status != state.Status || errors.Is(err, client.ErrNotFound) {
+			r.updateResult(func(s *Result) { s.Regressed++ })
 		}
 	}
 	return state.Status, took
@@ -246,13 +246,13 @@
 // Print writes the result as a table. The error is the first one of the writer.
 func (r *Result) Print(w io.Writer) error {
 	table := textout.NewTable(w, tabwriter.AlignRight)
-	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.GaveUp, r.Retries)
-	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDeadline, r.WentBack)
+	table.Printf("seed %d: %d jobs, %d accepted, %d rejected, %d without a certain answer, %d repeats\n", r.Seed, r.Jobs, r.Accepted, r.Rejected, r.Inconclusive, r.Retries)
+	table.Printf("%d done, %d cancelled, %d open; %d of %d late; %d went back\n", r.Done, r.Cancelled, r.Open, r.Late, r.WithDeadline, r.Regressed)
 	table.Println("ms\tcount\tp50\tp99\tmax\t")
 	for _, x := range []struct {
 		name string
 		s    Distribution
-	}{{"accepted after", r.Accept}, {"done after", r.Complete}, {"polls answered in", r.PollTimes}, {"came later than planned by", r.SubmissionDelays}} {
+	}{{"accepted after", r.AcceptTimes}, {"done after", r.CompletionTimes}, {"polls answered in", r.PollTimes}, {"came later than planned by", r.SubmissionDelays}} {
 		table.Printf("%s\t%d\t%d\t%d\t%d\t\n", x.name, x.s.Count, x.s.P50, x.s.P99, x.s.Max)
 	}
 	return table.Flush()
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -60,13 +60,13 @@
 
 // Cluster is a running local cluster.
 type Cluster struct {
-	Simulation   *simulator.Simulation
-	Users        string              // address of the load balancer
-	Uploads      string              // address that job descriptions are uploaded to
-	Controllers  []string            // peer_listen of each controller
-	Dir          string              // directory of settings files and logs
-	Meters       []*ControllerMeters // one per controller
-	LoadBalancer simulator.Meter     // counts users' connections to the load balancer
+	Simulation    *simulator.Simulation
+	UsersAddress  string              // address of the load balancer
+	UploadAddress string              // address that job descriptions are uploaded to
+	Controllers   []string            // peer_listen of each controller
+	Dir           string              // directory of settings files and logs
+	Meters        []*ControllerMeters // one per controller
+	LoadBalancer  simulator.Meter     // counts users' connections to the load balancer
 
 	publicAddresses []string // public_addr of each controller
 	processes       []*process
@@ -160,10 +160,10 @@
 func (c *Cluster) startSimulation(ctx context.Context, options *Options) {
 	deployment := &options.Deployment
 	simulation := simulator.NewSimulation(ctx, &config.Settings{Deployment: *deployment}, options.Seed)
-	simulation.Catalog, simulation.CapacityOf, simulation.Speed, simulation.Log, simulation.Delay = options.Catalog, options.Machines, options.Speed, options.Log, options.Delay
-	simulation.LateBoots, simulation.NeverBoots = lateBootFraction, neverBootFraction
-	simulation.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
-	simulation.Store.MaxValue, simulation.Store.MaxOps = int(deployment.State.ValueKB*1024), deployment.State.TxnOps
+	simulation.Catalog, simulation.Capacity, simulation.Speed, simulation.Log, simulation.ZoneDelay = options.Catalog, options.Machines, options.Speed, options.Log, options.Delay
+	simulation.LateBootFraction, simulation.NeverBootFraction = lateBootFraction, neverBootFraction
+	simulation.Store.LimitRates(deployment.State.RPS, deployment.State.WriteRPS)
+	simulation.Store.MaxValueBytes, simulation.Store.MaxChanges = int(deployment.State.ValueKB*1024), deployment.State.TxnOps
 	simulation.LimitCloud(deployment.Cloud.RPS)
 	workerAddress := options.Addresses.Worker
 	if workerAddress == nil {
@@ -210,7 +210,7 @@
 	loadBalancer := simulator.NewLoadBalancer()
 	zones := options.Deployment.Zones
 	for i := range options.Deployment.Controllers {
-		controller := c.Simulation.Connect(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.publicAddresses[i])
+		controller := c.Simulation.ConnectRemoteController(i, fmt.Sprintf("n%d", i+1), zones[i%len(zones)], c.publicAddresses[i])
 		loadBalancer.AddController(controller, c.publicAddresses[i])
 		c.Meters = append(c.Meters, &ControllerMeters{})
 	}
@@ -229,10 +229,10 @@
 		}
 		files = append(files, file)
 	}
-	if c.Users, err = c.serve(ctx, &c.LoadBalancer, loadBalancer.Serve); err != nil {
+	if c.UsersAddress, err = c.serve(ctx, &c.LoadBalancer, loadBalancer.Serve); err != nil {
 		return nil, err
 	}
-	if c.Uploads, err = c.serve(ctx, nil, c.Simulation.ServeUploads); err != nil {
+	if c.UploadAddress, err = c.serve(ctx, nil, c.Simulation.ServeUploads); err != nil {
 		return nil, err
 	}
 	loadBalancer.Run(ctx)
@@ -258,8 +258,8 @@
 			continue
 		}
 		other := simulation.Controller(otherIndex)
-		direction := simulator.Direction{Meter: &meters.Peers, Held: func() bool {
-			return process.IsCut(simulator.NoPeers) || other.IsCut(simulator.NoPeers) || simulation.ZonesPartitioned(process.Zone, other.Zone)
+		direction := simulator.RelayOptions{Meter: &meters.Peers, Blocked: func() bool {
+			return process.IsPartitionedFrom(simulator.NoPeers) || other.IsPartitionedFrom(simulator.NoPeers) || simulation.ZonesPartitioned(process.Zone, other.Zone)
 		}}
 		if options.Delay != nil {
 			direction.Delay = func() time.Duration { return options.Delay(process.Zone, other.Zone) }
@@ -268,7 +268,7 @@
 		if err != nil {
 			return nil, err
 		}
-		settings.Known = append(settings.Known, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
+		settings.KnownPeers = append(settings.KnownPeers, config.Peer{MemberName: other.Name, Zone: other.Zone, Address: address})
 	}
 	return settings, nil
 }
@@ -323,7 +323,7 @@
 // Ready waits until isReady reports that the load balancer's address accepts requests, that is, until a controller
 // behind it is ready. It returns an error if ctx ends first.
 func (c *Cluster) Ready(ctx context.Context, isReady func(addr string) bool) error {
-	for !isReady(c.Users) {
+	for !isReady(c.UsersAddress) {
 		if !wait.For(ctx, readyPollInterval) {
 			return errors.New("no controller became ready: see the logs in " + c.Dir)
 		}
@@ -341,9 +341,9 @@
 	return out
 }
 
-// Ends returns how many times a controller process exited without a fault having killed it. It is safe for concurrent
+// UnexpectedExits returns how many times a controller process exited without a fault having killed it. It is safe for concurrent
 // use.
-func (c *Cluster) Ends() int {
+func (c *Cluster) UnexpectedExits() int {
 	n := 0
 	for _, p := range c.processes {
 		p.mu.Lock()
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -68,22 +68,22 @@
 		return func() { each(func(i int) { cluster.processes[i].resume() }) }
 	case kindPartition:
 		severed := f.severedConnections()
-		each(func(i int) { simulation.Controller(i).Cut(severed) })
-		return func() { each(func(i int) { simulation.Controller(i).Cut(0) }) }
+		each(func(i int) { simulation.Controller(i).SetPartitions(severed) })
+		return func() { each(func(i int) { simulation.Controller(i).SetPartitions(0) }) }
 	case kindStateRefusal:
-		each(func(i int) { simulation.Store.Deny(simulation.Controller(i).Name, true) })
-		return func() { each(func(i int) { simulation.Store.Deny(simulation.Controller(i).Name, false) }) }
+		each(func(i int) { simulation.Store.RefuseController(simulation.Controller(i).Name, true) })
+		return func() { each(func(i int) { simulation.Store.RefuseController(simulation.Controller(i).Name, false) }) }
 	}
 	return nil
 }
 
 // severedConnections returns the connections that a fault of kind cut severs: those that it names, or all if it names
 // none.
-func (f *Fault) severedConnections() simulator.Cuts {
+func (f *Fault) severedConnections() simulator.Partitions {
 	if len(f.Connections) == 0 {
-		return simulator.AllCut | simulator.NoPeers
+		return simulator.AllPartitions | simulator.NoPeers
 	}
-	var severed simulator.Cuts
+	var severed simulator.Partitions
 	for _, name := range f.Connections {
 		severed |= connectionsByName[name]
 	}
@@ -115,24 +115,24 @@
 		}
 	}
 	switchOnAndOff := func(change func(on bool) func(*simulator.Machine)) func() {
-		each(func(machine *simulator.Machine) { simulation.Set(machine, change(true)) })
+		each(func(machine *simulator.Machine) { simulation.UpdateMachine(machine, change(true)) })
 		return func() {
-			each(func(machine *simulator.Machine) { simulation.Set(machine, change(false)) })
+			each(func(machine *simulator.Machine) { simulation.UpdateMachine(machine, change(false)) })
 		}
 	}
 	switch f.Kind {
 	case kindSpotReclaim:
 		each(func(machine *simulator.Machine) {
-			simulation.Set(machine, simulator.PreemptionNotice(seconds(f.NoticeS)))
+			simulation.UpdateMachine(machine, simulator.PreemptionNotice(seconds(f.NoticeS)))
 		})
 	case kindMachineDies:
-		each(simulation.Die)
+		each(simulation.FailMachine)
 	case kindMachineHangs:
 		return switchOnAndOff(simulator.HangingMachine)
 	case kindMachineUnhealthy:
 		return switchOnAndOff(simulator.UnhealthyMachine)
 	case kindMachinePartition:
-		return switchOnAndOff(simulator.CutOff)
+		return switchOnAndOff(simulator.MachinePartition)
 	}
 	return nil
 }
--- a/internal/localcluster/schedule.go
+++ b/internal/localcluster/schedule.go
@@ -33,7 +33,7 @@
 
 // connectionsByName maps the names in a fault's field from to the connections of a controller that a fault can sever.
 // Direct commands to workers are not among them: a worker's port can't tell which controller a request comes from.
-var connectionsByName = map[string]simulator.Cuts{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
+var connectionsByName = map[string]simulator.Partitions{"state": simulator.NoState, "cloud": simulator.NoCloud, "users": simulator.NoUsers,
 	"reports": simulator.NoWorkers, "peers": simulator.NoPeers}
 
 // Kinds of faults.
@@ -90,7 +90,7 @@
 // time. The error for an invalid field wraps a *config.FieldError.
 func ParseSchedule(raw []byte) (*Schedule, error) {
 	schedule := &Schedule{}
-	if err := config.Strict(raw, schedule); err != nil {
+	if err := config.DecodeStrict(raw, schedule); err != nil {
 		return nil, err
 	}
 	for i := range schedule.Faults {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -2,9 +2,9 @@
 
 // Limits of the cloud's API, in machines per request.
 const (
-	MaxScaleOut = 50  // maximum number of machines to rent
-	MaxScaleIn  = 100 // maximum number of machines to return
-	MaxList     = 500 // maximum number of machines on one page of the list
+	MaxScaleOut        = 50  // maximum number of machines to rent
+	MaxScaleIn         = 100 // maximum number of machines to return
+	MaxMachinesPerPage = 500 // maximum number of machines on one page of the list
 )
 
 // Catalog is the cloud's list of machine types.
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -9,18 +9,18 @@
 var (
 	// ErrRefused means that the request was certainly not executed.
 	ErrRefused = errors.New("refused")
-	// ErrUnknown means that the request may have been executed, or may still be executed later.
-	ErrUnknown = errors.New("outcome unknown")
+	// ErrOutcomeUnknown means that the request may have been executed, or may still be executed later.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
 	// ErrNotFound means that the object that the request names does not exist (status 404).
 	ErrNotFound = errors.New("not found")
-	// ErrTooOld means that the state service no longer has the revision to watch from. The watcher must
+	// ErrRevisionTooOld means that the state service no longer has the revision to watch from. The watcher must
 	// read all keys again (status 410).
-	ErrTooOld = errors.New("revision is too old")
+	ErrRevisionTooOld = errors.New("revision is too old")
 	// ErrTooLarge means that a value or a transaction exceeds a size limit of the state service (status
 	// 400). Errors that wrap it wrap ErrRefused too.
 	ErrTooLarge = errors.New("over a limit of size")
-	// ErrNoLease means that a session lease has expired.
-	ErrNoLease = errors.New("no such hold")
+	// ErrLeaseExpired means that a session lease has expired.
+	ErrLeaseExpired = errors.New("no such hold")
 	// ErrNoCapacity means that the cloud has no machine of the requested type and zone, spot or on-demand
 	// as requested, available now.
 	ErrNoCapacity = errors.New("no capacity")
@@ -28,7 +28,7 @@
 
 // The errors for a user's request that is rejected before its fields are decoded.
 var (
-	// ErrBodyTooLarge means that the body is larger than MaxBody.
+	// ErrBodyTooLarge means that the body is larger than MaxBodyBytes.
 	ErrBodyTooLarge = errors.New("body is larger than 64 KiB")
 	// ErrNotObject means that the body is not a JSON object.
 	ErrNotObject = errors.New("body is not a JSON object")
--- a/internal/protocol/frame.go
+++ b/internal/protocol/frame.go
@@ -65,12 +65,12 @@
 	if len(d.Cancellations) > MaxCancellations {
 		return nil, fmt.Errorf("%w: %d cancellations exceed the maximum", ErrMalformedFrame, len(d.Cancellations))
 	}
-	payload = binary.BigEndian.AppendUint64(payload, uint64(d.At))
-	payload = binary.BigEndian.AppendUint64(payload, uint64(d.ProcessStart))
-	payload = binary.BigEndian.AppendUint64(payload, d.From)
+	payload = binary.BigEndian.AppendUint64(payload, uint64(d.CreatedAtMs))
+	payload = binary.BigEndian.AppendUint64(payload, uint64(d.ProcessStartMs))
+	payload = binary.BigEndian.AppendUint64(payload, d.AfterVersion)
 	payload = append(payload, byte(len(d.Cancellations)))
 	for _, cancellation := range d.Cancellations {
-		if cancellation.Job == "" || len(cancellation.Job) > MaxCancelledName {
+		if cancellation.Job == "" || len(cancellation.Job) > MaxCancelledIDBytes {
 			return nil, fmt.Errorf("%w: job ID is empty or too long (%d bytes)", ErrMalformedFrame, len(cancellation.Job))
 		}
 		payload = binary.BigEndian.AppendUint64(payload, cancellation.Version)
@@ -181,10 +181,10 @@
 
 func (r *payloadReader) cancellationDigest() CancellationDigest {
 	var digest CancellationDigest
-	digest.At = int64(r.uint64())
-	digest.ProcessStart = int64(r.uint64())
-	digest.From = r.uint64()
-	r.expect(digest.ProcessStart >= 0 && digest.ProcessStart <= digest.At)
+	digest.CreatedAtMs = int64(r.uint64())
+	digest.ProcessStartMs = int64(r.uint64())
+	digest.AfterVersion = r.uint64()
+	r.expect(digest.ProcessStartMs >= 0 && digest.ProcessStartMs <= digest.CreatedAtMs)
 	for range r.count(MaxCancellations) {
 		digest.Cancellations = append(digest.Cancellations, r.cancellation())
 	}
@@ -194,7 +194,7 @@
 func (r *payloadReader) cancellation() Cancellation {
 	var cancellation Cancellation
 	cancellation.Version = r.uint64()
-	cancellation.Job = r.text(MaxCancelledName)
+	cancellation.Job = r.text(MaxCancelledIDBytes)
 	return cancellation
 }
 
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -7,8 +7,8 @@
 
 // Limits of requests from users.
 const (
-	// MaxBody is the maximum size of a request's body, in bytes.
-	MaxBody = 64 << 10
+	// MaxBodyBytes is the maximum size of a request's body, in bytes.
+	MaxBodyBytes = 64 << 10
 	// MaxTasks is the maximum number of tasks of a job.
 	MaxTasks = 100_000
 )
@@ -36,9 +36,9 @@
 	Production
 )
 
-// Top reports whether this is a top priority. Top-priority jobs may preempt tasks of all other
+// IsTop reports whether this is a top priority. Top-priority jobs may preempt tasks of all other
 // priorities.
-func (p Priority) Top() bool { return p >= High }
+func (p Priority) IsTop() bool { return p >= High }
 
 // String returns the priority's name in the JSON.
 func (p Priority) String() string {
@@ -142,9 +142,9 @@
 // TaskName returns a task's name in messages: job-000412/3.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// SplitTask splits a task's name into the job ID and the task's number. It accepts only names that
+// ParseTaskName splits a task's name into the job ID and the task's number. It accepts only names that
 // TaskName returns for a valid job ID.
-func SplitTask(name string) (job string, task int, ok bool) {
+func ParseTaskName(name string) (job string, task int, ok bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 {
 		return "", 0, false
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -1,12 +1,12 @@
 package protocol
 
 // Limits of the messages between controllers. A digest of MaxCancellations jobs with IDs of
-// MaxCancelledName bytes fits into a frame.
+// MaxCancelledIDBytes bytes fits into a frame.
 const (
-	MaxCancellations   = 64 // entries in a CancellationDigest
-	MaxCancelledName   = 48 // bytes of a job ID in a CancellationDigest
-	maxMemberNameBytes = 128
-	maxShardDemands    = 64 // entries in a ShardDemands message
+	MaxCancellations    = 64 // entries in a CancellationDigest
+	MaxCancelledIDBytes = 48 // bytes of a job ID in a CancellationDigest
+	maxMemberNameBytes  = 128
+	maxShardDemands     = 64 // entries in a ShardDemands message
 )
 
 // The kinds of messages between controllers.
@@ -14,13 +14,13 @@
 	KindHello              byte = 1
 	KindPeerHeartbeat      byte = 2
 	KindShardDemands       byte = 3
-	KindCancellationDigest byte = 4 // sent only to controllers with frame level FramesCancellationDigest or above
+	KindCancellationDigest byte = 4 // sent only to controllers with frame level FrameLevelCancellationDigest or above
 )
 
-// FramesCancellationDigest is the lowest frame level at which a controller can read cancellation digests.
+// FrameLevelCancellationDigest is the lowest frame level at which a controller can read cancellation digests.
 // The level of each controller is in its member record, so that it is sent only kinds that it can read:
 // it closes the connection on an unknown kind.
-const FramesCancellationDigest = 1
+const FrameLevelCancellationDigest = 1
 
 // PeerMessage is any message between controllers.
 type PeerMessage interface {
@@ -55,13 +55,13 @@
 }
 
 // CancellationDigest lists all cancellations that the sender had confirmed to users when it created the
-// digest, except those whose records have versions up to From. Times are those of the sender's clock, in
+// digest, except those whose records have versions up to AfterVersion. Times are those of the sender's clock, in
 // milliseconds since 1970 (Unix time).
 type CancellationDigest struct {
-	At            int64          // when the digest was created
-	ProcessStart  int64          // when the sender's process started
-	From          uint64         // revision of the state service
-	Cancellations []Cancellation // ordered by the versions of their records, lowest first
+	CreatedAtMs    int64          // when the digest was created
+	ProcessStartMs int64          // when the sender's process started
+	AfterVersion   uint64         // revision of the state service
+	Cancellations  []Cancellation // ordered by the versions of their records, lowest first
 }
 
 // Cancellation is a job with a final record that marks it as cancelled.
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -53,7 +53,7 @@
 		{"array", "[1]", "not a JSON object"},
 		{"truncated object", "{", "not valid JSON"},
 		{"value that is not valid in JSON", `{"cpus":NaN}`, "not valid JSON"},
-		{"body too large", "{" + strings.Repeat(" ", MaxBody) + "}", "64 KiB"},
+		{"body too large", "{" + strings.Repeat(" ", MaxBodyBytes) + "}", "64 KiB"},
 	} {
 		t.Run(test.name, func(t *testing.T) { checkSubmission(t, []byte(test.body), test.want) })
 	}
@@ -176,7 +176,7 @@
 	var all []byte
 	messages := []PeerMessage{Hello{"n-1", 77}, PeerHeartbeat{true, 1 << 40, 5, 12500},
 		ShardDemands{[]ShardDemand{{2, true, 40.5}, {0, false, 1}}}, ShardDemands{},
-		CancellationDigest{At: 1 << 41, ProcessStart: 5, From: 7, Cancellations: []Cancellation{{8, "job-000001"}}}, CancellationDigest{}}
+		CancellationDigest{CreatedAtMs: 1 << 41, ProcessStartMs: 5, AfterVersion: 7, Cancellations: []Cancellation{{8, "job-000001"}}}, CancellationDigest{}}
 	for _, message := range messages {
 		var err error
 		if all, err = AppendFrame(all, message); err != nil {
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -115,7 +115,7 @@
 
 // splitObject splits a JSON object into its fields, which are not decoded.
 func splitObject(body []byte) (map[string]json.RawMessage, error) {
-	if len(body) > MaxBody {
+	if len(body) > MaxBodyBytes {
 		return nil, ErrBodyTooLarge
 	}
 	if !looksLikeObject(body) {
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -124,7 +124,7 @@
 
 // problem describes the first invalid field of a task in a heartbeat; "" means that all are valid.
 func (t *TaskStatus) problem() string {
-	if _, _, ok := SplitTask(t.Task); !ok {
+	if _, _, ok := ParseTaskName(t.Task); !ok {
 		return fmt.Sprintf("%.60q is no task", t.Task)
 	}
 	switch t.State {
--- a/internal/report/data.go
+++ b/internal/report/data.go
@@ -231,11 +231,11 @@
 		}
 		t.Done++
 		if job.StartedMs > 0 {
-			wait := float64(max(0, job.StartedMs-job.From)) / 1000
+			wait := float64(max(0, job.StartedMs-job.ReadyMs)) / 1000
 			waits.add(wait)
 			t.waitSeconds = append(t.waitSeconds, wait)
 		}
-		if job.Due == 0 {
+		if job.DeadlineMs == 0 {
 			continue
 		}
 		t.WithDue++
@@ -243,9 +243,9 @@
 		if lateS > 0 {
 			t.Late++
 			lates.add(lateS)
-			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.End), roundHundredths(lateS)})
+			t.Latest = append(t.Latest, LateJob{job.ID, job.Class, time.UnixMilli(job.EndedMs), roundHundredths(lateS)})
 		}
-		t.lateness = append(t.lateness, [2]float64{float64(job.End) / 1000, lateS})
+		t.lateness = append(t.lateness, [2]float64{float64(job.EndedMs) / 1000, lateS})
 	}
 	t.Waits, t.LateBy = waits.distribution(), lates.distribution()
 	slices.SortStableFunc(t.Latest, func(a, b LateJob) int { return cmp.Compare(b.LateS, a.LateS) })
@@ -254,7 +254,7 @@
 
 // addVictimSets adds the number of the team's tasks that were victims, and the number of victims that made
 // room for the team's jobs.
-func (t *TeamReport) addVictimSets(victimSets []view.Eviction) {
+func (t *TeamReport) addVictimSets(victimSets []view.VictimSet) {
 	for _, victimSet := range victimSets {
 		for _, victim := range victimSet.Victims {
 			if victim.Team == t.Name {
@@ -264,7 +264,7 @@
 		if victimSet.Team == t.Name {
 			t.EvictedFor += len(victimSet.Victims)
 		}
-		t.evictedSoFar = append(t.evictedSoFar, [3]float64{float64(victimSet.At) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
+		t.evictedSoFar = append(t.evictedSoFar, [3]float64{float64(victimSet.ChosenAtMs) / 1000, float64(t.Evicted), float64(t.EvictedFor)})
 	}
 }
 
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -23,9 +23,9 @@
 
 // Line is one line of a history. Exactly one of its fields is set.
 type Line struct {
-	Sample    *Sample        `json:"sample,omitempty"`
-	Job       *FinalJob      `json:"job,omitempty"`
-	VictimSet *view.Eviction `json:"evict,omitempty"`
+	Sample    *Sample         `json:"sample,omitempty"`
+	Job       *FinalJob       `json:"job,omitempty"`
+	VictimSet *view.VictimSet `json:"evict,omitempty"`
 }
 
 // Sample holds the totals at one time.
@@ -55,7 +55,7 @@
 	recordedVictimSets map[string]int   // by key: number of victims
 	sampledAt          time.Time        // when the latest sample was written
 	firstState         bool             // no state was recorded yet
-	Recorded           int              // lines written
+	LinesWritten       int              // lines written
 }
 
 // NewRecorder returns a recorder that writes at most one sample per sampleInterval, and final jobs and victim
@@ -94,14 +94,14 @@
 	state.Jobs("", func(job *view.Job) bool {
 		listed[job.ID] = true
 		if (job.Placed > 0 || job.Done > 0) && r.startedMs[job.ID] == 0 {
-			r.startedMs[job.ID] = state.Now
+			r.startedMs[job.ID] = state.NowMs
 		}
 		if job.Status.Final() && !r.recordedJobs[job.ID] {
 			r.recordedJobs[job.ID] = true
 			// The start of a job that was final before the recorder started is not known, and the job may be
 			// recorded already.
 			if !r.firstState {
-				write(Line{Job: &FinalJob{*job, r.startedMs[job.ID], state.Now}})
+				write(Line{Job: &FinalJob{*job, r.startedMs[job.ID], state.NowMs}})
 			}
 		}
 		return true
@@ -117,7 +117,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	state.Evictions(func(e *view.Eviction) bool {
+	state.VictimSets(func(e *view.VictimSet) bool {
 		seen[e.Key] = true
 		if _, known := r.recordedVictimSets[e.Key]; !known {
 			r.recordedVictimSets[e.Key] = len(e.Victims)
@@ -134,7 +134,7 @@
 	}
 	if now.Sub(r.sampledAt) >= r.sampleInterval {
 		r.sampledAt = now
-		write(Line{Sample: &Sample{At: state.Now, Revision: state.Revision, Teams: state.Teams, Fleet: state.Fleet}})
+		write(Line{Sample: &Sample{At: state.NowMs, Revision: state.Revision, Teams: state.Teams, Fleet: state.Fleet}})
 	}
 	r.firstState = false
 	return err
@@ -149,7 +149,7 @@
 	if _, err := r.w.Write(append(raw, '\n')); err != nil {
 		return fmt.Errorf("write history: %w", err)
 	}
-	r.Recorded++
+	r.LinesWritten++
 	return nil
 }
 
@@ -179,7 +179,7 @@
 	FirstSampleMs   int64 // time of the first sample in the files, also outside of the period; 0 if there is none
 	Samples         []Sample
 	Jobs            []FinalJob
-	VictimSets      []view.Eviction
+	VictimSets      []view.VictimSet
 	UnreadableLines int // lines that are not valid JSON
 }
 
@@ -217,10 +217,10 @@
 			case line.Job != nil && inRange(line.Job.SeenFinalMs) && !seenJobs[line.Job.ID]:
 				seenJobs[line.Job.ID] = true
 				history.Jobs = append(history.Jobs, *line.Job)
-			case line.VictimSet != nil && inRange(line.VictimSet.At):
+			case line.VictimSet != nil && inRange(line.VictimSet.ChosenAtMs):
 				// Two recorders, or one recorder that switched to a controller with other keys, may record
 				// the same victim set twice.
-				key := fmt.Sprint(line.VictimSet.At, line.VictimSet.Job, len(line.VictimSet.Victims))
+				key := fmt.Sprint(line.VictimSet.ChosenAtMs, line.VictimSet.Job, len(line.VictimSet.Victims))
 				if !victimSets[key] {
 					victimSets[key] = true
 					history.VictimSets = append(history.VictimSets, *line.VictimSet)
@@ -233,7 +233,7 @@
 		}
 	}
 	slices.SortFunc(history.Samples, func(a, b Sample) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(history.VictimSets, func(a, b view.Eviction) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(history.VictimSets, func(a, b view.VictimSet) int { return cmp.Compare(a.ChosenAtMs, b.ChosenAtMs) })
 	slices.SortFunc(history.Jobs, func(a, b FinalJob) int { return cmp.Compare(a.SeenFinalMs, b.SeenFinalMs) })
 	return history, nil
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -254,8 +254,8 @@
 	return renderSVG(chart)
 }
 
-// Beside returns the name of the JSON file with the figures of a page.
-func Beside(page string) string { return strings.TrimSuffix(page, ".html") + ".json" }
+// FiguresPath returns the name of the JSON file with the figures of a page.
+func FiguresPath(page string) string { return strings.TrimSuffix(page, ".html") + ".json" }
 
 // Write writes the page and the JSON file with its figures. Each file is written completely or not at all.
 func (r *Report) Write(page string) error {
@@ -270,7 +270,7 @@
 	for _, f := range []struct {
 		name string
 		body []byte
-	}{{Beside(page), append(raw, '\n')}, {page, buffer.Bytes()}} {
+	}{{FiguresPath(page), append(raw, '\n')}, {page, buffer.Bytes()}} {
 		tmp := f.name + ".part"
 		if err := os.WriteFile(tmp, f.body, 0o600); err != nil {
 			return fmt.Errorf("write report: %w", err)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -27,13 +27,13 @@
 	defer func() { _ = file.Close() }() // the file is only read after this
 	model := view.NewModel([]view.Team{{Name: "team-red-x", Cpus: 8000, CpusMax: 20000}, {Name: "team-blue-x", Cpus: 4000}, {Name: "team-green-x"}})
 	model.PutMachine(view.Machine{Name: "host-1", Cpus: 16000, Price: 2_000_000, State: view.Busy,
-		Uses: []view.Use{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
+		Uses: []view.MachineUse{{Team: "team-blue-x", Tasks: 1, Cpus: 4000}, {Team: "team-red-x", Tasks: 1, Cpus: 8000}}})
 	recorder := NewRecorder(file, 10*time.Second)
 	putJob := func(team string, i int, s view.Status, placed uint32, at time.Time) {
 		j := view.Job{ID: fmt.Sprintf("job-of-%s-%d", team, i), Team: team, Class: "class-<script>-of-" + team, Tasks: 2, Placed: placed, Cpus: 1000, Status: s,
-			Submit: began.UnixMilli(), From: began.UnixMilli(), Due: began.Add(time.Minute).UnixMilli()}
+			SubmittedMs: began.UnixMilli(), ReadyMs: began.UnixMilli(), DeadlineMs: began.Add(time.Minute).UnixMilli()}
 		if s.Final() {
-			j.Done, j.End = 2, at.UnixMilli()
+			j.Done, j.EndedMs = 2, at.UnixMilli()
 		}
 		model.PutJob(j)
 	}
@@ -47,7 +47,7 @@
 				putJob(team, 1, view.Running, 2, now)
 			case 40:
 				putJob(team, 2, view.Running, 1, now)
-				model.PutEviction(view.Eviction{Job: "job-of-team-red-x-2", Team: "team-red-x", At: now.UnixMilli(),
+				model.PutVictimSet(view.VictimSet{Job: "job-of-team-red-x-2", Team: "team-red-x", ChosenAtMs: now.UnixMilli(),
 					Victims: []view.Victim{{Job: "job-of-team-blue-x-2", Team: "team-blue-x"}, {Job: "job-of-team-green-x-1", Team: "team-green-x"}}})
 			case 90 + i:
 				putJob(team, 1, view.Done, 0, now)
@@ -58,8 +58,8 @@
 		if sec >= 120 && sec < 200 {
 			continue // no recorder is running
 		}
-		s := model.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), Now: now.UnixMilli(), AsOf: now.UnixMilli()})
-		if err := recorder.Record(&viewclient.State{Snapshot: s, Sent: now}, now); err != nil {
+		s := model.Snapshot(view.Head{Epoch: 1, Revision: uint64(sec), NowMs: now.UnixMilli(), AsOfMs: now.UnixMilli()})
+		if err := recorder.Record(&viewclient.State{Snapshot: s, RequestedAt: now}, now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -109,7 +109,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			raw, err := os.ReadFile(Beside(out))
+			raw, err := os.ReadFile(FiguresPath(out))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -150,8 +150,8 @@
 func TestRecorderSkipsStaleState(t *testing.T) {
 	var b bytes.Buffer
 	r := NewRecorder(&b, time.Second)
-	s := view.NewModel(nil).Snapshot(view.Head{Now: 10_000, AsOf: 1_000})
-	if err := r.Record(&viewclient.State{Snapshot: s, Sent: time.Now()}, time.Now()); err != nil || b.Len() > 0 {
+	s := view.NewModel(nil).Snapshot(view.Head{NowMs: 10_000, AsOfMs: 1_000})
+	if err := r.Record(&viewclient.State{Snapshot: s, RequestedAt: time.Now()}, time.Now()); err != nil || b.Len() > 0 {
 		t.Error(b.String(), err)
 	}
 }
--- a/internal/scaletest/cell.go
+++ b/internal/scaletest/cell.go
@@ -11,7 +11,7 @@
 // Cell describes what one region plays in one run. It is the input of the cell's process.
 type Cell struct {
 	Run        string   `json:"run"`
-	Cut        Cut      `json:"cut"`
+	Scenario   Scenario `json:"cut"`
 	Commit     string   `json:"commit"`
 	Fraction   float64  `json:"fraction"`
 	Region     string   `json:"region"`
@@ -34,7 +34,7 @@
 type Request struct {
 	Run      string // name of the run, stored in the points
 	Commit   string // commit of the measured sources, stored in the points
-	Cut      Cut
+	Scenario Scenario
 	Regions  Regions
 	Fraction float64 // size of the run as a fraction of the profile
 	Seed     uint64
@@ -58,12 +58,12 @@
 			continue
 		}
 		part := region.Part * request.Fraction
-		c := Cell{Run: request.Run, Cut: request.Cut, Commit: request.Commit, Fraction: request.Fraction, Region: region.Name, Index: i, Zones: zones,
+		c := Cell{Run: request.Run, Scenario: request.Scenario, Commit: request.Commit, Fraction: request.Fraction, Region: region.Name, Index: i, Zones: zones,
 			Workers: scaleCount(float64(p.Workers), part), Running: scaleCount(float64(p.RunningTasks), part),
 			StartsPerS: p.StartsPerS * part, JobsPerS: p.JobsPerDay / secondsPerDay * p.PeakOfJobs * part,
 			LargestJob: scaleCount(float64(p.LargestJob), part), Seed: request.Seed + uint64(i), WarmUpS: request.WarmUpS, MeasureS: request.MeasureS,
 			Profile: *p, Program: request.Program, Dir: request.Dir}
-		if request.Cut == Population {
+		if request.Scenario == Population {
 			c.StartsPerS = float64(c.Running) / populationTaskS
 			c.JobsPerS /= p.PeakOfJobs
 		}
--- a/internal/scaletest/launch.go
+++ b/internal/scaletest/launch.go
@@ -23,14 +23,14 @@
 // descriptors and too much garbage to collect.
 type Launcher struct {
 	Command func(ctx context.Context) *exec.Cmd // returns the command that reads a cell and writes its point, see ServeCell
-	Errs    io.Writer                           // receives the standard error of the processes
+	Stderr  io.Writer                           // receives the standard error of the processes
 }
 
 // Run plays cells concurrently and returns their points in the order of the cells, nil for a cell that failed. When ctx
 // ends, all started processes are terminated.
 func (l *Launcher) Run(ctx context.Context, cells []Cell) ([]*Point, error) {
 	points, failures := make([]*Point, len(cells)), make([]error, len(cells))
-	errs := &synchronizedWriter{writer: l.Errs}
+	errs := &synchronizedWriter{writer: l.Stderr}
 	var processes sync.WaitGroup
 	for i := range cells {
 		processes.Go(func() {
--- a/internal/scaletest/play.go
+++ b/internal/scaletest/play.go
@@ -109,12 +109,12 @@
 	defer background.Wait()
 	defer cancel()
 	done := make(chan loadgen.Result, 1)
-	users := client.New(cluster.Users)
-	runner := &loadgen.Runner{To: users, Upload: runMonitor.upload}
+	users := client.New(cluster.UsersAddress)
+	runner := &loadgen.Runner{Deployment: users, Upload: runMonitor.upload}
 	users.Retried = runner.Retried
 	background.Go(func() { done <- runner.Run(ctx, c.Arrivals(), 0) })
 	background.Go(func() { runMonitor.measureLateness(ctx) })
-	if (c.Cut == Changes || c.Cut == Faults) && c.Profile.ChangesADay > 0 {
+	if (c.Scenario == Changes || c.Scenario == Faults) && c.Profile.ChangesADay > 0 {
 		runMonitor.operators = newOperators(c, cluster.Controllers)
 		background.Go(func() { runMonitor.operators.run(ctx, c.Profile.ChangesADay/secondsPerDay) })
 	}
@@ -127,7 +127,7 @@
 	}
 	cancel()
 	result := <-done
-	point.AcceptMs = Distribution{result.Accept.Count, float64(result.Accept.P50), float64(result.Accept.P99), float64(result.Accept.Max)}
+	point.AcceptMs = Distribution{result.AcceptTimes.Count, float64(result.AcceptTimes.P50), float64(result.AcceptTimes.P99), float64(result.AcceptTimes.Max)}
 	point.Retries = result.Retries
 	point.BrokenRules = append(point.BrokenRules, brokenUserRules(&result)...)
 	return point, nil
@@ -135,8 +135,8 @@
 
 // brokenUserRules returns the rules that were broken in the responses to users.
 func brokenUserRules(r *loadgen.Result) (broken []string) {
-	if r.WentBack > 0 {
-		broken = append(broken, fmt.Sprintf("went_back: %d jobs", r.WentBack))
+	if r.Regressed > 0 {
+		broken = append(broken, fmt.Sprintf("went_back: %d jobs", r.Regressed))
 	}
 	if r.Rejected > 0 {
 		broken = append(broken, fmt.Sprintf("%d jobs were rejected", r.Rejected))
@@ -156,7 +156,7 @@
 				host := fmt.Sprintf("127.%d.%d.%d", network, controllerSubnet, i+1)
 				return fmt.Sprintf("%s:%d", host, publicPort), fmt.Sprintf("%s:%d", host, peerPort)
 			}}}
-	if c.Cut == Faults {
+	if c.Scenario == Faults {
 		o.Faults = c.faultSchedule()
 	}
 	return o
@@ -176,7 +176,7 @@
 func newMonitor(c *Cell, cluster *localcluster.Cluster, log *slog.Logger) *monitor {
 	m := &monitor{cell: c, cluster: cluster, log: log, urgent: newHistogram(), lateness: newHistogram(), launched: map[string]bool{},
 		peaks: make([]peaks, len(cluster.Controllers))}
-	cluster.Simulation.Launched = m.onLaunch
+	cluster.Simulation.OnLaunch = m.onLaunch
 	return m
 }
 
@@ -203,8 +203,8 @@
 		return
 	}
 	m.launched[task] = true
-	if !m.measureStart.IsZero() && job.At.After(m.measureStart) {
-		record(m.urgent, time.Since(job.At))
+	if !m.measureStart.IsZero() && job.SubmittedAt.After(m.measureStart) {
+		record(m.urgent, time.Since(job.SubmittedAt))
 	}
 }
 
@@ -257,7 +257,7 @@
 	}
 	m.longestGap = max(m.longestGap, now.Sub(m.lastStart))
 	if n%checksPerProgressLog == 0 {
-		m.log.Info("measuring", "region", m.cell.Region, "started", stats.Started, "running", m.cluster.Simulation.Running(), "broken_rules", len(m.cluster.Simulation.BrokenRules()))
+		m.log.Info("measuring", "region", m.cell.Region, "started", stats.Started, "running", m.cluster.Simulation.RunningTasks(), "broken_rules", len(m.cluster.Simulation.BrokenRules()))
 	}
 }
 
@@ -274,15 +274,15 @@
 func (m *monitor) point(first, last sample) *Point {
 	cell, simulation, took := m.cell, m.cluster.Simulation, last.at.Sub(first.at)
 	perSecond := func(n float64) float64 { return n / took.Seconds() }
-	point := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Cut: cell.Cut, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
-		Workers: cell.Workers, Up: len(simulation.Machines()), OfferedS: cell.StartsPerS, MeasureS: took.Seconds(),
+	point := &Point{Run: cell.Run, Commit: cell.Commit, At: time.Now().UTC().Truncate(time.Second), Scenario: cell.Scenario, Fraction: cell.Fraction, Region: cell.Region, Seed: cell.Seed,
+		Workers: cell.Workers, WorkersUp: len(simulation.Machines()), OfferedStartsPerS: cell.StartsPerS, MeasureS: took.Seconds(),
 		StartsPerS: perSecond(float64(last.stats.Started - first.stats.Started)),
-		Running:    simulation.Running(), LongestGapS: m.longestGap.Seconds(), LeaseKills: last.stats.LeaseKills, UnexpectedExits: m.cluster.Ends(), BrokenRules: simulation.BrokenRules(),
+		Running:    simulation.RunningTasks(), LongestGapS: m.longestGap.Seconds(), LeaseKills: last.stats.LeaseKills, UnexpectedExits: m.cluster.UnexpectedExits(), BrokenRules: simulation.BrokenRules(),
 		HollowCores: perSecond((last.hollow.cpu - first.hollow.cpu).Seconds()), HollowMB: last.hollow.memMB, HostLoad: hostLoad(),
-		WritesPerS: perSecond(float64(last.stats.Writes - first.stats.Writes)), ThrottledPerS: perSecond(float64(last.stats.Over - first.stats.Over)),
+		WritesPerS: perSecond(float64(last.stats.Writes - first.stats.Writes)), ThrottledPerS: perSecond(float64(last.stats.OverRate - first.stats.OverRate)),
 		UserConns: m.cluster.LoadBalancer.Opened.Load()}
 	point.StateKeys, point.StateBytes = simulation.Store.Size()
-	perWorker := func(n int64) float64 { return perSecond(float64(n)) / float64(max(1, point.Up)) }
+	perWorker := func(n int64) float64 { return perSecond(float64(n)) / float64(max(1, point.WorkersUp)) }
 	// A worker sends heartbeats, also as responses to direct commands; it receives responses to heartbeats, and direct
 	// commands.
 	point.WorkerOutBps = perWorker(last.heartbeats.out - first.heartbeats.out + last.commands.out - first.commands.out)
@@ -290,7 +290,7 @@
 	point.HeartbeatsPerS = perWorker(last.heartbeats.messages - first.heartbeats.messages)
 	point.CommandsPerS = perWorker(last.commands.messages - first.commands.messages)
 	m.mu.Lock()
-	point.UrgentMs, point.LatenessMs = distributionOf(m.urgent), distributionOf(m.lateness)
+	point.UrgentWaitMs, point.LatenessMs = distributionOf(m.urgent), distributionOf(m.lateness)
 	m.mu.Unlock()
 	if operators := m.operators; operators != nil {
 		operators.mu.Lock()
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -17,17 +17,17 @@
 // Point holds the measurements of one cell in one run. Rates are means over the measured time. Points are stored as lines
 // of the files in docs/scale, from which the tables of docs/CAPACITY.md are printed.
 type Point struct {
-	Run      string    `json:"run"`
-	Commit   string    `json:"commit"`
-	At       time.Time `json:"at"`
-	Cut      Cut       `json:"cut"`
-	Fraction float64   `json:"fraction"`
-	Region   string    `json:"region"`
-	Seed     uint64    `json:"seed"`
-	Workers  int       `json:"workers"`   // number of workers requested
-	Up       int       `json:"up"`        // number of workers running at the end
-	OfferedS float64   `json:"offered_s"` // task starts per second that the load offers
-	MeasureS float64   `json:"measure_s"`
+	Run               string    `json:"run"`
+	Commit            string    `json:"commit"`
+	At                time.Time `json:"at"`
+	Scenario          Scenario  `json:"cut"`
+	Fraction          float64   `json:"fraction"`
+	Region            string    `json:"region"`
+	Seed              uint64    `json:"seed"`
+	Workers           int       `json:"workers"`   // number of workers requested
+	WorkersUp         int       `json:"up"`        // number of workers running at the end
+	OfferedStartsPerS float64   `json:"offered_s"` // task starts per second that the load offers
+	MeasureS          float64   `json:"measure_s"`
 
 	StartsPerS      float64      `json:"starts_per_s"`
 	Running         int          `json:"running"`       // tasks running at the end
@@ -35,7 +35,7 @@
 	LeaseKills      int          `json:"lease_kills"`   // tasks that workers killed when their lease expired
 	UnexpectedExits int          `json:"ends"`          // unexpected exits of controllers
 	BrokenRules     []string     `json:"broken_rules"`
-	UrgentMs        Distribution `json:"urgent_ms"`    // from the submission of an urgent task to its launch on a worker
+	UrgentWaitMs    Distribution `json:"urgent_ms"`    // from the submission of an urgent task to its launch on a worker
 	AcceptMs        Distribution `json:"accept_ms"`    // from the first try of a submission to its acceptance
 	Retries         int          `json:"retries"`      // retried requests of users
 	LatenessMs      Distribution `json:"lateness_ms"`  // lateness of the hollow side's timers
--- a/internal/scaletest/profile.go
+++ b/internal/scaletest/profile.go
@@ -105,7 +105,7 @@
 	p := DefaultProfile()
 	regions := p.Regions
 	p.Regions = nil
-	if err := config.Strict(raw, &p); err != nil {
+	if err := config.DecodeStrict(raw, &p); err != nil {
 		return Profile{}, err
 	}
 	if len(p.Regions) == 0 {
@@ -182,26 +182,26 @@
 	return nil
 }
 
-// Cut selects the aspect of the full load that a run plays, since one machine can't play all aspects at once.
-type Cut string
+// Scenario selects the aspect of the full load that a run plays, since one machine can't play all aspects at once.
+type Scenario string
 
 const (
 	// Peak plays task starts at the rate of the peak.
-	Peak Cut = "peak"
+	Peak Scenario = "peak"
 	// Population plays all workers and running tasks, at a lower start rate, since its tasks run longer.
-	Population Cut = "population"
+	Population Scenario = "population"
 	// Changes is Peak with configuration changes.
-	Changes Cut = "changes"
+	Changes Scenario = "changes"
 	// Faults is Changes with faults: machine failures, the loss of a rack, a failed switch, a partitioned zone, and crashes
 	// of controllers.
-	Faults Cut = "troubles"
+	Faults Scenario = "troubles"
 )
 
 // populationTaskS is the mean run time of a task in a Population run, in seconds.
 const populationTaskS = 300
 
-// Cuts returns all cuts.
-func Cuts() []Cut { return []Cut{Peak, Population, Changes, Faults} }
+// Scenarios returns all cuts.
+func Scenarios() []Scenario { return []Scenario{Peak, Population, Changes, Faults} }
 
 // Regions selects the regions that a run plays.
 type Regions string
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -21,9 +21,9 @@
 func Report(writer io.Writer, points []Point) error {
 	buffer := bufio.NewWriter(writer)
 	out := textout.New(buffer)
-	byCut := map[Cut][]Point{}
+	byCut := map[Scenario][]Point{}
 	for _, p := range points {
-		byCut[p.Cut] = append(byCut[p.Cut], p)
+		byCut[p.Scenario] = append(byCut[p.Scenario], p)
 	}
 	for _, list := range byCut {
 		slices.SortStableFunc(list, func(a, b Point) int {
@@ -31,7 +31,7 @@
 		})
 	}
 	for _, cut := range []struct {
-		cut   Cut
+		cut   Scenario
 		title string
 	}{
 		{Peak, "The peak: the largest region at its part of the task starts"},
@@ -66,7 +66,7 @@
 			mark = " **overloaded: says nothing of controllers**"
 		}
 		out.Printf("| %s | %s | %s | %s | %d | %.0f | %.0f | %d | %.0f / %.0f / %.0f | %.1f | %d | %d | %d | %.2f, %.1f%s | %.1f |\n", p.Run, fractionText(p.Fraction), p.Region,
-			p.Commit, p.Up, p.OfferedS, p.StartsPerS, p.Running, p.UrgentMs.P50, p.UrgentMs.P99, p.UrgentMs.Max, p.LongestGapS, p.LeaseKills,
+			p.Commit, p.WorkersUp, p.OfferedStartsPerS, p.StartsPerS, p.Running, p.UrgentWaitMs.P50, p.UrgentWaitMs.P99, p.UrgentWaitMs.Max, p.LongestGapS, p.LeaseKills,
 			len(p.BrokenRules), p.UnexpectedExits, p.HollowCores, p.LatenessMs.P99, mark, p.HostLoad)
 	}
 	out.Println()
@@ -152,7 +152,7 @@
 			for i := range points {
 				for k := range points[i].Controllers {
 					if c := &points[i].Controllers[k]; c.Uninterrupted && c.Role == role && !points[i].Overloaded {
-						x, y = append(x, float64(points[i].Up)), append(y, f.of(c))
+						x, y = append(x, float64(points[i].WorkersUp)), append(y, f.of(c))
 					}
 				}
 			}
@@ -175,13 +175,13 @@
 	{"worker: both", "%.0f", func(p *Point) float64 { return p.WorkerOutBps + p.WorkerInBps }},
 	{"worker: reports a second", "%.2f", func(p *Point) float64 { return p.HeartbeatsPerS }},
 	{"worker: direct commands a second", "%.2f", func(p *Point) float64 { return p.CommandsPerS }},
-	{"worker: part of a core, % (at most: the whole hollow side by its workers)", "%.3f", func(p *Point) float64 { return 100 * p.HollowCores / float64(max(1, p.Up)) }},
+	{"worker: part of a core, % (at most: the whole hollow side by its workers)", "%.3f", func(p *Point) float64 { return 100 * p.HollowCores / float64(max(1, p.WorkersUp)) }},
 	{"state service: changes a second", "%.0f", func(p *Point) float64 { return p.WritesPerS }},
 	{"state service: starts a change", "%.2f", func(p *Point) float64 { return p.StartsPerS / max(1, p.WritesPerS) }},
 	{"state service: refused for its rate, 1/s", "%.2f", func(p *Point) float64 { return p.ThrottledPerS }},
 	{"state service: keys", "%.0f", func(p *Point) float64 { return float64(p.StateKeys) }},
 	{"state service: KB", "%.0f", func(p *Point) float64 { return float64(p.StateBytes) / 1000 }},
-	{"urgent: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.UrgentMs.P99 }},
+	{"urgent: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.UrgentWaitMs.P99 }},
 	{"submissions: ms at the 99th percentile", "%.0f", func(p *Point) float64 { return p.AcceptMs.P99 }},
 }
 
@@ -192,7 +192,7 @@
 		var x, y []float64
 		for i := range points {
 			if !points[i].Overloaded {
-				x, y = append(x, float64(points[i].Up)), append(y, f.of(&points[i]))
+				x, y = append(x, float64(points[i].WorkersUp)), append(y, f.of(&points[i]))
 			}
 		}
 		fitRow(out, f.name, f.format, x, y)
--- a/internal/scaletest/scaletest_test.go
+++ b/internal/scaletest/scaletest_test.go
@@ -39,7 +39,7 @@
 func TestCells(t *testing.T) {
 	profile := DefaultProfile()
 	workers, running, zones, starts := 0, 0, map[string]bool{}, 0.0
-	for _, cell := range profile.Cells(Request{Cut: Peak, Regions: AllRegions, Fraction: 1}) {
+	for _, cell := range profile.Cells(Request{Scenario: Peak, Regions: AllRegions, Fraction: 1}) {
 		workers, running, starts = workers+cell.Workers, running+cell.Running, starts+cell.StartsPerS
 		for _, z := range cell.Zones {
 			zones[z] = true
@@ -57,7 +57,7 @@
 	if workers != profile.Workers || running != profile.RunningTasks || len(zones) != 22 || math.Abs(starts-profile.StartsPerS) > 1 {
 		t.Errorf("all cells have %d workers, %d tasks, %d zones and %.0f starts per second, want those of the profile", workers, running, len(zones), starts)
 	}
-	if cells := profile.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 0.25}); len(cells) != 1 || cells[0].Workers != 1190 {
+	if cells := profile.Cells(Request{Scenario: Peak, Regions: LargestRegion, Fraction: 0.25}); len(cells) != 1 || cells[0].Workers != 1190 {
 		t.Errorf("the largest region at a quarter of the size: %+v, want one cell with 1190 workers", cells)
 	}
 }
@@ -66,7 +66,7 @@
 // and that a tenth of the teams has half of the backlog.
 func TestArrivals(t *testing.T) {
 	profile := DefaultProfile()
-	cell := profile.Cells(Request{Cut: Peak, Regions: LargestRegion, Fraction: 1, Seed: 3, WarmUpS: 20, MeasureS: 40})[0]
+	cell := profile.Cells(Request{Scenario: Peak, Regions: LargestRegion, Fraction: 1, Seed: 3, WarmUpS: 20, MeasureS: 40})[0]
 	jobs := cell.Arrivals()
 	if !reflect.DeepEqual(jobs, cell.Arrivals()) {
 		t.Error("the same seed yields different jobs")
--- a/internal/simulator/answers.go
+++ b/internal/simulator/answers.go
@@ -29,7 +29,7 @@
 func (sim *Simulation) reportViolation(format string, arguments ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.violation(format, arguments...)
+	sim.addViolation(format, arguments...)
 }
 
 // checkState checks the state in an answer about a job against what users had been told when the request was sent,
@@ -38,14 +38,14 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if previous.status.Final() && state.Status != previous.status || job.reportedStatus.Final() && state.Status.Final() && state.Status != job.reportedStatus {
-		sim.violation("went_back: %s was %s and is %s", job.ID, job.reportedStatus, state.Status)
+		sim.addViolation("went_back: %s was %s and is %s", job.ID, job.reportedStatus, state.Status)
 	}
 	if state.Status == protocol.Done && len(job.done) < job.Tasks {
-		sim.violation("not_done: %s with %d of %d tasks", job.ID, len(job.done), job.Tasks)
+		sim.addViolation("not_done: %s with %d of %d tasks", job.ID, len(job.done), job.Tasks)
 	}
 	if state.Status == protocol.Cancelled && !job.cancelRequested {
 		if requested, _ := job.hasCancelledDependency(); !requested {
-			sim.violation("went_back: %s is cancelled although no cancellation was requested", job.ID)
+			sim.addViolation("went_back: %s is cancelled although no cancellation was requested", job.ID)
 		}
 	}
 	job.noteAnswer(state.Status)
@@ -80,9 +80,9 @@
 	queryAllInterval = 3 * time.Millisecond
 )
 
-// CloseLook requests the status of a job from every controller that users reach, and repeats the job's submission
+// QueryAllControllers requests the status of a job from every controller that users reach, and repeats the job's submission
 // there, in several rounds within milliseconds. It checks each answer.
-func (sim *Simulation) CloseLook(job *Job) {
+func (sim *Simulation) QueryAllControllers(job *Job) {
 	body, _ := json.Marshal(job.Spec) // the specification holds only JSON values
 	for range queryAllRounds {
 		for i := range sim.Settings.Deployment.Controllers {
@@ -108,17 +108,17 @@
 	defer cancel()
 	answer := request(ctx)
 	if !process.ended() && !process.isPartitionedFrom(NoUsers) && sim.checkAnswer(job, answer, previous) {
-		sim.Looks.Add(1)
+		sim.QueryAllAnswers.Add(1)
 	}
 }
 
-// queryAllIfEnabled calls CloseLook for a job if CloseLooks is set.
+// queryAllIfEnabled calls QueryAllControllers for a job if QueryAllAfterAnswers is set.
 func (sim *Simulation) queryAllIfEnabled(j *Job) {
 	sim.mu.Lock()
-	enabled := sim.CloseLooks
+	enabled := sim.QueryAllAfterAnswers
 	sim.mu.Unlock()
 	if enabled {
-		sim.CloseLook(j)
+		sim.QueryAllControllers(j)
 	}
 }
 
--- a/internal/simulator/attempts.go
+++ b/internal/simulator/attempts.go
@@ -7,16 +7,16 @@
 	"dykeledge/internal/storage"
 )
 
-// attempts records which attempts the machine groups' records have held. An attempt that was removed from the
+// attemptHistory records which attempts the machine groups' records have held. An attempt that was removed from the
 // records must not be placed again, by any controller: a worker that has cleared the attempt would start it again.
-type attempts struct {
+type attemptHistory struct {
 	current     map[int]map[string]uint64 // attempt number by group and task
 	lastRemoved map[string]uint64         // by task: the highest attempt number that was removed
 }
 
 // note updates the history with a transaction, and returns a message for each task that the transaction places
 // under an attempt number that the task had before.
-func (a *attempts) note(txn protocol.Txn) (reused []string) {
+func (a *attemptHistory) note(txn protocol.Txn) (reused []string) {
 	if a.current == nil {
 		a.current, a.lastRemoved = map[int]map[string]uint64{}, map[string]uint64{}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -34,16 +34,16 @@
 
 	// Catalog lists the machine types that can be rented.
 	Catalog protocol.Catalog
-	// CapacityOf is the number of machines that can be rented at the same time.
-	CapacityOf int
-	// CloudCalls counts requests to the cloud. CloudOver counts those that were refused because of the rate limit,
+	// Capacity is the number of machines that can be rented at the same time.
+	Capacity int
+	// CloudRequests counts requests to the cloud. CloudOverRate counts those that were refused because of the rate limit,
 	// which is enforced if the store enforces its own.
-	CloudCalls, CloudOver int
-	// Boot, if set, returns the boot time of a rented machine. 0: the machine never boots.
-	Boot func() time.Duration
-	// LateBoots and NeverBoots are the fractions of rented machines that take four times the usual time to boot,
+	CloudRequests, CloudOverRate int
+	// BootTimeOf, if set, returns the boot time of a rented machine. 0: the machine never boots.
+	BootTimeOf func() time.Duration
+	// LateBootFraction and NeverBootFraction are the fractions of rented machines that take four times the usual time to boot,
 	// and that never boot.
-	LateBoots, NeverBoots float64
+	LateBootFraction, NeverBootFraction float64
 	// ListLag, if set, returns the age of the machine list.
 	ListLag func() time.Duration
 }
@@ -52,7 +52,7 @@
 	return simulatedCloud{
 		machines:              map[string]*Machine{},
 		machineNamesByRequest: map[string][]string{},
-		CapacityOf:            defaultCapacity,
+		Capacity:              defaultCapacity,
 		Catalog: protocol.Catalog{Types: []protocol.MachineType{{Name: "t16", Cpus: 16, MemGB: 64, CacheGB: 30, FetchGBs: 0.5,
 			Price: 1, SpotPrice: 0.3, BootS: 10, Zones: cfg.Deployment.Zones}}},
 	}
@@ -70,10 +70,10 @@
 
 // admit counts a request, and returns an error if the cloud refuses it. The rate limit applies if limited is set.
 func (c *simulatedCloud) admit(limited bool) error {
-	c.CloudCalls++
+	c.CloudRequests++
 	switch {
 	case limited && !c.cloudBucket.take(1):
-		c.CloudOver++
+		c.CloudOverRate++
 		return errOverRate
 	case c.cloudDown:
 		return protocol.ErrRefused
@@ -83,7 +83,7 @@
 
 // available returns the number of machines that can still be rented.
 func (c *simulatedCloud) available() int {
-	left := c.CapacityOf
+	left := c.Capacity
 	for _, m := range c.machines {
 		if !m.gone {
 			left--
@@ -114,11 +114,11 @@
 // bootTime returns how long a rented machine takes to boot, given the usual time. 0: it never boots.
 func (c *simulatedCloud) bootTime(usual time.Duration, random *Source) time.Duration {
 	switch chance := random.Float64(); {
-	case c.Boot != nil:
-		return c.Boot()
-	case chance < c.NeverBoots:
+	case c.BootTimeOf != nil:
+		return c.BootTimeOf()
+	case chance < c.NeverBootFraction:
 		return 0
-	case chance < c.NeverBoots+c.LateBoots:
+	case chance < c.NeverBootFraction+c.LateBootFraction:
 		return usual * lateBootFactor
 	}
 	return usual
@@ -150,8 +150,8 @@
 		}
 	}
 	slices.SortFunc(list.Machines, func(a, b protocol.CloudMachine) int { return strings.Compare(a.ID, b.ID) })
-	if list.More = len(list.Machines) > protocol.MaxList; list.More {
-		list.Machines = list.Machines[:protocol.MaxList]
+	if list.More = len(list.Machines) > protocol.MaxMachinesPerPage; list.More {
+		list.Machines = list.Machines[:protocol.MaxMachinesPerPage]
 	}
 	return list
 }
@@ -178,14 +178,14 @@
 // rent adds a machine, and sets its worker's address if workers listen on ports.
 func (sim *Simulation) rent(typeName, zone string, spot bool) *Machine {
 	m := sim.newMachine(typeName, zone, spot)
-	if sim.Listen != nil {
-		m.Addr = sim.Listen(m)
+	if sim.ListenForWorker != nil {
+		m.Addr = sim.ListenForWorker(m)
 	}
 	return m
 }
 
 // scaleOut rents machines for a request. A repeated request returns the same machines. One answer in
-// scaleOutAnswersPerLoss is lost on average: the machines are rented and protocol.ErrUnknown is returned.
+// scaleOutAnswersPerLoss is lost on average: the machines are rented and protocol.ErrOutcomeUnknown is returned.
 func (sim *Simulation) scaleOut(request protocol.ScaleOutRequest) ([]string, error) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -207,7 +207,7 @@
 	}
 	sim.machineNamesByRequest[request.Name] = names
 	if sim.Random.IntN(scaleOutAnswersPerLoss) == 0 {
-		return nil, protocol.ErrUnknown
+		return nil, protocol.ErrOutcomeUnknown
 	}
 	return names, nil
 }
--- a/internal/simulator/cloud_link.go
+++ b/internal/simulator/cloud_link.go
@@ -44,7 +44,7 @@
 	}
 	if l.controller.ended() || l.controller.isPartitionedFrom(NoCloud) {
 		time.Sleep(cloudPartitionDelay)
-		return protocol.ErrUnknown
+		return protocol.ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -71,13 +71,13 @@
 				_, _ = sim.scaleOut(request) // the caller has already returned
 			}()
 			time.Sleep(lateScaleOutWait)
-			return nil, protocol.ErrUnknown
+			return nil, protocol.ErrOutcomeUnknown
 		}
 	}
 	began := time.Now()
 	names, err := sim.scaleOut(request)
 	if l.controller.stalledThrough(began, cloudTimeout) {
-		return nil, protocol.ErrUnknown
+		return nil, protocol.ErrOutcomeUnknown
 	}
 	return names, err
 }
@@ -90,7 +90,7 @@
 	began := time.Now()
 	l.simulation.scaleIn(names)
 	if l.controller.stalledThrough(began, cloudTimeout) {
-		return protocol.ErrUnknown
+		return protocol.ErrOutcomeUnknown
 	}
 	return nil
 }
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -14,7 +14,7 @@
 // execute executes commands as a worker does.
 func (sim *Simulation) execute(machine *Machine, commands []protocol.Command) {
 	for _, command := range commands {
-		jobID, index, _ := protocol.SplitTask(command.Task)
+		jobID, index, _ := protocol.ParseTaskName(command.Task)
 		position := machine.findAttempt(jobID, index, command.Attempt)
 		switch command.Op {
 		case protocol.OpLaunch:
@@ -48,8 +48,8 @@
 		launched.state, launched.cause = protocol.TaskExited, cause
 	} else {
 		launched.stateEnds = sim.startFetch(machine, job)
-		if sim.Launched != nil {
-			sim.Launched(job, index)
+		if sim.OnLaunch != nil {
+			sim.OnLaunch(job, index)
 		}
 	}
 	machine.tasks = append(machine.tasks, launched)
@@ -181,11 +181,11 @@
 	heartbeat, status, took := l.send(addr, commands)
 	if took < 0 || took >= timeout {
 		time.Sleep(timeout)
-		return nil, 0, protocol.ErrUnknown
+		return nil, 0, protocol.ErrOutcomeUnknown
 	}
 	time.Sleep(took)
 	if l.controller.stalledThrough(began, timeout) {
-		return nil, 0, protocol.ErrUnknown
+		return nil, 0, protocol.ErrOutcomeUnknown
 	}
 	return heartbeat, status, nil
 }
@@ -215,7 +215,7 @@
 
 // reaches reports whether a controller's commands reach a machine that executes them at once.
 func (l *workerLink) reaches(machine *Machine) bool {
-	if machine == nil || machine.hanging || machine.partitioned || machine.deafToController {
+	if machine == nil || machine.hanging || machine.partitioned || machine.inboundPartitioned {
 		return false
 	}
 	return !l.simulation.separates(l.controller, machine) && !l.controller.isPartitionedFrom(NoWorkers) && !l.controller.ended()
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -26,31 +26,33 @@
 	HeartbeatMeter Meter
 }
 
-// Cuts is a set of services that a controller is partitioned from.
-type Cuts uint32
+// Partitions is a set of services that a controller is partitioned from.
+type Partitions uint32
 
-// The services that a controller can be partitioned from. With NoAnswers, its requests to the state service are
+// The services that a controller can be partitioned from. With NoStateAnswers, its requests to the state service are
 // carried out, but their answers are lost.
 const (
-	NoState Cuts = 1 << iota
+	NoState Partitions = 1 << iota
 	NoWorkers
 	NoUsers
 	NoCloud
-	NoAnswers
+	NoStateAnswers
 	NoPeers
-	AllCut = NoState | NoWorkers | NoUsers | NoCloud
+	AllPartitions = NoState | NoWorkers | NoUsers | NoCloud
 )
 
 // zonePartitions is what a controller in a partitioned zone cannot reach. It still reaches the workers of its zone.
 const zonePartitions = NoState | NoUsers | NoCloud
 
-// Cut sets what a controller is partitioned from; 0 ends all partitions.
-func (p *ControllerProcess) Cut(c Cuts) { p.partitions.Store(uint32(c)) }
+// SetPartitions sets what a controller is partitioned from; 0 ends all partitions.
+func (p *ControllerProcess) SetPartitions(c Partitions) { p.partitions.Store(uint32(c)) }
 
-// IsCut reports whether a controller is partitioned from any of the given services.
-func (p *ControllerProcess) IsCut(c Cuts) bool { return p.isPartitionedFrom(c) }
+// IsPartitionedFrom reports whether a controller is partitioned from any of the given services.
+func (p *ControllerProcess) IsPartitionedFrom(c Partitions) bool { return p.isPartitionedFrom(c) }
 
-func (p *ControllerProcess) isPartitionedFrom(c Cuts) bool { return Cuts(p.partitions.Load())&c != 0 }
+func (p *ControllerProcess) isPartitionedFrom(c Partitions) bool {
+	return Partitions(p.partitions.Load())&c != 0
+}
 
 // Ended reports whether a controller was killed.
 func (p *ControllerProcess) Ended() bool { return p.ended() }
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -22,17 +22,17 @@
 type controllerSet struct {
 	controllers []*ControllerProcess
 	lastLeader  storage.LeaderRecord
-	// Old holds the indexes of controllers that start as the previous version, which cannot read packed records.
-	Old map[int]bool
+	// PreviousVersion holds the indexes of controllers that start as the previous version, which cannot read packed records.
+	PreviousVersion map[int]bool
 	// Views makes each controller keep a read model.
 	Views bool
-	// After, if set, is called after a transaction of controller i was applied, before the controller gets the
+	// AfterTransaction, if set, is called after a transaction of controller i was applied, before the controller gets the
 	// answer.
-	After func(i int, t protocol.Txn)
+	AfterTransaction func(i int, t protocol.Txn)
 	// KillCount counts the controllers that were killed.
 	KillCount atomic.Int32
-	// IsLeader counts the changes of leadership.
-	IsLeader atomic.Int32
+	// LeaderChanges counts the changes of leadership.
+	LeaderChanges atomic.Int32
 }
 
 // setController sets the process of controller i.
@@ -65,7 +65,7 @@
 		return false
 	}
 	c.lastLeader = leader
-	c.IsLeader.Add(1)
+	c.LeaderChanges.Add(1)
 	return true
 }
 
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(sim.ctx)
 	process := &ControllerProcess{Name: cfg.MemberName, Zone: cfg.Zone, simulation: sim, stop: cancel}
 	if cfg.Zone == sim.partitionedZone() {
-		process.Cut(zonePartitions)
+		process.SetPartitions(zonePartitions)
 	}
 	process.Link = sim.newStoreLink(i, process)
 	cloud := &cloudLink{simulation: sim, controller: process}
@@ -93,7 +93,7 @@
 		process.Core.EnableView()
 	}
 	sim.mu.Lock()
-	if sim.Old[i] {
+	if sim.PreviousVersion[i] {
 		process.Core.Layout, process.Core.Frames = storage.LayoutPlain, 0
 	}
 	sim.setController(i, process)
@@ -107,10 +107,10 @@
 	zones := cfg.Deployment.Zones
 	cfg.MemberName = controllerName(i)
 	cfg.Zone = zones[i%len(zones)]
-	cfg.Known = nil
+	cfg.KnownPeers = nil
 	for other := range cfg.Deployment.Controllers {
 		if other != i {
-			cfg.Known = append(cfg.Known, config.Peer{MemberName: controllerName(other), Zone: zones[other%len(zones)]})
+			cfg.KnownPeers = append(cfg.KnownPeers, config.Peer{MemberName: controllerName(other), Zone: zones[other%len(zones)]})
 		}
 	}
 	return &cfg
@@ -122,22 +122,22 @@
 	return &StoreLink{
 		store:      sim.Store,
 		controller: process,
-		Late: func(t protocol.Txn) time.Duration {
-			if sim.Late == nil {
+		LateTransactions: func(t protocol.Txn) time.Duration {
+			if sim.LateTransactions == nil {
 				return 0
 			}
-			return sim.Late(process.Name, t)
+			return sim.LateTransactions(process.Name, t)
 		},
-		After: func(t protocol.Txn) {
-			if sim.After != nil {
-				sim.After(i, t)
+		AfterTransaction: func(t protocol.Txn) {
+			if sim.AfterTransaction != nil {
+				sim.AfterTransaction(i, t)
 			}
 		},
 	}
 }
 
-// PeerDelay starts the exchange of peer heartbeats and cancellation digests between the controllers.
-func (sim *Simulation) PeerDelay() {
+// ExchangePeerHeartbeats starts the exchange of peer heartbeats and cancellation digests between the controllers.
+func (sim *Simulation) ExchangePeerHeartbeats() {
 	go func() {
 		for sim.ctx.Err() == nil {
 			time.Sleep(peerHeartbeatInterval)
@@ -182,8 +182,8 @@
 	process.stop()
 }
 
-// Again kills controllers and restarts them after a delay.
-func (sim *Simulation) Again(back time.Duration, indexes ...int) {
+// Restart kills controllers and restarts them after a delay.
+func (sim *Simulation) Restart(back time.Duration, indexes ...int) {
 	for _, i := range indexes {
 		if !sim.Controller(i).ended() {
 			sim.Kill(i)
@@ -197,8 +197,8 @@
 	}
 }
 
-// Owner returns the index of the controller that owns a shard, or -1 if none reports that it does.
-func (sim *Simulation) Owner(shard int) int {
+// ShardOwner returns the index of the controller that owns a shard, or -1 if none reports that it does.
+func (sim *Simulation) ShardOwner(shard int) int {
 	for i := range sim.Settings.Deployment.Controllers {
 		views, err := sim.Controller(i).Core.ShardViews(sim.ctx)
 		if err == nil && shard < len(views) && views[shard].Owner == sim.Controller(i).Name {
--- a/internal/simulator/counters.go
+++ b/internal/simulator/counters.go
@@ -17,18 +17,18 @@
 	LeaseKills int
 	// StartsAfterCancel counts task starts after the cancellation of the job was confirmed to its user.
 	StartsAfterCancel int
-	// RanAgain counts task starts after the task had completed.
-	RanAgain int
+	// StartsAfterDone counts task starts after the task had completed.
+	StartsAfterDone int
 	// AnswersLost counts transactions that were applied and whose answer was lost, by the kind of their first key.
 	AnswersLost map[string]int
-	// LateDone counts late transactions that were applied, LateDenied those that were refused.
-	LateDone, LateDenied atomic.Int32
-	// Copies counts duplicate heartbeats that arrived.
-	Copies atomic.Int32
-	// CopiesToNext counts held heartbeats that were delivered to a controller after a change of leadership.
-	CopiesToNext atomic.Int32
-	// Looks counts the answers with a job state that CloseLook checked.
-	Looks atomic.Int32
+	// LateTxnsApplied counts late transactions that were applied, LateTxnsRejected those that were refused.
+	LateTxnsApplied, LateTxnsRejected atomic.Int32
+	// DuplicateHeartbeats counts duplicate heartbeats that arrived.
+	DuplicateHeartbeats atomic.Int32
+	// DuplicatesToNewLeader counts held heartbeats that were delivered to a controller after a change of leadership.
+	DuplicatesToNewLeader atomic.Int32
+	// QueryAllAnswers counts the answers with a job state that QueryAllControllers checked.
+	QueryAllAnswers atomic.Int32
 }
 
 func newCounters() counters {
@@ -42,7 +42,7 @@
 		c.StartsAfterCancel++
 	}
 	if t.job.done[t.index] {
-		c.RanAgain++
+		c.StartsAfterDone++
 	}
 }
 
@@ -59,22 +59,22 @@
 // lateTransaction counts a late transaction by whether it was applied.
 func (c *counters) lateTransaction(applied bool) {
 	if applied {
-		c.LateDone.Add(1)
+		c.LateTxnsApplied.Add(1)
 	} else {
-		c.LateDenied.Add(1)
+		c.LateTxnsRejected.Add(1)
 	}
 }
 
 // Stats holds counts of events.
 type Stats struct {
-	Started, LeaseKills    int
-	Requests, Writes, Over int // at the state service; Over were refused because of the rate limit
+	Started, LeaseKills        int
+	Requests, Writes, OverRate int // at the state service; OverRate were refused because of the rate limit
 }
 
 // Stats returns the counts so far.
 func (sim *Simulation) Stats() Stats {
 	sim.Store.mu.Lock()
-	stats := Stats{Requests: sim.Store.Requests, Writes: sim.Store.Writes, Over: sim.Store.OverRate}
+	stats := Stats{Requests: sim.Store.Requests, Writes: sim.Store.Writes, OverRate: sim.Store.OverRate}
 	sim.Store.mu.Unlock()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/faults_test.go
+++ b/internal/simulator/faults_test.go
@@ -15,7 +15,7 @@
 // and not in the first 4 s of the simulation.
 func stallAfterCommit(sim *Simulation, keyPart string, d time.Duration) {
 	var stalls atomic.Int32
-	sim.After = func(i int, txn protocol.Txn) {
+	sim.AfterTransaction = func(i int, txn protocol.Txn) {
 		for _, c := range txn.Then {
 			if strings.Contains(c.Put, keyPart) && time.Since(sim.StartTime) > 4*time.Second && stalls.Add(1) <= 4 {
 				sim.KillCount.Add(1)
@@ -80,16 +80,16 @@
 func healComponents(sim *Simulation) {
 	sim.Store.SetDown(false)
 	for i := range 3 {
-		sim.Store.Deny(fmt.Sprintf("n%d", i), false)
+		sim.Store.RefuseController(fmt.Sprintf("n%d", i), false)
 		if sim.Controller(i).ended() {
 			sim.Start(i)
 		} else {
-			sim.Controller(i).Cut(0)
+			sim.Controller(i).SetPartitions(0)
 		}
 	}
 	for _, m := range sim.Machines() {
-		sim.Set(m, func(m *Machine) {
-			m.hanging, m.partitioned, m.deafToController, m.silentToControllers = false, false, false, false
+		sim.UpdateMachine(m, func(m *Machine) {
+			m.hanging, m.partitioned, m.inboundPartitioned, m.outboundPartitioned = false, false, false, false
 		})
 	}
 }
@@ -99,13 +99,13 @@
 // machines that boot late or never, and an outdated machine list.
 func TestRandomFaults(t *testing.T) {
 	faults := []func(sim *Simulation, i int){
-		func(sim *Simulation, i int) { sim.Controller(i).Cut(AllCut) },
-		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoState) },
-		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoWorkers) },
-		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoUsers | NoWorkers) },
-		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoAnswers) },
-		func(sim *Simulation, i int) { sim.Controller(i).Cut(NoCloud) },
-		func(sim *Simulation, i int) { sim.Store.Deny(fmt.Sprintf("n%d", i), true) },
+		func(sim *Simulation, i int) { sim.Controller(i).SetPartitions(AllPartitions) },
+		func(sim *Simulation, i int) { sim.Controller(i).SetPartitions(NoState) },
+		func(sim *Simulation, i int) { sim.Controller(i).SetPartitions(NoWorkers) },
+		func(sim *Simulation, i int) { sim.Controller(i).SetPartitions(NoUsers | NoWorkers) },
+		func(sim *Simulation, i int) { sim.Controller(i).SetPartitions(NoStateAnswers) },
+		func(sim *Simulation, i int) { sim.Controller(i).SetPartitions(NoCloud) },
+		func(sim *Simulation, i int) { sim.Store.RefuseController(fmt.Sprintf("n%d", i), true) },
 		func(sim *Simulation, i int) {
 			sim.Controller(i).Stall(time.Duration(1000+sim.Random.IntN(14000)) * time.Millisecond)
 		},
@@ -113,12 +113,12 @@
 		func(sim *Simulation, _ int) { sim.Store.SetDown(true) },
 		func(sim *Simulation, _ int) {
 			if ms := sim.Machines(); len(ms) > 2 {
-				sim.Set(ms[sim.Random.IntN(len(ms))], HangingMachine(true))
+				sim.UpdateMachine(ms[sim.Random.IntN(len(ms))], HangingMachine(true))
 			}
 		},
 		func(sim *Simulation, _ int) {
 			if ms := sim.Machines(); len(ms) > 2 {
-				sim.Set(ms[sim.Random.IntN(len(ms))], CutOff(true))
+				sim.UpdateMachine(ms[sim.Random.IntN(len(ms))], MachinePartition(true))
 			}
 		},
 	}
@@ -126,13 +126,13 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runMixedLoad(t, 100+seed, func(sim *Simulation) {
 				if seed%2 == 1 {
-					sim.PeerDelay() // the rules must hold with and without peer heartbeats
+					sim.ExchangePeerHeartbeats() // the rules must hold with and without peer heartbeats
 				}
 				// Faults overlap for up to 30 s, and cancelled tasks on a machine that hangs can't be
 				// terminated before it resumes. Deployments set cancel_s to 36 s or more.
 				sim.Settings.Deployment.Workers.CancelS = 36
-				sim.CapacityOf = 12
-				sim.Boot = func() time.Duration {
+				sim.Capacity = 12
+				sim.BootTimeOf = func() time.Duration {
 					switch sim.Random.IntN(4) {
 					case 0:
 						return 0
@@ -142,7 +142,7 @@
 					return time.Duration(5+sim.Random.IntN(10)) * time.Second
 				}
 				sim.ListLag = func() time.Duration { return time.Duration(sim.Random.IntN(10000)) * time.Millisecond }
-				sim.User(JobSpec{Team: "grey", Tasks: 4, Cpus: 2, Run: 5 * time.Second, Broken: true, CancelAfter: 100 * time.Second})
+				sim.StartUser(JobSpec{Team: "grey", Tasks: 4, Cpus: 2, RunTime: 5 * time.Second, AlwaysFails: true, CancelAfter: 100 * time.Second})
 			}, func(sim *Simulation) {
 				for range 5 {
 					time.Sleep(time.Duration(1000+sim.Random.IntN(5000)) * time.Millisecond)
--- a/internal/simulator/gpu_cluster_test.go
+++ b/internal/simulator/gpu_cluster_test.go
@@ -54,7 +54,7 @@
 		case 20: // all controllers end during an outage of the state service
 			cluster.Store.SetDown(true)
 			time.Sleep(4 * time.Second)
-			cluster.Again(5*time.Second, 0, 1, 2)
+			cluster.Restart(5*time.Second, 0, 1, 2)
 			time.Sleep(12 * time.Second)
 			cluster.Store.SetDown(false)
 		}
@@ -63,7 +63,7 @@
 	running, expected := 0, 0
 	for _, j := range cluster.services {
 		expected += j.Tasks
-		running += cluster.On(j)
+		running += cluster.RunningTasksOf(j)
 	}
 	cluster.awaitAll(t, cluster.arrays, 400)
 	for _, b := range cluster.BrokenRules() {
@@ -90,13 +90,13 @@
 	cluster := &gpuCluster{Simulation: NewSimulation(ctx, cfg, 500+seed)}
 	cluster.Catalog.Types = []protocol.MachineType{{Name: "g8", Cpus: 48, Gpus: 8, MemGB: 384, CacheGB: 50, FetchGBs: 0.25,
 		Price: 21.54, SpotPrice: 6.58, BootS: 45, Zones: deployment.Zones}}
-	cluster.Boot = func() time.Duration { return time.Duration(27+cluster.Random.IntN(40)) * time.Second }
-	cluster.CapacityOf = 60
-	cluster.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
-	cluster.Store.MaxValue, cluster.Store.MaxOps = 8<<10, 8
+	cluster.BootTimeOf = func() time.Duration { return time.Duration(27+cluster.Random.IntN(40)) * time.Second }
+	cluster.Capacity = 60
+	cluster.Store.LimitRates(deployment.State.RPS, deployment.State.WriteRPS)
+	cluster.Store.MaxValueBytes, cluster.Store.MaxChanges = 8<<10, 8
 	cluster.LimitCloud(deployment.Cloud.RPS)
 	eachController(cluster.Start)
-	cluster.PeerDelay()
+	cluster.ExchangePeerHeartbeats()
 	time.Sleep(2 * time.Second)
 	return cluster
 }
@@ -105,15 +105,15 @@
 func (c *gpuCluster) submitService() {
 	replicas := []int{3, 3, 6, 8}[c.Random.IntN(4)]
 	image := c.Random.IntN(6)
-	c.services = append(c.services, c.User(JobSpec{Team: "gpu", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: replicas, Cpus: 4, Gpus: 1,
+	c.services = append(c.services, c.StartUser(JobSpec{Team: "gpu", Class: "serve", Shape: "daemon", Urgency: "production", Tasks: replicas, Cpus: 4, Gpus: 1,
 		MemGB: 29, Image: fmt.Sprint("serve-", image), ImageGB: float64(4 + 2*image), NoSpot: true, Scatter: true}))
 }
 
 // submitArray submits an array whose tasks save checkpoints.
 func (c *gpuCluster) submitArray() {
 	image := c.Random.IntN(8)
-	c.arrays = append(c.arrays, c.User(JobSpec{Team: "gpu", Class: "sweep", Urgency: "low", Tasks: 8 + c.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
-		Image: fmt.Sprint("sweep-", image), ImageGB: float64(3 + image), Run: time.Duration(30+c.Random.IntN(60)) * time.Second, CheckpointS: 15}))
+	c.arrays = append(c.arrays, c.StartUser(JobSpec{Team: "gpu", Class: "sweep", Urgency: "low", Tasks: 8 + c.Random.IntN(30), Cpus: 5, Gpus: 1, MemGB: 36,
+		Image: fmt.Sprint("sweep-", image), ImageGB: float64(3 + image), RunTime: time.Duration(30+c.Random.IntN(60)) * time.Second, CheckpointS: 15}))
 }
 
 // partitionZoneDuringBurst submits six services while a random zone is partitioned from everything
@@ -123,7 +123,7 @@
 		c.submitService()
 	}
 	c.PartitionZone(c.Settings.Deployment.Zones[c.Random.IntN(3)])
-	c.Again(5*time.Second, killed)
+	c.Restart(5*time.Second, killed)
 	time.Sleep(30 * time.Second)
 	c.PartitionZone("")
 }
@@ -132,10 +132,10 @@
 func (c *gpuCluster) loseMachines() {
 	for i, m := range c.Machines() {
 		if i%7 == 0 {
-			c.Die(m)
+			c.FailMachine(m)
 		}
 		if m.Spot && i%3 == 0 {
-			c.Set(m, PreemptionNotice(time.Duration(c.Random.IntN(20))*time.Second))
+			c.UpdateMachine(m, PreemptionNotice(time.Duration(c.Random.IntN(20))*time.Second))
 		}
 	}
 }
--- a/internal/simulator/heartbeats.go
+++ b/internal/simulator/heartbeats.go
@@ -77,9 +77,9 @@
 		sent:       time.Now(),
 		index:      index,
 		controller: sim.controllers[index],
-		answerLost: machine.deafToController,
+		answerLost: machine.inboundPartitioned,
 	}
-	exchange.lost = machine.partitioned || machine.silentToControllers || sim.separates(exchange.controller, machine)
+	exchange.lost = machine.partitioned || machine.outboundPartitioned || sim.separates(exchange.controller, machine)
 	exchange.delay, exchange.copyAfter = sim.heartbeatDelays(exchange.heartbeat)
 	return exchange
 }
@@ -97,7 +97,7 @@
 			return
 		}
 		if isCopy {
-			sim.Copies.Add(1)
+			sim.DuplicateHeartbeats.Add(1)
 		}
 		process.handleHeartbeat(sim.ctx, exchange.heartbeat, func(int, any) {})
 	}()
--- a/internal/simulator/hooks_test.go
+++ b/internal/simulator/hooks_test.go
@@ -25,20 +25,20 @@
 		}
 		return sim.randomDuration(shortest, longest)
 	}
-	sim.CopiedHeartbeats = func(string) time.Duration {
+	sim.HeartbeatDuplicateDelay = func(string) time.Duration {
 		return delayIfOn(&h.duplicateHeartbeats, 0.3, 2*time.Second, 25*time.Second)
 	}
 	sim.LateHeartbeats = func(string) time.Duration { return delayIfOn(&h.delayHeartbeats, 0.1, time.Second, 8*time.Second) }
-	sim.Store.Slow = func(string) time.Duration { return delayIfOn(&h.slowStore, 0.5, 0, 1500*time.Millisecond) }
-	sim.Late = func(string, protocol.Txn) time.Duration {
+	sim.Store.RequestDelay = func(string) time.Duration { return delayIfOn(&h.slowStore, 0.5, 0, 1500*time.Millisecond) }
+	sim.LateTransactions = func(string, protocol.Txn) time.Duration {
 		return delayIfOn(&h.delayTransactions, 0.15, 2*time.Second, 12*time.Second)
 	}
 	sim.LateCommands = func(string, protocol.DirectCommands) time.Duration {
 		return delayIfOn(&h.delayCommands, 0.3, time.Second, 8*time.Second)
 	}
-	sim.KeptHeartbeats = func(string) bool { return h.keepHeartbeats.Load() && sim.Random.IntN(3) == 0 }
+	sim.HoldHeartbeat = func(string) bool { return h.keepHeartbeats.Load() && sim.Random.IntN(3) == 0 }
 	sim.LostAnswers = func(string, protocol.Txn) bool { return h.loseAnswers.Load() && sim.Random.IntN(3) == 0 }
-	sim.AtEnd = func(j *Job) {
+	sim.OnJobDone = func(j *Job) {
 		if h.cancelAtEnd.Load() && sim.Random.IntN(3) == 0 {
 			sim.CancelNow(j)
 		}
@@ -58,7 +58,7 @@
 		on.Store(false)
 	}
 	sim.PartitionZone("")
-	sim.SetCloseLooks(false)
+	sim.SetQueryAllAfterAnswers(false)
 	healComponents(sim)
 }
 
@@ -79,7 +79,7 @@
 		sim.CancelNow(j)
 		for _, m := range sim.machinesOf(j) {
 			if machines++; hang && machines <= 8 {
-				sim.Set(m, HangingMachine(true))
+				sim.UpdateMachine(m, HangingMachine(true))
 			}
 		}
 	}
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -29,15 +29,15 @@
 func respondError(request *fiber.Ctx, err error) error {
 	status := fiber.StatusServiceUnavailable
 	switch {
-	case errors.Is(err, protocol.ErrUnknown), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, protocol.ErrOutcomeUnknown), errors.Is(err, context.DeadlineExceeded):
 		return dropConnection(request)
 	case errors.Is(err, errOverRate):
 		status = fiber.StatusTooManyRequests
 	case errors.Is(err, protocol.ErrTooLarge):
 		status = fiber.StatusBadRequest
-	case errors.Is(err, protocol.ErrNoLease), errors.Is(err, protocol.ErrNotFound):
+	case errors.Is(err, protocol.ErrLeaseExpired), errors.Is(err, protocol.ErrNotFound):
 		status = fiber.StatusNotFound
-	case errors.Is(err, protocol.ErrTooOld):
+	case errors.Is(err, protocol.ErrRevisionTooOld):
 		status = fiber.StatusGone
 	}
 	return request.Status(status).JSON(protocol.ErrorResponse{Error: err.Error()})
--- a/internal/simulator/isolation_test.go
+++ b/internal/simulator/isolation_test.go
@@ -33,7 +33,7 @@
 		if seed%2 == 1 { // a shard owner that is not the leader
 			denied = (denied + 1) % 3
 		}
-		sim.Store.Deny(sim.Controller(denied).Name, true)
+		sim.Store.RefuseController(sim.Controller(denied).Name, true)
 		cancelledTasks = c.cancelAtOthers(t, sim, jobs[:4], denied)
 		sim.Store.SetDown(true)
 		inject(sim, denied)
@@ -41,17 +41,17 @@
 		killedTasks = sim.Stats().LeaseKills
 		sim.Store.SetDown(false)
 		eachController(func(i int) {
-			sim.Store.Deny(controllerName(i), false)
+			sim.Store.RefuseController(controllerName(i), false)
 			if sim.Controller(i).ended() {
 				sim.Start(i)
 			}
-			sim.Controller(i).Cut(0)
+			sim.Controller(i).SetPartitions(0)
 		})
 		time.Sleep(75 * time.Second)
 		for _, j := range jobs[4:] {
-			if sim.On(j) < j.Tasks {
+			if sim.RunningTasksOf(j) < j.Tasks {
 				shards, err := sim.Controller(denied).Core.ShardViews(ctx)
-				t.Errorf("%s of team %s is %s with %d of %d tasks on machines 75 s after the end of the faults; shards %+v, error %v", j.ID, j.Team, sim.Told(j), sim.On(j), j.Tasks, shards, err)
+				t.Errorf("%s of team %s is %s with %d of %d tasks on machines 75 s after the end of the faults; shards %+v, error %v", j.ID, j.Team, sim.ReportedStatus(j), sim.RunningTasksOf(j), j.Tasks, shards, err)
 			}
 		}
 		for _, b := range sim.BrokenRules() {
@@ -66,20 +66,20 @@
 	cfg := testSettings()
 	cfg.Deployment.Workers = c.workers
 	sim := NewSimulation(ctx, cfg, seed)
-	sim.CapacityOf = 20
-	sim.Old = map[int]bool{}
+	sim.Capacity = 20
+	sim.PreviousVersion = map[int]bool{}
 	for i := range c.oldControllers {
-		sim.Old[(int(seed)+i)%3] = true
+		sim.PreviousVersion[(int(seed)+i)%3] = true
 	}
 	eachController(sim.Start)
-	sim.PeerDelay()
+	sim.ExchangePeerHeartbeats()
 	for i := range 9 {
 		sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 	}
 	time.Sleep(8 * time.Second)
 	var jobs []*Job
 	for i := range 8 {
-		jobs = append(jobs, sim.User(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, Run: time.Hour}))
+		jobs = append(jobs, sim.StartUser(JobSpec{Team: cfg.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 2, RunTime: time.Hour}))
 	}
 	time.Sleep(10 * time.Second)
 	return sim, jobs
@@ -97,7 +97,7 @@
 	for k, j := range jobs {
 		if sim.CancelAt(j, (denied+1+k%2)%3) {
 			confirmed++
-			tasks += sim.On(j)
+			tasks += sim.RunningTasksOf(j)
 		}
 		time.Sleep(c.cancelledBefore / 4)
 	}
@@ -131,12 +131,14 @@
 		eachOther(denied, func(i int) { sim.Controller(i).Stall(100 * time.Second) })
 	}},
 	{"the others lose peers and workers", func(sim *Simulation, denied int) {
-		eachOther(denied, func(i int) { sim.Controller(i).Cut(NoPeers | NoWorkers) })
+		eachOther(denied, func(i int) { sim.Controller(i).SetPartitions(NoPeers | NoWorkers) })
+	}},
+	{"the others lose their workers", func(sim *Simulation, denied int) {
+		eachOther(denied, func(i int) { sim.Controller(i).SetPartitions(NoWorkers) })
 	}},
-	{"the others lose their workers", func(sim *Simulation, denied int) { eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) }) }},
 	{"the denied controller loses its peers, the others their workers", func(sim *Simulation, denied int) {
-		sim.Controller(denied).Cut(NoPeers)
-		eachOther(denied, func(i int) { sim.Controller(i).Cut(NoWorkers) })
+		sim.Controller(denied).SetPartitions(NoPeers)
+		eachOther(denied, func(i int) { sim.Controller(i).SetPartitions(NoWorkers) })
 	}},
 	{"all are killed, the denied one restarts within a second", func(sim *Simulation, denied int) {
 		time.Sleep(3 * time.Second)
--- a/internal/simulator/job.go
+++ b/internal/simulator/job.go
@@ -11,16 +11,16 @@
 	Spec              map[string]any
 	ID, Team          string
 	Class             string
-	At                time.Time // when it was first submitted
+	SubmittedAt       time.Time // when it was first submitted
 	Tasks             int
-	Run               time.Duration // run time of each task, unless taskRunTimes has its own
+	RunTime           time.Duration // run time of each task, unless taskRunTimes has its own
 	Cpus              float64
 	Spot              bool
-	Broken            bool                  // its tasks fail on every machine
+	AlwaysFails       bool                  // its tasks fail on every machine
 	done              map[int]bool          // by task: whether it has completed
 	startedAttempts   map[[2]uint64]bool    // by task and attempt
 	savedProgress     map[int]time.Duration // by task: the run time that its latest checkpoint covers
-	on                map[int]*Machine      // by task: the machine that it runs on
+	runningOn         map[int]*Machine      // by task: the machine that it runs on
 	cancelConfirmedAt time.Time             // when the cancellation was confirmed to its user; zero: it was not
 	reportedStatus    protocol.JobStatus    // the status that its user was last told
 	accepted          bool                  // a state of the job has been reported to its user
@@ -42,7 +42,7 @@
 	if task < len(j.taskRunTimes) {
 		return j.taskRunTimes[task]
 	}
-	return j.Run
+	return j.RunTime
 }
 
 // saveProgress adds the run time of an attempt to the progress that the task's checkpoint covers.
@@ -87,7 +87,7 @@
 // isWaiting reports whether the job is accepted, all its dependencies are done, and it has tasks that neither run
 // nor are done. Cancelled and finished jobs do not wait.
 func (j *Job) isWaiting() bool {
-	if !j.accepted || j.cancelRequested || j.reportedStatus.Final() || len(j.on)+len(j.done) >= j.Tasks {
+	if !j.accepted || j.cancelRequested || j.reportedStatus.Final() || len(j.runningOn)+len(j.done) >= j.Tasks {
 		return false
 	}
 	for _, dependency := range j.dependencies {
--- a/internal/simulator/large_test.go
+++ b/internal/simulator/large_test.go
@@ -22,8 +22,8 @@
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 36}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
 		sim := NewSimulation(ctx, cfg, 3)
-		sim.CapacityOf = rentableMachines
-		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
+		sim.Capacity = rentableMachines
+		sim.Store.LimitRates(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		sim.LimitCloud(cfg.Deployment.Cloud.RPS)
 		for i := range controllers {
 			sim.Start(i)
@@ -43,9 +43,9 @@
 		if overRate := float64(sim.Store.OverRate) / float64(sim.Store.Requests); overRate > 0.02 {
 			t.Errorf("%.3f of the requests to the state service were over its rate limit, want at most 0.02", overRate)
 		}
-		t.Logf("%d requests to the cloud, %d over its rate limit", sim.CloudCalls, sim.CloudOver)
-		if sim.CloudCalls == 0 || sim.CloudOver*20 > sim.CloudCalls {
-			t.Errorf("%d of %d requests to the cloud were over its rate limit, want some requests and at most 5 %% over", sim.CloudOver, sim.CloudCalls)
+		t.Logf("%d requests to the cloud, %d over its rate limit", sim.CloudRequests, sim.CloudOverRate)
+		if sim.CloudRequests == 0 || sim.CloudOverRate*20 > sim.CloudRequests {
+			t.Errorf("%d of %d requests to the cloud were over its rate limit, want some requests and at most 5 %% over", sim.CloudOverRate, sim.CloudRequests)
 		}
 	})
 }
@@ -56,7 +56,7 @@
 func (sim *Simulation) submitLargeLoad() (jobs []*Job, tasks int) {
 	deployment := &sim.Settings.Deployment
 	for i := range 110 {
-		jobSpec := JobSpec{Team: deployment.Teams[i%5].Name, Tasks: 20 + sim.Random.IntN(50), Cpus: 4, Run: time.Duration(8+sim.Random.IntN(10)) * time.Second}
+		jobSpec := JobSpec{Team: deployment.Teams[i%5].Name, Tasks: 20 + sim.Random.IntN(50), Cpus: 4, RunTime: time.Duration(8+sim.Random.IntN(10)) * time.Second}
 		switch {
 		case i%9 == 0:
 			jobSpec.Urgency, jobSpec.Cpus, jobSpec.NoSpot = "high", 2, true
@@ -64,13 +64,13 @@
 			jobSpec.CancelAfter = 10 * time.Second
 		}
 		tasks += jobSpec.Tasks
-		jobs = append(jobs, sim.User(jobSpec))
+		jobs = append(jobs, sim.StartUser(jobSpec))
 		time.Sleep(400 * time.Millisecond)
 		switch i {
 		case 50:
 			for k, m := range sim.Machines() {
 				if k%8 == 0 {
-					sim.Die(m)
+					sim.FailMachine(m)
 				}
 			}
 		case 70:
@@ -103,26 +103,26 @@
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}, {Name: "blue", Cpus: 200}, {Name: "guest"}}
 		cfg.Deployment.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 32, TxnOps: 12}
 		sim := NewSimulation(ctx, cfg, 3)
-		sim.CapacityOf = 80
-		sim.Store.Limit(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
+		sim.Capacity = 80
+		sim.Store.LimitRates(cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS)
 		sim.LimitCloud(cfg.Deployment.Cloud.RPS)
 		for i := range controllers {
 			sim.Start(i)
 		}
-		sim.PeerDelay()
+		sim.ExchangePeerHeartbeats()
 		for i := range 60 {
 			sim.AddMachine(cfg.Deployment.Zones[i%3], i%2 == 0)
 		}
 		time.Sleep(3 * time.Second)
-		idleArray := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, Run: 60 * time.Second, CheckpointS: 10})
-		largeArray := sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, Run: 3 * time.Second})
+		idleArray := sim.StartUser(JobSpec{Team: "guest", Urgency: "low", Tasks: 400, Cpus: 4, RunTime: 60 * time.Second, CheckpointS: 10})
+		largeArray := sim.StartUser(JobSpec{Team: "guest", Urgency: "low", Tasks: 3000, Cpus: 0.5, RunTime: 3 * time.Second})
 		time.Sleep(5 * time.Second)
 		writesBefore := sim.Store.Writes
 		var homeJobs, singleTaskJobs []*Job
 		for i := range 800 {
-			singleTaskJobs = append(singleTaskJobs, sim.User(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, Run: 30 * time.Second}))
+			singleTaskJobs = append(singleTaskJobs, sim.StartUser(JobSpec{Team: "guest", Urgency: "low", Tasks: 1, Cpus: 0.25, RunTime: 30 * time.Second}))
 			if i%40 == 0 {
-				homeJobs = append(homeJobs, sim.User(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, Run: 10 * time.Second}))
+				homeJobs = append(homeJobs, sim.StartUser(JobSpec{Team: []string{"red", "blue"}[i/40%2], Tasks: 10, Cpus: 4, RunTime: 10 * time.Second}))
 			}
 			if i == 300 || i == 600 {
 				sim.Kill(i / 300)
@@ -134,7 +134,7 @@
 		t.Logf("jobs of the home teams done after %v", time.Since(sim.StartTime))
 		sim.awaitAll(t, append(singleTaskJobs, largeArray), 200)
 		t.Logf("jobs of the guest team done after %v; %.2f writes per single-task job, those of all other jobs included; %d of %d requests over the rate limit, %d idle-time tasks on machines",
-			time.Since(sim.StartTime), float64(sim.Store.Writes-writesBefore)/800, sim.Store.OverRate, sim.Store.Requests, sim.On(idleArray))
+			time.Since(sim.StartTime), float64(sim.Store.Writes-writesBefore)/800, sim.Store.OverRate, sim.Store.Requests, sim.RunningTasksOf(idleArray))
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
 		}
--- a/internal/simulator/leases_test.go
+++ b/internal/simulator/leases_test.go
@@ -64,13 +64,13 @@
 			runningTasks := 0
 			runMixedLoad(t, 5, func(sim *Simulation) {
 				sim.Settings.Deployment.Workers.LeaseS, sim.Settings.Deployment.Workers.CancelS = test.lease, test.cancel
-				sim.PeerDelay()
+				sim.ExchangePeerHeartbeats()
 			}, func(sim *Simulation) {
 				time.Sleep(9 * time.Second)
 				if test.cancelled {
 					cancelAndCutWorkers(t, sim, func() {})
 				}
-				runningTasks = sim.Running()
+				runningTasks = sim.RunningTasks()
 				restartAllInOutage(sim, test.outage, test.secondRestart)
 			}, func(sim *Simulation) {
 				if runningTasks == 0 {
@@ -89,17 +89,17 @@
 // tasks, and calls onCommit. It returns when the user has received the confirmation.
 func cancelAndCutWorkers(t *testing.T, sim *Simulation, onCommit func()) {
 	t.Helper()
-	job := sim.User(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, Run: 200 * time.Second, Urgency: "high"})
+	job := sim.StartUser(JobSpec{Team: "grey", Tasks: 3, Cpus: 1, RunTime: 200 * time.Second, Urgency: "high"})
 	for range 400 { // the job waits for capacity while machines boot
-		if time.Sleep(100 * time.Millisecond); sim.On(job) == 3 {
+		if time.Sleep(100 * time.Millisecond); sim.RunningTasksOf(job) == 3 {
 			break
 		}
 	}
-	sim.After = func(_ int, tx protocol.Txn) {
+	sim.AfterTransaction = func(_ int, tx protocol.Txn) {
 		for _, c := range tx.Then {
 			if c.Put == storage.JobKey(job.ID) && strings.Contains(string(c.Value), `"cancelled"`) {
 				for i := range 3 {
-					sim.Controller(i).Cut(NoWorkers)
+					sim.Controller(i).SetPartitions(NoWorkers)
 				}
 				onCommit()
 			}
@@ -108,13 +108,13 @@
 	sim.CancelNow(job)
 	for range 2000 {
 		time.Sleep(5 * time.Millisecond)
-		if sim.Told(job) == protocol.Cancelled {
+		if sim.ReportedStatus(job) == protocol.Cancelled {
 			break
 		}
 	}
-	sim.After = nil
-	if sim.Told(job) != protocol.Cancelled || sim.On(job) == 0 {
-		t.Errorf("the job's last reported status is %q, %d of its tasks are on machines: the case checks nothing", sim.Told(job), sim.On(job))
+	sim.AfterTransaction = nil
+	if sim.ReportedStatus(job) != protocol.Cancelled || sim.RunningTasksOf(job) == 0 {
+		t.Errorf("the job's last reported status is %q, %d of its tasks are on machines: the case checks nothing", sim.ReportedStatus(job), sim.RunningTasksOf(job))
 	}
 }
 
@@ -128,14 +128,14 @@
 			t.Run(fmt.Sprintf("%v/others have read the cancellation %v/controller %d is killed", outage, othersRead, killed), func(t *testing.T) {
 				runMixedLoad(t, seed, func(sim *Simulation) {
 					sim.Settings.Deployment.Workers.CancelS = 36
-					sim.PeerDelay()
+					sim.ExchangePeerHeartbeats()
 				}, func(sim *Simulation) {
 					time.Sleep(4 * time.Second)
 					cancelAndCutWorkers(t, sim, func() { sim.Store.SetDown(!othersRead) })
 					time.Sleep(200 * time.Millisecond)
 					sim.Store.SetDown(true)
 					for i := range 3 {
-						sim.Controller(i).Cut(0)
+						sim.Controller(i).SetPartitions(0)
 					}
 					time.Sleep(4 * time.Second)
 					if killed < 3 {
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -63,7 +63,7 @@
 }{
 	{"no fault", func(*Simulation, int) {}},
 	{"controllers restart", func(sim *Simulation, step int) {
-		sim.Again(time.Duration(sim.Random.IntN(4000))*time.Millisecond, step%3)
+		sim.Restart(time.Duration(sim.Random.IntN(4000))*time.Millisecond, step%3)
 	}},
 	{"controllers stall during changes", func(sim *Simulation, step int) {
 		sim.Controller(step % 3).Stall(time.Duration(2+sim.Random.IntN(9)) * time.Second)
@@ -75,9 +75,9 @@
 			sim.Store.SetDown(false)
 			return
 		}
-		sim.Store.Deny(sim.Controller(step%3).Name, true)
+		sim.Store.RefuseController(sim.Controller(step%3).Name, true)
 		time.Sleep(6 * time.Second)
-		sim.Store.Deny(sim.Controller(step%3).Name, false)
+		sim.Store.RefuseController(sim.Controller(step%3).Name, false)
 	}},
 }
 
@@ -91,8 +91,8 @@
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				var evicted, lowered atomic.Int32
 				runMixedLoad(t, 700+seed, func(sim *Simulation) {
-					sim.CapacityOf = 8
-					sim.Late = func(string, protocol.Txn) time.Duration {
+					sim.Capacity = 8
+					sim.LateTransactions = func(string, protocol.Txn) time.Duration {
 						if sim.Random.IntN(60) > 0 {
 							return 0
 						}
@@ -100,7 +100,7 @@
 					}
 					sim.countLimitChanges(&lowered, &evicted)
 				}, func(sim *Simulation) {
-					sim.PeerDelay()
+					sim.ExchangePeerHeartbeats()
 					for step, limit := range []float64{60, 24, 80, 20, 30, 18, 60, 16, 40} {
 						sim.setRedLimit(t, limit)
 						test.fault(sim, step)
@@ -124,8 +124,8 @@
 // countLimitChanges counts the records that lower team red's limit, and the victim sets that are evicted
 // for a limit.
 func (sim *Simulation) countLimitChanges(lowered, evicted *atomic.Int32) {
-	previousCheck := sim.Store.Check
-	sim.Store.Check = func(t protocol.Txn) {
+	previousCheck := sim.Store.AfterApply
+	sim.Store.AfterApply = func(t protocol.Txn) {
 		previousCheck(t)
 		for _, c := range t.Then {
 			if strings.HasPrefix(c.Put, storage.VictimSetKey("limit:")) {
@@ -145,27 +145,27 @@
 func TestLimitLoweredWithOwnerTransactionInFlight(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runMixedLoad(t, 760+seed, func(sim *Simulation) { sim.CapacityOf = 8 }, func(sim *Simulation) {
-				sim.PeerDelay()
+			runMixedLoad(t, 760+seed, func(sim *Simulation) { sim.Capacity = 8 }, func(sim *Simulation) {
+				sim.ExchangePeerHeartbeats()
 				shard := slices.IndexFunc(sim.Settings.Deployment.Teams, func(t config.Team) bool { return t.Name == "red" }) % 3
 				for range 12 {
-					owner := sim.Owner(shard)
+					owner := sim.ShardOwner(shard)
 					if owner < 0 {
 						time.Sleep(time.Second)
 						continue
 					}
 					slowOwner := sim.Controller(owner).Name
-					sim.Store.Slow = func(controller string) time.Duration {
+					sim.Store.RequestDelay = func(controller string) time.Duration {
 						if controller != slowOwner {
 							return 0
 						}
 						return time.Duration(300+sim.Random.IntN(600)) * time.Millisecond
 					}
-					sim.User(JobSpec{Team: "red", Tasks: 18, Cpus: 2, Run: 3 * time.Second})
+					sim.StartUser(JobSpec{Team: "red", Tasks: 18, Cpus: 2, RunTime: 3 * time.Second})
 					time.Sleep(time.Duration(100+sim.Random.IntN(900)) * time.Millisecond)
 					sim.setRedLimit(t, 18)
 					time.Sleep(time.Duration(sim.Random.IntN(3000)) * time.Millisecond)
-					sim.Store.Slow = nil
+					sim.Store.RequestDelay = nil
 					sim.setRedLimit(t, 40)
 					time.Sleep(2 * time.Second)
 				}
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -15,10 +15,10 @@
 	store      *Store
 	controller *ControllerProcess
 	budget     *transport.StateBudget // limits the request rates; nil: no limit
-	// Late, if set, returns the delay of a transaction. The caller of a delayed transaction gets no answer.
-	Late func(protocol.Txn) time.Duration
-	// After, if set, is called after a transaction was applied, before the caller gets the answer.
-	After func(protocol.Txn)
+	// LateTransactions, if set, returns the delay of a transaction. The caller of a delayed transaction gets no answer.
+	LateTransactions func(protocol.Txn) time.Duration
+	// AfterTransaction, if set, is called after a transaction was applied, before the caller gets the answer.
+	AfterTransaction func(protocol.Txn)
 	// Requests counts the requests that arrived over HTTP.
 	Requests StateRequests
 }
@@ -42,16 +42,16 @@
 func (l *StoreLink) admitRequest(ctx context.Context) error {
 	l.controller.waitWhileStalled()
 	time.Sleep(stateLatency)
-	if l.store.Slow != nil {
-		time.Sleep(l.store.Slow(l.controller.Name))
+	if l.store.RequestDelay != nil {
+		time.Sleep(l.store.RequestDelay(l.controller.Name))
 	}
 	if l.controller.ended() {
 		<-ctx.Done()
-		return protocol.ErrUnknown
+		return protocol.ErrOutcomeUnknown
 	}
 	if l.controller.isPartitionedFrom(NoState) {
 		time.Sleep(statePartitionDelay)
-		return protocol.ErrUnknown
+		return protocol.ErrOutcomeUnknown
 	}
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
@@ -67,14 +67,14 @@
 
 // answerIsLost reports whether the answer to a request that began at a time reaches the controller too late or not
 // at all.
-func (l *StoreLink) answerIsLost(began time.Time, cuts Cuts) bool {
+func (l *StoreLink) answerIsLost(began time.Time, cuts Partitions) bool {
 	return l.controller.stalledThrough(began, stateTimeout) || l.controller.isPartitionedFrom(cuts)
 }
 
 // Revision returns the store's revision.
 func (l *StoreLink) Revision(ctx context.Context) (uint64, error) {
 	if l.budget != nil {
-		if err := l.budget.Request(ctx); err != nil {
+		if err := l.budget.WaitForRequest(ctx); err != nil {
 			return 0, err
 		}
 	}
@@ -118,26 +118,26 @@
 	if err := l.admitRequest(ctx); err != nil {
 		return 0, nil, err
 	}
-	if l.Late != nil {
-		if delay := l.Late(txn); delay > 0 {
+	if l.LateTransactions != nil {
+		if delay := l.LateTransactions(txn); delay > 0 {
 			go l.applyLate(txn, delay)
 			time.Sleep(min(delay, lostAnswerDelay))
-			return 0, nil, protocol.ErrUnknown
+			return 0, nil, protocol.ErrOutcomeUnknown
 		}
 	}
 	began := time.Now()
 	rev, failed, err := l.apply(txn)
 	applied := err == nil && len(failed) == 0
-	if l.After != nil && applied {
-		l.After(txn)
+	if l.AfterTransaction != nil && applied {
+		l.AfterTransaction(txn)
 	}
 	if err == nil && len(txn.Then) > 0 && l.losesAnswer(txn, applied) {
 		time.Sleep(lostAnswerDelay)
-		return 0, nil, protocol.ErrUnknown
+		return 0, nil, protocol.ErrOutcomeUnknown
 	}
 	time.Sleep(stateLatency)
-	if l.answerIsLost(began, NoState|NoAnswers) || l.controller.ended() {
-		return 0, nil, protocol.ErrUnknown
+	if l.answerIsLost(began, NoState|NoStateAnswers) || l.controller.ended() {
+		return 0, nil, protocol.ErrOutcomeUnknown
 	}
 	return rev, failed, err
 }
@@ -157,7 +157,7 @@
 		return nil
 	}
 	if l.budget != nil {
-		l.budget.StepBack()
+		l.budget.BackOff()
 	}
 	return errOverRate
 }
@@ -168,7 +168,7 @@
 	defer l.store.mu.Unlock()
 	rev, failed, err := l.store.apply(txn)
 	if errors.Is(err, protocol.ErrTooLarge) {
-		l.store.TooLarge++ // a late copy is not counted, as nobody waits for its answer: it may date from before the limits were lowered
+		l.store.TooLargeTxns++ // a late copy is not counted, as nobody waits for its answer: it may date from before the limits were lowered
 	}
 	return rev, failed, err
 }
@@ -230,7 +230,7 @@
 // Grant grants a session lease.
 func (l *StoreLink) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if l.budget != nil {
-		l.budget.Owe()
+		l.budget.ChargeRequest()
 	}
 	if err := l.admitRequest(ctx); err != nil {
 		return 0, err
@@ -239,8 +239,8 @@
 	l.store.mu.Lock()
 	id := l.store.grant(ttl)
 	l.store.mu.Unlock()
-	if l.answerIsLost(began, NoAnswers) {
-		return 0, protocol.ErrUnknown
+	if l.answerIsLost(began, NoStateAnswers) {
+		return 0, protocol.ErrOutcomeUnknown
 	}
 	return id, nil
 }
@@ -253,7 +253,7 @@
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	if l.store.leases[lease] == nil {
-		return protocol.ErrNoLease
+		return protocol.ErrLeaseExpired
 	}
 	l.store.endLease(lease)
 	return nil
@@ -262,7 +262,7 @@
 // Renew renews a session lease.
 func (l *StoreLink) Renew(ctx context.Context, lease uint64, _ time.Duration) error {
 	if l.budget != nil {
-		l.budget.Owe()
+		l.budget.ChargeRequest()
 	}
 	if err := l.admitRequest(ctx); err != nil {
 		return err
@@ -275,10 +275,10 @@
 	}
 	l.store.mu.Unlock()
 	switch {
-	case l.answerIsLost(began, NoAnswers):
-		return protocol.ErrUnknown
+	case l.answerIsLost(began, NoStateAnswers):
+		return protocol.ErrOutcomeUnknown
 	case held == nil:
-		return protocol.ErrNoLease
+		return protocol.ErrLeaseExpired
 	}
 	return nil
 }
@@ -287,7 +287,7 @@
 // changes.
 func (l *StoreLink) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
 	if l.budget != nil {
-		l.budget.Owe()
+		l.budget.ChargeRequest()
 	}
 	if err := l.admitRequest(ctx); err != nil {
 		return protocol.Events{}, err
@@ -299,8 +299,8 @@
 			return protocol.Events{}, err
 		}
 		if !unreachable && (len(events.Events) > 0 || time.Now().After(deadline)) {
-			if l.store.Lag != nil {
-				time.Sleep(l.store.Lag(l.controller.Name))
+			if l.store.WatchDelay != nil {
+				time.Sleep(l.store.WatchDelay(l.controller.Name))
 			}
 			l.controller.waitWhileStalled()
 			return events, nil
@@ -317,9 +317,9 @@
 	l.store.mu.Lock()
 	defer l.store.mu.Unlock()
 	l.store.expire()
-	unreachable = l.store.refuses(l.controller.Name) || l.controller.ended() || l.controller.isPartitionedFrom(NoState|NoAnswers)
+	unreachable = l.store.refuses(l.controller.Name) || l.controller.ended() || l.controller.isPartitionedFrom(NoState|NoStateAnswers)
 	if from < l.store.compactedTo && !unreachable {
-		return protocol.Events{}, false, nil, protocol.ErrTooOld
+		return protocol.Events{}, false, nil, protocol.ErrRevisionTooOld
 	}
 	return l.store.eventsAfter(prefix, from), unreachable, l.store.changed, nil
 }
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -70,7 +70,7 @@
 	for _, b := range l.backends {
 		go func() {
 			for ctx.Err() == nil {
-				l.probed(b, b.probe(client), time.Now())
+				l.noteProbeResult(b, b.probe(client), time.Now())
 				wait.For(ctx, probeInterval)
 			}
 		}()
@@ -86,8 +86,8 @@
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// probed applies the result of a probe.
-func (l *LoadBalancer) probed(b *backend, ok bool, now time.Time) {
+// noteProbeResult applies the result of a probe.
+func (l *LoadBalancer) noteProbeResult(b *backend, ok bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b.noteProbe(ok)
@@ -186,7 +186,7 @@
 		tried = append(tried, b)
 		target, err := b.connect()
 		if l.connected(b, conn, err) {
-			splice(conn, target, Direction{Held: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
+			splice(conn, target, RelayOptions{Blocked: func() bool { return b.process.isPartitionedFrom(NoUsers) }})
 			l.disconnected(b, conn)
 			return
 		}
--- a/internal/simulator/load_balancer_test.go
+++ b/internal/simulator/load_balancer_test.go
@@ -31,7 +31,7 @@
 			got := ""
 			for _, p := range test.probes {
 				now = now.Add(time.Second)
-				loadBalancer.probed(loadBalancer.backends[0], p == '+', now)
+				loadBalancer.noteProbeResult(loadBalancer.backends[0], p == '+', now)
 				if loadBalancer.backends[0].healthy {
 					got += "h"
 				} else {
@@ -49,7 +49,7 @@
 func TestStoreLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
-		store.Keep = 10
+		store.MaxKeptChanges = 10
 		storeLink := store.Open(nil)
 		put := func(n int, value string) error {
 			txn := protocol.Txn{}
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 		}
-		if _, err := storeLink.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrTooOld) {
+		if _, err := storeLink.Watch(t.Context(), "a/", 1, 0); !errors.Is(err, protocol.ErrRevisionTooOld) {
 			t.Errorf("watch from a revision that is no longer kept: error %v, want ErrTooOld", err)
 		}
 		if ev, err := storeLink.Watch(t.Context(), "a/", 20, 0); err != nil || len(ev.Events) != 5 {
@@ -83,8 +83,8 @@
 		if _, _, _, err := storeLink.Read(t.Context(), "h"); !errors.Is(err, protocol.ErrNotFound) {
 			t.Errorf("read of a key whose lease has ended: error %v, want ErrNotFound", err)
 		}
-		store.Shrink(10, 2, 1000)
-		store.Limit(5, 3)
+		store.LowerLimits(10, 2, 1000)
+		store.LimitRates(5, 3)
 		for _, c := range []struct {
 			n     int
 			value string
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -52,35 +52,37 @@
 	hanging             bool
 	unhealthy           bool
 	partitioned         bool // neither its heartbeats nor their answers arrive
-	deafToController    bool // its heartbeats arrive, but answers and direct commands are lost
-	silentToControllers bool // its heartbeats are lost, but direct commands arrive
+	inboundPartitioned  bool // its heartbeats arrive, but answers and direct commands are lost
+	outboundPartitioned bool // its heartbeats are lost, but direct commands arrive
 	preemptionNotice    time.Time
 }
 
-// HangingMachine returns a change for Set: while on, the machine does nothing; afterwards it resumes.
+// HangingMachine returns a change for UpdateMachine: while on, the machine does nothing; afterwards it resumes.
 func HangingMachine(on bool) func(*Machine) { return func(m *Machine) { m.hanging = on } }
 
-// UnhealthyMachine returns a change for Set: while on, all tasks fail on the machine.
+// UnhealthyMachine returns a change for UpdateMachine: while on, all tasks fail on the machine.
 func UnhealthyMachine(on bool) func(*Machine) { return func(m *Machine) { m.unhealthy = on } }
 
-// CutOff returns a change for Set: while on, the machine and the controllers cannot reach one another.
-func CutOff(on bool) func(*Machine) { return func(m *Machine) { m.partitioned = on } }
+// MachinePartition returns a change for UpdateMachine: while on, the machine and the controllers cannot reach one another.
+func MachinePartition(on bool) func(*Machine) { return func(m *Machine) { m.partitioned = on } }
 
-// DeafMachine returns a change for Set: while on, the machine's heartbeats arrive, but answers and direct commands
+// InboundPartition returns a change for UpdateMachine: while on, the machine's heartbeats arrive, but answers and direct commands
 // to it are lost.
-func DeafMachine(on bool) func(*Machine) { return func(m *Machine) { m.deafToController = on } }
+func InboundPartition(on bool) func(*Machine) { return func(m *Machine) { m.inboundPartitioned = on } }
 
-// MuteMachine returns a change for Set: while on, the machine's heartbeats are lost, but direct commands to it
+// OutboundPartition returns a change for UpdateMachine: while on, the machine's heartbeats are lost, but direct commands to it
 // arrive.
-func MuteMachine(on bool) func(*Machine) { return func(m *Machine) { m.silentToControllers = on } }
+func OutboundPartition(on bool) func(*Machine) {
+	return func(m *Machine) { m.outboundPartitioned = on }
+}
 
-// PreemptionNotice returns a change for Set: the cloud takes the spot machine back after a time.
+// PreemptionNotice returns a change for UpdateMachine: the cloud takes the spot machine back after a time.
 func PreemptionNotice(d time.Duration) func(*Machine) {
 	return func(m *Machine) { m.preemptionNotice = time.Now().Add(d) }
 }
 
-// Set applies a change to a machine. The functions above return changes that begin or end a fault.
-func (sim *Simulation) Set(m *Machine, change func(*Machine)) {
+// UpdateMachine applies a change to a machine. The functions above return changes that begin or end a fault.
+func (sim *Simulation) UpdateMachine(m *Machine, change func(*Machine)) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	change(m)
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -14,11 +14,11 @@
 	isolatedZone   string                // the zone that is partitioned from all others; "" if none is
 	heldHeartbeats []*protocol.Heartbeat // to be delivered after the next change of leadership
 
-	// Delay returns how long a message takes between two zones, for workers and controllers that communicate over
+	// ZoneDelay returns how long a message takes between two zones, for workers and controllers that communicate over
 	// HTTP.
-	Delay func(from, to string) time.Duration
-	// Late returns the delay of a transaction. The sender of a delayed transaction gets no answer.
-	Late func(controller string, t protocol.Txn) time.Duration
+	ZoneDelay func(from, to string) time.Duration
+	// LateTransactions returns the delay of a transaction. The sender of a delayed transaction gets no answer.
+	LateTransactions func(controller string, t protocol.Txn) time.Duration
 	// LostAnswers reports whether a transaction is applied at once, but its answer is lost.
 	LostAnswers func(controller string, t protocol.Txn) bool
 	// LateCommands returns the delay of direct commands. The sender of delayed commands gets no answer.
@@ -27,11 +27,11 @@
 	LateAnswers func(machine string) time.Duration
 	// LateHeartbeats returns the delay of a heartbeat. The sender of a delayed heartbeat gets no answer.
 	LateHeartbeats func(machine string) time.Duration
-	// CopiedHeartbeats returns the delay after which a duplicate of a heartbeat arrives; 0: there is no duplicate.
-	CopiedHeartbeats func(machine string) time.Duration
-	// KeptHeartbeats reports whether a duplicate of a heartbeat is held until the next change of leadership, when
+	// HeartbeatDuplicateDelay returns the delay after which a duplicate of a heartbeat arrives; 0: there is no duplicate.
+	HeartbeatDuplicateDelay func(machine string) time.Duration
+	// HoldHeartbeat reports whether a duplicate of a heartbeat is held until the next change of leadership, when
 	// it is delivered to every controller.
-	KeptHeartbeats func(machine string) bool
+	HoldHeartbeat func(machine string) bool
 	// LateScaleOuts returns the delay of a scale-out request. The sender of a delayed request gets no answer.
 	LateScaleOuts func() time.Duration
 }
@@ -50,10 +50,10 @@
 	if n.LateHeartbeats != nil {
 		delay = n.LateHeartbeats(heartbeat.Machine)
 	}
-	if n.CopiedHeartbeats != nil {
-		copyAfter = n.CopiedHeartbeats(heartbeat.Machine)
+	if n.HeartbeatDuplicateDelay != nil {
+		copyAfter = n.HeartbeatDuplicateDelay(heartbeat.Machine)
 	}
-	if n.KeptHeartbeats != nil && n.KeptHeartbeats(heartbeat.Machine) {
+	if n.HoldHeartbeat != nil && n.HoldHeartbeat(heartbeat.Machine) {
 		n.heldHeartbeats = append(n.heldHeartbeats, heartbeat)
 	}
 	return delay, copyAfter
@@ -90,8 +90,8 @@
 	processes := slices.Clone(sim.controllers)
 	sim.mu.Unlock()
 	for _, process := range processes {
-		if process.Cut(0); process.Zone == zone {
-			process.Cut(zonePartitions)
+		if process.SetPartitions(0); process.Zone == zone {
+			process.SetPartitions(zonePartitions)
 		}
 	}
 }
@@ -110,8 +110,8 @@
 
 // waitZoneDelay waits for as long as a message takes between two zones.
 func (sim *Simulation) waitZoneDelay(from, to string) {
-	if sim.Delay != nil {
-		time.Sleep(sim.Delay(from, to))
+	if sim.ZoneDelay != nil {
+		time.Sleep(sim.ZoneDelay(from, to))
 	}
 }
 
@@ -130,7 +130,7 @@
 			for _, process := range processes {
 				for _, heartbeat := range kept {
 					if !process.ended() && !process.isPartitionedFrom(NoWorkers) {
-						sim.CopiesToNext.Add(1)
+						sim.DuplicatesToNewLeader.Add(1)
 						process.handleHeartbeat(sim.ctx, heartbeat, func(int, any) {})
 					}
 				}
