--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -26,7 +26,7 @@
 	return func(sim *Simulation, _ *faultHooks) {
 		for _, m := range sim.Machines() {
 			if sim.Random.IntN(3) == 0 {
-				sim.Set(m, change)
+				sim.UpdateMachine(m, change)
 			}
 		}
 	}
@@ -37,19 +37,21 @@
 
 // overlappingFaultKinds are the faults that TestOverlappingFaults combines.
 var overlappingFaultKinds = []faultKind{
-	{"the leader loses the state service and its peers", func(sim *Simulation, _ *faultHooks) { sim.Controller(leaderOrFirst(sim)).Cut(NoState | NoPeers) }},
+	{"the leader loses the state service and its peers", func(sim *Simulation, _ *faultHooks) {
+		sim.Controller(leaderOrFirst(sim)).SetPartitions(NoState | NoPeers)
+	}},
 	{"another controller loses the state service and its peers", func(sim *Simulation, _ *faultHooks) {
-		sim.Controller((leaderOrFirst(sim) + 1) % 3).Cut(NoState | NoPeers)
+		sim.Controller((leaderOrFirst(sim) + 1) % 3).SetPartitions(NoState | NoPeers)
 	}},
 	{"heartbeats are delivered again later", func(_ *Simulation, h *faultHooks) { h.duplicateHeartbeats.Store(true) }},
 	{"heartbeats are delayed", func(_ *Simulation, h *faultHooks) { h.delayHeartbeats.Store(true) }},
 	{"the leader is killed", func(sim *Simulation, _ *faultHooks) { sim.Kill(leaderOrFirst(sim)) }},
-	{"machines receive nothing from controllers", changeSomeMachines(DeafMachine(true))},
-	{"machines are partitioned", changeSomeMachines(CutOff(true))},
+	{"machines receive nothing from controllers", changeSomeMachines(InboundPartition(true))},
+	{"machines are partitioned", changeSomeMachines(MachinePartition(true))},
 	{"machines hang", changeSomeMachines(HangingMachine(true))},
 	{"the state service is slow", func(_ *Simulation, h *faultHooks) { h.slowStore.Store(true) }},
 	{"the leader is refused, then an outage of the state service", func(sim *Simulation, _ *faultHooks) {
-		sim.Store.Deny(sim.Controller(leaderOrFirst(sim)).Name, true)
+		sim.Store.RefuseController(sim.Controller(leaderOrFirst(sim)).Name, true)
 		time.Sleep(sim.randomDuration(100*time.Millisecond, 3*time.Second))
 		sim.Store.SetDown(true)
 		time.Sleep(sim.randomDuration(0, 45*time.Second))
@@ -57,7 +59,7 @@
 	{"transactions are applied late", func(_ *Simulation, h *faultHooks) { h.delayTransactions.Store(true) }},
 	{"direct commands are delayed", func(_ *Simulation, h *faultHooks) { h.delayCommands.Store(true) }},
 	{"answers to direct commands are delayed", func(_ *Simulation, h *faultHooks) { h.delayAnswers.Store(true) }},
-	{"all controllers restart", func(sim *Simulation, _ *faultHooks) { sim.Again(sim.randomDuration(0, time.Second), 0, 1, 2) }},
+	{"all controllers restart", func(sim *Simulation, _ *faultHooks) { sim.Restart(sim.randomDuration(0, time.Second), 0, 1, 2) }},
 	{"all controllers are killed, one restarts", func(sim *Simulation, _ *faultHooks) {
 		for i := range 3 {
 			if !sim.Controller(i).ended() {
@@ -69,7 +71,7 @@
 	}},
 	{"random controllers restart repeatedly", func(sim *Simulation, _ *faultHooks) {
 		for range 4 {
-			sim.Again(sim.randomDuration(0, time.Second), sim.Random.IntN(3))
+			sim.Restart(sim.randomDuration(0, time.Second), sim.Random.IntN(3))
 			time.Sleep(sim.randomDuration(0, 3*time.Second))
 		}
 	}},
@@ -79,13 +81,13 @@
 	{"a zone is partitioned", func(sim *Simulation, _ *faultHooks) {
 		sim.PartitionZone(sim.Settings.Deployment.Zones[sim.Random.IntN(3)])
 	}},
-	{"machines reach no controller", changeSomeMachines(MuteMachine(true))},
+	{"machines reach no controller", changeSomeMachines(OutboundPartition(true))},
 	{"heartbeats are delivered again to the next leader", func(_ *Simulation, h *faultHooks) { h.keepHeartbeats.Store(true) }},
 	{"answers of the state service are lost", func(_ *Simulation, h *faultHooks) { h.loseAnswers.Store(true) }},
 	{"long-running jobs are cancelled, their machines hang", func(sim *Simulation, h *faultHooks) { h.cancelAll(sim, true) }},
 	{"long-running jobs are cancelled", func(sim *Simulation, h *faultHooks) { h.cancelAll(sim, false) }},
 	{"jobs are cancelled as their last task completes", func(_ *Simulation, h *faultHooks) { h.cancelAtEnd.Store(true) }},
-	{"users query all controllers at once", func(sim *Simulation, _ *faultHooks) { sim.SetCloseLooks(true) }},
+	{"users query all controllers at once", func(sim *Simulation, _ *faultHooks) { sim.SetQueryAllAfterAnswers(true) }},
 	{"conflicting and invalid submissions", func(sim *Simulation, h *faultHooks) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -95,31 +97,31 @@
 	}},
 	{"single-task jobs", func(sim *Simulation, _ *faultHooks) {
 		for i := range 60 {
-			spec := JobSpec{Team: sim.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: 3 * time.Second}
+			spec := JobSpec{Team: sim.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, RunTime: 3 * time.Second}
 			if i%4 == 1 {
 				spec.CancelAfter = sim.randomDuration(time.Millisecond, 3*time.Second)
 			}
-			sim.User(spec)
+			sim.StartUser(spec)
 			time.Sleep(250 * time.Millisecond)
 		}
 	}},
 	{"more long-running jobs", func(sim *Simulation, h *faultHooks) {
 		for i := range 4 {
-			h.addJobToCancel(sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[i].Name, Tasks: 3, Cpus: 6, Run: 20 * time.Minute, CancelAfter: sim.randomDuration(15*time.Second, 40*time.Second)}))
+			h.addJobToCancel(sim.StartUser(JobSpec{Team: sim.Settings.Deployment.Teams[i].Name, Tasks: 3, Cpus: 6, RunTime: 20 * time.Minute, CancelAfter: sim.randomDuration(15*time.Second, 40*time.Second)}))
 		}
 	}},
 	{"an array bound to a zone loses machines", func(sim *Simulation, _ *faultHooks) {
-		sim.User(JobSpec{Team: "green", Tasks: 5, Cpus: 4, Run: 20 * time.Second, Zone: "b"})
+		sim.StartUser(JobSpec{Team: "green", Tasks: 5, Cpus: 4, RunTime: 20 * time.Second, Zone: "b"})
 		time.Sleep(7 * time.Second)
 		for _, m := range sim.Machines() {
 			if m.Zone == "b" && sim.Random.IntN(2) == 0 {
-				sim.Die(m)
+				sim.FailMachine(m)
 			}
 		}
 	}},
 	{"one leader after another restarts", func(sim *Simulation, _ *faultHooks) {
 		for range 4 {
-			sim.Again(sim.randomDuration(0, 2*time.Second), leaderOrFirst(sim))
+			sim.Restart(sim.randomDuration(0, 2*time.Second), leaderOrFirst(sim))
 			time.Sleep(3 * time.Second)
 		}
 	}},
@@ -144,17 +146,17 @@
 
 // add adds the events of a simulation that has ended.
 func (c *overlapCounts) add(sim *Simulation, cancelled []*Job) {
-	c.duplicates += int(sim.Copies.Load())
-	c.duplicatesToNextLeader += int(sim.CopiesToNext.Load())
-	c.closeLooks += int(sim.Looks.Load())
-	c.lateApplied += int(sim.LateDone.Load())
-	c.lateRefused += int(sim.LateDenied.Load())
+	c.duplicates += int(sim.DuplicateHeartbeats.Load())
+	c.duplicatesToNextLeader += int(sim.DuplicatesToNewLeader.Load())
+	c.closeLooks += int(sim.QueryAllAnswers.Load())
+	c.lateApplied += int(sim.LateTxnsApplied.Load())
+	c.lateRefused += int(sim.LateTxnsRejected.Load())
 	c.kills += int(sim.KillCount.Load())
 	for _, n := range sim.AnswersLost {
 		c.answersLost += n
 	}
 	for _, j := range cancelled {
-		if sim.Told(j) == protocol.Cancelled {
+		if sim.ReportedStatus(j) == protocol.Cancelled {
 			c.cancellations++
 		}
 	}
@@ -184,12 +186,12 @@
 			h := &faultHooks{}
 			runMixedLoad(t, 7000+uint64(number), func(sim *Simulation) {
 				sim.Settings.Deployment.Workers.CancelS = 36
-				sim.CapacityOf = 16
+				sim.Capacity = 16
 				if number%3 == 0 {
-					sim.Boot = func() time.Duration { return sim.randomDuration(300*time.Millisecond, 2*time.Second) }
+					sim.BootTimeOf = func() time.Duration { return sim.randomDuration(300*time.Millisecond, 2*time.Second) }
 				}
 				h.install(sim)
-				sim.PeerDelay()
+				sim.ExchangePeerHeartbeats()
 			}, func(sim *Simulation) {
 				spreadJobs := sim.submitSpreadJobs()
 				for round := range pairsPerSimulation {
@@ -214,8 +216,8 @@
 // submitSpreadJobs submits jobs whose tasks end at different times.
 func (sim *Simulation) submitSpreadJobs() (jobs []*Job) {
 	for k := range 3 {
-		jobs = append(jobs, sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1,
-			Runs: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
+		jobs = append(jobs, sim.StartUser(JobSpec{Team: sim.Settings.Deployment.Teams[k].Name, Tasks: 2 + k%2, Cpus: 1,
+			TaskRunTimes: []time.Duration{2 * time.Second, 50 * time.Second, 25 * time.Second}}))
 	}
 	return jobs
 }
@@ -227,7 +229,7 @@
 	first, second := pair[0], pair[1]
 	t.Logf("at %v: %s; %s", time.Since(sim.StartTime), first.name, second.name)
 	for range 4 {
-		h.addJobToCancel(sim.User(JobSpec{Team: sim.Settings.Deployment.Teams[sim.Random.IntN(4)].Name, Tasks: 2, Cpus: 1, Run: 20 * time.Minute,
+		h.addJobToCancel(sim.StartUser(JobSpec{Team: sim.Settings.Deployment.Teams[sim.Random.IntN(4)].Name, Tasks: 2, Cpus: 1, RunTime: 20 * time.Minute,
 			CancelAfter: sim.randomDuration(time.Second, 25*time.Second)}))
 	}
 	time.Sleep(sim.randomDuration(3*time.Second, 9*time.Second))
--- a/internal/simulator/overload_test.go
+++ b/internal/simulator/overload_test.go
@@ -27,10 +27,10 @@
 func killThirdOfMachines(sim *Simulation) {
 	for i, m := range sim.Machines() {
 		if i%3 == 0 {
-			sim.Die(m)
+			sim.FailMachine(m)
 		}
 	}
-	sim.CapacityOf = 0
+	sim.Capacity = 0
 }
 
 // TestOverload raises the demand of one class of a team to twenty times its usual one, far more than the
@@ -75,16 +75,16 @@
 	}
 	sim := NewSimulation(ctx, cfg, 3)
 	eachController(sim.Start)
-	sim.PeerDelay()
-	sim.CapacityOf = 18
-	for i := range sim.CapacityOf {
+	sim.ExchangePeerHeartbeats()
+	sim.Capacity = 18
+	for i := range sim.Capacity {
 		sim.AddMachine(cfg.Deployment.Zones[i%3], false)
 	}
 	baselineBefore := sim.submitOverload(fault)
 	for _, served := range sim.Served(60 * time.Second) {
-		inTime := float64(served.InTime) / float64(served.Due)
+		inTime := float64(served.InTime) / float64(served.Accepted)
 		t.Logf("%v", served)
-		if served.Class == "steady" && (served.Part() < 0.97 || inTime < 0.9) || served.Part() < minServed {
+		if served.Class == "steady" && (served.DoneFraction() < 0.97 || inTime < 0.9) || served.DoneFraction() < minServed {
 			t.Errorf("%v", served)
 		}
 	}
@@ -104,11 +104,11 @@
 	for second := range duration {
 		if second%2 == 0 && second < duration-60 {
 			for _, team := range []string{"red", "blue"} {
-				sim.User(JobSpec{Team: team, Class: "steady", Tasks: 2 + sim.Random.IntN(5), Cpus: 2, Run: time.Duration(8+sim.Random.IntN(8)) * time.Second})
+				sim.StartUser(JobSpec{Team: team, Class: "steady", Tasks: 2 + sim.Random.IntN(5), Cpus: 2, RunTime: time.Duration(8+sim.Random.IntN(8)) * time.Second})
 			}
 		}
 		for range (1 + 19*min(1, second/overloadStart)*(1-min(1, second/overloadEnd))) * (1 - second%2) {
-			sim.User(JobSpec{Team: "red", Class: "overload", Tasks: 1 + sim.Random.IntN(7), Cpus: 2, Run: time.Duration(4+sim.Random.IntN(16)) * time.Second})
+			sim.StartUser(JobSpec{Team: "red", Class: "overload", Tasks: 1 + sim.Random.IntN(7), Cpus: 2, RunTime: time.Duration(4+sim.Random.IntN(16)) * time.Second})
 		}
 		if second == overloadStart {
 			baselineBefore = sim.baselineCPUs("overload")
--- a/internal/simulator/records.go
+++ b/internal/simulator/records.go
@@ -22,7 +22,7 @@
 	groups     map[int][]string     // by group: its tasks
 	fleets     map[string][]string  // by fleet record: the machines that it lists
 	fleetOf    map[string]string    // by machine: the fleet record that lists it
-	attempts   attempts
+	attempts   attemptHistory
 }
 
 // newRecordChecker returns a checker for an empty store.
@@ -41,7 +41,7 @@
 	c.simulation.mu.Lock()
 	defer c.simulation.mu.Unlock()
 	for _, reused := range c.attempts.note(txn) {
-		c.simulation.violation("%s", reused)
+		c.simulation.addViolation("%s", reused)
 	}
 	for _, change := range txn.Then {
 		if change.Put == storage.LeaderKey {
@@ -63,12 +63,12 @@
 	}
 	fleet, err := storage.DecodeFleet(change.Value)
 	if err != nil {
-		c.simulation.violation("record %s cannot be read", change.Put)
+		c.simulation.addViolation("record %s cannot be read", change.Put)
 	}
 	c.forgetFleet(change.Put)
 	for _, m := range fleet.Machines {
 		if other, twice := c.fleetOf[m.Name]; twice {
-			c.simulation.violation("records: machine %s is in %s and %s", m.Name, other, change.Put)
+			c.simulation.addViolation("records: machine %s is in %s and %s", m.Name, other, change.Put)
 		}
 		c.fleetOf[m.Name] = change.Put
 		c.fleets[change.Put] = append(c.fleets[change.Put], m.Name)
@@ -95,7 +95,7 @@
 		}
 		record, err := storage.DecodeGroup(change.Value)
 		if err != nil {
-			c.simulation.violation("record %s cannot be read", change.Put)
+			c.simulation.addViolation("record %s cannot be read", change.Put)
 		}
 		written[group] = record
 	}
@@ -119,7 +119,7 @@
 			for i := 0; i+3 < len(p.Numbers); i += 4 {
 				name := protocol.TaskName(p.Job, int(p.Numbers[i]))
 				if other, twice := c.placed[name]; twice {
-					c.simulation.violation("records: %s is on %s and %s", name, other.machine, m.Name)
+					c.simulation.addViolation("records: %s is on %s and %s", name, other.machine, m.Name)
 				}
 				c.placed[name] = placement{group, m.Name}
 				c.groups[group] = append(c.groups[group], name)
--- a/internal/simulator/relay.go
+++ b/internal/simulator/relay.go
@@ -13,11 +13,11 @@
 	heldPollInterval    = 50 * time.Millisecond
 )
 
-// Direction holds the conditions on connections between two ends, in both directions.
-type Direction struct {
-	Held  func() bool          // reports whether bytes are held back now; afterwards they are sent in order
-	Delay func() time.Duration // returns how long each chunk of bytes takes; nil: no delay
-	Meter *Meter               // counts the bytes; nil: they are not counted
+// RelayOptions holds the conditions on connections between two ends, in both directions.
+type RelayOptions struct {
+	Blocked func() bool          // reports whether bytes are held back now; afterwards they are sent in order
+	Delay   func() time.Duration // returns how long each chunk of bytes takes; nil: no delay
+	Meter   *Meter               // counts the bytes; nil: they are not counted
 }
 
 // dial connects to an address, with a time-out.
@@ -30,7 +30,7 @@
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
 // splice relays bytes between two connections until either is closed.
-func splice(a, b net.Conn, options Direction) {
+func splice(a, b net.Conn, options RelayOptions) {
 	var passing sync.WaitGroup
 	passing.Go(func() { options.pass(a, b) })
 	passing.Go(func() { options.pass(b, a) })
@@ -38,7 +38,7 @@
 }
 
 // pass relays the bytes that arrive from one connection to the other until either is closed.
-func (options Direction) pass(conn, from net.Conn) {
+func (options RelayOptions) pass(conn, from net.Conn) {
 	defer closeConn(conn)
 	defer closeConn(from)
 	buffer := make([]byte, relayBufferBytes)
@@ -47,7 +47,7 @@
 		if options.Delay != nil {
 			time.Sleep(options.Delay())
 		}
-		for options.Held() {
+		for options.Blocked() {
 			time.Sleep(heldPollInterval)
 		}
 		if n > 0 {
@@ -63,7 +63,7 @@
 
 // Relay accepts connections and relays each to an address, so that the network between two controllers can be
 // partitioned.
-func Relay(listener net.Listener, to string, options Direction) error {
+func Relay(listener net.Listener, to string, options RelayOptions) error {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -73,9 +73,9 @@
 	}
 }
 
-func relayConn(conn net.Conn, to string, options Direction) {
+func relayConn(conn net.Conn, to string, options RelayOptions) {
 	defer closeConn(conn)
-	if options.Held() {
+	if options.Blocked() {
 		return
 	}
 	target, err := dial(to, relayConnectTimeout)
--- a/internal/simulator/remote.go
+++ b/internal/simulator/remote.go
@@ -22,8 +22,8 @@
 // seconds of heartbeatAnswerTimeout, after which the worker drops the answer.
 const heartbeatTimeout = 3900 * time.Millisecond
 
-// Connect sets controller i to one that runs in another process, in a zone, and listens at an address.
-func (sim *Simulation) Connect(i int, name, zone, public string) *ControllerProcess {
+// ConnectRemoteController sets controller i to one that runs in another process, in a zone, and listens at an address.
+func (sim *Simulation) ConnectRemoteController(i int, name, zone, public string) *ControllerProcess {
 	process := &ControllerProcess{Name: name, Zone: zone, simulation: sim, stop: func() {}}
 	clients := &workerClients{address: public, meter: &process.HeartbeatMeter, byName: map[string]*fasthttp.HostClient{}}
 	process.handleHeartbeat = func(_ context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
@@ -115,7 +115,7 @@
 	app.Post("/commands", workerPorts.commands)
 	app.Get("/status", workerPorts.status)
 	workerPorts.server = &fasthttp.Server{Handler: app.Handler(), NoDefaultServerHeader: true, IdleTimeout: time.Minute}
-	sim.Listen = workerPorts.listen
+	sim.ListenForWorker = workerPorts.listen
 	return workerPorts
 }
 
@@ -238,15 +238,15 @@
 	if !(upload.RunS >= 0 && upload.RunS <= 1e9) {
 		return errors.New("field run_s is out of range")
 	}
-	job := &Job{ID: submission.ID, Team: submission.Team, Tasks: submission.Tasks, Run: seconds(upload.RunS), Cpus: submission.Cpus, Spot: submission.Spot, Broken: upload.Fails,
-		done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, At: time.Now()}
+	job := &Job{ID: submission.ID, Team: submission.Team, Tasks: submission.Tasks, RunTime: seconds(upload.RunS), Cpus: submission.Cpus, Spot: submission.Spot, AlwaysFails: upload.Fails,
+		done: map[int]bool{}, savedProgress: map[int]time.Duration{}, runningOn: map[int]*Machine{}, SubmittedAt: time.Now()}
 	if err := json.Unmarshal(upload.Spec, &job.Spec); err != nil {
 		return err
 	}
 	if upload.Spread > 0 {
 		job.taskRunTimes = make([]time.Duration, job.Tasks)
 		for i := range job.taskRunTimes {
-			job.taskRunTimes[i] = time.Duration(float64(job.Run) * (1 + upload.Spread*(2*sim.Random.Float64()-1)))
+			job.taskRunTimes[i] = time.Duration(float64(job.RunTime) * (1 + upload.Spread*(2*sim.Random.Float64()-1)))
 		}
 	}
 	sim.mu.Lock()
--- a/internal/simulator/restart_test.go
+++ b/internal/simulator/restart_test.go
@@ -20,20 +20,20 @@
 }{
 	{"one controller five times in ten seconds", nil, func(sim *Simulation, downtime time.Duration) {
 		for range 5 {
-			sim.Again(downtime, 1)
+			sim.Restart(downtime, 1)
 			time.Sleep(2 * time.Second)
 		}
 	}},
 	{"all controllers, and again during the election", nil, func(sim *Simulation, downtime time.Duration) {
-		sim.Again(downtime, 0, 1, 2)
+		sim.Restart(downtime, 0, 1, 2)
 		time.Sleep(150 * time.Millisecond)
-		sim.Again(downtime, 0, 1, 2)
+		sim.Restart(downtime, 0, 1, 2)
 		time.Sleep(900 * time.Millisecond)
-		sim.Again(downtime, 0, 1)
+		sim.Restart(downtime, 0, 1)
 	}},
 	{"the committing controller, between a commit and its answer", func(sim *Simulation, downtime time.Duration) {
 		var commits atomic.Int32
-		sim.After = func(i int, txn protocol.Txn) {
+		sim.AfterTransaction = func(i int, txn protocol.Txn) {
 			if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/rack/") }) && commits.Add(1)%9 == 0 && commits.Load() < 50 {
 				sim.Kill(i)
 				go func() { time.Sleep(downtime); sim.Start(i) }()
@@ -42,12 +42,12 @@
 	}, nil},
 	{"during an outage of the state service", nil, func(sim *Simulation, downtime time.Duration) {
 		sim.Store.SetDown(true)
-		sim.Again(downtime+3*time.Second, 0, 1, 2)
+		sim.Restart(downtime+3*time.Second, 0, 1, 2)
 		sim.Store.SetDown(false)
-		sim.Again(downtime, 2)
+		sim.Restart(downtime, 2)
 	}},
 	{"with late transactions and heartbeats", func(sim *Simulation, _ time.Duration) {
-		sim.Late = func(string, protocol.Txn) time.Duration {
+		sim.LateTransactions = func(string, protocol.Txn) time.Duration {
 			if sim.Random.IntN(12) == 0 {
 				return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
 			}
@@ -61,7 +61,7 @@
 		}
 	}, func(sim *Simulation, downtime time.Duration) {
 		for i := range 6 {
-			sim.Again(downtime, i%3)
+			sim.Restart(downtime, i%3)
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}},
@@ -79,9 +79,9 @@
 				var ownerChanges atomic.Int32
 				runMixedLoad(t, 700+uint64(round), func(sim *Simulation) {
 					sim.Settings.Deployment.Workers.CancelS = 36
-					sim.PeerDelay()
-					previousCheck := sim.Store.Check
-					sim.Store.Check = func(txn protocol.Txn) {
+					sim.ExchangePeerHeartbeats()
+					previousCheck := sim.Store.AfterApply
+					sim.Store.AfterApply = func(txn protocol.Txn) {
 						previousCheck(txn)
 						if slices.ContainsFunc(txn.Then, func(c protocol.Change) bool { return strings.Contains(c.Put, "/share/") }) {
 							ownerChanges.Add(1)
@@ -112,7 +112,7 @@
 		attempts []uint64
 		reused   bool
 	}{{[]uint64{5, 5, 0, 6}, false}, {[]uint64{5, 0, 5}, true}, {[]uint64{5, 6, 5}, true}} {
-		var a attempts
+		var a attemptHistory
 		found := 0
 		for _, attempt := range test.attempts {
 			r := storage.GroupRecord{Machines: []storage.GroupMachine{{Name: "m"}}}
--- a/internal/simulator/retrying_users.go
+++ b/internal/simulator/retrying_users.go
@@ -11,9 +11,9 @@
 	"dykeledge/internal/wait"
 )
 
-// Users are users who repeat a request until its answer is final, as the protocol demands. The load tool's users do
+// RetryingUsers are users who repeat a request until its answer is final, as the protocol demands. The load tool's users do
 // the same over HTTP.
-type Users struct{ Simulation *Simulation }
+type RetryingUsers struct{ Simulation *Simulation }
 
 // statusError is a final answer that holds no job state.
 type statusError struct {
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s: final answer with status %d", e.request, e.status)
 }
 
-func (u Users) retryUntilFinal(ctx context.Context, name string, request func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
+func (u RetryingUsers) retryUntilFinal(ctx context.Context, name string, request func(context.Context, *controller.Controller) controller.Answer) (protocol.JobState, error) {
 	for ctx.Err() == nil {
 		answer := u.Simulation.ask(submitTimeout, request)
 		if state, ok := decodeJobState(answer); ok {
@@ -42,17 +42,17 @@
 }
 
 // Submit submits a job and repeats the submission until it gets a final answer.
-func (u Users) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
+func (u RetryingUsers) Submit(ctx context.Context, body []byte) (protocol.JobState, error) {
 	return u.retryUntilFinal(ctx, "submission", func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Submit(ctx, body) })
 }
 
 // Cancel cancels a job and repeats the request until it gets a final answer.
-func (u Users) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
+func (u RetryingUsers) Cancel(ctx context.Context, id string) (protocol.JobState, error) {
 	return u.retryUntilFinal(ctx, id, func(ctx context.Context, c *controller.Controller) controller.Answer { return c.Cancel(ctx, id) })
 }
 
 // Status requests a job's state once.
-func (u Users) Status(id string) (protocol.JobState, error) {
+func (u RetryingUsers) Status(id string) (protocol.JobState, error) {
 	answer := u.Simulation.query(id)
 	if state, ok := decodeJobState(answer); ok {
 		return state, nil
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -29,8 +29,8 @@
 	return ruleChecker{startTime: start, settings: cfg, usedCPUs: map[string]float64{}, changedLimits: map[string]float64{}}
 }
 
-// violation records a violated rule with the time since the start of the simulation.
-func (c *ruleChecker) violation(format string, arguments ...any) {
+// addViolation records a violated rule with the time since the start of the simulation.
+func (c *ruleChecker) addViolation(format string, arguments ...any) {
 	at := fmt.Sprintf("%.1f s: ", time.Since(c.startTime).Seconds())
 	c.brokenRules = append(c.brokenRules, at+fmt.Sprintf(format, arguments...))
 }
@@ -44,8 +44,8 @@
 
 // taskStopped records that a task no longer runs on a machine.
 func (c *ruleChecker) taskStopped(m *Machine, t *taskAttempt) {
-	if t.job != nil && t.job.on[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
-		delete(t.job.on, t.index)
+	if t.job != nil && t.job.runningOn[t.index] == m && t.state != protocol.TaskExited && t.state != protocol.TaskFetching {
+		delete(t.job.runningOn, t.index)
 		c.usedCPUs[t.job.Team] -= t.job.Cpus
 	}
 }
@@ -63,22 +63,22 @@
 
 // noteTaskStart records that a task runs on a machine, and adds its CPUs to its team's usage.
 func (c *ruleChecker) noteTaskStart(m *Machine, t *taskAttempt) {
-	if t.job.on[t.index] == nil {
+	if t.job.runningOn[t.index] == nil {
 		c.usedCPUs[t.job.Team] += t.job.Cpus
 	}
-	t.job.on[t.index] = m
+	t.job.runningOn[t.index] = m
 }
 
 func (c *ruleChecker) checkRunsOnce(m *Machine, t *taskAttempt) {
-	if other := t.job.on[t.index]; other != nil && other != m {
-		c.violation("ran_twice: %s/%d on %s and %s", t.job.ID, t.index, other.Name, m.Name)
+	if other := t.job.runningOn[t.index]; other != nil && other != m {
+		c.addViolation("ran_twice: %s/%d on %s and %s", t.job.ID, t.index, other.Name, m.Name)
 	}
 }
 
 func (c *ruleChecker) checkDependencies(t *taskAttempt) {
 	for _, dependency := range t.job.dependencies {
 		if len(dependency.done) < dependency.Tasks || dependency.reportedStatus == protocol.Cancelled {
-			c.violation("too_early: %s/%d starts before %s is done", t.job.ID, t.index, dependency.ID)
+			c.addViolation("too_early: %s/%d starts before %s is done", t.job.ID, t.index, dependency.ID)
 		}
 	}
 }
@@ -86,23 +86,23 @@
 func (c *ruleChecker) checkPlacement(machine *Machine, t *taskAttempt) {
 	job := t.job
 	if machine.Spot && !job.Spot {
-		c.violation("wrong_place: %s/%d on a spot machine", job.ID, t.index)
+		c.addViolation("wrong_place: %s/%d on a spot machine", job.ID, t.index)
 	}
 	if zone := job.Spec["berth"]; zone != nil && zone != machine.Zone {
-		c.violation("wrong_place: %s/%d in zone %s", job.ID, t.index, machine.Zone)
+		c.addViolation("wrong_place: %s/%d in zone %s", job.ID, t.index, machine.Zone)
 	}
 	inZone, total := job.othersIn(machine.Zone, t.index)
 	if job.Spec["together"] == true && inZone != total {
-		c.violation("wrong_place: %s/%d is not in the zone of its job", job.ID, t.index)
+		c.addViolation("wrong_place: %s/%d is not in the zone of its job", job.ID, t.index)
 	}
 	if job.Spec["scatter"] == true && inZone+1 > (job.Tasks+1)/2 {
-		c.violation("wrong_place: %s has too many tasks in %s", job.ID, machine.Zone)
+		c.addViolation("wrong_place: %s has too many tasks in %s", job.ID, machine.Zone)
 	}
 }
 
 // othersIn counts the running tasks of the job other than a given one, in a zone and in total.
 func (j *Job) othersIn(zone string, except int) (inZone, total int) {
-	for i, machine := range j.on {
+	for i, machine := range j.runningOn {
 		if i == except {
 			continue
 		}
@@ -116,7 +116,7 @@
 
 func (c *ruleChecker) checkCancelled(t *taskAttempt) {
 	if !t.job.cancelConfirmedAt.IsZero() && time.Since(t.job.cancelConfirmedAt) > seconds(c.settings.Deployment.Workers.CancelS) {
-		c.violation("ran_cancelled: %s/%d starts after its job was cancelled", t.job.ID, t.index)
+		c.addViolation("ran_cancelled: %s/%d starts after its job was cancelled", t.job.ID, t.index)
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	key := [2]uint64{uint64(t.index), t.attempt}
 	if job.startedAttempts[key] {
-		c.violation("began again: %s/%d, attempt %d", job.ID, t.index, t.attempt)
+		c.addViolation("began again: %s/%d, attempt %d", job.ID, t.index, t.attempt)
 		return
 	}
 	job.startedAttempts[key] = true
@@ -141,7 +141,7 @@
 	within := seconds(c.settings.Deployment.Workers.CancelS) + time.Second
 	for _, t := range m.tasks {
 		if t.job != nil && t.state != protocol.TaskExited && !t.job.cancelConfirmedAt.IsZero() && now.Sub(t.job.cancelConfirmedAt) > within {
-			c.violation("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
+			c.addViolation("ran_cancelled: %s/%d is still on %s", t.job.ID, t.index, m.Name)
 			t.job.cancelConfirmedAt = now
 		}
 	}
@@ -150,7 +150,7 @@
 // checkLimit compares a team's usage with a limit.
 func (c *ruleChecker) checkLimit(team string, limit float64) {
 	if used := c.usedCPUs[team]; limit > 0 && used > limit+usageSlack {
-		c.violation("quota: team %s uses %.1f CPUs, limit %.1f", team, used, limit)
+		c.addViolation("quota: team %s uses %.1f CPUs, limit %.1f", team, used, limit)
 	}
 }
 
@@ -176,7 +176,7 @@
 		}
 		var record storage.TeamRecord
 		if err := json.Unmarshal(change.Value, &record); err != nil {
-			c.violation("record %s cannot be read", change.Put)
+			c.addViolation("record %s cannot be read", change.Put)
 		}
 		bounds := record.TeamBounds
 		if record.PreviousBounds != nil {
--- a/internal/simulator/scenarios_controllers_test.go
+++ b/internal/simulator/scenarios_controllers_test.go
@@ -9,7 +9,7 @@
 var controllerScenarios = []scenarioCase{
 	{"cancellations while shards change owner", 9003, func(s *scenario) { s.countCancellationsBetweenOwners() }, func(s *scenario) {
 		for i := range 3 {
-			owner := max(0, s.Owner(i))
+			owner := max(0, s.ShardOwner(i))
 			s.Kill(owner)
 			for range 4 { // from the owner's end until after the takeover
 				time.Sleep(s.randomDuration(400*time.Millisecond, 1100*time.Millisecond))
@@ -37,10 +37,10 @@
 		time.Sleep(30 * time.Second)
 		s.count("lease kills", s.Stats().LeaseKills)
 	}, "lease kills"},
-	{"the leader loses the state service and its peers, cancellations through another controller", 9012, func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
+	{"the leader loses the state service and its peers, cancellations through another controller", 9012, func(s *scenario) { s.QueryAllAfterAnswers = true }, func(s *scenario) {
 		isolatedLeader := leaderOrFirst(s.Simulation)
 		s.countLeaderChanges(func() {
-			s.Controller(isolatedLeader).Cut(NoState | NoPeers)
+			s.Controller(isolatedLeader).SetPartitions(NoState | NoPeers)
 			time.Sleep(5 * time.Second)
 			for _, j := range s.longJobs[:4] {
 				if s.CancelAt(j, (isolatedLeader+1)%3) {
@@ -67,8 +67,8 @@
 	}, "leadership taken"},
 	{"tasks that end at different times, over changes of the leader", 9025, nil, func(s *scenario) {
 		for i := range 6 {
-			s.awaitedJobs = append(s.awaitedJobs, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 1,
-				Runs: []time.Duration{2 * time.Second, 22 * time.Second, 44 * time.Second}}))
+			s.awaitedJobs = append(s.awaitedJobs, s.StartUser(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 3, Cpus: 1,
+				TaskRunTimes: []time.Duration{2 * time.Second, 22 * time.Second, 44 * time.Second}}))
 		}
 		completedTasks := func() (n int) {
 			s.mu.Lock()
@@ -86,6 +86,6 @@
 			}
 			time.Sleep(10 * time.Second)
 		})
-		s.count("ran again", s.RanAgain)
+		s.count("ran again", s.StartsAfterDone)
 	}, "leadership taken, completed before leader 2, completed before leader 4, !ran again"},
 }
--- a/internal/simulator/scenarios_test.go
+++ b/internal/simulator/scenarios_test.go
@@ -64,7 +64,7 @@
 // confirmedCancellations returns how many of the cancelled jobs were reported to their users as cancelled.
 func (s *scenario) confirmedCancellations() (n int) {
 	for _, j := range s.cancelled {
-		if s.Told(j) == protocol.Cancelled {
+		if s.ReportedStatus(j) == protocol.Cancelled {
 			n++
 		}
 	}
@@ -75,8 +75,8 @@
 func (s *scenario) submitLongJobs(n int, spec JobSpec) {
 	for i := range n {
 		spec.Team = s.Settings.Deployment.Teams[i%4].Name
-		spec.Tasks, spec.Cpus, spec.Run = cmp.Or(spec.Tasks, 2), cmp.Or(spec.Cpus, 4), time.Hour
-		s.longJobs = append(s.longJobs, s.User(spec))
+		spec.Tasks, spec.Cpus, spec.RunTime = cmp.Or(spec.Tasks, 2), cmp.Or(spec.Cpus, 4), time.Hour
+		s.longJobs = append(s.longJobs, s.StartUser(spec))
 	}
 }
 
@@ -84,11 +84,11 @@
 // seconds.
 func (s *scenario) submitStream(duration time.Duration) {
 	for i := range int(4 * duration.Seconds()) {
-		spec := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, Run: s.randomDuration(2*time.Second, 8*time.Second)}
+		spec := JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1, Cpus: 1, RunTime: s.randomDuration(2*time.Second, 8*time.Second)}
 		if i%4 == 1 {
 			spec.CancelAfter = s.randomDuration(time.Millisecond, 3*time.Second)
 		}
-		s.awaitedJobs = append(s.awaitedJobs, s.User(spec))
+		s.awaitedJobs = append(s.awaitedJobs, s.StartUser(spec))
 		time.Sleep(250 * time.Millisecond)
 	}
 }
@@ -100,7 +100,7 @@
 		for _, m := range s.machinesOf(j) {
 			if len(changed) < limit && !slices.Contains(changed, m) {
 				changed = append(changed, m)
-				s.Set(m, change)
+				s.UpdateMachine(m, change)
 			}
 		}
 	}
@@ -124,9 +124,9 @@
 
 // countLeaderChanges counts how often leadership was taken while f ran.
 func (s *scenario) countLeaderChanges(f func()) {
-	before := s.IsLeader.Load()
+	before := s.LeaderChanges.Load()
 	f()
-	s.count("leadership taken", int(s.IsLeader.Load()-before))
+	s.count("leadership taken", int(s.LeaderChanges.Load()-before))
 }
 
 // scenarioCase is a scenario with the events that must occur in it: a scenario that fails to cause them
@@ -176,7 +176,7 @@
 		used := map[string]float64{}
 		s.mu.Lock()
 		for _, j := range s.jobs {
-			used[j.Team] += float64(len(j.on)) * j.Cpus
+			used[j.Team] += float64(len(j.runningOn)) * j.Cpus
 		}
 		s.mu.Unlock()
 		for _, t := range s.Settings.Deployment.Teams {
@@ -191,8 +191,8 @@
 // down, or within two seconds of a change of the owner of the job's shard.
 func (s *scenario) countCancellationsBetweenOwners() {
 	changedAt := map[int]time.Time{} // by shard
-	previousCheck := s.Store.Check
-	s.Store.Check = func(txn protocol.Txn) {
+	previousCheck := s.Store.AfterApply
+	s.Store.AfterApply = func(txn protocol.Txn) {
 		previousCheck(txn)
 		for _, change := range txn.Then {
 			var shard int
@@ -260,7 +260,7 @@
 	cfg.Deployment.Teams[0].CpusMax = 0
 	cfg.Deployment.Workers.CancelS = 36
 	s := &scenario{Simulation: NewSimulation(ctx, cfg, c.seed), hooks: &faultHooks{}, counts: map[string]int{}}
-	s.CapacityOf = 14
+	s.Capacity = 14
 	if os.Getenv("SCENARIO_LOG") != "" {
 		s.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
@@ -276,7 +276,7 @@
 	for i := range 3 {
 		s.Start(i)
 	}
-	s.PeerDelay()
+	s.ExchangePeerHeartbeats()
 	for i := range 9 {
 		s.AddMachine(s.Settings.Deployment.Zones[i%3], false)
 	}
@@ -298,7 +298,7 @@
 		t.Logf("%s: %d", event, n)
 	}
 	t.Logf("%d controllers killed, leadership taken %d times, %d cancellations confirmed, %d task starts after one, %d tasks killed by expired leases",
-		s.KillCount.Load(), s.IsLeader.Load(), s.confirmedCancellations(), s.StartsAfterCancel, s.LeaseKills)
+		s.KillCount.Load(), s.LeaderChanges.Load(), s.confirmedCancellations(), s.StartsAfterCancel, s.LeaseKills)
 }
 
 // checkNoWaitBesideCapacity watches the jobs for a time after the faults: none may wait for more than 90 s
@@ -309,7 +309,7 @@
 	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Second)
 		stillWaiting := map[*Job]time.Time{}
-		for _, j := range sim.Beside() {
+		for _, j := range sim.WaitingDespiteCapacity() {
 			at, ok := waitingSince[j]
 			if !ok {
 				at = time.Now()
--- a/internal/simulator/scenarios_users_test.go
+++ b/internal/simulator/scenarios_users_test.go
@@ -9,22 +9,22 @@
 
 // userScenarios are the scenarios about users' requests and the answers to them.
 var userScenarios = []scenarioCase{
-	{"queries at all controllers at once, and cancellations", 9000, func(s *scenario) { s.CloseLooks = true }, func(s *scenario) {
+	{"queries at all controllers at once, and cancellations", 9000, func(s *scenario) { s.QueryAllAfterAnswers = true }, func(s *scenario) {
 		go func() { time.Sleep(8 * time.Second); s.restartLeader(3 * time.Second) }()
 		s.submitStream(25 * time.Second)
 		s.cancelLongJobs(4)
 		time.Sleep(5 * time.Second)
-		s.count("checked answers", int(s.Looks.Load()))
+		s.count("checked answers", int(s.QueryAllAnswers.Load()))
 	}, "checked answers"},
 	{"queries at all controllers at once, lost answers of the state service", 9001, func(s *scenario) {
-		s.CloseLooks = true
+		s.QueryAllAfterAnswers = true
 		s.LostAnswers = func(string, protocol.Txn) bool { return s.hooks.loseAnswers.Load() && s.Random.IntN(3) == 0 }
 	}, func(s *scenario) {
 		s.hooks.loseAnswers.Store(true)
 		s.submitStream(25 * time.Second)
 		s.cancelLongJobs(4)
 		time.Sleep(5 * time.Second)
-		s.count("checked answers", int(s.Looks.Load()))
+		s.count("checked answers", int(s.QueryAllAnswers.Load()))
 		s.countLostAnswers("job", "rack")
 	}, "lost job, lost rack"},
 	{"single-task jobs for two minutes, a quarter of them cancelled", 9002, nil, func(s *scenario) {
@@ -33,29 +33,29 @@
 		s.count("jobs", len(s.awaitedJobs))
 	}, "jobs"},
 	{"cancelled, queried and submitted again as the last task completes", 9014, func(s *scenario) {
-		s.CloseLooks = true
-		s.AtEnd = func(j *Job) {
+		s.QueryAllAfterAnswers = true
+		s.OnJobDone = func(j *Job) {
 			if s.Random.IntN(2) == 0 {
 				s.count("cancelled at the end", 1)
 				s.CancelNow(j)
 			}
-			s.CloseLook(j)
+			s.QueryAllControllers(j)
 		}
 	}, func(s *scenario) {
 		s.hooks.slowStore.Store(true) // the completion may be committed between a query and the cancellation
 		for i := range 40 {
-			s.awaitedJobs = append(s.awaitedJobs, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1 + i%3, Cpus: 1, Run: s.randomDuration(time.Second, 3*time.Second)}))
+			s.awaitedJobs = append(s.awaitedJobs, s.StartUser(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 1 + i%3, Cpus: 1, RunTime: s.randomDuration(time.Second, 3*time.Second)}))
 			time.Sleep(300 * time.Millisecond)
 		}
 	}, "cancelled at the end"},
-	{"more demand than capacity, jobs of all urgencies, a slow state service", 9020, func(s *scenario) { s.CapacityOf = 9 }, func(s *scenario) {
+	{"more demand than capacity, jobs of all urgencies, a slow state service", 9020, func(s *scenario) { s.Capacity = 9 }, func(s *scenario) {
 		s.hooks.slowStore.Store(true)
 		for i := range 24 {
 			urgency := []string{"low", "normal", "high", "production"}[i%4]
-			s.awaitedJobs = append(s.awaitedJobs, s.User(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 5, Cpus: 4, Run: 12 * time.Second, Urgency: urgency}))
+			s.awaitedJobs = append(s.awaitedJobs, s.StartUser(JobSpec{Team: s.Settings.Deployment.Teams[i%4].Name, Tasks: 5, Cpus: 4, RunTime: 12 * time.Second, Urgency: urgency}))
 		}
 		time.Sleep(20 * time.Second)
-		s.count("waiting", 2*len(s.longJobs)+5*24-s.Running())
+		s.count("waiting", 2*len(s.longJobs)+5*24-s.RunningTasks())
 		s.cancelLongJobs(4)
 		time.Sleep(10 * time.Second)
 	}, "waiting"},
@@ -65,7 +65,7 @@
 		time.Sleep(4 * time.Second)
 		for _, j := range append(slices.Clone(s.awaitedJobs[:12]), append(s.cancelled, s.longJobs...)...) {
 			s.count("answers", s.OddRequests(j))
-			if s.Told(j) == protocol.Done {
+			if s.ReportedStatus(j) == protocol.Done {
 				s.CancelNow(j) // the job must stay done
 				s.count("done cancelled", 1)
 			}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -48,7 +48,7 @@
 		ruleChecker:    newRuleChecker(start, cfg),
 		counters:       newCounters(),
 	}
-	sim.Store.Check = newRecordChecker(sim).note
+	sim.Store.AfterApply = newRecordChecker(sim).note
 	return sim
 }
 
--- a/internal/simulator/simulation_cases_test.go
+++ b/internal/simulator/simulation_cases_test.go
@@ -64,29 +64,29 @@
 	}},
 	{name: "one controller alone is refused by the state service", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
-		sim.Store.Deny("n0", true)
+		sim.Store.RefuseController("n0", true)
 		time.Sleep(25 * time.Second)
-		sim.Store.Deny("n0", false)
+		sim.Store.RefuseController("n0", false)
 	}},
 	{name: "a controller is partitioned for 20 s", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
-		sim.Controller(0).Cut(AllCut)
+		sim.Controller(0).SetPartitions(AllPartitions)
 		time.Sleep(20 * time.Second)
-		sim.Controller(0).Cut(0)
+		sim.Controller(0).SetPartitions(0)
 	}},
 	{name: "a controller reaches the state service but nothing else", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
-		sim.Controller(0).Cut(NoWorkers | NoUsers | NoCloud)
+		sim.Controller(0).SetPartitions(NoWorkers | NoUsers | NoCloud)
 		time.Sleep(40 * time.Second)
-		sim.Controller(0).Cut(0)
+		sim.Controller(0).SetPartitions(0)
 	}},
 	// A new owner that learned from its own commit that a shard is its own had not yet received what the
 	// previous owner committed just before, and placed tasks twice.
 	{name: "live peers are considered lost while watches lag", setup: func(sim *Simulation) {
-		sim.Store.Lag = func(string) time.Duration { return time.Duration(sim.Random.IntN(1200)) * time.Millisecond }
+		sim.Store.WatchDelay = func(string) time.Duration { return time.Duration(sim.Random.IntN(1200)) * time.Millisecond }
 		go func() {
 			for i := range 500 {
-				sim.User(JobSpec{Team: []string{"red", "blue", "green", "grey"}[i%4], Tasks: 1, Cpus: 1, Run: 2 * time.Second})
+				sim.StartUser(JobSpec{Team: []string{"red", "blue", "green", "grey"}[i%4], Tasks: 1, Cpus: 1, RunTime: 2 * time.Second})
 				time.Sleep(80 * time.Millisecond)
 			}
 		}()
@@ -106,7 +106,7 @@
 		}
 	}},
 	{name: "transactions are applied late", setup: func(sim *Simulation) {
-		sim.Late = func(_ string, txn protocol.Txn) time.Duration {
+		sim.LateTransactions = func(_ string, txn protocol.Txn) time.Duration {
 			if placesTasks(txn) && sim.Random.IntN(6) == 0 {
 				return time.Duration(500+sim.Random.IntN(6000)) * time.Millisecond
 			}
@@ -114,7 +114,7 @@
 		}
 	}},
 	{name: "transactions are applied late and controllers are killed", setup: func(sim *Simulation) {
-		sim.Late = func(string, protocol.Txn) time.Duration {
+		sim.LateTransactions = func(string, protocol.Txn) time.Duration {
 			if sim.Random.IntN(8) == 0 {
 				return time.Duration(500+sim.Random.IntN(9000)) * time.Millisecond
 			}
@@ -154,31 +154,31 @@
 	{name: "a worker hangs and resumes", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
 		for _, m := range sim.Machines()[:2] {
-			sim.Set(m, HangingMachine(true))
+			sim.UpdateMachine(m, HangingMachine(true))
 			time.Sleep(4 * time.Second)
-			sim.Set(m, HangingMachine(false))
+			sim.UpdateMachine(m, HangingMachine(false))
 		}
 		m := sim.Machines()[0]
-		sim.Set(m, HangingMachine(true))
+		sim.UpdateMachine(m, HangingMachine(true))
 		time.Sleep(20 * time.Second)
-		sim.Set(m, HangingMachine(false))
+		sim.UpdateMachine(m, HangingMachine(false))
 	}},
 	{name: "a worker is partitioned for longer than its lease", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
 		m := sim.Machines()[0]
-		sim.Set(m, CutOff(true))
+		sim.UpdateMachine(m, MachinePartition(true))
 		time.Sleep(13 * time.Second)
-		sim.Set(m, CutOff(false))
+		sim.UpdateMachine(m, MachinePartition(false))
 	}},
 	{name: "a machine dies, one fails its tasks, one is preempted", fault: func(sim *Simulation) {
 		time.Sleep(6 * time.Second)
 		ms := sim.Machines()
-		sim.Die(ms[0])
-		sim.Set(ms[1], UnhealthyMachine(true))
-		sim.Set(ms[2], PreemptionNotice(8*time.Second))
+		sim.FailMachine(ms[0])
+		sim.UpdateMachine(ms[1], UnhealthyMachine(true))
+		sim.UpdateMachine(ms[2], PreemptionNotice(8*time.Second))
 	}},
 	{name: "a job fails on every machine", setup: func(sim *Simulation) {
-		sim.User(JobSpec{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Broken: true, Urgency: "high"})
+		sim.StartUser(JobSpec{Team: "blue", Tasks: 6, Cpus: 4, RunTime: 5 * time.Second, AlwaysFails: true, Urgency: "high"})
 	}},
 }
 
@@ -209,7 +209,7 @@
 // in all, and starts it again 4 s later.
 func killAfterCommit(sim *Simulation, matches func(protocol.Txn) bool) {
 	var kills atomic.Int32
-	sim.After = func(i int, txn protocol.Txn) {
+	sim.AfterTransaction = func(i int, txn protocol.Txn) {
 		if matches(txn) && kills.Add(1) <= 4 {
 			sim.Kill(i)
 			go func() {
--- a/internal/simulator/simulation_test.go
+++ b/internal/simulator/simulation_test.go
@@ -44,31 +44,31 @@
 func submitMixedLoad(sim *Simulation) []*Job {
 	var jobs []*Job
 	specs := []JobSpec{
-		{Team: "red", Tasks: 12, Cpus: 4, Run: 6 * time.Second},
-		{Team: "blue", Tasks: 5, Cpus: 8, Run: 8 * time.Second, NoSpot: true, Urgency: "high"},
-		{Team: "green", Tasks: 9, Cpus: 2, Run: 5 * time.Second, Scatter: true},
-		{Team: "grey", Tasks: 4, Cpus: 4, Run: 7 * time.Second, Together: true, CheckpointS: 2},
-		{Team: "red", Tasks: 3, Cpus: 4, Run: 60 * time.Second, CancelAfter: 9 * time.Second},
-		{Team: "grey", Tasks: 2, Cpus: 4, Run: 50 * time.Second, CancelAfter: 200 * time.Millisecond},
-		{Team: "blue", Tasks: 6, Cpus: 4, Run: 5 * time.Second, Zone: "b", Urgency: "low"},
-		{Team: "green", Tasks: 8, Cpus: 4, Run: 6 * time.Second, Urgency: "production"},
+		{Team: "red", Tasks: 12, Cpus: 4, RunTime: 6 * time.Second},
+		{Team: "blue", Tasks: 5, Cpus: 8, RunTime: 8 * time.Second, NoSpot: true, Urgency: "high"},
+		{Team: "green", Tasks: 9, Cpus: 2, RunTime: 5 * time.Second, Scatter: true},
+		{Team: "grey", Tasks: 4, Cpus: 4, RunTime: 7 * time.Second, Together: true, CheckpointS: 2},
+		{Team: "red", Tasks: 3, Cpus: 4, RunTime: 60 * time.Second, CancelAfter: 9 * time.Second},
+		{Team: "grey", Tasks: 2, Cpus: 4, RunTime: 50 * time.Second, CancelAfter: 200 * time.Millisecond},
+		{Team: "blue", Tasks: 6, Cpus: 4, RunTime: 5 * time.Second, Zone: "b", Urgency: "low"},
+		{Team: "green", Tasks: 8, Cpus: 4, RunTime: 6 * time.Second, Urgency: "production"},
 	}
 	for round := range 2 {
 		first := len(jobs)
 		for _, spec := range specs {
-			jobs = append(jobs, sim.User(spec))
+			jobs = append(jobs, sim.StartUser(spec))
 			time.Sleep(time.Duration(sim.Random.IntN(1500)) * time.Millisecond)
 		}
 		// Jobs that depend on one another across teams and shards: a diamond, one that needs a cancelled
 		// job, and a last job that becomes ready after the others.
-		root := sim.User(JobSpec{Team: "green", Tasks: 3, Cpus: 2, Run: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
-		left := sim.User(JobSpec{Team: "red", Tasks: 4, Cpus: 1, Run: 4 * time.Second, Urgency: "low", Dependencies: []*Job{root}})
-		right := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, Run: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{root}})
-		joined := sim.User(JobSpec{Team: "green", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Due: 60, Dependencies: []*Job{left, right}})
-		needsCancelled := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{left, jobs[first+4]}})
-		last := sim.User(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Urgency: "high", Dependencies: []*Job{needsCancelled, joined}})
-		cancelled := sim.User(JobSpec{Team: "red", Tasks: 3, Cpus: 1, Run: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{root}})
-		needsTwoCancelled := sim.User(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, Run: 2 * time.Second, Dependencies: []*Job{cancelled, jobs[first+5]}})
+		root := sim.StartUser(JobSpec{Team: "green", Tasks: 3, Cpus: 2, RunTime: 3 * time.Second, Urgency: "low", Dependencies: jobs[first+2 : first+3]})
+		left := sim.StartUser(JobSpec{Team: "red", Tasks: 4, Cpus: 1, RunTime: 4 * time.Second, Urgency: "low", Dependencies: []*Job{root}})
+		right := sim.StartUser(JobSpec{Team: "grey", Tasks: 2, Cpus: 2, RunTime: 2 * time.Second, NoSpot: true, CheckpointS: 2, Dependencies: []*Job{root}})
+		joined := sim.StartUser(JobSpec{Team: "green", Tasks: 2, Cpus: 1, RunTime: 2 * time.Second, Urgency: "high", DueS: 60, Dependencies: []*Job{left, right}})
+		needsCancelled := sim.StartUser(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, RunTime: 2 * time.Second, Dependencies: []*Job{left, jobs[first+4]}})
+		last := sim.StartUser(JobSpec{Team: "grey", Tasks: 2, Cpus: 1, RunTime: 2 * time.Second, Urgency: "high", Dependencies: []*Job{needsCancelled, joined}})
+		cancelled := sim.StartUser(JobSpec{Team: "red", Tasks: 3, Cpus: 1, RunTime: 3 * time.Second, CancelAfter: time.Duration(2+9*round) * time.Second, Dependencies: []*Job{root}})
+		needsTwoCancelled := sim.StartUser(JobSpec{Team: "blue", Tasks: 2, Cpus: 1, RunTime: 2 * time.Second, Dependencies: []*Job{cancelled, jobs[first+5]}})
 		jobs = append(jobs, root, left, right, joined, needsCancelled, last, cancelled, needsTwoCancelled)
 	}
 	return jobs
@@ -77,7 +77,7 @@
 // awaitAll waits until the users of all jobs have received a final status.
 func (sim *Simulation) awaitAll(t *testing.T, jobs []*Job, timeoutSeconds int) {
 	t.Helper()
-	isOpen := func(j *Job) bool { return !sim.Told(j).Final() }
+	isOpen := func(j *Job) bool { return !sim.ReportedStatus(j).Final() }
 	for range timeoutSeconds {
 		time.Sleep(time.Second)
 		if !slices.ContainsFunc(jobs, isOpen) {
@@ -87,7 +87,7 @@
 	for _, j := range jobs {
 		if isOpen(j) {
 			shards, _ := sim.Controller(0).Core.ShardViews(sim.ctx)
-			t.Errorf("%s of team %s is still %q after %v, with %d tasks on machines; shards %+v", j.ID, j.Team, sim.Told(j), time.Since(sim.StartTime), sim.On(j), shards)
+			t.Errorf("%s of team %s is still %q after %v, with %d tasks on machines; shards %+v", j.ID, j.Team, sim.ReportedStatus(j), time.Since(sim.StartTime), sim.RunningTasksOf(j), shards)
 			for _, m := range sim.Machines() {
 				t.Logf("%s in %s, spot %v: %d tasks", m.Name, m.Zone, m.Spot, len(m.tasks))
 			}
@@ -100,7 +100,7 @@
 	for _, c := range simulationCases {
 		t.Run(c.name, func(t *testing.T) {
 			runMixedLoad(t, 5, c.setup, c.fault, func(sim *Simulation) {
-				if sim.After != nil && sim.KillCount.Load() == 0 {
+				if sim.AfterTransaction != nil && sim.KillCount.Load() == 0 {
 					t.Error("no transaction matched, so no controller was killed or stalled: the case checks nothing")
 				}
 			})
--- a/internal/simulator/state_server.go
+++ b/internal/simulator/state_server.go
@@ -98,7 +98,7 @@
 	}
 	rev, failed, err := s.link.Txn(context.Background(), txn, protocol.BackgroundRequest)
 	switch {
-	case errors.Is(err, protocol.ErrNoLease):
+	case errors.Is(err, protocol.ErrLeaseExpired):
 		return respondBadRequest(request, "no such lease")
 	case err != nil:
 		return respondError(request, err)
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -54,17 +54,17 @@
 	Requests int
 	OverRate int // requests refused because of their rate
 	rates    stateRates
-	// MaxValue is the largest size of a value in bytes, and MaxOps the largest number of changes in a transaction;
+	// MaxValueBytes is the largest size of a value in bytes, and MaxChanges the largest number of changes in a transaction;
 	// 0: no limit. A transaction may have four times as many conditions as changes.
-	MaxValue, MaxOps int
-	Keep             int // changes kept for watches; 0: defaultKeptChanges
-	TooLarge         int // transactions refused because of their size
-	// Check, if set, is called with every transaction after it was applied.
-	Check func(protocol.Txn)
-	// Slow, if set, returns by how much a controller's requests are delayed.
-	Slow func(controller string) time.Duration
-	// Lag, if set, returns by how much the answers to a controller's watches are delayed.
-	Lag func(controller string) time.Duration
+	MaxValueBytes, MaxChanges int
+	MaxKeptChanges            int // changes kept for watches; 0: defaultKeptChanges
+	TooLargeTxns              int // transactions refused because of their size
+	// AfterApply, if set, is called with every transaction after it was applied.
+	AfterApply func(protocol.Txn)
+	// RequestDelay, if set, returns by how much a controller's requests are delayed.
+	RequestDelay func(controller string) time.Duration
+	// WatchDelay, if set, returns by how much the answers to a controller's watches are delayed.
+	WatchDelay func(controller string) time.Duration
 }
 
 // stateRates are the rate limits of the store, for requests and for changes.
@@ -117,8 +117,8 @@
 	s.compactedTo = s.revision
 }
 
-// Limit sets the store's rate limits in requests and changes per second, and makes the store enforce them.
-func (s *Store) Limit(rps, writes float64) {
+// LimitRates sets the store's rate limits in requests and changes per second, and makes the store enforce them.
+func (s *Store) LimitRates(rps, writes float64) {
 	s.Limited = true
 	s.rates = stateRates{
 		requests: tokenBucket{rate: rps, burst: rps},
@@ -186,8 +186,8 @@
 	s.down = down
 }
 
-// Deny begins or ends the refusal of a single controller's requests with status 503.
-func (s *Store) Deny(controller string, on bool) {
+// RefuseController begins or ends the refusal of a single controller's requests with status 503.
+func (s *Store) RefuseController(controller string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusedControllers[controller] = on
@@ -282,8 +282,8 @@
 		s.keys.Delete(event.Delete)
 	}
 	keep := defaultKeptChanges
-	if s.Keep > 0 {
-		keep = s.Keep
+	if s.MaxKeptChanges > 0 {
+		keep = s.MaxKeptChanges
 	}
 	if s.log = append(s.log, event); len(s.log) > 2*keep {
 		s.compactedTo = s.log[len(s.log)-keep-1].Version
@@ -293,20 +293,20 @@
 	s.changed = make(chan struct{})
 }
 
-// Shrink lowers the store's limits while it runs.
-func (s *Store) Shrink(value, ops int, writes float64) {
+// LowerLimits lowers the store's limits while it runs.
+func (s *Store) LowerLimits(value, ops int, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.MaxValue, s.MaxOps = value, ops
+	s.MaxValueBytes, s.MaxChanges = value, ops
 	s.rates.writes.rate, s.rates.writes.burst = writes, writes
 }
 
 // tooLarge reports whether a transaction exceeds the size limits.
 func (s *Store) tooLarge(t protocol.Txn) bool {
-	if s.MaxOps > 0 && (len(t.Then) > s.MaxOps || len(t.If) > 4*s.MaxOps) {
+	if s.MaxChanges > 0 && (len(t.Then) > s.MaxChanges || len(t.If) > 4*s.MaxChanges) {
 		return true
 	}
-	return s.MaxValue > 0 && slices.ContainsFunc(t.Then, func(c protocol.Change) bool { return len(c.Value) > s.MaxValue })
+	return s.MaxValueBytes > 0 && slices.ContainsFunc(t.Then, func(c protocol.Change) bool { return len(c.Value) > s.MaxValueBytes })
 }
 
 // apply applies a transaction and returns the new revision, or returns the keys whose conditions failed. The caller
@@ -327,7 +327,7 @@
 	}
 	for _, c := range txn.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
-			return 0, nil, protocol.ErrNoLease
+			return 0, nil, protocol.ErrLeaseExpired
 		}
 	}
 	if len(txn.Then) > 0 {
@@ -344,8 +344,8 @@
 		s.keys.Set(c.Put, entry{slices.Clone(c.Value), s.revision, c.Lease})
 		s.recordEvent(protocol.Event{Put: c.Put, Value: slices.Clone(c.Value), Version: s.revision})
 	}
-	if s.Check != nil {
-		s.Check(txn)
+	if s.AfterApply != nil {
+		s.AfterApply(txn)
 	}
 	return s.revision, nil, nil
 }
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -15,8 +15,8 @@
 	jobs        map[string]*Job
 	order       []string // IDs of the jobs in the order of their submission
 	oddRequests int      // odd requests so far; numbers their unused job IDs
-	// CloseLooks makes users call CloseLook when a submission is accepted and when a job's state becomes final.
-	CloseLooks bool
+	// QueryAllAfterAnswers makes users call QueryAllControllers when a submission is accepted and when a job's state becomes final.
+	QueryAllAfterAnswers bool
 }
 
 func newSubmissions() submissions {
@@ -58,16 +58,16 @@
 	return lastAnswer{j.reportedStatus, j.accepted}
 }
 
-// Told returns the job state that users were last told.
-func (sim *Simulation) Told(j *Job) protocol.JobStatus {
+// ReportedStatus returns the job state that users were last told.
+func (sim *Simulation) ReportedStatus(j *Job) protocol.JobStatus {
 	return sim.lastAnswerOf(j).status
 }
 
-// SetCloseLooks sets CloseLooks.
-func (sim *Simulation) SetCloseLooks(on bool) {
+// SetQueryAllAfterAnswers sets QueryAllAfterAnswers.
+func (sim *Simulation) SetQueryAllAfterAnswers(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.CloseLooks = on
+	sim.QueryAllAfterAnswers = on
 }
 
 // Unanswered returns the accepted jobs whose users have had no answer since a time: a controller may have lost
@@ -84,18 +84,18 @@
 	return unanswered
 }
 
-// On returns how many of a job's tasks are on machines.
-func (sim *Simulation) On(j *Job) int {
+// RunningTasksOf returns how many of a job's tasks are on machines.
+func (sim *Simulation) RunningTasksOf(j *Job) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return len(j.on)
+	return len(j.runningOn)
 }
 
 // machinesOf returns the machines that a job's tasks are on.
 func (sim *Simulation) machinesOf(j *Job) (machines []*Machine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, m := range j.on {
+	for _, m := range j.runningOn {
 		if !slices.Contains(machines, m) {
 			machines = append(machines, m)
 		}
@@ -106,22 +106,22 @@
 // ServedJobs counts the jobs of a class of a team: how many were accepted and not cancelled, and how many of them
 // are done.
 type ServedJobs struct {
-	Team, Class string
-	Due, Done   int
-	InTime      int // done within the time that Served was called with
+	Team, Class    string
+	Accepted, Done int
+	InTime         int // done within the time that Served was called with
 }
 
-// Part returns the fraction of the jobs that is done; 1 if there are no jobs.
-func (s ServedJobs) Part() float64 {
-	if s.Due == 0 {
+// DoneFraction returns the fraction of the jobs that is done; 1 if there are no jobs.
+func (s ServedJobs) DoneFraction() float64 {
+	if s.Accepted == 0 {
 		return 1
 	}
-	return float64(s.Done) / float64(s.Due)
+	return float64(s.Done) / float64(s.Accepted)
 }
 
 // String returns the counts as text.
 func (s ServedJobs) String() string {
-	return fmt.Sprintf("%s of %s: %d of %d done, %d in time", s.Class, s.Team, s.Done, s.Due, s.InTime)
+	return fmt.Sprintf("%s of %s: %d of %d done, %d in time", s.Class, s.Team, s.Done, s.Accepted, s.InTime)
 }
 
 // Served counts, by class and team, the jobs that were first submitted at least a time ago, and those of them that
@@ -132,7 +132,7 @@
 	var served []ServedJobs
 	for _, id := range sim.order {
 		job := sim.jobs[id]
-		if !job.accepted || job.cancelRequested || time.Since(job.At) < within {
+		if !job.accepted || job.cancelRequested || time.Since(job.SubmittedAt) < within {
 			continue
 		}
 		class := slices.IndexFunc(served, func(s ServedJobs) bool { return s.Team == job.Team && s.Class == job.Class })
@@ -150,24 +150,24 @@
 
 // count counts a job of the class.
 func (s *ServedJobs) count(job *Job, within time.Duration) {
-	s.Due++
+	s.Accepted++
 	if len(job.done) < job.Tasks {
 		return
 	}
 	s.Done++
-	if job.lastDone.Sub(job.At) <= within {
+	if job.lastDone.Sub(job.SubmittedAt) <= within {
 		s.InTime++
 	}
 }
 
-// Beside returns the jobs that wait although a machine has capacity for one of their tasks and their team is within
+// WaitingDespiteCapacity returns the jobs that wait although a machine has capacity for one of their tasks and their team is within
 // its limit.
-func (sim *Simulation) Beside() []*Job {
+func (sim *Simulation) WaitingDespiteCapacity() []*Job {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	usedCPUs := map[string]float64{}
 	for _, j := range sim.jobs {
-		usedCPUs[j.Team] += float64(len(j.on)) * j.Cpus
+		usedCPUs[j.Team] += float64(len(j.runningOn)) * j.Cpus
 	}
 	limitCPUs := map[string]float64{}
 	for _, t := range sim.Settings.Deployment.Teams {
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -108,7 +108,7 @@
 	}
 	sim.taskStarted(t)
 	sim.checkTaskStart(machine, t)
-	if machine.unhealthy || job.Broken {
+	if machine.unhealthy || job.AlwaysFails {
 		t.stateEnds = now.Add(failureAfter)
 	}
 }
@@ -118,13 +118,13 @@
 	job := t.job
 	sim.taskStopped(machine, t)
 	t.state, t.cause = protocol.TaskExited, protocol.CauseDone
-	if machine.unhealthy || job.Broken {
+	if machine.unhealthy || job.AlwaysFails {
 		t.cause = protocol.CauseError
 		return
 	}
 	job.done[t.index] = true
 	job.lastDone = now
-	if sim.AtEnd != nil && len(job.done) == job.Tasks {
-		go sim.AtEnd(job)
+	if sim.OnJobDone != nil && len(job.done) == job.Tasks {
+		go sim.OnJobDone(job)
 	}
 }
--- a/internal/simulator/upgrade_test.go
+++ b/internal/simulator/upgrade_test.go
@@ -32,15 +32,15 @@
 			runMixedLoad(t, 300+seed, func(sim *Simulation) { u.prepare(t, sim) }, func(sim *Simulation) {
 				u.rollOut(sim)
 				u.awaitGate()
-				sim.Store.Shrink(2<<10, 4, 56)
+				sim.Store.LowerLimits(2<<10, 4, 56)
 				lowered = true
 				u.restartAll(sim)
 			}, func(sim *Simulation) {
 				if !u.gateOpen.Load() || !lowered {
 					t.Error("the layout gate did not open")
 				}
-				if sim.Store.TooLarge > 0 {
-					t.Errorf("%d transactions were over the lowered size limits, want none", sim.Store.TooLarge)
+				if sim.Store.TooLargeTxns > 0 {
+					t.Errorf("%d transactions were over the lowered size limits, want none", sim.Store.TooLargeTxns)
 				}
 			})
 		})
@@ -66,23 +66,23 @@
 	t.Helper()
 	deployment := &sim.Settings.Deployment
 	deployment.State.Next = &config.StateNext{WriteRPS: 56, ValueKB: 2, TxnOps: 4}
-	sim.Old = map[int]bool{0: true, 1: true, 2: true}
-	sim.Store.Limit(deployment.State.RPS, deployment.State.WriteRPS)
-	sim.Store.MaxValue, sim.Store.MaxOps = 32<<10, 12
+	sim.PreviousVersion = map[int]bool{0: true, 1: true, 2: true}
+	sim.Store.LimitRates(deployment.State.RPS, deployment.State.WriteRPS)
+	sim.Store.MaxValueBytes, sim.Store.MaxChanges = 32<<10, 12
 	sim.LimitCloud(deployment.Cloud.RPS)
-	previousCheck := sim.Store.Check
-	sim.Store.Check = func(txn protocol.Txn) { // also sees transactions whose sender gets no answer
+	previousCheck := sim.Store.AfterApply
+	sim.Store.AfterApply = func(txn protocol.Txn) { // also sees transactions whose sender gets no answer
 		previousCheck(txn)
 		u.checkGate(t, sim, txn)
 	}
-	sim.After = func(i int, txn protocol.Txn) {
+	sim.AfterTransaction = func(i int, txn protocol.Txn) {
 		if writesLayout(txn) && u.seed%3 == 1 && u.kills.Add(1) <= 3 {
 			sim.Kill(i)
 			go func() { time.Sleep(3 * time.Second); restartController(sim, i) }()
 		}
 	}
 	if u.seed%4 == 3 {
-		sim.Late = func(string, protocol.Txn) time.Duration {
+		sim.LateTransactions = func(string, protocol.Txn) time.Duration {
 			if sim.Random.IntN(10) == 0 {
 				return time.Duration(500+sim.Random.IntN(9000)) * time.Millisecond
 			}
@@ -105,8 +105,8 @@
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if len(sim.Old) > 0 {
-		sim.violation("the layout gate opens while controllers of the previous version serve")
+	if len(sim.PreviousVersion) > 0 {
+		sim.addViolation("the layout gate opens while controllers of the previous version serve")
 	}
 }
 
@@ -122,7 +122,7 @@
 		sim.Kill(i)
 		time.Sleep(time.Duration(1000+sim.Random.IntN(3000)) * time.Millisecond)
 		sim.mu.Lock()
-		delete(sim.Old, i)
+		delete(sim.PreviousVersion, i)
 		sim.mu.Unlock()
 		restartController(sim, i)
 		time.Sleep(time.Duration(1000+sim.Random.IntN(5000)) * time.Millisecond)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -34,27 +34,27 @@
 	Gpus, MemGB          float64 // default 0 and 4
 	Image                string  // default "img-1"
 	ImageGB              float64 // default 0.5
-	Run                  time.Duration
-	Runs                 []time.Duration // run times by task, if they differ
+	RunTime              time.Duration
+	TaskRunTimes         []time.Duration // run times by task, if they differ
 	NoSpot               bool
 	Together, Scatter    bool
 	Zone                 string
 	CheckpointS          float64
-	Broken               bool
+	AlwaysFails          bool
 	CancelAfter          time.Duration
 	Dependencies         []*Job
-	Due                  float64
+	DueS                 float64
 }
 
 // newJob returns the job that a JobSpec describes.
 func (spec JobSpec) newJob(id string) *Job {
 	class := cmp.Or(spec.Class, "c")
-	job := &Job{ID: id, Team: spec.Team, Class: class, At: time.Now(), Tasks: spec.Tasks, Run: spec.Run, taskRunTimes: spec.Runs, Cpus: spec.Cpus, Spot: !spec.NoSpot,
-		Broken: spec.Broken, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, on: map[int]*Machine{}, dependencies: spec.Dependencies,
+	job := &Job{ID: id, Team: spec.Team, Class: class, SubmittedAt: time.Now(), Tasks: spec.Tasks, RunTime: spec.RunTime, taskRunTimes: spec.TaskRunTimes, Cpus: spec.Cpus, Spot: !spec.NoSpot,
+		AlwaysFails: spec.AlwaysFails, done: map[int]bool{}, savedProgress: map[int]time.Duration{}, runningOn: map[int]*Machine{}, dependencies: spec.Dependencies,
 		Spec: map[string]any{"id": id, "jobclass": class, "crew": spec.Team, "shape": cmp.Or(spec.Shape, "batch"), "urgency": cmp.Or(spec.Urgency, "normal"),
 			"shards": spec.Tasks, "cpus": spec.Cpus, "accelerators": spec.Gpus, "ramGb": cmp.Or(spec.MemGB, 4), "kit": cmp.Or(spec.Image, "img-1"), "pullGb": cmp.Or(spec.ImageGB, 0.5),
 			"hulls": nil, "berth": nil, "together": spec.Together, "scatter": spec.Scatter, "loaners": !spec.NoSpot,
-			"expectedS": spec.Run.Seconds(), "markEveryS": spec.CheckpointS, "markCostS": 1.0, "dueS": nil}}
+			"expectedS": spec.RunTime.Seconds(), "markEveryS": spec.CheckpointS, "markCostS": 1.0, "dueS": nil}}
 	if len(spec.Dependencies) > 0 {
 		var ids []string
 		for _, dependency := range spec.Dependencies {
@@ -62,8 +62,8 @@
 		}
 		job.Spec["awaits"] = ids
 	}
-	if spec.Due > 0 {
-		job.Spec["dueS"] = spec.Due
+	if spec.DueS > 0 {
+		job.Spec["dueS"] = spec.DueS
 	}
 	if spec.Zone != "" {
 		job.Spec["berth"] = spec.Zone
@@ -71,9 +71,9 @@
 	return job
 }
 
-// User submits a job in the background, polls its state and, if the description says so, cancels it. It checks
+// StartUser submits a job in the background, polls its state and, if the description says so, cancels it. It checks
 // every answer.
-func (sim *Simulation) User(spec JobSpec) *Job {
+func (sim *Simulation) StartUser(spec JobSpec) *Job {
 	sim.mu.Lock()
 	id := fmt.Sprintf("job-%06d", len(sim.jobs)+1+sim.Random.IntN(9)*100_000) // the IDs are in no order
 	job := spec.newJob(id)
@@ -147,7 +147,7 @@
 	defer sim.mu.Unlock()
 	_, confirmedAt := job.hasCancelledDependency()
 	if !state.Status.Final() && !confirmedAt.IsZero() && time.Since(confirmedAt) > seconds(sim.Settings.Deployment.Workers.CancelS) {
-		sim.violation("orphaned: %s is %s although a dependency was cancelled", job.ID, state.Status)
+		sim.addViolation("orphaned: %s is %s although a dependency was cancelled", job.ID, state.Status)
 	}
 }
 
--- a/internal/simulator/workers.go
+++ b/internal/simulator/workers.go
@@ -10,14 +10,14 @@
 type workerSet struct {
 	// Speed, if above 0, is the factor by which machines boot, fetch images and run tasks faster than stated.
 	Speed float64
-	// Listen, if set, starts the port of a new machine's worker and returns its address.
-	Listen func(m *Machine) string
+	// ListenForWorker, if set, starts the port of a new machine's worker and returns its address.
+	ListenForWorker func(m *Machine) string
 	// SharedTicker makes one goroutine, RunTicker, run the tasks of all machines.
 	SharedTicker bool
-	// Launched, if set, is called with the simulation's mutex held for each attempt that a worker launches.
-	Launched func(j *Job, index int)
-	// AtEnd, if set, is called when the last task of a job completes.
-	AtEnd func(j *Job)
+	// OnLaunch, if set, is called with the simulation's mutex held for each attempt that a worker launches.
+	OnLaunch func(j *Job, index int)
+	// OnJobDone, if set, is called when the last task of a job completes.
+	OnJobDone func(j *Job)
 	// Commands meters the connections to the workers' ports.
 	Commands Meter
 }
@@ -53,8 +53,8 @@
 	}()
 }
 
-// Die makes a machine fail, with all tasks on it.
-func (sim *Simulation) Die(m *Machine) {
+// FailMachine makes a machine fail, with all tasks on it.
+func (sim *Simulation) FailMachine(m *Machine) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if !m.gone {
@@ -82,13 +82,13 @@
 	}
 }
 
-// Running returns how many tasks are on machines.
-func (sim *Simulation) Running() int {
+// RunningTasks returns how many tasks are on machines.
+func (sim *Simulation) RunningTasks() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	running := 0
 	for _, j := range sim.jobs {
-		running += len(j.on)
+		running += len(j.runningOn)
 	}
 	return running
 }
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -22,15 +22,15 @@
 		cfg.Deployment.Teams = []config.Team{{Name: "red"}}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2.5, LeaseS: 16, GangWaitS: 30, GangPeerS: 4, CancelS: 45}
 		sim := NewSimulation(ctx, cfg, 9)
-		sim.CapacityOf = 40
+		sim.Capacity = 40
 		for i := range 3 {
 			sim.Start(i)
 		}
-		sim.PeerDelay()
+		sim.ExchangePeerHeartbeats()
 		time.Sleep(12 * time.Second)
-		owner := sim.Owner(0)
-		service := sim.User(JobSpec{Team: "red", Shape: "daemon", Urgency: "production", Tasks: 8, Cpus: 4, NoSpot: true, Scatter: true})
-		cancelledJob := sim.User(JobSpec{Team: "red", Tasks: 30, Cpus: 4, Run: 300 * time.Second, NoSpot: true, CancelAfter: 15 * time.Second})
+		owner := sim.ShardOwner(0)
+		service := sim.StartUser(JobSpec{Team: "red", Shape: "daemon", Urgency: "production", Tasks: 8, Cpus: 4, NoSpot: true, Scatter: true})
+		cancelledJob := sim.StartUser(JobSpec{Team: "red", Tasks: 30, Cpus: 4, RunTime: 300 * time.Second, NoSpot: true, CancelAfter: 15 * time.Second})
 		for i := range 14 {
 			zone := sim.Controller(owner).Zone
 			if i%2 == 1 {
@@ -40,14 +40,14 @@
 		}
 		time.Sleep(12 * time.Second)
 		sim.PartitionZone(sim.Controller(owner).Zone)
-		if sim.On(service) < 8 || sim.On(cancelledJob) < 20 {
-			t.Fatalf("%d service replicas and %d tasks run when the zone is partitioned, want 8 and at least 20: the test checks nothing", sim.On(service), sim.On(cancelledJob))
+		if sim.RunningTasksOf(service) < 8 || sim.RunningTasksOf(cancelledJob) < 20 {
+			t.Fatalf("%d service replicas and %d tasks run when the zone is partitioned, want 8 and at least 20: the test checks nothing", sim.RunningTasksOf(service), sim.RunningTasksOf(cancelledJob))
 		}
 		time.Sleep(60 * time.Second)
 		sim.PartitionZone("")
 		time.Sleep(60 * time.Second)
-		if sim.Told(cancelledJob) != protocol.Cancelled || sim.On(cancelledJob) > 0 || sim.On(service) < 8 {
-			t.Errorf("the cancelled job is %s with %d tasks on machines, %d of 8 service replicas run", sim.Told(cancelledJob), sim.On(cancelledJob), sim.On(service))
+		if sim.ReportedStatus(cancelledJob) != protocol.Cancelled || sim.RunningTasksOf(cancelledJob) > 0 || sim.RunningTasksOf(service) < 8 {
+			t.Errorf("the cancelled job is %s with %d tasks on machines, %d of 8 service replicas run", sim.ReportedStatus(cancelledJob), sim.RunningTasksOf(cancelledJob), sim.RunningTasksOf(service))
 		}
 		for _, b := range sim.BrokenRules() {
 			t.Error(b)
--- a/internal/storage/chunked_descriptions.go
+++ b/internal/storage/chunked_descriptions.go
@@ -150,7 +150,7 @@
 func (c *Cache) applyChunk(name string, change recordChange) error {
 	separator := strings.LastIndexByte(name, '/')
 	chunk, err := strconv.Atoi(name[separator+1:])
-	if separator < 0 || err != nil || chunk < 0 || chunk > protocol.MaxBody {
+	if separator < 0 || err != nil || chunk < 0 || chunk > protocol.MaxBodyBytes {
 		return fmt.Errorf("%w: chunk number missing or out of range", ErrInvalidKey)
 	}
 	setName := name[:separator]
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -27,7 +27,7 @@
 	PublicAddr  string `json:"p"`
 	NotReady    bool   `json:"u,omitempty"` // the controller reaches no worker and must own no shard
 	Layout      int    `json:"v,omitempty"` // the latest layout that the controller reads
-	FrameLevel  int    `json:"f,omitempty"` // highest level of peer frames that the controller reads, see protocol.FramesCancellationDigest
+	FrameLevel  int    `json:"f,omitempty"` // highest level of peer frames that the controller reads, see protocol.FrameLevelCancellationDigest
 }
 
 // LeaderRecord identifies the leader.
--- a/internal/transport/admin.go
+++ b/internal/transport/admin.go
@@ -57,8 +57,8 @@
 	Team    json.RawMessage `json:"team"`
 }
 
-// AdminRefusal is the response body for a rejected request.
-type AdminRefusal struct {
+// AdminErrorResponse is the response body for a rejected request.
+type AdminErrorResponse struct {
 	Error string `json:"error"`
 	Field string `json:"field,omitempty"`
 }
@@ -100,14 +100,14 @@
 func NewAdminServer(core AdminCore, limits AdminLimits) *AdminServer {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		BodyLimit:             protocol.MaxBody,
+		BodyLimit:             protocol.MaxBodyBytes,
 		Concurrency:           maxPeerConns,
 		ReadTimeout:           adminReadTimeout,
 		IdleTimeout:           adminIdleTimeout,
 		WriteTimeout:          limits.WriteTimeout,
 		CaseSensitive:         true,
 		ErrorHandler: func(c *fiber.Ctx, err error) error {
-			return send(c, fiberStatus(err), AdminRefusal{Error: err.Error()})
+			return send(c, fiberStatus(err), AdminErrorResponse{Error: err.Error()})
 		},
 	})
 	router := app.Group("/admin/v1")
@@ -150,11 +150,11 @@
 	var fieldError *controller.FieldError
 	switch {
 	case errors.As(err, &fieldError):
-		return send(c, fiber.StatusBadRequest, AdminRefusal{err.Error(), fieldError.Field})
+		return send(c, fiber.StatusBadRequest, AdminErrorResponse{err.Error(), fieldError.Field})
 	case errors.Is(err, controller.ErrVersionConflict):
-		return send(c, fiber.StatusConflict, AdminRefusal{Error: err.Error()})
+		return send(c, fiber.StatusConflict, AdminErrorResponse{Error: err.Error()})
 	case errors.Is(err, controller.ErrUnknownTeam), errors.Is(err, errUnknownMachine):
-		return send(c, fiber.StatusNotFound, AdminRefusal{Error: err.Error()})
+		return send(c, fiber.StatusNotFound, AdminErrorResponse{Error: err.Error()})
 	}
 	return sendRetryLater(c, err.Error())
 }
@@ -162,7 +162,7 @@
 // sendRetryLater answers with 503 and Retry-After: the controller can't serve the request at present.
 func sendRetryLater(c *fiber.Ctx, text string) error {
 	c.Set(fiber.HeaderRetryAfter, retryAfterSeconds)
-	return send(c, fiber.StatusServiceUnavailable, AdminRefusal{Error: text})
+	return send(c, fiber.StatusServiceUnavailable, AdminErrorResponse{Error: text})
 }
 
 // fiberStatus returns the status for an error of the web framework.
--- a/internal/transport/cloudclient.go
+++ b/internal/transport/cloudclient.go
@@ -30,8 +30,8 @@
 	Observe func(service, outcome string)
 }
 
-// NewCloud returns a client that stays within the cloud's rate limit.
-func NewCloud(settings *config.Settings) *CloudClient {
+// NewCloudClient returns a client that stays within the cloud's rate limit.
+func NewCloudClient(settings *config.Settings) *CloudClient {
 	return &CloudClient{
 		client: newHostClient(settings.External.Cloud, cloudConns),
 		budget: CloudBudget(&settings.Deployment),
@@ -88,7 +88,7 @@
 
 // List returns a page of the machine list, which begins after the machine with ID after.
 func (c *CloudClient) List(ctx context.Context, after string) (protocol.MachineList, error) {
-	path := "/hosts?limit=" + strconv.Itoa(protocol.MaxList)
+	path := "/hosts?limit=" + strconv.Itoa(protocol.MaxMachinesPerPage)
 	if after != "" {
 		path += "&from=" + url.QueryEscape(after)
 	}
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -72,7 +72,7 @@
 
 // exchange sends a request once and passes the body of the response to read. It returns the status of the
 // response, or 0 if there was none. Errors wrap protocol.ErrRefused if the request was certainly not
-// executed, and protocol.ErrUnknown if it may have been. An error in encoding the body wraps neither; the
+// executed, and protocol.ErrOutcomeUnknown if it may have been. An error in encoding the body wraps neither; the
 // request was not sent then.
 func exchange(client httpClient, addr string, request serviceRequest, deadline time.Time, read responseReader) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -86,7 +86,7 @@
 	}
 	status := resp.StatusCode()
 	if err := read(status, resp.Body()); err != nil {
-		return status, fmt.Errorf("%w: %s: answer: %w", protocol.ErrUnknown, request, err)
+		return status, fmt.Errorf("%w: %s: answer: %w", protocol.ErrOutcomeUnknown, request, err)
 	}
 	return status, nil
 }
@@ -108,7 +108,7 @@
 }
 
 // outcomeOfFailure returns protocol.ErrRefused if a request that failed with err was certainly not sent,
-// and protocol.ErrUnknown if it may have been executed.
+// and protocol.ErrOutcomeUnknown if it may have been executed.
 func outcomeOfFailure(err error) error {
 	if errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return protocol.ErrRefused
@@ -117,7 +117,7 @@
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return protocol.ErrRefused
 	}
-	return protocol.ErrUnknown
+	return protocol.ErrOutcomeUnknown
 }
 
 // call sends a request, limited by the deadline of ctx and by timeout, and decodes the JSON body of the
@@ -158,11 +158,11 @@
 	case status == http.StatusNotFound:
 		return protocol.ErrNotFound
 	case status == http.StatusGone:
-		return protocol.ErrTooOld
+		return protocol.ErrRevisionTooOld
 	case isClientError(status) || status == http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", protocol.ErrRefused, status)
 	}
-	return fmt.Errorf("%w: status %d", protocol.ErrUnknown, status)
+	return fmt.Errorf("%w: status %d", protocol.ErrOutcomeUnknown, status)
 }
 
 func isClientError(status int) bool {
--- a/internal/transport/golden_clients_test.go
+++ b/internal/transport/golden_clients_test.go
@@ -54,46 +54,46 @@
 	call       func(ctx context.Context, addr string) (any, error)
 }{
 	{"state-revision", `{"failed":[],"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
-		return NewState(goldenSettings(addr)).Revision(ctx)
+		return NewStateClient(goldenSettings(addr)).Revision(ctx)
 	}},
 	{"state-list", `{"rows":[{"path":"k/1","data":{"a":1},"stamp":4}],"more":true,"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
-		return NewState(goldenSettings(addr)).List(ctx, "k/", "", 100)
+		return NewStateClient(goldenSettings(addr)).List(ctx, "k/", "", 100)
 	}},
 	{"state-list-after", `{"rows":[],"more":false,"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
-		return NewState(goldenSettings(addr)).List(ctx, "k/ü &", "k/1=2", 100)
+		return NewStateClient(goldenSettings(addr)).List(ctx, "k/ü &", "k/1=2", 100)
 	}},
 	{"state-txn", `{"failed":["k/1"],"ledgerRev":9}`, func(ctx context.Context, addr string) (any, error) {
-		rev, conflicts, err := NewState(goldenSettings(addr)).Txn(ctx, filledValue[protocol.Txn](), protocol.UrgentRequest)
+		rev, conflicts, err := NewStateClient(goldenSettings(addr)).Txn(ctx, filledValue[protocol.Txn](), protocol.UrgentRequest)
 		return []any{rev, conflicts}, err
 	}},
 	{"state-grant", `{"tenure":5}`, func(ctx context.Context, addr string) (any, error) {
-		return NewState(goldenSettings(addr)).Grant(ctx, 2500*time.Millisecond)
+		return NewStateClient(goldenSettings(addr)).Grant(ctx, 2500*time.Millisecond)
 	}},
 	{"state-renew", `{}`, func(ctx context.Context, addr string) (any, error) {
-		return nil, NewState(goldenSettings(addr)).Renew(ctx, 5, time.Minute)
+		return nil, NewStateClient(goldenSettings(addr)).Renew(ctx, 5, time.Minute)
 	}},
 	{"state-follow", `{"ledgerRev":9,"news":[{"set":"k/1","data":{"a":1},"stamp":8},{"drop":"k/2","stamp":9}]}`, func(ctx context.Context, addr string) (any, error) {
-		return NewState(goldenSettings(addr)).Watch(ctx, "k/", 7, 1500*time.Millisecond)
+		return NewStateClient(goldenSettings(addr)).Watch(ctx, "k/", 7, 1500*time.Millisecond)
 	}},
 	{"cloud-catalog", `{"hulls":[{"label":"g8","cpus":8,"accelerators":1,"ramGb":64,"cacheGb":50,"fetchGbPerS":0.5,"rate":3,"marketPrice":1,"bootS":40,"berths":["a"]}]}`,
 		func(ctx context.Context, addr string) (any, error) {
-			return NewCloud(goldenSettings(addr)).Catalog(ctx)
+			return NewCloudClient(goldenSettings(addr)).Catalog(ctx)
 		}},
 	{"cloud-rent", `{"hosts":["host-000001","host-000002"]}`, func(ctx context.Context, addr string) (any, error) {
-		return NewCloud(goldenSettings(addr)).ScaleOut(ctx, filledValue[protocol.ScaleOutRequest]())
+		return NewCloudClient(goldenSettings(addr)).ScaleOut(ctx, filledValue[protocol.ScaleOutRequest]())
 	}},
 	{"cloud-return", `{}`, func(ctx context.Context, addr string) (any, error) {
-		return nil, NewCloud(goldenSettings(addr)).ScaleIn(ctx, []string{"host-000001"})
+		return nil, NewCloudClient(goldenSettings(addr)).ScaleIn(ctx, []string{"host-000001"})
 	}},
 	{"cloud-list", `{"hosts":[{"id":"host-000001","addr":"10.1.0.1:9000","hull":"g8","berth":"a","loaners":true,"status":"up","heldS":3.5}],"more":true}`,
 		func(ctx context.Context, addr string) (any, error) {
-			return NewCloud(goldenSettings(addr)).List(ctx, "")
+			return NewCloudClient(goldenSettings(addr)).List(ctx, "")
 		}},
 	{"cloud-list-after", `{"hosts":[],"more":false}`, func(ctx context.Context, addr string) (any, error) {
-		return NewCloud(goldenSettings(addr)).List(ctx, "host-000001")
+		return NewCloudClient(goldenSettings(addr)).List(ctx, "host-000001")
 	}},
 	{"worker-command", workerHeartbeat, func(_ context.Context, addr string) (any, error) {
-		heartbeat, status, err := NewWorkers().Command(addr, filledValue[protocol.DirectCommands](), time.Minute)
+		heartbeat, status, err := NewWorkerClient().Command(addr, filledValue[protocol.DirectCommands](), time.Minute)
 		return []any{heartbeat, status}, err
 	}},
 }
@@ -135,8 +135,8 @@
 	if err != nil && withText {
 		text += fmt.Sprintf("  error %v\n", err)
 	}
-	for _, kind := range []error{protocol.ErrRefused, protocol.ErrUnknown, protocol.ErrNotFound, protocol.ErrTooOld, protocol.ErrTooLarge,
-		protocol.ErrNoLease, protocol.ErrNoCapacity} {
+	for _, kind := range []error{protocol.ErrRefused, protocol.ErrOutcomeUnknown, protocol.ErrNotFound, protocol.ErrRevisionTooOld, protocol.ErrTooLarge,
+		protocol.ErrLeaseExpired, protocol.ErrNoCapacity} {
 		if errors.Is(err, kind) {
 			text += fmt.Sprintf("  kind %v\n", kind)
 		}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -54,7 +54,7 @@
 // Run starts goroutines that keep a connection to every known controller until the context is done, and
 // returns at once.
 func (p *Peers) Run(ctx context.Context) {
-	for _, peer := range p.cfg.Known {
+	for _, peer := range p.cfg.KnownPeers {
 		go p.keepConnected(ctx, peer)
 	}
 }
@@ -185,7 +185,7 @@
 // identify returns the name in a hello message if it is that of a known controller, and otherwise the
 // current name.
 func (p *Peers) identify(hello protocol.Hello, current string) string {
-	for _, peer := range p.cfg.Known {
+	for _, peer := range p.cfg.KnownPeers {
 		if peer.MemberName == hello.Member {
 			return hello.Member
 		}
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peers_test.go
@@ -188,7 +188,7 @@
 		listener:  &pipeListener{make(chan net.Conn, 1)},
 		firstLine: make(chan string, 1),
 	}
-	cfg := &config.Settings{MemberName: "n-0", Known: []config.Peer{{MemberName: "n-1"}}}
+	cfg := &config.Settings{MemberName: "n-0", KnownPeers: []config.Peer{{MemberName: "n-1"}}}
 	httpConns := NewPeers(cfg, port.core, slog.New(slog.DiscardHandler)).Split(port.listener)
 	go func() {
 		conn, err := httpConns.Accept()
--- a/internal/transport/statebudget.go
+++ b/internal/transport/statebudget.go
@@ -99,21 +99,21 @@
 	return max(b.changes.Delay(float64(changes), b.reserve), b.requests.Delay(1, b.reserve))
 }
 
-// StepBack reduces the budget of changes for a random back-off time after the service has rejected a
+// BackOff reduces the budget of changes for a random back-off time after the service has rejected a
 // request because all controllers together exceed its rate. It returns that time.
-func (b *StateBudget) StepBack() time.Duration {
+func (b *StateBudget) BackOff() time.Duration {
 	wait := minBackoff + time.Duration(rand.IntN(backoffJitterMs))*time.Millisecond
 	b.changes.Drain(wait)
 	return wait
 }
 
-// Request waits until a request without changes may be sent.
-func (b *StateBudget) Request(ctx context.Context) error {
+// WaitForRequest waits until a request without changes may be sent.
+func (b *StateBudget) WaitForRequest(ctx context.Context) error {
 	return notExecuted(b.requests.Wait(ctx, 1, b.reserve))
 }
 
-// Owe charges a request that must not wait.
-func (b *StateBudget) Owe() { b.requests.Debit(1) }
+// ChargeRequest charges a request that must not wait.
+func (b *StateBudget) ChargeRequest() { b.requests.Debit(1) }
 
 // Admit waits until a transaction with the given number of changes may be sent. Errors wrap
 // protocol.ErrRefused.
@@ -129,7 +129,7 @@
 }
 
 func (b *StateBudget) admitUrgent(changes int) {
-	b.Owe()
+	b.ChargeRequest()
 	b.changes.Debit(float64(changes))
 	b.changesUsed.Add(uint64(changes))
 }
@@ -142,13 +142,13 @@
 	if !ok {
 		return fmt.Errorf("%w: the state service's rate limit allows the change only in %v", protocol.ErrRefused, wait)
 	}
-	b.Owe()
+	b.ChargeRequest()
 	b.changesUsed.Add(uint64(changes))
 	return notExecuted(sleep(ctx, wait))
 }
 
 func (b *StateBudget) admitBackground(ctx context.Context, changes int) error {
-	if err := b.Request(ctx); err != nil {
+	if err := b.WaitForRequest(ctx); err != nil {
 		return err
 	}
 	if err := b.changes.Wait(ctx, float64(changes), b.reserve); err != nil {
--- a/internal/transport/stateclient.go
+++ b/internal/transport/stateclient.go
@@ -43,8 +43,8 @@
 	Observe func(service, outcome string)
 }
 
-// NewState returns a client that stays within its share of the service's rate limits.
-func NewState(settings *config.Settings) *StateClient {
+// NewStateClient returns a client that stays within its share of the service's rate limits.
+func NewStateClient(settings *config.Settings) *StateClient {
 	addr := settings.External.State
 	return &StateClient{
 		client:      newHostClient(addr, stateConns),
@@ -69,7 +69,7 @@
 
 // Revision returns the current revision. It reads it with a transaction that changes nothing.
 func (s *StateClient) Revision(ctx context.Context) (uint64, error) {
-	if err := s.Request(ctx); err != nil {
+	if err := s.WaitForRequest(ctx); err != nil {
 		return 0, err
 	}
 	probe := protocol.Txn{If: []protocol.Condition{{Key: revisionProbeKey}}}
@@ -84,7 +84,7 @@
 // List returns a page of up to limit keys with a prefix, which begins after the key after.
 func (s *StateClient) List(ctx context.Context, prefix, after string, limit int) (protocol.Page, error) {
 	var page protocol.Page
-	if err := s.Request(ctx); err != nil {
+	if err := s.WaitForRequest(ctx); err != nil {
 		return page, err
 	}
 	path := "/store?starts=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
@@ -96,7 +96,7 @@
 }
 
 // Txn commits a transaction. If conditions do not hold, failed is not empty and nothing was changed.
-// Errors wrap protocol.ErrRefused (not executed), protocol.ErrNoLease, or protocol.ErrUnknown. A user's
+// Errors wrap protocol.ErrRefused (not executed), protocol.ErrLeaseExpired, or protocol.ErrOutcomeUnknown. A user's
 // transaction that the service rejects for its rate is repeated, up to maxUserTxnAttempts attempts.
 func (s *StateClient) Txn(ctx context.Context, txn protocol.Txn, priority protocol.RequestPriority) (rev uint64, failed []string, err error) {
 	for attempt := 1; ; attempt++ {
@@ -107,7 +107,7 @@
 		if !outcome.rateLimited {
 			return outcome.revision, outcome.failed, err
 		}
-		wait := s.StepBack()
+		wait := s.BackOff()
 		if priority != protocol.UserRequest || attempt >= maxUserTxnAttempts || sleep(ctx, wait) != nil {
 			return outcome.revision, outcome.failed, err
 		}
@@ -151,7 +151,7 @@
 // badTxnError returns the error for the text of a response with status 400.
 func badTxnError(text string) error {
 	if text == noSuchLeaseText {
-		return protocol.ErrNoLease
+		return protocol.ErrLeaseExpired
 	}
 	return fmt.Errorf("%w: %w: %s", protocol.ErrRefused, protocol.ErrTooLarge, text)
 }
@@ -168,21 +168,21 @@
 
 // Grant creates a session lease, which expires unless it is renewed within ttl, and returns its ID.
 func (s *StateClient) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	s.Owe()
+	s.ChargeRequest()
 	request := serviceRequest{http.MethodPost, "/holds", leaseRequest{TTLMs: ttl.Milliseconds()}}
 	var grant leaseGrant
 	status, err := s.call(ctx, s.leaseClient, request, &grant, s.Timeout)
 	return grant.Lease, statusError(status, err)
 }
 
-// Renew renews a session lease. It returns protocol.ErrNoLease if the lease has expired.
+// Renew renews a session lease. It returns protocol.ErrLeaseExpired if the lease has expired.
 func (s *StateClient) Renew(ctx context.Context, lease uint64, timeout time.Duration) error {
-	s.Owe()
+	s.ChargeRequest()
 	path := "/holds/" + strconv.FormatUint(lease, 10) + "/extend"
 	status, err := s.call(ctx, s.leaseClient, serviceRequest{http.MethodPost, path, nil}, nil, timeout)
 	err = statusError(status, err)
 	if errors.Is(err, protocol.ErrNotFound) {
-		return protocol.ErrNoLease
+		return protocol.ErrLeaseExpired
 	}
 	return err
 }
@@ -190,7 +190,7 @@
 // Watch returns the changes of keys with a prefix after the revision from. If there are none, it waits
 // for up to wait.
 func (s *StateClient) Watch(ctx context.Context, prefix string, from uint64, wait time.Duration) (protocol.Events, error) {
-	s.Owe()
+	s.ChargeRequest()
 	path := "/follow?starts=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	var events protocol.Events
--- a/internal/transport/users.go
+++ b/internal/transport/users.go
@@ -33,8 +33,8 @@
 
 // Limits of the public server's connections.
 const (
-	maxReadBody       = 4 * protocol.MaxBody // bytes; a larger body is rejected without being read
-	reservedConns     = 64                   // sockets reserved for connections other than those of users and workers
+	maxReadBody       = 4 * protocol.MaxBodyBytes // bytes; a larger body is rejected without being read
+	reservedConns     = 64                        // sockets reserved for connections other than those of users and workers
 	minPublicConns    = 16
 	publicIdleTimeout = 2 * time.Minute
 	publicReadBuffer  = 8 << 10 // bytes per connection
--- a/internal/transport/view.go
+++ b/internal/transport/view.go
@@ -53,11 +53,11 @@
 func (a viewAPI) serve(handler viewHandler) fiber.Handler {
 	return func(request *fiber.Ctx) error {
 		if !a.core.ViewEnabled() {
-			return send(request, fiber.StatusNotFound, AdminRefusal{Error: "the view is switched off on this node: see deploy/features.toml"})
+			return send(request, fiber.StatusNotFound, AdminErrorResponse{Error: "the view is switched off on this node: see deploy/features.toml"})
 		}
 		team := query(request, "team")
 		if team != "" && !a.core.HasTeam(team) {
-			return send(request, fiber.StatusNotFound, AdminRefusal{Error: "no such team", Field: "team"})
+			return send(request, fiber.StatusNotFound, AdminErrorResponse{Error: "no such team", Field: "team"})
 		}
 		select {
 		case a.slots <- struct{}{}:
@@ -74,7 +74,7 @@
 func (a viewAPI) page(request *fiber.Ctx, scope view.Scope) error {
 	cursor, wait, ok := viewQuery(request)
 	if !ok {
-		return send(request, fiber.StatusBadRequest, AdminRefusal{Error: "epoch, seq and wait_ms are whole numbers, wait_ms at most 2000"})
+		return send(request, fiber.StatusBadRequest, AdminErrorResponse{Error: "epoch, seq and wait_ms are whole numbers, wait_ms at most 2000"})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -107,7 +107,7 @@
 func (a viewAPI) reasons(c *fiber.Ctx, scope view.Scope) error {
 	ids := strings.Split(query(c, "jobs"), ",")
 	if !validReasonIDs(ids) {
-		return send(c, fiber.StatusBadRequest, AdminRefusal{Error: "jobs is a list of up to " + strconv.Itoa(view.MaxReasons) + " ids", Field: "jobs"})
+		return send(c, fiber.StatusBadRequest, AdminErrorResponse{Error: "jobs is a list of up to " + strconv.Itoa(view.MaxReasons) + " ids", Field: "jobs"})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
--- a/internal/transport/workerclient.go
+++ b/internal/transport/workerclient.go
@@ -20,8 +20,8 @@
 // WorkerClient is a client of the workers.
 type WorkerClient struct{ client *fasthttp.Client }
 
-// NewWorkers returns a client that sends direct commands to workers at their addresses.
-func NewWorkers() *WorkerClient {
+// NewWorkerClient returns a client that sends direct commands to workers at their addresses.
+func NewWorkerClient() *WorkerClient {
 	return &WorkerClient{client: &fasthttp.Client{
 		Dial:                      dialWithTimeout(workerDialTimeout),
 		MaxConnsPerHost:           connsPerWorker,
--- a/internal/view/feed.go
+++ b/internal/view/feed.go
@@ -66,7 +66,7 @@
 	if flags&flagMore == 0 {
 		next = s.Seq
 		head := scope.Head(s.Head)
-		head.Now = now
+		head.NowMs = now
 		page.head(head)
 	}
 	page.uint(next)
--- a/internal/view/feed_reader.go
+++ b/internal/view/feed_reader.go
@@ -110,7 +110,7 @@
 		page.changes = append(page.changes, func(m *Model) { m.PutMachine(x) })
 	case kindVictimSet:
 		e := r.victimSet()
-		page.changes = append(page.changes, func(m *Model) { m.PutEviction(e) })
+		page.changes = append(page.changes, func(m *Model) { m.PutVictimSet(e) })
 	default:
 		r.malformed = true
 	}
@@ -119,14 +119,14 @@
 func (r *pageDecoder) job() Job {
 	job := Job{ID: r.text(), Team: r.text(), Class: r.text()}
 	job.Priority, job.Status = protocol.Priority(r.byteBelow(byte(protocol.Production)+1)), Status(r.byteBelow(byte(Cancelled)+1))
-	job.Service, job.Suspect, job.Evicting = r.flag(), r.flag(), r.flag()
-	for _, v := range []*uint32{&job.Tasks, &job.Done, &job.Placed, &job.Awaits, &job.Shard} {
+	job.Service, job.Suspect, job.Preempting = r.flag(), r.flag(), r.flag()
+	for _, v := range []*uint32{&job.Tasks, &job.Done, &job.Placed, &job.UnmetDependencies, &job.Shard} {
 		*v = r.uint32()
 	}
-	for _, v := range []*uint64{&job.Cpus, &job.Gpus, &job.Estimate} {
+	for _, v := range []*uint64{&job.Cpus, &job.Gpus, &job.EstimateMs} {
 		*v = r.uint()
 	}
-	for _, v := range []*int64{&job.Submit, &job.From, &job.Due, &job.End} {
+	for _, v := range []*int64{&job.SubmittedMs, &job.ReadyMs, &job.DeadlineMs, &job.EndedMs} {
 		*v = r.int()
 	}
 	return job
@@ -140,13 +140,13 @@
 		*v = r.uint()
 	}
 	for range r.count() {
-		m.Uses = append(m.Uses, Use{r.text(), r.uint32(), r.uint(), r.uint()})
+		m.Uses = append(m.Uses, MachineUse{r.text(), r.uint32(), r.uint(), r.uint()})
 	}
 	return m
 }
 
-func (r *pageDecoder) victimSet() Eviction {
-	e := Eviction{Key: r.text(), Job: r.text(), Team: r.text(), At: r.int(), Shard: r.uint32(), Open: r.flag()}
+func (r *pageDecoder) victimSet() VictimSet {
+	e := VictimSet{Key: r.text(), Job: r.text(), Team: r.text(), ChosenAtMs: r.int(), Shard: r.uint32(), Open: r.flag()}
 	if e.Key == "" {
 		r.malformed = true
 	}
@@ -167,8 +167,8 @@
 }
 
 func (r *pageDecoder) head(epoch uint64) *Head {
-	head := &Head{Epoch: epoch, Member: r.text(), Seq: r.uint(), Revision: r.uint(), Now: r.int(), AsOf: r.int(), Since: r.int(),
-		StateOK: r.flag(), Scope: r.text(), Teams: []Team{}, Members: []Member{}}
+	head := &Head{Epoch: epoch, Member: r.text(), Seq: r.uint(), Revision: r.uint(), NowMs: r.int(), AsOfMs: r.int(), FinalSinceMs: r.int(),
+		StateServiceOK: r.flag(), Scope: r.text(), Teams: []Team{}, Members: []Member{}}
 	for range r.count() {
 		t := Team{Name: r.text()}
 		r.uints(t.fields())
@@ -180,9 +180,9 @@
 	}
 	r.uints(head.Fleet.fields())
 	for range r.count() {
-		n := Member{Name: r.text(), Alive: r.flag(), Leader: r.flag(), Unfit: r.flag(), Shares: []uint32{}}
+		n := Member{Name: r.text(), Alive: r.flag(), Leader: r.flag(), NotReady: r.flag(), Shards: []uint32{}}
 		for range r.count() {
-			n.Shares = append(n.Shares, r.uint32())
+			n.Shards = append(n.Shards, r.uint32())
 		}
 		head.Members = append(head.Members, n)
 	}
--- a/internal/view/feed_writer.go
+++ b/internal/view/feed_writer.go
@@ -58,11 +58,11 @@
 	w.data = append(w.data, byte(job.Priority), byte(job.Status))
 	w.flag(job.Service)
 	w.flag(job.Suspect)
-	w.flag(job.Evicting)
-	for _, v := range []uint64{uint64(job.Tasks), uint64(job.Done), uint64(job.Placed), uint64(job.Awaits), uint64(job.Shard), job.Cpus, job.Gpus, job.Estimate} {
+	w.flag(job.Preempting)
+	for _, v := range []uint64{uint64(job.Tasks), uint64(job.Done), uint64(job.Placed), uint64(job.UnmetDependencies), uint64(job.Shard), job.Cpus, job.Gpus, job.EstimateMs} {
 		w.uint(v)
 	}
-	for _, v := range []int64{job.Submit, job.From, job.Due, job.End} {
+	for _, v := range []int64{job.SubmittedMs, job.ReadyMs, job.DeadlineMs, job.EndedMs} {
 		w.int(v)
 	}
 }
@@ -85,12 +85,12 @@
 	}
 }
 
-func (w *pageEncoder) victimSet(victimSet *Eviction) {
+func (w *pageEncoder) victimSet(victimSet *VictimSet) {
 	w.data = append(w.data, byte(kindVictimSet))
 	w.text(victimSet.Key)
 	w.text(victimSet.Job)
 	w.text(victimSet.Team)
-	w.int(victimSet.At)
+	w.int(victimSet.ChosenAtMs)
 	w.uint(uint64(victimSet.Shard))
 	w.flag(victimSet.Open)
 	n := min(len(victimSet.Victims), maxVictims)
@@ -126,10 +126,10 @@
 	w.text(head.Member)
 	w.uint(head.Seq)
 	w.uint(head.Revision)
-	w.int(head.Now)
-	w.int(head.AsOf)
-	w.int(head.Since)
-	w.flag(head.StateOK)
+	w.int(head.NowMs)
+	w.int(head.AsOfMs)
+	w.int(head.FinalSinceMs)
+	w.flag(head.StateServiceOK)
 	w.text(head.Scope)
 	w.uint(uint64(len(head.Teams)))
 	for i := range head.Teams {
@@ -146,9 +146,9 @@
 		w.text(n.Name)
 		w.flag(n.Alive)
 		w.flag(n.Leader)
-		w.flag(n.Unfit)
-		w.uint(uint64(len(n.Shares)))
-		for _, s := range n.Shares {
+		w.flag(n.NotReady)
+		w.uint(uint64(len(n.Shards)))
+		for _, s := range n.Shards {
 			w.uint(uint64(s))
 		}
 	}
--- a/internal/view/golden_test.go
+++ b/internal/view/golden_test.go
@@ -16,11 +16,11 @@
 
 // goldenModel is the content of model.json.
 type goldenModel struct {
-	Teams     []Team     `json:"teams"`
-	Jobs      []Job      `json:"jobs"`
-	Machines  []Machine  `json:"machines"`
-	Evictions []Eviction `json:"evictions"`
-	Head      Head       `json:"head"`
+	Teams     []Team      `json:"teams"`
+	Jobs      []Job       `json:"jobs"`
+	Machines  []Machine   `json:"machines"`
+	Evictions []VictimSet `json:"evictions"`
+	Head      Head        `json:"head"`
 }
 
 func readGoldenModel(t *testing.T) (content goldenModel) {
@@ -43,7 +43,7 @@
 		model.PutMachine(machine)
 	}
 	for _, victimSet := range content.Evictions {
-		model.PutEviction(victimSet)
+		model.PutVictimSet(victimSet)
 	}
 	return model
 }
@@ -93,13 +93,13 @@
 func (r *goldenReader) contentJSON(t *testing.T, page *Page) []byte {
 	t.Helper()
 	content := struct {
-		Reset     bool        `json:"reset"`
-		Epoch     uint64      `json:"epoch"`
-		Seq       uint64      `json:"seq"`
-		Head      *Head       `json:"head"`
-		Jobs      []*Job      `json:"jobs"`
-		Machines  []*Machine  `json:"machines"`
-		Evictions []*Eviction `json:"evictions"`
+		Reset     bool         `json:"reset"`
+		Epoch     uint64       `json:"epoch"`
+		Seq       uint64       `json:"seq"`
+		Head      *Head        `json:"head"`
+		Jobs      []*Job       `json:"jobs"`
+		Machines  []*Machine   `json:"machines"`
+		Evictions []*VictimSet `json:"evictions"`
 	}{page.Reset, page.Next.Epoch, page.Next.Seq, page.Head,
 		r.mirror.jobs.Values(), r.mirror.machines.Values(), r.mirror.victimSets.Values()}
 	text, err := json.MarshalIndent(content, "", " ")
--- a/internal/view/hub.go
+++ b/internal/view/hub.go
@@ -21,8 +21,8 @@
 // readerTimeout is how long after its last request a reader counts as present.
 const readerTimeout = 5 * time.Second
 
-// Wanted reports whether there is a reader. Without one no snapshot needs to be taken.
-func (h *Hub) Wanted(now time.Time) bool { return now.UnixNano() < h.readUntil.Load() }
+// HasReaders reports whether there is a reader. Without one no snapshot needs to be taken.
+func (h *Hub) HasReaders(now time.Time) bool { return now.UnixNano() < h.readUntil.Load() }
 
 // Publish makes a snapshot the latest one and wakes the waiting readers. It never waits for a reader.
 func (h *Hub) Publish(s *Snapshot) {
--- a/internal/view/model.go
+++ b/internal/view/model.go
@@ -29,8 +29,8 @@
 	kind      rowKind
 	key       string
 	removed   bool
-	job       *Job      // the removed row, to decide which scopes may see its removal
-	victimSet *Eviction // the removed row, for the same purpose
+	job       *Job       // the removed row, to decide which scopes may see its removal
+	victimSet *VictimSet // the removed row, for the same purpose
 }
 
 // Model is the read model, owned by one goroutine. Its maps are copy-on-write B-trees: copying a whole
@@ -40,7 +40,7 @@
 	teamIndex      map[string]int // by name, index into teams, totals and ratesMicro
 	jobs           *btree.Map[string, *Job]
 	machines       *btree.Map[string, *Machine]
-	victimSets     *btree.Map[string, *Eviction]
+	victimSets     *btree.Map[string, *VictimSet]
 	log            *btree.Map[uint64, logEntry]
 	seq            uint64   // sequence number of the latest change
 	logFloor       uint64   // the log is incomplete for cursors before this sequence number
@@ -66,7 +66,7 @@
 func NewModel(teams []Team) *Model {
 	m := &Model{teams: slices.Clone(teams), teamIndex: map[string]int{}, totals: make([]Totals, len(teams)), ratesMicro: make([]uint64, len(teams)),
 		jobs: btree.NewMap[string, *Job](16), machines: btree.NewMap[string, *Machine](16),
-		victimSets: btree.NewMap[string, *Eviction](16), log: btree.NewMap[uint64, logEntry](16)}
+		victimSets: btree.NewMap[string, *VictimSet](16), log: btree.NewMap[uint64, logEntry](16)}
 	for i := range m.teams {
 		m.teams[i].Totals, m.teams[i].RateMicro, m.teams[i].DominantPM = Totals{}, 0, 0
 		m.teamIndex[m.teams[i].Name] = i
@@ -178,13 +178,13 @@
 	}
 }
 
-// PutEviction replaces the row of a victim set, or inserts it under a new key if it has none. The latest
+// PutVictimSet replaces the row of a victim set, or inserts it under a new key if it has none. The latest
 // maxVictimSets rows are kept. The key does not contain the id of the job that needs the room: a team that
 // sees the set because one of its own tasks is a victim must not learn for which job.
-func (m *Model) PutEviction(victimSet Eviction) {
+func (m *Model) PutVictimSet(victimSet VictimSet) {
 	if victimSet.Key == "" {
 		m.victimSetCount++
-		victimSet.Key = fmt.Sprintf("%015d/%d", victimSet.At, m.victimSetCount)
+		victimSet.Key = fmt.Sprintf("%015d/%d", victimSet.ChosenAtMs, m.victimSetCount)
 	}
 	if old, had := m.victimSets.Get(victimSet.Key); had {
 		victimSet.seq = old.seq
@@ -204,11 +204,11 @@
 	}
 }
 
-// EvictionOf returns the latest victim set that makes room for a job.
-func (m *Model) EvictionOf(job string) (Eviction, bool) {
-	var found Eviction
+// LatestVictimSet returns the latest victim set that makes room for a job.
+func (m *Model) LatestVictimSet(job string) (VictimSet, bool) {
+	var found VictimSet
 	ok := false
-	m.victimSets.Reverse(func(_ string, e *Eviction) bool {
+	m.victimSets.Reverse(func(_ string, e *VictimSet) bool {
 		if ok = e.Job == job; ok {
 			found = *e
 		}
@@ -242,7 +242,7 @@
 	Head
 	jobs       *btree.Map[string, *Job]
 	machines   *btree.Map[string, *Machine]
-	victimSets *btree.Map[string, *Eviction]
+	victimSets *btree.Map[string, *VictimSet]
 	log        *btree.Map[uint64, logEntry]
 	logFloor   uint64
 }
@@ -264,9 +264,9 @@
 	s.machines.Scan(func(_ string, m *Machine) bool { return yield(m) })
 }
 
-// Evictions calls yield for the latest victim sets, newest first, until yield returns false.
-func (s *Snapshot) Evictions(yield func(*Eviction) bool) {
-	s.victimSets.Reverse(func(_ string, e *Eviction) bool { return yield(e) })
+// VictimSets calls yield for the latest victim sets, newest first, until yield returns false.
+func (s *Snapshot) VictimSets(yield func(*VictimSet) bool) {
+	s.victimSets.Reverse(func(_ string, e *VictimSet) bool { return yield(e) })
 }
 
 // Counts returns the numbers of jobs, machines and victim sets in the snapshot.
--- a/internal/view/rows.go
+++ b/internal/view/rows.go
@@ -28,26 +28,26 @@
 
 // Job is the row of a job. A row is not modified once it is in a model.
 type Job struct {
-	ID       string            `json:"id"`
-	Team     string            `json:"team"`
-	Class    string            `json:"class"`
-	Priority protocol.Priority `json:"priority"` // as submitted, without what it inherits from dependents
-	Service  bool              `json:"service,omitempty"`
-	Status   Status            `json:"status"`
-	Suspect  bool              `json:"suspect,omitempty"`  // failed on several machines before any of its tasks had completed
-	Evicting bool              `json:"evicting,omitempty"` // has a victim set whose tasks are still stopping
-	Tasks    uint32            `json:"tasks"`
-	Done     uint32            `json:"done"`
-	Placed   uint32            `json:"placed"`
-	Awaits   uint32            `json:"awaits,omitempty"` // number of unmet dependencies
-	Shard    uint32            `json:"share"`
-	Cpus     uint64            `json:"cpus_milli"` // of one task, as Gpus
-	Gpus     uint64            `json:"gpus_milli"`
-	Submit   int64             `json:"submitted_ms"` // Unix time in ms, as all fields whose key ends in _ms except estimate_ms
-	From     int64             `json:"from_ms"`      // when the job became ready; its waiting time counts from then
-	Due      int64             `json:"due_ms,omitempty"`
-	Estimate uint64            `json:"estimate_ms"` // the submitter's estimate of the run time of one task, in ms
-	End      int64             `json:"end_ms,omitempty"`
+	ID                string            `json:"id"`
+	Team              string            `json:"team"`
+	Class             string            `json:"class"`
+	Priority          protocol.Priority `json:"priority"` // as submitted, without what it inherits from dependents
+	Service           bool              `json:"service,omitempty"`
+	Status            Status            `json:"status"`
+	Suspect           bool              `json:"suspect,omitempty"`  // failed on several machines before any of its tasks had completed
+	Preempting        bool              `json:"evicting,omitempty"` // has a victim set whose tasks are still stopping
+	Tasks             uint32            `json:"tasks"`
+	Done              uint32            `json:"done"`
+	Placed            uint32            `json:"placed"`
+	UnmetDependencies uint32            `json:"awaits,omitempty"` // number of unmet dependencies
+	Shard             uint32            `json:"share"`
+	Cpus              uint64            `json:"cpus_milli"` // of one task, as Gpus
+	Gpus              uint64            `json:"gpus_milli"`
+	SubmittedMs       int64             `json:"submitted_ms"` // Unix time in ms, as all fields whose key ends in _ms except estimate_ms
+	ReadyMs           int64             `json:"from_ms"`      // when the job became ready; its waiting time counts from then
+	DeadlineMs        int64             `json:"due_ms,omitempty"`
+	EstimateMs        uint64            `json:"estimate_ms"` // the submitter's estimate of the run time of one task, in ms
+	EndedMs           int64             `json:"end_ms,omitempty"`
 
 	seq uint64
 }
@@ -55,7 +55,7 @@
 // Waiting returns the number of tasks that are neither done nor placed, 0 for a job that is final or has
 // unmet dependencies.
 func (j *Job) Waiting() uint32 {
-	if j.Status.Final() || j.Awaits > 0 {
+	if j.Status.Final() || j.UnmetDependencies > 0 {
 		return 0
 	}
 	return j.Tasks - min(j.Tasks, j.Done+j.Placed)
@@ -66,16 +66,16 @@
 // a cancelled job or one without a deadline.
 func (j *Job) Behind(now int64) int64 {
 	switch {
-	case j.Due == 0 || j.Status == Cancelled:
+	case j.DeadlineMs == 0 || j.Status == Cancelled:
 		return math.MinInt64
 	case j.Status == Done:
-		return j.End - j.Due
+		return j.EndedMs - j.DeadlineMs
 	}
 	left := int64(0)
-	if j.Waiting() > 0 || j.Awaits > 0 {
-		left = int64(j.Estimate)
+	if j.Waiting() > 0 || j.UnmetDependencies > 0 {
+		left = int64(j.EstimateMs)
 	}
-	return now + left - j.Due
+	return now + left - j.DeadlineMs
 }
 
 // MachineState is the state of a machine according to the records in the state service.
@@ -86,7 +86,7 @@
 	Booting MachineState = iota
 	Idle
 	Busy
-	Sick
+	Unhealthy
 	Draining
 	Returning
 )
@@ -110,13 +110,13 @@
 	UsedCpus uint64       `json:"used_cpus_milli"`
 	UsedGpus uint64       `json:"used_gpus_milli"`
 	Price    uint64       `json:"price_micro_per_hour"`
-	Uses     []Use        `json:"uses,omitempty"` // one entry per team, in the order of the team names
+	Uses     []MachineUse `json:"uses,omitempty"` // one entry per team, in the order of the team names
 
 	seq uint64
 }
 
-// Use is the part of a machine that the tasks of one team use.
-type Use struct {
+// MachineUse is the part of a machine that the tasks of one team use.
+type MachineUse struct {
 	Team  string `json:"team"`
 	Tasks uint32 `json:"tasks"`
 	Cpus  uint64 `json:"cpus_milli"`
@@ -125,7 +125,7 @@
 
 // rateMicro returns the part of the machine's price, in millionths per hour, that is charged to the use: in
 // proportion to the resource of which it takes the larger part.
-func (u Use) rateMicro(m *Machine) uint64 {
+func (u MachineUse) rateMicro(m *Machine) uint64 {
 	proportional := func(use, all uint64) uint64 {
 		if all == 0 {
 			return 0
@@ -135,15 +135,15 @@
 	return max(proportional(u.Cpus, m.Cpus), proportional(u.Gpus, m.Gpus))
 }
 
-// Eviction is the row of a victim set.
-type Eviction struct {
-	Key     string   `json:"key"` // time and sequence number; rows are sorted by it
-	Job     string   `json:"job"` // the job that needs the room
-	Team    string   `json:"team"`
-	At      int64    `json:"at_ms"`
-	Shard   uint32   `json:"share"`
-	Open    bool     `json:"open"` // the victims are still stopping
-	Victims []Victim `json:"victims"`
+// VictimSet is the row of a victim set.
+type VictimSet struct {
+	Key        string   `json:"key"` // time and sequence number; rows are sorted by it
+	Job        string   `json:"job"` // the job that needs the room
+	Team       string   `json:"team"`
+	ChosenAtMs int64    `json:"at_ms"`
+	Shard      uint32   `json:"share"`
+	Open       bool     `json:"open"` // the victims are still stopping
+	Victims    []Victim `json:"victims"`
 
 	seq uint64
 }
@@ -240,28 +240,28 @@
 
 // Member is the row of a controller.
 type Member struct {
-	Name   string   `json:"name"`
-	Alive  bool     `json:"alive"`
-	Leader bool     `json:"leader"`
-	Unfit  bool     `json:"unfit,omitempty"` // the controller reaches no worker
-	Shares []uint32 `json:"shares"`
+	Name     string   `json:"name"`
+	Alive    bool     `json:"alive"`
+	Leader   bool     `json:"leader"`
+	NotReady bool     `json:"unfit,omitempty"` // the controller reaches no worker
+	Shards   []uint32 `json:"shares"`
 }
 
 // Head describes a snapshot and holds the totals at its revision.
 type Head struct {
-	Member   string   `json:"node"`  // the controller that took the snapshot
-	Epoch    uint64   `json:"epoch"` // identifies the model; sequence numbers are comparable only within one epoch
-	Seq      uint64   `json:"seq"`
-	Revision uint64   `json:"revision"`
-	Now      int64    `json:"now_ms"`   // the controller's clock when it sent the page
-	AsOf     int64    `json:"as_of_ms"` // the latest time at which the revision was known to be the newest one, by the same clock
-	Since    int64    `json:"since_ms"` // jobs that ended earlier are not listed
-	StateOK  bool     `json:"state_ok"` // the state service answers the controller
-	Scope    string   `json:"scope"`    // the team whose view it is, "" for operators
-	Teams    []Team   `json:"teams"`
-	Others   *Totals  `json:"others,omitempty"` // totals of the teams that the scope leaves out
-	Fleet    Fleet    `json:"fleet"`
-	Members  []Member `json:"nodes"`
+	Member         string   `json:"node"`  // the controller that took the snapshot
+	Epoch          uint64   `json:"epoch"` // identifies the model; sequence numbers are comparable only within one epoch
+	Seq            uint64   `json:"seq"`
+	Revision       uint64   `json:"revision"`
+	NowMs          int64    `json:"now_ms"`   // the controller's clock when it sent the page
+	AsOfMs         int64    `json:"as_of_ms"` // the latest time at which the revision was known to be the newest one, by the same clock
+	FinalSinceMs   int64    `json:"since_ms"` // jobs that ended earlier are not listed
+	StateServiceOK bool     `json:"state_ok"` // the state service answers the controller
+	Scope          string   `json:"scope"`    // the team whose view it is, "" for operators
+	Teams          []Team   `json:"teams"`
+	Others         *Totals  `json:"others,omitempty"` // totals of the teams that the scope leaves out
+	Fleet          Fleet    `json:"fleet"`
+	Members        []Member `json:"nodes"`
 }
 
 // Team returns the row of a team, nil if the head does not list it.
@@ -279,9 +279,9 @@
 	Job    string `json:"job"`
 	Why    string `json:"why"` // "" if none of its tasks waits
 	Member string `json:"node"`
-	// Owner is set if the controller owns the shard of the job and so decides on its placement.
-	Owner bool  `json:"owner"`
-	At    int64 `json:"at_ms"`
+	// OwnsShard is set if the controller owns the shard of the job and so decides on its placement.
+	OwnsShard bool  `json:"owner"`
+	AtMs      int64 `json:"at_ms"`
 }
 
 // MaxReasons is the maximum number of jobs in one request for reasons.
--- a/internal/view/scope.go
+++ b/internal/view/scope.go
@@ -28,7 +28,7 @@
 
 // VictimSet returns the part of a victim set that the scope may see, nil if nothing. A team sees only its own
 // tasks among the victims, and the job that needs the room only if that job is its own.
-func (s Scope) VictimSet(victimSet *Eviction) *Eviction {
+func (s Scope) VictimSet(victimSet *VictimSet) *VictimSet {
 	if s == Operators {
 		return victimSet
 	}
@@ -74,7 +74,7 @@
 		}
 		return true
 	})
-	s.victimSets.Scan(func(_ string, e *Eviction) bool {
+	s.victimSets.Scan(func(_ string, e *VictimSet) bool {
 		if e = scope.VictimSet(e); e != nil {
 			model.victimSets.Set(e.Key, e)
 		}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -23,8 +23,8 @@
 	done := rapid.Uint32Range(0, tasks).Draw(t, "done")
 	j := Job{Team: team, Tasks: tasks, Done: done, Placed: rapid.Uint32Range(0, tasks-done).Draw(t, "placed"),
 		Status: Status(rapid.IntRange(0, 3).Draw(t, "status")), Priority: protocol.Priority(rapid.IntRange(0, 3).Draw(t, "prio")),
-		Awaits: rapid.Uint32Range(0, 2).Draw(t, "awaits"), Cpus: rapid.Uint64Range(1, 5000).Draw(t, "cpus"), Gpus: rapid.Uint64Range(0, 2000).Draw(t, "gpus"),
-		Submit: rapid.Int64Range(-5, 1e12).Draw(t, "submit"), Due: rapid.Int64Range(0, 1e12).Draw(t, "due"), Evicting: rapid.Bool().Draw(t, "evicting")}
+		UnmetDependencies: rapid.Uint32Range(0, 2).Draw(t, "awaits"), Cpus: rapid.Uint64Range(1, 5000).Draw(t, "cpus"), Gpus: rapid.Uint64Range(0, 2000).Draw(t, "gpus"),
+		SubmittedMs: rapid.Int64Range(-5, 1e12).Draw(t, "submit"), DeadlineMs: rapid.Int64Range(0, 1e12).Draw(t, "due"), Preempting: rapid.Bool().Draw(t, "evicting")}
 	j.ID = fmt.Sprintf("job-%d-of-%s", rapid.IntRange(0, 30).Draw(t, "id"), team)
 	j.Class = "class-of-" + team
 	return j
@@ -39,17 +39,17 @@
 		model.DropMachine(fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")))
 	case 2, 3:
 		a, b := randomJob(t), randomJob(t)
-		e := Eviction{Job: a.ID, Team: a.Team, At: rapid.Int64Range(0, 50).Draw(t, "at"), Open: true, Victims: []Victim{{Job: b.ID, Team: b.Team, Task: 1, Attempt: 7, Score: 0.5}}}
-		if old, ok := model.EvictionOf(a.ID); ok && rapid.Bool().Draw(t, "same") {
+		e := VictimSet{Job: a.ID, Team: a.Team, ChosenAtMs: rapid.Int64Range(0, 50).Draw(t, "at"), Open: true, Victims: []Victim{{Job: b.ID, Team: b.Team, Task: 1, Attempt: 7, Score: 0.5}}}
+		if old, ok := model.LatestVictimSet(a.ID); ok && rapid.Bool().Draw(t, "same") {
 			old.Open = false
 			e = old
 		}
-		model.PutEviction(e)
+		model.PutVictimSet(e)
 	case 4:
 		x := Machine{Name: fmt.Sprintf("host-%d", rapid.IntRange(0, 9).Draw(t, "machine")), Type: "t", Zone: "z", Cpus: 16000, Price: 1_500_000,
 			State: MachineState(rapid.IntRange(0, 5).Draw(t, "state"))}
 		j := randomJob(t)
-		x.Uses, x.UsedCpus, x.Tasks = []Use{{j.Team, 1, j.Cpus, 0}}, j.Cpus, 1
+		x.Uses, x.UsedCpus, x.Tasks = []MachineUse{{j.Team, 1, j.Cpus, 0}}, j.Cpus, 1
 		model.PutMachine(x)
 	default:
 		model.PutJob(randomJob(t))
@@ -92,7 +92,7 @@
 			list := func(s *Snapshot) (out []string) {
 				s.Jobs("", func(j *Job) bool { x := *j; x.seq = 0; out = append(out, fmt.Sprintf("%+v", x)); return true })
 				s.Machines(func(j *Machine) bool { x := *j; x.seq = 0; out = append(out, fmt.Sprintf("%+v", x)); return true })
-				s.Evictions(func(j *Eviction) bool { x := *j; x.seq = 0; out = append(out, fmt.Sprintf("%+v", x)); return true })
+				s.VictimSets(func(j *VictimSet) bool { x := *j; x.seq = 0; out = append(out, fmt.Sprintf("%+v", x)); return true })
 				return out
 			}
 			if scope == Operators {
@@ -125,7 +125,7 @@
 		_ = enc.Encode(seen.Head)
 		seen.Jobs("", func(j *Job) bool { return enc.Encode(j) == nil })
 		seen.Machines(func(x *Machine) bool { return enc.Encode(x) == nil })
-		seen.Evictions(func(e *Eviction) bool { return enc.Encode(e) == nil })
+		seen.VictimSets(func(e *VictimSet) bool { return enc.Encode(e) == nil })
 		for _, other := range teams {
 			if other.Name != team && strings.Contains(out.String(), other.Name) {
 				t.Fatalf("%s sees %s: %q", team, other.Name, out.String())
@@ -151,10 +151,10 @@
 func FuzzReadPage(f *testing.F) {
 	model := NewModel(teams)
 	model.PutJob(Job{ID: "job-000001", Team: teams[0].Name, Tasks: 3, Placed: 1, Status: Running})
-	model.PutMachine(Machine{Name: "host-1", Uses: []Use{{teams[0].Name, 1, 1, 0}}})
-	model.PutEviction(Eviction{Job: "job-000001", Victims: []Victim{{Job: "job-000002"}}})
+	model.PutMachine(Machine{Name: "host-1", Uses: []MachineUse{{teams[0].Name, 1, 1, 0}}})
+	model.PutVictimSet(VictimSet{Job: "job-000001", Victims: []Victim{{Job: "job-000002"}}})
 	model.DropJob("job-000001")
-	f.Add(model.Snapshot(Head{Epoch: 3, Members: []Member{{Name: "n", Shares: []uint32{1}}}}).AppendPage(nil, Operators, Cursor{}, 5))
+	f.Add(model.Snapshot(Head{Epoch: 3, Members: []Member{{Name: "n", Shards: []uint32{1}}}}).AppendPage(nil, Operators, Cursor{}, 5))
 	f.Add([]byte{feedMagic, feedVersion, flagReset, 1, 0, 0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := ReadPage(raw)
@@ -192,7 +192,7 @@
 		m.PutJob(Job{ID: fmt.Sprintf("job-%09d", i), Team: teams[i%3].Name, Class: "c", Tasks: 3, Placed: uint32(i % 2), Cpus: 1000})
 	}
 	for i := range machines {
-		m.PutMachine(Machine{Name: fmt.Sprintf("host-%06d", i), Cpus: 16000, Uses: []Use{{teams[0].Name, 1, 1000, 0}}})
+		m.PutMachine(Machine{Name: fmt.Sprintf("host-%06d", i), Cpus: 16000, Uses: []MachineUse{{teams[0].Name, 1, 1000, 0}}})
 	}
 	return m
 }
--- a/internal/viewclient/follower.go
+++ b/internal/viewclient/follower.go
@@ -33,7 +33,7 @@
 type State struct {
 	*view.Snapshot           // nil until the first one was received
 	Controller     string    // the controller that sent the snapshot
-	Sent           time.Time // when the page was requested
+	RequestedAt    time.Time // when the page was requested
 	Warning        string    // why the state may be out of date, "" if it is not
 }
 
@@ -43,7 +43,7 @@
 	if s.Snapshot == nil {
 		return 0
 	}
-	return time.Duration(s.Now-s.AsOf)*time.Millisecond + now.Sub(s.Sent)
+	return time.Duration(s.NowMs-s.AsOfMs)*time.Millisecond + now.Sub(s.RequestedAt)
 }
 
 // MaxFreshAge is the maximum age of a state that is shown without a warning.
@@ -155,7 +155,7 @@
 		if snapshot == nil {
 			continue
 		}
-		f.showIfNewer(session, &State{Snapshot: snapshot, Controller: f.source.Controllers()[controller], Sent: sent})
+		f.showIfNewer(session, &State{Snapshot: snapshot, Controller: f.source.Controllers()[controller], RequestedAt: sent})
 		if f.shouldSwitch(session) {
 			return errBehind
 		}
@@ -202,7 +202,7 @@
 		session.behindSince = now
 	}
 	switch {
-	case !next.StateOK:
+	case !next.StateServiceOK:
 		next.Warning = "the state service does not answer"
 	case stale:
 		next.Warning = "behind the state service"
@@ -228,8 +228,8 @@
 	return true
 }
 
-// Why is the reason why a job waits, with the time at which it was requested.
-type Why struct {
+// WaitReason is the reason why a job waits, with the time at which it was requested.
+type WaitReason struct {
 	view.Reason
 	ReceivedAt time.Time
 }
@@ -237,9 +237,9 @@
 // Reasons asks all controllers why jobs wait, for the first view.MaxReasons ids. The answer of the controller
 // that owns a job's shard has precedence. Some reasons exist only in that controller's memory, so they are as
 // old as its answer.
-func (f *Follower) Reasons(ctx context.Context, ids []string) map[string]Why {
+func (f *Follower) Reasons(ctx context.Context, ids []string) map[string]WaitReason {
 	ids = ids[:min(len(ids), view.MaxReasons)]
-	out := map[string]Why{}
+	out := map[string]WaitReason{}
 	if len(ids) == 0 {
 		return out
 	}
@@ -264,8 +264,8 @@
 	for range controllers {
 		a := <-answers
 		for _, r := range a.list {
-			if previous, ok := out[r.Job]; !ok || r.Owner && !previous.Owner {
-				out[r.Job] = Why{r, a.at}
+			if previous, ok := out[r.Job]; !ok || r.OwnsShard && !previous.OwnsShard {
+				out[r.Job] = WaitReason{r, a.at}
 			}
 		}
 	}
--- a/internal/viewclient/follower_test.go
+++ b/internal/viewclient/follower_test.go
@@ -36,7 +36,7 @@
 		m := view.NewModel([]view.Team{{Name: "red"}})
 		m.PutJob(view.Job{ID: "job-000001", Team: "red", Tasks: 1, Status: status})
 		now := time.Now().UnixMilli()
-		s := m.Snapshot(view.Head{Epoch: epoch, Revision: revision, AsOf: now - age.Milliseconds(), StateOK: stateOK})
+		s := m.Snapshot(view.Head{Epoch: epoch, Revision: revision, AsOfMs: now - age.Milliseconds(), StateServiceOK: stateOK})
 		return s.AppendPage(nil, view.Operators, cursor, now), nil
 	}
 }
@@ -141,7 +141,7 @@
 func TestReasonsPreferShardOwner(t *testing.T) {
 	src := &scriptedSource{controllers: make([]func(view.Cursor) ([]byte, error), 2), reason: func(controller int) []view.Reason {
 		if controller == 1 {
-			return []view.Reason{{Job: "job-000001", Why: "no room", Owner: true}}
+			return []view.Reason{{Job: "job-000001", Why: "no room", OwnsShard: true}}
 		}
 		return []view.Reason{{Job: "job-000001", Why: "decided by node n2"}, {Job: "job-000002", Why: "its share has no owner"}}
 	}}
