--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -18,7 +18,7 @@
 // each of them, and the owners of the machines terminate the tasks without further messages.
 
 // cancellationTracker holds the cancellations that this controller has learned of, and the state of
-// terminating the cancelled tasks. It is written by this file, lease_knowledge.go,
+// terminating the cancelled tasks. It is written by this file, lease_renewal.go,
 // proxy_renewals.go and terminations.go.
 type cancellationTracker struct {
 	digest       digestState
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -13,7 +13,7 @@
 const minLeadershipDuration = 10 * time.Second
 
 // leadership holds what this controller has seen of the leader record. It is written by this file
-// and by followed_changes.go, where the record is read.
+// and by record_changes.go, where the record is read.
 type leadership struct {
 	version       uint64    // version of the leader's key when last checked
 	versionSeenAt time.Time // when this process first saw that version
--- a/internal/controller/operator_settings.go
+++ b/internal/controller/operator_settings.go
@@ -14,7 +14,7 @@
 )
 
 // operatorState holds the operators' settings in force and the recent victim sets that are shown to them. It
-// is written by this file and eviction_views.go.
+// is written by this file and victim_set_views.go.
 type operatorState struct {
 	settings           OperatorSettings
 	version            uint64 // version of the settings record that was last applied or refused
--- a/internal/controller/state_follower.go
+++ b/internal/controller/state_follower.go
@@ -11,7 +11,7 @@
 )
 
 // stateFollower holds how far this controller's cache follows the state service. It is written by
-// this file, followed_changes.go, read_barrier.go and where commits are applied (highestRevision).
+// this file, record_changes.go, read_barrier.go and where commits are applied (highestRevision).
 type stateFollower struct {
 	loaded          bool             // every record was read once
 	loadFailed      bool             // the latest read of all records failed, and none has succeeded yet
