--- a/internal/controller/attempt_outcomes.go
+++ b/internal/controller/attempt_outcomes.go
@@ -36,8 +36,8 @@
 }
 
 // logReplicaStart logs how long a service's replica took to start: the time until it was placed, and
-// then until its image was fetched. Replicas that ran before this controller took over a shard are
-// left out.
+// then until its image was fetched. Replicas placed before this controller last took over a shard
+// are left out.
 func (c *Controller) logReplicaStart(machine *storage.Machine, ref dispatch.AttemptRef, now time.Time) {
 	if ref.Job.Shape != protocol.Service {
 		return
--- a/internal/controller/autoscaling.go
+++ b/internal/controller/autoscaling.go
@@ -12,11 +12,11 @@
 // This file collects the input of the autoscaling decision (package autoscale) and carries the decision out.
 
 // targetTimeFraction is the fraction of its allowed time in which waiting work should be completed. With
-// a larger one fewer machines are requested, but jobs end later and work within guarantees starts later.
+// a larger fraction fewer machines are requested, but jobs end later and work within guarantees starts later.
 const targetTimeFraction = 0.45
 
-// autoscale runs one autoscaling decision: it requests machines that the demand needs and drains surplus ones or
-// gives them back to the cloud.
+// autoscale runs one autoscaling decision: it requests the machines that the demand needs, and drains surplus
+// machines or returns them to the cloud.
 func (c *Controller) autoscale(ctx context.Context, now time.Time) {
 	demands := c.demands(now)
 	if demand, expected := c.expectedServiceDemand(now); expected {
--- a/internal/controller/baseline_learning.go
+++ b/internal/controller/baseline_learning.go
@@ -10,14 +10,15 @@
 	"dykeledge/internal/storage"
 )
 
-// This file lets the leader estimate the baseline demand of each team's classes and store it in the state
+// In this file the leader estimates the baseline demand of each team's classes and stores it in the state
 // service.
 
 const (
 	// baselineWriteInterval is the minimum time between two writes of the baseline record.
 	baselineWriteInterval = time.Minute
-	// maxWindowSteps is the length, in steps (baseline.WindowLength), from which on a window is not used for the
-	// estimate: this controller stalled, and arrivals that it then reads all at once are not an overload.
+	// maxWindowSteps limits the length of a window, in multiples of baseline.WindowLength. A window that took as
+	// long or longer is not used for the estimate: this controller stalled, and arrivals that it then reads all
+	// at once are not an overload.
 	maxWindowSteps = 3
 	// baselineFillPercent is the part of the record size limit, in percent, that the baseline record may
 	// fill.
@@ -43,9 +44,9 @@
 	}
 }
 
-// observeWindow feeds the arrivals since the last window into the estimator once a step has passed. Windows
-// in which this controller stalled or could not read the state service are skipped: arrivals that are read
-// all at once after a pause are not an overload.
+// observeWindow passes the arrivals since the last window to the estimator once baseline.WindowLength has passed.
+// Windows in which this controller stalled or could not read the state service are skipped: arrivals that are
+// read all at once after a pause are not an overload.
 func (l *baselineLearning) observeWindow(arrivals map[storage.ClassQueue]storage.Arrivals, storeFailing bool, now time.Time) {
 	duration := now.Sub(l.windowStart)
 	if duration < baseline.WindowLength {
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,8 +12,8 @@
 	"dykeledge/internal/storage"
 )
 
-// newLargeCore returns a controller that owns one shard with the given numbers of machines, of whose
-// capacity about four fifths are used, and of open jobs, most of whose tasks wait.
+// newLargeCore returns a controller that owns one shard with the given numbers of machines and open jobs.
+// About four fifths of the machines' capacity is used, and most tasks of the jobs wait.
 func newLargeCore(b *testing.B, machines, jobs int) *Controller {
 	b.Helper()
 	cfg := &config.Settings{MemberName: "n0", Deployment: config.Deployment{Controllers: 1, Zones: []string{"a"},
@@ -123,6 +123,7 @@
 	})
 }
 
+// BenchmarkChange measures applying a new version of a machine group's record.
 func BenchmarkChange(b *testing.B) {
 	runAllSizes(b, func(_ context.Context, c *Controller) func() error {
 		raw := storage.Encode(c.cache.GroupRecordOf(c.cache.Groups[1], nil, nil))
--- a/internal/controller/boot_timeout.go
+++ b/internal/controller/boot_timeout.go
@@ -9,8 +9,8 @@
 // A machine that has not come up costs money and takes the place of another until it is returned. Most
 // machines are up after 1.5 times the boot time of their type. After bootTimeoutFactor times the boot time a
 // machine no longer counts as capacity, and it is given up if a machine of its type that was provisioned at
-// the same time or later is up. While the cloud brings up no machines at all, giving up each of them would
-// request, pay for and return machines without end, so they are waited for twice as long
+// the same time or later is up. While the cloud brings up no machines at all, giving machines up so early would
+// lead to machines being requested, paid for and returned without end, so each is waited for twice as long
 // (maxBootTimeoutFactor).
 const (
 	bootTimeoutFactor    = 2.2
@@ -40,7 +40,8 @@
 	return m.Incarnation > 0 || worker != nil && worker.Incarnation > 0
 }
 
-// booting reports whether a machine is still booting in time and may take tasks once it is up.
+// booting reports whether a machine has not come up yet, is within its boot timeout, and may take tasks once it
+// is up.
 func (c *Controller) booting(m *storage.Machine, worker *workerState, now time.Time) bool {
 	if c.hasBooted(m) || m.Returning || m.Draining || worker.terminated || c.workers.pendingUpdates[m.Index].blocksPlacement() {
 		return false
@@ -75,7 +76,8 @@
 	return 0
 }
 
-// bootFailed reports whether a machine that does not come up has to be given up; lastUp is that of its type.
+// bootFailed reports whether a machine that does not come up has to be given up. lastUp is when the most recently
+// provisioned machine of its type that came up was provisioned, in Unix seconds (see Controller.lastUp).
 func (c *Controller) bootFailed(m *storage.Machine, lastUp int64, now time.Time) bool {
 	return c.bootOverdue(m, bootTimeoutFactor, now) && (m.ProvisionedAt <= lastUp || c.bootOverdue(m, maxBootTimeoutFactor, now))
 }
--- a/internal/controller/cancellation_digest.go
+++ b/internal/controller/cancellation_digest.go
@@ -38,7 +38,8 @@
 }
 
 // finished reports whether none of a job's tasks should run any more: the job has a final state, or a
-// peer's digest lists it as cancelled, which is committed, confirmed and never reverted.
+// peer's digest lists it as cancelled. A listed cancellation is committed and confirmed, and is never
+// reverted.
 func (t *cancellationTracker) finished(job *storage.Job) bool {
 	return !job.Open() || t.digest.isGossiped(job.ID)
 }
--- a/internal/controller/cloud_list.go
+++ b/internal/controller/cloud_list.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// applyCloudList enrolls listed machines that have no record, fills in missing addresses and gives machines
-// back to the cloud that it reports as failed. The list lags behind the cloud, so a machine that is missing
-// from it is not treated as gone.
+// applyCloudList enrolls listed machines that have no record, fills in missing addresses and returns machines
+// that the cloud reports as failed. The list lags behind the cloud, so a machine that is missing from it is
+// not treated as gone.
 func (c *Controller) applyCloudList(ctx context.Context, machines []protocol.CloudMachine) {
 	if !c.isLeader() {
 		return
--- a/internal/controller/commit_queue.go
+++ b/internal/controller/commit_queue.go
@@ -201,7 +201,8 @@
 	c.requestCycle()
 }
 
-// logDone logs the end of a job with its waiting and running times.
+// logDone logs the completion of a job, with the times from its submission until it was ready and until
+// its end, and from ready until its first and last placement.
 func (c *Controller) logDone(job *storage.Job, now time.Time) {
 	state := c.jobState(job)
 	c.log.Info("job done", "job", job.ID,
--- a/internal/controller/deadline_inheritance.go
+++ b/internal/controller/deadline_inheritance.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// dependencyStepDelay and estimateMargin give the time between two dependent jobs beyond the
-	// estimate. The delay covers the last task's heartbeat, the final record, the next placement
-	// and its image fetch; the margin is needed because an array takes as long as its slowest task.
+	// The expected time from when a job is ready until the jobs that depend on it can start is
+	// estimateMargin times its estimate, plus dependencyStepDelay. The delay covers the last task's
+	// heartbeat, the final record, the next placement and its image fetch; the margin is needed because
+	// an array takes as long as its slowest task.
 	dependencyStepDelay = 6 * time.Second
 	estimateMargin      = 1.4
 )
@@ -26,8 +27,8 @@
 	}
 }
 
-// finishTimes returns when a job should end by its own deadline, and the latest time at which an
-// objective of its class still counts it. Both are zero for a job without a deadline.
+// finishTimes returns when a job should end by its own deadline, and the latest time at which
+// its end still meets an objective of its class. Both are zero for a job without a deadline.
 func (c *Controller) finishTimes(job *storage.Job) (by, late time.Time) {
 	if job.Deadline <= 0 {
 		return by, late
--- a/internal/controller/direct_commands.go
+++ b/internal/controller/direct_commands.go
@@ -19,8 +19,9 @@
 	// checkpointMarginS is the grace period, in seconds, beyond the time that a task needs to save a
 	// checkpoint.
 	checkpointMarginS = 2.0
-	// preemptionMarginS is how many seconds earlier than its grace period and the next heartbeat
-	// require a task is stopped before the cloud preempts its machine.
+	// preemptionMarginS is the safety margin, in seconds, for stopping a task before the cloud preempts
+	// its machine: the task is told to stop when the time left is less than its grace period, a heartbeat
+	// interval and this margin together.
 	preemptionMarginS = 1
 	// directCommandTimeout bounds how long a worker may take to answer commands.
 	directCommandTimeout = 2 * time.Second
@@ -55,7 +56,8 @@
 	return dispatch.DesiredState{}
 }
 
-// preemptedWithin reports whether the cloud has announced to preempt the worker's machine within d.
+// preemptedWithin reports whether the cloud has announced that it will preempt the worker's machine
+// within d.
 func (w *workerState) preemptedWithin(d time.Duration) bool {
 	return !w.preemptionAt.IsZero() && time.Until(w.preemptionAt) < d
 }
@@ -191,7 +193,8 @@
 }
 
 // sendStopCommands sends a machine its commands directly, without waiting for a heartbeat, if one of
-// its tasks is to be stopped and has not exited.
+// its tasks is to be stopped, has not exited, and is not already saving a checkpoint within its grace
+// period.
 func (c *Controller) sendStopCommands(machine *storage.Machine) {
 	if machine.Gone || len(machine.Tasks) == 0 || !c.ownsShard(machine.Shard) {
 		return
--- a/internal/controller/draining.go
+++ b/internal/controller/draining.go
@@ -19,8 +19,8 @@
 	// maxDrainFraction is the fraction of the fleet that may start draining in one pass. If only single
 	// machines are drained, many that are hardly used are paid for long after a peak in load.
 	maxDrainFraction = 1.0 / 24
-	// minDrainSurplus is the surplus of a pool, in whole machines, from which on one of its
-	// machines may be drained.
+	// minDrainSurplus is the minimum surplus of a pool, in machines, for one of its machines to be
+	// drained.
 	minDrainSurplus = 1.5
 	// restoreAfter is how long a job must have waited before a draining machine is returned to
 	// service for it: other machines may be about to come up.
@@ -29,8 +29,8 @@
 
 // drainingState is the leader's state about work that waits while machines are draining.
 type drainingState struct {
-	// workStuckSince is the time since which work has waited for which only draining machines have
-	// capacity.
+	// workStuckSince is when work began to wait that only draining machines have capacity for; zero:
+	// no such work waits.
 	workStuckSince time.Time
 }
 
@@ -43,8 +43,8 @@
 // drainSurvey is the result of a pass over all machines: what is needed to decide on draining.
 type drainSurvey struct {
 	fleetSize           int
-	surplus             float64            // machines that are not needed, in whole machines, minus those that are draining
-	draining            []*storage.Machine // machines that are draining
+	surplus             float64 // number of machines that are not needed, minus those that are draining
+	draining            []*storage.Machine
 	candidates          []drainCandidate
 	waiting             float64 // CPUs of waiting work minus those free on machines that are not draining
 	waitingWithinLimits float64 // the same, counting only work within its team's limit
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// restoreForStuckWork returns a draining machine to service when work has waited for stuckAfter for
-// which only draining machines have capacity. In the sums such a machine counts as capacity, so
-// nothing is provisioned for that work; but a machine with long-running tasks does not become
-// empty, and the work would wait as long.
+// restoreForStuckWork returns a draining machine to service when work that only draining
+// machines have capacity for has waited for stuckAfter. In the sums such a machine counts as
+// capacity, so nothing is provisioned for that work; but a machine with long-running tasks does not
+// become empty, and the work would wait until those tasks end.
 func (c *Controller) restoreForStuckWork(now time.Time, survey *drainSurvey, urgent bool) {
 	switch {
 	case survey.waitingWithinLimits <= 0 || urgent || len(survey.draining) == 0:
--- a/internal/controller/enrollment.go
+++ b/internal/controller/enrollment.go
@@ -10,11 +10,11 @@
 
 const (
 	// enrollTries is how many times the enrollment of a machine from a scale-out request is tried.
-	// After that, the cloud's machine list shows it as an unrecorded machine, and it is enrolled again.
+	// After that, the cloud's machine list shows it as an unrecorded machine, and it is enrolled from there.
 	enrollTries = 20
 	// enrollRetryDelay is the delay before enrollment is tried again after a failure.
 	enrollRetryDelay = 200 * time.Millisecond
-	// maxFleet is how many machines one fleet record holds.
+	// maxFleet is the maximum number of machines in one fleet record.
 	maxFleet = 200
 	// fleetFillPercent is the percentage of the value size limit that a new fleet record may use. The
 	// rest is left for addresses that are added later.
@@ -67,7 +67,7 @@
 // rules make sure that no machine gets into two records: only the leader writes them, on the
 // condition that it still leads; it waits until its cache holds everything that former leaders
 // wrote; and an in-doubt transaction is retried until its outcome is known and the cache has reached
-// it, before its machines are considered again.
+// its revision, before its machines are considered again.
 func (c *Controller) enrollPending(ctx context.Context) {
 	if c.leader.txnInFlight || len(c.leader.pendingMachines) == 0 {
 		return
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -13,13 +13,14 @@
 const (
 	// minMachineFailures is how many failures since its last success a machine must have to be unhealthy.
 	minMachineFailures = 2
-	// minFailedMachines is how many machines a job must fail on to be suspect.
+	// minFailedMachines is how many machines a job must fail on to be suspect. A job backs off after as many
+	// failures, on whichever machines.
 	minFailedMachines = 3
 	// failureSettleTime is the time after the first failure of a job on a machine until its failures count
 	// against the machine: meanwhile, a faulty job fails on other machines too.
 	failureSettleTime = 2 * time.Second
-	// maxBackoff bounds the backoff of a suspect job's next try; maxBackoffDoublings bounds how often
-	// the first backoff of a second is doubled.
+	// maxBackoff bounds the backoff before the next try of a job that failed repeatedly. The backoff is one
+	// second, doubled once for each try, but at most maxBackoffDoublings times.
 	maxBackoff          = time.Minute
 	maxBackoffDoublings = 6
 	// steadyRunTime is how long a replica must have run to clear its service of suspicion.
@@ -60,7 +61,7 @@
 	}
 }
 
-// backoffAfter returns the backoff of a suspect job after a number of tries: it doubles with each try.
+// backoffAfter returns the backoff of a job that failed repeatedly; it doubles with each try.
 func backoffAfter(tries int) time.Duration {
 	return min(maxBackoff, time.Second<<min(tries, maxBackoffDoublings))
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -20,8 +20,8 @@
 	suspect, unhealthy []int
 }
 
-// Guards against a faulty job being taken for faulty machines: its whole arrays were started again and
-// again, and healthy machines were returned. The two kinds of fault differ in where else tasks fail.
+// Guards against a faulty job being taken for faulty machines: all tasks of its arrays were started again
+// and again, and healthy machines were returned. The two kinds of fault differ in where else tasks fail.
 func TestFaultyJobsAndMachines(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/controller/group_allocator.go
+++ b/internal/controller/group_allocator.go
@@ -25,7 +25,8 @@
 	groups    map[int]*groupCapacity
 }
 
-// groupCapacity holds how many more machines a group takes, and whether they must be spot machines.
+// groupCapacity holds how many more machines a group takes, and whether they must be spot machines. An
+// empty group takes machines of either kind.
 type groupCapacity struct {
 	shard, free int
 	empty, spot bool
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -35,7 +35,8 @@
 	reply     heartbeatReply
 }
 
-// HandleHeartbeat handles a worker's heartbeat; reply is called once, on the core's goroutine.
+// HandleHeartbeat handles a worker's heartbeat; reply is called once, on the goroutine that owns the
+// state.
 func (c *Controller) HandleHeartbeat(ctx context.Context, heartbeat *protocol.Heartbeat, reply func(int, any)) {
 	startedAt := time.Now()
 	c.post(func() {
--- a/internal/controller/idle_work_test.go
+++ b/internal/controller/idle_work_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestIdleWorkMovesNothing guards against moves of machines for idle-time work: a guest team's
-// idle-time work, of which as much waited as of all other work together, drew a third of the
-// machines to its shard, and work with objectives waited for 100 s.
+// idle-time work, of which as much waited as of all other work together, caused a third of the
+// machines to move to its shard, and work with objectives waited for 100 s.
 func TestIdleWorkMovesNothing(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestIdleWorkMayBePreempted checks that work of a higher priority may preempt idle-time work, also
-// without a guarantee, and that idle-time work may not. Other work of the lowest priority may not
-// be preempted by work of normal priority.
+// TestIdleWorkMayBePreempted checks that work of a higher priority may preempt idle-time work, even
+// without a guarantee, and that other idle-time work may not. Work of the lowest priority that is not
+// idle-time work may not be preempted by work of normal priority.
 func TestIdleWorkMayBePreempted(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/controller/job_queries.go
+++ b/internal/controller/job_queries.go
@@ -18,7 +18,7 @@
 // final reports whether the job has its final state, which never changes.
 func (l jobLookup) final() bool { return l.known && l.state.Status.Final() }
 
-// jobStatus returns the state of an unfinished or finished job as users see it.
+// jobStatus returns the state of a job as users see it.
 func (c *Controller) jobStatus(job *storage.Job) protocol.JobState {
 	state := protocol.JobState{ID: job.ID, Status: protocol.Queued, Done: job.DoneCount, Running: job.PlacedCount}
 	switch {
--- a/internal/controller/job_state.go
+++ b/internal/controller/job_state.go
@@ -11,12 +11,12 @@
 type jobState struct {
 	requeuedAt              map[int]time.Time   // by task: when it was queued again
 	failures                int                 // failed attempts since the last success
-	suspectAttempts         int                 // failed attempts since the job became suspect
+	suspectAttempts         int                 // tries that failed after repeated failures; each doubles the backoff
 	retryAt                 time.Time           // no task is placed before this time
 	capacityShortSince      time.Time           // when the job first lacked capacity
 	relocating              dispatch.AttemptRef // the replica that was last commanded to leave a draining machine
 	relocatedAt             time.Time
-	awaitingPreemptionSince time.Time // when it last began to leave free capacity unused in favour of capacity that it preempts
+	awaitingPreemptionSince time.Time // when it last began to wait for capacity that it preempts instead of using free capacity
 	firstPlacedAt           time.Time // when the first task was placed
 	lastPlacedAt            time.Time // when the latest task was placed
 	terminatedTasks         int       // tasks terminated by command
--- a/internal/controller/job_views.go
+++ b/internal/controller/job_views.go
@@ -89,8 +89,8 @@
 	return examples
 }
 
-// waitReason returns why tasks of a job are waiting, or "" if none is. examples are the machines that are
-// checked for whether the job may use them.
+// waitReason returns why tasks of a job are waiting, or "" if none is. examples holds one machine of each
+// category, to check whether the job may use any of them.
 func (c *Controller) waitReason(job *storage.Job, examples []*storage.Machine) string {
 	now := time.Now()
 	if n := job.UnmetDependencies(); n > 0 && job.Open() && !job.DependencyFailed {
--- a/internal/controller/layout_gate.go
+++ b/internal/controller/layout_gate.go
@@ -19,13 +19,13 @@
 	fleetWriteInFlight  bool
 	limitsLowered       bool   // the state service has refused a transaction for its size
 	rateLowered         bool   // the rate limit of changes has been set to that of the effective limits
-	descriptionWrites   uint64 // chunked descriptions written by this process
+	descriptionWrites   uint64 // descriptions that this process began to write, chunked or not
 }
 
-// openLayoutGate is the leader's loop over the layout gate. The gate opens once every configured controller
-// has shown that it reads the packed layout. The layout record lists those that have, because one may be down
-// when the last one appears. A leader of the previous version does not do this, so the gate stays closed
-// until a controller of this version leads.
+// openLayoutGate opens the layout gate if this controller is the leader. The gate opens once every configured
+// controller has shown that it reads the packed layout. The layout record lists the controllers that have shown
+// it, because one of them may be down when the last one appears. A leader of the previous version does not do
+// this, so the gate stays closed until a controller of this version leads.
 func (c *Controller) openLayoutGate(ctx context.Context) {
 	if !c.isLeader() || c.gates.layoutWriteInFlight || c.Layout < storage.LayoutPacked || c.cache.Packed() || c.cache.Revision < c.cache.Leader.Version {
 		return
--- a/internal/controller/leader_transactions.go
+++ b/internal/controller/leader_transactions.go
@@ -17,9 +17,9 @@
 	revisionPollInterval = 100 * time.Millisecond
 )
 
-// commitWithRetry retries a transaction of the leader until its outcome is known, and then reports
-// it to then. If a condition of the transaction failed, it first waits until the cache has reached
-// the revision at which it failed.
+// commitWithRetry retries a transaction of the leader until its outcome is known, and passes the
+// outcome to the callback then. If a condition of the transaction failed, it first waits until
+// the cache has reached the revision at which it failed.
 func (c *Controller) commitWithRetry(ctx context.Context, txn protocol.Txn, then func(ok bool)) {
 	inDoubt := false // an earlier try may still be applied: a refusal settles only the latest try
 	for ctx.Err() == nil {
@@ -67,7 +67,7 @@
 			return
 		}
 		rev, failed, err := c.store.Txn(ctx, txn, protocol.UserRequest)
-		// A comparison that holds settles nothing: the first try may still be applied later.
+		// If the condition holds but nothing was written, the first try may still be applied later.
 		if err == nil && (len(failed) > 0 || len(txn.Then) > 0) {
 			if len(failed) == 0 {
 				c.post(func() { c.applyTxn(txn, rev); c.onRecordsChanged() })
--- a/internal/controller/lease_renewal.go
+++ b/internal/controller/lease_renewal.go
@@ -25,9 +25,9 @@
 // renew workers' leases; if it is not above 0, it may not at all. A worker whose lease has not
 // expired was answered at most lease_s earlier by a controller that had the records and had
 // terminated what was cancelled until then. Any task it could not terminate was cancelled later, and
-// must have ended within cancel_s of its cancellation. The case that remains open is an end of all
-// controllers while one of them was renewing leases without complete information: see "Known and
-// open" in docs/ROADMAP.md.
+// must have ended within cancel_s of its cancellation. One case remains open: all controllers end
+// while one of them renews leases without complete information; see "Known and open" in
+// docs/ROADMAP.md.
 func unverifiedRenewalWindow(w config.Workers) time.Duration {
 	return seconds(w.CancelS-2*w.LeaseS) - leaseMargin
 }
--- a/internal/controller/machine_supervision.go
+++ b/internal/controller/machine_supervision.go
@@ -60,7 +60,7 @@
 // probeSilentMachines probes the workers of silent machines, and reports whether so many are silent
 // at once that the fault may be this controller's.
 func (c *Controller) probeSilentMachines(now time.Time) (suspectSelf bool) {
-	quiet := probeAfter(c.cfg.Deployment.Workers)
+	probeDelay := probeAfter(c.cfg.Deployment.Workers)
 	silent, unresponsive, total := 0, 0, 0
 	for _, machine := range c.cache.Machines {
 		if machine.Gone || !c.ownsShard(machine.Shard) {
@@ -74,7 +74,7 @@
 		if c.unresponsive(worker, now) {
 			unresponsive++
 		}
-		if c.silenceOf(worker.lastMessageAt, now) > quiet {
+		if c.silenceOf(worker.lastMessageAt, now) > probeDelay {
 			silent++
 			c.sendDirect(machine, true) // the probe also shows the worker the current fencing token
 		}
@@ -96,7 +96,7 @@
 	}
 	silence := c.silenceOf(maxTime(worker.lastMessageAt, c.zoneState(machine.Zone).reachableSince), now)
 	everHeard := worker.Incarnation != 0 || machine.Incarnation != 0
-	known := now.Sub(worker.trackedSince)
+	trackedFor := now.Sub(worker.trackedSince)
 	heartbeatLimit := unresponsiveLimit(workers, c.workers.manyUnresponsive)
 	empty := len(machine.Tasks) == 0
 	switch {
@@ -106,9 +106,9 @@
 		return reasonUnhealthy
 	case c.silenceOf(worker.trackedSince, now) > newOwnerGrace && c.bootFailed(machine, lastUp, now):
 		return reasonNeverUp
-	case everHeard && silence > silenceLimit && known > silenceLimit && worker.missedProbes >= minMissedProbes:
+	case everHeard && silence > silenceLimit && trackedFor > silenceLimit && worker.missedProbes >= minMissedProbes:
 		return reasonSilent
-	case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > heartbeatLimit && known > heartbeatLimit:
+	case c.unresponsive(worker, now) && c.silenceOf(worker.heartbeatAt, now) > heartbeatLimit && trackedFor > heartbeatLimit:
 		return reasonUnresponsive
 	}
 	return ""
--- a/internal/controller/machine_views.go
+++ b/internal/controller/machine_views.go
@@ -20,7 +20,7 @@
 	Tasks         int              `json:"tasks"`
 	UsedCpus      float64          `json:"used_cpus"`
 	UsedGpus      float64          `json:"used_gpus"`
-	HeartbeatAgeS float64          `json:"silent_s"` // time since its last heartbeat; -1: its heartbeats go to another controller
+	HeartbeatAgeS float64          `json:"silent_s"` // time since its worker's last message; -1: not known to this controller
 	Placed        []PlacedTaskView `json:"placed,omitempty"`
 }
 
