--- a/internal/controller/autoscale/decide.go
+++ b/internal/controller/autoscale/decide.go
@@ -15,7 +15,7 @@
 type Offer struct {
 	Pool
 	Cpus, Gpus, Mem float64 // per machine: CPUs, accelerators, memory in GB
-	Price           float64 // of one machine, as listed in the catalog
+	Price           float64 // of one machine as listed in the catalog, in currency units per hour
 	BootSeconds     float64 // boot time of a machine in seconds
 	Owned           int     // machines of the pool that are running or being started
 	Blocked         bool    // a recent request to the pool was refused or only partly filled
@@ -47,10 +47,10 @@
 const (
 	// minFreeFraction is the free fraction up to which a machine counts as full.
 	minFreeFraction = 1e-9
-	// minNewFreeFraction is the free fraction up to which a machine to be scaled out counts as full.
+	// minNewFreeFraction is the free fraction up to which a machine that the plan adds counts as full.
 	minNewFreeFraction = 1e-6
-	// minUnplacedTasks is the number of unplaced tasks, which may be a fraction of one, up to which no
-	// further machine is requested.
+	// minUnplacedTasks is the number of unplaced tasks, which need not be whole, up to which the plan adds
+	// no further machine.
 	minUnplacedTasks = 0.05
 	// cheaperPriceRatio is the ratio of two offers' prices per CPU below which the first offer is
 	// preferred regardless of how many machines its pool has.
@@ -64,8 +64,8 @@
 	spot            []int     // indices of the usable spot machines, from the first that is not full
 	onDemand        []int     // the same for on-demand machines
 	offers          []Offer
-	newFreeFraction map[Pool]float64 // of the last machine to be scaled out, by pool
-	scaleOutCounts  map[Pool]int     // machines to be scaled out, by pool
+	newFreeFraction map[Pool]float64 // of the last machine that the plan adds, by pool
+	scaleOutCounts  map[Pool]int     // machines that the plan adds, by pool
 	urgent          int
 }
 
--- a/internal/controller/autoscale/limits.go
+++ b/internal/controller/autoscale/limits.go
@@ -13,9 +13,9 @@
 const exhaustedLimit = 1e-9
 
 // CapToLimits reduces the task counts of demands that together need more at once than their team's limit
-// allows. The demands with the shortest time are served first. A demand that needs no more than the
-// remaining limit is not changed, so the tasks that wait because of the limit still count towards the
-// urgency of the work that may run. horizon is as for Decide; limit returns the limit of a team.
+// allows. The demands with the lowest CompleteWithinS are served first. A demand that needs no more at
+// once than the remaining limit is not changed: tasks that the limit keeps waiting still count as work to
+// be completed in time. horizon is as for Decide; limit returns the limit of a team.
 func CapToLimits(demands []Demand, horizon float64, limit func(team int) Limit) {
 	byTeam := map[int][]*Demand{}
 	for i := range demands {
@@ -34,7 +34,7 @@
 }
 
 // capTasks reduces a demand's tasks, each of which uses perTask of a resource, to what the remaining limit
-// allows. It returns the limit that remains after them.
+// allows, and returns the limit less what the demand uses at once.
 func (d *Demand) capTasks(remaining, perTask, horizon float64) float64 {
 	if remaining <= 0 || perTask <= 0 {
 		return remaining
--- a/internal/controller/baseline/estimator.go
+++ b/internal/controller/baseline/estimator.go
@@ -114,8 +114,8 @@
 		return
 	}
 	if meanBaseline := e.meanBaseline(); e.restored && meanBaseline > 0 {
-		// A class that first appears after a record was restored may be an overload: until it has
-		// lasted, its baseline is limited to the mean of the known baselines.
+		// A class that first appears after a record was restored may start with an overload, so its first
+		// baseline is limited to the mean of the known baselines. adjust raises it if the demand lasts.
 		rate = min(rate, meanBaseline)
 	}
 	estimate.rate = rate
--- a/internal/controller/dispatch/commands.go
+++ b/internal/controller/dispatch/commands.go
@@ -15,7 +15,8 @@
 // the record. desiredState returns the desired state of an attempt in the record; token is the fencing
 // token under which the machine is now commanded. Attempts that should stop and provably never started are
 // added to Gone. inAnswer is true if the commands are sent in the answer to the latest heartbeat; launches
-// are then recorded in LaunchSentSeq. Once there are limit commands, no further attempt of the record is considered.
+// are then recorded in LaunchSentSeq. Once there are limit commands, no further attempt of the record is
+// considered.
 func (w *Worker) Commands(machine *storage.Machine, token uint64, desiredState func(storage.PlacedTask) DesiredState, inAnswer bool, limit int) []protocol.Command {
 	commands := w.unplacedCommands()
 	for _, placed := range machine.Tasks {
--- a/internal/controller/dispatch/worker.go
+++ b/internal/controller/dispatch/worker.go
@@ -73,8 +73,8 @@
 	return w.UncertainToken > 0 && w.UncertainToken >= seenToken
 }
 
-// DropCommitted removes the state of attempts that the record no longer contains after a commit. Attempts that the
-// worker still reports become Unplaced.
+// DropCommitted removes the state of attempts that the record no longer contains after a commit. Attempts
+// that the worker still reports become Unplaced.
 func (w *Worker) DropCommitted(machine *storage.Machine) {
 	placedAttempts := make(map[AttemptRef]bool, len(machine.Tasks))
 	for _, placed := range machine.Tasks {
--- a/internal/controller/membership/assign.go
+++ b/internal/controller/membership/assign.go
@@ -22,7 +22,7 @@
 // that is live with the same incarnation. If its owner is not live or was restarted, the shard goes to the
 // member with the owner's name if that is live and owns less than its fair share, else to the member with
 // the fewest shards. If movable is set, shards for which it returns true also move from a member that owns at
-// least two more than another. The result holds the owner of each shard; without members it is owners
+// least minImbalance shards more than another. The result holds the owner of each shard; without members it is owners
 // itself. Assign does not modify its arguments.
 func Assign(owners []Owner, members []Member, movable func(shard int) bool) []Owner {
 	if len(members) == 0 {
--- a/internal/controller/schedule/class_queues.go
+++ b/internal/controller/schedule/class_queues.go
@@ -134,7 +134,7 @@
 }
 
 // precedesInTeam reports whether a queue's first job goes before that of another queue of its team: by
-// priority, in an overload by the fractions of their floors that the queues use, then by latest start.
+// priority, then, in an overload, by rank and fraction (see QueueState.rank), then as compareJobs orders them.
 func precedesInTeam(input *Input, a, b *jobQueue) bool {
 	jobA, jobB := a.jobs[0].job, b.jobs[0].job
 	if jobA.Priority != jobB.Priority {
--- a/internal/controller/schedule/cost.go
+++ b/internal/controller/schedule/cost.go
@@ -5,8 +5,9 @@
 // The costs of a placement are in seconds and are added to the time to fetch its image: a cost of 4 on one
 // machine outweighs a fetch that takes up to 4 s longer on another.
 const (
-	// maxPackingFetchS is how many seconds longer an image fetch may take on a machine of lower rank for
-	// tasks to be packed there, so that machines of higher rank become empty and can be scaled in.
+	// maxPackingFetchS is how many seconds longer an image fetch may take on the machine of the lowest
+	// price rank than on one of the highest for a task to be placed there all the same, so that machines
+	// of high price rank become empty and can be scaled in.
 	maxPackingFetchS = 3
 	// spotLifetimeS is the expected time in seconds until the cloud reclaims a spot machine.
 	spotLifetimeS = 7200
@@ -26,8 +27,9 @@
 	sameServiceCostS = 4
 )
 
-// placementSeconds returns the cost of a placement in seconds: the fetch of the image behind those in
-// progress, the machine's risk, and small terms that only break ties.
+// placementSeconds returns the cost of a placement in seconds: the time until the image is fetched, after
+// the fetches in progress; the machine's risk; the costs of spot and of on-demand machines; and a cost that
+// rises with the machine's price rank.
 func placementSeconds(input *Input, slot *Slot, job *storage.Job) float64 {
 	total := slot.RiskS
 	total += slot.fetchSeconds(job)
--- a/internal/controller/schedule/input.go
+++ b/internal/controller/schedule/input.go
@@ -63,8 +63,8 @@
 	Overdue func(*storage.Job) bool
 	// Queues holds the states of the class queues; a pass adds the tasks that it places to their Used.
 	Queues QueueStates
-	// Overloaded is true if more work waits than the machines can complete in time, so that the floors
-	// of class queues apply.
+	// Overloaded is true if more work waits than the machines can complete by the jobs' deadlines, so that
+	// the floors of class queues apply.
 	Overloaded bool
 	// Held reports whether a job must not start tasks in this pass. nil: none is held.
 	Held func(*storage.Job) bool
@@ -97,7 +97,8 @@
 // Result holds the decisions of a pass.
 type Result struct {
 	Placed []Placement
-	// Incomplete is true if a bound (records, tasks) ended the pass early: another pass could place more.
+	// Incomplete is true if RecordBudget or Input.Tasks kept tasks from being placed: another pass could
+	// place more.
 	Incomplete bool
 	// UnplacedTasks holds, by job, the number of tasks that found no free capacity or that wait for capacity to
 	// be preempted because they start sooner there.
--- a/internal/controller/schedule/job_deferral.go
+++ b/internal/controller/schedule/job_deferral.go
@@ -11,14 +11,14 @@
 // minQueueCapacity is the minimum capacity, in CPUs, assumed for a class queue.
 const minQueueCapacity = 1
 
-// deferUntilFeasible defers jobs of a class queue that can't be in time, and of the others those with the
-// most work until the rest can be in time. It reports whether it deferred any. jobs must be sorted by latest
+// deferUntilFeasible defers jobs of a class queue that can't meet their deadlines, and of the others those
+// with the most work until the rest can meet theirs. It reports whether it deferred any. jobs must be sorted by latest
 // start; capacity is in CPUs.
 func deferUntilFeasible(now time.Time, jobs []*jobCursor, capacity float64) bool {
 	capacity = max(capacity, minQueueCapacity)
 	deferredUnreachable, totalWork, leastSlackS := deferUnreachable(now, jobs)
 	if totalWork <= leastSlackS*capacity {
-		return deferredUnreachable // all others can be in time
+		return deferredUnreachable // all others can meet their deadlines
 	}
 	deferredLargest := deferLargest(jobs, capacity)
 	return deferredUnreachable || deferredLargest
@@ -48,8 +48,8 @@
 	return deferredAny, totalWork, leastSlackS
 }
 
-// deferLargest defers the jobs with the most work until the others can be in time, and reports whether it
-// deferred any. This is the Moore-Hodgson algorithm, which minimizes the number of late jobs on a single
+// deferLargest defers the jobs with the most work until the others can meet their deadlines, and reports
+// whether it deferred any. This is the Moore-Hodgson algorithm, which minimizes the number of late jobs on a single
 // machine; here a class queue's capacity is treated as one machine of that speed.
 func deferLargest(jobs []*jobCursor, capacity float64) bool {
 	deferredAny := false
--- a/internal/controller/schedule/job_order.go
+++ b/internal/controller/schedule/job_order.go
@@ -10,13 +10,14 @@
 
 const (
 	// smallJobWeight is how many seconds later a job's latest start is set for each second that its
-	// remaining work would keep all machines of Input.Capacity busy: with a backlog, more jobs are in
-	// time if small jobs go first. A larger weight gains more with a backlog, but loses without one.
+	// remaining work would keep all machines of Input.Capacity busy: with a backlog, more jobs meet
+	// their deadlines if small jobs go first. A larger weight gains more with a backlog, but loses
+	// without one.
 	smallJobWeight = 6
 	// defaultTimeAllowed is the time allowed for jobs without a deadline. It affects only their order.
 	defaultTimeAllowed = time.Hour
 	// overdueFraction is the fraction of a class queue's capacity that overdue jobs may use before jobs
-	// that can still be in time.
+	// that can still meet their deadlines.
 	overdueFraction = 0.25
 )
 
@@ -26,8 +27,8 @@
 const (
 	starving urgency = iota // has waited too long without a placed task: one of its tasks goes first
 	overdue                 // overdue, and may use the capacity set aside for such jobs
-	onTime                  // can be in time
-	deferred                // can't be in time, or would keep other jobs from being in time
+	onTime                  // can meet its deadline, or has none
+	deferred                // can't meet its deadline, or would keep other jobs from meeting theirs
 )
 
 // compareJobs compares jobs of a class queue by the order in which they start.
@@ -73,8 +74,9 @@
 func (q *jobQueue) sort() { slices.SortStableFunc(q.jobs, compareJobs) }
 
 // order sorts a class queue's jobs into the order in which they start: by latest start if the queue is not
-// overloaded. If more work waits than the capacity can complete in time, that order would make all jobs
-// late, one after the other; so some jobs are deferred until the others are in time.
+// overloaded. If more work waits than the capacity can complete by the jobs' deadlines, that order would
+// make all jobs late, one after the other; so some jobs are deferred until the others can meet their
+// deadlines.
 func (q *jobQueue) order(input *Input) {
 	state := q.state(input)
 	if !input.Overloaded || state == nil || !state.Overloaded {
@@ -125,8 +127,8 @@
 	}
 }
 
-// promoteOverdue moves overdue deferred jobs, the oldest first, ahead of jobs that can be in time, until their
-// tasks use up capacity, in CPUs.
+// promoteOverdue moves overdue deferred jobs, the oldest first, ahead of jobs that can meet their deadlines,
+// until the tasks of the moved jobs use up capacity, in CPUs.
 func (q *jobQueue) promoteOverdue(input *Input, capacity float64) {
 	if input.Overdue == nil || capacity <= 0 {
 		return
--- a/internal/controller/schedule/load_factor.go
+++ b/internal/controller/schedule/load_factor.go
@@ -12,13 +12,14 @@
 
 const (
 	// OverloadFactor is the LoadFactor above which class queues whose demand is far above their baseline
-	// are treated as overloaded. At load factors just above 1, the order by latest start completes more
-	// jobs in time.
+	// are treated as overloaded. At load factors just above 1, more jobs meet their deadlines in the order
+	// by latest start than if some are deferred.
 	OverloadFactor = 1.5
-	// minSlackS is how many seconds more than Capacity.BusyS a job must be able to wait to be counted.
+	// minSlackS is how many seconds more than Capacity.BusyS a job must be able to wait for LoadFactor to
+	// compare the work up to its latest start with the capacity.
 	minSlackS = 10
-	// finishDelay is the time from the end of a job's tasks until the job is done: fetch, heartbeats,
-	// records.
+	// finishDelay is the time that a job needs besides the run time of its tasks, from getting its
+	// capacity until it is done: image fetch, heartbeats and record writes.
 	finishDelay = 5 * time.Second
 	// estimateMargin is the factor by which run-time estimates are assumed to be too low.
 	estimateMargin = 1.2
@@ -28,13 +29,13 @@
 
 // WaitingWork is the waiting work of a job.
 type WaitingWork struct {
-	SlackS   float64 // seconds within which it must get its capacity to be in time
+	SlackS   float64 // seconds within which it must get its capacity to meet its deadline
 	Work     float64 // CPU-seconds
 	OnDemand bool    // may not use spot machines
 }
 
 // WaitingWorkOf returns the work of the tasks of a job that are left to start. The job should be done within
-// allow of Job.ReadyAt, 0 if it has no deadline; late is true if it has missed the deadline. ok reports
+// allowed of Job.ReadyAt, 0 if it has no deadline; late is true if it has missed the deadline. ok reports
 // whether the job has a deadline that it can still meet.
 func WaitingWorkOf(now time.Time, job *storage.Job, tasksLeft int, allowed time.Duration, late bool) (waiting WaitingWork, ok bool) {
 	slack := slackSeconds(now, job, job.ReadyAt.Add(allowed))
@@ -59,9 +60,10 @@
 	BusyS float64
 }
 
-// LoadFactor returns the ratio of waiting work to the work that the machines can complete in time, with the
-// earliest latest starts first. Above 1, no order completes all work in time; 0 means that no work waits.
-// It sorts waits by slack.
+// LoadFactor returns the ratio of the running and waiting work to the work that the machines can complete in
+// time, for the worst latest start: the work that must start by then is compared with the capacity until
+// then. Above 1, no order completes all work in time; 0 means that no work waits that could be in time. It
+// sorts waits by slack.
 func LoadFactor(waits []WaitingWork, capacity Capacity) float64 {
 	slices.SortFunc(waits, func(a, b WaitingWork) int { return cmp.Compare(a.SlackS, b.SlackS) })
 	// CPU-seconds of the running work and of the waiting work with no more slack than the current job.
--- a/internal/controller/schedule/option_heap.go
+++ b/internal/controller/schedule/option_heap.go
@@ -1,6 +1,7 @@
 package schedule
 
-// option is a slot with the cost of a placement there. It is outdated once the slot has changed since.
+// option is a slot with the cost of a placement there. It is outdated once the slot has changed after the
+// cost was computed.
 type option struct {
 	cost        float64 // seconds, see placementSeconds
 	slot        int32   // index in Input.Slots
--- a/internal/controller/schedule/place.go
+++ b/internal/controller/schedule/place.go
@@ -17,7 +17,7 @@
 	claimed       []*Slot   // by waiting task: the slot whose boot or preemptible capacity it waits for
 	latestStart   time.Time // latest time at which it should start
 	deadline      time.Time // zero: it has none that it can still meet
-	slackS        float64   // seconds within which it must get its capacity to be in time
+	slackS        float64   // seconds within which it must get its capacity to meet its deadline
 	remainingWork float64   // work of the tasks left to start, in CPU-seconds
 	urgency       urgency
 }
@@ -68,7 +68,7 @@
 }
 
 // Place decides which waiting tasks start on which machines. It places one task at a time, always the next
-// task of the first class queue in order, until no job is left or a bound of the input is reached.
+// task of the first class queue in order, until no job is left or Input.Tasks tasks are placed.
 func Place(input *Input) Result {
 	p := pass{
 		input:  input,
--- a/internal/controller/schedule/preempt_soonest.go
+++ b/internal/controller/schedule/preempt_soonest.go
@@ -20,11 +20,11 @@
 
 // PreemptSoonest is Preempt limited to those of the slots where the job's tasks start soonest. Machines that
 // have the job's image are considered first, and machines that would have to fetch it for longer only if the
-// others free too little capacity. Candidates of equally near machines keep their order.
+// others free too little capacity. Candidates on machines within the same of fetchLimitsS keep their order.
 //
 // If no machine would fetch the image for long, only the score decides: on deployments with pipelines, whose
-// work within guarantees preempts all day, preferring machines that were only a few seconds nearer lost more
-// work than it gained.
+// work within guarantees preempts all day, preferring machines whose fetch was only a few seconds shorter
+// lost more work than it saved.
 func PreemptSoonest(job *storage.Job, tasks int, slots []*Slot, ordered []Candidate) []Candidate {
 	if !slices.ContainsFunc(slots, func(slot *Slot) bool { return hasLongFetch(slot, job) }) {
 		return Preempt(job, tasks, slots, ordered)
--- a/internal/controller/schedule/zones.go
+++ b/internal/controller/schedule/zones.go
@@ -29,7 +29,7 @@
 }
 
 // allowsZone reports whether the job's constraints allow its next task in a zone: all tasks in one zone, or
-// a limited number in any zone.
+// a limited number in each zone.
 func (c *jobCursor) allowsZone(input *Input, zone int) bool {
 	if c.job.OneZone && !c.isChosenZone(input, zone) {
 		return false
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -16,7 +16,7 @@
 	dependents map[string][]*Job // by the id of a job: the open jobs that wait for it
 	failed     []*Job            // jobs cancelled because of a dependency; openFailedJobs removes the final ones
 	newlyReady []*Job            // jobs that became ready since takeNewlyReady was last called
-	inheritors map[*Job]int      // jobs of the graph that could run at the last inherit, which uses the counts
+	inheritors map[*Job]int      // keys: the jobs that the last run of inherit updated; it counts the values down
 	changed    bool              // the graph has changed since inherit last ran
 }
 
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -20,7 +20,7 @@
 	victimSetPrefix  = Root + "evict/"
 	completionPrefix = Root + "set/"
 	teamPrefix       = Root + "team/"
-	chunkPrefix      = Root + "bit/"     // sorts before jobPrefix: job records name their chunks
+	chunkPrefix      = Root + "bit/"     // sorts before jobPrefix: a full read returns chunks before the job records that name them
 	retiredPrefix    = Root + "machine/" // machine records of a foreign layout, and the barrier keys
 )
 
--- a/internal/storage/machine_types.go
+++ b/internal/storage/machine_types.go
@@ -7,7 +7,7 @@
 )
 
 // MachineType is a machine type of the cloud's catalog. Memory and image cache sizes are in GB, the
-// fetch rate is in GB/s, the boot time in seconds, prices are in the cloud's unit.
+// fetch rate is in GB/s, the boot time in seconds, prices are in currency units per hour.
 type MachineType struct {
 	Cpus, Gpus, Mem           float64
 	CacheGB, FetchGBPerSecond float64
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -153,8 +153,8 @@
 // numbersPerTask is the number of entries per task in PlacedTasks.Numbers.
 const numbersPerTask = 4
 
-// VictimSetRecord is a set of attempts that are preempted for a job, with the room reserved for the
-// job.
+// VictimSetRecord is a set of attempts that are preempted for a job, with the capacity reserved for
+// the job.
 type VictimSetRecord struct {
 	Shard        int                 `json:"s"`
 	Victims      []VictimRecord      `json:"v,omitempty"`
@@ -172,7 +172,7 @@
 	Score   float64 `json:"x"` // preemption score, to one decimal place in the packed layout
 }
 
-// ReservationRecord reserves room for a number of the job's tasks on a machine.
+// ReservationRecord reserves capacity for a number of the job's tasks on a machine.
 type ReservationRecord struct {
 	Machine string `json:"h"`
 	Slots   int    `json:"n"`
