--- a/internal/controller/autoscale/decide_test.go
+++ b/internal/controller/autoscale/decide_test.go
@@ -41,7 +41,7 @@
 			map[Pool]int{}, map[Pool]float64{onDemandA: 1, spotA: 0}},
 		{"idle-time work uses no on-demand machine", []Demand{idle(4)}, []Machine{machine(onDemandA, true)},
 			[]Offer{offer(spotA, 0.3, true), offer(onDemandA, 1, false)}, map[Pool]int{}, map[Pool]float64{onDemandA: 1}},
-		{"idle-time work uses what others leave", []Demand{idle(8), work(4, true)}, []Machine{machine(spotA, true)}, offers,
+		{"idle-time work uses the capacity that other work leaves free", []Demand{idle(8), work(4, true)}, []Machine{machine(spotA, true)}, offers,
 			map[Pool]int{spotA: 1, spotB: 1}, nil},
 		{"too large for any machine", []Demand{{Spot: true, Zone: -1, Cpus: 32, Tasks: 1, TaskSeconds: 10, CompleteWithinS: 10}}, nil, offers, map[Pool]int{}, nil},
 	}
--- a/internal/controller/autoscale/limits_test.go
+++ b/internal/controller/autoscale/limits_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// The demands of a team together ask for no more than its limit, the most urgent first. A demand within the
-// limit is not changed: work that waits because of the limit still makes the work that may run urgent.
+// The demands of a team together need no more at once than its limit, the most urgent served first. A demand
+// within the limit is not changed: tasks that the limit keeps waiting still count as work to be completed in
+// time.
 func TestCapToLimits(t *testing.T) {
 	const horizon = 0.5
 	demand := func(team, tasks int, work, withinS float64) Demand {
@@ -27,7 +28,7 @@
 			CapToLimits(test.demands, horizon, func(int) Limit { return test.limit })
 			for i, demand := range test.demands {
 				if demand.Tasks != test.want[i] {
-					t.Errorf("demand %d asks for %d tasks, want %d", i, demand.Tasks, test.want[i])
+					t.Errorf("demand %d has %d tasks, want %d", i, demand.Tasks, test.want[i])
 				}
 			}
 		})
--- a/internal/controller/baseline/estimator_test.go
+++ b/internal/controller/baseline/estimator_test.go
@@ -28,7 +28,7 @@
 		minBaseline, maxBaseline float64 // bounds of the queue's final baseline
 	}{
 		{name: "no baseline before there are enough windows", phases: []phase{{5, 10, 10, 0}}},
-		{name: "submissions when the deployment opens count little", phases: []phase{{1, 100, 100, 0}, {5, 10, 10, 0}}, minBaseline: 9, maxBaseline: 11},
+		{name: "a burst of submissions when the deployment opens hardly changes the baseline", phases: []phase{{1, 100, 100, 0}, {5, 10, 10, 0}}, minBaseline: 9, maxBaseline: 11},
 		{name: "an overload in the first minute", phases: []phase{{4, 10, 10, 0}, {20, 80, 10, 0}}, minBaseline: 9, maxBaseline: 12},
 		{name: "eightfold overload for eight minutes", record: both, phases: []phase{{50, 80, 10, 0}}, minBaseline: 10, maxBaseline: 12.5},
 		{name: "a twentyfold overload raises the baseline no further", record: both, phases: []phase{{50, 200, 10, 0}}, minBaseline: 10, maxBaseline: 12.5},
--- a/internal/controller/dispatch/worker_test.go
+++ b/internal/controller/dispatch/worker_test.go
@@ -62,9 +62,10 @@
 			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil)}},
 			stop:  true, want: Undelivered,
 		},
-		// The reply to a direct command is newer, but the answer to the heartbeat may arrive after it.
+		// The reply to a direct command is newer than the latest heartbeat, but the answer to that heartbeat may
+		// arrive after it.
 		{
-			name:  "a reply proves nothing about answers",
+			name:  "the reply to a direct command does not prove that a launch in an answer is lost",
 			steps: []step{{heartbeat: heartbeat(1, nil), commandsInAnswer: true}, {heartbeat: heartbeat(2, nil), reply: true}},
 			stop:  true,
 		},
@@ -134,8 +135,8 @@
 		clears    int
 	}{
 		{"no uncertain command", 0, 1},
-		{"uncertain under a token below the one seen", token - 1, 1},
-		{"uncertain under the token seen", token, 0},
+		{"uncertain command under a lower token than the worker has seen", token - 1, 1},
+		{"uncertain command under the token that the worker has seen", token, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			worker := NewWorker()
--- a/internal/controller/schedule/earliest_start_test.go
+++ b/internal/controller/schedule/earliest_start_test.go
@@ -32,7 +32,7 @@
 		priority protocol.Priority
 		slots    []*Slot
 		booting  []*Slot
-		want     string // machine, preempts or waits
+		want     string // machine that the task is placed on, preempts or waits
 	}{
 		{"a cached image outweighs the order of machines", 30, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage)}, nil, "n"},
 		{"preempts where its image is cached to avoid a long fetch", 30, protocol.Production, []*Slot{slot("m", 0, 8), slot("n", 0, 8, hasImage, preemptible)}, nil, preempts},
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against a service's replicas all on one of the machines that have its image, where the loss of that
-// machine stops all of them.
+// Guards against placing all replicas of a service on one of the machines that have its image, where the loss
+// of that machine stops all of them.
 func TestServiceReplicasSpreadOverMachines(t *testing.T) {
 	const replicas = 6
 	service := job("a", replicas, 1, protocol.Production, func(j *storage.Job) { j.Spread, j.Image, j.ImageGB = true, 7, 30 })
--- a/internal/controller/schedule/job_order_test.go
+++ b/internal/controller/schedule/job_order_test.go
@@ -29,7 +29,7 @@
 		{"capacity for all: the oldest first", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "b c a"},
 		{"more work than the capacity: the largest job is deferred", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 20, false}, {"c", 2, 10, false}}, "c a b"},
 		{"jobs that missed their deadline are deferred, small jobs first", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 90, true}, {"c", 2, 80, true}}, "a c b"},
-		{"a job that can no longer be in time is deferred", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 49, false}}, "a b"},
+		{"a job that can no longer meet its deadline is deferred", 100, 0, []waitingJob{{"a", 4, 5, false}, {"b", 9, 49, false}}, "a b"},
 		{"the oldest overdue job goes first", 8, 0, []waitingJob{{"a", 4, 5, false}, {"b", 40, 900, true}, {"c", 2, 950, true}, {"d", 1, 890, true}}, "c a d b"},
 		{"an overdue job is not promoted when such jobs use their fraction already", 8, 2, []waitingJob{{"a", 4, 5, false}, {"b", 40, 900, true}}, "a b"},
 		{"a starving job goes first, with one task", 8, 2, []waitingJob{{"a", 4, 5, false}, {"never b", 40, 200, true}, {"c", 2, 300, true}}, "never b a c"},
--- a/internal/controller/schedule/overload_test.go
+++ b/internal/controller/schedule/overload_test.go
@@ -257,8 +257,8 @@
 }
 
 // Random classes of random teams; one class is overloaded up to twentyfold while up to a third of the machines
-// are lost. The jobs of the others must stay in time at every check, and the overloaded class must complete a
-// good part of the jobs that could be in time.
+// are lost. At every check, the other classes must complete at least minOthersInTimeFraction of their jobs in
+// time; the overloaded class must reach minFractionOfBound of the jobs that could be in time.
 func TestOverloadLeavesOthersInTime(t *testing.T) {
 	fixRapidSeed(t, "11", "20")
 	minOthersFraction, minBoundFraction, sumBoundFractions, runs := 1.0, 1.0, 0.0, 0
--- a/internal/controller/schedule/place_test.go
+++ b/internal/controller/schedule/place_test.go
@@ -50,12 +50,12 @@
 		records        int            // records that may be rewritten; 0: enough
 		leavesOnDemand bool           // the first class is kept off on-demand machines in an overload
 		want           map[string]int // tasks placed by job/machine
-		short          map[string]int
-		more           bool
+		unplaced       map[string]int
+		incomplete     bool
 	}{
-		{name: "places what fits and reports the rest as short",
+		{name: "places the tasks that fit and reports the others as unplaced",
 			jobs: []*storage.Job{job("a", 3, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 8)},
-			want: map[string]int{"a/m": 2}, short: map[string]int{"a": 1}},
+			want: map[string]int{"a/m": 2}, unplaced: map[string]int{"a": 1}},
 		{name: "higher priority first",
 			jobs:  []*storage.Job{job("a", 2, 4, protocol.Normal), job("b", 2, 4, protocol.High)},
 			slots: []*Slot{slot("m", 0, 8)}, want: map[string]int{"b/m": 2}},
@@ -76,22 +76,22 @@
 		{name: "a class kept off on-demand machines in an overload does not affect others",
 			jobs: []*storage.Job{job("a", 1, 2, protocol.Normal), job("b", 1, 2, protocol.Normal, func(j *storage.Job) { j.Class = 1 }),
 				job("c", 1, 2, protocol.Normal, func(j *storage.Job) { j.Spot = false }), job("d", 1, 2, protocol.High)},
-			slots: []*Slot{slot("m", 0, 16)}, leavesOnDemand: true, want: map[string]int{"b/m": 1, "c/m": 1, "d/m": 1}, short: map[string]int{"a": 1}},
+			slots: []*Slot{slot("m", 0, 16)}, leavesOnDemand: true, want: map[string]int{"b/m": 1, "c/m": 1, "d/m": 1}, unplaced: map[string]int{"a": 1}},
 		{name: "equal teams share",
 			jobs:  []*storage.Job{job("a", 4, 4, protocol.Normal), job("b", 4, 4, protocol.Normal, team(1))},
 			slots: []*Slot{slot("m", 0, 16)}, teams: []config.Team{{}, {}}, want: map[string]int{"a/m": 2, "b/m": 2}},
 		{name: "no spot machine for a job that does not allow it",
 			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Spot = false })},
-			slots: []*Slot{slot("m", 0, 8, func(s *Slot) { s.Machine.Spot = true })}, short: map[string]int{"a": 1}},
+			slots: []*Slot{slot("m", 0, 8, func(s *Slot) { s.Machine.Spot = true })}, unplaced: map[string]int{"a": 1}},
 		{name: "only the requested zone",
 			jobs:  []*storage.Job{job("a", 2, 4, protocol.Normal, func(j *storage.Job) { j.Zone = 1 })},
-			slots: []*Slot{slot("m", 0, 8), slot("n", 1, 4)}, want: map[string]int{"a/n": 1}, short: map[string]int{"a": 1}},
+			slots: []*Slot{slot("m", 0, 8), slot("n", 1, 4)}, want: map[string]int{"a/n": 1}, unplaced: map[string]int{"a": 1}},
 		{name: "all tasks in one zone, the one with most capacity",
 			jobs:  []*storage.Job{job("a", 3, 4, protocol.Normal, func(j *storage.Job) { j.OneZone = true })},
-			slots: []*Slot{slot("m", 0, 4), slot("n", 1, 8)}, want: map[string]int{"a/n": 2}, short: map[string]int{"a": 1}},
+			slots: []*Slot{slot("m", 0, 4), slot("n", 1, 8)}, want: map[string]int{"a/n": 2}, unplaced: map[string]int{"a": 1}},
 		{name: "spread: at most half, rounded up, in a zone",
 			jobs:  []*storage.Job{job("a", 5, 4, protocol.Normal, func(j *storage.Job) { j.Spread = true })},
-			slots: []*Slot{slot("m", 0, 32), slot("n", 1, 4)}, want: map[string]int{"a/m": 3, "a/n": 1}, short: map[string]int{"a": 1}},
+			slots: []*Slot{slot("m", 0, 32), slot("n", 1, 4)}, want: map[string]int{"a/m": 3, "a/n": 1}, unplaced: map[string]int{"a": 1}},
 		{name: "the machine with the cached image",
 			jobs:  []*storage.Job{job("a", 1, 4, protocol.Normal, func(j *storage.Job) { j.Image, j.ImageGB = 7, 3 })},
 			slots: []*Slot{slot("m", 0, 8), slot("n", 0, 8, func(s *Slot) { s.Images = []int{7} })},
@@ -101,10 +101,10 @@
 			slots: []*Slot{slot("m", 0, 8, func(s *Slot) {
 				s.Reservations = []Reservation{{Job: job("x", 1, 4, protocol.High), Slots: 1}}
 			})},
-			want: map[string]int{"a/m": 1}, short: map[string]int{"a": 1}},
+			want: map[string]int{"a/m": 1}, unplaced: map[string]int{"a": 1}},
 		{name: "no more records than the transaction can rewrite",
 			jobs: []*storage.Job{job("a", 4, 4, protocol.Normal)}, slots: []*Slot{slot("m", 0, 4), slot("n", 0, 4)},
-			records: 1, want: map[string]int{"a/m": 1}, more: true},
+			records: 1, want: map[string]int{"a/m": 1}, incomplete: true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -133,17 +133,17 @@
 			if placed := countPlaced(t, result.Placed); !maps.Equal(placed, test.want) {
 				t.Fatalf("placed %v, want %v", placed, test.want)
 			}
-			short := map[string]int{}
+			unplaced := map[string]int{}
 			for j, n := range result.UnplacedTasks {
-				short[j.ID] = n
+				unplaced[j.ID] = n
 			}
-			for id, n := range test.short {
-				if short[id] != n {
-					t.Fatalf("short %v, want %d of %s", short, n, id)
+			for id, n := range test.unplaced {
+				if unplaced[id] != n {
+					t.Fatalf("unplaced tasks %v, want %d of %s", unplaced, n, id)
 				}
 			}
-			if result.Incomplete != test.more {
-				t.Fatalf("more %v, want %v", result.Incomplete, test.more)
+			if result.Incomplete != test.incomplete {
+				t.Fatalf("incomplete: %v, want %v", result.Incomplete, test.incomplete)
 			}
 		})
 	}
--- a/internal/controller/schedule/preemption_test.go
+++ b/internal/controller/schedule/preemption_test.go
@@ -38,7 +38,7 @@
 			[]Candidate{candidate("a", slotM, 4, 1, 0, old)}, []string{"a"}},
 		{"preempts nothing when it would not help", 1, 1,
 			[]Candidate{candidate("a", slotM, 2, 1, 0, old)}, nil},
-		{"two small ones free enough for one large", 1, 1,
+		{"two small candidates free enough capacity for one large task", 1, 1,
 			[]Candidate{candidate("a", slotM, 2, 1, 0, old), candidate("b", slotM, 2, 2, 0, old)}, []string{"a", "b"}},
 	}
 	for _, test := range cases {
--- a/internal/controller/schedule/slot_search_test.go
+++ b/internal/controller/schedule/slot_search_test.go
@@ -15,7 +15,7 @@
 )
 
 // placeByScanning places tasks as Place does, but scans every slot for every task.
-func placeByScanning(input *Input) (placed []string, unplacedByJob map[string]int, more bool) {
+func placeByScanning(input *Input) (placed []string, unplacedByJob map[string]int, incomplete bool) {
 	unplacedByJob = map[string]int{}
 	queues := newQueues(input)
 	for len(queues) > 0 && len(placed) < input.Tasks {
@@ -34,7 +34,7 @@
 			placed = append(placed, fmt.Sprintf("%s/%d on %s", cursor.job.ID, cursor.nextTask, slot.Machine.Name))
 			cursor.advance()
 		case recordLimited:
-			more = true
+			incomplete = true
 			cursor.tasksLeft = 0
 		default:
 			if withinLimit {
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	return placed, unplacedByJob, more || len(queues) > 0
+	return placed, unplacedByJob, incomplete || len(queues) > 0
 }
 
 // bitSource generates numbers from random bits. The same bits give the same numbers.
@@ -166,18 +166,18 @@
 	fixRapidSeed(t, "7", "100")
 	rapid.Check(t, func(t *rapid.T) {
 		bits := rapid.SliceOfN(rapid.Uint16(), 16, 400).Draw(t, "bits")
-		wantPlaced, wantShort, wantMore := placeByScanning(drawInput(bits))
+		wantPlaced, wantUnplaced, wantIncomplete := placeByScanning(drawInput(bits))
 		res := Place(drawInput(bits))
 		var placed []string
 		for _, p := range res.Placed {
 			placed = append(placed, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Task, p.Slot.Machine.Name))
 		}
-		short := map[string]int{}
+		unplaced := map[string]int{}
 		for j, n := range res.UnplacedTasks {
-			short[j.ID] = n
+			unplaced[j.ID] = n
 		}
-		if !slices.Equal(placed, wantPlaced) || fmt.Sprint(short) != fmt.Sprint(wantShort) || res.Incomplete != wantMore {
-			t.Fatalf("placed %v\nshort %v more %v\nwant   %v\nshort %v more %v", placed, short, res.Incomplete, wantPlaced, wantShort, wantMore)
+		if !slices.Equal(placed, wantPlaced) || fmt.Sprint(unplaced) != fmt.Sprint(wantUnplaced) || res.Incomplete != wantIncomplete {
+			t.Fatalf("placed %v\nunplaced %v incomplete %v\nwant   %v\nunplaced %v incomplete %v", placed, unplaced, res.Incomplete, wantPlaced, wantUnplaced, wantIncomplete)
 		}
 	})
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -86,13 +86,13 @@
 				}
 			}
 			if (becameReady == 1) != test.ready || becameReady > 1 {
-				t.Errorf("NewlyReady returned the job %d times", becameReady)
+				t.Errorf("TakeNewlyReady returned the job %d times", becameReady)
 			}
 			if (job.Waiting() > 0) != test.ready {
 				t.Errorf("%d tasks are waiting", job.Waiting())
 			}
 			if failed := slices.Contains(cache.JobsWithFailedDependency(), job); failed != (test.final == protocol.Cancelled) {
-				t.Errorf("job is in DependencyFailed: %v", failed)
+				t.Errorf("job is in JobsWithFailedDependency: %v", failed)
 			}
 		})
 	}
@@ -162,11 +162,11 @@
 	for name, wantSecond := range map[string]int{"4": 104, "3": 94, "2": 94, "1": 84} {
 		j := job(name)
 		if j.Priority != protocol.High || !j.TargetFinish.Equal(time.UnixMilli(int64(wantSecond)*1000)) {
-			t.Errorf("job %s has priority %v and FinishBy %d ms", name, j.Priority, j.TargetFinish.UnixMilli())
+			t.Errorf("job %s has priority %v and TargetFinish %d ms", name, j.Priority, j.TargetFinish.UnixMilli())
 		}
 	}
 	if j := job("5"); j.Priority != protocol.Low || j.LatestFinish.UnixMilli() != 305_000 {
-		t.Errorf("job 5 has priority %v and FinishLatest %d ms", j.Priority, j.LatestFinish.UnixMilli())
+		t.Errorf("job 5 has priority %v and LatestFinish %d ms", j.Priority, j.LatestFinish.UnixMilli())
 	}
 	// The dependencies of a cancelled job no longer inherit from it.
 	if err := cache.Apply(JobKey("job-000004"), Encode(JobRecord{Tasks: 1, Team: "red", Final: "cancelled"}), 99, false); err != nil {
@@ -174,9 +174,9 @@
 	}
 	inherit()
 	if j := job("2"); j.Priority != protocol.Low || !j.TargetFinish.IsZero() {
-		t.Errorf("job 2 still has priority %v and FinishBy %v", j.Priority, j.TargetFinish)
+		t.Errorf("job 2 still has priority %v and TargetFinish %v", j.Priority, j.TargetFinish)
 	}
 	if j := job("1"); j.Priority != protocol.Low || j.TargetFinish.UnixMilli() != 195_000 {
-		t.Errorf("job 1 has priority %v and FinishBy %v ms", j.Priority, j.TargetFinish.UnixMilli())
+		t.Errorf("job 1 has priority %v and TargetFinish %v ms", j.Priority, j.TargetFinish.UnixMilli())
 	}
 }
--- a/internal/storage/images_test.go
+++ b/internal/storage/images_test.go
@@ -46,7 +46,7 @@
 }
 
 // TestJobSizeUsesBindingResource checks that a task's size follows from the resource that limits how
-// many tasks fit: idle CPUs of a machine whose accelerators are all in use are of no use.
+// many tasks fit: a machine whose accelerators are all in use has no room, however many CPUs are idle.
 func TestJobSizeUsesBindingResource(t *testing.T) {
 	types := []protocol.MachineType{{Name: "cpu", Cpus: 16, MemGB: 64}, {Name: "gpu", Cpus: 48, Gpus: 8, MemGB: 384}}
 	for _, test := range []struct {
