--- a/internal/storage/apply_job.go
+++ b/internal/storage/apply_job.go
@@ -185,10 +185,11 @@
 	c.jobs.remove(job, c.Jobs)
 }
 
-// PruneFinalJobs prunes final jobs that have no placed task; only their final states are kept. A cancelled job
-// stays until then because its tasks still use resources and quota. A job also stays until the watch
-// has reached the revision of its final record: the controller that cancelled it may still receive
-// older machine group records that name the job, and could not resolve them.
+// PruneFinalJobs prunes final jobs that have no placed task; only their final states are kept. A
+// cancelled job stays while any of its tasks is placed, because those still use resources and count
+// towards its team's limit. A job also stays until the watch has reached the revision of its final
+// record: the controller that cancelled it may still receive older machine group records that name the
+// job, and could not resolve them.
 func (c *Cache) PruneFinalJobs() {
 	for _, job := range c.Jobs {
 		if job != nil && !job.Open() && job.PlacedCount == 0 && job.Version <= c.Revision {
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -185,8 +185,9 @@
 	return nil
 }
 
-// DropUnseen removes every cached record that a full read of the state service, begun at revision,
-// did not return.
+// DropUnseen removes the cached records that a full read of the state service, begun at revision, did
+// not return: fleets, description chunks, completion sets and the records whose revisions
+// Cache.revisions holds.
 func (c *Cache) DropUnseen(seen map[string]bool, revision uint64) error {
 	for id, fleet := range c.machines.fleets {
 		if key := FleetKey(id); len(fleet.record.Machines) > 0 && !seen[key] {
