--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -11,15 +11,15 @@
 // leader learns (baseline_learning.go).
 
 const (
-	// floorMargin is the ratio of a queue's floor, which it is given before other queues get more
-	// than theirs, to its baseline. It is above 1 because image fetches and heartbeats take time in
-	// addition to the estimates, and the work of lost machines is repeated.
+	// floorMargin is the ratio of a queue's floor to its baseline. Each queue is given its floor
+	// before any queue gets more than its floor. The ratio is above 1 because image fetches and
+	// heartbeats take time in addition to the estimates, and the work of lost machines is repeated.
 	floorMargin = 1.5
 	// overloadFactor is the ratio of open work to the baseline above which a queue is overloaded.
 	overloadFactor = 3
-	// reserveOnDemandFraction is the fraction of its floor from which on a queue leaves on-demand
-	// machines to overloaded work that must not use spot machines. Below it a queue may use them,
-	// so that it does not starve where no spot machines are available.
+	// reserveOnDemandFraction is the fraction of its floor that a queue must use before it leaves
+	// on-demand machines to overloaded work that must not use spot machines. Below it a queue may
+	// use them, so that it does not starve where no spot machines are available.
 	reserveOnDemandFraction = 0.5
 )
 
@@ -34,9 +34,8 @@
 // queueLoads is the load of the class queues (one for each class of a team).
 type queueLoads struct {
 	queues schedule.QueueStates
-	// overloaded reports whether any queue has far more open work than its baseline,
-	// onDemandOverloaded whether any queue's open work that must not use spot machines alone
-	// exceeds it that far.
+	// overloaded reports whether any queue's open work exceeds overloadFactor times its baseline,
+	// onDemandOverloaded whether any queue's open work that must not use spot machines alone does.
 	overloaded, onDemandOverloaded bool
 	// meanBusyS estimates how many more seconds placed work will run on average.
 	meanBusyS float64
@@ -104,9 +103,9 @@
 	}
 }
 
-// detectOverload reports whether there is an overload: some queue has far more open work than its
-// baseline, and far more work of the given jobs waits than can finish in time. As long as the
-// capacity suffices, placement needs no floors. An overload, once active, lasts until no queue is
+// detectOverload reports whether there is an overload: some queue's open work exceeds overloadFactor
+// times its baseline, and far more work of the given jobs waits than can finish in time. As long as
+// the capacity suffices, placement needs no floors. An overload, once active, lasts until no queue is
 // overloaded any more. Work that is late by then has no objective left to meet, but small jobs
 // still go first.
 func (c *Controller) detectOverload(loads queueLoads, jobs []*storage.Job, capacity schedule.Capacity, active *bool, now time.Time) bool {
@@ -141,8 +140,8 @@
 }
 
 // waitedTooLong reports whether a job has waited for overdueAfter and can meet no objective any
-// more, or has none. From then on it is placed regardless of other rules, in a part of the
-// capacity.
+// more, or has none. From then on it may use the part of an overloaded queue's capacity that is set
+// aside for such jobs (schedule.Input.Overdue).
 func (c *Controller) waitedTooLong(job *storage.Job, now time.Time) bool {
 	if now.Sub(job.ReadyAt) < overdueAfter {
 		return false
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -84,7 +84,7 @@
 }
 
 // othersChangeRate returns how many changes per second the other members make at the state service.
-// It is below 0 if one of them is silent, since its rate is then unknown.
+// It is -1 if one of them has sent no recent peer heartbeat, since its rate is then unknown.
 func (c *Controller) othersChangeRate(now time.Time) float64 {
 	sum := 0.0
 	for name := range c.cache.Members {
--- a/internal/controller/plan_completions.go
+++ b/internal/controller/plan_completions.go
@@ -158,11 +158,11 @@
 		if len(update.completedTasks) <= limit || planned.full() {
 			continue
 		}
-		most, key := c.largestFold(planned, update.completedTasks)
+		sample, key := c.largestFold(planned, update.completedTasks)
 		if key == "" {
 			continue
 		}
-		c.putCompletions(planned, most, key)
+		c.putCompletions(planned, sample, key)
 		update.completedTasks = slices.DeleteFunc(update.completedTasks, func(task storage.CompletedTask) bool { return c.foldKey(task) == key })
 	}
 }
@@ -179,16 +179,16 @@
 // largestFold returns the key of the record to which the most completed tasks can be moved, among
 // those that the transaction does not change yet, and one of these tasks. The key is "" if there is
 // none.
-func (c *Controller) largestFold(planned *plannedTxn, ended []storage.CompletedTask) (most storage.CompletedTask, key string) {
+func (c *Controller) largestFold(planned *plannedTxn, ended []storage.CompletedTask) (sample storage.CompletedTask, key string) {
 	count := map[string]int{}
 	for _, task := range ended {
 		candidate := c.foldKey(task)
 		count[candidate]++
 		if _, ok := planned.puts[candidate]; !ok && count[candidate] > count[key] {
-			most, key = task, candidate
+			sample, key = task, candidate
 		}
 	}
-	return most, key
+	return sample, key
 }
 
 // putCompletions adds the record to which a completed task is moved to the transaction.
--- a/internal/controller/planned_txn.go
+++ b/internal/controller/planned_txn.go
@@ -158,7 +158,7 @@
 }
 
 // finalRecord returns a job's record. In the packed layout, a final record holds the time at which
-// the job ended: the times of its dependents count from there, and so does the deadline by which
+// the job ended: its dependents' waiting times count from then, and so does the deadline by which
 // cancelled tasks must have ended.
 func (c *Controller) finalRecord(job *storage.Job, reached progress, final protocol.JobStatus) *storage.JobRecord {
 	record := c.cache.JobRecordOf(job, reached.done, reached.doneCount, final)
--- a/internal/controller/proxy_renewals.go
+++ b/internal/controller/proxy_renewals.go
@@ -19,9 +19,9 @@
 
 // renewsAsProxy reports whether this controller renews the lease of a worker on another owner's
 // machine: the owner has ended and its shard has no new owner yet, or both the owner and the state
-// service are silent. Without this, after an end of all controllers, workers were redirected to
-// owners that had ended, and their leases had expired by the time they had tried every other
-// controller.
+// service are silent. Without this, after all controllers had ended, the restarted ones redirected
+// workers to owners that had ended, and the workers' leases had expired by the time they had tried
+// every other controller.
 func (c *Controller) renewsAsProxy(machine *storage.Machine, now time.Time) bool {
 	shard := &c.cache.Shards[machine.Shard]
 	if shard.Member == "" || machine.Returning || !c.mayRenewLeases(now) {
@@ -67,7 +67,7 @@
 // allRestarted reports whether every other controller sends peer heartbeats and has read no records
 // either, so that all of them have restarted. A controller that has read the records should answer
 // the worker instead. A silent one may have confirmed cancellations until now that the controller
-// which last answered the worker did not have.
+// which last answered the worker had not read.
 func (c *Controller) allRestarted(now time.Time) bool {
 	for _, known := range c.cfg.KnownPeers {
 		peer, ok := c.reachability.peers[known.MemberName]
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -34,7 +34,7 @@
 
 	// memberLostAfter is how long a controller may stay disconnected, or refused by the state service,
 	// before its shards and its leadership are given to others. It may be alive: its commits then fail on
-	// the records' versions, so a wrong guess costs only a pause.
+	// the records' versions, so a wrong conclusion only interrupts work in its shards briefly.
 	memberLostAfter = 1200 * time.Millisecond
 
 	// fewOtherMembers is the number of other controllers up to which the loss of all of them is more
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -50,7 +50,7 @@
 	return b.next, start
 }
 
-// takeRun returns the next run, or nil if no reader is waiting, which also marks the runs as stopped.
+// takeRun returns the next run. If no reader is waiting, it returns nil and marks the runs as stopped.
 func (b *barrier) takeRun() *barrierRun {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/controller/read_model.go
+++ b/internal/controller/read_model.go
@@ -142,7 +142,7 @@
 // time.
 func (c *Controller) refreshView() {
 	startedAt := time.Now()
-	// The reader's context is not used since it may have ended: the next reader profits from the refresh.
+	// The reader's context is not used since it may have ended: the next reader uses the refreshed snapshot.
 	ctx, cancel := context.WithTimeout(context.Background(), viewRefreshTimeout)
 	defer cancel()
 	barrierErr := c.Barrier(ctx)
--- a/internal/controller/rebalance_pass.go
+++ b/internal/controller/rebalance_pass.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// moveMargin is the ratio of loads below which no group is moved: after a move it takes a
-	// moment until the workers have found their new owner.
+	// moveMargin is the ratio of loads below which no group is moved: after a move, the group's
+	// machines take no tasks until their workers have found the new owner.
 	moveMargin = 1.1
 	// idleMargin is the ratio of capacity to non-idle work that a shard keeps when machines move
 	// for another shard's idle-time work.
@@ -276,10 +276,11 @@
 
 // groupForStuckShard chooses a group for a shard whose work waits although no move balances load.
 // Loads say little about a shard that has no group, or would have none, because the tasks on a
-// group's machines move with it. A group may move immediately from a shard where nothing waits,
-// because free capacity there is of use elsewhere. Otherwise, since the sums show enough capacity
-// for all work, nothing would be provisioned and a job would wait forever. After stuckAfter the
-// same applies to work that waits in a shard whose machines are full of long-running tasks.
+// group's machines move with it. In this case a group may move immediately from a shard where
+// nothing waits, because free capacity there is of use elsewhere. Without such a move a job would
+// wait forever: since the sums show enough capacity for all work, nothing would be provisioned.
+// After stuckAfter a group may also move if the loads can be compared, since the machines of the
+// waiting work's shard may be full of long-running tasks, or from a shard whose own work waits.
 func (p *rebalancePass) groupForStuckShard(to int) (from, index int) {
 	p.stuck[to] = true
 	waitedLong := p.now.Sub(p.c.leader.markStuck(to, p.now)) > stuckAfter
--- a/internal/controller/record_capacity.go
+++ b/internal/controller/record_capacity.go
@@ -19,7 +19,7 @@
 		limit, size = limit*8/10, packedSizes
 	}
 	used := group.Size
-	if !c.cache.Packed() || !group.Packed { // the record's size in the packed layout is not known before it is written in it
+	if !c.cache.Packed() || !group.Packed { // a record's size in the packed layout is known only once it is written in that layout
 		used = size.base + size.machine*len(group.Machines) + size.completedTasks*len(group.Completed)
 		for _, m := range group.Machines {
 			used += size.task * len(m.Tasks)
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -74,7 +74,7 @@
 }
 
 // demands returns the capacity demand of the open work, grouped by what the work may run on, and separately
-// for each team with a limit: the jobs of a team together demand no more than its limit allows to run. When
+// for each team with a limit: the jobs of a team together demand no more than the team's limit allows. When
 // demand was bounded for each job alone, a team with many jobs had twice the machines provisioned that it
 // could use.
 func (c *Controller) demands(now time.Time) []autoscale.Demand {
@@ -131,7 +131,7 @@
 }
 
 // zoneCapacity holds the free capacity of on-demand machines by zone, for jobs that are spread over zones.
-// Capacity is in CPUs as job sizes count it, and negative where the demand already exceeds it.
+// Capacity is in CPUs, as storage.Job.TaskSize is, and negative where the demand already exceeds it.
 type zoneCapacity struct {
 	c           *Controller
 	now         time.Time
--- a/internal/controller/shard_ownership.go
+++ b/internal/controller/shard_ownership.go
@@ -28,7 +28,7 @@
 )
 
 // shardOwnerships holds what this controller has seen of the shards' owners; slices are indexed by
-// shard. It is written by this file, by takeOverShard and by the planner (waiting).
+// shard. It is written by this file, by takeOverShard and by the planner (waitingTasks).
 type shardOwnerships struct {
 	owned               []uint64         // version of the shard record under which this process owns it; 0: not owned
 	history             []shardOwnership // the shard's last change of owner
--- a/internal/controller/state_limits.go
+++ b/internal/controller/state_limits.go
@@ -74,7 +74,9 @@
 				Then: []protocol.Change{{Put: key, Value: storage.Encode(c.cache.Shards[shard].ShardRecord)}}}
 		}
 	}
-	return &protocol.Txn{If: txn.If[:1]} // not reached for plans, which all depend on a shard; a comparison resolves nothing, but ends the repetition
+	// Not reached for the planner's transactions, which all depend on a shard's record. A transaction
+	// without changes does not resolve the doubt, but it ends the repetition.
+	return &protocol.Txn{If: txn.If[:1]}
 }
 
 // isResolvingTxn reports whether a transaction has the form of those that resolvingTxn returns.
--- a/internal/controller/team_bounds.go
+++ b/internal/controller/team_bounds.go
@@ -13,7 +13,7 @@
 // This file compares and validates teams' guarantees and limits. Its functions depend on no
 // controller state.
 
-// limitTolerance is the rounding error by which usage may exceed a limit.
+// limitTolerance is the rounding error, in CPUs or GPUs, by which usage may exceed a limit.
 const limitTolerance = 1e-6
 
 // amountExpected describes the valid values of a guarantee or limit in errors.
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -200,7 +200,7 @@
 }
 
 // membersNotReadingTeams returns the configured controllers that have not shown that they read changed teams.
-// Once a team has been changed no older version becomes ready, so none is missing.
+// There are none once a team has been changed, because no older version becomes ready from then on.
 func (c *Controller) membersNotReadingTeams() []string {
 	if c.cache.TeamChangesEnabled() {
 		return nil
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	// minZoneMachines is the least number of machines from which a zone's silence counts: so many are
-	// unlikely to fall silent together independently.
+	// minZoneMachines is the minimum number of machines in a zone for its silence to count: so many
+	// machines are unlikely to fall silent at the same time without a common cause.
 	minZoneMachines = 3
 	// minZoneMissedProbes is how many probes in a row a silent zone must have missed to be unreachable.
 	minZoneMissedProbes = 2
