--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestLargeJobsBecomeOverdue guards against overloads in which the largest jobs of a class were
-// placed after all others until they had waited for ten minutes: on a day of seven minutes they
-// were never placed.
+// placed after all others until they had waited for ten minutes: in a simulated day that lasted
+// seven minutes they were never placed.
 func TestLargeJobsBecomeOverdue(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/controller/proxy_renewals_test.go
+++ b/internal/controller/proxy_renewals_test.go
@@ -9,8 +9,9 @@
 	"dykeledge/internal/storage"
 )
 
-// A controller that has read no records renews a worker's lease only if no cancelled task can outlast
-// its limit by that, and if the worker is not kept from a controller that has read the records.
+// A controller that has read no records renews a worker's lease only if no cancelled task can run
+// longer than cancel_s because of it, and if it does not keep the worker from a controller that has
+// read the records.
 func TestUnverifiedRenewals(t *testing.T) {
 	workers := config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 40}
 	running := []protocol.TaskStatus{{Task: "job-000001/0", Attempt: 3, State: protocol.TaskRunning}}
--- a/internal/controller/rebalancer_test.go
+++ b/internal/controller/rebalancer_test.go
@@ -136,7 +136,7 @@
 				controller.leader.stuckSinceByShard[1] = time.Now().Add(-test.stuck)
 			}
 			if got := netMovesToFirstShard(controller, allWork); got != -test.want {
-				t.Errorf("%d groups move to its shard, want %d", -got, test.want)
+				t.Errorf("%d groups move to the job's shard, want %d", -got, test.want)
 			}
 		})
 	}
@@ -208,7 +208,7 @@
 				got = group.ID
 			}
 			if got != test.want || len(balancer.moved) > 1 {
-				t.Errorf("group %d moves of %d, want %d", got, len(balancer.moved), test.want)
+				t.Errorf("group %d moves (%d groups in total), want group %d only; -1 is none", got, len(balancer.moved), test.want)
 			}
 		})
 	}
--- a/internal/controller/record_splitting_test.go
+++ b/internal/controller/record_splitting_test.go
@@ -17,15 +17,15 @@
 
 // Limits on transactions under the lower limits.
 const (
-	lowerValueLimit  = 2 << 10
-	lowerChanges     = 4
-	lowerComparisons = 16
+	lowerValueLimit = 2 << 10
+	lowerChanges    = 4
+	lowerConditions = 16
 )
 
 // checkLowerLimits fails the test if a transaction exceeds the lower limits.
 func checkLowerLimits(t *testing.T, txn protocol.Txn) {
 	t.Helper()
-	if len(txn.Then) > lowerChanges || len(txn.If) > lowerComparisons {
+	if len(txn.Then) > lowerChanges || len(txn.If) > lowerConditions {
 		t.Fatalf("transaction has %d changes and %d conditions, more than the lower limits allow", len(txn.Then), len(txn.If))
 	}
 	for _, change := range txn.Then {
--- a/internal/controller/restarted_test.go
+++ b/internal/controller/restarted_test.go
@@ -86,9 +86,9 @@
 	return raw
 }
 
-// Guards against restarted controllers refusing submissions until they have read every record: after
-// an end of all controllers that took seconds with 1235 machines, although accepting a job needs only
-// the layout and the catalog.
+// Guards against restarted controllers refusing submissions until they have read every record. With
+// 1235 machines that took seconds after all controllers had ended, although accepting a job needs
+// only the layout and the catalog.
 func TestRestartedControllerAcceptsJobsBeforeFullLoad(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -31,7 +31,7 @@
 		return controller.silenceOf(worker.lastMessageAt, now) > 4*time.Second, controller.memberLost("n1", now), controller.isolatedFromStore(now)
 	}
 	if silent, lost, isolated := observe(resumed); !silent || !lost || !isolated {
-		t.Fatalf("before the stall is detected: silent %v, lost %v, isolated %v; want all, otherwise the test proves nothing", silent, lost, isolated)
+		t.Fatalf("before the stall is detected: silent %v, lost %v, isolated %v; want all, otherwise the test does not cover the stall", silent, lost, isolated)
 	}
 	controller.detectStall(start)
 	controller.detectStall(start.Add(controller.timing.Tick))
@@ -204,8 +204,8 @@
 	}
 }
 
-// stallingStore is a state service that runs meanwhile during a read of the revision, in which the
-// controller can stall.
+// stallingStore is a state service that calls meanwhile during each read of the revision. The test
+// uses it to simulate a stall of the controller at that point.
 type stallingStore struct {
 	StateStore
 	meanwhile func()
--- a/internal/controller/state_limits_test.go
+++ b/internal/controller/state_limits_test.go
@@ -119,7 +119,7 @@
 		{"resolved", []scriptedAnswer{unknown, tooLarge, {rev: 20}}, true, true, true, false},
 		{"resolved after the rewrite was in doubt too", []scriptedAnswer{unknown, refused, tooLarge, unknown, refused, {rev: 20}}, true, true, true, false},
 		{"another member leads: the late copy fails in any case", []scriptedAnswer{unknown, tooLarge, {rev: 20, failed: []string{"leader"}}}, true, true, true, false},
-		{"a comparison resolves nothing", []scriptedAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
+		{"a transaction without changes does not resolve the doubt", []scriptedAnswer{unknown, tooLarge, {rev: 15}, {rev: 20, failed: []string{"leader"}}}, false, false, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/controller/terminations_test.go
+++ b/internal/controller/terminations_test.go
@@ -18,7 +18,7 @@
 	othersMachine                                    // another controller owns the machine
 	storeOutage                                      // the state service does not answer
 	timeUnknown                                      // the job's record does not hold the time of its cancellation
-	onlyGossiped                                     // the job's record is not read; the cancellation is from a peer's digest
+	onlyInDigest                                     // the job's record is not read; the cancellation is from a peer's digest
 )
 
 // has reports whether any of the given conditions holds.
@@ -35,7 +35,7 @@
 	if conditions.has(timeUnknown) {
 		record.FinalAtMs = 0
 	}
-	if conditions.has(onlyGossiped) {
+	if conditions.has(onlyInDigest) {
 		controller.cancellations.digest.gossiped["job-000001"] = 9
 	} else {
 		applyRecord(t, controller, storage.JobKey("job-000001"), record, 6)
@@ -79,7 +79,7 @@
 		{name: "this controller has just resumed", age: 20 * time.Second, tried: 19 * time.Second, resumed: time.Second},
 		{name: "time of cancellation unknown: age counts from when this process learned of it", conditions: timeUnknown, age: 40 * time.Second, tried: 14 * time.Second},
 		{name: "time of cancellation unknown, at the deadline", conditions: timeUnknown, age: 40 * time.Second, tried: 16 * time.Second, want: true},
-		{name: "cancellation from a peer's digest", conditions: onlyGossiped | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
+		{name: "cancellation from a peer's digest", conditions: onlyInDigest | storeOutage, age: 16 * time.Second, tried: 16 * time.Second, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Now()
