--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -127,14 +127,14 @@
 // storePeerHeartbeat stores a peer's heartbeat, and since when the peer has been refused by the state
 // service.
 func (r *reachability) storePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
-	heard := peerState{heartbeat: heartbeat, receivedAt: now}
+	state := peerState{heartbeat: heartbeat, receivedAt: now}
 	if !heartbeat.StateOK {
-		heard.storeRefusesSince = r.peers[member].storeRefusesSince
-		if heard.storeRefusesSince.IsZero() {
-			heard.storeRefusesSince = now
+		state.storeRefusesSince = r.peers[member].storeRefusesSince
+		if state.storeRefusesSince.IsZero() {
+			state.storeRefusesSince = now
 		}
 	}
-	r.peers[member] = heard
+	r.peers[member] = state
 	delete(r.disconnected, member)
 }
 
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// largeMachineCount is the number of machines from which on a simultaneous loss of all heartbeats is
-	// unlikely to be caused by the machines.
+	// largeMachineCount is the number of machines at or above which a simultaneous loss of all heartbeats
+	// is unlikely to be caused by the machines.
 	largeMachineCount = 8
 	// minMachinesForReadiness is the minimum number of owned machines for a controller to become not ready when
 	// all are silent.
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -242,18 +242,18 @@
 
 // preemptibleCpus returns the size of the tasks on on-demand machines that services can preempt, in CPUs.
 func (c *Controller) preemptibleCpus() float64 {
-	yielding := 0.0
+	preemptible := 0.0
 	for machine := range c.machinesInService() {
 		if machine.Draining || machine.Spot || c.reachability.zoneUnreachable(machine.Zone) {
 			continue
 		}
 		for _, placed := range machine.Tasks {
 			if !placed.Job.Priority.IsTop() {
-				yielding += placed.Job.TaskSize
+				preemptible += placed.Job.TaskSize
 			}
 		}
 	}
-	return yielding
+	return preemptible
 }
 
 // tasksInUnreachableZones returns the number of a job's tasks in zones that are unreachable and need no
--- a/internal/controller/stall_detection_test.go
+++ b/internal/controller/stall_detection_test.go
@@ -11,7 +11,7 @@
 	"dykeledge/internal/storage"
 )
 
-// Guards against a controller that has stalled taking all others for silent: it gave up its shards, or
+// Guards against a controller that has stalled concluding that all others are silent: it gave up its shards, or
 // returned machines, although only it had not handled messages.
 func TestStallIsDetected(t *testing.T) {
 	controller := newCore(t)
@@ -76,7 +76,7 @@
 		name  string
 		since time.Duration
 		want  bool
-	}{{"renewed a moment ago", time.Second, true}, {"renewed before a stall", 6 * time.Second, false}} {
+	}{{"renewed 1 s ago", time.Second, true}, {"renewed before a stall", 6 * time.Second, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newCore(t)
 			requests := make(chan string, 100)
@@ -108,7 +108,7 @@
 		served  bool          // whether the state service answers this controller
 		want    bool
 	}{
-		{"refused for a while, and this controller is not", 2 * time.Second, 0, true, true},
+		{"refused for longer than memberLostAfter, and this controller is not", 2 * time.Second, 0, true, true},
 		{"refused just now", 500 * time.Millisecond, 0, true, false},
 		{"an outage for all", 2 * time.Second, 0, false, false},
 		{"silent since, so its report is out of date", 9 * time.Second, 5 * time.Second, true, false},
@@ -140,7 +140,7 @@
 	}{
 		{"connected", 3, nil, false},
 		{"disconnected just now: it may reconnect", 3, map[string]time.Time{"n1": ago(time.Second)}, false},
-		{"disconnected for a while", 3, map[string]time.Time{"n1": ago(2 * time.Second)}, true},
+		{"disconnected for longer than memberLostAfter", 3, map[string]time.Time{"n1": ago(2 * time.Second)}, true},
 		{"disconnected for longer than its session lease: it is alive", 3, map[string]time.Time{"n1": ago(20 * time.Second)}, false},
 		{"disconnected together with half of the others", 5, map[string]time.Time{"n1": ago(2 * time.Second), "n2": ago(2 * time.Second)}, true},
 		{"disconnected together with most others: the network filters traffic, or this controller is isolated", 5, map[string]time.Time{"n1": ago(2 * time.Second),
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -102,8 +102,8 @@
 func (c *Controller) laggingMembers(revision uint64, now time.Time) []string {
 	var names []string
 	for name := range c.cache.Members {
-		peer, heard := c.reachability.peers[name]
-		if name == c.cfg.MemberName || heard && now.Sub(peer.receivedAt) < peerFreshPeriod && peer.heartbeat.Revision >= revision {
+		peer, known := c.reachability.peers[name]
+		if name == c.cfg.MemberName || known && now.Sub(peer.receivedAt) < peerFreshPeriod && peer.heartbeat.Revision >= revision {
 			continue
 		}
 		names = append(names, name)
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -40,7 +40,7 @@
 	// the state service answers.
 	ownerGrace = 6 * time.Second
 	// minTerminationTime is how long a process must have tried before it returns a machine: it may
-	// have stalled, or started only a moment ago.
+	// have stalled, or have only just started.
 	minTerminationTime = 4 * time.Second
 	// terminationsPerRound limits the tries of one round, so that unreachable machines do not use all
 	// of the direct commands.
--- a/internal/controller/victim_sets.go
+++ b/internal/controller/victim_sets.go
@@ -19,8 +19,8 @@
 	victimBytesPacked = 24
 )
 
-// truncateToRecordLimit returns as many of the chosen candidates, from the first on, as one record
-// can name. A job that needs more preempts again once this victim set is finished.
+// truncateToRecordLimit returns as many of the chosen candidates, beginning with the first, as one
+// record can name. A job that needs more preempts again once this victim set is finished.
 func (c *Controller) truncateToRecordLimit(chosen []schedule.Candidate) []schedule.Candidate {
 	bytesPerVictim := victimBytes
 	if c.cache.Packed() {
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -164,11 +164,11 @@
 // may be this controller's.
 func (c *Controller) anyZoneReachable(machines [][]*storage.Machine, now time.Time) bool {
 	limit := zoneHeartbeatLimit(c.cfg.Deployment.Workers) + otherZonesMargin
-	heard := false
+	reachable := false
 	for zone := range machines {
-		heard = heard || len(machines[zone]) > 0 && c.silenceOf(c.zoneState(zone).lastMessageAt, now) < limit
+		reachable = reachable || len(machines[zone]) > 0 && c.silenceOf(c.zoneState(zone).lastMessageAt, now) < limit
 	}
-	return heard
+	return reachable
 }
 
 // superviseZone marks a zone as unreachable if its silence proves it, and probes one of its workers
