--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -97,7 +97,7 @@
 	return empty
 }
 
-// scaleIn requests the cloud to take machines back. Its confirmation is proof that the machines and
+// scaleIn asks the cloud to take machines back. Its confirmation is proof that the machines and
 // everything that ran on them are gone; the next cycle then deletes their records.
 func (c *Controller) scaleIn(ctx context.Context, names []string) {
 	if len(names) == 0 || c.leader.returning {
--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -128,7 +128,7 @@
 				c.returnMachine(machine, "can't be stopped")
 			}
 		case tries < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
-			// begin sets the time of the next try, so that each round starts with other machines. When
+			// beginTry sets the time of the next try, so that each round starts with other machines. When
 			// every round started with the same ones, those beyond the first 48 were sent nothing.
 			tries++
 			progress.beginTry(now)
