--- a/internal/controller/relocation.go
+++ b/internal/controller/relocation.go
@@ -15,7 +15,8 @@
 
 const (
 	// minReplicaAge is how long a replica must have been placed before it is relocated, and how
-	// long its service is left alone after a relocation, so that the service can serve meanwhile.
+	// long after a relocation no other replica of its service is relocated, so that the service can
+	// serve meanwhile.
 	minReplicaAge = 40 * time.Second
 	// minCountedFetchS is how many seconds an image fetch must take to be counted in the cost of
 	// stopping a task.
@@ -32,8 +33,9 @@
 )
 
 // stopsForDrain reports whether a task with checkpoints is stopped on a draining machine. It is not
-// if it would end about as soon where it is, or if stopping it would make its job late. Otherwise
-// more than two hundred such stops a day each fetched 6 GB again and made their jobs late.
+// if it would end about as soon where it is, or if stopping it would make its job late. Without
+// these conditions more than two hundred stops a day each fetched 6 GB again and made their jobs
+// late.
 func (c *Controller) stopsForDrain(machine *storage.Machine, worker *workerState, placed storage.PlacedTask, now time.Time) bool {
 	job := placed.Job
 	fetchS := 0.0
