--- a/internal/controller/terminations.go
+++ b/internal/controller/terminations.go
@@ -40,7 +40,7 @@
 	// the state service answers.
 	ownerGrace = 6 * time.Second
 	// minTerminationTime is how long a process must have tried before it returns a machine: it may
-	// have stalled, or started only a moment ago.
+	// have stalled, or have only just started.
 	minTerminationTime = 4 * time.Second
 	// terminationsPerRound limits the tries of one round, so that unreachable machines do not use all
 	// of the direct commands.
@@ -128,7 +128,7 @@
 				c.returnMachine(machine, "can't be stopped")
 			}
 		case tries < terminationsPerRound && c.workers.directCommands < maxDirectCommands:
-			// begin sets the time of the next try, so that each round starts with other machines. When
+			// beginTry sets the time of the next try, so that each round starts with other machines. When
 			// every round started with the same ones, those beyond the first 48 were sent nothing.
 			tries++
 			progress.beginTry(now)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	// minZoneMachines is the least number of machines from which a zone's silence counts: so many are
-	// unlikely to fall silent together independently.
+	// minZoneMachines is the minimum number of machines in a zone for its silence to count: so many
+	// machines are unlikely to fall silent at the same time without a common cause.
 	minZoneMachines = 3
 	// minZoneMissedProbes is how many probes in a row a silent zone must have missed to be unreachable.
 	minZoneMissedProbes = 2
@@ -164,11 +164,11 @@
 // may be this controller's.
 func (c *Controller) anyZoneReachable(machines [][]*storage.Machine, now time.Time) bool {
 	limit := zoneHeartbeatLimit(c.cfg.Deployment.Workers) + otherZonesMargin
-	heard := false
+	reachable := false
 	for zone := range machines {
-		heard = heard || len(machines[zone]) > 0 && c.silenceOf(c.zoneState(zone).lastMessageAt, now) < limit
+		reachable = reachable || len(machines[zone]) > 0 && c.silenceOf(c.zoneState(zone).lastMessageAt, now) < limit
 	}
-	return heard
+	return reachable
 }
 
 // superviseZone marks a zone as unreachable if its silence proves it, and probes one of its workers
