--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -84,7 +84,7 @@
 }
 
 // othersChangeRate returns how many changes per second the other members make at the state service.
-// It is below 0 if one of them is silent, since its rate is then unknown.
+// It is -1 if one of them has sent no recent peer heartbeat, since its rate is then unknown.
 func (c *Controller) othersChangeRate(now time.Time) float64 {
 	sum := 0.0
 	for name := range c.cache.Members {
@@ -127,14 +127,14 @@
 // storePeerHeartbeat stores a peer's heartbeat, and since when the peer has been refused by the state
 // service.
 func (r *reachability) storePeerHeartbeat(member string, heartbeat protocol.PeerHeartbeat, now time.Time) {
-	heard := peerState{heartbeat: heartbeat, receivedAt: now}
+	state := peerState{heartbeat: heartbeat, receivedAt: now}
 	if !heartbeat.StateOK {
-		heard.storeRefusesSince = r.peers[member].storeRefusesSince
-		if heard.storeRefusesSince.IsZero() {
-			heard.storeRefusesSince = now
+		state.storeRefusesSince = r.peers[member].storeRefusesSince
+		if state.storeRefusesSince.IsZero() {
+			state.storeRefusesSince = now
 		}
 	}
-	r.peers[member] = heard
+	r.peers[member] = state
 	delete(r.disconnected, member)
 }
 
--- a/internal/controller/scale_demand.go
+++ b/internal/controller/scale_demand.go
@@ -74,7 +74,7 @@
 }
 
 // demands returns the capacity demand of the open work, grouped by what the work may run on, and separately
-// for each team with a limit: the jobs of a team together demand no more than its limit allows to run. When
+// for each team with a limit: the jobs of a team together demand no more than the team's limit allows. When
 // demand was bounded for each job alone, a team with many jobs had twice the machines provisioned that it
 // could use.
 func (c *Controller) demands(now time.Time) []autoscale.Demand {
@@ -131,7 +131,7 @@
 }
 
 // zoneCapacity holds the free capacity of on-demand machines by zone, for jobs that are spread over zones.
-// Capacity is in CPUs as job sizes count it, and negative where the demand already exceeds it.
+// Capacity is in CPUs, as storage.Job.TaskSize is, and negative where the demand already exceeds it.
 type zoneCapacity struct {
 	c           *Controller
 	now         time.Time
@@ -242,18 +242,18 @@
 
 // preemptibleCpus returns the size of the tasks on on-demand machines that services can preempt, in CPUs.
 func (c *Controller) preemptibleCpus() float64 {
-	yielding := 0.0
+	preemptible := 0.0
 	for machine := range c.machinesInService() {
 		if machine.Draining || machine.Spot || c.reachability.zoneUnreachable(machine.Zone) {
 			continue
 		}
 		for _, placed := range machine.Tasks {
 			if !placed.Job.Priority.IsTop() {
-				yielding += placed.Job.TaskSize
+				preemptible += placed.Job.TaskSize
 			}
 		}
 	}
-	return yielding
+	return preemptible
 }
 
 // tasksInUnreachableZones returns the number of a job's tasks in zones that are unreachable and need no
--- a/internal/controller/team_changes.go
+++ b/internal/controller/team_changes.go
@@ -102,8 +102,8 @@
 func (c *Controller) laggingMembers(revision uint64, now time.Time) []string {
 	var names []string
 	for name := range c.cache.Members {
-		peer, heard := c.reachability.peers[name]
-		if name == c.cfg.MemberName || heard && now.Sub(peer.receivedAt) < peerFreshPeriod && peer.heartbeat.Revision >= revision {
+		peer, known := c.reachability.peers[name]
+		if name == c.cfg.MemberName || known && now.Sub(peer.receivedAt) < peerFreshPeriod && peer.heartbeat.Revision >= revision {
 			continue
 		}
 		names = append(names, name)
@@ -200,7 +200,7 @@
 }
 
 // membersNotReadingTeams returns the configured controllers that have not shown that they read changed teams.
-// Once a team has been changed no older version becomes ready, so none is missing.
+// There are none once a team has been changed, because no older version becomes ready from then on.
 func (c *Controller) membersNotReadingTeams() []string {
 	if c.cache.TeamChangesEnabled() {
 		return nil
