--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -54,7 +54,7 @@
 	return line, true
 }
 
-// roundingError is the relative residual up to which a deviation from the line is a roundingError error.
+// roundingError is the relative residual up to which a deviation from the line is a rounding error.
 const roundingError = 1e-6
 
 // squaredError returns the sum of the squared distances of the points from f.
